--- a/src/main/java/sprucerock/Main.java
+++ b/src/main/java/sprucerock/Main.java
@@ -8,21 +8,26 @@
 
 /** Starts what the command line names. */
 public final class Main {
-    private Main() {}
+  private Main() {}
 
-    public static void main(String[] args) throws IOException, InterruptedException {
-        if (args.length == 1 && args[0].equals("simhost")) simhost(); // apart, as the bench pays for each start
-        else if (args.length == 1 && args[0].equals("serve")) Runtime.getRuntime().halt(ServeCommand.serve()); // each restart counts too
-        else if (args.length == 1 && args[0].equals("warm")) ServeCommand.warm(); // for the build's archive of classes
-        else System.exit(Commands.run(args));
+  public static void main(String[] args) throws IOException, InterruptedException {
+    if (args.length == 1 && args[0].equals("simhost")) {
+      simhost(); // apart, as the bench pays for each start
+    } else if (args.length == 1 && args[0].equals("serve")) {
+      Runtime.getRuntime().halt(ServeCommand.serve()); // each restart counts too
+    } else if (args.length == 1 && args[0].equals("warm")) {
+      ServeCommand.warm(); // for the build's archive of classes
+    } else {
+      System.exit(Commands.run(args));
     }
+  }
 
-    private static void simhost() throws IOException {
-        try {
-            new Simhost(System.in, System.out).run();
-        } catch (FrameException e) {
-            System.err.println(e.getMessage());
-            System.exit(Commands.WANTING);
-        }
+  private static void simhost() throws IOException {
+    try {
+      new Simhost(System.in, System.out).run();
+    } catch (FrameException e) {
+      System.err.println(e.getMessage());
+      System.exit(Commands.WANTING);
     }
+  }
 }
--- a/src/main/java/sprucerock/Policy.java
+++ b/src/main/java/sprucerock/Policy.java
@@ -1,798 +1,1086 @@
 package sprucerock;
 
-import java.util.*;
-import sprucerock.evidence.*;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import sprucerock.evidence.Ballot;
+import sprucerock.evidence.Board;
+import sprucerock.evidence.Customers;
+import sprucerock.evidence.Evidence;
+import sprucerock.evidence.Met;
+import sprucerock.evidence.Offer;
 import sprucerock.host.Host;
 import sprucerock.host.Module;
-import sprucerock.model.*;
-import sprucerock.stats.*;
-import sprucerock.time.*;
+import sprucerock.model.Build;
+import sprucerock.model.Method;
+import sprucerock.model.Outcome;
+import sprucerock.model.Pair;
+import sprucerock.model.Pick;
+import sprucerock.model.Reply;
+import sprucerock.model.Rpc;
+import sprucerock.model.Settings;
+import sprucerock.model.Standing;
+import sprucerock.model.Unit;
+import sprucerock.model.Verdict;
+import sprucerock.stats.Chance;
+import sprucerock.stats.DecayingMean;
+import sprucerock.stats.DecayingSum;
+import sprucerock.stats.KeyedSums;
+import sprucerock.stats.Pace;
+import sprucerock.stats.Shares;
+import sprucerock.time.Moment;
+import sprucerock.time.Span;
 
 /**
- * All decisions of one relay. The host (bench adapter, later the relay) makes one Policy at start and calls
- * one method for each thing that happens; Policy acts at once through {@link Host}, in sprucerock.host.
+ * All decisions of one relay. The host (bench adapter, later the relay) makes one Policy at start
+ * and calls one method for each thing that happens; Policy acts at once through {@link Host}, in
+ * sprucerock.host.
  *
- * The ordinary path is the design, "Shadow traffic": an idempotent RPC goes to the earlier build with a copy
- * to the build on trial; pairs are judged by failure match and one-sided KS, stage by stage, and voted on.
- * Beside the design stand six mechanisms: (1) the cold guard, (2) unit health, with the loads that relays
- * tell each other, (3) time-out and further pick under a retry budget, (4) pushback under overload, (5)
- * pinned keys, (6) evidence where pairs can't see.
+ * <p>The ordinary path is the design, "Shadow traffic": an idempotent RPC goes to the earlier build
+ * with a copy to the build on trial; pairs are judged by failure match and one-sided KS, stage by
+ * stage, and voted on. Beside the design stand six mechanisms: (1) the cold guard, (2) unit health,
+ * with the loads that relays tell each other, (3) time-out and further pick under a retry budget,
+ * (4) pushback under overload, (5) pinned keys, (6) evidence where pairs can't see.
  */
 public final class Policy implements Module {
-    private final Host host;
-    private final Settings settings;
-    private final Chance chance;
-    private final TreeMap<Integer, Build> builds = new TreeMap<>();
-    private final Set<Integer> withdrawn = new TreeSet<>(); // that discovery may list on
-    private Offer offer;
-    private Standing standing;
-    private double cap;
-    private double sharedTokens;
-    private int copiesOut;
-    private int singles;
-    private final boolean alone; // neither peers nor the desk's counts add up what relays see
-    private final double strays; // marks for one unlucky relay among all in twenty days
-    private final TreeMap<Integer, DecayingMean> zonePaces = new TreeMap<>();
-    private final Pace pace;
-    private final Board board;
-    private final Met met = new Met(8);
-    private final DecayingMean noConnection = new DecayingMean(Span.ofMs(5000));
-    private int hub;
-    private Moment hubSince;
-    private Moment loadsAt;
-    private boolean sumsDue;
-    private double fleetWaitMs;
-    private final DecayingSum endedAnywhere = new DecayingSum(Span.ofMs(2000));
-
-    private final DecayingSum arrivals = new DecayingSum(Span.ofMs(5000));
-    private final Customers customers;
-    private final KeyedSums keyArrivals = new KeyedSums(Span.ofMs(20000), 4096); // of popular keys
-    private final DecayingSum homeSends = new DecayingSum(Span.ofMs(3000));
-    private final DecayingSum repeats = new DecayingSum(Span.ofMs(5000));
-    private final DecayingSum answered = new DecayingSum(Span.ofMs(2000));
-    private int timely;
-    private double timelySinceMs; // the sum of their arrivals
-
-    private final Ballot ballot = new Ballot();
-    private Moment lastAsked;
-    private final Moment started;
-
-    public Policy(Host host, Settings settings, long seed) {
-        this.host = host;
-        this.settings = settings;
-        chance = new Chance(seed);
-        started = host.now();
-        customers = new Customers(settings.customerShares, Span.ofMs(5000));
-        sharedTokens = settings.free;
-        alone = !settings.peers && !settings.countsEvery.over(Span.ZERO);
-        strays = Math.sqrt(2 * Math.log(20 * settings.relays));
-        for (Method method : settings.methods) {
-            method.took = new DecayingMean(Span.ofMs(10000));
-            method.logNow = new DecayingMean(Span.ofMs(20000));
-            method.trialTokens = settings.free;
-        }
-        pace = new Pace(settings.methods.size(), 2, Span.ofMs(20000), Span.ofMs(3000));
-        board = new Board(Span.ofMs(4 * settings.meanSoftMs));
-        if (settings.ask) subscribe();
-        look();
-    }
-
-    public void unitReady(Unit unit) {
-        if (unit.pace == null) unit.pace = new DecayingMean(Span.ofMs(4000));
-        unit.zonePace = zonePaces.computeIfAbsent(unit.zone, zone -> new DecayingMean(Span.ofMs(8000)));
-        board.ready(unit);
-        builds.put(unit.build.number, unit.build);
-        unit.coldTokens = chance.next(); // relays learn of a unit together: first tokens come one by one
-        unit.coldAsOf = host.now();
-    }
-
-    public void unitLeaving(Unit unit) { // rule 3: gets nothing new at once; no grace is used
-        board.left(unit);
-        if (unit.build.units.isEmpty()) builds.remove(unit.build.number);
-    }
-
-    public void listFailed() { // asked for again after a pause, so that a busy discovery recovers
-        host.wake(host.now().plus(Span.ofMs(500 + 500 * chance.next())), this::subscribe);
-    }
-
-    private void subscribe() {
-        lastAsked = host.now();
-        host.subscribe();
-    }
-
-    public void newsOfBuild(Build build, int stage, Standing newStanding, double newCap, Moment since) {
-        if (!isOffered(build)) {
-            noteWithdrawn();
-            offer = new Offer(build, settings.methods.size());
-        }
-        if (offer.evidence == null || stage != offer.stage || newStanding != standing) {
-            offer.enter(stage, since, newStanding == Standing.RELEASED);
-            singles = (int) (Math.min(10, 40.0 / settings.relays) + chance.next()); // 40 by all: each harms
-            ballot.verdict = Verdict.NONE;
-        }
-        standing = newStanding;
-        offer.tried |= standing == Standing.ON_TRIAL;
-        cap = newCap;
-        if (standing != Standing.ON_TRIAL) offer.pins.clear();
-        consider();
-    }
-
-    // A build that goes back is off trial once the next is offered, and newer than the one that serves. While
-    // discovery is silent its units stay listed, but they drain and stop: all traffic would go there.
-    private void noteWithdrawn() {
-        withdrawn.retainAll(builds.keySet()); // no more of them than builds are listed, and one
-        boolean goesBack = standing == Standing.GOING_BACK || standing == Standing.WITHDRAWN;
-        if (goesBack) withdrawn.add(offer.build.number);
-    }
-
-    private boolean isOffered(Build build) {
-        return offer != null && build.number == offer.build.number;
-    }
-
-    private boolean onTrial(Build build) {
-        if (offer == null) return !builds.isEmpty() && build.number > builds.firstKey();
-        return build.number > offer.build.number || isOffered(build) && standing != Standing.RELEASED;
-    }
-
-    /** Rule 5: a build not yet named in the news counts as in the first stage. */
-    private boolean mayTry(Build build, Method method, double tokens) {
-        if (offer == null) return false;
-        double most = isOffered(build) ? cap : settings.caps.get(0);
-        int stage = isOffered(build) ? offer.stage : 0;
-        return most > 0 && (settings.perMethod ? method.trialTokens : sharedTokens) >= tokens
-            && (method.idempotent() || stage >= settings.guardedStages);
-    }
-
-    private void feedTokens(Method method) { // rule 5: a bucket as deep as the free picks
-        if (offer == null) return;
-        boolean ended = standing == Standing.RELEASED || standing == Standing.WITHDRAWN;
-        double share = (ended ? settings.caps.get(0) : cap) * (1 - 1e-6);
-        sharedTokens = Math.min(settings.free, sharedTokens + share);
-        method.trialTokens = Math.min(settings.free, method.trialTokens + share);
-    }
-
-    private Build trial() { // that pairs can judge now
-        boolean judged = offer != null && standing == Standing.ON_TRIAL && !offer.build.units.isEmpty();
-        return judged ? offer.build : null;
-    }
-
-    public void rpcArrived(Rpc rpc) {
-        Moment now = host.now();
-        arrivals.add(now, 1);
-        customers.add(rpc.customer, now);
-        if (settings.oneWayKeys) keyArrivals.add(rpc.key, now, 1);
-        feedTokens(rpc.method);
-        timely++;
-        timelySinceMs += now.ms();
-        if (overloaded(rpc)) giveUp(rpc);
-        else route(rpc);
-    }
-
-    private void route(Rpc rpc) {
-        host.wake(rpc, host.now().plus(rpc.method.softDeadline), () -> settle(rpc));
-        // Rule 1: two rounds before the client's own deadline, since a timer may come a round late.
-        host.wake(rpc, rpc.deadline.minus(settings.tick.times(2)), () -> {
-            if (!rpc.streaming()) giveUp(rpc);
-        });
-        Build trial = trial();
-        // Alone in place of a copy: where second copies are barred, and a few RPCs with an effect.
-        Unit single = trial != null && maySingle(rpc, trial) ? chooseFitting(rpc, trial) : null;
-        if (single != null) {
-            Pair pair = new Pair();
-            sendCopy(rpc, single, pair);
-            offer.evidence.waiting.get(rpc.method.index).add(pair);
-            offer.evidence.singles[rpc.method.index]++;
-            return;
-        }
-        Unit home = chooseAny(rpc);
-        if (home == null) {
+  private final Host host;
+  private final Settings settings;
+  private final Chance chance;
+  private final TreeMap<Integer, Build> builds = new TreeMap<>();
+  private final Set<Integer> withdrawn = new TreeSet<>(); // that discovery may list on
+  private Offer offer;
+  private Standing standing;
+  private double cap;
+  private double sharedTokens;
+  private int copiesOut;
+  private int singles;
+  private final boolean alone; // neither peers nor the desk's counts add up what relays see
+  private final double strays; // marks for one unlucky relay among all in twenty days
+  private final TreeMap<Integer, DecayingMean> zonePaces = new TreeMap<>();
+  private final Pace pace;
+  private final Board board;
+  private final Met met = new Met(8);
+  private final DecayingMean noConnection = new DecayingMean(Span.ofMs(5000));
+  private int hub;
+  private Moment hubSince;
+  private Moment loadsAt;
+  private boolean sumsDue;
+  private double fleetWaitMs;
+  private final DecayingSum endedAnywhere = new DecayingSum(Span.ofMs(2000));
+
+  private final DecayingSum arrivals = new DecayingSum(Span.ofMs(5000));
+  private final Customers customers;
+  private final KeyedSums keyArrivals = new KeyedSums(Span.ofMs(20000), 4096); // of popular keys
+  private final DecayingSum homeSends = new DecayingSum(Span.ofMs(3000));
+  private final DecayingSum repeats = new DecayingSum(Span.ofMs(5000));
+  private final DecayingSum answered = new DecayingSum(Span.ofMs(2000));
+  private int timely;
+  private double timelySinceMs; // the sum of their arrivals
+
+  private final Ballot ballot = new Ballot();
+  private Moment lastAsked;
+  private final Moment started;
+
+  public Policy(Host host, Settings settings, long seed) {
+    this.host = host;
+    this.settings = settings;
+    chance = new Chance(seed);
+    started = host.now();
+    customers = new Customers(settings.customerShares, Span.ofMs(5000));
+    sharedTokens = settings.free;
+    alone = !settings.peers && !settings.countsEvery.over(Span.ZERO);
+    strays = Math.sqrt(2 * Math.log(20 * settings.relays));
+    for (Method method : settings.methods) {
+      method.took = new DecayingMean(Span.ofMs(10000));
+      method.logNow = new DecayingMean(Span.ofMs(20000));
+      method.trialTokens = settings.free;
+    }
+    pace = new Pace(settings.methods.size(), 2, Span.ofMs(20000), Span.ofMs(3000));
+    board = new Board(Span.ofMs(4 * settings.meanSoftMs));
+    if (settings.ask) {
+      subscribe();
+    }
+    look();
+  }
+
+  public void unitReady(Unit unit) {
+    if (unit.pace == null) {
+      unit.pace = new DecayingMean(Span.ofMs(4000));
+    }
+    unit.zonePace = zonePaces.computeIfAbsent(unit.zone, zone -> new DecayingMean(Span.ofMs(8000)));
+    board.ready(unit);
+    builds.put(unit.build.number, unit.build);
+    unit.coldTokens =
+        chance.next(); // relays learn of a unit together: first tokens come one by one
+    unit.coldAsOf = host.now();
+  }
+
+  public void unitLeaving(Unit unit) { // rule 3: gets nothing new at once; no grace is used
+    board.left(unit);
+    if (unit.build.units.isEmpty()) {
+      builds.remove(unit.build.number);
+    }
+  }
+
+  public void listFailed() { // asked for again after a pause, so that a busy discovery recovers
+    host.wake(host.now().plus(Span.ofMs(500 + 500 * chance.next())), this::subscribe);
+  }
+
+  private void subscribe() {
+    lastAsked = host.now();
+    host.subscribe();
+  }
+
+  public void newsOfBuild(
+      Build build, int stage, Standing newStanding, double newCap, Moment since) {
+    if (!isOffered(build)) {
+      noteWithdrawn();
+      offer = new Offer(build, settings.methods.size());
+    }
+    if (offer.evidence == null || stage != offer.stage || newStanding != standing) {
+      offer.enter(stage, since, newStanding == Standing.RELEASED);
+      singles =
+          (int) (Math.min(10, 40.0 / settings.relays) + chance.next()); // 40 by all: each harms
+      ballot.verdict = Verdict.NONE;
+    }
+    standing = newStanding;
+    offer.tried |= standing == Standing.ON_TRIAL;
+    cap = newCap;
+    if (standing != Standing.ON_TRIAL) {
+      offer.pins.clear();
+    }
+    consider();
+  }
+
+  // A build that goes back is off trial once the next is offered, and newer than the one that
+  // serves. While
+  // discovery is silent its units stay listed, but they drain and stop: all traffic would go there.
+  private void noteWithdrawn() {
+    withdrawn.retainAll(builds.keySet()); // no more of them than builds are listed, and one
+    boolean goesBack = standing == Standing.GOING_BACK || standing == Standing.WITHDRAWN;
+    if (goesBack) {
+      withdrawn.add(offer.build.number);
+    }
+  }
+
+  private boolean isOffered(Build build) {
+    return offer != null && build.number == offer.build.number;
+  }
+
+  private boolean onTrial(Build build) {
+    if (offer == null) {
+      return !builds.isEmpty() && build.number > builds.firstKey();
+    }
+    return build.number > offer.build.number || isOffered(build) && standing != Standing.RELEASED;
+  }
+
+  /** Rule 5: a build not yet named in the news counts as in the first stage. */
+  private boolean mayTry(Build build, Method method, double tokens) {
+    if (offer == null) {
+      return false;
+    }
+    double most = isOffered(build) ? cap : settings.caps.get(0);
+    int stage = isOffered(build) ? offer.stage : 0;
+    return most > 0
+        && (settings.perMethod ? method.trialTokens : sharedTokens) >= tokens
+        && (method.idempotent() || stage >= settings.guardedStages);
+  }
+
+  private void feedTokens(Method method) { // rule 5: a bucket as deep as the free picks
+    if (offer == null) {
+      return;
+    }
+    boolean ended = standing == Standing.RELEASED || standing == Standing.WITHDRAWN;
+    double share = (ended ? settings.caps.get(0) : cap) * (1 - 1e-6);
+    sharedTokens = Math.min(settings.free, sharedTokens + share);
+    method.trialTokens = Math.min(settings.free, method.trialTokens + share);
+  }
+
+  private Build trial() { // that pairs can judge now
+    boolean judged = offer != null && standing == Standing.ON_TRIAL && !offer.build.units.isEmpty();
+    return judged ? offer.build : null;
+  }
+
+  public void rpcArrived(Rpc rpc) {
+    Moment now = host.now();
+    arrivals.add(now, 1);
+    customers.add(rpc.customer, now);
+    if (settings.oneWayKeys) {
+      keyArrivals.add(rpc.key, now, 1);
+    }
+    feedTokens(rpc.method);
+    timely++;
+    timelySinceMs += now.ms();
+    if (overloaded(rpc)) {
+      giveUp(rpc);
+    } else {
+      route(rpc);
+    }
+  }
+
+  private void route(Rpc rpc) {
+    host.wake(rpc, host.now().plus(rpc.method.softDeadline), () -> settle(rpc));
+    // Rule 1: two rounds before the client's own deadline, since a timer may come a round late.
+    host.wake(
+        rpc,
+        rpc.deadline.minus(settings.tick.times(2)),
+        () -> {
+          if (!rpc.streaming()) {
             giveUp(rpc);
-            return;
-        }
-        Pick earlier = send(rpc, home, false);
-        if (trial == null || home.build == trial) return;
-        Unit unit = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
-        earlier.pair = unit != null ? new Pair() : offer.evidence.waiting.get(rpc.method.index).poll();
-        if (earlier.pair == null) return;
-        earlier.pair.earlier = earlier;
-        if (unit != null) sendCopy(rpc, unit, earlier.pair);
-        judge(earlier.pair);
-    }
-
-    private void sendCopy(Rpc rpc, Unit unit, Pair pair) {
-        pair.fresh = send(rpc, unit, true);
-        pair.fresh.pair = pair;
-        copiesOut++;
-    }
-
-    private boolean breakerOpen() { // the design's, and while copies are stopped
-        return copiesOut >= 8 || offer.pausedAt != null;
-    }
-
-    /** The design's conditions for a copy; where keys get pinned, one token stays for a pinned key's RPC. */
-    private boolean mayCopy(Rpc rpc, Build trial) {
-        double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
-        return rpc.method.idempotent() && settings.secondCopies && !breakerOpen() && budgetHasRoom()
-            && rpc.picks.size() < settings.maxPicks && mayTry(trial, rpc.method, tokens);
-    }
-
-    private boolean maySingle(Rpc rpc, Build trial) {
-        if (breakerOpen() || !mayTry(trial, rpc.method, 1) || offer.pins.containsKey(rpc.key)) return false;
-        Evidence seen = offer.evidence;
-        // every other one of a method at most: each has its like at the earlier build
-        if (rpc.method.idempotent()) return !settings.secondCopies && seen.even(rpc.method);
-        // (6) A build bad for one method with effects shows in no copy: a few such RPCs go there alone
-        return offer.stage > 0 && seen.singles[rpc.method.index] < singles;
-    }
-
-    /** (5) An ok copy binds its key to the new build: half the cap must carry what such keys bring. */
-    private Unit chooseFitting(Rpc rpc, Build trial) {
-        Unit unit = chooseIn(rpc, trial);
-        if (unit == null || !settings.oneWayKeys || rpc.key == 0) return unit;
-        Moment now = host.now();
-        double share = keyArrivals.perSecond(rpc.key, now) / Math.max(arrivals.perSecond(now), 1e-9);
-        if (offer.pinnedShare + share > 0.5 * cap) return null;
-        offer.pinnedShare += share;
+          }
+        });
+    Build trial = trial();
+    // Alone in place of a copy: where second copies are barred, and a few RPCs with an effect.
+    Unit single = trial != null && maySingle(rpc, trial) ? chooseFitting(rpc, trial) : null;
+    if (single != null) {
+      Pair pair = new Pair();
+      sendCopy(rpc, single, pair);
+      offer.evidence.waiting.get(rpc.method.index).add(pair);
+      offer.evidence.singles[rpc.method.index]++;
+      return;
+    }
+    Unit home = chooseAny(rpc);
+    if (home == null) {
+      giveUp(rpc);
+      return;
+    }
+    Pick earlier = send(rpc, home, false);
+    if (trial == null || home.build == trial) {
+      return;
+    }
+    Unit unit = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
+    earlier.pair = unit != null ? new Pair() : offer.evidence.waiting.get(rpc.method.index).poll();
+    if (earlier.pair == null) {
+      return;
+    }
+    earlier.pair.earlier = earlier;
+    if (unit != null) {
+      sendCopy(rpc, unit, earlier.pair);
+    }
+    judge(earlier.pair);
+  }
+
+  private void sendCopy(Rpc rpc, Unit unit, Pair pair) {
+    pair.fresh = send(rpc, unit, true);
+    pair.fresh.pair = pair;
+    copiesOut++;
+  }
+
+  private boolean breakerOpen() { // the design's, and while copies are stopped
+    return copiesOut >= 8 || offer.pausedAt != null;
+  }
+
+  /**
+   * The design's conditions for a copy; where keys get pinned, one token stays for a pinned key's
+   * RPC.
+   */
+  private boolean mayCopy(Rpc rpc, Build trial) {
+    double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
+    return rpc.method.idempotent()
+        && settings.secondCopies
+        && !breakerOpen()
+        && budgetHasRoom()
+        && rpc.picks.size() < settings.maxPicks
+        && mayTry(trial, rpc.method, tokens);
+  }
+
+  private boolean maySingle(Rpc rpc, Build trial) {
+    if (breakerOpen() || !mayTry(trial, rpc.method, 1) || offer.pins.containsKey(rpc.key)) {
+      return false;
+    }
+    Evidence seen = offer.evidence;
+    // every other one of a method at most: each has its like at the earlier build
+    if (rpc.method.idempotent()) {
+      return !settings.secondCopies && seen.even(rpc.method);
+    }
+    // (6) A build bad for one method with effects shows in no copy: a few such RPCs go there alone
+    return offer.stage > 0 && seen.singles[rpc.method.index] < singles;
+  }
+
+  /**
+   * (5) An ok copy binds its key to the new build: half the cap must carry what such keys bring.
+   */
+  private Unit chooseFitting(Rpc rpc, Build trial) {
+    Unit unit = chooseIn(rpc, trial);
+    if (unit == null || !settings.oneWayKeys || rpc.key == 0) {
+      return unit;
+    }
+    Moment now = host.now();
+    double share = keyArrivals.perSecond(rpc.key, now) / Math.max(arrivals.perSecond(now), 1e-9);
+    if (offer.pinnedShare + share > 0.5 * cap) {
+      return null;
+    }
+    offer.pinnedShare += share;
+    return unit;
+  }
+
+  private Pick send(Rpc rpc, Unit unit, boolean copy) {
+    Moment now = host.now();
+    int tried = onTrial(unit.build) ? 1 : 0;
+    sharedTokens -= tried;
+    rpc.method.trialTokens -= tried;
+    homeSends.add(now, 1 - tried);
+    unit.coldTokens--;
+    Span overdue = overdueAfter(rpc);
+    // Where one pick must end before the next, it is cut only when lost: its work so far is thrown
+    // away.
+    Span lost = overdue.times(2);
+    boolean cut =
+        !settings.secondCopies
+            && !rpc.method.streamOrOnce()
+            && rpc.picks.size() + 1 < settings.maxPicks
+            && rpc.deadline.since(now).over(lost.times(1.5));
+    Pick pick = new Pick(rpc, unit, now, cut ? lost : null);
+    pick.copy = copy;
+    // rule 2: a repeat that waits for a connection must not come up after its window
+    Pick first = rpc.firstThatMayHaveRun();
+    boolean binds = first != null && rpc.method.effect == Method.Effect.TOKENED;
+    pick.startBy = binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
+    host.send(pick);
+    report(unit, null);
+    host.wake(pick, now.plus(overdue), () -> overdue(pick));
+    return pick;
+  }
+
+  /**
+   * (3) At thrice the method's mean, which grows as all slows; at 0.45 another can still be in
+   * time.
+   */
+  private Span overdueAfter(Rpc rpc) {
+    Span usual = Span.ofMs(3 * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
+    return rpc.method.softDeadline.times(0.45).atLeast(usual);
+  }
+
+  private double usualMs(Method method) {
+    return method.took.at(
+        host.now(), method.softDeadline.ms() / 6, 1); // a guess until answers come
+  }
+
+  /**
+   * Silence, no answer from the unit since: it is marked and, where copies may run, picked past.
+   */
+  private void overdue(Pick pick) {
+    pick.overdue = true;
+    boolean silent = pick.unit.lastAnswer == null || pick.sent.after(pick.unit.lastAnswer);
+    if (silent) {
+      note(pick.unit, false);
+    }
+    pick.unit.pace.add(host.now(), 3);
+    pick.unit.zonePace.add(host.now(), 3);
+    if (pick.pair != null) {
+      judge(pick.pair);
+    }
+    if (silent && settings.secondCopies && pick.rpc.out() == 1) {
+      tryAgain(pick.rpc);
+    }
+  }
+
+  private boolean budgetHasRoom() {
+    // one in twenty: enough to find a lost unit, no storm
+    return repeats.at(host.now()) < 1 + 0.05 * arrivals.at(host.now());
+  }
+
+  private boolean mayRepeat(Rpc rpc) { // rule 2
+    boolean barred =
+        !settings.secondCopies && rpc.out() > 0 || rpc.picks.size() >= settings.maxPicks;
+    if (rpc.ended() || rpc.streaming() || barred) {
+      return false;
+    }
+    Pick first = rpc.firstThatMayHaveRun();
+    if (first == null || rpc.method.idempotent()) {
+      return true;
+    }
+    return rpc.method.effect == Method.Effect.TOKENED
+        && rpc.method.window.minus(settings.tick).over(host.now().since(first.sent));
+  }
+
+  private boolean tryAgain(Rpc rpc) {
+    boolean late = settings.tick.times(4).over(rpc.deadline.since(host.now()));
+    if (late || !mayRepeat(rpc) || !budgetHasRoom()) {
+      return false;
+    }
+    Unit unit = chooseAny(rpc);
+    if (unit == null) {
+      return false;
+    }
+    repeats.add(host.now(), 1);
+    send(rpc, unit, false);
+    return true;
+  }
+
+  public void streamStarted(Pick pick) {
+    settle(pick.rpc);
+  }
+
+  /** A pick ended; {@code answers} says that it ended its RPC too. */
+  public void pickEnded(Pick pick, boolean answers) {
+    Moment now = host.now();
+    Rpc rpc = pick.rpc;
+    boolean ok = pick.outcome() == Outcome.OK;
+    if (answers) {
+      settle(rpc);
+    }
+    if (answers && ok) {
+      answered.add(now, 1);
+    }
+    if (pick.copy) {
+      copiesOut--;
+    }
+    report(pick.unit, now.since(pick.sent));
+    boolean tells = pick.outcome() != Outcome.CANCELLED && pick.outcome() != Outcome.MOOT;
+    if (tells && (ok || !pick.overdue)) {
+      note(pick.unit, ok);
+    }
+    if (ok || pick.erred()) {
+      pick.unit.lastAnswer = now;
+    }
+    noConnection.add(now, pick.outcome() == Outcome.NOT_CONNECTED ? 1 : 0);
+    if (ok) {
+      met.answered(pick.unit);
+    }
+    if (pick.outcome() == Outcome.NOT_CONNECTED || pick.outcome() == Outcome.BROKEN) {
+      met.lost(pick.unit);
+    }
+    if (ok || pick.outcome() == Outcome.TIMED_OUT) {
+      learnPace(pick);
+    }
+    if (isOffered(pick.unit.build)) {
+      offer.erred |= pick.erred();
+      if (standing == Standing.RELEASED) {
+        offer.evidence.ended(pick);
+      }
+      boolean binds = standing == Standing.ON_TRIAL && settings.oneWayKeys && rpc.key != 0;
+      if (ok && binds) {
+        offer.pins.put(rpc.key, offer.build);
+      }
+    }
+    if (pick.pair != null) {
+      judge(pick.pair);
+    }
+    if (!rpc.ended() && !rpc.streaming() && rpc.out() == 0 && !tryAgain(rpc)) {
+      giveUp(rpc);
+    }
+  }
+
+  public void clientLeft(Rpc rpc) {
+    settle(rpc);
+    cancelOut(rpc);
+  }
+
+  /**
+   * The final answer once nothing more can be done; at once, so that the client can use its time.
+   */
+  private void giveUp(Rpc rpc) {
+    settle(rpc);
+    if (rpc.firstThatMayHaveRun() == null || rpc.method.harmlessAnywhere()) {
+      // half a soft deadline: about what a queue that long needs to drain
+      Span wait = rpc.method.softDeadline.times(0.5).atMost(settings.maxRetryAfter);
+      host.pushBack(rpc, settings.retryAfter ? wait : Span.ZERO);
+    } else {
+      host.abort(rpc);
+    }
+    cancelOut(rpc);
+  }
+
+  private void cancelOut(Rpc rpc) {
+    if (!settings.cancel) {
+      return;
+    }
+    for (Pick pick : rpc.picks) {
+      if (pick.outcome() == null && pick.pair == null) {
+        host.cancel(pick);
+      }
+    }
+  }
+
+  private void settle(Rpc rpc) { // no longer in the queue: answered, or past its soft deadline
+    if (!rpc.settled) {
+      timely--;
+      timelySinceMs -= rpc.arrived.ms();
+    }
+    rpc.settled = true;
+  }
+
+  // (4) Little's law: RPCs out and not yet late, over answers a second, is the wait that a new one
+  // faces;
+  // past its mark it is pushed back unseen. Guards against bursts, slow dependencies and lost units
+  // alike;
+  // a few stuck RPCs cannot keep the door shut. A relay that sees too little goes by the fleet's
+  // wait, if
+  // told.
+  private boolean overloaded(Rpc rpc) {
+    Moment now = host.now();
+    double queue = timely - 3; // three more is chance
+    double waitMs = 1000 * queue / Math.max(answered.perSecond(started, now), 0.5);
+    // Answers lag behind traffic that has just come; but who waits long is also old: in a queue of
+    // W the
+    // RPCs are W/2 old. Guards against doors shut on a relay that starts, or whose traffic comes
+    // back.
+    waitMs = Math.min(waitMs, 2 * (now.ms() - timelySinceMs / Math.max(timely, 1)));
+    boolean byFleet = loadsFresh() && arrivals.perSecond(now) < 10;
+    double worth = rpc.method.utility / settings.mostUtility;
+    double over = customers.timesShare(rpc.customer, now);
+    // of a customer at thrice its share, two RPCs in three are over it
+    if (over > 1.2 && chance.next() > 1 / over) {
+      worth *= settings.overShareWorth;
+    }
+    // what is left must hold the long tail; the fleet's wait holds the work itself
+    return byFleet
+        ? chance.next() > 0.05 && fleetWaitMs > settings.meanSoftMs * (0.4 + 0.3 * worth)
+        : waitMs > settings.meanSoftMs * (0.25 + 0.3 * worth);
+  }
+
+  /**
+   * Of the newest build not on trial, else of an earlier one, else of one on trial or withdrawn.
+   */
+  private Unit chooseAny(Rpc rpc) {
+    Unit unit = choose(rpc, false);
+    return unit != null ? unit : choose(rpc, true);
+  }
+
+  private Unit choose(Rpc rpc, boolean trialToo) {
+    boolean keyed = offer != null && settings.oneWayKeys && rpc.key != 0;
+    // once released, a build has every key: earlier units may be listed before news that it goes
+    // back
+    Build pin =
+        !keyed ? null : standing == Standing.RELEASED ? offer.build : offer.pins.get(rpc.key);
+    Unit unit = null;
+    for (Build build : builds.descendingMap().values()) {
+      if (unit != null || pin != null && build.number < pin.number) {
+        break;
+      }
+      boolean mayUse = trialToo || pin != null && build.number == pin.number;
+      boolean mayServe =
+          onTrial(build)
+              ? mayUse && mayTry(build, rpc.method, 1)
+              : trialToo || !withdrawn.contains(build.number);
+      if (mayServe) {
+        unit = chooseIn(rpc, build);
+      }
+    }
+    return unit;
+  }
+
+  private Unit chooseIn(Rpc rpc, Build build) {
+    Moment now = host.now();
+    Pick first = rpc.firstThatMayHaveRun();
+    boolean mayLook = rpc.method.idempotent() && rpc.picks.isEmpty();
+    Unit one = null;
+    Unit rest = null;
+    // no scan of a large fleet: 24 draws miss the usable third of a build once in 17,000 times
+    // Where connections fail, units that answered lately come first: their connections are open.
+    List<Unit> open = noConnection.at(now, 0, 2) > 0.15 ? met.of(build, chance.next()) : List.of();
+    for (int i = 0; i < open.size() + Math.min(build.units.size(), 24); i++) {
+      Unit unit = i < open.size() ? open.get(i) : build.draw(i - open.size(), chance.next());
+      if (!mayTake(rpc, first, unit, now)) {
+        continue;
+      }
+      if (sick(unit) && mayLook && now.after(unit.retryAt) && budgetHasRoom()) {
+        unit.retryAt = now.plus(Span.ofMs(1000)); // a look a second shows recovery at little cost
+        repeats.add(now, 1);
         return unit;
-    }
-
-    private Pick send(Rpc rpc, Unit unit, boolean copy) {
-        Moment now = host.now();
-        int tried = onTrial(unit.build) ? 1 : 0;
-        sharedTokens -= tried;
-        rpc.method.trialTokens -= tried;
-        homeSends.add(now, 1 - tried);
-        unit.coldTokens--;
-        Span overdue = overdueAfter(rpc);
-        // Where one pick must end before the next, it is cut only when lost: its work so far is thrown away.
-        Span lost = overdue.times(2);
-        boolean cut = !settings.secondCopies && !rpc.method.streamOrOnce()
-            && rpc.picks.size() + 1 < settings.maxPicks && rpc.deadline.since(now).over(lost.times(1.5));
-        Pick pick = new Pick(rpc, unit, now, cut ? lost : null);
-        pick.copy = copy;
-        // rule 2: a repeat that waits for a connection must not come up after its window
-        Pick first = rpc.firstThatMayHaveRun();
-        boolean binds = first != null && rpc.method.effect == Method.Effect.TOKENED;
-        pick.startBy = binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
-        host.send(pick);
-        report(unit, null);
-        host.wake(pick, now.plus(overdue), () -> overdue(pick));
-        return pick;
-    }
-
-    /** (3) At thrice the method's mean, which grows as all slows; at 0.45 another can still be in time. */
-    private Span overdueAfter(Rpc rpc) {
-        Span usual = Span.ofMs(3 * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
-        return rpc.method.softDeadline.times(0.45).atLeast(usual);
-    }
-
-    private double usualMs(Method method) {
-        return method.took.at(host.now(), method.softDeadline.ms() / 6, 1); // a guess until answers come
-    }
-
-    /** Silence, no answer from the unit since: it is marked and, where copies may run, picked past. */
-    private void overdue(Pick pick) {
-        pick.overdue = true;
-        boolean silent = pick.unit.lastAnswer == null || pick.sent.after(pick.unit.lastAnswer);
-        if (silent) note(pick.unit, false);
-        pick.unit.pace.add(host.now(), 3);
-        pick.unit.zonePace.add(host.now(), 3);
-        if (pick.pair != null) judge(pick.pair);
-        if (silent && settings.secondCopies && pick.rpc.out() == 1) tryAgain(pick.rpc);
-    }
-
-    private boolean budgetHasRoom() {
-        // one in twenty: enough to find a lost unit, no storm
-        return repeats.at(host.now()) < 1 + 0.05 * arrivals.at(host.now());
-    }
-
-    private boolean mayRepeat(Rpc rpc) { // rule 2
-        boolean barred = !settings.secondCopies && rpc.out() > 0 || rpc.picks.size() >= settings.maxPicks;
-        if (rpc.ended() || rpc.streaming() || barred) return false;
-        Pick first = rpc.firstThatMayHaveRun();
-        if (first == null || rpc.method.idempotent()) return true;
-        return rpc.method.effect == Method.Effect.TOKENED
-            && rpc.method.window.minus(settings.tick).over(host.now().since(first.sent));
-    }
-
-    private boolean tryAgain(Rpc rpc) {
-        boolean late = settings.tick.times(4).over(rpc.deadline.since(host.now()));
-        if (late || !mayRepeat(rpc) || !budgetHasRoom()) return false;
-        Unit unit = chooseAny(rpc);
-        if (unit == null) return false;
-        repeats.add(host.now(), 1);
-        send(rpc, unit, false);
-        return true;
-    }
-
-    public void streamStarted(Pick pick) {
-        settle(pick.rpc);
-    }
-
-    /** A pick ended; {@code answers} says that it ended its RPC too. */
-    public void pickEnded(Pick pick, boolean answers) {
-        Moment now = host.now();
-        Rpc rpc = pick.rpc;
-        boolean ok = pick.outcome() == Outcome.OK;
-        if (answers) settle(rpc);
-        if (answers && ok) answered.add(now, 1);
-        if (pick.copy) copiesOut--;
-        report(pick.unit, now.since(pick.sent));
-        boolean tells = pick.outcome() != Outcome.CANCELLED && pick.outcome() != Outcome.MOOT;
-        if (tells && (ok || !pick.overdue)) note(pick.unit, ok);
-        if (ok || pick.erred()) pick.unit.lastAnswer = now;
-        noConnection.add(now, pick.outcome() == Outcome.NOT_CONNECTED ? 1 : 0);
-        if (ok) met.answered(pick.unit);
-        if (pick.outcome() == Outcome.NOT_CONNECTED || pick.outcome() == Outcome.BROKEN) met.lost(pick.unit);
-        if (ok || pick.outcome() == Outcome.TIMED_OUT) learnPace(pick);
-        if (isOffered(pick.unit.build)) {
-            offer.erred |= pick.erred();
-            if (standing == Standing.RELEASED) offer.evidence.ended(pick);
-            boolean binds = standing == Standing.ON_TRIAL && settings.oneWayKeys && rpc.key != 0;
-            if (ok && binds) offer.pins.put(rpc.key, offer.build);
-        }
-        if (pick.pair != null) judge(pick.pair);
-        if (!rpc.ended() && !rpc.streaming() && rpc.out() == 0 && !tryAgain(rpc)) giveUp(rpc);
-    }
-
-    public void clientLeft(Rpc rpc) {
-        settle(rpc);
-        cancelOut(rpc);
-    }
-
-    /** The final answer once nothing more can be done; at once, so that the client can use its time. */
-    private void giveUp(Rpc rpc) {
-        settle(rpc);
-        if (rpc.firstThatMayHaveRun() == null || rpc.method.harmlessAnywhere()) {
-            // half a soft deadline: about what a queue that long needs to drain
-            Span wait = rpc.method.softDeadline.times(0.5).atMost(settings.maxRetryAfter);
-            host.pushBack(rpc, settings.retryAfter ? wait : Span.ZERO);
-        } else {
-            host.abort(rpc);
-        }
-        cancelOut(rpc);
-    }
-
-    private void cancelOut(Rpc rpc) {
-        if (!settings.cancel) return;
-        for (Pick pick : rpc.picks) if (pick.outcome() == null && pick.pair == null) host.cancel(pick);
-    }
-
-    private void settle(Rpc rpc) { // no longer in the queue: answered, or past its soft deadline
-        if (!rpc.settled) {
-            timely--;
-            timelySinceMs -= rpc.arrived.ms();
-        }
-        rpc.settled = true;
-    }
-
-    // (4) Little's law: RPCs out and not yet late, over answers a second, is the wait that a new one faces;
-    // past its mark it is pushed back unseen. Guards against bursts, slow dependencies and lost units alike;
-    // a few stuck RPCs cannot keep the door shut. A relay that sees too little goes by the fleet's wait, if
-    // told.
-    private boolean overloaded(Rpc rpc) {
-        Moment now = host.now();
-        double queue = timely - 3; // three more is chance
-        double waitMs = 1000 * queue / Math.max(answered.perSecond(started, now), 0.5);
-        // Answers lag behind traffic that has just come; but who waits long is also old: in a queue of W the
-        // RPCs are W/2 old. Guards against doors shut on a relay that starts, or whose traffic comes back.
-        waitMs = Math.min(waitMs, 2 * (now.ms() - timelySinceMs / Math.max(timely, 1)));
-        boolean byFleet = loadsFresh() && arrivals.perSecond(now) < 10;
-        double worth = rpc.method.utility / settings.mostUtility;
-        double over = customers.timesShare(rpc.customer, now);
-        // of a customer at thrice its share, two RPCs in three are over it
-        if (over > 1.2 && chance.next() > 1 / over) worth *= settings.overShareWorth;
-        // what is left must hold the long tail; the fleet's wait holds the work itself
-        return byFleet ? chance.next() > 0.05 && fleetWaitMs > settings.meanSoftMs * (0.4 + 0.3 * worth)
-            : waitMs > settings.meanSoftMs * (0.25 + 0.3 * worth);
-    }
-
-    /** Of the newest build not on trial, else of an earlier one, else of one on trial or withdrawn. */
-    private Unit chooseAny(Rpc rpc) {
-        Unit unit = choose(rpc, false);
-        return unit != null ? unit : choose(rpc, true);
-    }
-
-    private Unit choose(Rpc rpc, boolean trialToo) {
-        boolean keyed = offer != null && settings.oneWayKeys && rpc.key != 0;
-        // once released, a build has every key: earlier units may be listed before news that it goes back
-        Build pin = !keyed ? null : standing == Standing.RELEASED ? offer.build : offer.pins.get(rpc.key);
-        Unit unit = null;
-        for (Build build : builds.descendingMap().values()) {
-            if (unit != null || pin != null && build.number < pin.number) break;
-            boolean mayUse = trialToo || pin != null && build.number == pin.number;
-            boolean mayServe = onTrial(build) ? mayUse && mayTry(build, rpc.method, 1)
-                : trialToo || !withdrawn.contains(build.number);
-            if (mayServe) unit = chooseIn(rpc, build);
-        }
+      }
+      if (sick(unit) || farOff(unit)) {
+        rest = unit;
+      } else if (one == null) {
+        one = unit;
+      } else {
+        return sparingly(rpc, first, cost(one) <= cost(unit) ? one : unit, now); // two choices
+      }
+    }
+    return one != null ? one : rest;
+  }
+
+  private boolean mayTake(Rpc rpc, Pick first, Unit unit, Moment now) {
+    if (first != null && !rpc.method.dropsRepeats(first.unit, unit)) {
+      return false;
+    }
+    return !rpc.triedAt(unit) && hasRoom(unit, now);
+  }
+
+  // A new connection costs its unit a handshake. Where hundreds of relays see little each, most
+  // units drawn
+  // are ones that this relay has no connection to: one that answered lately and is no dearer stands
+  // in for
+  // it. Not on trial, where pairs shall meet many units.
+  private Unit sparingly(Rpc rpc, Pick first, Unit drawn, Moment now) {
+    if (connected(drawn, now) || onTrial(drawn.build)) {
+      return drawn;
+    }
+    for (Unit unit : met.of(drawn.build, chance.next())) {
+      boolean well = connected(unit, now) && !sick(unit) && !farOff(unit);
+      if (well && mayTake(rpc, first, unit, now) && cost(unit) <= cost(drawn)) {
         return unit;
-    }
-
-    private Unit chooseIn(Rpc rpc, Build build) {
-        Moment now = host.now();
-        Pick first = rpc.firstThatMayHaveRun();
-        boolean mayLook = rpc.method.idempotent() && rpc.picks.isEmpty();
-        Unit one = null;
-        Unit rest = null;
-        // no scan of a large fleet: 24 draws miss the usable third of a build once in 17,000 times
-        // Where connections fail, units that answered lately come first: their connections are open.
-        List<Unit> open = noConnection.at(now, 0, 2) > 0.15 ? met.of(build, chance.next()) : List.of();
-        for (int i = 0; i < open.size() + Math.min(build.units.size(), 24); i++) {
-            Unit unit = i < open.size() ? open.get(i) : build.draw(i - open.size(), chance.next());
-            if (!mayTake(rpc, first, unit, now)) continue;
-            if (sick(unit) && mayLook && now.after(unit.retryAt) && budgetHasRoom()) {
-                unit.retryAt = now.plus(Span.ofMs(1000)); // a look a second shows recovery at little cost
-                repeats.add(now, 1);
-                return unit;
-            }
-            if (sick(unit) || farOff(unit)) rest = unit;
-            else if (one == null) one = unit;
-            else return sparingly(rpc, first, cost(one) <= cost(unit) ? one : unit, now); // two choices
-        }
-        return one != null ? one : rest;
-    }
-
-    private boolean mayTake(Rpc rpc, Pick first, Unit unit, Moment now) {
-        if (first != null && !rpc.method.dropsRepeats(first.unit, unit)) return false;
-        return !rpc.triedAt(unit) && hasRoom(unit, now);
-    }
-
-    // A new connection costs its unit a handshake. Where hundreds of relays see little each, most units drawn
-    // are ones that this relay has no connection to: one that answered lately and is no dearer stands in for
-    // it. Not on trial, where pairs shall meet many units.
-    private Unit sparingly(Rpc rpc, Pick first, Unit drawn, Moment now) {
-        if (connected(drawn, now) || onTrial(drawn.build)) return drawn;
-        for (Unit unit : met.of(drawn.build, chance.next())) {
-            boolean well = connected(unit, now) && !sick(unit) && !farOff(unit);
-            if (well && mayTake(rpc, first, unit, now) && cost(unit) <= cost(drawn)) return unit;
-        }
-        return drawn;
-    }
-
-    private boolean connected(Unit unit, Moment now) { // by half the idle time neither end has closed it
-        return unit.lastAnswer != null && settings.idle.times(0.5).over(now.since(unit.lastAnswer));
-    }
-
-    private boolean farOff(Unit unit) { // a slow or lossy link: about twice the own zone's times
-        if (unit.zone == settings.zone || !zonePaces.containsKey(settings.zone)) return false;
-        Moment now = host.now();
-        return unit.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
-    }
-
-    private double cost(Unit unit) {
-        double far = unit.zone == settings.zone ? 1 : 1.1; // a tie goes to the relay's own zone
-        int out = unit.toldAt == loadsAt && loadsFresh() ? Math.max(unit.out(), unit.told) : unit.out();
-        double load = 1 + out / Math.max(unit.weight(), 0.1);
-        return load * unit.pace.at(host.now(), 1, 2) * (1 + unit.failed(6)) * far;
-    }
-
-    /** (2) By the successes among its last six outcomes: under half of at least three, it is left alone. */
-    private static boolean sick(Unit unit) {
-        return unit.known(6) >= 3 && 2 * unit.failed(6) > unit.known(6);
-    }
-
-    private void note(Unit unit, boolean ok) {
-        boolean before = sick(unit);
-        unit.note(ok);
-        if (!before && sick(unit)) unit.retryAt = host.now().plus(Span.ofMs(1000));
-    }
-
-    private void learnPace(Pick pick) {
-        Moment now = host.now();
-        Method method = pick.rpc.method;
-        double ms = Math.max(pick.took().ms(), 1);
-        double times = Math.min(ms / usualMs(method), 8);
-        pick.unit.pace.add(now, times);
-        pick.unit.zonePace.add(now, times);
-        double log = Math.log(ms / Math.max(pick.rpc.hinted().ms(), 1));
-        if (onTrial(pick.unit.build)) {
-            // younger ones look slow for being cold
-            if (!isOffered(pick.unit.build) || !pick.unit.olderThan(Span.ofMs(5000), now)) return;
-            offer.excessLog.add(now, log - method.logNow.at(now, log, 1e-9));
-            return;
-        }
-        method.took.add(now, ms);
-        method.logNow.add(now, log);
-        seePace(0, method, Math.exp(log), 1);
-    }
-
-    private void seePace(int source, Method method, double ms, double weight) {
-        Moment now = host.now();
-        if (!longerThan(2000, started, now)) return; // a fleet that just woke has no queues yet
-        boolean before = !watched(now) || offer.stage == 0; // a first stage's few picks slow nothing much
-        if (before) pace.seeBefore(source, method.index, ms, weight, now);
-        else pace.see(source, method.index, ms, weight, now);
-    }
-
-    // (1) Rule 4. A cold unit gets of this relay what a warm one of its size gets, times the share that it
-    // surely has by now, times 0.8 so that no queue builds up. Warm units carry what they can, so the sum
-    // over relays is within the budget, however uneven they are. On trial it holds for warm ones too: like
-    // loads.
-    private boolean hasRoom(Unit unit, Moment now) {
-        if (!onTrial(unit.build) && unit.olderThan(settings.cold, now)) return true;
-        double all = 0;
-        double warm = 0;
-        for (Build build : builds.values()) {
-            build.weigh(settings.cold, Span.ofMs(500), now); // no scan for each pick
-            all += build.weight;
-            if (!onTrial(build)) warm += build.weightOfOlder;
-        }
-        double carried = homeSends.perSecond(now) * unit.weight() / Math.max(warm > 0 ? warm : all, 0.1);
-        double age = unit.started == null ? 1 : Math.max(0, now.since(unit.started).per(settings.cold));
-        double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
-        double perSecond = Math.min(0.5 * settings.tipMultiple, 0.8) * share * carried;
-        double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
-        unit.coldTokens = Math.min(unit.coldTokens + perSecond * now.since(unit.coldAsOf).ms() / 1000, most);
-        unit.coldAsOf = now;
-        return unit.coldTokens >= 1;
-    }
-
-    private void judge(Pair pair) {
-        Pick fresh = pair.fresh;
-        Pick earlier = pair.earlier;
-        if (pair.judged || earlier == null) return;
-        // an overdue one beside one that is done would be seen too late: it counts as that slow
-        if (fresh.outcome() == null && (!fresh.overdue || earlier.outcome() == null)) return;
-        if (earlier.outcome() == null && !earlier.overdue) return;
-        pair.judged = true;
-        // Full, out of reach, called off or cut off says nothing of a build; time-outs are slowness, for KS.
-        if (trial() != fresh.unit.build || fresh.voidsPair() || earlier.voidsPair()) return;
-        Evidence seen = offer.evidence;
-        seen.pairs++;
-        boolean few = fresh.unit.build.units.size() < 3; // else one unit gives two mismatches at most
-        boolean freshOnly = fresh.erred() && !earlier.erred();
-        if (freshOnly && (++fresh.unit.excess <= 2 || few)) seen.freshFails(fresh.unit);
-        if (earlier.erred() && !fresh.erred()) seen.earlierFailed++;
-        Moment now = host.now();
-        Span settled = Span.ofMs(5000); // the design's age, under which copies look slow for being cold
-        boolean alike = fresh.unit.kind == earlier.unit.kind && !fresh.erred() && !earlier.erred()
-            && fresh.unit.olderThan(settled, now) && earlier.unit.olderThan(settled, now);
-        int n = alike ? seen.time(tookOf(fresh, now), tookOf(earlier, now)) : 0;
-        boolean test = n == 20 || n == 40 || n == 80;
-        seen.slower |= test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n));
-        consider();
-    }
-
-    private double tookOf(Pick pick, Moment now) {
-        return pick.took(now).ms() / (pick.rpc.hint != null ? pick.rpc.hint.ms() : usualMs(pick.rpc.method));
-    }
-
-    // (6) The release desk's counts show builds bad for methods that are never copied, and quiet relays the
-    // pace of the earlier build. They hold time-outs too: errors that picks or pairs showed must bear them
-    // out.
-    public void counted(Build build, Method method, double picks, double failed, Span mean) {
-        if (!onTrial(build) && quiet() && picks > failed) {
-            seePace(1, method, mean.ms(), picks - failed);
-        }
-        if (offer == null || build.number > offer.build.number) return;
-        double[] fresh = offer.freshCounts[method.index];
-        double[] earlier = offer.earlierCounts[method.index];
-        double[] counts = isOffered(build) ? fresh : earlier;
-        counts[0] += picks;
-        counts[1] += failed;
-        boolean released = standing == Standing.RELEASED;
-        int lead = offer.lead();
-        boolean led = settings.peers ? lead > 0.01 * offer.pooled()[0] : offer.erred;
-        if (fresh[0] < 12 || fresh[1] < 3 || !(released ? offer.evidence.errors > 2 : led)) return;
-        // 3.5 standard errors: one look in 4,000 by chance; once released a fifth of units may fail anyway
-        double mark = 3.5 * Shares.error(fresh[1], fresh[0], earlier[1], earlier[0]);
-        double excess = fresh[1] / fresh[0] - earlier[1] / Math.max(earlier[0], 1);
-        offer.evidence.counted |= excess > Math.max(released ? 0.25 : 0.05, mark);
-        consider();
-    }
-
-    private boolean quiet() { // sees too few RPCs to judge a fleet by itself within some seconds
-        return settings.countsEvery.over(Span.ZERO) && arrivals.perSecond(host.now()) < 10;
-    }
-
-    /** A wrong answer that a client reported stands as a failed copy beside an ok primary, or the reverse. */
-    public void flagged(Unit unit) {
-        if (offer == null) return;
-        if (isOffered(unit.build)) offer.evidence.freshFails(unit);
-        else offer.evidence.earlierFailed++;
-        consider();
-    }
-
-    /**
-     * A sign makes a sick unit worth its look at once; silence counts like that of a pick, so three in a row
-     * leave it alone.
-     */
-    public void looked(Unit unit, boolean answered) {
-        if (!answered) note(unit, false);
-        else if (sick(unit)) unit.retryAt = host.now();
-    }
-
-    public void peerTold(int sender, byte[] contents) {
-        if (contents.length < 2) return;
-        if (contents[0] == Board.PICK && contents.length == 4) added(contents);
-        else if (contents[0] == Board.LOADS) loadsTold(sender, contents);
-        else if (offer != null && contents.length == 8) {
-            offer.heard(sender, contents);
-            consider();
-        }
-    }
-
-    // Quiet relays see no queue of a unit. So each tells one relay of its picks as they start and end, and
-    // that one tells all, four times a second, which units hold two or more, and the fleet's wait. Where it
-    // is silent the next one is told; the lowest is believed. With all messages lost, own picks must do.
-    private void report(Unit unit, Span endedAt) {
-        if (!settings.peers) return;
-        Moment now = host.now();
-        if (hubSince == null) hubSince = now;
-        if (longerThan(2000, hubSince, now)) {
-            hubSince = now;
-            hub = (hub + 1) % settings.relays;
-        }
-        byte[] told = board.pick(unit, endedAt);
-        if (hub == settings.index) added(told);
-        else host.tellPeer(hub, told);
-    }
-
-    private void added(byte[] told) {
-        Moment now = host.now();
-        if (board.add(told, now)) endedAnywhere.add(now, 1);
-        if (sumsDue) return;
-        sumsDue = true;
-        host.wake(now.plus(Span.ofMs(250)), () -> {
-            sumsDue = false;
-            Moment at = host.now();
-            double waitMs = 1000 * board.out(at) / Math.max(endedAnywhere.perSecond(started, at), 1);
-            byte[] loads = board.loads(2, waitMs / settings.meanSoftMs, at);
-            host.tellPeers(loads);
-            loadsTold(settings.index, loads);
+      }
+    }
+    return drawn;
+  }
+
+  private boolean connected(
+      Unit unit, Moment now) { // by half the idle time neither end has closed it
+    return unit.lastAnswer != null && settings.idle.times(0.5).over(now.since(unit.lastAnswer));
+  }
+
+  private boolean farOff(Unit unit) { // a slow or lossy link: about twice the own zone's times
+    if (unit.zone == settings.zone || !zonePaces.containsKey(settings.zone)) {
+      return false;
+    }
+    Moment now = host.now();
+    return unit.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
+  }
+
+  private double cost(Unit unit) {
+    double far = unit.zone == settings.zone ? 1 : 1.1; // a tie goes to the relay's own zone
+    int out = unit.toldAt == loadsAt && loadsFresh() ? Math.max(unit.out(), unit.told) : unit.out();
+    double load = 1 + out / Math.max(unit.weight(), 0.1);
+    return load * unit.pace.at(host.now(), 1, 2) * (1 + unit.failed(6)) * far;
+  }
+
+  /**
+   * (2) By the successes among its last six outcomes: under half of at least three, it is left
+   * alone.
+   */
+  private static boolean sick(Unit unit) {
+    return unit.known(6) >= 3 && 2 * unit.failed(6) > unit.known(6);
+  }
+
+  private void note(Unit unit, boolean ok) {
+    boolean before = sick(unit);
+    unit.note(ok);
+    if (!before && sick(unit)) {
+      unit.retryAt = host.now().plus(Span.ofMs(1000));
+    }
+  }
+
+  private void learnPace(Pick pick) {
+    Moment now = host.now();
+    Method method = pick.rpc.method;
+    double ms = Math.max(pick.took().ms(), 1);
+    double times = Math.min(ms / usualMs(method), 8);
+    pick.unit.pace.add(now, times);
+    pick.unit.zonePace.add(now, times);
+    double log = Math.log(ms / Math.max(pick.rpc.hinted().ms(), 1));
+    if (onTrial(pick.unit.build)) {
+      // younger ones look slow for being cold
+      if (!isOffered(pick.unit.build) || !pick.unit.olderThan(Span.ofMs(5000), now)) {
+        return;
+      }
+      offer.excessLog.add(now, log - method.logNow.at(now, log, 1e-9));
+      return;
+    }
+    method.took.add(now, ms);
+    method.logNow.add(now, log);
+    seePace(0, method, Math.exp(log), 1);
+  }
+
+  private void seePace(int source, Method method, double ms, double weight) {
+    Moment now = host.now();
+    if (!longerThan(2000, started, now)) {
+      return; // a fleet that just woke has no queues yet
+    }
+    boolean before =
+        !watched(now) || offer.stage == 0; // a first stage's few picks slow nothing much
+    if (before) {
+      pace.seeBefore(source, method.index, ms, weight, now);
+    } else {
+      pace.see(source, method.index, ms, weight, now);
+    }
+  }
+
+  // (1) Rule 4. A cold unit gets of this relay what a warm one of its size gets, times the share
+  // that it
+  // surely has by now, times 0.8 so that no queue builds up. Warm units carry what they can, so the
+  // sum
+  // over relays is within the budget, however uneven they are. On trial it holds for warm ones too:
+  // like
+  // loads.
+  private boolean hasRoom(Unit unit, Moment now) {
+    if (!onTrial(unit.build) && unit.olderThan(settings.cold, now)) {
+      return true;
+    }
+    double all = 0;
+    double warm = 0;
+    for (Build build : builds.values()) {
+      build.weigh(settings.cold, Span.ofMs(500), now); // no scan for each pick
+      all += build.weight;
+      if (!onTrial(build)) {
+        warm += build.weightOfOlder;
+      }
+    }
+    double carried =
+        homeSends.perSecond(now) * unit.weight() / Math.max(warm > 0 ? warm : all, 0.1);
+    double age = unit.started == null ? 1 : Math.max(0, now.since(unit.started).per(settings.cold));
+    double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
+    double perSecond = Math.min(0.5 * settings.tipMultiple, 0.8) * share * carried;
+    double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
+    unit.coldTokens =
+        Math.min(unit.coldTokens + perSecond * now.since(unit.coldAsOf).ms() / 1000, most);
+    unit.coldAsOf = now;
+    return unit.coldTokens >= 1;
+  }
+
+  private void judge(Pair pair) {
+    Pick fresh = pair.fresh;
+    Pick earlier = pair.earlier;
+    if (pair.judged || earlier == null) {
+      return;
+    }
+    // an overdue one beside one that is done would be seen too late: it counts as that slow
+    if (fresh.outcome() == null && (!fresh.overdue || earlier.outcome() == null)) {
+      return;
+    }
+    if (earlier.outcome() == null && !earlier.overdue) {
+      return;
+    }
+    pair.judged = true;
+    // Full, out of reach, called off or cut off says nothing of a build; time-outs are slowness,
+    // for KS.
+    if (trial() != fresh.unit.build || fresh.voidsPair() || earlier.voidsPair()) {
+      return;
+    }
+    Evidence seen = offer.evidence;
+    seen.pairs++;
+    boolean few = fresh.unit.build.units.size() < 3; // else one unit gives two mismatches at most
+    boolean freshOnly = fresh.erred() && !earlier.erred();
+    if (freshOnly && (++fresh.unit.excess <= 2 || few)) {
+      seen.freshFails(fresh.unit);
+    }
+    if (earlier.erred() && !fresh.erred()) {
+      seen.earlierFailed++;
+    }
+    Moment now = host.now();
+    Span settled = Span.ofMs(5000); // the design's age, under which copies look slow for being cold
+    boolean alike =
+        fresh.unit.kind == earlier.unit.kind
+            && !fresh.erred()
+            && !earlier.erred()
+            && fresh.unit.olderThan(settled, now)
+            && earlier.unit.olderThan(settled, now);
+    int n = alike ? seen.time(tookOf(fresh, now), tookOf(earlier, now)) : 0;
+    boolean test = n == 20 || n == 40 || n == 80;
+    seen.slower |= test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n));
+    consider();
+  }
+
+  private double tookOf(Pick pick, Moment now) {
+    return pick.took(now).ms()
+        / (pick.rpc.hint != null ? pick.rpc.hint.ms() : usualMs(pick.rpc.method));
+  }
+
+  // (6) The release desk's counts show builds bad for methods that are never copied, and quiet
+  // relays the
+  // pace of the earlier build. They hold time-outs too: errors that picks or pairs showed must bear
+  // them
+  // out.
+  public void counted(Build build, Method method, double picks, double failed, Span mean) {
+    if (!onTrial(build) && quiet() && picks > failed) {
+      seePace(1, method, mean.ms(), picks - failed);
+    }
+    if (offer == null || build.number > offer.build.number) {
+      return;
+    }
+    double[] fresh = offer.freshCounts[method.index];
+    double[] earlier = offer.earlierCounts[method.index];
+    double[] counts = isOffered(build) ? fresh : earlier;
+    counts[0] += picks;
+    counts[1] += failed;
+    boolean released = standing == Standing.RELEASED;
+    int lead = offer.lead();
+    boolean led = settings.peers ? lead > 0.01 * offer.pooled()[0] : offer.erred;
+    if (fresh[0] < 12 || fresh[1] < 3 || !(released ? offer.evidence.errors > 2 : led)) {
+      return;
+    }
+    // 3.5 standard errors: one look in 4,000 by chance; once released a fifth of units may fail
+    // anyway
+    double mark = 3.5 * Shares.error(fresh[1], fresh[0], earlier[1], earlier[0]);
+    double excess = fresh[1] / fresh[0] - earlier[1] / Math.max(earlier[0], 1);
+    offer.evidence.counted |= excess > Math.max(released ? 0.25 : 0.05, mark);
+    consider();
+  }
+
+  private boolean quiet() { // sees too few RPCs to judge a fleet by itself within some seconds
+    return settings.countsEvery.over(Span.ZERO) && arrivals.perSecond(host.now()) < 10;
+  }
+
+  /**
+   * A wrong answer that a client reported stands as a failed copy beside an ok primary, or the
+   * reverse.
+   */
+  public void flagged(Unit unit) {
+    if (offer == null) {
+      return;
+    }
+    if (isOffered(unit.build)) {
+      offer.evidence.freshFails(unit);
+    } else {
+      offer.evidence.earlierFailed++;
+    }
+    consider();
+  }
+
+  /**
+   * A sign makes a sick unit worth its look at once; silence counts like that of a pick, so three
+   * in a row leave it alone.
+   */
+  public void looked(Unit unit, boolean answered) {
+    if (!answered) {
+      note(unit, false);
+    } else if (sick(unit)) {
+      unit.retryAt = host.now();
+    }
+  }
+
+  public void peerTold(int sender, byte[] contents) {
+    if (contents.length < 2) {
+      return;
+    }
+    if (contents[0] == Board.PICK && contents.length == 4) {
+      added(contents);
+    } else if (contents[0] == Board.LOADS) {
+      loadsTold(sender, contents);
+    } else if (offer != null && contents.length == 8) {
+      offer.heard(sender, contents);
+      consider();
+    }
+  }
+
+  // Quiet relays see no queue of a unit. So each tells one relay of its picks as they start and
+  // end, and
+  // that one tells all, four times a second, which units hold two or more, and the fleet's wait.
+  // Where it
+  // is silent the next one is told; the lowest is believed. With all messages lost, own picks must
+  // do.
+  private void report(Unit unit, Span endedAt) {
+    if (!settings.peers) {
+      return;
+    }
+    Moment now = host.now();
+    if (hubSince == null) {
+      hubSince = now;
+    }
+    if (longerThan(2000, hubSince, now)) {
+      hubSince = now;
+      hub = (hub + 1) % settings.relays;
+    }
+    byte[] told = board.pick(unit, endedAt);
+    if (hub == settings.index) {
+      added(told);
+    } else {
+      host.tellPeer(hub, told);
+    }
+  }
+
+  private void added(byte[] told) {
+    Moment now = host.now();
+    if (board.add(told, now)) {
+      endedAnywhere.add(now, 1);
+    }
+    if (sumsDue) {
+      return;
+    }
+    sumsDue = true;
+    host.wake(
+        now.plus(Span.ofMs(250)),
+        () -> {
+          sumsDue = false;
+          Moment at = host.now();
+          double waitMs = 1000 * board.out(at) / Math.max(endedAnywhere.perSecond(started, at), 1);
+          byte[] loads = board.loads(2, waitMs / settings.meanSoftMs, at);
+          host.tellPeers(loads);
+          loadsTold(settings.index, loads);
         });
-    }
-
-    private void loadsTold(int sender, byte[] told) {
-        if (sender > hub && loadsFresh()) return;
-        hub = sender;
-        hubSince = host.now();
-        loadsAt = hubSince;
-        fleetWaitMs = board.read(told, loadsAt) * settings.meanSoftMs;
-    }
-
-    private boolean loadsFresh() {
-        return loadsAt != null && !longerThan(1000, loadsAt, host.now());
-    }
-
-    private boolean slowed(Moment now) { // by half and thrice what chance gives; logarithms stray by 0.9
-        double count = pace.weight(now);
-        return count >= 2 && pace.mean(now) > Math.max(0.4, 2.7 / Math.sqrt(count));
-    }
-
-    // A build may slow old and new units alike, and then every pair matches. So where the earlier build runs
-    // slower than before the offer, copies stop for a while: if the pace comes back, and goes again as copies
-    // do, it follows exposure and the build is to blame; else the build is excused until the pace is good.
-    // All relays see the same, so they stop together. Harms where an outside slowdown comes in step.
-    private void watchPace(Moment now) {
-        if (pace.mean(now) < 0.2) {
-            offer.slowSince = null;
-            offer.excused = false;
-            if (offer.pausedAt != null && now.since(offer.pausedAt).over(Span.ofMs(500))) {
-                offer.pausedAt = null;
-                offer.resumedAt = now;
-            }
-        } else if (offer.slowSince == null && slowed(now)) {
-            offer.slowSince = now;
-        }
-        if (offer.pausedAt == null && !offer.excused && longerThan(700, offer.slowSince, now)) {
-            if (offer.resumedAt != null && !longerThan(5000 + lagMs(), offer.resumedAt, now)) offer.blames++;
-            offer.pausedAt = now;
-        }
-        if (longerThan(5000 + lagMs(), offer.pausedAt, now)) { // twice what a queue needs to drain
-            offer.pausedAt = null;
-            offer.excused = true;
-        }
-    }
-
-    private boolean paceLost(Moment now) { // at the build, against the earlier one by method
-        double count = offer.excessLog.count(now);
-        double mark = Math.max(0.5, strays * 0.9 / Math.sqrt(count));
-        return count >= 4 && offer.excessLog.at(now, 0, 1e-9) > mark;
-    }
-
-    private static boolean longerThan(double ms, Moment since, Moment now) {
-        return since != null && now.since(since).over(Span.ofMs(ms));
-    }
-
-    private double lagMs() { // how late counts tell of a change: a period to fill, one to come
-        return quiet() ? 2 * settings.countsEvery.ms() : 0;
-    }
-
-    private boolean inDoubt(Moment now) {
-        return offer.pausedAt != null || offer.slowSince != null && !offer.excused
-            || offer.resumedAt != null && !longerThan(3000 + lagMs(), offer.resumedAt, now);
-    }
-
-    /** After the release: failures on many units, or a pace that is gone for longer than most bursts last. */
-    private boolean failsAfterRelease(Moment now) {
-        Evidence seen = offer.evidence;
-        if (pace.mean(now) < 0.6 || !slowed(now)) offer.lost = 0;
-        else if (offer.lostAsOf != null) offer.lost += pace.mean(now) * now.since(offer.lostAsOf).ms() / 1000;
-        offer.lostAsOf = now;
-        // more than a fifth of the units that fail for other reasons; or a few errors on most units
-        boolean share = alone && seen.erring >= 3 && seen.errors > Math.max(3, 0.25 * seen.ended);
-        boolean many = seen.erring >= Math.max(3, 0.6 * offer.build.units.size()) && seen.errors >= 5;
-        return share || many && seen.errors > 0.02 * seen.ended || offer.lost > (quiet() ? 4 : 6);
-    }
-
-    private void look() {
-        Moment now = host.now();
-        if (settings.ask && now.since(lastAsked).over(settings.askWithin.times(0.5))) subscribe();
-        consider();
-        // (6) peers tell each other their pairs, twice a second at most, and add them up
-        boolean news = settings.peers && trial() != null && !offer.evidence.told();
-        if (news && (offer.told == null || longerThan(500, offer.told, now))) {
-            offer.told = now;
-            host.tellPeers(offer.evidence.report(offer.build.number, offer.stage));
-        }
-        host.wake(now.plus(Span.ofMs(100)), this::look); // well under a stage's shortest time
-    }
-
-    private boolean watched(Moment now) { // for 15 s after release all traffic shows what it shows
-        boolean released = standing == Standing.RELEASED && offer.tried;
-        return standing == Standing.ON_TRIAL || released && !longerThan(15000 + lagMs(), offer.since, now);
-    }
-
-    private void consider() {
-        Moment now = host.now();
-        boolean released = standing == Standing.RELEASED;
-        if (!watched(now)) return;
-        Evidence seen = offer.evidence;
-        int[] pooled = offer.pooled();
-        int lead = offer.lead();
-        // Three to none is enough, ten to three is not; one sick unit of several is no sick build.
-        boolean spread = offer.failingUnits() >= Math.min(2, offer.build.units.size());
-        double few = alone ? strays / 2 : 1.5;
-        boolean failing = spread && lead >= 3 && lead > 0.01 * pooled[0] && lead > few * offer.stray()
-            || spread && lead > 0
+  }
+
+  private void loadsTold(int sender, byte[] told) {
+    if (sender > hub && loadsFresh()) {
+      return;
+    }
+    hub = sender;
+    hubSince = host.now();
+    loadsAt = hubSince;
+    fleetWaitMs = board.read(told, loadsAt) * settings.meanSoftMs;
+  }
+
+  private boolean loadsFresh() {
+    return loadsAt != null && !longerThan(1000, loadsAt, host.now());
+  }
+
+  private boolean slowed(
+      Moment now) { // by half and thrice what chance gives; logarithms stray by 0.9
+    double count = pace.weight(now);
+    return count >= 2 && pace.mean(now) > Math.max(0.4, 2.7 / Math.sqrt(count));
+  }
+
+  // A build may slow old and new units alike, and then every pair matches. So where the earlier
+  // build runs
+  // slower than before the offer, copies stop for a while: if the pace comes back, and goes again
+  // as copies
+  // do, it follows exposure and the build is to blame; else the build is excused until the pace is
+  // good.
+  // All relays see the same, so they stop together. Harms where an outside slowdown comes in step.
+  private void watchPace(Moment now) {
+    if (pace.mean(now) < 0.2) {
+      offer.slowSince = null;
+      offer.excused = false;
+      if (offer.pausedAt != null && now.since(offer.pausedAt).over(Span.ofMs(500))) {
+        offer.pausedAt = null;
+        offer.resumedAt = now;
+      }
+    } else if (offer.slowSince == null && slowed(now)) {
+      offer.slowSince = now;
+    }
+    if (offer.pausedAt == null && !offer.excused && longerThan(700, offer.slowSince, now)) {
+      if (offer.resumedAt != null && !longerThan(5000 + lagMs(), offer.resumedAt, now)) {
+        offer.blames++;
+      }
+      offer.pausedAt = now;
+    }
+    if (longerThan(5000 + lagMs(), offer.pausedAt, now)) { // twice what a queue needs to drain
+      offer.pausedAt = null;
+      offer.excused = true;
+    }
+  }
+
+  private boolean paceLost(Moment now) { // at the build, against the earlier one by method
+    double count = offer.excessLog.count(now);
+    double mark = Math.max(0.5, strays * 0.9 / Math.sqrt(count));
+    return count >= 4 && offer.excessLog.at(now, 0, 1e-9) > mark;
+  }
+
+  private static boolean longerThan(double ms, Moment since, Moment now) {
+    return since != null && now.since(since).over(Span.ofMs(ms));
+  }
+
+  private double lagMs() { // how late counts tell of a change: a period to fill, one to come
+    return quiet() ? 2 * settings.countsEvery.ms() : 0;
+  }
+
+  private boolean inDoubt(Moment now) {
+    return offer.pausedAt != null
+        || offer.slowSince != null && !offer.excused
+        || offer.resumedAt != null && !longerThan(3000 + lagMs(), offer.resumedAt, now);
+  }
+
+  /**
+   * After the release: failures on many units, or a pace that is gone for longer than most bursts
+   * last.
+   */
+  private boolean failsAfterRelease(Moment now) {
+    Evidence seen = offer.evidence;
+    if (pace.mean(now) < 0.6 || !slowed(now)) {
+      offer.lost = 0;
+    } else if (offer.lostAsOf != null) {
+      offer.lost += pace.mean(now) * now.since(offer.lostAsOf).ms() / 1000;
+    }
+    offer.lostAsOf = now;
+    // more than a fifth of the units that fail for other reasons; or a few errors on most units
+    boolean share = alone && seen.erring >= 3 && seen.errors > Math.max(3, 0.25 * seen.ended);
+    boolean many = seen.erring >= Math.max(3, 0.6 * offer.build.units.size()) && seen.errors >= 5;
+    return share || many && seen.errors > 0.02 * seen.ended || offer.lost > (quiet() ? 4 : 6);
+  }
+
+  private void look() {
+    Moment now = host.now();
+    if (settings.ask && now.since(lastAsked).over(settings.askWithin.times(0.5))) {
+      subscribe();
+    }
+    consider();
+    // (6) peers tell each other their pairs, twice a second at most, and add them up
+    boolean news = settings.peers && trial() != null && !offer.evidence.told();
+    if (news && (offer.told == null || longerThan(500, offer.told, now))) {
+      offer.told = now;
+      host.tellPeers(offer.evidence.report(offer.build.number, offer.stage));
+    }
+    host.wake(now.plus(Span.ofMs(100)), this::look); // well under a stage's shortest time
+  }
+
+  private boolean watched(Moment now) { // for 15 s after release all traffic shows what it shows
+    boolean released = standing == Standing.RELEASED && offer.tried;
+    return standing == Standing.ON_TRIAL
+        || released && !longerThan(15000 + lagMs(), offer.since, now);
+  }
+
+  private void consider() {
+    Moment now = host.now();
+    boolean released = standing == Standing.RELEASED;
+    if (!watched(now)) {
+      return;
+    }
+    Evidence seen = offer.evidence;
+    int[] pooled = offer.pooled();
+    int lead = offer.lead();
+    // Three to none is enough, ten to three is not; one sick unit of several is no sick build.
+    boolean spread = offer.failingUnits() >= Math.min(2, offer.build.units.size());
+    double few = alone ? strays / 2 : 1.5;
+    boolean failing =
+        spread && lead >= 3 && lead > 0.01 * pooled[0] && lead > few * offer.stray()
+            || spread
+                && lead > 0
                 && lead + offer.carried >= Math.max(5, few * (offer.stray() + offer.carriedStray));
-        if (!released) watchPace(now);
-        boolean blamed = offer.blames > (quiet() ? 0 : 1); // the desk's counts stray less than own picks
-        boolean proven = failing || blamed || seen.slower || seen.counted || alone && paceLost(now);
-        if (proven || released && failsAfterRelease(now)) {
-            vote(Verdict.BACK);
-        } else if (!released && settings.control == Settings.Control.CLOCKED) {
-            if (lead > 0 || inDoubt(now)) vote(Verdict.HOLD);
-            else if (ballot.verdict != Verdict.NONE) vote(Verdict.NONE);
-        } else if (!released && !inDoubt(now) && mayMoveOn(now)) {
-            vote(Verdict.ON);
-        }
-    }
-
-    // After 20 pairs or at the fallback age. Where one vote moves the stage, relays that saw little leave it
-    // to others for two seconds more; the last stage waits for a KS test or many pairs, or three seconds
-    // more.
-    private boolean mayMoveOn(Moment now) {
-        Evidence seen = offer.evidence;
-        boolean single = settings.control == Settings.Control.SINGLE;
-        int pairs = offer.pooled()[0];
-        boolean last = offer.stage == settings.caps.size() - 1;
-        boolean untested = single && last && seen.timed < 20 && pairs < 100;
-        double fallback = untested ? 6000 : single && pairs < 5 ? 5000 : 3000;
-        // alone, the busiest of many relays must see enough first
-        if (single && alone) fallback *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
-        // by the start times in the list; while the new units of a stage are not listed, none up to 8 s
-        Span known = now.since(offer.since);
-        Moment newest = offer.build.newest();
-        boolean missing = newest == null || offer.since.after(newest) && Span.ofMs(8000).over(known);
-        boolean old = !missing && now.since(newest).atMost(known).over(Span.ofMs(fallback));
-        return pairs >= 20 && !untested || old;
-    }
-
-    /** Votes expire, get lost or come early: cast anew at half their life, soon where one did not count. */
-    private void vote(Verdict verdict) {
-        Moment now = host.now();
-        boolean anew = verdict != ballot.verdict;
-        Span renew = settings.voteLife.times(0.5);
-        if (!anew && !ballot.due(renew, settings.callTimeout, Span.ofMs(300), now)) return;
-        boolean told = anew && (verdict != Verdict.ON || settings.index == 0); // hundreds say the same
-        if (told) host.log("vote " + verdict + " on " + offer + ", pace " + pace.mean(now));
-        ballot.cast(verdict, now);
-        host.vote(offer.build, offer.stage, verdict);
-    }
-
-    public void voteAnswered(Reply reply) {
-        ballot.answered(reply);
-    }
+    if (!released) {
+      watchPace(now);
+    }
+    boolean blamed =
+        offer.blames > (quiet() ? 0 : 1); // the desk's counts stray less than own picks
+    boolean proven = failing || blamed || seen.slower || seen.counted || alone && paceLost(now);
+    if (proven || released && failsAfterRelease(now)) {
+      vote(Verdict.BACK);
+    } else if (!released && settings.control == Settings.Control.CLOCKED) {
+      if (lead > 0 || inDoubt(now)) {
+        vote(Verdict.HOLD);
+      } else if (ballot.verdict != Verdict.NONE) {
+        vote(Verdict.NONE);
+      }
+    } else if (!released && !inDoubt(now) && mayMoveOn(now)) {
+      vote(Verdict.ON);
+    }
+  }
+
+  // After 20 pairs or at the fallback age. Where one vote moves the stage, relays that saw little
+  // leave it
+  // to others for two seconds more; the last stage waits for a KS test or many pairs, or three
+  // seconds
+  // more.
+  private boolean mayMoveOn(Moment now) {
+    Evidence seen = offer.evidence;
+    boolean single = settings.control == Settings.Control.SINGLE;
+    int pairs = offer.pooled()[0];
+    boolean last = offer.stage == settings.caps.size() - 1;
+    boolean untested = single && last && seen.timed < 20 && pairs < 100;
+    double fallback = untested ? 6000 : single && pairs < 5 ? 5000 : 3000;
+    // alone, the busiest of many relays must see enough first
+    if (single && alone) {
+      fallback *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
+    }
+    // by the start times in the list; while the new units of a stage are not listed, none up to 8 s
+    Span known = now.since(offer.since);
+    Moment newest = offer.build.newest();
+    boolean missing = newest == null || offer.since.after(newest) && Span.ofMs(8000).over(known);
+    boolean old = !missing && now.since(newest).atMost(known).over(Span.ofMs(fallback));
+    return pairs >= 20 && !untested || old;
+  }
+
+  /**
+   * Votes expire, get lost or come early: cast anew at half their life, soon where one did not
+   * count.
+   */
+  private void vote(Verdict verdict) {
+    Moment now = host.now();
+    boolean anew = verdict != ballot.verdict;
+    Span renew = settings.voteLife.times(0.5);
+    if (!anew && !ballot.due(renew, settings.callTimeout, Span.ofMs(300), now)) {
+      return;
+    }
+    boolean told = anew && (verdict != Verdict.ON || settings.index == 0); // hundreds say the same
+    if (told) {
+      host.log("vote " + verdict + " on " + offer + ", pace " + pace.mean(now));
+    }
+    ballot.cast(verdict, now);
+    host.vote(offer.build, offer.stage, verdict);
+  }
+
+  public void voteAnswered(Reply reply) {
+    ballot.answered(reply);
+  }
 }
--- a/src/main/java/sprucerock/agent/Machine.java
+++ b/src/main/java/sprucerock/agent/Machine.java
@@ -3,42 +3,54 @@
 import sprucerock.change.Version;
 import sprucerock.time.Moment;
 
-/** What an agent can do on its machine, carried out at once; what comes of it is told to the {@link Agent} later. */
+/**
+ * What an agent can do on its machine, carried out at once; what comes of it is told to the {@link
+ * Agent} later.
+ */
 public interface Machine {
-    Moment now();
+  Moment now();
 
-    void at(Moment when, Runnable what);
+  void at(Moment when, Runnable what);
 
-    /** Whether program and settings are here, whole. */
-    boolean has(Version version);
+  /** Whether program and settings are here, whole. */
+  boolean has(Version version);
 
-    /** Gets what is missing of it; ends in {@link Agent#fetched} or {@link Agent#notFetched}. */
-    void fetch(Version version);
+  /** Gets what is missing of it; ends in {@link Agent#fetched} or {@link Agent#notFetched}. */
+  void fetch(Version version);
 
-    /** Reads the settings through with that program; ends in {@link Agent#readThrough}. */
-    void readThrough(Version version);
+  /** Reads the settings through with that program; ends in {@link Agent#readThrough}. */
+  void readThrough(Version version);
 
-    /** Starts the relay; ends, if all goes well, in {@link Agent#isReady}, and some time in {@link Agent#ended}. */
-    void start(Version version);
+  /**
+   * Starts the relay; ends, if all goes well, in {@link Agent#isReady}, and some time in {@link
+   * Agent#ended}.
+   */
+  void start(Version version);
 
-    /** SIGTERM. */
-    void terminate();
+  /** SIGTERM. */
+  void terminate();
 
-    /** SIGKILL. */
-    void kill();
+  /** SIGKILL. */
+  void kill();
 
-    /** Has the relay read new settings, where a signal can take them over; ends in {@link Agent#reloaded}. False where a restart is needed. */
-    boolean reload(Version from, Version to);
+  /**
+   * Has the relay read new settings, where a signal can take them over; ends in {@link
+   * Agent#reloaded}. False where a restart is needed.
+   */
+  boolean reload(Version from, Version to);
 
-    /** Keeps what has to be known after the agent's own end; null where the disk took it, else why not. */
-    String keep(Memory memory);
+  /**
+   * Keeps what has to be known after the agent's own end; null where the disk took it, else why
+   * not.
+   */
+  String keep(Memory memory);
 
-    /** How its relay stands has changed: the controller is told, if it can be heard. */
-    void say();
+  /** How its relay stands has changed: the controller is told, if it can be heard. */
+  void say();
 
-    /** A run ended other than as told: it did not get ready, ended by itself or went over a limit. */
-    void failed(Version version, String how);
+  /** A run ended other than as told: it did not get ready, ended by itself or went over a limit. */
+  void failed(Version version, String how);
 
-    /** One line for people. */
-    void log(String line);
+  /** One line for people. */
+  void log(String line);
 }
--- a/src/main/java/sprucerock/agent/Place.java
+++ b/src/main/java/sprucerock/agent/Place.java
@@ -5,34 +5,38 @@
 import sprucerock.wire.v1.RelaySums;
 
 /**
- * The machine that a {@link Station} works on: what the agent's core can do there, and what is asked of it for the controller. The one of
- * real processes is {@link Here}; a scale run has others, so that thousands of agents run their own core and link in one process.
+ * The machine that a {@link Station} works on: what the agent's core can do there, and what is
+ * asked of it for the controller. The one of real processes is {@link Here}; a scale run has
+ * others, so that thousands of agents run their own core and link in one process.
  */
 public interface Place extends Machine {
-    /** What comes of a fetch and of reading through is asked of and told to these. */
-    interface Consumers {
-        void fetch(Version version);
+  /** What comes of a fetch and of reading through is asked of and told to these. */
+  interface Consumers {
+    void fetch(Version version);
 
-        void readThrough(Version version, String refusal);
-    }
+    void readThrough(Version version, String refusal);
+  }
 
-    /** Makes the place of one agent; {@code says}: how its relay stands has changed; {@code fails}: a run ended other than as told. */
-    interface Maker {
-        Place make(Runnable says, BiConsumer<Version, String> fails, Consumers consumers);
-    }
+  /**
+   * Makes the place of one agent; {@code says}: how its relay stands has changed; {@code fails}: a
+   * run ended other than as told.
+   */
+  interface Maker {
+    Place make(Runnable says, BiConsumer<Version, String> fails, Consumers consumers);
+  }
 
-    /** Names the core that is told what comes of things. */
-    void serves(Agent agent);
+  /** Names the core that is told what comes of things. */
+  void serves(Agent agent);
 
-    /** What an earlier life of the agent kept, else {@link Memory#NONE}. */
-    Memory remembered();
+  /** What an earlier life of the agent kept, else {@link Memory#NONE}. */
+  Memory remembered();
 
-    /** The relay of an earlier life of the agent goes on, if it runs still. */
-    void adopt();
+  /** The relay of an earlier life of the agent goes on, if it runs still. */
+  void adopt();
 
-    /** Its relay's sums; null while there are none. */
-    RelaySums sums();
+  /** Its relay's sums; null while there are none. */
+  RelaySums sums();
 
-    /** Which run of the relay this is. */
-    long life();
+  /** Which run of the relay this is. */
+  long life();
 }
--- a/src/main/java/sprucerock/agent/Station.java
+++ b/src/main/java/sprucerock/agent/Station.java
@@ -34,276 +34,385 @@
 import sprucerock.wire.v1.Wants;
 
 /**
- * An agent at work: its core between this machine and the controllers, of which only one speaks at a time. One loop owns all of it.
- * What can't be told is told when somebody listens again; the relay runs on meanwhile.
+ * An agent at work: its core between this machine and the controllers, of which only one speaks at
+ * a time. One loop owns all of it. What can't be told is told when somebody listens again; the
+ * relay runs on meanwhile.
  */
 public final class Station {
-    private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, Span.ofMs(1000));
-    private static final int MOST_FAILURES = 20; // that wait for a controller; of more the oldest go, and the log has them
-    private static final Span ASK_AGAIN = Span.ofMs(5000); // a piece that has not come: the controller may have gone meanwhile
+  private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, Span.ofMs(1000));
+  private static final int MOST_FAILURES =
+      20; // that wait for a controller; of more the oldest go, and the log has them
+  private static final Span ASK_AGAIN =
+      Span.ofMs(5000); // a piece that has not come: the controller may have gone meanwhile
 
-    private final Logger log = LoggerFactory.getLogger("sprucerock.agent");
-    private final AgentConfig config;
-    private final Net loop;
-    private final int number;
-    private final int zone;
-    private final String name;
-    private final Tap tap;
-    private final Vault vault;
-    private final Place here;
-    private final Agent agent;
-    private final List<Redial> links = new ArrayList<>();
-    private final Deque<Failure> failures = new ArrayDeque<>();
-    /** Those that a controller was told, which it may have lost: the next one is told again, and takes them for what they are. */
-    private final Deque<Failure> told = new ArrayDeque<>();
-    private final Deque<Readable> readables = new ArrayDeque<>();
-    private Version fetching;
-    private Vault.Incoming incoming;
-    private String incomingDigest;
-    private long asked;
-    private long toCheck;
-    private Version checks;
-    private boolean marked;
+  private final Logger log = LoggerFactory.getLogger("sprucerock.agent");
+  private final AgentConfig config;
+  private final Net loop;
+  private final int number;
+  private final int zone;
+  private final String name;
+  private final Tap tap;
+  private final Vault vault;
+  private final Place here;
+  private final Agent agent;
+  private final List<Redial> links = new ArrayList<>();
+  private final Deque<Failure> failures = new ArrayDeque<>();
 
-    /** @throws IOException if its folder can't be had */
-    public Station(AgentConfig config, NioLoop loop) throws IOException {
-        this(config, loop, vault(config));
-    }
+  /**
+   * Those that a controller was told, which it may have lost: the next one is told again, and takes
+   * them for what they are.
+   */
+  private final Deque<Failure> told = new ArrayDeque<>();
 
-    private Station(AgentConfig config, NioLoop loop, Vault vault) {
-        this(config, config.name, config.number, config.zone, loop, vault, Tap.NONE, (says, fails, consumers) -> new Here(config, loop, vault, says, fails, consumers));
-    }
+  private final Deque<Readable> readables = new ArrayDeque<>();
+  private Version fetching;
+  private Vault.Incoming incoming;
+  private String incomingDigest;
+  private long asked;
+  private long toCheck;
+  private Version checks;
+  private boolean marked;
+
+  /**
+   * @throws IOException if its folder can't be had
+   */
+  public Station(AgentConfig config, NioLoop loop) throws IOException {
+    this(config, loop, vault(config));
+  }
 
-    /** One of many that share a configuration, a loop and a folder of versions: its name, number, zone and place are its own. */
-    public Station(AgentConfig config, String name, int number, int zone, Net loop, Vault vault, Tap tap, Place.Maker places) {
-        this.config = config;
-        this.name = name;
-        this.number = number;
-        this.zone = zone;
-        this.loop = loop;
-        this.vault = vault;
-        this.tap = tap;
-        here = places.make(this::changed, this::failed, new Place.Consumers() {
-            @Override
-            public void fetch(Version version) {
+  private Station(AgentConfig config, NioLoop loop, Vault vault) {
+    this(
+        config,
+        config.name,
+        config.number,
+        config.zone,
+        loop,
+        vault,
+        Tap.NONE,
+        (says, fails, consumers) -> new Here(config, loop, vault, says, fails, consumers));
+  }
+
+  /**
+   * One of many that share a configuration, a loop and a folder of versions: its name, number, zone
+   * and place are its own.
+   */
+  public Station(
+      AgentConfig config,
+      String name,
+      int number,
+      int zone,
+      Net loop,
+      Vault vault,
+      Tap tap,
+      Place.Maker places) {
+    this.config = config;
+    this.name = name;
+    this.number = number;
+    this.zone = zone;
+    this.loop = loop;
+    this.vault = vault;
+    this.tap = tap;
+    here =
+        places.make(
+            this::changed,
+            this::failed,
+            new Place.Consumers() {
+              @Override
+              public void fetch(Version version) {
                 Station.this.fetch(version);
-            }
+              }
 
-            @Override
-            public void readThrough(Version version, String refusal) {
+              @Override
+              public void readThrough(Version version, String refusal) {
                 checked(version, refusal);
-            }
-        });
-        agent = new Agent(here, config.times, here.remembered());
-        here.serves(agent);
-    }
+              }
+            });
+    agent = new Agent(here, config.times, here.remembered());
+    here.serves(agent);
+  }
 
-    private static Vault vault(AgentConfig config) throws IOException {
-        java.nio.file.Files.createDirectories(config.folder);
-        return new Vault(config.folder.resolve("versions"), config.mostBytes);
-    }
+  private static Vault vault(AgentConfig config) throws IOException {
+    java.nio.file.Files.createDirectories(config.folder);
+    return new Vault(config.folder.resolve("versions"), config.mostBytes);
+  }
 
-    /** On the loop. */
-    public void start() {
-        Hello mine = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.AGENT).setNumber(number).setName(name).build();
-        Chance chance = new Chance(number);
-        for (InetSocketAddress to : config.controllers) {
-            Door door = new Door(to);
-            Redial link = new Redial(loop, to, mine, LIMITS, tap, chance, door);
-            door.link = link;
-            links.add(link);
-        }
-        here.adopt();
-        agent.begin();
-        if (config.program != null) {
-            try {
-                agent.offered(new Version(vault.put(config.program), vault.put(config.settings)));
-            } catch (IOException e) {
-                here.log("what it is to begin with can't be read: " + e.getMessage());
-            }
-        }
-        links.forEach(Redial::dial);
-        // from the number, so that a thousand agents that were started together do not speak together
-        loop.at(loop.now().plus(config.sayEvery.times(chance.next())), this::now);
+  /** On the loop. */
+  public void start() {
+    Hello mine =
+        Hello.newBuilder()
+            .setVersion(FrameLink.VERSION)
+            .setRole(Role.AGENT)
+            .setNumber(number)
+            .setName(name)
+            .build();
+    Chance chance = new Chance(number);
+    for (InetSocketAddress to : config.controllers) {
+      Door door = new Door(to);
+      Redial link = new Redial(loop, to, mine, LIMITS, tap, chance, door);
+      door.link = link;
+      links.add(link);
+    }
+    here.adopt();
+    agent.begin();
+    if (config.program != null) {
+      try {
+        agent.offered(new Version(vault.put(config.program), vault.put(config.settings)));
+      } catch (IOException e) {
+        here.log("what it is to begin with can't be read: " + e.getMessage());
+      }
     }
+    links.forEach(Redial::dial);
+    // from the number, so that a thousand agents that were started together do not speak together
+    loop.at(loop.now().plus(config.sayEvery.times(chance.next())), this::now);
+  }
 
-    private void now() {
-        tell();
-        if (fetching != null && ++asked * config.sayEvery.ms() > ASK_AGAIN.ms()) ask();
-        loop.at(loop.now().plus(config.sayEvery), this::now);
+  private void now() {
+    tell();
+    if (fetching != null && ++asked * config.sayEvery.ms() > ASK_AGAIN.ms()) {
+      ask();
     }
+    loop.at(loop.now().plus(config.sayEvery), this::now);
+  }
 
-    private void changed() {
-        if (marked) return;
-        marked = true;
-        loop.atTurnsEnd(() -> {
-            marked = false;
-            tell();
-        });
+  private void changed() {
+    if (marked) {
+      return;
     }
+    marked = true;
+    loop.atTurnsEnd(
+        () -> {
+          marked = false;
+          tell();
+        });
+  }
 
-    private void failed(Version version, String how) {
-        if (failures.size() >= MOST_FAILURES) failures.removeFirst();
-        failures.addLast(Failure.newBuilder().setProgram(version.program()).setSettings(version.settings()).setHow(how).setTurn(agent.memory().turn()).build());
-        changed();
+  private void failed(Version version, String how) {
+    if (failures.size() >= MOST_FAILURES) {
+      failures.removeFirst();
     }
+    failures.addLast(
+        Failure.newBuilder()
+            .setProgram(version.program())
+            .setSettings(version.settings())
+            .setHow(how)
+            .setTurn(agent.memory().turn())
+            .build());
+    changed();
+  }
 
-    private void tell() {
-        RelaySums sums = here.sums();
-        Redial link = links.stream().filter(Redial::usable).findFirst().orElse(null);
-        if (link == null) return;
-        AgentSays.Builder says = AgentSays.newBuilder().setZone(zone).setProgram(agent.runs().program()).setSettings(agent.runs().settings()).setReady(agent.ready())
-            .setDone(agent.done()).setEpoch(agent.epoch()).setLife(here.life()).setStarts(agent.starts()).setCores(config.cores).addAllFailures(failures)
+  private void tell() {
+    RelaySums sums = here.sums();
+    Redial link = links.stream().filter(Redial::usable).findFirst().orElse(null);
+    if (link == null) {
+      return;
+    }
+    AgentSays.Builder says =
+        AgentSays.newBuilder()
+            .setZone(zone)
+            .setProgram(agent.runs().program())
+            .setSettings(agent.runs().settings())
+            .setReady(agent.ready())
+            .setDone(agent.done())
+            .setEpoch(agent.epoch())
+            .setLife(here.life())
+            .setStarts(agent.starts())
+            .setCores(config.cores)
+            .addAllFailures(failures)
             .addAllReadables(readables);
-        if (sums != null) says.setSums(sums);
-        told.addAll(failures);
-        while (told.size() > MOST_FAILURES) told.removeFirst();
-        failures.clear();
-        readables.clear();
-        for (Redial one : links) if (one.usable()) one.send(Kind.AGENT, says.build(), new byte[0]);
+    if (sums != null) {
+      says.setSums(sums);
+    }
+    told.addAll(failures);
+    while (told.size() > MOST_FAILURES) {
+      told.removeFirst();
+    }
+    failures.clear();
+    readables.clear();
+    for (Redial one : links) {
+      if (one.usable()) {
+        one.send(Kind.AGENT, says.build(), new byte[0]);
+      }
     }
+  }
 
-    // What is missing is fetched, a piece at a time.
+  // What is missing is fetched, a piece at a time.
 
-    private void fetch(Version version) {
-        fetching = version;
-        nextFile();
-    }
+  private void fetch(Version version) {
+    fetching = version;
+    nextFile();
+  }
 
-    private void nextFile() {
-        String missing = !vault.has(fetching.settings()) ? fetching.settings() : !vault.has(fetching.program()) ? fetching.program() : null;
-        if (missing == null) {
-            Version whole = fetching;
-            fetching = null;
-            trim(whole);
-            if (whole.equals(checks)) here.readThrough(whole);
-            agent.fetched(whole);
-            return;
-        }
-        try {
-            incoming = vault.incoming(missing);
-            incomingDigest = missing;
-            ask();
-        } catch (IOException e) {
-            notFetched(e.getMessage());
-        }
+  private void nextFile() {
+    String missing =
+        !vault.has(fetching.settings())
+            ? fetching.settings()
+            : !vault.has(fetching.program()) ? fetching.program() : null;
+    if (missing == null) {
+      Version whole = fetching;
+      fetching = null;
+      trim(whole);
+      if (whole.equals(checks)) {
+        here.readThrough(whole);
+      }
+      agent.fetched(whole);
+      return;
+    }
+    try {
+      incoming = vault.incoming(missing);
+      incomingDigest = missing;
+      ask();
+    } catch (IOException e) {
+      notFetched(e.getMessage());
     }
+  }
 
-    private void trim(Version whole) {
-        Set<String> needed = new HashSet<>();
-        for (Version one : new Version[] {whole, agent.memory().good(), agent.memory().wanted(), agent.runs()}) {
-            needed.add(one.program());
-            needed.add(one.settings());
-        }
-        try {
-            vault.trim(needed, 2 * config.versions);
-        } catch (IOException | java.io.UncheckedIOException e) {
-            here.log("old versions can't be deleted: " + e.getMessage());
-        }
+  private void trim(Version whole) {
+    Set<String> needed = new HashSet<>();
+    for (Version one :
+        new Version[] {whole, agent.memory().good(), agent.memory().wanted(), agent.runs()}) {
+      needed.add(one.program());
+      needed.add(one.settings());
+    }
+    try {
+      vault.trim(needed, 2 * config.versions);
+    } catch (IOException | java.io.UncheckedIOException e) {
+      here.log("old versions can't be deleted: " + e.getMessage());
     }
+  }
 
-    private void ask() {
-        asked = 0;
-        Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.from()).build();
-        for (Redial one : links) if (one.usable()) one.send(Kind.FETCH, fetch, new byte[0]);
+  private void ask() {
+    asked = 0;
+    Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.from()).build();
+    for (Redial one : links) {
+      if (one.usable()) {
+        one.send(Kind.FETCH, fetch, new byte[0]);
+      }
     }
+  }
 
-    private void piece(Piece head, byte[] body) {
-        if (fetching == null || !head.getDigest().equals(incomingDigest) || head.getFrom() != incoming.from()) return; // asked for twice
-        if (head.getMissing()) {
-            notFetched("the controller has it not");
-            return;
-        }
-        try {
-            if (incoming.add(head.getFrom(), body, head.getSize())) nextFile();
-            else ask();
-        } catch (IOException e) {
-            notFetched(e.getMessage());
-        }
+  private void piece(Piece head, byte[] body) {
+    if (fetching == null
+        || !head.getDigest().equals(incomingDigest)
+        || head.getFrom() != incoming.from()) {
+      return; // asked for twice
     }
+    if (head.getMissing()) {
+      notFetched("the controller has it not");
+      return;
+    }
+    try {
+      if (incoming.add(head.getFrom(), body, head.getSize())) {
+        nextFile();
+      } else {
+        ask();
+      }
+    } catch (IOException e) {
+      notFetched(e.getMessage());
+    }
+  }
 
-    private void notFetched(String why) {
-        Version gone = fetching;
-        fetching = null;
-        if (gone.equals(checks)) checked(gone, why);
-        agent.notFetched(gone, why);
+  private void notFetched(String why) {
+    Version gone = fetching;
+    fetching = null;
+    if (gone.equals(checks)) {
+      checked(gone, why);
     }
+    agent.notFetched(gone, why);
+  }
 
-    private void checked(Version version, String refusal) {
-        if (!version.equals(checks)) return;
-        checks = null;
-        readables.addLast(Readable.newBuilder().setChange(toCheck).setRefusal(refusal).build());
-        if (!refusal.isEmpty()) here.log("change " + toCheck + " can't be run here: " + refusal);
-        changed();
+  private void checked(Version version, String refusal) {
+    if (!version.equals(checks)) {
+      return;
     }
+    checks = null;
+    readables.addLast(Readable.newBuilder().setChange(toCheck).setRefusal(refusal).build());
+    if (!refusal.isEmpty()) {
+      here.log("change " + toCheck + " can't be run here: " + refusal);
+    }
+    changed();
+  }
+
+  /** The agent ends, its relay first; {@code done} is told on the loop. */
+  public void stop(Runnable done) {
+    agent.stop();
+    wait(done);
+  }
 
-    /** The agent ends, its relay first; {@code done} is told on the loop. */
-    public void stop(Runnable done) {
-        agent.stop();
-        wait(done);
+  private void wait(Runnable done) {
+    if (!agent.stoppedWhole()) {
+      loop.at(loop.now().plus(Span.ofMs(20)), () -> wait(done));
+      return;
     }
+    links.forEach(Redial::stop);
+    done.run();
+  }
 
-    private void wait(Runnable done) {
-        if (!agent.stoppedWhole()) {
-            loop.at(loop.now().plus(Span.ofMs(20)), () -> wait(done));
-            return;
-        }
-        links.forEach(Redial::stop);
-        done.run();
+  /** A controller's end of a link. */
+  private final class Door implements FrameUser {
+    private final InetSocketAddress to;
+    private Redial link;
+    private boolean up;
+
+    Door(InetSocketAddress to) {
+      this.to = to;
     }
 
-    /** A controller's end of a link. */
-    private final class Door implements FrameUser {
-        private final InetSocketAddress to;
-        private Redial link;
-        private boolean up;
+    @Override
+    public void greeted(FrameLink made, Hello other) {
+      if (other.getRole() != Role.DESK) {
+        made.cut("no controller");
+        return;
+      }
+      up = true;
+      told.descendingIterator().forEachRemaining(failures::addFirst);
+      told.clear();
+      log.info("CONTROLLER at {} is heard", to);
+      changed();
+      if (fetching != null) {
+        ask();
+      }
+    }
 
-        Door(InetSocketAddress to) {
-            this.to = to;
-        }
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      if (kind == Kind.PIECE) {
+        piece((Piece) head, body);
+      } else if (kind == Kind.WANTS) {
+        wants((Wants) head);
+      } else {
+        link.cut("an agent takes no " + kind);
+      }
+    }
 
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            if (other.getRole() != Role.DESK) {
-                made.cut("no controller");
-                return;
-            }
-            up = true;
-            told.descendingIterator().forEachRemaining(failures::addFirst);
-            told.clear();
-            log.info("CONTROLLER at {} is heard", to);
-            changed();
-            if (fetching != null) ask();
+    private void wants(Wants wants) {
+      try {
+        if (!wants.getProgram().isEmpty()) {
+          agent.wants(
+              wants.getEpoch(),
+              wants.getTurn(),
+              new Version(wants.getProgram(), wants.getSettings()));
         }
-
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            if (kind == Kind.PIECE) {
-                piece((Piece) head, body);
-            } else if (kind == Kind.WANTS) {
-                wants((Wants) head);
-            } else {
-                link.cut("an agent takes no " + kind);
-            }
+        if (wants.getChange() == 0 || wants.getEpoch() < agent.epoch()) {
+          return;
         }
-
-        private void wants(Wants wants) {
-            try {
-                if (!wants.getProgram().isEmpty()) agent.wants(wants.getEpoch(), wants.getTurn(), new Version(wants.getProgram(), wants.getSettings()));
-                if (wants.getChange() == 0 || wants.getEpoch() < agent.epoch()) return;
-                checks = new Version(wants.getCheckProgram(), wants.getCheckSettings());
-                toCheck = wants.getChange();
-                if (here.has(checks)) here.readThrough(checks);
-                else if (fetching == null) fetch(checks);
-            } catch (IllegalArgumentException e) {
-                link.cut(e.getMessage());
-            }
+        checks = new Version(wants.getCheckProgram(), wants.getCheckSettings());
+        toCheck = wants.getChange();
+        if (here.has(checks)) {
+          here.readThrough(checks);
+        } else if (fetching == null) {
+          fetch(checks);
         }
+      } catch (IllegalArgumentException e) {
+        link.cut(e.getMessage());
+      }
+    }
 
-        @Override
-        public void closed(String why) {
-            if (up) log.warn("CONTROLLER at {} is lost: {}; the relay runs on", to, why);
-            up = false;
-        }
+    @Override
+    public void closed(String why) {
+      if (up) {
+        log.warn("CONTROLLER at {} is lost: {}; the relay runs on", to, why);
+      }
+      up = false;
     }
+  }
 }
--- a/src/main/java/sprucerock/bench/BenchTls.java
+++ b/src/main/java/sprucerock/bench/BenchTls.java
@@ -20,38 +20,47 @@
 
 /** Certificates for a run of the benchmark, and TLS for its units and clients. */
 final class BenchTls {
-    static final String RELAY = "relay.bench.test";
-    private static final Span WITHIN = Span.ofMs(30_000);
-
-    final Path folder = Files.createTempDirectory("bench-tls");
-    private final Credentials credentials;
-
-    BenchTls() throws IOException {
-        TestCa ca = TestCa.root("bench");
-        Files.writeString(folder.resolve("trust.pem"), TestCa.pem(ca.certificate()));
-        TestCa.write(folder.resolve("key.pem"), ca.make(TestCa.leaf(RELAY)));
-        TestCa.Identity identity = ca.make(TestCa.leaf("*.units.bench.test"));
-        try {
-            credentials = new Credentials(Material.of(Set.of(ca.certificate()), List.of(), identity.key(), identity.chain(), "bench"),
-                Credentials.Policy.USUAL, Instant::now);
-        } catch (GeneralSecurityException e) {
-            throw new IOException(e);
-        }
-    }
+  static final String RELAY = "relay.bench.test";
+  private static final Span WITHIN = Span.ofMs(30_000);
 
-    static String unit(int number) {
-        return "u" + number + ".units.bench.test";
-    }
+  final Path folder = Files.createTempDirectory("bench-tls");
+  private final Credentials credentials;
 
-    static TlsLink.Place place(NioLoop loop) {
-        return new TlsLink.Place(loop, new Buffers(), new Workers(1, 100_000, loop::post, Throwable::printStackTrace), WITHIN, Counter.NONE);
+  BenchTls() throws IOException {
+    TestCa ca = TestCa.root("bench");
+    Files.writeString(folder.resolve("trust.pem"), TestCa.pem(ca.certificate()));
+    TestCa.write(folder.resolve("key.pem"), ca.make(TestCa.leaf(RELAY)));
+    TestCa.Identity identity = ca.make(TestCa.leaf("*.units.bench.test"));
+    try {
+      credentials =
+          new Credentials(
+              Material.of(
+                  Set.of(ca.certificate()), List.of(), identity.key(), identity.chain(), "bench"),
+              Credentials.Policy.USUAL,
+              Instant::now);
+    } catch (GeneralSecurityException e) {
+      throw new IOException(e);
     }
+  }
 
-    LinkUser server(TlsLink.Place place, LinkUser user) {
-        return TlsLink.server(place, credentials, false, user);
-    }
+  static String unit(int number) {
+    return "u" + number + ".units.bench.test";
+  }
 
-    LinkUser client(TlsLink.Place place, String name, int port, LinkUser user) {
-        return TlsLink.client(place, credentials, name, port, user);
-    }
+  static TlsLink.Place place(NioLoop loop) {
+    return new TlsLink.Place(
+        loop,
+        new Buffers(),
+        new Workers(1, 100_000, loop::post, Throwable::printStackTrace),
+        WITHIN,
+        Counter.NONE);
+  }
+
+  LinkUser server(TlsLink.Place place, LinkUser user) {
+    return TlsLink.server(place, credentials, false, user);
+  }
+
+  LinkUser client(TlsLink.Place place, String name, int port, LinkUser user) {
+    return TlsLink.client(place, credentials, name, port, user);
+  }
 }
--- a/src/main/java/sprucerock/bench/Fleet.java
+++ b/src/main/java/sprucerock/bench/Fleet.java
@@ -26,103 +26,167 @@
 
 /** Units that answer at once with what they were sent, and the roster and desk that name them. */
 final class Fleet implements AutoCloseable {
-    static final Limits LIMITS = new Limits(1 << 20, 64 << 20, sprucerock.time.Span.ofMs(5000));
-    private static final byte[] NO_BODY = {};
-
-    private final NioLoop[] loops;
-    private final int[] ports;
-    private int rosterPort;
-    private int deskPort;
-
-    Fleet(int units, int threads) throws IOException, InterruptedException {
-        this(units, threads, null);
+  static final Limits LIMITS = new Limits(1 << 20, 64 << 20, sprucerock.time.Span.ofMs(5000));
+  private static final byte[] NO_BODY = {};
+
+  private final NioLoop[] loops;
+  private final int[] ports;
+  private int rosterPort;
+  private int deskPort;
+
+  Fleet(int units, int threads) throws IOException, InterruptedException {
+    this(units, threads, null);
+  }
+
+  /** Units that are reached by TLS, unless that is null. */
+  Fleet(int units, int threads, BenchTls tls) throws IOException, InterruptedException {
+    loops = new NioLoop[threads];
+    for (int i = 0; i < threads; i++) {
+      loops[i] = new NioLoop("units-" + i, Throwable::printStackTrace);
     }
-
-    /** Units that are reached by TLS, unless that is null. */
-    Fleet(int units, int threads, BenchTls tls) throws IOException, InterruptedException {
-        loops = new NioLoop[threads];
-        for (int i = 0; i < threads; i++) loops[i] = new NioLoop("units-" + i, Throwable::printStackTrace);
-        ports = new int[units];
-        TlsLink.Place[] places = new TlsLink.Place[threads];
-        for (int i = 0; i < threads && tls != null; i++) places[i] = BenchTls.place(loops[i]);
-        for (int i = 0; i < units; i++) {
-            int id = i;
-            ports[i] = listen(loops[i % threads], Role.UNIT, i, tls, places[i % threads], link -> new FrameUser() {
-                @Override
-                public void greeted(FrameLink made, Hello other) {}
-
-                @Override
-                public void frame(Kind kind, MessageLite head, byte[] body) {
-                    if (kind != Kind.WORK) return;
-                    link[0].send(Kind.DONE, Done.newBuilder().setId(((Work) head).getId()).setResult(Result.DONE).build(), body);
-                }
-
-                @Override
-                public void closed(String why) {}
-            });
-        }
-        Listing.Builder listing = Listing.newBuilder().setForm(Form.WHOLE);
-        for (int i = 0; i < units; i++) {
-            listing.addEntries(Entry.newBuilder().setUnit(i).setRun(1).setHost("127.0.0.1").setPort(ports[i]).setBuild(1)
-                .setHealth(Health.READY).setWeight(1).setName(BenchTls.unit(i)));
-        }
-        rosterPort = listen(loops[0], Role.ROSTER, 0, null, null, link -> new FrameUser() {
-            @Override
-            public void greeted(FrameLink made, Hello other) {}
-
-            @Override
-            public void frame(Kind kind, MessageLite head, byte[] body) {
-                link[0].send(Kind.LISTING, listing.build(), NO_BODY);
-            }
-
-            @Override
-            public void closed(String why) {}
-        });
-        deskPort = listen(loops[0], Role.DESK, 0, null, null, link -> new FrameUser() {
-            @Override
-            public void greeted(FrameLink made, Hello other) {
-                made.send(Kind.NEWS, News.newBuilder().setBuild(1).setStage(0).setStanding(Stand.RELEASED).setCap(1)
-                    .setLastedUs(60_000_000).build(), NO_BODY);
-            }
-
-            @Override
-            public void frame(Kind kind, MessageLite head, byte[] body) {}
-
-            @Override
-            public void closed(String why) {}
-        });
+    ports = new int[units];
+    TlsLink.Place[] places = new TlsLink.Place[threads];
+    for (int i = 0; i < threads && tls != null; i++) {
+      places[i] = BenchTls.place(loops[i]);
     }
-
-    private interface Made {
-        FrameUser user(FrameLink[] link);
+    for (int i = 0; i < units; i++) {
+      int id = i;
+      ports[i] =
+          listen(
+              loops[i % threads],
+              Role.UNIT,
+              i,
+              tls,
+              places[i % threads],
+              link ->
+                  new FrameUser() {
+                    @Override
+                    public void greeted(FrameLink made, Hello other) {}
+
+                    @Override
+                    public void frame(Kind kind, MessageLite head, byte[] body) {
+                      if (kind != Kind.WORK) {
+                        return;
+                      }
+                      link[0].send(
+                          Kind.DONE,
+                          Done.newBuilder()
+                              .setId(((Work) head).getId())
+                              .setResult(Result.DONE)
+                              .build(),
+                          body);
+                    }
+
+                    @Override
+                    public void closed(String why) {}
+                  });
     }
-
-    private static int listen(NioLoop loop, Role role, int number, BenchTls tls, TlsLink.Place place, Made made) throws IOException, InterruptedException {
-        Hello hello = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(role).setNumber(number).build();
-        return Loops.on(loop, () -> {
-            Net.Listener listener = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10_000, LIMITS.unsent(), () -> {
-                FrameLink[] link = new FrameLink[1];
-                link[0] = new FrameLink(loop, hello, LIMITS, Tap.NONE, made.user(link));
-                return tls == null ? link[0] : tls.server(place, link[0]);
-            });
-            return listener.address().getPort();
-        });
+    Listing.Builder listing = Listing.newBuilder().setForm(Form.WHOLE);
+    for (int i = 0; i < units; i++) {
+      listing.addEntries(
+          Entry.newBuilder()
+              .setUnit(i)
+              .setRun(1)
+              .setHost("127.0.0.1")
+              .setPort(ports[i])
+              .setBuild(1)
+              .setHealth(Health.READY)
+              .setWeight(1)
+              .setName(BenchTls.unit(i)));
     }
+    rosterPort =
+        listen(
+            loops[0],
+            Role.ROSTER,
+            0,
+            null,
+            null,
+            link ->
+                new FrameUser() {
+                  @Override
+                  public void greeted(FrameLink made, Hello other) {}
+
+                  @Override
+                  public void frame(Kind kind, MessageLite head, byte[] body) {
+                    link[0].send(Kind.LISTING, listing.build(), NO_BODY);
+                  }
+
+                  @Override
+                  public void closed(String why) {}
+                });
+    deskPort =
+        listen(
+            loops[0],
+            Role.DESK,
+            0,
+            null,
+            null,
+            link ->
+                new FrameUser() {
+                  @Override
+                  public void greeted(FrameLink made, Hello other) {
+                    made.send(
+                        Kind.NEWS,
+                        News.newBuilder()
+                            .setBuild(1)
+                            .setStage(0)
+                            .setStanding(Stand.RELEASED)
+                            .setCap(1)
+                            .setLastedUs(60_000_000)
+                            .build(),
+                        NO_BODY);
+                  }
+
+                  @Override
+                  public void frame(Kind kind, MessageLite head, byte[] body) {}
+
+                  @Override
+                  public void closed(String why) {}
+                });
+  }
+
+  private interface Made {
+    FrameUser user(FrameLink[] link);
+  }
+
+  private static int listen(
+      NioLoop loop, Role role, int number, BenchTls tls, TlsLink.Place place, Made made)
+      throws IOException, InterruptedException {
+    Hello hello =
+        Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(role).setNumber(number).build();
+    return Loops.on(
+        loop,
+        () -> {
+          Net.Listener listener =
+              loop.listen(
+                  new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                  10_000,
+                  LIMITS.unsent(),
+                  () -> {
+                    FrameLink[] link = new FrameLink[1];
+                    link[0] = new FrameLink(loop, hello, LIMITS, Tap.NONE, made.user(link));
+                    return tls == null ? link[0] : tls.server(place, link[0]);
+                  });
+          return listener.address().getPort();
+        });
+  }
 
-    int[] ports() {
-        return ports;
-    }
+  int[] ports() {
+    return ports;
+  }
 
-    int rosterPort() {
-        return rosterPort;
-    }
+  int rosterPort() {
+    return rosterPort;
+  }
 
-    int deskPort() {
-        return deskPort;
-    }
+  int deskPort() {
+    return deskPort;
+  }
 
-    @Override
-    public void close() {
-        for (NioLoop loop : loops) loop.close();
+  @Override
+  public void close() {
+    for (NioLoop loop : loops) {
+      loop.close();
     }
+  }
 }
--- a/src/main/java/sprucerock/bench/Forwarder.java
+++ b/src/main/java/sprucerock/bench/Forwarder.java
@@ -11,103 +11,118 @@
 import java.nio.channels.CompletionHandler;
 import java.util.concurrent.ThreadFactory;
 
-/** Passes bytes on between each client and the unit that its connection's turn falls to, and does nothing else: the mark to measure by. */
+/**
+ * Passes bytes on between each client and the unit that its connection's turn falls to, and does
+ * nothing else: the mark to measure by.
+ */
 final class Forwarder implements AutoCloseable {
-    private static final int BUFFER = 16 * 1024;
+  private static final int BUFFER = 16 * 1024;
 
-    private final AsynchronousChannelGroup group;
-    private final AsynchronousServerSocketChannel server;
-    private final int[] units;
-    private int next;
+  private final AsynchronousChannelGroup group;
+  private final AsynchronousServerSocketChannel server;
+  private final int[] units;
+  private int next;
 
-    Forwarder(int[] unitPorts, ThreadFactory threads) throws IOException {
-        units = unitPorts;
-        group = AsynchronousChannelGroup.withFixedThreadPool(1, threads);
-        server = AsynchronousServerSocketChannel.open(group).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
-        server.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
+  Forwarder(int[] unitPorts, ThreadFactory threads) throws IOException {
+    units = unitPorts;
+    group = AsynchronousChannelGroup.withFixedThreadPool(1, threads);
+    server =
+        AsynchronousServerSocketChannel.open(group)
+            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1024);
+    server.accept(
+        null,
+        new CompletionHandler<AsynchronousSocketChannel, Void>() {
+          @Override
+          public void completed(AsynchronousSocketChannel client, Void none) {
+            server.accept(null, this);
+            join(client);
+          }
+
+          @Override
+          public void failed(Throwable why, Void none) {
+            // closed: the measurement is over
+          }
+        });
+  }
+
+  int port() throws IOException {
+    return ((InetSocketAddress) server.getLocalAddress()).getPort();
+  }
+
+  private void join(AsynchronousSocketChannel client) {
+    try {
+      AsynchronousSocketChannel unit = AsynchronousSocketChannel.open(group);
+      int port = units[next++ % units.length];
+      client.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      unit.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      unit.connect(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+          null,
+          new CompletionHandler<Void, Void>() {
             @Override
-            public void completed(AsynchronousSocketChannel client, Void none) {
-                server.accept(null, this);
-                join(client);
+            public void completed(Void none, Void nothing) {
+              new Way(client, unit).read();
+              new Way(unit, client).read();
             }
 
             @Override
-            public void failed(Throwable why, Void none) {
-                // closed: the measurement is over
+            public void failed(Throwable why, Void nothing) {
+              close(client);
             }
-        });
+          });
+    } catch (IOException e) {
+      close(client);
     }
+  }
 
-    int port() throws IOException {
-        return ((InetSocketAddress) server.getLocalAddress()).getPort();
+  private static void close(AsynchronousSocketChannel channel) {
+    try {
+      channel.close();
+    } catch (IOException e) {
+      System.err.println("forwarder: " + e.getMessage());
     }
+  }
 
-    private void join(AsynchronousSocketChannel client) {
-        try {
-            AsynchronousSocketChannel unit = AsynchronousSocketChannel.open(group);
-            int port = units[next++ % units.length];
-            client.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            unit.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            unit.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), null, new CompletionHandler<Void, Void>() {
-                @Override
-                public void completed(Void none, Void nothing) {
-                    new Way(client, unit).read();
-                    new Way(unit, client).read();
-                }
+  private static final class Way implements CompletionHandler<Integer, Boolean> {
+    private final AsynchronousSocketChannel from;
+    private final AsynchronousSocketChannel to;
+    private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER);
 
-                @Override
-                public void failed(Throwable why, Void nothing) {
-                    close(client);
-                }
-            });
-        } catch (IOException e) {
-            close(client);
-        }
+    Way(AsynchronousSocketChannel from, AsynchronousSocketChannel to) {
+      this.from = from;
+      this.to = to;
     }
 
-    private static void close(AsynchronousSocketChannel channel) {
-        try {
-            channel.close();
-        } catch (IOException e) {
-            System.err.println("forwarder: " + e.getMessage());
-        }
+    void read() {
+      buffer.clear();
+      from.read(buffer, true, this);
     }
 
-    private static final class Way implements CompletionHandler<Integer, Boolean> {
-        private final AsynchronousSocketChannel from;
-        private final AsynchronousSocketChannel to;
-        private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER);
-
-        Way(AsynchronousSocketChannel from, AsynchronousSocketChannel to) {
-            this.from = from;
-            this.to = to;
-        }
-
-        void read() {
-            buffer.clear();
-            from.read(buffer, true, this);
-        }
-
-        @Override
-        public void completed(Integer count, Boolean wasRead) {
-            if (count < 0) {
-                close(to);
-                return;
-            }
-            if (wasRead) buffer.flip();
-            if (buffer.hasRemaining()) to.write(buffer, false, this);
-            else read();
-        }
-
-        @Override
-        public void failed(Throwable why, Boolean wasRead) {
-            close(from);
-            close(to);
-        }
+    @Override
+    public void completed(Integer count, Boolean wasRead) {
+      if (count < 0) {
+        close(to);
+        return;
+      }
+      if (wasRead) {
+        buffer.flip();
+      }
+      if (buffer.hasRemaining()) {
+        to.write(buffer, false, this);
+      } else {
+        read();
+      }
     }
 
     @Override
-    public void close() throws IOException {
-        group.shutdownNow();
+    public void failed(Throwable why, Boolean wasRead) {
+      close(from);
+      close(to);
     }
+  }
+
+  @Override
+  public void close() throws IOException {
+    group.shutdownNow();
+  }
 }
--- a/src/main/java/sprucerock/change/Plan.java
+++ b/src/main/java/sprucerock/change/Plan.java
@@ -6,27 +6,52 @@
 /**
  * How changes go through a fleet, from its configuration.
  *
- * @param stages the shares of the relays that run the new version, growing to 1; the first stage is one relay whatever its share
+ * @param stages the shares of the relays that run the new version, growing to 1; the first stage is
+ *     one relay whatever its share
  * @param watch a stage is watched at least so long once its relays are ready
- * @param patience a stage that is not known to be no worse by then goes back; so does one that is held for so long
+ * @param patience a stage that is not known to be no worse by then goes back; so does one that is
+ *     held for so long
  * @param readyWithin a relay that is told to change and is not ready by then has failed
- * @param out the share of a zone's relays that may be out at once where there is room for more than one
- * @param refused the share of relays that may refuse a version before it is given up; these are left out
+ * @param out the share of a zone's relays that may be out at once where there is room for more than
+ *     one
+ * @param refused the share of relays that may refuse a version before it is given up; these are
+ *     left out
  * @param silent an agent not heard for so long is not there
  */
-public record Plan(List<Stage> stages, Span watch, Span patience, Span readyWithin, double out, double refused, Span silent) {
-    /** A stage's share of the relays, and the loss of worth, from 0 to 1, that has to be ruled out before the next. */
-    public record Stage(double share, double harm) {}
+public record Plan(
+    List<Stage> stages,
+    Span watch,
+    Span patience,
+    Span readyWithin,
+    double out,
+    double refused,
+    Span silent) {
+  /**
+   * A stage's share of the relays, and the loss of worth, from 0 to 1, that has to be ruled out
+   * before the next.
+   */
+  public record Stage(double share, double harm) {}
 
-    /** @throws IllegalArgumentException if the stages do not grow to 1 */
-    public Plan {
-        double before = 0;
-        for (Stage stage : stages) {
-            if (!(stage.share > before && stage.share <= 1)) throw new IllegalArgumentException("stages of a change grow, and none is over 1: " + stage.share + " after " + before);
-            if (!(stage.harm > 0 && stage.harm < 1)) throw new IllegalArgumentException("the harm to rule out lies between 0 and 1, not at " + stage.harm);
-            before = stage.share;
-        }
-        if (before != 1) throw new IllegalArgumentException("the last stage of a change is the whole fleet, not " + before + " of it");
-        stages = List.copyOf(stages);
+  /**
+   * @throws IllegalArgumentException if the stages do not grow to 1
+   */
+  public Plan {
+    double before = 0;
+    for (Stage stage : stages) {
+      if (!(stage.share > before && stage.share <= 1)) {
+        throw new IllegalArgumentException(
+            "stages of a change grow, and none is over 1: " + stage.share + " after " + before);
+      }
+      if (!(stage.harm > 0 && stage.harm < 1)) {
+        throw new IllegalArgumentException(
+            "the harm to rule out lies between 0 and 1, not at " + stage.harm);
+      }
+      before = stage.share;
     }
+    if (before != 1) {
+      throw new IllegalArgumentException(
+          "the last stage of a change is the whole fleet, not " + before + " of it");
+    }
+    stages = List.copyOf(stages);
+  }
 }
--- a/src/main/java/sprucerock/change/Verdict.java
+++ b/src/main/java/sprucerock/change/Verdict.java
@@ -1,4 +1,8 @@
 package sprucerock.change;
 
 /** What the comparison says of the new version, stage by stage. */
-public enum Verdict { NOT_SURE, NO_WORSE, WORSE }
+public enum Verdict {
+  NOT_SURE,
+  NO_WORSE,
+  WORSE
+}
--- a/src/main/java/sprucerock/change/Version.java
+++ b/src/main/java/sprucerock/change/Version.java
@@ -1,25 +1,35 @@
 package sprucerock.change;
 
 /**
- * What a relay runs: a program and its settings, each by the SHA-256 of its bytes in lower-case hexadecimal.
+ * What a relay runs: a program and its settings, each by the SHA-256 of its bytes in lower-case
+ * hexadecimal.
  */
 public record Version(String program, String settings) {
-    /** Nothing is known to run. */
-    public static final Version NONE = new Version("", "");
+  /** Nothing is known to run. */
+  public static final Version NONE = new Version("", "");
 
-    /** @throws IllegalArgumentException if either is no such digest, but for {@link #NONE} */
-    public Version {
-        boolean none = program.isEmpty() && settings.isEmpty();
-        if (!none && !(digest(program) && digest(settings))) throw new IllegalArgumentException("a version is two SHA-256 digests of 64 hexadecimal digits, not \"" + program + "\" and \"" + settings + "\"");
+  /**
+   * @throws IllegalArgumentException if either is no such digest, but for {@link #NONE}
+   */
+  public Version {
+    boolean none = program.isEmpty() && settings.isEmpty();
+    if (!none && !(digest(program) && digest(settings))) {
+      throw new IllegalArgumentException(
+          "a version is two SHA-256 digests of 64 hexadecimal digits, not \""
+              + program
+              + "\" and \""
+              + settings
+              + "\"");
     }
+  }
 
-    public static boolean digest(String text) {
-        return text.matches("[0-9a-f]{64}");
-    }
+  public static boolean digest(String text) {
+    return text.matches("[0-9a-f]{64}");
+  }
 
-    /** For people: the beginnings of both. */
-    @Override
-    public String toString() {
-        return this.equals(NONE) ? "nothing" : program.substring(0, 8) + "/" + settings.substring(0, 8);
-    }
+  /** For people: the beginnings of both. */
+  @Override
+  public String toString() {
+    return this.equals(NONE) ? "nothing" : program.substring(0, 8) + "/" + settings.substring(0, 8);
+  }
 }
--- a/src/main/java/sprucerock/cli/CheckConfigCommand.java
+++ b/src/main/java/sprucerock/cli/CheckConfigCommand.java
@@ -8,23 +8,37 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.tls.Material;
 
-@Command(name = "check-config", mixinStandardHelpOptions = true, description = "Checks a relay's configuration.")
+@Command(
+    name = "check-config",
+    mixinStandardHelpOptions = true,
+    description = "Checks a relay's configuration.")
 final class CheckConfigCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "such as relay.xml")
-    private Path file;
+  @Parameters(paramLabel = "FILE", description = "such as relay.xml")
+  private Path file;
 
-    @Override
-    public Integer call() throws Exception {
-        RelayConfig config = RelayConfig.read(file);
-        if (config.tls != null) {
-            try {
-                Material.read(config.tls.files());
-            } catch (Material.BadMaterialException e) {
-                throw new ConfigException(e.getMessage());
-            }
-        }
-        System.out.println(file + ": relay " + config.name + ", number " + config.settings.index + " of " + config.settings.relays
-            + ", " + config.settings.methods.size() + " methods, " + config.peers.size() + " peers: in order");
-        return Commands.DONE;
+  @Override
+  public Integer call() throws Exception {
+    RelayConfig config = RelayConfig.read(file);
+    if (config.tls != null) {
+      try {
+        Material.read(config.tls.files());
+      } catch (Material.BadMaterialException e) {
+        throw new ConfigException(e.getMessage());
+      }
     }
+    System.out.println(
+        file
+            + ": relay "
+            + config.name
+            + ", number "
+            + config.settings.index
+            + " of "
+            + config.settings.relays
+            + ", "
+            + config.settings.methods.size()
+            + " methods, "
+            + config.peers.size()
+            + " peers: in order");
+    return Commands.DONE;
+  }
 }
--- a/src/main/java/sprucerock/cli/JudgeCommand.java
+++ b/src/main/java/sprucerock/cli/JudgeCommand.java
@@ -7,17 +7,28 @@
 import sprucerock.judge.Finding;
 import sprucerock.judge.Judge;
 
-@Command(name = "judge", mixinStandardHelpOptions = true, description = "Judges the traces that a rehearsal left. Exit code 1: a rule was broken.")
+@Command(
+    name = "judge",
+    mixinStandardHelpOptions = true,
+    description = "Judges the traces that a rehearsal left. Exit code 1: a rule was broken.")
 final class JudgeCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "DIR", description = "the folder that rehearse named")
-    private Path folder;
+  @Parameters(paramLabel = "DIR", description = "the folder that rehearse named")
+  private Path folder;
 
-    @Override
-    public Integer call() throws Exception {
-        Judge.Verdict verdict = Judge.judge(folder);
-        for (Finding finding : verdict.findings()) System.out.println(finding);
-        System.out.println((verdict.kept() ? "rules kept: " : "RULES BROKEN OR NOTHING SEEN: ") + verdict.rpcs() + " RPCs, "
-            + verdict.picks() + " picks, " + verdict.frames() + " lines");
-        return verdict.kept() ? Commands.DONE : Commands.WANTING;
+  @Override
+  public Integer call() throws Exception {
+    Judge.Verdict verdict = Judge.judge(folder);
+    for (Finding finding : verdict.findings()) {
+      System.out.println(finding);
     }
+    System.out.println(
+        (verdict.kept() ? "rules kept: " : "RULES BROKEN OR NOTHING SEEN: ")
+            + verdict.rpcs()
+            + " RPCs, "
+            + verdict.picks()
+            + " picks, "
+            + verdict.frames()
+            + " lines");
+    return verdict.kept() ? Commands.DONE : Commands.WANTING;
+  }
 }
--- a/src/main/java/sprucerock/cli/OperatorApi.java
+++ b/src/main/java/sprucerock/cli/OperatorApi.java
@@ -14,31 +14,43 @@
 
 /** A running controller's API, asked once. */
 final class OperatorApi {
-    /** What it said. */
-    record Answer(int status, JsonNode body) {}
+  /** What it said. */
+  record Answer(int status, JsonNode body) {}
 
-    static final JsonMapper JSON = JsonMapper.builder().build();
-    private static final Duration PATIENCE = Duration.ofSeconds(10);
+  static final JsonMapper JSON = JsonMapper.builder().build();
+  private static final Duration PATIENCE = Duration.ofSeconds(10);
 
-    private final String at;
-    private final String token;
+  private final String at;
+  private final String token;
 
-    /** @throws IOException if the token can't be read */
-    OperatorApi(String at, Path token) throws IOException {
-        this.at = at;
-        this.token = Files.readString(token).strip();
-    }
+  /**
+   * @throws IOException if the token can't be read
+   */
+  OperatorApi(String at, Path token) throws IOException {
+    this.at = at;
+    this.token = Files.readString(token).strip();
+  }
 
-    /** Posts a body, or gets where it is null. @throws IOException if nobody answers */
-    Answer ask(String path, ObjectNode body) throws IOException, InterruptedException {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create(at).resolve(path)).timeout(PATIENCE).header("Authorization", "Bearer " + token);
-        if (body == null) request.GET();
-        else request.POST(HttpRequest.BodyPublishers.ofString(body.toString()));
-        try {
-            HttpResponse<String> answer = HttpClient.newBuilder().connectTimeout(PATIENCE).build().send(request.build(), HttpResponse.BodyHandlers.ofString());
-            return new Answer(answer.statusCode(), JSON.readTree(answer.body()));
-        } catch (IOException e) {
-            throw new IOException(at + ": no controller answers there: " + e);
-        }
+  /** Posts a body, or gets where it is null. @throws IOException if nobody answers */
+  Answer ask(String path, ObjectNode body) throws IOException, InterruptedException {
+    HttpRequest.Builder request =
+        HttpRequest.newBuilder(URI.create(at).resolve(path))
+            .timeout(PATIENCE)
+            .header("Authorization", "Bearer " + token);
+    if (body == null) {
+      request.GET();
+    } else {
+      request.POST(HttpRequest.BodyPublishers.ofString(body.toString()));
+    }
+    try {
+      HttpResponse<String> answer =
+          HttpClient.newBuilder()
+              .connectTimeout(PATIENCE)
+              .build()
+              .send(request.build(), HttpResponse.BodyHandlers.ofString());
+      return new Answer(answer.statusCode(), JSON.readTree(answer.body()));
+    } catch (IOException e) {
+      throw new IOException(at + ": no controller answers there: " + e);
     }
+  }
 }
--- a/src/main/java/sprucerock/cli/ReleaseCommand.java
+++ b/src/main/java/sprucerock/cli/ReleaseCommand.java
@@ -9,57 +9,107 @@
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
 
-@Command(name = "release", mixinStandardHelpOptions = true,
-    description = "Asks a running controller, or tells it an operator's word. Exit code 1: it has no effect; 3: nobody answers.")
+@Command(
+    name = "release",
+    mixinStandardHelpOptions = true,
+    description =
+        "Asks a running controller, or tells it an operator's word. Exit code 1: it has no effect; 3: nobody answers.")
 final class ReleaseCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "ACTION", description = "list, show, announce, hold, resume or withdraw")
-    private String action;
+  @Parameters(
+      index = "0",
+      paramLabel = "ACTION",
+      description = "list, show, announce, hold, resume or withdraw")
+  private String action;
 
-    @Parameters(index = "1", arity = "0..1", paramLabel = "BUILD", description = "the build's number")
-    private Integer build;
+  @Parameters(index = "1", arity = "0..1", paramLabel = "BUILD", description = "the build's number")
+  private Integer build;
 
-    @Option(names = "--at", paramLabel = "URL", defaultValue = "http://127.0.0.1:7700", description = "the controller's api, ${DEFAULT-VALUE} unless given")
-    private String at;
+  @Option(
+      names = "--at",
+      paramLabel = "URL",
+      defaultValue = "http://127.0.0.1:7700",
+      description = "the controller's api, ${DEFAULT-VALUE} unless given")
+  private String at;
 
-    @Option(names = "--token", required = true, paramLabel = "FILE", description = "holds the api's token")
-    private Path token;
+  @Option(
+      names = "--token",
+      required = true,
+      paramLabel = "FILE",
+      description = "holds the api's token")
+  private Path token;
 
-    @Option(names = "--artifact", paramLabel = "TEXT", description = "what is to be run, for announce")
-    private String artifact;
+  @Option(
+      names = "--artifact",
+      paramLabel = "TEXT",
+      description = "what is to be run, for announce")
+  private String artifact;
 
-    @Option(names = "--who", paramLabel = "NAME", defaultValue = "${sys:user.name}", description = "who says so")
-    private String who;
+  @Option(
+      names = "--who",
+      paramLabel = "NAME",
+      defaultValue = "${sys:user.name}",
+      description = "who says so")
+  private String who;
 
-    @Option(names = "--reason", paramLabel = "TEXT", description = "why, for hold, resume and withdraw")
-    private String reason;
+  @Option(
+      names = "--reason",
+      paramLabel = "TEXT",
+      description = "why, for hold, resume and withdraw")
+  private String reason;
 
-    @Override
-    public Integer call() throws Exception {
-        boolean list = action.equals("list");
-        if (!action.matches("list|show|announce|hold|resume|withdraw")) throw new ConfigException("an action is list, show, announce, hold, resume or withdraw, not " + action);
-        if (!list && build == null) throw new ConfigException(action + " needs a build's number");
-        if (action.equals("announce") && artifact == null) throw new ConfigException("announce needs --artifact");
-        if (action.matches("hold|resume|withdraw") && reason == null) throw new ConfigException(action + " needs --reason");
-        ObjectNode body = OperatorApi.JSON.createObjectNode();
-        if (action.equals("announce")) body.put("build", build).put("artifact", artifact).put("who", who);
-        else body.put("who", who).put("reason", reason);
-        String path = list || action.equals("announce") ? "/releases" : action.equals("show") ? "/releases/" + build : "/releases/" + build + "/" + action;
-        OperatorApi.Answer answer = new OperatorApi(at, token).ask(path, list || action.equals("show") ? null : body);
-        print(answer.body());
-        return answer.status() < 300 ? Commands.DONE : Commands.WANTING;
+  @Override
+  public Integer call() throws Exception {
+    boolean list = action.equals("list");
+    if (!action.matches("list|show|announce|hold|resume|withdraw")) {
+      throw new ConfigException(
+          "an action is list, show, announce, hold, resume or withdraw, not " + action);
     }
+    if (!list && build == null) {
+      throw new ConfigException(action + " needs a build's number");
+    }
+    if (action.equals("announce") && artifact == null) {
+      throw new ConfigException("announce needs --artifact");
+    }
+    if (action.matches("hold|resume|withdraw") && reason == null) {
+      throw new ConfigException(action + " needs --reason");
+    }
+    ObjectNode body = OperatorApi.JSON.createObjectNode();
+    if (action.equals("announce")) {
+      body.put("build", build).put("artifact", artifact).put("who", who);
+    } else {
+      body.put("who", who).put("reason", reason);
+    }
+    String path =
+        list || action.equals("announce")
+            ? "/releases"
+            : action.equals("show") ? "/releases/" + build : "/releases/" + build + "/" + action;
+    OperatorApi.Answer answer =
+        new OperatorApi(at, token).ask(path, list || action.equals("show") ? null : body);
+    print(answer.body());
+    return answer.status() < 300 ? Commands.DONE : Commands.WANTING;
+  }
 
-    private void print(JsonNode node) {
-        if (!node.has("releases")) {
-            System.out.println(node.toPrettyString());
-            return;
-        }
-        System.out.printf("%6s %-12s %5s %-5s %11s  %s%n", "build", "standing", "stage", "held", "units", "artifact");
-        for (JsonNode one : node.get("releases")) {
-            System.out.printf("%6d %-12s %5d %-5s %5d of %-2d  %s%s%n", one.get("build").asInt(), one.get("standing").asText(), one.get("stage").asInt(),
-                one.get("held").asBoolean() ? "held" : "", one.get("units").asInt(), one.get("units_wanted").asInt(), one.get("artifact").asText(),
-                one.has("serves") ? " (serves)" : "");
-        }
-        if (node.has("store")) System.out.println("THE STORE TAKES NOTHING: " + node.get("store").asText());
+  private void print(JsonNode node) {
+    if (!node.has("releases")) {
+      System.out.println(node.toPrettyString());
+      return;
+    }
+    System.out.printf(
+        "%6s %-12s %5s %-5s %11s  %s%n", "build", "standing", "stage", "held", "units", "artifact");
+    for (JsonNode one : node.get("releases")) {
+      System.out.printf(
+          "%6d %-12s %5d %-5s %5d of %-2d  %s%s%n",
+          one.get("build").asInt(),
+          one.get("standing").asText(),
+          one.get("stage").asInt(),
+          one.get("held").asBoolean() ? "held" : "",
+          one.get("units").asInt(),
+          one.get("units_wanted").asInt(),
+          one.get("artifact").asText(),
+          one.has("serves") ? " (serves)" : "");
+    }
+    if (node.has("store")) {
+      System.out.println("THE STORE TAKES NOTHING: " + node.get("store").asText());
     }
+  }
 }
--- a/src/main/java/sprucerock/cli/ServeCommand.java
+++ b/src/main/java/sprucerock/cli/ServeCommand.java
@@ -20,124 +20,154 @@
 import sun.misc.Signal;
 
 /** Named here for the help; Main starts it without this command line. */
-@Command(name = "serve", mixinStandardHelpOptions = true,
-    description = "Runs a relay on the operators' platform, configured by LB_CONFIG. SIGHUP reads it anew; SIGTERM ends it once every open RPC has its answer.")
+@Command(
+    name = "serve",
+    mixinStandardHelpOptions = true,
+    description =
+        "Runs a relay on the operators' platform, configured by LB_CONFIG. SIGHUP reads it anew; SIGTERM ends it once every open RPC has its answer.")
 public final class ServeCommand implements Callable<Integer> {
-    @Override
-    public Integer call() throws Exception {
-        return serve();
-    }
+  @Override
+  public Integer call() throws Exception {
+    return serve();
+  }
 
-    /** Runs until it is told to end; returns the exit code. */
-    public static int serve() throws InterruptedException {
-        AtomicReference<Serving> serving = new AtomicReference<>();
-        CountDownLatch ended = new CountDownLatch(1);
-        AtomicReference<String> wrong = new AtomicReference<>();
-        Semaphore asks = new Semaphore(0);
-        try {
-            PlatformConfig config = PlatformConfig.read(System.getenv());
-            Logs.to(Logs.Form.PLAIN);
-            WarmUp.run(Policy::new);
-            NioLoop loop = new NioLoop("serving", e -> {
-                if (serving.get() != null) serving.get().broken(e);
-                else e.printStackTrace(System.err);
-            });
-            loop.post(() -> {
-                try {
-                    serving.set(new Serving(config, loop, System.currentTimeMillis(), asks::release));
-                    serving.get().start(Policy::new);
-                } catch (IOException e) {
-                    wrong.set("an address can't be listened at: " + e.getMessage());
-                    ended.countDown();
+  /** Runs until it is told to end; returns the exit code. */
+  public static int serve() throws InterruptedException {
+    AtomicReference<Serving> serving = new AtomicReference<>();
+    CountDownLatch ended = new CountDownLatch(1);
+    AtomicReference<String> wrong = new AtomicReference<>();
+    Semaphore asks = new Semaphore(0);
+    try {
+      PlatformConfig config = PlatformConfig.read(System.getenv());
+      Logs.to(Logs.Form.PLAIN);
+      WarmUp.run(Policy::new);
+      NioLoop loop =
+          new NioLoop(
+              "serving",
+              e -> {
+                if (serving.get() != null) {
+                  serving.get().broken(e);
+                } else {
+                  e.printStackTrace(System.err);
                 }
-            });
-            Thread settings = new Thread(() -> readWhenAsked(asks, loop, serving), "settings");
-            settings.setDaemon(true);
-            settings.start();
-            Signal.handle(new Signal("HUP"), signal -> asks.release());
-            Signal.handle(new Signal("TERM"), signal -> loop.post(() -> serving.get().shutdown(ended::countDown)));
-            ended.await();
-            if (wrong.get() == null) return Commands.DONE;
-            System.err.println(wrong.get());
-            return Commands.FAILED;
-        } catch (ConfigException e) {
-            System.err.println(e.getMessage());
-            return Commands.USAGE;
-        } catch (IOException e) {
-            System.err.println("no loop can be started: " + e.getMessage());
-            return Commands.FAILED;
-        }
-    }
-
-    /**
-     * Loads what {@link #serve} needs and ends, so that the virtual machine can write it into an archive of classes. Run by the
-     * build; opens sockets on loopback alone.
-     */
-    public static void warm() throws IOException, InterruptedException {
-        Logs.to(Logs.Form.PLAIN);
-        int answered = WarmUp.run(Policy::new);
-        CountDownLatch heard = new CountDownLatch(1);
-        NioLoop loop = new NioLoop("warm", Throwable::printStackTrace);
-        loop.post(() -> {
+              });
+      loop.post(
+          () -> {
             try {
-                java.net.InetSocketAddress here = new java.net.InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 0);
-                Span within = Span.ofMs(1000);
-                Net.Listener listener = loop.listen(here, 4, 1 << 16, () -> new Echo(false, heard));
-                loop.connect(listener.address(), within, 1 << 16, new Echo(true, heard));
-                loop.datagrams(here, (from, bytes) -> { }).send(listener.address(), new byte[4]);
+              serving.set(new Serving(config, loop, System.currentTimeMillis(), asks::release));
+              serving.get().start(Policy::new);
             } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
+              wrong.set("an address can't be listened at: " + e.getMessage());
+              ended.countDown();
             }
-        });
-        boolean done = heard.await(5, java.util.concurrent.TimeUnit.SECONDS);
-        loop.close();
-        System.out.println("warm: " + answered + " RPCs answered in memory, sockets " + (done ? "spoke" : "were silent"));
+          });
+      Thread settings = new Thread(() -> readWhenAsked(asks, loop, serving), "settings");
+      settings.setDaemon(true);
+      settings.start();
+      Signal.handle(new Signal("HUP"), signal -> asks.release());
+      Signal.handle(
+          new Signal("TERM"), signal -> loop.post(() -> serving.get().shutdown(ended::countDown)));
+      ended.await();
+      if (wrong.get() == null) {
+        return Commands.DONE;
+      }
+      System.err.println(wrong.get());
+      return Commands.FAILED;
+    } catch (ConfigException e) {
+      System.err.println(e.getMessage());
+      return Commands.USAGE;
+    } catch (IOException e) {
+      System.err.println("no loop can be started: " + e.getMessage());
+      return Commands.FAILED;
     }
+  }
 
-    /** Sends some bytes back and forth. */
-    private static final class Echo implements LinkUser {
-        private final boolean first;
-        private final CountDownLatch heard;
-        private Link link;
-        private int rounds;
+  /**
+   * Loads what {@link #serve} needs and ends, so that the virtual machine can write it into an
+   * archive of classes. Run by the build; opens sockets on loopback alone.
+   */
+  public static void warm() throws IOException, InterruptedException {
+    Logs.to(Logs.Form.PLAIN);
+    int answered = WarmUp.run(Policy::new);
+    CountDownLatch heard = new CountDownLatch(1);
+    NioLoop loop = new NioLoop("warm", Throwable::printStackTrace);
+    loop.post(
+        () -> {
+          try {
+            java.net.InetSocketAddress here =
+                new java.net.InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 0);
+            Span within = Span.ofMs(1000);
+            Net.Listener listener = loop.listen(here, 4, 1 << 16, () -> new Echo(false, heard));
+            loop.connect(listener.address(), within, 1 << 16, new Echo(true, heard));
+            loop.datagrams(here, (from, bytes) -> {}).send(listener.address(), new byte[4]);
+          } catch (IOException e) {
+            throw new java.io.UncheckedIOException(e);
+          }
+        });
+    boolean done = heard.await(5, java.util.concurrent.TimeUnit.SECONDS);
+    loop.close();
+    System.out.println(
+        "warm: "
+            + answered
+            + " RPCs answered in memory, sockets "
+            + (done ? "spoke" : "were silent"));
+  }
 
-        Echo(boolean first, CountDownLatch heard) {
-            this.first = first;
-            this.heard = heard;
-        }
+  /** Sends some bytes back and forth. */
+  private static final class Echo implements LinkUser {
+    private final boolean first;
+    private final CountDownLatch heard;
+    private Link link;
+    private int rounds;
 
-        @Override
-        public void up(Link made) {
-            link = made;
-            if (first) link.append(new byte[64]);
-        }
+    Echo(boolean first, CountDownLatch heard) {
+      this.first = first;
+      this.heard = heard;
+    }
 
-        @Override
-        public void received(ByteBuffer bytes) {
-            if (++rounds == 100) heard.countDown();
-            if (rounds < 200) link.append(new byte[bytes.remaining()]);
-            else link.finish();
-        }
+    @Override
+    public void up(Link made) {
+      link = made;
+      if (first) {
+        link.append(new byte[64]);
+      }
+    }
 
-        @Override
-        public void closed(String why) {}
+    @Override
+    public void received(ByteBuffer bytes) {
+      if (++rounds == 100) {
+        heard.countDown();
+      }
+      if (rounds < 200) {
+        link.append(new byte[bytes.remaining()]);
+      } else {
+        link.finish();
+      }
     }
 
-    /** The loop reads no files: a thread of its own does, for a signal and for a relay that has lost what it was told. */
-    private static void readWhenAsked(Semaphore asks, NioLoop loop, AtomicReference<Serving> serving) {
-        while (true) {
-            asks.acquireUninterruptibly();
-            asks.drainPermits(); // one reading answers all that asked before it
-            reload(loop, serving);
-        }
+    @Override
+    public void closed(String why) {}
+  }
+
+  /**
+   * The loop reads no files: a thread of its own does, for a signal and for a relay that has lost
+   * what it was told.
+   */
+  private static void readWhenAsked(
+      Semaphore asks, NioLoop loop, AtomicReference<Serving> serving) {
+    while (true) {
+      asks.acquireUninterruptibly();
+      asks.drainPermits(); // one reading answers all that asked before it
+      reload(loop, serving);
     }
+  }
 
-    private static void reload(NioLoop loop, AtomicReference<Serving> serving) {
-        try {
-            PlatformConfig anew = PlatformConfig.read(System.getenv());
-            loop.post(() -> serving.get().reload(anew));
-        } catch (ConfigException e) {
-            loop.post(() -> serving.get().notReloaded(e.getMessage()));
-        }
+  private static void reload(NioLoop loop, AtomicReference<Serving> serving) {
+    try {
+      PlatformConfig anew = PlatformConfig.read(System.getenv());
+      loop.post(() -> serving.get().reload(anew));
+    } catch (ConfigException e) {
+      loop.post(() -> serving.get().notReloaded(e.getMessage()));
     }
+  }
 }
--- a/src/main/java/sprucerock/compare/Window.java
+++ b/src/main/java/sprucerock/compare/Window.java
@@ -11,37 +11,71 @@
  * @param memoryMb held at its end; {@code connections} alike
  * @param messages sent to peers and to the desk
  */
-public record Window(double rpcs, double worth, double inTime, double refused, double aborted, double lost, double answered, double answeredMs,
-    double workMs, double memoryMb, double connections, double messages) {
-    public static final Window NONE = new Window(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
+public record Window(
+    double rpcs,
+    double worth,
+    double inTime,
+    double refused,
+    double aborted,
+    double lost,
+    double answered,
+    double answeredMs,
+    double workMs,
+    double memoryMb,
+    double connections,
+    double messages) {
+  public static final Window NONE = new Window(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-    /** Both together; what is held is what the later one holds. */
-    public Window and(Window later) {
-        return new Window(rpcs + later.rpcs, worth + later.worth, inTime + later.inTime, refused + later.refused, aborted + later.aborted,
-            lost + later.lost, answered + later.answered, answeredMs + later.answeredMs, workMs + later.workMs, later.memoryMb, later.connections,
-            messages + later.messages);
-    }
+  /** Both together; what is held is what the later one holds. */
+  public Window and(Window later) {
+    return new Window(
+        rpcs + later.rpcs,
+        worth + later.worth,
+        inTime + later.inTime,
+        refused + later.refused,
+        aborted + later.aborted,
+        lost + later.lost,
+        answered + later.answered,
+        answeredMs + later.answeredMs,
+        workMs + later.workMs,
+        later.memoryMb,
+        later.connections,
+        messages + later.messages);
+  }
 
-    /** What came between an earlier reading of the same sums and this one; what is held is as it is now. */
-    public Window since(Window earlier) {
-        return new Window(rpcs - earlier.rpcs, worth - earlier.worth, inTime - earlier.inTime, refused - earlier.refused, aborted - earlier.aborted,
-            lost - earlier.lost, answered - earlier.answered, answeredMs - earlier.answeredMs, workMs - earlier.workMs, memoryMb, connections,
-            messages - earlier.messages);
-    }
+  /**
+   * What came between an earlier reading of the same sums and this one; what is held is as it is
+   * now.
+   */
+  public Window since(Window earlier) {
+    return new Window(
+        rpcs - earlier.rpcs,
+        worth - earlier.worth,
+        inTime - earlier.inTime,
+        refused - earlier.refused,
+        aborted - earlier.aborted,
+        lost - earlier.lost,
+        answered - earlier.answered,
+        answeredMs - earlier.answeredMs,
+        workMs - earlier.workMs,
+        memoryMb,
+        connections,
+        messages - earlier.messages);
+  }
 
-    /** One figure; NaN where there is none. {@code first}: the window after the start. */
-    double of(Measure measure, Window first) {
-        return switch (measure) {
-            case UNSERVED -> 1 - inTime / worth;
-            case REFUSED -> refused / rpcs;
-            case ABORTED -> aborted / rpcs;
-            case LOST -> lost / rpcs;
-            case LATENCY -> Math.log(answeredMs / answered);
-            case WORK -> Math.log(workMs / rpcs);
-            case MEMORY -> Math.log(memoryMb);
-            case GROWTH -> Math.log(memoryMb / first.memoryMb);
-            case CONNECTIONS -> Math.log(connections);
-            case MESSAGES -> Math.log(messages / rpcs);
-        };
-    }
+  /** One figure; NaN where there is none. {@code first}: the window after the start. */
+  double of(Measure measure, Window first) {
+    return switch (measure) {
+      case UNSERVED -> 1 - inTime / worth;
+      case REFUSED -> refused / rpcs;
+      case ABORTED -> aborted / rpcs;
+      case LOST -> lost / rpcs;
+      case LATENCY -> Math.log(answeredMs / answered);
+      case WORK -> Math.log(workMs / rpcs);
+      case MEMORY -> Math.log(memoryMb);
+      case GROWTH -> Math.log(memoryMb / first.memoryMb);
+      case CONNECTIONS -> Math.log(connections);
+      case MESSAGES -> Math.log(messages / rpcs);
+    };
+  }
 }
--- a/src/main/java/sprucerock/config/LeaseConfig.java
+++ b/src/main/java/sprucerock/config/LeaseConfig.java
@@ -6,7 +6,8 @@
 import sprucerock.time.Span;
 
 /**
- * Leases, as a process's configuration has them; lease.xsd has the values used where one is left out.
+ * Leases, as a process's configuration has them; lease.xsd has the values used where one is left
+ * out.
  *
  * @param me this process's number among all that stand for leases, 0 to 65535
  * @param granter which of the granters this process is; -1: none
@@ -14,46 +15,97 @@
  * @param granters all of them, by their numbers
  * @param longest see lease.Terms
  * @param most links that a granter takes
- * @param fitsEvery the windows in which hardware is compared, at all relays alike; null: this process takes no part in that
- * @param looksEvery how often units are looked at, should this process hold the lease for that; null: it does not stand for it
+ * @param fitsEvery the windows in which hardware is compared, at all relays alike; null: this
+ *     process takes no part in that
+ * @param looksEvery how often units are looked at, should this process hold the lease for that;
+ *     null: it does not stand for it
  */
-public record LeaseConfig(int me, int granter, InetSocketAddress listen, List<InetSocketAddress> granters, Span term, Span longest, double drift, int most,
-    Span looksEvery, Span fitsEvery) {
+public record LeaseConfig(
+    int me,
+    int granter,
+    InetSocketAddress listen,
+    List<InetSocketAddress> granters,
+    Span term,
+    Span longest,
+    double drift,
+    int most,
+    Span looksEvery,
+    Span fitsEvery) {
 
-    /** Of an element {@code leases}; null where there is none. {@code me}: used where the element names none. */
-    public static LeaseConfig of(Node node, int me) throws ConfigException {
-        if (node == null) return null;
-        List<InetSocketAddress> granters = new ArrayList<>();
-        for (Node one : node.all("granter")) {
-            InetSocketAddress address = Address.of(one.text("host"), one.count("port"));
-            if (address == null) throw one.wrong("host \"" + one.text("host") + "\" is no IPv4 or IPv6 address in numbers");
-            if (granters.contains(address)) throw one.wrong("two granters have one address, and would be one");
-            granters.add(address);
-        }
-        if (granters.size() != 3 && granters.size() != 5) throw node.wrong(granters.size() + " granters: 3 or 5 are needed, of which 2 or 3 have to be there");
-        Span term = node.span("term");
-        Span longest = node.has("longest") ? node.span("longest") : term;
-        if (Span.ofMs(100).over(term)) throw node.wrong("term is 100ms at least, far over what a process may be held up");
-        if (term.over(longest)) throw node.wrong("longest is not under term, " + node.text("term"));
-        double drift = node.number("drift");
-        if (!(drift >= 0 && drift < 0.2)) throw node.wrong("drift is 0 to under 0.2: a share by which a clock may run fast or slow");
-        int granter = node.has("grants") ? node.count("grants") : -1;
-        if (granter >= granters.size()) throw node.wrong("grants=\"" + granter + "\": the granters are 0 to " + (granters.size() - 1));
-        InetSocketAddress listen = node.has("listen-port") ? Address.of(node.text("listen-host"), node.count("listen-port")) : null;
-        Span looks = every(node, "looks", Span.ofMs(100), Span.ofMs(10));
-        Span fits = every(node, "fit", Span.ofMs(10_000), Span.ofMs(500));
-        return new LeaseConfig(node.has("me") ? node.count("me") : me, granter, listen, List.copyOf(granters), term, longest, drift, node.count("most"), looks, fits);
+  /**
+   * Of an element {@code leases}; null where there is none. {@code me}: used where the element
+   * names none.
+   */
+  public static LeaseConfig of(Node node, int me) throws ConfigException {
+    if (node == null) {
+      return null;
     }
+    List<InetSocketAddress> granters = new ArrayList<>();
+    for (Node one : node.all("granter")) {
+      InetSocketAddress address = Address.of(one.text("host"), one.count("port"));
+      if (address == null) {
+        throw one.wrong("host \"" + one.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+      }
+      if (granters.contains(address)) {
+        throw one.wrong("two granters have one address, and would be one");
+      }
+      granters.add(address);
+    }
+    if (granters.size() != 3 && granters.size() != 5) {
+      throw node.wrong(
+          granters.size() + " granters: 3 or 5 are needed, of which 2 or 3 have to be there");
+    }
+    Span term = node.span("term");
+    Span longest = node.has("longest") ? node.span("longest") : term;
+    if (Span.ofMs(100).over(term)) {
+      throw node.wrong("term is 100ms at least, far over what a process may be held up");
+    }
+    if (term.over(longest)) {
+      throw node.wrong("longest is not under term, " + node.text("term"));
+    }
+    double drift = node.number("drift");
+    if (!(drift >= 0 && drift < 0.2)) {
+      throw node.wrong("drift is 0 to under 0.2: a share by which a clock may run fast or slow");
+    }
+    int granter = node.has("grants") ? node.count("grants") : -1;
+    if (granter >= granters.size()) {
+      throw node.wrong(
+          "grants=\"" + granter + "\": the granters are 0 to " + (granters.size() - 1));
+    }
+    InetSocketAddress listen =
+        node.has("listen-port")
+            ? Address.of(node.text("listen-host"), node.count("listen-port"))
+            : null;
+    Span looks = every(node, "looks", Span.ofMs(100), Span.ofMs(10));
+    Span fits = every(node, "fit", Span.ofMs(10_000), Span.ofMs(500));
+    return new LeaseConfig(
+        node.has("me") ? node.count("me") : me,
+        granter,
+        listen,
+        List.copyOf(granters),
+        term,
+        longest,
+        drift,
+        node.count("most"),
+        looks,
+        fits);
+  }
 
-    /** Null where this process does not stand for it. */
-    private static Span every(Node node, String task, Span usual, Span least) throws ConfigException {
-        Span found = null;
-        for (Node one : node.all("stand")) {
-            if (!one.text("for").equals(task)) continue;
-            if (found != null) throw one.wrong(task + " is named twice");
-            found = one.has("every") ? one.span("every") : usual;
-            if (least.over(found)) throw one.wrong("every is " + Math.round(least.ms()) + "ms at least for " + task);
-        }
-        return found;
+  /** Null where this process does not stand for it. */
+  private static Span every(Node node, String task, Span usual, Span least) throws ConfigException {
+    Span found = null;
+    for (Node one : node.all("stand")) {
+      if (!one.text("for").equals(task)) {
+        continue;
+      }
+      if (found != null) {
+        throw one.wrong(task + " is named twice");
+      }
+      found = one.has("every") ? one.span("every") : usual;
+      if (least.over(found)) {
+        throw one.wrong("every is " + Math.round(least.ms()) + "ms at least for " + task);
+      }
     }
+    return found;
+  }
 }
--- a/src/main/java/sprucerock/config/Live.java
+++ b/src/main/java/sprucerock/config/Live.java
@@ -19,101 +19,124 @@
 import org.xml.sax.SAXException;
 
 /**
- * Which settings a running relay can take over: those whose attribute the schema marks with an {@code appinfo} of "live". The schema
- * is the only list there is; relay, agent and controller ask here.
+ * Which settings a running relay can take over: those whose attribute the schema marks with an
+ * {@code appinfo} of "live". The schema is the only list there is; relay, agent and controller ask
+ * here.
  */
 public final class Live {
-    private static final String SCHEMA = "/sprucerock/relay.xsd";
-    private static final Set<String> LIVE = live();
+  private static final String SCHEMA = "/sprucerock/relay.xsd";
+  private static final Set<String> LIVE = live();
 
-    private Live() {}
+  private Live() {}
 
-    /**
-     * Where two settings differ and a restart is needed, by paths such as relay/limits/frame; empty where a signal will do.
-     *
-     * @throws ConfigException if either is no XML
-     */
-    public static List<String> needRestart(String from, String to) throws ConfigException {
-        List<String> found = new ArrayList<>();
-        differences(parse(from), parse(to), "", found);
-        found.removeIf(LIVE::contains);
-        return found;
-    }
+  /**
+   * Where two settings differ and a restart is needed, by paths such as relay/limits/frame; empty
+   * where a signal will do.
+   *
+   * @throws ConfigException if either is no XML
+   */
+  public static List<String> needRestart(String from, String to) throws ConfigException {
+    List<String> found = new ArrayList<>();
+    differences(parse(from), parse(to), "", found);
+    found.removeIf(LIVE::contains);
+    return found;
+  }
 
-    private static void differences(Element from, Element to, String above, List<String> found) {
-        String path = above + from.getLocalName();
-        if (!from.getLocalName().equals(to.getLocalName())) {
-            found.add(path);
-            return;
-        }
-        Set<String> names = new TreeSet<>();
-        for (Element one : new Element[] {from, to}) {
-            NamedNodeMap values = one.getAttributes();
-            for (int i = 0; i < values.getLength(); i++) if (!values.item(i).getNodeName().startsWith("xmlns")) names.add(values.item(i).getNodeName());
-        }
-        for (String name : names) {
-            boolean same = from.hasAttribute(name) == to.hasAttribute(name) && from.getAttribute(name).equals(to.getAttribute(name));
-            if (!same) found.add(path + "/" + name);
-        }
-        List<Element> ones = children(from);
-        List<Element> others = children(to);
-        if (ones.size() != others.size()) {
-            found.add(path);
-            return;
+  private static void differences(Element from, Element to, String above, List<String> found) {
+    String path = above + from.getLocalName();
+    if (!from.getLocalName().equals(to.getLocalName())) {
+      found.add(path);
+      return;
+    }
+    Set<String> names = new TreeSet<>();
+    for (Element one : new Element[] {from, to}) {
+      NamedNodeMap values = one.getAttributes();
+      for (int i = 0; i < values.getLength(); i++) {
+        if (!values.item(i).getNodeName().startsWith("xmlns")) {
+          names.add(values.item(i).getNodeName());
         }
-        for (int i = 0; i < ones.size(); i++) differences(ones.get(i), others.get(i), path + "/", found);
+      }
+    }
+    for (String name : names) {
+      boolean same =
+          from.hasAttribute(name) == to.hasAttribute(name)
+              && from.getAttribute(name).equals(to.getAttribute(name));
+      if (!same) {
+        found.add(path + "/" + name);
+      }
     }
+    List<Element> ones = children(from);
+    List<Element> others = children(to);
+    if (ones.size() != others.size()) {
+      found.add(path);
+      return;
+    }
+    for (int i = 0; i < ones.size(); i++) {
+      differences(ones.get(i), others.get(i), path + "/", found);
+    }
+  }
 
-    private static List<Element> children(Element of) {
-        List<Element> found = new ArrayList<>();
-        NodeList all = of.getChildNodes();
-        for (int i = 0; i < all.getLength(); i++) if (all.item(i) instanceof Element element) found.add(element);
-        return found;
+  private static List<Element> children(Element of) {
+    List<Element> found = new ArrayList<>();
+    NodeList all = of.getChildNodes();
+    for (int i = 0; i < all.getLength(); i++) {
+      if (all.item(i) instanceof Element element) {
+        found.add(element);
+      }
     }
+    return found;
+  }
 
-    private static Element parse(String text) throws ConfigException {
-        try {
-            return builder().parse(new InputSource(new StringReader(text))).getDocumentElement();
-        } catch (SAXException | IOException e) {
-            throw new ConfigException("the settings are no XML: " + e.getMessage());
-        }
+  private static Element parse(String text) throws ConfigException {
+    try {
+      return builder().parse(new InputSource(new StringReader(text))).getDocumentElement();
+    } catch (SAXException | IOException e) {
+      throw new ConfigException("the settings are no XML: " + e.getMessage());
     }
+  }
 
-    private static DocumentBuilder builder() {
-        try {
-            DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
-            factory.setNamespaceAware(true);
-            factory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
-            DocumentBuilder made = factory.newDocumentBuilder();
-            made.setErrorHandler(null); // it throws, and says nothing
-            return made;
-        } catch (ParserConfigurationException e) {
-            throw new IllegalStateException(e); // the JDK's own parser has it
-        }
+  private static DocumentBuilder builder() {
+    try {
+      DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
+      factory.setNamespaceAware(true);
+      factory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
+      DocumentBuilder made = factory.newDocumentBuilder();
+      made.setErrorHandler(null); // it throws, and says nothing
+      return made;
+    } catch (ParserConfigurationException e) {
+      throw new IllegalStateException(e); // the JDK's own parser has it
     }
+  }
 
-    /** From the schema: the chain of elements around each attribute that is marked. */
-    private static Set<String> live() {
-        Set<String> found = new TreeSet<>();
-        try (InputStream in = Live.class.getResourceAsStream(SCHEMA)) {
-            NodeList marks = builder().parse(in).getElementsByTagNameNS(XMLConstants.W3C_XML_SCHEMA_NS_URI, "appinfo");
-            for (int i = 0; i < marks.getLength(); i++) {
-                if (!marks.item(i).getTextContent().strip().equals("live")) continue;
-                String path = null;
-                for (Node at = marks.item(i); at instanceof Element element; at = at.getParentNode()) {
-                    boolean named = element.getLocalName().equals("attribute") || element.getLocalName().equals("element");
-                    if (named) path = element.getAttribute("name") + (path == null ? "" : "/" + path);
-                }
-                found.add(path);
-            }
-            return found;
-        } catch (IOException | SAXException e) {
-            throw new IllegalStateException("the schema in the jar can't be read", e);
+  /** From the schema: the chain of elements around each attribute that is marked. */
+  private static Set<String> live() {
+    Set<String> found = new TreeSet<>();
+    try (InputStream in = Live.class.getResourceAsStream(SCHEMA)) {
+      NodeList marks =
+          builder().parse(in).getElementsByTagNameNS(XMLConstants.W3C_XML_SCHEMA_NS_URI, "appinfo");
+      for (int i = 0; i < marks.getLength(); i++) {
+        if (!marks.item(i).getTextContent().strip().equals("live")) {
+          continue;
+        }
+        String path = null;
+        for (Node at = marks.item(i); at instanceof Element element; at = at.getParentNode()) {
+          boolean named =
+              element.getLocalName().equals("attribute")
+                  || element.getLocalName().equals("element");
+          if (named) {
+            path = element.getAttribute("name") + (path == null ? "" : "/" + path);
+          }
         }
+        found.add(path);
+      }
+      return found;
+    } catch (IOException | SAXException e) {
+      throw new IllegalStateException("the schema in the jar can't be read", e);
     }
+  }
 
-    /** All of them. */
-    public static Set<String> paths() {
-        return LIVE;
-    }
+  /** All of them. */
+  public static Set<String> paths() {
+    return LIVE;
+  }
 }
--- a/src/main/java/sprucerock/controller/Codec.java
+++ b/src/main/java/sprucerock/controller/Codec.java
@@ -10,123 +10,217 @@
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
-/** Between the core and what is kept of it on disk: inputs are applied from their records, a state is written and read. */
+/**
+ * Between the core and what is kept of it on disk: inputs are applied from their records, a state
+ * is written and read.
+ */
 final class Codec {
-    private Codec() {}
+  private Codec() {}
 
-    /** What an input came to, for whoever brought it: an {@code Answer}, a {@code Taken}, an operator's refusal, or null. */
-    static Object apply(Releases core, Changes changes, Freezes freezes, Input input) {
-        Moment now = Moment.ofMs(input.getAtMs());
-        long wall = input.getWallMs();
-        Object answer = switch (input.getWhatCase()) {
-            case ANNOUNCED -> core.announced(input.getAnnounced().getDelivery(), input.getAnnounced().getBuild(), input.getAnnounced().getArtifact(),
-                input.getAnnounced().getSource(), now, wall);
-            case CAST -> core.cast(input.getCast().getRelay(), input.getCast().getBuild(), input.getCast().getStage(),
-                Releases.Say.valueOf(input.getCast().getSay()), now, wall);
-            case WORD -> core.word(Releases.Action.valueOf(input.getWord().getAction()), input.getWord().getBuild(), input.getWord().getWho(),
-                input.getWord().getReason(), now, wall);
-            case READY -> {
-                core.ready(input.getReady().getBuild(), input.getReady().getUnits(), now, wall);
-                yield null;
-            }
-            case TICK -> {
-                core.tick(now, wall);
-                changes.tick(now, wall);
-                FreezeCodec.apply(freezes, input);
-                yield null;
-            }
-            case RESTARTED -> {
-                core.restarted(input.getRestarted().getDownMs(), now, wall);
-                changes.restarted(Span.ofMs(Math.max(0, input.getRestarted().getDownMs())), now, wall);
-                yield null;
-            }
-            case DELIVERED -> {
-                core.delivered(input.getDelivered().getSequence());
-                yield null;
-            }
-            case FREEZE, FREEZE_WORD, FREEZE_CLEARED, RACK, WORTH -> FreezeCodec.apply(freezes, input);
-            default -> ChangeCodec.apply(changes, input);
+  /**
+   * What an input came to, for whoever brought it: an {@code Answer}, a {@code Taken}, an
+   * operator's refusal, or null.
+   */
+  static Object apply(Releases core, Changes changes, Freezes freezes, Input input) {
+    Moment now = Moment.ofMs(input.getAtMs());
+    long wall = input.getWallMs();
+    Object answer =
+        switch (input.getWhatCase()) {
+          case ANNOUNCED ->
+              core.announced(
+                  input.getAnnounced().getDelivery(),
+                  input.getAnnounced().getBuild(),
+                  input.getAnnounced().getArtifact(),
+                  input.getAnnounced().getSource(),
+                  now,
+                  wall);
+          case CAST ->
+              core.cast(
+                  input.getCast().getRelay(),
+                  input.getCast().getBuild(),
+                  input.getCast().getStage(),
+                  Releases.Say.valueOf(input.getCast().getSay()),
+                  now,
+                  wall);
+          case WORD ->
+              core.word(
+                  Releases.Action.valueOf(input.getWord().getAction()),
+                  input.getWord().getBuild(),
+                  input.getWord().getWho(),
+                  input.getWord().getReason(),
+                  now,
+                  wall);
+          case READY -> {
+            core.ready(input.getReady().getBuild(), input.getReady().getUnits(), now, wall);
+            yield null;
+          }
+          case TICK -> {
+            core.tick(now, wall);
+            changes.tick(now, wall);
+            FreezeCodec.apply(freezes, input);
+            yield null;
+          }
+          case RESTARTED -> {
+            core.restarted(input.getRestarted().getDownMs(), now, wall);
+            changes.restarted(Span.ofMs(Math.max(0, input.getRestarted().getDownMs())), now, wall);
+            yield null;
+          }
+          case DELIVERED -> {
+            core.delivered(input.getDelivered().getSequence());
+            yield null;
+          }
+          case FREEZE, FREEZE_WORD, FREEZE_CLEARED, RACK, WORTH ->
+              FreezeCodec.apply(freezes, input);
+          default -> ChangeCodec.apply(changes, input);
         };
-        // relays that judge a build are not restarted meanwhile
-        Release.Standing standing = core.present.standing;
-        boolean releasing = standing == Release.Standing.STARTING || standing == Release.Standing.ON_TRIAL || standing == Release.Standing.GOING_BACK;
-        if (releasing != changes.releasing()) changes.releasing(releasing, now, wall);
-        // nor are its units counted on where racks are to be spared
-        freezes.onTrial(releasing ? core.share(core.present) : 0, freezes.later(wall));
-        return answer;
+    // relays that judge a build are not restarted meanwhile
+    Release.Standing standing = core.present.standing;
+    boolean releasing =
+        standing == Release.Standing.STARTING
+            || standing == Release.Standing.ON_TRIAL
+            || standing == Release.Standing.GOING_BACK;
+    if (releasing != changes.releasing()) {
+      changes.releasing(releasing, now, wall);
     }
+    // nor are its units counted on where racks are to be spared
+    freezes.onTrial(releasing ? core.share(core.present) : 0, freezes.later(wall));
+    return answer;
+  }
 
-    static State write(Releases core, Changes changes, Freezes freezes, long atMs) {
-        State.Builder state = State.newBuilder().setAtMs(atMs).setSequence(core.sequence).setDelivered(core.delivered).setPresent(core.present.build)
-            .setEarlier(core.earlier).setEpoch(core.epoch).setChanges(ChangeCodec.write(changes)).setFreezes(FreezeCodec.write(freezes));
-        for (Release one : core.releases.values()) {
-            sprucerock.controller.v1.Release.Builder release = sprucerock.controller.v1.Release.newBuilder().setBuild(one.build).setArtifact(one.artifact)
-                .setStanding(one.standing.name()).setStage(one.stage).setSinceMs(ms(one.since)).setHeldMs((long) one.heldFor.ms()).setHeld(one.held)
-                .setUnits(one.units).setClockRan(one.clockRan);
-            if (one.clock != null) release.setStageClockMs(ms(one.clock)).setHasClock(true);
-            if (one.held) release.setHeldSinceMs(ms(one.heldSince));
-            if (one.clockStopped != null) release.setClockStoppedMs(ms(one.clockStopped)).setHasClockStopped(true);
-            for (Release.Step step : one.steps()) {
-                release.addSteps(sprucerock.controller.v1.Step.newBuilder().setSequence(step.sequence()).setAtMs(ms(step.at())).setWallMs(step.wallMs())
-                    .setStanding(step.standing().name()).setStage(step.stage()).setCause(step.cause()));
-            }
-            state.addReleases(release);
-        }
-        core.ballots.forEach((relay, vote) -> {
-            Ballot.Builder ballot = Ballot.newBuilder().setRelay(relay).setBuild(vote.build).setStage(vote.stage).setSay(vote.say.name()).setInSecond(vote.inSecond);
-            if (vote.until != null) ballot.setUntilMs(ms(vote.until));
-            if (vote.second != null) ballot.setSecondMs(ms(vote.second));
-            state.addBallots(ballot);
+  static State write(Releases core, Changes changes, Freezes freezes, long atMs) {
+    State.Builder state =
+        State.newBuilder()
+            .setAtMs(atMs)
+            .setSequence(core.sequence)
+            .setDelivered(core.delivered)
+            .setPresent(core.present.build)
+            .setEarlier(core.earlier)
+            .setEpoch(core.epoch)
+            .setChanges(ChangeCodec.write(changes))
+            .setFreezes(FreezeCodec.write(freezes));
+    for (Release one : core.releases.values()) {
+      sprucerock.controller.v1.Release.Builder release =
+          sprucerock.controller.v1.Release.newBuilder()
+              .setBuild(one.build)
+              .setArtifact(one.artifact)
+              .setStanding(one.standing.name())
+              .setStage(one.stage)
+              .setSinceMs(ms(one.since))
+              .setHeldMs((long) one.heldFor.ms())
+              .setHeld(one.held)
+              .setUnits(one.units)
+              .setClockRan(one.clockRan);
+      if (one.clock != null) {
+        release.setStageClockMs(ms(one.clock)).setHasClock(true);
+      }
+      if (one.held) {
+        release.setHeldSinceMs(ms(one.heldSince));
+      }
+      if (one.clockStopped != null) {
+        release.setClockStoppedMs(ms(one.clockStopped)).setHasClockStopped(true);
+      }
+      for (Release.Step step : one.steps()) {
+        release.addSteps(
+            sprucerock.controller.v1.Step.newBuilder()
+                .setSequence(step.sequence())
+                .setAtMs(ms(step.at()))
+                .setWallMs(step.wallMs())
+                .setStanding(step.standing().name())
+                .setStage(step.stage())
+                .setCause(step.cause()));
+      }
+      state.addReleases(release);
+    }
+    core.ballots.forEach(
+        (relay, vote) -> {
+          Ballot.Builder ballot =
+              Ballot.newBuilder()
+                  .setRelay(relay)
+                  .setBuild(vote.build)
+                  .setStage(vote.stage)
+                  .setSay(vote.say.name())
+                  .setInSecond(vote.inSecond);
+          if (vote.until != null) {
+            ballot.setUntilMs(ms(vote.until));
+          }
+          if (vote.second != null) {
+            ballot.setSecondMs(ms(vote.second));
+          }
+          state.addBallots(ballot);
         });
-        for (Releases.Delivery one : core.deliveries.values()) {
-            state.addDeliveries(Delivery.newBuilder().setId(one.id()).setAtMs(ms(one.at())).setAnswer(one.answer().name()).setContent(one.content()));
-        }
-        return state.build();
+    for (Releases.Delivery one : core.deliveries.values()) {
+      state.addDeliveries(
+          Delivery.newBuilder()
+              .setId(one.id())
+              .setAtMs(ms(one.at()))
+              .setAnswer(one.answer().name())
+              .setContent(one.content()));
     }
+    return state.build();
+  }
 
-    private static long ms(Moment moment) {
-        return Math.round(moment.ms());
-    }
+  private static long ms(Moment moment) {
+    return Math.round(moment.ms());
+  }
 
-    static void read(State state, Releases core, Changes changes, Freezes freezes) {
-        FreezeCodec.read(state.getFreezes(), freezes);
-        ChangeCodec.read(state.getChanges(), changes);
-        core.releases.clear();
-        core.sequence = state.getSequence();
-        core.delivered = state.getDelivered();
-        core.earlier = state.getEarlier();
-        core.epoch = state.getEpoch();
-        for (sprucerock.controller.v1.Release one : state.getReleasesList()) {
-            Release release = new Release(one.getBuild(), one.getArtifact(), Moment.ofMs(one.getSinceMs()));
-            release.standing = Release.Standing.valueOf(one.getStanding().toUpperCase(Locale.ROOT));
-            release.stage = one.getStage();
-            release.heldFor = Span.ofMs(one.getHeldMs());
-            release.held = one.getHeld();
-            release.units = one.getUnits();
-            release.clockRan = one.getClockRan();
-            if (one.getHasClock()) release.clock = Moment.ofMs(one.getStageClockMs());
-            if (one.getHeld()) release.heldSince = Moment.ofMs(one.getHeldSinceMs());
-            if (one.getHasClockStopped()) release.clockStopped = Moment.ofMs(one.getClockStoppedMs());
-            for (sprucerock.controller.v1.Step step : one.getStepsList()) {
-                release.add(new Release.Step(step.getSequence(), Moment.ofMs(step.getAtMs()), step.getWallMs(), Release.Standing.valueOf(step.getStanding()),
-                    step.getStage(), step.getCause()));
-            }
-            core.releases.put(release.build, release);
-        }
-        core.present = core.releases.get(state.getPresent());
-        for (Ballot one : state.getBallotsList()) {
-            Releases.Ballot vote = new Releases.Ballot(one.getRelay());
-            vote.build = one.getBuild();
-            vote.stage = one.getStage();
-            vote.say = Releases.Say.valueOf(one.getSay());
-            vote.until = Moment.ofMs(one.getUntilMs());
-            vote.second = Moment.ofMs(one.getSecondMs());
-            vote.inSecond = one.getInSecond();
-            core.ballots.put(one.getRelay(), vote);
-        }
-        core.known();
-        for (Delivery one : state.getDeliveriesList()) {
-            core.deliveries.put(one.getId(), new Releases.Delivery(one.getId(), Moment.ofMs(one.getAtMs()), Releases.Answer.valueOf(one.getAnswer()), one.getContent()));
-        }
+  static void read(State state, Releases core, Changes changes, Freezes freezes) {
+    FreezeCodec.read(state.getFreezes(), freezes);
+    ChangeCodec.read(state.getChanges(), changes);
+    core.releases.clear();
+    core.sequence = state.getSequence();
+    core.delivered = state.getDelivered();
+    core.earlier = state.getEarlier();
+    core.epoch = state.getEpoch();
+    for (sprucerock.controller.v1.Release one : state.getReleasesList()) {
+      Release release =
+          new Release(one.getBuild(), one.getArtifact(), Moment.ofMs(one.getSinceMs()));
+      release.standing = Release.Standing.valueOf(one.getStanding().toUpperCase(Locale.ROOT));
+      release.stage = one.getStage();
+      release.heldFor = Span.ofMs(one.getHeldMs());
+      release.held = one.getHeld();
+      release.units = one.getUnits();
+      release.clockRan = one.getClockRan();
+      if (one.getHasClock()) {
+        release.clock = Moment.ofMs(one.getStageClockMs());
+      }
+      if (one.getHeld()) {
+        release.heldSince = Moment.ofMs(one.getHeldSinceMs());
+      }
+      if (one.getHasClockStopped()) {
+        release.clockStopped = Moment.ofMs(one.getClockStoppedMs());
+      }
+      for (sprucerock.controller.v1.Step step : one.getStepsList()) {
+        release.add(
+            new Release.Step(
+                step.getSequence(),
+                Moment.ofMs(step.getAtMs()),
+                step.getWallMs(),
+                Release.Standing.valueOf(step.getStanding()),
+                step.getStage(),
+                step.getCause()));
+      }
+      core.releases.put(release.build, release);
+    }
+    core.present = core.releases.get(state.getPresent());
+    for (Ballot one : state.getBallotsList()) {
+      Releases.Ballot vote = new Releases.Ballot(one.getRelay());
+      vote.build = one.getBuild();
+      vote.stage = one.getStage();
+      vote.say = Releases.Say.valueOf(one.getSay());
+      vote.until = Moment.ofMs(one.getUntilMs());
+      vote.second = Moment.ofMs(one.getSecondMs());
+      vote.inSecond = one.getInSecond();
+      core.ballots.put(one.getRelay(), vote);
+    }
+    core.known();
+    for (Delivery one : state.getDeliveriesList()) {
+      core.deliveries.put(
+          one.getId(),
+          new Releases.Delivery(
+              one.getId(),
+              Moment.ofMs(one.getAtMs()),
+              Releases.Answer.valueOf(one.getAnswer()),
+              one.getContent()));
     }
+  }
 }
--- a/src/main/java/sprucerock/controller/Disk.java
+++ b/src/main/java/sprucerock/controller/Disk.java
@@ -3,31 +3,34 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The folder of a store, as far as the store needs one. What {@link #force} has returned for outlives a crash. */
+/**
+ * The folder of a store, as far as the store needs one. What {@link #force} has returned for
+ * outlives a crash.
+ */
 interface Disk {
-    /** The names of all files, sorted. */
-    List<String> list() throws IOException;
+  /** The names of all files, sorted. */
+  List<String> list() throws IOException;
 
-    byte[] read(String name) throws IOException;
+  byte[] read(String name) throws IOException;
 
-    /** Opens a file to be added to; made if it is not there. */
-    Log open(String name) throws IOException;
+  /** Opens a file to be added to; made if it is not there. */
+  Log open(String name) throws IOException;
 
-    /** Writes a file whole, and puts it in its place by one renaming that outlives a crash. */
-    void put(String name, byte[] bytes) throws IOException;
+  /** Writes a file whole, and puts it in its place by one renaming that outlives a crash. */
+  void put(String name, byte[] bytes) throws IOException;
 
-    void delete(String name) throws IOException;
+  void delete(String name) throws IOException;
 
-    /** Cuts a file off. */
-    void cut(String name, long length) throws IOException;
+  /** Cuts a file off. */
+  void cut(String name, long length) throws IOException;
 
-    /** A file that grows. */
-    interface Log {
-        void add(byte[] bytes) throws IOException;
+  /** A file that grows. */
+  interface Log {
+    void add(byte[] bytes) throws IOException;
 
-        /** All that was added outlives a crash from now on. */
-        void force() throws IOException;
+    /** All that was added outlives a crash from now on. */
+    void force() throws IOException;
 
-        void close() throws IOException;
-    }
+    void close() throws IOException;
+  }
 }
