--- a/src/main/java/sprucerock/controller/FileDisk.java
+++ b/src/main/java/sprucerock/controller/FileDisk.java
@@ -12,79 +12,97 @@
 
 /** A folder of the machine's. */
 final class FileDisk implements Disk {
-    private final Path folder;
+  private final Path folder;
 
-    FileDisk(Path folder) throws IOException {
-        this.folder = Files.createDirectories(folder);
-    }
+  FileDisk(Path folder) throws IOException {
+    this.folder = Files.createDirectories(folder);
+  }
 
-    @Override
-    public List<String> list() throws IOException {
-        try (Stream<Path> all = Files.list(folder)) {
-            return all.map(path -> path.getFileName().toString()).sorted().toList();
-        }
+  @Override
+  public List<String> list() throws IOException {
+    try (Stream<Path> all = Files.list(folder)) {
+      return all.map(path -> path.getFileName().toString()).sorted().toList();
     }
+  }
+
+  @Override
+  public byte[] read(String name) throws IOException {
+    return Files.readAllBytes(folder.resolve(name));
+  }
 
-    @Override
-    public byte[] read(String name) throws IOException {
-        return Files.readAllBytes(folder.resolve(name));
+  private static void write(FileChannel channel, byte[] bytes) throws IOException {
+    ByteBuffer all = ByteBuffer.wrap(bytes);
+    while (all.hasRemaining()) {
+      channel.write(all);
     }
+  }
 
-    private static void write(FileChannel channel, byte[] bytes) throws IOException {
-        ByteBuffer all = ByteBuffer.wrap(bytes);
-        while (all.hasRemaining()) channel.write(all);
+  private void forceFolder() throws IOException {
+    try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+      channel.force(true); // the names in it
     }
+  }
 
-    private void forceFolder() throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
-            channel.force(true); // the names in it
-        }
+  @Override
+  public Log open(String name) throws IOException {
+    boolean made = !Files.exists(folder.resolve(name));
+    FileChannel channel =
+        FileChannel.open(
+            folder.resolve(name),
+            StandardOpenOption.CREATE,
+            StandardOpenOption.WRITE,
+            StandardOpenOption.APPEND);
+    if (made) {
+      forceFolder();
     }
+    return new Log() {
+      @Override
+      public void add(byte[] bytes) throws IOException {
+        write(channel, bytes);
+      }
 
-    @Override
-    public Log open(String name) throws IOException {
-        boolean made = !Files.exists(folder.resolve(name));
-        FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
-        if (made) forceFolder();
-        return new Log() {
-            @Override
-            public void add(byte[] bytes) throws IOException {
-                write(channel, bytes);
-            }
+      @Override
+      public void force() throws IOException {
+        channel.force(false);
+      }
 
-            @Override
-            public void force() throws IOException {
-                channel.force(false);
-            }
+      @Override
+      public void close() throws IOException {
+        channel.close();
+      }
+    };
+  }
 
-            @Override
-            public void close() throws IOException {
-                channel.close();
-            }
-        };
+  @Override
+  public void put(String name, byte[] bytes) throws IOException {
+    Path next = folder.resolve(name + ".new");
+    try (FileChannel channel =
+        FileChannel.open(
+            next,
+            StandardOpenOption.CREATE,
+            StandardOpenOption.TRUNCATE_EXISTING,
+            StandardOpenOption.WRITE)) {
+      write(channel, bytes);
+      channel.force(false);
     }
+    Files.move(
+        next,
+        folder.resolve(name),
+        StandardCopyOption.ATOMIC_MOVE,
+        StandardCopyOption.REPLACE_EXISTING);
+    forceFolder();
+  }
 
-    @Override
-    public void put(String name, byte[] bytes) throws IOException {
-        Path next = folder.resolve(name + ".new");
-        try (FileChannel channel = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
-            write(channel, bytes);
-            channel.force(false);
-        }
-        Files.move(next, folder.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        forceFolder();
-    }
-
-    @Override
-    public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
-    }
+  @Override
+  public void delete(String name) throws IOException {
+    Files.deleteIfExists(folder.resolve(name));
+  }
 
-    @Override
-    public void cut(String name, long length) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
-            channel.truncate(length);
-            channel.force(true);
-        }
+  @Override
+  public void cut(String name, long length) throws IOException {
+    try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
+      channel.truncate(length);
+      channel.force(true);
     }
+  }
 }
--- a/src/main/java/sprucerock/controller/Release.java
+++ b/src/main/java/sprucerock/controller/Release.java
@@ -8,83 +8,97 @@
 
 /** One build on its way through the stages, with every step and its cause. */
 public final class Release {
-    /** Where a release stands. */
-    public enum Standing {
-        /** Waits until the one before it has gone back. */
-        ANNOUNCED,
-        /** Its first units are being started. */
-        STARTING, ON_TRIAL, GOING_BACK, RELEASED, WITHDRAWN,
-        /** Its trial ended as a later build was announced. */
-        SUPERSEDED;
-
-        /** It may still become something else by itself. */
-        public boolean open() {
-            return this == ANNOUNCED || this == STARTING || this == ON_TRIAL || this == GOING_BACK;
-        }
-    }
+  /** Where a release stands. */
+  public enum Standing {
+    /** Waits until the one before it has gone back. */
+    ANNOUNCED,
+    /** Its first units are being started. */
+    STARTING,
+    ON_TRIAL,
+    GOING_BACK,
+    RELEASED,
+    WITHDRAWN,
+    /** Its trial ended as a later build was announced. */
+    SUPERSEDED;
 
-    /**
-     * A transition.
-     *
-     * @param sequence of all transitions of all releases, from 1
-     * @param wallMs the machine's clock then, for people
-     */
-    public record Step(long sequence, Moment at, long wallMs, Standing standing, int stage, String cause) {}
-
-    private static final int MOST_STEPS = 200; // a release has some ten; a flapping hand should not fill the disk
-
-    public final int build;
-    public final String artifact;
-    Standing standing = Standing.ANNOUNCED;
-    int stage;
-    Moment since;
-    /** From when the stage's least time counts; null while its units are not there. */
-    Moment clock;
-    /** Time that did not count: held by relays under the clock, or by an operator. */
-    Span heldFor = Span.ZERO;
-    /** An operator holds it, and since when. */
-    boolean held;
-    Moment heldSince;
-    /** Under the clock: whether that ran, and since when it did or did not. */
-    boolean clockRan = true;
-    Moment clockStopped;
-    int units;
-    private final List<Step> steps = new ArrayList<>();
-
-    Release(int build, String artifact, Moment now) {
-        this.build = build;
-        this.artifact = artifact;
-        since = now;
+    /** It may still become something else by itself. */
+    public boolean open() {
+      return this == ANNOUNCED || this == STARTING || this == ON_TRIAL || this == GOING_BACK;
     }
+  }
 
-    public Standing standing() {
-        return standing;
-    }
+  /**
+   * A transition.
+   *
+   * @param sequence of all transitions of all releases, from 1
+   * @param wallMs the machine's clock then, for people
+   */
+  public record Step(
+      long sequence, Moment at, long wallMs, Standing standing, int stage, String cause) {}
 
-    public int stage() {
-        return stage;
-    }
+  private static final int MOST_STEPS =
+      200; // a release has some ten; a flapping hand should not fill the disk
 
-    public Moment since() {
-        return since;
-    }
+  public final int build;
+  public final String artifact;
+  Standing standing = Standing.ANNOUNCED;
+  int stage;
+  Moment since;
 
-    public boolean held() {
-        return held;
-    }
+  /** From when the stage's least time counts; null while its units are not there. */
+  Moment clock;
 
-    /** Units of it that were told to be there. */
-    public int units() {
-        return units;
-    }
+  /** Time that did not count: held by relays under the clock, or by an operator. */
+  Span heldFor = Span.ZERO;
 
-    /** The transitions so far; of very many the first and the last ones. */
-    public List<Step> steps() {
-        return Collections.unmodifiableList(steps);
-    }
+  /** An operator holds it, and since when. */
+  boolean held;
+
+  Moment heldSince;
+
+  /** Under the clock: whether that ran, and since when it did or did not. */
+  boolean clockRan = true;
+
+  Moment clockStopped;
+  int units;
+  private final List<Step> steps = new ArrayList<>();
+
+  Release(int build, String artifact, Moment now) {
+    this.build = build;
+    this.artifact = artifact;
+    since = now;
+  }
+
+  public Standing standing() {
+    return standing;
+  }
+
+  public int stage() {
+    return stage;
+  }
+
+  public Moment since() {
+    return since;
+  }
+
+  public boolean held() {
+    return held;
+  }
+
+  /** Units of it that were told to be there. */
+  public int units() {
+    return units;
+  }
+
+  /** The transitions so far; of very many the first and the last ones. */
+  public List<Step> steps() {
+    return Collections.unmodifiableList(steps);
+  }
 
-    void add(Step step) {
-        if (steps.size() >= MOST_STEPS) steps.remove(MOST_STEPS / 2);
-        steps.add(step);
+  void add(Step step) {
+    if (steps.size() >= MOST_STEPS) {
+      steps.remove(MOST_STEPS / 2);
     }
+    steps.add(step);
+  }
 }
--- a/src/main/java/sprucerock/controller/Room.java
+++ b/src/main/java/sprucerock/controller/Room.java
@@ -7,48 +7,59 @@
 import java.util.TreeMap;
 
 /**
- * How many relays of each zone the rest can do without, by the work that the fleet has now; and whether more has come than usual, in
- * which case nobody is to be restarted. A relay out means its work for others of its zone, whose processors are then used more.
+ * How many relays of each zone the rest can do without, by the work that the fleet has now; and
+ * whether more has come than usual, in which case nobody is to be restarted. A relay out means its
+ * work for others of its zone, whose processors are then used more.
  */
 final class Room {
-    private static final double FULL = 0.7; // of the processors: above that queues grow quickly (at 0.7, M/M/1 waits twice its work)
-    private static final double SURGE = 1.5; // times the usual: less than a relay out in three would be
-    private static final int USUAL = 30; // windows
-    private static final int FEW = 5;
+  private static final double FULL =
+      0.7; // of the processors: above that queues grow quickly (at 0.7, M/M/1 waits twice its work)
+  private static final double SURGE =
+      1.5; // times the usual: less than a relay out in three would be
+  private static final int USUAL = 30; // windows
+  private static final int FEW = 5;
 
-    private final TreeMap<Integer, double[]> zones = new TreeMap<>();
-    private final Deque<Double> rates = new ArrayDeque<>();
-    private double rate;
-    private boolean surge;
-    private double usual;
-    private double last;
+  private final TreeMap<Integer, double[]> zones = new TreeMap<>();
+  private final Deque<Double> rates = new ArrayDeque<>();
+  private double rate;
+  private boolean surge;
+  private double usual;
+  private double last;
 
-    /** A relay's window: the share of its processors' time that it used, and what came. */
-    void seen(int zone, double use, double rpcs) {
-        double[] sum = zones.computeIfAbsent(zone, any -> new double[2]);
-        sum[0] += use;
-        sum[1]++;
-        rate += rpcs;
-    }
+  /** A relay's window: the share of its processors' time that it used, and what came. */
+  void seen(int zone, double use, double rpcs) {
+    double[] sum = zones.computeIfAbsent(zone, any -> new double[2]);
+    sum[0] += use;
+    sum[1]++;
+    rate += rpcs;
+  }
 
-    /** The window is over; returns by zone how many may be out. */
-    Map<Integer, Integer> cut() {
-        TreeMap<Integer, Integer> found = new TreeMap<>();
-        zones.forEach((zone, sum) -> found.put(zone, (int) Math.max(0, Math.floor(sum[1] * (1 - sum[0] / sum[1] / FULL) + 1e-9))));
-        double[] sorted = rates.stream().mapToDouble(Double::doubleValue).toArray();
-        Arrays.sort(sorted);
-        usual = sorted.length == 0 ? rate : sorted[sorted.length / 2];
-        surge = sorted.length >= FEW && rate > SURGE * usual;
-        rates.addLast(rate); // one that lasts is none any more once it makes up half of what is known
-        if (rates.size() > USUAL) rates.removeFirst();
-        zones.clear();
-        last = rate;
-        rate = 0;
-        return found;
+  /** The window is over; returns by zone how many may be out. */
+  Map<Integer, Integer> cut() {
+    TreeMap<Integer, Integer> found = new TreeMap<>();
+    zones.forEach(
+        (zone, sum) ->
+            found.put(
+                zone, (int) Math.max(0, Math.floor(sum[1] * (1 - sum[0] / sum[1] / FULL) + 1e-9))));
+    double[] sorted = rates.stream().mapToDouble(Double::doubleValue).toArray();
+    Arrays.sort(sorted);
+    usual = sorted.length == 0 ? rate : sorted[sorted.length / 2];
+    surge = sorted.length >= FEW && rate > SURGE * usual;
+    rates.addLast(rate); // one that lasts is none any more once it makes up half of what is known
+    if (rates.size() > USUAL) {
+      rates.removeFirst();
     }
+    zones.clear();
+    last = rate;
+    rate = 0;
+    return found;
+  }
 
-    /** Why nobody is to be restarted; empty where nothing speaks against it. */
-    String why() {
-        return surge ? String.format(java.util.Locale.ROOT, "a surge: %.0f RPCs came in a window, usually %.0f", last, usual) : "";
-    }
+  /** Why nobody is to be restarted; empty where nothing speaks against it. */
+  String why() {
+    return surge
+        ? String.format(
+            java.util.Locale.ROOT, "a surge: %.0f RPCs came in a window, usually %.0f", last, usual)
+        : "";
+  }
 }
--- a/src/main/java/sprucerock/controller/Rules.java
+++ b/src/main/java/sprucerock/controller/Rules.java
@@ -6,7 +6,8 @@
 /**
  * What a deployment's configuration says of its releases.
  *
- * @param on relays that must stand for going on; {@code hold}: that stop the clock; {@code back}: that send a build back
+ * @param on relays that must stand for going on; {@code hold}: that stop the clock; {@code back}:
+ *     that send a build back
  * @param least a stage lasts at least so long once its units are there
  * @param step how long a stage lasts under the clock
  * @param startWithin after which a build whose units are not there goes back
@@ -14,12 +15,29 @@
  * @param watch how long votes still send a released build back
  * @param votesASecond of one relay; further ones are too many
  */
-public record Rules(List<Stage> stages, Control control, int on, int hold, int back, Span voteLife, Span least, Span step, Span startWithin, Span goingBack,
-    Span watch, int votesASecond) {
-    /** The share of the fleet's places that get the build, and the cap on its exposure. */
-    public record Stage(double share, double cap) {}
-
-    /** Whose votes let a build go on: a stated number of relays, more than half of those that stand, or the clock's. */
-    public enum Control { SINGLE, MAJORITY, CLOCKED }
+public record Rules(
+    List<Stage> stages,
+    Control control,
+    int on,
+    int hold,
+    int back,
+    Span voteLife,
+    Span least,
+    Span step,
+    Span startWithin,
+    Span goingBack,
+    Span watch,
+    int votesASecond) {
+  /** The share of the fleet's places that get the build, and the cap on its exposure. */
+  public record Stage(double share, double cap) {}
 
+  /**
+   * Whose votes let a build go on: a stated number of relays, more than half of those that stand,
+   * or the clock's.
+   */
+  public enum Control {
+    SINGLE,
+    MAJORITY,
+    CLOCKED
+  }
 }
--- a/src/main/java/sprucerock/controller/Seat.java
+++ b/src/main/java/sprucerock/controller/Seat.java
@@ -5,18 +5,18 @@
 
 /** Which of several controllers of one store acts. */
 public interface Seat {
-    /** How often it is to be renewed at least. */
-    Span RENEW = Span.ofMs(200);
+  /** How often it is to be renewed at least. */
+  Span RENEW = Span.ofMs(200);
 
-    /** Tries to take it; true once it is held. To be called again and again, each 50 ms or so. */
-    boolean take() throws IOException;
+  /** Tries to take it; true once it is held. To be called again and again, each 50 ms or so. */
+  boolean take() throws IOException;
 
-    /** Whether it is held for certain, now. */
-    boolean holds();
+  /** Whether it is held for certain, now. */
+  boolean holds();
 
-    /** Holds on to it; false once it is lost, for good. */
-    boolean renew() throws IOException;
+  /** Holds on to it; false once it is lost, for good. */
+  boolean renew() throws IOException;
 
-    /** Gives it back, so that the other one need not wait. */
-    void release() throws IOException;
+  /** Gives it back, so that the other one need not wait. */
+  void release() throws IOException;
 }
--- a/src/main/java/sprucerock/desk/Absent.java
+++ b/src/main/java/sprucerock/desk/Absent.java
@@ -10,43 +10,50 @@
 import sprucerock.time.Span;
 
 /**
- * Agents that are not linked, those first that were heard longest ago: who has been away for too long is found at the front, whatever the
- * number of agents. As large as the number of agents that were ever linked, each of which is known to the changes.
+ * Agents that are not linked, those first that were heard longest ago: who has been away for too
+ * long is found at the front, whatever the number of agents. As large as the number of agents that
+ * were ever linked, each of which is known to the changes.
  */
 final class Absent {
-    private record One(int relay, Moment heard) {}
+  private record One(int relay, Moment heard) {}
 
-    private final Map<Integer, One> known = new HashMap<>();
-    private final TreeSet<One> line = new TreeSet<>(Comparator.<One>comparingDouble(one -> one.heard.ms()).thenComparingInt(One::relay));
-    private long looked;
+  private final Map<Integer, One> known = new HashMap<>();
+  private final TreeSet<One> line =
+      new TreeSet<>(
+          Comparator.<One>comparingDouble(one -> one.heard.ms()).thenComparingInt(One::relay));
+  private long looked;
 
-    /** Its link is gone; {@code heard}: when it said something last. */
-    void left(int relay, Moment heard) {
-        back(relay);
-        One one = new One(relay, heard);
-        known.put(relay, one);
-        line.add(one);
-    }
+  /** Its link is gone; {@code heard}: when it said something last. */
+  void left(int relay, Moment heard) {
+    back(relay);
+    One one = new One(relay, heard);
+    known.put(relay, one);
+    line.add(one);
+  }
 
-    /** It is linked, or its absence is noted and needs no more looks. */
-    void back(int relay) {
-        One before = known.remove(relay);
-        if (before != null) line.remove(before);
+  /** It is linked, or its absence is noted and needs no more looks. */
+  void back(int relay) {
+    One before = known.remove(relay);
+    if (before != null) {
+      line.remove(before);
     }
+  }
 
-    /** Who was not heard for longer; they stay until {@link #back}. */
-    List<Integer> longer(Span than, Moment now) {
-        List<Integer> found = new ArrayList<>();
-        for (One one : line) {
-            looked++;
-            if (!now.since(one.heard).over(than)) break;
-            found.add(one.relay);
-        }
-        return found;
+  /** Who was not heard for longer; they stay until {@link #back}. */
+  List<Integer> longer(Span than, Moment now) {
+    List<Integer> found = new ArrayList<>();
+    for (One one : line) {
+      looked++;
+      if (!now.since(one.heard).over(than)) {
+        break;
+      }
+      found.add(one.relay);
     }
+    return found;
+  }
 
-    /** Entries looked at so far: what tests of its growth count. */
-    long looked() {
-        return looked;
-    }
+  /** Entries looked at so far: what tests of its growth count. */
+  long looked() {
+    return looked;
+  }
 }
--- a/src/main/java/sprucerock/desk/AgentsDoor.java
+++ b/src/main/java/sprucerock/desk/AgentsDoor.java
@@ -41,229 +41,342 @@
 import sprucerock.wire.v1.Wants;
 
 /**
- * The agents' links. What an agent says is recorded where it says something new; what is wanted of it is told when it comes, and at
- * each change. Pieces of versions go out at a bounded pace, to one agent after another, so that a thousand that fetch at once
- * neither fill memory nor hold up what is said.
+ * The agents' links. What an agent says is recorded where it says something new; what is wanted of
+ * it is told when it comes, and at each change. Pieces of versions go out at a bounded pace, to one
+ * agent after another, so that a thousand that fetch at once neither fill memory nor hold up what
+ * is said.
  */
 final class AgentsDoor implements Watcher.Host {
-    private static final byte[] NO_BODY = {};
-    private static final int PIECE = 128 * 1024;
-    private static final int MOST_WAITING = 20_000; // fetches; an agent has one or two
-    private static final Span WINDOW = Span.ofMs(2000); // two words of an agent at least
-    private static final Span LOOK = Span.ofMs(500);
-    private static final Span PUMP = Span.ofMs(10);
+  private static final byte[] NO_BODY = {};
+  private static final int PIECE = 128 * 1024;
+  private static final int MOST_WAITING = 20_000; // fetches; an agent has one or two
+  private static final Span WINDOW = Span.ofMs(2000); // two words of an agent at least
+  private static final Span LOOK = Span.ofMs(500);
+  private static final Span PUMP = Span.ofMs(10);
 
-    private record Waiting(Session session, Fetch fetch) {}
+  private record Waiting(Session session, Fetch fetch) {}
 
-    private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
-    private final Net net;
-    private final DeskConfig config;
-    private final Limits limits;
-    private final Tap tap;
-    private final Desk desk;
-    private final Vault vault;
-    private final Watcher watch;
-    private final TreeMap<Integer, Session> sessions = new TreeMap<>();
-    private final Absent absent = new Absent();
-    private final Deque<Waiting> fetches = new ArrayDeque<>();
-    private Net.Listener listener;
+  private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
+  private final Net net;
+  private final DeskConfig config;
+  private final Limits limits;
+  private final Tap tap;
+  private final Desk desk;
+  private final Vault vault;
+  private final Watcher watch;
+  private final TreeMap<Integer, Session> sessions = new TreeMap<>();
+  private final Absent absent = new Absent();
+  private final Deque<Waiting> fetches = new ArrayDeque<>();
+  private Net.Listener listener;
 
-    AgentsDoor(Net net, DeskConfig config, Tap tap, Desk desk, Vault vault) {
-        this.net = net;
-        this.config = config;
-        this.tap = tap;
-        this.desk = desk;
-        this.vault = vault;
-        limits = new Limits(1 << 20, 4L << 20, Span.ofMs(1000));
-        watch = new Watcher(changes(), this);
-        for (ManagedRelay relay : changes().relays()) absent.left(relay.number, net.now()); // a start: they have as long to come as if they had just been heard
+  AgentsDoor(Net net, DeskConfig config, Tap tap, Desk desk, Vault vault) {
+    this.net = net;
+    this.config = config;
+    this.tap = tap;
+    this.desk = desk;
+    this.vault = vault;
+    limits = new Limits(1 << 20, 4L << 20, Span.ofMs(1000));
+    watch = new Watcher(changes(), this);
+    for (ManagedRelay relay : changes().relays()) {
+      absent.left(
+          relay.number,
+          net.now()); // a start: they have as long to come as if they had just been heard
     }
+  }
 
-    private Changes changes() {
-        return desk.engine().changes();
-    }
+  private Changes changes() {
+    return desk.engine().changes();
+  }
 
-    InetSocketAddress start() throws IOException {
-        listener = net.listen(config.agents, config.mostAgents, limits.unsent(), () -> {
-            Session session = new Session();
-            session.link = new FrameLink(net, Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.DESK).setName(config.name).build(), limits, tap, session);
-            return session.link;
-        });
-        look();
-        net.at(net.now().plus(WINDOW), this::window);
-        pump();
-        return listener.address();
-    }
+  InetSocketAddress start() throws IOException {
+    listener =
+        net.listen(
+            config.agents,
+            config.mostAgents,
+            limits.unsent(),
+            () -> {
+              Session session = new Session();
+              session.link =
+                  new FrameLink(
+                      net,
+                      Hello.newBuilder()
+                          .setVersion(FrameLink.VERSION)
+                          .setRole(Role.DESK)
+                          .setName(config.name)
+                          .build(),
+                      limits,
+                      tap,
+                      session);
+              return session.link;
+            });
+    look();
+    net.at(net.now().plus(WINDOW), this::window);
+    pump();
+    return listener.address();
+  }
 
-    void stop() {
-        listener.close();
-        for (Session session : java.util.List.copyOf(sessions.values())) session.link.finish();
+  void stop() {
+    listener.close();
+    for (Session session : java.util.List.copyOf(sessions.values())) {
+      session.link.finish();
     }
+  }
 
-    private void window() {
-        watch.cut(WINDOW.ms());
-        net.at(net.now().plus(WINDOW), this::window);
-    }
+  private void window() {
+    watch.cut(WINDOW.ms());
+    net.at(net.now().plus(WINDOW), this::window);
+  }
 
-    /** Who is not heard any more; and, after a start of the controller, who was not heard at all. */
-    private void look() {
-        for (int number : absent.longer(config.plan.silent(), net.now())) {
-            ManagedRelay relay = changes().relay(number);
-            if (relay == null || relay.silent()) absent.back(number);
-            else desk.submit(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(number)), outcome -> { }); // refused: again with the next look
-        }
-        net.at(net.now().plus(LOOK), this::look);
+  /** Who is not heard any more; and, after a start of the controller, who was not heard at all. */
+  private void look() {
+    for (int number : absent.longer(config.plan.silent(), net.now())) {
+      ManagedRelay relay = changes().relay(number);
+      if (relay == null || relay.silent()) {
+        absent.back(number);
+      } else {
+        desk.submit(
+            Input.newBuilder().setSilent(Silent.newBuilder().setRelay(number)),
+            outcome -> {}); // refused: again with the next look
+      }
     }
+    net.at(net.now().plus(LOOK), this::look);
+  }
 
-    /** What is wanted of a relay has changed. */
-    void wants(ManagedRelay relay) {
-        Session session = sessions.get(relay.number);
-        if (session != null) session.tell(relay);
+  /** What is wanted of a relay has changed. */
+  void wants(ManagedRelay relay) {
+    Session session = sessions.get(relay.number);
+    if (session != null) {
+      session.tell(relay);
     }
+  }
 
-    /** A change made a step: one that was just proposed is to be read through by all. */
-    void changed(Change change) {
-        if (change.state() == Change.State.PROPOSED) for (Session session : sessions.values()) session.tell(changes().relay(session.number));
+  /** A change made a step: one that was just proposed is to be read through by all. */
+  void changed(Change change) {
+    if (change.state() == Change.State.PROPOSED) {
+      for (Session session : sessions.values()) {
+        session.tell(changes().relay(session.number));
+      }
     }
+  }
 
-    /** So many pieces in each turn of the pump, each to another agent. */
-    private void pump() {
-        int most = (int) Math.max(1, config.piecesASecond * PUMP.ms() / 1000);
-        for (int i = fetches.size(); i > 0 && most > 0; i--) {
-            Waiting next = fetches.pollFirst();
-            if (!next.session.link.usable()) continue;
-            if (next.session.link.unsent() > PIECE) {
-                fetches.addLast(next); // it has not read the last one
-                continue;
-            }
-            next.session.piece(next.fetch);
-            most--;
-        }
-        net.at(net.now().plus(PUMP), this::pump);
+  /** So many pieces in each turn of the pump, each to another agent. */
+  private void pump() {
+    int most = (int) Math.max(1, config.piecesASecond * PUMP.ms() / 1000);
+    for (int i = fetches.size(); i > 0 && most > 0; i--) {
+      Waiting next = fetches.pollFirst();
+      if (!next.session.link.usable()) {
+        continue;
+      }
+      if (next.session.link.unsent() > PIECE) {
+        fetches.addLast(next); // it has not read the last one
+        continue;
+      }
+      next.session.piece(next.fetch);
+      most--;
     }
+    net.at(net.now().plus(PUMP), this::pump);
+  }
 
-    // What the comparison finds.
+  // What the comparison finds.
 
-    @Override
-    public void judged(Change change, Verdict verdict, String reason) {
-        log.info("JUDGED change {} in stage {}: {}: {}", change.number, change.stage(), verdict, reason);
-        desk.submit(Input.newBuilder().setJudged(Judged.newBuilder().setChange(change.number).setStage(change.stage()).setVerdict(verdict.name()).setReason(reason)), outcome -> { });
-    }
+  @Override
+  public void judged(Change change, Verdict verdict, String reason) {
+    log.info(
+        "JUDGED change {} in stage {}: {}: {}", change.number, change.stage(), verdict, reason);
+    desk.submit(
+        Input.newBuilder()
+            .setJudged(
+                Judged.newBuilder()
+                    .setChange(change.number)
+                    .setStage(change.stage())
+                    .setVerdict(verdict.name())
+                    .setReason(reason)),
+        outcome -> {});
+  }
 
-    @Override
-    public void room(java.util.Map<Integer, Integer> byZone, String why) {
-        desk.submit(Input.newBuilder().setRoom(Room.newBuilder().putAllByZone(byZone).setWhy(why)), outcome -> { });
+  @Override
+  public void room(java.util.Map<Integer, Integer> byZone, String why) {
+    desk.submit(
+        Input.newBuilder().setRoom(Room.newBuilder().putAllByZone(byZone).setWhy(why)),
+        outcome -> {});
+  }
+
+  @Override
+  public void busy(int number, boolean is) {
+    Session session = sessions.get(number);
+    if (session != null && session.last != null) {
+      session.record(is);
     }
+  }
+
+  private final class Session implements FrameUser {
+    private FrameLink link;
+    private int number;
+    private Moment heard;
+    private AgentSays last;
 
     @Override
-    public void busy(int number, boolean is) {
-        Session session = sessions.get(number);
-        if (session != null && session.last != null) session.record(is);
+    public void greeted(FrameLink made, Hello other) {
+      if (other.getRole() != Role.AGENT || other.getNumber() < 0 || other.getNumber() > 65_534) {
+        made.cut("only agents are taken here");
+        return;
+      }
+      number = other.getNumber();
+      Session before = sessions.put(number, this);
+      if (before != null) {
+        before.link.cut("another agent came under number " + number);
+      }
+      heard = net.now();
+      absent.back(number);
     }
 
-    private final class Session implements FrameUser {
-        private FrameLink link;
-        private int number;
-        private Moment heard;
-        private AgentSays last;
-
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            if (other.getRole() != Role.AGENT || other.getNumber() < 0 || other.getNumber() > 65_534) {
-                made.cut("only agents are taken here");
-                return;
-            }
-            number = other.getNumber();
-            Session before = sessions.put(number, this);
-            if (before != null) before.link.cut("another agent came under number " + number);
-            heard = net.now();
-            absent.back(number);
-        }
+    void tell(ManagedRelay relay) {
+      Wants.Builder wants = Wants.newBuilder().setEpoch(desk.engine().releases().epoch());
+      if (relay != null && relay.wanted() != null && !relay.wanted().equals(Version.NONE)) {
+        wants
+            .setTurn(relay.turn())
+            .setProgram(relay.wanted().program())
+            .setSettings(relay.wanted().settings());
+      }
+      Change waits = changes().waiting();
+      if (waits != null && waits.state() == Change.State.PROPOSED) {
+        wants
+            .setChange(waits.number)
+            .setCheckProgram(waits.to.program())
+            .setCheckSettings(waits.to.settings());
+      }
+      link.send(Kind.WANTS, wants.build(), NO_BODY);
+    }
 
-        void tell(ManagedRelay relay) {
-            Wants.Builder wants = Wants.newBuilder().setEpoch(desk.engine().releases().epoch());
-            if (relay != null && relay.wanted() != null && !relay.wanted().equals(Version.NONE)) {
-                wants.setTurn(relay.turn()).setProgram(relay.wanted().program()).setSettings(relay.wanted().settings());
-            }
-            Change waits = changes().waiting();
-            if (waits != null && waits.state() == Change.State.PROPOSED) {
-                wants.setChange(waits.number).setCheckProgram(waits.to.program()).setCheckSettings(waits.to.settings());
-            }
-            link.send(Kind.WANTS, wants.build(), NO_BODY);
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      heard = net.now();
+      if (kind == Kind.AGENT) {
+        says((AgentSays) head);
+      } else if (kind == Kind.FETCH) {
+        if (fetches.size() < MOST_WAITING) {
+          fetches.addLast(new Waiting(this, (Fetch) head)); // else it asks again
         }
+      } else {
+        link.cut("a controller takes no " + kind + " of an agent");
+      }
+    }
 
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            heard = net.now();
-            if (kind == Kind.AGENT) {
-                says((AgentSays) head);
-            } else if (kind == Kind.FETCH) {
-                if (fetches.size() < MOST_WAITING) fetches.addLast(new Waiting(this, (Fetch) head)); // else it asks again
-            } else {
-                link.cut("a controller takes no " + kind + " of an agent");
-            }
+    private void says(AgentSays says) {
+      boolean first = last == null;
+      last = says;
+      try {
+        ManagedRelay known = changes().relay(number);
+        Version runs = new Version(says.getProgram(), says.getSettings());
+        boolean news =
+            known == null
+                || known.silent()
+                || known.zone() != says.getZone()
+                || !known.runs().equals(runs)
+                || known.ready() != says.getReady()
+                || known.done() != says.getDone();
+        if (news) {
+          record(known != null && known.busy());
         }
-
-        private void says(AgentSays says) {
-            boolean first = last == null;
-            last = says;
-            try {
-                ManagedRelay known = changes().relay(number);
-                Version runs = new Version(says.getProgram(), says.getSettings());
-                boolean news = known == null || known.silent() || known.zone() != says.getZone() || !known.runs().equals(runs) || known.ready() != says.getReady()
-                    || known.done() != says.getDone();
-                if (news) record(known != null && known.busy());
-                for (Failure one : says.getFailuresList()) {
-                    log.warn("FAILED relay {} {}", number, one.getHow());
-                    Version version = new Version(one.getProgram(), one.getSettings());
-                    desk.submit(Input.newBuilder().setFailed(Failed.newBuilder().setRelay(number).setVersion(version(version)).setHow(one.getHow())
-                        .setTurn(one.getTurn())), outcome -> { });
-                }
-                for (Readable one : says.getReadablesList()) {
-                    desk.submit(Input.newBuilder().setChecked(Checked.newBuilder().setRelay(number).setChange(one.getChange()).setRefusal(one.getRefusal())), outcome -> { });
-                }
-            } catch (IllegalArgumentException e) {
-                link.cut(e.getMessage());
-                return;
-            }
-            if (says.getEpoch() > desk.engine().releases().epoch()) {
-                log.error("BEHIND relay {}'s agent was told by epoch {}, this is {}: the store may be an old one", number, says.getEpoch(), desk.engine().releases().epoch());
-            }
-            if (says.hasSums()) watch.told(number, says.getLife(), says.getCores(), sums(says.getSums()));
-            if (first) tell(changes().relay(number));
+        for (Failure one : says.getFailuresList()) {
+          log.warn("FAILED relay {} {}", number, one.getHow());
+          Version version = new Version(one.getProgram(), one.getSettings());
+          desk.submit(
+              Input.newBuilder()
+                  .setFailed(
+                      Failed.newBuilder()
+                          .setRelay(number)
+                          .setVersion(version(version))
+                          .setHow(one.getHow())
+                          .setTurn(one.getTurn())),
+              outcome -> {});
         }
-
-        void record(boolean busy) {
-            desk.submit(Input.newBuilder().setAgent(sprucerock.controller.v1.AgentSays.newBuilder().setRelay(number).setZone(last.getZone()).setBusy(busy)
-                .setRuns(version(new Version(last.getProgram(), last.getSettings()))).setReady(last.getReady()).setDone(last.getDone())), outcome -> { });
+        for (Readable one : says.getReadablesList()) {
+          desk.submit(
+              Input.newBuilder()
+                  .setChecked(
+                      Checked.newBuilder()
+                          .setRelay(number)
+                          .setChange(one.getChange())
+                          .setRefusal(one.getRefusal())),
+              outcome -> {});
         }
+      } catch (IllegalArgumentException e) {
+        link.cut(e.getMessage());
+        return;
+      }
+      if (says.getEpoch() > desk.engine().releases().epoch()) {
+        log.error(
+            "BEHIND relay {}'s agent was told by epoch {}, this is {}: the store may be an old one",
+            number,
+            says.getEpoch(),
+            desk.engine().releases().epoch());
+      }
+      if (says.hasSums()) {
+        watch.told(number, says.getLife(), says.getCores(), sums(says.getSums()));
+      }
+      if (first) {
+        tell(changes().relay(number));
+      }
+    }
 
-        void piece(Fetch fetch) {
-            Piece.Builder piece = Piece.newBuilder().setDigest(fetch.getDigest()).setFrom(fetch.getFrom());
-            byte[] body = NO_BODY;
-            try {
-                if (Version.digest(fetch.getDigest()) && vault.has(fetch.getDigest())) {
-                    piece.setSize(vault.size(fetch.getDigest()));
-                    body = vault.piece(fetch.getDigest(), fetch.getFrom(), PIECE);
-                }
-            } catch (IOException e) {
-                log.error("VERSIONS {} can't be read: {}", fetch.getDigest(), e.getMessage());
-            }
-            link.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
-        }
+    void record(boolean busy) {
+      desk.submit(
+          Input.newBuilder()
+              .setAgent(
+                  sprucerock.controller.v1.AgentSays.newBuilder()
+                      .setRelay(number)
+                      .setZone(last.getZone())
+                      .setBusy(busy)
+                      .setRuns(version(new Version(last.getProgram(), last.getSettings())))
+                      .setReady(last.getReady())
+                      .setDone(last.getDone())),
+          outcome -> {});
+    }
 
-        @Override
-        public void closed(String why) {
-            if (sessions.remove(number, this)) absent.left(number, heard);
+    void piece(Fetch fetch) {
+      Piece.Builder piece =
+          Piece.newBuilder().setDigest(fetch.getDigest()).setFrom(fetch.getFrom());
+      byte[] body = NO_BODY;
+      try {
+        if (Version.digest(fetch.getDigest()) && vault.has(fetch.getDigest())) {
+          piece.setSize(vault.size(fetch.getDigest()));
+          body = vault.piece(fetch.getDigest(), fetch.getFrom(), PIECE);
         }
+      } catch (IOException e) {
+        log.error("VERSIONS {} can't be read: {}", fetch.getDigest(), e.getMessage());
+      }
+      link.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
     }
 
-    private static sprucerock.controller.v1.Version version(Version version) {
-        return sprucerock.controller.v1.Version.newBuilder().setProgram(version.program()).setSettings(version.settings()).build();
+    @Override
+    public void closed(String why) {
+      if (sessions.remove(number, this)) {
+        absent.left(number, heard);
+      }
     }
+  }
 
-    private static Window sums(RelaySums told) {
-        return new Window(told.getRpcs(), told.getWorth(), told.getInTime(), told.getRefused(), told.getAborted(), told.getLost(), told.getAnswered(),
-            told.getAnsweredMs(), told.getWorkMs(), told.getMemoryMb(), told.getConnections(), told.getMessages());
-    }
+  private static sprucerock.controller.v1.Version version(Version version) {
+    return sprucerock.controller.v1.Version.newBuilder()
+        .setProgram(version.program())
+        .setSettings(version.settings())
+        .build();
+  }
+
+  private static Window sums(RelaySums told) {
+    return new Window(
+        told.getRpcs(),
+        told.getWorth(),
+        told.getInTime(),
+        told.getRefused(),
+        told.getAborted(),
+        told.getLost(),
+        told.getAnswered(),
+        told.getAnsweredMs(),
+        told.getWorkMs(),
+        told.getMemoryMb(),
+        told.getConnections(),
+        told.getMessages());
+  }
 }
--- a/src/main/java/sprucerock/desk/Announcements.java
+++ b/src/main/java/sprucerock/desk/Announcements.java
@@ -15,41 +15,49 @@
 
 /** Announcements as their JSON schema has them. */
 final class Announcements {
-    /** What is announced. */
-    record Announcement(int build, String artifact) {}
+  /** What is announced. */
+  record Announcement(int build, String artifact) {}
 
-    /** A body that announces nothing; the message says why, fit to be told to its sender. */
-    static final class BadBodyException extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** A body that announces nothing; the message says why, fit to be told to its sender. */
+  static final class BadBodyException extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        BadBodyException(String message) {
-            super(message);
-        }
+    BadBodyException(String message) {
+      super(message);
     }
+  }
 
-    static final JsonMapper JSON = JsonMapper.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-        .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+  static final JsonMapper JSON =
+      JsonMapper.builder()
+          .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+          .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+          .build();
 
-    private final Schema schema;
+  private final Schema schema;
 
-    Announcements() throws IOException {
-        try (InputStream in = Announcements.class.getResourceAsStream("/sprucerock/announcement.json")) {
-            schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(in);
-        }
+  Announcements() throws IOException {
+    try (InputStream in =
+        Announcements.class.getResourceAsStream("/sprucerock/announcement.json")) {
+      schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(in);
     }
-
-    Announcement read(byte[] body) throws BadBodyException {
-        JsonNode node;
-        try {
-            node = JSON.readTree(body);
-        } catch (JsonProcessingException e) {
-            throw new BadBodyException("it is no JSON: " + e.getOriginalMessage());
-        } catch (IOException e) {
-            throw new BadBodyException("it can't be read");
-        }
-        if (node == null || node.isMissingNode()) throw new BadBodyException("it is empty");
-        List<Error> wrong = schema.validate(node);
-        if (!wrong.isEmpty()) throw new BadBodyException(wrong.get(0).toString());
-        return new Announcement(node.get("build").intValue(), node.get("artifact").textValue());
+  }
+
+  Announcement read(byte[] body) throws BadBodyException {
+    JsonNode node;
+    try {
+      node = JSON.readTree(body);
+    } catch (JsonProcessingException e) {
+      throw new BadBodyException("it is no JSON: " + e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new BadBodyException("it can't be read");
+    }
+    if (node == null || node.isMissingNode()) {
+      throw new BadBodyException("it is empty");
+    }
+    List<Error> wrong = schema.validate(node);
+    if (!wrong.isEmpty()) {
+      throw new BadBodyException(wrong.get(0).toString());
     }
+    return new Announcement(node.get("build").intValue(), node.get("artifact").textValue());
+  }
 }
--- a/src/main/java/sprucerock/desk/Desk.java
+++ b/src/main/java/sprucerock/desk/Desk.java
@@ -34,320 +34,442 @@
 import sprucerock.versions.Vault;
 import sprucerock.wire.Tap;
 
-/** The controller: its engine between relays, pipelines and operators, on one loop that also waits for the disk. */
+/**
+ * The controller: its engine between relays, pipelines and operators, on one loop that also waits
+ * for the disk.
+ */
 public final class Desk implements AutoCloseable {
-    private static final Span LOOK = Span.ofMs(50); // whether time alone has changed anything
-
-    private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
-    private final DeskConfig config;
-    private final NioLoop loop;
-    private final Engine engine;
-    private final Promises promises;
-    private final RelaysDoor relays;
-    private final HttpDoor http;
-    private final Vault vault;
-    private AgentsDoor agents;
-    private InetSocketAddress agentsAt;
-    private final Seat seat;
-    private Leases leases;
-    private GranterDoor granter;
-    private final List<Outbox> outboxes = new ArrayList<>();
-    private final Map<String, Long> delivered = new ConcurrentHashMap<>();
-    private final Runnable replaced;
-    private final InetSocketAddress relaysAt;
-    private final AtomicBoolean promisesTold = new AtomicBoolean(true); // false: relays are about to be; also set by the thread that starts
-    private boolean marked;
-    private volatile boolean stopped;
-    private volatile boolean lost;
-
-    /**
-     * Opens the files and all doors.
-     *
-     * @throws Exception if a file is damaged or an address can't be had; the message says which
-     */
-    public Desk(DeskConfig config, Engine.Clock clock, Tap tap, Runnable replaced) throws Exception {
-        this.replaced = replaced;
-        this.config = config;
-        String holder = config.name + "-" + ProcessHandle.current().pid() + "-" + Long.toHexString(System.nanoTime());
-        loop = new NioLoop("controller", this::broken);
-        seat = seat(holder, tap, clock);
-        boolean told = false;
-        while (!seat.take()) {
-            if (!told) log.info("STANDBY {} waits for the seat at {}", holder, config.folder);
-            told = true;
-            Thread.sleep(50);
-        }
-        loop.post(this::renew); // from now on: to come back may take longer than the lease
-        Freezes freezes = config.room == null ? Freezes.none() : new Freezes(config.freezes, config.room, ofFreezes());
-        engine = Engine.in(config.folder, config.rules, config.places, config.firstBuild, config.plan, clock, (release, step) -> {
-            log.info("STEP {} build {} {} stage {}: {}", step.sequence(), release.build, step.standing(), step.stage(), step.cause());
-            outboxes.forEach(outbox -> outbox.add(release, step));
-        }, ofChanges(), freezes, what -> log.error("STORE {}", what)); // relays are told at the turn's end, after all its steps
-        for (Outbox.Target target : config.tells) {
-            outboxes.add(new Outbox(target, config.folder.resolveSibling(config.folder.getFileName() + "-" + target.name() + ".dead"),
-                upTo -> loop.post(() -> delivered(target.name(), upTo)), what -> log.error("OUTBOX {}", what)));
-        }
-        engine.onlyWhile(seat::holds);
-        engine.start(this::tellAgain);
-        promises = new Promises(freezes, freezes.later(engine.wallMs()));
-        relays = new RelaysDoor(loop, config, tap, this);
-        vault = config.agents == null ? null : new Vault(config.folder.resolveSibling(config.folder.getFileName() + "-versions"), config.mostBytes);
-        http = new HttpDoor(config, this);
-        Exception[] wrong = new Exception[1];
-        CountDownLatch done = new CountDownLatch(1);
-        InetSocketAddress[] at = new InetSocketAddress[1];
-        loop.post(() -> {
-            try {
-                at[0] = relays.start();
-                if (config.agents != null) {
-                    agents = new AgentsDoor(loop, config, tap, this, vault);
-                    agentsAt = agents.start();
-                }
-            } catch (IOException e) {
-                wrong[0] = new IOException((at[0] == null ? config.relays : config.agents) + " can't be listened at: " + e.getMessage());
-            } finally {
-                done.countDown();
-            }
-        });
-        done.await();
-        if (wrong[0] != null) throw wrong[0];
-        try {
-            http.start();
-        } catch (RuntimeException e) {
-            throw new IOException(config.hooks + " or " + config.api + " can't be listened at: " + e.getMessage());
-        }
-        outboxes.forEach(Outbox::start);
-        loop.post(this::look);
-        relaysAt = at[0];
-        log.info("STARTED controller {}, epoch {}, {} inputs; relays at {}, webhooks at {}, operators at {}", config.name, engine.releases().epoch(),
-            engine.inputs(), at[0], http.hooksAt(), http.apiAt());
+  private static final Span LOOK = Span.ofMs(50); // whether time alone has changed anything
+
+  private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
+  private final DeskConfig config;
+  private final NioLoop loop;
+  private final Engine engine;
+  private final Promises promises;
+  private final RelaysDoor relays;
+  private final HttpDoor http;
+  private final Vault vault;
+  private AgentsDoor agents;
+  private InetSocketAddress agentsAt;
+  private final Seat seat;
+  private Leases leases;
+  private GranterDoor granter;
+  private final List<Outbox> outboxes = new ArrayList<>();
+  private final Map<String, Long> delivered = new ConcurrentHashMap<>();
+  private final Runnable replaced;
+  private final InetSocketAddress relaysAt;
+  private final AtomicBoolean promisesTold =
+      new AtomicBoolean(true); // false: relays are about to be; also set by the thread that starts
+  private boolean marked;
+  private volatile boolean stopped;
+  private volatile boolean lost;
+
+  /**
+   * Opens the files and all doors.
+   *
+   * @throws Exception if a file is damaged or an address can't be had; the message says which
+   */
+  public Desk(DeskConfig config, Engine.Clock clock, Tap tap, Runnable replaced) throws Exception {
+    this.replaced = replaced;
+    this.config = config;
+    String holder =
+        config.name
+            + "-"
+            + ProcessHandle.current().pid()
+            + "-"
+            + Long.toHexString(System.nanoTime());
+    loop = new NioLoop("controller", this::broken);
+    seat = seat(holder, tap, clock);
+    boolean told = false;
+    while (!seat.take()) {
+      if (!told) {
+        log.info("STANDBY {} waits for the seat at {}", holder, config.folder);
+      }
+      told = true;
+      Thread.sleep(50);
     }
-
-    /** By the store's folder, or by a lease where granters are configured; this process may be one of them. */
-    private Seat seat(String holder, Tap tap, Engine.Clock clock) throws Exception {
-        if (config.leases == null) return FolderSeat.in(config.folder, clock, config.lease, holder);
-        Leases.Log say = new Leases.Log() {
-            @Override
-            public void info(String what) {
-                log.info("LEASE {}", what);
-            }
-
-            @Override
-            public void warn(String what) {
-                log.warn("LEASE {}", what);
-            }
-        };
-        leases = new Leases(loop, config.leases, config.name, Leases.newLife(), tap, clock::wallMs, say);
-        SeatMark mark = SeatMark.in(config.folder);
-        Exception[] wrong = new Exception[1];
-        CountDownLatch done = new CountDownLatch(1);
-        loop.post(() -> {
-            try {
-                if (config.leases.granter() >= 0) {
-                    granter = new GranterDoor(loop, config.leases, config.name, tap, say);
-                    granter.start();
-                }
-                leases.start();
-            } catch (IOException e) {
-                wrong[0] = new IOException("granter " + config.leases.granter() + " can't listen: " + e.getMessage());
-            } finally {
-                done.countDown();
+    loop.post(this::renew); // from now on: to come back may take longer than the lease
+    Freezes freezes =
+        config.room == null
+            ? Freezes.none()
+            : new Freezes(config.freezes, config.room, ofFreezes());
+    engine =
+        Engine.in(
+            config.folder,
+            config.rules,
+            config.places,
+            config.firstBuild,
+            config.plan,
+            clock,
+            (release, step) -> {
+              log.info(
+                  "STEP {} build {} {} stage {}: {}",
+                  step.sequence(),
+                  release.build,
+                  step.standing(),
+                  step.stage(),
+                  step.cause());
+              outboxes.forEach(outbox -> outbox.add(release, step));
+            },
+            ofChanges(),
+            freezes,
+            what ->
+                log.error(
+                    "STORE {}", what)); // relays are told at the turn's end, after all its steps
+    for (Outbox.Target target : config.tells) {
+      outboxes.add(
+          new Outbox(
+              target,
+              config.folder.resolveSibling(
+                  config.folder.getFileName() + "-" + target.name() + ".dead"),
+              upTo -> loop.post(() -> delivered(target.name(), upTo)),
+              what -> log.error("OUTBOX {}", what)));
+    }
+    engine.onlyWhile(seat::holds);
+    engine.start(this::tellAgain);
+    promises = new Promises(freezes, freezes.later(engine.wallMs()));
+    relays = new RelaysDoor(loop, config, tap, this);
+    vault =
+        config.agents == null
+            ? null
+            : new Vault(
+                config.folder.resolveSibling(config.folder.getFileName() + "-versions"),
+                config.mostBytes);
+    http = new HttpDoor(config, this);
+    Exception[] wrong = new Exception[1];
+    CountDownLatch done = new CountDownLatch(1);
+    InetSocketAddress[] at = new InetSocketAddress[1];
+    loop.post(
+        () -> {
+          try {
+            at[0] = relays.start();
+            if (config.agents != null) {
+              agents = new AgentsDoor(loop, config, tap, this, vault);
+              agentsAt = agents.start();
             }
+          } catch (IOException e) {
+            wrong[0] =
+                new IOException(
+                    (at[0] == null ? config.relays : config.agents)
+                        + " can't be listened at: "
+                        + e.getMessage());
+          } finally {
+            done.countDown();
+          }
         });
-        done.await();
-        if (wrong[0] != null) throw wrong[0];
-        return new MajoritySeat(loop, leases, mark, "controller");
+    done.await();
+    if (wrong[0] != null) {
+      throw wrong[0];
     }
-
-    /** What the granters know; null: none are configured. */
-    Leases leases() {
-        return leases;
+    try {
+      http.start();
+    } catch (RuntimeException e) {
+      throw new IOException(
+          config.hooks + " or " + config.api + " can't be listened at: " + e.getMessage());
     }
-
-    /** Another controller has taken its place. */
-    public boolean isReplaced() {
-        return lost;
-    }
-
-    public InetSocketAddress relaysAt() {
-        return relaysAt;
+    outboxes.forEach(Outbox::start);
+    loop.post(this::look);
+    relaysAt = at[0];
+    log.info(
+        "STARTED controller {}, epoch {}, {} inputs; relays at {}, webhooks at {}, operators at {}",
+        config.name,
+        engine.releases().epoch(),
+        engine.inputs(),
+        at[0],
+        http.hooksAt(),
+        http.apiAt());
+  }
+
+  /**
+   * By the store's folder, or by a lease where granters are configured; this process may be one of
+   * them.
+   */
+  private Seat seat(String holder, Tap tap, Engine.Clock clock) throws Exception {
+    if (config.leases == null) {
+      return FolderSeat.in(config.folder, clock, config.lease, holder);
     }
-
-    public InetSocketAddress agentsAt() {
-        return agentsAt;
-    }
-
-    public InetSocketAddress hooksAt() {
-        return http.hooksAt();
-    }
-
-    public InetSocketAddress apiAt() {
-        return http.apiAt();
-    }
-
-    /** Programs and settings that agents can be told to run; null where this controller has no agents. */
-    Vault vault() {
-        return vault;
-    }
-
-    private Changes.Host ofChanges() {
-        return new Changes.Host() {
-            @Override
-            public void changed(Change change, Change.Step step) {
-                log.info("CHANGE {} step {}: {}, stage {}: {}", change.number, step.sequence(), step.state(), step.stage(), step.cause());
-                if (agents != null) agents.changed(change);
-            }
-
-            @Override
-            public void wants(ManagedRelay relay) {
-                if (agents != null) agents.wants(relay);
-            }
+    Leases.Log say =
+        new Leases.Log() {
+          @Override
+          public void info(String what) {
+            log.info("LEASE {}", what);
+          }
+
+          @Override
+          public void warn(String what) {
+            log.warn("LEASE {}", what);
+          }
         };
-    }
-
-    private Freezes.Host ofFreezes() {
-        return new Freezes.Host() {
-            @Override
-            public void changed(Freeze freeze, Freeze.Step step) {
-                if (!engine().replaying()) log.info("FREEZE {} of {} step {}: {}: {}", freeze.number, freeze.racks, step.sequence(), step.state(), step.cause());
+    leases =
+        new Leases(loop, config.leases, config.name, Leases.newLife(), tap, clock::wallMs, say);
+    SeatMark mark = SeatMark.in(config.folder);
+    Exception[] wrong = new Exception[1];
+    CountDownLatch done = new CountDownLatch(1);
+    loop.post(
+        () -> {
+          try {
+            if (config.leases.granter() >= 0) {
+              granter = new GranterDoor(loop, config.leases, config.name, tap, say);
+              granter.start();
             }
-
-            @Override
-            public void promisesChanged() {
-                // a start happens on another thread; a turn that moves many freezes is told once
-                if (!engine().replaying() && promisesTold.getAndSet(false)) loop.post(Desk.this::tellPromises);
-            }
-        };
-    }
-
-    private void tellPromises() {
-        promisesTold.set(true);
-        if (relays != null) relays.promisesChanged(); // else nobody is linked yet
-    }
-
-    /** What relays are promised; on the loop. */
-    Promises promises() {
-        return promises;
+            leases.start();
+          } catch (IOException e) {
+            wrong[0] =
+                new IOException(
+                    "granter " + config.leases.granter() + " can't listen: " + e.getMessage());
+          } finally {
+            done.countDown();
+          }
+        });
+    done.await();
+    if (wrong[0] != null) {
+      throw wrong[0];
     }
+    return new MajoritySeat(loop, leases, mark, "controller");
+  }
+
+  /** What the granters know; null: none are configured. */
+  Leases leases() {
+    return leases;
+  }
+
+  /** Another controller has taken its place. */
+  public boolean isReplaced() {
+    return lost;
+  }
+
+  public InetSocketAddress relaysAt() {
+    return relaysAt;
+  }
+
+  public InetSocketAddress agentsAt() {
+    return agentsAt;
+  }
+
+  public InetSocketAddress hooksAt() {
+    return http.hooksAt();
+  }
+
+  public InetSocketAddress apiAt() {
+    return http.apiAt();
+  }
+
+  /**
+   * Programs and settings that agents can be told to run; null where this controller has no agents.
+   */
+  Vault vault() {
+    return vault;
+  }
+
+  private Changes.Host ofChanges() {
+    return new Changes.Host() {
+      @Override
+      public void changed(Change change, Change.Step step) {
+        log.info(
+            "CHANGE {} step {}: {}, stage {}: {}",
+            change.number,
+            step.sequence(),
+            step.state(),
+            step.stage(),
+            step.cause());
+        if (agents != null) {
+          agents.changed(change);
+        }
+      }
 
-    /** Whether this controller acts, asked at the last instant before it promises anything. */
-    boolean holdsSeat() {
-        return seat.holds();
-    }
+      @Override
+      public void wants(ManagedRelay relay) {
+        if (agents != null) {
+          agents.wants(relay);
+        }
+      }
+    };
+  }
+
+  private Freezes.Host ofFreezes() {
+    return new Freezes.Host() {
+      @Override
+      public void changed(Freeze freeze, Freeze.Step step) {
+        if (!engine().replaying()) {
+          log.info(
+              "FREEZE {} of {} step {}: {}: {}",
+              freeze.number,
+              freeze.racks,
+              step.sequence(),
+              step.state(),
+              step.cause());
+        }
+      }
 
-    /** A relay has asked: some freeze may be in force by that. */
-    void lookAtFreezes() {
-        for (long number : promises.cleared(engine.freezes().later(engine.wallMs()))) {
-            submit(Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)), outcome -> { });
+      @Override
+      public void promisesChanged() {
+        // a start happens on another thread; a turn that moves many freezes is told once
+        if (!engine().replaying() && promisesTold.getAndSet(false)) {
+          loop.post(Desk.this::tellPromises);
         }
+      }
+    };
+  }
+
+  private void tellPromises() {
+    promisesTold.set(true);
+    if (relays != null) {
+      relays.promisesChanged(); // else nobody is linked yet
     }
-
-    Engine engine() {
-        return engine;
+  }
+
+  /** What relays are promised; on the loop. */
+  Promises promises() {
+    return promises;
+  }
+
+  /** Whether this controller acts, asked at the last instant before it promises anything. */
+  boolean holdsSeat() {
+    return seat.holds();
+  }
+
+  /** A relay has asked: some freeze may be in force by that. */
+  void lookAtFreezes() {
+    for (long number : promises.cleared(engine.freezes().later(engine.wallMs()))) {
+      submit(
+          Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
+          outcome -> {});
     }
-
-    Set<Integer> relays() {
-        return relays.relays();
+  }
+
+  Engine engine() {
+    return engine;
+  }
+
+  Set<Integer> relays() {
+    return relays.relays();
+  }
+
+  void broken(Throwable why) {
+    log.error("BROKEN {}", why.toString(), why);
+  }
+
+  /** On the loop, from any thread. */
+  void post(Runnable what) {
+    loop.post(what);
+  }
+
+  /** On the loop: kept at the turn's end, then it happens and is answered. */
+  void submit(Input.Builder input, Consumer<Engine.Outcome> done) {
+    engine.submit(input, done);
+    if (marked) {
+      return;
     }
-
-    void broken(Throwable why) {
-        log.error("BROKEN {}", why.toString(), why);
+    marked = true;
+    loop.atTurnsEnd(this::commit);
+  }
+
+  private void commit() {
+    marked = false;
+    long before = engine.releases().sequence();
+    engine.commit();
+    if (engine.releases().sequence() != before) {
+      relays.tellAll();
     }
-
-    /** On the loop, from any thread. */
-    void post(Runnable what) {
-        loop.post(what);
+  }
+
+  /** Steps of earlier lives that not every listener has taken yet. */
+  private void tellAgain() {
+    List<Map.Entry<Release, Release.Step>> again = new ArrayList<>();
+    for (Release release : engine.releases().all()) {
+      for (Release.Step step : release.steps()) {
+        if (step.sequence() > engine.releases().delivered()) {
+          again.add(Map.entry(release, step));
+        }
+      }
     }
-
-    /** On the loop: kept at the turn's end, then it happens and is answered. */
-    void submit(Input.Builder input, Consumer<Engine.Outcome> done) {
-        engine.submit(input, done);
-        if (marked) return;
-        marked = true;
-        loop.atTurnsEnd(this::commit);
+    again.sort(Comparator.comparingLong(one -> one.getValue().sequence()));
+    again.forEach(one -> outboxes.forEach(outbox -> outbox.add(one.getKey(), one.getValue())));
+  }
+
+  /** Steps are done with once every listener has them, or they were given up. */
+  private void delivered(String target, long upTo) {
+    delivered.put(target, upTo);
+    if (delivered.size() < outboxes.size()) {
+      return;
     }
-
-    private void commit() {
-        marked = false;
-        long before = engine.releases().sequence();
-        engine.commit();
-        if (engine.releases().sequence() != before) relays.tellAll();
+    long all = delivered.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    if (all > engine.releases().delivered()) {
+      submit(
+          Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(all)), outcome -> {});
     }
+  }
 
-    /** Steps of earlier lives that not every listener has taken yet. */
-    private void tellAgain() {
-        List<Map.Entry<Release, Release.Step>> again = new ArrayList<>();
-        for (Release release : engine.releases().all()) {
-            for (Release.Step step : release.steps()) if (step.sequence() > engine.releases().delivered()) again.add(Map.entry(release, step));
-        }
-        again.sort(Comparator.comparingLong(one -> one.getValue().sequence()));
-        again.forEach(one -> outboxes.forEach(outbox -> outbox.add(one.getKey(), one.getValue())));
+  private void renew() {
+    if (stopped) {
+      return;
     }
-
-    /** Steps are done with once every listener has them, or they were given up. */
-    private void delivered(String target, long upTo) {
-        delivered.put(target, upTo);
-        if (delivered.size() < outboxes.size()) return;
-        long all = delivered.values().stream().mapToLong(Long::longValue).min().orElse(0);
-        if (all > engine.releases().delivered()) submit(Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(all)), outcome -> { });
+    boolean holds;
+    try {
+      holds = seat.renew();
+    } catch (IOException e) {
+      log.error("LEASE can't be renewed: {}", e.getMessage());
+      holds = seat.holds(); // as long as its time is not over
     }
-
-    private void renew() {
-        if (stopped) return;
-        boolean holds;
-        try {
-            holds = seat.renew();
-        } catch (IOException e) {
-            log.error("LEASE can't be renewed: {}", e.getMessage());
-            holds = seat.holds(); // as long as its time is not over
-        }
-        if (!holds) {
-            log.error("LEASE lost: another controller acts, this one ends");
-            stopped = true;
-            lost = true;
-            replaced.run();
-            return;
-        }
-        loop.at(loop.now().plus(Seat.RENEW), this::renew);
+    if (!holds) {
+      log.error("LEASE lost: another controller acts, this one ends");
+      stopped = true;
+      lost = true;
+      replaced.run();
+      return;
     }
+    loop.at(loop.now().plus(Seat.RENEW), this::renew);
+  }
 
-    private void look() {
-        if (stopped) return;
-        if (engine.releases().due(engine.now()) || engine.changes().due(engine.now()) || engine.freezes().due(engine.wallMs())) commit();
-        lookAtFreezes();
-        loop.at(loop.now().plus(LOOK), this::look);
+  private void look() {
+    if (stopped) {
+      return;
     }
-
-    /** Answers what is under way, and ends. */
-    @Override
-    public void close() throws IOException {
-        http.stop();
-        stopped = true;
-        CountDownLatch done = new CountDownLatch(1);
-        loop.post(() -> {
-            relays.stop();
-            if (agents != null) agents.stop();
-            loop.at(loop.now().plus(Span.ofMs(100)), done::countDown);
+    if (engine.releases().due(engine.now())
+        || engine.changes().due(engine.now())
+        || engine.freezes().due(engine.wallMs())) {
+      commit();
+    }
+    lookAtFreezes();
+    loop.at(loop.now().plus(LOOK), this::look);
+  }
+
+  /** Answers what is under way, and ends. */
+  @Override
+  public void close() throws IOException {
+    http.stop();
+    stopped = true;
+    CountDownLatch done = new CountDownLatch(1);
+    loop.post(
+        () -> {
+          relays.stop();
+          if (agents != null) {
+            agents.stop();
+          }
+          loop.at(loop.now().plus(Span.ofMs(100)), done::countDown);
         });
-        try {
-            done.await();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        outboxes.forEach(Outbox::close);
-        engine.close();
-        seat.release();
-        CountDownLatch gone = new CountDownLatch(1);
-        loop.post(() -> {
-            if (granter != null) granter.stop();
-            loop.at(loop.now().plus(Span.ofMs(100)), gone::countDown); // what was given back goes out
+    try {
+      done.await();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+    outboxes.forEach(Outbox::close);
+    engine.close();
+    seat.release();
+    CountDownLatch gone = new CountDownLatch(1);
+    loop.post(
+        () -> {
+          if (granter != null) {
+            granter.stop();
+          }
+          loop.at(loop.now().plus(Span.ofMs(100)), gone::countDown); // what was given back goes out
         });
-        try {
-            gone.await();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-        loop.close();
-        log.info("FINISHED");
+    try {
+      gone.await();
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+    loop.close();
+    log.info("FINISHED");
+  }
 }
--- a/src/main/java/sprucerock/desk/DeskConfig.java
+++ b/src/main/java/sprucerock/desk/DeskConfig.java
@@ -24,188 +24,295 @@
 import sprucerock.freeze.Rack;
 import sprucerock.time.Span;
 
-/** The configuration of a controller, checked; controller.xsd names the units and the values used where one is left out. */
+/**
+ * The configuration of a controller, checked; controller.xsd names the units and the values used
+ * where one is left out.
+ */
 public final class DeskConfig {
-    /** Who may announce, and how it signs. */
-    public record Source(String name, Signatures.Form form, List<byte[]> secrets, int aSecond) {}
-
-    public final String name;
-    public final Path folder;
-    public final int firstBuild;
-    /** Units that the fleet has. */
-    public final int places;
-    public final InetSocketAddress relays;
-    public final int mostRelays;
-    public final long unsent;
-    public final Span tellEvery;
-    public final InetSocketAddress hooks;
-    public final int body;
-    public final Span window;
-    public final int atOnce;
-    public final Span readWithin;
-    public final Map<String, Source> sources;
-    public final InetSocketAddress api;
-    public final String token;
-    public final List<Outbox.Target> tells;
-    /** How long an active controller may be silent before another one takes its place. */
-    public final Span lease;
-    public final Rules rules;
-    /** Racks that can be frozen, and the room that has to be left; null: none. */
-    public final Headroom room;
-    public final Freezes.Rules freezes;
-    /** Granters of leases, by which the seat is had; null: the store's folder gives it. */
-    public final LeaseConfig leases;
-    /** Where agents come; null: what relays run is not this controller's to change. */
-    public final InetSocketAddress agents;
-    public final int mostAgents;
-    public final int piecesASecond;
-    /** Where files of new versions are put for it; null as above. */
-    public final Path incoming;
-    /** Bytes of one file of a version. */
-    public final long mostBytes;
-    public final Plan plan;
-
-    // What a relay is told once, 14 bytes each, fits the frames and the bytes unsent that links have unless they are set lower; a
-    // fleet of 120,000 units has some 3,000.
-    private static final int MOST_RACKS = 10_000;
-    private static final int CANDIDATE = 65_000; // among those who stand for leases; far over relays' numbers
-
-    /** Reads and checks a file; the first thing that is wrong ends it. */
-    public static DeskConfig read(Path file) throws ConfigException {
-        return new DeskConfig(Node.read(file, "/sprucerock/controller.xsd"));
-    }
+  /** Who may announce, and how it signs. */
+  public record Source(String name, Signatures.Form form, List<byte[]> secrets, int aSecond) {}
 
-    private DeskConfig(Node root) throws ConfigException {
-        name = root.text("name");
-        folder = Path.of(root.text("folder"));
-        firstBuild = root.count("first-build");
-        places = root.count("places");
-        if (firstBuild > 65_535) throw root.wrong("first-build is 65535 at most");
-        Node relayNode = root.child("relays");
-        relays = address(relayNode);
-        mostRelays = relayNode.count("most");
-        unsent = relayNode.bytes("unsent");
-        tellEvery = relayNode.span("tell-every");
-        Node hookNode = root.child("hooks");
-        hooks = address(hookNode);
-        body = (int) Math.min(hookNode.bytes("body"), 16 << 20);
-        window = hookNode.span("window");
-        atOnce = hookNode.count("at-once");
-        readWithin = hookNode.span("read-within");
-        Map<String, Source> found = new TreeMap<>();
-        for (Node node : hookNode.all("source")) {
-            Signatures.Form form = Signatures.Form.valueOf(node.text("form").toUpperCase(Locale.ROOT));
-            List<byte[]> secrets;
-            try {
-                secrets = Signatures.secrets(secret(node, "secrets"), form);
-            } catch (IllegalArgumentException e) {
-                throw node.wrong("secrets: a line of " + node.text("secrets") + " is no base64");
-            }
-            if (secrets.isEmpty()) throw node.wrong("secrets: " + node.text("secrets") + " holds none");
-            if (found.put(node.text("name"), new Source(node.text("name"), form, secrets, node.count("a-second"))) != null) throw node.wrong("named twice");
-        }
-        sources = found;
-        Node apiNode = root.child("api");
-        api = address(apiNode);
-        token = secret(apiNode, "token").strip();
-        if (token.length() < 16) throw apiNode.wrong("token: " + apiNode.text("token") + " holds fewer than 16 characters");
-        List<Outbox.Target> targets = new ArrayList<>();
-        for (Node node : root.all("tell")) {
-            URI url;
-            try {
-                url = URI.create(node.text("url"));
-            } catch (IllegalArgumentException e) {
-                throw node.wrong("url is none: " + e.getMessage());
-            }
-            if (!"http".equals(url.getScheme()) && !"https".equals(url.getScheme())) throw node.wrong("url begins with http:// or https://");
-            try {
-                targets.add(new Outbox.Target(node.text("name"), url, Signatures.secrets(secret(node, "secret"), Signatures.Form.STANDARD).get(0),
-                    Duration.ofMillis((long) node.span("give-up").ms())));
-            } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-                throw node.wrong("secret: " + node.text("secret") + " holds no base64");
-            }
-        }
-        tells = List.copyOf(targets);
-        lease = root.span("lease");
-        if (Span.ofMs(500).over(lease)) throw root.wrong("lease is 500ms at least");
-        leases = LeaseConfig.of(root.child("leases"), CANDIDATE);
-        Node racks = root.child("racks");
-        room = racks == null ? null : room(racks);
-        freezes = racks == null ? null : freezes(racks);
-        Node agentsNode = root.child("agents");
-        agents = agentsNode == null ? null : address(agentsNode);
-        mostAgents = agentsNode == null ? 1 : agentsNode.count("most");
-        piecesASecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
-        mostBytes = agentsNode == null ? 0 : agentsNode.bytes("most-bytes");
-        incoming = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
-        plan = plan(agentsNode);
-        List<Rules.Stage> stages = root.all("stage").stream().map(stage -> new Rules.Stage(stage.number("share"), stage.number("cap"))).toList();
-        Node votes = root.child("votes");
-        rules = new Rules(stages, Rules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)), votes.count("on"), votes.count("hold"),
-            votes.count("back"), votes.span("life"), votes.span("least"), votes.span("step"), votes.span("start-within"), votes.span("going-back"),
-            votes.span("watch"), votes.count("a-second"));
+  public final String name;
+  public final Path folder;
+  public final int firstBuild;
+
+  /** Units that the fleet has. */
+  public final int places;
+
+  public final InetSocketAddress relays;
+  public final int mostRelays;
+  public final long unsent;
+  public final Span tellEvery;
+  public final InetSocketAddress hooks;
+  public final int body;
+  public final Span window;
+  public final int atOnce;
+  public final Span readWithin;
+  public final Map<String, Source> sources;
+  public final InetSocketAddress api;
+  public final String token;
+  public final List<Outbox.Target> tells;
+
+  /** How long an active controller may be silent before another one takes its place. */
+  public final Span lease;
+
+  public final Rules rules;
+
+  /** Racks that can be frozen, and the room that has to be left; null: none. */
+  public final Headroom room;
+
+  public final Freezes.Rules freezes;
+
+  /** Granters of leases, by which the seat is had; null: the store's folder gives it. */
+  public final LeaseConfig leases;
+
+  /** Where agents come; null: what relays run is not this controller's to change. */
+  public final InetSocketAddress agents;
+
+  public final int mostAgents;
+  public final int piecesASecond;
+
+  /** Where files of new versions are put for it; null as above. */
+  public final Path incoming;
+
+  /** Bytes of one file of a version. */
+  public final long mostBytes;
+
+  public final Plan plan;
+
+  // What a relay is told once, 14 bytes each, fits the frames and the bytes unsent that links have
+  // unless they are set lower; a
+  // fleet of 120,000 units has some 3,000.
+  private static final int MOST_RACKS = 10_000;
+  private static final int CANDIDATE =
+      65_000; // among those who stand for leases; far over relays' numbers
+
+  /** Reads and checks a file; the first thing that is wrong ends it. */
+  public static DeskConfig read(Path file) throws ConfigException {
+    return new DeskConfig(Node.read(file, "/sprucerock/controller.xsd"));
+  }
+
+  private DeskConfig(Node root) throws ConfigException {
+    name = root.text("name");
+    folder = Path.of(root.text("folder"));
+    firstBuild = root.count("first-build");
+    places = root.count("places");
+    if (firstBuild > 65_535) {
+      throw root.wrong("first-build is 65535 at most");
+    }
+    Node relayNode = root.child("relays");
+    relays = address(relayNode);
+    mostRelays = relayNode.count("most");
+    unsent = relayNode.bytes("unsent");
+    tellEvery = relayNode.span("tell-every");
+    Node hookNode = root.child("hooks");
+    hooks = address(hookNode);
+    body = (int) Math.min(hookNode.bytes("body"), 16 << 20);
+    window = hookNode.span("window");
+    atOnce = hookNode.count("at-once");
+    readWithin = hookNode.span("read-within");
+    Map<String, Source> found = new TreeMap<>();
+    for (Node node : hookNode.all("source")) {
+      Signatures.Form form = Signatures.Form.valueOf(node.text("form").toUpperCase(Locale.ROOT));
+      List<byte[]> secrets;
+      try {
+        secrets = Signatures.secrets(secret(node, "secrets"), form);
+      } catch (IllegalArgumentException e) {
+        throw node.wrong("secrets: a line of " + node.text("secrets") + " is no base64");
+      }
+      if (secrets.isEmpty()) {
+        throw node.wrong("secrets: " + node.text("secrets") + " holds none");
+      }
+      if (found.put(
+              node.text("name"),
+              new Source(node.text("name"), form, secrets, node.count("a-second")))
+          != null) {
+        throw node.wrong("named twice");
+      }
+    }
+    sources = found;
+    Node apiNode = root.child("api");
+    api = address(apiNode);
+    token = secret(apiNode, "token").strip();
+    if (token.length() < 16) {
+      throw apiNode.wrong("token: " + apiNode.text("token") + " holds fewer than 16 characters");
+    }
+    List<Outbox.Target> targets = new ArrayList<>();
+    for (Node node : root.all("tell")) {
+      URI url;
+      try {
+        url = URI.create(node.text("url"));
+      } catch (IllegalArgumentException e) {
+        throw node.wrong("url is none: " + e.getMessage());
+      }
+      if (!"http".equals(url.getScheme()) && !"https".equals(url.getScheme())) {
+        throw node.wrong("url begins with http:// or https://");
+      }
+      try {
+        targets.add(
+            new Outbox.Target(
+                node.text("name"),
+                url,
+                Signatures.secrets(secret(node, "secret"), Signatures.Form.STANDARD).get(0),
+                Duration.ofMillis((long) node.span("give-up").ms())));
+      } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
+        throw node.wrong("secret: " + node.text("secret") + " holds no base64");
+      }
+    }
+    tells = List.copyOf(targets);
+    lease = root.span("lease");
+    if (Span.ofMs(500).over(lease)) {
+      throw root.wrong("lease is 500ms at least");
     }
+    leases = LeaseConfig.of(root.child("leases"), CANDIDATE);
+    Node racks = root.child("racks");
+    room = racks == null ? null : room(racks);
+    freezes = racks == null ? null : freezes(racks);
+    Node agentsNode = root.child("agents");
+    agents = agentsNode == null ? null : address(agentsNode);
+    mostAgents = agentsNode == null ? 1 : agentsNode.count("most");
+    piecesASecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
+    mostBytes = agentsNode == null ? 0 : agentsNode.bytes("most-bytes");
+    incoming = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
+    plan = plan(agentsNode);
+    List<Rules.Stage> stages =
+        root.all("stage").stream()
+            .map(stage -> new Rules.Stage(stage.number("share"), stage.number("cap")))
+            .toList();
+    Node votes = root.child("votes");
+    rules =
+        new Rules(
+            stages,
+            Rules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)),
+            votes.count("on"),
+            votes.count("hold"),
+            votes.count("back"),
+            votes.span("life"),
+            votes.span("least"),
+            votes.span("step"),
+            votes.span("start-within"),
+            votes.span("going-back"),
+            votes.span("watch"),
+            votes.count("a-second"));
+  }
 
-    /** Without agents there is a plan too, which nobody goes by. */
-    private static Plan plan(Node node) throws ConfigException {
-        if (node == null) return new Plan(List.of(new Plan.Stage(1, 0.1)), Span.ofMs(1), Span.ofMs(1), Span.ofMs(1), 1, 0, Span.ofMs(1));
-        List<Plan.Stage> stages = new ArrayList<>();
-        for (Node stage : node.all("change-stage")) stages.add(new Plan.Stage(stage.number("share"), stage.number("harm")));
-        try {
-            return new Plan(stages, node.span("watch"), node.span("patience"), node.span("ready-within"), node.number("out"), node.number("refused"), node.span("silent"));
-        } catch (IllegalArgumentException e) {
-            throw node.wrong(e.getMessage());
-        }
+  /** Without agents there is a plan too, which nobody goes by. */
+  private static Plan plan(Node node) throws ConfigException {
+    if (node == null) {
+      return new Plan(
+          List.of(new Plan.Stage(1, 0.1)),
+          Span.ofMs(1),
+          Span.ofMs(1),
+          Span.ofMs(1),
+          1,
+          0,
+          Span.ofMs(1));
+    }
+    List<Plan.Stage> stages = new ArrayList<>();
+    for (Node stage : node.all("change-stage")) {
+      stages.add(new Plan.Stage(stage.number("share"), stage.number("harm")));
     }
+    try {
+      return new Plan(
+          stages,
+          node.span("watch"),
+          node.span("patience"),
+          node.span("ready-within"),
+          node.number("out"),
+          node.number("refused"),
+          node.span("silent"));
+    } catch (IllegalArgumentException e) {
+      throw node.wrong(e.getMessage());
+    }
+  }
 
-    private static Headroom room(Node node) throws ConfigException {
-        Map<String, Rack> racks = new TreeMap<>();
-        Set<Integer> places = new java.util.HashSet<>();
-        for (Node one : node.all("rack")) {
-            Map<Integer, Double> units = new TreeMap<>();
-            for (Node some : one.all("units")) if (units.put(some.count("kind"), (double) some.count("count")) != null) throw some.wrong("kind " + some.text("kind") + " is named twice");
-            Rack rack = new Rack(one.text("name"), one.count("zone"), one.count("cell"), units, (long) (one.has("notice") ? one : node).span("notice").ms());
-            if (racks.put(rack.name(), rack) != null) throw one.wrong("two racks have one name");
-            if (rack.noticeMs() <= 0) throw one.wrong("notice is over 0");
-            if (rack.zone() > 32_767) throw one.wrong("a zone is 0 to 32767");
-            if (!places.add(rack.zone() << 16 | rack.cell())) throw one.wrong("two racks have one zone and cell");
-            if (racks.size() > MOST_RACKS) throw one.wrong("more than " + MOST_RACKS + " racks");
-        }
-        Map<Integer, Headroom.Forecast> forecasts = new TreeMap<>();
-        for (Node one : node.all("forecast")) {
-            String[] words = one.text("by-hour").trim().split("\\s+");
-            if (words.length != 24) throw one.wrong("by-hour has a number for each of the 24 hours of the day in UTC, not " + words.length);
-            double[] byHour = new double[24];
-            for (int i = 0; i < 24; i++) byHour[i] = Double.parseDouble(words[i]);
-            if (forecasts.put(one.count("zone"), new Headroom.Forecast(one.count("kind"), one.count("method"), byHour)) != null) throw one.wrong("a zone has two forecasts");
+  private static Headroom room(Node node) throws ConfigException {
+    Map<String, Rack> racks = new TreeMap<>();
+    Set<Integer> places = new java.util.HashSet<>();
+    for (Node one : node.all("rack")) {
+      Map<Integer, Double> units = new TreeMap<>();
+      for (Node some : one.all("units")) {
+        if (units.put(some.count("kind"), (double) some.count("count")) != null) {
+          throw some.wrong("kind " + some.text("kind") + " is named twice");
         }
-        return new Headroom(racks.values(), forecasts, node.number("reserve"));
+      }
+      Rack rack =
+          new Rack(
+              one.text("name"),
+              one.count("zone"),
+              one.count("cell"),
+              units,
+              (long) (one.has("notice") ? one : node).span("notice").ms());
+      if (racks.put(rack.name(), rack) != null) {
+        throw one.wrong("two racks have one name");
+      }
+      if (rack.noticeMs() <= 0) {
+        throw one.wrong("notice is over 0");
+      }
+      if (rack.zone() > 32_767) {
+        throw one.wrong("a zone is 0 to 32767");
+      }
+      if (!places.add(rack.zone() << 16 | rack.cell())) {
+        throw one.wrong("two racks have one zone and cell");
+      }
+      if (racks.size() > MOST_RACKS) {
+        throw one.wrong("more than " + MOST_RACKS + " racks");
+      }
     }
+    Map<Integer, Headroom.Forecast> forecasts = new TreeMap<>();
+    for (Node one : node.all("forecast")) {
+      String[] words = one.text("by-hour").trim().split("\\s+");
+      if (words.length != 24) {
+        throw one.wrong(
+            "by-hour has a number for each of the 24 hours of the day in UTC, not " + words.length);
+      }
+      double[] byHour = new double[24];
+      for (int i = 0; i < 24; i++) {
+        byHour[i] = Double.parseDouble(words[i]);
+      }
+      if (forecasts.put(
+              one.count("zone"),
+              new Headroom.Forecast(one.count("kind"), one.count("method"), byHour))
+          != null) {
+        throw one.wrong("a zone has two forecasts");
+      }
+    }
+    return new Headroom(racks.values(), forecasts, node.number("reserve"));
+  }
 
-    private static Freezes.Rules freezes(Node node) throws ConfigException {
-        try {
-            return new Freezes.Rules((long) node.span("warm").ms(), (long) node.span("step").ms(), node.number("confidence"));
-        } catch (IllegalArgumentException e) {
-            throw node.wrong(e.getMessage());
-        }
+  private static Freezes.Rules freezes(Node node) throws ConfigException {
+    try {
+      return new Freezes.Rules(
+          (long) node.span("warm").ms(), (long) node.span("step").ms(), node.number("confidence"));
+    } catch (IllegalArgumentException e) {
+      throw node.wrong(e.getMessage());
     }
+  }
 
-    private static InetSocketAddress address(Node node) throws ConfigException {
-        InetSocketAddress address = Address.of(node.text("host"), node.count("port"));
-        if (address == null) throw node.wrong("host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
-        return address;
+  private static InetSocketAddress address(Node node) throws ConfigException {
+    InetSocketAddress address = Address.of(node.text("host"), node.count("port"));
+    if (address == null) {
+      throw node.wrong("host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
     }
+    return address;
+  }
 
-    /** A secret that others may read is none. */
-    private static String secret(Node node, String key) throws ConfigException {
-        Path file = Path.of(node.text(key));
-        try {
-            Set<PosixFilePermission> open = Files.getPosixFilePermissions(file);
-            open.removeAll(Set.of(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE, PosixFilePermission.OWNER_EXECUTE));
-            if (!open.isEmpty()) throw node.wrong(key + ": " + file + " is open to others than its owner; chmod 600 it");
-            return Files.readString(file);
-        } catch (IOException e) {
-            throw node.wrong(key + ": " + file + " can't be read: " + e.getClass().getSimpleName());
-        }
+  /** A secret that others may read is none. */
+  private static String secret(Node node, String key) throws ConfigException {
+    Path file = Path.of(node.text(key));
+    try {
+      Set<PosixFilePermission> open = Files.getPosixFilePermissions(file);
+      open.removeAll(
+          Set.of(
+              PosixFilePermission.OWNER_READ,
+              PosixFilePermission.OWNER_WRITE,
+              PosixFilePermission.OWNER_EXECUTE));
+      if (!open.isEmpty()) {
+        throw node.wrong(key + ": " + file + " is open to others than its owner; chmod 600 it");
+      }
+      return Files.readString(file);
+    } catch (IOException e) {
+      throw node.wrong(key + ": " + file + " can't be read: " + e.getClass().getSimpleName());
     }
+  }
 }
--- a/src/main/java/sprucerock/desk/MajoritySeat.java
+++ b/src/main/java/sprucerock/desk/MajoritySeat.java
@@ -10,122 +10,138 @@
 import sprucerock.net.nio.NioLoop;
 
 /**
- * The controller's seat by a lease that a majority grants: no clock of a file server has a part in it. Where it lands, in the store's
- * folder, each holder leaves its number, and who comes with a lower one gives up; each start writes files of its own, so that what a
- * former holder still writes is never read. Calls but for {@link #take} and {@link #release} come on the loop's thread.
+ * The controller's seat by a lease that a majority grants: no clock of a file server has a part in
+ * it. Where it lands, in the store's folder, each holder leaves its number, and who comes with a
+ * lower one gives up; each start writes files of its own, so that what a former holder still writes
+ * is never read. Calls but for {@link #take} and {@link #release} come on the loop's thread.
  */
 final class MajoritySeat implements Seat {
-    private final NioLoop loop;
-    private final Leases leases;
-    private final SeatMark mark;
-    private final String name;
-    private Guard guard;
-    private boolean held;
-    private boolean taken;
-    private boolean lost;
+  private final NioLoop loop;
+  private final Leases leases;
+  private final SeatMark mark;
+  private final String name;
+  private Guard guard;
+  private boolean held;
+  private boolean taken;
+  private boolean lost;
 
-    MajoritySeat(NioLoop loop, Leases leases, SeatMark mark, String name) {
-        this.loop = loop;
-        this.leases = leases;
-        this.mark = mark;
-        this.name = name;
-        loop.post(this::stand);
-    }
+  MajoritySeat(NioLoop loop, Leases leases, SeatMark mark, String name) {
+    this.loop = loop;
+    this.leases = leases;
+    this.mark = mark;
+    this.name = name;
+    loop.post(this::stand);
+  }
 
-    private void stand() {
-        guard = leases.stand(name, new Leases.Task() {
-            @Override
-            public void begun(Guard by) {
+  private void stand() {
+    guard =
+        leases.stand(
+            name,
+            new Leases.Task() {
+              @Override
+              public void begun(Guard by) {
                 held = true;
-            }
+              }
 
-            @Override
-            public void ended(String why) {
+              @Override
+              public void ended(String why) {
                 held = false;
                 lost |= taken;
-            }
-        });
-    }
+              }
+            });
+  }
 
-    private <T> T onLoop(Supplier<T> what) throws IOException {
-        CountDownLatch done = new CountDownLatch(1);
-        Object[] answer = new Object[1];
-        loop.post(() -> {
-            try {
-                answer[0] = what.get();
-            } finally {
-                done.countDown();
-            }
+  private <T> T onLoop(Supplier<T> what) throws IOException {
+    CountDownLatch done = new CountDownLatch(1);
+    Object[] answer = new Object[1];
+    loop.post(
+        () -> {
+          try {
+            answer[0] = what.get();
+          } finally {
+            done.countDown();
+          }
         });
-        try {
-            done.await();
-        } catch (InterruptedException e) {
-            throw new IOException("interrupted while it waited for the seat");
-        }
-        @SuppressWarnings("unchecked")
-        T typed = (T) answer[0];
-        return typed;
+    try {
+      done.await();
+    } catch (InterruptedException e) {
+      throw new IOException("interrupted while it waited for the seat");
     }
+    @SuppressWarnings("unchecked")
+    T typed = (T) answer[0];
+    return typed;
+  }
 
-    @Override
-    public boolean take() throws IOException {
-        String[] wrong = new String[1];
-        boolean is = onLoop(() -> {
-            if (!held || !guard.held()) return false;
-            try {
+  @Override
+  public boolean take() throws IOException {
+    String[] wrong = new String[1];
+    boolean is =
+        onLoop(
+            () -> {
+              if (!held || !guard.held()) {
+                return false;
+              }
+              try {
                 // the disk may take long: the guard is asked again behind it
                 boolean[] first = {false};
                 boolean may = guard.act(number -> first[0] = takeFolder(number));
                 taken = may && first[0] && guard.held();
-            } catch (java.io.UncheckedIOException e) {
+              } catch (java.io.UncheckedIOException e) {
                 wrong[0] = e.getCause().getMessage();
-            }
-            return taken;
-        });
-        if (wrong[0] != null) throw new IOException(wrong[0]);
-        return is;
+              }
+              return taken;
+            });
+    if (wrong[0] != null) {
+      throw new IOException(wrong[0]);
     }
+    return is;
+  }
 
-    private boolean takeFolder(long number) {
-        try {
-            if (mark.take(number)) return true;
-            guard.refused(mark.highest());
-        } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
-        }
-        leases.leave(name, -1); // granters forgot their numbers: it is asked for under a higher one
-        stand();
-        return false;
+  private boolean takeFolder(long number) {
+    try {
+      if (mark.take(number)) {
+        return true;
+      }
+      guard.refused(mark.highest());
+    } catch (IOException e) {
+      throw new java.io.UncheckedIOException(e);
     }
+    leases.leave(name, -1); // granters forgot their numbers: it is asked for under a higher one
+    stand();
+    return false;
+  }
 
-    @Override
-    public boolean holds() {
-        return taken && !lost && guard.held();
-    }
+  @Override
+  public boolean holds() {
+    return taken && !lost && guard.held();
+  }
 
-    @Override
-    public boolean renew() throws IOException {
-        if (!holds()) return false;
-        boolean[] first = {false};
-        boolean may = guard.act(number -> first[0] = isHighest(number));
-        lost |= !may || !first[0];
-        return !lost;
+  @Override
+  public boolean renew() throws IOException {
+    if (!holds()) {
+      return false;
     }
+    boolean[] first = {false};
+    boolean may = guard.act(number -> first[0] = isHighest(number));
+    lost |= !may || !first[0];
+    return !lost;
+  }
 
-    private boolean isHighest(long number) {
-        try {
-            return mark.highest() == number;
-        } catch (IOException e) {
-            return true; // not known: time still guards, and the store says by itself what it can't write
-        }
+  private boolean isHighest(long number) {
+    try {
+      return mark.highest() == number;
+    } catch (IOException e) {
+      return true; // not known: time still guards, and the store says by itself what it can't write
     }
+  }
 
-    @Override
-    public void release() throws IOException {
-        onLoop(() -> {
-            taken = false;
-            leases.stop();
-            return null;
+  @Override
+  public void release() throws IOException {
+    onLoop(
+        () -> {
+          taken = false;
+          leases.stop();
+          return null;
         });
-    }
+  }
 }
--- a/src/main/java/sprucerock/desk/Outbox.java
+++ b/src/main/java/sprucerock/desk/Outbox.java
@@ -19,125 +19,174 @@
 import sprucerock.controller.Release;
 
 /**
- * Tells one listener of each step by a signed webhook, in their order, at least once each: the next one goes out once the one before was
- * taken, or was given up and written into a file of dead letters. It has a thread and a bounded queue of its own and never holds
- * the controller up.
+ * Tells one listener of each step by a signed webhook, in their order, at least once each: the next
+ * one goes out once the one before was taken, or was given up and written into a file of dead
+ * letters. It has a thread and a bounded queue of its own and never holds the controller up.
  */
 final class Outbox implements AutoCloseable {
-    /** Where to, signed with what; {@code giveUp}: how long one is tried. */
-    record Target(String name, URI url, byte[] secret, Duration giveUp) {}
+  /** Where to, signed with what; {@code giveUp}: how long one is tried. */
+  record Target(String name, URI url, byte[] secret, Duration giveUp) {}
 
-    private record Letter(long sequence, String body) {}
+  private record Letter(long sequence, String body) {}
 
-    private static final int MOST = 10_000;
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
-    private static final long FIRST_PAUSE_MS = 200;
-    private static final long MOST_PAUSE_MS = 60_000;
+  private static final int MOST = 10_000;
+  private static final Duration PATIENCE = Duration.ofSeconds(5);
+  private static final long FIRST_PAUSE_MS = 200;
+  private static final long MOST_PAUSE_MS = 60_000;
 
-    private final Target target;
-    private final Path deadLetters;
-    private final LongConsumer done;
-    private final Consumer<String> say;
-    private final HttpClient http = HttpClient.newBuilder().connectTimeout(PATIENCE).followRedirects(HttpClient.Redirect.NEVER).build();
-    private final ArrayDeque<Letter> queue = new ArrayDeque<>();
-    private final Thread thread;
-    private volatile boolean over;
+  private final Target target;
+  private final Path deadLetters;
+  private final LongConsumer done;
+  private final Consumer<String> say;
+  private final HttpClient http =
+      HttpClient.newBuilder()
+          .connectTimeout(PATIENCE)
+          .followRedirects(HttpClient.Redirect.NEVER)
+          .build();
+  private final ArrayDeque<Letter> queue = new ArrayDeque<>();
+  private final Thread thread;
+  private volatile boolean over;
 
-    /** {@code done} is told, on this one's thread, of each step that need not be told again. */
-    Outbox(Target target, Path deadLetters, LongConsumer done, Consumer<String> say) {
-        this.target = target;
-        this.deadLetters = deadLetters;
-        this.done = done;
-        this.say = say;
-        thread = new Thread(this::run, "outbox-" + target.name);
-        thread.setDaemon(true);
-    }
+  /** {@code done} is told, on this one's thread, of each step that need not be told again. */
+  Outbox(Target target, Path deadLetters, LongConsumer done, Consumer<String> say) {
+    this.target = target;
+    this.deadLetters = deadLetters;
+    this.done = done;
+    this.say = say;
+    thread = new Thread(this::run, "outbox-" + target.name);
+    thread.setDaemon(true);
+  }
+
+  void start() {
+    thread.start();
+  }
 
-    void start() {
-        thread.start();
+  /**
+   * A step to be told. From any thread; where too many wait, the oldest one becomes a dead letter.
+   */
+  void add(Release release, Release.Step step) {
+    ObjectNode body =
+        Announcements.JSON
+            .createObjectNode()
+            .put("type", "release.changed")
+            .put("sequence", step.sequence())
+            .put("build", release.build)
+            .put("artifact", release.artifact)
+            .put("standing", step.standing().name().toLowerCase(Locale.ROOT))
+            .put("stage", step.stage())
+            .put("cause", step.cause())
+            .put("at", Instant.ofEpochMilli(step.wallMs()).toString());
+    Letter lost = null;
+    synchronized (queue) {
+      if (queue.size() >= MOST) {
+        lost = queue.poll();
+      }
+      queue.add(new Letter(step.sequence(), body.toString()));
+      queue.notifyAll();
+    }
+    if (lost != null) {
+      bury(lost, "too many wait");
     }
+  }
 
-    /** A step to be told. From any thread; where too many wait, the oldest one becomes a dead letter. */
-    void add(Release release, Release.Step step) {
-        ObjectNode body = Announcements.JSON.createObjectNode().put("type", "release.changed").put("sequence", step.sequence()).put("build", release.build)
-            .put("artifact", release.artifact).put("standing", step.standing().name().toLowerCase(Locale.ROOT)).put("stage", step.stage())
-            .put("cause", step.cause()).put("at", Instant.ofEpochMilli(step.wallMs()).toString());
-        Letter lost = null;
-        synchronized (queue) {
-            if (queue.size() >= MOST) lost = queue.poll();
-            queue.add(new Letter(step.sequence(), body.toString()));
-            queue.notifyAll();
-        }
-        if (lost != null) bury(lost, "too many wait");
+  /** How many wait. */
+  int waiting() {
+    synchronized (queue) {
+      return queue.size();
     }
+  }
 
-    /** How many wait. */
-    int waiting() {
+  private void run() {
+    try {
+      while (!over) {
+        Letter next;
         synchronized (queue) {
-            return queue.size();
+          while (queue.isEmpty()) {
+            queue.wait();
+          }
+          next = queue.peek();
         }
-    }
-
-    private void run() {
-        try {
-            while (!over) {
-                Letter next;
-                synchronized (queue) {
-                    while (queue.isEmpty()) queue.wait();
-                    next = queue.peek();
-                }
-                deliver(next);
-                synchronized (queue) {
-                    queue.remove(next);
-                }
-                done.accept(next.sequence);
-            }
-        } catch (InterruptedException e) {
-            // the controller ends: what waits is told after the next start
+        deliver(next);
+        synchronized (queue) {
+          queue.remove(next);
         }
+        done.accept(next.sequence);
+      }
+    } catch (InterruptedException e) {
+      // the controller ends: what waits is told after the next start
     }
+  }
 
-    private void deliver(Letter letter) throws InterruptedException {
-        long until = System.nanoTime() + target.giveUp.toNanos();
-        long pause = FIRST_PAUSE_MS;
-        for (String why = send(letter); why != null; why = send(letter)) {
-            if (System.nanoTime() - until > 0) {
-                bury(letter, why);
-                return;
-            }
-            Thread.sleep(pause);
-            pause = Math.min(MOST_PAUSE_MS, 2 * pause);
-        }
+  private void deliver(Letter letter) throws InterruptedException {
+    long until = System.nanoTime() + target.giveUp.toNanos();
+    long pause = FIRST_PAUSE_MS;
+    for (String why = send(letter); why != null; why = send(letter)) {
+      if (System.nanoTime() - until > 0) {
+        bury(letter, why);
+        return;
+      }
+      Thread.sleep(pause);
+      pause = Math.min(MOST_PAUSE_MS, 2 * pause);
     }
+  }
 
-    /** Null once it is taken; else why not. */
-    private String send(Letter letter) throws InterruptedException {
-        String id = "step-" + letter.sequence;
-        long now = System.currentTimeMillis() / 1000;
-        byte[] body = letter.body.getBytes(StandardCharsets.UTF_8);
-        HttpRequest request = HttpRequest.newBuilder(target.url).timeout(PATIENCE).header("Content-Type", "application/json").header("webhook-id", id)
-            .header("webhook-timestamp", "" + now).header("webhook-signature", Signatures.sign(Signatures.Form.STANDARD, id, now, body, target.secret))
-            .POST(HttpRequest.BodyPublishers.ofByteArray(body)).build();
-        try {
-            int status = http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
-            return status >= 200 && status < 300 ? null : "status " + status;
-        } catch (IOException e) {
-            return e.getClass().getSimpleName();
-        }
+  /** Null once it is taken; else why not. */
+  private String send(Letter letter) throws InterruptedException {
+    String id = "step-" + letter.sequence;
+    long now = System.currentTimeMillis() / 1000;
+    byte[] body = letter.body.getBytes(StandardCharsets.UTF_8);
+    HttpRequest request =
+        HttpRequest.newBuilder(target.url)
+            .timeout(PATIENCE)
+            .header("Content-Type", "application/json")
+            .header("webhook-id", id)
+            .header("webhook-timestamp", "" + now)
+            .header(
+                "webhook-signature",
+                Signatures.sign(Signatures.Form.STANDARD, id, now, body, target.secret))
+            .POST(HttpRequest.BodyPublishers.ofByteArray(body))
+            .build();
+    try {
+      int status = http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
+      return status >= 200 && status < 300 ? null : "status " + status;
+    } catch (IOException e) {
+      return e.getClass().getSimpleName();
     }
+  }
 
-    private void bury(Letter letter, String why) {
-        try {
-            Files.writeString(deadLetters, letter.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-            say.accept("step " + letter.sequence + " was not taken by " + target.name + " (" + why + "); it is in " + deadLetters);
-        } catch (IOException e) {
-            say.accept("step " + letter.sequence + " was not taken by " + target.name + " (" + why + "), nor by " + deadLetters + " (" + e.getMessage() + "): " + letter.body);
-        }
+  private void bury(Letter letter, String why) {
+    try {
+      Files.writeString(
+          deadLetters, letter.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+      say.accept(
+          "step "
+              + letter.sequence
+              + " was not taken by "
+              + target.name
+              + " ("
+              + why
+              + "); it is in "
+              + deadLetters);
+    } catch (IOException e) {
+      say.accept(
+          "step "
+              + letter.sequence
+              + " was not taken by "
+              + target.name
+              + " ("
+              + why
+              + "), nor by "
+              + deadLetters
+              + " ("
+              + e.getMessage()
+              + "): "
+              + letter.body);
     }
+  }
 
-    @Override
-    public void close() {
-        over = true;
-        thread.interrupt();
-    }
+  @Override
+  public void close() {
+    over = true;
+    thread.interrupt();
+  }
 }
--- a/src/main/java/sprucerock/desk/RackList.java
+++ b/src/main/java/sprucerock/desk/RackList.java
@@ -12,49 +12,71 @@
 import sprucerock.wire.v1.RackFree;
 
 /**
- * Which racks there are, told to each relay once and named by a number ever after: an answer that names every rack is relays times racks in
- * bytes, each second. The number comes from what is in the list, so that another controller of the same configuration, or this one's next life,
- * goes on with it, and one whose racks differ tells all anew. A relay that knows of no lists is told all each time, as before there were any.
+ * Which racks there are, told to each relay once and named by a number ever after: an answer that
+ * names every rack is relays times racks in bytes, each second. The number comes from what is in
+ * the list, so that another controller of the same configuration, or this one's next life, goes on
+ * with it, and one whose racks differ tells all anew. A relay that knows of no lists is told all
+ * each time, as before there were any.
  */
 final class RackList {
-    /** Asked with: no list yet, but one is welcome. */
-    private static final long NONE_YET = 1;
+  /** Asked with: no list yet, but one is welcome. */
+  private static final long NONE_YET = 1;
 
-    private final Map<String, Rack> named;
-    private final List<Rack> racks;
-    private final long number;
+  private final Map<String, Rack> named;
+  private final List<Rack> racks;
+  private final long number;
 
-    /** {@code all}: those of the configuration, by their names. */
-    RackList(Map<String, Rack> all) {
-        named = all;
-        racks = new ArrayList<>(all.values());
-        racks.sort(Comparator.comparingInt(Rack::zone).thenComparingInt(Rack::cell));
-        number = number(racks);
-    }
+  /** {@code all}: those of the configuration, by their names. */
+  RackList(Map<String, Rack> all) {
+    named = all;
+    racks = new ArrayList<>(all.values());
+    racks.sort(Comparator.comparingInt(Rack::zone).thenComparingInt(Rack::cell));
+    number = number(racks);
+  }
 
-    private static long number(List<Rack> racks) {
-        ByteBuffer all = ByteBuffer.allocate(racks.size() * 16);
-        for (Rack one : racks) all.putInt(one.zone()).putInt(one.cell()).putLong(one.noticeMs());
-        try {
-            long found = ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(all.array())).getLong();
-            return found == 0 || found == NONE_YET ? 2 : found;
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
-        }
+  private static long number(List<Rack> racks) {
+    ByteBuffer all = ByteBuffer.allocate(racks.size() * 16);
+    for (Rack one : racks) {
+      all.putInt(one.zone()).putInt(one.cell()).putLong(one.noticeMs());
+    }
+    try {
+      long found =
+          ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(all.array())).getLong();
+      return found == 0 || found == NONE_YET ? 2 : found;
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException("every Java platform has SHA-256", e);
     }
+  }
 
-    /** {@code asks}: the list that the relay says it has; {@code shorter}: in milliseconds, those that are free for less than their notice. */
-    void into(Promised.Builder promised, long asks, Map<String, Long> shorter) {
-        if (asks == number) {
-            promised.setList(number).setRest(true);
-            shorter.forEach((name, left) -> promised.addRacks(RackFree.newBuilder().setZone(named.get(name).zone()).setCell(named.get(name).cell()).setLeftMs(left)));
-            return;
-        }
-        if (asks != 0) promised.setList(number);
-        for (Rack one : racks) {
-            RackFree.Builder rack = RackFree.newBuilder().setZone(one.zone()).setCell(one.cell()).setLeftMs(shorter.getOrDefault(one.name(), one.noticeMs()));
-            if (asks != 0) rack.setNoticeMs(one.noticeMs());
-            promised.addRacks(rack);
-        }
+  /**
+   * {@code asks}: the list that the relay says it has; {@code shorter}: in milliseconds, those that
+   * are free for less than their notice.
+   */
+  void into(Promised.Builder promised, long asks, Map<String, Long> shorter) {
+    if (asks == number) {
+      promised.setList(number).setRest(true);
+      shorter.forEach(
+          (name, left) ->
+              promised.addRacks(
+                  RackFree.newBuilder()
+                      .setZone(named.get(name).zone())
+                      .setCell(named.get(name).cell())
+                      .setLeftMs(left)));
+      return;
+    }
+    if (asks != 0) {
+      promised.setList(number);
+    }
+    for (Rack one : racks) {
+      RackFree.Builder rack =
+          RackFree.newBuilder()
+              .setZone(one.zone())
+              .setCell(one.cell())
+              .setLeftMs(shorter.getOrDefault(one.name(), one.noticeMs()));
+      if (asks != 0) {
+        rack.setNoticeMs(one.noticeMs());
+      }
+      promised.addRacks(rack);
     }
+  }
 }
--- a/src/main/java/sprucerock/desk/Rate.java
+++ b/src/main/java/sprucerock/desk/Rate.java
@@ -1,22 +1,26 @@
 package sprucerock.desk;
 
-/** How often somebody may come: so many a second, a second's worth at once. One thread at a time. */
+/**
+ * How often somebody may come: so many a second, a second's worth at once. One thread at a time.
+ */
 final class Rate {
-    private final double perSecond;
-    private double tokens;
-    private long lastMs;
+  private final double perSecond;
+  private double tokens;
+  private long lastMs;
 
-    Rate(int perSecond, long nowMs) {
-        this.perSecond = perSecond;
-        tokens = perSecond;
-        lastMs = nowMs;
-    }
+  Rate(int perSecond, long nowMs) {
+    this.perSecond = perSecond;
+    tokens = perSecond;
+    lastMs = nowMs;
+  }
 
-    synchronized boolean take(long nowMs) {
-        tokens = Math.min(perSecond, tokens + perSecond * Math.max(0, nowMs - lastMs) / 1000);
-        lastMs = Math.max(lastMs, nowMs);
-        if (tokens < 1) return false;
-        tokens--;
-        return true;
+  synchronized boolean take(long nowMs) {
+    tokens = Math.min(perSecond, tokens + perSecond * Math.max(0, nowMs - lastMs) / 1000);
+    lastMs = Math.max(lastMs, nowMs);
+    if (tokens < 1) {
+      return false;
     }
+    tokens--;
+    return true;
+  }
 }
--- a/src/main/java/sprucerock/desk/RelaysDoor.java
+++ b/src/main/java/sprucerock/desk/RelaysDoor.java
@@ -29,166 +29,237 @@
 import sprucerock.wire.v1.Worth;
 
 /**
- * The relays' links: each is told the news as it stands when it comes, at each change and now and then; of a relay that does not read
- * nothing is kept but that it is behind, and the newest state is told once it reads. Votes are recorded before they are answered.
+ * The relays' links: each is told the news as it stands when it comes, at each change and now and
+ * then; of a relay that does not read nothing is kept but that it is behind, and the newest state
+ * is told once it reads. Votes are recorded before they are answered.
  */
 final class RelaysDoor {
-    private static final byte[] NO_BODY = {};
-
-    private final Net net;
-    private final DeskConfig config;
-    private final Limits limits;
-    private final Tap tap;
-    private final Desk desk;
-    private final Set<Session> sessions = new LinkedHashSet<>();
-    private final RackList racks;
-    private Net.Listener listener;
-
-    RelaysDoor(Net net, DeskConfig config, Tap tap, Desk desk) {
-        this.net = net;
-        this.config = config;
-        this.tap = tap;
-        this.desk = desk;
-        racks = new RackList(desk.engine().freezes().room().racks());
-        limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), Span.ofMs(2000));
+  private static final byte[] NO_BODY = {};
+
+  private final Net net;
+  private final DeskConfig config;
+  private final Limits limits;
+  private final Tap tap;
+  private final Desk desk;
+  private final Set<Session> sessions = new LinkedHashSet<>();
+  private final RackList racks;
+  private Net.Listener listener;
+
+  RelaysDoor(Net net, DeskConfig config, Tap tap, Desk desk) {
+    this.net = net;
+    this.config = config;
+    this.tap = tap;
+    this.desk = desk;
+    racks = new RackList(desk.engine().freezes().room().racks());
+    limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), Span.ofMs(2000));
+  }
+
+  InetSocketAddress start() throws IOException {
+    listener =
+        net.listen(
+            config.relays,
+            config.mostRelays,
+            limits.unsent(),
+            () -> {
+              Session session = new Session();
+              session.link =
+                  new FrameLink(
+                      net,
+                      Hello.newBuilder()
+                          .setVersion(FrameLink.VERSION)
+                          .setRole(Role.DESK)
+                          .setName(config.name)
+                          .build(),
+                      limits,
+                      tap,
+                      session);
+              return session.link;
+            });
+    push();
+    return listener.address();
+  }
+
+  void stop() {
+    listener.close();
+    for (Session session : Set.copyOf(sessions)) {
+      session.link.finish();
     }
+  }
 
-    InetSocketAddress start() throws IOException {
-        listener = net.listen(config.relays, config.mostRelays, limits.unsent(), () -> {
-            Session session = new Session();
-            session.link = new FrameLink(net, Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.DESK).setName(config.name).build(), limits, tap, session);
-            return session.link;
-        });
-        push();
-        return listener.address();
+  /** Relays that are linked, by their numbers. */
+  Set<Integer> relays() {
+    Set<Integer> found = new java.util.TreeSet<>();
+    for (Session session : sessions) {
+      found.add(session.link.other().getNumber());
     }
+    return found;
+  }
 
-    void stop() {
-        listener.close();
-        for (Session session : Set.copyOf(sessions)) session.link.finish();
+  private void push() {
+    tellAll();
+    net.at(net.now().plus(config.tellEvery), this::push);
+  }
+
+  void tellAll() {
+    for (Session session : sessions) {
+      session.tell();
     }
+  }
 
-    /** Relays that are linked, by their numbers. */
-    Set<Integer> relays() {
-        Set<Integer> found = new java.util.TreeSet<>();
-        for (Session session : sessions) found.add(session.link.other().getNumber());
-        return found;
+  /**
+   * A freeze was accepted, called off or has begun: whoever asks now is told so. Each asks a moment
+   * later, by chance of its own.
+   */
+  void promisesChanged() {
+    for (Session session : sessions) {
+      session.link.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
     }
+  }
+
+  private News news() {
+    Releases.News news = desk.engine().releases().news();
+    Stand stand =
+        switch (news.standing()) {
+          case ON_TRIAL -> Stand.ON_TRIAL;
+          case GOING_BACK -> Stand.GOING_BACK;
+          case RELEASED -> Stand.RELEASED;
+          default -> Stand.WITHDRAWN;
+        };
+    return News.newBuilder()
+        .setBuild(news.build())
+        .setStage(news.stage())
+        .setStanding(stand)
+        .setCap(news.cap())
+        .setLastedUs(Math.max(0, (long) (desk.engine().now().since(news.since()).ms() * 1000)))
+        .setEpoch(desk.engine().releases().epoch())
+        .setSequence(desk.engine().releases().sequence())
+        .build();
+  }
+
+  private final class Session implements FrameUser {
+    private FrameLink link;
+    private Timers.Timer behind;
 
-    private void push() {
-        tellAll();
-        net.at(net.now().plus(config.tellEvery), this::push);
+    @Override
+    public void greeted(FrameLink made, Hello other) {
+      if (other.getRole() != Role.RELAY) {
+        made.cut("only relays are taken here");
+        return;
+      }
+      sessions.add(this);
+      tell();
     }
 
-    void tellAll() {
-        for (Session session : sessions) session.tell();
+    void tell() {
+      if (behind != null) {
+        return;
+      }
+      if (link.unsent() > config.unsent / 2) { // it does not read: the newest is told when it does
+        behind =
+            net.at(
+                net.now().plus(Span.ofMs(100)),
+                () -> {
+                  behind = null;
+                  if (sessions.contains(this)) {
+                    tell();
+                  }
+                });
+        return;
+      }
+      link.send(Kind.NEWS, news(), NO_BODY);
     }
 
-    /** A freeze was accepted, called off or has begun: whoever asks now is told so. Each asks a moment later, by chance of its own. */
-    void promisesChanged() {
-        for (Session session : sessions) session.link.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      if (kind == Kind.PROMISE_ASK) {
+        promise((PromiseAsk) head);
+        return;
+      }
+      if (kind == Kind.WORTH) {
+        worth((Worth) head);
+        return;
+      }
+      if (kind != Kind.VOTE) {
+        link.cut("a controller takes no " + kind);
+        return;
+      }
+      Vote vote = (Vote) head;
+      Releases.Say say =
+          switch (vote.getSay()) {
+            case NOTHING -> Releases.Say.NOTHING;
+            case ON -> Releases.Say.ON;
+            case HOLD -> Releases.Say.HOLD;
+            case BACK -> Releases.Say.BACK;
+            default -> null;
+          };
+      if (say == null || link.other().getNumber() < 0) {
+        answer(vote, Taken.FAILED_TO_TAKE);
+        return;
+      }
+      desk.submit(
+          Input.newBuilder()
+              .setCast(
+                  Cast.newBuilder()
+                      .setRelay(link.other().getNumber())
+                      .setBuild(vote.getBuild())
+                      .setStage(vote.getStage())
+                      .setSay(say.name())),
+          outcome ->
+              answer(
+                  vote,
+                  outcome.refused() != null
+                      ? Taken.FAILED_TO_TAKE
+                      : switch ((Releases.Taken) outcome.answer()) {
+                        case COUNTS -> Taken.COUNTS;
+                        case MOOT -> Taken.MOOT;
+                        case TOO_MANY -> Taken.TOO_MANY;
+                      }));
     }
 
-    private News news() {
-        Releases.News news = desk.engine().releases().news();
-        Stand stand = switch (news.standing()) {
-            case ON_TRIAL -> Stand.ON_TRIAL;
-            case GOING_BACK -> Stand.GOING_BACK;
-            case RELEASED -> Stand.RELEASED;
-            default -> Stand.WITHDRAWN;
-        };
-        return News.newBuilder().setBuild(news.build()).setStage(news.stage()).setStanding(stand).setCap(news.cap())
-            .setLastedUs(Math.max(0, (long) (desk.engine().now().since(news.since()).ms() * 1000))).setEpoch(desk.engine().releases().epoch())
-            .setSequence(desk.engine().releases().sequence()).build();
+    /**
+     * Field by field as it is recorded; one of a relay that was replaced is refused by its number,
+     * by the core.
+     */
+    private void worth(Worth told) {
+      try {
+        desk.submit(
+            Input.newBuilder().setWorth(FamiliesWorth.parseFrom(told.toByteArray())),
+            outcome -> {});
+      } catch (com.google.protobuf.InvalidProtocolBufferException e) {
+        link.cut("what hardware is worth can't be read");
+      }
     }
 
-    private final class Session implements FrameUser {
-        private FrameLink link;
-        private Timers.Timer behind;
-
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            if (other.getRole() != Role.RELAY) {
-                made.cut("only relays are taken here");
-                return;
-            }
-            sessions.add(this);
-            tell();
-        }
-
-        void tell() {
-            if (behind != null) return;
-            if (link.unsent() > config.unsent / 2) { // it does not read: the newest is told when it does
-                behind = net.at(net.now().plus(Span.ofMs(100)), () -> {
-                    behind = null;
-                    if (sessions.contains(this)) tell();
-                });
-                return;
-            }
-            link.send(Kind.NEWS, news(), NO_BODY);
-        }
-
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            if (kind == Kind.PROMISE_ASK) {
-                promise((PromiseAsk) head);
-                return;
-            }
-            if (kind == Kind.WORTH) {
-                worth((Worth) head);
-                return;
-            }
-            if (kind != Kind.VOTE) {
-                link.cut("a controller takes no " + kind);
-                return;
-            }
-            Vote vote = (Vote) head;
-            Releases.Say say = switch (vote.getSay()) {
-                case NOTHING -> Releases.Say.NOTHING;
-                case ON -> Releases.Say.ON;
-                case HOLD -> Releases.Say.HOLD;
-                case BACK -> Releases.Say.BACK;
-                default -> null;
-            };
-            if (say == null || link.other().getNumber() < 0) {
-                answer(vote, Taken.FAILED_TO_TAKE);
-                return;
-            }
-            desk.submit(Input.newBuilder().setCast(Cast.newBuilder().setRelay(link.other().getNumber()).setBuild(vote.getBuild()).setStage(vote.getStage())
-                .setSay(say.name())), outcome -> answer(vote, outcome.refused() != null ? Taken.FAILED_TO_TAKE : switch ((Releases.Taken) outcome.answer()) {
-                    case COUNTS -> Taken.COUNTS;
-                    case MOOT -> Taken.MOOT;
-                    case TOO_MANY -> Taken.TOO_MANY;
-                }));
-        }
-
-        /** Field by field as it is recorded; one of a relay that was replaced is refused by its number, by the core. */
-        private void worth(Worth told) {
-            try {
-                desk.submit(Input.newBuilder().setWorth(FamiliesWorth.parseFrom(told.toByteArray())), outcome -> { });
-            } catch (com.google.protobuf.InvalidProtocolBufferException e) {
-                link.cut("what hardware is worth can't be read");
-            }
-        }
-
-        /** What a former holder of the seat would promise, nobody waits for to run out: so it is asked last, and says nothing. */
-        private void promise(PromiseAsk ask) {
-            long now = desk.engine().freezes().later(desk.engine().wallMs());
-            desk.promises().asked(link.other().getNumber(), ask.getHolds(), now);
-            Promised.Builder promised = Promised.newBuilder().setId(ask.getId()).setEpoch(desk.engine().releases().epoch()).setSequence(desk.engine().freezes().sequence());
-            racks.into(promised, ask.getList(), desk.promises().shorter(now));
-            desk.lookAtFreezes();
-            if (ask.getId() > 0 && desk.holdsSeat()) link.send(Kind.PROMISED, promised.build(), NO_BODY);
-        }
-
-        private void answer(Vote vote, Taken taken) {
-            link.send(Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
-        }
-
-        @Override
-        public void closed(String why) {
-            sessions.remove(this);
-            if (behind != null) behind.cancel();
-        }
+    /**
+     * What a former holder of the seat would promise, nobody waits for to run out: so it is asked
+     * last, and says nothing.
+     */
+    private void promise(PromiseAsk ask) {
+      long now = desk.engine().freezes().later(desk.engine().wallMs());
+      desk.promises().asked(link.other().getNumber(), ask.getHolds(), now);
+      Promised.Builder promised =
+          Promised.newBuilder()
+              .setId(ask.getId())
+              .setEpoch(desk.engine().releases().epoch())
+              .setSequence(desk.engine().freezes().sequence());
+      racks.into(promised, ask.getList(), desk.promises().shorter(now));
+      desk.lookAtFreezes();
+      if (ask.getId() > 0 && desk.holdsSeat()) {
+        link.send(Kind.PROMISED, promised.build(), NO_BODY);
+      }
+    }
+
+    private void answer(Vote vote, Taken taken) {
+      link.send(
+          Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
+    }
+
+    @Override
+    public void closed(String why) {
+      sessions.remove(this);
+      if (behind != null) {
+        behind.cancel();
+      }
     }
+  }
 }
--- a/src/main/java/sprucerock/desk/Signatures.java
+++ b/src/main/java/sprucerock/desk/Signatures.java
@@ -12,89 +12,122 @@
 import sprucerock.time.Span;
 
 /**
- * Whether a webhook was signed by who knows a secret: the form of Standard Webhooks (standardwebhooks.com: id, time and body under
- * HMAC-SHA256, several signatures while secrets rotate) and GitHub's (the body under HMAC-SHA256; no time, so the delivery's id alone
- * guards against replay). No I/O.
+ * Whether a webhook was signed by who knows a secret: the form of Standard Webhooks
+ * (standardwebhooks.com: id, time and body under HMAC-SHA256, several signatures while secrets
+ * rotate) and GitHub's (the body under HMAC-SHA256; no time, so the delivery's id alone guards
+ * against replay). No I/O.
  */
 public final class Signatures {
-    public enum Form { STANDARD, GITHUB }
+  public enum Form {
+    STANDARD,
+    GITHUB
+  }
 
-    /** Headers as they came; null where there was none. */
-    public record Headers(String id, String time, String signature) {}
+  /** Headers as they came; null where there was none. */
+  public record Headers(String id, String time, String signature) {}
 
-    /** An id where it is right; else why it is not, fit to be told to a stranger. */
-    public record Verdict(String id, String refused) {}
+  /** An id where it is right; else why it is not, fit to be told to a stranger. */
+  public record Verdict(String id, String refused) {}
 
-    private static final int MOST_SIGNATURES = 10;
-    private static final int MOST_ID = 200;
+  private static final int MOST_SIGNATURES = 10;
+  private static final int MOST_ID = 200;
 
-    private Signatures() {}
+  private Signatures() {}
 
-    /** The names of the headers of a form, in the order of {@link Headers}. */
-    public static List<String> headers(Form form) {
-        return form == Form.STANDARD ? List.of("webhook-id", "webhook-timestamp", "webhook-signature")
-            : List.of("X-GitHub-Delivery", "Date", "X-Hub-Signature-256");
-    }
+  /** The names of the headers of a form, in the order of {@link Headers}. */
+  public static List<String> headers(Form form) {
+    return form == Form.STANDARD
+        ? List.of("webhook-id", "webhook-timestamp", "webhook-signature")
+        : List.of("X-GitHub-Delivery", "Date", "X-Hub-Signature-256");
+  }
 
-    /** The secrets in a file's text, one a line; whsec_ and base64, or for GitHub as they are. */
-    public static List<byte[]> secrets(String text, Form form) {
-        return text.lines().map(String::strip).filter(line -> !line.isEmpty() && !line.startsWith("#")).map(line -> form == Form.STANDARD
-            ? Base64.getDecoder().decode(line.startsWith("whsec_") ? line.substring(6) : line) : line.getBytes(StandardCharsets.UTF_8)).toList();
-    }
+  /** The secrets in a file's text, one a line; whsec_ and base64, or for GitHub as they are. */
+  public static List<byte[]> secrets(String text, Form form) {
+    return text.lines()
+        .map(String::strip)
+        .filter(line -> !line.isEmpty() && !line.startsWith("#"))
+        .map(
+            line ->
+                form == Form.STANDARD
+                    ? Base64.getDecoder()
+                        .decode(line.startsWith("whsec_") ? line.substring(6) : line)
+                    : line.getBytes(StandardCharsets.UTF_8))
+        .toList();
+  }
 
-    /** {@code window}: by how much a sender's clock may differ. */
-    public static Verdict check(Form form, Headers headers, byte[] body, List<byte[]> secrets, long nowSeconds, Span window) {
-        boolean named = headers.id != null && !headers.id.isEmpty() && headers.id.length() <= MOST_ID && headers.id.chars().allMatch(c -> c > 32 && c < 127);
-        if (!named || headers.signature == null) return new Verdict(null, "the headers " + headers(form) + " are needed");
-        byte[] signed = body;
-        if (form == Form.STANDARD) {
-            long time;
-            try {
-                time = Long.parseLong(String.valueOf(headers.time));
-            } catch (NumberFormatException e) {
-                return new Verdict(null, "its time is no number of seconds");
-            }
-            if (Math.abs(nowSeconds - time) * 1000.0 > window.ms()) return new Verdict(null, "its time is more than " + Math.round(window.ms() / 1000) + " s from ours");
-            byte[] head = (headers.id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
-            signed = new byte[head.length + body.length];
-            System.arraycopy(head, 0, signed, 0, head.length);
-            System.arraycopy(body, 0, signed, head.length, body.length);
-        }
-        boolean right = false;
-        for (byte[] secret : secrets) {
-            byte[] wanted = hmac(secret, signed);
-            String[] given = headers.signature.split(" ", MOST_SIGNATURES + 1);
-            for (int i = 0; i < Math.min(given.length, MOST_SIGNATURES); i++) right |= MessageDigest.isEqual(wanted, bytes(form, given[i]));
-        }
-        return right ? new Verdict(headers.id, null) : new Verdict(null, "no signature of it is right");
+  /** {@code window}: by how much a sender's clock may differ. */
+  public static Verdict check(
+      Form form, Headers headers, byte[] body, List<byte[]> secrets, long nowSeconds, Span window) {
+    boolean named =
+        headers.id != null
+            && !headers.id.isEmpty()
+            && headers.id.length() <= MOST_ID
+            && headers.id.chars().allMatch(c -> c > 32 && c < 127);
+    if (!named || headers.signature == null) {
+      return new Verdict(null, "the headers " + headers(form) + " are needed");
+    }
+    byte[] signed = body;
+    if (form == Form.STANDARD) {
+      long time;
+      try {
+        time = Long.parseLong(String.valueOf(headers.time));
+      } catch (NumberFormatException e) {
+        return new Verdict(null, "its time is no number of seconds");
+      }
+      if (Math.abs(nowSeconds - time) * 1000.0 > window.ms()) {
+        return new Verdict(
+            null, "its time is more than " + Math.round(window.ms() / 1000) + " s from ours");
+      }
+      byte[] head = (headers.id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
+      signed = new byte[head.length + body.length];
+      System.arraycopy(head, 0, signed, 0, head.length);
+      System.arraycopy(body, 0, signed, head.length, body.length);
+    }
+    boolean right = false;
+    for (byte[] secret : secrets) {
+      byte[] wanted = hmac(secret, signed);
+      String[] given = headers.signature.split(" ", MOST_SIGNATURES + 1);
+      for (int i = 0; i < Math.min(given.length, MOST_SIGNATURES); i++) {
+        right |= MessageDigest.isEqual(wanted, bytes(form, given[i]));
+      }
     }
+    return right ? new Verdict(headers.id, null) : new Verdict(null, "no signature of it is right");
+  }
 
-    private static byte[] bytes(Form form, String signature) {
-        try {
-            if (form == Form.STANDARD) return signature.startsWith("v1,") ? Base64.getDecoder().decode(signature.substring(3)) : new byte[0];
-            return signature.startsWith("sha256=") ? HexFormat.of().parseHex(signature.substring(7).toLowerCase(Locale.ROOT)) : new byte[0];
-        } catch (IllegalArgumentException e) {
-            return new byte[0]; // equal to nothing
-        }
+  private static byte[] bytes(Form form, String signature) {
+    try {
+      if (form == Form.STANDARD) {
+        return signature.startsWith("v1,")
+            ? Base64.getDecoder().decode(signature.substring(3))
+            : new byte[0];
+      }
+      return signature.startsWith("sha256=")
+          ? HexFormat.of().parseHex(signature.substring(7).toLowerCase(Locale.ROOT))
+          : new byte[0];
+    } catch (IllegalArgumentException e) {
+      return new byte[0]; // equal to nothing
     }
+  }
 
-    private static byte[] hmac(byte[] secret, byte[] signed) {
-        try {
-            Mac mac = Mac.getInstance("HmacSHA256");
-            mac.init(new SecretKeySpec(secret, "HmacSHA256"));
-            return mac.doFinal(signed);
-        } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e); // every Java has it
-        }
+  private static byte[] hmac(byte[] secret, byte[] signed) {
+    try {
+      Mac mac = Mac.getInstance("HmacSHA256");
+      mac.init(new SecretKeySpec(secret, "HmacSHA256"));
+      return mac.doFinal(signed);
+    } catch (GeneralSecurityException e) {
+      throw new IllegalStateException(e); // every Java has it
     }
+  }
 
-    /** As a sender signs: the header's text. */
-    public static String sign(Form form, String id, long time, byte[] body, byte[] secret) {
-        if (form == Form.GITHUB) return "sha256=" + HexFormat.of().formatHex(hmac(secret, body));
-        byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
-        byte[] signed = new byte[head.length + body.length];
-        System.arraycopy(head, 0, signed, 0, head.length);
-        System.arraycopy(body, 0, signed, head.length, body.length);
-        return "v1," + Base64.getEncoder().encodeToString(hmac(secret, signed));
+  /** As a sender signs: the header's text. */
+  public static String sign(Form form, String id, long time, byte[] body, byte[] secret) {
+    if (form == Form.GITHUB) {
+      return "sha256=" + HexFormat.of().formatHex(hmac(secret, body));
     }
+    byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
+    byte[] signed = new byte[head.length + body.length];
+    System.arraycopy(head, 0, signed, 0, head.length);
+    System.arraycopy(body, 0, signed, head.length, body.length);
+    return "v1," + Base64.getEncoder().encodeToString(hmac(secret, signed));
+  }
 }
--- a/src/main/java/sprucerock/evidence/Customers.java
+++ b/src/main/java/sprucerock/evidence/Customers.java
@@ -7,27 +7,36 @@
 
 /** What each customer sends of late, beside its share. */
 public final class Customers {
-    private final List<Double> shares;
-    private final DecayingSum[] sent;
-    private final DecayingSum all;
+  private final List<Double> shares;
+  private final DecayingSum[] sent;
+  private final DecayingSum all;
 
-    public Customers(List<Double> shares, Span life) {
-        this.shares = shares;
-        sent = new DecayingSum[shares.size()];
-        for (int i = 0; i < sent.length; i++) sent[i] = new DecayingSum(life);
-        all = new DecayingSum(life);
+  public Customers(List<Double> shares, Span life) {
+    this.shares = shares;
+    sent = new DecayingSum[shares.size()];
+    for (int i = 0; i < sent.length; i++) {
+      sent[i] = new DecayingSum(life);
     }
+    all = new DecayingSum(life);
+  }
 
-    public void add(int customer, Moment now) {
-        all.add(now, 1);
-        if (customer < sent.length) sent[customer].add(now, 1);
+  public void add(int customer, Moment now) {
+    all.add(now, 1);
+    if (customer < sent.length) {
+      sent[customer].add(now, 1);
     }
+  }
 
-    /** How many times its share a customer sends, beside what the others send; 0 where there are no shares. */
-    public double timesShare(int customer, Moment now) {
-        if (customer >= sent.length) return 0;
-        double own = sent[customer].at(now);
-        double share = shares.get(customer);
-        return own / Math.max((all.at(now) - own) * share / Math.max(1 - share, 0.01), 1e-9);
+  /**
+   * How many times its share a customer sends, beside what the others send; 0 where there are no
+   * shares.
+   */
+  public double timesShare(int customer, Moment now) {
+    if (customer >= sent.length) {
+      return 0;
     }
+    double own = sent[customer].at(now);
+    double share = shares.get(customer);
+    return own / Math.max((all.at(now) - own) * share / Math.max(1 - share, 0.01), 1e-9);
+  }
 }
--- a/src/main/java/sprucerock/evidence/Met.java
+++ b/src/main/java/sprucerock/evidence/Met.java
@@ -9,26 +9,28 @@
 
 /** The units that answered this relay last. */
 public final class Met {
-    private final LinkedHashSet<Unit> units = new LinkedHashSet<>();
-    private final int most;
+  private final LinkedHashSet<Unit> units = new LinkedHashSet<>();
+  private final int most;
 
-    public Met(int most) {
-        this.most = most;
-    }
+  public Met(int most) {
+    this.most = most;
+  }
 
-    public void answered(Unit unit) {
-        if (units.add(unit) && units.size() > most) units.remove(units.iterator().next());
+  public void answered(Unit unit) {
+    if (units.add(unit) && units.size() > most) {
+      units.remove(units.iterator().next());
     }
+  }
 
-    public void lost(Unit unit) {
-        units.remove(unit);
-    }
+  public void lost(Unit unit) {
+    units.remove(unit);
+  }
 
-    /** Those of a build that may get new work, from one by the dice (0 to under 1) on. */
-    public List<Unit> of(Build build, double dice) {
-        List<Unit> found = new ArrayList<>(units);
-        found.removeIf(unit -> unit.build != build || !unit.ready());
-        Collections.rotate(found, (int) (dice * found.size()));
-        return found;
-    }
+  /** Those of a build that may get new work, from one by the dice (0 to under 1) on. */
+  public List<Unit> of(Build build, double dice) {
+    List<Unit> found = new ArrayList<>(units);
+    found.removeIf(unit -> unit.build != build || !unit.ready());
+    Collections.rotate(found, (int) (dice * found.size()));
+    return found;
+  }
 }
--- a/src/main/java/sprucerock/figures/Export.java
+++ b/src/main/java/sprucerock/figures/Export.java
@@ -26,163 +26,242 @@
 import sprucerock.ledger.Sheet;
 
 /**
- * Serves a relay's figures to a monitor, in Prometheus text or OpenMetrics. A scrape is made of one snapshot, so that sums
- * hold within it; it runs on the server's threads and never holds the relay up.
+ * Serves a relay's figures to a monitor, in Prometheus text or OpenMetrics. A scrape is made of one
+ * snapshot, so that sums hold within it; it runs on the server's threads and never holds the relay
+ * up.
  */
 public final class Export implements MultiCollector, AutoCloseable {
-    private static final String PREFIX = "sprucerock_";
-    private static final String STALLED_SECONDS = "2"; // a scrape takes milliseconds, also over a slow network
-    private static final int WORKERS = 4; // as many monitors at once; each costs a core while it reads
-    private static final int WAITING = 32;
+  private static final String PREFIX = "sprucerock_";
+  private static final String STALLED_SECONDS =
+      "2"; // a scrape takes milliseconds, also over a slow network
+  private static final int WORKERS =
+      4; // as many monitors at once; each costs a core while it reads
+  private static final int WAITING = 32;
 
-    private final Supplier<Snapshot> snapshots;
-    private final BooleanSupplier drifting;
-    private final BooleanSupplier kept;
-    private final Supplier<Map<String, Double>> more;
-    private final HTTPServer server;
-    private final ThreadPoolExecutor workers;
+  private final Supplier<Snapshot> snapshots;
+  private final BooleanSupplier drifting;
+  private final BooleanSupplier kept;
+  private final Supplier<Map<String, Double>> more;
+  private final HTTPServer server;
+  private final ThreadPoolExecutor workers;
 
-    static {
-        // read once by the server of the JDK: a scrape whose request or reading stalls is cut off after so many seconds
-        System.setProperty("sun.net.httpserver.maxReqTime", STALLED_SECONDS);
-        System.setProperty("sun.net.httpserver.maxRspTime", STALLED_SECONDS);
-    }
+  static {
+    // read once by the server of the JDK: a scrape whose request or reading stalls is cut off after
+    // so many seconds
+    System.setProperty("sun.net.httpserver.maxReqTime", STALLED_SECONDS);
+    System.setProperty("sun.net.httpserver.maxRspTime", STALLED_SECONDS);
+  }
 
-    /**
-     * Serves from now on; {@code more}: what is true at the time of a scrape, and counted nowhere.
-     *
-     * @throws IOException if the address can't be had
-     */
-    public Export(Supplier<Snapshot> snapshots, BooleanSupplier drifting, BooleanSupplier kept, Supplier<Map<String, Double>> more, InetSocketAddress at)
-        throws IOException {
-        this.snapshots = snapshots;
-        this.drifting = drifting;
-        this.kept = kept;
-        this.more = more;
-        PrometheusRegistry registry = new PrometheusRegistry();
-        registry.register(this);
-        // beyond these the server closes the connection: a monitor comes again
-        workers = new ThreadPoolExecutor(WORKERS, WORKERS, 10, TimeUnit.SECONDS, new ArrayBlockingQueue<>(WAITING), task -> {
-            Thread thread = new Thread(task, "scrape");
-            thread.setDaemon(true);
-            return thread;
-        });
-        workers.allowCoreThreadTimeOut(true);
-        server = HTTPServer.builder().inetAddress(at.getAddress()).port(at.getPort()).registry(registry).executorService(workers)
-            .defaultHandler(this::table).buildAndStart();
-    }
+  /**
+   * Serves from now on; {@code more}: what is true at the time of a scrape, and counted nowhere.
+   *
+   * @throws IOException if the address can't be had
+   */
+  public Export(
+      Supplier<Snapshot> snapshots,
+      BooleanSupplier drifting,
+      BooleanSupplier kept,
+      Supplier<Map<String, Double>> more,
+      InetSocketAddress at)
+      throws IOException {
+    this.snapshots = snapshots;
+    this.drifting = drifting;
+    this.kept = kept;
+    this.more = more;
+    PrometheusRegistry registry = new PrometheusRegistry();
+    registry.register(this);
+    // beyond these the server closes the connection: a monitor comes again
+    workers =
+        new ThreadPoolExecutor(
+            WORKERS,
+            WORKERS,
+            10,
+            TimeUnit.SECONDS,
+            new ArrayBlockingQueue<>(WAITING),
+            task -> {
+              Thread thread = new Thread(task, "scrape");
+              thread.setDaemon(true);
+              return thread;
+            });
+    workers.allowCoreThreadTimeOut(true);
+    server =
+        HTTPServer.builder()
+            .inetAddress(at.getAddress())
+            .port(at.getPort())
+            .registry(registry)
+            .executorService(workers)
+            .defaultHandler(this::table)
+            .buildAndStart();
+  }
 
-    /** For people, at any path but that of the monitor: the table, and what does not hold. */
-    private void table(HttpExchange exchange) throws IOException {
-        StringBuilder text = new StringBuilder();
-        int status = 200;
-        try {
-            Snapshot snapshot = snapshots.get();
-            text.append(Table.of(snapshot));
-            for (Accounts.Drift drift : snapshot.accounts().check(snapshot.values)) {
-                text.append("DRIFT ").append(drift).append('\n');
-                status = 500;
-            }
-        } catch (Snapshot.BadFileException e) {
-            throw new IOException(e.getMessage());
-        }
-        byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
-        exchange.getResponseHeaders().set("Content-Type", "text/plain; charset=utf-8");
-        exchange.sendResponseHeaders(status, bytes.length);
-        try (OutputStream out = exchange.getResponseBody()) {
-            out.write(bytes);
-        }
+  /** For people, at any path but that of the monitor: the table, and what does not hold. */
+  private void table(HttpExchange exchange) throws IOException {
+    StringBuilder text = new StringBuilder();
+    int status = 200;
+    try {
+      Snapshot snapshot = snapshots.get();
+      text.append(Table.of(snapshot));
+      for (Accounts.Drift drift : snapshot.accounts().check(snapshot.values)) {
+        text.append("DRIFT ").append(drift).append('\n');
+        status = 500;
+      }
+    } catch (Snapshot.BadFileException e) {
+      throw new IOException(e.getMessage());
     }
-
-    public int port() {
-        return server.getPort();
+    byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
+    exchange.getResponseHeaders().set("Content-Type", "text/plain; charset=utf-8");
+    exchange.sendResponseHeaders(status, bytes.length);
+    try (OutputStream out = exchange.getResponseBody()) {
+      out.write(bytes);
     }
+  }
 
-    @Override
-    public MetricSnapshots collect() {
-        Snapshot snapshot = snapshots.get();
-        Accounts accounts;
-        try {
-            accounts = snapshot.accounts();
-        } catch (Snapshot.BadFileException e) {
-            throw new IllegalStateException(e.getMessage());
-        }
-        MetricSnapshots.Builder all = MetricSnapshots.builder();
-        for (Sheet sheet : accounts.sheets()) {
-            if (sheet.scaled()) scaled(all, sheet, accounts, snapshot.values);
-            else add(all, sheet, accounts, snapshot.values);
-        }
-        all.metricSnapshot(gauge("generation", "Starts of this relay under one file of figures.", snapshot.generation));
-        all.metricSnapshot(gauge("figures_drift", "1 from the moment on that a sum did not hold.", drifting.getAsBoolean() ? 1 : 0));
-        all.metricSnapshot(gauge("figures_kept", "1 where figures outlive a kill; 0 without a file, or where it can't be written.",
-            kept.getAsBoolean() ? 1 : 0));
-        new TreeMap<>(more.get()).forEach((name, value) -> all.metricSnapshot(gauge(name, "See the operators' pages.", value)));
-        return all.build();
-    }
+  public int port() {
+    return server.getPort();
+  }
 
-    private static GaugeSnapshot gauge(String name, String help, double value) {
-        return GaugeSnapshot.builder().name(PREFIX + name).help(help)
-            .dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().value(value).build()).build();
+  @Override
+  public MetricSnapshots collect() {
+    Snapshot snapshot = snapshots.get();
+    Accounts accounts;
+    try {
+      accounts = snapshot.accounts();
+    } catch (Snapshot.BadFileException e) {
+      throw new IllegalStateException(e.getMessage());
     }
+    MetricSnapshots.Builder all = MetricSnapshots.builder();
+    for (Sheet sheet : accounts.sheets()) {
+      if (sheet.scaled()) {
+        scaled(all, sheet, accounts, snapshot.values);
+      } else {
+        add(all, sheet, accounts, snapshot.values);
+      }
+    }
+    all.metricSnapshot(
+        gauge(
+            "generation", "Starts of this relay under one file of figures.", snapshot.generation));
+    all.metricSnapshot(
+        gauge(
+            "figures_drift",
+            "1 from the moment on that a sum did not hold.",
+            drifting.getAsBoolean() ? 1 : 0));
+    all.metricSnapshot(
+        gauge(
+            "figures_kept",
+            "1 where figures outlive a kill; 0 without a file, or where it can't be written.",
+            kept.getAsBoolean() ? 1 : 0));
+    new TreeMap<>(more.get())
+        .forEach(
+            (name, value) -> all.metricSnapshot(gauge(name, "See the operators' pages.", value)));
+    return all.build();
+  }
 
-    private static void add(MetricSnapshots.Builder all, Sheet sheet, Accounts accounts, long[] values) {
-        String total = sheet.columns().get(0);
-        String pending = sheet.settles() ? sheet.columns().get(sheet.pending()) : "";
-        CounterSnapshot.Builder begun = CounterSnapshot.builder().name(PREFIX + sheet.name() + "_" + total)
-            .help("All " + sheet.name() + "; the sum of ended" + (sheet.settles() ? " and " + pending : "") + ".");
-        CounterSnapshot.Builder ended = CounterSnapshot.builder().name(PREFIX + sheet.name() + "_ended")
+  private static GaugeSnapshot gauge(String name, String help, double value) {
+    return GaugeSnapshot.builder()
+        .name(PREFIX + name)
+        .help(help)
+        .dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().value(value).build())
+        .build();
+  }
+
+  private static void add(
+      MetricSnapshots.Builder all, Sheet sheet, Accounts accounts, long[] values) {
+    String total = sheet.columns().get(0);
+    String pending = sheet.settles() ? sheet.columns().get(sheet.pending()) : "";
+    CounterSnapshot.Builder begun =
+        CounterSnapshot.builder()
+            .name(PREFIX + sheet.name() + "_" + total)
+            .help(
+                "All "
+                    + sheet.name()
+                    + "; the sum of ended"
+                    + (sheet.settles() ? " and " + pending : "")
+                    + ".");
+    CounterSnapshot.Builder ended =
+        CounterSnapshot.builder()
+            .name(PREFIX + sheet.name() + "_ended")
             .help("Of these, ended, by how.");
-        GaugeSnapshot.Builder out = GaugeSnapshot.builder().name(PREFIX + sheet.name() + "_" + pending).help("Of these, not over yet.");
-        for (int row = 0; row < sheet.rows(); row++) {
-            if (values[sheet.index(row, 0)] == 0) continue;
-            Labels labels = sheet.rows() == 1 ? Labels.EMPTY : Labels.of(sheet.by(), accounts.name(sheet, row));
-            begun.dataPoint(counter(labels, values[sheet.index(row, 0)]));
-            for (int column = 1; column < sheet.endsBefore(); column++) {
-                ended.dataPoint(counter(labels.add("how", sheet.columns().get(column)), values[sheet.index(row, column)]));
-            }
-            if (!sheet.settles()) continue;
-            out.dataPoint(GaugeSnapshot.GaugeDataPointSnapshot.builder().labels(labels).value(values[sheet.index(row, sheet.pending())])
-                .build());
-        }
-        all.metricSnapshot(begun.build()).metricSnapshot(ended.build());
-        if (sheet.settles()) all.metricSnapshot(out.build());
+    GaugeSnapshot.Builder out =
+        GaugeSnapshot.builder()
+            .name(PREFIX + sheet.name() + "_" + pending)
+            .help("Of these, not over yet.");
+    for (int row = 0; row < sheet.rows(); row++) {
+      if (values[sheet.index(row, 0)] == 0) {
+        continue;
+      }
+      Labels labels =
+          sheet.rows() == 1 ? Labels.EMPTY : Labels.of(sheet.by(), accounts.name(sheet, row));
+      begun.dataPoint(counter(labels, values[sheet.index(row, 0)]));
+      for (int column = 1; column < sheet.endsBefore(); column++) {
+        ended.dataPoint(
+            counter(
+                labels.add("how", sheet.columns().get(column)), values[sheet.index(row, column)]));
+      }
+      if (!sheet.settles()) {
+        continue;
+      }
+      out.dataPoint(
+          GaugeSnapshot.GaugeDataPointSnapshot.builder()
+              .labels(labels)
+              .value(values[sheet.index(row, sheet.pending())])
+              .build());
     }
+    all.metricSnapshot(begun.build()).metricSnapshot(ended.build());
+    if (sheet.settles()) {
+      all.metricSnapshot(out.build());
+    }
+  }
 
-    /** A histogram whose bounds are octaves, a sixteenth of what the accounts tell apart: a monitor pays for each series. */
-    private static void scaled(MetricSnapshots.Builder all, Sheet sheet, Accounts accounts, long[] values) {
-        HistogramSnapshot.Builder histogram = HistogramSnapshot.builder().name(PREFIX + sheet.name() + "_seconds")
+  /**
+   * A histogram whose bounds are octaves, a sixteenth of what the accounts tell apart: a monitor
+   * pays for each series.
+   */
+  private static void scaled(
+      MetricSnapshots.Builder all, Sheet sheet, Accounts accounts, long[] values) {
+    HistogramSnapshot.Builder histogram =
+        HistogramSnapshot.builder()
+            .name(PREFIX + sheet.name() + "_seconds")
             .help("Latency; counts are those of the accounts.");
-        for (int row = 0; row < sheet.rows(); row++) {
-            if (values[sheet.index(row, 0)] == 0) continue;
-            ClassicHistogramBuckets.Builder buckets = ClassicHistogramBuckets.builder();
-            long count = 0;
-            for (int i = 0; i < Scale.BUCKETS; i++) {
-                count += values[sheet.index(row, 1 + i)];
-                boolean last = i == Scale.BUCKETS - 1;
-                boolean octave = i % 16 == 15 && i >= 31 || i == 7 || i == 15;
-                if (!last && !octave) continue;
-                buckets.bucket(last ? Double.POSITIVE_INFINITY : Scale.fromUs(i + 1) / 1e6, count);
-                count = 0;
-            }
-            Labels labels = label(sheet, accounts.name(sheet, row));
-            histogram.dataPoint(HistogramSnapshot.HistogramDataPointSnapshot.builder().classicHistogramBuckets(buckets.build())
-                .labels(labels).build());
+    for (int row = 0; row < sheet.rows(); row++) {
+      if (values[sheet.index(row, 0)] == 0) {
+        continue;
+      }
+      ClassicHistogramBuckets.Builder buckets = ClassicHistogramBuckets.builder();
+      long count = 0;
+      for (int i = 0; i < Scale.BUCKETS; i++) {
+        count += values[sheet.index(row, 1 + i)];
+        boolean last = i == Scale.BUCKETS - 1;
+        boolean octave = i % 16 == 15 && i >= 31 || i == 7 || i == 15;
+        if (!last && !octave) {
+          continue;
         }
-        all.metricSnapshot(histogram.build());
+        buckets.bucket(last ? Double.POSITIVE_INFINITY : Scale.fromUs(i + 1) / 1e6, count);
+        count = 0;
+      }
+      Labels labels = label(sheet, accounts.name(sheet, row));
+      histogram.dataPoint(
+          HistogramSnapshot.HistogramDataPointSnapshot.builder()
+              .classicHistogramBuckets(buckets.build())
+              .labels(labels)
+              .build());
     }
+    all.metricSnapshot(histogram.build());
+  }
 
-    private static Labels label(Sheet sheet, String name) {
-        int cut = name.indexOf('/');
-        return sheet.by().equals("method") ? Labels.of("method", name) : Labels.of("build", name.substring(0, cut), "method", name.substring(cut + 1));
-    }
+  private static Labels label(Sheet sheet, String name) {
+    int cut = name.indexOf('/');
+    return sheet.by().equals("method")
+        ? Labels.of("method", name)
+        : Labels.of("build", name.substring(0, cut), "method", name.substring(cut + 1));
+  }
 
-    private static CounterSnapshot.CounterDataPointSnapshot counter(Labels labels, double value) {
-        return CounterSnapshot.CounterDataPointSnapshot.builder().labels(labels).value(value).build();
-    }
+  private static CounterSnapshot.CounterDataPointSnapshot counter(Labels labels, double value) {
+    return CounterSnapshot.CounterDataPointSnapshot.builder().labels(labels).value(value).build();
+  }
 
-    @Override
-    public void close() {
-        server.close();
-        workers.shutdownNow();
-    }
+  @Override
+  public void close() {
+    server.close();
+    workers.shutdownNow();
+  }
 }
--- a/src/main/java/sprucerock/figures/Keeper.java
+++ b/src/main/java/sprucerock/figures/Keeper.java
@@ -12,127 +12,146 @@
 import sprucerock.ledger.Sheet;
 
 /**
- * Keeps a relay's accounts in a file through its lives: each start is a generation that goes on from the last one's
- * figures, with what was pending in a life that was cut off booked as lost with the relay. The next generation's file is
- * written whole beside the old one and takes its place by one renaming, so that a crash at any moment, or two in a row,
- * leaves one or the other.
+ * Keeps a relay's accounts in a file through its lives: each start is a generation that goes on
+ * from the last one's figures, with what was pending in a life that was cut off booked as lost with
+ * the relay. The next generation's file is written whole beside the old one and takes its place by
+ * one renaming, so that a crash at any moment, or two in a row, leaves one or the other.
  */
 public final class Keeper {
-    private static final int FRESH = 1;
-    private static final int CARRIED = 2;
-    private static final int SET_ASIDE = 3;
-    private static final int UNREAD = 5;
-    private static final int RUNNING = 3;
-    private static final int ENDED = 1;
+  private static final int FRESH = 1;
+  private static final int CARRIED = 2;
+  private static final int SET_ASIDE = 3;
+  private static final int UNREAD = 5;
+  private static final int RUNNING = 3;
+  private static final int ENDED = 1;
 
-    private final Accounts accounts;
-    private final Pages pages;
-    private final boolean kept;
+  private final Accounts accounts;
+  private final Pages pages;
+  private final boolean kept;
 
-    private Keeper(Accounts accounts, Pages pages, boolean kept) {
-        this.kept = kept;
-        this.accounts = accounts;
-        this.pages = pages;
-    }
+  private Keeper(Accounts accounts, Pages pages, boolean kept) {
+    this.kept = kept;
+    this.accounts = accounts;
+    this.pages = pages;
+  }
 
-    /**
-     * Goes on from a file, or begins one. Nothing that is wrong with it stops the relay: what can't be read is kept aside,
-     * a disk that takes nothing leaves the figures in memory; {@code say} is told in one line. Without a file, null, they are
-     * in memory from the first.
-     */
-    public static Keeper open(Path file, Accounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> say) {
-        long generation = 1;
-        int found = FRESH;
-        try {
-            if (file != null && Files.exists(file)) {
-                Snapshot last = Snapshot.read(file);
-                carry(last, accounts);
-                generation = last.generation + 1;
-                found = CARRIED;
-            }
-        } catch (Snapshot.BadFileException e) {
-            found = SET_ASIDE;
-            say.accept(e.getMessage() + "; " + setAside(file));
-        } catch (IOException e) {
-            found = UNREAD;
-            say.accept(file + ": can't be read: " + e.getMessage() + "; figures begin anew");
-        }
-        accounts.begin(accounts.files, 0, found);
-        accounts.begin(accounts.starts, 0, RUNNING);
-        String layout = accounts.layout();
-        ByteBuffer bytes = ByteBuffer.allocate(Pages.size(layout, accounts.size(), accounts.rows()));
-        Pages pages = new Pages(new BufferMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
-        accounts.keepIn(pages, onFirstPostingOfATurn);
-        boolean kept = false;
-        try {
-            if (file != null) pages.moveTo(new BufferMemory(place(file, bytes)));
-            kept = file != null;
-        } catch (IOException e) {
-            say.accept(file + ": can't be written: " + e.getMessage() + "; figures stay in memory until the next start");
-        }
-        return new Keeper(accounts, pages, kept);
+  /**
+   * Goes on from a file, or begins one. Nothing that is wrong with it stops the relay: what can't
+   * be read is kept aside, a disk that takes nothing leaves the figures in memory; {@code say} is
+   * told in one line. Without a file, null, they are in memory from the first.
+   */
+  public static Keeper open(
+      Path file, Accounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> say) {
+    long generation = 1;
+    int found = FRESH;
+    try {
+      if (file != null && Files.exists(file)) {
+        Snapshot last = Snapshot.read(file);
+        carry(last, accounts);
+        generation = last.generation + 1;
+        found = CARRIED;
+      }
+    } catch (Snapshot.BadFileException e) {
+      found = SET_ASIDE;
+      say.accept(e.getMessage() + "; " + setAside(file));
+    } catch (IOException e) {
+      found = UNREAD;
+      say.accept(file + ": can't be read: " + e.getMessage() + "; figures begin anew");
     }
+    accounts.begin(accounts.files, 0, found);
+    accounts.begin(accounts.starts, 0, RUNNING);
+    String layout = accounts.layout();
+    ByteBuffer bytes = ByteBuffer.allocate(Pages.size(layout, accounts.size(), accounts.rows()));
+    Pages pages =
+        new Pages(new BufferMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
+    accounts.keepIn(pages, onFirstPostingOfATurn);
+    boolean kept = false;
+    try {
+      if (file != null) {
+        pages.moveTo(new BufferMemory(place(file, bytes)));
+      }
+      kept = file != null;
+    } catch (IOException e) {
+      say.accept(
+          file
+              + ": can't be written: "
+              + e.getMessage()
+              + "; figures stay in memory until the next start");
+    }
+    return new Keeper(accounts, pages, kept);
+  }
 
-    private static String setAside(Path file) {
-        for (int i = 1; i < 1000; i++) {
-            Path aside = file.resolveSibling(file.getFileName() + ".aside-" + i);
-            if (Files.exists(aside)) continue;
-            try {
-                Files.move(file, aside);
-                return "it is kept as " + aside.getFileName() + ", and figures begin anew";
-            } catch (IOException e) {
-                return "it could not be kept aside (" + e.getMessage() + "), and figures begin anew";
-            }
-        }
-        return "a thousand such files are there already, and figures begin anew";
+  private static String setAside(Path file) {
+    for (int i = 1; i < 1000; i++) {
+      Path aside = file.resolveSibling(file.getFileName() + ".aside-" + i);
+      if (Files.exists(aside)) {
+        continue;
+      }
+      try {
+        Files.move(file, aside);
+        return "it is kept as " + aside.getFileName() + ", and figures begin anew";
+      } catch (IOException e) {
+        return "it could not be kept aside (" + e.getMessage() + "), and figures begin anew";
+      }
     }
+    return "a thousand such files are there already, and figures begin anew";
+  }
 
-    /** Written out in full first: a mapped file that finds no room later would end the process. */
-    private static ByteBuffer place(Path file, ByteBuffer bytes) throws IOException {
-        Path next = file.resolveSibling(file.getFileName() + ".next");
-        ByteBuffer mapped;
-        try (FileChannel channel = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-            StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-            ByteBuffer all = bytes.duplicate().clear();
-            while (all.hasRemaining()) channel.write(all);
-            channel.force(false);
-            mapped = channel.map(FileChannel.MapMode.READ_WRITE, 0, bytes.capacity());
-        }
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        return mapped;
+  /** Written out in full first: a mapped file that finds no room later would end the process. */
+  private static ByteBuffer place(Path file, ByteBuffer bytes) throws IOException {
+    Path next = file.resolveSibling(file.getFileName() + ".next");
+    ByteBuffer mapped;
+    try (FileChannel channel =
+        FileChannel.open(
+            next,
+            StandardOpenOption.CREATE,
+            StandardOpenOption.TRUNCATE_EXISTING,
+            StandardOpenOption.READ,
+            StandardOpenOption.WRITE)) {
+      ByteBuffer all = bytes.duplicate().clear();
+      while (all.hasRemaining()) {
+        channel.write(all);
+      }
+      channel.force(false);
+      mapped = channel.map(FileChannel.MapMode.READ_WRITE, 0, bytes.capacity());
     }
+    Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    return mapped;
+  }
 
-    private static void carry(Snapshot last, Accounts accounts) throws Snapshot.BadFileException {
-        Accounts old = last.accounts();
-        for (Sheet from : old.sheets()) {
-            Sheet to = accounts.sheets().get(old.sheets().indexOf(from));
-            for (int row = 0; row < from.rows(); row++) {
-                for (int column = 0; column < from.columns().size(); column++) {
-                    long value = last.values[from.index(row, column)];
-                    if (value != 0) accounts.carry(to, old.name(from, row), column, value);
-                }
-            }
+  private static void carry(Snapshot last, Accounts accounts) throws Snapshot.BadFileException {
+    Accounts old = last.accounts();
+    for (Sheet from : old.sheets()) {
+      Sheet to = accounts.sheets().get(old.sheets().indexOf(from));
+      for (int row = 0; row < from.rows(); row++) {
+        for (int column = 0; column < from.columns().size(); column++) {
+          long value = last.values[from.index(row, column)];
+          if (value != 0) {
+            accounts.carry(to, old.name(from, row), column, value);
+          }
         }
+      }
     }
+  }
 
-    /** Whether they outlive a kill: there is a file, and it could be written. */
-    public boolean kept() {
-        return kept;
-    }
+  /** Whether they outlive a kill: there is a file, and it could be written. */
+  public boolean kept() {
+    return kept;
+  }
 
-    /** All figures at the end of a turn; from any thread, without holding the relay up. */
-    public Snapshot snapshot() {
-        try {
-            return Snapshot.read(pages.memory(), "this relay");
-        } catch (Snapshot.BadFileException e) {
-            throw new IllegalStateException(e.getMessage());
-        }
+  /** All figures at the end of a turn; from any thread, without holding the relay up. */
+  public Snapshot snapshot() {
+    try {
+      return Snapshot.read(pages.memory(), "this relay");
+    } catch (Snapshot.BadFileException e) {
+      throw new IllegalStateException(e.getMessage());
     }
+  }
 
-    /** The relay ends in good order. */
-    public void close() {
-        accounts.move(accounts.starts, 0, RUNNING, ENDED);
-        accounts.commit();
-        pages.close();
-    }
+  /** The relay ends in good order. */
+  public void close() {
+    accounts.move(accounts.starts, 0, RUNNING, ENDED);
+    accounts.commit();
+    pages.close();
+  }
 }
--- a/src/main/java/sprucerock/figures/Snapshot.java
+++ b/src/main/java/sprucerock/figures/Snapshot.java
@@ -10,155 +10,226 @@
 import sprucerock.ledger.Accounts;
 import sprucerock.ledger.Sheet;
 
-/** All figures of one relay at the end of one turn, read from its file; the relay may run, be ended or be dead. */
+/**
+ * All figures of one relay at the end of one turn, read from its file; the relay may run, be ended
+ * or be dead.
+ */
 public final class Snapshot {
-    /** A file that can't be used; the message says why in one line. */
-    public static final class BadFileException extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** A file that can't be used; the message says why in one line. */
+  public static final class BadFileException extends Exception {
+    private static final long serialVersionUID = 1L;
 
-        BadFileException(String message) {
-            super(message);
-        }
+    BadFileException(String message) {
+      super(message);
     }
+  }
+
+  private static final int TRIES = 10_000;
+  private static final int MOST_VALUES = 10_000_000;
 
-    private static final int TRIES = 10_000;
-    private static final int MOST_VALUES = 10_000_000;
+  public final long generation;
+  public final boolean closed;
+  public final String layout;
+  public final String[] names;
+  public final long[] values;
 
-    public final long generation;
-    public final boolean closed;
-    public final String layout;
-    public final String[] names;
-    public final long[] values;
+  private Snapshot(long generation, boolean closed, String layout, String[] names, long[] values) {
+    this.generation = generation;
+    this.closed = closed;
+    this.layout = layout;
+    this.names = names;
+    this.values = values;
+  }
 
-    private Snapshot(long generation, boolean closed, String layout, String[] names, long[] values) {
-        this.generation = generation;
-        this.closed = closed;
-        this.layout = layout;
-        this.names = names;
-        this.values = values;
+  /**
+   * Reads a file.
+   *
+   * @throws IOException if it can't be read at all
+   * @throws BadFileException if what it holds are no figures, or not whole
+   */
+  public static Snapshot read(Path file) throws IOException, BadFileException {
+    try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
+      long size = channel.size();
+      if (size < Pages.HEAD || size > Integer.MAX_VALUE) {
+        throw new BadFileException(file + ": " + size + " bytes are no figures");
+      }
+      return read(
+          new BufferMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)), file.toString());
     }
+  }
 
-    /**
-     * Reads a file.
-     *
-     * @throws IOException if it can't be read at all
-     * @throws BadFileException if what it holds are no figures, or not whole
-     */
-    public static Snapshot read(Path file) throws IOException, BadFileException {
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
-            long size = channel.size();
-            if (size < Pages.HEAD || size > Integer.MAX_VALUE) throw new BadFileException(file + ": " + size + " bytes are no figures");
-            return read(new BufferMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)), file.toString());
+  static Snapshot read(Memory memory, String file) throws BadFileException {
+    if (memory.get(0) != Pages.MAGIC) {
+      throw new BadFileException(file + ": no figures, or those of another version");
+    }
+    long count = memory.get(Pages.VALUES);
+    long rows = memory.get(Pages.ROWS);
+    long layoutBytes = memory.get(Pages.LAYOUT_BYTES);
+    boolean fits =
+        count >= 0
+            && count <= MOST_VALUES
+            && rows >= 0
+            && rows <= count
+            && layoutBytes >= 0
+            && layoutBytes < 1 << 20
+            && Pages.HEAD
+                    + Pages.padded((int) layoutBytes)
+                    + rows * Pages.NAME
+                    + 2 * (count + 2) * 8
+                == memory.size();
+    if (!fits) {
+      throw new BadFileException(file + ": cut short, or its head is damaged");
+    }
+    byte[] layout = bytes(memory, Pages.HEAD, (int) layoutBytes);
+    if (Pages.crc(layout) != memory.get(Pages.LAYOUT_CRC)) {
+      throw new BadFileException(file + ": its layout is damaged");
+    }
+    Copies copies =
+        new Copies(
+            memory,
+            Pages.HEAD + Pages.padded(layout.length),
+            (int) rows,
+            (int) count,
+            new String(layout, StandardCharsets.UTF_8),
+            file);
+    for (int i = 0; i < TRIES; i++) {
+      long sequence = memory.get(Pages.SEQUENCE);
+      // a relay that goes on may begin to write where we read: then the checksum is wrong and the
+      // number moves on
+      boolean read = copies.read(sequence) == sequence;
+      if (!read && memory.get(Pages.SEQUENCE) == sequence) {
+        // nobody writes: it was cut off just there. The other copy, or this one without its number,
+        // is whole
+        long even = copies.read(0);
+        long odd = copies.read(1);
+        read = Math.max(even, odd) >= 0 && copies.read(Math.max(even, odd)) >= 0;
+        if (!read) {
+          throw new BadFileException(file + ": its checksums are wrong");
         }
+      }
+      if (read) {
+        return new Snapshot(
+            memory.get(Pages.GENERATION),
+            memory.get(Pages.CLOSED) == 1,
+            new String(layout, StandardCharsets.UTF_8),
+            copies.names,
+            copies.values);
+      }
+      Thread.onSpinWait();
     }
+    throw new BadFileException(file + ": changed at each of " + TRIES + " looks");
+  }
+
+  /**
+   * The copies of the values, of which rows without a name are not looked at: these are zero, and
+   * weigh nothing. A look has to be over before a relay under load has ended two turns, and most
+   * rows are never used.
+   */
+  private static final class Copies {
+    private final Memory memory;
+    private final String file;
+    private final int namesAt;
+    private final int valuesAt;
+    private final int[] firsts;
+    final String[] names;
+    final long[] values;
 
-    static Snapshot read(Memory memory, String file) throws BadFileException {
-        if (memory.get(0) != Pages.MAGIC) throw new BadFileException(file + ": no figures, or those of another version");
-        long count = memory.get(Pages.VALUES);
-        long rows = memory.get(Pages.ROWS);
-        long layoutBytes = memory.get(Pages.LAYOUT_BYTES);
-        boolean fits = count >= 0 && count <= MOST_VALUES && rows >= 0 && rows <= count && layoutBytes >= 0 && layoutBytes < 1 << 20
-            && Pages.HEAD + Pages.padded((int) layoutBytes) + rows * Pages.NAME + 2 * (count + 2) * 8 == memory.size();
-        if (!fits) throw new BadFileException(file + ": cut short, or its head is damaged");
-        byte[] layout = bytes(memory, Pages.HEAD, (int) layoutBytes);
-        if (Pages.crc(layout) != memory.get(Pages.LAYOUT_CRC)) throw new BadFileException(file + ": its layout is damaged");
-        Copies copies = new Copies(memory, Pages.HEAD + Pages.padded(layout.length), (int) rows, (int) count, new String(layout,
-            StandardCharsets.UTF_8), file);
-        for (int i = 0; i < TRIES; i++) {
-            long sequence = memory.get(Pages.SEQUENCE);
-            // a relay that goes on may begin to write where we read: then the checksum is wrong and the number moves on
-            boolean read = copies.read(sequence) == sequence;
-            if (!read && memory.get(Pages.SEQUENCE) == sequence) {
-                // nobody writes: it was cut off just there. The other copy, or this one without its number, is whole
-                long even = copies.read(0);
-                long odd = copies.read(1);
-                read = Math.max(even, odd) >= 0 && copies.read(Math.max(even, odd)) >= 0;
-                if (!read) throw new BadFileException(file + ": its checksums are wrong");
-            }
-            if (read) {
-                return new Snapshot(memory.get(Pages.GENERATION), memory.get(Pages.CLOSED) == 1, new String(layout, StandardCharsets.UTF_8),
-                    copies.names, copies.values);
-            }
-            Thread.onSpinWait();
+    Copies(Memory memory, int namesAt, int rows, int count, String layout, String file)
+        throws BadFileException {
+      this.memory = memory;
+      this.file = file;
+      this.namesAt = namesAt;
+      valuesAt = namesAt + rows * Pages.NAME;
+      names = new String[rows];
+      values = new long[count];
+      firsts = new int[rows + 1];
+      int row = 0;
+      for (String line : layout.split("\n")) {
+        String[] parts = line.split(" ");
+        int columns = parts[3].split(",").length;
+        for (int i = Integer.parseInt(parts[2]); i > 0 && row < rows; i--, row++) {
+          firsts[row + 1] = firsts[row] + columns;
         }
-        throw new BadFileException(file + ": changed at each of " + TRIES + " looks");
+      }
+      if (row != rows || firsts[rows] != count) {
+        throw new BadFileException(file + ": its layout does not fit its head");
+      }
     }
 
     /**
-     * The copies of the values, of which rows without a name are not looked at: these are zero, and weigh nothing. A look
-     * has to be over before a relay under load has ended two turns, and most rows are never used.
+     * Reads the copy that a turn's number falls to; returns the number that stands in it, -1 where
+     * it is not whole.
      */
-    private static final class Copies {
-        private final Memory memory;
-        private final String file;
-        private final int namesAt;
-        private final int valuesAt;
-        private final int[] firsts;
-        final String[] names;
-        final long[] values;
-
-        Copies(Memory memory, int namesAt, int rows, int count, String layout, String file) throws BadFileException {
-            this.memory = memory;
-            this.file = file;
-            this.namesAt = namesAt;
-            valuesAt = namesAt + rows * Pages.NAME;
-            names = new String[rows];
-            values = new long[count];
-            firsts = new int[rows + 1];
-            int row = 0;
-            for (String line : layout.split("\n")) {
-                String[] parts = line.split(" ");
-                int columns = parts[3].split(",").length;
-                for (int i = Integer.parseInt(parts[2]); i > 0 && row < rows; i--, row++) firsts[row + 1] = firsts[row] + columns;
-            }
-            if (row != rows || firsts[rows] != count) throw new BadFileException(file + ": its layout does not fit its head");
+    long read(long sequence) throws BadFileException {
+      int at = Pages.copyAt(valuesAt, values.length, sequence);
+      long check = 0;
+      for (int row = 0; row < names.length; row++) {
+        int nameAt = namesAt + row * Pages.NAME;
+        long length = memory.get(nameAt);
+        if (length < 0 || length > Pages.NAME - 8) {
+          throw new BadFileException(file + ": a name is damaged");
         }
-
-        /** Reads the copy that a turn's number falls to; returns the number that stands in it, -1 where it is not whole. */
-        long read(long sequence) throws BadFileException {
-            int at = Pages.copyAt(valuesAt, values.length, sequence);
-            long check = 0;
-            for (int row = 0; row < names.length; row++) {
-                int nameAt = namesAt + row * Pages.NAME;
-                long length = memory.get(nameAt);
-                if (length < 0 || length > Pages.NAME - 8) throw new BadFileException(file + ": a name is damaged");
-                if (length == 0) continue;
-                if (names[row] == null) names[row] = new String(bytes(memory, nameAt + 8, (int) length), StandardCharsets.UTF_8);
-                memory.get(at + firsts[row] * 8, values, firsts[row], firsts[row + 1] - firsts[row]);
-                for (int i = firsts[row]; i < firsts[row + 1]; i++) check += values[i] * Pages.weight(i);
-            }
-            long own = memory.get(at + values.length * 8);
-            boolean whole = memory.get(at + values.length * 8 + 8) == Pages.checksum(check, own) && (own & 1) == (sequence & 1);
-            return whole ? own : -1;
+        if (length == 0) {
+          continue;
+        }
+        if (names[row] == null) {
+          names[row] = new String(bytes(memory, nameAt + 8, (int) length), StandardCharsets.UTF_8);
+        }
+        memory.get(at + firsts[row] * 8, values, firsts[row], firsts[row + 1] - firsts[row]);
+        for (int i = firsts[row]; i < firsts[row + 1]; i++) {
+          check += values[i] * Pages.weight(i);
         }
+      }
+      long own = memory.get(at + values.length * 8);
+      boolean whole =
+          memory.get(at + values.length * 8 + 8) == Pages.checksum(check, own)
+              && (own & 1) == (sequence & 1);
+      return whole ? own : -1;
     }
+  }
 
-    private static byte[] bytes(Memory memory, int at, int count) {
-        byte[] bytes = new byte[count];
-        for (int i = 0; i < count; i++) bytes[i] = (byte) (memory.get(at + (i & ~7)) >>> 8 * (i & 7));
-        return bytes;
+  private static byte[] bytes(Memory memory, int at, int count) {
+    byte[] bytes = new byte[count];
+    for (int i = 0; i < count; i++) {
+      bytes[i] = (byte) (memory.get(at + (i & ~7)) >>> 8 * (i & 7));
     }
+    return bytes;
+  }
 
-    /** Accounts of the same layout and names, to check and name these values by. */
-    public Accounts accounts() throws BadFileException {
-        List<String> methods = new ArrayList<>();
-        int[] rooms = new int[3];
-        int row = 0;
-        for (String line : layout.split("\n")) {
-            String[] parts = line.split(" ");
-            int rows = Integer.parseInt(parts[2]);
-            for (int i = 0; i < rows - 1 && parts[0].equals("rpcs"); i++) methods.add(names[row + i]);
-            if (parts[0].equals("build_picks")) rooms[0] = rows - 1;
-            if (parts[0].equals("unit_picks")) rooms[1] = rows - 1;
-            if (parts[0].equals("customer_rpcs")) rooms[2] = rows - 1;
-            row += rows;
-        }
-        Accounts made = new Accounts(methods, new Accounts.Room(rooms[0], rooms[1], rooms[2]));
-        if (!made.layout().equals(layout)) throw new BadFileException("figures of another version");
-        int at = 0;
-        for (Sheet sheet : made.sheets()) {
-            for (int i = 0; i < sheet.rows(); i++, at++) if (names[at] != null) made.named(sheet, i, names[at]);
+  /** Accounts of the same layout and names, to check and name these values by. */
+  public Accounts accounts() throws BadFileException {
+    List<String> methods = new ArrayList<>();
+    int[] rooms = new int[3];
+    int row = 0;
+    for (String line : layout.split("\n")) {
+      String[] parts = line.split(" ");
+      int rows = Integer.parseInt(parts[2]);
+      for (int i = 0; i < rows - 1 && parts[0].equals("rpcs"); i++) {
+        methods.add(names[row + i]);
+      }
+      if (parts[0].equals("build_picks")) {
+        rooms[0] = rows - 1;
+      }
+      if (parts[0].equals("unit_picks")) {
+        rooms[1] = rows - 1;
+      }
+      if (parts[0].equals("customer_rpcs")) {
+        rooms[2] = rows - 1;
+      }
+      row += rows;
+    }
+    Accounts made = new Accounts(methods, new Accounts.Room(rooms[0], rooms[1], rooms[2]));
+    if (!made.layout().equals(layout)) {
+      throw new BadFileException("figures of another version");
+    }
+    int at = 0;
+    for (Sheet sheet : made.sheets()) {
+      for (int i = 0; i < sheet.rows(); i++, at++) {
+        if (names[at] != null) {
+          made.named(sheet, i, names[at]);
         }
-        return made;
+      }
     }
+    return made;
+  }
 }
--- a/src/main/java/sprucerock/freeze/Headroom.java
+++ b/src/main/java/sprucerock/freeze/Headroom.java
@@ -10,91 +10,120 @@
 import sprucerock.hardware.Translation;
 
 /**
- * Whether what is left bears the load, zone by zone and hour by hour: racks that are up and not frozen, counted in units of one family at
- * the lower bound of what they surely stand for, against the forecast with its reserve.
+ * Whether what is left bears the load, zone by zone and hour by hour: racks that are up and not
+ * frozen, counted in units of one family at the lower bound of what they surely stand for, against
+ * the forecast with its reserve.
  */
 public final class Headroom {
-    /**
-     * What a zone needs.
-     *
-     * @param family in whose units it is told
-     * @param byHour 24 of them, by the hour of the day in UTC
-     * @param method whose work is most of the load, by which families are compared
-     */
-    public record Forecast(int family, int method, double[] byHour) {}
+  /**
+   * What a zone needs.
+   *
+   * @param family in whose units it is told
+   * @param byHour 24 of them, by the hour of the day in UTC
+   * @param method whose work is most of the load, by which families are compared
+   */
+  public record Forecast(int family, int method, double[] byHour) {}
 
-    private static final long HOUR = 3_600_000;
+  private static final long HOUR = 3_600_000;
 
-    private final Map<String, Rack> racks = new TreeMap<>();
-    private final Map<Integer, Forecast> byZone;
-    private final double reserve;
-    private Translation translation; // null: only units of the forecast's own family count
-    private final Set<String> down = new java.util.TreeSet<>();
-    private double onTrial;
+  private final Map<String, Rack> racks = new TreeMap<>();
+  private final Map<Integer, Forecast> byZone;
+  private final double reserve;
+  private Translation translation; // null: only units of the forecast's own family count
+  private final Set<String> down = new java.util.TreeSet<>();
+  private double onTrial;
 
-    /** {@code reserve}: how much more than the forecast is to be there, as a share of it. */
-    public Headroom(Collection<Rack> racks, Map<Integer, Forecast> byZone, double reserve) {
-        for (Rack one : racks) this.racks.put(one.name(), one);
-        this.byZone = new TreeMap<>(byZone);
-        this.reserve = reserve;
+  /** {@code reserve}: how much more than the forecast is to be there, as a share of it. */
+  public Headroom(Collection<Rack> racks, Map<Integer, Forecast> byZone, double reserve) {
+    for (Rack one : racks) {
+      this.racks.put(one.name(), one);
     }
+    this.byZone = new TreeMap<>(byZone);
+    this.reserve = reserve;
+  }
 
-    public Map<String, Rack> racks() {
-        return racks;
-    }
+  public Map<String, Rack> racks() {
+    return racks;
+  }
 
-    /** A newer model of what families are worth. */
-    void translation(Translation newer) {
-        translation = newer;
-    }
+  /** A newer model of what families are worth. */
+  void translation(Translation newer) {
+    translation = newer;
+  }
 
-    /** A rack died, or is back. */
-    boolean down(String rack, boolean is) {
-        return is ? down.add(rack) : down.remove(rack);
-    }
+  /** A rack died, or is back. */
+  boolean down(String rack, boolean is) {
+    return is ? down.add(rack) : down.remove(rack);
+  }
 
-    Set<String> down() {
-        return down;
-    }
+  Set<String> down() {
+    return down;
+  }
 
-    /** This share of all units serves a build on trial or is being moved by a change: it is not counted on. */
-    void onTrial(double share) {
-        onTrial = share;
-    }
+  /**
+   * This share of all units serves a build on trial or is being moved by a change: it is not
+   * counted on.
+   */
+  void onTrial(double share) {
+    onTrial = share;
+  }
 
-    double onTrial() {
-        return onTrial;
-    }
+  double onTrial() {
+    return onTrial;
+  }
 
-    /** What is short in some hour between two moments, in one line; null where nothing is. {@code away}: racks that are frozen meanwhile. */
-    String shortOf(Set<String> away, long from, long to) {
-        for (Map.Entry<Integer, Forecast> one : byZone.entrySet()) {
-            Forecast needs = one.getValue();
-            double left = 0;
-            List<String> unknown = new ArrayList<>();
-            for (Rack rack : racks.values()) {
-                if (rack.zone() != one.getKey() || away.contains(rack.name()) || down.contains(rack.name())) continue;
-                for (Map.Entry<Integer, Double> units : rack.units().entrySet()) {
-                    double worth = worth(needs, units.getKey(), units.getValue());
-                    if (Double.isNaN(worth)) unknown.add(rack.name());
-                    else left += worth;
-                }
-            }
-            left *= 1 - onTrial;
-            for (long hour = from - Math.floorMod(from, HOUR); hour < to; hour += HOUR) {
-                double wanted = needs.byHour()[(int) Math.floorMod(hour / HOUR, 24L)] * (1 + reserve);
-                if (left + 1e-9 < wanted) {
-                    return String.format(Locale.ROOT, "zone %d at %02d:00 UTC needs %.1f units of family %d with its reserve, %.1f would be left%s", one.getKey(),
-                        Math.floorMod(hour / HOUR, 24L), wanted, needs.family(), left, unknown.isEmpty() ? "" : "; not counted as not known well enough: " + unknown);
-                }
-                if (hour - from > 24 * HOUR) break; // each hour of the day was looked at
-            }
+  /**
+   * What is short in some hour between two moments, in one line; null where nothing is. {@code
+   * away}: racks that are frozen meanwhile.
+   */
+  String shortOf(Set<String> away, long from, long to) {
+    for (Map.Entry<Integer, Forecast> one : byZone.entrySet()) {
+      Forecast needs = one.getValue();
+      double left = 0;
+      List<String> unknown = new ArrayList<>();
+      for (Rack rack : racks.values()) {
+        if (rack.zone() != one.getKey()
+            || away.contains(rack.name())
+            || down.contains(rack.name())) {
+          continue;
+        }
+        for (Map.Entry<Integer, Double> units : rack.units().entrySet()) {
+          double worth = worth(needs, units.getKey(), units.getValue());
+          if (Double.isNaN(worth)) {
+            unknown.add(rack.name());
+          } else {
+            left += worth;
+          }
+        }
+      }
+      left *= 1 - onTrial;
+      for (long hour = from - Math.floorMod(from, HOUR); hour < to; hour += HOUR) {
+        double wanted = needs.byHour()[(int) Math.floorMod(hour / HOUR, 24L)] * (1 + reserve);
+        if (left + 1e-9 < wanted) {
+          return String.format(
+              Locale.ROOT,
+              "zone %d at %02d:00 UTC needs %.1f units of family %d with its reserve, %.1f would be left%s",
+              one.getKey(),
+              Math.floorMod(hour / HOUR, 24L),
+              wanted,
+              needs.family(),
+              left,
+              unknown.isEmpty() ? "" : "; not counted as not known well enough: " + unknown);
+        }
+        if (hour - from > 24 * HOUR) {
+          break; // each hour of the day was looked at
         }
-        return null;
+      }
     }
+    return null;
+  }
 
-    private double worth(Forecast needs, int family, double units) {
-        if (family == needs.family()) return units;
-        return translation == null ? Double.NaN : translation.counted(needs.method(), units, family, needs.family()).units();
+  private double worth(Forecast needs, int family, double units) {
+    if (family == needs.family()) {
+      return units;
     }
+    return translation == null
+        ? Double.NaN
+        : translation.counted(needs.method(), units, family, needs.family()).units();
+  }
 }
