--- a/src/main/java/sprucerock/freeze/Occurrences.java
+++ b/src/main/java/sprucerock/freeze/Occurrences.java
@@ -11,42 +11,54 @@
 import org.dmfs.rfc5545.recur.RecurrenceRuleIterator;
 
 /**
- * When a window that comes again begins: by a rule of RFC 5545 in a named time zone, so that 02:30 stays 02:30 when clocks change. A
- * window's length is true time: over the night that has an hour less it ends an hour later by the wall. An occurrence whose time of day
- * is left out that night begins when clocks have gone forward.
+ * When a window that comes again begins: by a rule of RFC 5545 in a named time zone, so that 02:30
+ * stays 02:30 when clocks change. A window's length is true time: over the night that has an hour
+ * less it ends an hour later by the wall. An occurrence whose time of day is left out that night
+ * begins when clocks have gone forward.
  */
 public final class Occurrences {
-    /** As far as they are looked ahead, and how many at most. */
-    public static final long HORIZON_MS = 14L * 24 * 3_600_000;
-    public static final int MOST = 50;
+  /** As far as they are looked ahead, and how many at most. */
+  public static final long HORIZON_MS = 14L * 24 * 3_600_000;
 
-    private Occurrences() {}
+  public static final int MOST = 50;
 
-    /**
-     * Beginnings from one moment on, within the horizon; {@code first} is the first of all.
-     *
-     * @throws IllegalArgumentException if the rule or the zone is none; the message says what is allowed
-     */
-    public static List<Long> from(long nowMs, long firstMs, String rule, String zone) {
-        List<Long> found = new ArrayList<>();
-        if (rule.isEmpty()) {
-            if (firstMs >= nowMs) found.add(firstMs);
-            return found;
+  private Occurrences() {}
+
+  /**
+   * Beginnings from one moment on, within the horizon; {@code first} is the first of all.
+   *
+   * @throws IllegalArgumentException if the rule or the zone is none; the message says what is
+   *     allowed
+   */
+  public static List<Long> from(long nowMs, long firstMs, String rule, String zone) {
+    List<Long> found = new ArrayList<>();
+    if (rule.isEmpty()) {
+      if (firstMs >= nowMs) {
+        found.add(firstMs);
+      }
+      return found;
+    }
+    try {
+      TimeZone named =
+          TimeZone.getTimeZone(ZoneId.of(zone)); // which refuses what TimeZone takes for UTC
+      RecurrenceRuleIterator each = new RecurrenceRule(rule).iterator(new DateTime(named, firstMs));
+      each.fastForward(nowMs);
+      while (each.hasNext() && found.size() < MOST) {
+        long next = each.nextMillis();
+        if (next > nowMs + HORIZON_MS) {
+          break;
         }
-        try {
-            TimeZone named = TimeZone.getTimeZone(ZoneId.of(zone)); // which refuses what TimeZone takes for UTC
-            RecurrenceRuleIterator each = new RecurrenceRule(rule).iterator(new DateTime(named, firstMs));
-            each.fastForward(nowMs);
-            while (each.hasNext() && found.size() < MOST) {
-                long next = each.nextMillis();
-                if (next > nowMs + HORIZON_MS) break;
-                if (next >= nowMs) found.add(next);
-            }
-            return found;
-        } catch (InvalidRecurrenceRuleException e) {
-            throw new IllegalArgumentException("\"" + rule + "\" is no rule such as FREQ=WEEKLY;BYDAY=TU: " + e.getMessage());
-        } catch (DateTimeException e) {
-            throw new IllegalArgumentException("\"" + zone + "\" is no time zone such as Africa/Johannesburg");
+        if (next >= nowMs) {
+          found.add(next);
         }
+      }
+      return found;
+    } catch (InvalidRecurrenceRuleException e) {
+      throw new IllegalArgumentException(
+          "\"" + rule + "\" is no rule such as FREQ=WEEKLY;BYDAY=TU: " + e.getMessage());
+    } catch (DateTimeException e) {
+      throw new IllegalArgumentException(
+          "\"" + zone + "\" is no time zone such as Africa/Johannesburg");
     }
+  }
 }
--- a/src/main/java/sprucerock/freeze/Promises.java
+++ b/src/main/java/sprucerock/freeze/Promises.java
@@ -11,102 +11,142 @@
 import java.util.TreeSet;
 
 /**
- * What one controller's life has promised to which relay, and which relays still hold a promise into a freeze. Not kept on disk: what a
- * former life promised runs out within a notice, and until then nobody is said to have given everything back.
+ * What one controller's life has promised to which relay, and which relays still hold a promise
+ * into a freeze. Not kept on disk: what a former life promised runs out within a notice, and until
+ * then nobody is said to have given everything back.
  *
- * <p>An ask is what comes most often, so it looks at no other relay: who asked last stands last in one line, from whose front those go
- * whose promises have run out, and those of one state stand together, the last one to ask first. There are as many states as there were steps
- * within a notice.
+ * <p>An ask is what comes most often, so it looks at no other relay: who asked last stands last in
+ * one line, from whose front those go whose promises have run out, and those of one state stand
+ * together, the last one to ask first. There are as many states as there were steps within a
+ * notice.
  */
 public final class Promises {
-    private record Held(int relay, long sequence, long since) {}
+  private record Held(int relay, long sequence, long since) {}
 
-    private static final Comparator<Held> BY_TIME = Comparator.comparingLong(Held::since).thenComparingInt(Held::relay);
+  private static final Comparator<Held> BY_TIME =
+      Comparator.comparingLong(Held::since).thenComparingInt(Held::relay);
 
-    /** In the order of their asks. A relay is forgotten once all that it was promised has run out. */
-    private final LinkedHashMap<Integer, Held> held = new LinkedHashMap<>();
-    private final TreeMap<Long, TreeSet<Held>> byState = new TreeMap<>();
-    private final Freezes freezes;
-    private final long startedMs;
-    private long looked;
+  /** In the order of their asks. A relay is forgotten once all that it was promised has run out. */
+  private final LinkedHashMap<Integer, Held> held = new LinkedHashMap<>();
 
-    /** {@code nowMs}: when this life began to promise. */
-    public Promises(Freezes freezes, long nowMs) {
-        this.freezes = freezes;
-        startedMs = nowMs;
-    }
+  private final TreeMap<Long, TreeSet<Held>> byState = new TreeMap<>();
+  private final Freezes freezes;
+  private final long startedMs;
+  private long looked;
 
-    /** A relay asks, and is promised anew: what it holds is of that state, or of none (0), and of no earlier one. {@code nowMs} never goes back. */
-    public void asked(int relay, long holds, long nowMs) {
-        Held before = held.remove(relay);
-        if (before != null) leave(before);
-        // an ask that was long on its way does not take back what a later one said; what it will be told now, it may never hear
-        Held now = new Held(relay, before == null ? holds : Math.max(holds, before.sequence), nowMs);
-        held.put(relay, now);
-        byState.computeIfAbsent(now.sequence, any -> new TreeSet<>(BY_TIME)).add(now);
-        for (Iterator<Held> oldest = held.values().iterator(); oldest.hasNext();) {
-            looked++;
-            Held one = oldest.next();
-            if (nowMs - one.since <= freezes.longestMs()) break;
-            oldest.remove();
-            leave(one);
-        }
-    }
+  /** {@code nowMs}: when this life began to promise. */
+  public Promises(Freezes freezes, long nowMs) {
+    this.freezes = freezes;
+    startedMs = nowMs;
+  }
 
-    private void leave(Held one) {
-        TreeSet<Held> same = byState.get(one.sequence);
-        same.remove(one);
-        if (same.isEmpty()) byState.remove(one.sequence);
+  /**
+   * A relay asks, and is promised anew: what it holds is of that state, or of none (0), and of no
+   * earlier one. {@code nowMs} never goes back.
+   */
+  public void asked(int relay, long holds, long nowMs) {
+    Held before = held.remove(relay);
+    if (before != null) {
+      leave(before);
     }
-
-    /** For how long from now on nothing will be frozen on a rack, in milliseconds; 0: it is frozen or draining. */
-    public long promised(String rack, long nowMs) {
-        return freezes.free(rack, nowMs);
+    // an ask that was long on its way does not take back what a later one said; what it will be
+    // told now, it may never hear
+    Held now = new Held(relay, before == null ? holds : Math.max(holds, before.sequence), nowMs);
+    held.put(relay, now);
+    byState.computeIfAbsent(now.sequence, any -> new TreeSet<>(BY_TIME)).add(now);
+    for (Iterator<Held> oldest = held.values().iterator(); oldest.hasNext(); ) {
+      looked++;
+      Held one = oldest.next();
+      if (nowMs - one.since <= freezes.longestMs()) {
+        break;
+      }
+      oldest.remove();
+      leave(one);
     }
+  }
 
-    /** The racks that are promised for less than their notice, by their names, in milliseconds: all others are for just that. */
-    public Map<String, Long> shorter(long nowMs) {
-        return freezes.soon(nowMs);
+  private void leave(Held one) {
+    TreeSet<Held> same = byState.get(one.sequence);
+    same.remove(one);
+    if (same.isEmpty()) {
+      byState.remove(one.sequence);
     }
+  }
 
-    /** Relays that may still hold a promise into it, by their numbers; -1: such as are not known, because this life began since. */
-    public Set<Integer> out(Freeze freeze, long nowMs) {
-        Set<Integer> out = new TreeSet<>();
-        if (nowMs >= freezes.promisesEnd(freeze)) return out;
-        if (nowMs < startedMs + freezes.noticeMs(freeze)) out.add(-1);
-        for (TreeSet<Held> same : byState.headMap(freeze.boundBy).values()) {
-            for (Held one : same.descendingSet()) {
-                looked++;
-                if (nowMs >= one.since + freezes.noticeMs(freeze)) break;
-                out.add(one.relay);
-            }
-        }
-        return out;
-    }
+  /**
+   * For how long from now on nothing will be frozen on a rack, in milliseconds; 0: it is frozen or
+   * draining.
+   */
+  public long promised(String rack, long nowMs) {
+    return freezes.free(rack, nowMs);
+  }
+
+  /**
+   * The racks that are promised for less than their notice, by their names, in milliseconds: all
+   * others are for just that.
+   */
+  public Map<String, Long> shorter(long nowMs) {
+    return freezes.soon(nowMs);
+  }
 
-    /** The same as whether {@link #out} finds none, by the last of each state. */
-    private boolean nobodyOut(Freeze freeze, long nowMs) {
-        if (nowMs >= freezes.promisesEnd(freeze)) return true;
-        if (nowMs < startedMs + freezes.noticeMs(freeze)) return false;
-        for (Map.Entry<Long, TreeSet<Held>> same : byState.headMap(freeze.boundBy).entrySet()) {
-            looked++;
-            if (nowMs < same.getValue().last().since + freezes.noticeMs(freeze)) return false;
+  /**
+   * Relays that may still hold a promise into it, by their numbers; -1: such as are not known,
+   * because this life began since.
+   */
+  public Set<Integer> out(Freeze freeze, long nowMs) {
+    Set<Integer> out = new TreeSet<>();
+    if (nowMs >= freezes.promisesEnd(freeze)) {
+      return out;
+    }
+    if (nowMs < startedMs + freezes.noticeMs(freeze)) {
+      out.add(-1);
+    }
+    for (TreeSet<Held> same : byState.headMap(freeze.boundBy).values()) {
+      for (Held one : same.descendingSet()) {
+        looked++;
+        if (nowMs >= one.since + freezes.noticeMs(freeze)) {
+          break;
         }
-        return true;
+        out.add(one.relay);
+      }
     }
+    return out;
+  }
 
-    /** Freezes whose time has come and into which nobody holds a promise any more: to be recorded as {@link Freezes#cleared}. */
-    public List<Long> cleared(long nowMs) {
-        List<Long> found = new ArrayList<>();
-        for (Freeze one : freezes.draining()) {
-            looked++;
-            if (nobodyOut(one, nowMs)) found.add(one.number);
-        }
-        return found;
+  /** The same as whether {@link #out} finds none, by the last of each state. */
+  private boolean nobodyOut(Freeze freeze, long nowMs) {
+    if (nowMs >= freezes.promisesEnd(freeze)) {
+      return true;
     }
+    if (nowMs < startedMs + freezes.noticeMs(freeze)) {
+      return false;
+    }
+    for (Map.Entry<Long, TreeSet<Held>> same : byState.headMap(freeze.boundBy).entrySet()) {
+      looked++;
+      if (nowMs < same.getValue().last().since + freezes.noticeMs(freeze)) {
+        return false;
+      }
+    }
+    return true;
+  }
 
-    /** Entries that were looked at so far: what tests of its growth count. */
-    public long looked() {
-        return looked;
+  /**
+   * Freezes whose time has come and into which nobody holds a promise any more: to be recorded as
+   * {@link Freezes#cleared}.
+   */
+  public List<Long> cleared(long nowMs) {
+    List<Long> found = new ArrayList<>();
+    for (Freeze one : freezes.draining()) {
+      looked++;
+      if (nobodyOut(one, nowMs)) {
+        found.add(one.number);
+      }
     }
+    return found;
+  }
+
+  /** Entries that were looked at so far: what tests of its growth count. */
+  public long looked() {
+    return looked;
+  }
 }
--- a/src/main/java/sprucerock/freeze/Rack.java
+++ b/src/main/java/sprucerock/freeze/Rack.java
@@ -8,6 +8,7 @@
  * @param zone where it stands
  * @param cell the roster's number for it within its zone
  * @param units how many of each family
- * @param noticeMs how far ahead relays are promised that it will not be frozen; a relay that hears nothing for so long stops placing there
+ * @param noticeMs how far ahead relays are promised that it will not be frozen; a relay that hears
+ *     nothing for so long stops placing there
  */
 public record Rack(String name, int zone, int cell, Map<Integer, Double> units, long noticeMs) {}
--- a/src/main/java/sprucerock/hardware/Model.java
+++ b/src/main/java/sprucerock/hardware/Model.java
@@ -4,109 +4,155 @@
 import org.hipparchus.distribution.continuous.TDistribution;
 
 /**
- * What families are worth beside each other, with how well that is known. Never changed; a later one takes its place by {@link #newerThan}.
+ * What families are worth beside each other, with how well that is known. Never changed; a later
+ * one takes its place by {@link #newerThan}.
  */
 public final class Model {
-    /** A logarithm and its standard error. */
-    public record Estimate(double log, double error) {
-        Estimate minus(Estimate other) {
-            return new Estimate(log - other.log, Math.hypot(error, other.error));
-        }
+  /** A logarithm and its standard error. */
+  public record Estimate(double log, double error) {
+    Estimate minus(Estimate other) {
+      return new Estimate(log - other.log, Math.hypot(error, other.error));
     }
-
-    private final long number;
-    private final long window;
-    private final List<Integer> families;
-    private final List<Integer> methods;
-    private final Estimate[][][] times;
-    private final Estimate[] cores;
-    private final int free;
-
-    /**
-     * @param number of the lease under which it was fitted
-     * @param window the newest that it was fitted to
-     * @param times by method (last: for all), family and other family: how many times as long, at low load
-     * @param cores by family: how many picks side by side
-     * @param free degrees of freedom behind the errors, 1 at least
-     */
-    public Model(long number, long window, List<Integer> families, List<Integer> methods, Estimate[][][] times, Estimate[] cores, int free) {
-        if (times.length != methods.size() + 1 || cores.length != families.size() || free < 1) throw new IllegalArgumentException("a model of other size than its families and methods");
-        this.number = number;
-        this.window = window;
-        this.families = List.copyOf(families);
-        this.methods = List.copyOf(methods);
-        this.times = times;
-        this.cores = cores;
-        this.free = free;
+  }
+
+  private final long number;
+  private final long window;
+  private final List<Integer> families;
+  private final List<Integer> methods;
+  private final Estimate[][][] times;
+  private final Estimate[] cores;
+  private final int free;
+
+  /**
+   * @param number of the lease under which it was fitted
+   * @param window the newest that it was fitted to
+   * @param times by method (last: for all), family and other family: how many times as long, at low
+   *     load
+   * @param cores by family: how many picks side by side
+   * @param free degrees of freedom behind the errors, 1 at least
+   */
+  public Model(
+      long number,
+      long window,
+      List<Integer> families,
+      List<Integer> methods,
+      Estimate[][][] times,
+      Estimate[] cores,
+      int free) {
+    if (times.length != methods.size() + 1 || cores.length != families.size() || free < 1) {
+      throw new IllegalArgumentException("a model of other size than its families and methods");
     }
-
-    /** From its figures in a row: times by method (last: for all), family, other family. */
-    public static Model of(long number, long window, List<Integer> families, List<Integer> methods, List<Double> logs, List<Double> errors, List<Double> cores,
-        List<Double> coresErrors, int free) {
-        Estimate[][][] times = new Estimate[methods.size() + 1][families.size()][families.size()];
-        int at = 0;
-        for (Estimate[][] method : times) {
-            for (Estimate[] family : method) for (int b = 0; b < family.length; b++, at++) family[b] = new Estimate(logs.get(at), errors.get(at));
+    this.number = number;
+    this.window = window;
+    this.families = List.copyOf(families);
+    this.methods = List.copyOf(methods);
+    this.times = times;
+    this.cores = cores;
+    this.free = free;
+  }
+
+  /** From its figures in a row: times by method (last: for all), family, other family. */
+  public static Model of(
+      long number,
+      long window,
+      List<Integer> families,
+      List<Integer> methods,
+      List<Double> logs,
+      List<Double> errors,
+      List<Double> cores,
+      List<Double> coresErrors,
+      int free) {
+    Estimate[][][] times = new Estimate[methods.size() + 1][families.size()][families.size()];
+    int at = 0;
+    for (Estimate[][] method : times) {
+      for (Estimate[] family : method) {
+        for (int b = 0; b < family.length; b++, at++) {
+          family[b] = new Estimate(logs.get(at), errors.get(at));
         }
-        Estimate[] all = new Estimate[families.size()];
-        for (int a = 0; a < all.length; a++) all[a] = new Estimate(cores.get(a), coresErrors.get(a));
-        return new Model(number, window, families, methods, times, all, free);
-    }
-
-    /** All times, in the order of {@link #of}. */
-    public void times(java.util.function.Consumer<Estimate> each) {
-        for (Estimate[][] method : times) for (Estimate[] family : method) for (Estimate one : family) each.accept(one);
-    }
-
-    public long number() {
-        return number;
-    }
-
-    public long window() {
-        return window;
-    }
-
-    /** Of a later holder, or of the same one and later windows. */
-    public boolean newerThan(Model other) {
-        return other == null || number > other.number || number == other.number && window > other.window;
+      }
     }
-
-    public List<Integer> families() {
-        return families;
-    }
-
-    public List<Integer> methods() {
-        return methods;
+    Estimate[] all = new Estimate[families.size()];
+    for (int a = 0; a < all.length; a++) {
+      all[a] = new Estimate(cores.get(a), coresErrors.get(a));
     }
-
-    public int free() {
-        return free;
-    }
-
-    /** How many times as long a method takes on one family as on another at low load, or all methods where it was not seen; null: a family was never seen. */
-    public Estimate time(int method, int on, int than) {
-        int a = families.indexOf(on);
-        int b = families.indexOf(than);
-        int m = methods.indexOf(method);
-        return a < 0 || b < 0 ? null : times[m < 0 ? methods.size() : m][a][b];
+    return new Model(number, window, families, methods, times, all, free);
+  }
+
+  /** All times, in the order of {@link #of}. */
+  public void times(java.util.function.Consumer<Estimate> each) {
+    for (Estimate[][] method : times) {
+      for (Estimate[] family : method) {
+        for (Estimate one : family) {
+          each.accept(one);
+        }
+      }
     }
-
-    /** How many times as many picks of a method a second a unit of one family bears as one of another; null as above. */
-    public Estimate capacity(int method, int of, int than) {
-        Estimate time = time(method, of, than);
-        if (time == null) return null;
-        if (of == than) return new Estimate(0, 0);
-        return cores(of).minus(cores(than)).minus(time);
+  }
+
+  public long number() {
+    return number;
+  }
+
+  public long window() {
+    return window;
+  }
+
+  /** Of a later holder, or of the same one and later windows. */
+  public boolean newerThan(Model other) {
+    return other == null
+        || number > other.number
+        || number == other.number && window > other.window;
+  }
+
+  public List<Integer> families() {
+    return families;
+  }
+
+  public List<Integer> methods() {
+    return methods;
+  }
+
+  public int free() {
+    return free;
+  }
+
+  /**
+   * How many times as long a method takes on one family as on another at low load, or all methods
+   * where it was not seen; null: a family was never seen.
+   */
+  public Estimate time(int method, int on, int than) {
+    int a = families.indexOf(on);
+    int b = families.indexOf(than);
+    int m = methods.indexOf(method);
+    return a < 0 || b < 0 ? null : times[m < 0 ? methods.size() : m][a][b];
+  }
+
+  /**
+   * How many times as many picks of a method a second a unit of one family bears as one of another;
+   * null as above.
+   */
+  public Estimate capacity(int method, int of, int than) {
+    Estimate time = time(method, of, than);
+    if (time == null) {
+      return null;
     }
-
-    /** How many picks side by side a unit of a family bears before they slow each other. */
-    public Estimate cores(int family) {
-        int f = families.indexOf(family);
-        return f < 0 ? null : cores[f];
-    }
-
-    /** How many standard errors lie between an estimate and a bound that holds with that confidence, over 0.5 and under 1. */
-    public double errors(double confidence) {
-        return new TDistribution(free).inverseCumulativeProbability(confidence);
+    if (of == than) {
+      return new Estimate(0, 0);
     }
+    return cores(of).minus(cores(than)).minus(time);
+  }
+
+  /** How many picks side by side a unit of a family bears before they slow each other. */
+  public Estimate cores(int family) {
+    int f = families.indexOf(family);
+    return f < 0 ? null : cores[f];
+  }
+
+  /**
+   * How many standard errors lie between an estimate and a bound that holds with that confidence,
+   * over 0.5 and under 1.
+   */
+  public double errors(double confidence) {
+    return new TDistribution(free).inverseCumulativeProbability(confidence);
+  }
 }
--- a/src/main/java/sprucerock/hardware/Seen.java
+++ b/src/main/java/sprucerock/hardware/Seen.java
@@ -3,45 +3,66 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All tallies of the last windows, of all relays, as whoever fits was told them. Bounded by windows, relays and cells. */
+/**
+ * All tallies of the last windows, of all relays, as whoever fits was told them. Bounded by
+ * windows, relays and cells.
+ */
 public final class Seen {
-    /** Windows that are kept: at ten seconds each ten minutes, in which hardware does not change but for what is to be noticed. */
-    public static final int WINDOWS = 60;
-    public static final int MOST_RELAYS = 2000;
-
-    private final TreeMap<Long, TreeMap<Integer, Tally>> windows = new TreeMap<>();
-
-    /** True where it says something new; one that holds less than what is known of its relay and window came late or twice. */
-    public boolean told(Tally tally) {
-        if (!windows.isEmpty() && tally.window() <= windows.lastKey() - WINDOWS) return false;
-        Map<Integer, Tally> window = windows.computeIfAbsent(tally.window(), any -> new TreeMap<>());
-        Tally before = window.get(tally.relay());
-        if (before != null ? before.count() >= tally.count() : window.size() >= MOST_RELAYS) return false;
-        window.put(tally.relay(), tally);
-        while (windows.firstKey() <= windows.lastKey() - WINDOWS) windows.pollFirstEntry();
-        return true;
-    }
+  /**
+   * Windows that are kept: at ten seconds each ten minutes, in which hardware does not change but
+   * for what is to be noticed.
+   */
+  public static final int WINDOWS = 60;
 
-    /** The same at this moment; a tally that was told is never changed. */
-    public Seen copy() {
-        Seen made = new Seen();
-        windows.forEach((window, relays) -> made.windows.put(window, new TreeMap<>(relays)));
-        return made;
-    }
+  public static final int MOST_RELAYS = 2000;
 
-    /** All relays' cells of each window from one on, added up. */
-    Map<Long, Map<Cell, Sums>> since(long first) {
-        Map<Long, Map<Cell, Sums>> all = new TreeMap<>();
-        windows.tailMap(first).forEach((window, relays) -> {
-            Map<Cell, Sums> sums = new TreeMap<>();
-            for (Tally tally : relays.values()) tally.cells().forEach((cell, one) -> sums.merge(cell, one, Sums::plus));
-            all.put(window, sums);
-        });
-        return all;
-    }
+  private final TreeMap<Long, TreeMap<Integer, Tally>> windows = new TreeMap<>();
 
-    /** The newest window; 0: there is none. */
-    public long newest() {
-        return windows.isEmpty() ? 0 : windows.lastKey();
+  /**
+   * True where it says something new; one that holds less than what is known of its relay and
+   * window came late or twice.
+   */
+  public boolean told(Tally tally) {
+    if (!windows.isEmpty() && tally.window() <= windows.lastKey() - WINDOWS) {
+      return false;
+    }
+    Map<Integer, Tally> window = windows.computeIfAbsent(tally.window(), any -> new TreeMap<>());
+    Tally before = window.get(tally.relay());
+    if (before != null ? before.count() >= tally.count() : window.size() >= MOST_RELAYS) {
+      return false;
     }
+    window.put(tally.relay(), tally);
+    while (windows.firstKey() <= windows.lastKey() - WINDOWS) {
+      windows.pollFirstEntry();
+    }
+    return true;
+  }
+
+  /** The same at this moment; a tally that was told is never changed. */
+  public Seen copy() {
+    Seen made = new Seen();
+    windows.forEach((window, relays) -> made.windows.put(window, new TreeMap<>(relays)));
+    return made;
+  }
+
+  /** All relays' cells of each window from one on, added up. */
+  Map<Long, Map<Cell, Sums>> since(long first) {
+    Map<Long, Map<Cell, Sums>> all = new TreeMap<>();
+    windows
+        .tailMap(first)
+        .forEach(
+            (window, relays) -> {
+              Map<Cell, Sums> sums = new TreeMap<>();
+              for (Tally tally : relays.values()) {
+                tally.cells().forEach((cell, one) -> sums.merge(cell, one, Sums::plus));
+              }
+              all.put(window, sums);
+            });
+    return all;
+  }
+
+  /** The newest window; 0: there is none. */
+  public long newest() {
+    return windows.isEmpty() ? 0 : windows.lastKey();
+  }
 }
--- a/src/main/java/sprucerock/hardware/Sums.java
+++ b/src/main/java/sprucerock/hardware/Sums.java
@@ -1,25 +1,32 @@
 package sprucerock.hardware;
 
 /**
- * Logarithms of times: how many, their mean, and the sum of their squared distances from it. (Welford 1962; merged as by Chan and
- * others, 1979.) Never changed, only replaced.
+ * Logarithms of times: how many, their mean, and the sum of their squared distances from it.
+ * (Welford 1962; merged as by Chan and others, 1979.) Never changed, only replaced.
  */
 public record Sums(double count, double mean, double squares) {
-    static final Sums NONE = new Sums(0, 0, 0);
+  static final Sums NONE = new Sums(0, 0, 0);
 
-    /** With one more time, in milliseconds; what is under a microsecond counts as that. */
-    public Sums plus(double ms) {
-        double log = Math.log(Math.max(ms, 0.001));
-        double off = log - mean;
-        double now = mean + off / (count + 1);
-        return new Sums(count + 1, now, squares + off * (log - now));
-    }
+  /** With one more time, in milliseconds; what is under a microsecond counts as that. */
+  public Sums plus(double ms) {
+    double log = Math.log(Math.max(ms, 0.001));
+    double off = log - mean;
+    double now = mean + off / (count + 1);
+    return new Sums(count + 1, now, squares + off * (log - now));
+  }
 
-    public Sums plus(Sums other) {
-        if (count == 0) return other;
-        if (other.count == 0) return this;
-        double all = count + other.count;
-        double off = other.mean - mean;
-        return new Sums(all, mean + off * other.count / all, squares + other.squares + off * off * count * other.count / all);
+  public Sums plus(Sums other) {
+    if (count == 0) {
+      return other;
+    }
+    if (other.count == 0) {
+      return this;
     }
+    double all = count + other.count;
+    double off = other.mean - mean;
+    return new Sums(
+        all,
+        mean + off * other.count / all,
+        squares + other.squares + off * off * count * other.count / all);
+  }
 }
--- a/src/main/java/sprucerock/hardware/Tally.java
+++ b/src/main/java/sprucerock/hardware/Tally.java
@@ -4,55 +4,67 @@
 import java.util.TreeMap;
 
 /**
- * What one relay saw in one window, as it goes to whoever fits: bounded, and safe to be received twice, as a later one of the same relay
- * and window holds all of an earlier one and takes its place.
+ * What one relay saw in one window, as it goes to whoever fits: bounded, and safe to be received
+ * twice, as a later one of the same relay and window holds all of an earlier one and takes its
+ * place.
  */
 public final class Tally {
-    /** Cells of a window; a relay with more methods, families and builds than that leaves out the ones it met last. */
-    public static final int MOST_CELLS = 256;
-
-    private final int relay;
-    private final long window;
-    private final TreeMap<Cell, Sums> cells = new TreeMap<>();
-    private long leftOut;
-
-    /** {@code window}: the same number for the same stretch of time at all relays. */
-    public Tally(int relay, long window) {
-        this.relay = relay;
-        this.window = window;
-    }
+  /**
+   * Cells of a window; a relay with more methods, families and builds than that leaves out the ones
+   * it met last.
+   */
+  public static final int MOST_CELLS = 256;
 
-    /** A pick ended ok after so many milliseconds, on a unit that held so many others when it was sent. */
-    public void ended(int method, int family, int build, int others, double ms) {
-        Cell cell = Cell.of(method, family, build, others);
-        if (cells.size() >= MOST_CELLS && !cells.containsKey(cell)) leftOut++;
-        else cells.merge(cell, Sums.NONE.plus(ms), Sums::plus);
-    }
+  private final int relay;
+  private final long window;
+  private final TreeMap<Cell, Sums> cells = new TreeMap<>();
+  private long leftOut;
 
-    /** A cell as it was told. */
-    public void put(Cell cell, Sums sums) {
-        if (cells.size() < MOST_CELLS) cells.put(cell, sums);
-    }
+  /** {@code window}: the same number for the same stretch of time at all relays. */
+  public Tally(int relay, long window) {
+    this.relay = relay;
+    this.window = window;
+  }
 
-    public int relay() {
-        return relay;
+  /**
+   * A pick ended ok after so many milliseconds, on a unit that held so many others when it was
+   * sent.
+   */
+  public void ended(int method, int family, int build, int others, double ms) {
+    Cell cell = Cell.of(method, family, build, others);
+    if (cells.size() >= MOST_CELLS && !cells.containsKey(cell)) {
+      leftOut++;
+    } else {
+      cells.merge(cell, Sums.NONE.plus(ms), Sums::plus);
     }
+  }
 
-    public long window() {
-        return window;
+  /** A cell as it was told. */
+  public void put(Cell cell, Sums sums) {
+    if (cells.size() < MOST_CELLS) {
+      cells.put(cell, sums);
     }
+  }
 
-    public Map<Cell, Sums> cells() {
-        return cells;
-    }
+  public int relay() {
+    return relay;
+  }
 
-    /** Picks in it. */
-    double count() {
-        return cells.values().stream().mapToDouble(Sums::count).sum();
-    }
+  public long window() {
+    return window;
+  }
 
-    /** Picks that found no room. */
-    public long leftOut() {
-        return leftOut;
-    }
+  public Map<Cell, Sums> cells() {
+    return cells;
+  }
+
+  /** Picks in it. */
+  double count() {
+    return cells.values().stream().mapToDouble(Sums::count).sum();
+  }
+
+  /** Picks that found no room. */
+  public long leftOut() {
+    return leftOut;
+  }
 }
--- a/src/main/java/sprucerock/http/Events.java
+++ b/src/main/java/sprucerock/http/Events.java
@@ -4,42 +4,52 @@
 
 /** An event stream: names and data of events, and signs of life. */
 public final class Events {
-    /** Who is told of events. */
-    public interface User {
-        void event(String name, String data) throws HttpException;
-    }
+  /** Who is told of events. */
+  public interface User {
+    void event(String name, String data) throws HttpException;
+  }
 
-    private static final int LINE = 16 * 1024;
+  private static final int LINE = 16 * 1024;
 
-    private final Lines lines = new Lines(LINE);
-    private String name = "";
-    private String data;
+  private final Lines lines = new Lines(LINE);
+  private String name = "";
+  private String data;
 
-    /** @throws HttpException if it is no event stream, or the user says so */
-    public void take(ByteBuffer in, User user) throws HttpException {
-        lines.take(in, line -> line(line, user));
-    }
+  /**
+   * @throws HttpException if it is no event stream, or the user says so
+   */
+  public void take(ByteBuffer in, User user) throws HttpException {
+    lines.take(in, line -> line(line, user));
+  }
 
-    private void line(String line, User user) throws HttpException {
-        if (line.startsWith(":")) return; // a comment, as a sign of life
-        if (line.isEmpty()) {
-            if (data != null) user.event(name, data);
-            name = "";
-            data = null;
-            return;
-        }
-        int colon = line.indexOf(':');
-        String field = colon < 0 ? line : line.substring(0, colon);
-        String value = colon < 0 ? "" : line.substring(colon + 1);
-        if (value.startsWith(" ")) value = value.substring(1);
-        switch (field) {
-            case "event" -> name = value;
-            case "data" -> {
-                if (data != null && data.length() + value.length() > LINE) throw new HttpException("an event of more than " + LINE + " characters");
-                data = data == null ? value : data + "\n" + value;
-            }
-            case "id", "retry" -> { }
-            default -> throw new HttpException("an event stream has no field of that name");
+  private void line(String line, User user) throws HttpException {
+    if (line.startsWith(":")) {
+      return; // a comment, as a sign of life
+    }
+    if (line.isEmpty()) {
+      if (data != null) {
+        user.event(name, data);
+      }
+      name = "";
+      data = null;
+      return;
+    }
+    int colon = line.indexOf(':');
+    String field = colon < 0 ? line : line.substring(0, colon);
+    String value = colon < 0 ? "" : line.substring(colon + 1);
+    if (value.startsWith(" ")) {
+      value = value.substring(1);
+    }
+    switch (field) {
+      case "event" -> name = value;
+      case "data" -> {
+        if (data != null && data.length() + value.length() > LINE) {
+          throw new HttpException("an event of more than " + LINE + " characters");
         }
+        data = data == null ? value : data + "\n" + value;
+      }
+      case "id", "retry" -> {}
+      default -> throw new HttpException("an event stream has no field of that name");
     }
+  }
 }
--- a/src/main/java/sprucerock/http/HttpLink.java
+++ b/src/main/java/sprucerock/http/HttpLink.java
@@ -12,155 +12,176 @@
 import sprucerock.time.Span;
 
 /**
- * One connection to a server: calls may follow one behind another, and their answers come in that order. Nothing is sent
- * again, and no other connection is made: who calls decides that.
+ * One connection to a server: calls may follow one behind another, and their answers come in that
+ * order. Nothing is sent again, and no other connection is made: who calls decides that.
  */
 public final class HttpLink implements LinkUser {
-    /** Who made a call. Exactly one of {@code answered} and {@code failed} is told, unless the answer never ends. */
-    public interface Call {
-        /** A piece of the body, as it comes; by default bodies are only told whole. */
-        default void piece(int status, ByteBuffer bytes) throws HttpException {}
-
-        /** The answer is whole; the body is empty for calls whose body {@link #streams}. */
-        void answered(int status, byte[] body);
-
-        /** No answer; {@code carriedOut}: whether the server may have got the call whole. */
-        void failed(String why, boolean carriedOut);
-
-        /** Its body is told in pieces only, and may be without end. */
-        default boolean streams() {
-            return false;
-        }
-    }
-
-    private record Open(Call call, long mark) {}
-
-    private static final int BODY = 64 * 1024; // of an answer that is told whole
-    private static final int OPEN = 64; // calls one behind the other
-    private static final long UNSENT = 256 * 1024;
-
-    private final Net net;
-    private final InetSocketAddress to;
-    private final ArrayDeque<Open> calls = new ArrayDeque<>();
-    private final Answers answers = new Answers();
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private final Link link;
-    private int status;
-    private boolean up;
-    private boolean closed;
-    private Moment usedLast;
-    private Moment heardLast;
-    private boolean heard;
-
-    /** Begins to connect. */
-    public HttpLink(Net net, InetSocketAddress to, Span within) {
-        this.net = net;
-        this.to = to;
-        usedLast = net.now();
-        heardLast = usedLast;
-        link = net.connect(to, within, UNSENT, this);
-    }
-
-    /** Whether another call may be sent on it. */
-    public boolean usable() {
-        return !closed && calls.size() < OPEN;
-    }
-
-    public boolean idle() {
-        return calls.isEmpty();
-    }
-
-    /** When bytes came last, or it was made. */
-    public Moment heardLast() {
-        return heardLast;
-    }
-
-    /** Whether any bytes came. */
-    public boolean heard() {
-        return heard;
-    }
-
-    /** When a call was sent last, or it was made. */
-    public Moment usedLast() {
-        return usedLast;
-    }
-
-    /** Asks for a path. */
-    public void get(String path, Call call) {
-        send("GET " + path + " HTTP/1.1\r\nHost: " + host() + "\r\n\r\n", call);
-    }
-
-    /** Sends a form. */
-    public void post(String path, String form, Call call) {
-        send("POST " + path + " HTTP/1.1\r\nHost: " + host() + "\r\nContent-Type: application/x-www-form-urlencoded\r\nContent-Length: "
-            + form.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + form, call);
-    }
-
-    private String host() {
-        return to.getAddress().getHostAddress() + ":" + to.getPort();
-    }
-
-    private void send(String text, Call call) {
-        usedLast = net.now();
-        link.append(text.getBytes(StandardCharsets.US_ASCII));
-        calls.add(new Open(call, link.written()));
-    }
-
-    public void cut(String why) {
-        link.cut(why);
-    }
-
-    /** Closes once what was written has gone out. */
-    public void finish() {
-        link.finish();
-    }
-
-    @Override
-    public void up(Link made) {
-        up = true;
-    }
-
-    @Override
-    public void received(ByteBuffer bytes) {
-        heardLast = net.now();
-        heard = true;
-        if (closed) return;
-        try {
-            answers.take(bytes, new Answers.User() {
-                @Override
-                public void head(int code) throws HttpException {
-                    if (calls.isEmpty()) throw new HttpException("an answer that nobody asked for");
-                    status = code;
-                    body.reset();
-                }
-
-                @Override
-                public void body(ByteBuffer piece) throws HttpException {
-                    Call call = calls.peek().call;
-                    call.piece(status, piece.duplicate());
-                    if (call.streams()) return;
-                    if (body.size() + piece.remaining() > BODY) throw new HttpException("a body of more than " + BODY + " bytes");
-                    byte[] copy = new byte[piece.remaining()];
-                    piece.get(copy);
-                    body.writeBytes(copy);
-                }
-
-                @Override
-                public void end() {
-                    calls.poll().call.answered(status, body.toByteArray());
-                }
-            });
-        } catch (HttpException e) {
-            link.cut("not to be read: " + e.getMessage());
-        }
-    }
-
-    @Override
-    public void closed(String why) {
-        closed = true;
-        while (!calls.isEmpty()) {
-            Open open = calls.poll();
-            open.call.failed(why, up && link.handed() >= open.mark);
-        }
-    }
+  /**
+   * Who made a call. Exactly one of {@code answered} and {@code failed} is told, unless the answer
+   * never ends.
+   */
+  public interface Call {
+    /** A piece of the body, as it comes; by default bodies are only told whole. */
+    default void piece(int status, ByteBuffer bytes) throws HttpException {}
+
+    /** The answer is whole; the body is empty for calls whose body {@link #streams}. */
+    void answered(int status, byte[] body);
+
+    /** No answer; {@code carriedOut}: whether the server may have got the call whole. */
+    void failed(String why, boolean carriedOut);
+
+    /** Its body is told in pieces only, and may be without end. */
+    default boolean streams() {
+      return false;
+    }
+  }
+
+  private record Open(Call call, long mark) {}
+
+  private static final int BODY = 64 * 1024; // of an answer that is told whole
+  private static final int OPEN = 64; // calls one behind the other
+  private static final long UNSENT = 256 * 1024;
+
+  private final Net net;
+  private final InetSocketAddress to;
+  private final ArrayDeque<Open> calls = new ArrayDeque<>();
+  private final Answers answers = new Answers();
+  private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+  private final Link link;
+  private int status;
+  private boolean up;
+  private boolean closed;
+  private Moment usedLast;
+  private Moment heardLast;
+  private boolean heard;
+
+  /** Begins to connect. */
+  public HttpLink(Net net, InetSocketAddress to, Span within) {
+    this.net = net;
+    this.to = to;
+    usedLast = net.now();
+    heardLast = usedLast;
+    link = net.connect(to, within, UNSENT, this);
+  }
+
+  /** Whether another call may be sent on it. */
+  public boolean usable() {
+    return !closed && calls.size() < OPEN;
+  }
+
+  public boolean idle() {
+    return calls.isEmpty();
+  }
+
+  /** When bytes came last, or it was made. */
+  public Moment heardLast() {
+    return heardLast;
+  }
+
+  /** Whether any bytes came. */
+  public boolean heard() {
+    return heard;
+  }
+
+  /** When a call was sent last, or it was made. */
+  public Moment usedLast() {
+    return usedLast;
+  }
+
+  /** Asks for a path. */
+  public void get(String path, Call call) {
+    send("GET " + path + " HTTP/1.1\r\nHost: " + host() + "\r\n\r\n", call);
+  }
+
+  /** Sends a form. */
+  public void post(String path, String form, Call call) {
+    send(
+        "POST "
+            + path
+            + " HTTP/1.1\r\nHost: "
+            + host()
+            + "\r\nContent-Type: application/x-www-form-urlencoded\r\nContent-Length: "
+            + form.getBytes(StandardCharsets.UTF_8).length
+            + "\r\n\r\n"
+            + form,
+        call);
+  }
+
+  private String host() {
+    return to.getAddress().getHostAddress() + ":" + to.getPort();
+  }
+
+  private void send(String text, Call call) {
+    usedLast = net.now();
+    link.append(text.getBytes(StandardCharsets.US_ASCII));
+    calls.add(new Open(call, link.written()));
+  }
+
+  public void cut(String why) {
+    link.cut(why);
+  }
+
+  /** Closes once what was written has gone out. */
+  public void finish() {
+    link.finish();
+  }
+
+  @Override
+  public void up(Link made) {
+    up = true;
+  }
+
+  @Override
+  public void received(ByteBuffer bytes) {
+    heardLast = net.now();
+    heard = true;
+    if (closed) {
+      return;
+    }
+    try {
+      answers.take(
+          bytes,
+          new Answers.User() {
+            @Override
+            public void head(int code) throws HttpException {
+              if (calls.isEmpty()) {
+                throw new HttpException("an answer that nobody asked for");
+              }
+              status = code;
+              body.reset();
+            }
+
+            @Override
+            public void body(ByteBuffer piece) throws HttpException {
+              Call call = calls.peek().call;
+              call.piece(status, piece.duplicate());
+              if (call.streams()) {
+                return;
+              }
+              if (body.size() + piece.remaining() > BODY) {
+                throw new HttpException("a body of more than " + BODY + " bytes");
+              }
+              byte[] copy = new byte[piece.remaining()];
+              piece.get(copy);
+              body.writeBytes(copy);
+            }
+
+            @Override
+            public void end() {
+              calls.poll().call.answered(status, body.toByteArray());
+            }
+          });
+    } catch (HttpException e) {
+      link.cut("not to be read: " + e.getMessage());
+    }
+  }
+
+  @Override
+  public void closed(String why) {
+    closed = true;
+    while (!calls.isEmpty()) {
+      Open open = calls.poll();
+      open.call.failed(why, up && link.handed() >= open.mark);
+    }
+  }
 }
--- a/src/main/java/sprucerock/http/Lines.java
+++ b/src/main/java/sprucerock/http/Lines.java
@@ -6,37 +6,49 @@
 
 /** Cuts bytes into lines of a bounded length, each without its end. */
 public final class Lines {
-    /** Who is told of lines. */
-    public interface User {
-        void line(String line) throws HttpException;
-    }
+  /** Who is told of lines. */
+  public interface User {
+    void line(String line) throws HttpException;
+  }
 
-    private final int most;
-    private byte[] held = new byte[128];
-    private int have;
+  private final int most;
+  private byte[] held = new byte[128];
+  private int have;
 
-    public Lines(int most) {
-        this.most = most;
-    }
+  public Lines(int most) {
+    this.most = most;
+  }
 
-    /** The next whole line; null once all bytes are taken and none is. @throws HttpException if it gets too long */
-    public String next(ByteBuffer in) throws HttpException {
-        while (in.hasRemaining()) {
-            byte b = in.get();
-            if (b == '\n') {
-                int end = have > 0 && held[have - 1] == '\r' ? have - 1 : have;
-                have = 0;
-                return new String(held, 0, end, StandardCharsets.UTF_8);
-            }
-            if (have == most) throw new HttpException("a line of more than " + most + " bytes");
-            if (have == held.length) held = Arrays.copyOf(held, Math.min(2 * have, most));
-            held[have++] = b;
-        }
-        return null;
+  /**
+   * The next whole line; null once all bytes are taken and none is. @throws HttpException if it
+   * gets too long
+   */
+  public String next(ByteBuffer in) throws HttpException {
+    while (in.hasRemaining()) {
+      byte b = in.get();
+      if (b == '\n') {
+        int end = have > 0 && held[have - 1] == '\r' ? have - 1 : have;
+        have = 0;
+        return new String(held, 0, end, StandardCharsets.UTF_8);
+      }
+      if (have == most) {
+        throw new HttpException("a line of more than " + most + " bytes");
+      }
+      if (have == held.length) {
+        held = Arrays.copyOf(held, Math.min(2 * have, most));
+      }
+      held[have++] = b;
     }
+    return null;
+  }
 
-    /** Tells of all lines that are whole. @throws HttpException if one is too long, or the user says so */
-    public void take(ByteBuffer in, User user) throws HttpException {
-        for (String line = next(in); line != null; line = next(in)) user.line(line);
+  /**
+   * Tells of all lines that are whole. @throws HttpException if one is too long, or the user says
+   * so
+   */
+  public void take(ByteBuffer in, User user) throws HttpException {
+    for (String line = next(in); line != null; line = next(in)) {
+      user.line(line);
     }
+  }
 }
--- a/src/main/java/sprucerock/judge/RelayJudge.java
+++ b/src/main/java/sprucerock/judge/RelayJudge.java
@@ -26,307 +26,436 @@
 import sprucerock.wire.v1.Work;
 
 /**
- * Holds one run of one relay against the rules that it keeps alone (1, 2, 3 and 5), by what crossed its links in order.
- * An answer is matched to its RPC by the client's id, a pick to its RPC by the body, which passes unchanged.
+ * Holds one run of one relay against the rules that it keeps alone (1, 2, 3 and 5), by what crossed
+ * its links in order. An answer is matched to its RPC by the client's id, a pick to its RPC by the
+ * body, which passes unchanged.
  */
 final class RelayJudge {
-    private static final class Rpc {
-        Line call;
-        long deadlineUs;
-        int method;
-        long key;
-        Line ended;
-        boolean answered;
-        final List<Pick> picks = new ArrayList<>();
-    }
+  private static final class Rpc {
+    Line call;
+    long deadlineUs;
+    int method;
+    long key;
+    Line ended;
+    boolean answered;
+    final List<Pick> picks = new ArrayList<>();
+  }
 
-    private static final class Pick {
-        Line work;
-        Rpc rpc;
-        Listed unit;
-        long endsUs;
-        Result result;
-        boolean stopped;
-        boolean cut;
-    }
+  private static final class Pick {
+    Line work;
+    Rpc rpc;
+    Listed unit;
+    long endsUs;
+    Result result;
+    boolean stopped;
+    boolean cut;
+  }
 
-    /** A unit as the relay's list had it. */
-    private static final class Listed {
-        long id;
-        Entry entry;
-        boolean leaving;
-        Line toldLeaving;
-    }
+  /** A unit as the relay's list had it. */
+  private static final class Listed {
+    long id;
+    Entry entry;
+    boolean leaving;
+    Line toldLeaving;
+  }
 
-    private record At(long us, int method, int build) {}
+  private record At(long us, int method, int build) {}
 
-    private final Rules rules;
-    private final List<Finding> findings;
-    private final Set<String> arrived;
-    private final Map<String, Rpc> open = new LinkedHashMap<>();
-    private final Map<String, Rpc> byMark = new HashMap<>();
-    private final Map<String, Pick> picks = new HashMap<>();
-    private final Map<Long, Listed> units = new HashMap<>();
-    private final Deque<At> taken = new ArrayDeque<>();
-    private final Deque<At> tried = new ArrayDeque<>();
-    private final Map<Long, Integer> keys = new HashMap<>();
-    private final Deque<long[]> stalls = new ArrayDeque<>();
-    private News news;
-    private double capBefore;
-    private long loweredUs = Long.MIN_VALUE / 2;
-    private Line last;
-    private boolean finished;
+  private final Rules rules;
+  private final List<Finding> findings;
+  private final Set<String> arrived;
+  private final Map<String, Rpc> open = new LinkedHashMap<>();
+  private final Map<String, Rpc> byMark = new HashMap<>();
+  private final Map<String, Pick> picks = new HashMap<>();
+  private final Map<Long, Listed> units = new HashMap<>();
+  private final Deque<At> taken = new ArrayDeque<>();
+  private final Deque<At> tried = new ArrayDeque<>();
+  private final Map<Long, Integer> keys = new HashMap<>();
+  private final Deque<long[]> stalls = new ArrayDeque<>();
+  private News news;
+  private double capBefore;
+  private long loweredUs = Long.MIN_VALUE / 2;
+  private Line last;
+  private boolean finished;
 
-    /** {@code arrived}: body and unit of each pick that reached a unit, as the units' traces have it. */
-    RelayJudge(Rules rules, Set<String> arrived, List<Finding> findings) {
-        this.rules = rules;
-        this.arrived = arrived;
-        this.findings = findings;
-    }
+  /**
+   * {@code arrived}: body and unit of each pick that reached a unit, as the units' traces have it.
+   */
+  RelayJudge(Rules rules, Set<String> arrived, List<Finding> findings) {
+    this.rules = rules;
+    this.arrived = arrived;
+    this.findings = findings;
+  }
 
-    void judge(List<Line> lines) {
-        // all of them first: what the loop does once it moves again stands before the note that it stood still
-        for (Line line : lines) if (line.isNote("STALL")) stalls.add(new long[] {line.us(), Long.parseLong(line.text())});
-        for (Line line : lines) {
-            last = line;
-            if (line.isNote("END")) finished = true;
-            else if (line.way() == 'x') closed(line);
-            else if (line.is('<', Kind.CALL)) call(line, line.head(Call.getDefaultInstance()));
-            else if (line.is('<', Kind.LEAVE)) leave(line, line.head(Leave.getDefaultInstance()));
-            else if (line.is('>', Kind.ANSWER)) answer(line, line.head(Answer.getDefaultInstance()));
-            else if (line.is('>', Kind.WORK)) work(line, line.head(Work.getDefaultInstance()));
-            else if (line.is('<', Kind.DONE)) done(line, line.head(Done.getDefaultInstance()));
-            else if (line.is('>', Kind.STOP)) stop(line, line.head(Stop.getDefaultInstance()));
-            else if (line.is('<', Kind.LISTING)) listing(line, line.head(Listing.getDefaultInstance()));
-            else if (line.is('<', Kind.NEWS)) news(line, line.head(News.getDefaultInstance()));
-        }
-        for (Rpc rpc : open.values()) {
-            boolean due = rpc.deadlineUs + rules.slackUs() + stalledSince(rpc.call.us(), last.us()) < last.us();
-            if (due || finished) broken(1, "no answer came, " + (due ? "and its deadline is past" : "and the relay ended in good order"), rpc.call, last);
-        }
+  void judge(List<Line> lines) {
+    // all of them first: what the loop does once it moves again stands before the note that it
+    // stood still
+    for (Line line : lines) {
+      if (line.isNote("STALL")) {
+        stalls.add(new long[] {line.us(), Long.parseLong(line.text())});
+      }
     }
-
-    private void broken(int rule, String what, Line... frames) {
-        findings.add(new Finding(rule, what, List.of(frames)));
+    for (Line line : lines) {
+      last = line;
+      if (line.isNote("END")) {
+        finished = true;
+      } else if (line.way() == 'x') {
+        closed(line);
+      } else if (line.is('<', Kind.CALL)) {
+        call(line, line.head(Call.getDefaultInstance()));
+      } else if (line.is('<', Kind.LEAVE)) {
+        leave(line, line.head(Leave.getDefaultInstance()));
+      } else if (line.is('>', Kind.ANSWER)) {
+        answer(line, line.head(Answer.getDefaultInstance()));
+      } else if (line.is('>', Kind.WORK)) {
+        work(line, line.head(Work.getDefaultInstance()));
+      } else if (line.is('<', Kind.DONE)) {
+        done(line, line.head(Done.getDefaultInstance()));
+      } else if (line.is('>', Kind.STOP)) {
+        stop(line, line.head(Stop.getDefaultInstance()));
+      } else if (line.is('<', Kind.LISTING)) {
+        listing(line, line.head(Listing.getDefaultInstance()));
+      } else if (line.is('<', Kind.NEWS)) {
+        news(line, line.head(News.getDefaultInstance()));
+      }
     }
-
-    private static String at(Line line, long id) {
-        return line.link() + "/" + Long.toUnsignedString(id);
+    for (Rpc rpc : open.values()) {
+      boolean due =
+          rpc.deadlineUs + rules.slackUs() + stalledSince(rpc.call.us(), last.us()) < last.us();
+      if (due || finished) {
+        broken(
+            1,
+            "no answer came, "
+                + (due ? "and its deadline is past" : "and the relay ended in good order"),
+            rpc.call,
+            last);
+      }
     }
+  }
+
+  private void broken(int rule, String what, Line... frames) {
+    findings.add(new Finding(rule, what, List.of(frames)));
+  }
 
-    private void call(Line line, Call call) {
-        Rpc rpc = new Rpc();
-        rpc.call = line;
-        rpc.method = call.getMethod();
-        rpc.key = call.getKey();
-        rpc.deadlineUs = line.us() + call.getLeftUs();
-        if (call.getMethod() >= rules.methods().size()) return; // answered at the door; nothing to judge it by
-        open.put(at(line, call.getId()), rpc);
-        byMark.put(line.mark(), rpc);
-        taken.add(new At(line.us(), rpc.method, 0));
+  private static String at(Line line, long id) {
+    return line.link() + "/" + Long.toUnsignedString(id);
+  }
+
+  private void call(Line line, Call call) {
+    Rpc rpc = new Rpc();
+    rpc.call = line;
+    rpc.method = call.getMethod();
+    rpc.key = call.getKey();
+    rpc.deadlineUs = line.us() + call.getLeftUs();
+    if (call.getMethod() >= rules.methods().size()) {
+      return; // answered at the door; nothing to judge it by
     }
+    open.put(at(line, call.getId()), rpc);
+    byMark.put(line.mark(), rpc);
+    taken.add(new At(line.us(), rpc.method, 0));
+  }
 
-    private void leave(Line line, Leave leave) {
-        Rpc rpc = open.remove(at(line, leave.getId()));
-        if (rpc != null) rpc.ended = line;
+  private void leave(Line line, Leave leave) {
+    Rpc rpc = open.remove(at(line, leave.getId()));
+    if (rpc != null) {
+      rpc.ended = line;
     }
+  }
 
-    private void closed(Line line) {
-        String link = line.link() + "/";
-        open.entrySet().removeIf(entry -> {
-            if (!entry.getKey().startsWith(link)) return false;
-            entry.getValue().ended = line;
-            return true;
-        });
-        picks.forEach((key, pick) -> {
-            if (key.startsWith(link) && pick.result == null) pick.cut = true;
+  private void closed(Line line) {
+    String link = line.link() + "/";
+    open.entrySet()
+        .removeIf(
+            entry -> {
+              if (!entry.getKey().startsWith(link)) {
+                return false;
+              }
+              entry.getValue().ended = line;
+              return true;
+            });
+    picks.forEach(
+        (key, pick) -> {
+          if (key.startsWith(link) && pick.result == null) {
+            pick.cut = true;
+          }
         });
-    }
+  }
 
-    private void answer(Line line, Answer answer) {
-        Rpc rpc = open.remove(at(line, answer.getId()));
-        if (rpc == null) {
-            broken(1, "an answer to no open RPC: a second one, or after its client left", line);
-            return;
-        }
-        rpc.ended = line;
-        rpc.answered = true;
-        long lateUs = line.us() - rpc.deadlineUs - rules.slackUs();
-        if (lateUs > stalledSince(rpc.call.us(), line.us())) {
-            broken(1, "answered " + lateUs / 1000.0 + " ms past its deadline and slack", rpc.call, line);
-        }
-        if (answer.getEnding() == Ending.OK) {
-            if (rpc.picks.stream().noneMatch(pick -> pick.result == Result.DONE)) {
-                broken(1, "told ok, and no unit had said so", rpc.call, line);
-            }
-        } else if (answer.getEnding() == Ending.PUSHED_BACK) {
-            Rules.Method method = rules.methods().get(rpc.method);
-            Pick ran = firstThatMayHaveRun(rpc);
-            boolean harmless = method.idempotent() || method.tokened() && method.group().equals("all");
-            if (ran != null && !harmless) broken(2, "pushed back, though a pick may have run", rpc.call, ran.work, line);
-        } else if (answer.getEnding() != Ending.ABORTED) {
-            broken(1, "an answer that is none: " + answer.getEnding(), rpc.call, line);
-        }
+  private void answer(Line line, Answer answer) {
+    Rpc rpc = open.remove(at(line, answer.getId()));
+    if (rpc == null) {
+      broken(1, "an answer to no open RPC: a second one, or after its client left", line);
+      return;
     }
-
-    /** How long the loop was held up in that time: what it answered late then is no choice of the relay's. */
-    private long stalledSince(long fromUs, long toUs) {
-        long sum = 0;
-        for (long[] stall : stalls) {
-            sum += Math.max(0, Math.min(stall[0], toUs) - Math.max(stall[0] - stall[1], fromUs));
-        }
-        return sum;
+    rpc.ended = line;
+    rpc.answered = true;
+    long lateUs = line.us() - rpc.deadlineUs - rules.slackUs();
+    if (lateUs > stalledSince(rpc.call.us(), line.us())) {
+      broken(1, "answered " + lateUs / 1000.0 + " ms past its deadline and slack", rpc.call, line);
+    }
+    if (answer.getEnding() == Ending.OK) {
+      if (rpc.picks.stream().noneMatch(pick -> pick.result == Result.DONE)) {
+        broken(1, "told ok, and no unit had said so", rpc.call, line);
+      }
+    } else if (answer.getEnding() == Ending.PUSHED_BACK) {
+      Rules.Method method = rules.methods().get(rpc.method);
+      Pick ran = firstThatMayHaveRun(rpc);
+      boolean harmless = method.idempotent() || method.tokened() && method.group().equals("all");
+      if (ran != null && !harmless) {
+        broken(2, "pushed back, though a pick may have run", rpc.call, ran.work, line);
+      }
+    } else if (answer.getEnding() != Ending.ABORTED) {
+      broken(1, "an answer that is none: " + answer.getEnding(), rpc.call, line);
     }
+  }
 
-    private boolean mayHaveRun(Pick pick) {
-        if (pick.result == Result.FULL) return false;
-        // cut off before it left proves that it did not run: then no unit has seen it
-        return !pick.cut || arrived.contains(pick.work.mark() + "@" + pick.unit.id);
+  /**
+   * How long the loop was held up in that time: what it answered late then is no choice of the
+   * relay's.
+   */
+  private long stalledSince(long fromUs, long toUs) {
+    long sum = 0;
+    for (long[] stall : stalls) {
+      sum += Math.max(0, Math.min(stall[0], toUs) - Math.max(stall[0] - stall[1], fromUs));
     }
+    return sum;
+  }
 
-    private Pick firstThatMayHaveRun(Rpc rpc) {
-        for (Pick pick : rpc.picks) if (mayHaveRun(pick)) return pick;
-        return null;
+  private boolean mayHaveRun(Pick pick) {
+    if (pick.result == Result.FULL) {
+      return false;
     }
+    // cut off before it left proves that it did not run: then no unit has seen it
+    return !pick.cut || arrived.contains(pick.work.mark() + "@" + pick.unit.id);
+  }
 
-    private void work(Line line, Work work) {
-        long id = unitOf(line);
-        Rpc rpc = byMark.get(line.mark());
-        Listed unit = units.get(id);
-        if (rpc == null) {
-            broken(1, "a pick for no RPC that was taken", line);
-            return;
-        }
-        if (unit == null) {
-            broken(3, "sent to a unit that no list had named", line);
-            return;
-        }
-        if (rpc.ended != null) broken(1, "sent after the RPC had ended", rpc.call, rpc.ended, line);
-        repeat(line, rpc, unit);
-        if (unit.leaving && line.us() - unit.toldLeaving.us() > rules.drainGraceUs()) {
-            broken(3, "sent " + (line.us() - unit.toldLeaving.us()) / 1000.0 + " ms after the relay was told that the unit leaves",
-                unit.toldLeaving, line);
-        }
-        exposure(line, rpc, unit);
-        Pick pick = new Pick();
-        pick.work = line;
-        pick.rpc = rpc;
-        pick.unit = unit;
-        pick.endsUs = line.us() + work.getLeftUs();
-        rpc.picks.add(pick);
-        picks.put(at(line, work.getId()), pick);
-        if (rpc.picks.size() > rules.picks()) broken(2, "more picks than are allowed", rpc.call, line);
+  private Pick firstThatMayHaveRun(Rpc rpc) {
+    for (Pick pick : rpc.picks) {
+      if (mayHaveRun(pick)) {
+        return pick;
+      }
     }
+    return null;
+  }
 
-    private static long unitOf(Line line) {
-        return line.other().startsWith("UNIT-") ? Long.parseLong(line.other().substring(5)) : -1;
+  private void work(Line line, Work work) {
+    long id = unitOf(line);
+    Rpc rpc = byMark.get(line.mark());
+    Listed unit = units.get(id);
+    if (rpc == null) {
+      broken(1, "a pick for no RPC that was taken", line);
+      return;
+    }
+    if (unit == null) {
+      broken(3, "sent to a unit that no list had named", line);
+      return;
+    }
+    if (rpc.ended != null) {
+      broken(1, "sent after the RPC had ended", rpc.call, rpc.ended, line);
+    }
+    repeat(line, rpc, unit);
+    if (unit.leaving && line.us() - unit.toldLeaving.us() > rules.drainGraceUs()) {
+      broken(
+          3,
+          "sent "
+              + (line.us() - unit.toldLeaving.us()) / 1000.0
+              + " ms after the relay was told that the unit leaves",
+          unit.toldLeaving,
+          line);
     }
+    exposure(line, rpc, unit);
+    Pick pick = new Pick();
+    pick.work = line;
+    pick.rpc = rpc;
+    pick.unit = unit;
+    pick.endsUs = line.us() + work.getLeftUs();
+    rpc.picks.add(pick);
+    picks.put(at(line, work.getId()), pick);
+    if (rpc.picks.size() > rules.picks()) {
+      broken(2, "more picks than are allowed", rpc.call, line);
+    }
+  }
 
-    private void repeat(Line line, Rpc rpc, Listed unit) {
-        if (!rules.secondCopies()) {
-            for (Pick pick : rpc.picks) {
-                boolean out = pick.result == null && !pick.cut && !pick.stopped && pick.endsUs > line.us();
-                if (out) broken(2, "two picks out at once", pick.work, line);
-            }
-        }
-        Pick ran = firstThatMayHaveRun(rpc);
-        Rules.Method method = rules.methods().get(rpc.method);
-        if (ran == null || method.idempotent()) return;
-        if (!method.tokened()) {
-            broken(2, "sent again, though a pick may have run", ran.work, line);
-            return;
+  private static long unitOf(Line line) {
+    return line.other().startsWith("UNIT-") ? Long.parseLong(line.other().substring(5)) : -1;
+  }
+
+  private void repeat(Line line, Rpc rpc, Listed unit) {
+    if (!rules.secondCopies()) {
+      for (Pick pick : rpc.picks) {
+        boolean out = pick.result == null && !pick.cut && !pick.stopped && pick.endsUs > line.us();
+        if (out) {
+          broken(2, "two picks out at once", pick.work, line);
         }
-        boolean inGroup = switch (method.group()) {
-            case "zone" -> ran.unit.entry.getZone() == unit.entry.getZone();
-            case "cell" -> ran.unit.entry.getCell() == unit.entry.getCell();
-            default -> true;
+      }
+    }
+    Pick ran = firstThatMayHaveRun(rpc);
+    Rules.Method method = rules.methods().get(rpc.method);
+    if (ran == null || method.idempotent()) {
+      return;
+    }
+    if (!method.tokened()) {
+      broken(2, "sent again, though a pick may have run", ran.work, line);
+      return;
+    }
+    boolean inGroup =
+        switch (method.group()) {
+          case "zone" -> ran.unit.entry.getZone() == unit.entry.getZone();
+          case "cell" -> ran.unit.entry.getCell() == unit.entry.getCell();
+          default -> true;
         };
-        if (!inGroup) broken(2, "repeated outside its " + method.group(), ran.work, line);
-        if (line.us() - ran.work.us() > method.windowUs()) broken(2, "repeated past its window", ran.work, line);
+    if (!inGroup) {
+      broken(2, "repeated outside its " + method.group(), ran.work, line);
     }
+    if (line.us() - ran.work.us() > method.windowUs()) {
+      broken(2, "repeated past its window", ran.work, line);
+    }
+  }
 
-    private void exposure(Line line, Rpc rpc, Listed unit) {
-        int build = unit.entry.getBuild();
-        if (news == null) return; // nobody has said yet which build is on trial
-        boolean newest = build == news.getBuild();
-        Integer bound = rpc.key == 0 || !rules.oneWay() ? null : keys.get(rpc.key);
-        boolean binds = bound != null && bound == news.getBuild()
+  private void exposure(Line line, Rpc rpc, Listed unit) {
+    int build = unit.entry.getBuild();
+    if (news == null) {
+      return; // nobody has said yet which build is on trial
+    }
+    boolean newest = build == news.getBuild();
+    Integer bound = rpc.key == 0 || !rules.oneWay() ? null : keys.get(rpc.key);
+    boolean binds =
+        bound != null
+            && bound == news.getBuild()
             && (news.getStanding() == Stand.ON_TRIAL || news.getStanding() == Stand.RELEASED);
-        if (binds && build < bound) broken(5, "its key belongs to build " + bound + " already", rpc.call, line);
-        if (build < news.getBuild() || newest && news.getStanding() == Stand.RELEASED) return;
-        long graceEnds = loweredUs + rules.drainGraceUs();
-        boolean inGrace = newest && line.us() < graceEnds;
-        double cap = !newest ? rules.caps().get(0) : inGrace ? Math.max(capBefore, news.getCap()) : news.getCap();
-        long from = line.us() - rules.countedOverUs();
-        if (newest && !inGrace) from = Math.max(from, graceEnds);
-        int stage = newest ? news.getStage() : 0;
-        boolean guarded = stage < rules.guarded() && !rules.methods().get(rpc.method).idempotent();
-        if (guarded) broken(5, "a method with an effect in a stage closed to such", rpc.call, line);
-        tried.add(new At(line.us(), rpc.method, build));
-        if (cap <= 0) {
-            broken(5, "sent to build " + build + " whose cap is 0", line);
-            return;
-        }
-        long since = from;
-        long count = tried.stream().filter(one -> one.us > since && one.build == build
-            && (!rules.byMethod() || one.method == rpc.method)).count();
-        // a pick may have waited for a connection since its RPC was counted
-        long arrivals = taken.stream().filter(one -> one.us > since - rules.waitUs()
-            && (!rules.byMethod() || one.method == rpc.method)).count();
-        if (count > rules.free() + cap * arrivals + 1e-6) {
-            broken(5, count + " picks at build " + build + ", allowed are " + rules.free() + " + " + cap + " x " + arrivals, line);
-        }
-        while (taken.size() > 1 && taken.peek().us < line.us() - rules.countedOverUs() - rules.waitUs()) taken.poll();
-        while (tried.size() > 1 && tried.peek().us < line.us() - rules.countedOverUs()) tried.poll();
+    if (binds && build < bound) {
+      broken(5, "its key belongs to build " + bound + " already", rpc.call, line);
+    }
+    if (build < news.getBuild() || newest && news.getStanding() == Stand.RELEASED) {
+      return;
+    }
+    long graceEnds = loweredUs + rules.drainGraceUs();
+    boolean inGrace = newest && line.us() < graceEnds;
+    double cap =
+        !newest
+            ? rules.caps().get(0)
+            : inGrace ? Math.max(capBefore, news.getCap()) : news.getCap();
+    long from = line.us() - rules.countedOverUs();
+    if (newest && !inGrace) {
+      from = Math.max(from, graceEnds);
     }
+    int stage = newest ? news.getStage() : 0;
+    boolean guarded = stage < rules.guarded() && !rules.methods().get(rpc.method).idempotent();
+    if (guarded) {
+      broken(5, "a method with an effect in a stage closed to such", rpc.call, line);
+    }
+    tried.add(new At(line.us(), rpc.method, build));
+    if (cap <= 0) {
+      broken(5, "sent to build " + build + " whose cap is 0", line);
+      return;
+    }
+    long since = from;
+    long count =
+        tried.stream()
+            .filter(
+                one ->
+                    one.us > since
+                        && one.build == build
+                        && (!rules.byMethod() || one.method == rpc.method))
+            .count();
+    // a pick may have waited for a connection since its RPC was counted
+    long arrivals =
+        taken.stream()
+            .filter(
+                one ->
+                    one.us > since - rules.waitUs()
+                        && (!rules.byMethod() || one.method == rpc.method))
+            .count();
+    if (count > rules.free() + cap * arrivals + 1e-6) {
+      broken(
+          5,
+          count
+              + " picks at build "
+              + build
+              + ", allowed are "
+              + rules.free()
+              + " + "
+              + cap
+              + " x "
+              + arrivals,
+          line);
+    }
+    while (taken.size() > 1
+        && taken.peek().us < line.us() - rules.countedOverUs() - rules.waitUs()) {
+      taken.poll();
+    }
+    while (tried.size() > 1 && tried.peek().us < line.us() - rules.countedOverUs()) {
+      tried.poll();
+    }
+  }
 
-    private void done(Line line, Done done) {
-        Pick pick = picks.get(at(line, done.getId()));
-        if (pick == null) return; // a unit's fault, not the relay's
-        pick.result = done.getResult();
-        boolean binds = news != null && pick.unit.entry.getBuild() == news.getBuild() && pick.rpc.key != 0;
-        if (binds && done.getResult() == Result.DONE) keys.put(pick.rpc.key, pick.unit.entry.getBuild());
+  private void done(Line line, Done done) {
+    Pick pick = picks.get(at(line, done.getId()));
+    if (pick == null) {
+      return; // a unit's fault, not the relay's
+    }
+    pick.result = done.getResult();
+    boolean binds =
+        news != null && pick.unit.entry.getBuild() == news.getBuild() && pick.rpc.key != 0;
+    if (binds && done.getResult() == Result.DONE) {
+      keys.put(pick.rpc.key, pick.unit.entry.getBuild());
     }
+  }
 
-    private void stop(Line line, Stop stop) {
-        Pick pick = picks.get(at(line, stop.getId()));
-        if (pick != null) pick.stopped = true;
+  private void stop(Line line, Stop stop) {
+    Pick pick = picks.get(at(line, stop.getId()));
+    if (pick != null) {
+      pick.stopped = true;
     }
+  }
 
-    private void listing(Line line, Listing listing) {
-        if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) return;
-        List<Long> named = new ArrayList<>();
-        for (Entry entry : listing.getEntriesList()) {
-            named.add(entry.getUnit());
-            Listed known = units.get(entry.getUnit());
-            if (entry.getHealth() == Health.READY) {
-                Listed unit = new Listed();
-                unit.id = entry.getUnit();
-                unit.entry = entry;
-                units.put(entry.getUnit(), unit);
-            } else if (known != null) {
-                leaves(known, line);
-            }
-        }
-        if (listing.getForm() != Form.WHOLE) return;
-        for (Listed unit : units.values()) if (!named.contains(unit.id)) leaves(unit, line);
+  private void listing(Line line, Listing listing) {
+    if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
+      return;
+    }
+    List<Long> named = new ArrayList<>();
+    for (Entry entry : listing.getEntriesList()) {
+      named.add(entry.getUnit());
+      Listed known = units.get(entry.getUnit());
+      if (entry.getHealth() == Health.READY) {
+        Listed unit = new Listed();
+        unit.id = entry.getUnit();
+        unit.entry = entry;
+        units.put(entry.getUnit(), unit);
+      } else if (known != null) {
+        leaves(known, line);
+      }
+    }
+    if (listing.getForm() != Form.WHOLE) {
+      return;
     }
+    for (Listed unit : units.values()) {
+      if (!named.contains(unit.id)) {
+        leaves(unit, line);
+      }
+    }
+  }
 
-    private static void leaves(Listed unit, Line line) {
-        if (!unit.leaving) unit.toldLeaving = line;
-        unit.leaving = true;
+  private static void leaves(Listed unit, Line line) {
+    if (!unit.leaving) {
+      unit.toldLeaving = line;
     }
+    unit.leaving = true;
+  }
 
-    private void news(Line line, News told) {
-        boolean same = news != null && news.getBuild() == told.getBuild();
-        if (same && told.getCap() < news.getCap()) {
-            capBefore = news.getCap();
-            loweredUs = line.us();
-        } else if (!same) {
-            loweredUs = Long.MIN_VALUE / 2;
-        }
-        boolean callsBack = told.getStanding() == Stand.GOING_BACK || told.getStanding() == Stand.WITHDRAWN;
-        if (!same || callsBack) keys.clear();
-        news = told;
+  private void news(Line line, News told) {
+    boolean same = news != null && news.getBuild() == told.getBuild();
+    if (same && told.getCap() < news.getCap()) {
+      capBefore = news.getCap();
+      loweredUs = line.us();
+    } else if (!same) {
+      loweredUs = Long.MIN_VALUE / 2;
+    }
+    boolean callsBack =
+        told.getStanding() == Stand.GOING_BACK || told.getStanding() == Stand.WITHDRAWN;
+    if (!same || callsBack) {
+      keys.clear();
     }
+    news = told;
+  }
 }
--- a/src/main/java/sprucerock/lab/GranterProcess.java
+++ b/src/main/java/sprucerock/lab/GranterProcess.java
@@ -14,45 +14,57 @@
 import sprucerock.net.nio.NioLoop;
 import sprucerock.wire.Tap;
 
-/** A granter as a process of its own, the relays' door and core without the relay; it ends with its input. */
+/**
+ * A granter as a process of its own, the relays' door and core without the relay; it ends with its
+ * input.
+ */
 public final class GranterProcess {
-    private GranterProcess() {}
+  private GranterProcess() {}
 
-    /**
-     * Runs until the input ends.
-     *
-     * @param config of a relay whose leases say which granter this is
-     * @throws IOException if its address can't be had
-     */
-    public static void run(Path config, InputStream in) throws IOException, ConfigException, InterruptedException {
-        Logger log = LoggerFactory.getLogger("sprucerock.lab");
-        RelayConfig of = RelayConfig.read(config);
-        NioLoop loop = new NioLoop("granter", e -> log.error("BROKEN {}", e.toString(), e));
-        CompletableFuture<Void> started = new CompletableFuture<>();
-        loop.post(() -> {
-            try {
-                new GranterDoor(loop, of.leases, of.name, Tap.NONE, new Leases.Log() {
-                    @Override
-                    public void info(String what) {
+  /**
+   * Runs until the input ends.
+   *
+   * @param config of a relay whose leases say which granter this is
+   * @throws IOException if its address can't be had
+   */
+  public static void run(Path config, InputStream in)
+      throws IOException, ConfigException, InterruptedException {
+    Logger log = LoggerFactory.getLogger("sprucerock.lab");
+    RelayConfig of = RelayConfig.read(config);
+    NioLoop loop = new NioLoop("granter", e -> log.error("BROKEN {}", e.toString(), e));
+    CompletableFuture<Void> started = new CompletableFuture<>();
+    loop.post(
+        () -> {
+          try {
+            new GranterDoor(
+                    loop,
+                    of.leases,
+                    of.name,
+                    Tap.NONE,
+                    new Leases.Log() {
+                      @Override
+                      public void info(String what) {
                         log.info("LEASE {}", what);
-                    }
+                      }
 
-                    @Override
-                    public void warn(String what) {
+                      @Override
+                      public void warn(String what) {
                         log.warn("LEASE {}", what);
-                    }
-                }).start();
-                started.complete(null);
-            } catch (IOException e) {
-                started.completeExceptionally(e);
-            }
+                      }
+                    })
+                .start();
+            started.complete(null);
+          } catch (IOException e) {
+            started.completeExceptionally(e);
+          }
         });
-        try {
-            started.get();
-        } catch (ExecutionException e) {
-            throw new IOException("granter " + of.leases.granter() + " can't listen: " + e.getCause().getMessage());
-        }
-        in.transferTo(java.io.OutputStream.nullOutputStream());
-        loop.close();
+    try {
+      started.get();
+    } catch (ExecutionException e) {
+      throw new IOException(
+          "granter " + of.leases.granter() + " can't listen: " + e.getCause().getMessage());
     }
+    in.transferTo(java.io.OutputStream.nullOutputStream());
+    loop.close();
+  }
 }
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -33,214 +33,279 @@
 import sprucerock.wire.v1.Voted;
 
 /**
- * A relay without requests: its link to the controller, its ledger, what it was promised of racks and its candidacy for the fleet's looks
- * are the relay's own. It says nothing in a log, where thousands would say the same; what it hears of each kind of event is timed here.
- * On one loop's thread.
+ * A relay without requests: its link to the controller, its ledger, what it was promised of racks
+ * and its candidacy for the fleet's looks are the relay's own. It says nothing in a log, where
+ * thousands would say the same; what it hears of each kind of event is timed here. On one loop's
+ * thread.
  */
 final class HollowRelay implements Racks.Owner, Tap {
-    /** What is in force is timed for. */
-    enum Event { NEWS, FREEZE, LINKED, CONTROL }
+  /** What is in force is timed for. */
+  enum Event {
+    NEWS,
+    FREEZE,
+    LINKED,
+    CONTROL
+  }
 
-    private static final String LEASE = "looks"; // of relay.Looks
-    private static final Leases.Log SILENT = new Leases.Log() {
+  private static final String LEASE = "looks"; // of relay.Looks
+  private static final Leases.Log SILENT =
+      new Leases.Log() {
         @Override
         public void info(String what) {}
 
         @Override
         public void warn(String what) {}
-    };
-    private static final Leases.Task NO_LOOKS = new Leases.Task() {
+      };
+  private static final Leases.Task NO_LOOKS =
+      new Leases.Task() {
         @Override
         public void begun(Guard guard) {}
 
         @Override
         public void ended(String why) {}
-    };
-
-    private final Net net;
-    private final RelayConfig config;
-    private final int number;
-    private final LinkCounts controller;
-    private final LinkCounts granters;
-    private final Map<Long, Long> votesOut = new HashMap<>();
-    private DeskLink desk;
-    private Racks racks;
-    private Leases leases;
-    private Deaf.Told news;
-    private int lives;
-    private long epoch;
-    private long sequence;
-    private boolean linked;
-    // what is waited for: an event, what is known already, and since when (microseconds of the machine) it is in force; 0: not yet
-    private Event event;
-    private long beyond;
-    private long inForce;
-    private int zone = -1;
-    private int cell;
-    private long votesCast;
-    private long votesCounted;
-    private long votesRefused;
-    private final List<Long> votesTook = new ArrayList<>();
-
-    HollowRelay(Net net, RelayConfig config, int number, LinkCounts controller, LinkCounts granters) {
-        this.net = net;
-        this.config = config;
-        this.number = number;
-        this.controller = controller;
-        this.granters = granters;
-    }
+      };
 
-    /** As its process starts: with nothing known of its former life. */
-    void start() {
-        lives++;
-        linked = false;
-        news = null;
-        votesOut.clear();
-        Ledger ledger = new Ledger(config.settings);
-        ledger.tell(new Deaf(this::news));
-        Events events = new Events(net, NOPLogger.NOP_LOGGER);
-        Chance chance = new Chance(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
-        Hello mine = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.RELAY).setNumber(number).setName("hollow-" + number).build();
-        racks = new Racks(net, config, events, chance, this);
-        Racks promised = racks;
-        desk = new DeskLink(net, config, mine, this, ledger, events, chance, this::answered, promised::told, this::learnt);
-        LeaseConfig of = config.leases;
-        leases = new Leases(net, new LeaseConfig(number, -1, null, of.granters(), of.term(), of.longest(), of.drift(), of.most(), null, null), "hollow-" + number,
-            (long) (chance.next() * Long.MAX_VALUE), granters, System::currentTimeMillis, SILENT);
-        desk.start();
-        racks.start();
-        leases.start();
-        leases.stand(LEASE, NO_LOOKS);
-    }
+  private final Net net;
+  private final RelayConfig config;
+  private final int number;
+  private final LinkCounts controller;
+  private final LinkCounts granters;
+  private final Map<Long, Long> votesOut = new HashMap<>();
+  private DeskLink desk;
+  private Racks racks;
+  private Leases leases;
+  private Deaf.Told news;
+  private int lives;
+  private long epoch;
+  private long sequence;
+  private boolean linked;
+  // what is waited for: an event, what is known already, and since when (microseconds of the
+  // machine) it is in force; 0: not yet
+  private Event event;
+  private long beyond;
+  private long inForce;
+  private int zone = -1;
+  private int cell;
+  private long votesCast;
+  private long votesCounted;
+  private long votesRefused;
+  private final List<Long> votesTook = new ArrayList<>();
 
-    void stop() {
-        linked = false;
-        desk.stop();
-        racks.stop();
-        leases.stop();
-    }
+  HollowRelay(Net net, RelayConfig config, int number, LinkCounts controller, LinkCounts granters) {
+    this.net = net;
+    this.config = config;
+    this.number = number;
+    this.controller = controller;
+    this.granters = granters;
+  }
 
-    boolean linked() {
-        return linked;
-    }
+  /** As its process starts: with nothing known of its former life. */
+  void start() {
+    lives++;
+    linked = false;
+    news = null;
+    votesOut.clear();
+    Ledger ledger = new Ledger(config.settings);
+    ledger.tell(new Deaf(this::news));
+    Events events = new Events(net, NOPLogger.NOP_LOGGER);
+    Chance chance = new Chance(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
+    Hello mine =
+        Hello.newBuilder()
+            .setVersion(FrameLink.VERSION)
+            .setRole(Role.RELAY)
+            .setNumber(number)
+            .setName("hollow-" + number)
+            .build();
+    racks = new Racks(net, config, events, chance, this);
+    Racks promised = racks;
+    desk =
+        new DeskLink(
+            net,
+            config,
+            mine,
+            this,
+            ledger,
+            events,
+            chance,
+            this::answered,
+            promised::told,
+            this::learnt);
+    LeaseConfig of = config.leases;
+    leases =
+        new Leases(
+            net,
+            new LeaseConfig(
+                number,
+                -1,
+                null,
+                of.granters(),
+                of.term(),
+                of.longest(),
+                of.drift(),
+                of.most(),
+                null,
+                null),
+            "hollow-" + number,
+            (long) (chance.next() * Long.MAX_VALUE),
+            granters,
+            System::currentTimeMillis,
+            SILENT);
+    desk.start();
+    racks.start();
+    leases.start();
+    leases.stand(LEASE, NO_LOOKS);
+  }
 
-    /** From now on it is noted when this is in force; {@code of}: a build for news, zone and cell of a rack for a freeze. */
-    void expect(Event what, int... of) {
-        event = what;
-        inForce = 0;
-        beyond = what == Event.NEWS ? of[0] : what == Event.FREEZE ? sequence : epoch;
-        if (what == Event.FREEZE) {
-            zone = of[0];
-            cell = of[1];
-        }
-    }
+  void stop() {
+    linked = false;
+    desk.stop();
+    racks.stop();
+    leases.stop();
+  }
 
-    /** Microseconds of the machine; 0: it is not in force here. */
-    long inForce() {
-        return inForce;
-    }
+  boolean linked() {
+    return linked;
+  }
 
-    /** It places nothing new on the rack of the freeze that was expected last. */
-    boolean keepsOff() {
-        return zone >= 0 && !racks.mayPlace(zone, cell);
+  /**
+   * From now on it is noted when this is in force; {@code of}: a build for news, zone and cell of a
+   * rack for a freeze.
+   */
+  void expect(Event what, int... of) {
+    event = what;
+    inForce = 0;
+    beyond = what == Event.NEWS ? of[0] : what == Event.FREEZE ? sequence : epoch;
+    if (what == Event.FREEZE) {
+      zone = of[0];
+      cell = of[1];
     }
+  }
 
-    private void now(Event what) {
-        if (event == what && inForce == 0) inForce = NioLoop.machineMicros();
-    }
+  /** Microseconds of the machine; 0: it is not in force here. */
+  long inForce() {
+    return inForce;
+  }
 
-    private void news(Deaf.Told told) {
-        news = told;
-        if (event == Event.NEWS && told.build().number == beyond && told.standing() == Standing.ON_TRIAL) now(Event.NEWS);
-    }
+  /** It places nothing new on the rack of the freeze that was expected last. */
+  boolean keepsOff() {
+    return zone >= 0 && !racks.mayPlace(zone, cell);
+  }
 
-    /** As relay.Relay lets its clients in: once news and a first promise are there. */
-    private void learnt() {
-        if (linked || !desk.told() || !racks.told()) return;
-        linked = true;
-        now(Event.LINKED);
+  private void now(Event what) {
+    if (event == what && inForce == 0) {
+      inForce = NioLoop.machineMicros();
     }
+  }
 
-    /** Votes on what it was told of last; false where it was told of no trial. */
-    boolean vote() {
-        if (news == null || news.standing() != Standing.ON_TRIAL || !linked) return false;
-        votesCast++;
-        desk.vote(news.build(), news.stage(), Verdict.ON);
-        return true;
+  private void news(Deaf.Told told) {
+    news = told;
+    if (event == Event.NEWS
+        && told.build().number == beyond
+        && told.standing() == Standing.ON_TRIAL) {
+      now(Event.NEWS);
     }
+  }
 
-    private void answered(Reply reply) {
-        if (reply == Reply.COUNTS) votesCounted++;
-        else votesRefused++;
+  /** As relay.Relay lets its clients in: once news and a first promise are there. */
+  private void learnt() {
+    if (linked || !desk.told() || !racks.told()) {
+      return;
     }
+    linked = true;
+    now(Event.LINKED);
+  }
 
-    long votesCast() {
-        return votesCast;
+  /** Votes on what it was told of last; false where it was told of no trial. */
+  boolean vote() {
+    if (news == null || news.standing() != Standing.ON_TRIAL || !linked) {
+      return false;
     }
+    votesCast++;
+    desk.vote(news.build(), news.stage(), Verdict.ON);
+    return true;
+  }
 
-    long votesCounted() {
-        return votesCounted;
+  private void answered(Reply reply) {
+    if (reply == Reply.COUNTS) {
+      votesCounted++;
+    } else {
+      votesRefused++;
     }
+  }
 
-    long votesRefused() {
-        return votesRefused;
-    }
+  long votesCast() {
+    return votesCast;
+  }
 
-    /** Cast and neither answered nor given up. */
-    long votesOpen() {
-        return votesCast - votesCounted - votesRefused;
-    }
+  long votesCounted() {
+    return votesCounted;
+  }
 
-    /** Microseconds from each vote that counts to its answer. */
-    List<Long> votesTook() {
-        return votesTook;
-    }
+  long votesRefused() {
+    return votesRefused;
+  }
 
-    void begin() {
-        votesCast = 0;
-        votesCounted = 0;
-        votesRefused = 0;
-        votesTook.clear();
-    }
+  /** Cast and neither answered nor given up. */
+  long votesOpen() {
+    return votesCast - votesCounted - votesRefused;
+  }
 
-    // What the racks' core asks of its relay.
+  /** Microseconds from each vote that counts to its answer. */
+  List<Long> votesTook() {
+    return votesTook;
+  }
 
-    @Override
-    public boolean ask(PromiseAsk ask) {
-        return desk.ask(ask);
-    }
+  void begin() {
+    votesCast = 0;
+    votesCounted = 0;
+    votesRefused = 0;
+    votesTook.clear();
+  }
 
-    @Override
-    public void firstPromise() {
-        learnt();
-    }
+  // What the racks' core asks of its relay.
 
-    @Override
-    public void racksChanged() {
-        // it has no units whose readiness would change
-    }
+  @Override
+  public boolean ask(PromiseAsk ask) {
+    return desk.ask(ask);
+  }
 
-    // What crosses the link to the controller.
-
-    @Override
-    public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
-        controller.frame(link, out, kind, head, body);
-        if (kind == Kind.VOTE) {
-            votesOut.put(((Vote) head).getId(), NioLoop.machineMicros());
-        } else if (kind == Kind.VOTED) {
-            Long sent = votesOut.remove(((Voted) head).getId());
-            if (sent != null && ((Voted) head).getTaken() == Taken.COUNTS) votesTook.add(NioLoop.machineMicros() - sent);
-        } else if (kind == Kind.PROMISED && ((Promised) head).getId() != 0) {
-            if (event == Event.FREEZE && ((Promised) head).getSequence() > beyond) now(Event.FREEZE);
-            sequence = ((Promised) head).getSequence();
-        } else if (kind == Kind.NEWS) {
-            epoch = ((News) head).getEpoch();
-            if (event == Event.CONTROL && epoch > beyond) now(Event.CONTROL);
-        }
-    }
+  @Override
+  public void firstPromise() {
+    learnt();
+  }
+
+  @Override
+  public void racksChanged() {
+    // it has no units whose readiness would change
+  }
 
-    @Override
-    public void closed(FrameLink link, String why) {
-        controller.closed(link, why);
+  // What crosses the link to the controller.
+
+  @Override
+  public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
+    controller.frame(link, out, kind, head, body);
+    if (kind == Kind.VOTE) {
+      votesOut.put(((Vote) head).getId(), NioLoop.machineMicros());
+    } else if (kind == Kind.VOTED) {
+      Long sent = votesOut.remove(((Voted) head).getId());
+      if (sent != null && ((Voted) head).getTaken() == Taken.COUNTS) {
+        votesTook.add(NioLoop.machineMicros() - sent);
+      }
+    } else if (kind == Kind.PROMISED && ((Promised) head).getId() != 0) {
+      if (event == Event.FREEZE && ((Promised) head).getSequence() > beyond) {
+        now(Event.FREEZE);
+      }
+      sequence = ((Promised) head).getSequence();
+    } else if (kind == Kind.NEWS) {
+      epoch = ((News) head).getEpoch();
+      if (event == Event.CONTROL && epoch > beyond) {
+        now(Event.CONTROL);
+      }
     }
+  }
+
+  @Override
+  public void closed(FrameLink link, String why) {
+    controller.closed(link, why);
+  }
 }
--- a/src/main/java/sprucerock/lab/LinkCounts.java
+++ b/src/main/java/sprucerock/lab/LinkCounts.java
@@ -9,50 +9,56 @@
 import sprucerock.wire.Tap;
 
 /**
- * Messages and bytes by kind on the links to the processes of one role, counted at the hollow end and told as that role sees them: what
- * goes out there comes in here. On one loop's thread.
+ * Messages and bytes by kind on the links to the processes of one role, counted at the hollow end
+ * and told as that role sees them: what goes out there comes in here. On one loop's thread.
  */
 final class LinkCounts implements Tap {
-    private static final class Sum {
-        private long messages;
-        private long bytes;
-    }
-
-    private final String role;
-    private final Map<String, Sum> sums = new TreeMap<>();
-    private long closed;
-
-    LinkCounts(String role) {
-        this.role = role;
-    }
-
-    @Override
-    public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
-        Sum sum = sums.computeIfAbsent(kind + (out ? " in" : " out"), key -> new Sum());
-        sum.messages++;
-        sum.bytes += FrameLink.size(head, body);
-    }
-
-    @Override
-    public void closed(FrameLink link, String why) {
-        closed++;
-    }
-
-    /** Links that ended, for whatever reason, and such as never came up. */
-    long closed() {
-        return closed;
-    }
-
-    /** Counts from here on. */
-    void begin() {
-        sums.clear();
-        closed = 0;
-    }
-
-    void tell(ArrayNode list) {
-        sums.forEach((key, sum) -> {
-            String[] words = key.split(" ");
-            list.addObject().put("role", role).put("kind", words[0]).put("direction", words[1]).put("messages", sum.messages).put("bytes", sum.bytes);
+  private static final class Sum {
+    private long messages;
+    private long bytes;
+  }
+
+  private final String role;
+  private final Map<String, Sum> sums = new TreeMap<>();
+  private long closed;
+
+  LinkCounts(String role) {
+    this.role = role;
+  }
+
+  @Override
+  public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
+    Sum sum = sums.computeIfAbsent(kind + (out ? " in" : " out"), key -> new Sum());
+    sum.messages++;
+    sum.bytes += FrameLink.size(head, body);
+  }
+
+  @Override
+  public void closed(FrameLink link, String why) {
+    closed++;
+  }
+
+  /** Links that ended, for whatever reason, and such as never came up. */
+  long closed() {
+    return closed;
+  }
+
+  /** Counts from here on. */
+  void begin() {
+    sums.clear();
+    closed = 0;
+  }
+
+  void tell(ArrayNode list) {
+    sums.forEach(
+        (key, sum) -> {
+          String[] words = key.split(" ");
+          list.addObject()
+              .put("role", role)
+              .put("kind", words[0])
+              .put("direction", words[1])
+              .put("messages", sum.messages)
+              .put("bytes", sum.bytes);
         });
-    }
+  }
 }
--- a/src/main/java/sprucerock/lease/Candidate.java
+++ b/src/main/java/sprucerock/lease/Candidate.java
@@ -5,253 +5,334 @@
 import sprucerock.time.Span;
 
 /**
- * One process's side of one lease: asks all granters, holds it while a majority granted it in one round, asks again in time, and gives it
- * back. It counts its time from before it asked, by its own clock, shortened by what clocks may differ; so it stops before any granter
- * can give it to another. Whether it holds is asked at the last instant, through {@link Guard}.
+ * One process's side of one lease: asks all granters, holds it while a majority granted it in one
+ * round, asks again in time, and gives it back. It counts its time from before it asked, by its own
+ * clock, shortened by what clocks may differ; so it stops before any granter can give it to
+ * another. Whether it holds is asked at the last instant, through {@link Guard}.
  */
 class Candidate {
-    /** What it can do; messages may get lost. */
-    interface Host {
-        void ask(int granter, String name, long number, long round);
-
-        /** {@code heir}: who is to have it next; -1: anybody. */
-        void giveBack(int granter, String name, long number, int heir);
-
-        void taken(String name, long number);
-
-        void lost(String name, long number, String why);
-    }
-
-    private static final int NUMBER_BITS = 16; // of a lease's number: who chose it; the rest counts up
-    // Of the usable term. Renewed after a third, with up to a sixth of chance, so that a fleet's renewals spread and two lost rounds
-    // still leave a third one; an answer is waited for a sixth, far over a round trip wherever a term makes sense.
-    private static final double RENEW = 1.0 / 3;
-    private static final double SPREAD = 1.0 / 6;
-    private static final double PATIENCE = 1.0 / 6;
-    private static final int MOST_DOUBLINGS = 4;
-
-    private final String name;
-    private final Terms terms;
-    private final Host host;
-    private final DoubleSupplier chance;
-    private final int me;
-    private final long life;
-
-    private boolean wanted;
-    private long number; // 0: none is asked for
-    private long round;
-    private Moment askedAt;
-    private long granters; // of this round, as bits
-    private long refusers;
-    private Span shortest; // what they said is left
-    private boolean inTheWay; // somebody else has it, so that asking sooner is of no use
-    private Moment until; // null: not held
-    private Moment due; // null: nothing is to be done by time
-    private long seen;
-    private int fails;
-
-    /** {@code me}: its number in the fleet, 0 to 65535; {@code life}: another one with each start of the process. */
-    Candidate(String name, Terms terms, Host host, DoubleSupplier chance, int me, long life) {
-        if (me < 0 || me >= 1 << NUMBER_BITS) throw new IllegalArgumentException("a candidate's number is 0 to 65535, not " + me);
-        this.name = name;
-        this.terms = terms;
-        this.host = host;
-        this.chance = chance;
-        this.me = me;
-        this.life = life;
+  /** What it can do; messages may get lost. */
+  interface Host {
+    void ask(int granter, String name, long number, long round);
+
+    /** {@code heir}: who is to have it next; -1: anybody. */
+    void giveBack(int granter, String name, long number, int heir);
+
+    void taken(String name, long number);
+
+    void lost(String name, long number, String why);
+  }
+
+  private static final int NUMBER_BITS =
+      16; // of a lease's number: who chose it; the rest counts up
+  // Of the usable term. Renewed after a third, with up to a sixth of chance, so that a fleet's
+  // renewals spread and two lost rounds
+  // still leave a third one; an answer is waited for a sixth, far over a round trip wherever a term
+  // makes sense.
+  private static final double RENEW = 1.0 / 3;
+  private static final double SPREAD = 1.0 / 6;
+  private static final double PATIENCE = 1.0 / 6;
+  private static final int MOST_DOUBLINGS = 4;
+
+  private final String name;
+  private final Terms terms;
+  private final Host host;
+  private final DoubleSupplier chance;
+  private final int me;
+  private final long life;
+
+  private boolean wanted;
+  private long number; // 0: none is asked for
+  private long round;
+  private Moment askedAt;
+  private long granters; // of this round, as bits
+  private long refusers;
+  private Span shortest; // what they said is left
+  private boolean inTheWay; // somebody else has it, so that asking sooner is of no use
+  private Moment until; // null: not held
+  private Moment due; // null: nothing is to be done by time
+  private long seen;
+  private int fails;
+
+  /**
+   * {@code me}: its number in the fleet, 0 to 65535; {@code life}: another one with each start of
+   * the process.
+   */
+  Candidate(String name, Terms terms, Host host, DoubleSupplier chance, int me, long life) {
+    if (me < 0 || me >= 1 << NUMBER_BITS) {
+      throw new IllegalArgumentException("a candidate's number is 0 to 65535, not " + me);
     }
-
-    /** All that the other one knows, so that a search can go on from there more than once. */
-    void become(Candidate other) {
-        wanted = other.wanted;
-        number = other.number;
-        round = other.round;
-        askedAt = other.askedAt;
-        granters = other.granters;
-        refusers = other.refusers;
-        shortest = other.shortest;
-        inTheWay = other.inTheWay;
-        until = other.until;
-        due = other.due;
-        seen = other.seen;
-        fails = other.fails;
-    }
-
-    /** All that it knows but for which granters said what: {@link #has}. */
-    String withoutGranters() {
-        return name + " by " + me + (wanted ? "" : ", not wanted") + ", number " + number + ", round " + round + " of " + askedAt + ", " + shortest
-            + (inTheWay ? " in the way" : "") + ", until " + until + ", due " + due + ", seen " + seen + ", fails " + fails;
-    }
-
-    /** What a granter said in this round: 1 that it is granted, 2 that it isn't, 0 nothing. */
-    int has(int granter) {
-        return (int) (granters >> granter & 1 | (refusers >> granter & 1) << 1);
+    this.name = name;
+    this.terms = terms;
+    this.host = host;
+    this.chance = chance;
+    this.me = me;
+    this.life = life;
+  }
+
+  /** All that the other one knows, so that a search can go on from there more than once. */
+  void become(Candidate other) {
+    wanted = other.wanted;
+    number = other.number;
+    round = other.round;
+    askedAt = other.askedAt;
+    granters = other.granters;
+    refusers = other.refusers;
+    shortest = other.shortest;
+    inTheWay = other.inTheWay;
+    until = other.until;
+    due = other.due;
+    seen = other.seen;
+    fails = other.fails;
+  }
+
+  /** All that it knows but for which granters said what: {@link #has}. */
+  String withoutGranters() {
+    return name
+        + " by "
+        + me
+        + (wanted ? "" : ", not wanted")
+        + ", number "
+        + number
+        + ", round "
+        + round
+        + " of "
+        + askedAt
+        + ", "
+        + shortest
+        + (inTheWay ? " in the way" : "")
+        + ", until "
+        + until
+        + ", due "
+        + due
+        + ", seen "
+        + seen
+        + ", fails "
+        + fails;
+  }
+
+  /** What a granter said in this round: 1 that it is granted, 2 that it isn't, 0 nothing. */
+  int has(int granter) {
+    return (int) (granters >> granter & 1 | (refusers >> granter & 1) << 1);
+  }
+
+  String name() {
+    return name;
+  }
+
+  long life() {
+    return life;
+  }
+
+  /** It is to be had from now on. {@code floorMs}: see {@link #fresh}. */
+  void want(Moment now, long floorMs) {
+    if (wanted) {
+      return;
     }
-
-    String name() {
-        return name;
+    wanted = true;
+    ask(now, floorMs);
+  }
+
+  /**
+   * It is given back, if it is held, and not asked for any more; {@code heir}: who is to have it
+   * next, -1: anybody.
+   */
+  void leave(int heir) {
+    wanted = false;
+    due = null;
+    drop("left", heir);
+  }
+
+  boolean wanted() {
+    return wanted;
+  }
+
+  /**
+   * A number higher than all that were seen, ending in whose it is, so that no two candidates can
+   * ask under one. Granters forget numbers when they start anew; so it is not below the wall's
+   * clock either, where {@code floorMs} tells it. A wall clock that is wrong costs nothing but
+   * numbers: nobody's safety hangs on it while one granter of a majority remembers.
+   */
+  private long fresh(long floorMs) {
+    return Math.max((seen >>> NUMBER_BITS) + 1, floorMs) << NUMBER_BITS | me;
+  }
+
+  private void ask(Moment now, long floorMs) {
+    number = fresh(floorMs);
+    seen = number;
+    round(now);
+  }
+
+  private void round(Moment now) {
+    round++;
+    askedAt = now;
+    granters = 0;
+    refusers = 0;
+    shortest = null;
+    inTheWay = false;
+    due = now.plus(terms.usable().times(PATIENCE));
+    for (int each = 0; each < terms.granters(); each++) {
+      host.ask(each, name, number, round);
     }
+  }
 
-    long life() {
-        return life;
+  void granted(int granter, long ofNumber, long ofRound, Moment now) {
+    if (ofNumber
+        != number) { // of a number that was given up; what told the granter so may have been lost
+      host.giveBack(granter, name, ofNumber, -1);
+      return;
     }
-
-    /** It is to be had from now on. {@code floorMs}: see {@link #fresh}. */
-    void want(Moment now, long floorMs) {
-        if (wanted) return;
-        wanted = true;
-        ask(now, floorMs);
+    if (!thisRound(ofRound)) {
+      return;
     }
-
-    /** It is given back, if it is held, and not asked for any more; {@code heir}: who is to have it next, -1: anybody. */
-    void leave(int heir) {
-        wanted = false;
-        due = null;
-        drop("left", heir);
+    granters |= 1L << granter;
+    if (Long.bitCount(granters) < enough()) {
+      return;
     }
-
-    boolean wanted() {
-        return wanted;
+    Moment end = from(now).plus(usable());
+    if (!end.after(now)) {
+      return; // so late that it is over; the round ends by its patience
     }
-
-    /**
-     * A number higher than all that were seen, ending in whose it is, so that no two candidates can ask under one. Granters forget
-     * numbers when they start anew; so it is not below the wall's clock either, where {@code floorMs} tells it. A wall clock that is
-     * wrong costs nothing but numbers: nobody's safety hangs on it while one granter of a majority remembers.
-     */
-    private long fresh(long floorMs) {
-        return Math.max((seen >>> NUMBER_BITS) + 1, floorMs) << NUMBER_BITS | me;
+    boolean first = until == null;
+    until = end;
+    fails = 0;
+    due = askedAt.plus(terms.usable().times(RENEW + SPREAD * chance.getAsDouble())).later(now);
+    if (first) {
+      host.taken(name, number);
     }
+  }
 
-    private void ask(Moment now, long floorMs) {
-        number = fresh(floorMs);
-        seen = number;
-        round(now);
+  void refused(
+      int granter, long ofNumber, long ofRound, long highest, Span left, boolean held, Moment now) {
+    seen = Math.max(seen, highest);
+    if (ofNumber != number || ofRound != round) {
+      return;
     }
-
-    private void round(Moment now) {
-        round++;
-        askedAt = now;
-        granters = 0;
-        refusers = 0;
-        shortest = null;
-        inTheWay = false;
-        due = now.plus(terms.usable().times(PATIENCE));
-        for (int each = 0; each < terms.granters(); each++) host.ask(each, name, number, round);
+    refusers |= 1L << granter;
+    shortest = shortest == null ? left : shortest.atMost(left);
+    inTheWay |= held;
+    if (until == null && Long.bitCount(refusers) > terms.granters() - terms.majority()) {
+      fail(now);
     }
-
-    void granted(int granter, long ofNumber, long ofRound, Moment now) {
-        if (ofNumber != number) { // of a number that was given up; what told the granter so may have been lost
-            host.giveBack(granter, name, ofNumber, -1);
-            return;
-        }
-        if (!thisRound(ofRound)) return;
-        granters |= 1L << granter;
-        if (Long.bitCount(granters) < enough()) return;
-        Moment end = from(now).plus(usable());
-        if (!end.after(now)) return; // so late that it is over; the round ends by its patience
-        boolean first = until == null;
-        until = end;
-        fails = 0;
-        due = askedAt.plus(terms.usable().times(RENEW + SPREAD * chance.getAsDouble())).later(now);
-        if (first) host.taken(name, number);
+  }
+
+  // What keeps two from holding it stands alone, so that tests can take it out and show that their
+  // checker finds it missing.
+
+  /** An answer to an earlier round says nothing of when this one began. */
+  boolean thisRound(long ofRound) {
+    return ofRound == round;
+  }
+
+  int enough() {
+    return terms.majority();
+  }
+
+  /**
+   * The moment from which the term counts: nobody knows when a granter began to count, but not
+   * before it was asked.
+   */
+  Moment from(Moment now) {
+    return askedAt;
+  }
+
+  Span usable() {
+    return terms.usable();
+  }
+
+  /** A granter has said that it may be had. */
+  void freed(Moment now, long floorMs) {
+    if (wanted && until == null && number == 0) {
+      ask(now, floorMs);
     }
-
-    void refused(int granter, long ofNumber, long ofRound, long highest, Span left, boolean held, Moment now) {
-        seen = Math.max(seen, highest);
-        if (ofNumber != number || ofRound != round) return;
-        refusers |= 1L << granter;
-        shortest = shortest == null ? left : shortest.atMost(left);
-        inTheWay |= held;
-        if (until == null && Long.bitCount(refusers) > terms.granters() - terms.majority()) fail(now);
+  }
+
+  /**
+   * No majority: what was granted is given back at once, so that two who were granted a part do not
+   * block each other.
+   */
+  private void fail(Moment now) {
+    long given = number;
+    number = 0;
+    for (int each = 0; each < terms.granters(); each++) {
+      if ((refusers >> each & 1) == 0) {
+        host.giveBack(each, name, given, -1);
+      }
     }
-
-    // What keeps two from holding it stands alone, so that tests can take it out and show that their checker finds it missing.
-
-    /** An answer to an earlier round says nothing of when this one began. */
-    boolean thisRound(long ofRound) {
-        return ofRound == round;
-    }
-
-    int enough() {
-        return terms.majority();
-    }
-
-    /** The moment from which the term counts: nobody knows when a granter began to count, but not before it was asked. */
-    Moment from(Moment now) {
-        return askedAt;
-    }
-
-    Span usable() {
-        return terms.usable();
-    }
-
-    /** A granter has said that it may be had. */
-    void freed(Moment now, long floorMs) {
-        if (wanted && until == null && number == 0) ask(now, floorMs);
-    }
-
-    /** No majority: what was granted is given back at once, so that two who were granted a part do not block each other. */
-    private void fail(Moment now) {
-        long given = number;
-        number = 0;
-        for (int each = 0; each < terms.granters(); each++) {
-            if ((refusers >> each & 1) == 0) host.giveBack(each, name, given, -1);
-        }
-        fails = Math.min(fails + 1, MOST_DOUBLINGS);
-        // Somebody has it: asked again when it may have ended. Else two asked at once, or granters are away: a pause that doubles. Each
-        // is drawn, so that those who asked together do not ask together again.
-        Span pause = inTheWay && shortest != null ? shortest.plus(terms.usable().times(PATIENCE * chance.getAsDouble()))
+    fails = Math.min(fails + 1, MOST_DOUBLINGS);
+    // Somebody has it: asked again when it may have ended. Else two asked at once, or granters are
+    // away: a pause that doubles. Each
+    // is drawn, so that those who asked together do not ask together again.
+    Span pause =
+        inTheWay && shortest != null
+            ? shortest.plus(terms.usable().times(PATIENCE * chance.getAsDouble()))
             : terms.usable().times(PATIENCE * (1 << fails - 1) * (0.5 + chance.getAsDouble()));
-        due = now.plus(pause);
+    due = now.plus(pause);
+  }
+
+  /** When {@link #tick} is to be called next; null: not before something else happens. */
+  Moment due() {
+    return due;
+  }
+
+  void tick(Moment now, long floorMs) {
+    if (until != null && !holds(now)) {
+      drop("it ran out, not renewed in time", -1);
+      if (wanted) {
+        ask(now, floorMs);
+      }
+      return;
     }
-
-    /** When {@link #tick} is to be called next; null: not before something else happens. */
-    Moment due() {
-        return due;
+    if (due == null || due.after(now)) {
+      return;
     }
-
-    void tick(Moment now, long floorMs) {
-        if (until != null && !holds(now)) {
-            drop("it ran out, not renewed in time", -1);
-            if (wanted) ask(now, floorMs);
-            return;
-        }
-        if (due == null || due.after(now)) return;
-        if (until != null) round(now); // to hold on to it; until then it is held as before
-        else if (number != 0) fail(now);
-        else if (wanted) ask(now, floorMs);
-        else due = null;
-        if (until != null) due = due.earlier(until);
+    if (until != null) {
+      round(now); // to hold on to it; until then it is held as before
+    } else if (number != 0) {
+      fail(now);
+    } else if (wanted) {
+      ask(now, floorMs);
+    } else {
+      due = null;
     }
-
-    private void drop(String why, int heir) {
-        if (number == 0) return;
-        long given = number;
-        boolean held = until != null;
-        number = 0;
-        until = null;
-        for (int each = 0; each < terms.granters(); each++) host.giveBack(each, name, given, heir);
-        if (held) host.lost(name, given, why);
+    if (until != null) {
+      due = due.earlier(until);
     }
+  }
 
-    /** Whether it is held for certain at that moment of this process's clock. */
-    boolean holds(Moment at) {
-        return until != null && until.after(at);
+  private void drop(String why, int heir) {
+    if (number == 0) {
+      return;
     }
-
-    /** How long it is held for certain from then on; zero where it isn't. */
-    Span left(Moment at) {
-        return holds(at) ? until.since(at) : Span.ZERO;
-    }
-
-    /** By which acts are stamped; 0 where it is not held. */
-    long number() {
-        return until == null ? 0 : number;
+    long given = number;
+    boolean held = until != null;
+    number = 0;
+    until = null;
+    for (int each = 0; each < terms.granters(); each++) {
+      host.giveBack(each, name, given, heir);
     }
-
-    /** The place where an act landed has seen this number; the next one is higher. */
-    void saw(long higher) {
-        seen = Math.max(seen, higher);
+    if (held) {
+      host.lost(name, given, why);
     }
+  }
+
+  /** Whether it is held for certain at that moment of this process's clock. */
+  boolean holds(Moment at) {
+    return until != null && until.after(at);
+  }
+
+  /** How long it is held for certain from then on; zero where it isn't. */
+  Span left(Moment at) {
+    return holds(at) ? until.since(at) : Span.ZERO;
+  }
+
+  /** By which acts are stamped; 0 where it is not held. */
+  long number() {
+    return until == null ? 0 : number;
+  }
+
+  /** The place where an act landed has seen this number; the next one is higher. */
+  void saw(long higher) {
+    seen = Math.max(seen, higher);
+  }
 }
--- a/src/main/java/sprucerock/lease/Fence.java
+++ b/src/main/java/sprucerock/lease/Fence.java
@@ -5,39 +5,40 @@
 import java.util.Map;
 
 /**
- * Stands where acts land: of each lease the highest number that acted, below which none acts any more. It holds whatever clocks do, and
- * needs no word with granters. It forgets with its process; then time alone guards, for one term.
+ * Stands where acts land: of each lease the highest number that acted, below which none acts any
+ * more. It holds whatever clocks do, and needs no word with granters. It forgets with its process;
+ * then time alone guards, for one term.
  */
 public final class Fence {
-    /** Names that are remembered; beyond, the one that acted longest ago is forgotten. */
-    public static final int MOST = 1024;
+  /** Names that are remembered; beyond, the one that acted longest ago is forgotten. */
+  public static final int MOST = 1024;
 
-    private final Map<String, Long> highest = new LinkedHashMap<>(16, 0.75f, true);
-    private long refused;
+  private final Map<String, Long> highest = new LinkedHashMap<>(16, 0.75f, true);
+  private long refused;
 
-    /** Whether an act under that number may be done; it is then the highest. */
-    public boolean admits(String name, long number) {
-        Long known = highest.get(name);
-        if (known != null && number < known) {
-            refused++;
-            return false;
-        }
-        highest.put(name, number);
-        if (highest.size() > MOST) {
-            Iterator<String> oldest = highest.keySet().iterator();
-            oldest.next();
-            oldest.remove();
-        }
-        return true;
+  /** Whether an act under that number may be done; it is then the highest. */
+  public boolean admits(String name, long number) {
+    Long known = highest.get(name);
+    if (known != null && number < known) {
+      refused++;
+      return false;
     }
-
-    /** The highest that acted; 0: none is known. */
-    public long highest(String name) {
-        return highest.getOrDefault(name, 0L);
+    highest.put(name, number);
+    if (highest.size() > MOST) {
+      Iterator<String> oldest = highest.keySet().iterator();
+      oldest.next();
+      oldest.remove();
     }
+    return true;
+  }
 
-    /** Acts that were refused so far. */
-    public long refused() {
-        return refused;
-    }
+  /** The highest that acted; 0: none is known. */
+  public long highest(String name) {
+    return highest.getOrDefault(name, 0L);
+  }
+
+  /** Acts that were refused so far. */
+  public long refused() {
+    return refused;
+  }
 }
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -7,11 +7,12 @@
  *
  * @param number the highest that was granted under this name
  * @param holder by its number in the fleet
- * @param life of the holder's process: another one with each start, so that two under one number are told apart
+ * @param life of the holder's process: another one with each start, so that two under one number
+ *     are told apart
  * @param until by the granter's clock
  * @param open it was not given back
  * @param heir to whom it was handed over, and is kept for until {@code until}; -1: to nobody
  */
 record Grant(long number, int holder, long life, Moment until, boolean open, int heir) {
-    static final Grant NONE = new Grant(0, -1, 0, Moment.ofMs(Double.NEGATIVE_INFINITY), false, -1);
+  static final Grant NONE = new Grant(0, -1, 0, Moment.ofMs(Double.NEGATIVE_INFINITY), false, -1);
 }
--- a/src/main/java/sprucerock/lease/GranterDoor.java
+++ b/src/main/java/sprucerock/lease/GranterDoor.java
@@ -23,140 +23,228 @@
 import sprucerock.wire.v1.Role;
 
 /**
- * A granter's links. It reads the steady clock anew with each ask: a loop's moment stands still within a turn, and a grant that began
- * before its ask was sent would end before its holder expects it.
+ * A granter's links. It reads the steady clock anew with each ask: a loop's moment stands still
+ * within a turn, and a grant that began before its ask was sent would end before its holder expects
+ * it.
  */
 public final class GranterDoor {
-    private static final byte[] NO_BODY = {};
-    private static final int MOST_NAME = 64;
-    // Of one link: a candidate for 64 leases that renews each at its quickest asks a tenth of that. What is more gets no answer, and a
-    // candidate waits for answers no longer than its patience.
-    private static final int ASKS_A_SECOND = 2000;
+  private static final byte[] NO_BODY = {};
+  private static final int MOST_NAME = 64;
+  // Of one link: a candidate for 64 leases that renews each at its quickest asks a tenth of that.
+  // What is more gets no answer, and a
+  // candidate waits for answers no longer than its patience.
+  private static final int ASKS_A_SECOND = 2000;
 
-    private final Net net;
-    private final LeaseConfig config;
-    private final Tap tap;
-    private final Leases.Log log;
-    private final Hello mine;
-    private final Map<Integer, Session> sessions = new TreeMap<>();
-    private final Granter granter;
-    private Session asking;
-    private Net.Listener listener;
-    private long dropped;
+  private final Net net;
+  private final LeaseConfig config;
+  private final Tap tap;
+  private final Leases.Log log;
+  private final Hello mine;
+  private final Map<Integer, Session> sessions = new TreeMap<>();
+  private final Granter granter;
+  private Session asking;
+  private Net.Listener listener;
+  private long dropped;
 
-    /** The granter that the configuration says this process is. */
-    public GranterDoor(Net net, LeaseConfig config, String name, Tap tap, Leases.Log log) {
-        this.net = net;
-        this.config = config;
-        this.tap = tap;
-        this.log = log;
-        mine = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.GRANTER).setNumber(config.granter()).setName(name).build();
-        granter = new Granter(Leases.terms(config), new Granter.Host() {
-            @Override
-            public void granted(int candidate, String name, long number, long round) {
-                asking.link.send(Kind.LEASE_SAID, LeaseSaid.newBuilder().setName(name).setNumber(number).setRound(round).setGranted(true).build(), NO_BODY);
-            }
+  /** The granter that the configuration says this process is. */
+  public GranterDoor(Net net, LeaseConfig config, String name, Tap tap, Leases.Log log) {
+    this.net = net;
+    this.config = config;
+    this.tap = tap;
+    this.log = log;
+    mine =
+        Hello.newBuilder()
+            .setVersion(FrameLink.VERSION)
+            .setRole(Role.GRANTER)
+            .setNumber(config.granter())
+            .setName(name)
+            .build();
+    granter =
+        new Granter(
+            Leases.terms(config),
+            new Granter.Host() {
+              @Override
+              public void granted(int candidate, String name, long number, long round) {
+                asking.link.send(
+                    Kind.LEASE_SAID,
+                    LeaseSaid.newBuilder()
+                        .setName(name)
+                        .setNumber(number)
+                        .setRound(round)
+                        .setGranted(true)
+                        .build(),
+                    NO_BODY);
+              }
 
-            @Override
-            public void refused(int candidate, String name, long number, long round, long highest, Span left, Granter.Refusal why) {
-                asking.link.send(Kind.LEASE_SAID, LeaseSaid.newBuilder().setName(name).setNumber(number).setRound(round).setHighest(highest)
-                    .setLeftUs((long) Math.max(0, left.ms() * 1000)).setHeld(why == Granter.Refusal.HELD).setWhy(why.name()).build(), NO_BODY);
-            }
+              @Override
+              public void refused(
+                  int candidate,
+                  String name,
+                  long number,
+                  long round,
+                  long highest,
+                  Span left,
+                  Granter.Refusal why) {
+                asking.link.send(
+                    Kind.LEASE_SAID,
+                    LeaseSaid.newBuilder()
+                        .setName(name)
+                        .setNumber(number)
+                        .setRound(round)
+                        .setHighest(highest)
+                        .setLeftUs((long) Math.max(0, left.ms() * 1000))
+                        .setHeld(why == Granter.Refusal.HELD)
+                        .setWhy(why.name())
+                        .build(),
+                    NO_BODY);
+              }
 
-            @Override
-            public void freed(int candidate, String name) {
+              @Override
+              public void freed(int candidate, String name) {
                 Session session = sessions.get(candidate);
-                if (session != null) session.link.send(Kind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
-            }
-        }, net.clock());
-    }
+                if (session != null) {
+                  session.link.send(
+                      Kind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
+                }
+              }
+            },
+            net.clock());
+  }
 
-    /** @throws IOException if its address can't be had */
-    public InetSocketAddress start() throws IOException {
-        InetSocketAddress at = config.granters().get(config.granter());
-        listener = net.listen(config.listen() == null ? at : config.listen(), config.most(), Leases.LIMITS.unsent(), () -> {
-            Session session = new Session();
-            session.link = new FrameLink(net, mine, Leases.LIMITS, tap, session);
-            return session.link;
-        });
-        log.info("granter " + config.granter() + " listens at " + listener.address() + " and grants after " + Math.round(config.longest().ms())
+  /**
+   * @throws IOException if its address can't be had
+   */
+  public InetSocketAddress start() throws IOException {
+    InetSocketAddress at = config.granters().get(config.granter());
+    listener =
+        net.listen(
+            config.listen() == null ? at : config.listen(),
+            config.most(),
+            Leases.LIMITS.unsent(),
+            () -> {
+              Session session = new Session();
+              session.link = new FrameLink(net, mine, Leases.LIMITS, tap, session);
+              return session.link;
+            });
+    log.info(
+        "granter "
+            + config.granter()
+            + " listens at "
+            + listener.address()
+            + " and grants after "
+            + Math.round(config.longest().ms())
             + " ms, when all that its last life granted is over");
-        return listener.address();
-    }
+    return listener.address();
+  }
 
-    /** What is granted runs on; candidates find other granters, or this one's next life. */
-    public void stop() {
-        listener.close();
-        for (Session session : java.util.List.copyOf(sessions.values())) session.link.finish();
+  /** What is granted runs on; candidates find other granters, or this one's next life. */
+  public void stop() {
+    listener.close();
+    for (Session session : java.util.List.copyOf(sessions.values())) {
+      session.link.finish();
     }
+  }
 
-    /** Asks beyond what one link may send, which got no answer. */
-    public long dropped() {
-        return dropped;
-    }
+  /** Asks beyond what one link may send, which got no answer. */
+  public long dropped() {
+    return dropped;
+  }
 
-    private final class Session implements FrameUser {
-        private FrameLink link;
-        private int number = -1;
-        private Moment second;
-        private int inSecond;
+  private final class Session implements FrameUser {
+    private FrameLink link;
+    private int number = -1;
+    private Moment second;
+    private int inSecond;
 
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            if (other.getNumber() < 0 || other.getNumber() > 65_535) {
-                made.cut("a candidate's number is 0 to 65535");
-                return;
-            }
-            number = other.getNumber();
-            sessions.put(number, this); // an older link under this number still gets its answers, but is told of nothing that comes free
-        }
+    @Override
+    public void greeted(FrameLink made, Hello other) {
+      if (other.getNumber() < 0 || other.getNumber() > 65_535) {
+        made.cut("a candidate's number is 0 to 65535");
+        return;
+      }
+      number = other.getNumber();
+      sessions.put(
+          number,
+          this); // an older link under this number still gets its answers, but is told of nothing
+      // that comes free
+    }
 
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            switch (kind) {
-                case LEASE_ASK -> ask((LeaseAsk) head);
-                case LEASE_BACK -> {
-                    LeaseBack back = (LeaseBack) head;
-                    granter.returned(number, back.getLife(), back.getName(), back.getNumber(), back.getHanded() ? back.getHeir() : -1, net.clock());
-                }
-                case LEASE_LIST -> link.send(Kind.LEASE_LISTED, listed(), NO_BODY);
-                default -> link.cut("a granter takes no " + kind);
-            }
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      switch (kind) {
+        case LEASE_ASK -> ask((LeaseAsk) head);
+        case LEASE_BACK -> {
+          LeaseBack back = (LeaseBack) head;
+          granter.returned(
+              number,
+              back.getLife(),
+              back.getName(),
+              back.getNumber(),
+              back.getHanded() ? back.getHeir() : -1,
+              net.clock());
         }
+        case LEASE_LIST -> link.send(Kind.LEASE_LISTED, listed(), NO_BODY);
+        default -> link.cut("a granter takes no " + kind);
+      }
+    }
 
-        private void ask(LeaseAsk ask) {
-            Moment now = net.clock();
-            if (second == null || now.since(second).ms() >= 1000) {
-                second = now;
-                inSecond = 0;
-            }
-            if (++inSecond > ASKS_A_SECOND) {
-                dropped++;
-                return;
-            }
-            // a candidate that counts other terms would trust in what nobody granted
-            if (ask.getTermUs() != (long) (config.term().ms() * 1000)) {
-                link.cut("terms differ: leases/term is " + Math.round(config.term().ms()) + " ms here and " + ask.getTermUs() / 1000 + " ms there");
-            } else if (ask.getName().isEmpty() || ask.getName().length() > MOST_NAME || ask.getNumber() <= 0) {
-                link.cut("a lease has a name of 1 to " + MOST_NAME + " characters and a number above 0");
-            } else {
-                asking = this;
-                granter.asked(number, ask.getLife(), ask.getName(), ask.getNumber(), ask.getRound(), now);
-            }
-        }
+    private void ask(LeaseAsk ask) {
+      Moment now = net.clock();
+      if (second == null || now.since(second).ms() >= 1000) {
+        second = now;
+        inSecond = 0;
+      }
+      if (++inSecond > ASKS_A_SECOND) {
+        dropped++;
+        return;
+      }
+      // a candidate that counts other terms would trust in what nobody granted
+      if (ask.getTermUs() != (long) (config.term().ms() * 1000)) {
+        link.cut(
+            "terms differ: leases/term is "
+                + Math.round(config.term().ms())
+                + " ms here and "
+                + ask.getTermUs() / 1000
+                + " ms there");
+      } else if (ask.getName().isEmpty()
+          || ask.getName().length() > MOST_NAME
+          || ask.getNumber() <= 0) {
+        link.cut("a lease has a name of 1 to " + MOST_NAME + " characters and a number above 0");
+      } else {
+        asking = this;
+        granter.asked(number, ask.getLife(), ask.getName(), ask.getNumber(), ask.getRound(), now);
+      }
+    }
 
-        @Override
-        public void closed(String why) {
-            if (sessions.remove(number, this)) granter.gone(number);
-        }
+    @Override
+    public void closed(String why) {
+      if (sessions.remove(number, this)) {
+        granter.gone(number);
+      }
     }
+  }
 
-    private LeaseListed listed() {
-        Moment now = net.clock();
-        LeaseListed.Builder all = LeaseListed.newBuilder().setGranter(config.granter()).setRefused(granter.refusals())
+  private LeaseListed listed() {
+    Moment now = net.clock();
+    LeaseListed.Builder all =
+        LeaseListed.newBuilder()
+            .setGranter(config.granter())
+            .setRefused(granter.refusals())
             .setOpensUs((long) Math.max(0, granter.opens().since(now).ms() * 1000));
-        granter.grants().forEach((name, grant) -> all.addEntries(LeaseEntry.newBuilder().setName(name).setNumber(grant.number()).setHolder(grant.holder())
-            .setLeftUs(grant.open() ? (long) Math.max(0, grant.until().since(now).ms() * 1000) : 0).setWaiting(granter.waiting(name).size())));
-        return all.build();
-    }
+    granter
+        .grants()
+        .forEach(
+            (name, grant) ->
+                all.addEntries(
+                    LeaseEntry.newBuilder()
+                        .setName(name)
+                        .setNumber(grant.number())
+                        .setHolder(grant.holder())
+                        .setLeftUs(
+                            grant.open()
+                                ? (long) Math.max(0, grant.until().since(now).ms() * 1000)
+                                : 0)
+                        .setWaiting(granter.waiting(name).size())));
+    return all.build();
+  }
 }
--- a/src/main/java/sprucerock/lease/Terms.java
+++ b/src/main/java/sprucerock/lease/Terms.java
@@ -7,26 +7,36 @@
  *
  * @param granters how many there are: 3 or 5, of which a majority grants
  * @param term how long a grant lasts by the granter's clock
- * @param longest no term was ever longer than this while any of the processes that run now, or their last lives, ran
+ * @param longest no term was ever longer than this while any of the processes that run now, or
+ *     their last lives, ran
  * @param drift how far any clock's pace may be from the true one, as a share; 0 to under 0.2
  */
 public record Terms(int granters, Span term, Span longest, double drift) {
-    /** @throws IllegalArgumentException if they make no sense together; the message says which */
-    public Terms {
-        if (granters != 3 && granters != 5) throw new IllegalArgumentException("3 or 5 granters, not " + granters);
-        if (term.over(longest)) throw new IllegalArgumentException("longest may not be shorter than term");
-        if (!(drift >= 0 && drift < 0.2)) throw new IllegalArgumentException("drift may be 0 to under 0.2");
+  /**
+   * @throws IllegalArgumentException if they make no sense together; the message says which
+   */
+  public Terms {
+    if (granters != 3 && granters != 5) {
+      throw new IllegalArgumentException("3 or 5 granters, not " + granters);
     }
-
-    int majority() {
-        return granters / 2 + 1;
+    if (term.over(longest)) {
+      throw new IllegalArgumentException("longest may not be shorter than term");
     }
-
-    /**
-     * How long a holder may act, by its own clock, from before it asked. The granter's clock may be the fastest that is allowed and so
-     * end the grant after term / (1 + drift); the holder's may be the slowest and take its own count for less than it is.
-     */
-    Span usable() {
-        return term.times((1 - drift) / (1 + drift));
+    if (!(drift >= 0 && drift < 0.2)) {
+      throw new IllegalArgumentException("drift may be 0 to under 0.2");
     }
+  }
+
+  int majority() {
+    return granters / 2 + 1;
+  }
+
+  /**
+   * How long a holder may act, by its own clock, from before it asked. The granter's clock may be
+   * the fastest that is allowed and so end the grant after term / (1 + drift); the holder's may be
+   * the slowest and take its own count for less than it is.
+   */
+  Span usable() {
+    return term.times((1 - drift) / (1 + drift));
+  }
 }
--- a/src/main/java/sprucerock/ledger/Accounts.java
+++ b/src/main/java/sprucerock/ledger/Accounts.java
@@ -9,418 +9,640 @@
 import sprucerock.time.Span;
 
 /**
- * The double-entry accounts of one relay. One thread posts; a posting is a few additions. What was posted in a turn
- * goes into the book together at its end, so that nobody, nor a crash, ever sees half of one.
+ * The double-entry accounts of one relay. One thread posts; a posting is a few additions. What was
+ * posted in a turn goes into the book together at its end, so that nobody, nor a crash, ever sees
+ * half of one.
  */
 public final class Accounts {
-    private static final int LAST = 64; // postings that a drift can name; some turns' worth
+  private static final int LAST = 64; // postings that a drift can name; some turns' worth
 
-    /** How many rows there may be; further ones count as other. */
-    public record Room(int builds, int units, int customers) {
-        /** For hosts whose figures nobody reads by these. */
-        public static final Room NONE = new Room(0, 0, 0);
-    }
-
-    /** An equation that does not hold: what it says, its two sides, and the last postings to it. */
-    public record Drift(String equation, long left, long right, List<String> lastPostings) {
-        @Override
-        public String toString() {
-            return equation + ": " + left + " is not " + right + "; last postings there: " + lastPostings;
-        }
-    }
-
-    static final List<String> PICK_ENDS = List.of("sent", "ok", "error", "full", "timed_out", "not_connected", "broken", "cancelled",
-        "moot", "lost", "out");
-
-    public final Sheet calls;
-    public final Sheet rpcs;
-    public final Sheet customers;
-    public final Sheet picks;
-    public final Sheet builds;
-    public final Sheet units;
-    /** Copies to a build on trial, by build; each is among the picks, too. */
-    public final Sheet copies;
-    /** RPCs that ended ok, by the deadlines they were in time for. */
-    public final Sheet answers;
-    /** How long these took, from their arrival here. */
-    public final Sheet latency;
-    /** How long picks took that ended ok, by build and method; see {@link #tookRow}. */
-    public final Sheet took;
-    /** Picks on their way to a connection: written as a frame, or ended before. */
-    public final Sheet frames;
-    /** Results of picks that had ended before, as of one that was out of time. */
-    public final Sheet lateResults;
-    /** TLS handshakes, begun from here or taken, by how they ended. */
-    public final Sheet handshakes;
-    /** Changes of the TLS files, taken or refused. */
-    public final Sheet tlsFiles;
-    public final Sheet votes;
-    public final Sheet messages;
-    /** The relay's own starts: how each ended. */
-    public final Sheet starts;
-    /** What each start found of the figures kept before. */
-    public final Sheet files;
-    private final List<Sheet> sheets = new ArrayList<>();
-    private final long[] values;
-    private final String[] names;
-    private final int[] firstRow;
-    private final List<Map<String, Integer>> rowsByName = new ArrayList<>();
-    private final int[] dirty;
-    private final boolean[] isDirty;
-    private int dirtyCount;
-    private final int[] lastFrom = new int[LAST];
-    private final int[] lastTo = new int[LAST];
-    private long posted;
-    private Book book = Book.NONE;
-    private boolean mute;
-    private final int firstTook;
-    private Runnable firstOfTurn = () -> {};
-
-    public Accounts(List<String> methods, Room room) {
-        calls = sheet("calls", "relay", 1, List.of("received", "taken", "turned_away", "refused", "lost", "at_door"));
-        rpcs = sheet("rpcs", "method", methods.size() + 1, List.of("taken", "ok", "pushed_back", "aborted", "left", "lost", "open"));
-        customers = sheet("customer_rpcs", "customer", room.customers + 1, List.of("taken", "ended", "lost", "open"));
-        picks = sheet("picks", "method", methods.size() + 1, PICK_ENDS);
-        builds = sheet("build_picks", "build", room.builds + 1, PICK_ENDS);
-        units = sheet("unit_picks", "unit", room.units + 1, List.of("sent", "ok", "not_ok", "lost", "out"));
-        copies = sheet("copies", "build", room.builds + 1, PICK_ENDS);
-        answers = sheet("answers", "method", methods.size() + 1, List.of("answered", "in_time", "late", "too_late"), false);
-        latency = sheet("latency", "method", methods.size() + 1, Scale.columns("answered"), false);
-        took = sheet("pick_latency", "build_and_method", (room.builds + 1) * (methods.size() + 1), Scale.columns("ok"), false);
-        frames = sheet("pick_frames", "relay", 1, List.of("wanted", "written", "unwritten", "lost", "waiting"));
-        lateResults = sheet("late_results", "relay", 1, List.of("came", "ok", "error", "full"), false);
-        handshakes = sheet("handshakes", "relay", 1, List.of("begun", "full", "resumed", "wrong_name", "expired", "not_yet_valid", "wrong_use",
-            "unknown_issuer", "weak", "chain_too_long", "revoked", "no_certificate", "malformed", "no_protocol", "not_tls", "peer_refused",
-            "timed_out", "ended", "too_many", "failed", "lost", "under_way"));
-        tlsFiles = sheet("tls_files", "relay", 1, List.of("changes", "taken", "refused"), false);
-        votes = sheet("votes", "relay", 1, List.of("cast", "counts", "moot", "too_many", "error", "unanswered", "lost", "waiting"));
-        messages = sheet("messages", "relay", 1, List.of("told", "sent", "dropped", "lost", "queued"));
-        starts = sheet("starts", "relay", 1, List.of("starts", "ended", "lost", "running"));
-        files = sheet("files", "relay", 1, List.of("opened", "fresh", "carried", "set_aside", "lost", "unread"));
-        int size = 0;
-        int rows = 0;
-        firstRow = new int[sheets.size()];
-        for (int i = 0; i < sheets.size(); i++) {
-            firstRow[i] = rows;
-            size += sheets.get(i).size();
-            rows += sheets.get(i).rows();
-        }
-        firstTook = firstRow[took.place];
-        values = new long[size];
-        dirty = new int[size];
-        isDirty = new boolean[size];
-        names = new String[rows];
-        for (Sheet sheet : sheets) if (sheet != took) label(sheet, sheet.rows() - 1, sheet.rows() == 1 ? Sheet.ALL : Sheet.OTHER);
-        for (String method : methods) for (Sheet sheet : List.of(rpcs, picks, answers, latency)) row(sheet, method);
-    }
-
-    private Sheet sheet(String name, String by, int rows, List<String> columns) {
-        return sheet(name, by, rows, columns, true);
-    }
-
-    private Sheet sheet(String name, String by, int rows, List<String> columns, boolean settles) {
-        int base = sheets.isEmpty() ? 0 : sheets.get(sheets.size() - 1).base + sheets.get(sheets.size() - 1).size();
-        Sheet made = new Sheet(name, by, rows, base, sheets.size(), columns, settles);
-        sheets.add(made);
-        rowsByName.add(new HashMap<>());
-        return made;
-    }
-
-    public List<Sheet> sheets() {
-        return Collections.unmodifiableList(sheets);
-    }
+  /** How many rows there may be; further ones count as other. */
+  public record Room(int builds, int units, int customers) {
+    /** For hosts whose figures nobody reads by these. */
+    public static final Room NONE = new Room(0, 0, 0);
+  }
 
-    public int size() {
-        return values.length;
-    }
-
-    public int rows() {
-        return names.length;
-    }
-
-    /** A row's name; null where it is not in use. */
-    public String name(Sheet sheet, int row) {
-        return names[firstRow[sheet.place] + row];
-    }
-
-    /** One line a sheet: its name, what tells rows apart, how many, the columns. The same text, the same places. */
-    public String layout() {
-        StringBuilder text = new StringBuilder();
-        for (Sheet sheet : sheets) {
-            text.append(sheet.name()).append(' ').append(sheet.by()).append(' ').append(sheet.rows()).append(' ')
-                .append(String.join(",", sheet.columns())).append('\n');
-        }
-        return text.toString();
-    }
-
-    /** The row of a name, made if there is room; else the one for all others. Copies have the rows of builds. */
-    public int row(Sheet sheet, String label) {
-        Map<String, Integer> known = rowsByName.get(sheet.place);
-        Integer row = known.get(label);
-        if (row != null) return row;
-        if (known.size() >= sheet.rows()) return sheet.rows() - 1;
-        int made = label(sheet, known.size() - 1, label);
-        if (sheet == builds) label(copies, made, label);
-        return made;
-    }
-
-    /** Where a build's latencies of a method stand, both by their rows in their own sheets. Named at its first use. */
-    public int tookRow(int build, int method) {
-        int row = build * picks.rows() + method;
-        if (names[firstTook + row] == null) label(took, row, name(builds, build) + "/" + name(picks, method));
-        return row;
-    }
-
-    /** Names a row as another's file has it. */
-    public void named(Sheet sheet, int row, String label) {
-        label(sheet, row, label);
-    }
-
-    private int label(Sheet sheet, int row, String label) {
-        rowsByName.get(sheet.place).put(label, row);
-        int all = firstRow[sheet.place] + row;
-        names[all] = label;
-        book.name(all, label);
-        return row;
-    }
-
-    /**
-     * Keeps everything in a book from now on; what was posted so far goes there first. Whoever runs the turns is told
-     * when one has its first posting, and then has to {@link #commit} at its end.
-     */
-    public void keepIn(Book kept, Runnable onFirstPostingOfATurn) {
-        firstOfTurn = onFirstPostingOfATurn;
-        book = kept;
-        for (int i = 0; i < names.length; i++) if (names[i] != null) book.name(i, names[i]);
-        for (int i = 0; i < values.length; i++) if (values[i] != 0) mark(i);
-        commit();
-    }
-
-    /** What an earlier life of the relay counted: its figures go on, and what was pending then is lost. */
-    public void carry(Sheet sheet, String label, int column, long value) {
-        int cut = label.indexOf('/');
-        int row = sheet == took ? tookRow(row(builds, label.substring(0, cut)), row(picks, label.substring(cut + 1)))
+  /** An equation that does not hold: what it says, its two sides, and the last postings to it. */
+  public record Drift(String equation, long left, long right, List<String> lastPostings) {
+    @Override
+    public String toString() {
+      return equation + ": " + left + " is not " + right + "; last postings there: " + lastPostings;
+    }
+  }
+
+  static final List<String> PICK_ENDS =
+      List.of(
+          "sent",
+          "ok",
+          "error",
+          "full",
+          "timed_out",
+          "not_connected",
+          "broken",
+          "cancelled",
+          "moot",
+          "lost",
+          "out");
+
+  public final Sheet calls;
+  public final Sheet rpcs;
+  public final Sheet customers;
+  public final Sheet picks;
+  public final Sheet builds;
+  public final Sheet units;
+
+  /** Copies to a build on trial, by build; each is among the picks, too. */
+  public final Sheet copies;
+
+  /** RPCs that ended ok, by the deadlines they were in time for. */
+  public final Sheet answers;
+
+  /** How long these took, from their arrival here. */
+  public final Sheet latency;
+
+  /** How long picks took that ended ok, by build and method; see {@link #tookRow}. */
+  public final Sheet took;
+
+  /** Picks on their way to a connection: written as a frame, or ended before. */
+  public final Sheet frames;
+
+  /** Results of picks that had ended before, as of one that was out of time. */
+  public final Sheet lateResults;
+
+  /** TLS handshakes, begun from here or taken, by how they ended. */
+  public final Sheet handshakes;
+
+  /** Changes of the TLS files, taken or refused. */
+  public final Sheet tlsFiles;
+
+  public final Sheet votes;
+  public final Sheet messages;
+
+  /** The relay's own starts: how each ended. */
+  public final Sheet starts;
+
+  /** What each start found of the figures kept before. */
+  public final Sheet files;
+
+  private final List<Sheet> sheets = new ArrayList<>();
+  private final long[] values;
+  private final String[] names;
+  private final int[] firstRow;
+  private final List<Map<String, Integer>> rowsByName = new ArrayList<>();
+  private final int[] dirty;
+  private final boolean[] isDirty;
+  private int dirtyCount;
+  private final int[] lastFrom = new int[LAST];
+  private final int[] lastTo = new int[LAST];
+  private long posted;
+  private Book book = Book.NONE;
+  private boolean mute;
+  private final int firstTook;
+  private Runnable firstOfTurn = () -> {};
+
+  public Accounts(List<String> methods, Room room) {
+    calls =
+        sheet(
+            "calls",
+            "relay",
+            1,
+            List.of("received", "taken", "turned_away", "refused", "lost", "at_door"));
+    rpcs =
+        sheet(
+            "rpcs",
+            "method",
+            methods.size() + 1,
+            List.of("taken", "ok", "pushed_back", "aborted", "left", "lost", "open"));
+    customers =
+        sheet(
+            "customer_rpcs",
+            "customer",
+            room.customers + 1,
+            List.of("taken", "ended", "lost", "open"));
+    picks = sheet("picks", "method", methods.size() + 1, PICK_ENDS);
+    builds = sheet("build_picks", "build", room.builds + 1, PICK_ENDS);
+    units =
+        sheet("unit_picks", "unit", room.units + 1, List.of("sent", "ok", "not_ok", "lost", "out"));
+    copies = sheet("copies", "build", room.builds + 1, PICK_ENDS);
+    answers =
+        sheet(
+            "answers",
+            "method",
+            methods.size() + 1,
+            List.of("answered", "in_time", "late", "too_late"),
+            false);
+    latency = sheet("latency", "method", methods.size() + 1, Scale.columns("answered"), false);
+    took =
+        sheet(
+            "pick_latency",
+            "build_and_method",
+            (room.builds + 1) * (methods.size() + 1),
+            Scale.columns("ok"),
+            false);
+    frames =
+        sheet(
+            "pick_frames",
+            "relay",
+            1,
+            List.of("wanted", "written", "unwritten", "lost", "waiting"));
+    lateResults = sheet("late_results", "relay", 1, List.of("came", "ok", "error", "full"), false);
+    handshakes =
+        sheet(
+            "handshakes",
+            "relay",
+            1,
+            List.of(
+                "begun",
+                "full",
+                "resumed",
+                "wrong_name",
+                "expired",
+                "not_yet_valid",
+                "wrong_use",
+                "unknown_issuer",
+                "weak",
+                "chain_too_long",
+                "revoked",
+                "no_certificate",
+                "malformed",
+                "no_protocol",
+                "not_tls",
+                "peer_refused",
+                "timed_out",
+                "ended",
+                "too_many",
+                "failed",
+                "lost",
+                "under_way"));
+    tlsFiles = sheet("tls_files", "relay", 1, List.of("changes", "taken", "refused"), false);
+    votes =
+        sheet(
+            "votes",
+            "relay",
+            1,
+            List.of(
+                "cast", "counts", "moot", "too_many", "error", "unanswered", "lost", "waiting"));
+    messages = sheet("messages", "relay", 1, List.of("told", "sent", "dropped", "lost", "queued"));
+    starts = sheet("starts", "relay", 1, List.of("starts", "ended", "lost", "running"));
+    files =
+        sheet(
+            "files",
+            "relay",
+            1,
+            List.of("opened", "fresh", "carried", "set_aside", "lost", "unread"));
+    int size = 0;
+    int rows = 0;
+    firstRow = new int[sheets.size()];
+    for (int i = 0; i < sheets.size(); i++) {
+      firstRow[i] = rows;
+      size += sheets.get(i).size();
+      rows += sheets.get(i).rows();
+    }
+    firstTook = firstRow[took.place];
+    values = new long[size];
+    dirty = new int[size];
+    isDirty = new boolean[size];
+    names = new String[rows];
+    for (Sheet sheet : sheets) {
+      if (sheet != took) {
+        label(sheet, sheet.rows() - 1, sheet.rows() == 1 ? Sheet.ALL : Sheet.OTHER);
+      }
+    }
+    for (String method : methods) {
+      for (Sheet sheet : List.of(rpcs, picks, answers, latency)) {
+        row(sheet, method);
+      }
+    }
+  }
+
+  private Sheet sheet(String name, String by, int rows, List<String> columns) {
+    return sheet(name, by, rows, columns, true);
+  }
+
+  private Sheet sheet(String name, String by, int rows, List<String> columns, boolean settles) {
+    int base =
+        sheets.isEmpty()
+            ? 0
+            : sheets.get(sheets.size() - 1).base + sheets.get(sheets.size() - 1).size();
+    Sheet made = new Sheet(name, by, rows, base, sheets.size(), columns, settles);
+    sheets.add(made);
+    rowsByName.add(new HashMap<>());
+    return made;
+  }
+
+  public List<Sheet> sheets() {
+    return Collections.unmodifiableList(sheets);
+  }
+
+  public int size() {
+    return values.length;
+  }
+
+  public int rows() {
+    return names.length;
+  }
+
+  /** A row's name; null where it is not in use. */
+  public String name(Sheet sheet, int row) {
+    return names[firstRow[sheet.place] + row];
+  }
+
+  /**
+   * One line a sheet: its name, what tells rows apart, how many, the columns. The same text, the
+   * same places.
+   */
+  public String layout() {
+    StringBuilder text = new StringBuilder();
+    for (Sheet sheet : sheets) {
+      text.append(sheet.name())
+          .append(' ')
+          .append(sheet.by())
+          .append(' ')
+          .append(sheet.rows())
+          .append(' ')
+          .append(String.join(",", sheet.columns()))
+          .append('\n');
+    }
+    return text.toString();
+  }
+
+  /**
+   * The row of a name, made if there is room; else the one for all others. Copies have the rows of
+   * builds.
+   */
+  public int row(Sheet sheet, String label) {
+    Map<String, Integer> known = rowsByName.get(sheet.place);
+    Integer row = known.get(label);
+    if (row != null) {
+      return row;
+    }
+    if (known.size() >= sheet.rows()) {
+      return sheet.rows() - 1;
+    }
+    int made = label(sheet, known.size() - 1, label);
+    if (sheet == builds) {
+      label(copies, made, label);
+    }
+    return made;
+  }
+
+  /**
+   * Where a build's latencies of a method stand, both by their rows in their own sheets. Named at
+   * its first use.
+   */
+  public int tookRow(int build, int method) {
+    int row = build * picks.rows() + method;
+    if (names[firstTook + row] == null) {
+      label(took, row, name(builds, build) + "/" + name(picks, method));
+    }
+    return row;
+  }
+
+  /** Names a row as another's file has it. */
+  public void named(Sheet sheet, int row, String label) {
+    label(sheet, row, label);
+  }
+
+  private int label(Sheet sheet, int row, String label) {
+    rowsByName.get(sheet.place).put(label, row);
+    int all = firstRow[sheet.place] + row;
+    names[all] = label;
+    book.name(all, label);
+    return row;
+  }
+
+  /**
+   * Keeps everything in a book from now on; what was posted so far goes there first. Whoever runs
+   * the turns is told when one has its first posting, and then has to {@link #commit} at its end.
+   */
+  public void keepIn(Book kept, Runnable onFirstPostingOfATurn) {
+    firstOfTurn = onFirstPostingOfATurn;
+    book = kept;
+    for (int i = 0; i < names.length; i++) {
+      if (names[i] != null) {
+        book.name(i, names[i]);
+      }
+    }
+    for (int i = 0; i < values.length; i++) {
+      if (values[i] != 0) {
+        mark(i);
+      }
+    }
+    commit();
+  }
+
+  /**
+   * What an earlier life of the relay counted: its figures go on, and what was pending then is
+   * lost.
+   */
+  public void carry(Sheet sheet, String label, int column, long value) {
+    int cut = label.indexOf('/');
+    int row =
+        sheet == took
+            ? tookRow(row(builds, label.substring(0, cut)), row(picks, label.substring(cut + 1)))
             : row(sheet == copies ? builds : sheet, label);
-        add(sheet.index(row, column == sheet.pending() ? sheet.lost() : column), value);
-    }
-
-    /** From now on nothing is posted: for measuring what postings cost. Before the first of them. */
-    public void mute() {
-        mute = true;
-    }
-
-    public boolean muted() {
-        return mute;
-    }
-
-    /** Something new, in a column. */
-    public void begin(Sheet sheet, int row, int column) {
-        if (mute) return;
-        add(sheet.index(row, 0), 1);
-        add(sheet.index(row, column), 1);
-        note(sheet.index(row, 0), sheet.index(row, column));
-    }
-
-    /** From one column to another. */
-    public void move(Sheet sheet, int row, int from, int to) {
-        if (mute) return;
-        add(sheet.index(row, from), -1);
-        add(sheet.index(row, to), 1);
-        note(sheet.index(row, from), sheet.index(row, to));
-    }
-
-    // What happens to RPCs and picks, each one posting over all sheets that it touches. Rows are those of names.
-
-    /** An RPC was taken. */
-    public void rpcArrived(int method, int customer) {
-        begin(calls, 0, 1);
-        begin(rpcs, method, rpcs.pending());
-        begin(customers, customer, customers.pending());
-    }
-
-    /** It ended, not ok: in a column of the RPCs' sheet. */
-    public void rpcEnded(int method, int customer, int how) {
-        move(rpcs, method, rpcs.pending(), how);
-        move(customers, customer, customers.pending(), 1);
-    }
-
-    /** It ended ok, so long after it came. */
-    public void rpcAnswered(int method, int customer, Span after, boolean inTime, boolean byDeadline) {
-        begin(answers, method, inTime ? 1 : byDeadline ? 2 : 3);
-        begin(latency, method, 1 + Scale.bucket(after));
-        rpcEnded(method, customer, 1);
-    }
-
-    public void pickSent(int method, int build, int unit, boolean copy) {
-        begin(picks, method, picks.pending());
-        begin(builds, build, builds.pending());
-        begin(units, unit, units.pending());
-        begin(frames, 0, frames.pending());
-        if (copy) begin(copies, build, copies.pending());
-    }
-
-    /** It is on a connection. */
-    public void pickWritten() {
-        move(frames, 0, frames.pending(), 1);
-    }
-
-    /** A pick ended: in a column of the picks' sheet, of which the first one is ok. */
-    public void pickEnded(int method, int build, int unit, boolean copy, boolean written, int how, Span after) {
-        if (!written) move(frames, 0, frames.pending(), 2);
-        move(picks, method, picks.pending(), how);
-        move(builds, build, builds.pending(), how);
-        move(units, unit, units.pending(), how == 1 ? 1 : 2);
-        if (copy) move(copies, build, copies.pending(), how);
-        if (how == 1) begin(took, tookRow(build, method), 1 + Scale.bucket(after));
-    }
-
-    private void note(int from, int to) {
-        lastFrom[(int) (posted & LAST - 1)] = from;
-        lastTo[(int) (posted & LAST - 1)] = to;
-        posted++;
-    }
-
-    private void add(int index, long amount) {
-        values[index] += amount;
-        mark(index);
-    }
-
-    private void mark(int index) {
-        if (isDirty[index]) return;
-        isDirty[index] = true;
-        if (dirtyCount == 0) firstOfTurn.run();
-        dirty[dirtyCount++] = index;
-    }
-
-    /** At a turn's end: what was posted in it counts. */
-    public void commit() {
-        if (dirtyCount == 0) return;
-        for (int i = 0; i < dirtyCount; i++) {
-            isDirty[dirty[i]] = false;
-            book.put(dirty[i], values[dirty[i]]);
-        }
-        dirtyCount = 0;
-        book.commit();
-    }
-
-    public long value(Sheet sheet, int row, int column) {
-        return values[sheet.index(row, column)];
-    }
-
-    /** A column over all rows. */
-    public long sum(Sheet sheet, int column) {
-        return sum(values, sheet, column);
-    }
-
-    private static long sum(long[] of, Sheet sheet, int column) {
-        long sum = 0;
-        for (int row = 0; row < sheet.rows(); row++) sum += of[sheet.index(row, column)];
-        return sum;
-    }
-
-    /** All equations, held against the values at hand. Empty: all hold. */
-    public List<Drift> check() {
-        return check(values);
-    }
-
-    /** The same for values read elsewhere, such as from a file. */
-    public List<Drift> check(long[] of) {
-        List<Drift> found = new ArrayList<>();
-        for (Sheet sheet : sheets) {
-            int columns = sheet.columns().size();
-            for (int row = 0; row < sheet.rows(); row++) {
-                long parts = 0;
-                for (int column = 1; column < columns; column++) parts += of[sheet.index(row, column)];
-                long total = of[sheet.index(row, 0)];
-                if (total != parts) found.add(drift(equation(sheet, row), total, parts, sheet.index(row, 0), columns));
-                long pending = sheet.settles() ? of[sheet.index(row, sheet.pending())] : 0;
-                if (pending < 0) found.add(drift(cell(sheet, row, sheet.pending()) + " >= 0", pending, 0, sheet.index(row, 0), columns));
-            }
-        }
-        same(found, of, rpcs, 0, customers, 0);
-        same(found, of, rpcs, rpcs.pending(), customers, customers.pending());
-        same(found, of, rpcs, rpcs.lost(), customers, customers.lost());
-        same(found, of, calls, 1, rpcs, 0);
-        for (int column = 0; column < PICK_ENDS.size(); column++) same(found, of, picks, column, builds, column);
-        same(found, of, picks, 0, units, 0);
-        same(found, of, picks, 1, units, 1);
-        same(found, of, picks, picks.pending(), units, units.pending());
-        same(found, of, picks, picks.lost(), units, units.lost());
-        same(found, of, picks, 0, frames, 0);
-        for (int row = 0; row < rpcs.rows(); row++) {
-            same(found, of, cell(rpcs, row, 1), of[rpcs.index(row, 1)], answers, row);
-            same(found, of, cell(answers, row, 0), of[answers.index(row, 0)], latency, row);
-        }
-        for (int build = 0; build < builds.rows(); build++) {
-            long sum = 0;
-            for (int method = 0; method < picks.rows(); method++) sum += of[took.index(build * picks.rows() + method, 0)];
-            same(found, of, "pick_latency ok of build " + name(builds, build), sum, builds, build, 1);
-            for (int column = 0; column < PICK_ENDS.size(); column++) {
-                long some = of[copies.index(build, column)];
-                long all = of[builds.index(build, column)];
-                if (some > all) found.add(drift(cell(copies, build, column) + " <= " + cell(builds, build, column), some, all,
-                    copies.index(build, 0), PICK_ENDS.size()));
-            }
+    add(sheet.index(row, column == sheet.pending() ? sheet.lost() : column), value);
+  }
+
+  /** From now on nothing is posted: for measuring what postings cost. Before the first of them. */
+  public void mute() {
+    mute = true;
+  }
+
+  public boolean muted() {
+    return mute;
+  }
+
+  /** Something new, in a column. */
+  public void begin(Sheet sheet, int row, int column) {
+    if (mute) {
+      return;
+    }
+    add(sheet.index(row, 0), 1);
+    add(sheet.index(row, column), 1);
+    note(sheet.index(row, 0), sheet.index(row, column));
+  }
+
+  /** From one column to another. */
+  public void move(Sheet sheet, int row, int from, int to) {
+    if (mute) {
+      return;
+    }
+    add(sheet.index(row, from), -1);
+    add(sheet.index(row, to), 1);
+    note(sheet.index(row, from), sheet.index(row, to));
+  }
+
+  // What happens to RPCs and picks, each one posting over all sheets that it touches. Rows are
+  // those of names.
+
+  /** An RPC was taken. */
+  public void rpcArrived(int method, int customer) {
+    begin(calls, 0, 1);
+    begin(rpcs, method, rpcs.pending());
+    begin(customers, customer, customers.pending());
+  }
+
+  /** It ended, not ok: in a column of the RPCs' sheet. */
+  public void rpcEnded(int method, int customer, int how) {
+    move(rpcs, method, rpcs.pending(), how);
+    move(customers, customer, customers.pending(), 1);
+  }
+
+  /** It ended ok, so long after it came. */
+  public void rpcAnswered(
+      int method, int customer, Span after, boolean inTime, boolean byDeadline) {
+    begin(answers, method, inTime ? 1 : byDeadline ? 2 : 3);
+    begin(latency, method, 1 + Scale.bucket(after));
+    rpcEnded(method, customer, 1);
+  }
+
+  public void pickSent(int method, int build, int unit, boolean copy) {
+    begin(picks, method, picks.pending());
+    begin(builds, build, builds.pending());
+    begin(units, unit, units.pending());
+    begin(frames, 0, frames.pending());
+    if (copy) {
+      begin(copies, build, copies.pending());
+    }
+  }
+
+  /** It is on a connection. */
+  public void pickWritten() {
+    move(frames, 0, frames.pending(), 1);
+  }
+
+  /** A pick ended: in a column of the picks' sheet, of which the first one is ok. */
+  public void pickEnded(
+      int method, int build, int unit, boolean copy, boolean written, int how, Span after) {
+    if (!written) {
+      move(frames, 0, frames.pending(), 2);
+    }
+    move(picks, method, picks.pending(), how);
+    move(builds, build, builds.pending(), how);
+    move(units, unit, units.pending(), how == 1 ? 1 : 2);
+    if (copy) {
+      move(copies, build, copies.pending(), how);
+    }
+    if (how == 1) {
+      begin(took, tookRow(build, method), 1 + Scale.bucket(after));
+    }
+  }
+
+  private void note(int from, int to) {
+    lastFrom[(int) (posted & LAST - 1)] = from;
+    lastTo[(int) (posted & LAST - 1)] = to;
+    posted++;
+  }
+
+  private void add(int index, long amount) {
+    values[index] += amount;
+    mark(index);
+  }
+
+  private void mark(int index) {
+    if (isDirty[index]) {
+      return;
+    }
+    isDirty[index] = true;
+    if (dirtyCount == 0) {
+      firstOfTurn.run();
+    }
+    dirty[dirtyCount++] = index;
+  }
+
+  /** At a turn's end: what was posted in it counts. */
+  public void commit() {
+    if (dirtyCount == 0) {
+      return;
+    }
+    for (int i = 0; i < dirtyCount; i++) {
+      isDirty[dirty[i]] = false;
+      book.put(dirty[i], values[dirty[i]]);
+    }
+    dirtyCount = 0;
+    book.commit();
+  }
+
+  public long value(Sheet sheet, int row, int column) {
+    return values[sheet.index(row, column)];
+  }
+
+  /** A column over all rows. */
+  public long sum(Sheet sheet, int column) {
+    return sum(values, sheet, column);
+  }
+
+  private static long sum(long[] of, Sheet sheet, int column) {
+    long sum = 0;
+    for (int row = 0; row < sheet.rows(); row++) {
+      sum += of[sheet.index(row, column)];
+    }
+    return sum;
+  }
+
+  /** All equations, held against the values at hand. Empty: all hold. */
+  public List<Drift> check() {
+    return check(values);
+  }
+
+  /** The same for values read elsewhere, such as from a file. */
+  public List<Drift> check(long[] of) {
+    List<Drift> found = new ArrayList<>();
+    for (Sheet sheet : sheets) {
+      int columns = sheet.columns().size();
+      for (int row = 0; row < sheet.rows(); row++) {
+        long parts = 0;
+        for (int column = 1; column < columns; column++) {
+          parts += of[sheet.index(row, column)];
         }
-        for (int method = 0; method < picks.rows(); method++) {
-            long sum = 0;
-            for (int build = 0; build < builds.rows(); build++) sum += of[took.index(build * picks.rows() + method, 0)];
-            same(found, of, "pick_latency ok of method " + name(picks, method), sum, picks, method, 1);
+        long total = of[sheet.index(row, 0)];
+        if (total != parts) {
+          found.add(drift(equation(sheet, row), total, parts, sheet.index(row, 0), columns));
         }
-        return found;
-    }
-
-    private void same(List<Drift> found, long[] of, String what, long left, Sheet sheet, int row) {
-        same(found, of, what, left, sheet, row, 0);
-    }
-
-    private void same(List<Drift> found, long[] of, String what, long left, Sheet sheet, int row, int column) {
-        long right = of[sheet.index(row, column)];
-        if (left != right) found.add(drift(what + " = " + cell(sheet, row, column), left, right, sheet.index(row, 0), sheet.columns().size()));
-    }
-
-    private void same(List<Drift> found, long[] of, Sheet one, int column, Sheet other, int otherColumn) {
-        long left = sum(of, one, column);
-        long right = sum(of, other, otherColumn);
-        if (left == right) return;
-        String equation = one.name() + " " + one.columns().get(column) + " = " + other.name() + " " + other.columns().get(otherColumn);
-        found.add(drift(equation, left, right, one.base, one.size()));
-    }
-
-    private Drift drift(String equation, long left, long right, int from, int many) {
-        List<String> last = new ArrayList<>();
-        for (long i = Math.max(0, posted - LAST); i < posted; i++) {
-            int one = lastFrom[(int) (i & LAST - 1)];
-            int other = lastTo[(int) (i & LAST - 1)];
-            if (one >= from && one < from + many || other >= from && other < from + many) last.add(cell(one) + " to " + cell(other));
+        long pending = sheet.settles() ? of[sheet.index(row, sheet.pending())] : 0;
+        if (pending < 0) {
+          found.add(
+              drift(
+                  cell(sheet, row, sheet.pending()) + " >= 0",
+                  pending,
+                  0,
+                  sheet.index(row, 0),
+                  columns));
         }
-        return new Drift(equation, left, right, last.subList(Math.max(0, last.size() - 5), last.size()));
-    }
-
-    private String cell(int index) {
-        for (Sheet sheet : sheets) {
-            int at = index - sheet.base;
-            if (at < sheet.size()) return cell(sheet, at / sheet.columns().size(), at % sheet.columns().size());
+      }
+    }
+    same(found, of, rpcs, 0, customers, 0);
+    same(found, of, rpcs, rpcs.pending(), customers, customers.pending());
+    same(found, of, rpcs, rpcs.lost(), customers, customers.lost());
+    same(found, of, calls, 1, rpcs, 0);
+    for (int column = 0; column < PICK_ENDS.size(); column++) {
+      same(found, of, picks, column, builds, column);
+    }
+    same(found, of, picks, 0, units, 0);
+    same(found, of, picks, 1, units, 1);
+    same(found, of, picks, picks.pending(), units, units.pending());
+    same(found, of, picks, picks.lost(), units, units.lost());
+    same(found, of, picks, 0, frames, 0);
+    for (int row = 0; row < rpcs.rows(); row++) {
+      same(found, of, cell(rpcs, row, 1), of[rpcs.index(row, 1)], answers, row);
+      same(found, of, cell(answers, row, 0), of[answers.index(row, 0)], latency, row);
+    }
+    for (int build = 0; build < builds.rows(); build++) {
+      long sum = 0;
+      for (int method = 0; method < picks.rows(); method++) {
+        sum += of[took.index(build * picks.rows() + method, 0)];
+      }
+      same(found, of, "pick_latency ok of build " + name(builds, build), sum, builds, build, 1);
+      for (int column = 0; column < PICK_ENDS.size(); column++) {
+        long some = of[copies.index(build, column)];
+        long all = of[builds.index(build, column)];
+        if (some > all) {
+          found.add(
+              drift(
+                  cell(copies, build, column) + " <= " + cell(builds, build, column),
+                  some,
+                  all,
+                  copies.index(build, 0),
+                  PICK_ENDS.size()));
         }
-        throw new IllegalArgumentException("no account " + index);
-    }
-
-    private String cell(Sheet sheet, int row, int column) {
-        return sheet.name() + "{" + sheet.by() + "=" + name(sheet, row) + "} " + sheet.columns().get(column);
-    }
-
-    private String equation(Sheet sheet, int row) {
-        if (sheet.scaled()) return cell(sheet, row, 0) + " = the sum of its buckets";
-        return cell(sheet, row, 0) + " = " + String.join(" + ", sheet.columns().subList(1, sheet.columns().size()));
-    }
-
-    /** Spoils one account, so that tests can show that it is found. */
-    void spoil(int index, long by) {
-        values[index] += by;
-    }
-
-    @Override
-    public String toString() {
-        return Arrays.toString(values);
-    }
+      }
+    }
+    for (int method = 0; method < picks.rows(); method++) {
+      long sum = 0;
+      for (int build = 0; build < builds.rows(); build++) {
+        sum += of[took.index(build * picks.rows() + method, 0)];
+      }
+      same(found, of, "pick_latency ok of method " + name(picks, method), sum, picks, method, 1);
+    }
+    return found;
+  }
+
+  private void same(List<Drift> found, long[] of, String what, long left, Sheet sheet, int row) {
+    same(found, of, what, left, sheet, row, 0);
+  }
+
+  private void same(
+      List<Drift> found, long[] of, String what, long left, Sheet sheet, int row, int column) {
+    long right = of[sheet.index(row, column)];
+    if (left != right) {
+      found.add(
+          drift(
+              what + " = " + cell(sheet, row, column),
+              left,
+              right,
+              sheet.index(row, 0),
+              sheet.columns().size()));
+    }
+  }
+
+  private void same(
+      List<Drift> found, long[] of, Sheet one, int column, Sheet other, int otherColumn) {
+    long left = sum(of, one, column);
+    long right = sum(of, other, otherColumn);
+    if (left == right) {
+      return;
+    }
+    String equation =
+        one.name()
+            + " "
+            + one.columns().get(column)
+            + " = "
+            + other.name()
+            + " "
+            + other.columns().get(otherColumn);
+    found.add(drift(equation, left, right, one.base, one.size()));
+  }
+
+  private Drift drift(String equation, long left, long right, int from, int many) {
+    List<String> last = new ArrayList<>();
+    for (long i = Math.max(0, posted - LAST); i < posted; i++) {
+      int one = lastFrom[(int) (i & LAST - 1)];
+      int other = lastTo[(int) (i & LAST - 1)];
+      if (one >= from && one < from + many || other >= from && other < from + many) {
+        last.add(cell(one) + " to " + cell(other));
+      }
+    }
+    return new Drift(
+        equation, left, right, last.subList(Math.max(0, last.size() - 5), last.size()));
+  }
+
+  private String cell(int index) {
+    for (Sheet sheet : sheets) {
+      int at = index - sheet.base;
+      if (at < sheet.size()) {
+        return cell(sheet, at / sheet.columns().size(), at % sheet.columns().size());
+      }
+    }
+    throw new IllegalArgumentException("no account " + index);
+  }
+
+  private String cell(Sheet sheet, int row, int column) {
+    return sheet.name()
+        + "{"
+        + sheet.by()
+        + "="
+        + name(sheet, row)
+        + "} "
+        + sheet.columns().get(column);
+  }
+
+  private String equation(Sheet sheet, int row) {
+    if (sheet.scaled()) {
+      return cell(sheet, row, 0) + " = the sum of its buckets";
+    }
+    return cell(sheet, row, 0)
+        + " = "
+        + String.join(" + ", sheet.columns().subList(1, sheet.columns().size()));
+  }
+
+  /** Spoils one account, so that tests can show that it is found. */
+  void spoil(int index, long by) {
+    values[index] += by;
+  }
+
+  @Override
+  public String toString() {
+    return Arrays.toString(values);
+  }
 }
--- a/src/main/java/sprucerock/ledger/Book.java
+++ b/src/main/java/sprucerock/ledger/Book.java
@@ -1,8 +1,12 @@
 package sprucerock.ledger;
 
-/** Where accounts are kept beyond the relay's life. What was put counts from {@link #commit} on, all of it or none. */
+/**
+ * Where accounts are kept beyond the relay's life. What was put counts from {@link #commit} on, all
+ * of it or none.
+ */
 public interface Book {
-    Book NONE = new Book() {
+  Book NONE =
+      new Book() {
         @Override
         public void name(int row, String label) {}
 
@@ -11,12 +15,12 @@
 
         @Override
         public void commit() {}
-    };
+      };
 
-    /** A row, counted through all sheets, has this name from now on. */
-    void name(int row, String label);
+  /** A row, counted through all sheets, has this name from now on. */
+  void name(int row, String label);
 
-    void put(int account, long value);
+  void put(int account, long value);
 
-    void commit();
+  void commit();
 }
--- a/src/main/java/sprucerock/looks/Lookout.java
+++ b/src/main/java/sprucerock/looks/Lookout.java
@@ -9,88 +9,113 @@
 import sprucerock.time.Span;
 
 /**
- * Which unit is to be looked at next by the one relay that looks for the whole fleet, and what changed by it. A look asks a unit's
- * process for a sign and runs no work, so that it costs a cold unit nothing of its budget. What a unit that is called by somebody is
- * worth, its callers know better; it is looked at seldom. Nothing here outlives its holder: the next one begins anew, at chance places.
+ * Which unit is to be looked at next by the one relay that looks for the whole fleet, and what
+ * changed by it. A look asks a unit's process for a sign and runs no work, so that it costs a cold
+ * unit nothing of its budget. What a unit that is called by somebody is worth, its callers know
+ * better; it is looked at seldom. Nothing here outlives its holder: the next one begins anew, at
+ * chance places.
  */
 public final class Lookout {
-    private static final Span BUSY = Span.ofMs(2000); // called within this: those who call see for themselves
-    private static final Span SELDOM = Span.ofMs(10_000);
-    private static final Span QUIET = Span.ofMs(2000); // about as long as silence of a link takes to be noticed
-    private static final Span AGAIN = Span.ofMs(1000); // the module gives a sick unit one look a second by itself
+  private static final Span BUSY =
+      Span.ofMs(2000); // called within this: those who call see for themselves
+  private static final Span SELDOM = Span.ofMs(10_000);
+  private static final Span QUIET =
+      Span.ofMs(2000); // about as long as silence of a link takes to be noticed
+  private static final Span AGAIN =
+      Span.ofMs(1000); // the module gives a sick unit one look a second by itself
 
-    private static final class Known {
-        private final long unit;
-        private Moment due; // changed by due(...) alone, as the order hangs on it
-        private Boolean answered; // null: not looked at yet
+  private static final class Known {
+    private final long unit;
+    private Moment due; // changed by due(...) alone, as the order hangs on it
+    private Boolean answered; // null: not looked at yet
 
-        Known(long unit) {
-            this.unit = unit;
-        }
+    Known(long unit) {
+      this.unit = unit;
     }
+  }
 
-    /** Whose turn comes first, first; of those due at one moment the one of the highest number, so that the order is one of all. */
-    private static final Comparator<Known> BY_TURN = Comparator.<Known, Moment>comparing(known -> known.due).thenComparing(known -> known.unit, Comparator.reverseOrder());
+  /**
+   * Whose turn comes first, first; of those due at one moment the one of the highest number, so
+   * that the order is one of all.
+   */
+  private static final Comparator<Known> BY_TURN =
+      Comparator.<Known, Moment>comparing(known -> known.due)
+          .thenComparing(known -> known.unit, Comparator.reverseOrder());
 
-    private final DoubleSupplier chance;
-    private final Map<Long, Known> units = new HashMap<>();
-    /** The same units, by turn: a look asks for the first one, and walks none. */
-    private final TreeSet<Known> byTurn = new TreeSet<>(BY_TURN);
+  private final DoubleSupplier chance;
+  private final Map<Long, Known> units = new HashMap<>();
 
-    /** {@code chance} gives numbers from 0 to under 1. */
-    public Lookout(DoubleSupplier chance) {
-        this.chance = chance;
-    }
+  /** The same units, by turn: a look asks for the first one, and walks none. */
+  private final TreeSet<Known> byTurn = new TreeSet<>(BY_TURN);
 
-    /** It is listed, and may get work. */
-    public void ready(long unit, Moment now) {
-        if (units.containsKey(unit)) return;
-        Known known = new Known(unit);
-        units.put(unit, known);
-        due(known, now.plus(QUIET.times(chance.getAsDouble())));
-    }
+  /** {@code chance} gives numbers from 0 to under 1. */
+  public Lookout(DoubleSupplier chance) {
+    this.chance = chance;
+  }
 
-    private void due(Known known, Moment when) {
-        if (known.due != null) byTurn.remove(known);
-        known.due = when;
-        byTurn.add(known);
+  /** It is listed, and may get work. */
+  public void ready(long unit, Moment now) {
+    if (units.containsKey(unit)) {
+      return;
     }
+    Known known = new Known(unit);
+    units.put(unit, known);
+    due(known, now.plus(QUIET.times(chance.getAsDouble())));
+  }
 
-    /** It is not any more. */
-    public void left(long unit) {
-        Known known = units.remove(unit);
-        if (known != null) byTurn.remove(known);
+  private void due(Known known, Moment when) {
+    if (known.due != null) {
+      byTurn.remove(known);
     }
+    known.due = when;
+    byTurn.add(known);
+  }
 
-    /** Whose turn it is; -1: nobody's yet. It counts as looked at from now on. */
-    public long next(Moment now) {
-        if (byTurn.isEmpty() || byTurn.first().due.after(now)) return -1;
-        Known first = byTurn.first();
-        due(first, now.plus(SELDOM));
-        return first.unit;
+  /** It is not any more. */
+  public void left(long unit) {
+    Known known = units.remove(unit);
+    if (known != null) {
+      byTurn.remove(known);
     }
+  }
 
-    /** It gave a sign, and said how long nobody called it; true where others should be told. */
-    public boolean answered(long unit, Span idle, Moment now) {
-        Known known = units.get(unit);
-        if (known == null) return false;
-        due(known, now.plus((BUSY.over(idle) ? SELDOM : QUIET).times(0.75 + 0.5 * chance.getAsDouble())));
-        boolean news = Boolean.FALSE.equals(known.answered);
-        known.answered = true;
-        return news;
+  /** Whose turn it is; -1: nobody's yet. It counts as looked at from now on. */
+  public long next(Moment now) {
+    if (byTurn.isEmpty() || byTurn.first().due.after(now)) {
+      return -1;
     }
+    Known first = byTurn.first();
+    due(first, now.plus(SELDOM));
+    return first.unit;
+  }
 
-    /** It gave none in time; others should be told. */
-    public boolean silent(long unit, Moment now) {
-        Known known = units.get(unit);
-        if (known == null) return false;
-        due(known, now.plus(AGAIN.times(0.75 + 0.5 * chance.getAsDouble())));
-        known.answered = false;
-        return true;
+  /** It gave a sign, and said how long nobody called it; true where others should be told. */
+  public boolean answered(long unit, Span idle, Moment now) {
+    Known known = units.get(unit);
+    if (known == null) {
+      return false;
     }
+    due(
+        known,
+        now.plus((BUSY.over(idle) ? SELDOM : QUIET).times(0.75 + 0.5 * chance.getAsDouble())));
+    boolean news = Boolean.FALSE.equals(known.answered);
+    known.answered = true;
+    return news;
+  }
 
-    /** Units that are known. */
-    public int size() {
-        return units.size();
+  /** It gave none in time; others should be told. */
+  public boolean silent(long unit, Moment now) {
+    Known known = units.get(unit);
+    if (known == null) {
+      return false;
     }
+    due(known, now.plus(AGAIN.times(0.75 + 0.5 * chance.getAsDouble())));
+    known.answered = false;
+    return true;
+  }
+
+  /** Units that are known. */
+  public int size() {
+    return units.size();
+  }
 }
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -8,76 +8,92 @@
 
 /** One version of the servers' software, with the units that run it and may get new work. */
 public final class Build {
-    public final int number;
-    private final List<Unit> listed = new ArrayList<>();
-    /** Those that may get new work, in an order that draws change; each unit knows its place. */
-    public final List<Unit> units = Collections.unmodifiableList(listed);
-    private Moment newest;
-    private int row;
-
-    public Build(int number) {
-        this.number = number;
-    }
+  public final int number;
+  private final List<Unit> listed = new ArrayList<>();
 
-    /** When the process of a unit started last, of all that were ready so far; null where all did long ago. */
-    public Moment newest() {
-        return newest;
-    }
+  /** Those that may get new work, in an order that draws change; each unit knows its place. */
+  public final List<Unit> units = Collections.unmodifiableList(listed);
 
-    private Moment weighedAt;
-    /** The weights of all units and of those older than asked for, when they were added up last. */
-    public double weight;
-    public double weightOfOlder;
-
-    /** Adds the weights up, if that was longer ago than {@code keep} or units came or went since. */
-    public void weigh(Span age, Span keep, Moment now) {
-        if (weighedAt != null && !now.since(weighedAt).over(keep)) return;
-        weighedAt = now;
-        weight = 0;
-        weightOfOlder = 0;
-        for (Unit unit : units) {
-            weight += unit.weight();
-            if (unit.olderThan(age, now)) weightOfOlder += unit.weight();
-        }
-    }
+  private Moment newest;
+  private int row;
 
-    /** Its row in the accounts. */
-    public int row() {
-        return row;
-    }
+  public Build(int number) {
+    this.number = number;
+  }
 
-    @ByLedger
-    public void row(int inAccounts) {
-        row = inAccounts;
-    }
+  /**
+   * When the process of a unit started last, of all that were ready so far; null where all did long
+   * ago.
+   */
+  public Moment newest() {
+    return newest;
+  }
 
-    @ByLedger
-    public void add(Unit unit) {
-        weighedAt = null;
-        unit.place = listed.size();
-        listed.add(unit);
-        if (unit.started != null && (newest == null || unit.started.after(newest))) newest = unit.started;
-    }
+  private Moment weighedAt;
 
-    @ByLedger
-    public void remove(Unit unit) {
-        weighedAt = null;
-        swap(unit.place, listed.size() - 1);
-        listed.remove(listed.size() - 1);
-    }
+  /** The weights of all units and of those older than asked for, when they were added up last. */
+  public double weight;
 
-    /** The unit of a draw without return: {@code done} draws came before, {@code dice} is from 0 to under 1. */
-    public Unit draw(int done, double dice) {
-        swap(done, done + (int) (dice * (listed.size() - done)));
-        return listed.get(done);
+  public double weightOfOlder;
+
+  /** Adds the weights up, if that was longer ago than {@code keep} or units came or went since. */
+  public void weigh(Span age, Span keep, Moment now) {
+    if (weighedAt != null && !now.since(weighedAt).over(keep)) {
+      return;
+    }
+    weighedAt = now;
+    weight = 0;
+    weightOfOlder = 0;
+    for (Unit unit : units) {
+      weight += unit.weight();
+      if (unit.olderThan(age, now)) {
+        weightOfOlder += unit.weight();
+      }
     }
+  }
+
+  /** Its row in the accounts. */
+  public int row() {
+    return row;
+  }
+
+  @ByLedger
+  public void row(int inAccounts) {
+    row = inAccounts;
+  }
 
-    private void swap(int one, int two) {
-        Unit first = listed.get(one);
-        Unit second = listed.get(two);
-        listed.set(one, second);
-        listed.set(two, first);
-        second.place = one;
-        first.place = two;
+  @ByLedger
+  public void add(Unit unit) {
+    weighedAt = null;
+    unit.place = listed.size();
+    listed.add(unit);
+    if (unit.started != null && (newest == null || unit.started.after(newest))) {
+      newest = unit.started;
     }
+  }
+
+  @ByLedger
+  public void remove(Unit unit) {
+    weighedAt = null;
+    swap(unit.place, listed.size() - 1);
+    listed.remove(listed.size() - 1);
+  }
+
+  /**
+   * The unit of a draw without return: {@code done} draws came before, {@code dice} is from 0 to
+   * under 1.
+   */
+  public Unit draw(int done, double dice) {
+    swap(done, done + (int) (dice * (listed.size() - done)));
+    return listed.get(done);
+  }
+
+  private void swap(int one, int two) {
+    Unit first = listed.get(one);
+    Unit second = listed.get(two);
+    listed.set(one, second);
+    listed.set(two, first);
+    second.place = one;
+    first.place = two;
+  }
 }
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -5,57 +5,75 @@
 
 /** A kind of RPC, as the start settings state it. */
 public final class Method {
-    public enum Effect { IDEMPOTENT, TOKENED, NON_IDEMPOTENT }
-
-    public enum Group { ALL, ZONE, CELL }
-
-    public final int index;
-    public final Effect effect;
-    public final Group group;
-    public final Span softDeadline;
-    public final Span window;
-    public final double utility;
-    public final boolean stream;
-
-    /**
-     * What the module notes: how long picks took of late, and the logarithms of all times before an offer.
-     */
-    public DecayingMean took;
-    public DecayingMean logNow;
-    /** Picks that may go to a build on trial. */
-    public double trialTokens;
-
-    public Method(int index, Effect effect, Group group, Span softDeadline, Span window, double utility,
-        boolean stream) {
-        this.index = index;
-        this.effect = effect;
-        this.group = group;
-        this.softDeadline = softDeadline;
-        this.window = window;
-        this.utility = utility;
-        this.stream = stream;
-    }
-
-    /** Never to be cut short in the hope of another pick: what must not run twice, and streams. */
-    public boolean streamOrOnce() {
-        return effect == Effect.NON_IDEMPOTENT || stream;
-    }
-
-    /** Whether {@code unit} drops a repeat of what {@code before} may have run. */
-    public boolean dropsRepeats(Unit before, Unit unit) {
-        return effect != Effect.TOKENED || switch (group) {
-            case ALL -> true;
-            case ZONE -> before.zone == unit.zone;
-            case CELL -> before.cell == unit.cell;
+  public enum Effect {
+    IDEMPOTENT,
+    TOKENED,
+    NON_IDEMPOTENT
+  }
+
+  public enum Group {
+    ALL,
+    ZONE,
+    CELL
+  }
+
+  public final int index;
+  public final Effect effect;
+  public final Group group;
+  public final Span softDeadline;
+  public final Span window;
+  public final double utility;
+  public final boolean stream;
+
+  /**
+   * What the module notes: how long picks took of late, and the logarithms of all times before an
+   * offer.
+   */
+  public DecayingMean took;
+
+  public DecayingMean logNow;
+
+  /** Picks that may go to a build on trial. */
+  public double trialTokens;
+
+  public Method(
+      int index,
+      Effect effect,
+      Group group,
+      Span softDeadline,
+      Span window,
+      double utility,
+      boolean stream) {
+    this.index = index;
+    this.effect = effect;
+    this.group = group;
+    this.softDeadline = softDeadline;
+    this.window = window;
+    this.utility = utility;
+    this.stream = stream;
+  }
+
+  /** Never to be cut short in the hope of another pick: what must not run twice, and streams. */
+  public boolean streamOrOnce() {
+    return effect == Effect.NON_IDEMPOTENT || stream;
+  }
+
+  /** Whether {@code unit} drops a repeat of what {@code before} may have run. */
+  public boolean dropsRepeats(Unit before, Unit unit) {
+    return effect != Effect.TOKENED
+        || switch (group) {
+          case ALL -> true;
+          case ZONE -> before.zone == unit.zone;
+          case CELL -> before.cell == unit.cell;
         };
-    }
+  }
 
-    /** A repeat does no harm at any unit. */
-    public boolean harmlessAnywhere() {
-        return idempotent() || effect == Effect.TOKENED && group == Group.ALL;
-    }
+  /** A repeat does no harm at any unit. */
+  public boolean harmlessAnywhere() {
+    return idempotent() || effect == Effect.TOKENED && group == Group.ALL;
+  }
 
-    public boolean idempotent() {
-        return effect == Effect.IDEMPOTENT;
-    }
+  public boolean idempotent() {
+    return effect == Effect.IDEMPOTENT;
+  }
 }
--- a/src/main/java/sprucerock/model/Pair.java
+++ b/src/main/java/sprucerock/model/Pair.java
@@ -1,11 +1,11 @@
 package sprucerock.model;
 
 /**
- * A pick at the earlier build and one at the build on trial: of one RPC, or where that cannot be, of its
- * like.
+ * A pick at the earlier build and one at the build on trial: of one RPC, or where that cannot be,
+ * of its like.
  */
 public final class Pair {
-    public Pick earlier;
-    public Pick fresh;
-    public boolean judged;
+  public Pick earlier;
+  public Pick fresh;
+  public boolean judged;
 }
