--- a/src/main/java/sprucerock/rehearsal/Play.java
+++ b/src/main/java/sprucerock/rehearsal/Play.java
@@ -42,701 +42,982 @@
 import sprucerock.wire.v1.Health;
 
 /**
- * Plays a day: relays as processes of their own, everything else as stand-ins on one loop in this process, over loopback
- * sockets. All methods but {@link #run} are called on that loop.
+ * Plays a day: relays as processes of their own, everything else as stand-ins on one loop in this
+ * process, over loopback sockets. All methods but {@link #run} are called on that loop.
  */
 public final class Play implements DeskStandIn.Places {
-    /** Something that ails a unit, put on and taken off. */
-    interface Ill {
-        void set(UnitStandIn unit, boolean on, Play play);
-    }
-
-    /** What a build was, for the report. */
-    record Offered(int build, Span at, String words) {}
-
-    /** Something that happened to a build. */
-    record Step(Span at, String what) {}
-
-    private static final Span BOOT = Span.ofMs(800);
-    private static final Span SETTLE = Span.ofMs(1000); // relays have linked up and have the list
-    /** Traffic before the day's zero: relays in service are warm, and those of a day should be, too. */
-    private static final Span LEAD_IN = Span.ofMs(3000);
-    private static final int START_SECONDS = 30;
-    private static final int WORKERS = 2; // for all stand-ins' handshakes
-    private static final long SCRAPE_MS = 250; // sixty times as often as a monitor does
-    private static final int FIRST_BUILD = 1;
-    private static final int FIRST_PORT = 12_000;
-    private static final int PORTS = 18_000;
-    private static final java.util.concurrent.atomic.AtomicInteger nextPort = new java.util.concurrent.atomic.AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORTS));
-
-    private final Script day;
-    private final Site site;
-    private final Path folder;
-    private final PrintStream out;
-    private final NioLoop loop;
-    private final Limits limits = new Limits(1 << 20, 4 << 20, Span.ofMs(2000));
-    private final SplittableRandom chance;
-    private final Shared shared = new Shared();
-    private final Map<Integer, UnitStandIn> units = new TreeMap<>();
-    private final List<Integer> firstUnits = new ArrayList<>();
-    private final Map<UnitStandIn, Integer> spells = new HashMap<>();
-    private final List<RelayProcess> relays = new ArrayList<>();
-    private final List<List<ClientStandIn>> clients = new ArrayList<>();
-    private final Map<Integer, BuildFault> faults = new HashMap<>();
-    private final Map<Ill, List<UnitStandIn>> illOnes = new HashMap<>();
-    private final Set<Integer> leaving = new HashSet<>();
-    private final Set<Integer> wanted = new HashSet<>();
-    final List<Offered> offered = new ArrayList<>();
-    final List<Step> steps = new ArrayList<>();
-    final Books books;
-    private final List<Integer> scraped = new ArrayList<>();
-    private TraceWriter trace;
-    private MonitorStandIn monitor;
-    private RealController controller;
-    private Agents agents;
-    private RacksOfDay racks; // null: the day has none
-    private LeasesOfDay leases; // null: the day has none
-    private Secure secure;
-    private Workers workers;
-    private RosterStandIn roster;
-    private DeskStandIn desk;
-    private SwitchStandIn between;
-    /** From each relay and each agent to the real controller. */
-    private final List<WayStandIn> relaysWays = new ArrayList<>();
-    private final List<WayStandIn> agentsWays = new ArrayList<>();
-    private int lastBuild = FIRST_BUILD;
-    private int lastUnit;
-    private Moment begun;
-    private int fallen;
-
-    public Play(Script day, Path folder, PrintStream out) throws IOException {
-        this.day = day;
-        this.folder = folder;
-        this.out = out;
-        site = day.site();
-        books = new Books(site);
-        chance = new SplittableRandom(day.seed);
-        loop = new NioLoop("stand-ins", e -> e.printStackTrace(System.err));
-    }
-
-    Script day() {
-        return day;
-    }
-
-    MonitorStandIn monitor() {
-        return monitor;
-    }
-
-    DeskStandIn desk() {
-        return desk;
-    }
-
-    RosterStandIn roster() {
-        return roster;
-    }
-
-    SwitchStandIn between() {
-        return between;
-    }
-
-    Shared shared() {
-        return shared;
-    }
-
-    List<RelayProcess> relays() {
-        return relays;
-    }
-
-    int fallen() {
-        return fallen;
-    }
-
-    /** Plays the whole day and leaves traces and logs in the folder. On the caller's thread. */
-    public void run() throws IOException, InterruptedException {
-        try {
-            onLoop(this::set);
-            // with leases the controller's seat is granted by relays
-            if (leases != null) for (RelayProcess relay : relays) relay.start();
-            if (controller != null) {
-                controller.start();
-                controller.await();
-                if (racks != null) controller.watchFreezes();
-            }
-            if (leases == null) for (RelayProcess relay : relays) relay.start();
-            awaitRelays();
-            monitor = new MonitorStandIn(scraped, SCRAPE_MS);
-            monitor.start();
-            onLoop(this::begin);
-            Thread.sleep((long) LEAD_IN.ms());
-            int seconds = (int) Math.ceil(day.lasts.ms() / 1000);
-            for (int i = 1; i <= seconds; i++) {
-                Thread.sleep(1000);
-                int at = i;
-                onLoop(() -> progress(at));
-            }
-            onLoop(() -> clients.forEach(some -> some.forEach(ClientStandIn::stop)));
-            awaitAnswers();
-            monitor.close();
-            if (controller != null) {
-                controllerSteps.addAll(controller.steps());
-                if (agents != null) {
-                    changes.addAll(controller.changes());
-                    strays.addAll(controller.strays());
-                }
-                controllerEnded = controller.end();
-            }
-            for (RelayProcess relay : relays) if (relay.alive()) relay.stop();
-            for (RelayProcess relay : relays) if (relay.end(20) != 0) relay.endedBadly();
-            Thread.sleep(100);
-            onLoop(this::writeCounts);
-        } finally {
-            relays.forEach(RelayProcess::clear);
-            if (controller != null && controller.alive()) controller.kill();
-            loop.close();
-            if (workers != null) workers.close();
-        }
-    }
-
-    private interface Step0 {
-        void run() throws IOException;
-    }
-
-    private void onLoop(Step0 what) throws InterruptedException, IOException {
-        CountDownLatch done = new CountDownLatch(1);
-        Throwable[] wrong = new Throwable[1];
-        loop.post(() -> {
-            try {
-                what.run();
-            } catch (IOException | RuntimeException e) {
-                wrong[0] = e;
-            } finally {
-                done.countDown();
-            }
-        });
-        done.await();
-        if (wrong[0] instanceof IOException e) throw e;
-        if (wrong[0] instanceof RuntimeException e) throw e;
-    }
-
-    private void set() throws IOException {
-        trace = new TraceWriter(loop, folder.resolve("standins.trace"), "rehearsal");
-        trace.watchStalls();
-        trace.note("DAY", day.name + ", seed " + day.seed);
-        if (day.tls) {
-            workers = new Workers(WORKERS, 10_000, loop::post, e -> e.printStackTrace(System.err));
-            secure = new Secure(loop, workers, Files.createDirectory(folder.resolve("tls")), day.relays);
+  /** Something that ails a unit, put on and taken off. */
+  interface Ill {
+    void set(UnitStandIn unit, boolean on, Play play);
+  }
+
+  /** What a build was, for the report. */
+  record Offered(int build, Span at, String words) {}
+
+  /** Something that happened to a build. */
+  record Step(Span at, String what) {}
+
+  private static final Span BOOT = Span.ofMs(800);
+  private static final Span SETTLE = Span.ofMs(1000); // relays have linked up and have the list
+
+  /**
+   * Traffic before the day's zero: relays in service are warm, and those of a day should be, too.
+   */
+  private static final Span LEAD_IN = Span.ofMs(3000);
+
+  private static final int START_SECONDS = 30;
+  private static final int WORKERS = 2; // for all stand-ins' handshakes
+  private static final long SCRAPE_MS = 250; // sixty times as often as a monitor does
+  private static final int FIRST_BUILD = 1;
+  private static final int FIRST_PORT = 12_000;
+  private static final int PORTS = 18_000;
+  private static final java.util.concurrent.atomic.AtomicInteger nextPort =
+      new java.util.concurrent.atomic.AtomicInteger(
+          (int) (ProcessHandle.current().pid() * 97 % PORTS));
+
+  private final Script day;
+  private final Site site;
+  private final Path folder;
+  private final PrintStream out;
+  private final NioLoop loop;
+  private final Limits limits = new Limits(1 << 20, 4 << 20, Span.ofMs(2000));
+  private final SplittableRandom chance;
+  private final Shared shared = new Shared();
+  private final Map<Integer, UnitStandIn> units = new TreeMap<>();
+  private final List<Integer> firstUnits = new ArrayList<>();
+  private final Map<UnitStandIn, Integer> spells = new HashMap<>();
+  private final List<RelayProcess> relays = new ArrayList<>();
+  private final List<List<ClientStandIn>> clients = new ArrayList<>();
+  private final Map<Integer, BuildFault> faults = new HashMap<>();
+  private final Map<Ill, List<UnitStandIn>> illOnes = new HashMap<>();
+  private final Set<Integer> leaving = new HashSet<>();
+  private final Set<Integer> wanted = new HashSet<>();
+  final List<Offered> offered = new ArrayList<>();
+  final List<Step> steps = new ArrayList<>();
+  final Books books;
+  private final List<Integer> scraped = new ArrayList<>();
+  private TraceWriter trace;
+  private MonitorStandIn monitor;
+  private RealController controller;
+  private Agents agents;
+  private RacksOfDay racks; // null: the day has none
+  private LeasesOfDay leases; // null: the day has none
+  private Secure secure;
+  private Workers workers;
+  private RosterStandIn roster;
+  private DeskStandIn desk;
+  private SwitchStandIn between;
+
+  /** From each relay and each agent to the real controller. */
+  private final List<WayStandIn> relaysWays = new ArrayList<>();
+
+  private final List<WayStandIn> agentsWays = new ArrayList<>();
+  private int lastBuild = FIRST_BUILD;
+  private int lastUnit;
+  private Moment begun;
+  private int fallen;
+
+  public Play(Script day, Path folder, PrintStream out) throws IOException {
+    this.day = day;
+    this.folder = folder;
+    this.out = out;
+    site = day.site();
+    books = new Books(site);
+    chance = new SplittableRandom(day.seed);
+    loop = new NioLoop("stand-ins", e -> e.printStackTrace(System.err));
+  }
+
+  Script day() {
+    return day;
+  }
+
+  MonitorStandIn monitor() {
+    return monitor;
+  }
+
+  DeskStandIn desk() {
+    return desk;
+  }
+
+  RosterStandIn roster() {
+    return roster;
+  }
+
+  SwitchStandIn between() {
+    return between;
+  }
+
+  Shared shared() {
+    return shared;
+  }
+
+  List<RelayProcess> relays() {
+    return relays;
+  }
+
+  int fallen() {
+    return fallen;
+  }
+
+  /** Plays the whole day and leaves traces and logs in the folder. On the caller's thread. */
+  public void run() throws IOException, InterruptedException {
+    try {
+      onLoop(this::set);
+      // with leases the controller's seat is granted by relays
+      if (leases != null) {
+        for (RelayProcess relay : relays) {
+          relay.start();
         }
-        roster = new RosterStandIn(loop, new TraceWriter(trace, "roster"), limits, day.notice);
-        int rosterPort = roster.start();
-        desk = new DeskStandIn(loop, new TraceWriter(trace, "desk"), limits, site, this, FIRST_BUILD, chance.nextLong());
-        int deskPort = day.realController ? 0 : desk.start();
-        between = new SwitchStandIn(loop, new TraceWriter(trace, "switch"), limits, chance.nextLong());
-        if (day.tlsEveryone) between.secure(secure);
-        faults.put(FIRST_BUILD, BuildFault.GOOD);
-        if (day.racks != null) racks = new RacksOfDay(day.racks, trace);
-        for (Script.Units some : day.units) {
-            for (int i = 0; i < some.count(); i++) {
-                UnitStandIn unit = unit(FIRST_BUILD, some.zone(), some.cores(), some.speed());
-                firstUnits.add(unit.id);
-                unit.start(false);
-                list(unit, Health.READY);
-            }
+      }
+      if (controller != null) {
+        controller.start();
+        controller.await();
+        if (racks != null) {
+          controller.watchFreezes();
         }
-        int agentsPort = freePort();
-        if (day.realController) deskPort = freePort();
-        Map<Integer, Integer> ports = new TreeMap<>();
-        Map<Integer, Integer> ways = new TreeMap<>();
-        for (int i = 0; i < day.relays; i++) {
-            int port = freePort();
-            ports.put(i, port);
-            ways.put(i, between.port(i, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)));
+      }
+      if (leases == null) {
+        for (RelayProcess relay : relays) {
+          relay.start();
         }
-        if (day.leases != null) {
-            List<Integer> granters = new ArrayList<>();
-            for (int i = 0; i < day.leases.granters(); i++) granters.add(freePort());
-            leases = new LeasesOfDay(day.leases, loop, granters);
+      }
+      awaitRelays();
+      monitor = new MonitorStandIn(scraped, SCRAPE_MS);
+      monitor.start();
+      onLoop(this::begin);
+      Thread.sleep((long) LEAD_IN.ms());
+      int seconds = (int) Math.ceil(day.lasts.ms() / 1000);
+      for (int i = 1; i <= seconds; i++) {
+        Thread.sleep(1000);
+        int at = i;
+        onLoop(() -> progress(at));
+      }
+      onLoop(() -> clients.forEach(some -> some.forEach(ClientStandIn::stop)));
+      awaitAnswers();
+      monitor.close();
+      if (controller != null) {
+        controllerSteps.addAll(controller.steps());
+        if (agents != null) {
+          changes.addAll(controller.changes());
+          strays.addAll(controller.strays());
         }
-        if (day.changeWatch != null) agents = new Agents(folder, RelayXml.template(day, rosterPort, day.peers ? ways : Map.of()));
-        if (day.realController) {
-            controller = new RealController(folder.resolve("controller"), site, FIRST_BUILD, firstUnits.size(), new int[] {deskPort, freePort(), freePort()},
-                agents == null ? "" : agents.controllerXml(agentsPort, day), leases == null ? "" : leases.xml(day.relays, 65_000, false, chance), racks == null ? "" : racks.controllerXml(units.values()), new RealController.Fleet() {
-                    @Override
-                    public void wanted(List<RealController.Seen> builds) {
-                        loop.post(() -> fleet(builds));
-                    }
-
-                    @Override
-                    public void freezes(List<RealController.Frozen> all) {
-                        loop.post(() -> racks.told(all, units.values(), begun == null ? Span.ZERO : time()));
-                    }
-                });
+        controllerEnded = controller.end();
+      }
+      for (RelayProcess relay : relays) {
+        if (relay.alive()) {
+          relay.stop();
         }
-        double weights = day.busiest + day.relays - 1;
-        for (int i = 0; i < day.relays; i++) {
-            Map<Integer, Integer> others = new TreeMap<>(ways);
-            others.remove(i);
-            scraped.add(freePort());
-            int desksPort = controller == null ? deskPort : way(relaysWays, deskPort);
-            RelayXml.write(folder.resolve("relay-" + i + ".xml"), day, i, ports.get(i), scraped.get(i), rosterPort, desksPort,
-                day.peers ? others : Map.of(), (leases == null ? "" : leases.xml(i, i, true, chance)) + (racks == null ? "" : RacksOfDay.relayXml()));
-            relays.add(agents == null ? new RelayProcess(i, folder) : new AgentProcess(i, folder));
-            if (agents != null) {
-                agents.writeAgent(i, i % 2, way(agentsWays, agentsPort), List.of(new String[] {"number", "" + i}, new String[] {"seed", "" + (day.seed * 1000 + i)},
-                    new String[] {"port", "" + ports.get(i)}, new String[] {"scraped", "" + scraped.get(i)}, new String[] {"desk", "" + desksPort},
-                    new String[] {"figures", folder.resolve("relay-" + i + ".figures").toAbsolutePath().toString()}));
-            }
-            List<ClientStandIn> own = new ArrayList<>();
-            double perSecond = day.perSecond * (i == 0 ? day.busiest : 1) / weights / day.clientsEach;
-            for (int j = 0; j < day.clientsEach; j++) {
-                int number = i * day.clientsEach + j;
-                own.add(new ClientStandIn(loop, new TraceWriter(trace, "client-" + number), limits, site, day.manners, books,
-                    number, day.tlsEveryone ? secure.to(Secure.relayName(i)) : loop::connect, new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(i)), perSecond, chance.nextLong()));
-            }
-            clients.add(own);
+      }
+      for (RelayProcess relay : relays) {
+        if (relay.end(20) != 0) {
+          relay.endedBadly();
         }
-    }
-
-    private int way(List<WayStandIn> among, int port) throws IOException {
-        WayStandIn made = new WayStandIn(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), chance.nextLong());
-        among.add(made);
-        return made.start();
-    }
-
-    void ways(String whose, int first, int last, java.util.function.Consumer<WayStandIn> what) {
-        if (whose.equals("leases")) leases.ways(first, last, what);
-        else (whose.equals("agents") ? agentsWays : relaysWays).subList(first, last + 1).forEach(what);
-    }
-
-    /** Below those that systems give to connections that go out: one of these may be taken before who it is for can listen there. */
-    private static int freePort() throws IOException {
-        for (int tries = 0; tries < PORTS; tries++) {
-            int port = FIRST_PORT + Math.floorMod(nextPort.getAndIncrement(), PORTS);
-            try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                return probe.getLocalPort();
-            } catch (java.net.BindException e) {
-                // somebody has it: the next one
-            }
-        }
-        throw new IOException("no port from " + FIRST_PORT + " to " + (FIRST_PORT + PORTS) + " is free");
-    }
-
-    /** Until every relay listens; a relay that ends instead has said why in its log. */
-    private void awaitRelays() throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
-        for (int i = 0; i < relays.size(); i++) {
-            while (!listens(i)) {
-                if (!relays.get(i).alive() || System.nanoTime() > until) {
-                    throw new IOException("relay " + i + " did not start; see " + relays.get(i).log());
+      }
+      Thread.sleep(100);
+      onLoop(this::writeCounts);
+    } finally {
+      relays.forEach(RelayProcess::clear);
+      if (controller != null && controller.alive()) {
+        controller.kill();
+      }
+      loop.close();
+      if (workers != null) {
+        workers.close();
+      }
+    }
+  }
+
+  private interface Step0 {
+    void run() throws IOException;
+  }
+
+  private void onLoop(Step0 what) throws InterruptedException, IOException {
+    CountDownLatch done = new CountDownLatch(1);
+    Throwable[] wrong = new Throwable[1];
+    loop.post(
+        () -> {
+          try {
+            what.run();
+          } catch (IOException | RuntimeException e) {
+            wrong[0] = e;
+          } finally {
+            done.countDown();
+          }
+        });
+    done.await();
+    if (wrong[0] instanceof IOException e) {
+      throw e;
+    }
+    if (wrong[0] instanceof RuntimeException e) {
+      throw e;
+    }
+  }
+
+  private void set() throws IOException {
+    trace = new TraceWriter(loop, folder.resolve("standins.trace"), "rehearsal");
+    trace.watchStalls();
+    trace.note("DAY", day.name + ", seed " + day.seed);
+    if (day.tls) {
+      workers = new Workers(WORKERS, 10_000, loop::post, e -> e.printStackTrace(System.err));
+      secure = new Secure(loop, workers, Files.createDirectory(folder.resolve("tls")), day.relays);
+    }
+    roster = new RosterStandIn(loop, new TraceWriter(trace, "roster"), limits, day.notice);
+    int rosterPort = roster.start();
+    desk =
+        new DeskStandIn(
+            loop,
+            new TraceWriter(trace, "desk"),
+            limits,
+            site,
+            this,
+            FIRST_BUILD,
+            chance.nextLong());
+    int deskPort = day.realController ? 0 : desk.start();
+    between = new SwitchStandIn(loop, new TraceWriter(trace, "switch"), limits, chance.nextLong());
+    if (day.tlsEveryone) {
+      between.secure(secure);
+    }
+    faults.put(FIRST_BUILD, BuildFault.GOOD);
+    if (day.racks != null) {
+      racks = new RacksOfDay(day.racks, trace);
+    }
+    for (Script.Units some : day.units) {
+      for (int i = 0; i < some.count(); i++) {
+        UnitStandIn unit = unit(FIRST_BUILD, some.zone(), some.cores(), some.speed());
+        firstUnits.add(unit.id);
+        unit.start(false);
+        list(unit, Health.READY);
+      }
+    }
+    int agentsPort = freePort();
+    if (day.realController) {
+      deskPort = freePort();
+    }
+    Map<Integer, Integer> ports = new TreeMap<>();
+    Map<Integer, Integer> ways = new TreeMap<>();
+    for (int i = 0; i < day.relays; i++) {
+      int port = freePort();
+      ports.put(i, port);
+      ways.put(i, between.port(i, new InetSocketAddress(InetAddress.getLoopbackAddress(), port)));
+    }
+    if (day.leases != null) {
+      List<Integer> granters = new ArrayList<>();
+      for (int i = 0; i < day.leases.granters(); i++) {
+        granters.add(freePort());
+      }
+      leases = new LeasesOfDay(day.leases, loop, granters);
+    }
+    if (day.changeWatch != null) {
+      agents = new Agents(folder, RelayXml.template(day, rosterPort, day.peers ? ways : Map.of()));
+    }
+    if (day.realController) {
+      controller =
+          new RealController(
+              folder.resolve("controller"),
+              site,
+              FIRST_BUILD,
+              firstUnits.size(),
+              new int[] {deskPort, freePort(), freePort()},
+              agents == null ? "" : agents.controllerXml(agentsPort, day),
+              leases == null ? "" : leases.xml(day.relays, 65_000, false, chance),
+              racks == null ? "" : racks.controllerXml(units.values()),
+              new RealController.Fleet() {
+                @Override
+                public void wanted(List<RealController.Seen> builds) {
+                  loop.post(() -> fleet(builds));
                 }
-                Thread.sleep(20);
-            }
-        }
-        Thread.sleep((long) SETTLE.ms());
-    }
-
-    private boolean listens(int relay) throws IOException {
-        Path log = relays.get(relay).log();
-        return Files.exists(log) && Files.readString(log).contains(" listens at ");
-    }
-
-    private void begin() {
-        begun = loop.now().plus(LEAD_IN);
-        books.begin(begun);
-        for (Script.Trouble trouble : day.troubles) {
-            Moment at = begun.plus(trouble.at());
-            loop.at(at, () -> {
-                trace.note("TROUBLE", trouble.words());
-                trouble.what().begin(this);
-            });
-            if (trouble.lasts().over(Span.ZERO)) loop.at(at.plus(trouble.lasts()), () -> {
-                trace.note("OVER", trouble.words());
-                trouble.what().end(this);
-            });
-        }
-        for (List<ClientStandIn> own : clients) for (ClientStandIn client : own) client.start();
-        out.println("plays \"" + day.name + "\": " + day.relays + " relays, " + firstUnits.size() + " units, "
-            + Math.round(day.perSecond) + " RPCs a second, " + day.lasts.ms() / 1000 + " s, seed " + day.seed);
-    }
 
-    private Span time() {
-        return loop.now().since(begun);
-    }
-
-    private void progress(int second) {
-        double[] lately = books.between(Span.ofMs(1000.0 * Math.max(0, second - 6)), Span.ofMs(1000.0 * Math.max(0, second - 1)));
-        StringBuilder now = new StringBuilder();
-        for (Script.Trouble trouble : day.troubles) {
-            boolean on = !trouble.at().over(time()) && trouble.at().plus(trouble.lasts().atLeast(Span.ofMs(1000))).over(time());
-            if (on) now.append(now.length() == 0 ? "  " : "; ").append(trouble.words());
-        }
-        out.printf("%3d s  service of late %5.3f  build %d %s stage %d%s%n", second, Books.ratio(lately), controller == null ? desk.build() : controller.newest().build(),
-            (controller == null ? desk.standing().name().toLowerCase(java.util.Locale.ROOT) : controller.newest().standing()).replace('_', ' '),
-            controller == null ? desk.stage() : controller.newest().stage(), now);
-    }
-
-    /** Until every client has what it waits for, or the longest deadline is over. */
-    private void awaitAnswers() throws IOException, InterruptedException {
-        double longest = site.methods().stream().mapToDouble(method -> method.deadline().ms()).max().orElse(0) + 200;
-        long until = System.nanoTime() + (long) (longest * 1e6);
-        int[] open = {1};
-        while (open[0] > 0 && System.nanoTime() < until) {
-            Thread.sleep(50);
-            onLoop(() -> {
-                open[0] = 0;
-                for (int i = 0; i < site.methods().size(); i++) open[0] += (int) books.column(i).open();
-            });
-        }
-    }
-
-    private UnitStandIn unit(int build, int zone, int cores, double speed) {
-        int id = lastUnit++;
-        UnitStandIn unit = new UnitStandIn(loop, new TraceWriter(trace, "unit-" + id), limits, id, build, zone, cores, speed,
-            faults.get(build), site, shared, desk::count, chance.nextLong());
-        if (secure != null) unit.secure(secure, day.tlsEveryone);
-        units.put(id, unit);
-        return unit;
-    }
-
-    private void list(UnitStandIn unit, Health health) {
-        roster.changed(Entry.newBuilder().setUnit(unit.id).setRun(unit.run()).setHost("127.0.0.1").setPort(unit.port())
-            .setName(secure == null ? "" : Secure.unitName(unit.id)).setZone(unit.zone).setCell(racks == null ? 0 : racks.cell(unit.id)).setBuild(unit.build).setHealth(health).setWeight(unit.cores * unit.speed).build(),
-            unit.startedCold());
-    }
-
-    // Racks.
-
-    /** Announces a freeze: after {@code in}, or at once where that is null. */
-    void freeze(String rack, Span in, Span lasts) {
-        ObjectNode body = JsonMapper.builder().build().createObjectNode().put("lasts_ms", (long) lasts.ms()).put("emergency", in == null);
-        body.putArray("racks").add(rack);
-        if (in != null) body.put("from_ms", System.currentTimeMillis() + (long) in.ms());
-        controller.post("/freezes", body);
-    }
-
-    void callOff(int freeze) {
-        racks.thaw(freeze, units.values());
-        controller.post("/freezes/" + freeze + "/call-off", JsonMapper.builder().build().createObjectNode());
-    }
-
-    List<String> freezes() {
-        return racks == null ? List.of() : racks.steps();
-    }
-
-    // The real controller's fleet.
-
-    RealController controller() {
-        return controller;
-    }
-
-    /** What it told of each build's steps, at the day's end; and whether it ended in good order. */
-    final List<String> controllerSteps = new ArrayList<>();
-    boolean controllerEnded = true;
-
-    /** What became of each change, and relays that do not run what the controller says; at the day's end. */
-    final List<String> changes = new ArrayList<>();
-    final List<String> strays = new ArrayList<>();
-
-    boolean hasAgents() {
-        return agents != null;
-    }
-
-    /** Others limits, another program, or both; null: as it is. */
-    void change(String limits, String main) {
-        controller.propose(main == null ? null : agents.program(main), limits == null ? null : agents.settings(limits));
-    }
-
-    /** {@code forgets}: all that it noted is gone when it comes back. */
-    void agentDown(int relay, boolean forgets) {
-        try {
-            ((AgentProcess) relays.get(relay)).killAgent(forgets);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
-    void agentUp(int relay) {
-        try {
-            relays.get(relay).start();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
-    void controllerDown(boolean killed, boolean on) {
-        try {
-            if (!killed) controller.hold(on);
-            else if (on) controller.kill();
-            else controller.start();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
-
-    int buildOf(int unit) {
-        return units.get(unit).build;
-    }
-
-    /** Starts and drains units until there are as many of each build as the controller wants. */
-    private void fleet(List<RealController.Seen> builds) {
-        for (RealController.Seen one : builds) {
-            List<UnitStandIn> own = units.values().stream().filter(unit -> unit.build == one.build() && !leaving.contains(unit.id)).toList();
-            boolean gone = one.wanted() == 0 && !one.standing().equals("announced");
-            if (gone) {
-                shared.drag(1);
-                for (UnitStandIn unit : own) if (!unit.isDown()) drain(unit.id);
-            } else {
-                for (int i = own.size(); i < one.wanted(); i++) {
-                    Script.Units like = like(i);
-                    UnitStandIn unit = unit(one.build(), like.zone(), like.cores(), like.speed());
-                    loop.at(loop.now().plus(BOOT.times(0.5 + chance.nextDouble())), () -> {
-                        if (!leaving.contains(unit.id)) start(unit);
-                    });
+                @Override
+                public void freezes(List<RealController.Frozen> all) {
+                  loop.post(
+                      () -> racks.told(all, units.values(), begun == null ? Span.ZERO : time()));
                 }
-            }
-            controller.units(one.build(), (int) own.stream().filter(unit -> !unit.isDown()).count());
+              });
+    }
+    double weights = day.busiest + day.relays - 1;
+    for (int i = 0; i < day.relays; i++) {
+      Map<Integer, Integer> others = new TreeMap<>(ways);
+      others.remove(i);
+      scraped.add(freePort());
+      int desksPort = controller == null ? deskPort : way(relaysWays, deskPort);
+      RelayXml.write(
+          folder.resolve("relay-" + i + ".xml"),
+          day,
+          i,
+          ports.get(i),
+          scraped.get(i),
+          rosterPort,
+          desksPort,
+          day.peers ? others : Map.of(),
+          (leases == null ? "" : leases.xml(i, i, true, chance))
+              + (racks == null ? "" : RacksOfDay.relayXml()));
+      relays.add(agents == null ? new RelayProcess(i, folder) : new AgentProcess(i, folder));
+      if (agents != null) {
+        agents.writeAgent(
+            i,
+            i % 2,
+            way(agentsWays, agentsPort),
+            List.of(
+                new String[] {"number", "" + i},
+                new String[] {"seed", "" + (day.seed * 1000 + i)},
+                new String[] {"port", "" + ports.get(i)},
+                new String[] {"scraped", "" + scraped.get(i)},
+                new String[] {"desk", "" + desksPort},
+                new String[] {
+                  "figures", folder.resolve("relay-" + i + ".figures").toAbsolutePath().toString()
+                }));
+      }
+      List<ClientStandIn> own = new ArrayList<>();
+      double perSecond = day.perSecond * (i == 0 ? day.busiest : 1) / weights / day.clientsEach;
+      for (int j = 0; j < day.clientsEach; j++) {
+        int number = i * day.clientsEach + j;
+        own.add(
+            new ClientStandIn(
+                loop,
+                new TraceWriter(trace, "client-" + number),
+                limits,
+                site,
+                day.manners,
+                books,
+                number,
+                day.tlsEveryone ? secure.to(Secure.relayName(i)) : loop::connect,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(i)),
+                perSecond,
+                chance.nextLong()));
+      }
+      clients.add(own);
+    }
+  }
+
+  private int way(List<WayStandIn> among, int port) throws IOException {
+    WayStandIn made =
+        new WayStandIn(
+            loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), chance.nextLong());
+    among.add(made);
+    return made.start();
+  }
+
+  void ways(String whose, int first, int last, java.util.function.Consumer<WayStandIn> what) {
+    if (whose.equals("leases")) {
+      leases.ways(first, last, what);
+    } else {
+      (whose.equals("agents") ? agentsWays : relaysWays).subList(first, last + 1).forEach(what);
+    }
+  }
+
+  /**
+   * Below those that systems give to connections that go out: one of these may be taken before who
+   * it is for can listen there.
+   */
+  private static int freePort() throws IOException {
+    for (int tries = 0; tries < PORTS; tries++) {
+      int port = FIRST_PORT + Math.floorMod(nextPort.getAndIncrement(), PORTS);
+      try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+        return probe.getLocalPort();
+      } catch (java.net.BindException e) {
+        // somebody has it: the next one
+      }
+    }
+    throw new IOException(
+        "no port from " + FIRST_PORT + " to " + (FIRST_PORT + PORTS) + " is free");
+  }
+
+  /** Until every relay listens; a relay that ends instead has said why in its log. */
+  private void awaitRelays() throws IOException, InterruptedException {
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
+    for (int i = 0; i < relays.size(); i++) {
+      while (!listens(i)) {
+        if (!relays.get(i).alive() || System.nanoTime() > until) {
+          throw new IOException("relay " + i + " did not start; see " + relays.get(i).log());
         }
-    }
-
-    // The release desk's machines.
-
-    void offer(BuildFault fault, String words) {
-        int build = ++lastBuild;
-        faults.put(build, fault);
-        if (fault.what() == BuildFault.What.SLOWS_ALL) shared.drag(fault.amount());
-        offered.add(new Offered(build, time(), words));
-        if (controller == null) desk.offer(build);
-        else controller.announce(build);
-    }
-
-    @Override
-    public void enter(int build, int stage) {
-        steps.add(new Step(time(), "build " + build + " on trial, stage " + stage));
-        wanted.add(build);
-        long places = Math.max(1, Math.round(site.stages().get(stage).share() * firstUnits.size()));
-        long have = units.values().stream().filter(unit -> unit.build == build && !unit.isDown()).count();
-        for (long i = have; i < places; i++) {
-            Script.Units like = like((int) i);
-            UnitStandIn unit = unit(build, like.zone(), like.cores(), like.speed());
-            loop.at(loop.now().plus(BOOT.times(0.5 + chance.nextDouble())), () -> {
-                if (!wanted.contains(build)) return;
-                start(unit);
+        Thread.sleep(20);
+      }
+    }
+    Thread.sleep((long) SETTLE.ms());
+  }
+
+  private boolean listens(int relay) throws IOException {
+    Path log = relays.get(relay).log();
+    return Files.exists(log) && Files.readString(log).contains(" listens at ");
+  }
+
+  private void begin() {
+    begun = loop.now().plus(LEAD_IN);
+    books.begin(begun);
+    for (Script.Trouble trouble : day.troubles) {
+      Moment at = begun.plus(trouble.at());
+      loop.at(
+          at,
+          () -> {
+            trace.note("TROUBLE", trouble.words());
+            trouble.what().begin(this);
+          });
+      if (trouble.lasts().over(Span.ZERO)) {
+        loop.at(
+            at.plus(trouble.lasts()),
+            () -> {
+              trace.note("OVER", trouble.words());
+              trouble.what().end(this);
             });
+      }
+    }
+    for (List<ClientStandIn> own : clients) {
+      for (ClientStandIn client : own) {
+        client.start();
+      }
+    }
+    out.println(
+        "plays \""
+            + day.name
+            + "\": "
+            + day.relays
+            + " relays, "
+            + firstUnits.size()
+            + " units, "
+            + Math.round(day.perSecond)
+            + " RPCs a second, "
+            + day.lasts.ms() / 1000
+            + " s, seed "
+            + day.seed);
+  }
+
+  private Span time() {
+    return loop.now().since(begun);
+  }
+
+  private void progress(int second) {
+    double[] lately =
+        books.between(
+            Span.ofMs(1000.0 * Math.max(0, second - 6)),
+            Span.ofMs(1000.0 * Math.max(0, second - 1)));
+    StringBuilder now = new StringBuilder();
+    for (Script.Trouble trouble : day.troubles) {
+      boolean on =
+          !trouble.at().over(time())
+              && trouble.at().plus(trouble.lasts().atLeast(Span.ofMs(1000))).over(time());
+      if (on) {
+        now.append(now.length() == 0 ? "  " : "; ").append(trouble.words());
+      }
+    }
+    out.printf(
+        "%3d s  service of late %5.3f  build %d %s stage %d%s%n",
+        second,
+        Books.ratio(lately),
+        controller == null ? desk.build() : controller.newest().build(),
+        (controller == null
+                ? desk.standing().name().toLowerCase(java.util.Locale.ROOT)
+                : controller.newest().standing())
+            .replace('_', ' '),
+        controller == null ? desk.stage() : controller.newest().stage(),
+        now);
+  }
+
+  /** Until every client has what it waits for, or the longest deadline is over. */
+  private void awaitAnswers() throws IOException, InterruptedException {
+    double longest =
+        site.methods().stream().mapToDouble(method -> method.deadline().ms()).max().orElse(0) + 200;
+    long until = System.nanoTime() + (long) (longest * 1e6);
+    int[] open = {1};
+    while (open[0] > 0 && System.nanoTime() < until) {
+      Thread.sleep(50);
+      onLoop(
+          () -> {
+            open[0] = 0;
+            for (int i = 0; i < site.methods().size(); i++) {
+              open[0] += (int) books.column(i).open();
+            }
+          });
+    }
+  }
+
+  private UnitStandIn unit(int build, int zone, int cores, double speed) {
+    int id = lastUnit++;
+    UnitStandIn unit =
+        new UnitStandIn(
+            loop,
+            new TraceWriter(trace, "unit-" + id),
+            limits,
+            id,
+            build,
+            zone,
+            cores,
+            speed,
+            faults.get(build),
+            site,
+            shared,
+            desk::count,
+            chance.nextLong());
+    if (secure != null) {
+      unit.secure(secure, day.tlsEveryone);
+    }
+    units.put(id, unit);
+    return unit;
+  }
+
+  private void list(UnitStandIn unit, Health health) {
+    roster.changed(
+        Entry.newBuilder()
+            .setUnit(unit.id)
+            .setRun(unit.run())
+            .setHost("127.0.0.1")
+            .setPort(unit.port())
+            .setName(secure == null ? "" : Secure.unitName(unit.id))
+            .setZone(unit.zone)
+            .setCell(racks == null ? 0 : racks.cell(unit.id))
+            .setBuild(unit.build)
+            .setHealth(health)
+            .setWeight(unit.cores * unit.speed)
+            .build(),
+        unit.startedCold());
+  }
+
+  // Racks.
+
+  /** Announces a freeze: after {@code in}, or at once where that is null. */
+  void freeze(String rack, Span in, Span lasts) {
+    ObjectNode body =
+        JsonMapper.builder()
+            .build()
+            .createObjectNode()
+            .put("lasts_ms", (long) lasts.ms())
+            .put("emergency", in == null);
+    body.putArray("racks").add(rack);
+    if (in != null) {
+      body.put("from_ms", System.currentTimeMillis() + (long) in.ms());
+    }
+    controller.post("/freezes", body);
+  }
+
+  void callOff(int freeze) {
+    racks.thaw(freeze, units.values());
+    controller.post(
+        "/freezes/" + freeze + "/call-off", JsonMapper.builder().build().createObjectNode());
+  }
+
+  List<String> freezes() {
+    return racks == null ? List.of() : racks.steps();
+  }
+
+  // The real controller's fleet.
+
+  RealController controller() {
+    return controller;
+  }
+
+  /** What it told of each build's steps, at the day's end; and whether it ended in good order. */
+  final List<String> controllerSteps = new ArrayList<>();
+
+  boolean controllerEnded = true;
+
+  /**
+   * What became of each change, and relays that do not run what the controller says; at the day's
+   * end.
+   */
+  final List<String> changes = new ArrayList<>();
+
+  final List<String> strays = new ArrayList<>();
+
+  boolean hasAgents() {
+    return agents != null;
+  }
+
+  /** Others limits, another program, or both; null: as it is. */
+  void change(String limits, String main) {
+    controller.propose(
+        main == null ? null : agents.program(main),
+        limits == null ? null : agents.settings(limits));
+  }
+
+  /** {@code forgets}: all that it noted is gone when it comes back. */
+  void agentDown(int relay, boolean forgets) {
+    try {
+      ((AgentProcess) relays.get(relay)).killAgent(forgets);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  void agentUp(int relay) {
+    try {
+      relays.get(relay).start();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  void controllerDown(boolean killed, boolean on) {
+    try {
+      if (!killed) {
+        controller.hold(on);
+      } else if (on) {
+        controller.kill();
+      } else {
+        controller.start();
+      }
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  int buildOf(int unit) {
+    return units.get(unit).build;
+  }
+
+  /** Starts and drains units until there are as many of each build as the controller wants. */
+  private void fleet(List<RealController.Seen> builds) {
+    for (RealController.Seen one : builds) {
+      List<UnitStandIn> own =
+          units.values().stream()
+              .filter(unit -> unit.build == one.build() && !leaving.contains(unit.id))
+              .toList();
+      boolean gone = one.wanted() == 0 && !one.standing().equals("announced");
+      if (gone) {
+        shared.drag(1);
+        for (UnitStandIn unit : own) {
+          if (!unit.isDown()) {
+            drain(unit.id);
+          }
         }
-    }
-
-    private Script.Units like(int place) {
-        for (Script.Units some : day.units) {
-            if (place < some.count()) return some;
-            place -= some.count();
-        }
-        return day.units.get(0);
-    }
-
-    private void start(UnitStandIn unit) {
-        try {
-            unit.start(true);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+      } else {
+        for (int i = own.size(); i < one.wanted(); i++) {
+          Script.Units like = like(i);
+          UnitStandIn unit = unit(one.build(), like.zone(), like.cores(), like.speed());
+          loop.at(
+              loop.now().plus(BOOT.times(0.5 + chance.nextDouble())),
+              () -> {
+                if (!leaving.contains(unit.id)) {
+                  start(unit);
+                }
+              });
         }
-        if (!unit.hasFallen()) list(unit, Health.READY);
-    }
-
-    @Override
-    public void released(int build) {
-        steps.add(new Step(time(), "build " + build + " released"));
-        for (UnitStandIn unit : List.copyOf(units.values())) if (unit.build < build) drain(unit.id);
-    }
-
-    @Override
-    public void takeOff(int build) {
-        steps.add(new Step(time(), "build " + build + " goes back"));
-        wanted.remove(build);
-        shared.drag(1);
-        // where the earlier machines have gone, new ones of the earlier build come first
-        boolean gone = units.values().stream().noneMatch(unit -> unit.build < build && !unit.isDown() && !leaving.contains(unit.id));
-        if (gone) {
-            for (int i = 0; i < firstUnits.size(); i++) {
-                Script.Units like = like(i);
-                UnitStandIn unit = unit(FIRST_BUILD, like.zone(), like.cores(), like.speed());
-                loop.at(loop.now().plus(BOOT), () -> start(unit));
+      }
+      controller.units(one.build(), (int) own.stream().filter(unit -> !unit.isDown()).count());
+    }
+  }
+
+  // The release desk's machines.
+
+  void offer(BuildFault fault, String words) {
+    int build = ++lastBuild;
+    faults.put(build, fault);
+    if (fault.what() == BuildFault.What.SLOWS_ALL) {
+      shared.drag(fault.amount());
+    }
+    offered.add(new Offered(build, time(), words));
+    if (controller == null) {
+      desk.offer(build);
+    } else {
+      controller.announce(build);
+    }
+  }
+
+  @Override
+  public void enter(int build, int stage) {
+    steps.add(new Step(time(), "build " + build + " on trial, stage " + stage));
+    wanted.add(build);
+    long places = Math.max(1, Math.round(site.stages().get(stage).share() * firstUnits.size()));
+    long have =
+        units.values().stream().filter(unit -> unit.build == build && !unit.isDown()).count();
+    for (long i = have; i < places; i++) {
+      Script.Units like = like((int) i);
+      UnitStandIn unit = unit(build, like.zone(), like.cores(), like.speed());
+      loop.at(
+          loop.now().plus(BOOT.times(0.5 + chance.nextDouble())),
+          () -> {
+            if (!wanted.contains(build)) {
+              return;
             }
-        }
-        Span after = gone ? BOOT.plus(site.cold().lasts()) : Span.ZERO;
-        loop.at(loop.now().plus(after), () -> {
-            for (UnitStandIn unit : List.copyOf(units.values())) if (unit.build == build) drain(unit.id);
+            start(unit);
+          });
+    }
+  }
+
+  private Script.Units like(int place) {
+    for (Script.Units some : day.units) {
+      if (place < some.count()) {
+        return some;
+      }
+      place -= some.count();
+    }
+    return day.units.get(0);
+  }
+
+  private void start(UnitStandIn unit) {
+    try {
+      unit.start(true);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+    if (!unit.hasFallen()) {
+      list(unit, Health.READY);
+    }
+  }
+
+  @Override
+  public void released(int build) {
+    steps.add(new Step(time(), "build " + build + " released"));
+    for (UnitStandIn unit : List.copyOf(units.values())) {
+      if (unit.build < build) {
+        drain(unit.id);
+      }
+    }
+  }
+
+  @Override
+  public void takeOff(int build) {
+    steps.add(new Step(time(), "build " + build + " goes back"));
+    wanted.remove(build);
+    shared.drag(1);
+    // where the earlier machines have gone, new ones of the earlier build come first
+    boolean gone =
+        units.values().stream()
+            .noneMatch(unit -> unit.build < build && !unit.isDown() && !leaving.contains(unit.id));
+    if (gone) {
+      for (int i = 0; i < firstUnits.size(); i++) {
+        Script.Units like = like(i);
+        UnitStandIn unit = unit(FIRST_BUILD, like.zone(), like.cores(), like.speed());
+        loop.at(loop.now().plus(BOOT), () -> start(unit));
+      }
+    }
+    Span after = gone ? BOOT.plus(site.cold().lasts()) : Span.ZERO;
+    loop.at(
+        loop.now().plus(after),
+        () -> {
+          for (UnitStandIn unit : List.copyOf(units.values())) {
+            if (unit.build == build) {
+              drain(unit.id);
+            }
+          }
         });
-    }
-
-    // What befalls units.
-
-    void drain(int id) {
-        UnitStandIn unit = units.get(id);
-        if (unit.isDown() || !leaving.add(id)) return;
-        list(unit, Health.DRAINING);
-        // it turns work away only once the list must have told
-        loop.at(loop.now().plus(day.notice).plus(day.drainGrace), () -> {
-            unit.drain();
-            endOnceDone(unit);
+  }
+
+  // What befalls units.
+
+  void drain(int id) {
+    UnitStandIn unit = units.get(id);
+    if (unit.isDown() || !leaving.add(id)) {
+      return;
+    }
+    list(unit, Health.DRAINING);
+    // it turns work away only once the list must have told
+    loop.at(
+        loop.now().plus(day.notice).plus(day.drainGrace),
+        () -> {
+          unit.drain();
+          endOnceDone(unit);
         });
-    }
-
-    private void endOnceDone(UnitStandIn unit) {
-        if (unit.held() > 0 && !unit.isDown()) {
-            loop.at(loop.now().plus(Span.ofMs(50)), () -> endOnceDone(unit));
-            return;
-        }
-        unit.kill();
-        list(unit, Health.GONE);
-    }
-
-    void die(int id) {
-        units.get(id).kill();
-        list(units.get(id), Health.GONE);
-    }
-
-    void restart(int id, Span within) {
-        UnitStandIn unit = units.get(id);
-        unit.kill();
-        loop.at(loop.now().plus(within), () -> start(unit));
-    }
-
-    void ill(int id, Ill ill, boolean on) {
-        ill.set(units.get(id), on, this);
-    }
-
-    void ill(double share, Ill ill, boolean on) {
-        if (!on) {
-            for (UnitStandIn unit : illOnes.remove(ill)) ill.set(unit, false, this);
-            return;
-        }
-        List<UnitStandIn> there = new ArrayList<>(units.values());
-        there.removeIf(UnitStandIn::isDown);
-        for (int i = there.size(); i > Math.round(share * units.size()); i--) there.remove(chance.nextInt(there.size()));
-        illOnes.put(ill, there);
-        for (UnitStandIn unit : there) ill.set(unit, true, this);
-    }
-
-    /** Another program takes a share of the machine, half of the time. */
-    void neighbour(UnitStandIn unit, double share, boolean on) {
-        int spell = spells.merge(unit, 1, Integer::sum);
-        unit.steal(0);
-        if (on) alternate(unit, spell, true, () -> unit.steal(share), () -> unit.steal(0), Span.ofMs(700), Span.ofMs(700));
-    }
+  }
+
+  private void endOnceDone(UnitStandIn unit) {
+    if (unit.held() > 0 && !unit.isDown()) {
+      loop.at(loop.now().plus(Span.ofMs(50)), () -> endOnceDone(unit));
+      return;
+    }
+    unit.kill();
+    list(unit, Health.GONE);
+  }
+
+  void die(int id) {
+    units.get(id).kill();
+    list(units.get(id), Health.GONE);
+  }
+
+  void restart(int id, Span within) {
+    UnitStandIn unit = units.get(id);
+    unit.kill();
+    loop.at(loop.now().plus(within), () -> start(unit));
+  }
+
+  void ill(int id, Ill ill, boolean on) {
+    ill.set(units.get(id), on, this);
+  }
+
+  void ill(double share, Ill ill, boolean on) {
+    if (!on) {
+      for (UnitStandIn unit : illOnes.remove(ill)) {
+        ill.set(unit, false, this);
+      }
+      return;
+    }
+    List<UnitStandIn> there = new ArrayList<>(units.values());
+    there.removeIf(UnitStandIn::isDown);
+    for (int i = there.size(); i > Math.round(share * units.size()); i--) {
+      there.remove(chance.nextInt(there.size()));
+    }
+    illOnes.put(ill, there);
+    for (UnitStandIn unit : there) {
+      ill.set(unit, true, this);
+    }
+  }
+
+  /** Another program takes a share of the machine, half of the time. */
+  void neighbour(UnitStandIn unit, double share, boolean on) {
+    int spell = spells.merge(unit, 1, Integer::sum);
+    unit.steal(0);
+    if (on) {
+      alternate(
+          unit,
+          spell,
+          true,
+          () -> unit.steal(share),
+          () -> unit.steal(0),
+          Span.ofMs(700),
+          Span.ofMs(700));
+    }
+  }
+
+  void pauses(UnitStandIn unit, Span pause, Span every, boolean on) {
+    int spell = spells.merge(unit, 1, Integer::sum);
+    unit.pause(false);
+    if (on) {
+      alternate(
+          unit,
+          spell,
+          true,
+          () -> unit.pause(true),
+          () -> unit.pause(false),
+          pause,
+          every.minus(pause));
+    }
+  }
+
+  private void alternate(
+      UnitStandIn unit,
+      int spell,
+      boolean begin,
+      Runnable on,
+      Runnable off,
+      Span forOn,
+      Span forOff) {
+    if (spells.get(unit) != spell) {
+      return;
+    }
+    (begin ? on : off).run();
+    loop.at(
+        loop.now().plus(begin ? forOn : forOff),
+        () -> alternate(unit, spell, !begin, on, off, forOn, forOff));
+  }
+
+  void zoneLink(int zone, Span delay, double loses) {
+    for (UnitStandIn unit : units.values()) {
+      if (unit.zone == zone) {
+        unit.link(delay, loses);
+      }
+    }
+  }
+
+  void rotateCertificates() {
+    try {
+      secure.renew();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+    units.values().forEach(UnitStandIn::renewCertificate);
+  }
+
+  /** Both are trusted, then all have new certificates, then only the new root is trusted. */
+  void rotateTrust(Span within) {
+    try {
+      secure.trustNew();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+    loop.at(loop.now().plus(within.times(0.4)), this::rotateCertificates);
+    loop.at(
+        loop.now().plus(within),
+        () -> {
+          try {
+            secure.distrustOld();
+          } catch (IOException e) {
+            throw new UncheckedIOException(e);
+          }
+          units.values().forEach(UnitStandIn::renewCertificate);
+        });
+  }
 
-    void pauses(UnitStandIn unit, Span pause, Span every, boolean on) {
-        int spell = spells.merge(unit, 1, Integer::sum);
-        unit.pause(false);
-        if (on) alternate(unit, spell, true, () -> unit.pause(true), () -> unit.pause(false), pause, every.minus(pause));
-    }
+  // What befalls relays and clients.
 
-    private void alternate(UnitStandIn unit, int spell, boolean begin, Runnable on, Runnable off, Span forOn, Span forOff) {
-        if (spells.get(unit) != spell) return;
-        (begin ? on : off).run();
-        loop.at(loop.now().plus(begin ? forOn : forOff), () -> alternate(unit, spell, !begin, on, off, forOn, forOff));
+  void relayDown(int relay, boolean killed) {
+    if (!killed) {
+      relays.get(relay).down();
+      return;
     }
+    relays.get(relay).kill();
+  }
 
-    void zoneLink(int zone, Span delay, double loses) {
-        for (UnitStandIn unit : units.values()) if (unit.zone == zone) unit.link(delay, loses);
+  /** So many of all, drawn from the day's seed. */
+  List<Integer> someRelays(double share) {
+    List<Integer> all = new ArrayList<>();
+    for (int i = 0; i < relays.size(); i++) {
+      all.add(i);
     }
-
-    void rotateCertificates() {
-        try {
-            secure.renew();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        units.values().forEach(UnitStandIn::renewCertificate);
+    for (int i = all.size(); i > Math.round(share * relays.size()); i--) {
+      all.remove(chance.nextInt(all.size()));
     }
+    return all;
+  }
 
-    /** Both are trusted, then all have new certificates, then only the new root is trusted. */
-    void rotateTrust(Span within) {
-        try {
-            secure.trustNew();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        loop.at(loop.now().plus(within.times(0.4)), this::rotateCertificates);
-        loop.at(loop.now().plus(within), () -> {
-            try {
-                secure.distrustOld();
-            } catch (IOException e) {
-                throw new UncheckedIOException(e);
-            }
-            units.values().forEach(UnitStandIn::renewCertificate);
-        });
+  void relayUp(int relay) {
+    RelayProcess process = relays.get(relay);
+    if (agents != null) {
+      return; // its agent starts it again
     }
-
-    // What befalls relays and clients.
-
-    void relayDown(int relay, boolean killed) {
-        if (!killed) {
-            relays.get(relay).down();
-            return;
-        }
-        relays.get(relay).kill();
+    if (process.alive()) { // it still finishes
+      loop.at(loop.now().plus(Span.ofMs(100)), () -> relayUp(relay));
+      return;
     }
-
-    /** So many of all, drawn from the day's seed. */
-    List<Integer> someRelays(double share) {
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < relays.size(); i++) all.add(i);
-        for (int i = all.size(); i > Math.round(share * relays.size()); i--) all.remove(chance.nextInt(all.size()));
-        return all;
+    try {
+      process.start();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    void relayUp(int relay) {
-        RelayProcess process = relays.get(relay);
-        if (agents != null) return; // its agent starts it again
-        if (process.alive()) { // it still finishes
-            loop.at(loop.now().plus(Span.ofMs(100)), () -> relayUp(relay));
-            return;
-        }
-        try {
-            process.start();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  void relayStalls(int relay, boolean on) {
+    try {
+      relays.get(relay).hold(on);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    void relayStalls(int relay, boolean on) {
-        try {
-            relays.get(relay).hold(on);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-    }
+  void relayBusy(int relay, double times) {
+    clients.get(relay).forEach(client -> client.times(times));
+  }
 
-    void relayBusy(int relay, double times) {
-        clients.get(relay).forEach(client -> client.times(times));
-    }
+  void burst(double times) {
+    clients.forEach(own -> own.forEach(client -> client.times(times)));
+  }
 
-    void burst(double times) {
-        clients.forEach(own -> own.forEach(client -> client.times(times)));
-    }
+  void customerTimes(int customer, double times) {
+    clients.forEach(own -> own.forEach(client -> client.customerTimes(customer, times)));
+  }
 
-    void customerTimes(int customer, double times) {
-        clients.forEach(own -> own.forEach(client -> client.customerTimes(customer, times)));
-    }
+  void rude(boolean on) {
+    clients.forEach(own -> own.forEach(client -> client.rude(on)));
+  }
 
-    void rude(boolean on) {
-        clients.forEach(own -> own.forEach(client -> client.rude(on)));
-    }
+  void rude(int customer, boolean on) {
+    clients.forEach(own -> own.forEach(client -> client.rude(customer, on)));
+  }
 
-    void rude(int customer, boolean on) {
-        clients.forEach(own -> own.forEach(client -> client.rude(customer, on)));
+  /** Each stand-in's own word, to be held against the relays' figures. */
+  private void writeCounts() throws IOException {
+    Map<String, Counts> places = new TreeMap<>();
+    int number = 0;
+    for (List<ClientStandIn> own : clients) {
+      for (ClientStandIn client : own) {
+        places.put("client-" + number++, client.counts());
+      }
     }
-
-    /** Each stand-in's own word, to be held against the relays' figures. */
-    private void writeCounts() throws IOException {
-        Map<String, Counts> places = new TreeMap<>();
-        int number = 0;
-        for (List<ClientStandIn> own : clients) for (ClientStandIn client : own) places.put("client-" + number++, client.counts());
-        for (UnitStandIn unit : units.values()) places.put("unit-" + unit.id, unit.counts());
-        Counts.write(folder.resolve(FleetBook.COUNTS), places);
+    for (UnitStandIn unit : units.values()) {
+      places.put("unit-" + unit.id, unit.counts());
     }
+    Counts.write(folder.resolve(FleetBook.COUNTS), places);
+  }
 
-    /** After the day: how many units were pushed over. */
-    void count() {
-        fallen = (int) units.values().stream().filter(UnitStandIn::hasFallen).count();
-    }
+  /** After the day: how many units were pushed over. */
+  void count() {
+    fallen = (int) units.values().stream().filter(UnitStandIn::hasFallen).count();
+  }
 }
--- a/src/main/java/sprucerock/rehearsal/RacksOfDay.java
+++ b/src/main/java/sprucerock/rehearsal/RacksOfDay.java
@@ -13,72 +13,112 @@
 import sprucerock.trace.TraceWriter;
 
 /**
- * The racks of a day: its units are dealt out to so many a zone, by their numbers; the last of each zone has a notice of a minute, so that
- * relays go on with it when they hear nothing. What the controller says is in force is noted in the trace for each unit, from the moment
- * that it was read until its end by the controller's word, or until the day calls it off.
+ * The racks of a day: its units are dealt out to so many a zone, by their numbers; the last of each
+ * zone has a notice of a minute, so that relays go on with it when they hear nothing. What the
+ * controller says is in force is noted in the trace for each unit, from the moment that it was read
+ * until its end by the controller's word, or until the day calls it off.
  */
 final class RacksOfDay {
-    /** As a line of the script has them. */
-    record Plan(int each, Span notice) {}
+  /** As a line of the script has them. */
+  record Plan(int each, Span notice) {}
 
-    private final Plan plan;
-    private final TraceWriter trace;
-    private final Set<Long> inForce = new HashSet<>();
-    private final Map<Long, List<String>> racks = new HashMap<>();
-    private final List<String> steps = new ArrayList<>();
-    private final Map<Long, String> states = new TreeMap<>();
+  private final Plan plan;
+  private final TraceWriter trace;
+  private final Set<Long> inForce = new HashSet<>();
+  private final Map<Long, List<String>> racks = new HashMap<>();
+  private final List<String> steps = new ArrayList<>();
+  private final Map<Long, String> states = new TreeMap<>();
 
-    RacksOfDay(Plan plan, TraceWriter trace) {
-        this.plan = plan;
-        this.trace = trace;
-    }
+  RacksOfDay(Plan plan, TraceWriter trace) {
+    this.plan = plan;
+    this.trace = trace;
+  }
 
-    int cell(int unit) {
-        return 1 + unit % plan.each();
-    }
+  int cell(int unit) {
+    return 1 + unit % plan.each();
+  }
 
-    private String rack(UnitStandIn unit) {
-        return "z" + unit.zone + "r" + cell(unit.id);
-    }
+  private String rack(UnitStandIn unit) {
+    return "z" + unit.zone + "r" + cell(unit.id);
+  }
 
-    /** For the controller's configuration, and for each relay's. */
-    String controllerXml(Collection<UnitStandIn> first) {
-        Map<String, Integer> counts = new TreeMap<>();
-        Map<String, UnitStandIn> like = new TreeMap<>();
-        for (UnitStandIn unit : first) {
-            counts.merge(rack(unit), 1, Integer::sum);
-            like.put(rack(unit), unit);
-        }
-        StringBuilder xml = new StringBuilder("  <racks notice=\"" + (long) plan.notice().ms() + "ms\" warm=\"1s\" step=\"1s\">\n");
-        counts.forEach((name, count) -> xml.append("    <rack name=\"" + name + "\" zone=\"" + like.get(name).zone + "\" cell=\"" + cell(like.get(name).id) + "\"" + (cell(like.get(name).id) == plan.each() ? " notice=\"60s\"" : "") + "><units kind=\"0\" count=\""
-            + count + "\"/></rack>\n"));
-        return xml.append("  </racks>\n").toString();
+  /** For the controller's configuration, and for each relay's. */
+  String controllerXml(Collection<UnitStandIn> first) {
+    Map<String, Integer> counts = new TreeMap<>();
+    Map<String, UnitStandIn> like = new TreeMap<>();
+    for (UnitStandIn unit : first) {
+      counts.merge(rack(unit), 1, Integer::sum);
+      like.put(rack(unit), unit);
     }
+    StringBuilder xml =
+        new StringBuilder(
+            "  <racks notice=\"" + (long) plan.notice().ms() + "ms\" warm=\"1s\" step=\"1s\">\n");
+    counts.forEach(
+        (name, count) ->
+            xml.append(
+                "    <rack name=\""
+                    + name
+                    + "\" zone=\""
+                    + like.get(name).zone
+                    + "\" cell=\""
+                    + cell(like.get(name).id)
+                    + "\""
+                    + (cell(like.get(name).id) == plan.each() ? " notice=\"60s\"" : "")
+                    + "><units kind=\"0\" count=\""
+                    + count
+                    + "\"/></rack>\n"));
+    return xml.append("  </racks>\n").toString();
+  }
 
-    static String relayXml() {
-        return "  <racks ask-every=\"300ms\"/>\n";
-    }
+  static String relayXml() {
+    return "  <racks ask-every=\"300ms\"/>\n";
+  }
 
-    /** The controller's word about all freezes, on the loop. */
-    void told(List<RealController.Frozen> freezes, Collection<UnitStandIn> units, Span at) {
-        for (RealController.Frozen one : freezes) {
-            racks.put(one.number(), one.racks());
-            if (!one.state().equals(states.put(one.number(), one.state()))) {
-                steps.add(String.format(java.util.Locale.ROOT, "%5.1f s  freeze %d of %s: %s, %s", at.ms() / 1000, one.number(), one.racks(), one.state(), one.cause()));
-            }
-            if (!one.state().equals("in force") || !inForce.add(one.number())) continue;
-            long left = one.toMs() - System.currentTimeMillis();
-            for (UnitStandIn unit : units) if (one.racks().contains(rack(unit))) trace.note("FROZEN", "unit=" + unit.id + " freeze=" + one.number() + " left_us=" + Math.max(0, left) * 1000);
+  /** The controller's word about all freezes, on the loop. */
+  void told(List<RealController.Frozen> freezes, Collection<UnitStandIn> units, Span at) {
+    for (RealController.Frozen one : freezes) {
+      racks.put(one.number(), one.racks());
+      if (!one.state().equals(states.put(one.number(), one.state()))) {
+        steps.add(
+            String.format(
+                java.util.Locale.ROOT,
+                "%5.1f s  freeze %d of %s: %s, %s",
+                at.ms() / 1000,
+                one.number(),
+                one.racks(),
+                one.state(),
+                one.cause()));
+      }
+      if (!one.state().equals("in force") || !inForce.add(one.number())) {
+        continue;
+      }
+      long left = one.toMs() - System.currentTimeMillis();
+      for (UnitStandIn unit : units) {
+        if (one.racks().contains(rack(unit))) {
+          trace.note(
+              "FROZEN",
+              "unit="
+                  + unit.id
+                  + " freeze="
+                  + one.number()
+                  + " left_us="
+                  + Math.max(0, left) * 1000);
         }
+      }
     }
+  }
 
-    /** Before it is called off. */
-    void thaw(long freeze, Collection<UnitStandIn> units) {
-        List<String> named = racks.getOrDefault(freeze, List.of());
-        for (UnitStandIn unit : units) if (named.contains(rack(unit))) trace.note("THAWED", "unit=" + unit.id + " freeze=" + freeze);
+  /** Before it is called off. */
+  void thaw(long freeze, Collection<UnitStandIn> units) {
+    List<String> named = racks.getOrDefault(freeze, List.of());
+    for (UnitStandIn unit : units) {
+      if (named.contains(rack(unit))) {
+        trace.note("THAWED", "unit=" + unit.id + " freeze=" + freeze);
+      }
     }
+  }
 
-    List<String> steps() {
-        return steps;
-    }
+  List<String> steps() {
+    return steps;
+  }
 }
--- a/src/main/java/sprucerock/rehearsal/Rehearsal.java
+++ b/src/main/java/sprucerock/rehearsal/Rehearsal.java
@@ -13,42 +13,75 @@
 
 /** A day from its script to its report. */
 public final class Rehearsal {
-    private Rehearsal() {}
+  private Rehearsal() {}
 
-    /** One line about a script that can be played. */
-    public static String check(Path script) throws IOException, Script.ScriptException {
-        Script day = Script.read(script);
-        return script + ": \"" + day.name + "\", " + day.lasts.ms() / 1000 + " s, " + day.relays + " relays, "
-            + day.troubles.size() + " troubles: in order";
-    }
+  /** One line about a script that can be played. */
+  public static String check(Path script) throws IOException, Script.ScriptException {
+    Script day = Script.read(script);
+    return script
+        + ": \""
+        + day.name
+        + "\", "
+        + day.lasts.ms() / 1000
+        + " s, "
+        + day.relays
+        + " relays, "
+        + day.troubles.size()
+        + " troubles: in order";
+  }
 
-    /** Plays it, and leaves traces, logs and report.txt in a folder. True where rules were kept, figures add up, relays ended well. */
-    public static boolean play(Path script, Path folder, PrintStream out)
-        throws IOException, InterruptedException, Script.ScriptException {
-        Play play = new Play(Script.read(script), folder, out);
-        play.run();
-        play.count();
-        Judge.Verdict verdict = Judge.judge(folder);
-        List<List<SecondBook.Entry>> books = new ArrayList<>();
-        for (int i = 0; i < play.relays().size(); i++) books.add(SecondBook.hold(folder, i));
-        boolean balanced = books.stream().allMatch(book -> book.stream().allMatch(SecondBook.Entry::holds));
-        List<FleetBook.Entry> fleet = FleetBook.hold(folder);
-        balanced &= fleet.stream().allMatch(entry -> entry.unexplained() == 0);
-        balanced &= play.monitor().scrapes() > 0 && play.monitor().wrong().isEmpty();
-        String report = Report.of(play, verdict, books, fleet, returns(play, folder), play.controller() == null ? List.of() : Follow.deliveries(play, folder));
-        Files.writeString(folder.resolve("report.txt"), report);
-        out.print(report);
-        out.println();
-        out.println("traces, logs and this report: " + folder);
-        return play.controllerEnded && play.strays.isEmpty() && verdict.kept() && balanced && play.relays().stream().allMatch(relay -> relay.badEnds() == 0);
+  /**
+   * Plays it, and leaves traces, logs and report.txt in a folder. True where rules were kept,
+   * figures add up, relays ended well.
+   */
+  public static boolean play(Path script, Path folder, PrintStream out)
+      throws IOException, InterruptedException, Script.ScriptException {
+    Play play = new Play(Script.read(script), folder, out);
+    play.run();
+    play.count();
+    Judge.Verdict verdict = Judge.judge(folder);
+    List<List<SecondBook.Entry>> books = new ArrayList<>();
+    for (int i = 0; i < play.relays().size(); i++) {
+      books.add(SecondBook.hold(folder, i));
     }
+    boolean balanced =
+        books.stream().allMatch(book -> book.stream().allMatch(SecondBook.Entry::holds));
+    List<FleetBook.Entry> fleet = FleetBook.hold(folder);
+    balanced &= fleet.stream().allMatch(entry -> entry.unexplained() == 0);
+    balanced &= play.monitor().scrapes() > 0 && play.monitor().wrong().isEmpty();
+    String report =
+        Report.of(
+            play,
+            verdict,
+            books,
+            fleet,
+            returns(play, folder),
+            play.controller() == null ? List.of() : Follow.deliveries(play, folder));
+    Files.writeString(folder.resolve("report.txt"), report);
+    out.print(report);
+    out.println();
+    out.println("traces, logs and this report: " + folder);
+    return play.controllerEnded
+        && play.strays.isEmpty()
+        && verdict.kept()
+        && balanced
+        && play.relays().stream().allMatch(relay -> relay.badEnds() == 0);
+  }
 
-    /** How the day came back from what befell its processes, from the traces of stand-ins and relays. */
-    private static List<Meter.Return> returns(Play play, Path folder) throws IOException {
-        Meter meter = new Meter(play.day().site().methods().stream().map(method -> new Meter.Method(method.soft().ms(), method.utility())).toList());
-        try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(one -> one.toString().endsWith(".trace")).sorted().toList()) Line.read(file).forEach(meter::line);
-        }
-        return meter.returns();
+  /**
+   * How the day came back from what befell its processes, from the traces of stand-ins and relays.
+   */
+  private static List<Meter.Return> returns(Play play, Path folder) throws IOException {
+    Meter meter =
+        new Meter(
+            play.day().site().methods().stream()
+                .map(method -> new Meter.Method(method.soft().ms(), method.utility()))
+                .toList());
+    try (Stream<Path> files = Files.list(folder)) {
+      for (Path file : files.filter(one -> one.toString().endsWith(".trace")).sorted().toList()) {
+        Line.read(file).forEach(meter::line);
+      }
     }
+    return meter.returns();
+  }
 }
--- a/src/main/java/sprucerock/rehearsal/Report.java
+++ b/src/main/java/sprucerock/rehearsal/Report.java
@@ -15,154 +15,287 @@
 
 /** What a day came to, for people: rules, votes, builds, service, and what the troubles cost. */
 final class Report {
-    private static final int MOST_FINDINGS = 20;
-    private static final Span AFTERMATH = Span.ofMs(2000); // queues need about that long to drain
+  private static final int MOST_FINDINGS = 20;
+  private static final Span AFTERMATH = Span.ofMs(2000); // queues need about that long to drain
 
-    private Report() {}
+  private Report() {}
 
-    static String of(Play play, Judge.Verdict verdict, List<List<SecondBook.Entry>> books, List<FleetBook.Entry> fleet, List<Meter.Return> returns, List<String> followed) {
-        StringBuilder text = new StringBuilder();
-        Script day = play.day();
-        line(text, "");
-        line(text, "%s: %.0f s, %d relays, seed %d", day.name, day.lasts.ms() / 1000, day.relays, day.seed);
-        rules(text, verdict, play.fallen());
-        if (!verdict.shared().isEmpty()) line(text, "");
-        for (String one : verdict.shared()) line(text, "%s", one);
-        for (String one : play.freezes()) line(text, "  %s", one);
-        builds(text, play);
-        if (play.controller() == null) votes(text, play);
-        else controller(text, play, followed);
-        if (play.hasAgents()) {
-            line(text, "");
-            line(text, "what relays run");
-            for (String one : play.changes) line(text, "  %s", one);
-            line(text, "  at the end %s", play.strays.isEmpty() ? "each relay runs what the controller says" : "NOT EACH RUNS WHAT THE CONTROLLER SAYS");
-            for (String one : play.strays) line(text, "    %s", one);
-        }
-        service(text, play);
-        troubles(text, play);
-        if (!returns.isEmpty()) {
-            line(text, "");
-            line(text, "coming back: seconds until 95%% of the worth a second before is served in time again for 2 s; 10 s of each looked at");
-            for (Meter.Return one : returns) line(text, "  %s", one);
-        }
-        line(text, "");
-        line(text, "relays");
-        for (int i = 0; i < play.relays().size(); i++) {
-            RelayProcess relay = play.relays().get(i);
-            line(text, "  relay %d: %d runs, %s", i, relay.runs(),
-                relay.badEnds() == 0 ? "ended in good order" : "did not end in good order, see its log");
-        }
-        figures(text, books);
-        if (day.tls) line(text, "  most TLS handshakes that one relay began in a second: %.0f, of %d allowed", play.monitor().mostHandshakesASecond(),
-            day.handshakesASecond);
-        List<String> wrong = play.monitor().wrong();
-        line(text, "  %d scrapes while they ran, %d more met a relay that was down: %s", play.monitor().scrapes(), play.monitor().unanswered(),
-            wrong.isEmpty() ? "every sum holds in each" : "NOT ALL HOLD");
-        for (String one : wrong.subList(0, Math.min(MOST_FINDINGS, wrong.size()))) line(text, "    %s", one);
-        line(text, "");
-        line(text, "figures of all relays against what clients and units counted for themselves");
-        text.append(FleetBook.table(fleet));
-        return text.toString();
+  static String of(
+      Play play,
+      Judge.Verdict verdict,
+      List<List<SecondBook.Entry>> books,
+      List<FleetBook.Entry> fleet,
+      List<Meter.Return> returns,
+      List<String> followed) {
+    StringBuilder text = new StringBuilder();
+    Script day = play.day();
+    line(text, "");
+    line(
+        text,
+        "%s: %.0f s, %d relays, seed %d",
+        day.name,
+        day.lasts.ms() / 1000,
+        day.relays,
+        day.seed);
+    rules(text, verdict, play.fallen());
+    if (!verdict.shared().isEmpty()) {
+      line(text, "");
     }
-
-    /** What differs in full; of what holds only a line. */
-    private static void figures(StringBuilder text, List<List<SecondBook.Entry>> books) {
-        line(text, "");
-        line(text, "figures against the frames that crossed, through all lives of each relay");
-        for (int i = 0; i < books.size(); i++) {
-            boolean holds = books.get(i).stream().allMatch(SecondBook.Entry::holds);
-            SecondBook.Entry calls = books.get(i).get(0);
-            line(text, "  relay %d: %s; %s", i, holds ? "every one accounted for" : "NOT ACCOUNTED FOR", calls);
-            for (SecondBook.Entry entry : books.get(i)) if (!entry.holds() && entry != calls) line(text, "    %s", entry);
-        }
+    for (String one : verdict.shared()) {
+      line(text, "%s", one);
     }
-
-    private static void line(StringBuilder text, String format, Object... values) {
-        text.append(String.format(Locale.ROOT, format, values)).append('\n');
+    for (String one : play.freezes()) {
+      line(text, "  %s", one);
+    }
+    builds(text, play);
+    if (play.controller() == null) {
+      votes(text, play);
+    } else {
+      controller(text, play, followed);
+    }
+    if (play.hasAgents()) {
+      line(text, "");
+      line(text, "what relays run");
+      for (String one : play.changes) {
+        line(text, "  %s", one);
+      }
+      line(
+          text,
+          "  at the end %s",
+          play.strays.isEmpty()
+              ? "each relay runs what the controller says"
+              : "NOT EACH RUNS WHAT THE CONTROLLER SAYS");
+      for (String one : play.strays) {
+        line(text, "    %s", one);
+      }
+    }
+    service(text, play);
+    troubles(text, play);
+    if (!returns.isEmpty()) {
+      line(text, "");
+      line(
+          text,
+          "coming back: seconds until 95%% of the worth a second before is served in time again for 2 s; 10 s of each looked at");
+      for (Meter.Return one : returns) {
+        line(text, "  %s", one);
+      }
+    }
+    line(text, "");
+    line(text, "relays");
+    for (int i = 0; i < play.relays().size(); i++) {
+      RelayProcess relay = play.relays().get(i);
+      line(
+          text,
+          "  relay %d: %d runs, %s",
+          i,
+          relay.runs(),
+          relay.badEnds() == 0 ? "ended in good order" : "did not end in good order, see its log");
+    }
+    figures(text, books);
+    if (day.tls) {
+      line(
+          text,
+          "  most TLS handshakes that one relay began in a second: %.0f, of %d allowed",
+          play.monitor().mostHandshakesASecond(),
+          day.handshakesASecond);
+    }
+    List<String> wrong = play.monitor().wrong();
+    line(
+        text,
+        "  %d scrapes while they ran, %d more met a relay that was down: %s",
+        play.monitor().scrapes(),
+        play.monitor().unanswered(),
+        wrong.isEmpty() ? "every sum holds in each" : "NOT ALL HOLD");
+    for (String one : wrong.subList(0, Math.min(MOST_FINDINGS, wrong.size()))) {
+      line(text, "    %s", one);
     }
+    line(text, "");
+    line(text, "figures of all relays against what clients and units counted for themselves");
+    text.append(FleetBook.table(fleet));
+    return text.toString();
+  }
 
-    private static void rules(StringBuilder text, Judge.Verdict verdict, int fallen) {
-        line(text, "");
-        line(text, "rules %s (%d frames, %d RPCs and %d picks of %d relay runs looked at; relays held up for %d ms by the machine"
-            + " or the day; %d units pushed over)", verdict.kept() ? "kept" : "BROKEN", verdict.frames(), verdict.rpcs(),
-            verdict.picks(), verdict.relayRuns(), verdict.stalledMs(), fallen);
-        for (Finding finding : verdict.findings().subList(0, Math.min(MOST_FINDINGS, verdict.findings().size()))) {
-            line(text, "  %s", finding);
+  /** What differs in full; of what holds only a line. */
+  private static void figures(StringBuilder text, List<List<SecondBook.Entry>> books) {
+    line(text, "");
+    line(text, "figures against the frames that crossed, through all lives of each relay");
+    for (int i = 0; i < books.size(); i++) {
+      boolean holds = books.get(i).stream().allMatch(SecondBook.Entry::holds);
+      SecondBook.Entry calls = books.get(i).get(0);
+      line(
+          text,
+          "  relay %d: %s; %s",
+          i,
+          holds ? "every one accounted for" : "NOT ACCOUNTED FOR",
+          calls);
+      for (SecondBook.Entry entry : books.get(i)) {
+        if (!entry.holds() && entry != calls) {
+          line(text, "    %s", entry);
         }
-        int more = verdict.findings().size() - MOST_FINDINGS;
-        if (more > 0) line(text, "  and %d more", more);
+      }
     }
+  }
 
-    private static void builds(StringBuilder text, Play play) {
-        line(text, "");
-        line(text, "builds");
-        for (Play.Offered one : play.offered) line(text, "  %5.1f s  build %d: %s", one.at().ms() / 1000, one.build(), one.words());
-        for (Play.Step one : play.steps) line(text, "  %5.1f s  %s", one.at().ms() / 1000, one.what());
+  private static void line(StringBuilder text, String format, Object... values) {
+    text.append(String.format(Locale.ROOT, format, values)).append('\n');
+  }
+
+  private static void rules(StringBuilder text, Judge.Verdict verdict, int fallen) {
+    line(text, "");
+    line(
+        text,
+        "rules %s (%d frames, %d RPCs and %d picks of %d relay runs looked at; relays held up for %d ms by the machine"
+            + " or the day; %d units pushed over)",
+        verdict.kept() ? "kept" : "BROKEN",
+        verdict.frames(),
+        verdict.rpcs(),
+        verdict.picks(),
+        verdict.relayRuns(),
+        verdict.stalledMs(),
+        fallen);
+    for (Finding finding :
+        verdict.findings().subList(0, Math.min(MOST_FINDINGS, verdict.findings().size()))) {
+      line(text, "  %s", finding);
+    }
+    int more = verdict.findings().size() - MOST_FINDINGS;
+    if (more > 0) {
+      line(text, "  and %d more", more);
     }
+  }
 
-    private static void votes(StringBuilder text, Play play) {
-        line(text, "");
-        Map<String, Integer> sums = new TreeMap<>();
-        for (DeskStandIn.Ballot one : play.desk().ballots()) {
-            String what = "build " + one.build() + " stage " + one.stage() + ": " + one.say() + " by relay " + one.relay() + ", "
-                + one.taken().name().toLowerCase(Locale.ROOT).replace('_', ' ');
-            sums.merge(what, 1, Integer::sum);
-        }
-        line(text, "votes cast: %d", play.desk().ballots().size());
-        sums.forEach((what, times) -> line(text, "  %s%s", what, times == 1 ? "" : " (" + times + " times)"));
+  private static void builds(StringBuilder text, Play play) {
+    line(text, "");
+    line(text, "builds");
+    for (Play.Offered one : play.offered) {
+      line(text, "  %5.1f s  build %d: %s", one.at().ms() / 1000, one.build(), one.words());
     }
+    for (Play.Step one : play.steps) {
+      line(text, "  %5.1f s  %s", one.at().ms() / 1000, one.what());
+    }
+  }
 
-    private static void controller(StringBuilder text, Play play, List<String> followed) {
-        line(text, "");
-        line(text, "the controller: %d runs, %s; its steps", play.controller().runs(), play.controllerEnded ? "ended in good order" : "DID NOT END IN GOOD ORDER");
-        for (String step : play.controllerSteps) line(text, "  %s", step);
-        line(text, "announcements, each sent until taken and then once more");
-        for (String one : followed) line(text, "  %s", one);
+  private static void votes(StringBuilder text, Play play) {
+    line(text, "");
+    Map<String, Integer> sums = new TreeMap<>();
+    for (DeskStandIn.Ballot one : play.desk().ballots()) {
+      String what =
+          "build "
+              + one.build()
+              + " stage "
+              + one.stage()
+              + ": "
+              + one.say()
+              + " by relay "
+              + one.relay()
+              + ", "
+              + one.taken().name().toLowerCase(Locale.ROOT).replace('_', ' ');
+      sums.merge(what, 1, Integer::sum);
     }
+    line(text, "votes cast: %d", play.desk().ballots().size());
+    sums.forEach(
+        (what, times) -> line(text, "  %s%s", what, times == 1 ? "" : " (" + times + " times)"));
+  }
 
-    private static void service(StringBuilder text, Play play) {
-        Site site = play.day().site();
-        double[] all = play.books.between(Span.ZERO, play.day().lasts.plus(Span.ofMs(1000)));
-        line(text, "");
-        line(text, "service ratio %.3f (utility answered within the soft deadline over utility asked for)", Books.ratio(all));
-        line(text, "  %-16s %7s %7s %7s %7s %7s %7s %7s %7s %7s %7s", "method", "asked", "ok", "late", "wrong", "back", "aborted",
-            "silent", "lost", "left", "tries");
-        for (int i = 0; i < site.methods().size(); i++) {
-            Books.Column column = play.books.column(i);
-            line(text, "  %-16s %7d %7d %7d %7d %7d %7d %7d %7d %7d %7d", site.methods().get(i).name(), column.asked,
-                column.of(End.OK), column.of(End.LATE), column.of(End.WRONG), column.of(End.PUSHED_BACK), column.of(End.ABORTED),
-                column.of(End.UNANSWERED), column.of(End.LOST_WITH_RELAY), column.of(End.LEFT), column.tries);
-        }
+  private static void controller(StringBuilder text, Play play, List<String> followed) {
+    line(text, "");
+    line(
+        text,
+        "the controller: %d runs, %s; its steps",
+        play.controller().runs(),
+        play.controllerEnded ? "ended in good order" : "DID NOT END IN GOOD ORDER");
+    for (String step : play.controllerSteps) {
+      line(text, "  %s", step);
+    }
+    line(text, "announcements, each sent until taken and then once more");
+    for (String one : followed) {
+      line(text, "  %s", one);
     }
+  }
 
-    /** Each trouble's time against the time without any; times that overlap are told with all that went on in them. */
-    private static void troubles(StringBuilder text, Play play) {
-        Script day = play.day();
-        List<Span[]> windows = new ArrayList<>();
-        for (Script.Trouble one : day.troubles) windows.add(window(one, day));
-        double[] clear = new double[2];
-        for (double ms = 0; ms < day.lasts.ms(); ms += 1000) {
-            double at = ms;
-            boolean quiet = windows.stream().noneMatch(window -> window[0].ms() < at + 1000 && window[1].ms() > at);
-            if (!quiet) continue;
-            double[] second = play.books.between(Span.ofMs(ms), Span.ofMs(ms + 1000));
-            clear[0] += second[0];
-            clear[1] += second[1];
-        }
-        double[] all = play.books.between(Span.ZERO, day.lasts);
-        line(text, "");
-        line(text, "what the troubles cost: service in their time and two seconds after, beside %.3f in clear time", Books.ratio(clear));
-        for (int i = 0; i < windows.size(); i++) {
-            double[] in = play.books.between(windows.get(i)[0], windows.get(i)[1]);
-            double points = 100 * (Books.ratio(clear) * in[0] - in[1]) / Math.max(all[0], 1e-9);
-            line(text, "  %5.1f s  %.3f, %+5.2f points of the day  %s", day.troubles.get(i).at().ms() / 1000, Books.ratio(in), -points,
-                day.troubles.get(i).words());
-        }
+  private static void service(StringBuilder text, Play play) {
+    Site site = play.day().site();
+    double[] all = play.books.between(Span.ZERO, play.day().lasts.plus(Span.ofMs(1000)));
+    line(text, "");
+    line(
+        text,
+        "service ratio %.3f (utility answered within the soft deadline over utility asked for)",
+        Books.ratio(all));
+    line(
+        text,
+        "  %-16s %7s %7s %7s %7s %7s %7s %7s %7s %7s %7s",
+        "method",
+        "asked",
+        "ok",
+        "late",
+        "wrong",
+        "back",
+        "aborted",
+        "silent",
+        "lost",
+        "left",
+        "tries");
+    for (int i = 0; i < site.methods().size(); i++) {
+      Books.Column column = play.books.column(i);
+      line(
+          text,
+          "  %-16s %7d %7d %7d %7d %7d %7d %7d %7d %7d %7d",
+          site.methods().get(i).name(),
+          column.asked,
+          column.of(End.OK),
+          column.of(End.LATE),
+          column.of(End.WRONG),
+          column.of(End.PUSHED_BACK),
+          column.of(End.ABORTED),
+          column.of(End.UNANSWERED),
+          column.of(End.LOST_WITH_RELAY),
+          column.of(End.LEFT),
+          column.tries);
     }
+  }
 
-    private static Span[] window(Script.Trouble one, Script day) {
-        Span end = one.at().plus(one.lasts()).plus(AFTERMATH);
-        return new Span[] {one.at(), end.atMost(day.lasts)};
+  /**
+   * Each trouble's time against the time without any; times that overlap are told with all that
+   * went on in them.
+   */
+  private static void troubles(StringBuilder text, Play play) {
+    Script day = play.day();
+    List<Span[]> windows = new ArrayList<>();
+    for (Script.Trouble one : day.troubles) {
+      windows.add(window(one, day));
+    }
+    double[] clear = new double[2];
+    for (double ms = 0; ms < day.lasts.ms(); ms += 1000) {
+      double at = ms;
+      boolean quiet =
+          windows.stream().noneMatch(window -> window[0].ms() < at + 1000 && window[1].ms() > at);
+      if (!quiet) {
+        continue;
+      }
+      double[] second = play.books.between(Span.ofMs(ms), Span.ofMs(ms + 1000));
+      clear[0] += second[0];
+      clear[1] += second[1];
     }
+    double[] all = play.books.between(Span.ZERO, day.lasts);
+    line(text, "");
+    line(
+        text,
+        "what the troubles cost: service in their time and two seconds after, beside %.3f in clear time",
+        Books.ratio(clear));
+    for (int i = 0; i < windows.size(); i++) {
+      double[] in = play.books.between(windows.get(i)[0], windows.get(i)[1]);
+      double points = 100 * (Books.ratio(clear) * in[0] - in[1]) / Math.max(all[0], 1e-9);
+      line(
+          text,
+          "  %5.1f s  %.3f, %+5.2f points of the day  %s",
+          day.troubles.get(i).at().ms() / 1000,
+          Books.ratio(in),
+          -points,
+          day.troubles.get(i).words());
+    }
+  }
+
+  private static Span[] window(Script.Trouble one, Script day) {
+    Span end = one.at().plus(one.lasts()).plus(AFTERMATH);
+    return new Span[] {one.at(), end.atMost(day.lasts)};
+  }
 }
--- a/src/main/java/sprucerock/rehearsal/SecondBook.java
+++ b/src/main/java/sprucerock/rehearsal/SecondBook.java
@@ -1,7 +1,6 @@
 package sprucerock.rehearsal;
 
 import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -20,115 +19,157 @@
 import sprucerock.wire.v1.Result;
 
 /**
- * Holds each relay's figures against what crossed its links, to the last RPC, through all its lives. The two are kept apart:
- * the ledger posts what it was told, the trace has the frames. A turn's frames are written down just before its postings
- * count, so a kill may leave the frames of its last turn without postings, and never the reverse.
+ * Holds each relay's figures against what crossed its links, to the last RPC, through all its
+ * lives. The two are kept apart: the ledger posts what it was told, the trace has the frames. A
+ * turn's frames are written down just before its postings count, so a kill may leave the frames of
+ * its last turn without postings, and never the reverse.
  */
 final class SecondBook {
-    /** A line that was held against another. */
-    record Entry(String what, long figures, long frames, long cutOff, boolean holds) {
-        @Override
-        public String toString() {
-            return what + " " + figures + ", crossed " + frames + (holds && cutOff > 0 ? ", " + cutOff + " in turns that a kill cut off" : "")
-                + (holds ? "" : ": DIFFERS");
-        }
+  /** A line that was held against another. */
+  record Entry(String what, long figures, long frames, long cutOff, boolean holds) {
+    @Override
+    public String toString() {
+      return what
+          + " "
+          + figures
+          + ", crossed "
+          + frames
+          + (holds && cutOff > 0 ? ", " + cutOff + " in turns that a kill cut off" : "")
+          + (holds ? "" : ": DIFFERS");
     }
+  }
 
-    static final String CALLS = "calls received";
-    static final String OK = "answered ok";
-    static final String BACK = "pushed back or turned away";
-    static final String ABORTED = "aborted or refused";
-    static final String WORKS = "picks written to units";
-    static final String DONE = "results ok";
-    static final String ERROR = "results error";
-    static final String FULL = "results full";
-    static final String LEFT = "RPCs whose clients left, by frame or with their links";
-    private static final long LAST_TURN_US = 20_000; // a turn is far shorter; kills are seconds apart
+  static final String CALLS = "calls received";
+  static final String OK = "answered ok";
+  static final String BACK = "pushed back or turned away";
+  static final String ABORTED = "aborted or refused";
+  static final String WORKS = "picks written to units";
+  static final String DONE = "results ok";
+  static final String ERROR = "results error";
+  static final String FULL = "results full";
+  static final String LEFT = "RPCs whose clients left, by frame or with their links";
+  private static final long LAST_TURN_US = 20_000; // a turn is far shorter; kills are seconds apart
 
-    private SecondBook() {}
+  private SecondBook() {}
 
-    /** Relay by relay; a relay without figures differs. */
-    static List<Entry> hold(Path folder, int relay) throws IOException {
-        Snapshot snapshot;
-        Accounts accounts;
-        try {
-            snapshot = Snapshot.read(folder.resolve("relay-" + relay + ".figures"));
-            accounts = snapshot.accounts();
-        } catch (Snapshot.BadFileException e) {
-            return List.of(new Entry(e.getMessage(), 0, 1, 0, false));
-        }
-        long[] calls = new long[2];
-        long[] ok = new long[2];
-        long[] back = new long[2];
-        long[] aborted = new long[2];
-        long[] works = new long[2];
-        long[][] results = new long[Result.values().length][2];
-        long[] votes = new long[2];
-        long[] told = new long[2];
-        long[] left = new long[2];
-        for (Path trace : RelayProcess.traces(folder, relay)) {
-            List<Line> lines = Line.read(trace);
-            boolean ended = lines.stream().anyMatch(line -> line.isNote("END"));
-            long cutFrom = ended || lines.isEmpty() ? Long.MAX_VALUE : lines.get(lines.size() - 1).us() - LAST_TURN_US;
-            Set<String> open = new HashSet<>();
-            for (Line line : lines) {
-                int late = line.us() >= cutFrom ? 1 : 0;
-                if (line.is('<', Kind.CALL)) {
-                    add(calls, late);
-                    open.add(line.link() + "/" + line.head(Call.getDefaultInstance()).getId());
-                } else if (line.is('<', Kind.LEAVE)) {
-                    // one whose answer was on its way already leaves nothing
-                    if (open.remove(line.link() + "/" + line.head(Leave.getDefaultInstance()).getId())) add(left, late);
-                } else if (line.way() == 'x') {
-                    String link = line.link() + "/";
-                    for (String one : List.copyOf(open)) if (one.startsWith(link) && open.remove(one)) add(left, late);
-                }
-                if (line.is('>', Kind.WORK)) add(works, late);
-                else if (line.is('<', Kind.DONE)) add(results[line.head(Done.getDefaultInstance()).getResult().ordinal()], late);
-                else if (line.is('>', Kind.VOTE)) add(votes, late);
-                else if (line.is('>', Kind.TOLD)) add(told, late);
-                else if (line.is('>', Kind.ANSWER)) {
-                    Answer answer = line.head(Answer.getDefaultInstance());
-                    Ending ending = answer.getEnding();
-                    open.remove(line.link() + "/" + answer.getId());
-                    add(ending == Ending.OK ? ok : ending == Ending.PUSHED_BACK ? back : aborted, late);
-                }
+  /** Relay by relay; a relay without figures differs. */
+  static List<Entry> hold(Path folder, int relay) throws IOException {
+    Snapshot snapshot;
+    Accounts accounts;
+    try {
+      snapshot = Snapshot.read(folder.resolve("relay-" + relay + ".figures"));
+      accounts = snapshot.accounts();
+    } catch (Snapshot.BadFileException e) {
+      return List.of(new Entry(e.getMessage(), 0, 1, 0, false));
+    }
+    long[] calls = new long[2];
+    long[] ok = new long[2];
+    long[] back = new long[2];
+    long[] aborted = new long[2];
+    long[] works = new long[2];
+    long[][] results = new long[Result.values().length][2];
+    long[] votes = new long[2];
+    long[] told = new long[2];
+    long[] left = new long[2];
+    for (Path trace : RelayProcess.traces(folder, relay)) {
+      List<Line> lines = Line.read(trace);
+      boolean ended = lines.stream().anyMatch(line -> line.isNote("END"));
+      long cutFrom =
+          ended || lines.isEmpty()
+              ? Long.MAX_VALUE
+              : lines.get(lines.size() - 1).us() - LAST_TURN_US;
+      Set<String> open = new HashSet<>();
+      for (Line line : lines) {
+        int late = line.us() >= cutFrom ? 1 : 0;
+        if (line.is('<', Kind.CALL)) {
+          add(calls, late);
+          open.add(line.link() + "/" + line.head(Call.getDefaultInstance()).getId());
+        } else if (line.is('<', Kind.LEAVE)) {
+          // one whose answer was on its way already leaves nothing
+          if (open.remove(line.link() + "/" + line.head(Leave.getDefaultInstance()).getId())) {
+            add(left, late);
+          }
+        } else if (line.way() == 'x') {
+          String link = line.link() + "/";
+          for (String one : List.copyOf(open)) {
+            if (one.startsWith(link) && open.remove(one)) {
+              add(left, late);
             }
+          }
+        }
+        if (line.is('>', Kind.WORK)) {
+          add(works, late);
+        } else if (line.is('<', Kind.DONE)) {
+          add(results[line.head(Done.getDefaultInstance()).getResult().ordinal()], late);
+        } else if (line.is('>', Kind.VOTE)) {
+          add(votes, late);
+        } else if (line.is('>', Kind.TOLD)) {
+          add(told, late);
+        } else if (line.is('>', Kind.ANSWER)) {
+          Answer answer = line.head(Answer.getDefaultInstance());
+          Ending ending = answer.getEnding();
+          open.remove(line.link() + "/" + answer.getId());
+          add(ending == Ending.OK ? ok : ending == Ending.PUSHED_BACK ? back : aborted, late);
         }
-        long[] v = snapshot.values;
-        List<Entry> found = new ArrayList<>();
-        found.add(same(CALLS, v[accounts.calls.index(0, 0)], calls));
-        found.add(same(OK, sum(accounts.rpcs, v, 1), ok));
-        found.add(same(BACK, sum(accounts.rpcs, v, 2) + v[accounts.calls.index(0, 2)], back));
-        found.add(same(ABORTED, sum(accounts.rpcs, v, 3) + v[accounts.calls.index(0, 3)], aborted));
-        found.add(same("messages sent", v[accounts.messages.index(0, 1)], told));
-        found.add(same(WORKS, v[accounts.frames.index(0, 1)], works));
-        found.add(same(DONE, sum(accounts.picks, v, 1) + v[accounts.lateResults.index(0, 1)], results[Result.DONE.ordinal()]));
-        found.add(same(ERROR, sum(accounts.picks, v, 2) + v[accounts.lateResults.index(0, 2)], results[Result.ERROR.ordinal()]));
-        found.add(same(FULL, sum(accounts.picks, v, 3) + v[accounts.lateResults.index(0, 3)], results[Result.FULL.ordinal()]));
-        long cast = v[accounts.votes.index(0, 0)];
-        long unanswered = v[accounts.votes.index(0, 5)] + v[accounts.votes.index(0, accounts.votes.lost())];
-        found.add(new Entry("votes cast, " + unanswered + " of them unanswered", cast, votes[0], votes[1],
+      }
+    }
+    long[] v = snapshot.values;
+    List<Entry> found = new ArrayList<>();
+    found.add(same(CALLS, v[accounts.calls.index(0, 0)], calls));
+    found.add(same(OK, sum(accounts.rpcs, v, 1), ok));
+    found.add(same(BACK, sum(accounts.rpcs, v, 2) + v[accounts.calls.index(0, 2)], back));
+    found.add(same(ABORTED, sum(accounts.rpcs, v, 3) + v[accounts.calls.index(0, 3)], aborted));
+    found.add(same("messages sent", v[accounts.messages.index(0, 1)], told));
+    found.add(same(WORKS, v[accounts.frames.index(0, 1)], works));
+    found.add(
+        same(
+            DONE,
+            sum(accounts.picks, v, 1) + v[accounts.lateResults.index(0, 1)],
+            results[Result.DONE.ordinal()]));
+    found.add(
+        same(
+            ERROR,
+            sum(accounts.picks, v, 2) + v[accounts.lateResults.index(0, 2)],
+            results[Result.ERROR.ordinal()]));
+    found.add(
+        same(
+            FULL,
+            sum(accounts.picks, v, 3) + v[accounts.lateResults.index(0, 3)],
+            results[Result.FULL.ordinal()]));
+    long cast = v[accounts.votes.index(0, 0)];
+    long unanswered =
+        v[accounts.votes.index(0, 5)] + v[accounts.votes.index(0, accounts.votes.lost())];
+    found.add(
+        new Entry(
+            "votes cast, " + unanswered + " of them unanswered",
+            cast,
+            votes[0],
+            votes[1],
             votes[0] <= cast + votes[1] && cast - unanswered <= votes[0]));
-        found.add(same(LEFT, sum(accounts.rpcs, v, 4), left));
-        for (Accounts.Drift drift : accounts.check(v)) found.add(new Entry(drift.toString(), drift.left(), drift.right(), 0, false));
-        return found;
+    found.add(same(LEFT, sum(accounts.rpcs, v, 4), left));
+    for (Accounts.Drift drift : accounts.check(v)) {
+      found.add(new Entry(drift.toString(), drift.left(), drift.right(), 0, false));
     }
+    return found;
+  }
 
-    private static void add(long[] count, int late) {
-        count[0]++;
-        count[1] += late;
-    }
+  private static void add(long[] count, int late) {
+    count[0]++;
+    count[1] += late;
+  }
 
-    /** A column over all rows. */
-    static long sum(Sheet sheet, long[] values, int column) {
-        long sum = 0;
-        for (int row = 0; row < sheet.rows(); row++) sum += values[sheet.index(row, column)];
-        return sum;
+  /** A column over all rows. */
+  static long sum(Sheet sheet, long[] values, int column) {
+    long sum = 0;
+    for (int row = 0; row < sheet.rows(); row++) {
+      sum += values[sheet.index(row, column)];
     }
+    return sum;
+  }
 
-    private static Entry same(String what, long figures, long[] frames) {
-        long missing = frames[0] - figures;
-        return new Entry(what, figures, frames[0], Math.max(0, missing), missing >= 0 && missing <= frames[1]);
-    }
+  private static Entry same(String what, long figures, long[] frames) {
+    long missing = frames[0] - figures;
+    return new Entry(
+        what, figures, frames[0], Math.max(0, missing), missing >= 0 && missing <= frames[1]);
+  }
 }
--- a/src/main/java/sprucerock/relay/ClientLink.java
+++ b/src/main/java/sprucerock/relay/ClientLink.java
@@ -17,87 +17,120 @@
 import sprucerock.wire.v1.Role;
 import sprucerock.wire.v1.Seen;
 
-/** A connection that somebody made to this relay: a client's, or another relay's with messages for the module. */
+/**
+ * A connection that somebody made to this relay: a client's, or another relay's with messages for
+ * the module.
+ */
 final class ClientLink implements FrameUser {
-    static final byte[] NO_BODY = {};
+  static final byte[] NO_BODY = {};
 
-    private final Relay relay;
-    private final Map<Long, Asked> open = new LinkedHashMap<>();
-    private FrameLink link;
-    private TlsLink by;
-    private boolean peer;
-    private boolean closed;
+  private final Relay relay;
+  private final Map<Long, Asked> open = new LinkedHashMap<>();
+  private FrameLink link;
+  private TlsLink by;
+  private boolean peer;
+  private boolean closed;
 
-    ClientLink(Relay relay) {
-        this.relay = relay;
-    }
+  ClientLink(Relay relay) {
+    this.relay = relay;
+  }
 
-    int open() {
-        return open.size();
-    }
+  int open() {
+    return open.size();
+  }
 
-    /** It came over TLS. */
-    void by(TlsLink over) {
-        by = over;
-    }
+  /** It came over TLS. */
+  void by(TlsLink over) {
+    by = over;
+  }
 
-    @Override
-    public void greeted(FrameLink made, Hello other) {
-        link = made;
-        peer = other.getRole() == Role.RELAY;
-        if (peer && !relay.proven(other.getNumber(), by)) made.cut("its certificate is not that of relay " + other.getNumber());
-        if (!peer && other.getRole() != Role.CLIENT) made.cut("only clients and relays are taken here");
+  @Override
+  public void greeted(FrameLink made, Hello other) {
+    link = made;
+    peer = other.getRole() == Role.RELAY;
+    if (peer && !relay.proven(other.getNumber(), by)) {
+      made.cut("its certificate is not that of relay " + other.getNumber());
+    }
+    if (!peer && other.getRole() != Role.CLIENT) {
+      made.cut("only clients and relays are taken here");
     }
+  }
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-        if (peer && kind == Kind.TOLD) relay.peerTold(link.other().getNumber(), body);
-        else if (peer && kind == Kind.SEEN) relay.peerSaw((Seen) head);
-        else if (peer && relay.aboutHardware(link.other().getNumber(), kind, head)) return;
-        else if (peer) link.cut("a relay sends no " + kind + " here");
-        else if (kind == Kind.CALL) call((Call) head, body);
-        else if (kind == Kind.LEAVE) leave((Leave) head);
-        else if (kind == Kind.FLAG) relay.flagged(((Flag) head).getUnit(), ((Flag) head).getAgoUs());
-        else link.cut("a client sends no " + kind);
+  @Override
+  public void frame(Kind kind, MessageLite head, byte[] body) {
+    if (peer && kind == Kind.TOLD) {
+      relay.peerTold(link.other().getNumber(), body);
+    } else if (peer && kind == Kind.SEEN) {
+      relay.peerSaw((Seen) head);
+    } else if (peer && relay.aboutHardware(link.other().getNumber(), kind, head)) {
+      return;
+    } else if (peer) {
+      link.cut("a relay sends no " + kind + " here");
+    } else if (kind == Kind.CALL) {
+      call((Call) head, body);
+    } else if (kind == Kind.LEAVE) {
+      leave((Leave) head);
+    } else if (kind == Kind.FLAG) {
+      relay.flagged(((Flag) head).getUnit(), ((Flag) head).getAgoUs());
+    } else {
+      link.cut("a client sends no " + kind);
     }
+  }
 
-    private void call(Call call, byte[] body) {
-        if (open.containsKey(call.getId())) {
-            link.cut("RPC id " + call.getId() + " is still open");
-            return;
-        }
-        Asked asked = new Asked(this, call.getId(), call.getToken(), body);
-        open.put(asked.id, asked);
-        relay.called(asked, call);
+  private void call(Call call, byte[] body) {
+    if (open.containsKey(call.getId())) {
+      link.cut("RPC id " + call.getId() + " is still open");
+      return;
     }
+    Asked asked = new Asked(this, call.getId(), call.getToken(), body);
+    open.put(asked.id, asked);
+    relay.called(asked, call);
+  }
 
-    private void leave(Leave leave) {
-        Asked asked = open.remove(leave.getId());
-        if (asked != null) relay.left(asked); // else its answer is on the way
+  private void leave(Leave leave) {
+    Asked asked = open.remove(leave.getId());
+    if (asked != null) {
+      relay.left(asked); // else its answer is on the way
     }
+  }
 
-    /** The one final answer. */
-    void answer(Asked asked, Ending ending, long waitUs, long unit, byte[] body) {
-        asked.over();
-        if (closed || !open.remove(asked.id, asked)) return;
-        link.send(Kind.ANSWER, Answer.newBuilder().setId(asked.id).setEnding(ending).setWaitUs(waitUs).setUnit(unit)
-            .build(), body);
+  /** The one final answer. */
+  void answer(Asked asked, Ending ending, long waitUs, long unit, byte[] body) {
+    asked.over();
+    if (closed || !open.remove(asked.id, asked)) {
+      return;
     }
+    link.send(
+        Kind.ANSWER,
+        Answer.newBuilder()
+            .setId(asked.id)
+            .setEnding(ending)
+            .setWaitUs(waitUs)
+            .setUnit(unit)
+            .build(),
+        body);
+  }
 
-    @Override
-    public void closed(String why) {
-        closed = true;
-        for (Asked asked : new ArrayList<>(open.values())) relay.left(asked);
-        open.clear();
-        relay.gone(this, peer, why);
+  @Override
+  public void closed(String why) {
+    closed = true;
+    for (Asked asked : new ArrayList<>(open.values())) {
+      relay.left(asked);
     }
+    open.clear();
+    relay.gone(this, peer, why);
+  }
 
-    /** The relay's time is over: each open RPC gets an answer that promises nothing. */
-    void abortAll() {
-        for (Asked asked : new ArrayList<>(open.values())) relay.abort(asked);
+  /** The relay's time is over: each open RPC gets an answer that promises nothing. */
+  void abortAll() {
+    for (Asked asked : new ArrayList<>(open.values())) {
+      relay.abort(asked);
     }
+  }
 
-    void finish() {
-        if (link != null) link.finish();
+  void finish() {
+    if (link != null) {
+      link.finish();
     }
+  }
 }
--- a/src/main/java/sprucerock/relay/DeskLink.java
+++ b/src/main/java/sprucerock/relay/DeskLink.java
@@ -32,162 +32,237 @@
 import sprucerock.wire.v1.Voted;
 import sprucerock.wire.v1.Worth;
 
-/** News and counts of the release desk, told to the ledger; and the module's votes, each with one answer or none in time. */
+/**
+ * News and counts of the release desk, told to the ledger; and the module's votes, each with one
+ * answer or none in time.
+ */
 public final class DeskLink implements FrameUser {
-    private final Net net;
-    private final RelayConfig config;
-    private final Ledger ledger;
-    private final Events events;
-    private final Consumer<Reply> answered;
-    private final Redial redial;
-    private final Map<Long, Timer> votes = new HashMap<>();
-    private final Runnable learnt;
-    private final Consumer<Promised> promised;
-    private long lastVote;
-    private long epoch;
-    private long sequence;
-    private boolean told;
-    private boolean stopping;
-
-    /** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */
-    public DeskLink(Net net, RelayConfig config, Hello mine, Tap tap, Ledger ledger, Events events, Chance chance,
-        Consumer<Reply> answered, Consumer<Promised> promised, Runnable learnt) {
-        this.promised = promised;
-        this.learnt = learnt;
-        this.net = net;
-        this.config = config;
-        this.ledger = ledger;
-        this.events = events;
-        this.answered = answered;
-        redial = new Redial(net, config.desk, mine, config.link, tap, chance, this);
-    }
+  private final Net net;
+  private final RelayConfig config;
+  private final Ledger ledger;
+  private final Events events;
+  private final Consumer<Reply> answered;
+  private final Redial redial;
+  private final Map<Long, Timer> votes = new HashMap<>();
+  private final Runnable learnt;
+  private final Consumer<Promised> promised;
+  private long lastVote;
+  private long epoch;
+  private long sequence;
+  private boolean told;
+  private boolean stopping;
 
-    public void start() {
-        redial.dial();
-    }
+  /** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */
+  public DeskLink(
+      Net net,
+      RelayConfig config,
+      Hello mine,
+      Tap tap,
+      Ledger ledger,
+      Events events,
+      Chance chance,
+      Consumer<Reply> answered,
+      Consumer<Promised> promised,
+      Runnable learnt) {
+    this.promised = promised;
+    this.learnt = learnt;
+    this.net = net;
+    this.config = config;
+    this.ledger = ledger;
+    this.events = events;
+    this.answered = answered;
+    redial = new Redial(net, config.desk, mine, config.link, tap, chance, this);
+  }
 
-    public void stop() {
-        stopping = true;
-        redial.stop();
-    }
+  public void start() {
+    redial.dial();
+  }
 
-    /** News has come since the start. */
-    public boolean told() {
-        return told;
-    }
+  public void stop() {
+    stopping = true;
+    redial.stop();
+  }
 
-    void tell(Worth worth) {
-        redial.send(Kind.WORTH, worth, ClientLink.NO_BODY);
-    }
+  /** News has come since the start. */
+  public boolean told() {
+    return told;
+  }
 
-    /** False where the desk is away. */
-    public boolean ask(PromiseAsk ask) {
-        return redial.send(Kind.PROMISE_ASK, ask, ClientLink.NO_BODY);
-    }
+  void tell(Worth worth) {
+    redial.send(Kind.WORTH, worth, ClientLink.NO_BODY);
+  }
 
-    /** Ends in one answer, or in none within the time that the settings have. */
-    public void vote(Build build, int stage, Verdict verdict) {
-        long id = ++lastVote;
-        Accounts accounts = ledger.accounts();
-        accounts.begin(accounts.votes, 0, accounts.votes.pending());
-        Say say = switch (verdict) {
-            case NONE -> Say.NOTHING;
-            case ON -> Say.ON;
-            case HOLD -> Say.HOLD;
-            case BACK -> Say.BACK;
+  /** False where the desk is away. */
+  public boolean ask(PromiseAsk ask) {
+    return redial.send(Kind.PROMISE_ASK, ask, ClientLink.NO_BODY);
+  }
+
+  /** Ends in one answer, or in none within the time that the settings have. */
+  public void vote(Build build, int stage, Verdict verdict) {
+    long id = ++lastVote;
+    Accounts accounts = ledger.accounts();
+    accounts.begin(accounts.votes, 0, accounts.votes.pending());
+    Say say =
+        switch (verdict) {
+          case NONE -> Say.NOTHING;
+          case ON -> Say.ON;
+          case HOLD -> Say.HOLD;
+          case BACK -> Say.BACK;
         };
-        redial.send(Kind.VOTE, Vote.newBuilder().setId(id).setBuild(build.number).setStage(stage).setSay(say).build(),
-            ClientLink.NO_BODY);
-        // one that could not be sent is not answered either: to the module the desk is away in both cases
-        votes.put(id, net.at(net.now().plus(config.settings.callTimeout), () -> {
-            votes.remove(id);
-            events.warn(Events.Kind.VOTE_UNANSWERED, "vote " + verdict + " on build " + build.number + " within "
-                + config.settings.callTimeout.ms() + " ms; it may count");
-            count(5);
-            answered.accept(Reply.UNANSWERED);
-        }));
-    }
+    redial.send(
+        Kind.VOTE,
+        Vote.newBuilder().setId(id).setBuild(build.number).setStage(stage).setSay(say).build(),
+        ClientLink.NO_BODY);
+    // one that could not be sent is not answered either: to the module the desk is away in both
+    // cases
+    votes.put(
+        id,
+        net.at(
+            net.now().plus(config.settings.callTimeout),
+            () -> {
+              votes.remove(id);
+              events.warn(
+                  Events.Kind.VOTE_UNANSWERED,
+                  "vote "
+                      + verdict
+                      + " on build "
+                      + build.number
+                      + " within "
+                      + config.settings.callTimeout.ms()
+                      + " ms; it may count");
+              count(5);
+              answered.accept(Reply.UNANSWERED);
+            }));
+  }
 
-    @Override
-    public void greeted(FrameLink link, Hello other) {
-        if (other.getRole() != Role.DESK) {
-            redial.cut("no release desk answers there");
-            return;
-        }
-        events.info(Events.Kind.DESK_BACK, "linked to the release desk at " + config.desk);
+  @Override
+  public void greeted(FrameLink link, Hello other) {
+    if (other.getRole() != Role.DESK) {
+      redial.cut("no release desk answers there");
+      return;
     }
+    events.info(Events.Kind.DESK_BACK, "linked to the release desk at " + config.desk);
+  }
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-        if (kind == Kind.NEWS) news((News) head);
-        else if (kind == Kind.COUNTS) counts((Counts) head);
-        else if (kind == Kind.VOTED) voted((Voted) head);
-        else if (kind == Kind.PROMISED) promised.accept((Promised) head);
-        else redial.cut("a release desk sends no " + kind);
+  @Override
+  public void frame(Kind kind, MessageLite head, byte[] body) {
+    if (kind == Kind.NEWS) {
+      news((News) head);
+    } else if (kind == Kind.COUNTS) {
+      counts((Counts) head);
+    } else if (kind == Kind.VOTED) {
+      voted((Voted) head);
+    } else if (kind == Kind.PROMISED) {
+      promised.accept((Promised) head);
+    } else {
+      redial.cut("a release desk sends no " + kind);
     }
+  }
 
-    private void news(News news) {
-        Standing standing = switch (news.getStanding()) {
-            case ON_TRIAL -> Standing.ON_TRIAL;
-            case GOING_BACK -> Standing.GOING_BACK;
-            case RELEASED -> Standing.RELEASED;
-            case WITHDRAWN -> Standing.WITHDRAWN;
-            default -> null;
+  private void news(News news) {
+    Standing standing =
+        switch (news.getStanding()) {
+          case ON_TRIAL -> Standing.ON_TRIAL;
+          case GOING_BACK -> Standing.GOING_BACK;
+          case RELEASED -> Standing.RELEASED;
+          case WITHDRAWN -> Standing.WITHDRAWN;
+          default -> null;
         };
-        boolean known = standing != null && news.getCap() >= 0 && news.getCap() <= 1 && news.getBuild() >>> 16 == 0
-            && news.getStage() >= 0 && news.getStage() <= config.settings.caps.size();
-        if (!known) {
-            events.warn(Events.Kind.NEWS_REFUSED, "build " + news.getBuild() + ", stage " + news.getStage() + ", cap "
-                + news.getCap() + ": no such standing, stage or cap; what was known holds");
-            return;
-        }
-        // guards against a controller that was replaced and does not know it, and against news that was long on its way
-        boolean old = news.getEpoch() < epoch || news.getEpoch() == epoch && news.getSequence() < sequence;
-        if (old) {
-            events.warn(Events.Kind.NEWS_REFUSED, "epoch " + news.getEpoch() + ", sequence " + news.getSequence() + " is older than " + epoch + ", " + sequence);
-            return;
-        }
-        epoch = news.getEpoch();
-        sequence = news.getSequence();
-        Span lasted = Span.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
-        ledger.news(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
-        told = true;
-        learnt.run();
+    boolean known =
+        standing != null
+            && news.getCap() >= 0
+            && news.getCap() <= 1
+            && news.getBuild() >>> 16 == 0
+            && news.getStage() >= 0
+            && news.getStage() <= config.settings.caps.size();
+    if (!known) {
+      events.warn(
+          Events.Kind.NEWS_REFUSED,
+          "build "
+              + news.getBuild()
+              + ", stage "
+              + news.getStage()
+              + ", cap "
+              + news.getCap()
+              + ": no such standing, stage or cap; what was known holds");
+      return;
     }
-
-    private void counts(Counts counts) {
-        int method = counts.getMethod();
-        if (method < 0 || method >= config.settings.methods.size() || counts.getFailed() > counts.getPicks()
-            || counts.getFailed() < 0) {
-            events.warn(Events.Kind.NEWS_REFUSED, "counts of method " + method + ": " + counts.getFailed() + " of "
-                + counts.getPicks() + " failed can't be; they are left out");
-            return;
-        }
-        ledger.counted(counts.getBuild(), method, counts.getPicks(), counts.getFailed(),
-            Span.ofMs(counts.getMeanUs() / 1000.0));
+    // guards against a controller that was replaced and does not know it, and against news that was
+    // long on its way
+    boolean old =
+        news.getEpoch() < epoch || news.getEpoch() == epoch && news.getSequence() < sequence;
+    if (old) {
+      events.warn(
+          Events.Kind.NEWS_REFUSED,
+          "epoch "
+              + news.getEpoch()
+              + ", sequence "
+              + news.getSequence()
+              + " is older than "
+              + epoch
+              + ", "
+              + sequence);
+      return;
     }
+    epoch = news.getEpoch();
+    sequence = news.getSequence();
+    Span lasted = Span.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
+    ledger.news(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
+    told = true;
+    learnt.run();
+  }
 
-    private void voted(Voted voted) {
-        Timer timer = votes.remove(voted.getId());
-        if (timer == null) return; // answered too late: it was taken as unanswered
-        timer.cancel();
-        Reply reply = switch (voted.getTaken()) {
-            case COUNTS -> Reply.COUNTS;
-            case MOOT -> Reply.MOOT;
-            case TOO_MANY -> Reply.TOO_MANY;
-            default -> Reply.ERROR;
-        };
-        count(1 + reply.ordinal());
-        answered.accept(reply);
+  private void counts(Counts counts) {
+    int method = counts.getMethod();
+    if (method < 0
+        || method >= config.settings.methods.size()
+        || counts.getFailed() > counts.getPicks()
+        || counts.getFailed() < 0) {
+      events.warn(
+          Events.Kind.NEWS_REFUSED,
+          "counts of method "
+              + method
+              + ": "
+              + counts.getFailed()
+              + " of "
+              + counts.getPicks()
+              + " failed can't be; they are left out");
+      return;
     }
+    ledger.counted(
+        counts.getBuild(),
+        method,
+        counts.getPicks(),
+        counts.getFailed(),
+        Span.ofMs(counts.getMeanUs() / 1000.0));
+  }
 
-    private void count(int column) {
-        Accounts accounts = ledger.accounts();
-        accounts.move(accounts.votes, 0, accounts.votes.pending(), column);
+  private void voted(Voted voted) {
+    Timer timer = votes.remove(voted.getId());
+    if (timer == null) {
+      return; // answered too late: it was taken as unanswered
     }
+    timer.cancel();
+    Reply reply =
+        switch (voted.getTaken()) {
+          case COUNTS -> Reply.COUNTS;
+          case MOOT -> Reply.MOOT;
+          case TOO_MANY -> Reply.TOO_MANY;
+          default -> Reply.ERROR;
+        };
+    count(1 + reply.ordinal());
+    answered.accept(reply);
+  }
+
+  private void count(int column) {
+    Accounts accounts = ledger.accounts();
+    accounts.move(accounts.votes, 0, accounts.votes.pending(), column);
+  }
 
-    @Override
-    public void closed(String why) {
-        if (!stopping) events.warn(Events.Kind.DESK_LOST, why + "; what it said last holds");
+  @Override
+  public void closed(String why) {
+    if (!stopping) {
+      events.warn(Events.Kind.DESK_LOST, why + "; what it said last holds");
     }
+  }
 }
--- a/src/main/java/sprucerock/relay/Exchange.java
+++ b/src/main/java/sprucerock/relay/Exchange.java
@@ -6,17 +6,20 @@
 
 /** A pick on its way over frames. */
 final class Exchange extends sprucerock.serving.Exchange {
-    /** Null while it waits for a connection. */
-    UnitLink link;
-    /** Its id on that connection, and where its frame stands in what was written. */
-    long id;
-    long mark;
-    Timer waiting;
-    /** Picks of this relay that its unit held when it was sent. */
-    final int others;
+  /** Null while it waits for a connection. */
+  UnitLink link;
 
-    Exchange(Pick pick, Moment ends) {
-        super(pick, ends);
-        others = Math.max(0, pick.unit.out() - 1);
-    }
+  /** Its id on that connection, and where its frame stands in what was written. */
+  long id;
+
+  long mark;
+  Timer waiting;
+
+  /** Picks of this relay that its unit held when it was sent. */
+  final int others;
+
+  Exchange(Pick pick, Moment ends) {
+    super(pick, ends);
+    others = Math.max(0, pick.unit.out() - 1);
+  }
 }
--- a/src/main/java/sprucerock/relay/Fitting.java
+++ b/src/main/java/sprucerock/relay/Fitting.java
@@ -23,179 +23,261 @@
 import sprucerock.wire.v1.Worth;
 
 /**
- * What this relay saw of hardware, told to the one relay that fits for all; and, while this one holds that lease, the fitting, on a thread
- * of its own that reads a copy, and its publication under the lease's number. A holder that is replaced has done nothing that the next
- * one needs: relays tell it what they see from then on.
+ * What this relay saw of hardware, told to the one relay that fits for all; and, while this one
+ * holds that lease, the fitting, on a thread of its own that reads a copy, and its publication
+ * under the lease's number. A holder that is replaced has done nothing that the next one needs:
+ * relays tell it what they see from then on.
  */
 final class Fitting implements Leases.Task {
-    static final String LEASE = "fit";
+  static final String LEASE = "fit";
 
-    /** What it needs of the relay. */
-    interface Owner {
-        /** To all other relays. */
-        void tellFitter(Fitter fitter);
+  /** What it needs of the relay. */
+  interface Owner {
+    /** To all other relays. */
+    void tellFitter(Fitter fitter);
 
-        void tellTally(int relay, Tallied tally);
+    void tellTally(int relay, Tallied tally);
 
-        /** To all other relays and the controller. */
-        void tellWorth(Worth worth);
-    }
+    /** To all other relays and the controller. */
+    void tellWorth(Worth worth);
+  }
 
-    private static final Span AGAIN = Span.ofMs(5000); // a relay that started meanwhile is told who fits
-
-    private final Net net;
-    private final int me;
-    private final Span window;
-    private final LongSupplier wallMs;
-    private final IntPredicate settled;
-    private final Events events;
-    private final Owner owner;
-    private final Fence fence = new Fence();
-    private Aside aside;
-    private Tally tally;
-    private int fitter = -1;
-    private Guard guard;
-    private Seen seen;
-    private boolean fits;
-    private Moment told;
-    private Model newest;
-    private boolean stopped;
-
-    /** {@code settled}: builds that are no part of a trial. */
-    Fitting(Net net, int me, Span window, LongSupplier wallMs, IntPredicate settled, Events events, Owner owner) {
-        this.net = net;
-        this.me = me;
-        this.window = window;
-        this.wallMs = wallMs;
-        this.settled = settled;
-        this.events = events;
-        this.owner = owner;
-    }
+  private static final Span AGAIN =
+      Span.ofMs(5000); // a relay that started meanwhile is told who fits
 
-    /** {@code on}: where a fit is done, which may take a second with many families and methods. */
-    void start(Aside on) {
-        aside = on;
-        tally = new Tally(me, number());
-        turn();
-    }
+  private final Net net;
+  private final int me;
+  private final Span window;
+  private final LongSupplier wallMs;
+  private final IntPredicate settled;
+  private final Events events;
+  private final Owner owner;
+  private final Fence fence = new Fence();
+  private Aside aside;
+  private Tally tally;
+  private int fitter = -1;
+  private Guard guard;
+  private Seen seen;
+  private boolean fits;
+  private Moment told;
+  private Model newest;
+  private boolean stopped;
 
-    void stop() {
-        stopped = true;
-    }
+  /** {@code settled}: builds that are no part of a trial. */
+  Fitting(
+      Net net,
+      int me,
+      Span window,
+      LongSupplier wallMs,
+      IntPredicate settled,
+      Events events,
+      Owner owner) {
+    this.net = net;
+    this.me = me;
+    this.window = window;
+    this.wallMs = wallMs;
+    this.settled = settled;
+    this.events = events;
+    this.owner = owner;
+  }
 
-    /** Windows are the same at all relays, as far as their wall clocks are; a pick that falls into the next one does no harm. */
-    private long number() {
-        return (long) (wallMs.getAsLong() / window.ms());
-    }
+  /** {@code on}: where a fit is done, which may take a second with many families and methods. */
+  void start(Aside on) {
+    aside = on;
+    tally = new Tally(me, number());
+    turn();
+  }
 
-    /** A pick ended ok, on a unit that held so many others of this relay's when it was sent. */
-    void ended(Pick pick, int others) {
-        tally.ended(pick.rpc.method.index, pick.unit.kind, pick.unit.build.number, others, pick.took().ms());
-    }
+  void stop() {
+    stopped = true;
+  }
+
+  /**
+   * Windows are the same at all relays, as far as their wall clocks are; a pick that falls into the
+   * next one does no harm.
+   */
+  private long number() {
+    return (long) (wallMs.getAsLong() / window.ms());
+  }
+
+  /** A pick ended ok, on a unit that held so many others of this relay's when it was sent. */
+  void ended(Pick pick, int others) {
+    tally.ended(
+        pick.rpc.method.index, pick.unit.kind, pick.unit.build.number, others, pick.took().ms());
+  }
 
-    private void turn() {
-        if (stopped) return;
-        if (number() != tally.window()) {
-            tell(tally);
-            tally = new Tally(me, number());
-        }
-        if (guard != null && (told == null || net.now().since(told).over(AGAIN))) {
-            told = net.now();
-            guard.act(number -> owner.tellFitter(Fitter.newBuilder().setNumber(number).build()));
-        }
-        if (guard != null && guard.held()) fit();
-        net.at(net.now().plus(window.times(0.25)), this::turn);
+  private void turn() {
+    if (stopped) {
+      return;
+    }
+    if (number() != tally.window()) {
+      tell(tally);
+      tally = new Tally(me, number());
+    }
+    if (guard != null && (told == null || net.now().since(told).over(AGAIN))) {
+      told = net.now();
+      guard.act(number -> owner.tellFitter(Fitter.newBuilder().setNumber(number).build()));
     }
+    if (guard != null && guard.held()) {
+      fit();
+    }
+    net.at(net.now().plus(window.times(0.25)), this::turn);
+  }
 
-    private void tell(Tally of) {
-        if (guard != null) {
-            seen.told(of);
-            return;
-        }
-        if (fitter < 0 || of.cells().isEmpty()) return;
-        Tallied.Builder said = Tallied.newBuilder().setWindow(of.window());
-        of.cells().forEach((cell, sums) -> said.addCells(TallyCell.newBuilder().setMethod(cell.method()).setFamily(cell.family()).setBuild(cell.build()).setDepth(cell.depth())
-            .setCount(sums.count()).setMean(sums.mean()).setSquares(sums.squares())));
-        owner.tellTally(fitter, said.build());
+  private void tell(Tally of) {
+    if (guard != null) {
+      seen.told(of);
+      return;
+    }
+    if (fitter < 0 || of.cells().isEmpty()) {
+      return;
     }
+    Tallied.Builder said = Tallied.newBuilder().setWindow(of.window());
+    of.cells()
+        .forEach(
+            (cell, sums) ->
+                said.addCells(
+                    TallyCell.newBuilder()
+                        .setMethod(cell.method())
+                        .setFamily(cell.family())
+                        .setBuild(cell.build())
+                        .setDepth(cell.depth())
+                        .setCount(sums.count())
+                        .setMean(sums.mean())
+                        .setSquares(sums.squares())));
+    owner.tellTally(fitter, said.build());
+  }
 
-    // While it holds the lease.
+  // While it holds the lease.
 
-    @Override
-    public void begun(Guard by) {
-        guard = by;
-        seen = new Seen();
-        told = null;
-    }
+  @Override
+  public void begun(Guard by) {
+    guard = by;
+    seen = new Seen();
+    told = null;
+  }
 
-    @Override
-    public void ended(String why) {
-        guard = null;
-        seen = null;
-    }
+  @Override
+  public void ended(String why) {
+    guard = null;
+    seen = null;
+  }
 
-    private void fit() {
-        if (fits || seen.newest() == 0 || newest != null && newest.window() >= seen.newest()) return;
-        Guard by = guard;
-        Seen copy = seen.copy();
-        Model[] model = new Model[1];
-        fits = aside.run(() -> model[0] = Fit.of(copy, 0, settled, 0), () -> fitted(by, model[0])); // where too much waits, a quarter of a window later
+  private void fit() {
+    if (fits || seen.newest() == 0 || newest != null && newest.window() >= seen.newest()) {
+      return;
     }
+    Guard by = guard;
+    Seen copy = seen.copy();
+    Model[] model = new Model[1];
+    fits =
+        aside.run(
+            () -> model[0] = Fit.of(copy, 0, settled, 0),
+            () -> fitted(by, model[0])); // where too much waits, a quarter of a window later
+  }
 
-    private void fitted(Guard by, Model model) {
-        fits = false;
-        if (model == null || guard != by) return;
-        by.act(number -> {
-            Worth.Builder worth = Worth.newBuilder().setNumber(number).setWindow(model.window()).addAllFamilies(model.families()).addAllMethods(model.methods()).setFree(model.free());
-            model.times(time -> worth.addLogs(time.log()).addErrors(time.error()));
-            for (int a : model.families()) worth.addCores(model.cores(a).log()).addCoresErrors(model.cores(a).error());
-            Worth done = worth.build();
-            worth(done);
-            owner.tellWorth(done);
-        });
+  private void fitted(Guard by, Model model) {
+    fits = false;
+    if (model == null || guard != by) {
+      return;
     }
+    by.act(
+        number -> {
+          Worth.Builder worth =
+              Worth.newBuilder()
+                  .setNumber(number)
+                  .setWindow(model.window())
+                  .addAllFamilies(model.families())
+                  .addAllMethods(model.methods())
+                  .setFree(model.free());
+          model.times(time -> worth.addLogs(time.log()).addErrors(time.error()));
+          for (int a : model.families()) {
+            worth.addCores(model.cores(a).log()).addCoresErrors(model.cores(a).error());
+          }
+          Worth done = worth.build();
+          worth(done);
+          owner.tellWorth(done);
+        });
+  }
 
-    // What other relays tell.
+  // What other relays tell.
 
-    /** Who fits from now on. */
-    void fitter(int relay, Fitter said) {
-        if (fence.admits(LEASE, said.getNumber())) fitter = relay;
+  /** Who fits from now on. */
+  void fitter(int relay, Fitter said) {
+    if (fence.admits(LEASE, said.getNumber())) {
+      fitter = relay;
     }
+  }
 
-    void tallied(int relay, Tallied said) {
-        if (guard == null || said.getCellsCount() > Tally.MOST_CELLS) return;
-        Tally of = new Tally(relay, said.getWindow());
-        for (TallyCell one : said.getCellsList()) {
-            boolean can = one.getCount() >= 1 && Double.isFinite(one.getMean()) && one.getSquares() >= 0 && Double.isFinite(one.getSquares());
-            if (can) of.put(new Cell(one.getMethod(), one.getFamily(), one.getBuild(), one.getDepth()), new Sums(one.getCount(), one.getMean(), one.getSquares()));
-        }
-        seen.told(of);
+  void tallied(int relay, Tallied said) {
+    if (guard == null || said.getCellsCount() > Tally.MOST_CELLS) {
+      return;
     }
-
-    /** A model was published; one of a holder that was replaced is refused, and said. */
-    void worth(Worth said) {
-        if (!fence.admits(LEASE, said.getNumber())) {
-            events.warn(Events.Kind.LEASE, "a model under " + said.getNumber() + " was refused, " + fence.highest(LEASE) + " was heard");
-            return;
-        }
-        Model model = read(said);
-        if (model != null && model.newerThan(newest)) newest = model;
+    Tally of = new Tally(relay, said.getWindow());
+    for (TallyCell one : said.getCellsList()) {
+      boolean can =
+          one.getCount() >= 1
+              && Double.isFinite(one.getMean())
+              && one.getSquares() >= 0
+              && Double.isFinite(one.getSquares());
+      if (can) {
+        of.put(
+            new Cell(one.getMethod(), one.getFamily(), one.getBuild(), one.getDepth()),
+            new Sums(one.getCount(), one.getMean(), one.getSquares()));
+      }
     }
+    seen.told(of);
+  }
 
-    /** The last model that was heard of; null: none. */
-    Model newest() {
-        return newest;
+  /** A model was published; one of a holder that was replaced is refused, and said. */
+  void worth(Worth said) {
+    if (!fence.admits(LEASE, said.getNumber())) {
+      events.warn(
+          Events.Kind.LEASE,
+          "a model under "
+              + said.getNumber()
+              + " was refused, "
+              + fence.highest(LEASE)
+              + " was heard");
+      return;
     }
+    Model model = read(said);
+    if (model != null && model.newerThan(newest)) {
+      newest = model;
+    }
+  }
+
+  /** The last model that was heard of; null: none. */
+  Model newest() {
+    return newest;
+  }
 
-    /** Null where it can't be one. */
-    static Model read(Worth said) {
-        int families = said.getFamiliesCount();
-        int methods = said.getMethodsCount();
-        int pairs = (methods + 1) * families * families;
-        boolean can = families > 0 && families <= Fit.MOST_FAMILIES && methods <= Fit.MOST_METHODS && said.getLogsCount() == pairs && said.getErrorsCount() == pairs
-            && said.getCoresCount() == families && said.getCoresErrorsCount() == families && said.getFree() > 0;
-        if (!can) return null;
-        return Model.of(said.getNumber(), said.getWindow(), said.getFamiliesList(), said.getMethodsList(), said.getLogsList(), said.getErrorsList(), said.getCoresList(),
-            said.getCoresErrorsList(), said.getFree());
+  /** Null where it can't be one. */
+  static Model read(Worth said) {
+    int families = said.getFamiliesCount();
+    int methods = said.getMethodsCount();
+    int pairs = (methods + 1) * families * families;
+    boolean can =
+        families > 0
+            && families <= Fit.MOST_FAMILIES
+            && methods <= Fit.MOST_METHODS
+            && said.getLogsCount() == pairs
+            && said.getErrorsCount() == pairs
+            && said.getCoresCount() == families
+            && said.getCoresErrorsCount() == families
+            && said.getFree() > 0;
+    if (!can) {
+      return null;
     }
+    return Model.of(
+        said.getNumber(),
+        said.getWindow(),
+        said.getFamiliesList(),
+        said.getMethodsList(),
+        said.getLogsList(),
+        said.getErrorsList(),
+        said.getCoresList(),
+        said.getCoresErrorsList(),
+        said.getFree());
+  }
 }
--- a/src/main/java/sprucerock/relay/Looks.java
+++ b/src/main/java/sprucerock/relay/Looks.java
@@ -20,129 +20,173 @@
 import sprucerock.wire.v1.Role;
 
 /**
- * Looks at units for the whole fleet while this relay holds that lease: a connection of its own, one question under the lease's number,
- * one answer. What it finds is told to the other relays and to this one's module, which says what it is worth.
+ * Looks at units for the whole fleet while this relay holds that lease: a connection of its own,
+ * one question under the lease's number, one answer. What it finds is told to the other relays and
+ * to this one's module, which says what it is worth.
  */
 final class Looks implements Leases.Task {
-    static final String LEASE = "looks";
-    private static final Span PATIENCE = Span.ofMs(500); // a unit that is there answers within some milliseconds; a paused one may take longer
-    private static final int AT_ONCE = 16;
+  static final String LEASE = "looks";
+  private static final Span PATIENCE =
+      Span.ofMs(
+          500); // a unit that is there answers within some milliseconds; a paused one may take
+  // longer
+  private static final int AT_ONCE = 16;
+
+  /** What it needs of the relay. */
+  interface Owner {
+    /** A connection to a unit, as any pick's. */
+    void look(Unit unit, FrameUser user, LinkTaker taker);
+
+    /** What was found, for this relay's module and the others'. */
+    void seen(long unit, boolean answered, long number);
+  }
+
+  /** Gets the link that was begun. */
+  interface LinkTaker {
+    void take(FrameLink link);
+  }
+
+  private final Net net;
+  private final Ledger ledger;
+  private final Events events;
+  private final Span every;
+  private final Chance chance;
+  private final Owner owner;
+  private Lookout lookout;
+  private Guard guard;
+  private int open;
+
+  Looks(Net net, Ledger ledger, Events events, Span every, Chance chance, Owner owner) {
+    this.net = net;
+    this.ledger = ledger;
+    this.events = events;
+    this.every = every;
+    this.chance = chance;
+    this.owner = owner;
+  }
+
+  @Override
+  public void begun(Guard by) {
+    guard = by;
+    lookout = new Lookout(chance::next);
+    for (Unit unit : ledger.units()) {
+      listed(unit);
+    }
+    turn(by);
+  }
+
+  /**
+   * A unit may get work or may not, as it stands now; told as it changes, so that a turn walks no
+   * list.
+   */
+  void listed(Unit unit) {
+    if (guard == null) {
+      return; // whoever holds the lease next goes through the list once
+    }
+    if (unit.ready()) {
+      lookout.ready(unit.id, net.now());
+    } else {
+      lookout.left(unit.id);
+    }
+  }
 
-    /** What it needs of the relay. */
-    interface Owner {
-        /** A connection to a unit, as any pick's. */
-        void look(Unit unit, FrameUser user, LinkTaker taker);
+  @Override
+  public void ended(String why) {
+    guard = null;
+  }
 
-        /** What was found, for this relay's module and the others'. */
-        void seen(long unit, boolean answered, long number);
+  private void turn(Guard by) {
+    if (guard != by) {
+      return;
     }
-
-    /** Gets the link that was begun. */
-    interface LinkTaker {
-        void take(FrameLink link);
+    if (open < AT_ONCE) {
+      long next = lookout.next(net.now());
+      Unit unit = next < 0 ? null : ledger.unit(next);
+      if (unit == null || !unit.ready()) {
+        lookout.left(next);
+      } else {
+        by.act(PATIENCE, number -> new One(by, unit, number).begin());
+      }
     }
-
-    private final Net net;
-    private final Ledger ledger;
-    private final Events events;
-    private final Span every;
-    private final Chance chance;
-    private final Owner owner;
-    private Lookout lookout;
-    private Guard guard;
-    private int open;
-
-    Looks(Net net, Ledger ledger, Events events, Span every, Chance chance, Owner owner) {
-        this.net = net;
-        this.ledger = ledger;
-        this.events = events;
-        this.every = every;
-        this.chance = chance;
-        this.owner = owner;
+    net.at(net.now().plus(every), () -> turn(by));
+  }
+
+  private final class One implements FrameUser {
+    private final Guard by;
+    private final Unit unit;
+    private final long number;
+    private FrameLink link;
+    private Timer late;
+    private boolean done;
+
+    One(Guard by, Unit unit, long number) {
+      this.by = by;
+      this.unit = unit;
+      this.number = number;
     }
 
-    @Override
-    public void begun(Guard by) {
-        guard = by;
-        lookout = new Lookout(chance::next);
-        for (Unit unit : ledger.units()) listed(unit);
-        turn(by);
+    void begin() {
+      open++;
+      owner.look(unit, this, made -> link = made);
+      late =
+          net.patiently(
+              PATIENCE, () -> end(null)); // this relay's own standing still is not the unit's
     }
 
-    /** A unit may get work or may not, as it stands now; told as it changes, so that a turn walks no list. */
-    void listed(Unit unit) {
-        if (guard == null) return; // whoever holds the lease next goes through the list once
-        if (unit.ready()) lookout.ready(unit.id, net.now());
-        else lookout.left(unit.id);
+    /** {@code looked}: null where it gave no sign. */
+    private void end(Looked looked) {
+      if (done) {
+        return;
+      }
+      done = true;
+      open--;
+      late.cancel();
+      link.cut("looked at");
+      if (looked != null && !looked.getTaken()) {
+        events.warn(
+            Events.Kind.LEASE,
+            "a look under "
+                + number
+                + " was refused by unit "
+                + unit.id
+                + ", which saw "
+                + looked.getHighest());
+        by.refused(looked.getHighest());
+      } else if (guard == by && by.held()) {
+        boolean tell =
+            looked != null
+                ? lookout.answered(unit.id, Span.ofMs(looked.getIdleUs() / 1000.0), net.now())
+                : lookout.silent(unit.id, net.now());
+        if (tell) {
+          owner.seen(unit.id, looked != null, number);
+        }
+      }
     }
 
     @Override
-    public void ended(String why) {
-        guard = null;
+    public void greeted(FrameLink made, Hello other) {
+      if (other.getRole() != Role.UNIT || Integer.toUnsignedLong(other.getNumber()) != unit.id) {
+        end(null);
+      }
+      // to connect took time, in which this process may have stood still
+      else if (!by.act(
+          now ->
+              made.send(
+                  Kind.LOOK,
+                  Look.newBuilder().setLease(LEASE).setNumber(number).build(),
+                  ClientLink.NO_BODY))) {
+        end(null);
+      }
     }
 
-    private void turn(Guard by) {
-        if (guard != by) return;
-        if (open < AT_ONCE) {
-            long next = lookout.next(net.now());
-            Unit unit = next < 0 ? null : ledger.unit(next);
-            if (unit == null || !unit.ready()) lookout.left(next);
-            else by.act(PATIENCE, number -> new One(by, unit, number).begin());
-        }
-        net.at(net.now().plus(every), () -> turn(by));
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      end(kind == Kind.LOOKED ? (Looked) head : null);
     }
 
-    private final class One implements FrameUser {
-        private final Guard by;
-        private final Unit unit;
-        private final long number;
-        private FrameLink link;
-        private Timer late;
-        private boolean done;
-
-        One(Guard by, Unit unit, long number) {
-            this.by = by;
-            this.unit = unit;
-            this.number = number;
-        }
-
-        void begin() {
-            open++;
-            owner.look(unit, this, made -> link = made);
-            late = net.patiently(PATIENCE, () -> end(null)); // this relay's own standing still is not the unit's
-        }
-
-        /** {@code looked}: null where it gave no sign. */
-        private void end(Looked looked) {
-            if (done) return;
-            done = true;
-            open--;
-            late.cancel();
-            link.cut("looked at");
-            if (looked != null && !looked.getTaken()) {
-                events.warn(Events.Kind.LEASE, "a look under " + number + " was refused by unit " + unit.id + ", which saw " + looked.getHighest());
-                by.refused(looked.getHighest());
-            } else if (guard == by && by.held()) {
-                boolean tell = looked != null ? lookout.answered(unit.id, Span.ofMs(looked.getIdleUs() / 1000.0), net.now()) : lookout.silent(unit.id, net.now());
-                if (tell) owner.seen(unit.id, looked != null, number);
-            }
-        }
-
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            if (other.getRole() != Role.UNIT || Integer.toUnsignedLong(other.getNumber()) != unit.id) end(null);
-            // to connect took time, in which this process may have stood still
-            else if (!by.act(now -> made.send(Kind.LOOK, Look.newBuilder().setLease(LEASE).setNumber(number).build(), ClientLink.NO_BODY))) end(null);
-        }
-
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            end(kind == Kind.LOOKED ? (Looked) head : null);
-        }
-
-        @Override
-        public void closed(String why) {
-            end(null);
-        }
+    @Override
+    public void closed(String why) {
+      end(null);
     }
+  }
 }
--- a/src/main/java/sprucerock/relay/Peers.java
+++ b/src/main/java/sprucerock/relay/Peers.java
@@ -19,99 +19,129 @@
 import sprucerock.wire.v1.Seen;
 import sprucerock.wire.v1.Told;
 
-/** Links to the other relays, made when the module first has something to tell. A message that can't go now is dropped. */
+/**
+ * Links to the other relays, made when the module first has something to tell. A message that can't
+ * go now is dropped.
+ */
 final class Peers {
-    private final Net net;
-    private final RelayConfig config;
-    private final Hello mine;
-    private final Tap tap;
-    private final Events events;
-    private final Chance chance;
-    private final Map<Integer, Redial> links = new TreeMap<>();
-    private final Accounts accounts;
-    private final Secured secured;
-    private boolean stopping;
-
-    Peers(Net net, RelayConfig config, Hello mine, Tap tap, Events events, Chance chance,
-        Accounts accounts, Secured secured) {
-        this.accounts = accounts;
-        this.secured = secured;
-        this.net = net;
-        this.config = config;
-        this.mine = mine;
-        this.tap = tap;
-        this.events = events;
-        this.chance = chance;
+  private final Net net;
+  private final RelayConfig config;
+  private final Hello mine;
+  private final Tap tap;
+  private final Events events;
+  private final Chance chance;
+  private final Map<Integer, Redial> links = new TreeMap<>();
+  private final Accounts accounts;
+  private final Secured secured;
+  private boolean stopping;
+
+  Peers(
+      Net net,
+      RelayConfig config,
+      Hello mine,
+      Tap tap,
+      Events events,
+      Chance chance,
+      Accounts accounts,
+      Secured secured) {
+    this.accounts = accounts;
+    this.secured = secured;
+    this.net = net;
+    this.config = config;
+    this.mine = mine;
+    this.tap = tap;
+    this.events = events;
+    this.chance = chance;
+  }
+
+  void tell(int number, byte[] contents) {
+    count(tell(number, Kind.TOLD, Told.getDefaultInstance(), contents));
+  }
+
+  private boolean tell(int number, Kind kind, MessageLite head, byte[] contents) {
+    InetSocketAddress address = config.peers.get(number);
+    if (address == null || stopping) {
+      return false;
     }
-
-    void tell(int number, byte[] contents) {
-        count(tell(number, Kind.TOLD, Told.getDefaultInstance(), contents));
+    Redial link = links.get(number);
+    if (link == null) {
+      link =
+          new Redial(
+              net,
+              secured.toPeer(number),
+              address,
+              mine,
+              config.link,
+              tap,
+              chance,
+              new Other(number));
+      links.put(number, link);
+      link.dial();
     }
-
-    private boolean tell(int number, Kind kind, MessageLite head, byte[] contents) {
-        InetSocketAddress address = config.peers.get(number);
-        if (address == null || stopping) {
-            return false;
-        }
-        Redial link = links.get(number);
-        if (link == null) {
-            link = new Redial(net, secured.toPeer(number), address, mine, config.link, tap, chance, new Other(number));
-            links.put(number, link);
-            link.dial();
-        }
-        // one that reads slowly loses messages, as the module expects, and is not cut for it
-        boolean room = link.usable() && link.unsent() + contents.length <= config.peerUnsent;
-        return room && link.send(kind, head, contents);
+    // one that reads slowly loses messages, as the module expects, and is not cut for it
+    boolean room = link.usable() && link.unsent() + contents.length <= config.peerUnsent;
+    return room && link.send(kind, head, contents);
+  }
+
+  /** To all, or dropped. */
+  void tellAll(Kind kind, MessageLite head) {
+    for (int number : config.peers.keySet()) {
+      tell(number, kind, head, ClientLink.NO_BODY);
     }
+  }
 
-    /** To all, or dropped. */
-    void tellAll(Kind kind, MessageLite head) {
-        for (int number : config.peers.keySet()) tell(number, kind, head, ClientLink.NO_BODY);
-    }
-
-    /** To one, or dropped. */
-    void tell(int number, Kind kind, MessageLite head) {
-        tell(number, kind, head, ClientLink.NO_BODY);
-    }
+  /** To one, or dropped. */
+  void tell(int number, Kind kind, MessageLite head) {
+    tell(number, kind, head, ClientLink.NO_BODY);
+  }
 
-    /** What a look found, to all. */
-    void seen(Seen seen) {
-        tellAll(Kind.SEEN, seen);
-    }
+  /** What a look found, to all. */
+  void seen(Seen seen) {
+    tellAll(Kind.SEEN, seen);
+  }
 
-    private void count(boolean sent) {
-        accounts.begin(accounts.messages, 0, sent ? 1 : 2);
-    }
+  private void count(boolean sent) {
+    accounts.begin(accounts.messages, 0, sent ? 1 : 2);
+  }
 
-    void tellAll(byte[] contents) {
-        for (int number : config.peers.keySet()) tell(number, contents);
+  void tellAll(byte[] contents) {
+    for (int number : config.peers.keySet()) {
+      tell(number, contents);
     }
+  }
 
-    void stop() {
-        stopping = true;
-        for (Redial link : links.values()) link.stop();
+  void stop() {
+    stopping = true;
+    for (Redial link : links.values()) {
+      link.stop();
     }
+  }
 
-    private final class Other implements FrameUser {
-        private final int number;
+  private final class Other implements FrameUser {
+    private final int number;
 
-        Other(int number) {
-            this.number = number;
-        }
+    Other(int number) {
+      this.number = number;
+    }
 
-        @Override
-        public void greeted(FrameLink link, Hello other) {
-            if (other.getRole() != Role.RELAY || other.getNumber() != number) link.cut("another one answers there");
-        }
+    @Override
+    public void greeted(FrameLink link, Hello other) {
+      if (other.getRole() != Role.RELAY || other.getNumber() != number) {
+        link.cut("another one answers there");
+      }
+    }
 
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            links.get(number).cut("a relay tells over links of its own");
-        }
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      links.get(number).cut("a relay tells over links of its own");
+    }
 
-        @Override
-        public void closed(String why) {
-            if (!stopping) events.warn(Events.Kind.PEER_LOST, "relay " + number + ": " + why + "; messages to it are dropped");
-        }
+    @Override
+    public void closed(String why) {
+      if (!stopping) {
+        events.warn(
+            Events.Kind.PEER_LOST, "relay " + number + ": " + why + "; messages to it are dropped");
+      }
     }
+  }
 }
--- a/src/main/java/sprucerock/relay/Racks.java
+++ b/src/main/java/sprucerock/relay/Racks.java
@@ -17,142 +17,190 @@
 import sprucerock.wire.v1.RackFree;
 
 /**
- * Until when this relay may place work on which rack, as the controller promised. It counts from before it asked, by its own clock,
- * shortened by what clocks may differ, and stops as long before as the longest RPC may run. Before the first promise it places nothing: it
- * can't know which racks there are, and one may be frozen while it starts. Cut off from the controller it goes on by what it was promised,
- * and stops rack by rack as that runs out.
+ * Until when this relay may place work on which rack, as the controller promised. It counts from
+ * before it asked, by its own clock, shortened by what clocks may differ, and stops as long before
+ * as the longest RPC may run. Before the first promise it places nothing: it can't know which racks
+ * there are, and one may be frozen while it starts. Cut off from the controller it goes on by what
+ * it was promised, and stops rack by rack as that runs out.
  */
 public final class Racks {
-    /** What it needs of the relay. */
-    public interface Owner {
-        /** False where nobody can be asked. */
-        boolean ask(PromiseAsk ask);
-
-        /** It may place work from now on, where it was promised to. */
-        void firstPromise();
-
-        /** Some rack is free that was not, or the other way round. */
-        void racksChanged();
-    }
-
-    private static final long NO_LIST = 1; // of the protocol: one is welcome
-    private static final Span SPREAD = Span.ofMs(100); // over which relays that were told together ask
-
-    private final Net net;
-    private final RelayConfig config;
-    private final Events events;
-    private final Chance chance;
-    private final Owner owner;
-    private final Shared shared = new Shared();
-    private final Map<Long, Moment> asked = new HashMap<>();
-    // Told whole once; by its number a controller names only racks that are free for less than their notice. One that knows of no lists
-    // tells all each time, and so does one whose racks are others.
-    private long list = NO_LIST;
-    private Map<Integer, Span> notices = Map.of();
-    private long lastAsk;
-    private long epoch;
-    private Timer next;
-    private Timer turns;
-    private boolean told;
-    private boolean stopped;
-
-    /** It asks nobody yet, see {@link #start}. */
-    public Racks(Net net, RelayConfig config, Events events, Chance chance, Owner owner) {
-        this.net = net;
-        this.config = config;
-        this.events = events;
-        this.chance = chance;
-        this.owner = owner;
-    }
-
-    public void start() {
-        if (config.racksEvery != null) ask();
-    }
-
-    public void stop() {
-        stopped = true;
-        if (next != null) next.cancel();
-        if (turns != null) turns.cancel();
-    }
-
-    private void ask() {
-        if (stopped) return;
-        asked.clear(); // an answer that took longer than a round is of no use: the next one is on its way
-        PromiseAsk ask = PromiseAsk.newBuilder().setId(++lastAsk).setHolds(shared.take().sequence()).setList(list).build();
-        asked.put(lastAsk, net.now());
-        owner.ask(ask);
-        next = net.at(net.now().plus(config.racksEvery.times(0.75 + 0.5 * chance.next())), this::ask);
-    }
-
-    /** An answer, or word that something has changed. */
-    public void told(Promised promised) {
-        if (config.racksEvery == null || stopped) return;
-        if (promised.getId() == 0) { // something has changed
-            next.cancel();
-            next = net.at(net.now().plus(SPREAD.times(chance.next())), this::ask);
-            return;
-        }
-        Moment from = asked.remove(promised.getId());
-        if (from == null) return;
-        if (promised.getEpoch() < epoch) {
-            events.warn(Events.Kind.NEWS_REFUSED, "a promise of epoch " + promised.getEpoch() + ", " + epoch + " was heard");
-            return;
-        }
-        if (promised.getRest() && promised.getList() != list) { // never asked for: what it leaves out can't be known
-            events.warn(Events.Kind.NEWS_REFUSED, "a promise by a list of racks that was not told");
-            list = NO_LIST;
-            return;
-        }
-        epoch = promised.getEpoch();
-        double shorter = (1 - config.racksDrift) / (1 + config.racksDrift);
-        Map<Integer, Moment> until = new HashMap<>();
-        if (promised.getRest()) notices.forEach((rack, notice) -> until.put(rack, from.plus(notice.times(shorter))));
-        else keep(promised);
-        for (RackFree rack : promised.getRacksList()) {
-            until.put(Picture.key(rack.getZone(), rack.getCell()), from.plus(Span.ofMs(rack.getLeftMs() * shorter)));
-        }
-        if (!shared.put(new Picture(promised.getSequence(), until))) return;
-        boolean first = !told;
-        told = true;
-        look();
-        if (first) owner.firstPromise();
-    }
-
-    private void keep(Promised whole) {
-        list = whole.getList() == 0 ? NO_LIST : whole.getList();
-        notices = new HashMap<>();
-        if (list == NO_LIST) return;
-        for (RackFree rack : whole.getRacksList()) notices.put(Picture.key(rack.getZone(), rack.getCell()), Span.ofMs(rack.getNoticeMs()));
-    }
-
-    /** Now, and when the next rack has to be left. */
-    private void look() {
-        if (turns != null) turns.cancel();
-        owner.racksChanged();
-        turns = net.at(net.now().plus(Span.ofMs(50)), this::look); // a fifth of the shortest deadline that is in use, and cheap
-    }
-
-    /** Whether new work may be placed on the unit: all that may run there is over before its rack may be frozen. */
-    boolean mayPlace(Unit unit) {
-        return mayPlace(unit.zone, unit.cell, net.now(), config.longestDeadline);
-    }
-
-    /** The same for a rack by its place. */
-    public boolean mayPlace(int zone, int cell) {
-        return mayPlace(zone, cell, net.now(), config.longestDeadline);
-    }
-
-    /** The same at the last instant before it goes out: this process may have stood still since the module chose. */
-    boolean mayStillPlace(Unit unit) {
-        return mayPlace(unit.zone, unit.cell, net.clock(), Span.ZERO);
-    }
-
-    /** Racks are nothing to it, or it was promised something. */
-    public boolean told() {
-        return told || config.racksEvery == null;
-    }
-
-    private boolean mayPlace(int zone, int cell, Moment now, Span takes) {
-        return told() && shared.take().mayPlace(Picture.key(zone, cell), now.ms(), takes.ms());
+  /** What it needs of the relay. */
+  public interface Owner {
+    /** False where nobody can be asked. */
+    boolean ask(PromiseAsk ask);
+
+    /** It may place work from now on, where it was promised to. */
+    void firstPromise();
+
+    /** Some rack is free that was not, or the other way round. */
+    void racksChanged();
+  }
+
+  private static final long NO_LIST = 1; // of the protocol: one is welcome
+  private static final Span SPREAD =
+      Span.ofMs(100); // over which relays that were told together ask
+
+  private final Net net;
+  private final RelayConfig config;
+  private final Events events;
+  private final Chance chance;
+  private final Owner owner;
+  private final Shared shared = new Shared();
+  private final Map<Long, Moment> asked = new HashMap<>();
+  // Told whole once; by its number a controller names only racks that are free for less than their
+  // notice. One that knows of no lists
+  // tells all each time, and so does one whose racks are others.
+  private long list = NO_LIST;
+  private Map<Integer, Span> notices = Map.of();
+  private long lastAsk;
+  private long epoch;
+  private Timer next;
+  private Timer turns;
+  private boolean told;
+  private boolean stopped;
+
+  /** It asks nobody yet, see {@link #start}. */
+  public Racks(Net net, RelayConfig config, Events events, Chance chance, Owner owner) {
+    this.net = net;
+    this.config = config;
+    this.events = events;
+    this.chance = chance;
+    this.owner = owner;
+  }
+
+  public void start() {
+    if (config.racksEvery != null) {
+      ask();
     }
+  }
+
+  public void stop() {
+    stopped = true;
+    if (next != null) {
+      next.cancel();
+    }
+    if (turns != null) {
+      turns.cancel();
+    }
+  }
+
+  private void ask() {
+    if (stopped) {
+      return;
+    }
+    asked.clear(); // an answer that took longer than a round is of no use: the next one is on its
+    // way
+    PromiseAsk ask =
+        PromiseAsk.newBuilder()
+            .setId(++lastAsk)
+            .setHolds(shared.take().sequence())
+            .setList(list)
+            .build();
+    asked.put(lastAsk, net.now());
+    owner.ask(ask);
+    next = net.at(net.now().plus(config.racksEvery.times(0.75 + 0.5 * chance.next())), this::ask);
+  }
+
+  /** An answer, or word that something has changed. */
+  public void told(Promised promised) {
+    if (config.racksEvery == null || stopped) {
+      return;
+    }
+    if (promised.getId() == 0) { // something has changed
+      next.cancel();
+      next = net.at(net.now().plus(SPREAD.times(chance.next())), this::ask);
+      return;
+    }
+    Moment from = asked.remove(promised.getId());
+    if (from == null) {
+      return;
+    }
+    if (promised.getEpoch() < epoch) {
+      events.warn(
+          Events.Kind.NEWS_REFUSED,
+          "a promise of epoch " + promised.getEpoch() + ", " + epoch + " was heard");
+      return;
+    }
+    if (promised.getRest()
+        && promised.getList() != list) { // never asked for: what it leaves out can't be known
+      events.warn(Events.Kind.NEWS_REFUSED, "a promise by a list of racks that was not told");
+      list = NO_LIST;
+      return;
+    }
+    epoch = promised.getEpoch();
+    double shorter = (1 - config.racksDrift) / (1 + config.racksDrift);
+    Map<Integer, Moment> until = new HashMap<>();
+    if (promised.getRest()) {
+      notices.forEach((rack, notice) -> until.put(rack, from.plus(notice.times(shorter))));
+    } else {
+      keep(promised);
+    }
+    for (RackFree rack : promised.getRacksList()) {
+      until.put(
+          Picture.key(rack.getZone(), rack.getCell()),
+          from.plus(Span.ofMs(rack.getLeftMs() * shorter)));
+    }
+    if (!shared.put(new Picture(promised.getSequence(), until))) {
+      return;
+    }
+    boolean first = !told;
+    told = true;
+    look();
+    if (first) {
+      owner.firstPromise();
+    }
+  }
+
+  private void keep(Promised whole) {
+    list = whole.getList() == 0 ? NO_LIST : whole.getList();
+    notices = new HashMap<>();
+    if (list == NO_LIST) {
+      return;
+    }
+    for (RackFree rack : whole.getRacksList()) {
+      notices.put(Picture.key(rack.getZone(), rack.getCell()), Span.ofMs(rack.getNoticeMs()));
+    }
+  }
+
+  /** Now, and when the next rack has to be left. */
+  private void look() {
+    if (turns != null) {
+      turns.cancel();
+    }
+    owner.racksChanged();
+    turns =
+        net.at(
+            net.now().plus(Span.ofMs(50)),
+            this::look); // a fifth of the shortest deadline that is in use, and cheap
+  }
+
+  /**
+   * Whether new work may be placed on the unit: all that may run there is over before its rack may
+   * be frozen.
+   */
+  boolean mayPlace(Unit unit) {
+    return mayPlace(unit.zone, unit.cell, net.now(), config.longestDeadline);
+  }
+
+  /** The same for a rack by its place. */
+  public boolean mayPlace(int zone, int cell) {
+    return mayPlace(zone, cell, net.now(), config.longestDeadline);
+  }
+
+  /**
+   * The same at the last instant before it goes out: this process may have stood still since the
+   * module chose.
+   */
+  boolean mayStillPlace(Unit unit) {
+    return mayPlace(unit.zone, unit.cell, net.clock(), Span.ZERO);
+  }
+
+  /** Racks are nothing to it, or it was promised something. */
+  public boolean told() {
+    return told || config.racksEvery == null;
+  }
+
+  private boolean mayPlace(int zone, int cell, Moment now, Span takes) {
+    return told() && shared.take().mayPlace(Picture.key(zone, cell), now.ms(), takes.ms());
+  }
 }
