--- a/src/main/java/sprucerock/relay/Relay.java
+++ b/src/main/java/sprucerock/relay/Relay.java
@@ -43,464 +43,669 @@
 import sprucerock.wire.v1.Worth;
 
 /**
- * The router: tells the module what happens on its links and carries out what it chooses. Where a limit is reached it
- * has the answers that the configuration states, and none else; it chooses no unit, no further pick and no vote. All of
- * it runs on the loop's thread.
+ * The router: tells the module what happens on its links and carries out what it chooses. Where a
+ * limit is reached it has the answers that the configuration states, and none else; it chooses no
+ * unit, no further pick and no vote. All of it runs on the loop's thread.
  */
-public final class Relay extends Carrier implements UnitLinks.Owner, Looks.Owner, Racks.Owner, Fitting.Owner {
-    // rows of figures; what is beyond counts as other. A monitor bears some thousand series a relay
-    private static final int BUILDS = 16;
-    private static final int UNITS = 1024;
-    private static final int CUSTOMERS = 64;
-    private static final Span CHECK = Span.ofMs(1000); // some ten microseconds at a thousand units
-    private static final Span FIGURES = Span.ofMs(10_000); // seldom enough for a log, often enough for a first look
-
-    private final RelayConfig config;
-    private final Tap tap;
-    private final Accounts accounts;
-    private final Hello mine;
-    private final Chance chance;
-    private final Secured secured;
-    private final Peers peers;
-    private final DeskLink desk;
-    private final RosterLink roster;
-    private final Racks racks;
-    private final Fitting fitting; // null: it takes no part in that
-    private final Leases leases; // null: none are configured
-    private GranterDoor granter;
-    private final Fence fence = new Fence();
-    private final Set<ClientLink> clients = new LinkedHashSet<>();
-    private Net.Listener listener;
-    private Looks looks; // null: it does not stand for that lease
-    private boolean taking;
-    private boolean finishing;
-    private volatile Long tlsDaysLeft;
-    private volatile boolean tlsBroken;
-    private volatile boolean drifting; // written by the loop, read by whoever scrapes
-    private Runnable finished;
-    /** The configuration as it was read last: what the schema marks as live is looked up here. */
-    private RelayConfig live;
-
-    /** Nothing is opened yet, see {@link #start}. */
-    public Relay(RelayConfig config, Net net, Tap tap) {
-        super(net, config.settings, new Ledger(config.settings, new Accounts(config.methodNames,
-            new Accounts.Room(BUILDS, Math.min(config.units, UNITS), CUSTOMERS))), new Events(net));
-        this.config = config;
-        live = config;
-        this.tap = tap;
-        accounts = ledger.accounts();
-        // the doors' dice, apart from the module's, whose draws must not depend on links
-        chance = new Chance(config.seed ^ 0x5bd1e995L);
-        mine = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.RELAY).setNumber(config.settings.index)
-            .setName(config.name).build();
-        secured = new Secured(config, net, events, accounts);
-        peers = new Peers(net, config, mine, tap, events, chance, accounts, secured);
-        racks = new Racks(net, config, events, chance, this);
-        desk = new DeskLink(net, config, mine, tap, ledger, events, chance, reply -> module.voteAnswered(reply), promised -> racks.told(promised), this::learnt);
-        roster = new RosterLink(net, config, mine, tap, ledger, events, chance, this, racks, () -> module.listFailed(),
-            this::learnt, this::unitChanged);
-        Leases.Log say = new Leases.Log() {
-            @Override
-            public void info(String what) {
-                events.info(Events.Kind.LEASE, what);
-            }
-
-            @Override
-            public void warn(String what) {
-                events.warn(Events.Kind.GRANTER_LOST, what);
-            }
+public final class Relay extends Carrier
+    implements UnitLinks.Owner, Looks.Owner, Racks.Owner, Fitting.Owner {
+  // rows of figures; what is beyond counts as other. A monitor bears some thousand series a relay
+  private static final int BUILDS = 16;
+  private static final int UNITS = 1024;
+  private static final int CUSTOMERS = 64;
+  private static final Span CHECK = Span.ofMs(1000); // some ten microseconds at a thousand units
+  private static final Span FIGURES =
+      Span.ofMs(10_000); // seldom enough for a log, often enough for a first look
+
+  private final RelayConfig config;
+  private final Tap tap;
+  private final Accounts accounts;
+  private final Hello mine;
+  private final Chance chance;
+  private final Secured secured;
+  private final Peers peers;
+  private final DeskLink desk;
+  private final RosterLink roster;
+  private final Racks racks;
+  private final Fitting fitting; // null: it takes no part in that
+  private final Leases leases; // null: none are configured
+  private GranterDoor granter;
+  private final Fence fence = new Fence();
+  private final Set<ClientLink> clients = new LinkedHashSet<>();
+  private Net.Listener listener;
+  private Looks looks; // null: it does not stand for that lease
+  private boolean taking;
+  private boolean finishing;
+  private volatile Long tlsDaysLeft;
+  private volatile boolean tlsBroken;
+  private volatile boolean drifting; // written by the loop, read by whoever scrapes
+  private Runnable finished;
+
+  /** The configuration as it was read last: what the schema marks as live is looked up here. */
+  private RelayConfig live;
+
+  /** Nothing is opened yet, see {@link #start}. */
+  public Relay(RelayConfig config, Net net, Tap tap) {
+    super(
+        net,
+        config.settings,
+        new Ledger(
+            config.settings,
+            new Accounts(
+                config.methodNames,
+                new Accounts.Room(BUILDS, Math.min(config.units, UNITS), CUSTOMERS))),
+        new Events(net));
+    this.config = config;
+    live = config;
+    this.tap = tap;
+    accounts = ledger.accounts();
+    // the doors' dice, apart from the module's, whose draws must not depend on links
+    chance = new Chance(config.seed ^ 0x5bd1e995L);
+    mine =
+        Hello.newBuilder()
+            .setVersion(FrameLink.VERSION)
+            .setRole(Role.RELAY)
+            .setNumber(config.settings.index)
+            .setName(config.name)
+            .build();
+    secured = new Secured(config, net, events, accounts);
+    peers = new Peers(net, config, mine, tap, events, chance, accounts, secured);
+    racks = new Racks(net, config, events, chance, this);
+    desk =
+        new DeskLink(
+            net,
+            config,
+            mine,
+            tap,
+            ledger,
+            events,
+            chance,
+            reply -> module.voteAnswered(reply),
+            promised -> racks.told(promised),
+            this::learnt);
+    roster =
+        new RosterLink(
+            net,
+            config,
+            mine,
+            tap,
+            ledger,
+            events,
+            chance,
+            this,
+            racks,
+            () -> module.listFailed(),
+            this::learnt,
+            this::unitChanged);
+    Leases.Log say =
+        new Leases.Log() {
+          @Override
+          public void info(String what) {
+            events.info(Events.Kind.LEASE, what);
+          }
+
+          @Override
+          public void warn(String what) {
+            events.warn(Events.Kind.GRANTER_LOST, what);
+          }
         };
-        leases = config.leases == null ? null : new Leases(net, config.leases, config.name, Leases.newLife(), tap, System::currentTimeMillis, say);
-        boolean fits = config.leases != null && config.leases.fitsEvery() != null;
-        fitting = !fits ? null : new Fitting(net, config.settings.index, config.leases.fitsEvery(), System::currentTimeMillis, build -> build < ledger.newestTried(), events, this);
-        if (config.leases != null && config.leases.granter() >= 0) granter = new GranterDoor(net, config.leases, config.name, tap, say);
-    }
-
-    /**
-     * Listens and links up, without TLS. On the loop's thread.
-     *
-     * @throws IOException if the address to listen at can't be had
-     */
-    public void start(Maker maker) throws IOException {
-        try {
-            start(maker, null);
-        } catch (Material.BadMaterialException e) {
-            throw new IOException(e.getMessage());
-        }
-    }
-
-    /**
-     * Listens and links up. On the loop's thread.
-     *
-     * @throws IOException if the address to listen at can't be had
-     * @throws Material.BadMaterialException if TLS is configured, and its files can't be used
-     */
-    public void start(Maker maker, Aside aside) throws IOException, Material.BadMaterialException {
-        secured.start(aside, this::moveUnits);
-        begin(maker, config.seed);
-        listener = net.bind(config.listen, config.clients, config.link.unsent(), () -> {
-            ClientLink client = new ClientLink(this);
-            clients.add(client);
-            return secured.taken(client, new FrameLink(net, mine, config.link, tap, client));
-        });
-        roster.start();
-        desk.start();
-        racks.start();
-        if (granter != null) granter.start();
-        if (leases != null) {
-            leases.start();
-            if (fitting != null) {
-                fitting.start(aside);
-                leases.stand(Fitting.LEASE, fitting);
-            }
-            if (config.leases.looksEvery() != null) {
-                looks = new Looks(net, ledger, events, config.leases.looksEvery(), chance, this);
-                leases.stand(Looks.LEASE, looks);
-            }
-        }
-        net.at(net.now().plus(config.waitForList), () -> letClientsIn("without list or news, which did not come in time"));
-        net.at(net.now().plus(FIGURES), this::figures);
-        checkFigures();
-    }
-
-    /**
-     * A relay that has just started knows no unit and could only push back what comes: so clients wait in the system's queue
-     * until the first list and news are there, or for as long as configured.
-     */
-    private void letClientsIn(String how) {
-        if (taking || finishing) return;
-        taking = true;
-        listener.take();
-        events.info(Events.Kind.STARTED, "relay " + config.name + ", number " + config.settings.index + " of "
-            + config.settings.relays + ", listens at " + listener.address() + ", " + how);
-    }
-
-    /** The first list has come, or the first news. */
-    void learnt() {
-        if (roster.listed() && desk.told() && racks.told()) letClientsIn("with list and news");
-    }
-
-    private void unitChanged(Unit unit) {
-        if (looks != null) looks.listed(unit);
-    }
-
-    private void moveUnits(Span within) {
-        for (Unit unit : ledger.units()) if (unit.door != null) ((UnitLinks) unit.door).move(within);
-    }
-
-    boolean proven(int relay, TlsLink by) {
-        return secured.provenRelay(relay, by);
-    }
-
-    /** Days until the own certificate ends; null without TLS. From any thread, as it was last. */
-    public Long tlsDaysLeft() {
-        return tlsDaysLeft;
-    }
-
-    /** Whether the TLS files as they are now can't be used, so that older ones are. */
-    public boolean tlsBroken() {
-        return tlsBroken;
-    }
-
-    /** Says that something is the matter with the file of figures, which never stops routing. */
-    public void figuresFile(String what) {
-        events.warn(Events.Kind.FIGURES_FILE, what);
-    }
-
-    /** Some sum did not hold since this start; it stays so until the next. */
-    public boolean drifting() {
-        return drifting;
-    }
-
-    private void checkFigures() {
-        if (secured.tls() != null) {
-            tlsDaysLeft = secured.tls().daysLeft();
-            tlsBroken = secured.tls().broken();
-        }
-        if (accounts.muted()) return;
-        List<Accounts.Drift> drifts = accounts.check();
-        long open = accounts.sum(accounts.rpcs, accounts.rpcs.pending());
-        drifting |= !drifts.isEmpty() || open != ledger.open();
-        if (open != ledger.open()) events.error(Events.Kind.DRIFT, "rpcs open: " + open + " by the accounts, " + ledger.open() + " by count");
-        if (!drifts.isEmpty()) events.error(Events.Kind.DRIFT, drifts.get(0) + (drifts.size() > 1 ? "; and " + (drifts.size() - 1) + " more" : ""));
-        if (!finishing) net.at(net.now().plus(CHECK), this::checkFigures);
-    }
-
-    public InetSocketAddress address() {
-        return listener.address();
-    }
-
-    public Ledger ledger() {
-        return ledger;
-    }
-
-    /**
-     * No new RPC is taken; each open one gets its one answer, by its deadline or when the configured time is over. Then
-     * {@code done} runs.
-     */
-    public void finish(Runnable done) {
-        if (finishing) return;
-        finishing = true;
-        finished = done;
-        if (leases != null) leases.stop(); // before its last RPCs end: others may do the fleet's tasks meanwhile
-        listener.close();
-        events.info(Events.Kind.FINISHING, ledger.open() + " RPCs are open");
-        net.at(net.now().plus(live.finishWithin), this::abortOpen);
-        lookWhetherDone();
-    }
-
-    /** Settings that were read anew, of which only such differ as the schema marks as live. */
-    public void reload(RelayConfig anew) {
-        live = anew;
-        events.info(Events.Kind.SETTINGS, "taken over: limits/open " + anew.open + ", limits/open-per-client " + anew.openPerClient + ", limits/finish-within "
-            + anew.finishWithin.ms() + "ms");
-    }
-
-    /** Settings that were read anew can't be taken over; what holds goes on. */
-    public void notReloaded(String why) {
-        events.error(Events.Kind.SETTINGS, why + "; what was read before holds");
-    }
-
-    private void abortOpen() {
-        // the time that operators allow is over: an abort promises nothing, so it is always true
-        for (ClientLink client : Set.copyOf(clients)) client.abortAll();
-        end();
-    }
-
-    private void lookWhetherDone() {
-        if (ledger.open() == 0) end();
-        else net.at(net.now().plus(Span.ofMs(5)), this::lookWhetherDone);
-    }
-
-    private void end() {
-        if (finished == null) return;
-        Runnable done = finished;
-        finished = null;
-        racks.stop();
-        if (fitting != null) fitting.stop();
-        desk.stop();
-        roster.stop();
-        peers.stop();
-        if (granter != null) granter.stop();
-        secured.stop();
-        for (ClientLink client : clients) client.finish();
-        figures();
-        events.info(Events.Kind.FINISHED, "every RPC taken has its answer");
-        net.at(net.now().plus(Span.ofMs(100)), done); // the last answers go out in this turn
-    }
-
-    private void figures() {
-        StringBuilder text = new StringBuilder();
-        for (int i = 0; i < accounts.rpcs.columns().size(); i++) {
-            text.append(accounts.rpcs.columns().get(i)).append(' ').append(accounts.sum(accounts.rpcs, i)).append(' ');
-        }
-        events.info(Events.Kind.FIGURES, text + "picks " + accounts.sum(accounts.picks, 0) + " turned-away "
-            + accounts.value(accounts.calls, 0, 2) + " messages-dropped " + accounts.value(accounts.messages, 0, 2) + " units "
-            + ledger.units().size() + " clients " + clients.size());
-        if (!finishing) net.at(net.now().plus(FIGURES), this::figures);
-    }
-
-    // What comes in from clients and peers.
-
-    /** An RPC: turned away unseen where a limit is reached, which is safe as it has not run; else the module's. */
-    void called(Asked asked, Call call) {
-        if (call.getMethod() < 0 || call.getMethod() >= config.settings.methods.size()) {
-            accounts.begin(accounts.calls, 0, 3);
-            asked.client.answer(asked, Ending.ABORTED, 0, 0, ClientLink.NO_BODY);
-            events.warn(Events.Kind.CLIENT_REFUSED, "an RPC of method " + call.getMethod() + ", there are "
-                + config.settings.methods.size() + "; it was aborted");
-            return;
-        }
-        String full = config.strict && drifting ? "figures drift, and figures/strict is set" : finishing ? "the relay is finishing" : ledger.open() >= live.open ? "limits/open is reached"
-            : asked.client.open() > live.openPerClient ? "limits/open-per-client is reached" : null;
-        if (full != null) {
-            accounts.begin(accounts.calls, 0, 2);
-            asked.client.answer(asked, Ending.PUSHED_BACK, 0, 0, ClientLink.NO_BODY);
-            events.warn(Events.Kind.TURNED_AWAY, full);
-            return;
-        }
-        Moment now = net.now();
-        // an unsigned number on the wire: more than a day counts as a day
-        long dayUs = 86_400_000_000L;
-        double left = (Long.compareUnsigned(call.getLeftUs(), dayUs) > 0 ? dayUs : call.getLeftUs()) / 1000.0;
-        Span hint = call.getHintUs() <= 0 ? null : Span.ofMs(call.getHintUs() / 1000.0);
-        Moment deadline = now.plus(Span.ofMs(left));
-        int customer = call.getCustomer() < 0 ? Integer.MAX_VALUE : call.getCustomer(); // unsigned on the wire
-        arrived(asked, config.settings.methods.get(call.getMethod()), customer, call.getKey(), deadline, hint);
-    }
-
-    void flagged(long unit, long agoUs) {
-        ledger.flagged(unit, Span.ofMs(Math.max(0, agoUs) / 1000.0), net.now());
-    }
-
-    void peerTold(int sender, byte[] contents) {
-        if (sender >= 0 && sender < config.settings.relays) module.peerTold(sender, contents);
-    }
-
-    /** Another relay looked at a unit; who looks under a lower number than was heard stood still meanwhile. */
-    void peerSaw(Seen seen) {
-        if (fence.admits(Looks.LEASE, seen.getNumber())) ledger.looked(seen.getUnit(), seen.getAnswered());
-    }
-
-    /** What another relay says of hardware; false where it is about something else. */
-    boolean aboutHardware(int relay, Kind kind, MessageLite head) {
-        if (fitting == null || kind != Kind.FITTER && kind != Kind.TALLIED && kind != Kind.WORTH) return false;
-        if (kind == Kind.FITTER) fitting.fitter(relay, (Fitter) head);
-        else if (kind == Kind.TALLIED) fitting.tallied(relay, (Tallied) head);
-        else fitting.worth((Worth) head);
-        return true;
-    }
-
-    @Override
-    public void tellFitter(Fitter fitter) {
-        peers.tellAll(Kind.FITTER, fitter);
-    }
-
-    @Override
-    public void tellTally(int relay, Tallied tally) {
-        peers.tell(relay, Kind.TALLIED, tally);
-    }
-
-    @Override
-    public void tellWorth(Worth worth) {
-        peers.tellAll(Kind.WORTH, worth);
-        desk.tell(worth);
-    }
-
-    @Override
-    public void ended(sprucerock.serving.Exchange exchange, Outcome outcome, byte[] body) {
-        boolean first = !exchange.over();
-        super.ended(exchange, outcome, body);
-        if (first && outcome == Outcome.OK && fitting != null) fitting.ended(exchange.pick(), ((Exchange) exchange).others);
-    }
-
-    @Override
-    public void look(Unit unit, FrameUser user, Looks.LinkTaker taker) {
-        FrameLink link = new FrameLink(net, mine, config.link, tap, user);
-        taker.take(link);
-        UnitLinks door = (UnitLinks) unit.door;
-        secured.toUnit(unit.id, door.address(), door.name(), link);
-    }
-
-    @Override
-    public void seen(long unit, boolean answered, long number) {
-        Seen seen = Seen.newBuilder().setUnit(unit).setAnswered(answered).setNumber(number).build();
-        peerSaw(seen);
-        peers.seen(seen);
-    }
-
-    /** Leases that were taken, lost and are held since the start; null where none are configured. From any thread. */
-    public Leases.Figures leases() {
-        return leases == null ? null : leases.figures();
-    }
-
-    void gone(ClientLink client, boolean peer, String why) {
-        clients.remove(client);
-        if (!why.equals("closed by the other side") && !finishing) {
-            events.warn(Events.Kind.CLIENT_CUT, (peer ? "a relay's" : "a client's") + " connection ended: " + why);
-        }
-    }
-
-    // What the units' connections tell.
-
-    @Override
-    public void open(UnitLink link, InetSocketAddress to, String name) {
-        link.link = new FrameLink(net, mine, config.link, tap, link);
-        secured.toUnit(link.unit().id, to, name, link.link);
-    }
-
-    @Override
-    public void refused(Unit unit, String why) {
-        boolean misnamed = why.startsWith("TLS: " + Refusal.WRONG_NAME.words());
-        events.warn(misnamed ? Events.Kind.UNIT_MISNAMED : Events.Kind.UNIT_REFUSED, "unit " + unit.id + ": " + why);
-    }
-
-    @Override
-    public void late(Outcome outcome) {
-        ledger.lateResult(outcome);
-    }
-
-    @Override
-    public Timer at(Moment when, Runnable what) {
-        return net.at(when, what);
-    }
-
-    @Override
-    public void lost(Unit unit, String why) {
-        events.warn(Events.Kind.UNIT_LOST, "unit " + unit.id + ": " + why);
-    }
-
-    @Override
-    public void misnamed(Unit unit, Hello other) {
-        events.warn(Events.Kind.UNIT_MISNAMED, "unit " + unit.id + " was connected to, " + other.getRole() + " "
-            + Integer.toUnsignedString(other.getNumber()) + " answered");
-    }
-
-    @Override
-    protected Exchange exchange(Pick pick, Moment ends) {
-        return new Exchange(pick, ends);
-    }
-
-    @Override
-    public boolean ask(PromiseAsk ask) {
-        return desk.ask(ask);
-    }
-
-    @Override
-    public void firstPromise() {
-        learnt();
-    }
-
-    @Override
-    public void racksChanged() {
-        roster.racksChanged();
-    }
-
-    @Override
-    protected void toUnit(sprucerock.serving.Exchange exchange) {
-        // guards against a process that stood still between the module's choice and now; the pick never ran
-        if (!racks.mayStillPlace(exchange.pick().unit)) endsSoon((Exchange) exchange, Outcome.NOT_CONNECTED);
-        else links(exchange).send((Exchange) exchange);
-    }
-
-    @Override
-    protected boolean giveUp(sprucerock.serving.Exchange exchange, boolean told) {
-        return links(exchange).giveUp((Exchange) exchange, told);
-    }
-
-    private static UnitLinks links(sprucerock.serving.Exchange exchange) {
-        return (UnitLinks) exchange.pick().unit.door;
-    }
-
-    @Override
-    protected void answer(sprucerock.serving.Asked asked, sprucerock.serving.Ending ending, Span wait, long unit, byte[] body) {
-        Ending told = switch (ending) {
-            case OK -> Ending.OK;
-            case PUSHED_BACK -> Ending.PUSHED_BACK;
-            case ABORTED -> Ending.ABORTED;
+    leases =
+        config.leases == null
+            ? null
+            : new Leases(
+                net,
+                config.leases,
+                config.name,
+                Leases.newLife(),
+                tap,
+                System::currentTimeMillis,
+                say);
+    boolean fits = config.leases != null && config.leases.fitsEvery() != null;
+    fitting =
+        !fits
+            ? null
+            : new Fitting(
+                net,
+                config.settings.index,
+                config.leases.fitsEvery(),
+                System::currentTimeMillis,
+                build -> build < ledger.newestTried(),
+                events,
+                this);
+    if (config.leases != null && config.leases.granter() >= 0) {
+      granter = new GranterDoor(net, config.leases, config.name, tap, say);
+    }
+  }
+
+  /**
+   * Listens and links up, without TLS. On the loop's thread.
+   *
+   * @throws IOException if the address to listen at can't be had
+   */
+  public void start(Maker maker) throws IOException {
+    try {
+      start(maker, null);
+    } catch (Material.BadMaterialException e) {
+      throw new IOException(e.getMessage());
+    }
+  }
+
+  /**
+   * Listens and links up. On the loop's thread.
+   *
+   * @throws IOException if the address to listen at can't be had
+   * @throws Material.BadMaterialException if TLS is configured, and its files can't be used
+   */
+  public void start(Maker maker, Aside aside) throws IOException, Material.BadMaterialException {
+    secured.start(aside, this::moveUnits);
+    begin(maker, config.seed);
+    listener =
+        net.bind(
+            config.listen,
+            config.clients,
+            config.link.unsent(),
+            () -> {
+              ClientLink client = new ClientLink(this);
+              clients.add(client);
+              return secured.taken(client, new FrameLink(net, mine, config.link, tap, client));
+            });
+    roster.start();
+    desk.start();
+    racks.start();
+    if (granter != null) {
+      granter.start();
+    }
+    if (leases != null) {
+      leases.start();
+      if (fitting != null) {
+        fitting.start(aside);
+        leases.stand(Fitting.LEASE, fitting);
+      }
+      if (config.leases.looksEvery() != null) {
+        looks = new Looks(net, ledger, events, config.leases.looksEvery(), chance, this);
+        leases.stand(Looks.LEASE, looks);
+      }
+    }
+    net.at(
+        net.now().plus(config.waitForList),
+        () -> letClientsIn("without list or news, which did not come in time"));
+    net.at(net.now().plus(FIGURES), this::figures);
+    checkFigures();
+  }
+
+  /**
+   * A relay that has just started knows no unit and could only push back what comes: so clients
+   * wait in the system's queue until the first list and news are there, or for as long as
+   * configured.
+   */
+  private void letClientsIn(String how) {
+    if (taking || finishing) {
+      return;
+    }
+    taking = true;
+    listener.take();
+    events.info(
+        Events.Kind.STARTED,
+        "relay "
+            + config.name
+            + ", number "
+            + config.settings.index
+            + " of "
+            + config.settings.relays
+            + ", listens at "
+            + listener.address()
+            + ", "
+            + how);
+  }
+
+  /** The first list has come, or the first news. */
+  void learnt() {
+    if (roster.listed() && desk.told() && racks.told()) {
+      letClientsIn("with list and news");
+    }
+  }
+
+  private void unitChanged(Unit unit) {
+    if (looks != null) {
+      looks.listed(unit);
+    }
+  }
+
+  private void moveUnits(Span within) {
+    for (Unit unit : ledger.units()) {
+      if (unit.door != null) {
+        ((UnitLinks) unit.door).move(within);
+      }
+    }
+  }
+
+  boolean proven(int relay, TlsLink by) {
+    return secured.provenRelay(relay, by);
+  }
+
+  /** Days until the own certificate ends; null without TLS. From any thread, as it was last. */
+  public Long tlsDaysLeft() {
+    return tlsDaysLeft;
+  }
+
+  /** Whether the TLS files as they are now can't be used, so that older ones are. */
+  public boolean tlsBroken() {
+    return tlsBroken;
+  }
+
+  /** Says that something is the matter with the file of figures, which never stops routing. */
+  public void figuresFile(String what) {
+    events.warn(Events.Kind.FIGURES_FILE, what);
+  }
+
+  /** Some sum did not hold since this start; it stays so until the next. */
+  public boolean drifting() {
+    return drifting;
+  }
+
+  private void checkFigures() {
+    if (secured.tls() != null) {
+      tlsDaysLeft = secured.tls().daysLeft();
+      tlsBroken = secured.tls().broken();
+    }
+    if (accounts.muted()) {
+      return;
+    }
+    List<Accounts.Drift> drifts = accounts.check();
+    long open = accounts.sum(accounts.rpcs, accounts.rpcs.pending());
+    drifting |= !drifts.isEmpty() || open != ledger.open();
+    if (open != ledger.open()) {
+      events.error(
+          Events.Kind.DRIFT,
+          "rpcs open: " + open + " by the accounts, " + ledger.open() + " by count");
+    }
+    if (!drifts.isEmpty()) {
+      events.error(
+          Events.Kind.DRIFT,
+          drifts.get(0) + (drifts.size() > 1 ? "; and " + (drifts.size() - 1) + " more" : ""));
+    }
+    if (!finishing) {
+      net.at(net.now().plus(CHECK), this::checkFigures);
+    }
+  }
+
+  public InetSocketAddress address() {
+    return listener.address();
+  }
+
+  public Ledger ledger() {
+    return ledger;
+  }
+
+  /**
+   * No new RPC is taken; each open one gets its one answer, by its deadline or when the configured
+   * time is over. Then {@code done} runs.
+   */
+  public void finish(Runnable done) {
+    if (finishing) {
+      return;
+    }
+    finishing = true;
+    finished = done;
+    if (leases != null) {
+      leases.stop(); // before its last RPCs end: others may do the fleet's tasks meanwhile
+    }
+    listener.close();
+    events.info(Events.Kind.FINISHING, ledger.open() + " RPCs are open");
+    net.at(net.now().plus(live.finishWithin), this::abortOpen);
+    lookWhetherDone();
+  }
+
+  /** Settings that were read anew, of which only such differ as the schema marks as live. */
+  public void reload(RelayConfig anew) {
+    live = anew;
+    events.info(
+        Events.Kind.SETTINGS,
+        "taken over: limits/open "
+            + anew.open
+            + ", limits/open-per-client "
+            + anew.openPerClient
+            + ", limits/finish-within "
+            + anew.finishWithin.ms()
+            + "ms");
+  }
+
+  /** Settings that were read anew can't be taken over; what holds goes on. */
+  public void notReloaded(String why) {
+    events.error(Events.Kind.SETTINGS, why + "; what was read before holds");
+  }
+
+  private void abortOpen() {
+    // the time that operators allow is over: an abort promises nothing, so it is always true
+    for (ClientLink client : Set.copyOf(clients)) {
+      client.abortAll();
+    }
+    end();
+  }
+
+  private void lookWhetherDone() {
+    if (ledger.open() == 0) {
+      end();
+    } else {
+      net.at(net.now().plus(Span.ofMs(5)), this::lookWhetherDone);
+    }
+  }
+
+  private void end() {
+    if (finished == null) {
+      return;
+    }
+    Runnable done = finished;
+    finished = null;
+    racks.stop();
+    if (fitting != null) {
+      fitting.stop();
+    }
+    desk.stop();
+    roster.stop();
+    peers.stop();
+    if (granter != null) {
+      granter.stop();
+    }
+    secured.stop();
+    for (ClientLink client : clients) {
+      client.finish();
+    }
+    figures();
+    events.info(Events.Kind.FINISHED, "every RPC taken has its answer");
+    net.at(net.now().plus(Span.ofMs(100)), done); // the last answers go out in this turn
+  }
+
+  private void figures() {
+    StringBuilder text = new StringBuilder();
+    for (int i = 0; i < accounts.rpcs.columns().size(); i++) {
+      text.append(accounts.rpcs.columns().get(i))
+          .append(' ')
+          .append(accounts.sum(accounts.rpcs, i))
+          .append(' ');
+    }
+    events.info(
+        Events.Kind.FIGURES,
+        text
+            + "picks "
+            + accounts.sum(accounts.picks, 0)
+            + " turned-away "
+            + accounts.value(accounts.calls, 0, 2)
+            + " messages-dropped "
+            + accounts.value(accounts.messages, 0, 2)
+            + " units "
+            + ledger.units().size()
+            + " clients "
+            + clients.size());
+    if (!finishing) {
+      net.at(net.now().plus(FIGURES), this::figures);
+    }
+  }
+
+  // What comes in from clients and peers.
+
+  /**
+   * An RPC: turned away unseen where a limit is reached, which is safe as it has not run; else the
+   * module's.
+   */
+  void called(Asked asked, Call call) {
+    if (call.getMethod() < 0 || call.getMethod() >= config.settings.methods.size()) {
+      accounts.begin(accounts.calls, 0, 3);
+      asked.client.answer(asked, Ending.ABORTED, 0, 0, ClientLink.NO_BODY);
+      events.warn(
+          Events.Kind.CLIENT_REFUSED,
+          "an RPC of method "
+              + call.getMethod()
+              + ", there are "
+              + config.settings.methods.size()
+              + "; it was aborted");
+      return;
+    }
+    String full =
+        config.strict && drifting
+            ? "figures drift, and figures/strict is set"
+            : finishing
+                ? "the relay is finishing"
+                : ledger.open() >= live.open
+                    ? "limits/open is reached"
+                    : asked.client.open() > live.openPerClient
+                        ? "limits/open-per-client is reached"
+                        : null;
+    if (full != null) {
+      accounts.begin(accounts.calls, 0, 2);
+      asked.client.answer(asked, Ending.PUSHED_BACK, 0, 0, ClientLink.NO_BODY);
+      events.warn(Events.Kind.TURNED_AWAY, full);
+      return;
+    }
+    Moment now = net.now();
+    // an unsigned number on the wire: more than a day counts as a day
+    long dayUs = 86_400_000_000L;
+    double left =
+        (Long.compareUnsigned(call.getLeftUs(), dayUs) > 0 ? dayUs : call.getLeftUs()) / 1000.0;
+    Span hint = call.getHintUs() <= 0 ? null : Span.ofMs(call.getHintUs() / 1000.0);
+    Moment deadline = now.plus(Span.ofMs(left));
+    int customer =
+        call.getCustomer() < 0 ? Integer.MAX_VALUE : call.getCustomer(); // unsigned on the wire
+    arrived(
+        asked,
+        config.settings.methods.get(call.getMethod()),
+        customer,
+        call.getKey(),
+        deadline,
+        hint);
+  }
+
+  void flagged(long unit, long agoUs) {
+    ledger.flagged(unit, Span.ofMs(Math.max(0, agoUs) / 1000.0), net.now());
+  }
+
+  void peerTold(int sender, byte[] contents) {
+    if (sender >= 0 && sender < config.settings.relays) {
+      module.peerTold(sender, contents);
+    }
+  }
+
+  /**
+   * Another relay looked at a unit; who looks under a lower number than was heard stood still
+   * meanwhile.
+   */
+  void peerSaw(Seen seen) {
+    if (fence.admits(Looks.LEASE, seen.getNumber())) {
+      ledger.looked(seen.getUnit(), seen.getAnswered());
+    }
+  }
+
+  /** What another relay says of hardware; false where it is about something else. */
+  boolean aboutHardware(int relay, Kind kind, MessageLite head) {
+    if (fitting == null || kind != Kind.FITTER && kind != Kind.TALLIED && kind != Kind.WORTH) {
+      return false;
+    }
+    if (kind == Kind.FITTER) {
+      fitting.fitter(relay, (Fitter) head);
+    } else if (kind == Kind.TALLIED) {
+      fitting.tallied(relay, (Tallied) head);
+    } else {
+      fitting.worth((Worth) head);
+    }
+    return true;
+  }
+
+  @Override
+  public void tellFitter(Fitter fitter) {
+    peers.tellAll(Kind.FITTER, fitter);
+  }
+
+  @Override
+  public void tellTally(int relay, Tallied tally) {
+    peers.tell(relay, Kind.TALLIED, tally);
+  }
+
+  @Override
+  public void tellWorth(Worth worth) {
+    peers.tellAll(Kind.WORTH, worth);
+    desk.tell(worth);
+  }
+
+  @Override
+  public void ended(sprucerock.serving.Exchange exchange, Outcome outcome, byte[] body) {
+    boolean first = !exchange.over();
+    super.ended(exchange, outcome, body);
+    if (first && outcome == Outcome.OK && fitting != null) {
+      fitting.ended(exchange.pick(), ((Exchange) exchange).others);
+    }
+  }
+
+  @Override
+  public void look(Unit unit, FrameUser user, Looks.LinkTaker taker) {
+    FrameLink link = new FrameLink(net, mine, config.link, tap, user);
+    taker.take(link);
+    UnitLinks door = (UnitLinks) unit.door;
+    secured.toUnit(unit.id, door.address(), door.name(), link);
+  }
+
+  @Override
+  public void seen(long unit, boolean answered, long number) {
+    Seen seen = Seen.newBuilder().setUnit(unit).setAnswered(answered).setNumber(number).build();
+    peerSaw(seen);
+    peers.seen(seen);
+  }
+
+  /**
+   * Leases that were taken, lost and are held since the start; null where none are configured. From
+   * any thread.
+   */
+  public Leases.Figures leases() {
+    return leases == null ? null : leases.figures();
+  }
+
+  void gone(ClientLink client, boolean peer, String why) {
+    clients.remove(client);
+    if (!why.equals("closed by the other side") && !finishing) {
+      events.warn(
+          Events.Kind.CLIENT_CUT,
+          (peer ? "a relay's" : "a client's") + " connection ended: " + why);
+    }
+  }
+
+  // What the units' connections tell.
+
+  @Override
+  public void open(UnitLink link, InetSocketAddress to, String name) {
+    link.link = new FrameLink(net, mine, config.link, tap, link);
+    secured.toUnit(link.unit().id, to, name, link.link);
+  }
+
+  @Override
+  public void refused(Unit unit, String why) {
+    boolean misnamed = why.startsWith("TLS: " + Refusal.WRONG_NAME.words());
+    events.warn(
+        misnamed ? Events.Kind.UNIT_MISNAMED : Events.Kind.UNIT_REFUSED,
+        "unit " + unit.id + ": " + why);
+  }
+
+  @Override
+  public void late(Outcome outcome) {
+    ledger.lateResult(outcome);
+  }
+
+  @Override
+  public Timer at(Moment when, Runnable what) {
+    return net.at(when, what);
+  }
+
+  @Override
+  public void lost(Unit unit, String why) {
+    events.warn(Events.Kind.UNIT_LOST, "unit " + unit.id + ": " + why);
+  }
+
+  @Override
+  public void misnamed(Unit unit, Hello other) {
+    events.warn(
+        Events.Kind.UNIT_MISNAMED,
+        "unit "
+            + unit.id
+            + " was connected to, "
+            + other.getRole()
+            + " "
+            + Integer.toUnsignedString(other.getNumber())
+            + " answered");
+  }
+
+  @Override
+  protected Exchange exchange(Pick pick, Moment ends) {
+    return new Exchange(pick, ends);
+  }
+
+  @Override
+  public boolean ask(PromiseAsk ask) {
+    return desk.ask(ask);
+  }
+
+  @Override
+  public void firstPromise() {
+    learnt();
+  }
+
+  @Override
+  public void racksChanged() {
+    roster.racksChanged();
+  }
+
+  @Override
+  protected void toUnit(sprucerock.serving.Exchange exchange) {
+    // guards against a process that stood still between the module's choice and now; the pick never
+    // ran
+    if (!racks.mayStillPlace(exchange.pick().unit)) {
+      endsSoon((Exchange) exchange, Outcome.NOT_CONNECTED);
+    } else {
+      links(exchange).send((Exchange) exchange);
+    }
+  }
+
+  @Override
+  protected boolean giveUp(sprucerock.serving.Exchange exchange, boolean told) {
+    return links(exchange).giveUp((Exchange) exchange, told);
+  }
+
+  private static UnitLinks links(sprucerock.serving.Exchange exchange) {
+    return (UnitLinks) exchange.pick().unit.door;
+  }
+
+  @Override
+  protected void answer(
+      sprucerock.serving.Asked asked,
+      sprucerock.serving.Ending ending,
+      Span wait,
+      long unit,
+      byte[] body) {
+    Ending told =
+        switch (ending) {
+          case OK -> Ending.OK;
+          case PUSHED_BACK -> Ending.PUSHED_BACK;
+          case ABORTED -> Ending.ABORTED;
         };
-        ((Asked) asked).client.answer((Asked) asked, told, (long) (wait.ms() * 1000), unit, body);
-    }
-
-    // What the module does.
-
-    @Override
-    public void vote(Build build, int stage, Verdict verdict) {
-        desk.vote(build, stage, verdict);
-    }
-
-    @Override
-    public void tellPeers(byte[] contents) {
-        peers.tellAll(contents);
-    }
-
-    @Override
-    public void tellPeer(int relay, byte[] contents) {
-        peers.tell(relay, contents);
-    }
-
-    @Override
-    public void subscribe() {
-        roster.subscribe();
-    }
+    ((Asked) asked).client.answer((Asked) asked, told, (long) (wait.ms() * 1000), unit, body);
+  }
+
+  // What the module does.
+
+  @Override
+  public void vote(Build build, int stage, Verdict verdict) {
+    desk.vote(build, stage, verdict);
+  }
+
+  @Override
+  public void tellPeers(byte[] contents) {
+    peers.tellAll(contents);
+  }
+
+  @Override
+  public void tellPeer(int relay, byte[] contents) {
+    peers.tell(relay, contents);
+  }
+
+  @Override
+  public void subscribe() {
+    roster.subscribe();
+  }
 }
--- a/src/main/java/sprucerock/relay/RosterLink.java
+++ b/src/main/java/sprucerock/relay/RosterLink.java
@@ -35,210 +35,299 @@
 
 /** What the roster says of the units, told to the ledger; and each unit's connections. */
 final class RosterLink implements FrameUser {
-    /** A run of a unit's process, by the roster's number for it, with the one start time that it keeps here. */
-    private record Run(long number, Moment started) {}
+  /**
+   * A run of a unit's process, by the roster's number for it, with the one start time that it keeps
+   * here.
+   */
+  private record Run(long number, Moment started) {}
+
+  /**
+   * The listed units of one rack that may get work if the rack may. They are looked at when its
+   * verdict turns, not at each look at racks: a look is for twenty times a second, and racks are a
+   * fraction of the units.
+   */
+  private static final class Rack {
+    private final int zone;
+    private final int cell;
+    private final Map<Long, Entry> ready = new TreeMap<>();
 
     /**
-     * The listed units of one rack that may get work if the rack may. They are looked at when its verdict turns, not at each look at racks:
-     * a look is for twenty times a second, and racks are a fraction of the units.
+     * What the last look found, and every unit has been told; null: some unit may have been told
+     * otherwise since.
      */
-    private static final class Rack {
-        private final int zone;
-        private final int cell;
-        private final Map<Long, Entry> ready = new TreeMap<>();
-        /** What the last look found, and every unit has been told; null: some unit may have been told otherwise since. */
-        private Boolean mayPlace;
-
-        Rack(Unit first) {
-            zone = first.zone;
-            cell = first.cell;
-        }
+    private Boolean mayPlace;
+
+    Rack(Unit first) {
+      zone = first.zone;
+      cell = first.cell;
     }
+  }
 
-    private final Net net;
-    private final RelayConfig config;
-    private final Ledger ledger;
-    private final Events events;
-    private final UnitLinks.Owner owner;
-    private final Chance chance;
-    private final Runnable listFailed;
-    private final Redial redial;
-    private final Map<Long, Run> runs = new HashMap<>();
-    /** By {@link Picture#key}; none is empty. */
-    private final Map<Integer, Rack> rackOf = new TreeMap<>();
-    private final Racks racks;
-    private final Runnable learnt;
-    private final Consumer<Unit> changed;
-    private boolean listed;
-    private boolean asked;
-    private boolean stopping;
-
-    RosterLink(Net net, RelayConfig config, Hello mine, Tap tap, Ledger ledger, Events events, Chance chance,
-        UnitLinks.Owner owner, Racks racks, Runnable listFailed, Runnable learnt, Consumer<Unit> changed) {
-        this.changed = changed;
-        this.racks = racks;
-        this.learnt = learnt;
-        this.net = net;
-        this.config = config;
-        this.ledger = ledger;
-        this.events = events;
-        this.owner = owner;
-        this.chance = chance;
-        this.listFailed = listFailed;
-        redial = new Redial(net, config.roster, mine, config.link, tap, chance, this);
-    }
-
-    void start() {
-        redial.dial();
-    }
-
-    void stop() {
-        stopping = true;
-        redial.stop();
-    }
-
-    /** A whole list has come since the start. */
-    boolean listed() {
-        return listed;
-    }
-
-    /** The module asks for the list and its changes; where the roster is away, it is told so. */
-    void subscribe() {
-        if (redial.send(Kind.WATCH, Watch.getDefaultInstance(), ClientLink.NO_BODY)) asked = true;
-        else net.atTurnsEnd(listFailed);
-    }
-
-    @Override
-    public void greeted(FrameLink link, Hello other) {
-        if (other.getRole() != Role.ROSTER) {
-            redial.cut("no roster answers there");
-            return;
-        }
-        events.info(Events.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
-        if (!config.settings.ask) redial.send(Kind.WATCH, Watch.getDefaultInstance(), ClientLink.NO_BODY);
+  private final Net net;
+  private final RelayConfig config;
+  private final Ledger ledger;
+  private final Events events;
+  private final UnitLinks.Owner owner;
+  private final Chance chance;
+  private final Runnable listFailed;
+  private final Redial redial;
+  private final Map<Long, Run> runs = new HashMap<>();
+
+  /** By {@link Picture#key}; none is empty. */
+  private final Map<Integer, Rack> rackOf = new TreeMap<>();
+
+  private final Racks racks;
+  private final Runnable learnt;
+  private final Consumer<Unit> changed;
+  private boolean listed;
+  private boolean asked;
+  private boolean stopping;
+
+  RosterLink(
+      Net net,
+      RelayConfig config,
+      Hello mine,
+      Tap tap,
+      Ledger ledger,
+      Events events,
+      Chance chance,
+      UnitLinks.Owner owner,
+      Racks racks,
+      Runnable listFailed,
+      Runnable learnt,
+      Consumer<Unit> changed) {
+    this.changed = changed;
+    this.racks = racks;
+    this.learnt = learnt;
+    this.net = net;
+    this.config = config;
+    this.ledger = ledger;
+    this.events = events;
+    this.owner = owner;
+    this.chance = chance;
+    this.listFailed = listFailed;
+    redial = new Redial(net, config.roster, mine, config.link, tap, chance, this);
+  }
+
+  void start() {
+    redial.dial();
+  }
+
+  void stop() {
+    stopping = true;
+    redial.stop();
+  }
+
+  /** A whole list has come since the start. */
+  boolean listed() {
+    return listed;
+  }
+
+  /** The module asks for the list and its changes; where the roster is away, it is told so. */
+  void subscribe() {
+    if (redial.send(Kind.WATCH, Watch.getDefaultInstance(), ClientLink.NO_BODY)) {
+      asked = true;
+    } else {
+      net.atTurnsEnd(listFailed);
     }
+  }
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-        if (kind != Kind.LISTING) {
-            redial.cut("a roster sends no " + kind);
-            return;
-        }
-        Listing listing = (Listing) head;
-        if (listing.getForm() == Form.FAILED) {
-            failed();
-            return;
-        }
-        if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
-            events.warn(Events.Kind.LISTING_REFUSED, "a listing that is neither whole nor changes; the old one holds");
-            return;
-        }
-        asked = false;
-        Set<Long> named = new HashSet<>();
-        for (Entry entry : listing.getEntriesList()) {
-            named.add(entry.getUnit());
-            take(entry);
-        }
-        if (listing.getForm() == Form.WHOLE) {
-            for (Unit unit : ledger.units()) if (!named.contains(unit.id)) removed(unit);
-            listed = true;
-            learnt.run();
+  @Override
+  public void greeted(FrameLink link, Hello other) {
+    if (other.getRole() != Role.ROSTER) {
+      redial.cut("no roster answers there");
+      return;
+    }
+    events.info(Events.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
+    if (!config.settings.ask) {
+      redial.send(Kind.WATCH, Watch.getDefaultInstance(), ClientLink.NO_BODY);
+    }
+  }
+
+  @Override
+  public void frame(Kind kind, MessageLite head, byte[] body) {
+    if (kind != Kind.LISTING) {
+      redial.cut("a roster sends no " + kind);
+      return;
+    }
+    Listing listing = (Listing) head;
+    if (listing.getForm() == Form.FAILED) {
+      failed();
+      return;
+    }
+    if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
+      events.warn(
+          Events.Kind.LISTING_REFUSED,
+          "a listing that is neither whole nor changes; the old one holds");
+      return;
+    }
+    asked = false;
+    Set<Long> named = new HashSet<>();
+    for (Entry entry : listing.getEntriesList()) {
+      named.add(entry.getUnit());
+      take(entry);
+    }
+    if (listing.getForm() == Form.WHOLE) {
+      for (Unit unit : ledger.units()) {
+        if (!named.contains(unit.id)) {
+          removed(unit);
         }
+      }
+      listed = true;
+      learnt.run();
     }
+  }
 
-    private void failed() {
-        if (!asked) return;
-        asked = false;
-        listFailed.run();
+  private void failed() {
+    if (!asked) {
+      return;
     }
+    asked = false;
+    listFailed.run();
+  }
 
-    private void take(Entry entry) {
-        Unit known = ledger.unit(entry.getUnit());
-        if (entry.getHealth() == Health.GONE) {
-            if (known != null) removed(known);
-            return;
-        }
-        InetSocketAddress address = Address.of(entry.getHost(), entry.getPort());
-        String wrong = entry.getHealth() != Health.READY && entry.getHealth() != Health.DRAINING ? "no known health"
-            : address == null || entry.getPort() == 0 ? "no address to connect to"
-            : entry.getBuild() >>> 16 != 0 ? "a build over 65535"
-            : !(entry.getWeight() > 0) || entry.getWeight() > 1e6 ? "a weight that is not above 0"
-            : known == null && runs.size() >= config.units ? "more units than limits/units allows"
-            : entry.getUnit() >>> 32 != 0 ? "an id of 2^32 or more"
-            : config.tls != null && config.tlsUnits && entry.getName().isEmpty() ? "no name, by which it could be proven" : null;
-        if (wrong != null) {
-            events.warn(Events.Kind.LISTING_REFUSED, "unit " + Long.toUnsignedString(entry.getUnit()) + " has "
-                + wrong + "; the entry is left out");
-            return;
-        }
-        Run run = runs.get(entry.getUnit());
-        if (run == null || run.number != entry.getRun()) {
-            // its age is told anew with each listing, late by the way here: the first one told is kept
-            Span age = Span.ofMs(entry.getAgeUs() / 1000.0);
-            run = new Run(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
-            runs.put(entry.getUnit(), run);
-        }
-        boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
-        boolean moved = sameRun && known.door != null && !((UnitLinks) known.door).at(address, entry.getName());
-        if (known != null && (!sameRun || moved)) leave(known);
-        if (moved) ledger.removed(known.id);
-        boolean mayPlace = racks.mayPlace(entry.getZone(), entry.getCell());
-        Unit unit = ledger.listed(entry.getUnit(), entry.getZone(), entry.getKind(), entry.getCell(), entry.getBuild(),
-            run.started, entry.getWeight(), entry.getHealth() == Health.READY && mayPlace);
-        if (known != null && known != unit) forget(known);
-        if (entry.getHealth() == Health.READY) remember(unit, entry, mayPlace);
-        else forget(unit);
-        if (unit.door == null) unit.door = new UnitLinks(unit, address, entry.getName(), config, chance, owner);
-        if (entry.getHealth() == Health.DRAINING) leave(unit);
-        changed.accept(unit);
-    }
-
-    private void remember(Unit unit, Entry entry, boolean mayPlace) {
-        Rack rack = rackOf.computeIfAbsent(Picture.key(unit.zone, unit.cell), any -> new Rack(unit));
-        rack.ready.put(unit.id, entry);
-        if (rack.mayPlace != null && rack.mayPlace != mayPlace) rack.mayPlace = null;
-    }
-
-    private void forget(Unit unit) {
-        int key = Picture.key(unit.zone, unit.cell);
-        Rack rack = rackOf.get(key);
-        if (rack == null) return;
-        rack.ready.remove(unit.id);
-        if (rack.ready.isEmpty()) rackOf.remove(key);
-    }
-
-    /** Units of a rack that must be left are told as such that drain, and once it may be used again as listed: the module knows no racks. */
-    void racksChanged() {
-        List<Rack> turned = new ArrayList<>();
-        for (Rack rack : rackOf.values()) {
-            boolean mayPlace = racks.mayPlace(rack.zone, rack.cell);
-            if (rack.mayPlace != null && rack.mayPlace == mayPlace) continue;
-            rack.mayPlace = mayPlace;
-            turned.add(rack);
-        }
-        for (Rack rack : turned) {
-            boolean mayPlace = rack.mayPlace;
-            for (Entry entry : new ArrayList<>(rack.ready.values())) {
-                if (ledger.unit(entry.getUnit()).ready() != mayPlace) take(entry);
-            }
-        }
+  private void take(Entry entry) {
+    Unit known = ledger.unit(entry.getUnit());
+    if (entry.getHealth() == Health.GONE) {
+      if (known != null) {
+        removed(known);
+      }
+      return;
+    }
+    InetSocketAddress address = Address.of(entry.getHost(), entry.getPort());
+    String wrong =
+        entry.getHealth() != Health.READY && entry.getHealth() != Health.DRAINING
+            ? "no known health"
+            : address == null || entry.getPort() == 0
+                ? "no address to connect to"
+                : entry.getBuild() >>> 16 != 0
+                    ? "a build over 65535"
+                    : !(entry.getWeight() > 0) || entry.getWeight() > 1e6
+                        ? "a weight that is not above 0"
+                        : known == null && runs.size() >= config.units
+                            ? "more units than limits/units allows"
+                            : entry.getUnit() >>> 32 != 0
+                                ? "an id of 2^32 or more"
+                                : config.tls != null && config.tlsUnits && entry.getName().isEmpty()
+                                    ? "no name, by which it could be proven"
+                                    : null;
+    if (wrong != null) {
+      events.warn(
+          Events.Kind.LISTING_REFUSED,
+          "unit "
+              + Long.toUnsignedString(entry.getUnit())
+              + " has "
+              + wrong
+              + "; the entry is left out");
+      return;
+    }
+    Run run = runs.get(entry.getUnit());
+    if (run == null || run.number != entry.getRun()) {
+      // its age is told anew with each listing, late by the way here: the first one told is kept
+      Span age = Span.ofMs(entry.getAgeUs() / 1000.0);
+      run = new Run(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
+      runs.put(entry.getUnit(), run);
+    }
+    boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
+    boolean moved =
+        sameRun && known.door != null && !((UnitLinks) known.door).at(address, entry.getName());
+    if (known != null && (!sameRun || moved)) {
+      leave(known);
+    }
+    if (moved) {
+      ledger.removed(known.id);
+    }
+    boolean mayPlace = racks.mayPlace(entry.getZone(), entry.getCell());
+    Unit unit =
+        ledger.listed(
+            entry.getUnit(),
+            entry.getZone(),
+            entry.getKind(),
+            entry.getCell(),
+            entry.getBuild(),
+            run.started,
+            entry.getWeight(),
+            entry.getHealth() == Health.READY && mayPlace);
+    if (known != null && known != unit) {
+      forget(known);
+    }
+    if (entry.getHealth() == Health.READY) {
+      remember(unit, entry, mayPlace);
+    } else {
+      forget(unit);
     }
+    if (unit.door == null) {
+      unit.door = new UnitLinks(unit, address, entry.getName(), config, chance, owner);
+    }
+    if (entry.getHealth() == Health.DRAINING) {
+      leave(unit);
+    }
+    changed.accept(unit);
+  }
+
+  private void remember(Unit unit, Entry entry, boolean mayPlace) {
+    Rack rack = rackOf.computeIfAbsent(Picture.key(unit.zone, unit.cell), any -> new Rack(unit));
+    rack.ready.put(unit.id, entry);
+    if (rack.mayPlace != null && rack.mayPlace != mayPlace) {
+      rack.mayPlace = null;
+    }
+  }
+
+  private void forget(Unit unit) {
+    int key = Picture.key(unit.zone, unit.cell);
+    Rack rack = rackOf.get(key);
+    if (rack == null) {
+      return;
+    }
+    rack.ready.remove(unit.id);
+    if (rack.ready.isEmpty()) {
+      rackOf.remove(key);
+    }
+  }
 
-    private void removed(Unit unit) {
-        runs.remove(unit.id);
-        forget(unit);
-        ledger.removed(unit.id);
-        leave(unit);
-        changed.accept(unit);
+  /**
+   * Units of a rack that must be left are told as such that drain, and once it may be used again as
+   * listed: the module knows no racks.
+   */
+  void racksChanged() {
+    List<Rack> turned = new ArrayList<>();
+    for (Rack rack : rackOf.values()) {
+      boolean mayPlace = racks.mayPlace(rack.zone, rack.cell);
+      if (rack.mayPlace != null && rack.mayPlace == mayPlace) {
+        continue;
+      }
+      rack.mayPlace = mayPlace;
+      turned.add(rack);
     }
+    for (Rack rack : turned) {
+      boolean mayPlace = rack.mayPlace;
+      for (Entry entry : new ArrayList<>(rack.ready.values())) {
+        if (ledger.unit(entry.getUnit()).ready() != mayPlace) {
+          take(entry);
+        }
+      }
+    }
+  }
+
+  private void removed(Unit unit) {
+    runs.remove(unit.id);
+    forget(unit);
+    ledger.removed(unit.id);
+    leave(unit);
+    changed.accept(unit);
+  }
 
-    private static void leave(Unit unit) {
-        if (unit.door != null) ((UnitLinks) unit.door).leave();
+  private static void leave(Unit unit) {
+    if (unit.door != null) {
+      ((UnitLinks) unit.door).leave();
     }
+  }
 
-    @Override
-    public void closed(String why) {
-        if (!stopping) events.warn(Events.Kind.ROSTER_LOST, why + "; the units listed last hold");
-        failed();
+  @Override
+  public void closed(String why) {
+    if (!stopping) {
+      events.warn(Events.Kind.ROSTER_LOST, why + "; the units listed last hold");
     }
+    failed();
+  }
 }
--- a/src/main/java/sprucerock/relay/Secured.java
+++ b/src/main/java/sprucerock/relay/Secured.java
@@ -19,100 +19,126 @@
 import sprucerock.wire.FrameLink;
 import sprucerock.wire.Redial;
 
-/** Which of a relay's connections are by TLS, and with whom; counts and tells what becomes of them. */
+/**
+ * Which of a relay's connections are by TLS, and with whom; counts and tells what becomes of them.
+ */
 final class Secured implements Tls.Owner {
-    /** Whose connections are to be replaced once credentials have changed. */
-    interface Movers {
-        void move(Span within);
+  /** Whose connections are to be replaced once credentials have changed. */
+  interface Movers {
+    void move(Span within);
+  }
+
+  private final RelayConfig config;
+  private final Net net;
+  private final Events events;
+  private final Accounts accounts;
+  private Movers movers;
+  private Tls tls;
+
+  Secured(RelayConfig config, Net net, Events events, Accounts accounts) {
+    this.config = config;
+    this.net = net;
+    this.events = events;
+    this.accounts = accounts;
+  }
+
+  /**
+   * Reads the files; nothing where TLS is not configured.
+   *
+   * @throws Material.BadMaterialException if they can't be used
+   */
+  void start(Aside aside, Movers whom) throws Material.BadMaterialException {
+    movers = whom;
+    if (config.tls != null) {
+      tls = new Tls(net, config.tls, aside, Instant::now, this);
     }
+  }
 
-    private final RelayConfig config;
-    private final Net net;
-    private final Events events;
-    private final Accounts accounts;
-    private Movers movers;
-    private Tls tls;
-
-    Secured(RelayConfig config, Net net, Events events, Accounts accounts) {
-        this.config = config;
-        this.net = net;
-        this.events = events;
-        this.accounts = accounts;
+  void stop() {
+    if (tls != null) {
+      tls.stop();
     }
-
-    /**
-     * Reads the files; nothing where TLS is not configured.
-     *
-     * @throws Material.BadMaterialException if they can't be used
-     */
-    void start(Aside aside, Movers whom) throws Material.BadMaterialException {
-        movers = whom;
-        if (config.tls != null) tls = new Tls(net, config.tls, aside, Instant::now, this);
-    }
-
-    void stop() {
-        if (tls != null) tls.stop();
-    }
-
-    /** Null where TLS is not configured. */
-    Tls tls() {
-        return tls;
-    }
-
-    void toUnit(long unit, InetSocketAddress to, String name, FrameLink user) {
-        if (tls == null || !config.tlsUnits) net.connect(to, config.connectWithin, config.link.unsent(), user);
-        else tls.connect(unit, name, to, config.connectWithin, config.link.unsent(), user);
-    }
-
-    Redial.Connector toPeer(int number) {
-        if (!config.tlsPeers) return net::connect;
-        return (to, within, mostUnsent, user) -> tls.connect("relay " + number, config.peerNames.get(number), to, within, mostUnsent, user);
-    }
-
-    /** What a taken connection has before its user. */
-    LinkUser taken(ClientLink client, FrameLink user) {
-        if (!config.tlsClients) return user;
-        TlsLink link = tls.take(config.provenClients, user);
-        client.by(link);
-        return link;
+  }
+
+  /** Null where TLS is not configured. */
+  Tls tls() {
+    return tls;
+  }
+
+  void toUnit(long unit, InetSocketAddress to, String name, FrameLink user) {
+    if (tls == null || !config.tlsUnits) {
+      net.connect(to, config.connectWithin, config.link.unsent(), user);
+    } else {
+      tls.connect(unit, name, to, config.connectWithin, config.link.unsent(), user);
     }
+  }
 
-    /** Whether who says that it is a relay of a number has proven it; true where relays don't have to. */
-    boolean provenRelay(int number, TlsLink by) {
-        if (!config.tlsPeers) return true;
-        String name = config.peerNames.get(number);
-        try {
-            return name != null && by != null && by.peer() != null && Names.carries(by.peer(), name);
-        } catch (RefusedException e) {
-            return false;
-        }
+  Redial.Connector toPeer(int number) {
+    if (!config.tlsPeers) {
+      return net::connect;
     }
-
-    @Override
-    public void handshakeBegun() {
-        accounts.begin(accounts.handshakes, 0, accounts.handshakes.pending());
+    return (to, within, mostUnsent, user) ->
+        tls.connect("relay " + number, config.peerNames.get(number), to, within, mostUnsent, user);
+  }
+
+  /** What a taken connection has before its user. */
+  LinkUser taken(ClientLink client, FrameLink user) {
+    if (!config.tlsClients) {
+      return user;
     }
-
-    @Override
-    public void handshakeDone(boolean resumed) {
-        accounts.move(accounts.handshakes, 0, accounts.handshakes.pending(), resumed ? 2 : 1);
+    TlsLink link = tls.take(config.provenClients, user);
+    client.by(link);
+    return link;
+  }
+
+  /**
+   * Whether who says that it is a relay of a number has proven it; true where relays don't have to.
+   */
+  boolean provenRelay(int number, TlsLink by) {
+    if (!config.tlsPeers) {
+      return true;
     }
-
-    @Override
-    public void handshakeRefused(Refusal why) {
-        accounts.move(accounts.handshakes, 0, accounts.handshakes.pending(),
-            accounts.handshakes.columns().indexOf(why.name().toLowerCase(Locale.ROOT)));
+    String name = config.peerNames.get(number);
+    try {
+      return name != null && by != null && by.peer() != null && Names.carries(by.peer(), name);
+    } catch (RefusedException e) {
+      return false;
     }
-
-    @Override
-    public void loaded(String wrong) {
-        accounts.begin(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
-        if (wrong == null) events.info(Events.Kind.TLS_FILES, "new key and trust are in use; the certificate has " + tls.daysLeft() + " days left");
-        else events.error(Events.Kind.TLS_FILES, wrong + "; key and trust stay as they were");
+  }
+
+  @Override
+  public void handshakeBegun() {
+    accounts.begin(accounts.handshakes, 0, accounts.handshakes.pending());
+  }
+
+  @Override
+  public void handshakeDone(boolean resumed) {
+    accounts.move(accounts.handshakes, 0, accounts.handshakes.pending(), resumed ? 2 : 1);
+  }
+
+  @Override
+  public void handshakeRefused(Refusal why) {
+    accounts.move(
+        accounts.handshakes,
+        0,
+        accounts.handshakes.pending(),
+        accounts.handshakes.columns().indexOf(why.name().toLowerCase(Locale.ROOT)));
+  }
+
+  @Override
+  public void loaded(String wrong) {
+    accounts.begin(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
+    if (wrong == null) {
+      events.info(
+          Events.Kind.TLS_FILES,
+          "new key and trust are in use; the certificate has " + tls.daysLeft() + " days left");
+    } else {
+      events.error(Events.Kind.TLS_FILES, wrong + "; key and trust stay as they were");
     }
+  }
 
-    @Override
-    public void changed() {
-        movers.move(tls.moveWithin());
-    }
+  @Override
+  public void changed() {
+    movers.move(tls.moveWithin());
+  }
 }
--- a/src/main/java/sprucerock/relay/UnitLink.java
+++ b/src/main/java/sprucerock/relay/UnitLink.java
@@ -20,115 +20,135 @@
 
 /** One connection to a unit, with the picks that are out on it. */
 final class UnitLink implements FrameUser {
-    private static final byte[] NO_BODY = {};
-
-    private final UnitLinks links;
-    private final Map<Long, Exchange> live = new LinkedHashMap<>();
-    FrameLink link;
-    /** The unit said who it is, and is the one meant. */
-    boolean greeted;
-    /** Gets nothing new, and is closed once it is empty. */
-    boolean retired;
-    Moment usedLast;
-    private long lastId;
-    private int forsaken;
-
-    UnitLink(UnitLinks links, Moment now) {
-        this.links = links;
-        usedLast = now;
-    }
+  private static final byte[] NO_BODY = {};
 
-    sprucerock.model.Unit unit() {
-        return links.unit;
-    }
+  private final UnitLinks links;
+  private final Map<Long, Exchange> live = new LinkedHashMap<>();
+  FrameLink link;
 
-    /** Picks on it, those included that nobody waits for any more: the unit may still be at them. */
-    int load() {
-        return live.size() + forsaken;
-    }
+  /** The unit said who it is, and is the one meant. */
+  boolean greeted;
 
-    boolean idle() {
-        return live.isEmpty();
-    }
+  /** Gets nothing new, and is closed once it is empty. */
+  boolean retired;
 
-    /** Nothing new may follow what closes it: such a pick would be cut off with it. */
-    void retire() {
-        retired = true;
-        link.finish();
-    }
+  Moment usedLast;
+  private long lastId;
+  private int forsaken;
+
+  UnitLink(UnitLinks links, Moment now) {
+    this.links = links;
+    usedLast = now;
+  }
 
-    /** Gets nothing new; closes once what is out on it has ended. */
-    void drain() {
-        if (idle()) retire();
-        else retired = true;
+  sprucerock.model.Unit unit() {
+    return links.unit;
+  }
+
+  /** Picks on it, those included that nobody waits for any more: the unit may still be at them. */
+  int load() {
+    return live.size() + forsaken;
+  }
+
+  boolean idle() {
+    return live.isEmpty();
+  }
+
+  /** Nothing new may follow what closes it: such a pick would be cut off with it. */
+  void retire() {
+    retired = true;
+    link.finish();
+  }
+
+  /** Gets nothing new; closes once what is out on it has ended. */
+  void drain() {
+    if (idle()) {
+      retire();
+    } else {
+      retired = true;
     }
+  }
 
-    void send(Exchange exchange, Moment now) {
-        Rpc rpc = exchange.pick().rpc;
-        Asked asked = (Asked) rpc.door;
-        Span left = exchange.ends().since(now);
-        Work.Builder work = Work.newBuilder().setId(++lastId).setMethod(rpc.method.index).setCustomer(rpc.customer)
-            .setKey(rpc.key).setLeftUs((long) (left.ms() * 1000)).setHintUs((long) (rpc.hinted().ms() * 1000));
-        if (rpc.method.effect == Method.Effect.TOKENED) work.setToken(asked.token);
-        exchange.link = this;
-        exchange.id = lastId;
-        exchange.mark = link.send(Kind.WORK, work.build(), asked.body);
-        live.put(lastId, exchange);
-        links.written(exchange);
-        usedLast = now;
+  void send(Exchange exchange, Moment now) {
+    Rpc rpc = exchange.pick().rpc;
+    Asked asked = (Asked) rpc.door;
+    Span left = exchange.ends().since(now);
+    Work.Builder work =
+        Work.newBuilder()
+            .setId(++lastId)
+            .setMethod(rpc.method.index)
+            .setCustomer(rpc.customer)
+            .setKey(rpc.key)
+            .setLeftUs((long) (left.ms() * 1000))
+            .setHintUs((long) (rpc.hinted().ms() * 1000));
+    if (rpc.method.effect == Method.Effect.TOKENED) {
+      work.setToken(asked.token);
     }
+    exchange.link = this;
+    exchange.id = lastId;
+    exchange.mark = link.send(Kind.WORK, work.build(), asked.body);
+    live.put(lastId, exchange);
+    links.written(exchange);
+    usedLast = now;
+  }
 
-    /** Nobody waits for it any more. A unit that is told so may stop. */
-    void forsake(Exchange exchange, boolean tellUnit) {
-        live.remove(exchange.id);
-        forsaken++;
-        if (tellUnit) link.send(Kind.STOP, Stop.newBuilder().setId(exchange.id).build(), NO_BODY);
-        links.emptied(this);
+  /** Nobody waits for it any more. A unit that is told so may stop. */
+  void forsake(Exchange exchange, boolean tellUnit) {
+    live.remove(exchange.id);
+    forsaken++;
+    if (tellUnit) {
+      link.send(Kind.STOP, Stop.newBuilder().setId(exchange.id).build(), NO_BODY);
     }
+    links.emptied(this);
+  }
 
-    @Override
-    public void greeted(FrameLink made, Hello other) {
-        if (other.getRole() != Role.UNIT || Integer.toUnsignedLong(other.getNumber()) != links.unit.id) {
-            links.misnamed(other);
-            made.cut("another one answers there");
-            return;
-        }
-        greeted = true;
-        links.up(this);
+  @Override
+  public void greeted(FrameLink made, Hello other) {
+    if (other.getRole() != Role.UNIT
+        || Integer.toUnsignedLong(other.getNumber()) != links.unit.id) {
+      links.misnamed(other);
+      made.cut("another one answers there");
+      return;
     }
+    greeted = true;
+    links.up(this);
+  }
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-        if (kind != Kind.DONE) {
-            link.cut("a unit sends no " + kind);
-            return;
-        }
-        Done done = (Done) head;
-        Outcome outcome = switch (done.getResult()) {
-            case DONE -> Outcome.OK;
-            case FULL -> Outcome.FULL;
-            default -> Outcome.ERROR;
+  @Override
+  public void frame(Kind kind, MessageLite head, byte[] body) {
+    if (kind != Kind.DONE) {
+      link.cut("a unit sends no " + kind);
+      return;
+    }
+    Done done = (Done) head;
+    Outcome outcome =
+        switch (done.getResult()) {
+          case DONE -> Outcome.OK;
+          case FULL -> Outcome.FULL;
+          default -> Outcome.ERROR;
         };
-        Exchange exchange = live.remove(done.getId());
-        if (exchange == null) {
-            // late, for one given up on; or an id that never was, which a unit can't use to gain room
-            if (forsaken > 0 && done.getId() <= lastId) forsaken--;
-            links.late(outcome);
-            links.emptied(this);
-            return;
-        }
-        links.ended(exchange, outcome, body);
-        links.emptied(this);
+    Exchange exchange = live.remove(done.getId());
+    if (exchange == null) {
+      // late, for one given up on; or an id that never was, which a unit can't use to gain room
+      if (forsaken > 0 && done.getId() <= lastId) {
+        forsaken--;
+      }
+      links.late(outcome);
+      links.emptied(this);
+      return;
     }
+    links.ended(exchange, outcome, body);
+    links.emptied(this);
+  }
 
-    @Override
-    public void closed(String why) {
-        links.down(this, why);
-        for (Exchange exchange : new ArrayList<>(live.values())) {
-            // a cut before its frame left proves that it never ran; after that nobody knows
-            boolean never = !link.mayHaveLeft(exchange.mark);
-            links.ended(exchange, never ? Outcome.NOT_CONNECTED : Outcome.BROKEN, NO_BODY);
-        }
-        live.clear();
+  @Override
+  public void closed(String why) {
+    links.down(this, why);
+    for (Exchange exchange : new ArrayList<>(live.values())) {
+      // a cut before its frame left proves that it never ran; after that nobody knows
+      boolean never = !link.mayHaveLeft(exchange.mark);
+      links.ended(exchange, never ? Outcome.NOT_CONNECTED : Outcome.BROKEN, NO_BODY);
     }
+    live.clear();
+  }
 }
--- a/src/main/java/sprucerock/relay/UnitLinks.java
+++ b/src/main/java/sprucerock/relay/UnitLinks.java
@@ -10,242 +10,309 @@
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
 import sprucerock.wire.v1.Hello;
 
 /**
- * The connections to one unit. They are made as picks need them, up to a number; a pick that finds none with room waits
- * for one, for as long as a connection may take. After a connection failed none is tried for a pause that grows: picks
- * end at once as never connected. Which unit gets a pick is none of its business.
+ * The connections to one unit. They are made as picks need them, up to a number; a pick that finds
+ * none with room waits for one, for as long as a connection may take. After a connection failed
+ * none is tried for a pause that grows: picks end at once as never connected. Which unit gets a
+ * pick is none of its business.
  */
 final class UnitLinks {
-    /** What the links need of the relay. */
-    interface Owner {
-        void open(UnitLink link, InetSocketAddress to, String name);
-
-        void ended(sprucerock.serving.Exchange exchange, Outcome outcome, byte[] body);
-
-        /** The same, but told once the module has returned from what it does now. */
-        void endsSoon(sprucerock.serving.Exchange exchange, Outcome outcome);
-
-        /** It is on a connection now. */
-        void written(sprucerock.serving.Exchange exchange);
-
-        /** A result came for a pick that had ended before. */
-        void late(Outcome outcome);
-
-        Moment now();
-
-        sprucerock.net.Timers.Timer at(Moment when, Runnable what);
-
-        void lost(Unit unit, String why);
-
-        void misnamed(Unit unit, Hello other);
-
-        /** It was not proven to be the one meant, for that reason. */
-        void refused(Unit unit, String why);
-    }
-
-    final Unit unit;
-    private final InetSocketAddress address;
-    private final String name;
-    private final RelayConfig config;
-    private final Owner owner;
-    private final Chance chance;
-    private final List<UnitLink> links = new ArrayList<>();
-    private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
-    private Span pause;
-    private Moment notBefore;
-    private boolean left;
-    /** While old connections are replaced: until when, and which ones are left. */
-    private Moment movedBy;
-    private final ArrayDeque<UnitLink> old = new ArrayDeque<>();
-    private UnitLink replacement;
-
-    UnitLinks(Unit unit, InetSocketAddress address, String name, RelayConfig config, Chance chance, Owner owner) {
-        this.unit = unit;
-        this.address = address;
-        this.name = name;
-        this.config = config;
-        this.chance = chance;
-        this.owner = owner;
-        pause = config.pauseFirst;
-    }
-
-    boolean at(InetSocketAddress there, String called) {
-        return address.equals(there) && name.equals(called);
-    }
-
-    /** That its certificate has to carry. */
-    InetSocketAddress address() {
-        return address;
-    }
-
-    String name() {
-        return name;
-    }
-
-    void send(Exchange exchange) {
-        UnitLink best = null;
-        int connecting = 0;
-        for (UnitLink link : links) {
-            if (link.retired) continue;
-            if (!link.greeted) connecting++;
-            else if (link.load() < config.picksEach && (best == null || link.load() < best.load())) best = link;
-        }
-        if (best != null) {
-            best.send(exchange, owner.now());
-            return;
-        }
-        Moment now = owner.now();
-        boolean paused = notBefore != null && notBefore.after(now);
-        boolean more = links.size() < config.connectionsPerUnit && !paused;
-        if (waiting.size() >= config.waitingPerUnit || paused && links.isEmpty()) {
-            owner.endsSoon(exchange, Outcome.NOT_CONNECTED);
-            return;
-        }
-        waiting.add(exchange);
-        exchange.waiting = owner.at(now.plus(config.connectWithin), () -> {
-            if (waiting.remove(exchange)) owner.ended(exchange, Outcome.NOT_CONNECTED, new byte[0]);
-        });
-        if (more && connecting * config.picksEach < waiting.size()) open(now);
-    }
-
-    private UnitLink open(Moment now) {
-        UnitLink link = new UnitLink(this, now);
-        links.add(link);
-        owner.open(link, address, name);
-        return link;
-    }
-
-    /**
-     * What proves this relay and its units has changed: connections are replaced by new ones within a time, one after another,
-     * each old one only once the new one is there, and from a moment that is drawn, so that units see no storm.
-     */
-    void move(Span within) {
-        if (left) return;
-        Moment now = owner.now();
-        movedBy = now.plus(within);
-        old.clear();
-        for (UnitLink link : links) if (link.greeted && !link.retired) old.add(link);
-        replacement = null;
-        owner.at(now.plus(within.times(0.5 * chance.next())), this::moveNext);
-    }
-
-    private void moveNext() {
-        old.removeIf(link -> link.retired || !links.contains(link));
-        if (left || old.isEmpty() || replacement != null) return;
-        if (!movedBy.after(owner.now())) { // the new one can't be had, and what the old one was proven by counts no more
-            while (!old.isEmpty()) old.poll().drain();
-            return;
-        }
-        replacement = open(owner.now());
-    }
-
-    private void moved(UnitLink link) {
-        if (link != replacement) return;
-        replacement = null;
-        UnitLink gone = old.poll();
-        if (gone != null) gone.drain();
-        moveNext();
-    }
-
-    private void notMoved(UnitLink link) {
-        if (link != replacement) return;
-        replacement = null;
-        owner.at(owner.now().plus(config.pauseMost), this::moveNext);
-    }
-
-    void up(UnitLink link) {
-        pause = config.pauseFirst;
-        notBefore = null;
-        drain(link);
-        moved(link);
-        owner.at(owner.now().plus(config.idle), () -> closeIdle(link));
-    }
-
-    private void drain(UnitLink link) {
-        while (!waiting.isEmpty() && !link.retired && link.greeted && link.load() < config.picksEach) {
-            Exchange next = waiting.poll();
-            next.waiting.cancel();
-            if (!next.mayStart(owner.now())) owner.endsSoon(next, Outcome.MOOT);
-            else link.send(next, owner.now());
-        }
-    }
-
-    private void closeIdle(UnitLink link) {
-        if (!links.contains(link)) return;
-        Span unused = owner.now().since(link.usedLast);
-        if (link.idle() && !config.idle.over(unused)) link.retire();
-        else owner.at(owner.now().plus(config.idle), () -> closeIdle(link));
-    }
-
-    /** A pick on it ended: there is room, or a unit that leaves is done with. */
-    void emptied(UnitLink link) {
-        // a unit that answers nothing fills its connection with picks that nobody waits for: another is made
-        boolean stuck = link.idle() && 2 * link.load() >= config.picksEach;
-        if ((left || link.retired) && link.idle() || stuck) link.retire();
-        drain(link);
-    }
-
-    void down(UnitLink link, String why) {
-        links.remove(link);
-        if (left) return;
-        notMoved(link);
-        if (why.startsWith("TLS: ")) owner.refused(unit, why);
-        else if (!link.greeted || !link.idle()) owner.lost(unit, why);
-        if (link.greeted && link.idle()) { // closed in good order
-            if (!waiting.isEmpty() && links.isEmpty()) open(owner.now());
-            return;
-        }
-        Moment now = owner.now();
-        notBefore = now.plus(pause.times(0.5 + 0.5 * chance.next()));
-        pause = pause.times(2).atMost(config.pauseMost);
-        boolean hope = links.stream().anyMatch(other -> !other.retired);
-        while (!hope && !waiting.isEmpty()) {
-            Exchange next = waiting.poll();
-            next.waiting.cancel();
-            owner.endsSoon(next, Outcome.NOT_CONNECTED);
-        }
-    }
-
-    void misnamed(Hello other) {
-        owner.misnamed(unit, other);
-    }
-
-    void written(Exchange exchange) {
-        owner.written(exchange);
-    }
-
-    void late(Outcome outcome) {
-        owner.late(outcome);
-    }
-
-    void ended(Exchange exchange, Outcome outcome, byte[] body) {
-        owner.ended(exchange, outcome, body);
-    }
-
-    /** Called off, or out of time: whoever called says with which outcome it ends. True where it was never sent. */
-    boolean giveUp(Exchange exchange, boolean tellUnit) {
-        if (exchange.link != null) {
-            exchange.link.forsake(exchange, tellUnit);
-            return false;
-        }
-        waiting.remove(exchange);
-        if (exchange.waiting != null) exchange.waiting.cancel();
-        return true;
-    }
-
-    /** The unit drains, is gone or became another: what is out ends as it may, then the connections close. */
-    void leave() {
-        left = true;
-        while (!waiting.isEmpty()) { // not sent yet, so not to be sent any more
-            Exchange next = waiting.poll();
-            next.waiting.cancel();
-            owner.endsSoon(next, Outcome.NOT_CONNECTED);
-        }
-        for (UnitLink link : new ArrayList<>(links)) {
-            if (link.idle()) link.retire();
-        }
+  /** What the links need of the relay. */
+  interface Owner {
+    void open(UnitLink link, InetSocketAddress to, String name);
+
+    void ended(sprucerock.serving.Exchange exchange, Outcome outcome, byte[] body);
+
+    /** The same, but told once the module has returned from what it does now. */
+    void endsSoon(sprucerock.serving.Exchange exchange, Outcome outcome);
+
+    /** It is on a connection now. */
+    void written(sprucerock.serving.Exchange exchange);
+
+    /** A result came for a pick that had ended before. */
+    void late(Outcome outcome);
+
+    Moment now();
+
+    sprucerock.net.Timers.Timer at(Moment when, Runnable what);
+
+    void lost(Unit unit, String why);
+
+    void misnamed(Unit unit, Hello other);
+
+    /** It was not proven to be the one meant, for that reason. */
+    void refused(Unit unit, String why);
+  }
+
+  final Unit unit;
+  private final InetSocketAddress address;
+  private final String name;
+  private final RelayConfig config;
+  private final Owner owner;
+  private final Chance chance;
+  private final List<UnitLink> links = new ArrayList<>();
+  private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
+  private Span pause;
+  private Moment notBefore;
+  private boolean left;
+
+  /** While old connections are replaced: until when, and which ones are left. */
+  private Moment movedBy;
+
+  private final ArrayDeque<UnitLink> old = new ArrayDeque<>();
+  private UnitLink replacement;
+
+  UnitLinks(
+      Unit unit,
+      InetSocketAddress address,
+      String name,
+      RelayConfig config,
+      Chance chance,
+      Owner owner) {
+    this.unit = unit;
+    this.address = address;
+    this.name = name;
+    this.config = config;
+    this.chance = chance;
+    this.owner = owner;
+    pause = config.pauseFirst;
+  }
+
+  boolean at(InetSocketAddress there, String called) {
+    return address.equals(there) && name.equals(called);
+  }
+
+  /** That its certificate has to carry. */
+  InetSocketAddress address() {
+    return address;
+  }
+
+  String name() {
+    return name;
+  }
+
+  void send(Exchange exchange) {
+    UnitLink best = null;
+    int connecting = 0;
+    for (UnitLink link : links) {
+      if (link.retired) {
+        continue;
+      }
+      if (!link.greeted) {
+        connecting++;
+      } else if (link.load() < config.picksEach && (best == null || link.load() < best.load())) {
+        best = link;
+      }
     }
+    if (best != null) {
+      best.send(exchange, owner.now());
+      return;
+    }
+    Moment now = owner.now();
+    boolean paused = notBefore != null && notBefore.after(now);
+    boolean more = links.size() < config.connectionsPerUnit && !paused;
+    if (waiting.size() >= config.waitingPerUnit || paused && links.isEmpty()) {
+      owner.endsSoon(exchange, Outcome.NOT_CONNECTED);
+      return;
+    }
+    waiting.add(exchange);
+    exchange.waiting =
+        owner.at(
+            now.plus(config.connectWithin),
+            () -> {
+              if (waiting.remove(exchange)) {
+                owner.ended(exchange, Outcome.NOT_CONNECTED, new byte[0]);
+              }
+            });
+    if (more && connecting * config.picksEach < waiting.size()) {
+      open(now);
+    }
+  }
+
+  private UnitLink open(Moment now) {
+    UnitLink link = new UnitLink(this, now);
+    links.add(link);
+    owner.open(link, address, name);
+    return link;
+  }
+
+  /**
+   * What proves this relay and its units has changed: connections are replaced by new ones within a
+   * time, one after another, each old one only once the new one is there, and from a moment that is
+   * drawn, so that units see no storm.
+   */
+  void move(Span within) {
+    if (left) {
+      return;
+    }
+    Moment now = owner.now();
+    movedBy = now.plus(within);
+    old.clear();
+    for (UnitLink link : links) {
+      if (link.greeted && !link.retired) {
+        old.add(link);
+      }
+    }
+    replacement = null;
+    owner.at(now.plus(within.times(0.5 * chance.next())), this::moveNext);
+  }
+
+  private void moveNext() {
+    old.removeIf(link -> link.retired || !links.contains(link));
+    if (left || old.isEmpty() || replacement != null) {
+      return;
+    }
+    if (!movedBy.after(
+        owner.now())) { // the new one can't be had, and what the old one was proven by counts no
+      // more
+      while (!old.isEmpty()) {
+        old.poll().drain();
+      }
+      return;
+    }
+    replacement = open(owner.now());
+  }
+
+  private void moved(UnitLink link) {
+    if (link != replacement) {
+      return;
+    }
+    replacement = null;
+    UnitLink gone = old.poll();
+    if (gone != null) {
+      gone.drain();
+    }
+    moveNext();
+  }
+
+  private void notMoved(UnitLink link) {
+    if (link != replacement) {
+      return;
+    }
+    replacement = null;
+    owner.at(owner.now().plus(config.pauseMost), this::moveNext);
+  }
+
+  void up(UnitLink link) {
+    pause = config.pauseFirst;
+    notBefore = null;
+    drain(link);
+    moved(link);
+    owner.at(owner.now().plus(config.idle), () -> closeIdle(link));
+  }
+
+  private void drain(UnitLink link) {
+    while (!waiting.isEmpty() && !link.retired && link.greeted && link.load() < config.picksEach) {
+      Exchange next = waiting.poll();
+      next.waiting.cancel();
+      if (!next.mayStart(owner.now())) {
+        owner.endsSoon(next, Outcome.MOOT);
+      } else {
+        link.send(next, owner.now());
+      }
+    }
+  }
+
+  private void closeIdle(UnitLink link) {
+    if (!links.contains(link)) {
+      return;
+    }
+    Span unused = owner.now().since(link.usedLast);
+    if (link.idle() && !config.idle.over(unused)) {
+      link.retire();
+    } else {
+      owner.at(owner.now().plus(config.idle), () -> closeIdle(link));
+    }
+  }
+
+  /** A pick on it ended: there is room, or a unit that leaves is done with. */
+  void emptied(UnitLink link) {
+    // a unit that answers nothing fills its connection with picks that nobody waits for: another is
+    // made
+    boolean stuck = link.idle() && 2 * link.load() >= config.picksEach;
+    if ((left || link.retired) && link.idle() || stuck) {
+      link.retire();
+    }
+    drain(link);
+  }
+
+  void down(UnitLink link, String why) {
+    links.remove(link);
+    if (left) {
+      return;
+    }
+    notMoved(link);
+    if (why.startsWith("TLS: ")) {
+      owner.refused(unit, why);
+    } else if (!link.greeted || !link.idle()) {
+      owner.lost(unit, why);
+    }
+    if (link.greeted && link.idle()) { // closed in good order
+      if (!waiting.isEmpty() && links.isEmpty()) {
+        open(owner.now());
+      }
+      return;
+    }
+    Moment now = owner.now();
+    notBefore = now.plus(pause.times(0.5 + 0.5 * chance.next()));
+    pause = pause.times(2).atMost(config.pauseMost);
+    boolean hope = links.stream().anyMatch(other -> !other.retired);
+    while (!hope && !waiting.isEmpty()) {
+      Exchange next = waiting.poll();
+      next.waiting.cancel();
+      owner.endsSoon(next, Outcome.NOT_CONNECTED);
+    }
+  }
+
+  void misnamed(Hello other) {
+    owner.misnamed(unit, other);
+  }
+
+  void written(Exchange exchange) {
+    owner.written(exchange);
+  }
+
+  void late(Outcome outcome) {
+    owner.late(outcome);
+  }
+
+  void ended(Exchange exchange, Outcome outcome, byte[] body) {
+    owner.ended(exchange, outcome, body);
+  }
+
+  /**
+   * Called off, or out of time: whoever called says with which outcome it ends. True where it was
+   * never sent.
+   */
+  boolean giveUp(Exchange exchange, boolean tellUnit) {
+    if (exchange.link != null) {
+      exchange.link.forsake(exchange, tellUnit);
+      return false;
+    }
+    waiting.remove(exchange);
+    if (exchange.waiting != null) {
+      exchange.waiting.cancel();
+    }
+    return true;
+  }
+
+  /**
+   * The unit drains, is gone or became another: what is out ends as it may, then the connections
+   * close.
+   */
+  void leave() {
+    left = true;
+    while (!waiting.isEmpty()) { // not sent yet, so not to be sent any more
+      Exchange next = waiting.poll();
+      next.waiting.cancel();
+      owner.endsSoon(next, Outcome.NOT_CONNECTED);
+    }
+    for (UnitLink link : new ArrayList<>(links)) {
+      if (link.idle()) {
+        link.retire();
+      }
+    }
+  }
 }
--- a/src/main/java/sprucerock/serving/Carrier.java
+++ b/src/main/java/sprucerock/serving/Carrier.java
@@ -13,163 +13,187 @@
 import sprucerock.time.Span;
 
 /**
- * Carries out what the module chooses, alike in every relay that runs: each pick ends once, each RPC has one final answer,
- * and what is to be done for either ends with it. How clients and units are spoken to is the doors' business. One thread.
+ * Carries out what the module chooses, alike in every relay that runs: each pick ends once, each
+ * RPC has one final answer, and what is to be done for either ends with it. How clients and units
+ * are spoken to is the doors' business. One thread.
  */
 public abstract class Carrier implements Host {
-    /** Makes the module that decides. */
-    public interface Maker {
-        Module make(Host host, Settings settings, long seed);
-    }
-
-    private static final byte[] NO_BODY = {};
-
-    protected final Net net;
-    protected final Settings settings;
-    protected final Ledger ledger;
-    protected final Events events;
-    protected Module module;
-    private long lastRpc;
-
-    protected Carrier(Net net, Settings settings, Ledger ledger, Events events) {
-        this.net = net;
-        this.settings = settings;
-        this.ledger = ledger;
-        this.events = events;
-    }
-
-    /** The module is made, told of nothing yet. */
-    protected void begin(Maker maker, long seed) {
-        module = maker.make(this, settings, seed);
-        ledger.tell(module);
-    }
-
-    /** Puts the pick on a connection to its unit, now or later. */
-    protected abstract void toUnit(Exchange exchange);
-
-    /** Nobody waits for it any more; true where it was provably never sent. {@code told}: its unit may be told. */
-    protected abstract boolean giveUp(Exchange exchange, boolean told);
-
-    /** The final answer to a client; what is answered an RPC twice or to one that left is dropped by the door. */
-    protected abstract void answer(Asked asked, Ending ending, Span wait, long unit, byte[] body);
-
-    protected Exchange exchange(Pick pick, Moment ends) {
-        return new Exchange(pick, ends);
-    }
-
-    /** What goes wrong in the program itself is logged here. */
-    public void broken(Throwable why) {
-        events.broken(why);
-    }
-
-    // What comes in.
-
-    protected void arrived(Asked asked, Method method, int customer, long key, Moment deadline, Span hint) {
-        // guards against a fault in the module: whatever it forgot has an answer, one that promises nothing
-        asked.until(net.at(deadline, () -> forgotten(asked)));
-        asked.number(++lastRpc);
-        ledger.arrived(asked.number(), method, customer, key, net.now(), deadline, hint, asked);
-    }
-
-    private void forgotten(Asked asked) {
-        events.broken(new IllegalStateException("an RPC had no answer at its deadline; it is aborted"));
-        abort(asked);
-    }
-
-    /** At the end of the relay's time: an answer that promises nothing. */
-    public void abort(Asked asked) {
-        abort(ledger.rpc(asked.number()));
-    }
-
-    /** The client went away. */
-    public void left(Asked asked) {
-        asked.over();
-        ledger.clientLeft(ledger.rpc(asked.number()));
-    }
-
-    /** A pick ended; the first ok is its RPC's answer. */
-    public void ended(Exchange exchange, Outcome outcome, byte[] body) {
-        if (exchange.over()) return;
-        exchange.end();
-        Pick pick = exchange.pick();
-        boolean answers = outcome == Outcome.OK && !pick.rpc.ended();
-        if (answers) answer((Asked) pick.rpc.door, Ending.OK, Span.ZERO, pick.unit.id, body);
-        ledger.pickEnded(pick, outcome, net.now().since(pick.sent), answers || pick.rpc.ended());
-    }
-
-    /** The same, but told once the module has returned from what it does now. */
-    public void endsSoon(Exchange exchange, Outcome outcome) {
-        net.atTurnsEnd(() -> ended(exchange, outcome, NO_BODY));
-    }
-
-    /** It is on a connection now. */
-    public void written(Exchange exchange) {
-        ledger.written(exchange.pick());
-    }
-
-    private void timedOut(Exchange exchange) {
-        if (exchange.over()) return;
-        boolean never = giveUp(exchange, false); // its unit was told how long it is waited for
-        ended(exchange, never ? Outcome.MOOT : Outcome.TIMED_OUT, NO_BODY);
-    }
-
-    // What the module does.
-
-    @Override
-    public Moment now() {
-        return net.now();
-    }
-
-    @Override
-    public void send(Pick pick) {
-        ledger.sent(pick);
-        Moment now = net.now();
-        Moment until = pick.patience == null ? pick.rpc.deadline : pick.rpc.deadline.earlier(now.plus(pick.patience));
-        Exchange exchange = exchange(pick, until);
-        pick.door = exchange;
-        exchange.endBy(net.at(until, () -> timedOut(exchange)));
-        boolean moot = pick.rpc.ended() || !until.after(now) || pick.rpc.picks.size() > settings.maxPicks;
-        if (moot) endsSoon(exchange, Outcome.MOOT);
-        else toUnit(exchange);
-    }
-
-    @Override
-    public void cancel(Pick pick) {
-        Exchange exchange = (Exchange) pick.door;
-        if (exchange.over()) return;
-        boolean never = giveUp(exchange, true);
-        endsSoon(exchange, never ? Outcome.MOOT : Outcome.CANCELLED);
-    }
-
-    @Override
-    public void pushBack(Rpc rpc, Span wait) {
-        answer((Asked) rpc.door, Ending.PUSHED_BACK, wait, 0, NO_BODY);
-        ledger.pushedBack(rpc);
-    }
-
-    @Override
-    public void abort(Rpc rpc) {
-        answer((Asked) rpc.door, Ending.ABORTED, Span.ZERO, 0, NO_BODY);
-        ledger.aborted(rpc);
-    }
-
-    @Override
-    public void wake(Moment when, Runnable what) {
-        net.at(when, what);
-    }
-
-    @Override
-    public void wake(Rpc rpc, Moment when, Runnable what) {
-        ((Asked) rpc.door).until(net.at(when, what));
-    }
-
-    @Override
-    public void wake(Pick pick, Moment when, Runnable what) {
-        ((Exchange) pick.door).until(net.at(when, what));
-    }
-
-    @Override
-    public void log(String line) {
-        events.info(Events.Kind.MODULE, line);
-    }
+  /** Makes the module that decides. */
+  public interface Maker {
+    Module make(Host host, Settings settings, long seed);
+  }
+
+  private static final byte[] NO_BODY = {};
+
+  protected final Net net;
+  protected final Settings settings;
+  protected final Ledger ledger;
+  protected final Events events;
+  protected Module module;
+  private long lastRpc;
+
+  protected Carrier(Net net, Settings settings, Ledger ledger, Events events) {
+    this.net = net;
+    this.settings = settings;
+    this.ledger = ledger;
+    this.events = events;
+  }
+
+  /** The module is made, told of nothing yet. */
+  protected void begin(Maker maker, long seed) {
+    module = maker.make(this, settings, seed);
+    ledger.tell(module);
+  }
+
+  /** Puts the pick on a connection to its unit, now or later. */
+  protected abstract void toUnit(Exchange exchange);
+
+  /**
+   * Nobody waits for it any more; true where it was provably never sent. {@code told}: its unit may
+   * be told.
+   */
+  protected abstract boolean giveUp(Exchange exchange, boolean told);
+
+  /**
+   * The final answer to a client; what is answered an RPC twice or to one that left is dropped by
+   * the door.
+   */
+  protected abstract void answer(Asked asked, Ending ending, Span wait, long unit, byte[] body);
+
+  protected Exchange exchange(Pick pick, Moment ends) {
+    return new Exchange(pick, ends);
+  }
+
+  /** What goes wrong in the program itself is logged here. */
+  public void broken(Throwable why) {
+    events.broken(why);
+  }
+
+  // What comes in.
+
+  protected void arrived(
+      Asked asked, Method method, int customer, long key, Moment deadline, Span hint) {
+    // guards against a fault in the module: whatever it forgot has an answer, one that promises
+    // nothing
+    asked.until(net.at(deadline, () -> forgotten(asked)));
+    asked.number(++lastRpc);
+    ledger.arrived(asked.number(), method, customer, key, net.now(), deadline, hint, asked);
+  }
+
+  private void forgotten(Asked asked) {
+    events.broken(new IllegalStateException("an RPC had no answer at its deadline; it is aborted"));
+    abort(asked);
+  }
+
+  /** At the end of the relay's time: an answer that promises nothing. */
+  public void abort(Asked asked) {
+    abort(ledger.rpc(asked.number()));
+  }
+
+  /** The client went away. */
+  public void left(Asked asked) {
+    asked.over();
+    ledger.clientLeft(ledger.rpc(asked.number()));
+  }
+
+  /** A pick ended; the first ok is its RPC's answer. */
+  public void ended(Exchange exchange, Outcome outcome, byte[] body) {
+    if (exchange.over()) {
+      return;
+    }
+    exchange.end();
+    Pick pick = exchange.pick();
+    boolean answers = outcome == Outcome.OK && !pick.rpc.ended();
+    if (answers) {
+      answer((Asked) pick.rpc.door, Ending.OK, Span.ZERO, pick.unit.id, body);
+    }
+    ledger.pickEnded(pick, outcome, net.now().since(pick.sent), answers || pick.rpc.ended());
+  }
+
+  /** The same, but told once the module has returned from what it does now. */
+  public void endsSoon(Exchange exchange, Outcome outcome) {
+    net.atTurnsEnd(() -> ended(exchange, outcome, NO_BODY));
+  }
+
+  /** It is on a connection now. */
+  public void written(Exchange exchange) {
+    ledger.written(exchange.pick());
+  }
+
+  private void timedOut(Exchange exchange) {
+    if (exchange.over()) {
+      return;
+    }
+    boolean never = giveUp(exchange, false); // its unit was told how long it is waited for
+    ended(exchange, never ? Outcome.MOOT : Outcome.TIMED_OUT, NO_BODY);
+  }
+
+  // What the module does.
+
+  @Override
+  public Moment now() {
+    return net.now();
+  }
+
+  @Override
+  public void send(Pick pick) {
+    ledger.sent(pick);
+    Moment now = net.now();
+    Moment until =
+        pick.patience == null
+            ? pick.rpc.deadline
+            : pick.rpc.deadline.earlier(now.plus(pick.patience));
+    Exchange exchange = exchange(pick, until);
+    pick.door = exchange;
+    exchange.endBy(net.at(until, () -> timedOut(exchange)));
+    boolean moot =
+        pick.rpc.ended() || !until.after(now) || pick.rpc.picks.size() > settings.maxPicks;
+    if (moot) {
+      endsSoon(exchange, Outcome.MOOT);
+    } else {
+      toUnit(exchange);
+    }
+  }
+
+  @Override
+  public void cancel(Pick pick) {
+    Exchange exchange = (Exchange) pick.door;
+    if (exchange.over()) {
+      return;
+    }
+    boolean never = giveUp(exchange, true);
+    endsSoon(exchange, never ? Outcome.MOOT : Outcome.CANCELLED);
+  }
+
+  @Override
+  public void pushBack(Rpc rpc, Span wait) {
+    answer((Asked) rpc.door, Ending.PUSHED_BACK, wait, 0, NO_BODY);
+    ledger.pushedBack(rpc);
+  }
+
+  @Override
+  public void abort(Rpc rpc) {
+    answer((Asked) rpc.door, Ending.ABORTED, Span.ZERO, 0, NO_BODY);
+    ledger.aborted(rpc);
+  }
+
+  @Override
+  public void wake(Moment when, Runnable what) {
+    net.at(when, what);
+  }
+
+  @Override
+  public void wake(Rpc rpc, Moment when, Runnable what) {
+    ((Asked) rpc.door).until(net.at(when, what));
+  }
+
+  @Override
+  public void wake(Pick pick, Moment when, Runnable what) {
+    ((Exchange) pick.door).until(net.at(when, what));
+  }
+
+  @Override
+  public void log(String line) {
+    events.info(Events.Kind.MODULE, line);
+  }
 }
--- a/src/main/java/sprucerock/serving/Ending.java
+++ b/src/main/java/sprucerock/serving/Ending.java
@@ -1,4 +1,8 @@
 package sprucerock.serving;
 
 /** What a client is told at the end. */
-public enum Ending { OK, PUSHED_BACK, ABORTED }
+public enum Ending {
+  OK,
+  PUSHED_BACK,
+  ABORTED
+}
--- a/src/main/java/sprucerock/serving/Events.java
+++ b/src/main/java/sprucerock/serving/Events.java
@@ -8,61 +8,97 @@
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
-/** What a relay says in its log: each kind of event at most once a second, with how many were left out in between. */
+/**
+ * What a relay says in its log: each kind of event at most once a second, with how many were left
+ * out in between.
+ */
 public final class Events {
-    /** The kinds, as docs/operators/relay.md explains them one by one. */
-    public enum Kind {
-        STARTED, FIGURES, FINISHING, FINISHED, MODULE, CLIENT_CUT, CLIENT_REFUSED, TURNED_AWAY, UNIT_LOST, UNIT_MISNAMED,
-        LISTING_REFUSED, ROSTER_LOST, ROSTER_BACK, DESK_LOST, DESK_BACK, NEWS_REFUSED, PEER_LOST, VOTE_UNANSWERED, DRIFT, FIGURES_FILE, UNIT_REFUSED, TLS_FILES, SETTINGS, PLATFORM_UNREADABLE, HELD_UP, LEASE, GRANTER_LOST, BROKEN
-    }
+  /** The kinds, as docs/operators/relay.md explains them one by one. */
+  public enum Kind {
+    STARTED,
+    FIGURES,
+    FINISHING,
+    FINISHED,
+    MODULE,
+    CLIENT_CUT,
+    CLIENT_REFUSED,
+    TURNED_AWAY,
+    UNIT_LOST,
+    UNIT_MISNAMED,
+    LISTING_REFUSED,
+    ROSTER_LOST,
+    ROSTER_BACK,
+    DESK_LOST,
+    DESK_BACK,
+    NEWS_REFUSED,
+    PEER_LOST,
+    VOTE_UNANSWERED,
+    DRIFT,
+    FIGURES_FILE,
+    UNIT_REFUSED,
+    TLS_FILES,
+    SETTINGS,
+    PLATFORM_UNREADABLE,
+    HELD_UP,
+    LEASE,
+    GRANTER_LOST,
+    BROKEN
+  }
 
-    private static final Span EVERY = Span.ofMs(1000); // readable while it streams by, and a bound for disks
+  private static final Span EVERY =
+      Span.ofMs(1000); // readable while it streams by, and a bound for disks
 
-    private final Logger log;
-    private final Timers timers;
-    private final Map<Kind, Moment> said = new EnumMap<>(Kind.class);
-    private final Map<Kind, Integer> leftOut = new EnumMap<>(Kind.class);
+  private final Logger log;
+  private final Timers timers;
+  private final Map<Kind, Moment> said = new EnumMap<>(Kind.class);
+  private final Map<Kind, Integer> leftOut = new EnumMap<>(Kind.class);
 
-    public Events(Timers timers) {
-        this(timers, LoggerFactory.getLogger("sprucerock.relay"));
-    }
+  public Events(Timers timers) {
+    this(timers, LoggerFactory.getLogger("sprucerock.relay"));
+  }
 
-    /** Says it elsewhere. */
-    public Events(Timers timers, Logger log) {
-        this.timers = timers;
-        this.log = log;
-    }
+  /** Says it elsewhere. */
+  public Events(Timers timers, Logger log) {
+    this.timers = timers;
+    this.log = log;
+  }
 
-    public void info(Kind kind, String text) {
-        if (due(kind)) log.info("{} {}", kind, text(kind, text));
+  public void info(Kind kind, String text) {
+    if (due(kind)) {
+      log.info("{} {}", kind, text(kind, text));
     }
+  }
 
-    public void warn(Kind kind, String text) {
-        if (due(kind)) log.warn("{} {}", kind, text(kind, text));
+  public void warn(Kind kind, String text) {
+    if (due(kind)) {
+      log.warn("{} {}", kind, text(kind, text));
     }
+  }
 
-    public void error(Kind kind, String text) {
-        if (due(kind)) log.error("{} {}", kind, text(kind, text));
+  public void error(Kind kind, String text) {
+    if (due(kind)) {
+      log.error("{} {}", kind, text(kind, text));
     }
+  }
 
-    /** Something in the program itself went wrong; always said. */
-    public void broken(Throwable why) {
-        log.error("{} {}", Kind.BROKEN, why.toString(), why);
-    }
+  /** Something in the program itself went wrong; always said. */
+  public void broken(Throwable why) {
+    log.error("{} {}", Kind.BROKEN, why.toString(), why);
+  }
 
-    private boolean due(Kind kind) {
-        Moment now = timers.now();
-        Moment last = said.get(kind);
-        if (last != null && !now.since(last).over(EVERY)) {
-            leftOut.merge(kind, 1, Integer::sum);
-            return false;
-        }
-        said.put(kind, now);
-        return true;
+  private boolean due(Kind kind) {
+    Moment now = timers.now();
+    Moment last = said.get(kind);
+    if (last != null && !now.since(last).over(EVERY)) {
+      leftOut.merge(kind, 1, Integer::sum);
+      return false;
     }
+    said.put(kind, now);
+    return true;
+  }
 
-    private String text(Kind kind, String text) {
-        Integer more = leftOut.remove(kind);
-        return more == null ? text : text + " (and " + more + " more of these since the last line)";
-    }
+  private String text(Kind kind, String text) {
+    Integer more = leftOut.remove(kind);
+    return more == null ? text : text + " (and " + more + " more of these since the last line)";
+  }
 }
--- a/src/main/java/sprucerock/serving/Exchange.java
+++ b/src/main/java/sprucerock/serving/Exchange.java
@@ -6,50 +6,59 @@
 import sprucerock.net.Timers.Timer;
 import sprucerock.time.Moment;
 
-/** A pick on its way: waiting for a connection, or on one. Each door to units keeps in it what it needs there. */
+/**
+ * A pick on its way: waiting for a connection, or on one. Each door to units keeps in it what it
+ * needs there.
+ */
 public class Exchange {
-    private final Pick pick;
-    private final Moment ends;
-    private boolean over;
-    private Timer end;
-    /** What is to be done while the pick is out. */
-    private final List<Timer> until = new ArrayList<>(1);
-
-    public Exchange(Pick pick, Moment ends) {
-        this.pick = pick;
-        this.ends = ends;
-    }
+  private final Pick pick;
+  private final Moment ends;
+  private boolean over;
+  private Timer end;
 
-    public final Pick pick() {
-        return pick;
-    }
+  /** What is to be done while the pick is out. */
+  private final List<Timer> until = new ArrayList<>(1);
 
-    /** When nobody waits for it any more. */
-    public final Moment ends() {
-        return ends;
-    }
+  public Exchange(Pick pick, Moment ends) {
+    this.pick = pick;
+    this.ends = ends;
+  }
 
-    public final boolean over() {
-        return over;
-    }
+  public final Pick pick() {
+    return pick;
+  }
 
-    /** Whether it may be put on a connection: its RPC may have ended, or its own time may be over, while it waited for one. */
-    public final boolean mayStart(Moment now) {
-        return !pick.rpc.ended() && (pick.startBy == null || pick.startBy.after(now));
-    }
+  /** When nobody waits for it any more. */
+  public final Moment ends() {
+    return ends;
+  }
 
-    final void endBy(Timer timer) {
-        end = timer;
-    }
+  public final boolean over() {
+    return over;
+  }
 
-    final void until(Timer timer) {
-        until.add(timer);
-    }
+  /**
+   * Whether it may be put on a connection: its RPC may have ended, or its own time may be over,
+   * while it waited for one.
+   */
+  public final boolean mayStart(Moment now) {
+    return !pick.rpc.ended() && (pick.startBy == null || pick.startBy.after(now));
+  }
+
+  final void endBy(Timer timer) {
+    end = timer;
+  }
+
+  final void until(Timer timer) {
+    until.add(timer);
+  }
 
-    final void end() {
-        over = true;
-        end.cancel();
-        for (Timer timer : until) timer.cancel();
-        until.clear();
+  final void end() {
+    over = true;
+    end.cancel();
+    for (Timer timer : until) {
+      timer.cancel();
     }
+    until.clear();
+  }
 }
--- a/src/main/java/sprucerock/settings/SettingsText.java
+++ b/src/main/java/sprucerock/settings/SettingsText.java
@@ -6,118 +6,144 @@
 import sprucerock.model.Settings;
 import sprucerock.time.Span;
 
-/** Start settings as the operators write them: values under paths; the simulator has path=value, one a line. */
+/**
+ * Start settings as the operators write them: values under paths; the simulator has path=value, one
+ * a line.
+ */
 public final class SettingsText {
-    private final Map<String, String> pairs = new HashMap<>();
+  private final Map<String, String> pairs = new HashMap<>();
 
-    private SettingsText(Map<String, String> given) {
-        pairs.putAll(given);
-    }
+  private SettingsText(Map<String, String> given) {
+    pairs.putAll(given);
+  }
 
-    /** Fails with an {@link IllegalArgumentException} that names the setting which is missing or not understood. */
-    public static Settings read(String text) {
-        Map<String, String> pairs = new HashMap<>();
-        for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) pairs.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
-        }
-        return read(pairs);
+  /**
+   * Fails with an {@link IllegalArgumentException} that names the setting which is missing or not
+   * understood.
+   */
+  public static Settings read(String text) {
+    Map<String, String> pairs = new HashMap<>();
+    for (String line : text.split("\n")) {
+      int eq = line.indexOf('=');
+      if (eq > 0) {
+        pairs.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+      }
     }
+    return read(pairs);
+  }
 
-    /** The same of pairs of path and value. */
-    public static Settings read(Map<String, String> pairs) {
-        return new Settings(new SettingsText(pairs).draft());
-    }
+  /** The same of pairs of path and value. */
+  public static Settings read(Map<String, String> pairs) {
+    return new Settings(new SettingsText(pairs).draft());
+  }
 
-    private Settings.Draft draft() {
-        Settings.Draft draft = new Settings.Draft();
-        draft.zone = (int) number("my_zone");
-        addMethods(draft);
-        addShares(draft);
-        draft.overShareWorth = optional("over_share_worth", draft.overShareWorth);
-        draft.tick = span("tick");
-        draft.ask = text("membership_mode").equals("ask");
-        draft.askWithin = span("obligations.ask_within");
-        draft.cold = span("obligations.cold");
-        draft.startShare = number("obligations.start_capacity");
-        draft.tipAfter = span("obligations.tip_after");
-        draft.tipMultiple = number("obligations.tip_multiple");
-        draft.maxPicks = (int) number("permissions.send_cap");
-        draft.secondCopies = text("permissions.second_copies").equals("true");
-        draft.cancel = text("permissions.cancel").equals("true");
-        draft.peers = text("permissions.peers").equals("true");
-        draft.retryAfter = text("permissions.retry_after").equals("true");
-        draft.maxRetryAfter = span("permissions.max_retry_after");
-        draft.control = switch (text("specifics.vote_mode")) {
-            case "single" -> Settings.Control.SINGLE;
-            case "majority" -> Settings.Control.MAJORITY;
-            case "clocked" -> Settings.Control.CLOCKED;
-            default -> throw new IllegalArgumentException("setting specifics.vote_mode is not known: "
-                + text("specifics.vote_mode"));
+  private Settings.Draft draft() {
+    Settings.Draft draft = new Settings.Draft();
+    draft.zone = (int) number("my_zone");
+    addMethods(draft);
+    addShares(draft);
+    draft.overShareWorth = optional("over_share_worth", draft.overShareWorth);
+    draft.tick = span("tick");
+    draft.ask = text("membership_mode").equals("ask");
+    draft.askWithin = span("obligations.ask_within");
+    draft.cold = span("obligations.cold");
+    draft.startShare = number("obligations.start_capacity");
+    draft.tipAfter = span("obligations.tip_after");
+    draft.tipMultiple = number("obligations.tip_multiple");
+    draft.maxPicks = (int) number("permissions.send_cap");
+    draft.secondCopies = text("permissions.second_copies").equals("true");
+    draft.cancel = text("permissions.cancel").equals("true");
+    draft.peers = text("permissions.peers").equals("true");
+    draft.retryAfter = text("permissions.retry_after").equals("true");
+    draft.maxRetryAfter = span("permissions.max_retry_after");
+    draft.control =
+        switch (text("specifics.vote_mode")) {
+          case "single" -> Settings.Control.SINGLE;
+          case "majority" -> Settings.Control.MAJORITY;
+          case "clocked" -> Settings.Control.CLOCKED;
+          default ->
+              throw new IllegalArgumentException(
+                  "setting specifics.vote_mode is not known: " + text("specifics.vote_mode"));
         };
-        for (String cap : text("specifics.caps").split(",")) draft.caps.add(Double.parseDouble(cap));
-        draft.perMethod = text("specifics.per").equals("per_lane");
-        draft.free = number("specifics.uncounted");
-        draft.guardedStages = (int) optional("specifics.safe_only_stages", draft.guardedStages);
-        draft.oneWayKeys = optionalText("specifics.keys_stay", Boolean.toString(draft.oneWayKeys)).equals("true");
-        draft.voteLife = span("specifics.ballot_ttl");
-        draft.callTimeout = span("specifics.call_timeout");
-        draft.index = (int) number("index");
-        draft.relays = (int) number("balancers");
-        draft.countsEvery = Span.ofMs(optional("specifics.sums_every", draft.countsEvery.ms()));
-        draft.idle = Span.ofMs(optional("permissions.keepalive", draft.idle.ms()));
-        return draft;
+    for (String cap : text("specifics.caps").split(",")) {
+      draft.caps.add(Double.parseDouble(cap));
     }
+    draft.perMethod = text("specifics.per").equals("per_lane");
+    draft.free = number("specifics.uncounted");
+    draft.guardedStages = (int) optional("specifics.safe_only_stages", draft.guardedStages);
+    draft.oneWayKeys =
+        optionalText("specifics.keys_stay", Boolean.toString(draft.oneWayKeys)).equals("true");
+    draft.voteLife = span("specifics.ballot_ttl");
+    draft.callTimeout = span("specifics.call_timeout");
+    draft.index = (int) number("index");
+    draft.relays = (int) number("balancers");
+    draft.countsEvery = Span.ofMs(optional("specifics.sums_every", draft.countsEvery.ms()));
+    draft.idle = Span.ofMs(optional("permissions.keepalive", draft.idle.ms()));
+    return draft;
+  }
 
-    private void addMethods(Settings.Draft draft) {
-        for (int i = 0; i < (int) number("classes.count"); i++) {
-            String at = "classes." + i + ".";
-            Method.Effect effect = switch (text(at + "effect")) {
-                case "read_like" -> Method.Effect.IDEMPOTENT;
-                case "idempotency_key" -> Method.Effect.TOKENED;
-                case "non_idempotent" -> Method.Effect.NON_IDEMPOTENT;
-                default -> throw new IllegalArgumentException("setting " + at + "effect is not known: "
-                    + text(at + "effect"));
-            };
-            Method.Group group = switch (optionalText(at + "group", "all")) {
-                case "zone" -> Method.Group.ZONE;
-                case "cell" -> Method.Group.CELL;
-                default -> Method.Group.ALL;
-            };
-            draft.methods.add(new Method(i, effect, group, span(at + "on_time"),
-                Span.ofMs(optional(at + "window", 0)), number(at + "worth"),
-                optionalText(at + "stream", "false").equals("true")));
-        }
+  private void addMethods(Settings.Draft draft) {
+    for (int i = 0; i < (int) number("classes.count"); i++) {
+      String at = "classes." + i + ".";
+      Method.Effect effect =
+          switch (text(at + "effect")) {
+            case "read_like" -> Method.Effect.IDEMPOTENT;
+            case "idempotency_key" -> Method.Effect.TOKENED;
+            case "non_idempotent" -> Method.Effect.NON_IDEMPOTENT;
+            default ->
+                throw new IllegalArgumentException(
+                    "setting " + at + "effect is not known: " + text(at + "effect"));
+          };
+      Method.Group group =
+          switch (optionalText(at + "group", "all")) {
+            case "zone" -> Method.Group.ZONE;
+            case "cell" -> Method.Group.CELL;
+            default -> Method.Group.ALL;
+          };
+      draft.methods.add(
+          new Method(
+              i,
+              effect,
+              group,
+              span(at + "on_time"),
+              Span.ofMs(optional(at + "window", 0)),
+              number(at + "worth"),
+              optionalText(at + "stream", "false").equals("true")));
     }
+  }
 
-    private void addShares(Settings.Draft draft) {
-        int count = (int) optional("orgs.count", 0);
-        for (int i = 0; i < count; i++) draft.customerShares.add(optional("orgs." + i + ".share", 1.0 / count));
+  private void addShares(Settings.Draft draft) {
+    int count = (int) optional("orgs.count", 0);
+    for (int i = 0; i < count; i++) {
+      draft.customerShares.add(optional("orgs." + i + ".share", 1.0 / count));
     }
+  }
 
-    private String text(String key) {
-        String value = pairs.get(key);
-        if (value == null) throw new IllegalArgumentException("setting " + key + " is missing");
-        return value;
+  private String text(String key) {
+    String value = pairs.get(key);
+    if (value == null) {
+      throw new IllegalArgumentException("setting " + key + " is missing");
     }
+    return value;
+  }
 
-    private String optionalText(String key, String otherwise) {
-        return pairs.getOrDefault(key, otherwise);
-    }
+  private String optionalText(String key, String otherwise) {
+    return pairs.getOrDefault(key, otherwise);
+  }
 
-    private double number(String key) {
-        try {
-            return Double.parseDouble(text(key));
-        } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("setting " + key + " is not a number: " + text(key));
-        }
+  private double number(String key) {
+    try {
+      return Double.parseDouble(text(key));
+    } catch (NumberFormatException e) {
+      throw new IllegalArgumentException("setting " + key + " is not a number: " + text(key));
     }
+  }
 
-    private double optional(String key, double otherwise) {
-        return pairs.containsKey(key) ? number(key) : otherwise;
-    }
+  private double optional(String key, double otherwise) {
+    return pairs.containsKey(key) ? number(key) : otherwise;
+  }
 
-    private Span span(String key) {
-        return Span.ofMs(number(key));
-    }
+  private Span span(String key) {
+    return Span.ofMs(number(key));
+  }
 }
--- a/src/main/java/sprucerock/sim/Replies.java
+++ b/src/main/java/sprucerock/sim/Replies.java
@@ -5,67 +5,69 @@
 
 /** The records of one reply, in the order in which they were written. */
 final class Replies {
-    private ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
-    private int count;
-    private int start;
+  private ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
+  private int count;
+  private int start;
 
-    Replies open(int code, long relay) {
-        room(9);
-        body.put((byte) code);
-        start = body.position();
-        body.putInt(0).putInt((int) relay);
-        count++;
-        return this;
-    }
+  Replies open(int code, long relay) {
+    room(9);
+    body.put((byte) code);
+    start = body.position();
+    body.putInt(0).putInt((int) relay);
+    count++;
+    return this;
+  }
 
-    Replies u8(int value) {
-        room(1);
-        body.put((byte) value);
-        return this;
-    }
+  Replies u8(int value) {
+    room(1);
+    body.put((byte) value);
+    return this;
+  }
 
-    Replies u16(int value) {
-        room(2);
-        body.putShort((short) value);
-        return this;
-    }
+  Replies u16(int value) {
+    room(2);
+    body.putShort((short) value);
+    return this;
+  }
 
-    Replies u32(long value) {
-        room(4);
-        body.putInt((int) value);
-        return this;
-    }
+  Replies u32(long value) {
+    room(4);
+    body.putInt((int) value);
+    return this;
+  }
 
-    Replies f64(double value) {
-        room(8);
-        body.putDouble(value);
-        return this;
-    }
+  Replies f64(double value) {
+    room(8);
+    body.putDouble(value);
+    return this;
+  }
 
-    Replies bytes(byte[] value) {
-        int length = Math.min(value.length, 0xffff);
-        u16(length);
-        room(length);
-        body.put(value, 0, length);
-        return this;
-    }
+  Replies bytes(byte[] value) {
+    int length = Math.min(value.length, 0xffff);
+    u16(length);
+    room(length);
+    body.put(value, 0, length);
+    return this;
+  }
 
-    void close() {
-        body.putInt(start, body.position() - start - 4);
-    }
+  void close() {
+    body.putInt(start, body.position() - start - 4);
+  }
 
-    byte[] frame(int batch) {
-        ByteBuffer whole = ByteBuffer.allocate(12 + body.position()).order(ByteOrder.LITTLE_ENDIAN);
-        whole.putInt(batch).putInt(body.position()).putInt(count).put(body.array(), 0, body.position());
-        body.clear();
-        count = 0;
-        return whole.array();
-    }
+  byte[] frame(int batch) {
+    ByteBuffer whole = ByteBuffer.allocate(12 + body.position()).order(ByteOrder.LITTLE_ENDIAN);
+    whole.putInt(batch).putInt(body.position()).putInt(count).put(body.array(), 0, body.position());
+    body.clear();
+    count = 0;
+    return whole.array();
+  }
 
-    private void room(int bytes) {
-        if (body.remaining() >= bytes) return;
-        ByteBuffer wider = ByteBuffer.allocate(Math.max(body.capacity() * 2, body.position() + bytes));
-        body.flip();
-        body = wider.order(ByteOrder.LITTLE_ENDIAN).put(body);
+  private void room(int bytes) {
+    if (body.remaining() >= bytes) {
+      return;
     }
+    ByteBuffer wider = ByteBuffer.allocate(Math.max(body.capacity() * 2, body.position() + bytes));
+    body.flip();
+    body = wider.order(ByteOrder.LITTLE_ENDIAN).put(body);
+  }
 }
--- a/src/main/java/sprucerock/standin/BuildFault.java
+++ b/src/main/java/sprucerock/standin/BuildFault.java
@@ -7,7 +7,16 @@
  * @param method for METHOD: which one
  */
 public record BuildFault(What what, double amount, int method) {
-    public enum What { NONE, ERRORS, METHOD, SLOW, LOAD, LATE, WRONG, SLOWS_ALL }
+  public enum What {
+    NONE,
+    ERRORS,
+    METHOD,
+    SLOW,
+    LOAD,
+    LATE,
+    WRONG,
+    SLOWS_ALL
+  }
 
-    public static final BuildFault GOOD = new BuildFault(What.NONE, 0, 0);
+  public static final BuildFault GOOD = new BuildFault(What.NONE, 0, 0);
 }
--- a/src/main/java/sprucerock/standin/ClientStandIn.java
+++ b/src/main/java/sprucerock/standin/ClientStandIn.java
@@ -25,283 +25,378 @@
 import sprucerock.wire.v1.Leave;
 import sprucerock.wire.v1.Role;
 
-/** An app: asks at times of its own, whatever becomes of what it asked before, and tries again as its method allows. */
+/**
+ * An app: asks at times of its own, whatever becomes of what it asked before, and tries again as
+ * its method allows.
+ */
 public final class ClientStandIn implements FrameUser {
-    /** Who keeps the books of what was asked and served. */
-    public interface Ear {
-        void asked(Order order);
-
-        /** Once for each order. */
-        void ended(Order order, End end);
-    }
-
-    public enum End { OK, LATE, WRONG, PUSHED_BACK, ABORTED, UNANSWERED, LOST_WITH_RELAY, LEFT }
-
-    /** What a person wants done; its tries are RPCs. */
-    public static final class Order {
-        public final long number;
-        public final int method;
-        public final int customer;
-        final long key;
-        public final Moment at;
-        public int tries;
-        boolean over;
-
-        Order(long number, int method, int customer, long key, Moment at) {
-            this.number = number;
-            this.method = method;
-            this.customer = customer;
-            this.key = key;
-            this.at = at;
-        }
-    }
-
-    /** How apps try again: so often, after such a wait; a rude one waits not, and asks again whatever it was told. */
-    public record Manners(int retries, Span pause, double impatient, double flags) {}
-
-    private static final byte[] NO_BODY = {};
-    private static final Span GRACE = Span.ofMs(60); // an answer may be that long on its way here
-    private static final int KEYS = 500;
-
-    private final Net net;
-    private final Site site;
-    private final Manners manners;
-    private final Ear ear;
-    private final int number;
-    private final SplittableRandom chance;
-    private final Redial redial;
-    private final Map<Long, Try> open = new HashMap<>();
-    private final double[] customerTimes;
-    private long lastOrder;
-    private long lastTry;
-    private double perSecond;
-    private double times = 1;
-    private boolean rude;
-    private int rudeCustomer = -1;
-    private boolean stopped;
-    private final Counts counts = new Counts();
-
-    private final class Try {
-        final Order order;
-        final Moment at = net.now();
-        Timer timer;
-
-        Try(Order order) {
-            this.order = order;
-        }
+  /** Who keeps the books of what was asked and served. */
+  public interface Ear {
+    void asked(Order order);
+
+    /** Once for each order. */
+    void ended(Order order, End end);
+  }
+
+  public enum End {
+    OK,
+    LATE,
+    WRONG,
+    PUSHED_BACK,
+    ABORTED,
+    UNANSWERED,
+    LOST_WITH_RELAY,
+    LEFT
+  }
+
+  /** What a person wants done; its tries are RPCs. */
+  public static final class Order {
+    public final long number;
+    public final int method;
+    public final int customer;
+    final long key;
+    public final Moment at;
+    public int tries;
+    boolean over;
+
+    Order(long number, int method, int customer, long key, Moment at) {
+      this.number = number;
+      this.method = method;
+      this.customer = customer;
+      this.key = key;
+      this.at = at;
     }
-
-    public ClientStandIn(Net net, TraceWriter trace, Limits limits, Site site, Manners manners, Ear ear, int number,
-        InetSocketAddress relay, double perSecond, long seed) {
-        this(net, trace, limits, site, manners, ear, number, net::connect, relay, perSecond, seed);
+  }
+
+  /**
+   * How apps try again: so often, after such a wait; a rude one waits not, and asks again whatever
+   * it was told.
+   */
+  public record Manners(int retries, Span pause, double impatient, double flags) {}
+
+  private static final byte[] NO_BODY = {};
+  private static final Span GRACE = Span.ofMs(60); // an answer may be that long on its way here
+  private static final int KEYS = 500;
+
+  private final Net net;
+  private final Site site;
+  private final Manners manners;
+  private final Ear ear;
+  private final int number;
+  private final SplittableRandom chance;
+  private final Redial redial;
+  private final Map<Long, Try> open = new HashMap<>();
+  private final double[] customerTimes;
+  private long lastOrder;
+  private long lastTry;
+  private double perSecond;
+  private double times = 1;
+  private boolean rude;
+  private int rudeCustomer = -1;
+  private boolean stopped;
+  private final Counts counts = new Counts();
+
+  private final class Try {
+    final Order order;
+    final Moment at = net.now();
+    Timer timer;
+
+    Try(Order order) {
+      this.order = order;
     }
-
-    /** One that connects in a way of its own. */
-    public ClientStandIn(Net net, TraceWriter trace, Limits limits, Site site, Manners manners, Ear ear, int number,
-        Redial.Connector connector, InetSocketAddress relay, double perSecond, long seed) {
-        this.net = net;
-        this.site = site;
-        this.manners = manners;
-        this.ear = ear;
-        this.number = number;
-        this.perSecond = perSecond;
-        chance = new SplittableRandom(seed);
-        customerTimes = new double[Math.max(1, site.customers().size())];
-        java.util.Arrays.fill(customerTimes, 1);
-        redial = new Redial(net, connector, relay, Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.CLIENT).setNumber(number)
-            .setName("client-" + number).build(), limits, trace, new Chance(seed), this);
+  }
+
+  public ClientStandIn(
+      Net net,
+      TraceWriter trace,
+      Limits limits,
+      Site site,
+      Manners manners,
+      Ear ear,
+      int number,
+      InetSocketAddress relay,
+      double perSecond,
+      long seed) {
+    this(net, trace, limits, site, manners, ear, number, net::connect, relay, perSecond, seed);
+  }
+
+  /** One that connects in a way of its own. */
+  public ClientStandIn(
+      Net net,
+      TraceWriter trace,
+      Limits limits,
+      Site site,
+      Manners manners,
+      Ear ear,
+      int number,
+      Redial.Connector connector,
+      InetSocketAddress relay,
+      double perSecond,
+      long seed) {
+    this.net = net;
+    this.site = site;
+    this.manners = manners;
+    this.ear = ear;
+    this.number = number;
+    this.perSecond = perSecond;
+    chance = new SplittableRandom(seed);
+    customerTimes = new double[Math.max(1, site.customers().size())];
+    java.util.Arrays.fill(customerTimes, 1);
+    redial =
+        new Redial(
+            net,
+            connector,
+            relay,
+            Hello.newBuilder()
+                .setVersion(FrameLink.VERSION)
+                .setRole(Role.CLIENT)
+                .setNumber(number)
+                .setName("client-" + number)
+                .build(),
+            limits,
+            trace,
+            new Chance(seed),
+            this);
+  }
+
+  public void start() {
+    redial.dial();
+    next();
+  }
+
+  /** Asks nothing new; what is open goes on. */
+  public void stop() {
+    stopped = true;
+  }
+
+  public int open() {
+    return open.size();
+  }
+
+  /**
+   * Its own book: RPCs sent, and what became of each; sent = answered + left + given up + link
+   * ended + open.
+   */
+  public Counts counts() {
+    counts.set("open", open.size());
+    return counts;
+  }
+
+  /** Asks so many times as often. */
+  public void times(double factor) {
+    times = factor;
+  }
+
+  public void customerTimes(int customer, double factor) {
+    customerTimes[customer] = factor;
+  }
+
+  public void rude(boolean on) {
+    rude = on;
+  }
+
+  /** The same for one customer's RPCs. */
+  public void rude(int customer, boolean on) {
+    rudeCustomer = on ? customer : -1;
+  }
+
+  private boolean rude(Order order) {
+    return rude || order.customer == rudeCustomer;
+  }
+
+  private void next() {
+    if (stopped) {
+      return;
     }
-
-    public void start() {
-        redial.dial();
-        next();
-    }
-
-    /** Asks nothing new; what is open goes on. */
-    public void stop() {
-        stopped = true;
+    double sum = 0;
+    for (int i = 0; i < customerTimes.length; i++) {
+      sum += share(i) * customerTimes[i];
     }
-
-    public int open() {
-        return open.size();
-    }
-
-    /** Its own book: RPCs sent, and what became of each; sent = answered + left + given up + link ended + open. */
-    public Counts counts() {
-        counts.set("open", open.size());
-        return counts;
-    }
-
-    /** Asks so many times as often. */
-    public void times(double factor) {
-        times = factor;
-    }
-
-    public void customerTimes(int customer, double factor) {
-        customerTimes[customer] = factor;
-    }
-
-    public void rude(boolean on) {
-        rude = on;
-    }
-
-    /** The same for one customer's RPCs. */
-    public void rude(int customer, boolean on) {
-        rudeCustomer = on ? customer : -1;
-    }
-
-    private boolean rude(Order order) {
-        return rude || order.customer == rudeCustomer;
-    }
-
-    private void next() {
-        if (stopped) return;
-        double sum = 0;
-        for (int i = 0; i < customerTimes.length; i++) sum += share(i) * customerTimes[i];
-        double gapMs = -Math.log(1 - chance.nextDouble()) * 1000 / (perSecond * times * sum);
-        net.at(net.now().plus(Span.ofMs(gapMs)), () -> {
-            if (!stopped) ask();
-            next();
+    double gapMs = -Math.log(1 - chance.nextDouble()) * 1000 / (perSecond * times * sum);
+    net.at(
+        net.now().plus(Span.ofMs(gapMs)),
+        () -> {
+          if (!stopped) {
+            ask();
+          }
+          next();
         });
+  }
+
+  private double share(int customer) {
+    return site.customers().isEmpty() ? 1 : site.customers().get(customer).share();
+  }
+
+  private void ask() {
+    int method = draw(site.methods().size(), i -> site.methods().get(i).share());
+    int customer = draw(customerTimes.length, i -> share(i) * customerTimes[i]);
+    // few keys are far more popular than the rest
+    long key = 1 + (long) (KEYS * Math.pow(chance.nextDouble(), 3));
+    Order order = new Order(((long) number << 40) + ++lastOrder, method, customer, key, net.now());
+    ear.asked(order);
+    attempt(order);
+  }
+
+  private interface Share {
+    double of(int i);
+  }
+
+  private int draw(int many, Share share) {
+    double all = 0;
+    for (int i = 0; i < many; i++) {
+      all += share.of(i);
     }
-
-    private double share(int customer) {
-        return site.customers().isEmpty() ? 1 : site.customers().get(customer).share();
-    }
-
-    private void ask() {
-        int method = draw(site.methods().size(), i -> site.methods().get(i).share());
-        int customer = draw(customerTimes.length, i -> share(i) * customerTimes[i]);
-        // few keys are far more popular than the rest
-        long key = 1 + (long) (KEYS * Math.pow(chance.nextDouble(), 3));
-        Order order = new Order(((long) number << 40) + ++lastOrder, method, customer, key, net.now());
-        ear.asked(order);
-        attempt(order);
+    double dice = chance.nextDouble() * all;
+    for (int i = 0; i < many - 1; i++) {
+      dice -= share.of(i);
+      if (dice < 0) {
+        return i;
+      }
     }
+    return many - 1;
+  }
 
-    private interface Share {
-        double of(int i);
+  private void attempt(Order order) {
+    if (order.over) {
+      return;
     }
-
-    private int draw(int many, Share share) {
-        double all = 0;
-        for (int i = 0; i < many; i++) all += share.of(i);
-        double dice = chance.nextDouble() * all;
-        for (int i = 0; i < many - 1; i++) {
-            dice -= share.of(i);
-            if (dice < 0) return i;
-        }
-        return many - 1;
+    Site.Method method = site.methods().get(order.method);
+    Span left = method.deadline().minus(net.now().since(order.at));
+    if (!left.over(Span.ofMs(10))) {
+      end(order, End.UNANSWERED);
+      return;
     }
-
-    private void attempt(Order order) {
-        if (order.over) return;
-        Site.Method method = site.methods().get(order.method);
-        Span left = method.deadline().minus(net.now().since(order.at));
-        if (!left.over(Span.ofMs(10))) {
-            end(order, End.UNANSWERED);
-            return;
-        }
-        if (!redial.usable()) { // nobody there: asked again soon, while there is time
-            net.at(net.now().plus(Span.ofMs(100)), () -> attempt(order));
-            return;
-        }
-        order.tries++;
-        counts.add("sent");
-        long id = ++lastTry;
-        Try one = new Try(order);
-        open.put(id, one);
-        byte[] body = ByteBuffer.allocate(32).putInt(number).putInt((int) id).putLong(order.number).array();
-        redial.send(Kind.CALL, Call.newBuilder().setId(id).setMethod(order.method).setCustomer(order.customer)
-            .setKey(order.key).setLeftUs((long) (left.ms() * 1000)).setToken(order.number).build(), body);
-        if (chance.nextDouble() < manners.impatient()) {
-            one.timer = net.at(net.now().plus(left.times(0.3 * chance.nextDouble())), () -> leave(id));
-        } else {
-            one.timer = net.at(net.now().plus(left).plus(GRACE), () -> unanswered(id));
-        }
+    if (!redial.usable()) { // nobody there: asked again soon, while there is time
+      net.at(net.now().plus(Span.ofMs(100)), () -> attempt(order));
+      return;
     }
-
-    private void leave(long id) {
-        Try one = open.remove(id);
-        counts.add("left");
-        redial.send(Kind.LEAVE, Leave.newBuilder().setId(id).build(), NO_BODY);
-        end(one.order, End.LEFT);
+    order.tries++;
+    counts.add("sent");
+    long id = ++lastTry;
+    Try one = new Try(order);
+    open.put(id, one);
+    byte[] body =
+        ByteBuffer.allocate(32).putInt(number).putInt((int) id).putLong(order.number).array();
+    redial.send(
+        Kind.CALL,
+        Call.newBuilder()
+            .setId(id)
+            .setMethod(order.method)
+            .setCustomer(order.customer)
+            .setKey(order.key)
+            .setLeftUs((long) (left.ms() * 1000))
+            .setToken(order.number)
+            .build(),
+        body);
+    if (chance.nextDouble() < manners.impatient()) {
+      one.timer = net.at(net.now().plus(left.times(0.3 * chance.nextDouble())), () -> leave(id));
+    } else {
+      one.timer = net.at(net.now().plus(left).plus(GRACE), () -> unanswered(id));
     }
-
-    private void unanswered(long id) {
-        Try one = open.remove(id);
-        if (one == null) return;
-        counts.add("given_up");
-        end(one.order, End.UNANSWERED);
+  }
+
+  private void leave(long id) {
+    Try one = open.remove(id);
+    counts.add("left");
+    redial.send(Kind.LEAVE, Leave.newBuilder().setId(id).build(), NO_BODY);
+    end(one.order, End.LEFT);
+  }
+
+  private void unanswered(long id) {
+    Try one = open.remove(id);
+    if (one == null) {
+      return;
     }
+    counts.add("given_up");
+    end(one.order, End.UNANSWERED);
+  }
 
-    private void end(Order order, End how) {
-        if (order.over) return;
-        order.over = true;
-        ear.ended(order, how);
+  private void end(Order order, End how) {
+    if (order.over) {
+      return;
     }
-
-    @Override
-    public void greeted(FrameLink link, Hello other) {
-        if (other.getRole() != Role.RELAY) redial.cut("no relay answers there");
+    order.over = true;
+    ear.ended(order, how);
+  }
+
+  @Override
+  public void greeted(FrameLink link, Hello other) {
+    if (other.getRole() != Role.RELAY) {
+      redial.cut("no relay answers there");
     }
+  }
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-        if (kind != Kind.ANSWER) {
-            redial.cut("a client takes no " + kind);
-            return;
-        }
-        Answer answer = (Answer) head;
-        Try one = open.remove(answer.getId());
-        counts.add((one == null ? "late_" : "answered_") + answer.getEnding());
-        if (one == null) return; // it had left; the judge knows whether that was an answer too many
-        one.timer.cancel();
-        Order order = one.order;
-        Site.Method method = site.methods().get(order.method);
-        if (answer.getEnding() == Ending.OK) {
-            boolean wrong = body.length > 0 && body[body.length - 1] == UnitStandIn.WRONG;
-            if (wrong && chance.nextDouble() < manners.flags()) flag(answer.getUnit(), one.at);
-            boolean inTime = !net.now().since(order.at).over(method.soft());
-            end(order, wrong ? End.WRONG : inTime ? End.OK : End.LATE);
-            return;
-        }
-        boolean pushedBack = answer.getEnding() == Ending.PUSHED_BACK;
-        End how = pushedBack ? End.PUSHED_BACK : End.ABORTED;
-        boolean may = pushedBack || mayRepeat(order);
-        Span told = Span.ofMs(answer.getWaitUs() / 1000.0);
-        Span wait = rude(order) ? Span.ofMs(1) : manners.pause().times(0.5 + chance.nextDouble()).atLeast(told);
-        again(order, may, how, wait);
+  @Override
+  public void frame(Kind kind, MessageLite head, byte[] body) {
+    if (kind != Kind.ANSWER) {
+      redial.cut("a client takes no " + kind);
+      return;
     }
-
-    private void again(Order order, boolean may, End how, Span wait) {
-        int most = rude(order) ? manners.retries() + 5 : manners.retries();
-        if (!may || order.tries > most) end(order, how);
-        else net.at(net.now().plus(wait), () -> attempt(order));
+    Answer answer = (Answer) head;
+    Try one = open.remove(answer.getId());
+    counts.add((one == null ? "late_" : "answered_") + answer.getEnding());
+    if (one == null) {
+      return; // it had left; the judge knows whether that was an answer too many
     }
-
-    private boolean mayRepeat(Order order) {
-        Site.Method method = site.methods().get(order.method);
-        return switch (method.effect()) {
-            case IDEMPOTENT -> true;
-            case TOKENED -> method.window().over(net.now().since(order.at));
-            case NON_IDEMPOTENT -> false;
-        };
+    one.timer.cancel();
+    Order order = one.order;
+    Site.Method method = site.methods().get(order.method);
+    if (answer.getEnding() == Ending.OK) {
+      boolean wrong = body.length > 0 && body[body.length - 1] == UnitStandIn.WRONG;
+      if (wrong && chance.nextDouble() < manners.flags()) {
+        flag(answer.getUnit(), one.at);
+      }
+      boolean inTime = !net.now().since(order.at).over(method.soft());
+      end(order, wrong ? End.WRONG : inTime ? End.OK : End.LATE);
+      return;
     }
-
-    private void flag(long unit, Moment sent) {
-        net.at(net.now().plus(Span.ofMs(500 + 2500 * chance.nextDouble())), () ->
-            redial.send(Kind.FLAG, Flag.newBuilder().setUnit(unit).setAgoUs((long) (net.now().since(sent).ms() * 1000))
-                .build(), NO_BODY));
+    boolean pushedBack = answer.getEnding() == Ending.PUSHED_BACK;
+    End how = pushedBack ? End.PUSHED_BACK : End.ABORTED;
+    boolean may = pushedBack || mayRepeat(order);
+    Span told = Span.ofMs(answer.getWaitUs() / 1000.0);
+    Span wait =
+        rude(order) ? Span.ofMs(1) : manners.pause().times(0.5 + chance.nextDouble()).atLeast(told);
+    again(order, may, how, wait);
+  }
+
+  private void again(Order order, boolean may, End how, Span wait) {
+    int most = rude(order) ? manners.retries() + 5 : manners.retries();
+    if (!may || order.tries > most) {
+      end(order, how);
+    } else {
+      net.at(net.now().plus(wait), () -> attempt(order));
     }
-
-    @Override
-    public void closed(String why) {
-        for (Try one : Map.copyOf(open).values()) {
-            one.timer.cancel();
-            counts.add("link_ended");
-            again(one.order, mayRepeat(one.order), End.LOST_WITH_RELAY, manners.pause());
-        }
-        open.clear();
+  }
+
+  private boolean mayRepeat(Order order) {
+    Site.Method method = site.methods().get(order.method);
+    return switch (method.effect()) {
+      case IDEMPOTENT -> true;
+      case TOKENED -> method.window().over(net.now().since(order.at));
+      case NON_IDEMPOTENT -> false;
+    };
+  }
+
+  private void flag(long unit, Moment sent) {
+    net.at(
+        net.now().plus(Span.ofMs(500 + 2500 * chance.nextDouble())),
+        () ->
+            redial.send(
+                Kind.FLAG,
+                Flag.newBuilder()
+                    .setUnit(unit)
+                    .setAgoUs((long) (net.now().since(sent).ms() * 1000))
+                    .build(),
+                NO_BODY));
+  }
+
+  @Override
+  public void closed(String why) {
+    for (Try one : Map.copyOf(open).values()) {
+      one.timer.cancel();
+      counts.add("link_ended");
+      again(one.order, mayRepeat(one.order), End.LOST_WITH_RELAY, manners.pause());
     }
+    open.clear();
+  }
 }
--- a/src/main/java/sprucerock/standin/DeskStandIn.java
+++ b/src/main/java/sprucerock/standin/DeskStandIn.java
@@ -29,262 +29,349 @@
 import sprucerock.wire.v1.Vote;
 import sprucerock.wire.v1.Voted;
 
-/** The release desk: brings a build in by stages, as the relays' votes have it, and tells them news and counts. */
+/**
+ * The release desk: brings a build in by stages, as the relays' votes have it, and tells them news
+ * and counts.
+ */
 public final class DeskStandIn {
-    /** Who starts and takes away machines. */
-    public interface Places {
-        void enter(int build, int stage);
-
-        /** The build is released: the earlier one's units may go. */
-        void released(int build);
-
-        void takeOff(int build);
+  /** Who starts and takes away machines. */
+  public interface Places {
+    void enter(int build, int stage);
+
+    /** The build is released: the earlier one's units may go. */
+    void released(int build);
+
+    void takeOff(int build);
+  }
+
+  /** A vote as it was taken, for the report. */
+  public record Ballot(Moment at, int relay, int build, int stage, Say say, Taken taken) {}
+
+  private static final byte[] NO_BODY = {};
+  private static final Span TOLD_AFTER = Span.ofMs(200);
+  private static final Span PUSH = Span.ofMs(4000);
+
+  private record Standing(Say say, int stage, Moment until) {}
+
+  private final Net net;
+  private final TraceWriter trace;
+  private final Limits limits;
+  private final Site site;
+  private final Places places;
+  private final SplittableRandom chance;
+  private final Set<Session> sessions = new LinkedHashSet<>();
+  private final Map<Integer, Standing> votes = new TreeMap<>();
+  private final List<Ballot> ballots = new ArrayList<>();
+  private final Map<Long, long[]> counts = new TreeMap<>();
+  private Net.Listener listener;
+  private int build;
+  private int stage;
+  private Stand standing = Stand.RELEASED;
+  private Moment since;
+  private Moment stageClock;
+  private double heldMs;
+  private Span late = Span.ZERO;
+  private Span countsLate = Span.ZERO;
+  private boolean down;
+
+  public DeskStandIn(
+      Net net,
+      TraceWriter trace,
+      Limits limits,
+      Site site,
+      Places places,
+      int firstBuild,
+      long seed) {
+    this.net = net;
+    this.trace = trace;
+    this.limits = limits;
+    this.site = site;
+    this.places = places;
+    build = firstBuild;
+    stage = site.stages().size() - 1;
+    chance = new SplittableRandom(seed);
+    since = net.now();
+    stageClock = since;
+  }
+
+  public int start() throws IOException {
+    listener =
+        net.listen(
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            1000,
+            limits.unsent(),
+            () -> {
+              Session session = new Session();
+              session.link =
+                  new FrameLink(
+                      net,
+                      Hello.newBuilder()
+                          .setVersion(FrameLink.VERSION)
+                          .setRole(Role.DESK)
+                          .setName("desk")
+                          .build(),
+                      limits,
+                      trace,
+                      session);
+              return session.link;
+            });
+    push();
+    if (site.desk().countsEvery().over(Span.ZERO)) {
+      tellCounts();
     }
-
-    /** A vote as it was taken, for the report. */
-    public record Ballot(Moment at, int relay, int build, int stage, Say say, Taken taken) {}
-
-    private static final byte[] NO_BODY = {};
-    private static final Span TOLD_AFTER = Span.ofMs(200);
-    private static final Span PUSH = Span.ofMs(4000);
-
-    private record Standing(Say say, int stage, Moment until) {}
-
-    private final Net net;
-    private final TraceWriter trace;
-    private final Limits limits;
-    private final Site site;
-    private final Places places;
-    private final SplittableRandom chance;
-    private final Set<Session> sessions = new LinkedHashSet<>();
-    private final Map<Integer, Standing> votes = new TreeMap<>();
-    private final List<Ballot> ballots = new ArrayList<>();
-    private final Map<Long, long[]> counts = new TreeMap<>();
-    private Net.Listener listener;
-    private int build;
-    private int stage;
-    private Stand standing = Stand.RELEASED;
-    private Moment since;
-    private Moment stageClock;
-    private double heldMs;
-    private Span late = Span.ZERO;
-    private Span countsLate = Span.ZERO;
-    private boolean down;
-
-    public DeskStandIn(Net net, TraceWriter trace, Limits limits, Site site, Places places, int firstBuild, long seed) {
-        this.net = net;
-        this.trace = trace;
-        this.limits = limits;
-        this.site = site;
-        this.places = places;
-        build = firstBuild;
-        stage = site.stages().size() - 1;
-        chance = new SplittableRandom(seed);
-        since = net.now();
-        stageClock = since;
+    tick();
+    return listener.address().getPort();
+  }
+
+  public List<Ballot> ballots() {
+    return ballots;
+  }
+
+  public Stand standing() {
+    return standing;
+  }
+
+  public int build() {
+    return build;
+  }
+
+  public int stage() {
+    return stage;
+  }
+
+  /** Votes get no answer, though half of them count once it is back; nothing is told. */
+  public void down(boolean on) {
+    down = on;
+  }
+
+  public void late(Span by) {
+    late = by;
+  }
+
+  public void countsLate(Span by) {
+    countsLate = by;
+  }
+
+  /** A new build: what was on trial is taken off. */
+  public void offer(int newBuild) {
+    if (standing == Stand.ON_TRIAL) {
+      change(build, stage, Stand.WITHDRAWN);
     }
-
-    public int start() throws IOException {
-        listener = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1000, limits.unsent(), () -> {
-            Session session = new Session();
-            session.link = new FrameLink(net, Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.DESK)
-                .setName("desk").build(), limits, trace, session);
-            return session.link;
-        });
-        push();
-        if (site.desk().countsEvery().over(Span.ZERO)) tellCounts();
-        tick();
-        return listener.address().getPort();
+    change(newBuild, 0, Stand.ON_TRIAL);
+  }
+
+  private void change(int toBuild, int toStage, Stand to) {
+    boolean offTrial = standing == Stand.ON_TRIAL && to == Stand.WITHDRAWN;
+    build = toBuild;
+    stage = toStage;
+    standing = to;
+    since = net.now();
+    stageClock = since.plus(Span.ofMs(1000)); // its machines have to start
+    heldMs = 0;
+    votes.clear();
+    trace.note("DESK", "build=" + build + " stage=" + stage + " standing=" + to);
+    if (to == Stand.ON_TRIAL) {
+      places.enter(build, stage);
+    } else if (to == Stand.RELEASED) {
+      places.released(build);
+    } else if (to == Stand.GOING_BACK) {
+      places.takeOff(build);
+      net.at(
+          net.now().plus(Span.ofMs(1500)),
+          () -> {
+            if (standing == Stand.GOING_BACK) {
+              change(build, stage, Stand.WITHDRAWN);
+            }
+          });
+    } else if (offTrial) {
+      places.takeOff(build);
     }
+    tellAll();
+  }
 
-    public List<Ballot> ballots() {
-        return ballots;
+  private void tellAll() {
+    for (Session session : Set.copyOf(sessions)) {
+      session.tell();
     }
+  }
 
-    public Stand standing() {
-        return standing;
+  private void push() {
+    if (!down) {
+      tellAll();
     }
-
-    public int build() {
-        return build;
+    net.at(net.now().plus(PUSH), this::push);
+  }
+
+  private double cap() {
+    return switch (standing) {
+      case ON_TRIAL -> site.stages().get(stage).cap();
+      case RELEASED -> 1;
+      default -> 0;
+    };
+  }
+
+  /** A pick ended at a unit: counted in a sample. */
+  public void count(int ofBuild, int method, boolean ok, Span took) {
+    if (chance.nextDouble() >= site.desk().sample()) {
+      return;
     }
-
-    public int stage() {
-        return stage;
+    long[] sums = counts.computeIfAbsent((long) ofBuild << 16 | method, key -> new long[3]);
+    sums[0]++;
+    if (ok) {
+      sums[2] += (long) (took.ms() * 1000);
+    } else {
+      sums[1]++;
     }
-
-    /** Votes get no answer, though half of them count once it is back; nothing is told. */
-    public void down(boolean on) {
-        down = on;
+  }
+
+  private void tellCounts() {
+    List<Counts> period = new ArrayList<>();
+    counts.forEach(
+        (key, sums) ->
+            period.add(
+                Counts.newBuilder()
+                    .setBuild((int) (key >> 16))
+                    .setMethod((int) (key & 0xffff))
+                    .setPicks((int) sums[0])
+                    .setFailed((int) sums[1])
+                    .setMeanUs(sums[2] / Math.max(1, sums[0] - sums[1]))
+                    .build()));
+    counts.clear();
+    if (!down) {
+      net.at(
+          net.now().plus(Span.ofMs(500)).plus(countsLate),
+          () -> {
+            for (Session session : Set.copyOf(sessions)) {
+              for (Counts one : period) {
+                session.link.send(Kind.COUNTS, one, NO_BODY);
+              }
+            }
+          });
     }
-
-    public void late(Span by) {
-        late = by;
+    net.at(net.now().plus(site.desk().countsEvery()), this::tellCounts);
+  }
+
+  private void tick() {
+    Span each = Span.ofMs(50);
+    boolean trial = standing == Stand.ON_TRIAL;
+    if (trial && site.desk().control() == Site.Control.CLOCKED) {
+      boolean held = down || standing(Say.HOLD, stage) >= Math.max(1, site.desk().hold());
+      if (held) {
+        heldMs += each.ms();
+      } else if (net.now().since(stageClock).ms() - heldMs > site.desk().step().ms()) {
+        goOn();
+      }
+    } else if (trial && !down) {
+      weigh();
     }
-
-    public void countsLate(Span by) {
-        countsLate = by;
+    net.at(net.now().plus(each), this::tick);
+  }
+
+  private int standing(Say say, int ofStage) {
+    Moment now = net.now();
+    int sum = 0;
+    for (Standing vote : votes.values()) {
+      if (vote.say == say && vote.until.after(now) && (say == Say.BACK || vote.stage == ofStage)) {
+        sum++;
+      }
     }
-
-    /** A new build: what was on trial is taken off. */
-    public void offer(int newBuild) {
-        if (standing == Stand.ON_TRIAL) change(build, stage, Stand.WITHDRAWN);
-        change(newBuild, 0, Stand.ON_TRIAL);
+    return sum;
+  }
+
+  private void weigh() {
+    boolean mayGoBack = standing == Stand.ON_TRIAL || standing == Stand.RELEASED && build > 1;
+    if (mayGoBack && standing(Say.BACK, stage) >= site.desk().back()) {
+      change(build, stage, Stand.GOING_BACK);
+    } else if (standing == Stand.ON_TRIAL
+        && site.desk().control() != Site.Control.CLOCKED
+        && standing(Say.ON, stage) >= site.desk().on()
+        && net.now().since(stageClock).over(site.desk().bake())) {
+      goOn();
     }
+  }
 
-    private void change(int toBuild, int toStage, Stand to) {
-        boolean offTrial = standing == Stand.ON_TRIAL && to == Stand.WITHDRAWN;
-        build = toBuild;
-        stage = toStage;
-        standing = to;
-        since = net.now();
-        stageClock = since.plus(Span.ofMs(1000)); // its machines have to start
-        heldMs = 0;
-        votes.clear();
-        trace.note("DESK", "build=" + build + " stage=" + stage + " standing=" + to);
-        if (to == Stand.ON_TRIAL) places.enter(build, stage);
-        else if (to == Stand.RELEASED) places.released(build);
-        else if (to == Stand.GOING_BACK) {
-            places.takeOff(build);
-            net.at(net.now().plus(Span.ofMs(1500)), () -> {
-                if (standing == Stand.GOING_BACK) change(build, stage, Stand.WITHDRAWN);
-            });
-        } else if (offTrial) {
-            places.takeOff(build);
-        }
-        tellAll();
+  private void goOn() {
+    if (stage + 1 < site.stages().size()) {
+      change(build, stage + 1, Stand.ON_TRIAL);
+    } else {
+      change(build, stage, Stand.RELEASED);
     }
-
-    private void tellAll() {
-        for (Session session : Set.copyOf(sessions)) session.tell();
+  }
+
+  private void take(Session session, Vote vote) {
+    boolean silent = down;
+    int relay = session.link.other().getNumber();
+    boolean trial = standing == Stand.ON_TRIAL;
+    boolean clocked = site.desk().control() == Site.Control.CLOCKED;
+    boolean fits =
+        vote.getBuild() == build
+            && switch (vote.getSay()) {
+              case ON -> trial && !clocked && vote.getStage() == stage;
+              case HOLD -> trial && clocked && vote.getStage() == stage;
+              case BACK -> trial || standing == Stand.RELEASED;
+              case NOTHING -> true;
+              default -> false;
+            };
+    if (silent) {
+      fits &= chance.nextBoolean(); // half of what it does not answer counts all the same
     }
-
-    private void push() {
-        if (!down) tellAll();
-        net.at(net.now().plus(PUSH), this::push);
+    Taken taken = fits ? Taken.COUNTS : Taken.MOOT;
+    ballots.add(
+        new Ballot(net.now(), relay, vote.getBuild(), vote.getStage(), vote.getSay(), taken));
+    if (fits) {
+      Moment until = net.now().plus(site.desk().voteLife());
+      votes.put(relay, new Standing(vote.getSay(), vote.getStage(), until));
     }
-
-    private double cap() {
-        return switch (standing) {
-            case ON_TRIAL -> site.stages().get(stage).cap();
-            case RELEASED -> 1;
-            default -> 0;
-        };
+    if (silent) {
+      return;
     }
-
-    /** A pick ended at a unit: counted in a sample. */
-    public void count(int ofBuild, int method, boolean ok, Span took) {
-        if (chance.nextDouble() >= site.desk().sample()) return;
-        long[] sums = counts.computeIfAbsent((long) ofBuild << 16 | method, key -> new long[3]);
-        sums[0]++;
-        if (ok) sums[2] += (long) (took.ms() * 1000);
-        else sums[1]++;
+    session.link.send(
+        Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
+    if (fits) {
+      weigh();
     }
+  }
 
-    private void tellCounts() {
-        List<Counts> period = new ArrayList<>();
-        counts.forEach((key, sums) -> period.add(Counts.newBuilder().setBuild((int) (key >> 16))
-            .setMethod((int) (key & 0xffff)).setPicks((int) sums[0]).setFailed((int) sums[1])
-            .setMeanUs(sums[2] / Math.max(1, sums[0] - sums[1])).build()));
-        counts.clear();
-        if (!down) {
-            net.at(net.now().plus(Span.ofMs(500)).plus(countsLate), () -> {
-                for (Session session : Set.copyOf(sessions)) {
-                    for (Counts one : period) session.link.send(Kind.COUNTS, one, NO_BODY);
-                }
-            });
-        }
-        net.at(net.now().plus(site.desk().countsEvery()), this::tellCounts);
-    }
+  private final class Session implements FrameUser {
+    private FrameLink link;
 
-    private void tick() {
-        Span each = Span.ofMs(50);
-        boolean trial = standing == Stand.ON_TRIAL;
-        if (trial && site.desk().control() == Site.Control.CLOCKED) {
-            boolean held = down || standing(Say.HOLD, stage) >= Math.max(1, site.desk().hold());
-            if (held) heldMs += each.ms();
-            else if (net.now().since(stageClock).ms() - heldMs > site.desk().step().ms()) goOn();
-        } else if (trial && !down) {
-            weigh();
-        }
-        net.at(net.now().plus(each), this::tick);
+    @Override
+    public void greeted(FrameLink made, Hello other) {
+      sessions.add(this);
+      tell();
     }
 
-    private int standing(Say say, int ofStage) {
-        Moment now = net.now();
-        int sum = 0;
-        for (Standing vote : votes.values()) {
-            if (vote.say == say && vote.until.after(now) && (say == Say.BACK || vote.stage == ofStage)) sum++;
-        }
-        return sum;
+    void tell() {
+      News news =
+          News.newBuilder()
+              .setBuild(build)
+              .setStage(stage)
+              .setStanding(standing)
+              .setCap(cap())
+              .build();
+      Moment from = since;
+      net.at(
+          net.now().plus(TOLD_AFTER).plus(late),
+          () -> {
+            long lasted = (long) (net.now().since(from).ms() * 1000);
+            if (!down) {
+              link.send(Kind.NEWS, news.toBuilder().setLastedUs(lasted).build(), NO_BODY);
+            }
+          });
     }
 
-    private void weigh() {
-        boolean mayGoBack = standing == Stand.ON_TRIAL || standing == Stand.RELEASED && build > 1;
-        if (mayGoBack && standing(Say.BACK, stage) >= site.desk().back()) {
-            change(build, stage, Stand.GOING_BACK);
-        } else if (standing == Stand.ON_TRIAL && site.desk().control() != Site.Control.CLOCKED
-            && standing(Say.ON, stage) >= site.desk().on() && net.now().since(stageClock).over(site.desk().bake())) {
-            goOn();
-        }
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      if (kind == Kind.VOTE) {
+        take(this, (Vote) head);
+      } else {
+        link.cut("a release desk takes no " + kind);
+      }
     }
 
-    private void goOn() {
-        if (stage + 1 < site.stages().size()) change(build, stage + 1, Stand.ON_TRIAL);
-        else change(build, stage, Stand.RELEASED);
-    }
-
-    private void take(Session session, Vote vote) {
-        boolean silent = down;
-        int relay = session.link.other().getNumber();
-        boolean trial = standing == Stand.ON_TRIAL;
-        boolean clocked = site.desk().control() == Site.Control.CLOCKED;
-        boolean fits = vote.getBuild() == build && switch (vote.getSay()) {
-            case ON -> trial && !clocked && vote.getStage() == stage;
-            case HOLD -> trial && clocked && vote.getStage() == stage;
-            case BACK -> trial || standing == Stand.RELEASED;
-            case NOTHING -> true;
-            default -> false;
-        };
-        if (silent) fits &= chance.nextBoolean(); // half of what it does not answer counts all the same
-        Taken taken = fits ? Taken.COUNTS : Taken.MOOT;
-        ballots.add(new Ballot(net.now(), relay, vote.getBuild(), vote.getStage(), vote.getSay(), taken));
-        if (fits) {
-            Moment until = net.now().plus(site.desk().voteLife());
-            votes.put(relay, new Standing(vote.getSay(), vote.getStage(), until));
-        }
-        if (silent) return;
-        session.link.send(Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
-        if (fits) weigh();
-    }
-
-    private final class Session implements FrameUser {
-        private FrameLink link;
-
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            sessions.add(this);
-            tell();
-        }
-
-        void tell() {
-            News news = News.newBuilder().setBuild(build).setStage(stage).setStanding(standing).setCap(cap()).build();
-            Moment from = since;
-            net.at(net.now().plus(TOLD_AFTER).plus(late), () -> {
-                long lasted = (long) (net.now().since(from).ms() * 1000);
-                if (!down) link.send(Kind.NEWS, news.toBuilder().setLastedUs(lasted).build(), NO_BODY);
-            });
-        }
-
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            if (kind == Kind.VOTE) take(this, (Vote) head);
-            else link.cut("a release desk takes no " + kind);
-        }
-
-        @Override
-        public void closed(String why) {
-            sessions.remove(this);
-        }
+    @Override
+    public void closed(String why) {
+      sessions.remove(this);
     }
+  }
 }
--- a/src/main/java/sprucerock/standin/Handshaker.java
+++ b/src/main/java/sprucerock/standin/Handshaker.java
@@ -9,49 +9,65 @@
 
 /** Stands between a unit's connection and its TLS, and does to handshakes what a bad peer does. */
 final class Handshaker implements LinkUser {
-    enum How { SLOW, STALLS, RESETS }
+  enum How {
+    SLOW,
+    STALLS,
+    RESETS
+  }
 
-    private final Timers timers;
-    private final How how;
-    private final Span by;
-    private final LinkUser tls;
-    private final ByteArrayOutputStream held = new ByteArrayOutputStream();
-    private Link link;
-    private boolean passes;
-    private boolean closed;
+  private final Timers timers;
+  private final How how;
+  private final Span by;
+  private final LinkUser tls;
+  private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+  private Link link;
+  private boolean passes;
+  private boolean closed;
 
-    Handshaker(Timers timers, How how, Span by, LinkUser tls) {
-        this.timers = timers;
-        this.how = how;
-        this.by = by;
-        this.tls = tls;
-    }
+  Handshaker(Timers timers, How how, Span by, LinkUser tls) {
+    this.timers = timers;
+    this.how = how;
+    this.by = by;
+    this.tls = tls;
+  }
 
-    @Override
-    public void up(Link made) {
-        link = made;
-        if (how != How.SLOW) return;
-        timers.at(timers.now().plus(by), () -> {
-            if (closed) return;
-            passes = true;
-            tls.up(link);
-            if (held.size() > 0) tls.received(ByteBuffer.wrap(held.toByteArray()));
-        });
+  @Override
+  public void up(Link made) {
+    link = made;
+    if (how != How.SLOW) {
+      return;
     }
-
-    @Override
-    public void received(ByteBuffer bytes) {
-        if (passes) {
-            tls.received(bytes);
+    timers.at(
+        timers.now().plus(by),
+        () -> {
+          if (closed) {
             return;
-        }
-        if (how == How.RESETS) link.cut("reset on purpose");
-        while (bytes.hasRemaining()) held.write(bytes.get()); // what stalls keeps it for nothing
-    }
+          }
+          passes = true;
+          tls.up(link);
+          if (held.size() > 0) {
+            tls.received(ByteBuffer.wrap(held.toByteArray()));
+          }
+        });
+  }
 
-    @Override
-    public void closed(String why) {
-        closed = true;
-        tls.closed(why);
+  @Override
+  public void received(ByteBuffer bytes) {
+    if (passes) {
+      tls.received(bytes);
+      return;
+    }
+    if (how == How.RESETS) {
+      link.cut("reset on purpose");
     }
+    while (bytes.hasRemaining()) {
+      held.write(bytes.get()); // what stalls keeps it for nothing
+    }
+  }
+
+  @Override
+  public void closed(String why) {
+    closed = true;
+    tls.closed(why);
+  }
 }
--- a/src/main/java/sprucerock/standin/RosterStandIn.java
+++ b/src/main/java/sprucerock/standin/RosterStandIn.java
@@ -23,96 +23,135 @@
 import sprucerock.wire.v1.Listing;
 import sprucerock.wire.v1.Role;
 
-/** The list of units: learns of a change some time after it happened, and then tells all who watch. */
+/**
+ * The list of units: learns of a change some time after it happened, and then tells all who watch.
+ */
 public final class RosterStandIn {
-    private static final byte[] NO_BODY = {};
+  private static final byte[] NO_BODY = {};
 
-    private final Net net;
-    private final TraceWriter trace;
-    private final Limits limits;
-    private final Span notice;
-    private final Map<Long, Entry> listed = new TreeMap<>();
-    private final Map<Long, Moment> startedAt = new TreeMap<>();
-    private final Set<Session> watchers = new LinkedHashSet<>();
-    private final Set<Session> sessions = new LinkedHashSet<>();
-    private Span late = Span.ZERO;
-    private Moment lastKnown = Moment.ofMs(0);
-    private Net.Listener listener;
-    private boolean down;
+  private final Net net;
+  private final TraceWriter trace;
+  private final Limits limits;
+  private final Span notice;
+  private final Map<Long, Entry> listed = new TreeMap<>();
+  private final Map<Long, Moment> startedAt = new TreeMap<>();
+  private final Set<Session> watchers = new LinkedHashSet<>();
+  private final Set<Session> sessions = new LinkedHashSet<>();
+  private Span late = Span.ZERO;
+  private Moment lastKnown = Moment.ofMs(0);
+  private Net.Listener listener;
+  private boolean down;
 
-    public RosterStandIn(Net net, TraceWriter trace, Limits limits, Span notice) {
-        this.net = net;
-        this.trace = trace;
-        this.limits = limits;
-        this.notice = notice;
-    }
+  public RosterStandIn(Net net, TraceWriter trace, Limits limits, Span notice) {
+    this.net = net;
+    this.trace = trace;
+    this.limits = limits;
+    this.notice = notice;
+  }
 
-    public int start() throws IOException {
-        listener = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1000, limits.unsent(), () -> {
-            Session session = new Session();
-            session.link = new FrameLink(net, Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.ROSTER)
-                .setName("roster").build(), limits, trace, session);
-            sessions.add(session);
-            return session.link;
-        });
-        return listener.address().getPort();
-    }
+  public int start() throws IOException {
+    listener =
+        net.listen(
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            1000,
+            limits.unsent(),
+            () -> {
+              Session session = new Session();
+              session.link =
+                  new FrameLink(
+                      net,
+                      Hello.newBuilder()
+                          .setVersion(FrameLink.VERSION)
+                          .setRole(Role.ROSTER)
+                          .setName("roster")
+                          .build(),
+                      limits,
+                      trace,
+                      session);
+              sessions.add(session);
+              return session.link;
+            });
+    return listener.address().getPort();
+  }
 
-    /** It is further behind by so much. */
-    public void late(Span by) {
-        late = by;
-    }
+  /** It is further behind by so much. */
+  public void late(Span by) {
+    late = by;
+  }
 
-    /** Away: all links are cut, and whoever comes is cut again. */
-    public void down(boolean on) {
-        down = on;
-        if (on) for (Session session : Set.copyOf(sessions)) session.link.cut("the roster is down");
+  /** Away: all links are cut, and whoever comes is cut again. */
+  public void down(boolean on) {
+    down = on;
+    if (on) {
+      for (Session session : Set.copyOf(sessions)) {
+        session.link.cut("the roster is down");
+      }
     }
+  }
 
-    /** A unit's state changed, now; a null start: its process runs since long ago. */
-    public void changed(Entry entry, Moment started) {
-        Moment known = net.now().plus(notice).plus(late).later(lastKnown); // never out of order
-        lastKnown = known;
-        net.at(known, () -> {
-            if (entry.getHealth() == Health.GONE) listed.remove(entry.getUnit());
-            else listed.put(entry.getUnit(), entry);
-            if (started == null) startedAt.remove(entry.getUnit());
-            else startedAt.put(entry.getUnit(), started);
-            Listing change = Listing.newBuilder().setForm(Form.CHANGES).addEntries(aged(entry)).build();
-            for (Session watcher : Set.copyOf(watchers)) watcher.link.send(Kind.LISTING, change, NO_BODY);
+  /** A unit's state changed, now; a null start: its process runs since long ago. */
+  public void changed(Entry entry, Moment started) {
+    Moment known = net.now().plus(notice).plus(late).later(lastKnown); // never out of order
+    lastKnown = known;
+    net.at(
+        known,
+        () -> {
+          if (entry.getHealth() == Health.GONE) {
+            listed.remove(entry.getUnit());
+          } else {
+            listed.put(entry.getUnit(), entry);
+          }
+          if (started == null) {
+            startedAt.remove(entry.getUnit());
+          } else {
+            startedAt.put(entry.getUnit(), started);
+          }
+          Listing change =
+              Listing.newBuilder().setForm(Form.CHANGES).addEntries(aged(entry)).build();
+          for (Session watcher : Set.copyOf(watchers)) {
+            watcher.link.send(Kind.LISTING, change, NO_BODY);
+          }
         });
-    }
+  }
 
-    private Entry aged(Entry entry) {
-        Moment started = startedAt.get(entry.getUnit());
-        if (started == null) return entry;
-        return entry.toBuilder().setAgeUs(Math.max(1, (long) (net.now().since(started).ms() * 1000))).build();
+  private Entry aged(Entry entry) {
+    Moment started = startedAt.get(entry.getUnit());
+    if (started == null) {
+      return entry;
     }
+    return entry.toBuilder()
+        .setAgeUs(Math.max(1, (long) (net.now().since(started).ms() * 1000)))
+        .build();
+  }
 
-    private final class Session implements FrameUser {
-        private FrameLink link;
+  private final class Session implements FrameUser {
+    private FrameLink link;
 
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            if (down) made.cut("the roster is down");
-        }
+    @Override
+    public void greeted(FrameLink made, Hello other) {
+      if (down) {
+        made.cut("the roster is down");
+      }
+    }
 
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            if (kind != Kind.WATCH) {
-                link.cut("a roster takes no " + kind);
-                return;
-            }
-            watchers.add(this);
-            Listing.Builder whole = Listing.newBuilder().setForm(Form.WHOLE);
-            for (Entry entry : listed.values()) whole.addEntries(aged(entry));
-            link.send(Kind.LISTING, whole.build(), NO_BODY);
-        }
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      if (kind != Kind.WATCH) {
+        link.cut("a roster takes no " + kind);
+        return;
+      }
+      watchers.add(this);
+      Listing.Builder whole = Listing.newBuilder().setForm(Form.WHOLE);
+      for (Entry entry : listed.values()) {
+        whole.addEntries(aged(entry));
+      }
+      link.send(Kind.LISTING, whole.build(), NO_BODY);
+    }
 
-        @Override
-        public void closed(String why) {
-            watchers.remove(this);
-            sessions.remove(this);
-        }
+    @Override
+    public void closed(String why) {
+      watchers.remove(this);
+      sessions.remove(this);
     }
+  }
 }
--- a/src/main/java/sprucerock/standin/SwitchStandIn.java
+++ b/src/main/java/sprucerock/standin/SwitchStandIn.java
@@ -21,89 +21,108 @@
 
 /** Stands between the relays: what one tells another passes here, late or never. */
 public final class SwitchStandIn {
-    private final Net net;
-    private final TraceWriter trace;
-    private final Limits limits;
-    private final SplittableRandom chance;
-    private final Chance pauses;
-    private final Map<Integer, InetSocketAddress> relays = new HashMap<>();
-    private final Map<Long, Redial> onward = new HashMap<>();
-    private Secure secure;
-    private double lost;
-    private Span delay = Span.ofMs(1);
-
-    public SwitchStandIn(Net net, TraceWriter trace, Limits limits, long seed) {
-        this.net = net;
-        this.trace = trace;
-        this.limits = limits;
-        chance = new SplittableRandom(seed);
-        pauses = new Chance(seed);
+  private final Net net;
+  private final TraceWriter trace;
+  private final Limits limits;
+  private final SplittableRandom chance;
+  private final Chance pauses;
+  private final Map<Integer, InetSocketAddress> relays = new HashMap<>();
+  private final Map<Long, Redial> onward = new HashMap<>();
+  private Secure secure;
+  private double lost;
+  private Span delay = Span.ofMs(1);
+
+  public SwitchStandIn(Net net, TraceWriter trace, Limits limits, long seed) {
+    this.net = net;
+    this.trace = trace;
+    this.limits = limits;
+    chance = new SplittableRandom(seed);
+    pauses = new Chance(seed);
+  }
+
+  /** Speaks TLS with relays on either side, for all of them. */
+  public void secure(Secure with) {
+    secure = with;
+  }
+
+  /** Opens a port for messages to a relay that is at an address. */
+  public int port(int relay, InetSocketAddress at) throws IOException {
+    relays.put(relay, at);
+    return net.listen(
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+            1000,
+            limits.unsent(),
+            () -> {
+              From from = new From(relay);
+              from.link = new FrameLink(net, hello(relay), limits, trace, from);
+              return secure == null ? from.link : secure.taken(secure.allRelays(), true, from.link);
+            })
+        .address()
+        .getPort();
+  }
+
+  private static Hello hello(int relay) {
+    return Hello.newBuilder()
+        .setVersion(FrameLink.VERSION)
+        .setRole(Role.RELAY)
+        .setNumber(relay)
+        .setName("switch")
+        .build();
+  }
+
+  /** This share of all messages is lost from now on. */
+  public void lose(double share) {
+    lost = share;
+  }
+
+  public void delay(Span each) {
+    delay = each;
+  }
+
+  private final class From implements FrameUser {
+    private final int to;
+    private FrameLink link;
+
+    From(int to) {
+      this.to = to;
     }
 
-    /** Speaks TLS with relays on either side, for all of them. */
-    public void secure(Secure with) {
-        secure = with;
-    }
-
-    /** Opens a port for messages to a relay that is at an address. */
-    public int port(int relay, InetSocketAddress at) throws IOException {
-        relays.put(relay, at);
-        return net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1000, limits.unsent(), () -> {
-            From from = new From(relay);
-            from.link = new FrameLink(net, hello(relay), limits, trace, from);
-            return secure == null ? from.link : secure.taken(secure.allRelays(), true, from.link);
-        }).address().getPort();
-    }
-
-    private static Hello hello(int relay) {
-        return Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.RELAY).setNumber(relay).setName("switch").build();
-    }
-
-    /** This share of all messages is lost from now on. */
-    public void lose(double share) {
-        lost = share;
-    }
-
-    public void delay(Span each) {
-        delay = each;
-    }
-
-    private final class From implements FrameUser {
-        private final int to;
-        private FrameLink link;
-
-        From(int to) {
-            this.to = to;
-        }
-
-        @Override
-        public void greeted(FrameLink made, Hello other) {}
-
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            if (kind != Kind.TOLD || chance.nextDouble() < lost) return;
-            int sender = link.other().getNumber();
-            Redial onwards = onward.computeIfAbsent((long) sender << 32 | to, key -> {
-                Redial.Connector way = secure == null ? net::connect : secure.asRelays(Secure.relayName(to));
-                Redial made = new Redial(net, way, relays.get(to), hello(sender), limits, trace, pauses, new Deaf());
+    @Override
+    public void greeted(FrameLink made, Hello other) {}
+
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      if (kind != Kind.TOLD || chance.nextDouble() < lost) {
+        return;
+      }
+      int sender = link.other().getNumber();
+      Redial onwards =
+          onward.computeIfAbsent(
+              (long) sender << 32 | to,
+              key -> {
+                Redial.Connector way =
+                    secure == null ? net::connect : secure.asRelays(Secure.relayName(to));
+                Redial made =
+                    new Redial(
+                        net, way, relays.get(to), hello(sender), limits, trace, pauses, new Deaf());
                 made.dial();
                 return made;
-            });
-            net.at(net.now().plus(delay), () -> onwards.send(kind, head, body));
-        }
-
-        @Override
-        public void closed(String why) {}
+              });
+      net.at(net.now().plus(delay), () -> onwards.send(kind, head, body));
     }
 
-    private static final class Deaf implements FrameUser {
-        @Override
-        public void greeted(FrameLink made, Hello other) {}
+    @Override
+    public void closed(String why) {}
+  }
 
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {}
+  private static final class Deaf implements FrameUser {
+    @Override
+    public void greeted(FrameLink made, Hello other) {}
 
-        @Override
-        public void closed(String why) {}
-    }
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {}
+
+    @Override
+    public void closed(String why) {}
+  }
 }
--- a/src/main/java/sprucerock/stats/KeyedSums.java
+++ b/src/main/java/sprucerock/stats/KeyedSums.java
@@ -7,27 +7,28 @@
 
 /** A decaying sum a key, for as many of the keys used last as it is told to hold. */
 public final class KeyedSums {
-    private final Span life;
-    private final LinkedHashMap<Long, DecayingSum> sums;
+  private final Span life;
+  private final LinkedHashMap<Long, DecayingSum> sums;
 
-    public KeyedSums(Span life, int most) {
-        this.life = life;
-        sums = new LinkedHashMap<>(64, 0.75f, true) {
-            private static final long serialVersionUID = 1L;
+  public KeyedSums(Span life, int most) {
+    this.life = life;
+    sums =
+        new LinkedHashMap<>(64, 0.75f, true) {
+          private static final long serialVersionUID = 1L;
 
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<Long, DecayingSum> eldest) {
-                return size() > most;
-            }
+          @Override
+          protected boolean removeEldestEntry(Map.Entry<Long, DecayingSum> eldest) {
+            return size() > most;
+          }
         };
-    }
+  }
 
-    public void add(long key, Moment now, double amount) {
-        sums.computeIfAbsent(key, k -> new DecayingSum(life)).add(now, amount);
-    }
+  public void add(long key, Moment now, double amount) {
+    sums.computeIfAbsent(key, k -> new DecayingSum(life)).add(now, amount);
+  }
 
-    public double perSecond(long key, Moment now) {
-        DecayingSum sum = sums.get(key);
-        return sum == null ? 0 : sum.perSecond(now);
-    }
+  public double perSecond(long key, Moment now) {
+    DecayingSum sum = sums.get(key);
+    return sum == null ? 0 : sum.perSecond(now);
+  }
 }
--- a/src/main/java/sprucerock/tls/Counter.java
+++ b/src/main/java/sprucerock/tls/Counter.java
@@ -2,7 +2,8 @@
 
 /** Who counts handshakes. Each begun one is told once as done or refused. */
 public interface Counter {
-    Counter NONE = new Counter() {
+  Counter NONE =
+      new Counter() {
         @Override
         public void begun() {}
 
@@ -11,11 +12,11 @@
 
         @Override
         public void refused(Refusal why) {}
-    };
+      };
 
-    void begun();
+  void begun();
 
-    void done(boolean resumed);
+  void done(boolean resumed);
 
-    void refused(Refusal why);
+  void refused(Refusal why);
 }
--- a/src/main/java/sprucerock/trace/TraceWriter.java
+++ b/src/main/java/sprucerock/trace/TraceWriter.java
@@ -23,86 +23,120 @@
 import sprucerock.wire.v1.Hello;
 
 /**
- * Writes a line for every frame that crosses the links of one place, as docs/protocol.md describes it. The lines of a
- * turn are written before its frames go out, so that a place that is killed has said all that it sent.
+ * Writes a line for every frame that crosses the links of one place, as docs/protocol.md describes
+ * it. The lines of a turn are written before its frames go out, so that a place that is killed has
+ * said all that it sent.
  */
 public final class TraceWriter implements Tap {
-    private static final int MARK = 16;
-    private static final Span LOOK = Span.ofMs(10);
-    private static final Span STALL = Span.ofMs(10); // beside a look's own time: half the slack of answers
+  private static final int MARK = 16;
+  private static final Span LOOK = Span.ofMs(10);
+  private static final Span STALL =
+      Span.ofMs(10); // beside a look's own time: half the slack of answers
 
-    private final Timers timers;
-    private final FileChannel file;
-    private final String place;
-    private final StringBuilder lines = new StringBuilder();
-    private final Map<FrameLink, Integer> numbers = new HashMap<>();
-    private int links;
+  private final Timers timers;
+  private final FileChannel file;
+  private final String place;
+  private final StringBuilder lines = new StringBuilder();
+  private final Map<FrameLink, Integer> numbers = new HashMap<>();
+  private int links;
 
-    /** Begins a file, which must not be there yet. */
-    public TraceWriter(Timers timers, Path path, String place) throws IOException {
-        this.timers = timers;
-        this.place = place;
-        file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-    }
+  /** Begins a file, which must not be there yet. */
+  public TraceWriter(Timers timers, Path path, String place) throws IOException {
+    this.timers = timers;
+    this.place = place;
+    file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+  }
 
-    /** Another place that writes into the same file. */
-    public TraceWriter(TraceWriter with, String place) {
-        this.timers = with.timers;
-        this.file = with.file;
-        this.place = place;
-    }
+  /** Another place that writes into the same file. */
+  public TraceWriter(TraceWriter with, String place) {
+    this.timers = with.timers;
+    this.file = with.file;
+    this.place = place;
+  }
 
-    /** Notes from now on when this loop came late to its turns: what it sent late then, the machine held up. */
-    public void watchStalls() {
-        Moment due = timers.now().plus(LOOK);
-        timers.at(due, () -> {
-            Span late = timers.now().since(due);
-            if (late.over(STALL)) note("STALL", Long.toString((long) (late.ms() * 1000)));
-            watchStalls();
+  /**
+   * Notes from now on when this loop came late to its turns: what it sent late then, the machine
+   * held up.
+   */
+  public void watchStalls() {
+    Moment due = timers.now().plus(LOOK);
+    timers.at(
+        due,
+        () -> {
+          Span late = timers.now().since(due);
+          if (late.over(STALL)) {
+            note("STALL", Long.toString((long) (late.ms() * 1000)));
+          }
+          watchStalls();
         });
-    }
+  }
 
-    @Override
-    public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
-        String mark = HexFormat.of().formatHex(body, 0, Math.min(body.length, MARK));
-        line(number(link), label(link, kind, head, out), out ? ">" : "<", kind.name(), body.length + ":" + mark,
-            TextFormat.printer().emittingSingleLine(true).printToString((Message) head));
-    }
+  @Override
+  public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
+    String mark = HexFormat.of().formatHex(body, 0, Math.min(body.length, MARK));
+    line(
+        number(link),
+        label(link, kind, head, out),
+        out ? ">" : "<",
+        kind.name(),
+        body.length + ":" + mark,
+        TextFormat.printer().emittingSingleLine(true).printToString((Message) head));
+  }
 
-    @Override
-    public void closed(FrameLink link, String why) {
-        line(number(link), label(link, null, null, false), "x", "CLOSED", "0:", why);
-        numbers.remove(link);
-    }
+  @Override
+  public void closed(FrameLink link, String why) {
+    line(number(link), label(link, null, null, false), "x", "CLOSED", "0:", why);
+    numbers.remove(link);
+  }
 
-    /** Something that is no frame. */
-    public void note(String name, String text) {
-        line(0, "-", "!", name, "0:", text);
-    }
+  /** Something that is no frame. */
+  public void note(String name, String text) {
+    line(0, "-", "!", name, "0:", text);
+  }
 
-    private int number(FrameLink link) {
-        return numbers.computeIfAbsent(link, one -> ++links);
-    }
+  private int number(FrameLink link) {
+    return numbers.computeIfAbsent(link, one -> ++links);
+  }
 
-    private static String label(FrameLink link, Kind kind, MessageLite head, boolean out) {
-        Hello hello = kind == Kind.HELLO && !out ? (Hello) head : link.other();
-        return hello == null ? "-" : hello.getRole() + "-" + Integer.toUnsignedString(hello.getNumber());
-    }
+  private static String label(FrameLink link, Kind kind, MessageLite head, boolean out) {
+    Hello hello = kind == Kind.HELLO && !out ? (Hello) head : link.other();
+    return hello == null
+        ? "-"
+        : hello.getRole() + "-" + Integer.toUnsignedString(hello.getNumber());
+  }
 
-    private void line(int link, String label, String way, String kind, String body, String text) {
-        if (lines.length() == 0) timers.atTurnsEnd(this::flush);
-        lines.append(NioLoop.machineMicros()).append('\t').append(place).append('\t').append(link).append('\t')
-            .append(label).append('\t').append(way).append('\t').append(kind).append('\t').append(body).append('\t')
-            .append(text.replace('\n', ' ').replace('\t', ' ').strip()).append('\n');
+  private void line(int link, String label, String way, String kind, String body, String text) {
+    if (lines.length() == 0) {
+      timers.atTurnsEnd(this::flush);
     }
+    lines
+        .append(NioLoop.machineMicros())
+        .append('\t')
+        .append(place)
+        .append('\t')
+        .append(link)
+        .append('\t')
+        .append(label)
+        .append('\t')
+        .append(way)
+        .append('\t')
+        .append(kind)
+        .append('\t')
+        .append(body)
+        .append('\t')
+        .append(text.replace('\n', ' ').replace('\t', ' ').strip())
+        .append('\n');
+  }
 
-    private void flush() {
-        ByteBuffer bytes = ByteBuffer.wrap(lines.toString().getBytes(StandardCharsets.UTF_8));
-        lines.setLength(0);
-        try {
-            while (bytes.hasRemaining()) file.write(bytes);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  private void flush() {
+    ByteBuffer bytes = ByteBuffer.wrap(lines.toString().getBytes(StandardCharsets.UTF_8));
+    lines.setLength(0);
+    try {
+      while (bytes.hasRemaining()) {
+        file.write(bytes);
+      }
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 }
