--- a/src/main/java/sprucerock/versions/Vault.java
+++ b/src/main/java/sprucerock/versions/Vault.java
@@ -20,167 +20,205 @@
 import java.util.stream.Stream;
 
 /**
- * Programs and settings in a folder, each under the SHA-256 of its bytes: what is there under a name is that, whole, or is not
- * there. What comes in pieces is written aside, checked, forced, and takes its place by one renaming.
+ * Programs and settings in a folder, each under the SHA-256 of its bytes: what is there under a
+ * name is that, whole, or is not there. What comes in pieces is written aside, checked, forced, and
+ * takes its place by one renaming.
  */
 public final class Vault {
-    private static final String PART = ".part";
-
-    private final Path folder;
-    private final long most;
-    /** Those whose bytes were looked at in this life. */
-    private final Set<String> whole = new HashSet<>();
-
-    /**
-     * {@code most}: bytes of one file that are taken.
-     *
-     * @throws IOException if the folder can't be made
-     */
-    public Vault(Path folder, long most) throws IOException {
-        this.folder = Files.createDirectories(folder);
-        this.most = most;
-        try (Stream<Path> found = Files.list(folder)) {
-            for (Path one : found.toList()) if (one.toString().endsWith(PART)) Files.delete(one); // of an earlier life: begun anew
-        }
-    }
-
-    /**
-     * Whether it is here, whole. The first time in a life all of it is read: what a crash tore, or somebody changed, is taken away, and
-     * counts as missing. So does what can't be read; whoever then brings it in is told why the disk refuses.
-     */
-    public boolean has(String digest) {
-        Path file = path(digest);
-        if (!Files.exists(file)) return false;
-        if (whole.contains(digest)) return true;
-        try {
-            boolean right = digest(file).equals(digest);
-            if (right) whole.add(digest);
-            else Files.delete(file);
-            return right;
-        } catch (IOException e) {
-            return false;
+  private static final String PART = ".part";
+
+  private final Path folder;
+  private final long most;
+
+  /** Those whose bytes were looked at in this life. */
+  private final Set<String> whole = new HashSet<>();
+
+  /**
+   * {@code most}: bytes of one file that are taken.
+   *
+   * @throws IOException if the folder can't be made
+   */
+  public Vault(Path folder, long most) throws IOException {
+    this.folder = Files.createDirectories(folder);
+    this.most = most;
+    try (Stream<Path> found = Files.list(folder)) {
+      for (Path one : found.toList()) {
+        if (one.toString().endsWith(PART)) {
+          Files.delete(one); // of an earlier life: begun anew
         }
+      }
     }
-
-    /** Where it is, or would be. */
-    public Path path(String digest) {
-        if (!digest.matches("[0-9a-f]{64}")) throw new IllegalArgumentException("no SHA-256: " + digest);
-        return folder.resolve(digest);
+  }
+
+  /**
+   * Whether it is here, whole. The first time in a life all of it is read: what a crash tore, or
+   * somebody changed, is taken away, and counts as missing. So does what can't be read; whoever
+   * then brings it in is told why the disk refuses.
+   */
+  public boolean has(String digest) {
+    Path file = path(digest);
+    if (!Files.exists(file)) {
+      return false;
     }
-
-    /** Takes a file in; returns its digest. @throws IOException if it can't be read or kept, or is too large */
-    public String put(Path file) throws IOException {
-        long size = Files.size(file);
-        if (size > most) throw new IOException(file + " has " + size + " bytes, " + most + " are allowed");
-        Path part = folder.resolve("put-" + System.nanoTime() + PART);
-        Files.copy(file, part);
-        String digest = digest(part);
-        place(part, digest);
-        return digest;
+    if (whole.contains(digest)) {
+      return true;
     }
-
-    private void place(Path part, String digest) throws IOException {
-        try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
-            channel.force(true);
-        }
-        Files.move(part, path(digest), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    try {
+      boolean right = digest(file).equals(digest);
+      if (right) {
         whole.add(digest);
+      } else {
+        Files.delete(file);
+      }
+      return right;
+    } catch (IOException e) {
+      return false;
     }
+  }
 
-    public static String digest(Path file) throws IOException {
-        MessageDigest sha = sha();
-        byte[] piece = new byte[1 << 16];
-        try (InputStream in = Files.newInputStream(file)) {
-            for (int read = in.read(piece); read > 0; read = in.read(piece)) sha.update(piece, 0, read);
-        }
-        return HexFormat.of().formatHex(sha.digest());
+  /** Where it is, or would be. */
+  public Path path(String digest) {
+    if (!digest.matches("[0-9a-f]{64}")) {
+      throw new IllegalArgumentException("no SHA-256: " + digest);
     }
-
-    private static MessageDigest sha() {
-        try {
-            return MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each Java has it
-        }
+    return folder.resolve(digest);
+  }
+
+  /**
+   * Takes a file in; returns its digest. @throws IOException if it can't be read or kept, or is too
+   * large
+   */
+  public String put(Path file) throws IOException {
+    long size = Files.size(file);
+    if (size > most) {
+      throw new IOException(file + " has " + size + " bytes, " + most + " are allowed");
     }
-
-    public long size(String digest) throws IOException {
-        return Files.size(path(digest));
+    Path part = folder.resolve("put-" + System.nanoTime() + PART);
+    Files.copy(file, part);
+    String digest = digest(part);
+    place(part, digest);
+    return digest;
+  }
+
+  private void place(Path part, String digest) throws IOException {
+    try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
+      channel.force(true);
     }
-
-    /** So many bytes of it from there on, fewer at its end. */
-    public byte[] piece(String digest, long from, int many) throws IOException {
-        try (FileChannel channel = FileChannel.open(path(digest), StandardOpenOption.READ)) {
-            ByteBuffer bytes = ByteBuffer.allocate((int) Math.max(0, Math.min(many, channel.size() - from)));
-            while (bytes.hasRemaining() && channel.read(bytes, from + bytes.position()) >= 0) { }
-            return bytes.array();
-        }
+    Files.move(
+        part, path(digest), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    whole.add(digest);
+  }
+
+  public static String digest(Path file) throws IOException {
+    MessageDigest sha = sha();
+    byte[] piece = new byte[1 << 16];
+    try (InputStream in = Files.newInputStream(file)) {
+      for (int read = in.read(piece); read > 0; read = in.read(piece)) {
+        sha.update(piece, 0, read);
+      }
     }
-
-    /** Something that comes in pieces. */
-    public final class Incoming {
-        private final String digest;
-        private final Path part;
-        private long written;
-
-        private Incoming(String digest) throws IOException {
-            this.digest = digest;
-            part = folder.resolve(digest + PART);
-            Files.deleteIfExists(part);
-        }
-
-        /** From where the next piece is wanted. */
-        public long from() {
-            return written;
-        }
-
-        /**
-         * Takes the next piece; true once all is there and in its place.
-         *
-         * @throws IOException if the disk does not take it, or what came is not what was asked for
-         */
-        public boolean add(long from, byte[] bytes, long size) throws IOException {
-            if (size > most) throw new IOException("it has " + size + " bytes, " + most + " are allowed");
-            if (from != written || bytes.length == 0 || written + bytes.length > size) throw new IOException("a piece from " + from + " came where one from " + written + " was asked for");
-            Files.write(part, bytes, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-            written += bytes.length;
-            if (written < size) return false;
-            String found = digest(part);
-            if (!found.equals(digest)) {
-                Files.delete(part);
-                throw new IOException("what came has the digest " + found.substring(0, 8) + ", not " + digest.substring(0, 8));
-            }
-            place(part, digest);
-            return true;
-        }
+    return HexFormat.of().formatHex(sha.digest());
+  }
+
+  private static MessageDigest sha() {
+    try {
+      return MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e); // each Java has it
     }
-
-    public Incoming incoming(String digest) throws IOException {
-        return new Incoming(digest);
+  }
+
+  public long size(String digest) throws IOException {
+    return Files.size(path(digest));
+  }
+
+  /** So many bytes of it from there on, fewer at its end. */
+  public byte[] piece(String digest, long from, int many) throws IOException {
+    try (FileChannel channel = FileChannel.open(path(digest), StandardOpenOption.READ)) {
+      ByteBuffer bytes =
+          ByteBuffer.allocate((int) Math.max(0, Math.min(many, channel.size() - from)));
+      while (bytes.hasRemaining() && channel.read(bytes, from + bytes.position()) >= 0) {}
+      return bytes.array();
+    }
+  }
+
+  /** Something that comes in pieces. */
+  public final class Incoming {
+    private final String digest;
+    private final Path part;
+    private long written;
+
+    private Incoming(String digest) throws IOException {
+      this.digest = digest;
+      part = folder.resolve(digest + PART);
+      Files.deleteIfExists(part);
     }
 
-    /** Leaves the newest so many, and those that are needed whatever their age. */
-    public void trim(Set<String> needed, int newest) throws IOException {
-        List<Path> found = new ArrayList<>();
-        try (Stream<Path> all = Files.list(folder)) {
-            all.filter(one -> one.getFileName().toString().matches("[0-9a-f]{64}")).forEach(found::add);
-        }
-        found.sort(Comparator.comparing(Vault::age).reversed());
-        for (int i = newest; i < found.size(); i++) {
-            if (!needed.contains(found.get(i).getFileName().toString())) forget(found.get(i));
-        }
+    /** From where the next piece is wanted. */
+    public long from() {
+      return written;
     }
 
-    private void forget(Path file) throws IOException {
-        whole.remove(file.getFileName().toString());
-        Files.delete(file);
+    /**
+     * Takes the next piece; true once all is there and in its place.
+     *
+     * @throws IOException if the disk does not take it, or what came is not what was asked for
+     */
+    public boolean add(long from, byte[] bytes, long size) throws IOException {
+      if (size > most) {
+        throw new IOException("it has " + size + " bytes, " + most + " are allowed");
+      }
+      if (from != written || bytes.length == 0 || written + bytes.length > size) {
+        throw new IOException(
+            "a piece from " + from + " came where one from " + written + " was asked for");
+      }
+      Files.write(part, bytes, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+      written += bytes.length;
+      if (written < size) {
+        return false;
+      }
+      String found = digest(part);
+      if (!found.equals(digest)) {
+        Files.delete(part);
+        throw new IOException(
+            "what came has the digest "
+                + found.substring(0, 8)
+                + ", not "
+                + digest.substring(0, 8));
+      }
+      place(part, digest);
+      return true;
     }
+  }
 
-    private static java.nio.file.attribute.FileTime age(Path file) {
-        try {
-            return Files.getLastModifiedTime(file);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  public Incoming incoming(String digest) throws IOException {
+    return new Incoming(digest);
+  }
+
+  /** Leaves the newest so many, and those that are needed whatever their age. */
+  public void trim(Set<String> needed, int newest) throws IOException {
+    List<Path> found = new ArrayList<>();
+    try (Stream<Path> all = Files.list(folder)) {
+      all.filter(one -> one.getFileName().toString().matches("[0-9a-f]{64}")).forEach(found::add);
+    }
+    found.sort(Comparator.comparing(Vault::age).reversed());
+    for (int i = newest; i < found.size(); i++) {
+      if (!needed.contains(found.get(i).getFileName().toString())) {
+        forget(found.get(i));
+      }
+    }
+  }
+
+  private void forget(Path file) throws IOException {
+    whole.remove(file.getFileName().toString());
+    Files.delete(file);
+  }
+
+  private static java.nio.file.attribute.FileTime age(Path file) {
+    try {
+      return Files.getLastModifiedTime(file);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 }
--- a/src/main/java/sprucerock/wire/FrameLink.java
+++ b/src/main/java/sprucerock/wire/FrameLink.java
@@ -13,164 +13,201 @@
 import sprucerock.wire.v1.Hello;
 
 /**
- * One connection in this protocol: frames in and out, the greeting, and beats that keep it and show that it lives.
- * Whatever is not the protocol cuts it with a reason.
+ * One connection in this protocol: frames in and out, the greeting, and beats that keep it and show
+ * that it lives. Whatever is not the protocol cuts it with a reason.
  */
 public final class FrameLink implements LinkUser {
-    /** Of this protocol; the oldest that is still understood. */
-    public static final int VERSION = 1;
-    private static final int OLDEST = 1;
-    private static final int COPIED_BODY = 4096; // up to here one copy is cheaper than one more piece to be written
-
-    private final Timers timers;
-    private final Hello mine;
-    private final Limits limits;
-    private final Tap tap;
-    private final FrameUser user;
-    private final FrameReader reader;
-    private Link link;
-    private Hello other;
-    private Moment heard;
-    private boolean closed;
-    private String whyCut;
-
-    public FrameLink(Timers timers, Hello mine, Limits limits, Tap tap, FrameUser user) {
-        this.timers = timers;
-        this.mine = mine;
-        this.limits = limits;
-        this.tap = tap;
-        this.user = user;
-        reader = new FrameReader(limits.frame());
+  /** Of this protocol; the oldest that is still understood. */
+  public static final int VERSION = 1;
+
+  private static final int OLDEST = 1;
+  private static final int COPIED_BODY =
+      4096; // up to here one copy is cheaper than one more piece to be written
+
+  private final Timers timers;
+  private final Hello mine;
+  private final Limits limits;
+  private final Tap tap;
+  private final FrameUser user;
+  private final FrameReader reader;
+  private Link link;
+  private Hello other;
+  private Moment heard;
+  private boolean closed;
+  private String whyCut;
+
+  public FrameLink(Timers timers, Hello mine, Limits limits, Tap tap, FrameUser user) {
+    this.timers = timers;
+    this.mine = mine;
+    this.limits = limits;
+    this.tap = tap;
+    this.user = user;
+    reader = new FrameReader(limits.frame());
+  }
+
+  /** What the other side said it is; null before it did. */
+  public Hello other() {
+    return other;
+  }
+
+  /** Both sides have greeted, and it is not closed. */
+  public boolean usable() {
+    return other != null && !closed;
+  }
+
+  /** Bytes that wait for the other side to read, or for the connection to come up. */
+  public long unsent() {
+    return link == null ? 0 : link.written() - link.handed();
+  }
+
+  @Override
+  public void up(Link made) {
+    link = made;
+    heard = timers.now();
+    if (closed) { // cut while it came up
+      link.cut(whyCut);
+      return;
     }
+    send(Kind.HELLO, mine, FrameReader.NO_BODY);
+    timers.at(heard.plus(limits.beat()), this::beat);
+  }
 
-    /** What the other side said it is; null before it did. */
-    public Hello other() {
-        return other;
+  private void beat() {
+    if (closed) {
+      return;
     }
-
-    /** Both sides have greeted, and it is not closed. */
-    public boolean usable() {
-        return other != null && !closed;
+    Moment now = timers.now();
+    if (now.since(heard).over(limits.beat().times(2.9))) {
+      cut(other == null ? "did not greet" : "silent");
+      return;
     }
-
-    /** Bytes that wait for the other side to read, or for the connection to come up. */
-    public long unsent() {
-        return link == null ? 0 : link.written() - link.handed();
+    if (other != null && now.since(heard).over(limits.beat().times(0.9))) {
+      send(Kind.BEAT, Beat.getDefaultInstance(), FrameReader.NO_BODY);
     }
-
-    @Override
-    public void up(Link made) {
-        link = made;
-        heard = timers.now();
-        if (closed) { // cut while it came up
-            link.cut(whyCut);
-            return;
-        }
-        send(Kind.HELLO, mine, FrameReader.NO_BODY);
-        timers.at(heard.plus(limits.beat()), this::beat);
+    timers.at(now.plus(limits.beat()), this::beat);
+  }
+
+  /** Bytes of a frame on the wire. */
+  public static int size(MessageLite head, byte[] body) {
+    return FrameReader.START + head.getSerializedSize() + body.length;
+  }
+
+  /** Sends a frame; returns a mark for {@link #mayHaveLeft}. On a closed link nothing happens. */
+  public long send(Kind kind, MessageLite head, byte[] body) {
+    if (closed || link == null) {
+      return Long.MAX_VALUE;
     }
-
-    private void beat() {
-        if (closed) return;
-        Moment now = timers.now();
-        if (now.since(heard).over(limits.beat().times(2.9))) {
-            cut(other == null ? "did not greet" : "silent");
-            return;
-        }
-        if (other != null && now.since(heard).over(limits.beat().times(0.9))) {
-            send(Kind.BEAT, Beat.getDefaultInstance(), FrameReader.NO_BODY);
-        }
-        timers.at(now.plus(limits.beat()), this::beat);
+    tap.frame(this, true, kind, head, body);
+    long mark = link.written();
+    int size = head.getSerializedSize();
+    boolean copied = body.length <= COPIED_BODY;
+    ByteBuffer room = link.claim(FrameReader.START + size + (copied ? body.length : 0));
+    room.putInt(FrameReader.START - 4 + size + body.length).putInt(kind.code << 24 | size);
+    try {
+      CodedOutputStream out = CodedOutputStream.newInstance(room.slice(FrameReader.START, size));
+      head.writeTo(out);
+      out.flush();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e); // the room has the size that the head told
     }
-
-    /** Bytes of a frame on the wire. */
-    public static int size(MessageLite head, byte[] body) {
-        return FrameReader.START + head.getSerializedSize() + body.length;
+    if (copied) {
+      room.put(FrameReader.START + size, body);
+    } else {
+      link.append(body);
     }
-
-    /** Sends a frame; returns a mark for {@link #mayHaveLeft}. On a closed link nothing happens. */
-    public long send(Kind kind, MessageLite head, byte[] body) {
-        if (closed || link == null) return Long.MAX_VALUE;
-        tap.frame(this, true, kind, head, body);
-        long mark = link.written();
-        int size = head.getSerializedSize();
-        boolean copied = body.length <= COPIED_BODY;
-        ByteBuffer room = link.claim(FrameReader.START + size + (copied ? body.length : 0));
-        room.putInt(FrameReader.START - 4 + size + body.length).putInt(kind.code << 24 | size);
-        try {
-            CodedOutputStream out = CodedOutputStream.newInstance(room.slice(FrameReader.START, size));
-            head.writeTo(out);
-            out.flush();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e); // the room has the size that the head told
-        }
-        if (copied) room.put(FrameReader.START + size, body);
-        else link.append(body);
-        return mark;
+    return mark;
+  }
+
+  /**
+   * False only where not one byte of that frame has left this process, so that nobody can have read
+   * it.
+   */
+  public boolean mayHaveLeft(long mark) {
+    return link != null && link.handed() > mark;
+  }
+
+  @Override
+  public void received(ByteBuffer bytes) {
+    heard = timers.now();
+    try {
+      reader.feed(bytes, this::frame);
+    } catch (WireException e) {
+      cut("not this protocol: " + e.getMessage());
     }
+  }
 
-    /** False only where not one byte of that frame has left this process, so that nobody can have read it. */
-    public boolean mayHaveLeft(long mark) {
-        return link != null && link.handed() > mark;
+  private void frame(Kind kind, MessageLite head, byte[] body) {
+    if (closed) {
+      return;
     }
-
-    @Override
-    public void received(ByteBuffer bytes) {
-        heard = timers.now();
-        try {
-            reader.feed(bytes, this::frame);
-        } catch (WireException e) {
-            cut("not this protocol: " + e.getMessage());
-        }
+    tap.frame(this, false, kind, head, body);
+    if (kind == Kind.HELLO) {
+      Hello hello = (Hello) head;
+      if (other != null) {
+        cut("greeted twice");
+      } else if (tooFar(hello) != null) {
+        cut(tooFar(hello));
+      } else {
+        other = hello;
+        user.greeted(this, hello);
+      }
+    } else if (other == null) {
+      cut("sent " + kind + " before its greeting");
+    } else if (kind == Kind.BEAT) {
+      if (!((Beat) head).getAnswer()) {
+        send(Kind.BEAT, Beat.newBuilder().setAnswer(true).build(), FrameReader.NO_BODY);
+      }
+    } else {
+      user.frame(kind, head, body);
     }
-
-    private void frame(Kind kind, MessageLite head, byte[] body) {
-        if (closed) return;
-        tap.frame(this, false, kind, head, body);
-        if (kind == Kind.HELLO) {
-            Hello hello = (Hello) head;
-            if (other != null) cut("greeted twice");
-            else if (tooFar(hello) != null) {
-                cut(tooFar(hello));
-            } else {
-                other = hello;
-                user.greeted(this, hello);
-            }
-        } else if (other == null) {
-            cut("sent " + kind + " before its greeting");
-        } else if (kind == Kind.BEAT) {
-            if (!((Beat) head).getAnswer()) send(Kind.BEAT, Beat.newBuilder().setAnswer(true).build(), FrameReader.NO_BODY);
-        } else {
-            user.frame(kind, head, body);
-        }
-    }
-
-    /** Null where both sides have a version in common: the lower of their newest is spoken. Else why not. */
-    static String tooFar(Hello hello) {
-        int oldest = hello.getOldest() == 0 ? hello.getVersion() : hello.getOldest();
-        if (hello.getVersion() >= OLDEST && oldest <= VERSION) return null;
-        return "speaks versions " + oldest + " to " + hello.getVersion() + ", here " + OLDEST + " to " + VERSION + " are spoken";
+  }
+
+  /**
+   * Null where both sides have a version in common: the lower of their newest is spoken. Else why
+   * not.
+   */
+  static String tooFar(Hello hello) {
+    int oldest = hello.getOldest() == 0 ? hello.getVersion() : hello.getOldest();
+    if (hello.getVersion() >= OLDEST && oldest <= VERSION) {
+      return null;
     }
-
-    /** Closes at once; the user is told later, like for any other end. */
-    public void cut(String why) {
-        if (closed) return;
-        closed = true;
-        whyCut = why;
-        if (link != null) link.cut(why);
+    return "speaks versions "
+        + oldest
+        + " to "
+        + hello.getVersion()
+        + ", here "
+        + OLDEST
+        + " to "
+        + VERSION
+        + " are spoken";
+  }
+
+  /** Closes at once; the user is told later, like for any other end. */
+  public void cut(String why) {
+    if (closed) {
+      return;
     }
-
-    /** Closes once all that was sent has gone out. */
-    public void finish() {
-        if (link != null) link.finish();
-        else cut("not wanted any more");
+    closed = true;
+    whyCut = why;
+    if (link != null) {
+      link.cut(why);
     }
-
-    @Override
-    public void closed(String why) {
-        closed = true;
-        String told = reader.inFrame() && whyCut == null ? why + ", within a frame" : why;
-        tap.closed(this, told);
-        user.closed(told);
+  }
+
+  /** Closes once all that was sent has gone out. */
+  public void finish() {
+    if (link != null) {
+      link.finish();
+    } else {
+      cut("not wanted any more");
     }
+  }
+
+  @Override
+  public void closed(String why) {
+    closed = true;
+    String told = reader.inFrame() && whyCut == null ? why + ", within a frame" : why;
+    tap.closed(this, told);
+    user.closed(told);
+  }
 }
--- a/src/main/java/sprucerock/wire/FrameUser.java
+++ b/src/main/java/sprucerock/wire/FrameUser.java
@@ -5,12 +5,15 @@
 
 /** Who talks over a {@link FrameLink}. */
 public interface FrameUser {
-    /** The other side said who it is, in this protocol's version; frames may be sent. A cut refuses it. */
-    void greeted(FrameLink link, Hello other);
+  /**
+   * The other side said who it is, in this protocol's version; frames may be sent. A cut refuses
+   * it.
+   */
+  void greeted(FrameLink link, Hello other);
 
-    /** A frame other than greetings and beats. One that has no place here is answered with a cut. */
-    void frame(Kind kind, MessageLite head, byte[] body);
+  /** A frame other than greetings and beats. One that has no place here is answered with a cut. */
+  void frame(Kind kind, MessageLite head, byte[] body);
 
-    /** The link is gone, or never came up; told once. */
-    void closed(String why);
+  /** The link is gone, or never came up; told once. */
+  void closed(String why);
 }
--- a/src/main/java/sprucerock/wire/Kind.java
+++ b/src/main/java/sprucerock/wire/Kind.java
@@ -39,63 +39,65 @@
 
 /** What a frame is, by the number that stands in it. */
 public enum Kind {
-    HELLO(1, Hello.parser(), false),
-    CALL(2, Call.parser(), true),
-    ANSWER(3, Answer.parser(), true),
-    LEAVE(4, Leave.parser(), false),
-    FLAG(5, Flag.parser(), false),
-    WORK(6, Work.parser(), true),
-    DONE(7, Done.parser(), true),
-    STOP(8, Stop.parser(), false),
-    TOLD(9, Told.parser(), true),
-    BEAT(10, Beat.parser(), false),
-    WATCH(11, Watch.parser(), false),
-    LISTING(12, Listing.parser(), false),
-    NEWS(13, News.parser(), false),
-    VOTE(14, Vote.parser(), false),
-    VOTED(15, Voted.parser(), false),
-    COUNTS(16, Counts.parser(), false),
-    AGENT(17, AgentSays.parser(), false),
-    WANTS(18, Wants.parser(), false),
-    FETCH(19, Fetch.parser(), false),
-    PIECE(20, Piece.parser(), true),
-    LEASE_ASK(21, LeaseAsk.parser(), false),
-    LEASE_SAID(22, LeaseSaid.parser(), false),
-    LEASE_BACK(23, LeaseBack.parser(), false),
-    LEASE_FREE(24, LeaseFree.parser(), false),
-    LEASE_LIST(25, LeaseList.parser(), false),
-    LEASE_LISTED(26, LeaseListed.parser(), false),
-    LOOK(27, Look.parser(), false),
-    LOOKED(28, Looked.parser(), false),
-    SEEN(29, Seen.parser(), false),
-    PROMISE_ASK(30, PromiseAsk.parser(), false),
-    PROMISED(31, Promised.parser(), false),
-    FITTER(32, Fitter.parser(), false),
-    TALLIED(33, Tallied.parser(), false),
-    WORTH(34, Worth.parser(), false);
+  HELLO(1, Hello.parser(), false),
+  CALL(2, Call.parser(), true),
+  ANSWER(3, Answer.parser(), true),
+  LEAVE(4, Leave.parser(), false),
+  FLAG(5, Flag.parser(), false),
+  WORK(6, Work.parser(), true),
+  DONE(7, Done.parser(), true),
+  STOP(8, Stop.parser(), false),
+  TOLD(9, Told.parser(), true),
+  BEAT(10, Beat.parser(), false),
+  WATCH(11, Watch.parser(), false),
+  LISTING(12, Listing.parser(), false),
+  NEWS(13, News.parser(), false),
+  VOTE(14, Vote.parser(), false),
+  VOTED(15, Voted.parser(), false),
+  COUNTS(16, Counts.parser(), false),
+  AGENT(17, AgentSays.parser(), false),
+  WANTS(18, Wants.parser(), false),
+  FETCH(19, Fetch.parser(), false),
+  PIECE(20, Piece.parser(), true),
+  LEASE_ASK(21, LeaseAsk.parser(), false),
+  LEASE_SAID(22, LeaseSaid.parser(), false),
+  LEASE_BACK(23, LeaseBack.parser(), false),
+  LEASE_FREE(24, LeaseFree.parser(), false),
+  LEASE_LIST(25, LeaseList.parser(), false),
+  LEASE_LISTED(26, LeaseListed.parser(), false),
+  LOOK(27, Look.parser(), false),
+  LOOKED(28, Looked.parser(), false),
+  SEEN(29, Seen.parser(), false),
+  PROMISE_ASK(30, PromiseAsk.parser(), false),
+  PROMISED(31, Promised.parser(), false),
+  FITTER(32, Fitter.parser(), false),
+  TALLIED(33, Tallied.parser(), false),
+  WORTH(34, Worth.parser(), false);
 
-    private static final Kind[] BY_CODE = new Kind[35];
+  private static final Kind[] BY_CODE = new Kind[35];
 
-    static {
-        for (Kind kind : values()) BY_CODE[kind.code] = kind;
+  static {
+    for (Kind kind : values()) {
+      BY_CODE[kind.code] = kind;
     }
+  }
 
-    final int code;
-    private final Parser<? extends MessageLite> parser;
-    final boolean hasBody;
+  final int code;
+  private final Parser<? extends MessageLite> parser;
+  final boolean hasBody;
 
-    Kind(int code, Parser<? extends MessageLite> parser, boolean hasBody) {
-        this.code = code;
-        this.parser = parser;
-        this.hasBody = hasBody;
-    }
+  Kind(int code, Parser<? extends MessageLite> parser, boolean hasBody) {
+    this.code = code;
+    this.parser = parser;
+    this.hasBody = hasBody;
+  }
 
-    /** The kind of a number; null where there is none. */
-    static Kind of(int code) {
-        return code < BY_CODE.length ? BY_CODE[code] : null;
-    }
+  /** The kind of a number; null where there is none. */
+  static Kind of(int code) {
+    return code < BY_CODE.length ? BY_CODE[code] : null;
+  }
 
-    public Parser<? extends MessageLite> parser() {
-        return parser;
-    }
+  public Parser<? extends MessageLite> parser() {
+    return parser;
+  }
 }
--- a/src/main/java/sprucerock/wire/Limits.java
+++ b/src/main/java/sprucerock/wire/Limits.java
@@ -3,7 +3,8 @@
 import sprucerock.time.Span;
 
 /**
- * What a link may take: a frame's bytes after its length, bytes that wait for a peer that does not read, and how long
- * silence may last: after one {@code beat} it is asked for a sign, after three it is cut; a greeting has three too.
+ * What a link may take: a frame's bytes after its length, bytes that wait for a peer that does not
+ * read, and how long silence may last: after one {@code beat} it is asked for a sign, after three
+ * it is cut; a greeting has three too.
  */
 public record Limits(int frame, long unsent, Span beat) {}
--- a/src/main/java/sprucerock/wire/Redial.java
+++ b/src/main/java/sprucerock/wire/Redial.java
@@ -9,89 +9,116 @@
 import sprucerock.time.Span;
 import sprucerock.wire.v1.Hello;
 
-/** Keeps a link to one address: whenever it is gone, another is made, after a pause that grows and is drawn. */
+/**
+ * Keeps a link to one address: whenever it is gone, another is made, after a pause that grows and
+ * is drawn.
+ */
 public final class Redial implements FrameUser {
-    private static final Span FIRST = Span.ofMs(50); // a restart on the same machine takes about a second
-    private static final Span MOST = Span.ofMs(2000); // what comes back is known again within this
-    private static final Span CONNECT = Span.ofMs(1000);
+  private static final Span FIRST =
+      Span.ofMs(50); // a restart on the same machine takes about a second
+  private static final Span MOST = Span.ofMs(2000); // what comes back is known again within this
+  private static final Span CONNECT = Span.ofMs(1000);
 
-    /** How connections are made: by default as they are, or by TLS. */
-    public interface Connector {
-        void connect(InetSocketAddress to, Span within, long mostUnsent, LinkUser user);
-    }
+  /** How connections are made: by default as they are, or by TLS. */
+  public interface Connector {
+    void connect(InetSocketAddress to, Span within, long mostUnsent, LinkUser user);
+  }
 
-    private final Net net;
-    private final Connector connector;
-    private final InetSocketAddress to;
-    private final Hello mine;
-    private final Limits limits;
-    private final Tap tap;
-    private final Pauses pauses;
-    private final FrameUser user;
-    private FrameLink link;
-    private boolean stopped;
+  private final Net net;
+  private final Connector connector;
+  private final InetSocketAddress to;
+  private final Hello mine;
+  private final Limits limits;
+  private final Tap tap;
+  private final Pauses pauses;
+  private final FrameUser user;
+  private FrameLink link;
+  private boolean stopped;
 
-    public Redial(Net net, InetSocketAddress to, Hello mine, Limits limits, Tap tap, Chance chance, FrameUser user) {
-        this(net, net::connect, to, mine, limits, tap, chance, user);
-    }
+  public Redial(
+      Net net,
+      InetSocketAddress to,
+      Hello mine,
+      Limits limits,
+      Tap tap,
+      Chance chance,
+      FrameUser user) {
+    this(net, net::connect, to, mine, limits, tap, chance, user);
+  }
 
-    public Redial(Net net, Connector connector, InetSocketAddress to, Hello mine, Limits limits, Tap tap, Chance chance, FrameUser user) {
-        this.net = net;
-        this.connector = connector;
-        this.to = to;
-        this.mine = mine;
-        this.limits = limits;
-        this.tap = tap;
-        pauses = new Pauses(FIRST, MOST, chance::next);
-        this.user = user;
-    }
+  public Redial(
+      Net net,
+      Connector connector,
+      InetSocketAddress to,
+      Hello mine,
+      Limits limits,
+      Tap tap,
+      Chance chance,
+      FrameUser user) {
+    this.net = net;
+    this.connector = connector;
+    this.to = to;
+    this.mine = mine;
+    this.limits = limits;
+    this.tap = tap;
+    pauses = new Pauses(FIRST, MOST, chance::next);
+    this.user = user;
+  }
 
-    public void dial() {
-        if (stopped) return;
-        link = new FrameLink(net, mine, limits, tap, this);
-        connector.connect(to, CONNECT, limits.unsent(), link);
+  public void dial() {
+    if (stopped) {
+      return;
     }
+    link = new FrameLink(net, mine, limits, tap, this);
+    connector.connect(to, CONNECT, limits.unsent(), link);
+  }
 
-    public boolean usable() {
-        return link != null && link.usable();
-    }
+  public boolean usable() {
+    return link != null && link.usable();
+  }
 
-    public long unsent() {
-        return link.unsent();
-    }
+  public long unsent() {
+    return link.unsent();
+  }
 
-    /** Sends if the link is there; false where it is not. */
-    public boolean send(Kind kind, MessageLite head, byte[] body) {
-        if (!usable()) return false;
-        link.send(kind, head, body);
-        return true;
+  /** Sends if the link is there; false where it is not. */
+  public boolean send(Kind kind, MessageLite head, byte[] body) {
+    if (!usable()) {
+      return false;
     }
+    link.send(kind, head, body);
+    return true;
+  }
 
-    /** Closes, and stays closed. */
-    public void stop() {
-        stopped = true;
-        if (link != null) link.finish();
+  /** Closes, and stays closed. */
+  public void stop() {
+    stopped = true;
+    if (link != null) {
+      link.finish();
     }
+  }
 
-    public void cut(String why) {
-        link.cut(why);
-    }
+  public void cut(String why) {
+    link.cut(why);
+  }
 
-    @Override
-    public void greeted(FrameLink made, Hello other) {
-        pauses.over();
-        user.greeted(made, other);
-    }
+  @Override
+  public void greeted(FrameLink made, Hello other) {
+    pauses.over();
+    user.greeted(made, other);
+  }
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-        user.frame(kind, head, body);
-    }
+  @Override
+  public void frame(Kind kind, MessageLite head, byte[] body) {
+    user.frame(kind, head, body);
+  }
 
-    @Override
-    public void closed(String why) {
-        user.closed(why);
-        if (stopped) return;
-        net.at(net.now().plus(pauses.next()), this::dial);
+  @Override
+  public void closed(String why) {
+    user.closed(why);
+    if (stopped) {
+      return;
     }
+    net.at(net.now().plus(pauses.next()), this::dial);
+  }
 }
--- a/src/main/java/sprucerock/wire/Tap.java
+++ b/src/main/java/sprucerock/wire/Tap.java
@@ -4,15 +4,16 @@
 
 /** Sees every frame that crosses a link, as it is handed over or has come in. */
 public interface Tap {
-    Tap NONE = new Tap() {
+  Tap NONE =
+      new Tap() {
         @Override
         public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {}
 
         @Override
         public void closed(FrameLink link, String why) {}
-    };
+      };
 
-    void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body);
+  void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body);
 
-    void closed(FrameLink link, String why);
+  void closed(FrameLink link, String why);
 }
--- a/src/test/java/sprucerock/FakeHost.java
+++ b/src/test/java/sprucerock/FakeHost.java
@@ -19,9 +19,10 @@
 
 /** One relay's world for a story: a clock, timers, and a record of what the module did. */
 final class FakeHost implements Host {
-    private record Timer(Moment when, int order, Runnable what) {}
+  private record Timer(Moment when, int order, Runnable what) {}
 
-    static final String SETTINGS = """
+  static final String SETTINGS =
+      """
         balancers=3
         classes.count=3
         classes.0.effect=read_like
@@ -62,165 +63,178 @@
         tick=5.0
         """;
 
-    final List<Pick> sent = new ArrayList<>();
-    final List<Pick> cancelled = new ArrayList<>();
-    final List<Rpc> pushedBack = new ArrayList<>();
-    final List<Rpc> aborted = new ArrayList<>();
-    final List<Verdict> votes = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
-    final List<byte[]> toldOne = new ArrayList<>();
-    final List<Integer> toldTo = new ArrayList<>();
-    int subscriptions;
-    final Settings settings;
-    final Ledger ledger;
-    final Policy policy;
-    final Build old;
-    final Build fresh;
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> {
-        int byTime = a.when.compareTo(b.when);
-        return byTime != 0 ? byTime : Integer.compare(a.order, b.order);
-    });
-    private Moment now = Moment.ofMs(100_000);
-    private int made;
-
-    /** A host whose settings differ from the usual ones as the lines say. */
-    FakeHost(String... lines) {
-        settings = SettingsText.read(SETTINGS + String.join("\n", lines));
-        ledger = new Ledger(settings);
-        old = ledger.build(1);
-        fresh = ledger.build(2);
-        policy = new Policy(this, settings, 42);
-        ledger.tell(policy);
-    }
-
-    /** Warm units of the earlier build, and news that it is the released one. */
-    FakeHost with(int units) {
-        for (int i = 0; i < units; i++) unit(old, null);
-        ledger.news(1, 2, Standing.RELEASED, 1, now.minus(Span.ofMs(60_000)));
-        return this;
-    }
-
-    /** So many warm units of the build on trial, and news that puts it there. */
-    FakeHost offering(int units, int stage, double cap) {
-        for (int i = 0; i < units; i++) unit(fresh, now.minus(Span.ofMs(20_000)));
-        ledger.news(2, stage, Standing.ON_TRIAL, cap, now);
-        return this;
-    }
-
-    Unit unit(Build build, Moment started) {
-        return ledger.listed(made++, 0, 0, 0, build.number, started, 1, true);
-    }
-
-    Rpc rpc(int method) {
-        return rpc(method, 0, 4000);
-    }
-
-    Rpc rpc(int method, long key, double leftMs) {
-        return ledger.arrived(made++, settings.methods.get(method), 0, key, now, now.plus(Span.ofMs(leftMs)), null,
-            null);
-    }
-
-    /** The first idempotent RPC of the key that gets a copy; those before it are answered ok. */
-    Rpc firstCopied(long key) {
-        for (int i = 0; i < 100; i++) {
-            Rpc rpc = rpc(0, key, 4000);
-            if (rpc.picks.size() == 2) return rpc;
-            pass(50);
-            endAll(Outcome.OK, Outcome.OK);
-        }
-        throw new AssertionError("no RPC got a copy");
-    }
-
-    void end(Pick pick, Outcome outcome) {
-        boolean closes = outcome == Outcome.OK || pick.rpc.ended();
-        ledger.pickEnded(pick, outcome, now.since(pick.sent), closes);
-    }
-
-    /** Ends all picks that are out, those at the fresh build with one outcome, the others with another. */
-    void endAll(Outcome atFresh, Outcome atOld) {
-        for (Pick pick : List.copyOf(sent)) {
-            if (pick.outcome() == null) end(pick, pick.unit.build == fresh ? atFresh : atOld);
-        }
-    }
-
-    long sentTo(Build build) {
-        return sent.stream().filter(pick -> pick.unit.build == build).count();
-    }
-
-    /** Idempotent RPCs, one every so many milliseconds, all answered ok after 40 ms. */
-    void traffic(int rpcs, double gapMs) {
-        for (int i = 0; i < rpcs; i++) {
-            rpc(0);
-            pass(40);
-            endAll(Outcome.OK, Outcome.OK);
-            pass(gapMs - 40);
-        }
-    }
-
-    void pass(double ms) {
-        Moment until = now.plus(Span.ofMs(ms));
-        while (!timers.isEmpty() && !timers.peek().when.after(until)) {
-            Timer timer = timers.poll();
-            now = now.later(timer.when);
-            timer.what.run();
-        }
-        now = until;
-    }
-
-    @Override
-    public Moment now() {
-        return now;
-    }
-
-    @Override
-    public void send(Pick pick) {
-        ledger.sent(pick);
-        sent.add(pick);
-    }
-
-    @Override
-    public void cancel(Pick pick) {
-        cancelled.add(pick);
-    }
-
-    @Override
-    public void pushBack(Rpc rpc, Span wait) {
-        ledger.pushedBack(rpc);
-        pushedBack.add(rpc);
-    }
-
-    @Override
-    public void abort(Rpc rpc) {
-        ledger.aborted(rpc);
-        aborted.add(rpc);
-    }
-
-    @Override
-    public void wake(Moment when, Runnable what) {
-        timers.add(new Timer(when, made++, what));
-    }
-
-    @Override
-    public void vote(Build build, int stage, Verdict verdict) {
-        votes.add(verdict);
-    }
-
-    @Override
-    public void tellPeers(byte[] contents) {
-        told.add(contents);
-    }
-
-    @Override
-    public void tellPeer(int relay, byte[] contents) {
-        toldOne.add(contents);
-        toldTo.add(relay);
-    }
-
-    @Override
-    public void subscribe() {
-        subscriptions++;
-    }
-
-    @Override
-    public void log(String line) {}
+  final List<Pick> sent = new ArrayList<>();
+  final List<Pick> cancelled = new ArrayList<>();
+  final List<Rpc> pushedBack = new ArrayList<>();
+  final List<Rpc> aborted = new ArrayList<>();
+  final List<Verdict> votes = new ArrayList<>();
+  final List<byte[]> told = new ArrayList<>();
+  final List<byte[]> toldOne = new ArrayList<>();
+  final List<Integer> toldTo = new ArrayList<>();
+  int subscriptions;
+  final Settings settings;
+  final Ledger ledger;
+  final Policy policy;
+  final Build old;
+  final Build fresh;
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>(
+          (a, b) -> {
+            int byTime = a.when.compareTo(b.when);
+            return byTime != 0 ? byTime : Integer.compare(a.order, b.order);
+          });
+  private Moment now = Moment.ofMs(100_000);
+  private int made;
+
+  /** A host whose settings differ from the usual ones as the lines say. */
+  FakeHost(String... lines) {
+    settings = SettingsText.read(SETTINGS + String.join("\n", lines));
+    ledger = new Ledger(settings);
+    old = ledger.build(1);
+    fresh = ledger.build(2);
+    policy = new Policy(this, settings, 42);
+    ledger.tell(policy);
+  }
+
+  /** Warm units of the earlier build, and news that it is the released one. */
+  FakeHost with(int units) {
+    for (int i = 0; i < units; i++) {
+      unit(old, null);
+    }
+    ledger.news(1, 2, Standing.RELEASED, 1, now.minus(Span.ofMs(60_000)));
+    return this;
+  }
+
+  /** So many warm units of the build on trial, and news that puts it there. */
+  FakeHost offering(int units, int stage, double cap) {
+    for (int i = 0; i < units; i++) {
+      unit(fresh, now.minus(Span.ofMs(20_000)));
+    }
+    ledger.news(2, stage, Standing.ON_TRIAL, cap, now);
+    return this;
+  }
+
+  Unit unit(Build build, Moment started) {
+    return ledger.listed(made++, 0, 0, 0, build.number, started, 1, true);
+  }
+
+  Rpc rpc(int method) {
+    return rpc(method, 0, 4000);
+  }
+
+  Rpc rpc(int method, long key, double leftMs) {
+    return ledger.arrived(
+        made++, settings.methods.get(method), 0, key, now, now.plus(Span.ofMs(leftMs)), null, null);
+  }
+
+  /** The first idempotent RPC of the key that gets a copy; those before it are answered ok. */
+  Rpc firstCopied(long key) {
+    for (int i = 0; i < 100; i++) {
+      Rpc rpc = rpc(0, key, 4000);
+      if (rpc.picks.size() == 2) {
+        return rpc;
+      }
+      pass(50);
+      endAll(Outcome.OK, Outcome.OK);
+    }
+    throw new AssertionError("no RPC got a copy");
+  }
+
+  void end(Pick pick, Outcome outcome) {
+    boolean closes = outcome == Outcome.OK || pick.rpc.ended();
+    ledger.pickEnded(pick, outcome, now.since(pick.sent), closes);
+  }
+
+  /**
+   * Ends all picks that are out, those at the fresh build with one outcome, the others with
+   * another.
+   */
+  void endAll(Outcome atFresh, Outcome atOld) {
+    for (Pick pick : List.copyOf(sent)) {
+      if (pick.outcome() == null) {
+        end(pick, pick.unit.build == fresh ? atFresh : atOld);
+      }
+    }
+  }
+
+  long sentTo(Build build) {
+    return sent.stream().filter(pick -> pick.unit.build == build).count();
+  }
+
+  /** Idempotent RPCs, one every so many milliseconds, all answered ok after 40 ms. */
+  void traffic(int rpcs, double gapMs) {
+    for (int i = 0; i < rpcs; i++) {
+      rpc(0);
+      pass(40);
+      endAll(Outcome.OK, Outcome.OK);
+      pass(gapMs - 40);
+    }
+  }
+
+  void pass(double ms) {
+    Moment until = now.plus(Span.ofMs(ms));
+    while (!timers.isEmpty() && !timers.peek().when.after(until)) {
+      Timer timer = timers.poll();
+      now = now.later(timer.when);
+      timer.what.run();
+    }
+    now = until;
+  }
+
+  @Override
+  public Moment now() {
+    return now;
+  }
+
+  @Override
+  public void send(Pick pick) {
+    ledger.sent(pick);
+    sent.add(pick);
+  }
+
+  @Override
+  public void cancel(Pick pick) {
+    cancelled.add(pick);
+  }
+
+  @Override
+  public void pushBack(Rpc rpc, Span wait) {
+    ledger.pushedBack(rpc);
+    pushedBack.add(rpc);
+  }
+
+  @Override
+  public void abort(Rpc rpc) {
+    ledger.aborted(rpc);
+    aborted.add(rpc);
+  }
+
+  @Override
+  public void wake(Moment when, Runnable what) {
+    timers.add(new Timer(when, made++, what));
+  }
+
+  @Override
+  public void vote(Build build, int stage, Verdict verdict) {
+    votes.add(verdict);
+  }
+
+  @Override
+  public void tellPeers(byte[] contents) {
+    told.add(contents);
+  }
+
+  @Override
+  public void tellPeer(int relay, byte[] contents) {
+    toldOne.add(contents);
+    toldTo.add(relay);
+  }
+
+  @Override
+  public void subscribe() {
+    subscriptions++;
+  }
+
+  @Override
+  public void log(String line) {}
 }
--- a/src/test/java/sprucerock/PolicyTest.java
+++ b/src/test/java/sprucerock/PolicyTest.java
@@ -20,427 +20,457 @@
 
 /** Stories of one relay, each of a rule's edge or of a failure met. */
 public class PolicyTest {
-    private static final String ALONE = "permissions.second_copies=false";
-    private static final String ONE_WAY = "specifics.keys_stay=true";
-
-    @Test
-    public void everyRpcIsAnsweredBeforeItsClientLeaves() {
-        FakeHost host = new FakeHost().with(2);
-        Rpc order = host.rpc(2, 0, 1000);
-        host.pass(985);
-        assertTrue(host.aborted.isEmpty());
-        host.pass(10);
-        assertSame(host.aborted.get(0), order);
-        host.end(host.sent.get(0), Outcome.ERROR);
-        host.pass(5000);
-        assertEquals(host.sent.size(), 1);
-        assertEquals(host.aborted.size() + host.pushedBack.size(), 1);
-    }
-
-    @Test
-    public void nonIdempotentGoesAgainOnlyIfItProvablyNeverRan() {
-        FakeHost host = new FakeHost().with(3);
-        host.rpc(2);
-        host.end(host.sent.get(0), Outcome.FULL);
-        assertEquals(host.sent.size(), 2);
-        host.end(host.sent.get(1), Outcome.BROKEN);
-        assertEquals(host.sent.size(), 2);
-        assertEquals(host.aborted.size(), 1);
-        assertTrue(host.pushedBack.isEmpty());
-    }
-
-    @Test
-    public void tokenedIsRepeatedOnlyInsideItsWindow() {
-        FakeHost host = new FakeHost().with(5);
-        host.rpc(1);
-        host.end(host.sent.get(0), Outcome.ERROR);
-        assertEquals(host.sent.size(), 2);
-        host.pass(1999);
-        int sent = host.sent.size();
-        for (Pick pick : host.sent) if (pick.outcome() == null) host.end(pick, Outcome.ERROR);
-        assertEquals(host.sent.size(), sent);
-        assertEquals(host.pushedBack.size(), 1);
-    }
-
-    @Test
-    public void tokenedStaysInItsGroupOnceItMayHaveRun() {
-        FakeHost host = new FakeHost("classes.1.group=zone").with(1);
-        Unit far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
-        Rpc order = host.rpc(1);
-        host.end(order.picks.get(0), Outcome.ERROR);
-        assertEquals(order.picks.size(), 1);
-        assertSame(host.aborted.get(0), order);
-    }
-
-    @Test
-    public void neverTwoPicksOutWhereSecondCopiesAreBarred() {
-        FakeHost host = new FakeHost(ALONE).with(4).offering(2, 1, 0.4);
-        for (int i = 0; i < 20; i++) {
-            Rpc rpc = host.rpc(i % 3);
-            host.pass(60);
-            assertTrue(rpc.out() <= 1);
-            host.endAll(Outcome.OK, Outcome.OK);
-        }
-        Rpc slow = host.rpc(0);
-        host.pass(1400);
-        assertEquals(slow.picks.size(), 1);
-    }
-
-    @Test
-    public void drainingUnitGetsNothingNew() {
-        FakeHost host = new FakeHost().with(2);
-        Unit left = host.old.units.get(0);
-        host.ledger.removed(left.id);
-        for (int i = 0; i < 20; i++) host.rpc(0);
-        assertTrue(host.sent.stream().noneMatch(pick -> pick.unit == left));
-    }
-
-    @Test
-    public void coldUnitGetsLessThanAWarmOne() {
-        FakeHost host = new FakeHost().with(4);
-        host.traffic(40, 50);
-        Unit cold = host.unit(host.old, host.now());
-        int before = host.sent.size();
-        host.traffic(20, 50);
-        long atCold = host.sent.stream().skip(before).filter(pick -> pick.unit == cold).count();
-        assertTrue(atCold <= 3, "sent " + atCold);
-    }
-
-    @Test
-    public void picksAtABuildOnTrialStayUnderTheCap() {
-        FakeHost host = new FakeHost().with(4).offering(3, 0, 0.1);
-        host.traffic(100, 50);
-        long copies = host.sentTo(host.fresh);
-        assertTrue(copies > 3 && copies <= 3 + 0.1 * 100, "copies " + copies);
-    }
-
-    @Test
-    public void unannouncedOrWithdrawnBuildGetsNothing() {
-        FakeHost host = new FakeHost().with(2);
-        host.unit(host.fresh, host.now().minus(Span.ofMs(9000)));
-        host.traffic(10, 50);
-        assertEquals(host.sentTo(host.fresh), 0);
-        host.ledger.news(2, 0, Standing.GOING_BACK, 0, host.now());
-        host.traffic(10, 50);
-        assertEquals(host.sentTo(host.fresh), 0);
-    }
-
-    @Test
-    public void effectsAreNeverCopiedAndStayOutOfTheFirstStage() {
-        FakeHost host = new FakeHost().with(4).offering(3, 0, 1.0);
-        for (int i = 0; i < 20; i++) {
-            Rpc rpc = host.rpc(1 + i % 2);
-            host.pass(50);
-            assertEquals(rpc.picks.size(), 1);
-            host.endAll(Outcome.OK, Outcome.OK);
-        }
-        assertEquals(host.sentTo(host.fresh), 0);
-    }
-
-    @Test
-    public void copyGoesBesideThePrimaryAndTheFirstOkAnswers() {
-        FakeHost host = new FakeHost().with(4);
-        host.traffic(40, 50);
-        host.offering(3, 1, 1.0);
-        Rpc rpc = host.firstCopied(0);
-        assertSame(rpc.picks.get(0).unit.build, host.old);
-        assertSame(rpc.picks.get(1).unit.build, host.fresh);
-        host.end(rpc.picks.get(1), Outcome.OK);
-        assertTrue(rpc.ended());
-        assertTrue(host.cancelled.isEmpty());
-    }
-
-    @Test
-    public void keyThatTheNewBuildAnsweredNeverGoesBackToTheEarlier() {
-        FakeHost host = new FakeHost(ONE_WAY).with(4);
-        for (long key = 100; key < 140; key++) {
-            host.rpc(0, key, 4000);
-            host.pass(50);
-            host.endAll(Outcome.OK, Outcome.OK);
-        }
-        host.offering(3, 1, 1.0);
-        host.firstCopied(7);
-        host.endAll(Outcome.OK, Outcome.OK);
-        host.pass(500);
-        int pushed = host.pushedBack.size();
-        Rpc second = host.rpc(2, 7, 4000);
-        for (Pick pick : second.picks) assertSame(pick.unit.build, host.fresh);
-        assertEquals(host.pushedBack.size() - pushed + second.picks.size(), 1);
-        host.ledger.news(2, 1, Standing.GOING_BACK, 0, host.now());
-        Rpc third = host.rpc(2, 7, 4000);
-        assertSame(third.picks.get(0).unit.build, host.old);
-    }
-
-    @Test
-    public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey() {
-        FakeHost host = new FakeHost(ONE_WAY).with(2).offering(4, 2, 1.0);
-        host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
-        for (Unit unit : java.util.List.copyOf(host.old.units)) host.ledger.removed(unit.id);
-        host.rpc(0, 7, 4000);
-        host.pass(50);
-        host.endAll(Outcome.OK, Outcome.OK);
-        for (Unit unit : java.util.List.copyOf(host.fresh.units)) host.ledger.removed(unit.id);
-        host.unit(host.old, host.now().minus(Span.ofMs(9000)));
-        host.rpc(0, 7, 4000);
-        assertEquals(host.sentTo(host.old), 0);
-    }
-
-    @Test
-    public void popularKeyIsNotPinned() {
-        FakeHost host = new FakeHost(ONE_WAY).with(4);
-        for (int i = 0; i < 40; i++) {
-            host.rpc(0, 7, 4000);
-            host.pass(50);
-            host.endAll(Outcome.OK, Outcome.OK);
-        }
-        host.offering(3, 0, 0.1);
-        host.pass(2000);
-        assertEquals(host.rpc(0, 7, 4000).picks.size(), 1);
-    }
-
-    @Test
-    public void failedCopiesBesideServedPrimariesSendTheBuildBack() {
-        FakeHost host = new FakeHost().with(6);
-        host.traffic(40, 50);
-        host.offering(3, 1, 1.0);
-        for (int i = 0; i < 40 && !host.votes.contains(Verdict.BACK); i++) {
-            host.rpc(0);
-            host.pass(50);
-            host.endAll(Outcome.ERROR, Outcome.OK);
-        }
-        assertTrue(host.votes.contains(Verdict.BACK));
-    }
-
-    @Test
-    public void timeOutsAndFullUnitsAreNoFailures() {
-        FakeHost host = new FakeHost().with(6);
-        host.traffic(40, 50);
-        host.offering(3, 1, 1.0);
-        for (int i = 0; i < 60; i++) {
-            host.rpc(0);
-            host.pass(50);
-            host.endAll(i % 2 == 0 ? Outcome.FULL : Outcome.TIMED_OUT, Outcome.OK);
-        }
-        assertFalse(host.votes.contains(Verdict.BACK));
-    }
-
-    @Test
-    public void oneSidedKsSeesOnlyTheSlowerSide() {
-        double[] fast = {1, 2, 3, 4};
-        double[] slow = {5, 6, 7, 8};
-        assertEquals(Ks.slowerSide(slow, fast), 1.0);
-        assertEquals(Ks.slowerSide(fast, slow), 0.0);
-        assertEquals(Ks.slowerSide(fast, fast), 0.0);
-    }
-
-    @Test
-    public void goodBuildIsVotedOnRenewedAndCastAgainWhenLost() {
-        FakeHost host = new FakeHost().with(6);
-        host.traffic(40, 50);
-        host.offering(3, 0, 0.4);
-        host.traffic(120, 50);
-        assertTrue(host.votes.contains(Verdict.ON));
-        host.policy.voteAnswered(Reply.TOO_MANY);
-        int cast = host.votes.size();
-        host.pass(500);
-        assertEquals(host.votes.size(), cast + 1);
-        host.policy.voteAnswered(Reply.COUNTS);
-        host.pass(1500);
-        assertEquals(host.votes.size(), cast + 1);
-        host.pass(1000);
-        assertEquals(host.votes.size(), cast + 2);
-    }
-
-    @Test
-    public void quietRelayVotesOnAtTheFallbackAge() {
-        FakeHost host = new FakeHost("specifics.vote_mode=majority").with(2);
-        host.ledger.news(2, 0, Standing.ON_TRIAL, 0.1, host.now());
-        host.pass(1000);
-        host.unit(host.fresh, host.now());
-        host.pass(2900);
-        assertTrue(host.votes.isEmpty());
-        host.pass(300);
-        assertEquals(host.votes.get(0), Verdict.ON);
-    }
-
-    @Test
-    public void silentUnitIsPassedByWithAFurtherPick() {
-        FakeHost host = new FakeHost().with(3);
-        host.traffic(20, 50);
-        Rpc rpc = host.rpc(0);
-        host.pass(700);
-        assertEquals(rpc.picks.size(), 2);
-        assertNotSame(rpc.picks.get(0).unit, rpc.picks.get(1).unit);
-    }
-
-    @Test
-    public void unitThatFailsFastIsLeftAlone() {
-        FakeHost host = new FakeHost().with(5);
-        Unit bad = host.old.units.get(0);
-        for (int i = 0; i < 60; i++) {
-            host.rpc(0);
-            host.pass(30);
-            for (Pick pick : java.util.List.copyOf(host.sent)) {
-                if (pick.outcome() == null) host.end(pick, pick.unit == bad ? Outcome.ERROR : Outcome.OK);
-            }
-        }
-        long atBad = host.sent.stream().skip(30).filter(pick -> pick.unit == bad).count();
-        assertTrue(atBad <= 4, "sent " + atBad);
-    }
-
-    @Test
-    public void overloadIsPushedBackAtOnce() {
-        FakeHost host = new FakeHost().with(2);
-        for (int i = 0; i < 60; i++) {
-            host.rpc(0);
-            host.pass(10);
-        }
-        assertFalse(host.pushedBack.isEmpty());
-        assertTrue(host.pushedBack.get(0).picks.isEmpty());
-    }
-
-    @Test
-    public void trafficThatHasJustComeIsNoQueue() {
-        FakeHost host = new FakeHost().with(4);
-        for (int i = 0; i < 200; i++) { // 100 a second from nothing, each answered after 100 ms
-            host.rpc(0);
-            host.pass(10);
-            if (i >= 9) host.sent.stream().filter(pick -> pick.outcome() == null).limit(1).toList().forEach(pick -> host.end(pick, Outcome.OK));
-        }
-        assertTrue(host.pushedBack.isEmpty(), host.pushedBack.size() + " pushed back");
-    }
-
-    @Test
-    public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheCopies() {
-        FakeHost host = new FakeHost().with(8);
-        host.pass(2500);
-        host.traffic(80, 50);
-        host.offering(3, 1, 0.4);
-        int copied = 0;
-        for (int i = 0; i < 900 && !host.votes.contains(Verdict.BACK); i++) {
-            if (host.rpc(0).picks.size() > 1) copied = i;
-            host.pass(i - copied < 12 ? 200 : 40);
-            host.endAll(Outcome.OK, Outcome.OK);
-            host.pass(10);
-        }
-        assertTrue(host.votes.contains(Verdict.BACK));
-    }
-
-    @Test
-    public void releasedBuildIsWatchedForAFixedTimeOnly() {
-        FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
-        host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
-        for (Unit unit : java.util.List.copyOf(host.old.units)) host.ledger.removed(unit.id);
-        host.pass(16_000);
-        for (int i = 0; i < 40; i++) {
-            host.rpc(2);
-            host.pass(50);
-            host.endAll(Outcome.ERROR, Outcome.OK);
-        }
-        assertFalse(host.votes.contains(Verdict.BACK));
-    }
-
-    @Test
-    public void releasedBuildThatFailsEverywhereGoesBack() {
-        FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
-        host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
-        for (Unit unit : java.util.List.copyOf(host.old.units)) host.ledger.removed(unit.id);
-        for (int i = 0; i < 40; i++) {
-            host.rpc(2);
-            host.pass(50);
-            host.endAll(Outcome.ERROR, Outcome.OK);
-        }
-        assertTrue(host.votes.contains(Verdict.BACK));
-    }
-
-    @Test
-    public void peersAddUpTheirPairs() {
-        FakeHost host = new FakeHost().with(6).offering(3, 1, 0.4);
-        host.policy.peerTold(1, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
-        assertTrue(host.votes.isEmpty());
-        host.policy.peerTold(2, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
-        assertEquals(host.votes.get(0), Verdict.BACK);
-    }
-
-    @Test
-    public void brokenSubscriptionIsAskedForAgain() {
-        FakeHost host = new FakeHost("membership_mode=ask").with(2);
-        assertEquals(host.subscriptions, 1);
-        host.policy.listFailed();
-        host.pass(1100);
-        assertEquals(host.subscriptions, 2);
-    }
-
-    @Test
-    public void loadsToldByPeersSteerTheTwoChoices() {
-        FakeHost host = new FakeHost("index=3", "balancers=9").with(2);
-        Unit full = host.old.units.get(0);
-        Board board = new Board(Span.ofMs(6000));
-        for (Unit unit : host.old.units) board.ready(unit);
-        for (int i = 0; i < 5; i++) board.add(board.pick(full, null), host.now());
-        for (int i = 0; i < 4; i++) {
-            host.policy.peerTold(0, board.loads(2, 0, host.now()));
-            assertNotSame(host.rpc(0).picks.get(0).unit, full);
+  private static final String ALONE = "permissions.second_copies=false";
+  private static final String ONE_WAY = "specifics.keys_stay=true";
+
+  @Test
+  public void everyRpcIsAnsweredBeforeItsClientLeaves() {
+    FakeHost host = new FakeHost().with(2);
+    Rpc order = host.rpc(2, 0, 1000);
+    host.pass(985);
+    assertTrue(host.aborted.isEmpty());
+    host.pass(10);
+    assertSame(host.aborted.get(0), order);
+    host.end(host.sent.get(0), Outcome.ERROR);
+    host.pass(5000);
+    assertEquals(host.sent.size(), 1);
+    assertEquals(host.aborted.size() + host.pushedBack.size(), 1);
+  }
+
+  @Test
+  public void nonIdempotentGoesAgainOnlyIfItProvablyNeverRan() {
+    FakeHost host = new FakeHost().with(3);
+    host.rpc(2);
+    host.end(host.sent.get(0), Outcome.FULL);
+    assertEquals(host.sent.size(), 2);
+    host.end(host.sent.get(1), Outcome.BROKEN);
+    assertEquals(host.sent.size(), 2);
+    assertEquals(host.aborted.size(), 1);
+    assertTrue(host.pushedBack.isEmpty());
+  }
+
+  @Test
+  public void tokenedIsRepeatedOnlyInsideItsWindow() {
+    FakeHost host = new FakeHost().with(5);
+    host.rpc(1);
+    host.end(host.sent.get(0), Outcome.ERROR);
+    assertEquals(host.sent.size(), 2);
+    host.pass(1999);
+    int sent = host.sent.size();
+    for (Pick pick : host.sent) {
+      if (pick.outcome() == null) {
+        host.end(pick, Outcome.ERROR);
+      }
+    }
+    assertEquals(host.sent.size(), sent);
+    assertEquals(host.pushedBack.size(), 1);
+  }
+
+  @Test
+  public void tokenedStaysInItsGroupOnceItMayHaveRun() {
+    FakeHost host = new FakeHost("classes.1.group=zone").with(1);
+    Unit far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
+    Rpc order = host.rpc(1);
+    host.end(order.picks.get(0), Outcome.ERROR);
+    assertEquals(order.picks.size(), 1);
+    assertSame(host.aborted.get(0), order);
+  }
+
+  @Test
+  public void neverTwoPicksOutWhereSecondCopiesAreBarred() {
+    FakeHost host = new FakeHost(ALONE).with(4).offering(2, 1, 0.4);
+    for (int i = 0; i < 20; i++) {
+      Rpc rpc = host.rpc(i % 3);
+      host.pass(60);
+      assertTrue(rpc.out() <= 1);
+      host.endAll(Outcome.OK, Outcome.OK);
+    }
+    Rpc slow = host.rpc(0);
+    host.pass(1400);
+    assertEquals(slow.picks.size(), 1);
+  }
+
+  @Test
+  public void drainingUnitGetsNothingNew() {
+    FakeHost host = new FakeHost().with(2);
+    Unit left = host.old.units.get(0);
+    host.ledger.removed(left.id);
+    for (int i = 0; i < 20; i++) {
+      host.rpc(0);
+    }
+    assertTrue(host.sent.stream().noneMatch(pick -> pick.unit == left));
+  }
+
+  @Test
+  public void coldUnitGetsLessThanAWarmOne() {
+    FakeHost host = new FakeHost().with(4);
+    host.traffic(40, 50);
+    Unit cold = host.unit(host.old, host.now());
+    int before = host.sent.size();
+    host.traffic(20, 50);
+    long atCold = host.sent.stream().skip(before).filter(pick -> pick.unit == cold).count();
+    assertTrue(atCold <= 3, "sent " + atCold);
+  }
+
+  @Test
+  public void picksAtABuildOnTrialStayUnderTheCap() {
+    FakeHost host = new FakeHost().with(4).offering(3, 0, 0.1);
+    host.traffic(100, 50);
+    long copies = host.sentTo(host.fresh);
+    assertTrue(copies > 3 && copies <= 3 + 0.1 * 100, "copies " + copies);
+  }
+
+  @Test
+  public void unannouncedOrWithdrawnBuildGetsNothing() {
+    FakeHost host = new FakeHost().with(2);
+    host.unit(host.fresh, host.now().minus(Span.ofMs(9000)));
+    host.traffic(10, 50);
+    assertEquals(host.sentTo(host.fresh), 0);
+    host.ledger.news(2, 0, Standing.GOING_BACK, 0, host.now());
+    host.traffic(10, 50);
+    assertEquals(host.sentTo(host.fresh), 0);
+  }
+
+  @Test
+  public void effectsAreNeverCopiedAndStayOutOfTheFirstStage() {
+    FakeHost host = new FakeHost().with(4).offering(3, 0, 1.0);
+    for (int i = 0; i < 20; i++) {
+      Rpc rpc = host.rpc(1 + i % 2);
+      host.pass(50);
+      assertEquals(rpc.picks.size(), 1);
+      host.endAll(Outcome.OK, Outcome.OK);
+    }
+    assertEquals(host.sentTo(host.fresh), 0);
+  }
+
+  @Test
+  public void copyGoesBesideThePrimaryAndTheFirstOkAnswers() {
+    FakeHost host = new FakeHost().with(4);
+    host.traffic(40, 50);
+    host.offering(3, 1, 1.0);
+    Rpc rpc = host.firstCopied(0);
+    assertSame(rpc.picks.get(0).unit.build, host.old);
+    assertSame(rpc.picks.get(1).unit.build, host.fresh);
+    host.end(rpc.picks.get(1), Outcome.OK);
+    assertTrue(rpc.ended());
+    assertTrue(host.cancelled.isEmpty());
+  }
+
+  @Test
+  public void keyThatTheNewBuildAnsweredNeverGoesBackToTheEarlier() {
+    FakeHost host = new FakeHost(ONE_WAY).with(4);
+    for (long key = 100; key < 140; key++) {
+      host.rpc(0, key, 4000);
+      host.pass(50);
+      host.endAll(Outcome.OK, Outcome.OK);
+    }
+    host.offering(3, 1, 1.0);
+    host.firstCopied(7);
+    host.endAll(Outcome.OK, Outcome.OK);
+    host.pass(500);
+    int pushed = host.pushedBack.size();
+    Rpc second = host.rpc(2, 7, 4000);
+    for (Pick pick : second.picks) {
+      assertSame(pick.unit.build, host.fresh);
+    }
+    assertEquals(host.pushedBack.size() - pushed + second.picks.size(), 1);
+    host.ledger.news(2, 1, Standing.GOING_BACK, 0, host.now());
+    Rpc third = host.rpc(2, 7, 4000);
+    assertSame(third.picks.get(0).unit.build, host.old);
+  }
+
+  @Test
+  public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey() {
+    FakeHost host = new FakeHost(ONE_WAY).with(2).offering(4, 2, 1.0);
+    host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
+    for (Unit unit : java.util.List.copyOf(host.old.units)) {
+      host.ledger.removed(unit.id);
+    }
+    host.rpc(0, 7, 4000);
+    host.pass(50);
+    host.endAll(Outcome.OK, Outcome.OK);
+    for (Unit unit : java.util.List.copyOf(host.fresh.units)) {
+      host.ledger.removed(unit.id);
+    }
+    host.unit(host.old, host.now().minus(Span.ofMs(9000)));
+    host.rpc(0, 7, 4000);
+    assertEquals(host.sentTo(host.old), 0);
+  }
+
+  @Test
+  public void popularKeyIsNotPinned() {
+    FakeHost host = new FakeHost(ONE_WAY).with(4);
+    for (int i = 0; i < 40; i++) {
+      host.rpc(0, 7, 4000);
+      host.pass(50);
+      host.endAll(Outcome.OK, Outcome.OK);
+    }
+    host.offering(3, 0, 0.1);
+    host.pass(2000);
+    assertEquals(host.rpc(0, 7, 4000).picks.size(), 1);
+  }
+
+  @Test
+  public void failedCopiesBesideServedPrimariesSendTheBuildBack() {
+    FakeHost host = new FakeHost().with(6);
+    host.traffic(40, 50);
+    host.offering(3, 1, 1.0);
+    for (int i = 0; i < 40 && !host.votes.contains(Verdict.BACK); i++) {
+      host.rpc(0);
+      host.pass(50);
+      host.endAll(Outcome.ERROR, Outcome.OK);
+    }
+    assertTrue(host.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void timeOutsAndFullUnitsAreNoFailures() {
+    FakeHost host = new FakeHost().with(6);
+    host.traffic(40, 50);
+    host.offering(3, 1, 1.0);
+    for (int i = 0; i < 60; i++) {
+      host.rpc(0);
+      host.pass(50);
+      host.endAll(i % 2 == 0 ? Outcome.FULL : Outcome.TIMED_OUT, Outcome.OK);
+    }
+    assertFalse(host.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void oneSidedKsSeesOnlyTheSlowerSide() {
+    double[] fast = {1, 2, 3, 4};
+    double[] slow = {5, 6, 7, 8};
+    assertEquals(Ks.slowerSide(slow, fast), 1.0);
+    assertEquals(Ks.slowerSide(fast, slow), 0.0);
+    assertEquals(Ks.slowerSide(fast, fast), 0.0);
+  }
+
+  @Test
+  public void goodBuildIsVotedOnRenewedAndCastAgainWhenLost() {
+    FakeHost host = new FakeHost().with(6);
+    host.traffic(40, 50);
+    host.offering(3, 0, 0.4);
+    host.traffic(120, 50);
+    assertTrue(host.votes.contains(Verdict.ON));
+    host.policy.voteAnswered(Reply.TOO_MANY);
+    int cast = host.votes.size();
+    host.pass(500);
+    assertEquals(host.votes.size(), cast + 1);
+    host.policy.voteAnswered(Reply.COUNTS);
+    host.pass(1500);
+    assertEquals(host.votes.size(), cast + 1);
+    host.pass(1000);
+    assertEquals(host.votes.size(), cast + 2);
+  }
+
+  @Test
+  public void quietRelayVotesOnAtTheFallbackAge() {
+    FakeHost host = new FakeHost("specifics.vote_mode=majority").with(2);
+    host.ledger.news(2, 0, Standing.ON_TRIAL, 0.1, host.now());
+    host.pass(1000);
+    host.unit(host.fresh, host.now());
+    host.pass(2900);
+    assertTrue(host.votes.isEmpty());
+    host.pass(300);
+    assertEquals(host.votes.get(0), Verdict.ON);
+  }
+
+  @Test
+  public void silentUnitIsPassedByWithAFurtherPick() {
+    FakeHost host = new FakeHost().with(3);
+    host.traffic(20, 50);
+    Rpc rpc = host.rpc(0);
+    host.pass(700);
+    assertEquals(rpc.picks.size(), 2);
+    assertNotSame(rpc.picks.get(0).unit, rpc.picks.get(1).unit);
+  }
+
+  @Test
+  public void unitThatFailsFastIsLeftAlone() {
+    FakeHost host = new FakeHost().with(5);
+    Unit bad = host.old.units.get(0);
+    for (int i = 0; i < 60; i++) {
+      host.rpc(0);
+      host.pass(30);
+      for (Pick pick : java.util.List.copyOf(host.sent)) {
+        if (pick.outcome() == null) {
+          host.end(pick, pick.unit == bad ? Outcome.ERROR : Outcome.OK);
         }
-        assertEquals(host.toldTo, java.util.List.of(0, 0, 0, 0));
-    }
-
-    @Test
-    public void nextRelayIsToldWhereTheOneThatAddsUpIsSilent() {
-        FakeHost host = new FakeHost("index=3", "balancers=9").with(4);
-        host.traffic(80, 50);
-        assertTrue(host.toldTo.contains(0) && host.toldTo.contains(1));
-        assertFalse(host.toldTo.contains(4));
-    }
-
-    @Test
-    public void quietRelayPushesBackByTheFleetsWait() {
-        FakeHost host = new FakeHost("index=3", "balancers=9").with(4);
-        host.policy.peerTold(0, new byte[] {Board.LOADS, 60});
-        assertTrue(host.rpc(0).picks.isEmpty());
-        host.pass(1500);
-        assertEquals(host.rpc(0).picks.size(), 1);
-    }
-
-    @Test
-    public void unitsBehindASlowLinkComeLast() {
-        FakeHost host = new FakeHost().with(3);
-        Unit far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
-        for (int i = 0; i < 60; i++) {
-            Pick pick = host.rpc(0).picks.get(0);
-            host.pass(pick.unit == far ? 600 : 50);
-            host.endAll(Outcome.OK, Outcome.OK);
-        }
-        assertTrue(host.sent.stream().skip(20).noneMatch(pick -> pick.unit == far));
-    }
-
-    @Test
-    public void quietRelayStaysWithUnitsThatItHasConnectionsTo() {
-        FakeHost host = new FakeHost("permissions.keepalive=20000").with(60);
-        host.traffic(200, 400);
-        long met = host.sent.stream().map(pick -> pick.unit).distinct().count();
-        assertTrue(met <= 20, met + " units met");
-    }
-
-    @Test
-    public void connectionsThatStoodIdleForLongDrawNobody() {
-        FakeHost host = new FakeHost("permissions.keepalive=20000").with(60);
-        for (int i = 0; i < 12; i++) {
-            host.pass(15_000);
-            host.traffic(1, 400);
-        }
-        long met = host.sent.stream().map(pick -> pick.unit).distinct().count();
-        assertTrue(met >= 10, met + " units met");
-    }
-
-    @Test
-    public void leadsOfSeveralStagesAddUp() {
-        FakeHost host = new FakeHost().with(4).offering(3, 0, 0.1);
-        for (int stage = 0; stage < 3; stage++) {
-            host.ledger.news(2, stage, Standing.ON_TRIAL, 0.4, host.now());
-            assertFalse(host.votes.contains(Verdict.BACK));
-            host.policy.peerTold(1, new byte[] {3, 2, (byte) stage, 19, 2, 0, 6, 0});
-        }
-        assertTrue(host.votes.contains(Verdict.BACK));
-    }
+      }
+    }
+    long atBad = host.sent.stream().skip(30).filter(pick -> pick.unit == bad).count();
+    assertTrue(atBad <= 4, "sent " + atBad);
+  }
+
+  @Test
+  public void overloadIsPushedBackAtOnce() {
+    FakeHost host = new FakeHost().with(2);
+    for (int i = 0; i < 60; i++) {
+      host.rpc(0);
+      host.pass(10);
+    }
+    assertFalse(host.pushedBack.isEmpty());
+    assertTrue(host.pushedBack.get(0).picks.isEmpty());
+  }
+
+  @Test
+  public void trafficThatHasJustComeIsNoQueue() {
+    FakeHost host = new FakeHost().with(4);
+    for (int i = 0; i < 200; i++) { // 100 a second from nothing, each answered after 100 ms
+      host.rpc(0);
+      host.pass(10);
+      if (i >= 9) {
+        host.sent.stream()
+            .filter(pick -> pick.outcome() == null)
+            .limit(1)
+            .toList()
+            .forEach(pick -> host.end(pick, Outcome.OK));
+      }
+    }
+    assertTrue(host.pushedBack.isEmpty(), host.pushedBack.size() + " pushed back");
+  }
+
+  @Test
+  public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheCopies() {
+    FakeHost host = new FakeHost().with(8);
+    host.pass(2500);
+    host.traffic(80, 50);
+    host.offering(3, 1, 0.4);
+    int copied = 0;
+    for (int i = 0; i < 900 && !host.votes.contains(Verdict.BACK); i++) {
+      if (host.rpc(0).picks.size() > 1) {
+        copied = i;
+      }
+      host.pass(i - copied < 12 ? 200 : 40);
+      host.endAll(Outcome.OK, Outcome.OK);
+      host.pass(10);
+    }
+    assertTrue(host.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void releasedBuildIsWatchedForAFixedTimeOnly() {
+    FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
+    host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
+    for (Unit unit : java.util.List.copyOf(host.old.units)) {
+      host.ledger.removed(unit.id);
+    }
+    host.pass(16_000);
+    for (int i = 0; i < 40; i++) {
+      host.rpc(2);
+      host.pass(50);
+      host.endAll(Outcome.ERROR, Outcome.OK);
+    }
+    assertFalse(host.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void releasedBuildThatFailsEverywhereGoesBack() {
+    FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
+    host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
+    for (Unit unit : java.util.List.copyOf(host.old.units)) {
+      host.ledger.removed(unit.id);
+    }
+    for (int i = 0; i < 40; i++) {
+      host.rpc(2);
+      host.pass(50);
+      host.endAll(Outcome.ERROR, Outcome.OK);
+    }
+    assertTrue(host.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void peersAddUpTheirPairs() {
+    FakeHost host = new FakeHost().with(6).offering(3, 1, 0.4);
+    host.policy.peerTold(1, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
+    assertTrue(host.votes.isEmpty());
+    host.policy.peerTold(2, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
+    assertEquals(host.votes.get(0), Verdict.BACK);
+  }
+
+  @Test
+  public void brokenSubscriptionIsAskedForAgain() {
+    FakeHost host = new FakeHost("membership_mode=ask").with(2);
+    assertEquals(host.subscriptions, 1);
+    host.policy.listFailed();
+    host.pass(1100);
+    assertEquals(host.subscriptions, 2);
+  }
+
+  @Test
+  public void loadsToldByPeersSteerTheTwoChoices() {
+    FakeHost host = new FakeHost("index=3", "balancers=9").with(2);
+    Unit full = host.old.units.get(0);
+    Board board = new Board(Span.ofMs(6000));
+    for (Unit unit : host.old.units) {
+      board.ready(unit);
+    }
+    for (int i = 0; i < 5; i++) {
+      board.add(board.pick(full, null), host.now());
+    }
+    for (int i = 0; i < 4; i++) {
+      host.policy.peerTold(0, board.loads(2, 0, host.now()));
+      assertNotSame(host.rpc(0).picks.get(0).unit, full);
+    }
+    assertEquals(host.toldTo, java.util.List.of(0, 0, 0, 0));
+  }
+
+  @Test
+  public void nextRelayIsToldWhereTheOneThatAddsUpIsSilent() {
+    FakeHost host = new FakeHost("index=3", "balancers=9").with(4);
+    host.traffic(80, 50);
+    assertTrue(host.toldTo.contains(0) && host.toldTo.contains(1));
+    assertFalse(host.toldTo.contains(4));
+  }
+
+  @Test
+  public void quietRelayPushesBackByTheFleetsWait() {
+    FakeHost host = new FakeHost("index=3", "balancers=9").with(4);
+    host.policy.peerTold(0, new byte[] {Board.LOADS, 60});
+    assertTrue(host.rpc(0).picks.isEmpty());
+    host.pass(1500);
+    assertEquals(host.rpc(0).picks.size(), 1);
+  }
+
+  @Test
+  public void unitsBehindASlowLinkComeLast() {
+    FakeHost host = new FakeHost().with(3);
+    Unit far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
+    for (int i = 0; i < 60; i++) {
+      Pick pick = host.rpc(0).picks.get(0);
+      host.pass(pick.unit == far ? 600 : 50);
+      host.endAll(Outcome.OK, Outcome.OK);
+    }
+    assertTrue(host.sent.stream().skip(20).noneMatch(pick -> pick.unit == far));
+  }
+
+  @Test
+  public void quietRelayStaysWithUnitsThatItHasConnectionsTo() {
+    FakeHost host = new FakeHost("permissions.keepalive=20000").with(60);
+    host.traffic(200, 400);
+    long met = host.sent.stream().map(pick -> pick.unit).distinct().count();
+    assertTrue(met <= 20, met + " units met");
+  }
+
+  @Test
+  public void connectionsThatStoodIdleForLongDrawNobody() {
+    FakeHost host = new FakeHost("permissions.keepalive=20000").with(60);
+    for (int i = 0; i < 12; i++) {
+      host.pass(15_000);
+      host.traffic(1, 400);
+    }
+    long met = host.sent.stream().map(pick -> pick.unit).distinct().count();
+    assertTrue(met >= 10, met + " units met");
+  }
+
+  @Test
+  public void leadsOfSeveralStagesAddUp() {
+    FakeHost host = new FakeHost().with(4).offering(3, 0, 0.1);
+    for (int stage = 0; stage < 3; stage++) {
+      host.ledger.news(2, stage, Standing.ON_TRIAL, 0.4, host.now());
+      assertFalse(host.votes.contains(Verdict.BACK));
+      host.policy.peerTold(1, new byte[] {3, 2, (byte) stage, 19, 2, 0, 6, 0});
+    }
+    assertTrue(host.votes.contains(Verdict.BACK));
+  }
 }
--- a/src/test/java/sprucerock/agent/AgentTest.java
+++ b/src/test/java/sprucerock/agent/AgentTest.java
@@ -18,296 +18,310 @@
 
 /** One machine's agent, told as stories on a machine that does what the story says. */
 public class AgentTest {
-    private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
-    private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
-    private static final Agent.Times TIMES = new Agent.Times(Span.ofMs(5000), Span.ofMs(3000), Span.ofMs(10_000));
-
-    private static final class Stage implements Machine {
-        private record Timer(Moment when, int order, Runnable what) {}
-
-        private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> a.when.compareTo(b.when) != 0 ? a.when.compareTo(b.when) : a.order - b.order);
-        private Moment now = Moment.ofMs(0);
-        private int made;
-        final Set<Version> here = new HashSet<>(Set.of(OLD, NEW));
-        final List<String> did = new ArrayList<>();
-        Memory kept = Memory.NONE;
-        String diskSays;
-        boolean signalWillDo;
-
-        void pass(double ms) {
-            Moment until = now.plus(Span.ofMs(ms));
-            while (!timers.isEmpty() && !timers.peek().when.after(until)) {
-                Timer next = timers.poll();
-                now = now.later(next.when);
-                next.what.run();
-            }
-            now = until;
-        }
-
-        @Override
-        public Moment now() {
-            return now;
-        }
-
-        @Override
-        public void at(Moment when, Runnable what) {
-            timers.add(new Timer(when, made++, what));
-        }
-
-        @Override
-        public boolean has(Version version) {
-            return here.contains(version);
-        }
-
-        @Override
-        public void fetch(Version version) {
-            did.add("fetch " + version.program().charAt(0));
-        }
-
-        @Override
-        public void readThrough(Version version) {
-            did.add("read " + version.program().charAt(0));
-        }
-
-        @Override
-        public void start(Version version) {
-            did.add("start " + version.program().charAt(0));
-        }
-
-        @Override
-        public void terminate() {
-            did.add("terminate");
-        }
-
-        @Override
-        public void kill() {
-            did.add("kill");
-        }
-
-        @Override
-        public boolean reload(Version from, Version to) {
-            return signalWillDo;
-        }
-
-        @Override
-        public String keep(Memory memory) {
-            if (diskSays == null) kept = memory;
-            return diskSays;
-        }
-
-        @Override
-        public void say() {}
-
-        @Override
-        public void failed(Version version, String how) {
-            did.add("failed " + version.program().charAt(0) + ": " + how);
-        }
-
-        @Override
-        public void log(String line) {}
+  private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
+  private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
+  private static final Agent.Times TIMES =
+      new Agent.Times(Span.ofMs(5000), Span.ofMs(3000), Span.ofMs(10_000));
+
+  private static final class Stage implements Machine {
+    private record Timer(Moment when, int order, Runnable what) {}
+
+    private final PriorityQueue<Timer> timers =
+        new PriorityQueue<>(
+            (a, b) -> a.when.compareTo(b.when) != 0 ? a.when.compareTo(b.when) : a.order - b.order);
+    private Moment now = Moment.ofMs(0);
+    private int made;
+    final Set<Version> here = new HashSet<>(Set.of(OLD, NEW));
+    final List<String> did = new ArrayList<>();
+    Memory kept = Memory.NONE;
+    String diskSays;
+    boolean signalWillDo;
+
+    void pass(double ms) {
+      Moment until = now.plus(Span.ofMs(ms));
+      while (!timers.isEmpty() && !timers.peek().when.after(until)) {
+        Timer next = timers.poll();
+        now = now.later(next.when);
+        next.what.run();
+      }
+      now = until;
     }
 
-    private Stage stage;
-
-    @BeforeMethod
-    public void machine() {
-        stage = new Stage();
-    }
-
-    private Agent running(Version version) {
-        Agent agent = new Agent(stage, TIMES, Memory.NONE);
-        agent.begin();
-        agent.offered(version);
-        agent.isReady();
-        stage.pass(11_000);
-        stage.did.clear();
-        return agent;
+    @Override
+    public Moment now() {
+      return now;
     }
 
-    @Test
-    public void aNewVersionIsFetchedBeforeTheOldOneEnds() {
-        stage.here.remove(NEW);
-        Agent agent = running(OLD);
-        agent.wants(1, 1, NEW);
-        assertEquals(stage.did, List.of("fetch b"));
-        assertTrue(agent.ready()); // it serves meanwhile
-        stage.here.add(NEW);
-        agent.fetched(NEW);
-        agent.ended("ended with code 0");
-        agent.isReady();
-        assertEquals(stage.did, List.of("fetch b", "terminate", "start b"));
-        assertEquals(agent.done(), 1);
-        assertEquals(agent.runs(), NEW);
+    @Override
+    public void at(Moment when, Runnable what) {
+      timers.add(new Timer(when, made++, what));
     }
 
-    @Test
-    public void whatCanNotBeHadIsReportedAndTheOldOneRunsOn() {
-        stage.here.remove(NEW);
-        Agent agent = running(OLD);
-        agent.wants(1, 1, NEW);
-        agent.notFetched(NEW, "the controller has it not");
-        assertTrue(agent.ready());
-        assertEquals(stage.did.get(1), "failed b: can't be had: the controller has it not");
+    @Override
+    public boolean has(Version version) {
+      return here.contains(version);
     }
 
-    @Test
-    public void aVersionThatKeepsEndingGivesWayToWhatRanWell() {
-        Agent agent = running(OLD);
-        agent.wants(1, 1, NEW);
-        agent.ended("ended with code 0");
-        for (int i = 0; i < 3; i++) {
-            agent.ended("ended with code 3");
-            stage.pass(2500);
-        }
-        agent.isReady();
-        assertEquals(agent.runs(), OLD);
-        assertTrue(agent.ready());
-        assertEquals(stage.did.stream().filter("start b"::equals).count(), 3);
-        assertEquals(stage.did.stream().filter("failed b: ended before it was ready: ended with code 3"::equals).count(), 3);
-        assertEquals(agent.done(), 0); // what was wanted is not carried out
+    @Override
+    public void fetch(Version version) {
+      did.add("fetch " + version.program().charAt(0));
     }
 
-    @Test
-    public void whatRanWellIsTriedForEverAndNeverInARush() {
-        Agent agent = running(OLD);
-        for (int i = 0; i < 12; i++) {
-            int before = stage.did.size();
-            agent.ended("ended by signal 9");
-            stage.pass(200);
-            assertEquals(stage.did.size(), before + 1, "started again without a pause"); // only told that it failed
-            for (int waited = 200; agent.phase() != Phase.STARTING && waited < 31_000; waited += 250) stage.pass(250);
-            assertEquals(agent.phase(), Phase.STARTING);
-        }
+    @Override
+    public void readThrough(Version version) {
+      did.add("read " + version.program().charAt(0));
     }
 
-    @Test
-    public void aStartThatHangsIsKilledAndAnEndThatHangsToo() {
-        Agent agent = running(OLD);
-        agent.wants(1, 1, NEW);
-        stage.pass(2900);
-        assertFalse(stage.did.contains("kill"));
-        stage.pass(200);
-        assertEquals(stage.did, List.of("terminate", "kill"));
-        agent.ended("ended by signal 9");
-        stage.pass(5100);
-        assertEquals(stage.did.subList(2, 4), List.of("start b", "kill"));
-        agent.ended("ended by signal 9");
-        assertTrue(stage.did.contains("failed b: was not ready within 5000 ms"), stage.did.toString());
+    @Override
+    public void start(Version version) {
+      did.add("start " + version.program().charAt(0));
     }
 
-    @Test
-    public void onlyTheNewestControllerIsObeyed() {
-        Agent agent = running(OLD);
-        agent.wants(5, 3, OLD);
-        agent.ended("ended with code 0");
-        agent.isReady();
-        stage.did.clear();
-        agent.wants(4, 9, NEW); // one that was replaced
-        agent.wants(5, 2, NEW); // an older word
-        agent.wants(5, 3, NEW); // the same word, and another content
-        agent.wants(5, 3, OLD); // once more
-        assertEquals(stage.did, List.of());
-        assertEquals(agent.memory().wanted(), OLD);
-        agent.wants(6, 4, NEW);
-        assertEquals(stage.did, List.of("terminate"));
+    @Override
+    public void terminate() {
+      did.add("terminate");
     }
 
-    @Test
-    public void withoutAnyControllerWhatWasWantedLastIsStarted() {
-        Agent first = running(OLD);
-        first.wants(2, 1, NEW);
-        Stage machine = stage;
-        Agent second = new Agent(machine, TIMES, machine.kept);
-        machine.did.clear();
-        second.begin();
-        second.isReady();
-        assertEquals(machine.did, List.of("start b"));
-        assertEquals(second.done(), 1);
-        machine.here.remove(NEW);
-        Agent third = new Agent(machine, TIMES, machine.kept);
-        third.begin();
-        assertEquals(third.phase(), Phase.STARTING);
-        assertEquals(third.runs(), OLD); // it is not here any more: what ran well is
+    @Override
+    public void kill() {
+      did.add("kill");
     }
 
-    @Test
-    public void aRestartOnTheSameVersionIsARestart() {
-        Agent agent = running(OLD);
-        stage.signalWillDo = true;
-        agent.wants(1, 0, OLD);
-        assertEquals(stage.did, List.of()); // adopted as it is
-        agent.wants(1, 1, OLD);
-        assertEquals(stage.did, List.of("terminate"));
-        agent.ended("ended with code 0");
-        agent.isReady();
-        assertEquals(agent.done(), 1);
+    @Override
+    public boolean reload(Version from, Version to) {
+      return signalWillDo;
     }
 
-    @Test
-    public void anAgentThatLostItsNotesLeavesARelayThatRunsWhatIsWanted() {
-        Agent agent = new Agent(stage, TIMES, Memory.NONE);
-        agent.adopted(NEW, 3);
-        agent.begin();
-        agent.wants(7, 3, NEW);
-        assertEquals(stage.did, List.of());
-        assertEquals(agent.done(), 3);
-        agent.wants(7, 4, NEW); // what was not carried out still is
-        assertEquals(stage.did, List.of("terminate"));
+    @Override
+    public String keep(Memory memory) {
+      if (diskSays == null) {
+        kept = memory;
+      }
+      return diskSays;
     }
 
-    @Test
-    public void anAgentThatLostItsNotesCarriesOutWhatItsRelayWasNotStartedFor() {
-        Agent agent = new Agent(stage, TIMES, Memory.NONE);
-        agent.adopted(OLD, 3);
-        agent.begin();
-        agent.wants(7, 3, NEW);
-        assertEquals(stage.did, List.of("terminate"));
-    }
+    @Override
+    public void say() {}
 
-    @Test
-    public void whatASignalCanTakeOverNeedsNoRestart() {
-        Agent agent = running(OLD);
-        stage.signalWillDo = true;
-        agent.wants(1, 1, NEW);
-        agent.reloaded(NEW, true);
-        assertEquals(stage.did, List.of());
-        assertEquals(agent.runs(), NEW);
-        assertEquals(agent.done(), 1);
-        agent.wants(1, 2, OLD);
-        agent.reloaded(OLD, false);
-        assertEquals(stage.did, List.of("terminate"));
+    @Override
+    public void failed(Version version, String how) {
+      did.add("failed " + version.program().charAt(0) + ": " + how);
     }
 
-    @Test
-    public void whatGoesOverALimitIsEndedAndTriedAgain() {
-        Agent agent = running(OLD);
-        agent.over("its memory: 300 MB of 256");
-        assertEquals(stage.did, List.of("kill"));
-        agent.ended("ended by signal 9");
-        assertEquals(stage.did.get(1), "failed a: went over its memory: 300 MB of 256");
-        stage.pass(1000);
-        assertEquals(agent.phase(), Phase.STARTING);
+    @Override
+    public void log(String line) {}
+  }
+
+  private Stage stage;
+
+  @BeforeMethod
+  public void machine() {
+    stage = new Stage();
+  }
+
+  private Agent running(Version version) {
+    Agent agent = new Agent(stage, TIMES, Memory.NONE);
+    agent.begin();
+    agent.offered(version);
+    agent.isReady();
+    stage.pass(11_000);
+    stage.did.clear();
+    return agent;
+  }
+
+  @Test
+  public void aNewVersionIsFetchedBeforeTheOldOneEnds() {
+    stage.here.remove(NEW);
+    Agent agent = running(OLD);
+    agent.wants(1, 1, NEW);
+    assertEquals(stage.did, List.of("fetch b"));
+    assertTrue(agent.ready()); // it serves meanwhile
+    stage.here.add(NEW);
+    agent.fetched(NEW);
+    agent.ended("ended with code 0");
+    agent.isReady();
+    assertEquals(stage.did, List.of("fetch b", "terminate", "start b"));
+    assertEquals(agent.done(), 1);
+    assertEquals(agent.runs(), NEW);
+  }
+
+  @Test
+  public void whatCanNotBeHadIsReportedAndTheOldOneRunsOn() {
+    stage.here.remove(NEW);
+    Agent agent = running(OLD);
+    agent.wants(1, 1, NEW);
+    agent.notFetched(NEW, "the controller has it not");
+    assertTrue(agent.ready());
+    assertEquals(stage.did.get(1), "failed b: can't be had: the controller has it not");
+  }
+
+  @Test
+  public void aVersionThatKeepsEndingGivesWayToWhatRanWell() {
+    Agent agent = running(OLD);
+    agent.wants(1, 1, NEW);
+    agent.ended("ended with code 0");
+    for (int i = 0; i < 3; i++) {
+      agent.ended("ended with code 3");
+      stage.pass(2500);
     }
-
-    @Test
-    public void aDiskThatTakesNothingStopsNoRelay() {
-        stage.diskSays = "No space left on device";
-        Agent agent = running(OLD);
-        agent.wants(1, 1, NEW);
-        agent.ended("ended with code 0");
-        agent.isReady();
-        assertEquals(agent.runs(), NEW);
-    }
-
-    @Test
-    public void anOtherWordOnTheWayIsTheOneThatCounts() {
-        Agent agent = running(OLD);
-        agent.wants(1, 1, NEW);
-        agent.wants(1, 2, OLD); // before the first has ended
-        agent.ended("ended with code 0");
-        assertEquals(agent.runs(), OLD);
-        agent.isReady();
-        assertEquals(agent.done(), 2);
-        assertEquals(stage.did, List.of("terminate", "start a"));
+    agent.isReady();
+    assertEquals(agent.runs(), OLD);
+    assertTrue(agent.ready());
+    assertEquals(stage.did.stream().filter("start b"::equals).count(), 3);
+    assertEquals(
+        stage.did.stream()
+            .filter("failed b: ended before it was ready: ended with code 3"::equals)
+            .count(),
+        3);
+    assertEquals(agent.done(), 0); // what was wanted is not carried out
+  }
+
+  @Test
+  public void whatRanWellIsTriedForEverAndNeverInARush() {
+    Agent agent = running(OLD);
+    for (int i = 0; i < 12; i++) {
+      int before = stage.did.size();
+      agent.ended("ended by signal 9");
+      stage.pass(200);
+      assertEquals(
+          stage.did.size(),
+          before + 1,
+          "started again without a pause"); // only told that it failed
+      for (int waited = 200; agent.phase() != Phase.STARTING && waited < 31_000; waited += 250) {
+        stage.pass(250);
+      }
+      assertEquals(agent.phase(), Phase.STARTING);
     }
+  }
+
+  @Test
+  public void aStartThatHangsIsKilledAndAnEndThatHangsToo() {
+    Agent agent = running(OLD);
+    agent.wants(1, 1, NEW);
+    stage.pass(2900);
+    assertFalse(stage.did.contains("kill"));
+    stage.pass(200);
+    assertEquals(stage.did, List.of("terminate", "kill"));
+    agent.ended("ended by signal 9");
+    stage.pass(5100);
+    assertEquals(stage.did.subList(2, 4), List.of("start b", "kill"));
+    agent.ended("ended by signal 9");
+    assertTrue(stage.did.contains("failed b: was not ready within 5000 ms"), stage.did.toString());
+  }
+
+  @Test
+  public void onlyTheNewestControllerIsObeyed() {
+    Agent agent = running(OLD);
+    agent.wants(5, 3, OLD);
+    agent.ended("ended with code 0");
+    agent.isReady();
+    stage.did.clear();
+    agent.wants(4, 9, NEW); // one that was replaced
+    agent.wants(5, 2, NEW); // an older word
+    agent.wants(5, 3, NEW); // the same word, and another content
+    agent.wants(5, 3, OLD); // once more
+    assertEquals(stage.did, List.of());
+    assertEquals(agent.memory().wanted(), OLD);
+    agent.wants(6, 4, NEW);
+    assertEquals(stage.did, List.of("terminate"));
+  }
+
+  @Test
+  public void withoutAnyControllerWhatWasWantedLastIsStarted() {
+    Agent first = running(OLD);
+    first.wants(2, 1, NEW);
+    Stage machine = stage;
+    Agent second = new Agent(machine, TIMES, machine.kept);
+    machine.did.clear();
+    second.begin();
+    second.isReady();
+    assertEquals(machine.did, List.of("start b"));
+    assertEquals(second.done(), 1);
+    machine.here.remove(NEW);
+    Agent third = new Agent(machine, TIMES, machine.kept);
+    third.begin();
+    assertEquals(third.phase(), Phase.STARTING);
+    assertEquals(third.runs(), OLD); // it is not here any more: what ran well is
+  }
+
+  @Test
+  public void aRestartOnTheSameVersionIsARestart() {
+    Agent agent = running(OLD);
+    stage.signalWillDo = true;
+    agent.wants(1, 0, OLD);
+    assertEquals(stage.did, List.of()); // adopted as it is
+    agent.wants(1, 1, OLD);
+    assertEquals(stage.did, List.of("terminate"));
+    agent.ended("ended with code 0");
+    agent.isReady();
+    assertEquals(agent.done(), 1);
+  }
+
+  @Test
+  public void anAgentThatLostItsNotesLeavesARelayThatRunsWhatIsWanted() {
+    Agent agent = new Agent(stage, TIMES, Memory.NONE);
+    agent.adopted(NEW, 3);
+    agent.begin();
+    agent.wants(7, 3, NEW);
+    assertEquals(stage.did, List.of());
+    assertEquals(agent.done(), 3);
+    agent.wants(7, 4, NEW); // what was not carried out still is
+    assertEquals(stage.did, List.of("terminate"));
+  }
+
+  @Test
+  public void anAgentThatLostItsNotesCarriesOutWhatItsRelayWasNotStartedFor() {
+    Agent agent = new Agent(stage, TIMES, Memory.NONE);
+    agent.adopted(OLD, 3);
+    agent.begin();
+    agent.wants(7, 3, NEW);
+    assertEquals(stage.did, List.of("terminate"));
+  }
+
+  @Test
+  public void whatASignalCanTakeOverNeedsNoRestart() {
+    Agent agent = running(OLD);
+    stage.signalWillDo = true;
+    agent.wants(1, 1, NEW);
+    agent.reloaded(NEW, true);
+    assertEquals(stage.did, List.of());
+    assertEquals(agent.runs(), NEW);
+    assertEquals(agent.done(), 1);
+    agent.wants(1, 2, OLD);
+    agent.reloaded(OLD, false);
+    assertEquals(stage.did, List.of("terminate"));
+  }
+
+  @Test
+  public void whatGoesOverALimitIsEndedAndTriedAgain() {
+    Agent agent = running(OLD);
+    agent.over("its memory: 300 MB of 256");
+    assertEquals(stage.did, List.of("kill"));
+    agent.ended("ended by signal 9");
+    assertEquals(stage.did.get(1), "failed a: went over its memory: 300 MB of 256");
+    stage.pass(1000);
+    assertEquals(agent.phase(), Phase.STARTING);
+  }
+
+  @Test
+  public void aDiskThatTakesNothingStopsNoRelay() {
+    stage.diskSays = "No space left on device";
+    Agent agent = running(OLD);
+    agent.wants(1, 1, NEW);
+    agent.ended("ended with code 0");
+    agent.isReady();
+    assertEquals(agent.runs(), NEW);
+  }
+
+  @Test
+  public void anOtherWordOnTheWayIsTheOneThatCounts() {
+    Agent agent = running(OLD);
+    agent.wants(1, 1, NEW);
+    agent.wants(1, 2, OLD); // before the first has ended
+    agent.ended("ended with code 0");
+    assertEquals(agent.runs(), OLD);
+    agent.isReady();
+    assertEquals(agent.done(), 2);
+    assertEquals(stage.did, List.of("terminate", "start a"));
+  }
 }
--- a/src/test/java/sprucerock/bench/PostingsBenchmark.java
+++ b/src/test/java/sprucerock/bench/PostingsBenchmark.java
@@ -24,7 +24,10 @@
 import sprucerock.ledger.Accounts;
 import sprucerock.time.Span;
 
-/** What the figures of an RPC with one pick cost in a mapped file, and what a reader of them pays. See docs/figures.md. */
+/**
+ * What the figures of an RPC with one pick cost in a mapped file, and what a reader of them pays.
+ * See docs/figures.md.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -32,58 +35,67 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class PostingsBenchmark {
-    private static final int RPCS = 1024;
+  private static final int RPCS = 1024;
 
-    @Param({"1", "8", "64"})
-    public int eachTurn;
-    private Path file;
-    private Accounts accounts;
-    private Keeper keeper;
+  @Param({"1", "8", "64"})
+  public int eachTurn;
 
-    @Setup
-    public void begin() throws IOException {
-        file = Files.createTempDirectory("postings").resolve("bench.figures");
-        List<String> methods = new ArrayList<>();
-        for (int i = 0; i < 20; i++) methods.add("method-" + i);
-        accounts = new Accounts(methods, new Accounts.Room(16, 1024, 64));
-        for (int i = 0; i < 300; i++) accounts.row(accounts.units, "" + i);
-        for (int i = 0; i < 2; i++) accounts.row(accounts.builds, "" + i);
-        keeper = Keeper.open(file, accounts, () -> { }, System.out::println);
-    }
+  private Path file;
+  private Accounts accounts;
+  private Keeper keeper;
 
-    @TearDown
-    public void end() throws IOException {
-        keeper.close();
-        Files.delete(file);
-        Files.delete(file.getParent());
+  @Setup
+  public void begin() throws IOException {
+    file = Files.createTempDirectory("postings").resolve("bench.figures");
+    List<String> methods = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      methods.add("method-" + i);
     }
-
-    @Benchmark
-    @OperationsPerInvocation(RPCS)
-    public void rpc() {
-        for (int i = 0; i < RPCS; i++) {
-            int method = i % 20;
-            int build = i & 1;
-            int unit = (i * 7919 & 0xffff) % 300;
-            Span took = Span.ofMs(0.1 + (i & 255) * 0.05);
-            accounts.rpcArrived(method, 0);
-            accounts.pickSent(method, build, unit, false);
-            accounts.pickWritten();
-            accounts.pickEnded(method, build, unit, false, true, 1, took);
-            accounts.rpcAnswered(method, 0, took, true, true);
-            if (i % eachTurn == eachTurn - 1) accounts.commit();
-        }
+    accounts = new Accounts(methods, new Accounts.Room(16, 1024, 64));
+    for (int i = 0; i < 300; i++) {
+      accounts.row(accounts.units, "" + i);
     }
-
-    /** The check that a relay makes each second, on its loop. */
-    @Benchmark
-    public Object check() {
-        return accounts.check();
+    for (int i = 0; i < 2; i++) {
+      accounts.row(accounts.builds, "" + i);
     }
+    keeper = Keeper.open(file, accounts, () -> {}, System.out::println);
+  }
 
-    /** What a scrape reads, on its own thread. */
-    @Benchmark
-    public Snapshot snapshot() {
-        return keeper.snapshot();
+  @TearDown
+  public void end() throws IOException {
+    keeper.close();
+    Files.delete(file);
+    Files.delete(file.getParent());
+  }
+
+  @Benchmark
+  @OperationsPerInvocation(RPCS)
+  public void rpc() {
+    for (int i = 0; i < RPCS; i++) {
+      int method = i % 20;
+      int build = i & 1;
+      int unit = (i * 7919 & 0xffff) % 300;
+      Span took = Span.ofMs(0.1 + (i & 255) * 0.05);
+      accounts.rpcArrived(method, 0);
+      accounts.pickSent(method, build, unit, false);
+      accounts.pickWritten();
+      accounts.pickEnded(method, build, unit, false, true, 1, took);
+      accounts.rpcAnswered(method, 0, took, true, true);
+      if (i % eachTurn == eachTurn - 1) {
+        accounts.commit();
+      }
     }
+  }
+
+  /** The check that a relay makes each second, on its loop. */
+  @Benchmark
+  public Object check() {
+    return accounts.check();
+  }
+
+  /** What a scrape reads, on its own thread. */
+  @Benchmark
+  public Snapshot snapshot() {
+    return keeper.snapshot();
+  }
 }
--- a/src/test/java/sprucerock/change/ChangesProperties.java
+++ b/src/test/java/sprucerock/change/ChangesProperties.java
@@ -13,154 +13,231 @@
 import sprucerock.time.Moment;
 
 /**
- * Any fleet, any order of events: relays that die, agents that fall silent and come back, verdicts, words, surges. Held against the
- * plainest account there is: what each relay was told, and who is away.
+ * Any fleet, any order of events: relays that die, agents that fall silent and come back, verdicts,
+ * words, surges. Held against the plainest account there is: what each relay was told, and who is
+ * away.
  */
 class ChangesProperties {
-    private static final int ZONES = 3;
-
-    private static final class Wild implements Changes.Host {
-        final SplittableRandom random;
-        final Changes changes = new Changes(ChangesTest.PLAN, this);
-        final Map<Integer, Integer> turns = new HashMap<>();
-        final int relays;
-        double now = 1000;
-        int room = 99;
-        boolean verdict;
-
-        Wild(long seed, int relays) {
-            random = new SplittableRandom(seed);
-            this.relays = relays;
-            for (int i = 0; i < relays; i++) changes.says(i, i % ZONES, random.nextInt(3) == 0, ChangesTest.OLD, true, 0, at(), 0);
-        }
+  private static final int ZONES = 3;
+
+  private static final class Wild implements Changes.Host {
+    final SplittableRandom random;
+    final Changes changes = new Changes(ChangesTest.PLAN, this);
+    final Map<Integer, Integer> turns = new HashMap<>();
+    final int relays;
+    double now = 1000;
+    int room = 99;
+    boolean verdict;
+
+    Wild(long seed, int relays) {
+      random = new SplittableRandom(seed);
+      this.relays = relays;
+      for (int i = 0; i < relays; i++) {
+        changes.says(i, i % ZONES, random.nextInt(3) == 0, ChangesTest.OLD, true, 0, at(), 0);
+      }
+    }
 
-        Moment at() {
-            return Moment.ofMs(now);
-        }
+    Moment at() {
+      return Moment.ofMs(now);
+    }
 
-        private boolean away(ManagedRelay relay) {
-            return !relay.ready() || relay.silent() || relay.wanted() != null && (relay.done() != relay.turn() || !relay.runs().equals(relay.wanted()));
-        }
+    private boolean away(ManagedRelay relay) {
+      return !relay.ready()
+          || relay.silent()
+          || relay.wanted() != null
+              && (relay.done() != relay.turn() || !relay.runs().equals(relay.wanted()));
+    }
 
-        int away(int zone) {
-            int count = 0;
-            for (ManagedRelay relay : changes.relays()) if (relay.zone() == zone && away(relay)) count++;
-            return count;
+    int away(int zone) {
+      int count = 0;
+      for (ManagedRelay relay : changes.relays()) {
+        if (relay.zone() == zone && away(relay)) {
+          count++;
         }
+      }
+      return count;
+    }
 
-        @Override
-        public void wants(ManagedRelay relay) {
-            assertTrue(relay.turn() >= turns.getOrDefault(relay.number, 0), "a turn went back");
-            turns.put(relay.number, relay.turn());
-            if (relay.turn() == 0) return;
-            int size = (relays + ZONES - 1 - relay.zone()) / ZONES;
-            Change under = changes.under();
-            boolean back = under == null || under.state() == State.GOING_BACK || under.state() == State.DONE;
-            int most = Math.min(Math.max(1, (int) (0.2 * size)), back ? Math.max(1, room) : room);
-            // it was told just now: it counts among those away, unless it was so before
-            if (relay.ready() && !relay.silent() && !back) assertTrue(away(relay.zone()) <= most, "relay " + relay.number + " makes " + away(relay.zone()) + " away in a zone of " + size + " with room for " + most);
-        }
+    @Override
+    public void wants(ManagedRelay relay) {
+      assertTrue(relay.turn() >= turns.getOrDefault(relay.number, 0), "a turn went back");
+      turns.put(relay.number, relay.turn());
+      if (relay.turn() == 0) {
+        return;
+      }
+      int size = (relays + ZONES - 1 - relay.zone()) / ZONES;
+      Change under = changes.under();
+      boolean back =
+          under == null || under.state() == State.GOING_BACK || under.state() == State.DONE;
+      int most = Math.min(Math.max(1, (int) (0.2 * size)), back ? Math.max(1, room) : room);
+      // it was told just now: it counts among those away, unless it was so before
+      if (relay.ready() && !relay.silent() && !back) {
+        assertTrue(
+            away(relay.zone()) <= most,
+            "relay "
+                + relay.number
+                + " makes "
+                + away(relay.zone())
+                + " away in a zone of "
+                + size
+                + " with room for "
+                + most);
+      }
+    }
 
-        @Override
-        public void changed(Change change, Change.Step step) {
-            if (step.state() == State.MOVING && step.stage() > 0 && !step.cause().startsWith("held") && !step.cause().startsWith("resumed") && !step.cause().startsWith("relays are") && !change.beside().isEmpty()) {
-                assertTrue(verdict, "stage " + step.stage() + " began without evidence");
-            }
-            if (step.state() != State.PROPOSED) verdict &= step.state() == State.WATCHED; // a verdict is of one stage
-        }
+    @Override
+    public void changed(Change change, Change.Step step) {
+      if (step.state() == State.MOVING
+          && step.stage() > 0
+          && !step.cause().startsWith("held")
+          && !step.cause().startsWith("resumed")
+          && !step.cause().startsWith("relays are")
+          && !change.beside().isEmpty()) {
+        assertTrue(verdict, "stage " + step.stage() + " began without evidence");
+      }
+      if (step.state() != State.PROPOSED) {
+        verdict &= step.state() == State.WATCHED; // a verdict is of one stage
+      }
+    }
 
-        /** Something happens. */
-        void step() {
-            now += random.nextInt(1500);
-            int number = random.nextInt(relays);
-            ManagedRelay relay = changes.relay(number);
-            Change under = changes.under();
-            switch (random.nextInt(14)) {
-                case 0 -> changes.silent(number, at(), 0);
-                case 1 -> changes.says(number, relay.zone(), relay.busy(), relay.runs(), false, relay.done(), at(), 0);
-                case 2 -> {
-                    if (under == null || random.nextInt(4) > 0) return;
-                    changes.failed(number, random.nextBoolean() ? under.to : under.from, 0, "ended with code 1", at(), 0);
-                }
-                case 3 -> {
-                    if (under == null) return;
-                    Verdict is = Verdict.values()[random.nextInt(20) == 0 ? 2 : random.nextInt(2)];
-                    verdict = is == Verdict.NO_WORSE && (under.state() == State.MOVING || under.state() == State.WATCHED);
-                    changes.judged(under.number, under.stage(), is, "", at(), 0);
-                }
-                case 4 -> {
-                    room = random.nextInt(4);
-                    Map<Integer, Integer> byZone = new HashMap<>();
-                    for (int zone = 0; zone < ZONES; zone++) byZone.put(zone, room);
-                    changes.room(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
-                }
-                case 5 -> changes.releasing(random.nextInt(4) == 0, at(), 0);
-                case 6 -> {
-                    if (changes.waiting() == null && under == null) {
-                        boolean old = changes.usual().equals(ChangesTest.OLD);
-                        changes.propose("any", "one", old ? ChangesTest.NEW : ChangesTest.OLD, false, at(), 0);
-                    }
-                }
-                case 7 -> {
-                    if (under != null && random.nextInt(10) == 0) changes.word(Changes.Word.values()[random.nextInt(3)], under.number, "any", "one", at(), 0);
-                }
-                case 8, 9 -> {
-                    Change waits = changes.waiting();
-                    if (waits != null) changes.checked(number, waits.number, random.nextInt(60) == 0 ? "no" : "", at(), 0);
-                }
-                case 10 -> changes.tick(at(), 0);
-                default -> obey(relay);
-            }
+    /** Something happens. */
+    void step() {
+      now += random.nextInt(1500);
+      int number = random.nextInt(relays);
+      ManagedRelay relay = changes.relay(number);
+      Change under = changes.under();
+      switch (random.nextInt(14)) {
+        case 0 -> changes.silent(number, at(), 0);
+        case 1 ->
+            changes.says(
+                number, relay.zone(), relay.busy(), relay.runs(), false, relay.done(), at(), 0);
+        case 2 -> {
+          if (under == null || random.nextInt(4) > 0) {
+            return;
+          }
+          changes.failed(
+              number,
+              random.nextBoolean() ? under.to : under.from,
+              0,
+              "ended with code 1",
+              at(),
+              0);
         }
-
-        void obey(ManagedRelay relay) {
-            Version runs = relay.wanted() == null ? relay.runs() : relay.wanted();
-            changes.says(relay.number, relay.zone(), relay.busy(), runs, true, relay.turn(), at(), 0);
+        case 3 -> {
+          if (under == null) {
+            return;
+          }
+          Verdict is = Verdict.values()[random.nextInt(20) == 0 ? 2 : random.nextInt(2)];
+          verdict =
+              is == Verdict.NO_WORSE
+                  && (under.state() == State.MOVING || under.state() == State.WATCHED);
+          changes.judged(under.number, under.stage(), is, "", at(), 0);
         }
+        case 4 -> {
+          room = random.nextInt(4);
+          Map<Integer, Integer> byZone = new HashMap<>();
+          for (int zone = 0; zone < ZONES; zone++) {
+            byZone.put(zone, room);
+          }
+          changes.room(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
+        }
+        case 5 -> changes.releasing(random.nextInt(4) == 0, at(), 0);
+        case 6 -> {
+          if (changes.waiting() == null && under == null) {
+            boolean old = changes.usual().equals(ChangesTest.OLD);
+            changes.propose("any", "one", old ? ChangesTest.NEW : ChangesTest.OLD, false, at(), 0);
+          }
+        }
+        case 7 -> {
+          if (under != null && random.nextInt(10) == 0) {
+            changes.word(
+                Changes.Word.values()[random.nextInt(3)], under.number, "any", "one", at(), 0);
+          }
+        }
+        case 8, 9 -> {
+          Change waits = changes.waiting();
+          if (waits != null) {
+            changes.checked(number, waits.number, random.nextInt(60) == 0 ? "no" : "", at(), 0);
+          }
+        }
+        case 10 -> changes.tick(at(), 0);
+        default -> obey(relay);
+      }
     }
 
-    @Property(tries = 300, seed = "11")
-    void neverMoreAwayThanTheRoomNorAStageAheadOfItsEvidence(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int relays) {
-        Wild wild = new Wild(seed, relays);
-        for (int i = 0; i < 600; i++) wild.step();
+    void obey(ManagedRelay relay) {
+      Version runs = relay.wanted() == null ? relay.runs() : relay.wanted();
+      changes.says(relay.number, relay.zone(), relay.busy(), runs, true, relay.turn(), at(), 0);
     }
-
-    @Property(tries = 200, seed = "12")
-    void everyRunEnds(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int relays) {
-        Wild wild = new Wild(seed, relays);
-        for (int i = 0; i < 300; i++) wild.step();
-        wild.changes.releasing(false, wild.at(), 0);
-        wild.room = 99;
-        wild.changes.room(Map.of(), "", wild.at(), 0);
-        for (int i = 0; i < 400; i++) { // agents obey, nobody speaks, time passes
-            wild.now += 5000;
-            for (ManagedRelay relay : java.util.List.copyOf(wild.changes.relays())) wild.obey(relay);
-            wild.changes.tick(wild.at(), 0);
-        }
-        for (Change one : wild.changes.all()) assertTrue(!one.state().open(), "change " + one.number + " is " + one.state() + " still: " + wild.changes.waitsFor(one, wild.at()));
-        for (ManagedRelay relay : wild.changes.relays()) {
-            boolean refused = wild.changes.all().stream().anyMatch(one -> one.refused().containsKey(relay.number));
-            if (wild.changes.all().stream().anyMatch(one -> one.state() == State.DONE) && !refused) assertEquals(relay.runs(), wild.changes.current());
-        }
+  }
+
+  @Property(tries = 300, seed = "11")
+  void neverMoreAwayThanTheRoomNorAStageAheadOfItsEvidence(
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int relays) {
+    Wild wild = new Wild(seed, relays);
+    for (int i = 0; i < 600; i++) {
+      wild.step();
     }
+  }
 
-    @Property(tries = 200, seed = "13")
-    void whatIsKeptAndPutBackGoesOnAlike(@ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int relays) {
-        Wild wild = new Wild(seed, relays);
-        for (int i = 0; i < 300; i++) {
-            wild.step();
-            if (i % 50 != 0) continue;
-            Changes back = new Changes(ChangesTest.PLAN, new Changes.Host() {
+  @Property(tries = 200, seed = "12")
+  void everyRunEnds(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int relays) {
+    Wild wild = new Wild(seed, relays);
+    for (int i = 0; i < 300; i++) {
+      wild.step();
+    }
+    wild.changes.releasing(false, wild.at(), 0);
+    wild.room = 99;
+    wild.changes.room(Map.of(), "", wild.at(), 0);
+    for (int i = 0; i < 400; i++) { // agents obey, nobody speaks, time passes
+      wild.now += 5000;
+      for (ManagedRelay relay : java.util.List.copyOf(wild.changes.relays())) {
+        wild.obey(relay);
+      }
+      wild.changes.tick(wild.at(), 0);
+    }
+    for (Change one : wild.changes.all()) {
+      assertTrue(
+          !one.state().open(),
+          "change "
+              + one.number
+              + " is "
+              + one.state()
+              + " still: "
+              + wild.changes.waitsFor(one, wild.at()));
+    }
+    for (ManagedRelay relay : wild.changes.relays()) {
+      boolean refused =
+          wild.changes.all().stream().anyMatch(one -> one.refused().containsKey(relay.number));
+      if (wild.changes.all().stream().anyMatch(one -> one.state() == State.DONE) && !refused) {
+        assertEquals(relay.runs(), wild.changes.current());
+      }
+    }
+  }
+
+  @Property(tries = 200, seed = "13")
+  void whatIsKeptAndPutBackGoesOnAlike(
+      @ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int relays) {
+    Wild wild = new Wild(seed, relays);
+    for (int i = 0; i < 300; i++) {
+      wild.step();
+      if (i % 50 != 0) {
+        continue;
+      }
+      Changes back =
+          new Changes(
+              ChangesTest.PLAN,
+              new Changes.Host() {
                 @Override
                 public void changed(Change change, Change.Step step) {}
 
                 @Override
                 public void wants(ManagedRelay relay) {}
-            });
-            ChangeNotes before = ChangeNotes.of(wild.changes);
-            before.into(back);
-            assertEquals(ChangeNotes.of(back), before);
-            assertEquals(back.due(wild.at()), wild.changes.due(wild.at()));
-        }
+              });
+      ChangeNotes before = ChangeNotes.of(wild.changes);
+      before.into(back);
+      assertEquals(ChangeNotes.of(back), before);
+      assertEquals(back.due(wild.at()), wild.changes.due(wild.at()));
     }
+  }
 }
--- a/src/test/java/sprucerock/change/ChangesTest.java
+++ b/src/test/java/sprucerock/change/ChangesTest.java
@@ -15,306 +15,362 @@
 
 /** A change on its way through a fleet, told as stories. */
 public class ChangesTest {
-    static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
-    static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
-    static final Plan PLAN = new Plan(List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)), Span.ofMs(10_000), Span.ofMs(120_000),
-        Span.ofMs(20_000), 0.2, 0.1, Span.ofMs(5000));
+  static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
+  static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
+  static final Plan PLAN =
+      new Plan(
+          List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)),
+          Span.ofMs(10_000),
+          Span.ofMs(120_000),
+          Span.ofMs(20_000),
+          0.2,
+          0.1,
+          Span.ofMs(5000));
 
-    /** So many relays in two zones, each third one busy, whose agents do at once what is wanted of them. */
-    static final class Fleet implements Changes.Host {
-        final Changes changes;
-        final List<Change.Step> steps = new ArrayList<>();
-        final List<ManagedRelay> wants = new ArrayList<>();
-        double now = 1000;
+  /**
+   * So many relays in two zones, each third one busy, whose agents do at once what is wanted of
+   * them.
+   */
+  static final class Fleet implements Changes.Host {
+    final Changes changes;
+    final List<Change.Step> steps = new ArrayList<>();
+    final List<ManagedRelay> wants = new ArrayList<>();
+    double now = 1000;
 
-        Fleet(int relays) {
-            changes = new Changes(PLAN, this);
-            for (int i = 0; i < relays; i++) changes.says(i, i % 2, i % 3 == 0, OLD, true, 0, at(), 0);
-        }
-
-        Moment at() {
-            return Moment.ofMs(now);
-        }
-
-        void says(int number, Version runs, boolean ready) {
-            ManagedRelay relay = changes.relay(number);
-            changes.says(number, relay.zone, relay.busy, runs, ready, relay.turn(), at(), 0);
-        }
+    Fleet(int relays) {
+      changes = new Changes(PLAN, this);
+      for (int i = 0; i < relays; i++) {
+        changes.says(i, i % 2, i % 3 == 0, OLD, true, 0, at(), 0);
+      }
+    }
 
-        /** All that are to run something else do so, one after another, each for a moment away. */
-        void obey() {
-            while (!wants.isEmpty()) {
-                ManagedRelay next = wants.remove(0);
-                if (next.silent()) continue;
-                says(next.number, next.wanted(), false);
-                now += 300;
-                says(next.number, next.wanted(), true);
-            }
-        }
+    Moment at() {
+      return Moment.ofMs(now);
+    }
 
-        Change propose() {
-            assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
-            Change change = changes.waiting();
-            for (ManagedRelay relay : List.copyOf(changes.relays())) changes.checked(relay.number, change.number, "", at(), 0);
-            return change;
-        }
+    void says(int number, Version runs, boolean ready) {
+      ManagedRelay relay = changes.relay(number);
+      changes.says(number, relay.zone, relay.busy, runs, ready, relay.turn(), at(), 0);
+    }
 
-        void pass(double ms) {
-            now += ms;
-            changes.tick(at(), 0);
+    /** All that are to run something else do so, one after another, each for a moment away. */
+    void obey() {
+      while (!wants.isEmpty()) {
+        ManagedRelay next = wants.remove(0);
+        if (next.silent()) {
+          continue;
         }
+        says(next.number, next.wanted(), false);
+        now += 300;
+        says(next.number, next.wanted(), true);
+      }
+    }
 
-        int on(Version version) {
-            int count = 0;
-            for (ManagedRelay relay : changes.relays()) if (relay.runs().equals(version)) count++;
-            return count;
-        }
+    Change propose() {
+      assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
+      Change change = changes.waiting();
+      for (ManagedRelay relay : List.copyOf(changes.relays())) {
+        changes.checked(relay.number, change.number, "", at(), 0);
+      }
+      return change;
+    }
 
-        @Override
-        public void changed(Change change, Change.Step step) {
-            steps.add(step);
-        }
+    void pass(double ms) {
+      now += ms;
+      changes.tick(at(), 0);
+    }
 
-        @Override
-        public void wants(ManagedRelay relay) {
-            wants.add(relay);
+    int on(Version version) {
+      int count = 0;
+      for (ManagedRelay relay : changes.relays()) {
+        if (relay.runs().equals(version)) {
+          count++;
         }
+      }
+      return count;
     }
 
-    private static void fine(Fleet fleet, Change change) {
-        fleet.changes.judged(change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+    @Override
+    public void changed(Change change, Change.Step step) {
+      steps.add(step);
     }
 
-    @Test
-    public void aGoodChangeGoesFromOneRelayToAllBesideControls() {
-        Fleet fleet = new Fleet(20);
-        Change change = fleet.propose();
-        assertEquals(change.state(), State.MOVING);
-        fleet.obey();
-        assertEquals(fleet.on(NEW), 1);
-        assertEquals(change.beside().size(), 1);
-        int control = change.beside().values().iterator().next();
-        assertEquals(fleet.changes.relay(control).runs(), OLD);
-        assertEquals(fleet.changes.relay(control).turn(), 1); // restarted with it
-        assertEquals(change.state(), State.WATCHED);
-        fleet.pass(11_000);
-        assertEquals(change.stage(), 0); // time alone is no evidence
-        fine(fleet, change);
-        assertEquals(change.stage(), 1);
-        fleet.obey();
-        assertEquals(fleet.on(NEW), 5);
-        assertEquals(change.beside().size(), 5);
-        fine(fleet, change);
-        assertEquals(change.stage(), 1); // evidence alone is too quick
-        fleet.pass(11_000);
-        fleet.obey();
-        assertEquals(fleet.on(NEW), 20);
-        fleet.pass(11_000);
-        assertEquals(change.state(), State.DONE);
-        assertEquals(fleet.changes.current(), NEW);
+    @Override
+    public void wants(ManagedRelay relay) {
+      wants.add(relay);
     }
+  }
 
-    @Test
-    public void aWorseChangeIsTakenBackNewestFirst() {
-        Fleet fleet = new Fleet(20);
-        Change change = fleet.propose();
-        fleet.obey();
-        fine(fleet, change);
-        fleet.pass(11_000);
-        fleet.obey();
-        List<Integer> moved = List.copyOf(change.moved());
-        fleet.changes.judged(change.number, 1, Verdict.WORSE, "unserved +0.05", fleet.at(), 0);
-        assertEquals(change.state(), State.GOING_BACK);
-        assertEquals(fleet.wants.get(0).number, (int) moved.get(moved.size() - 1));
-        fleet.obey();
-        assertEquals(fleet.on(NEW), 0);
-        assertEquals(change.state(), State.GIVEN_UP);
-        assertTrue(fleet.steps.stream().anyMatch(step -> step.cause().equals("worse: unserved +0.05")));
-        assertEquals(fleet.changes.current(), OLD);
-    }
+  private static void fine(Fleet fleet, Change change) {
+    fleet.changes.judged(change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+  }
 
-    @Test
-    public void aRelayThatEndsByItselfOnTheNewVersionStopsItAtOnce() {
-        Fleet fleet = new Fleet(20);
-        Change change = fleet.propose();
-        int first = change.moved().iterator().next();
-        fleet.says(first, NEW, false);
-        fleet.changes.failed(first, NEW, 0, "ended with code 3", fleet.at(), 0);
-        assertEquals(change.state(), State.GOING_BACK);
-        fleet.obey();
-        assertEquals(change.state(), State.GIVEN_UP);
-        fleet.changes.failed(5, OLD, 0, "was killed for memory", fleet.at(), 0); // an old one's end is no fault of a change
-    }
+  @Test
+  public void aGoodChangeGoesFromOneRelayToAllBesideControls() {
+    Fleet fleet = new Fleet(20);
+    Change change = fleet.propose();
+    assertEquals(change.state(), State.MOVING);
+    fleet.obey();
+    assertEquals(fleet.on(NEW), 1);
+    assertEquals(change.beside().size(), 1);
+    int control = change.beside().values().iterator().next();
+    assertEquals(fleet.changes.relay(control).runs(), OLD);
+    assertEquals(fleet.changes.relay(control).turn(), 1); // restarted with it
+    assertEquals(change.state(), State.WATCHED);
+    fleet.pass(11_000);
+    assertEquals(change.stage(), 0); // time alone is no evidence
+    fine(fleet, change);
+    assertEquals(change.stage(), 1);
+    fleet.obey();
+    assertEquals(fleet.on(NEW), 5);
+    assertEquals(change.beside().size(), 5);
+    fine(fleet, change);
+    assertEquals(change.stage(), 1); // evidence alone is too quick
+    fleet.pass(11_000);
+    fleet.obey();
+    assertEquals(fleet.on(NEW), 20);
+    fleet.pass(11_000);
+    assertEquals(change.state(), State.DONE);
+    assertEquals(fleet.changes.current(), NEW);
+  }
 
-    @Test
-    public void aFailureThatIsToldAgainDoesNotStopTheSameVersionProposedAnew() {
-        Fleet fleet = new Fleet(20);
-        Change change = fleet.propose();
-        int first = change.moved().iterator().next();
-        int turn = fleet.changes.relay(first).turn();
-        fleet.changes.failed(first, NEW, turn, "the disk was full", fleet.at(), 0);
-        fleet.obey();
-        assertEquals(change.state(), State.GIVEN_UP);
-        Change again = fleet.propose();
-        assertTrue(again.moved().contains(first), "the story needs the same relay first");
-        fleet.changes.failed(first, NEW, turn, "the disk was full", fleet.at(), 0); // a controller that started is told once more
-        assertTrue(again.state() == State.MOVING || again.state() == State.WATCHED, again.state().toString());
-        fleet.changes.failed(first, NEW, fleet.changes.relay(first).turn(), "ended with code 3", fleet.at(), 0);
-        assertEquals(again.state(), State.GOING_BACK);
-    }
+  @Test
+  public void aWorseChangeIsTakenBackNewestFirst() {
+    Fleet fleet = new Fleet(20);
+    Change change = fleet.propose();
+    fleet.obey();
+    fine(fleet, change);
+    fleet.pass(11_000);
+    fleet.obey();
+    List<Integer> moved = List.copyOf(change.moved());
+    fleet.changes.judged(change.number, 1, Verdict.WORSE, "unserved +0.05", fleet.at(), 0);
+    assertEquals(change.state(), State.GOING_BACK);
+    assertEquals(fleet.wants.get(0).number, (int) moved.get(moved.size() - 1));
+    fleet.obey();
+    assertEquals(fleet.on(NEW), 0);
+    assertEquals(change.state(), State.GIVEN_UP);
+    assertTrue(fleet.steps.stream().anyMatch(step -> step.cause().equals("worse: unserved +0.05")));
+    assertEquals(fleet.changes.current(), OLD);
+  }
 
-    @Test
-    public void aRelayThatIsNeverReadyOrNeverHeardAgainStopsIt() {
-        Fleet slow = new Fleet(20);
-        Change change = slow.propose();
-        slow.says(change.moved().iterator().next(), NEW, false);
-        slow.pass(21_000);
-        assertEquals(change.state(), State.GOING_BACK);
-        Fleet gone = new Fleet(20);
-        Change other = gone.propose();
-        gone.changes.silent(other.moved().iterator().next(), gone.at(), 0);
-        assertEquals(other.state(), State.GIVEN_UP); // nobody is there to go back: it is told once it is heard
-        assertEquals(gone.changes.relay(other.moved().iterator().next()).wanted(), OLD);
-    }
+  @Test
+  public void aRelayThatEndsByItselfOnTheNewVersionStopsItAtOnce() {
+    Fleet fleet = new Fleet(20);
+    Change change = fleet.propose();
+    int first = change.moved().iterator().next();
+    fleet.says(first, NEW, false);
+    fleet.changes.failed(first, NEW, 0, "ended with code 3", fleet.at(), 0);
+    assertEquals(change.state(), State.GOING_BACK);
+    fleet.obey();
+    assertEquals(change.state(), State.GIVEN_UP);
+    fleet.changes.failed(
+        5,
+        OLD,
+        0,
+        "was killed for memory",
+        fleet.at(),
+        0); // an old one's end is no fault of a change
+  }
 
-    /** Its agent took up again by itself what ran well: it counts as out, and no other has to be in for it to be told. */
-    @Test
-    public void aRelayThatFellBackByItselfIsNotWaitedForInVain() {
-        Fleet fleet = new Fleet(3);
-        Change change = fleet.propose();
-        int first = change.moved().iterator().next();
-        fleet.says(first, NEW, false);
-        ManagedRelay relay = fleet.changes.relay(first);
-        fleet.changes.says(first, relay.zone(), relay.busy(), OLD, true, relay.done() - 1, fleet.at(), 0);
-        fleet.wants.clear();
-        fleet.changes.failed(first, NEW, 0, "ended with code 3", fleet.at(), 0);
-        fleet.obey();
-        assertEquals(change.state(), State.GIVEN_UP);
-    }
+  @Test
+  public void aFailureThatIsToldAgainDoesNotStopTheSameVersionProposedAnew() {
+    Fleet fleet = new Fleet(20);
+    Change change = fleet.propose();
+    int first = change.moved().iterator().next();
+    int turn = fleet.changes.relay(first).turn();
+    fleet.changes.failed(first, NEW, turn, "the disk was full", fleet.at(), 0);
+    fleet.obey();
+    assertEquals(change.state(), State.GIVEN_UP);
+    Change again = fleet.propose();
+    assertTrue(again.moved().contains(first), "the story needs the same relay first");
+    fleet.changes.failed(
+        first,
+        NEW,
+        turn,
+        "the disk was full",
+        fleet.at(),
+        0); // a controller that started is told once more
+    assertTrue(
+        again.state() == State.MOVING || again.state() == State.WATCHED, again.state().toString());
+    fleet.changes.failed(
+        first, NEW, fleet.changes.relay(first).turn(), "ended with code 3", fleet.at(), 0);
+    assertEquals(again.state(), State.GOING_BACK);
+  }
 
-    @Test
-    public void aFileThatSomeRefuseIsGivenUpBeforeAnyoneIsMoved() {
-        Fleet fleet = new Fleet(20);
-        assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
-        Change change = fleet.changes.waiting();
-        for (int i = 0; i < 3; i++) fleet.changes.checked(i, change.number, "relay.xml:12: sockets is above 0", fleet.at(), 0);
-        assertEquals(change.state(), State.GIVEN_UP);
-        assertTrue(change.steps().get(1).cause().contains("relay.xml:12"), change.steps().get(1).cause());
-        assertTrue(fleet.wants.stream().noneMatch(relay -> relay.turn() > 0));
-    }
+  @Test
+  public void aRelayThatIsNeverReadyOrNeverHeardAgainStopsIt() {
+    Fleet slow = new Fleet(20);
+    Change change = slow.propose();
+    slow.says(change.moved().iterator().next(), NEW, false);
+    slow.pass(21_000);
+    assertEquals(change.state(), State.GOING_BACK);
+    Fleet gone = new Fleet(20);
+    Change other = gone.propose();
+    gone.changes.silent(other.moved().iterator().next(), gone.at(), 0);
+    assertEquals(
+        other.state(), State.GIVEN_UP); // nobody is there to go back: it is told once it is heard
+    assertEquals(gone.changes.relay(other.moved().iterator().next()).wanted(), OLD);
+  }
 
-    @Test
-    public void oneMachineThatRefusesIsLeftOut() {
-        Fleet fleet = new Fleet(20);
-        assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
-        Change change = fleet.changes.waiting();
-        for (int i = 0; i < 20; i++) fleet.changes.checked(i, change.number, i == 4 ? "its disk is full" : "", fleet.at(), 0);
-        for (int stage = 0; stage < 3; stage++) {
-            fleet.obey();
-            fine(fleet, change);
-            fleet.pass(11_000);
-        }
-        assertEquals(change.state(), State.DONE);
-        assertEquals(fleet.on(NEW), 19);
-        assertEquals(fleet.changes.relay(4).runs(), OLD);
-    }
+  /**
+   * Its agent took up again by itself what ran well: it counts as out, and no other has to be in
+   * for it to be told.
+   */
+  @Test
+  public void aRelayThatFellBackByItselfIsNotWaitedForInVain() {
+    Fleet fleet = new Fleet(3);
+    Change change = fleet.propose();
+    int first = change.moved().iterator().next();
+    fleet.says(first, NEW, false);
+    ManagedRelay relay = fleet.changes.relay(first);
+    fleet.changes.says(
+        first, relay.zone(), relay.busy(), OLD, true, relay.done() - 1, fleet.at(), 0);
+    fleet.wants.clear();
+    fleet.changes.failed(first, NEW, 0, "ended with code 3", fleet.at(), 0);
+    fleet.obey();
+    assertEquals(change.state(), State.GIVEN_UP);
+  }
 
-    @Test
-    public void noMoreAreOutThanTheRoomAllows() {
-        Fleet fleet = new Fleet(20);
-        fleet.changes.room(Map.of(0, 1, 1, 1), "", fleet.at(), 0);
-        Change change = fleet.propose();
-        fleet.obey();
-        fine(fleet, change);
-        fleet.wants.clear();
-        fleet.pass(11_000);
-        assertTrue(fleet.wants.size() <= 2, fleet.wants.size() + " were told with room for one in each of two zones");
-        fleet.changes.silent(fleet.wants.get(0).number == 19 ? 18 : 19, fleet.at(), 0); // an outage takes up the room
-        int before = change.moved().size();
-        fleet.obey();
-        assertTrue(change.moved().size() >= before);
-        fleet.changes.room(Map.of(0, 0, 1, 0), "", fleet.at(), 0);
-        before = change.moved().size();
-        fleet.obey();
-        fleet.pass(1000);
-        assertEquals(change.moved().size(), before);
+  @Test
+  public void aFileThatSomeRefuseIsGivenUpBeforeAnyoneIsMoved() {
+    Fleet fleet = new Fleet(20);
+    assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
+    Change change = fleet.changes.waiting();
+    for (int i = 0; i < 3; i++) {
+      fleet.changes.checked(i, change.number, "relay.xml:12: sockets is above 0", fleet.at(), 0);
     }
+    assertEquals(change.state(), State.GIVEN_UP);
+    assertTrue(
+        change.steps().get(1).cause().contains("relay.xml:12"), change.steps().get(1).cause());
+    assertTrue(fleet.wants.stream().noneMatch(relay -> relay.turn() > 0));
+  }
 
-    @Test
-    public void nothingIsMovedWhileABuildIsOnTrialOrInASurge() {
-        Fleet fleet = new Fleet(20);
-        fleet.changes.releasing(true, fleet.at(), 0);
-        Change change = fleet.propose();
-        assertEquals(change.state(), State.CHECKED);
-        assertTrue(fleet.changes.waitsFor(change, fleet.at()).contains("a build of the units to be off trial"));
-        fleet.changes.releasing(false, fleet.at(), 0);
-        fleet.obey();
-        fleet.changes.room(Map.of(), "those that did not change serve 0.8", fleet.at(), 0);
-        fine(fleet, change);
-        fleet.pass(30_000);
-        assertEquals(change.stage(), 0);
-        fleet.changes.room(Map.of(), "", fleet.at(), 0);
-        assertEquals(change.stage(), 1);
+  @Test
+  public void oneMachineThatRefusesIsLeftOut() {
+    Fleet fleet = new Fleet(20);
+    assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
+    Change change = fleet.changes.waiting();
+    for (int i = 0; i < 20; i++) {
+      fleet.changes.checked(i, change.number, i == 4 ? "its disk is full" : "", fleet.at(), 0);
     }
-
-    @Test
-    public void harmIsTakenBackEvenThenOneAtATime() {
-        Fleet fleet = new Fleet(20);
-        Change change = fleet.propose();
-        fleet.obey();
-        fine(fleet, change);
-        fleet.pass(11_000);
-        fleet.obey();
-        fleet.changes.room(Map.of(0, 0, 1, 0), "a surge", fleet.at(), 0);
-        fleet.wants.clear();
-        fleet.changes.judged(change.number, 1, Verdict.WORSE, "refused +0.2", fleet.at(), 0);
-        assertEquals(fleet.wants.size(), 2); // one of each zone
-        fleet.obey();
-        assertEquals(change.state(), State.GIVEN_UP);
+    for (int stage = 0; stage < 3; stage++) {
+      fleet.obey();
+      fine(fleet, change);
+      fleet.pass(11_000);
     }
+    assertEquals(change.state(), State.DONE);
+    assertEquals(fleet.on(NEW), 19);
+    assertEquals(fleet.changes.relay(4).runs(), OLD);
+  }
 
-    @Test
-    public void whatIsNeverSureEndsAndSoDoesWhatIsHeld() {
-        Fleet fleet = new Fleet(20);
-        Change change = fleet.propose();
-        fleet.obey();
-        fleet.pass(121_000);
-        assertEquals(change.state(), State.GOING_BACK);
-        fleet.obey();
-        assertEquals(change.state(), State.GIVEN_UP);
-        Change next = fleet.propose();
-        fleet.obey();
-        assertNull(fleet.changes.word(Changes.Word.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
-        fine(fleet, next);
-        fleet.pass(60_000);
-        assertEquals(next.stage(), 0);
-        fleet.pass(61_000);
-        assertEquals(next.state(), State.GOING_BACK);
-        assertTrue(next.steps().get(next.steps().size() - 1).cause().startsWith("it was held for longer"));
-    }
+  @Test
+  public void noMoreAreOutThanTheRoomAllows() {
+    Fleet fleet = new Fleet(20);
+    fleet.changes.room(Map.of(0, 1, 1, 1), "", fleet.at(), 0);
+    Change change = fleet.propose();
+    fleet.obey();
+    fine(fleet, change);
+    fleet.wants.clear();
+    fleet.pass(11_000);
+    assertTrue(
+        fleet.wants.size() <= 2,
+        fleet.wants.size() + " were told with room for one in each of two zones");
+    fleet.changes.silent(
+        fleet.wants.get(0).number == 19 ? 18 : 19, fleet.at(), 0); // an outage takes up the room
+    int before = change.moved().size();
+    fleet.obey();
+    assertTrue(change.moved().size() >= before);
+    fleet.changes.room(Map.of(0, 0, 1, 0), "", fleet.at(), 0);
+    before = change.moved().size();
+    fleet.obey();
+    fleet.pass(1000);
+    assertEquals(change.moved().size(), before);
+  }
 
-    @Test
-    public void aSecondOneWaitsAndAThirdTakesItsPlace() {
-        Fleet fleet = new Fleet(4);
-        Change first = fleet.propose();
-        Version third = new Version("c".repeat(64), "0".repeat(64));
-        assertNull(fleet.changes.propose("bob", "more heap", third, false, fleet.at(), 0));
-        Change second = fleet.changes.waiting();
-        assertNull(fleet.changes.propose("bob", "less heap", new Version("d".repeat(64), "0".repeat(64)), false, fleet.at(), 0));
-        assertEquals(second.state(), State.GIVEN_UP);
-        assertEquals(first.state(), State.MOVING);
-        assertEquals(fleet.changes.propose("bob", "again", NEW, false, fleet.at(), 0), "that is what relays run once change 1 is done");
-        assertFalse(fleet.changes.waiting().state().out());
-    }
+  @Test
+  public void nothingIsMovedWhileABuildIsOnTrialOrInASurge() {
+    Fleet fleet = new Fleet(20);
+    fleet.changes.releasing(true, fleet.at(), 0);
+    Change change = fleet.propose();
+    assertEquals(change.state(), State.CHECKED);
+    assertTrue(
+        fleet
+            .changes
+            .waitsFor(change, fleet.at())
+            .contains("a build of the units to be off trial"));
+    fleet.changes.releasing(false, fleet.at(), 0);
+    fleet.obey();
+    fleet.changes.room(Map.of(), "those that did not change serve 0.8", fleet.at(), 0);
+    fine(fleet, change);
+    fleet.pass(30_000);
+    assertEquals(change.stage(), 0);
+    fleet.changes.room(Map.of(), "", fleet.at(), 0);
+    assertEquals(change.stage(), 1);
+  }
 
-    @Test
-    public void aFleetOfOneIsChangedByTimeAndBySeeingItRun() {
-        Fleet fleet = new Fleet(1);
-        Change change = fleet.propose();
-        for (int stage = 0; stage < 3; stage++) {
-            fleet.obey();
-            fleet.pass(11_000);
-        }
-        assertEquals(change.state(), State.DONE);
+  @Test
+  public void harmIsTakenBackEvenThenOneAtATime() {
+    Fleet fleet = new Fleet(20);
+    Change change = fleet.propose();
+    fleet.obey();
+    fine(fleet, change);
+    fleet.pass(11_000);
+    fleet.obey();
+    fleet.changes.room(Map.of(0, 0, 1, 0), "a surge", fleet.at(), 0);
+    fleet.wants.clear();
+    fleet.changes.judged(change.number, 1, Verdict.WORSE, "refused +0.2", fleet.at(), 0);
+    assertEquals(fleet.wants.size(), 2); // one of each zone
+    fleet.obey();
+    assertEquals(change.state(), State.GIVEN_UP);
+  }
+
+  @Test
+  public void whatIsNeverSureEndsAndSoDoesWhatIsHeld() {
+    Fleet fleet = new Fleet(20);
+    Change change = fleet.propose();
+    fleet.obey();
+    fleet.pass(121_000);
+    assertEquals(change.state(), State.GOING_BACK);
+    fleet.obey();
+    assertEquals(change.state(), State.GIVEN_UP);
+    Change next = fleet.propose();
+    fleet.obey();
+    assertNull(fleet.changes.word(Changes.Word.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
+    fine(fleet, next);
+    fleet.pass(60_000);
+    assertEquals(next.stage(), 0);
+    fleet.pass(61_000);
+    assertEquals(next.state(), State.GOING_BACK);
+    assertTrue(
+        next.steps().get(next.steps().size() - 1).cause().startsWith("it was held for longer"));
+  }
+
+  @Test
+  public void aSecondOneWaitsAndAThirdTakesItsPlace() {
+    Fleet fleet = new Fleet(4);
+    Change first = fleet.propose();
+    Version third = new Version("c".repeat(64), "0".repeat(64));
+    assertNull(fleet.changes.propose("bob", "more heap", third, false, fleet.at(), 0));
+    Change second = fleet.changes.waiting();
+    assertNull(
+        fleet.changes.propose(
+            "bob", "less heap", new Version("d".repeat(64), "0".repeat(64)), false, fleet.at(), 0));
+    assertEquals(second.state(), State.GIVEN_UP);
+    assertEquals(first.state(), State.MOVING);
+    assertEquals(
+        fleet.changes.propose("bob", "again", NEW, false, fleet.at(), 0),
+        "that is what relays run once change 1 is done");
+    assertFalse(fleet.changes.waiting().state().out());
+  }
+
+  @Test
+  public void aFleetOfOneIsChangedByTimeAndBySeeingItRun() {
+    Fleet fleet = new Fleet(1);
+    Change change = fleet.propose();
+    for (int stage = 0; stage < 3; stage++) {
+      fleet.obey();
+      fleet.pass(11_000);
     }
+    assertEquals(change.state(), State.DONE);
+  }
 }
--- a/src/test/java/sprucerock/compare/ComparisonTest.java
+++ b/src/test/java/sprucerock/compare/ComparisonTest.java
@@ -7,96 +7,142 @@
 import org.testng.annotations.Test;
 import sprucerock.compare.Comparison.Answer;
 
-/** What is told of old and new side by side; chance from seeds, so each verdict is the same every time. */
+/**
+ * What is told of old and new side by side; chance from seeds, so each verdict is the same every
+ * time.
+ */
 public class ComparisonTest {
-    private final SplittableRandom random = new SplittableRandom(7);
+  private final SplittableRandom random = new SplittableRandom(7);
 
-    /** A relay's window: so many RPCs, of which a share is not served in time, as chance has it. */
-    private Window window(int rpcs, double unserved, double ms) {
-        int missed = 0;
-        for (int i = 0; i < rpcs; i++) if (random.nextDouble() < unserved) missed++;
-        double noise = 1 + 0.1 * (random.nextDouble() - 0.5);
-        return new Window(rpcs, rpcs, rpcs - missed, missed, 0, 0, rpcs - missed, (rpcs - missed) * ms * noise, rpcs * noise, 50, 100, rpcs);
+  /** A relay's window: so many RPCs, of which a share is not served in time, as chance has it. */
+  private Window window(int rpcs, double unserved, double ms) {
+    int missed = 0;
+    for (int i = 0; i < rpcs; i++) {
+      if (random.nextDouble() < unserved) {
+        missed++;
+      }
     }
+    double noise = 1 + 0.1 * (random.nextDouble() - 0.5);
+    return new Window(
+        rpcs,
+        rpcs,
+        rpcs - missed,
+        missed,
+        0,
+        0,
+        rpcs - missed,
+        (rpcs - missed) * ms * noise,
+        rpcs * noise,
+        50,
+        100,
+        rpcs);
+  }
 
-    private Comparison play(int couples, int windows, double old, double fresh, double freshMs) {
-        Comparison comparison = new Comparison(0.02, 0.1, 0.05, 0.02, 0.01);
-        Couple[] all = new Couple[couples];
-        for (int i = 0; i < couples; i++) {
-            all[i] = comparison.couple();
-            for (int w = 0; w < 30; w++) all[i].before(window(40, old, 60), window(40, old, 60));
-        }
-        for (int w = 0; w < windows; w++) {
-            double shared = w % 20 < 5 ? 0.2 : 0; // now and then everybody is worse
-            for (Couple one : all) one.after(window(40, fresh + shared, freshMs), window(40, old + shared, 60));
-        }
-        return comparison;
+  private Comparison play(int couples, int windows, double old, double fresh, double freshMs) {
+    Comparison comparison = new Comparison(0.02, 0.1, 0.05, 0.02, 0.01);
+    Couple[] all = new Couple[couples];
+    for (int i = 0; i < couples; i++) {
+      all[i] = comparison.couple();
+      for (int w = 0; w < 30; w++) {
+        all[i].before(window(40, old, 60), window(40, old, 60));
+      }
     }
-
-    @Test
-    public void aGoodVersionIsNoWorseAndIsNotStopped() {
-        int stopped = 0;
-        int known = 0;
-        for (int i = 0; i < 200; i++) {
-            Answer answer = play(5, 60, 0.02, 0.02, 60).answer(1);
-            if (answer == Answer.WORSE) stopped++;
-            if (answer == Answer.NO_WORSE) known++;
-        }
-        assertTrue(stopped <= 4, "stopped " + stopped + " of 200, where 2% are allowed");
-        assertTrue(known >= 190, "no worse than 5% was known for " + known + " of 200");
+    for (int w = 0; w < windows; w++) {
+      double shared = w % 20 < 5 ? 0.2 : 0; // now and then everybody is worse
+      for (Couple one : all) {
+        one.after(window(40, fresh + shared, freshMs), window(40, old + shared, 60));
+      }
     }
+    return comparison;
+  }
 
-    @Test
-    public void aVersionThatLosesOneInTwentyIsFoundByFewRelays() {
-        int found = 0;
-        for (int i = 0; i < 50; i++) if (play(5, 60, 0.02, 0.07, 60).answer(0) == Answer.WORSE) found++;
-        assertTrue(found >= 48, "found " + found + " of 50");
+  @Test
+  public void aGoodVersionIsNoWorseAndIsNotStopped() {
+    int stopped = 0;
+    int known = 0;
+    for (int i = 0; i < 200; i++) {
+      Answer answer = play(5, 60, 0.02, 0.02, 60).answer(1);
+      if (answer == Answer.WORSE) {
+        stopped++;
+      }
+      if (answer == Answer.NO_WORSE) {
+        known++;
+      }
     }
+    assertTrue(stopped <= 4, "stopped " + stopped + " of 200, where 2% are allowed");
+    assertTrue(known >= 190, "no worse than 5% was known for " + known + " of 200");
+  }
 
-    @Test
-    public void slownessAloneIsFoundThoughAllIsServed() {
-        assertEquals(play(5, 60, 0.02, 0.02, 90).answer(0), Answer.WORSE);
-        assertTrue(play(5, 60, 0.02, 0.02, 90).why().startsWith("latency"), play(5, 60, 0.02, 0.02, 90).why());
+  @Test
+  public void aVersionThatLosesOneInTwentyIsFoundByFewRelays() {
+    int found = 0;
+    for (int i = 0; i < 50; i++) {
+      if (play(5, 60, 0.02, 0.07, 60).answer(0) == Answer.WORSE) {
+        found++;
+      }
     }
+    assertTrue(found >= 48, "found " + found + " of 50");
+  }
 
-    @Test
-    public void nothingIsSaidOfWhatWasNotSeen() {
-        Comparison comparison = new Comparison(0.02, 0.1);
-        assertEquals(comparison.answer(0), Answer.NOT_SURE);
-        comparison.couple().after(window(20, 0, 60), window(400, 0, 60)); // one of them too quiet for a look
-        assertEquals(comparison.answer(0), Answer.NOT_SURE);
-        assertEquals(comparison.why(), "nothing was seen side by side yet");
-    }
+  @Test
+  public void slownessAloneIsFoundThoughAllIsServed() {
+    assertEquals(play(5, 60, 0.02, 0.02, 90).answer(0), Answer.WORSE);
+    assertTrue(
+        play(5, 60, 0.02, 0.02, 90).why().startsWith("latency"), play(5, 60, 0.02, 0.02, 90).why());
+  }
+
+  @Test
+  public void nothingIsSaidOfWhatWasNotSeen() {
+    Comparison comparison = new Comparison(0.02, 0.1);
+    assertEquals(comparison.answer(0), Answer.NOT_SURE);
+    comparison
+        .couple()
+        .after(window(20, 0, 60), window(400, 0, 60)); // one of them too quiet for a look
+    assertEquals(comparison.answer(0), Answer.NOT_SURE);
+    assertEquals(comparison.why(), "nothing was seen side by side yet");
+  }
 
-    @Test
-    public void whatARelayDiffersInByItselfIsNotBlamedOnItsChange() {
-        Comparison comparison = new Comparison(0.02, 0.1);
-        Couple couple = comparison.couple();
-        for (int w = 0; w < 30; w++) couple.before(window(40, 0.10, 90), window(40, 0.02, 60));
-        for (int w = 0; w < 300; w++) couple.after(window(40, 0.10, 90), window(40, 0.02, 60));
-        assertTrue(comparison.answer(0) != Answer.WORSE, comparison.why());
+  @Test
+  public void whatARelayDiffersInByItselfIsNotBlamedOnItsChange() {
+    Comparison comparison = new Comparison(0.02, 0.1);
+    Couple couple = comparison.couple();
+    for (int w = 0; w < 30; w++) {
+      couple.before(window(40, 0.10, 90), window(40, 0.02, 60));
     }
+    for (int w = 0; w < 300; w++) {
+      couple.after(window(40, 0.10, 90), window(40, 0.02, 60));
+    }
+    assertTrue(comparison.answer(0) != Answer.WORSE, comparison.why());
+  }
 
-    @Test
-    public void harmToThoseThatDidNotChangeIsSeenAndEnds() {
-        Level level = new Level(15);
-        for (int w = 0; w < 15; w++) level.seen(window(1000, 0.02, 60));
-        level.stage();
-        for (int w = 0; w < 8; w++) level.seen(window(1000, 0.10, 60));
-        assertEquals(level.lowFor(), 8);
-        level.seen(window(1000, 0.02, 60));
-        assertEquals(level.lowFor(), 0);
+  @Test
+  public void harmToThoseThatDidNotChangeIsSeenAndEnds() {
+    Level level = new Level(15);
+    for (int w = 0; w < 15; w++) {
+      level.seen(window(1000, 0.02, 60));
+    }
+    level.stage();
+    for (int w = 0; w < 8; w++) {
+      level.seen(window(1000, 0.10, 60));
     }
+    assertEquals(level.lowFor(), 8);
+    level.seen(window(1000, 0.02, 60));
+    assertEquals(level.lowFor(), 0);
+  }
 
-    @Test
-    public void aWagerOnNothingSeldomGetsRich() {
-        int rich = 0;
-        for (int i = 0; i < 1000; i++) {
-            Wager wager = new Wager();
-            for (int n = 0; n < 500; n++) wager.add(random.nextBoolean() ? 0.5 : -0.5);
-            if (wager.passed(0.05)) rich++;
-        }
-        assertTrue(rich <= 50, rich + " of 1000 passed 1/0.05 by chance");
-        assertTrue(rich > 0, "a bound that is never met is none");
+  @Test
+  public void aWagerOnNothingSeldomGetsRich() {
+    int rich = 0;
+    for (int i = 0; i < 1000; i++) {
+      Wager wager = new Wager();
+      for (int n = 0; n < 500; n++) {
+        wager.add(random.nextBoolean() ? 0.5 : -0.5);
+      }
+      if (wager.passed(0.05)) {
+        rich++;
+      }
     }
+    assertTrue(rich <= 50, rich + " of 1000 passed 1/0.05 by chance");
+    assertTrue(rich > 0, "a bound that is never met is none");
+  }
 }
--- a/src/test/java/sprucerock/controller/FolderSeatTest.java
+++ b/src/test/java/sprucerock/controller/FolderSeatTest.java
@@ -14,137 +14,146 @@
 
 /** Two controllers over one folder: never do both act. */
 public class FolderSeatTest {
-    private static final Span TIME = Span.ofMs(1000);
+  private static final Span TIME = Span.ofMs(1000);
 
-    /** A folder in memory, of which a lease needs little. */
-    private static final class Memory implements Disk {
-        private final TreeMap<String, byte[]> files = new TreeMap<>();
+  /** A folder in memory, of which a lease needs little. */
+  private static final class Memory implements Disk {
+    private final TreeMap<String, byte[]> files = new TreeMap<>();
 
-        @Override
-        public List<String> list() {
-            return List.copyOf(files.keySet());
-        }
+    @Override
+    public List<String> list() {
+      return List.copyOf(files.keySet());
+    }
 
-        @Override
-        public byte[] read(String name) {
-            return files.get(name);
-        }
+    @Override
+    public byte[] read(String name) {
+      return files.get(name);
+    }
 
-        @Override
-        public void put(String name, byte[] bytes) {
-            files.put(name, bytes);
-        }
+    @Override
+    public void put(String name, byte[] bytes) {
+      files.put(name, bytes);
+    }
 
-        @Override
-        public Log open(String name) {
-            throw new UnsupportedOperationException();
-        }
+    @Override
+    public Log open(String name) {
+      throw new UnsupportedOperationException();
+    }
 
-        @Override
-        public void delete(String name) {
-            throw new UnsupportedOperationException();
-        }
+    @Override
+    public void delete(String name) {
+      throw new UnsupportedOperationException();
+    }
 
-        @Override
-        public void cut(String name, long length) {
-            throw new UnsupportedOperationException();
-        }
+    @Override
+    public void cut(String name, long length) {
+      throw new UnsupportedOperationException();
     }
+  }
 
-    private long now;
-    private Disk disk;
-    private final Engine.Clock clock = new Engine.Clock() {
+  private long now;
+  private Disk disk;
+  private final Engine.Clock clock =
+      new Engine.Clock() {
         @Override
         public long wallMs() {
-            return 0;
+          return 0;
         }
 
         @Override
         public long steadyMs() {
-            return now;
+          return now;
         }
-    };
-
-    @BeforeMethod
-    public void begin() throws Exception {
-        now = 0;
-        disk = new Memory();
+      };
+
+  @BeforeMethod
+  public void begin() throws Exception {
+    now = 0;
+    disk = new Memory();
+  }
+
+  private FolderSeat lease(String holder) throws Exception {
+    return new FolderSeat(disk, clock, TIME, holder);
+  }
+
+  private long takes(FolderSeat lease, long patience) throws Exception {
+    long from = now;
+    while (!lease.take()) {
+      now += 100;
+      if (now - from > patience) {
+        return -1;
+      }
     }
-
-    private FolderSeat lease(String holder) throws Exception {
-        return new FolderSeat(disk, clock, TIME, holder);
-    }
-
-    private long takes(FolderSeat lease, long patience) throws Exception {
-        long from = now;
-        while (!lease.take()) {
-            now += 100;
-            if (now - from > patience) return -1;
-        }
-        return now - from;
+    return now - from;
+  }
+
+  @Test
+  public void theFirstTakesItAndTheSecondWaits() throws Exception {
+    FolderSeat a = lease("a");
+    FolderSeat b = lease("b");
+    assertTrue(takes(a, 5000) >= 0);
+    for (int i = 0; i < 50; i++) {
+      now += 200;
+      assertTrue(a.renew() && a.holds());
+      assertFalse(b.take());
     }
-
-    @Test
-    public void theFirstTakesItAndTheSecondWaits() throws Exception {
-        FolderSeat a = lease("a");
-        FolderSeat b = lease("b");
-        assertTrue(takes(a, 5000) >= 0);
-        for (int i = 0; i < 50; i++) {
-            now += 200;
-            assertTrue(a.renew() && a.holds());
-            assertFalse(b.take());
+  }
+
+  @Test
+  public void itIsTakenOverAfterItsTimeAndAtOnceWhereItWasGivenBack() throws Exception {
+    FolderSeat a = lease("a");
+    takes(a, 5000);
+    FolderSeat b = lease("b");
+    b.take();
+    long after = takes(b, 10_000);
+    assertTrue(after >= TIME.ms() && after <= 2 * TIME.ms(), after + " ms");
+    assertFalse(a.holds());
+    b.release();
+    FolderSeat c = lease("c");
+    c.take();
+    assertTrue(takes(c, 5000) <= TIME.ms());
+  }
+
+  @Test
+  public void oneThatWasHeldUpWakesWithoutIt() throws Exception {
+    FolderSeat a = lease("a");
+    takes(a, 5000);
+    FolderSeat b = lease("b");
+    takes(b, 10_000); // while a stands still
+    assertFalse(a.holds());
+    assertFalse(a.renew());
+    assertTrue(b.renew());
+    assertFalse(a.take()); // and stands in line like any other
+  }
+
+  @Test
+  public void ofManyThatWantItAtOnceOneHasIt() throws Exception {
+    for (int seed = 0; seed < 60; seed++) {
+      disk = new Memory();
+      SplittableRandom random = new SplittableRandom(seed);
+      List<FolderSeat> all = new ArrayList<>();
+      for (int i = 0; i < 4; i++) {
+        all.add(lease("h" + i));
+      }
+      boolean[] has = new boolean[4];
+      int most = 0;
+      for (int step = 0; step < 400; step++) {
+        now += random.nextInt(120);
+        int who = random.nextInt(4);
+        boolean stalls = random.nextInt(25) == 0; // one stands still for longer than the time
+        if (stalls) {
+          now += 1500;
         }
-    }
-
-    @Test
-    public void itIsTakenOverAfterItsTimeAndAtOnceWhereItWasGivenBack() throws Exception {
-        FolderSeat a = lease("a");
-        takes(a, 5000);
-        FolderSeat b = lease("b");
-        b.take();
-        long after = takes(b, 10_000);
-        assertTrue(after >= TIME.ms() && after <= 2 * TIME.ms(), after + " ms");
-        assertFalse(a.holds());
-        b.release();
-        FolderSeat c = lease("c");
-        c.take();
-        assertTrue(takes(c, 5000) <= TIME.ms());
-    }
-
-    @Test
-    public void oneThatWasHeldUpWakesWithoutIt() throws Exception {
-        FolderSeat a = lease("a");
-        takes(a, 5000);
-        FolderSeat b = lease("b");
-        takes(b, 10_000); // while a stands still
-        assertFalse(a.holds());
-        assertFalse(a.renew());
-        assertTrue(b.renew());
-        assertFalse(a.take()); // and stands in line like any other
-    }
-
-    @Test
-    public void ofManyThatWantItAtOnceOneHasIt() throws Exception {
-        for (int seed = 0; seed < 60; seed++) {
-            disk = new Memory();
-            SplittableRandom random = new SplittableRandom(seed);
-            List<FolderSeat> all = new ArrayList<>();
-            for (int i = 0; i < 4; i++) all.add(lease("h" + i));
-            boolean[] has = new boolean[4];
-            int most = 0;
-            for (int step = 0; step < 400; step++) {
-                now += random.nextInt(120);
-                int who = random.nextInt(4);
-                boolean stalls = random.nextInt(25) == 0; // one stands still for longer than the time
-                if (stalls) now += 1500;
-                FolderSeat lease = all.get(who);
-                has[who] = has[who] ? lease.renew() : lease.take();
-                int holders = 0;
-                for (FolderSeat one : all) holders += one.holds() ? 1 : 0;
-                most = Math.max(most, holders);
-                assertTrue(holders <= 1, holders + " hold it, seed " + seed + ", step " + step);
-            }
-            assertEquals(most, 1, "nobody ever had it, seed " + seed);
+        FolderSeat lease = all.get(who);
+        has[who] = has[who] ? lease.renew() : lease.take();
+        int holders = 0;
+        for (FolderSeat one : all) {
+          holders += one.holds() ? 1 : 0;
         }
+        most = Math.max(most, holders);
+        assertTrue(holders <= 1, holders + " hold it, seed " + seed + ", step " + step);
+      }
+      assertEquals(most, 1, "nobody ever had it, seed " + seed);
     }
+  }
 }
--- a/src/test/java/sprucerock/controller/PlainReleases.java
+++ b/src/test/java/sprucerock/controller/PlainReleases.java
@@ -10,162 +10,230 @@
 import sprucerock.controller.Releases.Say;
 
 /**
- * The same rules once more, as plain as can be: everything that ever happened is kept in lists, and each question is answered by
- * going through all of them. For a count of relays, no clock. Times in milliseconds.
+ * The same rules once more, as plain as can be: everything that ever happened is kept in lists, and
+ * each question is answered by going through all of them. For a count of relays, no clock. Times in
+ * milliseconds.
  */
 final class PlainReleases {
-    record Vote(double at, int relay, int build, int stage, Say say) {}
-
-    record Change(double at, int build, int stage, Standing to) {}
-
-    private final Rules rules;
-    private final int places;
-    private final List<Vote> votes = new ArrayList<>();
-    final List<Change> changes = new ArrayList<>();
-    private final Map<String, String> deliveries = new HashMap<>();
-    private final Map<Integer, String> artifacts = new HashMap<>();
-    private final Map<Integer, Integer> units = new HashMap<>();
-    private final Map<Integer, Double> unitsSince = new HashMap<>();
-    private final Set<Integer> held = new HashSet<>();
-    private double heldMs;
-    private double heldAt;
-    private double clockAt = -1;
-    private int present;
-    private int earlier;
-
-    PlainReleases(Rules rules, int places, int first) {
-        this.rules = rules;
-        this.places = places;
-        present = first;
-        earlier = first;
-        artifacts.put(first, "");
-        changes.add(new Change(0, first, rules.stages().size() - 1, Standing.RELEASED));
-    }
-
-    Change last(int build) {
-        Change found = null;
-        for (Change one : changes) if (one.build == build) found = one;
-        return found;
-    }
-
-    int present() {
-        return present;
-    }
-
-    private int wanted(int stage) {
-        return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * places - 1e-9));
-    }
-
-    private boolean is(Standing standing) {
-        return last(present).to == standing;
-    }
-
-    /** Relays whose last fitting vote since the last change is that one, and not too old. */
-    private int count(Say say, double now) {
-        Map<Integer, Vote> newest = new HashMap<>();
-        for (Vote one : votes) if (one.at >= last(present).at && one.build == present) newest.put(one.relay, one);
-        int count = 0;
-        for (Vote one : newest.values()) if (one.say == say && now < one.at + rules.voteLife().ms()) count++;
-        return count;
-    }
-
-    private void change(double now, int build, int stage, Standing to) {
-        changes.add(new Change(now, build, stage, to));
-        if (build != present) return;
-        votes.clear();
-        clockAt = -1;
-        heldMs = 0;
-    }
-
-    Releases.Answer announced(String delivery, int build, String artifact, double now) {
-        String content = build + " " + artifact;
-        if (deliveries.containsKey(delivery)) return deliveries.get(delivery).equals(content) ? Releases.Answer.AGAIN : Releases.Answer.CONTRADICTS;
-        deliveries.put(delivery, content);
-        if (artifacts.containsKey(build)) return artifacts.get(build).equals(artifact) ? Releases.Answer.KNOWN : Releases.Answer.CONTRADICTS;
-        if (artifacts.keySet().stream().anyMatch(one -> one > build)) return Releases.Answer.TOO_OLD;
-        artifacts.put(build, artifact);
-        changes.add(new Change(now, build, 0, Standing.ANNOUNCED));
-        for (int other : new java.util.TreeSet<>(artifacts.keySet())) {
-            if (other == build) continue;
-            Change at = last(other);
-            if (at.to == Standing.ON_TRIAL || at.to == Standing.STARTING || at.to == Standing.ANNOUNCED) change(now, other, at.stage, Standing.SUPERSEDED);
-        }
-        begin(now);
-        return Releases.Answer.TAKEN;
-    }
-
-    private void begin(double now) {
-        if (is(Standing.GOING_BACK)) return;
-        for (int build : artifacts.keySet()) {
-            if (last(build).to != Standing.ANNOUNCED) continue;
-            if (is(Standing.RELEASED)) earlier = present;
-            present = build;
-            change(now, build, 0, Standing.STARTING);
-            return;
-        }
-    }
-
-    boolean cast(int relay, int build, int stage, Say say, double now) {
-        boolean trial = is(Standing.ON_TRIAL);
-        boolean fits = build == present && (say == Say.NOTHING || say == Say.ON && trial && stage == last(present).stage
-            || say == Say.BACK && (trial || watched(now)));
-        if (!fits) return false;
-        votes.add(new Vote(now, relay, build, stage, say));
-        settle(now);
-        return true;
-    }
-
-    private boolean watched(double now) {
-        return is(Standing.RELEASED) && earlier != present && now - last(present).at <= rules.watch().ms();
-    }
-
-    void hold(int build, boolean on, double now) {
-        Change at = last(build);
-        if (at == null) return;
-        boolean running = at.to == Standing.STARTING || at.to == Standing.ON_TRIAL || at.to == Standing.ANNOUNCED;
-        if (on && running && held.add(build)) heldAt = now;
-        else if (!on && held.remove(build)) {
-            if (build == present && clockAt >= 0) heldMs += now - Math.max(heldAt, clockAt);
-            settle(now);
-        }
-    }
-
-    void withdraw(int build, double now) {
-        Change at = last(build);
-        if (at == null) return;
-        boolean running = at.to == Standing.STARTING || at.to == Standing.ON_TRIAL || at.to == Standing.ANNOUNCED;
-        boolean last = build == present && at.to == Standing.RELEASED && earlier != build;
-        if (!running && !last) return;
-        held.remove(build);
-        change(now, build, at.stage, at.to == Standing.ANNOUNCED ? Standing.WITHDRAWN : Standing.GOING_BACK);
-    }
-
-    void ready(int build, int many, double now) {
-        if (!artifacts.containsKey(build)) return;
-        units.put(build, many);
-        settle(now);
-    }
-
-    void settle(double now) {
-        boolean isHeld = held.contains(present);
-        int there = units.getOrDefault(present, 0);
-        if (is(Standing.STARTING) && !isHeld && there >= wanted(0)) {
-            change(now, present, 0, Standing.ON_TRIAL);
-            clockAt = now;
-        }
-        if (is(Standing.ON_TRIAL) && clockAt < 0 && there >= wanted(last(present).stage)) clockAt = now;
-        boolean trial = is(Standing.ON_TRIAL);
-        boolean late = clockAt < 0 && !isHeld && now - last(present).at > rules.startWithin().ms();
-        if ((trial || is(Standing.STARTING)) && late || (trial || watched(now)) && count(Say.BACK, now) >= rules.back()) {
-            change(now, present, last(present).stage, Standing.GOING_BACK);
-        } else if (trial && clockAt >= 0 && !isHeld && now - clockAt - heldMs > rules.least().ms() && count(Say.ON, now) >= rules.on()) {
-            int stage = last(present).stage;
-            boolean end = stage + 1 >= rules.stages().size();
-            change(now, present, end ? stage : stage + 1, end ? Standing.RELEASED : Standing.ON_TRIAL);
-            if (!end && there >= wanted(stage + 1)) clockAt = now;
-        } else if (is(Standing.GOING_BACK) && now - last(present).at > rules.goingBack().ms()) {
-            change(now, present, last(present).stage, Standing.WITHDRAWN);
-            begin(now);
-        }
+  record Vote(double at, int relay, int build, int stage, Say say) {}
+
+  record Change(double at, int build, int stage, Standing to) {}
+
+  private final Rules rules;
+  private final int places;
+  private final List<Vote> votes = new ArrayList<>();
+  final List<Change> changes = new ArrayList<>();
+  private final Map<String, String> deliveries = new HashMap<>();
+  private final Map<Integer, String> artifacts = new HashMap<>();
+  private final Map<Integer, Integer> units = new HashMap<>();
+  private final Map<Integer, Double> unitsSince = new HashMap<>();
+  private final Set<Integer> held = new HashSet<>();
+  private double heldMs;
+  private double heldAt;
+  private double clockAt = -1;
+  private int present;
+  private int earlier;
+
+  PlainReleases(Rules rules, int places, int first) {
+    this.rules = rules;
+    this.places = places;
+    present = first;
+    earlier = first;
+    artifacts.put(first, "");
+    changes.add(new Change(0, first, rules.stages().size() - 1, Standing.RELEASED));
+  }
+
+  Change last(int build) {
+    Change found = null;
+    for (Change one : changes) {
+      if (one.build == build) {
+        found = one;
+      }
     }
+    return found;
+  }
+
+  int present() {
+    return present;
+  }
+
+  private int wanted(int stage) {
+    return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * places - 1e-9));
+  }
+
+  private boolean is(Standing standing) {
+    return last(present).to == standing;
+  }
+
+  /** Relays whose last fitting vote since the last change is that one, and not too old. */
+  private int count(Say say, double now) {
+    Map<Integer, Vote> newest = new HashMap<>();
+    for (Vote one : votes) {
+      if (one.at >= last(present).at && one.build == present) {
+        newest.put(one.relay, one);
+      }
+    }
+    int count = 0;
+    for (Vote one : newest.values()) {
+      if (one.say == say && now < one.at + rules.voteLife().ms()) {
+        count++;
+      }
+    }
+    return count;
+  }
+
+  private void change(double now, int build, int stage, Standing to) {
+    changes.add(new Change(now, build, stage, to));
+    if (build != present) {
+      return;
+    }
+    votes.clear();
+    clockAt = -1;
+    heldMs = 0;
+  }
+
+  Releases.Answer announced(String delivery, int build, String artifact, double now) {
+    String content = build + " " + artifact;
+    if (deliveries.containsKey(delivery)) {
+      return deliveries.get(delivery).equals(content)
+          ? Releases.Answer.AGAIN
+          : Releases.Answer.CONTRADICTS;
+    }
+    deliveries.put(delivery, content);
+    if (artifacts.containsKey(build)) {
+      return artifacts.get(build).equals(artifact)
+          ? Releases.Answer.KNOWN
+          : Releases.Answer.CONTRADICTS;
+    }
+    if (artifacts.keySet().stream().anyMatch(one -> one > build)) {
+      return Releases.Answer.TOO_OLD;
+    }
+    artifacts.put(build, artifact);
+    changes.add(new Change(now, build, 0, Standing.ANNOUNCED));
+    for (int other : new java.util.TreeSet<>(artifacts.keySet())) {
+      if (other == build) {
+        continue;
+      }
+      Change at = last(other);
+      if (at.to == Standing.ON_TRIAL || at.to == Standing.STARTING || at.to == Standing.ANNOUNCED) {
+        change(now, other, at.stage, Standing.SUPERSEDED);
+      }
+    }
+    begin(now);
+    return Releases.Answer.TAKEN;
+  }
+
+  private void begin(double now) {
+    if (is(Standing.GOING_BACK)) {
+      return;
+    }
+    for (int build : artifacts.keySet()) {
+      if (last(build).to != Standing.ANNOUNCED) {
+        continue;
+      }
+      if (is(Standing.RELEASED)) {
+        earlier = present;
+      }
+      present = build;
+      change(now, build, 0, Standing.STARTING);
+      return;
+    }
+  }
+
+  boolean cast(int relay, int build, int stage, Say say, double now) {
+    boolean trial = is(Standing.ON_TRIAL);
+    boolean fits =
+        build == present
+            && (say == Say.NOTHING
+                || say == Say.ON && trial && stage == last(present).stage
+                || say == Say.BACK && (trial || watched(now)));
+    if (!fits) {
+      return false;
+    }
+    votes.add(new Vote(now, relay, build, stage, say));
+    settle(now);
+    return true;
+  }
+
+  private boolean watched(double now) {
+    return is(Standing.RELEASED)
+        && earlier != present
+        && now - last(present).at <= rules.watch().ms();
+  }
+
+  void hold(int build, boolean on, double now) {
+    Change at = last(build);
+    if (at == null) {
+      return;
+    }
+    boolean running =
+        at.to == Standing.STARTING || at.to == Standing.ON_TRIAL || at.to == Standing.ANNOUNCED;
+    if (on && running && held.add(build)) {
+      heldAt = now;
+    } else if (!on && held.remove(build)) {
+      if (build == present && clockAt >= 0) {
+        heldMs += now - Math.max(heldAt, clockAt);
+      }
+      settle(now);
+    }
+  }
+
+  void withdraw(int build, double now) {
+    Change at = last(build);
+    if (at == null) {
+      return;
+    }
+    boolean running =
+        at.to == Standing.STARTING || at.to == Standing.ON_TRIAL || at.to == Standing.ANNOUNCED;
+    boolean last = build == present && at.to == Standing.RELEASED && earlier != build;
+    if (!running && !last) {
+      return;
+    }
+    held.remove(build);
+    change(
+        now,
+        build,
+        at.stage,
+        at.to == Standing.ANNOUNCED ? Standing.WITHDRAWN : Standing.GOING_BACK);
+  }
+
+  void ready(int build, int many, double now) {
+    if (!artifacts.containsKey(build)) {
+      return;
+    }
+    units.put(build, many);
+    settle(now);
+  }
+
+  void settle(double now) {
+    boolean isHeld = held.contains(present);
+    int there = units.getOrDefault(present, 0);
+    if (is(Standing.STARTING) && !isHeld && there >= wanted(0)) {
+      change(now, present, 0, Standing.ON_TRIAL);
+      clockAt = now;
+    }
+    if (is(Standing.ON_TRIAL) && clockAt < 0 && there >= wanted(last(present).stage)) {
+      clockAt = now;
+    }
+    boolean trial = is(Standing.ON_TRIAL);
+    boolean late = clockAt < 0 && !isHeld && now - last(present).at > rules.startWithin().ms();
+    if ((trial || is(Standing.STARTING)) && late
+        || (trial || watched(now)) && count(Say.BACK, now) >= rules.back()) {
+      change(now, present, last(present).stage, Standing.GOING_BACK);
+    } else if (trial
+        && clockAt >= 0
+        && !isHeld
+        && now - clockAt - heldMs > rules.least().ms()
+        && count(Say.ON, now) >= rules.on()) {
+      int stage = last(present).stage;
+      boolean end = stage + 1 >= rules.stages().size();
+      change(now, present, end ? stage : stage + 1, end ? Standing.RELEASED : Standing.ON_TRIAL);
+      if (!end && there >= wanted(stage + 1)) {
+        clockAt = now;
+      }
+    } else if (is(Standing.GOING_BACK) && now - last(present).at > rules.goingBack().ms()) {
+      change(now, present, last(present).stage, Standing.WITHDRAWN);
+      begin(now);
+    }
+  }
 }
--- a/src/test/java/sprucerock/controller/ReleasesProperties.java
+++ b/src/test/java/sprucerock/controller/ReleasesProperties.java
@@ -17,83 +17,154 @@
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
-/** The core beside the plain model under any inputs, lost, doubled and out of order; and what may never be. */
+/**
+ * The core beside the plain model under any inputs, lost, doubled and out of order; and what may
+ * never be.
+ */
 class ReleasesProperties {
-    static final Rules RULES = new Rules(List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(0.4, 0.45), new Rules.Stage(1, 1)), Rules.Control.SINGLE, 2, 1, 1,
-        Span.ofMs(4000), Span.ofMs(500), Span.ofMs(1000), Span.ofMs(5000), Span.ofMs(800), Span.ofMs(3000), 1000);
+  static final Rules RULES =
+      new Rules(
+          List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(0.4, 0.45), new Rules.Stage(1, 1)),
+          Rules.Control.SINGLE,
+          2,
+          1,
+          1,
+          Span.ofMs(4000),
+          Span.ofMs(500),
+          Span.ofMs(1000),
+          Span.ofMs(5000),
+          Span.ofMs(800),
+          Span.ofMs(3000),
+          1000);
 
-    record Event(int what, int which, int other, double afterMs) {}
+  record Event(int what, int which, int other, double afterMs) {}
 
-    @Provide
-    Arbitrary<List<Event>> days() {
-        return Combinators.combine(Arbitraries.integers().between(0, 19), Arbitraries.integers().between(0, 60), Arbitraries.integers().between(0, 60),
-            Arbitraries.doubles().between(0, 900)).as(Event::new).list().ofMinSize(1).ofMaxSize(150);
-    }
+  @Provide
+  Arbitrary<List<Event>> days() {
+    return Combinators.combine(
+            Arbitraries.integers().between(0, 19),
+            Arbitraries.integers().between(0, 60),
+            Arbitraries.integers().between(0, 60),
+            Arbitraries.doubles().between(0, 900))
+        .as(Event::new)
+        .list()
+        .ofMinSize(1)
+        .ofMaxSize(150);
+  }
 
-    @Property(seed = "20261206", tries = 600, shrinking = ShrinkingMode.BOUNDED)
-    void theSameInputsGiveWhatThePlainModelGives(@ForAll("days") List<Event> day) {
-        List<PlainReleases.Change> told = new ArrayList<>();
-        Releases core = new Releases(RULES, 10, 1, Moment.ofMs(0), (release, step) -> {
-            boolean moved = told.isEmpty() || told.stream().filter(one -> one.build() == release.build).reduce((a, b) -> b)
-                .map(one -> one.to() != step.standing() || one.stage() != step.stage()).orElse(true);
-            if (moved) told.add(new PlainReleases.Change(step.at().ms(), release.build, step.stage(), step.standing()));
-        });
-        PlainReleases plain = new PlainReleases(RULES, 10, 1);
-        double at = 0;
-        int newest = 1;
-        int steps = 0;
-        for (Event event : day) {
-            at += event.afterMs;
-            Moment now = Moment.ofMs(at);
-            int build = Math.max(1, core.present().build - 1 + event.other % 3);
-            int stage = event.other % 7 == 0 ? event.other % 3 : core.present().stage();
-            switch (event.what) {
-                case 0, 1 -> {
-                    int offered = event.which % 4 == 0 ? 1 + event.which % newest : ++newest;
-                    String delivery = "d" + (event.which % 5 == 0 ? event.other % 6 : 1000 + newest);
-                    String artifact = "a" + event.other % 2;
-                    assertEquals(core.announced(delivery, offered, artifact, "ci", now, 0), plain.announced(delivery, offered, artifact, at));
-                }
-                case 2 -> {
-                    boolean on = event.which % 2 == 0;
-                    core.word(on ? Releases.Action.HOLD : Releases.Action.RESUME, build, "ann", "why", now, 0);
-                    plain.hold(build, on, at);
-                }
-                case 3 -> {
-                    if (event.which % 4 > 0) break;
-                    core.word(Releases.Action.WITHDRAW, build, "ann", "why", now, 0);
-                    plain.withdraw(build, at);
-                }
-                case 4, 5, 6, 7, 8 -> {
-                    int units = event.which % 12;
-                    core.ready(core.present().build, units, now, 0);
-                    plain.ready(plain.present(), units, at);
-                }
-                case 9, 10, 11 -> {
-                    if (core.due(now)) core.tick(now, 0);
-                    plain.settle(at);
-                }
-                default -> {
-                    Say say = event.what == 12 && event.which % 3 == 0 ? Say.BACK : event.what == 13 ? Say.NOTHING : Say.ON;
-                    int relay = event.which % 5;
-                    boolean counts = core.cast(relay, core.present().build - (event.other % 9 == 0 ? 1 : 0), stage, say, now, 0) == Releases.Taken.COUNTS;
-                    assertEquals(counts, plain.cast(relay, plain.present() - (event.other % 9 == 0 ? 1 : 0), stage, say, at));
-                }
-            }
-            assertEquals(core.present().build, plain.present());
-            assertEquals(core.present().standing(), plain.last(plain.present()).to());
-            assertEquals(told, plain.changes.subList(1, plain.changes.size()));
-            never(core);
-            assertTrue(core.sequence() >= steps);
-            steps = (int) core.sequence();
+  @Property(seed = "20261206", tries = 600, shrinking = ShrinkingMode.BOUNDED)
+  void theSameInputsGiveWhatThePlainModelGives(@ForAll("days") List<Event> day) {
+    List<PlainReleases.Change> told = new ArrayList<>();
+    Releases core =
+        new Releases(
+            RULES,
+            10,
+            1,
+            Moment.ofMs(0),
+            (release, step) -> {
+              boolean moved =
+                  told.isEmpty()
+                      || told.stream()
+                          .filter(one -> one.build() == release.build)
+                          .reduce((a, b) -> b)
+                          .map(one -> one.to() != step.standing() || one.stage() != step.stage())
+                          .orElse(true);
+              if (moved) {
+                told.add(
+                    new PlainReleases.Change(
+                        step.at().ms(), release.build, step.stage(), step.standing()));
+              }
+            });
+    PlainReleases plain = new PlainReleases(RULES, 10, 1);
+    double at = 0;
+    int newest = 1;
+    int steps = 0;
+    for (Event event : day) {
+      at += event.afterMs;
+      Moment now = Moment.ofMs(at);
+      int build = Math.max(1, core.present().build - 1 + event.other % 3);
+      int stage = event.other % 7 == 0 ? event.other % 3 : core.present().stage();
+      switch (event.what) {
+        case 0, 1 -> {
+          int offered = event.which % 4 == 0 ? 1 + event.which % newest : ++newest;
+          String delivery = "d" + (event.which % 5 == 0 ? event.other % 6 : 1000 + newest);
+          String artifact = "a" + event.other % 2;
+          assertEquals(
+              core.announced(delivery, offered, artifact, "ci", now, 0),
+              plain.announced(delivery, offered, artifact, at));
+        }
+        case 2 -> {
+          boolean on = event.which % 2 == 0;
+          core.word(
+              on ? Releases.Action.HOLD : Releases.Action.RESUME, build, "ann", "why", now, 0);
+          plain.hold(build, on, at);
+        }
+        case 3 -> {
+          if (event.which % 4 > 0) {
+            break;
+          }
+          core.word(Releases.Action.WITHDRAW, build, "ann", "why", now, 0);
+          plain.withdraw(build, at);
+        }
+        case 4, 5, 6, 7, 8 -> {
+          int units = event.which % 12;
+          core.ready(core.present().build, units, now, 0);
+          plain.ready(plain.present(), units, at);
         }
+        case 9, 10, 11 -> {
+          if (core.due(now)) {
+            core.tick(now, 0);
+          }
+          plain.settle(at);
+        }
+        default -> {
+          Say say =
+              event.what == 12 && event.which % 3 == 0
+                  ? Say.BACK
+                  : event.what == 13 ? Say.NOTHING : Say.ON;
+          int relay = event.which % 5;
+          boolean counts =
+              core.cast(
+                      relay,
+                      core.present().build - (event.other % 9 == 0 ? 1 : 0),
+                      stage,
+                      say,
+                      now,
+                      0)
+                  == Releases.Taken.COUNTS;
+          assertEquals(
+              counts,
+              plain.cast(relay, plain.present() - (event.other % 9 == 0 ? 1 : 0), stage, say, at));
+        }
+      }
+      assertEquals(core.present().build, plain.present());
+      assertEquals(core.present().standing(), plain.last(plain.present()).to());
+      assertEquals(told, plain.changes.subList(1, plain.changes.size()));
+      never(core);
+      assertTrue(core.sequence() >= steps);
+      steps = (int) core.sequence();
     }
+  }
 
-    private static void never(Releases core) {
-        assertTrue(core.all().stream().filter(one -> one.standing() == Standing.ON_TRIAL || one.standing() == Standing.STARTING).count() <= 1, "two at a time");
-        Releases.News news = core.news();
-        double most = news.standing() == Standing.ON_TRIAL ? RULES.stages().get(news.stage()).cap() : news.standing() == Standing.RELEASED ? 1 : 0;
-        assertTrue(news.cap() <= most, news.toString());
-        assertTrue(news.standing() != Standing.STARTING && news.standing() != Standing.ANNOUNCED && news.standing() != Standing.SUPERSEDED, news.toString());
-    }
+  private static void never(Releases core) {
+    assertTrue(
+        core.all().stream()
+                .filter(
+                    one ->
+                        one.standing() == Standing.ON_TRIAL || one.standing() == Standing.STARTING)
+                .count()
+            <= 1,
+        "two at a time");
+    Releases.News news = core.news();
+    double most =
+        news.standing() == Standing.ON_TRIAL
+            ? RULES.stages().get(news.stage()).cap()
+            : news.standing() == Standing.RELEASED ? 1 : 0;
+    assertTrue(news.cap() <= most, news.toString());
+    assertTrue(
+        news.standing() != Standing.STARTING
+            && news.standing() != Standing.ANNOUNCED
+            && news.standing() != Standing.SUPERSEDED,
+        news.toString());
+  }
 }
