--- a/src/test/java/sprucerock/controller/ReleasesTest.java
+++ b/src/test/java/sprucerock/controller/ReleasesTest.java
@@ -18,220 +18,283 @@
 
 /** Stories of releases, from the announcement to the end. */
 public class ReleasesTest {
-    private final List<String> steps = new ArrayList<>();
-    private Releases core;
-    private Moment now;
+  private final List<String> steps = new ArrayList<>();
+  private Releases core;
+  private Moment now;
 
-    @BeforeMethod
-    public void begin() {
-        core(ReleasesProperties.RULES);
-    }
+  @BeforeMethod
+  public void begin() {
+    core(ReleasesProperties.RULES);
+  }
 
-    private void core(Rules rules) {
-        steps.clear();
-        now = Moment.ofMs(0);
-        core = new Releases(rules, 10, 1, now, (release, step) -> steps.add(release.build + " " + step.standing() + " " + step.stage() + ": " + step.cause()));
-    }
+  private void core(Rules rules) {
+    steps.clear();
+    now = Moment.ofMs(0);
+    core =
+        new Releases(
+            rules,
+            10,
+            1,
+            now,
+            (release, step) ->
+                steps.add(
+                    release.build
+                        + " "
+                        + step.standing()
+                        + " "
+                        + step.stage()
+                        + ": "
+                        + step.cause()));
+  }
 
-    private void pass(double ms) {
-        for (double until = now.ms() + ms; now.ms() < until;) {
-            now = now.plus(Span.ofMs(Math.min(50, until - now.ms())));
-            if (core.due(now)) core.tick(now, 0);
-        }
+  private void pass(double ms) {
+    for (double until = now.ms() + ms; now.ms() < until; ) {
+      now = now.plus(Span.ofMs(Math.min(50, until - now.ms())));
+      if (core.due(now)) {
+        core.tick(now, 0);
+      }
     }
+  }
 
-    private Answer announce(String delivery, int build) {
-        return core.announced(delivery, build, "a" + build, "ci", now, 0);
-    }
+  private Answer announce(String delivery, int build) {
+    return core.announced(delivery, build, "a" + build, "ci", now, 0);
+  }
 
-    private Taken cast(int relay, int build, int stage, Say say) {
-        return core.cast(relay, build, stage, say, now, 0);
-    }
+  private Taken cast(int relay, int build, int stage, Say say) {
+    return core.cast(relay, build, stage, say, now, 0);
+  }
 
-    private void onTrial(int build) {
-        announce("d" + build, build);
-        core.ready(build, 10, now, 0);
-    }
+  private void onTrial(int build) {
+    announce("d" + build, build);
+    core.ready(build, 10, now, 0);
+  }
 
-    private void released(int build) {
-        onTrial(build);
-        for (int stage = 0; stage < 3; stage++) {
-            pass(600);
-            cast(0, build, stage, Say.ON);
-            cast(1, build, stage, Say.ON);
-        }
+  private void released(int build) {
+    onTrial(build);
+    for (int stage = 0; stage < 3; stage++) {
+      pass(600);
+      cast(0, build, stage, Say.ON);
+      cast(1, build, stage, Say.ON);
     }
+  }
 
-    @Test
-    public void aBuildGoesThroughItsStagesByVotes() {
-        announce("d", 2);
-        assertEquals(core.news().build(), 1); // nothing of it is told before its units are there
-        core.ready(2, 1, now, 0);
-        assertEquals(core.news(), new Releases.News(2, 0, Release.Standing.ON_TRIAL, 0.12, now));
-        assertEquals(cast(0, 2, 0, Say.ON), Taken.COUNTS);
-        assertEquals(cast(1, 2, 0, Say.ON), Taken.COUNTS);
-        assertEquals(core.waitsFor(now), List.of("its least time: 0 of 500 ms", "votes to go on: 2 of 2", "votes to go back: 0 of 1"));
-        pass(600);
-        core.ready(2, 10, now, 0);
-        pass(600);
-        cast(0, 2, 1, Say.ON);
-        cast(2, 2, 1, Say.ON);
-        pass(600);
-        cast(0, 2, 2, Say.ON);
-        cast(1, 2, 2, Say.ON);
-        assertEquals(steps, List.of("2 ANNOUNCED 0: announced by ci", "2 STARTING 0: nothing is in its way", "2 ON_TRIAL 0: 1 units are there",
-            "2 ON_TRIAL 1: votes to go on of relays [0, 1]", "2 ON_TRIAL 2: votes to go on of relays [0, 2]", "2 RELEASED 2: votes to go on of relays [0, 1]"));
-        assertEquals(core.of(2).steps().size(), 6);
-    }
+  @Test
+  public void aBuildGoesThroughItsStagesByVotes() {
+    announce("d", 2);
+    assertEquals(core.news().build(), 1); // nothing of it is told before its units are there
+    core.ready(2, 1, now, 0);
+    assertEquals(core.news(), new Releases.News(2, 0, Release.Standing.ON_TRIAL, 0.12, now));
+    assertEquals(cast(0, 2, 0, Say.ON), Taken.COUNTS);
+    assertEquals(cast(1, 2, 0, Say.ON), Taken.COUNTS);
+    assertEquals(
+        core.waitsFor(now),
+        List.of(
+            "its least time: 0 of 500 ms", "votes to go on: 2 of 2", "votes to go back: 0 of 1"));
+    pass(600);
+    core.ready(2, 10, now, 0);
+    pass(600);
+    cast(0, 2, 1, Say.ON);
+    cast(2, 2, 1, Say.ON);
+    pass(600);
+    cast(0, 2, 2, Say.ON);
+    cast(1, 2, 2, Say.ON);
+    assertEquals(
+        steps,
+        List.of(
+            "2 ANNOUNCED 0: announced by ci",
+            "2 STARTING 0: nothing is in its way",
+            "2 ON_TRIAL 0: 1 units are there",
+            "2 ON_TRIAL 1: votes to go on of relays [0, 1]",
+            "2 ON_TRIAL 2: votes to go on of relays [0, 2]",
+            "2 RELEASED 2: votes to go on of relays [0, 1]"));
+    assertEquals(core.of(2).steps().size(), 6);
+  }
 
-    @Test
-    public void theSameDeliveryHasOneEffectAndAContradictionNone() {
-        assertEquals(announce("d", 2), Answer.TAKEN);
-        assertEquals(announce("d", 2), Answer.AGAIN);
-        assertEquals(announce("e", 2), Answer.KNOWN);
-        assertEquals(core.announced("d", 3, "a3", "ci", now, 0), Answer.CONTRADICTS);
-        assertEquals(core.announced("f", 2, "another", "ci", now, 0), Answer.CONTRADICTS);
-        assertEquals(announce("g", 5), Answer.TAKEN);
-        assertEquals(announce("h", 4), Answer.TOO_OLD);
-        assertEquals(steps.stream().filter(step -> step.contains("STARTING")).toList(), List.of("2 STARTING 0: nothing is in its way",
-            "5 STARTING 0: nothing is in its way"));
-    }
+  @Test
+  public void theSameDeliveryHasOneEffectAndAContradictionNone() {
+    assertEquals(announce("d", 2), Answer.TAKEN);
+    assertEquals(announce("d", 2), Answer.AGAIN);
+    assertEquals(announce("e", 2), Answer.KNOWN);
+    assertEquals(core.announced("d", 3, "a3", "ci", now, 0), Answer.CONTRADICTS);
+    assertEquals(core.announced("f", 2, "another", "ci", now, 0), Answer.CONTRADICTS);
+    assertEquals(announce("g", 5), Answer.TAKEN);
+    assertEquals(announce("h", 4), Answer.TOO_OLD);
+    assertEquals(
+        steps.stream().filter(step -> step.contains("STARTING")).toList(),
+        List.of("2 STARTING 0: nothing is in its way", "5 STARTING 0: nothing is in its way"));
+  }
 
-    @Test
-    public void theNextOfferEndsATrialAndOneThatGoesBackIsWaitedFor() {
-        onTrial(2);
-        announce("x", 3);
-        assertEquals(core.of(2).standing(), Release.Standing.SUPERSEDED);
-        assertEquals(core.news().standing(), Release.Standing.WITHDRAWN); // of build 2, until the units of 3 are there
-        core.ready(3, 10, now, 0);
-        cast(0, 3, 0, Say.BACK);
-        announce("y", 4);
-        assertEquals(core.present().build, 3);
-        assertEquals(core.waitsFor(now), List.of("build 3 to have gone back"));
-        pass(1000);
-        assertEquals(core.present().build, 4);
-        assertEquals(core.earlier(), 1);
-    }
+  @Test
+  public void theNextOfferEndsATrialAndOneThatGoesBackIsWaitedFor() {
+    onTrial(2);
+    announce("x", 3);
+    assertEquals(core.of(2).standing(), Release.Standing.SUPERSEDED);
+    assertEquals(
+        core.news().standing(),
+        Release.Standing.WITHDRAWN); // of build 2, until the units of 3 are there
+    core.ready(3, 10, now, 0);
+    cast(0, 3, 0, Say.BACK);
+    announce("y", 4);
+    assertEquals(core.present().build, 3);
+    assertEquals(core.waitsFor(now), List.of("build 3 to have gone back"));
+    pass(1000);
+    assertEquals(core.present().build, 4);
+    assertEquals(core.earlier(), 1);
+  }
 
-    @Test
-    public void votesThatAreLateOldOrOfAnotherStageDoNotCount() {
-        onTrial(2);
-        assertEquals(cast(0, 1, 0, Say.ON), Taken.MOOT);
-        assertEquals(cast(0, 2, 1, Say.ON), Taken.MOOT);
-        assertEquals(cast(0, 2, 0, Say.HOLD), Taken.MOOT); // there is no clock to hold
-        cast(0, 2, 0, Say.ON);
-        pass(4100);
-        cast(1, 2, 0, Say.ON); // the first one's life is over
-        assertEquals(core.present().stage(), 0);
-        cast(0, 2, 0, Say.ON);
-        assertEquals(core.present().stage(), 1);
-        assertEquals(cast(2, 2, 0, Say.ON), Taken.MOOT); // late for its stage
-        cast(2, 2, 1, Say.ON);
-        cast(2, 2, 1, Say.NOTHING); // taken back
-        assertEquals(core.standing(Say.ON, now), List.of());
-    }
+  @Test
+  public void votesThatAreLateOldOrOfAnotherStageDoNotCount() {
+    onTrial(2);
+    assertEquals(cast(0, 1, 0, Say.ON), Taken.MOOT);
+    assertEquals(cast(0, 2, 1, Say.ON), Taken.MOOT);
+    assertEquals(cast(0, 2, 0, Say.HOLD), Taken.MOOT); // there is no clock to hold
+    cast(0, 2, 0, Say.ON);
+    pass(4100);
+    cast(1, 2, 0, Say.ON); // the first one's life is over
+    assertEquals(core.present().stage(), 0);
+    cast(0, 2, 0, Say.ON);
+    assertEquals(core.present().stage(), 1);
+    assertEquals(cast(2, 2, 0, Say.ON), Taken.MOOT); // late for its stage
+    cast(2, 2, 1, Say.ON);
+    cast(2, 2, 1, Say.NOTHING); // taken back
+    assertEquals(core.standing(Say.ON, now), List.of());
+  }
 
-    @Test
-    public void oneRelayHasOneVoteAlsoWhenItStartedAnew() {
-        onTrial(2);
-        pass(600);
-        for (int i = 0; i < 5; i++) cast(0, 2, 0, Say.ON);
-        assertEquals(core.present().stage(), 0);
-        cast(0, 2, 0, Say.BACK); // the last word of that number
-        assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+  @Test
+  public void oneRelayHasOneVoteAlsoWhenItStartedAnew() {
+    onTrial(2);
+    pass(600);
+    for (int i = 0; i < 5; i++) {
+      cast(0, 2, 0, Say.ON);
     }
+    assertEquals(core.present().stage(), 0);
+    cast(0, 2, 0, Say.BACK); // the last word of that number
+    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+  }
 
-    @Test
-    public void moreVotesASecondThanAllowedAreTooMany() {
-        Rules r = ReleasesProperties.RULES;
-        core(new Rules(r.stages(), r.control(), 2, 1, 1, r.voteLife(), r.least(), r.step(), r.startWithin(), r.goingBack(), r.watch(), 3));
-        onTrial(2);
-        for (int i = 0; i < 3; i++) assertEquals(cast(0, 2, 0, Say.ON), Taken.COUNTS);
-        assertEquals(cast(0, 2, 0, Say.BACK), Taken.TOO_MANY);
-        assertEquals(cast(1, 2, 0, Say.NOTHING), Taken.COUNTS);
-        pass(1000);
-        assertEquals(cast(0, 2, 0, Say.NOTHING), Taken.COUNTS);
+  @Test
+  public void moreVotesASecondThanAllowedAreTooMany() {
+    Rules r = ReleasesProperties.RULES;
+    core(
+        new Rules(
+            r.stages(),
+            r.control(),
+            2,
+            1,
+            1,
+            r.voteLife(),
+            r.least(),
+            r.step(),
+            r.startWithin(),
+            r.goingBack(),
+            r.watch(),
+            3));
+    onTrial(2);
+    for (int i = 0; i < 3; i++) {
+      assertEquals(cast(0, 2, 0, Say.ON), Taken.COUNTS);
     }
+    assertEquals(cast(0, 2, 0, Say.BACK), Taken.TOO_MANY);
+    assertEquals(cast(1, 2, 0, Say.NOTHING), Taken.COUNTS);
+    pass(1000);
+    assertEquals(cast(0, 2, 0, Say.NOTHING), Taken.COUNTS);
+  }
 
-    @Test
-    public void aBackVoteInTheMomentOfTheReleaseStillSendsItBackAndLaterNot() {
-        released(2);
-        assertEquals(core.present().standing(), Release.Standing.RELEASED);
-        assertEquals(cast(3, 2, 2, Say.BACK), Taken.COUNTS);
-        assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
-        pass(1000);
-        assertEquals(core.news().standing(), Release.Standing.WITHDRAWN);
-        released(3);
-        pass(3100); // the watch is over
-        assertEquals(cast(3, 3, 2, Say.BACK), Taken.MOOT);
-    }
+  @Test
+  public void aBackVoteInTheMomentOfTheReleaseStillSendsItBackAndLaterNot() {
+    released(2);
+    assertEquals(core.present().standing(), Release.Standing.RELEASED);
+    assertEquals(cast(3, 2, 2, Say.BACK), Taken.COUNTS);
+    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+    pass(1000);
+    assertEquals(core.news().standing(), Release.Standing.WITHDRAWN);
+    released(3);
+    pass(3100); // the watch is over
+    assertEquals(cast(3, 3, 2, Say.BACK), Taken.MOOT);
+  }
 
-    @Test
-    public void unitsThatDoNotComeSendItBack() {
-        announce("d", 2);
-        pass(5100);
-        assertTrue(steps.get(2).startsWith("2 GOING_BACK 0: its units did not start: 0 of 1"), steps.toString());
-        announce("e", 3);
-        pass(900);
-        core.ready(3, 1, now, 0);
-        pass(600);
-        cast(0, 3, 0, Say.ON);
-        cast(1, 3, 0, Say.ON);
-        assertEquals(core.present().stage(), 1);
-        pass(5100);
-        assertEquals(core.present().standing(), Release.Standing.GOING_BACK); // 1 of 4
-    }
+  @Test
+  public void unitsThatDoNotComeSendItBack() {
+    announce("d", 2);
+    pass(5100);
+    assertTrue(
+        steps.get(2).startsWith("2 GOING_BACK 0: its units did not start: 0 of 1"),
+        steps.toString());
+    announce("e", 3);
+    pass(900);
+    core.ready(3, 1, now, 0);
+    pass(600);
+    cast(0, 3, 0, Say.ON);
+    cast(1, 3, 0, Say.ON);
+    assertEquals(core.present().stage(), 1);
+    pass(5100);
+    assertEquals(core.present().standing(), Release.Standing.GOING_BACK); // 1 of 4
+  }
 
-    @Test
-    public void anOperatorHoldsResumesAndWithdrawsWithAReason() {
-        onTrial(2);
-        assertNull(core.word(Action.HOLD, 2, "ann", "we look at it", now, 0));
-        assertEquals(core.word(Action.HOLD, 2, "bob", "me too", now, 0), "build 2 is held already");
-        pass(600);
-        cast(0, 2, 0, Say.ON);
-        cast(1, 2, 0, Say.ON);
-        pass(600);
-        assertEquals(core.present().stage(), 0);
-        assertTrue(core.waitsFor(now).contains("an operator holds it"));
-        assertNull(core.word(Action.RESUME, 2, "ann", "it is well", now, 0));
-        assertEquals(core.present().stage(), 0); // held time does not count
-        pass(600);
-        assertEquals(core.present().stage(), 1);
-        assertNull(core.word(Action.WITHDRAW, 2, "ann", "not today", now, 0));
-        assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
-        assertEquals(core.word(Action.WITHDRAW, 1, "ann", "the only one", now, 0), "build 1 is released: it can't be withdrawn");
-        assertEquals(core.word(Action.HOLD, 9, "ann", "?", now, 0), "no build 9 is known");
-    }
+  @Test
+  public void anOperatorHoldsResumesAndWithdrawsWithAReason() {
+    onTrial(2);
+    assertNull(core.word(Action.HOLD, 2, "ann", "we look at it", now, 0));
+    assertEquals(core.word(Action.HOLD, 2, "bob", "me too", now, 0), "build 2 is held already");
+    pass(600);
+    cast(0, 2, 0, Say.ON);
+    cast(1, 2, 0, Say.ON);
+    pass(600);
+    assertEquals(core.present().stage(), 0);
+    assertTrue(core.waitsFor(now).contains("an operator holds it"));
+    assertNull(core.word(Action.RESUME, 2, "ann", "it is well", now, 0));
+    assertEquals(core.present().stage(), 0); // held time does not count
+    pass(600);
+    assertEquals(core.present().stage(), 1);
+    assertNull(core.word(Action.WITHDRAW, 2, "ann", "not today", now, 0));
+    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+    assertEquals(
+        core.word(Action.WITHDRAW, 1, "ann", "the only one", now, 0),
+        "build 1 is released: it can't be withdrawn");
+    assertEquals(core.word(Action.HOLD, 9, "ann", "?", now, 0), "no build 9 is known");
+  }
 
-    @Test
-    public void underTheClockRelaysHoldIt() {
-        Rules r = ReleasesProperties.RULES;
-        core(new Rules(r.stages(), Rules.Control.CLOCKED, 1, 1, 2, r.voteLife(), r.least(), r.step(), r.startWithin(), r.goingBack(), r.watch(), 100));
-        onTrial(2);
-        pass(900);
-        assertEquals(cast(0, 2, 0, Say.HOLD), Taken.COUNTS);
-        pass(3000);
-        assertEquals(core.present().stage(), 0);
-        pass(1200); // its life is over, and the clock went on from where it stood
-        assertEquals(core.present().stage(), 1);
-        assertEquals(cast(0, 2, 1, Say.ON), Taken.MOOT);
-        cast(0, 2, 1, Say.BACK);
-        assertEquals(core.present().standing(), Release.Standing.ON_TRIAL);
-        cast(1, 2, 1, Say.BACK);
-        assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
-    }
+  @Test
+  public void underTheClockRelaysHoldIt() {
+    Rules r = ReleasesProperties.RULES;
+    core(
+        new Rules(
+            r.stages(),
+            Rules.Control.CLOCKED,
+            1,
+            1,
+            2,
+            r.voteLife(),
+            r.least(),
+            r.step(),
+            r.startWithin(),
+            r.goingBack(),
+            r.watch(),
+            100));
+    onTrial(2);
+    pass(900);
+    assertEquals(cast(0, 2, 0, Say.HOLD), Taken.COUNTS);
+    pass(3000);
+    assertEquals(core.present().stage(), 0);
+    pass(1200); // its life is over, and the clock went on from where it stood
+    assertEquals(core.present().stage(), 1);
+    assertEquals(cast(0, 2, 1, Say.ON), Taken.MOOT);
+    cast(0, 2, 1, Say.BACK);
+    assertEquals(core.present().standing(), Release.Standing.ON_TRIAL);
+    cast(1, 2, 1, Say.BACK);
+    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+  }
 
-    @Test
-    public void timeThatItWasDownDoesNotCountForAStageAndAClockSetBackEndsVotes() {
-        onTrial(2);
-        cast(0, 2, 0, Say.ON);
-        cast(1, 2, 0, Say.ON);
-        now = now.plus(Span.ofMs(3000));
-        core.restarted(3000, now, 0);
-        assertEquals(core.present().stage(), 0);
-        core.restarted(-5, now, 0);
-        pass(700);
-        assertEquals(core.present().stage(), 0);
-        assertFalse(core.due(now));
-    }
+  @Test
+  public void timeThatItWasDownDoesNotCountForAStageAndAClockSetBackEndsVotes() {
+    onTrial(2);
+    cast(0, 2, 0, Say.ON);
+    cast(1, 2, 0, Say.ON);
+    now = now.plus(Span.ofMs(3000));
+    core.restarted(3000, now, 0);
+    assertEquals(core.present().stage(), 0);
+    core.restarted(-5, now, 0);
+    pass(700);
+    assertEquals(core.present().stage(), 0);
+    assertFalse(core.due(now));
+  }
 }
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -11,165 +11,226 @@
 import org.testng.annotations.Test;
 import sprucerock.change.Change;
 import sprucerock.change.Changes;
-import sprucerock.change.Plan;
 import sprucerock.change.ManagedRelay;
+import sprucerock.change.Plan;
 import sprucerock.controller.v1.AgentSays;
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.Input;
 import sprucerock.time.Span;
 
-/** What the disk is asked to do for messages that come in one turn, and how large what is kept grows with relays: counted, not timed. */
+/**
+ * What the disk is asked to do for messages that come in one turn, and how large what is kept grows
+ * with relays: counted, not timed.
+ */
 public class StoreScaleTest {
-    private static final Plan PLAN = new Plan(List.of(new Plan.Stage(0.5, 0.1), new Plan.Stage(1, 0.01)), Span.ofMs(10_000), Span.ofMs(120_000), Span.ofMs(20_000), 0.2, 0.1,
-        Span.ofMs(5000));
-    private static final sprucerock.controller.v1.Version RUNS = sprucerock.controller.v1.Version.newBuilder().setProgram("a".repeat(64)).setSettings("0".repeat(64)).build();
-
-    /** Counts what it is asked. */
-    private static final class Counting implements Disk {
-        private final TreeMap<String, ByteArrayOutputStream> files = new TreeMap<>();
-        private long adds;
-        private long bytes;
-        private long forces;
-        private long snapshots;
-        private long snapshotBytes;
-
-        @Override
-        public List<String> list() {
-            return new ArrayList<>(files.keySet());
-        }
-
-        @Override
-        public byte[] read(String name) {
-            return files.get(name).toByteArray();
-        }
+  private static final Plan PLAN =
+      new Plan(
+          List.of(new Plan.Stage(0.5, 0.1), new Plan.Stage(1, 0.01)),
+          Span.ofMs(10_000),
+          Span.ofMs(120_000),
+          Span.ofMs(20_000),
+          0.2,
+          0.1,
+          Span.ofMs(5000));
+  private static final sprucerock.controller.v1.Version RUNS =
+      sprucerock.controller.v1.Version.newBuilder()
+          .setProgram("a".repeat(64))
+          .setSettings("0".repeat(64))
+          .build();
+
+  /** Counts what it is asked. */
+  private static final class Counting implements Disk {
+    private final TreeMap<String, ByteArrayOutputStream> files = new TreeMap<>();
+    private long adds;
+    private long bytes;
+    private long forces;
+    private long snapshots;
+    private long snapshotBytes;
+
+    @Override
+    public List<String> list() {
+      return new ArrayList<>(files.keySet());
+    }
 
-        @Override
-        public Log open(String name) {
-            ByteArrayOutputStream file = files.computeIfAbsent(name, any -> new ByteArrayOutputStream());
-            return new Log() {
-                @Override
-                public void add(byte[] more) {
-                    adds++;
-                    bytes += more.length;
-                    file.writeBytes(more);
-                }
-
-                @Override
-                public void force() {
-                    forces++;
-                }
-
-                @Override
-                public void close() {
-                    // nothing is held
-                }
-            };
-        }
+    @Override
+    public byte[] read(String name) {
+      return files.get(name).toByteArray();
+    }
 
+    @Override
+    public Log open(String name) {
+      ByteArrayOutputStream file = files.computeIfAbsent(name, any -> new ByteArrayOutputStream());
+      return new Log() {
         @Override
-        public void put(String name, byte[] all) {
-            snapshots++;
-            snapshotBytes = all.length;
-            ByteArrayOutputStream file = new ByteArrayOutputStream();
-            file.writeBytes(all);
-            files.put(name, file);
+        public void add(byte[] more) {
+          adds++;
+          bytes += more.length;
+          file.writeBytes(more);
         }
 
         @Override
-        public void delete(String name) {
-            files.remove(name);
+        public void force() {
+          forces++;
         }
 
         @Override
-        public void cut(String name, long length) {
-            throw new IllegalStateException("nothing is torn here");
+        public void close() {
+          // nothing is held
         }
+      };
     }
 
-    private final Counting disk = new Counting();
-    private long ms = 1000;
-    private Engine engine;
+    @Override
+    public void put(String name, byte[] all) {
+      snapshots++;
+      snapshotBytes = all.length;
+      ByteArrayOutputStream file = new ByteArrayOutputStream();
+      file.writeBytes(all);
+      files.put(name, file);
+    }
 
-    public StoreScaleTest() {
-        this(1 << 30);
+    @Override
+    public void delete(String name) {
+      files.remove(name);
     }
 
-    private StoreScaleTest(int snapshotEvery) {
-        Rules rules = new Rules(List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)), Rules.Control.MAJORITY, 1 << 20, 1 << 20, 1 << 20, Span.ofMs(60_000), Span.ofMs(60_000),
-            Span.ofMs(1000), Span.ofMs(600_000), Span.ofMs(1000), Span.ofMs(60_000), 10);
-        engine = new Engine(disk, snapshotEvery, rules, 10, 1, PLAN, new Engine.Clock() {
-            @Override
-            public long wallMs() {
+    @Override
+    public void cut(String name, long length) {
+      throw new IllegalStateException("nothing is torn here");
+    }
+  }
+
+  private final Counting disk = new Counting();
+  private long ms = 1000;
+  private Engine engine;
+
+  public StoreScaleTest() {
+    this(1 << 30);
+  }
+
+  private StoreScaleTest(int snapshotEvery) {
+    Rules rules =
+        new Rules(
+            List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)),
+            Rules.Control.MAJORITY,
+            1 << 20,
+            1 << 20,
+            1 << 20,
+            Span.ofMs(60_000),
+            Span.ofMs(60_000),
+            Span.ofMs(1000),
+            Span.ofMs(600_000),
+            Span.ofMs(1000),
+            Span.ofMs(60_000),
+            10);
+    engine =
+        new Engine(
+            disk,
+            snapshotEvery,
+            rules,
+            10,
+            1,
+            PLAN,
+            new Engine.Clock() {
+              @Override
+              public long wallMs() {
                 return ms;
-            }
+              }
 
-            @Override
-            public long steadyMs() {
+              @Override
+              public long steadyMs() {
                 return ms;
-            }
-        }, (release, step) -> { }, new Changes.Host() {
-            @Override
-            public void changed(Change change, Change.Step step) {
+              }
+            },
+            (release, step) -> {},
+            new Changes.Host() {
+              @Override
+              public void changed(Change change, Change.Step step) {
                 // not counted
-            }
+              }
 
-            @Override
-            public void wants(ManagedRelay relay) {
+              @Override
+              public void wants(ManagedRelay relay) {
                 // not counted
-            }
-        }, what -> {
-            throw new IllegalStateException(what);
-        });
-    }
-
-    private void says(int relay, int done) {
-        engine.submit(Input.newBuilder().setAgent(AgentSays.newBuilder().setRelay(relay).setZone(relay % 3).setRuns(RUNS).setReady(true).setDone(done)), outcome -> assertEquals(outcome.refused(), null));
-    }
-
-    private void votes(int relay) {
-        engine.submit(Input.newBuilder().setCast(Cast.newBuilder().setRelay(relay).setBuild(1).setStage(1).setSay("NOTHING")), outcome -> assertEquals(outcome.refused(), null));
-    }
-
-    private static void print(String what, int size, double cost) {
-        System.out.printf(Locale.ROOT, "counted: %s: at %d %.2f%n", what, size, cost);
-    }
-
-    /** A burst is one force of the disk, whatever its size; each message is a record of its own. */
-    @Test
-    public void allThatComesInATurnIsForcedOnce() throws Exception {
-        for (int burst : new int[] {10, 100, 1000}) {
-            StoreScaleTest one = new StoreScaleTest();
-            one.engine.start();
-            long forces = one.disk.forces;
-            long adds = one.disk.adds;
-            long bytes = one.disk.bytes;
-            for (int i = 0; i < burst; i++) one.votes(i);
-            one.engine.commit();
-            print("records for the votes of one turn", burst, one.disk.adds - adds);
-            print("bytes of a vote on disk", burst, (one.disk.bytes - bytes) / (double) burst);
-            assertEquals(one.disk.forces - forces, 1, "forces for " + burst + " votes");
-            assertEquals(one.engine.inputs(), burst + 1, "each is there");
-            assertEquals(one.disk.adds - adds, burst, "records for " + burst + " votes of one turn");
-        }
+              }
+            },
+            what -> {
+              throw new IllegalStateException(what);
+            });
+  }
+
+  private void says(int relay, int done) {
+    engine.submit(
+        Input.newBuilder()
+            .setAgent(
+                AgentSays.newBuilder()
+                    .setRelay(relay)
+                    .setZone(relay % 3)
+                    .setRuns(RUNS)
+                    .setReady(true)
+                    .setDone(done)),
+        outcome -> assertEquals(outcome.refused(), null));
+  }
+
+  private void votes(int relay) {
+    engine.submit(
+        Input.newBuilder()
+            .setCast(Cast.newBuilder().setRelay(relay).setBuild(1).setStage(1).setSay("NOTHING")),
+        outcome -> assertEquals(outcome.refused(), null));
+  }
+
+  private static void print(String what, int size, double cost) {
+    System.out.printf(Locale.ROOT, "counted: %s: at %d %.2f%n", what, size, cost);
+  }
+
+  /** A burst is one force of the disk, whatever its size; each message is a record of its own. */
+  @Test
+  public void allThatComesInATurnIsForcedOnce() throws Exception {
+    for (int burst : new int[] {10, 100, 1000}) {
+      StoreScaleTest one = new StoreScaleTest();
+      one.engine.start();
+      long forces = one.disk.forces;
+      long adds = one.disk.adds;
+      long bytes = one.disk.bytes;
+      for (int i = 0; i < burst; i++) {
+        one.votes(i);
+      }
+      one.engine.commit();
+      print("records for the votes of one turn", burst, one.disk.adds - adds);
+      print("bytes of a vote on disk", burst, (one.disk.bytes - bytes) / (double) burst);
+      assertEquals(one.disk.forces - forces, 1, "forces for " + burst + " votes");
+      assertEquals(one.engine.inputs(), burst + 1, "each is there");
+      assertEquals(one.disk.adds - adds, burst, "records for " + burst + " votes of one turn");
     }
-
-    /** A controller that starts again finds each relay as it was: what an agent says again is no record. The door compares; here is what a first word costs. */
-    @Test
-    public void whatIsKeptGrowsAsTheRelaysDo() throws Exception {
-        double[] each = new double[2];
-        int[] sizes = {100, 400};
-        for (int i = 0; i < 2; i++) {
-            StoreScaleTest one = new StoreScaleTest(2 * sizes[i]);
-            one.engine.start();
-            for (int relay = 0; relay < sizes[i]; relay++) one.says(relay, 0);
-            for (int relay = 0; relay < sizes[i]; relay++) one.votes(relay);
-            long bytes = one.disk.bytes;
-            one.engine.commit();
-            print("bytes of an agent's word and a vote on disk", sizes[i], (one.disk.bytes - bytes) / (double) sizes[i]);
-            assertEquals(one.disk.snapshots, 1);
-            each[i] = one.disk.snapshotBytes / (double) sizes[i];
-            print("bytes of a relay in a snapshot", sizes[i], each[i]);
-        }
-        assertTrue(each[1] <= 1.1 * each[0], each[1] + " after " + each[0]);
+  }
+
+  /**
+   * A controller that starts again finds each relay as it was: what an agent says again is no
+   * record. The door compares; here is what a first word costs.
+   */
+  @Test
+  public void whatIsKeptGrowsAsTheRelaysDo() throws Exception {
+    double[] each = new double[2];
+    int[] sizes = {100, 400};
+    for (int i = 0; i < 2; i++) {
+      StoreScaleTest one = new StoreScaleTest(2 * sizes[i]);
+      one.engine.start();
+      for (int relay = 0; relay < sizes[i]; relay++) {
+        one.says(relay, 0);
+      }
+      for (int relay = 0; relay < sizes[i]; relay++) {
+        one.votes(relay);
+      }
+      long bytes = one.disk.bytes;
+      one.engine.commit();
+      print(
+          "bytes of an agent's word and a vote on disk",
+          sizes[i],
+          (one.disk.bytes - bytes) / (double) sizes[i]);
+      assertEquals(one.disk.snapshots, 1);
+      each[i] = one.disk.snapshotBytes / (double) sizes[i];
+      print("bytes of a relay in a snapshot", sizes[i], each[i]);
     }
+    assertTrue(each[1] <= 1.1 * each[0], each[1] + " after " + each[0]);
+  }
 }
--- a/src/test/java/sprucerock/desk/DeskTest.java
+++ b/src/test/java/sprucerock/desk/DeskTest.java
@@ -38,28 +38,33 @@
 import sprucerock.wire.v1.Vote;
 import sprucerock.wire.v1.Voted;
 
-/** The controller between a pipeline, an operator and relays, over sockets on loopback; nothing hangs on how fast. */
+/**
+ * The controller between a pipeline, an operator and relays, over sockets on loopback; nothing
+ * hangs on how fast.
+ */
 public class DeskTest {
-    private static final byte[] SECRET = "a secret for the test".getBytes(StandardCharsets.UTF_8);
-    private static final String TOKEN = "0123456789abcdef0123";
-
-    private Path folder;
-    private Desk desk;
-    private String tells = "";
-    private final String lease = "30s"; // no machine is that slow
-    private NioLoop loop;
-    private final HttpClient http = HttpClient.newHttpClient();
-
-    private Path secret(String name, String text) throws IOException {
-        Path file = folder.resolve(name);
-        Files.writeString(file, text);
-        Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-        return file;
-    }
-
-    private Path config(String rate) throws IOException {
-        Path file = folder.resolve("controller.xml");
-        Files.writeString(file, """
+  private static final byte[] SECRET = "a secret for the test".getBytes(StandardCharsets.UTF_8);
+  private static final String TOKEN = "0123456789abcdef0123";
+
+  private Path folder;
+  private Desk desk;
+  private String tells = "";
+  private final String lease = "30s"; // no machine is that slow
+  private NioLoop loop;
+  private final HttpClient http = HttpClient.newHttpClient();
+
+  private Path secret(String name, String text) throws IOException {
+    Path file = folder.resolve(name);
+    Files.writeString(file, text);
+    Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
+    return file;
+  }
+
+  private Path config(String rate) throws IOException {
+    Path file = folder.resolve("controller.xml");
+    Files.writeString(
+        file,
+        """
             <controller xmlns="urn:sprucerock:controller:1" name="desk" lease="%s" folder="%s" first-build="1" places="10">
               <relays host="127.0.0.1" port="0" tell-every="10min"/>
               <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
@@ -72,290 +77,418 @@
               <stage share="1" cap="1"/>
               <votes control="single" life="60s" least="1ms" going-back="1ms"/>
             </controller>
-            """.formatted(lease, folder.resolve("store"), secret("ci", "whsec_" + Base64.getEncoder().encodeToString(SECRET)), rate,
-            secret("hub", new String(SECRET, StandardCharsets.UTF_8)), secret("token", TOKEN), tells.formatted(folder.resolve("ci"))));
-        return file;
-    }
-
-    @BeforeMethod
-    public void begin() throws Exception {
-        folder = Files.createTempDirectory("desk");
-        loop = new NioLoop("relays", Throwable::printStackTrace);
-        starts("1000");
-    }
-
-    private void starts(String rate) throws Exception {
-        desk = new Desk(DeskConfig.read(config(rate)), new Engine.Clock() {
-            @Override
-            public long wallMs() {
+            """
+            .formatted(
+                lease,
+                folder.resolve("store"),
+                secret("ci", "whsec_" + Base64.getEncoder().encodeToString(SECRET)),
+                rate,
+                secret("hub", new String(SECRET, StandardCharsets.UTF_8)),
+                secret("token", TOKEN),
+                tells.formatted(folder.resolve("ci"))));
+    return file;
+  }
+
+  @BeforeMethod
+  public void begin() throws Exception {
+    folder = Files.createTempDirectory("desk");
+    loop = new NioLoop("relays", Throwable::printStackTrace);
+    starts("1000");
+  }
+
+  private void starts(String rate) throws Exception {
+    desk =
+        new Desk(
+            DeskConfig.read(config(rate)),
+            new Engine.Clock() {
+              @Override
+              public long wallMs() {
                 return System.currentTimeMillis();
-            }
+              }
 
-            @Override
-            public long steadyMs() {
+              @Override
+              public long steadyMs() {
                 return System.nanoTime() / 1_000_000;
-            }
-        }, Tap.NONE, () -> { });
+              }
+            },
+            Tap.NONE,
+            () -> {});
+  }
+
+  @AfterMethod
+  public void end() throws Exception {
+    desk.close();
+    loop.close();
+  }
+
+  private static String body(int build) {
+    return "{\"type\":\"build.announced\",\"build\":" + build + ",\"artifact\":\"a" + build + "\"}";
+  }
+
+  private HttpRequest hook(String id, String body) {
+    long now = System.currentTimeMillis() / 1000;
+    return HttpRequest.newBuilder(
+            URI.create("http://127.0.0.1:" + desk.hooksAt().getPort() + "/hooks/ci"))
+        .header("webhook-id", id)
+        .header("webhook-timestamp", "" + now)
+        .header(
+            "webhook-signature",
+            Signatures.sign(Signatures.Form.STANDARD, id, now, body.getBytes(), SECRET))
+        .POST(HttpRequest.BodyPublishers.ofString(body))
+        .build();
+  }
+
+  private String sends(HttpRequest request) throws Exception {
+    HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
+    return answer.statusCode() + " " + answer.body().strip();
+  }
+
+  private void answers(HttpRequest request, String begins) throws Exception {
+    String answer = sends(request);
+    assertTrue(answer.startsWith(begins), answer);
+  }
+
+  private String api(String method, String path, String body) throws Exception {
+    return sends(
+        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + desk.apiAt().getPort() + path))
+            .header("Authorization", "Bearer " + TOKEN)
+            .method(method, HttpRequest.BodyPublishers.ofString(body))
+            .build());
+  }
+
+  private static void until(String what, BooleanSupplier holds) throws InterruptedException {
+    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
+      Thread.sleep(10);
     }
-
-    @AfterMethod
-    public void end() throws Exception {
-        desk.close();
-        loop.close();
-    }
-
-    private static String body(int build) {
-        return "{\"type\":\"build.announced\",\"build\":" + build + ",\"artifact\":\"a" + build + "\"}";
-    }
-
-    private HttpRequest hook(String id, String body) {
-        long now = System.currentTimeMillis() / 1000;
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + desk.hooksAt().getPort() + "/hooks/ci")).header("webhook-id", id)
-            .header("webhook-timestamp", "" + now).header("webhook-signature", Signatures.sign(Signatures.Form.STANDARD, id, now, body.getBytes(), SECRET))
-            .POST(HttpRequest.BodyPublishers.ofString(body)).build();
-    }
-
-    private String sends(HttpRequest request) throws Exception {
-        HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
-        return answer.statusCode() + " " + answer.body().strip();
-    }
-
-    private void answers(HttpRequest request, String begins) throws Exception {
-        String answer = sends(request);
-        assertTrue(answer.startsWith(begins), answer);
-    }
-
-    private String api(String method, String path, String body) throws Exception {
-        return sends(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + desk.apiAt().getPort() + path)).header("Authorization", "Bearer " + TOKEN)
-            .method(method, HttpRequest.BodyPublishers.ofString(body)).build());
-    }
-
-    private static void until(String what, BooleanSupplier holds) throws InterruptedException {
-        for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) Thread.sleep(10);
-        assertTrue(holds.getAsBoolean(), what);
-    }
-
-    private Person relay(int number) {
-        CompletableFuture<Person> made = new CompletableFuture<>();
-        loop.post(() -> {
-            Person person = new Person(loop, Role.RELAY, number);
-            loop.connect(new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()), Span.ofMs(5000), 1 << 20, person.link);
-            made.complete(person);
+    assertTrue(holds.getAsBoolean(), what);
+  }
+
+  private Person relay(int number) {
+    CompletableFuture<Person> made = new CompletableFuture<>();
+    loop.post(
+        () -> {
+          Person person = new Person(loop, Role.RELAY, number);
+          loop.connect(
+              new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
+              Span.ofMs(5000),
+              1 << 20,
+              person.link);
+          made.complete(person);
         });
-        return made.join();
-    }
-
-    private <T> T on(java.util.function.Supplier<T> what) {
-        CompletableFuture<T> result = new CompletableFuture<>();
-        loop.post(() -> result.complete(what.get()));
-        return result.join();
-    }
-
-    private News last(Person relay) {
-        List<News> all = on(() -> new ArrayList<>(relay.<News>all(Kind.NEWS)));
-        return all.isEmpty() ? News.getDefaultInstance() : all.get(all.size() - 1);
-    }
-
-    private Taken votes(Person relay, int id, int build, int stage, Say say) throws Exception {
-        loop.post(() -> relay.send(Kind.VOTE, Vote.newBuilder().setId(id).setBuild(build).setStage(stage).setSay(say).build()));
-        until("vote " + id + " is answered", () -> on(() -> relay.<Voted>all(Kind.VOTED).stream().anyMatch(one -> one.getId() == id)));
-        return on(() -> relay.<Voted>all(Kind.VOTED).stream().filter(one -> one.getId() == id).findFirst().get().getTaken());
+    return made.join();
+  }
+
+  private <T> T on(java.util.function.Supplier<T> what) {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.post(() -> result.complete(what.get()));
+    return result.join();
+  }
+
+  private News last(Person relay) {
+    List<News> all = on(() -> new ArrayList<>(relay.<News>all(Kind.NEWS)));
+    return all.isEmpty() ? News.getDefaultInstance() : all.get(all.size() - 1);
+  }
+
+  private Taken votes(Person relay, int id, int build, int stage, Say say) throws Exception {
+    loop.post(
+        () ->
+            relay.send(
+                Kind.VOTE,
+                Vote.newBuilder().setId(id).setBuild(build).setStage(stage).setSay(say).build()));
+    until(
+        "vote " + id + " is answered",
+        () -> on(() -> relay.<Voted>all(Kind.VOTED).stream().anyMatch(one -> one.getId() == id)));
+    return on(
+        () ->
+            relay.<Voted>all(Kind.VOTED).stream()
+                .filter(one -> one.getId() == id)
+                .findFirst()
+                .get()
+                .getTaken());
+  }
+
+  @Test
+  public void aSignedAnnouncementGoesThroughItsStagesToTheRelease() throws Exception {
+    Person relay = relay(0);
+    until("it is told at once", () -> last(relay).getStanding() == Stand.RELEASED);
+    assertEquals(sends(hook("m1", body(2))), "202 {\"answer\":\"taken\"}");
+    assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
+    assertEquals(last(relay).getBuild(), 1);
+    assertEquals(api("PUT", "/fleet/2", "{\"units\":10}"), "200 {\"answer\":\"done\"}");
+    until("the trial is told", () -> last(relay).getStanding() == Stand.ON_TRIAL);
+    assertEquals(last(relay).getCap(), 0.12);
+    Thread.sleep(5); // its least time
+    assertEquals(votes(relay, 1, 2, 1, Say.ON), Taken.MOOT);
+    assertEquals(votes(relay, 2, 2, 0, Say.ON), Taken.COUNTS);
+    until("the next stage is told", () -> last(relay).getStage() == 1);
+    Thread.sleep(5);
+    assertEquals(votes(relay, 3, 2, 1, Say.ON), Taken.COUNTS);
+    until(
+        "the release is told",
+        () -> last(relay).getStanding() == Stand.RELEASED && last(relay).getBuild() == 2);
+    String shown = api("GET", "/releases/2", "");
+    assertTrue(
+        shown.contains("\"cause\":\"announced by ci\"")
+            && shown.contains("\"cause\":\"votes to go on of relays [0]\""),
+        shown);
+  }
+
+  @Test
+  public void afterARestartItIsWhereItWasAndItsNewsIsNewer() throws Exception {
+    Person relay = relay(0);
+    sends(hook("m1", body(2)));
+    api("PUT", "/fleet/2", "{\"units\":1}");
+    until("the trial is told", () -> last(relay).getStanding() == Stand.ON_TRIAL);
+    News before = last(relay);
+    desk.close();
+    starts("1000");
+    Person again = relay(0);
+    until("it is told", () -> last(again).getBuild() == 2);
+    News after = last(again);
+    assertEquals(after.getStanding(), Stand.ON_TRIAL);
+    assertTrue(
+        after.getEpoch() > before.getEpoch() && after.getSequence() == before.getSequence(),
+        before + " " + after);
+    assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
+  }
+
+  @Test
+  public void copiesThatComeAtOnceHaveOneEffect() throws Exception {
+    List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
+    for (int i = 0; i < 30; i++) {
+      all.add(http.sendAsync(hook("m1", body(2)), HttpResponse.BodyHandlers.ofString()));
     }
-
-    @Test
-    public void aSignedAnnouncementGoesThroughItsStagesToTheRelease() throws Exception {
-        Person relay = relay(0);
-        until("it is told at once", () -> last(relay).getStanding() == Stand.RELEASED);
-        assertEquals(sends(hook("m1", body(2))), "202 {\"answer\":\"taken\"}");
-        assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
-        assertEquals(last(relay).getBuild(), 1);
-        assertEquals(api("PUT", "/fleet/2", "{\"units\":10}"), "200 {\"answer\":\"done\"}");
-        until("the trial is told", () -> last(relay).getStanding() == Stand.ON_TRIAL);
-        assertEquals(last(relay).getCap(), 0.12);
-        Thread.sleep(5); // its least time
-        assertEquals(votes(relay, 1, 2, 1, Say.ON), Taken.MOOT);
-        assertEquals(votes(relay, 2, 2, 0, Say.ON), Taken.COUNTS);
-        until("the next stage is told", () -> last(relay).getStage() == 1);
-        Thread.sleep(5);
-        assertEquals(votes(relay, 3, 2, 1, Say.ON), Taken.COUNTS);
-        until("the release is told", () -> last(relay).getStanding() == Stand.RELEASED && last(relay).getBuild() == 2);
-        String shown = api("GET", "/releases/2", "");
-        assertTrue(shown.contains("\"cause\":\"announced by ci\"") && shown.contains("\"cause\":\"votes to go on of relays [0]\""), shown);
-    }
-
-    @Test
-    public void afterARestartItIsWhereItWasAndItsNewsIsNewer() throws Exception {
-        Person relay = relay(0);
-        sends(hook("m1", body(2)));
-        api("PUT", "/fleet/2", "{\"units\":1}");
-        until("the trial is told", () -> last(relay).getStanding() == Stand.ON_TRIAL);
-        News before = last(relay);
-        desk.close();
-        starts("1000");
-        Person again = relay(0);
-        until("it is told", () -> last(again).getBuild() == 2);
-        News after = last(again);
-        assertEquals(after.getStanding(), Stand.ON_TRIAL);
-        assertTrue(after.getEpoch() > before.getEpoch() && after.getSequence() == before.getSequence(), before + " " + after);
-        assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
-    }
-
-    @Test
-    public void copiesThatComeAtOnceHaveOneEffect() throws Exception {
-        List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
-        for (int i = 0; i < 30; i++) all.add(http.sendAsync(hook("m1", body(2)), HttpResponse.BodyHandlers.ofString()));
-        List<Integer> statuses = all.stream().map(one -> one.join().statusCode()).sorted().toList();
-        assertEquals(statuses.stream().filter(one -> one == 202).count(), 1, statuses.toString());
-        assertEquals(statuses.stream().filter(one -> one == 200).count(), 29, statuses.toString());
-    }
-
-    @Test
-    public void whatIsWrongHasItsAnswerAndNoEffect() throws Exception {
-        HttpRequest good = hook("m1", body(2));
-        HttpRequest changed = HttpRequest.newBuilder(good.uri()).headers("webhook-id", "m1", "webhook-timestamp", good.headers().firstValue("webhook-timestamp").get(),
-            "webhook-signature", good.headers().firstValue("webhook-signature").get()).POST(HttpRequest.BodyPublishers.ofString(body(3))).build();
-        assertTrue(sends(changed).startsWith("401 "), sends(changed));
-        answers(hook("m2", "not json"), "400 {\"answer\":\"no_announcement\",\"detail\":\"it is no JSON");
-        answers(hook("m3", "{\"type\":\"build.announced\",\"build\":0,\"artifact\":\"a\"}"), "400 ");
-        answers(hook("m4", "{\"type\":\"build.announced\",\"build\":2,\"build\":3,\"artifact\":\"a\"}"), "400 ");
-        answers(hook("m5", ""), "400 {");
-        answers(hook("m6", " ".repeat(5000)), "413 ");
-        assertTrue(sends(HttpRequest.newBuilder(URI.create(good.uri().toString().replace("/ci", "/nobody"))).POST(HttpRequest.BodyPublishers.noBody()).build())
+    List<Integer> statuses = all.stream().map(one -> one.join().statusCode()).sorted().toList();
+    assertEquals(statuses.stream().filter(one -> one == 202).count(), 1, statuses.toString());
+    assertEquals(statuses.stream().filter(one -> one == 200).count(), 29, statuses.toString());
+  }
+
+  @Test
+  public void whatIsWrongHasItsAnswerAndNoEffect() throws Exception {
+    HttpRequest good = hook("m1", body(2));
+    HttpRequest changed =
+        HttpRequest.newBuilder(good.uri())
+            .headers(
+                "webhook-id",
+                "m1",
+                "webhook-timestamp",
+                good.headers().firstValue("webhook-timestamp").get(),
+                "webhook-signature",
+                good.headers().firstValue("webhook-signature").get())
+            .POST(HttpRequest.BodyPublishers.ofString(body(3)))
+            .build();
+    assertTrue(sends(changed).startsWith("401 "), sends(changed));
+    answers(
+        hook("m2", "not json"), "400 {\"answer\":\"no_announcement\",\"detail\":\"it is no JSON");
+    answers(hook("m3", "{\"type\":\"build.announced\",\"build\":0,\"artifact\":\"a\"}"), "400 ");
+    answers(
+        hook("m4", "{\"type\":\"build.announced\",\"build\":2,\"build\":3,\"artifact\":\"a\"}"),
+        "400 ");
+    answers(hook("m5", ""), "400 {");
+    answers(hook("m6", " ".repeat(5000)), "413 ");
+    assertTrue(
+        sends(
+                HttpRequest.newBuilder(URI.create(good.uri().toString().replace("/ci", "/nobody")))
+                    .POST(HttpRequest.BodyPublishers.noBody())
+                    .build())
             .startsWith("404 "));
-        assertTrue(sends(HttpRequest.newBuilder(good.uri()).GET().build()).startsWith("405 "));
-        assertTrue(sends(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + desk.apiAt().getPort() + "/releases")).GET().build()).startsWith("401 "));
-        assertEquals(sends(hook("m7", body(5))).substring(0, 3), "202");
-        assertEquals(sends(hook("m8", body(4))), "409 {\"answer\":\"too_old\"}");
-        assertEquals(sends(hook("m7", body(6))), "409 {\"answer\":\"contradicts\"}");
-        assertTrue(!api("GET", "/releases", "").contains("\"build\":2"));
+    assertTrue(sends(HttpRequest.newBuilder(good.uri()).GET().build()).startsWith("405 "));
+    assertTrue(
+        sends(
+                HttpRequest.newBuilder(
+                        URI.create("http://127.0.0.1:" + desk.apiAt().getPort() + "/releases"))
+                    .GET()
+                    .build())
+            .startsWith("401 "));
+    assertEquals(sends(hook("m7", body(5))).substring(0, 3), "202");
+    assertEquals(sends(hook("m8", body(4))), "409 {\"answer\":\"too_old\"}");
+    assertEquals(sends(hook("m7", body(6))), "409 {\"answer\":\"contradicts\"}");
+    assertTrue(!api("GET", "/releases", "").contains("\"build\":2"));
+  }
+
+  @Test
+  public void gitHubsFormIsTakenToo() throws Exception {
+    HttpRequest request =
+        HttpRequest.newBuilder(
+                URI.create("http://127.0.0.1:" + desk.hooksAt().getPort() + "/hooks/hub"))
+            .header("X-GitHub-Delivery", "g-1")
+            .header(
+                "X-Hub-Signature-256",
+                Signatures.sign(Signatures.Form.GITHUB, "g-1", 0, body(2).getBytes(), SECRET))
+            .POST(HttpRequest.BodyPublishers.ofString(body(2)))
+            .build();
+    assertEquals(sends(request), "202 {\"answer\":\"taken\"}");
+    assertEquals(sends(request), "200 {\"answer\":\"again\"}");
+  }
+
+  @Test
+  public void whoComesTooOftenIsToldSo() throws Exception {
+    desk.close();
+    starts("1"); // a dozen in a dozen seconds would be slow beyond any machine
+    List<String> answers = new ArrayList<>();
+    for (int i = 0; i < 12; i++) {
+      answers.add(sends(hook("m1", body(2))).substring(0, 3));
     }
-
-    @Test
-    public void gitHubsFormIsTakenToo() throws Exception {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + desk.hooksAt().getPort() + "/hooks/hub")).header("X-GitHub-Delivery", "g-1")
-            .header("X-Hub-Signature-256", Signatures.sign(Signatures.Form.GITHUB, "g-1", 0, body(2).getBytes(), SECRET))
-            .POST(HttpRequest.BodyPublishers.ofString(body(2))).build();
-        assertEquals(sends(request), "202 {\"answer\":\"taken\"}");
-        assertEquals(sends(request), "200 {\"answer\":\"again\"}");
+    assertTrue(answers.contains("429") && answers.get(0).equals("202"), answers.toString());
+  }
+
+  @Test
+  public void aSlowSenderIsCutOffAndHoldsUpNobody() throws Exception {
+    List<Socket> slow = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      Socket socket = new Socket("127.0.0.1", desk.hooksAt().getPort());
+      socket
+          .getOutputStream()
+          .write("POST /hooks/ci HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{".getBytes());
+      slow.add(socket);
     }
-
-    @Test
-    public void whoComesTooOftenIsToldSo() throws Exception {
-        desk.close();
-        starts("1"); // a dozen in a dozen seconds would be slow beyond any machine
-        List<String> answers = new ArrayList<>();
-        for (int i = 0; i < 12; i++) answers.add(sends(hook("m1", body(2))).substring(0, 3));
-        assertTrue(answers.contains("429") && answers.get(0).equals("202"), answers.toString());
-    }
-
-    @Test
-    public void aSlowSenderIsCutOffAndHoldsUpNobody() throws Exception {
-        List<Socket> slow = new ArrayList<>();
-        for (int i = 0; i < 20; i++) {
-            Socket socket = new Socket("127.0.0.1", desk.hooksAt().getPort());
-            socket.getOutputStream().write("POST /hooks/ci HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{".getBytes());
-            slow.add(socket);
-        }
-        assertEquals(sends(hook("m1", body(2))).substring(0, 3), "202");
-        for (Socket socket : slow) {
-            socket.setSoTimeout(20_000);
-            while (socket.getInputStream().read() >= 0) continue; // until it is closed from there
-            socket.close();
-        }
+    assertEquals(sends(hook("m1", body(2))).substring(0, 3), "202");
+    for (Socket socket : slow) {
+      socket.setSoTimeout(20_000);
+      while (socket.getInputStream().read() >= 0) {
+        continue; // until it is closed from there
+      }
+      socket.close();
     }
-
-    @Test
-    public void anOperatorsWordNeedsANameAndAReason() throws Exception {
-        sends(hook("m1", body(2)));
-        assertTrue(api("POST", "/releases/2/hold", "{\"who\":\"ann\"}").startsWith("400 "));
-        assertEquals(api("POST", "/releases/2/hold", "{\"who\":\"ann\",\"reason\":\"a look\"}"), "200 {\"answer\":\"done\"}");
-        assertTrue(api("POST", "/releases/2/hold", "{\"who\":\"ann\",\"reason\":\"a look\"}").startsWith("409 "));
-        String shown = api("GET", "/releases/2", "");
-        assertTrue(shown.contains("held by ann: a look") && shown.contains("\"waits_for\":[\"an operator holds it\",\"units: 0 of 1 are there\"]"), shown);
-        assertEquals(api("POST", "/releases", "{\"build\":3,\"artifact\":\"x\",\"who\":\"bob\"}"), "202 {\"answer\":\"taken\"}");
-        assertEquals(api("POST", "/releases/3/withdraw", "{\"who\":\"bob\",\"reason\":\"no\"}"), "200 {\"answer\":\"done\"}");
-        assertTrue(api("GET", "/releases", "").contains("\"standing\":\"superseded\""));
-        assertTrue(api("GET", "/releases/9", "").startsWith("404 "));
-    }
-
-    /** A second one waits, takes over once the first is gone, and goes on where that was. */
-    @Test
-    public void aStandbyTakesOver() throws Exception {
-        sends(hook("m1", body(2)));
-        Desk first = desk;
-        CompletableFuture<Desk> second = CompletableFuture.supplyAsync(() -> {
-            try {
+  }
+
+  @Test
+  public void anOperatorsWordNeedsANameAndAReason() throws Exception {
+    sends(hook("m1", body(2)));
+    assertTrue(api("POST", "/releases/2/hold", "{\"who\":\"ann\"}").startsWith("400 "));
+    assertEquals(
+        api("POST", "/releases/2/hold", "{\"who\":\"ann\",\"reason\":\"a look\"}"),
+        "200 {\"answer\":\"done\"}");
+    assertTrue(
+        api("POST", "/releases/2/hold", "{\"who\":\"ann\",\"reason\":\"a look\"}")
+            .startsWith("409 "));
+    String shown = api("GET", "/releases/2", "");
+    assertTrue(
+        shown.contains("held by ann: a look")
+            && shown.contains(
+                "\"waits_for\":[\"an operator holds it\",\"units: 0 of 1 are there\"]"),
+        shown);
+    assertEquals(
+        api("POST", "/releases", "{\"build\":3,\"artifact\":\"x\",\"who\":\"bob\"}"),
+        "202 {\"answer\":\"taken\"}");
+    assertEquals(
+        api("POST", "/releases/3/withdraw", "{\"who\":\"bob\",\"reason\":\"no\"}"),
+        "200 {\"answer\":\"done\"}");
+    assertTrue(api("GET", "/releases", "").contains("\"standing\":\"superseded\""));
+    assertTrue(api("GET", "/releases/9", "").startsWith("404 "));
+  }
+
+  /** A second one waits, takes over once the first is gone, and goes on where that was. */
+  @Test
+  public void aStandbyTakesOver() throws Exception {
+    sends(hook("m1", body(2)));
+    Desk first = desk;
+    CompletableFuture<Desk> second =
+        CompletableFuture.supplyAsync(
+            () -> {
+              try {
                 starts("1000");
                 return desk;
-            } catch (Exception e) {
+              } catch (Exception e) {
                 throw new IllegalStateException(e);
-            }
-        });
-        Thread.sleep(1500); // thrice the time that a free lease takes to get
-        assertTrue(!second.isDone(), "two at a time");
-        first.close();
-        desk = second.join();
-        assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
-        assertTrue(api("GET", "/releases", "").contains("\"epoch\":2"));
-    }
-
-    /** A listener that fails at first has each step once, in order, and those of before a restart. */
-    @Test
-    public void stepsAreToldInOrderUntilTheyAreTaken() throws Exception {
-        List<String> heard = java.util.Collections.synchronizedList(new ArrayList<>());
-        java.util.concurrent.atomic.AtomicInteger asked = new java.util.concurrent.atomic.AtomicInteger();
-        com.sun.net.httpserver.HttpServer listener = com.sun.net.httpserver.HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
-        listener.createContext("/", exchange -> {
-            byte[] got = exchange.getRequestBody().readAllBytes();
-            boolean fails = asked.incrementAndGet() % 2 == 1;
-            var headers = new Signatures.Headers(exchange.getRequestHeaders().getFirst("webhook-id"), exchange.getRequestHeaders().getFirst("webhook-timestamp"),
-                exchange.getRequestHeaders().getFirst("webhook-signature"));
-            boolean signed = Signatures.check(Signatures.Form.STANDARD, headers, got, List.of(SECRET), System.currentTimeMillis() / 1000, Span.ofMs(60_000)).id() != null;
-            if (!fails) heard.add((signed ? "" : "NOT SIGNED ") + new String(got, StandardCharsets.UTF_8).replaceAll(".*sequence\":([0-9]+).*standing\":\"([a-z]+)\".*", "$1 $2"));
-            exchange.sendResponseHeaders(fails ? 500 : 204, -1);
-            exchange.close();
-        });
-        listener.start();
-        try {
-            tells = "<tell name=\"chat\" url=\"http://127.0.0.1:" + listener.getAddress().getPort() + "/\" secret=\"%s\"/>";
-            desk.close();
-            starts("1000");
-            sends(hook("m1", body(2)));
-            until("both steps are told", () -> heard.size() >= 2);
-            until("and noted", () -> {
-                try {
-                    return api("GET", "/releases", "").matches("(?s).*\"inputs\":[5-9].*");
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
+              }
             });
-            desk.close();
-            starts("1000");
-            sends(hook("m2", body(3)));
-            until("the next ones, too", () -> heard.size() >= 5);
-            assertEquals(heard, List.of("1 announced", "2 starting", "3 announced", "4 superseded", "5 starting"));
-        } finally {
-            listener.stop(0);
-            tells = "";
-        }
+    Thread.sleep(1500); // thrice the time that a free lease takes to get
+    assertTrue(!second.isDone(), "two at a time");
+    first.close();
+    desk = second.join();
+    assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
+    assertTrue(api("GET", "/releases", "").contains("\"epoch\":2"));
+  }
+
+  /** A listener that fails at first has each step once, in order, and those of before a restart. */
+  @Test
+  public void stepsAreToldInOrderUntilTheyAreTaken() throws Exception {
+    List<String> heard = java.util.Collections.synchronizedList(new ArrayList<>());
+    java.util.concurrent.atomic.AtomicInteger asked =
+        new java.util.concurrent.atomic.AtomicInteger();
+    com.sun.net.httpserver.HttpServer listener =
+        com.sun.net.httpserver.HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
+    listener.createContext(
+        "/",
+        exchange -> {
+          byte[] got = exchange.getRequestBody().readAllBytes();
+          boolean fails = asked.incrementAndGet() % 2 == 1;
+          var headers =
+              new Signatures.Headers(
+                  exchange.getRequestHeaders().getFirst("webhook-id"),
+                  exchange.getRequestHeaders().getFirst("webhook-timestamp"),
+                  exchange.getRequestHeaders().getFirst("webhook-signature"));
+          boolean signed =
+              Signatures.check(
+                          Signatures.Form.STANDARD,
+                          headers,
+                          got,
+                          List.of(SECRET),
+                          System.currentTimeMillis() / 1000,
+                          Span.ofMs(60_000))
+                      .id()
+                  != null;
+          if (!fails) {
+            heard.add(
+                (signed ? "" : "NOT SIGNED ")
+                    + new String(got, StandardCharsets.UTF_8)
+                        .replaceAll(".*sequence\":([0-9]+).*standing\":\"([a-z]+)\".*", "$1 $2"));
+          }
+          exchange.sendResponseHeaders(fails ? 500 : 204, -1);
+          exchange.close();
+        });
+    listener.start();
+    try {
+      tells =
+          "<tell name=\"chat\" url=\"http://127.0.0.1:"
+              + listener.getAddress().getPort()
+              + "/\" secret=\"%s\"/>";
+      desk.close();
+      starts("1000");
+      sends(hook("m1", body(2)));
+      until("both steps are told", () -> heard.size() >= 2);
+      until(
+          "and noted",
+          () -> {
+            try {
+              return api("GET", "/releases", "").matches("(?s).*\"inputs\":[5-9].*");
+            } catch (Exception e) {
+              throw new IllegalStateException(e);
+            }
+          });
+      desk.close();
+      starts("1000");
+      sends(hook("m2", body(3)));
+      until("the next ones, too", () -> heard.size() >= 5);
+      assertEquals(
+          heard, List.of("1 announced", "2 starting", "3 announced", "4 superseded", "5 starting"));
+    } finally {
+      listener.stop(0);
+      tells = "";
     }
-
-    @Test
-    public void theExampleIsInOrder() throws Exception {
-        Path file = folder.resolve("example.xml");
-        Files.writeString(file, Files.readString(Path.of("deploy", "controller.xml")).replace("ci.secret", folder.resolve("ci").toString())
+  }
+
+  @Test
+  public void theExampleIsInOrder() throws Exception {
+    Path file = folder.resolve("example.xml");
+    Files.writeString(
+        file,
+        Files.readString(Path.of("deploy", "controller.xml"))
+            .replace("ci.secret", folder.resolve("ci").toString())
             .replace("api.token", folder.resolve("token").toString()));
-        DeskConfig config = DeskConfig.read(file);
-        assertEquals(config.rules.stages().size(), 3);
-        assertEquals(config.rules.least(), Span.ofMs(10_000));
-        assertEquals(config.sources.get("ci").form(), Signatures.Form.STANDARD);
-    }
-
-    @Test
-    public void secretsThatOthersCanReadAreRefused() throws Exception {
-        Path file = config("5");
-        Files.setPosixFilePermissions(folder.resolve("token"), PosixFilePermissions.fromString("rw-r--r--"));
-        String message = expectThrows(ConfigException.class, () -> DeskConfig.read(file)).getMessage();
-        assertTrue(message.endsWith("is open to others than its owner; chmod 600 it"), message);
-    }
+    DeskConfig config = DeskConfig.read(file);
+    assertEquals(config.rules.stages().size(), 3);
+    assertEquals(config.rules.least(), Span.ofMs(10_000));
+    assertEquals(config.sources.get("ci").form(), Signatures.Form.STANDARD);
+  }
+
+  @Test
+  public void secretsThatOthersCanReadAreRefused() throws Exception {
+    Path file = config("5");
+    Files.setPosixFilePermissions(
+        folder.resolve("token"), PosixFilePermissions.fromString("rw-r--r--"));
+    String message = expectThrows(ConfigException.class, () -> DeskConfig.read(file)).getMessage();
+    assertTrue(message.endsWith("is open to others than its owner; chmod 600 it"), message);
+  }
 }
--- a/src/test/java/sprucerock/figures/ExportTest.java
+++ b/src/test/java/sprucerock/figures/ExportTest.java
@@ -22,138 +22,190 @@
 
 /** What a monitor reads: sums hold within each scrape, whatever the relay does meanwhile. */
 public class ExportTest {
-    private static Map<String, Double> scrape(HttpClient http, int port, String accept) throws Exception {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/metrics")).header("Accept", accept).build();
-        HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
-        assertEquals(answer.statusCode(), 200, answer.body());
-        Map<String, Double> found = new HashMap<>();
-        for (String line : answer.body().split("\n")) {
-            if (!line.startsWith("#")) found.put(line.substring(0, line.lastIndexOf(' ')), Double.parseDouble(line.substring(line.lastIndexOf(' '))));
-        }
-        return found;
+  private static Map<String, Double> scrape(HttpClient http, int port, String accept)
+      throws Exception {
+    HttpRequest request =
+        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/metrics"))
+            .header("Accept", accept)
+            .build();
+    HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
+    assertEquals(answer.statusCode(), 200, answer.body());
+    Map<String, Double> found = new HashMap<>();
+    for (String line : answer.body().split("\n")) {
+      if (!line.startsWith("#")) {
+        found.put(
+            line.substring(0, line.lastIndexOf(' ')),
+            Double.parseDouble(line.substring(line.lastIndexOf(' '))));
+      }
     }
+    return found;
+  }
 
-    @Test
-    public void everyScrapeBalancesBesideARelayThatNeverRests() throws Exception {
-        Accounts accounts = new Accounts(List.of("read", "pay"), Accounts.Room.NONE);
-        Keeper keeper = Keeper.open(null, accounts, () -> { }, line -> { });
-        AtomicBoolean drift = new AtomicBoolean();
-        AtomicBoolean over = new AtomicBoolean();
-        Thread relay = new Thread(() -> {
-            for (int i = 0; !over.get(); i++) {
+  @Test
+  public void everyScrapeBalancesBesideARelayThatNeverRests() throws Exception {
+    Accounts accounts = new Accounts(List.of("read", "pay"), Accounts.Room.NONE);
+    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    AtomicBoolean drift = new AtomicBoolean();
+    AtomicBoolean over = new AtomicBoolean();
+    Thread relay =
+        new Thread(
+            () -> {
+              for (int i = 0; !over.get(); i++) {
                 int method = i & 1;
                 accounts.rpcArrived(method, 0);
-                if (i % 3 == 1) accounts.rpcAnswered(method, 0, Span.ofMs(i % 1000 * 0.1), i % 2 == 0, true);
-                if (i % 3 == 2) accounts.rpcEnded(method, 0, 2 + i % 3);
+                if (i % 3 == 1) {
+                  accounts.rpcAnswered(method, 0, Span.ofMs(i % 1000 * 0.1), i % 2 == 0, true);
+                }
+                if (i % 3 == 2) {
+                  accounts.rpcEnded(method, 0, 2 + i % 3);
+                }
                 accounts.commit();
-                for (int j = 0; j < 200; j++) Thread.onSpinWait();
-            }
-        });
-        try (Export export = new Export(keeper::snapshot, drift::get, keeper::kept, Map::of, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            relay.start();
-            HttpClient http = HttpClient.newHttpClient();
-            double last = 0;
-            for (int i = 0; i < 100; i++) {
-                Map<String, Double> found = scrape(http, export.port(), i % 2 == 0 ? "text/plain" : "application/openmetrics-text; version=1.0.0");
-                double taken = 0;
-                for (String method : new String[] {"read", "pay"}) {
-                    Double total = found.get("sprucerock_rpcs_taken_total{method=\"" + method + "\"}");
-                    if (total == null) continue;
-                    double parts = found.get("sprucerock_rpcs_open{method=\"" + method + "\"}");
-                    for (String how : new String[] {"ok", "pushed_back", "aborted", "left", "lost"}) {
-                        parts += found.get("sprucerock_rpcs_ended_total{how=\"" + how + "\",method=\"" + method + "\"}");
-                    }
-                    assertEquals(parts, total);
-                    taken += total;
+                for (int j = 0; j < 200; j++) {
+                  Thread.onSpinWait();
                 }
-                assertTrue(taken >= last);
-                last = taken;
-                assertEquals(found.get("sprucerock_figures_drift"), 0.0);
-            }
-            assertTrue(last > 0);
-            drift.set(true);
-            assertEquals(scrape(http, export.port(), "text/plain").get("sprucerock_figures_drift"), 1.0);
-        } finally {
-            over.set(true);
-            relay.join();
+              }
+            });
+    try (Export export =
+        new Export(
+            keeper::snapshot,
+            drift::get,
+            keeper::kept,
+            Map::of,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
+      relay.start();
+      HttpClient http = HttpClient.newHttpClient();
+      double last = 0;
+      for (int i = 0; i < 100; i++) {
+        Map<String, Double> found =
+            scrape(
+                http,
+                export.port(),
+                i % 2 == 0 ? "text/plain" : "application/openmetrics-text; version=1.0.0");
+        double taken = 0;
+        for (String method : new String[] {"read", "pay"}) {
+          Double total = found.get("sprucerock_rpcs_taken_total{method=\"" + method + "\"}");
+          if (total == null) {
+            continue;
+          }
+          double parts = found.get("sprucerock_rpcs_open{method=\"" + method + "\"}");
+          for (String how : new String[] {"ok", "pushed_back", "aborted", "left", "lost"}) {
+            parts +=
+                found.get(
+                    "sprucerock_rpcs_ended_total{how=\"" + how + "\",method=\"" + method + "\"}");
+          }
+          assertEquals(parts, total);
+          taken += total;
         }
+        assertTrue(taken >= last);
+        last = taken;
+        assertEquals(found.get("sprucerock_figures_drift"), 0.0);
+      }
+      assertTrue(last > 0);
+      drift.set(true);
+      assertEquals(scrape(http, export.port(), "text/plain").get("sprucerock_figures_drift"), 1.0);
+    } finally {
+      over.set(true);
+      relay.join();
     }
+  }
 
-    private static Export some(Keeper keeper) throws Exception {
-        return new Export(keeper::snapshot, () -> false, keeper::kept, Map::of, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    }
+  private static Export some(Keeper keeper) throws Exception {
+    return new Export(
+        keeper::snapshot,
+        () -> false,
+        keeper::kept,
+        Map::of,
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+  }
 
-    private static Accounts accounts() {
-        Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(1, 1, 1));
-        accounts.row(accounts.customers, "0");
-        return accounts;
-    }
+  private static Accounts accounts() {
+    Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(1, 1, 1));
+    accounts.row(accounts.customers, "0");
+    return accounts;
+  }
 
-    /** Sockets that say half a request, or nothing, take every thread there is; two seconds later they are cut off. */
-    @Test
-    public void stalledScrapesHoldUpOthersOnlyForAWhileAndTheRelayNever() throws Exception {
-        Accounts accounts = accounts();
-        Keeper keeper = Keeper.open(null, accounts, () -> { }, line -> { });
-        List<Socket> stalled = new ArrayList<>();
-        try (Export export = some(keeper)) {
-            for (int i = 0; i < 60; i++) {
-                Socket socket = new Socket(InetAddress.getLoopbackAddress(), export.port());
-                stalled.add(socket);
-                if (i % 2 == 0) socket.getOutputStream().write("GET /metrics HTTP/1.1\r\nHost:".getBytes());
-            }
-            for (int i = 0; i < 1000; i++) { // the relay's own thread
-                accounts.rpcArrived(0, 0);
-                accounts.commit();
-            }
-            HttpClient http = HttpClient.newHttpClient();
-            Double taken = null;
-            for (int i = 0; taken == null && i < 600; i++) {
-                try {
-                    taken = scrape(http, export.port(), "text/plain").get("sprucerock_rpcs_taken_total{method=\"read\"}");
-                } catch (IOException e) {
-                    Thread.sleep(50); // turned away while all is taken
-                }
-            }
-            assertEquals(taken, 1000.0);
-        } finally {
-            for (Socket socket : stalled) socket.close();
+  /**
+   * Sockets that say half a request, or nothing, take every thread there is; two seconds later they
+   * are cut off.
+   */
+  @Test
+  public void stalledScrapesHoldUpOthersOnlyForAWhileAndTheRelayNever() throws Exception {
+    Accounts accounts = accounts();
+    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    List<Socket> stalled = new ArrayList<>();
+    try (Export export = some(keeper)) {
+      for (int i = 0; i < 60; i++) {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), export.port());
+        stalled.add(socket);
+        if (i % 2 == 0) {
+          socket.getOutputStream().write("GET /metrics HTTP/1.1\r\nHost:".getBytes());
         }
+      }
+      for (int i = 0; i < 1000; i++) { // the relay's own thread
+        accounts.rpcArrived(0, 0);
+        accounts.commit();
+      }
+      HttpClient http = HttpClient.newHttpClient();
+      Double taken = null;
+      for (int i = 0; taken == null && i < 600; i++) {
+        try {
+          taken =
+              scrape(http, export.port(), "text/plain")
+                  .get("sprucerock_rpcs_taken_total{method=\"read\"}");
+        } catch (IOException e) {
+          Thread.sleep(50); // turned away while all is taken
+        }
+      }
+      assertEquals(taken, 1000.0);
+    } finally {
+      for (Socket socket : stalled) {
+        socket.close();
+      }
     }
+  }
 
-    @Test
-    public void aScrapeWhileTheRelayEndsHasItsLastFigures() throws Exception {
-        Accounts accounts = accounts();
-        Keeper keeper = Keeper.open(null, accounts, () -> { }, line -> { });
-        accounts.rpcArrived(1, 0);
-        try (Export export = some(keeper)) {
-            keeper.close();
-            Map<String, Double> found = scrape(HttpClient.newHttpClient(), export.port(), "text/plain");
-            assertEquals(found.get("sprucerock_rpcs_open{method=\"pay\"}"), 1.0);
-            assertEquals(found.get("sprucerock_starts_running"), 0.0);
-            assertEquals(found.get("sprucerock_figures_kept"), 0.0);
-        }
+  @Test
+  public void aScrapeWhileTheRelayEndsHasItsLastFigures() throws Exception {
+    Accounts accounts = accounts();
+    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    accounts.rpcArrived(1, 0);
+    try (Export export = some(keeper)) {
+      keeper.close();
+      Map<String, Double> found = scrape(HttpClient.newHttpClient(), export.port(), "text/plain");
+      assertEquals(found.get("sprucerock_rpcs_open{method=\"pay\"}"), 1.0);
+      assertEquals(found.get("sprucerock_starts_running"), 0.0);
+      assertEquals(found.get("sprucerock_figures_kept"), 0.0);
     }
+  }
 
-    @Test
-    public void latenciesAreServedInOctavesAndTheTableIsForPeople() throws Exception {
-        Accounts accounts = accounts();
-        Keeper keeper = Keeper.open(null, accounts, () -> { }, line -> { });
-        for (double ms : new double[] {0.1, 0.9, 1.0, 1.1, 200, 80_000}) {
-            accounts.rpcArrived(0, 0);
-            accounts.rpcAnswered(0, 0, Span.ofMs(ms), ms < 100, ms < 1000);
-        }
-        accounts.commit();
-        try (Export export = some(keeper)) {
-            HttpClient http = HttpClient.newHttpClient();
-            Map<String, Double> found = scrape(http, export.port(), "text/plain");
-            assertEquals(found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"1.28E-4\"}"), 1.0);
-            assertEquals(found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"0.001024\"}"), 3.0);
-            assertEquals(found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"+Inf\"}"), 6.0);
-            assertEquals(found.get("sprucerock_answers_ended_total{how=\"too_late\",method=\"read\"}"), 1.0);
-            HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + export.port() + "/figures")).build();
-            HttpResponse<String> table = http.send(request, HttpResponse.BodyHandlers.ofString());
-            assertEquals(table.statusCode(), 200);
-            assertTrue(table.body().contains("latency, ms    method              answered           p50"), table.body());
-        }
+  @Test
+  public void latenciesAreServedInOctavesAndTheTableIsForPeople() throws Exception {
+    Accounts accounts = accounts();
+    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    for (double ms : new double[] {0.1, 0.9, 1.0, 1.1, 200, 80_000}) {
+      accounts.rpcArrived(0, 0);
+      accounts.rpcAnswered(0, 0, Span.ofMs(ms), ms < 100, ms < 1000);
+    }
+    accounts.commit();
+    try (Export export = some(keeper)) {
+      HttpClient http = HttpClient.newHttpClient();
+      Map<String, Double> found = scrape(http, export.port(), "text/plain");
+      assertEquals(
+          found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"1.28E-4\"}"), 1.0);
+      assertEquals(
+          found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"0.001024\"}"), 3.0);
+      assertEquals(
+          found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"+Inf\"}"), 6.0);
+      assertEquals(
+          found.get("sprucerock_answers_ended_total{how=\"too_late\",method=\"read\"}"), 1.0);
+      HttpRequest request =
+          HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + export.port() + "/figures"))
+              .build();
+      HttpResponse<String> table = http.send(request, HttpResponse.BodyHandlers.ofString());
+      assertEquals(table.statusCode(), 200);
+      assertTrue(
+          table.body().contains("latency, ms    method              answered           p50"),
+          table.body());
     }
+  }
 }
--- a/src/test/java/sprucerock/figures/PagesTest.java
+++ b/src/test/java/sprucerock/figures/PagesTest.java
@@ -19,272 +19,289 @@
 
 /** Figures through kills at every write, damage of every kind, and one life after another. */
 public class PagesTest {
-    private static final List<String> METHODS = List.of("read", "pay");
-    private static final Accounts.Room ROOM = new Accounts.Room(2, 3, 2);
+  private static final List<String> METHODS = List.of("read", "pay");
+  private static final Accounts.Room ROOM = new Accounts.Room(2, 3, 2);
 
-    /** Memory of a process that is killed at its n-th write, which gets so many of its bytes down. */
-    private static final class Mortal implements Memory {
-        private static final class Killed extends RuntimeException {
-            private static final long serialVersionUID = 1L;
-        }
-
-        private final ByteBuffer bytes;
-        private final BufferMemory memory;
-        private long left;
-        private final int torn;
-
-        Mortal(int size, long writes, int torn) {
-            bytes = ByteBuffer.allocate(size);
-            memory = new BufferMemory(bytes);
-            left = writes;
-            this.torn = torn;
-        }
+  /** Memory of a process that is killed at its n-th write, which gets so many of its bytes down. */
+  private static final class Mortal implements Memory {
+    private static final class Killed extends RuntimeException {
+      private static final long serialVersionUID = 1L;
+    }
 
-        @Override
-        public long get(int at) {
-            return memory.get(at);
-        }
+    private final ByteBuffer bytes;
+    private final BufferMemory memory;
+    private long left;
+    private final int torn;
 
-        @Override
-        public void get(int at, long[] into, int from, int count) {
-            memory.get(at, into, from, count);
-        }
+    Mortal(int size, long writes, int torn) {
+      bytes = ByteBuffer.allocate(size);
+      memory = new BufferMemory(bytes);
+      left = writes;
+      this.torn = torn;
+    }
 
-        @Override
-        public void put(int at, long value) {
-            if (left-- > 0) {
-                memory.put(at, value);
-                return;
-            }
-            for (int i = 0; i < torn; i++) bytes.put(at + i, (byte) (value >>> 8 * i));
-            throw new Killed();
-        }
+    @Override
+    public long get(int at) {
+      return memory.get(at);
+    }
 
-        @Override
-        public void putLast(int at, long value) {
-            put(at, value);
-        }
+    @Override
+    public void get(int at, long[] into, int from, int count) {
+      memory.get(at, into, from, count);
+    }
 
-        @Override
-        public int size() {
-            return bytes.capacity();
-        }
+    @Override
+    public void put(int at, long value) {
+      if (left-- > 0) {
+        memory.put(at, value);
+        return;
+      }
+      for (int i = 0; i < torn; i++) {
+        bytes.put(at + i, (byte) (value >>> 8 * i));
+      }
+      throw new Killed();
     }
 
-    private static void someTurn(Accounts accounts, SplittableRandom random) {
-        for (int i = random.nextInt(4); i >= 0; i--) {
-            int method = random.nextInt(2);
-            int build = accounts.row(accounts.builds, "" + random.nextInt(4));
-            int unit = accounts.row(accounts.units, "u" + random.nextInt(5));
-            accounts.pickSent(method, build, unit, false);
-            accounts.pickWritten();
-            if (random.nextBoolean()) accounts.pickEnded(method, build, unit, false, true, 1, Span.ofMs(random.nextDouble(20)));
-        }
+    @Override
+    public void putLast(int at, long value) {
+      put(at, value);
     }
 
-    private static Pages pages(Memory memory, Accounts accounts) {
-        return new Pages(memory, accounts.layout(), accounts.size(), accounts.rows(), 1);
+    @Override
+    public int size() {
+      return bytes.capacity();
     }
+  }
 
-    private static int size() {
-        Accounts accounts = new Accounts(METHODS, ROOM);
-        return Pages.size(accounts.layout(), accounts.size(), accounts.rows());
+  private static void someTurn(Accounts accounts, SplittableRandom random) {
+    for (int i = random.nextInt(4); i >= 0; i--) {
+      int method = random.nextInt(2);
+      int build = accounts.row(accounts.builds, "" + random.nextInt(4));
+      int unit = accounts.row(accounts.units, "u" + random.nextInt(5));
+      accounts.pickSent(method, build, unit, false);
+      accounts.pickWritten();
+      if (random.nextBoolean()) {
+        accounts.pickEnded(method, build, unit, false, true, 1, Span.ofMs(random.nextDouble(20)));
+      }
     }
+  }
+
+  private static Pages pages(Memory memory, Accounts accounts) {
+    return new Pages(memory, accounts.layout(), accounts.size(), accounts.rows(), 1);
+  }
 
-    /** Turns of a relay until it is killed; the values after each turn go into {@code states}. */
-    private static void live(Mortal memory, List<long[]> states) {
-        Accounts accounts = new Accounts(METHODS, ROOM);
-        SplittableRandom random = new SplittableRandom(4);
-        Pages pages = pages(memory, accounts);
-        accounts.keepIn(pages, () -> { });
-        for (int i = 0; i < 120; i++) {
-            someTurn(accounts, random);
-            long[] after = new long[accounts.size()];
-            for (Sheet sheet : accounts.sheets()) {
-                for (int row = 0; row < sheet.rows(); row++) {
-                    for (int column = 0; column < sheet.columns().size(); column++) {
-                        after[sheet.index(row, column)] = accounts.value(sheet, row, column);
-                    }
-                }
-            }
-            states.add(after);
-            accounts.commit();
+  private static int size() {
+    Accounts accounts = new Accounts(METHODS, ROOM);
+    return Pages.size(accounts.layout(), accounts.size(), accounts.rows());
+  }
+
+  /** Turns of a relay until it is killed; the values after each turn go into {@code states}. */
+  private static void live(Mortal memory, List<long[]> states) {
+    Accounts accounts = new Accounts(METHODS, ROOM);
+    SplittableRandom random = new SplittableRandom(4);
+    Pages pages = pages(memory, accounts);
+    accounts.keepIn(pages, () -> {});
+    for (int i = 0; i < 120; i++) {
+      someTurn(accounts, random);
+      long[] after = new long[accounts.size()];
+      for (Sheet sheet : accounts.sheets()) {
+        for (int row = 0; row < sheet.rows(); row++) {
+          for (int column = 0; column < sheet.columns().size(); column++) {
+            after[sheet.index(row, column)] = accounts.value(sheet, row, column);
+          }
         }
+      }
+      states.add(after);
+      accounts.commit();
     }
+  }
 
-    @Test
-    public void aKillAtAnyWriteLeavesTheFiguresOfATurnsEndAndEverySumHolds() throws Exception {
-        int kills = 0;
-        int whole = 0;
-        for (int torn = 0; torn < 8; torn += torn == 0 ? 1 : 3) {
-            for (long writes = 0;; writes++) {
-                Mortal memory = new Mortal(size(), writes, torn);
-                List<long[]> states = new ArrayList<>();
-                boolean killed = false;
-                try {
-                    live(memory, states);
-                } catch (Mortal.Killed e) {
-                    killed = true;
-                }
-                if (states.size() > 1) { // before, the file is not in its place yet
-                    Snapshot snapshot = Snapshot.read(memory, "f");
-                    long[] last = states.get(states.size() - 1);
-                    long[] before = states.get(states.size() - 2);
-                    assertTrue(Arrays.equals(snapshot.values, last) || Arrays.equals(snapshot.values, before),
-                        "killed at write " + writes + ", torn at " + torn);
-                    assertEquals(snapshot.accounts().check(snapshot.values), List.of());
-                    whole++;
-                }
-                if (!killed) break;
-                kills++;
-            }
+  @Test
+  public void aKillAtAnyWriteLeavesTheFiguresOfATurnsEndAndEverySumHolds() throws Exception {
+    int kills = 0;
+    int whole = 0;
+    for (int torn = 0; torn < 8; torn += torn == 0 ? 1 : 3) {
+      for (long writes = 0; ; writes++) {
+        Mortal memory = new Mortal(size(), writes, torn);
+        List<long[]> states = new ArrayList<>();
+        boolean killed = false;
+        try {
+          live(memory, states);
+        } catch (Mortal.Killed e) {
+          killed = true;
+        }
+        if (states.size() > 1) { // before, the file is not in its place yet
+          Snapshot snapshot = Snapshot.read(memory, "f");
+          long[] last = states.get(states.size() - 1);
+          long[] before = states.get(states.size() - 2);
+          assertTrue(
+              Arrays.equals(snapshot.values, last) || Arrays.equals(snapshot.values, before),
+              "killed at write " + writes + ", torn at " + torn);
+          assertEquals(snapshot.accounts().check(snapshot.values), List.of());
+          whole++;
         }
-        assertTrue(kills > 5000 && whole > 4000, kills + " kills, " + whole + " in turns");
+        if (!killed) {
+          break;
+        }
+        kills++;
+      }
     }
+    assertTrue(kills > 5000 && whole > 4000, kills + " kills, " + whole + " in turns");
+  }
 
-    private static Path folder() throws Exception {
-        return Files.createTempDirectory("figures");
-    }
+  private static Path folder() throws Exception {
+    return Files.createTempDirectory("figures");
+  }
 
-    private static Accounts life(Path file, List<String> said, boolean ends, int turns) {
-        Accounts accounts = new Accounts(METHODS, ROOM);
-        Keeper keeper = Keeper.open(file, accounts, () -> { }, said::add);
-        SplittableRandom random = new SplittableRandom(turns);
-        for (int i = 0; i < turns; i++) {
-            someTurn(accounts, random);
-            accounts.commit();
-        }
-        if (ends) keeper.close();
-        return accounts;
+  private static Accounts life(Path file, List<String> said, boolean ends, int turns) {
+    Accounts accounts = new Accounts(METHODS, ROOM);
+    Keeper keeper = Keeper.open(file, accounts, () -> {}, said::add);
+    SplittableRandom random = new SplittableRandom(turns);
+    for (int i = 0; i < turns; i++) {
+      someTurn(accounts, random);
+      accounts.commit();
     }
-
-    @Test
-    public void eachLifeGoesOnFromTheLastAndWhatWasOutIsLostWithTheRelay() throws Exception {
-        Path file = folder().resolve("r.figures");
-        List<String> said = new ArrayList<>();
-        Accounts first = life(file, said, false, 50);
-        long sent = first.sum(first.picks, 0);
-        long out = first.sum(first.picks, first.picks.pending());
-        assertTrue(out > 0);
-        Accounts second = life(file, said, false, 0); // killed again before anything happened
-        assertEquals(second.sum(second.picks, second.picks.lost()), out);
-        Accounts third = life(file, said, true, 20);
-        assertTrue(third.sum(third.picks, 0) > sent);
-        assertEquals(third.sum(third.picks, third.picks.lost()), out);
-        Snapshot snapshot = Snapshot.read(file);
-        assertEquals(snapshot.generation, 3);
-        assertTrue(snapshot.closed);
-        assertEquals(snapshot.accounts().check(snapshot.values), List.of());
-        assertEquals(third.value(third.starts, 0, 0), 3);
-        assertEquals(third.value(third.starts, 0, third.starts.lost()), 2);
-        assertEquals(said, List.of());
+    if (ends) {
+      keeper.close();
     }
+    return accounts;
+  }
 
-    @Test
-    public void rowsAreCarriedByNameWhateverTheSettingsAreNow() throws Exception {
-        Path file = folder().resolve("r.figures");
-        life(file, new ArrayList<>(), true, 30);
-        long[] before = Snapshot.read(file).values;
-        Accounts now = new Accounts(List.of("pay", "extra", "read"), new Accounts.Room(1, 1, 1));
-        List<String> said = new ArrayList<>();
-        Keeper.open(file, now, () -> { }, said::add);
-        assertEquals(said, List.of());
-        Accounts old = new Accounts(METHODS, ROOM);
-        assertEquals(now.value(now.picks, 2, 0), before[old.picks.index(0, 0)]);
-        assertEquals(now.value(now.picks, 0, 1), before[old.picks.index(1, 1)]);
-        assertEquals(now.check(), List.of());
-        assertEquals(Snapshot.read(file).names[0], "all");
-    }
+  @Test
+  public void eachLifeGoesOnFromTheLastAndWhatWasOutIsLostWithTheRelay() throws Exception {
+    Path file = folder().resolve("r.figures");
+    List<String> said = new ArrayList<>();
+    Accounts first = life(file, said, false, 50);
+    long sent = first.sum(first.picks, 0);
+    long out = first.sum(first.picks, first.picks.pending());
+    assertTrue(out > 0);
+    Accounts second = life(file, said, false, 0); // killed again before anything happened
+    assertEquals(second.sum(second.picks, second.picks.lost()), out);
+    Accounts third = life(file, said, true, 20);
+    assertTrue(third.sum(third.picks, 0) > sent);
+    assertEquals(third.sum(third.picks, third.picks.lost()), out);
+    Snapshot snapshot = Snapshot.read(file);
+    assertEquals(snapshot.generation, 3);
+    assertTrue(snapshot.closed);
+    assertEquals(snapshot.accounts().check(snapshot.values), List.of());
+    assertEquals(third.value(third.starts, 0, 0), 3);
+    assertEquals(third.value(third.starts, 0, third.starts.lost()), 2);
+    assertEquals(said, List.of());
+  }
 
-    @Test
-    public void aFileThatIsCutForeignOrDamagedIsKeptAsideWithOneLine() throws Exception {
-        Path folder = folder();
-        Path file = folder.resolve("r.figures");
-        life(file, new ArrayList<>(), true, 30);
-        byte[] good = Files.readAllBytes(file);
-        List<byte[]> bad = new ArrayList<>();
-        for (int length : new int[] {0, 1, 63, 64, 200, good.length / 2, good.length - 1}) bad.add(Arrays.copyOf(good, length));
-        bad.add("something else entirely, and long enough to be looked into".repeat(9).getBytes());
-        byte[] newer = good.clone();
-        newer[7]++;
-        bad.add(newer);
-        byte[] bothCopies = good.clone();
-        Accounts accounts = new Accounts(METHODS, ROOM);
-        int copy = (accounts.size() + 2) * 8;
-        bothCopies[good.length - 24] ^= 1;
-        bothCopies[good.length - copy - 24] ^= 1;
-        bad.add(bothCopies);
-        for (byte[] one : bad) {
-            Files.write(file, one);
-            List<String> said = new ArrayList<>();
-            Accounts life = life(file, said, true, 3);
-            assertEquals(said.size(), 1, said.toString());
-            assertTrue(said.get(0).startsWith(file + ": ") && said.get(0).contains("kept as r.figures.aside-"), said.get(0));
-            assertEquals(life.value(life.files, 0, 3), 1);
-            assertTrue(Snapshot.read(file).closed);
-        }
-        try (var files = Files.list(folder)) {
-            assertEquals(files.filter(path -> path.toString().contains(".aside-")).count(), bad.size());
-        }
-    }
+  @Test
+  public void rowsAreCarriedByNameWhateverTheSettingsAreNow() throws Exception {
+    Path file = folder().resolve("r.figures");
+    life(file, new ArrayList<>(), true, 30);
+    long[] before = Snapshot.read(file).values;
+    Accounts now = new Accounts(List.of("pay", "extra", "read"), new Accounts.Room(1, 1, 1));
+    List<String> said = new ArrayList<>();
+    Keeper.open(file, now, () -> {}, said::add);
+    assertEquals(said, List.of());
+    Accounts old = new Accounts(METHODS, ROOM);
+    assertEquals(now.value(now.picks, 2, 0), before[old.picks.index(0, 0)]);
+    assertEquals(now.value(now.picks, 0, 1), before[old.picks.index(1, 1)]);
+    assertEquals(now.check(), List.of());
+    assertEquals(Snapshot.read(file).names[0], "all");
+  }
 
-    @Test
-    public void oneDamagedCopyIsNotMissedAsTheOtherIsATurnOld() throws Exception {
-        Path file = folder().resolve("r.figures");
-        life(file, new ArrayList<>(), false, 30);
-        byte[] bytes = Files.readAllBytes(file);
-        Snapshot good = Snapshot.read(file);
-        Accounts accounts = new Accounts(METHODS, ROOM);
-        for (int copy = 0; copy < 2; copy++) {
-            byte[] damaged = bytes.clone();
-            damaged[bytes.length - 24 - copy * (accounts.size() + 2) * 8] ^= 4;
-            Snapshot read = Snapshot.read(new BufferMemory(ByteBuffer.wrap(damaged)), "f");
-            assertEquals(read.accounts().check(read.values), List.of());
-            assertTrue(read.values[accounts.picks.index(0, 0)] <= good.values[accounts.picks.index(0, 0)]);
-        }
+  @Test
+  public void aFileThatIsCutForeignOrDamagedIsKeptAsideWithOneLine() throws Exception {
+    Path folder = folder();
+    Path file = folder.resolve("r.figures");
+    life(file, new ArrayList<>(), true, 30);
+    byte[] good = Files.readAllBytes(file);
+    List<byte[]> bad = new ArrayList<>();
+    for (int length : new int[] {0, 1, 63, 64, 200, good.length / 2, good.length - 1}) {
+      bad.add(Arrays.copyOf(good, length));
+    }
+    bad.add("something else entirely, and long enough to be looked into".repeat(9).getBytes());
+    byte[] newer = good.clone();
+    newer[7]++;
+    bad.add(newer);
+    byte[] bothCopies = good.clone();
+    Accounts accounts = new Accounts(METHODS, ROOM);
+    int copy = (accounts.size() + 2) * 8;
+    bothCopies[good.length - 24] ^= 1;
+    bothCopies[good.length - copy - 24] ^= 1;
+    bad.add(bothCopies);
+    for (byte[] one : bad) {
+      Files.write(file, one);
+      List<String> said = new ArrayList<>();
+      Accounts life = life(file, said, true, 3);
+      assertEquals(said.size(), 1, said.toString());
+      assertTrue(
+          said.get(0).startsWith(file + ": ") && said.get(0).contains("kept as r.figures.aside-"),
+          said.get(0));
+      assertEquals(life.value(life.files, 0, 3), 1);
+      assertTrue(Snapshot.read(file).closed);
     }
+    try (var files = Files.list(folder)) {
+      assertEquals(files.filter(path -> path.toString().contains(".aside-")).count(), bad.size());
+    }
+  }
 
-    @Test
-    public void aFolderThatCantBeWrittenStopsNothing() throws Exception {
-        Path folder = folder();
-        Path file = folder.resolve("none").resolve("r.figures");
-        List<String> said = new ArrayList<>();
-        Accounts accounts = life(file, said, true, 5);
-        assertTrue(accounts.sum(accounts.picks, 0) > 0);
-        assertEquals(said.size(), 1);
-        assertTrue(said.get(0).contains("figures stay in memory"), said.get(0));
-        assertTrue(!Keeper.open(file, new Accounts(METHODS, ROOM), () -> { }, said::add).kept());
-        assertTrue(PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)).startsWith("rwx"));
-        expectThrows(java.io.IOException.class, () -> Snapshot.read(file));
+  @Test
+  public void oneDamagedCopyIsNotMissedAsTheOtherIsATurnOld() throws Exception {
+    Path file = folder().resolve("r.figures");
+    life(file, new ArrayList<>(), false, 30);
+    byte[] bytes = Files.readAllBytes(file);
+    Snapshot good = Snapshot.read(file);
+    Accounts accounts = new Accounts(METHODS, ROOM);
+    for (int copy = 0; copy < 2; copy++) {
+      byte[] damaged = bytes.clone();
+      damaged[bytes.length - 24 - copy * (accounts.size() + 2) * 8] ^= 4;
+      Snapshot read = Snapshot.read(new BufferMemory(ByteBuffer.wrap(damaged)), "f");
+      assertEquals(read.accounts().check(read.values), List.of());
+      assertTrue(
+          read.values[accounts.picks.index(0, 0)] <= good.values[accounts.picks.index(0, 0)]);
     }
+  }
+
+  @Test
+  public void aFolderThatCantBeWrittenStopsNothing() throws Exception {
+    Path folder = folder();
+    Path file = folder.resolve("none").resolve("r.figures");
+    List<String> said = new ArrayList<>();
+    Accounts accounts = life(file, said, true, 5);
+    assertTrue(accounts.sum(accounts.picks, 0) > 0);
+    assertEquals(said.size(), 1);
+    assertTrue(said.get(0).contains("figures stay in memory"), said.get(0));
+    assertTrue(!Keeper.open(file, new Accounts(METHODS, ROOM), () -> {}, said::add).kept());
+    assertTrue(
+        PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)).startsWith("rwx"));
+    expectThrows(java.io.IOException.class, () -> Snapshot.read(file));
+  }
 
-    /** A reader beside a writer that never rests: what it reads is always whole. */
-    @Test
-    public void aReaderBesideTheRelayNeverSeesHalfATurn() throws Exception {
-        Path file = folder().resolve("r.figures");
-        Accounts accounts = new Accounts(METHODS, ROOM);
-        Keeper.open(file, accounts, () -> { }, line -> { });
-        boolean[] over = new boolean[1];
-        Thread writer = new Thread(() -> {
-            SplittableRandom random = new SplittableRandom(1);
-            for (int i = 0; i < 200_000; i++) {
+  /** A reader beside a writer that never rests: what it reads is always whole. */
+  @Test
+  public void aReaderBesideTheRelayNeverSeesHalfATurn() throws Exception {
+    Path file = folder().resolve("r.figures");
+    Accounts accounts = new Accounts(METHODS, ROOM);
+    Keeper.open(file, accounts, () -> {}, line -> {});
+    boolean[] over = new boolean[1];
+    Thread writer =
+        new Thread(
+            () -> {
+              SplittableRandom random = new SplittableRandom(1);
+              for (int i = 0; i < 200_000; i++) {
                 someTurn(accounts, random);
                 accounts.commit();
-            }
-            synchronized (over) {
+              }
+              synchronized (over) {
                 over[0] = true;
-            }
-        });
-        writer.start();
-        int reads = 0;
-        for (boolean last = false; !last; reads++) {
-            synchronized (over) {
-                last = over[0];
-            }
-            Snapshot snapshot = Snapshot.read(file);
-            assertEquals(snapshot.accounts().check(snapshot.values), List.of());
-        }
-        writer.join();
-        assertTrue(reads > 1);
+              }
+            });
+    writer.start();
+    int reads = 0;
+    for (boolean last = false; !last; reads++) {
+      synchronized (over) {
+        last = over[0];
+      }
+      Snapshot snapshot = Snapshot.read(file);
+      assertEquals(snapshot.accounts().check(snapshot.values), List.of());
     }
+    writer.join();
+    assertTrue(reads > 1);
+  }
 }
--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -7,71 +7,102 @@
 import java.util.TreeMap;
 
 /**
- * By amount of traffic: how far translated time and capacity lie from the truth, and how often a bound of 95% holds, beside three ways
- * without a model: none, one factor for all methods, and plain ratios of means. {@code HardwareStudy [truths]}.
+ * By amount of traffic: how far translated time and capacity lie from the truth, and how often a
+ * bound of 95% holds, beside three ways without a model: none, one factor for all methods, and
+ * plain ratios of means. {@code HardwareStudy [truths]}.
  */
 public final class HardwareStudy {
-    private HardwareStudy() {}
+  private HardwareStudy() {}
 
-    private static double median(List<Double> all) {
-        all.sort(null);
-        return all.get(all.size() / 2);
-    }
+  private static double median(List<Double> all) {
+    all.sort(null);
+    return all.get(all.size() / 2);
+  }
 
-    public static void main(String[] args) {
-        int truths = args.length > 0 ? Integer.parseInt(args[0]) : 200;
-        System.out.println("four families, three methods, 12 windows; median error of a factor in percent; share of bounds of 95% that hold");
-        for (int picks : new int[] {100, 300, 1000, 3000, 10_000}) {
-            Map<String, List<Double>> off = new TreeMap<>();
-            int all = 0;
-            int times = 0;
-            int capacities = 0;
-            int known = 0;
-            for (int seed = 0; seed < truths; seed++) {
-                Truth truth = new Truth(1000 + seed, 4);
-                Seen seen = truth.seen(12, picks, 3);
-                Model model = Fit.of(seen, 0, build -> true, 1);
-                double errors = model.errors(0.95);
-                double[][] sums = new double[4][3];
-                double[][] counts = new double[4][3];
-                seen.since(0).values().forEach(window -> window.forEach((cell, one) -> {
-                    sums[cell.family()][cell.method()] += one.count() * Math.exp(one.mean());
-                    counts[cell.family()][cell.method()] += one.count();
-                }));
-                for (int a = 0; a < 4; a++) {
-                    for (int b = 0; b < 4; b++) {
-                        for (int m = 0; m < 3 && a != b; m++) {
-                            double time = Math.log(truth.time(a, m) / truth.time(b, m));
-                            double capacity = Math.log(truth.capacity(a, m) / truth.capacity(b, m));
-                            Model.Estimate ofTime = model.time(m, a, b);
-                            Model.Estimate ofCapacity = model.capacity(m, a, b);
-                            if (ofTime == null) continue;
-                            all++;
-                            if (time < ofTime.log() + errors * ofTime.error()) times++;
-                            if (capacity < ofCapacity.log() + errors * ofCapacity.error()) capacities++;
-                            if (ofCapacity.error() < 0.4) known++;
-                            double raw = Math.log(sums[a][m] / counts[a][m] / (sums[b][m] / counts[b][m]));
-                            double global = 0;
-                            for (int n = 0; n < 3; n++) global += Math.log(sums[a][n] / counts[a][n] / (sums[b][n] / counts[b][n])) / 3;
-                            add(off, "1 time, model", ofTime.log() - time);
-                            add(off, "2 time, none", time);
-                            add(off, "3 time, one factor", global - time);
-                            add(off, "4 time, raw ratio", raw - time);
-                            add(off, "5 capacity, model", ofCapacity.log() - capacity);
-                            add(off, "6 capacity, none", capacity);
-                            add(off, "7 capacity, raw ratio of times", -raw - capacity);
-                        }
-                    }
-                }
+  public static void main(String[] args) {
+    int truths = args.length > 0 ? Integer.parseInt(args[0]) : 200;
+    System.out.println(
+        "four families, three methods, 12 windows; median error of a factor in percent; share of bounds of 95% that hold");
+    for (int picks : new int[] {100, 300, 1000, 3000, 10_000}) {
+      Map<String, List<Double>> off = new TreeMap<>();
+      int all = 0;
+      int times = 0;
+      int capacities = 0;
+      int known = 0;
+      for (int seed = 0; seed < truths; seed++) {
+        Truth truth = new Truth(1000 + seed, 4);
+        Seen seen = truth.seen(12, picks, 3);
+        Model model = Fit.of(seen, 0, build -> true, 1);
+        double errors = model.errors(0.95);
+        double[][] sums = new double[4][3];
+        double[][] counts = new double[4][3];
+        seen.since(0)
+            .values()
+            .forEach(
+                window ->
+                    window.forEach(
+                        (cell, one) -> {
+                          sums[cell.family()][cell.method()] += one.count() * Math.exp(one.mean());
+                          counts[cell.family()][cell.method()] += one.count();
+                        }));
+        for (int a = 0; a < 4; a++) {
+          for (int b = 0; b < 4; b++) {
+            for (int m = 0; m < 3 && a != b; m++) {
+              double time = Math.log(truth.time(a, m) / truth.time(b, m));
+              double capacity = Math.log(truth.capacity(a, m) / truth.capacity(b, m));
+              Model.Estimate ofTime = model.time(m, a, b);
+              Model.Estimate ofCapacity = model.capacity(m, a, b);
+              if (ofTime == null) {
+                continue;
+              }
+              all++;
+              if (time < ofTime.log() + errors * ofTime.error()) {
+                times++;
+              }
+              if (capacity < ofCapacity.log() + errors * ofCapacity.error()) {
+                capacities++;
+              }
+              if (ofCapacity.error() < 0.4) {
+                known++;
+              }
+              double raw = Math.log(sums[a][m] / counts[a][m] / (sums[b][m] / counts[b][m]));
+              double global = 0;
+              for (int n = 0; n < 3; n++) {
+                global += Math.log(sums[a][n] / counts[a][n] / (sums[b][n] / counts[b][n])) / 3;
+              }
+              add(off, "1 time, model", ofTime.log() - time);
+              add(off, "2 time, none", time);
+              add(off, "3 time, one factor", global - time);
+              add(off, "4 time, raw ratio", raw - time);
+              add(off, "5 capacity, model", ofCapacity.log() - capacity);
+              add(off, "6 capacity, none", capacity);
+              add(off, "7 capacity, raw ratio of times", -raw - capacity);
             }
-            StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%6d picks a window:", picks));
-            off.forEach((name, one) -> line.append(String.format(Locale.ROOT, "  %s %.1f%%", name.substring(2), 100 * (Math.exp(median(one)) - 1))));
-            line.append(String.format(Locale.ROOT, "; bounds hold: time %.3f, capacity %.3f; capacity known %.2f", (double) times / all, (double) capacities / all, (double) known / all));
-            System.out.println(line);
+          }
         }
+      }
+      StringBuilder line =
+          new StringBuilder(String.format(Locale.ROOT, "%6d picks a window:", picks));
+      off.forEach(
+          (name, one) ->
+              line.append(
+                  String.format(
+                      Locale.ROOT,
+                      "  %s %.1f%%",
+                      name.substring(2),
+                      100 * (Math.exp(median(one)) - 1))));
+      line.append(
+          String.format(
+              Locale.ROOT,
+              "; bounds hold: time %.3f, capacity %.3f; capacity known %.2f",
+              (double) times / all,
+              (double) capacities / all,
+              (double) known / all));
+      System.out.println(line);
     }
+  }
 
-    private static void add(Map<String, List<Double>> off, String name, double by) {
-        off.computeIfAbsent(name, any -> new ArrayList<>()).add(Math.abs(by));
-    }
+  private static void add(Map<String, List<Double>> off, String name, double by) {
+    off.computeIfAbsent(name, any -> new ArrayList<>()).add(Math.abs(by));
+  }
 }
--- a/src/test/java/sprucerock/http/HttpLinkTest.java
+++ b/src/test/java/sprucerock/http/HttpLinkTest.java
@@ -15,127 +15,139 @@
 
 /** Calls over HTTP/1.1 against a server that answers as it is told. */
 public class HttpLinkTest {
-    private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 7000);
+  private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 7000);
 
-    private final ScriptedNet net = new ScriptedNet(0, 1);
-    private final List<String> told = new ArrayList<>();
-    private Link server;
+  private final ScriptedNet net = new ScriptedNet(0, 1);
+  private final List<String> told = new ArrayList<>();
+  private Link server;
 
-    /** Stands in for the server: keeps its end, and reads nothing. */
-    private final class Server implements LinkUser {
-        @Override
-        public void up(Link link) {
-            server = link;
-        }
-
-        @Override
-        public void received(ByteBuffer bytes) {}
-
-        @Override
-        public void closed(String why) {}
+  /** Stands in for the server: keeps its end, and reads nothing. */
+  private final class Server implements LinkUser {
+    @Override
+    public void up(Link link) {
+      server = link;
     }
 
-    private final class Told implements HttpLink.Call {
-        private final String name;
-        private final boolean streams;
-
-        Told(String name, boolean streams) {
-            this.name = name;
-            this.streams = streams;
-        }
-
-        @Override
-        public void piece(int status, ByteBuffer bytes) {
-            if (streams) told.add(name + " piece " + StandardCharsets.US_ASCII.decode(bytes));
-        }
-
-        @Override
-        public boolean streams() {
-            return streams;
-        }
-
-        @Override
-        public void answered(int status, byte[] body) {
-            told.add(name + " " + status + " " + new String(body, StandardCharsets.US_ASCII));
-        }
-
-        @Override
-        public void failed(String why, boolean carriedOut) {
-            told.add(name + " failed, carried out " + carriedOut);
-        }
-    }
+    @Override
+    public void received(ByteBuffer bytes) {}
 
-    private HttpLink link() throws java.io.IOException {
-        told.clear();
-        net.listen(AT, 10, 1 << 20, Server::new);
-        HttpLink link = new HttpLink(net, AT, Span.ofMs(100));
-        net.settle();
-        return link;
-    }
+    @Override
+    public void closed(String why) {}
+  }
 
-    private void says(String text) {
-        net.turn(() -> server.append(text.getBytes(StandardCharsets.US_ASCII)));
-        net.settle();
-    }
+  private final class Told implements HttpLink.Call {
+    private final String name;
+    private final boolean streams;
 
-    @Test
-    public void callsOneBehindAnotherAreAnsweredInTheirOrder() throws Exception {
-        HttpLink link = link();
-        net.turn(() -> link.post("/a", "x=1", new Told("first", false)));
-        net.turn(() -> link.get("/b", new Told("second", false)));
-        net.settle();
-        says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 400 Bad\r\nTransfer-Enc");
-        says("oding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n");
-        assertEquals(told, List.of("first 200 one", "second 400 two"));
+    Told(String name, boolean streams) {
+      this.name = name;
+      this.streams = streams;
     }
 
-    @Test
-    public void aStreamIsToldPieceByPiece() throws Exception {
-        HttpLink link = link();
-        net.turn(() -> link.get("/a", new Told("stream", true)));
-        net.settle();
-        says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
-        says("1\r\n!\r\n");
-        assertEquals(told, List.of("stream piece hello", "stream piece !"));
+    @Override
+    public void piece(int status, ByteBuffer bytes) {
+      if (streams) {
+        told.add(name + " piece " + StandardCharsets.US_ASCII.decode(bytes));
+      }
     }
 
-    @Test
-    public void noiseEndsTheLinkAndItsCallsMayHaveBeenCarriedOut() throws Exception {
-        HttpLink link = link();
-        net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
-        net.settle();
-        says("\u0007\u0001\u0002 noise\r\n");
-        assertEquals(told, List.of("vote failed, carried out true"));
-        assertEquals(link.usable(), false);
+    @Override
+    public boolean streams() {
+      return streams;
     }
 
-    @Test
-    public void aRefusedConnectionProvesThatNothingWasCarriedOut() {
-        told.clear();
-        HttpLink link = new HttpLink(net, new InetSocketAddress("127.0.0.1", 7999), Span.ofMs(100));
-        net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
-        net.settle();
-        assertEquals(told, List.of("vote failed, carried out false"));
+    @Override
+    public void answered(int status, byte[] body) {
+      told.add(name + " " + status + " " + new String(body, StandardCharsets.US_ASCII));
     }
 
-    @Test
-    public void linesWithoutEndAndBodiesWithoutLengthAreRefused() throws Exception {
-        for (String bad : new String[] {"HTTP/1.1 200 " + "x".repeat(5000), "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-            "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + "x".repeat(70_000)}) {
-            HttpLink link = link();
-            net.turn(() -> link.get("/a", new Told("call", false)));
-            net.settle();
-            says(bad);
-            assertEquals(told, List.of("call failed, carried out true"), bad);
-        }
+    @Override
+    public void failed(String why, boolean carriedOut) {
+      told.add(name + " failed, carried out " + carriedOut);
     }
-
-    @Test
-    public void eventsHaveNamesAndDataAndSignsOfLifeAreNone() throws HttpException {
-        List<String> seen = new ArrayList<>();
-        Events events = new Events();
-        byte[] all = ":\n\nevent: news\ndata: a=1\n\n:\nevent: counts\r\ndata: b=2\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-        for (byte b : all) events.take(ByteBuffer.wrap(new byte[] {b}), (name, data) -> seen.add(name + " " + data));
-        assertEquals(seen, List.of("news a=1", "counts b=2"));
+  }
+
+  private HttpLink link() throws java.io.IOException {
+    told.clear();
+    net.listen(AT, 10, 1 << 20, Server::new);
+    HttpLink link = new HttpLink(net, AT, Span.ofMs(100));
+    net.settle();
+    return link;
+  }
+
+  private void says(String text) {
+    net.turn(() -> server.append(text.getBytes(StandardCharsets.US_ASCII)));
+    net.settle();
+  }
+
+  @Test
+  public void callsOneBehindAnotherAreAnsweredInTheirOrder() throws Exception {
+    HttpLink link = link();
+    net.turn(() -> link.post("/a", "x=1", new Told("first", false)));
+    net.turn(() -> link.get("/b", new Told("second", false)));
+    net.settle();
+    says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 400 Bad\r\nTransfer-Enc");
+    says("oding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n");
+    assertEquals(told, List.of("first 200 one", "second 400 two"));
+  }
+
+  @Test
+  public void aStreamIsToldPieceByPiece() throws Exception {
+    HttpLink link = link();
+    net.turn(() -> link.get("/a", new Told("stream", true)));
+    net.settle();
+    says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
+    says("1\r\n!\r\n");
+    assertEquals(told, List.of("stream piece hello", "stream piece !"));
+  }
+
+  @Test
+  public void noiseEndsTheLinkAndItsCallsMayHaveBeenCarriedOut() throws Exception {
+    HttpLink link = link();
+    net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
+    net.settle();
+    says("\u0007\u0001\u0002 noise\r\n");
+    assertEquals(told, List.of("vote failed, carried out true"));
+    assertEquals(link.usable(), false);
+  }
+
+  @Test
+  public void aRefusedConnectionProvesThatNothingWasCarriedOut() {
+    told.clear();
+    HttpLink link = new HttpLink(net, new InetSocketAddress("127.0.0.1", 7999), Span.ofMs(100));
+    net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
+    net.settle();
+    assertEquals(told, List.of("vote failed, carried out false"));
+  }
+
+  @Test
+  public void linesWithoutEndAndBodiesWithoutLengthAreRefused() throws Exception {
+    for (String bad :
+        new String[] {
+          "HTTP/1.1 200 " + "x".repeat(5000),
+          "HTTP/1.1 200 OK\r\n\r\n",
+          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+          "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
+          "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + "x".repeat(70_000)
+        }) {
+      HttpLink link = link();
+      net.turn(() -> link.get("/a", new Told("call", false)));
+      net.settle();
+      says(bad);
+      assertEquals(told, List.of("call failed, carried out true"), bad);
+    }
+  }
+
+  @Test
+  public void eventsHaveNamesAndDataAndSignsOfLifeAreNone() throws HttpException {
+    List<String> seen = new ArrayList<>();
+    Events events = new Events();
+    byte[] all =
+        ":\n\nevent: news\ndata: a=1\n\n:\nevent: counts\r\ndata: b=2\r\n\r\n"
+            .getBytes(StandardCharsets.US_ASCII);
+    for (byte b : all) {
+      events.take(ByteBuffer.wrap(new byte[] {b}), (name, data) -> seen.add(name + " " + data));
     }
+    assertEquals(seen, List.of("news a=1", "counts b=2"));
+  }
 }
--- a/src/test/java/sprucerock/lease/LeaseFire.java
+++ b/src/test/java/sprucerock/lease/LeaseFire.java
@@ -29,231 +29,349 @@
 import sprucerock.wire.v1.Told;
 
 /**
- * Five real processes, three of them granters, that stand for the same leases, over ways that are cut, late, lossy and reset; they are
- * killed and stopped. The place where acts land is here, and so is the checker, which reads that and the processes' notes.
+ * Five real processes, three of them granters, that stand for the same leases, over ways that are
+ * cut, late, lossy and reset; they are killed and stopped. The place where acts land is here, and
+ * so is the checker, which reads that and the processes' notes.
  */
 final class LeaseFire implements AutoCloseable {
-    private record Landed(String name, long number, boolean admitted) {}
+  private record Landed(String name, long number, boolean admitted) {}
 
-    /** What came of it. */
-    record Result(int taken, long acts, long refusedByNumber, int kills, int stops, int cuts, double worstGapMs, double medianGapMs, String wrong) {}
+  /** What came of it. */
+  record Result(
+      int taken,
+      long acts,
+      long refusedByNumber,
+      int kills,
+      int stops,
+      int cuts,
+      double worstGapMs,
+      double medianGapMs,
+      String wrong) {}
 
-    private static final int PROCESSES = 5;
+  private static final int PROCESSES = 5;
 
-    private final Path folder;
-    private final int names;
-    private final Span term;
-    private final boolean guarded;
-    private final boolean fenced;
-    private final Random random;
-    private final NioLoop loop;
-    private final Fence fence = new Fence();
-    private final List<Landed> landed = Collections.synchronizedList(new ArrayList<>());
-    private final Map<String, Long> highest = new HashMap<>();
-    private volatile int taken;
-    private final int[] granterPorts = {free(), free(), free()};
-    private final List<List<WayStandIn>> ways = new ArrayList<>();
-    private final int[][] wayPorts = new int[PROCESSES][3];
-    private final Process[] processes = new Process[PROCESSES];
-    private int placePort;
-    private int kills;
-    private int stops;
-    private int cuts;
+  private final Path folder;
+  private final int names;
+  private final Span term;
+  private final boolean guarded;
+  private final boolean fenced;
+  private final Random random;
+  private final NioLoop loop;
+  private final Fence fence = new Fence();
+  private final List<Landed> landed = Collections.synchronizedList(new ArrayList<>());
+  private final Map<String, Long> highest = new HashMap<>();
+  private volatile int taken;
+  private final int[] granterPorts = {free(), free(), free()};
+  private final List<List<WayStandIn>> ways = new ArrayList<>();
+  private final int[][] wayPorts = new int[PROCESSES][3];
+  private final Process[] processes = new Process[PROCESSES];
+  private int placePort;
+  private int kills;
+  private int stops;
+  private int cuts;
 
-    LeaseFire(Path folder, int names, Span term, boolean guarded, boolean fenced, long seed) throws Exception {
-        this.folder = folder;
-        this.names = names;
-        this.term = term;
-        this.guarded = guarded;
-        this.fenced = fenced;
-        random = new Random(seed);
-        loop = new NioLoop("place", Throwable::printStackTrace);
-        CountDownLatch up = new CountDownLatch(1);
-        loop.post(() -> {
-            try {
-                Hello mine = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.UNIT).setName("place").build();
-                placePort = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1000, 1 << 20, () -> {
-                    Place place = new Place();
-                    place.link = new FrameLink(loop, mine, new Limits(64 * 1024, 1 << 20, Span.ofMs(2000)), Tap.NONE, place);
-                    return place.link;
-                }).address().getPort();
-                for (int i = 0; i < PROCESSES; i++) {
-                    List<WayStandIn> own = new ArrayList<>();
-                    for (int g = 0; g < 3; g++) {
-                        WayStandIn way = new WayStandIn(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), granterPorts[g]), seed + i * 3L + g);
-                        wayPorts[i][g] = way.start();
-                        own.add(way);
-                    }
-                    ways.add(own);
-                }
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            } finally {
-                up.countDown();
+  LeaseFire(Path folder, int names, Span term, boolean guarded, boolean fenced, long seed)
+      throws Exception {
+    this.folder = folder;
+    this.names = names;
+    this.term = term;
+    this.guarded = guarded;
+    this.fenced = fenced;
+    random = new Random(seed);
+    loop = new NioLoop("place", Throwable::printStackTrace);
+    CountDownLatch up = new CountDownLatch(1);
+    loop.post(
+        () -> {
+          try {
+            Hello mine =
+                Hello.newBuilder()
+                    .setVersion(FrameLink.VERSION)
+                    .setRole(Role.UNIT)
+                    .setName("place")
+                    .build();
+            placePort =
+                loop.listen(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        1000,
+                        1 << 20,
+                        () -> {
+                          Place place = new Place();
+                          place.link =
+                              new FrameLink(
+                                  loop,
+                                  mine,
+                                  new Limits(64 * 1024, 1 << 20, Span.ofMs(2000)),
+                                  Tap.NONE,
+                                  place);
+                          return place.link;
+                        })
+                    .address()
+                    .getPort();
+            for (int i = 0; i < PROCESSES; i++) {
+              List<WayStandIn> own = new ArrayList<>();
+              for (int g = 0; g < 3; g++) {
+                WayStandIn way =
+                    new WayStandIn(
+                        loop,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), granterPorts[g]),
+                        seed + i * 3L + g);
+                wayPorts[i][g] = way.start();
+                own.add(way);
+              }
+              ways.add(own);
             }
+          } catch (IOException e) {
+            throw new IllegalStateException(e);
+          } finally {
+            up.countDown();
+          }
         });
-        up.await();
-        for (int i = 0; i < PROCESSES; i++) start(i);
+    up.await();
+    for (int i = 0; i < PROCESSES; i++) {
+      start(i);
     }
+  }
 
-    private static int free() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return socket.getLocalPort();
-        }
+  private static int free() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
+  }
 
-    private void start(int i) throws IOException {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC",
-            "-Xmx64m", "-cp", System.getProperty("java.class.path"), "sprucerock.lease.LeaseProcess", "" + i, "" + (i < 3 ? i : -1), "" + (i < 3 ? granterPorts[i] : 0),
-            "" + placePort, folder.resolve("notes-" + i).toString(), "" + names, "" + (int) term.ms(), guarded ? "guarded" : "unguarded"));
-        for (int g = 0; g < 3; g++) command.add("" + wayPorts[i][g]);
-        processes[i] = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log-" + i).toFile())).start();
+  private void start(int i) throws IOException {
+    List<String> command =
+        new ArrayList<>(
+            List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx64m",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "sprucerock.lease.LeaseProcess",
+                "" + i,
+                "" + (i < 3 ? i : -1),
+                "" + (i < 3 ? granterPorts[i] : 0),
+                "" + placePort,
+                folder.resolve("notes-" + i).toString(),
+                "" + names,
+                "" + (int) term.ms(),
+                guarded ? "guarded" : "unguarded"));
+    for (int g = 0; g < 3; g++) {
+      command.add("" + wayPorts[i][g]);
     }
+    processes[i] =
+        new ProcessBuilder(command)
+            .redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log-" + i).toFile()))
+            .start();
+  }
 
-    private final class Place implements FrameUser {
-        private FrameLink link;
-
-        @Override
-        public void greeted(FrameLink made, Hello other) {
-            // whoever comes may act, by its number
-        }
+  private final class Place implements FrameUser {
+    private FrameLink link;
 
-        @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {
-            String[] words = new String(body, StandardCharsets.UTF_8).split(" ");
-            long number = Long.parseLong(words[1]);
-            boolean admitted = !fenced || fence.admits(words[0], number);
-            landed.add(new Landed(words[0], number, admitted));
-            if (!admitted) link.send(Kind.TOLD, Told.getDefaultInstance(), (words[0] + " " + fence.highest(words[0])).getBytes(StandardCharsets.UTF_8));
-            Long before = highest.get(words[0]);
-            if (before == null || number > before) {
-                highest.put(words[0], number);
-                taken++;
-            }
-        }
+    @Override
+    public void greeted(FrameLink made, Hello other) {
+      // whoever comes may act, by its number
+    }
 
-        @Override
-        public void closed(String why) {
-            // it comes again
-        }
+    @Override
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      String[] words = new String(body, StandardCharsets.UTF_8).split(" ");
+      long number = Long.parseLong(words[1]);
+      boolean admitted = !fenced || fence.admits(words[0], number);
+      landed.add(new Landed(words[0], number, admitted));
+      if (!admitted) {
+        link.send(
+            Kind.TOLD,
+            Told.getDefaultInstance(),
+            (words[0] + " " + fence.highest(words[0])).getBytes(StandardCharsets.UTF_8));
+      }
+      Long before = highest.get(words[0]);
+      if (before == null || number > before) {
+        highest.put(words[0], number);
+        taken++;
+      }
     }
 
-    private void signal(int i, String which) throws Exception {
-        new ProcessBuilder("kill", "-" + which, Long.toString(processes[i].pid())).start().waitFor();
+    @Override
+    public void closed(String why) {
+      // it comes again
     }
+  }
 
-    /** Troubles follow one another until so many leases were taken over and so many troubles came, or the time is over. */
-    void run(int wanted, int troubles, int mostSeconds) throws Exception {
-        long until = System.nanoTime() + mostSeconds * 1_000_000_000L;
-        for (int round = 0; (taken < wanted || round < troubles) && System.nanoTime() < until; round++) {
-            Thread.sleep((long) (term.ms() * (0.5 + random.nextDouble())));
-            if (round < 4) continue; // the first come up
-            int who = random.nextInt(PROCESSES);
-            switch (random.nextInt(7)) {
-                case 0 -> {
-                    processes[who].destroyForcibly().waitFor();
-                    kills++;
-                    start(who);
-                }
-                case 1, 2 -> {
-                    stops++;
-                    signal(who, "STOP");
-                    Thread.sleep((long) (term.ms() * (0.3 + 1.5 * random.nextDouble())));
-                    signal(who, "CONT");
-                }
-                case 3 -> {
-                    boolean there = random.nextBoolean();
-                    boolean back = !there || random.nextBoolean();
-                    cuts++;
-                    all(who, way -> way.cut(there, back));
-                    Thread.sleep((long) (term.ms() * (0.5 + 2 * random.nextDouble())));
-                    all(who, way -> way.cut(false, false));
-                }
-                case 4 -> all(who, way -> way.late(Span.ofMs(term.ms() * random.nextDouble() * 0.5)));
-                case 5 -> {
-                    all(who, way -> way.reset(true));
-                    Thread.sleep((long) (term.ms() * 0.2));
-                    all(who, way -> way.reset(false));
-                }
-                default -> all(who, way -> {
-                    way.late(Span.ZERO);
-                    way.lose(random.nextDouble() * 0.1);
-                });
-            }
+  private void signal(int i, String which) throws Exception {
+    new ProcessBuilder("kill", "-" + which, Long.toString(processes[i].pid())).start().waitFor();
+  }
+
+  /**
+   * Troubles follow one another until so many leases were taken over and so many troubles came, or
+   * the time is over.
+   */
+  void run(int wanted, int troubles, int mostSeconds) throws Exception {
+    long until = System.nanoTime() + mostSeconds * 1_000_000_000L;
+    for (int round = 0;
+        (taken < wanted || round < troubles) && System.nanoTime() < until;
+        round++) {
+      Thread.sleep((long) (term.ms() * (0.5 + random.nextDouble())));
+      if (round < 4) {
+        continue; // the first come up
+      }
+      int who = random.nextInt(PROCESSES);
+      switch (random.nextInt(7)) {
+        case 0 -> {
+          processes[who].destroyForcibly().waitFor();
+          kills++;
+          start(who);
+        }
+        case 1, 2 -> {
+          stops++;
+          signal(who, "STOP");
+          Thread.sleep((long) (term.ms() * (0.3 + 1.5 * random.nextDouble())));
+          signal(who, "CONT");
         }
+        case 3 -> {
+          boolean there = random.nextBoolean();
+          boolean back = !there || random.nextBoolean();
+          cuts++;
+          all(who, way -> way.cut(there, back));
+          Thread.sleep((long) (term.ms() * (0.5 + 2 * random.nextDouble())));
+          all(who, way -> way.cut(false, false));
+        }
+        case 4 -> all(who, way -> way.late(Span.ofMs(term.ms() * random.nextDouble() * 0.5)));
+        case 5 -> {
+          all(who, way -> way.reset(true));
+          Thread.sleep((long) (term.ms() * 0.2));
+          all(who, way -> way.reset(false));
+        }
+        default ->
+            all(
+                who,
+                way -> {
+                  way.late(Span.ZERO);
+                  way.lose(random.nextDouble() * 0.1);
+                });
+      }
     }
+  }
 
-    private interface Ill {
-        void befall(WayStandIn way);
-    }
+  private interface Ill {
+    void befall(WayStandIn way);
+  }
 
-    private void all(int who, Ill ill) throws InterruptedException {
-        CountDownLatch done = new CountDownLatch(1);
-        loop.post(() -> {
-            for (WayStandIn way : ways.get(who)) ill.befall(way);
-            done.countDown();
+  private void all(int who, Ill ill) throws InterruptedException {
+    CountDownLatch done = new CountDownLatch(1);
+    loop.post(
+        () -> {
+          for (WayStandIn way : ways.get(who)) {
+            ill.befall(way);
+          }
+          done.countDown();
         });
-        done.await();
-    }
+    done.await();
+  }
 
-    /** Ends all processes, then reads where acts landed, and what each process claimed. */
-    Result end() throws Exception {
-        for (Process one : processes) one.destroyForcibly().waitFor();
-        Thread.sleep(100);
-        String wrong = null;
-        Map<String, Long> last = new HashMap<>();
-        long acts = 0;
-        long refused = 0;
-        for (Landed one : List.copyOf(landed)) {
-            acts++;
-            if (!one.admitted) {
-                refused++;
-                continue;
-            }
-            long before = last.getOrDefault(one.name, 0L);
-            if (one.number < before) wrong = one.name + ": an act under " + one.number + " was taken after one under " + before;
-            last.put(one.name, Math.max(before, one.number));
+  /** Ends all processes, then reads where acts landed, and what each process claimed. */
+  Result end() throws Exception {
+    for (Process one : processes) {
+      one.destroyForcibly().waitFor();
+    }
+    Thread.sleep(100);
+    String wrong = null;
+    Map<String, Long> last = new HashMap<>();
+    long acts = 0;
+    long refused = 0;
+    for (Landed one : List.copyOf(landed)) {
+      acts++;
+      if (!one.admitted) {
+        refused++;
+        continue;
+      }
+      long before = last.getOrDefault(one.name, 0L);
+      if (one.number < before) {
+        wrong = one.name + ": an act under " + one.number + " was taken after one under " + before;
+      }
+      last.put(one.name, Math.max(before, one.number));
+    }
+    Map<String, TreeMap<Long, long[]>> claims = new TreeMap<>();
+    for (int i = 0; i < PROCESSES; i++) {
+      if (!Files.exists(folder.resolve("notes-" + i))) {
+        continue;
+      }
+      for (String line : Files.readAllLines(folder.resolve("notes-" + i))) {
+        String[] words = line.split(" ");
+        if (words.length < 3) {
+          continue; // cut off by a kill
         }
-        Map<String, TreeMap<Long, long[]>> claims = new TreeMap<>();
-        for (int i = 0; i < PROCESSES; i++) {
-            if (!Files.exists(folder.resolve("notes-" + i))) continue;
-            for (String line : Files.readAllLines(folder.resolve("notes-" + i))) {
-                String[] words = line.split(" ");
-                if (words.length < 3) continue; // cut off by a kill
-                long at = Long.parseLong(words[2]);
-                long[] span = claims.computeIfAbsent(words[0], any -> new TreeMap<>()).computeIfAbsent(Long.parseLong(words[1]), any -> new long[] {at, at});
-                span[0] = Math.min(span[0], at);
-                span[1] = Math.max(span[1], at);
-            }
+        long at = Long.parseLong(words[2]);
+        long[] span =
+            claims
+                .computeIfAbsent(words[0], any -> new TreeMap<>())
+                .computeIfAbsent(Long.parseLong(words[1]), any -> new long[] {at, at});
+        span[0] = Math.min(span[0], at);
+        span[1] = Math.max(span[1], at);
+      }
+    }
+    int takeOvers = 0;
+    List<Double> gaps = new ArrayList<>();
+    for (Map.Entry<String, TreeMap<Long, long[]>> one : claims.entrySet()) {
+      long until = 0;
+      for (Map.Entry<Long, long[]> claim : one.getValue().entrySet()) {
+        takeOvers++;
+        if (claim.getValue()[0] <= until) {
+          wrong =
+              one.getKey()
+                  + " under "
+                  + claim.getKey()
+                  + " was acted on "
+                  + (until - claim.getValue()[0])
+                  + " us before the former one's last act";
         }
-        int takeOvers = 0;
-        List<Double> gaps = new ArrayList<>();
-        for (Map.Entry<String, TreeMap<Long, long[]>> one : claims.entrySet()) {
-            long until = 0;
-            for (Map.Entry<Long, long[]> claim : one.getValue().entrySet()) {
-                takeOvers++;
-                if (claim.getValue()[0] <= until) wrong = one.getKey() + " under " + claim.getKey() + " was acted on " + (until - claim.getValue()[0]) + " us before the former one's last act";
-                if (until > 0) gaps.add((claim.getValue()[0] - until) / 1000.0);
-                until = Math.max(until, claim.getValue()[1]);
-            }
+        if (until > 0) {
+          gaps.add((claim.getValue()[0] - until) / 1000.0);
         }
-        Collections.sort(gaps);
-        double median = gaps.isEmpty() ? 0 : gaps.get(gaps.size() / 2);
-        return new Result(takeOvers, acts, refused, kills, stops, cuts, gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1), median, wrong);
+        until = Math.max(until, claim.getValue()[1]);
+      }
     }
+    Collections.sort(gaps);
+    double median = gaps.isEmpty() ? 0 : gaps.get(gaps.size() / 2);
+    return new Result(
+        takeOvers,
+        acts,
+        refused,
+        kills,
+        stops,
+        cuts,
+        gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1),
+        median,
+        wrong);
+  }
 
-    @Override
-    public void close() {
-        for (Process one : processes) if (one != null) one.destroyForcibly();
-        loop.close();
+  @Override
+  public void close() {
+    for (Process one : processes) {
+      if (one != null) {
+        one.destroyForcibly();
+      }
     }
+    loop.close();
+  }
 
-    /** {@code LeaseFire FOLDER TAKE-OVERS TROUBLES SECONDS [SEED]}: the same for as long as one wants. */
-    public static void main(String[] args) throws Exception {
-        Path folder = Files.createDirectories(Path.of(args[0]));
-        try (LeaseFire fire = new LeaseFire(folder, 30, Span.ofMs(400), true, true, args.length > 4 ? Long.parseLong(args[4]) : 1)) {
-            fire.run(Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]));
-            System.out.println(fire.end());
-        }
+  /**
+   * {@code LeaseFire FOLDER TAKE-OVERS TROUBLES SECONDS [SEED]}: the same for as long as one wants.
+   */
+  public static void main(String[] args) throws Exception {
+    Path folder = Files.createDirectories(Path.of(args[0]));
+    try (LeaseFire fire =
+        new LeaseFire(
+            folder,
+            30,
+            Span.ofMs(400),
+            true,
+            true,
+            args.length > 4 ? Long.parseLong(args[4]) : 1)) {
+      fire.run(Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]));
+      System.out.println(fire.end());
     }
+  }
 }
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -26,139 +26,195 @@
 import sprucerock.wire.v1.Told;
 
 /**
- * One process of {@link LeaseProcessesTest}: a candidate for many leases, perhaps a granter too. While it holds one it acts on the
- * test's own place again and again; sometimes it stands still between the look at its guard and the act. Each act is noted before it is
- * sent, with the machine's clock.
+ * One process of {@link LeaseProcessesTest}: a candidate for many leases, perhaps a granter too.
+ * While it holds one it acts on the test's own place again and again; sometimes it stands still
+ * between the look at its guard and the act. Each act is noted before it is sent, with the
+ * machine's clock.
  */
 public final class LeaseProcess {
-    private final NioLoop loop;
-    private final FileChannel notes;
-    private final Redial place;
-    private final Leases leases;
-    private final SplittableRandom random;
-    private final Span term;
-    private final boolean guarded;
-
-    private LeaseProcess(String[] args) throws Exception {
-        int me = Integer.parseInt(args[0]);
-        int granter = Integer.parseInt(args[1]);
-        int own = Integer.parseInt(args[2]);
-        int names = Integer.parseInt(args[5]);
-        term = Span.ofMs(Integer.parseInt(args[6]));
-        guarded = !args[7].equals("unguarded");
-        notes = FileChannel.open(Path.of(args[4]), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        List<InetSocketAddress> granters = new ArrayList<>();
-        for (int i = 8; i < args.length; i++) granters.add(at(Integer.parseInt(args[i])));
-        LeaseConfig config = new LeaseConfig(me, granter, at(own), granters, term, term, 0.01, 100, null, null);
-        loop = new NioLoop("lease-" + me, Throwable::printStackTrace);
-        long life = System.nanoTime() ^ ProcessHandle.current().pid() << 32;
-        random = new SplittableRandom(life);
-        Leases.Log log = new Leases.Log() {
-            @Override
-            public void info(String what) {
-                // thousands of take-overs
-            }
-
-            @Override
-            public void warn(String what) {
-                System.out.println(what);
-            }
+  private final NioLoop loop;
+  private final FileChannel notes;
+  private final Redial place;
+  private final Leases leases;
+  private final SplittableRandom random;
+  private final Span term;
+  private final boolean guarded;
+
+  private LeaseProcess(String[] args) throws Exception {
+    int me = Integer.parseInt(args[0]);
+    int granter = Integer.parseInt(args[1]);
+    int own = Integer.parseInt(args[2]);
+    int names = Integer.parseInt(args[5]);
+    term = Span.ofMs(Integer.parseInt(args[6]));
+    guarded = !args[7].equals("unguarded");
+    notes =
+        FileChannel.open(Path.of(args[4]), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+    List<InetSocketAddress> granters = new ArrayList<>();
+    for (int i = 8; i < args.length; i++) {
+      granters.add(at(Integer.parseInt(args[i])));
+    }
+    LeaseConfig config =
+        new LeaseConfig(me, granter, at(own), granters, term, term, 0.01, 100, null, null);
+    loop = new NioLoop("lease-" + me, Throwable::printStackTrace);
+    long life = System.nanoTime() ^ ProcessHandle.current().pid() << 32;
+    random = new SplittableRandom(life);
+    Leases.Log log =
+        new Leases.Log() {
+          @Override
+          public void info(String what) {
+            // thousands of take-overs
+          }
+
+          @Override
+          public void warn(String what) {
+            System.out.println(what);
+          }
         };
-        Hello hello = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.RELAY).setNumber(me).setName("process").build();
-        place = new Redial(loop, at(Integer.parseInt(args[3])), hello, new Limits(64 * 1024, 1 << 20, Span.ofMs(2000)), Tap.NONE, new Chance(life), new FrameUser() {
-            @Override
-            public void greeted(FrameLink link, Hello other) {
+    Hello hello =
+        Hello.newBuilder()
+            .setVersion(FrameLink.VERSION)
+            .setRole(Role.RELAY)
+            .setNumber(me)
+            .setName("process")
+            .build();
+    place =
+        new Redial(
+            loop,
+            at(Integer.parseInt(args[3])),
+            hello,
+            new Limits(64 * 1024, 1 << 20, Span.ofMs(2000)),
+            Tap.NONE,
+            new Chance(life),
+            new FrameUser() {
+              @Override
+              public void greeted(FrameLink link, Hello other) {
                 // it only listens
-            }
+              }
 
-            @Override
-            public void frame(Kind kind, MessageLite head, byte[] body) {
+              @Override
+              public void frame(Kind kind, MessageLite head, byte[] body) {
                 refused(new String(body, StandardCharsets.UTF_8));
-            }
+              }
 
-            @Override
-            public void closed(String why) {
+              @Override
+              public void closed(String why) {
                 // dialled again
+              }
+            });
+    leases =
+        new Leases(loop, config, "process-" + me, life, Tap.NONE, System::currentTimeMillis, log);
+    loop.post(
+        () -> {
+          try {
+            if (granter >= 0) {
+              new GranterDoor(loop, config, "process-" + me, Tap.NONE, log).start();
             }
+          } catch (java.io.IOException e) {
+            e.printStackTrace();
+            System.exit(3);
+          }
+          place.dial();
+          leases.start();
+          for (int i = 0; i < names; i++) {
+            stand("name-" + i);
+          }
+          System.out.println("UP");
         });
-        leases = new Leases(loop, config, "process-" + me, life, Tap.NONE, System::currentTimeMillis, log);
-        loop.post(() -> {
-            try {
-                if (granter >= 0) new GranterDoor(loop, config, "process-" + me, Tap.NONE, log).start();
-            } catch (java.io.IOException e) {
-                e.printStackTrace();
-                System.exit(3);
-            }
-            place.dial();
-            leases.start();
-            for (int i = 0; i < names; i++) stand("name-" + i);
-            System.out.println("UP");
-        });
-    }
-
-    private static InetSocketAddress at(int port) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-    }
-
-    private final java.util.Map<String, Guard> guards = new java.util.TreeMap<>();
-
-    private void stand(String name) {
-        boolean[] held = new boolean[1];
-        Guard guard = leases.stand(name, new Leases.Task() {
-            @Override
-            public void begun(Guard guard) {
+  }
+
+  private static InetSocketAddress at(int port) {
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+  }
+
+  private final java.util.Map<String, Guard> guards = new java.util.TreeMap<>();
+
+  private void stand(String name) {
+    boolean[] held = new boolean[1];
+    Guard guard =
+        leases.stand(
+            name,
+            new Leases.Task() {
+              @Override
+              public void begun(Guard guard) {
                 held[0] = true;
                 act(name, guard, held);
-                if (random.nextInt(4) > 0) loop.at(loop.now().plus(Span.ofMs(20 + random.nextInt(200))), () -> away(name, held));
-            }
-
-            @Override
-            public void ended(String why) {
-                if (guarded) held[0] = false;
-                else loop.at(loop.now().plus(term.times(2)), () -> held[0] = false); // goes on as if nothing were
-            }
-        });
-        guards.put(name, guard);
+                if (random.nextInt(4) > 0) {
+                  loop.at(
+                      loop.now().plus(Span.ofMs(20 + random.nextInt(200))), () -> away(name, held));
+                }
+              }
+
+              @Override
+              public void ended(String why) {
+                if (guarded) {
+                  held[0] = false;
+                } else {
+                  loop.at(
+                      loop.now().plus(term.times(2)),
+                      () -> held[0] = false); // goes on as if nothing were
+                }
+              }
+            });
+    guards.put(name, guard);
+  }
+
+  /** Gives it back, often to one by name, and stands for it again a little later. */
+  private void away(String name, boolean[] held) {
+    if (!held[0]) {
+      return;
     }
+    leases.leave(name, random.nextInt(3) == 0 ? random.nextInt(5) : -1);
+    loop.at(loop.now().plus(Span.ofMs(random.nextInt(100))), () -> stand(name));
+  }
 
-    /** Gives it back, often to one by name, and stands for it again a little later. */
-    private void away(String name, boolean[] held) {
-        if (!held[0]) return;
-        leases.leave(name, random.nextInt(3) == 0 ? random.nextInt(5) : -1);
-        loop.at(loop.now().plus(Span.ofMs(random.nextInt(100))), () -> stand(name));
-    }
+  private long lastNumber;
 
-    private long lastNumber;
-
-    private void act(String name, Guard guard, boolean[] held) {
-        if (!held[0] || guards.get(name) != guard) return;
-        if (guarded) {
-            guard.act(number -> land(name, number));
-        } else {
-            if (guard.held()) guard.act(number -> lastNumber = number);
-            land(name, lastNumber);
-        }
-        loop.at(loop.now().plus(Span.ofMs(5 + random.nextInt(20))), () -> act(name, guard, held));
+  private void act(String name, Guard guard, boolean[] held) {
+    if (!held[0] || guards.get(name) != guard) {
+      return;
     }
-
-    private void land(String name, long number) {
-        try {
-            notes.write(ByteBuffer.wrap((name + " " + number + " " + NioLoop.machineMicros() + "\n").getBytes(StandardCharsets.UTF_8)));
-            if (random.nextInt(400) == 0) Thread.sleep((long) (term.ms() * 1.5)); // between the look and the act
-        } catch (java.io.IOException | InterruptedException e) {
-            throw new IllegalStateException(e);
-        }
-        place.send(Kind.TOLD, Told.getDefaultInstance(), (name + " " + number).getBytes(StandardCharsets.UTF_8));
+    if (guarded) {
+      guard.act(number -> land(name, number));
+    } else {
+      if (guard.held()) {
+        guard.act(number -> lastNumber = number);
+      }
+      land(name, lastNumber);
     }
-
-    private void refused(String text) {
-        String[] words = text.split(" ");
-        if (guards.containsKey(words[0])) guards.get(words[0]).refused(Long.parseLong(words[1]));
+    loop.at(loop.now().plus(Span.ofMs(5 + random.nextInt(20))), () -> act(name, guard, held));
+  }
+
+  private void land(String name, long number) {
+    try {
+      notes.write(
+          ByteBuffer.wrap(
+              (name + " " + number + " " + NioLoop.machineMicros() + "\n")
+                  .getBytes(StandardCharsets.UTF_8)));
+      if (random.nextInt(400) == 0) {
+        Thread.sleep((long) (term.ms() * 1.5)); // between the look and the act
+      }
+    } catch (java.io.IOException | InterruptedException e) {
+      throw new IllegalStateException(e);
     }
-
-    /** Number, granter or -1, its port, the place's port, notes, names, term in ms, guarded or unguarded, ports of all granters. */
-    public static void main(String[] args) throws Exception {
-        new LeaseProcess(args);
-        Thread.currentThread().join(); // the loop's thread keeps no process up
+    place.send(
+        Kind.TOLD,
+        Told.getDefaultInstance(),
+        (name + " " + number).getBytes(StandardCharsets.UTF_8));
+  }
+
+  private void refused(String text) {
+    String[] words = text.split(" ");
+    if (guards.containsKey(words[0])) {
+      guards.get(words[0]).refused(Long.parseLong(words[1]));
     }
+  }
+
+  /**
+   * Number, granter or -1, its port, the place's port, notes, names, term in ms, guarded or
+   * unguarded, ports of all granters.
+   */
+  public static void main(String[] args) throws Exception {
+    new LeaseProcess(args);
+    Thread.currentThread().join(); // the loop's thread keeps no process up
+  }
 }
--- a/src/test/java/sprucerock/lease/LeaseProcessesTest.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessesTest.java
@@ -13,38 +13,44 @@
 import org.testng.annotations.Test;
 import sprucerock.time.Span;
 
-/** Real processes under fire; the verdicts hang on the order of what landed and on one clock, not on how fast anything went. */
+/**
+ * Real processes under fire; the verdicts hang on the order of what landed and on one clock, not on
+ * how fast anything went.
+ */
 public class LeaseProcessesTest {
-    private Path folder;
-
-    @BeforeMethod
-    public void folder() throws Exception {
-        folder = Files.createTempDirectory("leases");
-    }
-
-    @AfterMethod
-    public void away() throws Exception {
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path one : all.sorted(Comparator.reverseOrder()).toList()) Files.delete(one);
-        }
-    }
-
-    private LeaseFire.Result play(boolean guarded, boolean fenced, int taken, int troubles) throws Exception {
-        try (LeaseFire fire = new LeaseFire(folder, 30, Span.ofMs(400), guarded, fenced, 7)) {
-            fire.run(taken, troubles, 120);
-            return fire.end();
-        }
-    }
-
-    @Test
-    public void neverTwoActAtOnceAndNoLowerNumberAfterAHigher() throws Exception {
-        LeaseFire.Result result = play(true, true, 300, 12);
-        assertNull(result.wrong(), result.toString());
-        assertTrue(result.taken() >= 300, result.toString());
+  private Path folder;
+
+  @BeforeMethod
+  public void folder() throws Exception {
+    folder = Files.createTempDirectory("leases");
+  }
+
+  @AfterMethod
+  public void away() throws Exception {
+    try (Stream<Path> all = Files.walk(folder)) {
+      for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
+        Files.delete(one);
+      }
     }
+  }
 
-    @Test
-    public void theCheckerSeesOneWhoActsWithoutItsGuard() throws Exception {
-        assertNotNull(play(false, true, 300, 25).wrong());
+  private LeaseFire.Result play(boolean guarded, boolean fenced, int taken, int troubles)
+      throws Exception {
+    try (LeaseFire fire = new LeaseFire(folder, 30, Span.ofMs(400), guarded, fenced, 7)) {
+      fire.run(taken, troubles, 120);
+      return fire.end();
     }
+  }
+
+  @Test
+  public void neverTwoActAtOnceAndNoLowerNumberAfterAHigher() throws Exception {
+    LeaseFire.Result result = play(true, true, 300, 12);
+    assertNull(result.wrong(), result.toString());
+    assertTrue(result.taken() >= 300, result.toString());
+  }
+
+  @Test
+  public void theCheckerSeesOneWhoActsWithoutItsGuard() throws Exception {
+    assertNotNull(play(false, true, 300, 25).wrong());
+  }
 }
--- a/src/test/java/sprucerock/lease/SearchMain.java
+++ b/src/test/java/sprucerock/lease/SearchMain.java
@@ -2,22 +2,38 @@
 
 import sprucerock.time.Span;
 
-/** The search at sizes that take minutes: {@code SearchMain [ticks asks granter-crashes candidate-crashes stalls most]}. */
+/**
+ * The search at sizes that take minutes: {@code SearchMain [ticks asks granter-crashes
+ * candidate-crashes stalls most]}.
+ */
 public final class SearchMain {
-    private SearchMain() {}
+  private SearchMain() {}
 
-    public static void main(String[] args) {
-        int[] n = new int[] {5, 3, 1, 0, 1, 20_000_000};
-        for (int i = 0; i < args.length; i++) n[i] = Integer.parseInt(args[i]);
-        Search.Bounds bounds = new Search.Bounds(n[0], n[1], n[2], n[3], n[4], n[5]);
-        for (double chance : new double[] {0, 0.99}) {
-            for (double[] paces : SearchTest.PACES) {
-                long began = System.nanoTime();
-                Search.Found found = Search.every(() -> SearchTest.world(new World.Makers() {}, chance, paces), bounds);
-                System.out.println(bounds + " chance " + chance + " paces " + java.util.Arrays.toString(paces) + ": " + found + ", " + (System.nanoTime() - began) / 1_000_000 + " ms");
-            }
-        }
+  public static void main(String[] args) {
+    int[] n = new int[] {5, 3, 1, 0, 1, 20_000_000};
+    for (int i = 0; i < args.length; i++) {
+      n[i] = Integer.parseInt(args[i]);
     }
+    Search.Bounds bounds = new Search.Bounds(n[0], n[1], n[2], n[3], n[4], n[5]);
+    for (double chance : new double[] {0, 0.99}) {
+      for (double[] paces : SearchTest.PACES) {
+        long began = System.nanoTime();
+        Search.Found found =
+            Search.every(() -> SearchTest.world(new World.Makers() {}, chance, paces), bounds);
+        System.out.println(
+            bounds
+                + " chance "
+                + chance
+                + " paces "
+                + java.util.Arrays.toString(paces)
+                + ": "
+                + found
+                + ", "
+                + (System.nanoTime() - began) / 1_000_000
+                + " ms");
+      }
+    }
+  }
 
-    static final Span TERM = Span.ofMs(4);
+  static final Span TERM = Span.ofMs(4);
 }
--- a/src/test/java/sprucerock/lease/World.java
+++ b/src/test/java/sprucerock/lease/World.java
@@ -10,336 +10,532 @@
 import sprucerock.time.Span;
 
 /**
- * Candidates and granters of one lease as they may stand to each other, with every message that was ever sent still on its way: not
- * taking it is its loss, taking it again its double, taking it later or before another its delay. A world is branched by {@link #copy}.
- * The checker reads only claims against the one true time, and what was done where acts land.
+ * Candidates and granters of one lease as they may stand to each other, with every message that was
+ * ever sent still on its way: not taking it is its loss, taking it again its double, taking it
+ * later or before another its delay. A world is branched by {@link #copy}. The checker reads only
+ * claims against the one true time, and what was done where acts land.
  */
 final class World {
-    static final String NAME = "seat";
+  static final String NAME = "seat";
 
-    /** Who makes the parties: the real ones, or such as lack a guard. */
-    interface Makers {
-        default Terms terms(Terms right) {
-            return right;
-        }
-
-        default Candidate candidate(Terms terms, Candidate.Host host, int me, long life, double chance) {
-            return new Candidate(NAME, terms, host, () -> chance, me, life);
-        }
-
-        default Granter granter(Terms terms, Granter.Host host, Moment opens, Map<String, Grant> grants) {
-            return new Granter(terms, host, opens, grants);
-        }
-
-        /** Whether an act may be sent. */
-        default boolean guards(Candidate candidate, Moment now) {
-            return candidate.holds(now);
-        }
-
-        default boolean fences() {
-            return true;
-        }
-
-        /** How long a granter that begins anew grants nothing. */
-        default Span sitsOut(Terms terms) {
-            return terms.longest();
-        }
+  /** Who makes the parties: the real ones, or such as lack a guard. */
+  interface Makers {
+    default Terms terms(Terms right) {
+      return right;
     }
 
-    enum Kind { ASK, GRANTED, REFUSED, RETURN, ACT }
-
-    record Message(Kind kind, int candidate, int granter, long life, long number, long round, long highest, Span left, boolean held)
-        implements Comparable<Message> {
-        @Override
-        public int compareTo(Message other) {
-            int so = Integer.compare(kind.ordinal() * 100 + candidate * 10 + granter, other.kind.ordinal() * 100 + other.candidate * 10 + other.granter);
-            if (so == 0) so = Long.compare(number, other.number);
-            if (so == 0) so = Long.compare(round, other.round);
-            if (so == 0) so = Long.compare(life, other.life);
-            if (so == 0) so = Long.compare(highest, other.highest);
-            return so != 0 || left == null ? so : Double.compare(left.ms(), other.left.ms());
-        }
+    default Candidate candidate(
+        Terms terms, Candidate.Host host, int me, long life, double chance) {
+      return new Candidate(NAME, terms, host, () -> chance, me, life);
     }
 
-    private final Makers makers;
-    private final Terms terms;
-    private final double chance;
-    private final double[] paceOfCandidates;
-    private final double[] paceOfGranters;
-    int tick;
-    private final Candidate[] candidates;
-    private final boolean[] stalled;
-    private final long[] lives;
-    private final Moment[] opens;
-    private final List<Map<String, Grant>> grants = new ArrayList<>();
-    private TreeSet<Message> sent = new TreeSet<>();
-    private final List<Message> order = new ArrayList<>(); // as they were sent; not kept in copies
-    private int asks;
-    int granterCrashes;
-    int candidateCrashes;
-    int stalls;
-    private Fence fence = new Fence();
-    private long landed; // the checker's own
-    private long lastTaken;
-    String wrong;
-    int takenOver;
-    /** Refusals and acts are left out: what they lead to, patience that ends leads to as well. */
-    boolean brief;
-
-    World(Makers makers, Terms right, double chance, double[] paceOfCandidates, double[] paceOfGranters) {
-        this.makers = makers;
-        this.chance = chance;
-        terms = makers.terms(right);
-        this.paceOfCandidates = paceOfCandidates;
-        this.paceOfGranters = paceOfGranters;
-        candidates = new Candidate[paceOfCandidates.length];
-        stalled = new boolean[candidates.length];
-        lives = new long[candidates.length];
-        opens = new Moment[paceOfGranters.length];
-        for (int i = 0; i < opens.length; i++) {
-            opens[i] = Moment.ofMs(0);
-            grants.add(Map.of());
-        }
-        for (int i = 0; i < candidates.length; i++) candidates[i] = made(i);
-        for (Candidate one : candidates) one.want(Moment.ofMs(0), 1);
+    default Granter granter(
+        Terms terms, Granter.Host host, Moment opens, Map<String, Grant> grants) {
+      return new Granter(terms, host, opens, grants);
     }
 
-    private World(World other) {
-        makers = other.makers;
-        terms = other.terms;
-        chance = other.chance;
-        paceOfCandidates = other.paceOfCandidates;
-        paceOfGranters = other.paceOfGranters;
-        tick = other.tick;
-        candidates = new Candidate[other.candidates.length];
-        stalled = other.stalled.clone();
-        lives = other.lives.clone();
-        opens = other.opens.clone();
-        grants.addAll(other.grants); // maps are replaced, never changed
-        sent = new TreeSet<>(other.sent);
-        asks = other.asks;
-        granterCrashes = other.granterCrashes;
-        candidateCrashes = other.candidateCrashes;
-        stalls = other.stalls;
-        landed = other.landed;
-        brief = other.brief;
-        lastTaken = other.lastTaken;
-        if (other.fence.highest(NAME) > 0) fence.admits(NAME, other.fence.highest(NAME));
-        for (int i = 0; i < candidates.length; i++) {
-            candidates[i] = made(i);
-            candidates[i].become(other.candidates[i]);
-        }
+    /** Whether an act may be sent. */
+    default boolean guards(Candidate candidate, Moment now) {
+      return candidate.holds(now);
     }
 
-    World copy() {
-        return new World(this);
+    default boolean fences() {
+      return true;
     }
 
-    private Candidate made(int index) {
-        return makers.candidate(terms, new Candidate.Host() {
-            @Override
-            public void ask(int granter, String name, long number, long round) {
-                if (granter == 0) asks++;
-                send(new Message(Kind.ASK, index, granter, lives[index], number, round, 0, Span.ZERO, false));
-            }
-
-            @Override
-            public void giveBack(int granter, String name, long number, int heir) {
-                send(new Message(Kind.RETURN, index, granter, lives[index], number, 0, 0, Span.ZERO, false));
-            }
-
-            @Override
-            public void taken(String name, long number) {
-                takenOver++;
-                if (number <= lastTaken) wrong = "taken under " + number + " after " + lastTaken;
-                lastTaken = Math.max(lastTaken, number);
-            }
-
-            @Override
-            public void lost(String name, long number, String why) {
-                // claims are read from the candidate itself
-            }
-        }, index, lives[index], chance);
+    /** How long a granter that begins anew grants nothing. */
+    default Span sitsOut(Terms terms) {
+      return terms.longest();
     }
-
-    private boolean send(Message message) {
-        boolean isNew = sent.add(message);
-        if (isNew) order.add(message);
-        return isNew;
+  }
+
+  enum Kind {
+    ASK,
+    GRANTED,
+    REFUSED,
+    RETURN,
+    ACT
+  }
+
+  record Message(
+      Kind kind,
+      int candidate,
+      int granter,
+      long life,
+      long number,
+      long round,
+      long highest,
+      Span left,
+      boolean held)
+      implements Comparable<Message> {
+    @Override
+    public int compareTo(Message other) {
+      int so =
+          Integer.compare(
+              kind.ordinal() * 100 + candidate * 10 + granter,
+              other.kind.ordinal() * 100 + other.candidate * 10 + other.granter);
+      if (so == 0) {
+        so = Long.compare(number, other.number);
+      }
+      if (so == 0) {
+        so = Long.compare(round, other.round);
+      }
+      if (so == 0) {
+        so = Long.compare(life, other.life);
+      }
+      if (so == 0) {
+        so = Long.compare(highest, other.highest);
+      }
+      return so != 0 || left == null ? so : Double.compare(left.ms(), other.left.ms());
     }
-
-    private Moment clock(int candidate) {
-        return Moment.ofMs(tick * paceOfCandidates[candidate]);
+  }
+
+  private final Makers makers;
+  private final Terms terms;
+  private final double chance;
+  private final double[] paceOfCandidates;
+  private final double[] paceOfGranters;
+  int tick;
+  private final Candidate[] candidates;
+  private final boolean[] stalled;
+  private final long[] lives;
+  private final Moment[] opens;
+  private final List<Map<String, Grant>> grants = new ArrayList<>();
+  private TreeSet<Message> sent = new TreeSet<>();
+  private final List<Message> order = new ArrayList<>(); // as they were sent; not kept in copies
+  private int asks;
+  int granterCrashes;
+  int candidateCrashes;
+  int stalls;
+  private Fence fence = new Fence();
+  private long landed; // the checker's own
+  private long lastTaken;
+  String wrong;
+  int takenOver;
+
+  /** Refusals and acts are left out: what they lead to, patience that ends leads to as well. */
+  boolean brief;
+
+  World(
+      Makers makers,
+      Terms right,
+      double chance,
+      double[] paceOfCandidates,
+      double[] paceOfGranters) {
+    this.makers = makers;
+    this.chance = chance;
+    terms = makers.terms(right);
+    this.paceOfCandidates = paceOfCandidates;
+    this.paceOfGranters = paceOfGranters;
+    candidates = new Candidate[paceOfCandidates.length];
+    stalled = new boolean[candidates.length];
+    lives = new long[candidates.length];
+    opens = new Moment[paceOfGranters.length];
+    for (int i = 0; i < opens.length; i++) {
+      opens[i] = Moment.ofMs(0);
+      grants.add(Map.of());
     }
-
-    /** What can happen next, by number: each leads to another world. */
-    int choices() {
-        return 1 + sent.size() + candidates.length * 4 + opens.length;
+    for (int i = 0; i < candidates.length; i++) {
+      candidates[i] = made(i);
     }
-
-    /** All that is on its way of a kind, from or to one candidate, arrives. */
-    void arrive(Kind kind, int candidate) {
-        for (Message one : List.copyOf(sent)) if (one.kind == kind && one.candidate == candidate) take(one);
+    for (Candidate one : candidates) {
+      one.want(Moment.ofMs(0), 1);
     }
-
-    /** The same of one granter, and of one round. */
-    void arrive(Kind kind, int candidate, int granter, long round) {
-        for (Message one : List.copyOf(sent)) if (one.kind == kind && one.candidate == candidate && one.granter == granter && one.round == round) take(one);
+  }
+
+  private World(World other) {
+    makers = other.makers;
+    terms = other.terms;
+    chance = other.chance;
+    paceOfCandidates = other.paceOfCandidates;
+    paceOfGranters = other.paceOfGranters;
+    tick = other.tick;
+    candidates = new Candidate[other.candidates.length];
+    stalled = other.stalled.clone();
+    lives = other.lives.clone();
+    opens = other.opens.clone();
+    grants.addAll(other.grants); // maps are replaced, never changed
+    sent = new TreeSet<>(other.sent);
+    asks = other.asks;
+    granterCrashes = other.granterCrashes;
+    candidateCrashes = other.candidateCrashes;
+    stalls = other.stalls;
+    landed = other.landed;
+    brief = other.brief;
+    lastTaken = other.lastTaken;
+    if (other.fence.highest(NAME) > 0) {
+      fence.admits(NAME, other.fence.highest(NAME));
     }
-
-    /** Time passes, until a candidate has asked so often in all. */
-    void pass(int upToAsks) {
-        while (asks < upToAsks) happen(0, Integer.MAX_VALUE, 0, 0, 0);
+    for (int i = 0; i < candidates.length; i++) {
+      candidates[i] = made(i);
+      candidates[i].become(other.candidates[i]);
     }
-
-    /** Something befalls a candidate: 2, it gives back; 3, it stands still or goes on. */
-    void befall(int who, int what) {
-        befall(who, what, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
+  }
+
+  World copy() {
+    return new World(this);
+  }
+
+  private Candidate made(int index) {
+    return makers.candidate(
+        terms,
+        new Candidate.Host() {
+          @Override
+          public void ask(int granter, String name, long number, long round) {
+            if (granter == 0) {
+              asks++;
+            }
+            send(
+                new Message(
+                    Kind.ASK, index, granter, lives[index], number, round, 0, Span.ZERO, false));
+          }
+
+          @Override
+          public void giveBack(int granter, String name, long number, int heir) {
+            send(
+                new Message(
+                    Kind.RETURN, index, granter, lives[index], number, 0, 0, Span.ZERO, false));
+          }
+
+          @Override
+          public void taken(String name, long number) {
+            takenOver++;
+            if (number <= lastTaken) {
+              wrong = "taken under " + number + " after " + lastTaken;
+            }
+            lastTaken = Math.max(lastTaken, number);
+          }
+
+          @Override
+          public void lost(String name, long number, String why) {
+            // claims are read from the candidate itself
+          }
+        },
+        index,
+        lives[index],
+        chance);
+  }
+
+  private boolean send(Message message) {
+    boolean isNew = sent.add(message);
+    if (isNew) {
+      order.add(message);
     }
-
-    /** How many of these are no message. */
-    int others() {
-        return candidates.length * 4 + opens.length;
+    return isNew;
+  }
+
+  private Moment clock(int candidate) {
+    return Moment.ofMs(tick * paceOfCandidates[candidate]);
+  }
+
+  /** What can happen next, by number: each leads to another world. */
+  int choices() {
+    return 1 + sent.size() + candidates.length * 4 + opens.length;
+  }
+
+  /** All that is on its way of a kind, from or to one candidate, arrives. */
+  void arrive(Kind kind, int candidate) {
+    for (Message one : List.copyOf(sent)) {
+      if (one.kind == kind && one.candidate == candidate) {
+        take(one);
+      }
     }
-
-    /** Whether a holder would give it back. */
-    boolean isLeave(int choice) {
-        int other = choice - 1 - sent.size();
-        return other >= 0 && other < candidates.length * 4 && other % 4 == 2;
+  }
+
+  /** The same of one granter, and of one round. */
+  void arrive(Kind kind, int candidate, int granter, long round) {
+    for (Message one : List.copyOf(sent)) {
+      if (one.kind == kind
+          && one.candidate == candidate
+          && one.granter == granter
+          && one.round == round) {
+        take(one);
+      }
     }
+  }
 
-    /** The place of a message that was sent lately, or some other one's. */
-    int recent(java.util.Random random) {
-        int from = Math.max(0, order.size() - 6);
-        Message one = order.get(from + random.nextInt(order.size() - from));
-        return sent.headSet(one).size();
+  /** Time passes, until a candidate has asked so often in all. */
+  void pass(int upToAsks) {
+    while (asks < upToAsks) {
+      happen(0, Integer.MAX_VALUE, 0, 0, 0);
     }
-
-    /** Does one of them; false where it can't happen. */
-    boolean happen(int choice, int mostAsks, int mostGranterCrashes, int mostCandidateCrashes, int mostStalls) {
-        if (choice == 0) {
-            tick++;
-            for (int i = 0; i < candidates.length; i++) if (!stalled[i] && asks < mostAsks) candidates[i].tick(clock(i), 1 + tick);
-            return check();
-        }
-        choice--;
-        if (choice < sent.size()) {
-            Message message = null;
-            for (Message one : sent) if (choice-- == 0) message = one;
-            return take(message);
+  }
+
+  /** Something befalls a candidate: 2, it gives back; 3, it stands still or goes on. */
+  void befall(int who, int what) {
+    befall(who, what, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
+  }
+
+  /** How many of these are no message. */
+  int others() {
+    return candidates.length * 4 + opens.length;
+  }
+
+  /** Whether a holder would give it back. */
+  boolean isLeave(int choice) {
+    int other = choice - 1 - sent.size();
+    return other >= 0 && other < candidates.length * 4 && other % 4 == 2;
+  }
+
+  /** The place of a message that was sent lately, or some other one's. */
+  int recent(java.util.Random random) {
+    int from = Math.max(0, order.size() - 6);
+    Message one = order.get(from + random.nextInt(order.size() - from));
+    return sent.headSet(one).size();
+  }
+
+  /** Does one of them; false where it can't happen. */
+  boolean happen(
+      int choice, int mostAsks, int mostGranterCrashes, int mostCandidateCrashes, int mostStalls) {
+    if (choice == 0) {
+      tick++;
+      for (int i = 0; i < candidates.length; i++) {
+        if (!stalled[i] && asks < mostAsks) {
+          candidates[i].tick(clock(i), 1 + tick);
         }
-        choice -= sent.size();
-        int who = choice / 4;
-        if (who < candidates.length) return befall(who, choice % 4, mostAsks, mostCandidateCrashes, mostStalls);
-        if (granterCrashes >= mostGranterCrashes) return false;
-        int granter = choice - 4 * candidates.length;
-        granterCrashes++;
-        grants.set(granter, Map.of());
-        opens[granter] = Moment.ofMs(tick * paceOfGranters[granter]).plus(makers.sitsOut(terms));
-        return check();
+      }
+      return check();
     }
-
-    private boolean befall(int who, int what, int mostAsks, int mostCandidateCrashes, int mostStalls) {
-        switch (what) {
-            case 0 -> { // looks whether it may, and acts; when that lands is open
-                if (brief || stalled[who] || !makers.guards(candidates[who], clock(who))) return false;
-                return send(new Message(Kind.ACT, who, 0, lives[who], candidates[who].number(), 0, 0, Span.ZERO, false));
-            }
-            case 1 -> {
-                if (candidateCrashes >= mostCandidateCrashes) return false;
-                candidateCrashes++;
-                lives[who]++;
-                stalled[who] = false;
-                candidates[who] = made(who);
-                candidates[who].want(clock(who), 1 + tick); // the wall's clock does not go back
-            }
-            case 2 -> { // gives it back, and wants it again
-                if (stalled[who] || asks >= mostAsks || !candidates[who].holds(clock(who))) return false;
-                candidates[who].leave(-1);
-                candidates[who].want(clock(who), 1 + tick);
-            }
-            default -> {
-                if (!stalled[who] && stalls >= mostStalls) return false;
-                if (!stalled[who]) stalls++;
-                stalled[who] = !stalled[who];
-            }
+    choice--;
+    if (choice < sent.size()) {
+      Message message = null;
+      for (Message one : sent) {
+        if (choice-- == 0) {
+          message = one;
         }
-        return check();
+      }
+      return take(message);
     }
-
-    private boolean take(Message message) {
-        int who = message.candidate;
-        if (message.kind == Kind.ACT) {
-            boolean admitted = fence.admits(NAME, message.number) || !makers.fences();
-            if (admitted && message.number < landed) wrong = "an act under " + message.number + " was taken after one under " + landed;
-            if (admitted) landed = Math.max(landed, message.number);
-            return check();
+    choice -= sent.size();
+    int who = choice / 4;
+    if (who < candidates.length) {
+      return befall(who, choice % 4, mostAsks, mostCandidateCrashes, mostStalls);
+    }
+    if (granterCrashes >= mostGranterCrashes) {
+      return false;
+    }
+    int granter = choice - 4 * candidates.length;
+    granterCrashes++;
+    grants.set(granter, Map.of());
+    opens[granter] = Moment.ofMs(tick * paceOfGranters[granter]).plus(makers.sitsOut(terms));
+    return check();
+  }
+
+  private boolean befall(
+      int who, int what, int mostAsks, int mostCandidateCrashes, int mostStalls) {
+    switch (what) {
+      case 0 -> { // looks whether it may, and acts; when that lands is open
+        if (brief || stalled[who] || !makers.guards(candidates[who], clock(who))) {
+          return false;
         }
-        if (message.kind == Kind.GRANTED || message.kind == Kind.REFUSED) {
-            if (message.life != lives[who] || stalled[who]) return false;
-            if (message.kind == Kind.GRANTED) candidates[who].granted(message.granter, message.number, message.round, clock(who));
-            else candidates[who].refused(message.granter, message.number, message.round, message.highest, message.left, message.held, clock(who));
-            return check();
+        return send(
+            new Message(
+                Kind.ACT, who, 0, lives[who], candidates[who].number(), 0, 0, Span.ZERO, false));
+      }
+      case 1 -> {
+        if (candidateCrashes >= mostCandidateCrashes) {
+          return false;
         }
-        int at = message.granter;
-        Granter granter = makers.granter(terms, new Granter.Host() {
-            @Override
-            public void granted(int candidate, String name, long number, long round) {
-                send(new Message(Kind.GRANTED, candidate, at, message.life, number, round, 0, Span.ZERO, false));
-            }
-
-            @Override
-            public void refused(int candidate, String name, long number, long round, long highest, Span left, Granter.Refusal why) {
-                if (!brief) send(new Message(Kind.REFUSED, candidate, at, message.life, number, round, highest, left, why == Granter.Refusal.HELD));
-            }
-
-            @Override
-            public void freed(int candidate, String name) {
+        candidateCrashes++;
+        lives[who]++;
+        stalled[who] = false;
+        candidates[who] = made(who);
+        candidates[who].want(clock(who), 1 + tick); // the wall's clock does not go back
+      }
+      case 2 -> { // gives it back, and wants it again
+        if (stalled[who] || asks >= mostAsks || !candidates[who].holds(clock(who))) {
+          return false;
+        }
+        candidates[who].leave(-1);
+        candidates[who].want(clock(who), 1 + tick);
+      }
+      default -> {
+        if (!stalled[who] && stalls >= mostStalls) {
+          return false;
+        }
+        if (!stalled[who]) {
+          stalls++;
+        }
+        stalled[who] = !stalled[who];
+      }
+    }
+    return check();
+  }
+
+  private boolean take(Message message) {
+    int who = message.candidate;
+    if (message.kind == Kind.ACT) {
+      boolean admitted = fence.admits(NAME, message.number) || !makers.fences();
+      if (admitted && message.number < landed) {
+        wrong = "an act under " + message.number + " was taken after one under " + landed;
+      }
+      if (admitted) {
+        landed = Math.max(landed, message.number);
+      }
+      return check();
+    }
+    if (message.kind == Kind.GRANTED || message.kind == Kind.REFUSED) {
+      if (message.life != lives[who] || stalled[who]) {
+        return false;
+      }
+      if (message.kind == Kind.GRANTED) {
+        candidates[who].granted(message.granter, message.number, message.round, clock(who));
+      } else {
+        candidates[who].refused(
+            message.granter,
+            message.number,
+            message.round,
+            message.highest,
+            message.left,
+            message.held,
+            clock(who));
+      }
+      return check();
+    }
+    int at = message.granter;
+    Granter granter =
+        makers.granter(
+            terms,
+            new Granter.Host() {
+              @Override
+              public void granted(int candidate, String name, long number, long round) {
+                send(
+                    new Message(
+                        Kind.GRANTED,
+                        candidate,
+                        at,
+                        message.life,
+                        number,
+                        round,
+                        0,
+                        Span.ZERO,
+                        false));
+              }
+
+              @Override
+              public void refused(
+                  int candidate,
+                  String name,
+                  long number,
+                  long round,
+                  long highest,
+                  Span left,
+                  Granter.Refusal why) {
+                if (!brief) {
+                  send(
+                      new Message(
+                          Kind.REFUSED,
+                          candidate,
+                          at,
+                          message.life,
+                          number,
+                          round,
+                          highest,
+                          left,
+                          why == Granter.Refusal.HELD));
+                }
+              }
+
+              @Override
+              public void freed(int candidate, String name) {
                 // only makes it quicker
-            }
-        }, opens[at], grants.get(at));
-        Moment now = Moment.ofMs(tick * paceOfGranters[at]);
-        if (message.kind == Kind.ASK) granter.asked(who, message.life, NAME, message.number, message.round, now);
-        else granter.returned(who, message.life, NAME, message.number, -1, now);
-        grants.set(at, new TreeMap<>(granter.grants()));
-        return check();
+              }
+            },
+            opens[at],
+            grants.get(at));
+    Moment now = Moment.ofMs(tick * paceOfGranters[at]);
+    if (message.kind == Kind.ASK) {
+      granter.asked(who, message.life, NAME, message.number, message.round, now);
+    } else {
+      granter.returned(who, message.life, NAME, message.number, -1, now);
     }
-
-    /** No two claims at one true time. */
-    private boolean check() {
-        int holders = 0;
-        for (int i = 0; i < candidates.length; i++) if (candidates[i].holds(clock(i))) holders++;
-        if (holders > 1) wrong = "two hold it at tick " + tick;
-        return true;
+    grants.set(at, new TreeMap<>(granter.grants()));
+    return check();
+  }
+
+  /** No two claims at one true time. */
+  private boolean check() {
+    int holders = 0;
+    for (int i = 0; i < candidates.length; i++) {
+      if (candidates[i].holds(clock(i))) {
+        holders++;
+      }
     }
-
-    /** How many say now that they hold it. */
-    int holders() {
-        int found = 0;
-        for (int i = 0; i < candidates.length; i++) if (candidates[i].holds(clock(i))) found++;
-        return found;
+    if (holders > 1) {
+      wrong = "two hold it at tick " + tick;
     }
-
-    int asks() {
-        return asks;
+    return true;
+  }
+
+  /** How many say now that they hold it. */
+  int holders() {
+    int found = 0;
+    for (int i = 0; i < candidates.length; i++) {
+      if (candidates[i].holds(clock(i))) {
+        found++;
+      }
     }
-
-    /** Two worlds of one text go on alike: granters that differ by their numbers alone are told in one order. */
-    String text() {
-        List<String> each = new ArrayList<>();
-        for (int at = 0; at < opens.length; at++) {
-            StringBuilder one = new StringBuilder().append(paceOfGranters[at]).append(opens[at].ms()).append(grants.get(at).get(NAME));
-            for (Message message : sent) {
-                if (message.kind != Kind.ACT && message.granter == at) one.append(message.kind.ordinal()).append(message.candidate).append(',').append(message.life).append(',')
-                    .append(message.number).append(',').append(message.round).append(',').append(message.highest).append(',').append(message.left.ms()).append(';');
-            }
-            for (Candidate candidate : candidates) one.append(candidate.has(at));
-            each.add(one.toString());
+    return found;
+  }
+
+  int asks() {
+    return asks;
+  }
+
+  /**
+   * Two worlds of one text go on alike: granters that differ by their numbers alone are told in one
+   * order.
+   */
+  String text() {
+    List<String> each = new ArrayList<>();
+    for (int at = 0; at < opens.length; at++) {
+      StringBuilder one =
+          new StringBuilder()
+              .append(paceOfGranters[at])
+              .append(opens[at].ms())
+              .append(grants.get(at).get(NAME));
+      for (Message message : sent) {
+        if (message.kind != Kind.ACT && message.granter == at) {
+          one.append(message.kind.ordinal())
+              .append(message.candidate)
+              .append(',')
+              .append(message.life)
+              .append(',')
+              .append(message.number)
+              .append(',')
+              .append(message.round)
+              .append(',')
+              .append(message.highest)
+              .append(',')
+              .append(message.left.ms())
+              .append(';');
         }
-        Collections.sort(each);
-        StringBuilder text = new StringBuilder().append(tick).append(each).append(asks).append(granterCrashes).append(candidateCrashes).append(stalls).append(landed).append(' ').append(lastTaken);
-        for (int i = 0; i < candidates.length; i++) text.append(candidates[i].withoutGranters()).append(stalled[i]).append(lives[i]);
-        for (Message message : sent) if (message.kind == Kind.ACT) text.append(message.candidate).append(message.number).append(';');
-        return text.toString();
+      }
+      for (Candidate candidate : candidates) {
+        one.append(candidate.has(at));
+      }
+      each.add(one.toString());
+    }
+    Collections.sort(each);
+    StringBuilder text =
+        new StringBuilder()
+            .append(tick)
+            .append(each)
+            .append(asks)
+            .append(granterCrashes)
+            .append(candidateCrashes)
+            .append(stalls)
+            .append(landed)
+            .append(' ')
+            .append(lastTaken);
+    for (int i = 0; i < candidates.length; i++) {
+      text.append(candidates[i].withoutGranters()).append(stalled[i]).append(lives[i]);
+    }
+    for (Message message : sent) {
+      if (message.kind == Kind.ACT) {
+        text.append(message.candidate).append(message.number).append(';');
+      }
     }
+    return text.toString();
+  }
 }
