--- a/src/test/java/sprucerock/ledger/LedgerProperties.java
+++ b/src/test/java/sprucerock/ledger/LedgerProperties.java
@@ -29,139 +29,196 @@
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
-/** Sums hold after each step, in whatever order things happen, stale, doubled or never, and through crashes. */
+/**
+ * Sums hold after each step, in whatever order things happen, stale, doubled or never, and through
+ * crashes.
+ */
 class LedgerProperties {
-    private static final Outcome[] OUTCOMES = Outcome.values();
+  private static final Outcome[] OUTCOMES = Outcome.values();
 
-    /** Something that happens: what, to which RPC, pick or unit of those there are, after how long. */
-    record Event(int what, int whom, int how, double afterMs) {}
+  /**
+   * Something that happens: what, to which RPC, pick or unit of those there are, after how long.
+   */
+  record Event(int what, int whom, int how, double afterMs) {}
 
-    @Provide
-    Arbitrary<Event> events() {
-        return Combinators.combine(Arbitraries.integers().between(0, 9), Arbitraries.integers().between(0, 1000),
-            Arbitraries.integers().between(0, 40), Arbitraries.doubles().between(0, 400)).as(Event::new);
+  @Provide
+  Arbitrary<Event> events() {
+    return Combinators.combine(
+            Arbitraries.integers().between(0, 9),
+            Arbitraries.integers().between(0, 1000),
+            Arbitraries.integers().between(0, 40),
+            Arbitraries.doubles().between(0, 400))
+        .as(Event::new);
+  }
+
+  /** One life of a relay, of which the test drives only the ledger. */
+  private static final class Life {
+    final Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(2, 3, 2));
+    final Ledger ledger;
+    final List<Method> methods = new ArrayList<>();
+    final List<Rpc> rpcs = new ArrayList<>();
+    final List<Pick> picks = new ArrayList<>();
+    Moment now = Moment.ofMs(1000);
+    long last;
+
+    Life() {
+      Settings.Draft draft = new Settings.Draft();
+      for (int i = 0; i < 2; i++) {
+        methods.add(
+            new Method(
+                i,
+                Method.Effect.IDEMPOTENT,
+                Method.Group.ALL,
+                Span.ofMs(100),
+                Span.ZERO,
+                1,
+                false));
+        draft.methods.add(methods.get(i));
+      }
+      ledger = new Ledger(new Settings(draft), accounts);
+      ledger.tell(new Told());
+      listed(0);
     }
 
-    /** One life of a relay, of which the test drives only the ledger. */
-    private static final class Life {
-        final Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(2, 3, 2));
-        final Ledger ledger;
-        final List<Method> methods = new ArrayList<>();
-        final List<Rpc> rpcs = new ArrayList<>();
-        final List<Pick> picks = new ArrayList<>();
-        Moment now = Moment.ofMs(1000);
-        long last;
+    private Unit listed(int id) {
+      return ledger.listed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
+    }
 
-        Life() {
-            Settings.Draft draft = new Settings.Draft();
-            for (int i = 0; i < 2; i++) {
-                methods.add(new Method(i, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(100), Span.ZERO, 1, false));
-                draft.methods.add(methods.get(i));
-            }
-            ledger = new Ledger(new Settings(draft), accounts);
-            ledger.tell(new Told());
-            listed(0);
+    void happens(Event event) {
+      now = now.plus(Span.ofMs(event.afterMs));
+      Rpc rpc = rpcs.isEmpty() ? null : rpcs.get(event.whom % rpcs.size());
+      Pick pick = picks.isEmpty() ? null : picks.get(event.whom % picks.size());
+      switch (event.what) {
+        case 0, 1 ->
+            rpcs.add(
+                ledger.arrived(
+                    ++last,
+                    methods.get(event.how % 2),
+                    event.whom % 5,
+                    0,
+                    now,
+                    now.plus(Span.ofMs(300)),
+                    null,
+                    null));
+        case 2 -> listed(event.how % 6);
+        case 3 -> ledger.removed(event.how % 6);
+        case 4 -> {
+          if (rpc != null) {
+            ledger.pushedBack(rpc);
+          }
         }
-
-        private Unit listed(int id) {
-            return ledger.listed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
+        case 5 -> {
+          if (rpc != null) {
+            ledger.aborted(rpc);
+          }
         }
-
-        void happens(Event event) {
-            now = now.plus(Span.ofMs(event.afterMs));
-            Rpc rpc = rpcs.isEmpty() ? null : rpcs.get(event.whom % rpcs.size());
-            Pick pick = picks.isEmpty() ? null : picks.get(event.whom % picks.size());
-            switch (event.what) {
-                case 0, 1 -> rpcs.add(ledger.arrived(++last, methods.get(event.how % 2), event.whom % 5, 0, now, now.plus(Span.ofMs(300)), null, null));
-                case 2 -> listed(event.how % 6);
-                case 3 -> ledger.removed(event.how % 6);
-                case 4 -> { if (rpc != null) ledger.pushedBack(rpc); }
-                case 5 -> { if (rpc != null) ledger.aborted(rpc); }
-                case 6 -> { if (rpc != null) ledger.clientLeft(rpc); }
-                case 7 -> {
-                    Unit unit = ledger.unit(event.how % 6);
-                    if (rpc == null || rpc.ended() || unit == null) break;
-                    Pick made = new Pick(rpc, unit, now, null);
-                    made.copy = event.how % 3 == 0;
-                    picks.add(made);
-                    ledger.sent(made);
-                }
-                default -> { // late ones, and the same again, among them
-                    if (pick == null) break;
-                    Outcome how = OUTCOMES[event.how % OUTCOMES.length];
-                    ledger.pickEnded(pick, how, now.since(pick.sent), pick.rpc.ended() || how == Outcome.OK);
-                }
-            }
+        case 6 -> {
+          if (rpc != null) {
+            ledger.clientLeft(rpc);
+          }
         }
-
-        void holds() {
-            assertEquals(accounts.check(), List.of());
-            assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), ledger.open());
-            long out = picks.stream().filter(pick -> pick.outcome() == null).count();
-            assertEquals(accounts.sum(accounts.picks, accounts.picks.pending()), out);
-            long copies = picks.stream().filter(pick -> pick.outcome() == null && pick.copy).count();
-            assertEquals(accounts.sum(accounts.copies, accounts.copies.pending()), copies);
+        case 7 -> {
+          Unit unit = ledger.unit(event.how % 6);
+          if (rpc == null || rpc.ended() || unit == null) {
+            break;
+          }
+          Pick made = new Pick(rpc, unit, now, null);
+          made.copy = event.how % 3 == 0;
+          picks.add(made);
+          ledger.sent(made);
+        }
+        default -> { // late ones, and the same again, among them
+          if (pick == null) {
+            break;
+          }
+          Outcome how = OUTCOMES[event.how % OUTCOMES.length];
+          ledger.pickEnded(pick, how, now.since(pick.sent), pick.rpc.ended() || how == Outcome.OK);
         }
+      }
     }
 
-    @Property(seed = "20261201", tries = 400, shrinking = ShrinkingMode.BOUNDED)
-    void sumsHoldAfterEachStep(@ForAll("events200") List<Event> events) {
-        Life life = new Life();
-        for (Event event : events) {
-            life.happens(event);
-            life.holds();
-        }
+    void holds() {
+      assertEquals(accounts.check(), List.of());
+      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), ledger.open());
+      long out = picks.stream().filter(pick -> pick.outcome() == null).count();
+      assertEquals(accounts.sum(accounts.picks, accounts.picks.pending()), out);
+      long copies = picks.stream().filter(pick -> pick.outcome() == null && pick.copy).count();
+      assertEquals(accounts.sum(accounts.copies, accounts.copies.pending()), copies);
     }
+  }
 
-    @Provide
-    Arbitrary<List<Event>> events200() {
-        return events().list().ofMinSize(1).ofMaxSize(200);
+  @Property(seed = "20261201", tries = 400, shrinking = ShrinkingMode.BOUNDED)
+  void sumsHoldAfterEachStep(@ForAll("events200") List<Event> events) {
+    Life life = new Life();
+    for (Event event : events) {
+      life.happens(event);
+      life.holds();
     }
+  }
 
-    /** Each life ends in the middle of a turn; the next goes on from what its last whole turn said. */
-    @Property(seed = "20261202", tries = 60, shrinking = ShrinkingMode.BOUNDED)
-    void sumsHoldThroughOneCrashAfterAnother(@ForAll("events200") List<Event> events, @ForAll @Size(max = 12) List<@DoubleRange(min = 0, max = 1) Double> crashes)
-        throws Exception {
-        Path file = Files.createTempDirectory("lives").resolve("r.figures");
-        long taken = 0;
-        long lost = 0;
-        long open = 0;
-        for (int lives = 0; lives <= crashes.size(); lives++) {
-            Life life = new Life();
-            Keeper.open(file, life.accounts, () -> { }, line -> { throw new AssertionError(line); });
-            assertEquals(life.accounts.sum(life.accounts.rpcs, 0), taken);
-            lost += open;
-            assertEquals(life.accounts.sum(life.accounts.rpcs, life.accounts.rpcs.lost()), lost);
-            int until = lives < crashes.size() ? (int) (crashes.get(lives) * events.size()) : events.size();
-            for (int i = 0; i < until; i++) {
-                life.happens(events.get(i));
-                if (i % 7 == 6) life.accounts.commit();
-            }
-            Snapshot snapshot = Snapshot.read(file);
-            Accounts read = snapshot.accounts();
-            assertEquals(read.check(snapshot.values), List.of());
-            taken = 0;
-            open = 0;
-            for (int row = 0; row < read.rpcs.rows(); row++) {
-                taken += snapshot.values[read.rpcs.index(row, 0)];
-                open += snapshot.values[read.rpcs.index(row, read.rpcs.pending())];
-            }
+  @Provide
+  Arbitrary<List<Event>> events200() {
+    return events().list().ofMinSize(1).ofMaxSize(200);
+  }
+
+  /**
+   * Each life ends in the middle of a turn; the next goes on from what its last whole turn said.
+   */
+  @Property(seed = "20261202", tries = 60, shrinking = ShrinkingMode.BOUNDED)
+  void sumsHoldThroughOneCrashAfterAnother(
+      @ForAll("events200") List<Event> events,
+      @ForAll @Size(max = 12) List<@DoubleRange(min = 0, max = 1) Double> crashes)
+      throws Exception {
+    Path file = Files.createTempDirectory("lives").resolve("r.figures");
+    long taken = 0;
+    long lost = 0;
+    long open = 0;
+    for (int lives = 0; lives <= crashes.size(); lives++) {
+      Life life = new Life();
+      Keeper.open(
+          file,
+          life.accounts,
+          () -> {},
+          line -> {
+            throw new AssertionError(line);
+          });
+      assertEquals(life.accounts.sum(life.accounts.rpcs, 0), taken);
+      lost += open;
+      assertEquals(life.accounts.sum(life.accounts.rpcs, life.accounts.rpcs.lost()), lost);
+      int until =
+          lives < crashes.size() ? (int) (crashes.get(lives) * events.size()) : events.size();
+      for (int i = 0; i < until; i++) {
+        life.happens(events.get(i));
+        if (i % 7 == 6) {
+          life.accounts.commit();
         }
-        Files.delete(file);
-        Files.delete(file.getParent());
+      }
+      Snapshot snapshot = Snapshot.read(file);
+      Accounts read = snapshot.accounts();
+      assertEquals(read.check(snapshot.values), List.of());
+      taken = 0;
+      open = 0;
+      for (int row = 0; row < read.rpcs.rows(); row++) {
+        taken += snapshot.values[read.rpcs.index(row, 0)];
+        open += snapshot.values[read.rpcs.index(row, read.rpcs.pending())];
+      }
     }
+    Files.delete(file);
+    Files.delete(file.getParent());
+  }
 
-    /** The buckets are those of HdrHistogram: what falls into one is equivalent there, too. */
-    @Property(seed = "20261203", tries = 5000)
-    void bucketsAreThoseOfHdrHistogram(@ForAll @DoubleRange(min = 0, max = 67_000) double ms) {
-        Histogram same = Scale.histogram();
-        long us = (long) (ms * 1000);
-        int bucket = Scale.bucket(Span.ofMs(us / 1000.0));
-        assertEquals(Scale.fromUs(bucket), same.lowestEquivalentValue(Scale.fromUs(bucket)));
-        long slack = 1; // a microsecond is lost where milliseconds are cut to whole ones
-        assertTrue(us + slack >= Scale.fromUs(bucket), us + " in " + bucket);
-        assertTrue(bucket == Scale.BUCKETS - 1 || us - slack < Scale.fromUs(bucket + 1), us + " in " + bucket);
-        same.recordValue(us);
-        assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
-    }
+  /** The buckets are those of HdrHistogram: what falls into one is equivalent there, too. */
+  @Property(seed = "20261203", tries = 5000)
+  void bucketsAreThoseOfHdrHistogram(@ForAll @DoubleRange(min = 0, max = 67_000) double ms) {
+    Histogram same = Scale.histogram();
+    long us = (long) (ms * 1000);
+    int bucket = Scale.bucket(Span.ofMs(us / 1000.0));
+    assertEquals(Scale.fromUs(bucket), same.lowestEquivalentValue(Scale.fromUs(bucket)));
+    long slack = 1; // a microsecond is lost where milliseconds are cut to whole ones
+    assertTrue(us + slack >= Scale.fromUs(bucket), us + " in " + bucket);
+    assertTrue(
+        bucket == Scale.BUCKETS - 1 || us - slack < Scale.fromUs(bucket + 1), us + " in " + bucket);
+    same.recordValue(us);
+    assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
+  }
 }
--- a/src/test/java/sprucerock/ledger/LedgerTest.java
+++ b/src/test/java/sprucerock/ledger/LedgerTest.java
@@ -26,125 +26,141 @@
 
 /** The life of RPCs, picks and units as the module is told it. */
 public class LedgerTest {
-    private static final Moment T = Moment.ofMs(1000);
-    private final Method method = new Method(0, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(100), Span.ZERO, 1, false);
-    private Told told;
-    private Ledger ledger;
-    private Unit unit;
+  private static final Moment T = Moment.ofMs(1000);
+  private final Method method =
+      new Method(
+          0, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(100), Span.ZERO, 1, false);
+  private Told told;
+  private Ledger ledger;
+  private Unit unit;
 
-    @BeforeMethod
-    public void begin() {
-        Settings.Draft draft = new Settings.Draft();
-        draft.methods.add(method);
-        ledger = new Ledger(new Settings(draft));
-        told = new Told();
-        ledger.tell(told);
-        unit = ledger.listed(1, 0, 0, 0, 1, null, 1, true);
-        told.calls.clear();
-    }
+  @BeforeMethod
+  public void begin() {
+    Settings.Draft draft = new Settings.Draft();
+    draft.methods.add(method);
+    ledger = new Ledger(new Settings(draft));
+    told = new Told();
+    ledger.tell(told);
+    unit = ledger.listed(1, 0, 0, 0, 1, null, 1, true);
+    told.calls.clear();
+  }
 
-    private List<Long> figures() {
-        List<Long> found = new ArrayList<>();
-        for (int i = 0; i < 7; i++) found.add(ledger.accounts().value(ledger.accounts().rpcs, 0, i));
-        return found;
+  private List<Long> figures() {
+    List<Long> found = new ArrayList<>();
+    for (int i = 0; i < 7; i++) {
+      found.add(ledger.accounts().value(ledger.accounts().rpcs, 0, i));
     }
+    return found;
+  }
 
-    private Rpc arrives(long id) {
-        return ledger.arrived(id, method, 0, 0, T, T.plus(Span.ofMs(1000)), null, null);
-    }
+  private Rpc arrives(long id) {
+    return ledger.arrived(id, method, 0, 0, T, T.plus(Span.ofMs(1000)), null, null);
+  }
 
-    private Pick sends(Rpc rpc) {
-        Pick pick = new Pick(rpc, unit, T, null);
-        ledger.sent(pick);
-        return pick;
-    }
+  private Pick sends(Rpc rpc) {
+    Pick pick = new Pick(rpc, unit, T, null);
+    ledger.sent(pick);
+    return pick;
+  }
 
-    @Test
-    public void firstOkAnswersAndTheOtherPickIsStillSeen() {
-        Rpc rpc = arrives(5);
-        Pick first = sends(rpc);
-        Pick second = sends(rpc);
-        ledger.pickEnded(second, Outcome.OK, Span.ofMs(3), true);
-        assertTrue(rpc.ended());
-        assertSame(ledger.rpc(5), rpc);
-        ledger.pickEnded(first, Outcome.OK, Span.ofMs(4), true);
-        assertNull(ledger.rpc(5));
-        ledger.pickEnded(first, Outcome.ERROR, Span.ofMs(9), true);
-        assertEquals(told.calls, List.of("arrived 5", "ended 5.1 OK answers", "ended 5.0 OK"));
-        assertEquals(figures(), List.of(1L, 1L, 0L, 0L, 0L, 0L, 0L));
-        assertEquals(first.outcome(), Outcome.OK);
-    }
+  @Test
+  public void firstOkAnswersAndTheOtherPickIsStillSeen() {
+    Rpc rpc = arrives(5);
+    Pick first = sends(rpc);
+    Pick second = sends(rpc);
+    ledger.pickEnded(second, Outcome.OK, Span.ofMs(3), true);
+    assertTrue(rpc.ended());
+    assertSame(ledger.rpc(5), rpc);
+    ledger.pickEnded(first, Outcome.OK, Span.ofMs(4), true);
+    assertNull(ledger.rpc(5));
+    ledger.pickEnded(first, Outcome.ERROR, Span.ofMs(9), true);
+    assertEquals(told.calls, List.of("arrived 5", "ended 5.1 OK answers", "ended 5.0 OK"));
+    assertEquals(figures(), List.of(1L, 1L, 0L, 0L, 0L, 0L, 0L));
+    assertEquals(first.outcome(), Outcome.OK);
+  }
 
-    @Test
-    public void anOkAfterTheFinalAnswerChangesNothing() {
-        Rpc rpc = arrives(6);
-        Pick pick = sends(rpc);
-        ledger.pushedBack(rpc);
-        ledger.aborted(rpc);
-        ledger.clientLeft(rpc);
-        ledger.pickEnded(pick, Outcome.OK, Span.ofMs(3), true);
-        assertEquals(told.calls, List.of("arrived 6", "ended 6.0 OK"));
-        assertEquals(figures(), List.of(1L, 0L, 1L, 0L, 0L, 0L, 0L));
-    }
+  @Test
+  public void anOkAfterTheFinalAnswerChangesNothing() {
+    Rpc rpc = arrives(6);
+    Pick pick = sends(rpc);
+    ledger.pushedBack(rpc);
+    ledger.aborted(rpc);
+    ledger.clientLeft(rpc);
+    ledger.pickEnded(pick, Outcome.OK, Span.ofMs(3), true);
+    assertEquals(told.calls, List.of("arrived 6", "ended 6.0 OK"));
+    assertEquals(figures(), List.of(1L, 0L, 1L, 0L, 0L, 0L, 0L));
+  }
 
-    @Test
-    public void anIdThatComesBackIsAnotherRpc() {
-        Rpc first = arrives(7);
-        Pick late = sends(first);
-        ledger.pushedBack(first);
-        Rpc again = arrives(7);
-        ledger.pickEnded(late, Outcome.ERROR, Span.ofMs(2), true);
-        assertSame(ledger.rpc(7), again);
-        assertFalse(again.ended());
-    }
+  @Test
+  public void anIdThatComesBackIsAnotherRpc() {
+    Rpc first = arrives(7);
+    Pick late = sends(first);
+    ledger.pushedBack(first);
+    Rpc again = arrives(7);
+    ledger.pickEnded(late, Outcome.ERROR, Span.ofMs(2), true);
+    assertSame(ledger.rpc(7), again);
+    assertFalse(again.ended());
+  }
 
-    @Test
-    public void anotherRunIsAnotherUnitAndADrainingOneIsNotReady() {
-        assertSame(ledger.listed(1, 0, 0, 0, 1, null, 2, true), unit);
-        assertEquals(unit.weight(), 2.0);
-        Unit next = ledger.listed(1, 0, 0, 0, 1, T, 1, true);
-        assertNotSame(next, unit);
-        assertFalse(unit.ready());
-        ledger.listed(1, 0, 0, 0, 1, T, 1, false);
-        assertFalse(next.ready());
-        assertTrue(next.build.units.isEmpty());
-        ledger.keepOnly(Set.of());
-        assertNull(ledger.unit(1));
-        assertEquals(told.calls, List.of("leaving 1", "ready 1", "leaving 1", "leaving 1"));
-    }
+  @Test
+  public void anotherRunIsAnotherUnitAndADrainingOneIsNotReady() {
+    assertSame(ledger.listed(1, 0, 0, 0, 1, null, 2, true), unit);
+    assertEquals(unit.weight(), 2.0);
+    Unit next = ledger.listed(1, 0, 0, 0, 1, T, 1, true);
+    assertNotSame(next, unit);
+    assertFalse(unit.ready());
+    ledger.listed(1, 0, 0, 0, 1, T, 1, false);
+    assertFalse(next.ready());
+    assertTrue(next.build.units.isEmpty());
+    ledger.keepOnly(Set.of());
+    assertNull(ledger.unit(1));
+    assertEquals(told.calls, List.of("leaving 1", "ready 1", "leaving 1", "leaving 1"));
+  }
 
-    @Test
-    public void countsOfUnknownBuildsTellNothing() {
-        ledger.counted(9, 0, 10, 1, Span.ZERO);
-        assertTrue(told.calls.isEmpty());
-        ledger.news(9, 0, Standing.ON_TRIAL, 0.1, T);
-        ledger.counted(9, 0, 10, 1, Span.ZERO);
-        assertEquals(told.calls, List.of("news 9 0 ON_TRIAL 0.1", "counted 9"));
-    }
+  @Test
+  public void countsOfUnknownBuildsTellNothing() {
+    ledger.counted(9, 0, 10, 1, Span.ZERO);
+    assertTrue(told.calls.isEmpty());
+    ledger.news(9, 0, Standing.ON_TRIAL, 0.1, T);
+    ledger.counted(9, 0, 10, 1, Span.ZERO);
+    assertEquals(told.calls, List.of("news 9 0 ON_TRIAL 0.1", "counted 9"));
+  }
 
-    @Test
-    public void takenIsAlwaysTheSumOfWhatBecameOfIt() {
-        SplittableRandom random = new SplittableRandom(8);
-        List<Rpc> rpcs = new ArrayList<>();
-        for (int i = 0; i < 20_000; i++) {
-            Rpc rpc = rpcs.isEmpty() || random.nextInt(4) == 0 ? arrives(i) : rpcs.get(random.nextInt(rpcs.size()));
-            if (!rpcs.contains(rpc)) rpcs.add(rpc);
-            switch (random.nextInt(6)) {
-                case 0 -> ledger.pushedBack(rpc);
-                case 1 -> ledger.aborted(rpc);
-                case 2 -> ledger.clientLeft(rpc);
-                case 3 -> sends(rpc);
-                default -> {
-                    if (rpc.picks.isEmpty()) break;
-                    Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
-                    boolean closes = rpc.ended() || outcome == Outcome.OK;
-                    ledger.pickEnded(rpc.picks.get(random.nextInt(rpc.picks.size())), outcome, Span.ofMs(1), closes);
-                }
-            }
-            if (rpcs.size() > 30) rpcs.remove(0);
-            assertEquals(ledger.accounts().check(), List.of());
-            assertEquals((long) figures().get(6), ledger.open());
-            assertEquals(ledger.accounts().sum(ledger.accounts().picks, ledger.accounts().picks.pending()), unit.out());
+  @Test
+  public void takenIsAlwaysTheSumOfWhatBecameOfIt() {
+    SplittableRandom random = new SplittableRandom(8);
+    List<Rpc> rpcs = new ArrayList<>();
+    for (int i = 0; i < 20_000; i++) {
+      Rpc rpc =
+          rpcs.isEmpty() || random.nextInt(4) == 0
+              ? arrives(i)
+              : rpcs.get(random.nextInt(rpcs.size()));
+      if (!rpcs.contains(rpc)) {
+        rpcs.add(rpc);
+      }
+      switch (random.nextInt(6)) {
+        case 0 -> ledger.pushedBack(rpc);
+        case 1 -> ledger.aborted(rpc);
+        case 2 -> ledger.clientLeft(rpc);
+        case 3 -> sends(rpc);
+        default -> {
+          if (rpc.picks.isEmpty()) {
+            break;
+          }
+          Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
+          boolean closes = rpc.ended() || outcome == Outcome.OK;
+          ledger.pickEnded(
+              rpc.picks.get(random.nextInt(rpc.picks.size())), outcome, Span.ofMs(1), closes);
         }
+      }
+      if (rpcs.size() > 30) {
+        rpcs.remove(0);
+      }
+      assertEquals(ledger.accounts().check(), List.of());
+      assertEquals((long) figures().get(6), ledger.open());
+      assertEquals(
+          ledger.accounts().sum(ledger.accounts().picks, ledger.accounts().picks.pending()),
+          unit.out());
     }
+  }
 }
--- a/src/test/java/sprucerock/net/TimersTest.java
+++ b/src/test/java/sprucerock/net/TimersTest.java
@@ -7,33 +7,36 @@
 
 /** Waiting for others, by a loop that may stand still itself. */
 public class TimersTest {
-    /** Guards against a relay that starts cold, stands still, and takes all connections in the making for failed. */
-    @Test
-    public void standingStillIsNotTheOthersSilence() {
-        ScriptedNet net = new ScriptedNet(0, 1);
-        int[] ran = {0};
-        net.patiently(Span.ofMs(100), () -> ran[0]++);
-        net.standStill(150);
-        net.settle();
-        assertEquals(ran[0], 0);
-        net.pass(99);
-        assertEquals(ran[0], 0);
-        net.pass(2);
-        assertEquals(ran[0], 1);
-    }
+  /**
+   * Guards against a relay that starts cold, stands still, and takes all connections in the making
+   * for failed.
+   */
+  @Test
+  public void standingStillIsNotTheOthersSilence() {
+    ScriptedNet net = new ScriptedNet(0, 1);
+    int[] ran = {0};
+    net.patiently(Span.ofMs(100), () -> ran[0]++);
+    net.standStill(150);
+    net.settle();
+    assertEquals(ran[0], 0);
+    net.pass(99);
+    assertEquals(ran[0], 0);
+    net.pass(2);
+    assertEquals(ran[0], 1);
+  }
 
-    @Test
-    public void aLoopThatRunsWaitsOnce() {
-        ScriptedNet net = new ScriptedNet(0, 1);
-        int[] ran = {0};
-        net.patiently(Span.ofMs(100), () -> ran[0]++);
-        net.pass(101);
-        assertEquals(ran[0], 1);
-        Timers.Timer cancelled = net.patiently(Span.ofMs(100), () -> ran[0]++);
-        net.standStill(150);
-        net.settle();
-        cancelled.cancel();
-        net.pass(300);
-        assertEquals(ran[0], 1);
-    }
+  @Test
+  public void aLoopThatRunsWaitsOnce() {
+    ScriptedNet net = new ScriptedNet(0, 1);
+    int[] ran = {0};
+    net.patiently(Span.ofMs(100), () -> ran[0]++);
+    net.pass(101);
+    assertEquals(ran[0], 1);
+    Timers.Timer cancelled = net.patiently(Span.ofMs(100), () -> ran[0]++);
+    net.standStill(150);
+    net.settle();
+    cancelled.cancel();
+    net.pass(300);
+    assertEquals(ran[0], 1);
+  }
 }
--- a/src/test/java/sprucerock/platform/ClientDoorTest.java
+++ b/src/test/java/sprucerock/platform/ClientDoorTest.java
@@ -20,143 +20,174 @@
 import sprucerock.serving.Events;
 import sprucerock.time.Span;
 
-/** Who gives way when all places are taken, with what is read in the turn of the accept, as a loop under load has it. */
+/**
+ * Who gives way when all places are taken, with what is read in the turn of the accept, as a loop
+ * under load has it.
+ */
 public class ClientDoorTest {
-    private static final int PLACES = 4;
-    private static final int ENOUGH = 3;
+  private static final int PLACES = 4;
+  private static final int ENOUGH = 3;
 
-    /** A connection of which only its end is looked at. */
-    private static final class End implements Link {
-        boolean finished;
+  /** A connection of which only its end is looked at. */
+  private static final class End implements Link {
+    boolean finished;
 
-        @Override
-        public ByteBuffer claim(int bytes) {
-            return ByteBuffer.allocate(bytes);
-        }
+    @Override
+    public ByteBuffer claim(int bytes) {
+      return ByteBuffer.allocate(bytes);
+    }
 
-        @Override
-        public void append(byte[] bytes) {}
+    @Override
+    public void append(byte[] bytes) {}
 
-        @Override
-        public long written() {
-            return 0;
-        }
+    @Override
+    public long written() {
+      return 0;
+    }
 
-        @Override
-        public long handed() {
-            return 0;
-        }
+    @Override
+    public long handed() {
+      return 0;
+    }
 
-        @Override
-        public void finish() {
-            finished = true;
-        }
+    @Override
+    public void finish() {
+      finished = true;
+    }
 
-        @Override
-        public void cut(String why) {
-            finished = true;
-        }
+    @Override
+    public void cut(String why) {
+      finished = true;
     }
+  }
 
-    private final List<ClientAsked> arrived = new ArrayList<>();
-    private final List<ClientAsked> left = new ArrayList<>();
-    private Supplier<LinkUser> users;
+  private final List<ClientAsked> arrived = new ArrayList<>();
+  private final List<ClientAsked> left = new ArrayList<>();
+  private Supplier<LinkUser> users;
 
-    private final ScriptedNet net = new ScriptedNet(0, 1) {
+  private final ScriptedNet net =
+      new ScriptedNet(0, 1) {
         @Override
-        public Net.Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<LinkUser> made) {
-            users = made;
-            return super.bind(at, most, mostUnsent, made);
+        public Net.Listener bind(
+            InetSocketAddress at, int most, long mostUnsent, Supplier<LinkUser> made) {
+          users = made;
+          return super.bind(at, most, mostUnsent, made);
         }
-    };
-
-    private void begin() throws Exception {
-        arrived.clear();
-        left.clear();
-        Method look = new Method(0, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(300), Span.ZERO, 1, false);
-        ClientDoor door = new ClientDoor(net, new Events(net), new ClientDoor.Owner() {
-            @Override
-            public void arrived(ClientAsked asked) {
+      };
+
+  private void begin() throws Exception {
+    arrived.clear();
+    left.clear();
+    Method look =
+        new Method(
+            0, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(300), Span.ZERO, 1, false);
+    ClientDoor door =
+        new ClientDoor(
+            net,
+            new Events(net),
+            new ClientDoor.Owner() {
+              @Override
+              public void arrived(ClientAsked asked) {
                 arrived.add(asked);
-            }
+              }
 
-            @Override
-            public void left(ClientAsked asked) {
+              @Override
+              public void left(ClientAsked asked) {
                 left.add(asked);
-            }
-        }, Map.of("look", look), ENOUGH, PLACES);
-        door.start(new InetSocketAddress("127.0.0.1", 100));
-    }
-
-    /** A client comes; in the same turn it has said so much already. */
-    private End comes(byte[] says) {
-        End end = new End();
-        net.turn(() -> {
-            LinkUser link = users.get();
-            link.up(end);
-            link.received(ByteBuffer.wrap(says));
+              }
+            },
+            Map.of("look", look),
+            ENOUGH,
+            PLACES);
+    door.start(new InetSocketAddress("127.0.0.1", 100));
+  }
+
+  /** A client comes; in the same turn it has said so much already. */
+  private End comes(byte[] says) {
+    End end = new End();
+    net.turn(
+        () -> {
+          LinkUser link = users.get();
+          link.up(end);
+          link.received(ByteBuffer.wrap(says));
         });
-        return end;
+    return end;
+  }
+
+  private static byte[] asks(int id) {
+    String text = "SELECT v FROM records WHERE k = 'aa' /* id=" + id + ",c=look,d=900 */";
+    return Writer.join(
+        Writer.startup("svc", "main"), Writer.query(text.getBytes(StandardCharsets.US_ASCII)));
+  }
+
+  /**
+   * Guards against a full door that cut off the newest connection although its request had been
+   * taken.
+   */
+  @Test
+  public void whoseRequestWasTakenIsNotCutOff() throws Exception {
+    begin();
+    for (int i = 0; i <= PLACES; i++) {
+      assertTrue(!comes(asks(i)).finished);
     }
-
-    private static byte[] asks(int id) {
-        String text = "SELECT v FROM records WHERE k = 'aa' /* id=" + id + ",c=look,d=900 */";
-        return Writer.join(Writer.startup("svc", "main"), Writer.query(text.getBytes(StandardCharsets.US_ASCII)));
+    assertEquals(arrived.size(), PLACES + 1);
+    assertTrue(left.isEmpty());
+  }
+
+  @Test
+  public void whoNeverSpokeGivesWayFirstThenWhoWasQuietForLongest() throws Exception {
+    begin();
+    End quiet = comes(Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0])));
+    net.pass(150);
+    End silent = comes(new byte[0]);
+    net.pass(150);
+    comes(asks(1));
+    comes(asks(2));
+    assertTrue(silent.finished && !quiet.finished);
+  }
+
+  /**
+   * Guards against clients that ask once and stay: others, with a bound of their own, found no
+   * place.
+   */
+  @Test
+  public void quietOnesGiveWayBeforeAllPlacesAreTaken() throws Exception {
+    begin();
+    byte[] once = Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0]));
+    End first = comes(once);
+    net.pass(150);
+    comes(once);
+    comes(once);
+    net.pass(150);
+    assertTrue(!first.finished);
+    comes(once);
+    assertTrue(first.finished);
+  }
+
+  /**
+   * Guards against a door that makes room only as one comes: clients that have reached a bound of
+   * their own send none.
+   */
+  @Test
+  public void quietOnesGiveWayThoughNoneComes() throws Exception {
+    begin();
+    byte[] once = Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0]));
+    List<End> all = new ArrayList<>();
+    for (int i = 0; i < PLACES; i++) {
+      all.add(comes(once));
     }
-
-    /** Guards against a full door that cut off the newest connection although its request had been taken. */
-    @Test
-    public void whoseRequestWasTakenIsNotCutOff() throws Exception {
-        begin();
-        for (int i = 0; i <= PLACES; i++) assertTrue(!comes(asks(i)).finished);
-        assertEquals(arrived.size(), PLACES + 1);
-        assertTrue(left.isEmpty());
-    }
-
-    @Test
-    public void whoNeverSpokeGivesWayFirstThenWhoWasQuietForLongest() throws Exception {
-        begin();
-        End quiet = comes(Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0])));
-        net.pass(150);
-        End silent = comes(new byte[0]);
-        net.pass(150);
-        comes(asks(1));
-        comes(asks(2));
-        assertTrue(silent.finished && !quiet.finished);
-    }
-
-    /** Guards against clients that ask once and stay: others, with a bound of their own, found no place. */
-    @Test
-    public void quietOnesGiveWayBeforeAllPlacesAreTaken() throws Exception {
-        begin();
-        byte[] once = Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0]));
-        End first = comes(once);
-        net.pass(150);
-        comes(once);
-        comes(once);
-        net.pass(150);
-        assertTrue(!first.finished);
-        comes(once);
-        assertTrue(first.finished);
-    }
-
-    /** Guards against a door that makes room only as one comes: clients that have reached a bound of their own send none. */
-    @Test
-    public void quietOnesGiveWayThoughNoneComes() throws Exception {
-        begin();
-        byte[] once = Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0]));
-        List<End> all = new ArrayList<>();
-        for (int i = 0; i < PLACES; i++) all.add(comes(once));
-        assertEquals(all.stream().filter(end -> end.finished).count(), 0);
-        net.pass(300);
-        assertTrue(all.stream().anyMatch(end -> end.finished));
-    }
-
-    @Test
-    public void whereAllAreBeingAnsweredTheNewestThatAskedNothingGivesWay() throws Exception {
-        begin();
-        for (int i = 0; i < PLACES; i++) comes(asks(i));
-        assertTrue(comes(new byte[0]).finished);
-        assertEquals(arrived.size(), PLACES);
+    assertEquals(all.stream().filter(end -> end.finished).count(), 0);
+    net.pass(300);
+    assertTrue(all.stream().anyMatch(end -> end.finished));
+  }
+
+  @Test
+  public void whereAllAreBeingAnsweredTheNewestThatAskedNothingGivesWay() throws Exception {
+    begin();
+    for (int i = 0; i < PLACES; i++) {
+      comes(asks(i));
     }
+    assertTrue(comes(new byte[0]).finished);
+    assertEquals(arrived.size(), PLACES);
+  }
 }
--- a/src/test/java/sprucerock/platform/ServeKillTest.java
+++ b/src/test/java/sprucerock/platform/ServeKillTest.java
@@ -21,12 +21,14 @@
 import sprucerock.pg.Writer;
 
 /**
- * A relay as its own process, stopped by the system (SIGSTOP) while a request comes, and ended right behind its accept: by SIGKILL,
- * or by SIGTERM that it meets as it goes on. A request is answered, or its connection ends without having been read; a unit sees
- * it from one relay only. Verdicts hold whatever the machine's speed.
+ * A relay as its own process, stopped by the system (SIGSTOP) while a request comes, and ended
+ * right behind its accept: by SIGKILL, or by SIGTERM that it meets as it goes on. A request is
+ * answered, or its connection ends without having been read; a unit sees it from one relay only.
+ * Verdicts hold whatever the machine's speed.
  */
 public class ServeKillTest {
-    private static final String CONFIG = """
+  private static final String CONFIG =
+      """
         {"name":"n0","listen":"127.0.0.1:%d","discovery":"%s","seed":"8c","limits":{"sockets":256},"release_api":{"address":"%s","news":{}},
          "known":{"version":4,"full":true,"servers":[%s]},
          "settings":{"balancers":1,"index":0,"my_zone":0,"tick":5,"zones":["a"],"kinds":["m"],"membership_mode":"push",
@@ -36,145 +38,186 @@
           "specifics":{"ballot_ttl":4000,"call_timeout":1000,"caps":[0.1,1.0],"per":"all","uncounted":3,"vote_mode":"single"}}}
         """;
 
-    /** How far a client's connection has come as the relay's process is stopped. */
-    private enum Phase { IN_THE_SYSTEMS_QUEUE, ACCEPTED_AND_WELCOMED, HALF_READ }
-
-    private Peers peers;
-    private Peers.Unit unit;
-    private Peers.Agent discovery;
-    private Path file;
-    private Process relay;
-    private BlockingQueue<String> log;
-    private int port;
-    private int ids;
-
-    @BeforeMethod
-    public void start() throws Exception {
-        peers = new Peers();
-        unit = peers.new Unit();
-        discovery = peers.new Agent();
-        port = Peers.freePort();
-        file = Files.createTempFile("serve", ".json");
-        Files.writeString(file, CONFIG.formatted(port, discovery.address(), peers.new Agent().address(), unit.entry("s-1", "SERVING", 7)));
-        starts();
+  /** How far a client's connection has come as the relay's process is stopped. */
+  private enum Phase {
+    IN_THE_SYSTEMS_QUEUE,
+    ACCEPTED_AND_WELCOMED,
+    HALF_READ
+  }
+
+  private Peers peers;
+  private Peers.Unit unit;
+  private Peers.Agent discovery;
+  private Path file;
+  private Process relay;
+  private BlockingQueue<String> log;
+  private int port;
+  private int ids;
+
+  @BeforeMethod
+  public void start() throws Exception {
+    peers = new Peers();
+    unit = peers.new Unit();
+    discovery = peers.new Agent();
+    port = Peers.freePort();
+    file = Files.createTempFile("serve", ".json");
+    Files.writeString(
+        file,
+        CONFIG.formatted(
+            port,
+            discovery.address(),
+            peers.new Agent().address(),
+            unit.entry("s-1", "SERVING", 7)));
+    starts();
+  }
+
+  private void starts() throws Exception {
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    "sprucerock.Main",
+                    "serve"))
+            .redirectErrorStream(true);
+    builder.environment().put("LB_CONFIG", file.toString());
+    relay = builder.start();
+    log = new LinkedBlockingQueue<>();
+    BlockingQueue<String> lines = log;
+    BufferedReader said =
+        new BufferedReader(new InputStreamReader(relay.getInputStream(), StandardCharsets.UTF_8));
+    Thread reader = new Thread(() -> said.lines().forEach(lines::add), "log");
+    reader.setDaemon(true);
+    reader.start();
+    discovery.call().begins().list(4, false);
+    while (!Peers.next(log, "in the log: STARTED").contains("STARTED")) {}
+  }
+
+  @AfterMethod
+  public void end() throws Exception {
+    relay.destroyForcibly();
+    peers.close();
+    Files.delete(file);
+  }
+
+  private void signal(String name) throws IOException, InterruptedException {
+    assertEquals(
+        new ProcessBuilder("sh", "-c", "kill -" + name + " " + relay.pid()).start().waitFor(), 0);
+  }
+
+  /** Until the system says that no thread of it runs. */
+  private void stops() throws Exception {
+    signal("STOP");
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.LONG);
+    while (!allStopped()) {
+      assertTrue(System.nanoTime() < until, "it does not stop");
+      TimeUnit.MILLISECONDS.sleep(1);
     }
-
-    private void starts() throws Exception {
-        ProcessBuilder builder = new ProcessBuilder(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "sprucerock.Main", "serve")).redirectErrorStream(true);
-        builder.environment().put("LB_CONFIG", file.toString());
-        relay = builder.start();
-        log = new LinkedBlockingQueue<>();
-        BlockingQueue<String> lines = log;
-        BufferedReader said = new BufferedReader(new InputStreamReader(relay.getInputStream(), StandardCharsets.UTF_8));
-        Thread reader = new Thread(() -> said.lines().forEach(lines::add), "log");
-        reader.setDaemon(true);
-        reader.start();
-        discovery.call().begins().list(4, false);
-        while (!Peers.next(log, "in the log: STARTED").contains("STARTED")) { }
-    }
-
-    @AfterMethod
-    public void end() throws Exception {
-        relay.destroyForcibly();
-        peers.close();
-        Files.delete(file);
-    }
-
-    private void signal(String name) throws IOException, InterruptedException {
-        assertEquals(new ProcessBuilder("sh", "-c", "kill -" + name + " " + relay.pid()).start().waitFor(), 0);
-    }
-
-    /** Until the system says that no thread of it runs. */
-    private void stops() throws Exception {
-        signal("STOP");
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.LONG);
-        while (!allStopped()) {
-            assertTrue(System.nanoTime() < until, "it does not stop");
-            TimeUnit.MILLISECONDS.sleep(1);
-        }
-    }
-
-    private boolean allStopped() throws IOException {
-        try (var threads = Files.newDirectoryStream(Path.of("/proc/" + relay.pid() + "/task"))) {
-            for (Path thread : threads) {
-                String stat = Files.readString(thread.resolve("stat"));
-                if (stat.charAt(stat.lastIndexOf(')') + 2) != 'T') return false;
-            }
+  }
+
+  private boolean allStopped() throws IOException {
+    try (var threads = Files.newDirectoryStream(Path.of("/proc/" + relay.pid() + "/task"))) {
+      for (Path thread : threads) {
+        String stat = Files.readString(thread.resolve("stat"));
+        if (stat.charAt(stat.lastIndexOf(')') + 2) != 'T') {
+          return false;
         }
-        return true;
+      }
     }
-
-    private byte[] pay() {
-        return Writer.query(("INSERT INTO records (k, v) VALUES ('00000000000000ab', '\\x9f03') RETURNING v /* id=" + (++ids) + ",c=pay,d=20000 */")
+    return true;
+  }
+
+  private byte[] pay() {
+    return Writer.query(
+        ("INSERT INTO records (k, v) VALUES ('00000000000000ab', '\\x9f03') RETURNING v /* id="
+                + (++ids)
+                + ",c=pay,d=20000 */")
             .getBytes(StandardCharsets.US_ASCII));
+  }
+
+  @DataProvider
+  public Object[][] phases() {
+    return Arrays.stream(Phase.values())
+        .map(phase -> new Object[] {phase})
+        .toArray(Object[][]::new);
+  }
+
+  /** A client whose request has come whole to the relay's system, and not to its process. */
+  private Peers.Client asksWhoIsStopped(Phase phase) throws Exception {
+    byte[] query = pay();
+    Peers.Client client =
+        phase == Phase.IN_THE_SYSTEMS_QUEUE ? null : peers.new Client(port).welcomed();
+    int read = phase == Phase.HALF_READ ? query.length / 2 : 0;
+    if (read > 0) {
+      client.sends(Arrays.copyOf(query, read));
+      Peers.read(client.socket);
     }
-
-    @DataProvider
-    public Object[][] phases() {
-        return Arrays.stream(Phase.values()).map(phase -> new Object[] {phase}).toArray(Object[][]::new);
+    stops();
+    if (client == null) {
+      client = peers.new Client(port);
     }
-
-    /** A client whose request has come whole to the relay's system, and not to its process. */
-    private Peers.Client asksWhoIsStopped(Phase phase) throws Exception {
-        byte[] query = pay();
-        Peers.Client client = phase == Phase.IN_THE_SYSTEMS_QUEUE ? null : peers.new Client(port).welcomed();
-        int read = phase == Phase.HALF_READ ? query.length / 2 : 0;
-        if (read > 0) {
-            client.sends(Arrays.copyOf(query, read));
-            Peers.read(client.socket);
-        }
-        stops();
-        if (client == null) client = peers.new Client(port);
-        client.sends(Arrays.copyOfRange(query, read, query.length));
-        Peers.delivered(client.socket);
-        return client;
+    client.sends(Arrays.copyOfRange(query, read, query.length));
+    Peers.delivered(client.socket);
+    return client;
+  }
+
+  /** Killed: nothing is answered or passed on, so that its client may ask the next relay. */
+  @Test(dataProvider = "phases")
+  public void killedBeforeARequestWasRead(Phase phase) throws Exception {
+    Peers.Client client = asksWhoIsStopped(phase);
+    signal("KILL");
+    assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
+    String last = client.answer();
+    assertTrue(last.equals("closed") || last.equals("reset"), last);
+    assertTrue(unit.seen.isEmpty(), unit.seen.toString());
+    starts(); // at the same address, at once
+    Peers.Client again = peers.new Client(port).welcomed();
+    again.sends(pay());
+    unit.query().on().says(Peers.value("next"));
+    assertEquals(again.answer(), "value next");
+    assertEquals(unit.seen.size(), 1);
+  }
+
+  /**
+   * Told to end before it has read the request: it is served, whichever of the two its process
+   * meets first as it goes on.
+   */
+  @Test(dataProvider = "phases")
+  public void toldToEndBeforeARequestWasRead(Phase phase) throws Exception {
+    Peers.Client client = asksWhoIsStopped(phase);
+    signal("TERM");
+    signal("CONT");
+    while (!Peers.next(log, "in the log: FINISHING").contains("FINISHING")) {}
+    Peers.Unit.Query query = unit.asked.poll(Peers.LONG, TimeUnit.SECONDS);
+    if (query == null) {
+      throw new AssertionError("never sent on; its client was told: " + client.answer());
     }
-
-    /** Killed: nothing is answered or passed on, so that its client may ask the next relay. */
-    @Test(dataProvider = "phases")
-    public void killedBeforeARequestWasRead(Phase phase) throws Exception {
-        Peers.Client client = asksWhoIsStopped(phase);
-        signal("KILL");
-        assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
-        String last = client.answer();
-        assertTrue(last.equals("closed") || last.equals("reset"), last);
-        assertTrue(unit.seen.isEmpty(), unit.seen.toString());
-        starts(); // at the same address, at once
-        Peers.Client again = peers.new Client(port).welcomed();
-        again.sends(pay());
-        unit.query().on().says(Peers.value("next"));
-        assertEquals(again.answer(), "value next");
-        assertEquals(unit.seen.size(), 1);
-    }
-
-    /** Told to end before it has read the request: it is served, whichever of the two its process meets first as it goes on. */
-    @Test(dataProvider = "phases")
-    public void toldToEndBeforeARequestWasRead(Phase phase) throws Exception {
-        Peers.Client client = asksWhoIsStopped(phase);
-        signal("TERM");
-        signal("CONT");
-        while (!Peers.next(log, "in the log: FINISHING").contains("FINISHING")) { }
-        Peers.Unit.Query query = unit.asked.poll(Peers.LONG, TimeUnit.SECONDS);
-        if (query == null) throw new AssertionError("never sent on; its client was told: " + client.answer());
-        query.on().says(Peers.value("served"));
-        if (phase == Phase.IN_THE_SYSTEMS_QUEUE) client.welcomed();
-        assertEquals(client.answer(), "value served");
-        assertEquals(client.answer(), "closed");
-        assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
-        assertEquals(relay.exitValue(), 0);
-    }
-
-    /** Killed behind a request that was passed on: its client sees an end without an answer, and its unit too. */
-    @Test
-    public void killedBehindARequestThatWasPassedOn() throws Exception {
-        Peers.Client client = peers.new Client(port).welcomed();
-        client.sends(pay());
-        Peers.Unit.Query query = unit.query();
-        signal("KILL");
-        String last = client.answer();
-        assertTrue(last.equals("closed") || last.equals("reset"), last);
-        Peers.await(query.on().closed, "the end of the unit's connection");
-        assertEquals(unit.seen.size(), 1);
+    query.on().says(Peers.value("served"));
+    if (phase == Phase.IN_THE_SYSTEMS_QUEUE) {
+      client.welcomed();
     }
+    assertEquals(client.answer(), "value served");
+    assertEquals(client.answer(), "closed");
+    assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
+    assertEquals(relay.exitValue(), 0);
+  }
+
+  /**
+   * Killed behind a request that was passed on: its client sees an end without an answer, and its
+   * unit too.
+   */
+  @Test
+  public void killedBehindARequestThatWasPassedOn() throws Exception {
+    Peers.Client client = peers.new Client(port).welcomed();
+    client.sends(pay());
+    Peers.Unit.Query query = unit.query();
+    signal("KILL");
+    String last = client.answer();
+    assertTrue(last.equals("closed") || last.equals("reset"), last);
+    Peers.await(query.on().closed, "the end of the unit's connection");
+    assertEquals(unit.seen.size(), 1);
+  }
 }
--- a/src/test/java/sprucerock/platform/ServeShutdownTest.java
+++ b/src/test/java/sprucerock/platform/ServeShutdownTest.java
@@ -22,11 +22,12 @@
 import sprucerock.pg.Writer;
 
 /**
- * A relay as its own process, told to end with requests of each kind in flight. Verdicts hold whatever the machine's speed: who was
- * taken has a final answer, and the process ends by itself.
+ * A relay as its own process, told to end with requests of each kind in flight. Verdicts hold
+ * whatever the machine's speed: who was taken has a final answer, and the process ends by itself.
  */
 public class ServeShutdownTest {
-    private static final String CONFIG = """
+  private static final String CONFIG =
+      """
         {"name":"n0","listen":"127.0.0.1:%d","discovery":"%s","seed":"8c","limits":{"sockets":256},"release_api":{"address":"%s","news":{}},
          "known":{"version":4,"full":true,"servers":[%s]},
          "settings":{"balancers":1,"index":0,"my_zone":0,"tick":5,"zones":["a"],"kinds":["m"],"membership_mode":"push",
@@ -37,157 +38,186 @@
           "specifics":{"ballot_ttl":4000,"call_timeout":1000,"caps":[0.1,1.0],"per":"all","uncounted":3,"vote_mode":"single"}}}
         """;
 
-    private Peers peers;
-    private Peers.Unit unit;
-    private Peers.Agent discovery;
-    private Path file;
-    private Process relay;
-    private BlockingQueue<String> log;
-    private int port;
-    private int ids;
-
-    @BeforeMethod
-    public void start() throws Exception {
-        peers = new Peers();
-        unit = peers.new Unit();
-        discovery = peers.new Agent();
-        port = Peers.freePort();
-        file = Files.createTempFile("serve", ".json");
-        Files.writeString(file, CONFIG.formatted(port, discovery.address(), peers.new Agent().address(), unit.entry("s-1", "SERVING", 7)));
-        ProcessBuilder builder = new ProcessBuilder(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-cp", System.getProperty("java.class.path"), "sprucerock.Main", "serve")).redirectErrorStream(true);
-        builder.environment().put("LB_CONFIG", file.toString());
-        relay = builder.start();
-        log = new LinkedBlockingQueue<>();
-        BufferedReader said = new BufferedReader(new InputStreamReader(relay.getInputStream(), StandardCharsets.UTF_8));
-        Thread reader = new Thread(() -> said.lines().forEach(log::add), "log");
-        reader.setDaemon(true);
-        reader.start();
-    }
-
-    @AfterMethod
-    public void end() throws Exception {
-        relay.destroyForcibly();
-        peers.close();
-        Files.delete(file);
-    }
-
-    private void says(String what) throws InterruptedException {
-        while (!Peers.next(log, "in the log: " + what).contains(what)) { }
-    }
-
-    private void ready() throws Exception {
-        discovery.call().begins().list(4, false);
-        says("STARTED");
-    }
-
-    private void signal(String name) throws IOException, InterruptedException {
-        assertEquals(new ProcessBuilder("sh", "-c", "kill -" + name + " " + relay.pid()).start().waitFor(), 0);
-    }
-
-    private void ended() throws InterruptedException {
-        assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
-        assertEquals(relay.exitValue(), 0);
-    }
-
-    private String look() {
-        return "SELECT v FROM records WHERE k = '00000000000000aa' /* id=" + (++ids) + ",c=look,d=20000 */";
-    }
-
-    private String pay() {
-        return "INSERT INTO records (k, v) VALUES ('00000000000000ab', '\\x9f03') RETURNING v /* id=" + (++ids) + ",c=pay,d=20000 */";
-    }
-
-    /** Answers from now on whatever is asked. */
-    private void unitAnswers() {
-        Thread thread = new Thread(() -> {
-            try {
-                while (true) unit.asked.take().on().says(Peers.value("ok"));
-            } catch (InterruptedException | IOException e) {
+  private Peers peers;
+  private Peers.Unit unit;
+  private Peers.Agent discovery;
+  private Path file;
+  private Process relay;
+  private BlockingQueue<String> log;
+  private int port;
+  private int ids;
+
+  @BeforeMethod
+  public void start() throws Exception {
+    peers = new Peers();
+    unit = peers.new Unit();
+    discovery = peers.new Agent();
+    port = Peers.freePort();
+    file = Files.createTempFile("serve", ".json");
+    Files.writeString(
+        file,
+        CONFIG.formatted(
+            port,
+            discovery.address(),
+            peers.new Agent().address(),
+            unit.entry("s-1", "SERVING", 7)));
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                List.of(
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-cp",
+                    System.getProperty("java.class.path"),
+                    "sprucerock.Main",
+                    "serve"))
+            .redirectErrorStream(true);
+    builder.environment().put("LB_CONFIG", file.toString());
+    relay = builder.start();
+    log = new LinkedBlockingQueue<>();
+    BufferedReader said =
+        new BufferedReader(new InputStreamReader(relay.getInputStream(), StandardCharsets.UTF_8));
+    Thread reader = new Thread(() -> said.lines().forEach(log::add), "log");
+    reader.setDaemon(true);
+    reader.start();
+  }
+
+  @AfterMethod
+  public void end() throws Exception {
+    relay.destroyForcibly();
+    peers.close();
+    Files.delete(file);
+  }
+
+  private void says(String what) throws InterruptedException {
+    while (!Peers.next(log, "in the log: " + what).contains(what)) {}
+  }
+
+  private void ready() throws Exception {
+    discovery.call().begins().list(4, false);
+    says("STARTED");
+  }
+
+  private void signal(String name) throws IOException, InterruptedException {
+    assertEquals(
+        new ProcessBuilder("sh", "-c", "kill -" + name + " " + relay.pid()).start().waitFor(), 0);
+  }
+
+  private void ended() throws InterruptedException {
+    assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
+    assertEquals(relay.exitValue(), 0);
+  }
+
+  private String look() {
+    return "SELECT v FROM records WHERE k = '00000000000000aa' /* id="
+        + (++ids)
+        + ",c=look,d=20000 */";
+  }
+
+  private String pay() {
+    return "INSERT INTO records (k, v) VALUES ('00000000000000ab', '\\x9f03') RETURNING v /* id="
+        + (++ids)
+        + ",c=pay,d=20000 */";
+  }
+
+  /** Answers from now on whatever is asked. */
+  private void unitAnswers() {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                while (true) {
+                  unit.asked.take().on().says(Peers.value("ok"));
+                }
+              } catch (InterruptedException | IOException e) {
                 // the test is over, or the relay is
-            }
-        }, "unit's answers");
-        thread.setDaemon(true);
-        thread.start();
-    }
-
-    @Test
-    public void toldToEndBeforeItHasAList() throws Exception {
-        discovery.call(); // asked, and told nothing: it is not ready
-        signal("TERM");
-        assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
-        assertTrue(relay.exitValue() == 0 || relay.exitValue() == 143, "exit code " + relay.exitValue());
-    }
-
-    @Test
-    public void toldToEndAsItStarts() throws Exception {
-        signal("TERM");
-        assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
-        assertTrue(relay.exitValue() == 0 || relay.exitValue() == 143, "exit code " + relay.exitValue());
-    }
-
-    /** Twice, with a new configuration half written between the two signals. */
-    @Test
-    public void toldToEndWithRequestsInEveryPhase() throws Exception {
-        ready();
-        Peers.Client out = peers.new Client(port).welcomed();
-        out.asks(look());
-        Peers.Unit.Query held = unit.query();
-        Peers.Client behind = peers.new Client(port).welcomed();
-        behind.asks(look(), look());
-        unit.query().on().says(Peers.value("first"));
-        assertEquals(behind.answer(), "value first");
-        Peers.Client idle = peers.new Client(port).welcomed();
-        idle.asks("");
-        assertEquals(idle.answer(), "");
-        Peers.Client half = peers.new Client(port).welcomed();
-        byte[] query = Writer.query(look().getBytes(StandardCharsets.US_ASCII));
-        half.sends(Arrays.copyOf(query, query.length / 2));
-        Socket greeting = new Socket("127.0.0.1", port);
-        greeting.getOutputStream().write(Arrays.copyOf(Writer.startup("svc", "main"), 7));
-        Peers.read(half.socket);
-        Peers.read(greeting);
-        signal("TERM");
-        says("FINISHING");
-        Files.writeString(file, "{\"name\":\"n0\",\"lis");
-        signal("HUP");
-        signal("TERM");
-        says("SETTINGS");
-        held.on().says(Peers.value("held"));
-        unitAnswers();
-        half.sends(Arrays.copyOfRange(query, query.length / 2, query.length));
-        Peers.Client stays = peers.new Client(port);
-        List<String> told = new ArrayList<>();
-        String last = stays.answer();
-        while (!last.endsWith("closed") && !last.endsWith("reset")) {
-            stays.asks(look());
-            last = stays.answer();
-            told.add(last);
-        }
-        assertTrue(told.contains("value ok"), told.toString());
-        assertEquals(out.answer(), "value held");
-        assertEquals(out.answer(), "closed");
-        assertEquals(behind.answer(), "value ok");
-        assertEquals(behind.answer(), "closed");
-        assertEquals(idle.answer(), "closed");
-        assertEquals(half.answer(), "value ok");
-        assertEquals(half.answer(), "closed");
-        while (greeting.getInputStream().read() >= 0) { } // an error first where its time was over before
-        says("FINISHED every RPC taken has its answer");
-        ended();
-    }
-
-    @Test
-    public void toldToEndWhileAUnitSaysNothing() throws Exception {
-        ready();
-        Peers.Client one = peers.new Client(port).welcomed();
-        one.asks(pay(), pay());
-        unit.query();
-        signal("TERM");
-        assertEquals(one.answer(), "error 58000");
-        assertEquals(one.answer(), "error 57P03");
-        assertEquals(one.answer(), "closed");
-        ended();
-        assertTrue(unit.asked.isEmpty());
+              }
+            },
+            "unit's answers");
+    thread.setDaemon(true);
+    thread.start();
+  }
+
+  @Test
+  public void toldToEndBeforeItHasAList() throws Exception {
+    discovery.call(); // asked, and told nothing: it is not ready
+    signal("TERM");
+    assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
+    assertTrue(
+        relay.exitValue() == 0 || relay.exitValue() == 143, "exit code " + relay.exitValue());
+  }
+
+  @Test
+  public void toldToEndAsItStarts() throws Exception {
+    signal("TERM");
+    assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
+    assertTrue(
+        relay.exitValue() == 0 || relay.exitValue() == 143, "exit code " + relay.exitValue());
+  }
+
+  /** Twice, with a new configuration half written between the two signals. */
+  @Test
+  public void toldToEndWithRequestsInEveryPhase() throws Exception {
+    ready();
+    Peers.Client out = peers.new Client(port).welcomed();
+    out.asks(look());
+    Peers.Unit.Query held = unit.query();
+    Peers.Client behind = peers.new Client(port).welcomed();
+    behind.asks(look(), look());
+    unit.query().on().says(Peers.value("first"));
+    assertEquals(behind.answer(), "value first");
+    Peers.Client idle = peers.new Client(port).welcomed();
+    idle.asks("");
+    assertEquals(idle.answer(), "");
+    Peers.Client half = peers.new Client(port).welcomed();
+    byte[] query = Writer.query(look().getBytes(StandardCharsets.US_ASCII));
+    half.sends(Arrays.copyOf(query, query.length / 2));
+    Socket greeting = new Socket("127.0.0.1", port);
+    greeting.getOutputStream().write(Arrays.copyOf(Writer.startup("svc", "main"), 7));
+    Peers.read(half.socket);
+    Peers.read(greeting);
+    signal("TERM");
+    says("FINISHING");
+    Files.writeString(file, "{\"name\":\"n0\",\"lis");
+    signal("HUP");
+    signal("TERM");
+    says("SETTINGS");
+    held.on().says(Peers.value("held"));
+    unitAnswers();
+    half.sends(Arrays.copyOfRange(query, query.length / 2, query.length));
+    Peers.Client stays = peers.new Client(port);
+    List<String> told = new ArrayList<>();
+    String last = stays.answer();
+    while (!last.endsWith("closed") && !last.endsWith("reset")) {
+      stays.asks(look());
+      last = stays.answer();
+      told.add(last);
     }
+    assertTrue(told.contains("value ok"), told.toString());
+    assertEquals(out.answer(), "value held");
+    assertEquals(out.answer(), "closed");
+    assertEquals(behind.answer(), "value ok");
+    assertEquals(behind.answer(), "closed");
+    assertEquals(idle.answer(), "closed");
+    assertEquals(half.answer(), "value ok");
+    assertEquals(half.answer(), "closed");
+    while (greeting.getInputStream().read()
+        >= 0) {} // an error first where its time was over before
+    says("FINISHED every RPC taken has its answer");
+    ended();
+  }
+
+  @Test
+  public void toldToEndWhileAUnitSaysNothing() throws Exception {
+    ready();
+    Peers.Client one = peers.new Client(port).welcomed();
+    one.asks(pay(), pay());
+    unit.query();
+    signal("TERM");
+    assertEquals(one.answer(), "error 58000");
+    assertEquals(one.answer(), "error 57P03");
+    assertEquals(one.answer(), "closed");
+    ended();
+    assertTrue(unit.asked.isEmpty());
+  }
 }
--- a/src/test/java/sprucerock/rehearsal/FleetBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/FleetBookTest.java
@@ -11,9 +11,13 @@
 import sprucerock.ledger.Accounts;
 import sprucerock.time.Span;
 
-/** A fleet of one relay: three RPCs, of which one never arrived and one answer was dropped on the way back. */
+/**
+ * A fleet of one relay: three RPCs, of which one never arrived and one answer was dropped on the
+ * way back.
+ */
 public class FleetBookTest {
-    private static final String STANDINS = """
+  private static final String STANDINS =
+      """
         1\tclient-0\t1\tRELAY-0\t>\tCALL\t16:0a\tid: 1
         2\tclient-0\t1\tRELAY-0\t>\tCALL\t16:0b\tid: 2
         3\tclient-0\t1\tRELAY-0\t>\tCALL\t16:0c\tid: 3
@@ -23,7 +27,8 @@
         15\tunit-4\t2\tRELAY-0\t>\tDONE\t16:0b\tid: 2 result: DONE
         30\tclient-0\t1\tRELAY-0\t<\tANSWER\t16:0a\tid: 1 ending: OK
         """;
-    private static final String RELAY = """
+  private static final String RELAY =
+      """
         4\trelay-0\t1\tCLIENT-0\t<\tCALL\t16:0a\tid: 1
         5\trelay-0\t1\tCLIENT-0\t<\tCALL\t16:0b\tid: 2
         10\trelay-0\t2\tUNIT-4\t>\tWORK\t16:0a\tid: 1
@@ -34,7 +39,8 @@
         23\trelay-0\t1\tCLIENT-0\t>\tANSWER\t16:0b\tid: 2 ending: OK
         90\trelay-0\t0\t-\t!\tEND\t0:\tin good order
         """;
-    private static final String COUNTS = """
+  private static final String COUNTS =
+      """
         client-0.sent=3
         client-0.answered_OK=1
         client-0.link_ended=2
@@ -45,53 +51,73 @@
         unit-4.held=0
         """;
 
-    private static List<FleetBook.Entry> hold(String standIns, String relay, String counts, int picks) throws Exception {
-        Path folder = Files.createTempDirectory("fleet");
-        Accounts accounts = new Accounts(List.of("read"), new Accounts.Room(1, 1, 1));
-        Keeper keeper = Keeper.open(folder.resolve("relay-0.figures"), accounts, () -> { }, line -> { });
-        int build = accounts.row(accounts.builds, "1");
-        accounts.row(accounts.customers, "0");
-        accounts.row(accounts.units, "4");
-        for (int i = 0; i < picks; i++) {
-            accounts.rpcArrived(0, 0);
-            accounts.pickSent(0, build, 0, false);
-            accounts.pickWritten();
-            accounts.pickEnded(0, build, 0, false, true, 1, Span.ofMs(1));
-            accounts.rpcAnswered(0, 0, Span.ofMs(1), true, true);
-        }
-        keeper.close();
-        Files.writeString(folder.resolve("relay-0.xml"), "");
-        Files.writeString(folder.resolve("standins.trace"), standIns);
-        Files.writeString(folder.resolve("relay-0.1.trace"), relay);
-        Files.writeString(folder.resolve(FleetBook.COUNTS), counts);
-        return FleetBook.hold(folder);
+  private static List<FleetBook.Entry> hold(String standIns, String relay, String counts, int picks)
+      throws Exception {
+    Path folder = Files.createTempDirectory("fleet");
+    Accounts accounts = new Accounts(List.of("read"), new Accounts.Room(1, 1, 1));
+    Keeper keeper = Keeper.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
+    int build = accounts.row(accounts.builds, "1");
+    accounts.row(accounts.customers, "0");
+    accounts.row(accounts.units, "4");
+    for (int i = 0; i < picks; i++) {
+      accounts.rpcArrived(0, 0);
+      accounts.pickSent(0, build, 0, false);
+      accounts.pickWritten();
+      accounts.pickEnded(0, build, 0, false, true, 1, Span.ofMs(1));
+      accounts.rpcAnswered(0, 0, Span.ofMs(1), true, true);
     }
+    keeper.close();
+    Files.writeString(folder.resolve("relay-0.xml"), "");
+    Files.writeString(folder.resolve("standins.trace"), standIns);
+    Files.writeString(folder.resolve("relay-0.1.trace"), relay);
+    Files.writeString(folder.resolve(FleetBook.COUNTS), counts);
+    return FleetBook.hold(folder);
+  }
 
-    @Test
-    public void eachDifferenceIsTheSumOfItsClasses() throws Exception {
-        List<FleetBook.Entry> entries = hold(STANDINS, RELAY, COUNTS, 2);
-        assertEquals(entries.stream().filter(entry -> entry.unexplained() != 0).toList(), List.of(), FleetBook.table(entries));
-        assertEquals(entries.get(0).classes().get("cut off on the way: the connection ended before the relay read them"), (Long) 1L);
-        assertEquals(entries.get(2).classes().get("answer dropped: the connection ended before the client read it"), (Long) 1L);
-    }
+  @Test
+  public void eachDifferenceIsTheSumOfItsClasses() throws Exception {
+    List<FleetBook.Entry> entries = hold(STANDINS, RELAY, COUNTS, 2);
+    assertEquals(
+        entries.stream().filter(entry -> entry.unexplained() != 0).toList(),
+        List.of(),
+        FleetBook.table(entries));
+    assertEquals(
+        entries
+            .get(0)
+            .classes()
+            .get("cut off on the way: the connection ended before the relay read them"),
+        (Long) 1L);
+    assertEquals(
+        entries
+            .get(2)
+            .classes()
+            .get("answer dropped: the connection ended before the client read it"),
+        (Long) 1L);
+  }
 
-    @DataProvider
-    public Object[][] wrong() {
-        return new Object[][] {
-            {STANDINS, RELAY, COUNTS.replace("sent=3", "sent=4"), 2}, // a client that counts what it never sent
-            {STANDINS, RELAY, COUNTS.replace("link_ended=2", "link_ended=1"), 2},
-            {STANDINS, RELAY, COUNTS.replace("came=2", "came=1"), 2},
-            {STANDINS, RELAY, COUNTS.replace("made_DONE=2", "made_DONE=3"), 2},
-            {STANDINS, RELAY, COUNTS, 3}, // a relay that posts what it never took
-            {STANDINS, RELAY, COUNTS, 1},
-            {STANDINS.replace("12\tunit-4\t2\tRELAY-0\t<\tWORK\t16:0a\tid: 1\n", ""), RELAY, COUNTS, 2},
-            {STANDINS, RELAY.replace("5\trelay-0\t1\tCLIENT-0\t<\tCALL\t16:0b\tid: 2\n", ""), COUNTS, 2},
-        };
-    }
+  @DataProvider
+  public Object[][] wrong() {
+    return new Object[][] {
+      {
+        STANDINS, RELAY, COUNTS.replace("sent=3", "sent=4"), 2
+      }, // a client that counts what it never sent
+      {STANDINS, RELAY, COUNTS.replace("link_ended=2", "link_ended=1"), 2},
+      {STANDINS, RELAY, COUNTS.replace("came=2", "came=1"), 2},
+      {STANDINS, RELAY, COUNTS.replace("made_DONE=2", "made_DONE=3"), 2},
+      {STANDINS, RELAY, COUNTS, 3}, // a relay that posts what it never took
+      {STANDINS, RELAY, COUNTS, 1},
+      {STANDINS.replace("12\tunit-4\t2\tRELAY-0\t<\tWORK\t16:0a\tid: 1\n", ""), RELAY, COUNTS, 2},
+      {STANDINS, RELAY.replace("5\trelay-0\t1\tCLIENT-0\t<\tCALL\t16:0b\tid: 2\n", ""), COUNTS, 2},
+    };
+  }
 
-    @Test(dataProvider = "wrong")
-    public void whatNoClassExplainsIsToldApart(String standIns, String relay, String counts, int picks) throws Exception {
-        List<FleetBook.Entry> entries = hold(standIns, relay, counts, picks);
-        assertEquals(entries.stream().anyMatch(entry -> entry.unexplained() != 0), true, FleetBook.table(entries));
-    }
+  @Test(dataProvider = "wrong")
+  public void whatNoClassExplainsIsToldApart(
+      String standIns, String relay, String counts, int picks) throws Exception {
+    List<FleetBook.Entry> entries = hold(standIns, relay, counts, picks);
+    assertEquals(
+        entries.stream().anyMatch(entry -> entry.unexplained() != 0),
+        true,
+        FleetBook.table(entries));
+  }
 }
--- a/src/test/java/sprucerock/rehearsal/SharedDayTest.java
+++ b/src/test/java/sprucerock/rehearsal/SharedDayTest.java
@@ -9,15 +9,19 @@
 import org.testng.annotations.Test;
 
 /**
- * Relays, granters among them, and the controller on its lease as processes of their own; verdicts from what landed where, not from speed.
- * A relay that starts while a rack is frozen holds no promise yet: it is to place nothing until it does.
+ * Relays, granters among them, and the controller on its lease as processes of their own; verdicts
+ * from what landed where, not from speed. A relay that starts while a rack is frozen holds no
+ * promise yet: it is to place nothing until it does.
  */
 public class SharedDayTest {
-    @Test
-    public void nothingIsPlacedOnAFrozenRackAndOneLooksAtATimeThoughWaysAreCutAndProcessesKilled() throws Exception {
-        Path folder = Files.createTempDirectory("shared-day");
-        Path script = folder.resolve("a.day");
-        Files.writeString(script, """
+  @Test
+  public void nothingIsPlacedOnAFrozenRackAndOneLooksAtATimeThoughWaysAreCutAndProcessesKilled()
+      throws Exception {
+    Path folder = Files.createTempDirectory("shared-day");
+    Path script = folder.resolve("a.day");
+    Files.writeString(
+        script,
+        """
             day "a short day of what the fleet shares"
             seed 9
             lasts 26s
@@ -41,15 +45,15 @@
             at 16s freeze z1r1 at once lasts 7s
             at 17s ways of leases 0 to 3 reset for 500ms
             """);
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        boolean well = Rehearsal.play(script, folder, new PrintStream(out));
-        String report = Files.readString(folder.resolve("report.txt"));
-        assertTrue(well, "see " + folder + "\n" + report);
-        assertTrue(report.contains("rules kept"), report);
-        assertTrue(report.contains("freeze 1 of [z0r1]: in force, no promise reaches into it"), report);
-        assertTrue(report.contains(", 0 picks came to them meanwhile"), report);
-        assertTrue(report.contains("lease of looks: "), report);
-        String log = Files.readString(folder.resolve("controller").resolve("controller.log"));
-        assertTrue(log.contains("LEASE controller is held under "), log);
-    }
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    boolean well = Rehearsal.play(script, folder, new PrintStream(out));
+    String report = Files.readString(folder.resolve("report.txt"));
+    assertTrue(well, "see " + folder + "\n" + report);
+    assertTrue(report.contains("rules kept"), report);
+    assertTrue(report.contains("freeze 1 of [z0r1]: in force, no promise reaches into it"), report);
+    assertTrue(report.contains(", 0 picks came to them meanwhile"), report);
+    assertTrue(report.contains("lease of looks: "), report);
+    String log = Files.readString(folder.resolve("controller").resolve("controller.log"));
+    assertTrue(log.contains("LEASE controller is held under "), log);
+  }
 }
--- a/src/test/java/sprucerock/relay/RelayTest.java
+++ b/src/test/java/sprucerock/relay/RelayTest.java
@@ -48,7 +48,8 @@
 
 /** The relay between scripted people, with a module that does as each story says. */
 public class RelayTest {
-    static final String CONFIG = """
+  static final String CONFIG =
+      """
         <relay xmlns="urn:sprucerock:relay:1" name="r0" number="0" seed="1">
           <listen host="127.0.0.1" port="1000"/>
           <roster host="127.0.0.1" port="1001"/>
@@ -67,510 +68,635 @@
         </relay>
         """;
 
-    /** Sends each RPC to the first unit that is ready, and pushes back what ends otherwise than ok. */
-    private final class Simple extends Told {
-        private Host host;
-        private final List<Unit> ready = new ArrayList<>();
-        private final List<Pick> picks = new ArrayList<>();
-        private boolean waits;
-        private boolean faulty;
-
-        @Override
-        public void unitReady(Unit unit) {
-            super.unitReady(unit);
-            ready.add(unit);
-        }
-
-        @Override
-        public void unitLeaving(Unit unit) {
-            super.unitLeaving(unit);
-            ready.remove(unit);
-        }
-
-        @Override
-        public void rpcArrived(Rpc rpc) {
-            super.rpcArrived(rpc);
-            if (faulty) throw new IllegalStateException("a fault in the module");
-            if (!ready.isEmpty()) send(rpc, null);
-            host.wake(rpc.deadline.minus(Span.ofMs(10)), () -> {
-                if (!rpc.ended()) host.abort(rpc);
-            });
-        }
-
-        Pick send(Rpc rpc, Span patience) {
-            Pick pick = new Pick(rpc, ready.get(0), host.now(), patience);
-            picks.add(pick);
-            host.send(pick);
-            return pick;
-        }
-
-        @Override
-        public void pickEnded(Pick pick, boolean answers) {
-            super.pickEnded(pick, answers);
-            if (!pick.rpc.ended() && pick.rpc.out() == 0 && !waits) host.pushBack(pick.rpc, Span.ofMs(20));
-        }
-    }
-
-    private ScriptedNet net;
-    private Relay relay;
-    private Simple module;
-    private List<Person> rosters;
-    private List<Person> desks;
-    private List<Person> units;
-    private Person client;
-
-    static RelayConfig config(String xml) throws IOException, ConfigException {
-        Path file = Files.createTempFile("relay", ".xml");
-        Files.writeString(file, xml);
-        return RelayConfig.read(file);
-    }
-
-    @BeforeMethod
-    public void begin() throws Exception {
-        net = new ScriptedNet(1000, 5);
-        module = new Simple();
-        rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-        desks = Person.listen(net, Role.DESK, 0, 1002);
-        units = Person.listen(net, Role.UNIT, 7, 2007);
-        relay = new Relay(config(CONFIG), net, Tap.NONE);
-        relay.start((host, settings, seed) -> {
-            module.host = host;
-            return module;
+  /**
+   * Sends each RPC to the first unit that is ready, and pushes back what ends otherwise than ok.
+   */
+  private final class Simple extends Told {
+    private Host host;
+    private final List<Unit> ready = new ArrayList<>();
+    private final List<Pick> picks = new ArrayList<>();
+    private boolean waits;
+    private boolean faulty;
+
+    @Override
+    public void unitReady(Unit unit) {
+      super.unitReady(unit);
+      ready.add(unit);
+    }
+
+    @Override
+    public void unitLeaving(Unit unit) {
+      super.unitLeaving(unit);
+      ready.remove(unit);
+    }
+
+    @Override
+    public void rpcArrived(Rpc rpc) {
+      super.rpcArrived(rpc);
+      if (faulty) {
+        throw new IllegalStateException("a fault in the module");
+      }
+      if (!ready.isEmpty()) {
+        send(rpc, null);
+      }
+      host.wake(
+          rpc.deadline.minus(Span.ofMs(10)),
+          () -> {
+            if (!rpc.ended()) {
+              host.abort(rpc);
+            }
+          });
+    }
+
+    Pick send(Rpc rpc, Span patience) {
+      Pick pick = new Pick(rpc, ready.get(0), host.now(), patience);
+      picks.add(pick);
+      host.send(pick);
+      return pick;
+    }
+
+    @Override
+    public void pickEnded(Pick pick, boolean answers) {
+      super.pickEnded(pick, answers);
+      if (!pick.rpc.ended() && pick.rpc.out() == 0 && !waits) {
+        host.pushBack(pick.rpc, Span.ofMs(20));
+      }
+    }
+  }
+
+  private ScriptedNet net;
+  private Relay relay;
+  private Simple module;
+  private List<Person> rosters;
+  private List<Person> desks;
+  private List<Person> units;
+  private Person client;
+
+  static RelayConfig config(String xml) throws IOException, ConfigException {
+    Path file = Files.createTempFile("relay", ".xml");
+    Files.writeString(file, xml);
+    return RelayConfig.read(file);
+  }
+
+  @BeforeMethod
+  public void begin() throws Exception {
+    net = new ScriptedNet(1000, 5);
+    module = new Simple();
+    rosters = Person.listen(net, Role.ROSTER, 0, 1001);
+    desks = Person.listen(net, Role.DESK, 0, 1002);
+    units = Person.listen(net, Role.UNIT, 7, 2007);
+    relay = new Relay(config(CONFIG), net, Tap.NONE);
+    relay.start(
+        (host, settings, seed) -> {
+          module.host = host;
+          return module;
         });
-        client = Person.at(net, Role.CLIENT, 3, 1000);
-        net.pass(10);
-        lists(Form.WHOLE, entry(7, 1, Health.READY));
-        module.calls.clear();
-    }
-
-    private static Entry.Builder entry(long unit, long run, Health health) {
-        return Entry.newBuilder().setUnit(unit).setRun(run).setHost("127.0.0.1").setPort(2000 + (int) unit).setBuild(1).setHealth(health)
-            .setWeight(1);
-    }
-
-    private void lists(Form form, Entry.Builder... entries) {
-        Listing.Builder listing = Listing.newBuilder().setForm(form);
-        for (Entry.Builder one : entries) listing.addEntries(one);
-        net.turn(() -> last(rosters).send(Kind.LISTING, listing.build()));
-        net.settle();
-    }
-
-    private static Person last(List<Person> people) {
-        return people.get(people.size() - 1);
-    }
-
-    private void calls(long id) {
-        calls(client, id, 0);
-    }
-
-    private void calls(Person who, long id, int method) {
-        net.turn(() -> who.send(Kind.CALL, Call.newBuilder().setId(id).setMethod(method).setLeftUs(1_000_000).build(), (byte) id, (byte) 42));
-        net.settle();
-    }
-
-    private void answers(long workId, Result result) {
-        net.turn(() -> last(units).send(Kind.DONE, Done.newBuilder().setId(workId).setResult(result).build(), (byte) 99));
-    }
-
-    private List<String> answered(Person who) {
-        return who.<Answer>all(Kind.ANSWER).stream().map(one -> one.getId() + " " + one.getEnding()).toList();
-    }
-
-    @Test
-    public void anRpcGoesToItsUnitAndTheAnswerBack() {
-        calls(1);
-        Person unit = units.get(0);
-        assertEquals(unit.got.get(0).body(), new byte[] {1, 42});
-        Work work = (Work) unit.got.get(0).head();
-        assertTrue(work.getLeftUs() > 980_000 && work.getLeftUs() <= 1_000_000, "left " + work.getLeftUs());
-        net.pass(20);
-        answers(work.getId(), Result.DONE);
-        net.settle();
-        assertEquals(answered(client), List.of("1 OK"));
-        assertEquals(client.got.get(0).body(), new byte[] {99});
-        assertEquals(module.calls, List.of("arrived 1", "ended 1.0 OK answers"));
-    }
-
-    @Test
-    public void anAnswerInTheTurnOfTheClientsLeavingIsNotPassedOn() {
-        calls(1);
-        net.turn(() -> {
-            client.send(Kind.LEAVE, Leave.newBuilder().setId(1).build());
-            last(units).send(Kind.DONE, Done.newBuilder().setId(1).setResult(Result.DONE).build());
+    client = Person.at(net, Role.CLIENT, 3, 1000);
+    net.pass(10);
+    lists(Form.WHOLE, entry(7, 1, Health.READY));
+    module.calls.clear();
+  }
+
+  private static Entry.Builder entry(long unit, long run, Health health) {
+    return Entry.newBuilder()
+        .setUnit(unit)
+        .setRun(run)
+        .setHost("127.0.0.1")
+        .setPort(2000 + (int) unit)
+        .setBuild(1)
+        .setHealth(health)
+        .setWeight(1);
+  }
+
+  private void lists(Form form, Entry.Builder... entries) {
+    Listing.Builder listing = Listing.newBuilder().setForm(form);
+    for (Entry.Builder one : entries) {
+      listing.addEntries(one);
+    }
+    net.turn(() -> last(rosters).send(Kind.LISTING, listing.build()));
+    net.settle();
+  }
+
+  private static Person last(List<Person> people) {
+    return people.get(people.size() - 1);
+  }
+
+  private void calls(long id) {
+    calls(client, id, 0);
+  }
+
+  private void calls(Person who, long id, int method) {
+    net.turn(
+        () ->
+            who.send(
+                Kind.CALL,
+                Call.newBuilder().setId(id).setMethod(method).setLeftUs(1_000_000).build(),
+                (byte) id,
+                (byte) 42));
+    net.settle();
+  }
+
+  private void answers(long workId, Result result) {
+    net.turn(
+        () ->
+            last(units)
+                .send(
+                    Kind.DONE,
+                    Done.newBuilder().setId(workId).setResult(result).build(),
+                    (byte) 99));
+  }
+
+  private List<String> answered(Person who) {
+    return who.<Answer>all(Kind.ANSWER).stream()
+        .map(one -> one.getId() + " " + one.getEnding())
+        .toList();
+  }
+
+  @Test
+  public void anRpcGoesToItsUnitAndTheAnswerBack() {
+    calls(1);
+    Person unit = units.get(0);
+    assertEquals(unit.got.get(0).body(), new byte[] {1, 42});
+    Work work = (Work) unit.got.get(0).head();
+    assertTrue(
+        work.getLeftUs() > 980_000 && work.getLeftUs() <= 1_000_000, "left " + work.getLeftUs());
+    net.pass(20);
+    answers(work.getId(), Result.DONE);
+    net.settle();
+    assertEquals(answered(client), List.of("1 OK"));
+    assertEquals(client.got.get(0).body(), new byte[] {99});
+    assertEquals(module.calls, List.of("arrived 1", "ended 1.0 OK answers"));
+  }
+
+  @Test
+  public void anAnswerInTheTurnOfTheClientsLeavingIsNotPassedOn() {
+    calls(1);
+    net.turn(
+        () -> {
+          client.send(Kind.LEAVE, Leave.newBuilder().setId(1).build());
+          last(units).send(Kind.DONE, Done.newBuilder().setId(1).setResult(Result.DONE).build());
         });
-        net.settle();
-        assertTrue(client.got.isEmpty());
-        assertEquals(module.calls, List.of("arrived 1", "left 1", "ended 1.0 OK"));
-    }
-
-    @Test
-    public void anOkAfterTheFinalAnswerIsNotPassedOn() {
-        calls(1);
-        net.pass(995);
-        answers(1, Result.DONE);
-        net.pass(50);
-        assertEquals(answered(client), List.of("1 ABORTED"));
-        assertEquals(relay.ledger().known(), 0);
-    }
-
-    @Test
-    public void aCutAfterTheRequestWasWrittenMayHaveRunAndOneBeforeDidNot() {
-        calls(1);
-        units.get(0).link.cut("crash");
-        net.settle();
-        assertEquals(module.calls.get(1), "ended 1.0 BROKEN");
-        module.calls.clear();
-        net.pass(2000);
-        calls(2); // a connection again
-        answers(1, Result.DONE);
-        net.settle();
-        module.calls.clear();
-        net.turn(() -> { // in one turn: the frame is written to the link, which is cut before anything went out
-            client.send(Kind.CALL, Call.newBuilder().setId(3).setLeftUs(1_000_000).build());
+    net.settle();
+    assertTrue(client.got.isEmpty());
+    assertEquals(module.calls, List.of("arrived 1", "left 1", "ended 1.0 OK"));
+  }
+
+  @Test
+  public void anOkAfterTheFinalAnswerIsNotPassedOn() {
+    calls(1);
+    net.pass(995);
+    answers(1, Result.DONE);
+    net.pass(50);
+    assertEquals(answered(client), List.of("1 ABORTED"));
+    assertEquals(relay.ledger().known(), 0);
+  }
+
+  @Test
+  public void aCutAfterTheRequestWasWrittenMayHaveRunAndOneBeforeDidNot() {
+    calls(1);
+    units.get(0).link.cut("crash");
+    net.settle();
+    assertEquals(module.calls.get(1), "ended 1.0 BROKEN");
+    module.calls.clear();
+    net.pass(2000);
+    calls(2); // a connection again
+    answers(1, Result.DONE);
+    net.settle();
+    module.calls.clear();
+    net.turn(
+        () -> { // in one turn: the frame is written to the link, which is cut before anything went
+          // out
+          client.send(Kind.CALL, Call.newBuilder().setId(3).setLeftUs(1_000_000).build());
         });
-        Pick unsent = sendThenCut();
-        assertEquals(unsent.outcome().name(), "NOT_CONNECTED");
-    }
-
-    /** A pick written in a turn in which its link is cut too. */
-    private Pick sendThenCut() {
-        net.settle();
-        Pick[] made = new Pick[1];
-        net.turn(() -> {
-            Rpc rpc = module.picks.get(module.picks.size() - 1).rpc;
-            made[0] = module.send(rpc, null);
-            ((Exchange) made[0].door).link.link.cut("a turn that went wrong");
+    Pick unsent = sendThenCut();
+    assertEquals(unsent.outcome().name(), "NOT_CONNECTED");
+  }
+
+  /** A pick written in a turn in which its link is cut too. */
+  private Pick sendThenCut() {
+    net.settle();
+    Pick[] made = new Pick[1];
+    net.turn(
+        () -> {
+          Rpc rpc = module.picks.get(module.picks.size() - 1).rpc;
+          made[0] = module.send(rpc, null);
+          ((Exchange) made[0].door).link.link.cut("a turn that went wrong");
         });
-        net.settle();
-        return made[0];
-    }
-
-    @Test
-    public void anIdMayComeBackOnceItsRpcIsAnsweredAndNotBefore() {
-        calls(1);
-        answers(1, Result.DONE);
-        net.settle();
-        calls(1);
-        answers(2, Result.DONE);
-        net.settle();
-        assertEquals(answered(client), List.of("1 OK", "1 OK"));
-        calls(4);
-        calls(4);
-        net.settle();
-        assertEquals(client.gone, "closed by the other side");
-        assertTrue(module.calls.contains("left 3"), module.calls.toString());
-    }
-
-    @Test
-    public void rubbishHalfAHeaderOrNothingCutsOnlyItsOwnLink() {
-        List<String> ends = new ArrayList<>();
-        byte[][] talks = {{0, 0, 0, 9, 99, 0, 0, 0, 1, 2, 3, 4, 5}, {0, 0, 0}, {}, {-1, -1, -1, -1, 0, 0, 0, 0}};
-        for (byte[] talk : talks) {
-            net.connect(new java.net.InetSocketAddress("127.0.0.1", 1000), Span.ofMs(100), 1000, new LinkUser() {
-                @Override
-                public void up(Link link) {
-                    if (talk.length > 0) link.append(talk);
-                }
-
-                @Override
-                public void received(ByteBuffer bytes) {}
-
-                @Override
-                public void closed(String why) {
-                    ends.add(why);
-                }
-            });
-        }
-        net.pass(7000);
-        assertEquals(ends.size(), 4);
-        calls(1);
-        answers(1, Result.DONE);
-        net.settle();
-        assertEquals(answered(client), List.of("1 OK"));
-    }
-
-    @Test
-    public void anotherUnitBehindTheAddressIsNeverSentAnything() throws IOException {
-        List<Person> others = new ArrayList<>();
-        net.listen(new java.net.InetSocketAddress("127.0.0.1", 2008), 10, 1000, () -> {
-            Person other = new Person(net, Role.UNIT, 9);
-            others.add(other);
-            return other.link;
+    net.settle();
+    return made[0];
+  }
+
+  @Test
+  public void anIdMayComeBackOnceItsRpcIsAnsweredAndNotBefore() {
+    calls(1);
+    answers(1, Result.DONE);
+    net.settle();
+    calls(1);
+    answers(2, Result.DONE);
+    net.settle();
+    assertEquals(answered(client), List.of("1 OK", "1 OK"));
+    calls(4);
+    calls(4);
+    net.settle();
+    assertEquals(client.gone, "closed by the other side");
+    assertTrue(module.calls.contains("left 3"), module.calls.toString());
+  }
+
+  @Test
+  public void rubbishHalfAHeaderOrNothingCutsOnlyItsOwnLink() {
+    List<String> ends = new ArrayList<>();
+    byte[][] talks = {
+      {0, 0, 0, 9, 99, 0, 0, 0, 1, 2, 3, 4, 5}, {0, 0, 0}, {}, {-1, -1, -1, -1, 0, 0, 0, 0}
+    };
+    for (byte[] talk : talks) {
+      net.connect(
+          new java.net.InetSocketAddress("127.0.0.1", 1000),
+          Span.ofMs(100),
+          1000,
+          new LinkUser() {
+            @Override
+            public void up(Link link) {
+              if (talk.length > 0) {
+                link.append(talk);
+              }
+            }
+
+            @Override
+            public void received(ByteBuffer bytes) {}
+
+            @Override
+            public void closed(String why) {
+              ends.add(why);
+            }
+          });
+    }
+    net.pass(7000);
+    assertEquals(ends.size(), 4);
+    calls(1);
+    answers(1, Result.DONE);
+    net.settle();
+    assertEquals(answered(client), List.of("1 OK"));
+  }
+
+  @Test
+  public void anotherUnitBehindTheAddressIsNeverSentAnything() throws IOException {
+    List<Person> others = new ArrayList<>();
+    net.listen(
+        new java.net.InetSocketAddress("127.0.0.1", 2008),
+        10,
+        1000,
+        () -> {
+          Person other = new Person(net, Role.UNIT, 9);
+          others.add(other);
+          return other.link;
         });
-        lists(Form.WHOLE, entry(8, 1, Health.READY));
-        calls(1);
-        assertEquals(module.calls.get(3), "ended 1.0 NOT_CONNECTED");
-        assertTrue(others.get(0).got.isEmpty());
-        assertEquals(answered(client), List.of("1 PUSHED_BACK"));
-    }
-
-    @Test
-    public void picksWaitForRoomInBoundsAndNoneIsSentOnceTheUnitLeaves() {
-        module.waits = true;
-        for (int i = 1; i <= 12; i++) calls(i);
-        assertEquals(units.size(), 2);
-        assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
-        assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 2);
-        lists(Form.CHANGES, entry(7, 1, Health.DRAINING));
-        assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 6);
-        answers(1, Result.DONE);
-        net.pass(300);
-        assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
-    }
-
-    @Test
-    public void aPickThatWaitsIsNotSentOnceItsRpcHasEnded() {
-        module.waits = true;
-        for (int i = 1; i <= 7; i++) calls(i);
-        net.turn(() -> client.send(Kind.LEAVE, Leave.newBuilder().setId(7).build()));
-        net.settle();
-        answers(1, Result.DONE); // room for the one that waited
-        net.settle();
-        assertEquals(module.picks.get(6).outcome().name(), "MOOT");
-        assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
-    }
-
-    @Test
-    public void aConnectionThatDoesNotComeUpInTimeEndsItsPicksAsNeverSent() {
-        net.connectsHang(true);
-        calls(1);
-        net.pass(195);
-        assertEquals(module.calls.size(), 1);
-        net.pass(10);
-        assertEquals(module.calls.get(1), "ended 1.0 NOT_CONNECTED");
-    }
-
-    @Test
-    public void afterAFailedConnectionNoneIsTriedForAPauseThatGrows() throws IOException {
-        lists(Form.WHOLE, entry(8, 1, Health.READY)); // nobody listens there
-        module.calls.clear();
-        for (int i = 1; i <= 400; i++) {
-            calls(i);
-            net.pass(5);
-        }
-        assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 400);
-        assertTrue(net.connects() <= 11, "seven in two seconds at most, beside three links: " + net.connects());
-        units = Person.listen(net, Role.UNIT, 8, 2008);
-        net.pass(1000);
-        calls(500);
-        assertEquals(units.size(), 1);
-    }
-
-    @Test
-    public void aConnectionThatClosesForBeingIdleGetsNoPickAnyMore() {
-        calls(1);
-        answers(1, Result.DONE);
-        net.pass(4990);
-        for (int i = 0; i < 6; i++) { // around the moment at which it is closed
-            calls(10 + i);
-            answers(2 + i, Result.DONE);
-            net.settle();
-            net.pass(5);
-        }
-        net.pass(11_000);
-        assertEquals(units.get(0).gone, "closed by the other side");
-        calls(30);
-        assertEquals(units.size(), 2);
-        assertTrue(module.calls.stream().noneMatch(call -> call.endsWith("BROKEN")), module.calls.toString());
-    }
-
-    @Test
-    public void numbersThatAreUnsignedOnTheWireReachTheModuleSo() {
-        net.turn(() -> client.send(Kind.CALL, Call.newBuilder().setId(-1).setCustomer(-1).setLeftUs(-1).setHintUs(-1).build()));
-        net.settle();
-        Rpc rpc = module.picks.get(0).rpc;
-        assertTrue(rpc.customer > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.hint == null);
-        answers(1, Result.DONE);
-        net.settle();
-        assertEquals(client.<Answer>all(Kind.ANSWER).get(0).getId(), -1);
-    }
-
-    @Test
-    public void aPickPastItsPatienceIsTimedOutAndItsLateAnswerDropped() {
-        module.waits = true;
-        calls(1);
-        Pick second = module.send(module.picks.get(0).rpc, Span.ofMs(50));
-        net.pass(60);
-        assertEquals(second.outcome().name(), "TIMED_OUT");
-        answers(2, Result.DONE);
-        net.settle();
-        assertTrue(client.got.isEmpty());
-        net.turn(() -> module.host.cancel(module.picks.get(0)));
-        net.settle();
-        assertEquals(last(units).<Stop>all(Kind.STOP).get(0).getId(), 1);
-        assertEquals(module.picks.get(0).outcome().name(), "CANCELLED");
-    }
-
-    @Test
-    public void aUnitThatNeverAnswersDoesNotKeepItsConnectionFull() {
-        module.waits = true;
-        for (int i = 1; i <= 6; i++) calls(i);
-        net.pass(1100);
-        assertEquals(units.get(0).gone, "closed by the other side");
-        calls(9);
-        assertEquals(last(units).<Work>all(Kind.WORK).size(), 1);
-    }
-
-    @Test
-    public void clientsWaitUntilListAndNewsAreThereOrTheWaitIsOver() throws Exception {
-        for (boolean comes : new boolean[] {true, false}) {
-            net = new ScriptedNet(1000, 5);
-            rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-            desks = Person.listen(net, Role.DESK, 0, 1002);
-            new Relay(config(CONFIG.replace("wait-for-list=\"0ms\"", "wait-for-list=\"1s\"")), net, Tap.NONE).start((host, settings, seed) -> {
+    lists(Form.WHOLE, entry(8, 1, Health.READY));
+    calls(1);
+    assertEquals(module.calls.get(3), "ended 1.0 NOT_CONNECTED");
+    assertTrue(others.get(0).got.isEmpty());
+    assertEquals(answered(client), List.of("1 PUSHED_BACK"));
+  }
+
+  @Test
+  public void picksWaitForRoomInBoundsAndNoneIsSentOnceTheUnitLeaves() {
+    module.waits = true;
+    for (int i = 1; i <= 12; i++) {
+      calls(i);
+    }
+    assertEquals(units.size(), 2);
+    assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
+    assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 2);
+    lists(Form.CHANGES, entry(7, 1, Health.DRAINING));
+    assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 6);
+    answers(1, Result.DONE);
+    net.pass(300);
+    assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
+  }
+
+  @Test
+  public void aPickThatWaitsIsNotSentOnceItsRpcHasEnded() {
+    module.waits = true;
+    for (int i = 1; i <= 7; i++) {
+      calls(i);
+    }
+    net.turn(() -> client.send(Kind.LEAVE, Leave.newBuilder().setId(7).build()));
+    net.settle();
+    answers(1, Result.DONE); // room for the one that waited
+    net.settle();
+    assertEquals(module.picks.get(6).outcome().name(), "MOOT");
+    assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
+  }
+
+  @Test
+  public void aConnectionThatDoesNotComeUpInTimeEndsItsPicksAsNeverSent() {
+    net.connectsHang(true);
+    calls(1);
+    net.pass(195);
+    assertEquals(module.calls.size(), 1);
+    net.pass(10);
+    assertEquals(module.calls.get(1), "ended 1.0 NOT_CONNECTED");
+  }
+
+  @Test
+  public void afterAFailedConnectionNoneIsTriedForAPauseThatGrows() throws IOException {
+    lists(Form.WHOLE, entry(8, 1, Health.READY)); // nobody listens there
+    module.calls.clear();
+    for (int i = 1; i <= 400; i++) {
+      calls(i);
+      net.pass(5);
+    }
+    assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 400);
+    assertTrue(
+        net.connects() <= 11,
+        "seven in two seconds at most, beside three links: " + net.connects());
+    units = Person.listen(net, Role.UNIT, 8, 2008);
+    net.pass(1000);
+    calls(500);
+    assertEquals(units.size(), 1);
+  }
+
+  @Test
+  public void aConnectionThatClosesForBeingIdleGetsNoPickAnyMore() {
+    calls(1);
+    answers(1, Result.DONE);
+    net.pass(4990);
+    for (int i = 0; i < 6; i++) { // around the moment at which it is closed
+      calls(10 + i);
+      answers(2 + i, Result.DONE);
+      net.settle();
+      net.pass(5);
+    }
+    net.pass(11_000);
+    assertEquals(units.get(0).gone, "closed by the other side");
+    calls(30);
+    assertEquals(units.size(), 2);
+    assertTrue(
+        module.calls.stream().noneMatch(call -> call.endsWith("BROKEN")), module.calls.toString());
+  }
+
+  @Test
+  public void numbersThatAreUnsignedOnTheWireReachTheModuleSo() {
+    net.turn(
+        () ->
+            client.send(
+                Kind.CALL,
+                Call.newBuilder().setId(-1).setCustomer(-1).setLeftUs(-1).setHintUs(-1).build()));
+    net.settle();
+    Rpc rpc = module.picks.get(0).rpc;
+    assertTrue(
+        rpc.customer > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.hint == null);
+    answers(1, Result.DONE);
+    net.settle();
+    assertEquals(client.<Answer>all(Kind.ANSWER).get(0).getId(), -1);
+  }
+
+  @Test
+  public void aPickPastItsPatienceIsTimedOutAndItsLateAnswerDropped() {
+    module.waits = true;
+    calls(1);
+    Pick second = module.send(module.picks.get(0).rpc, Span.ofMs(50));
+    net.pass(60);
+    assertEquals(second.outcome().name(), "TIMED_OUT");
+    answers(2, Result.DONE);
+    net.settle();
+    assertTrue(client.got.isEmpty());
+    net.turn(() -> module.host.cancel(module.picks.get(0)));
+    net.settle();
+    assertEquals(last(units).<Stop>all(Kind.STOP).get(0).getId(), 1);
+    assertEquals(module.picks.get(0).outcome().name(), "CANCELLED");
+  }
+
+  @Test
+  public void aUnitThatNeverAnswersDoesNotKeepItsConnectionFull() {
+    module.waits = true;
+    for (int i = 1; i <= 6; i++) {
+      calls(i);
+    }
+    net.pass(1100);
+    assertEquals(units.get(0).gone, "closed by the other side");
+    calls(9);
+    assertEquals(last(units).<Work>all(Kind.WORK).size(), 1);
+  }
+
+  @Test
+  public void clientsWaitUntilListAndNewsAreThereOrTheWaitIsOver() throws Exception {
+    for (boolean comes : new boolean[] {true, false}) {
+      net = new ScriptedNet(1000, 5);
+      rosters = Person.listen(net, Role.ROSTER, 0, 1001);
+      desks = Person.listen(net, Role.DESK, 0, 1002);
+      new Relay(
+              config(CONFIG.replace("wait-for-list=\"0ms\"", "wait-for-list=\"1s\"")),
+              net,
+              Tap.NONE)
+          .start(
+              (host, settings, seed) -> {
                 module.host = host;
                 return module;
-            });
-            client = Person.at(net, Role.CLIENT, 3, 1000);
-            net.pass(300);
-            lists(Form.WHOLE, entry(7, 1, Health.READY));
-            assertNull(client.link.other(), "no news yet");
-            if (comes) net.turn(() -> desks.get(0).send(Kind.NEWS, News.newBuilder().setBuild(1).setStage(1).setStanding(Stand.RELEASED).setCap(1).build()));
-            net.pass(20);
-            assertEquals(client.link.other() != null, comes);
-            net.pass(1000);
-            assertTrue(client.link.other() != null);
-        }
-    }
-
-    @Test
-    public void beyondALimitAnRpcIsTurnedAwayUnseen() {
-        module.waits = true;
-        for (int i = 1; i <= 41; i++) calls(i);
-        assertEquals(answered(client), List.of("41 PUSHED_BACK"));
-        Person other = Person.at(net, Role.CLIENT, 4, 1000);
-        net.settle();
-        for (int i = 1; i <= 11; i++) calls(other, i, 0);
-        assertEquals(answered(other), List.of("11 PUSHED_BACK"));
-        calls(other, 12, 77);
-        assertEquals(answered(other).get(1), "12 ABORTED");
-        assertEquals(module.calls.stream().filter(call -> call.startsWith("arrived")).count(), 50);
-    }
-
-    @Test
-    public void thousandsOfRpcsThatEndAtOneDeadlineGetOneAnswerEach() throws Exception {
-        net = new ScriptedNet(1000, 5);
-        relay = new Relay(config(CONFIG.replace("open=\"50\" open-per-client=\"40\"", "open=\"9000\" open-per-client=\"9000\"")), net,
+              });
+      client = Person.at(net, Role.CLIENT, 3, 1000);
+      net.pass(300);
+      lists(Form.WHOLE, entry(7, 1, Health.READY));
+      assertNull(client.link.other(), "no news yet");
+      if (comes) {
+        net.turn(
+            () ->
+                desks
+                    .get(0)
+                    .send(
+                        Kind.NEWS,
+                        News.newBuilder()
+                            .setBuild(1)
+                            .setStage(1)
+                            .setStanding(Stand.RELEASED)
+                            .setCap(1)
+                            .build()));
+      }
+      net.pass(20);
+      assertEquals(client.link.other() != null, comes);
+      net.pass(1000);
+      assertTrue(client.link.other() != null);
+    }
+  }
+
+  @Test
+  public void beyondALimitAnRpcIsTurnedAwayUnseen() {
+    module.waits = true;
+    for (int i = 1; i <= 41; i++) {
+      calls(i);
+    }
+    assertEquals(answered(client), List.of("41 PUSHED_BACK"));
+    Person other = Person.at(net, Role.CLIENT, 4, 1000);
+    net.settle();
+    for (int i = 1; i <= 11; i++) {
+      calls(other, i, 0);
+    }
+    assertEquals(answered(other), List.of("11 PUSHED_BACK"));
+    calls(other, 12, 77);
+    assertEquals(answered(other).get(1), "12 ABORTED");
+    assertEquals(module.calls.stream().filter(call -> call.startsWith("arrived")).count(), 50);
+  }
+
+  @Test
+  public void thousandsOfRpcsThatEndAtOneDeadlineGetOneAnswerEach() throws Exception {
+    net = new ScriptedNet(1000, 5);
+    relay =
+        new Relay(
+            config(
+                CONFIG.replace(
+                    "open=\"50\" open-per-client=\"40\"",
+                    "open=\"9000\" open-per-client=\"9000\"")),
+            net,
             Tap.NONE);
-        relay.start((host, settings, seed) -> {
-            module.host = host;
-            return module;
+    relay.start(
+        (host, settings, seed) -> {
+          module.host = host;
+          return module;
         });
-        client = Person.at(net, Role.CLIENT, 3, 1000);
-        net.pass(10);
-        module.ready.clear();
-        net.turn(() -> {
-            for (int i = 1; i <= 5000; i++) client.send(Kind.CALL, Call.newBuilder().setId(i).setLeftUs(500_000).build());
+    client = Person.at(net, Role.CLIENT, 3, 1000);
+    net.pass(10);
+    module.ready.clear();
+    net.turn(
+        () -> {
+          for (int i = 1; i <= 5000; i++) {
+            client.send(Kind.CALL, Call.newBuilder().setId(i).setLeftUs(500_000).build());
+          }
         });
-        net.pass(480);
-        assertTrue(client.got.isEmpty());
-        net.pass(100);
-        assertEquals(answered(client).stream().distinct().count(), 5000);
-        assertEquals(client.got.size(), 5000);
-        assertEquals(relay.ledger().open(), 0);
-    }
-
-    @Test
-    public void anRpcThatAFaultyModuleForgetsIsAbortedAtItsDeadline() {
-        module.faulty = true;
-        net.turn(() -> client.send(Kind.CALL, Call.newBuilder().setId(1).setLeftUs(300_000).build()));
-        try {
-            net.settle();
-        } catch (IllegalStateException e) {
-            assertEquals(e.getMessage(), "a fault in the module"); // the loop logs it and goes on
-        }
-        net.pass(295);
-        assertTrue(client.got.isEmpty());
-        net.pass(10);
-        assertEquals(answered(client), List.of("1 ABORTED"));
-        assertEquals(relay.ledger().open(), 0);
-    }
-
-    @Test
-    public void finishingAnswersAllThatIsOpenAndTakesNothingNew() {
-        boolean[] done = new boolean[1];
-        calls(1);
-        calls(2);
-        net.turn(() -> relay.finish(() -> done[0] = true));
-        calls(3);
-        assertEquals(answered(client), List.of("3 PUSHED_BACK"));
-        answers(1, Result.DONE);
-        net.pass(100);
-        assertTrue(!done[0]);
-        net.pass(1200);
-        assertEquals(answered(client), List.of("3 PUSHED_BACK", "1 OK", "2 ABORTED"));
-        assertTrue(done[0]);
-        assertEquals(client.gone, "closed by the other side");
-    }
-
-    @Test
-    public void aRestartOfAUnitIsAnotherUnitWhatAgeItMayTell() {
-        lists(Form.CHANGES, entry(7, 1, Health.READY).setAgeUs(5));
-        assertTrue(module.calls.isEmpty(), "an age told late is no restart: " + module.calls);
-        lists(Form.CHANGES, entry(7, 2, Health.READY).setAgeUs(300_000));
-        assertEquals(module.calls, List.of("leaving 7", "ready 7"));
-        assertEquals(module.ready.get(0).started.ms(), 1010 - 300, 1.0);
-    }
-
-    @Test
-    public void whatTheListHasWrongIsLeftOutAndTheRestStands() {
-        lists(Form.CHANGES, entry(8, 1, Health.READY).setPort(0), entry(9, 1, Health.READY).setHost("unit.example"),
-            entry(10, 1, Health.HEALTH_UNKNOWN), entry(11, 1, Health.READY).setWeight(Double.NaN), entry(12, 1, Health.READY));
-        assertEquals(module.calls, List.of("ready 12"));
-        lists(Form.FORM_UNKNOWN);
-        assertEquals(module.ready.size(), 2);
-    }
-
-    @Test
-    public void theRosterAndDeskComeBackByThemselves() {
-        rosters.get(0).link.cut("restart");
-        desks.get(0).link.cut("restart");
-        net.pass(300);
-        assertEquals(rosters.size(), 2);
-        assertEquals(desks.size(), 2);
-        assertEquals(last(rosters).got.get(0).kind(), Kind.WATCH);
-        assertEquals(module.ready.size(), 1, "what was listed holds");
-    }
-
-    @Test
-    public void votesAreAnsweredOnceOrUnansweredInTime() {
-        Build build = module.ready.get(0).build;
-        net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
-        net.settle();
-        Vote vote = desks.get(0).<Vote>all(Kind.VOTE).get(0);
-        net.turn(() -> desks.get(0).send(Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(Taken.MOOT).build()));
-        net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
-        net.pass(1100);
-        net.turn(() -> desks.get(0).send(Kind.VOTED, Voted.newBuilder().setId(vote.getId() + 1).setTaken(Taken.COUNTS).build()));
-        net.settle();
-        assertEquals(module.calls, List.of("vote MOOT", "vote UNANSWERED"));
-    }
-
-    @Test
-    public void newsThatCantBeIsRefused() {
-        News.Builder good = News.newBuilder().setBuild(2).setStage(1).setStanding(Stand.ON_TRIAL).setCap(0.5);
-        net.turn(() -> {
-            for (News news : List.of(good.build(), good.clone().setCap(Double.NaN).build(), good.clone().setStage(9).build(),
-                good.clone().setStanding(Stand.STAND_UNKNOWN).build())) desks.get(0).send(Kind.NEWS, news);
+    net.pass(480);
+    assertTrue(client.got.isEmpty());
+    net.pass(100);
+    assertEquals(answered(client).stream().distinct().count(), 5000);
+    assertEquals(client.got.size(), 5000);
+    assertEquals(relay.ledger().open(), 0);
+  }
+
+  @Test
+  public void anRpcThatAFaultyModuleForgetsIsAbortedAtItsDeadline() {
+    module.faulty = true;
+    net.turn(() -> client.send(Kind.CALL, Call.newBuilder().setId(1).setLeftUs(300_000).build()));
+    try {
+      net.settle();
+    } catch (IllegalStateException e) {
+      assertEquals(e.getMessage(), "a fault in the module"); // the loop logs it and goes on
+    }
+    net.pass(295);
+    assertTrue(client.got.isEmpty());
+    net.pass(10);
+    assertEquals(answered(client), List.of("1 ABORTED"));
+    assertEquals(relay.ledger().open(), 0);
+  }
+
+  @Test
+  public void finishingAnswersAllThatIsOpenAndTakesNothingNew() {
+    boolean[] done = new boolean[1];
+    calls(1);
+    calls(2);
+    net.turn(() -> relay.finish(() -> done[0] = true));
+    calls(3);
+    assertEquals(answered(client), List.of("3 PUSHED_BACK"));
+    answers(1, Result.DONE);
+    net.pass(100);
+    assertTrue(!done[0]);
+    net.pass(1200);
+    assertEquals(answered(client), List.of("3 PUSHED_BACK", "1 OK", "2 ABORTED"));
+    assertTrue(done[0]);
+    assertEquals(client.gone, "closed by the other side");
+  }
+
+  @Test
+  public void aRestartOfAUnitIsAnotherUnitWhatAgeItMayTell() {
+    lists(Form.CHANGES, entry(7, 1, Health.READY).setAgeUs(5));
+    assertTrue(module.calls.isEmpty(), "an age told late is no restart: " + module.calls);
+    lists(Form.CHANGES, entry(7, 2, Health.READY).setAgeUs(300_000));
+    assertEquals(module.calls, List.of("leaving 7", "ready 7"));
+    assertEquals(module.ready.get(0).started.ms(), 1010 - 300, 1.0);
+  }
+
+  @Test
+  public void whatTheListHasWrongIsLeftOutAndTheRestStands() {
+    lists(
+        Form.CHANGES,
+        entry(8, 1, Health.READY).setPort(0),
+        entry(9, 1, Health.READY).setHost("unit.example"),
+        entry(10, 1, Health.HEALTH_UNKNOWN),
+        entry(11, 1, Health.READY).setWeight(Double.NaN),
+        entry(12, 1, Health.READY));
+    assertEquals(module.calls, List.of("ready 12"));
+    lists(Form.FORM_UNKNOWN);
+    assertEquals(module.ready.size(), 2);
+  }
+
+  @Test
+  public void theRosterAndDeskComeBackByThemselves() {
+    rosters.get(0).link.cut("restart");
+    desks.get(0).link.cut("restart");
+    net.pass(300);
+    assertEquals(rosters.size(), 2);
+    assertEquals(desks.size(), 2);
+    assertEquals(last(rosters).got.get(0).kind(), Kind.WATCH);
+    assertEquals(module.ready.size(), 1, "what was listed holds");
+  }
+
+  @Test
+  public void votesAreAnsweredOnceOrUnansweredInTime() {
+    Build build = module.ready.get(0).build;
+    net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
+    net.settle();
+    Vote vote = desks.get(0).<Vote>all(Kind.VOTE).get(0);
+    net.turn(
+        () ->
+            desks
+                .get(0)
+                .send(
+                    Kind.VOTED,
+                    Voted.newBuilder().setId(vote.getId()).setTaken(Taken.MOOT).build()));
+    net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
+    net.pass(1100);
+    net.turn(
+        () ->
+            desks
+                .get(0)
+                .send(
+                    Kind.VOTED,
+                    Voted.newBuilder().setId(vote.getId() + 1).setTaken(Taken.COUNTS).build()));
+    net.settle();
+    assertEquals(module.calls, List.of("vote MOOT", "vote UNANSWERED"));
+  }
+
+  @Test
+  public void newsThatCantBeIsRefused() {
+    News.Builder good =
+        News.newBuilder().setBuild(2).setStage(1).setStanding(Stand.ON_TRIAL).setCap(0.5);
+    net.turn(
+        () -> {
+          for (News news :
+              List.of(
+                  good.build(),
+                  good.clone().setCap(Double.NaN).build(),
+                  good.clone().setStage(9).build(),
+                  good.clone().setStanding(Stand.STAND_UNKNOWN).build())) {
+            desks.get(0).send(Kind.NEWS, news);
+          }
         });
-        net.settle();
-        assertEquals(module.calls, List.of("news 2 1 ON_TRIAL 0.5"));
-        assertNull(desks.get(0).gone);
-    }
-
-    @Test
-    public void peersAreToldOverLinksOfTheirOwnAndLossesAreBorne() throws IOException {
-        net.turn(() -> module.host.tellPeers(new byte[] {1}));
-        List<Person> peers = Person.listen(net, Role.RELAY, 1, 1003);
-        net.pass(300);
-        net.turn(() -> module.host.tellPeer(1, new byte[] {2}));
-        net.settle();
-        assertEquals(last(peers).got.get(0).body(), new byte[] {2});
-        Person peer = Person.at(net, Role.RELAY, 1, 1000);
-        net.settle();
-        net.turn(() -> peer.send(Kind.TOLD, sprucerock.wire.v1.Told.getDefaultInstance(), (byte) 5, (byte) 6));
-        net.turn(() -> client.send(Kind.FLAG, Flag.newBuilder().setUnit(7).setAgoUs(1).build()));
-        net.settle();
-        assertEquals(module.calls, List.of("peer 1 2", "flagged 7"));
-    }
+    net.settle();
+    assertEquals(module.calls, List.of("news 2 1 ON_TRIAL 0.5"));
+    assertNull(desks.get(0).gone);
+  }
+
+  @Test
+  public void peersAreToldOverLinksOfTheirOwnAndLossesAreBorne() throws IOException {
+    net.turn(() -> module.host.tellPeers(new byte[] {1}));
+    List<Person> peers = Person.listen(net, Role.RELAY, 1, 1003);
+    net.pass(300);
+    net.turn(() -> module.host.tellPeer(1, new byte[] {2}));
+    net.settle();
+    assertEquals(last(peers).got.get(0).body(), new byte[] {2});
+    Person peer = Person.at(net, Role.RELAY, 1, 1000);
+    net.settle();
+    net.turn(
+        () ->
+            peer.send(Kind.TOLD, sprucerock.wire.v1.Told.getDefaultInstance(), (byte) 5, (byte) 6));
+    net.turn(() -> client.send(Kind.FLAG, Flag.newBuilder().setUnit(7).setAgoUs(1).build()));
+    net.settle();
+    assertEquals(module.calls, List.of("peer 1 2", "flagged 7"));
+  }
 }
--- a/src/test/java/sprucerock/relay/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/SecuredTest.java
@@ -48,261 +48,365 @@
 
 /** A relay whose connections are by TLS, between scripted people with certificates of their own. */
 public class SecuredTest {
-    private static final TestCa CA = TestCa.root("root");
+  private static final TestCa CA = TestCa.root("root");
 
-    /** Sends each RPC to the one unit, and notes how picks end. */
-    private static final class Simple extends sprucerock.relay.Told {
-        private Host host;
-        private Unit unit;
-        private final List<Outcome> ends = new ArrayList<>();
+  /** Sends each RPC to the one unit, and notes how picks end. */
+  private static final class Simple extends sprucerock.relay.Told {
+    private Host host;
+    private Unit unit;
+    private final List<Outcome> ends = new ArrayList<>();
 
-        @Override
-        public void unitReady(Unit ready) {
-            unit = ready;
-        }
+    @Override
+    public void unitReady(Unit ready) {
+      unit = ready;
+    }
 
-        @Override
-        public void rpcArrived(Rpc rpc) {
-            host.send(new Pick(rpc, unit, host.now(), null));
-        }
+    @Override
+    public void rpcArrived(Rpc rpc) {
+      host.send(new Pick(rpc, unit, host.now(), null));
+    }
 
-        @Override
-        public void pickEnded(Pick pick, boolean answers) {
-            ends.add(pick.outcome());
-            if (!pick.rpc.ended()) host.pushBack(pick.rpc, Span.ZERO);
-        }
+    @Override
+    public void pickEnded(Pick pick, boolean answers) {
+      ends.add(pick.outcome());
+      if (!pick.rpc.ended()) {
+        host.pushBack(pick.rpc, Span.ZERO);
+      }
     }
+  }
 
-    private ScriptedNet net;
-    private Aside aside;
-    private Relay relay;
-    private Simple module;
-    private Path folder;
-    private List<Person> rosters;
-    private List<Person> units;
-    private Credentials shown;
-    private Person client;
-    private long lastCall;
+  private ScriptedNet net;
+  private Aside aside;
+  private Relay relay;
+  private Simple module;
+  private Path folder;
+  private List<Person> rosters;
+  private List<Person> units;
+  private Credentials shown;
+  private Person client;
+  private long lastCall;
 
-    private static Credentials credentials(TestCa ca, TestCa.Wish wish, TestCa... trusted) throws Exception {
-        TestCa.Identity made = ca.make(wish);
-        Set<java.security.cert.X509Certificate> anchors = new java.util.HashSet<>(Set.of(CA.certificate()));
-        for (TestCa one : trusted) anchors.add(one.certificate());
-        return new Credentials(Material.of(anchors, List.of(), made.key(), made.chain(), "x"), Credentials.Policy.USUAL, Instant::now);
+  private static Credentials credentials(TestCa ca, TestCa.Wish wish, TestCa... trusted)
+      throws Exception {
+    TestCa.Identity made = ca.make(wish);
+    Set<java.security.cert.X509Certificate> anchors =
+        new java.util.HashSet<>(Set.of(CA.certificate()));
+    for (TestCa one : trusted) {
+      anchors.add(one.certificate());
     }
+    return new Credentials(
+        Material.of(anchors, List.of(), made.key(), made.chain(), "x"),
+        Credentials.Policy.USUAL,
+        Instant::now);
+  }
 
-    private TlsLink.Place place() {
-        return new TlsLink.Place(net, new Buffers(), aside, Span.ofMs(500), Counter.NONE);
-    }
+  private TlsLink.Place place() {
+    return new TlsLink.Place(net, new Buffers(), aside, Span.ofMs(500), Counter.NONE);
+  }
 
-    @BeforeMethod
-    public void begin() throws Exception {
-        net = new ScriptedNet(1000, 5);
-        aside = (work, done) -> {
-            work.run();
-            net.at(net.now(), done);
-            return true;
+  @BeforeMethod
+  public void begin() throws Exception {
+    net = new ScriptedNet(1000, 5);
+    aside =
+        (work, done) -> {
+          work.run();
+          net.at(net.now(), done);
+          return true;
         };
-        folder = Files.createTempDirectory("secured");
-        Files.writeString(folder.resolve("trust.pem"), TestCa.pem(CA.certificate()));
-        TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
-        rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-        Person.listen(net, Role.DESK, 0, 1002);
-        shown = credentials(CA, TestCa.leaf("unit-7.example"));
-        units = new ArrayList<>();
-        net.listen(new InetSocketAddress("127.0.0.1", 2007), 100, 1 << 20, () -> {
-            Person person = new Person(net, Role.UNIT, 7);
-            units.add(person);
-            return TlsLink.server(place(), shown, true, person.link);
+    folder = Files.createTempDirectory("secured");
+    Files.writeString(folder.resolve("trust.pem"), TestCa.pem(CA.certificate()));
+    TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
+    rosters = Person.listen(net, Role.ROSTER, 0, 1001);
+    Person.listen(net, Role.DESK, 0, 1002);
+    shown = credentials(CA, TestCa.leaf("unit-7.example"));
+    units = new ArrayList<>();
+    net.listen(
+        new InetSocketAddress("127.0.0.1", 2007),
+        100,
+        1 << 20,
+        () -> {
+          Person person = new Person(net, Role.UNIT, 7);
+          units.add(person);
+          return TlsLink.server(place(), shown, true, person.link);
         });
-        module = new Simple();
-        lastCall = 0;
-    }
+    module = new Simple();
+    lastCall = 0;
+  }
 
-    private void starts(String clients, String attributes) throws Exception {
-        String xml = RelayTest.CONFIG.replace("number=\"1\"/>", "number=\"1\" name=\"relay-1.example\"/>").replace("  <site ",
-            "  <tls trust=\"" + folder.resolve("trust.pem") + "\" key=\"" + folder.resolve("key.pem") + "\" clients=\"" + clients + "\" peers=\""
-            + clients.equals("proven") + "\" look-every=\"100ms\" move-within=\"1s\" " + attributes + "/>\n  <site ");
-        relay = new Relay(RelayTest.config(xml), net, Tap.NONE);
-        relay.start((host, settings, seed) -> {
-            module.host = host;
-            return module;
-        }, aside);
-        net.pass(20);
-        lists("unit-7.example", 1);
-        client = clients.equals("plain") ? Person.at(net, Role.CLIENT, 3, 1000) : caller(Role.CLIENT, 3, credentials(CA, TestCa.leaf("app")));
-        net.pass(20);
-    }
+  private void starts(String clients, String attributes) throws Exception {
+    String xml =
+        RelayTest.CONFIG
+            .replace("number=\"1\"/>", "number=\"1\" name=\"relay-1.example\"/>")
+            .replace(
+                "  <site ",
+                "  <tls trust=\""
+                    + folder.resolve("trust.pem")
+                    + "\" key=\""
+                    + folder.resolve("key.pem")
+                    + "\" clients=\""
+                    + clients
+                    + "\" peers=\""
+                    + clients.equals("proven")
+                    + "\" look-every=\"100ms\" move-within=\"1s\" "
+                    + attributes
+                    + "/>\n  <site ");
+    relay = new Relay(RelayTest.config(xml), net, Tap.NONE);
+    relay.start(
+        (host, settings, seed) -> {
+          module.host = host;
+          return module;
+        },
+        aside);
+    net.pass(20);
+    lists("unit-7.example", 1);
+    client =
+        clients.equals("plain")
+            ? Person.at(net, Role.CLIENT, 3, 1000)
+            : caller(Role.CLIENT, 3, credentials(CA, TestCa.leaf("app")));
+    net.pass(20);
+  }
 
-    private void lists(String name, long run) {
-        Entry entry = Entry.newBuilder().setUnit(7).setRun(run).setHost("127.0.0.1").setPort(2007).setBuild(1).setHealth(Health.READY).setWeight(1)
-            .setName(name).build();
-        net.turn(() -> rosters.get(rosters.size() - 1).send(Kind.LISTING, Listing.newBuilder().setForm(Form.WHOLE).addEntries(entry).build()));
-        net.settle();
-    }
+  private void lists(String name, long run) {
+    Entry entry =
+        Entry.newBuilder()
+            .setUnit(7)
+            .setRun(run)
+            .setHost("127.0.0.1")
+            .setPort(2007)
+            .setBuild(1)
+            .setHealth(Health.READY)
+            .setWeight(1)
+            .setName(name)
+            .build();
+    net.turn(
+        () ->
+            rosters
+                .get(rosters.size() - 1)
+                .send(
+                    Kind.LISTING,
+                    Listing.newBuilder().setForm(Form.WHOLE).addEntries(entry).build()));
+    net.settle();
+  }
 
-    private Person caller(Role role, int number, Credentials with) {
-        Person person = new Person(net, role, number);
-        net.connect(new InetSocketAddress("127.0.0.1", 1000), Span.ofMs(500), 1 << 20, TlsLink.client(place(), with, "relay-0.example", 1000, person.link));
-        return person;
-    }
+  private Person caller(Role role, int number, Credentials with) {
+    Person person = new Person(net, role, number);
+    net.connect(
+        new InetSocketAddress("127.0.0.1", 1000),
+        Span.ofMs(500),
+        1 << 20,
+        TlsLink.client(place(), with, "relay-0.example", 1000, person.link));
+    return person;
+  }
 
-    private void calls() {
-        long id = ++lastCall;
-        net.turn(() -> client.send(Kind.CALL, Call.newBuilder().setId(id).setLeftUs(5_000_000).build(), (byte) 7));
-        net.pass(150);
-    }
+  private void calls() {
+    long id = ++lastCall;
+    net.turn(
+        () ->
+            client.send(
+                Kind.CALL, Call.newBuilder().setId(id).setLeftUs(5_000_000).build(), (byte) 7));
+    net.pass(150);
+  }
 
-    private int works() {
-        return units.stream().mapToInt(one -> one.all(Kind.WORK).size()).sum();
-    }
+  private int works() {
+    return units.stream().mapToInt(one -> one.all(Kind.WORK).size()).sum();
+  }
 
-    private void answers(Person unit, long id) {
-        net.turn(() -> unit.send(Kind.DONE, Done.newBuilder().setId(id).setResult(Result.DONE).build(), (byte) 9));
-        net.pass(10);
-    }
+  private void answers(Person unit, long id) {
+    net.turn(
+        () ->
+            unit.send(
+                Kind.DONE, Done.newBuilder().setId(id).setResult(Result.DONE).build(), (byte) 9));
+    net.pass(10);
+  }
 
-    private long handshakes(String how) {
-        Accounts accounts = relay.ledger().accounts();
-        return accounts.value(accounts.handshakes, 0, accounts.handshakes.columns().indexOf(how));
-    }
+  private long handshakes(String how) {
+    Accounts accounts = relay.ledger().accounts();
+    return accounts.value(accounts.handshakes, 0, accounts.handshakes.columns().indexOf(how));
+  }
 
-    @Test
-    public void aProvenUnitGetsRpcsAndAnswersThem() throws Exception {
-        starts("plain", "");
-        calls();
-        assertEquals(works(), 1);
-        answers(units.get(0), ((Work) units.get(0).all(Kind.WORK).get(0)).getId());
-        assertEquals(module.ends, List.of(Outcome.OK));
-        assertEquals(client.all(Kind.ANSWER).size(), 1);
-        assertEquals(handshakes("full"), 1);
-        assertEquals(relay.ledger().accounts().check(), List.of());
-    }
+  @Test
+  public void aProvenUnitGetsRpcsAndAnswersThem() throws Exception {
+    starts("plain", "");
+    calls();
+    assertEquals(works(), 1);
+    answers(units.get(0), ((Work) units.get(0).all(Kind.WORK).get(0)).getId());
+    assertEquals(module.ends, List.of(Outcome.OK));
+    assertEquals(client.all(Kind.ANSWER).size(), 1);
+    assertEquals(handshakes("full"), 1);
+    assertEquals(relay.ledger().accounts().check(), List.of());
+  }
 
-    @Test
-    public void aMisnamedUnitIsNeverSentAnRpcAndThePickNeverConnected() throws Exception {
-        shown = credentials(CA, TestCa.leaf("unit-8.example"));
-        starts("plain", "");
-        calls();
-        assertEquals(works(), 0);
-        assertEquals(module.ends, List.of(Outcome.NOT_CONNECTED));
-        assertEquals(handshakes("wrong_name"), 1);
-        shown = credentials(CA, TestCa.leaf("unit-7.example"));
-        net.pass(2000);
-        calls();
-        assertEquals(works(), 1);
-    }
+  @Test
+  public void aMisnamedUnitIsNeverSentAnRpcAndThePickNeverConnected() throws Exception {
+    shown = credentials(CA, TestCa.leaf("unit-8.example"));
+    starts("plain", "");
+    calls();
+    assertEquals(works(), 0);
+    assertEquals(module.ends, List.of(Outcome.NOT_CONNECTED));
+    assertEquals(handshakes("wrong_name"), 1);
+    shown = credentials(CA, TestCa.leaf("unit-7.example"));
+    net.pass(2000);
+    calls();
+    assertEquals(works(), 1);
+  }
 
-    @Test
-    public void aUnitReplacedUnderItsIdByAnotherNameIsReachedByThatName() throws Exception {
-        starts("plain", "");
-        calls();
-        lists("unit-7b.example", 2); // the machine that listens there is still the old one
-        calls();
-        assertEquals(works(), 1);
-        assertEquals(module.ends.get(module.ends.size() - 1), Outcome.NOT_CONNECTED);
-        shown = credentials(CA, TestCa.leaf("unit-7b.example"));
-        net.pass(2000);
-        calls();
-        assertEquals(works(), 2);
-    }
+  @Test
+  public void aUnitReplacedUnderItsIdByAnotherNameIsReachedByThatName() throws Exception {
+    starts("plain", "");
+    calls();
+    lists("unit-7b.example", 2); // the machine that listens there is still the old one
+    calls();
+    assertEquals(works(), 1);
+    assertEquals(module.ends.get(module.ends.size() - 1), Outcome.NOT_CONNECTED);
+    shown = credentials(CA, TestCa.leaf("unit-7b.example"));
+    net.pass(2000);
+    calls();
+    assertEquals(works(), 2);
+  }
 
-    @Test
-    public void aUnitWithoutANameIsNotListed() throws Exception {
-        starts("plain", "");
-        Entry entry = Entry.newBuilder().setUnit(8).setRun(1).setHost("127.0.0.1").setPort(2008).setBuild(1).setHealth(Health.READY).setWeight(1).build();
-        net.turn(() -> rosters.get(0).send(Kind.LISTING, Listing.newBuilder().setForm(Form.CHANGES).addEntries(entry).build()));
-        net.settle();
-        assertEquals(relay.ledger().units().size(), 1);
-    }
+  @Test
+  public void aUnitWithoutANameIsNotListed() throws Exception {
+    starts("plain", "");
+    Entry entry =
+        Entry.newBuilder()
+            .setUnit(8)
+            .setRun(1)
+            .setHost("127.0.0.1")
+            .setPort(2008)
+            .setBuild(1)
+            .setHealth(Health.READY)
+            .setWeight(1)
+            .build();
+    net.turn(
+        () ->
+            rosters
+                .get(0)
+                .send(
+                    Kind.LISTING,
+                    Listing.newBuilder().setForm(Form.CHANGES).addEntries(entry).build()));
+    net.settle();
+    assertEquals(relay.ledger().units().size(), 1);
+  }
 
-    @Test
-    public void aHandshakeThatNeverEndsHoldsNoPickLongerThanAConnectionMayTake() throws Exception {
-        net.listen(new InetSocketAddress("127.0.0.1", 2007), 100, 1 << 20, () -> new LinkUser() {
-            @Override
-            public void up(sprucerock.net.Link link) {}
+  @Test
+  public void aHandshakeThatNeverEndsHoldsNoPickLongerThanAConnectionMayTake() throws Exception {
+    net.listen(
+        new InetSocketAddress("127.0.0.1", 2007),
+        100,
+        1 << 20,
+        () ->
+            new LinkUser() {
+              @Override
+              public void up(sprucerock.net.Link link) {}
 
-            @Override
-            public void received(java.nio.ByteBuffer bytes) {}
+              @Override
+              public void received(java.nio.ByteBuffer bytes) {}
 
-            @Override
-            public void closed(String why) {}
-        });
-        starts("plain", "handshake-within=\"3s\"");
-        calls();
-        assertEquals(module.ends, List.of());
-        net.pass(100); // connect-within
-        assertEquals(module.ends, List.of(Outcome.NOT_CONNECTED));
-        net.pass(3000);
-        assertEquals(handshakes("timed_out"), 1);
-    }
+              @Override
+              public void closed(String why) {}
+            });
+    starts("plain", "handshake-within=\"3s\"");
+    calls();
+    assertEquals(module.ends, List.of());
+    net.pass(100); // connect-within
+    assertEquals(module.ends, List.of(Outcome.NOT_CONNECTED));
+    net.pass(3000);
+    assertEquals(handshakes("timed_out"), 1);
+  }
 
-    @Test
-    public void newFilesMoveConnectionsOverOneAfterAnotherWithoutABrokenPick() throws Exception {
-        starts("plain", "");
-        calls();
-        Person old = units.get(0);
-        TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
-        net.pass(2000);
-        assertEquals(units.size(), 2);
-        assertNull(old.gone); // a pick is out on it
-        calls();
-        assertEquals(units.get(1).all(Kind.WORK).size(), 1); // what is new goes the new way
-        answers(old, ((Work) old.all(Kind.WORK).get(0)).getId());
-        assertEquals(module.ends, List.of(Outcome.OK));
-        net.pass(100);
-        assertTrue(old.gone != null, "still open");
-        assertEquals(handshakes("resumed"), 0); // never across a change
-    }
+  @Test
+  public void newFilesMoveConnectionsOverOneAfterAnotherWithoutABrokenPick() throws Exception {
+    starts("plain", "");
+    calls();
+    Person old = units.get(0);
+    TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
+    net.pass(2000);
+    assertEquals(units.size(), 2);
+    assertNull(old.gone); // a pick is out on it
+    calls();
+    assertEquals(units.get(1).all(Kind.WORK).size(), 1); // what is new goes the new way
+    answers(old, ((Work) old.all(Kind.WORK).get(0)).getId());
+    assertEquals(module.ends, List.of(Outcome.OK));
+    net.pass(100);
+    assertTrue(old.gone != null, "still open");
+    assertEquals(handshakes("resumed"), 0); // never across a change
+  }
 
-    @Test
-    public void aRelaysFilesThatAreWrongStopItAtTheStartAndLaterChangeNothing() throws Exception {
-        starts("plain", "");
-        Files.writeString(folder.resolve("key.pem"), "gone wrong");
-        net.pass(1000);
-        assertTrue(relay.ledger().accounts().value(relay.ledger().accounts().tlsFiles, 0, 2) == 1);
-        calls();
-        assertEquals(works(), 1);
-        Relay other = new Relay(RelayTest.config(RelayTest.CONFIG.replace("port=\"1000\"", "port=\"1100\"").replace("  <site ", "  <tls trust=\""
-            + folder.resolve("none.pem") + "\"/>\n  <site ")), net, Tap.NONE);
-        String message = expectThrows(Material.BadMaterialException.class, () -> other.start((host, settings, seed) -> module, aside)).getMessage();
-        assertEquals(message, folder.resolve("none.pem") + ": can't be read: NoSuchFileException");
-    }
+  @Test
+  public void aRelaysFilesThatAreWrongStopItAtTheStartAndLaterChangeNothing() throws Exception {
+    starts("plain", "");
+    Files.writeString(folder.resolve("key.pem"), "gone wrong");
+    net.pass(1000);
+    assertTrue(relay.ledger().accounts().value(relay.ledger().accounts().tlsFiles, 0, 2) == 1);
+    calls();
+    assertEquals(works(), 1);
+    Relay other =
+        new Relay(
+            RelayTest.config(
+                RelayTest.CONFIG
+                    .replace("port=\"1000\"", "port=\"1100\"")
+                    .replace(
+                        "  <site ",
+                        "  <tls trust=\"" + folder.resolve("none.pem") + "\"/>\n  <site ")),
+            net,
+            Tap.NONE);
+    String message =
+        expectThrows(
+                Material.BadMaterialException.class,
+                () -> other.start((host, settings, seed) -> module, aside))
+            .getMessage();
+    assertEquals(message, folder.resolve("none.pem") + ": can't be read: NoSuchFileException");
+  }
 
-    @Test
-    public void provenClientsAreTakenAndOthersAreNot() throws Exception {
-        starts("proven", "");
-        calls();
-        assertEquals(works(), 1);
-        Person stranger = caller(Role.CLIENT, 4, credentials(TestCa.root("other"), TestCa.leaf("app")));
-        Person unitsKey = caller(Role.CLIENT, 5, credentials(CA, TestCa.leaf("app").uses(Chain.Use.SERVER)));
-        Person plain = Person.at(net, Role.CLIENT, 6, 1000);
-        net.pass(3000);
-        assertTrue(stranger.gone != null && unitsKey.gone != null && plain.gone != null, stranger.gone + ", " + unitsKey.gone + ", " + plain.gone);
-        assertEquals(handshakes("no_certificate") + handshakes("wrong_use") + handshakes("not_tls"), 3,
-            "" + handshakes("ended"));
-        assertNull(client.gone);
-    }
+  @Test
+  public void provenClientsAreTakenAndOthersAreNot() throws Exception {
+    starts("proven", "");
+    calls();
+    assertEquals(works(), 1);
+    Person stranger = caller(Role.CLIENT, 4, credentials(TestCa.root("other"), TestCa.leaf("app")));
+    Person unitsKey =
+        caller(Role.CLIENT, 5, credentials(CA, TestCa.leaf("app").uses(Chain.Use.SERVER)));
+    Person plain = Person.at(net, Role.CLIENT, 6, 1000);
+    net.pass(3000);
+    assertTrue(
+        stranger.gone != null && unitsKey.gone != null && plain.gone != null,
+        stranger.gone + ", " + unitsKey.gone + ", " + plain.gone);
+    assertEquals(
+        handshakes("no_certificate") + handshakes("wrong_use") + handshakes("not_tls"),
+        3,
+        "" + handshakes("ended"));
+    assertNull(client.gone);
+  }
 
-    @Test
-    public void aRelayIsTakenByItsNameOnly() throws Exception {
-        starts("proven", "");
-        Person real = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("relay-1.example")));
-        Person pretends = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("app")));
-        net.pass(50);
-        for (Person one : List.of(real, pretends)) net.turn(() -> one.send(Kind.TOLD, Told.getDefaultInstance(), (byte) 1));
-        net.pass(50);
-        assertNull(real.gone);
-        assertTrue(pretends.gone != null, "it was taken for relay 1");
-        assertEquals(module.calls.stream().filter(call -> call.startsWith("peer 1 ")).count(), 1, module.calls.toString());
+  @Test
+  public void aRelayIsTakenByItsNameOnly() throws Exception {
+    starts("proven", "");
+    Person real = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("relay-1.example")));
+    Person pretends = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("app")));
+    net.pass(50);
+    for (Person one : List.of(real, pretends)) {
+      net.turn(() -> one.send(Kind.TOLD, Told.getDefaultInstance(), (byte) 1));
     }
+    net.pass(50);
+    assertNull(real.gone);
+    assertTrue(pretends.gone != null, "it was taken for relay 1");
+    assertEquals(
+        module.calls.stream().filter(call -> call.startsWith("peer 1 ")).count(),
+        1,
+        module.calls.toString());
+  }
 
-    @Test
-    public void configurationsThatMakeNoSenseAreRefused() {
-        for (String[] one : new String[][] {{"clients=\"tls\"", "clients need a key"}, {"peers=\"true\"", "a name is needed"}}) {
-            String xml = RelayTest.CONFIG.replace("  <site ", "  <tls trust=\"t.pem\" " + one[0] + "/>\n  <site ");
-            String message = expectThrows(ConfigException.class, () -> RelayTest.config(xml)).getMessage();
-            assertTrue(message.contains(one[1]), message);
-        }
+  @Test
+  public void configurationsThatMakeNoSenseAreRefused() {
+    for (String[] one :
+        new String[][] {
+          {"clients=\"tls\"", "clients need a key"}, {"peers=\"true\"", "a name is needed"}
+        }) {
+      String xml =
+          RelayTest.CONFIG.replace("  <site ", "  <tls trust=\"t.pem\" " + one[0] + "/>\n  <site ");
+      String message =
+          expectThrows(ConfigException.class, () -> RelayTest.config(xml)).getMessage();
+      assertTrue(message.contains(one[1]), message);
     }
+  }
 }
--- a/src/test/java/sprucerock/scale/Cluster.java
+++ b/src/test/java/sprucerock/scale/Cluster.java
@@ -18,15 +18,18 @@
 import sprucerock.time.Span;
 
 /**
- * So many relays' real modules on one clock, with units that answer ok after 40 ms, and links between all of them that count what
- * is told and deliver it at once. Nothing depends on the machine's speed: the same arguments give the same counts.
+ * So many relays' real modules on one clock, with units that answer ok after 40 ms, and links
+ * between all of them that count what is told and deliver it at once. Nothing depends on the
+ * machine's speed: the same arguments give the same counts.
  */
 final class Cluster {
-    /** Bytes of a TOLD frame beside its contents: length, kind and an empty head. */
-    static final int FRAME = 8;
-    private static final double ANSWER_MS = 40;
+  /** Bytes of a TOLD frame beside its contents: length, kind and an empty head. */
+  static final int FRAME = 8;
 
-    private static final String SETTINGS = """
+  private static final double ANSWER_MS = 40;
+
+  private static final String SETTINGS =
+      """
         classes.count=1
         classes.0.effect=read_like
         classes.0.on_time=1500.0
@@ -57,164 +60,191 @@
         tick=5.0
         """;
 
-    private record Timer(Moment when, long order, Runnable what) {}
-
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> {
-        int byTime = a.when.compareTo(b.when);
-        return byTime != 0 ? byTime : Long.compare(a.order, b.order);
-    });
-    private final List<One> relays = new ArrayList<>();
-    private Moment now = Moment.ofMs(100_000);
-    private long made;
-
-    /** What one relay told and was told since {@link #begin}, and what it did; frames are bytes on a connection between relays. */
-    static final class Counts {
-        long messagesOut;
-        long bytesOut;
-        long messagesIn;
-        long bytesIn;
-        /** Of those, by the module's kinds: a pick's start or end, loads, pairs. */
-        final long[] inByKind = new long[4];
-        final long[] outByKind = new long[4];
-        final long[] bytesInByKind = new long[4];
-        long votes;
-        long rpcs;
-        long sends;
-    }
-
-    final class One implements Host {
-        final int index;
-        final Settings settings;
-        final Ledger ledger;
-        final Policy policy;
-        Counts counts = new Counts();
-
-        One(int index, int relays) {
-            this.index = index;
-            settings = SettingsText.read(SETTINGS + "index=" + index + "\nbalancers=" + relays + "\n");
-            ledger = new Ledger(settings);
-            policy = new Policy(this, settings, 42 + index);
-            ledger.tell(policy);
-        }
-
-        @Override
-        public Moment now() {
-            return now;
-        }
-
-        @Override
-        public void send(Pick pick) {
-            ledger.sent(pick);
-            counts.sends++;
-            wake(now.plus(Span.ofMs(ANSWER_MS)), () -> {
-                if (pick.outcome() == null) ledger.pickEnded(pick, Outcome.OK, now.since(pick.sent), true);
-            });
-        }
-
-        @Override
-        public void cancel(Pick pick) {}
-
-        @Override
-        public void pushBack(Rpc rpc, Span wait) {
-            ledger.pushedBack(rpc);
-        }
-
-        @Override
-        public void abort(Rpc rpc) {
-            ledger.aborted(rpc);
-        }
-
-        @Override
-        public void wake(Moment when, Runnable what) {
-            timers.add(new Timer(when, made++, what));
-        }
-
-        @Override
-        public void vote(Build build, int stage, Verdict verdict) {
-            counts.votes++;
-            policy.voteAnswered(sprucerock.model.Reply.COUNTS);
-        }
-
-        @Override
-        public void tellPeers(byte[] contents) {
-            for (One other : relays) if (other != this) tell(other, contents);
-        }
+  private record Timer(Moment when, long order, Runnable what) {}
+
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>(
+          (a, b) -> {
+            int byTime = a.when.compareTo(b.when);
+            return byTime != 0 ? byTime : Long.compare(a.order, b.order);
+          });
+  private final List<One> relays = new ArrayList<>();
+  private Moment now = Moment.ofMs(100_000);
+  private long made;
+
+  /**
+   * What one relay told and was told since {@link #begin}, and what it did; frames are bytes on a
+   * connection between relays.
+   */
+  static final class Counts {
+    long messagesOut;
+    long bytesOut;
+    long messagesIn;
+    long bytesIn;
+
+    /** Of those, by the module's kinds: a pick's start or end, loads, pairs. */
+    final long[] inByKind = new long[4];
+
+    final long[] outByKind = new long[4];
+    final long[] bytesInByKind = new long[4];
+    long votes;
+    long rpcs;
+    long sends;
+  }
+
+  final class One implements Host {
+    final int index;
+    final Settings settings;
+    final Ledger ledger;
+    final Policy policy;
+    Counts counts = new Counts();
+
+    One(int index, int relays) {
+      this.index = index;
+      settings = SettingsText.read(SETTINGS + "index=" + index + "\nbalancers=" + relays + "\n");
+      ledger = new Ledger(settings);
+      policy = new Policy(this, settings, 42 + index);
+      ledger.tell(policy);
+    }
 
-        @Override
-        public void tellPeer(int relay, byte[] contents) {
-            tell(relays.get(relay), contents);
-        }
+    @Override
+    public Moment now() {
+      return now;
+    }
 
-        private void tell(One other, byte[] contents) {
-            counts.messagesOut++;
-            counts.bytesOut += FRAME + contents.length;
-            counts.outByKind[contents[0]]++;
-            other.counts.messagesIn++;
-            other.counts.bytesIn += FRAME + contents.length;
-            other.counts.inByKind[contents[0]]++;
-            other.counts.bytesInByKind[contents[0]] += FRAME + contents.length;
-            other.policy.peerTold(index, contents);
-        }
+    @Override
+    public void send(Pick pick) {
+      ledger.sent(pick);
+      counts.sends++;
+      wake(
+          now.plus(Span.ofMs(ANSWER_MS)),
+          () -> {
+            if (pick.outcome() == null) {
+              ledger.pickEnded(pick, Outcome.OK, now.since(pick.sent), true);
+            }
+          });
+    }
 
-        @Override
-        public void subscribe() {}
+    @Override
+    public void cancel(Pick pick) {}
 
-        @Override
-        public void log(String line) {}
+    @Override
+    public void pushBack(Rpc rpc, Span wait) {
+      ledger.pushedBack(rpc);
+    }
 
-        private void rpc(double gapMs) {
-            counts.rpcs++;
-            ledger.arrived(made++, settings.methods.get(0), 0, 0, now, now.plus(Span.ofMs(4000)), null, null);
-            wake(now.plus(Span.ofMs(gapMs)), () -> rpc(gapMs));
-        }
+    @Override
+    public void abort(Rpc rpc) {
+      ledger.aborted(rpc);
     }
 
-    /** All with so many warm units of the released build, each with RPCs at a fixed rate from an own place in the second on. */
-    Cluster(int size, int units, double rpcsPerSecond) {
-        for (int i = 0; i < size; i++) relays.add(new One(i, size));
-        double gapMs = 1000 / rpcsPerSecond;
-        for (One one : relays) {
-            for (int i = 0; i < units; i++) one.ledger.listed(i, 0, 0, 0, 1, null, 1, true);
-            one.ledger.news(1, 2, Standing.RELEASED, 1, now.minus(Span.ofMs(60_000)));
-            one.wake(now.plus(Span.ofMs(gapMs * one.index / size)), () -> one.rpc(gapMs));
-        }
+    @Override
+    public void wake(Moment when, Runnable what) {
+      timers.add(new Timer(when, made++, what));
     }
 
-    /** Units of a newer build are there, and it is on trial: from now on there are pairs. */
-    void offer(int units) {
-        for (One one : relays) {
-            for (int i = 0; i < units; i++) one.ledger.listed(1_000_000 + i, 0, 0, 0, 2, now.minus(Span.ofMs(20_000)), 1, true);
-            one.ledger.news(2, 2, Standing.ON_TRIAL, 1, now);
-        }
+    @Override
+    public void vote(Build build, int stage, Verdict verdict) {
+      counts.votes++;
+      policy.voteAnswered(sprucerock.model.Reply.COUNTS);
     }
 
-    void pass(double ms) {
-        Moment until = now.plus(Span.ofMs(ms));
-        while (!timers.isEmpty() && !timers.peek().when.after(until)) {
-            Timer timer = timers.poll();
-            now = now.later(timer.when);
-            timer.what.run();
+    @Override
+    public void tellPeers(byte[] contents) {
+      for (One other : relays) {
+        if (other != this) {
+          tell(other, contents);
         }
-        now = until;
+      }
     }
 
-    /** Counts go from zero, so that what came before the load was steady is left out. */
-    void begin() {
-        for (One one : relays) one.counts = new Counts();
+    @Override
+    public void tellPeer(int relay, byte[] contents) {
+      tell(relays.get(relay), contents);
     }
 
-    /** Of the relay that sums up loads for all: number 0, the first that all tell. */
-    Counts hub() {
-        return relays.get(0).counts;
+    private void tell(One other, byte[] contents) {
+      counts.messagesOut++;
+      counts.bytesOut += FRAME + contents.length;
+      counts.outByKind[contents[0]]++;
+      other.counts.messagesIn++;
+      other.counts.bytesIn += FRAME + contents.length;
+      other.counts.inByKind[contents[0]]++;
+      other.counts.bytesInByKind[contents[0]] += FRAME + contents.length;
+      other.policy.peerTold(index, contents);
     }
 
-    /** Of one that is not the hub. */
-    Counts other() {
-        return relays.get(relays.size() - 1).counts;
+    @Override
+    public void subscribe() {}
+
+    @Override
+    public void log(String line) {}
+
+    private void rpc(double gapMs) {
+      counts.rpcs++;
+      ledger.arrived(
+          made++, settings.methods.get(0), 0, 0, now, now.plus(Span.ofMs(4000)), null, null);
+      wake(now.plus(Span.ofMs(gapMs)), () -> rpc(gapMs));
+    }
+  }
+
+  /**
+   * All with so many warm units of the released build, each with RPCs at a fixed rate from an own
+   * place in the second on.
+   */
+  Cluster(int size, int units, double rpcsPerSecond) {
+    for (int i = 0; i < size; i++) {
+      relays.add(new One(i, size));
+    }
+    double gapMs = 1000 / rpcsPerSecond;
+    for (One one : relays) {
+      for (int i = 0; i < units; i++) {
+        one.ledger.listed(i, 0, 0, 0, 1, null, 1, true);
+      }
+      one.ledger.news(1, 2, Standing.RELEASED, 1, now.minus(Span.ofMs(60_000)));
+      one.wake(now.plus(Span.ofMs(gapMs * one.index / size)), () -> one.rpc(gapMs));
+    }
+  }
+
+  /** Units of a newer build are there, and it is on trial: from now on there are pairs. */
+  void offer(int units) {
+    for (One one : relays) {
+      for (int i = 0; i < units; i++) {
+        one.ledger.listed(1_000_000 + i, 0, 0, 0, 2, now.minus(Span.ofMs(20_000)), 1, true);
+      }
+      one.ledger.news(2, 2, Standing.ON_TRIAL, 1, now);
+    }
+  }
+
+  void pass(double ms) {
+    Moment until = now.plus(Span.ofMs(ms));
+    while (!timers.isEmpty() && !timers.peek().when.after(until)) {
+      Timer timer = timers.poll();
+      now = now.later(timer.when);
+      timer.what.run();
     }
+    now = until;
+  }
 
-    /** The hub is told something by a relay that need not be there. */
-    void toldPairs(int sender, byte[] contents) {
-        relays.get(0).policy.peerTold(sender, contents);
+  /** Counts go from zero, so that what came before the load was steady is left out. */
+  void begin() {
+    for (One one : relays) {
+      one.counts = new Counts();
     }
+  }
+
+  /** Of the relay that sums up loads for all: number 0, the first that all tell. */
+  Counts hub() {
+    return relays.get(0).counts;
+  }
+
+  /** Of one that is not the hub. */
+  Counts other() {
+    return relays.get(relays.size() - 1).counts;
+  }
+
+  /** The hub is told something by a relay that need not be there. */
+  void toldPairs(int sender, byte[] contents) {
+    relays.get(0).policy.peerTold(sender, contents);
+  }
 }
--- a/src/test/java/sprucerock/scale/ControllerScaleTest.java
+++ b/src/test/java/sprucerock/scale/ControllerScaleTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 import sprucerock.change.Change;
 import sprucerock.change.Changes;
-import sprucerock.change.Plan;
 import sprucerock.change.ManagedRelay;
+import sprucerock.change.Plan;
 import sprucerock.change.Verdict;
 import sprucerock.change.Version;
 import sprucerock.controller.Release;
@@ -32,184 +32,325 @@
 import sprucerock.wire.v1.Voted;
 import sprucerock.wire.v1.Wants;
 
-/** What one word of an agent, one vote of a relay and one look of the controller cost, against the number of relays. */
+/**
+ * What one word of an agent, one vote of a relay and one look of the controller cost, against the
+ * number of relays.
+ */
 public class ControllerScaleTest {
-    private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
-    private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
-    private static final Plan PLAN = new Plan(List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)), Span.ofMs(10_000), Span.ofMs(120_000),
-        Span.ofMs(20_000), 0.2, 0.1, Span.ofMs(5000));
-
-    /** So many relays in three zones that run the old version, settled on it, whose agents do what is wanted. */
-    private static final class Fleet implements Changes.Host {
-        private final Changes changes = new Changes(PLAN, this);
-        private final ArrayDeque<ManagedRelay> wants = new ArrayDeque<>();
-        private double now = 1000;
-        private long words;
-
-        Fleet(int relays) {
-            for (int i = 0; i < relays; i++) says(i, OLD, true, 0);
-        }
-
-        Moment at() {
-            return Moment.ofMs(now);
-        }
-
-        void says(int number, Version runs, boolean ready, int done) {
-            words++;
-            changes.says(number, number % 3, number % 5 == 0, runs, ready, done, at(), 0);
-        }
-
-        Change propose() {
-            assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
-            return changes.waiting();
-        }
-
-        void read(Change change) {
-            for (int i = 0; i < changes.relays().size(); i++) changes.checked(i, change.number, "", at(), 0);
-        }
-
-        void obey() {
-            while (!wants.isEmpty()) {
-                ManagedRelay next = wants.poll();
-                now += 1;
-                says(next.number, next.wanted(), false, next.turn());
-                says(next.number, next.wanted(), true, next.turn());
-            }
-        }
-
-        @Override
-        public void changed(Change change, Change.Step step) {
-            // not counted
-        }
-
-        @Override
-        public void wants(ManagedRelay relay) {
-            wants.add(relay);
-        }
+  private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
+  private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
+  private static final Plan PLAN =
+      new Plan(
+          List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)),
+          Span.ofMs(10_000),
+          Span.ofMs(120_000),
+          Span.ofMs(20_000),
+          0.2,
+          0.1,
+          Span.ofMs(5000));
+
+  /**
+   * So many relays in three zones that run the old version, settled on it, whose agents do what is
+   * wanted.
+   */
+  private static final class Fleet implements Changes.Host {
+    private final Changes changes = new Changes(PLAN, this);
+    private final ArrayDeque<ManagedRelay> wants = new ArrayDeque<>();
+    private double now = 1000;
+    private long words;
+
+    Fleet(int relays) {
+      for (int i = 0; i < relays; i++) {
+        says(i, OLD, true, 0);
+      }
     }
 
-    @Test
-    public void aWordOfAnAgentLooksAtNoOtherRelay() {
-        Counted.at("an agent's word, nothing under way", relays -> {
-            Fleet fleet = new Fleet(relays);
-            long before = fleet.changes.looked();
-            for (int i = 0; i < relays; i++) fleet.says(i, OLD, i % 2 == 0, 0);
-            return (fleet.changes.looked() - before) / (double) relays;
-        }, 100, 200, 400).isFlat(1.2, 10);
+    Moment at() {
+      return Moment.ofMs(now);
     }
 
-    /** Each 50 ms. */
-    @Test
-    public void timeThatPassesLooksAtNoRelay() {
-        Counted.at("a look whether a change is due", relays -> {
-            Fleet fleet = new Fleet(relays);
-            long before = fleet.changes.looked();
-            for (int i = 0; i < 20; i++) fleet.changes.due(Moment.ofMs(2000 + i * 50));
-            return (fleet.changes.looked() - before) / 20.0;
-        }, 100, 200, 400).isFlat(1.2, 2);
+    void says(int number, Version runs, boolean ready, int done) {
+      words++;
+      changes.says(number, number % 3, number % 5 == 0, runs, ready, done, at(), 0);
     }
 
-    @Test
-    public void thatAnAgentHasReadAVersionLooksAtNoOtherRelay() {
-        Counted.at("an agent that has read it", relays -> {
-            Fleet fleet = new Fleet(relays);
-            Change change = fleet.propose();
-            long before = fleet.changes.looked();
-            for (int i = 0; i < relays - 1; i++) fleet.changes.checked(i, change.number, "", fleet.at(), 0);
-            assertEquals(change.state(), Change.State.PROPOSED);
-            return (fleet.changes.looked() - before) / (double) relays;
-        }, 100, 200, 400).isFlat(1.2, 10);
+    Change propose() {
+      assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
+      return changes.waiting();
     }
 
-    /**
-     * All that is looked at from the first relay that is moved to the last, for each word that agents said meanwhile. Who is next is still found by
-     * walking all relays some times: a cost that this holds to its slope.
-     */
-    @Test
-    public void aWordWhileAChangeIsOnItsWayGrowsNoFasterThanTheFleet() {
-        Counted.at("an agent's word while a change moves", relays -> {
-            Fleet fleet = new Fleet(relays);
-            Change change = fleet.propose();
-            long before = fleet.changes.looked();
-            long words = fleet.words;
-            fleet.read(change);
-            for (int i = 0; i < 20 && change.state() != Change.State.DONE; i++) {
-                fleet.obey();
-                fleet.changes.judged(change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
-                fleet.now += 11_000;
-                fleet.changes.tick(fleet.at(), 0);
-            }
-            assertEquals(change.state(), Change.State.DONE);
-            return (fleet.changes.looked() - before) / (double) (fleet.words - words);
-        }, 100, 200, 400).growsAsTheSize(1.05);
+    void read(Change change) {
+      for (int i = 0; i < changes.relays().size(); i++) {
+        changes.checked(i, change.number, "", at(), 0);
+      }
     }
 
-    @Test
-    public void aVoteLooksAtNoOtherRelaysVote() {
-        Counted.at("a vote", relays -> {
-            Rules rules = new Rules(List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)), Rules.Control.MAJORITY, relays + 1, relays + 1, relays + 1, Span.ofMs(1000), Span.ofMs(60_000),
-                Span.ofMs(1000), Span.ofMs(600_000), Span.ofMs(1000), Span.ofMs(60_000), 10);
-            Releases releases = new Releases(rules, 10, 1, Moment.ofMs(0), (release, step) -> { });
-            releases.announced("m1", 2, "a2", "ci", Moment.ofMs(10), 10);
-            releases.ready(2, 10, Moment.ofMs(20), 20);
-            assertEquals(releases.present().standing(), Release.Standing.ON_TRIAL);
-            for (int i = 0; i < relays; i++) releases.cast(i, 2, 0, Releases.Say.ON, Moment.ofMs(1500), 1500);
-            long before = releases.looked();
-            for (int i = 0; i < relays; i++) {
-                releases.cast(i, 2, 0, i % 2 == 0 ? Releases.Say.ON : Releases.Say.BACK, Moment.ofMs(3000 + i), 3000);
-                releases.due(Moment.ofMs(3000 + i));
-            }
-            return (releases.looked() - before) / (double) relays;
-        }, 100, 200, 400).isFlat(1.2, 10);
+    void obey() {
+      while (!wants.isEmpty()) {
+        ManagedRelay next = wants.poll();
+        now += 1;
+        says(next.number, next.wanted(), false, next.turn());
+        says(next.number, next.wanted(), true, next.turn());
+      }
     }
 
-    /**
-     * One change at a time, each watched in every stage: so many a day there can be at most, were every relay restarted in no time at all. It does not
-     * hang on the fleet's size; room does, which bounds how many are out at once.
-     */
-    @Test
-    public void changesOfADayAreBoundedByTheirWatch() {
-        double[] each = new double[2];
-        int[] sizes = {100, 400};
-        for (int i = 0; i < 2; i++) {
-            Fleet fleet = new Fleet(sizes[i]);
-            Change change = fleet.propose();
-            fleet.read(change);
-            double from = fleet.now;
-            while (change.state() != Change.State.DONE) {
-                double before = fleet.now;
-                fleet.obey();
-                fleet.now = before; // as if nobody took any time
-                fleet.changes.judged(change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
-                fleet.now += 1000;
-                fleet.changes.tick(fleet.at(), 0);
-            }
-            each[i] = 86_400_000 / (fleet.now - from);
-            System.out.printf(Locale.ROOT, "counted: changes a day, three stages watched for 10 s each: at %d %.0f%n", sizes[i], each[i]);
-        }
-        assertEquals(each[0], each[1], 0.01 * each[0]);
-        assertTrue(each[0] <= 86_400 / 30.0 && each[0] >= 86_400 / 40.0, each[0] + " a day");
+    @Override
+    public void changed(Change change, Change.Step step) {
+      // not counted
     }
 
-    /** Frames as they go out, eight bytes of frame with each; none of them holds anything of other relays. */
-    @Test
-    public void whatOneRelayOrAgentIsToldIsSmall() {
-        String digest = "a".repeat(64);
-        told("news", 60, News.newBuilder().setBuild(60_000).setStage(3).setStanding(Stand.ON_TRIAL).setCap(0.12).setLastedUs(86_400_000_000L).setEpoch(1000).setSequence(1_000_000).build());
-        told("vote", 20, Vote.newBuilder().setId(1_000_000).setBuild(60_000).setStage(3).setSay(Say.BACK).build());
-        told("vote's answer", 20, Voted.newBuilder().setId(1_000_000).setTaken(Taken.COUNTS).build());
-        told("ask for promises", 30, PromiseAsk.newBuilder().setId(1_000_000).setHolds(1_000_000).setList(-1).build());
-        told("wants", 310, Wants.newBuilder().setEpoch(1000).setTurn(1000).setProgram(digest).setSettings(digest).setChange(30_000).setCheckProgram(digest).setCheckSettings(digest).build());
-        RelaySums sums = RelaySums.newBuilder().setRpcs(1e9).setWorth(1e9).setInTime(1e9).setRefused(1).setAborted(1).setLost(1).setAnswered(1e9).setAnsweredMs(1e9).setWorkMs(1e9).setMemoryMb(99)
-            .setConnections(99).setMessages(1e9).build();
-        told("agent's word", 300, AgentSays.newBuilder().setZone(1).setProgram(digest).setSettings(digest).setReady(true).setDone(1000).setEpoch(1000).setLife(-1L).setStarts(10).setCores(0.5)
-            .setSums(sums).build());
-        told("head of a piece", 100, Piece.newBuilder().setDigest(digest).setFrom(1 << 24).setSize(1 << 25).build());
+    @Override
+    public void wants(ManagedRelay relay) {
+      wants.add(relay);
     }
+  }
+
+  @Test
+  public void aWordOfAnAgentLooksAtNoOtherRelay() {
+    Counted.at(
+            "an agent's word, nothing under way",
+            relays -> {
+              Fleet fleet = new Fleet(relays);
+              long before = fleet.changes.looked();
+              for (int i = 0; i < relays; i++) {
+                fleet.says(i, OLD, i % 2 == 0, 0);
+              }
+              return (fleet.changes.looked() - before) / (double) relays;
+            },
+            100,
+            200,
+            400)
+        .isFlat(1.2, 10);
+  }
 
-    private static void told(String what, int most, MessageLite message) {
-        int bytes = 8 + message.getSerializedSize();
-        System.out.println("counted: bytes of " + what + ": " + bytes);
-        assertTrue(bytes <= most, what + " has " + bytes + " bytes");
+  /** Each 50 ms. */
+  @Test
+  public void timeThatPassesLooksAtNoRelay() {
+    Counted.at(
+            "a look whether a change is due",
+            relays -> {
+              Fleet fleet = new Fleet(relays);
+              long before = fleet.changes.looked();
+              for (int i = 0; i < 20; i++) {
+                fleet.changes.due(Moment.ofMs(2000 + i * 50));
+              }
+              return (fleet.changes.looked() - before) / 20.0;
+            },
+            100,
+            200,
+            400)
+        .isFlat(1.2, 2);
+  }
+
+  @Test
+  public void thatAnAgentHasReadAVersionLooksAtNoOtherRelay() {
+    Counted.at(
+            "an agent that has read it",
+            relays -> {
+              Fleet fleet = new Fleet(relays);
+              Change change = fleet.propose();
+              long before = fleet.changes.looked();
+              for (int i = 0; i < relays - 1; i++) {
+                fleet.changes.checked(i, change.number, "", fleet.at(), 0);
+              }
+              assertEquals(change.state(), Change.State.PROPOSED);
+              return (fleet.changes.looked() - before) / (double) relays;
+            },
+            100,
+            200,
+            400)
+        .isFlat(1.2, 10);
+  }
+
+  /**
+   * All that is looked at from the first relay that is moved to the last, for each word that agents
+   * said meanwhile. Who is next is still found by walking all relays some times: a cost that this
+   * holds to its slope.
+   */
+  @Test
+  public void aWordWhileAChangeIsOnItsWayGrowsNoFasterThanTheFleet() {
+    Counted.at(
+            "an agent's word while a change moves",
+            relays -> {
+              Fleet fleet = new Fleet(relays);
+              Change change = fleet.propose();
+              long before = fleet.changes.looked();
+              long words = fleet.words;
+              fleet.read(change);
+              for (int i = 0; i < 20 && change.state() != Change.State.DONE; i++) {
+                fleet.obey();
+                fleet.changes.judged(
+                    change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+                fleet.now += 11_000;
+                fleet.changes.tick(fleet.at(), 0);
+              }
+              assertEquals(change.state(), Change.State.DONE);
+              return (fleet.changes.looked() - before) / (double) (fleet.words - words);
+            },
+            100,
+            200,
+            400)
+        .growsAsTheSize(1.05);
+  }
+
+  @Test
+  public void aVoteLooksAtNoOtherRelaysVote() {
+    Counted.at(
+            "a vote",
+            relays -> {
+              Rules rules =
+                  new Rules(
+                      List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)),
+                      Rules.Control.MAJORITY,
+                      relays + 1,
+                      relays + 1,
+                      relays + 1,
+                      Span.ofMs(1000),
+                      Span.ofMs(60_000),
+                      Span.ofMs(1000),
+                      Span.ofMs(600_000),
+                      Span.ofMs(1000),
+                      Span.ofMs(60_000),
+                      10);
+              Releases releases = new Releases(rules, 10, 1, Moment.ofMs(0), (release, step) -> {});
+              releases.announced("m1", 2, "a2", "ci", Moment.ofMs(10), 10);
+              releases.ready(2, 10, Moment.ofMs(20), 20);
+              assertEquals(releases.present().standing(), Release.Standing.ON_TRIAL);
+              for (int i = 0; i < relays; i++) {
+                releases.cast(i, 2, 0, Releases.Say.ON, Moment.ofMs(1500), 1500);
+              }
+              long before = releases.looked();
+              for (int i = 0; i < relays; i++) {
+                releases.cast(
+                    i,
+                    2,
+                    0,
+                    i % 2 == 0 ? Releases.Say.ON : Releases.Say.BACK,
+                    Moment.ofMs(3000 + i),
+                    3000);
+                releases.due(Moment.ofMs(3000 + i));
+              }
+              return (releases.looked() - before) / (double) relays;
+            },
+            100,
+            200,
+            400)
+        .isFlat(1.2, 10);
+  }
+
+  /**
+   * One change at a time, each watched in every stage: so many a day there can be at most, were
+   * every relay restarted in no time at all. It does not hang on the fleet's size; room does, which
+   * bounds how many are out at once.
+   */
+  @Test
+  public void changesOfADayAreBoundedByTheirWatch() {
+    double[] each = new double[2];
+    int[] sizes = {100, 400};
+    for (int i = 0; i < 2; i++) {
+      Fleet fleet = new Fleet(sizes[i]);
+      Change change = fleet.propose();
+      fleet.read(change);
+      double from = fleet.now;
+      while (change.state() != Change.State.DONE) {
+        double before = fleet.now;
+        fleet.obey();
+        fleet.now = before; // as if nobody took any time
+        fleet.changes.judged(
+            change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+        fleet.now += 1000;
+        fleet.changes.tick(fleet.at(), 0);
+      }
+      each[i] = 86_400_000 / (fleet.now - from);
+      System.out.printf(
+          Locale.ROOT,
+          "counted: changes a day, three stages watched for 10 s each: at %d %.0f%n",
+          sizes[i],
+          each[i]);
     }
+    assertEquals(each[0], each[1], 0.01 * each[0]);
+    assertTrue(each[0] <= 86_400 / 30.0 && each[0] >= 86_400 / 40.0, each[0] + " a day");
+  }
+
+  /**
+   * Frames as they go out, eight bytes of frame with each; none of them holds anything of other
+   * relays.
+   */
+  @Test
+  public void whatOneRelayOrAgentIsToldIsSmall() {
+    String digest = "a".repeat(64);
+    told(
+        "news",
+        60,
+        News.newBuilder()
+            .setBuild(60_000)
+            .setStage(3)
+            .setStanding(Stand.ON_TRIAL)
+            .setCap(0.12)
+            .setLastedUs(86_400_000_000L)
+            .setEpoch(1000)
+            .setSequence(1_000_000)
+            .build());
+    told(
+        "vote",
+        20,
+        Vote.newBuilder().setId(1_000_000).setBuild(60_000).setStage(3).setSay(Say.BACK).build());
+    told("vote's answer", 20, Voted.newBuilder().setId(1_000_000).setTaken(Taken.COUNTS).build());
+    told(
+        "ask for promises",
+        30,
+        PromiseAsk.newBuilder().setId(1_000_000).setHolds(1_000_000).setList(-1).build());
+    told(
+        "wants",
+        310,
+        Wants.newBuilder()
+            .setEpoch(1000)
+            .setTurn(1000)
+            .setProgram(digest)
+            .setSettings(digest)
+            .setChange(30_000)
+            .setCheckProgram(digest)
+            .setCheckSettings(digest)
+            .build());
+    RelaySums sums =
+        RelaySums.newBuilder()
+            .setRpcs(1e9)
+            .setWorth(1e9)
+            .setInTime(1e9)
+            .setRefused(1)
+            .setAborted(1)
+            .setLost(1)
+            .setAnswered(1e9)
+            .setAnsweredMs(1e9)
+            .setWorkMs(1e9)
+            .setMemoryMb(99)
+            .setConnections(99)
+            .setMessages(1e9)
+            .build();
+    told(
+        "agent's word",
+        300,
+        AgentSays.newBuilder()
+            .setZone(1)
+            .setProgram(digest)
+            .setSettings(digest)
+            .setReady(true)
+            .setDone(1000)
+            .setEpoch(1000)
+            .setLife(-1L)
+            .setStarts(10)
+            .setCores(0.5)
+            .setSums(sums)
+            .build());
+    told(
+        "head of a piece",
+        100,
+        Piece.newBuilder().setDigest(digest).setFrom(1 << 24).setSize(1 << 25).build());
+  }
+
+  private static void told(String what, int most, MessageLite message) {
+    int bytes = 8 + message.getSerializedSize();
+    System.out.println("counted: bytes of " + what + ": " + bytes);
+    assertTrue(bytes <= most, what + " has " + bytes + " bytes");
+  }
 }
--- a/src/test/java/sprucerock/scale/FreezeScaleTest.java
+++ b/src/test/java/sprucerock/scale/FreezeScaleTest.java
@@ -14,106 +14,151 @@
 import sprucerock.freeze.Promises;
 import sprucerock.freeze.Rack;
 
-/** What promises cost the controller, against relays, racks and freezes: what is looked at when one relay asks, or when time passes. */
+/**
+ * What promises cost the controller, against relays, racks and freezes: what is looked at when one
+ * relay asks, or when time passes.
+ */
 public class FreezeScaleTest {
-    private static final long MIN = 60_000;
-    private static final long NOTICE = 10 * MIN;
-    private static final Freezes.Host NOBODY = new Freezes.Host() {
+  private static final long MIN = 60_000;
+  private static final long NOTICE = 10 * MIN;
+  private static final Freezes.Host NOBODY =
+      new Freezes.Host() {
         @Override
         public void changed(Freeze freeze, Freeze.Step step) {
-            // not counted
+          // not counted
         }
 
         @Override
         public void promisesChanged() {
-            // not counted here
+          // not counted here
         }
-    };
-
-    private final int racks;
-    private final Freezes freezes;
-    private final Promises promises;
-
-    public FreezeScaleTest() {
-        this(1, 0);
-    }
-
-    /** So many racks without a forecast, and windows of an hour that begin an hour from now on, each on a rack of its own as far as there are. */
-    private FreezeScaleTest(int racks, int windows) {
-        this.racks = racks;
-        List<Rack> all = new ArrayList<>();
-        for (int i = 0; i < racks; i++) all.add(new Rack("r" + i, 1 + i % 3, i / 3, Map.of(1, 40.0), NOTICE));
-        freezes = new Freezes(new Freezes.Rules(MIN, MIN, 0.95), new Headroom(all, Map.of(), 0), NOBODY);
-        promises = new Promises(freezes, -NOTICE);
-        for (int i = 0; i < windows; i++) announce("r" + i % racks, (60 + i) * MIN, 0);
-    }
-
-    private Freeze announce(String rack, long from, long now) {
-        Object made = freezes.announce(Set.of(rack), from, MIN, 0, "", "UTC", false, "ann", "new switch", now);
-        return freezes.of((Long) ((List<?>) made).get(0));
-    }
-
-    private long looked() {
-        return freezes.looked() + promises.looked();
-    }
-
-    /** As the door does with each ask. */
-    private void asks(int relay, long holds, long now) {
-        promises.asked(relay, holds, now);
-        promises.cleared(now).forEach(number -> freezes.cleared(number, now));
+      };
+
+  private final int racks;
+  private final Freezes freezes;
+  private final Promises promises;
+
+  public FreezeScaleTest() {
+    this(1, 0);
+  }
+
+  /**
+   * So many racks without a forecast, and windows of an hour that begin an hour from now on, each
+   * on a rack of its own as far as there are.
+   */
+  private FreezeScaleTest(int racks, int windows) {
+    this.racks = racks;
+    List<Rack> all = new ArrayList<>();
+    for (int i = 0; i < racks; i++) {
+      all.add(new Rack("r" + i, 1 + i % 3, i / 3, Map.of(1, 40.0), NOTICE));
     }
-
-    /** The second round of asks of so many relays, each once, within a second. */
-    private static double anAsk(int relays, int racks, int windows, boolean draining) {
-        FreezeScaleTest one = new FreezeScaleTest(racks, windows);
-        for (int i = 0; i < relays; i++) one.asks(i, one.freezes.sequence(), 1000 + i * 1000L / relays);
-        if (draining) {
-            Freeze freeze = one.announce("r0", 2100, 2100);
-            one.freezes.tick(2100);
-            assertEquals(freeze.state(), Freeze.State.DRAINING);
-        }
-        long before = one.looked();
-        for (int i = 0; i < relays; i++) one.asks(i, one.freezes.sequence(), 2200 + i * 1000L / relays);
-        if (draining) assertTrue(one.freezes.all().stream().anyMatch(freeze -> freeze.state() == Freeze.State.IN_FORCE), "it never came into force");
-        return (one.looked() - before) / (double) relays;
+    freezes =
+        new Freezes(new Freezes.Rules(MIN, MIN, 0.95), new Headroom(all, Map.of(), 0), NOBODY);
+    promises = new Promises(freezes, -NOTICE);
+    for (int i = 0; i < windows; i++) {
+      announce("r" + i % racks, (60 + i) * MIN, 0);
     }
-
-    @Test
-    public void anAskLooksAtNoOtherRelay() {
-        Counted.at("an ask, by relays", relays -> anAsk(relays, 10, 5, false), 100, 200, 400).isFlat(1.2, 8);
+  }
+
+  private Freeze announce(String rack, long from, long now) {
+    Object made =
+        freezes.announce(Set.of(rack), from, MIN, 0, "", "UTC", false, "ann", "new switch", now);
+    return freezes.of((Long) ((List<?>) made).get(0));
+  }
+
+  private long looked() {
+    return freezes.looked() + promises.looked();
+  }
+
+  /** As the door does with each ask. */
+  private void asks(int relay, long holds, long now) {
+    promises.asked(relay, holds, now);
+    promises.cleared(now).forEach(number -> freezes.cleared(number, now));
+  }
+
+  /** The second round of asks of so many relays, each once, within a second. */
+  private static double anAsk(int relays, int racks, int windows, boolean draining) {
+    FreezeScaleTest one = new FreezeScaleTest(racks, windows);
+    for (int i = 0; i < relays; i++) {
+      one.asks(i, one.freezes.sequence(), 1000 + i * 1000L / relays);
     }
-
-    @Test
-    public void anAskLooksAtNoRackAndNoFreezeThatDoesNotConcernIt() {
-        Counted.at("an ask, by racks", racks -> anAsk(20, racks, 5, false), 100, 400).isFlat(1.2, 8);
-        Counted.at("an ask, by freezes", windows -> anAsk(20, 100, windows, false), 25, 100).isFlat(1.2, 8);
+    if (draining) {
+      Freeze freeze = one.announce("r0", 2100, 2100);
+      one.freezes.tick(2100);
+      assertEquals(freeze.state(), Freeze.State.DRAINING);
     }
-
-    /** Each ask then answers whether anybody still holds a promise into it. */
-    @Test
-    public void anAskWhileOneDrainsLooksAtNoOtherRelayEither() {
-        Counted.at("an ask while one drains, by relays", relays -> anAsk(relays, 10, 5, true), 100, 200, 400).isFlat(1.2, 10);
-    }
-
-    /** What a rack's promise is, costs what is frozen on that rack, and not on others. */
-    @Test
-    public void whatOneRackIsPromisedLooksAtThatRack() {
-        Counted.at("a rack's promise, by freezes of other racks", windows -> {
-            FreezeScaleTest one = new FreezeScaleTest(windows, windows);
-            long before = one.looked();
-            for (int i = 0; i < one.racks; i++) one.promises.promised("r" + i, 1000);
-            return (one.looked() - before) / (double) one.racks;
-        }, 25, 100, 400).isFlat(1.2, 2);
+    long before = one.looked();
+    for (int i = 0; i < relays; i++) {
+      one.asks(i, one.freezes.sequence(), 2200 + i * 1000L / relays);
     }
-
-    /** Twenty times a second it is asked whether time alone has changed anything. */
-    @Test
-    public void timeThatPassesLooksAtTheNextFreezeAlone() {
-        Counted.at("a look whether something is due, by freezes", windows -> {
-            FreezeScaleTest one = new FreezeScaleTest(windows, windows);
-            long before = one.looked();
-            for (int i = 0; i < 20; i++) one.freezes.due(1000 + i * 50L);
-            return (one.looked() - before) / 20.0;
-        }, 25, 100, 400).isFlat(1.2, 2);
+    if (draining) {
+      assertTrue(
+          one.freezes.all().stream().anyMatch(freeze -> freeze.state() == Freeze.State.IN_FORCE),
+          "it never came into force");
     }
+    return (one.looked() - before) / (double) relays;
+  }
+
+  @Test
+  public void anAskLooksAtNoOtherRelay() {
+    Counted.at("an ask, by relays", relays -> anAsk(relays, 10, 5, false), 100, 200, 400)
+        .isFlat(1.2, 8);
+  }
+
+  @Test
+  public void anAskLooksAtNoRackAndNoFreezeThatDoesNotConcernIt() {
+    Counted.at("an ask, by racks", racks -> anAsk(20, racks, 5, false), 100, 400).isFlat(1.2, 8);
+    Counted.at("an ask, by freezes", windows -> anAsk(20, 100, windows, false), 25, 100)
+        .isFlat(1.2, 8);
+  }
+
+  /** Each ask then answers whether anybody still holds a promise into it. */
+  @Test
+  public void anAskWhileOneDrainsLooksAtNoOtherRelayEither() {
+    Counted.at(
+            "an ask while one drains, by relays",
+            relays -> anAsk(relays, 10, 5, true),
+            100,
+            200,
+            400)
+        .isFlat(1.2, 10);
+  }
+
+  /** What a rack's promise is, costs what is frozen on that rack, and not on others. */
+  @Test
+  public void whatOneRackIsPromisedLooksAtThatRack() {
+    Counted.at(
+            "a rack's promise, by freezes of other racks",
+            windows -> {
+              FreezeScaleTest one = new FreezeScaleTest(windows, windows);
+              long before = one.looked();
+              for (int i = 0; i < one.racks; i++) {
+                one.promises.promised("r" + i, 1000);
+              }
+              return (one.looked() - before) / (double) one.racks;
+            },
+            25,
+            100,
+            400)
+        .isFlat(1.2, 2);
+  }
+
+  /** Twenty times a second it is asked whether time alone has changed anything. */
+  @Test
+  public void timeThatPassesLooksAtTheNextFreezeAlone() {
+    Counted.at(
+            "a look whether something is due, by freezes",
+            windows -> {
+              FreezeScaleTest one = new FreezeScaleTest(windows, windows);
+              long before = one.looked();
+              for (int i = 0; i < 20; i++) {
+                one.freezes.due(1000 + i * 50L);
+              }
+              return (one.looked() - before) / 20.0;
+            },
+            25,
+            100,
+            400)
+        .isFlat(1.2, 2);
+  }
 }
--- a/src/test/java/sprucerock/scale/LinksCount.java
+++ b/src/test/java/sprucerock/scale/LinksCount.java
@@ -21,76 +21,107 @@
 import sprucerock.wire.v1.Role;
 
 /**
- * Prints what so many other relays cost in memory: one process that holds both ends of each connection on real sockets, as a relay of a
- * full mesh holds one that it made and one that it took. Not a test.
+ * Prints what so many other relays cost in memory: one process that holds both ends of each
+ * connection on real sockets, as a relay of a full mesh holds one that it made and one that it
+ * took. Not a test.
  */
 public final class LinksCount {
-    private LinksCount() {}
+  private LinksCount() {}
 
-    public static void main(String[] args) throws Exception {
-        System.out.println("links heapB directB (both ends)");
-        for (String arg : args) count(Integer.parseInt(arg));
+  public static void main(String[] args) throws Exception {
+    System.out.println("links heapB directB (both ends)");
+    for (String arg : args) {
+      count(Integer.parseInt(arg));
     }
+  }
 
-    private static long direct() {
-        return ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream().filter(pool -> pool.getName().equals("direct")).mapToLong(BufferPoolMXBean::getMemoryUsed).sum();
-    }
+  private static long direct() {
+    return ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
+        .filter(pool -> pool.getName().equals("direct"))
+        .mapToLong(BufferPoolMXBean::getMemoryUsed)
+        .sum();
+  }
 
-    private static void count(int links) throws Exception {
-        long heapBefore = ListsCount.heap();
-        long directBefore = direct();
-        NioLoop loop = new NioLoop("links", Throwable::printStackTrace);
-        CountDownLatch greeted = new CountDownLatch(2 * links);
-        List<Object> held = new ArrayList<>();
-        Limits limits = new Limits(1 << 20, 4 << 20, Span.ofMs(600_000));
-        Hello mine = Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(Role.RELAY).setNumber(1).setName("r1").build();
-        FrameUser user = new FrameUser() {
-            @Override
-            public void greeted(FrameLink link, Hello other) {
-                greeted.countDown();
-            }
+  private static void count(int links) throws Exception {
+    long heapBefore = ListsCount.heap();
+    long directBefore = direct();
+    NioLoop loop = new NioLoop("links", Throwable::printStackTrace);
+    CountDownLatch greeted = new CountDownLatch(2 * links);
+    List<Object> held = new ArrayList<>();
+    Limits limits = new Limits(1 << 20, 4 << 20, Span.ofMs(600_000));
+    Hello mine =
+        Hello.newBuilder()
+            .setVersion(FrameLink.VERSION)
+            .setRole(Role.RELAY)
+            .setNumber(1)
+            .setName("r1")
+            .build();
+    FrameUser user =
+        new FrameUser() {
+          @Override
+          public void greeted(FrameLink link, Hello other) {
+            greeted.countDown();
+          }
 
-            @Override
-            public void frame(Kind kind, MessageLite head, byte[] body) {}
+          @Override
+          public void frame(Kind kind, MessageLite head, byte[] body) {}
 
-            @Override
-            public void closed(String why) {}
+          @Override
+          public void closed(String why) {}
         };
-        InetSocketAddress[] at = new InetSocketAddress[1];
-        CountDownLatch bound = new CountDownLatch(1);
-        loop.post(() -> {
-            try {
-                at[0] = loop.listen(new InetSocketAddress("127.0.0.1", 0), links, 4 << 20, () -> {
-                    FrameLink link = new FrameLink(loop, mine, limits, Tap.NONE, user);
-                    held.add(link);
-                    return link;
-                }).address();
-            } catch (java.io.IOException e) {
-                throw new java.io.UncheckedIOException(e);
-            }
-            bound.countDown();
+    InetSocketAddress[] at = new InetSocketAddress[1];
+    CountDownLatch bound = new CountDownLatch(1);
+    loop.post(
+        () -> {
+          try {
+            at[0] =
+                loop.listen(
+                        new InetSocketAddress("127.0.0.1", 0),
+                        links,
+                        4 << 20,
+                        () -> {
+                          FrameLink link = new FrameLink(loop, mine, limits, Tap.NONE, user);
+                          held.add(link);
+                          return link;
+                        })
+                    .address();
+          } catch (java.io.IOException e) {
+            throw new java.io.UncheckedIOException(e);
+          }
+          bound.countDown();
         });
-        bound.await();
-        Chance chance = new Chance(1);
-        for (int i = 0; i < links; i += 50) { // no more at once than a listener's queue holds
-            int from = i;
-            CountDownLatch dialled = new CountDownLatch(1);
-            loop.post(() -> {
-                for (int j = from; j < Math.min(from + 50, links); j++) {
-                    Redial redial = new Redial(loop, at[0], mine, limits, Tap.NONE, chance, user);
-                    held.add(redial);
-                    redial.dial();
-                }
-                dialled.countDown();
-            });
-            dialled.await();
-            long want = 2L * (links - Math.min(from + 50, links));
-            for (long until = System.nanoTime() + 30_000_000_000L; greeted.getCount() > want && System.nanoTime() < until;) Thread.sleep(2);
-        }
-        boolean all = greeted.await(60, TimeUnit.SECONDS);
-        System.out.printf("%d %d %d%s%n", links, ListsCount.heap() - heapBefore, direct() - directBefore, all ? "" : " not all greeted: " + greeted.getCount());
-        if (held.isEmpty()) throw new IllegalStateException();
-        loop.close();
-        Thread.sleep(200);
+    bound.await();
+    Chance chance = new Chance(1);
+    for (int i = 0; i < links; i += 50) { // no more at once than a listener's queue holds
+      int from = i;
+      CountDownLatch dialled = new CountDownLatch(1);
+      loop.post(
+          () -> {
+            for (int j = from; j < Math.min(from + 50, links); j++) {
+              Redial redial = new Redial(loop, at[0], mine, limits, Tap.NONE, chance, user);
+              held.add(redial);
+              redial.dial();
+            }
+            dialled.countDown();
+          });
+      dialled.await();
+      long want = 2L * (links - Math.min(from + 50, links));
+      for (long until = System.nanoTime() + 30_000_000_000L;
+          greeted.getCount() > want && System.nanoTime() < until; ) {
+        Thread.sleep(2);
+      }
+    }
+    boolean all = greeted.await(60, TimeUnit.SECONDS);
+    System.out.printf(
+        "%d %d %d%s%n",
+        links,
+        ListsCount.heap() - heapBefore,
+        direct() - directBefore,
+        all ? "" : " not all greeted: " + greeted.getCount());
+    if (held.isEmpty()) {
+      throw new IllegalStateException();
     }
+    loop.close();
+    Thread.sleep(200);
+  }
 }
