--- a/src/test/java/sprucerock/scale/Listed.java
+++ b/src/test/java/sprucerock/scale/Listed.java
@@ -27,51 +27,58 @@
 import sprucerock.wire.v1.Role;
 
 /**
- * The real relay with the real module on a scripted net, told by a roster and a desk of lists of any size. Frames are counted as they
- * cross the codec; a reading of the clock is counted too, since the relay reads it once for each unit whose rack it looks at.
+ * The real relay with the real module on a scripted net, told by a roster and a desk of lists of
+ * any size. Frames are counted as they cross the codec; a reading of the clock is counted too,
+ * since the relay reads it once for each unit whose rack it looks at.
  */
 final class Listed {
-    /** Units of one rack. */
-    static final int RACK = 40;
+  /** Units of one rack. */
+  static final int RACK = 40;
 
-    /** Counts how often the clock is read. */
-    static final class CountingNet extends ScriptedNet {
-        long clockReads;
+  /** Counts how often the clock is read. */
+  static final class CountingNet extends ScriptedNet {
+    long clockReads;
 
-        CountingNet() {
-            super(1000, 5);
-        }
-
-        @Override
-        public Moment now() {
-            clockReads++;
-            return super.now();
-        }
+    CountingNet() {
+      super(1000, 5);
     }
 
-    /** Bytes and messages that the relay read and wrote, by the codec. */
-    static final class Frames implements Tap {
-        long in;
-        long bytesIn;
-        long out;
-        long bytesOut;
-
-        @Override
-        public void frame(FrameLink link, boolean sent, Kind kind, com.google.protobuf.MessageLite head, byte[] body) {
-            if (sent) {
-                out++;
-                bytesOut += 8 + head.getSerializedSize() + body.length;
-            } else {
-                in++;
-                bytesIn += 8 + head.getSerializedSize() + body.length;
-            }
-        }
-
-        @Override
-        public void closed(FrameLink link, String why) {}
+    @Override
+    public Moment now() {
+      clockReads++;
+      return super.now();
+    }
+  }
+
+  /** Bytes and messages that the relay read and wrote, by the codec. */
+  static final class Frames implements Tap {
+    long in;
+    long bytesIn;
+    long out;
+    long bytesOut;
+
+    @Override
+    public void frame(
+        FrameLink link,
+        boolean sent,
+        Kind kind,
+        com.google.protobuf.MessageLite head,
+        byte[] body) {
+      if (sent) {
+        out++;
+        bytesOut += 8 + head.getSerializedSize() + body.length;
+      } else {
+        in++;
+        bytesIn += 8 + head.getSerializedSize() + body.length;
+      }
     }
 
-    private static final String CONFIG = """
+    @Override
+    public void closed(FrameLink link, String why) {}
+  }
+
+  private static final String CONFIG =
+      """
         <relay xmlns="urn:sprucerock:relay:1" name="r0" number="0" seed="1">
           <listen host="127.0.0.1" port="1000"/>
           <roster host="127.0.0.1" port="1001"/>
@@ -90,107 +97,156 @@
           </site>
         </relay>
         """;
-    static final String ROOMY = "units=\"200000\" frame=\"64MiB\" unsent=\"64MiB\"";
+  static final String ROOMY = "units=\"200000\" frame=\"64MiB\" unsent=\"64MiB\"";
 
-    private static final Leases.Log SILENT = new Leases.Log() {
+  private static final Leases.Log SILENT =
+      new Leases.Log() {
         @Override
         public void info(String what) {}
 
         @Override
         public void warn(String what) {}
-    };
-
-    final CountingNet net = new CountingNet();
-    final Frames frames = new Frames();
-    final Relay relay;
-    private final List<Person> rosters;
-    private final List<Person> desks;
-
-    static RelayConfig config(String limits, boolean racks, String leases, int relays, String peers) throws IOException, ConfigException {
-        Path file = Files.createTempFile("relay", ".xml");
-        try {
-            Files.writeString(file, CONFIG.replace("%LIMITS%", limits).replace("%RACKS%", racks ? "<racks ask-every=\"1s\" drift=\"0.001\"/>" : "")
-                .replace("%LEASES%", leases)
-                .replace("%RELAYS%", "" + relays).replace("%PEERS%", peers));
-            return RelayConfig.read(file);
-        } finally {
-            Files.delete(file);
-        }
-    }
-
-    private static final String LEASES = "<leases me=\"0\" term=\"3s\"><granter host=\"127.0.0.1\" port=\"1011\"/><granter host=\"127.0.0.1\" port=\"1012\"/>"
-        + "<granter host=\"127.0.0.1\" port=\"1013\"/><stand for=\"looks\" every=\"100ms\"/></leases>";
-
-    /** One that looks at units for all, beside three granters. */
-    static Listed looking() throws Exception {
-        return new Listed(ROOMY, false, LEASES);
-    }
-
-    Listed(String limits, boolean racks) throws Exception {
-        this(limits, racks, "");
+      };
+
+  final CountingNet net = new CountingNet();
+  final Frames frames = new Frames();
+  final Relay relay;
+  private final List<Person> rosters;
+  private final List<Person> desks;
+
+  static RelayConfig config(String limits, boolean racks, String leases, int relays, String peers)
+      throws IOException, ConfigException {
+    Path file = Files.createTempFile("relay", ".xml");
+    try {
+      Files.writeString(
+          file,
+          CONFIG
+              .replace("%LIMITS%", limits)
+              .replace("%RACKS%", racks ? "<racks ask-every=\"1s\" drift=\"0.001\"/>" : "")
+              .replace("%LEASES%", leases)
+              .replace("%RELAYS%", "" + relays)
+              .replace("%PEERS%", peers));
+      return RelayConfig.read(file);
+    } finally {
+      Files.delete(file);
     }
-
-    private Listed(String limits, boolean racks, String leases) throws Exception {
-        rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-        desks = Person.listen(net, Role.DESK, 0, 1002);
-        RelayConfig config = config(limits, racks, leases, 2, "");
-        for (int i = 0; !leases.isEmpty() && i < 3; i++) {
-            LeaseConfig of = config.leases;
-            new GranterDoor(net, new LeaseConfig(100 + i, i, null, of.granters(), of.term(), of.longest(), of.drift(), of.most(), null, null), "granter " + i, Tap.NONE, SILENT).start();
-        }
-        relay = new Relay(config, net, frames);
-        relay.start(Policy::new);
-        net.pass(100);
+  }
+
+  private static final String LEASES =
+      "<leases me=\"0\" term=\"3s\"><granter host=\"127.0.0.1\" port=\"1011\"/><granter host=\"127.0.0.1\" port=\"1012\"/>"
+          + "<granter host=\"127.0.0.1\" port=\"1013\"/><stand for=\"looks\" every=\"100ms\"/></leases>";
+
+  /** One that looks at units for all, beside three granters. */
+  static Listed looking() throws Exception {
+    return new Listed(ROOMY, false, LEASES);
+  }
+
+  Listed(String limits, boolean racks) throws Exception {
+    this(limits, racks, "");
+  }
+
+  private Listed(String limits, boolean racks, String leases) throws Exception {
+    rosters = Person.listen(net, Role.ROSTER, 0, 1001);
+    desks = Person.listen(net, Role.DESK, 0, 1002);
+    RelayConfig config = config(limits, racks, leases, 2, "");
+    for (int i = 0; !leases.isEmpty() && i < 3; i++) {
+      LeaseConfig of = config.leases;
+      new GranterDoor(
+              net,
+              new LeaseConfig(
+                  100 + i,
+                  i,
+                  null,
+                  of.granters(),
+                  of.term(),
+                  of.longest(),
+                  of.drift(),
+                  of.most(),
+                  null,
+                  null),
+              "granter " + i,
+              Tap.NONE,
+              SILENT)
+          .start();
     }
-
-    /** One entry as a roster of two regions with named machines tells it. */
-    static Entry.Builder entry(int unit, long run, Health health) {
-        return Entry.newBuilder().setUnit(unit).setRun(1_764_633_600_000L + run).setHost("10." + unit / 65536 + "." + unit / 256 % 256 + "." + unit % 256).setPort(20_000 + unit % 1000)
-            .setZone(unit / RACK % 6).setKind(unit % 3).setCell(unit / RACK).setBuild(1).setHealth(health).setWeight(1).setAgeUs(86_400_000_000L);
+    relay = new Relay(config, net, frames);
+    relay.start(Policy::new);
+    net.pass(100);
+  }
+
+  /** One entry as a roster of two regions with named machines tells it. */
+  static Entry.Builder entry(int unit, long run, Health health) {
+    return Entry.newBuilder()
+        .setUnit(unit)
+        .setRun(1_764_633_600_000L + run)
+        .setHost("10." + unit / 65536 + "." + unit / 256 % 256 + "." + unit % 256)
+        .setPort(20_000 + unit % 1000)
+        .setZone(unit / RACK % 6)
+        .setKind(unit % 3)
+        .setCell(unit / RACK)
+        .setBuild(1)
+        .setHealth(health)
+        .setWeight(1)
+        .setAgeUs(86_400_000_000L);
+  }
+
+  static Listing whole(int units) {
+    Listing.Builder listing = Listing.newBuilder().setForm(Form.WHOLE);
+    for (int i = 0; i < units; i++) {
+      listing.addEntries(entry(i, 0, Health.READY));
     }
-
-    static Listing whole(int units) {
-        Listing.Builder listing = Listing.newBuilder().setForm(Form.WHOLE);
-        for (int i = 0; i < units; i++) listing.addEntries(entry(i, 0, Health.READY));
-        return listing.build();
+    return listing.build();
+  }
+
+  Listed tellsWhole(int units) {
+    tells(whole(units));
+    return this;
+  }
+
+  void tells(Listing listing) {
+    net.turn(() -> rosters.get(rosters.size() - 1).send(Kind.LISTING, listing));
+    net.pass(10);
+  }
+
+  void tellsChange(Entry.Builder... entries) {
+    Listing.Builder listing = Listing.newBuilder().setForm(Form.CHANGES);
+    for (Entry.Builder entry : entries) {
+      listing.addEntries(entry);
     }
-
-    Listed tellsWhole(int units) {
-        tells(whole(units));
-        return this;
+    tells(listing.build());
+  }
+
+  /** Whether the roster's connection was cut. */
+  boolean cut() {
+    return rosters.get(0).gone != null;
+  }
+
+  /**
+   * Answers what the relay asked of its racks last; those named are free for so long from its
+   * asking on.
+   */
+  void promises(long sequence, int leftMs, int... cells) {
+    Person desk = desks.get(0);
+    for (int i = 0; i < 20 && desk.all(Kind.PROMISE_ASK).isEmpty(); i++) {
+      net.pass(100); // its first one may come before the link is up
     }
-
-    void tells(Listing listing) {
-        net.turn(() -> rosters.get(rosters.size() - 1).send(Kind.LISTING, listing));
-        net.pass(10);
-    }
-
-    void tellsChange(Entry.Builder... entries) {
-        Listing.Builder listing = Listing.newBuilder().setForm(Form.CHANGES);
-        for (Entry.Builder entry : entries) listing.addEntries(entry);
-        tells(listing.build());
-    }
-
-    /** Whether the roster's connection was cut. */
-    boolean cut() {
-        return rosters.get(0).gone != null;
-    }
-
-    /** Answers what the relay asked of its racks last; those named are free for so long from its asking on. */
-    void promises(long sequence, int leftMs, int... cells) {
-        Person desk = desks.get(0);
-        for (int i = 0; i < 20 && desk.all(Kind.PROMISE_ASK).isEmpty(); i++) net.pass(100); // its first one may come before the link is up
-        List<PromiseAsk> asks = desk.all(Kind.PROMISE_ASK);
-        Promised.Builder promised = Promised.newBuilder().setId(asks.get(asks.size() - 1).getId()).setEpoch(1).setSequence(sequence);
-        for (int cell : cells) promised.addRacks(RackFree.newBuilder().setZone(cell % 6).setCell(cell).setLeftMs(leftMs));
-        net.turn(() -> desk.send(Kind.PROMISED, promised.build()));
-        net.pass(10);
-    }
-
-    /** Clock readings in so much time in which nothing is told. */
-    long clockReads(double ms) {
-        long before = net.clockReads;
-        net.pass(ms);
-        return net.clockReads - before;
+    List<PromiseAsk> asks = desk.all(Kind.PROMISE_ASK);
+    Promised.Builder promised =
+        Promised.newBuilder()
+            .setId(asks.get(asks.size() - 1).getId())
+            .setEpoch(1)
+            .setSequence(sequence);
+    for (int cell : cells) {
+      promised.addRacks(RackFree.newBuilder().setZone(cell % 6).setCell(cell).setLeftMs(leftMs));
     }
+    net.turn(() -> desk.send(Kind.PROMISED, promised.build()));
+    net.pass(10);
+  }
+
+  /** Clock readings in so much time in which nothing is told. */
+  long clockReads(double ms) {
+    long before = net.clockReads;
+    net.pass(ms);
+    return net.clockReads - before;
+  }
 }
--- a/src/test/java/sprucerock/shared/PictureBenchmark.java
+++ b/src/test/java/sprucerock/shared/PictureBenchmark.java
@@ -9,15 +9,18 @@
 import org.openjdk.jmh.annotations.Measurement;
 import org.openjdk.jmh.annotations.Mode;
 import org.openjdk.jmh.annotations.OutputTimeUnit;
+import org.openjdk.jmh.annotations.Param;
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
-import org.openjdk.jmh.annotations.Param;
 import org.openjdk.jmh.annotations.Warmup;
 import sprucerock.time.Moment;
 
-/** What one look costs at 300 racks (windows are one moment a rack by then), by itself and while the picture is swapped 1,000 times a second. */
+/**
+ * What one look costs at 300 racks (windows are one moment a rack by then), by itself and while the
+ * picture is swapped 1,000 times a second.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -25,45 +28,51 @@
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
 public class PictureBenchmark {
-    @Param({"0", "1000"})
-    public int swapsASecond;
+  @Param({"0", "1000"})
+  public int swapsASecond;
 
-    private final Shared shared = new Shared();
-    private volatile boolean over;
-    private int at;
+  private final Shared shared = new Shared();
+  private volatile boolean over;
+  private int at;
 
-    private static Picture picture(long number) {
-        Map<Integer, Moment> until = new HashMap<>();
-        for (int rack = 0; rack < 300; rack++) until.put(Picture.key(rack / 20, rack % 20), Moment.ofMs(1e12 + number));
-        return new Picture(number, until);
+  private static Picture picture(long number) {
+    Map<Integer, Moment> until = new HashMap<>();
+    for (int rack = 0; rack < 300; rack++) {
+      until.put(Picture.key(rack / 20, rack % 20), Moment.ofMs(1e12 + number));
     }
+    return new Picture(number, until);
+  }
 
-    @Setup
-    public void begin() {
-        shared.put(picture(1));
-        if (swapsASecond == 0) return;
-        Thread writer = new Thread(() -> {
-            for (long n = 2; !over; n++) {
+  @Setup
+  public void begin() {
+    shared.put(picture(1));
+    if (swapsASecond == 0) {
+      return;
+    }
+    Thread writer =
+        new Thread(
+            () -> {
+              for (long n = 2; !over; n++) {
                 shared.put(picture(n));
                 java.util.concurrent.locks.LockSupport.parkNanos(1_000_000_000L / swapsASecond);
-            }
-        });
-        writer.setDaemon(true);
-        writer.start();
-    }
+              }
+            });
+    writer.setDaemon(true);
+    writer.start();
+  }
 
-    @TearDown
-    public void end() {
-        over = true;
-    }
+  @TearDown
+  public void end() {
+    over = true;
+  }
 
-    @Benchmark
-    public boolean look() {
-        at = at + 7 & 0xff;
-        return shared.take().mayPlace(Picture.key(at >> 4, at & 15), 1e9, 100);
-    }
+  @Benchmark
+  public boolean look() {
+    at = at + 7 & 0xff;
+    return shared.take().mayPlace(Picture.key(at >> 4, at & 15), 1e9, 100);
+  }
 
-    public static void main(String[] args) throws Exception {
-        org.openjdk.jmh.Main.main(new String[] {"PictureBenchmark"});
-    }
+  public static void main(String[] args) throws Exception {
+    org.openjdk.jmh.Main.main(new String[] {"PictureBenchmark"});
+  }
 }
--- a/src/test/java/sprucerock/shared/SharedTest.java
+++ b/src/test/java/sprucerock/shared/SharedTest.java
@@ -13,61 +13,80 @@
 
 /** The picture on a request's path. */
 public class SharedTest {
-    @Test
-    public void workIsPlacedWhereItEndsInTime() {
-        Picture picture = new Picture(1, Map.of(Picture.key(1, 7), Moment.ofMs(1000), Picture.key(2, 7), Moment.ofMs(-5)));
-        assertTrue(picture.mayPlace(Picture.key(1, 7), 900, 100));
-        assertFalse(picture.mayPlace(Picture.key(1, 7), 900, 101));
-        assertFalse(picture.mayPlace(Picture.key(2, 7), 0, 0));
-        assertTrue(picture.mayPlace(Picture.key(3, 7), 1e9, 1e9));
-        assertNull(picture.until(Picture.key(1, 8)));
-        assertEquals(picture.until(Picture.key(1, 7)), Moment.ofMs(1000));
-    }
+  @Test
+  public void workIsPlacedWhereItEndsInTime() {
+    Picture picture =
+        new Picture(
+            1, Map.of(Picture.key(1, 7), Moment.ofMs(1000), Picture.key(2, 7), Moment.ofMs(-5)));
+    assertTrue(picture.mayPlace(Picture.key(1, 7), 900, 100));
+    assertFalse(picture.mayPlace(Picture.key(1, 7), 900, 101));
+    assertFalse(picture.mayPlace(Picture.key(2, 7), 0, 0));
+    assertTrue(picture.mayPlace(Picture.key(3, 7), 1e9, 1e9));
+    assertNull(picture.until(Picture.key(1, 8)));
+    assertEquals(picture.until(Picture.key(1, 7)), Moment.ofMs(1000));
+  }
 
-    @Test
-    public void everyRackIsFoundAmongMany() {
-        Map<Integer, Moment> until = new HashMap<>();
-        for (int zone = 0; zone < 30; zone++) for (int cell = 0; cell < 40; cell++) until.put(Picture.key(zone, cell * 256), Moment.ofMs(zone * 1000 + cell));
-        Picture picture = new Picture(1, until);
-        until.forEach((key, moment) -> assertEquals(picture.until(key), moment));
-        assertEquals(picture.size(), 1200);
+  @Test
+  public void everyRackIsFoundAmongMany() {
+    Map<Integer, Moment> until = new HashMap<>();
+    for (int zone = 0; zone < 30; zone++) {
+      for (int cell = 0; cell < 40; cell++) {
+        until.put(Picture.key(zone, cell * 256), Moment.ofMs(zone * 1000 + cell));
+      }
     }
+    Picture picture = new Picture(1, until);
+    until.forEach((key, moment) -> assertEquals(picture.until(key), moment));
+    assertEquals(picture.size(), 1200);
+  }
 
-    @Test
-    public void anOlderStateTakesNoNewerOnesPlace() {
-        Shared shared = new Shared();
-        assertTrue(shared.put(new Picture(5, Map.of())));
-        assertFalse(shared.put(new Picture(4, Map.of())));
-        assertEquals(shared.take().sequence(), 5);
-    }
+  @Test
+  public void anOlderStateTakesNoNewerOnesPlace() {
+    Shared shared = new Shared();
+    assertTrue(shared.put(new Picture(5, Map.of())));
+    assertFalse(shared.put(new Picture(4, Map.of())));
+    assertEquals(shared.take().sequence(), 5);
+  }
 
-    /** In every picture all racks have the same moment, that of its number: a reader that saw parts of two would see two. */
-    @Test
-    public void readersSeeOnePictureWholeWhileItIsSwapped() throws Exception {
-        Shared shared = new Shared();
-        AtomicReference<String> wrong = new AtomicReference<>();
-        Thread[] readers = new Thread[4];
-        for (int i = 0; i < readers.length; i++) {
-            readers[i] = new Thread(() -> {
+  /**
+   * In every picture all racks have the same moment, that of its number: a reader that saw parts of
+   * two would see two.
+   */
+  @Test
+  public void readersSeeOnePictureWholeWhileItIsSwapped() throws Exception {
+    Shared shared = new Shared();
+    AtomicReference<String> wrong = new AtomicReference<>();
+    Thread[] readers = new Thread[4];
+    for (int i = 0; i < readers.length; i++) {
+      readers[i] =
+          new Thread(
+              () -> {
                 long before = 0;
                 while (before < 20_000 && wrong.get() == null) {
-                    Picture picture = shared.take();
-                    if (picture.sequence() < before) wrong.set("went back from " + before + " to " + picture.sequence());
-                    before = picture.sequence();
-                    for (int cell = 0; cell < 50 && before > 0; cell++) {
-                        Moment until = picture.until(Picture.key(1, cell));
-                        if (until == null || until.ms() != before) wrong.set("in " + before + " a rack has " + until);
+                  Picture picture = shared.take();
+                  if (picture.sequence() < before) {
+                    wrong.set("went back from " + before + " to " + picture.sequence());
+                  }
+                  before = picture.sequence();
+                  for (int cell = 0; cell < 50 && before > 0; cell++) {
+                    Moment until = picture.until(Picture.key(1, cell));
+                    if (until == null || until.ms() != before) {
+                      wrong.set("in " + before + " a rack has " + until);
                     }
+                  }
                 }
-            });
-            readers[i].start();
-        }
-        for (long n = 1; n <= 20_000; n++) {
-            Map<Integer, Moment> until = new HashMap<>();
-            for (int cell = 0; cell < 50; cell++) until.put(Picture.key(1, cell), Moment.ofMs(n));
-            shared.put(new Picture(n, until));
-        }
-        for (Thread one : readers) one.join(60_000);
-        assertNull(wrong.get());
+              });
+      readers[i].start();
+    }
+    for (long n = 1; n <= 20_000; n++) {
+      Map<Integer, Moment> until = new HashMap<>();
+      for (int cell = 0; cell < 50; cell++) {
+        until.put(Picture.key(1, cell), Moment.ofMs(n));
+      }
+      shared.put(new Picture(n, until));
+    }
+    for (Thread one : readers) {
+      one.join(60_000);
     }
+    assertNull(wrong.get());
+  }
 }
--- a/src/test/java/sprucerock/sim/BothHostsTest.java
+++ b/src/test/java/sprucerock/sim/BothHostsTest.java
@@ -43,14 +43,20 @@
 import sprucerock.wire.v1.Voted;
 import sprucerock.wire.v1.Work;
 
-/** One stretch of events, given to the bench's adapter and to the relay: the module is told the same, in the same order. */
+/**
+ * One stretch of events, given to the bench's adapter and to the relay: the module is told the
+ * same, in the same order.
+ */
 public class BothHostsTest {
-    private static final double START = 1000;
-    private static final double STEP = 5;
-    private static final int STEPS = 2600;
-    private static final int[] DEADLINES = {1502, 2002, 903}; // by method; between the steps, like real ones
-
-    private static final String TEXT = """
+  private static final double START = 1000;
+  private static final double STEP = 5;
+  private static final int STEPS = 2600;
+  private static final int[] DEADLINES = {
+    1502, 2002, 903
+  }; // by method; between the steps, like real ones
+
+  private static final String TEXT =
+      """
         balancers=3
         classes.count=3
         classes.0.effect=read_like
@@ -87,236 +93,350 @@
         tick=5.0
         """;
 
-    /** How and when a unit ends a pick: the same at both hosts, by the pick alone. Every 20th is never answered. */
-    private static int latency(long rpc, int number) {
-        return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
+  /**
+   * How and when a unit ends a pick: the same at both hosts, by the pick alone. Every 20th is never
+   * answered.
+   */
+  private static int latency(long rpc, int number) {
+    return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
+  }
+
+  private static int outcome(long rpc, int number, long unit) { // 1 ok, 0 error, 2 full, -1 silence
+    int dice = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
+    if (unit >= 100 && dice < 30) {
+      return 0;
     }
+    return dice < 5 ? -1 : dice < 8 ? 0 : dice < 11 ? 2 : 1;
+  }
 
-    private static int outcome(long rpc, int number, long unit) { // 1 ok, 0 error, 2 full, -1 silence
-        int dice = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
-        if (unit >= 100 && dice < 30) return 0;
-        return dice < 5 ? -1 : dice < 8 ? 0 : dice < 11 ? 2 : 1;
-    }
+  /** What the stretch gives to a host; a listing's age is in milliseconds, 0 long ago. */
+  private interface Side {
+    void step();
 
-    /** What the stretch gives to a host; a listing's age is in milliseconds, 0 long ago. */
-    private interface Side {
-        void step();
+    void rpc(long id, int method, long key);
 
-        void rpc(long id, int method, long key);
+    void leave(long id);
 
-        void leave(long id);
+    void list(long unit, int build, int health, double age);
 
-        void list(long unit, int build, int health, double age);
+    void news(int build, int stage, int standing, float cap, double lasted);
 
-        void news(int build, int stage, int standing, float cap, double lasted);
+    void counts(int build, int method, int picks, int failed, double mean);
 
-        void counts(int build, int method, int picks, int failed, double mean);
+    void peer(int sender, byte[] contents);
 
-        void peer(int sender, byte[] contents);
+    void flag(long unit, double ago);
+  }
 
-        void flag(long unit, double ago);
+  private static void play(Side side) {
+    SplittableRandom random = new SplittableRandom(7);
+    for (int unit = 1; unit <= 5; unit++) {
+      side.list(unit, 1, 1, 0);
     }
-
-    private static void play(Side side) {
-        SplittableRandom random = new SplittableRandom(7);
-        for (int unit = 1; unit <= 5; unit++) side.list(unit, 1, 1, 0);
-        side.news(1, 2, 2, 1, 60_000);
-        long lastRpc = 0;
-        for (int i = 0; i < STEPS; i++) {
-            side.step();
-            if (i == 300) side.list(2, 1, 2, 0);
-            if (i == 340) side.list(2, 1, 0, 0);
-            if (i == 400) {
-                for (int unit = 100; unit < 103; unit++) side.list(unit, 2, 1, 50);
-                side.news(2, 0, 0, 0.125f, 10);
-            }
-            if (i == 1500) side.news(2, 1, 0, 0.5f, 20);
-            if (i == 2200) side.news(2, 1, 1, 0, 15);
-            if (i == 2250) for (int unit = 100; unit < 103; unit++) side.list(unit, 2, 2, 0);
-            if (i == 900) side.list(3, 1, 1, 40); // as another run
-            if (i % 400 == 399) for (int method = 0; method < 3; method++) side.counts(1, method, 40, 2, 60);
-            if (i == 1700) side.peer(1, new byte[] {3, 2, 1, 4, 1, 0, 1, 0});
-            if (i == 1710) side.peer(2, new byte[] {1, 9, 9, 0});
-            if (i == 1800) side.flag(101, 300);
-            if (random.nextInt(100) < 35) side.rpc(++lastRpc, random.nextInt(3), random.nextInt(50));
-            if (lastRpc > 0 && random.nextInt(100) < 2) side.leave(lastRpc);
+    side.news(1, 2, 2, 1, 60_000);
+    long lastRpc = 0;
+    for (int i = 0; i < STEPS; i++) {
+      side.step();
+      if (i == 300) {
+        side.list(2, 1, 2, 0);
+      }
+      if (i == 340) {
+        side.list(2, 1, 0, 0);
+      }
+      if (i == 400) {
+        for (int unit = 100; unit < 103; unit++) {
+          side.list(unit, 2, 1, 50);
         }
-    }
-
-    /** The bench's world around its adapter, as far as the stretch needs it. */
-    private static final class Bench implements Side {
-        private record Due(double when, long order, Runnable what) {}
-
-        private final Told told = new Told();
-        private final Replies replies = new Replies();
-        private final Relay relay = new Relay(3, replies, (host, settings, seed) -> {
-            told.clock = host;
-            told.behind = new Policy(host, settings, seed);
-            return told;
-        });
-        private final PriorityQueue<Due> timers = new PriorityQueue<>((a, b) -> a.when != b.when
-            ? Double.compare(a.when, b.when) : Long.compare(a.order, b.order));
-        private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
-        private final Map<Long, List<Long>> picks = new HashMap<>();
-        private final Map<Long, Double> since = new HashMap<>();
-        private final Map<Long, Double> sentAt = new HashMap<>();
-        private final Map<Long, Double> deadlines = new HashMap<>();
-        private final Map<Long, double[]> open = new HashMap<>();
-        private final List<String> ends = new ArrayList<>();
-        private final List<Runnable> votes = new ArrayList<>();
-        private double now = START;
-        private long order;
-        private News lastNews;
-
-        Bench() {
-            relay.start(Moment.ofMs(now), 1, TEXT);
-            act();
+        side.news(2, 0, 0, 0.125f, 10);
+      }
+      if (i == 1500) {
+        side.news(2, 1, 0, 0.5f, 20);
+      }
+      if (i == 2200) {
+        side.news(2, 1, 1, 0, 15);
+      }
+      if (i == 2250) {
+        for (int unit = 100; unit < 103; unit++) {
+          side.list(unit, 2, 2, 0);
         }
-
-        private ByteBuffer fields(int bytes) {
-            return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
-        }
-
-        private void take(int code, ByteBuffer fields) {
-            assertTrue(relay.take(code, fields.flip(), Moment.ofMs(now)));
-            act();
+      }
+      if (i == 900) {
+        side.list(3, 1, 1, 40); // as another run
+      }
+      if (i % 400 == 399) {
+        for (int method = 0; method < 3; method++) {
+          side.counts(1, method, 40, 2, 60);
         }
+      }
+      if (i == 1700) {
+        side.peer(1, new byte[] {3, 2, 1, 4, 1, 0, 1, 0});
+      }
+      if (i == 1710) {
+        side.peer(2, new byte[] {1, 9, 9, 0});
+      }
+      if (i == 1800) {
+        side.flag(101, 300);
+      }
+      if (random.nextInt(100) < 35) {
+        side.rpc(++lastRpc, random.nextInt(3), random.nextInt(50));
+      }
+      if (lastRpc > 0 && random.nextInt(100) < 2) {
+        side.leave(lastRpc);
+      }
+    }
+  }
+
+  /** The bench's world around its adapter, as far as the stretch needs it. */
+  private static final class Bench implements Side {
+    private record Due(double when, long order, Runnable what) {}
+
+    private final Told told = new Told();
+    private final Replies replies = new Replies();
+    private final Relay relay =
+        new Relay(
+            3,
+            replies,
+            (host, settings, seed) -> {
+              told.clock = host;
+              told.behind = new Policy(host, settings, seed);
+              return told;
+            });
+    private final PriorityQueue<Due> timers =
+        new PriorityQueue<>(
+            (a, b) ->
+                a.when != b.when ? Double.compare(a.when, b.when) : Long.compare(a.order, b.order));
+    private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
+    private final Map<Long, List<Long>> picks = new HashMap<>();
+    private final Map<Long, Double> since = new HashMap<>();
+    private final Map<Long, Double> sentAt = new HashMap<>();
+    private final Map<Long, Double> deadlines = new HashMap<>();
+    private final Map<Long, double[]> open = new HashMap<>();
+    private final List<String> ends = new ArrayList<>();
+    private final List<Runnable> votes = new ArrayList<>();
+    private double now = START;
+    private long order;
+    private News lastNews;
+
+    Bench() {
+      relay.start(Moment.ofMs(now), 1, TEXT);
+      act();
+    }
 
-        private void act() {
-            ByteBuffer frame = ByteBuffer.wrap(replies.frame(1)).order(ByteOrder.LITTLE_ENDIAN).position(12);
-            List<Runnable> cancels = new ArrayList<>();
-            while (frame.hasRemaining()) {
-                int code = frame.get() & 0xff;
-                int end = frame.getInt() + frame.position();
-                frame.getInt();
-                switch (code) {
-                    case 10 -> sent(frame.getInt(), frame.getInt(), frame.getDouble());
-                    case 20, 30 -> {
-                        long id = frame.getInt();
-                        if (!open.containsKey(id)) break;
-                        open.remove(id);
-                        ends.add(id + (code == 20 ? " PUSHED_BACK" : " ABORTED"));
-                    }
-                    case 40 -> {
-                        long id = frame.getInt();
-                        int shot = frame.get();
-                        cancels.add(() -> returned(id, shot, 6));
-                    }
-                    case 50 -> {
-                        int token = frame.getInt();
-                        timers.add(new Due(frame.getDouble(), order++, () -> take(70, fields(4).putInt(token))));
-                    }
-                    case 100 -> throw new AssertionError(new String(frame.array(), StandardCharsets.UTF_8));
-                    case 130 -> votes.add(() -> answerVote());
-                    default -> { }
-                }
-                frame.position(end);
-            }
-            cancels.forEach(Runnable::run);
-        }
+    private ByteBuffer fields(int bytes) {
+      return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
+    }
 
-        private void sent(long id, long unit, double patience) {
-            List<Long> units = picks.computeIfAbsent(id, key -> new ArrayList<>());
-            int shot = units.size();
-            units.add(unit);
-            sentAt.put(id * 100 + shot, now);
-            double until = Math.min(deadlines.get(id), patience > 0 ? now + patience : 1e12);
-            timers.add(new Due(until, order++, () -> returned(id, shot, 3)));
-            int how = outcome(id, shot, unit);
-            if (how >= 0) answers.computeIfAbsent(now + latency(id, shot), key -> new TreeMap<>())
-                .put(id * 100 + shot, () -> returned(id, shot, how));
-        }
+    private void take(int code, ByteBuffer fields) {
+      assertTrue(relay.take(code, fields.flip(), Moment.ofMs(now)));
+      act();
+    }
 
-        private void returned(long id, int shot, int how) {
-            Long unit = picks.get(id).get(shot);
-            if (unit < 0) return; // ended already
-            picks.get(id).set(shot, -1L);
-            boolean closes = !open.containsKey(id) || how == 1;
-            if (open.containsKey(id) && how == 1) {
-                open.remove(id);
-                ends.add(id + " OK");
+    private void act() {
+      ByteBuffer frame =
+          ByteBuffer.wrap(replies.frame(1)).order(ByteOrder.LITTLE_ENDIAN).position(12);
+      List<Runnable> cancels = new ArrayList<>();
+      while (frame.hasRemaining()) {
+        int code = frame.get() & 0xff;
+        int end = frame.getInt() + frame.position();
+        frame.getInt();
+        switch (code) {
+          case 10 -> sent(frame.getInt(), frame.getInt(), frame.getDouble());
+          case 20, 30 -> {
+            long id = frame.getInt();
+            if (!open.containsKey(id)) {
+              break;
             }
-            take(50, fields(30).putInt((int) id).put((byte) shot).putDouble(now - sentAt.get(id * 100 + shot)).put((byte) (closes ? 1 : 0)).putInt((int) (long) unit)
-                .put((byte) how).put((byte) 0));
+            open.remove(id);
+            ends.add(id + (code == 20 ? " PUSHED_BACK" : " ABORTED"));
+          }
+          case 40 -> {
+            long id = frame.getInt();
+            int shot = frame.get();
+            cancels.add(() -> returned(id, shot, 6));
+          }
+          case 50 -> {
+            int token = frame.getInt();
+            timers.add(
+                new Due(frame.getDouble(), order++, () -> take(70, fields(4).putInt(token))));
+          }
+          case 100 -> throw new AssertionError(new String(frame.array(), StandardCharsets.UTF_8));
+          case 130 -> votes.add(() -> answerVote());
+          default -> {}
         }
+        frame.position(end);
+      }
+      cancels.forEach(Runnable::run);
+    }
 
-        @Override
-        public void step() {
-            now += STEP;
-            while (!timers.isEmpty() && timers.peek().when <= now + 1e-9) timers.poll().what.run();
-            for (Runnable vote : List.copyOf(votes)) vote.run();
-            votes.subList(0, votes.size()).clear();
-            while (!answers.isEmpty() && answers.firstKey() <= now + 1e-9) answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
-        }
+    private void sent(long id, long unit, double patience) {
+      List<Long> units = picks.computeIfAbsent(id, key -> new ArrayList<>());
+      int shot = units.size();
+      units.add(unit);
+      sentAt.put(id * 100 + shot, now);
+      double until = Math.min(deadlines.get(id), patience > 0 ? now + patience : 1e12);
+      timers.add(new Due(until, order++, () -> returned(id, shot, 3)));
+      int how = outcome(id, shot, unit);
+      if (how >= 0) {
+        answers
+            .computeIfAbsent(now + latency(id, shot), key -> new TreeMap<>())
+            .put(id * 100 + shot, () -> returned(id, shot, how));
+      }
+    }
 
-        private void answerVote() {
-            News news = lastNews;
-            take(110, fields(30).putShort((short) news.getBuild()).put((byte) news.getStage()).put((byte) (news.getStanding().getNumber() - 1))
-                .put((byte) 1).put((byte) 1).putFloat((float) news.getCap()).putDouble(100));
-        }
+    private void returned(long id, int shot, int how) {
+      Long unit = picks.get(id).get(shot);
+      if (unit < 0) {
+        return; // ended already
+      }
+      picks.get(id).set(shot, -1L);
+      boolean closes = !open.containsKey(id) || how == 1;
+      if (open.containsKey(id) && how == 1) {
+        open.remove(id);
+        ends.add(id + " OK");
+      }
+      take(
+          50,
+          fields(30)
+              .putInt((int) id)
+              .put((byte) shot)
+              .putDouble(now - sentAt.get(id * 100 + shot))
+              .put((byte) (closes ? 1 : 0))
+              .putInt((int) (long) unit)
+              .put((byte) how)
+              .put((byte) 0));
+    }
 
-        @Override
-        public void rpc(long id, int method, long key) {
-            deadlines.put(id, now + DEADLINES[method]);
-            open.put(id, new double[0]);
-            take(30, fields(50).putInt((int) id).putShort((short) method).putInt(0).putLong(key).putDouble(now + DEADLINES[method])
-                .putDouble(0).put((byte) 0));
-        }
+    @Override
+    public void step() {
+      now += STEP;
+      while (!timers.isEmpty() && timers.peek().when <= now + 1e-9) {
+        timers.poll().what.run();
+      }
+      for (Runnable vote : List.copyOf(votes)) {
+        vote.run();
+      }
+      votes.subList(0, votes.size()).clear();
+      while (!answers.isEmpty() && answers.firstKey() <= now + 1e-9) {
+        answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
+      }
+    }
 
-        @Override
-        public void leave(long id) {
-            if (open.remove(id) != null) take(60, fields(4).putInt((int) id));
-        }
+    private void answerVote() {
+      News news = lastNews;
+      take(
+          110,
+          fields(30)
+              .putShort((short) news.getBuild())
+              .put((byte) news.getStage())
+              .put((byte) (news.getStanding().getNumber() - 1))
+              .put((byte) 1)
+              .put((byte) 1)
+              .putFloat((float) news.getCap())
+              .putDouble(100));
+    }
 
-        @Override
-        public void list(long unit, int build, int health, double age) {
-            if (age > 0) since.put(unit, now - age);
-            relay.listed(Moment.ofMs(now), 0, new Simhost.Entry[] {
-                new Simhost.Entry(unit, 0, 0, 0, build, health, 1, since.getOrDefault(unit, 0.0))});
-            act();
-        }
+    @Override
+    public void rpc(long id, int method, long key) {
+      deadlines.put(id, now + DEADLINES[method]);
+      open.put(id, new double[0]);
+      take(
+          30,
+          fields(50)
+              .putInt((int) id)
+              .putShort((short) method)
+              .putInt(0)
+              .putLong(key)
+              .putDouble(now + DEADLINES[method])
+              .putDouble(0)
+              .put((byte) 0));
+    }
 
-        @Override
-        public void news(int build, int stage, int standing, float cap, double lasted) {
-            lastNews = News.newBuilder().setBuild(build).setStage(stage).setStandingValue(standing + 1).setCap(cap).build();
-            take(110, fields(30).putShort((short) build).put((byte) stage).put((byte) standing).put((byte) 0).put((byte) 1).putFloat(cap)
-                .putDouble(lasted));
-        }
+    @Override
+    public void leave(long id) {
+      if (open.remove(id) != null) {
+        take(60, fields(4).putInt((int) id));
+      }
+    }
 
-        @Override
-        public void counts(int build, int method, int seen, int failed, double mean) {
-            take(120, fields(40).putShort((short) build).putShort((short) method).putInt(seen).putInt(failed).putDouble(mean).putDouble(0));
-        }
+    @Override
+    public void list(long unit, int build, int health, double age) {
+      if (age > 0) {
+        since.put(unit, now - age);
+      }
+      relay.listed(
+          Moment.ofMs(now),
+          0,
+          new Simhost.Entry[] {
+            new Simhost.Entry(unit, 0, 0, 0, build, health, 1, since.getOrDefault(unit, 0.0))
+          });
+      act();
+    }
 
-        @Override
-        public void peer(int sender, byte[] contents) {
-            take(90, fields(20).putInt(sender).putShort((short) contents.length).put(contents));
-        }
+    @Override
+    public void news(int build, int stage, int standing, float cap, double lasted) {
+      lastNews =
+          News.newBuilder()
+              .setBuild(build)
+              .setStage(stage)
+              .setStandingValue(standing + 1)
+              .setCap(cap)
+              .build();
+      take(
+          110,
+          fields(30)
+              .putShort((short) build)
+              .put((byte) stage)
+              .put((byte) standing)
+              .put((byte) 0)
+              .put((byte) 1)
+              .putFloat(cap)
+              .putDouble(lasted));
+    }
 
-        @Override
-        public void flag(long unit, double ago) {
-            take(130, fields(20).putInt((int) unit).putShort((short) 0).putDouble(ago));
-        }
+    @Override
+    public void counts(int build, int method, int seen, int failed, double mean) {
+      take(
+          120,
+          fields(40)
+              .putShort((short) build)
+              .putShort((short) method)
+              .putInt(seen)
+              .putInt(failed)
+              .putDouble(mean)
+              .putDouble(0));
     }
 
-    /** The same stretch over the relay's links. */
-    private static final class Linked implements Side {
-        private final Told told = new Told();
-        private final ScriptedNet net = new ScriptedNet(START, STEP);
-        private final List<Person> rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-        private final List<Person> desks = Person.listen(net, Role.DESK, 0, 1002);
-        private final Map<Long, List<Person>> units = new TreeMap<>();
-        private final Map<Person, Integer> seen = new HashMap<>();
-        private final Map<Long, Integer> shots = new HashMap<>();
-        private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
-        private final Person client;
-        private final Map<Integer, Person> peers = new TreeMap<>();
-        private int votesSeen;
-        private News lastNews;
-
-        Linked() throws Exception {
-            Path file = Files.createTempFile("both", ".xml");
-            Files.writeString(file, """
+    @Override
+    public void peer(int sender, byte[] contents) {
+      take(90, fields(20).putInt(sender).putShort((short) contents.length).put(contents));
+    }
+
+    @Override
+    public void flag(long unit, double ago) {
+      take(130, fields(20).putInt((int) unit).putShort((short) 0).putDouble(ago));
+    }
+  }
+
+  /** The same stretch over the relay's links. */
+  private static final class Linked implements Side {
+    private final Told told = new Told();
+    private final ScriptedNet net = new ScriptedNet(START, STEP);
+    private final List<Person> rosters = Person.listen(net, Role.ROSTER, 0, 1001);
+    private final List<Person> desks = Person.listen(net, Role.DESK, 0, 1002);
+    private final Map<Long, List<Person>> units = new TreeMap<>();
+    private final Map<Person, Integer> seen = new HashMap<>();
+    private final Map<Long, Integer> shots = new HashMap<>();
+    private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
+    private final Person client;
+    private final Map<Integer, Person> peers = new TreeMap<>();
+    private int votesSeen;
+    private News lastNews;
+
+    Linked() throws Exception {
+      Path file = Files.createTempFile("both", ".xml");
+      Files.writeString(
+          file,
+          """
                 <relay xmlns="urn:sprucerock:relay:1" name="r0" number="0" seed="1">
                   <listen host="127.0.0.1" port="1000"/><roster host="127.0.0.1" port="1001"/><desk host="127.0.0.1" port="1002"/>
                   <limits wait-for-list="0ms"/><connections picks-each="1000"/>
@@ -331,132 +451,227 @@
                   </site>
                 </relay>
                 """);
-            sprucerock.relay.Relay relay = new sprucerock.relay.Relay(RelayConfig.read(file), net, Tap.NONE);
-            Files.delete(file);
-            relay.start((host, settings, seed) -> {
-                told.clock = host;
-                told.behind = new Policy(host, settings, seed);
-                return told;
-            });
-            client = Person.at(net, Role.CLIENT, 3, 1000);
-            for (int i = 1; i < 3; i++) peers.put(i, Person.at(net, Role.RELAY, i, 1000));
-            net.settle();
-        }
+      sprucerock.relay.Relay relay =
+          new sprucerock.relay.Relay(RelayConfig.read(file), net, Tap.NONE);
+      Files.delete(file);
+      relay.start(
+          (host, settings, seed) -> {
+            told.clock = host;
+            told.behind = new Policy(host, settings, seed);
+            return told;
+          });
+      client = Person.at(net, Role.CLIENT, 3, 1000);
+      for (int i = 1; i < 3; i++) {
+        peers.put(i, Person.at(net, Role.RELAY, i, 1000));
+      }
+      net.settle();
+    }
 
-        private void turn(Runnable what) {
-            net.turn(what);
-            net.settle();
-            works();
-        }
+    private void turn(Runnable what) {
+      net.turn(what);
+      net.settle();
+      works();
+    }
 
-        private void works() {
-            for (Map.Entry<Long, List<Person>> unit : units.entrySet()) {
-                for (Person link : unit.getValue()) {
-                    List<Person.Got> got = link.got;
-                    for (int i = seen.merge(link, 0, Integer::sum); i < got.size(); i++) {
-                        if (got.get(i).kind() == Kind.WORK) work(unit.getKey(), link, (Work) got.get(i).head(), ByteBuffer.wrap(got.get(i).body()).getLong());
-                    }
-                    seen.put(link, got.size());
-                }
+    private void works() {
+      for (Map.Entry<Long, List<Person>> unit : units.entrySet()) {
+        for (Person link : unit.getValue()) {
+          List<Person.Got> got = link.got;
+          for (int i = seen.merge(link, 0, Integer::sum); i < got.size(); i++) {
+            if (got.get(i).kind() == Kind.WORK) {
+              work(
+                  unit.getKey(),
+                  link,
+                  (Work) got.get(i).head(),
+                  ByteBuffer.wrap(got.get(i).body()).getLong());
             }
+          }
+          seen.put(link, got.size());
         }
+      }
+    }
 
-        private void work(long unit, Person link, Work work, long rpc) {
-            int shot = shots.merge(rpc, 1, Integer::sum) - 1;
-            int how = outcome(rpc, shot, unit);
-            if (how < 0) return;
-            Result result = how == 1 ? Result.DONE : how == 2 ? Result.FULL : Result.ERROR;
-            answers.computeIfAbsent(net.now().ms() + latency(rpc, shot), key -> new TreeMap<>()).put(rpc * 100 + shot, () ->
-                turn(() -> link.send(Kind.DONE, Done.newBuilder().setId(work.getId()).setResult(result).build())));
-        }
-
-        @Override
-        public void step() {
-            net.pass(STEP);
-            works();
-            List<Vote> votes = desks.get(0).all(Kind.VOTE);
-            for (int many = votes.size(); votesSeen < many; votesSeen++) {
-                long id = votes.get(votesSeen).getId();
-                turn(() -> desks.get(0).send(Kind.VOTED, Voted.newBuilder().setId(id).setTaken(Taken.COUNTS).build()));
-                turn(() -> desks.get(0).send(Kind.NEWS, lastNews.toBuilder().setLastedUs(100_000).build()));
-            }
-            while (!answers.isEmpty() && answers.firstKey() <= net.now().ms() + 1e-9) answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
-        }
+    private void work(long unit, Person link, Work work, long rpc) {
+      int shot = shots.merge(rpc, 1, Integer::sum) - 1;
+      int how = outcome(rpc, shot, unit);
+      if (how < 0) {
+        return;
+      }
+      Result result = how == 1 ? Result.DONE : how == 2 ? Result.FULL : Result.ERROR;
+      answers
+          .computeIfAbsent(net.now().ms() + latency(rpc, shot), key -> new TreeMap<>())
+          .put(
+              rpc * 100 + shot,
+              () ->
+                  turn(
+                      () ->
+                          link.send(
+                              Kind.DONE,
+                              Done.newBuilder().setId(work.getId()).setResult(result).build())));
+    }
 
-        @Override
-        public void rpc(long id, int method, long key) {
-            byte[] body = ByteBuffer.allocate(8).putLong(id).array();
-            turn(() -> client.send(Kind.CALL, Call.newBuilder().setId(id).setMethod(method).setKey(key).setLeftUs(DEADLINES[method] * 1000L)
-                .build(), body));
-        }
+    @Override
+    public void step() {
+      net.pass(STEP);
+      works();
+      List<Vote> votes = desks.get(0).all(Kind.VOTE);
+      for (int many = votes.size(); votesSeen < many; votesSeen++) {
+        long id = votes.get(votesSeen).getId();
+        turn(
+            () ->
+                desks
+                    .get(0)
+                    .send(Kind.VOTED, Voted.newBuilder().setId(id).setTaken(Taken.COUNTS).build()));
+        turn(() -> desks.get(0).send(Kind.NEWS, lastNews.toBuilder().setLastedUs(100_000).build()));
+      }
+      while (!answers.isEmpty() && answers.firstKey() <= net.now().ms() + 1e-9) {
+        answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
+      }
+    }
 
-        @Override
-        public void leave(long id) {
-            turn(() -> client.send(Kind.LEAVE, Leave.newBuilder().setId(id).build()));
-        }
+    @Override
+    public void rpc(long id, int method, long key) {
+      byte[] body = ByteBuffer.allocate(8).putLong(id).array();
+      turn(
+          () ->
+              client.send(
+                  Kind.CALL,
+                  Call.newBuilder()
+                      .setId(id)
+                      .setMethod(method)
+                      .setKey(key)
+                      .setLeftUs(DEADLINES[method] * 1000L)
+                      .build(),
+                  body));
+    }
 
-        @Override
-        public void list(long unit, int build, int health, double age) {
-            int port = 2000 + (int) unit;
-            if (!units.containsKey(unit)) {
-                try {
-                    units.put(unit, Person.listen(net, Role.UNIT, (int) unit, port));
-                } catch (java.io.IOException e) {
-                    throw new AssertionError(e);
-                }
-            }
-            Health said = health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE;
-            int run = unit == 3 && age > 0 ? 2 : 1;
-            turn(() -> rosters.get(0).send(Kind.LISTING, Listing.newBuilder().setForm(Form.CHANGES).addEntries(Entry.newBuilder().setUnit(unit)
-                .setRun(run).setHost("127.0.0.1").setPort(port).setBuild(build).setHealth(said).setWeight(1).setAgeUs((long) (age * 1000)))
-                .build()));
-        }
+    @Override
+    public void leave(long id) {
+      turn(() -> client.send(Kind.LEAVE, Leave.newBuilder().setId(id).build()));
+    }
 
-        @Override
-        public void news(int build, int stage, int standing, float cap, double lasted) {
-            lastNews = News.newBuilder().setBuild(build).setStage(stage).setStanding(Stand.forNumber(standing + 1)).setCap(cap)
-                .setLastedUs((long) (lasted * 1000)).build();
-            turn(() -> desks.get(0).send(Kind.NEWS, lastNews));
+    @Override
+    public void list(long unit, int build, int health, double age) {
+      int port = 2000 + (int) unit;
+      if (!units.containsKey(unit)) {
+        try {
+          units.put(unit, Person.listen(net, Role.UNIT, (int) unit, port));
+        } catch (java.io.IOException e) {
+          throw new AssertionError(e);
         }
+      }
+      Health said = health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE;
+      int run = unit == 3 && age > 0 ? 2 : 1;
+      turn(
+          () ->
+              rosters
+                  .get(0)
+                  .send(
+                      Kind.LISTING,
+                      Listing.newBuilder()
+                          .setForm(Form.CHANGES)
+                          .addEntries(
+                              Entry.newBuilder()
+                                  .setUnit(unit)
+                                  .setRun(run)
+                                  .setHost("127.0.0.1")
+                                  .setPort(port)
+                                  .setBuild(build)
+                                  .setHealth(said)
+                                  .setWeight(1)
+                                  .setAgeUs((long) (age * 1000)))
+                          .build()));
+    }
 
-        @Override
-        public void counts(int build, int method, int picks, int failed, double mean) {
-            turn(() -> desks.get(0).send(Kind.COUNTS, Counts.newBuilder().setBuild(build).setMethod(method).setPicks(picks).setFailed(failed)
-                .setMeanUs((long) (mean * 1000)).build()));
-        }
+    @Override
+    public void news(int build, int stage, int standing, float cap, double lasted) {
+      lastNews =
+          News.newBuilder()
+              .setBuild(build)
+              .setStage(stage)
+              .setStanding(Stand.forNumber(standing + 1))
+              .setCap(cap)
+              .setLastedUs((long) (lasted * 1000))
+              .build();
+      turn(() -> desks.get(0).send(Kind.NEWS, lastNews));
+    }
 
-        @Override
-        public void peer(int sender, byte[] contents) {
-            turn(() -> peers.get(sender).send(Kind.TOLD, sprucerock.wire.v1.Told.getDefaultInstance(), contents));
-        }
+    @Override
+    public void counts(int build, int method, int picks, int failed, double mean) {
+      turn(
+          () ->
+              desks
+                  .get(0)
+                  .send(
+                      Kind.COUNTS,
+                      Counts.newBuilder()
+                          .setBuild(build)
+                          .setMethod(method)
+                          .setPicks(picks)
+                          .setFailed(failed)
+                          .setMeanUs((long) (mean * 1000))
+                          .build()));
+    }
 
-        @Override
-        public void flag(long unit, double ago) {
-            turn(() -> client.send(Kind.FLAG, Flag.newBuilder().setUnit(unit).setAgoUs((long) (ago * 1000)).build()));
-        }
+    @Override
+    public void peer(int sender, byte[] contents) {
+      turn(
+          () ->
+              peers
+                  .get(sender)
+                  .send(Kind.TOLD, sprucerock.wire.v1.Told.getDefaultInstance(), contents));
+    }
 
-        List<String> ends() {
-            return client.<Answer>all(Kind.ANSWER).stream().map(one -> one.getId() + " " + one.getEnding()).toList();
-        }
+    @Override
+    public void flag(long unit, double ago) {
+      turn(
+          () ->
+              client.send(
+                  Kind.FLAG,
+                  Flag.newBuilder().setUnit(unit).setAgoUs((long) (ago * 1000)).build()));
     }
 
-    @Test
-    public void theSameEventsEndInTheSameCallsOfTheModule() throws Exception {
-        Bench bench = new Bench();
-        Linked linked = new Linked();
-        play(bench);
-        play(linked);
-        for (int i = 0; i < Math.min(bench.told.calls.size(), linked.told.calls.size()); i++) {
-            int at = i;
-            assertEquals(linked.told.calls.get(i), bench.told.calls.get(i), "call " + i + " after "
-                + bench.told.calls.subList(Math.max(0, at - 5), at));
-        }
-        assertEquals(linked.told.calls.size(), bench.told.calls.size());
-        assertEquals(linked.ends(), bench.ends);
-        // the stretch is worth the comparing: everything the module can be told was among it
-        String all = String.join("\n", bench.told.calls);
-        for (String part : new String[] {" OK answers", " ERROR", " FULL", " TIMED_OUT", " CANCELLED", "left ", "leaving ", "vote COUNTS",
-            "counted ", "flagged ", "peer ", "news 2 1 GOING_BACK"}) assertTrue(all.contains(part), "no " + part);
-        assertTrue(bench.told.calls.size() > 2000, "only " + bench.told.calls.size());
+    List<String> ends() {
+      return client.<Answer>all(Kind.ANSWER).stream()
+          .map(one -> one.getId() + " " + one.getEnding())
+          .toList();
+    }
+  }
+
+  @Test
+  public void theSameEventsEndInTheSameCallsOfTheModule() throws Exception {
+    Bench bench = new Bench();
+    Linked linked = new Linked();
+    play(bench);
+    play(linked);
+    for (int i = 0; i < Math.min(bench.told.calls.size(), linked.told.calls.size()); i++) {
+      int at = i;
+      assertEquals(
+          linked.told.calls.get(i),
+          bench.told.calls.get(i),
+          "call " + i + " after " + bench.told.calls.subList(Math.max(0, at - 5), at));
+    }
+    assertEquals(linked.told.calls.size(), bench.told.calls.size());
+    assertEquals(linked.ends(), bench.ends);
+    // the stretch is worth the comparing: everything the module can be told was among it
+    String all = String.join("\n", bench.told.calls);
+    for (String part :
+        new String[] {
+          " OK answers",
+          " ERROR",
+          " FULL",
+          " TIMED_OUT",
+          " CANCELLED",
+          "left ",
+          "leaving ",
+          "vote COUNTS",
+          "counted ",
+          "flagged ",
+          "peer ",
+          "news 2 1 GOING_BACK"
+        }) {
+      assertTrue(all.contains(part), "no " + part);
     }
+    assertTrue(bench.told.calls.size() > 2000, "only " + bench.told.calls.size());
+  }
 }
--- a/src/test/java/sprucerock/standin/MonitorStandInTest.java
+++ b/src/test/java/sprucerock/standin/MonitorStandInTest.java
@@ -8,7 +8,8 @@
 
 /** That a scrape which does not add up is found, whichever of its lines is wrong. */
 public class MonitorStandInTest {
-    private static final String GOOD = """
+  private static final String GOOD =
+      """
         # TYPE sprucerock_rpcs_taken counter
         sprucerock_rpcs_taken_total{method="read"} 7.0
         sprucerock_rpcs_ended_total{how="ok",method="read"} 4.0
@@ -28,26 +29,33 @@
         sprucerock_figures_drift 0.0
         """;
 
-    @Test
-    public void aScrapeThatAddsUpHolds() {
-        assertEquals(MonitorStandIn.unbalanced(GOOD), List.of());
-    }
+  @Test
+  public void aScrapeThatAddsUpHolds() {
+    assertEquals(MonitorStandIn.unbalanced(GOOD), List.of());
+  }
 
-    @DataProvider
-    public Object[][] spoilt() {
-        return new Object[][] {{"read\"} 7.0", "read\"} 8.0", "rpcs: "}, {"read\"} 2.0", "read\"} 1.0", "rpcs: "}, {"\"} 3.0", "\"} 2.0", "answers: "},
-            {"+Inf\"} 4", "+Inf\"} 3", "latency_seconds{"}, {"total 2.0", "total 3.0", "starts: "}, {"drift 0.0", "drift 1.0", "the relay itself"}};
-    }
+  @DataProvider
+  public Object[][] spoilt() {
+    return new Object[][] {
+      {"read\"} 7.0", "read\"} 8.0", "rpcs: "},
+      {"read\"} 2.0", "read\"} 1.0", "rpcs: "},
+      {"\"} 3.0", "\"} 2.0", "answers: "},
+      {"+Inf\"} 4", "+Inf\"} 3", "latency_seconds{"},
+      {"total 2.0", "total 3.0", "starts: "},
+      {"drift 0.0", "drift 1.0", "the relay itself"}
+    };
+  }
 
-    @Test(dataProvider = "spoilt")
-    public void oneWrongLineIsFound(String right, String wrong, String says) {
-        List<String> found = MonitorStandIn.unbalanced(GOOD.replace(right, wrong));
-        assertEquals(found.size(), 1, found.toString());
-        assertEquals(found.get(0).startsWith(says), true, found.toString());
-    }
+  @Test(dataProvider = "spoilt")
+  public void oneWrongLineIsFound(String right, String wrong, String says) {
+    List<String> found = MonitorStandIn.unbalanced(GOOD.replace(right, wrong));
+    assertEquals(found.size(), 1, found.toString());
+    assertEquals(found.get(0).startsWith(says), true, found.toString());
+  }
 
-    @Test
-    public void aScrapeWithoutFiguresIsWrong() {
-        assertEquals(MonitorStandIn.unbalanced("sprucerock_figures_drift 0.0\n"), List.of("no figures in it"));
-    }
+  @Test
+  public void aScrapeWithoutFiguresIsWrong() {
+    assertEquals(
+        MonitorStandIn.unbalanced("sprucerock_figures_drift 0.0\n"), List.of("no figures in it"));
+  }
 }
--- a/src/test/java/sprucerock/standin/StandInTest.java
+++ b/src/test/java/sprucerock/standin/StandInTest.java
@@ -38,275 +38,355 @@
 
 /** The stand-ins do to a relay what their command says, in simulated time. */
 public class StandInTest {
-    private ScriptedNet net;
-    private TraceWriter trace;
-    private Path file;
-    private Site site;
+  private ScriptedNet net;
+  private TraceWriter trace;
+  private Path file;
+  private Site site;
 
-    @BeforeMethod
-    public void begin() throws Exception {
-        net = new ScriptedNet(0, 1);
-        Path folder = Files.createTempDirectory("standins");
-        file = folder.resolve("t.trace");
-        trace = new TraceWriter(net, file, "test");
-        site = site(Site.Control.SINGLE, 1, 1);
-    }
+  @BeforeMethod
+  public void begin() throws Exception {
+    net = new ScriptedNet(0, 1);
+    Path folder = Files.createTempDirectory("standins");
+    file = folder.resolve("t.trace");
+    trace = new TraceWriter(net, file, "test");
+    site = site(Site.Control.SINGLE, 1, 1);
+  }
 
-    private static Site site(Site.Control control, int on, int back) {
-        Span soft = Span.ofMs(100);
-        Span deadline = Span.ofMs(1000);
-        return new Site(List.of(new Site.Method("read", Site.Effect.IDEMPOTENT, 0.4, 10, soft, deadline, 1, Span.ZERO),
-            new Site.Method("reserve", Site.Effect.TOKENED, 0.3, 10, soft, deadline, 1, Span.ofMs(2000)),
-            new Site.Method("pay", Site.Effect.NON_IDEMPOTENT, 0.3, 10, soft, deadline, 1, Span.ZERO)), List.of(),
-            List.of(new Site.Stage(0.1, 0.1), new Site.Stage(1, 1)), new Site.Desk(control, on, 1, back, Span.ofMs(4000), Span.ofMs(500),
-                Span.ofMs(2000), Span.ofMs(1000), 1), new Site.Cold(0.4, Span.ofMs(3000), 3, Span.ofMs(1000)));
-    }
+  private static Site site(Site.Control control, int on, int back) {
+    Span soft = Span.ofMs(100);
+    Span deadline = Span.ofMs(1000);
+    return new Site(
+        List.of(
+            new Site.Method("read", Site.Effect.IDEMPOTENT, 0.4, 10, soft, deadline, 1, Span.ZERO),
+            new Site.Method(
+                "reserve", Site.Effect.TOKENED, 0.3, 10, soft, deadline, 1, Span.ofMs(2000)),
+            new Site.Method(
+                "pay", Site.Effect.NON_IDEMPOTENT, 0.3, 10, soft, deadline, 1, Span.ZERO)),
+        List.of(),
+        List.of(new Site.Stage(0.1, 0.1), new Site.Stage(1, 1)),
+        new Site.Desk(
+            control,
+            on,
+            1,
+            back,
+            Span.ofMs(4000),
+            Span.ofMs(500),
+            Span.ofMs(2000),
+            Span.ofMs(1000),
+            1),
+        new Site.Cold(0.4, Span.ofMs(3000), 3, Span.ofMs(1000)));
+  }
 
-    private UnitStandIn unit(BuildFault fault, boolean cold) throws Exception {
-        UnitStandIn unit = new UnitStandIn(net, trace, Person.LIMITS, 7, 1, 0, 2, 1, fault, site, new Shared(), (a, b, c, d) -> { }, 5);
-        // in memory there is no system that gives out ports
-        unit.start(cold);
-        return unit;
-    }
+  private UnitStandIn unit(BuildFault fault, boolean cold) throws Exception {
+    UnitStandIn unit =
+        new UnitStandIn(
+            net,
+            trace,
+            Person.LIMITS,
+            7,
+            1,
+            0,
+            2,
+            1,
+            fault,
+            site,
+            new Shared(),
+            (a, b, c, d) -> {},
+            5);
+    // in memory there is no system that gives out ports
+    unit.start(cold);
+    return unit;
+  }
 
-    private Person at(int port) {
-        Person person = Person.at(net, Role.RELAY, 0, port);
-        net.settle();
-        return person;
-    }
+  private Person at(int port) {
+    Person person = Person.at(net, Role.RELAY, 0, port);
+    net.settle();
+    return person;
+  }
 
-    private void work(Person relay, long id, int method, long token, long leftMs) {
-        net.turn(() -> relay.send(Kind.WORK, Work.newBuilder().setId(id).setMethod(method).setToken(token).setLeftUs(leftMs * 1000).build(),
-            (byte) id, (byte) 1));
-        net.settle();
-    }
+  private void work(Person relay, long id, int method, long token, long leftMs) {
+    net.turn(
+        () ->
+            relay.send(
+                Kind.WORK,
+                Work.newBuilder()
+                    .setId(id)
+                    .setMethod(method)
+                    .setToken(token)
+                    .setLeftUs(leftMs * 1000)
+                    .build(),
+                (byte) id,
+                (byte) 1));
+    net.settle();
+  }
 
-    private List<String> results(Person relay) {
-        return relay.<Done>all(Kind.DONE).stream().map(one -> one.getId() + " " + one.getResult()).toList();
-    }
+  private List<String> results(Person relay) {
+    return relay.<Done>all(Kind.DONE).stream()
+        .map(one -> one.getId() + " " + one.getResult())
+        .toList();
+  }
 
-    private long noted(String name) throws Exception {
-        return Files.readAllLines(file).stream().filter(line -> line.contains("\t!\t" + name + "\t")).count();
-    }
+  private long noted(String name) throws Exception {
+    return Files.readAllLines(file).stream()
+        .filter(line -> line.contains("\t!\t" + name + "\t"))
+        .count();
+  }
 
-    @Test
-    public void aUnitWorksRefusesPastItsQueueAndDropsWhatNobodyWaitsFor() throws Exception {
-        UnitStandIn unit = unit(BuildFault.GOOD, false);
-        Person relay = at(unit.port());
-        work(relay, 1, 0, 0, 1000);
-        net.pass(60);
-        assertEquals(results(relay), List.of("1 DONE"));
-        unit.hang(true);
-        for (int i = 2; i < 80; i++) work(relay, i, 0, 0, 20);
-        assertEquals(relay.<Done>all(Kind.DONE).size(), 1 + 78 - 64, "two cores, 32 waiting each");
-        net.pass(500);
-        unit.hang(false);
-        net.pass(200);
-        assertEquals(relay.<Done>all(Kind.DONE).size(), 15, "all that waited is overdue");
-        unit.drain();
-        work(relay, 99, 0, 0, 1000);
-        assertEquals(results(relay).get(15), "99 FULL");
+  @Test
+  public void aUnitWorksRefusesPastItsQueueAndDropsWhatNobodyWaitsFor() throws Exception {
+    UnitStandIn unit = unit(BuildFault.GOOD, false);
+    Person relay = at(unit.port());
+    work(relay, 1, 0, 0, 1000);
+    net.pass(60);
+    assertEquals(results(relay), List.of("1 DONE"));
+    unit.hang(true);
+    for (int i = 2; i < 80; i++) {
+      work(relay, i, 0, 0, 20);
     }
+    assertEquals(relay.<Done>all(Kind.DONE).size(), 1 + 78 - 64, "two cores, 32 waiting each");
+    net.pass(500);
+    unit.hang(false);
+    net.pass(200);
+    assertEquals(relay.<Done>all(Kind.DONE).size(), 15, "all that waited is overdue");
+    unit.drain();
+    work(relay, 99, 0, 0, 1000);
+    assertEquals(results(relay).get(15), "99 FULL");
+  }
 
-    @Test
-    public void tokenedRepeatsAreDroppedAndEffectsNoted() throws Exception {
-        UnitStandIn unit = unit(BuildFault.GOOD, false);
-        Person relay = at(unit.port());
-        work(relay, 1, 1, 55, 1000);
-        net.pass(60);
-        work(relay, 2, 1, 55, 1000);
-        work(relay, 3, 2, 0, 1000);
-        net.pass(100);
-        assertEquals(results(relay).stream().sorted().toList(), List.of("1 DONE", "2 DONE", "3 DONE"));
-        assertEquals(noted("EFFECT"), 2);
-        assertEquals(noted("REPEAT_DROPPED"), 1);
-        net.pass(2500);
-        work(relay, 4, 1, 55, 1000);
-        net.pass(100);
-        assertEquals(noted("EFFECT"), 3, "past the window it is another");
-    }
+  @Test
+  public void tokenedRepeatsAreDroppedAndEffectsNoted() throws Exception {
+    UnitStandIn unit = unit(BuildFault.GOOD, false);
+    Person relay = at(unit.port());
+    work(relay, 1, 1, 55, 1000);
+    net.pass(60);
+    work(relay, 2, 1, 55, 1000);
+    work(relay, 3, 2, 0, 1000);
+    net.pass(100);
+    assertEquals(results(relay).stream().sorted().toList(), List.of("1 DONE", "2 DONE", "3 DONE"));
+    assertEquals(noted("EFFECT"), 2);
+    assertEquals(noted("REPEAT_DROPPED"), 1);
+    net.pass(2500);
+    work(relay, 4, 1, 55, 1000);
+    net.pass(100);
+    assertEquals(noted("EFFECT"), 3, "past the window it is another");
+  }
 
-    @Test
-    public void faultsOfUnitsAndBuildsShowAsTheyShould() throws Exception {
-        UnitStandIn unit = unit(new BuildFault(BuildFault.What.METHOD, 1, 2), false);
-        Person relay = at(unit.port());
-        work(relay, 1, 0, 0, 1000);
-        work(relay, 2, 2, 0, 1000);
-        net.pass(100);
-        assertEquals(results(relay).stream().sorted().toList(), List.of("1 DONE", "2 ERROR"));
-        unit.loseAnswers(1);
-        work(relay, 3, 0, 0, 1000);
-        net.pass(100);
-        assertEquals(results(relay).size(), 2);
-        unit.loseAnswers(0);
-        unit.rubbish(true);
-        work(relay, 4, 0, 0, 1000);
-        net.pass(100);
-        assertEquals(relay.all(Kind.WORK).size(), 1);
-        unit.connections(0);
-        net.settle();
-        assertEquals(relay.gone, "closed by the other side");
-    }
+  @Test
+  public void faultsOfUnitsAndBuildsShowAsTheyShould() throws Exception {
+    UnitStandIn unit = unit(new BuildFault(BuildFault.What.METHOD, 1, 2), false);
+    Person relay = at(unit.port());
+    work(relay, 1, 0, 0, 1000);
+    work(relay, 2, 2, 0, 1000);
+    net.pass(100);
+    assertEquals(results(relay).stream().sorted().toList(), List.of("1 DONE", "2 ERROR"));
+    unit.loseAnswers(1);
+    work(relay, 3, 0, 0, 1000);
+    net.pass(100);
+    assertEquals(results(relay).size(), 2);
+    unit.loseAnswers(0);
+    unit.rubbish(true);
+    work(relay, 4, 0, 0, 1000);
+    net.pass(100);
+    assertEquals(relay.all(Kind.WORK).size(), 1);
+    unit.connections(0);
+    net.settle();
+    assertEquals(relay.gone, "closed by the other side");
+  }
 
-    @Test
-    public void aColdUnitPushedPastWhatItBearsFallsOverAndStaysDown() throws Exception {
-        UnitStandIn unit = unit(BuildFault.GOOD, true);
-        Person relay = at(unit.port());
-        for (int i = 0; i < 100; i++) work(relay, i, 0, 0, 1000);
-        assertFalse(unit.hasFallen(), "about a second of work is what two cores at 40% bear thrice over");
-        for (int i = 100; i < 500; i++) work(relay, i, 0, 0, 1000);
-        assertTrue(unit.hasFallen());
-        unit.start(true);
-        assertTrue(unit.isDown());
-        assertEquals(noted("FELL"), 1);
+  @Test
+  public void aColdUnitPushedPastWhatItBearsFallsOverAndStaysDown() throws Exception {
+    UnitStandIn unit = unit(BuildFault.GOOD, true);
+    Person relay = at(unit.port());
+    for (int i = 0; i < 100; i++) {
+      work(relay, i, 0, 0, 1000);
     }
-
-    @Test
-    public void theRosterTellsLateAndInOrder() throws Exception {
-        RosterStandIn roster = new RosterStandIn(net, trace, Person.LIMITS, Span.ofMs(300));
-        Person relay = at(roster.start());
-        net.turn(() -> relay.send(Kind.WATCH, Watch.getDefaultInstance()));
-        net.settle();
-        Entry.Builder entry = Entry.newBuilder().setUnit(1).setRun(1).setHealth(Health.READY);
-        roster.late(Span.ofMs(1000));
-        roster.changed(entry.build(), null);
-        roster.late(Span.ZERO);
-        roster.changed(entry.setHealth(Health.DRAINING).build(), null);
-        net.pass(1200);
-        assertEquals(relay.<Listing>all(Kind.LISTING).size(), 1, "the whole list, empty");
-        net.pass(200);
-        assertEquals(relay.<Listing>all(Kind.LISTING).stream().flatMap(one -> one.getEntriesList().stream())
-            .map(Entry::getHealth).toList(), List.of(Health.READY, Health.DRAINING));
-        roster.down(true);
-        net.settle();
-        assertEquals(relay.gone, "closed by the other side");
+    assertFalse(
+        unit.hasFallen(), "about a second of work is what two cores at 40% bear thrice over");
+    for (int i = 100; i < 500; i++) {
+      work(relay, i, 0, 0, 1000);
     }
+    assertTrue(unit.hasFallen());
+    unit.start(true);
+    assertTrue(unit.isDown());
+    assertEquals(noted("FELL"), 1);
+  }
 
-    private final List<String> places = new ArrayList<>();
+  @Test
+  public void theRosterTellsLateAndInOrder() throws Exception {
+    RosterStandIn roster = new RosterStandIn(net, trace, Person.LIMITS, Span.ofMs(300));
+    Person relay = at(roster.start());
+    net.turn(() -> relay.send(Kind.WATCH, Watch.getDefaultInstance()));
+    net.settle();
+    Entry.Builder entry = Entry.newBuilder().setUnit(1).setRun(1).setHealth(Health.READY);
+    roster.late(Span.ofMs(1000));
+    roster.changed(entry.build(), null);
+    roster.late(Span.ZERO);
+    roster.changed(entry.setHealth(Health.DRAINING).build(), null);
+    net.pass(1200);
+    assertEquals(relay.<Listing>all(Kind.LISTING).size(), 1, "the whole list, empty");
+    net.pass(200);
+    assertEquals(
+        relay.<Listing>all(Kind.LISTING).stream()
+            .flatMap(one -> one.getEntriesList().stream())
+            .map(Entry::getHealth)
+            .toList(),
+        List.of(Health.READY, Health.DRAINING));
+    roster.down(true);
+    net.settle();
+    assertEquals(relay.gone, "closed by the other side");
+  }
 
-    private DeskStandIn desk(Site ofSite) {
-        places.clear();
-        return new DeskStandIn(net, trace, Person.LIMITS, ofSite, new DeskStandIn.Places() {
-            @Override
-            public void enter(int build, int stage) {
-                places.add("enter " + build + "/" + stage);
-            }
+  private final List<String> places = new ArrayList<>();
 
-            @Override
-            public void released(int build) {
-                places.add("released " + build);
-            }
+  private DeskStandIn desk(Site ofSite) {
+    places.clear();
+    return new DeskStandIn(
+        net,
+        trace,
+        Person.LIMITS,
+        ofSite,
+        new DeskStandIn.Places() {
+          @Override
+          public void enter(int build, int stage) {
+            places.add("enter " + build + "/" + stage);
+          }
 
-            @Override
-            public void takeOff(int build) {
-                places.add("off " + build);
-            }
-        }, 1, 5);
-    }
+          @Override
+          public void released(int build) {
+            places.add("released " + build);
+          }
 
-    private void vote(Person relay, int stage, Say say) {
-        net.turn(() -> relay.send(Kind.VOTE, Vote.newBuilder().setId(stage).setBuild(2).setStage(stage).setSay(say).build()));
-        net.settle();
-    }
+          @Override
+          public void takeOff(int build) {
+            places.add("off " + build);
+          }
+        },
+        1,
+        5);
+  }
 
-    private List<Taken> taken(Person relay) {
-        return relay.<Voted>all(Kind.VOTED).stream().map(Voted::getTaken).toList();
-    }
+  private void vote(Person relay, int stage, Say say) {
+    net.turn(
+        () ->
+            relay.send(
+                Kind.VOTE,
+                Vote.newBuilder().setId(stage).setBuild(2).setStage(stage).setSay(say).build()));
+    net.settle();
+  }
 
-    @Test
-    public void oneVoteMovesABuildAndOneCallsItBackEvenOnceReleased() throws Exception {
-        DeskStandIn desk = desk(site);
-        Person relay = at(desk.start());
-        net.pass(300);
-        assertEquals(relay.<News>all(Kind.NEWS).get(0).getStanding(), Stand.RELEASED);
-        desk.offer(2);
-        vote(relay, 0, Say.ON);
-        net.pass(1000);
-        assertEquals(desk.stage(), 0, "it has not run for its least time");
-        net.pass(700);
-        assertEquals(desk.stage(), 1);
-        vote(relay, 0, Say.ON);
-        vote(relay, 1, Say.ON);
-        net.pass(1700);
-        assertEquals(desk.standing(), Stand.RELEASED);
-        vote(relay, 1, Say.BACK);
-        net.pass(1700);
-        assertEquals(desk.standing(), Stand.WITHDRAWN);
-        assertEquals(places, List.of("enter 2/0", "enter 2/1", "released 2", "off 2"));
-        assertEquals(taken(relay), List.of(Taken.COUNTS, Taken.MOOT, Taken.COUNTS, Taken.COUNTS));
-        News last = relay.<News>all(Kind.NEWS).get(relay.<News>all(Kind.NEWS).size() - 1);
-        assertEquals(last.getCap(), 0.0);
-    }
+  private List<Taken> taken(Person relay) {
+    return relay.<Voted>all(Kind.VOTED).stream().map(Voted::getTaken).toList();
+  }
 
-    @Test
-    public void amongManyAMajorityMovesAndVotesExpire() throws Exception {
-        DeskStandIn desk = desk(site(Site.Control.MAJORITY, 2, 2));
-        int port = desk.start();
-        Person one = Person.at(net, Role.RELAY, 1, port);
-        Person two = Person.at(net, Role.RELAY, 2, port);
-        net.pass(10);
-        desk.offer(2);
-        vote(one, 0, Say.ON);
-        net.pass(4100);
-        vote(two, 0, Say.ON);
-        net.pass(100);
-        assertEquals(desk.stage(), 0, "the first vote has expired");
-        vote(one, 0, Say.ON);
-        net.pass(100);
-        assertEquals(desk.stage(), 1);
-        vote(one, 1, Say.BACK);
-        assertEquals(desk.standing(), Stand.ON_TRIAL);
-        vote(two, 1, Say.BACK);
-        assertEquals(desk.standing(), Stand.GOING_BACK);
-    }
+  @Test
+  public void oneVoteMovesABuildAndOneCallsItBackEvenOnceReleased() throws Exception {
+    DeskStandIn desk = desk(site);
+    Person relay = at(desk.start());
+    net.pass(300);
+    assertEquals(relay.<News>all(Kind.NEWS).get(0).getStanding(), Stand.RELEASED);
+    desk.offer(2);
+    vote(relay, 0, Say.ON);
+    net.pass(1000);
+    assertEquals(desk.stage(), 0, "it has not run for its least time");
+    net.pass(700);
+    assertEquals(desk.stage(), 1);
+    vote(relay, 0, Say.ON);
+    vote(relay, 1, Say.ON);
+    net.pass(1700);
+    assertEquals(desk.standing(), Stand.RELEASED);
+    vote(relay, 1, Say.BACK);
+    net.pass(1700);
+    assertEquals(desk.standing(), Stand.WITHDRAWN);
+    assertEquals(places, List.of("enter 2/0", "enter 2/1", "released 2", "off 2"));
+    assertEquals(taken(relay), List.of(Taken.COUNTS, Taken.MOOT, Taken.COUNTS, Taken.COUNTS));
+    News last = relay.<News>all(Kind.NEWS).get(relay.<News>all(Kind.NEWS).size() - 1);
+    assertEquals(last.getCap(), 0.0);
+  }
 
-    @Test
-    public void theClockMovesAStageUnlessSomeoneHolds() throws Exception {
-        DeskStandIn desk = desk(site(Site.Control.CLOCKED, 0, 1));
-        Person relay = at(desk.start());
-        desk.offer(2);
-        vote(relay, 0, Say.HOLD);
-        net.pass(3900);
-        assertEquals(desk.stage(), 0);
-        net.pass(4000);
-        assertEquals(desk.stage(), 1);
-        desk.down(true);
-        vote(relay, 1, Say.BACK);
-        assertEquals(taken(relay), List.of(Taken.COUNTS), "a desk that is down answers nothing");
-        net.pass(500);
-        assertEquals(desk.standing(), Stand.ON_TRIAL);
-    }
+  @Test
+  public void amongManyAMajorityMovesAndVotesExpire() throws Exception {
+    DeskStandIn desk = desk(site(Site.Control.MAJORITY, 2, 2));
+    int port = desk.start();
+    Person one = Person.at(net, Role.RELAY, 1, port);
+    Person two = Person.at(net, Role.RELAY, 2, port);
+    net.pass(10);
+    desk.offer(2);
+    vote(one, 0, Say.ON);
+    net.pass(4100);
+    vote(two, 0, Say.ON);
+    net.pass(100);
+    assertEquals(desk.stage(), 0, "the first vote has expired");
+    vote(one, 0, Say.ON);
+    net.pass(100);
+    assertEquals(desk.stage(), 1);
+    vote(one, 1, Say.BACK);
+    assertEquals(desk.standing(), Stand.ON_TRIAL);
+    vote(two, 1, Say.BACK);
+    assertEquals(desk.standing(), Stand.GOING_BACK);
+  }
+
+  @Test
+  public void theClockMovesAStageUnlessSomeoneHolds() throws Exception {
+    DeskStandIn desk = desk(site(Site.Control.CLOCKED, 0, 1));
+    Person relay = at(desk.start());
+    desk.offer(2);
+    vote(relay, 0, Say.HOLD);
+    net.pass(3900);
+    assertEquals(desk.stage(), 0);
+    net.pass(4000);
+    assertEquals(desk.stage(), 1);
+    desk.down(true);
+    vote(relay, 1, Say.BACK);
+    assertEquals(taken(relay), List.of(Taken.COUNTS), "a desk that is down answers nothing");
+    net.pass(500);
+    assertEquals(desk.standing(), Stand.ON_TRIAL);
+  }
 
-    @Test
-    public void clientsTryAgainOnlyAsTheirMethodAllows() throws Exception {
-        List<Person> relays = Person.listen(net, Role.RELAY, 0, 3000);
-        Map<ClientStandIn.End, Integer> ends = new HashMap<>();
-        Map<Integer, Integer> tries = new HashMap<>();
-        ClientStandIn client = new ClientStandIn(net, trace, Person.LIMITS, site, new ClientStandIn.Manners(2, Span.ofMs(20), 0, 0),
+  @Test
+  public void clientsTryAgainOnlyAsTheirMethodAllows() throws Exception {
+    List<Person> relays = Person.listen(net, Role.RELAY, 0, 3000);
+    Map<ClientStandIn.End, Integer> ends = new HashMap<>();
+    Map<Integer, Integer> tries = new HashMap<>();
+    ClientStandIn client =
+        new ClientStandIn(
+            net,
+            trace,
+            Person.LIMITS,
+            site,
+            new ClientStandIn.Manners(2, Span.ofMs(20), 0, 0),
             new ClientStandIn.Ear() {
-                @Override
-                public void asked(ClientStandIn.Order order) { }
+              @Override
+              public void asked(ClientStandIn.Order order) {}
 
-                @Override
-                public void ended(ClientStandIn.Order order, ClientStandIn.End end) {
-                    ends.merge(end, 1, Integer::sum);
-                    tries.merge(order.method, order.tries, Math::max);
-                }
-            }, 1, new InetSocketAddress(InetAddress.getLoopbackAddress(), 3000), 200, 9);
-        client.start();
-        net.pass(10);
-        Person relay = relays.get(0);
-        for (int i = 0, answered = 0; i < 1500; i++) {
-            net.pass(1);
-            List<Call> calls = relay.all(Kind.CALL);
-            for (; answered < calls.size(); answered++) {
-                long id = calls.get(answered).getId();
-                net.turn(() -> relay.send(Kind.ANSWER, Answer.newBuilder().setId(id).setEnding(Ending.ABORTED).build()));
-            }
-            if (i == 400) client.stop();
-        }
-        assertEquals(ends.keySet(), java.util.Set.of(ClientStandIn.End.ABORTED));
-        assertEquals(tries, Map.of(0, 3, 1, 3, 2, 1));
-        assertEquals(client.open(), 0);
+              @Override
+              public void ended(ClientStandIn.Order order, ClientStandIn.End end) {
+                ends.merge(end, 1, Integer::sum);
+                tries.merge(order.method, order.tries, Math::max);
+              }
+            },
+            1,
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 3000),
+            200,
+            9);
+    client.start();
+    net.pass(10);
+    Person relay = relays.get(0);
+    for (int i = 0, answered = 0; i < 1500; i++) {
+      net.pass(1);
+      List<Call> calls = relay.all(Kind.CALL);
+      for (; answered < calls.size(); answered++) {
+        long id = calls.get(answered).getId();
+        net.turn(
+            () ->
+                relay.send(
+                    Kind.ANSWER, Answer.newBuilder().setId(id).setEnding(Ending.ABORTED).build()));
+      }
+      if (i == 400) {
+        client.stop();
+      }
     }
+    assertEquals(ends.keySet(), java.util.Set.of(ClientStandIn.End.ABORTED));
+    assertEquals(tries, Map.of(0, 3, 1, 3, 2, 1));
+    assertEquals(client.open(), 0);
+  }
 }
--- a/src/test/java/sprucerock/standin/WayStandInTest.java
+++ b/src/test/java/sprucerock/standin/WayStandInTest.java
@@ -18,131 +18,151 @@
 import sprucerock.net.ScriptedNet;
 import sprucerock.time.Span;
 
-/** What a way does to connections, in simulated time: nothing is lost, made up or put in another order, whatever befalls it. */
+/**
+ * What a way does to connections, in simulated time: nothing is lost, made up or put in another
+ * order, whatever befalls it.
+ */
 public class WayStandInTest {
-    private static final class Party implements LinkUser {
-        final StringBuilder got = new StringBuilder();
-        Link link;
-        String closed;
+  private static final class Party implements LinkUser {
+    final StringBuilder got = new StringBuilder();
+    Link link;
+    String closed;
 
-        @Override
-        public void up(Link made) {
-            link = made;
-        }
+    @Override
+    public void up(Link made) {
+      link = made;
+    }
 
-        @Override
-        public void received(ByteBuffer bytes) {
-            got.append(StandardCharsets.UTF_8.decode(bytes));
-        }
+    @Override
+    public void received(ByteBuffer bytes) {
+      got.append(StandardCharsets.UTF_8.decode(bytes));
+    }
 
-        @Override
-        public void closed(String why) {
-            closed = why;
-        }
+    @Override
+    public void closed(String why) {
+      closed = why;
     }
+  }
 
-    private ScriptedNet net;
-    private WayStandIn way;
-    private int port;
-    private final List<Party> taken = new ArrayList<>();
+  private ScriptedNet net;
+  private WayStandIn way;
+  private int port;
+  private final List<Party> taken = new ArrayList<>();
 
-    @BeforeMethod
-    public void begin() throws Exception {
-        net = new ScriptedNet(0, 1);
-        taken.clear();
-        int far = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 10, 1000, () -> {
-            taken.add(new Party());
-            return taken.get(taken.size() - 1);
-        }).address().getPort();
-        way = new WayStandIn(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), far), 7);
-        port = way.start();
-    }
+  @BeforeMethod
+  public void begin() throws Exception {
+    net = new ScriptedNet(0, 1);
+    taken.clear();
+    int far =
+        net.listen(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                10,
+                1000,
+                () -> {
+                  taken.add(new Party());
+                  return taken.get(taken.size() - 1);
+                })
+            .address()
+            .getPort();
+    way = new WayStandIn(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), far), 7);
+    port = way.start();
+  }
 
-    private Party dial() {
-        Party party = new Party();
-        net.turn(() -> net.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), Span.ofMs(1000), 1000, party));
-        net.settle();
-        return party;
-    }
+  private Party dial() {
+    Party party = new Party();
+    net.turn(
+        () ->
+            net.connect(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                Span.ofMs(1000),
+                1000,
+                party));
+    net.settle();
+    return party;
+  }
 
-    private void say(Party party, String what) {
-        net.turn(() -> party.link.append(what.getBytes(StandardCharsets.UTF_8)));
-        net.settle();
-    }
+  private void say(Party party, String what) {
+    net.turn(() -> party.link.append(what.getBytes(StandardCharsets.UTF_8)));
+    net.settle();
+  }
 
-    @Test
-    public void aDirectionThatIsCutHoldsWhatIsSaidAndTheOtherPasses() {
-        Party near = dial();
-        say(near, "one ");
-        way.cut(true, false);
-        say(near, "two ");
-        say(taken.get(0), "heard");
-        net.pass(5000);
-        assertEquals(taken.get(0).got.toString(), "one ");
-        assertEquals(near.got.toString(), "heard");
-        net.turn(() -> near.link.finish());
-        net.pass(1000);
-        assertNull(taken.get(0).closed, "its end passed where nothing does");
-        net.turn(() -> way.cut(false, false));
-        net.settle();
-        assertEquals(taken.get(0).got.toString(), "one two ");
-        assertNotNull(taken.get(0).closed);
-        assertEquals(way.open(), 0);
-    }
+  @Test
+  public void aDirectionThatIsCutHoldsWhatIsSaidAndTheOtherPasses() {
+    Party near = dial();
+    say(near, "one ");
+    way.cut(true, false);
+    say(near, "two ");
+    say(taken.get(0), "heard");
+    net.pass(5000);
+    assertEquals(taken.get(0).got.toString(), "one ");
+    assertEquals(near.got.toString(), "heard");
+    net.turn(() -> near.link.finish());
+    net.pass(1000);
+    assertNull(taken.get(0).closed, "its end passed where nothing does");
+    net.turn(() -> way.cut(false, false));
+    net.settle();
+    assertEquals(taken.get(0).got.toString(), "one two ");
+    assertNotNull(taken.get(0).closed);
+    assertEquals(way.open(), 0);
+  }
 
-    @Test
-    public void whatIsBegunWhileItIsCutLeadsOnOnceItIsWhole() {
-        way.cut(false, true);
-        Party near = dial();
-        say(near, "hello");
-        net.pass(3000);
-        assertTrue(taken.isEmpty());
-        Party left = dial();
-        net.turn(() -> left.link.finish());
-        net.settle();
-        net.turn(() -> way.cut(false, false));
-        net.settle();
-        assertEquals(taken.size(), 1, "who gave up meanwhile is not led on");
-        assertEquals(taken.get(0).got.toString(), "hello");
-    }
+  @Test
+  public void whatIsBegunWhileItIsCutLeadsOnOnceItIsWhole() {
+    way.cut(false, true);
+    Party near = dial();
+    say(near, "hello");
+    net.pass(3000);
+    assertTrue(taken.isEmpty());
+    Party left = dial();
+    net.turn(() -> left.link.finish());
+    net.settle();
+    net.turn(() -> way.cut(false, false));
+    net.settle();
+    assertEquals(taken.size(), 1, "who gave up meanwhile is not led on");
+    assertEquals(taken.get(0).got.toString(), "hello");
+  }
 
-    @Test
-    public void piecesThatAreLateOrSentAgainKeepTheirOrder() {
-        Party near = dial();
-        way.late(Span.ofMs(300));
-        way.lose(0.5);
-        StringBuilder said = new StringBuilder();
-        for (int i = 0; i < 50; i++) {
-            if (i == 30) way.late(Span.ZERO);
-            say(near, i + " ");
-            said.append(i).append(' ');
-            net.pass(10);
-        }
-        assertTrue(taken.get(0).got.length() < said.length(), "nothing was late");
-        net.pass(1000);
-        assertEquals(taken.get(0).got.toString(), said.toString());
+  @Test
+  public void piecesThatAreLateOrSentAgainKeepTheirOrder() {
+    Party near = dial();
+    way.late(Span.ofMs(300));
+    way.lose(0.5);
+    StringBuilder said = new StringBuilder();
+    for (int i = 0; i < 50; i++) {
+      if (i == 30) {
+        way.late(Span.ZERO);
+      }
+      say(near, i + " ");
+      said.append(i).append(' ');
+      net.pass(10);
     }
+    assertTrue(taken.get(0).got.length() < said.length(), "nothing was late");
+    net.pass(1000);
+    assertEquals(taken.get(0).got.toString(), said.toString());
+  }
 
-    @Test
-    public void aResetClosesWhatIsOpenAndWhatIsBegunMeanwhile() {
-        Party near = dial();
-        net.turn(() -> way.reset(true));
-        net.settle();
-        assertNotNull(near.closed);
-        assertNotNull(taken.get(0).closed);
-        assertNotNull(dial().closed);
-        assertEquals(taken.size(), 1);
-        net.turn(() -> way.reset(false));
-        assertNull(dial().closed);
-        assertEquals(way.open(), 1);
-    }
+  @Test
+  public void aResetClosesWhatIsOpenAndWhatIsBegunMeanwhile() {
+    Party near = dial();
+    net.turn(() -> way.reset(true));
+    net.settle();
+    assertNotNull(near.closed);
+    assertNotNull(taken.get(0).closed);
+    assertNotNull(dial().closed);
+    assertEquals(taken.size(), 1);
+    net.turn(() -> way.reset(false));
+    assertNull(dial().closed);
+    assertEquals(way.open(), 1);
+  }
 
-    @Test
-    public void whatWaitsIsBounded() {
-        Party near = dial();
-        way.cut(true, false);
-        for (int i = 0; i < 5; i++) say(near, "x".repeat(1 << 20));
-        assertNotNull(near.closed);
-        assertEquals(way.open(), 0);
+  @Test
+  public void whatWaitsIsBounded() {
+    Party near = dial();
+    way.cut(true, false);
+    for (int i = 0; i < 5; i++) {
+      say(near, "x".repeat(1 << 20));
     }
+    assertNotNull(near.closed);
+    assertEquals(way.open(), 0);
+  }
 }
--- a/src/test/java/sprucerock/tls/HandshakeBenchmark.java
+++ b/src/test/java/sprucerock/tls/HandshakeBenchmark.java
@@ -15,7 +15,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a handshake costs both ends together, over a wire in memory: full, and resumed. See docs/tls.md. */
+/**
+ * What a handshake costs both ends together, over a wire in memory: full, and resumed. See
+ * docs/tls.md.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -23,42 +26,57 @@
 @Measurement(iterations = 3, time = 1)
 @Fork(1)
 public class HandshakeBenchmark {
-    @Param({"TLSv1.3", "TLSv1.2"})
-    public String version;
-    @Param({"RSA-2048", "P-256", "Ed25519"})
-    public String kind;
-    private TestCa ca;
-    private Credentials unit;
-    private Credentials relay;
+  @Param({"TLSv1.3", "TLSv1.2"})
+  public String version;
 
-    @Setup
-    public void begin() {
-        ca = TestCa.root("root");
-        unit = TlsLinkTest.credentials(ca.make(TestCa.leaf("unit").keyKind(kind)).material(ca.certificate()), List.of(version), Instant::now);
-        relay = TlsLinkTest.credentials(ca.make(TestCa.leaf("relay").keyKind(kind)).material(ca.certificate()));
-    }
+  @Param({"RSA-2048", "P-256", "Ed25519"})
+  public String kind;
 
-    private static void meet(Credentials relay, Credentials unit, int port, boolean resumed) {
-        TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, unit, "unit", port, false).meet();
-        if (pair.pipe.counts.full + pair.pipe.counts.resumed != 1) throw new AssertionError(pair.client.closed);
-        if (resumed != (pair.pipe.counts.resumed == 1)) throw new AssertionError("full " + pair.pipe.counts.full + ", resumed " + pair.pipe.counts.resumed);
-        pair.client.link.finish();
-        pair.pipe.settle();
-    }
+  private TestCa ca;
+  private Credentials unit;
+  private Credentials relay;
+
+  @Setup
+  public void begin() {
+    ca = TestCa.root("root");
+    unit =
+        TlsLinkTest.credentials(
+            ca.make(TestCa.leaf("unit").keyKind(kind)).material(ca.certificate()),
+            List.of(version),
+            Instant::now);
+    relay =
+        TlsLinkTest.credentials(
+            ca.make(TestCa.leaf("relay").keyKind(kind)).material(ca.certificate()));
+  }
 
-    /** Each to a port of its own, for which there is no session. */
-    @Benchmark
-    public void full() {
-        meet(relay, unit, ++port, false);
+  private static void meet(Credentials relay, Credentials unit, int port, boolean resumed) {
+    TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, unit, "unit", port, false).meet();
+    if (pair.pipe.counts.full + pair.pipe.counts.resumed != 1) {
+      throw new AssertionError(pair.client.closed);
     }
+    if (resumed != (pair.pipe.counts.resumed == 1)) {
+      throw new AssertionError(
+          "full " + pair.pipe.counts.full + ", resumed " + pair.pipe.counts.resumed);
+    }
+    pair.client.link.finish();
+    pair.pipe.settle();
+  }
+
+  /** Each to a port of its own, for which there is no session. */
+  @Benchmark
+  public void full() {
+    meet(relay, unit, ++port, false);
+  }
 
-    @Benchmark
-    public void resumed() {
-        if (!warm) meet(relay, unit, 0, false);
-        warm = true;
-        meet(relay, unit, 0, true);
+  @Benchmark
+  public void resumed() {
+    if (!warm) {
+      meet(relay, unit, 0, false);
     }
+    warm = true;
+    meet(relay, unit, 0, true);
+  }
 
-    private boolean warm;
-    private int port;
+  private boolean warm;
+  private int port;
 }
--- a/src/test/java/sprucerock/versions/VaultTest.java
+++ b/src/test/java/sprucerock/versions/VaultTest.java
@@ -13,54 +13,65 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What is in the folder under a name is that, whole, or is not there: whatever crashes and people do to it. */
+/**
+ * What is in the folder under a name is that, whole, or is not there: whatever crashes and people
+ * do to it.
+ */
 public class VaultTest {
-    private static final byte[] PROGRAM = new byte[100_000];
-    private Path folder;
-    private String digest;
+  private static final byte[] PROGRAM = new byte[100_000];
+  private Path folder;
+  private String digest;
 
-    @BeforeMethod
-    public void begin() throws Exception {
-        folder = Files.createTempDirectory("vault");
-        Arrays.fill(PROGRAM, (byte) 7);
-        digest = new Vault(folder, 1 << 20).put(Files.write(Files.createTempFile("program", ".jar"), PROGRAM));
-    }
+  @BeforeMethod
+  public void begin() throws Exception {
+    folder = Files.createTempDirectory("vault");
+    Arrays.fill(PROGRAM, (byte) 7);
+    digest =
+        new Vault(folder, 1 << 20)
+            .put(Files.write(Files.createTempFile("program", ".jar"), PROGRAM));
+  }
 
-    private Vault nextLife() throws IOException {
-        return new Vault(folder, 1 << 20);
-    }
+  private Vault nextLife() throws IOException {
+    return new Vault(folder, 1 << 20);
+  }
 
-    @Test
-    public void aFileThatWasTornOrChangedIsMissingAndCanBeFetchedAgain() throws Exception {
-        assertTrue(nextLife().has(digest));
-        for (byte[] wrong : new byte[][] {Arrays.copyOf(PROGRAM, 99_999), new byte[0], new byte[100_000]}) {
-            Files.write(folder.resolve(digest), wrong);
-            Vault vault = nextLife();
-            assertFalse(vault.has(digest));
-            Vault.Incoming incoming = vault.incoming(digest);
-            assertFalse(incoming.add(0, Arrays.copyOf(PROGRAM, 60_000), PROGRAM.length));
-            assertFalse(vault.has(digest), "half of it is not it");
-            assertTrue(incoming.add(60_000, Arrays.copyOfRange(PROGRAM, 60_000, PROGRAM.length), PROGRAM.length));
-            assertTrue(vault.has(digest));
-        }
+  @Test
+  public void aFileThatWasTornOrChangedIsMissingAndCanBeFetchedAgain() throws Exception {
+    assertTrue(nextLife().has(digest));
+    for (byte[] wrong :
+        new byte[][] {Arrays.copyOf(PROGRAM, 99_999), new byte[0], new byte[100_000]}) {
+      Files.write(folder.resolve(digest), wrong);
+      Vault vault = nextLife();
+      assertFalse(vault.has(digest));
+      Vault.Incoming incoming = vault.incoming(digest);
+      assertFalse(incoming.add(0, Arrays.copyOf(PROGRAM, 60_000), PROGRAM.length));
+      assertFalse(vault.has(digest), "half of it is not it");
+      assertTrue(
+          incoming.add(
+              60_000, Arrays.copyOfRange(PROGRAM, 60_000, PROGRAM.length), PROGRAM.length));
+      assertTrue(vault.has(digest));
     }
+  }
 
-    @Test
-    public void anEndBetweenTwoPiecesLeavesNothingThatCountsAsThere() throws Exception {
-        String other = "0".repeat(64);
-        nextLife().incoming(other).add(0, new byte[10], 20);
-        assertEquals(Files.list(folder).count(), 2);
-        assertFalse(nextLife().has(other));
-        assertEquals(Files.list(folder).count(), 1, "half of a file stays for ever");
-    }
+  @Test
+  public void anEndBetweenTwoPiecesLeavesNothingThatCountsAsThere() throws Exception {
+    String other = "0".repeat(64);
+    nextLife().incoming(other).add(0, new byte[10], 20);
+    assertEquals(Files.list(folder).count(), 2);
+    assertFalse(nextLife().has(other));
+    assertEquals(Files.list(folder).count(), 1, "half of a file stays for ever");
+  }
 
-    @Test
-    public void whatIsNotWhatWasAskedForIsNotKept() throws Exception {
-        Vault vault = nextLife();
-        Vault.Incoming incoming = vault.incoming("0".repeat(64));
-        assertTrue(expectThrows(IOException.class, () -> incoming.add(0, new byte[10], 10)).getMessage().contains("has the digest"));
-        assertFalse(vault.has("0".repeat(64)));
-        vault.trim(Set.of(), 0);
-        assertFalse(vault.has(digest));
-    }
+  @Test
+  public void whatIsNotWhatWasAskedForIsNotKept() throws Exception {
+    Vault vault = nextLife();
+    Vault.Incoming incoming = vault.incoming("0".repeat(64));
+    assertTrue(
+        expectThrows(IOException.class, () -> incoming.add(0, new byte[10], 10))
+            .getMessage()
+            .contains("has the digest"));
+    assertFalse(vault.has("0".repeat(64)));
+    vault.trim(Set.of(), 0);
+    assertFalse(vault.has(digest));
+  }
 }
--- a/src/test/java/sprucerock/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/wire/FrameReaderTest.java
@@ -20,134 +20,183 @@
 
 /** Frames of bytes, whole, split, cut and wrong. */
 public class FrameReaderTest {
-    // the worked bytes of docs/protocol.md
-    private static final String HELLO = "00000012" + "01" + "00000e" + "08011001" + "1803" + "220674696c6c2d33";
-    private static final String CALL = "0000001c" + "02" + "000013" + "0807" + "1002" + "210b00000000000000" + "28c0cf24"
-        + "180c" + "68656c6c6f";
-
-    private static byte[] hex(String text) {
-        return HexFormat.of().parseHex(text);
-    }
-
-    private static byte[] stream() {
-        byte[] hello = hex(HELLO);
-        byte[] call = frame(2, Call.newBuilder().setId(7).setMethod(2).setLeftUs(600_000).build().toByteArray(), "hello".getBytes());
-        byte[] all = Arrays.copyOf(hello, hello.length + 2 * call.length);
-        System.arraycopy(call, 0, all, hello.length, call.length);
-        System.arraycopy(call, 0, all, hello.length + call.length, call.length);
-        return all;
+  // the worked bytes of docs/protocol.md
+  private static final String HELLO =
+      "00000012" + "01" + "00000e" + "08011001" + "1803" + "220674696c6c2d33";
+  private static final String CALL =
+      "0000001c"
+          + "02"
+          + "000013"
+          + "0807"
+          + "1002"
+          + "210b00000000000000"
+          + "28c0cf24"
+          + "180c"
+          + "68656c6c6f";
+
+  private static byte[] hex(String text) {
+    return HexFormat.of().parseHex(text);
+  }
+
+  private static byte[] stream() {
+    byte[] hello = hex(HELLO);
+    byte[] call =
+        frame(
+            2,
+            Call.newBuilder().setId(7).setMethod(2).setLeftUs(600_000).build().toByteArray(),
+            "hello".getBytes());
+    byte[] all = Arrays.copyOf(hello, hello.length + 2 * call.length);
+    System.arraycopy(call, 0, all, hello.length, call.length);
+    System.arraycopy(call, 0, all, hello.length + call.length, call.length);
+    return all;
+  }
+
+  private static byte[] frame(int kind, byte[] head, byte[] body) {
+    return ByteBuffer.allocate(8 + head.length + body.length)
+        .putInt(4 + head.length + body.length)
+        .putInt(kind << 24 | head.length)
+        .put(head)
+        .put(body)
+        .array();
+  }
+
+  private static List<String> read(FrameReader reader, byte[] bytes) throws WireException {
+    List<String> seen = new ArrayList<>();
+    reader.feed(
+        ByteBuffer.wrap(bytes),
+        (kind, head, body) -> seen.add(kind + " " + text(head) + new String(body)));
+    return seen;
+  }
+
+  private static String text(MessageLite head) {
+    return head.toString().replaceAll("\\s+", " ");
+  }
+
+  @Test
+  public void workedBytesOfTheProtocolPageAreRead() throws WireException {
+    assertEquals(
+        read(new FrameReader(1000), hex(HELLO)),
+        List.of("HELLO version: 1 role: CLIENT number: 3 name: \"till-3\" "));
+    assertEquals(
+        read(new FrameReader(1000), hex(CALL)),
+        List.of("CALL id: 7 method: 2 customer: 12 key: 11 left_us: 600000 hello"));
+    Hello hello =
+        Hello.newBuilder()
+            .setVersion(1)
+            .setRole(Role.CLIENT)
+            .setNumber(3)
+            .setName("till-3")
+            .build();
+    assertEquals(frame(1, hello.toByteArray(), new byte[0]), hex(HELLO));
+  }
+
+  @Test
+  public void everySplitGivesTheSameFrames() throws WireException {
+    byte[] all = stream();
+    List<String> whole = read(new FrameReader(1000), all);
+    assertEquals(whole.size(), 3);
+    for (int i = 0; i <= all.length; i++) {
+      for (int j = i; j <= all.length; j++) {
+        FrameReader reader = new FrameReader(1000);
+        List<String> seen = new ArrayList<>(read(reader, Arrays.copyOfRange(all, 0, i)));
+        seen.addAll(read(reader, Arrays.copyOfRange(all, i, j)));
+        seen.addAll(read(reader, Arrays.copyOfRange(all, j, all.length)));
+        assertEquals(seen, whole, "split at " + i + " and " + j);
+        assertFalse(reader.inFrame());
+      }
     }
-
-    private static byte[] frame(int kind, byte[] head, byte[] body) {
-        return ByteBuffer.allocate(8 + head.length + body.length).putInt(4 + head.length + body.length)
-            .putInt(kind << 24 | head.length).put(head).put(body).array();
+  }
+
+  @Test
+  public void everyTruncationIsKnownToBeOne() throws WireException {
+    byte[] hello = hex(HELLO);
+    for (int i = 1; i < hello.length; i++) {
+      FrameReader reader = new FrameReader(1000);
+      assertTrue(read(reader, Arrays.copyOf(hello, i)).isEmpty());
+      assertTrue(reader.inFrame(), "after " + i + " bytes");
     }
-
-    private static List<String> read(FrameReader reader, byte[] bytes) throws WireException {
-        List<String> seen = new ArrayList<>();
-        reader.feed(ByteBuffer.wrap(bytes), (kind, head, body) -> seen.add(kind + " " + text(head) + new String(body)));
-        return seen;
-    }
-
-    private static String text(MessageLite head) {
-        return head.toString().replaceAll("\\s+", " ");
-    }
-
-    @Test
-    public void workedBytesOfTheProtocolPageAreRead() throws WireException {
-        assertEquals(read(new FrameReader(1000), hex(HELLO)), List.of("HELLO version: 1 role: CLIENT number: 3 name: \"till-3\" "));
-        assertEquals(read(new FrameReader(1000), hex(CALL)),
-            List.of("CALL id: 7 method: 2 customer: 12 key: 11 left_us: 600000 hello"));
-        Hello hello = Hello.newBuilder().setVersion(1).setRole(Role.CLIENT).setNumber(3).setName("till-3").build();
-        assertEquals(frame(1, hello.toByteArray(), new byte[0]), hex(HELLO));
-    }
-
-    @Test
-    public void everySplitGivesTheSameFrames() throws WireException {
-        byte[] all = stream();
-        List<String> whole = read(new FrameReader(1000), all);
-        assertEquals(whole.size(), 3);
-        for (int i = 0; i <= all.length; i++) {
-            for (int j = i; j <= all.length; j++) {
-                FrameReader reader = new FrameReader(1000);
-                List<String> seen = new ArrayList<>(read(reader, Arrays.copyOfRange(all, 0, i)));
-                seen.addAll(read(reader, Arrays.copyOfRange(all, i, j)));
-                seen.addAll(read(reader, Arrays.copyOfRange(all, j, all.length)));
-                assertEquals(seen, whole, "split at " + i + " and " + j);
-                assertFalse(reader.inFrame());
-            }
-        }
-    }
-
-    @Test
-    public void everyTruncationIsKnownToBeOne() throws WireException {
-        byte[] hello = hex(HELLO);
-        for (int i = 1; i < hello.length; i++) {
-            FrameReader reader = new FrameReader(1000);
-            assertTrue(read(reader, Arrays.copyOf(hello, i)).isEmpty());
-            assertTrue(reader.inFrame(), "after " + i + " bytes");
-        }
-    }
-
-    @Test
-    public void whatIsNoFrameIsNamed() {
-        assertEquals(wrong("00000003010000"), "a frame of 3 bytes can't be");
-        assertEquals(wrong("000003e901000000"), "a frame of 1001 bytes, 1000 at most");
-        assertEquals(wrong("ffffffff01000000"), "a frame of -1 bytes can't be");
-        assertEquals(wrong("00000004c8000000"), "no kind of frame is 200");
-        assertEquals(wrong("0000000400000000"), "no kind of frame is 0");
-        assertEquals(wrong("0000000401000001"), "HELLO: the head is longer than the frame");
-        assertEquals(wrong("000000050400000042"), "LEAVE: has a body of 1 bytes");
-        assertTrue(wrong("000000060100000208ff").startsWith("HELLO: the head can't be read"), wrong("000000060100000208ff"));
-    }
-
-    @Test
-    public void kindsAndFieldsOfANewerProgramAreReadPast() throws WireException {
-        byte[] unknown = hex("00000007" + "63" + "000002" + "0801" + "42");
-        byte[] both = Arrays.copyOf(unknown, unknown.length + hex(CALL).length);
-        System.arraycopy(hex(CALL), 0, both, unknown.length, hex(CALL).length);
-        assertEquals(read(new FrameReader(1000), both).size(), 1);
-        String newer = "00000016" + "02" + "00000d" + "0807" + "1002" + "210b00000000000000" + "68656c6c6f";
-        assertTrue(read(new FrameReader(1000), hex(newer)).get(0).startsWith("CALL id: 7 method: 2"));
-    }
-
-    @Test
-    public void versionsWithinReachUnderstandEachOther() {
-        assertEquals(FrameLink.tooFar(Hello.newBuilder().setVersion(1).build()), null); // as the last program greeted
-        assertEquals(FrameLink.tooFar(Hello.newBuilder().setVersion(3).setOldest(1).build()), null);
-        assertEquals(FrameLink.tooFar(Hello.newBuilder().setVersion(3).setOldest(2).build()), "speaks versions 2 to 3, here 1 to 1 are spoken");
-        assertEquals(FrameLink.tooFar(Hello.newBuilder().setVersion(9).build()), "speaks versions 9 to 9, here 1 to 1 are spoken");
-    }
-
-    private static String wrong(String bytes) {
-        byte[] all = Arrays.copyOf(hex(bytes), Math.max(8, bytes.length() / 2));
-        return expectThrows(WireException.class, () -> read(new FrameReader(1000), all)).getMessage();
-    }
-
-    @Test
-    public void randomBytesNeverDoMoreThanEndTheReading() {
-        SplittableRandom random = new SplittableRandom(3);
-        for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = stream();
-            for (int j = random.nextInt(6); j >= 0; j--) bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
-            try {
-                read(new FrameReader(1000), bytes);
-            } catch (WireException e) {
-                assertTrue(e.getMessage().length() < 300, e.getMessage());
-            }
-        }
-    }
-
-    @Test
-    public void aLinkIsCutForAnotherVersionAndForSilence() throws java.io.IOException {
-        ScriptedNet net = new ScriptedNet(0, 1);
-        List<Person> there = Person.listen(net, Role.UNIT, 1, 7000);
-        FrameLink old = new FrameLink(net, Hello.newBuilder().setVersion(9).build(), Person.LIMITS, Tap.NONE, new Person(net, Role.CLIENT, 0));
-        net.connect(new java.net.InetSocketAddress("127.0.0.1", 7000), sprucerock.time.Span.ofMs(100), 1000, old);
-        net.pass(10);
-        assertEquals(there.get(0).gone, "speaks versions 9 to 9, here 1 to 1 are spoken");
-        Person mute = Person.at(net, Role.CLIENT, 2, 7000);
-        net.pass(10_000);
-        assertEquals(mute.gone, null, "beats must keep a quiet link");
+  }
+
+  @Test
+  public void whatIsNoFrameIsNamed() {
+    assertEquals(wrong("00000003010000"), "a frame of 3 bytes can't be");
+    assertEquals(wrong("000003e901000000"), "a frame of 1001 bytes, 1000 at most");
+    assertEquals(wrong("ffffffff01000000"), "a frame of -1 bytes can't be");
+    assertEquals(wrong("00000004c8000000"), "no kind of frame is 200");
+    assertEquals(wrong("0000000400000000"), "no kind of frame is 0");
+    assertEquals(wrong("0000000401000001"), "HELLO: the head is longer than the frame");
+    assertEquals(wrong("000000050400000042"), "LEAVE: has a body of 1 bytes");
+    assertTrue(
+        wrong("000000060100000208ff").startsWith("HELLO: the head can't be read"),
+        wrong("000000060100000208ff"));
+  }
+
+  @Test
+  public void kindsAndFieldsOfANewerProgramAreReadPast() throws WireException {
+    byte[] unknown = hex("00000007" + "63" + "000002" + "0801" + "42");
+    byte[] both = Arrays.copyOf(unknown, unknown.length + hex(CALL).length);
+    System.arraycopy(hex(CALL), 0, both, unknown.length, hex(CALL).length);
+    assertEquals(read(new FrameReader(1000), both).size(), 1);
+    String newer =
+        "00000016" + "02" + "00000d" + "0807" + "1002" + "210b00000000000000" + "68656c6c6f";
+    assertTrue(read(new FrameReader(1000), hex(newer)).get(0).startsWith("CALL id: 7 method: 2"));
+  }
+
+  @Test
+  public void versionsWithinReachUnderstandEachOther() {
+    assertEquals(
+        FrameLink.tooFar(Hello.newBuilder().setVersion(1).build()),
+        null); // as the last program greeted
+    assertEquals(FrameLink.tooFar(Hello.newBuilder().setVersion(3).setOldest(1).build()), null);
+    assertEquals(
+        FrameLink.tooFar(Hello.newBuilder().setVersion(3).setOldest(2).build()),
+        "speaks versions 2 to 3, here 1 to 1 are spoken");
+    assertEquals(
+        FrameLink.tooFar(Hello.newBuilder().setVersion(9).build()),
+        "speaks versions 9 to 9, here 1 to 1 are spoken");
+  }
+
+  private static String wrong(String bytes) {
+    byte[] all = Arrays.copyOf(hex(bytes), Math.max(8, bytes.length() / 2));
+    return expectThrows(WireException.class, () -> read(new FrameReader(1000), all)).getMessage();
+  }
+
+  @Test
+  public void randomBytesNeverDoMoreThanEndTheReading() {
+    SplittableRandom random = new SplittableRandom(3);
+    for (int i = 0; i < 20_000; i++) {
+      byte[] bytes = stream();
+      for (int j = random.nextInt(6); j >= 0; j--) {
+        bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
+      }
+      try {
+        read(new FrameReader(1000), bytes);
+      } catch (WireException e) {
+        assertTrue(e.getMessage().length() < 300, e.getMessage());
+      }
     }
+  }
+
+  @Test
+  public void aLinkIsCutForAnotherVersionAndForSilence() throws java.io.IOException {
+    ScriptedNet net = new ScriptedNet(0, 1);
+    List<Person> there = Person.listen(net, Role.UNIT, 1, 7000);
+    FrameLink old =
+        new FrameLink(
+            net,
+            Hello.newBuilder().setVersion(9).build(),
+            Person.LIMITS,
+            Tap.NONE,
+            new Person(net, Role.CLIENT, 0));
+    net.connect(
+        new java.net.InetSocketAddress("127.0.0.1", 7000),
+        sprucerock.time.Span.ofMs(100),
+        1000,
+        old);
+    net.pass(10);
+    assertEquals(there.get(0).gone, "speaks versions 9 to 9, here 1 to 1 are spoken");
+    Person mute = Person.at(net, Role.CLIENT, 2, 7000);
+    net.pass(10_000);
+    assertEquals(mute.gone, null, "beats must keep a quiet link");
+  }
 }
--- a/src/test/java/sprucerock/wire/Person.java
+++ b/src/test/java/sprucerock/wire/Person.java
@@ -11,56 +11,70 @@
 
 /** Somebody at a link's other end who writes down what comes. */
 public final class Person implements FrameUser {
-    public static final Limits LIMITS = new Limits(1 << 16, 1 << 20, Span.ofMs(1000));
+  public static final Limits LIMITS = new Limits(1 << 16, 1 << 20, Span.ofMs(1000));
 
-    public record Got(Kind kind, MessageLite head, byte[] body) {}
+  public record Got(Kind kind, MessageLite head, byte[] body) {}
 
-    public final List<Got> got = new ArrayList<>();
-    public final FrameLink link;
-    public String gone;
+  public final List<Got> got = new ArrayList<>();
+  public final FrameLink link;
+  public String gone;
 
-    public Person(Net net, Role role, int number) {
-        link = new FrameLink(net, Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(role).setNumber(number).build(), LIMITS,
-            Tap.NONE, this);
-    }
+  public Person(Net net, Role role, int number) {
+    link =
+        new FrameLink(
+            net,
+            Hello.newBuilder()
+                .setVersion(FrameLink.VERSION)
+                .setRole(role)
+                .setNumber(number)
+                .build(),
+            LIMITS,
+            Tap.NONE,
+            this);
+  }
 
-    /** One that connects. */
-    public static Person at(Net net, Role role, int number, int port) {
-        Person person = new Person(net, role, number);
-        net.connect(new InetSocketAddress("127.0.0.1", port), Span.ofMs(500), 1 << 20, person.link);
-        return person;
-    }
+  /** One that connects. */
+  public static Person at(Net net, Role role, int number, int port) {
+    Person person = new Person(net, role, number);
+    net.connect(new InetSocketAddress("127.0.0.1", port), Span.ofMs(500), 1 << 20, person.link);
+    return person;
+  }
 
-    /** Those that come to a port. */
-    public static List<Person> listen(Net net, Role role, int number, int port) throws java.io.IOException {
-        List<Person> all = new ArrayList<>();
-        net.listen(new InetSocketAddress("127.0.0.1", port), 100, 1 << 20, () -> {
-            Person person = new Person(net, role, number);
-            all.add(person);
-            return person.link;
+  /** Those that come to a port. */
+  public static List<Person> listen(Net net, Role role, int number, int port)
+      throws java.io.IOException {
+    List<Person> all = new ArrayList<>();
+    net.listen(
+        new InetSocketAddress("127.0.0.1", port),
+        100,
+        1 << 20,
+        () -> {
+          Person person = new Person(net, role, number);
+          all.add(person);
+          return person.link;
         });
-        return all;
-    }
+    return all;
+  }
 
-    @SuppressWarnings("unchecked")
-    public <M> List<M> all(Kind kind) {
-        return got.stream().filter(one -> one.kind == kind).map(one -> (M) one.head).toList();
-    }
+  @SuppressWarnings("unchecked")
+  public <M> List<M> all(Kind kind) {
+    return got.stream().filter(one -> one.kind == kind).map(one -> (M) one.head).toList();
+  }
 
-    public void send(Kind kind, MessageLite head, byte... body) {
-        link.send(kind, head, body);
-    }
+  public void send(Kind kind, MessageLite head, byte... body) {
+    link.send(kind, head, body);
+  }
 
-    @Override
-    public void greeted(FrameLink made, Hello other) {}
+  @Override
+  public void greeted(FrameLink made, Hello other) {}
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-        got.add(new Got(kind, head, body));
-    }
+  @Override
+  public void frame(Kind kind, MessageLite head, byte[] body) {
+    got.add(new Got(kind, head, body));
+  }
 
-    @Override
-    public void closed(String why) {
-        gone = why;
-    }
+  @Override
+  public void closed(String why) {
+    gone = why;
+  }
 }
