--- a/src/main/java/sprucerock/rehearsal/SecondBook.java
+++ b/src/main/java/sprucerock/rehearsal/SecondBook.java
@@ -3,8 +3,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.EnumMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import sprucerock.figures.Snapshot;
 import sprucerock.ledger.Accounts;
@@ -67,7 +69,10 @@
     long[] back = new long[2];
     long[] aborted = new long[2];
     long[] works = new long[2];
-    long[][] results = new long[Result.values().length][2];
+    Map<Result, long[]> results = new EnumMap<>(Result.class);
+    for (Result result : Result.values()) {
+      results.put(result, new long[2]);
+    }
     long[] votes = new long[2];
     long[] told = new long[2];
     long[] left = new long[2];
@@ -100,7 +105,7 @@
         if (line.is('>', Kind.WORK)) {
           add(works, late);
         } else if (line.is('<', Kind.DONE)) {
-          add(results[line.head(Done.getDefaultInstance()).getResult().ordinal()], late);
+          add(results.get(line.head(Done.getDefaultInstance()).getResult()), late);
         } else if (line.is('>', Kind.VOTE)) {
           add(votes, late);
         } else if (line.is('>', Kind.TOLD)) {
@@ -125,17 +130,17 @@
         same(
             DONE,
             sum(accounts.picks, v, 1) + v[accounts.lateResults.index(0, 1)],
-            results[Result.DONE.ordinal()]));
+            results.get(Result.DONE)));
     found.add(
         same(
             ERROR,
             sum(accounts.picks, v, 2) + v[accounts.lateResults.index(0, 2)],
-            results[Result.ERROR.ordinal()]));
+            results.get(Result.ERROR)));
     found.add(
         same(
             FULL,
             sum(accounts.picks, v, 3) + v[accounts.lateResults.index(0, 3)],
-            results[Result.FULL.ordinal()]));
+            results.get(Result.FULL)));
     long cast = v[accounts.votes.index(0, 0)];
     long unanswered =
         v[accounts.votes.index(0, 5)] + v[accounts.votes.index(0, accounts.votes.lost())];
--- a/src/test/java/sprucerock/lease/LeaseTest.java
+++ b/src/test/java/sprucerock/lease/LeaseTest.java
@@ -271,11 +271,10 @@
   @Test
   public void aFenceTakesNothingLowerThanItSaw() {
     Fence fence = new Fence();
-    assertTrue(
-        fence.admits("seat", 5)
-            && fence.admits("seat", 5)
-            && fence.admits("other", 1)
-            && fence.admits("seat", 9));
+    assertTrue(fence.admits("seat", 5));
+    assertTrue(fence.admits("seat", 5));
+    assertTrue(fence.admits("other", 1));
+    assertTrue(fence.admits("seat", 9));
     assertFalse(fence.admits("seat", 8));
     assertEquals(fence.highest("seat"), 9);
     assertEquals(fence.refused(), 1);
