--- a/src/test/java/sprucerock/compat/CompatRecorder.java
+++ b/src/test/java/sprucerock/compat/CompatRecorder.java
@@ -1,6 +1,7 @@
 package sprucerock.compat;
 
 import java.nio.file.Path;
+import sprucerock.controller.ControllerCompatTest;
 
 /**
  * Writes the recorded files of the compatibility corpus; run by hand, with the corpus folder as argument, by the program whose formats
@@ -16,5 +17,6 @@
         PostgresCompatTest.record(corpus);
         PeerMessagesCompatTest.record(corpus);
         FiguresCompatTest.record(corpus);
+        ControllerCompatTest.record(corpus);
     }
 }
--- a/src/test/java/sprucerock/compat/FilledMessages.java
+++ b/src/test/java/sprucerock/compat/FilledMessages.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 
 /** Protocol buffer messages whose every field has a value other than its default, by the numbers of the fields alone. */
-final class FilledMessages {
+public final class FilledMessages {
     private static final int ENTRIES = 2;
     private static final int ENTRY_STEP = 1000;
 
@@ -84,4 +84,29 @@
         }
         return lines;
     }
+
+    /** The fields, by their numbers from the outermost message inwards, that none of some messages of one type has a value in. */
+    public static List<String> neverSet(Descriptor type, List<? extends Message> messages) {
+        return neverSet(type, messages, "");
+    }
+
+    private static List<String> neverSet(Descriptor type, List<? extends Message> messages, String path) {
+        List<String> found = new ArrayList<>();
+        for (FieldDescriptor field : type.getFields()) {
+            String name = path + field.getNumber();
+            List<Message> having = messages.stream().map(Message.class::cast).filter(message -> message.getAllFields().containsKey(field)).toList();
+            if (having.isEmpty()) found.add(name);
+            else if (field.getJavaType() == FieldDescriptor.JavaType.MESSAGE) found.addAll(neverSet(field.getMessageType(), nested(field, having), name + "."));
+        }
+        return found;
+    }
+
+    private static List<Message> nested(FieldDescriptor field, List<Message> having) {
+        List<Message> found = new ArrayList<>();
+        for (Message message : having) {
+            if (!field.isRepeated()) found.add((Message) message.getField(field));
+            for (int i = 0; field.isRepeated() && i < message.getRepeatedFieldCount(field); i++) found.add((Message) message.getRepeatedField(field, i));
+        }
+        return found;
+    }
 }
