--- a/src/test/java/sprucerock/compat/CompatRecorder.java
+++ b/src/test/java/sprucerock/compat/CompatRecorder.java
@@ -1,7 +1,9 @@
 package sprucerock.compat;
 
 import java.nio.file.Path;
+import sprucerock.agent.AgentFolderCompatTest;
 import sprucerock.controller.ControllerCompatTest;
+import sprucerock.desk.WebhooksCompatTest;
 
 /**
  * Writes the recorded files of the compatibility corpus; run by hand, with the corpus folder as argument, by the program whose formats
@@ -18,5 +20,9 @@
         PeerMessagesCompatTest.record(corpus);
         FiguresCompatTest.record(corpus);
         ControllerCompatTest.record(corpus);
+        WebhooksCompatTest.record(corpus);
+        AgentFolderCompatTest.record(corpus);
+        SlopesCompatTest.record(corpus);
+        RehearsalCompatTest.record(corpus);
     }
 }
