--- a/src/test/java/sprucerock/compat/CompatRecorder.java
+++ b/src/test/java/sprucerock/compat/CompatRecorder.java
@@ -4,6 +4,7 @@
 import sprucerock.agent.AgentFolderCompatTest;
 import sprucerock.controller.ControllerCompatTest;
 import sprucerock.desk.WebhooksCompatTest;
+import sprucerock.platform.StatementsCompatTest;
 
 /**
  * Writes the recorded files of the compatibility corpus; run by hand, with the corpus folder as argument, by the program whose formats
@@ -17,6 +18,7 @@
         Path corpus = Path.of(arguments[0]);
         FramesCompatTest.record(corpus);
         PostgresCompatTest.record(corpus);
+        StatementsCompatTest.record(corpus);
         PeerMessagesCompatTest.record(corpus);
         FiguresCompatTest.record(corpus);
         ControllerCompatTest.record(corpus);
--- a/src/test/java/sprucerock/compat/FramesCompatTest.java
+++ b/src/test/java/sprucerock/compat/FramesCompatTest.java
@@ -13,7 +13,9 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucerock.tls.Credentials;
 import sprucerock.trace.Line;
+import sprucerock.wire.FrameLink;
 import sprucerock.wire.Kind;
 
 /**
@@ -24,6 +26,7 @@
     private static final String FOLDER = "frames";
     private static final String TRACE = "frames.trace";
     private static final String ENUMERATIONS = "enumerations.txt";
+    private static final String PROTOCOL = "protocol.txt";
     private static final String NEWER_KIND = "newer-kind.hex";
     private static final String PREFIX = "frame-";
     private static final int NEWER_KIND_NUMBER = 100;
@@ -43,6 +46,7 @@
         }
         Files.writeString(folder.resolve(TRACE), trace.toString());
         Files.writeString(folder.resolve(ENUMERATIONS), String.join("\n", enumerations()) + "\n");
+        Files.writeString(folder.resolve(PROTOCOL), protocol() + "\n");
         byte[] newer = FrameRecorder.encode(Kind.LEAVE, FilledMessages.filled((Message) Kind.LEAVE.parser().parseFrom(FrameRecorder.noBody()), 0), FrameRecorder.noBody());
         newer[KIND_AT] = NEWER_KIND_NUMBER;
         Files.writeString(folder.resolve(NEWER_KIND), CorpusFiles.dump(newer));
@@ -58,6 +62,11 @@
         return lines;
     }
 
+    /** The protocol's name in TLS, and its version in greetings. */
+    private static String protocol() {
+        return Credentials.PROTOCOL + " " + FrameLink.VERSION;
+    }
+
     @DataProvider
     public Object[][] recorded() throws IOException {
         return CorpusFiles.names(FOLDER).stream().filter(name -> name.startsWith(PREFIX)).map(name -> new Object[] {name}).toArray(Object[][]::new);
@@ -121,6 +130,11 @@
         assertEquals(enumerations(), CorpusFiles.lines(FOLDER + "/" + ENUMERATIONS));
     }
 
+    @Test
+    public void theProtocolHasTheSameNameAndVersion() throws Exception {
+        assertEquals(List.of(protocol()), CorpusFiles.lines(FOLDER + "/" + PROTOCOL));
+    }
+
     @Test
     public void aFrameOfANewerProgramIsReadPast() throws Exception {
         assertEquals(FrameRecorder.decode(CorpusFiles.hex(FOLDER + "/" + NEWER_KIND)), List.of());
