--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -2,17 +2,24 @@
 
 import static org.testng.Assert.assertEquals;
 
+import java.io.ByteArrayOutputStream;
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucerock.cli.Commands;
 import sprucerock.figures.Export;
 import sprucerock.figures.Keeper;
 import sprucerock.figures.Table;
@@ -98,4 +105,37 @@
     public void theLayoutOfFiguresIsTheSame() throws Exception {
         Corpus.holds(METRICS + "layout.txt", keeper(true).snapshot().layout);
     }
+
+    /** A relay's file, shown and checked by the command: in order once it has ended, and with sums that do not hold. */
+    @Test
+    public void theCommandShowsAFileAsBefore() throws Exception {
+        Path folder = Files.createTempDirectory("figures");
+        Path file = folder.resolve("relay-0.figures");
+        Accounts accounts = accounts();
+        Keeper keeper = Keeper.open(file, accounts, () -> { }, line -> { });
+        post(accounts);
+        StringBuilder text = new StringBuilder(shown(file)).append(shown(file, "--check"));
+        keeper.close();
+        text.append(shown(file)).append(shown(file, "--check"));
+        fill(accounts);
+        accounts.commit();
+        text.append(shown(file, "--check"));
+        Files.delete(file);
+        Files.delete(folder);
+        Corpus.holds(METRICS + "command.txt", text.toString());
+    }
+
+    private static String shown(Path file, String... options) throws Exception {
+        List<String> words = new ArrayList<>(List.of("figures", file.toString()));
+        words.addAll(List.of(options));
+        PrintStream out = System.out;
+        ByteArrayOutputStream said = new ByteArrayOutputStream();
+        try {
+            System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
+            int code = Commands.run(words.toArray(new String[0]));
+            return "> figures FILE " + String.join(" ", options) + "\nexit " + code + "\n" + said.toString(StandardCharsets.UTF_8).replace(file.toString(), "FILE");
+        } finally {
+            System.setOut(out);
+        }
+    }
 }
