--- a/src/test/java/sprucerock/compat/FiguresCompatTest.java
+++ b/src/test/java/sprucerock/compat/FiguresCompatTest.java
@@ -13,96 +13,120 @@
 import sprucerock.ledger.Accounts;
 import sprucerock.time.Span;
 
-/** A relay's file of figures: recorded ones of a relay that was cut off and of one that ended, with the listing that they give. */
+/**
+ * A relay's file of figures: recorded ones of a relay that was cut off and of one that ended, with
+ * the listing that they give.
+ */
 public class FiguresCompatTest {
-    private static final String FOLDER = "figures/";
-    private static final String CUT_OFF = "cut-off.figures";
-    private static final String ENDED = "ended.figures";
-    private static final String CARRIED_ON = "carried-on";
-    private static final String LISTING = ".txt";
-    private static final List<String> METHODS = List.of("read");
-    private static final Accounts.Room ROOM = new Accounts.Room(1, 2, 1);
-    private static final int TURNS = 5;
-    private static final int ENDED_OK = 1;
+  private static final String FOLDER = "figures/";
+  private static final String CUT_OFF = "cut-off.figures";
+  private static final String ENDED = "ended.figures";
+  private static final String CARRIED_ON = "carried-on";
+  private static final String LISTING = ".txt";
+  private static final List<String> METHODS = List.of("read");
+  private static final Accounts.Room ROOM = new Accounts.Room(1, 2, 1);
+  private static final int TURNS = 5;
+  private static final int ENDED_OK = 1;
 
-    static void record(Path corpus) throws Exception {
-        Path folder = Files.createDirectories(corpus.resolve(FOLDER));
-        for (String name : List.of(CUT_OFF, ENDED)) {
-            Files.deleteIfExists(folder.resolve(name));
-            live(folder.resolve(name), name.equals(ENDED));
-            Files.writeString(folder.resolve(name + LISTING), listing(folder.resolve(name)));
-        }
-        Path copy = Files.createTempDirectory("compat");
-        Files.copy(folder.resolve(CUT_OFF), copy.resolve(CUT_OFF));
-        live(copy.resolve(CUT_OFF), true);
-        Files.writeString(folder.resolve(CARRIED_ON + LISTING), listing(copy.resolve(CUT_OFF)));
-        CorpusFiles.remove(copy);
+  static void record(Path corpus) throws Exception {
+    Path folder = Files.createDirectories(corpus.resolve(FOLDER));
+    for (String name : List.of(CUT_OFF, ENDED)) {
+      Files.deleteIfExists(folder.resolve(name));
+      live(folder.resolve(name), name.equals(ENDED));
+      Files.writeString(folder.resolve(name + LISTING), listing(folder.resolve(name)));
     }
+    Path copy = Files.createTempDirectory("compat");
+    Files.copy(folder.resolve(CUT_OFF), copy.resolve(CUT_OFF));
+    live(copy.resolve(CUT_OFF), true);
+    Files.writeString(folder.resolve(CARRIED_ON + LISTING), listing(copy.resolve(CUT_OFF)));
+    CorpusFiles.remove(copy);
+  }
 
-    /** One life of a relay with some RPCs, of which one is open at its end. */
-    private static void live(Path file, boolean ends) {
-        Accounts accounts = new Accounts(METHODS, ROOM);
-        List<String> said = new ArrayList<>();
-        Keeper keeper = Keeper.open(file, accounts, () -> { }, said::add);
-        assertEquals(said, List.of());
-        int customer = accounts.row(accounts.customers, "north");
-        int build = accounts.row(accounts.builds, "7");
-        int unit = accounts.row(accounts.units, "unit \u00e9");
-        for (int turn = 1; turn <= TURNS; turn++) {
-            accounts.rpcArrived(0, customer);
-            accounts.pickSent(0, build, unit, false);
-            accounts.pickWritten();
-            if (turn == TURNS) break;
-            accounts.pickEnded(0, build, unit, false, true, ENDED_OK, Span.ofMs(2 * turn));
-            accounts.rpcAnswered(0, customer, Span.ofMs(3 * turn), true, true);
-            accounts.commit();
-        }
-        accounts.commit();
-        if (ends) keeper.close();
+  /** One life of a relay with some RPCs, of which one is open at its end. */
+  private static void live(Path file, boolean ends) {
+    Accounts accounts = new Accounts(METHODS, ROOM);
+    List<String> said = new ArrayList<>();
+    Keeper keeper = Keeper.open(file, accounts, () -> {}, said::add);
+    assertEquals(said, List.of());
+    int customer = accounts.row(accounts.customers, "north");
+    int build = accounts.row(accounts.builds, "7");
+    int unit = accounts.row(accounts.units, "unit \u00e9");
+    for (int turn = 1; turn <= TURNS; turn++) {
+      accounts.rpcArrived(0, customer);
+      accounts.pickSent(0, build, unit, false);
+      accounts.pickWritten();
+      if (turn == TURNS) {
+        break;
+      }
+      accounts.pickEnded(0, build, unit, false, true, ENDED_OK, Span.ofMs(2 * turn));
+      accounts.rpcAnswered(0, customer, Span.ofMs(3 * turn), true, true);
+      accounts.commit();
     }
+    accounts.commit();
+    if (ends) {
+      keeper.close();
+    }
+  }
 
-    /** The table that is shown, then the layout, the names of rows and all values but zeros. */
-    private static String listing(Path file) throws Exception {
-        Snapshot snapshot = Snapshot.read(file);
-        StringBuilder text = new StringBuilder(Table.of(snapshot));
-        text.append("drifts ").append(snapshot.accounts().check(snapshot.values)).append('\n').append("layout\n").append(snapshot.layout.stripTrailing()).append('\n');
-        for (int row = 0; row < snapshot.names.length; row++) {
-            if (snapshot.names[row] != null) text.append("row ").append(row).append(' ').append(snapshot.names[row]).append('\n');
-        }
-        for (int i = 0; i < snapshot.values.length; i++) {
-            if (snapshot.values[i] != 0) text.append("value ").append(i).append(' ').append(snapshot.values[i]).append('\n');
-        }
-        return text.toString();
+  /** The table that is shown, then the layout, the names of rows and all values but zeros. */
+  private static String listing(Path file) throws Exception {
+    Snapshot snapshot = Snapshot.read(file);
+    StringBuilder text = new StringBuilder(Table.of(snapshot));
+    text.append("drifts ")
+        .append(snapshot.accounts().check(snapshot.values))
+        .append('\n')
+        .append("layout\n")
+        .append(snapshot.layout.stripTrailing())
+        .append('\n');
+    for (int row = 0; row < snapshot.names.length; row++) {
+      if (snapshot.names[row] != null) {
+        text.append("row ").append(row).append(' ').append(snapshot.names[row]).append('\n');
+      }
+    }
+    for (int i = 0; i < snapshot.values.length; i++) {
+      if (snapshot.values[i] != 0) {
+        text.append("value ").append(i).append(' ').append(snapshot.values[i]).append('\n');
+      }
     }
+    return text.toString();
+  }
 
-    @Test
-    public void aRecordedFileGivesTheSameListing() throws Exception {
-        for (String name : List.of(CUT_OFF, ENDED)) assertEquals(listing(CorpusFiles.path(FOLDER + name)), CorpusFiles.text(FOLDER + name + LISTING), name);
+  @Test
+  public void aRecordedFileGivesTheSameListing() throws Exception {
+    for (String name : List.of(CUT_OFF, ENDED)) {
+      assertEquals(
+          listing(CorpusFiles.path(FOLDER + name)),
+          CorpusFiles.text(FOLDER + name + LISTING),
+          name);
     }
+  }
 
-    @Test
-    public void theSamePostingsGiveTheSameFile() throws Exception {
-        Path folder = Files.createTempDirectory("compat");
-        try {
-            for (String name : List.of(CUT_OFF, ENDED)) {
-                live(folder.resolve(name), name.equals(ENDED));
-                assertEquals(CorpusFiles.dump(Files.readAllBytes(folder.resolve(name))), CorpusFiles.dump(Files.readAllBytes(CorpusFiles.path(FOLDER + name))), name);
-            }
-        } finally {
-            CorpusFiles.remove(folder);
-        }
+  @Test
+  public void theSamePostingsGiveTheSameFile() throws Exception {
+    Path folder = Files.createTempDirectory("compat");
+    try {
+      for (String name : List.of(CUT_OFF, ENDED)) {
+        live(folder.resolve(name), name.equals(ENDED));
+        assertEquals(
+            CorpusFiles.dump(Files.readAllBytes(folder.resolve(name))),
+            CorpusFiles.dump(Files.readAllBytes(CorpusFiles.path(FOLDER + name))),
+            name);
+      }
+    } finally {
+      CorpusFiles.remove(folder);
     }
+  }
 
-    @Test
-    public void aRelayGoesOnFromARecordedFile() throws Exception {
-        Path folder = Files.createTempDirectory("compat");
-        try {
-            Path file = folder.resolve(CUT_OFF);
-            Files.copy(CorpusFiles.path(FOLDER + CUT_OFF), file);
-            live(file, true);
-            assertEquals(listing(file), CorpusFiles.text(FOLDER + CARRIED_ON + LISTING));
-        } finally {
-            CorpusFiles.remove(folder);
-        }
+  @Test
+  public void aRelayGoesOnFromARecordedFile() throws Exception {
+    Path folder = Files.createTempDirectory("compat");
+    try {
+      Path file = folder.resolve(CUT_OFF);
+      Files.copy(CorpusFiles.path(FOLDER + CUT_OFF), file);
+      live(file, true);
+      assertEquals(listing(file), CorpusFiles.text(FOLDER + CARRIED_ON + LISTING));
+    } finally {
+      CorpusFiles.remove(folder);
     }
+  }
 }
--- a/src/test/java/sprucerock/compat/FrameRecorder.java
+++ b/src/test/java/sprucerock/compat/FrameRecorder.java
@@ -23,54 +23,63 @@
 import sprucerock.wire.WireException;
 import sprucerock.wire.v1.Hello;
 
-/** The relay protocol's own codec without a network: frames to bytes and to lines of a trace, and bytes to frames. */
+/**
+ * The relay protocol's own codec without a network: frames to bytes and to lines of a trace, and
+ * bytes to frames.
+ */
 final class FrameRecorder {
-    static final int MOST_BYTES = 1 << 20;
-    private static final Limits LIMITS = new Limits(MOST_BYTES, MOST_BYTES, Span.ofMs(1000));
-    private static final byte[] NO_BODY = {};
-
-    /** A frame that was read. */
-    record Frame(Kind kind, Message head, byte[] body) {}
-
-    private FrameRecorder() {}
-
-    static List<Frame> decode(byte[] bytes) throws WireException {
-        List<Frame> frames = new ArrayList<>();
-        new FrameReader(MOST_BYTES).feed(ByteBuffer.wrap(bytes), (kind, head, body) -> frames.add(new Frame(kind, (Message) head, body)));
-        return frames;
+  static final int MOST_BYTES = 1 << 20;
+  private static final Limits LIMITS = new Limits(MOST_BYTES, MOST_BYTES, Span.ofMs(1000));
+  private static final byte[] NO_BODY = {};
+
+  /** A frame that was read. */
+  record Frame(Kind kind, Message head, byte[] body) {}
+
+  private FrameRecorder() {}
+
+  static List<Frame> decode(byte[] bytes) throws WireException {
+    List<Frame> frames = new ArrayList<>();
+    new FrameReader(MOST_BYTES)
+        .feed(
+            ByteBuffer.wrap(bytes),
+            (kind, head, body) -> frames.add(new Frame(kind, (Message) head, body)));
+    return frames;
+  }
+
+  /** The bytes that a link sends for a frame. */
+  static byte[] encode(Kind kind, MessageLite head, byte[] body) {
+    ManualTimers timers = new ManualTimers();
+    CapturedLink captured = new CapturedLink();
+    FrameLink link = new FrameLink(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+    link.up(captured);
+    captured.pieces.clear(); // its greeting
+    link.send(kind, head, body);
+    ByteArrayOutputStream sent = new ByteArrayOutputStream();
+    for (byte[] piece : captured.pieces) {
+      sent.writeBytes(piece);
     }
-
-    /** The bytes that a link sends for a frame. */
-    static byte[] encode(Kind kind, MessageLite head, byte[] body) {
-        ManualTimers timers = new ManualTimers();
-        CapturedLink captured = new CapturedLink();
-        FrameLink link = new FrameLink(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
-        link.up(captured);
-        captured.pieces.clear(); // its greeting
-        link.send(kind, head, body);
-        ByteArrayOutputStream sent = new ByteArrayOutputStream();
-        for (byte[] piece : captured.pieces) sent.writeBytes(piece);
-        return sent.toByteArray();
+    return sent.toByteArray();
+  }
+
+  /** The line of a trace for a frame that was received, without its time. */
+  static String traceLine(Frame frame) throws IOException {
+    Path folder = Files.createTempDirectory("trace");
+    try {
+      Path file = folder.resolve("one.trace");
+      ManualTimers timers = new ManualTimers();
+      TraceWriter writer = new TraceWriter(timers, file, "relay-1");
+      FrameLink link = new FrameLink(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+      writer.frame(link, false, frame.kind, frame.head, frame.body);
+      timers.endTurn();
+      String line = Files.readString(file);
+      return line.substring(line.indexOf('\t') + 1, line.lastIndexOf('\n'));
+    } finally {
+      CorpusFiles.remove(folder);
     }
+  }
 
-    /** The line of a trace for a frame that was received, without its time. */
-    static String traceLine(Frame frame) throws IOException {
-        Path folder = Files.createTempDirectory("trace");
-        try {
-            Path file = folder.resolve("one.trace");
-            ManualTimers timers = new ManualTimers();
-            TraceWriter writer = new TraceWriter(timers, file, "relay-1");
-            FrameLink link = new FrameLink(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
-            writer.frame(link, false, frame.kind, frame.head, frame.body);
-            timers.endTurn();
-            String line = Files.readString(file);
-            return line.substring(line.indexOf('\t') + 1, line.lastIndexOf('\n'));
-        } finally {
-            CorpusFiles.remove(folder);
-        }
-    }
-
-    private static final FrameUser NOBODY = new FrameUser() {
+  private static final FrameUser NOBODY =
+      new FrameUser() {
         @Override
         public void greeted(FrameLink link, Hello other) {}
 
@@ -79,67 +88,67 @@
 
         @Override
         public void closed(String why) {}
-    };
+      };
 
-    /** Timers whose clock stands still; the end of the turn comes when it is called for. */
-    private static final class ManualTimers implements Timers {
-        private final List<Runnable> atTurnsEnd = new ArrayList<>();
+  /** Timers whose clock stands still; the end of the turn comes when it is called for. */
+  private static final class ManualTimers implements Timers {
+    private final List<Runnable> atTurnsEnd = new ArrayList<>();
 
-        @Override
-        public Moment now() {
-            return Moment.ofMs(0);
-        }
-
-        @Override
-        public Timer at(Moment when, Runnable what) {
-            return () -> { };
-        }
-
-        @Override
-        public void atTurnsEnd(Runnable what) {
-            atTurnsEnd.add(what);
-        }
-
-        void endTurn() {
-            atTurnsEnd.forEach(Runnable::run);
-            atTurnsEnd.clear();
-        }
+    @Override
+    public Moment now() {
+      return Moment.ofMs(0);
     }
 
-    /** A connection that keeps what is written to it. */
-    private static final class CapturedLink implements Link {
-        private final List<byte[]> pieces = new ArrayList<>();
+    @Override
+    public Timer at(Moment when, Runnable what) {
+      return () -> {};
+    }
 
-        @Override
-        public ByteBuffer claim(int bytes) {
-            byte[] piece = new byte[bytes];
-            pieces.add(piece);
-            return ByteBuffer.wrap(piece);
-        }
+    @Override
+    public void atTurnsEnd(Runnable what) {
+      atTurnsEnd.add(what);
+    }
 
-        @Override
-        public void append(byte[] bytes) {
-            pieces.add(bytes);
-        }
+    void endTurn() {
+      atTurnsEnd.forEach(Runnable::run);
+      atTurnsEnd.clear();
+    }
+  }
 
-        @Override
-        public long written() {
-            return 0;
-        }
+  /** A connection that keeps what is written to it. */
+  private static final class CapturedLink implements Link {
+    private final List<byte[]> pieces = new ArrayList<>();
 
-        @Override
-        public long handed() {
-            return 0;
-        }
+    @Override
+    public ByteBuffer claim(int bytes) {
+      byte[] piece = new byte[bytes];
+      pieces.add(piece);
+      return ByteBuffer.wrap(piece);
+    }
 
-        @Override
-        public void finish() {}
+    @Override
+    public void append(byte[] bytes) {
+      pieces.add(bytes);
+    }
 
-        @Override
-        public void cut(String why) {}
+    @Override
+    public long written() {
+      return 0;
     }
 
-    static byte[] noBody() {
-        return NO_BODY;
+    @Override
+    public long handed() {
+      return 0;
     }
+
+    @Override
+    public void finish() {}
+
+    @Override
+    public void cut(String why) {}
+  }
+
+  static byte[] noBody() {
+    return NO_BODY;
+  }
 }
--- a/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
+++ b/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
@@ -16,87 +16,114 @@
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
-/** What relays tell each other, on recorded bytes: the contents of a datagram, or the body of a TOLD frame. */
+/**
+ * What relays tell each other, on recorded bytes: the contents of a datagram, or the body of a TOLD
+ * frame.
+ */
 public class PeerMessagesCompatTest {
-    private static final String WRITTEN = "peers/written.txt";
-    private static final String READ = "peers/read.txt";
-    private static final Moment START = Moment.ofMs(1000);
-    private static final Span LIFE = Span.ofMs(2000);
-    private static final long FIRST_ID = 17;
-    private static final long SECOND_ID = 0x123456789abcL;
-    private static final int BUILD = 5;
-    private static final int STAGE = 2;
+  private static final String WRITTEN = "peers/written.txt";
+  private static final String READ = "peers/read.txt";
+  private static final Moment START = Moment.ofMs(1000);
+  private static final Span LIFE = Span.ofMs(2000);
+  private static final long FIRST_ID = 17;
+  private static final long SECOND_ID = 0x123456789abcL;
+  private static final int BUILD = 5;
+  private static final int STAGE = 2;
 
-    /** A relay's side of such messages: two units on its board. */
-    private static final class Relay {
-        private final Board board = new Board(LIFE);
-        private final Unit first = unit(FIRST_ID);
-        private final Unit second = unit(SECOND_ID);
+  /** A relay's side of such messages: two units on its board. */
+  private static final class Relay {
+    private final Board board = new Board(LIFE);
+    private final Unit first = unit(FIRST_ID);
+    private final Unit second = unit(SECOND_ID);
 
-        Relay() {
-            board.ready(first);
-            board.ready(second);
-        }
-
-        private static Unit unit(long id) {
-            return new Unit(id, 1, 2, 3, new Build(BUILD), null, 1);
-        }
+    Relay() {
+      board.ready(first);
+      board.ready(second);
     }
 
-    static void record(Path corpus) throws Exception {
-        Files.createDirectories(corpus.resolve("peers"));
-        List<String> written = written();
-        Files.writeString(corpus.resolve(WRITTEN), String.join("\n", written) + "\n");
-        Files.writeString(corpus.resolve(READ), String.join("\n", read(written)) + "\n");
+    private static Unit unit(long id) {
+      return new Unit(id, 1, 2, 3, new Build(BUILD), null, 1);
     }
+  }
 
-    /** A pick's start, an end that is half a life old, a very late end, the loads, and a report on an offered build. */
-    private static List<String> written() {
-        Relay relay = new Relay();
-        List<byte[]> messages = new ArrayList<>();
-        messages.add(relay.board.pick(relay.first, null));
-        messages.add(relay.board.pick(relay.second, LIFE.times(0.5)));
-        messages.add(relay.board.pick(relay.second, LIFE.times(9)));
-        for (int i = 0; i < 3; i++) relay.board.add(relay.board.pick(relay.first, null), START);
-        for (int i = 0; i < 5; i++) relay.board.add(relay.board.pick(relay.second, null), START);
-        messages.add(relay.board.loads(2, 1.25, START));
-        messages.add(evidence(relay).report(BUILD, STAGE));
-        return messages.stream().map(HexFormat.of()::formatHex).toList();
-    }
+  static void record(Path corpus) throws Exception {
+    Files.createDirectories(corpus.resolve("peers"));
+    List<String> written = written();
+    Files.writeString(corpus.resolve(WRITTEN), String.join("\n", written) + "\n");
+    Files.writeString(corpus.resolve(READ), String.join("\n", read(written)) + "\n");
+  }
 
-    private static Evidence evidence(Relay relay) {
-        Evidence evidence = new Evidence(2, 80);
-        evidence.pairs = 260; // told as 255
-        evidence.freshFails(relay.first);
-        evidence.freshFails(relay.second);
-        evidence.earlierFailed = 1;
-        return evidence;
+  /**
+   * A pick's start, an end that is half a life old, a very late end, the loads, and a report on an
+   * offered build.
+   */
+  private static List<String> written() {
+    Relay relay = new Relay();
+    List<byte[]> messages = new ArrayList<>();
+    messages.add(relay.board.pick(relay.first, null));
+    messages.add(relay.board.pick(relay.second, LIFE.times(0.5)));
+    messages.add(relay.board.pick(relay.second, LIFE.times(9)));
+    for (int i = 0; i < 3; i++) {
+      relay.board.add(relay.board.pick(relay.first, null), START);
     }
-
-    /** What a relay makes of the messages, in the order of {@link #written}. */
-    private static List<String> read(List<String> messages) {
-        List<byte[]> bytes = messages.stream().map(HexFormat.of()::parseHex).toList();
-        Relay relay = new Relay();
-        List<String> lines = new ArrayList<>();
-        for (byte[] pick : bytes.subList(0, 3)) {
-            boolean ended = relay.board.add(pick, START);
-            lines.add("ended " + ended + ", first " + relay.first.pickedByAll.at(START) + ", second " + relay.second.pickedByAll.at(START));
-        }
-        lines.add("figure " + relay.board.read(bytes.get(3), START) + ", first " + relay.first.told + ", second " + relay.second.told);
-        Offer offer = new Offer(new Build(BUILD), 2);
-        offer.enter(STAGE, START, false);
-        offer.heard(1, bytes.get(4));
-        lines.add("pairs and failures " + java.util.Arrays.toString(offer.pooled()) + " at " + offer.failingUnits() + " units");
-        return lines;
+    for (int i = 0; i < 5; i++) {
+      relay.board.add(relay.board.pick(relay.second, null), START);
     }
+    messages.add(relay.board.loads(2, 1.25, START));
+    messages.add(evidence(relay).report(BUILD, STAGE));
+    return messages.stream().map(HexFormat.of()::formatHex).toList();
+  }
 
-    @Test
-    public void whatIsToldHasTheSameBytes() throws Exception {
-        assertEquals(written(), CorpusFiles.lines(WRITTEN));
-    }
+  private static Evidence evidence(Relay relay) {
+    Evidence evidence = new Evidence(2, 80);
+    evidence.pairs = 260; // told as 255
+    evidence.freshFails(relay.first);
+    evidence.freshFails(relay.second);
+    evidence.earlierFailed = 1;
+    return evidence;
+  }
 
-    @Test
-    public void recordedMessagesMeanTheSame() throws Exception {
-        assertEquals(read(CorpusFiles.lines(WRITTEN)), CorpusFiles.lines(READ));
+  /** What a relay makes of the messages, in the order of {@link #written}. */
+  private static List<String> read(List<String> messages) {
+    List<byte[]> bytes = messages.stream().map(HexFormat.of()::parseHex).toList();
+    Relay relay = new Relay();
+    List<String> lines = new ArrayList<>();
+    for (byte[] pick : bytes.subList(0, 3)) {
+      boolean ended = relay.board.add(pick, START);
+      lines.add(
+          "ended "
+              + ended
+              + ", first "
+              + relay.first.pickedByAll.at(START)
+              + ", second "
+              + relay.second.pickedByAll.at(START));
     }
+    lines.add(
+        "figure "
+            + relay.board.read(bytes.get(3), START)
+            + ", first "
+            + relay.first.told
+            + ", second "
+            + relay.second.told);
+    Offer offer = new Offer(new Build(BUILD), 2);
+    offer.enter(STAGE, START, false);
+    offer.heard(1, bytes.get(4));
+    lines.add(
+        "pairs and failures "
+            + java.util.Arrays.toString(offer.pooled())
+            + " at "
+            + offer.failingUnits()
+            + " units");
+    return lines;
+  }
+
+  @Test
+  public void whatIsToldHasTheSameBytes() throws Exception {
+    assertEquals(written(), CorpusFiles.lines(WRITTEN));
+  }
+
+  @Test
+  public void recordedMessagesMeanTheSame() throws Exception {
+    assertEquals(read(CorpusFiles.lines(WRITTEN)), CorpusFiles.lines(READ));
+  }
 }
--- a/src/test/java/sprucerock/compat/PostgresCompatTest.java
+++ b/src/test/java/sprucerock/compat/PostgresCompatTest.java
@@ -17,139 +17,194 @@
 import sprucerock.pg.Reader;
 import sprucerock.pg.Writer;
 
-/** PostgreSQL messages on recorded bytes, in both directions; those that only a client or a server of others sends are read alone. */
+/**
+ * PostgreSQL messages on recorded bytes, in both directions; those that only a client or a server
+ * of others sends are read alone.
+ */
 public class PostgresCompatTest {
-    private static final String WRITTEN = "postgres/written.txt";
-    private static final String FROM_CLIENTS = "postgres/from-clients.hex";
-    private static final String FROM_SERVERS = "postgres/from-servers.hex";
-    private static final String READ = "postgres/read.txt";
-    private static final String QUERY = "SELECT v FROM records WHERE k = 'a' /* id=7,c=read,d=250 */";
-    private static final int MOST_BODY = 1 << 16;
-    private static final int VERSION_3 = 3 << 16;
-    private static final int SSL_REQUEST = 80877103;
-    private static final int GSS_REQUEST = 80877104;
-    private static final int CANCEL_REQUEST = 80877102;
-
-    static void record(Path corpus) throws Exception {
-        Files.createDirectories(corpus.resolve("postgres"));
-        StringBuilder written = new StringBuilder();
-        written().forEach((name, bytes) -> written.append(name).append(' ').append(HexFormat.of().formatHex(bytes)).append('\n'));
-        Files.writeString(corpus.resolve(WRITTEN), written.toString());
-        Files.writeString(corpus.resolve(FROM_CLIENTS), CorpusFiles.dump(fromClients()));
-        Files.writeString(corpus.resolve(FROM_SERVERS), CorpusFiles.dump(fromServers()));
-        Files.writeString(corpus.resolve(READ), String.join("\n", read(fromClients(), fromServers())) + "\n");
+  private static final String WRITTEN = "postgres/written.txt";
+  private static final String FROM_CLIENTS = "postgres/from-clients.hex";
+  private static final String FROM_SERVERS = "postgres/from-servers.hex";
+  private static final String READ = "postgres/read.txt";
+  private static final String QUERY = "SELECT v FROM records WHERE k = 'a' /* id=7,c=read,d=250 */";
+  private static final int MOST_BODY = 1 << 16;
+  private static final int VERSION_3 = 3 << 16;
+  private static final int SSL_REQUEST = 80877103;
+  private static final int GSS_REQUEST = 80877104;
+  private static final int CANCEL_REQUEST = 80877102;
+
+  static void record(Path corpus) throws Exception {
+    Files.createDirectories(corpus.resolve("postgres"));
+    StringBuilder written = new StringBuilder();
+    written()
+        .forEach(
+            (name, bytes) ->
+                written
+                    .append(name)
+                    .append(' ')
+                    .append(HexFormat.of().formatHex(bytes))
+                    .append('\n'));
+    Files.writeString(corpus.resolve(WRITTEN), written.toString());
+    Files.writeString(corpus.resolve(FROM_CLIENTS), CorpusFiles.dump(fromClients()));
+    Files.writeString(corpus.resolve(FROM_SERVERS), CorpusFiles.dump(fromServers()));
+    Files.writeString(
+        corpus.resolve(READ), String.join("\n", read(fromClients(), fromServers())) + "\n");
+  }
+
+  /** All that the program itself writes, to its clients and to the units behind it. */
+  private static Map<String, byte[]> written() {
+    Map<String, byte[]> all = new LinkedHashMap<>();
+    all.put("welcome", Writer.welcome());
+    all.put("ready", Writer.ready());
+    all.put("empty-query", Writer.empty());
+    all.put("error", Writer.error("ERROR", "53300", "no room", null));
+    all.put("fatal-with-detail", Writer.error("FATAL", "57P01", "ends now", "told to end; \u00e9"));
+    all.put("startup", Writer.startup("relay", "records"));
+    all.put("query", Writer.query(QUERY.getBytes(StandardCharsets.UTF_8)));
+    all.put("terminate", Writer.terminate());
+    return all;
+  }
+
+  private static byte[] request(int code, int... more) {
+    ByteBuffer bytes =
+        ByteBuffer.allocate(8 + 4 * more.length).putInt(8 + 4 * more.length).putInt(code);
+    for (int one : more) {
+      bytes.putInt(one);
     }
-
-    /** All that the program itself writes, to its clients and to the units behind it. */
-    private static Map<String, byte[]> written() {
-        Map<String, byte[]> all = new LinkedHashMap<>();
-        all.put("welcome", Writer.welcome());
-        all.put("ready", Writer.ready());
-        all.put("empty-query", Writer.empty());
-        all.put("error", Writer.error("ERROR", "53300", "no room", null));
-        all.put("fatal-with-detail", Writer.error("FATAL", "57P01", "ends now", "told to end; \u00e9"));
-        all.put("startup", Writer.startup("relay", "records"));
-        all.put("query", Writer.query(QUERY.getBytes(StandardCharsets.UTF_8)));
-        all.put("terminate", Writer.terminate());
-        return all;
-    }
-
-    private static byte[] request(int code, int... more) {
-        ByteBuffer bytes = ByteBuffer.allocate(8 + 4 * more.length).putInt(8 + 4 * more.length).putInt(code);
-        for (int one : more) bytes.putInt(one);
-        return bytes.array();
-    }
-
-    private static byte[] ascii(String text) {
-        return text.getBytes(StandardCharsets.US_ASCII);
-    }
-
-    /** What clients send, as their library does: requests before the session, the startup message, then typed messages. */
-    private static byte[] fromClients() {
-        byte[] parameters = ascii("user\0ann\0database\0records\0application_name\0psql\0\0");
-        byte[] startup = Writer.join(ByteBuffer.allocate(8).putInt(8 + parameters.length).putInt(VERSION_3).array(), parameters);
-        return Writer.join(request(SSL_REQUEST), request(GSS_REQUEST), request(CANCEL_REQUEST, 4711, 815), startup,
-            Writer.message('Q', ascii(QUERY + "\0")), Writer.message('P', ascii("\0SELECT 1\0\0\0")), Writer.message('S', new byte[0]), Writer.message('X', new byte[0]));
-    }
-
-    /** What a server of one column answers a startup message and queries with. */
-    private static byte[] fromServers() {
-        byte[] column = Writer.join(new byte[] {0, 1}, ascii("v\0"), new byte[] {0, 0, 0x40, 1, 0, 2, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 0});
-        byte[] row = Writer.join(new byte[] {0, 1, 0, 0, 0, 6}, ascii("\\x0a0b"));
-        return Writer.join(Writer.message('R', new byte[4]), Writer.message('S', ascii("server_version\00014.9\0")),
-            Writer.message('K', new byte[] {0, 0, 0x12, 0x67, 0, 0, 3, 0x2f}), Writer.message('Z', ascii("I")), Writer.message('T', column),
-            Writer.message('D', row), Writer.message('C', ascii("SELECT 1\0")), Writer.message('I', new byte[0]),
-            Writer.message('N', ascii("SNOTICE\0C00000\0Mnote\0\0")), Writer.message('E', ascii("SERROR\0VERROR\0C23505\0Mduplicate key\0DKey (k)=(a)\0\0")));
-    }
-
-    /** One line for each message that is read from both streams, with what it says. */
-    private static List<String> read(byte[] fromClients, byte[] fromServers) throws Exception {
-        List<String> lines = new ArrayList<>();
-        Messages clients = Messages.ofClient(MOST_BODY);
-        clients.take(ByteBuffer.wrap(fromClients), new User(lines) {
-            @Override
-            public void message(char type, byte[] body) throws sprucerock.pg.ProtocolException {
-                if (type == 0 && Reader.startup(body) == Reader.Startup.SESSION) clients.started();
-                super.message(type, body);
+    return bytes.array();
+  }
+
+  private static byte[] ascii(String text) {
+    return text.getBytes(StandardCharsets.US_ASCII);
+  }
+
+  /**
+   * What clients send, as their library does: requests before the session, the startup message,
+   * then typed messages.
+   */
+  private static byte[] fromClients() {
+    byte[] parameters = ascii("user\0ann\0database\0records\0application_name\0psql\0\0");
+    byte[] startup =
+        Writer.join(
+            ByteBuffer.allocate(8).putInt(8 + parameters.length).putInt(VERSION_3).array(),
+            parameters);
+    return Writer.join(
+        request(SSL_REQUEST),
+        request(GSS_REQUEST),
+        request(CANCEL_REQUEST, 4711, 815),
+        startup,
+        Writer.message('Q', ascii(QUERY + "\0")),
+        Writer.message('P', ascii("\0SELECT 1\0\0\0")),
+        Writer.message('S', new byte[0]),
+        Writer.message('X', new byte[0]));
+  }
+
+  /** What a server of one column answers a startup message and queries with. */
+  private static byte[] fromServers() {
+    byte[] column =
+        Writer.join(
+            new byte[] {0, 1},
+            ascii("v\0"),
+            new byte[] {0, 0, 0x40, 1, 0, 2, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 0});
+    byte[] row = Writer.join(new byte[] {0, 1, 0, 0, 0, 6}, ascii("\\x0a0b"));
+    return Writer.join(
+        Writer.message('R', new byte[4]),
+        Writer.message('S', ascii("server_version\00014.9\0")),
+        Writer.message('K', new byte[] {0, 0, 0x12, 0x67, 0, 0, 3, 0x2f}),
+        Writer.message('Z', ascii("I")),
+        Writer.message('T', column),
+        Writer.message('D', row),
+        Writer.message('C', ascii("SELECT 1\0")),
+        Writer.message('I', new byte[0]),
+        Writer.message('N', ascii("SNOTICE\0C00000\0Mnote\0\0")),
+        Writer.message('E', ascii("SERROR\0VERROR\0C23505\0Mduplicate key\0DKey (k)=(a)\0\0")));
+  }
+
+  /** One line for each message that is read from both streams, with what it says. */
+  private static List<String> read(byte[] fromClients, byte[] fromServers) throws Exception {
+    List<String> lines = new ArrayList<>();
+    Messages clients = Messages.ofClient(MOST_BODY);
+    clients.take(
+        ByteBuffer.wrap(fromClients),
+        new User(lines) {
+          @Override
+          public void message(char type, byte[] body) throws sprucerock.pg.ProtocolException {
+            if (type == 0 && Reader.startup(body) == Reader.Startup.SESSION) {
+              clients.started();
             }
+            super.message(type, body);
+          }
         });
-        Messages.ofServer(MOST_BODY).take(ByteBuffer.wrap(fromServers), new User(lines));
-        return lines;
+    Messages.ofServer(MOST_BODY).take(ByteBuffer.wrap(fromServers), new User(lines));
+    return lines;
+  }
+
+  private static class User implements Messages.User {
+    private final List<String> lines;
+
+    User(List<String> lines) {
+      this.lines = lines;
     }
 
-    private static class User implements Messages.User {
-        private final List<String> lines;
-
-        User(List<String> lines) {
-            this.lines = lines;
-        }
-
-        @Override
-        public void message(char type, byte[] body) throws sprucerock.pg.ProtocolException {
-            lines.add((type == 0 ? "startup" : String.valueOf(type)) + " " + HexFormat.of().formatHex(body) + " " + said(type, body));
-        }
-
-        @Override
-        public boolean open() {
-            return true;
-        }
-
-        private static String said(char type, byte[] body) throws sprucerock.pg.ProtocolException {
-            switch (type) {
-                case 0:
-                    return Reader.startup(body).toString();
-                case 'Q':
-                    return new String(Reader.query(body), StandardCharsets.UTF_8);
-                case 'R':
-                    Reader.authenticated(body);
-                    return "no password";
-                case 'Z':
-                    Reader.ready(body);
-                    return "ready";
-                case 'T':
-                    Reader.oneColumn(body);
-                    return "one column";
-                case 'D':
-                    return new String(Reader.oneValue(body), StandardCharsets.UTF_8);
-                case 'C':
-                    return Reader.complete(body);
-                case 'E':
-                    return Reader.errorField(body, 'C') + " " + Reader.errorField(body, 'M') + " " + Reader.errorField(body, 'D') + " " + Reader.errorField(body, 'H');
-                default:
-                    return "-";
-            }
-        }
+    @Override
+    public void message(char type, byte[] body) throws sprucerock.pg.ProtocolException {
+      lines.add(
+          (type == 0 ? "startup" : String.valueOf(type))
+              + " "
+              + HexFormat.of().formatHex(body)
+              + " "
+              + said(type, body));
     }
 
-    @Test
-    public void whatIsWrittenHasTheSameBytes() throws IOException {
-        List<String> lines = new ArrayList<>();
-        written().forEach((name, bytes) -> lines.add(name + " " + HexFormat.of().formatHex(bytes)));
-        assertEquals(lines, CorpusFiles.lines(WRITTEN));
+    @Override
+    public boolean open() {
+      return true;
     }
 
-    @Test
-    public void recordedStreamsAreReadAsTheSameMessages() throws Exception {
-        assertEquals(read(CorpusFiles.hex(FROM_CLIENTS), CorpusFiles.hex(FROM_SERVERS)), CorpusFiles.lines(READ));
+    private static String said(char type, byte[] body) throws sprucerock.pg.ProtocolException {
+      switch (type) {
+        case 0:
+          return Reader.startup(body).toString();
+        case 'Q':
+          return new String(Reader.query(body), StandardCharsets.UTF_8);
+        case 'R':
+          Reader.authenticated(body);
+          return "no password";
+        case 'Z':
+          Reader.ready(body);
+          return "ready";
+        case 'T':
+          Reader.oneColumn(body);
+          return "one column";
+        case 'D':
+          return new String(Reader.oneValue(body), StandardCharsets.UTF_8);
+        case 'C':
+          return Reader.complete(body);
+        case 'E':
+          return Reader.errorField(body, 'C')
+              + " "
+              + Reader.errorField(body, 'M')
+              + " "
+              + Reader.errorField(body, 'D')
+              + " "
+              + Reader.errorField(body, 'H');
+        default:
+          return "-";
+      }
     }
+  }
+
+  @Test
+  public void whatIsWrittenHasTheSameBytes() throws IOException {
+    List<String> lines = new ArrayList<>();
+    written().forEach((name, bytes) -> lines.add(name + " " + HexFormat.of().formatHex(bytes)));
+    assertEquals(lines, CorpusFiles.lines(WRITTEN));
+  }
+
+  @Test
+  public void recordedStreamsAreReadAsTheSameMessages() throws Exception {
+    assertEquals(
+        read(CorpusFiles.hex(FROM_CLIENTS), CorpusFiles.hex(FROM_SERVERS)),
+        CorpusFiles.lines(READ));
+  }
 }
--- a/src/test/java/sprucerock/compat/Rendering.java
+++ b/src/test/java/sprucerock/compat/Rendering.java
@@ -7,84 +7,124 @@
 import sprucerock.model.Settings;
 import sprucerock.time.Span;
 
-/** Values that were read, one "key=value" a line. Keys are given by the test, so that no Java name gets into the text. */
+/**
+ * Values that were read, one "key=value" a line. Keys are given by the test, so that no Java name
+ * gets into the text.
+ */
 public final class Rendering {
-    private static final String ABSENT = "absent";
+  private static final String ABSENT = "absent";
 
-    private final StringBuilder text = new StringBuilder();
+  private final StringBuilder text = new StringBuilder();
 
-    /** A value whose own text is its rendering: a number, a flag, a text. */
-    public Rendering put(String key, Object value) {
-        text.append(key).append('=').append(value == null ? ABSENT : value).append('\n');
-        return this;
-    }
+  /** A value whose own text is its rendering: a number, a flag, a text. */
+  public Rendering put(String key, Object value) {
+    text.append(key).append('=').append(value == null ? ABSENT : value).append('\n');
+    return this;
+  }
 
-    /** A length of time, in milliseconds. */
-    public Rendering put(String key, Span value) {
-        return put(key, value == null ? ABSENT : value.ms() + "ms");
-    }
+  /** A length of time, in milliseconds. */
+  public Rendering put(String key, Span value) {
+    return put(key, value == null ? ABSENT : value.ms() + "ms");
+  }
 
-    /** An address with its port. */
-    public Rendering put(String key, InetSocketAddress value) {
-        return put(key, value == null ? ABSENT : value.getAddress().getHostAddress() + ":" + value.getPort());
-    }
+  /** An address with its port. */
+  public Rendering put(String key, InetSocketAddress value) {
+    return put(
+        key, value == null ? ABSENT : value.getAddress().getHostAddress() + ":" + value.getPort());
+  }
 
-    /** The settings of the module, which every form of configuration fills. */
-    public Rendering putSettings(String key, Settings settings) {
-        for (Method method : settings.methods) putMethod(key + "method." + method.index + ".", method);
-        put(key + "customer-shares", settings.customerShares).put(key + "caps", settings.caps).put(key + "over-share-worth", settings.overShareWorth);
-        put(key + "relays", settings.relays).put(key + "index", settings.index).put(key + "zone", settings.zone).put(key + "tick", settings.tick);
-        put(key + "ask", settings.ask).put(key + "ask-within", settings.askWithin).put(key + "cold", settings.cold);
-        put(key + "start-capacity", settings.startShare).put(key + "tip-multiple", settings.tipMultiple).put(key + "tip-after", settings.tipAfter);
-        put(key + "free-picks", settings.free).put(key + "cap-by-method", settings.perMethod).put(key + "guarded-stages", settings.guardedStages);
-        put(key + "one-way-keys", settings.oneWayKeys).put(key + "picks", settings.maxPicks).put(key + "second-copies", settings.secondCopies);
-        put(key + "cancel", settings.cancel).put(key + "peers", settings.peers).put(key + "retry-after", settings.retryAfter);
-        put(key + "most-retry-after", settings.maxRetryAfter).put(key + "control", control(settings.control)).put(key + "vote-life", settings.voteLife);
-        put(key + "answer-within", settings.callTimeout).put(key + "counts-every", settings.countsEvery).put(key + "idle", settings.idle);
-        return put(key + "most-utility", settings.mostUtility).put(key + "mean-soft-ms", settings.meanSoftMs);
+  /** The settings of the module, which every form of configuration fills. */
+  public Rendering putSettings(String key, Settings settings) {
+    for (Method method : settings.methods) {
+      putMethod(key + "method." + method.index + ".", method);
     }
+    put(key + "customer-shares", settings.customerShares)
+        .put(key + "caps", settings.caps)
+        .put(key + "over-share-worth", settings.overShareWorth);
+    put(key + "relays", settings.relays)
+        .put(key + "index", settings.index)
+        .put(key + "zone", settings.zone)
+        .put(key + "tick", settings.tick);
+    put(key + "ask", settings.ask)
+        .put(key + "ask-within", settings.askWithin)
+        .put(key + "cold", settings.cold);
+    put(key + "start-capacity", settings.startShare)
+        .put(key + "tip-multiple", settings.tipMultiple)
+        .put(key + "tip-after", settings.tipAfter);
+    put(key + "free-picks", settings.free)
+        .put(key + "cap-by-method", settings.perMethod)
+        .put(key + "guarded-stages", settings.guardedStages);
+    put(key + "one-way-keys", settings.oneWayKeys)
+        .put(key + "picks", settings.maxPicks)
+        .put(key + "second-copies", settings.secondCopies);
+    put(key + "cancel", settings.cancel)
+        .put(key + "peers", settings.peers)
+        .put(key + "retry-after", settings.retryAfter);
+    put(key + "most-retry-after", settings.maxRetryAfter)
+        .put(key + "control", control(settings.control))
+        .put(key + "vote-life", settings.voteLife);
+    put(key + "answer-within", settings.callTimeout)
+        .put(key + "counts-every", settings.countsEvery)
+        .put(key + "idle", settings.idle);
+    return put(key + "most-utility", settings.mostUtility)
+        .put(key + "mean-soft-ms", settings.meanSoftMs);
+  }
 
-    private void putMethod(String key, Method method) {
-        put(key + "effect", effect(method.effect)).put(key + "group", group(method.group)).put(key + "soft-deadline", method.softDeadline);
-        put(key + "window", method.window).put(key + "utility", method.utility).put(key + "stream", method.stream);
-    }
+  private void putMethod(String key, Method method) {
+    put(key + "effect", effect(method.effect))
+        .put(key + "group", group(method.group))
+        .put(key + "soft-deadline", method.softDeadline);
+    put(key + "window", method.window)
+        .put(key + "utility", method.utility)
+        .put(key + "stream", method.stream);
+  }
 
-    private static String effect(Method.Effect effect) {
-        return switch (effect) {
-            case IDEMPOTENT -> "idempotent";
-            case TOKENED -> "tokened";
-            case NON_IDEMPOTENT -> "non-idempotent";
-        };
-    }
+  private static String effect(Method.Effect effect) {
+    return switch (effect) {
+      case IDEMPOTENT -> "idempotent";
+      case TOKENED -> "tokened";
+      case NON_IDEMPOTENT -> "non-idempotent";
+    };
+  }
 
-    private static String group(Method.Group group) {
-        return switch (group) {
-            case ALL -> "all";
-            case ZONE -> "zone";
-            case CELL -> "cell";
-        };
-    }
+  private static String group(Method.Group group) {
+    return switch (group) {
+      case ALL -> "all";
+      case ZONE -> "zone";
+      case CELL -> "cell";
+    };
+  }
 
-    private static String control(Settings.Control control) {
-        return switch (control) {
-            case SINGLE -> "single";
-            case MAJORITY -> "majority";
-            case CLOCKED -> "clocked";
-        };
-    }
+  private static String control(Settings.Control control) {
+    return switch (control) {
+      case SINGLE -> "single";
+      case MAJORITY -> "majority";
+      case CLOCKED -> "clocked";
+    };
+  }
 
-    /** The leases of a process. */
-    public Rendering putLeases(String key, LeaseConfig leases) {
-        if (leases == null) return put(key, (Object) null);
-        List<InetSocketAddress> granters = leases.granters();
-        for (int i = 0; i < granters.size(); i++) put(key + ".granter." + i, granters.get(i));
-        put(key + ".me", leases.me()).put(key + ".grants", leases.granter()).put(key + ".listen", leases.listen()).put(key + ".term", leases.term());
-        put(key + ".longest", leases.longest()).put(key + ".drift", leases.drift()).put(key + ".most", leases.most());
-        return put(key + ".looks-every", leases.looksEvery()).put(key + ".fit-every", leases.fitsEvery());
+  /** The leases of a process. */
+  public Rendering putLeases(String key, LeaseConfig leases) {
+    if (leases == null) {
+      return put(key, (Object) null);
     }
-
-    @Override
-    public String toString() {
-        return text.toString();
+    List<InetSocketAddress> granters = leases.granters();
+    for (int i = 0; i < granters.size(); i++) {
+      put(key + ".granter." + i, granters.get(i));
     }
+    put(key + ".me", leases.me())
+        .put(key + ".grants", leases.granter())
+        .put(key + ".listen", leases.listen())
+        .put(key + ".term", leases.term());
+    put(key + ".longest", leases.longest())
+        .put(key + ".drift", leases.drift())
+        .put(key + ".most", leases.most());
+    return put(key + ".looks-every", leases.looksEvery())
+        .put(key + ".fit-every", leases.fitsEvery());
+  }
+
+  @Override
+  public String toString() {
+    return text.toString();
+  }
 }
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -47,483 +47,745 @@
 import sprucerock.time.Span;
 
 /**
- * The controller's folder as the program that was recorded left it: its log of inputs with every kind of them, and its snapshots. A
- * restart on it leads to the same state, told and written as the same bytes.
+ * The controller's folder as the program that was recorded left it: its log of inputs with every
+ * kind of them, and its snapshots. A restart on it leads to the same state, told and written as the
+ * same bytes.
  */
 public class ControllerCompatTest {
-    private static final String FOLDER = "controller/";
-    private static final String LOG = "log";
-    private static final String SNAPSHOTS = "snapshots";
-    private static final String UNDER_CHANGE = "under-change";
-    /** A folder that has the log alone, one with snapshots too, and one of a life that ended while a change was carried out. */
-    private static final List<String> FOLDERS = List.of(LOG, SNAPSHOTS, UNDER_CHANGE);
-    private static final String RESTARTED = "-restarted";
-    private static final String LISTING = "-restarted.txt";
-    private static final String NEVER_SET = FOLDER + "never-set.txt";
-    private static final String SEATS = FOLDER + "seats.txt";
-    private static final int NEVER = 1_000_000;
-    private static final int SNAPSHOT_EVERY = 25;
-    private static final long START_WALL_MS = 1_700_000_000_000L;
-    private static final long DOWN_MS = 700;
-    private static final long MINUTE = 60_000;
-    private static final long HOUR = 60 * MINUTE;
-    private static final int PLACES = 10;
-    private static final int RELAYS = 6;
-    private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
-    private static final Version NEW = new Version("b".repeat(64), "1".repeat(64));
-    private static final Version NEWER = new Version("c".repeat(64), "2".repeat(64));
-    private static final Rules RULES = new Rules(List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)), Rules.Control.SINGLE, 2, 1, 1, Span.ofMs(4000),
-        Span.ofMs(500), Span.ofMs(1000), Span.ofMs(5000), Span.ofMs(800), Span.ofMs(3000), 1000);
-    private static final Plan PLAN = new Plan(List.of(new Plan.Stage(0.3, 0.1), new Plan.Stage(1, 0.1)), Span.ofMs(500), Span.ofMs(20_000), Span.ofMs(3000), 0.5, 0.3,
-        Span.ofMs(60_000));
-
-    /** Clocks that a scenario moves. */
-    private static final class ManualClock implements Engine.Clock {
-        private long passedMs;
-
-        @Override
-        public long wallMs() {
-            return START_WALL_MS + passedMs;
-        }
-
-        @Override
-        public long steadyMs() {
-            return passedMs;
-        }
+  private static final String FOLDER = "controller/";
+  private static final String LOG = "log";
+  private static final String SNAPSHOTS = "snapshots";
+  private static final String UNDER_CHANGE = "under-change";
+
+  /**
+   * A folder that has the log alone, one with snapshots too, and one of a life that ended while a
+   * change was carried out.
+   */
+  private static final List<String> FOLDERS = List.of(LOG, SNAPSHOTS, UNDER_CHANGE);
+
+  private static final String RESTARTED = "-restarted";
+  private static final String LISTING = "-restarted.txt";
+  private static final String NEVER_SET = FOLDER + "never-set.txt";
+  private static final String SEATS = FOLDER + "seats.txt";
+  private static final int NEVER = 1_000_000;
+  private static final int SNAPSHOT_EVERY = 25;
+  private static final long START_WALL_MS = 1_700_000_000_000L;
+  private static final long DOWN_MS = 700;
+  private static final long MINUTE = 60_000;
+  private static final long HOUR = 60 * MINUTE;
+  private static final int PLACES = 10;
+  private static final int RELAYS = 6;
+  private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
+  private static final Version NEW = new Version("b".repeat(64), "1".repeat(64));
+  private static final Version NEWER = new Version("c".repeat(64), "2".repeat(64));
+  private static final Rules RULES =
+      new Rules(
+          List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)),
+          Rules.Control.SINGLE,
+          2,
+          1,
+          1,
+          Span.ofMs(4000),
+          Span.ofMs(500),
+          Span.ofMs(1000),
+          Span.ofMs(5000),
+          Span.ofMs(800),
+          Span.ofMs(3000),
+          1000);
+  private static final Plan PLAN =
+      new Plan(
+          List.of(new Plan.Stage(0.3, 0.1), new Plan.Stage(1, 0.1)),
+          Span.ofMs(500),
+          Span.ofMs(20_000),
+          Span.ofMs(3000),
+          0.5,
+          0.3,
+          Span.ofMs(60_000));
+
+  /** Clocks that a scenario moves. */
+  private static final class ManualClock implements Engine.Clock {
+    private long passedMs;
+
+    @Override
+    public long wallMs() {
+      return START_WALL_MS + passedMs;
     }
 
-    private static Freezes freezes() {
-        double[] needs = new double[24];
-        Arrays.fill(needs, 10);
-        List<Rack> racks = List.of(new Rack("a1", 1, 1, Map.of(2, 10.0), 5 * MINUTE), new Rack("a2", 1, 2, Map.of(2, 10.0), 5 * MINUTE),
-            new Rack("a3", 1, 3, Map.of(3, 8.0), 5 * MINUTE), new Rack("b1", 2, 1, Map.of(2, 10.0), 5 * MINUTE));
-        Headroom room = new Headroom(racks, Map.of(1, new Headroom.Forecast(2, 0, needs)), 0.2);
-        return new Freezes(new Freezes.Rules(MINUTE, 15 * MINUTE, 0.95), room, new Freezes.Host() {
-            @Override
-            public void changed(Freeze freeze, Freeze.Step step) {}
-
-            @Override
-            public void promisesChanged() {}
-        });
+    @Override
+    public long steadyMs() {
+      return passedMs;
     }
+  }
+
+  private static Freezes freezes() {
+    double[] needs = new double[24];
+    Arrays.fill(needs, 10);
+    List<Rack> racks =
+        List.of(
+            new Rack("a1", 1, 1, Map.of(2, 10.0), 5 * MINUTE),
+            new Rack("a2", 1, 2, Map.of(2, 10.0), 5 * MINUTE),
+            new Rack("a3", 1, 3, Map.of(3, 8.0), 5 * MINUTE),
+            new Rack("b1", 2, 1, Map.of(2, 10.0), 5 * MINUTE));
+    Headroom room = new Headroom(racks, Map.of(1, new Headroom.Forecast(2, 0, needs)), 0.2);
+    return new Freezes(
+        new Freezes.Rules(MINUTE, 15 * MINUTE, 0.95),
+        room,
+        new Freezes.Host() {
+          @Override
+          public void changed(Freeze freeze, Freeze.Step step) {}
+
+          @Override
+          public void promisesChanged() {}
+        });
+  }
 
-    private static Engine engine(Path folder, int snapshotEvery, Engine.Clock clock) throws IOException {
-        Changes.Host nobody = new Changes.Host() {
-            @Override
-            public void changed(Change change, Change.Step step) {}
+  private static Engine engine(Path folder, int snapshotEvery, Engine.Clock clock)
+      throws IOException {
+    Changes.Host nobody =
+        new Changes.Host() {
+          @Override
+          public void changed(Change change, Change.Step step) {}
 
-            @Override
-            public void wants(ManagedRelay relay) {}
+          @Override
+          public void wants(ManagedRelay relay) {}
         };
-        return new Engine(new FileDisk(folder), snapshotEvery, RULES, PLACES, 1, PLAN, clock, (release, step) -> { }, nobody, freezes(), said -> {
-            throw new AssertionError(said);
+    return new Engine(
+        new FileDisk(folder),
+        snapshotEvery,
+        RULES,
+        PLACES,
+        1,
+        PLAN,
+        clock,
+        (release, step) -> {},
+        nobody,
+        freezes(),
+        said -> {
+          throw new AssertionError(said);
         });
-    }
-
-    /** What happens to a controller in a short life, with inputs of every kind. */
-    private static final class Scenario {
-        private final ManualClock clock;
-        private final Engine engine;
+  }
 
-        Scenario(Path folder, int snapshotEvery) throws Exception {
-            clock = new ManualClock();
-            engine = engine(folder, snapshotEvery, clock);
-            engine.start();
-        }
+  /** What happens to a controller in a short life, with inputs of every kind. */
+  private static final class Scenario {
+    private final ManualClock clock;
+    private final Engine engine;
 
-        void play(String name) throws IOException {
-            release();
-            beginChange();
-            if (!name.equals(UNDER_CHANGE)) goOn();
-            engine.close();
-        }
+    Scenario(Path folder, int snapshotEvery) throws Exception {
+      clock = new ManualClock();
+      engine = engine(folder, snapshotEvery, clock);
+      engine.start();
+    }
 
-        private void goOn() {
-            secondStage();
-            failure();
-            freeze();
-            secondRelease();
-            secondChange();
-            heldFreeze();
-            thirdRelease();
-        }
+    void play(String name) throws IOException {
+      release();
+      beginChange();
+      if (!name.equals(UNDER_CHANGE)) {
+        goOn();
+      }
+      engine.close();
+    }
 
-        private void pass(long ms) {
-            clock.passedMs += ms;
-            engine.commit();
-        }
+    private void goOn() {
+      secondStage();
+      failure();
+      freeze();
+      secondRelease();
+      secondChange();
+      heldFreeze();
+      thirdRelease();
+    }
 
-        private void take(Input.Builder input) {
-            clock.passedMs += 10;
-            engine.submit(input, outcome -> { });
-            engine.commit();
-        }
+    private void pass(long ms) {
+      clock.passedMs += ms;
+      engine.commit();
+    }
 
-        private void announced(String delivery, int build) {
-            take(Input.newBuilder().setAnnounced(Announced.newBuilder().setDelivery(delivery).setBuild(build).setArtifact("registry/app:" + build).setSource("ci")));
-        }
+    private void take(Input.Builder input) {
+      clock.passedMs += 10;
+      engine.submit(input, outcome -> {});
+      engine.commit();
+    }
 
-        private void ready(int build, int units) {
-            take(Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(units)));
-        }
+    private void announced(String delivery, int build) {
+      take(
+          Input.newBuilder()
+              .setAnnounced(
+                  Announced.newBuilder()
+                      .setDelivery(delivery)
+                      .setBuild(build)
+                      .setArtifact("registry/app:" + build)
+                      .setSource("ci")));
+    }
 
-        private void cast(int relay, int build, int stage, String say) {
-            take(Input.newBuilder().setCast(Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(say)));
-        }
+    private void ready(int build, int units) {
+      take(Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(units)));
+    }
 
-        private void word(String action, int build) {
-            take(Input.newBuilder().setWord(Word.newBuilder().setAction(action).setBuild(build).setWho("ann").setReason("why " + action)));
-        }
+    private void cast(int relay, int build, int stage, String say) {
+      take(
+          Input.newBuilder()
+              .setCast(
+                  Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(say)));
+    }
 
-        /** A build goes through both stages, held for a while, and is released. */
-        private void release() {
-            announced("delivery-2", 2);
-            announced("delivery-2", 2);
-            ready(2, 1);
-            cast(1, 2, 0, "ON");
-            word("HOLD", 2);
-            pass(300);
-            word("RESUME", 2);
-            cast(2, 2, 0, "ON");
-            pass(600);
-            ready(2, 10);
-            cast(1, 2, 1, "ON");
-            cast(2, 2, 1, "ON");
-            cast(3, 2, 1, "NOTHING");
-            pass(600);
-            pass(4000);
-            take(Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(2)));
-        }
+    private void word(String action, int build) {
+      take(
+          Input.newBuilder()
+              .setWord(
+                  Word.newBuilder()
+                      .setAction(action)
+                      .setBuild(build)
+                      .setWho("ann")
+                      .setReason("why " + action)));
+    }
 
-        private void agent(int relay, Version runs, boolean ready, int done) {
-            take(Input.newBuilder().setAgent(AgentSays.newBuilder().setRelay(relay).setZone(relay == RELAYS ? 2 : 1).setBusy(relay == 1).setRuns(ChangeCodec.version(runs)).setReady(ready)
-                .setDone(done)));
-        }
+    /** A build goes through both stages, held for a while, and is released. */
+    private void release() {
+      announced("delivery-2", 2);
+      announced("delivery-2", 2);
+      ready(2, 1);
+      cast(1, 2, 0, "ON");
+      word("HOLD", 2);
+      pass(300);
+      word("RESUME", 2);
+      cast(2, 2, 0, "ON");
+      pass(600);
+      ready(2, 10);
+      cast(1, 2, 1, "ON");
+      cast(2, 2, 1, "ON");
+      cast(3, 2, 1, "NOTHING");
+      pass(600);
+      pass(4000);
+      take(Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(2)));
+    }
 
-        /** Each agent says that its relay runs what it was told. */
-        private void agentsObey() {
-            for (ManagedRelay relay : List.copyOf(engine.changes().relays())) agent(relay.number, relay.wanted() == null ? OLD : relay.wanted(), true, relay.turn());
-        }
+    private void agent(int relay, Version runs, boolean ready, int done) {
+      take(
+          Input.newBuilder()
+              .setAgent(
+                  AgentSays.newBuilder()
+                      .setRelay(relay)
+                      .setZone(relay == RELAYS ? 2 : 1)
+                      .setBusy(relay == 1)
+                      .setRuns(ChangeCodec.version(runs))
+                      .setReady(ready)
+                      .setDone(done)));
+    }
 
-        private void proposed(Version version, boolean live) {
-            take(Input.newBuilder().setProposed(Proposed.newBuilder().setWho("ben").setWhy("newer").setVersion(ChangeCodec.version(version)).setLive(live)));
-        }
+    /** Each agent says that its relay runs what it was told. */
+    private void agentsObey() {
+      for (ManagedRelay relay : List.copyOf(engine.changes().relays())) {
+        agent(relay.number, relay.wanted() == null ? OLD : relay.wanted(), true, relay.turn());
+      }
+    }
 
-        private void checked(int relay, long change, String refusal) {
-            take(Input.newBuilder().setChecked(Checked.newBuilder().setRelay(relay).setChange(change).setRefusal(refusal)));
-        }
+    private void proposed(Version version, boolean live) {
+      take(
+          Input.newBuilder()
+              .setProposed(
+                  Proposed.newBuilder()
+                      .setWho("ben")
+                      .setWhy("newer")
+                      .setVersion(ChangeCodec.version(version))
+                      .setLive(live)));
+    }
 
-        private void changeWord(String word, long change) {
-            take(Input.newBuilder().setChangeWord(ChangeWord.newBuilder().setWord(word).setChange(change).setWho("ann").setReason("why " + word)));
-        }
+    private void checked(int relay, long change, String refusal) {
+      take(
+          Input.newBuilder()
+              .setChecked(
+                  Checked.newBuilder().setRelay(relay).setChange(change).setRefusal(refusal)));
+    }
 
-        /** Of one zone alone: a snapshot has several in the order of a hash, which differs from one process to the next. */
-        private void room(int relays, String why) {
-            take(Input.newBuilder().setRoom(Room.newBuilder().putByZone(1, relays).setWhy(why)));
-        }
+    private void changeWord(String word, long change) {
+      take(
+          Input.newBuilder()
+              .setChangeWord(
+                  ChangeWord.newBuilder()
+                      .setWord(word)
+                      .setChange(change)
+                      .setWho("ann")
+                      .setReason("why " + word)));
+    }
 
-        private void judged(long change, int stage, String verdict) {
-            take(Input.newBuilder().setJudged(Judged.newBuilder().setChange(change).setStage(stage).setVerdict(verdict).setReason("compared")));
-        }
+    /**
+     * Of one zone alone: a snapshot has several in the order of a hash, which differs from one
+     * process to the next.
+     */
+    private void room(int relays, String why) {
+      take(Input.newBuilder().setRoom(Room.newBuilder().putByZone(1, relays).setWhy(why)));
+    }
 
-        /** The first relay of a change is told, and one beside it waits to be restarted too. */
-        private void beginChange() {
-            for (int relay = 1; relay <= RELAYS; relay++) agent(relay, OLD, true, 0);
-            room(1, "");
-            proposed(NEW, false);
-            for (int relay = 1; relay < RELAYS; relay++) checked(relay, 1, "");
-            checked(RELAYS, 1, "no room on its disk");
-            changeWord("HOLD", 1);
-            pass(200);
-            changeWord("RESUME", 1);
-        }
+    private void judged(long change, int stage, String verdict) {
+      take(
+          Input.newBuilder()
+              .setJudged(
+                  Judged.newBuilder()
+                      .setChange(change)
+                      .setStage(stage)
+                      .setVerdict(verdict)
+                      .setReason("compared")));
+    }
 
-        /** The change reaches its second stage, whose relays are compared. */
-        private void secondStage() {
-            for (int i = 0; i < 4; i++) {
-                pass(300);
-                agentsObey();
-            }
-            judged(1, 0, "NO_WORSE");
-            pass(600);
-            agentsObey();
-            judged(1, 1, "NOT_SURE");
-        }
+    /** The first relay of a change is told, and one beside it waits to be restarted too. */
+    private void beginChange() {
+      for (int relay = 1; relay <= RELAYS; relay++) {
+        agent(relay, OLD, true, 0);
+      }
+      room(1, "");
+      proposed(NEW, false);
+      for (int relay = 1; relay < RELAYS; relay++) {
+        checked(relay, 1, "");
+      }
+      checked(RELAYS, 1, "no room on its disk");
+      changeWord("HOLD", 1);
+      pass(200);
+      changeWord("RESUME", 1);
+    }
 
-        /** A relay fails under the change, which goes back. */
-        private void failure() {
-            take(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(4)));
-            int moved = engine.changes().relays().stream().filter(relay -> NEW.equals(relay.wanted())).findFirst().orElseThrow().number;
-            take(Input.newBuilder().setFailed(Failed.newBuilder().setRelay(moved).setVersion(ChangeCodec.version(NEW)).setHow("ended with code 1").setTurn(1)));
-        }
+    /** The change reaches its second stage, whose relays are compared. */
+    private void secondStage() {
+      for (int i = 0; i < 4; i++) {
+        pass(300);
+        agentsObey();
+      }
+      judged(1, 0, "NO_WORSE");
+      pass(600);
+      agentsObey();
+      judged(1, 1, "NOT_SURE");
+    }
 
-        private FreezeWanted.Builder wanted(String rack, long fromMs, long lastsMs) {
-            return FreezeWanted.newBuilder().addRacks(rack).setFromMs(fromMs).setLastsMs(lastsMs).setZone("UTC").setWho("ann").setReason("new switch");
-        }
+    /** A relay fails under the change, which goes back. */
+    private void failure() {
+      take(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(4)));
+      int moved =
+          engine.changes().relays().stream()
+              .filter(relay -> NEW.equals(relay.wanted()))
+              .findFirst()
+              .orElseThrow()
+              .number;
+      take(
+          Input.newBuilder()
+              .setFailed(
+                  Failed.newBuilder()
+                      .setRelay(moved)
+                      .setVersion(ChangeCodec.version(NEW))
+                      .setHow("ended with code 1")
+                      .setTurn(1)));
+    }
 
-        private void freezeWord(String word, long freeze, String who, long toMs) {
-            take(Input.newBuilder().setFreezeWord(FreezeWord.newBuilder().setWord(word).setFreeze(freeze).setToMs(toMs).setWho(who).setReason("why " + word)));
-        }
+    private FreezeWanted.Builder wanted(String rack, long fromMs, long lastsMs) {
+      return FreezeWanted.newBuilder()
+          .addRacks(rack)
+          .setFromMs(fromMs)
+          .setLastsMs(lastsMs)
+          .setZone("UTC")
+          .setWho("ann")
+          .setReason("new switch");
+    }
 
-        private void rack(String rack, boolean down) {
-            take(Input.newBuilder().setRack(RackSays.newBuilder().setRack(rack).setDown(down)));
-        }
+    private void freezeWord(String word, long freeze, String who, long toMs) {
+      take(
+          Input.newBuilder()
+              .setFreezeWord(
+                  FreezeWord.newBuilder()
+                      .setWord(word)
+                      .setFreeze(freeze)
+                      .setToMs(toMs)
+                      .setWho(who)
+                      .setReason("why " + word)));
+    }
 
-        private void worth(long number) {
-            take(Input.newBuilder().setWorth(FamiliesWorth.newBuilder().setNumber(number).setWindow(-7).addAllFamilies(List.of(2, 3)).addMethods(1)
-                .addAllLogs(List.of(0.0, 0.1, -0.1, 0.0, 0.0, 0.2, -0.2, 0.0)).addAllErrors(List.of(0.0, 0.01, 0.01, 0.0, 0.0, 0.02, 0.02, 0.0))
-                .addAllCores(List.of(0.5, 0.75)).addAllCoresErrors(List.of(0.01, 0.02)).setFree(30)));
-        }
+    private void rack(String rack, boolean down) {
+      take(Input.newBuilder().setRack(RackSays.newBuilder().setRack(rack).setDown(down)));
+    }
 
-        /** Freezes once, again and again, at once; one is extended, one called off, one cleared by all relays. */
-        private void freeze() {
-            worth(3);
-            long now = clock.wallMs();
-            take(Input.newBuilder().setFreeze(wanted("b1", now + HOUR, 10 * MINUTE).setSlackMs(30 * MINUTE)));
-            take(Input.newBuilder().setFreeze(wanted("a1", now + 2 * HOUR, 20 * MINUTE).setRule("FREQ=WEEKLY;COUNT=2")));
-            take(Input.newBuilder().setFreeze(wanted("a2", now, 30 * MINUTE).setEmergency(true)));
-            take(Input.newBuilder().setFreeze(wanted("a1", now + 90 * MINUTE, 10 * MINUTE).addRacks("a2").addRacks("a3")));
-            freezeWord("EXTEND", 1, "ben", now + HOUR + 20 * MINUTE);
-            freezeWord("CALL_OFF", 3, "ben", 0);
-            take(Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(4)));
-        }
+    private void worth(long number) {
+      take(
+          Input.newBuilder()
+              .setWorth(
+                  FamiliesWorth.newBuilder()
+                      .setNumber(number)
+                      .setWindow(-7)
+                      .addAllFamilies(List.of(2, 3))
+                      .addMethods(1)
+                      .addAllLogs(List.of(0.0, 0.1, -0.1, 0.0, 0.0, 0.2, -0.2, 0.0))
+                      .addAllErrors(List.of(0.0, 0.01, 0.01, 0.0, 0.0, 0.02, 0.02, 0.0))
+                      .addAllCores(List.of(0.5, 0.75))
+                      .addAllCoresErrors(List.of(0.01, 0.02))
+                      .setFree(30)));
+    }
 
-        /** A build that a relay votes back. */
-        private void secondRelease() {
-            announced("delivery-3", 3);
-            ready(3, 1);
-            cast(2, 3, 0, "HOLD");
-            cast(3, 3, 0, "BACK");
-            pass(1000);
-            pass(1000);
-        }
+    /**
+     * Freezes once, again and again, at once; one is extended, one called off, one cleared by all
+     * relays.
+     */
+    private void freeze() {
+      worth(3);
+      long now = clock.wallMs();
+      take(
+          Input.newBuilder()
+              .setFreeze(wanted("b1", now + HOUR, 10 * MINUTE).setSlackMs(30 * MINUTE)));
+      take(
+          Input.newBuilder()
+              .setFreeze(wanted("a1", now + 2 * HOUR, 20 * MINUTE).setRule("FREQ=WEEKLY;COUNT=2")));
+      take(Input.newBuilder().setFreeze(wanted("a2", now, 30 * MINUTE).setEmergency(true)));
+      take(
+          Input.newBuilder()
+              .setFreeze(
+                  wanted("a1", now + 90 * MINUTE, 10 * MINUTE).addRacks("a2").addRacks("a3")));
+      freezeWord("EXTEND", 1, "ben", now + HOUR + 20 * MINUTE);
+      freezeWord("CALL_OFF", 3, "ben", 0);
+      take(Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(4)));
+    }
 
-        /** A change without restarts that waits for some to read it through, and one that takes its place. */
-        private void secondChange() {
-            agentsObey();
-            pass(500);
-            proposed(NEWER, true);
-            proposed(new Version(OLD.program(), NEWER.settings()), true);
-            for (int relay = 1; relay < RELAYS; relay++) checked(relay, 3, "");
-            checked(RELAYS, 3, "a setting is unknown");
-            pass(300);
-            agentsObey();
-            take(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(5)));
-            room(0, "more comes than usual");
-            changeWord("HOLD", 3);
-        }
+    /** A build that a relay votes back. */
+    private void secondRelease() {
+      announced("delivery-3", 3);
+      ready(3, 1);
+      cast(2, 3, 0, "HOLD");
+      cast(3, 3, 0, "BACK");
+      pass(1000);
+      pass(1000);
+    }
 
-        /** Racks die, so that a freeze is held; one operator of two forces it. */
-        private void heldFreeze() {
-            rack("a3", true);
-            rack("a2", true);
-            freezeWord("FORCE", 2, "ann", 0);
-        }
+    /**
+     * A change without restarts that waits for some to read it through, and one that takes its
+     * place.
+     */
+    private void secondChange() {
+      agentsObey();
+      pass(500);
+      proposed(NEWER, true);
+      proposed(new Version(OLD.program(), NEWER.settings()), true);
+      for (int relay = 1; relay < RELAYS; relay++) {
+        checked(relay, 3, "");
+      }
+      checked(RELAYS, 3, "a setting is unknown");
+      pass(300);
+      agentsObey();
+      take(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(5)));
+      room(0, "more comes than usual");
+      changeWord("HOLD", 3);
+    }
 
-        /** The life ends with a build on trial that is held, and votes about it. */
-        private void thirdRelease() {
-            announced("delivery-4", 4);
-            ready(4, 1);
-            cast(1, 4, 0, "ON");
-            cast(2, 4, 0, "HOLD");
-            word("HOLD", 4);
-            pass(400);
-            word("RESUME", 4);
-            pass(100);
-            word("HOLD", 4);
-        }
+    /** Racks die, so that a freeze is held; one operator of two forces it. */
+    private void heldFreeze() {
+      rack("a3", true);
+      rack("a2", true);
+      freezeWord("FORCE", 2, "ann", 0);
     }
 
-    /** A controller starts on a folder, and ends at once; returns what it knows then. */
-    private static String restart(Path folder) throws Exception {
-        ManualClock clock = new ManualClock();
-        clock.passedMs = lastWall(folder) - START_WALL_MS + DOWN_MS;
-        Engine engine = engine(folder, NEVER, clock);
-        engine.start();
-        String listing = listing(engine);
-        engine.close();
-        return listing;
-    }
-
-    private static long lastWall(Path folder) throws Exception {
-        long[] last = new long[1];
-        read(folder, new ArrayList<>(), new ArrayList<>(), last);
-        return last[0];
-    }
-
-    /** Reads a folder's snapshot and the inputs after it. */
-    private static void read(Path folder, List<State> states, List<Input> inputs, long[] lastWallMs) throws Exception {
-        Store store = new Store(new FileDisk(folder), NEVER);
-        store.open(new Store.Reader() {
-            @Override
-            public void state(State state) {
-                states.add(state);
-                lastWallMs[0] = state.getWallMs();
-            }
-
-            @Override
-            public void input(Input input) {
-                inputs.add(input);
-                lastWallMs[0] = input.getWallMs();
-            }
-        }, said -> {
-            throw new AssertionError(said);
+    /** The life ends with a build on trial that is held, and votes about it. */
+    private void thirdRelease() {
+      announced("delivery-4", 4);
+      ready(4, 1);
+      cast(1, 4, 0, "ON");
+      cast(2, 4, 0, "HOLD");
+      word("HOLD", 4);
+      pass(400);
+      word("RESUME", 4);
+      pass(100);
+      word("HOLD", 4);
+    }
+  }
+
+  /** A controller starts on a folder, and ends at once; returns what it knows then. */
+  private static String restart(Path folder) throws Exception {
+    ManualClock clock = new ManualClock();
+    clock.passedMs = lastWall(folder) - START_WALL_MS + DOWN_MS;
+    Engine engine = engine(folder, NEVER, clock);
+    engine.start();
+    String listing = listing(engine);
+    engine.close();
+    return listing;
+  }
+
+  private static long lastWall(Path folder) throws Exception {
+    long[] last = new long[1];
+    read(folder, new ArrayList<>(), new ArrayList<>(), last);
+    return last[0];
+  }
+
+  /** Reads a folder's snapshot and the inputs after it. */
+  private static void read(Path folder, List<State> states, List<Input> inputs, long[] lastWallMs)
+      throws Exception {
+    Store store = new Store(new FileDisk(folder), NEVER);
+    store.open(
+        new Store.Reader() {
+          @Override
+          public void state(State state) {
+            states.add(state);
+            lastWallMs[0] = state.getWallMs();
+          }
+
+          @Override
+          public void input(Input input) {
+            inputs.add(input);
+            lastWallMs[0] = input.getWallMs();
+          }
+        },
+        said -> {
+          throw new AssertionError(said);
         });
-        store.close();
+    store.close();
+  }
+
+  /** What a controller knows, in words of its own, from which a field taken for another shows. */
+  private static String listing(Engine engine) {
+    StringBuilder text =
+        new StringBuilder(
+            "epoch "
+                + engine.releases().epoch()
+                + " at "
+                + engine.now().ms()
+                + ", inputs "
+                + engine.inputs()
+                + "\n");
+    for (Release release : engine.releases().all()) {
+      text.append("build ").append(release.build).append(' ').append(release.artifact).append('\n');
+      release
+          .steps()
+          .forEach(
+              step ->
+                  text.append("  ")
+                      .append(step.sequence())
+                      .append(' ')
+                      .append(step.at().ms())
+                      .append(' ')
+                      .append(step.wallMs())
+                      .append(' ')
+                      .append(step.standing())
+                      .append(' ')
+                      .append(step.stage())
+                      .append(' ')
+                      .append(step.cause())
+                      .append('\n'));
     }
-
-    /** What a controller knows, in words of its own, from which a field taken for another shows. */
-    private static String listing(Engine engine) {
-        StringBuilder text = new StringBuilder("epoch " + engine.releases().epoch() + " at " + engine.now().ms() + ", inputs " + engine.inputs() + "\n");
-        for (Release release : engine.releases().all()) {
-            text.append("build ").append(release.build).append(' ').append(release.artifact).append('\n');
-            release.steps().forEach(step -> text.append("  ").append(step.sequence()).append(' ').append(step.at().ms()).append(' ').append(step.wallMs()).append(' ')
-                .append(step.standing()).append(' ').append(step.stage()).append(' ').append(step.cause()).append('\n'));
-        }
-        for (Change change : engine.changes().all()) {
-            text.append("change ").append(change.number).append(" by ").append(change.who).append(": ").append(change.why).append(", to ").append(change.to).append('\n');
-            change.steps().forEach(step -> text.append("  ").append(step.sequence()).append(' ').append(step.at().ms()).append(' ').append(step.wallMs()).append(' ')
-                .append(step.state()).append(' ').append(step.stage()).append(' ').append(step.cause()).append('\n'));
-        }
-        for (ManagedRelay relay : engine.changes().relays()) {
-            text.append("relay ").append(relay.number).append(" turn ").append(relay.turn()).append(" wants ").append(relay.wanted()).append('\n');
-        }
-        for (Freeze freeze : engine.freezes().all()) {
-            text.append("freeze ").append(freeze.number).append(" of ").append(freeze.racks).append(" by ").append(freeze.who).append(": ").append(freeze.why).append('\n');
-            freeze.steps().forEach(step -> text.append("  ").append(step.sequence()).append(' ').append(step.wallMs()).append(' ').append(step.state()).append(' ')
-                .append(step.cause()).append('\n'));
-        }
-        return text.toString();
-    }
-
-    /** Writes the recorded files below a folder. */
-    public static void record(Path corpus) throws Exception {
-        Path all = corpus.resolve(FOLDER);
-        if (Files.exists(all)) CorpusFiles.remove(all);
-        for (String name : FOLDERS) {
-            Path folder = Files.createDirectories(all.resolve(name));
-            new Scenario(folder, every(name)).play(name);
-            Path restarted = Files.createDirectories(all.resolve(name + RESTARTED));
-            for (String file : CorpusFiles.contents(folder).keySet()) Files.copy(folder.resolve(file), restarted.resolve(file));
-            Files.writeString(all.resolve(name + LISTING), restart(restarted));
-        }
-        List<Path> folders = new ArrayList<>();
-        for (String name : FOLDERS) folders.addAll(List.of(all.resolve(name), all.resolve(name + RESTARTED)));
-        Files.writeString(corpus.resolve(NEVER_SET), String.join("\n", neverSet(folders)) + "\n");
-        Files.writeString(corpus.resolve(SEATS), String.join("\n", seats()) + "\n");
-    }
-
-    private static int every(String name) {
-        return name.equals(SNAPSHOTS) ? SNAPSHOT_EVERY : NEVER;
-    }
-
-    /** Fields of inputs and of the state that no recorded file has a value in. */
-    private static List<String> neverSet(List<Path> folders) throws Exception {
-        List<State> states = new ArrayList<>();
-        List<Input> inputs = new ArrayList<>();
-        for (Path folder : folders) read(folder, states, inputs, new long[1]);
-        List<String> lines = new ArrayList<>();
-        FilledMessages.neverSet(Input.getDescriptor(), inputs).forEach(path -> lines.add("input " + path));
-        FilledMessages.neverSet(State.getDescriptor(), states).forEach(path -> lines.add("state " + path));
-        return lines;
-    }
-
-    /** The files by which two controllers tell who acts. */
-    private static List<String> seats() throws Exception {
-        Path folder = Files.createTempDirectory("compat");
-        try {
-            ManualClock clock = new ManualClock();
-            List<String> lines = new ArrayList<>();
-            FolderSeat seat = new FolderSeat(new FileDisk(folder), clock, Span.ofMs(2000), "controller-1@host");
-            seat.take();
-            lines.add(files(folder));
-            clock.passedMs += 600;
-            seat.take();
-            lines.add(files(folder));
-            seat.release();
-            lines.add(files(folder));
-            new SeatMark(new FileDisk(folder)).take(1_700_000_000_123L);
-            lines.add(files(folder));
-            return lines;
-        } finally {
-            CorpusFiles.remove(folder);
-        }
+    for (Change change : engine.changes().all()) {
+      text.append("change ")
+          .append(change.number)
+          .append(" by ")
+          .append(change.who)
+          .append(": ")
+          .append(change.why)
+          .append(", to ")
+          .append(change.to)
+          .append('\n');
+      change
+          .steps()
+          .forEach(
+              step ->
+                  text.append("  ")
+                      .append(step.sequence())
+                      .append(' ')
+                      .append(step.at().ms())
+                      .append(' ')
+                      .append(step.wallMs())
+                      .append(' ')
+                      .append(step.state())
+                      .append(' ')
+                      .append(step.stage())
+                      .append(' ')
+                      .append(step.cause())
+                      .append('\n'));
     }
-
-    private static String files(Path folder) throws IOException {
-        StringBuilder line = new StringBuilder();
-        for (String name : CorpusFiles.contents(folder).keySet()) line.append(name).append('=').append(Files.readString(folder.resolve(name), StandardCharsets.UTF_8)).append(' ');
-        return line.toString().strip();
+    for (ManagedRelay relay : engine.changes().relays()) {
+      text.append("relay ")
+          .append(relay.number)
+          .append(" turn ")
+          .append(relay.turn())
+          .append(" wants ")
+          .append(relay.wanted())
+          .append('\n');
     }
-
-    @DataProvider
-    public Object[][] folders() {
-        return FOLDERS.stream().map(name -> new Object[] {name}).toArray(Object[][]::new);
+    for (Freeze freeze : engine.freezes().all()) {
+      text.append("freeze ")
+          .append(freeze.number)
+          .append(" of ")
+          .append(freeze.racks)
+          .append(" by ")
+          .append(freeze.who)
+          .append(": ")
+          .append(freeze.why)
+          .append('\n');
+      freeze
+          .steps()
+          .forEach(
+              step ->
+                  text.append("  ")
+                      .append(step.sequence())
+                      .append(' ')
+                      .append(step.wallMs())
+                      .append(' ')
+                      .append(step.state())
+                      .append(' ')
+                      .append(step.cause())
+                      .append('\n'));
     }
-
-    @Test(dataProvider = "folders")
-    public void aRestartOnARecordedFolderWritesTheSameBytesAndKnowsTheSame(String name) throws Exception {
-        Path folder = CorpusFiles.copy(FOLDER + name);
-        try {
-            assertEquals(restart(folder), CorpusFiles.text(FOLDER + name + LISTING));
-            assertEquals(CorpusFiles.contents(folder), CorpusFiles.contents(CorpusFiles.path(FOLDER + name + RESTARTED)));
-        } finally {
-            CorpusFiles.remove(folder);
-        }
+    return text.toString();
+  }
+
+  /** Writes the recorded files below a folder. */
+  public static void record(Path corpus) throws Exception {
+    Path all = corpus.resolve(FOLDER);
+    if (Files.exists(all)) {
+      CorpusFiles.remove(all);
     }
-
-    @Test(dataProvider = "folders")
-    public void theSameInputsAreKeptAsTheSameBytes(String name) throws Exception {
-        Path folder = Files.createTempDirectory("compat");
-        try {
-            new Scenario(folder, every(name)).play(name);
-            assertEquals(CorpusFiles.contents(folder), CorpusFiles.contents(CorpusFiles.path(FOLDER + name)));
-        } finally {
-            CorpusFiles.remove(folder);
-        }
+    for (String name : FOLDERS) {
+      Path folder = Files.createDirectories(all.resolve(name));
+      new Scenario(folder, every(name)).play(name);
+      Path restarted = Files.createDirectories(all.resolve(name + RESTARTED));
+      for (String file : CorpusFiles.contents(folder).keySet()) {
+        Files.copy(folder.resolve(file), restarted.resolve(file));
+      }
+      Files.writeString(all.resolve(name + LISTING), restart(restarted));
     }
-
-    @Test
-    public void everyKindOfInputIsRecorded() throws Exception {
-        List<Input> inputs = new ArrayList<>();
-        Path folder = CorpusFiles.copy(FOLDER + LOG);
-        try {
-            read(folder, new ArrayList<>(), inputs, new long[1]);
-        } finally {
-            CorpusFiles.remove(folder);
-        }
-        TreeSet<Integer> found = new TreeSet<>();
-        inputs.forEach(input -> found.add(input.getWhatCase().getNumber()));
-        TreeSet<Integer> kinds = new TreeSet<>();
-        Input.getDescriptor().getOneofs().get(0).getFields().forEach(field -> kinds.add(field.getNumber()));
-        assertEquals(found, kinds);
-    }
-
-    @Test
-    public void noFieldIsLeftOutButThoseKnown() throws Exception {
-        List<Path> copies = new ArrayList<>();
-        try {
-            for (String name : FOLDERS) for (String kind : List.of("", RESTARTED)) copies.add(CorpusFiles.copy(FOLDER + name + kind));
-            assertEquals(neverSet(copies), CorpusFiles.lines(NEVER_SET));
-        } finally {
-            for (Path copy : copies) CorpusFiles.remove(copy);
-        }
+    List<Path> folders = new ArrayList<>();
+    for (String name : FOLDERS) {
+      folders.addAll(List.of(all.resolve(name), all.resolve(name + RESTARTED)));
     }
-
-    @Test
-    public void theFilesOfTheSeatAreTheSame() throws Exception {
-        assertEquals(seats(), CorpusFiles.lines(SEATS));
+    Files.writeString(corpus.resolve(NEVER_SET), String.join("\n", neverSet(folders)) + "\n");
+    Files.writeString(corpus.resolve(SEATS), String.join("\n", seats()) + "\n");
+  }
+
+  private static int every(String name) {
+    return name.equals(SNAPSHOTS) ? SNAPSHOT_EVERY : NEVER;
+  }
+
+  /** Fields of inputs and of the state that no recorded file has a value in. */
+  private static List<String> neverSet(List<Path> folders) throws Exception {
+    List<State> states = new ArrayList<>();
+    List<Input> inputs = new ArrayList<>();
+    for (Path folder : folders) {
+      read(folder, states, inputs, new long[1]);
     }
-
-    @Test
-    public void aRecordedMarkOfTheSeatIsRead() throws Exception {
-        String last = CorpusFiles.lines(SEATS).get(3);
-        Path folder = Files.createTempDirectory("compat");
-        try {
-            for (String file : last.split(" (?=[a-z]+=)")) Files.writeString(folder.resolve(file.split("=")[0]), file.split("=")[1]);
-            assertEquals(new SeatMark(new FileDisk(folder)).highest(), 1_700_000_000_123L);
-        } finally {
-            CorpusFiles.remove(folder);
-        }
+    List<String> lines = new ArrayList<>();
+    FilledMessages.neverSet(Input.getDescriptor(), inputs)
+        .forEach(path -> lines.add("input " + path));
+    FilledMessages.neverSet(State.getDescriptor(), states)
+        .forEach(path -> lines.add("state " + path));
+    return lines;
+  }
+
+  /** The files by which two controllers tell who acts. */
+  private static List<String> seats() throws Exception {
+    Path folder = Files.createTempDirectory("compat");
+    try {
+      ManualClock clock = new ManualClock();
+      List<String> lines = new ArrayList<>();
+      FolderSeat seat =
+          new FolderSeat(new FileDisk(folder), clock, Span.ofMs(2000), "controller-1@host");
+      seat.take();
+      lines.add(files(folder));
+      clock.passedMs += 600;
+      seat.take();
+      lines.add(files(folder));
+      seat.release();
+      lines.add(files(folder));
+      new SeatMark(new FileDisk(folder)).take(1_700_000_000_123L);
+      lines.add(files(folder));
+      return lines;
+    } finally {
+      CorpusFiles.remove(folder);
+    }
+  }
+
+  private static String files(Path folder) throws IOException {
+    StringBuilder line = new StringBuilder();
+    for (String name : CorpusFiles.contents(folder).keySet()) {
+      line.append(name)
+          .append('=')
+          .append(Files.readString(folder.resolve(name), StandardCharsets.UTF_8))
+          .append(' ');
+    }
+    return line.toString().strip();
+  }
+
+  @DataProvider
+  public Object[][] folders() {
+    return FOLDERS.stream().map(name -> new Object[] {name}).toArray(Object[][]::new);
+  }
+
+  @Test(dataProvider = "folders")
+  public void aRestartOnARecordedFolderWritesTheSameBytesAndKnowsTheSame(String name)
+      throws Exception {
+    Path folder = CorpusFiles.copy(FOLDER + name);
+    try {
+      assertEquals(restart(folder), CorpusFiles.text(FOLDER + name + LISTING));
+      assertEquals(
+          CorpusFiles.contents(folder),
+          CorpusFiles.contents(CorpusFiles.path(FOLDER + name + RESTARTED)));
+    } finally {
+      CorpusFiles.remove(folder);
+    }
+  }
+
+  @Test(dataProvider = "folders")
+  public void theSameInputsAreKeptAsTheSameBytes(String name) throws Exception {
+    Path folder = Files.createTempDirectory("compat");
+    try {
+      new Scenario(folder, every(name)).play(name);
+      assertEquals(
+          CorpusFiles.contents(folder), CorpusFiles.contents(CorpusFiles.path(FOLDER + name)));
+    } finally {
+      CorpusFiles.remove(folder);
+    }
+  }
+
+  @Test
+  public void everyKindOfInputIsRecorded() throws Exception {
+    List<Input> inputs = new ArrayList<>();
+    Path folder = CorpusFiles.copy(FOLDER + LOG);
+    try {
+      read(folder, new ArrayList<>(), inputs, new long[1]);
+    } finally {
+      CorpusFiles.remove(folder);
+    }
+    TreeSet<Integer> found = new TreeSet<>();
+    inputs.forEach(input -> found.add(input.getWhatCase().getNumber()));
+    TreeSet<Integer> kinds = new TreeSet<>();
+    Input.getDescriptor()
+        .getOneofs()
+        .get(0)
+        .getFields()
+        .forEach(field -> kinds.add(field.getNumber()));
+    assertEquals(found, kinds);
+  }
+
+  @Test
+  public void noFieldIsLeftOutButThoseKnown() throws Exception {
+    List<Path> copies = new ArrayList<>();
+    try {
+      for (String name : FOLDERS) {
+        for (String kind : List.of("", RESTARTED)) {
+          copies.add(CorpusFiles.copy(FOLDER + name + kind));
+        }
+      }
+      assertEquals(neverSet(copies), CorpusFiles.lines(NEVER_SET));
+    } finally {
+      for (Path copy : copies) {
+        CorpusFiles.remove(copy);
+      }
+    }
+  }
+
+  @Test
+  public void theFilesOfTheSeatAreTheSame() throws Exception {
+    assertEquals(seats(), CorpusFiles.lines(SEATS));
+  }
+
+  @Test
+  public void aRecordedMarkOfTheSeatIsRead() throws Exception {
+    String last = CorpusFiles.lines(SEATS).get(3);
+    Path folder = Files.createTempDirectory("compat");
+    try {
+      for (String file : last.split(" (?=[a-z]+=)")) {
+        Files.writeString(folder.resolve(file.split("=")[0]), file.split("=")[1]);
+      }
+      assertEquals(new SeatMark(new FileDisk(folder)).highest(), 1_700_000_000_123L);
+    } finally {
+      CorpusFiles.remove(folder);
     }
+  }
 }
--- a/src/test/java/sprucerock/desk/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/desk/ControllerSettingsCompatTest.java
@@ -17,135 +17,187 @@
 import sprucerock.config.ConfigException;
 import sprucerock.controller.Rules;
 
-/** Configurations of controllers: the values that are read, and the errors, are those that were recorded. */
+/**
+ * Configurations of controllers: the values that are read, and the errors, are those that were
+ * recorded.
+ */
 public class ControllerSettingsCompatTest {
-    private static final String SETTINGS = "settings/";
-    private static final String FOLDER = "FOLDER";
-
-    private Path folder;
-
-    @BeforeMethod
-    public void begin() throws Exception {
-        folder = Files.createTempDirectory("controller");
-        Corpus.secret(folder.resolve("ci.secret"), "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM=\nwhsec_YWJjZGVmZ2hpamtsbW5vcA==\n");
-        Corpus.secret(folder.resolve("hub.secret"), "a secret in plain text\n");
-        Corpus.secret(folder.resolve("api.token"), "0123456789abcdef0123\n");
-        Corpus.secret(folder.resolve("short.token"), "0123456789\n");
-        Corpus.secret(folder.resolve("text.secret"), "whsec_no base64!\n");
-        Corpus.secret(folder.resolve("empty.secret"), "\n");
-        Files.writeString(folder.resolve("open.token"), "0123456789abcdef0123\n");
-        Files.setPosixFilePermissions(folder.resolve("open.token"), PosixFilePermissions.fromString("rw-r--r--"));
+  private static final String SETTINGS = "settings/";
+  private static final String FOLDER = "FOLDER";
+
+  private Path folder;
+
+  @BeforeMethod
+  public void begin() throws Exception {
+    folder = Files.createTempDirectory("controller");
+    Corpus.secret(
+        folder.resolve("ci.secret"),
+        "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM=\nwhsec_YWJjZGVmZ2hpamtsbW5vcA==\n");
+    Corpus.secret(folder.resolve("hub.secret"), "a secret in plain text\n");
+    Corpus.secret(folder.resolve("api.token"), "0123456789abcdef0123\n");
+    Corpus.secret(folder.resolve("short.token"), "0123456789\n");
+    Corpus.secret(folder.resolve("text.secret"), "whsec_no base64!\n");
+    Corpus.secret(folder.resolve("empty.secret"), "\n");
+    Files.writeString(folder.resolve("open.token"), "0123456789abcdef0123\n");
+    Files.setPosixFilePermissions(
+        folder.resolve("open.token"), PosixFilePermissions.fromString("rw-r--r--"));
+  }
+
+  @AfterMethod
+  public void end() throws Exception {
+    try (var files = Files.list(folder)) {
+      for (Path file : files.toList()) {
+        Files.delete(file);
+      }
     }
-
-    @AfterMethod
-    public void end() throws Exception {
-        try (var files = Files.list(folder)) {
-            for (Path file : files.toList()) Files.delete(file);
-        }
-        Files.delete(folder);
-    }
-
-    private Path written(String text) throws Exception {
-        return Files.writeString(folder.resolve("controller.xml"), text.replace(FOLDER, folder.toString()));
-    }
-
-    @DataProvider
-    public Object[][] documents() {
-        return new Object[][] {{"controller-every"}, {"controller-least"}, {"controller-usual"}};
-    }
-
-    @Test(dataProvider = "documents")
-    public void aControllersSettingsAreReadAsBefore(String name) throws Exception {
-        DeskConfig config = DeskConfig.read(written(Corpus.input(SETTINGS + name + ".xml")));
-        Corpus.holds(SETTINGS + name + ".txt", rendered(config));
-    }
-
-    private static String rendered(DeskConfig config) {
-        Rendering text = new Rendering();
-        text.put("name", config.name).put("folder", config.folder).put("first-build", config.firstBuild).put("places", config.places).put("lease", config.lease);
-        text.put("relays.at", config.relays).put("relays.most", config.mostRelays).put("relays.unsent", config.unsent).put("relays.tell-every", config.tellEvery);
-        hooks(text, config);
-        text.put("api.at", config.api).put("api.token", config.token).putLeases("leases", config.leases);
-        for (int i = 0; i < config.tells.size(); i++) {
-            Outbox.Target tell = config.tells.get(i);
-            text.put("tell." + tell.name() + ".url", tell.url()).put("tell." + tell.name() + ".secret", hex(tell.secret()));
-            text.put("tell." + tell.name() + ".give-up", tell.giveUp().toMillis());
-        }
-        agents(text, config);
-        rules(text, config.rules);
-        racks(text, config);
-        return text.toString();
-    }
-
-    private static String hex(byte[] bytes) {
-        return HexFormat.of().formatHex(bytes);
+    Files.delete(folder);
+  }
+
+  private Path written(String text) throws Exception {
+    return Files.writeString(
+        folder.resolve("controller.xml"), text.replace(FOLDER, folder.toString()));
+  }
+
+  @DataProvider
+  public Object[][] documents() {
+    return new Object[][] {{"controller-every"}, {"controller-least"}, {"controller-usual"}};
+  }
+
+  @Test(dataProvider = "documents")
+  public void aControllersSettingsAreReadAsBefore(String name) throws Exception {
+    DeskConfig config = DeskConfig.read(written(Corpus.input(SETTINGS + name + ".xml")));
+    Corpus.holds(SETTINGS + name + ".txt", rendered(config));
+  }
+
+  private static String rendered(DeskConfig config) {
+    Rendering text = new Rendering();
+    text.put("name", config.name)
+        .put("folder", config.folder)
+        .put("first-build", config.firstBuild)
+        .put("places", config.places)
+        .put("lease", config.lease);
+    text.put("relays.at", config.relays)
+        .put("relays.most", config.mostRelays)
+        .put("relays.unsent", config.unsent)
+        .put("relays.tell-every", config.tellEvery);
+    hooks(text, config);
+    text.put("api.at", config.api)
+        .put("api.token", config.token)
+        .putLeases("leases", config.leases);
+    for (int i = 0; i < config.tells.size(); i++) {
+      Outbox.Target tell = config.tells.get(i);
+      text.put("tell." + tell.name() + ".url", tell.url())
+          .put("tell." + tell.name() + ".secret", hex(tell.secret()));
+      text.put("tell." + tell.name() + ".give-up", tell.giveUp().toMillis());
     }
-
-    private static void hooks(Rendering text, DeskConfig config) {
-        text.put("hooks.at", config.hooks).put("hooks.body", config.body).put("hooks.window", config.window).put("hooks.at-once", config.atOnce);
-        text.put("hooks.read-within", config.readWithin);
-        config.sources.forEach((name, source) -> {
-            text.put("source." + name + ".name", source.name()).put("source." + name + ".form", form(source.form())).put("source." + name + ".a-second", source.aSecond());
-            text.put("source." + name + ".secrets", source.secrets().stream().map(ControllerSettingsCompatTest::hex).toList());
+    agents(text, config);
+    rules(text, config.rules);
+    racks(text, config);
+    return text.toString();
+  }
+
+  private static String hex(byte[] bytes) {
+    return HexFormat.of().formatHex(bytes);
+  }
+
+  private static void hooks(Rendering text, DeskConfig config) {
+    text.put("hooks.at", config.hooks)
+        .put("hooks.body", config.body)
+        .put("hooks.window", config.window)
+        .put("hooks.at-once", config.atOnce);
+    text.put("hooks.read-within", config.readWithin);
+    config.sources.forEach(
+        (name, source) -> {
+          text.put("source." + name + ".name", source.name())
+              .put("source." + name + ".form", form(source.form()))
+              .put("source." + name + ".a-second", source.aSecond());
+          text.put(
+              "source." + name + ".secrets",
+              source.secrets().stream().map(ControllerSettingsCompatTest::hex).toList());
         });
+  }
+
+  private static String form(Signatures.Form form) {
+    return switch (form) {
+      case STANDARD -> "standard";
+      case GITHUB -> "github";
+    };
+  }
+
+  private static void agents(Rendering text, DeskConfig config) {
+    text.put("agents.at", config.agents)
+        .put("agents.most", config.mostAgents)
+        .put("agents.pieces-a-second", config.piecesASecond);
+    text.put("agents.incoming", config.incoming).put("agents.most-bytes", config.mostBytes);
+    for (int i = 0; i < config.plan.stages().size(); i++) {
+      text.put("change-stage." + i + ".share", config.plan.stages().get(i).share())
+          .put("change-stage." + i + ".harm", config.plan.stages().get(i).harm());
     }
-
-    private static String form(Signatures.Form form) {
-        return switch (form) {
-            case STANDARD -> "standard";
-            case GITHUB -> "github";
-        };
-    }
-
-    private static void agents(Rendering text, DeskConfig config) {
-        text.put("agents.at", config.agents).put("agents.most", config.mostAgents).put("agents.pieces-a-second", config.piecesASecond);
-        text.put("agents.incoming", config.incoming).put("agents.most-bytes", config.mostBytes);
-        for (int i = 0; i < config.plan.stages().size(); i++) {
-            text.put("change-stage." + i + ".share", config.plan.stages().get(i).share()).put("change-stage." + i + ".harm", config.plan.stages().get(i).harm());
-        }
-        text.put("agents.watch", config.plan.watch()).put("agents.patience", config.plan.patience()).put("agents.ready-within", config.plan.readyWithin());
-        text.put("agents.out", config.plan.out()).put("agents.refused", config.plan.refused()).put("agents.silent", config.plan.silent());
+    text.put("agents.watch", config.plan.watch())
+        .put("agents.patience", config.plan.patience())
+        .put("agents.ready-within", config.plan.readyWithin());
+    text.put("agents.out", config.plan.out())
+        .put("agents.refused", config.plan.refused())
+        .put("agents.silent", config.plan.silent());
+  }
+
+  private static void rules(Rendering text, Rules rules) {
+    for (int i = 0; i < rules.stages().size(); i++) {
+      text.put("stage." + i + ".share", rules.stages().get(i).share())
+          .put("stage." + i + ".cap", rules.stages().get(i).cap());
     }
-
-    private static void rules(Rendering text, Rules rules) {
-        for (int i = 0; i < rules.stages().size(); i++) {
-            text.put("stage." + i + ".share", rules.stages().get(i).share()).put("stage." + i + ".cap", rules.stages().get(i).cap());
-        }
-        text.put("votes.control", control(rules.control())).put("votes.on", rules.on()).put("votes.hold", rules.hold()).put("votes.back", rules.back());
-        text.put("votes.life", rules.voteLife()).put("votes.least", rules.least()).put("votes.step", rules.step()).put("votes.start-within", rules.startWithin());
-        text.put("votes.going-back", rules.goingBack()).put("votes.watch", rules.watch()).put("votes.a-second", rules.votesASecond());
+    text.put("votes.control", control(rules.control()))
+        .put("votes.on", rules.on())
+        .put("votes.hold", rules.hold())
+        .put("votes.back", rules.back());
+    text.put("votes.life", rules.voteLife())
+        .put("votes.least", rules.least())
+        .put("votes.step", rules.step())
+        .put("votes.start-within", rules.startWithin());
+    text.put("votes.going-back", rules.goingBack())
+        .put("votes.watch", rules.watch())
+        .put("votes.a-second", rules.votesASecond());
+  }
+
+  private static String control(Rules.Control control) {
+    return switch (control) {
+      case SINGLE -> "single";
+      case MAJORITY -> "majority";
+      case CLOCKED -> "clocked";
+    };
+  }
+
+  private static void racks(Rendering text, DeskConfig config) {
+    if (config.room == null) {
+      text.put("racks", (Object) null);
+      return;
     }
-
-    private static String control(Rules.Control control) {
-        return switch (control) {
-            case SINGLE -> "single";
-            case MAJORITY -> "majority";
-            case CLOCKED -> "clocked";
-        };
-    }
-
-    private static void racks(Rendering text, DeskConfig config) {
-        if (config.room == null) {
-            text.put("racks", (Object) null);
-            return;
-        }
-        config.room.racks().forEach((name, rack) -> {
-            text.put("rack." + name + ".zone", rack.zone()).put("rack." + name + ".cell", rack.cell()).put("rack." + name + ".units", rack.units());
-            text.put("rack." + name + ".notice", rack.noticeMs());
-        });
-        text.put("racks.warm", config.freezes.warmMs()).put("racks.step", config.freezes.stepMs()).put("racks.confidence", config.freezes.confidence());
-    }
-
-    @Test
-    public void wrongSettingsOfAControllerHaveTheSameErrors() throws Exception {
-        StringBuilder text = new StringBuilder();
-        String good = Corpus.input(SETTINGS + "controller-every.xml");
-        for (String line : Corpus.inputLines(SETTINGS + "controller-wrong.txt")) {
-            List<String> parts = Arrays.asList(line.split(" => ", 2));
-            Path file = written(Corpus.replaced(good, parts.get(0), parts.get(1)));
-            String message = expectThrows(ConfigException.class, () -> DeskConfig.read(file)).getMessage();
-            text.append(message.replace(folder.toString(), FOLDER)).append('\n');
-        }
-        Corpus.holds(SETTINGS + "controller-wrong-errors.txt", text.toString());
+    config
+        .room
+        .racks()
+        .forEach(
+            (name, rack) -> {
+              text.put("rack." + name + ".zone", rack.zone())
+                  .put("rack." + name + ".cell", rack.cell())
+                  .put("rack." + name + ".units", rack.units());
+              text.put("rack." + name + ".notice", rack.noticeMs());
+            });
+    text.put("racks.warm", config.freezes.warmMs())
+        .put("racks.step", config.freezes.stepMs())
+        .put("racks.confidence", config.freezes.confidence());
+  }
+
+  @Test
+  public void wrongSettingsOfAControllerHaveTheSameErrors() throws Exception {
+    StringBuilder text = new StringBuilder();
+    String good = Corpus.input(SETTINGS + "controller-every.xml");
+    for (String line : Corpus.inputLines(SETTINGS + "controller-wrong.txt")) {
+      List<String> parts = Arrays.asList(line.split(" => ", 2));
+      Path file = written(Corpus.replaced(good, parts.get(0), parts.get(1)));
+      String message =
+          expectThrows(ConfigException.class, () -> DeskConfig.read(file)).getMessage();
+      text.append(message.replace(folder.toString(), FOLDER)).append('\n');
     }
+    Corpus.holds(SETTINGS + "controller-wrong-errors.txt", text.toString());
+  }
 }
--- a/src/test/java/sprucerock/desk/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/desk/HttpApiCompatTest.java
@@ -33,159 +33,263 @@
 import sprucerock.wire.v1.Role;
 
 /**
- * The controller's HTTP API: stretches of requests, with the status and body that each was answered by when it was recorded. The day
- * begins at one instant; ids are numbers in their order. What varies is normalised by {@link #normalised} alone.
+ * The controller's HTTP API: stretches of requests, with the status and body that each was answered
+ * by when it was recorded. The day begins at one instant; ids are numbers in their order. What
+ * varies is normalised by {@link #normalised} alone.
  */
 public class HttpApiCompatTest {
-    private static final String HTTP = "http/";
-    private static final String TOKEN = "0123456789abcdef0123";
-    private static final byte[] SECRET = "a secret for the test".getBytes(StandardCharsets.UTF_8);
-    /** Monday 1 June 2026, 00:00 UTC. */
-    private static final long WALL_MS = 1_780_272_000_000L;
-
-    private static final long HOUR_MS = 3_600_000;
-    /** No machine takes so long for a stretch, and no time in one is as near to its beginning. */
-    private static final long SLOWEST_MS = HOUR_MS / 2;
-    private static final Pattern TIME = Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z");
-
-    private final HttpClient http = HttpClient.newHttpClient();
-    private static final int AGENTS = 3;
-
-    private Path folder;
-    private Desk desk;
-    private NioLoop loop;
-
-    @BeforeMethod
-    public void begin() throws Exception {
-        folder = Files.createTempDirectory("http-api");
-        loop = new NioLoop("agents", Throwable::printStackTrace);
-    }
+  private static final String HTTP = "http/";
+  private static final String TOKEN = "0123456789abcdef0123";
+  private static final byte[] SECRET = "a secret for the test".getBytes(StandardCharsets.UTF_8);
+
+  /** Monday 1 June 2026, 00:00 UTC. */
+  private static final long WALL_MS = 1_780_272_000_000L;
+
+  private static final long HOUR_MS = 3_600_000;
+
+  /** No machine takes so long for a stretch, and no time in one is as near to its beginning. */
+  private static final long SLOWEST_MS = HOUR_MS / 2;
+
+  private static final Pattern TIME = Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z");
+
+  private final HttpClient http = HttpClient.newHttpClient();
+  private static final int AGENTS = 3;
 
-    @AfterMethod
-    public void end() throws Exception {
-        desk.close();
-        loop.close();
-        try (var files = Files.walk(folder)) {
-            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) Files.delete(file);
-        }
+  private Path folder;
+  private Desk desk;
+  private NioLoop loop;
+
+  @BeforeMethod
+  public void begin() throws Exception {
+    folder = Files.createTempDirectory("http-api");
+    loop = new NioLoop("agents", Throwable::printStackTrace);
+  }
+
+  @AfterMethod
+  public void end() throws Exception {
+    desk.close();
+    loop.close();
+    try (var files = Files.walk(folder)) {
+      for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.delete(file);
+      }
     }
+  }
 
-    private void start(String name) throws Exception {
-        Corpus.secret(folder.resolve("ci.secret"), "whsec_" + Base64.getEncoder().encodeToString(SECRET));
-        Corpus.secret(folder.resolve("hub.secret"), new String(SECRET, StandardCharsets.UTF_8));
-        Corpus.secret(folder.resolve("api.token"), TOKEN);
-        Files.createDirectories(folder.resolve("incoming"));
-        Files.writeString(folder.resolve("incoming").resolve("program.jar"), "a program");
-        Files.writeString(folder.resolve("incoming").resolve("relay.xml"), Corpus.input("settings/relay-least.xml"));
-        Path file = Files.writeString(folder.resolve("controller.xml"), Corpus.input(HTTP + name + ".xml").replace("FOLDER", folder.toString()));
-        desk = new Desk(DeskConfig.read(file), new Engine.Clock() {
-            @Override
-            public long wallMs() {
+  private void start(String name) throws Exception {
+    Corpus.secret(
+        folder.resolve("ci.secret"), "whsec_" + Base64.getEncoder().encodeToString(SECRET));
+    Corpus.secret(folder.resolve("hub.secret"), new String(SECRET, StandardCharsets.UTF_8));
+    Corpus.secret(folder.resolve("api.token"), TOKEN);
+    Files.createDirectories(folder.resolve("incoming"));
+    Files.writeString(folder.resolve("incoming").resolve("program.jar"), "a program");
+    Files.writeString(
+        folder.resolve("incoming").resolve("relay.xml"), Corpus.input("settings/relay-least.xml"));
+    Path file =
+        Files.writeString(
+            folder.resolve("controller.xml"),
+            Corpus.input(HTTP + name + ".xml").replace("FOLDER", folder.toString()));
+    desk =
+        new Desk(
+            DeskConfig.read(file),
+            new Engine.Clock() {
+              @Override
+              public long wallMs() {
                 return WALL_MS;
-            }
+              }
 
-            @Override
-            public long steadyMs() {
+              @Override
+              public long steadyMs() {
                 return System.nanoTime() / 1_000_000;
-            }
-        }, Tap.NONE, () -> { });
-    }
+              }
+            },
+            Tap.NONE,
+            () -> {});
+  }
 
-    @DataProvider
-    public Object[][] stretches() {
-        return new Object[][] {{"releases", "plain"}, {"webhooks", "plain"}, {"refusals", "plain"}, {"changes", "everything"}, {"freezes", "everything"}, {"changes-of-agents", "agents"}};
-    }
+  @DataProvider
+  public Object[][] stretches() {
+    return new Object[][] {
+      {"releases", "plain"},
+      {"webhooks", "plain"},
+      {"refusals", "plain"},
+      {"changes", "everything"},
+      {"freezes", "everything"},
+      {"changes-of-agents", "agents"}
+    };
+  }
 
-    /** Each line of a stretch: how it is authorised, the method, the path, and the body if there is one. */
-    @Test(dataProvider = "stretches")
-    public void requestsAreAnsweredAsBefore(String stretch, String configuration) throws Exception {
-        start(configuration);
-        if (configuration.equals("agents")) for (int number = 1; number <= AGENTS; number++) agent(number);
-        StringBuilder text = new StringBuilder();
-        for (String line : Corpus.inputLines(HTTP + stretch + ".txt")) {
-            String[] parts = line.split(" ", 4);
-            text.append("> ").append(line).append('\n').append("< ").append(sends(parts[0], parts[1], parts[2], parts.length < 4 ? "" : parts[3])).append('\n');
-        }
-        Corpus.holds(HTTP + stretch + "-answers.txt", text.toString());
+  /**
+   * Each line of a stretch: how it is authorised, the method, the path, and the body if there is
+   * one.
+   */
+  @Test(dataProvider = "stretches")
+  public void requestsAreAnsweredAsBefore(String stretch, String configuration) throws Exception {
+    start(configuration);
+    if (configuration.equals("agents")) {
+      for (int number = 1; number <= AGENTS; number++) {
+        agent(number);
+      }
+    }
+    StringBuilder text = new StringBuilder();
+    for (String line : Corpus.inputLines(HTTP + stretch + ".txt")) {
+      String[] parts = line.split(" ", 4);
+      text.append("> ")
+          .append(line)
+          .append('\n')
+          .append("< ")
+          .append(sends(parts[0], parts[1], parts[2], parts.length < 4 ? "" : parts[3]))
+          .append('\n');
     }
+    Corpus.holds(HTTP + stretch + "-answers.txt", text.toString());
+  }
 
-    /** One that runs something, and takes no part in more. */
-    private void agent(int number) throws Exception {
-        CompletableFuture<Person> made = new CompletableFuture<>();
-        loop.post(() -> {
-            Person person = new Person(loop, Role.AGENT, number);
-            loop.connect(new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()), Span.ofMs(5000), 1 << 20, person.link);
-            made.complete(person);
+  /** One that runs something, and takes no part in more. */
+  private void agent(int number) throws Exception {
+    CompletableFuture<Person> made = new CompletableFuture<>();
+    loop.post(
+        () -> {
+          Person person = new Person(loop, Role.AGENT, number);
+          loop.connect(
+              new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
+              Span.ofMs(5000),
+              1 << 20,
+              person.link);
+          made.complete(person);
         });
-        Person agent = made.join();
-        until(() -> on(agent.link::usable));
-        loop.post(() -> agent.send(Kind.AGENT, AgentSays.newBuilder().setProgram("a".repeat(64)).setSettings("b".repeat(64)).setReady(true).build()));
-        until(() -> {
-            try {
-                return sends("api", "GET", "/agents", "").matches("(?s).*\"relay\":" + number + ",[^}]*\"ready\":true.*");
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
+    Person agent = made.join();
+    until(() -> on(agent.link::usable));
+    loop.post(
+        () ->
+            agent.send(
+                Kind.AGENT,
+                AgentSays.newBuilder()
+                    .setProgram("a".repeat(64))
+                    .setSettings("b".repeat(64))
+                    .setReady(true)
+                    .build()));
+    until(
+        () -> {
+          try {
+            return sends("api", "GET", "/agents", "")
+                .matches("(?s).*\"relay\":" + number + ",[^}]*\"ready\":true.*");
+          } catch (Exception e) {
+            throw new IllegalStateException(e);
+          }
         });
-    }
+  }
 
-    private <T> T on(Supplier<T> what) {
-        CompletableFuture<T> result = new CompletableFuture<>();
-        loop.post(() -> result.complete(what.get()));
-        return result.join();
-    }
+  private <T> T on(Supplier<T> what) {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.post(() -> result.complete(what.get()));
+    return result.join();
+  }
 
-    private static void until(BooleanSupplier holds) throws InterruptedException {
-        for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) Thread.sleep(10);
-        assertTrue(holds.getAsBoolean());
+  private static void until(BooleanSupplier holds) throws InterruptedException {
+    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
+      Thread.sleep(10);
     }
+    assertTrue(holds.getAsBoolean());
+  }
 
-    private String sends(String how, String method, String path, String body) throws Exception {
-        HttpRequest.Builder request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port(how) + path)).method(method, HttpRequest.BodyPublishers.ofString(body));
-        if (how.equals("api")) request.header("Authorization", "Bearer " + TOKEN);
-        if (how.equals("stranger")) request.header("Authorization", "Bearer of bad news");
-        if (how.startsWith("standard:")) standard(request, how.substring(9), body);
-        if (how.startsWith("github:")) github(request, how.substring(7), body);
-        HttpResponse<String> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
-        String type = answer.headers().firstValue("Content-Type").orElse("none");
-        String again = answer.headers().firstValue("Retry-After").map(after -> " retry-after " + after).orElse("");
-        return answer.statusCode() + " " + type + again + " " + normalised(answer.body().strip());
+  private String sends(String how, String method, String path, String body) throws Exception {
+    HttpRequest.Builder request =
+        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port(how) + path))
+            .method(method, HttpRequest.BodyPublishers.ofString(body));
+    if (how.equals("api")) {
+      request.header("Authorization", "Bearer " + TOKEN);
+    }
+    if (how.equals("stranger")) {
+      request.header("Authorization", "Bearer of bad news");
     }
+    if (how.startsWith("standard:")) {
+      standard(request, how.substring(9), body);
+    }
+    if (how.startsWith("github:")) {
+      github(request, how.substring(7), body);
+    }
+    HttpResponse<String> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
+    String type = answer.headers().firstValue("Content-Type").orElse("none");
+    String again =
+        answer.headers().firstValue("Retry-After").map(after -> " retry-after " + after).orElse("");
+    return answer.statusCode() + " " + type + again + " " + normalised(answer.body().strip());
+  }
 
-    /** The folder; times of the test's own minutes, by when they were due; how much of a least time is over, and how much of a longest one is left. */
-    private String normalised(String body) {
-        String text = body.replace(folder.toString(), "FOLDER").replaceAll("least time: [0-9]+ of", "least time: SOME of")
+  /**
+   * The folder; times of the test's own minutes, by when they were due; how much of a least time is
+   * over, and how much of a longest one is left.
+   */
+  private String normalised(String body) {
+    String text =
+        body.replace(folder.toString(), "FOLDER")
+            .replaceAll("least time: [0-9]+ of", "least time: SOME of")
             .replaceAll("for [0-9]+ s at most", "for SOME s at most");
-        return TIME.matcher(text).replaceAll(found -> {
-            long since = Instant.parse(found.group()).toEpochMilli() - WALL_MS;
-            if (since >= 0 && since < SLOWEST_MS) return "NOW";
-            return since >= HOUR_MS && since < HOUR_MS + SLOWEST_MS ? "AN-HOUR-FROM-NOW" : found.group();
-        });
-    }
+    return TIME.matcher(text)
+        .replaceAll(
+            found -> {
+              long since = Instant.parse(found.group()).toEpochMilli() - WALL_MS;
+              if (since >= 0 && since < SLOWEST_MS) {
+                return "NOW";
+              }
+              return since >= HOUR_MS && since < HOUR_MS + SLOWEST_MS
+                  ? "AN-HOUR-FROM-NOW"
+                  : found.group();
+            });
+  }
 
-    private int port(String how) {
-        boolean operators = List.of("api", "stranger", "nobody").contains(how);
-        return (operators ? desk.apiAt() : desk.hooksAt()).getPort();
-    }
+  private int port(String how) {
+    boolean operators = List.of("api", "stranger", "nobody").contains(how);
+    return (operators ? desk.apiAt() : desk.hooksAt()).getPort();
+  }
 
-    private static void standard(HttpRequest.Builder request, String id, String body) {
-        long now = System.currentTimeMillis() / 1000;
-        request.header("webhook-id", id).header("webhook-timestamp", "" + now)
-            .header("webhook-signature", Signatures.sign(Signatures.Form.STANDARD, id, now, body.getBytes(StandardCharsets.UTF_8), SECRET));
-    }
+  private static void standard(HttpRequest.Builder request, String id, String body) {
+    long now = System.currentTimeMillis() / 1000;
+    request
+        .header("webhook-id", id)
+        .header("webhook-timestamp", "" + now)
+        .header(
+            "webhook-signature",
+            Signatures.sign(
+                Signatures.Form.STANDARD, id, now, body.getBytes(StandardCharsets.UTF_8), SECRET));
+  }
 
-    private static void github(HttpRequest.Builder request, String id, String body) {
-        request.header("X-GitHub-Delivery", id)
-            .header("X-Hub-Signature-256", Signatures.sign(Signatures.Form.GITHUB, id, 0, body.getBytes(StandardCharsets.UTF_8), SECRET));
-    }
+  private static void github(HttpRequest.Builder request, String id, String body) {
+    request
+        .header("X-GitHub-Delivery", id)
+        .header(
+            "X-Hub-Signature-256",
+            Signatures.sign(
+                Signatures.Form.GITHUB, id, 0, body.getBytes(StandardCharsets.UTF_8), SECRET));
+  }
 
-    /** So that each kind of thing that can be asked for is in a stretch. */
-    @Test
-    public void eachPathIsAskedFor() throws Exception {
-        start("plain");
-        StringBuilder all = new StringBuilder();
-        for (Object[] stretch : stretches()) all.append(Corpus.input(HTTP + stretch[0] + ".txt"));
-        for (String path : List.of("/releases", "/releases/", "/changes", "/changes/", "/agents", "/freezes", "/freezes/", "/leases", "/racks/", "/fleet/", "/hold", "/resume",
-            "/withdraw", "/call-off", "/extend", "/force", "/hooks/")) assertTrue(all.indexOf(path) >= 0, path);
+  /** So that each kind of thing that can be asked for is in a stretch. */
+  @Test
+  public void eachPathIsAskedFor() throws Exception {
+    start("plain");
+    StringBuilder all = new StringBuilder();
+    for (Object[] stretch : stretches()) {
+      all.append(Corpus.input(HTTP + stretch[0] + ".txt"));
+    }
+    for (String path :
+        List.of(
+            "/releases",
+            "/releases/",
+            "/changes",
+            "/changes/",
+            "/agents",
+            "/freezes",
+            "/freezes/",
+            "/leases",
+            "/racks/",
+            "/fleet/",
+            "/hold",
+            "/resume",
+            "/withdraw",
+            "/call-off",
+            "/extend",
+            "/force",
+            "/hooks/")) {
+      assertTrue(all.indexOf(path) >= 0, path);
     }
+  }
 }
--- a/src/test/java/sprucerock/desk/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/desk/WebhooksCompatTest.java
@@ -31,205 +31,297 @@
 import sprucerock.freeze.Freezes;
 import sprucerock.time.Span;
 
-/** Webhooks, those that come in and those that go out: recorded bodies with their signatures, and the file of dead letters. */
+/**
+ * Webhooks, those that come in and those that go out: recorded bodies with their signatures, and
+ * the file of dead letters.
+ */
 public class WebhooksCompatTest {
-    private static final String ANNOUNCEMENT = "webhooks/announcement.json";
-    private static final String READ = "webhooks/announcements-read.txt";
-    private static final String BODIES = "webhooks/release-changed.jsonl";
-    private static final String HEADERS = "webhooks/headers.txt";
-    private static final String SECRETS = "webhooks/secrets.txt";
-    private static final String SIGNATURES = "webhooks/signatures.txt";
-    private static final String DELIVERY = "delivery-7";
-    private static final long SECONDS = 1_700_000_000;
-    private static final Span WINDOW = Span.ofMs(300_000);
-    private static final int TAKEN = 200;
-    private static final int REFUSED = 500;
-    private static final int WAIT_SECONDS = 20;
-    private static final List<String> HEADER_NAMES = List.of("Content-Type", "webhook-id", "webhook-timestamp", "webhook-signature");
-    private static final Rules RULES = new Rules(List.of(new Rules.Stage(1, 1)), Rules.Control.SINGLE, 1, 1, 1, Span.ofMs(4000), Span.ofMs(500), Span.ofMs(1000),
-        Span.ofMs(5000), Span.ofMs(800), Span.ofMs(3000), 1000);
-    private static final Plan PLAN = new Plan(List.of(new Plan.Stage(1, 0.1)), Span.ofMs(500), Span.ofMs(20_000), Span.ofMs(3000), 0.5, 0.3, Span.ofMs(1000));
-
-    /** A webhook as its receiver got it. */
-    private record Received(List<String> headers, byte[] body) {}
-
-    /** A step of a release, as the controller tells it. */
-    private record Told(Release release, Release.Step step) {}
-
-    public static void record(Path corpus) throws Exception {
-        Files.createDirectories(corpus.resolve("webhooks"));
-        Files.writeString(corpus.resolve(ANNOUNCEMENT), "{\"type\": \"build.announced\", \"build\": 4711, \"artifact\": \"registry/app:4711\"}\n");
-        Files.writeString(corpus.resolve(SECRETS), "# the one of today, and the one before\nwhsec_dGhlIHNlY3JldCBub3c=\ndGhlIHNlY3JldCBiZWZvcmU=\n");
-        byte[] announcement = Files.readAllBytes(corpus.resolve(ANNOUNCEMENT));
-        String secrets = Files.readString(corpus.resolve(SECRETS));
-        Files.writeString(corpus.resolve(READ), String.join("\n", read(announcement)) + "\n");
-        Files.writeString(corpus.resolve(SIGNATURES), String.join("\n", signatures(announcement, secrets)) + "\n");
-        List<Received> received = deliver(secrets);
-        StringBuilder bodies = new StringBuilder();
-        for (Received one : received) bodies.append(new String(one.body, StandardCharsets.UTF_8)).append('\n');
-        Files.writeString(corpus.resolve(BODIES), bodies.toString());
-        Files.writeString(corpus.resolve(HEADERS), String.join("\n", fixedHeaders(received)) + "\n");
-    }
+  private static final String ANNOUNCEMENT = "webhooks/announcement.json";
+  private static final String READ = "webhooks/announcements-read.txt";
+  private static final String BODIES = "webhooks/release-changed.jsonl";
+  private static final String HEADERS = "webhooks/headers.txt";
+  private static final String SECRETS = "webhooks/secrets.txt";
+  private static final String SIGNATURES = "webhooks/signatures.txt";
+  private static final String DELIVERY = "delivery-7";
+  private static final long SECONDS = 1_700_000_000;
+  private static final Span WINDOW = Span.ofMs(300_000);
+  private static final int TAKEN = 200;
+  private static final int REFUSED = 500;
+  private static final int WAIT_SECONDS = 20;
+  private static final List<String> HEADER_NAMES =
+      List.of("Content-Type", "webhook-id", "webhook-timestamp", "webhook-signature");
+  private static final Rules RULES =
+      new Rules(
+          List.of(new Rules.Stage(1, 1)),
+          Rules.Control.SINGLE,
+          1,
+          1,
+          1,
+          Span.ofMs(4000),
+          Span.ofMs(500),
+          Span.ofMs(1000),
+          Span.ofMs(5000),
+          Span.ofMs(800),
+          Span.ofMs(3000),
+          1000);
+  private static final Plan PLAN =
+      new Plan(
+          List.of(new Plan.Stage(1, 0.1)),
+          Span.ofMs(500),
+          Span.ofMs(20_000),
+          Span.ofMs(3000),
+          0.5,
+          0.3,
+          Span.ofMs(1000));
+
+  /** A webhook as its receiver got it. */
+  private record Received(List<String> headers, byte[] body) {}
+
+  /** A step of a release, as the controller tells it. */
+  private record Told(Release release, Release.Step step) {}
 
-    /** What is announced by a body, and why two that are damaged are refused. */
-    private static List<String> read(byte[] body) throws Exception {
-        Announcements announcements = new Announcements();
-        Announcements.Announcement read = announcements.read(body);
-        List<String> lines = new ArrayList<>(List.of("build " + read.build() + ", artifact " + read.artifact()));
-        String text = new String(body, StandardCharsets.UTF_8);
-        for (String damaged : List.of(text.replace("4711,", "0,"), text.replace("artifact", "artefact"))) {
-            try {
-                announcements.read(damaged.getBytes(StandardCharsets.UTF_8));
-                lines.add("taken");
-            } catch (Announcements.BadBodyException e) {
-                lines.add(e.getMessage());
-            }
-        }
-        return lines;
+  public static void record(Path corpus) throws Exception {
+    Files.createDirectories(corpus.resolve("webhooks"));
+    Files.writeString(
+        corpus.resolve(ANNOUNCEMENT),
+        "{\"type\": \"build.announced\", \"build\": 4711, \"artifact\": \"registry/app:4711\"}\n");
+    Files.writeString(
+        corpus.resolve(SECRETS),
+        "# the one of today, and the one before\nwhsec_dGhlIHNlY3JldCBub3c=\ndGhlIHNlY3JldCBiZWZvcmU=\n");
+    byte[] announcement = Files.readAllBytes(corpus.resolve(ANNOUNCEMENT));
+    String secrets = Files.readString(corpus.resolve(SECRETS));
+    Files.writeString(corpus.resolve(READ), String.join("\n", read(announcement)) + "\n");
+    Files.writeString(
+        corpus.resolve(SIGNATURES), String.join("\n", signatures(announcement, secrets)) + "\n");
+    List<Received> received = deliver(secrets);
+    StringBuilder bodies = new StringBuilder();
+    for (Received one : received) {
+      bodies.append(new String(one.body, StandardCharsets.UTF_8)).append('\n');
     }
+    Files.writeString(corpus.resolve(BODIES), bodies.toString());
+    Files.writeString(corpus.resolve(HEADERS), String.join("\n", fixedHeaders(received)) + "\n");
+  }
 
-    /** A body signed with each secret in both forms. */
-    private static List<String> signatures(byte[] body, String secrets) {
-        List<String> lines = new ArrayList<>();
-        for (Signatures.Form form : List.of(Signatures.Form.STANDARD, Signatures.Form.GITHUB)) {
-            lines.add(String.join(" ", Signatures.headers(form)));
-            List<byte[]> known = secrets(secrets, form);
-            for (byte[] secret : known) lines.add(Signatures.sign(form, DELIVERY, SECONDS, body, secret));
-        }
-        return lines;
+  /** What is announced by a body, and why two that are damaged are refused. */
+  private static List<String> read(byte[] body) throws Exception {
+    Announcements announcements = new Announcements();
+    Announcements.Announcement read = announcements.read(body);
+    List<String> lines =
+        new ArrayList<>(List.of("build " + read.build() + ", artifact " + read.artifact()));
+    String text = new String(body, StandardCharsets.UTF_8);
+    for (String damaged :
+        List.of(text.replace("4711,", "0,"), text.replace("artifact", "artefact"))) {
+      try {
+        announcements.read(damaged.getBytes(StandardCharsets.UTF_8));
+        lines.add("taken");
+      } catch (Announcements.BadBodyException e) {
+        lines.add(e.getMessage());
+      }
     }
+    return lines;
+  }
 
-    private static List<byte[]> secrets(String text, Signatures.Form form) {
-        return Signatures.secrets(text, form);
+  /** A body signed with each secret in both forms. */
+  private static List<String> signatures(byte[] body, String secrets) {
+    List<String> lines = new ArrayList<>();
+    for (Signatures.Form form : List.of(Signatures.Form.STANDARD, Signatures.Form.GITHUB)) {
+      lines.add(String.join(" ", Signatures.headers(form)));
+      List<byte[]> known = secrets(secrets, form);
+      for (byte[] secret : known) {
+        lines.add(Signatures.sign(form, DELIVERY, SECONDS, body, secret));
+      }
     }
+    return lines;
+  }
 
-    /** The steps that an announced build takes at once. */
-    private static List<Told> steps(Path folder) throws Exception {
-        List<Told> told = new ArrayList<>();
-        Engine.Clock clock = new Engine.Clock() {
-            @Override
-            public long wallMs() {
-                return SECONDS * 1000 + 123;
-            }
-
-            @Override
-            public long steadyMs() {
-                return 0;
-            }
+  private static List<byte[]> secrets(String text, Signatures.Form form) {
+    return Signatures.secrets(text, form);
+  }
+
+  /** The steps that an announced build takes at once. */
+  private static List<Told> steps(Path folder) throws Exception {
+    List<Told> told = new ArrayList<>();
+    Engine.Clock clock =
+        new Engine.Clock() {
+          @Override
+          public long wallMs() {
+            return SECONDS * 1000 + 123;
+          }
+
+          @Override
+          public long steadyMs() {
+            return 0;
+          }
         };
-        Changes.Host nobody = new Changes.Host() {
-            @Override
-            public void changed(Change change, Change.Step step) {}
+    Changes.Host nobody =
+        new Changes.Host() {
+          @Override
+          public void changed(Change change, Change.Step step) {}
 
-            @Override
-            public void wants(ManagedRelay relay) {}
+          @Override
+          public void wants(ManagedRelay relay) {}
         };
-        Engine engine = Engine.in(folder, RULES, 10, 1, PLAN, clock, (release, step) -> told.add(new Told(release, step)), nobody, Freezes.none(), said -> { });
-        engine.start();
-        engine.submit(Input.newBuilder().setAnnounced(Announced.newBuilder().setDelivery(DELIVERY).setBuild(4711).setArtifact("registry/app:4711").setSource("ci \"1\"")), any -> { });
-        engine.commit();
-        engine.close();
-        return told;
-    }
+    Engine engine =
+        Engine.in(
+            folder,
+            RULES,
+            10,
+            1,
+            PLAN,
+            clock,
+            (release, step) -> told.add(new Told(release, step)),
+            nobody,
+            Freezes.none(),
+            said -> {});
+    engine.start();
+    engine.submit(
+        Input.newBuilder()
+            .setAnnounced(
+                Announced.newBuilder()
+                    .setDelivery(DELIVERY)
+                    .setBuild(4711)
+                    .setArtifact("registry/app:4711")
+                    .setSource("ci \"1\"")),
+        any -> {});
+    engine.commit();
+    engine.close();
+    return told;
+  }
 
-    /** Delivers the steps to a receiver that takes all. */
-    private static List<Received> deliver(String secrets) throws Exception {
-        Path folder = Files.createTempDirectory("compat");
-        BlockingQueue<Received> received = new LinkedBlockingQueue<>();
-        HttpServer server = receiver(TAKEN, received);
-        try (Outbox outbox = outbox(server, secrets, folder.resolve("dead-letters"), Duration.ofMinutes(1), new LinkedBlockingQueue<>())) {
-            List<Told> steps = steps(Files.createDirectories(folder.resolve("store")));
-            outbox.start();
-            List<Received> all = new ArrayList<>();
-            for (Told one : steps) {
-                outbox.add(one.release, one.step);
-                all.add(received.poll(WAIT_SECONDS, TimeUnit.SECONDS));
-            }
-            return all;
-        } finally {
-            server.stop(0);
-            CorpusFiles.remove(folder);
-        }
+  /** Delivers the steps to a receiver that takes all. */
+  private static List<Received> deliver(String secrets) throws Exception {
+    Path folder = Files.createTempDirectory("compat");
+    BlockingQueue<Received> received = new LinkedBlockingQueue<>();
+    HttpServer server = receiver(TAKEN, received);
+    try (Outbox outbox =
+        outbox(
+            server,
+            secrets,
+            folder.resolve("dead-letters"),
+            Duration.ofMinutes(1),
+            new LinkedBlockingQueue<>())) {
+      List<Told> steps = steps(Files.createDirectories(folder.resolve("store")));
+      outbox.start();
+      List<Received> all = new ArrayList<>();
+      for (Told one : steps) {
+        outbox.add(one.release, one.step);
+        all.add(received.poll(WAIT_SECONDS, TimeUnit.SECONDS));
+      }
+      return all;
+    } finally {
+      server.stop(0);
+      CorpusFiles.remove(folder);
     }
+  }
 
-    private static Outbox outbox(HttpServer server, String secrets, Path deadLetters, Duration giveUp, BlockingQueue<Long> done) {
-        URI url = URI.create("http://127.0.0.1:" + server.getAddress().getPort() + "/hook");
-        return new Outbox(new Outbox.Target("listener", url, secrets(secrets, Signatures.Form.STANDARD).get(0), giveUp), deadLetters, done::add, said -> { });
-    }
+  private static Outbox outbox(
+      HttpServer server,
+      String secrets,
+      Path deadLetters,
+      Duration giveUp,
+      BlockingQueue<Long> done) {
+    URI url = URI.create("http://127.0.0.1:" + server.getAddress().getPort() + "/hook");
+    return new Outbox(
+        new Outbox.Target(
+            "listener", url, secrets(secrets, Signatures.Form.STANDARD).get(0), giveUp),
+        deadLetters,
+        done::add,
+        said -> {});
+  }
 
-    private static HttpServer receiver(int status, BlockingQueue<Received> received) throws IOException {
-        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        server.createContext("/hook", (HttpExchange exchange) -> {
-            List<String> headers = HEADER_NAMES.stream().map(exchange.getRequestHeaders()::getFirst).toList();
-            received.add(new Received(headers, exchange.getRequestBody().readAllBytes()));
-            exchange.sendResponseHeaders(status, -1);
-            exchange.close();
+  private static HttpServer receiver(int status, BlockingQueue<Received> received)
+      throws IOException {
+    HttpServer server =
+        HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+    server.createContext(
+        "/hook",
+        (HttpExchange exchange) -> {
+          List<String> headers =
+              HEADER_NAMES.stream().map(exchange.getRequestHeaders()::getFirst).toList();
+          received.add(new Received(headers, exchange.getRequestBody().readAllBytes()));
+          exchange.sendResponseHeaders(status, -1);
+          exchange.close();
         });
-        server.start();
-        return server;
-    }
+    server.start();
+    return server;
+  }
 
-    /** The headers that do not depend on the time of delivery. */
-    private static List<String> fixedHeaders(List<Received> received) {
-        return received.stream().map(one -> one.headers.get(0) + " " + one.headers.get(1)).toList();
-    }
+  /** The headers that do not depend on the time of delivery. */
+  private static List<String> fixedHeaders(List<Received> received) {
+    return received.stream().map(one -> one.headers.get(0) + " " + one.headers.get(1)).toList();
+  }
 
-    @Test
-    public void aRecordedAnnouncementIsReadTheSame() throws Exception {
-        assertEquals(read(Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT))), CorpusFiles.lines(READ));
-    }
+  @Test
+  public void aRecordedAnnouncementIsReadTheSame() throws Exception {
+    assertEquals(read(Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT))), CorpusFiles.lines(READ));
+  }
 
-    @Test
-    public void aBodyIsSignedTheSame() throws Exception {
-        assertEquals(signatures(Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT)), CorpusFiles.text(SECRETS)), CorpusFiles.lines(SIGNATURES));
-    }
+  @Test
+  public void aBodyIsSignedTheSame() throws Exception {
+    assertEquals(
+        signatures(Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT)), CorpusFiles.text(SECRETS)),
+        CorpusFiles.lines(SIGNATURES));
+  }
 
-    @Test
-    public void recordedSignaturesAreRight() throws Exception {
-        byte[] body = Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT));
-        List<String> signatures = CorpusFiles.lines(SIGNATURES);
-        int line = 0;
-        for (Signatures.Form form : List.of(Signatures.Form.STANDARD, Signatures.Form.GITHUB)) {
-            List<byte[]> secrets = secrets(CorpusFiles.text(SECRETS), form);
-            line++; // the names of the headers
-            for (int i = 0; i < secrets.size(); i++) {
-                Signatures.Headers headers = new Signatures.Headers(DELIVERY, Long.toString(SECONDS), signatures.get(line++));
-                assertEquals(Signatures.check(form, headers, body, secrets, SECONDS, WINDOW), new Signatures.Verdict(DELIVERY, null));
-            }
-        }
-        assertEquals(line, signatures.size());
+  @Test
+  public void recordedSignaturesAreRight() throws Exception {
+    byte[] body = Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT));
+    List<String> signatures = CorpusFiles.lines(SIGNATURES);
+    int line = 0;
+    for (Signatures.Form form : List.of(Signatures.Form.STANDARD, Signatures.Form.GITHUB)) {
+      List<byte[]> secrets = secrets(CorpusFiles.text(SECRETS), form);
+      line++; // the names of the headers
+      for (int i = 0; i < secrets.size(); i++) {
+        Signatures.Headers headers =
+            new Signatures.Headers(DELIVERY, Long.toString(SECONDS), signatures.get(line++));
+        assertEquals(
+            Signatures.check(form, headers, body, secrets, SECONDS, WINDOW),
+            new Signatures.Verdict(DELIVERY, null));
+      }
     }
+    assertEquals(line, signatures.size());
+  }
 
-    @Test
-    public void aStepIsToldInTheSameBodyRightlySigned() throws Exception {
-        String secrets = CorpusFiles.text(SECRETS);
-        List<Received> received = deliver(secrets);
-        assertEquals(received.stream().map(one -> new String(one.body, StandardCharsets.UTF_8)).toList(), CorpusFiles.lines(BODIES));
-        assertEquals(fixedHeaders(received), CorpusFiles.lines(HEADERS));
-        for (Received one : received) {
-            Signatures.Headers headers = new Signatures.Headers(one.headers.get(1), one.headers.get(2), one.headers.get(3));
-            Signatures.Verdict verdict = Signatures.check(Signatures.Form.STANDARD, headers, one.body, secrets(secrets, Signatures.Form.STANDARD),
-                Long.parseLong(one.headers.get(2)), WINDOW);
-            assertEquals(verdict, new Signatures.Verdict(one.headers.get(1), null));
-        }
+  @Test
+  public void aStepIsToldInTheSameBodyRightlySigned() throws Exception {
+    String secrets = CorpusFiles.text(SECRETS);
+    List<Received> received = deliver(secrets);
+    assertEquals(
+        received.stream().map(one -> new String(one.body, StandardCharsets.UTF_8)).toList(),
+        CorpusFiles.lines(BODIES));
+    assertEquals(fixedHeaders(received), CorpusFiles.lines(HEADERS));
+    for (Received one : received) {
+      Signatures.Headers headers =
+          new Signatures.Headers(one.headers.get(1), one.headers.get(2), one.headers.get(3));
+      Signatures.Verdict verdict =
+          Signatures.check(
+              Signatures.Form.STANDARD,
+              headers,
+              one.body,
+              secrets(secrets, Signatures.Form.STANDARD),
+              Long.parseLong(one.headers.get(2)),
+              WINDOW);
+      assertEquals(verdict, new Signatures.Verdict(one.headers.get(1), null));
     }
+  }
 
-    @Test
-    public void aDeadLetterIsKeptAsTheSameLine() throws Exception {
-        Path folder = Files.createTempDirectory("compat");
-        BlockingQueue<Long> done = new LinkedBlockingQueue<>();
-        HttpServer server = receiver(REFUSED, new LinkedBlockingQueue<>());
-        Path letters = folder.resolve("dead-letters");
-        try (Outbox outbox = outbox(server, CorpusFiles.text(SECRETS), letters, Duration.ofMillis(1), done)) {
-            outbox.start();
-            for (Told one : steps(Files.createDirectories(folder.resolve("store")))) {
-                outbox.add(one.release, one.step);
-                done.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-            }
-            assertEquals(Files.readAllLines(letters), CorpusFiles.lines(BODIES));
-        } finally {
-            server.stop(0);
-            CorpusFiles.remove(folder);
-        }
+  @Test
+  public void aDeadLetterIsKeptAsTheSameLine() throws Exception {
+    Path folder = Files.createTempDirectory("compat");
+    BlockingQueue<Long> done = new LinkedBlockingQueue<>();
+    HttpServer server = receiver(REFUSED, new LinkedBlockingQueue<>());
+    Path letters = folder.resolve("dead-letters");
+    try (Outbox outbox =
+        outbox(server, CorpusFiles.text(SECRETS), letters, Duration.ofMillis(1), done)) {
+      outbox.start();
+      for (Told one : steps(Files.createDirectories(folder.resolve("store")))) {
+        outbox.add(one.release, one.step);
+        done.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+      }
+      assertEquals(Files.readAllLines(letters), CorpusFiles.lines(BODIES));
+    } finally {
+      server.stop(0);
+      CorpusFiles.remove(folder);
     }
+  }
 }
