--- a/src/main/java/sprucerock/Main.java
+++ b/src/main/java/sprucerock/Main.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import sprucerock.cli.Commands;
 import sprucerock.cli.ServeCommand;
-import sprucerock.sim.FrameException;
-import sprucerock.sim.Simhost;
+import sprucerock.simulation.FrameException;
+import sprucerock.simulation.Simhost;
 
 /** Starts what the command line names. */
 public final class Main {
--- a/src/main/java/sprucerock/ledger/Book.java
+++ b/src/main/java/sprucerock/accounting/Book.java
@@ -1,4 +1,4 @@
-package sprucerock.ledger;
+package sprucerock.accounting;
 
 /**
  * Where accounts are kept beyond the relay's life. What was put counts from {@link #commit} on, all
--- a/src/main/java/sprucerock/ledger/Ledger.java
+++ b/src/main/java/sprucerock/accounting/Ledger.java
@@ -1,4 +1,4 @@
-package sprucerock.ledger;
+package sprucerock.accounting;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.host.Module;
+import sprucerock.policy.Module;
 import sprucerock.model.Build;
 import sprucerock.model.Method;
 import sprucerock.model.Outcome;
--- a/src/main/java/sprucerock/ledger/Scale.java
+++ b/src/main/java/sprucerock/accounting/Scale.java
@@ -1,4 +1,4 @@
-package sprucerock.ledger;
+package sprucerock.accounting;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/sprucerock/agent/Agent.java
+++ b/src/main/java/sprucerock/agent/Agent.java
@@ -4,7 +4,7 @@
 import java.util.Collection;
 import java.util.Collections;
 import java.util.Deque;
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Version;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/agent/Here.java
+++ b/src/main/java/sprucerock/agent/Here.java
@@ -19,15 +19,15 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Version;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.config.RelayConfig;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.versions.Vault;
-import sprucerock.wire.v1.RelaySums;
+import sprucerock.agent.artifact.Vault;
+import sprucerock.transport.wire.v1.RelaySums;
 
 /**
  * This machine: the relay's process, its files, what it may hold. All is called on the agent's
--- a/src/main/java/sprucerock/agent/Machine.java
+++ b/src/main/java/sprucerock/agent/Machine.java
@@ -1,6 +1,6 @@
 package sprucerock.agent;
 
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Version;
 import sprucerock.time.Moment;
 
 /**
--- a/src/main/java/sprucerock/agent/Memory.java
+++ b/src/main/java/sprucerock/agent/Memory.java
@@ -1,6 +1,6 @@
 package sprucerock.agent;
 
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Version;
 
 /**
  * What an agent knows again after its own end.
--- a/src/main/java/sprucerock/agent/Place.java
+++ b/src/main/java/sprucerock/agent/Place.java
@@ -1,8 +1,8 @@
 package sprucerock.agent;
 
 import java.util.function.BiConsumer;
-import sprucerock.change.Version;
-import sprucerock.wire.v1.RelaySums;
+import sprucerock.controller.deployment.Version;
+import sprucerock.transport.wire.v1.RelaySums;
 
 /**
  * The machine that a {@link Station} works on: what the agent's core can do there, and what is
--- a/src/main/java/sprucerock/agent/Sums.java
+++ b/src/main/java/sprucerock/agent/Sums.java
@@ -6,11 +6,11 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import sprucerock.figures.Snapshot;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Scale;
-import sprucerock.ledger.Sheet;
-import sprucerock.wire.v1.RelaySums;
+import sprucerock.metrics.Snapshot;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Scale;
+import sprucerock.accounting.Sheet;
+import sprucerock.transport.wire.v1.RelaySums;
 
 /**
  * What a relay did so far: its accounts from the file that it keeps, and what the machine says of
--- a/src/main/java/sprucerock/versions/Vault.java
+++ b/src/main/java/sprucerock/agent/artifact/Vault.java
@@ -1,4 +1,4 @@
-package sprucerock.versions;
+package sprucerock.agent.artifact;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/sprucerock/bench/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -1,4 +1,4 @@
-package sprucerock.bench;
+package sprucerock.benchmark;
 
 import com.sun.management.ThreadMXBean;
 import java.io.IOException;
@@ -24,13 +24,13 @@
 import sprucerock.Policy;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.figures.Export;
-import sprucerock.figures.Keeper;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.relay.Relay;
-import sprucerock.tls.Material;
-import sprucerock.tls.Workers;
-import sprucerock.wire.Tap;
+import sprucerock.metrics.Export;
+import sprucerock.metrics.Keeper;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.relay.frames.Relay;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.Workers;
+import sprucerock.transport.wire.Tap;
 
 /**
  * Straight to the units, through a bare forwarder and through the relay, in one run: RPCs a second
--- a/src/main/java/sprucerock/bench/BenchTls.java
+++ b/src/main/java/sprucerock/benchmark/BenchTls.java
@@ -1,4 +1,4 @@
-package sprucerock.bench;
+package sprucerock.benchmark;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,16 +7,16 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Set;
-import sprucerock.net.LinkUser;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.tls.Buffers;
-import sprucerock.tls.Counter;
-import sprucerock.tls.Credentials;
-import sprucerock.tls.Material;
-import sprucerock.tls.TestCa;
-import sprucerock.tls.TlsLink;
-import sprucerock.tls.Workers;
+import sprucerock.transport.tls.Buffers;
+import sprucerock.transport.tls.Counter;
+import sprucerock.transport.tls.Credentials;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.TestCa;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.tls.Workers;
 
 /** Certificates for a run of the benchmark, and TLS for its units and clients. */
 final class BenchTls {
--- a/src/main/java/sprucerock/bench/Fleet.java
+++ b/src/main/java/sprucerock/benchmark/Fleet.java
@@ -1,28 +1,28 @@
-package sprucerock.bench;
+package sprucerock.benchmark;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import sprucerock.net.Net;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.tls.TlsLink;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.Result;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Work;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Result;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Work;
 
 /** Units that answer at once with what they were sent, and the roster and desk that name them. */
 final class Fleet implements AutoCloseable {
--- a/src/main/java/sprucerock/bench/Forwarder.java
+++ b/src/main/java/sprucerock/benchmark/Forwarder.java
@@ -1,4 +1,4 @@
-package sprucerock.bench;
+package sprucerock.benchmark;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/sprucerock/bench/Load.java
+++ b/src/main/java/sprucerock/benchmark/Load.java
@@ -1,4 +1,4 @@
-package sprucerock.bench;
+package sprucerock.benchmark;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
@@ -8,21 +8,21 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.Histogram;
-import sprucerock.net.LinkUser;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.tls.TlsLink;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Work;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Work;
 
 /**
  * Clients that ask a relay, or units straight. Either as fast as answers come, with so many RPCs
--- a/src/main/java/sprucerock/bench/Loops.java
+++ b/src/main/java/sprucerock/benchmark/Loops.java
@@ -1,9 +1,9 @@
-package sprucerock.bench;
+package sprucerock.benchmark;
 
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 
 /** Has something done on a loop's thread, and waits for it. */
 final class Loops {
--- a/src/main/java/sprucerock/cli/AgentCommand.java
+++ b/src/main/java/sprucerock/cli/AgentCommand.java
@@ -10,7 +10,7 @@
 import sprucerock.agent.AgentConfig;
 import sprucerock.agent.Station;
 import sprucerock.config.ConfigException;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 
 @Command(
     name = "agent",
--- a/src/main/java/sprucerock/cli/BenchCommand.java
+++ b/src/main/java/sprucerock/cli/BenchCommand.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sprucerock.bench.Bench;
+import sprucerock.benchmark.Bench;
 
 @Command(
     name = "bench",
--- a/src/main/java/sprucerock/cli/CheckConfigCommand.java
+++ b/src/main/java/sprucerock/cli/CheckConfigCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.tls.Material;
+import sprucerock.transport.tls.Material;
 
 @Command(
     name = "check-config",
--- a/src/main/java/sprucerock/cli/ControllerCommand.java
+++ b/src/main/java/sprucerock/cli/ControllerCommand.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine.Option;
 import sprucerock.config.ConfigException;
 import sprucerock.controller.Engine;
-import sprucerock.desk.Desk;
-import sprucerock.desk.DeskConfig;
-import sprucerock.wire.Tap;
+import sprucerock.controller.server.Desk;
+import sprucerock.controller.server.DeskConfig;
+import sprucerock.transport.wire.Tap;
 
 @Command(
     name = "controller",
--- a/src/main/java/sprucerock/cli/FiguresCommand.java
+++ b/src/main/java/sprucerock/cli/FiguresCommand.java
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucerock.figures.Snapshot;
-import sprucerock.figures.Table;
-import sprucerock.ledger.Accounts;
-import sprucerock.rehearsal.FleetBook;
+import sprucerock.metrics.Snapshot;
+import sprucerock.metrics.Table;
+import sprucerock.accounting.Accounts;
+import sprucerock.rehearsal.scenario.FleetBook;
 
 @Command(
     name = "figures",
--- a/src/main/java/sprucerock/cli/JudgeCommand.java
+++ b/src/main/java/sprucerock/cli/JudgeCommand.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import sprucerock.judge.Finding;
-import sprucerock.judge.Judge;
+import sprucerock.rehearsal.invariant.Finding;
+import sprucerock.rehearsal.invariant.Judge;
 
 @Command(
     name = "judge",
--- a/src/main/java/sprucerock/cli/RehearseCommand.java
+++ b/src/main/java/sprucerock/cli/RehearseCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucerock.rehearsal.Rehearsal;
+import sprucerock.rehearsal.scenario.Rehearsal;
 
 @Command(
     name = "rehearse",
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -13,16 +13,16 @@
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.config.RelayConfig;
-import sprucerock.figures.Export;
-import sprucerock.figures.Keeper;
+import sprucerock.metrics.Export;
+import sprucerock.metrics.Keeper;
 import sprucerock.lease.Leases;
-import sprucerock.ledger.Accounts;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.relay.Relay;
-import sprucerock.tls.Material;
-import sprucerock.tls.Workers;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.Tap;
+import sprucerock.accounting.Accounts;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.relay.frames.Relay;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.Workers;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.Tap;
 import sun.misc.Signal;
 
 @Command(
--- a/src/main/java/sprucerock/cli/SimhostCommand.java
+++ b/src/main/java/sprucerock/cli/SimhostCommand.java
@@ -2,8 +2,8 @@
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import sprucerock.sim.FrameException;
-import sprucerock.sim.Simhost;
+import sprucerock.simulation.FrameException;
+import sprucerock.simulation.Simhost;
 
 /** Named here for the help; Main starts it without this command line. */
 @Command(
--- a/src/main/java/sprucerock/cli/TlsCheckCommand.java
+++ b/src/main/java/sprucerock/cli/TlsCheckCommand.java
@@ -16,19 +16,19 @@
 import picocli.CommandLine.Option;
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.tls.Buffers;
-import sprucerock.tls.Chain;
-import sprucerock.tls.Counter;
-import sprucerock.tls.Credentials;
-import sprucerock.tls.Material;
-import sprucerock.tls.Names;
-import sprucerock.tls.RefusedException;
-import sprucerock.tls.TlsLink;
-import sprucerock.tls.Workers;
+import sprucerock.transport.tls.Buffers;
+import sprucerock.transport.tls.Chain;
+import sprucerock.transport.tls.Counter;
+import sprucerock.transport.tls.Credentials;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.Names;
+import sprucerock.transport.tls.RefusedException;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.tls.Workers;
 
 @Command(
     name = "check",
--- a/src/main/java/sprucerock/cli/TlsMakeTestCaCommand.java
+++ b/src/main/java/sprucerock/cli/TlsMakeTestCaCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
-import sprucerock.tls.TestCa;
+import sprucerock.transport.tls.TestCa;
 
 @Command(
     name = "make-test-ca",
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -12,11 +12,11 @@
 import sprucerock.model.Method;
 import sprucerock.model.Settings;
 import sprucerock.time.Span;
-import sprucerock.tls.Credentials;
-import sprucerock.tls.Handshakes;
-import sprucerock.tls.Material;
-import sprucerock.tls.Tls;
-import sprucerock.wire.Limits;
+import sprucerock.transport.tls.Credentials;
+import sprucerock.transport.tls.Handshakes;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.Tls;
+import sprucerock.transport.wire.Limits;
 
 /**
  * The configuration of one relay, checked; the schema relay.xsd names the units and the values used
--- a/src/main/java/sprucerock/settings/SettingsText.java
+++ b/src/main/java/sprucerock/config/settings/SettingsText.java
@@ -1,4 +1,4 @@
-package sprucerock.settings;
+package sprucerock.config.settings;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/sprucerock/controller/Codec.java
+++ b/src/main/java/sprucerock/controller/Codec.java
@@ -1,12 +1,12 @@
 package sprucerock.controller;
 
 import java.util.Locale;
-import sprucerock.change.Changes;
+import sprucerock.controller.deployment.Changes;
 import sprucerock.controller.v1.Ballot;
 import sprucerock.controller.v1.Delivery;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.State;
-import sprucerock.freeze.Freezes;
+import sprucerock.controller.maintenance.Freezes;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import sprucerock.change.Change;
-import sprucerock.change.Changes;
-import sprucerock.change.ManagedRelay;
-import sprucerock.change.Plan;
+import sprucerock.controller.deployment.Change;
+import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.deployment.Plan;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.Restarted;
 import sprucerock.controller.v1.State;
 import sprucerock.controller.v1.Tick;
-import sprucerock.freeze.Freezes;
+import sprucerock.controller.maintenance.Freezes;
 import sprucerock.time.Moment;
 
 /**
--- a/src/main/java/sprucerock/controller/FreezeCodec.java
+++ b/src/main/java/sprucerock/controller/FreezeCodec.java
@@ -4,9 +4,9 @@
 import sprucerock.controller.v1.FreezeMemory;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.OfFreeze;
-import sprucerock.freeze.Freeze;
-import sprucerock.freeze.FreezeNotes;
-import sprucerock.freeze.Freezes;
+import sprucerock.controller.maintenance.Freeze;
+import sprucerock.controller.maintenance.FreezeNotes;
+import sprucerock.controller.maintenance.Freezes;
 import sprucerock.hardware.Fit;
 import sprucerock.hardware.Model;
 
--- a/src/main/java/sprucerock/controller/Watcher.java
+++ b/src/main/java/sprucerock/controller/Watcher.java
@@ -6,15 +6,15 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.change.Change;
-import sprucerock.change.Changes;
-import sprucerock.change.ManagedRelay;
-import sprucerock.change.Plan;
-import sprucerock.change.Verdict;
-import sprucerock.compare.Comparison;
-import sprucerock.compare.Couple;
-import sprucerock.compare.Level;
-import sprucerock.compare.Window;
+import sprucerock.controller.deployment.Change;
+import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.Verdict;
+import sprucerock.controller.comparison.Comparison;
+import sprucerock.controller.comparison.Couple;
+import sprucerock.controller.comparison.Level;
+import sprucerock.controller.comparison.Window;
 
 /**
  * Holds relays that were moved beside those restarted with them, by the sums that their agents
@@ -203,7 +203,7 @@
     host.judged(of, now, comparison.why());
   }
 
-  private boolean settled(int number, sprucerock.change.Version version) {
+  private boolean settled(int number, sprucerock.controller.deployment.Version version) {
     ManagedRelay relay = changes.relay(number);
     return relays.containsKey(number)
         && relay.ready()
--- a/src/main/java/sprucerock/compare/Couple.java
+++ b/src/main/java/sprucerock/controller/comparison/Couple.java
@@ -1,4 +1,4 @@
-package sprucerock.compare;
+package sprucerock.controller.comparison;
 
 /**
  * Two relays alike in zone, load and age, of which one changes and the other, restarted with it,
--- a/src/main/java/sprucerock/compare/Level.java
+++ b/src/main/java/sprucerock/controller/comparison/Level.java
@@ -1,4 +1,4 @@
-package sprucerock.compare;
+package sprucerock.controller.comparison;
 
 import java.util.Arrays;
 
--- a/src/main/java/sprucerock/compare/Measure.java
+++ b/src/main/java/sprucerock/controller/comparison/Measure.java
@@ -1,4 +1,4 @@
-package sprucerock.compare;
+package sprucerock.controller.comparison;
 
 /**
  * What is compared, so that more is always worse. Shares are of RPCs or of their worth; all else
--- a/src/main/java/sprucerock/compare/Wager.java
+++ b/src/main/java/sprucerock/controller/comparison/Wager.java
@@ -1,4 +1,4 @@
-package sprucerock.compare;
+package sprucerock.controller.comparison;
 
 /**
  * Evidence that may be looked at all the time: the wealth of somebody who bets, again and again,
--- a/src/main/java/sprucerock/compare/Window.java
+++ b/src/main/java/sprucerock/controller/comparison/Window.java
@@ -1,4 +1,4 @@
-package sprucerock.compare;
+package sprucerock.controller.comparison;
 
 /**
  * What one relay did in one stretch of time, the same for all that are compared.
--- a/src/main/java/sprucerock/change/Changes.java
+++ b/src/main/java/sprucerock/controller/deployment/Changes.java
@@ -1,4 +1,4 @@
-package sprucerock.change;
+package sprucerock.controller.deployment;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.change.Change.State;
-import sprucerock.change.Change.Step;
+import sprucerock.controller.deployment.Change.State;
+import sprucerock.controller.deployment.Change.Step;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/change/ManagedRelay.java
+++ b/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
@@ -1,4 +1,4 @@
-package sprucerock.change;
+package sprucerock.controller.deployment;
 
 import sprucerock.time.Moment;
 
--- a/src/main/java/sprucerock/change/Plan.java
+++ b/src/main/java/sprucerock/controller/deployment/Plan.java
@@ -1,4 +1,4 @@
-package sprucerock.change;
+package sprucerock.controller.deployment;
 
 import java.util.List;
 import sprucerock.time.Span;
--- a/src/main/java/sprucerock/change/Verdict.java
+++ b/src/main/java/sprucerock/controller/deployment/Verdict.java
@@ -1,4 +1,4 @@
-package sprucerock.change;
+package sprucerock.controller.deployment;
 
 /** What the comparison says of the new version, stage by stage. */
 public enum Verdict {
--- a/src/main/java/sprucerock/change/Version.java
+++ b/src/main/java/sprucerock/controller/deployment/Version.java
@@ -1,4 +1,4 @@
-package sprucerock.change;
+package sprucerock.controller.deployment;
 
 /**
  * What a relay runs: a program and its settings, each by the SHA-256 of its bytes in lower-case
--- a/src/main/java/sprucerock/freeze/Freeze.java
+++ b/src/main/java/sprucerock/controller/maintenance/Freeze.java
@@ -1,4 +1,4 @@
-package sprucerock.freeze;
+package sprucerock.controller.maintenance;
 
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/sprucerock/freeze/Occurrences.java
+++ b/src/main/java/sprucerock/controller/maintenance/Occurrences.java
@@ -1,4 +1,4 @@
-package sprucerock.freeze;
+package sprucerock.controller.maintenance;
 
 import java.time.DateTimeException;
 import java.time.ZoneId;
--- a/src/main/java/sprucerock/desk/Absent.java
+++ b/src/main/java/sprucerock/controller/server/Absent.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/sprucerock/desk/Announcements.java
+++ b/src/main/java/sprucerock/controller/server/Announcements.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.StreamReadFeature;
--- a/src/main/java/sprucerock/desk/Desk.java
+++ b/src/main/java/sprucerock/controller/server/Desk.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,9 +13,9 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucerock.change.Change;
-import sprucerock.change.Changes;
-import sprucerock.change.ManagedRelay;
+import sprucerock.controller.deployment.Change;
+import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.Engine;
 import sprucerock.controller.FolderSeat;
 import sprucerock.controller.Release;
@@ -24,15 +24,15 @@
 import sprucerock.controller.v1.Delivered;
 import sprucerock.controller.v1.FreezeCleared;
 import sprucerock.controller.v1.Input;
-import sprucerock.freeze.Freeze;
-import sprucerock.freeze.Freezes;
-import sprucerock.freeze.Promises;
+import sprucerock.controller.maintenance.Freeze;
+import sprucerock.controller.maintenance.Freezes;
+import sprucerock.controller.maintenance.Promises;
 import sprucerock.lease.GranterDoor;
 import sprucerock.lease.Leases;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.versions.Vault;
-import sprucerock.wire.Tap;
+import sprucerock.agent.artifact.Vault;
+import sprucerock.transport.wire.Tap;
 
 /**
  * The controller: its engine between relays, pipelines and operators, on one loop that also waits
--- a/src/main/java/sprucerock/desk/DeskConfig.java
+++ b/src/main/java/sprucerock/controller/server/DeskConfig.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,15 +13,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.change.Plan;
+import sprucerock.controller.deployment.Plan;
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.Node;
 import sprucerock.controller.Rules;
-import sprucerock.freeze.Freezes;
-import sprucerock.freeze.Headroom;
-import sprucerock.freeze.Rack;
+import sprucerock.controller.maintenance.Freezes;
+import sprucerock.controller.maintenance.Headroom;
+import sprucerock.controller.maintenance.Rack;
 import sprucerock.time.Span;
 
 /**
--- a/src/main/java/sprucerock/desk/HttpDoor.java
+++ b/src/main/java/sprucerock/controller/server/HttpDoor.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -28,10 +28,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.xnio.Options;
-import sprucerock.change.Change;
-import sprucerock.change.Changes;
-import sprucerock.change.ManagedRelay;
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Change;
+import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.deployment.Version;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.controller.Engine;
@@ -46,10 +46,10 @@
 import sprucerock.controller.v1.RackSays;
 import sprucerock.controller.v1.Ready;
 import sprucerock.controller.v1.Word;
-import sprucerock.freeze.Freeze;
+import sprucerock.controller.maintenance.Freeze;
 import sprucerock.time.Moment;
-import sprucerock.wire.v1.LeaseEntry;
-import sprucerock.wire.v1.LeaseListed;
+import sprucerock.transport.wire.v1.LeaseEntry;
+import sprucerock.transport.wire.v1.LeaseListed;
 
 /**
  * HTTP: webhooks from build pipelines, and the operators' API. Bodies, senders' slowness, rates and
--- a/src/main/java/sprucerock/desk/MajoritySeat.java
+++ b/src/main/java/sprucerock/controller/server/MajoritySeat.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
@@ -7,7 +7,7 @@
 import sprucerock.controller.SeatMark;
 import sprucerock.lease.Guard;
 import sprucerock.lease.Leases;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 
 /**
  * The controller's seat by a lease that a majority grants: no clock of a file server has a part in
--- a/src/main/java/sprucerock/desk/Outbox.java
+++ b/src/main/java/sprucerock/controller/server/Outbox.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/src/main/java/sprucerock/desk/RackList.java
+++ b/src/main/java/sprucerock/controller/server/RackList.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -7,9 +7,9 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import sprucerock.freeze.Rack;
-import sprucerock.wire.v1.Promised;
-import sprucerock.wire.v1.RackFree;
+import sprucerock.controller.maintenance.Rack;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.RackFree;
 
 /**
  * Which racks there are, told to each relay once and named by a number ever after: an answer that
--- a/src/main/java/sprucerock/desk/Rate.java
+++ b/src/main/java/sprucerock/controller/server/Rate.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 /**
  * How often somebody may come: so many a second, a second's worth at once. One thread at a time.
--- a/src/main/java/sprucerock/desk/RelaysDoor.java
+++ b/src/main/java/sprucerock/controller/server/RelaysDoor.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
@@ -9,24 +9,24 @@
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.FamiliesWorth;
 import sprucerock.controller.v1.Input;
-import sprucerock.net.Net;
-import sprucerock.net.Timers;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.PromiseAsk;
-import sprucerock.wire.v1.Promised;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Taken;
-import sprucerock.wire.v1.Vote;
-import sprucerock.wire.v1.Voted;
-import sprucerock.wire.v1.Worth;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Taken;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
+import sprucerock.transport.wire.v1.Worth;
 
 /**
  * The relays' links: each is told the news as it stands when it comes, at each change and now and
--- a/src/main/java/sprucerock/desk/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import java.nio.charset.StandardCharsets;
 import java.security.GeneralSecurityException;
--- a/src/main/java/sprucerock/lab/Deaf.java
+++ b/src/main/java/sprucerock/lab/Deaf.java
@@ -1,7 +1,7 @@
 package sprucerock.lab;
 
 import java.util.function.Consumer;
-import sprucerock.host.Module;
+import sprucerock.policy.Module;
 import sprucerock.model.Build;
 import sprucerock.model.Method;
 import sprucerock.model.Pick;
--- a/src/main/java/sprucerock/lab/GranterProcess.java
+++ b/src/main/java/sprucerock/lab/GranterProcess.java
@@ -11,8 +11,8 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.GranterDoor;
 import sprucerock.lease.Leases;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.wire.Tap;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.transport.wire.Tap;
 
 /**
  * A granter as a process of its own, the relays' door and core without the relay; it ends with its
--- a/src/main/java/sprucerock/lab/HollowFleet.java
+++ b/src/main/java/sprucerock/lab/HollowFleet.java
@@ -20,14 +20,14 @@
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.AgentConfig;
 import sprucerock.agent.Station;
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Version;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.versions.Vault;
+import sprucerock.agent.artifact.Vault;
 
 /**
  * One hollow process: relays and their agents, all on one loop, under the words of whoever started
--- a/src/main/java/sprucerock/lab/HollowMachine.java
+++ b/src/main/java/sprucerock/lab/HollowMachine.java
@@ -4,12 +4,12 @@
 import sprucerock.agent.Agent;
 import sprucerock.agent.Memory;
 import sprucerock.agent.Place;
-import sprucerock.change.Version;
-import sprucerock.net.Net;
+import sprucerock.controller.deployment.Version;
+import sprucerock.transport.net.Net;
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.v1.RelaySums;
+import sprucerock.transport.wire.v1.RelaySums;
 
 /**
  * The machine of a hollow agent: its relay's process is a word that comes later, every version is
--- a/src/main/java/sprucerock/lab/LinkCounts.java
+++ b/src/main/java/sprucerock/lab/LinkCounts.java
@@ -4,9 +4,9 @@
 import com.google.protobuf.MessageLite;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Tap;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Tap;
 
 /**
  * Messages and bytes by kind on the links to the processes of one role, counted at the hollow end
--- a/src/main/java/sprucerock/lab/ScaleRun.java
+++ b/src/main/java/sprucerock/lab/ScaleRun.java
@@ -26,7 +26,7 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import sprucerock.config.ConfigException;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 
 /**
  * Plays scenes, one after another, against a real controller with its real store and real granters,
--- a/src/main/java/sprucerock/lease/GranterDoor.java
+++ b/src/main/java/sprucerock/lease/GranterDoor.java
@@ -6,21 +6,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.config.LeaseConfig;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.LeaseAsk;
-import sprucerock.wire.v1.LeaseBack;
-import sprucerock.wire.v1.LeaseEntry;
-import sprucerock.wire.v1.LeaseFree;
-import sprucerock.wire.v1.LeaseListed;
-import sprucerock.wire.v1.LeaseSaid;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.LeaseAsk;
+import sprucerock.transport.wire.v1.LeaseBack;
+import sprucerock.transport.wire.v1.LeaseEntry;
+import sprucerock.transport.wire.v1.LeaseFree;
+import sprucerock.transport.wire.v1.LeaseListed;
+import sprucerock.transport.wire.v1.LeaseSaid;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * A granter's links. It reads the steady clock anew with each ask: a loop's moment stands still
--- a/src/main/java/sprucerock/figures/BufferMemory.java
+++ b/src/main/java/sprucerock/metrics/BufferMemory.java
@@ -1,4 +1,4 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
--- a/src/main/java/sprucerock/figures/Export.java
+++ b/src/main/java/sprucerock/metrics/Export.java
@@ -1,4 +1,4 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import com.sun.net.httpserver.HttpExchange;
 import io.prometheus.metrics.exporter.httpserver.HTTPServer;
@@ -21,9 +21,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Scale;
-import sprucerock.ledger.Sheet;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Scale;
+import sprucerock.accounting.Sheet;
 
 /**
  * Serves a relay's figures to a monitor, in Prometheus text or OpenMetrics. A scrape is made of one
--- a/src/main/java/sprucerock/figures/Keeper.java
+++ b/src/main/java/sprucerock/metrics/Keeper.java
@@ -1,4 +1,4 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,8 +8,8 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.function.Consumer;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Sheet;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Sheet;
 
 /**
  * Keeps a relay's accounts in a file through its lives: each start is a generation that goes on
--- a/src/main/java/sprucerock/figures/Memory.java
+++ b/src/main/java/sprucerock/metrics/Memory.java
@@ -1,4 +1,4 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 /**
  * Bytes that outlive a kill of the process. Longs stand at multiples of eight, and are written
--- a/src/main/java/sprucerock/figures/Pages.java
+++ b/src/main/java/sprucerock/metrics/Pages.java
@@ -1,9 +1,9 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.zip.CRC32;
-import sprucerock.ledger.Book;
+import sprucerock.accounting.Book;
 
 /**
  * Figures in a file: a head, the layout, the rows' names, and two copies of all values, each with
--- a/src/main/java/sprucerock/figures/Snapshot.java
+++ b/src/main/java/sprucerock/metrics/Snapshot.java
@@ -1,4 +1,4 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -7,8 +7,8 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Sheet;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Sheet;
 
 /**
  * All figures of one relay at the end of one turn, read from its file; the relay may run, be ended
--- a/src/main/java/sprucerock/figures/Table.java
+++ b/src/main/java/sprucerock/metrics/Table.java
@@ -1,11 +1,11 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import java.math.BigDecimal;
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Scale;
-import sprucerock.ledger.Sheet;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Scale;
+import sprucerock.accounting.Sheet;
 
 /** Figures as a table for a terminal: rows in use, columns that are not all zero. */
 public final class Table {
--- a/src/main/java/sprucerock/host/Module.java
+++ b/src/main/java/sprucerock/policy/Module.java
@@ -1,4 +1,4 @@
-package sprucerock.host;
+package sprucerock.policy;
 
 import sprucerock.model.Build;
 import sprucerock.model.Method;
--- a/src/main/java/sprucerock/evidence/Ballot.java
+++ b/src/main/java/sprucerock/policy/evidence/Ballot.java
@@ -1,4 +1,4 @@
-package sprucerock.evidence;
+package sprucerock.policy.evidence;
 
 import sprucerock.model.Reply;
 import sprucerock.model.Verdict;
--- a/src/main/java/sprucerock/evidence/Met.java
+++ b/src/main/java/sprucerock/policy/evidence/Met.java
@@ -1,4 +1,4 @@
-package sprucerock.evidence;
+package sprucerock.policy.evidence;
 
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/sprucerock/standin/BuildFault.java
+++ b/src/main/java/sprucerock/rehearsal/fake/BuildFault.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 /**
  * What is wrong with a build, if anything.
--- a/src/main/java/sprucerock/standin/ClientStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/ClientStandIn.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
@@ -6,24 +6,24 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.Redial;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Flag;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Leave;
-import sprucerock.wire.v1.Role;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Flag;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * An app: asks at times of its own, whatever becomes of what it asked before, and tries again as
--- a/src/main/java/sprucerock/standin/DeskStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/DeskStandIn.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
@@ -11,23 +11,23 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.v1.Counts;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Say;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Taken;
-import sprucerock.wire.v1.Vote;
-import sprucerock.wire.v1.Voted;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.v1.Counts;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Say;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Taken;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
 
 /**
  * The release desk: brings a build in by stages, as the relays' votes have it, and tells them news
--- a/src/main/java/sprucerock/standin/Handshaker.java
+++ b/src/main/java/sprucerock/rehearsal/fake/Handshaker.java
@@ -1,10 +1,10 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Timers;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Timers;
 import sprucerock.time.Span;
 
 /** Stands between a unit's connection and its TLS, and does to handshakes what a bad peer does. */
--- a/src/main/java/sprucerock/standin/MonitorStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/MonitorStandIn.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import java.io.IOException;
 import java.net.URI;
--- a/src/main/java/sprucerock/standin/RosterStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/RosterStandIn.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.Role;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * The list of units: learns of a change some time after it happened, and then tells all who watch.
--- a/src/main/java/sprucerock/standin/Secure.java
+++ b/src/main/java/sprucerock/rehearsal/fake/Secure.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,17 +12,17 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Span;
-import sprucerock.tls.Aside;
-import sprucerock.tls.Buffers;
-import sprucerock.tls.Counter;
-import sprucerock.tls.Credentials;
-import sprucerock.tls.Material;
-import sprucerock.tls.TestCa;
-import sprucerock.tls.TlsLink;
-import sprucerock.wire.Redial;
+import sprucerock.transport.tls.Aside;
+import sprucerock.transport.tls.Buffers;
+import sprucerock.transport.tls.Counter;
+import sprucerock.transport.tls.Credentials;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.TestCa;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.wire.Redial;
 
 /**
  * Certificates for a rehearsal, right and wrong ones, and TLS for its stand-ins. Made anew for each
--- a/src/main/java/sprucerock/standin/Site.java
+++ b/src/main/java/sprucerock/rehearsal/fake/Site.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import java.util.List;
 import sprucerock.time.Span;
--- a/src/main/java/sprucerock/standin/SwitchStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/SwitchStandIn.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
@@ -7,17 +7,17 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Net;
 import sprucerock.stats.Chance;
 import sprucerock.time.Span;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.Redial;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
 
 /** Stands between the relays: what one tells another passes here, late or never. */
 public final class SwitchStandIn {
--- a/src/main/java/sprucerock/standin/UnitStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/UnitStandIn.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
@@ -12,25 +12,25 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import sprucerock.lease.Fence;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.tls.Credentials;
-import sprucerock.tls.TlsLink;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Look;
-import sprucerock.wire.v1.Looked;
-import sprucerock.wire.v1.Result;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Stop;
-import sprucerock.wire.v1.Work;
+import sprucerock.transport.tls.Credentials;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Look;
+import sprucerock.transport.wire.v1.Looked;
+import sprucerock.transport.wire.v1.Result;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Stop;
+import sprucerock.transport.wire.v1.Work;
 
 /**
  * A unit: cores that work off a queue, cold after a start, with faults on command. Notes in the
--- a/src/main/java/sprucerock/standin/WayStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/WayStandIn.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/judge/Finding.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/Finding.java
@@ -1,8 +1,8 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import java.util.List;
 import java.util.stream.Collectors;
-import sprucerock.trace.Line;
+import sprucerock.rehearsal.trace.Line;
 
 /**
  * A rule that was broken: which (1 to 5; 6: TLS; 7: leases; 8: freezes), how, and the frames that
--- a/src/main/java/sprucerock/judge/FleetJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/FleetJudge.java
@@ -1,4 +1,4 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Listing;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Listing;
 
 /**
  * Holds a whole fleet against rule 4, and what clients and units saw themselves against rules 1 and
--- a/src/main/java/sprucerock/judge/FreezeJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/FreezeJudge.java
@@ -1,11 +1,11 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
 
 /**
  * Counts picks that came to units while their racks were frozen. It knows what was in force and
--- a/src/main/java/sprucerock/judge/Judge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/Judge.java
@@ -1,4 +1,4 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
 
 /**
  * Rules on all five from traces and the deployment's figures alone. It knows nothing of the module
--- a/src/main/java/sprucerock/judge/LeaseJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/LeaseJudge.java
@@ -1,4 +1,4 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,9 +6,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Look;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Look;
 
 /**
  * Whether two relays ever did a task of the fleet at once: by when each sent what under a lease's
--- a/src/main/java/sprucerock/judge/RelayJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/RelayJudge.java
@@ -1,4 +1,4 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,22 +8,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Leave;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.Result;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Stop;
-import sprucerock.wire.v1.Work;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Result;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Stop;
+import sprucerock.transport.wire.v1.Work;
 
 /**
  * Holds one run of one relay against the rules that it keeps alone (1, 2, 3 and 5), by what crossed
--- a/src/main/java/sprucerock/judge/Rules.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/Rules.java
@@ -1,4 +1,4 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/sprucerock/recovery/Meter.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/Meter.java
@@ -1,4 +1,4 @@
-package sprucerock.recovery;
+package sprucerock.rehearsal.recovery;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 import java.util.TreeMap;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Ending;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Ending;
 
 /**
  * Reads from a day's traces how it came back after each thing that befell it: when all was served
--- a/src/main/java/sprucerock/recovery/Peaks.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/Peaks.java
@@ -1,4 +1,4 @@
-package sprucerock.recovery;
+package sprucerock.rehearsal.recovery;
 
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/main/java/sprucerock/rehearsal/Agents.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Agents.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/sprucerock/rehearsal/Books.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Books.java
@@ -1,12 +1,12 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.standin.ClientStandIn;
-import sprucerock.standin.ClientStandIn.End;
-import sprucerock.standin.ClientStandIn.Order;
-import sprucerock.standin.Site;
+import sprucerock.rehearsal.fake.ClientStandIn;
+import sprucerock.rehearsal.fake.ClientStandIn.End;
+import sprucerock.rehearsal.fake.ClientStandIn.Order;
+import sprucerock.rehearsal.fake.Site;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/rehearsal/FleetBook.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/FleetBook.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,18 +11,18 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import sprucerock.figures.Snapshot;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Sheet;
-import sprucerock.standin.Counts;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Leave;
-import sprucerock.wire.v1.Result;
+import sprucerock.metrics.Snapshot;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Sheet;
+import sprucerock.rehearsal.fake.Counts;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Result;
 
 /**
  * Adds up all relays of a rehearsal and holds them against what clients and units counted for
--- a/src/main/java/sprucerock/rehearsal/Follow.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Follow.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,10 +7,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Ending;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Ending;
 
 /**
  * Follows announcements from the webhook to the first answers by the build that they announced, all
--- a/src/main/java/sprucerock/rehearsal/LeasesOfDay.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/LeasesOfDay.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import sprucerock.net.Net;
-import sprucerock.standin.WayStandIn;
+import sprucerock.transport.net.Net;
+import sprucerock.rehearsal.fake.WayStandIn;
 import sprucerock.time.Span;
 
 /**
--- a/src/main/java/sprucerock/rehearsal/Play.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Play.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -20,26 +20,26 @@
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.standin.BuildFault;
-import sprucerock.standin.ClientStandIn;
-import sprucerock.standin.Counts;
-import sprucerock.standin.DeskStandIn;
-import sprucerock.standin.MonitorStandIn;
-import sprucerock.standin.RosterStandIn;
-import sprucerock.standin.Secure;
-import sprucerock.standin.Shared;
-import sprucerock.standin.Site;
-import sprucerock.standin.SwitchStandIn;
-import sprucerock.standin.UnitStandIn;
-import sprucerock.standin.WayStandIn;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.rehearsal.fake.BuildFault;
+import sprucerock.rehearsal.fake.ClientStandIn;
+import sprucerock.rehearsal.fake.Counts;
+import sprucerock.rehearsal.fake.DeskStandIn;
+import sprucerock.rehearsal.fake.MonitorStandIn;
+import sprucerock.rehearsal.fake.RosterStandIn;
+import sprucerock.rehearsal.fake.Secure;
+import sprucerock.rehearsal.fake.Shared;
+import sprucerock.rehearsal.fake.Site;
+import sprucerock.rehearsal.fake.SwitchStandIn;
+import sprucerock.rehearsal.fake.UnitStandIn;
+import sprucerock.rehearsal.fake.WayStandIn;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.tls.Workers;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.Limits;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Health;
+import sprucerock.transport.tls.Workers;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Health;
 
 /**
  * Plays a day: relays as processes of their own, everything else as stand-ins on one loop in this
--- a/src/main/java/sprucerock/rehearsal/RacksOfDay.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/RacksOfDay.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.standin.UnitStandIn;
+import sprucerock.rehearsal.fake.UnitStandIn;
 import sprucerock.time.Span;
-import sprucerock.trace.TraceWriter;
+import sprucerock.rehearsal.trace.TraceWriter;
 
 /**
  * The racks of a day: its units are dealt out to so many a zone, by their numbers; the last of each
--- a/src/main/java/sprucerock/rehearsal/RealController.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/RealController.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
@@ -23,9 +23,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import sprucerock.desk.Signatures;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.standin.Site;
+import sprucerock.controller.server.Signatures;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.rehearsal.fake.Site;
 import sprucerock.time.Span;
 
 /**
--- a/src/main/java/sprucerock/rehearsal/Rehearsal.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Rehearsal.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import sprucerock.judge.Judge;
-import sprucerock.recovery.Meter;
-import sprucerock.trace.Line;
+import sprucerock.rehearsal.invariant.Judge;
+import sprucerock.rehearsal.recovery.Meter;
+import sprucerock.rehearsal.trace.Line;
 
 /** A day from its script to its report. */
 public final class Rehearsal {
--- a/src/main/java/sprucerock/rehearsal/RelayXml.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/RelayXml.java
@@ -1,12 +1,12 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.Map;
-import sprucerock.standin.Secure;
-import sprucerock.standin.Site;
+import sprucerock.rehearsal.fake.Secure;
+import sprucerock.rehearsal.fake.Site;
 import sprucerock.time.Span;
 
 /** Writes a relay's configuration for a day. */
--- a/src/main/java/sprucerock/rehearsal/Report.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Report.java
@@ -1,16 +1,16 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.judge.Finding;
-import sprucerock.judge.Judge;
-import sprucerock.recovery.Meter;
-import sprucerock.standin.ClientStandIn.End;
-import sprucerock.standin.DeskStandIn;
-import sprucerock.standin.Site;
+import sprucerock.rehearsal.invariant.Finding;
+import sprucerock.rehearsal.invariant.Judge;
+import sprucerock.rehearsal.recovery.Meter;
+import sprucerock.rehearsal.fake.ClientStandIn.End;
+import sprucerock.rehearsal.fake.DeskStandIn;
+import sprucerock.rehearsal.fake.Site;
 import sprucerock.time.Span;
 
 /** What a day came to, for people: rules, votes, builds, service, and what the troubles cost. */
--- a/src/main/java/sprucerock/rehearsal/Script.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Script.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,11 +12,11 @@
 import org.antlr.v4.runtime.RecognitionException;
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
-import sprucerock.standin.BuildFault;
-import sprucerock.standin.ClientStandIn.Manners;
-import sprucerock.standin.Secure;
-import sprucerock.standin.Site;
-import sprucerock.standin.WayStandIn;
+import sprucerock.rehearsal.fake.BuildFault;
+import sprucerock.rehearsal.fake.ClientStandIn.Manners;
+import sprucerock.rehearsal.fake.Secure;
+import sprucerock.rehearsal.fake.Site;
+import sprucerock.rehearsal.fake.WayStandIn;
 import sprucerock.time.Span;
 
 /** A day as its script has it, checked; what it leaves out has the values below. */
--- a/src/main/java/sprucerock/rehearsal/SecondBook.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/SecondBook.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sprucerock.figures.Snapshot;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Sheet;
-import sprucerock.trace.Line;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Leave;
-import sprucerock.wire.v1.Result;
+import sprucerock.metrics.Snapshot;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Sheet;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Result;
 
 /**
  * Holds each relay's figures against what crossed its links, to the last RPC, through all its
--- a/src/main/java/sprucerock/trace/Line.java
+++ b/src/main/java/sprucerock/rehearsal/trace/Line.java
@@ -1,4 +1,4 @@
-package sprucerock.trace;
+package sprucerock.rehearsal.trace;
 
 import com.google.protobuf.Message;
 import com.google.protobuf.TextFormat;
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.wire.Kind;
+import sprucerock.transport.wire.Kind;
 
 /**
  * One line of a trace: a frame that crossed a link, a link's end, or a note.
--- a/src/main/java/sprucerock/trace/TraceWriter.java
+++ b/src/main/java/sprucerock/rehearsal/trace/TraceWriter.java
@@ -1,4 +1,4 @@
-package sprucerock.trace;
+package sprucerock.rehearsal.trace;
 
 import com.google.protobuf.Message;
 import com.google.protobuf.MessageLite;
@@ -13,14 +13,14 @@
 import java.util.HashMap;
 import java.util.HexFormat;
 import java.util.Map;
-import sprucerock.net.Timers;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.Timers;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Hello;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Hello;
 
 /**
  * Writes a line for every frame that crosses the links of one place, as docs/protocol.md describes
--- a/src/main/java/sprucerock/serving/Asked.java
+++ b/src/main/java/sprucerock/relay/engine/Asked.java
@@ -1,8 +1,8 @@
-package sprucerock.serving;
+package sprucerock.relay.engine;
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Timers.Timer;
 
 /** What the door that took an RPC keeps with it. */
 public abstract class Asked {
--- a/src/main/java/sprucerock/serving/Carrier.java
+++ b/src/main/java/sprucerock/relay/engine/Carrier.java
@@ -1,14 +1,14 @@
-package sprucerock.serving;
+package sprucerock.relay.engine;
 
-import sprucerock.host.Host;
-import sprucerock.host.Module;
-import sprucerock.ledger.Ledger;
+import sprucerock.policy.Host;
+import sprucerock.policy.Module;
+import sprucerock.accounting.Ledger;
 import sprucerock.model.Method;
 import sprucerock.model.Outcome;
 import sprucerock.model.Pick;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/serving/Ending.java
+++ b/src/main/java/sprucerock/relay/engine/Ending.java
@@ -1,4 +1,4 @@
-package sprucerock.serving;
+package sprucerock.relay.engine;
 
 /** What a client is told at the end. */
 public enum Ending {
--- a/src/main/java/sprucerock/serving/Events.java
+++ b/src/main/java/sprucerock/relay/engine/Events.java
@@ -1,10 +1,10 @@
-package sprucerock.serving;
+package sprucerock.relay.engine;
 
 import java.util.EnumMap;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucerock.net.Timers;
+import sprucerock.transport.net.Timers;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/serving/Exchange.java
+++ b/src/main/java/sprucerock/relay/engine/Exchange.java
@@ -1,9 +1,9 @@
-package sprucerock.serving;
+package sprucerock.relay.engine;
 
 import java.util.ArrayList;
 import java.util.List;
 import sprucerock.model.Pick;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.Moment;
 
 /**
--- a/src/main/java/sprucerock/relay/Asked.java
+++ b/src/main/java/sprucerock/relay/frames/Asked.java
@@ -1,7 +1,7 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 /** What the door keeps with an RPC: who asked, under which id, and what the units are sent. */
-final class Asked extends sprucerock.serving.Asked {
+final class Asked extends sprucerock.relay.engine.Asked {
   final ClientLink client;
   final long id;
   final long token;
--- a/src/main/java/sprucerock/relay/ClientLink.java
+++ b/src/main/java/sprucerock/relay/frames/ClientLink.java
@@ -1,21 +1,21 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sprucerock.tls.TlsLink;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Flag;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Leave;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Seen;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Flag;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Seen;
 
 /**
  * A connection that somebody made to this relay: a client's, or another relay's with messages for
--- a/src/main/java/sprucerock/relay/DeskLink.java
+++ b/src/main/java/sprucerock/relay/frames/DeskLink.java
@@ -1,36 +1,36 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
 import sprucerock.config.RelayConfig;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Ledger;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Ledger;
 import sprucerock.model.Build;
 import sprucerock.model.Reply;
 import sprucerock.model.Standing;
 import sprucerock.model.Verdict;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.relay.engine.Events;
 import sprucerock.stats.Chance;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Redial;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Counts;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.PromiseAsk;
-import sprucerock.wire.v1.Promised;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Say;
-import sprucerock.wire.v1.Vote;
-import sprucerock.wire.v1.Voted;
-import sprucerock.wire.v1.Worth;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Counts;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Say;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
+import sprucerock.transport.wire.v1.Worth;
 
 /**
  * News and counts of the release desk, told to the ledger; and the module's votes, each with one
--- a/src/main/java/sprucerock/relay/Exchange.java
+++ b/src/main/java/sprucerock/relay/frames/Exchange.java
@@ -1,11 +1,11 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import sprucerock.model.Pick;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.Moment;
 
 /** A pick on its way over frames. */
-final class Exchange extends sprucerock.serving.Exchange {
+final class Exchange extends sprucerock.relay.engine.Exchange {
   /** Null while it waits for a connection. */
   UnitLink link;
 
--- a/src/main/java/sprucerock/relay/Fitting.java
+++ b/src/main/java/sprucerock/relay/frames/Fitting.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
@@ -12,15 +12,15 @@
 import sprucerock.lease.Guard;
 import sprucerock.lease.Leases;
 import sprucerock.model.Pick;
-import sprucerock.net.Net;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.tls.Aside;
-import sprucerock.wire.v1.Fitter;
-import sprucerock.wire.v1.Tallied;
-import sprucerock.wire.v1.TallyCell;
-import sprucerock.wire.v1.Worth;
+import sprucerock.transport.tls.Aside;
+import sprucerock.transport.wire.v1.Fitter;
+import sprucerock.transport.wire.v1.Tallied;
+import sprucerock.transport.wire.v1.TallyCell;
+import sprucerock.transport.wire.v1.Worth;
 
 /**
  * What this relay saw of hardware, told to the one relay that fits for all; and, while this one
--- a/src/main/java/sprucerock/relay/Looks.java
+++ b/src/main/java/sprucerock/relay/frames/Looks.java
@@ -1,23 +1,23 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
 import sprucerock.lease.Guard;
 import sprucerock.lease.Leases;
-import sprucerock.ledger.Ledger;
-import sprucerock.looks.Lookout;
+import sprucerock.accounting.Ledger;
+import sprucerock.relay.healthcheck.Lookout;
 import sprucerock.model.Unit;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.relay.engine.Events;
 import sprucerock.stats.Chance;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Look;
-import sprucerock.wire.v1.Looked;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Look;
+import sprucerock.transport.wire.v1.Looked;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * Looks at units for the whole fleet while this relay holds that lease: a connection of its own,
--- a/src/main/java/sprucerock/relay/Peers.java
+++ b/src/main/java/sprucerock/relay/frames/Peers.java
@@ -1,23 +1,23 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.config.RelayConfig;
-import sprucerock.ledger.Accounts;
-import sprucerock.net.Net;
-import sprucerock.serving.Events;
+import sprucerock.accounting.Accounts;
+import sprucerock.transport.net.Net;
+import sprucerock.relay.engine.Events;
 import sprucerock.stats.Chance;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Redial;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Seen;
-import sprucerock.wire.v1.Told;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Seen;
+import sprucerock.transport.wire.v1.Told;
 
 /**
  * Links to the other relays, made when the module first has something to tell. A message that can't
--- a/src/main/java/sprucerock/relay/Racks.java
+++ b/src/main/java/sprucerock/relay/frames/Racks.java
@@ -1,20 +1,20 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import java.util.HashMap;
 import java.util.Map;
 import sprucerock.config.RelayConfig;
 import sprucerock.model.Unit;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
-import sprucerock.serving.Events;
-import sprucerock.shared.Picture;
-import sprucerock.shared.Shared;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.relay.engine.Events;
+import sprucerock.relay.snapshot.Picture;
+import sprucerock.relay.snapshot.Shared;
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.v1.PromiseAsk;
-import sprucerock.wire.v1.Promised;
-import sprucerock.wire.v1.RackFree;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.RackFree;
 
 /**
  * Until when this relay may place work on which rack, as the controller promised. It counts from
--- a/src/main/java/sprucerock/relay/Relay.java
+++ b/src/main/java/sprucerock/relay/frames/Relay.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
@@ -10,37 +10,37 @@
 import sprucerock.lease.Fence;
 import sprucerock.lease.GranterDoor;
 import sprucerock.lease.Leases;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Ledger;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Ledger;
 import sprucerock.model.Build;
 import sprucerock.model.Outcome;
 import sprucerock.model.Pick;
 import sprucerock.model.Unit;
 import sprucerock.model.Verdict;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
-import sprucerock.serving.Carrier;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.relay.engine.Carrier;
+import sprucerock.relay.engine.Events;
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.tls.Aside;
-import sprucerock.tls.Material;
-import sprucerock.tls.Refusal;
-import sprucerock.tls.TlsLink;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Fitter;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.PromiseAsk;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Seen;
-import sprucerock.wire.v1.Tallied;
-import sprucerock.wire.v1.Worth;
+import sprucerock.transport.tls.Aside;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.Refusal;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Fitter;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Seen;
+import sprucerock.transport.wire.v1.Tallied;
+import sprucerock.transport.wire.v1.Worth;
 
 /**
  * The router: tells the module what happens on its links and carries out what it chooses. Where a
@@ -547,7 +547,7 @@
   }
 
   @Override
-  public void ended(sprucerock.serving.Exchange exchange, Outcome outcome, byte[] body) {
+  public void ended(sprucerock.relay.engine.Exchange exchange, Outcome outcome, byte[] body) {
     boolean first = !exchange.over();
     super.ended(exchange, outcome, body);
     if (first && outcome == Outcome.OK && fitting != null) {
@@ -652,7 +652,7 @@
   }
 
   @Override
-  protected void toUnit(sprucerock.serving.Exchange exchange) {
+  protected void toUnit(sprucerock.relay.engine.Exchange exchange) {
     // guards against a process that stood still between the module's choice and now; the pick never
     // ran
     if (!racks.mayStillPlace(exchange.pick().unit)) {
@@ -663,18 +663,18 @@
   }
 
   @Override
-  protected boolean giveUp(sprucerock.serving.Exchange exchange, boolean told) {
+  protected boolean giveUp(sprucerock.relay.engine.Exchange exchange, boolean told) {
     return links(exchange).giveUp((Exchange) exchange, told);
   }
 
-  private static UnitLinks links(sprucerock.serving.Exchange exchange) {
+  private static UnitLinks links(sprucerock.relay.engine.Exchange exchange) {
     return (UnitLinks) exchange.pick().unit.door;
   }
 
   @Override
   protected void answer(
-      sprucerock.serving.Asked asked,
-      sprucerock.serving.Ending ending,
+      sprucerock.relay.engine.Asked asked,
+      sprucerock.relay.engine.Ending ending,
       Span wait,
       long unit,
       byte[] body) {
--- a/src/main/java/sprucerock/relay/RosterLink.java
+++ b/src/main/java/sprucerock/relay/frames/RosterLink.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
@@ -12,26 +12,26 @@
 import java.util.function.Consumer;
 import sprucerock.config.Address;
 import sprucerock.config.RelayConfig;
-import sprucerock.ledger.Ledger;
+import sprucerock.accounting.Ledger;
 import sprucerock.model.Unit;
-import sprucerock.net.Net;
-import sprucerock.serving.Events;
-import sprucerock.shared.Picture;
+import sprucerock.transport.net.Net;
+import sprucerock.relay.engine.Events;
+import sprucerock.relay.snapshot.Picture;
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Redial;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Watch;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Watch;
 
 /** What the roster says of the units, told to the ledger; and each unit's connections. */
 final class RosterLink implements FrameUser {
--- a/src/main/java/sprucerock/relay/Secured.java
+++ b/src/main/java/sprucerock/relay/frames/Secured.java
@@ -1,23 +1,23 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import java.net.InetSocketAddress;
 import java.time.Instant;
 import java.util.Locale;
 import sprucerock.config.RelayConfig;
-import sprucerock.ledger.Accounts;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
-import sprucerock.serving.Events;
+import sprucerock.accounting.Accounts;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Span;
-import sprucerock.tls.Aside;
-import sprucerock.tls.Material;
-import sprucerock.tls.Names;
-import sprucerock.tls.Refusal;
-import sprucerock.tls.RefusedException;
-import sprucerock.tls.Tls;
-import sprucerock.tls.TlsLink;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.Redial;
+import sprucerock.transport.tls.Aside;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.Names;
+import sprucerock.transport.tls.Refusal;
+import sprucerock.transport.tls.RefusedException;
+import sprucerock.transport.tls.Tls;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.Redial;
 
 /**
  * Which of a relay's connections are by TLS, and with whom; counts and tells what becomes of them.
--- a/src/main/java/sprucerock/relay/UnitLink.java
+++ b/src/main/java/sprucerock/relay/frames/UnitLink.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
 import java.util.ArrayList;
@@ -9,14 +9,14 @@
 import sprucerock.model.Rpc;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Stop;
-import sprucerock.wire.v1.Work;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Stop;
+import sprucerock.transport.wire.v1.Work;
 
 /** One connection to a unit, with the picks that are out on it. */
 final class UnitLink implements FrameUser {
--- a/src/main/java/sprucerock/relay/UnitLinks.java
+++ b/src/main/java/sprucerock/relay/frames/UnitLinks.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -10,7 +10,7 @@
 import sprucerock.stats.Chance;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Hello;
 
 /**
  * The connections to one unit. They are made as picks need them, up to a number; a pick that finds
@@ -23,20 +23,20 @@
   interface Owner {
     void open(UnitLink link, InetSocketAddress to, String name);
 
-    void ended(sprucerock.serving.Exchange exchange, Outcome outcome, byte[] body);
+    void ended(sprucerock.relay.engine.Exchange exchange, Outcome outcome, byte[] body);
 
     /** The same, but told once the module has returned from what it does now. */
-    void endsSoon(sprucerock.serving.Exchange exchange, Outcome outcome);
+    void endsSoon(sprucerock.relay.engine.Exchange exchange, Outcome outcome);
 
     /** It is on a connection now. */
-    void written(sprucerock.serving.Exchange exchange);
+    void written(sprucerock.relay.engine.Exchange exchange);
 
     /** A result came for a pick that had ended before. */
     void late(Outcome outcome);
 
     Moment now();
 
-    sprucerock.net.Timers.Timer at(Moment when, Runnable what);
+    sprucerock.transport.net.Timers.Timer at(Moment when, Runnable what);
 
     void lost(Unit unit, String why);
 
--- a/src/main/java/sprucerock/looks/Lookout.java
+++ b/src/main/java/sprucerock/relay/healthcheck/Lookout.java
@@ -1,4 +1,4 @@
-package sprucerock.looks;
+package sprucerock.relay.healthcheck;
 
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/sprucerock/platform/ClientAsked.java
+++ b/src/main/java/sprucerock/relay/platform/ClientAsked.java
@@ -1,6 +1,6 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
-import sprucerock.serving.Asked;
+import sprucerock.relay.engine.Asked;
 
 /** A client's RPC: who asked it, and its statement. */
 final class ClientAsked extends Asked {
--- a/src/main/java/sprucerock/platform/ClientDoor.java
+++ b/src/main/java/sprucerock/relay/platform/ClientDoor.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import sprucerock.model.Method;
-import sprucerock.net.Net;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/platform/ClientLink.java
+++ b/src/main/java/sprucerock/relay/platform/ClientLink.java
@@ -1,14 +1,14 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.pg.Messages;
-import sprucerock.pg.ProtocolException;
-import sprucerock.pg.Reader;
-import sprucerock.pg.Writer;
-import sprucerock.serving.Ending;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.ProtocolException;
+import sprucerock.transport.postgres.Reader;
+import sprucerock.transport.postgres.Writer;
+import sprucerock.relay.engine.Ending;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/platform/Desk.java
+++ b/src/main/java/sprucerock/relay/platform/Desk.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.ByteArrayInputStream;
@@ -16,18 +16,18 @@
 import javax.xml.stream.XMLStreamConstants;
 import javax.xml.stream.XMLStreamException;
 import javax.xml.stream.XMLStreamReader;
-import sprucerock.http.HttpException;
-import sprucerock.http.HttpLink;
-import sprucerock.ledger.Ledger;
+import sprucerock.transport.http.HttpException;
+import sprucerock.transport.http.HttpLink;
+import sprucerock.accounting.Ledger;
 import sprucerock.model.Build;
 import sprucerock.model.Reply;
 import sprucerock.model.Settings;
 import sprucerock.model.Standing;
 import sprucerock.model.Unit;
 import sprucerock.model.Verdict;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
@@ -260,7 +260,7 @@
 
   @Override
   public Feed.Answer asks() {
-    sprucerock.http.Events stream = new sprucerock.http.Events();
+    sprucerock.transport.http.Events stream = new sprucerock.transport.http.Events();
     return new Feed.Answer() {
       @Override
       public String path() {
--- a/src/main/java/sprucerock/platform/Discovery.java
+++ b/src/main/java/sprucerock/relay/platform/Discovery.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -20,11 +20,11 @@
 import java.util.TreeMap;
 import java.util.function.DoubleSupplier;
 import java.util.zip.CRC32;
-import sprucerock.http.HttpException;
-import sprucerock.ledger.Ledger;
+import sprucerock.transport.http.HttpException;
+import sprucerock.accounting.Ledger;
 import sprucerock.model.Unit;
-import sprucerock.net.Net;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/platform/Feed.java
+++ b/src/main/java/sprucerock/relay/platform/Feed.java
@@ -1,13 +1,13 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.function.DoubleSupplier;
-import sprucerock.http.HttpException;
-import sprucerock.http.HttpLink;
-import sprucerock.net.Net;
-import sprucerock.net.Pauses;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.http.HttpException;
+import sprucerock.transport.http.HttpLink;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Pauses;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/platform/Form.java
+++ b/src/main/java/sprucerock/relay/platform/Form.java
@@ -1,10 +1,10 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import sprucerock.http.HttpException;
+import sprucerock.transport.http.HttpException;
 
 /**
  * Names and values as forms have them; what is asked for and not there, or no number, can't be
--- a/src/main/java/sprucerock/platform/PgExchange.java
+++ b/src/main/java/sprucerock/relay/platform/PgExchange.java
@@ -1,8 +1,8 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import sprucerock.model.Pick;
-import sprucerock.net.Timers.Timer;
-import sprucerock.serving.Exchange;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.relay.engine.Exchange;
 import sprucerock.time.Moment;
 
 /** A pick on its way to a unit that speaks PostgreSQL's protocol. */
--- a/src/main/java/sprucerock/platform/PlatformConfig.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformConfig.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -14,7 +14,7 @@
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.model.Settings;
-import sprucerock.settings.SettingsText;
+import sprucerock.config.settings.SettingsText;
 import sprucerock.time.Span;
 
 /** What the platform tells a relay at its start, in the file that LB_CONFIG names. */
--- a/src/main/java/sprucerock/platform/Statement.java
+++ b/src/main/java/sprucerock/relay/platform/Statement.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/sprucerock/platform/UnitDoor.java
+++ b/src/main/java/sprucerock/relay/platform/UnitDoor.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -7,7 +7,7 @@
 import java.util.Set;
 import sprucerock.model.Outcome;
 import sprucerock.model.Unit;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/platform/UnitDoors.java
+++ b/src/main/java/sprucerock/relay/platform/UnitDoors.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.net.InetSocketAddress;
 import java.util.Iterator;
@@ -6,9 +6,9 @@
 import java.util.Map;
 import sprucerock.model.Outcome;
 import sprucerock.model.Unit;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
@@ -19,11 +19,11 @@
 final class UnitDoors {
   /** What the doors need of the relay. */
   interface Owner {
-    void ended(sprucerock.serving.Exchange exchange, Outcome outcome, byte[] body);
+    void ended(sprucerock.relay.engine.Exchange exchange, Outcome outcome, byte[] body);
 
-    void endsSoon(sprucerock.serving.Exchange exchange, Outcome outcome);
+    void endsSoon(sprucerock.relay.engine.Exchange exchange, Outcome outcome);
 
-    void written(sprucerock.serving.Exchange exchange);
+    void written(sprucerock.relay.engine.Exchange exchange);
   }
 
   private static final long UNSENT = 512 * 1024;
--- a/src/main/java/sprucerock/platform/UnitLink.java
+++ b/src/main/java/sprucerock/relay/platform/UnitLink.java
@@ -1,14 +1,14 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.nio.ByteBuffer;
 import sprucerock.model.Outcome;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Timers.Timer;
-import sprucerock.pg.Messages;
-import sprucerock.pg.ProtocolException;
-import sprucerock.pg.Reader;
-import sprucerock.pg.Writer;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.ProtocolException;
+import sprucerock.transport.postgres.Reader;
+import sprucerock.transport.postgres.Writer;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/platform/WarmUp.java
+++ b/src/main/java/sprucerock/relay/platform/WarmUp.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,15 +8,15 @@
 import java.util.Map;
 import org.slf4j.helpers.NOPLogger;
 import sprucerock.config.ConfigException;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.ScriptedNet;
-import sprucerock.pg.Messages;
-import sprucerock.pg.ProtocolException;
-import sprucerock.pg.Reader;
-import sprucerock.pg.Writer;
-import sprucerock.serving.Carrier;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.ProtocolException;
+import sprucerock.transport.postgres.Reader;
+import sprucerock.transport.postgres.Writer;
+import sprucerock.relay.engine.Carrier;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Span;
 
 /**
--- a/src/main/java/sprucerock/shared/Shared.java
+++ b/src/main/java/sprucerock/relay/snapshot/Shared.java
@@ -1,4 +1,4 @@
-package sprucerock.shared;
+package sprucerock.relay.snapshot;
 
 import java.util.concurrent.atomic.AtomicReference;
 
--- a/src/main/java/sprucerock/sim/FrameException.java
+++ b/src/main/java/sprucerock/simulation/FrameException.java
@@ -1,4 +1,4 @@
-package sprucerock.sim;
+package sprucerock.simulation;
 
 /** Input that is not the wire; the message names batch, record and what is wrong. */
 public final class FrameException extends RuntimeException {
--- a/src/main/java/sprucerock/sim/Relay.java
+++ b/src/main/java/sprucerock/simulation/Relay.java
@@ -1,4 +1,4 @@
-package sprucerock.sim;
+package sprucerock.simulation;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -6,9 +6,9 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import sprucerock.host.Host;
-import sprucerock.host.Module;
-import sprucerock.ledger.Ledger;
+import sprucerock.policy.Host;
+import sprucerock.policy.Module;
+import sprucerock.accounting.Ledger;
 import sprucerock.model.Build;
 import sprucerock.model.Outcome;
 import sprucerock.model.Pick;
@@ -17,7 +17,7 @@
 import sprucerock.model.Settings;
 import sprucerock.model.Standing;
 import sprucerock.model.Verdict;
-import sprucerock.settings.SettingsText;
+import sprucerock.config.settings.SettingsText;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/sim/Replies.java
+++ b/src/main/java/sprucerock/simulation/Replies.java
@@ -1,4 +1,4 @@
-package sprucerock.sim;
+package sprucerock.simulation;
 
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/src/main/java/sprucerock/sim/Simhost.java
+++ b/src/main/java/sprucerock/simulation/Simhost.java
@@ -1,4 +1,4 @@
-package sprucerock.sim;
+package sprucerock.simulation;
 
 import java.io.DataInputStream;
 import java.io.EOFException;
--- a/src/main/java/sprucerock/http/Events.java
+++ b/src/main/java/sprucerock/transport/http/Events.java
@@ -1,4 +1,4 @@
-package sprucerock.http;
+package sprucerock.transport.http;
 
 import java.nio.ByteBuffer;
 
--- a/src/main/java/sprucerock/http/HttpException.java
+++ b/src/main/java/sprucerock/transport/http/HttpException.java
@@ -1,4 +1,4 @@
-package sprucerock.http;
+package sprucerock.transport.http;
 
 /** Bytes that are no answer over HTTP/1.1, or none within the limits. */
 public final class HttpException extends Exception {
--- a/src/main/java/sprucerock/http/HttpLink.java
+++ b/src/main/java/sprucerock/transport/http/HttpLink.java
@@ -1,13 +1,13 @@
-package sprucerock.http;
+package sprucerock.transport.http;
 
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/net/Pauses.java
+++ b/src/main/java/sprucerock/transport/net/Pauses.java
@@ -1,4 +1,4 @@
-package sprucerock.net;
+package sprucerock.transport.net;
 
 import java.util.function.DoubleSupplier;
 import sprucerock.time.Span;
--- a/src/main/java/sprucerock/net/nio/NioDatagrams.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioDatagrams.java
@@ -1,4 +1,4 @@
-package sprucerock.net.nio;
+package sprucerock.transport.net.nio;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,7 +6,7 @@
 import java.nio.channels.ClosedChannelException;
 import java.nio.channels.DatagramChannel;
 import java.util.concurrent.atomic.AtomicInteger;
-import sprucerock.net.Datagrams;
+import sprucerock.transport.net.Datagrams;
 
 /**
  * NIO.2 has no asynchronous datagrams: a thread of its own waits for them and hands each to the
--- a/src/main/java/sprucerock/net/nio/NioLink.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioLink.java
@@ -1,4 +1,4 @@
-package sprucerock.net.nio;
+package sprucerock.transport.net.nio;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,9 +8,9 @@
 import java.nio.channels.CompletionHandler;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.Span;
 
 /**
--- a/src/main/java/sprucerock/net/nio/NioLoop.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioLoop.java
@@ -1,4 +1,4 @@
-package sprucerock.net.nio;
+package sprucerock.transport.net.nio;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -18,10 +18,10 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import sprucerock.net.Datagrams;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Datagrams;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/main/java/sprucerock/net/nio/Wheel.java
+++ b/src/main/java/sprucerock/transport/net/nio/Wheel.java
@@ -1,9 +1,9 @@
-package sprucerock.net.nio;
+package sprucerock.transport.net.nio;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Timers.Timer;
 
 /**
  * What is to be done later, in slots of an eighth of a millisecond. A relay keeps several timers an
--- a/src/main/java/sprucerock/pg/ProtocolException.java
+++ b/src/main/java/sprucerock/transport/postgres/ProtocolException.java
@@ -1,4 +1,4 @@
-package sprucerock.pg;
+package sprucerock.transport.postgres;
 
 /** Bytes that are not the protocol; the message says what and why in one line. */
 public final class ProtocolException extends Exception {
--- a/src/main/java/sprucerock/pg/Reader.java
+++ b/src/main/java/sprucerock/transport/postgres/Reader.java
@@ -1,4 +1,4 @@
-package sprucerock.pg;
+package sprucerock.transport.postgres;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/sprucerock/tls/Aside.java
+++ b/src/main/java/sprucerock/transport/tls/Aside.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 /** Where work is done that would hold a loop up. */
 public interface Aside {
--- a/src/main/java/sprucerock/tls/Buffers.java
+++ b/src/main/java/sprucerock/transport/tls/Buffers.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
--- a/src/main/java/sprucerock/tls/Counter.java
+++ b/src/main/java/sprucerock/transport/tls/Counter.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 /** Who counts handshakes. Each begun one is told once as done or refused. */
 public interface Counter {
--- a/src/main/java/sprucerock/tls/Names.java
+++ b/src/main/java/sprucerock/transport/tls/Names.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.net.IDN;
 import java.net.InetAddress;
--- a/src/main/java/sprucerock/tls/Refusal.java
+++ b/src/main/java/sprucerock/transport/tls/Refusal.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 /**
  * Why a peer is not talked to, each with words of its own; docs/operators/tls.md explains them one
--- a/src/main/java/sprucerock/tls/TestCa.java
+++ b/src/main/java/sprucerock/transport/tls/TestCa.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.io.IOException;
 import java.io.StringWriter;
--- a/src/main/java/sprucerock/tls/Tls.java
+++ b/src/main/java/sprucerock/transport/tls/Tls.java
@@ -1,14 +1,14 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.security.GeneralSecurityException;
 import java.time.Instant;
 import java.util.function.Supplier;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
-import sprucerock.net.Timers.Timer;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.Span;
 
 /**
--- a/src/main/java/sprucerock/tls/TlsLink.java
+++ b/src/main/java/sprucerock/transport/tls/TlsLink.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.nio.ByteBuffer;
 import java.security.cert.X509Certificate;
@@ -11,9 +11,9 @@
 import javax.net.ssl.SSLEngineResult.Status;
 import javax.net.ssl.SSLException;
 import javax.net.ssl.SSLPeerUnverifiedException;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Timers;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Timers;
 import sprucerock.time.Span;
 
 /**
--- a/src/main/java/sprucerock/tls/Workers.java
+++ b/src/main/java/sprucerock/transport/tls/Workers.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
--- a/src/main/java/sprucerock/wire/FrameLink.java
+++ b/src/main/java/sprucerock/transport/wire/FrameLink.java
@@ -1,16 +1,16 @@
-package sprucerock.wire;
+package sprucerock.transport.wire;
 
 import com.google.protobuf.CodedOutputStream;
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Timers;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Timers;
 import sprucerock.time.Moment;
-import sprucerock.wire.v1.Beat;
-import sprucerock.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Beat;
+import sprucerock.transport.wire.v1.Hello;
 
 /**
  * One connection in this protocol: frames in and out, the greeting, and beats that keep it and show
--- a/src/main/java/sprucerock/wire/FrameUser.java
+++ b/src/main/java/sprucerock/transport/wire/FrameUser.java
@@ -1,7 +1,7 @@
-package sprucerock.wire;
+package sprucerock.transport.wire;
 
 import com.google.protobuf.MessageLite;
-import sprucerock.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Hello;
 
 /** Who talks over a {@link FrameLink}. */
 public interface FrameUser {
--- a/src/main/java/sprucerock/wire/Redial.java
+++ b/src/main/java/sprucerock/transport/wire/Redial.java
@@ -1,13 +1,13 @@
-package sprucerock.wire;
+package sprucerock.transport.wire;
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
-import sprucerock.net.Pauses;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Pauses;
 import sprucerock.stats.Chance;
 import sprucerock.time.Span;
-import sprucerock.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Hello;
 
 /**
  * Keeps a link to one address: whenever it is gone, another is made, after a pause that grows and
--- a/src/main/java/sprucerock/wire/Tap.java
+++ b/src/main/java/sprucerock/transport/wire/Tap.java
@@ -1,4 +1,4 @@
-package sprucerock.wire;
+package sprucerock.transport.wire;
 
 import com.google.protobuf.MessageLite;
 
--- a/src/main/java/sprucerock/wire/WireException.java
+++ b/src/main/java/sprucerock/transport/wire/WireException.java
@@ -1,4 +1,4 @@
-package sprucerock.wire;
+package sprucerock.transport.wire;
 
 /** Bytes that are not this protocol; the message says what is wrong with them. */
 public final class WireException extends Exception {
--- a/src/test/java/sprucerock/ArchitectureTest.java
+++ b/src/test/java/sprucerock/ArchitectureTest.java
@@ -25,52 +25,52 @@
       {"time", ""},
       {"stats", "time"},
       {"model", "time stats"},
-      {"host", "time model"},
-      {"evidence", "time stats model"},
-      {"ledger", "time model host"},
-      {"settings", "time model"},
-      {"sim", "time model host ledger settings ."},
-      {"pg", ""},
-      {"http", "time net"},
-      {"serving", "time model host ledger net"},
-      {"platform", "time stats model host ledger config settings net pg http serving"},
-      {"net", "time"},
-      {"net.nio", "time net"},
-      {"tls", "time stats net"},
-      {"wire", "time stats net wire.v1"},
-      {"config", "time model wire tls"},
-      {"figures", "ledger"},
-      {"lease", "time stats config net wire wire.v1"},
-      {"looks", "time"},
+      {"policy", "time model"},
+      {"policy.evidence", "time stats model"},
+      {"accounting", "time model policy"},
+      {"config.settings", "time model"},
+      {"simulation", "time model policy accounting config.settings ."},
+      {"transport.postgres", ""},
+      {"transport.http", "time transport.net"},
+      {"relay.engine", "time model policy accounting transport.net"},
+      {"relay.platform", "time stats model policy accounting config config.settings transport.net transport.postgres transport.http relay.engine"},
+      {"transport.net", "time"},
+      {"transport.net.nio", "time transport.net"},
+      {"transport.tls", "time stats transport.net"},
+      {"transport.wire", "time stats transport.net transport.wire.v1"},
+      {"config", "time model transport.wire transport.tls"},
+      {"metrics", "accounting"},
+      {"lease", "time stats config transport.net transport.wire transport.wire.v1"},
+      {"relay.healthcheck", "time"},
       {"hardware", ""},
-      {"freeze", "hardware"},
-      {"shared", "time"},
+      {"controller.maintenance", "hardware"},
+      {"relay.snapshot", "time"},
       {
-        "relay",
-        "time stats model host ledger serving config lease looks shared hardware net tls wire wire.v1"
+        "relay.frames",
+        "time stats model policy accounting relay.engine config lease relay.healthcheck relay.snapshot hardware transport.net transport.tls transport.wire transport.wire.v1"
       },
-      {"trace", "time net net.nio wire wire.v1"},
-      {"judge", "time trace wire wire.v1"},
-      {"compare", ""},
-      {"change", "time"},
-      {"controller", "time change compare freeze hardware controller.v1"},
-      {"versions", ""},
-      {"agent", "time model stats ledger figures change config net net.nio versions wire wire.v1"},
+      {"rehearsal.trace", "time transport.net transport.net.nio transport.wire transport.wire.v1"},
+      {"rehearsal.invariant", "time rehearsal.trace transport.wire transport.wire.v1"},
+      {"controller.comparison", ""},
+      {"controller.deployment", "time"},
+      {"controller", "time controller.deployment controller.comparison controller.maintenance hardware controller.v1"},
+      {"agent.artifact", ""},
+      {"agent", "time model stats accounting metrics controller.deployment config transport.net transport.net.nio agent.artifact transport.wire transport.wire.v1"},
       {
-        "desk",
-        "time lease freeze net net.nio config change compare versions controller controller.v1 wire wire.v1"
+        "controller.server",
+        "time lease controller.maintenance transport.net transport.net.nio config controller.deployment controller.comparison agent.artifact controller controller.v1 transport.wire transport.wire.v1"
       },
-      {"standin", "time stats lease net tls trace wire wire.v1"},
+      {"rehearsal.fake", "time stats lease transport.net transport.tls rehearsal.trace transport.wire transport.wire.v1"},
       {"lab.slope", ""},
       {"lab.plot", "lab.slope"},
-      {"recovery", "trace wire wire.v1"},
+      {"rehearsal.recovery", "rehearsal.trace transport.wire transport.wire.v1"},
       {
         "lab",
-        "time stats model host ledger serving config relay agent change versions lease net net.nio wire wire.v1"
+        "time stats model policy accounting relay.engine config relay.frames agent controller.deployment agent.artifact lease transport.net transport.net.nio transport.wire transport.wire.v1"
       },
       {
-        "rehearsal",
-        "time net net.nio tls trace judge recovery figures ledger desk standin wire wire.v1"
+        "rehearsal.scenario",
+        "time transport.net transport.net.nio transport.tls rehearsal.trace rehearsal.invariant rehearsal.recovery metrics accounting controller.server rehearsal.fake transport.wire transport.wire.v1"
       },
     };
   }
@@ -114,13 +114,13 @@
         .should()
         .onlyBeCalled()
         .byClassesThat()
-        .resideInAnyPackage("sprucerock.ledger", "sprucerock.model")
+        .resideInAnyPackage("sprucerock.accounting", "sprucerock.model")
         .check(ALL);
   }
 
   @Test
   public void whatDecidesOpensNothingAndReadsNoClock() {
-    for (String room : new String[] {"model", "stats", "evidence", "ledger", "host", "time"}) {
+    for (String room : new String[] {"model", "stats", "policy.evidence", "accounting", "policy", "time"}) {
       noClasses()
           .that()
           .resideInAPackage("sprucerock." + room)
@@ -145,7 +145,7 @@
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
-            "java.io", "java.net", "java.nio..", "java.util.concurrent..", "sprucerock.net..")
+            "java.io", "java.net", "java.nio..", "java.util.concurrent..", "sprucerock.transport.net..")
         .check(ALL);
     for (String core :
         new String[] {
@@ -155,14 +155,14 @@
           "lease.Fence",
           "lease.Terms",
           "lease.Grant",
-          "looks.Lookout",
+          "relay.healthcheck.Lookout",
           "hardware.Fit",
           "hardware.Seen",
           "hardware.Tally",
           "hardware.Translation",
-          "freeze.Freezes",
-          "freeze.Freeze",
-          "freeze.Headroom"
+          "controller.maintenance.Freezes",
+          "controller.maintenance.Freeze",
+          "controller.maintenance.Headroom"
         }) {
       noClasses()
           .that()
@@ -174,8 +174,8 @@
               "java.net",
               "java.nio..",
               "java.util.concurrent..",
-              "sprucerock.net..",
-              "sprucerock.wire..",
+              "sprucerock.transport.net..",
+              "sprucerock.transport.wire..",
               "sprucerock.config..")
           .check(ALL);
       noClasses()
@@ -204,9 +204,9 @@
             "java.io",
             "java.net",
             "java.nio..",
-            "sprucerock.net..",
-            "sprucerock.relay..",
-            "sprucerock.sim..")
+            "sprucerock.transport.net..",
+            "sprucerock.relay.frames..",
+            "sprucerock.simulation..")
         .check(ALL);
   }
 
@@ -227,7 +227,7 @@
     fields()
         .that()
         .areDeclaredInClassesThat()
-        .resideInAnyPackage("sprucerock.relay", "sprucerock.net..", "sprucerock.wire")
+        .resideInAnyPackage("sprucerock.relay.frames", "sprucerock.transport.net..", "sprucerock.transport.wire")
         .and()
         .arePublic()
         .should()
--- a/src/test/java/sprucerock/PolicyTest.java
+++ b/src/test/java/sprucerock/PolicyTest.java
@@ -7,7 +7,7 @@
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.Test;
-import sprucerock.evidence.Board;
+import sprucerock.policy.evidence.Board;
 import sprucerock.model.Outcome;
 import sprucerock.model.Pick;
 import sprucerock.model.Reply;
--- a/src/test/java/sprucerock/SimhostTest.java
+++ b/src/test/java/sprucerock/SimhostTest.java
@@ -12,8 +12,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HexFormat;
 import org.testng.annotations.Test;
-import sprucerock.sim.FrameException;
-import sprucerock.sim.Simhost;
+import sprucerock.simulation.FrameException;
+import sprucerock.simulation.Simhost;
 
 /** Frames in and out of the adapter. */
 public class SimhostTest {
--- a/src/test/java/sprucerock/ledger/AccountsTest.java
+++ b/src/test/java/sprucerock/accounting/AccountsTest.java
@@ -1,4 +1,4 @@
-package sprucerock.ledger;
+package sprucerock.accounting;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/src/test/java/sprucerock/ledger/LedgerProperties.java
+++ b/src/test/java/sprucerock/accounting/LedgerProperties.java
@@ -1,4 +1,4 @@
-package sprucerock.ledger;
+package sprucerock.accounting;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -17,15 +17,15 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.Size;
 import org.HdrHistogram.Histogram;
-import sprucerock.figures.Keeper;
-import sprucerock.figures.Snapshot;
+import sprucerock.metrics.Keeper;
+import sprucerock.metrics.Snapshot;
 import sprucerock.model.Method;
 import sprucerock.model.Outcome;
 import sprucerock.model.Pick;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
 import sprucerock.model.Unit;
-import sprucerock.relay.Told;
+import sprucerock.relay.frames.Told;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/test/java/sprucerock/ledger/LedgerTest.java
+++ b/src/test/java/sprucerock/accounting/LedgerTest.java
@@ -1,4 +1,4 @@
-package sprucerock.ledger;
+package sprucerock.accounting;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -20,7 +20,7 @@
 import sprucerock.model.Settings;
 import sprucerock.model.Standing;
 import sprucerock.model.Unit;
-import sprucerock.relay.Told;
+import sprucerock.relay.frames.Told;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
+++ b/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Version;
 import sprucerock.compat.CorpusFiles;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.versions.Vault;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.agent.artifact.Vault;
 
 /**
  * An agent's folder and the command line of its relay, by which a later agent's life, of a newer
--- a/src/test/java/sprucerock/agent/AgentTest.java
+++ b/src/test/java/sprucerock/agent/AgentTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.agent.Agent.Phase;
-import sprucerock.change.Version;
+import sprucerock.controller.deployment.Version;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/test/java/sprucerock/versions/VaultTest.java
+++ b/src/test/java/sprucerock/agent/artifact/VaultTest.java
@@ -1,4 +1,4 @@
-package sprucerock.versions;
+package sprucerock.agent.artifact;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/src/test/java/sprucerock/bench/PostingsBenchmark.java
+++ b/src/test/java/sprucerock/benchmark/PostingsBenchmark.java
@@ -1,4 +1,4 @@
-package sprucerock.bench;
+package sprucerock.benchmark;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -19,9 +19,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
-import sprucerock.figures.Keeper;
-import sprucerock.figures.Snapshot;
-import sprucerock.ledger.Accounts;
+import sprucerock.metrics.Keeper;
+import sprucerock.metrics.Snapshot;
+import sprucerock.accounting.Accounts;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/compat/CompatRecorder.java
+++ b/src/test/java/sprucerock/compat/CompatRecorder.java
@@ -3,8 +3,8 @@
 import java.nio.file.Path;
 import sprucerock.agent.AgentFolderCompatTest;
 import sprucerock.controller.ControllerCompatTest;
-import sprucerock.desk.WebhooksCompatTest;
-import sprucerock.platform.StatementsCompatTest;
+import sprucerock.controller.server.WebhooksCompatTest;
+import sprucerock.relay.platform.StatementsCompatTest;
 
 /**
  * Writes the recorded files of the compatibility corpus; run by hand, with the corpus folder as
--- a/src/test/java/sprucerock/compat/FiguresCompatTest.java
+++ b/src/test/java/sprucerock/compat/FiguresCompatTest.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.figures.Keeper;
-import sprucerock.figures.Snapshot;
-import sprucerock.figures.Table;
-import sprucerock.ledger.Accounts;
+import sprucerock.metrics.Keeper;
+import sprucerock.metrics.Snapshot;
+import sprucerock.metrics.Table;
+import sprucerock.accounting.Accounts;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/compat/FrameRecorder.java
+++ b/src/test/java/sprucerock/compat/FrameRecorder.java
@@ -9,19 +9,19 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.net.Link;
-import sprucerock.net.Timers;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.Timers;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameReader;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.Tap;
-import sprucerock.wire.WireException;
-import sprucerock.wire.v1.Hello;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameReader;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.WireException;
+import sprucerock.transport.wire.v1.Hello;
 
 /**
  * The relay protocol's own codec without a network: frames to bytes and to lines of a trace, and
--- a/src/test/java/sprucerock/compat/FramesCompatTest.java
+++ b/src/test/java/sprucerock/compat/FramesCompatTest.java
@@ -13,10 +13,10 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.tls.Credentials;
-import sprucerock.trace.Line;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.Kind;
+import sprucerock.transport.tls.Credentials;
+import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.Kind;
 
 /**
  * The relay protocol on recorded bytes: one frame of each kind, with every field of its head set.
--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -20,11 +20,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.cli.Commands;
-import sprucerock.figures.Export;
-import sprucerock.figures.Keeper;
-import sprucerock.figures.Table;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Sheet;
+import sprucerock.metrics.Export;
+import sprucerock.metrics.Keeper;
+import sprucerock.metrics.Table;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Sheet;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/compat/PostgresCompatTest.java
+++ b/src/test/java/sprucerock/compat/PostgresCompatTest.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
-import sprucerock.pg.Messages;
-import sprucerock.pg.Reader;
-import sprucerock.pg.Writer;
+import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.Reader;
+import sprucerock.transport.postgres.Writer;
 
 /**
  * PostgreSQL messages on recorded bytes, in both directions; those that only a client or a server
@@ -128,7 +128,7 @@
         ByteBuffer.wrap(fromClients),
         new User(lines) {
           @Override
-          public void message(char type, byte[] body) throws sprucerock.pg.ProtocolException {
+          public void message(char type, byte[] body) throws sprucerock.transport.postgres.ProtocolException {
             if (type == 0 && Reader.startup(body) == Reader.Startup.SESSION) {
               clients.started();
             }
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void message(char type, byte[] body) throws sprucerock.pg.ProtocolException {
+    public void message(char type, byte[] body) throws sprucerock.transport.postgres.ProtocolException {
       lines.add(
           (type == 0 ? "startup" : String.valueOf(type))
               + " "
@@ -161,7 +161,7 @@
       return true;
     }
 
-    private static String said(char type, byte[] body) throws sprucerock.pg.ProtocolException {
+    private static String said(char type, byte[] body) throws sprucerock.transport.postgres.ProtocolException {
       switch (type) {
         case 0:
           return Reader.startup(body).toString();
--- a/src/test/java/sprucerock/compat/RehearsalCompatTest.java
+++ b/src/test/java/sprucerock/compat/RehearsalCompatTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.judge.Finding;
-import sprucerock.judge.Judge;
+import sprucerock.rehearsal.invariant.Finding;
+import sprucerock.rehearsal.invariant.Judge;
 
 /**
  * The traces of a small recorded rehearsal, and the judge's verdict on them: as they are, and with
--- a/src/test/java/sprucerock/compat/SimhostCompatTest.java
+++ b/src/test/java/sprucerock/compat/SimhostCompatTest.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 import java.util.HexFormat;
 import org.testng.annotations.Test;
-import sprucerock.sim.FrameException;
-import sprucerock.sim.Simhost;
+import sprucerock.simulation.FrameException;
+import sprucerock.simulation.Simhost;
 
 /**
  * The simulator's wire: a recorded stretch of batches for three relays is answered byte for byte as
--- a/src/test/java/sprucerock/compare/ComparisonTest.java
+++ b/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
@@ -1,11 +1,11 @@
-package sprucerock.compare;
+package sprucerock.controller.comparison;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
-import sprucerock.compare.Comparison.Answer;
+import sprucerock.controller.comparison.Comparison.Answer;
 
 /**
  * What is told of old and new side by side; chance from seeds, so each verdict is the same every
--- a/src/test/java/sprucerock/change/ChangesProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
@@ -1,4 +1,4 @@
-package sprucerock.change;
+package sprucerock.controller.deployment;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -9,7 +9,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import sprucerock.change.Change.State;
+import sprucerock.controller.deployment.Change.State;
 import sprucerock.time.Moment;
 
 /**
--- a/src/test/java/sprucerock/change/ChangesTest.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesTest.java
@@ -1,4 +1,4 @@
-package sprucerock.change;
+package sprucerock.controller.deployment;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
-import sprucerock.change.Change.State;
+import sprucerock.controller.deployment.Change.State;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/test/java/sprucerock/freeze/FreezesTest.java
+++ b/src/test/java/sprucerock/controller/maintenance/FreezesTest.java
@@ -1,4 +1,4 @@
-package sprucerock.freeze;
+package sprucerock.controller.maintenance;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
--- a/src/test/java/sprucerock/desk/AgentsDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import static org.testng.Assert.assertTrue;
 
@@ -12,15 +12,15 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.change.ManagedRelay;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.Engine;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.AgentSays;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.AgentSays;
+import sprucerock.transport.wire.v1.Role;
 
 /** Agents that come, go and stay away, over links; nothing hangs on how fast. */
 public class AgentsDoorTest {
--- a/src/test/java/sprucerock/desk/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import static org.testng.Assert.expectThrows;
 
--- a/src/test/java/sprucerock/desk/DeskTest.java
+++ b/src/test/java/sprucerock/controller/server/DeskTest.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -25,18 +25,18 @@
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
 import sprucerock.controller.Engine;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Say;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Taken;
-import sprucerock.wire.v1.Vote;
-import sprucerock.wire.v1.Voted;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Say;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Taken;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
 
 /**
  * The controller between a pipeline, an operator and relays, over sockets on loopback; nothing
--- a/src/test/java/sprucerock/desk/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import static org.testng.Assert.assertTrue;
 
@@ -24,13 +24,13 @@
 import org.testng.annotations.Test;
 import sprucerock.compat.Corpus;
 import sprucerock.controller.Engine;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.AgentSays;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.AgentSays;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * The controller's HTTP API: stretches of requests, with the status and body that each was answered
--- a/src/test/java/sprucerock/desk/PromisesDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -19,15 +19,15 @@
 import sprucerock.controller.Engine;
 import sprucerock.controller.v1.FreezeWanted;
 import sprucerock.controller.v1.Input;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Span;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.PromiseAsk;
-import sprucerock.wire.v1.Promised;
-import sprucerock.wire.v1.RackFree;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.RackFree;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * What relays of older and newer programs are promised over a link, in bytes, against the number of
--- a/src/test/java/sprucerock/desk/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -1,4 +1,4 @@
-package sprucerock.desk;
+package sprucerock.controller.server;
 
 import static org.testng.Assert.assertEquals;
 
@@ -18,17 +18,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import sprucerock.change.Change;
-import sprucerock.change.Changes;
-import sprucerock.change.ManagedRelay;
-import sprucerock.change.Plan;
+import sprucerock.controller.deployment.Change;
+import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.deployment.Plan;
 import sprucerock.compat.CorpusFiles;
 import sprucerock.controller.Engine;
 import sprucerock.controller.Release;
 import sprucerock.controller.Rules;
 import sprucerock.controller.v1.Announced;
 import sprucerock.controller.v1.Input;
-import sprucerock.freeze.Freezes;
+import sprucerock.controller.maintenance.Freezes;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/lease/LeaseFire.java
+++ b/src/test/java/sprucerock/lease/LeaseFire.java
@@ -16,17 +16,17 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.standin.WayStandIn;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.rehearsal.fake.WayStandIn;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Told;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Told;
 
 /**
  * Five real processes, three of them granters, that stand for the same leases, over ways that are
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -12,18 +12,18 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import sprucerock.config.LeaseConfig;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.Chance;
 import sprucerock.time.Span;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.FrameUser;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Limits;
-import sprucerock.wire.Redial;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Told;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Told;
 
 /**
  * One process of {@link LeaseProcessesTest}: a candidate for many leases, perhaps a granter too.
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.Test;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
-import sprucerock.wire.v1.LeaseAsk;
-import sprucerock.wire.v1.LeaseSaid;
+import sprucerock.transport.wire.v1.LeaseAsk;
+import sprucerock.transport.wire.v1.LeaseSaid;
 
 /**
  * What one granter is asked in a minute by so many candidates for one name, of which one holds it:
--- a/src/test/java/sprucerock/figures/ExportTest.java
+++ b/src/test/java/sprucerock/metrics/ExportTest.java
@@ -1,4 +1,4 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.Test;
-import sprucerock.ledger.Accounts;
+import sprucerock.accounting.Accounts;
 import sprucerock.time.Span;
 
 /** What a monitor reads: sums hold within each scrape, whatever the relay does meanwhile. */
--- a/src/test/java/sprucerock/figures/PagesTest.java
+++ b/src/test/java/sprucerock/metrics/PagesTest.java
@@ -1,4 +1,4 @@
-package sprucerock.figures;
+package sprucerock.metrics;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
-import sprucerock.ledger.Accounts;
-import sprucerock.ledger.Sheet;
+import sprucerock.accounting.Accounts;
+import sprucerock.accounting.Sheet;
 import sprucerock.time.Span;
 
 /** Figures through kills at every write, damage of every kind, and one life after another. */
--- a/src/test/java/sprucerock/standin/MonitorStandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/MonitorStandInTest.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import static org.testng.Assert.assertEquals;
 
--- a/src/test/java/sprucerock/standin/StandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
@@ -1,4 +1,4 @@
-package sprucerock.standin;
+package sprucerock.rehearsal.fake;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -14,27 +14,27 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.net.ScriptedNet;
+import sprucerock.transport.net.ScriptedNet;
 import sprucerock.time.Span;
-import sprucerock.trace.TraceWriter;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Ending;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Say;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Taken;
-import sprucerock.wire.v1.Vote;
-import sprucerock.wire.v1.Voted;
-import sprucerock.wire.v1.Watch;
-import sprucerock.wire.v1.Work;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Ending;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Say;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Taken;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
+import sprucerock.transport.wire.v1.Watch;
+import sprucerock.transport.wire.v1.Work;
 
 /** The stand-ins do to a relay what their command says, in simulated time. */
 public class StandInTest {
--- a/src/test/java/sprucerock/judge/JudgeTest.java
+++ b/src/test/java/sprucerock/rehearsal/invariant/JudgeTest.java
@@ -1,4 +1,4 @@
-package sprucerock.judge;
+package sprucerock.rehearsal.invariant;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.trace.Line;
+import sprucerock.rehearsal.trace.Line;
 
 /**
  * Hand-made traces: each way in which a rule can be broken is found, and clean ones pass. Times are
--- a/src/test/java/sprucerock/recovery/MeterTest.java
+++ b/src/test/java/sprucerock/rehearsal/recovery/MeterTest.java
@@ -1,4 +1,4 @@
-package sprucerock.recovery;
+package sprucerock.rehearsal.recovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.trace.Line;
+import sprucerock.rehearsal.trace.Line;
 
 /** Days whose return is known, and what the meter reads from them. */
 public class MeterTest {
--- a/src/test/java/sprucerock/rehearsal/ChangeDayTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/ChangeDayTest.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/src/test/java/sprucerock/rehearsal/DayScriptCompatTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/DayScriptCompatTest.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.expectThrows;
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 import sprucerock.compat.Corpus;
 import sprucerock.compat.Rendering;
-import sprucerock.standin.Site;
+import sprucerock.rehearsal.fake.Site;
 
 /**
  * Day scripts, those of the repository and some that have each line of the language: what is read
--- a/src/test/java/sprucerock/rehearsal/FleetBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import static org.testng.Assert.assertEquals;
 
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.figures.Keeper;
-import sprucerock.ledger.Accounts;
+import sprucerock.metrics.Keeper;
+import sprucerock.accounting.Accounts;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/rehearsal/ScriptTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/ScriptTest.java
@@ -1,4 +1,4 @@
-package sprucerock.rehearsal;
+package sprucerock.rehearsal.scenario;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -11,7 +11,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.standin.Site;
+import sprucerock.rehearsal.fake.Site;
 
 /**
  * Day scripts: what they may say, and where they are wrong; and one short day over real sockets.
--- a/src/test/java/sprucerock/relay/RacksTest.java
+++ b/src/test/java/sprucerock/relay/frames/RacksTest.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.net.ScriptedNet;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.relay.engine.Events;
 import sprucerock.stats.Chance;
-import sprucerock.wire.v1.PromiseAsk;
-import sprucerock.wire.v1.Promised;
-import sprucerock.wire.v1.RackFree;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.RackFree;
 
 /**
  * What a relay makes of promises that name all racks, or only those that are free for less than
--- a/src/test/java/sprucerock/relay/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/RelayTest.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -14,37 +14,37 @@
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.host.Host;
+import sprucerock.policy.Host;
 import sprucerock.model.Build;
 import sprucerock.model.Pick;
 import sprucerock.model.Rpc;
 import sprucerock.model.Unit;
 import sprucerock.model.Verdict;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.ScriptedNet;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ScriptedNet;
 import sprucerock.time.Span;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Flag;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Leave;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.Result;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Stop;
-import sprucerock.wire.v1.Taken;
-import sprucerock.wire.v1.Vote;
-import sprucerock.wire.v1.Voted;
-import sprucerock.wire.v1.Work;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Flag;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Result;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Stop;
+import sprucerock.transport.wire.v1.Taken;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
+import sprucerock.transport.wire.v1.Work;
 
 /** The relay between scripted people, with a module that does as each story says. */
 public class RelayTest {
@@ -694,7 +694,7 @@
     net.settle();
     net.turn(
         () ->
-            peer.send(Kind.TOLD, sprucerock.wire.v1.Told.getDefaultInstance(), (byte) 5, (byte) 6));
+            peer.send(Kind.TOLD, sprucerock.transport.wire.v1.Told.getDefaultInstance(), (byte) 5, (byte) 6));
     net.turn(() -> client.send(Kind.FLAG, Flag.newBuilder().setUnit(7).setAgoUs(1).build()));
     net.settle();
     assertEquals(module.calls, List.of("peer 1 2", "flagged 7"));
--- a/src/test/java/sprucerock/relay/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/frames/SecuredTest.java
@@ -1,4 +1,4 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -15,43 +15,43 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
-import sprucerock.host.Host;
-import sprucerock.ledger.Accounts;
+import sprucerock.policy.Host;
+import sprucerock.accounting.Accounts;
 import sprucerock.model.Outcome;
 import sprucerock.model.Pick;
 import sprucerock.model.Rpc;
 import sprucerock.model.Unit;
-import sprucerock.net.LinkUser;
-import sprucerock.net.ScriptedNet;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ScriptedNet;
 import sprucerock.time.Span;
-import sprucerock.tls.Aside;
-import sprucerock.tls.Buffers;
-import sprucerock.tls.Chain;
-import sprucerock.tls.Counter;
-import sprucerock.tls.Credentials;
-import sprucerock.tls.Material;
-import sprucerock.tls.TestCa;
-import sprucerock.tls.TlsLink;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.Result;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Told;
-import sprucerock.wire.v1.Work;
+import sprucerock.transport.tls.Aside;
+import sprucerock.transport.tls.Buffers;
+import sprucerock.transport.tls.Chain;
+import sprucerock.transport.tls.Counter;
+import sprucerock.transport.tls.Credentials;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.TestCa;
+import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.Result;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Told;
+import sprucerock.transport.wire.v1.Work;
 
 /** A relay whose connections are by TLS, between scripted people with certificates of their own. */
 public class SecuredTest {
   private static final TestCa CA = TestCa.root("root");
 
   /** Sends each RPC to the one unit, and notes how picks end. */
-  private static final class Simple extends sprucerock.relay.Told {
+  private static final class Simple extends sprucerock.relay.frames.Told {
     private Host host;
     private Unit unit;
     private final List<Outcome> ends = new ArrayList<>();
@@ -297,7 +297,7 @@
         () ->
             new LinkUser() {
               @Override
-              public void up(sprucerock.net.Link link) {}
+              public void up(sprucerock.transport.net.Link link) {}
 
               @Override
               public void received(java.nio.ByteBuffer bytes) {}
--- a/src/test/java/sprucerock/relay/Told.java
+++ b/src/test/java/sprucerock/relay/frames/Told.java
@@ -1,9 +1,9 @@
-package sprucerock.relay;
+package sprucerock.relay.frames;
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.host.Host;
-import sprucerock.host.Module;
+import sprucerock.policy.Host;
+import sprucerock.policy.Module;
 import sprucerock.model.Build;
 import sprucerock.model.Method;
 import sprucerock.model.Pick;
--- a/src/test/java/sprucerock/looks/LookoutTest.java
+++ b/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
@@ -1,4 +1,4 @@
-package sprucerock.looks;
+package sprucerock.relay.healthcheck;
 
 import static org.testng.Assert.assertEquals;
 
--- a/src/test/java/sprucerock/platform/ClientCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -23,10 +23,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
-import sprucerock.host.Host;
+import sprucerock.policy.Host;
 import sprucerock.model.Pick;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.pg.Writer;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.transport.postgres.Writer;
 
 /**
  * What can cross a client's request: its close, its own pieces, the time that is left to it, an
--- a/src/test/java/sprucerock/platform/ClientDoorTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -12,12 +12,12 @@
 import java.util.function.Supplier;
 import org.testng.annotations.Test;
 import sprucerock.model.Method;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
-import sprucerock.net.ScriptedNet;
-import sprucerock.pg.Writer;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.postgres.Writer;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/platform/CrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/CrossingsTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -20,10 +20,10 @@
 import org.testng.annotations.Test;
 import sprucerock.Policy;
 import sprucerock.model.Method;
-import sprucerock.net.nio.NioLoop;
-import sprucerock.pg.Writer;
-import sprucerock.serving.Ending;
-import sprucerock.serving.Events;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.transport.postgres.Writer;
+import sprucerock.relay.engine.Ending;
+import sprucerock.relay.engine.Events;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/platform/FeedTest.java
+++ b/src/test/java/sprucerock/relay/platform/FeedTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.ScriptedNet;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ScriptedNet;
 import sprucerock.time.Span;
 
 /** One answer without end, from a server that tells nothing or comes and goes. */
--- a/src/test/java/sprucerock/platform/InventedSettingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/InventedSettingsTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 
 /**
  * A relay under settings that no deployment has: nothing it does may hang on the names, numbers or
@@ -118,20 +118,20 @@
     assertEquals(client.answer(), "");
     byte[] text =
         asks("!#$%&'()+./:;<>?@[]^_`{|}~ \u00e9", true, 30_000).getBytes(StandardCharsets.UTF_8);
-    client.sends(sprucerock.pg.Writer.query(text));
+    client.sends(sprucerock.transport.postgres.Writer.query(text));
     Peers.Unit.Query query = unit.query();
     query.on().says(Peers.value("done"));
     assertEquals(client.answer(), "value done");
     client.asks(asks("other", true, 1000));
     assertEquals(client.answer(), "error 42601");
     client.sends(
-        sprucerock.pg.Writer.query(
+        sprucerock.transport.postgres.Writer.query(
             asks("!#$%&'()+./:;<>?@[]^_`{|}~ \u00e9", true, 30_000)
                 .getBytes(StandardCharsets.UTF_8)));
     unit.query()
         .on()
         .says(
-            sprucerock.pg.Writer.error("ERROR", "XX000", "no", null), sprucerock.pg.Writer.ready());
+            sprucerock.transport.postgres.Writer.error("ERROR", "XX000", "no", null), sprucerock.transport.postgres.Writer.ready());
     assertEquals(client.answer(), "error 58000");
     ends(client);
   }
--- a/src/test/java/sprucerock/platform/ListCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListCrossingsTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
-import sprucerock.net.nio.NioLoop;
+import sprucerock.transport.net.nio.NioLoop;
 
 /**
  * Two watches that tell, one before the other, and lists that cross what they change: forced on
--- a/src/test/java/sprucerock/platform/ListTimesTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListTimesTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -15,10 +15,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
-import sprucerock.net.ScriptedNet;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.ScriptedNet;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/platform/Peers.java
+++ b/src/test/java/sprucerock/relay/platform/Peers.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import java.io.DataInputStream;
 import java.io.EOFException;
@@ -22,7 +22,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import sprucerock.pg.Writer;
+import sprucerock.transport.postgres.Writer;
 
 /**
  * Clients, units, discovery and desk on real sockets, each with threads of its own that block: a
--- a/src/test/java/sprucerock/platform/PlatformSettingsCompatTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformSettingsCompatTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.expectThrows;
@@ -19,9 +19,9 @@
 import sprucerock.compat.LogLines;
 import sprucerock.compat.Rendering;
 import sprucerock.config.ConfigException;
-import sprucerock.net.ScriptedNet;
-import sprucerock.serving.Events;
-import sprucerock.settings.SettingsText;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.relay.engine.Events;
+import sprucerock.config.settings.SettingsText;
 
 /**
  * The platform's configuration, in JSON, and the simulator's settings, in lines: the values read
--- a/src/test/java/sprucerock/platform/PlatformTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -20,14 +20,14 @@
 import sprucerock.Policy;
 import sprucerock.config.ConfigException;
 import sprucerock.model.Settings;
-import sprucerock.net.Datagrams;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.ScriptedNet;
-import sprucerock.pg.Messages;
-import sprucerock.pg.ProtocolException;
-import sprucerock.pg.Reader;
-import sprucerock.pg.Writer;
+import sprucerock.transport.net.Datagrams;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.ProtocolException;
+import sprucerock.transport.postgres.Reader;
+import sprucerock.transport.postgres.Writer;
 import sprucerock.time.Span;
 
 /**
--- a/src/test/java/sprucerock/platform/ServeKillTest.java
+++ b/src/test/java/sprucerock/relay/platform/ServeKillTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.pg.Writer;
+import sprucerock.transport.postgres.Writer;
 
 /**
  * A relay as its own process, stopped by the system (SIGSTOP) while a request comes, and ended
--- a/src/test/java/sprucerock/platform/ServeProcessTest.java
+++ b/src/test/java/sprucerock/relay/platform/ServeProcessTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertTrue;
 
--- a/src/test/java/sprucerock/platform/ServeShutdownTest.java
+++ b/src/test/java/sprucerock/relay/platform/ServeShutdownTest.java
@@ -1,4 +1,4 @@
-package sprucerock.platform;
+package sprucerock.relay.platform;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -19,7 +19,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.pg.Writer;
+import sprucerock.transport.postgres.Writer;
 
 /**
  * A relay as its own process, told to end with requests of each kind in flight. Verdicts hold
--- a/src/test/java/sprucerock/shared/SharedTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/SharedTest.java
@@ -1,4 +1,4 @@
-package sprucerock.shared;
+package sprucerock.relay.snapshot;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/src/test/java/sprucerock/scale/AddedLatencyStudy.java
+++ b/src/test/java/sprucerock/scale/AddedLatencyStudy.java
@@ -28,10 +28,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
-import sprucerock.pg.Messages;
-import sprucerock.pg.ProtocolException;
-import sprucerock.pg.Reader;
-import sprucerock.pg.Writer;
+import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.ProtocolException;
+import sprucerock.transport.postgres.Reader;
+import sprucerock.transport.postgres.Writer;
 
 /**
  * What the relay that serves adds to a request's time, at a fixed rate that waits for no answer.
--- a/src/test/java/sprucerock/scale/CpuCount.java
+++ b/src/test/java/sprucerock/scale/CpuCount.java
@@ -1,7 +1,7 @@
 package sprucerock.scale;
 
 import java.nio.ByteBuffer;
-import sprucerock.wire.FrameReader;
+import sprucerock.transport.wire.FrameReader;
 
 /**
  * Prints processor time of one thread for messages and for RPCs at several list sizes. For
--- a/src/test/java/sprucerock/scale/FreezeScaleTest.java
+++ b/src/test/java/sprucerock/scale/FreezeScaleTest.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.Set;
 import org.testng.annotations.Test;
-import sprucerock.freeze.Freeze;
-import sprucerock.freeze.Freezes;
-import sprucerock.freeze.Headroom;
-import sprucerock.freeze.Promises;
-import sprucerock.freeze.Rack;
+import sprucerock.controller.maintenance.Freeze;
+import sprucerock.controller.maintenance.Freezes;
+import sprucerock.controller.maintenance.Headroom;
+import sprucerock.controller.maintenance.Promises;
+import sprucerock.controller.maintenance.Rack;
 
 /**
  * What promises cost the controller, against relays, racks and freezes: what is looked at when one
--- a/src/test/java/sprucerock/scale/Listed.java
+++ b/src/test/java/sprucerock/scale/Listed.java
@@ -10,21 +10,21 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.GranterDoor;
 import sprucerock.lease.Leases;
-import sprucerock.net.ScriptedNet;
-import sprucerock.relay.Relay;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.relay.frames.Relay;
 import sprucerock.time.Moment;
-import sprucerock.wire.FrameLink;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.PromiseAsk;
-import sprucerock.wire.v1.Promised;
-import sprucerock.wire.v1.RackFree;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.RackFree;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * The real relay with the real module on a scripted net, told by a roster and a desk of lists of
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.figures.Keeper;
-import sprucerock.ledger.Accounts;
-import sprucerock.wire.v1.Health;
+import sprucerock.metrics.Keeper;
+import sprucerock.accounting.Accounts;
+import sprucerock.transport.wire.v1.Health;
 
 /**
  * Prints what lists and tables cost one relay at several sizes, for docs/scale. Memory is the
@@ -51,7 +51,7 @@
       Listed listed = new Listed(Listed.ROOMY, false);
       long before = heap();
       long began = cpu();
-      sprucerock.wire.v1.Listing whole = Listed.whole(units);
+      sprucerock.transport.wire.v1.Listing whole = Listed.whole(units);
       long encoded = cpu();
       long bytes = listed.frames.bytesIn;
       listed.tells(whole);
@@ -141,8 +141,8 @@
       for (int j = 0; j < n; j++) {
         shares.add(1.0 / n + j * 1e-12);
       }
-      sprucerock.evidence.Customers customers =
-          new sprucerock.evidence.Customers(shares, sprucerock.time.Span.ofMs(5000));
+      sprucerock.policy.evidence.Customers customers =
+          new sprucerock.policy.evidence.Customers(shares, sprucerock.time.Span.ofMs(5000));
       for (int j = 0; j < n; j++) {
         customers.add(j, sprucerock.time.Moment.ofMs(j));
       }
--- a/src/test/java/sprucerock/scale/ListsScaleTest.java
+++ b/src/test/java/sprucerock/scale/ListsScaleTest.java
@@ -10,13 +10,13 @@
 import java.util.Set;
 import java.util.zip.CRC32;
 import org.testng.annotations.Test;
-import sprucerock.evidence.Board;
-import sprucerock.ledger.Accounts;
+import sprucerock.policy.evidence.Board;
+import sprucerock.accounting.Accounts;
 import sprucerock.model.Build;
 import sprucerock.model.Unit;
 import sprucerock.time.Span;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Health;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Health;
 
 /**
  * What lists cost one relay, counted at several sizes: bytes, messages, readings of the clock;
--- a/src/test/java/sprucerock/scale/PeersScaleTest.java
+++ b/src/test/java/sprucerock/scale/PeersScaleTest.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.net.ScriptedNet;
-import sprucerock.relay.Relay;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.relay.frames.Relay;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Role;
 
 /**
  * What relays tell each other, counted with the real module at several sizes. A cost at one relay
--- a/src/test/java/sprucerock/sim/BothHostsTest.java
+++ b/src/test/java/sprucerock/simulation/BothHostsTest.java
@@ -1,4 +1,4 @@
-package sprucerock.sim;
+package sprucerock.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -18,30 +18,30 @@
 import org.testng.annotations.Test;
 import sprucerock.Policy;
 import sprucerock.config.RelayConfig;
-import sprucerock.net.ScriptedNet;
-import sprucerock.relay.Told;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.relay.frames.Told;
 import sprucerock.time.Moment;
-import sprucerock.wire.Kind;
-import sprucerock.wire.Person;
-import sprucerock.wire.Tap;
-import sprucerock.wire.v1.Answer;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Counts;
-import sprucerock.wire.v1.Done;
-import sprucerock.wire.v1.Entry;
-import sprucerock.wire.v1.Flag;
-import sprucerock.wire.v1.Form;
-import sprucerock.wire.v1.Health;
-import sprucerock.wire.v1.Leave;
-import sprucerock.wire.v1.Listing;
-import sprucerock.wire.v1.News;
-import sprucerock.wire.v1.Result;
-import sprucerock.wire.v1.Role;
-import sprucerock.wire.v1.Stand;
-import sprucerock.wire.v1.Taken;
-import sprucerock.wire.v1.Vote;
-import sprucerock.wire.v1.Voted;
-import sprucerock.wire.v1.Work;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Counts;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Flag;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Result;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Taken;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
+import sprucerock.transport.wire.v1.Work;
 
 /**
  * One stretch of events, given to the bench's adapter and to the relay: the module is told the
@@ -451,8 +451,8 @@
                   </site>
                 </relay>
                 """);
-      sprucerock.relay.Relay relay =
-          new sprucerock.relay.Relay(RelayConfig.read(file), net, Tap.NONE);
+      sprucerock.relay.frames.Relay relay =
+          new sprucerock.relay.frames.Relay(RelayConfig.read(file), net, Tap.NONE);
       Files.delete(file);
       relay.start(
           (host, settings, seed) -> {
@@ -619,7 +619,7 @@
           () ->
               peers
                   .get(sender)
-                  .send(Kind.TOLD, sprucerock.wire.v1.Told.getDefaultInstance(), contents));
+                  .send(Kind.TOLD, sprucerock.transport.wire.v1.Told.getDefaultInstance(), contents));
     }
 
     @Override
--- a/src/test/java/sprucerock/http/HttpLinkTest.java
+++ b/src/test/java/sprucerock/transport/http/HttpLinkTest.java
@@ -1,4 +1,4 @@
-package sprucerock.http;
+package sprucerock.transport.http;
 
 import static org.testng.Assert.assertEquals;
 
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.ScriptedNet;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ScriptedNet;
 import sprucerock.time.Span;
 
 /** Calls over HTTP/1.1 against a server that answers as it is told. */
--- a/src/test/java/sprucerock/net/TimersTest.java
+++ b/src/test/java/sprucerock/transport/net/TimersTest.java
@@ -1,4 +1,4 @@
-package sprucerock.net;
+package sprucerock.transport.net;
 
 import static org.testng.Assert.assertEquals;
 
--- a/src/test/java/sprucerock/net/nio/NioLoopTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
@@ -1,4 +1,4 @@
-package sprucerock.net.nio;
+package sprucerock.transport.net.nio;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -16,9 +16,9 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Span;
 
 /** The loop over real loopback sockets. Waits are for what must come, however long it takes. */
--- a/src/test/java/sprucerock/net/nio/WheelTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/WheelTest.java
@@ -1,4 +1,4 @@
-package sprucerock.net.nio;
+package sprucerock.transport.net.nio;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -19,8 +19,8 @@
   @Test
   public void whatWasCancelledWakesNobody() {
     Wheel wheel = new Wheel();
-    sprucerock.net.Timers.Timer gone = wheel.add(10, () -> {});
-    sprucerock.net.Timers.Timer kept = wheel.add(20, () -> {});
+    sprucerock.transport.net.Timers.Timer gone = wheel.add(10, () -> {});
+    sprucerock.transport.net.Timers.Timer kept = wheel.add(20, () -> {});
     wheel.add(20, () -> {}).cancel();
     gone.cancel();
     gone.cancel();
--- a/src/test/java/sprucerock/pg/MessagesTest.java
+++ b/src/test/java/sprucerock/transport/postgres/MessagesTest.java
@@ -1,4 +1,4 @@
-package sprucerock.pg;
+package sprucerock.transport.postgres;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
--- a/src/test/java/sprucerock/tls/HandshakeBenchmark.java
+++ b/src/test/java/sprucerock/transport/tls/HandshakeBenchmark.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.time.Instant;
 import java.util.List;
--- a/src/test/java/sprucerock/tls/MaterialTest.java
+++ b/src/test/java/sprucerock/transport/tls/MaterialTest.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.net.ScriptedNet;
+import sprucerock.transport.net.ScriptedNet;
 import sprucerock.time.Span;
 
 /** Files that can be used, files that can't, and their change while in use. */
--- a/src/test/java/sprucerock/tls/NamesTest.java
+++ b/src/test/java/sprucerock/transport/tls/NamesTest.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import static org.testng.Assert.assertEquals;
 
--- a/src/test/java/sprucerock/tls/Pipe.java
+++ b/src/test/java/sprucerock/transport/tls/Pipe.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntUnaryOperator;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
-import sprucerock.net.Timers;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Timers;
 import sprucerock.time.Moment;
 import sprucerock.time.Span;
 
--- a/src/test/java/sprucerock/tls/TlsLinkTest.java
+++ b/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.net.Link;
-import sprucerock.net.LinkUser;
+import sprucerock.transport.net.Link;
+import sprucerock.transport.net.LinkUser;
 import sprucerock.time.Span;
 
 /** The filter against peers of every kind, over a wire in memory. */
--- a/src/test/java/sprucerock/tls/TlsSizes.java
+++ b/src/test/java/sprucerock/transport/tls/TlsSizes.java
@@ -1,4 +1,4 @@
-package sprucerock.tls;
+package sprucerock.transport.tls;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/sprucerock/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
@@ -1,4 +1,4 @@
-package sprucerock.wire;
+package sprucerock.transport.wire;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -13,10 +13,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
-import sprucerock.net.ScriptedNet;
-import sprucerock.wire.v1.Call;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
 
 /** Frames of bytes, whole, split, cut and wrong. */
 public class FrameReaderTest {
--- a/src/test/java/sprucerock/wire/Person.java
+++ b/src/test/java/sprucerock/transport/wire/Person.java
@@ -1,13 +1,13 @@
-package sprucerock.wire;
+package sprucerock.transport.wire;
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.net.Net;
+import sprucerock.transport.net.Net;
 import sprucerock.time.Span;
-import sprucerock.wire.v1.Hello;
-import sprucerock.wire.v1.Role;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
 
 /** Somebody at a link's other end who writes down what comes. */
 public final class Person implements FrameUser {
