--- a/src/main/java/sprucerock/Policy.java
+++ b/src/main/java/sprucerock/Policy.java
@@ -6,35 +6,35 @@
 import java.util.TreeSet;
 import sprucerock.policy.evidence.Ballot;
 import sprucerock.policy.evidence.Board;
-import sprucerock.policy.evidence.Customers;
+import sprucerock.policy.evidence.Tenants;
 import sprucerock.policy.evidence.Evidence;
 import sprucerock.policy.evidence.Met;
-import sprucerock.policy.evidence.Offer;
-import sprucerock.policy.Host;
-import sprucerock.policy.Module;
+import sprucerock.policy.evidence.CanaryTrial;
+import sprucerock.policy.RelayActions;
+import sprucerock.policy.RelayEvents;
 import sprucerock.model.Build;
 import sprucerock.model.Method;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pair;
-import sprucerock.model.Pick;
-import sprucerock.model.Reply;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.ShadowPair;
+import sprucerock.model.Attempt;
+import sprucerock.model.VoteReply;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.Standing;
-import sprucerock.model.Unit;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Verdict;
-import sprucerock.stats.Chance;
+import sprucerock.stats.DeterministicRandom;
 import sprucerock.stats.DecayingMean;
 import sprucerock.stats.DecayingSum;
 import sprucerock.stats.KeyedSums;
 import sprucerock.stats.Pace;
 import sprucerock.stats.Shares;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * All decisions of one relay. The host (bench adapter, later the relay) makes one Policy at start
- * and calls one method for each thing that happens; Policy acts at once through {@link Host}, in
+ * and calls one method for each thing that happens; Policy acts at once through {@link RelayActions}, in
  * sprucerock.host.
  *
  * <p>The ordinary path is the design, "Shadow traffic": an idempotent RPC goes to the earlier build
@@ -43,14 +43,14 @@
  * with the loads that relays tell each other, (3) time-out and further pick under a retry budget,
  * (4) pushback under overload, (5) pinned keys, (6) evidence where pairs can't see.
  */
-public final class Policy implements Module {
-  private final Host host;
+public final class Policy implements RelayEvents {
+  private final RelayActions host;
   private final Settings settings;
-  private final Chance chance;
+  private final DeterministicRandom chance;
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
   private final Set<Integer> withdrawn = new TreeSet<>(); // that discovery may list on
-  private Offer offer;
-  private Standing standing;
+  private CanaryTrial offer;
+  private RolloutState standing;
   private double cap;
   private double sharedTokens;
   private int copiesOut;
@@ -61,54 +61,54 @@
   private final Pace pace;
   private final Board board;
   private final Met met = new Met(8);
-  private final DecayingMean noConnection = new DecayingMean(Span.ofMs(5000));
+  private final DecayingMean noConnection = new DecayingMean(TimeSpan.ofMs(5000));
   private int hub;
-  private Moment hubSince;
-  private Moment loadsAt;
+  private Timestamp hubSince;
+  private Timestamp loadsAt;
   private boolean sumsDue;
   private double fleetWaitMs;
-  private final DecayingSum endedAnywhere = new DecayingSum(Span.ofMs(2000));
-
-  private final DecayingSum arrivals = new DecayingSum(Span.ofMs(5000));
-  private final Customers customers;
-  private final KeyedSums keyArrivals = new KeyedSums(Span.ofMs(20000), 4096); // of popular keys
-  private final DecayingSum homeSends = new DecayingSum(Span.ofMs(3000));
-  private final DecayingSum repeats = new DecayingSum(Span.ofMs(5000));
-  private final DecayingSum answered = new DecayingSum(Span.ofMs(2000));
+  private final DecayingSum endedAnywhere = new DecayingSum(TimeSpan.ofMs(2000));
+
+  private final DecayingSum arrivals = new DecayingSum(TimeSpan.ofMs(5000));
+  private final Tenants customers;
+  private final KeyedSums keyArrivals = new KeyedSums(TimeSpan.ofMs(20000), 4096); // of popular keys
+  private final DecayingSum homeSends = new DecayingSum(TimeSpan.ofMs(3000));
+  private final DecayingSum repeats = new DecayingSum(TimeSpan.ofMs(5000));
+  private final DecayingSum answered = new DecayingSum(TimeSpan.ofMs(2000));
   private int timely;
   private double timelySinceMs; // the sum of their arrivals
 
   private final Ballot ballot = new Ballot();
-  private Moment lastAsked;
-  private final Moment started;
+  private Timestamp lastAsked;
+  private final Timestamp started;
 
-  public Policy(Host host, Settings settings, long seed) {
+  public Policy(RelayActions host, Settings settings, long seed) {
     this.host = host;
     this.settings = settings;
-    chance = new Chance(seed);
+    chance = new DeterministicRandom(seed);
     started = host.now();
-    customers = new Customers(settings.customerShares, Span.ofMs(5000));
+    customers = new Tenants(settings.customerShares, TimeSpan.ofMs(5000));
     sharedTokens = settings.free;
-    alone = !settings.peers && !settings.countsEvery.over(Span.ZERO);
+    alone = !settings.peers && !settings.countsEvery.over(TimeSpan.ZERO);
     strays = Math.sqrt(2 * Math.log(20 * settings.relays));
     for (Method method : settings.methods) {
-      method.took = new DecayingMean(Span.ofMs(10000));
-      method.logNow = new DecayingMean(Span.ofMs(20000));
+      method.took = new DecayingMean(TimeSpan.ofMs(10000));
+      method.logNow = new DecayingMean(TimeSpan.ofMs(20000));
       method.trialTokens = settings.free;
     }
-    pace = new Pace(settings.methods.size(), 2, Span.ofMs(20000), Span.ofMs(3000));
-    board = new Board(Span.ofMs(4 * settings.meanSoftMs));
+    pace = new Pace(settings.methods.size(), 2, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
+    board = new Board(TimeSpan.ofMs(4 * settings.meanSoftMs));
     if (settings.ask) {
       subscribe();
     }
     look();
   }
 
-  public void unitReady(Unit unit) {
+  public void unitReady(Endpoint unit) {
     if (unit.pace == null) {
-      unit.pace = new DecayingMean(Span.ofMs(4000));
+      unit.pace = new DecayingMean(TimeSpan.ofMs(4000));
     }
-    unit.zonePace = zonePaces.computeIfAbsent(unit.zone, zone -> new DecayingMean(Span.ofMs(8000)));
+    unit.zonePace = zonePaces.computeIfAbsent(unit.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
     board.ready(unit);
     builds.put(unit.build.number, unit.build);
     unit.coldTokens =
@@ -116,7 +116,7 @@
     unit.coldAsOf = host.now();
   }
 
-  public void unitLeaving(Unit unit) { // rule 3: gets nothing new at once; no grace is used
+  public void unitLeaving(Endpoint unit) { // rule 3: gets nothing new at once; no grace is used
     board.left(unit);
     if (unit.build.units.isEmpty()) {
       builds.remove(unit.build.number);
@@ -124,7 +124,7 @@
   }
 
   public void listFailed() { // asked for again after a pause, so that a busy discovery recovers
-    host.wake(host.now().plus(Span.ofMs(500 + 500 * chance.next())), this::subscribe);
+    host.wake(host.now().plus(TimeSpan.ofMs(500 + 500 * chance.next())), this::subscribe);
   }
 
   private void subscribe() {
@@ -133,21 +133,21 @@
   }
 
   public void newsOfBuild(
-      Build build, int stage, Standing newStanding, double newCap, Moment since) {
+      Build build, int stage, RolloutState newStanding, double newCap, Timestamp since) {
     if (!isOffered(build)) {
       noteWithdrawn();
-      offer = new Offer(build, settings.methods.size());
+      offer = new CanaryTrial(build, settings.methods.size());
     }
     if (offer.evidence == null || stage != offer.stage || newStanding != standing) {
-      offer.enter(stage, since, newStanding == Standing.RELEASED);
+      offer.enter(stage, since, newStanding == RolloutState.RELEASED);
       singles =
           (int) (Math.min(10, 40.0 / settings.relays) + chance.next()); // 40 by all: each harms
       ballot.verdict = Verdict.NONE;
     }
     standing = newStanding;
-    offer.tried |= standing == Standing.ON_TRIAL;
+    offer.tried |= standing == RolloutState.ON_TRIAL;
     cap = newCap;
-    if (standing != Standing.ON_TRIAL) {
+    if (standing != RolloutState.ON_TRIAL) {
       offer.pins.clear();
     }
     consider();
@@ -158,7 +158,7 @@
   // discovery is silent its units stay listed, but they drain and stop: all traffic would go there.
   private void noteWithdrawn() {
     withdrawn.retainAll(builds.keySet()); // no more of them than builds are listed, and one
-    boolean goesBack = standing == Standing.GOING_BACK || standing == Standing.WITHDRAWN;
+    boolean goesBack = standing == RolloutState.GOING_BACK || standing == RolloutState.WITHDRAWN;
     if (goesBack) {
       withdrawn.add(offer.build.number);
     }
@@ -172,7 +172,7 @@
     if (offer == null) {
       return !builds.isEmpty() && build.number > builds.firstKey();
     }
-    return build.number > offer.build.number || isOffered(build) && standing != Standing.RELEASED;
+    return build.number > offer.build.number || isOffered(build) && standing != RolloutState.RELEASED;
   }
 
   /** Rule 5: a build not yet named in the news counts as in the first stage. */
@@ -191,19 +191,19 @@
     if (offer == null) {
       return;
     }
-    boolean ended = standing == Standing.RELEASED || standing == Standing.WITHDRAWN;
+    boolean ended = standing == RolloutState.RELEASED || standing == RolloutState.WITHDRAWN;
     double share = (ended ? settings.caps.get(0) : cap) * (1 - 1e-6);
     sharedTokens = Math.min(settings.free, sharedTokens + share);
     method.trialTokens = Math.min(settings.free, method.trialTokens + share);
   }
 
   private Build trial() { // that pairs can judge now
-    boolean judged = offer != null && standing == Standing.ON_TRIAL && !offer.build.units.isEmpty();
+    boolean judged = offer != null && standing == RolloutState.ON_TRIAL && !offer.build.units.isEmpty();
     return judged ? offer.build : null;
   }
 
   public void rpcArrived(Rpc rpc) {
-    Moment now = host.now();
+    Timestamp now = host.now();
     arrivals.add(now, 1);
     customers.add(rpc.customer, now);
     if (settings.oneWayKeys) {
@@ -232,25 +232,25 @@
         });
     Build trial = trial();
     // Alone in place of a copy: where second copies are barred, and a few RPCs with an effect.
-    Unit single = trial != null && maySingle(rpc, trial) ? chooseFitting(rpc, trial) : null;
+    Endpoint single = trial != null && maySingle(rpc, trial) ? chooseFitting(rpc, trial) : null;
     if (single != null) {
-      Pair pair = new Pair();
+      ShadowPair pair = new ShadowPair();
       sendCopy(rpc, single, pair);
       offer.evidence.waiting.get(rpc.method.index).add(pair);
       offer.evidence.singles[rpc.method.index]++;
       return;
     }
-    Unit home = chooseAny(rpc);
+    Endpoint home = chooseAny(rpc);
     if (home == null) {
       giveUp(rpc);
       return;
     }
-    Pick earlier = send(rpc, home, false);
+    Attempt earlier = send(rpc, home, false);
     if (trial == null || home.build == trial) {
       return;
     }
-    Unit unit = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
-    earlier.pair = unit != null ? new Pair() : offer.evidence.waiting.get(rpc.method.index).poll();
+    Endpoint unit = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
+    earlier.pair = unit != null ? new ShadowPair() : offer.evidence.waiting.get(rpc.method.index).poll();
     if (earlier.pair == null) {
       return;
     }
@@ -261,7 +261,7 @@
     judge(earlier.pair);
   }
 
-  private void sendCopy(Rpc rpc, Unit unit, Pair pair) {
+  private void sendCopy(Rpc rpc, Endpoint unit, ShadowPair pair) {
     pair.fresh = send(rpc, unit, true);
     pair.fresh.pair = pair;
     copiesOut++;
@@ -301,12 +301,12 @@
   /**
    * (5) An ok copy binds its key to the new build: half the cap must carry what such keys bring.
    */
-  private Unit chooseFitting(Rpc rpc, Build trial) {
-    Unit unit = chooseIn(rpc, trial);
+  private Endpoint chooseFitting(Rpc rpc, Build trial) {
+    Endpoint unit = chooseIn(rpc, trial);
     if (unit == null || !settings.oneWayKeys || rpc.key == 0) {
       return unit;
     }
-    Moment now = host.now();
+    Timestamp now = host.now();
     double share = keyArrivals.perSecond(rpc.key, now) / Math.max(arrivals.perSecond(now), 1e-9);
     if (offer.pinnedShare + share > 0.5 * cap) {
       return null;
@@ -315,26 +315,26 @@
     return unit;
   }
 
-  private Pick send(Rpc rpc, Unit unit, boolean copy) {
-    Moment now = host.now();
+  private Attempt send(Rpc rpc, Endpoint unit, boolean copy) {
+    Timestamp now = host.now();
     int tried = onTrial(unit.build) ? 1 : 0;
     sharedTokens -= tried;
     rpc.method.trialTokens -= tried;
     homeSends.add(now, 1 - tried);
     unit.coldTokens--;
-    Span overdue = overdueAfter(rpc);
+    TimeSpan overdue = overdueAfter(rpc);
     // Where one pick must end before the next, it is cut only when lost: its work so far is thrown
     // away.
-    Span lost = overdue.times(2);
+    TimeSpan lost = overdue.times(2);
     boolean cut =
         !settings.secondCopies
             && !rpc.method.streamOrOnce()
             && rpc.picks.size() + 1 < settings.maxPicks
             && rpc.deadline.since(now).over(lost.times(1.5));
-    Pick pick = new Pick(rpc, unit, now, cut ? lost : null);
+    Attempt pick = new Attempt(rpc, unit, now, cut ? lost : null);
     pick.copy = copy;
     // rule 2: a repeat that waits for a connection must not come up after its window
-    Pick first = rpc.firstThatMayHaveRun();
+    Attempt first = rpc.firstThatMayHaveRun();
     boolean binds = first != null && rpc.method.effect == Method.Effect.TOKENED;
     pick.startBy = binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
     host.send(pick);
@@ -347,8 +347,8 @@
    * (3) At thrice the method's mean, which grows as all slows; at 0.45 another can still be in
    * time.
    */
-  private Span overdueAfter(Rpc rpc) {
-    Span usual = Span.ofMs(3 * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
+  private TimeSpan overdueAfter(Rpc rpc) {
+    TimeSpan usual = TimeSpan.ofMs(3 * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
     return rpc.method.softDeadline.times(0.45).atLeast(usual);
   }
 
@@ -360,7 +360,7 @@
   /**
    * Silence, no answer from the unit since: it is marked and, where copies may run, picked past.
    */
-  private void overdue(Pick pick) {
+  private void overdue(Attempt pick) {
     pick.overdue = true;
     boolean silent = pick.unit.lastAnswer == null || pick.sent.after(pick.unit.lastAnswer);
     if (silent) {
@@ -387,7 +387,7 @@
     if (rpc.ended() || rpc.streaming() || barred) {
       return false;
     }
-    Pick first = rpc.firstThatMayHaveRun();
+    Attempt first = rpc.firstThatMayHaveRun();
     if (first == null || rpc.method.idempotent()) {
       return true;
     }
@@ -400,7 +400,7 @@
     if (late || !mayRepeat(rpc) || !budgetHasRoom()) {
       return false;
     }
-    Unit unit = chooseAny(rpc);
+    Endpoint unit = chooseAny(rpc);
     if (unit == null) {
       return false;
     }
@@ -409,15 +409,15 @@
     return true;
   }
 
-  public void streamStarted(Pick pick) {
+  public void streamStarted(Attempt pick) {
     settle(pick.rpc);
   }
 
   /** A pick ended; {@code answers} says that it ended its RPC too. */
-  public void pickEnded(Pick pick, boolean answers) {
-    Moment now = host.now();
+  public void pickEnded(Attempt pick, boolean answers) {
+    Timestamp now = host.now();
     Rpc rpc = pick.rpc;
-    boolean ok = pick.outcome() == Outcome.OK;
+    boolean ok = pick.outcome() == AttemptOutcome.OK;
     if (answers) {
       settle(rpc);
     }
@@ -428,29 +428,29 @@
       copiesOut--;
     }
     report(pick.unit, now.since(pick.sent));
-    boolean tells = pick.outcome() != Outcome.CANCELLED && pick.outcome() != Outcome.MOOT;
+    boolean tells = pick.outcome() != AttemptOutcome.CANCELLED && pick.outcome() != AttemptOutcome.MOOT;
     if (tells && (ok || !pick.overdue)) {
       note(pick.unit, ok);
     }
     if (ok || pick.erred()) {
       pick.unit.lastAnswer = now;
     }
-    noConnection.add(now, pick.outcome() == Outcome.NOT_CONNECTED ? 1 : 0);
+    noConnection.add(now, pick.outcome() == AttemptOutcome.NOT_CONNECTED ? 1 : 0);
     if (ok) {
       met.answered(pick.unit);
     }
-    if (pick.outcome() == Outcome.NOT_CONNECTED || pick.outcome() == Outcome.BROKEN) {
+    if (pick.outcome() == AttemptOutcome.NOT_CONNECTED || pick.outcome() == AttemptOutcome.BROKEN) {
       met.lost(pick.unit);
     }
-    if (ok || pick.outcome() == Outcome.TIMED_OUT) {
+    if (ok || pick.outcome() == AttemptOutcome.TIMED_OUT) {
       learnPace(pick);
     }
     if (isOffered(pick.unit.build)) {
       offer.erred |= pick.erred();
-      if (standing == Standing.RELEASED) {
+      if (standing == RolloutState.RELEASED) {
         offer.evidence.ended(pick);
       }
-      boolean binds = standing == Standing.ON_TRIAL && settings.oneWayKeys && rpc.key != 0;
+      boolean binds = standing == RolloutState.ON_TRIAL && settings.oneWayKeys && rpc.key != 0;
       if (ok && binds) {
         offer.pins.put(rpc.key, offer.build);
       }
@@ -475,8 +475,8 @@
     settle(rpc);
     if (rpc.firstThatMayHaveRun() == null || rpc.method.harmlessAnywhere()) {
       // half a soft deadline: about what a queue that long needs to drain
-      Span wait = rpc.method.softDeadline.times(0.5).atMost(settings.maxRetryAfter);
-      host.pushBack(rpc, settings.retryAfter ? wait : Span.ZERO);
+      TimeSpan wait = rpc.method.softDeadline.times(0.5).atMost(settings.maxRetryAfter);
+      host.pushBack(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
     } else {
       host.abort(rpc);
     }
@@ -487,7 +487,7 @@
     if (!settings.cancel) {
       return;
     }
-    for (Pick pick : rpc.picks) {
+    for (Attempt pick : rpc.picks) {
       if (pick.outcome() == null && pick.pair == null) {
         host.cancel(pick);
       }
@@ -510,7 +510,7 @@
   // wait, if
   // told.
   private boolean overloaded(Rpc rpc) {
-    Moment now = host.now();
+    Timestamp now = host.now();
     double queue = timely - 3; // three more is chance
     double waitMs = 1000 * queue / Math.max(answered.perSecond(started, now), 0.5);
     // Answers lag behind traffic that has just come; but who waits long is also old: in a queue of
@@ -534,18 +534,18 @@
   /**
    * Of the newest build not on trial, else of an earlier one, else of one on trial or withdrawn.
    */
-  private Unit chooseAny(Rpc rpc) {
-    Unit unit = choose(rpc, false);
+  private Endpoint chooseAny(Rpc rpc) {
+    Endpoint unit = choose(rpc, false);
     return unit != null ? unit : choose(rpc, true);
   }
 
-  private Unit choose(Rpc rpc, boolean trialToo) {
+  private Endpoint choose(Rpc rpc, boolean trialToo) {
     boolean keyed = offer != null && settings.oneWayKeys && rpc.key != 0;
     // once released, a build has every key: earlier units may be listed before news that it goes
     // back
     Build pin =
-        !keyed ? null : standing == Standing.RELEASED ? offer.build : offer.pins.get(rpc.key);
-    Unit unit = null;
+        !keyed ? null : standing == RolloutState.RELEASED ? offer.build : offer.pins.get(rpc.key);
+    Endpoint unit = null;
     for (Build build : builds.descendingMap().values()) {
       if (unit != null || pin != null && build.number < pin.number) {
         break;
@@ -562,22 +562,22 @@
     return unit;
   }
 
-  private Unit chooseIn(Rpc rpc, Build build) {
-    Moment now = host.now();
-    Pick first = rpc.firstThatMayHaveRun();
+  private Endpoint chooseIn(Rpc rpc, Build build) {
+    Timestamp now = host.now();
+    Attempt first = rpc.firstThatMayHaveRun();
     boolean mayLook = rpc.method.idempotent() && rpc.picks.isEmpty();
-    Unit one = null;
-    Unit rest = null;
+    Endpoint one = null;
+    Endpoint rest = null;
     // no scan of a large fleet: 24 draws miss the usable third of a build once in 17,000 times
     // Where connections fail, units that answered lately come first: their connections are open.
-    List<Unit> open = noConnection.at(now, 0, 2) > 0.15 ? met.of(build, chance.next()) : List.of();
+    List<Endpoint> open = noConnection.at(now, 0, 2) > 0.15 ? met.of(build, chance.next()) : List.of();
     for (int i = 0; i < open.size() + Math.min(build.units.size(), 24); i++) {
-      Unit unit = i < open.size() ? open.get(i) : build.draw(i - open.size(), chance.next());
+      Endpoint unit = i < open.size() ? open.get(i) : build.draw(i - open.size(), chance.next());
       if (!mayTake(rpc, first, unit, now)) {
         continue;
       }
       if (sick(unit) && mayLook && now.after(unit.retryAt) && budgetHasRoom()) {
-        unit.retryAt = now.plus(Span.ofMs(1000)); // a look a second shows recovery at little cost
+        unit.retryAt = now.plus(TimeSpan.ofMs(1000)); // a look a second shows recovery at little cost
         repeats.add(now, 1);
         return unit;
       }
@@ -592,7 +592,7 @@
     return one != null ? one : rest;
   }
 
-  private boolean mayTake(Rpc rpc, Pick first, Unit unit, Moment now) {
+  private boolean mayTake(Rpc rpc, Attempt first, Endpoint unit, Timestamp now) {
     if (first != null && !rpc.method.dropsRepeats(first.unit, unit)) {
       return false;
     }
@@ -604,11 +604,11 @@
   // are ones that this relay has no connection to: one that answered lately and is no dearer stands
   // in for
   // it. Not on trial, where pairs shall meet many units.
-  private Unit sparingly(Rpc rpc, Pick first, Unit drawn, Moment now) {
+  private Endpoint sparingly(Rpc rpc, Attempt first, Endpoint drawn, Timestamp now) {
     if (connected(drawn, now) || onTrial(drawn.build)) {
       return drawn;
     }
-    for (Unit unit : met.of(drawn.build, chance.next())) {
+    for (Endpoint unit : met.of(drawn.build, chance.next())) {
       boolean well = connected(unit, now) && !sick(unit) && !farOff(unit);
       if (well && mayTake(rpc, first, unit, now) && cost(unit) <= cost(drawn)) {
         return unit;
@@ -618,19 +618,19 @@
   }
 
   private boolean connected(
-      Unit unit, Moment now) { // by half the idle time neither end has closed it
+      Endpoint unit, Timestamp now) { // by half the idle time neither end has closed it
     return unit.lastAnswer != null && settings.idle.times(0.5).over(now.since(unit.lastAnswer));
   }
 
-  private boolean farOff(Unit unit) { // a slow or lossy link: about twice the own zone's times
+  private boolean farOff(Endpoint unit) { // a slow or lossy link: about twice the own zone's times
     if (unit.zone == settings.zone || !zonePaces.containsKey(settings.zone)) {
       return false;
     }
-    Moment now = host.now();
+    Timestamp now = host.now();
     return unit.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
   }
 
-  private double cost(Unit unit) {
+  private double cost(Endpoint unit) {
     double far = unit.zone == settings.zone ? 1 : 1.1; // a tie goes to the relay's own zone
     int out = unit.toldAt == loadsAt && loadsFresh() ? Math.max(unit.out(), unit.told) : unit.out();
     double load = 1 + out / Math.max(unit.weight(), 0.1);
@@ -641,20 +641,20 @@
    * (2) By the successes among its last six outcomes: under half of at least three, it is left
    * alone.
    */
-  private static boolean sick(Unit unit) {
+  private static boolean sick(Endpoint unit) {
     return unit.known(6) >= 3 && 2 * unit.failed(6) > unit.known(6);
   }
 
-  private void note(Unit unit, boolean ok) {
+  private void note(Endpoint unit, boolean ok) {
     boolean before = sick(unit);
     unit.note(ok);
     if (!before && sick(unit)) {
-      unit.retryAt = host.now().plus(Span.ofMs(1000));
+      unit.retryAt = host.now().plus(TimeSpan.ofMs(1000));
     }
   }
 
-  private void learnPace(Pick pick) {
-    Moment now = host.now();
+  private void learnPace(Attempt pick) {
+    Timestamp now = host.now();
     Method method = pick.rpc.method;
     double ms = Math.max(pick.took().ms(), 1);
     double times = Math.min(ms / usualMs(method), 8);
@@ -663,7 +663,7 @@
     double log = Math.log(ms / Math.max(pick.rpc.hinted().ms(), 1));
     if (onTrial(pick.unit.build)) {
       // younger ones look slow for being cold
-      if (!isOffered(pick.unit.build) || !pick.unit.olderThan(Span.ofMs(5000), now)) {
+      if (!isOffered(pick.unit.build) || !pick.unit.olderThan(TimeSpan.ofMs(5000), now)) {
         return;
       }
       offer.excessLog.add(now, log - method.logNow.at(now, log, 1e-9));
@@ -675,7 +675,7 @@
   }
 
   private void seePace(int source, Method method, double ms, double weight) {
-    Moment now = host.now();
+    Timestamp now = host.now();
     if (!longerThan(2000, started, now)) {
       return; // a fleet that just woke has no queues yet
     }
@@ -695,14 +695,14 @@
   // over relays is within the budget, however uneven they are. On trial it holds for warm ones too:
   // like
   // loads.
-  private boolean hasRoom(Unit unit, Moment now) {
+  private boolean hasRoom(Endpoint unit, Timestamp now) {
     if (!onTrial(unit.build) && unit.olderThan(settings.cold, now)) {
       return true;
     }
     double all = 0;
     double warm = 0;
     for (Build build : builds.values()) {
-      build.weigh(settings.cold, Span.ofMs(500), now); // no scan for each pick
+      build.weigh(settings.cold, TimeSpan.ofMs(500), now); // no scan for each pick
       all += build.weight;
       if (!onTrial(build)) {
         warm += build.weightOfOlder;
@@ -720,9 +720,9 @@
     return unit.coldTokens >= 1;
   }
 
-  private void judge(Pair pair) {
-    Pick fresh = pair.fresh;
-    Pick earlier = pair.earlier;
+  private void judge(ShadowPair pair) {
+    Attempt fresh = pair.fresh;
+    Attempt earlier = pair.earlier;
     if (pair.judged || earlier == null) {
       return;
     }
@@ -749,8 +749,8 @@
     if (earlier.erred() && !fresh.erred()) {
       seen.earlierFailed++;
     }
-    Moment now = host.now();
-    Span settled = Span.ofMs(5000); // the design's age, under which copies look slow for being cold
+    Timestamp now = host.now();
+    TimeSpan settled = TimeSpan.ofMs(5000); // the design's age, under which copies look slow for being cold
     boolean alike =
         fresh.unit.kind == earlier.unit.kind
             && !fresh.erred()
@@ -763,7 +763,7 @@
     consider();
   }
 
-  private double tookOf(Pick pick, Moment now) {
+  private double tookOf(Attempt pick, Timestamp now) {
     return pick.took(now).ms()
         / (pick.rpc.hint != null ? pick.rpc.hint.ms() : usualMs(pick.rpc.method));
   }
@@ -773,7 +773,7 @@
   // pace of the earlier build. They hold time-outs too: errors that picks or pairs showed must bear
   // them
   // out.
-  public void counted(Build build, Method method, double picks, double failed, Span mean) {
+  public void counted(Build build, Method method, double picks, double failed, TimeSpan mean) {
     if (!onTrial(build) && quiet() && picks > failed) {
       seePace(1, method, mean.ms(), picks - failed);
     }
@@ -785,7 +785,7 @@
     double[] counts = isOffered(build) ? fresh : earlier;
     counts[0] += picks;
     counts[1] += failed;
-    boolean released = standing == Standing.RELEASED;
+    boolean released = standing == RolloutState.RELEASED;
     int lead = offer.lead();
     boolean led = settings.peers ? lead > 0.01 * offer.pooled()[0] : offer.erred;
     if (fresh[0] < 12 || fresh[1] < 3 || !(released ? offer.evidence.errors > 2 : led)) {
@@ -800,14 +800,14 @@
   }
 
   private boolean quiet() { // sees too few RPCs to judge a fleet by itself within some seconds
-    return settings.countsEvery.over(Span.ZERO) && arrivals.perSecond(host.now()) < 10;
+    return settings.countsEvery.over(TimeSpan.ZERO) && arrivals.perSecond(host.now()) < 10;
   }
 
   /**
    * A wrong answer that a client reported stands as a failed copy beside an ok primary, or the
    * reverse.
    */
-  public void flagged(Unit unit) {
+  public void flagged(Endpoint unit) {
     if (offer == null) {
       return;
     }
@@ -823,7 +823,7 @@
    * A sign makes a sick unit worth its look at once; silence counts like that of a pick, so three
    * in a row leave it alone.
    */
-  public void looked(Unit unit, boolean answered) {
+  public void looked(Endpoint unit, boolean answered) {
     if (!answered) {
       note(unit, false);
     } else if (sick(unit)) {
@@ -851,11 +851,11 @@
   // Where it
   // is silent the next one is told; the lowest is believed. With all messages lost, own picks must
   // do.
-  private void report(Unit unit, Span endedAt) {
+  private void report(Endpoint unit, TimeSpan endedAt) {
     if (!settings.peers) {
       return;
     }
-    Moment now = host.now();
+    Timestamp now = host.now();
     if (hubSince == null) {
       hubSince = now;
     }
@@ -872,7 +872,7 @@
   }
 
   private void added(byte[] told) {
-    Moment now = host.now();
+    Timestamp now = host.now();
     if (board.add(told, now)) {
       endedAnywhere.add(now, 1);
     }
@@ -881,10 +881,10 @@
     }
     sumsDue = true;
     host.wake(
-        now.plus(Span.ofMs(250)),
+        now.plus(TimeSpan.ofMs(250)),
         () -> {
           sumsDue = false;
-          Moment at = host.now();
+          Timestamp at = host.now();
           double waitMs = 1000 * board.out(at) / Math.max(endedAnywhere.perSecond(started, at), 1);
           byte[] loads = board.loads(2, waitMs / settings.meanSoftMs, at);
           host.tellPeers(loads);
@@ -907,7 +907,7 @@
   }
 
   private boolean slowed(
-      Moment now) { // by half and thrice what chance gives; logarithms stray by 0.9
+      Timestamp now) { // by half and thrice what chance gives; logarithms stray by 0.9
     double count = pace.weight(now);
     return count >= 2 && pace.mean(now) > Math.max(0.4, 2.7 / Math.sqrt(count));
   }
@@ -919,11 +919,11 @@
   // do, it follows exposure and the build is to blame; else the build is excused until the pace is
   // good.
   // All relays see the same, so they stop together. Harms where an outside slowdown comes in step.
-  private void watchPace(Moment now) {
+  private void watchPace(Timestamp now) {
     if (pace.mean(now) < 0.2) {
       offer.slowSince = null;
       offer.excused = false;
-      if (offer.pausedAt != null && now.since(offer.pausedAt).over(Span.ofMs(500))) {
+      if (offer.pausedAt != null && now.since(offer.pausedAt).over(TimeSpan.ofMs(500))) {
         offer.pausedAt = null;
         offer.resumedAt = now;
       }
@@ -942,21 +942,21 @@
     }
   }
 
-  private boolean paceLost(Moment now) { // at the build, against the earlier one by method
+  private boolean paceLost(Timestamp now) { // at the build, against the earlier one by method
     double count = offer.excessLog.count(now);
     double mark = Math.max(0.5, strays * 0.9 / Math.sqrt(count));
     return count >= 4 && offer.excessLog.at(now, 0, 1e-9) > mark;
   }
 
-  private static boolean longerThan(double ms, Moment since, Moment now) {
-    return since != null && now.since(since).over(Span.ofMs(ms));
+  private static boolean longerThan(double ms, Timestamp since, Timestamp now) {
+    return since != null && now.since(since).over(TimeSpan.ofMs(ms));
   }
 
   private double lagMs() { // how late counts tell of a change: a period to fill, one to come
     return quiet() ? 2 * settings.countsEvery.ms() : 0;
   }
 
-  private boolean inDoubt(Moment now) {
+  private boolean inDoubt(Timestamp now) {
     return offer.pausedAt != null
         || offer.slowSince != null && !offer.excused
         || offer.resumedAt != null && !longerThan(3000 + lagMs(), offer.resumedAt, now);
@@ -966,7 +966,7 @@
    * After the release: failures on many units, or a pace that is gone for longer than most bursts
    * last.
    */
-  private boolean failsAfterRelease(Moment now) {
+  private boolean failsAfterRelease(Timestamp now) {
     Evidence seen = offer.evidence;
     if (pace.mean(now) < 0.6 || !slowed(now)) {
       offer.lost = 0;
@@ -981,7 +981,7 @@
   }
 
   private void look() {
-    Moment now = host.now();
+    Timestamp now = host.now();
     if (settings.ask && now.since(lastAsked).over(settings.askWithin.times(0.5))) {
       subscribe();
     }
@@ -992,18 +992,18 @@
       offer.told = now;
       host.tellPeers(offer.evidence.report(offer.build.number, offer.stage));
     }
-    host.wake(now.plus(Span.ofMs(100)), this::look); // well under a stage's shortest time
+    host.wake(now.plus(TimeSpan.ofMs(100)), this::look); // well under a stage's shortest time
   }
 
-  private boolean watched(Moment now) { // for 15 s after release all traffic shows what it shows
-    boolean released = standing == Standing.RELEASED && offer.tried;
-    return standing == Standing.ON_TRIAL
+  private boolean watched(Timestamp now) { // for 15 s after release all traffic shows what it shows
+    boolean released = standing == RolloutState.RELEASED && offer.tried;
+    return standing == RolloutState.ON_TRIAL
         || released && !longerThan(15000 + lagMs(), offer.since, now);
   }
 
   private void consider() {
-    Moment now = host.now();
-    boolean released = standing == Standing.RELEASED;
+    Timestamp now = host.now();
+    boolean released = standing == RolloutState.RELEASED;
     if (!watched(now)) {
       return;
     }
@@ -1042,7 +1042,7 @@
   // to others for two seconds more; the last stage waits for a KS test or many pairs, or three
   // seconds
   // more.
-  private boolean mayMoveOn(Moment now) {
+  private boolean mayMoveOn(Timestamp now) {
     Evidence seen = offer.evidence;
     boolean single = settings.control == Settings.Control.SINGLE;
     int pairs = offer.pooled()[0];
@@ -1054,10 +1054,10 @@
       fallback *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
     }
     // by the start times in the list; while the new units of a stage are not listed, none up to 8 s
-    Span known = now.since(offer.since);
-    Moment newest = offer.build.newest();
-    boolean missing = newest == null || offer.since.after(newest) && Span.ofMs(8000).over(known);
-    boolean old = !missing && now.since(newest).atMost(known).over(Span.ofMs(fallback));
+    TimeSpan known = now.since(offer.since);
+    Timestamp newest = offer.build.newest();
+    boolean missing = newest == null || offer.since.after(newest) && TimeSpan.ofMs(8000).over(known);
+    boolean old = !missing && now.since(newest).atMost(known).over(TimeSpan.ofMs(fallback));
     return pairs >= 20 && !untested || old;
   }
 
@@ -1066,10 +1066,10 @@
    * count.
    */
   private void vote(Verdict verdict) {
-    Moment now = host.now();
+    Timestamp now = host.now();
     boolean anew = verdict != ballot.verdict;
-    Span renew = settings.voteLife.times(0.5);
-    if (!anew && !ballot.due(renew, settings.callTimeout, Span.ofMs(300), now)) {
+    TimeSpan renew = settings.voteLife.times(0.5);
+    if (!anew && !ballot.due(renew, settings.callTimeout, TimeSpan.ofMs(300), now)) {
       return;
     }
     boolean told = anew && (verdict != Verdict.ON || settings.index == 0); // hundreds say the same
@@ -1080,7 +1080,7 @@
     host.vote(offer.build, offer.stage, verdict);
   }
 
-  public void voteAnswered(Reply reply) {
+  public void voteAnswered(VoteReply reply) {
     ballot.answered(reply);
   }
 }
--- a/src/main/java/sprucerock/accounting/Scale.java
+++ b/src/main/java/sprucerock/accounting/HistogramBuckets.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.HdrHistogram.Histogram;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * The buckets of latencies: those that HdrHistogram has for one significant digit, 16 us wide up to
@@ -11,7 +11,7 @@
  * off. What took longer than 67 s counts in the last one. They are accounts like all others, so
  * that a latency's count is a posting that can't be lost by itself.
  */
-public final class Scale {
+public final class HistogramBuckets {
   /** How many buckets there are. */
   public static final int BUCKETS = 304;
 
@@ -19,10 +19,10 @@
   private static final int HALF = 16;
   private static final long MOST_US = (long) FINE_US << 22;
 
-  private Scale() {}
+  private HistogramBuckets() {}
 
   /** The bucket that a latency falls into. */
-  public static int bucket(Span took) {
+  public static int bucket(TimeSpan took) {
     double us = Math.max(0, took.ms() * 1000);
     if (us >= MOST_US) {
       return BUCKETS - 1;
@@ -49,7 +49,7 @@
   }
 
   /** A row's latencies; its counts are those of the accounts. */
-  public static Histogram histogram(Sheet sheet, int row, long[] values) {
+  public static Histogram histogram(MethodMetrics sheet, int row, long[] values) {
     Histogram made = histogram();
     for (int i = 0; i < BUCKETS; i++) {
       long count = values[sheet.index(row, 1 + i)];
--- a/src/main/java/sprucerock/accounting/Accounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -6,14 +6,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * The double-entry accounts of one relay. One thread posts; a posting is a few additions. What was
  * posted in a turn goes into the book together at its end, so that nobody, nor a crash, ever sees
  * half of one.
  */
-public final class Accounts {
+public final class MethodAccounts {
   private static final int LAST = 64; // postings that a drift can name; some turns' worth
 
   /** How many rows there may be; further ones count as other. */
@@ -44,47 +44,47 @@
           "lost",
           "out");
 
-  public final Sheet calls;
-  public final Sheet rpcs;
-  public final Sheet customers;
-  public final Sheet picks;
-  public final Sheet builds;
-  public final Sheet units;
+  public final MethodMetrics calls;
+  public final MethodMetrics rpcs;
+  public final MethodMetrics customers;
+  public final MethodMetrics picks;
+  public final MethodMetrics builds;
+  public final MethodMetrics units;
 
   /** Copies to a build on trial, by build; each is among the picks, too. */
-  public final Sheet copies;
+  public final MethodMetrics copies;
 
   /** RPCs that ended ok, by the deadlines they were in time for. */
-  public final Sheet answers;
+  public final MethodMetrics answers;
 
   /** How long these took, from their arrival here. */
-  public final Sheet latency;
+  public final MethodMetrics latency;
 
   /** How long picks took that ended ok, by build and method; see {@link #tookRow}. */
-  public final Sheet took;
+  public final MethodMetrics took;
 
   /** Picks on their way to a connection: written as a frame, or ended before. */
-  public final Sheet frames;
+  public final MethodMetrics frames;
 
   /** Results of picks that had ended before, as of one that was out of time. */
-  public final Sheet lateResults;
+  public final MethodMetrics lateResults;
 
   /** TLS handshakes, begun from here or taken, by how they ended. */
-  public final Sheet handshakes;
+  public final MethodMetrics handshakes;
 
   /** Changes of the TLS files, taken or refused. */
-  public final Sheet tlsFiles;
+  public final MethodMetrics tlsFiles;
 
-  public final Sheet votes;
-  public final Sheet messages;
+  public final MethodMetrics votes;
+  public final MethodMetrics messages;
 
   /** The relay's own starts: how each ended. */
-  public final Sheet starts;
+  public final MethodMetrics starts;
 
   /** What each start found of the figures kept before. */
-  public final Sheet files;
+  public final MethodMetrics files;
 
-  private final List<Sheet> sheets = new ArrayList<>();
+  private final List<MethodMetrics> sheets = new ArrayList<>();
   private final long[] values;
   private final String[] names;
   private final int[] firstRow;
@@ -95,12 +95,12 @@
   private final int[] lastFrom = new int[LAST];
   private final int[] lastTo = new int[LAST];
   private long posted;
-  private Book book = Book.NONE;
+  private MetricsStore book = MetricsStore.NONE;
   private boolean mute;
   private final int firstTook;
   private Runnable firstOfTurn = () -> {};
 
-  public Accounts(List<String> methods, Room room) {
+  public MethodAccounts(List<String> methods, Room room) {
     calls =
         sheet(
             "calls",
@@ -131,13 +131,13 @@
             methods.size() + 1,
             List.of("answered", "in_time", "late", "too_late"),
             false);
-    latency = sheet("latency", "method", methods.size() + 1, Scale.columns("answered"), false);
+    latency = sheet("latency", "method", methods.size() + 1, HistogramBuckets.columns("answered"), false);
     took =
         sheet(
             "pick_latency",
             "build_and_method",
             (room.builds + 1) * (methods.size() + 1),
-            Scale.columns("ok"),
+            HistogramBuckets.columns("ok"),
             false);
     frames =
         sheet(
@@ -203,34 +203,34 @@
     dirty = new int[size];
     isDirty = new boolean[size];
     names = new String[rows];
-    for (Sheet sheet : sheets) {
+    for (MethodMetrics sheet : sheets) {
       if (sheet != took) {
-        label(sheet, sheet.rows() - 1, sheet.rows() == 1 ? Sheet.ALL : Sheet.OTHER);
+        label(sheet, sheet.rows() - 1, sheet.rows() == 1 ? MethodMetrics.ALL : MethodMetrics.OTHER);
       }
     }
     for (String method : methods) {
-      for (Sheet sheet : List.of(rpcs, picks, answers, latency)) {
+      for (MethodMetrics sheet : List.of(rpcs, picks, answers, latency)) {
         row(sheet, method);
       }
     }
   }
 
-  private Sheet sheet(String name, String by, int rows, List<String> columns) {
+  private MethodMetrics sheet(String name, String by, int rows, List<String> columns) {
     return sheet(name, by, rows, columns, true);
   }
 
-  private Sheet sheet(String name, String by, int rows, List<String> columns, boolean settles) {
+  private MethodMetrics sheet(String name, String by, int rows, List<String> columns, boolean settles) {
     int base =
         sheets.isEmpty()
             ? 0
             : sheets.get(sheets.size() - 1).base + sheets.get(sheets.size() - 1).size();
-    Sheet made = new Sheet(name, by, rows, base, sheets.size(), columns, settles);
+    MethodMetrics made = new MethodMetrics(name, by, rows, base, sheets.size(), columns, settles);
     sheets.add(made);
     rowsByName.add(new HashMap<>());
     return made;
   }
 
-  public List<Sheet> sheets() {
+  public List<MethodMetrics> sheets() {
     return Collections.unmodifiableList(sheets);
   }
 
@@ -243,7 +243,7 @@
   }
 
   /** A row's name; null where it is not in use. */
-  public String name(Sheet sheet, int row) {
+  public String name(MethodMetrics sheet, int row) {
     return names[firstRow[sheet.place] + row];
   }
 
@@ -253,7 +253,7 @@
    */
   public String layout() {
     StringBuilder text = new StringBuilder();
-    for (Sheet sheet : sheets) {
+    for (MethodMetrics sheet : sheets) {
       text.append(sheet.name())
           .append(' ')
           .append(sheet.by())
@@ -270,7 +270,7 @@
    * The row of a name, made if there is room; else the one for all others. Copies have the rows of
    * builds.
    */
-  public int row(Sheet sheet, String label) {
+  public int row(MethodMetrics sheet, String label) {
     Map<String, Integer> known = rowsByName.get(sheet.place);
     Integer row = known.get(label);
     if (row != null) {
@@ -299,11 +299,11 @@
   }
 
   /** Names a row as another's file has it. */
-  public void named(Sheet sheet, int row, String label) {
+  public void named(MethodMetrics sheet, int row, String label) {
     label(sheet, row, label);
   }
 
-  private int label(Sheet sheet, int row, String label) {
+  private int label(MethodMetrics sheet, int row, String label) {
     rowsByName.get(sheet.place).put(label, row);
     int all = firstRow[sheet.place] + row;
     names[all] = label;
@@ -315,7 +315,7 @@
    * Keeps everything in a book from now on; what was posted so far goes there first. Whoever runs
    * the turns is told when one has its first posting, and then has to {@link #commit} at its end.
    */
-  public void keepIn(Book kept, Runnable onFirstPostingOfATurn) {
+  public void keepIn(MetricsStore kept, Runnable onFirstPostingOfATurn) {
     firstOfTurn = onFirstPostingOfATurn;
     book = kept;
     for (int i = 0; i < names.length; i++) {
@@ -335,7 +335,7 @@
    * What an earlier life of the relay counted: its figures go on, and what was pending then is
    * lost.
    */
-  public void carry(Sheet sheet, String label, int column, long value) {
+  public void carry(MethodMetrics sheet, String label, int column, long value) {
     int cut = label.indexOf('/');
     int row =
         sheet == took
@@ -354,7 +354,7 @@
   }
 
   /** Something new, in a column. */
-  public void begin(Sheet sheet, int row, int column) {
+  public void begin(MethodMetrics sheet, int row, int column) {
     if (mute) {
       return;
     }
@@ -364,7 +364,7 @@
   }
 
   /** From one column to another. */
-  public void move(Sheet sheet, int row, int from, int to) {
+  public void move(MethodMetrics sheet, int row, int from, int to) {
     if (mute) {
       return;
     }
@@ -391,9 +391,9 @@
 
   /** It ended ok, so long after it came. */
   public void rpcAnswered(
-      int method, int customer, Span after, boolean inTime, boolean byDeadline) {
+      int method, int customer, TimeSpan after, boolean inTime, boolean byDeadline) {
     begin(answers, method, inTime ? 1 : byDeadline ? 2 : 3);
-    begin(latency, method, 1 + Scale.bucket(after));
+    begin(latency, method, 1 + HistogramBuckets.bucket(after));
     rpcEnded(method, customer, 1);
   }
 
@@ -414,7 +414,7 @@
 
   /** A pick ended: in a column of the picks' sheet, of which the first one is ok. */
   public void pickEnded(
-      int method, int build, int unit, boolean copy, boolean written, int how, Span after) {
+      int method, int build, int unit, boolean copy, boolean written, int how, TimeSpan after) {
     if (!written) {
       move(frames, 0, frames.pending(), 2);
     }
@@ -425,7 +425,7 @@
       move(copies, build, copies.pending(), how);
     }
     if (how == 1) {
-      begin(took, tookRow(build, method), 1 + Scale.bucket(after));
+      begin(took, tookRow(build, method), 1 + HistogramBuckets.bucket(after));
     }
   }
 
@@ -464,16 +464,16 @@
     book.commit();
   }
 
-  public long value(Sheet sheet, int row, int column) {
+  public long value(MethodMetrics sheet, int row, int column) {
     return values[sheet.index(row, column)];
   }
 
   /** A column over all rows. */
-  public long sum(Sheet sheet, int column) {
+  public long sum(MethodMetrics sheet, int column) {
     return sum(values, sheet, column);
   }
 
-  private static long sum(long[] of, Sheet sheet, int column) {
+  private static long sum(long[] of, MethodMetrics sheet, int column) {
     long sum = 0;
     for (int row = 0; row < sheet.rows(); row++) {
       sum += of[sheet.index(row, column)];
@@ -489,7 +489,7 @@
   /** The same for values read elsewhere, such as from a file. */
   public List<Drift> check(long[] of) {
     List<Drift> found = new ArrayList<>();
-    for (Sheet sheet : sheets) {
+    for (MethodMetrics sheet : sheets) {
       int columns = sheet.columns().size();
       for (int row = 0; row < sheet.rows(); row++) {
         long parts = 0;
@@ -558,12 +558,12 @@
     return found;
   }
 
-  private void same(List<Drift> found, long[] of, String what, long left, Sheet sheet, int row) {
+  private void same(List<Drift> found, long[] of, String what, long left, MethodMetrics sheet, int row) {
     same(found, of, what, left, sheet, row, 0);
   }
 
   private void same(
-      List<Drift> found, long[] of, String what, long left, Sheet sheet, int row, int column) {
+      List<Drift> found, long[] of, String what, long left, MethodMetrics sheet, int row, int column) {
     long right = of[sheet.index(row, column)];
     if (left != right) {
       found.add(
@@ -577,7 +577,7 @@
   }
 
   private void same(
-      List<Drift> found, long[] of, Sheet one, int column, Sheet other, int otherColumn) {
+      List<Drift> found, long[] of, MethodMetrics one, int column, MethodMetrics other, int otherColumn) {
     long left = sum(of, one, column);
     long right = sum(of, other, otherColumn);
     if (left == right) {
@@ -608,7 +608,7 @@
   }
 
   private String cell(int index) {
-    for (Sheet sheet : sheets) {
+    for (MethodMetrics sheet : sheets) {
       int at = index - sheet.base;
       if (at < sheet.size()) {
         return cell(sheet, at / sheet.columns().size(), at % sheet.columns().size());
@@ -617,7 +617,7 @@
     throw new IllegalArgumentException("no account " + index);
   }
 
-  private String cell(Sheet sheet, int row, int column) {
+  private String cell(MethodMetrics sheet, int row, int column) {
     return sheet.name()
         + "{"
         + sheet.by()
@@ -627,7 +627,7 @@
         + sheet.columns().get(column);
   }
 
-  private String equation(Sheet sheet, int row) {
+  private String equation(MethodMetrics sheet, int row) {
     if (sheet.scaled()) {
       return cell(sheet, row, 0) + " = the sum of its buckets";
     }
--- a/src/main/java/sprucerock/accounting/Sheet.java
+++ b/src/main/java/sprucerock/accounting/MethodMetrics.java
@@ -8,7 +8,7 @@
  * total and to one of them, or moves from one to another. The last row stands for all that found no
  * row of their own.
  */
-public final class Sheet {
+public final class MethodMetrics {
   /** A row's name where more were wanted than there is room for. */
   public static final String OTHER = "other";
 
@@ -30,7 +30,7 @@
    * {@code settles}: its last two columns are what a crash ended and what is not over yet; else all
    * of it is over at once.
    */
-  Sheet(
+  MethodMetrics(
       String name,
       String by,
       int rows,
@@ -53,9 +53,9 @@
     return pending > 0;
   }
 
-  /** Whether its columns are the buckets of a {@link Scale}. */
+  /** Whether its columns are the buckets of a {@link HistogramBuckets}. */
   public boolean scaled() {
-    return columns.size() == 1 + Scale.BUCKETS;
+    return columns.size() == 1 + HistogramBuckets.BUCKETS;
   }
 
   /** The first column after those of how something ended. */
--- a/src/main/java/sprucerock/accounting/Book.java
+++ b/src/main/java/sprucerock/accounting/MetricsStore.java
@@ -4,9 +4,9 @@
  * Where accounts are kept beyond the relay's life. What was put counts from {@link #commit} on, all
  * of it or none.
  */
-public interface Book {
-  Book NONE =
-      new Book() {
+public interface MetricsStore {
+  MetricsStore NONE =
+      new MetricsStore() {
         @Override
         public void name(int row, String label) {}
 
--- a/src/main/java/sprucerock/accounting/Ledger.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.policy.Module;
+import sprucerock.policy.RelayEvents;
 import sprucerock.model.Build;
 import sprucerock.model.Method;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pick;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.Standing;
-import sprucerock.model.Unit;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Endpoint;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * The life of each RPC, pick, unit and build of one relay, the same under every host of the module:
  * it writes the facts, and then tells the module. The host tells it what came in, and what the
  * module had it do. One thread.
  */
-public final class Ledger {
+public final class RequestTracker {
   // columns of the RPCs' accounts
   private static final int PUSHED_BACK = 2;
   private static final int ABORTED = 3;
@@ -32,31 +32,31 @@
 
   private final Settings settings;
   private final Map<Long, Rpc> rpcs = new HashMap<>();
-  private final TreeMap<Long, Unit> units = new TreeMap<>();
+  private final TreeMap<Long, Endpoint> units = new TreeMap<>();
   private int newestTried;
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
-  private final Accounts accounts;
+  private final MethodAccounts accounts;
   private final int[] customerRows;
-  private Module module;
+  private RelayEvents module;
   private int open;
 
   /** One whose figures are told apart by method only, under their numbers. */
-  public Ledger(Settings settings) {
+  public RequestTracker(Settings settings) {
     this(
         settings,
-        new Accounts(
+        new MethodAccounts(
             settings.methods.stream().map(method -> "" + method.index).toList(),
-            Accounts.Room.NONE));
+            MethodAccounts.Room.NONE));
   }
 
-  public Ledger(Settings settings, Accounts accounts) {
+  public RequestTracker(Settings settings, MethodAccounts accounts) {
     this.settings = settings;
     this.accounts = accounts;
     customerRows = new int[accounts.customers.rows()];
     Arrays.fill(customerRows, -1);
   }
 
-  public Accounts accounts() {
+  public MethodAccounts accounts() {
     return accounts;
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Names the module to be told; once, since it needs its host before it can be made. */
-  public void tell(Module toBeTold) {
+  public void tell(RelayEvents toBeTold) {
     module = toBeTold;
   }
 
@@ -92,11 +92,11 @@
   }
 
   /** A unit as listed now; null where none has the id. */
-  public Unit unit(long id) {
+  public Endpoint unit(long id) {
     return units.get(id);
   }
 
-  public List<Unit> units() {
+  public List<Endpoint> units() {
     return new ArrayList<>(units.values());
   }
 
@@ -108,9 +108,9 @@
       Method method,
       int customer,
       long key,
-      Moment now,
-      Moment deadline,
-      Span hint,
+      Timestamp now,
+      Timestamp deadline,
+      TimeSpan hint,
       Object door) {
     Rpc rpc = new Rpc(id, method, customer, key, now, deadline, hint, door);
     rpcs.put(id, rpc);
@@ -121,7 +121,7 @@
   }
 
   /** The answer has begun to reach the client. */
-  public void streamStarted(Pick pick) {
+  public void streamStarted(Attempt pick) {
     pick.rpc.stream();
     module.streamStarted(pick);
   }
@@ -130,7 +130,7 @@
    * A pick ended, once; {@code closes} says that its RPC is over, by this or before. An ok that
    * closes one which was open is its answer.
    */
-  public void pickEnded(Pick pick, Outcome outcome, Span took, boolean closes) {
+  public void pickEnded(Attempt pick, AttemptOutcome outcome, TimeSpan took, boolean closes) {
     if (pick.outcome() != null) {
       return;
     }
@@ -148,7 +148,7 @@
         1 + outcome.ordinal(),
         took);
     boolean answers = closes && !rpc.ended();
-    if (answers && outcome == Outcome.OK) {
+    if (answers && outcome == AttemptOutcome.OK) {
       answered(rpc, pick.sent.plus(took));
     } else if (answers) {
       close(rpc, ABORTED); // a stream that broke
@@ -157,8 +157,8 @@
     forget(rpc);
   }
 
-  private void answered(Rpc rpc, Moment now) {
-    Span after = now.since(rpc.arrived);
+  private void answered(Rpc rpc, Timestamp now) {
+    TimeSpan after = now.since(rpc.arrived);
     end(rpc);
     accounts.rpcAnswered(
         rpc.method.index,
@@ -179,22 +179,22 @@
   }
 
   /** A unit as a list or a change has it; a run that began at another time is another unit. */
-  public Unit listed(
+  public Endpoint listed(
       long id,
       int zone,
       int kind,
       int cell,
       int build,
-      Moment started,
+      Timestamp started,
       double weight,
       boolean mayGetWork) {
-    Unit known = units.get(id);
+    Endpoint known = units.get(id);
     if (known != null && !known.sameRun(build, started)) {
       removed(id);
       known = null;
     }
     if (known == null) {
-      known = new Unit(id, zone, kind, cell, build(build), started, weight);
+      known = new Endpoint(id, zone, kind, cell, build(build), started, weight);
       known.row(accounts.row(accounts.units, "" + id));
       units.put(id, known);
     }
@@ -211,7 +211,7 @@
 
   /** A unit is gone; nothing happens where none has the id. */
   public void removed(long id) {
-    Unit unit = units.remove(id);
+    Endpoint unit = units.remove(id);
     if (unit != null) {
       leave(unit);
     }
@@ -219,14 +219,14 @@
 
   /** A whole list came: all that it does not name are gone. */
   public void keepOnly(Set<Long> named) {
-    for (Unit unit : units()) {
+    for (Endpoint unit : units()) {
       if (!named.contains(unit.id)) {
         removed(unit.id);
       }
     }
   }
 
-  private void leave(Unit unit) {
+  private void leave(Endpoint unit) {
     if (unit.ready()) {
       unit.build.remove(unit);
     }
@@ -234,14 +234,14 @@
     module.unitLeaving(unit);
   }
 
-  public void news(int build, int stage, Standing standing, double cap, Moment since) {
-    newestTried = standing == Standing.RELEASED ? build + 1 : build;
+  public void news(int build, int stage, RolloutState standing, double cap, Timestamp since) {
+    newestTried = standing == RolloutState.RELEASED ? build + 1 : build;
     module.newsOfBuild(build(build), stage, standing, cap, since);
     builds.values().removeIf(one -> one.units.isEmpty() && one.number < build - 1);
   }
 
   /** Counts of a build that this relay never heard of tell it nothing. */
-  public void counted(int build, int method, double picks, double failed, Span mean) {
+  public void counted(int build, int method, double picks, double failed, TimeSpan mean) {
     Build known = builds.get(build);
     if (known != null) {
       module.counted(known, settings.methods.get(method), picks, failed, mean);
@@ -252,8 +252,8 @@
    * A client found an answer of a pick wrong that was sent so long ago; only the run that gave it
    * is meant.
    */
-  public void flagged(long unit, Span sentAgo, Moment now) {
-    Unit known = units.get(unit);
+  public void flagged(long unit, TimeSpan sentAgo, Timestamp now) {
+    Endpoint known = units.get(unit);
     if (known != null && known.olderThan(sentAgo, now)) {
       module.flagged(known);
     }
@@ -269,7 +269,7 @@
 
   /** A unit gave a sign when it was looked at, or none. */
   public void looked(long unit, boolean answered) {
-    Unit known = units.get(unit);
+    Endpoint known = units.get(unit);
     if (known != null && known.ready()) {
       module.looked(known, answered);
     }
@@ -288,22 +288,22 @@
 
   // What the module had its host do.
 
-  public void sent(Pick pick) {
+  public void sent(Attempt pick) {
     pick.rpc.add(pick);
     pick.unit.picked();
     accounts.pickSent(pick.rpc.method.index, pick.unit.build.row(), pick.unit.row(), pick.copy);
   }
 
   /** A pick was put on a connection to its unit. */
-  public void written(Pick pick) {
+  public void written(Attempt pick) {
     pick.write();
     accounts.pickWritten();
   }
 
   /** The result of a pick came that had ended before; it changes nothing. */
-  public void lateResult(Outcome outcome) {
+  public void lateResult(AttemptOutcome outcome) {
     accounts.begin(
-        accounts.lateResults, 0, outcome == Outcome.OK ? 1 : outcome == Outcome.FULL ? 3 : 2);
+        accounts.lateResults, 0, outcome == AttemptOutcome.OK ? 1 : outcome == AttemptOutcome.FULL ? 3 : 2);
   }
 
   public void pushedBack(Rpc rpc) {
--- a/src/main/java/sprucerock/agent/Agent.java
+++ b/src/main/java/sprucerock/agent/Agent.java
@@ -5,8 +5,8 @@
 import java.util.Collections;
 import java.util.Deque;
 import sprucerock.controller.deployment.Version;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Keeps one relay running on one machine: on what the controller wants, else on what ran well last.
@@ -27,20 +27,20 @@
   }
 
   /** A run of the relay that is over. */
-  public record Run(Version version, Moment from, Moment to, String how) {}
+  public record Run(Version version, Timestamp from, Timestamp to, String how) {}
 
   /**
    * @param readyWithin a start that takes longer has failed; {@code endWithin}: told to end, it is
    *     killed after that
    * @param proven a version that was ready for so long ran well
    */
-  public record Times(Span readyWithin, Span endWithin, Span proven) {}
+  public record Times(TimeSpan readyWithin, TimeSpan endWithin, TimeSpan proven) {}
 
   private static final int TRIES =
       3; // of a new version: a start may fail once for what is none of its fault
-  private static final Span FIRST_PAUSE = Span.ofMs(500); // as long as a start takes
-  private static final Span LONGEST_PAUSE =
-      Span.ofMs(
+  private static final TimeSpan FIRST_PAUSE = TimeSpan.ofMs(500); // as long as a start takes
+  private static final TimeSpan LONGEST_PAUSE =
+      TimeSpan.ofMs(
           30_000); // of what ran well before: it will again, once what ails the machine is over
   private static final int MOST_RUNS = 20;
 
@@ -50,7 +50,7 @@
   private Phase phase = Phase.OFF;
   private Version runs = Version.NONE;
   private Version next;
-  private Moment since;
+  private Timestamp since;
   private int tries;
   private int run;
 
@@ -415,7 +415,7 @@
     next = was;
     become(Phase.PAUSE);
     int of = run;
-    Span pause = FIRST_PAUSE.times(Math.pow(2, Math.min(tries, 20) - 1)).atMost(LONGEST_PAUSE);
+    TimeSpan pause = FIRST_PAUSE.times(Math.pow(2, Math.min(tries, 20) - 1)).atMost(LONGEST_PAUSE);
     machine.at(
         machine.now().plus(pause),
         () -> {
--- a/src/main/java/sprucerock/agent/AgentConfig.java
+++ b/src/main/java/sprucerock/agent/AgentConfig.java
@@ -9,7 +9,7 @@
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Node;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** The configuration of one agent, checked; agent.xsd has the values used where one is left out. */
 public final class AgentConfig {
@@ -42,7 +42,7 @@
   public final int descriptors;
   public final Map<String, String> values;
   public final Agent.Times times;
-  public final Span sayEvery;
+  public final TimeSpan sayEvery;
   public final long mostBytes;
   public final int versions;
 
@@ -86,7 +86,7 @@
     times =
         new Agent.Times(root.span("ready-within"), root.span("end-within"), root.span("proven"));
     sayEvery = root.span("say-every");
-    if (Span.ofMs(100).over(sayEvery)) {
+    if (TimeSpan.ofMs(100).over(sayEvery)) {
       throw root.wrong("say-every is 100ms at least");
     }
     mostBytes = root.bytes("most-bytes");
--- a/src/main/java/sprucerock/agent/Here.java
+++ b/src/main/java/sprucerock/agent/Here.java
@@ -24,8 +24,8 @@
 import sprucerock.config.Live;
 import sprucerock.config.RelayConfig;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.agent.artifact.Vault;
 import sprucerock.transport.wire.v1.RelaySums;
 
@@ -43,9 +43,9 @@
   private static final long MOST_LOG =
       16 << 20; // at a start: then it begins anew, and the one before is kept
   private static final long MOST_SAID = 1 << 16; // its first lines: STARTED comes after some ten
-  private static final Span LOOK = Span.ofMs(50);
-  private static final Span TAKES_OVER =
-      Span.ofMs(5000); // a relay that stands still for longer is better started anew
+  private static final TimeSpan LOOK = TimeSpan.ofMs(50);
+  private static final TimeSpan TAKES_OVER =
+      TimeSpan.ofMs(5000); // a relay that stands still for longer is better started anew
   private static final long CHECK_SECONDS = 30;
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.agent");
@@ -80,12 +80,12 @@
   }
 
   @Override
-  public Moment now() {
+  public Timestamp now() {
     return loop.now();
   }
 
   @Override
-  public void at(Moment when, Runnable what) {
+  public void at(Timestamp when, Runnable what) {
     loop.at(when, what);
   }
 
@@ -265,7 +265,7 @@
 
   /** Waits for a line of its own that has these words; without end, or until then. */
   private void lookFor(
-      String words, ProcessHandle one, Path file, long from, Moment until, Consumer<Boolean> told) {
+      String words, ProcessHandle one, Path file, long from, Timestamp until, Consumer<Boolean> told) {
     if (process != one) {
       return;
     }
@@ -411,7 +411,7 @@
       put(now, anew);
       note(to);
       new ProcessBuilder("kill", "-HUP", Long.toString(one.pid())).start();
-      Moment until = loop.now().plus(TAKES_OVER);
+      Timestamp until = loop.now().plus(TAKES_OVER);
       lookFor(" SETTINGS taken over", one, log, from0, until, said -> agent.reloaded(to, said));
       return true;
     } catch (IOException | ConfigException e) {
--- a/src/main/java/sprucerock/agent/Machine.java
+++ b/src/main/java/sprucerock/agent/Machine.java
@@ -1,16 +1,16 @@
 package sprucerock.agent;
 
 import sprucerock.controller.deployment.Version;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /**
  * What an agent can do on its machine, carried out at once; what comes of it is told to the {@link
  * Agent} later.
  */
 public interface Machine {
-  Moment now();
+  Timestamp now();
 
-  void at(Moment when, Runnable what);
+  void at(Timestamp when, Runnable what);
 
   /** Whether program and settings are here, whole. */
   boolean has(Version version);
--- a/src/main/java/sprucerock/agent/Place.java
+++ b/src/main/java/sprucerock/agent/Place.java
@@ -28,7 +28,7 @@
   /** Names the core that is told what comes of things. */
   void serves(Agent agent);
 
-  /** What an earlier life of the agent kept, else {@link Memory#NONE}. */
+  /** What an earlier life of the agent kept, else {@link MetricsMemory#NONE}. */
   Memory remembered();
 
   /** The relay of an earlier life of the agent goes on, if it runs still. */
--- a/src/main/java/sprucerock/agent/Station.java
+++ b/src/main/java/sprucerock/agent/Station.java
@@ -14,8 +14,8 @@
 import sprucerock.controller.deployment.Version;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.stats.Chance;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
 import sprucerock.agent.artifact.Vault;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
@@ -39,11 +39,11 @@
  * relay runs on meanwhile.
  */
 public final class Station {
-  private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, Span.ofMs(1000));
+  private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(1000));
   private static final int MOST_FAILURES =
       20; // that wait for a controller; of more the oldest go, and the log has them
-  private static final Span ASK_AGAIN =
-      Span.ofMs(5000); // a piece that has not come: the controller may have gone meanwhile
+  private static final TimeSpan ASK_AGAIN =
+      TimeSpan.ofMs(5000); // a piece that has not come: the controller may have gone meanwhile
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.agent");
   private final AgentConfig config;
@@ -145,7 +145,7 @@
             .setNumber(number)
             .setName(name)
             .build();
-    Chance chance = new Chance(number);
+    DeterministicRandom chance = new DeterministicRandom(number);
     for (InetSocketAddress to : config.controllers) {
       Door door = new Door(to);
       Redial link = new Redial(loop, to, mine, LIMITS, tap, chance, door);
@@ -340,7 +340,7 @@
 
   private void wait(Runnable done) {
     if (!agent.stoppedWhole()) {
-      loop.at(loop.now().plus(Span.ofMs(20)), () -> wait(done));
+      loop.at(loop.now().plus(TimeSpan.ofMs(20)), () -> wait(done));
       return;
     }
     links.forEach(Redial::stop);
--- a/src/main/java/sprucerock/agent/Sums.java
+++ b/src/main/java/sprucerock/agent/Sums.java
@@ -6,10 +6,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import sprucerock.metrics.Snapshot;
-import sprucerock.accounting.Accounts;
-import sprucerock.accounting.Scale;
-import sprucerock.accounting.Sheet;
+import sprucerock.metrics.MetricsSnapshot;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.HistogramBuckets;
+import sprucerock.accounting.MethodMetrics;
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
@@ -32,19 +32,19 @@
       return sums.build();
     }
     try {
-      Snapshot snapshot = Snapshot.read(figures);
+      MetricsSnapshot snapshot = MetricsSnapshot.read(figures);
       accounts(snapshot, snapshot.accounts(), utilities, sums);
     } catch (NoSuchFileException e) {
       return sums.build(); // it has not begun one yet
-    } catch (IOException | Snapshot.BadFileException e) {
+    } catch (IOException | MetricsSnapshot.BadFileException e) {
       return null;
     }
     return sums.build();
   }
 
   private static void accounts(
-      Snapshot snapshot,
-      Accounts accounts,
+      MetricsSnapshot snapshot,
+      MethodAccounts accounts,
       java.util.Map<String, Double> utilities,
       RelaySums.Builder sums) {
     long turned = of(snapshot, accounts.calls, 0, "turned_away");
@@ -70,9 +70,9 @@
       aborted += of(snapshot, accounts.rpcs, row, "aborted");
       lost += of(snapshot, accounts.rpcs, row, "lost");
       answered += of(snapshot, accounts.latency, row, "answered");
-      for (int i = 0; i < Scale.BUCKETS; i++) {
+      for (int i = 0; i < HistogramBuckets.BUCKETS; i++) {
         answeredMs +=
-            snapshot.values[accounts.latency.index(row, 1 + i)] * Scale.fromUs(i) / 1000.0;
+            snapshot.values[accounts.latency.index(row, 1 + i)] * HistogramBuckets.fromUs(i) / 1000.0;
       }
     }
     worth += turned; // of what was turned away nobody knows the method: as worth as the least
@@ -88,7 +88,7 @@
             of(snapshot, accounts.messages, 0, "sent") + of(snapshot, accounts.votes, 0, "cast"));
   }
 
-  private static long of(Snapshot snapshot, Sheet sheet, int row, String column) {
+  private static long of(MetricsSnapshot snapshot, MethodMetrics sheet, int row, String column) {
     return snapshot.values[sheet.index(row, sheet.columns().indexOf(column))];
   }
 
--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -24,8 +24,8 @@
 import sprucerock.Policy;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.metrics.Export;
-import sprucerock.metrics.Keeper;
+import sprucerock.metrics.MetricsExporter;
+import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.relay.frames.Relay;
 import sprucerock.transport.tls.Material;
@@ -121,7 +121,7 @@
   private final class Subject implements AutoCloseable {
     final NioLoop loop;
     final Way way;
-    Keeper keeper;
+    MetricsFileWriter keeper;
 
     Subject(String name, Fleet fleet, int methods, Kept kept)
         throws IOException, InterruptedException, ConfigException {
@@ -179,8 +179,8 @@
       }
       out.printf(
           "  with figures to without: rate %s, CPU an RPC %s%n", spread(rates), spread(cpus));
-      try (Export export =
-          new Export(
+      try (MetricsExporter export =
+          new MetricsExporter(
               with.keeper::snapshot,
               () -> false,
               with.keeper::kept,
@@ -328,7 +328,7 @@
     return found;
   }
 
-  private Keeper lastKeeper;
+  private MetricsFileWriter lastKeeper;
 
   private Relay relay(NioLoop loop, Fleet fleet, int methods, Kept kept)
       throws IOException, InterruptedException, ConfigException {
@@ -398,7 +398,7 @@
                 throw new IOException(e.getMessage());
               }
               lastKeeper =
-                  Keeper.open(
+                  MetricsFileWriter.open(
                       figures,
                       made.ledger().accounts(),
                       () -> loop.atTurnsEnd(made.ledger().accounts()::commit),
--- a/src/main/java/sprucerock/benchmark/BenchTls.java
+++ b/src/main/java/sprucerock/benchmark/BenchTls.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Buffers;
 import sprucerock.transport.tls.Counter;
 import sprucerock.transport.tls.Credentials;
@@ -21,7 +21,7 @@
 /** Certificates for a run of the benchmark, and TLS for its units and clients. */
 final class BenchTls {
   static final String RELAY = "relay.bench.test";
-  private static final Span WITHIN = Span.ofMs(30_000);
+  private static final TimeSpan WITHIN = TimeSpan.ofMs(30_000);
 
   final Path folder = Files.createTempDirectory("bench-tls");
   private final Credentials credentials;
--- a/src/main/java/sprucerock/benchmark/Fleet.java
+++ b/src/main/java/sprucerock/benchmark/Fleet.java
@@ -26,7 +26,7 @@
 
 /** Units that answer at once with what they were sent, and the roster and desk that name them. */
 final class Fleet implements AutoCloseable {
-  static final Limits LIMITS = new Limits(1 << 20, 64 << 20, sprucerock.time.Span.ofMs(5000));
+  static final Limits LIMITS = new Limits(1 << 20, 64 << 20, sprucerock.time.TimeSpan.ofMs(5000));
   private static final byte[] NO_BODY = {};
 
   private final NioLoop[] loops;
--- a/src/main/java/sprucerock/benchmark/Load.java
+++ b/src/main/java/sprucerock/benchmark/Load.java
@@ -10,7 +10,7 @@
 import org.HdrHistogram.Histogram;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.TlsLink;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
@@ -30,7 +30,7 @@
  * to start, so that what waits for a late one is not left out.
  */
 final class Load implements AutoCloseable {
-  private static final Span TICK = Span.ofMs(0.1);
+  private static final TimeSpan TICK = TimeSpan.ofMs(0.1);
 
   private final NioLoop[] loops;
   private final boolean straight;
@@ -171,7 +171,7 @@
                         places.get(lanes.indexOf(lane)), BenchTls.RELAY, port, client.link);
             return lane.loop.connect(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                Span.ofMs(10_000),
+                TimeSpan.ofMs(10_000),
                 Fleet.LIMITS.unsent(),
                 user);
           });
--- a/src/main/java/sprucerock/cli/FiguresCommand.java
+++ b/src/main/java/sprucerock/cli/FiguresCommand.java
@@ -12,9 +12,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucerock.metrics.Snapshot;
-import sprucerock.metrics.Table;
-import sprucerock.accounting.Accounts;
+import sprucerock.metrics.MetricsSnapshot;
+import sprucerock.metrics.MetricsTable;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.rehearsal.scenario.FleetBook;
 
 @Command(
@@ -88,19 +88,19 @@
 
   private boolean file(Path file) throws IOException {
     try {
-      Snapshot snapshot = Snapshot.read(file);
+      MetricsSnapshot snapshot = MetricsSnapshot.read(file);
       if (!check) {
-        System.out.print(file + ": " + Table.of(snapshot));
+        System.out.print(file + ": " + MetricsTable.of(snapshot));
       }
-      List<Accounts.Drift> drifts = snapshot.accounts().check(snapshot.values);
-      for (Accounts.Drift drift : drifts) {
+      List<MethodAccounts.Drift> drifts = snapshot.accounts().check(snapshot.values);
+      for (MethodAccounts.Drift drift : drifts) {
         System.out.println(file + ": " + drift);
       }
       if (check && drifts.isEmpty()) {
         System.out.println(file + ": every sum holds");
       }
       return drifts.isEmpty();
-    } catch (Snapshot.BadFileException e) {
+    } catch (MetricsSnapshot.BadFileException e) {
       System.out.println(e.getMessage());
       return false;
     }
--- a/src/main/java/sprucerock/cli/FreezeCommand.java
+++ b/src/main/java/sprucerock/cli/FreezeCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 @Command(
     name = "freeze",
@@ -176,7 +176,7 @@
 
   private static long span(String option, String text) throws ConfigException {
     try {
-      return (long) Span.parse(text).ms();
+      return (long) TimeSpan.parse(text).ms();
     } catch (IllegalArgumentException e) {
       throw new ConfigException(option + ": " + e.getMessage());
     }
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -13,10 +13,10 @@
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.config.RelayConfig;
-import sprucerock.metrics.Export;
-import sprucerock.metrics.Keeper;
+import sprucerock.metrics.MetricsExporter;
+import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.lease.Leases;
-import sprucerock.accounting.Accounts;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.relay.frames.Relay;
 import sprucerock.transport.tls.Material;
@@ -108,7 +108,7 @@
                 e.printStackTrace(System.err);
               }
             });
-    AtomicReference<Keeper> keeper = new AtomicReference<>();
+    AtomicReference<MetricsFileWriter> keeper = new AtomicReference<>();
     AtomicReference<TraceWriter> tracing = new AtomicReference<>();
     loop.post(
         () -> {
@@ -118,9 +118,9 @@
               tracing.get().watchStalls();
             }
             relay.set(new Relay(config, loop, trace == null ? Tap.NONE : tracing.get()));
-            Accounts accounts = relay.get().ledger().accounts();
+            MethodAccounts accounts = relay.get().ledger().accounts();
             keeper.set(
-                Keeper.open(
+                MetricsFileWriter.open(
                     config.figures,
                     accounts,
                     () -> loop.atTurnsEnd(accounts::commit),
@@ -152,7 +152,7 @@
     }
     if (config.scrapedAt != null) {
       try {
-        new Export(
+        new MetricsExporter(
             keeper.get()::snapshot,
             relay.get()::drifting,
             keeper.get()::kept,
--- a/src/main/java/sprucerock/cli/ServeCommand.java
+++ b/src/main/java/sprucerock/cli/ServeCommand.java
@@ -16,7 +16,7 @@
 import sprucerock.relay.platform.PlatformConfig;
 import sprucerock.relay.platform.Serving;
 import sprucerock.relay.platform.WarmUp;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sun.misc.Signal;
 
 /** Named here for the help; Main starts it without this command line. */
@@ -96,7 +96,7 @@
           try {
             java.net.InetSocketAddress here =
                 new java.net.InetSocketAddress(java.net.InetAddress.getLoopbackAddress(), 0);
-            Span within = Span.ofMs(1000);
+            TimeSpan within = TimeSpan.ofMs(1000);
             Net.Listener listener = loop.listen(here, 4, 1 << 16, () -> new Echo(false, heard));
             loop.connect(listener.address(), within, 1 << 16, new Echo(true, heard));
             loop.datagrams(here, (from, bytes) -> {}).send(listener.address(), new byte[4]);
--- a/src/main/java/sprucerock/cli/TlsCheckCommand.java
+++ b/src/main/java/sprucerock/cli/TlsCheckCommand.java
@@ -19,7 +19,7 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Buffers;
 import sprucerock.transport.tls.Chain;
 import sprucerock.transport.tls.Counter;
@@ -36,7 +36,7 @@
     description =
         "Explains files as a relay would use them, and what a running peer shows. Exit code 1: a relay would not use or talk to it.")
 final class TlsCheckCommand implements java.util.concurrent.Callable<Integer> {
-  private static final Span WITHIN = Span.ofMs(5000);
+  private static final TimeSpan WITHIN = TimeSpan.ofMs(5000);
   private static final long SOON = 14; // days: time to have one made and rolled out
 
   @Option(
--- a/src/main/java/sprucerock/config/LeaseConfig.java
+++ b/src/main/java/sprucerock/config/LeaseConfig.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Leases, as a process's configuration has them; lease.xsd has the values used where one is left
@@ -25,12 +25,12 @@
     int granter,
     InetSocketAddress listen,
     List<InetSocketAddress> granters,
-    Span term,
-    Span longest,
+    TimeSpan term,
+    TimeSpan longest,
     double drift,
     int most,
-    Span looksEvery,
-    Span fitsEvery) {
+    TimeSpan looksEvery,
+    TimeSpan fitsEvery) {
 
   /**
    * Of an element {@code leases}; null where there is none. {@code me}: used where the element
@@ -55,9 +55,9 @@
       throw node.wrong(
           granters.size() + " granters: 3 or 5 are needed, of which 2 or 3 have to be there");
     }
-    Span term = node.span("term");
-    Span longest = node.has("longest") ? node.span("longest") : term;
-    if (Span.ofMs(100).over(term)) {
+    TimeSpan term = node.span("term");
+    TimeSpan longest = node.has("longest") ? node.span("longest") : term;
+    if (TimeSpan.ofMs(100).over(term)) {
       throw node.wrong("term is 100ms at least, far over what a process may be held up");
     }
     if (term.over(longest)) {
@@ -76,8 +76,8 @@
         node.has("listen-port")
             ? Address.of(node.text("listen-host"), node.count("listen-port"))
             : null;
-    Span looks = every(node, "looks", Span.ofMs(100), Span.ofMs(10));
-    Span fits = every(node, "fit", Span.ofMs(10_000), Span.ofMs(500));
+    TimeSpan looks = every(node, "looks", TimeSpan.ofMs(100), TimeSpan.ofMs(10));
+    TimeSpan fits = every(node, "fit", TimeSpan.ofMs(10_000), TimeSpan.ofMs(500));
     return new LeaseConfig(
         node.has("me") ? node.count("me") : me,
         granter,
@@ -92,8 +92,8 @@
   }
 
   /** Null where this process does not stand for it. */
-  private static Span every(Node node, String task, Span usual, Span least) throws ConfigException {
-    Span found = null;
+  private static TimeSpan every(Node node, String task, TimeSpan usual, TimeSpan least) throws ConfigException {
+    TimeSpan found = null;
     for (Node one : node.all("stand")) {
       if (!one.text("for").equals(task)) {
         continue;
--- a/src/main/java/sprucerock/config/Node.java
+++ b/src/main/java/sprucerock/config/Node.java
@@ -19,7 +19,7 @@
 import org.xml.sax.SAXException;
 import org.xml.sax.SAXParseException;
 import org.xml.sax.helpers.DefaultHandler;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** An element of a checked XML file, with its line; spans and sizes are read with their units. */
 public final class Node {
@@ -142,8 +142,8 @@
   }
 
   /** The schema lets only numbers with us, ms, s or min through. */
-  public Span span(String key) {
-    return Span.parse(text(key).trim());
+  public TimeSpan span(String key) {
+    return TimeSpan.parse(text(key).trim());
   }
 
   /** The schema lets only whole numbers with B, KiB or MiB through. */
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import sprucerock.model.Method;
 import sprucerock.model.Settings;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.tls.Handshakes;
 import sprucerock.transport.tls.Material;
@@ -47,18 +47,18 @@
   public final long peerUnsent;
 
   /** How long open RPCs may take to end once the relay is told to. */
-  public final Span finishWithin;
+  public final TimeSpan finishWithin;
 
   /** How long the first list and news may take before clients are let in without them. */
-  public final Span waitForList;
+  public final TimeSpan waitForList;
 
-  public final Span connectWithin;
+  public final TimeSpan connectWithin;
   public final int connectionsPerUnit;
   public final int picksEach;
   public final int waitingPerUnit;
-  public final Span idle;
-  public final Span pauseFirst;
-  public final Span pauseMost;
+  public final TimeSpan idle;
+  public final TimeSpan pauseFirst;
+  public final TimeSpan pauseMost;
 
   /** Where figures are kept through the relay's lives; null: in memory only. */
   public final Path figures;
@@ -90,13 +90,13 @@
   /**
    * How often it asks until when it may place work on racks; null: nothing is ever frozen for it.
    */
-  public final Span racksEvery;
+  public final TimeSpan racksEvery;
 
   /** By how much of itself a clock may be off, the controller's and this one's each. */
   public final double racksDrift;
 
   /** The longest deadline of all methods: what is begun may run for so long. */
-  public final Span longestDeadline;
+  public final TimeSpan longestDeadline;
 
   /** Leases of the fleet's tasks; null: none. */
   public final LeaseConfig leases;
@@ -129,7 +129,7 @@
     if (link.unsent() < link.frame()) {
       throw limits.wrong("unsent must hold one frame, " + limits.text("frame"));
     }
-    atLeast(limits, "beat", Span.ofMs(10));
+    atLeast(limits, "beat", TimeSpan.ofMs(10));
     peerUnsent = limits.bytes("peer-unsent");
     finishWithin = limits.span("finish-within");
     waitForList = limits.span("wait-for-list");
@@ -141,8 +141,8 @@
     idle = connections.span("idle");
     pauseFirst = connections.span("pause-first");
     pauseMost = connections.span("pause-most");
-    atLeast(connections, "idle", Span.ofMs(10));
-    atLeast(connections, "pause-first", Span.ofMs(1));
+    atLeast(connections, "idle", TimeSpan.ofMs(10));
+    atLeast(connections, "pause-first", TimeSpan.ofMs(1));
     atLeast(connections, "pause-most", pauseFirst);
     Node kept = root.child("figures");
     figures = kept == null || !kept.has("file") ? null : Path.of(kept.text("file"));
@@ -152,12 +152,12 @@
     racksEvery = racks == null ? null : racks.span("ask-every");
     racksDrift = racks == null ? 0 : racks.number("drift");
     if (racks != null) {
-      atLeast(racks, "ask-every", Span.ofMs(10));
+      atLeast(racks, "ask-every", TimeSpan.ofMs(10));
     }
     if (racksDrift >= 0.2) {
       throw racks.wrong("drift is under 0.2: a share by which a clock may run fast or slow");
     }
-    Span longest = Span.ZERO;
+    TimeSpan longest = TimeSpan.ZERO;
     for (Node method : root.child("site").all("method")) {
       longest = longest.atLeast(method.span("deadline"));
     }
@@ -233,9 +233,9 @@
             node.count("longest-chain"),
             node.count("sessions"),
             duration(node.span("session-life")));
-    atLeast(node, "look-every", Span.ofMs(10));
-    atLeast(node, "handshake-within", Span.ofMs(10));
-    atLeast(node, "move-within", Span.ofMs(10));
+    atLeast(node, "look-every", TimeSpan.ofMs(10));
+    atLeast(node, "handshake-within", TimeSpan.ofMs(10));
+    atLeast(node, "move-within", TimeSpan.ofMs(10));
     return new Tls.Setup(
         files,
         policy,
@@ -249,7 +249,7 @@
             node.count("handshakes-waiting")));
   }
 
-  private static Duration duration(Span span) {
+  private static Duration duration(TimeSpan span) {
     return Duration.ofNanos((long) (span.ms() * 1e6));
   }
 
@@ -257,7 +257,7 @@
     return node.has(key) ? Path.of(node.text(key)) : null;
   }
 
-  private static void atLeast(Node node, String key, Span least) throws ConfigException {
+  private static void atLeast(Node node, String key, TimeSpan least) throws ConfigException {
     if (least.over(node.span(key))) {
       throw node.wrong(key + " may be " + least.ms() + "ms at least, not " + node.text(key));
     }
@@ -297,7 +297,7 @@
       draft.overShareWorth = site.number("over-share-worth");
     }
     draft.tick = site.span("tick");
-    atLeast(site, "tick", Span.ofMs(0.1));
+    atLeast(site, "tick", TimeSpan.ofMs(0.1));
     draft.ask = site.flag("ask");
     draft.askWithin = site.span("ask-within");
     Node rules = site.child("rules");
@@ -347,11 +347,11 @@
     if (tokened != node.has("window") || !tokened && node.has("group")) {
       throw node.wrong("window is for tokened methods, which need it; group for them alone");
     }
-    Span soft = node.span("soft-deadline");
+    TimeSpan soft = node.span("soft-deadline");
     if (soft.over(node.span("deadline"))) {
       throw node.wrong("soft-deadline is at most the deadline, " + node.text("deadline"));
     }
-    atLeast(node, "soft-deadline", Span.ofMs(1));
+    atLeast(node, "soft-deadline", TimeSpan.ofMs(1));
     if (!(node.number("utility") > 0)) {
       throw node.wrong("utility is above 0, not " + node.text("utility"));
     }
@@ -368,7 +368,7 @@
         effect,
         group,
         soft,
-        tokened ? node.span("window") : Span.ZERO,
+        tokened ? node.span("window") : TimeSpan.ZERO,
         node.number("utility"),
         false);
   }
--- a/src/main/java/sprucerock/config/settings/SettingsText.java
+++ b/src/main/java/sprucerock/config/settings/SettingsText.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import sprucerock.model.Method;
 import sprucerock.model.Settings;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Start settings as the operators write them: values under paths; the simulator has path=value, one
@@ -77,8 +77,8 @@
     draft.callTimeout = span("specifics.call_timeout");
     draft.index = (int) number("index");
     draft.relays = (int) number("balancers");
-    draft.countsEvery = Span.ofMs(optional("specifics.sums_every", draft.countsEvery.ms()));
-    draft.idle = Span.ofMs(optional("permissions.keepalive", draft.idle.ms()));
+    draft.countsEvery = TimeSpan.ofMs(optional("specifics.sums_every", draft.countsEvery.ms()));
+    draft.idle = TimeSpan.ofMs(optional("permissions.keepalive", draft.idle.ms()));
     return draft;
   }
 
@@ -106,7 +106,7 @@
               effect,
               group,
               span(at + "on_time"),
-              Span.ofMs(optional(at + "window", 0)),
+              TimeSpan.ofMs(optional(at + "window", 0)),
               number(at + "worth"),
               optionalText(at + "stream", "false").equals("true")));
     }
@@ -143,7 +143,7 @@
     return pairs.containsKey(key) ? number(key) : otherwise;
   }
 
-  private Span span(String key) {
-    return Span.ofMs(number(key));
+  private TimeSpan span(String key) {
+    return TimeSpan.ofMs(number(key));
   }
 }
--- a/src/main/java/sprucerock/controller/ChangeCodec.java
+++ b/src/main/java/sprucerock/controller/ChangeCodec.java
@@ -10,7 +10,7 @@
 import sprucerock.controller.deployment.Version;
 import sprucerock.controller.v1.ChangeMemory;
 import sprucerock.controller.v1.Input;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /** Between the fleet's changes and what is kept of them on disk. */
 final class ChangeCodec {
@@ -18,7 +18,7 @@
 
   /** What an input came to: an operator's refusal, or null. Those of releases do nothing here. */
   static Object apply(Changes core, Input input) {
-    Moment now = Moment.ofMs(input.getAtMs());
+    Timestamp now = Timestamp.ofMs(input.getAtMs());
     long wall = input.getWallMs();
     switch (input.getWhatCase()) {
       case PROPOSED -> {
@@ -93,12 +93,12 @@
         .build();
   }
 
-  private static double ms(Moment moment) {
+  private static double ms(Timestamp moment) {
     return moment == null ? -1 : moment.ms(); // the controller's time begins at 0
   }
 
-  private static Moment moment(double ms) {
-    return ms < 0 ? null : Moment.ofMs(ms);
+  private static Timestamp moment(double ms) {
+    return ms < 0 ? null : Timestamp.ofMs(ms);
   }
 
   static ChangeMemory write(Changes core) {
@@ -208,7 +208,7 @@
                                 step ->
                                     new Change.Step(
                                         step.getSequence(),
-                                        Moment.ofMs(step.getAtMs()),
+                                        Timestamp.ofMs(step.getAtMs()),
                                         step.getWallMs(),
                                         Change.State.valueOf(step.getStanding()),
                                         step.getStage(),
--- a/src/main/java/sprucerock/controller/Codec.java
+++ b/src/main/java/sprucerock/controller/Codec.java
@@ -7,8 +7,8 @@
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.State;
 import sprucerock.controller.maintenance.Freezes;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Between the core and what is kept of it on disk: inputs are applied from their records, a state
@@ -22,7 +22,7 @@
    * operator's refusal, or null.
    */
   static Object apply(Releases core, Changes changes, Freezes freezes, Input input) {
-    Moment now = Moment.ofMs(input.getAtMs());
+    Timestamp now = Timestamp.ofMs(input.getAtMs());
     long wall = input.getWallMs();
     Object answer =
         switch (input.getWhatCase()) {
@@ -62,7 +62,7 @@
           }
           case RESTARTED -> {
             core.restarted(input.getRestarted().getDownMs(), now, wall);
-            changes.restarted(Span.ofMs(Math.max(0, input.getRestarted().getDownMs())), now, wall);
+            changes.restarted(TimeSpan.ofMs(Math.max(0, input.getRestarted().getDownMs())), now, wall);
             yield null;
           }
           case DELIVERED -> {
@@ -159,7 +159,7 @@
     return state.build();
   }
 
-  private static long ms(Moment moment) {
+  private static long ms(Timestamp moment) {
     return Math.round(moment.ms());
   }
 
@@ -173,27 +173,27 @@
     core.epoch = state.getEpoch();
     for (sprucerock.controller.v1.Release one : state.getReleasesList()) {
       Release release =
-          new Release(one.getBuild(), one.getArtifact(), Moment.ofMs(one.getSinceMs()));
+          new Release(one.getBuild(), one.getArtifact(), Timestamp.ofMs(one.getSinceMs()));
       release.standing = Release.Standing.valueOf(one.getStanding().toUpperCase(Locale.ROOT));
       release.stage = one.getStage();
-      release.heldFor = Span.ofMs(one.getHeldMs());
+      release.heldFor = TimeSpan.ofMs(one.getHeldMs());
       release.held = one.getHeld();
       release.units = one.getUnits();
       release.clockRan = one.getClockRan();
       if (one.getHasClock()) {
-        release.clock = Moment.ofMs(one.getStageClockMs());
+        release.clock = Timestamp.ofMs(one.getStageClockMs());
       }
       if (one.getHeld()) {
-        release.heldSince = Moment.ofMs(one.getHeldSinceMs());
+        release.heldSince = Timestamp.ofMs(one.getHeldSinceMs());
       }
       if (one.getHasClockStopped()) {
-        release.clockStopped = Moment.ofMs(one.getClockStoppedMs());
+        release.clockStopped = Timestamp.ofMs(one.getClockStoppedMs());
       }
       for (sprucerock.controller.v1.Step step : one.getStepsList()) {
         release.add(
             new Release.Step(
                 step.getSequence(),
-                Moment.ofMs(step.getAtMs()),
+                Timestamp.ofMs(step.getAtMs()),
                 step.getWallMs(),
                 Release.Standing.valueOf(step.getStanding()),
                 step.getStage(),
@@ -207,8 +207,8 @@
       vote.build = one.getBuild();
       vote.stage = one.getStage();
       vote.say = Releases.Say.valueOf(one.getSay());
-      vote.until = Moment.ofMs(one.getUntilMs());
-      vote.second = Moment.ofMs(one.getSecondMs());
+      vote.until = Timestamp.ofMs(one.getUntilMs());
+      vote.second = Timestamp.ofMs(one.getSecondMs());
       vote.inSecond = one.getInSecond();
       core.ballots.put(one.getRelay(), vote);
     }
@@ -218,7 +218,7 @@
           one.getId(),
           new Releases.Delivery(
               one.getId(),
-              Moment.ofMs(one.getAtMs()),
+              Timestamp.ofMs(one.getAtMs()),
               Releases.Answer.valueOf(one.getAnswer()),
               one.getContent()));
     }
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -14,7 +14,7 @@
 import sprucerock.controller.v1.State;
 import sprucerock.controller.v1.Tick;
 import sprucerock.controller.maintenance.Freezes;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /**
  * The releases, and the changes of what relays run, with their memory: what comes in a turn goes to
@@ -106,7 +106,7 @@
             rules,
             places,
             first,
-            Moment.ofMs(0),
+            Timestamp.ofMs(0),
             (release, step) -> {
               if (!replaying) {
                 host.changed(release, step);
@@ -245,8 +245,8 @@
   }
 
   /** The controller's time: goes on through restarts, and never back. */
-  public Moment now() {
-    return Moment.ofMs(atMs());
+  public Timestamp now() {
+    return Timestamp.ofMs(atMs());
   }
 
   private long atMs() {
--- a/src/main/java/sprucerock/controller/FolderSeat.java
+++ b/src/main/java/sprucerock/controller/FolderSeat.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Who of two controllers acts: a file in the store's folder that the active one writes anew, again
@@ -22,12 +22,12 @@
    */
   static final String MAJORITY = "seat";
 
-  private static final Span CLAIM =
-      Span.ofMs(500); // twice as long as between two looks of whoever holds it
+  private static final TimeSpan CLAIM =
+      TimeSpan.ofMs(500); // twice as long as between two looks of whoever holds it
 
   private final Disk disk;
   private final Engine.Clock clock;
-  private final Span time;
+  private final TimeSpan time;
   private final String holder;
   private String seen = "";
   private long seenAt;
@@ -37,7 +37,7 @@
   private long renewedAt;
   private long beats;
 
-  FolderSeat(Disk disk, Engine.Clock clock, Span time, String holder) {
+  FolderSeat(Disk disk, Engine.Clock clock, TimeSpan time, String holder) {
     this.disk = disk;
     this.clock = clock;
     this.time = time;
@@ -49,7 +49,7 @@
    * One in a folder of the machine's; {@code holder} names this process among all that may hold it.
    */
   public static FolderSeat in(
-      java.nio.file.Path folder, Engine.Clock clock, Span time, String holder) throws IOException {
+      java.nio.file.Path folder, Engine.Clock clock, TimeSpan time, String holder) throws IOException {
     return new FolderSeat(new FileDisk(folder), clock, time, holder);
   }
 
--- a/src/main/java/sprucerock/controller/Release.java
+++ b/src/main/java/sprucerock/controller/Release.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** One build on its way through the stages, with every step and its cause. */
 public final class Release {
@@ -34,7 +34,7 @@
    * @param wallMs the machine's clock then, for people
    */
   public record Step(
-      long sequence, Moment at, long wallMs, Standing standing, int stage, String cause) {}
+      long sequence, Timestamp at, long wallMs, Standing standing, int stage, String cause) {}
 
   private static final int MOST_STEPS =
       200; // a release has some ten; a flapping hand should not fill the disk
@@ -43,27 +43,27 @@
   public final String artifact;
   Standing standing = Standing.ANNOUNCED;
   int stage;
-  Moment since;
+  Timestamp since;
 
   /** From when the stage's least time counts; null while its units are not there. */
-  Moment clock;
+  Timestamp clock;
 
   /** Time that did not count: held by relays under the clock, or by an operator. */
-  Span heldFor = Span.ZERO;
+  TimeSpan heldFor = TimeSpan.ZERO;
 
   /** An operator holds it, and since when. */
   boolean held;
 
-  Moment heldSince;
+  Timestamp heldSince;
 
   /** Under the clock: whether that ran, and since when it did or did not. */
   boolean clockRan = true;
 
-  Moment clockStopped;
+  Timestamp clockStopped;
   int units;
   private final List<Step> steps = new ArrayList<>();
 
-  Release(int build, String artifact, Moment now) {
+  Release(int build, String artifact, Timestamp now) {
     this.build = build;
     this.artifact = artifact;
     since = now;
@@ -77,7 +77,7 @@
     return stage;
   }
 
-  public Moment since() {
+  public Timestamp since() {
     return since;
   }
 
--- a/src/main/java/sprucerock/controller/Releases.java
+++ b/src/main/java/sprucerock/controller/Releases.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 import sprucerock.controller.Release.Standing;
 import sprucerock.controller.Release.Step;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * The releases of one fleet: what announcements, votes, operators and the time that passes make of
@@ -69,8 +69,8 @@
     int build;
     int stage;
     Say say = Say.NOTHING;
-    Moment until;
-    Moment second;
+    Timestamp until;
+    Timestamp second;
     int inSecond;
     private final int relay;
 
@@ -80,14 +80,14 @@
   }
 
   /** A delivery that was answered, so that copies of it have the same answer. */
-  record Delivery(String id, Moment at, Answer answer, String content) {}
+  record Delivery(String id, Timestamp at, Answer answer, String content) {}
 
   static final int MOST_WAITING = 20;
   static final int MOST_RELEASES = 100;
   static final int MOST_DELIVERIES = 50_000;
   static final int MOST_RELAYS = 10_000;
-  static final Span REMEMBERED =
-      Span.ofMs(7 * 24 * 3_600_000.0); // longer than senders retry: a day or three
+  static final TimeSpan REMEMBERED =
+      TimeSpan.ofMs(7 * 24 * 3_600_000.0); // longer than senders retry: a day or three
 
   private final Rules rules;
   private final int places;
@@ -108,7 +108,7 @@
   private long looked;
 
   /** {@code places} units make up the fleet; {@code first} serves from the start. */
-  public Releases(Rules rules, int places, int first, Moment now, Host host) {
+  public Releases(Rules rules, int places, int first, Timestamp now, Host host) {
     this.rules = rules;
     this.places = places;
     this.host = host;
@@ -162,7 +162,7 @@
   }
 
   /** What relays are to know: of which build, how it stands, and the cap on its exposure. */
-  public record News(int build, int stage, Standing standing, double cap, Moment since) {}
+  public record News(int build, int stage, Standing standing, double cap, Timestamp since) {}
 
   /**
    * The news as it is now. A build whose units only start is none yet: until then what was before
@@ -215,7 +215,7 @@
   }
 
   /** Relays whose votes of a kind stand for the present build and stage. */
-  public List<Integer> standing(Say say, Moment now) {
+  public List<Integer> standing(Say say, Timestamp now) {
     TreeSet<Integer> found = new TreeSet<>();
     for (Ballot vote : lasting(say, now)) {
       found.add(vote.relay);
@@ -223,12 +223,12 @@
     return List.copyOf(found);
   }
 
-  private int count(Say say, Moment now) {
+  private int count(Say say, Timestamp now) {
     return lasting(say, now).size();
   }
 
   /** Without those whose time is over; time never goes back. */
-  private TreeSet<Ballot> lasting(Say say, Moment now) {
+  private TreeSet<Ballot> lasting(Say say, Timestamp now) {
     TreeSet<Ballot> all = standing.get(say);
     while (!all.isEmpty()) {
       looked++;
@@ -266,7 +266,7 @@
   }
 
   /** Why the present release stands where it stands, in one line each. */
-  public List<String> waitsFor(Moment now) {
+  public List<String> waitsFor(Timestamp now) {
     List<String> found = new ArrayList<>();
     Release open = open();
     if (open == null) {
@@ -288,7 +288,7 @@
     if (open.standing != Standing.ON_TRIAL || open.clock == null) {
       return found;
     }
-    Span so = now.since(open.clock).minus(open.heldFor);
+    TimeSpan so = now.since(open.clock).minus(open.heldFor);
     if (rules.control() == Rules.Control.CLOCKED) {
       found.add(
           "the clock: "
@@ -328,7 +328,7 @@
 
   /** A build was announced; a delivery that was answered before has that answer again. */
   public Answer announced(
-      String delivery, int build, String artifact, String source, Moment now, long wall) {
+      String delivery, int build, String artifact, String source, Timestamp now, long wall) {
     wallMs = wall;
     forget(now);
     String content = build + " " + artifact;
@@ -341,7 +341,7 @@
     return answer;
   }
 
-  private void forget(Moment now) {
+  private void forget(Timestamp now) {
     Iterator<Delivery> oldest = deliveries.values().iterator();
     while (oldest.hasNext()) {
       boolean old = now.since(oldest.next().at).over(REMEMBERED);
@@ -352,7 +352,7 @@
     }
   }
 
-  private Answer announce(int build, String artifact, String source, Moment now) {
+  private Answer announce(int build, String artifact, String source, Timestamp now) {
     Release known = releases.get(build);
     if (known != null) {
       return known.artifact.equals(artifact) ? Answer.KNOWN : Answer.CONTRADICTS;
@@ -387,7 +387,7 @@
   }
 
   /** The one that waits begins once none is in its way: never are two on trial. */
-  private void begin(Moment now) {
+  private void begin(Timestamp now) {
     if (present.standing == Standing.GOING_BACK) {
       return;
     }
@@ -404,7 +404,7 @@
   }
 
   /** A relay votes. Only votes on the present build and its stage count. */
-  public Taken cast(int relay, int build, int stage, Say say, Moment now, long wall) {
+  public Taken cast(int relay, int build, int stage, Say say, Timestamp now, long wall) {
     wallMs = wall;
     Ballot vote = ballots.get(relay);
     if (vote == null) {
@@ -452,14 +452,14 @@
   }
 
   /** A released build is watched for a time, if there is one to go back to. */
-  private boolean watched(Moment now) {
+  private boolean watched(Timestamp now) {
     return present.standing == Standing.RELEASED
         && earlier != present.build
         && !now.since(present.since).over(rules.watch());
   }
 
   /** An operator's word, which is stronger than votes; says why it has no effect, or null. */
-  public String word(Action action, int build, String who, String reason, Moment now, long wall) {
+  public String word(Action action, int build, String who, String reason, Timestamp now, long wall) {
     wallMs = wall;
     Release release = releases.get(build);
     if (release == null) {
@@ -516,7 +516,7 @@
   }
 
   /** So many units of a build are there. */
-  public void ready(int build, int units, Moment now, long wall) {
+  public void ready(int build, int units, Timestamp now, long wall) {
     wallMs = wall;
     Release release = releases.get(build);
     if (release == null) {
@@ -527,7 +527,7 @@
   }
 
   /** Time has passed. */
-  public void tick(Moment now, long wall) {
+  public void tick(Timestamp now, long wall) {
     wallMs = wall;
     settle(now);
   }
@@ -536,17 +536,17 @@
    * The controller was down for so long by the wall's clock; below zero: that was set back, and
    * nobody knows how old votes are. The time does not count for a stage.
    */
-  public void restarted(long downMs, Moment now, long wall) {
+  public void restarted(long downMs, Timestamp now, long wall) {
     wallMs = wall;
     epoch++;
     if (downMs < 0) {
       forgetVotes();
     }
     if (downMs > 0 && present.clock != null) {
-      present.heldFor = present.heldFor.plus(Span.ofMs(downMs));
+      present.heldFor = present.heldFor.plus(TimeSpan.ofMs(downMs));
     }
     if (downMs > 0 && present.standing == Standing.STARTING) {
-      present.since = present.since.plus(Span.ofMs(downMs));
+      present.since = present.since.plus(TimeSpan.ofMs(downMs));
     }
     settle(now);
   }
@@ -557,7 +557,7 @@
   }
 
   /** Whether a tick now would change anything: only then is it worth recording. */
-  public boolean due(Moment now) {
+  public boolean due(Timestamp now) {
     return switch (present.standing) {
       case STARTING -> startIsOver(now) || !present.held && present.units >= wanted(0);
       case GOING_BACK -> now.since(present.since).over(rules.goingBack());
@@ -571,28 +571,28 @@
     };
   }
 
-  private boolean startIsOver(Moment now) {
+  private boolean startIsOver(Timestamp now) {
     return present.clock == null
         && !present.held
         && now.since(present.since).over(rules.startWithin());
   }
 
-  private boolean clockRuns(Moment now) {
+  private boolean clockRuns(Timestamp now) {
     return count(Say.HOLD, now) < rules.hold();
   }
 
-  private void countHeld(Moment now) {
+  private void countHeld(Timestamp now) {
     if (!present.clockRan && present.clockStopped != null && present.clock != null) {
       present.heldFor = present.heldFor.plus(now.since(present.clockStopped));
     }
     present.clockStopped = now;
   }
 
-  private boolean mayGoOn(Moment now) {
+  private boolean mayGoOn(Timestamp now) {
     if (present.clock == null || present.held) {
       return false;
     }
-    Span so = now.since(present.clock).minus(present.heldFor);
+    TimeSpan so = now.since(present.clock).minus(present.heldFor);
     if (rules.control() != Rules.Control.CLOCKED) {
       return so.over(rules.least()) && count(Say.ON, now) >= rules.on();
     }
@@ -600,7 +600,7 @@
   }
 
   /** Does all that is due now. */
-  private void settle(Moment now) {
+  private void settle(Timestamp now) {
     if (rules.control() == Rules.Control.CLOCKED && present.standing == Standing.ON_TRIAL) {
       countHeld(now);
       present.clockRan = clockRuns(now);
@@ -638,7 +638,7 @@
     }
   }
 
-  private void goOn(Moment now) {
+  private void goOn(Timestamp now) {
     String cause =
         rules.control() == Rules.Control.CLOCKED
             ? "its time is over"
@@ -652,18 +652,18 @@
     present.clock = !last && present.units >= wanted(present.stage) ? now : null;
   }
 
-  private void goBack(Release release, String cause, Moment now) {
+  private void goBack(Release release, String cause, Timestamp now) {
     step(release, Standing.GOING_BACK, release.stage, cause, now);
   }
 
-  private void step(Release release, Standing to, int stage, String cause, Moment now) {
+  private void step(Release release, Standing to, int stage, String cause, Timestamp now) {
     boolean moves = release.standing != to || release.stage != stage;
     release.standing = to;
     release.stage = stage;
     if (moves || release.steps().isEmpty()) {
       release.since = now;
       release.clock = null;
-      release.heldFor = Span.ZERO;
+      release.heldFor = TimeSpan.ZERO;
       release.clockStopped = now;
       release.clockRan = true;
       if (release == present) {
--- a/src/main/java/sprucerock/controller/Rules.java
+++ b/src/main/java/sprucerock/controller/Rules.java
@@ -1,7 +1,7 @@
 package sprucerock.controller;
 
 import java.util.List;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * What a deployment's configuration says of its releases.
@@ -21,12 +21,12 @@
     int on,
     int hold,
     int back,
-    Span voteLife,
-    Span least,
-    Span step,
-    Span startWithin,
-    Span goingBack,
-    Span watch,
+    TimeSpan voteLife,
+    TimeSpan least,
+    TimeSpan step,
+    TimeSpan startWithin,
+    TimeSpan goingBack,
+    TimeSpan watch,
     int votesASecond) {
   /** The share of the fleet's places that get the build, and the cap on its exposure. */
   public record Stage(double share, double cap) {}
--- a/src/main/java/sprucerock/controller/Seat.java
+++ b/src/main/java/sprucerock/controller/Seat.java
@@ -1,12 +1,12 @@
 package sprucerock.controller;
 
 import java.io.IOException;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** Which of several controllers of one store acts. */
 public interface Seat {
   /** How often it is to be renewed at least. */
-  Span RENEW = Span.ofMs(200);
+  TimeSpan RENEW = TimeSpan.ofMs(200);
 
   /** Tries to take it; true once it is held. To be called again and again, each 50 ms or so. */
   boolean take() throws IOException;
--- a/src/main/java/sprucerock/controller/deployment/Change.java
+++ b/src/main/java/sprucerock/controller/deployment/Change.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /** One change on its way through the relays, with every step and its cause. */
 public final class Change {
@@ -43,7 +43,7 @@
    * @param sequence of all steps of all changes, from 1
    * @param wallMs the machine's clock then, for people
    */
-  public record Step(long sequence, Moment at, long wallMs, State state, int stage, String cause) {}
+  public record Step(long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
 
   static final int MOST_STEPS =
       100; // a change has a dozen; a flapping hand should not fill the disk
@@ -59,10 +59,10 @@
 
   State state = State.PROPOSED;
   int stage;
-  Moment since;
+  Timestamp since;
 
   /** When it came further last, in its stage or with a relay; it is not waited for without end. */
-  Moment progress;
+  Timestamp progress;
 
   boolean held;
 
@@ -82,7 +82,7 @@
 
   private final List<Step> steps = new ArrayList<>();
 
-  Change(long number, String who, String why, Version from, Version to, boolean live, Moment now) {
+  Change(long number, String who, String why, Version from, Version to, boolean live, Timestamp now) {
     this.number = number;
     this.who = who;
     this.why = why;
@@ -101,7 +101,7 @@
     return stage;
   }
 
-  public Moment since() {
+  public Timestamp since() {
     return since;
   }
 
--- a/src/main/java/sprucerock/controller/deployment/ChangeNotes.java
+++ b/src/main/java/sprucerock/controller/deployment/ChangeNotes.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /**
  * All of a fleet's changes as plain values, to be kept and put back: what is not in it is not
@@ -29,12 +29,12 @@
       boolean busy,
       Version runs,
       boolean ready,
-      Moment silentSince,
+      Timestamp silentSince,
       Version wanted,
       int turn,
       int done,
-      Moment toldAt,
-      Moment readyAt) {}
+      Timestamp toldAt,
+      Timestamp readyAt) {}
 
   public record OfChange(
       long number,
@@ -45,8 +45,8 @@
       boolean live,
       Change.State state,
       int stage,
-      Moment since,
-      Moment progress,
+      Timestamp since,
+      Timestamp progress,
       boolean held,
       Collection<Integer> checked,
       Map<Integer, String> refused,
--- a/src/main/java/sprucerock/controller/deployment/Changes.java
+++ b/src/main/java/sprucerock/controller/deployment/Changes.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import sprucerock.controller.deployment.Change.State;
 import sprucerock.controller.deployment.Change.Step;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * What the relays of a fleet run, and how that changes: proposed, read through by every agent,
@@ -182,7 +182,7 @@
   }
 
   /** Why a change stands where it stands, a line each. */
-  public List<String> waitsFor(Change change, Moment now) {
+  public List<String> waitsFor(Change change, Timestamp now) {
     List<String> found = new ArrayList<>();
     if (!change.state.open()) {
       return found;
@@ -236,7 +236,7 @@
     return found;
   }
 
-  private static String seconds(Span span) {
+  private static String seconds(TimeSpan span) {
     return Math.round(span.ms() / 1000) + " s";
   }
 
@@ -253,7 +253,7 @@
       Version runs,
       boolean ready,
       int done,
-      Moment now,
+      Timestamp now,
       long wall) {
     wallMs = wall;
     ManagedRelay relay = relays.get(number);
@@ -281,7 +281,7 @@
   }
 
   /** An agent is not heard any more. */
-  public void silent(int number, Moment now, long wall) {
+  public void silent(int number, Timestamp now, long wall) {
     wallMs = wall;
     ManagedRelay relay = relays.get(number);
     if (relay == null || relay.silentSince != null) {
@@ -300,7 +300,7 @@
    * know. Agents tell a controller that starts what they told the last one: a failure from before
    * this change is none of its, though it may be of the same version, proposed again.
    */
-  public void failed(int number, Version version, int turn, String how, Moment now, long wall) {
+  public void failed(int number, Version version, int turn, String how, Timestamp now, long wall) {
     wallMs = wall;
     Change under = under();
     boolean ours =
@@ -319,7 +319,7 @@
    * Somebody proposes what relays are to run, {@code live}: without a restart; says why it is not
    * taken, or null.
    */
-  public String propose(String who, String why, Version to, boolean live, Moment now, long wall) {
+  public String propose(String who, String why, Version to, boolean live, Timestamp now, long wall) {
     wallMs = wall;
     Version from = usual();
     if (from.equals(Version.NONE)) {
@@ -362,7 +362,7 @@
    * An agent has read a proposed version through; {@code refusal}: why it can't be run there, empty
    * where it can.
    */
-  public void checked(int number, long change, String refusal, Moment now, long wall) {
+  public void checked(int number, long change, String refusal, Timestamp now, long wall) {
     wallMs = wall;
     Change proposed = changes.get(change);
     if (proposed == null || proposed.state != State.PROPOSED || !relays.containsKey(number)) {
@@ -381,7 +381,7 @@
 
   /** The comparison of a change in that stage says something else than before. */
   public void judged(
-      long change, int stage, Verdict verdict, String reason, Moment now, long wall) {
+      long change, int stage, Verdict verdict, String reason, Timestamp now, long wall) {
     wallMs = wall;
     Change under = changes.get(change);
     boolean fits =
@@ -402,7 +402,7 @@
    * How many relays of a zone may be out at once by the fleet's load; {@code why} none should be,
    * or empty.
    */
-  public void room(Map<Integer, Integer> byZone, String why, Moment now, long wall) {
+  public void room(Map<Integer, Integer> byZone, String why, Timestamp now, long wall) {
     wallMs = wall;
     rooms.clear();
     rooms.putAll(byZone);
@@ -411,7 +411,7 @@
   }
 
   /** A build of the units is on trial or going back, or none is any more. */
-  public void releasing(boolean is, Moment now, long wall) {
+  public void releasing(boolean is, Timestamp now, long wall) {
     wallMs = wall;
     releasing = is;
     settle(now);
@@ -421,7 +421,7 @@
    * An operator's word, which is stronger than verdicts but for a worse one; says why it has no
    * effect, or null.
    */
-  public String word(Word word, long number, String who, String reason, Moment now, long wall) {
+  public String word(Word word, long number, String who, String reason, Timestamp now, long wall) {
     wallMs = wall;
     Change change = changes.get(number);
     if (change == null) {
@@ -472,13 +472,13 @@
   }
 
   /** Time has passed. */
-  public void tick(Moment now, long wall) {
+  public void tick(Timestamp now, long wall) {
     wallMs = wall;
     settle(now);
   }
 
   /** Whoever counts here was down for so long: nobody could be told, and nobody watched. */
-  public void restarted(Span down, Moment now, long wall) {
+  public void restarted(TimeSpan down, Timestamp now, long wall) {
     wallMs = wall;
     for (Change change : changes.values()) {
       change.since = change.since.plus(down);
@@ -493,18 +493,18 @@
   }
 
   /** Whether a tick now would change anything: only then is it worth recording. */
-  public boolean due(Moment now) {
+  public boolean due(Timestamp now) {
     return next(now) != null;
   }
 
-  private void settle(Moment now) {
+  private void settle(Timestamp now) {
     for (Runnable next = next(now); next != null; next = next(now)) {
       next.run();
     }
   }
 
   /** The one thing that is to be done next; each takes its own reason away, so that this ends. */
-  private Runnable next(Moment now) {
+  private Runnable next(Timestamp now) {
     int settled = census.firstSettled();
     if (settled >= 0) {
       return () -> {
@@ -532,7 +532,7 @@
 
   // Before it begins.
 
-  private Runnable proposed(Change change, Moment now) {
+  private Runnable proposed(Change change, Timestamp now) {
     int live = live();
     int most = (int) (plan.refused() * live);
     boolean late = now.since(change.since).over(plan.patience());
@@ -579,7 +579,7 @@
             now);
   }
 
-  private Runnable begins(Change change, Change under, Moment now) {
+  private Runnable begins(Change change, Change under, Timestamp now) {
     if (change.held) {
       return patienceOver(change, now);
     }
@@ -589,7 +589,7 @@
     return () -> step(change, State.MOVING, 0, "nothing is in its way", now);
   }
 
-  private Runnable patienceOver(Change change, Moment now) {
+  private Runnable patienceOver(Change change, Timestamp now) {
     if (!now.since(change.progress).over(plan.patience())) {
       return null;
     }
@@ -610,7 +610,7 @@
 
   // On its way.
 
-  private Runnable moving(Change change, Moment now) {
+  private Runnable moving(Change change, Timestamp now) {
     String failed = failure(change, now);
     if (failed != null) {
       return () -> goBack(change, failed, now);
@@ -653,7 +653,7 @@
   }
 
   /** Why it can't go on, by what relays that were told do; null where they do well. */
-  private String failure(Change change, Moment now) {
+  private String failure(Change change, Timestamp now) {
     int gone = 0;
     looked += change.moved.size();
     for (int number : change.moved) {
@@ -680,7 +680,7 @@
     return null;
   }
 
-  private void move(Change change, ManagedRelay relay, Moment now) {
+  private void move(Change change, ManagedRelay relay, Timestamp now) {
     change.moved.add(relay.number);
     change.progress = now;
     change.beside.values().remove(relay.number);
@@ -699,7 +699,7 @@
     }
   }
 
-  private void want(ManagedRelay relay, Version version, Moment now) {
+  private void want(ManagedRelay relay, Version version, Timestamp now) {
     boolean anew = relay.wanted != null;
     census.leave(relay);
     relay.wanted = version;
@@ -712,7 +712,7 @@
     host.wants(relay);
   }
 
-  private Runnable watched(Change change, Moment now) {
+  private Runnable watched(Change change, Timestamp now) {
     String failed = failure(change, now);
     if (failed != null) {
       return () -> goBack(change, failed, now);
@@ -751,13 +751,13 @@
     return change.stage < plan.stages().size() - 1 && !change.beside.isEmpty();
   }
 
-  private void goBack(Change change, String cause, Moment now) {
+  private void goBack(Change change, String cause, Timestamp now) {
     controls.clear();
     step(change, State.GOING_BACK, change.stage, cause, now);
   }
 
   /** The newest first; a relay that does not serve anyway needs no room. */
-  private Runnable goingBack(Change change, Moment now) {
+  private Runnable goingBack(Change change, Timestamp now) {
     boolean all = true;
     looked += change.moved.size();
     List<Integer> newestFirst = new ArrayList<>(change.moved);
@@ -933,7 +933,7 @@
     return found;
   }
 
-  private void step(Change change, State to, int stage, String cause, Moment now) {
+  private void step(Change change, State to, int stage, String cause, Timestamp now) {
     boolean moves = change.state != to || change.stage != stage || change.steps().isEmpty();
     if (change.stage != stage) {
       change.verdict = Verdict.NOT_SURE;
--- a/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
+++ b/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
@@ -1,6 +1,6 @@
 package sprucerock.controller.deployment;
 
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /** What the fleet's changes know of one relay, by what its agent says, and what they want of it. */
 public final class ManagedRelay {
@@ -14,7 +14,7 @@
   boolean ready;
 
   /** Since when its agent is silent; null while it is heard. */
-  Moment silentSince;
+  Timestamp silentSince;
 
   Version wanted;
 
@@ -22,10 +22,10 @@
   int turn;
 
   int done;
-  Moment toldAt;
+  Timestamp toldAt;
 
   /** Ready on what is wanted since its turn; null while it is not. */
-  Moment readyAt;
+  Timestamp readyAt;
 
   ManagedRelay(int number) {
     this.number = number;
--- a/src/main/java/sprucerock/controller/deployment/Plan.java
+++ b/src/main/java/sprucerock/controller/deployment/Plan.java
@@ -1,7 +1,7 @@
 package sprucerock.controller.deployment;
 
 import java.util.List;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * How changes go through a fleet, from its configuration.
@@ -20,12 +20,12 @@
  */
 public record Plan(
     List<Stage> stages,
-    Span watch,
-    Span patience,
-    Span readyWithin,
+    TimeSpan watch,
+    TimeSpan patience,
+    TimeSpan readyWithin,
     double out,
     double refused,
-    Span silent) {
+    TimeSpan silent) {
   /**
    * A stage's share of the relays, and the loss of worth, from 0 to 1, that has to be ruled out
    * before the next.
--- a/src/main/java/sprucerock/controller/server/Absent.java
+++ b/src/main/java/sprucerock/controller/server/Absent.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Agents that are not linked, those first that were heard longest ago: who has been away for too
@@ -15,7 +15,7 @@
  * were ever linked, each of which is known to the changes.
  */
 final class Absent {
-  private record One(int relay, Moment heard) {}
+  private record One(int relay, Timestamp heard) {}
 
   private final Map<Integer, One> known = new HashMap<>();
   private final TreeSet<One> line =
@@ -24,7 +24,7 @@
   private long looked;
 
   /** Its link is gone; {@code heard}: when it said something last. */
-  void left(int relay, Moment heard) {
+  void left(int relay, Timestamp heard) {
     back(relay);
     One one = new One(relay, heard);
     known.put(relay, one);
@@ -40,7 +40,7 @@
   }
 
   /** Who was not heard for longer; they stay until {@link #back}. */
-  List<Integer> longer(Span than, Moment now) {
+  List<Integer> longer(TimeSpan than, Timestamp now) {
     List<Integer> found = new ArrayList<>();
     for (One one : line) {
       looked++;
--- a/src/main/java/sprucerock/controller/server/AgentsDoor.java
+++ b/src/main/java/sprucerock/controller/server/AgentsDoor.java
@@ -22,8 +22,8 @@
 import sprucerock.controller.v1.Room;
 import sprucerock.controller.v1.Silent;
 import sprucerock.transport.net.Net;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.agent.artifact.Vault;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
@@ -50,9 +50,9 @@
   private static final byte[] NO_BODY = {};
   private static final int PIECE = 128 * 1024;
   private static final int MOST_WAITING = 20_000; // fetches; an agent has one or two
-  private static final Span WINDOW = Span.ofMs(2000); // two words of an agent at least
-  private static final Span LOOK = Span.ofMs(500);
-  private static final Span PUMP = Span.ofMs(10);
+  private static final TimeSpan WINDOW = TimeSpan.ofMs(2000); // two words of an agent at least
+  private static final TimeSpan LOOK = TimeSpan.ofMs(500);
+  private static final TimeSpan PUMP = TimeSpan.ofMs(10);
 
   private record Waiting(Session session, Fetch fetch) {}
 
@@ -75,7 +75,7 @@
     this.tap = tap;
     this.desk = desk;
     this.vault = vault;
-    limits = new Limits(1 << 20, 4L << 20, Span.ofMs(1000));
+    limits = new Limits(1 << 20, 4L << 20, TimeSpan.ofMs(1000));
     watch = new Watcher(changes(), this);
     for (ManagedRelay relay : changes().relays()) {
       absent.left(
@@ -212,7 +212,7 @@
   private final class Session implements FrameUser {
     private FrameLink link;
     private int number;
-    private Moment heard;
+    private Timestamp heard;
     private AgentSays last;
 
     @Override
--- a/src/main/java/sprucerock/controller/server/Desk.java
+++ b/src/main/java/sprucerock/controller/server/Desk.java
@@ -30,7 +30,7 @@
 import sprucerock.lease.GranterDoor;
 import sprucerock.lease.Leases;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.agent.artifact.Vault;
 import sprucerock.transport.wire.Tap;
 
@@ -39,7 +39,7 @@
  * for the disk.
  */
 public final class Desk implements AutoCloseable {
-  private static final Span LOOK = Span.ofMs(50); // whether time alone has changed anything
+  private static final TimeSpan LOOK = TimeSpan.ofMs(50); // whether time alone has changed anything
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final DeskConfig config;
@@ -446,7 +446,7 @@
           if (agents != null) {
             agents.stop();
           }
-          loop.at(loop.now().plus(Span.ofMs(100)), done::countDown);
+          loop.at(loop.now().plus(TimeSpan.ofMs(100)), done::countDown);
         });
     try {
       done.await();
@@ -462,7 +462,7 @@
           if (granter != null) {
             granter.stop();
           }
-          loop.at(loop.now().plus(Span.ofMs(100)), gone::countDown); // what was given back goes out
+          loop.at(loop.now().plus(TimeSpan.ofMs(100)), gone::countDown); // what was given back goes out
         });
     try {
       gone.await();
--- a/src/main/java/sprucerock/controller/server/DeskConfig.java
+++ b/src/main/java/sprucerock/controller/server/DeskConfig.java
@@ -22,7 +22,7 @@
 import sprucerock.controller.maintenance.Freezes;
 import sprucerock.controller.maintenance.Headroom;
 import sprucerock.controller.maintenance.Rack;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * The configuration of a controller, checked; controller.xsd names the units and the values used
@@ -42,19 +42,19 @@
   public final InetSocketAddress relays;
   public final int mostRelays;
   public final long unsent;
-  public final Span tellEvery;
+  public final TimeSpan tellEvery;
   public final InetSocketAddress hooks;
   public final int body;
-  public final Span window;
+  public final TimeSpan window;
   public final int atOnce;
-  public final Span readWithin;
+  public final TimeSpan readWithin;
   public final Map<String, Source> sources;
   public final InetSocketAddress api;
   public final String token;
   public final List<Outbox.Target> tells;
 
   /** How long an active controller may be silent before another one takes its place. */
-  public final Span lease;
+  public final TimeSpan lease;
 
   public final Rules rules;
 
@@ -161,7 +161,7 @@
     }
     tells = List.copyOf(targets);
     lease = root.span("lease");
-    if (Span.ofMs(500).over(lease)) {
+    if (TimeSpan.ofMs(500).over(lease)) {
       throw root.wrong("lease is 500ms at least");
     }
     leases = LeaseConfig.of(root.child("leases"), CANDIDATE);
@@ -201,12 +201,12 @@
     if (node == null) {
       return new Plan(
           List.of(new Plan.Stage(1, 0.1)),
-          Span.ofMs(1),
-          Span.ofMs(1),
-          Span.ofMs(1),
+          TimeSpan.ofMs(1),
+          TimeSpan.ofMs(1),
+          TimeSpan.ofMs(1),
           1,
           0,
-          Span.ofMs(1));
+          TimeSpan.ofMs(1));
     }
     List<Plan.Stage> stages = new ArrayList<>();
     for (Node stage : node.all("change-stage")) {
--- a/src/main/java/sprucerock/controller/server/HttpDoor.java
+++ b/src/main/java/sprucerock/controller/server/HttpDoor.java
@@ -47,7 +47,7 @@
 import sprucerock.controller.v1.Ready;
 import sprucerock.controller.v1.Word;
 import sprucerock.controller.maintenance.Freeze;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.LeaseEntry;
 import sprucerock.transport.wire.v1.LeaseListed;
 
@@ -829,7 +829,7 @@
           .put("cause", step.cause());
     }
     if (release == releases.present()) {
-      Moment now = desk.engine().now();
+      Timestamp now = desk.engine().now();
       ArrayNode waits = node.putArray("waits_for");
       releases.waitsFor(now).forEach(waits::add);
       ObjectNode votes = node.putObject("votes");
--- a/src/main/java/sprucerock/controller/server/RelaysDoor.java
+++ b/src/main/java/sprucerock/controller/server/RelaysDoor.java
@@ -11,7 +11,7 @@
 import sprucerock.controller.v1.Input;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
 import sprucerock.transport.wire.Kind;
@@ -51,7 +51,7 @@
     this.tap = tap;
     this.desk = desk;
     racks = new RackList(desk.engine().freezes().room().racks());
-    limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), Span.ofMs(2000));
+    limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), TimeSpan.ofMs(2000));
   }
 
   InetSocketAddress start() throws IOException {
@@ -157,7 +157,7 @@
       if (link.unsent() > config.unsent / 2) { // it does not read: the newest is told when it does
         behind =
             net.at(
-                net.now().plus(Span.ofMs(100)),
+                net.now().plus(TimeSpan.ofMs(100)),
                 () -> {
                   behind = null;
                   if (sessions.contains(this)) {
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Whether a webhook was signed by who knows a secret: the form of Standard Webhooks
@@ -57,7 +57,7 @@
 
   /** {@code window}: by how much a sender's clock may differ. */
   public static Verdict check(
-      Form form, Headers headers, byte[] body, List<byte[]> secrets, long nowSeconds, Span window) {
+      Form form, Headers headers, byte[] body, List<byte[]> secrets, long nowSeconds, TimeSpan window) {
     boolean named =
         headers.id != null
             && !headers.id.isEmpty()
--- a/src/main/java/sprucerock/lab/Deaf.java
+++ b/src/main/java/sprucerock/lab/Deaf.java
@@ -1,24 +1,24 @@
 package sprucerock.lab;
 
 import java.util.function.Consumer;
-import sprucerock.policy.Module;
+import sprucerock.policy.RelayEvents;
 import sprucerock.model.Build;
 import sprucerock.model.Method;
-import sprucerock.model.Pick;
-import sprucerock.model.Reply;
+import sprucerock.model.Attempt;
+import sprucerock.model.VoteReply;
 import sprucerock.model.Rpc;
-import sprucerock.model.Standing;
-import sprucerock.model.Unit;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Endpoint;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * The module of a hollow relay, which has no requests to decide on: of all it is told, only news is
  * passed on.
  */
-final class Deaf implements Module {
+final class Deaf implements RelayEvents {
   /** News as the ledger tells it to the module: by then it is in force. */
-  record Told(Build build, int stage, Standing standing) {}
+  record Told(Build build, int stage, RolloutState standing) {}
 
   private final Consumer<Told> news;
 
@@ -27,15 +27,15 @@
   }
 
   @Override
-  public void newsOfBuild(Build build, int stage, Standing standing, double cap, Moment since) {
+  public void newsOfBuild(Build build, int stage, RolloutState standing, double cap, Timestamp since) {
     news.accept(new Told(build, stage, standing));
   }
 
   @Override
-  public void unitReady(Unit unit) {}
+  public void unitReady(Endpoint unit) {}
 
   @Override
-  public void unitLeaving(Unit unit) {}
+  public void unitLeaving(Endpoint unit) {}
 
   @Override
   public void listFailed() {}
@@ -44,26 +44,26 @@
   public void rpcArrived(Rpc rpc) {}
 
   @Override
-  public void streamStarted(Pick pick) {}
+  public void streamStarted(Attempt pick) {}
 
   @Override
-  public void pickEnded(Pick pick, boolean answers) {}
+  public void pickEnded(Attempt pick, boolean answers) {}
 
   @Override
   public void clientLeft(Rpc rpc) {}
 
   @Override
-  public void counted(Build build, Method method, double picks, double failed, Span mean) {}
+  public void counted(Build build, Method method, double picks, double failed, TimeSpan mean) {}
 
   @Override
-  public void flagged(Unit unit) {}
+  public void flagged(Endpoint unit) {}
 
   @Override
-  public void looked(Unit unit, boolean answered) {}
+  public void looked(Endpoint unit, boolean answered) {}
 
   @Override
   public void peerTold(int sender, byte[] contents) {}
 
   @Override
-  public void voteAnswered(Reply reply) {}
+  public void voteAnswered(VoteReply reply) {}
 }
--- a/src/main/java/sprucerock/lab/HollowFleet.java
+++ b/src/main/java/sprucerock/lab/HollowFleet.java
@@ -24,9 +24,9 @@
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.stats.Chance;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.agent.artifact.Vault;
 
 /**
@@ -38,7 +38,7 @@
   /** A relay's number over its zones, as a fleet deals them out. */
   static final int ZONES = 10; // two regions with five
 
-  private static final Span LOOK = Span.ofMs(20);
+  private static final TimeSpan LOOK = TimeSpan.ofMs(20);
   private static final double COME_A_SECOND =
       50; // at the start, which is not measured: what comes then would be a mass restart on cold
   // code
@@ -51,10 +51,10 @@
   private final LinkCounts agentsLinks = new LinkCounts("controller");
   private final List<HollowRelay> relays = new ArrayList<>();
   private final List<Station> agents = new ArrayList<>();
-  private final Chance chance;
+  private final DeterministicRandom chance;
   private final AtomicInteger broken = new AtomicInteger();
   private Histogram lag = new Histogram(3);
-  private Moment due;
+  private Timestamp due;
   private int next;
   private List<HollowRelay> away = List.of();
 
@@ -68,7 +68,7 @@
               broken.incrementAndGet();
               log.error("BROKEN {}", e.toString(), e);
             });
-    chance = new Chance(relay.seed + from);
+    chance = new DeterministicRandom(relay.seed + from);
     for (int i = 0; i < many; i++) {
       int number = from + i;
       relays.add(new HollowRelay(loop, relay, number, controller, granters));
@@ -86,7 +86,7 @@
               agentsLinks,
               (says, fails, consumers) ->
                   new HollowMachine(
-                      loop, new Chance(~relay.seed ^ number), first, says, fails, consumers)));
+                      loop, new DeterministicRandom(~relay.seed ^ number), first, says, fails, consumers)));
     }
   }
 
@@ -158,7 +158,7 @@
       case "restart" -> answer.put("restarted", restart(Integer.parseInt(words[1])));
       case "cut" -> answer.put("cut", cut(Integer.parseInt(words[1])));
       case "back" -> back();
-      case "vote" -> vote(Span.ofMs(Integer.parseInt(words[1])));
+      case "vote" -> vote(TimeSpan.ofMs(Integer.parseInt(words[1])));
       case "report" -> report(answer);
       default -> answer.put("wrong", "no such word: " + words[0]);
     }
@@ -166,7 +166,7 @@
   }
 
   private void start() {
-    Span within = Span.ofMs(1000 * relays.size() / COME_A_SECOND);
+    TimeSpan within = TimeSpan.ofMs(1000 * relays.size() / COME_A_SECOND);
     for (HollowRelay one : relays) {
       loop.at(loop.now().plus(within.times(chance.next())), one::start);
     }
@@ -237,7 +237,7 @@
   }
 
   /** Each once, at a moment of its own within that time. */
-  private void vote(Span within) {
+  private void vote(TimeSpan within) {
     for (HollowRelay one : relays) {
       loop.at(loop.now().plus(within.times(chance.next())), one::vote);
     }
--- a/src/main/java/sprucerock/lab/HollowMachine.java
+++ b/src/main/java/sprucerock/lab/HollowMachine.java
@@ -6,9 +6,9 @@
 import sprucerock.agent.Place;
 import sprucerock.controller.deployment.Version;
 import sprucerock.transport.net.Net;
-import sprucerock.stats.Chance;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
@@ -17,15 +17,15 @@
  * on disk: in a fleet each has a disk of its own.
  */
 final class HollowMachine implements Place {
-  private static final Span STARTS =
-      Span.ofMs(600); // what a relay's start takes on an idle core, docs/architecture.md
-  private static final Span ENDS = Span.ofMs(100);
+  private static final TimeSpan STARTS =
+      TimeSpan.ofMs(600); // what a relay's start takes on an idle core, docs/architecture.md
+  private static final TimeSpan ENDS = TimeSpan.ofMs(100);
   private static final double RPCS_A_SECOND = 169; // of one relay at the size to plan with
   private static final double RPC_MS = 20;
   private static final double WORK_MS = 0.2;
 
   private final Net net;
-  private final Chance chance;
+  private final DeterministicRandom chance;
   private final Version first;
   private final Runnable says;
   private final BiConsumer<Version, String> fails;
@@ -33,11 +33,11 @@
   private Memory memory;
   private Agent agent;
   private int run;
-  private Moment started;
+  private Timestamp started;
 
   HollowMachine(
       Net net,
-      Chance chance,
+      DeterministicRandom chance,
       Version first,
       Runnable says,
       BiConsumer<Version, String> fails,
@@ -97,12 +97,12 @@
   }
 
   @Override
-  public Moment now() {
+  public Timestamp now() {
     return net.now();
   }
 
   @Override
-  public void at(Moment when, Runnable what) {
+  public void at(Timestamp when, Runnable what) {
     net.at(when, what);
   }
 
@@ -141,10 +141,10 @@
 
   @Override
   public void kill() {
-    end(Span.ofMs(1), "ended by signal 9");
+    end(TimeSpan.ofMs(1), "ended by signal 9");
   }
 
-  private void end(Span after, String how) {
+  private void end(TimeSpan after, String how) {
     int of = ++run;
     started = null;
     net.at(
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -10,16 +10,16 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.Guard;
 import sprucerock.lease.Leases;
-import sprucerock.accounting.Ledger;
-import sprucerock.model.Reply;
-import sprucerock.model.Standing;
+import sprucerock.accounting.RequestTracker;
+import sprucerock.model.VoteReply;
+import sprucerock.model.RolloutState;
 import sprucerock.model.Verdict;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.relay.frames.DeskLink;
 import sprucerock.relay.frames.Racks;
 import sprucerock.relay.engine.Events;
-import sprucerock.stats.Chance;
+import sprucerock.stats.DeterministicRandom;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
@@ -105,10 +105,10 @@
     linked = false;
     news = null;
     votesOut.clear();
-    Ledger ledger = new Ledger(config.settings);
+    RequestTracker ledger = new RequestTracker(config.settings);
     ledger.tell(new Deaf(this::news));
     Events events = new Events(net, NOPLogger.NOP_LOGGER);
-    Chance chance = new Chance(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
+    DeterministicRandom chance = new DeterministicRandom(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
     Hello mine =
         Hello.newBuilder()
             .setVersion(FrameLink.VERSION)
@@ -201,7 +201,7 @@
     news = told;
     if (event == Event.NEWS
         && told.build().number == beyond
-        && told.standing() == Standing.ON_TRIAL) {
+        && told.standing() == RolloutState.ON_TRIAL) {
       now(Event.NEWS);
     }
   }
@@ -217,7 +217,7 @@
 
   /** Votes on what it was told of last; false where it was told of no trial. */
   boolean vote() {
-    if (news == null || news.standing() != Standing.ON_TRIAL || !linked) {
+    if (news == null || news.standing() != RolloutState.ON_TRIAL || !linked) {
       return false;
     }
     votesCast++;
@@ -225,8 +225,8 @@
     return true;
   }
 
-  private void answered(Reply reply) {
-    if (reply == Reply.COUNTS) {
+  private void answered(VoteReply reply) {
+    if (reply == VoteReply.COUNTS) {
       votesCounted++;
     } else {
       votesRefused++;
--- a/src/main/java/sprucerock/lease/Candidate.java
+++ b/src/main/java/sprucerock/lease/Candidate.java
@@ -1,8 +1,8 @@
 package sprucerock.lease;
 
 import java.util.function.DoubleSupplier;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * One process's side of one lease: asks all granters, holds it while a majority granted it in one
@@ -44,13 +44,13 @@
   private boolean wanted;
   private long number; // 0: none is asked for
   private long round;
-  private Moment askedAt;
+  private Timestamp askedAt;
   private long granters; // of this round, as bits
   private long refusers;
-  private Span shortest; // what they said is left
+  private TimeSpan shortest; // what they said is left
   private boolean inTheWay; // somebody else has it, so that asking sooner is of no use
-  private Moment until; // null: not held
-  private Moment due; // null: nothing is to be done by time
+  private Timestamp until; // null: not held
+  private Timestamp due; // null: nothing is to be done by time
   private long seen;
   private int fails;
 
@@ -125,7 +125,7 @@
   }
 
   /** It is to be had from now on. {@code floorMs}: see {@link #fresh}. */
-  void want(Moment now, long floorMs) {
+  void want(Timestamp now, long floorMs) {
     if (wanted) {
       return;
     }
@@ -157,13 +157,13 @@
     return Math.max((seen >>> NUMBER_BITS) + 1, floorMs) << NUMBER_BITS | me;
   }
 
-  private void ask(Moment now, long floorMs) {
+  private void ask(Timestamp now, long floorMs) {
     number = fresh(floorMs);
     seen = number;
     round(now);
   }
 
-  private void round(Moment now) {
+  private void round(Timestamp now) {
     round++;
     askedAt = now;
     granters = 0;
@@ -176,7 +176,7 @@
     }
   }
 
-  void granted(int granter, long ofNumber, long ofRound, Moment now) {
+  void granted(int granter, long ofNumber, long ofRound, Timestamp now) {
     if (ofNumber
         != number) { // of a number that was given up; what told the granter so may have been lost
       host.giveBack(granter, name, ofNumber, -1);
@@ -189,7 +189,7 @@
     if (Long.bitCount(granters) < enough()) {
       return;
     }
-    Moment end = from(now).plus(usable());
+    Timestamp end = from(now).plus(usable());
     if (!end.after(now)) {
       return; // so late that it is over; the round ends by its patience
     }
@@ -203,7 +203,7 @@
   }
 
   void refused(
-      int granter, long ofNumber, long ofRound, long highest, Span left, boolean held, Moment now) {
+      int granter, long ofNumber, long ofRound, long highest, TimeSpan left, boolean held, Timestamp now) {
     seen = Math.max(seen, highest);
     if (ofNumber != number || ofRound != round) {
       return;
@@ -232,16 +232,16 @@
    * The moment from which the term counts: nobody knows when a granter began to count, but not
    * before it was asked.
    */
-  Moment from(Moment now) {
+  Timestamp from(Timestamp now) {
     return askedAt;
   }
 
-  Span usable() {
+  TimeSpan usable() {
     return terms.usable();
   }
 
   /** A granter has said that it may be had. */
-  void freed(Moment now, long floorMs) {
+  void freed(Timestamp now, long floorMs) {
     if (wanted && until == null && number == 0) {
       ask(now, floorMs);
     }
@@ -251,7 +251,7 @@
    * No majority: what was granted is given back at once, so that two who were granted a part do not
    * block each other.
    */
-  private void fail(Moment now) {
+  private void fail(Timestamp now) {
     long given = number;
     number = 0;
     for (int each = 0; each < terms.granters(); each++) {
@@ -263,7 +263,7 @@
     // Somebody has it: asked again when it may have ended. Else two asked at once, or granters are
     // away: a pause that doubles. Each
     // is drawn, so that those who asked together do not ask together again.
-    Span pause =
+    TimeSpan pause =
         inTheWay && shortest != null
             ? shortest.plus(terms.usable().times(PATIENCE * chance.getAsDouble()))
             : terms.usable().times(PATIENCE * (1 << fails - 1) * (0.5 + chance.getAsDouble()));
@@ -271,11 +271,11 @@
   }
 
   /** When {@link #tick} is to be called next; null: not before something else happens. */
-  Moment due() {
+  Timestamp due() {
     return due;
   }
 
-  void tick(Moment now, long floorMs) {
+  void tick(Timestamp now, long floorMs) {
     if (until != null && !holds(now)) {
       drop("it ran out, not renewed in time", -1);
       if (wanted) {
@@ -317,13 +317,13 @@
   }
 
   /** Whether it is held for certain at that moment of this process's clock. */
-  boolean holds(Moment at) {
+  boolean holds(Timestamp at) {
     return until != null && until.after(at);
   }
 
   /** How long it is held for certain from then on; zero where it isn't. */
-  Span left(Moment at) {
-    return holds(at) ? until.since(at) : Span.ZERO;
+  TimeSpan left(Timestamp at) {
+    return holds(at) ? until.since(at) : TimeSpan.ZERO;
   }
 
   /** By which acts are stamped; 0 where it is not held. */
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -1,6 +1,6 @@
 package sprucerock.lease;
 
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /**
  * What a granter knows of one name. Never changed, only replaced.
@@ -13,6 +13,6 @@
  * @param open it was not given back
  * @param heir to whom it was handed over, and is kept for until {@code until}; -1: to nobody
  */
-record Grant(long number, int holder, long life, Moment until, boolean open, int heir) {
-  static final Grant NONE = new Grant(0, -1, 0, Moment.ofMs(Double.NEGATIVE_INFINITY), false, -1);
+record Grant(long number, int holder, long life, Timestamp until, boolean open, int heir) {
+  static final Grant NONE = new Grant(0, -1, 0, Timestamp.ofMs(Double.NEGATIVE_INFINITY), false, -1);
 }
--- a/src/main/java/sprucerock/lease/Granter.java
+++ b/src/main/java/sprucerock/lease/Granter.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * One of those who grant leases: for each name at most one grant at a time, each under a higher
@@ -31,7 +31,7 @@
      * at once.
      */
     void refused(
-        int candidate, String name, long number, long round, long highest, Span left, Refusal why);
+        int candidate, String name, long number, long round, long highest, TimeSpan left, Refusal why);
 
     /** It may be had now; told to one that waits. */
     void freed(int candidate, String name);
@@ -62,18 +62,18 @@
 
   private final Terms terms;
   private final Host host;
-  private final Moment opens;
+  private final Timestamp opens;
   private final Map<String, Grant> grants = new TreeMap<>();
   private final Map<String, Set<Integer>> waiting = new TreeMap<>();
   private long refused;
 
   /** Begins with nothing known. */
-  Granter(Terms terms, Host host, Moment now) {
+  Granter(Terms terms, Host host, Timestamp now) {
     this(terms, host, now.plus(terms.longest()), Map.of());
   }
 
   /** As it stands. */
-  Granter(Terms terms, Host host, Moment opens, Map<String, Grant> grants) {
+  Granter(Terms terms, Host host, Timestamp opens, Map<String, Grant> grants) {
     this.terms = terms;
     this.host = host;
     this.opens = opens;
@@ -81,7 +81,7 @@
   }
 
   /** A candidate asks, for the first time or to hold on to it: {@code number} says which. */
-  void asked(int candidate, long life, String name, long number, long round, Moment now) {
+  void asked(int candidate, long life, String name, long number, long round, Timestamp now) {
     Grant grant = grants.getOrDefault(name, Grant.NONE);
     Refusal why = why(candidate, life, name, number, grant, now);
     if (why == null) {
@@ -95,12 +95,12 @@
     }
     refused++;
     boolean mine = grant.number() == number && grant.life() == life;
-    Span left =
+    TimeSpan left =
         switch (why) {
           case STARTING -> opens.since(now);
           case HELD, KEPT -> grant.until().since(now);
           case TOO_MANY -> terms.longest();
-          case LOWER, RETURNED -> Span.ZERO;
+          case LOWER, RETURNED -> TimeSpan.ZERO;
         };
     if (why == Refusal.HELD && !mine && !waits(candidate, name)) {
       left = left.plus(terms.term().times(LINE_FULL_TERMS));
@@ -108,7 +108,7 @@
     host.refused(candidate, name, number, round, grant.number(), left, why);
   }
 
-  private Refusal why(int candidate, long life, String name, long number, Grant grant, Moment now) {
+  private Refusal why(int candidate, long life, String name, long number, Grant grant, Timestamp now) {
     if (startsOut(now)) {
       return Refusal.STARTING;
     }
@@ -131,7 +131,7 @@
   // checker finds it missing.
 
   /** What its last life granted may still run. */
-  boolean startsOut(Moment now) {
+  boolean startsOut(Timestamp now) {
     return opens.after(now);
   }
 
@@ -148,7 +148,7 @@
     return grant.open();
   }
 
-  boolean runs(Grant grant, Moment now) {
+  boolean runs(Grant grant, Timestamp now) {
     return grant.open() && grant.until().after(now);
   }
 
@@ -156,7 +156,7 @@
     return number > grant.number();
   }
 
-  private boolean hasRoom(Moment now) {
+  private boolean hasRoom(Timestamp now) {
     if (grants.size() < MOST_NAMES) {
       return true;
     }
@@ -190,12 +190,12 @@
    * The holder gives it back, or a candidate what was no majority; {@code heir}: who is to have it
    * next, -1: anybody.
    */
-  void returned(int candidate, long life, String name, long number, int heir, Moment now) {
+  void returned(int candidate, long life, String name, long number, int heir, Timestamp now) {
     Grant grant = grants.get(name);
     if (grant == null || !same(grant, candidate, life, number) || !grant.open()) {
       return;
     }
-    Moment keptUntil = heir >= 0 ? now.plus(terms.term().times(HEIR_TERMS)) : now;
+    Timestamp keptUntil = heir >= 0 ? now.plus(terms.term().times(HEIR_TERMS)) : now;
     grants.put(name, new Grant(number, candidate, life, keptUntil, false, heir));
     if (heir >= 0) {
       host.freed(heir, name);
@@ -240,7 +240,7 @@
   }
 
   /** The moment from which it grants. */
-  Moment opens() {
+  Timestamp opens() {
     return opens;
   }
 
--- a/src/main/java/sprucerock/lease/GranterDoor.java
+++ b/src/main/java/sprucerock/lease/GranterDoor.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 import sprucerock.config.LeaseConfig;
 import sprucerock.transport.net.Net;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
 import sprucerock.transport.wire.Kind;
@@ -83,7 +83,7 @@
                   long number,
                   long round,
                   long highest,
-                  Span left,
+                  TimeSpan left,
                   Granter.Refusal why) {
                 asking.link.send(
                     Kind.LEASE_SAID,
@@ -153,7 +153,7 @@
   private final class Session implements FrameUser {
     private FrameLink link;
     private int number = -1;
-    private Moment second;
+    private Timestamp second;
     private int inSecond;
 
     @Override
@@ -189,7 +189,7 @@
     }
 
     private void ask(LeaseAsk ask) {
-      Moment now = net.clock();
+      Timestamp now = net.clock();
       if (second == null || now.since(second).ms() >= 1000) {
         second = now;
         inSecond = 0;
@@ -225,7 +225,7 @@
   }
 
   private LeaseListed listed() {
-    Moment now = net.clock();
+    Timestamp now = net.clock();
     LeaseListed.Builder all =
         LeaseListed.newBuilder()
             .setGranter(config.granter())
--- a/src/main/java/sprucerock/lease/Guard.java
+++ b/src/main/java/sprucerock/lease/Guard.java
@@ -2,8 +2,8 @@
 
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * The one way to act under a lease. Time is looked at when the act begins, not when its turn of the
@@ -13,16 +13,16 @@
  */
 public class Guard {
   private final Candidate candidate;
-  private final Supplier<Moment> clock;
+  private final Supplier<Timestamp> clock;
 
   /** {@code clock}: this process's steady clock, read anew with each call. */
-  Guard(Candidate candidate, Supplier<Moment> clock) {
+  Guard(Candidate candidate, Supplier<Timestamp> clock) {
     this.candidate = candidate;
     this.clock = clock;
   }
 
   /** Acts if the lease is held for certain for that long yet; false if nothing was done. */
-  public boolean act(Span needs, LongConsumer act) {
+  public boolean act(TimeSpan needs, LongConsumer act) {
     if (!may(needs)) {
       return false;
     }
@@ -30,21 +30,21 @@
     return true;
   }
 
-  boolean may(Span needs) {
-    Moment now = clock.get();
+  boolean may(TimeSpan needs) {
+    Timestamp now = clock.get();
     return candidate.holds(now) && !needs.over(candidate.left(now));
   }
 
   /** The same for an act that takes no time worth the name. */
   public boolean act(LongConsumer act) {
-    return act(Span.ZERO, act);
+    return act(TimeSpan.ZERO, act);
   }
 
   /**
    * Whether it is held now. What is done on this answer alone, without {@link #act}, is not safe.
    */
   public boolean held() {
-    return may(Span.ZERO);
+    return may(TimeSpan.ZERO);
   }
 
   /** An act was refused where it landed, as that had seen a higher number. */
--- a/src/main/java/sprucerock/lease/Leases.java
+++ b/src/main/java/sprucerock/lease/Leases.java
@@ -9,9 +9,9 @@
 import sprucerock.config.LeaseConfig;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.stats.Chance;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
 import sprucerock.transport.wire.Kind;
@@ -54,7 +54,7 @@
   /** Leases that a process stands for at most. */
   public static final int MOST = 64;
 
-  static final Limits LIMITS = new Limits(64 * 1024, 256 * 1024, Span.ofMs(1000));
+  static final Limits LIMITS = new Limits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
 
   private final Net net;
   private final LeaseConfig config;
@@ -62,7 +62,7 @@
   private final Hello mine;
   private final long life;
   private final Tap tap;
-  private final Chance chance;
+  private final DeterministicRandom chance;
   private final LongSupplier wallMs;
   private final Log log;
   private final Map<String, Standing> standings = new TreeMap<>();
@@ -85,7 +85,7 @@
     this.wallMs = wallMs;
     this.log = log;
     terms = terms(config);
-    chance = new Chance(life ^ config.me());
+    chance = new DeterministicRandom(life ^ config.me());
     mine =
         Hello.newBuilder()
             .setVersion(FrameLink.VERSION)
@@ -171,7 +171,7 @@
   public void list(java.util.function.Consumer<Map<Integer, LeaseListed>> done) {
     listed.clear();
     Runnable[] once = new Runnable[1];
-    Timer late = net.at(net.now().plus(Span.ofMs(1000)), () -> once[0].run());
+    Timer late = net.at(net.now().plus(TimeSpan.ofMs(1000)), () -> once[0].run());
     once[0] =
         () -> {
           late.cancel();
@@ -209,7 +209,7 @@
       if (timer != null) {
         timer.cancel();
       }
-      Moment due = candidate.due();
+      Timestamp due = candidate.due();
       timer =
           due == null
               ? null
@@ -327,7 +327,7 @@
                   said.getNumber(),
                   said.getRound(),
                   said.getHighest(),
-                  Span.ofMs(said.getLeftUs() / 1000.0),
+                  TimeSpan.ofMs(said.getLeftUs() / 1000.0),
                   said.getHeld(),
                   net.clock());
             }
--- a/src/main/java/sprucerock/lease/Terms.java
+++ b/src/main/java/sprucerock/lease/Terms.java
@@ -1,6 +1,6 @@
 package sprucerock.lease;
 
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * What all sides of leases agree on; the same in every process's configuration.
@@ -11,7 +11,7 @@
  *     their last lives, ran
  * @param drift how far any clock's pace may be from the true one, as a share; 0 to under 0.2
  */
-public record Terms(int granters, Span term, Span longest, double drift) {
+public record Terms(int granters, TimeSpan term, TimeSpan longest, double drift) {
   /**
    * @throws IllegalArgumentException if they make no sense together; the message says which
    */
@@ -36,7 +36,7 @@
    * the fastest that is allowed and so end the grant after term / (1 + drift); the holder's may be
    * the slowest and take its own count for less than it is.
    */
-  Span usable() {
+  TimeSpan usable() {
     return term.times((1 - drift) / (1 + drift));
   }
 }
--- a/src/main/java/sprucerock/metrics/BufferMemory.java
+++ b/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
@@ -7,14 +7,14 @@
 import java.nio.LongBuffer;
 
 /** A buffer, mapped or not. The kernel writes a mapped one back whatever becomes of the process. */
-final class BufferMemory implements Memory {
+final class BufferMetricsMemory implements MetricsMemory {
   private static final VarHandle LONGS =
       MethodHandles.byteBufferViewVarHandle(long[].class, ByteOrder.LITTLE_ENDIAN);
 
   private final ByteBuffer buffer;
   private final LongBuffer longs;
 
-  BufferMemory(ByteBuffer buffer) {
+  BufferMetricsMemory(ByteBuffer buffer) {
     this.buffer = buffer.order(ByteOrder.LITTLE_ENDIAN);
     longs = buffer.duplicate().clear().order(ByteOrder.LITTLE_ENDIAN).asLongBuffer();
   }
--- a/src/main/java/sprucerock/metrics/Pages.java
+++ b/src/main/java/sprucerock/metrics/MappedMetricsFile.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.zip.CRC32;
-import sprucerock.accounting.Book;
+import sprucerock.accounting.MetricsStore;
 
 /**
  * Figures in a file: a head, the layout, the rows' names, and two copies of all values, each with
@@ -11,7 +11,7 @@
  * long says that this one counts now. A kill between any two writes leaves the state before or
  * after a turn, never half of one, and a reader elsewhere needs no lock.
  */
-final class Pages implements Book {
+final class MappedMetricsFile implements MetricsStore {
   static final long MAGIC = 0x3130474946525053L; // "SPRFIG01"
   static final int NAME = 80; // its length, and 72 bytes: a build and the longest method
   static final int GENERATION = 8;
@@ -33,10 +33,10 @@
   private int beforeCount;
   private long check;
   private long sequence;
-  private volatile Memory memory; // written by the relay, read by whoever scrapes
+  private volatile MetricsMemory memory; // written by the relay, read by whoever scrapes
 
   /** A fresh file in memory that is all zero. */
-  Pages(Memory memory, String layout, int values, int rows, long generation) {
+  MappedMetricsFile(MetricsMemory memory, String layout, int values, int rows, long generation) {
     this.memory = memory;
     byte[] text = layout.getBytes(StandardCharsets.UTF_8);
     this.values = new long[values];
@@ -72,11 +72,11 @@
   }
 
   /** Goes on elsewhere, where the same bytes stand. */
-  void moveTo(Memory other) {
+  void moveTo(MetricsMemory other) {
     memory = other;
   }
 
-  Memory memory() {
+  MetricsMemory memory() {
     return memory;
   }
 
--- a/src/main/java/sprucerock/metrics/Export.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -21,16 +21,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import sprucerock.accounting.Accounts;
-import sprucerock.accounting.Scale;
-import sprucerock.accounting.Sheet;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.HistogramBuckets;
+import sprucerock.accounting.MethodMetrics;
 
 /**
  * Serves a relay's figures to a monitor, in Prometheus text or OpenMetrics. A scrape is made of one
  * snapshot, so that sums hold within it; it runs on the server's threads and never holds the relay
  * up.
  */
-public final class Export implements MultiCollector, AutoCloseable {
+public final class MetricsExporter implements MultiCollector, AutoCloseable {
   private static final String PREFIX = "sprucerock_";
   private static final String STALLED_SECONDS =
       "2"; // a scrape takes milliseconds, also over a slow network
@@ -38,7 +38,7 @@
       4; // as many monitors at once; each costs a core while it reads
   private static final int WAITING = 32;
 
-  private final Supplier<Snapshot> snapshots;
+  private final Supplier<MetricsSnapshot> snapshots;
   private final BooleanSupplier drifting;
   private final BooleanSupplier kept;
   private final Supplier<Map<String, Double>> more;
@@ -57,8 +57,8 @@
    *
    * @throws IOException if the address can't be had
    */
-  public Export(
-      Supplier<Snapshot> snapshots,
+  public MetricsExporter(
+      Supplier<MetricsSnapshot> snapshots,
       BooleanSupplier drifting,
       BooleanSupplier kept,
       Supplier<Map<String, Double>> more,
@@ -99,13 +99,13 @@
     StringBuilder text = new StringBuilder();
     int status = 200;
     try {
-      Snapshot snapshot = snapshots.get();
-      text.append(Table.of(snapshot));
-      for (Accounts.Drift drift : snapshot.accounts().check(snapshot.values)) {
+      MetricsSnapshot snapshot = snapshots.get();
+      text.append(MetricsTable.of(snapshot));
+      for (MethodAccounts.Drift drift : snapshot.accounts().check(snapshot.values)) {
         text.append("DRIFT ").append(drift).append('\n');
         status = 500;
       }
-    } catch (Snapshot.BadFileException e) {
+    } catch (MetricsSnapshot.BadFileException e) {
       throw new IOException(e.getMessage());
     }
     byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
@@ -122,15 +122,15 @@
 
   @Override
   public MetricSnapshots collect() {
-    Snapshot snapshot = snapshots.get();
-    Accounts accounts;
+    MetricsSnapshot snapshot = snapshots.get();
+    MethodAccounts accounts;
     try {
       accounts = snapshot.accounts();
-    } catch (Snapshot.BadFileException e) {
+    } catch (MetricsSnapshot.BadFileException e) {
       throw new IllegalStateException(e.getMessage());
     }
     MetricSnapshots.Builder all = MetricSnapshots.builder();
-    for (Sheet sheet : accounts.sheets()) {
+    for (MethodMetrics sheet : accounts.sheets()) {
       if (sheet.scaled()) {
         scaled(all, sheet, accounts, snapshot.values);
       } else {
@@ -165,7 +165,7 @@
   }
 
   private static void add(
-      MetricSnapshots.Builder all, Sheet sheet, Accounts accounts, long[] values) {
+      MetricSnapshots.Builder all, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
     String total = sheet.columns().get(0);
     String pending = sheet.settles() ? sheet.columns().get(sheet.pending()) : "";
     CounterSnapshot.Builder begun =
@@ -217,7 +217,7 @@
    * pays for each series.
    */
   private static void scaled(
-      MetricSnapshots.Builder all, Sheet sheet, Accounts accounts, long[] values) {
+      MetricSnapshots.Builder all, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
     HistogramSnapshot.Builder histogram =
         HistogramSnapshot.builder()
             .name(PREFIX + sheet.name() + "_seconds")
@@ -228,14 +228,14 @@
       }
       ClassicHistogramBuckets.Builder buckets = ClassicHistogramBuckets.builder();
       long count = 0;
-      for (int i = 0; i < Scale.BUCKETS; i++) {
+      for (int i = 0; i < HistogramBuckets.BUCKETS; i++) {
         count += values[sheet.index(row, 1 + i)];
-        boolean last = i == Scale.BUCKETS - 1;
+        boolean last = i == HistogramBuckets.BUCKETS - 1;
         boolean octave = i % 16 == 15 && i >= 31 || i == 7 || i == 15;
         if (!last && !octave) {
           continue;
         }
-        buckets.bucket(last ? Double.POSITIVE_INFINITY : Scale.fromUs(i + 1) / 1e6, count);
+        buckets.bucket(last ? Double.POSITIVE_INFINITY : HistogramBuckets.fromUs(i + 1) / 1e6, count);
         count = 0;
       }
       Labels labels = label(sheet, accounts.name(sheet, row));
@@ -248,7 +248,7 @@
     all.metricSnapshot(histogram.build());
   }
 
-  private static Labels label(Sheet sheet, String name) {
+  private static Labels label(MethodMetrics sheet, String name) {
     int cut = name.indexOf('/');
     return sheet.by().equals("method")
         ? Labels.of("method", name)
--- a/src/main/java/sprucerock/metrics/Keeper.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -8,8 +8,8 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.function.Consumer;
-import sprucerock.accounting.Accounts;
-import sprucerock.accounting.Sheet;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.MethodMetrics;
 
 /**
  * Keeps a relay's accounts in a file through its lives: each start is a generation that goes on
@@ -17,7 +17,7 @@
  * the relay. The next generation's file is written whole beside the old one and takes its place by
  * one renaming, so that a crash at any moment, or two in a row, leaves one or the other.
  */
-public final class Keeper {
+public final class MetricsFileWriter {
   private static final int FRESH = 1;
   private static final int CARRIED = 2;
   private static final int SET_ASIDE = 3;
@@ -25,11 +25,11 @@
   private static final int RUNNING = 3;
   private static final int ENDED = 1;
 
-  private final Accounts accounts;
-  private final Pages pages;
+  private final MethodAccounts accounts;
+  private final MappedMetricsFile pages;
   private final boolean kept;
 
-  private Keeper(Accounts accounts, Pages pages, boolean kept) {
+  private MetricsFileWriter(MethodAccounts accounts, MappedMetricsFile pages, boolean kept) {
     this.kept = kept;
     this.accounts = accounts;
     this.pages = pages;
@@ -40,18 +40,18 @@
    * be read is kept aside, a disk that takes nothing leaves the figures in memory; {@code say} is
    * told in one line. Without a file, null, they are in memory from the first.
    */
-  public static Keeper open(
-      Path file, Accounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> say) {
+  public static MetricsFileWriter open(
+      Path file, MethodAccounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> say) {
     long generation = 1;
     int found = FRESH;
     try {
       if (file != null && Files.exists(file)) {
-        Snapshot last = Snapshot.read(file);
+        MetricsSnapshot last = MetricsSnapshot.read(file);
         carry(last, accounts);
         generation = last.generation + 1;
         found = CARRIED;
       }
-    } catch (Snapshot.BadFileException e) {
+    } catch (MetricsSnapshot.BadFileException e) {
       found = SET_ASIDE;
       say.accept(e.getMessage() + "; " + setAside(file));
     } catch (IOException e) {
@@ -61,14 +61,14 @@
     accounts.begin(accounts.files, 0, found);
     accounts.begin(accounts.starts, 0, RUNNING);
     String layout = accounts.layout();
-    ByteBuffer bytes = ByteBuffer.allocate(Pages.size(layout, accounts.size(), accounts.rows()));
-    Pages pages =
-        new Pages(new BufferMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
+    ByteBuffer bytes = ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rows()));
+    MappedMetricsFile pages =
+        new MappedMetricsFile(new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
     accounts.keepIn(pages, onFirstPostingOfATurn);
     boolean kept = false;
     try {
       if (file != null) {
-        pages.moveTo(new BufferMemory(place(file, bytes)));
+        pages.moveTo(new BufferMetricsMemory(place(file, bytes)));
       }
       kept = file != null;
     } catch (IOException e) {
@@ -78,7 +78,7 @@
               + e.getMessage()
               + "; figures stay in memory until the next start");
     }
-    return new Keeper(accounts, pages, kept);
+    return new MetricsFileWriter(accounts, pages, kept);
   }
 
   private static String setAside(Path file) {
@@ -119,10 +119,10 @@
     return mapped;
   }
 
-  private static void carry(Snapshot last, Accounts accounts) throws Snapshot.BadFileException {
-    Accounts old = last.accounts();
-    for (Sheet from : old.sheets()) {
-      Sheet to = accounts.sheets().get(old.sheets().indexOf(from));
+  private static void carry(MetricsSnapshot last, MethodAccounts accounts) throws MetricsSnapshot.BadFileException {
+    MethodAccounts old = last.accounts();
+    for (MethodMetrics from : old.sheets()) {
+      MethodMetrics to = accounts.sheets().get(old.sheets().indexOf(from));
       for (int row = 0; row < from.rows(); row++) {
         for (int column = 0; column < from.columns().size(); column++) {
           long value = last.values[from.index(row, column)];
@@ -140,10 +140,10 @@
   }
 
   /** All figures at the end of a turn; from any thread, without holding the relay up. */
-  public Snapshot snapshot() {
+  public MetricsSnapshot snapshot() {
     try {
-      return Snapshot.read(pages.memory(), "this relay");
-    } catch (Snapshot.BadFileException e) {
+      return MetricsSnapshot.read(pages.memory(), "this relay");
+    } catch (MetricsSnapshot.BadFileException e) {
       throw new IllegalStateException(e.getMessage());
     }
   }
--- a/src/main/java/sprucerock/metrics/Memory.java
+++ b/src/main/java/sprucerock/metrics/MetricsMemory.java
@@ -4,7 +4,7 @@
  * Bytes that outlive a kill of the process. Longs stand at multiples of eight, and are written
  * whole.
  */
-interface Memory {
+interface MetricsMemory {
   long get(int at);
 
   /** Many at once, in no order: for what a checksum is held against. */
--- a/src/main/java/sprucerock/metrics/Snapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -7,14 +7,14 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.accounting.Accounts;
-import sprucerock.accounting.Sheet;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.MethodMetrics;
 
 /**
  * All figures of one relay at the end of one turn, read from its file; the relay may run, be ended
  * or be dead.
  */
-public final class Snapshot {
+public final class MetricsSnapshot {
   /** A file that can't be used; the message says why in one line. */
   public static final class BadFileException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -33,7 +33,7 @@
   public final String[] names;
   public final long[] values;
 
-  private Snapshot(long generation, boolean closed, String layout, String[] names, long[] values) {
+  private MetricsSnapshot(long generation, boolean closed, String layout, String[] names, long[] values) {
     this.generation = generation;
     this.closed = closed;
     this.layout = layout;
@@ -47,24 +47,24 @@
    * @throws IOException if it can't be read at all
    * @throws BadFileException if what it holds are no figures, or not whole
    */
-  public static Snapshot read(Path file) throws IOException, BadFileException {
+  public static MetricsSnapshot read(Path file) throws IOException, BadFileException {
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
       long size = channel.size();
-      if (size < Pages.HEAD || size > Integer.MAX_VALUE) {
+      if (size < MappedMetricsFile.HEAD || size > Integer.MAX_VALUE) {
         throw new BadFileException(file + ": " + size + " bytes are no figures");
       }
       return read(
-          new BufferMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)), file.toString());
+          new BufferMetricsMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)), file.toString());
     }
   }
 
-  static Snapshot read(Memory memory, String file) throws BadFileException {
-    if (memory.get(0) != Pages.MAGIC) {
+  static MetricsSnapshot read(MetricsMemory memory, String file) throws BadFileException {
+    if (memory.get(0) != MappedMetricsFile.MAGIC) {
       throw new BadFileException(file + ": no figures, or those of another version");
     }
-    long count = memory.get(Pages.VALUES);
-    long rows = memory.get(Pages.ROWS);
-    long layoutBytes = memory.get(Pages.LAYOUT_BYTES);
+    long count = memory.get(MappedMetricsFile.VALUES);
+    long rows = memory.get(MappedMetricsFile.ROWS);
+    long layoutBytes = memory.get(MappedMetricsFile.LAYOUT_BYTES);
     boolean fits =
         count >= 0
             && count <= MOST_VALUES
@@ -72,32 +72,32 @@
             && rows <= count
             && layoutBytes >= 0
             && layoutBytes < 1 << 20
-            && Pages.HEAD
-                    + Pages.padded((int) layoutBytes)
-                    + rows * Pages.NAME
+            && MappedMetricsFile.HEAD
+                    + MappedMetricsFile.padded((int) layoutBytes)
+                    + rows * MappedMetricsFile.NAME
                     + 2 * (count + 2) * 8
                 == memory.size();
     if (!fits) {
       throw new BadFileException(file + ": cut short, or its head is damaged");
     }
-    byte[] layout = bytes(memory, Pages.HEAD, (int) layoutBytes);
-    if (Pages.crc(layout) != memory.get(Pages.LAYOUT_CRC)) {
+    byte[] layout = bytes(memory, MappedMetricsFile.HEAD, (int) layoutBytes);
+    if (MappedMetricsFile.crc(layout) != memory.get(MappedMetricsFile.LAYOUT_CRC)) {
       throw new BadFileException(file + ": its layout is damaged");
     }
     Copies copies =
         new Copies(
             memory,
-            Pages.HEAD + Pages.padded(layout.length),
+            MappedMetricsFile.HEAD + MappedMetricsFile.padded(layout.length),
             (int) rows,
             (int) count,
             new String(layout, StandardCharsets.UTF_8),
             file);
     for (int i = 0; i < TRIES; i++) {
-      long sequence = memory.get(Pages.SEQUENCE);
+      long sequence = memory.get(MappedMetricsFile.SEQUENCE);
       // a relay that goes on may begin to write where we read: then the checksum is wrong and the
       // number moves on
       boolean read = copies.read(sequence) == sequence;
-      if (!read && memory.get(Pages.SEQUENCE) == sequence) {
+      if (!read && memory.get(MappedMetricsFile.SEQUENCE) == sequence) {
         // nobody writes: it was cut off just there. The other copy, or this one without its number,
         // is whole
         long even = copies.read(0);
@@ -108,9 +108,9 @@
         }
       }
       if (read) {
-        return new Snapshot(
-            memory.get(Pages.GENERATION),
-            memory.get(Pages.CLOSED) == 1,
+        return new MetricsSnapshot(
+            memory.get(MappedMetricsFile.GENERATION),
+            memory.get(MappedMetricsFile.CLOSED) == 1,
             new String(layout, StandardCharsets.UTF_8),
             copies.names,
             copies.values);
@@ -126,7 +126,7 @@
    * rows are never used.
    */
   private static final class Copies {
-    private final Memory memory;
+    private final MetricsMemory memory;
     private final String file;
     private final int namesAt;
     private final int valuesAt;
@@ -134,12 +134,12 @@
     final String[] names;
     final long[] values;
 
-    Copies(Memory memory, int namesAt, int rows, int count, String layout, String file)
+    Copies(MetricsMemory memory, int namesAt, int rows, int count, String layout, String file)
         throws BadFileException {
       this.memory = memory;
       this.file = file;
       this.namesAt = namesAt;
-      valuesAt = namesAt + rows * Pages.NAME;
+      valuesAt = namesAt + rows * MappedMetricsFile.NAME;
       names = new String[rows];
       values = new long[count];
       firsts = new int[rows + 1];
@@ -161,12 +161,12 @@
      * it is not whole.
      */
     long read(long sequence) throws BadFileException {
-      int at = Pages.copyAt(valuesAt, values.length, sequence);
+      int at = MappedMetricsFile.copyAt(valuesAt, values.length, sequence);
       long check = 0;
       for (int row = 0; row < names.length; row++) {
-        int nameAt = namesAt + row * Pages.NAME;
+        int nameAt = namesAt + row * MappedMetricsFile.NAME;
         long length = memory.get(nameAt);
-        if (length < 0 || length > Pages.NAME - 8) {
+        if (length < 0 || length > MappedMetricsFile.NAME - 8) {
           throw new BadFileException(file + ": a name is damaged");
         }
         if (length == 0) {
@@ -177,18 +177,18 @@
         }
         memory.get(at + firsts[row] * 8, values, firsts[row], firsts[row + 1] - firsts[row]);
         for (int i = firsts[row]; i < firsts[row + 1]; i++) {
-          check += values[i] * Pages.weight(i);
+          check += values[i] * MappedMetricsFile.weight(i);
         }
       }
       long own = memory.get(at + values.length * 8);
       boolean whole =
-          memory.get(at + values.length * 8 + 8) == Pages.checksum(check, own)
+          memory.get(at + values.length * 8 + 8) == MappedMetricsFile.checksum(check, own)
               && (own & 1) == (sequence & 1);
       return whole ? own : -1;
     }
   }
 
-  private static byte[] bytes(Memory memory, int at, int count) {
+  private static byte[] bytes(MetricsMemory memory, int at, int count) {
     byte[] bytes = new byte[count];
     for (int i = 0; i < count; i++) {
       bytes[i] = (byte) (memory.get(at + (i & ~7)) >>> 8 * (i & 7));
@@ -197,7 +197,7 @@
   }
 
   /** Accounts of the same layout and names, to check and name these values by. */
-  public Accounts accounts() throws BadFileException {
+  public MethodAccounts accounts() throws BadFileException {
     List<String> methods = new ArrayList<>();
     int[] rooms = new int[3];
     int row = 0;
@@ -218,12 +218,12 @@
       }
       row += rows;
     }
-    Accounts made = new Accounts(methods, new Accounts.Room(rooms[0], rooms[1], rooms[2]));
+    MethodAccounts made = new MethodAccounts(methods, new MethodAccounts.Room(rooms[0], rooms[1], rooms[2]));
     if (!made.layout().equals(layout)) {
       throw new BadFileException("figures of another version");
     }
     int at = 0;
-    for (Sheet sheet : made.sheets()) {
+    for (MethodMetrics sheet : made.sheets()) {
       for (int i = 0; i < sheet.rows(); i++, at++) {
         if (names[at] != null) {
           made.named(sheet, i, names[at]);
--- a/src/main/java/sprucerock/metrics/Table.java
+++ b/src/main/java/sprucerock/metrics/MetricsTable.java
@@ -3,18 +3,18 @@
 import java.math.BigDecimal;
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
-import sprucerock.accounting.Accounts;
-import sprucerock.accounting.Scale;
-import sprucerock.accounting.Sheet;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.HistogramBuckets;
+import sprucerock.accounting.MethodMetrics;
 
 /** Figures as a table for a terminal: rows in use, columns that are not all zero. */
-public final class Table {
+public final class MetricsTable {
   private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
-  private Table() {}
+  private MetricsTable() {}
 
-  public static String of(Snapshot snapshot) throws Snapshot.BadFileException {
-    Accounts accounts = snapshot.accounts();
+  public static String of(MetricsSnapshot snapshot) throws MetricsSnapshot.BadFileException {
+    MethodAccounts accounts = snapshot.accounts();
     StringBuilder text =
         new StringBuilder(
             "generation "
@@ -22,7 +22,7 @@
                 + ", "
                 + (snapshot.closed ? "ended in good order" : "running, or cut off")
                 + "\n");
-    for (Sheet sheet : accounts.sheets()) {
+    for (MethodMetrics sheet : accounts.sheets()) {
       if (sheet.scaled()) {
         scaled(text, sheet, accounts, snapshot.values);
       } else {
@@ -32,7 +32,7 @@
     return text.toString();
   }
 
-  private static void sheet(StringBuilder text, Sheet sheet, Accounts accounts, long[] values) {
+  private static void sheet(StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
     int columns = sheet.columns().size();
     boolean[] used = new boolean[columns];
     for (int row = 0; row < sheet.rows(); row++) {
@@ -61,7 +61,7 @@
     }
   }
 
-  private static void scaled(StringBuilder text, Sheet sheet, Accounts accounts, long[] values) {
+  private static void scaled(StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
     text.append(
         String.format(
             Locale.ROOT,
@@ -81,7 +81,7 @@
       if (values[sheet.index(row, 0)] == 0) {
         continue;
       }
-      Histogram times = Scale.histogram(sheet, row, values);
+      Histogram times = HistogramBuckets.histogram(sheet, row, values);
       text.append(
           String.format(
               Locale.ROOT,
--- a/src/main/java/sprucerock/model/Pick.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -1,26 +1,26 @@
 package sprucerock.model;
 
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** One sending of an RPC to a unit. */
-public final class Pick {
+public final class Attempt {
   public final Rpc rpc;
-  public final Unit unit;
+  public final Endpoint unit;
   public final int number;
-  public final Moment sent;
+  public final Timestamp sent;
 
   /** When to give up on it; null: not before the client does. */
-  public final Span patience;
+  public final TimeSpan patience;
 
   /**
    * Noted by the module: from then on it may not be put on a connection any more; null: it always
    * may.
    */
-  public Moment startBy;
+  public Timestamp startBy;
 
-  private Outcome outcome;
-  private Span took;
+  private AttemptOutcome outcome;
+  private TimeSpan took;
   private boolean written;
 
   /** What the relay's pool keeps with it; nobody else looks at it. */
@@ -30,9 +30,9 @@
   public boolean overdue;
 
   public boolean copy;
-  public Pair pair;
+  public ShadowPair pair;
 
-  public Pick(Rpc rpc, Unit unit, Moment sent, Span patience) {
+  public Attempt(Rpc rpc, Endpoint unit, Timestamp sent, TimeSpan patience) {
     this.rpc = rpc;
     this.unit = unit;
     this.number = rpc.picks.size();
@@ -41,17 +41,17 @@
   }
 
   /** How it ended; null while it is out. */
-  public Outcome outcome() {
+  public AttemptOutcome outcome() {
     return outcome;
   }
 
   /** How long it took; null while it is out. */
-  public Span took() {
+  public TimeSpan took() {
     return took;
   }
 
   @ByLedger
-  public void end(Outcome how, Span after) {
+  public void end(AttemptOutcome how, TimeSpan after) {
     outcome = how;
     took = after;
   }
@@ -67,7 +67,7 @@
   }
 
   /** How long it took, or has taken so far. */
-  public Span took(Moment now) {
+  public TimeSpan took(Timestamp now) {
     return took != null ? took : now.since(sent);
   }
 
@@ -78,14 +78,14 @@
   /** Full, out of reach, called off or cut off: says nothing of a build. */
   public boolean voidsPair() {
     return outcome != null && outcome.neverRan
-        || outcome == Outcome.CANCELLED
-        || outcome == Outcome.BROKEN;
+        || outcome == AttemptOutcome.CANCELLED
+        || outcome == AttemptOutcome.BROKEN;
   }
 
   /**
    * The unit answered with an error: no time-out, no broken connection, no full or missing unit.
    */
   public boolean erred() {
-    return outcome == Outcome.ERROR;
+    return outcome == AttemptOutcome.ERROR;
   }
 }
--- a/src/main/java/sprucerock/model/Outcome.java
+++ b/src/main/java/sprucerock/model/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package sprucerock.model;
 
 /** How a pick ended. */
-public enum Outcome {
+public enum AttemptOutcome {
   OK(false),
   ERROR(false),
   FULL(true),
@@ -13,7 +13,7 @@
 
   public final boolean neverRan;
 
-  Outcome(boolean neverRan) {
+  AttemptOutcome(boolean neverRan) {
     this.neverRan = neverRan;
   }
 }
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** One version of the servers' software, with the units that run it and may get new work. */
 public final class Build {
   public final int number;
-  private final List<Unit> listed = new ArrayList<>();
+  private final List<Endpoint> listed = new ArrayList<>();
 
   /** Those that may get new work, in an order that draws change; each unit knows its place. */
-  public final List<Unit> units = Collections.unmodifiableList(listed);
+  public final List<Endpoint> units = Collections.unmodifiableList(listed);
 
-  private Moment newest;
+  private Timestamp newest;
   private int row;
 
   public Build(int number) {
@@ -25,11 +25,11 @@
    * When the process of a unit started last, of all that were ready so far; null where all did long
    * ago.
    */
-  public Moment newest() {
+  public Timestamp newest() {
     return newest;
   }
 
-  private Moment weighedAt;
+  private Timestamp weighedAt;
 
   /** The weights of all units and of those older than asked for, when they were added up last. */
   public double weight;
@@ -37,14 +37,14 @@
   public double weightOfOlder;
 
   /** Adds the weights up, if that was longer ago than {@code keep} or units came or went since. */
-  public void weigh(Span age, Span keep, Moment now) {
+  public void weigh(TimeSpan age, TimeSpan keep, Timestamp now) {
     if (weighedAt != null && !now.since(weighedAt).over(keep)) {
       return;
     }
     weighedAt = now;
     weight = 0;
     weightOfOlder = 0;
-    for (Unit unit : units) {
+    for (Endpoint unit : units) {
       weight += unit.weight();
       if (unit.olderThan(age, now)) {
         weightOfOlder += unit.weight();
@@ -63,7 +63,7 @@
   }
 
   @ByLedger
-  public void add(Unit unit) {
+  public void add(Endpoint unit) {
     weighedAt = null;
     unit.place = listed.size();
     listed.add(unit);
@@ -73,7 +73,7 @@
   }
 
   @ByLedger
-  public void remove(Unit unit) {
+  public void remove(Endpoint unit) {
     weighedAt = null;
     swap(unit.place, listed.size() - 1);
     listed.remove(listed.size() - 1);
@@ -83,14 +83,14 @@
    * The unit of a draw without return: {@code done} draws came before, {@code dice} is from 0 to
    * under 1.
    */
-  public Unit draw(int done, double dice) {
+  public Endpoint draw(int done, double dice) {
     swap(done, done + (int) (dice * (listed.size() - done)));
     return listed.get(done);
   }
 
   private void swap(int one, int two) {
-    Unit first = listed.get(one);
-    Unit second = listed.get(two);
+    Endpoint first = listed.get(one);
+    Endpoint second = listed.get(two);
     listed.set(one, second);
     listed.set(two, first);
     second.place = one;
--- a/src/main/java/sprucerock/model/Unit.java
+++ b/src/main/java/sprucerock/model/Endpoint.java
@@ -1,14 +1,14 @@
 package sprucerock.model;
 
 import sprucerock.stats.DecayingMean;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * One run of one machine's process: a restart, or another machine under the same id, is another
  * unit.
  */
-public final class Unit {
+public final class Endpoint {
   public final long id;
   public final int zone;
   public final int kind;
@@ -16,7 +16,7 @@
   public final Build build;
 
   /** When the process started; null where that was long ago. */
-  public final Moment started;
+  public final Timestamp started;
 
   /** What the relay's pool keeps with it; nobody else looks at it. */
   public Object door;
@@ -33,15 +33,15 @@
   private int outcomes;
 
   private int seen;
-  public Moment retryAt;
-  public Moment lastAnswer;
+  public Timestamp retryAt;
+  public Timestamp lastAnswer;
   public DecayingMean pace;
 
   /** The same for all units of its zone. */
   public DecayingMean zonePace;
 
   public double coldTokens;
-  public Moment coldAsOf;
+  public Timestamp coldAsOf;
   public int excess;
 
   /** Picks of all relays that are out, where this relay adds them up. */
@@ -50,9 +50,9 @@
   /** How many it was said to hold, and when. */
   public int told;
 
-  public Moment toldAt;
+  public Timestamp toldAt;
 
-  public Unit(long id, int zone, int kind, int cell, Build build, Moment started, double weight) {
+  public Endpoint(long id, int zone, int kind, int cell, Build build, Timestamp started, double weight) {
     this.id = id;
     this.zone = zone;
     this.kind = kind;
@@ -123,11 +123,11 @@
     return known - Integer.bitCount(outcomes & (1 << known) - 1);
   }
 
-  public boolean sameRun(int build, Moment started) {
+  public boolean sameRun(int build, Timestamp started) {
     return this.build.number == build && java.util.Objects.equals(this.started, started);
   }
 
-  public boolean olderThan(Span age, Moment now) {
+  public boolean olderThan(TimeSpan age, Timestamp now) {
     return started == null || now.since(started).over(age);
   }
 }
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -1,7 +1,7 @@
 package sprucerock.model;
 
 import sprucerock.stats.DecayingMean;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** A kind of RPC, as the start settings state it. */
 public final class Method {
@@ -20,8 +20,8 @@
   public final int index;
   public final Effect effect;
   public final Group group;
-  public final Span softDeadline;
-  public final Span window;
+  public final TimeSpan softDeadline;
+  public final TimeSpan window;
   public final double utility;
   public final boolean stream;
 
@@ -40,8 +40,8 @@
       int index,
       Effect effect,
       Group group,
-      Span softDeadline,
-      Span window,
+      TimeSpan softDeadline,
+      TimeSpan window,
       double utility,
       boolean stream) {
     this.index = index;
@@ -59,7 +59,7 @@
   }
 
   /** Whether {@code unit} drops a repeat of what {@code before} may have run. */
-  public boolean dropsRepeats(Unit before, Unit unit) {
+  public boolean dropsRepeats(Endpoint before, Endpoint unit) {
     return effect != Effect.TOKENED
         || switch (group) {
           case ALL -> true;
--- a/src/main/java/sprucerock/model/Standing.java
+++ b/src/main/java/sprucerock/model/RolloutState.java
@@ -1,7 +1,7 @@
 package sprucerock.model;
 
 /** Where a build stands with the release desk. */
-public enum Standing {
+public enum RolloutState {
   ON_TRIAL,
   GOING_BACK,
   RELEASED,
