--- a/src/main/java/sprucerock/transport/net/nio/NioLoop.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioLoop.java
@@ -22,8 +22,8 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Net;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * One thread that runs everything of a relay, over NIO.2's asynchronous channels. The channels' own
@@ -37,8 +37,8 @@
 public final class NioLoop implements Net, AutoCloseable {
   private static final int CHUNK = 16 * 1024;
   private static final int KEPT_CHUNKS = 1024;
-  private static final Span QUIET_WITHIN =
-      Span.ofMs(100); // a loop that is never idle closes what is to be closed all the same
+  private static final TimeSpan QUIET_WITHIN =
+      TimeSpan.ofMs(100); // a loop that is never idle closes what is to be closed all the same
 
   private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private final AtomicBoolean sleeping = new AtomicBoolean();
@@ -46,15 +46,15 @@
   private final ArrayDeque<Runnable> putOff = new ArrayDeque<>();
   private final List<NioLink> dirty = new ArrayList<>();
   private final List<Runnable> whenQuiet = new ArrayList<>();
-  private Moment quietBy;
+  private Timestamp quietBy;
   private final ArrayDeque<ByteBuffer> chunks = new ArrayDeque<>();
   private final AsynchronousChannelGroup group;
   private final Thread thread;
   private final Consumer<Throwable> broken;
   private final long origin = System.nanoTime();
   private volatile boolean stopped;
-  private Moment now = Moment.ofMs(0);
-  private Moment before = now;
+  private Timestamp now = Timestamp.ofMs(0);
+  private Timestamp before = now;
 
   /** Starts a loop; what throws in it ends up with {@code broken}, and the loop goes on. */
   public NioLoop(String name, Consumer<Throwable> broken) throws IOException {
@@ -169,8 +169,8 @@
 
   /** From any thread. */
   @Override
-  public Moment clock() {
-    return Moment.ofMs((System.nanoTime() - origin) / 1e6);
+  public Timestamp clock() {
+    return Timestamp.ofMs((System.nanoTime() - origin) / 1e6);
   }
 
   /** Microseconds on the machine's monotonic clock, which its processes share: for traces. */
@@ -187,17 +187,17 @@
   }
 
   @Override
-  public Moment now() {
+  public Timestamp now() {
     return now;
   }
 
   @Override
-  public Moment heardUpTo() {
+  public Timestamp heardUpTo() {
     return before;
   }
 
   @Override
-  public Timer at(Moment when, Runnable what) {
+  public Timer at(Timestamp when, Runnable what) {
     return timers.add(when.ms(), what);
   }
 
@@ -226,7 +226,7 @@
   }
 
   @Override
-  public Link connect(InetSocketAddress to, Span within, long mostUnsent, LinkUser user) {
+  public Link connect(InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user) {
     NioLink link;
     try {
       link = new NioLink(this, AsynchronousSocketChannel.open(group), mostUnsent, user);
@@ -308,7 +308,7 @@
       broken.accept(
           why); // out of file descriptors, say: tried again soon, so that it recovers by itself
       at(
-          now.plus(Span.ofMs(100)),
+          now.plus(TimeSpan.ofMs(100)),
           () -> {
             if (server.isOpen()) {
               server.accept(null, this);
--- a/src/main/java/sprucerock/transport/tls/Handshakes.java
+++ b/src/main/java/sprucerock/transport/tls/Handshakes.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import sprucerock.stats.Chance;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * How many handshakes a relay begins: so many a second in all and at one unit, and so many under
@@ -21,7 +21,7 @@
   public record Most(int aSecond, int atOnce, int aSecondEach, int waiting) {}
 
   /** One that wants to begin. */
-  private record Wish(Object peer, Runnable begin, Runnable refused, Moment until) {}
+  private record Wish(Object peer, Runnable begin, Runnable refused, Timestamp until) {}
 
   private final Most most;
   private final Map<Object, Room> peers = new HashMap<>();
@@ -33,15 +33,15 @@
   private static final class Room {
     private final double perSecond;
     private double tokens;
-    private Moment at;
+    private Timestamp at;
 
-    Room(int perSecond, Moment now) {
+    Room(int perSecond, Timestamp now) {
       this.perSecond = perSecond;
       tokens = Math.max(1, perSecond / 10.0); // a tenth of a second's worth at once
       at = now;
     }
 
-    boolean has(Moment now) {
+    boolean has(Timestamp now) {
       tokens =
           Math.min(Math.max(1, perSecond / 10), tokens + perSecond * now.since(at).ms() / 1000);
       at = now;
@@ -52,12 +52,12 @@
       return tokens >= Math.max(1, perSecond / 10) - 1e-9;
     }
 
-    Span untilNext() {
-      return Span.ofMs(Math.max(0, 1 - tokens) * 1000 / perSecond);
+    TimeSpan untilNext() {
+      return TimeSpan.ofMs(Math.max(0, 1 - tokens) * 1000 / perSecond);
     }
   }
 
-  public Handshakes(Most most, Moment now) {
+  public Handshakes(Most most, Timestamp now) {
     this.most = most;
     all = new Room(most.aSecond, now);
   }
@@ -66,7 +66,7 @@
    * Begins now, or once there is room, or is refused: at once where the line is full, at {@code
    * until} where none came.
    */
-  public void want(Object peer, Moment now, Moment until, Runnable begin, Runnable refused) {
+  public void want(Object peer, Timestamp now, Timestamp until, Runnable begin, Runnable refused) {
     if (line.isEmpty() && take(peer, now)) {
       begin.run();
     } else if (line.size() >= most.waiting) {
@@ -76,7 +76,7 @@
     }
   }
 
-  private boolean take(Object peer, Moment now) {
+  private boolean take(Object peer, Timestamp now) {
     Room own = peers.computeIfAbsent(peer, key -> new Room(most.aSecondEach, now));
     if (underWay >= most.atOnce || !all.has(now) || !own.has(now)) {
       return false;
@@ -96,7 +96,7 @@
    * Lets those begin that there is room for now. Those of one unit that has had its share don't
    * hold up others.
    */
-  public void pass(Moment now) {
+  public void pass(Timestamp now) {
     peers.values().removeIf(room -> room.has(now) && room.full());
     for (int i = line.size(); i > 0; i--) {
       Wish wish = line.poll();
@@ -111,11 +111,11 @@
   }
 
   /** When to pass next; null: nobody waits. */
-  public Moment next(Moment now) {
+  public Timestamp next(Timestamp now) {
     if (line.isEmpty()) {
       return null;
     }
-    return now.plus(all.untilNext().atLeast(Span.ofMs(5)).atMost(Span.ofMs(100)));
+    return now.plus(all.untilNext().atLeast(TimeSpan.ofMs(5)).atMost(TimeSpan.ofMs(100)));
   }
 
   public int waiting() {
@@ -130,7 +130,7 @@
    * When each of many is moved over within a time: spread by lot, so that no two fleets move in
    * step.
    */
-  public static Span turn(Span within, Chance chance) {
+  public static TimeSpan turn(TimeSpan within, DeterministicRandom chance) {
     return within.times(chance.next());
   }
 }
--- a/src/main/java/sprucerock/transport/tls/Tls.java
+++ b/src/main/java/sprucerock/transport/tls/Tls.java
@@ -9,7 +9,7 @@
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * All TLS of one place: its present credentials, the watch over their files, and the limit on
@@ -39,9 +39,9 @@
   public record Setup(
       Material.Sources files,
       Credentials.Policy policy,
-      Span within,
-      Span lookEvery,
-      Span moveWithin,
+      TimeSpan within,
+      TimeSpan lookEvery,
+      TimeSpan moveWithin,
       Handshakes.Most most) {}
 
   private final Net net;
@@ -99,7 +99,7 @@
     return credentials.material().daysLeft(clock.get());
   }
 
-  public Span moveWithin() {
+  public TimeSpan moveWithin() {
     return setup.moveWithin;
   }
 
@@ -222,7 +222,7 @@
    * is no room in time it is closed, for that reason.
    */
   public void connect(
-      Object peer, String name, InetSocketAddress to, Span within, long mostUnsent, LinkUser user) {
+      Object peer, String name, InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user) {
     handshakes.want(
         peer,
         net.now(),
--- a/src/main/java/sprucerock/transport/tls/TlsLink.java
+++ b/src/main/java/sprucerock/transport/tls/TlsLink.java
@@ -14,7 +14,7 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * TLS between a link and who uses it: to the link it is the user, to the user it is the link. It
@@ -24,7 +24,7 @@
  */
 public final class TlsLink implements Link, LinkUser {
   /** What a place's links have in common. */
-  public record Place(Timers timers, Buffers buffers, Aside aside, Span within, Counter counter) {}
+  public record Place(Timers timers, Buffers buffers, Aside aside, TimeSpan within, Counter counter) {}
 
   private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
   private static final int MOST_HELD =
--- a/src/main/java/sprucerock/transport/wire/FrameLink.java
+++ b/src/main/java/sprucerock/transport/wire/FrameLink.java
@@ -8,7 +8,7 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.Beat;
 import sprucerock.transport.wire.v1.Hello;
 
@@ -32,7 +32,7 @@
   private final FrameReader reader;
   private Link link;
   private Hello other;
-  private Moment heard;
+  private Timestamp heard;
   private boolean closed;
   private String whyCut;
 
@@ -76,7 +76,7 @@
     if (closed) {
       return;
     }
-    Moment now = timers.now();
+    Timestamp now = timers.now();
     if (now.since(heard).over(limits.beat().times(2.9))) {
       cut(other == null ? "did not greet" : "silent");
       return;
--- a/src/main/java/sprucerock/transport/wire/Limits.java
+++ b/src/main/java/sprucerock/transport/wire/Limits.java
@@ -1,10 +1,10 @@
 package sprucerock.transport.wire;
 
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * What a link may take: a frame's bytes after its length, bytes that wait for a peer that does not
  * read, and how long silence may last: after one {@code beat} it is asked for a sign, after three
  * it is cut; a greeting has three too.
  */
-public record Limits(int frame, long unsent, Span beat) {}
+public record Limits(int frame, long unsent, TimeSpan beat) {}
--- a/src/main/java/sprucerock/transport/wire/Redial.java
+++ b/src/main/java/sprucerock/transport/wire/Redial.java
@@ -5,8 +5,8 @@
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Pauses;
-import sprucerock.stats.Chance;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.Hello;
 
 /**
@@ -14,14 +14,14 @@
  * is drawn.
  */
 public final class Redial implements FrameUser {
-  private static final Span FIRST =
-      Span.ofMs(50); // a restart on the same machine takes about a second
-  private static final Span MOST = Span.ofMs(2000); // what comes back is known again within this
-  private static final Span CONNECT = Span.ofMs(1000);
+  private static final TimeSpan FIRST =
+      TimeSpan.ofMs(50); // a restart on the same machine takes about a second
+  private static final TimeSpan MOST = TimeSpan.ofMs(2000); // what comes back is known again within this
+  private static final TimeSpan CONNECT = TimeSpan.ofMs(1000);
 
   /** How connections are made: by default as they are, or by TLS. */
   public interface Connector {
-    void connect(InetSocketAddress to, Span within, long mostUnsent, LinkUser user);
+    void connect(InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user);
   }
 
   private final Net net;
@@ -41,7 +41,7 @@
       Hello mine,
       Limits limits,
       Tap tap,
-      Chance chance,
+      DeterministicRandom chance,
       FrameUser user) {
     this(net, net::connect, to, mine, limits, tap, chance, user);
   }
@@ -53,7 +53,7 @@
       Hello mine,
       Limits limits,
       Tap tap,
-      Chance chance,
+      DeterministicRandom chance,
       FrameUser user) {
     this.net = net;
     this.connector = connector;
--- a/src/test/java/sprucerock/FakeHost.java
+++ b/src/test/java/sprucerock/FakeHost.java
@@ -3,23 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import sprucerock.policy.Host;
-import sprucerock.accounting.Ledger;
+import sprucerock.policy.RelayActions;
+import sprucerock.accounting.RequestTracker;
 import sprucerock.model.Build;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pick;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.Standing;
-import sprucerock.model.Unit;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Verdict;
 import sprucerock.config.settings.SettingsText;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** One relay's world for a story: a clock, timers, and a record of what the module did. */
-final class FakeHost implements Host {
-  private record Timer(Moment when, int order, Runnable what) {}
+final class FakeHost implements RelayActions {
+  private record Timer(Timestamp when, int order, Runnable what) {}
 
   static final String SETTINGS =
       """
@@ -63,8 +63,8 @@
         tick=5.0
         """;
 
-  final List<Pick> sent = new ArrayList<>();
-  final List<Pick> cancelled = new ArrayList<>();
+  final List<Attempt> sent = new ArrayList<>();
+  final List<Attempt> cancelled = new ArrayList<>();
   final List<Rpc> pushedBack = new ArrayList<>();
   final List<Rpc> aborted = new ArrayList<>();
   final List<Verdict> votes = new ArrayList<>();
@@ -73,7 +73,7 @@
   final List<Integer> toldTo = new ArrayList<>();
   int subscriptions;
   final Settings settings;
-  final Ledger ledger;
+  final RequestTracker ledger;
   final Policy policy;
   final Build old;
   final Build fresh;
@@ -83,13 +83,13 @@
             int byTime = a.when.compareTo(b.when);
             return byTime != 0 ? byTime : Integer.compare(a.order, b.order);
           });
-  private Moment now = Moment.ofMs(100_000);
+  private Timestamp now = Timestamp.ofMs(100_000);
   private int made;
 
   /** A host whose settings differ from the usual ones as the lines say. */
   FakeHost(String... lines) {
     settings = SettingsText.read(SETTINGS + String.join("\n", lines));
-    ledger = new Ledger(settings);
+    ledger = new RequestTracker(settings);
     old = ledger.build(1);
     fresh = ledger.build(2);
     policy = new Policy(this, settings, 42);
@@ -101,20 +101,20 @@
     for (int i = 0; i < units; i++) {
       unit(old, null);
     }
-    ledger.news(1, 2, Standing.RELEASED, 1, now.minus(Span.ofMs(60_000)));
+    ledger.news(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
     return this;
   }
 
   /** So many warm units of the build on trial, and news that puts it there. */
   FakeHost offering(int units, int stage, double cap) {
     for (int i = 0; i < units; i++) {
-      unit(fresh, now.minus(Span.ofMs(20_000)));
+      unit(fresh, now.minus(TimeSpan.ofMs(20_000)));
     }
-    ledger.news(2, stage, Standing.ON_TRIAL, cap, now);
+    ledger.news(2, stage, RolloutState.ON_TRIAL, cap, now);
     return this;
   }
 
-  Unit unit(Build build, Moment started) {
+  Endpoint unit(Build build, Timestamp started) {
     return ledger.listed(made++, 0, 0, 0, build.number, started, 1, true);
   }
 
@@ -124,7 +124,7 @@
 
   Rpc rpc(int method, long key, double leftMs) {
     return ledger.arrived(
-        made++, settings.methods.get(method), 0, key, now, now.plus(Span.ofMs(leftMs)), null, null);
+        made++, settings.methods.get(method), 0, key, now, now.plus(TimeSpan.ofMs(leftMs)), null, null);
   }
 
   /** The first idempotent RPC of the key that gets a copy; those before it are answered ok. */
@@ -135,13 +135,13 @@
         return rpc;
       }
       pass(50);
-      endAll(Outcome.OK, Outcome.OK);
+      endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     throw new AssertionError("no RPC got a copy");
   }
 
-  void end(Pick pick, Outcome outcome) {
-    boolean closes = outcome == Outcome.OK || pick.rpc.ended();
+  void end(Attempt pick, AttemptOutcome outcome) {
+    boolean closes = outcome == AttemptOutcome.OK || pick.rpc.ended();
     ledger.pickEnded(pick, outcome, now.since(pick.sent), closes);
   }
 
@@ -149,8 +149,8 @@
    * Ends all picks that are out, those at the fresh build with one outcome, the others with
    * another.
    */
-  void endAll(Outcome atFresh, Outcome atOld) {
-    for (Pick pick : List.copyOf(sent)) {
+  void endAll(AttemptOutcome atFresh, AttemptOutcome atOld) {
+    for (Attempt pick : List.copyOf(sent)) {
       if (pick.outcome() == null) {
         end(pick, pick.unit.build == fresh ? atFresh : atOld);
       }
@@ -166,13 +166,13 @@
     for (int i = 0; i < rpcs; i++) {
       rpc(0);
       pass(40);
-      endAll(Outcome.OK, Outcome.OK);
+      endAll(AttemptOutcome.OK, AttemptOutcome.OK);
       pass(gapMs - 40);
     }
   }
 
   void pass(double ms) {
-    Moment until = now.plus(Span.ofMs(ms));
+    Timestamp until = now.plus(TimeSpan.ofMs(ms));
     while (!timers.isEmpty() && !timers.peek().when.after(until)) {
       Timer timer = timers.poll();
       now = now.later(timer.when);
@@ -182,23 +182,23 @@
   }
 
   @Override
-  public Moment now() {
+  public Timestamp now() {
     return now;
   }
 
   @Override
-  public void send(Pick pick) {
+  public void send(Attempt pick) {
     ledger.sent(pick);
     sent.add(pick);
   }
 
   @Override
-  public void cancel(Pick pick) {
+  public void cancel(Attempt pick) {
     cancelled.add(pick);
   }
 
   @Override
-  public void pushBack(Rpc rpc, Span wait) {
+  public void pushBack(Rpc rpc, TimeSpan wait) {
     ledger.pushedBack(rpc);
     pushedBack.add(rpc);
   }
@@ -210,7 +210,7 @@
   }
 
   @Override
-  public void wake(Moment when, Runnable what) {
+  public void wake(Timestamp when, Runnable what) {
     timers.add(new Timer(when, made++, what));
   }
 
--- a/src/test/java/sprucerock/PolicyTest.java
+++ b/src/test/java/sprucerock/PolicyTest.java
@@ -8,15 +8,15 @@
 
 import org.testng.annotations.Test;
 import sprucerock.policy.evidence.Board;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pick;
-import sprucerock.model.Reply;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Attempt;
+import sprucerock.model.VoteReply;
 import sprucerock.model.Rpc;
-import sprucerock.model.Standing;
-import sprucerock.model.Unit;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Verdict;
 import sprucerock.stats.Ks;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** Stories of one relay, each of a rule's edge or of a failure met. */
 public class PolicyTest {
@@ -31,7 +31,7 @@
     assertTrue(host.aborted.isEmpty());
     host.pass(10);
     assertSame(host.aborted.get(0), order);
-    host.end(host.sent.get(0), Outcome.ERROR);
+    host.end(host.sent.get(0), AttemptOutcome.ERROR);
     host.pass(5000);
     assertEquals(host.sent.size(), 1);
     assertEquals(host.aborted.size() + host.pushedBack.size(), 1);
@@ -41,9 +41,9 @@
   public void nonIdempotentGoesAgainOnlyIfItProvablyNeverRan() {
     FakeHost host = new FakeHost().with(3);
     host.rpc(2);
-    host.end(host.sent.get(0), Outcome.FULL);
+    host.end(host.sent.get(0), AttemptOutcome.FULL);
     assertEquals(host.sent.size(), 2);
-    host.end(host.sent.get(1), Outcome.BROKEN);
+    host.end(host.sent.get(1), AttemptOutcome.BROKEN);
     assertEquals(host.sent.size(), 2);
     assertEquals(host.aborted.size(), 1);
     assertTrue(host.pushedBack.isEmpty());
@@ -53,13 +53,13 @@
   public void tokenedIsRepeatedOnlyInsideItsWindow() {
     FakeHost host = new FakeHost().with(5);
     host.rpc(1);
-    host.end(host.sent.get(0), Outcome.ERROR);
+    host.end(host.sent.get(0), AttemptOutcome.ERROR);
     assertEquals(host.sent.size(), 2);
     host.pass(1999);
     int sent = host.sent.size();
-    for (Pick pick : host.sent) {
+    for (Attempt pick : host.sent) {
       if (pick.outcome() == null) {
-        host.end(pick, Outcome.ERROR);
+        host.end(pick, AttemptOutcome.ERROR);
       }
     }
     assertEquals(host.sent.size(), sent);
@@ -69,9 +69,9 @@
   @Test
   public void tokenedStaysInItsGroupOnceItMayHaveRun() {
     FakeHost host = new FakeHost("classes.1.group=zone").with(1);
-    Unit far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
+    Endpoint far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
     Rpc order = host.rpc(1);
-    host.end(order.picks.get(0), Outcome.ERROR);
+    host.end(order.picks.get(0), AttemptOutcome.ERROR);
     assertEquals(order.picks.size(), 1);
     assertSame(host.aborted.get(0), order);
   }
@@ -83,7 +83,7 @@
       Rpc rpc = host.rpc(i % 3);
       host.pass(60);
       assertTrue(rpc.out() <= 1);
-      host.endAll(Outcome.OK, Outcome.OK);
+      host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     Rpc slow = host.rpc(0);
     host.pass(1400);
@@ -93,7 +93,7 @@
   @Test
   public void drainingUnitGetsNothingNew() {
     FakeHost host = new FakeHost().with(2);
-    Unit left = host.old.units.get(0);
+    Endpoint left = host.old.units.get(0);
     host.ledger.removed(left.id);
     for (int i = 0; i < 20; i++) {
       host.rpc(0);
@@ -105,7 +105,7 @@
   public void coldUnitGetsLessThanAWarmOne() {
     FakeHost host = new FakeHost().with(4);
     host.traffic(40, 50);
-    Unit cold = host.unit(host.old, host.now());
+    Endpoint cold = host.unit(host.old, host.now());
     int before = host.sent.size();
     host.traffic(20, 50);
     long atCold = host.sent.stream().skip(before).filter(pick -> pick.unit == cold).count();
@@ -123,10 +123,10 @@
   @Test
   public void unannouncedOrWithdrawnBuildGetsNothing() {
     FakeHost host = new FakeHost().with(2);
-    host.unit(host.fresh, host.now().minus(Span.ofMs(9000)));
+    host.unit(host.fresh, host.now().minus(TimeSpan.ofMs(9000)));
     host.traffic(10, 50);
     assertEquals(host.sentTo(host.fresh), 0);
-    host.ledger.news(2, 0, Standing.GOING_BACK, 0, host.now());
+    host.ledger.news(2, 0, RolloutState.GOING_BACK, 0, host.now());
     host.traffic(10, 50);
     assertEquals(host.sentTo(host.fresh), 0);
   }
@@ -138,7 +138,7 @@
       Rpc rpc = host.rpc(1 + i % 2);
       host.pass(50);
       assertEquals(rpc.picks.size(), 1);
-      host.endAll(Outcome.OK, Outcome.OK);
+      host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     assertEquals(host.sentTo(host.fresh), 0);
   }
@@ -151,7 +151,7 @@
     Rpc rpc = host.firstCopied(0);
     assertSame(rpc.picks.get(0).unit.build, host.old);
     assertSame(rpc.picks.get(1).unit.build, host.fresh);
-    host.end(rpc.picks.get(1), Outcome.OK);
+    host.end(rpc.picks.get(1), AttemptOutcome.OK);
     assertTrue(rpc.ended());
     assertTrue(host.cancelled.isEmpty());
   }
@@ -162,19 +162,19 @@
     for (long key = 100; key < 140; key++) {
       host.rpc(0, key, 4000);
       host.pass(50);
-      host.endAll(Outcome.OK, Outcome.OK);
+      host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     host.offering(3, 1, 1.0);
     host.firstCopied(7);
-    host.endAll(Outcome.OK, Outcome.OK);
+    host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     host.pass(500);
     int pushed = host.pushedBack.size();
     Rpc second = host.rpc(2, 7, 4000);
-    for (Pick pick : second.picks) {
+    for (Attempt pick : second.picks) {
       assertSame(pick.unit.build, host.fresh);
     }
     assertEquals(host.pushedBack.size() - pushed + second.picks.size(), 1);
-    host.ledger.news(2, 1, Standing.GOING_BACK, 0, host.now());
+    host.ledger.news(2, 1, RolloutState.GOING_BACK, 0, host.now());
     Rpc third = host.rpc(2, 7, 4000);
     assertSame(third.picks.get(0).unit.build, host.old);
   }
@@ -182,17 +182,17 @@
   @Test
   public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey() {
     FakeHost host = new FakeHost(ONE_WAY).with(2).offering(4, 2, 1.0);
-    host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
-    for (Unit unit : java.util.List.copyOf(host.old.units)) {
+    host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
+    for (Endpoint unit : java.util.List.copyOf(host.old.units)) {
       host.ledger.removed(unit.id);
     }
     host.rpc(0, 7, 4000);
     host.pass(50);
-    host.endAll(Outcome.OK, Outcome.OK);
-    for (Unit unit : java.util.List.copyOf(host.fresh.units)) {
+    host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    for (Endpoint unit : java.util.List.copyOf(host.fresh.units)) {
       host.ledger.removed(unit.id);
     }
-    host.unit(host.old, host.now().minus(Span.ofMs(9000)));
+    host.unit(host.old, host.now().minus(TimeSpan.ofMs(9000)));
     host.rpc(0, 7, 4000);
     assertEquals(host.sentTo(host.old), 0);
   }
@@ -203,7 +203,7 @@
     for (int i = 0; i < 40; i++) {
       host.rpc(0, 7, 4000);
       host.pass(50);
-      host.endAll(Outcome.OK, Outcome.OK);
+      host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     host.offering(3, 0, 0.1);
     host.pass(2000);
@@ -218,7 +218,7 @@
     for (int i = 0; i < 40 && !host.votes.contains(Verdict.BACK); i++) {
       host.rpc(0);
       host.pass(50);
-      host.endAll(Outcome.ERROR, Outcome.OK);
+      host.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
     }
     assertTrue(host.votes.contains(Verdict.BACK));
   }
@@ -231,7 +231,7 @@
     for (int i = 0; i < 60; i++) {
       host.rpc(0);
       host.pass(50);
-      host.endAll(i % 2 == 0 ? Outcome.FULL : Outcome.TIMED_OUT, Outcome.OK);
+      host.endAll(i % 2 == 0 ? AttemptOutcome.FULL : AttemptOutcome.TIMED_OUT, AttemptOutcome.OK);
     }
     assertFalse(host.votes.contains(Verdict.BACK));
   }
@@ -252,11 +252,11 @@
     host.offering(3, 0, 0.4);
     host.traffic(120, 50);
     assertTrue(host.votes.contains(Verdict.ON));
-    host.policy.voteAnswered(Reply.TOO_MANY);
+    host.policy.voteAnswered(VoteReply.TOO_MANY);
     int cast = host.votes.size();
     host.pass(500);
     assertEquals(host.votes.size(), cast + 1);
-    host.policy.voteAnswered(Reply.COUNTS);
+    host.policy.voteAnswered(VoteReply.COUNTS);
     host.pass(1500);
     assertEquals(host.votes.size(), cast + 1);
     host.pass(1000);
@@ -266,7 +266,7 @@
   @Test
   public void quietRelayVotesOnAtTheFallbackAge() {
     FakeHost host = new FakeHost("specifics.vote_mode=majority").with(2);
-    host.ledger.news(2, 0, Standing.ON_TRIAL, 0.1, host.now());
+    host.ledger.news(2, 0, RolloutState.ON_TRIAL, 0.1, host.now());
     host.pass(1000);
     host.unit(host.fresh, host.now());
     host.pass(2900);
@@ -288,13 +288,13 @@
   @Test
   public void unitThatFailsFastIsLeftAlone() {
     FakeHost host = new FakeHost().with(5);
-    Unit bad = host.old.units.get(0);
+    Endpoint bad = host.old.units.get(0);
     for (int i = 0; i < 60; i++) {
       host.rpc(0);
       host.pass(30);
-      for (Pick pick : java.util.List.copyOf(host.sent)) {
+      for (Attempt pick : java.util.List.copyOf(host.sent)) {
         if (pick.outcome() == null) {
-          host.end(pick, pick.unit == bad ? Outcome.ERROR : Outcome.OK);
+          host.end(pick, pick.unit == bad ? AttemptOutcome.ERROR : AttemptOutcome.OK);
         }
       }
     }
@@ -324,7 +324,7 @@
             .filter(pick -> pick.outcome() == null)
             .limit(1)
             .toList()
-            .forEach(pick -> host.end(pick, Outcome.OK));
+            .forEach(pick -> host.end(pick, AttemptOutcome.OK));
       }
     }
     assertTrue(host.pushedBack.isEmpty(), host.pushedBack.size() + " pushed back");
@@ -342,7 +342,7 @@
         copied = i;
       }
       host.pass(i - copied < 12 ? 200 : 40);
-      host.endAll(Outcome.OK, Outcome.OK);
+      host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
       host.pass(10);
     }
     assertTrue(host.votes.contains(Verdict.BACK));
@@ -351,15 +351,15 @@
   @Test
   public void releasedBuildIsWatchedForAFixedTimeOnly() {
     FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
-    host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
-    for (Unit unit : java.util.List.copyOf(host.old.units)) {
+    host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
+    for (Endpoint unit : java.util.List.copyOf(host.old.units)) {
       host.ledger.removed(unit.id);
     }
     host.pass(16_000);
     for (int i = 0; i < 40; i++) {
       host.rpc(2);
       host.pass(50);
-      host.endAll(Outcome.ERROR, Outcome.OK);
+      host.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
     }
     assertFalse(host.votes.contains(Verdict.BACK));
   }
@@ -367,14 +367,14 @@
   @Test
   public void releasedBuildThatFailsEverywhereGoesBack() {
     FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
-    host.ledger.news(2, 2, Standing.RELEASED, 1, host.now());
-    for (Unit unit : java.util.List.copyOf(host.old.units)) {
+    host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
+    for (Endpoint unit : java.util.List.copyOf(host.old.units)) {
       host.ledger.removed(unit.id);
     }
     for (int i = 0; i < 40; i++) {
       host.rpc(2);
       host.pass(50);
-      host.endAll(Outcome.ERROR, Outcome.OK);
+      host.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
     }
     assertTrue(host.votes.contains(Verdict.BACK));
   }
@@ -400,9 +400,9 @@
   @Test
   public void loadsToldByPeersSteerTheTwoChoices() {
     FakeHost host = new FakeHost("index=3", "balancers=9").with(2);
-    Unit full = host.old.units.get(0);
-    Board board = new Board(Span.ofMs(6000));
-    for (Unit unit : host.old.units) {
+    Endpoint full = host.old.units.get(0);
+    Board board = new Board(TimeSpan.ofMs(6000));
+    for (Endpoint unit : host.old.units) {
       board.ready(unit);
     }
     for (int i = 0; i < 5; i++) {
@@ -435,11 +435,11 @@
   @Test
   public void unitsBehindASlowLinkComeLast() {
     FakeHost host = new FakeHost().with(3);
-    Unit far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
+    Endpoint far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
     for (int i = 0; i < 60; i++) {
-      Pick pick = host.rpc(0).picks.get(0);
+      Attempt pick = host.rpc(0).picks.get(0);
       host.pass(pick.unit == far ? 600 : 50);
-      host.endAll(Outcome.OK, Outcome.OK);
+      host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     assertTrue(host.sent.stream().skip(20).noneMatch(pick -> pick.unit == far));
   }
@@ -467,7 +467,7 @@
   public void leadsOfSeveralStagesAddUp() {
     FakeHost host = new FakeHost().with(4).offering(3, 0, 0.1);
     for (int stage = 0; stage < 3; stage++) {
-      host.ledger.news(2, stage, Standing.ON_TRIAL, 0.4, host.now());
+      host.ledger.news(2, stage, RolloutState.ON_TRIAL, 0.4, host.now());
       assertFalse(host.votes.contains(Verdict.BACK));
       host.policy.peerTold(1, new byte[] {3, 2, (byte) stage, 19, 2, 0, 6, 0});
     }
--- a/src/test/java/sprucerock/VoteEvidenceTest.java
+++ b/src/test/java/sprucerock/VoteEvidenceTest.java
@@ -21,7 +21,7 @@
     host.pass(1500);
     peersTell(host, 2, 200);
     host.pass(500);
-    host.unit(host.fresh, host.now().minus(sprucerock.time.Span.ofMs(500)));
+    host.unit(host.fresh, host.now().minus(sprucerock.time.TimeSpan.ofMs(500)));
     host.pass(150);
     assertEquals(host.votes, java.util.List.of(Verdict.ON));
   }
--- a/src/test/java/sprucerock/accounting/AccountsTest.java
+++ b/src/test/java/sprucerock/accounting/AccountsTest.java
@@ -5,18 +5,18 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** That the check can fail: an error planted in any account is found and named. */
 public class AccountsTest {
-  private static Accounts some() {
-    Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(2, 2, 2));
+  private static MethodAccounts some() {
+    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 2, 2));
     accounts.row(accounts.units, "u1");
     accounts.rpcArrived(1, 0);
     accounts.pickSent(1, accounts.row(accounts.builds, "7"), 0, true);
     accounts.pickWritten();
-    accounts.pickEnded(1, 0, 0, true, true, 1, Span.ofMs(3));
-    accounts.rpcAnswered(1, 0, Span.ofMs(4), true, true);
+    accounts.pickEnded(1, 0, 0, true, true, 1, TimeSpan.ofMs(3));
+    accounts.rpcAnswered(1, 0, TimeSpan.ofMs(4), true, true);
     return accounts;
   }
 
@@ -24,13 +24,13 @@
   public void anErrorInAnyAccountIsFoundAndNamed() {
     for (int index = 0; index < some().size(); index++) {
       for (long by : new long[] {1, -1, 1L << 55}) {
-        Accounts accounts = some();
+        MethodAccounts accounts = some();
         assertEquals(accounts.check(), List.of());
         accounts.spoil(index, by);
-        List<Accounts.Drift> drifts = accounts.check();
+        List<MethodAccounts.Drift> drifts = accounts.check();
         assertTrue(!drifts.isEmpty(), "account " + index);
-        Sheet sheet = null;
-        for (Sheet one : accounts.sheets()) {
+        MethodMetrics sheet = null;
+        for (MethodMetrics one : accounts.sheets()) {
           if (index >= one.base) {
             sheet = one;
           }
@@ -44,7 +44,7 @@
 
   @Test
   public void aDriftNamesTheLastPostingsThere() {
-    Accounts accounts = some();
+    MethodAccounts accounts = some();
     accounts.spoil(accounts.rpcs.index(1, 2), 1);
     assertEquals(
         accounts.check().get(0).toString(),
@@ -54,13 +54,13 @@
 
   @Test
   public void postingsThatDifferBetweenSheetsAreFound() {
-    Accounts accounts = some();
+    MethodAccounts accounts = some();
     accounts.begin(accounts.picks, 0, 1);
     assertEquals(accounts.check().get(0).equation(), "picks sent = build_picks sent");
     accounts.begin(accounts.builds, 0, 2);
     accounts.begin(accounts.units, 0, 1);
     assertEquals(
-        accounts.check().stream().map(Accounts.Drift::equation).toList(),
+        accounts.check().stream().map(MethodAccounts.Drift::equation).toList(),
         List.of(
             "picks ok = build_picks ok",
             "picks error = build_picks error",
@@ -70,11 +70,11 @@
 
   @Test
   public void aLatencyWithoutItsAnswerAndACopyThatIsNoPickAreFound() {
-    Accounts accounts = some();
-    accounts.begin(accounts.latency, 0, 1 + Scale.bucket(Span.ofMs(7)));
+    MethodAccounts accounts = some();
+    accounts.begin(accounts.latency, 0, 1 + HistogramBuckets.bucket(TimeSpan.ofMs(7)));
     accounts.begin(accounts.copies, 0, 2);
     assertEquals(
-        accounts.check().stream().map(Accounts.Drift::equation).toList(),
+        accounts.check().stream().map(MethodAccounts.Drift::equation).toList(),
         List.of(
             "answers{method=read} answered = latency{method=read} answered",
             "copies{build=7} sent <= build_picks{build=7} sent",
@@ -83,19 +83,19 @@
 
   @Test
   public void namesBeyondTheRoomCountAsOther() {
-    Accounts accounts = some();
+    MethodAccounts accounts = some();
     assertEquals(accounts.row(accounts.units, "u1"), 0);
     assertEquals(accounts.row(accounts.units, "u2"), 1);
     assertEquals(accounts.row(accounts.units, "u3"), 2);
-    assertEquals(accounts.name(accounts.units, 2), Sheet.OTHER);
+    assertEquals(accounts.name(accounts.units, 2), MethodMetrics.OTHER);
     assertEquals(accounts.row(accounts.units, "u2"), 1);
   }
 
   @Test
   public void countersGoOnPastTheNumbersThatFloatingPointHolds() {
-    Accounts accounts = some();
-    accounts.carry(accounts.messages, Sheet.ALL, 0, 1L << 54);
-    accounts.carry(accounts.messages, Sheet.ALL, 1, 1L << 54);
+    MethodAccounts accounts = some();
+    accounts.carry(accounts.messages, MethodMetrics.ALL, 0, 1L << 54);
+    accounts.carry(accounts.messages, MethodMetrics.ALL, 1, 1L << 54);
     accounts.begin(accounts.messages, 0, 1);
     assertEquals(accounts.value(accounts.messages, 0, 0), (1L << 54) + 1);
     assertEquals(accounts.check(), List.of());
--- a/src/test/java/sprucerock/accounting/LedgerProperties.java
+++ b/src/test/java/sprucerock/accounting/LedgerProperties.java
@@ -17,24 +17,24 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.Size;
 import org.HdrHistogram.Histogram;
-import sprucerock.metrics.Keeper;
-import sprucerock.metrics.Snapshot;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.model.Method;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pick;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.Unit;
+import sprucerock.model.Endpoint;
 import sprucerock.relay.frames.Told;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Sums hold after each step, in whatever order things happen, stale, doubled or never, and through
  * crashes.
  */
 class LedgerProperties {
-  private static final Outcome[] OUTCOMES = Outcome.values();
+  private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
   /**
    * Something that happens: what, to which RPC, pick or unit of those there are, after how long.
@@ -53,12 +53,12 @@
 
   /** One life of a relay, of which the test drives only the ledger. */
   private static final class Life {
-    final Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(2, 3, 2));
-    final Ledger ledger;
+    final MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 3, 2));
+    final RequestTracker ledger;
     final List<Method> methods = new ArrayList<>();
     final List<Rpc> rpcs = new ArrayList<>();
-    final List<Pick> picks = new ArrayList<>();
-    Moment now = Moment.ofMs(1000);
+    final List<Attempt> picks = new ArrayList<>();
+    Timestamp now = Timestamp.ofMs(1000);
     long last;
 
     Life() {
@@ -69,25 +69,25 @@
                 i,
                 Method.Effect.IDEMPOTENT,
                 Method.Group.ALL,
-                Span.ofMs(100),
-                Span.ZERO,
+                TimeSpan.ofMs(100),
+                TimeSpan.ZERO,
                 1,
                 false));
         draft.methods.add(methods.get(i));
       }
-      ledger = new Ledger(new Settings(draft), accounts);
+      ledger = new RequestTracker(new Settings(draft), accounts);
       ledger.tell(new Told());
       listed(0);
     }
 
-    private Unit listed(int id) {
+    private Endpoint listed(int id) {
       return ledger.listed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
     }
 
     void happens(Event event) {
-      now = now.plus(Span.ofMs(event.afterMs));
+      now = now.plus(TimeSpan.ofMs(event.afterMs));
       Rpc rpc = rpcs.isEmpty() ? null : rpcs.get(event.whom % rpcs.size());
-      Pick pick = picks.isEmpty() ? null : picks.get(event.whom % picks.size());
+      Attempt pick = picks.isEmpty() ? null : picks.get(event.whom % picks.size());
       switch (event.what) {
         case 0, 1 ->
             rpcs.add(
@@ -97,7 +97,7 @@
                     event.whom % 5,
                     0,
                     now,
-                    now.plus(Span.ofMs(300)),
+                    now.plus(TimeSpan.ofMs(300)),
                     null,
                     null));
         case 2 -> listed(event.how % 6);
@@ -118,11 +118,11 @@
           }
         }
         case 7 -> {
-          Unit unit = ledger.unit(event.how % 6);
+          Endpoint unit = ledger.unit(event.how % 6);
           if (rpc == null || rpc.ended() || unit == null) {
             break;
           }
-          Pick made = new Pick(rpc, unit, now, null);
+          Attempt made = new Attempt(rpc, unit, now, null);
           made.copy = event.how % 3 == 0;
           picks.add(made);
           ledger.sent(made);
@@ -131,8 +131,8 @@
           if (pick == null) {
             break;
           }
-          Outcome how = OUTCOMES[event.how % OUTCOMES.length];
-          ledger.pickEnded(pick, how, now.since(pick.sent), pick.rpc.ended() || how == Outcome.OK);
+          AttemptOutcome how = OUTCOMES[event.how % OUTCOMES.length];
+          ledger.pickEnded(pick, how, now.since(pick.sent), pick.rpc.ended() || how == AttemptOutcome.OK);
         }
       }
     }
@@ -175,7 +175,7 @@
     long open = 0;
     for (int lives = 0; lives <= crashes.size(); lives++) {
       Life life = new Life();
-      Keeper.open(
+      MetricsFileWriter.open(
           file,
           life.accounts,
           () -> {},
@@ -193,8 +193,8 @@
           life.accounts.commit();
         }
       }
-      Snapshot snapshot = Snapshot.read(file);
-      Accounts read = snapshot.accounts();
+      MetricsSnapshot snapshot = MetricsSnapshot.read(file);
+      MethodAccounts read = snapshot.accounts();
       assertEquals(read.check(snapshot.values), List.of());
       taken = 0;
       open = 0;
@@ -210,14 +210,14 @@
   /** The buckets are those of HdrHistogram: what falls into one is equivalent there, too. */
   @Property(seed = "20261203", tries = 5000)
   void bucketsAreThoseOfHdrHistogram(@ForAll @DoubleRange(min = 0, max = 67_000) double ms) {
-    Histogram same = Scale.histogram();
+    Histogram same = HistogramBuckets.histogram();
     long us = (long) (ms * 1000);
-    int bucket = Scale.bucket(Span.ofMs(us / 1000.0));
-    assertEquals(Scale.fromUs(bucket), same.lowestEquivalentValue(Scale.fromUs(bucket)));
+    int bucket = HistogramBuckets.bucket(TimeSpan.ofMs(us / 1000.0));
+    assertEquals(HistogramBuckets.fromUs(bucket), same.lowestEquivalentValue(HistogramBuckets.fromUs(bucket)));
     long slack = 1; // a microsecond is lost where milliseconds are cut to whole ones
-    assertTrue(us + slack >= Scale.fromUs(bucket), us + " in " + bucket);
+    assertTrue(us + slack >= HistogramBuckets.fromUs(bucket), us + " in " + bucket);
     assertTrue(
-        bucket == Scale.BUCKETS - 1 || us - slack < Scale.fromUs(bucket + 1), us + " in " + bucket);
+        bucket == HistogramBuckets.BUCKETS - 1 || us - slack < HistogramBuckets.fromUs(bucket + 1), us + " in " + bucket);
     same.recordValue(us);
     assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
   }
--- a/src/test/java/sprucerock/accounting/LedgerTest.java
+++ b/src/test/java/sprucerock/accounting/LedgerTest.java
@@ -14,31 +14,31 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.model.Method;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pick;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.Standing;
-import sprucerock.model.Unit;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Endpoint;
 import sprucerock.relay.frames.Told;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** The life of RPCs, picks and units as the module is told it. */
 public class LedgerTest {
-  private static final Moment T = Moment.ofMs(1000);
+  private static final Timestamp T = Timestamp.ofMs(1000);
   private final Method method =
       new Method(
-          0, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(100), Span.ZERO, 1, false);
+          0, Method.Effect.IDEMPOTENT, Method.Group.ALL, TimeSpan.ofMs(100), TimeSpan.ZERO, 1, false);
   private Told told;
-  private Ledger ledger;
-  private Unit unit;
+  private RequestTracker ledger;
+  private Endpoint unit;
 
   @BeforeMethod
   public void begin() {
     Settings.Draft draft = new Settings.Draft();
     draft.methods.add(method);
-    ledger = new Ledger(new Settings(draft));
+    ledger = new RequestTracker(new Settings(draft));
     told = new Told();
     ledger.tell(told);
     unit = ledger.listed(1, 0, 0, 0, 1, null, 1, true);
@@ -54,11 +54,11 @@
   }
 
   private Rpc arrives(long id) {
-    return ledger.arrived(id, method, 0, 0, T, T.plus(Span.ofMs(1000)), null, null);
+    return ledger.arrived(id, method, 0, 0, T, T.plus(TimeSpan.ofMs(1000)), null, null);
   }
 
-  private Pick sends(Rpc rpc) {
-    Pick pick = new Pick(rpc, unit, T, null);
+  private Attempt sends(Rpc rpc) {
+    Attempt pick = new Attempt(rpc, unit, T, null);
     ledger.sent(pick);
     return pick;
   }
@@ -66,27 +66,27 @@
   @Test
   public void firstOkAnswersAndTheOtherPickIsStillSeen() {
     Rpc rpc = arrives(5);
-    Pick first = sends(rpc);
-    Pick second = sends(rpc);
-    ledger.pickEnded(second, Outcome.OK, Span.ofMs(3), true);
+    Attempt first = sends(rpc);
+    Attempt second = sends(rpc);
+    ledger.pickEnded(second, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
     assertTrue(rpc.ended());
     assertSame(ledger.rpc(5), rpc);
-    ledger.pickEnded(first, Outcome.OK, Span.ofMs(4), true);
+    ledger.pickEnded(first, AttemptOutcome.OK, TimeSpan.ofMs(4), true);
     assertNull(ledger.rpc(5));
-    ledger.pickEnded(first, Outcome.ERROR, Span.ofMs(9), true);
+    ledger.pickEnded(first, AttemptOutcome.ERROR, TimeSpan.ofMs(9), true);
     assertEquals(told.calls, List.of("arrived 5", "ended 5.1 OK answers", "ended 5.0 OK"));
     assertEquals(figures(), List.of(1L, 1L, 0L, 0L, 0L, 0L, 0L));
-    assertEquals(first.outcome(), Outcome.OK);
+    assertEquals(first.outcome(), AttemptOutcome.OK);
   }
 
   @Test
   public void anOkAfterTheFinalAnswerChangesNothing() {
     Rpc rpc = arrives(6);
-    Pick pick = sends(rpc);
+    Attempt pick = sends(rpc);
     ledger.pushedBack(rpc);
     ledger.aborted(rpc);
     ledger.clientLeft(rpc);
-    ledger.pickEnded(pick, Outcome.OK, Span.ofMs(3), true);
+    ledger.pickEnded(pick, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
     assertEquals(told.calls, List.of("arrived 6", "ended 6.0 OK"));
     assertEquals(figures(), List.of(1L, 0L, 1L, 0L, 0L, 0L, 0L));
   }
@@ -94,10 +94,10 @@
   @Test
   public void anIdThatComesBackIsAnotherRpc() {
     Rpc first = arrives(7);
-    Pick late = sends(first);
+    Attempt late = sends(first);
     ledger.pushedBack(first);
     Rpc again = arrives(7);
-    ledger.pickEnded(late, Outcome.ERROR, Span.ofMs(2), true);
+    ledger.pickEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
     assertSame(ledger.rpc(7), again);
     assertFalse(again.ended());
   }
@@ -106,7 +106,7 @@
   public void anotherRunIsAnotherUnitAndADrainingOneIsNotReady() {
     assertSame(ledger.listed(1, 0, 0, 0, 1, null, 2, true), unit);
     assertEquals(unit.weight(), 2.0);
-    Unit next = ledger.listed(1, 0, 0, 0, 1, T, 1, true);
+    Endpoint next = ledger.listed(1, 0, 0, 0, 1, T, 1, true);
     assertNotSame(next, unit);
     assertFalse(unit.ready());
     ledger.listed(1, 0, 0, 0, 1, T, 1, false);
@@ -119,10 +119,10 @@
 
   @Test
   public void countsOfUnknownBuildsTellNothing() {
-    ledger.counted(9, 0, 10, 1, Span.ZERO);
+    ledger.counted(9, 0, 10, 1, TimeSpan.ZERO);
     assertTrue(told.calls.isEmpty());
-    ledger.news(9, 0, Standing.ON_TRIAL, 0.1, T);
-    ledger.counted(9, 0, 10, 1, Span.ZERO);
+    ledger.news(9, 0, RolloutState.ON_TRIAL, 0.1, T);
+    ledger.counted(9, 0, 10, 1, TimeSpan.ZERO);
     assertEquals(told.calls, List.of("news 9 0 ON_TRIAL 0.1", "counted 9"));
   }
 
@@ -147,10 +147,10 @@
           if (rpc.picks.isEmpty()) {
             break;
           }
-          Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
-          boolean closes = rpc.ended() || outcome == Outcome.OK;
+          AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+          boolean closes = rpc.ended() || outcome == AttemptOutcome.OK;
           ledger.pickEnded(
-              rpc.picks.get(random.nextInt(rpc.picks.size())), outcome, Span.ofMs(1), closes);
+              rpc.picks.get(random.nextInt(rpc.picks.size())), outcome, TimeSpan.ofMs(1), closes);
         }
       }
       if (rpcs.size() > 30) {
--- a/src/test/java/sprucerock/agent/AgentTest.java
+++ b/src/test/java/sprucerock/agent/AgentTest.java
@@ -13,23 +13,23 @@
 import org.testng.annotations.Test;
 import sprucerock.agent.Agent.Phase;
 import sprucerock.controller.deployment.Version;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** One machine's agent, told as stories on a machine that does what the story says. */
 public class AgentTest {
   private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
   private static final Agent.Times TIMES =
-      new Agent.Times(Span.ofMs(5000), Span.ofMs(3000), Span.ofMs(10_000));
+      new Agent.Times(TimeSpan.ofMs(5000), TimeSpan.ofMs(3000), TimeSpan.ofMs(10_000));
 
   private static final class Stage implements Machine {
-    private record Timer(Moment when, int order, Runnable what) {}
+    private record Timer(Timestamp when, int order, Runnable what) {}
 
     private final PriorityQueue<Timer> timers =
         new PriorityQueue<>(
             (a, b) -> a.when.compareTo(b.when) != 0 ? a.when.compareTo(b.when) : a.order - b.order);
-    private Moment now = Moment.ofMs(0);
+    private Timestamp now = Timestamp.ofMs(0);
     private int made;
     final Set<Version> here = new HashSet<>(Set.of(OLD, NEW));
     final List<String> did = new ArrayList<>();
@@ -38,7 +38,7 @@
     boolean signalWillDo;
 
     void pass(double ms) {
-      Moment until = now.plus(Span.ofMs(ms));
+      Timestamp until = now.plus(TimeSpan.ofMs(ms));
       while (!timers.isEmpty() && !timers.peek().when.after(until)) {
         Timer next = timers.poll();
         now = now.later(next.when);
@@ -48,12 +48,12 @@
     }
 
     @Override
-    public Moment now() {
+    public Timestamp now() {
       return now;
     }
 
     @Override
-    public void at(Moment when, Runnable what) {
+    public void at(Timestamp when, Runnable what) {
       timers.add(new Timer(when, made++, what));
     }
 
--- a/src/test/java/sprucerock/benchmark/PostingsBenchmark.java
+++ b/src/test/java/sprucerock/benchmark/PostingsBenchmark.java
@@ -19,10 +19,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
-import sprucerock.metrics.Keeper;
-import sprucerock.metrics.Snapshot;
-import sprucerock.accounting.Accounts;
-import sprucerock.time.Span;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.metrics.MetricsSnapshot;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.time.TimeSpan;
 
 /**
  * What the figures of an RPC with one pick cost in a mapped file, and what a reader of them pays.
@@ -41,8 +41,8 @@
   public int eachTurn;
 
   private Path file;
-  private Accounts accounts;
-  private Keeper keeper;
+  private MethodAccounts accounts;
+  private MetricsFileWriter keeper;
 
   @Setup
   public void begin() throws IOException {
@@ -51,14 +51,14 @@
     for (int i = 0; i < 20; i++) {
       methods.add("method-" + i);
     }
-    accounts = new Accounts(methods, new Accounts.Room(16, 1024, 64));
+    accounts = new MethodAccounts(methods, new MethodAccounts.Room(16, 1024, 64));
     for (int i = 0; i < 300; i++) {
       accounts.row(accounts.units, "" + i);
     }
     for (int i = 0; i < 2; i++) {
       accounts.row(accounts.builds, "" + i);
     }
-    keeper = Keeper.open(file, accounts, () -> {}, System.out::println);
+    keeper = MetricsFileWriter.open(file, accounts, () -> {}, System.out::println);
   }
 
   @TearDown
@@ -75,7 +75,7 @@
       int method = i % 20;
       int build = i & 1;
       int unit = (i * 7919 & 0xffff) % 300;
-      Span took = Span.ofMs(0.1 + (i & 255) * 0.05);
+      TimeSpan took = TimeSpan.ofMs(0.1 + (i & 255) * 0.05);
       accounts.rpcArrived(method, 0);
       accounts.pickSent(method, build, unit, false);
       accounts.pickWritten();
@@ -95,7 +95,7 @@
 
   /** What a scrape reads, on its own thread. */
   @Benchmark
-  public Snapshot snapshot() {
+  public MetricsSnapshot snapshot() {
     return keeper.snapshot();
   }
 }
--- a/src/test/java/sprucerock/compat/FiguresCompatTest.java
+++ b/src/test/java/sprucerock/compat/FiguresCompatTest.java
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.metrics.Keeper;
-import sprucerock.metrics.Snapshot;
-import sprucerock.metrics.Table;
-import sprucerock.accounting.Accounts;
-import sprucerock.time.Span;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.metrics.MetricsSnapshot;
+import sprucerock.metrics.MetricsTable;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.time.TimeSpan;
 
 /**
  * A relay's file of figures: recorded ones of a relay that was cut off and of one that ended, with
@@ -24,7 +24,7 @@
   private static final String CARRIED_ON = "carried-on";
   private static final String LISTING = ".txt";
   private static final List<String> METHODS = List.of("read");
-  private static final Accounts.Room ROOM = new Accounts.Room(1, 2, 1);
+  private static final MethodAccounts.Room ROOM = new MethodAccounts.Room(1, 2, 1);
   private static final int TURNS = 5;
   private static final int ENDED_OK = 1;
 
@@ -44,9 +44,9 @@
 
   /** One life of a relay with some RPCs, of which one is open at its end. */
   private static void live(Path file, boolean ends) {
-    Accounts accounts = new Accounts(METHODS, ROOM);
+    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
     List<String> said = new ArrayList<>();
-    Keeper keeper = Keeper.open(file, accounts, () -> {}, said::add);
+    MetricsFileWriter keeper = MetricsFileWriter.open(file, accounts, () -> {}, said::add);
     assertEquals(said, List.of());
     int customer = accounts.row(accounts.customers, "north");
     int build = accounts.row(accounts.builds, "7");
@@ -58,8 +58,8 @@
       if (turn == TURNS) {
         break;
       }
-      accounts.pickEnded(0, build, unit, false, true, ENDED_OK, Span.ofMs(2 * turn));
-      accounts.rpcAnswered(0, customer, Span.ofMs(3 * turn), true, true);
+      accounts.pickEnded(0, build, unit, false, true, ENDED_OK, TimeSpan.ofMs(2 * turn));
+      accounts.rpcAnswered(0, customer, TimeSpan.ofMs(3 * turn), true, true);
       accounts.commit();
     }
     accounts.commit();
@@ -70,8 +70,8 @@
 
   /** The table that is shown, then the layout, the names of rows and all values but zeros. */
   private static String listing(Path file) throws Exception {
-    Snapshot snapshot = Snapshot.read(file);
-    StringBuilder text = new StringBuilder(Table.of(snapshot));
+    MetricsSnapshot snapshot = MetricsSnapshot.read(file);
+    StringBuilder text = new StringBuilder(MetricsTable.of(snapshot));
     text.append("drifts ")
         .append(snapshot.accounts().check(snapshot.values))
         .append('\n')
--- a/src/test/java/sprucerock/compat/FrameRecorder.java
+++ b/src/test/java/sprucerock/compat/FrameRecorder.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameReader;
@@ -29,7 +29,7 @@
  */
 final class FrameRecorder {
   static final int MOST_BYTES = 1 << 20;
-  private static final Limits LIMITS = new Limits(MOST_BYTES, MOST_BYTES, Span.ofMs(1000));
+  private static final Limits LIMITS = new Limits(MOST_BYTES, MOST_BYTES, TimeSpan.ofMs(1000));
   private static final byte[] NO_BODY = {};
 
   /** A frame that was read. */
@@ -95,12 +95,12 @@
     private final List<Runnable> atTurnsEnd = new ArrayList<>();
 
     @Override
-    public Moment now() {
-      return Moment.ofMs(0);
+    public Timestamp now() {
+      return Timestamp.ofMs(0);
     }
 
     @Override
-    public Timer at(Moment when, Runnable what) {
+    public Timer at(Timestamp when, Runnable what) {
       return () -> {};
     }
 
--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -20,12 +20,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.cli.Commands;
-import sprucerock.metrics.Export;
-import sprucerock.metrics.Keeper;
-import sprucerock.metrics.Table;
-import sprucerock.accounting.Accounts;
-import sprucerock.accounting.Sheet;
-import sprucerock.time.Span;
+import sprucerock.metrics.MetricsExporter;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.metrics.MetricsTable;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.MethodMetrics;
+import sprucerock.time.TimeSpan;
 
 /**
  * What a monitor scrapes of a relay, and what people see of its figures: names, types, labels and
@@ -34,8 +34,8 @@
 public class MetricsCompatTest {
   private static final String METRICS = "metrics/";
 
-  private static Accounts accounts() {
-    Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(1, 1, 1));
+  private static MethodAccounts accounts() {
+    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
     accounts.row(accounts.builds, "7");
     accounts.row(accounts.units, "unit-3");
     accounts.row(accounts.customers, "north");
@@ -44,8 +44,8 @@
   }
 
   /** One of each kind at once: no sum holds, and nothing is missing. */
-  private static void fill(Accounts accounts) {
-    for (Sheet sheet : accounts.sheets()) {
+  private static void fill(MethodAccounts accounts) {
+    for (MethodMetrics sheet : accounts.sheets()) {
       if (sheet.scaled() || sheet == accounts.starts || sheet == accounts.files) {
         continue;
       }
@@ -58,20 +58,20 @@
   }
 
   /** What a relay posts, so that every sum holds. */
-  private static void post(Accounts accounts) {
+  private static void post(MethodAccounts accounts) {
     for (double ms : new double[] {0.1, 0.9, 1.1, 200, 80_000}) {
       accounts.rpcArrived(0, 0);
-      accounts.rpcAnswered(0, 0, Span.ofMs(ms), ms < 100, ms < 1000);
+      accounts.rpcAnswered(0, 0, TimeSpan.ofMs(ms), ms < 100, ms < 1000);
       accounts.pickSent(1, 0, 0, true);
       accounts.pickWritten();
-      accounts.pickEnded(1, 0, 0, true, true, 1, Span.ofMs(ms));
+      accounts.pickEnded(1, 0, 0, true, true, 1, TimeSpan.ofMs(ms));
     }
     accounts.commit();
   }
 
-  private static Keeper keeper(boolean whole) {
-    Accounts accounts = accounts();
-    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+  private static MetricsFileWriter keeper(boolean whole) {
+    MethodAccounts accounts = accounts();
+    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     if (!whole) {
       fill(accounts);
     }
@@ -79,10 +79,10 @@
     return keeper;
   }
 
-  private static String scraped(Keeper keeper, String path, String accept) throws Exception {
+  private static String scraped(MetricsFileWriter keeper, String path, String accept) throws Exception {
     Map<String, Double> more = Map.of("tls_days_left", 3.0, "lease_held", 1.0);
-    try (Export export =
-        new Export(
+    try (MetricsExporter export =
+        new MetricsExporter(
             keeper::snapshot,
             () -> false,
             keeper::kept,
@@ -130,7 +130,7 @@
   public void theTableForPeopleIsTheSame() throws Exception {
     Corpus.holds(METRICS + "table.txt", scraped(keeper(true), "/figures", "text/plain"));
     assertEquals(
-        "content-type text/plain; charset=utf-8\n" + Table.of(keeper(true).snapshot()),
+        "content-type text/plain; charset=utf-8\n" + MetricsTable.of(keeper(true).snapshot()),
         scraped(keeper(true), "/figures", "text/plain"));
   }
 
@@ -147,8 +147,8 @@
   public void theCommandShowsAFileAsBefore() throws Exception {
     Path folder = Files.createTempDirectory("figures");
     Path file = folder.resolve("relay-0.figures");
-    Accounts accounts = accounts();
-    Keeper keeper = Keeper.open(file, accounts, () -> {}, line -> {});
+    MethodAccounts accounts = accounts();
+    MetricsFileWriter keeper = MetricsFileWriter.open(file, accounts, () -> {}, line -> {});
     post(accounts);
     StringBuilder text = new StringBuilder(shown(file)).append(shown(file, "--check"));
     keeper.close();
--- a/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
+++ b/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
@@ -10,11 +10,11 @@
 import org.testng.annotations.Test;
 import sprucerock.policy.evidence.Board;
 import sprucerock.policy.evidence.Evidence;
-import sprucerock.policy.evidence.Offer;
+import sprucerock.policy.evidence.CanaryTrial;
 import sprucerock.model.Build;
-import sprucerock.model.Unit;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.model.Endpoint;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * What relays tell each other, on recorded bytes: the contents of a datagram, or the body of a TOLD
@@ -23,8 +23,8 @@
 public class PeerMessagesCompatTest {
   private static final String WRITTEN = "peers/written.txt";
   private static final String READ = "peers/read.txt";
-  private static final Moment START = Moment.ofMs(1000);
-  private static final Span LIFE = Span.ofMs(2000);
+  private static final Timestamp START = Timestamp.ofMs(1000);
+  private static final TimeSpan LIFE = TimeSpan.ofMs(2000);
   private static final long FIRST_ID = 17;
   private static final long SECOND_ID = 0x123456789abcL;
   private static final int BUILD = 5;
@@ -33,16 +33,16 @@
   /** A relay's side of such messages: two units on its board. */
   private static final class Relay {
     private final Board board = new Board(LIFE);
-    private final Unit first = unit(FIRST_ID);
-    private final Unit second = unit(SECOND_ID);
+    private final Endpoint first = unit(FIRST_ID);
+    private final Endpoint second = unit(SECOND_ID);
 
     Relay() {
       board.ready(first);
       board.ready(second);
     }
 
-    private static Unit unit(long id) {
-      return new Unit(id, 1, 2, 3, new Build(BUILD), null, 1);
+    private static Endpoint unit(long id) {
+      return new Endpoint(id, 1, 2, 3, new Build(BUILD), null, 1);
     }
   }
 
@@ -105,7 +105,7 @@
             + relay.first.told
             + ", second "
             + relay.second.told);
-    Offer offer = new Offer(new Build(BUILD), 2);
+    CanaryTrial offer = new CanaryTrial(new Build(BUILD), 2);
     offer.enter(STAGE, START, false);
     offer.heard(1, bytes.get(4));
     lines.add(
--- a/src/test/java/sprucerock/compat/Rendering.java
+++ b/src/test/java/sprucerock/compat/Rendering.java
@@ -5,7 +5,7 @@
 import sprucerock.config.LeaseConfig;
 import sprucerock.model.Method;
 import sprucerock.model.Settings;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Values that were read, one "key=value" a line. Keys are given by the test, so that no Java name
@@ -23,7 +23,7 @@
   }
 
   /** A length of time, in milliseconds. */
-  public Rendering put(String key, Span value) {
+  public Rendering put(String key, TimeSpan value) {
     return put(key, value == null ? ABSENT : value.ms() + "ms");
   }
 
--- a/src/test/java/sprucerock/controller/ChangeStudy.java
+++ b/src/test/java/sprucerock/controller/ChangeStudy.java
@@ -14,8 +14,8 @@
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
 import sprucerock.controller.comparison.Window;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * How often good changes are stopped and bad ones missed, at several sizes of a fleet: changes and
@@ -36,12 +36,12 @@
               new Plan.Stage(0.15, 0.03),
               new Plan.Stage(0.5, 0.02),
               new Plan.Stage(1, 0.01)),
-          Span.ofMs(60_000),
-          Span.ofMs(1_800_000),
-          Span.ofMs(60_000),
+          TimeSpan.ofMs(60_000),
+          TimeSpan.ofMs(1_800_000),
+          TimeSpan.ofMs(60_000),
           0.1,
           0.05,
-          Span.ofMs(5000));
+          TimeSpan.ofMs(5000));
 
   /** What became of one change. */
   private record Fate(boolean stopped, boolean done, double seconds, double lost) {}
@@ -236,8 +236,8 @@
       return change != null && !change.state().open();
     }
 
-    private Moment at() {
-      return Moment.ofMs(now);
+    private Timestamp at() {
+      return Timestamp.ofMs(now);
     }
 
     @Override
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -44,7 +44,7 @@
 import sprucerock.controller.maintenance.Freezes;
 import sprucerock.controller.maintenance.Headroom;
 import sprucerock.controller.maintenance.Rack;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * The controller's folder as the program that was recorded left it: its log of inputs with every
@@ -85,22 +85,22 @@
           2,
           1,
           1,
-          Span.ofMs(4000),
-          Span.ofMs(500),
-          Span.ofMs(1000),
-          Span.ofMs(5000),
-          Span.ofMs(800),
-          Span.ofMs(3000),
+          TimeSpan.ofMs(4000),
+          TimeSpan.ofMs(500),
+          TimeSpan.ofMs(1000),
+          TimeSpan.ofMs(5000),
+          TimeSpan.ofMs(800),
+          TimeSpan.ofMs(3000),
           1000);
   private static final Plan PLAN =
       new Plan(
           List.of(new Plan.Stage(0.3, 0.1), new Plan.Stage(1, 0.1)),
-          Span.ofMs(500),
-          Span.ofMs(20_000),
-          Span.ofMs(3000),
+          TimeSpan.ofMs(500),
+          TimeSpan.ofMs(20_000),
+          TimeSpan.ofMs(3000),
           0.5,
           0.3,
-          Span.ofMs(60_000));
+          TimeSpan.ofMs(60_000));
 
   /** Clocks that a scenario moves. */
   private static final class ManualClock implements Engine.Clock {
@@ -675,7 +675,7 @@
       ManualClock clock = new ManualClock();
       List<String> lines = new ArrayList<>();
       FolderSeat seat =
-          new FolderSeat(new FileDisk(folder), clock, Span.ofMs(2000), "controller-1@host");
+          new FolderSeat(new FileDisk(folder), clock, TimeSpan.ofMs(2000), "controller-1@host");
       seat.take();
       lines.add(files(folder));
       clock.passedMs += 600;
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -29,7 +29,7 @@
 import sprucerock.controller.v1.Proposed;
 import sprucerock.controller.v1.Ready;
 import sprucerock.controller.v1.Word;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** The controller's memory through crashes at every write, full disks and damage of every kind. */
 public class EngineTest {
@@ -153,12 +153,12 @@
   private static final Plan PLAN =
       new Plan(
           List.of(new Plan.Stage(0.3, 0.1), new Plan.Stage(1, 0.1)),
-          Span.ofMs(500),
-          Span.ofMs(20_000),
-          Span.ofMs(3000),
+          TimeSpan.ofMs(500),
+          TimeSpan.ofMs(20_000),
+          TimeSpan.ofMs(3000),
           0.5,
           0.3,
-          Span.ofMs(1000));
+          TimeSpan.ofMs(1000));
   private static final Version[] VERSIONS = {
     new Version("a".repeat(64), "0".repeat(64)), new Version("b".repeat(64), "0".repeat(64))
   };
--- a/src/test/java/sprucerock/controller/FolderSeatTest.java
+++ b/src/test/java/sprucerock/controller/FolderSeatTest.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** Two controllers over one folder: never do both act. */
 public class FolderSeatTest {
-  private static final Span TIME = Span.ofMs(1000);
+  private static final TimeSpan TIME = TimeSpan.ofMs(1000);
 
   /** A folder in memory, of which a lease needs little. */
   private static final class Memory implements Disk {
--- a/src/test/java/sprucerock/controller/ReleasesProperties.java
+++ b/src/test/java/sprucerock/controller/ReleasesProperties.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.ShrinkingMode;
 import sprucerock.controller.Release.Standing;
 import sprucerock.controller.Releases.Say;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * The core beside the plain model under any inputs, lost, doubled and out of order; and what may
@@ -29,12 +29,12 @@
           2,
           1,
           1,
-          Span.ofMs(4000),
-          Span.ofMs(500),
-          Span.ofMs(1000),
-          Span.ofMs(5000),
-          Span.ofMs(800),
-          Span.ofMs(3000),
+          TimeSpan.ofMs(4000),
+          TimeSpan.ofMs(500),
+          TimeSpan.ofMs(1000),
+          TimeSpan.ofMs(5000),
+          TimeSpan.ofMs(800),
+          TimeSpan.ofMs(3000),
           1000);
 
   record Event(int what, int which, int other, double afterMs) {}
@@ -60,7 +60,7 @@
             RULES,
             10,
             1,
-            Moment.ofMs(0),
+            Timestamp.ofMs(0),
             (release, step) -> {
               boolean moved =
                   told.isEmpty()
@@ -81,7 +81,7 @@
     int steps = 0;
     for (Event event : day) {
       at += event.afterMs;
-      Moment now = Moment.ofMs(at);
+      Timestamp now = Timestamp.ofMs(at);
       int build = Math.max(1, core.present().build - 1 + event.other % 3);
       int stage = event.other % 7 == 0 ? event.other % 3 : core.present().stage();
       switch (event.what) {
--- a/src/test/java/sprucerock/controller/ReleasesTest.java
+++ b/src/test/java/sprucerock/controller/ReleasesTest.java
@@ -13,14 +13,14 @@
 import sprucerock.controller.Releases.Answer;
 import sprucerock.controller.Releases.Say;
 import sprucerock.controller.Releases.Taken;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** Stories of releases, from the announcement to the end. */
 public class ReleasesTest {
   private final List<String> steps = new ArrayList<>();
   private Releases core;
-  private Moment now;
+  private Timestamp now;
 
   @BeforeMethod
   public void begin() {
@@ -29,7 +29,7 @@
 
   private void core(Rules rules) {
     steps.clear();
-    now = Moment.ofMs(0);
+    now = Timestamp.ofMs(0);
     core =
         new Releases(
             rules,
@@ -49,7 +49,7 @@
 
   private void pass(double ms) {
     for (double until = now.ms() + ms; now.ms() < until; ) {
-      now = now.plus(Span.ofMs(Math.min(50, until - now.ms())));
+      now = now.plus(TimeSpan.ofMs(Math.min(50, until - now.ms())));
       if (core.due(now)) {
         core.tick(now, 0);
       }
@@ -289,7 +289,7 @@
     onTrial(2);
     cast(0, 2, 0, Say.ON);
     cast(1, 2, 0, Say.ON);
-    now = now.plus(Span.ofMs(3000));
+    now = now.plus(TimeSpan.ofMs(3000));
     core.restarted(3000, now, 0);
     assertEquals(core.present().stage(), 0);
     core.restarted(-5, now, 0);
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -16,7 +16,7 @@
 import sprucerock.controller.v1.AgentSays;
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.Input;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * What the disk is asked to do for messages that come in one turn, and how large what is kept grows
@@ -26,12 +26,12 @@
   private static final Plan PLAN =
       new Plan(
           List.of(new Plan.Stage(0.5, 0.1), new Plan.Stage(1, 0.01)),
-          Span.ofMs(10_000),
-          Span.ofMs(120_000),
-          Span.ofMs(20_000),
+          TimeSpan.ofMs(10_000),
+          TimeSpan.ofMs(120_000),
+          TimeSpan.ofMs(20_000),
           0.2,
           0.1,
-          Span.ofMs(5000));
+          TimeSpan.ofMs(5000));
   private static final sprucerock.controller.v1.Version RUNS =
       sprucerock.controller.v1.Version.newBuilder()
           .setProgram("a".repeat(64))
@@ -116,12 +116,12 @@
             1 << 20,
             1 << 20,
             1 << 20,
-            Span.ofMs(60_000),
-            Span.ofMs(60_000),
-            Span.ofMs(1000),
-            Span.ofMs(600_000),
-            Span.ofMs(1000),
-            Span.ofMs(60_000),
+            TimeSpan.ofMs(60_000),
+            TimeSpan.ofMs(60_000),
+            TimeSpan.ofMs(1000),
+            TimeSpan.ofMs(600_000),
+            TimeSpan.ofMs(1000),
+            TimeSpan.ofMs(60_000),
             10);
     engine =
         new Engine(
--- a/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import sprucerock.controller.deployment.Change.State;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /**
  * Any fleet, any order of events: relays that die, agents that fall silent and come back, verdicts,
@@ -37,8 +37,8 @@
       }
     }
 
-    Moment at() {
-      return Moment.ofMs(now);
+    Timestamp at() {
+      return Timestamp.ofMs(now);
     }
 
     private boolean away(ManagedRelay relay) {
--- a/src/test/java/sprucerock/controller/deployment/ChangesTest.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesTest.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 import sprucerock.controller.deployment.Change.State;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** A change on its way through a fleet, told as stories. */
 public class ChangesTest {
@@ -20,12 +20,12 @@
   static final Plan PLAN =
       new Plan(
           List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)),
-          Span.ofMs(10_000),
-          Span.ofMs(120_000),
-          Span.ofMs(20_000),
+          TimeSpan.ofMs(10_000),
+          TimeSpan.ofMs(120_000),
+          TimeSpan.ofMs(20_000),
           0.2,
           0.1,
-          Span.ofMs(5000));
+          TimeSpan.ofMs(5000));
 
   /**
    * So many relays in two zones, each third one busy, whose agents do at once what is wanted of
@@ -44,8 +44,8 @@
       }
     }
 
-    Moment at() {
-      return Moment.ofMs(now);
+    Timestamp at() {
+      return Timestamp.ofMs(now);
     }
 
     void says(int number, Version runs, boolean ready) {
--- a/src/test/java/sprucerock/controller/server/AbsentTest.java
+++ b/src/test/java/sprucerock/controller/server/AbsentTest.java
@@ -5,15 +5,15 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** Which agents are away for too long, and that finding them costs those alone. */
 public class AbsentTest {
-  private static final Span LONG = Span.ofMs(5000);
+  private static final TimeSpan LONG = TimeSpan.ofMs(5000);
 
-  private static Moment at(double ms) {
-    return Moment.ofMs(ms);
+  private static Timestamp at(double ms) {
+    return Timestamp.ofMs(ms);
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
@@ -15,7 +15,7 @@
 import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.Engine;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -107,7 +107,7 @@
               Person person = new Person(loop, Role.AGENT, number);
               loop.connect(
                   new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
-                  Span.ofMs(5000),
+                  TimeSpan.ofMs(5000),
                   1 << 20,
                   person.link);
               return person;
--- a/src/test/java/sprucerock/controller/server/DeskTest.java
+++ b/src/test/java/sprucerock/controller/server/DeskTest.java
@@ -26,7 +26,7 @@
 import sprucerock.config.ConfigException;
 import sprucerock.controller.Engine;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -170,7 +170,7 @@
           Person person = new Person(loop, Role.RELAY, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
-              Span.ofMs(5000),
+              TimeSpan.ofMs(5000),
               1 << 20,
               person.link);
           made.complete(person);
@@ -426,7 +426,7 @@
                           got,
                           List.of(SECRET),
                           System.currentTimeMillis() / 1000,
-                          Span.ofMs(60_000))
+                          TimeSpan.ofMs(60_000))
                       .id()
                   != null;
           if (!fails) {
@@ -479,7 +479,7 @@
             .replace("api.token", folder.resolve("token").toString()));
     DeskConfig config = DeskConfig.read(file);
     assertEquals(config.rules.stages().size(), 3);
-    assertEquals(config.rules.least(), Span.ofMs(10_000));
+    assertEquals(config.rules.least(), TimeSpan.ofMs(10_000));
     assertEquals(config.sources.get("ci").form(), Signatures.Form.STANDARD);
   }
 
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -25,7 +25,7 @@
 import sprucerock.compat.Corpus;
 import sprucerock.controller.Engine;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -152,7 +152,7 @@
           Person person = new Person(loop, Role.AGENT, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
-              Span.ofMs(5000),
+              TimeSpan.ofMs(5000),
               1 << 20,
               person.link);
           made.complete(person);
--- a/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
@@ -20,7 +20,7 @@
 import sprucerock.controller.v1.FreezeWanted;
 import sprucerock.controller.v1.Input;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -125,7 +125,7 @@
           Person person = new Person(loop, Role.RELAY, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
-              Span.ofMs(5000),
+              TimeSpan.ofMs(5000),
               1 << 20,
               person.link);
           return person;
--- a/src/test/java/sprucerock/controller/server/SignaturesTest.java
+++ b/src/test/java/sprucerock/controller/server/SignaturesTest.java
@@ -8,14 +8,14 @@
 import java.util.Base64;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** Signatures of both forms, right and wrong. */
 public class SignaturesTest {
   private static final byte[] OLD = "the secret before".getBytes(StandardCharsets.UTF_8);
   private static final byte[] NEW = "the secret now".getBytes(StandardCharsets.UTF_8);
   private static final byte[] BODY = "{\"a\":1}".getBytes(StandardCharsets.UTF_8);
-  private static final Span WINDOW = Span.ofMs(300_000);
+  private static final TimeSpan WINDOW = TimeSpan.ofMs(300_000);
 
   private static Signatures.Verdict standard(
       String id, String time, String signature, byte[] body) {
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -29,7 +29,7 @@
 import sprucerock.controller.v1.Announced;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.maintenance.Freezes;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Webhooks, those that come in and those that go out: recorded bodies with their signatures, and
@@ -44,7 +44,7 @@
   private static final String SIGNATURES = "webhooks/signatures.txt";
   private static final String DELIVERY = "delivery-7";
   private static final long SECONDS = 1_700_000_000;
-  private static final Span WINDOW = Span.ofMs(300_000);
+  private static final TimeSpan WINDOW = TimeSpan.ofMs(300_000);
   private static final int TAKEN = 200;
   private static final int REFUSED = 500;
   private static final int WAIT_SECONDS = 20;
@@ -57,22 +57,22 @@
           1,
           1,
           1,
-          Span.ofMs(4000),
-          Span.ofMs(500),
-          Span.ofMs(1000),
-          Span.ofMs(5000),
-          Span.ofMs(800),
-          Span.ofMs(3000),
+          TimeSpan.ofMs(4000),
+          TimeSpan.ofMs(500),
+          TimeSpan.ofMs(1000),
+          TimeSpan.ofMs(5000),
+          TimeSpan.ofMs(800),
+          TimeSpan.ofMs(3000),
           1000);
   private static final Plan PLAN =
       new Plan(
           List.of(new Plan.Stage(1, 0.1)),
-          Span.ofMs(500),
-          Span.ofMs(20_000),
-          Span.ofMs(3000),
+          TimeSpan.ofMs(500),
+          TimeSpan.ofMs(20_000),
+          TimeSpan.ofMs(3000),
           0.5,
           0.3,
-          Span.ofMs(1000));
+          TimeSpan.ofMs(1000));
 
   /** A webhook as its receiver got it. */
   private record Received(List<String> headers, byte[] body) {}
--- a/src/test/java/sprucerock/lease/BadMakers.java
+++ b/src/test/java/sprucerock/lease/BadMakers.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** Parties that each lack one guard. */
 final class BadMakers {
@@ -27,14 +27,14 @@
     return new World.Makers() {
       @Override
       public Granter granter(
-          Terms terms, Granter.Host host, Moment opens, Map<String, Grant> grants) {
+          Terms terms, Granter.Host host, Timestamp opens, Map<String, Grant> grants) {
         return made.of(terms, host, opens, grants);
       }
     };
   }
 
   private interface MadeGranter {
-    Granter of(Terms terms, Granter.Host host, Moment opens, Map<String, Grant> grants);
+    Granter of(Terms terms, Granter.Host host, Timestamp opens, Map<String, Grant> grants);
   }
 
   /** Each by what it lacks. */
@@ -46,7 +46,7 @@
             (terms, host, opens, grants) ->
                 new Granter(terms, host, opens, grants) {
                   @Override
-                  boolean runs(Grant grant, Moment now) {
+                  boolean runs(Grant grant, Timestamp now) {
                     return false;
                   }
                 }));
@@ -64,8 +64,8 @@
         "a granter sits out after its start",
         new World.Makers() {
           @Override
-          public Span sitsOut(Terms terms) {
-            return Span.ZERO;
+          public TimeSpan sitsOut(Terms terms) {
+            return TimeSpan.ZERO;
           }
         });
     all.put(
@@ -84,7 +84,7 @@
             (terms, host, chance, me, life) ->
                 new Candidate(World.NAME, terms, host, () -> chance, me, life) {
                   @Override
-                  Moment from(Moment now) {
+                  Timestamp from(Timestamp now) {
                     return now;
                   }
                 }));
@@ -94,7 +94,7 @@
             (terms, host, chance, me, life) ->
                 new Candidate(World.NAME, terms, host, () -> chance, me, life) {
                   @Override
-                  Span usable() {
+                  TimeSpan usable() {
                     return terms.term();
                   }
                 }));
--- a/src/test/java/sprucerock/lease/LeaseFire.java
+++ b/src/test/java/sprucerock/lease/LeaseFire.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CountDownLatch;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.rehearsal.fake.WayStandIn;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
 import sprucerock.transport.wire.Kind;
@@ -52,7 +52,7 @@
 
   private final Path folder;
   private final int names;
-  private final Span term;
+  private final TimeSpan term;
   private final boolean guarded;
   private final boolean fenced;
   private final Random random;
@@ -70,7 +70,7 @@
   private int stops;
   private int cuts;
 
-  LeaseFire(Path folder, int names, Span term, boolean guarded, boolean fenced, long seed)
+  LeaseFire(Path folder, int names, TimeSpan term, boolean guarded, boolean fenced, long seed)
       throws Exception {
     this.folder = folder;
     this.names = names;
@@ -100,7 +100,7 @@
                               new FrameLink(
                                   loop,
                                   mine,
-                                  new Limits(64 * 1024, 1 << 20, Span.ofMs(2000)),
+                                  new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
                                   Tap.NONE,
                                   place);
                           return place.link;
@@ -238,7 +238,7 @@
           Thread.sleep((long) (term.ms() * (0.5 + 2 * random.nextDouble())));
           all(who, way -> way.cut(false, false));
         }
-        case 4 -> all(who, way -> way.late(Span.ofMs(term.ms() * random.nextDouble() * 0.5)));
+        case 4 -> all(who, way -> way.late(TimeSpan.ofMs(term.ms() * random.nextDouble() * 0.5)));
         case 5 -> {
           all(who, way -> way.reset(true));
           Thread.sleep((long) (term.ms() * 0.2));
@@ -248,7 +248,7 @@
             all(
                 who,
                 way -> {
-                  way.late(Span.ZERO);
+                  way.late(TimeSpan.ZERO);
                   way.lose(random.nextDouble() * 0.1);
                 });
       }
@@ -366,7 +366,7 @@
         new LeaseFire(
             folder,
             30,
-            Span.ofMs(400),
+            TimeSpan.ofMs(400),
             true,
             true,
             args.length > 4 ? Long.parseLong(args[4]) : 1)) {
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -13,8 +13,8 @@
 import java.util.SplittableRandom;
 import sprucerock.config.LeaseConfig;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.stats.Chance;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
 import sprucerock.transport.wire.Kind;
@@ -37,7 +37,7 @@
   private final Redial place;
   private final Leases leases;
   private final SplittableRandom random;
-  private final Span term;
+  private final TimeSpan term;
   private final boolean guarded;
 
   private LeaseProcess(String[] args) throws Exception {
@@ -45,7 +45,7 @@
     int granter = Integer.parseInt(args[1]);
     int own = Integer.parseInt(args[2]);
     int names = Integer.parseInt(args[5]);
-    term = Span.ofMs(Integer.parseInt(args[6]));
+    term = TimeSpan.ofMs(Integer.parseInt(args[6]));
     guarded = !args[7].equals("unguarded");
     notes =
         FileChannel.open(Path.of(args[4]), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -82,9 +82,9 @@
             loop,
             at(Integer.parseInt(args[3])),
             hello,
-            new Limits(64 * 1024, 1 << 20, Span.ofMs(2000)),
+            new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
             Tap.NONE,
-            new Chance(life),
+            new DeterministicRandom(life),
             new FrameUser() {
               @Override
               public void greeted(FrameLink link, Hello other) {
@@ -140,7 +140,7 @@
                 act(name, guard, held);
                 if (random.nextInt(4) > 0) {
                   loop.at(
-                      loop.now().plus(Span.ofMs(20 + random.nextInt(200))), () -> away(name, held));
+                      loop.now().plus(TimeSpan.ofMs(20 + random.nextInt(200))), () -> away(name, held));
                 }
               }
 
@@ -164,7 +164,7 @@
       return;
     }
     leases.leave(name, random.nextInt(3) == 0 ? random.nextInt(5) : -1);
-    loop.at(loop.now().plus(Span.ofMs(random.nextInt(100))), () -> stand(name));
+    loop.at(loop.now().plus(TimeSpan.ofMs(random.nextInt(100))), () -> stand(name));
   }
 
   private long lastNumber;
@@ -181,7 +181,7 @@
       }
       land(name, lastNumber);
     }
-    loop.at(loop.now().plus(Span.ofMs(5 + random.nextInt(20))), () -> act(name, guard, held));
+    loop.at(loop.now().plus(TimeSpan.ofMs(5 + random.nextInt(20))), () -> act(name, guard, held));
   }
 
   private void land(String name, long number) {
--- a/src/test/java/sprucerock/lease/LeaseProcessesTest.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessesTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Real processes under fire; the verdicts hang on the order of what landed and on one clock, not on
@@ -36,7 +36,7 @@
 
   private LeaseFire.Result play(boolean guarded, boolean fenced, int taken, int troubles)
       throws Exception {
-    try (LeaseFire fire = new LeaseFire(folder, 30, Span.ofMs(400), guarded, fenced, 7)) {
+    try (LeaseFire fire = new LeaseFire(folder, 30, TimeSpan.ofMs(400), guarded, fenced, 7)) {
       fire.run(taken, troubles, 120);
       return fire.end();
     }
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 import java.util.PriorityQueue;
 import org.testng.annotations.Test;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.LeaseAsk;
 import sprucerock.transport.wire.v1.LeaseSaid;
 
@@ -16,7 +16,7 @@
  * told how long to wait.
  */
 public class LeaseScaleTest {
-  private static final Terms TERMS = new Terms(3, Span.ofMs(3000), Span.ofMs(3000), 0.01);
+  private static final Terms TERMS = new Terms(3, TimeSpan.ofMs(3000), TimeSpan.ofMs(3000), 0.01);
   private static final String NAME = "seat";
 
   private record Due(double ms, int candidate) {}
@@ -36,7 +36,7 @@
                     : Integer.compare(a.candidate, b.candidate));
     private final java.util.ArrayDeque<Runnable> messages = new java.util.ArrayDeque<>();
     private final java.util.Random random = new java.util.Random(7);
-    private Moment now = Moment.ofMs(5000);
+    private Timestamp now = Timestamp.ofMs(5000);
     private long asks;
     private long freed;
 
@@ -100,7 +100,7 @@
                 long number,
                 long round,
                 long highest,
-                Span left,
+                TimeSpan left,
                 Granter.Refusal why) {
               messages.add(
                   () ->
@@ -113,7 +113,7 @@
               freed++;
             }
           },
-          Moment.ofMs(0));
+          Timestamp.ofMs(0));
     }
 
     void pass(double untilMs) {
@@ -126,16 +126,16 @@
       }
       while (!due.isEmpty() && due.peek().ms <= untilMs) {
         Due next = due.poll();
-        Moment at = candidates[next.candidate].due();
+        Timestamp at = candidates[next.candidate].due();
         if (at == null || Math.abs(at.ms() - next.ms) > 1e-9) {
           continue;
         }
-        now = Moment.ofMs(next.ms);
+        now = Timestamp.ofMs(next.ms);
         candidates[next.candidate].tick(now, 1);
         settle();
         again(next.candidate);
       }
-      now = Moment.ofMs(untilMs);
+      now = Timestamp.ofMs(untilMs);
     }
 
     private void again(int candidate) {
--- a/src/test/java/sprucerock/lease/LeaseStudy.java
+++ b/src/test/java/sprucerock/lease/LeaseStudy.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import sprucerock.stats.Chance;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * In simulated time: how long a lease has no holder after the holder crashes, stands still or is
@@ -34,7 +34,7 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final Terms terms = new Terms(GRANTERS, Span.ofMs(TERM), Span.ofMs(TERM), 0.01);
+  private final Terms terms = new Terms(GRANTERS, TimeSpan.ofMs(TERM), TimeSpan.ofMs(TERM), 0.01);
   private final List<Granter> granters = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private double now;
@@ -75,7 +75,7 @@
                     long number,
                     long round,
                     long highest,
-                    Span left,
+                    TimeSpan left,
                     Granter.Refusal why) {
                   way(
                       () ->
@@ -105,7 +105,7 @@
                               .heard(() -> members.get(who).candidate.freed(time(), 0)));
                 }
               },
-              Moment.ofMs(-1),
+              Timestamp.ofMs(-1),
               java.util.Map.of()));
     }
     for (int i = 0; i < relays; i++) {
@@ -116,8 +116,8 @@
     }
   }
 
-  private Moment time() {
-    return Moment.ofMs(now);
+  private Timestamp time() {
+    return Timestamp.ofMs(now);
   }
 
   private void at(double when, Runnable what) {
@@ -152,7 +152,7 @@
       this.number = number;
       candidate =
           new Candidate(
-              "task", terms, this, new Chance(seed * 10_007 + number)::next, number, life);
+              "task", terms, this, new DeterministicRandom(seed * 10_007 + number)::next, number, life);
     }
 
     void heard(Runnable what) {
@@ -242,7 +242,7 @@
                   "task",
                   terms,
                   this,
-                  new Chance(now == 0 ? 1 : (long) now * 31 + number)::next,
+                  new DeterministicRandom(now == 0 ? 1 : (long) now * 31 + number)::next,
                   number,
                   life);
           at(now + 1500, () -> heard(() -> candidate.want(time(), 0)));
--- a/src/test/java/sprucerock/lease/LeaseTest.java
+++ b/src/test/java/sprucerock/lease/LeaseTest.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Granters and candidates, one thing at a time. A granter's word is "1 granted 5" and so on, in the
  * order it was said.
  */
 public class LeaseTest {
-  private static final Terms TERMS = new Terms(3, Span.ofMs(1000), Span.ofMs(2000), 0.01);
+  private static final Terms TERMS = new Terms(3, TimeSpan.ofMs(1000), TimeSpan.ofMs(2000), 0.01);
   private final List<String> said = new ArrayList<>();
   private Granter granter;
   private Candidate candidate;
@@ -36,7 +36,7 @@
             long number,
             long round,
             long highest,
-            Span left,
+            TimeSpan left,
             Granter.Refusal why) {
           said.add(who + " refused " + why + " " + Math.round(left.ms()));
         }
@@ -79,8 +79,8 @@
     said.clear();
   }
 
-  private static Moment at(double ms) {
-    return Moment.ofMs(ms);
+  private static Timestamp at(double ms) {
+    return Timestamp.ofMs(ms);
   }
 
   private void ask(int who, long number, double ms) {
@@ -230,8 +230,8 @@
   public void withoutAMajorityItGivesBackAndWaitsLongerEachTime() {
     candidate.want(at(0), 40);
     candidate.granted(0, 40 << 16 | 7, 1, at(1));
-    candidate.refused(1, 40 << 16 | 7, 1, 90L << 16, Span.ZERO, false, at(1));
-    candidate.refused(2, 40 << 16 | 7, 1, 0, Span.ZERO, false, at(1));
+    candidate.refused(1, 40 << 16 | 7, 1, 90L << 16, TimeSpan.ZERO, false, at(1));
+    candidate.refused(2, 40 << 16 | 7, 1, 0, TimeSpan.ZERO, false, at(1));
     heard("ask 40 round 1", "back to 0");
     double first = candidate.due().ms();
     candidate.tick(at(first), 40);
@@ -259,9 +259,9 @@
     double[] clock = {0};
     Guard guard = new Guard(candidate, () -> at(clock[0]));
     List<Long> acts = new ArrayList<>();
-    assertTrue(guard.act(Span.ofMs(900), acts::add));
+    assertTrue(guard.act(TimeSpan.ofMs(900), acts::add));
     clock[0] = 500;
-    assertFalse(guard.act(Span.ofMs(900), acts::add));
+    assertFalse(guard.act(TimeSpan.ofMs(900), acts::add));
     assertTrue(guard.act(acts::add));
     clock[0] = 990;
     assertFalse(guard.act(acts::add));
@@ -288,7 +288,7 @@
   public void termsThatMakeNoSenseAreRefused() {
     for (Map.Entry<Integer, Double> bad : Map.of(4, 0.0, 3, 0.3).entrySet()) {
       try {
-        new Terms(bad.getKey(), Span.ofMs(1), Span.ofMs(1), bad.getValue());
+        new Terms(bad.getKey(), TimeSpan.ofMs(1), TimeSpan.ofMs(1), bad.getValue());
         throw new AssertionError("taken: " + bad);
       } catch (IllegalArgumentException e) {
         assertFalse(e.getMessage().isEmpty());
--- a/src/test/java/sprucerock/lease/SearchMain.java
+++ b/src/test/java/sprucerock/lease/SearchMain.java
@@ -1,6 +1,6 @@
 package sprucerock.lease;
 
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * The search at sizes that take minutes: {@code SearchMain [ticks asks granter-crashes
@@ -35,5 +35,5 @@
     }
   }
 
-  static final Span TERM = Span.ofMs(4);
+  static final TimeSpan TERM = TimeSpan.ofMs(4);
 }
--- a/src/test/java/sprucerock/lease/SearchTest.java
+++ b/src/test/java/sprucerock/lease/SearchTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.function.Supplier;
 import org.testng.annotations.Test;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * That never two act at once: looked for in every order of events up to stated bounds, and in long
@@ -26,7 +26,7 @@
   };
 
   static World world(World.Makers makers, double chance, double[] paces) {
-    Terms terms = new Terms(3, Span.ofMs(2), Span.ofMs(2), DRIFT);
+    Terms terms = new Terms(3, TimeSpan.ofMs(2), TimeSpan.ofMs(2), DRIFT);
     World world =
         new World(
             makers,
@@ -93,7 +93,7 @@
    * comes a second time.
    */
   private static World oneThatHearsOldAnswersAgain(World.Makers makers) {
-    Terms terms = new Terms(3, Span.ofMs(12), Span.ofMs(12), DRIFT);
+    Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     World world = new World(makers, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
     world.befall(1, 3);
     world.arrive(World.Kind.ASK, 0);
@@ -130,7 +130,7 @@
    * and gives it back; then the ask arrives.
    */
   private static World oneThatStoodStillWhileAnotherHeldIt(World.Makers makers) {
-    Terms terms = new Terms(3, Span.ofMs(12), Span.ofMs(12), DRIFT);
+    Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     World world = new World(makers, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
     world.befall(1, 3);
     world.pass(3); // both asked once, and the first one again
@@ -151,7 +151,7 @@
   public void fencingAloneHoldsWhereClocksAreWorseThanStated() {
     boolean two = false;
     for (int seed = 0; seed < 60; seed++) {
-      Terms terms = new Terms(3, Span.ofMs(12), Span.ofMs(12), 0);
+      Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), 0);
       World world =
           new World(
               new World.Makers() {},
@@ -170,7 +170,7 @@
     Random random = new Random(seed);
     double[][] paces = PACES;
     double[] some = paces[random.nextInt(paces.length)];
-    Terms terms = new Terms(3, Span.ofMs(12), Span.ofMs(12), DRIFT);
+    Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     World world =
         new World(
             makers,
--- a/src/test/java/sprucerock/lease/World.java
+++ b/src/test/java/sprucerock/lease/World.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Candidates and granters of one lease as they may stand to each other, with every message that was
@@ -30,12 +30,12 @@
     }
 
     default Granter granter(
-        Terms terms, Granter.Host host, Moment opens, Map<String, Grant> grants) {
+        Terms terms, Granter.Host host, Timestamp opens, Map<String, Grant> grants) {
       return new Granter(terms, host, opens, grants);
     }
 
     /** Whether an act may be sent. */
-    default boolean guards(Candidate candidate, Moment now) {
+    default boolean guards(Candidate candidate, Timestamp now) {
       return candidate.holds(now);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** How long a granter that begins anew grants nothing. */
-    default Span sitsOut(Terms terms) {
+    default TimeSpan sitsOut(Terms terms) {
       return terms.longest();
     }
   }
@@ -65,7 +65,7 @@
       long number,
       long round,
       long highest,
-      Span left,
+      TimeSpan left,
       boolean held)
       implements Comparable<Message> {
     @Override
@@ -99,7 +99,7 @@
   private final Candidate[] candidates;
   private final boolean[] stalled;
   private final long[] lives;
-  private final Moment[] opens;
+  private final Timestamp[] opens;
   private final List<Map<String, Grant>> grants = new ArrayList<>();
   private TreeSet<Message> sent = new TreeSet<>();
   private final List<Message> order = new ArrayList<>(); // as they were sent; not kept in copies
@@ -130,16 +130,16 @@
     candidates = new Candidate[paceOfCandidates.length];
     stalled = new boolean[candidates.length];
     lives = new long[candidates.length];
-    opens = new Moment[paceOfGranters.length];
+    opens = new Timestamp[paceOfGranters.length];
     for (int i = 0; i < opens.length; i++) {
-      opens[i] = Moment.ofMs(0);
+      opens[i] = Timestamp.ofMs(0);
       grants.add(Map.of());
     }
     for (int i = 0; i < candidates.length; i++) {
       candidates[i] = made(i);
     }
     for (Candidate one : candidates) {
-      one.want(Moment.ofMs(0), 1);
+      one.want(Timestamp.ofMs(0), 1);
     }
   }
 
@@ -187,14 +187,14 @@
             }
             send(
                 new Message(
-                    Kind.ASK, index, granter, lives[index], number, round, 0, Span.ZERO, false));
+                    Kind.ASK, index, granter, lives[index], number, round, 0, TimeSpan.ZERO, false));
           }
 
           @Override
           public void giveBack(int granter, String name, long number, int heir) {
             send(
                 new Message(
-                    Kind.RETURN, index, granter, lives[index], number, 0, 0, Span.ZERO, false));
+                    Kind.RETURN, index, granter, lives[index], number, 0, 0, TimeSpan.ZERO, false));
           }
 
           @Override
@@ -224,8 +224,8 @@
     return isNew;
   }
 
-  private Moment clock(int candidate) {
-    return Moment.ofMs(tick * paceOfCandidates[candidate]);
+  private Timestamp clock(int candidate) {
+    return Timestamp.ofMs(tick * paceOfCandidates[candidate]);
   }
 
   /** What can happen next, by number: each leads to another world. */
@@ -317,7 +317,7 @@
     int granter = choice - 4 * candidates.length;
     granterCrashes++;
     grants.set(granter, Map.of());
-    opens[granter] = Moment.ofMs(tick * paceOfGranters[granter]).plus(makers.sitsOut(terms));
+    opens[granter] = Timestamp.ofMs(tick * paceOfGranters[granter]).plus(makers.sitsOut(terms));
     return check();
   }
 
@@ -330,7 +330,7 @@
         }
         return send(
             new Message(
-                Kind.ACT, who, 0, lives[who], candidates[who].number(), 0, 0, Span.ZERO, false));
+                Kind.ACT, who, 0, lives[who], candidates[who].number(), 0, 0, TimeSpan.ZERO, false));
       }
       case 1 -> {
         if (candidateCrashes >= mostCandidateCrashes) {
@@ -408,7 +408,7 @@
                         number,
                         round,
                         0,
-                        Span.ZERO,
+                        TimeSpan.ZERO,
                         false));
               }
 
@@ -419,7 +419,7 @@
                   long number,
                   long round,
                   long highest,
-                  Span left,
+                  TimeSpan left,
                   Granter.Refusal why) {
                 if (!brief) {
                   send(
@@ -443,7 +443,7 @@
             },
             opens[at],
             grants.get(at));
-    Moment now = Moment.ofMs(tick * paceOfGranters[at]);
+    Timestamp now = Timestamp.ofMs(tick * paceOfGranters[at]);
     if (message.kind == Kind.ASK) {
       granter.asked(who, message.life, NAME, message.number, message.round, now);
     } else {
--- a/src/test/java/sprucerock/metrics/ExportTest.java
+++ b/src/test/java/sprucerock/metrics/ExportTest.java
@@ -17,8 +17,8 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.testng.annotations.Test;
-import sprucerock.accounting.Accounts;
-import sprucerock.time.Span;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.time.TimeSpan;
 
 /** What a monitor reads: sums hold within each scrape, whatever the relay does meanwhile. */
 public class ExportTest {
@@ -43,8 +43,8 @@
 
   @Test
   public void everyScrapeBalancesBesideARelayThatNeverRests() throws Exception {
-    Accounts accounts = new Accounts(List.of("read", "pay"), Accounts.Room.NONE);
-    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), MethodAccounts.Room.NONE);
+    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     AtomicBoolean drift = new AtomicBoolean();
     AtomicBoolean over = new AtomicBoolean();
     Thread relay =
@@ -54,7 +54,7 @@
                 int method = i & 1;
                 accounts.rpcArrived(method, 0);
                 if (i % 3 == 1) {
-                  accounts.rpcAnswered(method, 0, Span.ofMs(i % 1000 * 0.1), i % 2 == 0, true);
+                  accounts.rpcAnswered(method, 0, TimeSpan.ofMs(i % 1000 * 0.1), i % 2 == 0, true);
                 }
                 if (i % 3 == 2) {
                   accounts.rpcEnded(method, 0, 2 + i % 3);
@@ -65,8 +65,8 @@
                 }
               }
             });
-    try (Export export =
-        new Export(
+    try (MetricsExporter export =
+        new MetricsExporter(
             keeper::snapshot,
             drift::get,
             keeper::kept,
@@ -109,8 +109,8 @@
     }
   }
 
-  private static Export some(Keeper keeper) throws Exception {
-    return new Export(
+  private static MetricsExporter some(MetricsFileWriter keeper) throws Exception {
+    return new MetricsExporter(
         keeper::snapshot,
         () -> false,
         keeper::kept,
@@ -118,8 +118,8 @@
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
-  private static Accounts accounts() {
-    Accounts accounts = new Accounts(List.of("read", "pay"), new Accounts.Room(1, 1, 1));
+  private static MethodAccounts accounts() {
+    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
     accounts.row(accounts.customers, "0");
     return accounts;
   }
@@ -130,10 +130,10 @@
    */
   @Test
   public void stalledScrapesHoldUpOthersOnlyForAWhileAndTheRelayNever() throws Exception {
-    Accounts accounts = accounts();
-    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    MethodAccounts accounts = accounts();
+    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     List<Socket> stalled = new ArrayList<>();
-    try (Export export = some(keeper)) {
+    try (MetricsExporter export = some(keeper)) {
       for (int i = 0; i < 60; i++) {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), export.port());
         stalled.add(socket);
@@ -166,10 +166,10 @@
 
   @Test
   public void aScrapeWhileTheRelayEndsHasItsLastFigures() throws Exception {
-    Accounts accounts = accounts();
-    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    MethodAccounts accounts = accounts();
+    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     accounts.rpcArrived(1, 0);
-    try (Export export = some(keeper)) {
+    try (MetricsExporter export = some(keeper)) {
       keeper.close();
       Map<String, Double> found = scrape(HttpClient.newHttpClient(), export.port(), "text/plain");
       assertEquals(found.get("sprucerock_rpcs_open{method=\"pay\"}"), 1.0);
@@ -180,14 +180,14 @@
 
   @Test
   public void latenciesAreServedInOctavesAndTheTableIsForPeople() throws Exception {
-    Accounts accounts = accounts();
-    Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+    MethodAccounts accounts = accounts();
+    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     for (double ms : new double[] {0.1, 0.9, 1.0, 1.1, 200, 80_000}) {
       accounts.rpcArrived(0, 0);
-      accounts.rpcAnswered(0, 0, Span.ofMs(ms), ms < 100, ms < 1000);
+      accounts.rpcAnswered(0, 0, TimeSpan.ofMs(ms), ms < 100, ms < 1000);
     }
     accounts.commit();
-    try (Export export = some(keeper)) {
+    try (MetricsExporter export = some(keeper)) {
       HttpClient http = HttpClient.newHttpClient();
       Map<String, Double> found = scrape(http, export.port(), "text/plain");
       assertEquals(
--- a/src/test/java/sprucerock/metrics/PagesTest.java
+++ b/src/test/java/sprucerock/metrics/PagesTest.java
@@ -13,29 +13,29 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
-import sprucerock.accounting.Accounts;
-import sprucerock.accounting.Sheet;
-import sprucerock.time.Span;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.MethodMetrics;
+import sprucerock.time.TimeSpan;
 
 /** Figures through kills at every write, damage of every kind, and one life after another. */
 public class PagesTest {
   private static final List<String> METHODS = List.of("read", "pay");
-  private static final Accounts.Room ROOM = new Accounts.Room(2, 3, 2);
+  private static final MethodAccounts.Room ROOM = new MethodAccounts.Room(2, 3, 2);
 
   /** Memory of a process that is killed at its n-th write, which gets so many of its bytes down. */
-  private static final class Mortal implements Memory {
+  private static final class Mortal implements MetricsMemory {
     private static final class Killed extends RuntimeException {
       private static final long serialVersionUID = 1L;
     }
 
     private final ByteBuffer bytes;
-    private final BufferMemory memory;
+    private final BufferMetricsMemory memory;
     private long left;
     private final int torn;
 
     Mortal(int size, long writes, int torn) {
       bytes = ByteBuffer.allocate(size);
-      memory = new BufferMemory(bytes);
+      memory = new BufferMetricsMemory(bytes);
       left = writes;
       this.torn = torn;
     }
@@ -73,7 +73,7 @@
     }
   }
 
-  private static void someTurn(Accounts accounts, SplittableRandom random) {
+  private static void someTurn(MethodAccounts accounts, SplittableRandom random) {
     for (int i = random.nextInt(4); i >= 0; i--) {
       int method = random.nextInt(2);
       int build = accounts.row(accounts.builds, "" + random.nextInt(4));
@@ -81,30 +81,30 @@
       accounts.pickSent(method, build, unit, false);
       accounts.pickWritten();
       if (random.nextBoolean()) {
-        accounts.pickEnded(method, build, unit, false, true, 1, Span.ofMs(random.nextDouble(20)));
+        accounts.pickEnded(method, build, unit, false, true, 1, TimeSpan.ofMs(random.nextDouble(20)));
       }
     }
   }
 
-  private static Pages pages(Memory memory, Accounts accounts) {
-    return new Pages(memory, accounts.layout(), accounts.size(), accounts.rows(), 1);
+  private static MappedMetricsFile pages(MetricsMemory memory, MethodAccounts accounts) {
+    return new MappedMetricsFile(memory, accounts.layout(), accounts.size(), accounts.rows(), 1);
   }
 
   private static int size() {
-    Accounts accounts = new Accounts(METHODS, ROOM);
-    return Pages.size(accounts.layout(), accounts.size(), accounts.rows());
+    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+    return MappedMetricsFile.size(accounts.layout(), accounts.size(), accounts.rows());
   }
 
   /** Turns of a relay until it is killed; the values after each turn go into {@code states}. */
   private static void live(Mortal memory, List<long[]> states) {
-    Accounts accounts = new Accounts(METHODS, ROOM);
+    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
     SplittableRandom random = new SplittableRandom(4);
-    Pages pages = pages(memory, accounts);
+    MappedMetricsFile pages = pages(memory, accounts);
     accounts.keepIn(pages, () -> {});
     for (int i = 0; i < 120; i++) {
       someTurn(accounts, random);
       long[] after = new long[accounts.size()];
-      for (Sheet sheet : accounts.sheets()) {
+      for (MethodMetrics sheet : accounts.sheets()) {
         for (int row = 0; row < sheet.rows(); row++) {
           for (int column = 0; column < sheet.columns().size(); column++) {
             after[sheet.index(row, column)] = accounts.value(sheet, row, column);
@@ -131,7 +131,7 @@
           killed = true;
         }
         if (states.size() > 1) { // before, the file is not in its place yet
-          Snapshot snapshot = Snapshot.read(memory, "f");
+          MetricsSnapshot snapshot = MetricsSnapshot.read(memory, "f");
           long[] last = states.get(states.size() - 1);
           long[] before = states.get(states.size() - 2);
           assertTrue(
@@ -153,9 +153,9 @@
     return Files.createTempDirectory("figures");
   }
 
-  private static Accounts life(Path file, List<String> said, boolean ends, int turns) {
-    Accounts accounts = new Accounts(METHODS, ROOM);
-    Keeper keeper = Keeper.open(file, accounts, () -> {}, said::add);
+  private static MethodAccounts life(Path file, List<String> said, boolean ends, int turns) {
+    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+    MetricsFileWriter keeper = MetricsFileWriter.open(file, accounts, () -> {}, said::add);
     SplittableRandom random = new SplittableRandom(turns);
     for (int i = 0; i < turns; i++) {
       someTurn(accounts, random);
@@ -171,16 +171,16 @@
   public void eachLifeGoesOnFromTheLastAndWhatWasOutIsLostWithTheRelay() throws Exception {
     Path file = folder().resolve("r.figures");
     List<String> said = new ArrayList<>();
-    Accounts first = life(file, said, false, 50);
+    MethodAccounts first = life(file, said, false, 50);
     long sent = first.sum(first.picks, 0);
     long out = first.sum(first.picks, first.picks.pending());
     assertTrue(out > 0);
-    Accounts second = life(file, said, false, 0); // killed again before anything happened
+    MethodAccounts second = life(file, said, false, 0); // killed again before anything happened
     assertEquals(second.sum(second.picks, second.picks.lost()), out);
-    Accounts third = life(file, said, true, 20);
+    MethodAccounts third = life(file, said, true, 20);
     assertTrue(third.sum(third.picks, 0) > sent);
     assertEquals(third.sum(third.picks, third.picks.lost()), out);
-    Snapshot snapshot = Snapshot.read(file);
+    MetricsSnapshot snapshot = MetricsSnapshot.read(file);
     assertEquals(snapshot.generation, 3);
     assertTrue(snapshot.closed);
     assertEquals(snapshot.accounts().check(snapshot.values), List.of());
@@ -193,16 +193,16 @@
   public void rowsAreCarriedByNameWhateverTheSettingsAreNow() throws Exception {
     Path file = folder().resolve("r.figures");
     life(file, new ArrayList<>(), true, 30);
-    long[] before = Snapshot.read(file).values;
-    Accounts now = new Accounts(List.of("pay", "extra", "read"), new Accounts.Room(1, 1, 1));
+    long[] before = MetricsSnapshot.read(file).values;
+    MethodAccounts now = new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Room(1, 1, 1));
     List<String> said = new ArrayList<>();
-    Keeper.open(file, now, () -> {}, said::add);
+    MetricsFileWriter.open(file, now, () -> {}, said::add);
     assertEquals(said, List.of());
-    Accounts old = new Accounts(METHODS, ROOM);
+    MethodAccounts old = new MethodAccounts(METHODS, ROOM);
     assertEquals(now.value(now.picks, 2, 0), before[old.picks.index(0, 0)]);
     assertEquals(now.value(now.picks, 0, 1), before[old.picks.index(1, 1)]);
     assertEquals(now.check(), List.of());
-    assertEquals(Snapshot.read(file).names[0], "all");
+    assertEquals(MetricsSnapshot.read(file).names[0], "all");
   }
 
   @Test
@@ -220,7 +220,7 @@
     newer[7]++;
     bad.add(newer);
     byte[] bothCopies = good.clone();
-    Accounts accounts = new Accounts(METHODS, ROOM);
+    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
     int copy = (accounts.size() + 2) * 8;
     bothCopies[good.length - 24] ^= 1;
     bothCopies[good.length - copy - 24] ^= 1;
@@ -228,13 +228,13 @@
     for (byte[] one : bad) {
       Files.write(file, one);
       List<String> said = new ArrayList<>();
-      Accounts life = life(file, said, true, 3);
+      MethodAccounts life = life(file, said, true, 3);
       assertEquals(said.size(), 1, said.toString());
       assertTrue(
           said.get(0).startsWith(file + ": ") && said.get(0).contains("kept as r.figures.aside-"),
           said.get(0));
       assertEquals(life.value(life.files, 0, 3), 1);
-      assertTrue(Snapshot.read(file).closed);
+      assertTrue(MetricsSnapshot.read(file).closed);
     }
     try (var files = Files.list(folder)) {
       assertEquals(files.filter(path -> path.toString().contains(".aside-")).count(), bad.size());
@@ -246,12 +246,12 @@
     Path file = folder().resolve("r.figures");
     life(file, new ArrayList<>(), false, 30);
     byte[] bytes = Files.readAllBytes(file);
-    Snapshot good = Snapshot.read(file);
-    Accounts accounts = new Accounts(METHODS, ROOM);
+    MetricsSnapshot good = MetricsSnapshot.read(file);
+    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
     for (int copy = 0; copy < 2; copy++) {
       byte[] damaged = bytes.clone();
       damaged[bytes.length - 24 - copy * (accounts.size() + 2) * 8] ^= 4;
-      Snapshot read = Snapshot.read(new BufferMemory(ByteBuffer.wrap(damaged)), "f");
+      MetricsSnapshot read = MetricsSnapshot.read(new BufferMetricsMemory(ByteBuffer.wrap(damaged)), "f");
       assertEquals(read.accounts().check(read.values), List.of());
       assertTrue(
           read.values[accounts.picks.index(0, 0)] <= good.values[accounts.picks.index(0, 0)]);
@@ -263,22 +263,22 @@
     Path folder = folder();
     Path file = folder.resolve("none").resolve("r.figures");
     List<String> said = new ArrayList<>();
-    Accounts accounts = life(file, said, true, 5);
+    MethodAccounts accounts = life(file, said, true, 5);
     assertTrue(accounts.sum(accounts.picks, 0) > 0);
     assertEquals(said.size(), 1);
     assertTrue(said.get(0).contains("figures stay in memory"), said.get(0));
-    assertTrue(!Keeper.open(file, new Accounts(METHODS, ROOM), () -> {}, said::add).kept());
+    assertTrue(!MetricsFileWriter.open(file, new MethodAccounts(METHODS, ROOM), () -> {}, said::add).kept());
     assertTrue(
         PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)).startsWith("rwx"));
-    expectThrows(java.io.IOException.class, () -> Snapshot.read(file));
+    expectThrows(java.io.IOException.class, () -> MetricsSnapshot.read(file));
   }
 
   /** A reader beside a writer that never rests: what it reads is always whole. */
   @Test
   public void aReaderBesideTheRelayNeverSeesHalfATurn() throws Exception {
     Path file = folder().resolve("r.figures");
-    Accounts accounts = new Accounts(METHODS, ROOM);
-    Keeper.open(file, accounts, () -> {}, line -> {});
+    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+    MetricsFileWriter.open(file, accounts, () -> {}, line -> {});
     boolean[] over = new boolean[1];
     Thread writer =
         new Thread(
@@ -298,7 +298,7 @@
       synchronized (over) {
         last = over[0];
       }
-      Snapshot snapshot = Snapshot.read(file);
+      MetricsSnapshot snapshot = MetricsSnapshot.read(file);
       assertEquals(snapshot.accounts().check(snapshot.values), List.of());
     }
     writer.join();
--- a/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
@@ -53,15 +53,15 @@
   }
 
   private static Site site(Site.Control control, int on, int back) {
-    Span soft = Span.ofMs(100);
-    Span deadline = Span.ofMs(1000);
+    TimeSpan soft = TimeSpan.ofMs(100);
+    TimeSpan deadline = TimeSpan.ofMs(1000);
     return new Site(
         List.of(
-            new Site.Method("read", Site.Effect.IDEMPOTENT, 0.4, 10, soft, deadline, 1, Span.ZERO),
+            new Site.Method("read", Site.Effect.IDEMPOTENT, 0.4, 10, soft, deadline, 1, TimeSpan.ZERO),
             new Site.Method(
-                "reserve", Site.Effect.TOKENED, 0.3, 10, soft, deadline, 1, Span.ofMs(2000)),
+                "reserve", Site.Effect.TOKENED, 0.3, 10, soft, deadline, 1, TimeSpan.ofMs(2000)),
             new Site.Method(
-                "pay", Site.Effect.NON_IDEMPOTENT, 0.3, 10, soft, deadline, 1, Span.ZERO)),
+                "pay", Site.Effect.NON_IDEMPOTENT, 0.3, 10, soft, deadline, 1, TimeSpan.ZERO)),
         List.of(),
         List.of(new Site.Stage(0.1, 0.1), new Site.Stage(1, 1)),
         new Site.Desk(
@@ -69,12 +69,12 @@
             on,
             1,
             back,
-            Span.ofMs(4000),
-            Span.ofMs(500),
-            Span.ofMs(2000),
-            Span.ofMs(1000),
+            TimeSpan.ofMs(4000),
+            TimeSpan.ofMs(500),
+            TimeSpan.ofMs(2000),
+            TimeSpan.ofMs(1000),
             1),
-        new Site.Cold(0.4, Span.ofMs(3000), 3, Span.ofMs(1000)));
+        new Site.Cold(0.4, TimeSpan.ofMs(3000), 3, TimeSpan.ofMs(1000)));
   }
 
   private UnitStandIn unit(BuildFault fault, boolean cold) throws Exception {
@@ -213,14 +213,14 @@
 
   @Test
   public void theRosterTellsLateAndInOrder() throws Exception {
-    RosterStandIn roster = new RosterStandIn(net, trace, Person.LIMITS, Span.ofMs(300));
+    RosterStandIn roster = new RosterStandIn(net, trace, Person.LIMITS, TimeSpan.ofMs(300));
     Person relay = at(roster.start());
     net.turn(() -> relay.send(Kind.WATCH, Watch.getDefaultInstance()));
     net.settle();
     Entry.Builder entry = Entry.newBuilder().setUnit(1).setRun(1).setHealth(Health.READY);
-    roster.late(Span.ofMs(1000));
+    roster.late(TimeSpan.ofMs(1000));
     roster.changed(entry.build(), null);
-    roster.late(Span.ZERO);
+    roster.late(TimeSpan.ZERO);
     roster.changed(entry.setHealth(Health.DRAINING).build(), null);
     net.pass(1200);
     assertEquals(relay.<Listing>all(Kind.LISTING).size(), 1, "the whole list, empty");
@@ -353,7 +353,7 @@
             trace,
             Person.LIMITS,
             site,
-            new ClientStandIn.Manners(2, Span.ofMs(20), 0, 0),
+            new ClientStandIn.Manners(2, TimeSpan.ofMs(20), 0, 0),
             new ClientStandIn.Ear() {
               @Override
               public void asked(ClientStandIn.Order order) {}
--- a/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
@@ -16,7 +16,7 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * What a way does to connections, in simulated time: nothing is lost, made up or put in another
@@ -74,7 +74,7 @@
         () ->
             net.connect(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                Span.ofMs(1000),
+                TimeSpan.ofMs(1000),
                 1000,
                 party));
     net.settle();
@@ -125,12 +125,12 @@
   @Test
   public void piecesThatAreLateOrSentAgainKeepTheirOrder() {
     Party near = dial();
-    way.late(Span.ofMs(300));
+    way.late(TimeSpan.ofMs(300));
     way.lose(0.5);
     StringBuilder said = new StringBuilder();
     for (int i = 0; i < 50; i++) {
       if (i == 30) {
-        way.late(Span.ZERO);
+        way.late(TimeSpan.ZERO);
       }
       say(near, i + " ");
       said.append(i).append(' ');
--- a/src/test/java/sprucerock/rehearsal/scenario/ChangeDayTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/ChangeDayTest.java
@@ -50,7 +50,7 @@
         play(
             "22s",
             """
-            at 2s change program "sprucerock.rehearsal.EndsAtOnce"
+            at 2s change program "sprucerock.rehearsal.scenario.EndsAtOnce"
             at 3s controller killed for 1s
             at 6s agent 1 killed for 1s
             """);
@@ -67,7 +67,7 @@
         play(
             "40s",
             """
-            at 2s change program "sprucerock.rehearsal.EndsAtOnce"
+            at 2s change program "sprucerock.rehearsal.scenario.EndsAtOnce"
             at 3s ways of agents cut there for 4s
             at 9s ways of agents cut back for 4s
             at 15s ways of agents 0 to 1 reset for 1s
--- a/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.metrics.Keeper;
-import sprucerock.accounting.Accounts;
-import sprucerock.time.Span;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.time.TimeSpan;
 
 /**
  * A fleet of one relay: three RPCs, of which one never arrived and one answer was dropped on the
@@ -54,8 +54,8 @@
   private static List<FleetBook.Entry> hold(String standIns, String relay, String counts, int picks)
       throws Exception {
     Path folder = Files.createTempDirectory("fleet");
-    Accounts accounts = new Accounts(List.of("read"), new Accounts.Room(1, 1, 1));
-    Keeper keeper = Keeper.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
+    MethodAccounts accounts = new MethodAccounts(List.of("read"), new MethodAccounts.Room(1, 1, 1));
+    MetricsFileWriter keeper = MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
     int build = accounts.row(accounts.builds, "1");
     accounts.row(accounts.customers, "0");
     accounts.row(accounts.units, "4");
@@ -63,8 +63,8 @@
       accounts.rpcArrived(0, 0);
       accounts.pickSent(0, build, 0, false);
       accounts.pickWritten();
-      accounts.pickEnded(0, build, 0, false, true, 1, Span.ofMs(1));
-      accounts.rpcAnswered(0, 0, Span.ofMs(1), true, true);
+      accounts.pickEnded(0, build, 0, false, true, 1, TimeSpan.ofMs(1));
+      accounts.rpcAnswered(0, 0, TimeSpan.ofMs(1), true, true);
     }
     keeper.close();
     Files.writeString(folder.resolve("relay-0.xml"), "");
--- a/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.metrics.Keeper;
-import sprucerock.accounting.Accounts;
-import sprucerock.time.Span;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.time.TimeSpan;
 
 /** Figures held against frames: what is equal holds, what differs is named. */
 public class SecondBookTest {
@@ -18,14 +18,14 @@
 
   private static List<String> differing(int posted, int left, String trace) throws Exception {
     Path folder = Files.createTempDirectory("book");
-    Accounts accounts = new Accounts(List.of("read"), Accounts.Room.NONE);
-    Keeper keeper = Keeper.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
+    MethodAccounts accounts = new MethodAccounts(List.of("read"), MethodAccounts.Room.NONE);
+    MetricsFileWriter keeper = MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
     for (int i = 0; i < posted; i++) {
       accounts.rpcArrived(0, 0);
       if (i < left) {
         accounts.rpcEnded(0, 0, 4);
       } else {
-        accounts.rpcAnswered(0, 0, Span.ofMs(1), true, true);
+        accounts.rpcAnswered(0, 0, TimeSpan.ofMs(1), true, true);
       }
     }
     keeper.close();
--- a/src/test/java/sprucerock/relay/frames/RacksTest.java
+++ b/src/test/java/sprucerock/relay/frames/RacksTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import sprucerock.transport.net.ScriptedNet;
 import sprucerock.relay.engine.Events;
-import sprucerock.stats.Chance;
+import sprucerock.stats.DeterministicRandom;
 import sprucerock.transport.wire.v1.PromiseAsk;
 import sprucerock.transport.wire.v1.Promised;
 import sprucerock.transport.wire.v1.RackFree;
@@ -36,7 +36,7 @@
             net,
             RelayTest.config(xml),
             new Events(net),
-            new Chance(1),
+            new DeterministicRandom(1),
             new Racks.Owner() {
               @Override
               public boolean ask(PromiseAsk ask) {
--- a/src/test/java/sprucerock/relay/frames/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/RelayTest.java
@@ -14,16 +14,16 @@
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.policy.Host;
+import sprucerock.policy.RelayActions;
 import sprucerock.model.Build;
-import sprucerock.model.Pick;
+import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
-import sprucerock.model.Unit;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Verdict;
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -72,20 +72,20 @@
    * Sends each RPC to the first unit that is ready, and pushes back what ends otherwise than ok.
    */
   private final class Simple extends Told {
-    private Host host;
-    private final List<Unit> ready = new ArrayList<>();
-    private final List<Pick> picks = new ArrayList<>();
+    private RelayActions host;
+    private final List<Endpoint> ready = new ArrayList<>();
+    private final List<Attempt> picks = new ArrayList<>();
     private boolean waits;
     private boolean faulty;
 
     @Override
-    public void unitReady(Unit unit) {
+    public void unitReady(Endpoint unit) {
       super.unitReady(unit);
       ready.add(unit);
     }
 
     @Override
-    public void unitLeaving(Unit unit) {
+    public void unitLeaving(Endpoint unit) {
       super.unitLeaving(unit);
       ready.remove(unit);
     }
@@ -100,7 +100,7 @@
         send(rpc, null);
       }
       host.wake(
-          rpc.deadline.minus(Span.ofMs(10)),
+          rpc.deadline.minus(TimeSpan.ofMs(10)),
           () -> {
             if (!rpc.ended()) {
               host.abort(rpc);
@@ -108,18 +108,18 @@
           });
     }
 
-    Pick send(Rpc rpc, Span patience) {
-      Pick pick = new Pick(rpc, ready.get(0), host.now(), patience);
+    Attempt send(Rpc rpc, TimeSpan patience) {
+      Attempt pick = new Attempt(rpc, ready.get(0), host.now(), patience);
       picks.add(pick);
       host.send(pick);
       return pick;
     }
 
     @Override
-    public void pickEnded(Pick pick, boolean answers) {
+    public void pickEnded(Attempt pick, boolean answers) {
       super.pickEnded(pick, answers);
       if (!pick.rpc.ended() && pick.rpc.out() == 0 && !waits) {
-        host.pushBack(pick.rpc, Span.ofMs(20));
+        host.pushBack(pick.rpc, TimeSpan.ofMs(20));
       }
     }
   }
@@ -268,14 +268,14 @@
           // out
           client.send(Kind.CALL, Call.newBuilder().setId(3).setLeftUs(1_000_000).build());
         });
-    Pick unsent = sendThenCut();
+    Attempt unsent = sendThenCut();
     assertEquals(unsent.outcome().name(), "NOT_CONNECTED");
   }
 
   /** A pick written in a turn in which its link is cut too. */
-  private Pick sendThenCut() {
+  private Attempt sendThenCut() {
     net.settle();
-    Pick[] made = new Pick[1];
+    Attempt[] made = new Attempt[1];
     net.turn(
         () -> {
           Rpc rpc = module.picks.get(module.picks.size() - 1).rpc;
@@ -311,7 +311,7 @@
     for (byte[] talk : talks) {
       net.connect(
           new java.net.InetSocketAddress("127.0.0.1", 1000),
-          Span.ofMs(100),
+          TimeSpan.ofMs(100),
           1000,
           new LinkUser() {
             @Override
@@ -454,7 +454,7 @@
   public void aPickPastItsPatienceIsTimedOutAndItsLateAnswerDropped() {
     module.waits = true;
     calls(1);
-    Pick second = module.send(module.picks.get(0).rpc, Span.ofMs(50));
+    Attempt second = module.send(module.picks.get(0).rpc, TimeSpan.ofMs(50));
     net.pass(60);
     assertEquals(second.outcome().name(), "TIMED_OUT");
     answers(2, Result.DONE);
--- a/src/test/java/sprucerock/relay/frames/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/frames/SecuredTest.java
@@ -15,15 +15,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
-import sprucerock.policy.Host;
-import sprucerock.accounting.Accounts;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pick;
+import sprucerock.policy.RelayActions;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
-import sprucerock.model.Unit;
+import sprucerock.model.Endpoint;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
 import sprucerock.transport.tls.Buffers;
 import sprucerock.transport.tls.Chain;
@@ -52,25 +52,25 @@
 
   /** Sends each RPC to the one unit, and notes how picks end. */
   private static final class Simple extends sprucerock.relay.frames.Told {
-    private Host host;
-    private Unit unit;
-    private final List<Outcome> ends = new ArrayList<>();
+    private RelayActions host;
+    private Endpoint unit;
+    private final List<AttemptOutcome> ends = new ArrayList<>();
 
     @Override
-    public void unitReady(Unit ready) {
+    public void unitReady(Endpoint ready) {
       unit = ready;
     }
 
     @Override
     public void rpcArrived(Rpc rpc) {
-      host.send(new Pick(rpc, unit, host.now(), null));
+      host.send(new Attempt(rpc, unit, host.now(), null));
     }
 
     @Override
-    public void pickEnded(Pick pick, boolean answers) {
+    public void pickEnded(Attempt pick, boolean answers) {
       ends.add(pick.outcome());
       if (!pick.rpc.ended()) {
-        host.pushBack(pick.rpc, Span.ZERO);
+        host.pushBack(pick.rpc, TimeSpan.ZERO);
       }
     }
   }
@@ -101,7 +101,7 @@
   }
 
   private TlsLink.Place place() {
-    return new TlsLink.Place(net, new Buffers(), aside, Span.ofMs(500), Counter.NONE);
+    return new TlsLink.Place(net, new Buffers(), aside, TimeSpan.ofMs(500), Counter.NONE);
   }
 
   @BeforeMethod
@@ -192,7 +192,7 @@
     Person person = new Person(net, role, number);
     net.connect(
         new InetSocketAddress("127.0.0.1", 1000),
-        Span.ofMs(500),
+        TimeSpan.ofMs(500),
         1 << 20,
         TlsLink.client(place(), with, "relay-0.example", 1000, person.link));
     return person;
@@ -220,7 +220,7 @@
   }
 
   private long handshakes(String how) {
-    Accounts accounts = relay.ledger().accounts();
+    MethodAccounts accounts = relay.ledger().accounts();
     return accounts.value(accounts.handshakes, 0, accounts.handshakes.columns().indexOf(how));
   }
 
@@ -230,7 +230,7 @@
     calls();
     assertEquals(works(), 1);
     answers(units.get(0), ((Work) units.get(0).all(Kind.WORK).get(0)).getId());
-    assertEquals(module.ends, List.of(Outcome.OK));
+    assertEquals(module.ends, List.of(AttemptOutcome.OK));
     assertEquals(client.all(Kind.ANSWER).size(), 1);
     assertEquals(handshakes("full"), 1);
     assertEquals(relay.ledger().accounts().check(), List.of());
@@ -242,7 +242,7 @@
     starts("plain", "");
     calls();
     assertEquals(works(), 0);
-    assertEquals(module.ends, List.of(Outcome.NOT_CONNECTED));
+    assertEquals(module.ends, List.of(AttemptOutcome.NOT_CONNECTED));
     assertEquals(handshakes("wrong_name"), 1);
     shown = credentials(CA, TestCa.leaf("unit-7.example"));
     net.pass(2000);
@@ -257,7 +257,7 @@
     lists("unit-7b.example", 2); // the machine that listens there is still the old one
     calls();
     assertEquals(works(), 1);
-    assertEquals(module.ends.get(module.ends.size() - 1), Outcome.NOT_CONNECTED);
+    assertEquals(module.ends.get(module.ends.size() - 1), AttemptOutcome.NOT_CONNECTED);
     shown = credentials(CA, TestCa.leaf("unit-7b.example"));
     net.pass(2000);
     calls();
@@ -309,7 +309,7 @@
     calls();
     assertEquals(module.ends, List.of());
     net.pass(100); // connect-within
-    assertEquals(module.ends, List.of(Outcome.NOT_CONNECTED));
+    assertEquals(module.ends, List.of(AttemptOutcome.NOT_CONNECTED));
     net.pass(3000);
     assertEquals(handshakes("timed_out"), 1);
   }
@@ -326,7 +326,7 @@
     calls();
     assertEquals(units.get(1).all(Kind.WORK).size(), 1); // what is new goes the new way
     answers(old, ((Work) old.all(Kind.WORK).get(0)).getId());
-    assertEquals(module.ends, List.of(Outcome.OK));
+    assertEquals(module.ends, List.of(AttemptOutcome.OK));
     net.pass(100);
     assertTrue(old.gone != null, "still open");
     assertEquals(handshakes("resumed"), 0); // never across a change
--- a/src/test/java/sprucerock/relay/frames/Told.java
+++ b/src/test/java/sprucerock/relay/frames/Told.java
@@ -2,27 +2,27 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.policy.Host;
-import sprucerock.policy.Module;
+import sprucerock.policy.RelayActions;
+import sprucerock.policy.RelayEvents;
 import sprucerock.model.Build;
 import sprucerock.model.Method;
-import sprucerock.model.Pick;
-import sprucerock.model.Reply;
+import sprucerock.model.Attempt;
+import sprucerock.model.VoteReply;
 import sprucerock.model.Rpc;
-import sprucerock.model.Standing;
-import sprucerock.model.Unit;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Endpoint;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** A module that writes down what it is told, and hands it on where there is another behind it. */
-public class Told implements Module {
+public class Told implements RelayEvents {
   public final List<String> calls = new ArrayList<>();
-  public Module behind;
+  public RelayEvents behind;
 
   /** Where set, each call is noted with its time. */
-  public Host clock;
+  public RelayActions clock;
 
-  private void say(String call, java.util.function.Consumer<Module> next) {
+  private void say(String call, java.util.function.Consumer<RelayEvents> next) {
     calls.add(clock == null ? call : call + " @" + clock.now().ms());
     if (behind != null) {
       next.accept(behind);
@@ -30,22 +30,22 @@
   }
 
   @Override
-  public void unitReady(Unit unit) {
+  public void unitReady(Endpoint unit) {
     say("ready " + unit.id, m -> m.unitReady(unit));
   }
 
   @Override
-  public void unitLeaving(Unit unit) {
+  public void unitLeaving(Endpoint unit) {
     say("leaving " + unit.id, m -> m.unitLeaving(unit));
   }
 
   @Override
   public void listFailed() {
-    say("list failed", Module::listFailed);
+    say("list failed", RelayEvents::listFailed);
   }
 
   @Override
-  public void newsOfBuild(Build build, int stage, Standing standing, double cap, Moment since) {
+  public void newsOfBuild(Build build, int stage, RolloutState standing, double cap, Timestamp since) {
     say(
         "news " + build.number + " " + stage + " " + standing + " " + (float) cap,
         m -> m.newsOfBuild(build, stage, standing, cap, since));
@@ -57,12 +57,12 @@
   }
 
   @Override
-  public void streamStarted(Pick pick) {
+  public void streamStarted(Attempt pick) {
     say("stream " + pick.rpc.id, m -> m.streamStarted(pick));
   }
 
   @Override
-  public void pickEnded(Pick pick, boolean answers) {
+  public void pickEnded(Attempt pick, boolean answers) {
     say(
         "ended "
             + pick.rpc.id
@@ -80,17 +80,17 @@
   }
 
   @Override
-  public void counted(Build build, Method method, double picks, double failed, Span mean) {
+  public void counted(Build build, Method method, double picks, double failed, TimeSpan mean) {
     say("counted " + build.number, m -> m.counted(build, method, picks, failed, mean));
   }
 
   @Override
-  public void looked(Unit unit, boolean answered) {
+  public void looked(Endpoint unit, boolean answered) {
     say("looked " + unit.id + " " + answered, m -> m.looked(unit, answered));
   }
 
   @Override
-  public void flagged(Unit unit) {
+  public void flagged(Endpoint unit) {
     say("flagged " + unit.id, m -> m.flagged(unit));
   }
 
@@ -100,7 +100,7 @@
   }
 
   @Override
-  public void voteAnswered(Reply reply) {
+  public void voteAnswered(VoteReply reply) {
     say("vote " + reply, m -> m.voteAnswered(reply));
   }
 }
--- a/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
+++ b/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Whose turn it is, held against a walk over all units that knows only when each was said to be
@@ -42,7 +42,7 @@
         nowMs += random.nextInt(4) * 25;
         draw = random.nextInt(8) / 8.0; // few draws, so that many units are due at one moment
         long unit = random.nextInt(50);
-        Moment now = Moment.ofMs(nowMs);
+        Timestamp now = Timestamp.ofMs(nowMs);
         switch (random.nextInt(6)) {
           case 0 -> {
             lookout.ready(unit, now);
@@ -57,7 +57,7 @@
           }
           case 2 -> {
             boolean busy = random.nextBoolean();
-            lookout.answered(unit, Span.ofMs(busy ? 100 : 5000), now);
+            lookout.answered(unit, TimeSpan.ofMs(busy ? 100 : 5000), now);
             if (due.containsKey(unit)) {
               due.put(unit, nowMs + (busy ? 10_000 : 2000) * (0.75 + 0.5 * draw));
             }
--- a/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
@@ -23,8 +23,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
-import sprucerock.policy.Host;
-import sprucerock.model.Pick;
+import sprucerock.policy.RelayActions;
+import sprucerock.model.Attempt;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.postgres.Writer;
 
@@ -68,7 +68,7 @@
   }
 
   private final ConcurrentLinkedQueue<Throwable> broken = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<Pick> chosen = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<Attempt> chosen = new ConcurrentLinkedQueue<>();
   private Peers peers;
   private Peers.Unit one;
   private Peers.Unit two;
@@ -120,14 +120,14 @@
   }
 
   /** Notes each attempt that the module makes, whether or not it begins. */
-  private Host watched(Host host) {
-    return (Host)
+  private RelayActions watched(RelayActions host) {
+    return (RelayActions)
         Proxy.newProxyInstance(
-            Host.class.getClassLoader(),
-            new Class<?>[] {Host.class},
+            RelayActions.class.getClassLoader(),
+            new Class<?>[] {RelayActions.class},
             (self, method, given) -> {
               if (method.getName().equals("send")) {
-                chosen.add((Pick) given[0]);
+                chosen.add((Attempt) given[0]);
               }
               try {
                 return method.invoke(host, given);
--- a/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
@@ -18,7 +18,7 @@
 import sprucerock.transport.net.ScriptedNet;
 import sprucerock.transport.postgres.Writer;
 import sprucerock.relay.engine.Events;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Who gives way when all places are taken, with what is read in the turn of the accept, as a loop
@@ -80,7 +80,7 @@
     left.clear();
     Method look =
         new Method(
-            0, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(300), Span.ZERO, 1, false);
+            0, Method.Effect.IDEMPOTENT, Method.Group.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
     ClientDoor door =
         new ClientDoor(
             net,
--- a/src/test/java/sprucerock/relay/platform/CrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/CrossingsTest.java
@@ -24,7 +24,7 @@
 import sprucerock.transport.postgres.Writer;
 import sprucerock.relay.engine.Ending;
 import sprucerock.relay.engine.Events;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Two events that cross, forced on real sockets: a relay's loop is held while both happen, or a
@@ -575,7 +575,7 @@
     loop = new NioLoop("relay", broken::add);
     Method look =
         new Method(
-            0, Method.Effect.IDEMPOTENT, Method.Group.ALL, Span.ofMs(300), Span.ZERO, 1, false);
+            0, Method.Effect.IDEMPOTENT, Method.Group.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
     CountDownLatch listens = new CountDownLatch(1);
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
@@ -584,7 +584,7 @@
         new ClientDoor.Owner() {
           @Override
           public void arrived(ClientAsked asked) {
-            asked.client.answer(asked, Ending.OK, Span.ZERO, Writer.empty());
+            asked.client.answer(asked, Ending.OK, TimeSpan.ZERO, Writer.empty());
           }
 
           @Override
@@ -607,7 +607,7 @@
           loop.at(
               loop.now(),
               standsStill(held, go)); // in front of the door's own timers, and of what comes
-          door[0].shutdown(Span.ZERO, Span.ZERO);
+          door[0].shutdown(TimeSpan.ZERO, TimeSpan.ZERO);
         });
     Peers.await(held, "the loop");
     Peers.Client client = peers.new Client(port);
--- a/src/test/java/sprucerock/relay/platform/FeedTest.java
+++ b/src/test/java/sprucerock/relay/platform/FeedTest.java
@@ -12,7 +12,7 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** One answer without end, from a server that tells nothing or comes and goes. */
 public class FeedTest {
@@ -61,9 +61,9 @@
         new Feed(
             net,
             AT,
-            Span.ofMs(3000),
-            Span.ofMs(1000),
-            Span.ofMs(200),
+            TimeSpan.ofMs(3000),
+            TimeSpan.ofMs(1000),
+            TimeSpan.ofMs(200),
             () -> 0.5,
             new Feed.Reader() {
               @Override
--- a/src/test/java/sprucerock/relay/platform/ListTimesTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListTimesTest.java
@@ -19,7 +19,7 @@
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * How long a relay is without its list: what a silent watch misses counts as told 6 s after it fell
@@ -101,7 +101,7 @@
 
     private void lives() {
       link.append(chunk(":\n").getBytes(StandardCharsets.US_ASCII));
-      net.at(net.now().plus(Span.ofMs(1000)), this::lives);
+      net.at(net.now().plus(TimeSpan.ofMs(1000)), this::lives);
     }
 
     @Override
--- a/src/test/java/sprucerock/relay/platform/PlatformTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformTest.java
@@ -28,7 +28,7 @@
 import sprucerock.transport.postgres.ProtocolException;
 import sprucerock.transport.postgres.Reader;
 import sprucerock.transport.postgres.Writer;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * A relay on the platform, with the module that decides, among clients, units, discovery and a desk
@@ -106,7 +106,7 @@
     boolean closed;
 
     Client() {
-      net.connect(address(100), sprucerock.time.Span.ofMs(100), 1 << 20, this);
+      net.connect(address(100), sprucerock.time.TimeSpan.ofMs(100), 1 << 20, this);
       net.settle();
     }
 
@@ -765,7 +765,7 @@
     net.turn(
         () ->
             net.at(
-                net.now().plus(Span.ofMs(1000)),
+                net.now().plus(TimeSpan.ofMs(1000)),
                 () ->
                     client.link.append(
                         Writer.query(pay(3000).getBytes(StandardCharsets.US_ASCII)))));
--- a/src/test/java/sprucerock/relay/platform/StatementsCompatTest.java
+++ b/src/test/java/sprucerock/relay/platform/StatementsCompatTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 import sprucerock.compat.CorpusFiles;
 import sprucerock.model.Method;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /**
  * Clients' statements with what their comments ask for, recorded with how they are understood and
@@ -29,7 +29,7 @@
           method(1, Method.Effect.TOKENED));
 
   private static Method method(int index, Method.Effect effect) {
-    return new Method(index, effect, Method.Group.ALL, Span.ofMs(300), Span.ZERO, 1, false);
+    return new Method(index, effect, Method.Group.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
   }
 
   public static void record(Path corpus) throws Exception {
--- a/src/test/java/sprucerock/relay/snapshot/PictureBenchmark.java
+++ b/src/test/java/sprucerock/relay/snapshot/PictureBenchmark.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /**
  * What one look costs at 300 racks (windows are one moment a rack by then), by itself and while the
@@ -36,9 +36,9 @@
   private int at;
 
   private static Picture picture(long number) {
-    Map<Integer, Moment> until = new HashMap<>();
+    Map<Integer, Timestamp> until = new HashMap<>();
     for (int rack = 0; rack < 300; rack++) {
-      until.put(Picture.key(rack / 20, rack % 20), Moment.ofMs(1e12 + number));
+      until.put(Picture.key(rack / 20, rack % 20), Timestamp.ofMs(1e12 + number));
     }
     return new Picture(number, until);
   }
--- a/src/test/java/sprucerock/relay/snapshot/SharedTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/SharedTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
 import org.testng.annotations.Test;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 
 /** The picture on a request's path. */
 public class SharedTest {
@@ -17,21 +17,21 @@
   public void workIsPlacedWhereItEndsInTime() {
     Picture picture =
         new Picture(
-            1, Map.of(Picture.key(1, 7), Moment.ofMs(1000), Picture.key(2, 7), Moment.ofMs(-5)));
+            1, Map.of(Picture.key(1, 7), Timestamp.ofMs(1000), Picture.key(2, 7), Timestamp.ofMs(-5)));
     assertTrue(picture.mayPlace(Picture.key(1, 7), 900, 100));
     assertFalse(picture.mayPlace(Picture.key(1, 7), 900, 101));
     assertFalse(picture.mayPlace(Picture.key(2, 7), 0, 0));
     assertTrue(picture.mayPlace(Picture.key(3, 7), 1e9, 1e9));
     assertNull(picture.until(Picture.key(1, 8)));
-    assertEquals(picture.until(Picture.key(1, 7)), Moment.ofMs(1000));
+    assertEquals(picture.until(Picture.key(1, 7)), Timestamp.ofMs(1000));
   }
 
   @Test
   public void everyRackIsFoundAmongMany() {
-    Map<Integer, Moment> until = new HashMap<>();
+    Map<Integer, Timestamp> until = new HashMap<>();
     for (int zone = 0; zone < 30; zone++) {
       for (int cell = 0; cell < 40; cell++) {
-        until.put(Picture.key(zone, cell * 256), Moment.ofMs(zone * 1000 + cell));
+        until.put(Picture.key(zone, cell * 256), Timestamp.ofMs(zone * 1000 + cell));
       }
     }
     Picture picture = new Picture(1, until);
@@ -68,7 +68,7 @@
                   }
                   before = picture.sequence();
                   for (int cell = 0; cell < 50 && before > 0; cell++) {
-                    Moment until = picture.until(Picture.key(1, cell));
+                    Timestamp until = picture.until(Picture.key(1, cell));
                     if (until == null || until.ms() != before) {
                       wrong.set("in " + before + " a rack has " + until);
                     }
@@ -78,9 +78,9 @@
       readers[i].start();
     }
     for (long n = 1; n <= 20_000; n++) {
-      Map<Integer, Moment> until = new HashMap<>();
+      Map<Integer, Timestamp> until = new HashMap<>();
       for (int cell = 0; cell < 50; cell++) {
-        until.put(Picture.key(1, cell), Moment.ofMs(n));
+        until.put(Picture.key(1, cell), Timestamp.ofMs(n));
       }
       shared.put(new Picture(n, until));
     }
--- a/src/test/java/sprucerock/scale/Cluster.java
+++ b/src/test/java/sprucerock/scale/Cluster.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import sprucerock.Policy;
-import sprucerock.policy.Host;
-import sprucerock.accounting.Ledger;
+import sprucerock.policy.RelayActions;
+import sprucerock.accounting.RequestTracker;
 import sprucerock.model.Build;
-import sprucerock.model.Outcome;
-import sprucerock.model.Pick;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.Standing;
+import sprucerock.model.RolloutState;
 import sprucerock.model.Verdict;
 import sprucerock.config.settings.SettingsText;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * So many relays' real modules on one clock, with units that answer ok after 40 ms, and links
@@ -60,7 +60,7 @@
         tick=5.0
         """;
 
-  private record Timer(Moment when, long order, Runnable what) {}
+  private record Timer(Timestamp when, long order, Runnable what) {}
 
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
@@ -69,7 +69,7 @@
             return byTime != 0 ? byTime : Long.compare(a.order, b.order);
           });
   private final List<One> relays = new ArrayList<>();
-  private Moment now = Moment.ofMs(100_000);
+  private Timestamp now = Timestamp.ofMs(100_000);
   private long made;
 
   /**
@@ -92,44 +92,44 @@
     long sends;
   }
 
-  final class One implements Host {
+  final class One implements RelayActions {
     final int index;
     final Settings settings;
-    final Ledger ledger;
+    final RequestTracker ledger;
     final Policy policy;
     Counts counts = new Counts();
 
     One(int index, int relays) {
       this.index = index;
       settings = SettingsText.read(SETTINGS + "index=" + index + "\nbalancers=" + relays + "\n");
-      ledger = new Ledger(settings);
+      ledger = new RequestTracker(settings);
       policy = new Policy(this, settings, 42 + index);
       ledger.tell(policy);
     }
 
     @Override
-    public Moment now() {
+    public Timestamp now() {
       return now;
     }
 
     @Override
-    public void send(Pick pick) {
+    public void send(Attempt pick) {
       ledger.sent(pick);
       counts.sends++;
       wake(
-          now.plus(Span.ofMs(ANSWER_MS)),
+          now.plus(TimeSpan.ofMs(ANSWER_MS)),
           () -> {
             if (pick.outcome() == null) {
-              ledger.pickEnded(pick, Outcome.OK, now.since(pick.sent), true);
+              ledger.pickEnded(pick, AttemptOutcome.OK, now.since(pick.sent), true);
             }
           });
     }
 
     @Override
-    public void cancel(Pick pick) {}
+    public void cancel(Attempt pick) {}
 
     @Override
-    public void pushBack(Rpc rpc, Span wait) {
+    public void pushBack(Rpc rpc, TimeSpan wait) {
       ledger.pushedBack(rpc);
     }
 
@@ -139,14 +139,14 @@
     }
 
     @Override
-    public void wake(Moment when, Runnable what) {
+    public void wake(Timestamp when, Runnable what) {
       timers.add(new Timer(when, made++, what));
     }
 
     @Override
     public void vote(Build build, int stage, Verdict verdict) {
       counts.votes++;
-      policy.voteAnswered(sprucerock.model.Reply.COUNTS);
+      policy.voteAnswered(sprucerock.model.VoteReply.COUNTS);
     }
 
     @Override
@@ -183,8 +183,8 @@
     private void rpc(double gapMs) {
       counts.rpcs++;
       ledger.arrived(
-          made++, settings.methods.get(0), 0, 0, now, now.plus(Span.ofMs(4000)), null, null);
-      wake(now.plus(Span.ofMs(gapMs)), () -> rpc(gapMs));
+          made++, settings.methods.get(0), 0, 0, now, now.plus(TimeSpan.ofMs(4000)), null, null);
+      wake(now.plus(TimeSpan.ofMs(gapMs)), () -> rpc(gapMs));
     }
   }
 
@@ -201,8 +201,8 @@
       for (int i = 0; i < units; i++) {
         one.ledger.listed(i, 0, 0, 0, 1, null, 1, true);
       }
-      one.ledger.news(1, 2, Standing.RELEASED, 1, now.minus(Span.ofMs(60_000)));
-      one.wake(now.plus(Span.ofMs(gapMs * one.index / size)), () -> one.rpc(gapMs));
+      one.ledger.news(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
+      one.wake(now.plus(TimeSpan.ofMs(gapMs * one.index / size)), () -> one.rpc(gapMs));
     }
   }
 
@@ -210,14 +210,14 @@
   void offer(int units) {
     for (One one : relays) {
       for (int i = 0; i < units; i++) {
-        one.ledger.listed(1_000_000 + i, 0, 0, 0, 2, now.minus(Span.ofMs(20_000)), 1, true);
+        one.ledger.listed(1_000_000 + i, 0, 0, 0, 2, now.minus(TimeSpan.ofMs(20_000)), 1, true);
       }
-      one.ledger.news(2, 2, Standing.ON_TRIAL, 1, now);
+      one.ledger.news(2, 2, RolloutState.ON_TRIAL, 1, now);
     }
   }
 
   void pass(double ms) {
-    Moment until = now.plus(Span.ofMs(ms));
+    Timestamp until = now.plus(TimeSpan.ofMs(ms));
     while (!timers.isEmpty() && !timers.peek().when.after(until)) {
       Timer timer = timers.poll();
       now = now.later(timer.when);
--- a/src/test/java/sprucerock/scale/ControllerScaleTest.java
+++ b/src/test/java/sprucerock/scale/ControllerScaleTest.java
@@ -18,8 +18,8 @@
 import sprucerock.controller.Release;
 import sprucerock.controller.Releases;
 import sprucerock.controller.Rules;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.Piece;
@@ -42,12 +42,12 @@
   private static final Plan PLAN =
       new Plan(
           List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)),
-          Span.ofMs(10_000),
-          Span.ofMs(120_000),
-          Span.ofMs(20_000),
+          TimeSpan.ofMs(10_000),
+          TimeSpan.ofMs(120_000),
+          TimeSpan.ofMs(20_000),
           0.2,
           0.1,
-          Span.ofMs(5000));
+          TimeSpan.ofMs(5000));
 
   /**
    * So many relays in three zones that run the old version, settled on it, whose agents do what is
@@ -65,8 +65,8 @@
       }
     }
 
-    Moment at() {
-      return Moment.ofMs(now);
+    Timestamp at() {
+      return Timestamp.ofMs(now);
     }
 
     void says(int number, Version runs, boolean ready, int done) {
@@ -132,7 +132,7 @@
               Fleet fleet = new Fleet(relays);
               long before = fleet.changes.looked();
               for (int i = 0; i < 20; i++) {
-                fleet.changes.due(Moment.ofMs(2000 + i * 50));
+                fleet.changes.due(Timestamp.ofMs(2000 + i * 50));
               }
               return (fleet.changes.looked() - before) / 20.0;
             },
@@ -205,19 +205,19 @@
                       relays + 1,
                       relays + 1,
                       relays + 1,
-                      Span.ofMs(1000),
-                      Span.ofMs(60_000),
-                      Span.ofMs(1000),
-                      Span.ofMs(600_000),
-                      Span.ofMs(1000),
-                      Span.ofMs(60_000),
+                      TimeSpan.ofMs(1000),
+                      TimeSpan.ofMs(60_000),
+                      TimeSpan.ofMs(1000),
+                      TimeSpan.ofMs(600_000),
+                      TimeSpan.ofMs(1000),
+                      TimeSpan.ofMs(60_000),
                       10);
-              Releases releases = new Releases(rules, 10, 1, Moment.ofMs(0), (release, step) -> {});
-              releases.announced("m1", 2, "a2", "ci", Moment.ofMs(10), 10);
-              releases.ready(2, 10, Moment.ofMs(20), 20);
+              Releases releases = new Releases(rules, 10, 1, Timestamp.ofMs(0), (release, step) -> {});
+              releases.announced("m1", 2, "a2", "ci", Timestamp.ofMs(10), 10);
+              releases.ready(2, 10, Timestamp.ofMs(20), 20);
               assertEquals(releases.present().standing(), Release.Standing.ON_TRIAL);
               for (int i = 0; i < relays; i++) {
-                releases.cast(i, 2, 0, Releases.Say.ON, Moment.ofMs(1500), 1500);
+                releases.cast(i, 2, 0, Releases.Say.ON, Timestamp.ofMs(1500), 1500);
               }
               long before = releases.looked();
               for (int i = 0; i < relays; i++) {
@@ -226,9 +226,9 @@
                     2,
                     0,
                     i % 2 == 0 ? Releases.Say.ON : Releases.Say.BACK,
-                    Moment.ofMs(3000 + i),
+                    Timestamp.ofMs(3000 + i),
                     3000);
-                releases.due(Moment.ofMs(3000 + i));
+                releases.due(Timestamp.ofMs(3000 + i));
               }
               return (releases.looked() - before) / (double) relays;
             },
--- a/src/test/java/sprucerock/scale/LinksCount.java
+++ b/src/test/java/sprucerock/scale/LinksCount.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.stats.Chance;
-import sprucerock.time.Span;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.FrameUser;
 import sprucerock.transport.wire.Kind;
@@ -48,7 +48,7 @@
     NioLoop loop = new NioLoop("links", Throwable::printStackTrace);
     CountDownLatch greeted = new CountDownLatch(2 * links);
     List<Object> held = new ArrayList<>();
-    Limits limits = new Limits(1 << 20, 4 << 20, Span.ofMs(600_000));
+    Limits limits = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(600_000));
     Hello mine =
         Hello.newBuilder()
             .setVersion(FrameLink.VERSION)
@@ -91,7 +91,7 @@
           bound.countDown();
         });
     bound.await();
-    Chance chance = new Chance(1);
+    DeterministicRandom chance = new DeterministicRandom(1);
     for (int i = 0; i < links; i += 50) { // no more at once than a listener's queue holds
       int from = i;
       CountDownLatch dialled = new CountDownLatch(1);
--- a/src/test/java/sprucerock/scale/Listed.java
+++ b/src/test/java/sprucerock/scale/Listed.java
@@ -12,7 +12,7 @@
 import sprucerock.lease.Leases;
 import sprucerock.transport.net.ScriptedNet;
 import sprucerock.relay.frames.Relay;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.FrameLink;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public Moment now() {
+    public Timestamp now() {
       clockReads++;
       return super.now();
     }
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.metrics.Keeper;
-import sprucerock.accounting.Accounts;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.transport.wire.v1.Health;
 
 /**
@@ -116,9 +116,9 @@
         methods.add("m" + j);
       }
       long before = heap();
-      Accounts accounts = new Accounts(methods, new Accounts.Room(16, 1024, 64));
+      MethodAccounts accounts = new MethodAccounts(methods, new MethodAccounts.Room(16, 1024, 64));
       long alone = heap();
-      Keeper keeper = Keeper.open(null, accounts, () -> {}, line -> {});
+      MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
       long kept = heap();
       accounts.check();
       long began = cpu();
@@ -141,14 +141,14 @@
       for (int j = 0; j < n; j++) {
         shares.add(1.0 / n + j * 1e-12);
       }
-      sprucerock.policy.evidence.Customers customers =
-          new sprucerock.policy.evidence.Customers(shares, sprucerock.time.Span.ofMs(5000));
+      sprucerock.policy.evidence.Tenants customers =
+          new sprucerock.policy.evidence.Tenants(shares, sprucerock.time.TimeSpan.ofMs(5000));
       for (int j = 0; j < n; j++) {
-        customers.add(j, sprucerock.time.Moment.ofMs(j));
+        customers.add(j, sprucerock.time.Timestamp.ofMs(j));
       }
       long after = heap();
       System.out.printf("%d %d%n", n, after - before);
-      if (customers.timesShare(0, sprucerock.time.Moment.ofMs(0)) < 0) {
+      if (customers.timesShare(0, sprucerock.time.Timestamp.ofMs(0)) < 0) {
         throw new IllegalStateException();
       }
     }
--- a/src/test/java/sprucerock/scale/ListsScaleTest.java
+++ b/src/test/java/sprucerock/scale/ListsScaleTest.java
@@ -11,10 +11,10 @@
 import java.util.zip.CRC32;
 import org.testng.annotations.Test;
 import sprucerock.policy.evidence.Board;
-import sprucerock.accounting.Accounts;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.model.Build;
-import sprucerock.model.Unit;
-import sprucerock.time.Span;
+import sprucerock.model.Endpoint;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Health;
 
@@ -101,7 +101,7 @@
   }
 
   private static long ready(Listed listed) {
-    return listed.relay.ledger().units().stream().filter(Unit::ready).count();
+    return listed.relay.ledger().units().stream().filter(Endpoint::ready).count();
   }
 
   /**
@@ -176,7 +176,7 @@
     for (int i = 0; i < methods; i++) {
       names.add("m" + i);
     }
-    return new Accounts(names, new Accounts.Room(16, 1024, 64)).size();
+    return new MethodAccounts(names, new MethodAccounts.Room(16, 1024, 64)).size();
   }
 
   /**
@@ -192,12 +192,12 @@
   }
 
   private static int namesOf(int units) {
-    Board board = new Board(Span.ofMs(1000));
+    Board board = new Board(TimeSpan.ofMs(1000));
     Set<Integer> names = new HashSet<>();
     for (int i = 0; i < units; i++) {
       CRC32 crc = new CRC32();
       crc.update(("unit-" + i).getBytes(StandardCharsets.UTF_8));
-      byte[] told = board.pick(new Unit(crc.getValue(), 0, 0, 0, new Build(1), null, 1), null);
+      byte[] told = board.pick(new Endpoint(crc.getValue(), 0, 0, 0, new Build(1), null, 1), null);
       names.add(told[1] & 0xff | (told[2] & 0xff) << 8);
     }
     return names.size();
--- a/src/test/java/sprucerock/simulation/BothHostsTest.java
+++ b/src/test/java/sprucerock/simulation/BothHostsTest.java
@@ -20,7 +20,7 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.transport.net.ScriptedNet;
 import sprucerock.relay.frames.Told;
-import sprucerock.time.Moment;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -218,7 +218,7 @@
     private News lastNews;
 
     Bench() {
-      relay.start(Moment.ofMs(now), 1, TEXT);
+      relay.start(Timestamp.ofMs(now), 1, TEXT);
       act();
     }
 
@@ -227,7 +227,7 @@
     }
 
     private void take(int code, ByteBuffer fields) {
-      assertTrue(relay.take(code, fields.flip(), Moment.ofMs(now)));
+      assertTrue(relay.take(code, fields.flip(), Timestamp.ofMs(now)));
       act();
     }
 
@@ -364,7 +364,7 @@
         since.put(unit, now - age);
       }
       relay.listed(
-          Moment.ofMs(now),
+          Timestamp.ofMs(now),
           0,
           new Simhost.Entry[] {
             new Simhost.Entry(unit, 0, 0, 0, build, health, 1, since.getOrDefault(unit, 0.0))
--- a/src/test/java/sprucerock/transport/http/HttpLinkTest.java
+++ b/src/test/java/sprucerock/transport/http/HttpLinkTest.java
@@ -11,7 +11,7 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** Calls over HTTP/1.1 against a server that answers as it is told. */
 public class HttpLinkTest {
@@ -70,7 +70,7 @@
   private HttpLink link() throws java.io.IOException {
     told.clear();
     net.listen(AT, 10, 1 << 20, Server::new);
-    HttpLink link = new HttpLink(net, AT, Span.ofMs(100));
+    HttpLink link = new HttpLink(net, AT, TimeSpan.ofMs(100));
     net.settle();
     return link;
   }
@@ -114,7 +114,7 @@
   @Test
   public void aRefusedConnectionProvesThatNothingWasCarriedOut() {
     told.clear();
-    HttpLink link = new HttpLink(net, new InetSocketAddress("127.0.0.1", 7999), Span.ofMs(100));
+    HttpLink link = new HttpLink(net, new InetSocketAddress("127.0.0.1", 7999), TimeSpan.ofMs(100));
     net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
     net.settle();
     assertEquals(told, List.of("vote failed, carried out false"));
--- a/src/test/java/sprucerock/transport/net/TimersTest.java
+++ b/src/test/java/sprucerock/transport/net/TimersTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 
 import org.testng.annotations.Test;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** Waiting for others, by a loop that may stand still itself. */
 public class TimersTest {
@@ -15,7 +15,7 @@
   public void standingStillIsNotTheOthersSilence() {
     ScriptedNet net = new ScriptedNet(0, 1);
     int[] ran = {0};
-    net.patiently(Span.ofMs(100), () -> ran[0]++);
+    net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
     net.standStill(150);
     net.settle();
     assertEquals(ran[0], 0);
@@ -29,10 +29,10 @@
   public void aLoopThatRunsWaitsOnce() {
     ScriptedNet net = new ScriptedNet(0, 1);
     int[] ran = {0};
-    net.patiently(Span.ofMs(100), () -> ran[0]++);
+    net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
     net.pass(101);
     assertEquals(ran[0], 1);
-    Timers.Timer cancelled = net.patiently(Span.ofMs(100), () -> ran[0]++);
+    Timers.Timer cancelled = net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
     net.standStill(150);
     net.settle();
     cancelled.cancel();
--- a/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
@@ -19,11 +19,11 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Net;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** The loop over real loopback sockets. Waits are for what must come, however long it takes. */
 public class NioLoopTest {
-  private static final Span LONG = Span.ofMs(20_000);
+  private static final TimeSpan LONG = TimeSpan.ofMs(20_000);
 
   private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
   private final List<Throwable> broken = new ArrayList<>();
@@ -176,7 +176,7 @@
           var now = loop.now();
           for (int i = 9; i >= 0; i--) {
             int order = i;
-            loop.at(now.plus(Span.ofMs(3 * (i / 2))), () -> events.add("t" + order / 2));
+            loop.at(now.plus(TimeSpan.ofMs(3 * (i / 2))), () -> events.add("t" + order / 2));
           }
           loop.at(now, () -> events.add("cancelled")).cancel();
           long until = System.nanoTime() + 2_000_000;
--- a/src/test/java/sprucerock/transport/tls/HandshakesTest.java
+++ b/src/test/java/sprucerock/transport/tls/HandshakesTest.java
@@ -7,30 +7,30 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /** Storms of handshakes, and what of them begins when. */
 public class HandshakesTest {
   private final List<String> begun = new ArrayList<>();
   private final List<String> refused = new ArrayList<>();
-  private Moment now = Moment.ofMs(0);
+  private Timestamp now = Timestamp.ofMs(0);
 
   @BeforeMethod
   public void begin() {
     begun.clear();
     refused.clear();
-    now = Moment.ofMs(0);
+    now = Timestamp.ofMs(0);
   }
 
   private void want(Handshakes handshakes, String who, double withinMs) {
     handshakes.want(
-        who, now, now.plus(Span.ofMs(withinMs)), () -> begun.add(who), () -> refused.add(who));
+        who, now, now.plus(TimeSpan.ofMs(withinMs)), () -> begun.add(who), () -> refused.add(who));
   }
 
   private void pass(Handshakes handshakes, double ms) {
     for (double until = now.ms() + ms; now.ms() < until; ) {
-      now = now.plus(Span.ofMs(5));
+      now = now.plus(TimeSpan.ofMs(5));
       handshakes.pass(now);
     }
   }
--- a/src/test/java/sprucerock/transport/tls/MaterialTest.java
+++ b/src/test/java/sprucerock/transport/tls/MaterialTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.transport.net.ScriptedNet;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** Files that can be used, files that can't, and their change while in use. */
 public class MaterialTest {
@@ -136,9 +136,9 @@
             new Tls.Setup(
                 sources(),
                 Credentials.Policy.USUAL,
-                Span.ofMs(1000),
-                Span.ofMs(1000),
-                Span.ofMs(1000),
+                TimeSpan.ofMs(1000),
+                TimeSpan.ofMs(1000),
+                TimeSpan.ofMs(1000),
                 new Handshakes.Most(100, 100, 100, 100)),
             (work, done) -> {
               work.run();
--- a/src/test/java/sprucerock/transport/tls/Pipe.java
+++ b/src/test/java/sprucerock/transport/tls/Pipe.java
@@ -10,8 +10,8 @@
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Moment;
-import sprucerock.time.Span;
+import sprucerock.time.Timestamp;
+import sprucerock.time.TimeSpan;
 
 /**
  * Two ends of a wire in memory, with a clock that stands still until told; what crosses can be cut
@@ -138,7 +138,7 @@
   final ByteArrayOutputStream sent = new ByteArrayOutputStream();
 
   final Counts counts = new Counts();
-  Span within = Span.ofMs(1000);
+  TimeSpan within = TimeSpan.ofMs(1000);
 
   static final class Counts implements Counter {
     int begun;
@@ -257,12 +257,12 @@
   }
 
   @Override
-  public Moment now() {
-    return Moment.ofMs(nowMs);
+  public Timestamp now() {
+    return Timestamp.ofMs(nowMs);
   }
 
   @Override
-  public Timer at(Moment when, Runnable what) {
+  public Timer at(Timestamp when, Runnable what) {
     Object[] timer = {when.ms(), what};
     timers.add(timer);
     return () -> timer[1] = null;
--- a/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
+++ b/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.Test;
 import sprucerock.transport.net.Link;
 import sprucerock.transport.net.LinkUser;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 
 /** The filter against peers of every kind, over a wire in memory. */
 public class TlsLinkTest {
@@ -520,7 +520,7 @@
   @Test
   public void aHandshakeTooSlowToBeWorthItIsNotBegunTwice() {
     Pipe pipe = new Pipe();
-    pipe.within = Span.ofMs(50);
+    pipe.within = TimeSpan.ofMs(50);
     Pipe.Ear ear = new Pipe.Ear();
     TlsLink link = TlsLink.client(pipe.place(), relay(), NAME, 1, ear);
     pipe.up(link, new Pipe.Ear());
--- a/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
@@ -190,7 +190,7 @@
             new Person(net, Role.CLIENT, 0));
     net.connect(
         new java.net.InetSocketAddress("127.0.0.1", 7000),
-        sprucerock.time.Span.ofMs(100),
+        sprucerock.time.TimeSpan.ofMs(100),
         1000,
         old);
     net.pass(10);
--- a/src/test/java/sprucerock/transport/wire/Person.java
+++ b/src/test/java/sprucerock/transport/wire/Person.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import sprucerock.transport.net.Net;
-import sprucerock.time.Span;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 
 /** Somebody at a link's other end who writes down what comes. */
 public final class Person implements FrameUser {
-  public static final Limits LIMITS = new Limits(1 << 16, 1 << 20, Span.ofMs(1000));
+  public static final Limits LIMITS = new Limits(1 << 16, 1 << 20, TimeSpan.ofMs(1000));
 
   public record Got(Kind kind, MessageLite head, byte[] body) {}
 
@@ -36,7 +36,7 @@
   /** One that connects. */
   public static Person at(Net net, Role role, int number, int port) {
     Person person = new Person(net, role, number);
-    net.connect(new InetSocketAddress("127.0.0.1", port), Span.ofMs(500), 1 << 20, person.link);
+    net.connect(new InetSocketAddress("127.0.0.1", port), TimeSpan.ofMs(500), 1 << 20, person.link);
     return person;
   }
 
