--- a/src/main/java/sprucerock/agent/Agent.java
+++ b/src/main/java/sprucerock/agent/Agent.java
@@ -44,9 +44,9 @@
           30_000); // of what ran well before: it will again, once what ails the machine is over
   private static final int MOST_RUNS = 20;
 
-  private final Machine machine;
+  private final ProcessLauncher machine;
   private final Times times;
-  private Memory memory;
+  private AgentState memory;
   private Phase phase = Phase.OFF;
   private Version runs = Version.NONE;
   private Version next;
@@ -61,7 +61,7 @@
   private String ending;
   private final Deque<Run> runsOver = new ArrayDeque<>();
 
-  public Agent(Machine machine, Times times, Memory memory) {
+  public Agent(ProcessLauncher machine, Times times, AgentState memory) {
     this.machine = machine;
     this.times = times;
     this.memory = memory;
@@ -98,7 +98,7 @@
     return memory.starts();
   }
 
-  public Memory memory() {
+  public AgentState memory() {
     return memory;
   }
 
@@ -458,7 +458,7 @@
     machine.say();
   }
 
-  private void keep(Memory now) {
+  private void keep(AgentState now) {
     memory = now;
     String wrong = machine.keep(now);
     if (wrong != null) {
--- a/src/main/java/sprucerock/agent/Station.java
+++ b/src/main/java/sprucerock/agent/ControllerClient.java
@@ -16,12 +16,12 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.Vault;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Failure;
@@ -38,7 +38,7 @@
  * a time. One loop owns all of it. What can't be told is told when somebody listens again; the
  * relay runs on meanwhile.
  */
-public final class Station {
+public final class ControllerClient {
   private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(1000));
   private static final int MOST_FAILURES =
       20; // that wait for a controller; of more the oldest go, and the log has them
@@ -52,10 +52,10 @@
   private final int zone;
   private final String name;
   private final Tap tap;
-  private final Vault vault;
-  private final Place here;
+  private final ArtifactStore vault;
+  private final RelaySupervisor here;
   private final Agent agent;
-  private final List<Redial> links = new ArrayList<>();
+  private final List<ReconnectingConnection> links = new ArrayList<>();
   private final Deque<Failure> failures = new ArrayDeque<>();
 
   /**
@@ -66,7 +66,7 @@
 
   private final Deque<Readable> readables = new ArrayDeque<>();
   private Version fetching;
-  private Vault.Incoming incoming;
+  private ArtifactStore.Incoming incoming;
   private String incomingDigest;
   private long asked;
   private long toCheck;
@@ -76,11 +76,11 @@
   /**
    * @throws IOException if its folder can't be had
    */
-  public Station(AgentConfig config, NioLoop loop) throws IOException {
+  public ControllerClient(AgentConfig config, NioLoop loop) throws IOException {
     this(config, loop, vault(config));
   }
 
-  private Station(AgentConfig config, NioLoop loop, Vault vault) {
+  private ControllerClient(AgentConfig config, NioLoop loop, ArtifactStore vault) {
     this(
         config,
         config.name,
@@ -89,22 +89,22 @@
         loop,
         vault,
         Tap.NONE,
-        (says, fails, consumers) -> new Here(config, loop, vault, says, fails, consumers));
+        (says, fails, consumers) -> new LocalRelaySupervisor(config, loop, vault, says, fails, consumers));
   }
 
   /**
    * One of many that share a configuration, a loop and a folder of versions: its name, number, zone
    * and place are its own.
    */
-  public Station(
+  public ControllerClient(
       AgentConfig config,
       String name,
       int number,
       int zone,
       Net loop,
-      Vault vault,
+      ArtifactStore vault,
       Tap tap,
-      Place.Maker places) {
+      RelaySupervisor.Maker places) {
     this.config = config;
     this.name = name;
     this.number = number;
@@ -116,10 +116,10 @@
         places.make(
             this::changed,
             this::failed,
-            new Place.Consumers() {
+            new RelaySupervisor.Consumers() {
               @Override
               public void fetch(Version version) {
-                Station.this.fetch(version);
+                ControllerClient.this.fetch(version);
               }
 
               @Override
@@ -131,16 +131,16 @@
     here.serves(agent);
   }
 
-  private static Vault vault(AgentConfig config) throws IOException {
+  private static ArtifactStore vault(AgentConfig config) throws IOException {
     java.nio.file.Files.createDirectories(config.folder);
-    return new Vault(config.folder.resolve("versions"), config.mostBytes);
+    return new ArtifactStore(config.folder.resolve("versions"), config.mostBytes);
   }
 
   /** On the loop. */
   public void start() {
     Hello mine =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(Role.AGENT)
             .setNumber(number)
             .setName(name)
@@ -148,7 +148,7 @@
     DeterministicRandom chance = new DeterministicRandom(number);
     for (InetSocketAddress to : config.controllers) {
       Door door = new Door(to);
-      Redial link = new Redial(loop, to, mine, LIMITS, tap, chance, door);
+      ReconnectingConnection link = new ReconnectingConnection(loop, to, mine, LIMITS, tap, chance, door);
       door.link = link;
       links.add(link);
     }
@@ -161,7 +161,7 @@
         here.log("what it is to begin with can't be read: " + e.getMessage());
       }
     }
-    links.forEach(Redial::dial);
+    links.forEach(ReconnectingConnection::dial);
     // from the number, so that a thousand agents that were started together do not speak together
     loop.at(loop.now().plus(config.sayEvery.times(chance.next())), this::now);
   }
@@ -202,7 +202,7 @@
 
   private void tell() {
     RelaySums sums = here.sums();
-    Redial link = links.stream().filter(Redial::usable).findFirst().orElse(null);
+    ReconnectingConnection link = links.stream().filter(ReconnectingConnection::usable).findFirst().orElse(null);
     if (link == null) {
       return;
     }
@@ -228,7 +228,7 @@
     }
     failures.clear();
     readables.clear();
-    for (Redial one : links) {
+    for (ReconnectingConnection one : links) {
       if (one.usable()) {
         one.send(Kind.AGENT, says.build(), new byte[0]);
       }
@@ -283,7 +283,7 @@
   private void ask() {
     asked = 0;
     Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.from()).build();
-    for (Redial one : links) {
+    for (ReconnectingConnection one : links) {
       if (one.usable()) {
         one.send(Kind.FETCH, fetch, new byte[0]);
       }
@@ -343,14 +343,14 @@
       loop.at(loop.now().plus(TimeSpan.ofMs(20)), () -> wait(done));
       return;
     }
-    links.forEach(Redial::stop);
+    links.forEach(ReconnectingConnection::stop);
     done.run();
   }
 
   /** A controller's end of a link. */
-  private final class Door implements FrameUser {
+  private final class Door implements FrameListener {
     private final InetSocketAddress to;
-    private Redial link;
+    private ReconnectingConnection link;
     private boolean up;
 
     Door(InetSocketAddress to) {
@@ -358,7 +358,7 @@
     }
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (other.getRole() != Role.DESK) {
         made.cut("no controller");
         return;
--- a/src/main/java/sprucerock/agent/Here.java
+++ b/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
@@ -26,14 +26,14 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.Vault;
+import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
  * This machine: the relay's process, its files, what it may hold. All is called on the agent's
  * loop; a thread for each process reads its lines and waits for its end, and tells the loop.
  */
-final class Here implements Place {
+final class LocalRelaySupervisor implements RelaySupervisor {
   private static final String MEMORY = "agent.state";
   private static final String PID = "relay.pid";
   private static final String MARK =
@@ -51,7 +51,7 @@
   private final Logger log = LoggerFactory.getLogger("sprucerock.agent");
   private final AgentConfig config;
   private final NioLoop loop;
-  private final Vault vault;
+  private final ArtifactStore vault;
   private final Runnable says;
   private final BiConsumer<Version, String> fails;
   private final Consumers consumers;
@@ -59,10 +59,10 @@
   private ProcessHandle process;
   private RelayConfig settings;
 
-  Here(
+  LocalRelaySupervisor(
       AgentConfig config,
       NioLoop loop,
-      Vault vault,
+      ArtifactStore vault,
       Runnable says,
       BiConsumer<Version, String> fails,
       Consumers consumers) {
@@ -316,7 +316,7 @@
     List<ProcessHandle> marked =
         ProcessHandle.allProcesses()
             .filter(one -> commandLine(one).contains(mark()))
-            .sorted(Comparator.comparingLong(Here::startedMs))
+            .sorted(Comparator.comparingLong(LocalRelaySupervisor::startedMs))
             .toList();
     if (marked.isEmpty()) {
       return;
@@ -362,7 +362,7 @@
     for (int i = 0; i < settings.methodNames.size(); i++) {
       utilities.put(settings.methodNames.get(i), settings.settings.methods.get(i).utility);
     }
-    RelaySums sums = Sums.read(settings.figures, utilities, process.pid());
+    RelaySums sums = MetricsSummary.read(settings.figures, utilities, process.pid());
     if (sums == null) {
       return null;
     }
@@ -421,7 +421,7 @@
   }
 
   @Override
-  public String keep(Memory memory) {
+  public String keep(AgentState memory) {
     Properties written = new Properties();
     written.setProperty("epoch", Long.toString(memory.epoch()));
     written.setProperty("turn", Integer.toString(memory.turn()));
@@ -454,15 +454,15 @@
    * said.
    */
   @Override
-  public Memory remembered() {
+  public AgentState remembered() {
     Path file = config.folder.resolve(MEMORY);
     if (!Files.exists(file)) {
-      return Memory.NONE;
+      return AgentState.NONE;
     }
     Properties read = new Properties();
     try (var in = Files.newInputStream(file)) {
       read.load(in);
-      return new Memory(
+      return new AgentState(
           Long.parseLong(read.getProperty("epoch")),
           Integer.parseInt(read.getProperty("turn")),
           Integer.parseInt(read.getProperty("done")),
@@ -471,7 +471,7 @@
           Integer.parseInt(read.getProperty("starts")));
     } catch (IOException | RuntimeException e) {
       log(file + " can't be read (" + e.getMessage() + "): nothing is known of earlier");
-      return Memory.NONE;
+      return AgentState.NONE;
     }
   }
 
--- a/src/main/java/sprucerock/agent/Sums.java
+++ b/src/main/java/sprucerock/agent/MetricsSummary.java
@@ -16,8 +16,8 @@
  * What a relay did so far: its accounts from the file that it keeps, and what the machine says of
  * its process.
  */
-final class Sums {
-  private Sums() {}
+final class MetricsSummary {
+  private MetricsSummary() {}
 
   /**
    * {@code utilities}: by the names of methods. Null while there are no figures that can be read.
--- a/src/main/java/sprucerock/agent/Machine.java
+++ b/src/main/java/sprucerock/agent/ProcessLauncher.java
@@ -7,7 +7,7 @@
  * What an agent can do on its machine, carried out at once; what comes of it is told to the {@link
  * Agent} later.
  */
-public interface Machine {
+public interface ProcessLauncher {
   Timestamp now();
 
   void at(Timestamp when, Runnable what);
@@ -43,7 +43,7 @@
    * Keeps what has to be known after the agent's own end; null where the disk took it, else why
    * not.
    */
-  String keep(Memory memory);
+  String keep(AgentState memory);
 
   /** How its relay stands has changed: the controller is told, if it can be heard. */
   void say();
--- a/src/main/java/sprucerock/agent/artifact/Vault.java
+++ b/src/main/java/sprucerock/agent/artifact/ArtifactStore.java
@@ -24,7 +24,7 @@
  * name is that, whole, or is not there. What comes in pieces is written aside, checked, forced, and
  * takes its place by one renaming.
  */
-public final class Vault {
+public final class ArtifactStore {
   private static final String PART = ".part";
 
   private final Path folder;
@@ -38,7 +38,7 @@
    *
    * @throws IOException if the folder can't be made
    */
-  public Vault(Path folder, long most) throws IOException {
+  public ArtifactStore(Path folder, long most) throws IOException {
     this.folder = Files.createDirectories(folder);
     this.most = most;
     try (Stream<Path> found = Files.list(folder)) {
@@ -201,7 +201,7 @@
     try (Stream<Path> all = Files.list(folder)) {
       all.filter(one -> one.getFileName().toString().matches("[0-9a-f]{64}")).forEach(found::add);
     }
-    found.sort(Comparator.comparing(Vault::age).reversed());
+    found.sort(Comparator.comparing(ArtifactStore::age).reversed());
     for (int i = newest; i < found.size(); i++) {
       if (!needed.contains(found.get(i).getFileName().toString())) {
         forget(found.get(i));
--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -27,7 +27,7 @@
 import sprucerock.metrics.MetricsExporter;
 import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.relay.frames.Relay;
+import sprucerock.relay.frames.FrameRelay;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Workers;
 import sprucerock.transport.wire.Tap;
@@ -81,7 +81,7 @@
       Set<Long> forwarderOwn = since(before);
       before = alive();
       NioLoop loop = new NioLoop("relay", Throwable::printStackTrace);
-      Relay relay = relay(loop, fleet, 1, Kept.IN_A_FILE);
+      FrameRelay relay = relay(loop, fleet, 1, Kept.IN_A_FILE);
       Set<Long> relayOwn = since(before);
       try {
         Way straight = new Way("straight", fleet.ports(), true, Set.of());
@@ -132,7 +132,7 @@
         throws IOException, InterruptedException, ConfigException {
       Set<Long> before = alive();
       loop = new NioLoop(name, Throwable::printStackTrace);
-      Relay relay = relay(loop, fleet, methods, kept, tls);
+      FrameRelay relay = relay(loop, fleet, methods, kept, tls);
       keeper = lastKeeper;
       way = new Way(name, new int[] {relay.address().getPort()}, false, since(before));
     }
@@ -330,12 +330,12 @@
 
   private MetricsFileWriter lastKeeper;
 
-  private Relay relay(NioLoop loop, Fleet fleet, int methods, Kept kept)
+  private FrameRelay relay(NioLoop loop, Fleet fleet, int methods, Kept kept)
       throws IOException, InterruptedException, ConfigException {
     return relay(loop, fleet, methods, kept, null);
   }
 
-  private Relay relay(NioLoop loop, Fleet fleet, int methods, Kept kept, BenchTls tls)
+  private FrameRelay relay(NioLoop loop, Fleet fleet, int methods, Kept kept, BenchTls tls)
       throws IOException, InterruptedException, ConfigException {
     Path file = Files.createTempFile("bench", ".xml");
     Files.writeString(
@@ -379,11 +379,11 @@
     Path figures = Files.createTempFile("bench", ".figures");
     Files.delete(figures);
     figures.toFile().deleteOnExit();
-    Relay relay =
+    FrameRelay relay =
         Loops.on(
             loop,
             () -> {
-              Relay made = new Relay(config, loop, Tap.NONE);
+              FrameRelay made = new FrameRelay(config, loop, Tap.NONE);
               if (kept == Kept.NOT) {
                 made.ledger().accounts().mute();
               }
--- a/src/main/java/sprucerock/benchmark/BenchTls.java
+++ b/src/main/java/sprucerock/benchmark/BenchTls.java
@@ -7,7 +7,7 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Set;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Buffers;
@@ -15,7 +15,7 @@
 import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.TestCa;
-import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.tls.Workers;
 
 /** Certificates for a run of the benchmark, and TLS for its units and clients. */
@@ -47,8 +47,8 @@
     return "u" + number + ".units.bench.test";
   }
 
-  static TlsLink.Place place(NioLoop loop) {
-    return new TlsLink.Place(
+  static TlsConnection.Place place(NioLoop loop) {
+    return new TlsConnection.Place(
         loop,
         new Buffers(),
         new Workers(1, 100_000, loop::post, Throwable::printStackTrace),
@@ -56,11 +56,11 @@
         Counter.NONE);
   }
 
-  LinkUser server(TlsLink.Place place, LinkUser user) {
-    return TlsLink.server(place, credentials, false, user);
+  ConnectionListener server(TlsConnection.Place place, ConnectionListener user) {
+    return TlsConnection.server(place, credentials, false, user);
   }
 
-  LinkUser client(TlsLink.Place place, String name, int port, LinkUser user) {
-    return TlsLink.client(place, credentials, name, port, user);
+  ConnectionListener client(TlsConnection.Place place, String name, int port, ConnectionListener user) {
+    return TlsConnection.client(place, credentials, name, port, user);
   }
 }
--- a/src/main/java/sprucerock/benchmark/Fleet.java
+++ b/src/main/java/sprucerock/benchmark/Fleet.java
@@ -6,9 +6,9 @@
 import java.net.InetSocketAddress;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.tls.TlsLink;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.tls.TlsConnection;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.Tap;
@@ -45,7 +45,7 @@
       loops[i] = new NioLoop("units-" + i, Throwable::printStackTrace);
     }
     ports = new int[units];
-    TlsLink.Place[] places = new TlsLink.Place[threads];
+    TlsConnection.Place[] places = new TlsConnection.Place[threads];
     for (int i = 0; i < threads && tls != null; i++) {
       places[i] = BenchTls.place(loops[i]);
     }
@@ -59,9 +59,9 @@
               tls,
               places[i % threads],
               link ->
-                  new FrameUser() {
+                  new FrameListener() {
                     @Override
-                    public void greeted(FrameLink made, Hello other) {}
+                    public void greeted(FrameConnection made, Hello other) {}
 
                     @Override
                     public void frame(Kind kind, MessageLite head, byte[] body) {
@@ -102,9 +102,9 @@
             null,
             null,
             link ->
-                new FrameUser() {
+                new FrameListener() {
                   @Override
-                  public void greeted(FrameLink made, Hello other) {}
+                  public void greeted(FrameConnection made, Hello other) {}
 
                   @Override
                   public void frame(Kind kind, MessageLite head, byte[] body) {
@@ -122,9 +122,9 @@
             null,
             null,
             link ->
-                new FrameUser() {
+                new FrameListener() {
                   @Override
-                  public void greeted(FrameLink made, Hello other) {
+                  public void greeted(FrameConnection made, Hello other) {
                     made.send(
                         Kind.NEWS,
                         News.newBuilder()
@@ -146,14 +146,14 @@
   }
 
   private interface Made {
-    FrameUser user(FrameLink[] link);
+    FrameListener user(FrameConnection[] link);
   }
 
   private static int listen(
-      NioLoop loop, Role role, int number, BenchTls tls, TlsLink.Place place, Made made)
+      NioLoop loop, Role role, int number, BenchTls tls, TlsConnection.Place place, Made made)
       throws IOException, InterruptedException {
     Hello hello =
-        Hello.newBuilder().setVersion(FrameLink.VERSION).setRole(role).setNumber(number).build();
+        Hello.newBuilder().setVersion(FrameConnection.VERSION).setRole(role).setNumber(number).build();
     return Loops.on(
         loop,
         () -> {
@@ -163,8 +163,8 @@
                   10_000,
                   LIMITS.unsent(),
                   () -> {
-                    FrameLink[] link = new FrameLink[1];
-                    link[0] = new FrameLink(loop, hello, LIMITS, Tap.NONE, made.user(link));
+                    FrameConnection[] link = new FrameConnection[1];
+                    link[0] = new FrameConnection(loop, hello, LIMITS, Tap.NONE, made.user(link));
                     return tls == null ? link[0] : tls.server(place, link[0]);
                   });
           return listener.address().getPort();
--- a/src/main/java/sprucerock/benchmark/Load.java
+++ b/src/main/java/sprucerock/benchmark/Load.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.Histogram;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.tls.TlsLink;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.tls.TlsConnection;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Answer;
@@ -36,7 +36,7 @@
   private final boolean straight;
   private final byte[] body;
   private final List<Lane> lanes = new ArrayList<>();
-  private final List<TlsLink.Place> places = new ArrayList<>();
+  private final List<TlsConnection.Place> places = new ArrayList<>();
   private volatile boolean counting;
   private volatile long gapNanos;
   private int methods = 1;
@@ -68,9 +68,9 @@
     }
   }
 
-  private final class Client implements FrameUser {
+  private final class Client implements FrameListener {
     final Lane lane;
-    FrameLink link;
+    FrameConnection link;
     private long[] started = new long[1024];
     private long lastId;
     private boolean closedLoop;
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       up.incrementAndGet();
     }
 
@@ -145,7 +145,7 @@
     loops = new NioLoop[Math.min(threads, connections)];
     Hello hello =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(straight ? Role.RELAY : Role.CLIENT)
             .build();
     for (int i = 0; i < loops.length; i++) {
@@ -162,9 +162,9 @@
           lane.loop,
           () -> {
             Client client = new Client(lane);
-            client.link = new FrameLink(lane.loop, hello, Fleet.LIMITS, Tap.NONE, client);
+            client.link = new FrameConnection(lane.loop, hello, Fleet.LIMITS, Tap.NONE, client);
             lane.clients.add(client);
-            LinkUser user =
+            ConnectionListener user =
                 tls == null
                     ? client.link
                     : tls.client(
--- a/src/main/java/sprucerock/cli/AgentCommand.java
+++ b/src/main/java/sprucerock/cli/AgentCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import sprucerock.agent.AgentConfig;
-import sprucerock.agent.Station;
+import sprucerock.agent.ControllerClient;
 import sprucerock.config.ConfigException;
 import sprucerock.transport.net.nio.NioLoop;
 
@@ -60,14 +60,14 @@
             e ->
                 org.slf4j.LoggerFactory.getLogger("sprucerock.agent")
                     .error("BROKEN {}", e.toString(), e));
-    AtomicReference<Station> station = new AtomicReference<>();
+    AtomicReference<ControllerClient> station = new AtomicReference<>();
     AtomicReference<String> wrong = new AtomicReference<>();
     CountDownLatch started = new CountDownLatch(1);
     CountDownLatch ended = new CountDownLatch(1);
     loop.post(
         () -> {
           try {
-            station.set(new Station(config, loop));
+            station.set(new ControllerClient(config, loop));
             station.get().start();
           } catch (IOException e) {
             wrong.set(config.folder + " can't be used: " + e.getMessage());
--- a/src/main/java/sprucerock/cli/Commands.java
+++ b/src/main/java/sprucerock/cli/Commands.java
@@ -70,7 +70,7 @@
           command.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
           boolean given =
               e instanceof sprucerock.config.ConfigException
-                  || e instanceof sprucerock.rehearsal.scenario.Script.ScriptException;
+                  || e instanceof sprucerock.rehearsal.scenario.ScenarioParser.ScriptException;
           return given ? USAGE : FAILED;
         });
     return line.execute(args);
--- a/src/main/java/sprucerock/cli/ControllerCommand.java
+++ b/src/main/java/sprucerock/cli/ControllerCommand.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Option;
 import sprucerock.config.ConfigException;
 import sprucerock.controller.Engine;
-import sprucerock.controller.server.Desk;
-import sprucerock.controller.server.DeskConfig;
+import sprucerock.controller.server.ControllerServer;
+import sprucerock.controller.server.ControllerConfig;
 import sprucerock.transport.wire.Tap;
 
 @Command(
@@ -38,7 +38,7 @@
     if (!form.equals("plain") && !form.equals("json")) {
       throw new ConfigException("--log is plain or json, not " + form);
     }
-    DeskConfig config = DeskConfig.read(file);
+    ControllerConfig config = ControllerConfig.read(file);
     if (check) {
       System.out.println(
           file
@@ -52,8 +52,8 @@
       return Commands.DONE;
     }
     Logs.to(form.equals("json") ? Logs.Form.JSON : Logs.Form.PLAIN);
-    Desk desk =
-        new Desk(
+    ControllerServer desk =
+        new ControllerServer(
             config,
             new Engine.Clock() {
               @Override
--- a/src/main/java/sprucerock/cli/FiguresCommand.java
+++ b/src/main/java/sprucerock/cli/FiguresCommand.java
@@ -15,7 +15,7 @@
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.metrics.MetricsTable;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.rehearsal.scenario.FleetBook;
+import sprucerock.rehearsal.scenario.FleetMetricsAudit;
 
 @Command(
     name = "figures",
@@ -56,9 +56,9 @@
   }
 
   private boolean fleet(Path folder) throws IOException {
-    List<FleetBook.Entry> entries = FleetBook.hold(folder);
+    List<FleetMetricsAudit.Entry> entries = FleetMetricsAudit.hold(folder);
     if (!check) {
-      System.out.print(FleetBook.table(entries));
+      System.out.print(FleetMetricsAudit.table(entries));
     }
     boolean holds = entries.stream().allMatch(entry -> entry.unexplained() == 0);
     System.out.println(
--- a/src/main/java/sprucerock/cli/JudgeCommand.java
+++ b/src/main/java/sprucerock/cli/JudgeCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import sprucerock.rehearsal.invariant.Finding;
-import sprucerock.rehearsal.invariant.Judge;
+import sprucerock.rehearsal.invariant.InvariantChecker;
 
 @Command(
     name = "judge",
@@ -17,7 +17,7 @@
 
   @Override
   public Integer call() throws Exception {
-    Judge.Verdict verdict = Judge.judge(folder);
+    InvariantChecker.Verdict verdict = InvariantChecker.judge(folder);
     for (Finding finding : verdict.findings()) {
       System.out.println(finding);
     }
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -18,7 +18,7 @@
 import sprucerock.lease.Leases;
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.relay.frames.Relay;
+import sprucerock.relay.frames.FrameRelay;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Workers;
 import sprucerock.rehearsal.trace.TraceWriter;
@@ -52,7 +52,7 @@
   private String form;
 
   /** What is true now of TLS and leases. */
-  private static Map<String, Double> now(Relay relay) {
+  private static Map<String, Double> now(FrameRelay relay) {
     Map<String, Double> all = new java.util.TreeMap<>();
     Long days = relay.tlsDaysLeft();
     if (days != null) {
@@ -71,7 +71,7 @@
   private volatile String inForce;
 
   /** Read on the signal's own thread, whole or not at all: the loop reads no files. */
-  private void reload(NioLoop loop, Relay relay) {
+  private void reload(NioLoop loop, FrameRelay relay) {
     try {
       RelayConfig anew = RelayConfig.read(file);
       String text = Files.readString(file);
@@ -94,7 +94,7 @@
     RelayConfig config = RelayConfig.read(file);
     inForce = Files.readString(file);
     Logs.to(form.equals("json") ? Logs.Form.JSON : Logs.Form.PLAIN);
-    AtomicReference<Relay> relay = new AtomicReference<>();
+    AtomicReference<FrameRelay> relay = new AtomicReference<>();
     CountDownLatch ended = new CountDownLatch(1);
     CountDownLatch started = new CountDownLatch(1);
     AtomicReference<String> wrong = new AtomicReference<>();
@@ -117,7 +117,7 @@
               tracing.set(new TraceWriter(loop, trace, "relay-" + config.settings.index));
               tracing.get().watchStalls();
             }
-            relay.set(new Relay(config, loop, trace == null ? Tap.NONE : tracing.get()));
+            relay.set(new FrameRelay(config, loop, trace == null ? Tap.NONE : tracing.get()));
             MethodAccounts accounts = relay.get().ledger().accounts();
             keeper.set(
                 MetricsFileWriter.open(
--- a/src/main/java/sprucerock/cli/ServeCommand.java
+++ b/src/main/java/sprucerock/cli/ServeCommand.java
@@ -9,12 +9,12 @@
 import picocli.CommandLine.Command;
 import sprucerock.Policy;
 import sprucerock.config.ConfigException;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.relay.platform.PlatformConfig;
-import sprucerock.relay.platform.Serving;
+import sprucerock.relay.platform.PlatformRelay;
 import sprucerock.relay.platform.WarmUp;
 import sprucerock.time.TimeSpan;
 import sun.misc.Signal;
@@ -33,7 +33,7 @@
 
   /** Runs until it is told to end; returns the exit code. */
   public static int serve() throws InterruptedException {
-    AtomicReference<Serving> serving = new AtomicReference<>();
+    AtomicReference<PlatformRelay> serving = new AtomicReference<>();
     CountDownLatch ended = new CountDownLatch(1);
     AtomicReference<String> wrong = new AtomicReference<>();
     Semaphore asks = new Semaphore(0);
@@ -54,7 +54,7 @@
       loop.post(
           () -> {
             try {
-              serving.set(new Serving(config, loop, System.currentTimeMillis(), asks::release));
+              serving.set(new PlatformRelay(config, loop, System.currentTimeMillis(), asks::release));
               serving.get().start(Policy::new);
             } catch (IOException e) {
               wrong.set("an address can't be listened at: " + e.getMessage());
@@ -114,10 +114,10 @@
   }
 
   /** Sends some bytes back and forth. */
-  private static final class Echo implements LinkUser {
+  private static final class Echo implements ConnectionListener {
     private final boolean first;
     private final CountDownLatch heard;
-    private Link link;
+    private Connection link;
     private int rounds;
 
     Echo(boolean first, CountDownLatch heard) {
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
       if (first) {
         link.append(new byte[64]);
@@ -154,7 +154,7 @@
    * what it was told.
    */
   private static void readWhenAsked(
-      Semaphore asks, NioLoop loop, AtomicReference<Serving> serving) {
+      Semaphore asks, NioLoop loop, AtomicReference<PlatformRelay> serving) {
     while (true) {
       asks.acquireUninterruptibly();
       asks.drainPermits(); // one reading answers all that asked before it
@@ -162,7 +162,7 @@
     }
   }
 
-  private static void reload(NioLoop loop, AtomicReference<Serving> serving) {
+  private static void reload(NioLoop loop, AtomicReference<PlatformRelay> serving) {
     try {
       PlatformConfig anew = PlatformConfig.read(System.getenv());
       loop.post(() -> serving.get().reload(anew));
--- a/src/main/java/sprucerock/cli/TlsCheckCommand.java
+++ b/src/main/java/sprucerock/cli/TlsCheckCommand.java
@@ -16,8 +16,8 @@
 import picocli.CommandLine.Option;
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Buffers;
@@ -27,7 +27,7 @@
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Names;
 import sprucerock.transport.tls.RefusedException;
-import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.tls.Workers;
 
 @Command(
@@ -190,11 +190,11 @@
         Workers workers = new Workers(1, 10, loop::post, end::completeExceptionally)) {
       loop.post(
           () -> {
-            TlsLink[] link = new TlsLink[1];
-            LinkUser user =
-                new LinkUser() {
+            TlsConnection[] link = new TlsConnection[1];
+            ConnectionListener user =
+                new ConnectionListener() {
                   @Override
-                  public void up(Link made) {
+                  public void up(Connection made) {
                     X509Certificate shown = link[0].peer();
                     System.out.println("peer at " + at + ":");
                     describe(shown, now);
@@ -211,8 +211,8 @@
                   }
                 };
             link[0] =
-                TlsLink.client(
-                    new TlsLink.Place(loop, new Buffers(), workers, WITHIN, Counter.NONE),
+                TlsConnection.client(
+                    new TlsConnection.Place(loop, new Buffers(), workers, WITHIN, Counter.NONE),
                     credentials,
                     name,
                     to.getPort(),
--- a/src/main/java/sprucerock/controller/ChangeCodec.java
+++ b/src/main/java/sprucerock/controller/ChangeCodec.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.ChangeNotes;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentState;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
 import sprucerock.controller.v1.ChangeMemory;
@@ -17,7 +17,7 @@
   private ChangeCodec() {}
 
   /** What an input came to: an operator's refusal, or null. Those of releases do nothing here. */
-  static Object apply(Changes core, Input input) {
+  static Object apply(DeploymentManager core, Input input) {
     Timestamp now = Timestamp.ofMs(input.getAtMs());
     long wall = input.getWallMs();
     switch (input.getWhatCase()) {
@@ -32,7 +32,7 @@
       }
       case CHANGE_WORD -> {
         return core.word(
-            Changes.Word.valueOf(input.getChangeWord().getWord()),
+            DeploymentManager.Word.valueOf(input.getChangeWord().getWord()),
             input.getChangeWord().getChange(),
             input.getChangeWord().getWho(),
             input.getChangeWord().getReason(),
@@ -101,8 +101,8 @@
     return ms < 0 ? null : Timestamp.ofMs(ms);
   }
 
-  static ChangeMemory write(Changes core) {
-    ChangeNotes memory = ChangeNotes.of(core);
+  static ChangeMemory write(DeploymentManager core) {
+    DeploymentState memory = DeploymentState.of(core);
     ChangeMemory.Builder written =
         ChangeMemory.newBuilder()
             .setCurrent(version(memory.current()))
@@ -112,7 +112,7 @@
             .setReleasing(memory.releasing())
             .putAllRooms(memory.rooms())
             .addAllControls(memory.controls());
-    for (ChangeNotes.OfRelay one : memory.relays()) {
+    for (DeploymentState.OfRelay one : memory.relays()) {
       sprucerock.controller.v1.OfRelay.Builder relay =
           sprucerock.controller.v1.OfRelay.newBuilder()
               .setNumber(one.number())
@@ -130,7 +130,7 @@
       }
       written.addRelays(relay);
     }
-    for (ChangeNotes.OfChange one : memory.changes()) {
+    for (DeploymentState.OfChange one : memory.changes()) {
       sprucerock.controller.v1.OfChange.Builder change =
           sprucerock.controller.v1.OfChange.newBuilder()
               .setNumber(one.number())
@@ -149,7 +149,7 @@
               .putAllBeside(one.beside())
               .setVerdict(one.verdict().name())
               .setLive(one.live());
-      for (Change.Step step : one.steps()) {
+      for (Deployment.Step step : one.steps()) {
         change.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
                 .setSequence(step.sequence())
@@ -164,12 +164,12 @@
     return written.build();
   }
 
-  static void read(ChangeMemory written, Changes core) {
-    List<ChangeNotes.OfRelay> relays =
+  static void read(ChangeMemory written, DeploymentManager core) {
+    List<DeploymentState.OfRelay> relays =
         written.getRelaysList().stream()
             .map(
                 one ->
-                    new ChangeNotes.OfRelay(
+                    new DeploymentState.OfRelay(
                         one.getNumber(),
                         one.getZone(),
                         one.getBusy(),
@@ -182,18 +182,18 @@
                         moment(one.getToldAtMs()),
                         moment(one.getReadyAtMs())))
             .toList();
-    List<ChangeNotes.OfChange> changes =
+    List<DeploymentState.OfChange> changes =
         written.getChangesList().stream()
             .map(
                 one ->
-                    new ChangeNotes.OfChange(
+                    new DeploymentState.OfChange(
                         one.getNumber(),
                         one.getWho(),
                         one.getWhy(),
                         version(one.getFrom()),
                         version(one.getTo()),
                         one.getLive(),
-                        Change.State.valueOf(one.getState()),
+                        Deployment.State.valueOf(one.getState()),
                         one.getStage(),
                         moment(one.getSinceMs()),
                         moment(one.getProgressMs()),
@@ -206,16 +206,16 @@
                         one.getStepsList().stream()
                             .map(
                                 step ->
-                                    new Change.Step(
+                                    new Deployment.Step(
                                         step.getSequence(),
                                         Timestamp.ofMs(step.getAtMs()),
                                         step.getWallMs(),
-                                        Change.State.valueOf(step.getStanding()),
+                                        Deployment.State.valueOf(step.getStanding()),
                                         step.getStage(),
                                         step.getCause()))
                             .toList()))
             .toList();
-    new ChangeNotes(
+    new DeploymentState(
             version(written.getCurrent()),
             written.getSequence(),
             written.getNumbers(),
--- a/src/main/java/sprucerock/controller/Codec.java
+++ b/src/main/java/sprucerock/controller/Codec.java
@@ -1,12 +1,12 @@
 package sprucerock.controller;
 
 import java.util.Locale;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.v1.Ballot;
 import sprucerock.controller.v1.Delivery;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.State;
-import sprucerock.controller.maintenance.Freezes;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -21,7 +21,7 @@
    * What an input came to, for whoever brought it: an {@code Answer}, a {@code Taken}, an
    * operator's refusal, or null.
    */
-  static Object apply(Releases core, Changes changes, Freezes freezes, Input input) {
+  static Object apply(RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes, Input input) {
     Timestamp now = Timestamp.ofMs(input.getAtMs());
     long wall = input.getWallMs();
     Object answer =
@@ -39,12 +39,12 @@
                   input.getCast().getRelay(),
                   input.getCast().getBuild(),
                   input.getCast().getStage(),
-                  Releases.Say.valueOf(input.getCast().getSay()),
+                  RolloutManager.Say.valueOf(input.getCast().getSay()),
                   now,
                   wall);
           case WORD ->
               core.word(
-                  Releases.Action.valueOf(input.getWord().getAction()),
+                  RolloutManager.Action.valueOf(input.getWord().getAction()),
                   input.getWord().getBuild(),
                   input.getWord().getWho(),
                   input.getWord().getReason(),
@@ -74,11 +74,11 @@
           default -> ChangeCodec.apply(changes, input);
         };
     // relays that judge a build are not restarted meanwhile
-    Release.Standing standing = core.present.standing;
+    Rollout.Standing standing = core.present.standing;
     boolean releasing =
-        standing == Release.Standing.STARTING
-            || standing == Release.Standing.ON_TRIAL
-            || standing == Release.Standing.GOING_BACK;
+        standing == Rollout.Standing.STARTING
+            || standing == Rollout.Standing.ON_TRIAL
+            || standing == Rollout.Standing.GOING_BACK;
     if (releasing != changes.releasing()) {
       changes.releasing(releasing, now, wall);
     }
@@ -87,7 +87,7 @@
     return answer;
   }
 
-  static State write(Releases core, Changes changes, Freezes freezes, long atMs) {
+  static State write(RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes, long atMs) {
     State.Builder state =
         State.newBuilder()
             .setAtMs(atMs)
@@ -98,7 +98,7 @@
             .setEpoch(core.epoch)
             .setChanges(ChangeCodec.write(changes))
             .setFreezes(FreezeCodec.write(freezes));
-    for (Release one : core.releases.values()) {
+    for (Rollout one : core.releases.values()) {
       sprucerock.controller.v1.Release.Builder release =
           sprucerock.controller.v1.Release.newBuilder()
               .setBuild(one.build)
@@ -119,7 +119,7 @@
       if (one.clockStopped != null) {
         release.setClockStoppedMs(ms(one.clockStopped)).setHasClockStopped(true);
       }
-      for (Release.Step step : one.steps()) {
+      for (Rollout.Step step : one.steps()) {
         release.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
                 .setSequence(step.sequence())
@@ -148,7 +148,7 @@
           }
           state.addBallots(ballot);
         });
-    for (Releases.Delivery one : core.deliveries.values()) {
+    for (RolloutManager.Delivery one : core.deliveries.values()) {
       state.addDeliveries(
           Delivery.newBuilder()
               .setId(one.id())
@@ -163,7 +163,7 @@
     return Math.round(moment.ms());
   }
 
-  static void read(State state, Releases core, Changes changes, Freezes freezes) {
+  static void read(State state, RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes) {
     FreezeCodec.read(state.getFreezes(), freezes);
     ChangeCodec.read(state.getChanges(), changes);
     core.releases.clear();
@@ -172,9 +172,9 @@
     core.earlier = state.getEarlier();
     core.epoch = state.getEpoch();
     for (sprucerock.controller.v1.Release one : state.getReleasesList()) {
-      Release release =
-          new Release(one.getBuild(), one.getArtifact(), Timestamp.ofMs(one.getSinceMs()));
-      release.standing = Release.Standing.valueOf(one.getStanding().toUpperCase(Locale.ROOT));
+      Rollout release =
+          new Rollout(one.getBuild(), one.getArtifact(), Timestamp.ofMs(one.getSinceMs()));
+      release.standing = Rollout.Standing.valueOf(one.getStanding().toUpperCase(Locale.ROOT));
       release.stage = one.getStage();
       release.heldFor = TimeSpan.ofMs(one.getHeldMs());
       release.held = one.getHeld();
@@ -191,11 +191,11 @@
       }
       for (sprucerock.controller.v1.Step step : one.getStepsList()) {
         release.add(
-            new Release.Step(
+            new Rollout.Step(
                 step.getSequence(),
                 Timestamp.ofMs(step.getAtMs()),
                 step.getWallMs(),
-                Release.Standing.valueOf(step.getStanding()),
+                Rollout.Standing.valueOf(step.getStanding()),
                 step.getStage(),
                 step.getCause()));
       }
@@ -203,10 +203,10 @@
     }
     core.present = core.releases.get(state.getPresent());
     for (Ballot one : state.getBallotsList()) {
-      Releases.Ballot vote = new Releases.Ballot(one.getRelay());
+      RolloutManager.Ballot vote = new RolloutManager.Ballot(one.getRelay());
       vote.build = one.getBuild();
       vote.stage = one.getStage();
-      vote.say = Releases.Say.valueOf(one.getSay());
+      vote.say = RolloutManager.Say.valueOf(one.getSay());
       vote.until = Timestamp.ofMs(one.getUntilMs());
       vote.second = Timestamp.ofMs(one.getSecondMs());
       vote.inSecond = one.getInSecond();
@@ -216,10 +216,10 @@
     for (Delivery one : state.getDeliveriesList()) {
       core.deliveries.put(
           one.getId(),
-          new Releases.Delivery(
+          new RolloutManager.Delivery(
               one.getId(),
               Timestamp.ofMs(one.getAtMs()),
-              Releases.Answer.valueOf(one.getAnswer()),
+              RolloutManager.Answer.valueOf(one.getAnswer()),
               one.getContent()));
     }
   }
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.Restarted;
 import sprucerock.controller.v1.State;
 import sprucerock.controller.v1.Tick;
-import sprucerock.controller.maintenance.Freezes;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.time.Timestamp;
 
 /**
@@ -37,12 +37,12 @@
   private static final int SNAPSHOT_EVERY = 10_000; // some hundred milliseconds to read back
   private static final int MOST_WAITING = 20_000;
 
-  private final Store store;
+  private final WriteAheadLog store;
   private final Clock clock;
   private final Consumer<String> say;
-  private final Releases core;
-  private final Changes changes;
-  private final Freezes freezes;
+  private final RolloutManager core;
+  private final DeploymentManager changes;
+  private final MaintenanceWindows freezes;
   private final List<Waiting> waiting = new ArrayList<>();
   private boolean replaying = true;
   private long lastAtMs;
@@ -57,15 +57,15 @@
 
   /** One of a fleet without racks. */
   Engine(
-      Disk disk,
+      Storage disk,
       int snapshotEvery,
-      Rules rules,
+      RolloutRules rules,
       int places,
       int first,
-      Plan plan,
+      DeploymentPlan plan,
       Clock clock,
-      Releases.Host host,
-      Changes.Host ofChanges,
+      RolloutManager.Host host,
+      DeploymentManager.Host ofChanges,
       Consumer<String> say) {
     this(
         disk,
@@ -77,7 +77,7 @@
         clock,
         host,
         ofChanges,
-        Freezes.none(),
+        MaintenanceWindows.none(),
         say);
   }
 
@@ -86,23 +86,23 @@
    * told nothing yet.
    */
   Engine(
-      Disk disk,
+      Storage disk,
       int snapshotEvery,
-      Rules rules,
+      RolloutRules rules,
       int places,
       int first,
-      Plan plan,
+      DeploymentPlan plan,
       Clock clock,
-      Releases.Host host,
-      Changes.Host ofChanges,
-      Freezes freezes,
+      RolloutManager.Host host,
+      DeploymentManager.Host ofChanges,
+      MaintenanceWindows freezes,
       Consumer<String> say) {
     this.freezes = freezes;
-    store = new Store(disk, snapshotEvery);
+    store = new WriteAheadLog(disk, snapshotEvery);
     this.clock = clock;
     this.say = say;
     core =
-        new Releases(
+        new RolloutManager(
             rules,
             places,
             first,
@@ -113,11 +113,11 @@
               }
             });
     changes =
-        new Changes(
+        new DeploymentManager(
             plan,
-            new Changes.Host() {
+            new DeploymentManager.Host() {
               @Override
-              public void changed(Change change, Change.Step step) {
+              public void changed(Deployment change, Deployment.Step step) {
                 if (!replaying) {
                   ofChanges.changed(change, step);
                 }
@@ -135,18 +135,18 @@
   /** One that keeps its files in a folder of the machine's. */
   public static Engine in(
       java.nio.file.Path folder,
-      Rules rules,
+      RolloutRules rules,
       int places,
       int first,
-      Plan plan,
+      DeploymentPlan plan,
       Clock clock,
-      Releases.Host host,
-      Changes.Host ofChanges,
-      Freezes freezes,
+      RolloutManager.Host host,
+      DeploymentManager.Host ofChanges,
+      MaintenanceWindows freezes,
       Consumer<String> say)
       throws IOException {
     return new Engine(
-        new FileDisk(folder),
+        new FileStorage(folder),
         SNAPSHOT_EVERY,
         rules,
         places,
@@ -164,15 +164,15 @@
    *
    * @throws Store.DamagedException if the files are damaged other than at their end
    */
-  public void start() throws IOException, Store.DamagedException {
+  public void start() throws IOException, WriteAheadLog.DamagedException {
     start(() -> {});
   }
 
   /** The same; {@code back} is run once it is where it was, before anything new happens. */
-  public void start(Runnable back) throws IOException, Store.DamagedException {
+  public void start(Runnable back) throws IOException, WriteAheadLog.DamagedException {
     boolean[] before = new boolean[1];
     store.open(
-        new Store.Reader() {
+        new WriteAheadLog.Reader() {
           @Override
           public void state(State state) {
             Codec.read(state, core, changes, freezes);
@@ -210,7 +210,7 @@
     Codec.apply(core, changes, freezes, stamped);
   }
 
-  public Freezes freezes() {
+  public MaintenanceWindows freezes() {
     return freezes;
   }
 
@@ -236,11 +236,11 @@
     return Math.round(wall);
   }
 
-  public Changes changes() {
+  public DeploymentManager changes() {
     return changes;
   }
 
-  public Releases releases() {
+  public RolloutManager releases() {
     return core;
   }
 
--- a/src/main/java/sprucerock/controller/FolderSeat.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -13,7 +13,7 @@
  * way: news therefore has an epoch, and relays refuse older ones. Each term begins files of its
  * own, so that nothing a former one still writes is ever read.
  */
-public final class FolderSeat implements Seat {
+public final class FileLeadership implements Leadership {
   private static final String FILE = "lease";
 
   /**
@@ -25,7 +25,7 @@
   private static final TimeSpan CLAIM =
       TimeSpan.ofMs(500); // twice as long as between two looks of whoever holds it
 
-  private final Disk disk;
+  private final Storage disk;
   private final Engine.Clock clock;
   private final TimeSpan time;
   private final String holder;
@@ -37,7 +37,7 @@
   private long renewedAt;
   private long beats;
 
-  FolderSeat(Disk disk, Engine.Clock clock, TimeSpan time, String holder) {
+  FileLeadership(Storage disk, Engine.Clock clock, TimeSpan time, String holder) {
     this.disk = disk;
     this.clock = clock;
     this.time = time;
@@ -48,9 +48,9 @@
   /**
    * One in a folder of the machine's; {@code holder} names this process among all that may hold it.
    */
-  public static FolderSeat in(
+  public static FileLeadership in(
       java.nio.file.Path folder, Engine.Clock clock, TimeSpan time, String holder) throws IOException {
-    return new FolderSeat(new FileDisk(folder), clock, time, holder);
+    return new FileLeadership(new FileStorage(folder), clock, time, holder);
   }
 
   private String read() throws IOException {
--- a/src/main/java/sprucerock/controller/FileDisk.java
+++ b/src/main/java/sprucerock/controller/FileStorage.java
@@ -11,10 +11,10 @@
 import java.util.stream.Stream;
 
 /** A folder of the machine's. */
-final class FileDisk implements Disk {
+final class FileStorage implements Storage {
   private final Path folder;
 
-  FileDisk(Path folder) throws IOException {
+  FileStorage(Path folder) throws IOException {
     this.folder = Files.createDirectories(folder);
   }
 
--- a/src/main/java/sprucerock/controller/FreezeCodec.java
+++ b/src/main/java/sprucerock/controller/FreezeCodec.java
@@ -4,10 +4,10 @@
 import sprucerock.controller.v1.FreezeMemory;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.OfFreeze;
-import sprucerock.controller.maintenance.Freeze;
+import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.maintenance.FreezeNotes;
-import sprucerock.controller.maintenance.Freezes;
-import sprucerock.hardware.Fit;
+import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.hardware.LeastSquaresFit;
 import sprucerock.hardware.Model;
 
 /** Between freezes and what is kept of them on disk. */
@@ -15,7 +15,7 @@
   private FreezeCodec() {}
 
   /** What an input came to: numbers of freezes, an operator's refusal, or null. */
-  static Object apply(Freezes core, Input input) {
+  static Object apply(MaintenanceWindows core, Input input) {
     long now = core.later(input.getWallMs());
     switch (input.getWhatCase()) {
       case FREEZE -> {
@@ -62,8 +62,8 @@
     int pairs = (methods + 1) * families * families;
     boolean can =
         families > 0
-            && families <= Fit.MOST_FAMILIES
-            && methods <= Fit.MOST_METHODS
+            && families <= LeastSquaresFit.MOST_FAMILIES
+            && methods <= LeastSquaresFit.MOST_METHODS
             && said.getLogsCount() == pairs
             && said.getErrorsCount() == pairs
             && said.getCoresCount() == families
@@ -99,7 +99,7 @@
     return said.build();
   }
 
-  static FreezeMemory write(Freezes core) {
+  static FreezeMemory write(MaintenanceWindows core) {
     FreezeNotes notes = FreezeNotes.of(core);
     FreezeMemory.Builder written =
         FreezeMemory.newBuilder()
@@ -126,7 +126,7 @@
               .setState(one.state().name())
               .setBoundSinceMs(one.boundSince())
               .addAllForcedBy(one.forcedBy());
-      for (Freeze.Step step : one.steps()) {
+      for (MaintenanceWindow.Step step : one.steps()) {
         freeze.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
                 .setSequence(step.sequence())
@@ -139,7 +139,7 @@
     return written.build();
   }
 
-  static void read(FreezeMemory written, Freezes core) {
+  static void read(FreezeMemory written, MaintenanceWindows core) {
     if (written.hasWorth()) {
       core.model(model(written.getWorth()));
     }
@@ -162,16 +162,16 @@
                             one.getSeries(),
                             one.getWho(),
                             one.getWhy(),
-                            Freeze.State.valueOf(one.getState()),
+                            MaintenanceWindow.State.valueOf(one.getState()),
                             one.getBoundSinceMs(),
                             one.getForcedByList(),
                             one.getStepsList().stream()
                                 .map(
                                     step ->
-                                        new Freeze.Step(
+                                        new MaintenanceWindow.Step(
                                             step.getSequence(),
                                             step.getWallMs(),
-                                            Freeze.State.valueOf(step.getStanding()),
+                                            MaintenanceWindow.State.valueOf(step.getStanding()),
                                             step.getCause()))
                                 .toList()))
                 .toList())
--- a/src/main/java/sprucerock/controller/Seat.java
+++ b/src/main/java/sprucerock/controller/Leadership.java
@@ -4,7 +4,7 @@
 import sprucerock.time.TimeSpan;
 
 /** Which of several controllers of one store acts. */
-public interface Seat {
+public interface Leadership {
   /** How often it is to be renewed at least. */
   TimeSpan RENEW = TimeSpan.ofMs(200);
 
--- a/src/main/java/sprucerock/controller/SeatMark.java
+++ b/src/main/java/sprucerock/controller/LeadershipMark.java
@@ -7,16 +7,16 @@
  * The highest number under which a controller took this store's folder: who comes with a lower one
  * stood still too long.
  */
-public final class SeatMark {
-  private final Disk disk;
+public final class LeadershipMark {
+  private final Storage disk;
 
-  SeatMark(Disk disk) {
+  LeadershipMark(Storage disk) {
     this.disk = disk;
   }
 
   /** Of a folder of the machine's. */
-  public static SeatMark in(java.nio.file.Path folder) throws IOException {
-    return new SeatMark(new FileDisk(folder));
+  public static LeadershipMark in(java.nio.file.Path folder) throws IOException {
+    return new LeadershipMark(new FileStorage(folder));
   }
 
   /**
@@ -25,14 +25,14 @@
    * @throws IOException if the file can't be read, or is none of ours
    */
   public long highest() throws IOException {
-    if (!disk.list().contains(FolderSeat.MAJORITY)) {
+    if (!disk.list().contains(FileLeadership.MAJORITY)) {
       return 0;
     }
-    String text = new String(disk.read(FolderSeat.MAJORITY), StandardCharsets.UTF_8).strip();
+    String text = new String(disk.read(FileLeadership.MAJORITY), StandardCharsets.UTF_8).strip();
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
-      throw new IOException("the file " + FolderSeat.MAJORITY + " holds no number");
+      throw new IOException("the file " + FileLeadership.MAJORITY + " holds no number");
     }
   }
 
@@ -43,7 +43,7 @@
       return false;
     }
     if (number > highest) {
-      disk.put(FolderSeat.MAJORITY, Long.toString(number).getBytes(StandardCharsets.UTF_8));
+      disk.put(FileLeadership.MAJORITY, Long.toString(number).getBytes(StandardCharsets.UTF_8));
     }
     return true;
   }
--- a/src/main/java/sprucerock/controller/Room.java
+++ b/src/main/java/sprucerock/controller/RestartCapacity.java
@@ -11,7 +11,7 @@
  * whether more has come than usual, in which case nobody is to be restarted. A relay out means its
  * work for others of its zone, whose processors are then used more.
  */
-final class Room {
+final class RestartCapacity {
   private static final double FULL =
       0.7; // of the processors: above that queues grow quickly (at 0.7, M/M/1 waits twice its work)
   private static final double SURGE =
--- a/src/main/java/sprucerock/controller/Release.java
+++ b/src/main/java/sprucerock/controller/Rollout.java
@@ -7,7 +7,7 @@
 import sprucerock.time.TimeSpan;
 
 /** One build on its way through the stages, with every step and its cause. */
-public final class Release {
+public final class Rollout {
   /** Where a release stands. */
   public enum Standing {
     /** Waits until the one before it has gone back. */
@@ -63,7 +63,7 @@
   int units;
   private final List<Step> steps = new ArrayList<>();
 
-  Release(int build, String artifact, Timestamp now) {
+  Rollout(int build, String artifact, Timestamp now) {
     this.build = build;
     this.artifact = artifact;
     since = now;
--- a/src/main/java/sprucerock/controller/Releases.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.controller.Release.Standing;
-import sprucerock.controller.Release.Step;
+import sprucerock.controller.Rollout.Standing;
+import sprucerock.controller.Rollout.Step;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -22,7 +22,7 @@
  * which is how it comes back after a crash. Whether a build is good is the relays' to judge: here
  * votes are only counted.
  */
-public final class Releases {
+public final class RolloutManager {
   /** What an announcement came to. */
   public enum Answer {
     TAKEN,
@@ -61,7 +61,7 @@
   /** Who acts on transitions: tells relays and others, has units started and taken away. */
   public interface Host {
     /** Told in the order in which they happen, each once by each life that makes it. */
-    void changed(Release release, Step step);
+    void changed(Rollout release, Step step);
   }
 
   /** A relay's standing vote. */
@@ -89,16 +89,16 @@
   static final TimeSpan REMEMBERED =
       TimeSpan.ofMs(7 * 24 * 3_600_000.0); // longer than senders retry: a day or three
 
-  private final Rules rules;
+  private final RolloutRules rules;
   private final int places;
   private final Host host;
-  final TreeMap<Integer, Release> releases = new TreeMap<>();
+  final TreeMap<Integer, Rollout> releases = new TreeMap<>();
   final TreeMap<Integer, Ballot> ballots = new TreeMap<>();
   final LinkedHashMap<String, Delivery> deliveries = new LinkedHashMap<>();
   long sequence;
   long delivered;
   long epoch;
-  Release present;
+  Rollout present;
   int earlier;
   private long wallMs;
   // Votes that stand for the present build and stage, the first to run out first: all others are
@@ -108,11 +108,11 @@
   private long looked;
 
   /** {@code places} units make up the fleet; {@code first} serves from the start. */
-  public Releases(Rules rules, int places, int first, Timestamp now, Host host) {
+  public RolloutManager(RolloutRules rules, int places, int first, Timestamp now, Host host) {
     this.rules = rules;
     this.places = places;
     this.host = host;
-    present = new Release(first, "", now);
+    present = new Rollout(first, "", now);
     present.standing = Standing.RELEASED;
     present.stage = rules.stages().size() - 1;
     releases.put(first, present);
@@ -129,7 +129,7 @@
   // What is asked.
 
   /** The release that relays are told of: on trial, going back, released or withdrawn last. */
-  public Release present() {
+  public Rollout present() {
     return present;
   }
 
@@ -138,11 +138,11 @@
     return earlier;
   }
 
-  public Collection<Release> all() {
+  public Collection<Rollout> all() {
     return Collections.unmodifiableCollection(releases.values());
   }
 
-  public Release of(int build) {
+  public Rollout of(int build) {
     return releases.get(build);
   }
 
@@ -181,7 +181,7 @@
           new News(present.build, present.stage, present.standing, 0, present.since);
       case RELEASED -> new News(present.build, present.stage, Standing.RELEASED, 1, present.since);
       default -> {
-        Release before = releases.lowerEntry(present.build).getValue();
+        Rollout before = releases.lowerEntry(present.build).getValue();
         boolean serves = before.build == earlier;
         yield new News(
             before.build,
@@ -194,7 +194,7 @@
   }
 
   /** How many units of a build there should be now. */
-  public int wanted(Release release) {
+  public int wanted(Rollout release) {
     return switch (release.standing) {
       case STARTING, ON_TRIAL -> wanted(release.stage);
       case RELEASED ->
@@ -206,7 +206,7 @@
   }
 
   /** Of all units, that a release takes while it is decided. */
-  double share(Release release) {
+  double share(Rollout release) {
     return rules.stages().get(release.stage).share();
   }
 
@@ -268,7 +268,7 @@
   /** Why the present release stands where it stands, in one line each. */
   public List<String> waitsFor(Timestamp now) {
     List<String> found = new ArrayList<>();
-    Release open = open();
+    Rollout open = open();
     if (open == null) {
       return found;
     }
@@ -289,7 +289,7 @@
       return found;
     }
     TimeSpan so = now.since(open.clock).minus(open.heldFor);
-    if (rules.control() == Rules.Control.CLOCKED) {
+    if (rules.control() == RolloutRules.Control.CLOCKED) {
       found.add(
           "the clock: "
               + Math.round(so.ms())
@@ -315,8 +315,8 @@
     return found;
   }
 
-  private Release open() {
-    for (Release one : releases.descendingMap().values()) {
+  private Rollout open() {
+    for (Rollout one : releases.descendingMap().values()) {
       if (one.standing.open()) {
         return one;
       }
@@ -353,7 +353,7 @@
   }
 
   private Answer announce(int build, String artifact, String source, Timestamp now) {
-    Release known = releases.get(build);
+    Rollout known = releases.get(build);
     if (known != null) {
       return known.artifact.equals(artifact) ? Answer.KNOWN : Answer.CONTRADICTS;
     }
@@ -365,10 +365,10 @@
     if (waiting >= MOST_WAITING) {
       return Answer.TOO_MANY;
     }
-    Release made = new Release(build, artifact, now);
+    Rollout made = new Rollout(build, artifact, now);
     releases.put(build, made);
     step(made, Standing.ANNOUNCED, 0, "announced by " + source, now);
-    for (Release one : List.copyOf(releases.values())) {
+    for (Rollout one : List.copyOf(releases.values())) {
       if (one != made
           && (one.standing == Standing.ON_TRIAL
               || one.standing == Standing.STARTING
@@ -391,7 +391,7 @@
     if (present.standing == Standing.GOING_BACK) {
       return;
     }
-    Release next = open();
+    Rollout next = open();
     if (next == null || next.standing != Standing.ANNOUNCED) {
       return;
     }
@@ -422,7 +422,7 @@
       return Taken.TOO_MANY;
     }
     boolean trial = present.standing == Standing.ON_TRIAL;
-    boolean clocked = rules.control() == Rules.Control.CLOCKED;
+    boolean clocked = rules.control() == RolloutRules.Control.CLOCKED;
     boolean fits =
         build == present.build
             && switch (say) {
@@ -461,7 +461,7 @@
   /** An operator's word, which is stronger than votes; says why it has no effect, or null. */
   public String word(Action action, int build, String who, String reason, Timestamp now, long wall) {
     wallMs = wall;
-    Release release = releases.get(build);
+    Rollout release = releases.get(build);
     if (release == null) {
       return "no build " + build + " is known";
     }
@@ -511,14 +511,14 @@
     return null;
   }
 
-  private static String words(Release release) {
+  private static String words(Rollout release) {
     return release.standing.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
   }
 
   /** So many units of a build are there. */
   public void ready(int build, int units, Timestamp now, long wall) {
     wallMs = wall;
-    Release release = releases.get(build);
+    Rollout release = releases.get(build);
     if (release == null) {
       return;
     }
@@ -593,7 +593,7 @@
       return false;
     }
     TimeSpan so = now.since(present.clock).minus(present.heldFor);
-    if (rules.control() != Rules.Control.CLOCKED) {
+    if (rules.control() != RolloutRules.Control.CLOCKED) {
       return so.over(rules.least()) && count(Say.ON, now) >= rules.on();
     }
     return clockRuns(now) && present.clockRan && so.over(rules.step());
@@ -601,7 +601,7 @@
 
   /** Does all that is due now. */
   private void settle(Timestamp now) {
-    if (rules.control() == Rules.Control.CLOCKED && present.standing == Standing.ON_TRIAL) {
+    if (rules.control() == RolloutRules.Control.CLOCKED && present.standing == Standing.ON_TRIAL) {
       countHeld(now);
       present.clockRan = clockRuns(now);
     }
@@ -640,7 +640,7 @@
 
   private void goOn(Timestamp now) {
     String cause =
-        rules.control() == Rules.Control.CLOCKED
+        rules.control() == RolloutRules.Control.CLOCKED
             ? "its time is over"
             : "votes to go on of relays " + standing(Say.ON, now);
     boolean last = present.stage + 1 >= rules.stages().size();
@@ -652,11 +652,11 @@
     present.clock = !last && present.units >= wanted(present.stage) ? now : null;
   }
 
-  private void goBack(Release release, String cause, Timestamp now) {
+  private void goBack(Rollout release, String cause, Timestamp now) {
     step(release, Standing.GOING_BACK, release.stage, cause, now);
   }
 
-  private void step(Release release, Standing to, int stage, String cause, Timestamp now) {
+  private void step(Rollout release, Standing to, int stage, String cause, Timestamp now) {
     boolean moves = release.standing != to || release.stage != stage;
     release.standing = to;
     release.stage = stage;
--- a/src/main/java/sprucerock/controller/Rules.java
+++ b/src/main/java/sprucerock/controller/RolloutRules.java
@@ -15,7 +15,7 @@
  * @param watch how long votes still send a released build back
  * @param votesASecond of one relay; further ones are too many
  */
-public record Rules(
+public record RolloutRules(
     List<Stage> stages,
     Control control,
     int on,
--- a/src/main/java/sprucerock/controller/Disk.java
+++ b/src/main/java/sprucerock/controller/Storage.java
@@ -7,7 +7,7 @@
  * The folder of a store, as far as the store needs one. What {@link #force} has returned for
  * outlives a crash.
  */
-interface Disk {
+interface Storage {
   /** The names of all files, sorted. */
   List<String> list() throws IOException;
 
--- a/src/main/java/sprucerock/controller/Watcher.java
+++ b/src/main/java/sprucerock/controller/Watcher.java
@@ -6,13 +6,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.comparison.Comparison;
-import sprucerock.controller.comparison.Couple;
+import sprucerock.controller.comparison.MatchedWindows;
 import sprucerock.controller.comparison.Level;
 import sprucerock.controller.comparison.Window;
 
@@ -25,7 +25,7 @@
 public final class Watcher {
   /** What it finds, told on change only. */
   public interface Host {
-    void judged(Change change, Verdict verdict, String reason);
+    void judged(Deployment change, Verdict verdict, String reason);
 
     /**
      * How many of each zone may be out, and why none should be; empty where nothing speaks against
@@ -56,22 +56,22 @@
     private final ArrayDeque<Window> past = new ArrayDeque<>();
   }
 
-  private record Held(int moved, int control, Couple couple) {}
+  private record Held(int moved, int control, MatchedWindows couple) {}
 
-  private final Changes changes;
+  private final DeploymentManager changes;
   private final Host host;
   private final TreeMap<Integer, Seen> relays = new TreeMap<>();
   private final Map<Integer, Held> couples = new LinkedHashMap<>();
   private Comparison comparison;
   private final Level level = new Level(LEVEL);
-  private Change of;
+  private Deployment of;
   private int stage;
   private Verdict said = Verdict.NOT_SURE;
-  private final Room room = new Room();
+  private final RestartCapacity room = new RestartCapacity();
   private Map<Integer, Integer> told = Map.of();
   private String weather = "";
 
-  public Watcher(Changes changes, Host host) {
+  public Watcher(DeploymentManager changes, Host host) {
     this.changes = changes;
     this.host = host;
   }
@@ -98,7 +98,7 @@
       seen.atCut = seen.total;
       seen.lifeAtCut = seen.life;
     }
-    Change under = changes.under();
+    Deployment under = changes.under();
     if (under != of || under != null && under.stage() != stage) {
       turn(under);
     }
@@ -122,15 +122,15 @@
     }
   }
 
-  private void turn(Change under) {
+  private void turn(Deployment under) {
     if (under != of) {
       couples.clear();
-      Plan plan = changes.plan();
+      DeploymentPlan plan = changes.plan();
       comparison =
           under == null
               ? null
               : new Comparison(
-                  FALSE_ALARM, plan.stages().stream().mapToDouble(Plan.Stage::harm).toArray());
+                  FALSE_ALARM, plan.stages().stream().mapToDouble(DeploymentPlan.Stage::harm).toArray());
       if (under == null) {
         level.over();
       }
@@ -144,7 +144,7 @@
   }
 
   /** Pairs that are new have their past told first; those that are none any more end. */
-  private void couple(Change under) {
+  private void couple(Deployment under) {
     for (Iterator<Held> each = couples.values().iterator(); each.hasNext(); ) {
       Held held = each.next();
       Integer control = under.beside().get(held.moved);
@@ -159,7 +159,7 @@
               if (couples.containsKey(moved)) {
                 return;
               }
-              Couple couple = comparison.couple();
+              MatchedWindows couple = comparison.couple();
               Seen one = relays.get(moved);
               Seen other = relays.get(control);
               if (one != null && other != null) {
@@ -186,7 +186,7 @@
       }
     }
     boolean looks =
-        of != null && (of.state() == Change.State.MOVING || of.state() == Change.State.WATCHED);
+        of != null && (of.state() == Deployment.State.MOVING || of.state() == Deployment.State.WATCHED);
     if (!looks) {
       return;
     }
--- a/src/main/java/sprucerock/controller/Store.java
+++ b/src/main/java/sprucerock/controller/WriteAheadLog.java
@@ -16,7 +16,7 @@
  * once {@link #force} has returned. A record is: length, checksum of what follows, number, the
  * input. A torn tail is cut off, as it was never told; damage before the tail stops the start.
  */
-final class Store {
+final class WriteAheadLog {
   /** The files can't be gone on from; the message says which, why, and how to go on. */
   static final class DamagedException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -38,9 +38,9 @@
   private static final String LOG = "inputs-";
   private static final String SNAPSHOT = "snapshot-";
 
-  private final Disk disk;
+  private final Storage disk;
   private final int snapshotEvery;
-  private Disk.Log log;
+  private Storage.Log log;
   private String logName;
   private long length;
   private boolean torn;
@@ -48,7 +48,7 @@
   private int sinceSnapshot;
 
   /** {@code snapshotEvery} inputs, which bounds the files and the time to come back. */
-  Store(Disk disk, int snapshotEvery) {
+  WriteAheadLog(Storage disk, int snapshotEvery) {
     this.disk = disk;
     this.snapshotEvery = snapshotEvery;
   }
@@ -235,7 +235,7 @@
             .putInt(body.length)
             .put(body);
     disk.put(name(SNAPSHOT, number), all.array());
-    Disk.Log next = disk.open(name(LOG, number));
+    Storage.Log next = disk.open(name(LOG, number));
     log.close();
     log = next;
     logName = name(LOG, number);
--- a/src/main/java/sprucerock/controller/comparison/Wager.java
+++ b/src/main/java/sprucerock/controller/comparison/BettingTest.java
@@ -8,7 +8,7 @@
  * variables by betting", 2024). The stakes need not be tuned: the wealth is shared out among a few
  * of them and the best one soon holds nearly all of it.
  */
-final class Wager {
+final class BettingTest {
   // halves from what loses nothing on noise to what a value of -1 just does not ruin
   private static final double[] STAKES = {0.01, 0.02, 0.04, 0.08, 0.16, 0.32, 0.64, 0.9};
 
--- a/src/main/java/sprucerock/controller/comparison/Comparison.java
+++ b/src/main/java/sprucerock/controller/comparison/Comparison.java
@@ -4,7 +4,7 @@
 
 /**
  * Old and new side by side, answered as data come and looked at as often as one likes. Each look at
- * a {@link Couple} is one bet a measure that what has changed is worse by more than the margin;
+ * a {@link MatchedWindows} is one bet a measure that what has changed is worse by more than the margin;
  * beside it run bets that it is not worse by a stated harm. It knows neither relays nor versions by
  * name, and no clock. What it can't see: harm that both sides suffer alike, which is the {@link
  * Level}'s to find.
@@ -25,8 +25,8 @@
 
   private final double falseAlarm;
   private final double[] harms;
-  private final Wager[] worse = new Wager[KINDS.length];
-  private final Wager[] fine;
+  private final BettingTest[] worse = new BettingTest[KINDS.length];
+  private final BettingTest[] fine;
   private final double[] sums = new double[KINDS.length];
   private final double[] strays = new double[KINDS.length];
   private final int[] looks = new int[KINDS.length];
@@ -44,14 +44,14 @@
     }
     this.falseAlarm = falseAlarm;
     this.harms = harms.clone();
-    Arrays.setAll(worse, i -> new Wager());
-    fine = new Wager[harms.length];
-    Arrays.setAll(fine, i -> new Wager());
+    Arrays.setAll(worse, i -> new BettingTest());
+    fine = new BettingTest[harms.length];
+    Arrays.setAll(fine, i -> new BettingTest());
   }
 
   /** Two more that are compared. */
-  public Couple couple() {
-    return new Couple(this);
+  public MatchedWindows couple() {
+    return new MatchedWindows(this);
   }
 
   void joined() {
--- a/src/main/java/sprucerock/controller/comparison/Couple.java
+++ b/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
@@ -6,7 +6,7 @@
  * enough, so that neither is seen more finely than the other: a relay with two RPCs in a window
  * would look perfect in most of them and terrible in a few.
  */
-public final class Couple {
+public final class MatchedWindows {
   /**
    * RPCs on each side for one look. With 25, a share of 0.97 strays by 0.05 between two that are
    * alike.
@@ -29,7 +29,7 @@
   private Window firstChanged;
   private Window firstStayed;
 
-  Couple(Comparison all) {
+  MatchedWindows(Comparison all) {
     this.all = all;
   }
 
--- a/src/main/java/sprucerock/controller/deployment/Change.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -12,7 +12,7 @@
 import sprucerock.time.Timestamp;
 
 /** One change on its way through the relays, with every step and its cause. */
-public final class Change {
+public final class Deployment {
   /** Where a change stands. */
   public enum State {
     /** Every agent fetches it and reads it through. */
@@ -82,7 +82,7 @@
 
   private final List<Step> steps = new ArrayList<>();
 
-  Change(long number, String who, String why, Version from, Version to, boolean live, Timestamp now) {
+  Deployment(long number, String who, String why, Version from, Version to, boolean live, Timestamp now) {
     this.number = number;
     this.who = who;
     this.why = why;
--- a/src/main/java/sprucerock/controller/deployment/Changes.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.controller.deployment.Change.State;
-import sprucerock.controller.deployment.Change.Step;
+import sprucerock.controller.deployment.Deployment.State;
+import sprucerock.controller.deployment.Deployment.Step;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -22,7 +22,7 @@
  * a relay is a state (a version, and a turn that counts up), never an order that could be lost or
  * come twice.
  */
-public final class Changes {
+public final class DeploymentManager {
   /** What an operator may say of a change. */
   public enum Word {
     HOLD,
@@ -33,7 +33,7 @@
   /** Who acts on it. */
   public interface Host {
     /** Told in the order in which they happen. */
-    void changed(Change change, Step step);
+    void changed(Deployment change, Step step);
 
     /** What a relay is to run has changed. */
     void wants(ManagedRelay relay);
@@ -42,10 +42,10 @@
   static final int MOST_CHANGES = 50;
   public static final int MOST_RELAYS = 10_000;
 
-  private final Plan plan;
+  private final DeploymentPlan plan;
   private final Host host;
   final TreeMap<Integer, ManagedRelay> relays = new TreeMap<>();
-  final TreeMap<Long, Change> changes = new TreeMap<>();
+  final TreeMap<Long, Deployment> changes = new TreeMap<>();
 
   /** Restarts on the old version that wait for room. */
   final List<Integer> controls = new ArrayList<>();
@@ -69,26 +69,26 @@
   private long wallMs;
   // What each word asks of all is kept as relays change; who of those that are heard has not read
   // the proposed version through yet, too.
-  private final Census census = new Census();
+  private final FleetStatus census = new FleetStatus();
   private final Set<Integer> unread = new HashSet<>();
   private long looked;
 
-  public Changes(Plan plan, Host host) {
+  public DeploymentManager(DeploymentPlan plan, Host host) {
     this.plan = plan;
     this.host = host;
   }
 
   // What is asked.
 
-  public Plan plan() {
+  public DeploymentPlan plan() {
     return plan;
   }
 
-  public Collection<Change> all() {
+  public Collection<Deployment> all() {
     return Collections.unmodifiableCollection(changes.values());
   }
 
-  public Change of(long number) {
+  public Deployment of(long number) {
     return changes.get(number);
   }
 
@@ -111,8 +111,8 @@
   }
 
   /** The one that relays are moved by now; null where there is none. */
-  public Change under() {
-    for (Change one : changes.values()) {
+  public Deployment under() {
+    for (Deployment one : changes.values()) {
       if (one.state.out()) {
         return one;
       }
@@ -121,8 +121,8 @@
   }
 
   /** The one that agents are to read through, or that waits; null where there is none. */
-  public Change waiting() {
-    for (Change one : changes.values()) {
+  public Deployment waiting() {
+    for (Deployment one : changes.values()) {
       if (one.state == State.PROPOSED || one.state == State.CHECKED) {
         return one;
       }
@@ -163,7 +163,7 @@
 
   /** Whether it is still to read the proposed version through. */
   private void reads(ManagedRelay relay) {
-    Change proposed = waiting();
+    Deployment proposed = waiting();
     boolean is =
         proposed != null
             && proposed.state == State.PROPOSED
@@ -182,7 +182,7 @@
   }
 
   /** Why a change stands where it stands, a line each. */
-  public List<String> waitsFor(Change change, Timestamp now) {
+  public List<String> waitsFor(Deployment change, Timestamp now) {
     List<String> found = new ArrayList<>();
     if (!change.state.open()) {
       return found;
@@ -302,7 +302,7 @@
    */
   public void failed(int number, Version version, int turn, String how, Timestamp now, long wall) {
     wallMs = wall;
-    Change under = under();
+    Deployment under = under();
     boolean ours =
         under != null
             && under.state != State.GOING_BACK
@@ -325,7 +325,7 @@
     if (from.equals(Version.NONE)) {
       return "no relay runs anything that is known, so there is nothing to change from";
     }
-    Change under = under();
+    Deployment under = under();
     if (to.equals(under == null ? from : under.to)) {
       return "that is what relays run"
           + (under == null ? "" : " once change " + under.number + " is done");
@@ -338,7 +338,7 @@
         }
       }
     }
-    Change waits = waiting();
+    Deployment waits = waiting();
     if (waits != null) {
       step(
           waits,
@@ -347,7 +347,7 @@
           "change " + (numbers + 1) + " by " + who + " takes its place",
           now);
     }
-    Change made = new Change(++numbers, who, why, from, to, live, now);
+    Deployment made = new Deployment(++numbers, who, why, from, to, live, now);
     changes.put(made.number, made);
     readAnew();
     step(made, State.PROPOSED, 0, "proposed by " + who + ": " + why, now);
@@ -364,7 +364,7 @@
    */
   public void checked(int number, long change, String refusal, Timestamp now, long wall) {
     wallMs = wall;
-    Change proposed = changes.get(change);
+    Deployment proposed = changes.get(change);
     if (proposed == null || proposed.state != State.PROPOSED || !relays.containsKey(number)) {
       return;
     }
@@ -383,7 +383,7 @@
   public void judged(
       long change, int stage, Verdict verdict, String reason, Timestamp now, long wall) {
     wallMs = wall;
-    Change under = changes.get(change);
+    Deployment under = changes.get(change);
     boolean fits =
         under != null
             && under.stage == stage
@@ -423,7 +423,7 @@
    */
   public String word(Word word, long number, String who, String reason, Timestamp now, long wall) {
     wallMs = wall;
-    Change change = changes.get(number);
+    Deployment change = changes.get(number);
     if (change == null) {
       return "no change " + number + " is known";
     }
@@ -480,7 +480,7 @@
   /** Whoever counts here was down for so long: nobody could be told, and nobody watched. */
   public void restarted(TimeSpan down, Timestamp now, long wall) {
     wallMs = wall;
-    for (Change change : changes.values()) {
+    for (Deployment change : changes.values()) {
       change.since = change.since.plus(down);
       change.progress = change.progress.plus(down);
     }
@@ -514,8 +514,8 @@
         census.enter(relay);
       };
     }
-    Change under = under();
-    Change waits = waiting();
+    Deployment under = under();
+    Deployment waits = waiting();
     Runnable found =
         under == null
             ? null
@@ -532,7 +532,7 @@
 
   // Before it begins.
 
-  private Runnable proposed(Change change, Timestamp now) {
+  private Runnable proposed(Deployment change, Timestamp now) {
     int live = live();
     int most = (int) (plan.refused() * live);
     boolean late = now.since(change.since).over(plan.patience());
@@ -579,7 +579,7 @@
             now);
   }
 
-  private Runnable begins(Change change, Change under, Timestamp now) {
+  private Runnable begins(Deployment change, Deployment under, Timestamp now) {
     if (change.held) {
       return patienceOver(change, now);
     }
@@ -589,7 +589,7 @@
     return () -> step(change, State.MOVING, 0, "nothing is in its way", now);
   }
 
-  private Runnable patienceOver(Change change, Timestamp now) {
+  private Runnable patienceOver(Deployment change, Timestamp now) {
     if (!now.since(change.progress).over(plan.patience())) {
       return null;
     }
@@ -610,7 +610,7 @@
 
   // On its way.
 
-  private Runnable moving(Change change, Timestamp now) {
+  private Runnable moving(Deployment change, Timestamp now) {
     String failed = failure(change, now);
     if (failed != null) {
       return () -> goBack(change, failed, now);
@@ -653,7 +653,7 @@
   }
 
   /** Why it can't go on, by what relays that were told do; null where they do well. */
-  private String failure(Change change, Timestamp now) {
+  private String failure(Deployment change, Timestamp now) {
     int gone = 0;
     looked += change.moved.size();
     for (int number : change.moved) {
@@ -680,7 +680,7 @@
     return null;
   }
 
-  private void move(Change change, ManagedRelay relay, Timestamp now) {
+  private void move(Deployment change, ManagedRelay relay, Timestamp now) {
     change.moved.add(relay.number);
     change.progress = now;
     change.beside.values().remove(relay.number);
@@ -712,7 +712,7 @@
     host.wants(relay);
   }
 
-  private Runnable watched(Change change, Timestamp now) {
+  private Runnable watched(Deployment change, Timestamp now) {
     String failed = failure(change, now);
     if (failed != null) {
       return () -> goBack(change, failed, now);
@@ -747,17 +747,17 @@
   }
 
   /** Whether there is anybody left to hold it against. */
-  private boolean judged(Change change) {
+  private boolean judged(Deployment change) {
     return change.stage < plan.stages().size() - 1 && !change.beside.isEmpty();
   }
 
-  private void goBack(Change change, String cause, Timestamp now) {
+  private void goBack(Deployment change, String cause, Timestamp now) {
     controls.clear();
     step(change, State.GOING_BACK, change.stage, cause, now);
   }
 
   /** The newest first; a relay that does not serve anyway needs no room. */
-  private Runnable goingBack(Change change, Timestamp now) {
+  private Runnable goingBack(Deployment change, Timestamp now) {
     boolean all = true;
     looked += change.moved.size();
     List<Integer> newestFirst = new ArrayList<>(change.moved);
@@ -795,7 +795,7 @@
     return census.live();
   }
 
-  private int target(Change change) {
+  private int target(Deployment change) {
     int able = 0; // who does not serve is left out, and told at the end
     for (ManagedRelay relay : each()) {
       if (change.moved.contains(relay.number)
@@ -807,7 +807,7 @@
     return change.stage == 0 ? 1 : (int) Math.ceil(share * able - 1e-9);
   }
 
-  private List<Integer> unsettled(Change change) {
+  private List<Integer> unsettled(Deployment change) {
     List<Integer> found = new ArrayList<>();
     for (int number : change.moved) {
       if (!relays.get(number).settled()) {
@@ -821,7 +821,7 @@
    * Zones, then busy and quiet ones, have their turn by how few of them were moved; who is a
    * control comes last.
    */
-  private ManagedRelay candidate(Change change) {
+  private ManagedRelay candidate(Deployment change) {
     Map<Integer, int[]> zones = new HashMap<>();
     Map<Integer, int[]> kinds = new HashMap<>();
     Map<Integer, Boolean> hasRoom = new HashMap<>();
@@ -864,7 +864,7 @@
    * The most alike of those that serve and are neither moved nor beside another: same zone and
    * load, else same zone.
    */
-  private ManagedRelay control(Change change, ManagedRelay of) {
+  private ManagedRelay control(Deployment change, ManagedRelay of) {
     Set<Integer> beside = new HashSet<>(change.beside.values());
     ManagedRelay best = null;
     for (ManagedRelay relay : each()) {
@@ -899,7 +899,7 @@
   private int most(int zone) {
     int size = census.size(zone);
     int byPlan = Math.max(1, (int) (plan.out() * size));
-    Change under = under();
+    Deployment under = under();
     boolean back = under != null && under.state == State.GOING_BACK;
     // what does worse is taken back even where there is no room, one at a time
     return Math.min(byPlan, Math.max(back ? 1 : 0, rooms.getOrDefault(zone, byPlan)));
@@ -933,7 +933,7 @@
     return found;
   }
 
-  private void step(Change change, State to, int stage, String cause, Timestamp now) {
+  private void step(Deployment change, State to, int stage, String cause, Timestamp now) {
     boolean moves = change.state != to || change.stage != stage || change.steps().isEmpty();
     if (change.stage != stage) {
       change.verdict = Verdict.NOT_SURE;
--- a/src/main/java/sprucerock/controller/deployment/Plan.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
@@ -18,7 +18,7 @@
  *     left out
  * @param silent an agent not heard for so long is not there
  */
-public record Plan(
+public record DeploymentPlan(
     List<Stage> stages,
     TimeSpan watch,
     TimeSpan patience,
@@ -35,7 +35,7 @@
   /**
    * @throws IllegalArgumentException if the stages do not grow to 1
    */
-  public Plan {
+  public DeploymentPlan {
     double before = 0;
     for (Stage stage : stages) {
       if (!(stage.share > before && stage.share <= 1)) {
--- a/src/main/java/sprucerock/controller/deployment/ChangeNotes.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentState.java
@@ -9,7 +9,7 @@
  * All of a fleet's changes as plain values, to be kept and put back: what is not in it is not
  * needed to go on.
  */
-public record ChangeNotes(
+public record DeploymentState(
     Version current,
     long sequence,
     long numbers,
@@ -43,7 +43,7 @@
       Version from,
       Version to,
       boolean live,
-      Change.State state,
+      Deployment.State state,
       int stage,
       Timestamp since,
       Timestamp progress,
@@ -53,11 +53,11 @@
       Collection<Integer> moved,
       Map<Integer, Integer> beside,
       Verdict verdict,
-      List<Change.Step> steps) {}
+      List<Deployment.Step> steps) {}
 
   /** What there is now. */
-  public static ChangeNotes of(Changes all) {
-    return new ChangeNotes(
+  public static DeploymentState of(DeploymentManager all) {
+    return new DeploymentState(
         all.current,
         all.sequence,
         all.numbers,
@@ -106,7 +106,7 @@
   }
 
   /** Puts it back into one that has seen nothing yet. */
-  public void into(Changes all) {
+  public void into(DeploymentManager all) {
     all.current = current;
     all.sequence = sequence;
     all.numbers = numbers;
@@ -129,8 +129,8 @@
       all.relays.put(one.number, relay);
     }
     for (OfChange one : changes) {
-      Change change =
-          new Change(one.number, one.who, one.why, one.from, one.to, one.live, one.since);
+      Deployment change =
+          new Deployment(one.number, one.who, one.why, one.from, one.to, one.live, one.since);
       change.state = one.state;
       change.stage = one.stage;
       change.progress = one.progress;
--- a/src/main/java/sprucerock/controller/deployment/Census.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetStatus.java
@@ -8,7 +8,7 @@
  * are heard, how many of each zone there are and are out, and who has settled since it was last
  * looked. A relay is taken out before anything of it changes, and put back after.
  */
-final class Census {
+final class FleetStatus {
   private static final class Zone {
     private int size;
     private int out;
--- a/src/main/java/sprucerock/controller/maintenance/Headroom.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -14,7 +14,7 @@
  * frozen, counted in units of one family at the lower bound of what they surely stand for, against
  * the forecast with its reserve.
  */
-public final class Headroom {
+public final class CapacityCheck {
   /**
    * What a zone needs.
    *
@@ -34,7 +34,7 @@
   private double onTrial;
 
   /** {@code reserve}: how much more than the forecast is to be there, as a share of it. */
-  public Headroom(Collection<Rack> racks, Map<Integer, Forecast> byZone, double reserve) {
+  public CapacityCheck(Collection<Rack> racks, Map<Integer, Forecast> byZone, double reserve) {
     for (Rack one : racks) {
       this.racks.put(one.name(), one);
     }
--- a/src/main/java/sprucerock/controller/maintenance/FreezeNotes.java
+++ b/src/main/java/sprucerock/controller/maintenance/FreezeNotes.java
@@ -16,12 +16,12 @@
       long series,
       String who,
       String why,
-      Freeze.State state,
+      MaintenanceWindow.State state,
       long boundSince,
       List<String> forcedBy,
-      List<Freeze.Step> steps) {}
+      List<MaintenanceWindow.Step> steps) {}
 
-  public static FreezeNotes of(Freezes core) {
+  public static FreezeNotes of(MaintenanceWindows core) {
     return new FreezeNotes(
         core.sequence,
         core.numbers,
@@ -49,7 +49,7 @@
   }
 
   /** Racks that the configuration no longer has stay in their freezes, and bind nobody. */
-  public void into(Freezes core) {
+  public void into(MaintenanceWindows core) {
     core.sequence = sequence;
     core.numbers = numbers;
     core.nowMs = nowMs;
@@ -58,8 +58,8 @@
       core.room().down(rack, true);
     }
     for (One one : freezes) {
-      Freeze freeze =
-          new Freeze(
+      MaintenanceWindow freeze =
+          new MaintenanceWindow(
               one.number,
               new java.util.TreeSet<>(one.racks),
               one.from,
--- a/src/main/java/sprucerock/controller/maintenance/Freeze.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -10,7 +10,7 @@
  * One window in which nothing may be placed on some racks, with every step and its cause. Times are
  * the wall's, in milliseconds.
  */
-public final class Freeze {
+public final class MaintenanceWindow {
   /** Where a freeze stands. */
   public enum State {
     ANNOUNCED,
@@ -73,7 +73,7 @@
    */
   long boundBy;
 
-  /** When time alone makes its next step; kept by {@link Freezes}, which finds it by that. */
+  /** When time alone makes its next step; kept by {@link MaintenanceWindows}, which finds it by that. */
   long dueMs = Long.MAX_VALUE;
 
   /** The longest of its racks', once it was asked for; below 0: not yet. */
@@ -84,7 +84,7 @@
 
   private final List<Step> steps = new ArrayList<>();
 
-  Freeze(
+  MaintenanceWindow(
       long number,
       Set<String> racks,
       long from,
--- a/src/main/java/sprucerock/controller/maintenance/Freezes.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -23,10 +23,10 @@
  * without it, or {@code notice} after it was accepted, when all others have run out. No list of
  * relays has to outlive a crash for that.
  */
-public final class Freezes {
+public final class MaintenanceWindows {
   /** What it can do. */
   public interface Host {
-    void changed(Freeze freeze, Freeze.Step step);
+    void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step);
 
     /** Relays should learn of it now. */
     void promisesChanged();
@@ -50,22 +50,22 @@
   public static final int MOST_OPEN = 1000;
   private static final int MOST_KEPT =
       2000; // with those that are over, of which the oldest go first
-  private static final Comparator<Freeze> BY_BEGIN =
-      Comparator.<Freeze>comparingLong(one -> one.from).thenComparingLong(one -> one.number);
+  private static final Comparator<MaintenanceWindow> BY_BEGIN =
+      Comparator.<MaintenanceWindow>comparingLong(one -> one.from).thenComparingLong(one -> one.number);
 
   private final Rules rules;
-  private final Headroom room;
+  private final CapacityCheck room;
   private final Host host;
-  final TreeMap<Long, Freeze> freezes = new TreeMap<>();
+  final TreeMap<Long, MaintenanceWindow> freezes = new TreeMap<>();
   // What is asked often is kept as it changes, by step() alone: a relay's ask, and a look each 50
   // ms, walk neither racks nor freezes.
-  private final Map<String, TreeSet<Freeze>> binding =
+  private final Map<String, TreeSet<MaintenanceWindow>> binding =
       new HashMap<>(); // by rack, by when they begin
-  private final TreeSet<Freeze> timed =
+  private final TreeSet<MaintenanceWindow> timed =
       new TreeSet<>(
-          Comparator.<Freeze>comparingLong(one -> one.dueMs).thenComparingLong(one -> one.number));
-  private final TreeSet<Freeze> bound = new TreeSet<>(BY_BEGIN); // all that bind
-  private final TreeMap<Long, Freeze> draining = new TreeMap<>();
+          Comparator.<MaintenanceWindow>comparingLong(one -> one.dueMs).thenComparingLong(one -> one.number));
+  private final TreeSet<MaintenanceWindow> bound = new TreeSet<>(BY_BEGIN); // all that bind
+  private final TreeMap<Long, MaintenanceWindow> draining = new TreeMap<>();
   private final long longestMs;
   private long looked;
   long sequence;
@@ -73,7 +73,7 @@
   long nowMs;
   private Model model;
 
-  public Freezes(Rules rules, Headroom room, Host host) {
+  public MaintenanceWindows(Rules rules, CapacityCheck room, Host host) {
     this.rules = rules;
     this.room = room;
     this.host = host;
@@ -81,13 +81,13 @@
   }
 
   /** One without racks, for a controller that has no freezes. */
-  public static Freezes none() {
-    return new Freezes(
+  public static MaintenanceWindows none() {
+    return new MaintenanceWindows(
         new Rules(0, 1, 0.9),
-        new Headroom(List.of(), Map.of(), 0),
+        new CapacityCheck(List.of(), Map.of(), 0),
         new Host() {
           @Override
-          public void changed(Freeze freeze, Freeze.Step step) {
+          public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
             // there is none
           }
 
@@ -104,11 +104,11 @@
     return nowMs;
   }
 
-  public Collection<Freeze> all() {
+  public Collection<MaintenanceWindow> all() {
     return freezes.values();
   }
 
-  public Freeze of(long number) {
+  public MaintenanceWindow of(long number) {
     return freezes.get(number);
   }
 
@@ -152,7 +152,7 @@
     long open = freezes.values().stream().filter(one -> one.state.open()).count();
     List<Long> begins;
     try {
-      begins = emergency ? List.of(nowMs) : Occurrences.from(nowMs, fromMs, rule, zone);
+      begins = emergency ? List.of(nowMs) : RecurrenceExpander.from(nowMs, fromMs, rule, zone);
     } catch (IllegalArgumentException e) {
       return e.getMessage();
     }
@@ -165,8 +165,8 @@
     List<Long> made = new ArrayList<>();
     long series = begins.size() > 1 ? numbers + 1 : 0;
     for (long begin : begins) {
-      Freeze freeze =
-          new Freeze(
+      MaintenanceWindow freeze =
+          new MaintenanceWindow(
               ++numbers,
               racks,
               begin,
@@ -177,7 +177,7 @@
               who,
               why);
       freezes.put(freeze.number, freeze);
-      step(freeze, Freeze.State.ANNOUNCED, "announced by " + who + ": " + why, nowMs);
+      step(freeze, MaintenanceWindow.State.ANNOUNCED, "announced by " + who + ": " + why, nowMs);
       if (emergency) {
         bind(freeze, "an emergency does not wait for room", nowMs);
       } else {
@@ -196,7 +196,7 @@
    * As wanted, or as much later as its slack allows, in steps; else it is refused with what is
    * short.
    */
-  private void place(Freeze freeze, long nowMs) {
+  private void place(MaintenanceWindow freeze, long nowMs) {
     long lasts = freeze.to - freeze.from;
     long wanted = freeze.from;
     String first = null;
@@ -216,21 +216,21 @@
           nowMs);
       return;
     }
-    step(freeze, Freeze.State.REFUSED, first, nowMs);
+    step(freeze, MaintenanceWindow.State.REFUSED, first, nowMs);
   }
 
   /**
    * Together with all that may be away at some moment of it; cold units that come back do not count
    * yet.
    */
-  private String lacks(Freeze freeze, long from, long to) {
+  private String lacks(MaintenanceWindow freeze, long from, long to) {
     long until = to + rules.warmMs();
     TreeSet<Long> begins = new TreeSet<>(List.of(from));
-    List<Freeze> others = new ArrayList<>();
-    for (Freeze one : freezes.values()) {
+    List<MaintenanceWindow> others = new ArrayList<>();
+    for (MaintenanceWindow one : freezes.values()) {
       boolean counts =
           one != freeze
-              && (one.state.binds() || one.state == Freeze.State.ENDING)
+              && (one.state.binds() || one.state == MaintenanceWindow.State.ENDING)
               && one.from < until
               && from < one.to + rules.warmMs();
       if (!counts) {
@@ -244,7 +244,7 @@
     for (long at : begins) { // room is shortest where some window begins
       Set<String> away = new TreeSet<>(freeze.racks);
       long end = until;
-      for (Freeze one : others) {
+      for (MaintenanceWindow one : others) {
         if (one.from <= at && at < one.to + rules.warmMs()) {
           away.addAll(one.racks);
         }
@@ -257,28 +257,28 @@
     return null;
   }
 
-  private void bind(Freeze freeze, String cause, long nowMs) {
+  private void bind(MaintenanceWindow freeze, String cause, long nowMs) {
     freeze.boundSince = nowMs;
-    step(freeze, Freeze.State.ACCEPTED, cause, nowMs);
+    step(freeze, MaintenanceWindow.State.ACCEPTED, cause, nowMs);
     host.promisesChanged();
   }
 
   /** Says why it has no effect, or null. */
   public String callOff(long number, String who, String why, long nowMs) {
-    Freeze freeze = freezes.get(number);
+    MaintenanceWindow freeze = freezes.get(number);
     if (freeze == null) {
       return "no freeze " + number + " is known";
     }
-    if (!freeze.state.open() || freeze.state == Freeze.State.ENDING) {
+    if (!freeze.state.open() || freeze.state == MaintenanceWindow.State.ENDING) {
       return "freeze " + number + " is over or as good as over: " + freeze.state;
     }
-    boolean began = freeze.state == Freeze.State.IN_FORCE || freeze.state == Freeze.State.DRAINING;
+    boolean began = freeze.state == MaintenanceWindow.State.IN_FORCE || freeze.state == MaintenanceWindow.State.DRAINING;
     if (began) {
       freeze.to = Math.min(freeze.to, nowMs);
     }
     step(
         freeze,
-        began ? Freeze.State.ENDING : Freeze.State.CALLED_OFF,
+        began ? MaintenanceWindow.State.ENDING : MaintenanceWindow.State.CALLED_OFF,
         "called off by " + who + ": " + why,
         nowMs);
     host.promisesChanged();
@@ -288,11 +288,11 @@
 
   /** It lasts until later; where there is no room for that, it ends as it would. */
   public String extend(long number, long toMs, String who, String why, long nowMs) {
-    Freeze freeze = freezes.get(number);
+    MaintenanceWindow freeze = freezes.get(number);
     if (freeze == null) {
       return "no freeze " + number + " is known";
     }
-    if (!freeze.state.binds() && freeze.state != Freeze.State.HELD) {
+    if (!freeze.state.binds() && freeze.state != MaintenanceWindow.State.HELD) {
       return "freeze " + number + " can't be extended: " + freeze.state;
     }
     if (toMs <= freeze.to) {
@@ -310,18 +310,18 @@
 
   /** One that is held begins although there is no room, once two different operators said so. */
   public String force(long number, String who, String why, long nowMs) {
-    Freeze freeze = freezes.get(number);
+    MaintenanceWindow freeze = freezes.get(number);
     if (freeze == null) {
       return "no freeze " + number + " is known";
     }
-    if (freeze.state != Freeze.State.HELD) {
+    if (freeze.state != MaintenanceWindow.State.HELD) {
       return "freeze " + number + " is not held: " + freeze.state;
     }
     freeze.forcedBy.add(who);
     if (freeze.forcedBy.size() < 2) {
       step(
           freeze,
-          Freeze.State.HELD,
+          MaintenanceWindow.State.HELD,
           "forced by " + who + ": " + why + "; another operator has to say so too",
           nowMs);
     } else {
@@ -370,34 +370,34 @@
   }
 
   private void review(long nowMs) {
-    for (Freeze one : List.copyOf(freezes.values())) {
-      if (one.state != Freeze.State.ACCEPTED && one.state != Freeze.State.HELD
+    for (MaintenanceWindow one : List.copyOf(freezes.values())) {
+      if (one.state != MaintenanceWindow.State.ACCEPTED && one.state != MaintenanceWindow.State.HELD
           || one.emergency
           || one.forcedBy.size() >= 2) {
         continue;
       }
       String lacks = lacks(one, Math.max(one.from, nowMs), one.to);
-      if (one.state == Freeze.State.ACCEPTED && lacks != null) {
-        step(one, Freeze.State.HELD, lacks, nowMs);
+      if (one.state == MaintenanceWindow.State.ACCEPTED && lacks != null) {
+        step(one, MaintenanceWindow.State.HELD, lacks, nowMs);
         host.promisesChanged();
-      } else if (one.state == Freeze.State.HELD && lacks == null) {
+      } else if (one.state == MaintenanceWindow.State.HELD && lacks == null) {
         bind(one, "there is room again", nowMs);
       }
     }
     settle(nowMs);
   }
 
-  /** Each relay has said that it holds a promise without it: {@link Promises} knows. */
+  /** Each relay has said that it holds a promise without it: {@link PlacementGrants} knows. */
   public void cleared(long number, long nowMs) {
-    Freeze freeze = freezes.get(number);
-    if (freeze != null && freeze.state == Freeze.State.DRAINING) {
+    MaintenanceWindow freeze = freezes.get(number);
+    if (freeze != null && freeze.state == MaintenanceWindow.State.DRAINING) {
       inForce(freeze, "every relay has given its promise back", nowMs);
     }
     settle(nowMs);
   }
 
-  private void inForce(Freeze freeze, String cause, long nowMs) {
-    step(freeze, Freeze.State.IN_FORCE, cause, nowMs);
+  private void inForce(MaintenanceWindow freeze, String cause, long nowMs) {
+    step(freeze, MaintenanceWindow.State.IN_FORCE, cause, nowMs);
     host.promisesChanged();
   }
 
@@ -413,7 +413,7 @@
   }
 
   /** Its next step by time alone; never, where only a word makes one. */
-  private long dueMs(Freeze one) {
+  private long dueMs(MaintenanceWindow one) {
     return switch (one.state) {
       case ACCEPTED -> one.from;
       case DRAINING -> Math.min(promisesEnd(one), one.to);
@@ -423,38 +423,38 @@
     };
   }
 
-  private Freeze.State next(Freeze one, long nowMs) {
+  private MaintenanceWindow.State next(MaintenanceWindow one, long nowMs) {
     return switch (one.state) {
-      case ACCEPTED -> nowMs >= one.from ? Freeze.State.DRAINING : null;
-      case HELD -> nowMs >= one.to ? Freeze.State.REFUSED : null;
+      case ACCEPTED -> nowMs >= one.from ? MaintenanceWindow.State.DRAINING : null;
+      case HELD -> nowMs >= one.to ? MaintenanceWindow.State.REFUSED : null;
       case DRAINING ->
           nowMs >= promisesEnd(one)
-              ? Freeze.State.IN_FORCE
-              : nowMs >= one.to ? Freeze.State.ENDING : null;
-      case IN_FORCE -> nowMs >= one.to ? Freeze.State.ENDING : null;
-      case ENDING -> nowMs >= one.to + rules.warmMs() ? Freeze.State.ENDED : null;
+              ? MaintenanceWindow.State.IN_FORCE
+              : nowMs >= one.to ? MaintenanceWindow.State.ENDING : null;
+      case IN_FORCE -> nowMs >= one.to ? MaintenanceWindow.State.ENDING : null;
+      case ENDING -> nowMs >= one.to + rules.warmMs() ? MaintenanceWindow.State.ENDED : null;
       default -> null;
     };
   }
 
   private void settle(long nowMs) {
-    TreeMap<Long, Freeze> due =
+    TreeMap<Long, MaintenanceWindow> due =
         new TreeMap<>(); // in the order of their numbers, as steps are counted
-    for (Freeze one : timed) {
+    for (MaintenanceWindow one : timed) {
       looked++;
       if (one.dueMs > nowMs) {
         break;
       }
       due.put(one.number, one);
     }
-    for (Freeze one : due.values()) {
-      for (Freeze.State next = next(one, nowMs); next != null; next = next(one, nowMs)) {
+    for (MaintenanceWindow one : due.values()) {
+      for (MaintenanceWindow.State next = next(one, nowMs); next != null; next = next(one, nowMs)) {
         String cause =
             switch (next) {
               case DRAINING -> "its time has come";
               case IN_FORCE -> "no promise reaches into it";
               case ENDING ->
-                  one.state == Freeze.State.DRAINING
+                  one.state == MaintenanceWindow.State.DRAINING
                       ? "its time is over before it was in force"
                       : "its time is over";
               case REFUSED -> "there was no room until its end";
@@ -467,12 +467,12 @@
   }
 
   /** From when on no promise that was ever given can reach into it. */
-  public long promisesEnd(Freeze freeze) {
+  public long promisesEnd(MaintenanceWindow freeze) {
     return Math.max(freeze.from, freeze.boundSince + noticeMs(freeze));
   }
 
   /** The longest of its racks'. */
-  long noticeMs(Freeze freeze) {
+  long noticeMs(MaintenanceWindow freeze) {
     if (freeze.noticeMs >= 0) {
       return freeze.noticeMs;
     }
@@ -493,7 +493,7 @@
   }
 
   /** Whose time has come and which are not in force yet. */
-  Collection<Freeze> draining() {
+  Collection<MaintenanceWindow> draining() {
     return draining.values();
   }
 
@@ -511,11 +511,11 @@
    */
   long free(String rack, long nowMs) {
     long left = room.racks().get(rack).noticeMs();
-    TreeSet<Freeze> known = binding.get(rack);
+    TreeSet<MaintenanceWindow> known = binding.get(rack);
     if (known == null) {
       return left;
     }
-    for (Freeze one : known) {
+    for (MaintenanceWindow one : known) {
       looked++;
       if (nowMs < one.to) {
         return Math.min(left, Math.max(0, one.from - nowMs)); // the others begin later
@@ -530,7 +530,7 @@
    */
   TreeMap<String, Long> soon(long nowMs) {
     TreeMap<String, Long> found = new TreeMap<>();
-    for (Freeze one : bound) {
+    for (MaintenanceWindow one : bound) {
       looked++;
       if (one.from >= nowMs + longestMs) {
         break;
@@ -550,27 +550,27 @@
     return found;
   }
 
-  public Headroom room() {
+  public CapacityCheck room() {
     return room;
   }
 
-  private void step(Freeze freeze, Freeze.State to, String cause, long nowMs) {
+  private void step(MaintenanceWindow freeze, MaintenanceWindow.State to, String cause, long nowMs) {
     leave(freeze);
     freeze.state = to;
     enter(freeze);
-    Freeze.Step step = new Freeze.Step(++sequence, nowMs, to, cause);
+    MaintenanceWindow.Step step = new MaintenanceWindow.Step(++sequence, nowMs, to, cause);
     freeze.add(step);
     host.changed(freeze, step);
   }
 
   /** One that is known from a former life. */
-  void known(Freeze freeze) {
+  void known(MaintenanceWindow freeze) {
     freezes.put(freeze.number, freeze);
     enter(freeze);
   }
 
   /** Before anything of it changes by which it is found. */
-  private void leave(Freeze freeze) {
+  private void leave(MaintenanceWindow freeze) {
     timed.remove(freeze);
     draining.remove(freeze.number);
     if (!freeze.state.binds()) {
@@ -578,7 +578,7 @@
     }
     bound.remove(freeze);
     for (String rack : freeze.racks) {
-      TreeSet<Freeze> all = binding.get(rack);
+      TreeSet<MaintenanceWindow> all = binding.get(rack);
       all.remove(freeze);
       if (all.isEmpty()) {
         binding.remove(rack);
@@ -586,12 +586,12 @@
     }
   }
 
-  private void enter(Freeze freeze) {
+  private void enter(MaintenanceWindow freeze) {
     freeze.dueMs = dueMs(freeze);
     if (freeze.dueMs < Long.MAX_VALUE) {
       timed.add(freeze);
     }
-    if (freeze.state == Freeze.State.DRAINING) {
+    if (freeze.state == MaintenanceWindow.State.DRAINING) {
       draining.put(freeze.number, freeze);
     }
     if (!freeze.state.binds()) {
--- a/src/main/java/sprucerock/controller/maintenance/Promises.java
+++ b/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
@@ -20,7 +20,7 @@
  * together, the last one to ask first. There are as many states as there were steps within a
  * notice.
  */
-public final class Promises {
+public final class PlacementGrants {
   private record Held(int relay, long sequence, long since) {}
 
   private static final Comparator<Held> BY_TIME =
@@ -30,12 +30,12 @@
   private final LinkedHashMap<Integer, Held> held = new LinkedHashMap<>();
 
   private final TreeMap<Long, TreeSet<Held>> byState = new TreeMap<>();
-  private final Freezes freezes;
+  private final MaintenanceWindows freezes;
   private final long startedMs;
   private long looked;
 
   /** {@code nowMs}: when this life began to promise. */
-  public Promises(Freezes freezes, long nowMs) {
+  public PlacementGrants(MaintenanceWindows freezes, long nowMs) {
     this.freezes = freezes;
     startedMs = nowMs;
   }
@@ -93,7 +93,7 @@
    * Relays that may still hold a promise into it, by their numbers; -1: such as are not known,
    * because this life began since.
    */
-  public Set<Integer> out(Freeze freeze, long nowMs) {
+  public Set<Integer> out(MaintenanceWindow freeze, long nowMs) {
     Set<Integer> out = new TreeSet<>();
     if (nowMs >= freezes.promisesEnd(freeze)) {
       return out;
@@ -114,7 +114,7 @@
   }
 
   /** The same as whether {@link #out} finds none, by the last of each state. */
-  private boolean nobodyOut(Freeze freeze, long nowMs) {
+  private boolean nobodyOut(MaintenanceWindow freeze, long nowMs) {
     if (nowMs >= freezes.promisesEnd(freeze)) {
       return true;
     }
@@ -132,11 +132,11 @@
 
   /**
    * Freezes whose time has come and into which nobody holds a promise any more: to be recorded as
-   * {@link Freezes#cleared}.
+   * {@link MaintenanceWindows#cleared}.
    */
   public List<Long> cleared(long nowMs) {
     List<Long> found = new ArrayList<>();
-    for (Freeze one : freezes.draining()) {
+    for (MaintenanceWindow one : freezes.draining()) {
       looked++;
       if (nobodyOut(one, nowMs)) {
         found.add(one.number);
--- a/src/main/java/sprucerock/controller/maintenance/Occurrences.java
+++ b/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
@@ -16,13 +16,13 @@
  * less it ends an hour later by the wall. An occurrence whose time of day is left out that night
  * begins when clocks have gone forward.
  */
-public final class Occurrences {
+public final class RecurrenceExpander {
   /** As far as they are looked ahead, and how many at most. */
   public static final long HORIZON_MS = 14L * 24 * 3_600_000;
 
   public static final int MOST = 50;
 
-  private Occurrences() {}
+  private RecurrenceExpander() {}
 
   /**
    * Beginnings from one moment on, within the horizon; {@code first} is the first of all.
--- a/src/main/java/sprucerock/controller/server/AgentsDoor.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
@@ -24,9 +24,9 @@
 import sprucerock.transport.net.Net;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.Vault;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.Tap;
@@ -46,7 +46,7 @@
  * agent after another, so that a thousand that fetch at once neither fill memory nor hold up what
  * is said.
  */
-final class AgentsDoor implements Watcher.Host {
+final class AgentListener implements Watcher.Host {
   private static final byte[] NO_BODY = {};
   private static final int PIECE = 128 * 1024;
   private static final int MOST_WAITING = 20_000; // fetches; an agent has one or two
@@ -58,18 +58,18 @@
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final Net net;
-  private final DeskConfig config;
+  private final ControllerConfig config;
   private final Limits limits;
   private final Tap tap;
-  private final Desk desk;
-  private final Vault vault;
+  private final ControllerServer desk;
+  private final ArtifactStore vault;
   private final Watcher watch;
   private final TreeMap<Integer, Session> sessions = new TreeMap<>();
-  private final Absent absent = new Absent();
+  private final DisconnectedAgents absent = new DisconnectedAgents();
   private final Deque<Waiting> fetches = new ArrayDeque<>();
   private Net.Listener listener;
 
-  AgentsDoor(Net net, DeskConfig config, Tap tap, Desk desk, Vault vault) {
+  AgentListener(Net net, ControllerConfig config, Tap tap, ControllerServer desk, ArtifactStore vault) {
     this.net = net;
     this.config = config;
     this.tap = tap;
@@ -84,7 +84,7 @@
     }
   }
 
-  private Changes changes() {
+  private DeploymentManager changes() {
     return desk.engine().changes();
   }
 
@@ -97,10 +97,10 @@
             () -> {
               Session session = new Session();
               session.link =
-                  new FrameLink(
+                  new FrameConnection(
                       net,
                       Hello.newBuilder()
-                          .setVersion(FrameLink.VERSION)
+                          .setVersion(FrameConnection.VERSION)
                           .setRole(Role.DESK)
                           .setName(config.name)
                           .build(),
@@ -151,8 +151,8 @@
   }
 
   /** A change made a step: one that was just proposed is to be read through by all. */
-  void changed(Change change) {
-    if (change.state() == Change.State.PROPOSED) {
+  void changed(Deployment change) {
+    if (change.state() == Deployment.State.PROPOSED) {
       for (Session session : sessions.values()) {
         session.tell(changes().relay(session.number));
       }
@@ -180,7 +180,7 @@
   // What the comparison finds.
 
   @Override
-  public void judged(Change change, Verdict verdict, String reason) {
+  public void judged(Deployment change, Verdict verdict, String reason) {
     log.info(
         "JUDGED change {} in stage {}: {}: {}", change.number, change.stage(), verdict, reason);
     desk.submit(
@@ -209,14 +209,14 @@
     }
   }
 
-  private final class Session implements FrameUser {
-    private FrameLink link;
+  private final class Session implements FrameListener {
+    private FrameConnection link;
     private int number;
     private Timestamp heard;
     private AgentSays last;
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (other.getRole() != Role.AGENT || other.getNumber() < 0 || other.getNumber() > 65_534) {
         made.cut("only agents are taken here");
         return;
@@ -238,8 +238,8 @@
             .setProgram(relay.wanted().program())
             .setSettings(relay.wanted().settings());
       }
-      Change waits = changes().waiting();
-      if (waits != null && waits.state() == Change.State.PROPOSED) {
+      Deployment waits = changes().waiting();
+      if (waits != null && waits.state() == Deployment.State.PROPOSED) {
         wants
             .setChange(waits.number)
             .setCheckProgram(waits.to.program())
--- a/src/main/java/sprucerock/controller/server/DeskConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.Node;
-import sprucerock.controller.Rules;
-import sprucerock.controller.maintenance.Freezes;
-import sprucerock.controller.maintenance.Headroom;
+import sprucerock.controller.RolloutRules;
+import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.controller.maintenance.CapacityCheck;
 import sprucerock.controller.maintenance.Rack;
 import sprucerock.time.TimeSpan;
 
@@ -28,7 +28,7 @@
  * The configuration of a controller, checked; controller.xsd names the units and the values used
  * where one is left out.
  */
-public final class DeskConfig {
+public final class ControllerConfig {
   /** Who may announce, and how it signs. */
   public record Source(String name, Signatures.Form form, List<byte[]> secrets, int aSecond) {}
 
@@ -51,17 +51,17 @@
   public final Map<String, Source> sources;
   public final InetSocketAddress api;
   public final String token;
-  public final List<Outbox.Target> tells;
+  public final List<WebhookOutbox.Target> tells;
 
   /** How long an active controller may be silent before another one takes its place. */
   public final TimeSpan lease;
 
-  public final Rules rules;
+  public final RolloutRules rules;
 
   /** Racks that can be frozen, and the room that has to be left; null: none. */
-  public final Headroom room;
+  public final CapacityCheck room;
 
-  public final Freezes.Rules freezes;
+  public final MaintenanceWindows.Rules freezes;
 
   /** Granters of leases, by which the seat is had; null: the store's folder gives it. */
   public final LeaseConfig leases;
@@ -78,7 +78,7 @@
   /** Bytes of one file of a version. */
   public final long mostBytes;
 
-  public final Plan plan;
+  public final DeploymentPlan plan;
 
   // What a relay is told once, 14 bytes each, fits the frames and the bytes unsent that links have
   // unless they are set lower; a
@@ -88,11 +88,11 @@
       65_000; // among those who stand for leases; far over relays' numbers
 
   /** Reads and checks a file; the first thing that is wrong ends it. */
-  public static DeskConfig read(Path file) throws ConfigException {
-    return new DeskConfig(Node.read(file, "/sprucerock/controller.xsd"));
+  public static ControllerConfig read(Path file) throws ConfigException {
+    return new ControllerConfig(Node.read(file, "/sprucerock/controller.xsd"));
   }
 
-  private DeskConfig(Node root) throws ConfigException {
+  private ControllerConfig(Node root) throws ConfigException {
     name = root.text("name");
     folder = Path.of(root.text("folder"));
     firstBuild = root.count("first-build");
@@ -137,7 +137,7 @@
     if (token.length() < 16) {
       throw apiNode.wrong("token: " + apiNode.text("token") + " holds fewer than 16 characters");
     }
-    List<Outbox.Target> targets = new ArrayList<>();
+    List<WebhookOutbox.Target> targets = new ArrayList<>();
     for (Node node : root.all("tell")) {
       URI url;
       try {
@@ -150,7 +150,7 @@
       }
       try {
         targets.add(
-            new Outbox.Target(
+            new WebhookOutbox.Target(
                 node.text("name"),
                 url,
                 Signatures.secrets(secret(node, "secret"), Signatures.Form.STANDARD).get(0),
@@ -175,15 +175,15 @@
     mostBytes = agentsNode == null ? 0 : agentsNode.bytes("most-bytes");
     incoming = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
     plan = plan(agentsNode);
-    List<Rules.Stage> stages =
+    List<RolloutRules.Stage> stages =
         root.all("stage").stream()
-            .map(stage -> new Rules.Stage(stage.number("share"), stage.number("cap")))
+            .map(stage -> new RolloutRules.Stage(stage.number("share"), stage.number("cap")))
             .toList();
     Node votes = root.child("votes");
     rules =
-        new Rules(
+        new RolloutRules(
             stages,
-            Rules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)),
+            RolloutRules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)),
             votes.count("on"),
             votes.count("hold"),
             votes.count("back"),
@@ -197,10 +197,10 @@
   }
 
   /** Without agents there is a plan too, which nobody goes by. */
-  private static Plan plan(Node node) throws ConfigException {
+  private static DeploymentPlan plan(Node node) throws ConfigException {
     if (node == null) {
-      return new Plan(
-          List.of(new Plan.Stage(1, 0.1)),
+      return new DeploymentPlan(
+          List.of(new DeploymentPlan.Stage(1, 0.1)),
           TimeSpan.ofMs(1),
           TimeSpan.ofMs(1),
           TimeSpan.ofMs(1),
@@ -208,12 +208,12 @@
           0,
           TimeSpan.ofMs(1));
     }
-    List<Plan.Stage> stages = new ArrayList<>();
+    List<DeploymentPlan.Stage> stages = new ArrayList<>();
     for (Node stage : node.all("change-stage")) {
-      stages.add(new Plan.Stage(stage.number("share"), stage.number("harm")));
+      stages.add(new DeploymentPlan.Stage(stage.number("share"), stage.number("harm")));
     }
     try {
-      return new Plan(
+      return new DeploymentPlan(
           stages,
           node.span("watch"),
           node.span("patience"),
@@ -226,7 +226,7 @@
     }
   }
 
-  private static Headroom room(Node node) throws ConfigException {
+  private static CapacityCheck room(Node node) throws ConfigException {
     Map<String, Rack> racks = new TreeMap<>();
     Set<Integer> places = new java.util.HashSet<>();
     for (Node one : node.all("rack")) {
@@ -259,7 +259,7 @@
         throw one.wrong("more than " + MOST_RACKS + " racks");
       }
     }
-    Map<Integer, Headroom.Forecast> forecasts = new TreeMap<>();
+    Map<Integer, CapacityCheck.Forecast> forecasts = new TreeMap<>();
     for (Node one : node.all("forecast")) {
       String[] words = one.text("by-hour").trim().split("\\s+");
       if (words.length != 24) {
@@ -272,17 +272,17 @@
       }
       if (forecasts.put(
               one.count("zone"),
-              new Headroom.Forecast(one.count("kind"), one.count("method"), byHour))
+              new CapacityCheck.Forecast(one.count("kind"), one.count("method"), byHour))
           != null) {
         throw one.wrong("a zone has two forecasts");
       }
     }
-    return new Headroom(racks.values(), forecasts, node.number("reserve"));
+    return new CapacityCheck(racks.values(), forecasts, node.number("reserve"));
   }
 
-  private static Freezes.Rules freezes(Node node) throws ConfigException {
+  private static MaintenanceWindows.Rules freezes(Node node) throws ConfigException {
     try {
-      return new Freezes.Rules(
+      return new MaintenanceWindows.Rules(
           (long) node.span("warm").ms(), (long) node.span("step").ms(), node.number("confidence"));
     } catch (IllegalArgumentException e) {
       throw node.wrong(e.getMessage());
--- a/src/main/java/sprucerock/controller/server/Desk.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -13,48 +13,48 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.Engine;
-import sprucerock.controller.FolderSeat;
-import sprucerock.controller.Release;
-import sprucerock.controller.Seat;
-import sprucerock.controller.SeatMark;
+import sprucerock.controller.FileLeadership;
+import sprucerock.controller.Rollout;
+import sprucerock.controller.Leadership;
+import sprucerock.controller.LeadershipMark;
 import sprucerock.controller.v1.Delivered;
 import sprucerock.controller.v1.FreezeCleared;
 import sprucerock.controller.v1.Input;
-import sprucerock.controller.maintenance.Freeze;
-import sprucerock.controller.maintenance.Freezes;
-import sprucerock.controller.maintenance.Promises;
-import sprucerock.lease.GranterDoor;
+import sprucerock.controller.maintenance.MaintenanceWindow;
+import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.controller.maintenance.PlacementGrants;
+import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.Vault;
+import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.transport.wire.Tap;
 
 /**
  * The controller: its engine between relays, pipelines and operators, on one loop that also waits
  * for the disk.
  */
-public final class Desk implements AutoCloseable {
+public final class ControllerServer implements AutoCloseable {
   private static final TimeSpan LOOK = TimeSpan.ofMs(50); // whether time alone has changed anything
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
-  private final DeskConfig config;
+  private final ControllerConfig config;
   private final NioLoop loop;
   private final Engine engine;
-  private final Promises promises;
-  private final RelaysDoor relays;
-  private final HttpDoor http;
-  private final Vault vault;
-  private AgentsDoor agents;
+  private final PlacementGrants promises;
+  private final RelayListener relays;
+  private final HttpServer http;
+  private final ArtifactStore vault;
+  private AgentListener agents;
   private InetSocketAddress agentsAt;
-  private final Seat seat;
+  private final Leadership seat;
   private Leases leases;
-  private GranterDoor granter;
-  private final List<Outbox> outboxes = new ArrayList<>();
+  private GrantorListener granter;
+  private final List<WebhookOutbox> outboxes = new ArrayList<>();
   private final Map<String, Long> delivered = new ConcurrentHashMap<>();
   private final Runnable replaced;
   private final InetSocketAddress relaysAt;
@@ -69,7 +69,7 @@
    *
    * @throws Exception if a file is damaged or an address can't be had; the message says which
    */
-  public Desk(DeskConfig config, Engine.Clock clock, Tap tap, Runnable replaced) throws Exception {
+  public ControllerServer(ControllerConfig config, Engine.Clock clock, Tap tap, Runnable replaced) throws Exception {
     this.replaced = replaced;
     this.config = config;
     String holder =
@@ -89,10 +89,10 @@
       Thread.sleep(50);
     }
     loop.post(this::renew); // from now on: to come back may take longer than the lease
-    Freezes freezes =
+    MaintenanceWindows freezes =
         config.room == null
-            ? Freezes.none()
-            : new Freezes(config.freezes, config.room, ofFreezes());
+            ? MaintenanceWindows.none()
+            : new MaintenanceWindows(config.freezes, config.room, ofFreezes());
     engine =
         Engine.in(
             config.folder,
@@ -116,9 +116,9 @@
             what ->
                 log.error(
                     "STORE {}", what)); // relays are told at the turn's end, after all its steps
-    for (Outbox.Target target : config.tells) {
+    for (WebhookOutbox.Target target : config.tells) {
       outboxes.add(
-          new Outbox(
+          new WebhookOutbox(
               target,
               config.folder.resolveSibling(
                   config.folder.getFileName() + "-" + target.name() + ".dead"),
@@ -127,15 +127,15 @@
     }
     engine.onlyWhile(seat::holds);
     engine.start(this::tellAgain);
-    promises = new Promises(freezes, freezes.later(engine.wallMs()));
-    relays = new RelaysDoor(loop, config, tap, this);
+    promises = new PlacementGrants(freezes, freezes.later(engine.wallMs()));
+    relays = new RelayListener(loop, config, tap, this);
     vault =
         config.agents == null
             ? null
-            : new Vault(
+            : new ArtifactStore(
                 config.folder.resolveSibling(config.folder.getFileName() + "-versions"),
                 config.mostBytes);
-    http = new HttpDoor(config, this);
+    http = new HttpServer(config, this);
     Exception[] wrong = new Exception[1];
     CountDownLatch done = new CountDownLatch(1);
     InetSocketAddress[] at = new InetSocketAddress[1];
@@ -144,7 +144,7 @@
           try {
             at[0] = relays.start();
             if (config.agents != null) {
-              agents = new AgentsDoor(loop, config, tap, this, vault);
+              agents = new AgentListener(loop, config, tap, this, vault);
               agentsAt = agents.start();
             }
           } catch (IOException e) {
@@ -167,7 +167,7 @@
       throw new IOException(
           config.hooks + " or " + config.api + " can't be listened at: " + e.getMessage());
     }
-    outboxes.forEach(Outbox::start);
+    outboxes.forEach(WebhookOutbox::start);
     loop.post(this::look);
     relaysAt = at[0];
     log.info(
@@ -184,9 +184,9 @@
    * By the store's folder, or by a lease where granters are configured; this process may be one of
    * them.
    */
-  private Seat seat(String holder, Tap tap, Engine.Clock clock) throws Exception {
+  private Leadership seat(String holder, Tap tap, Engine.Clock clock) throws Exception {
     if (config.leases == null) {
-      return FolderSeat.in(config.folder, clock, config.lease, holder);
+      return FileLeadership.in(config.folder, clock, config.lease, holder);
     }
     Leases.Log say =
         new Leases.Log() {
@@ -202,14 +202,14 @@
         };
     leases =
         new Leases(loop, config.leases, config.name, Leases.newLife(), tap, clock::wallMs, say);
-    SeatMark mark = SeatMark.in(config.folder);
+    LeadershipMark mark = LeadershipMark.in(config.folder);
     Exception[] wrong = new Exception[1];
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
           try {
             if (config.leases.granter() >= 0) {
-              granter = new GranterDoor(loop, config.leases, config.name, tap, say);
+              granter = new GrantorListener(loop, config.leases, config.name, tap, say);
               granter.start();
             }
             leases.start();
@@ -225,7 +225,7 @@
     if (wrong[0] != null) {
       throw wrong[0];
     }
-    return new MajoritySeat(loop, leases, mark, "controller");
+    return new LeaseLeadership(loop, leases, mark, "controller");
   }
 
   /** What the granters know; null: none are configured. */
@@ -257,14 +257,14 @@
   /**
    * Programs and settings that agents can be told to run; null where this controller has no agents.
    */
-  Vault vault() {
+  ArtifactStore vault() {
     return vault;
   }
 
-  private Changes.Host ofChanges() {
-    return new Changes.Host() {
+  private DeploymentManager.Host ofChanges() {
+    return new DeploymentManager.Host() {
       @Override
-      public void changed(Change change, Change.Step step) {
+      public void changed(Deployment change, Deployment.Step step) {
         log.info(
             "CHANGE {} step {}: {}, stage {}: {}",
             change.number,
@@ -286,10 +286,10 @@
     };
   }
 
-  private Freezes.Host ofFreezes() {
-    return new Freezes.Host() {
+  private MaintenanceWindows.Host ofFreezes() {
+    return new MaintenanceWindows.Host() {
       @Override
-      public void changed(Freeze freeze, Freeze.Step step) {
+      public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
         if (!engine().replaying()) {
           log.info(
               "FREEZE {} of {} step {}: {}: {}",
@@ -305,7 +305,7 @@
       public void promisesChanged() {
         // a start happens on another thread; a turn that moves many freezes is told once
         if (!engine().replaying() && promisesTold.getAndSet(false)) {
-          loop.post(Desk.this::tellPromises);
+          loop.post(ControllerServer.this::tellPromises);
         }
       }
     };
@@ -319,7 +319,7 @@
   }
 
   /** What relays are promised; on the loop. */
-  Promises promises() {
+  PlacementGrants promises() {
     return promises;
   }
 
@@ -375,9 +375,9 @@
 
   /** Steps of earlier lives that not every listener has taken yet. */
   private void tellAgain() {
-    List<Map.Entry<Release, Release.Step>> again = new ArrayList<>();
-    for (Release release : engine.releases().all()) {
-      for (Release.Step step : release.steps()) {
+    List<Map.Entry<Rollout, Rollout.Step>> again = new ArrayList<>();
+    for (Rollout release : engine.releases().all()) {
+      for (Rollout.Step step : release.steps()) {
         if (step.sequence() > engine.releases().delivered()) {
           again.add(Map.entry(release, step));
         }
@@ -418,7 +418,7 @@
       replaced.run();
       return;
     }
-    loop.at(loop.now().plus(Seat.RENEW), this::renew);
+    loop.at(loop.now().plus(Leadership.RENEW), this::renew);
   }
 
   private void look() {
@@ -453,7 +453,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    outboxes.forEach(Outbox::close);
+    outboxes.forEach(WebhookOutbox::close);
     engine.close();
     seat.release();
     CountDownLatch gone = new CountDownLatch(1);
--- a/src/main/java/sprucerock/controller/server/Absent.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -14,7 +14,7 @@
  * long is found at the front, whatever the number of agents. As large as the number of agents that
  * were ever linked, each of which is known to the changes.
  */
-final class Absent {
+final class DisconnectedAgents {
   private record One(int relay, Timestamp heard) {}
 
   private final Map<Integer, One> known = new HashMap<>();
--- a/src/main/java/sprucerock/controller/server/HttpDoor.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -28,15 +28,15 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.xnio.Options;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Version;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.controller.Engine;
-import sprucerock.controller.Release;
-import sprucerock.controller.Releases;
+import sprucerock.controller.Rollout;
+import sprucerock.controller.RolloutManager;
 import sprucerock.controller.v1.Announced;
 import sprucerock.controller.v1.ChangeWord;
 import sprucerock.controller.v1.FreezeWanted;
@@ -46,7 +46,7 @@
 import sprucerock.controller.v1.RackSays;
 import sprucerock.controller.v1.Ready;
 import sprucerock.controller.v1.Word;
-import sprucerock.controller.maintenance.Freeze;
+import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.LeaseEntry;
 import sprucerock.transport.wire.v1.LeaseListed;
@@ -56,23 +56,23 @@
  * what is under way are bounded; what is taken is answered once it is on disk. Docs:
  * operators/webhooks.md.
  */
-final class HttpDoor {
+final class HttpServer {
   private static final int MOST_API_BODY = 16 * 1024;
   private static final int SLOW_MS = 5000;
 
-  private final DeskConfig config;
-  private final Desk desk;
+  private final ControllerConfig config;
+  private final ControllerServer desk;
   private final Announcements announcements;
-  private final Map<String, Rate> rates = new TreeMap<>();
+  private final Map<String, RateLimiter> rates = new TreeMap<>();
   private Undertow hooks;
   private Undertow api;
 
-  HttpDoor(DeskConfig config, Desk desk) throws IOException {
+  HttpServer(ControllerConfig config, ControllerServer desk) throws IOException {
     this.config = config;
     this.desk = desk;
     announcements = new Announcements();
-    for (DeskConfig.Source source : config.sources.values()) {
-      rates.put(source.name(), new Rate(source.aSecond(), System.currentTimeMillis()));
+    for (ControllerConfig.Source source : config.sources.values()) {
+      rates.put(source.name(), new RateLimiter(source.aSecond(), System.currentTimeMillis()));
     }
   }
 
@@ -172,7 +172,7 @@
 
   private void hook(HttpServerExchange exchange) {
     String path = exchange.getRequestPath();
-    DeskConfig.Source source =
+    ControllerConfig.Source source =
         path.startsWith("/hooks/") ? config.sources.get(path.substring(7)) : null;
     if (source == null) {
       answer(exchange, 404, "no_such_source", null);
@@ -189,7 +189,7 @@
     body(exchange, config.body, bytes -> signed(exchange, source, bytes));
   }
 
-  private void signed(HttpServerExchange exchange, DeskConfig.Source source, byte[] bytes) {
+  private void signed(HttpServerExchange exchange, ControllerConfig.Source source, byte[] bytes) {
     List<String> names = Signatures.headers(source.form());
     Signatures.Headers headers =
         new Signatures.Headers(
@@ -245,7 +245,7 @@
             answer(exchange, 503, "not_kept", outcome.refused());
             return;
           }
-          Releases.Answer answer = (Releases.Answer) outcome.answer();
+          RolloutManager.Answer answer = (RolloutManager.Answer) outcome.answer();
           int status =
               switch (answer) {
                 case TAKEN -> 202;
@@ -451,7 +451,7 @@
             onLoop(
                 exchange,
                 () -> {
-                  Changes changes = desk.engine().changes();
+                  DeploymentManager changes = desk.engine().changes();
                   Version base = changes.under() != null ? changes.under().to : changes.usual();
                   if (base.equals(Version.NONE) && (program == null || settings == null)) {
                     answer(
@@ -512,7 +512,7 @@
     return desk.vault().put(file);
   }
 
-  private static ObjectNode brief(Change change) {
+  private static ObjectNode brief(Deployment change) {
     return Announcements.JSON
         .createObjectNode()
         .put("change", change.number)
@@ -531,7 +531,7 @@
   private ObjectNode changes() {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode list = all.putArray("changes");
-    for (Change one : desk.engine().changes().all()) {
+    for (Deployment one : desk.engine().changes().all()) {
       list.add(brief(one));
     }
     return all.put("epoch", desk.engine().releases().epoch())
@@ -539,14 +539,14 @@
   }
 
   private void showChange(HttpServerExchange exchange, int number) {
-    Change change = desk.engine().changes().of(number);
+    Deployment change = desk.engine().changes().of(number);
     if (change == null) {
       answer(exchange, 404, "no_such_change", null);
       return;
     }
     ObjectNode node = brief(change);
     ArrayNode steps = node.putArray("steps");
-    for (Change.Step step : change.steps()) {
+    for (Deployment.Step step : change.steps()) {
       steps
           .addObject()
           .put("sequence", step.sequence())
@@ -665,7 +665,7 @@
                 }));
   }
 
-  private ObjectNode brief(Freeze freeze) {
+  private ObjectNode brief(MaintenanceWindow freeze) {
     ObjectNode node =
         Announcements.JSON
             .createObjectNode()
@@ -684,7 +684,7 @@
   private ObjectNode freezes() {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode list = all.putArray("freezes");
-    for (Freeze one : desk.engine().freezes().all()) {
+    for (MaintenanceWindow one : desk.engine().freezes().all()) {
       list.add(brief(one));
     }
     return all;
@@ -692,14 +692,14 @@
 
   /** With who may still place work there, and until when at most. */
   private void showFreeze(HttpServerExchange exchange, int number) {
-    Freeze freeze = desk.engine().freezes().of(number);
+    MaintenanceWindow freeze = desk.engine().freezes().of(number);
     if (freeze == null) {
       answer(exchange, 404, "no_such_freeze", null);
       return;
     }
     ObjectNode node = brief(freeze);
     ArrayNode steps = node.putArray("steps");
-    for (Freeze.Step step : freeze.steps()) {
+    for (MaintenanceWindow.Step step : freeze.steps()) {
       steps
           .addObject()
           .put("sequence", step.sequence())
@@ -776,8 +776,8 @@
     }
   }
 
-  private ObjectNode brief(Release release) {
-    Releases releases = desk.engine().releases();
+  private ObjectNode brief(Rollout release) {
+    RolloutManager releases = desk.engine().releases();
     ObjectNode node =
         Announcements.JSON
             .createObjectNode()
@@ -800,7 +800,7 @@
   private ObjectNode list() {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode list = all.putArray("releases");
-    for (Release one : desk.engine().releases().all()) {
+    for (Rollout one : desk.engine().releases().all()) {
       list.add(brief(one));
     }
     all.put("epoch", desk.engine().releases().epoch()).put("inputs", desk.engine().inputs());
@@ -811,15 +811,15 @@
   }
 
   private void show(HttpServerExchange exchange, int build) {
-    Releases releases = desk.engine().releases();
-    Release release = releases.of(build);
+    RolloutManager releases = desk.engine().releases();
+    Rollout release = releases.of(build);
     if (release == null) {
       answer(exchange, 404, "no_such_build", null);
       return;
     }
     ObjectNode node = brief(release);
     ArrayNode steps = node.putArray("steps");
-    for (Release.Step step : release.steps()) {
+    for (Rollout.Step step : release.steps()) {
       steps
           .addObject()
           .put("sequence", step.sequence())
@@ -833,8 +833,8 @@
       ArrayNode waits = node.putArray("waits_for");
       releases.waitsFor(now).forEach(waits::add);
       ObjectNode votes = node.putObject("votes");
-      for (Releases.Say say : Releases.Say.values()) {
-        if (say == Releases.Say.NOTHING) {
+      for (RolloutManager.Say say : RolloutManager.Say.values()) {
+        if (say == RolloutManager.Say.NOTHING) {
           continue;
         }
         ArrayNode relays = votes.putArray(say.name().toLowerCase(Locale.ROOT));
@@ -843,8 +843,8 @@
       ArrayNode silent = node.putArray("silent");
       for (int relay : desk.relays()) {
         boolean voted = false;
-        for (Releases.Say say : Releases.Say.values()) {
-          voted |= say != Releases.Say.NOTHING && releases.standing(say, now).contains(relay);
+        for (RolloutManager.Say say : RolloutManager.Say.values()) {
+          voted |= say != RolloutManager.Say.NOTHING && releases.standing(say, now).contains(relay);
         }
         if (!voted) {
           silent.add(relay);
--- a/src/main/java/sprucerock/controller/server/MajoritySeat.java
+++ b/src/main/java/sprucerock/controller/server/LeaseLeadership.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
-import sprucerock.controller.Seat;
-import sprucerock.controller.SeatMark;
-import sprucerock.lease.Guard;
+import sprucerock.controller.Leadership;
+import sprucerock.controller.LeadershipMark;
+import sprucerock.lease.LeaseCheck;
 import sprucerock.lease.Leases;
 import sprucerock.transport.net.nio.NioLoop;
 
@@ -15,17 +15,17 @@
  * lower one gives up; each start writes files of its own, so that what a former holder still writes
  * is never read. Calls but for {@link #take} and {@link #release} come on the loop's thread.
  */
-final class MajoritySeat implements Seat {
+final class LeaseLeadership implements Leadership {
   private final NioLoop loop;
   private final Leases leases;
-  private final SeatMark mark;
+  private final LeadershipMark mark;
   private final String name;
-  private Guard guard;
+  private LeaseCheck guard;
   private boolean held;
   private boolean taken;
   private boolean lost;
 
-  MajoritySeat(NioLoop loop, Leases leases, SeatMark mark, String name) {
+  LeaseLeadership(NioLoop loop, Leases leases, LeadershipMark mark, String name) {
     this.loop = loop;
     this.leases = leases;
     this.mark = mark;
@@ -39,7 +39,7 @@
             name,
             new Leases.Task() {
               @Override
-              public void begun(Guard by) {
+              public void begun(LeaseCheck by) {
                 held = true;
               }
 
--- a/src/main/java/sprucerock/controller/server/Rate.java
+++ b/src/main/java/sprucerock/controller/server/RateLimiter.java
@@ -3,12 +3,12 @@
 /**
  * How often somebody may come: so many a second, a second's worth at once. One thread at a time.
  */
-final class Rate {
+final class RateLimiter {
   private final double perSecond;
   private double tokens;
   private long lastMs;
 
-  Rate(int perSecond, long nowMs) {
+  RateLimiter(int perSecond, long nowMs) {
     this.perSecond = perSecond;
     tokens = perSecond;
     lastMs = nowMs;
--- a/src/main/java/sprucerock/controller/server/RelaysDoor.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -5,15 +5,15 @@
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import sprucerock.controller.Releases;
+import sprucerock.controller.RolloutManager;
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.FamiliesWorth;
 import sprucerock.controller.v1.Input;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.Tap;
@@ -33,19 +33,19 @@
  * then; of a relay that does not read nothing is kept but that it is behind, and the newest state
  * is told once it reads. Votes are recorded before they are answered.
  */
-final class RelaysDoor {
+final class RelayListener {
   private static final byte[] NO_BODY = {};
 
   private final Net net;
-  private final DeskConfig config;
+  private final ControllerConfig config;
   private final Limits limits;
   private final Tap tap;
-  private final Desk desk;
+  private final ControllerServer desk;
   private final Set<Session> sessions = new LinkedHashSet<>();
   private final RackList racks;
   private Net.Listener listener;
 
-  RelaysDoor(Net net, DeskConfig config, Tap tap, Desk desk) {
+  RelayListener(Net net, ControllerConfig config, Tap tap, ControllerServer desk) {
     this.net = net;
     this.config = config;
     this.tap = tap;
@@ -63,10 +63,10 @@
             () -> {
               Session session = new Session();
               session.link =
-                  new FrameLink(
+                  new FrameConnection(
                       net,
                       Hello.newBuilder()
-                          .setVersion(FrameLink.VERSION)
+                          .setVersion(FrameConnection.VERSION)
                           .setRole(Role.DESK)
                           .setName(config.name)
                           .build(),
@@ -117,7 +117,7 @@
   }
 
   private News news() {
-    Releases.News news = desk.engine().releases().news();
+    RolloutManager.News news = desk.engine().releases().news();
     Stand stand =
         switch (news.standing()) {
           case ON_TRIAL -> Stand.ON_TRIAL;
@@ -136,12 +136,12 @@
         .build();
   }
 
-  private final class Session implements FrameUser {
-    private FrameLink link;
+  private final class Session implements FrameListener {
+    private FrameConnection link;
     private Timers.Timer behind;
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (other.getRole() != Role.RELAY) {
         made.cut("only relays are taken here");
         return;
@@ -184,12 +184,12 @@
         return;
       }
       Vote vote = (Vote) head;
-      Releases.Say say =
+      RolloutManager.Say say =
           switch (vote.getSay()) {
-            case NOTHING -> Releases.Say.NOTHING;
-            case ON -> Releases.Say.ON;
-            case HOLD -> Releases.Say.HOLD;
-            case BACK -> Releases.Say.BACK;
+            case NOTHING -> RolloutManager.Say.NOTHING;
+            case ON -> RolloutManager.Say.ON;
+            case HOLD -> RolloutManager.Say.HOLD;
+            case BACK -> RolloutManager.Say.BACK;
             default -> null;
           };
       if (say == null || link.other().getNumber() < 0) {
@@ -209,7 +209,7 @@
                   vote,
                   outcome.refused() != null
                       ? Taken.FAILED_TO_TAKE
-                      : switch ((Releases.Taken) outcome.answer()) {
+                      : switch ((RolloutManager.Taken) outcome.answer()) {
                         case COUNTS -> Taken.COUNTS;
                         case MOOT -> Taken.MOOT;
                         case TOO_MANY -> Taken.TOO_MANY;
--- a/src/main/java/sprucerock/controller/server/Outbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -16,14 +16,14 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import sprucerock.controller.Release;
+import sprucerock.controller.Rollout;
 
 /**
  * Tells one listener of each step by a signed webhook, in their order, at least once each: the next
  * one goes out once the one before was taken, or was given up and written into a file of dead
  * letters. It has a thread and a bounded queue of its own and never holds the controller up.
  */
-final class Outbox implements AutoCloseable {
+final class WebhookOutbox implements AutoCloseable {
   /** Where to, signed with what; {@code giveUp}: how long one is tried. */
   record Target(String name, URI url, byte[] secret, Duration giveUp) {}
 
@@ -48,7 +48,7 @@
   private volatile boolean over;
 
   /** {@code done} is told, on this one's thread, of each step that need not be told again. */
-  Outbox(Target target, Path deadLetters, LongConsumer done, Consumer<String> say) {
+  WebhookOutbox(Target target, Path deadLetters, LongConsumer done, Consumer<String> say) {
     this.target = target;
     this.deadLetters = deadLetters;
     this.done = done;
@@ -64,7 +64,7 @@
   /**
    * A step to be told. From any thread; where too many wait, the oldest one becomes a dead letter.
    */
-  void add(Release release, Release.Step step) {
+  void add(Rollout release, Rollout.Step step) {
     ObjectNode body =
         Announcements.JSON
             .createObjectNode()
--- a/src/main/java/sprucerock/hardware/Fit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -26,7 +26,7 @@
  * <p>How many picks a unit bears side by side is read off how times grow with what it holds: as
  * long as cores are free not at all, then in step.
  */
-public final class Fit {
+public final class LeastSquaresFit {
   /** Methods and families that are told apart; what comes beyond is left out, and said. */
   public static final int MOST_METHODS = 64;
 
@@ -65,7 +65,7 @@
   private double omega = 0.05 * 0.05;
   private double tau = 0.1 * 0.1;
 
-  private Fit(Collection<Map<Cell, Sums>> windows, IntPredicate settled) {
+  private LeastSquaresFit(Collection<Map<Cell, Sums>> windows, IntPredicate settled) {
     TreeSet<Integer> kinds = new TreeSet<>();
     TreeSet<Integer> ways = new TreeSet<>();
     for (Map<Cell, Sums> window : windows) {
@@ -163,8 +163,8 @@
    *
    * @return null where nothing was seen of any
    */
-  public static Model of(Seen seen, long firstWindow, IntPredicate settled, long number) {
-    Fit fit = new Fit(seen.since(firstWindow).values(), settled);
+  public static Model of(Observation seen, long firstWindow, IntPredicate settled, long number) {
+    LeastSquaresFit fit = new LeastSquaresFit(seen.since(firstWindow).values(), settled);
     return fit.points.isEmpty() ? null : fit.model(number, seen.newest());
   }
 
--- a/src/main/java/sprucerock/hardware/Seen.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -7,7 +7,7 @@
  * All tallies of the last windows, of all relays, as whoever fits was told them. Bounded by
  * windows, relays and cells.
  */
-public final class Seen {
+public final class Observation {
   /**
    * Windows that are kept: at ten seconds each ten minutes, in which hardware does not change but
    * for what is to be noticed.
@@ -16,18 +16,18 @@
 
   public static final int MOST_RELAYS = 2000;
 
-  private final TreeMap<Long, TreeMap<Integer, Tally>> windows = new TreeMap<>();
+  private final TreeMap<Long, TreeMap<Integer, SampleSums>> windows = new TreeMap<>();
 
   /**
    * True where it says something new; one that holds less than what is known of its relay and
    * window came late or twice.
    */
-  public boolean told(Tally tally) {
+  public boolean told(SampleSums tally) {
     if (!windows.isEmpty() && tally.window() <= windows.lastKey() - WINDOWS) {
       return false;
     }
-    Map<Integer, Tally> window = windows.computeIfAbsent(tally.window(), any -> new TreeMap<>());
-    Tally before = window.get(tally.relay());
+    Map<Integer, SampleSums> window = windows.computeIfAbsent(tally.window(), any -> new TreeMap<>());
+    SampleSums before = window.get(tally.relay());
     if (before != null ? before.count() >= tally.count() : window.size() >= MOST_RELAYS) {
       return false;
     }
@@ -39,8 +39,8 @@
   }
 
   /** The same at this moment; a tally that was told is never changed. */
-  public Seen copy() {
-    Seen made = new Seen();
+  public Observation copy() {
+    Observation made = new Observation();
     windows.forEach((window, relays) -> made.windows.put(window, new TreeMap<>(relays)));
     return made;
   }
@@ -53,7 +53,7 @@
         .forEach(
             (window, relays) -> {
               Map<Cell, Sums> sums = new TreeMap<>();
-              for (Tally tally : relays.values()) {
+              for (SampleSums tally : relays.values()) {
                 tally.cells().forEach((cell, one) -> sums.merge(cell, one, Sums::plus));
               }
               all.put(window, sums);
--- a/src/main/java/sprucerock/hardware/Suspicion.java
+++ b/src/main/java/sprucerock/hardware/OutlierScore.java
@@ -11,7 +11,7 @@
  * there too; the build's, if only it is slow there beside the settled ones of the same windows.
  * Told apart before a model is fitted, and from the same sums.
  */
-public final class Suspicion {
+public final class OutlierScore {
   /**
    * What seems to be the matter. {@code build} 0: the family itself. {@code slower}: by how much,
    * as a logarithm.
@@ -25,7 +25,7 @@
   private static final double LEAST = 0.1;
   private static final double LEAST_PICKS = 3;
 
-  private Suspicion() {}
+  private OutlierScore() {}
 
   private static final class Mean {
     private double weights;
@@ -49,7 +49,7 @@
    * Families on which a build runs slower beside the settled ones than it does on other families.
    */
   public static List<Finding> builds(
-      Seen seen, long firstWindow, int build, java.util.function.IntPredicate settled) {
+      Observation seen, long firstWindow, int build, java.util.function.IntPredicate settled) {
     Map<Integer, Mean> byFamily = new TreeMap<>();
     for (Map<Cell, Sums> window : seen.since(firstWindow).values()) {
       window.forEach(
@@ -88,7 +88,7 @@
    * other families.
    */
   public static List<Finding> families(
-      Seen seen, long firstWindow, long from, java.util.function.IntPredicate settled) {
+      Observation seen, long firstWindow, long from, java.util.function.IntPredicate settled) {
     Map<Integer, Mean> byFamily = new TreeMap<>();
     Map<Cell, Sums> before = new TreeMap<>();
     Map<Cell, Sums> since = new TreeMap<>();
--- a/src/main/java/sprucerock/hardware/Tally.java
+++ b/src/main/java/sprucerock/hardware/SampleSums.java
@@ -8,7 +8,7 @@
  * twice, as a later one of the same relay and window holds all of an earlier one and takes its
  * place.
  */
-public final class Tally {
+public final class SampleSums {
   /**
    * Cells of a window; a relay with more methods, families and builds than that leaves out the ones
    * it met last.
@@ -21,7 +21,7 @@
   private long leftOut;
 
   /** {@code window}: the same number for the same stretch of time at all relays. */
-  public Tally(int relay, long window) {
+  public SampleSums(int relay, long window) {
     this.relay = relay;
     this.window = window;
   }
--- a/src/main/java/sprucerock/lab/Child.java
+++ b/src/main/java/sprucerock/lab/ChildProcess.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A process of a scale run, watched from outside by what the system tells of it. */
-final class Child {
+final class ChildProcess {
   /** Processor time so far, in seconds. */
   record Cpu(double user, double system) {
     Cpu minus(Cpu before) {
@@ -37,7 +37,7 @@
    * Java with these options on the program's own class path; what it says goes to {@code log}, but
    * for its answers to words.
    */
-  Child(
+  ChildProcess(
       String role, String name, File log, boolean talks, List<String> options, String... arguments)
       throws IOException {
     this.role = role;
--- a/src/main/java/sprucerock/lab/GranterProcess.java
+++ b/src/main/java/sprucerock/lab/GranterProcess.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.GranterDoor;
+import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Tap;
@@ -36,7 +36,7 @@
     loop.post(
         () -> {
           try {
-            new GranterDoor(
+            new GrantorListener(
                     loop,
                     of.leases,
                     of.name,
--- a/src/main/java/sprucerock/lab/HollowFleet.java
+++ b/src/main/java/sprucerock/lab/HollowFleet.java
@@ -19,7 +19,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.AgentConfig;
-import sprucerock.agent.Station;
+import sprucerock.agent.ControllerClient;
 import sprucerock.controller.deployment.Version;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
@@ -27,7 +27,7 @@
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.Vault;
+import sprucerock.agent.artifact.ArtifactStore;
 
 /**
  * One hollow process: relays and their agents, all on one loop, under the words of whoever started
@@ -50,7 +50,7 @@
   private final LinkCounts granters = new LinkCounts("granter");
   private final LinkCounts agentsLinks = new LinkCounts("controller");
   private final List<HollowRelay> relays = new ArrayList<>();
-  private final List<Station> agents = new ArrayList<>();
+  private final List<ControllerClient> agents = new ArrayList<>();
   private final DeterministicRandom chance;
   private final AtomicInteger broken = new AtomicInteger();
   private Histogram lag = new Histogram(3);
@@ -59,7 +59,7 @@
   private List<HollowRelay> away = List.of();
 
   private HollowFleet(
-      RelayConfig relay, AgentConfig agent, Vault vault, Version first, int from, int many)
+      RelayConfig relay, AgentConfig agent, ArtifactStore vault, Version first, int from, int many)
       throws IOException {
     loop =
         new NioLoop(
@@ -76,7 +76,7 @@
         continue;
       }
       agents.add(
-          new Station(
+          new ControllerClient(
               agent,
               "hollow-" + number,
               number,
@@ -102,7 +102,7 @@
       Path relay, Path agent, Path folder, int from, int many, InputStream in, PrintStream out)
       throws IOException, ConfigException, InterruptedException {
     String digit = "0123456789abcdef".repeat(4);
-    Vault vault = new Vault(folder, 1 << 20);
+    ArtifactStore vault = new ArtifactStore(folder, 1 << 20);
     HollowFleet fleet =
         new HollowFleet(
             RelayConfig.read(relay),
@@ -170,7 +170,7 @@
     for (HollowRelay one : relays) {
       loop.at(loop.now().plus(within.times(chance.next())), one::start);
     }
-    for (Station one : agents) {
+    for (ControllerClient one : agents) {
       loop.at(loop.now().plus(within.times(chance.next())), one::start);
     }
     due = loop.now().plus(LOOK);
--- a/src/main/java/sprucerock/lab/HollowMachine.java
+++ b/src/main/java/sprucerock/lab/HollowMachine.java
@@ -2,8 +2,8 @@
 
 import java.util.function.BiConsumer;
 import sprucerock.agent.Agent;
-import sprucerock.agent.Memory;
-import sprucerock.agent.Place;
+import sprucerock.agent.AgentState;
+import sprucerock.agent.RelaySupervisor;
 import sprucerock.controller.deployment.Version;
 import sprucerock.transport.net.Net;
 import sprucerock.stats.DeterministicRandom;
@@ -16,7 +16,7 @@
  * here and can be run, and the relay's sums are those of requests drawn at a rate. Nothing is kept
  * on disk: in a fleet each has a disk of its own.
  */
-final class HollowMachine implements Place {
+final class HollowMachine implements RelaySupervisor {
   private static final TimeSpan STARTS =
       TimeSpan.ofMs(600); // what a relay's start takes on an idle core, docs/architecture.md
   private static final TimeSpan ENDS = TimeSpan.ofMs(100);
@@ -30,7 +30,7 @@
   private final Runnable says;
   private final BiConsumer<Version, String> fails;
   private final Consumers consumers;
-  private Memory memory;
+  private AgentState memory;
   private Agent agent;
   private int run;
   private Timestamp started;
@@ -48,7 +48,7 @@
     this.says = says;
     this.fails = fails;
     this.consumers = consumers;
-    memory = new Memory(0, 0, 0, Version.NONE, first, 1);
+    memory = new AgentState(0, 0, 0, Version.NONE, first, 1);
   }
 
   @Override
@@ -57,7 +57,7 @@
   }
 
   @Override
-  public Memory remembered() {
+  public AgentState remembered() {
     return memory;
   }
 
@@ -174,7 +174,7 @@
   }
 
   @Override
-  public String keep(Memory kept) {
+  public String keep(AgentState kept) {
     memory = kept;
     return null;
   }
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -8,7 +8,7 @@
 import org.slf4j.helpers.NOPLogger;
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.Guard;
+import sprucerock.lease.LeaseCheck;
 import sprucerock.lease.Leases;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.model.VoteReply;
@@ -16,11 +16,11 @@
 import sprucerock.model.Verdict;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.relay.frames.DeskLink;
-import sprucerock.relay.frames.Racks;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.frames.ControllerConnection;
+import sprucerock.relay.frames.RackPermits;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.stats.DeterministicRandom;
-import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
@@ -38,7 +38,7 @@
  * thousands would say the same; what it hears of each kind of event is timed here. On one loop's
  * thread.
  */
-final class HollowRelay implements Racks.Owner, Tap {
+final class HollowRelay implements RackPermits.Owner, Tap {
   /** What is in force is timed for. */
   enum Event {
     NEWS,
@@ -59,7 +59,7 @@
   private static final Leases.Task NO_LOOKS =
       new Leases.Task() {
         @Override
-        public void begun(Guard guard) {}
+        public void begun(LeaseCheck guard) {}
 
         @Override
         public void ended(String why) {}
@@ -71,10 +71,10 @@
   private final LinkCounts controller;
   private final LinkCounts granters;
   private final Map<Long, Long> votesOut = new HashMap<>();
-  private DeskLink desk;
-  private Racks racks;
+  private ControllerConnection desk;
+  private RackPermits racks;
   private Leases leases;
-  private Deaf.Told news;
+  private UnresponsivePeer.Told news;
   private int lives;
   private long epoch;
   private long sequence;
@@ -106,20 +106,20 @@
     news = null;
     votesOut.clear();
     RequestTracker ledger = new RequestTracker(config.settings);
-    ledger.tell(new Deaf(this::news));
-    Events events = new Events(net, NOPLogger.NOP_LOGGER);
+    ledger.tell(new UnresponsivePeer(this::news));
+    EventLog events = new EventLog(net, NOPLogger.NOP_LOGGER);
     DeterministicRandom chance = new DeterministicRandom(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
     Hello mine =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
             .setNumber(number)
             .setName("hollow-" + number)
             .build();
-    racks = new Racks(net, config, events, chance, this);
-    Racks promised = racks;
+    racks = new RackPermits(net, config, events, chance, this);
+    RackPermits promised = racks;
     desk =
-        new DeskLink(
+        new ControllerConnection(
             net,
             config,
             mine,
@@ -197,7 +197,7 @@
     }
   }
 
-  private void news(Deaf.Told told) {
+  private void news(UnresponsivePeer.Told told) {
     news = told;
     if (event == Event.NEWS
         && told.build().number == beyond
@@ -282,7 +282,7 @@
   // What crosses the link to the controller.
 
   @Override
-  public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
+  public void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body) {
     controller.frame(link, out, kind, head, body);
     if (kind == Kind.VOTE) {
       votesOut.put(((Vote) head).getId(), NioLoop.machineMicros());
@@ -305,7 +305,7 @@
   }
 
   @Override
-  public void closed(FrameLink link, String why) {
+  public void closed(FrameConnection link, String why) {
     controller.closed(link, why);
   }
 }
--- a/src/main/java/sprucerock/lab/LinkCounts.java
+++ b/src/main/java/sprucerock/lab/LinkCounts.java
@@ -4,7 +4,7 @@
 import com.google.protobuf.MessageLite;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
 
@@ -27,14 +27,14 @@
   }
 
   @Override
-  public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
+  public void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body) {
     Sum sum = sums.computeIfAbsent(kind + (out ? " in" : " out"), key -> new Sum());
     sum.messages++;
-    sum.bytes += FrameLink.size(head, body);
+    sum.bytes += FrameConnection.size(head, body);
   }
 
   @Override
-  public void closed(FrameLink link, String why) {
+  public void closed(FrameConnection link, String why) {
     closed++;
   }
 
--- a/src/main/java/sprucerock/lab/ScaleRun.java
+++ b/src/main/java/sprucerock/lab/ScaleRun.java
@@ -119,16 +119,16 @@
   private final ScaleSite site;
   private final HttpClient http =
       HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(5)).build();
-  private final List<Child> granters = new ArrayList<>();
-  private final List<Child> hollow = new ArrayList<>();
-  private final List<Child> all = new ArrayList<>();
-  private final Map<Child, Child.Cpu> before = new LinkedHashMap<>();
-  private final Map<Child, Child.Cpu> ended = new LinkedHashMap<>();
+  private final List<ChildProcess> granters = new ArrayList<>();
+  private final List<ChildProcess> hollow = new ArrayList<>();
+  private final List<ChildProcess> all = new ArrayList<>();
+  private final Map<ChildProcess, ChildProcess.Cpu> before = new LinkedHashMap<>();
+  private final Map<ChildProcess, ChildProcess.Cpu> ended = new LinkedHashMap<>();
   private final Map<String, Long> counts = new TreeMap<>();
   private ArrayNode inForce = JSON.createArrayNode();
   private final Thread hook = new Thread(this::killAll, "lab-killer");
   private final long deadline;
-  private Child controller;
+  private ChildProcess controller;
   private Scene scene;
   private int lives;
   private long beganNs;
@@ -158,7 +158,7 @@
     } catch (IllegalStateException e) {
       // the hook runs already
     }
-    for (Child one : all) {
+    for (ChildProcess one : all) {
       try {
         one.kill();
       } catch (InterruptedException e) {
@@ -174,18 +174,18 @@
 
   private void killAll() {
     synchronized (all) {
-      all.forEach(Child::destroy);
+      all.forEach(ChildProcess::destroy);
     }
   }
 
-  private Child child(
+  private ChildProcess child(
       String role, String name, boolean talks, List<String> options, String... arguments)
       throws IOException {
-    Child made = new Child(role, name, log(name), talks, options, arguments);
+    ChildProcess made = new ChildProcess(role, name, log(name), talks, options, arguments);
     synchronized (all) {
       all.add(made);
     }
-    before.put(made, new Child.Cpu(0, 0));
+    before.put(made, new ChildProcess.Cpu(0, 0));
     return made;
   }
 
@@ -213,7 +213,7 @@
         scene();
       } catch (NotInTimeException e) {
         broke = e.getMessage();
-        for (Child of : all) {
+        for (ChildProcess of : all) {
           if (!of.alive() && !ended.containsKey(of)) {
             out.println(of.name + " has ended: " + tail(of.name));
           }
@@ -285,7 +285,7 @@
     tellAll("begin");
     lastInputs = inputs();
     before.keySet().removeIf(one -> !one.alive());
-    for (Child one : before.keySet()) {
+    for (ChildProcess one : before.keySet()) {
       before.put(one, one.cpu());
     }
     beganNs = System.nanoTime();
@@ -339,11 +339,11 @@
   }
 
   private List<JsonNode> askAll(String word) throws IOException {
-    for (Child one : hollow) {
+    for (ChildProcess one : hollow) {
       one.tell(word);
     }
     List<JsonNode> answers = new ArrayList<>();
-    for (Child one : hollow) {
+    for (ChildProcess one : hollow) {
       answers.add(one.answer());
     }
     return answers;
@@ -654,8 +654,8 @@
 
   private ObjectNode result(String broke) throws IOException, InterruptedException {
     double seconds = passed();
-    Map<Child, Child.Cpu> cpu = new LinkedHashMap<>();
-    for (Map.Entry<Child, Child.Cpu> one : before.entrySet()) {
+    Map<ChildProcess, ChildProcess.Cpu> cpu = new LinkedHashMap<>();
+    for (Map.Entry<ChildProcess, ChildProcess.Cpu> one : before.entrySet()) {
       cpu.put(
           one.getKey(),
           ended.containsKey(one.getKey())
@@ -670,7 +670,7 @@
     if (broke != null) {
       whyNot.add(broke);
     }
-    for (Child one : all) {
+    for (ChildProcess one : all) {
       if (!one.alive()
           && !ended.containsKey(one)
           && before.containsKey(one)
@@ -683,8 +683,8 @@
     boolean stalled = scene == Scene.STALL;
     for (int i = 0; i < reports.size(); i++) {
       JsonNode report = reports.get(i);
-      Child one = hollow.get(i);
-      Child.Cpu spent = cpu.get(one);
+      ChildProcess one = hollow.get(i);
+      ChildProcess.Cpu spent = cpu.get(one);
       if ((spent.user() + spent.system()) / seconds > FULL_CORE) {
         whyNot.add(
             String.format(
@@ -740,8 +740,8 @@
             .put("kept_up", whyNot.isEmpty())
             .put("why_not", String.join("; ", whyNot));
     ArrayNode processes = result.putArray("processes");
-    for (Map.Entry<Child, Child.Cpu> one : cpu.entrySet()) {
-      Child of = one.getKey();
+    for (Map.Entry<ChildProcess, ChildProcess.Cpu> one : cpu.entrySet()) {
+      ChildProcess of = one.getKey();
       processes
           .addObject()
           .put("role", of.role)
--- a/src/main/java/sprucerock/lab/Deaf.java
+++ b/src/main/java/sprucerock/lab/UnresponsivePeer.java
@@ -16,13 +16,13 @@
  * The module of a hollow relay, which has no requests to decide on: of all it is told, only news is
  * passed on.
  */
-final class Deaf implements RelayEvents {
+final class UnresponsivePeer implements RelayEvents {
   /** News as the ledger tells it to the module: by then it is in force. */
   record Told(Build build, int stage, RolloutState standing) {}
 
   private final Consumer<Told> news;
 
-  Deaf(Consumer<Told> news) {
+  UnresponsivePeer(Consumer<Told> news) {
     this.news = news;
   }
 
--- a/src/main/java/sprucerock/lease/Fence.java
+++ b/src/main/java/sprucerock/lease/FencingToken.java
@@ -9,7 +9,7 @@
  * more. It holds whatever clocks do, and needs no word with granters. It forgets with its process;
  * then time alone guards, for one term.
  */
-public final class Fence {
+public final class FencingToken {
   /** Names that are remembered; beyond, the one that acted longest ago is forgotten. */
   public static final int MOST = 1024;
 
--- a/src/main/java/sprucerock/lease/GranterDoor.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -9,8 +9,8 @@
 import sprucerock.transport.net.Net;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
@@ -27,7 +27,7 @@
  * within a turn, and a grant that began before its ask was sent would end before its holder expects
  * it.
  */
-public final class GranterDoor {
+public final class GrantorListener {
   private static final byte[] NO_BODY = {};
   private static final int MOST_NAME = 64;
   // Of one link: a candidate for 64 leases that renews each at its quickest asks a tenth of that.
@@ -41,28 +41,28 @@
   private final Leases.Log log;
   private final Hello mine;
   private final Map<Integer, Session> sessions = new TreeMap<>();
-  private final Granter granter;
+  private final LeaseGrantor granter;
   private Session asking;
   private Net.Listener listener;
   private long dropped;
 
   /** The granter that the configuration says this process is. */
-  public GranterDoor(Net net, LeaseConfig config, String name, Tap tap, Leases.Log log) {
+  public GrantorListener(Net net, LeaseConfig config, String name, Tap tap, Leases.Log log) {
     this.net = net;
     this.config = config;
     this.tap = tap;
     this.log = log;
     mine =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(Role.GRANTER)
             .setNumber(config.granter())
             .setName(name)
             .build();
     granter =
-        new Granter(
+        new LeaseGrantor(
             Leases.terms(config),
-            new Granter.Host() {
+            new LeaseGrantor.Host() {
               @Override
               public void granted(int candidate, String name, long number, long round) {
                 asking.link.send(
@@ -84,7 +84,7 @@
                   long round,
                   long highest,
                   TimeSpan left,
-                  Granter.Refusal why) {
+                  LeaseGrantor.Refusal why) {
                 asking.link.send(
                     Kind.LEASE_SAID,
                     LeaseSaid.newBuilder()
@@ -93,7 +93,7 @@
                         .setRound(round)
                         .setHighest(highest)
                         .setLeftUs((long) Math.max(0, left.ms() * 1000))
-                        .setHeld(why == Granter.Refusal.HELD)
+                        .setHeld(why == LeaseGrantor.Refusal.HELD)
                         .setWhy(why.name())
                         .build(),
                     NO_BODY);
@@ -123,7 +123,7 @@
             Leases.LIMITS.unsent(),
             () -> {
               Session session = new Session();
-              session.link = new FrameLink(net, mine, Leases.LIMITS, tap, session);
+              session.link = new FrameConnection(net, mine, Leases.LIMITS, tap, session);
               return session.link;
             });
     log.info(
@@ -150,14 +150,14 @@
     return dropped;
   }
 
-  private final class Session implements FrameUser {
-    private FrameLink link;
+  private final class Session implements FrameListener {
+    private FrameConnection link;
     private int number = -1;
     private Timestamp second;
     private int inSecond;
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (other.getNumber() < 0 || other.getNumber() > 65_535) {
         made.cut("a candidate's number is 0 to 65535");
         return;
--- a/src/main/java/sprucerock/lease/Guard.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -8,15 +8,15 @@
 /**
  * The one way to act under a lease. Time is looked at when the act begins, not when its turn of the
  * loop began; and as a process may stand still right after that look, the act bears the lease's
- * number, which the place where it lands holds against the highest that it saw ({@link Fence}).
+ * number, which the place where it lands holds against the highest that it saw ({@link FencingToken}).
  * (Burrows, "The Chubby lock service", 2006, calls such a number a sequencer.)
  */
-public class Guard {
-  private final Candidate candidate;
+public class LeaseCheck {
+  private final LeaseClient candidate;
   private final Supplier<Timestamp> clock;
 
   /** {@code clock}: this process's steady clock, read anew with each call. */
-  Guard(Candidate candidate, Supplier<Timestamp> clock) {
+  LeaseCheck(LeaseClient candidate, Supplier<Timestamp> clock) {
     this.candidate = candidate;
     this.clock = clock;
   }
--- a/src/main/java/sprucerock/lease/Candidate.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -8,9 +8,9 @@
  * One process's side of one lease: asks all granters, holds it while a majority granted it in one
  * round, asks again in time, and gives it back. It counts its time from before it asked, by its own
  * clock, shortened by what clocks may differ; so it stops before any granter can give it to
- * another. Whether it holds is asked at the last instant, through {@link Guard}.
+ * another. Whether it holds is asked at the last instant, through {@link LeaseCheck}.
  */
-class Candidate {
+class LeaseClient {
   /** What it can do; messages may get lost. */
   interface Host {
     void ask(int granter, String name, long number, long round);
@@ -58,7 +58,7 @@
    * {@code me}: its number in the fleet, 0 to 65535; {@code life}: another one with each start of
    * the process.
    */
-  Candidate(String name, Terms terms, Host host, DoubleSupplier chance, int me, long life) {
+  LeaseClient(String name, Terms terms, Host host, DoubleSupplier chance, int me, long life) {
     if (me < 0 || me >= 1 << NUMBER_BITS) {
       throw new IllegalArgumentException("a candidate's number is 0 to 65535, not " + me);
     }
@@ -71,7 +71,7 @@
   }
 
   /** All that the other one knows, so that a search can go on from there more than once. */
-  void become(Candidate other) {
+  void become(LeaseClient other) {
     wanted = other.wanted;
     number = other.number;
     round = other.round;
--- a/src/main/java/sprucerock/lease/Granter.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -21,7 +21,7 @@
  * a majority, as in PaxosLease (Trencseni and others, 2009), whose two rounds are one here, since a
  * candidate brings a number of its own that nobody else can bring.
  */
-class Granter {
+class LeaseGrantor {
   /** What it can do; answers may get lost. */
   interface Host {
     void granted(int candidate, String name, long number, long round);
@@ -68,12 +68,12 @@
   private long refused;
 
   /** Begins with nothing known. */
-  Granter(Terms terms, Host host, Timestamp now) {
+  LeaseGrantor(Terms terms, Host host, Timestamp now) {
     this(terms, host, now.plus(terms.longest()), Map.of());
   }
 
   /** As it stands. */
-  Granter(Terms terms, Host host, Timestamp opens, Map<String, Grant> grants) {
+  LeaseGrantor(Terms terms, Host host, Timestamp opens, Map<String, Grant> grants) {
     this.terms = terms;
     this.host = host;
     this.opens = opens;
--- a/src/main/java/sprucerock/lease/Leases.java
+++ b/src/main/java/sprucerock/lease/Leases.java
@@ -12,11 +12,11 @@
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.LeaseAsk;
@@ -29,13 +29,13 @@
 
 /**
  * All leases that one process stands for: its links to the granters, and its candidates between
- * them. On one loop's thread; only a {@link Guard} reads the clock anew.
+ * them. On one loop's thread; only a {@link LeaseCheck} reads the clock anew.
  */
 public final class Leases {
   /** A task that one process of the fleet does. Told on the loop's thread. */
   public interface Task {
     /** The lease is held from now on; what was begun under former ones may be half done. */
-    void begun(Guard guard);
+    void begun(LeaseCheck guard);
 
     /** It is held no more; nothing may be done on it. */
     void ended(String why);
@@ -66,7 +66,7 @@
   private final LongSupplier wallMs;
   private final Log log;
   private final Map<String, Standing> standings = new TreeMap<>();
-  private final List<Redial> granters = new ArrayList<>();
+  private final List<ReconnectingConnection> granters = new ArrayList<>();
   private final Map<Integer, LeaseListed> listed = new TreeMap<>();
   private Runnable whenListed;
   private boolean stopping;
@@ -88,7 +88,7 @@
     chance = new DeterministicRandom(life ^ config.me());
     mine =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
             .setNumber(config.me())
             .setName(name)
@@ -102,8 +102,8 @@
   /** Links up. On the loop's thread. */
   public void start() {
     for (int i = 0; i < config.granters().size(); i++) {
-      Redial link =
-          new Redial(net, config.granters().get(i), mine, LIMITS, tap, chance, new Granting(i));
+      ReconnectingConnection link =
+          new ReconnectingConnection(net, config.granters().get(i), mine, LIMITS, tap, chance, new Granting(i));
       granters.add(link);
       // a fleet that starts together does not come to its granters in one instant
       net.at(
@@ -122,7 +122,7 @@
    *
    * @throws IllegalStateException if it stands for too many
    */
-  public Guard stand(String name, Task task) {
+  public LeaseCheck stand(String name, Task task) {
     if (standings.size() >= MOST) {
       throw new IllegalStateException("a process stands for " + MOST + " leases at most");
     }
@@ -151,7 +151,7 @@
     for (String name : List.copyOf(standings.keySet())) {
       leave(name, -1);
     }
-    granters.forEach(Redial::stop);
+    granters.forEach(ReconnectingConnection::stop);
   }
 
   /** From any thread, as it was last. */
@@ -185,22 +185,22 @@
       whenListed.run(); // who asked before gets what is there by now
     }
     whenListed = once[0];
-    for (Redial one : granters) {
+    for (ReconnectingConnection one : granters) {
       one.send(Kind.LEASE_LIST, LeaseList.getDefaultInstance(), new byte[0]);
     }
   }
 
   /** One lease, and this process's side of it. */
-  private final class Standing implements Candidate.Host {
-    private final Candidate candidate;
-    private final Guard guard;
+  private final class Standing implements LeaseClient.Host {
+    private final LeaseClient candidate;
+    private final LeaseCheck guard;
     private final Task task;
     private Timer timer;
 
     Standing(String name, Task task) {
       this.task = task;
-      candidate = new Candidate(name, terms, this, chance::next, config.me(), life);
-      guard = new Guard(candidate, net::clock);
+      candidate = new LeaseClient(name, terms, this, chance::next, config.me(), life);
+      guard = new LeaseCheck(candidate, net::clock);
     }
 
     /** Something happens to it; then its next moment is set. */
@@ -263,7 +263,7 @@
     }
   }
 
-  private final class Granting implements FrameUser {
+  private final class Granting implements FrameListener {
     private final int granter;
     private boolean up;
 
@@ -272,7 +272,7 @@
     }
 
     @Override
-    public void greeted(FrameLink link, Hello other) {
+    public void greeted(FrameConnection link, Hello other) {
       if (other.getRole() != Role.GRANTER || other.getNumber() != granter) {
         link.cut("granter " + granter + " is not who answers there");
         return;
--- a/src/main/java/sprucerock/rehearsal/fake/ClientStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeClient.java
@@ -12,11 +12,11 @@
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Ending;
@@ -29,7 +29,7 @@
  * An app: asks at times of its own, whatever becomes of what it asked before, and tries again as
  * its method allows.
  */
-public final class ClientStandIn implements FrameUser {
+public final class FakeClient implements FrameListener {
   /** Who keeps the books of what was asked and served. */
   public interface Ear {
     void asked(Order order);
@@ -84,7 +84,7 @@
   private final Ear ear;
   private final int number;
   private final SplittableRandom chance;
-  private final Redial redial;
+  private final ReconnectingConnection redial;
   private final Map<Long, Try> open = new HashMap<>();
   private final double[] customerTimes;
   private long lastOrder;
@@ -106,7 +106,7 @@
     }
   }
 
-  public ClientStandIn(
+  public FakeClient(
       Net net,
       TraceWriter trace,
       Limits limits,
@@ -121,7 +121,7 @@
   }
 
   /** One that connects in a way of its own. */
-  public ClientStandIn(
+  public FakeClient(
       Net net,
       TraceWriter trace,
       Limits limits,
@@ -129,7 +129,7 @@
       Manners manners,
       Ear ear,
       int number,
-      Redial.Connector connector,
+      ReconnectingConnection.Connector connector,
       InetSocketAddress relay,
       double perSecond,
       long seed) {
@@ -143,12 +143,12 @@
     customerTimes = new double[Math.max(1, site.customers().size())];
     java.util.Arrays.fill(customerTimes, 1);
     redial =
-        new Redial(
+        new ReconnectingConnection(
             net,
             connector,
             relay,
             Hello.newBuilder()
-                .setVersion(FrameLink.VERSION)
+                .setVersion(FrameConnection.VERSION)
                 .setRole(Role.CLIENT)
                 .setNumber(number)
                 .setName("client-" + number)
@@ -320,7 +320,7 @@
   }
 
   @Override
-  public void greeted(FrameLink link, Hello other) {
+  public void greeted(FrameConnection link, Hello other) {
     if (other.getRole() != Role.RELAY) {
       redial.cut("no relay answers there");
     }
@@ -342,7 +342,7 @@
     Order order = one.order;
     Site.Method method = site.methods().get(order.method);
     if (answer.getEnding() == Ending.OK) {
-      boolean wrong = body.length > 0 && body[body.length - 1] == UnitStandIn.WRONG;
+      boolean wrong = body.length > 0 && body[body.length - 1] == FakeEndpoint.WRONG;
       if (wrong && chance.nextDouble() < manners.flags()) {
         flag(answer.getUnit(), one.at);
       }
