--- a/src/main/java/sprucerock/rehearsal/fake/DeskStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeController.java
@@ -15,8 +15,8 @@
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.v1.Counts;
@@ -33,7 +33,7 @@
  * The release desk: brings a build in by stages, as the relays' votes have it, and tells them news
  * and counts.
  */
-public final class DeskStandIn {
+public final class FakeController {
   /** Who starts and takes away machines. */
   public interface Places {
     void enter(int build, int stage);
@@ -74,7 +74,7 @@
   private TimeSpan countsLate = TimeSpan.ZERO;
   private boolean down;
 
-  public DeskStandIn(
+  public FakeController(
       Net net,
       TraceWriter trace,
       Limits limits,
@@ -103,10 +103,10 @@
             () -> {
               Session session = new Session();
               session.link =
-                  new FrameLink(
+                  new FrameConnection(
                       net,
                       Hello.newBuilder()
-                          .setVersion(FrameLink.VERSION)
+                          .setVersion(FrameConnection.VERSION)
                           .setRole(Role.DESK)
                           .setName("desk")
                           .build(),
@@ -332,11 +332,11 @@
     }
   }
 
-  private final class Session implements FrameUser {
-    private FrameLink link;
+  private final class Session implements FrameListener {
+    private FrameConnection link;
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       sessions.add(this);
       tell();
     }
--- a/src/main/java/sprucerock/rehearsal/fake/RosterStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeDiscovery.java
@@ -12,8 +12,8 @@
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.v1.Entry;
@@ -26,7 +26,7 @@
 /**
  * The list of units: learns of a change some time after it happened, and then tells all who watch.
  */
-public final class RosterStandIn {
+public final class FakeDiscovery {
   private static final byte[] NO_BODY = {};
 
   private final Net net;
@@ -42,7 +42,7 @@
   private Net.Listener listener;
   private boolean down;
 
-  public RosterStandIn(Net net, TraceWriter trace, Limits limits, TimeSpan notice) {
+  public FakeDiscovery(Net net, TraceWriter trace, Limits limits, TimeSpan notice) {
     this.net = net;
     this.trace = trace;
     this.limits = limits;
@@ -58,10 +58,10 @@
             () -> {
               Session session = new Session();
               session.link =
-                  new FrameLink(
+                  new FrameConnection(
                       net,
                       Hello.newBuilder()
-                          .setVersion(FrameLink.VERSION)
+                          .setVersion(FrameConnection.VERSION)
                           .setRole(Role.ROSTER)
                           .setName("roster")
                           .build(),
@@ -124,11 +124,11 @@
         .build();
   }
 
-  private final class Session implements FrameUser {
-    private FrameLink link;
+  private final class Session implements FrameListener {
+    private FrameConnection link;
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (down) {
         made.cut("the roster is down");
       }
--- a/src/main/java/sprucerock/rehearsal/fake/UnitStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
@@ -11,16 +11,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import sprucerock.lease.Fence;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.lease.FencingToken;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Credentials;
-import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.tls.TlsConnection;
 import sprucerock.rehearsal.trace.TraceWriter;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.v1.Done;
@@ -36,7 +36,7 @@
  * A unit: cores that work off a queue, cold after a start, with faults on command. Notes in the
  * trace what took effect. Pushed past what a cold one bears it falls over and stays down.
  */
-public final class UnitStandIn {
+public final class FakeEndpoint {
   /** Who wants to know how picks end, such as the release desk for its counts. */
   public interface Ear {
     void ended(int build, int method, boolean ok, TimeSpan took);
@@ -85,7 +85,7 @@
   private int mostConnections = Integer.MAX_VALUE;
   private TimeSpan linkDelay = TimeSpan.ZERO;
   private final Counts counts = new Counts();
-  private Secure secure;
+  private FakeTls secure;
   private Credentials shown;
   private boolean wronglyShown;
   private boolean askProof;
@@ -93,7 +93,7 @@
   private TimeSpan handshakeBy = TimeSpan.ZERO;
   private boolean truncates;
 
-  public UnitStandIn(
+  public FakeEndpoint(
       Net net,
       TraceWriter trace,
       Limits limits,
@@ -176,7 +176,7 @@
 
   private int generation;
   private Timestamp called;
-  private final Fence fence = new Fence();
+  private final FencingToken fence = new FencingToken();
 
   public int port() {
     return port;
@@ -260,7 +260,7 @@
   /**
    * Takes connections by TLS from now on; {@code proven}: whoever calls has to show a certificate.
    */
-  public void secure(Secure with, boolean proven) {
+  public void secure(FakeTls with, boolean proven) {
     secure = with;
     askProof = proven;
     shown = with.unit(id);
@@ -276,7 +276,7 @@
   /**
    * Shows a wrong certificate, or the right one again; whoever is connected has to connect again.
    */
-  public void certificate(Secure.Fault fault, boolean on) {
+  public void certificate(FakeTls.Fault fault, boolean on) {
     wronglyShown = on;
     shown = on ? secure.unit(id, fault) : secure.unit(id);
     reconnect("its certificate changed");
@@ -305,13 +305,13 @@
     }
   }
 
-  private LinkUser session() {
+  private ConnectionListener session() {
     Session session = new Session();
     session.link =
-        new FrameLink(
+        new FrameConnection(
             net,
             Hello.newBuilder()
-                .setVersion(FrameLink.VERSION)
+                .setVersion(FrameConnection.VERSION)
                 .setRole(Role.UNIT)
                 .setNumber(id)
                 .setName("unit-" + id)
@@ -323,7 +323,7 @@
     if (secure == null) {
       return session.link;
     }
-    TlsLink tls = secure.taken(shown, askProof, session.link);
+    TlsConnection tls = secure.taken(shown, askProof, session.link);
     return handshakes == null ? tls : new Handshaker(net, handshakes, handshakeBy, tls);
   }
 
@@ -336,13 +336,13 @@
     boolean stopped;
   }
 
-  private final class Session implements FrameUser {
-    private FrameLink link;
+  private final class Session implements FrameListener {
+    private FrameConnection link;
     private boolean proven;
     private final Map<Long, Job> jobs = new HashMap<>();
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (sessions.size() >= mostConnections) {
         made.cut("no connections left");
         return;
@@ -386,7 +386,7 @@
         job.body = body;
         job.came = net.now();
         jobs.put(job.work.getId(), job);
-        UnitStandIn.this.take(job);
+        FakeEndpoint.this.take(job);
       } else if (kind == Kind.LOOK) {
         look((Look) head);
       } else if (kind == Kind.STOP) {
--- a/src/main/java/sprucerock/rehearsal/fake/MonitorStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeMonitor.java
@@ -20,7 +20,7 @@
  * pending, latencies count as many as there were answers, and what was counted once is never taken
  * back.
  */
-public final class MonitorStandIn implements AutoCloseable {
+public final class FakeMonitor implements AutoCloseable {
   private static final Duration PATIENCE = Duration.ofSeconds(2);
   private static final String PREFIX = "sprucerock_";
   private static final String ENDED = "_ended_total";
@@ -39,7 +39,7 @@
   private long unanswered;
 
   /** Scrapes the ports in turn, with so many milliseconds between two rounds. */
-  public MonitorStandIn(List<Integer> ports, long everyMs) {
+  public FakeMonitor(List<Integer> ports, long everyMs) {
     this.ports = List.copyOf(ports);
     thread =
         new Thread(
--- a/src/main/java/sprucerock/rehearsal/fake/Secure.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeTls.java
@@ -12,7 +12,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
@@ -21,14 +21,14 @@
 import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.TestCa;
-import sprucerock.transport.tls.TlsLink;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.tls.TlsConnection;
+import sprucerock.transport.wire.ReconnectingConnection;
 
 /**
  * Certificates for a rehearsal, right and wrong ones, and TLS for its stand-ins. Made anew for each
  * day; worth nothing elsewhere.
  */
-public final class Secure {
+public final class FakeTls {
   /** How a certificate may be wrong. */
   public enum Fault {
     MISNAMED,
@@ -39,7 +39,7 @@
   private static final TimeSpan WITHIN = TimeSpan.ofMs(5000);
 
   private final Net net;
-  private final TlsLink.Place place;
+  private final TlsConnection.Place place;
   private final Path folder;
   private final int relays;
   private final List<TestCa> trusted = new ArrayList<>();
@@ -47,11 +47,11 @@
   private Credentials caller;
 
   /** Writes the relays' files into a folder. */
-  public Secure(Net net, Aside aside, Path folder, int relays) throws IOException {
+  public FakeTls(Net net, Aside aside, Path folder, int relays) throws IOException {
     this.net = net;
     this.folder = folder;
     this.relays = relays;
-    place = new TlsLink.Place(net, new Buffers(), aside, WITHIN, Counter.NONE);
+    place = new TlsConnection.Place(net, new Buffers(), aside, WITHIN, Counter.NONE);
     trusted.add(ca);
     writeTrust();
     writeKeys();
@@ -155,21 +155,21 @@
   }
 
   /** What stands before the user of a taken connection. */
-  public TlsLink taken(Credentials shown, boolean proven, LinkUser user) {
-    return TlsLink.server(place, shown, proven, user);
+  public TlsConnection taken(Credentials shown, boolean proven, ConnectionListener user) {
+    return TlsConnection.server(place, shown, proven, user);
   }
 
   /** Connects to a peer of a name. */
-  public Redial.Connector to(String name) {
+  public ReconnectingConnection.Connector to(String name) {
     return (at, within, mostUnsent, user) ->
         net.connect(
-            at, within, mostUnsent, TlsLink.client(place, caller, name, at.getPort(), user));
+            at, within, mostUnsent, TlsConnection.client(place, caller, name, at.getPort(), user));
   }
 
   /** The same, speaking for all relays. */
-  public Redial.Connector asRelays(String name) {
+  public ReconnectingConnection.Connector asRelays(String name) {
     return (at, within, mostUnsent, user) ->
         net.connect(
-            at, within, mostUnsent, TlsLink.client(place, allRelays(), name, at.getPort(), user));
+            at, within, mostUnsent, TlsConnection.client(place, allRelays(), name, at.getPort(), user));
   }
 }
--- a/src/main/java/sprucerock/rehearsal/fake/WayStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FaultProxy.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
@@ -23,7 +23,7 @@
  * then; on a real network it would not come up, which the side that dials tells apart by the
  * welcome that it misses.
  */
-public final class WayStandIn {
+public final class FaultProxy {
   private static final int MOST = 1000;
   private static final int HELD =
       4 << 20; // bytes a direction; beyond them the connection is reset, as when a system gives up
@@ -43,7 +43,7 @@
   private TimeSpan late = TimeSpan.ZERO;
   private double loses;
 
-  public WayStandIn(Net net, InetSocketAddress to, long seed) {
+  public FaultProxy(Net net, InetSocketAddress to, long seed) {
     this.net = net;
     this.to = to;
     chance = new SplittableRandom(seed);
@@ -128,11 +128,11 @@
   }
 
   /** What comes in at one end goes out at the other. */
-  private final class End implements LinkUser {
+  private final class End implements ConnectionListener {
     private final Pass pass;
     private final int side;
     private final ArrayDeque<Piece> waiting = new ArrayDeque<>();
-    private Link link;
+    private Connection link;
     private boolean up;
     private boolean closed;
     private int held;
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
       up = true;
       open.add(pass);
--- a/src/main/java/sprucerock/rehearsal/fake/Handshaker.java
+++ b/src/main/java/sprucerock/rehearsal/fake/Handshaker.java
@@ -2,13 +2,13 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers;
 import sprucerock.time.TimeSpan;
 
 /** Stands between a unit's connection and its TLS, and does to handshakes what a bad peer does. */
-final class Handshaker implements LinkUser {
+final class Handshaker implements ConnectionListener {
   enum How {
     SLOW,
     STALLS,
@@ -18,13 +18,13 @@
   private final Timers timers;
   private final How how;
   private final TimeSpan by;
-  private final LinkUser tls;
+  private final ConnectionListener tls;
   private final ByteArrayOutputStream held = new ByteArrayOutputStream();
-  private Link link;
+  private Connection link;
   private boolean passes;
   private boolean closed;
 
-  Handshaker(Timers timers, How how, TimeSpan by, LinkUser tls) {
+  Handshaker(Timers timers, How how, TimeSpan by, ConnectionListener tls) {
     this.timers = timers;
     this.how = how;
     this.by = by;
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public void up(Link made) {
+  public void up(Connection made) {
     link = made;
     if (how != How.SLOW) {
       return;
--- a/src/main/java/sprucerock/rehearsal/fake/SwitchStandIn.java
+++ b/src/main/java/sprucerock/rehearsal/fake/PeerFaultProxy.java
@@ -11,28 +11,28 @@
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 
 /** Stands between the relays: what one tells another passes here, late or never. */
-public final class SwitchStandIn {
+public final class PeerFaultProxy {
   private final Net net;
   private final TraceWriter trace;
   private final Limits limits;
   private final SplittableRandom chance;
   private final DeterministicRandom pauses;
   private final Map<Integer, InetSocketAddress> relays = new HashMap<>();
-  private final Map<Long, Redial> onward = new HashMap<>();
-  private Secure secure;
+  private final Map<Long, ReconnectingConnection> onward = new HashMap<>();
+  private FakeTls secure;
   private double lost;
   private TimeSpan delay = TimeSpan.ofMs(1);
 
-  public SwitchStandIn(Net net, TraceWriter trace, Limits limits, long seed) {
+  public PeerFaultProxy(Net net, TraceWriter trace, Limits limits, long seed) {
     this.net = net;
     this.trace = trace;
     this.limits = limits;
@@ -41,7 +41,7 @@
   }
 
   /** Speaks TLS with relays on either side, for all of them. */
-  public void secure(Secure with) {
+  public void secure(FakeTls with) {
     secure = with;
   }
 
@@ -54,7 +54,7 @@
             limits.unsent(),
             () -> {
               From from = new From(relay);
-              from.link = new FrameLink(net, hello(relay), limits, trace, from);
+              from.link = new FrameConnection(net, hello(relay), limits, trace, from);
               return secure == null ? from.link : secure.taken(secure.allRelays(), true, from.link);
             })
         .address()
@@ -63,7 +63,7 @@
 
   private static Hello hello(int relay) {
     return Hello.newBuilder()
-        .setVersion(FrameLink.VERSION)
+        .setVersion(FrameConnection.VERSION)
         .setRole(Role.RELAY)
         .setNumber(relay)
         .setName("switch")
@@ -79,16 +79,16 @@
     delay = each;
   }
 
-  private final class From implements FrameUser {
+  private final class From implements FrameListener {
     private final int to;
-    private FrameLink link;
+    private FrameConnection link;
 
     From(int to) {
       this.to = to;
     }
 
     @Override
-    public void greeted(FrameLink made, Hello other) {}
+    public void greeted(FrameConnection made, Hello other) {}
 
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
@@ -96,14 +96,14 @@
         return;
       }
       int sender = link.other().getNumber();
-      Redial onwards =
+      ReconnectingConnection onwards =
           onward.computeIfAbsent(
               (long) sender << 32 | to,
               key -> {
-                Redial.Connector way =
-                    secure == null ? net::connect : secure.asRelays(Secure.relayName(to));
-                Redial made =
-                    new Redial(
+                ReconnectingConnection.Connector way =
+                    secure == null ? net::connect : secure.asRelays(FakeTls.relayName(to));
+                ReconnectingConnection made =
+                    new ReconnectingConnection(
                         net, way, relays.get(to), hello(sender), limits, trace, pauses, new Deaf());
                 made.dial();
                 return made;
@@ -115,9 +115,9 @@
     public void closed(String why) {}
   }
 
-  private static final class Deaf implements FrameUser {
+  private static final class Deaf implements FrameListener {
     @Override
-    public void greeted(FrameLink made, Hello other) {}
+    public void greeted(FrameConnection made, Hello other) {}
 
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {}
--- a/src/main/java/sprucerock/rehearsal/invariant/Judge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/InvariantChecker.java
@@ -17,7 +17,7 @@
  * Rules on all five from traces and the deployment's figures alone. It knows nothing of the module
  * or the ledger.
  */
-public final class Judge {
+public final class InvariantChecker {
   /** What it found, and how much it looked at: a judge that saw nothing has proved nothing. */
   public record Verdict(
       List<Finding> findings,
@@ -32,7 +32,7 @@
     }
   }
 
-  private Judge() {}
+  private InvariantChecker() {}
 
   /**
    * A folder as a rehearsal leaves it: relay-N.M.trace for the M-th run of relay N, others from
--- a/src/main/java/sprucerock/rehearsal/recovery/Meter.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/RecoveryMeter.java
@@ -18,7 +18,7 @@
  * again, what was lost, what came to whom at once. It asks no process how it fared, and knows
  * neither relays' insides nor the rules of the judge.
  */
-public final class Meter {
+public final class RecoveryMeter {
   /** A method's soft deadline and utility, in the order of the relays' list. */
   public record Method(double softMs, double utility) {}
 
@@ -80,7 +80,7 @@
   private final List<Called> calls = new ArrayList<>();
   private final TreeMap<Long, String> events = new TreeMap<>();
 
-  public Meter(List<Method> methods) {
+  public RecoveryMeter(List<Method> methods) {
     this.methods = List.copyOf(methods);
   }
 
--- a/src/main/java/sprucerock/rehearsal/scenario/Agents.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Agents.java
@@ -39,7 +39,7 @@
   }
 
   /** The part of the controller's configuration that is about agents. */
-  String controllerXml(int port, Script day) {
+  String controllerXml(int port, ScenarioParser day) {
     return String.format(
         Locale.ROOT,
         """
--- a/src/main/java/sprucerock/rehearsal/scenario/FleetBook.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/FleetMetricsAudit.java
@@ -29,7 +29,7 @@
  * themselves. Where the two differ, each class that explains it is counted by itself, from traces
  * or by whoever caused it, and all of them together have to be the difference: there is no rest.
  */
-public final class FleetBook {
+public final class FleetMetricsAudit {
   /** Where a rehearsal leaves its stand-ins' own counts. */
   static final String COUNTS = "standins.counts";
 
@@ -64,7 +64,7 @@
     boolean came;
   }
 
-  private FleetBook(Path folder) throws IOException {
+  private FleetMetricsAudit(Path folder) throws IOException {
     places = Counts.read(folder.resolve(COUNTS));
     places.forEach((place, counts) -> (place.startsWith("client-") ? clients : units).plus(counts));
   }
@@ -75,7 +75,7 @@
    * @throws IOException if something in it is missing or can't be read; the message says what
    */
   public static List<Entry> hold(Path folder) throws IOException {
-    FleetBook book = new FleetBook(folder);
+    FleetMetricsAudit book = new FleetMetricsAudit(folder);
     for (int i = 0; Files.exists(folder.resolve("relay-" + i + ".xml")); i++) {
       book.relay(folder, i);
     }
@@ -106,7 +106,7 @@
     }
     // frames of turns that a kill cut off before their postings counted, within bounds that the
     // second book checks
-    for (SecondBook.Entry entry : SecondBook.hold(folder, number)) {
+    for (TraceMetricsAudit.Entry entry : TraceMetricsAudit.hold(folder, number)) {
       if (entry.holds()) {
         cutOff.merge(entry.what(), entry.cutOff(), Long::sum);
       }
@@ -198,7 +198,7 @@
   private long figures(Function<MethodAccounts, MethodMetrics> sheet, int column) {
     long sum = 0;
     for (int i = 0; i < relays.size(); i++) {
-      sum += SecondBook.sum(sheet.apply(accounts.get(i)), relays.get(i).values, column);
+      sum += TraceMetricsAudit.sum(sheet.apply(accounts.get(i)), relays.get(i).values, column);
     }
     return sum;
   }
@@ -229,7 +229,7 @@
         "cut off on the way: the connection ended before the relay read them",
         fates(fate -> !fate.received),
         "read in a turn that a kill cut off",
-        cutOff(SecondBook.CALLS));
+        cutOff(TraceMetricsAudit.CALLS));
     entry(
         "clients: RPCs sent",
         clients.of("sent"),
@@ -246,15 +246,15 @@
   }
 
   private void answers() {
-    answers(Ending.OK, figures(one -> one.rpcs, 1), SecondBook.OK);
+    answers(Ending.OK, figures(one -> one.rpcs, 1), TraceMetricsAudit.OK);
     answers(
         Ending.PUSHED_BACK,
         figures(one -> one.rpcs, 2) + figures(one -> one.calls, 2),
-        SecondBook.BACK);
+        TraceMetricsAudit.BACK);
     answers(
         Ending.ABORTED,
         figures(one -> one.rpcs, 3) + figures(one -> one.calls, 3),
-        SecondBook.ABORTED);
+        TraceMetricsAudit.ABORTED);
   }
 
   private void answers(Ending ending, long given, String cut) {
@@ -293,11 +293,11 @@
         figures(one -> one.rpcs, accounts.get(0).rpcs.lost())
             + figures(one -> one.rpcs, accounts.get(0).rpcs.pending()),
         "whose last turn a kill cut off",
-        cutOff(SecondBook.CALLS)
-            - cutOff(SecondBook.OK)
-            - cutOff(SecondBook.BACK)
-            - cutOff(SecondBook.ABORTED)
-            - cutOff(SecondBook.LEFT));
+        cutOff(TraceMetricsAudit.CALLS)
+            - cutOff(TraceMetricsAudit.OK)
+            - cutOff(TraceMetricsAudit.BACK)
+            - cutOff(TraceMetricsAudit.ABORTED)
+            - cutOff(TraceMetricsAudit.LEFT));
   }
 
   private void picks() {
@@ -320,7 +320,7 @@
         "cut off on the way: the connection ended before the unit read them",
         worksOut.values().stream().mapToLong(Long::longValue).sum(),
         "written in a turn that a kill cut off (less)",
-        -cutOff(SecondBook.WORKS));
+        -cutOff(TraceMetricsAudit.WORKS));
     entry(
         "units: picks that came",
         units.of("came"),
@@ -339,9 +339,9 @@
   }
 
   private void results() {
-    result(Result.DONE, 1, SecondBook.DONE);
-    result(Result.ERROR, 2, SecondBook.ERROR);
-    result(Result.FULL, 3, SecondBook.FULL);
+    result(Result.DONE, 1, TraceMetricsAudit.DONE);
+    result(Result.ERROR, 2, TraceMetricsAudit.ERROR);
+    result(Result.FULL, 3, TraceMetricsAudit.FULL);
   }
 
   private void result(Result result, int column, String cut) {
--- a/src/main/java/sprucerock/rehearsal/scenario/LeasesOfDay.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/LeasesOfDay.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import sprucerock.transport.net.Net;
-import sprucerock.rehearsal.fake.WayStandIn;
+import sprucerock.rehearsal.fake.FaultProxy;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -25,7 +25,7 @@
   private final Plan plan;
   private final Net net;
   private final List<Integer> ports = new ArrayList<>();
-  private final Map<Integer, List<WayStandIn>> ways = new TreeMap<>();
+  private final Map<Integer, List<FaultProxy>> ways = new TreeMap<>();
 
   /** {@code ports}: where the granters listen. */
   LeasesOfDay(Plan plan, Net net, List<Integer> ports) {
@@ -45,10 +45,10 @@
       xml.append(" grants=\"" + who + "\" listen-port=\"" + ports.get(who) + "\"");
     }
     xml.append(">\n");
-    List<WayStandIn> own = new ArrayList<>();
+    List<FaultProxy> own = new ArrayList<>();
     for (int port : ports) {
-      WayStandIn way =
-          new WayStandIn(
+      FaultProxy way =
+          new FaultProxy(
               net,
               new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
               chance.nextLong());
@@ -66,7 +66,7 @@
   }
 
   /** All ways of some processes to the granters. */
-  void ways(int first, int last, Consumer<WayStandIn> what) {
+  void ways(int first, int last, Consumer<FaultProxy> what) {
     for (int who = first; who <= last; who++) {
       ways.get(who).forEach(what);
     }
--- a/src/main/java/sprucerock/rehearsal/scenario/Follow.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/LogTailer.java
@@ -16,10 +16,10 @@
  * Follows announcements from the webhook to the first answers by the build that they announced, all
  * on the machine's one clock.
  */
-final class Follow {
-  private Follow() {}
+final class LogTailer {
+  private LogTailer() {}
 
-  static List<String> deliveries(Play play, Path folder) throws IOException {
+  static List<String> deliveries(ScenarioRunner play, Path folder) throws IOException {
     Map<Integer, Long> firstPick = new TreeMap<>();
     Map<Integer, Long> firstAnswer = new TreeMap<>();
     for (Line line : Line.read(folder.resolve("standins.trace"))) {
--- a/src/main/java/sprucerock/rehearsal/scenario/Books.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/MetricsAudit.java
@@ -3,15 +3,15 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.rehearsal.fake.ClientStandIn;
-import sprucerock.rehearsal.fake.ClientStandIn.End;
-import sprucerock.rehearsal.fake.ClientStandIn.Order;
+import sprucerock.rehearsal.fake.FakeClient;
+import sprucerock.rehearsal.fake.FakeClient.End;
+import sprucerock.rehearsal.fake.FakeClient.Order;
 import sprucerock.rehearsal.fake.Site;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
 /** What clients asked and what became of it: by method, and by the second in which it was asked. */
-final class Books implements ClientStandIn.Ear {
+final class MetricsAudit implements FakeClient.Ear {
   /** One method's orders. */
   static final class Column {
     long asked;
@@ -32,7 +32,7 @@
   private final TreeMap<Integer, double[]> seconds = new TreeMap<>();
   private Timestamp from;
 
-  Books(Site site) {
+  MetricsAudit(Site site) {
     this.site = site;
     columns = new Column[site.methods().size()];
     java.util.Arrays.setAll(columns, i -> new Column());
--- a/src/main/java/sprucerock/rehearsal/scenario/RacksOfDay.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/RacksOfDay.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.rehearsal.fake.UnitStandIn;
+import sprucerock.rehearsal.fake.FakeEndpoint;
 import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
 
@@ -38,15 +38,15 @@
     return 1 + unit % plan.each();
   }
 
-  private String rack(UnitStandIn unit) {
+  private String rack(FakeEndpoint unit) {
     return "z" + unit.zone + "r" + cell(unit.id);
   }
 
   /** For the controller's configuration, and for each relay's. */
-  String controllerXml(Collection<UnitStandIn> first) {
+  String controllerXml(Collection<FakeEndpoint> first) {
     Map<String, Integer> counts = new TreeMap<>();
-    Map<String, UnitStandIn> like = new TreeMap<>();
-    for (UnitStandIn unit : first) {
+    Map<String, FakeEndpoint> like = new TreeMap<>();
+    for (FakeEndpoint unit : first) {
       counts.merge(rack(unit), 1, Integer::sum);
       like.put(rack(unit), unit);
     }
@@ -75,7 +75,7 @@
   }
 
   /** The controller's word about all freezes, on the loop. */
-  void told(List<RealController.Frozen> freezes, Collection<UnitStandIn> units, TimeSpan at) {
+  void told(List<RealController.Frozen> freezes, Collection<FakeEndpoint> units, TimeSpan at) {
     for (RealController.Frozen one : freezes) {
       racks.put(one.number(), one.racks());
       if (!one.state().equals(states.put(one.number(), one.state()))) {
@@ -93,7 +93,7 @@
         continue;
       }
       long left = one.toMs() - System.currentTimeMillis();
-      for (UnitStandIn unit : units) {
+      for (FakeEndpoint unit : units) {
         if (one.racks().contains(rack(unit))) {
           trace.note(
               "FROZEN",
@@ -109,9 +109,9 @@
   }
 
   /** Before it is called off. */
-  void thaw(long freeze, Collection<UnitStandIn> units) {
+  void thaw(long freeze, Collection<FakeEndpoint> units) {
     List<String> named = racks.getOrDefault(freeze, List.of());
-    for (UnitStandIn unit : units) {
+    for (FakeEndpoint unit : units) {
       if (named.contains(rack(unit))) {
         trace.note("THAWED", "unit=" + unit.id + " freeze=" + freeze);
       }
--- a/src/main/java/sprucerock/rehearsal/scenario/Rehearsal.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Rehearsal.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import sprucerock.rehearsal.invariant.Judge;
-import sprucerock.rehearsal.recovery.Meter;
+import sprucerock.rehearsal.invariant.InvariantChecker;
+import sprucerock.rehearsal.recovery.RecoveryMeter;
 import sprucerock.rehearsal.trace.Line;
 
 /** A day from its script to its report. */
@@ -16,8 +16,8 @@
   private Rehearsal() {}
 
   /** One line about a script that can be played. */
-  public static String check(Path script) throws IOException, Script.ScriptException {
-    Script day = Script.read(script);
+  public static String check(Path script) throws IOException, ScenarioParser.ScriptException {
+    ScenarioParser day = ScenarioParser.read(script);
     return script
         + ": \""
         + day.name
@@ -35,18 +35,18 @@
    * figures add up, relays ended well.
    */
   public static boolean play(Path script, Path folder, PrintStream out)
-      throws IOException, InterruptedException, Script.ScriptException {
-    Play play = new Play(Script.read(script), folder, out);
+      throws IOException, InterruptedException, ScenarioParser.ScriptException {
+    ScenarioRunner play = new ScenarioRunner(ScenarioParser.read(script), folder, out);
     play.run();
     play.count();
-    Judge.Verdict verdict = Judge.judge(folder);
-    List<List<SecondBook.Entry>> books = new ArrayList<>();
+    InvariantChecker.Verdict verdict = InvariantChecker.judge(folder);
+    List<List<TraceMetricsAudit.Entry>> books = new ArrayList<>();
     for (int i = 0; i < play.relays().size(); i++) {
-      books.add(SecondBook.hold(folder, i));
+      books.add(TraceMetricsAudit.hold(folder, i));
     }
     boolean balanced =
-        books.stream().allMatch(book -> book.stream().allMatch(SecondBook.Entry::holds));
-    List<FleetBook.Entry> fleet = FleetBook.hold(folder);
+        books.stream().allMatch(book -> book.stream().allMatch(TraceMetricsAudit.Entry::holds));
+    List<FleetMetricsAudit.Entry> fleet = FleetMetricsAudit.hold(folder);
     balanced &= fleet.stream().allMatch(entry -> entry.unexplained() == 0);
     balanced &= play.monitor().scrapes() > 0 && play.monitor().wrong().isEmpty();
     String report =
@@ -56,7 +56,7 @@
             books,
             fleet,
             returns(play, folder),
-            play.controller() == null ? List.of() : Follow.deliveries(play, folder));
+            play.controller() == null ? List.of() : LogTailer.deliveries(play, folder));
     Files.writeString(folder.resolve("report.txt"), report);
     out.print(report);
     out.println();
@@ -71,11 +71,11 @@
   /**
    * How the day came back from what befell its processes, from the traces of stand-ins and relays.
    */
-  private static List<Meter.Return> returns(Play play, Path folder) throws IOException {
-    Meter meter =
-        new Meter(
+  private static List<RecoveryMeter.Return> returns(ScenarioRunner play, Path folder) throws IOException {
+    RecoveryMeter meter =
+        new RecoveryMeter(
             play.day().site().methods().stream()
-                .map(method -> new Meter.Method(method.soft().ms(), method.utility()))
+                .map(method -> new RecoveryMeter.Method(method.soft().ms(), method.utility()))
                 .toList());
     try (Stream<Path> files = Files.list(folder)) {
       for (Path file : files.filter(one -> one.toString().endsWith(".trace")).sorted().toList()) {
--- a/src/main/java/sprucerock/rehearsal/scenario/RelayXml.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/RelayXml.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.Map;
-import sprucerock.rehearsal.fake.Secure;
+import sprucerock.rehearsal.fake.FakeTls;
 import sprucerock.rehearsal.fake.Site;
 import sprucerock.time.TimeSpan;
 
@@ -15,7 +15,7 @@
 
   static void write(
       Path file,
-      Script day,
+      ScenarioParser day,
       int number,
       int port,
       int figures,
@@ -45,7 +45,7 @@
    * The same for all relays, with places for what is each one's own; each has itself among the
    * peers.
    */
-  static String template(Script day, int roster, Map<Integer, Integer> peers) {
+  static String template(ScenarioParser day, int roster, Map<Integer, Integer> peers) {
     return text(
         day,
         "${number}",
@@ -61,7 +61,7 @@
   }
 
   private static String text(
-      Script day,
+      ScenarioParser day,
       String number,
       String seed,
       String port,
@@ -89,7 +89,7 @@
                 address(
                     "peer",
                     "" + at,
-                    " number=\"" + other + "\" name=\"" + Secure.relayName(other) + "\"")));
+                    " number=\"" + other + "\" name=\"" + FakeTls.relayName(other) + "\"")));
     xml.append(
         "  <limits/>\n  <connections/>\n  <figures file=\""
             + kept
--- a/src/main/java/sprucerock/rehearsal/scenario/Report.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Report.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.rehearsal.invariant.Finding;
-import sprucerock.rehearsal.invariant.Judge;
-import sprucerock.rehearsal.recovery.Meter;
-import sprucerock.rehearsal.fake.ClientStandIn.End;
-import sprucerock.rehearsal.fake.DeskStandIn;
+import sprucerock.rehearsal.invariant.InvariantChecker;
+import sprucerock.rehearsal.recovery.RecoveryMeter;
+import sprucerock.rehearsal.fake.FakeClient.End;
+import sprucerock.rehearsal.fake.FakeController;
 import sprucerock.rehearsal.fake.Site;
 import sprucerock.time.TimeSpan;
 
@@ -21,14 +21,14 @@
   private Report() {}
 
   static String of(
-      Play play,
-      Judge.Verdict verdict,
-      List<List<SecondBook.Entry>> books,
-      List<FleetBook.Entry> fleet,
-      List<Meter.Return> returns,
+      ScenarioRunner play,
+      InvariantChecker.Verdict verdict,
+      List<List<TraceMetricsAudit.Entry>> books,
+      List<FleetMetricsAudit.Entry> fleet,
+      List<RecoveryMeter.Return> returns,
       List<String> followed) {
     StringBuilder text = new StringBuilder();
-    Script day = play.day();
+    ScenarioParser day = play.day();
     line(text, "");
     line(
         text,
@@ -76,7 +76,7 @@
       line(
           text,
           "coming back: seconds until 95%% of the worth a second before is served in time again for 2 s; 10 s of each looked at");
-      for (Meter.Return one : returns) {
+      for (RecoveryMeter.Return one : returns) {
         line(text, "  %s", one);
       }
     }
@@ -111,24 +111,24 @@
     }
     line(text, "");
     line(text, "figures of all relays against what clients and units counted for themselves");
-    text.append(FleetBook.table(fleet));
+    text.append(FleetMetricsAudit.table(fleet));
     return text.toString();
   }
 
   /** What differs in full; of what holds only a line. */
-  private static void figures(StringBuilder text, List<List<SecondBook.Entry>> books) {
+  private static void figures(StringBuilder text, List<List<TraceMetricsAudit.Entry>> books) {
     line(text, "");
     line(text, "figures against the frames that crossed, through all lives of each relay");
     for (int i = 0; i < books.size(); i++) {
-      boolean holds = books.get(i).stream().allMatch(SecondBook.Entry::holds);
-      SecondBook.Entry calls = books.get(i).get(0);
+      boolean holds = books.get(i).stream().allMatch(TraceMetricsAudit.Entry::holds);
+      TraceMetricsAudit.Entry calls = books.get(i).get(0);
       line(
           text,
           "  relay %d: %s; %s",
           i,
           holds ? "every one accounted for" : "NOT ACCOUNTED FOR",
           calls);
-      for (SecondBook.Entry entry : books.get(i)) {
+      for (TraceMetricsAudit.Entry entry : books.get(i)) {
         if (!entry.holds() && entry != calls) {
           line(text, "    %s", entry);
         }
@@ -140,7 +140,7 @@
     text.append(String.format(Locale.ROOT, format, values)).append('\n');
   }
 
-  private static void rules(StringBuilder text, Judge.Verdict verdict, int fallen) {
+  private static void rules(StringBuilder text, InvariantChecker.Verdict verdict, int fallen) {
     line(text, "");
     line(
         text,
@@ -163,21 +163,21 @@
     }
   }
 
-  private static void builds(StringBuilder text, Play play) {
+  private static void builds(StringBuilder text, ScenarioRunner play) {
     line(text, "");
     line(text, "builds");
-    for (Play.Offered one : play.offered) {
+    for (ScenarioRunner.Offered one : play.offered) {
       line(text, "  %5.1f s  build %d: %s", one.at().ms() / 1000, one.build(), one.words());
     }
-    for (Play.Step one : play.steps) {
+    for (ScenarioRunner.Step one : play.steps) {
       line(text, "  %5.1f s  %s", one.at().ms() / 1000, one.what());
     }
   }
 
-  private static void votes(StringBuilder text, Play play) {
+  private static void votes(StringBuilder text, ScenarioRunner play) {
     line(text, "");
     Map<String, Integer> sums = new TreeMap<>();
-    for (DeskStandIn.Ballot one : play.desk().ballots()) {
+    for (FakeController.Ballot one : play.desk().ballots()) {
       String what =
           "build "
               + one.build()
@@ -196,7 +196,7 @@
         (what, times) -> line(text, "  %s%s", what, times == 1 ? "" : " (" + times + " times)"));
   }
 
-  private static void controller(StringBuilder text, Play play, List<String> followed) {
+  private static void controller(StringBuilder text, ScenarioRunner play, List<String> followed) {
     line(text, "");
     line(
         text,
@@ -212,14 +212,14 @@
     }
   }
 
-  private static void service(StringBuilder text, Play play) {
+  private static void service(StringBuilder text, ScenarioRunner play) {
     Site site = play.day().site();
     double[] all = play.books.between(TimeSpan.ZERO, play.day().lasts.plus(TimeSpan.ofMs(1000)));
     line(text, "");
     line(
         text,
         "service ratio %.3f (utility answered within the soft deadline over utility asked for)",
-        Books.ratio(all));
+        MetricsAudit.ratio(all));
     line(
         text,
         "  %-16s %7s %7s %7s %7s %7s %7s %7s %7s %7s %7s",
@@ -235,7 +235,7 @@
         "left",
         "tries");
     for (int i = 0; i < site.methods().size(); i++) {
-      Books.Column column = play.books.column(i);
+      MetricsAudit.Column column = play.books.column(i);
       line(
           text,
           "  %-16s %7d %7d %7d %7d %7d %7d %7d %7d %7d %7d",
@@ -257,10 +257,10 @@
    * Each trouble's time against the time without any; times that overlap are told with all that
    * went on in them.
    */
-  private static void troubles(StringBuilder text, Play play) {
-    Script day = play.day();
+  private static void troubles(StringBuilder text, ScenarioRunner play) {
+    ScenarioParser day = play.day();
     List<TimeSpan[]> windows = new ArrayList<>();
-    for (Script.Trouble one : day.troubles) {
+    for (ScenarioParser.Trouble one : day.troubles) {
       windows.add(window(one, day));
     }
     double[] clear = new double[2];
@@ -280,21 +280,21 @@
     line(
         text,
         "what the troubles cost: service in their time and two seconds after, beside %.3f in clear time",
-        Books.ratio(clear));
+        MetricsAudit.ratio(clear));
     for (int i = 0; i < windows.size(); i++) {
       double[] in = play.books.between(windows.get(i)[0], windows.get(i)[1]);
-      double points = 100 * (Books.ratio(clear) * in[0] - in[1]) / Math.max(all[0], 1e-9);
+      double points = 100 * (MetricsAudit.ratio(clear) * in[0] - in[1]) / Math.max(all[0], 1e-9);
       line(
           text,
           "  %5.1f s  %.3f, %+5.2f points of the day  %s",
           day.troubles.get(i).at().ms() / 1000,
-          Books.ratio(in),
+          MetricsAudit.ratio(in),
           -points,
           day.troubles.get(i).words());
     }
   }
 
-  private static TimeSpan[] window(Script.Trouble one, Script day) {
+  private static TimeSpan[] window(ScenarioParser.Trouble one, ScenarioParser day) {
     TimeSpan end = one.at().plus(one.lasts()).plus(AFTERMATH);
     return new TimeSpan[] {one.at(), end.atMost(day.lasts)};
   }
--- a/src/main/java/sprucerock/rehearsal/scenario/Script.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/ScenarioParser.java
@@ -13,14 +13,14 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 import sprucerock.rehearsal.fake.BuildFault;
-import sprucerock.rehearsal.fake.ClientStandIn.Manners;
-import sprucerock.rehearsal.fake.Secure;
+import sprucerock.rehearsal.fake.FakeClient.Manners;
+import sprucerock.rehearsal.fake.FakeTls;
 import sprucerock.rehearsal.fake.Site;
-import sprucerock.rehearsal.fake.WayStandIn;
+import sprucerock.rehearsal.fake.FaultProxy;
 import sprucerock.time.TimeSpan;
 
 /** A day as its script has it, checked; what it leaves out has the values below. */
-public final class Script {
+public final class ScenarioParser {
   /** A script that can't be played; the message has file, line and column, and what is wrong. */
   public static final class ScriptException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -35,9 +35,9 @@
 
   /** What can befall a day; each happening begins and, where it lasts, ends. */
   public interface Happening {
-    void begin(Play play);
+    void begin(ScenarioRunner play);
 
-    default void end(Play play) {}
+    default void end(ScenarioRunner play) {}
   }
 
   /**
@@ -111,7 +111,7 @@
 
   private final String file;
 
-  private Script(String file) {
+  private ScenarioParser(String file) {
     this.file = file;
   }
 
@@ -124,12 +124,12 @@
         cold);
   }
 
-  public static Script read(Path path) throws IOException, ScriptException {
+  public static ScenarioParser read(Path path) throws IOException, ScriptException {
     return parse(path.toString(), Files.readString(path));
   }
 
   /** The first thing that is wrong ends it. */
-  public static Script parse(String file, String text) throws ScriptException {
+  public static ScenarioParser parse(String file, String text) throws ScriptException {
     List<String> wrong = new ArrayList<>();
     BaseErrorListener listener =
         new BaseErrorListener() {
@@ -155,7 +155,7 @@
     if (!wrong.isEmpty()) {
       throw new ScriptException(wrong.get(0));
     }
-    Script script = new Script(file);
+    ScenarioParser script = new ScenarioParser(file);
     String quoted = day.STRING().getText();
     script.name = quoted.substring(1, quoted.length() - 1);
     try {
@@ -535,18 +535,18 @@
 
     private Void lasting(
         Token length,
-        java.util.function.Consumer<Play> begin,
-        java.util.function.Consumer<Play> end) {
+        java.util.function.Consumer<ScenarioRunner> begin,
+        java.util.function.Consumer<ScenarioRunner> end) {
       return add(
           length,
           new Happening() {
             @Override
-            public void begin(Play play) {
+            public void begin(ScenarioRunner play) {
               begin.accept(play);
             }
 
             @Override
-            public void end(Play play) {
+            public void end(ScenarioRunner play) {
               end.accept(play);
             }
           });
@@ -588,7 +588,7 @@
     public Void visitUnit(DayParser.UnitContext c) {
       int unit = unit(c.INT().getSymbol());
       if (c.ill() != null) {
-        Play.Ill ill = ill(c.ill());
+        ScenarioRunner.Ill ill = ill(c.ill());
         return lasting(
             c.SPAN().getSymbol(),
             play -> play.ill(unit, ill, true),
@@ -606,7 +606,7 @@
     @Override
     public Void visitUnitsIll(DayParser.UnitsIllContext c) {
       double share = share(c.PERCENT().getSymbol());
-      Play.Ill ill = ill(c.ill());
+      ScenarioRunner.Ill ill = ill(c.ill());
       return lasting(
           c.SPAN().getSymbol(),
           play -> play.ill(share, ill, true),
@@ -716,7 +716,7 @@
     }
 
     private interface WayIll {
-      void set(WayStandIn way, boolean on);
+      void set(FaultProxy way, boolean on);
     }
 
     private WayIll wayIll(DayParser.WayIllContext c) {
@@ -732,14 +732,14 @@
           double share = share(c.PERCENT().getSymbol());
           yield (way, on) -> way.lose(on ? share : 0);
         }
-        default -> WayStandIn::reset;
+        default -> FaultProxy::reset;
       };
     }
 
     @Override
     public Void visitRotate(DayParser.RotateContext c) {
       needsTls(c);
-      return add(null, Play::rotateCertificates);
+      return add(null, ScenarioRunner::rotateCertificates);
     }
 
     @Override
@@ -749,7 +749,7 @@
       return add(null, play -> play.rotateTrust(within));
     }
 
-    private Play.Ill ill(DayParser.IllContext c) {
+    private ScenarioRunner.Ill ill(DayParser.IllContext c) {
       return switch (c.getStart().getText()) {
         case "hangs" -> (unit, on, play) -> unit.hang(on);
         case "fails" -> {
@@ -779,8 +779,8 @@
         }
         case "certificate" -> {
           needsTls(c);
-          Secure.Fault fault =
-              Secure.Fault.valueOf(c.how.getText().toUpperCase(java.util.Locale.ROOT));
+          FakeTls.Fault fault =
+              FakeTls.Fault.valueOf(c.how.getText().toUpperCase(java.util.Locale.ROOT));
           yield (unit, on, play) -> unit.certificate(fault, on);
         }
         case "handshake" -> {
--- a/src/main/java/sprucerock/rehearsal/scenario/Play.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/ScenarioRunner.java
@@ -22,17 +22,17 @@
 import java.util.concurrent.TimeUnit;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.rehearsal.fake.BuildFault;
-import sprucerock.rehearsal.fake.ClientStandIn;
+import sprucerock.rehearsal.fake.FakeClient;
 import sprucerock.rehearsal.fake.Counts;
-import sprucerock.rehearsal.fake.DeskStandIn;
-import sprucerock.rehearsal.fake.MonitorStandIn;
-import sprucerock.rehearsal.fake.RosterStandIn;
-import sprucerock.rehearsal.fake.Secure;
+import sprucerock.rehearsal.fake.FakeController;
+import sprucerock.rehearsal.fake.FakeMonitor;
+import sprucerock.rehearsal.fake.FakeDiscovery;
+import sprucerock.rehearsal.fake.FakeTls;
 import sprucerock.rehearsal.fake.Shared;
 import sprucerock.rehearsal.fake.Site;
-import sprucerock.rehearsal.fake.SwitchStandIn;
-import sprucerock.rehearsal.fake.UnitStandIn;
-import sprucerock.rehearsal.fake.WayStandIn;
+import sprucerock.rehearsal.fake.PeerFaultProxy;
+import sprucerock.rehearsal.fake.FakeEndpoint;
+import sprucerock.rehearsal.fake.FaultProxy;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Workers;
@@ -45,10 +45,10 @@
  * Plays a day: relays as processes of their own, everything else as stand-ins on one loop in this
  * process, over loopback sockets. All methods but {@link #run} are called on that loop.
  */
-public final class Play implements DeskStandIn.Places {
+public final class ScenarioRunner implements FakeController.Places {
   /** Something that ails a unit, put on and taken off. */
   interface Ill {
-    void set(UnitStandIn unit, boolean on, Play play);
+    void set(FakeEndpoint unit, boolean on, ScenarioRunner play);
   }
 
   /** What a build was, for the report. */
@@ -75,7 +75,7 @@
       new java.util.concurrent.atomic.AtomicInteger(
           (int) (ProcessHandle.current().pid() * 97 % PORTS));
 
-  private final Script day;
+  private final ScenarioParser day;
   private final Site site;
   private final Path folder;
   private final PrintStream out;
@@ -83,67 +83,67 @@
   private final Limits limits = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(2000));
   private final SplittableRandom chance;
   private final Shared shared = new Shared();
-  private final Map<Integer, UnitStandIn> units = new TreeMap<>();
+  private final Map<Integer, FakeEndpoint> units = new TreeMap<>();
   private final List<Integer> firstUnits = new ArrayList<>();
-  private final Map<UnitStandIn, Integer> spells = new HashMap<>();
+  private final Map<FakeEndpoint, Integer> spells = new HashMap<>();
   private final List<RelayProcess> relays = new ArrayList<>();
-  private final List<List<ClientStandIn>> clients = new ArrayList<>();
+  private final List<List<FakeClient>> clients = new ArrayList<>();
   private final Map<Integer, BuildFault> faults = new HashMap<>();
-  private final Map<Ill, List<UnitStandIn>> illOnes = new HashMap<>();
+  private final Map<Ill, List<FakeEndpoint>> illOnes = new HashMap<>();
   private final Set<Integer> leaving = new HashSet<>();
   private final Set<Integer> wanted = new HashSet<>();
   final List<Offered> offered = new ArrayList<>();
   final List<Step> steps = new ArrayList<>();
-  final Books books;
+  final MetricsAudit books;
   private final List<Integer> scraped = new ArrayList<>();
   private TraceWriter trace;
-  private MonitorStandIn monitor;
+  private FakeMonitor monitor;
   private RealController controller;
   private Agents agents;
   private RacksOfDay racks; // null: the day has none
   private LeasesOfDay leases; // null: the day has none
-  private Secure secure;
+  private FakeTls secure;
   private Workers workers;
-  private RosterStandIn roster;
-  private DeskStandIn desk;
-  private SwitchStandIn between;
+  private FakeDiscovery roster;
+  private FakeController desk;
+  private PeerFaultProxy between;
 
   /** From each relay and each agent to the real controller. */
-  private final List<WayStandIn> relaysWays = new ArrayList<>();
+  private final List<FaultProxy> relaysWays = new ArrayList<>();
 
-  private final List<WayStandIn> agentsWays = new ArrayList<>();
+  private final List<FaultProxy> agentsWays = new ArrayList<>();
   private int lastBuild = FIRST_BUILD;
   private int lastUnit;
   private Timestamp begun;
   private int fallen;
 
-  public Play(Script day, Path folder, PrintStream out) throws IOException {
+  public ScenarioRunner(ScenarioParser day, Path folder, PrintStream out) throws IOException {
     this.day = day;
     this.folder = folder;
     this.out = out;
     site = day.site();
-    books = new Books(site);
+    books = new MetricsAudit(site);
     chance = new SplittableRandom(day.seed);
     loop = new NioLoop("stand-ins", e -> e.printStackTrace(System.err));
   }
 
-  Script day() {
+  ScenarioParser day() {
     return day;
   }
 
-  MonitorStandIn monitor() {
+  FakeMonitor monitor() {
     return monitor;
   }
 
-  DeskStandIn desk() {
+  FakeController desk() {
     return desk;
   }
 
-  RosterStandIn roster() {
+  FakeDiscovery roster() {
     return roster;
   }
 
-  SwitchStandIn between() {
+  PeerFaultProxy between() {
     return between;
   }
 
@@ -182,7 +182,7 @@
         }
       }
       awaitRelays();
-      monitor = new MonitorStandIn(scraped, SCRAPE_MS);
+      monitor = new FakeMonitor(scraped, SCRAPE_MS);
       monitor.start();
       onLoop(this::begin);
       Thread.sleep((long) LEAD_IN.ms());
@@ -192,7 +192,7 @@
         int at = i;
         onLoop(() -> progress(at));
       }
-      onLoop(() -> clients.forEach(some -> some.forEach(ClientStandIn::stop)));
+      onLoop(() -> clients.forEach(some -> some.forEach(FakeClient::stop)));
       awaitAnswers();
       monitor.close();
       if (controller != null) {
@@ -259,12 +259,12 @@
     trace.note("DAY", day.name + ", seed " + day.seed);
     if (day.tls) {
       workers = new Workers(WORKERS, 10_000, loop::post, e -> e.printStackTrace(System.err));
-      secure = new Secure(loop, workers, Files.createDirectory(folder.resolve("tls")), day.relays);
+      secure = new FakeTls(loop, workers, Files.createDirectory(folder.resolve("tls")), day.relays);
     }
-    roster = new RosterStandIn(loop, new TraceWriter(trace, "roster"), limits, day.notice);
+    roster = new FakeDiscovery(loop, new TraceWriter(trace, "roster"), limits, day.notice);
     int rosterPort = roster.start();
     desk =
-        new DeskStandIn(
+        new FakeController(
             loop,
             new TraceWriter(trace, "desk"),
             limits,
@@ -273,7 +273,7 @@
             FIRST_BUILD,
             chance.nextLong());
     int deskPort = day.realController ? 0 : desk.start();
-    between = new SwitchStandIn(loop, new TraceWriter(trace, "switch"), limits, chance.nextLong());
+    between = new PeerFaultProxy(loop, new TraceWriter(trace, "switch"), limits, chance.nextLong());
     if (day.tlsEveryone) {
       between.secure(secure);
     }
@@ -281,9 +281,9 @@
     if (day.racks != null) {
       racks = new RacksOfDay(day.racks, trace);
     }
-    for (Script.Units some : day.units) {
+    for (ScenarioParser.Units some : day.units) {
       for (int i = 0; i < some.count(); i++) {
-        UnitStandIn unit = unit(FIRST_BUILD, some.zone(), some.cores(), some.speed());
+        FakeEndpoint unit = unit(FIRST_BUILD, some.zone(), some.cores(), some.speed());
         firstUnits.add(unit.id);
         unit.start(false);
         list(unit, Health.READY);
@@ -367,12 +367,12 @@
                   "figures", folder.resolve("relay-" + i + ".figures").toAbsolutePath().toString()
                 }));
       }
-      List<ClientStandIn> own = new ArrayList<>();
+      List<FakeClient> own = new ArrayList<>();
       double perSecond = day.perSecond * (i == 0 ? day.busiest : 1) / weights / day.clientsEach;
       for (int j = 0; j < day.clientsEach; j++) {
         int number = i * day.clientsEach + j;
         own.add(
-            new ClientStandIn(
+            new FakeClient(
                 loop,
                 new TraceWriter(trace, "client-" + number),
                 limits,
@@ -380,7 +380,7 @@
                 day.manners,
                 books,
                 number,
-                day.tlsEveryone ? secure.to(Secure.relayName(i)) : loop::connect,
+                day.tlsEveryone ? secure.to(FakeTls.relayName(i)) : loop::connect,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), ports.get(i)),
                 perSecond,
                 chance.nextLong()));
@@ -389,15 +389,15 @@
     }
   }
 
-  private int way(List<WayStandIn> among, int port) throws IOException {
-    WayStandIn made =
-        new WayStandIn(
+  private int way(List<FaultProxy> among, int port) throws IOException {
+    FaultProxy made =
+        new FaultProxy(
             loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), port), chance.nextLong());
     among.add(made);
     return made.start();
   }
 
-  void ways(String whose, int first, int last, java.util.function.Consumer<WayStandIn> what) {
+  void ways(String whose, int first, int last, java.util.function.Consumer<FaultProxy> what) {
     if (whose.equals("leases")) {
       leases.ways(first, last, what);
     } else {
@@ -444,7 +444,7 @@
   private void begin() {
     begun = loop.now().plus(LEAD_IN);
     books.begin(begun);
-    for (Script.Trouble trouble : day.troubles) {
+    for (ScenarioParser.Trouble trouble : day.troubles) {
       Timestamp at = begun.plus(trouble.at());
       loop.at(
           at,
@@ -461,8 +461,8 @@
             });
       }
     }
-    for (List<ClientStandIn> own : clients) {
-      for (ClientStandIn client : own) {
+    for (List<FakeClient> own : clients) {
+      for (FakeClient client : own) {
         client.start();
       }
     }
@@ -491,7 +491,7 @@
             TimeSpan.ofMs(1000.0 * Math.max(0, second - 6)),
             TimeSpan.ofMs(1000.0 * Math.max(0, second - 1)));
     StringBuilder now = new StringBuilder();
-    for (Script.Trouble trouble : day.troubles) {
+    for (ScenarioParser.Trouble trouble : day.troubles) {
       boolean on =
           !trouble.at().over(time())
               && trouble.at().plus(trouble.lasts().atLeast(TimeSpan.ofMs(1000))).over(time());
@@ -502,7 +502,7 @@
     out.printf(
         "%3d s  service of late %5.3f  build %d %s stage %d%s%n",
         second,
-        Books.ratio(lately),
+        MetricsAudit.ratio(lately),
         controller == null ? desk.build() : controller.newest().build(),
         (controller == null
                 ? desk.standing().name().toLowerCase(java.util.Locale.ROOT)
@@ -530,10 +530,10 @@
     }
   }
 
-  private UnitStandIn unit(int build, int zone, int cores, double speed) {
+  private FakeEndpoint unit(int build, int zone, int cores, double speed) {
     int id = lastUnit++;
-    UnitStandIn unit =
-        new UnitStandIn(
+    FakeEndpoint unit =
+        new FakeEndpoint(
             loop,
             new TraceWriter(trace, "unit-" + id),
             limits,
@@ -554,14 +554,14 @@
     return unit;
   }
 
-  private void list(UnitStandIn unit, Health health) {
+  private void list(FakeEndpoint unit, Health health) {
     roster.changed(
         Entry.newBuilder()
             .setUnit(unit.id)
             .setRun(unit.run())
             .setHost("127.0.0.1")
             .setPort(unit.port())
-            .setName(secure == null ? "" : Secure.unitName(unit.id))
+            .setName(secure == null ? "" : FakeTls.unitName(unit.id))
             .setZone(unit.zone)
             .setCell(racks == null ? 0 : racks.cell(unit.id))
             .setBuild(unit.build)
@@ -666,22 +666,22 @@
   /** Starts and drains units until there are as many of each build as the controller wants. */
   private void fleet(List<RealController.Seen> builds) {
     for (RealController.Seen one : builds) {
-      List<UnitStandIn> own =
+      List<FakeEndpoint> own =
           units.values().stream()
               .filter(unit -> unit.build == one.build() && !leaving.contains(unit.id))
               .toList();
       boolean gone = one.wanted() == 0 && !one.standing().equals("announced");
       if (gone) {
         shared.drag(1);
-        for (UnitStandIn unit : own) {
+        for (FakeEndpoint unit : own) {
           if (!unit.isDown()) {
             drain(unit.id);
           }
         }
       } else {
         for (int i = own.size(); i < one.wanted(); i++) {
-          Script.Units like = like(i);
-          UnitStandIn unit = unit(one.build(), like.zone(), like.cores(), like.speed());
+          ScenarioParser.Units like = like(i);
+          FakeEndpoint unit = unit(one.build(), like.zone(), like.cores(), like.speed());
           loop.at(
               loop.now().plus(BOOT.times(0.5 + chance.nextDouble())),
               () -> {
@@ -719,8 +719,8 @@
     long have =
         units.values().stream().filter(unit -> unit.build == build && !unit.isDown()).count();
     for (long i = have; i < places; i++) {
-      Script.Units like = like((int) i);
-      UnitStandIn unit = unit(build, like.zone(), like.cores(), like.speed());
+      ScenarioParser.Units like = like((int) i);
+      FakeEndpoint unit = unit(build, like.zone(), like.cores(), like.speed());
       loop.at(
           loop.now().plus(BOOT.times(0.5 + chance.nextDouble())),
           () -> {
@@ -732,8 +732,8 @@
     }
   }
 
-  private Script.Units like(int place) {
-    for (Script.Units some : day.units) {
+  private ScenarioParser.Units like(int place) {
+    for (ScenarioParser.Units some : day.units) {
       if (place < some.count()) {
         return some;
       }
@@ -742,7 +742,7 @@
     return day.units.get(0);
   }
 
-  private void start(UnitStandIn unit) {
+  private void start(FakeEndpoint unit) {
     try {
       unit.start(true);
     } catch (IOException e) {
@@ -756,7 +756,7 @@
   @Override
   public void released(int build) {
     steps.add(new Step(time(), "build " + build + " released"));
-    for (UnitStandIn unit : List.copyOf(units.values())) {
+    for (FakeEndpoint unit : List.copyOf(units.values())) {
       if (unit.build < build) {
         drain(unit.id);
       }
@@ -774,8 +774,8 @@
             .noneMatch(unit -> unit.build < build && !unit.isDown() && !leaving.contains(unit.id));
     if (gone) {
       for (int i = 0; i < firstUnits.size(); i++) {
-        Script.Units like = like(i);
-        UnitStandIn unit = unit(FIRST_BUILD, like.zone(), like.cores(), like.speed());
+        ScenarioParser.Units like = like(i);
+        FakeEndpoint unit = unit(FIRST_BUILD, like.zone(), like.cores(), like.speed());
         loop.at(loop.now().plus(BOOT), () -> start(unit));
       }
     }
@@ -783,7 +783,7 @@
     loop.at(
         loop.now().plus(after),
         () -> {
-          for (UnitStandIn unit : List.copyOf(units.values())) {
+          for (FakeEndpoint unit : List.copyOf(units.values())) {
             if (unit.build == build) {
               drain(unit.id);
             }
@@ -794,7 +794,7 @@
   // What befalls units.
 
   void drain(int id) {
-    UnitStandIn unit = units.get(id);
+    FakeEndpoint unit = units.get(id);
     if (unit.isDown() || !leaving.add(id)) {
       return;
     }
@@ -808,7 +808,7 @@
         });
   }
 
-  private void endOnceDone(UnitStandIn unit) {
+  private void endOnceDone(FakeEndpoint unit) {
     if (unit.held() > 0 && !unit.isDown()) {
       loop.at(loop.now().plus(TimeSpan.ofMs(50)), () -> endOnceDone(unit));
       return;
@@ -823,7 +823,7 @@
   }
 
   void restart(int id, TimeSpan within) {
-    UnitStandIn unit = units.get(id);
+    FakeEndpoint unit = units.get(id);
     unit.kill();
     loop.at(loop.now().plus(within), () -> start(unit));
   }
@@ -834,24 +834,24 @@
 
   void ill(double share, Ill ill, boolean on) {
     if (!on) {
-      for (UnitStandIn unit : illOnes.remove(ill)) {
+      for (FakeEndpoint unit : illOnes.remove(ill)) {
         ill.set(unit, false, this);
       }
       return;
     }
-    List<UnitStandIn> there = new ArrayList<>(units.values());
-    there.removeIf(UnitStandIn::isDown);
+    List<FakeEndpoint> there = new ArrayList<>(units.values());
+    there.removeIf(FakeEndpoint::isDown);
     for (int i = there.size(); i > Math.round(share * units.size()); i--) {
       there.remove(chance.nextInt(there.size()));
     }
     illOnes.put(ill, there);
-    for (UnitStandIn unit : there) {
+    for (FakeEndpoint unit : there) {
       ill.set(unit, true, this);
     }
   }
 
   /** Another program takes a share of the machine, half of the time. */
-  void neighbour(UnitStandIn unit, double share, boolean on) {
+  void neighbour(FakeEndpoint unit, double share, boolean on) {
     int spell = spells.merge(unit, 1, Integer::sum);
     unit.steal(0);
     if (on) {
@@ -866,7 +866,7 @@
     }
   }
 
-  void pauses(UnitStandIn unit, TimeSpan pause, TimeSpan every, boolean on) {
+  void pauses(FakeEndpoint unit, TimeSpan pause, TimeSpan every, boolean on) {
     int spell = spells.merge(unit, 1, Integer::sum);
     unit.pause(false);
     if (on) {
@@ -882,7 +882,7 @@
   }
 
   private void alternate(
-      UnitStandIn unit,
+      FakeEndpoint unit,
       int spell,
       boolean begin,
       Runnable on,
@@ -899,7 +899,7 @@
   }
 
   void zoneLink(int zone, TimeSpan delay, double loses) {
-    for (UnitStandIn unit : units.values()) {
+    for (FakeEndpoint unit : units.values()) {
       if (unit.zone == zone) {
         unit.link(delay, loses);
       }
@@ -912,7 +912,7 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    units.values().forEach(UnitStandIn::renewCertificate);
+    units.values().forEach(FakeEndpoint::renewCertificate);
   }
 
   /** Both are trusted, then all have new certificates, then only the new root is trusted. */
@@ -931,7 +931,7 @@
           } catch (IOException e) {
             throw new UncheckedIOException(e);
           }
-          units.values().forEach(UnitStandIn::renewCertificate);
+          units.values().forEach(FakeEndpoint::renewCertificate);
         });
   }
 
@@ -1005,19 +1005,19 @@
   private void writeCounts() throws IOException {
     Map<String, Counts> places = new TreeMap<>();
     int number = 0;
-    for (List<ClientStandIn> own : clients) {
-      for (ClientStandIn client : own) {
+    for (List<FakeClient> own : clients) {
+      for (FakeClient client : own) {
         places.put("client-" + number++, client.counts());
       }
     }
-    for (UnitStandIn unit : units.values()) {
+    for (FakeEndpoint unit : units.values()) {
       places.put("unit-" + unit.id, unit.counts());
     }
-    Counts.write(folder.resolve(FleetBook.COUNTS), places);
+    Counts.write(folder.resolve(FleetMetricsAudit.COUNTS), places);
   }
 
   /** After the day: how many units were pushed over. */
   void count() {
-    fallen = (int) units.values().stream().filter(UnitStandIn::hasFallen).count();
+    fallen = (int) units.values().stream().filter(FakeEndpoint::hasFallen).count();
   }
 }
--- a/src/main/java/sprucerock/rehearsal/scenario/SecondBook.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
@@ -26,7 +26,7 @@
  * turn's frames are written down just before its postings count, so a kill may leave the frames of
  * its last turn without postings, and never the reverse.
  */
-final class SecondBook {
+final class TraceMetricsAudit {
   /** A line that was held against another. */
   record Entry(String what, long figures, long frames, long cutOff, boolean holds) {
     @Override
@@ -52,7 +52,7 @@
   static final String LEFT = "RPCs whose clients left, by frame or with their links";
   private static final long LAST_TURN_US = 20_000; // a turn is far shorter; kills are seconds apart
 
-  private SecondBook() {}
+  private TraceMetricsAudit() {}
 
   /** Relay by relay; a relay without figures differs. */
   static List<Entry> hold(Path folder, int relay) throws IOException {
--- a/src/main/java/sprucerock/rehearsal/trace/TraceWriter.java
+++ b/src/main/java/sprucerock/rehearsal/trace/TraceWriter.java
@@ -17,7 +17,7 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
@@ -37,7 +37,7 @@
   private final FileChannel file;
   private final String place;
   private final StringBuilder lines = new StringBuilder();
-  private final Map<FrameLink, Integer> numbers = new HashMap<>();
+  private final Map<FrameConnection, Integer> numbers = new HashMap<>();
   private int links;
 
   /** Begins a file, which must not be there yet. */
@@ -72,7 +72,7 @@
   }
 
   @Override
-  public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {
+  public void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body) {
     String mark = HexFormat.of().formatHex(body, 0, Math.min(body.length, MARK));
     line(
         number(link),
@@ -84,7 +84,7 @@
   }
 
   @Override
-  public void closed(FrameLink link, String why) {
+  public void closed(FrameConnection link, String why) {
     line(number(link), label(link, null, null, false), "x", "CLOSED", "0:", why);
     numbers.remove(link);
   }
@@ -94,11 +94,11 @@
     line(0, "-", "!", name, "0:", text);
   }
 
-  private int number(FrameLink link) {
+  private int number(FrameConnection link) {
     return numbers.computeIfAbsent(link, one -> ++links);
   }
 
-  private static String label(FrameLink link, Kind kind, MessageLite head, boolean out) {
+  private static String label(FrameConnection link, Kind kind, MessageLite head, boolean out) {
     Hello hello = kind == Kind.HELLO && !out ? (Hello) head : link.other();
     return hello == null
         ? "-"
--- a/src/main/java/sprucerock/relay/engine/Exchange.java
+++ b/src/main/java/sprucerock/relay/engine/AttemptExchange.java
@@ -10,7 +10,7 @@
  * A pick on its way: waiting for a connection, or on one. Each door to units keeps in it what it
  * needs there.
  */
-public class Exchange {
+public class AttemptExchange {
   private final Attempt pick;
   private final Timestamp ends;
   private boolean over;
@@ -19,7 +19,7 @@
   /** What is to be done while the pick is out. */
   private final List<Timer> until = new ArrayList<>(1);
 
-  public Exchange(Attempt pick, Timestamp ends) {
+  public AttemptExchange(Attempt pick, Timestamp ends) {
     this.pick = pick;
     this.ends = ends;
   }
--- a/src/main/java/sprucerock/relay/engine/Events.java
+++ b/src/main/java/sprucerock/relay/engine/EventLog.java
@@ -12,7 +12,7 @@
  * What a relay says in its log: each kind of event at most once a second, with how many were left
  * out in between.
  */
-public final class Events {
+public final class EventLog {
   /** The kinds, as docs/operators/relay.md explains them one by one. */
   public enum Kind {
     STARTED,
@@ -53,12 +53,12 @@
   private final Map<Kind, Timestamp> said = new EnumMap<>(Kind.class);
   private final Map<Kind, Integer> leftOut = new EnumMap<>(Kind.class);
 
-  public Events(Timers timers) {
+  public EventLog(Timers timers) {
     this(timers, LoggerFactory.getLogger("sprucerock.relay"));
   }
 
   /** Says it elsewhere. */
-  public Events(Timers timers, Logger log) {
+  public EventLog(Timers timers, Logger log) {
     this.timers = timers;
     this.log = log;
   }
--- a/src/main/java/sprucerock/relay/engine/Carrier.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -17,7 +17,7 @@
  * RPC has one final answer, and what is to be done for either ends with it. How clients and units
  * are spoken to is the doors' business. One thread.
  */
-public abstract class Carrier implements RelayActions {
+public abstract class RelayEngine implements RelayActions {
   /** Makes the module that decides. */
   public interface Maker {
     RelayEvents make(RelayActions host, Settings settings, long seed);
@@ -28,11 +28,11 @@
   protected final Net net;
   protected final Settings settings;
   protected final RequestTracker ledger;
-  protected final Events events;
+  protected final EventLog events;
   protected RelayEvents module;
   private long lastRpc;
 
-  protected Carrier(Net net, Settings settings, RequestTracker ledger, Events events) {
+  protected RelayEngine(Net net, Settings settings, RequestTracker ledger, EventLog events) {
     this.net = net;
     this.settings = settings;
     this.ledger = ledger;
@@ -46,22 +46,22 @@
   }
 
   /** Puts the pick on a connection to its unit, now or later. */
-  protected abstract void toUnit(Exchange exchange);
+  protected abstract void toUnit(AttemptExchange exchange);
 
   /**
    * Nobody waits for it any more; true where it was provably never sent. {@code told}: its unit may
    * be told.
    */
-  protected abstract boolean giveUp(Exchange exchange, boolean told);
+  protected abstract boolean giveUp(AttemptExchange exchange, boolean told);
 
   /**
    * The final answer to a client; what is answered an RPC twice or to one that left is dropped by
    * the door.
    */
-  protected abstract void answer(Asked asked, Ending ending, TimeSpan wait, long unit, byte[] body);
+  protected abstract void answer(Request asked, RequestOutcome ending, TimeSpan wait, long unit, byte[] body);
 
-  protected Exchange exchange(Attempt pick, Timestamp ends) {
-    return new Exchange(pick, ends);
+  protected AttemptExchange exchange(Attempt pick, Timestamp ends) {
+    return new AttemptExchange(pick, ends);
   }
 
   /** What goes wrong in the program itself is logged here. */
@@ -72,7 +72,7 @@
   // What comes in.
 
   protected void arrived(
-      Asked asked, Method method, int customer, long key, Timestamp deadline, TimeSpan hint) {
+      Request asked, Method method, int customer, long key, Timestamp deadline, TimeSpan hint) {
     // guards against a fault in the module: whatever it forgot has an answer, one that promises
     // nothing
     asked.until(net.at(deadline, () -> forgotten(asked)));
@@ -80,24 +80,24 @@
     ledger.arrived(asked.number(), method, customer, key, net.now(), deadline, hint, asked);
   }
 
-  private void forgotten(Asked asked) {
+  private void forgotten(Request asked) {
     events.broken(new IllegalStateException("an RPC had no answer at its deadline; it is aborted"));
     abort(asked);
   }
 
   /** At the end of the relay's time: an answer that promises nothing. */
-  public void abort(Asked asked) {
+  public void abort(Request asked) {
     abort(ledger.rpc(asked.number()));
   }
 
   /** The client went away. */
-  public void left(Asked asked) {
+  public void left(Request asked) {
     asked.over();
     ledger.clientLeft(ledger.rpc(asked.number()));
   }
 
   /** A pick ended; the first ok is its RPC's answer. */
-  public void ended(Exchange exchange, AttemptOutcome outcome, byte[] body) {
+  public void ended(AttemptExchange exchange, AttemptOutcome outcome, byte[] body) {
     if (exchange.over()) {
       return;
     }
@@ -105,22 +105,22 @@
     Attempt pick = exchange.pick();
     boolean answers = outcome == AttemptOutcome.OK && !pick.rpc.ended();
     if (answers) {
-      answer((Asked) pick.rpc.door, Ending.OK, TimeSpan.ZERO, pick.unit.id, body);
+      answer((Request) pick.rpc.door, RequestOutcome.OK, TimeSpan.ZERO, pick.unit.id, body);
     }
     ledger.pickEnded(pick, outcome, net.now().since(pick.sent), answers || pick.rpc.ended());
   }
 
   /** The same, but told once the module has returned from what it does now. */
-  public void endsSoon(Exchange exchange, AttemptOutcome outcome) {
+  public void endsSoon(AttemptExchange exchange, AttemptOutcome outcome) {
     net.atTurnsEnd(() -> ended(exchange, outcome, NO_BODY));
   }
 
   /** It is on a connection now. */
-  public void written(Exchange exchange) {
+  public void written(AttemptExchange exchange) {
     ledger.written(exchange.pick());
   }
 
-  private void timedOut(Exchange exchange) {
+  private void timedOut(AttemptExchange exchange) {
     if (exchange.over()) {
       return;
     }
@@ -143,7 +143,7 @@
         pick.patience == null
             ? pick.rpc.deadline
             : pick.rpc.deadline.earlier(now.plus(pick.patience));
-    Exchange exchange = exchange(pick, until);
+    AttemptExchange exchange = exchange(pick, until);
     pick.door = exchange;
     exchange.endBy(net.at(until, () -> timedOut(exchange)));
     boolean moot =
@@ -157,7 +157,7 @@
 
   @Override
   public void cancel(Attempt pick) {
-    Exchange exchange = (Exchange) pick.door;
+    AttemptExchange exchange = (AttemptExchange) pick.door;
     if (exchange.over()) {
       return;
     }
@@ -167,13 +167,13 @@
 
   @Override
   public void pushBack(Rpc rpc, TimeSpan wait) {
-    answer((Asked) rpc.door, Ending.PUSHED_BACK, wait, 0, NO_BODY);
+    answer((Request) rpc.door, RequestOutcome.PUSHED_BACK, wait, 0, NO_BODY);
     ledger.pushedBack(rpc);
   }
 
   @Override
   public void abort(Rpc rpc) {
-    answer((Asked) rpc.door, Ending.ABORTED, TimeSpan.ZERO, 0, NO_BODY);
+    answer((Request) rpc.door, RequestOutcome.ABORTED, TimeSpan.ZERO, 0, NO_BODY);
     ledger.aborted(rpc);
   }
 
@@ -184,16 +184,16 @@
 
   @Override
   public void wake(Rpc rpc, Timestamp when, Runnable what) {
-    ((Asked) rpc.door).until(net.at(when, what));
+    ((Request) rpc.door).until(net.at(when, what));
   }
 
   @Override
   public void wake(Attempt pick, Timestamp when, Runnable what) {
-    ((Exchange) pick.door).until(net.at(when, what));
+    ((AttemptExchange) pick.door).until(net.at(when, what));
   }
 
   @Override
   public void log(String line) {
-    events.info(Events.Kind.MODULE, line);
+    events.info(EventLog.Kind.MODULE, line);
   }
 }
--- a/src/main/java/sprucerock/relay/engine/Asked.java
+++ b/src/main/java/sprucerock/relay/engine/Request.java
@@ -5,7 +5,7 @@
 import sprucerock.transport.net.Timers.Timer;
 
 /** What the door that took an RPC keeps with it. */
-public abstract class Asked {
+public abstract class Request {
   private final List<Timer> until = new ArrayList<>(2);
   private long number;
 
--- a/src/main/java/sprucerock/relay/engine/Ending.java
+++ b/src/main/java/sprucerock/relay/engine/RequestOutcome.java
@@ -1,7 +1,7 @@
 package sprucerock.relay.engine;
 
 /** What a client is told at the end. */
-public enum Ending {
+public enum RequestOutcome {
   OK,
   PUSHED_BACK,
   ABORTED
--- a/src/main/java/sprucerock/relay/frames/DeskLink.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -13,13 +13,13 @@
 import sprucerock.model.Verdict;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Counts;
 import sprucerock.transport.wire.v1.Hello;
@@ -36,13 +36,13 @@
  * News and counts of the release desk, told to the ledger; and the module's votes, each with one
  * answer or none in time.
  */
-public final class DeskLink implements FrameUser {
+public final class ControllerConnection implements FrameListener {
   private final Net net;
   private final RelayConfig config;
   private final RequestTracker ledger;
-  private final Events events;
+  private final EventLog events;
   private final Consumer<VoteReply> answered;
-  private final Redial redial;
+  private final ReconnectingConnection redial;
   private final Map<Long, Timer> votes = new HashMap<>();
   private final Runnable learnt;
   private final Consumer<Promised> promised;
@@ -53,13 +53,13 @@
   private boolean stopping;
 
   /** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */
-  public DeskLink(
+  public ControllerConnection(
       Net net,
       RelayConfig config,
       Hello mine,
       Tap tap,
       RequestTracker ledger,
-      Events events,
+      EventLog events,
       DeterministicRandom chance,
       Consumer<VoteReply> answered,
       Consumer<Promised> promised,
@@ -71,7 +71,7 @@
     this.ledger = ledger;
     this.events = events;
     this.answered = answered;
-    redial = new Redial(net, config.desk, mine, config.link, tap, chance, this);
+    redial = new ReconnectingConnection(net, config.desk, mine, config.link, tap, chance, this);
   }
 
   public void start() {
@@ -89,12 +89,12 @@
   }
 
   void tell(Worth worth) {
-    redial.send(Kind.WORTH, worth, ClientLink.NO_BODY);
+    redial.send(Kind.WORTH, worth, FrameClientConnection.NO_BODY);
   }
 
   /** False where the desk is away. */
   public boolean ask(PromiseAsk ask) {
-    return redial.send(Kind.PROMISE_ASK, ask, ClientLink.NO_BODY);
+    return redial.send(Kind.PROMISE_ASK, ask, FrameClientConnection.NO_BODY);
   }
 
   /** Ends in one answer, or in none within the time that the settings have. */
@@ -112,7 +112,7 @@
     redial.send(
         Kind.VOTE,
         Vote.newBuilder().setId(id).setBuild(build.number).setStage(stage).setSay(say).build(),
-        ClientLink.NO_BODY);
+        FrameClientConnection.NO_BODY);
     // one that could not be sent is not answered either: to the module the desk is away in both
     // cases
     votes.put(
@@ -122,7 +122,7 @@
             () -> {
               votes.remove(id);
               events.warn(
-                  Events.Kind.VOTE_UNANSWERED,
+                  EventLog.Kind.VOTE_UNANSWERED,
                   "vote "
                       + verdict
                       + " on build "
@@ -136,12 +136,12 @@
   }
 
   @Override
-  public void greeted(FrameLink link, Hello other) {
+  public void greeted(FrameConnection link, Hello other) {
     if (other.getRole() != Role.DESK) {
       redial.cut("no release desk answers there");
       return;
     }
-    events.info(Events.Kind.DESK_BACK, "linked to the release desk at " + config.desk);
+    events.info(EventLog.Kind.DESK_BACK, "linked to the release desk at " + config.desk);
   }
 
   @Override
@@ -177,7 +177,7 @@
             && news.getStage() <= config.settings.caps.size();
     if (!known) {
       events.warn(
-          Events.Kind.NEWS_REFUSED,
+          EventLog.Kind.NEWS_REFUSED,
           "build "
               + news.getBuild()
               + ", stage "
@@ -193,7 +193,7 @@
         news.getEpoch() < epoch || news.getEpoch() == epoch && news.getSequence() < sequence;
     if (old) {
       events.warn(
-          Events.Kind.NEWS_REFUSED,
+          EventLog.Kind.NEWS_REFUSED,
           "epoch "
               + news.getEpoch()
               + ", sequence "
@@ -219,7 +219,7 @@
         || counts.getFailed() > counts.getPicks()
         || counts.getFailed() < 0) {
       events.warn(
-          Events.Kind.NEWS_REFUSED,
+          EventLog.Kind.NEWS_REFUSED,
           "counts of method "
               + method
               + ": "
@@ -262,7 +262,7 @@
   @Override
   public void closed(String why) {
     if (!stopping) {
-      events.warn(Events.Kind.DESK_LOST, why + "; what it said last holds");
+      events.warn(EventLog.Kind.DESK_LOST, why + "; what it said last holds");
     }
   }
 }
--- a/src/main/java/sprucerock/relay/frames/RosterLink.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -15,15 +15,15 @@
 import sprucerock.accounting.RequestTracker;
 import sprucerock.model.Endpoint;
 import sprucerock.transport.net.Net;
-import sprucerock.relay.engine.Events;
-import sprucerock.relay.snapshot.Picture;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.relay.snapshot.RackSnapshot;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Form;
@@ -34,7 +34,7 @@
 import sprucerock.transport.wire.v1.Watch;
 
 /** What the roster says of the units, told to the ledger; and each unit's connections. */
-final class RosterLink implements FrameUser {
+final class DiscoveryConnection implements FrameListener {
   /**
    * A run of a unit's process, by the roster's number for it, with the one start time that it keeps
    * here.
@@ -66,33 +66,33 @@
   private final Net net;
   private final RelayConfig config;
   private final RequestTracker ledger;
-  private final Events events;
-  private final UnitLinks.Owner owner;
+  private final EventLog events;
+  private final EndpointConnectionPool.Owner owner;
   private final DeterministicRandom chance;
   private final Runnable listFailed;
-  private final Redial redial;
+  private final ReconnectingConnection redial;
   private final Map<Long, Run> runs = new HashMap<>();
 
-  /** By {@link Picture#key}; none is empty. */
+  /** By {@link RackSnapshot#key}; none is empty. */
   private final Map<Integer, Rack> rackOf = new TreeMap<>();
 
-  private final Racks racks;
+  private final RackPermits racks;
   private final Runnable learnt;
   private final Consumer<Endpoint> changed;
   private boolean listed;
   private boolean asked;
   private boolean stopping;
 
-  RosterLink(
+  DiscoveryConnection(
       Net net,
       RelayConfig config,
       Hello mine,
       Tap tap,
       RequestTracker ledger,
-      Events events,
+      EventLog events,
       DeterministicRandom chance,
-      UnitLinks.Owner owner,
-      Racks racks,
+      EndpointConnectionPool.Owner owner,
+      RackPermits racks,
       Runnable listFailed,
       Runnable learnt,
       Consumer<Endpoint> changed) {
@@ -106,7 +106,7 @@
     this.owner = owner;
     this.chance = chance;
     this.listFailed = listFailed;
-    redial = new Redial(net, config.roster, mine, config.link, tap, chance, this);
+    redial = new ReconnectingConnection(net, config.roster, mine, config.link, tap, chance, this);
   }
 
   void start() {
@@ -125,7 +125,7 @@
 
   /** The module asks for the list and its changes; where the roster is away, it is told so. */
   void subscribe() {
-    if (redial.send(Kind.WATCH, Watch.getDefaultInstance(), ClientLink.NO_BODY)) {
+    if (redial.send(Kind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
       asked = true;
     } else {
       net.atTurnsEnd(listFailed);
@@ -133,14 +133,14 @@
   }
 
   @Override
-  public void greeted(FrameLink link, Hello other) {
+  public void greeted(FrameConnection link, Hello other) {
     if (other.getRole() != Role.ROSTER) {
       redial.cut("no roster answers there");
       return;
     }
-    events.info(Events.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
+    events.info(EventLog.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
     if (!config.settings.ask) {
-      redial.send(Kind.WATCH, Watch.getDefaultInstance(), ClientLink.NO_BODY);
+      redial.send(Kind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
   }
 
@@ -157,7 +157,7 @@
     }
     if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
       events.warn(
-          Events.Kind.LISTING_REFUSED,
+          EventLog.Kind.LISTING_REFUSED,
           "a listing that is neither whole nor changes; the old one holds");
       return;
     }
@@ -213,7 +213,7 @@
                                     : null;
     if (wrong != null) {
       events.warn(
-          Events.Kind.LISTING_REFUSED,
+          EventLog.Kind.LISTING_REFUSED,
           "unit "
               + Long.toUnsignedString(entry.getUnit())
               + " has "
@@ -230,7 +230,7 @@
     }
     boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
     boolean moved =
-        sameRun && known.door != null && !((UnitLinks) known.door).at(address, entry.getName());
+        sameRun && known.door != null && !((EndpointConnectionPool) known.door).at(address, entry.getName());
     if (known != null && (!sameRun || moved)) {
       leave(known);
     }
@@ -257,7 +257,7 @@
       forget(unit);
     }
     if (unit.door == null) {
-      unit.door = new UnitLinks(unit, address, entry.getName(), config, chance, owner);
+      unit.door = new EndpointConnectionPool(unit, address, entry.getName(), config, chance, owner);
     }
     if (entry.getHealth() == Health.DRAINING) {
       leave(unit);
@@ -266,7 +266,7 @@
   }
 
   private void remember(Endpoint unit, Entry entry, boolean mayPlace) {
-    Rack rack = rackOf.computeIfAbsent(Picture.key(unit.zone, unit.cell), any -> new Rack(unit));
+    Rack rack = rackOf.computeIfAbsent(RackSnapshot.key(unit.zone, unit.cell), any -> new Rack(unit));
     rack.ready.put(unit.id, entry);
     if (rack.mayPlace != null && rack.mayPlace != mayPlace) {
       rack.mayPlace = null;
@@ -274,7 +274,7 @@
   }
 
   private void forget(Endpoint unit) {
-    int key = Picture.key(unit.zone, unit.cell);
+    int key = RackSnapshot.key(unit.zone, unit.cell);
     Rack rack = rackOf.get(key);
     if (rack == null) {
       return;
@@ -319,14 +319,14 @@
 
   private static void leave(Endpoint unit) {
     if (unit.door != null) {
-      ((UnitLinks) unit.door).leave();
+      ((EndpointConnectionPool) unit.door).leave();
     }
   }
 
   @Override
   public void closed(String why) {
     if (!stopping) {
-      events.warn(Events.Kind.ROSTER_LOST, why + "; the units listed last hold");
+      events.warn(EventLog.Kind.ROSTER_LOST, why + "; the units listed last hold");
     }
     failed();
   }
--- a/src/main/java/sprucerock/relay/frames/UnitLink.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnection.java
@@ -9,8 +9,8 @@
 import sprucerock.model.Rpc;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.v1.Done;
 import sprucerock.transport.wire.v1.Hello;
@@ -19,12 +19,12 @@
 import sprucerock.transport.wire.v1.Work;
 
 /** One connection to a unit, with the picks that are out on it. */
-final class UnitLink implements FrameUser {
+final class EndpointConnection implements FrameListener {
   private static final byte[] NO_BODY = {};
 
-  private final UnitLinks links;
-  private final Map<Long, Exchange> live = new LinkedHashMap<>();
-  FrameLink link;
+  private final EndpointConnectionPool links;
+  private final Map<Long, FrameExchange> live = new LinkedHashMap<>();
+  FrameConnection link;
 
   /** The unit said who it is, and is the one meant. */
   boolean greeted;
@@ -36,7 +36,7 @@
   private long lastId;
   private int forsaken;
 
-  UnitLink(UnitLinks links, Timestamp now) {
+  EndpointConnection(EndpointConnectionPool links, Timestamp now) {
     this.links = links;
     usedLast = now;
   }
@@ -69,9 +69,9 @@
     }
   }
 
-  void send(Exchange exchange, Timestamp now) {
+  void send(FrameExchange exchange, Timestamp now) {
     Rpc rpc = exchange.pick().rpc;
-    Asked asked = (Asked) rpc.door;
+    FrameRequest asked = (FrameRequest) rpc.door;
     TimeSpan left = exchange.ends().since(now);
     Work.Builder work =
         Work.newBuilder()
@@ -93,7 +93,7 @@
   }
 
   /** Nobody waits for it any more. A unit that is told so may stop. */
-  void forsake(Exchange exchange, boolean tellUnit) {
+  void forsake(FrameExchange exchange, boolean tellUnit) {
     live.remove(exchange.id);
     forsaken++;
     if (tellUnit) {
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public void greeted(FrameLink made, Hello other) {
+  public void greeted(FrameConnection made, Hello other) {
     if (other.getRole() != Role.UNIT
         || Integer.toUnsignedLong(other.getNumber()) != links.unit.id) {
       links.misnamed(other);
@@ -127,7 +127,7 @@
           case FULL -> AttemptOutcome.FULL;
           default -> AttemptOutcome.ERROR;
         };
-    Exchange exchange = live.remove(done.getId());
+    FrameExchange exchange = live.remove(done.getId());
     if (exchange == null) {
       // late, for one given up on; or an id that never was, which a unit can't use to gain room
       if (forsaken > 0 && done.getId() <= lastId) {
@@ -144,7 +144,7 @@
   @Override
   public void closed(String why) {
     links.down(this, why);
-    for (Exchange exchange : new ArrayList<>(live.values())) {
+    for (FrameExchange exchange : new ArrayList<>(live.values())) {
       // a cut before its frame left proves that it never ran; after that nobody knows
       boolean never = !link.mayHaveLeft(exchange.mark);
       links.ended(exchange, never ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN, NO_BODY);
--- a/src/main/java/sprucerock/relay/frames/UnitLinks.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -18,18 +18,18 @@
  * none is tried for a pause that grows: picks end at once as never connected. Which unit gets a
  * pick is none of its business.
  */
-final class UnitLinks {
+final class EndpointConnectionPool {
   /** What the links need of the relay. */
   interface Owner {
-    void open(UnitLink link, InetSocketAddress to, String name);
+    void open(EndpointConnection link, InetSocketAddress to, String name);
 
-    void ended(sprucerock.relay.engine.Exchange exchange, AttemptOutcome outcome, byte[] body);
+    void ended(sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
 
     /** The same, but told once the module has returned from what it does now. */
-    void endsSoon(sprucerock.relay.engine.Exchange exchange, AttemptOutcome outcome);
+    void endsSoon(sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
 
     /** It is on a connection now. */
-    void written(sprucerock.relay.engine.Exchange exchange);
+    void written(sprucerock.relay.engine.AttemptExchange exchange);
 
     /** A result came for a pick that had ended before. */
     void late(AttemptOutcome outcome);
@@ -52,8 +52,8 @@
   private final RelayConfig config;
   private final Owner owner;
   private final DeterministicRandom chance;
-  private final List<UnitLink> links = new ArrayList<>();
-  private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
+  private final List<EndpointConnection> links = new ArrayList<>();
+  private final ArrayDeque<FrameExchange> waiting = new ArrayDeque<>();
   private TimeSpan pause;
   private Timestamp notBefore;
   private boolean left;
@@ -61,10 +61,10 @@
   /** While old connections are replaced: until when, and which ones are left. */
   private Timestamp movedBy;
 
-  private final ArrayDeque<UnitLink> old = new ArrayDeque<>();
-  private UnitLink replacement;
+  private final ArrayDeque<EndpointConnection> old = new ArrayDeque<>();
+  private EndpointConnection replacement;
 
-  UnitLinks(
+  EndpointConnectionPool(
       Endpoint unit,
       InetSocketAddress address,
       String name,
@@ -93,10 +93,10 @@
     return name;
   }
 
-  void send(Exchange exchange) {
-    UnitLink best = null;
+  void send(FrameExchange exchange) {
+    EndpointConnection best = null;
     int connecting = 0;
-    for (UnitLink link : links) {
+    for (EndpointConnection link : links) {
       if (link.retired) {
         continue;
       }
@@ -131,8 +131,8 @@
     }
   }
 
-  private UnitLink open(Timestamp now) {
-    UnitLink link = new UnitLink(this, now);
+  private EndpointConnection open(Timestamp now) {
+    EndpointConnection link = new EndpointConnection(this, now);
     links.add(link);
     owner.open(link, address, name);
     return link;
@@ -150,7 +150,7 @@
     Timestamp now = owner.now();
     movedBy = now.plus(within);
     old.clear();
-    for (UnitLink link : links) {
+    for (EndpointConnection link : links) {
       if (link.greeted && !link.retired) {
         old.add(link);
       }
@@ -175,19 +175,19 @@
     replacement = open(owner.now());
   }
 
-  private void moved(UnitLink link) {
+  private void moved(EndpointConnection link) {
     if (link != replacement) {
       return;
     }
     replacement = null;
-    UnitLink gone = old.poll();
+    EndpointConnection gone = old.poll();
     if (gone != null) {
       gone.drain();
     }
     moveNext();
   }
 
-  private void notMoved(UnitLink link) {
+  private void notMoved(EndpointConnection link) {
     if (link != replacement) {
       return;
     }
@@ -195,7 +195,7 @@
     owner.at(owner.now().plus(config.pauseMost), this::moveNext);
   }
 
-  void up(UnitLink link) {
+  void up(EndpointConnection link) {
     pause = config.pauseFirst;
     notBefore = null;
     drain(link);
@@ -203,9 +203,9 @@
     owner.at(owner.now().plus(config.idle), () -> closeIdle(link));
   }
 
-  private void drain(UnitLink link) {
+  private void drain(EndpointConnection link) {
     while (!waiting.isEmpty() && !link.retired && link.greeted && link.load() < config.picksEach) {
-      Exchange next = waiting.poll();
+      FrameExchange next = waiting.poll();
       next.waiting.cancel();
       if (!next.mayStart(owner.now())) {
         owner.endsSoon(next, AttemptOutcome.MOOT);
@@ -215,7 +215,7 @@
     }
   }
 
-  private void closeIdle(UnitLink link) {
+  private void closeIdle(EndpointConnection link) {
     if (!links.contains(link)) {
       return;
     }
@@ -228,7 +228,7 @@
   }
 
   /** A pick on it ended: there is room, or a unit that leaves is done with. */
-  void emptied(UnitLink link) {
+  void emptied(EndpointConnection link) {
     // a unit that answers nothing fills its connection with picks that nobody waits for: another is
     // made
     boolean stuck = link.idle() && 2 * link.load() >= config.picksEach;
@@ -238,7 +238,7 @@
     drain(link);
   }
 
-  void down(UnitLink link, String why) {
+  void down(EndpointConnection link, String why) {
     links.remove(link);
     if (left) {
       return;
@@ -260,7 +260,7 @@
     pause = pause.times(2).atMost(config.pauseMost);
     boolean hope = links.stream().anyMatch(other -> !other.retired);
     while (!hope && !waiting.isEmpty()) {
-      Exchange next = waiting.poll();
+      FrameExchange next = waiting.poll();
       next.waiting.cancel();
       owner.endsSoon(next, AttemptOutcome.NOT_CONNECTED);
     }
@@ -270,7 +270,7 @@
     owner.misnamed(unit, other);
   }
 
-  void written(Exchange exchange) {
+  void written(FrameExchange exchange) {
     owner.written(exchange);
   }
 
@@ -278,7 +278,7 @@
     owner.late(outcome);
   }
 
-  void ended(Exchange exchange, AttemptOutcome outcome, byte[] body) {
+  void ended(FrameExchange exchange, AttemptOutcome outcome, byte[] body) {
     owner.ended(exchange, outcome, body);
   }
 
@@ -286,7 +286,7 @@
    * Called off, or out of time: whoever called says with which outcome it ends. True where it was
    * never sent.
    */
-  boolean giveUp(Exchange exchange, boolean tellUnit) {
+  boolean giveUp(FrameExchange exchange, boolean tellUnit) {
     if (exchange.link != null) {
       exchange.link.forsake(exchange, tellUnit);
       return false;
@@ -305,11 +305,11 @@
   void leave() {
     left = true;
     while (!waiting.isEmpty()) { // not sent yet, so not to be sent any more
-      Exchange next = waiting.poll();
+      FrameExchange next = waiting.poll();
       next.waiting.cancel();
       owner.endsSoon(next, AttemptOutcome.NOT_CONNECTED);
     }
-    for (UnitLink link : new ArrayList<>(links)) {
+    for (EndpointConnection link : new ArrayList<>(links)) {
       if (link.idle()) {
         link.retire();
       }
--- a/src/main/java/sprucerock/relay/frames/ClientLink.java
+++ b/src/main/java/sprucerock/relay/frames/FrameClientConnection.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sprucerock.transport.tls.TlsLink;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.tls.TlsConnection;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
@@ -21,17 +21,17 @@
  * A connection that somebody made to this relay: a client's, or another relay's with messages for
  * the module.
  */
-final class ClientLink implements FrameUser {
+final class FrameClientConnection implements FrameListener {
   static final byte[] NO_BODY = {};
 
-  private final Relay relay;
-  private final Map<Long, Asked> open = new LinkedHashMap<>();
-  private FrameLink link;
-  private TlsLink by;
+  private final FrameRelay relay;
+  private final Map<Long, FrameRequest> open = new LinkedHashMap<>();
+  private FrameConnection link;
+  private TlsConnection by;
   private boolean peer;
   private boolean closed;
 
-  ClientLink(Relay relay) {
+  FrameClientConnection(FrameRelay relay) {
     this.relay = relay;
   }
 
@@ -40,12 +40,12 @@
   }
 
   /** It came over TLS. */
-  void by(TlsLink over) {
+  void by(TlsConnection over) {
     by = over;
   }
 
   @Override
-  public void greeted(FrameLink made, Hello other) {
+  public void greeted(FrameConnection made, Hello other) {
     link = made;
     peer = other.getRole() == Role.RELAY;
     if (peer && !relay.proven(other.getNumber(), by)) {
@@ -82,20 +82,20 @@
       link.cut("RPC id " + call.getId() + " is still open");
       return;
     }
-    Asked asked = new Asked(this, call.getId(), call.getToken(), body);
+    FrameRequest asked = new FrameRequest(this, call.getId(), call.getToken(), body);
     open.put(asked.id, asked);
     relay.called(asked, call);
   }
 
   private void leave(Leave leave) {
-    Asked asked = open.remove(leave.getId());
+    FrameRequest asked = open.remove(leave.getId());
     if (asked != null) {
       relay.left(asked); // else its answer is on the way
     }
   }
 
   /** The one final answer. */
-  void answer(Asked asked, Ending ending, long waitUs, long unit, byte[] body) {
+  void answer(FrameRequest asked, Ending ending, long waitUs, long unit, byte[] body) {
     asked.over();
     if (closed || !open.remove(asked.id, asked)) {
       return;
@@ -114,7 +114,7 @@
   @Override
   public void closed(String why) {
     closed = true;
-    for (Asked asked : new ArrayList<>(open.values())) {
+    for (FrameRequest asked : new ArrayList<>(open.values())) {
       relay.left(asked);
     }
     open.clear();
@@ -123,7 +123,7 @@
 
   /** The relay's time is over: each open RPC gets an answer that promises nothing. */
   void abortAll() {
-    for (Asked asked : new ArrayList<>(open.values())) {
+    for (FrameRequest asked : new ArrayList<>(open.values())) {
       relay.abort(asked);
     }
   }
--- a/src/main/java/sprucerock/relay/frames/Exchange.java
+++ b/src/main/java/sprucerock/relay/frames/FrameExchange.java
@@ -5,9 +5,9 @@
 import sprucerock.time.Timestamp;
 
 /** A pick on its way over frames. */
-final class Exchange extends sprucerock.relay.engine.Exchange {
+final class FrameExchange extends sprucerock.relay.engine.AttemptExchange {
   /** Null while it waits for a connection. */
-  UnitLink link;
+  EndpointConnection link;
 
   /** Its id on that connection, and where its frame stands in what was written. */
   long id;
@@ -18,7 +18,7 @@
   /** Picks of this relay that its unit held when it was sent. */
   final int others;
 
-  Exchange(Attempt pick, Timestamp ends) {
+  FrameExchange(Attempt pick, Timestamp ends) {
     super(pick, ends);
     others = Math.max(0, pick.unit.out() - 1);
   }
--- a/src/main/java/sprucerock/relay/frames/Relay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.Fence;
-import sprucerock.lease.GranterDoor;
+import sprucerock.lease.FencingToken;
+import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.RequestTracker;
@@ -19,17 +19,17 @@
 import sprucerock.model.Verdict;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.relay.engine.Carrier;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.RelayEngine;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Refusal;
-import sprucerock.transport.tls.TlsLink;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.tls.TlsConnection;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Call;
@@ -47,8 +47,8 @@
  * limit is reached it has the answers that the configuration states, and none else; it chooses no
  * unit, no further pick and no vote. All of it runs on the loop's thread.
  */
-public final class Relay extends Carrier
-    implements UnitLinks.Owner, Looks.Owner, Racks.Owner, Fitting.Owner {
+public final class FrameRelay extends RelayEngine
+    implements EndpointConnectionPool.Owner, HealthChecker.Owner, RackPermits.Owner, HardwareReporter.Owner {
   // rows of figures; what is beyond counts as other. A monitor bears some thousand series a relay
   private static final int BUILDS = 16;
   private static final int UNITS = 1024;
@@ -62,18 +62,18 @@
   private final MethodAccounts accounts;
   private final Hello mine;
   private final DeterministicRandom chance;
-  private final Secured secured;
+  private final TlsConnections secured;
   private final Peers peers;
-  private final DeskLink desk;
-  private final RosterLink roster;
-  private final Racks racks;
-  private final Fitting fitting; // null: it takes no part in that
+  private final ControllerConnection desk;
+  private final DiscoveryConnection roster;
+  private final RackPermits racks;
+  private final HardwareReporter fitting; // null: it takes no part in that
   private final Leases leases; // null: none are configured
-  private GranterDoor granter;
-  private final Fence fence = new Fence();
-  private final Set<ClientLink> clients = new LinkedHashSet<>();
+  private GrantorListener granter;
+  private final FencingToken fence = new FencingToken();
+  private final Set<FrameClientConnection> clients = new LinkedHashSet<>();
   private Net.Listener listener;
-  private Looks looks; // null: it does not stand for that lease
+  private HealthChecker looks; // null: it does not stand for that lease
   private boolean taking;
   private boolean finishing;
   private volatile Long tlsDaysLeft;
@@ -85,7 +85,7 @@
   private RelayConfig live;
 
   /** Nothing is opened yet, see {@link #start}. */
-  public Relay(RelayConfig config, Net net, Tap tap) {
+  public FrameRelay(RelayConfig config, Net net, Tap tap) {
     super(
         net,
         config.settings,
@@ -94,7 +94,7 @@
             new MethodAccounts(
                 config.methodNames,
                 new MethodAccounts.Room(BUILDS, Math.min(config.units, UNITS), CUSTOMERS))),
-        new Events(net));
+        new EventLog(net));
     this.config = config;
     live = config;
     this.tap = tap;
@@ -103,16 +103,16 @@
     chance = new DeterministicRandom(config.seed ^ 0x5bd1e995L);
     mine =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
             .setNumber(config.settings.index)
             .setName(config.name)
             .build();
-    secured = new Secured(config, net, events, accounts);
+    secured = new TlsConnections(config, net, events, accounts);
     peers = new Peers(net, config, mine, tap, events, chance, accounts, secured);
-    racks = new Racks(net, config, events, chance, this);
+    racks = new RackPermits(net, config, events, chance, this);
     desk =
-        new DeskLink(
+        new ControllerConnection(
             net,
             config,
             mine,
@@ -124,7 +124,7 @@
             promised -> racks.told(promised),
             this::learnt);
     roster =
-        new RosterLink(
+        new DiscoveryConnection(
             net,
             config,
             mine,
@@ -141,12 +141,12 @@
         new Leases.Log() {
           @Override
           public void info(String what) {
-            events.info(Events.Kind.LEASE, what);
+            events.info(EventLog.Kind.LEASE, what);
           }
 
           @Override
           public void warn(String what) {
-            events.warn(Events.Kind.GRANTER_LOST, what);
+            events.warn(EventLog.Kind.GRANTER_LOST, what);
           }
         };
     leases =
@@ -164,7 +164,7 @@
     fitting =
         !fits
             ? null
-            : new Fitting(
+            : new HardwareReporter(
                 net,
                 config.settings.index,
                 config.leases.fitsEvery(),
@@ -173,7 +173,7 @@
                 events,
                 this);
     if (config.leases != null && config.leases.granter() >= 0) {
-      granter = new GranterDoor(net, config.leases, config.name, tap, say);
+      granter = new GrantorListener(net, config.leases, config.name, tap, say);
     }
   }
 
@@ -205,9 +205,9 @@
             config.clients,
             config.link.unsent(),
             () -> {
-              ClientLink client = new ClientLink(this);
+              FrameClientConnection client = new FrameClientConnection(this);
               clients.add(client);
-              return secured.taken(client, new FrameLink(net, mine, config.link, tap, client));
+              return secured.taken(client, new FrameConnection(net, mine, config.link, tap, client));
             });
     roster.start();
     desk.start();
@@ -219,11 +219,11 @@
       leases.start();
       if (fitting != null) {
         fitting.start(aside);
-        leases.stand(Fitting.LEASE, fitting);
+        leases.stand(HardwareReporter.LEASE, fitting);
       }
       if (config.leases.looksEvery() != null) {
-        looks = new Looks(net, ledger, events, config.leases.looksEvery(), chance, this);
-        leases.stand(Looks.LEASE, looks);
+        looks = new HealthChecker(net, ledger, events, config.leases.looksEvery(), chance, this);
+        leases.stand(HealthChecker.LEASE, looks);
       }
     }
     net.at(
@@ -245,7 +245,7 @@
     taking = true;
     listener.take();
     events.info(
-        Events.Kind.STARTED,
+        EventLog.Kind.STARTED,
         "relay "
             + config.name
             + ", number "
@@ -274,12 +274,12 @@
   private void moveUnits(TimeSpan within) {
     for (Endpoint unit : ledger.units()) {
       if (unit.door != null) {
-        ((UnitLinks) unit.door).move(within);
+        ((EndpointConnectionPool) unit.door).move(within);
       }
     }
   }
 
-  boolean proven(int relay, TlsLink by) {
+  boolean proven(int relay, TlsConnection by) {
     return secured.provenRelay(relay, by);
   }
 
@@ -295,7 +295,7 @@
 
   /** Says that something is the matter with the file of figures, which never stops routing. */
   public void figuresFile(String what) {
-    events.warn(Events.Kind.FIGURES_FILE, what);
+    events.warn(EventLog.Kind.FIGURES_FILE, what);
   }
 
   /** Some sum did not hold since this start; it stays so until the next. */
@@ -316,12 +316,12 @@
     drifting |= !drifts.isEmpty() || open != ledger.open();
     if (open != ledger.open()) {
       events.error(
-          Events.Kind.DRIFT,
+          EventLog.Kind.DRIFT,
           "rpcs open: " + open + " by the accounts, " + ledger.open() + " by count");
     }
     if (!drifts.isEmpty()) {
       events.error(
-          Events.Kind.DRIFT,
+          EventLog.Kind.DRIFT,
           drifts.get(0) + (drifts.size() > 1 ? "; and " + (drifts.size() - 1) + " more" : ""));
     }
     if (!finishing) {
@@ -351,7 +351,7 @@
       leases.stop(); // before its last RPCs end: others may do the fleet's tasks meanwhile
     }
     listener.close();
-    events.info(Events.Kind.FINISHING, ledger.open() + " RPCs are open");
+    events.info(EventLog.Kind.FINISHING, ledger.open() + " RPCs are open");
     net.at(net.now().plus(live.finishWithin), this::abortOpen);
     lookWhetherDone();
   }
@@ -360,7 +360,7 @@
   public void reload(RelayConfig anew) {
     live = anew;
     events.info(
-        Events.Kind.SETTINGS,
+        EventLog.Kind.SETTINGS,
         "taken over: limits/open "
             + anew.open
             + ", limits/open-per-client "
@@ -372,12 +372,12 @@
 
   /** Settings that were read anew can't be taken over; what holds goes on. */
   public void notReloaded(String why) {
-    events.error(Events.Kind.SETTINGS, why + "; what was read before holds");
+    events.error(EventLog.Kind.SETTINGS, why + "; what was read before holds");
   }
 
   private void abortOpen() {
     // the time that operators allow is over: an abort promises nothing, so it is always true
-    for (ClientLink client : Set.copyOf(clients)) {
+    for (FrameClientConnection client : Set.copyOf(clients)) {
       client.abortAll();
     }
     end();
@@ -408,11 +408,11 @@
       granter.stop();
     }
     secured.stop();
-    for (ClientLink client : clients) {
+    for (FrameClientConnection client : clients) {
       client.finish();
     }
     figures();
-    events.info(Events.Kind.FINISHED, "every RPC taken has its answer");
+    events.info(EventLog.Kind.FINISHED, "every RPC taken has its answer");
     net.at(net.now().plus(TimeSpan.ofMs(100)), done); // the last answers go out in this turn
   }
 
@@ -425,7 +425,7 @@
           .append(' ');
     }
     events.info(
-        Events.Kind.FIGURES,
+        EventLog.Kind.FIGURES,
         text
             + "picks "
             + accounts.sum(accounts.picks, 0)
@@ -448,12 +448,12 @@
    * An RPC: turned away unseen where a limit is reached, which is safe as it has not run; else the
    * module's.
    */
-  void called(Asked asked, Call call) {
+  void called(FrameRequest asked, Call call) {
     if (call.getMethod() < 0 || call.getMethod() >= config.settings.methods.size()) {
       accounts.begin(accounts.calls, 0, 3);
-      asked.client.answer(asked, Ending.ABORTED, 0, 0, ClientLink.NO_BODY);
+      asked.client.answer(asked, Ending.ABORTED, 0, 0, FrameClientConnection.NO_BODY);
       events.warn(
-          Events.Kind.CLIENT_REFUSED,
+          EventLog.Kind.CLIENT_REFUSED,
           "an RPC of method "
               + call.getMethod()
               + ", there are "
@@ -473,8 +473,8 @@
                         : null;
     if (full != null) {
       accounts.begin(accounts.calls, 0, 2);
-      asked.client.answer(asked, Ending.PUSHED_BACK, 0, 0, ClientLink.NO_BODY);
-      events.warn(Events.Kind.TURNED_AWAY, full);
+      asked.client.answer(asked, Ending.PUSHED_BACK, 0, 0, FrameClientConnection.NO_BODY);
+      events.warn(EventLog.Kind.TURNED_AWAY, full);
       return;
     }
     Timestamp now = net.now();
@@ -510,7 +510,7 @@
    * meanwhile.
    */
   void peerSaw(Seen seen) {
-    if (fence.admits(Looks.LEASE, seen.getNumber())) {
+    if (fence.admits(HealthChecker.LEASE, seen.getNumber())) {
       ledger.looked(seen.getUnit(), seen.getAnswered());
     }
   }
@@ -547,19 +547,19 @@
   }
 
   @Override
-  public void ended(sprucerock.relay.engine.Exchange exchange, AttemptOutcome outcome, byte[] body) {
+  public void ended(sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body) {
     boolean first = !exchange.over();
     super.ended(exchange, outcome, body);
     if (first && outcome == AttemptOutcome.OK && fitting != null) {
-      fitting.ended(exchange.pick(), ((Exchange) exchange).others);
+      fitting.ended(exchange.pick(), ((FrameExchange) exchange).others);
     }
   }
 
   @Override
-  public void look(Endpoint unit, FrameUser user, Looks.LinkTaker taker) {
-    FrameLink link = new FrameLink(net, mine, config.link, tap, user);
+  public void look(Endpoint unit, FrameListener user, HealthChecker.LinkTaker taker) {
+    FrameConnection link = new FrameConnection(net, mine, config.link, tap, user);
     taker.take(link);
-    UnitLinks door = (UnitLinks) unit.door;
+    EndpointConnectionPool door = (EndpointConnectionPool) unit.door;
     secured.toUnit(unit.id, door.address(), door.name(), link);
   }
 
@@ -578,11 +578,11 @@
     return leases == null ? null : leases.figures();
   }
 
-  void gone(ClientLink client, boolean peer, String why) {
+  void gone(FrameClientConnection client, boolean peer, String why) {
     clients.remove(client);
     if (!why.equals("closed by the other side") && !finishing) {
       events.warn(
-          Events.Kind.CLIENT_CUT,
+          EventLog.Kind.CLIENT_CUT,
           (peer ? "a relay's" : "a client's") + " connection ended: " + why);
     }
   }
@@ -590,8 +590,8 @@
   // What the units' connections tell.
 
   @Override
-  public void open(UnitLink link, InetSocketAddress to, String name) {
-    link.link = new FrameLink(net, mine, config.link, tap, link);
+  public void open(EndpointConnection link, InetSocketAddress to, String name) {
+    link.link = new FrameConnection(net, mine, config.link, tap, link);
     secured.toUnit(link.unit().id, to, name, link.link);
   }
 
@@ -599,7 +599,7 @@
   public void refused(Endpoint unit, String why) {
     boolean misnamed = why.startsWith("TLS: " + Refusal.WRONG_NAME.words());
     events.warn(
-        misnamed ? Events.Kind.UNIT_MISNAMED : Events.Kind.UNIT_REFUSED,
+        misnamed ? EventLog.Kind.UNIT_MISNAMED : EventLog.Kind.UNIT_REFUSED,
         "unit " + unit.id + ": " + why);
   }
 
@@ -615,13 +615,13 @@
 
   @Override
   public void lost(Endpoint unit, String why) {
-    events.warn(Events.Kind.UNIT_LOST, "unit " + unit.id + ": " + why);
+    events.warn(EventLog.Kind.UNIT_LOST, "unit " + unit.id + ": " + why);
   }
 
   @Override
   public void misnamed(Endpoint unit, Hello other) {
     events.warn(
-        Events.Kind.UNIT_MISNAMED,
+        EventLog.Kind.UNIT_MISNAMED,
         "unit "
             + unit.id
             + " was connected to, "
@@ -632,8 +632,8 @@
   }
 
   @Override
-  protected Exchange exchange(Attempt pick, Timestamp ends) {
-    return new Exchange(pick, ends);
+  protected FrameExchange exchange(Attempt pick, Timestamp ends) {
+    return new FrameExchange(pick, ends);
   }
 
   @Override
@@ -652,29 +652,29 @@
   }
 
   @Override
-  protected void toUnit(sprucerock.relay.engine.Exchange exchange) {
+  protected void toUnit(sprucerock.relay.engine.AttemptExchange exchange) {
     // guards against a process that stood still between the module's choice and now; the pick never
     // ran
     if (!racks.mayStillPlace(exchange.pick().unit)) {
-      endsSoon((Exchange) exchange, AttemptOutcome.NOT_CONNECTED);
+      endsSoon((FrameExchange) exchange, AttemptOutcome.NOT_CONNECTED);
     } else {
-      links(exchange).send((Exchange) exchange);
+      links(exchange).send((FrameExchange) exchange);
     }
   }
 
   @Override
-  protected boolean giveUp(sprucerock.relay.engine.Exchange exchange, boolean told) {
-    return links(exchange).giveUp((Exchange) exchange, told);
+  protected boolean giveUp(sprucerock.relay.engine.AttemptExchange exchange, boolean told) {
+    return links(exchange).giveUp((FrameExchange) exchange, told);
   }
 
-  private static UnitLinks links(sprucerock.relay.engine.Exchange exchange) {
-    return (UnitLinks) exchange.pick().unit.door;
+  private static EndpointConnectionPool links(sprucerock.relay.engine.AttemptExchange exchange) {
+    return (EndpointConnectionPool) exchange.pick().unit.door;
   }
 
   @Override
   protected void answer(
-      sprucerock.relay.engine.Asked asked,
-      sprucerock.relay.engine.Ending ending,
+      sprucerock.relay.engine.Request asked,
+      sprucerock.relay.engine.RequestOutcome ending,
       TimeSpan wait,
       long unit,
       byte[] body) {
@@ -684,7 +684,7 @@
           case PUSHED_BACK -> Ending.PUSHED_BACK;
           case ABORTED -> Ending.ABORTED;
         };
-    ((Asked) asked).client.answer((Asked) asked, told, (long) (wait.ms() * 1000), unit, body);
+    ((FrameRequest) asked).client.answer((FrameRequest) asked, told, (long) (wait.ms() * 1000), unit, body);
   }
 
   // What the module does.
--- a/src/main/java/sprucerock/relay/frames/Fitting.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -3,17 +3,17 @@
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
 import sprucerock.hardware.Cell;
-import sprucerock.hardware.Fit;
+import sprucerock.hardware.LeastSquaresFit;
 import sprucerock.hardware.Model;
-import sprucerock.hardware.Seen;
+import sprucerock.hardware.Observation;
 import sprucerock.hardware.Sums;
-import sprucerock.hardware.Tally;
-import sprucerock.lease.Fence;
-import sprucerock.lease.Guard;
+import sprucerock.hardware.SampleSums;
+import sprucerock.lease.FencingToken;
+import sprucerock.lease.LeaseCheck;
 import sprucerock.lease.Leases;
 import sprucerock.model.Attempt;
 import sprucerock.transport.net.Net;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
@@ -28,7 +28,7 @@
  * under the lease's number. A holder that is replaced has done nothing that the next one needs:
  * relays tell it what they see from then on.
  */
-final class Fitting implements Leases.Task {
+final class HardwareReporter implements Leases.Task {
   static final String LEASE = "fit";
 
   /** What it needs of the relay. */
@@ -50,27 +50,27 @@
   private final TimeSpan window;
   private final LongSupplier wallMs;
   private final IntPredicate settled;
-  private final Events events;
+  private final EventLog events;
   private final Owner owner;
-  private final Fence fence = new Fence();
+  private final FencingToken fence = new FencingToken();
   private Aside aside;
-  private Tally tally;
+  private SampleSums tally;
   private int fitter = -1;
-  private Guard guard;
-  private Seen seen;
+  private LeaseCheck guard;
+  private Observation seen;
   private boolean fits;
   private Timestamp told;
   private Model newest;
   private boolean stopped;
 
   /** {@code settled}: builds that are no part of a trial. */
-  Fitting(
+  HardwareReporter(
       Net net,
       int me,
       TimeSpan window,
       LongSupplier wallMs,
       IntPredicate settled,
-      Events events,
+      EventLog events,
       Owner owner) {
     this.net = net;
     this.me = me;
@@ -84,7 +84,7 @@
   /** {@code on}: where a fit is done, which may take a second with many families and methods. */
   void start(Aside on) {
     aside = on;
-    tally = new Tally(me, number());
+    tally = new SampleSums(me, number());
     turn();
   }
 
@@ -112,7 +112,7 @@
     }
     if (number() != tally.window()) {
       tell(tally);
-      tally = new Tally(me, number());
+      tally = new SampleSums(me, number());
     }
     if (guard != null && (told == null || net.now().since(told).over(AGAIN))) {
       told = net.now();
@@ -124,7 +124,7 @@
     net.at(net.now().plus(window.times(0.25)), this::turn);
   }
 
-  private void tell(Tally of) {
+  private void tell(SampleSums of) {
     if (guard != null) {
       seen.told(of);
       return;
@@ -151,9 +151,9 @@
   // While it holds the lease.
 
   @Override
-  public void begun(Guard by) {
+  public void begun(LeaseCheck by) {
     guard = by;
-    seen = new Seen();
+    seen = new Observation();
     told = null;
   }
 
@@ -167,16 +167,16 @@
     if (fits || seen.newest() == 0 || newest != null && newest.window() >= seen.newest()) {
       return;
     }
-    Guard by = guard;
-    Seen copy = seen.copy();
+    LeaseCheck by = guard;
+    Observation copy = seen.copy();
     Model[] model = new Model[1];
     fits =
         aside.run(
-            () -> model[0] = Fit.of(copy, 0, settled, 0),
+            () -> model[0] = LeastSquaresFit.of(copy, 0, settled, 0),
             () -> fitted(by, model[0])); // where too much waits, a quarter of a window later
   }
 
-  private void fitted(Guard by, Model model) {
+  private void fitted(LeaseCheck by, Model model) {
     fits = false;
     if (model == null || guard != by) {
       return;
@@ -210,10 +210,10 @@
   }
 
   void tallied(int relay, Tallied said) {
-    if (guard == null || said.getCellsCount() > Tally.MOST_CELLS) {
+    if (guard == null || said.getCellsCount() > SampleSums.MOST_CELLS) {
       return;
     }
-    Tally of = new Tally(relay, said.getWindow());
+    SampleSums of = new SampleSums(relay, said.getWindow());
     for (TallyCell one : said.getCellsList()) {
       boolean can =
           one.getCount() >= 1
@@ -233,7 +233,7 @@
   void worth(Worth said) {
     if (!fence.admits(LEASE, said.getNumber())) {
       events.warn(
-          Events.Kind.LEASE,
+          EventLog.Kind.LEASE,
           "a model under "
               + said.getNumber()
               + " was refused, "
@@ -259,8 +259,8 @@
     int pairs = (methods + 1) * families * families;
     boolean can =
         families > 0
-            && families <= Fit.MOST_FAMILIES
-            && methods <= Fit.MOST_METHODS
+            && families <= LeastSquaresFit.MOST_FAMILIES
+            && methods <= LeastSquaresFit.MOST_METHODS
             && said.getLogsCount() == pairs
             && said.getErrorsCount() == pairs
             && said.getCoresCount() == families
--- a/src/main/java/sprucerock/relay/frames/Looks.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -1,18 +1,18 @@
 package sprucerock.relay.frames;
 
 import com.google.protobuf.MessageLite;
-import sprucerock.lease.Guard;
+import sprucerock.lease.LeaseCheck;
 import sprucerock.lease.Leases;
 import sprucerock.accounting.RequestTracker;
-import sprucerock.relay.healthcheck.Lookout;
+import sprucerock.relay.healthcheck.HealthCheckScheduler;
 import sprucerock.model.Endpoint;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Look;
@@ -24,7 +24,7 @@
  * one question under the lease's number, one answer. What it finds is told to the other relays and
  * to this one's module, which says what it is worth.
  */
-final class Looks implements Leases.Task {
+final class HealthChecker implements Leases.Task {
   static final String LEASE = "looks";
   private static final TimeSpan PATIENCE =
       TimeSpan.ofMs(
@@ -35,7 +35,7 @@
   /** What it needs of the relay. */
   interface Owner {
     /** A connection to a unit, as any pick's. */
-    void look(Endpoint unit, FrameUser user, LinkTaker taker);
+    void look(Endpoint unit, FrameListener user, LinkTaker taker);
 
     /** What was found, for this relay's module and the others'. */
     void seen(long unit, boolean answered, long number);
@@ -43,20 +43,20 @@
 
   /** Gets the link that was begun. */
   interface LinkTaker {
-    void take(FrameLink link);
+    void take(FrameConnection link);
   }
 
   private final Net net;
   private final RequestTracker ledger;
-  private final Events events;
+  private final EventLog events;
   private final TimeSpan every;
   private final DeterministicRandom chance;
   private final Owner owner;
-  private Lookout lookout;
-  private Guard guard;
+  private HealthCheckScheduler lookout;
+  private LeaseCheck guard;
   private int open;
 
-  Looks(Net net, RequestTracker ledger, Events events, TimeSpan every, DeterministicRandom chance, Owner owner) {
+  HealthChecker(Net net, RequestTracker ledger, EventLog events, TimeSpan every, DeterministicRandom chance, Owner owner) {
     this.net = net;
     this.ledger = ledger;
     this.events = events;
@@ -66,9 +66,9 @@
   }
 
   @Override
-  public void begun(Guard by) {
+  public void begun(LeaseCheck by) {
     guard = by;
-    lookout = new Lookout(chance::next);
+    lookout = new HealthCheckScheduler(chance::next);
     for (Endpoint unit : ledger.units()) {
       listed(unit);
     }
@@ -95,7 +95,7 @@
     guard = null;
   }
 
-  private void turn(Guard by) {
+  private void turn(LeaseCheck by) {
     if (guard != by) {
       return;
     }
@@ -111,15 +111,15 @@
     net.at(net.now().plus(every), () -> turn(by));
   }
 
-  private final class One implements FrameUser {
-    private final Guard by;
+  private final class One implements FrameListener {
+    private final LeaseCheck by;
     private final Endpoint unit;
     private final long number;
-    private FrameLink link;
+    private FrameConnection link;
     private Timer late;
     private boolean done;
 
-    One(Guard by, Endpoint unit, long number) {
+    One(LeaseCheck by, Endpoint unit, long number) {
       this.by = by;
       this.unit = unit;
       this.number = number;
@@ -144,7 +144,7 @@
       link.cut("looked at");
       if (looked != null && !looked.getTaken()) {
         events.warn(
-            Events.Kind.LEASE,
+            EventLog.Kind.LEASE,
             "a look under "
                 + number
                 + " was refused by unit "
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (other.getRole() != Role.UNIT || Integer.toUnsignedLong(other.getNumber()) != unit.id) {
         end(null);
       }
@@ -174,7 +174,7 @@
               made.send(
                   Kind.LOOK,
                   Look.newBuilder().setLease(LEASE).setNumber(number).build(),
-                  ClientLink.NO_BODY))) {
+                  FrameClientConnection.NO_BODY))) {
         end(null);
       }
     }
--- a/src/main/java/sprucerock/relay/frames/Peers.java
+++ b/src/main/java/sprucerock/relay/frames/Peers.java
@@ -7,12 +7,12 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.transport.net.Net;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.stats.DeterministicRandom;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
@@ -28,11 +28,11 @@
   private final RelayConfig config;
   private final Hello mine;
   private final Tap tap;
-  private final Events events;
+  private final EventLog events;
   private final DeterministicRandom chance;
-  private final Map<Integer, Redial> links = new TreeMap<>();
+  private final Map<Integer, ReconnectingConnection> links = new TreeMap<>();
   private final MethodAccounts accounts;
-  private final Secured secured;
+  private final TlsConnections secured;
   private boolean stopping;
 
   Peers(
@@ -40,10 +40,10 @@
       RelayConfig config,
       Hello mine,
       Tap tap,
-      Events events,
+      EventLog events,
       DeterministicRandom chance,
       MethodAccounts accounts,
-      Secured secured) {
+      TlsConnections secured) {
     this.accounts = accounts;
     this.secured = secured;
     this.net = net;
@@ -63,10 +63,10 @@
     if (address == null || stopping) {
       return false;
     }
-    Redial link = links.get(number);
+    ReconnectingConnection link = links.get(number);
     if (link == null) {
       link =
-          new Redial(
+          new ReconnectingConnection(
               net,
               secured.toPeer(number),
               address,
@@ -86,13 +86,13 @@
   /** To all, or dropped. */
   void tellAll(Kind kind, MessageLite head) {
     for (int number : config.peers.keySet()) {
-      tell(number, kind, head, ClientLink.NO_BODY);
+      tell(number, kind, head, FrameClientConnection.NO_BODY);
     }
   }
 
   /** To one, or dropped. */
   void tell(int number, Kind kind, MessageLite head) {
-    tell(number, kind, head, ClientLink.NO_BODY);
+    tell(number, kind, head, FrameClientConnection.NO_BODY);
   }
 
   /** What a look found, to all. */
@@ -112,12 +112,12 @@
 
   void stop() {
     stopping = true;
-    for (Redial link : links.values()) {
+    for (ReconnectingConnection link : links.values()) {
       link.stop();
     }
   }
 
-  private final class Other implements FrameUser {
+  private final class Other implements FrameListener {
     private final int number;
 
     Other(int number) {
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void greeted(FrameLink link, Hello other) {
+    public void greeted(FrameConnection link, Hello other) {
       if (other.getRole() != Role.RELAY || other.getNumber() != number) {
         link.cut("another one answers there");
       }
@@ -140,7 +140,7 @@
     public void closed(String why) {
       if (!stopping) {
         events.warn(
-            Events.Kind.PEER_LOST, "relay " + number + ": " + why + "; messages to it are dropped");
+            EventLog.Kind.PEER_LOST, "relay " + number + ": " + why + "; messages to it are dropped");
       }
     }
   }
--- a/src/main/java/sprucerock/relay/frames/Racks.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -6,9 +6,9 @@
 import sprucerock.model.Endpoint;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.relay.engine.Events;
-import sprucerock.relay.snapshot.Picture;
-import sprucerock.relay.snapshot.Shared;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.relay.snapshot.RackSnapshot;
+import sprucerock.relay.snapshot.SharedSnapshot;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
@@ -23,7 +23,7 @@
  * there are, and one may be frozen while it starts. Cut off from the controller it goes on by what
  * it was promised, and stops rack by rack as that runs out.
  */
-public final class Racks {
+public final class RackPermits {
   /** What it needs of the relay. */
   public interface Owner {
     /** False where nobody can be asked. */
@@ -42,10 +42,10 @@
 
   private final Net net;
   private final RelayConfig config;
-  private final Events events;
+  private final EventLog events;
   private final DeterministicRandom chance;
   private final Owner owner;
-  private final Shared shared = new Shared();
+  private final SharedSnapshot shared = new SharedSnapshot();
   private final Map<Long, Timestamp> asked = new HashMap<>();
   // Told whole once; by its number a controller names only racks that are free for less than their
   // notice. One that knows of no lists
@@ -60,7 +60,7 @@
   private boolean stopped;
 
   /** It asks nobody yet, see {@link #start}. */
-  public Racks(Net net, RelayConfig config, Events events, DeterministicRandom chance, Owner owner) {
+  public RackPermits(Net net, RelayConfig config, EventLog events, DeterministicRandom chance, Owner owner) {
     this.net = net;
     this.config = config;
     this.events = events;
@@ -117,13 +117,13 @@
     }
     if (promised.getEpoch() < epoch) {
       events.warn(
-          Events.Kind.NEWS_REFUSED,
+          EventLog.Kind.NEWS_REFUSED,
           "a promise of epoch " + promised.getEpoch() + ", " + epoch + " was heard");
       return;
     }
     if (promised.getRest()
         && promised.getList() != list) { // never asked for: what it leaves out can't be known
-      events.warn(Events.Kind.NEWS_REFUSED, "a promise by a list of racks that was not told");
+      events.warn(EventLog.Kind.NEWS_REFUSED, "a promise by a list of racks that was not told");
       list = NO_LIST;
       return;
     }
@@ -137,10 +137,10 @@
     }
     for (RackFree rack : promised.getRacksList()) {
       until.put(
-          Picture.key(rack.getZone(), rack.getCell()),
+          RackSnapshot.key(rack.getZone(), rack.getCell()),
           from.plus(TimeSpan.ofMs(rack.getLeftMs() * shorter)));
     }
-    if (!shared.put(new Picture(promised.getSequence(), until))) {
+    if (!shared.put(new RackSnapshot(promised.getSequence(), until))) {
       return;
     }
     boolean first = !told;
@@ -158,7 +158,7 @@
       return;
     }
     for (RackFree rack : whole.getRacksList()) {
-      notices.put(Picture.key(rack.getZone(), rack.getCell()), TimeSpan.ofMs(rack.getNoticeMs()));
+      notices.put(RackSnapshot.key(rack.getZone(), rack.getCell()), TimeSpan.ofMs(rack.getNoticeMs()));
     }
   }
 
@@ -201,6 +201,6 @@
   }
 
   private boolean mayPlace(int zone, int cell, Timestamp now, TimeSpan takes) {
-    return told() && shared.take().mayPlace(Picture.key(zone, cell), now.ms(), takes.ms());
+    return told() && shared.take().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
   }
 }
--- a/src/main/java/sprucerock/relay/frames/Secured.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import sprucerock.config.RelayConfig;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
 import sprucerock.transport.tls.Material;
@@ -15,14 +15,14 @@
 import sprucerock.transport.tls.Refusal;
 import sprucerock.transport.tls.RefusedException;
 import sprucerock.transport.tls.Tls;
-import sprucerock.transport.tls.TlsLink;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.tls.TlsConnection;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.ReconnectingConnection;
 
 /**
  * Which of a relay's connections are by TLS, and with whom; counts and tells what becomes of them.
  */
-final class Secured implements Tls.Owner {
+final class TlsConnections implements Tls.Owner {
   /** Whose connections are to be replaced once credentials have changed. */
   interface Movers {
     void move(TimeSpan within);
@@ -30,12 +30,12 @@
 
   private final RelayConfig config;
   private final Net net;
-  private final Events events;
+  private final EventLog events;
   private final MethodAccounts accounts;
   private Movers movers;
   private Tls tls;
 
-  Secured(RelayConfig config, Net net, Events events, MethodAccounts accounts) {
+  TlsConnections(RelayConfig config, Net net, EventLog events, MethodAccounts accounts) {
     this.config = config;
     this.net = net;
     this.events = events;
@@ -65,7 +65,7 @@
     return tls;
   }
 
-  void toUnit(long unit, InetSocketAddress to, String name, FrameLink user) {
+  void toUnit(long unit, InetSocketAddress to, String name, FrameConnection user) {
     if (tls == null || !config.tlsUnits) {
       net.connect(to, config.connectWithin, config.link.unsent(), user);
     } else {
@@ -73,7 +73,7 @@
     }
   }
 
-  Redial.Connector toPeer(int number) {
+  ReconnectingConnection.Connector toPeer(int number) {
     if (!config.tlsPeers) {
       return net::connect;
     }
@@ -82,11 +82,11 @@
   }
 
   /** What a taken connection has before its user. */
-  LinkUser taken(ClientLink client, FrameLink user) {
+  ConnectionListener taken(FrameClientConnection client, FrameConnection user) {
     if (!config.tlsClients) {
       return user;
     }
-    TlsLink link = tls.take(config.provenClients, user);
+    TlsConnection link = tls.take(config.provenClients, user);
     client.by(link);
     return link;
   }
@@ -94,7 +94,7 @@
   /**
    * Whether who says that it is a relay of a number has proven it; true where relays don't have to.
    */
-  boolean provenRelay(int number, TlsLink by) {
+  boolean provenRelay(int number, TlsConnection by) {
     if (!config.tlsPeers) {
       return true;
     }
@@ -130,10 +130,10 @@
     accounts.begin(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
     if (wrong == null) {
       events.info(
-          Events.Kind.TLS_FILES,
+          EventLog.Kind.TLS_FILES,
           "new key and trust are in use; the certificate has " + tls.daysLeft() + " days left");
     } else {
-      events.error(Events.Kind.TLS_FILES, wrong + "; key and trust stay as they were");
+      events.error(EventLog.Kind.TLS_FILES, wrong + "; key and trust stay as they were");
     }
   }
 
--- a/src/main/java/sprucerock/relay/healthcheck/Lookout.java
+++ b/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
@@ -15,7 +15,7 @@
  * better; it is looked at seldom. Nothing here outlives its holder: the next one begins anew, at
  * chance places.
  */
-public final class Lookout {
+public final class HealthCheckScheduler {
   private static final TimeSpan BUSY =
       TimeSpan.ofMs(2000); // called within this: those who call see for themselves
   private static final TimeSpan SELDOM = TimeSpan.ofMs(10_000);
@@ -49,7 +49,7 @@
   private final TreeSet<Known> byTurn = new TreeSet<>(BY_TURN);
 
   /** {@code chance} gives numbers from 0 to under 1. */
-  public Lookout(DoubleSupplier chance) {
+  public HealthCheckScheduler(DoubleSupplier chance) {
     this.chance = chance;
   }
 
--- a/src/main/java/sprucerock/relay/platform/ClientDoor.java
+++ b/src/main/java/sprucerock/relay/platform/ClientListener.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import sprucerock.model.Method;
 import sprucerock.transport.net.Net;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -18,12 +18,12 @@
  * Where clients come in. Their number is bounded: when full, one that never spoke or stands idle
  * gives way, else a new one does.
  */
-final class ClientDoor {
+final class ClientListener {
   /** What the door needs of the relay. */
   interface Owner {
-    void arrived(ClientAsked asked);
+    void arrived(PlatformRequest asked);
 
-    void left(ClientAsked asked);
+    void left(PlatformRequest asked);
   }
 
   private static final TimeSpan PATIENCE =
@@ -35,13 +35,13 @@
   private static final long UNSENT = 512 * 1024;
 
   private final Net net;
-  private final Events events;
+  private final EventLog events;
   private final Owner owner;
   private final Map<String, Method> methods;
   private final int enough;
   private final int most;
-  private final Set<ClientLink> links = new LinkedHashSet<>();
-  private final Map<String, ClientAsked> open = new HashMap<>();
+  private final Set<PlatformClientConnection> links = new LinkedHashSet<>();
+  private final Map<String, PlatformRequest> open = new HashMap<>();
   private Net.Listener listener;
   private boolean leaving;
   private boolean refusing;
@@ -50,8 +50,8 @@
    * {@code enough}: beyond it quiet ones give way, so that clients with a bound of their own can
    * come; {@code most} is never passed.
    */
-  ClientDoor(
-      Net net, Events events, Owner owner, Map<String, Method> methods, int enough, int most) {
+  ClientListener(
+      Net net, EventLog events, Owner owner, Map<String, Method> methods, int enough, int most) {
     this.net = net;
     this.events = events;
     this.owner = owner;
@@ -67,14 +67,14 @@
             most + SPARE,
             UNSENT,
             () -> {
-              ClientLink link = new ClientLink(this, net.now(), leaving);
+              PlatformClientConnection link = new PlatformClientConnection(this, net.now(), leaving);
               links.add(link);
               return link;
             });
     listener.turnedAway(
         () ->
             events.warn(
-                Events.Kind.TURNED_AWAY,
+                EventLog.Kind.TURNED_AWAY,
                 "a client as it came: " + (most + SPARE) + " connections are open"));
     look();
   }
@@ -88,7 +88,7 @@
   }
 
   /** It was taken. */
-  void up(ClientLink link) {
+  void up(PlatformClientConnection link) {
     if (links.size() > enough) {
       later(() -> makeRoom(link));
     }
@@ -100,8 +100,8 @@
    * answered and no more may come the newest goes, unless it has asked too: whose request was taken
    * is never cut off.
    */
-  private void makeRoom(ClientLink newest) {
-    ClientLink goes = quietest(newest);
+  private void makeRoom(PlatformClientConnection newest) {
+    PlatformClientConnection goes = quietest(newest);
     if (goes != null) {
       goes.giveWay();
     } else if (links.size() > most && newest.quietFor(TimeSpan.ZERO)) {
@@ -109,9 +109,9 @@
     }
   }
 
-  private ClientLink quietest(ClientLink but) {
-    ClientLink found = null;
-    for (ClientLink link : links) {
+  private PlatformClientConnection quietest(PlatformClientConnection but) {
+    PlatformClientConnection found = null;
+    for (PlatformClientConnection link : links) {
       if (link == but || !link.quietFor(SPEAKS)) {
         continue;
       }
@@ -125,12 +125,12 @@
   }
 
   private void look() {
-    for (ClientLink link : new ArrayList<>(links)) {
+    for (PlatformClientConnection link : new ArrayList<>(links)) {
       link.look(PATIENCE);
     }
     // not only as one comes: clients that have reached a bound of their own send none
     int over = links.size() - enough;
-    for (ClientLink quiet = quietest(null);
+    for (PlatformClientConnection quiet = quietest(null);
         over > 0 && quiet != null;
         quiet = quietest(null), over--) {
       quiet.giveWay();
@@ -155,30 +155,30 @@
   }
 
   /** Null where it may be asked; else why not. */
-  String take(ClientAsked asked) {
+  String take(PlatformRequest asked) {
     if (open.putIfAbsent(asked.statement.id, asked) == null) {
       return null;
     }
     return "a request of the same id is open";
   }
 
-  void over(ClientAsked asked) {
+  void over(PlatformRequest asked) {
     open.remove(asked.statement.id, asked);
   }
 
-  void arrived(ClientAsked asked) {
+  void arrived(PlatformRequest asked) {
     owner.arrived(asked);
   }
 
-  void left(ClientAsked asked) {
+  void left(PlatformRequest asked) {
     owner.left(asked);
   }
 
   void refused(String why) {
-    events.warn(Events.Kind.CLIENT_REFUSED, why);
+    events.warn(EventLog.Kind.CLIENT_REFUSED, why);
   }
 
-  void gone(ClientLink link) {
+  void gone(PlatformClientConnection link) {
     links.remove(link);
   }
 
@@ -188,7 +188,7 @@
    * commands; who comes later is served once.
    */
   void shutdown(TimeSpan still, TimeSpan last) {
-    List<ClientLink> all = new ArrayList<>(links);
+    List<PlatformClientConnection> all = new ArrayList<>(links);
     for (int i = 0; i < all.size(); i++) {
       net.at(
           net.now().plus(still.plus(last.minus(still).times((double) i / all.size()))),
@@ -199,7 +199,7 @@
         net.now().plus(last),
         () -> {
           leaving = true;
-          for (ClientLink link : new ArrayList<>(links)) {
+          for (PlatformClientConnection link : new ArrayList<>(links)) {
             link.leaveSoon();
           }
         });
@@ -208,7 +208,7 @@
   /** From now on what comes is refused, and what has nothing open closes. */
   void refuse() {
     refusing = true;
-    for (ClientLink link : new ArrayList<>(links)) {
+    for (PlatformClientConnection link : new ArrayList<>(links)) {
       link.leaveNow();
     }
   }
@@ -218,7 +218,7 @@
   }
 
   /** The relay's time is over: what is open gets an answer that promises nothing. */
-  List<ClientAsked> open() {
+  List<PlatformRequest> open() {
     return new ArrayList<>(open.values());
   }
 }
--- a/src/main/java/sprucerock/relay/platform/Discovery.java
+++ b/src/main/java/sprucerock/relay/platform/Discovery.java
@@ -24,12 +24,12 @@
 import sprucerock.accounting.RequestTracker;
 import sprucerock.model.Endpoint;
 import sprucerock.transport.net.Net;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
 /** What discovery says of the units, told to the ledger; and each unit's connections. */
-final class Discovery implements Feed.Reader {
+final class Discovery implements Watch.Reader {
   private static final int LIST = 1024 * 1024; // some thousand units
   private static final int UNITS = 4096;
   private static final TimeSpan SILENCE = TimeSpan.ofMs(3000); // an empty line comes every two seconds
@@ -50,8 +50,8 @@
 
   private final Net net;
   private final RequestTracker ledger;
-  private final Events events;
-  private final UnitDoors doors;
+  private final EventLog events;
+  private final PlatformConnectionPools doors;
   private final List<String> zones;
   private final List<String> kinds;
 
@@ -60,7 +60,7 @@
 
   private final Runnable learnt;
   private final Runnable lost;
-  private final Feed feed;
+  private final Watch feed;
   private final TreeMap<Long, String> names = new TreeMap<>();
 
   /** Who told last. */
@@ -73,8 +73,8 @@
       Net net,
       PlatformConfig config,
       RequestTracker ledger,
-      Events events,
-      UnitDoors doors,
+      EventLog events,
+      PlatformConnectionPools doors,
       Timestamp unix,
       DoubleSupplier dice,
       Runnable learnt,
@@ -88,7 +88,7 @@
     this.lost = lost;
     zones = config.zones;
     kinds = config.kinds;
-    feed = new Feed(net, config.discovery, SILENCE, ANSWERS, WITHIN, dice, this);
+    feed = new Watch(net, config.discovery, SILENCE, ANSWERS, WITHIN, dice, this);
   }
 
   /** Takes the list as it was known last, and asks for what changed since. */
@@ -99,7 +99,7 @@
         take(known);
       } catch (HttpException e) {
         events.warn(
-            Events.Kind.LISTING_REFUSED, "the list in the configuration: " + e.getMessage());
+            EventLog.Kind.LISTING_REFUSED, "the list in the configuration: " + e.getMessage());
       }
     }
     listed = false;
@@ -131,12 +131,12 @@
   }
 
   @Override
-  public Feed.Answer asks() {
+  public Watch.Answer asks() {
     return new Telling();
   }
 
   /** One watch's answer. */
-  private final class Telling implements Feed.Answer {
+  private final class Telling implements Watch.Answer {
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private TokenBuffer list;
@@ -280,7 +280,7 @@
 
   @Override
   public void lost(String why) {
-    events.warn(Events.Kind.ROSTER_LOST, why + "; the units listed last hold");
+    events.warn(EventLog.Kind.ROSTER_LOST, why + "; the units listed last hold");
     lost.run();
   }
 
@@ -303,7 +303,7 @@
       String wrong = entry(entry, named);
       if (wrong != null) {
         events.warn(
-            Events.Kind.LISTING_REFUSED,
+            EventLog.Kind.LISTING_REFUSED,
             "unit " + entry.path("id").asText("?") + " has " + wrong + "; the entry is left out");
       }
     }
@@ -369,7 +369,7 @@
     Endpoint known = ledger.unit(id);
     boolean sameRun = known != null && known.sameRun(build, started);
     boolean moved =
-        sameRun && known.door != null && !((UnitDoor) known.door).address.equals(address);
+        sameRun && known.door != null && !((PlatformConnectionPool) known.door).address.equals(address);
     if (known != null && (!sameRun || moved)) {
       leave(known);
     }
@@ -387,9 +387,9 @@
             weight,
             state.equals("SERVING"));
     if (unit.door == null) {
-      unit.door = new UnitDoor(unit, address, doors);
+      unit.door = new PlatformConnectionPool(unit, address, doors);
     } else if (state.equals("SERVING")) {
-      ((UnitDoor) unit.door).back();
+      ((PlatformConnectionPool) unit.door).back();
     }
     if (state.equals("DRAINING")) {
       leave(unit);
@@ -409,7 +409,7 @@
 
   private static void leave(Endpoint unit) {
     if (unit.door != null) {
-      ((UnitDoor) unit.door).leave();
+      ((PlatformConnectionPool) unit.door).leave();
     }
   }
 }
--- a/src/main/java/sprucerock/relay/platform/PgExchange.java
+++ b/src/main/java/sprucerock/relay/platform/PgExchange.java
@@ -2,13 +2,13 @@
 
 import sprucerock.model.Attempt;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.relay.engine.Exchange;
+import sprucerock.relay.engine.AttemptExchange;
 import sprucerock.time.Timestamp;
 
 /** A pick on its way to a unit that speaks PostgreSQL's protocol. */
-final class PgExchange extends Exchange {
+final class PgExchange extends AttemptExchange {
   /** Null while it waits for a connection. */
-  UnitLink link;
+  PlatformEndpointConnection link;
 
   Timer waiting;
 
@@ -17,6 +17,6 @@
   }
 
   Statement statement() {
-    return ((ClientAsked) pick().rpc.door).statement;
+    return ((PlatformRequest) pick().rpc.door).statement;
   }
 }
--- a/src/main/java/sprucerock/relay/platform/ClientLink.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformClientConnection.java
@@ -2,20 +2,20 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.postgres.Messages;
 import sprucerock.transport.postgres.ProtocolException;
 import sprucerock.transport.postgres.Reader;
 import sprucerock.transport.postgres.Writer;
-import sprucerock.relay.engine.Ending;
+import sprucerock.relay.engine.RequestOutcome;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
 /**
  * A client's connection: one command at a time, answered in order; a bounded number wait behind it.
  */
-final class ClientLink implements LinkUser, Messages.User {
+final class PlatformClientConnection implements ConnectionListener, Messages.User {
   private static final int MESSAGE =
       160 * 1024; // a value of 64 KiB in hexadecimal, and its statement
   private static final int WAITING =
@@ -37,12 +37,12 @@
     CLOSED
   }
 
-  private final ClientDoor door;
+  private final ClientListener door;
   private final Messages in = Messages.ofClient(MESSAGE);
   private final ArrayDeque<Command> waiting = new ArrayDeque<>();
   private final Timestamp cameAt;
   private int waitingBytes;
-  private Link link;
+  private Connection link;
   private boolean started;
   private boolean asked;
   private At at = At.OPEN;
@@ -50,12 +50,12 @@
   /** It is to close between two commands. */
   private boolean leaves;
 
-  private ClientAsked open;
+  private PlatformRequest open;
   private Timestamp partialSince;
   private Timestamp quietSince;
 
   /** {@code leaves}: it came as the relay was about to end, and is served once. */
-  ClientLink(ClientDoor door, Timestamp now, boolean leaves) {
+  PlatformClientConnection(ClientListener door, Timestamp now, boolean leaves) {
     this.door = door;
     this.leaves = leaves;
     cameAt = now;
@@ -63,7 +63,7 @@
   }
 
   @Override
-  public void up(Link made) {
+  public void up(Connection made) {
     link = made;
     door.up(this);
   }
@@ -158,7 +158,7 @@
     String wrong;
     try {
       Statement statement = door.read(text);
-      ClientAsked made = new ClientAsked(this, statement);
+      PlatformRequest made = new PlatformRequest(this, statement);
       wrong = door.take(made);
       if (wrong == null) {
         open = made;
@@ -193,7 +193,7 @@
   }
 
   /** The one final answer; none goes to a client that left. */
-  void answer(ClientAsked one, Ending ending, TimeSpan wait, byte[] body) {
+  void answer(PlatformRequest one, RequestOutcome ending, TimeSpan wait, byte[] body) {
     one.over();
     if (!open() || open != one) {
       return;
@@ -222,7 +222,7 @@
     }
   }
 
-  void over(ClientAsked one) {
+  void over(PlatformRequest one) {
     door.over(one);
   }
 
@@ -256,7 +256,7 @@
     if (open == null) {
       return;
     }
-    ClientAsked gone = open;
+    PlatformRequest gone = open;
     open = null;
     door.left(gone);
   }
--- a/src/main/java/sprucerock/relay/platform/UnitDoor.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformConnectionPool.java
@@ -16,19 +16,19 @@
  * they are used. A pick that finds none waits for one, for as long as a connection may take. Which
  * unit gets a pick is none of its business.
  */
-final class UnitDoor {
+final class PlatformConnectionPool {
   final Endpoint unit;
   final InetSocketAddress address;
-  private final UnitDoors doors;
-  private final Set<UnitLink> links = new LinkedHashSet<>();
+  private final PlatformConnectionPools doors;
+  private final Set<PlatformEndpointConnection> links = new LinkedHashSet<>();
 
   /** Idle ones, the one used last in front. */
-  private final ArrayDeque<UnitLink> idle = new ArrayDeque<>();
+  private final ArrayDeque<PlatformEndpointConnection> idle = new ArrayDeque<>();
 
   private final ArrayDeque<PgExchange> waiting = new ArrayDeque<>();
   private boolean left;
 
-  UnitDoor(Endpoint unit, InetSocketAddress address, UnitDoors doors) {
+  PlatformConnectionPool(Endpoint unit, InetSocketAddress address, PlatformConnectionPools doors) {
     this.unit = unit;
     this.address = address;
     this.doors = doors;
@@ -43,7 +43,7 @@
   }
 
   void send(PgExchange exchange) {
-    UnitLink link = ready();
+    PlatformEndpointConnection link = ready();
     if (link != null) {
       link.send(exchange);
       return;
@@ -51,7 +51,7 @@
     boolean opens = starting() <= waiting.size();
     if (opens && !doors.mayOpen()) {
       opens = false;
-      if (links.stream().noneMatch(UnitLink::settling)) {
+      if (links.stream().noneMatch(PlatformEndpointConnection::settling)) {
         doors.endsSoon(exchange, AttemptOutcome.NOT_CONNECTED);
         return;
       }
@@ -66,7 +66,7 @@
               }
             });
     if (opens) {
-      UnitLink made = new UnitLink(this);
+      PlatformEndpointConnection made = new PlatformEndpointConnection(this);
       links.add(made);
       doors.open(made, address);
     }
@@ -74,7 +74,7 @@
 
   private int starting() {
     int count = 0;
-    for (UnitLink link : links) {
+    for (PlatformEndpointConnection link : links) {
       if (link.starting()) {
         count++;
       }
@@ -86,9 +86,9 @@
    * The idle one used last; closes those that were to be closed by now, where a loop that stood
    * still has not come to it.
    */
-  private UnitLink ready() {
+  private PlatformEndpointConnection ready() {
     while (!idle.isEmpty()) {
-      UnitLink link = idle.poll();
+      PlatformEndpointConnection link = idle.poll();
       doors.used(link);
       if (!doors.idleTooLong(link)) {
         return link;
@@ -98,7 +98,7 @@
     return null;
   }
 
-  void idle(UnitLink link) {
+  void idle(PlatformEndpointConnection link) {
     PgExchange next = null;
     while (next == null && !waiting.isEmpty()) {
       next = waiting.poll();
@@ -119,12 +119,12 @@
   }
 
   /** An idle one gives way to others, or was not used for long. */
-  void drop(UnitLink link) {
+  void drop(PlatformEndpointConnection link) {
     idle.remove(link);
     link.close();
   }
 
-  void down(UnitLink link, AttemptOutcome startFailed, String why) {
+  void down(PlatformEndpointConnection link, AttemptOutcome startFailed, String why) {
     links.remove(link);
     idle.remove(link);
     doors.used(link);
@@ -140,7 +140,7 @@
     doors.endsSoon(first, startFailed);
   }
 
-  void gone(UnitLink link) {
+  void gone(PlatformEndpointConnection link) {
     doors.closed();
   }
 
@@ -198,12 +198,12 @@
       next.waiting.cancel();
       doors.endsSoon(next, AttemptOutcome.NOT_CONNECTED);
     }
-    for (UnitLink link : new ArrayList<>(idle)) {
+    for (PlatformEndpointConnection link : new ArrayList<>(idle)) {
       drop(link);
     }
     // guards against what was placed in the turn in which this came: it would be written after the
     // unit was told of as leaving
-    for (UnitLink link : new ArrayList<>(links)) {
+    for (PlatformEndpointConnection link : new ArrayList<>(links)) {
       if (link.unsent()) {
         link.cut("its unit takes nothing new");
       }
--- a/src/main/java/sprucerock/relay/platform/UnitDoors.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformConnectionPools.java
@@ -8,7 +8,7 @@
 import sprucerock.model.Endpoint;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -16,33 +16,33 @@
  * What the connections to all units share: their number is bounded, and idle ones give way or close
  * in time.
  */
-final class UnitDoors {
+final class PlatformConnectionPools {
   /** What the doors need of the relay. */
   interface Owner {
-    void ended(sprucerock.relay.engine.Exchange exchange, AttemptOutcome outcome, byte[] body);
+    void ended(sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
 
-    void endsSoon(sprucerock.relay.engine.Exchange exchange, AttemptOutcome outcome);
+    void endsSoon(sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
 
-    void written(sprucerock.relay.engine.Exchange exchange);
+    void written(sprucerock.relay.engine.AttemptExchange exchange);
   }
 
   private static final long UNSENT = 512 * 1024;
   private static final TimeSpan LOOK = TimeSpan.ofMs(100);
 
   private final Net net;
-  private final Events events;
+  private final EventLog events;
   private final Owner owner;
   private final int most;
   private final TimeSpan keepIdle;
   private final TimeSpan connectWithin;
 
   /** The one idle for longest first. */
-  private final Map<UnitLink, UnitDoor> idle = new LinkedHashMap<>();
+  private final Map<PlatformEndpointConnection, PlatformConnectionPool> idle = new LinkedHashMap<>();
 
   private int open;
 
   /** {@code idleEnds}: units close what stands idle for so long; here it is closed well before. */
-  UnitDoors(Net net, Events events, Owner owner, int most, TimeSpan idleEnds, TimeSpan connectWithin) {
+  PlatformConnectionPools(Net net, EventLog events, Owner owner, int most, TimeSpan idleEnds, TimeSpan connectWithin) {
     this.net = net;
     this.events = events;
     this.owner = owner;
@@ -53,9 +53,9 @@
   }
 
   void start() {
-    for (Iterator<Map.Entry<UnitLink, UnitDoor>> each = idle.entrySet().iterator();
+    for (Iterator<Map.Entry<PlatformEndpointConnection, PlatformConnectionPool>> each = idle.entrySet().iterator();
         each.hasNext(); ) {
-      Map.Entry<UnitLink, UnitDoor> next = each.next();
+      Map.Entry<PlatformEndpointConnection, PlatformConnectionPool> next = each.next();
       if (!idleTooLong(next.getKey())) {
         break;
       }
@@ -66,7 +66,7 @@
   }
 
   /** Its unit may be about to close it; by the clock read anew, as a turn may take long. */
-  boolean idleTooLong(UnitLink link) {
+  boolean idleTooLong(PlatformEndpointConnection link) {
     return net.clock().since(link.idleSince).over(keepIdle);
   }
 
@@ -103,17 +103,17 @@
     if (open < most) {
       return true;
     }
-    Iterator<Map.Entry<UnitLink, UnitDoor>> first = idle.entrySet().iterator();
+    Iterator<Map.Entry<PlatformEndpointConnection, PlatformConnectionPool>> first = idle.entrySet().iterator();
     if (!first.hasNext()) {
       return false;
     }
-    Map.Entry<UnitLink, UnitDoor> goes = first.next();
+    Map.Entry<PlatformEndpointConnection, PlatformConnectionPool> goes = first.next();
     first.remove();
     goes.getValue().drop(goes.getKey());
     return true;
   }
 
-  void open(UnitLink link, InetSocketAddress to) {
+  void open(PlatformEndpointConnection link, InetSocketAddress to) {
     open++;
     link.connecting(net.connect(to, connectWithin, UNSENT, link));
     net.patiently(
@@ -129,20 +129,20 @@
     open--;
   }
 
-  void idle(UnitLink link, UnitDoor door) {
+  void idle(PlatformEndpointConnection link, PlatformConnectionPool door) {
     idle.put(link, door);
   }
 
-  void used(UnitLink link) {
+  void used(PlatformEndpointConnection link) {
     idle.remove(link);
   }
 
   void lost(Endpoint unit, String why) {
-    events.warn(Events.Kind.UNIT_LOST, "unit " + unit.id + ": " + why);
+    events.warn(EventLog.Kind.UNIT_LOST, "unit " + unit.id + ": " + why);
   }
 
   void spoilt(Endpoint unit, String why) {
-    events.warn(Events.Kind.PLATFORM_UNREADABLE, "unit " + unit.id + " sent " + why);
+    events.warn(EventLog.Kind.PLATFORM_UNREADABLE, "unit " + unit.id + " sent " + why);
   }
 
   void written(PgExchange exchange) {
--- a/src/main/java/sprucerock/relay/platform/UnitLink.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformEndpointConnection.java
@@ -2,8 +2,8 @@
 
 import java.nio.ByteBuffer;
 import sprucerock.model.AttemptOutcome;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.postgres.Messages;
 import sprucerock.transport.postgres.ProtocolException;
@@ -17,7 +17,7 @@
  * not whole ends its pick as broken, and a connection on which anything came that was not asked for
  * is closed, as nobody can tell what follows.
  */
-final class UnitLink implements LinkUser, Messages.User {
+final class PlatformEndpointConnection implements ConnectionListener, Messages.User {
   /**
    * SETTLING: answered and ready again, but what came behind the answer by now may still be on its
    * way.
@@ -40,9 +40,9 @@
   private static final long NOT_WRITTEN = Long.MAX_VALUE;
   private static final byte[] STARTUP = Writer.startup("svc", "main");
 
-  private final UnitDoor door;
+  private final PlatformConnectionPool door;
   private final Messages in = Messages.ofServer(MESSAGE);
-  private Link link;
+  private Connection link;
   private At at = At.STARTING;
   private boolean authenticated;
   private boolean closed;
@@ -60,11 +60,11 @@
   /** Its unit can't have been without work on it for longer than since then. */
   Timestamp idleSince;
 
-  UnitLink(UnitDoor door) {
+  PlatformEndpointConnection(PlatformConnectionPool door) {
     this.door = door;
   }
 
-  void connecting(Link made) {
+  void connecting(Connection made) {
     link = made;
   }
 
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void up(Link made) {
+  public void up(Connection made) {
     link = made;
     link.append(STARTUP);
   }
--- a/src/main/java/sprucerock/relay/platform/Serving.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -11,11 +11,11 @@
 import sprucerock.model.Verdict;
 import sprucerock.transport.net.Datagrams;
 import sprucerock.transport.net.Net;
-import sprucerock.relay.engine.Asked;
-import sprucerock.relay.engine.Carrier;
-import sprucerock.relay.engine.Ending;
-import sprucerock.relay.engine.Events;
-import sprucerock.relay.engine.Exchange;
+import sprucerock.relay.engine.Request;
+import sprucerock.relay.engine.RelayEngine;
+import sprucerock.relay.engine.RequestOutcome;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.relay.engine.AttemptExchange;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
@@ -25,7 +25,7 @@
  * release desk over HTTP, other relays by datagrams. It chooses no unit, no further pick and no
  * vote. All of it runs on the loop's thread.
  */
-public final class Serving extends Carrier implements ClientDoor.Owner, UnitDoors.Owner {
+public final class PlatformRelay extends RelayEngine implements ClientListener.Owner, PlatformConnectionPools.Owner {
   // of the descriptors a relay may hold: what the program itself, the list, the desk and the peers
   // need
   private static final int OWN = 40;
@@ -55,10 +55,10 @@
   private final DeterministicRandom chance;
   private final Runnable askSettings;
   private Timestamp askedSettings;
-  private final UnitDoors units;
-  private final ClientDoor clients;
+  private final PlatformConnectionPools units;
+  private final ClientListener clients;
   private final Discovery discovery;
-  private final Desk desk;
+  private final ReleaseApiClient desk;
   private final Map<InetSocketAddress, Integer> peers = new HashMap<>();
   private Datagrams datagrams;
   private boolean taking;
@@ -69,11 +69,11 @@
    * configuration read again, aside from the loop: what comes of it is told by {@link #reload} or
    * {@link #notReloaded}.
    */
-  public Serving(PlatformConfig config, Net net, double unixMs, Runnable askSettings) {
-    this(config, net, unixMs, askSettings, new Events(net));
+  public PlatformRelay(PlatformConfig config, Net net, double unixMs, Runnable askSettings) {
+    this(config, net, unixMs, askSettings, new EventLog(net));
   }
 
-  Serving(PlatformConfig config, Net net, double unixMs, Runnable askSettings, Events events) {
+  PlatformRelay(PlatformConfig config, Net net, double unixMs, Runnable askSettings, EventLog events) {
     super(net, config.settings, new RequestTracker(config.settings), events);
     this.config = config;
     this.askSettings = askSettings;
@@ -85,9 +85,9 @@
     }
     int forClients = (int) (config.sockets * CLIENTS);
     clients =
-        new ClientDoor(net, events, this, methods, (int) (config.sockets * ENOUGH), forClients);
+        new ClientListener(net, events, this, methods, (int) (config.sockets * ENOUGH), forClients);
     units =
-        new UnitDoors(
+        new PlatformConnectionPools(
             net,
             events,
             this,
@@ -99,7 +99,7 @@
         new Discovery(
             net, config, ledger, events, units, unix, chance::next, this::learnt, this::listLost);
     desk =
-        new Desk(
+        new ReleaseApiClient(
             net,
             config,
             ledger,
@@ -142,7 +142,7 @@
     TimeSpan late = net.now().since(due);
     if (late.over(HELD_UP)) {
       events.warn(
-          Events.Kind.HELD_UP,
+          EventLog.Kind.HELD_UP,
           "for " + Math.round(late.ms()) + " ms; " + ledger.open() + " RPCs are open");
     }
     Timestamp next = net.now().plus(BEAT);
@@ -179,7 +179,7 @@
     taking = true;
     clients.take();
     events.info(
-        Events.Kind.STARTED,
+        EventLog.Kind.STARTED,
         "relay "
             + config.name
             + ", number "
@@ -196,7 +196,7 @@
   private void figures() {
     Runtime machine = Runtime.getRuntime();
     events.info(
-        Events.Kind.FIGURES,
+        EventLog.Kind.FIGURES,
         "open "
             + ledger.open()
             + " known "
@@ -225,13 +225,13 @@
     moves |= desk.move(anew.desk);
     if (moves) {
       events.info(
-          Events.Kind.SETTINGS, "discovery is at " + anew.discovery + ", the desk at " + anew.desk);
+          EventLog.Kind.SETTINGS, "discovery is at " + anew.discovery + ", the desk at " + anew.desk);
     }
   }
 
   /** A new configuration can't be used; the old one holds. */
   public void notReloaded(String why) {
-    events.error(Events.Kind.SETTINGS, why + "; what was read before holds");
+    events.error(EventLog.Kind.SETTINGS, why + "; what was read before holds");
   }
 
   /**
@@ -243,7 +243,7 @@
       return;
     }
     finishing = true;
-    events.info(Events.Kind.FINISHING, ledger.open() + " RPCs are open");
+    events.info(EventLog.Kind.FINISHING, ledger.open() + " RPCs are open");
     if (!taking) {
       clients.take();
     }
@@ -255,7 +255,7 @@
         now.plus(time.minus(MARGIN).atLeast(last)),
         () -> {
           clients.refuse();
-          for (ClientAsked asked : clients.open()) {
+          for (PlatformRequest asked : clients.open()) {
             abort(asked);
           }
         });
@@ -274,7 +274,7 @@
       datagrams.close();
     }
     events.info(
-        Events.Kind.FINISHED,
+        EventLog.Kind.FINISHED,
         all
             ? "every RPC taken has its answer"
             : clients.size() + " clients have not read their answers in time");
@@ -284,36 +284,36 @@
   // Clients.
 
   @Override
-  public void arrived(ClientAsked asked) {
+  public void arrived(PlatformRequest asked) {
     Statement said = asked.statement;
     arrived(asked, said.method, 0, said.key, net.now().plus(TimeSpan.ofMs(said.deadlineMs)), null);
   }
 
   @Override
-  public void left(ClientAsked asked) {
+  public void left(PlatformRequest asked) {
     super.left(asked);
   }
 
   @Override
-  protected void answer(Asked asked, Ending ending, TimeSpan wait, long unit, byte[] body) {
-    ((ClientAsked) asked).client.answer((ClientAsked) asked, ending, wait, body);
+  protected void answer(Request asked, RequestOutcome ending, TimeSpan wait, long unit, byte[] body) {
+    ((PlatformRequest) asked).client.answer((PlatformRequest) asked, ending, wait, body);
   }
 
   // Units.
 
   @Override
-  protected Exchange exchange(Attempt pick, Timestamp ends) {
+  protected AttemptExchange exchange(Attempt pick, Timestamp ends) {
     return new PgExchange(pick, ends);
   }
 
   @Override
-  protected void toUnit(Exchange exchange) {
-    ((UnitDoor) exchange.pick().unit.door).send((PgExchange) exchange);
+  protected void toUnit(AttemptExchange exchange) {
+    ((PlatformConnectionPool) exchange.pick().unit.door).send((PgExchange) exchange);
   }
 
   @Override
-  protected boolean giveUp(Exchange exchange, boolean told) {
-    return ((UnitDoor) exchange.pick().unit.door).giveUp((PgExchange) exchange);
+  protected boolean giveUp(AttemptExchange exchange, boolean told) {
+    return ((PlatformConnectionPool) exchange.pick().unit.door).giveUp((PgExchange) exchange);
   }
 
   // Release desk, discovery, peers.
--- a/src/main/java/sprucerock/relay/platform/ClientAsked.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRequest.java
@@ -1,13 +1,13 @@
 package sprucerock.relay.platform;
 
-import sprucerock.relay.engine.Asked;
+import sprucerock.relay.engine.Request;
 
 /** A client's RPC: who asked it, and its statement. */
-final class ClientAsked extends Asked {
-  final ClientLink client;
+final class PlatformRequest extends Request {
+  final PlatformClientConnection client;
   final Statement statement;
 
-  ClientAsked(ClientLink client, Statement statement) {
+  PlatformRequest(PlatformClientConnection client, Statement statement) {
     this.client = client;
     this.statement = statement;
   }
--- a/src/main/java/sprucerock/relay/platform/Desk.java
+++ b/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
@@ -17,7 +17,7 @@
 import javax.xml.stream.XMLStreamException;
 import javax.xml.stream.XMLStreamReader;
 import sprucerock.transport.http.HttpException;
-import sprucerock.transport.http.HttpLink;
+import sprucerock.transport.http.HttpConnection;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.model.Build;
 import sprucerock.model.VoteReply;
@@ -27,7 +27,7 @@
 import sprucerock.model.Verdict;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -35,7 +35,7 @@
  * The platform's release desk: votes as calls, each with one reply or none in time; news, counts
  * and reports as events.
  */
-final class Desk implements Feed.Reader {
+final class ReleaseApiClient implements Watch.Reader {
   private static final String PATH = "/apis/fleet/";
   private static final TimeSpan CONNECT = TimeSpan.ofMs(1000);
   private static final TimeSpan FRESH =
@@ -54,22 +54,22 @@
   private final Settings settings;
   private final List<String> methodNames;
   private final RequestTracker ledger;
-  private final Events events;
+  private final EventLog events;
   private final Function<String, Endpoint> units;
   private final Consumer<VoteReply> answered;
   private final Runnable lost;
-  private final Feed feed;
-  private final ArrayDeque<HttpLink> links = new ArrayDeque<>();
+  private final Watch feed;
+  private final ArrayDeque<HttpConnection> links = new ArrayDeque<>();
   private InetSocketAddress to;
   private int build = -1;
   private int ranked;
   private Timestamp since;
 
-  Desk(
+  ReleaseApiClient(
       Net net,
       PlatformConfig config,
       RequestTracker ledger,
-      Events events,
+      EventLog events,
       DoubleSupplier dice,
       Function<String, Endpoint> units,
       Consumer<VoteReply> answered,
@@ -83,7 +83,7 @@
     settings = config.settings;
     methodNames = config.methodNames;
     to = config.desk;
-    feed = new Feed(net, to, SILENCE, SILENCE, CONNECT, dice, this);
+    feed = new Watch(net, to, SILENCE, SILENCE, CONNECT, dice, this);
   }
 
   /** Takes the news as the configuration has it, and asks for more. */
@@ -93,9 +93,9 @@
       news.fields()
           .forEachRemaining(field -> values.put(field.getKey(), field.getValue().asText()));
       try {
-        news(Form.of(values));
+        news(RequestCodec.of(values));
       } catch (HttpException e) {
-        events.warn(Events.Kind.NEWS_REFUSED, "the news in the configuration: " + e.getMessage());
+        events.warn(EventLog.Kind.NEWS_REFUSED, "the news in the configuration: " + e.getMessage());
       }
     }
     feed.dial();
@@ -118,7 +118,7 @@
 
   void stop() {
     feed.stop();
-    for (HttpLink link : links) {
+    for (HttpConnection link : links) {
       link.cut("the relay ends");
     }
   }
@@ -133,7 +133,7 @@
           case HOLD -> "HOLD";
           case BACK -> "ROLLBACK";
         };
-    HttpLink link = link();
+    HttpConnection link = link();
     new Vote(link)
         .cast("Action=RecordOpinion&build=" + of.number + "&stage=" + stage + "&verdict=" + word);
   }
@@ -142,9 +142,9 @@
    * One on which nothing is open and that the platform has surely not closed for idleness; else a
    * new one.
    */
-  private HttpLink link() {
+  private HttpConnection link() {
     Timestamp now = net.now();
-    for (HttpLink link : new ArrayList<>(links)) {
+    for (HttpConnection link : new ArrayList<>(links)) {
       if (!link.usable()) {
         links.remove(link);
       } else if (link.idle() && now.since(link.usedLast()).over(FRESH)) {
@@ -152,7 +152,7 @@
         link.finish();
       }
     }
-    for (HttpLink link : links) {
+    for (HttpConnection link : links) {
       if (link.idle()) {
         return link;
       }
@@ -160,25 +160,25 @@
     if (links.size() >= LINKS) {
       return links.peekLast();
     }
-    HttpLink made = new HttpLink(net, to, CONNECT);
+    HttpConnection made = new HttpConnection(net, to, CONNECT);
     links.add(made);
     return made;
   }
 
   /** One vote on its way. */
-  private final class Vote implements HttpLink.Call {
-    private final HttpLink link;
+  private final class Vote implements HttpConnection.Call {
+    private final HttpConnection link;
     private final Timer timer;
     private boolean over;
 
-    Vote(HttpLink link) {
+    Vote(HttpConnection link) {
       this.link = link;
       timer =
           net.at(
               net.now().plus(settings.callTimeout),
               () -> {
                 events.warn(
-                    Events.Kind.VOTE_UNANSWERED,
+                    EventLog.Kind.VOTE_UNANSWERED,
                     "within " + settings.callTimeout.ms() + " ms; it may count");
                 over(VoteReply.UNANSWERED);
                 link.cut("no answer in time");
@@ -204,7 +204,7 @@
         Map<String, String> said = xml(body);
         String code = said.get("Code");
         if (status == 200) {
-          Form state = Form.of(said);
+          RequestCodec state = RequestCodec.of(said);
           check(state);
           over(VoteReply.COUNTS);
           news(state);
@@ -219,7 +219,7 @@
       } catch (
           HttpException
               e) { // nobody knows whether it counts, and nothing can follow on that connection
-        events.warn(Events.Kind.PLATFORM_UNREADABLE, "a vote's answer: " + e.getMessage());
+        events.warn(EventLog.Kind.PLATFORM_UNREADABLE, "a vote's answer: " + e.getMessage());
         over(VoteReply.UNANSWERED);
         link.cut("not to be read");
       }
@@ -259,9 +259,9 @@
   // What the platform tells.
 
   @Override
-  public Feed.Answer asks() {
-    sprucerock.transport.http.Events stream = new sprucerock.transport.http.Events();
-    return new Feed.Answer() {
+  public Watch.Answer asks() {
+    sprucerock.transport.http.EventStream stream = new sprucerock.transport.http.EventStream();
+    return new Watch.Answer() {
       @Override
       public String path() {
         return PATH + "bulletin";
@@ -269,7 +269,7 @@
 
       @Override
       public boolean piece(ByteBuffer bytes) throws HttpException {
-        stream.take(bytes, Desk.this::event);
+        stream.take(bytes, ReleaseApiClient.this::event);
         return true; // an event that is not whole is told by the next piece or by nobody
       }
     };
@@ -277,12 +277,12 @@
 
   @Override
   public void lost(String why) {
-    events.warn(Events.Kind.DESK_LOST, why + "; what it said last holds");
+    events.warn(EventLog.Kind.DESK_LOST, why + "; what it said last holds");
     lost.run();
   }
 
   private void event(String name, String data) throws HttpException {
-    Form form = Form.read(data);
+    RequestCodec form = RequestCodec.read(data);
     switch (name) {
       case "news" -> news(form);
       case "counts" -> {
@@ -306,7 +306,7 @@
     }
   }
 
-  private int method(Form form) throws HttpException {
+  private int method(RequestCodec form) throws HttpException {
     int method = methodNames.indexOf(form.text("class"));
     if (method < 0) {
       throw new HttpException("no class has that name");
@@ -314,7 +314,7 @@
     return method;
   }
 
-  private static RolloutState standing(Form form) throws HttpException {
+  private static RolloutState standing(RequestCodec form) throws HttpException {
     return switch (form.text("phase")) {
       case "Progressing" -> RolloutState.ON_TRIAL;
       case "Aborting" -> RolloutState.GOING_BACK;
@@ -338,7 +338,7 @@
     };
   }
 
-  private void check(Form form) throws HttpException {
+  private void check(RequestCodec form) throws HttpException {
     form.whole("build", 65535);
     form.whole("stage", settings.caps.size());
     standing(form);
@@ -346,7 +346,7 @@
     form.number("age_ms", 1e12);
   }
 
-  private void news(Form form) throws HttpException {
+  private void news(RequestCodec form) throws HttpException {
     check(form);
     int number = form.whole("build", 65535);
     Timestamp began = net.now().minus(TimeSpan.ofMs(form.number("age_ms", 1e12)));
--- a/src/main/java/sprucerock/relay/platform/Form.java
+++ b/src/main/java/sprucerock/relay/platform/RequestCodec.java
@@ -10,16 +10,16 @@
  * Names and values as forms have them; what is asked for and not there, or no number, can't be
  * read.
  */
-final class Form {
+final class RequestCodec {
   private final Map<String, String> values = new HashMap<>();
 
-  private Form() {}
+  private RequestCodec() {}
 
   /**
    * @throws HttpException if it is no form
    */
-  static Form read(String text) throws HttpException {
-    Form form = new Form();
+  static RequestCodec read(String text) throws HttpException {
+    RequestCodec form = new RequestCodec();
     for (String part : text.split("&", -1)) {
       int eq = part.indexOf('=');
       if (eq <= 0) {
@@ -38,8 +38,8 @@
   }
 
   /** Of values that were read elsewhere. */
-  static Form of(Map<String, String> values) {
-    Form form = new Form();
+  static RequestCodec of(Map<String, String> values) {
+    RequestCodec form = new RequestCodec();
     form.values.putAll(values);
     return form;
   }
--- a/src/main/java/sprucerock/relay/platform/WarmUp.java
+++ b/src/main/java/sprucerock/relay/platform/WarmUp.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import org.slf4j.helpers.NOPLogger;
 import sprucerock.config.ConfigException;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.postgres.Messages;
 import sprucerock.transport.postgres.ProtocolException;
 import sprucerock.transport.postgres.Reader;
 import sprucerock.transport.postgres.Writer;
-import sprucerock.relay.engine.Carrier;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.RelayEngine;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -48,14 +48,14 @@
           "specifics":{"ballot_ttl":4000,"call_timeout":1000,"caps":[0.1,1.0],"per":"all","uncounted":3,
            "vote_mode":"single","sums_every":2000}}}""";
 
-  private final ScriptedNet net = new ScriptedNet(1000, 5);
+  private final SimulatedNet net = new SimulatedNet(1000, 5);
   private int asked;
   private int answered;
 
   private WarmUp() {}
 
   /** Plays it, for a second or two at most; returns how many RPCs were answered. */
-  public static int run(Carrier.Maker maker) {
+  public static int run(RelayEngine.Maker maker) {
     try {
       return new WarmUp().play(maker);
     } catch (IOException | ConfigException | ProtocolException e) {
@@ -64,7 +64,7 @@
     }
   }
 
-  private int play(Carrier.Maker maker) throws IOException, ConfigException, ProtocolException {
+  private int play(RelayEngine.Maker maker) throws IOException, ConfigException, ProtocolException {
     long until = System.currentTimeMillis() + TIME_MS;
     StringBuilder servers = new StringBuilder();
     for (int i = 0; i < UNITS; i++) {
@@ -90,13 +90,13 @@
             new Teller(
                 "event: counts\ndata: build=7&class=look&count=57&failed=2&mean_ms=18.5&age_ms=900\n\n"));
     byte[] config = CONFIG.formatted(servers).getBytes(StandardCharsets.UTF_8);
-    Serving serving =
-        new Serving(
+    PlatformRelay serving =
+        new PlatformRelay(
             PlatformConfig.of(Path.of("warm"), config, Map.of()),
             net,
             5000,
             () -> {},
-            new Events(net, NOPLogger.NOP_LOGGER));
+            new EventLog(net, NOPLogger.NOP_LOGGER));
     net.turn(
         () -> {
           try {
@@ -128,16 +128,16 @@
   }
 
   /** What client and unit have in common: messages that are always whole. */
-  private abstract static class Speaker implements LinkUser, Messages.User {
+  private abstract static class Speaker implements ConnectionListener, Messages.User {
     private final Messages in;
-    Link link;
+    Connection link;
 
     Speaker(Messages in) {
       this.in = in;
     }
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       super.up(made);
       made.append(Writer.startup("svc", "main"));
     }
@@ -236,9 +236,9 @@
   }
 
   /** Discovery and desk: an answer without end that begins with one piece. */
-  private record Teller(String piece) implements LinkUser {
+  private record Teller(String piece) implements ConnectionListener {
     @Override
-    public void up(Link link) {
+    public void up(Connection link) {
       String text =
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
               + Integer.toHexString(piece.length())
--- a/src/main/java/sprucerock/relay/platform/Feed.java
+++ b/src/main/java/sprucerock/relay/platform/Watch.java
@@ -4,9 +4,9 @@
 import java.nio.ByteBuffer;
 import java.util.function.DoubleSupplier;
 import sprucerock.transport.http.HttpException;
-import sprucerock.transport.http.HttpLink;
+import sprucerock.transport.http.HttpConnection;
 import sprucerock.transport.net.Net;
-import sprucerock.transport.net.Pauses;
+import sprucerock.transport.net.ExponentialBackoff;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
@@ -18,7 +18,7 @@
  * new address answers the old one may tell more. There are never more than these two. What comes of
  * a watch that is neither is nobody's any more.
  */
-final class Feed {
+final class Watch {
   /** Who reads it. */
   interface Reader {
     /**
@@ -50,7 +50,7 @@
   private final TimeSpan silence;
   private final TimeSpan answers;
   private final TimeSpan within;
-  private final Pauses pauses;
+  private final ExponentialBackoff pauses;
   private final Reader reader;
   private InetSocketAddress to;
   private Watch heard;
@@ -66,7 +66,7 @@
    * {@code within}: a connection takes no longer, and what was lost is asked for again after no
    * longer a pause.
    */
-  Feed(
+  Watch(
       Net net,
       InetSocketAddress to,
       TimeSpan silence,
@@ -81,12 +81,12 @@
     this.within = within;
     this.reader = reader;
     lastHeard = net.now();
-    pauses = new Pauses(FIRST, within, dice);
+    pauses = new ExponentialBackoff(FIRST, within, dice);
   }
 
   /** One answer, from its asking on. */
-  private final class Watch implements HttpLink.Call {
-    private final HttpLink link = new HttpLink(net, to, within);
+  private final class Watch implements HttpConnection.Call {
+    private final HttpConnection link = new HttpConnection(net, to, within);
     private final Answer answer = reader.asks();
     private final Timestamp asked = net.now();
     private final TimeSpan begins = unanswered % IN_A_ROW < IN_A_ROW - 1 ? answers : silence;
@@ -214,7 +214,7 @@
       if (stopped || this != heard && this != next) {
         return;
       }
-      Feed.this.silent(); // noted while it is there
+      Watch.this.silent(); // noted while it is there
       // what lasted was good: else one that can't be read to its end would be asked for without a
       // pause
       if (net.now().since(asked).over(silence)) {
--- a/src/main/java/sprucerock/relay/snapshot/Picture.java
+++ b/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
@@ -9,9 +9,9 @@
  * frozen. Times are of this process's steady clock, told by durations; no wall's clock has a part
  * in it.
  */
-public final class Picture {
+public final class RackSnapshot {
   /** Of a process that was told nothing: no rack can be frozen. */
-  public static final Picture NOTHING = new Picture(0, Map.of());
+  public static final RackSnapshot NOTHING = new RackSnapshot(0, Map.of());
 
   private final long sequence;
   // Open addressing in one array of keys, at most half full: a miss ends at the first empty place.
@@ -21,7 +21,7 @@
   private final int size;
 
   /** {@code until}: by {@link #key}. */
-  public Picture(long sequence, Map<Integer, Timestamp> until) {
+  public RackSnapshot(long sequence, Map<Integer, Timestamp> until) {
     this.sequence = sequence;
     size = until.size();
     int room = Integer.highestOneBit(Math.max(4, 4 * size));
--- a/src/main/java/sprucerock/relay/snapshot/Shared.java
+++ b/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
@@ -7,11 +7,11 @@
  * read by anybody. A reader takes it once for a decision, and whatever it then asks is of one
  * state.
  */
-public final class Shared {
-  private final AtomicReference<Picture> current = new AtomicReference<>(Picture.NOTHING);
+public final class SharedSnapshot {
+  private final AtomicReference<RackSnapshot> current = new AtomicReference<>(RackSnapshot.NOTHING);
 
   /** The picture as it is now; whole, however old the reader's other knowledge is. */
-  public Picture take() {
+  public RackSnapshot take() {
     return current.getAcquire();
   }
 
@@ -19,7 +19,7 @@
    * From now on. An older state never takes a newer one's place; false if that was tried. On the
    * writer's one thread.
    */
-  public boolean put(Picture next) {
+  public boolean put(RackSnapshot next) {
     if (next.sequence() < current.getPlain().sequence()) {
       return false;
     }
--- a/src/main/java/sprucerock/simulation/Simhost.java
+++ b/src/main/java/sprucerock/simulation/Simhost.java
@@ -32,10 +32,10 @@
       double weight,
       double since) {}
 
-  private final Relay.Maker maker;
+  private final SimulatedRelay.Maker maker;
   private final DataInputStream in;
   private final OutputStream out;
-  private final Map<Long, Relay> relays = new HashMap<>();
+  private final Map<Long, SimulatedRelay> relays = new HashMap<>();
   private final Entry[][] lists = new Entry[16][];
   private final Replies replies = new Replies();
 
@@ -43,7 +43,7 @@
     this(in, out, Policy::new);
   }
 
-  Simhost(InputStream in, OutputStream out, Relay.Maker maker) {
+  Simhost(InputStream in, OutputStream out, SimulatedRelay.Maker maker) {
     this.maker = maker;
     this.in = new DataInputStream(new java.io.BufferedInputStream(in, 1 << 16));
     this.out = out;
@@ -115,12 +115,12 @@
       long seed = f.getLong();
       byte[] settings = new byte[count(f, Integer.toUnsignedLong(f.getInt()), 1)];
       f.get(settings);
-      Relay relay = new Relay(id, replies, maker);
+      SimulatedRelay relay = new SimulatedRelay(id, replies, maker);
       relays.put(id, relay);
       relay.start(now, seed, new String(settings, StandardCharsets.UTF_8));
       return;
     }
-    Relay relay = relays.get(id);
+    SimulatedRelay relay = relays.get(id);
     if (relay == null) {
       throw new FrameException(record + " (code " + code + "): relay " + id + " never started");
     }
--- a/src/main/java/sprucerock/simulation/Relay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -25,7 +25,7 @@
  * One relay at the bench's door: events in as calls of the ledger, calls of the host out as
  * actions.
  */
-final class Relay implements RelayActions {
+final class SimulatedRelay implements RelayActions {
   /** Makes the module of a relay. */
   interface Maker {
     RelayEvents make(RelayActions host, Settings settings, long seed);
@@ -44,7 +44,7 @@
   private RelayEvents policy;
   private Timestamp now;
 
-  Relay(long id, Replies replies, Maker maker) {
+  SimulatedRelay(long id, Replies replies, Maker maker) {
     this.id = id;
     this.replies = replies;
     this.maker = maker;
--- a/src/main/java/sprucerock/transport/http/Events.java
+++ b/src/main/java/sprucerock/transport/http/EventStream.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** An event stream: names and data of events, and signs of life. */
-public final class Events {
+public final class EventStream {
   /** Who is told of events. */
   public interface User {
     void event(String name, String data) throws HttpException;
