--- a/src/main/java/sprucerock/transport/http/HttpLink.java
+++ b/src/main/java/sprucerock/transport/http/HttpConnection.java
@@ -5,8 +5,8 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
@@ -15,7 +15,7 @@
  * One connection to a server: calls may follow one behind another, and their answers come in that
  * order. Nothing is sent again, and no other connection is made: who calls decides that.
  */
-public final class HttpLink implements LinkUser {
+public final class HttpConnection implements ConnectionListener {
   /**
    * Who made a call. Exactly one of {@code answered} and {@code failed} is told, unless the answer
    * never ends.
@@ -47,7 +47,7 @@
   private final ArrayDeque<Open> calls = new ArrayDeque<>();
   private final Answers answers = new Answers();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private final Link link;
+  private final Connection link;
   private int status;
   private boolean up;
   private boolean closed;
@@ -56,7 +56,7 @@
   private boolean heard;
 
   /** Begins to connect. */
-  public HttpLink(Net net, InetSocketAddress to, TimeSpan within) {
+  public HttpConnection(Net net, InetSocketAddress to, TimeSpan within) {
     this.net = net;
     this.to = to;
     usedLast = net.now();
@@ -127,7 +127,7 @@
   }
 
   @Override
-  public void up(Link made) {
+  public void up(Connection made) {
     up = true;
   }
 
--- a/src/main/java/sprucerock/transport/net/Link.java
+++ b/src/main/java/sprucerock/transport/net/Connection.java
@@ -6,7 +6,7 @@
  * A connection. What is written in a turn goes out together at its end, in order. A peer that does
  * not read is cut off as soon as more than the stated bytes wait for it: nothing else is held up.
  */
-public interface Link {
+public interface Connection {
   /**
    * Room for the next so many bytes, which the caller fills before its turn ends. Takes no large
    * pieces: see below.
--- a/src/main/java/sprucerock/transport/net/LinkUser.java
+++ b/src/main/java/sprucerock/transport/net/ConnectionListener.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 
 /** Who uses a link. */
-public interface LinkUser {
+public interface ConnectionListener {
   /** It can be written and will be read from now on. */
-  void up(Link link);
+  void up(Connection link);
 
   /** Bytes came, in order, in pieces of any size; they are only there during the call. */
   void received(ByteBuffer bytes);
--- a/src/main/java/sprucerock/transport/net/Pauses.java
+++ b/src/main/java/sprucerock/transport/net/ExponentialBackoff.java
@@ -6,14 +6,14 @@
 /**
  * How long to wait before a connection that was lost is made again: longer each time, and drawn.
  */
-public final class Pauses {
+public final class ExponentialBackoff {
   private final TimeSpan first;
   private final TimeSpan most;
   private final DoubleSupplier dice;
   private TimeSpan pause;
 
   /** {@code dice} gives numbers from 0 to under 1. */
-  public Pauses(TimeSpan first, TimeSpan most, DoubleSupplier dice) {
+  public ExponentialBackoff(TimeSpan first, TimeSpan most, DoubleSupplier dice) {
     this.first = first;
     this.most = most;
     this.dice = dice;
--- a/src/main/java/sprucerock/transport/net/Net.java
+++ b/src/main/java/sprucerock/transport/net/Net.java
@@ -8,7 +8,7 @@
 /** Where links come from. Everything is called, and calls back, on the loop's one thread. */
 public interface Net extends Timers {
   /** The same as {@link #bind}, and takes connections at once. */
-  default Listener listen(InetSocketAddress at, int most, long mostUnsent, Supplier<LinkUser> users)
+  default Listener listen(InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users)
       throws IOException {
     Listener listener = bind(at, most, mostUnsent, users);
     listener.take();
@@ -21,7 +21,7 @@
    *
    * @throws IOException if the address can't be had
    */
-  Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<LinkUser> users)
+  Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users)
       throws IOException;
 
   /**
@@ -29,7 +29,7 @@
    * the latest when {@code within} is over. {@code mostUnsent}: bytes that may wait for a peer that
    * does not read.
    */
-  Link connect(InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user);
+  Connection connect(InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user);
 
   /**
    * A socket for datagrams at an address. What comes and finds too many waiting for the loop is
--- a/src/main/java/sprucerock/transport/net/ScriptedNet.java
+++ b/src/main/java/sprucerock/transport/net/SimulatedNet.java
@@ -14,7 +14,7 @@
  * Links and timers in memory, in steps of a fixed length: due timers first, then all that moves
  * until nothing does. Tests run on it, and what a relay does before it opens a socket.
  */
-public class ScriptedNet implements Net {
+public class SimulatedNet implements Net {
   private record Due(double whenMs, long order, Runnable[] what) {}
 
   private final PriorityQueue<Due> timers =
@@ -34,7 +34,7 @@
   private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
   private int connects;
 
-  public ScriptedNet(double startMs, double stepMs) {
+  public SimulatedNet(double startMs, double stepMs) {
     nowMs = startMs;
     this.stepMs = stepMs;
   }
@@ -110,11 +110,11 @@
 
   private final class Door implements Listener {
     private final InetSocketAddress at;
-    private final Supplier<LinkUser> users;
+    private final Supplier<ConnectionListener> users;
     private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
     private boolean taking;
 
-    Door(InetSocketAddress at, Supplier<LinkUser> users) {
+    Door(InetSocketAddress at, Supplier<ConnectionListener> users) {
       this.at = at;
       this.users = users;
     }
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<LinkUser> users) {
+  public Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users) {
     InetSocketAddress there =
         at.getPort() > 0 ? at : new InetSocketAddress(at.getAddress(), 40_000 + doors.size());
     Door door = new Door(there, users);
@@ -148,7 +148,7 @@
   }
 
   @Override
-  public Link connect(InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user) {
+  public Connection connect(InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user) {
     connects++;
     End near = new End(user);
     Door door = doors.get(to.getPort());
@@ -197,8 +197,8 @@
   }
 
   /** One side of a connection. */
-  public final class End implements Link {
-    private final LinkUser user;
+  public final class End implements Connection {
+    private final ConnectionListener user;
     private End other;
     private final java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
     private final ArrayDeque<ByteBuffer> claimed = new ArrayDeque<>();
@@ -208,7 +208,7 @@
     private boolean marked;
     private boolean finishing;
 
-    End(LinkUser user) {
+    End(ConnectionListener user) {
       this.user = user;
     }
 
--- a/src/main/java/sprucerock/transport/net/nio/NioLink.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioConnection.java
@@ -8,15 +8,15 @@
 import java.nio.channels.CompletionHandler;
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.TimeSpan;
 
 /**
  * A connection over an asynchronous socket channel: one read and one gathered write out at a time.
  */
-final class NioLink implements Link {
+final class NioConnection implements Connection {
   private static final int READ = 16 * 1024;
   private static final int GATHERED = 16;
   private static final TimeSpan FINISH =
@@ -27,7 +27,7 @@
   private final NioLoop loop;
   private final AsynchronousSocketChannel channel;
   private final long mostUnsent;
-  private final LinkUser user;
+  private final ConnectionListener user;
 
   /**
    * Pieces still to be handed to the system, each written up to its position; and those handed, in
@@ -52,7 +52,7 @@
   private Runnable onceClosed = () -> {};
   private Timer connecting;
 
-  NioLink(NioLoop loop, AsynchronousSocketChannel channel, long mostUnsent, LinkUser user) {
+  NioConnection(NioLoop loop, AsynchronousSocketChannel channel, long mostUnsent, ConnectionListener user) {
     this.loop = loop;
     this.channel = channel;
     this.mostUnsent = mostUnsent;
--- a/src/main/java/sprucerock/transport/net/nio/NioLoop.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioLoop.java
@@ -19,8 +19,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import sprucerock.transport.net.Datagrams;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
@@ -42,9 +42,9 @@
 
   private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private final AtomicBoolean sleeping = new AtomicBoolean();
-  private final Wheel timers = new Wheel();
+  private final TimerWheel timers = new TimerWheel();
   private final ArrayDeque<Runnable> putOff = new ArrayDeque<>();
-  private final List<NioLink> dirty = new ArrayList<>();
+  private final List<NioConnection> dirty = new ArrayList<>();
   private final List<Runnable> whenQuiet = new ArrayList<>();
   private Timestamp quietBy;
   private final ArrayDeque<ByteBuffer> chunks = new ArrayDeque<>();
@@ -206,7 +206,7 @@
     putOff.add(what);
   }
 
-  void dirty(NioLink link) {
+  void dirty(NioConnection link) {
     dirty.add(link);
   }
 
@@ -226,12 +226,12 @@
   }
 
   @Override
-  public Link connect(InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user) {
-    NioLink link;
+  public Connection connect(InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user) {
+    NioConnection link;
     try {
-      link = new NioLink(this, AsynchronousSocketChannel.open(group), mostUnsent, user);
+      link = new NioConnection(this, AsynchronousSocketChannel.open(group), mostUnsent, user);
     } catch (IOException e) {
-      NioLink none = new NioLink(this, null, mostUnsent, user);
+      NioConnection none = new NioConnection(this, null, mostUnsent, user);
       none.cut("no socket: " + e.getMessage());
       return none;
     }
@@ -240,7 +240,7 @@
   }
 
   @Override
-  public Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<LinkUser> users)
+  public Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users)
       throws IOException {
     AsynchronousServerSocketChannel server = AsynchronousServerSocketChannel.open(group);
     try {
@@ -265,7 +265,7 @@
     private final AsynchronousServerSocketChannel server;
     private final int most;
     private final long mostUnsent;
-    private final Supplier<LinkUser> users;
+    private final Supplier<ConnectionListener> users;
     private int open;
     private Runnable turnedAway = () -> {};
 
@@ -273,7 +273,7 @@
         AsynchronousServerSocketChannel server,
         int most,
         long mostUnsent,
-        Supplier<LinkUser> users) {
+        Supplier<ConnectionListener> users) {
       this.server = server;
       this.most = most;
       this.mostUnsent = mostUnsent;
@@ -295,7 +295,7 @@
         return;
       }
       open++;
-      NioLink link = new NioLink(NioLoop.this, channel, mostUnsent, users.get());
+      NioConnection link = new NioConnection(NioLoop.this, channel, mostUnsent, users.get());
       link.onceClosed(() -> open--);
       link.begin();
     }
--- a/src/main/java/sprucerock/transport/net/nio/Wheel.java
+++ b/src/main/java/sprucerock/transport/net/nio/TimerWheel.java
@@ -11,7 +11,7 @@
  * twice, here it is put in and taken out once. Nothing runs early, and nothing more than a slot
  * late on its account.
  */
-final class Wheel {
+final class TimerWheel {
   private static final int PER_MS = 8;
   private static final int SLOTS =
       1 << 16; // eight seconds, beyond most deadlines; later ones wait in a heap
--- a/src/main/java/sprucerock/transport/tls/Tls.java
+++ b/src/main/java/sprucerock/transport/tls/Tls.java
@@ -5,8 +5,8 @@
 import java.security.GeneralSecurityException;
 import java.time.Instant;
 import java.util.function.Supplier;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.time.TimeSpan;
@@ -165,11 +165,11 @@
   }
 
   /** One handshake within the limit: gives its room back once, however it ends. */
-  private final class Attempt implements LinkUser, Counter {
-    private final LinkUser user;
+  private final class Attempt implements ConnectionListener, Counter {
+    private final ConnectionListener user;
     private boolean holds = true;
 
-    Attempt(LinkUser user) {
+    Attempt(ConnectionListener user) {
       this.user = user;
     }
 
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       user.up(made);
     }
 
@@ -222,15 +222,15 @@
    * is no room in time it is closed, for that reason.
    */
   public void connect(
-      Object peer, String name, InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user) {
+      Object peer, String name, InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user) {
     handshakes.want(
         peer,
         net.now(),
         net.now().plus(within),
         () -> {
           Attempt attempt = new Attempt(user);
-          TlsLink.Place place = new TlsLink.Place(net, buffers, aside, setup.within, attempt);
-          TlsLink link = TlsLink.client(place, credentials, name, to.getPort(), attempt);
+          TlsConnection.Place place = new TlsConnection.Place(net, buffers, aside, setup.within, attempt);
+          TlsConnection link = TlsConnection.client(place, credentials, name, to.getPort(), attempt);
           net.connect(to, within, mostUnsent, link);
         },
         () -> {
@@ -260,7 +260,7 @@
    * connections that the listener takes and by the work done aside; {@code proven}: the peer has to
    * show a certificate.
    */
-  public TlsLink take(boolean proven, LinkUser user) {
+  public TlsConnection take(boolean proven, ConnectionListener user) {
     Counter counter =
         new Counter() {
           @Override
@@ -278,7 +278,7 @@
             owner.handshakeRefused(why);
           }
         };
-    return TlsLink.server(
-        new TlsLink.Place(net, buffers, aside, setup.within, counter), credentials, proven, user);
+    return TlsConnection.server(
+        new TlsConnection.Place(net, buffers, aside, setup.within, counter), credentials, proven, user);
   }
 }
--- a/src/main/java/sprucerock/transport/tls/TlsLink.java
+++ b/src/main/java/sprucerock/transport/tls/TlsConnection.java
@@ -11,8 +11,8 @@
 import javax.net.ssl.SSLEngineResult.Status;
 import javax.net.ssl.SSLException;
 import javax.net.ssl.SSLPeerUnverifiedException;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers;
 import sprucerock.time.TimeSpan;
 
@@ -22,7 +22,7 @@
  * handshake. The user is told that the link is up once the peer is proven, and so can send nothing
  * before. An end without TLS's own close is told as such, and a changed byte ends it.
  */
-public final class TlsLink implements Link, LinkUser {
+public final class TlsConnection implements Connection, ConnectionListener {
   /** What a place's links have in common. */
   public record Place(Timers timers, Buffers buffers, Aside aside, TimeSpan within, Counter counter) {}
 
@@ -39,8 +39,8 @@
   private final Credentials credentials;
   private final SSLEngine engine;
   private final Credentials.Expected expected;
-  private final LinkUser user;
-  private Link link;
+  private final ConnectionListener user;
+  private Connection link;
   private Timers.Timer limit;
   private Instant begun;
   private boolean shaken;
@@ -65,7 +65,7 @@
   private long handed;
   private final ArrayDeque<Mark> marks = new ArrayDeque<>();
 
-  private TlsLink(Place place, Credentials credentials, SSLEngine engine, LinkUser user) {
+  private TlsConnection(Place place, Credentials credentials, SSLEngine engine, ConnectionListener user) {
     this.place = place;
     this.credentials = credentials;
     this.engine = engine;
@@ -76,15 +76,15 @@
   /**
    * For a connection that is made to a peer of a name; sessions are told apart by name and port.
    */
-  public static TlsLink client(
-      Place place, Credentials credentials, String name, int port, LinkUser user) {
-    return new TlsLink(place, credentials, credentials.client(name, port), user);
+  public static TlsConnection client(
+      Place place, Credentials credentials, String name, int port, ConnectionListener user) {
+    return new TlsConnection(place, credentials, credentials.client(name, port), user);
   }
 
   /** For a connection that was taken; {@code proven}: its peer has to show a certificate. */
-  public static TlsLink server(
-      Place place, Credentials credentials, boolean proven, LinkUser user) {
-    return new TlsLink(place, credentials, credentials.server(proven), user);
+  public static TlsConnection server(
+      Place place, Credentials credentials, boolean proven, ConnectionListener user) {
+    return new TlsConnection(place, credentials, credentials.server(proven), user);
   }
 
   /** Under which it was made. */
@@ -104,7 +104,7 @@
   // From the link below.
 
   @Override
-  public void up(Link made) {
+  public void up(Connection made) {
     link = made;
     if (over) { // cut while it came up
       link.cut(why);
--- a/src/main/java/sprucerock/transport/wire/FrameLink.java
+++ b/src/main/java/sprucerock/transport/wire/FrameConnection.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.Beat;
@@ -16,7 +16,7 @@
  * One connection in this protocol: frames in and out, the greeting, and beats that keep it and show
  * that it lives. Whatever is not the protocol cuts it with a reason.
  */
-public final class FrameLink implements LinkUser {
+public final class FrameConnection implements ConnectionListener {
   /** Of this protocol; the oldest that is still understood. */
   public static final int VERSION = 1;
 
@@ -28,15 +28,15 @@
   private final Hello mine;
   private final Limits limits;
   private final Tap tap;
-  private final FrameUser user;
+  private final FrameListener user;
   private final FrameReader reader;
-  private Link link;
+  private Connection link;
   private Hello other;
   private Timestamp heard;
   private boolean closed;
   private String whyCut;
 
-  public FrameLink(Timers timers, Hello mine, Limits limits, Tap tap, FrameUser user) {
+  public FrameConnection(Timers timers, Hello mine, Limits limits, Tap tap, FrameListener user) {
     this.timers = timers;
     this.mine = mine;
     this.limits = limits;
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public void up(Link made) {
+  public void up(Connection made) {
     link = made;
     heard = timers.now();
     if (closed) { // cut while it came up
--- a/src/main/java/sprucerock/transport/wire/FrameUser.java
+++ b/src/main/java/sprucerock/transport/wire/FrameListener.java
@@ -3,13 +3,13 @@
 import com.google.protobuf.MessageLite;
 import sprucerock.transport.wire.v1.Hello;
 
-/** Who talks over a {@link FrameLink}. */
-public interface FrameUser {
+/** Who talks over a {@link FrameConnection}. */
+public interface FrameListener {
   /**
    * The other side said who it is, in this protocol's version; frames may be sent. A cut refuses
    * it.
    */
-  void greeted(FrameLink link, Hello other);
+  void greeted(FrameConnection link, Hello other);
 
   /** A frame other than greetings and beats. One that has no place here is answered with a cut. */
   void frame(Kind kind, MessageLite head, byte[] body);
--- a/src/main/java/sprucerock/transport/wire/Redial.java
+++ b/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
@@ -2,9 +2,9 @@
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
-import sprucerock.transport.net.Pauses;
+import sprucerock.transport.net.ExponentialBackoff;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.Hello;
@@ -13,7 +13,7 @@
  * Keeps a link to one address: whenever it is gone, another is made, after a pause that grows and
  * is drawn.
  */
-public final class Redial implements FrameUser {
+public final class ReconnectingConnection implements FrameListener {
   private static final TimeSpan FIRST =
       TimeSpan.ofMs(50); // a restart on the same machine takes about a second
   private static final TimeSpan MOST = TimeSpan.ofMs(2000); // what comes back is known again within this
@@ -21,7 +21,7 @@
 
   /** How connections are made: by default as they are, or by TLS. */
   public interface Connector {
-    void connect(InetSocketAddress to, TimeSpan within, long mostUnsent, LinkUser user);
+    void connect(InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user);
   }
 
   private final Net net;
@@ -30,23 +30,23 @@
   private final Hello mine;
   private final Limits limits;
   private final Tap tap;
-  private final Pauses pauses;
-  private final FrameUser user;
-  private FrameLink link;
+  private final ExponentialBackoff pauses;
+  private final FrameListener user;
+  private FrameConnection link;
   private boolean stopped;
 
-  public Redial(
+  public ReconnectingConnection(
       Net net,
       InetSocketAddress to,
       Hello mine,
       Limits limits,
       Tap tap,
       DeterministicRandom chance,
-      FrameUser user) {
+      FrameListener user) {
     this(net, net::connect, to, mine, limits, tap, chance, user);
   }
 
-  public Redial(
+  public ReconnectingConnection(
       Net net,
       Connector connector,
       InetSocketAddress to,
@@ -54,14 +54,14 @@
       Limits limits,
       Tap tap,
       DeterministicRandom chance,
-      FrameUser user) {
+      FrameListener user) {
     this.net = net;
     this.connector = connector;
     this.to = to;
     this.mine = mine;
     this.limits = limits;
     this.tap = tap;
-    pauses = new Pauses(FIRST, MOST, chance::next);
+    pauses = new ExponentialBackoff(FIRST, MOST, chance::next);
     this.user = user;
   }
 
@@ -69,7 +69,7 @@
     if (stopped) {
       return;
     }
-    link = new FrameLink(net, mine, limits, tap, this);
+    link = new FrameConnection(net, mine, limits, tap, this);
     connector.connect(to, CONNECT, limits.unsent(), link);
   }
 
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public void greeted(FrameLink made, Hello other) {
+  public void greeted(FrameConnection made, Hello other) {
     pauses.over();
     user.greeted(made, other);
   }
--- a/src/main/java/sprucerock/transport/wire/Tap.java
+++ b/src/main/java/sprucerock/transport/wire/Tap.java
@@ -7,13 +7,13 @@
   Tap NONE =
       new Tap() {
         @Override
-        public void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body) {}
+        public void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body) {}
 
         @Override
-        public void closed(FrameLink link, String why) {}
+        public void closed(FrameConnection link, String why) {}
       };
 
-  void frame(FrameLink link, boolean out, Kind kind, MessageLite head, byte[] body);
+  void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body);
 
-  void closed(FrameLink link, String why);
+  void closed(FrameConnection link, String why);
 }
--- a/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
+++ b/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
@@ -18,7 +18,7 @@
 import sprucerock.controller.deployment.Version;
 import sprucerock.compat.CorpusFiles;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.agent.artifact.Vault;
+import sprucerock.agent.artifact.ArtifactStore;
 
 /**
  * An agent's folder and the command line of its relay, by which a later agent's life, of a newer
@@ -58,8 +58,8 @@
   private static final class Life implements AutoCloseable {
     private final Path folder;
     private final NioLoop loop;
-    private final Vault vault;
-    private final Here here;
+    private final ArtifactStore vault;
+    private final LocalRelaySupervisor here;
     private final Agent agent;
     private final Version version;
 
@@ -72,8 +72,8 @@
       AgentConfig config = AgentConfig.read(configuration);
       Files.delete(configuration);
       loop = new NioLoop("agent", Throwable::printStackTrace);
-      vault = new Vault(folder.resolve("versions"), config.mostBytes);
-      here = new Here(config, loop, vault, () -> {}, (any, how) -> {}, null);
+      vault = new ArtifactStore(folder.resolve("versions"), config.mostBytes);
+      here = new LocalRelaySupervisor(config, loop, vault, () -> {}, (any, how) -> {}, null);
       version =
           new Version(vault.put(corpus.resolve(PROGRAM)), vault.put(corpus.resolve(SETTINGS)));
       agent = new Agent(here, config.times, memory(version));
@@ -107,8 +107,8 @@
     }
   }
 
-  private static Memory memory(Version wanted) {
-    return new Memory(5, TURN, 6, wanted, GOOD, 41);
+  private static AgentState memory(Version wanted) {
+    return new AgentState(5, TURN, 6, wanted, GOOD, 41);
   }
 
   private static Path folder() throws IOException {
@@ -168,7 +168,7 @@
     }
   }
 
-  private static String read(Memory memory) {
+  private static String read(AgentState memory) {
     return String.join(
             "\n",
             "epoch " + memory.epoch(),
--- a/src/test/java/sprucerock/agent/AgentTest.java
+++ b/src/test/java/sprucerock/agent/AgentTest.java
@@ -23,7 +23,7 @@
   private static final Agent.Times TIMES =
       new Agent.Times(TimeSpan.ofMs(5000), TimeSpan.ofMs(3000), TimeSpan.ofMs(10_000));
 
-  private static final class Stage implements Machine {
+  private static final class Stage implements ProcessLauncher {
     private record Timer(Timestamp when, int order, Runnable what) {}
 
     private final PriorityQueue<Timer> timers =
@@ -33,7 +33,7 @@
     private int made;
     final Set<Version> here = new HashSet<>(Set.of(OLD, NEW));
     final List<String> did = new ArrayList<>();
-    Memory kept = Memory.NONE;
+    AgentState kept = AgentState.NONE;
     String diskSays;
     boolean signalWillDo;
 
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public String keep(Memory memory) {
+    public String keep(AgentState memory) {
       if (diskSays == null) {
         kept = memory;
       }
@@ -120,7 +120,7 @@
   }
 
   private Agent running(Version version) {
-    Agent agent = new Agent(stage, TIMES, Memory.NONE);
+    Agent agent = new Agent(stage, TIMES, AgentState.NONE);
     agent.begin();
     agent.offered(version);
     agent.isReady();
@@ -259,7 +259,7 @@
 
   @Test
   public void anAgentThatLostItsNotesLeavesARelayThatRunsWhatIsWanted() {
-    Agent agent = new Agent(stage, TIMES, Memory.NONE);
+    Agent agent = new Agent(stage, TIMES, AgentState.NONE);
     agent.adopted(NEW, 3);
     agent.begin();
     agent.wants(7, 3, NEW);
@@ -271,7 +271,7 @@
 
   @Test
   public void anAgentThatLostItsNotesCarriesOutWhatItsRelayWasNotStartedFor() {
-    Agent agent = new Agent(stage, TIMES, Memory.NONE);
+    Agent agent = new Agent(stage, TIMES, AgentState.NONE);
     agent.adopted(OLD, 3);
     agent.begin();
     agent.wants(7, 3, NEW);
--- a/src/test/java/sprucerock/agent/artifact/VaultTest.java
+++ b/src/test/java/sprucerock/agent/artifact/VaultTest.java
@@ -27,12 +27,12 @@
     folder = Files.createTempDirectory("vault");
     Arrays.fill(PROGRAM, (byte) 7);
     digest =
-        new Vault(folder, 1 << 20)
+        new ArtifactStore(folder, 1 << 20)
             .put(Files.write(Files.createTempFile("program", ".jar"), PROGRAM));
   }
 
-  private Vault nextLife() throws IOException {
-    return new Vault(folder, 1 << 20);
+  private ArtifactStore nextLife() throws IOException {
+    return new ArtifactStore(folder, 1 << 20);
   }
 
   @Test
@@ -41,9 +41,9 @@
     for (byte[] wrong :
         new byte[][] {Arrays.copyOf(PROGRAM, 99_999), new byte[0], new byte[100_000]}) {
       Files.write(folder.resolve(digest), wrong);
-      Vault vault = nextLife();
+      ArtifactStore vault = nextLife();
       assertFalse(vault.has(digest));
-      Vault.Incoming incoming = vault.incoming(digest);
+      ArtifactStore.Incoming incoming = vault.incoming(digest);
       assertFalse(incoming.add(0, Arrays.copyOf(PROGRAM, 60_000), PROGRAM.length));
       assertFalse(vault.has(digest), "half of it is not it");
       assertTrue(
@@ -64,8 +64,8 @@
 
   @Test
   public void whatIsNotWhatWasAskedForIsNotKept() throws Exception {
-    Vault vault = nextLife();
-    Vault.Incoming incoming = vault.incoming("0".repeat(64));
+    ArtifactStore vault = nextLife();
+    ArtifactStore.Incoming incoming = vault.incoming("0".repeat(64));
     assertTrue(
         expectThrows(IOException.class, () -> incoming.add(0, new byte[10], 10))
             .getMessage()
--- a/src/test/java/sprucerock/compat/FrameRecorder.java
+++ b/src/test/java/sprucerock/compat/FrameRecorder.java
@@ -9,14 +9,14 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.transport.net.Link;
+import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.Timers;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
-import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameReader;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.Tap;
@@ -50,7 +50,7 @@
   static byte[] encode(Kind kind, MessageLite head, byte[] body) {
     ManualTimers timers = new ManualTimers();
     CapturedLink captured = new CapturedLink();
-    FrameLink link = new FrameLink(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+    FrameConnection link = new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
     link.up(captured);
     captured.pieces.clear(); // its greeting
     link.send(kind, head, body);
@@ -68,7 +68,7 @@
       Path file = folder.resolve("one.trace");
       ManualTimers timers = new ManualTimers();
       TraceWriter writer = new TraceWriter(timers, file, "relay-1");
-      FrameLink link = new FrameLink(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+      FrameConnection link = new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
       writer.frame(link, false, frame.kind, frame.head, frame.body);
       timers.endTurn();
       String line = Files.readString(file);
@@ -78,10 +78,10 @@
     }
   }
 
-  private static final FrameUser NOBODY =
-      new FrameUser() {
+  private static final FrameListener NOBODY =
+      new FrameListener() {
         @Override
-        public void greeted(FrameLink link, Hello other) {}
+        public void greeted(FrameConnection link, Hello other) {}
 
         @Override
         public void frame(Kind kind, MessageLite head, byte[] body) {}
@@ -116,7 +116,7 @@
   }
 
   /** A connection that keeps what is written to it. */
-  private static final class CapturedLink implements Link {
+  private static final class CapturedLink implements Connection {
     private final List<byte[]> pieces = new ArrayList<>();
 
     @Override
--- a/src/test/java/sprucerock/compat/FramesCompatTest.java
+++ b/src/test/java/sprucerock/compat/FramesCompatTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 import sprucerock.transport.tls.Credentials;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 
 /**
@@ -81,7 +81,7 @@
 
   /** The protocol's name in TLS, and its version in greetings. */
   private static String protocol() {
-    return Credentials.PROTOCOL + " " + FrameLink.VERSION;
+    return Credentials.PROTOCOL + " " + FrameConnection.VERSION;
   }
 
   @DataProvider
--- a/src/test/java/sprucerock/compat/RehearsalCompatTest.java
+++ b/src/test/java/sprucerock/compat/RehearsalCompatTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import sprucerock.rehearsal.invariant.Finding;
-import sprucerock.rehearsal.invariant.Judge;
+import sprucerock.rehearsal.invariant.InvariantChecker;
 
 /**
  * The traces of a small recorded rehearsal, and the judge's verdict on them: as they are, and with
@@ -37,7 +37,7 @@
   }
 
   private static String verdict(Path folder) throws Exception {
-    Judge.Verdict verdict = Judge.judge(folder);
+    InvariantChecker.Verdict verdict = InvariantChecker.judge(folder);
     StringBuilder text = new StringBuilder();
     for (Finding finding : verdict.findings()) {
       text.append(finding).append('\n');
--- a/src/test/java/sprucerock/controller/ChangeStudy.java
+++ b/src/test/java/sprucerock/controller/ChangeStudy.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
 import sprucerock.controller.comparison.Window;
@@ -29,13 +29,13 @@
   private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
   private static final double TICK_MS = 2000;
   private static final int START_TICKS = 2;
-  private static final Plan PLAN =
-      new Plan(
+  private static final DeploymentPlan PLAN =
+      new DeploymentPlan(
           List.of(
-              new Plan.Stage(0.02, 0.1),
-              new Plan.Stage(0.15, 0.03),
-              new Plan.Stage(0.5, 0.02),
-              new Plan.Stage(1, 0.01)),
+              new DeploymentPlan.Stage(0.02, 0.1),
+              new DeploymentPlan.Stage(0.15, 0.03),
+              new DeploymentPlan.Stage(0.5, 0.02),
+              new DeploymentPlan.Stage(1, 0.01)),
           TimeSpan.ofMs(60_000),
           TimeSpan.ofMs(1_800_000),
           TimeSpan.ofMs(60_000),
@@ -185,8 +185,8 @@
   }
 
   /** Changes and watcher as they are. */
-  private static final class Ours implements Way, Changes.Host, Watcher.Host {
-    private final Changes changes = new Changes(PLAN, this);
+  private static final class Ours implements Way, DeploymentManager.Host, Watcher.Host {
+    private final DeploymentManager changes = new DeploymentManager(PLAN, this);
     private final Watcher watcher = new Watcher(changes, this);
     private final Map<Integer, Integer> lives = new TreeMap<>();
     private final List<ManagedRelay> wants = new ArrayList<>();
@@ -232,7 +232,7 @@
         changes.says(one.number, one.zone(), one.busy(), one.wanted(), false, one.turn(), at(), 0);
       }
       wants.clear();
-      Change change = changes.of(1);
+      Deployment change = changes.of(1);
       return change != null && !change.state().open();
     }
 
@@ -242,11 +242,11 @@
 
     @Override
     public boolean stopped() {
-      return changes.of(1).state() == Change.State.GIVEN_UP;
+      return changes.of(1).state() == Deployment.State.GIVEN_UP;
     }
 
     @Override
-    public void changed(Change change, Change.Step step) {}
+    public void changed(Deployment change, Deployment.Step step) {}
 
     @Override
     public void wants(ManagedRelay relay) {
@@ -254,7 +254,7 @@
     }
 
     @Override
-    public void judged(Change change, Verdict verdict, String reason) {
+    public void judged(Deployment change, Verdict verdict, String reason) {
       changes.judged(change.number, change.stage(), verdict, reason, at(), 0);
     }
 
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -13,10 +13,10 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.deployment.Version;
 import sprucerock.compat.CorpusFiles;
 import sprucerock.compat.FilledMessages;
@@ -40,9 +40,9 @@
 import sprucerock.controller.v1.Silent;
 import sprucerock.controller.v1.State;
 import sprucerock.controller.v1.Word;
-import sprucerock.controller.maintenance.Freeze;
-import sprucerock.controller.maintenance.Freezes;
-import sprucerock.controller.maintenance.Headroom;
+import sprucerock.controller.maintenance.MaintenanceWindow;
+import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.controller.maintenance.CapacityCheck;
 import sprucerock.controller.maintenance.Rack;
 import sprucerock.time.TimeSpan;
 
@@ -78,10 +78,10 @@
   private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   private static final Version NEW = new Version("b".repeat(64), "1".repeat(64));
   private static final Version NEWER = new Version("c".repeat(64), "2".repeat(64));
-  private static final Rules RULES =
-      new Rules(
-          List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)),
-          Rules.Control.SINGLE,
+  private static final RolloutRules RULES =
+      new RolloutRules(
+          List.of(new RolloutRules.Stage(0.1, 0.12), new RolloutRules.Stage(1, 1)),
+          RolloutRules.Control.SINGLE,
           2,
           1,
           1,
@@ -92,9 +92,9 @@
           TimeSpan.ofMs(800),
           TimeSpan.ofMs(3000),
           1000);
-  private static final Plan PLAN =
-      new Plan(
-          List.of(new Plan.Stage(0.3, 0.1), new Plan.Stage(1, 0.1)),
+  private static final DeploymentPlan PLAN =
+      new DeploymentPlan(
+          List.of(new DeploymentPlan.Stage(0.3, 0.1), new DeploymentPlan.Stage(1, 0.1)),
           TimeSpan.ofMs(500),
           TimeSpan.ofMs(20_000),
           TimeSpan.ofMs(3000),
@@ -117,7 +117,7 @@
     }
   }
 
-  private static Freezes freezes() {
+  private static MaintenanceWindows freezes() {
     double[] needs = new double[24];
     Arrays.fill(needs, 10);
     List<Rack> racks =
@@ -126,13 +126,13 @@
             new Rack("a2", 1, 2, Map.of(2, 10.0), 5 * MINUTE),
             new Rack("a3", 1, 3, Map.of(3, 8.0), 5 * MINUTE),
             new Rack("b1", 2, 1, Map.of(2, 10.0), 5 * MINUTE));
-    Headroom room = new Headroom(racks, Map.of(1, new Headroom.Forecast(2, 0, needs)), 0.2);
-    return new Freezes(
-        new Freezes.Rules(MINUTE, 15 * MINUTE, 0.95),
+    CapacityCheck room = new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
+    return new MaintenanceWindows(
+        new MaintenanceWindows.Rules(MINUTE, 15 * MINUTE, 0.95),
         room,
-        new Freezes.Host() {
+        new MaintenanceWindows.Host() {
           @Override
-          public void changed(Freeze freeze, Freeze.Step step) {}
+          public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {}
 
           @Override
           public void promisesChanged() {}
@@ -141,16 +141,16 @@
 
   private static Engine engine(Path folder, int snapshotEvery, Engine.Clock clock)
       throws IOException {
-    Changes.Host nobody =
-        new Changes.Host() {
+    DeploymentManager.Host nobody =
+        new DeploymentManager.Host() {
           @Override
-          public void changed(Change change, Change.Step step) {}
+          public void changed(Deployment change, Deployment.Step step) {}
 
           @Override
           public void wants(ManagedRelay relay) {}
         };
     return new Engine(
-        new FileDisk(folder),
+        new FileStorage(folder),
         snapshotEvery,
         RULES,
         PLACES,
@@ -510,9 +510,9 @@
   /** Reads a folder's snapshot and the inputs after it. */
   private static void read(Path folder, List<State> states, List<Input> inputs, long[] lastWallMs)
       throws Exception {
-    Store store = new Store(new FileDisk(folder), NEVER);
+    WriteAheadLog store = new WriteAheadLog(new FileStorage(folder), NEVER);
     store.open(
-        new Store.Reader() {
+        new WriteAheadLog.Reader() {
           @Override
           public void state(State state) {
             states.add(state);
@@ -542,7 +542,7 @@
                 + ", inputs "
                 + engine.inputs()
                 + "\n");
-    for (Release release : engine.releases().all()) {
+    for (Rollout release : engine.releases().all()) {
       text.append("build ").append(release.build).append(' ').append(release.artifact).append('\n');
       release
           .steps()
@@ -562,7 +562,7 @@
                       .append(step.cause())
                       .append('\n'));
     }
-    for (Change change : engine.changes().all()) {
+    for (Deployment change : engine.changes().all()) {
       text.append("change ")
           .append(change.number)
           .append(" by ")
@@ -599,7 +599,7 @@
           .append(relay.wanted())
           .append('\n');
     }
-    for (Freeze freeze : engine.freezes().all()) {
+    for (MaintenanceWindow freeze : engine.freezes().all()) {
       text.append("freeze ")
           .append(freeze.number)
           .append(" of ")
@@ -674,8 +674,8 @@
     try {
       ManualClock clock = new ManualClock();
       List<String> lines = new ArrayList<>();
-      FolderSeat seat =
-          new FolderSeat(new FileDisk(folder), clock, TimeSpan.ofMs(2000), "controller-1@host");
+      FileLeadership seat =
+          new FileLeadership(new FileStorage(folder), clock, TimeSpan.ofMs(2000), "controller-1@host");
       seat.take();
       lines.add(files(folder));
       clock.passedMs += 600;
@@ -683,7 +683,7 @@
       lines.add(files(folder));
       seat.release();
       lines.add(files(folder));
-      new SeatMark(new FileDisk(folder)).take(1_700_000_000_123L);
+      new LeadershipMark(new FileStorage(folder)).take(1_700_000_000_123L);
       lines.add(files(folder));
       return lines;
     } finally {
@@ -783,7 +783,7 @@
       for (String file : last.split(" (?=[a-z]+=)")) {
         Files.writeString(folder.resolve(file.split("=")[0]), file.split("=")[1]);
       }
-      assertEquals(new SeatMark(new FileDisk(folder)).highest(), 1_700_000_000_123L);
+      assertEquals(new LeadershipMark(new FileStorage(folder)).highest(), 1_700_000_000_123L);
     } finally {
       CorpusFiles.remove(folder);
     }
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -14,10 +14,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.deployment.Version;
 import sprucerock.controller.v1.AgentSays;
 import sprucerock.controller.v1.Announced;
@@ -38,7 +38,7 @@
   }
 
   /** A disk that crashes at its n-th step; of what was not forced a part stays, drawn. */
-  private static final class SimDisk implements Disk {
+  private static final class SimDisk implements Storage {
     private final TreeMap<String, byte[]> forced = new TreeMap<>();
     private final TreeMap<String, ByteArrayOutputStream> now = new TreeMap<>();
     private long steps;
@@ -150,9 +150,9 @@
   private final List<String> told = new ArrayList<>();
   private final List<String> said = new ArrayList<>();
 
-  private static final Plan PLAN =
-      new Plan(
-          List.of(new Plan.Stage(0.3, 0.1), new Plan.Stage(1, 0.1)),
+  private static final DeploymentPlan PLAN =
+      new DeploymentPlan(
+          List.of(new DeploymentPlan.Stage(0.3, 0.1), new DeploymentPlan.Stage(1, 0.1)),
           TimeSpan.ofMs(500),
           TimeSpan.ofMs(20_000),
           TimeSpan.ofMs(3000),
@@ -171,7 +171,7 @@
 
   private final List<String> contradictions = new ArrayList<>();
 
-  private Engine engine(Disk disk, int snapshotEvery) {
+  private Engine engine(Storage disk, int snapshotEvery) {
     return new Engine(
         disk,
         snapshotEvery,
@@ -189,9 +189,9 @@
                     + step.standing()
                     + " "
                     + step.stage()),
-        new Changes.Host() {
+        new DeploymentManager.Host() {
           @Override
-          public void changed(Change change, Change.Step step) {
+          public void changed(Deployment change, Deployment.Step step) {
             told.add(
                 "change "
                     + step.sequence()
@@ -238,10 +238,10 @@
 
   /** Something befalls what relays run. */
   private static Input.Builder ofChange(Engine engine, SplittableRandom random) {
-    Changes changes = engine.changes();
+    DeploymentManager changes = engine.changes();
     int number = random.nextInt(6);
     ManagedRelay relay = changes.relay(number);
-    Change any = changes.under() != null ? changes.under() : changes.waiting();
+    Deployment any = changes.under() != null ? changes.under() : changes.waiting();
     boolean begun = relay != null && relay.wanted() != null;
     return switch (random.nextInt(8)) {
       case 0 ->
@@ -319,7 +319,7 @@
               engine.submit(
                   announce("d" + next, next),
                   outcome -> {
-                    if (outcome.answer() == Releases.Answer.TAKEN) {
+                    if (outcome.answer() == RolloutManager.Answer.TAKEN) {
                       taken.add(next);
                     }
                   });
@@ -470,8 +470,8 @@
       engine.commit();
       disk.restart(Long.MAX_VALUE);
     }
-    assertEquals(answers.subList(0, 2), List.of(Releases.Answer.TAKEN, Releases.Answer.AGAIN));
-    assertEquals(answers.stream().filter(Releases.Answer.TAKEN::equals).count(), 1);
+    assertEquals(answers.subList(0, 2), List.of(RolloutManager.Answer.TAKEN, RolloutManager.Answer.AGAIN));
+    assertEquals(answers.stream().filter(RolloutManager.Answer.TAKEN::equals).count(), 1);
   }
 
   @Test
@@ -496,7 +496,7 @@
         refused, java.util.Collections.nCopies(3, "it takes no more: No space left on device"));
     disk.full = false;
     engine.submit(
-        announce("e", 3), outcome -> assertEquals(outcome.answer(), Releases.Answer.TAKEN));
+        announce("e", 3), outcome -> assertEquals(outcome.answer(), RolloutManager.Answer.TAKEN));
     engine.commit();
     assertEquals(engine.failed(), null);
     disk.restart(Long.MAX_VALUE);
@@ -508,7 +508,7 @@
   @Test
   public void aTornTailIsCutOffWithALineAndAHoleStopsTheStart() throws Exception {
     Path folder = Files.createTempDirectory("store");
-    Engine engine = engine(new FileDisk(folder), 1000);
+    Engine engine = engine(new FileStorage(folder), 1000);
     engine.start();
     for (int i = 2; i < 12; i++) {
       engine.submit(announce("d" + i, i), outcome -> {});
@@ -518,7 +518,7 @@
     Path log = folder.resolve("inputs-0000000000000000");
     byte[] good = Files.readAllBytes(log);
     said.clear();
-    Engine cut = engine(new FileDisk(only(Arrays.copyOf(good, good.length - 3))), 1000);
+    Engine cut = engine(new FileStorage(only(Arrays.copyOf(good, good.length - 3))), 1000);
     cut.start();
     cut.close();
     assertEquals(said.size(), 1);
@@ -531,7 +531,7 @@
     hole[good.length / 2] ^= 1;
     Path holed = only(hole);
     String message =
-        expectThrows(Store.DamagedException.class, () -> engine(new FileDisk(holed), 1000).start())
+        expectThrows(WriteAheadLog.DamagedException.class, () -> engine(new FileStorage(holed), 1000).start())
             .getMessage();
     assertTrue(
         message.startsWith("inputs-0000000000000000 is damaged at byte ")
@@ -542,7 +542,7 @@
     System.arraycopy(good, 0, gap, 0, 30);
     System.arraycopy(good, 90, gap, 30, good.length - 90);
     Path gapped = only(gap);
-    expectThrows(Store.DamagedException.class, () -> engine(new FileDisk(gapped), 1000).start());
+    expectThrows(WriteAheadLog.DamagedException.class, () -> engine(new FileStorage(gapped), 1000).start());
   }
 
   /** A folder with one log in it. */
@@ -555,17 +555,17 @@
   @Test
   public void whatAReplacedControllerStillWritesIsNeverRead() throws Exception {
     Path folder = Files.createTempDirectory("store");
-    Engine old = engine(new FileDisk(folder), 1000);
+    Engine old = engine(new FileStorage(folder), 1000);
     old.start();
     old.submit(announce("a", 2), outcome -> {});
     old.commit();
-    Engine next = engine(new FileDisk(folder), 1000);
+    Engine next = engine(new FileStorage(folder), 1000);
     next.start();
     old.submit(announce("b", 9), outcome -> {}); // it was held up, and does not know
     old.commit();
     next.submit(announce("c", 3), outcome -> {});
     next.commit();
-    Engine third = engine(new FileDisk(folder), 1000);
+    Engine third = engine(new FileStorage(folder), 1000);
     third.start();
     assertEquals(third.releases().present().build, 3);
     assertEquals(third.releases().of(9), null);
--- a/src/test/java/sprucerock/controller/FolderSeatTest.java
+++ b/src/test/java/sprucerock/controller/FolderSeatTest.java
@@ -17,7 +17,7 @@
   private static final TimeSpan TIME = TimeSpan.ofMs(1000);
 
   /** A folder in memory, of which a lease needs little. */
-  private static final class Memory implements Disk {
+  private static final class Memory implements Storage {
     private final TreeMap<String, byte[]> files = new TreeMap<>();
 
     @Override
@@ -52,7 +52,7 @@
   }
 
   private long now;
-  private Disk disk;
+  private Storage disk;
   private final Engine.Clock clock =
       new Engine.Clock() {
         @Override
@@ -72,11 +72,11 @@
     disk = new Memory();
   }
 
-  private FolderSeat lease(String holder) throws Exception {
-    return new FolderSeat(disk, clock, TIME, holder);
+  private FileLeadership lease(String holder) throws Exception {
+    return new FileLeadership(disk, clock, TIME, holder);
   }
 
-  private long takes(FolderSeat lease, long patience) throws Exception {
+  private long takes(FileLeadership lease, long patience) throws Exception {
     long from = now;
     while (!lease.take()) {
       now += 100;
@@ -89,8 +89,8 @@
 
   @Test
   public void theFirstTakesItAndTheSecondWaits() throws Exception {
-    FolderSeat a = lease("a");
-    FolderSeat b = lease("b");
+    FileLeadership a = lease("a");
+    FileLeadership b = lease("b");
     assertTrue(takes(a, 5000) >= 0);
     for (int i = 0; i < 50; i++) {
       now += 200;
@@ -101,24 +101,24 @@
 
   @Test
   public void itIsTakenOverAfterItsTimeAndAtOnceWhereItWasGivenBack() throws Exception {
-    FolderSeat a = lease("a");
+    FileLeadership a = lease("a");
     takes(a, 5000);
-    FolderSeat b = lease("b");
+    FileLeadership b = lease("b");
     b.take();
     long after = takes(b, 10_000);
     assertTrue(after >= TIME.ms() && after <= 2 * TIME.ms(), after + " ms");
     assertFalse(a.holds());
     b.release();
-    FolderSeat c = lease("c");
+    FileLeadership c = lease("c");
     c.take();
     assertTrue(takes(c, 5000) <= TIME.ms());
   }
 
   @Test
   public void oneThatWasHeldUpWakesWithoutIt() throws Exception {
-    FolderSeat a = lease("a");
+    FileLeadership a = lease("a");
     takes(a, 5000);
-    FolderSeat b = lease("b");
+    FileLeadership b = lease("b");
     takes(b, 10_000); // while a stands still
     assertFalse(a.holds());
     assertFalse(a.renew());
@@ -131,7 +131,7 @@
     for (int seed = 0; seed < 60; seed++) {
       disk = new Memory();
       SplittableRandom random = new SplittableRandom(seed);
-      List<FolderSeat> all = new ArrayList<>();
+      List<FileLeadership> all = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
         all.add(lease("h" + i));
       }
@@ -144,10 +144,10 @@
         if (stalls) {
           now += 1500;
         }
-        FolderSeat lease = all.get(who);
+        FileLeadership lease = all.get(who);
         has[who] = has[who] ? lease.renew() : lease.take();
         int holders = 0;
-        for (FolderSeat one : all) {
+        for (FileLeadership one : all) {
           holders += one.holds() ? 1 : 0;
         }
         most = Math.max(most, holders);
--- a/src/test/java/sprucerock/controller/PlainReleases.java
+++ b/src/test/java/sprucerock/controller/PlainReleases.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sprucerock.controller.Release.Standing;
-import sprucerock.controller.Releases.Say;
+import sprucerock.controller.Rollout.Standing;
+import sprucerock.controller.RolloutManager.Say;
 
 /**
  * The same rules once more, as plain as can be: everything that ever happened is kept in lists, and
@@ -19,7 +19,7 @@
 
   record Change(double at, int build, int stage, Standing to) {}
 
-  private final Rules rules;
+  private final RolloutRules rules;
   private final int places;
   private final List<Vote> votes = new ArrayList<>();
   final List<Change> changes = new ArrayList<>();
@@ -34,7 +34,7 @@
   private int present;
   private int earlier;
 
-  PlainReleases(Rules rules, int places, int first) {
+  PlainReleases(RolloutRules rules, int places, int first) {
     this.rules = rules;
     this.places = places;
     present = first;
@@ -92,21 +92,21 @@
     heldMs = 0;
   }
 
-  Releases.Answer announced(String delivery, int build, String artifact, double now) {
+  RolloutManager.Answer announced(String delivery, int build, String artifact, double now) {
     String content = build + " " + artifact;
     if (deliveries.containsKey(delivery)) {
       return deliveries.get(delivery).equals(content)
-          ? Releases.Answer.AGAIN
-          : Releases.Answer.CONTRADICTS;
+          ? RolloutManager.Answer.AGAIN
+          : RolloutManager.Answer.CONTRADICTS;
     }
     deliveries.put(delivery, content);
     if (artifacts.containsKey(build)) {
       return artifacts.get(build).equals(artifact)
-          ? Releases.Answer.KNOWN
-          : Releases.Answer.CONTRADICTS;
+          ? RolloutManager.Answer.KNOWN
+          : RolloutManager.Answer.CONTRADICTS;
     }
     if (artifacts.keySet().stream().anyMatch(one -> one > build)) {
-      return Releases.Answer.TOO_OLD;
+      return RolloutManager.Answer.TOO_OLD;
     }
     artifacts.put(build, artifact);
     changes.add(new Change(now, build, 0, Standing.ANNOUNCED));
@@ -120,7 +120,7 @@
       }
     }
     begin(now);
-    return Releases.Answer.TAKEN;
+    return RolloutManager.Answer.TAKEN;
   }
 
   private void begin(double now) {
--- a/src/test/java/sprucerock/controller/ReleasesProperties.java
+++ b/src/test/java/sprucerock/controller/ReleasesProperties.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.ShrinkingMode;
-import sprucerock.controller.Release.Standing;
-import sprucerock.controller.Releases.Say;
+import sprucerock.controller.Rollout.Standing;
+import sprucerock.controller.RolloutManager.Say;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -22,10 +22,10 @@
  * never be.
  */
 class ReleasesProperties {
-  static final Rules RULES =
-      new Rules(
-          List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(0.4, 0.45), new Rules.Stage(1, 1)),
-          Rules.Control.SINGLE,
+  static final RolloutRules RULES =
+      new RolloutRules(
+          List.of(new RolloutRules.Stage(0.1, 0.12), new RolloutRules.Stage(0.4, 0.45), new RolloutRules.Stage(1, 1)),
+          RolloutRules.Control.SINGLE,
           2,
           1,
           1,
@@ -55,8 +55,8 @@
   @Property(seed = "20261206", tries = 600, shrinking = ShrinkingMode.BOUNDED)
   void theSameInputsGiveWhatThePlainModelGives(@ForAll("days") List<Event> day) {
     List<PlainReleases.Change> told = new ArrayList<>();
-    Releases core =
-        new Releases(
+    RolloutManager core =
+        new RolloutManager(
             RULES,
             10,
             1,
@@ -96,14 +96,14 @@
         case 2 -> {
           boolean on = event.which % 2 == 0;
           core.word(
-              on ? Releases.Action.HOLD : Releases.Action.RESUME, build, "ann", "why", now, 0);
+              on ? RolloutManager.Action.HOLD : RolloutManager.Action.RESUME, build, "ann", "why", now, 0);
           plain.hold(build, on, at);
         }
         case 3 -> {
           if (event.which % 4 > 0) {
             break;
           }
-          core.word(Releases.Action.WITHDRAW, build, "ann", "why", now, 0);
+          core.word(RolloutManager.Action.WITHDRAW, build, "ann", "why", now, 0);
           plain.withdraw(build, at);
         }
         case 4, 5, 6, 7, 8 -> {
@@ -131,7 +131,7 @@
                       say,
                       now,
                       0)
-                  == Releases.Taken.COUNTS;
+                  == RolloutManager.Taken.COUNTS;
           assertEquals(
               counts,
               plain.cast(relay, plain.present() - (event.other % 9 == 0 ? 1 : 0), stage, say, at));
@@ -146,7 +146,7 @@
     }
   }
 
-  private static void never(Releases core) {
+  private static void never(RolloutManager core) {
     assertTrue(
         core.all().stream()
                 .filter(
@@ -155,7 +155,7 @@
                 .count()
             <= 1,
         "two at a time");
-    Releases.News news = core.news();
+    RolloutManager.News news = core.news();
     double most =
         news.standing() == Standing.ON_TRIAL
             ? RULES.stages().get(news.stage()).cap()
--- a/src/test/java/sprucerock/controller/ReleasesTest.java
+++ b/src/test/java/sprucerock/controller/ReleasesTest.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.controller.Releases.Action;
-import sprucerock.controller.Releases.Answer;
-import sprucerock.controller.Releases.Say;
-import sprucerock.controller.Releases.Taken;
+import sprucerock.controller.RolloutManager.Action;
+import sprucerock.controller.RolloutManager.Answer;
+import sprucerock.controller.RolloutManager.Say;
+import sprucerock.controller.RolloutManager.Taken;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
 /** Stories of releases, from the announcement to the end. */
 public class ReleasesTest {
   private final List<String> steps = new ArrayList<>();
-  private Releases core;
+  private RolloutManager core;
   private Timestamp now;
 
   @BeforeMethod
@@ -27,11 +27,11 @@
     core(ReleasesProperties.RULES);
   }
 
-  private void core(Rules rules) {
+  private void core(RolloutRules rules) {
     steps.clear();
     now = Timestamp.ofMs(0);
     core =
-        new Releases(
+        new RolloutManager(
             rules,
             10,
             1,
@@ -83,7 +83,7 @@
     announce("d", 2);
     assertEquals(core.news().build(), 1); // nothing of it is told before its units are there
     core.ready(2, 1, now, 0);
-    assertEquals(core.news(), new Releases.News(2, 0, Release.Standing.ON_TRIAL, 0.12, now));
+    assertEquals(core.news(), new RolloutManager.News(2, 0, Rollout.Standing.ON_TRIAL, 0.12, now));
     assertEquals(cast(0, 2, 0, Say.ON), Taken.COUNTS);
     assertEquals(cast(1, 2, 0, Say.ON), Taken.COUNTS);
     assertEquals(
@@ -128,10 +128,10 @@
   public void theNextOfferEndsATrialAndOneThatGoesBackIsWaitedFor() {
     onTrial(2);
     announce("x", 3);
-    assertEquals(core.of(2).standing(), Release.Standing.SUPERSEDED);
+    assertEquals(core.of(2).standing(), Rollout.Standing.SUPERSEDED);
     assertEquals(
         core.news().standing(),
-        Release.Standing.WITHDRAWN); // of build 2, until the units of 3 are there
+        Rollout.Standing.WITHDRAWN); // of build 2, until the units of 3 are there
     core.ready(3, 10, now, 0);
     cast(0, 3, 0, Say.BACK);
     announce("y", 4);
@@ -169,14 +169,14 @@
     }
     assertEquals(core.present().stage(), 0);
     cast(0, 2, 0, Say.BACK); // the last word of that number
-    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+    assertEquals(core.present().standing(), Rollout.Standing.GOING_BACK);
   }
 
   @Test
   public void moreVotesASecondThanAllowedAreTooMany() {
-    Rules r = ReleasesProperties.RULES;
+    RolloutRules r = ReleasesProperties.RULES;
     core(
-        new Rules(
+        new RolloutRules(
             r.stages(),
             r.control(),
             2,
@@ -202,11 +202,11 @@
   @Test
   public void aBackVoteInTheMomentOfTheReleaseStillSendsItBackAndLaterNot() {
     released(2);
-    assertEquals(core.present().standing(), Release.Standing.RELEASED);
+    assertEquals(core.present().standing(), Rollout.Standing.RELEASED);
     assertEquals(cast(3, 2, 2, Say.BACK), Taken.COUNTS);
-    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+    assertEquals(core.present().standing(), Rollout.Standing.GOING_BACK);
     pass(1000);
-    assertEquals(core.news().standing(), Release.Standing.WITHDRAWN);
+    assertEquals(core.news().standing(), Rollout.Standing.WITHDRAWN);
     released(3);
     pass(3100); // the watch is over
     assertEquals(cast(3, 3, 2, Say.BACK), Taken.MOOT);
@@ -227,7 +227,7 @@
     cast(1, 3, 0, Say.ON);
     assertEquals(core.present().stage(), 1);
     pass(5100);
-    assertEquals(core.present().standing(), Release.Standing.GOING_BACK); // 1 of 4
+    assertEquals(core.present().standing(), Rollout.Standing.GOING_BACK); // 1 of 4
   }
 
   @Test
@@ -246,7 +246,7 @@
     pass(600);
     assertEquals(core.present().stage(), 1);
     assertNull(core.word(Action.WITHDRAW, 2, "ann", "not today", now, 0));
-    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+    assertEquals(core.present().standing(), Rollout.Standing.GOING_BACK);
     assertEquals(
         core.word(Action.WITHDRAW, 1, "ann", "the only one", now, 0),
         "build 1 is released: it can't be withdrawn");
@@ -255,11 +255,11 @@
 
   @Test
   public void underTheClockRelaysHoldIt() {
-    Rules r = ReleasesProperties.RULES;
+    RolloutRules r = ReleasesProperties.RULES;
     core(
-        new Rules(
+        new RolloutRules(
             r.stages(),
-            Rules.Control.CLOCKED,
+            RolloutRules.Control.CLOCKED,
             1,
             1,
             2,
@@ -279,9 +279,9 @@
     assertEquals(core.present().stage(), 1);
     assertEquals(cast(0, 2, 1, Say.ON), Taken.MOOT);
     cast(0, 2, 1, Say.BACK);
-    assertEquals(core.present().standing(), Release.Standing.ON_TRIAL);
+    assertEquals(core.present().standing(), Rollout.Standing.ON_TRIAL);
     cast(1, 2, 1, Say.BACK);
-    assertEquals(core.present().standing(), Release.Standing.GOING_BACK);
+    assertEquals(core.present().standing(), Rollout.Standing.GOING_BACK);
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -9,10 +9,10 @@
 import java.util.Locale;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.v1.AgentSays;
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.Input;
@@ -23,9 +23,9 @@
  * with relays: counted, not timed.
  */
 public class StoreScaleTest {
-  private static final Plan PLAN =
-      new Plan(
-          List.of(new Plan.Stage(0.5, 0.1), new Plan.Stage(1, 0.01)),
+  private static final DeploymentPlan PLAN =
+      new DeploymentPlan(
+          List.of(new DeploymentPlan.Stage(0.5, 0.1), new DeploymentPlan.Stage(1, 0.01)),
           TimeSpan.ofMs(10_000),
           TimeSpan.ofMs(120_000),
           TimeSpan.ofMs(20_000),
@@ -39,7 +39,7 @@
           .build();
 
   /** Counts what it is asked. */
-  private static final class Counting implements Disk {
+  private static final class Counting implements Storage {
     private final TreeMap<String, ByteArrayOutputStream> files = new TreeMap<>();
     private long adds;
     private long bytes;
@@ -109,10 +109,10 @@
   }
 
   private StoreScaleTest(int snapshotEvery) {
-    Rules rules =
-        new Rules(
-            List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)),
-            Rules.Control.MAJORITY,
+    RolloutRules rules =
+        new RolloutRules(
+            List.of(new RolloutRules.Stage(0.1, 0.12), new RolloutRules.Stage(1, 1)),
+            RolloutRules.Control.MAJORITY,
             1 << 20,
             1 << 20,
             1 << 20,
@@ -143,9 +143,9 @@
               }
             },
             (release, step) -> {},
-            new Changes.Host() {
+            new DeploymentManager.Host() {
               @Override
-              public void changed(Change change, Change.Step step) {
+              public void changed(Deployment change, Deployment.Step step) {
                 // not counted
               }
 
--- a/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
+++ b/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
@@ -40,7 +40,7 @@
 
   private Comparison play(int couples, int windows, double old, double fresh, double freshMs) {
     Comparison comparison = new Comparison(0.02, 0.1, 0.05, 0.02, 0.01);
-    Couple[] all = new Couple[couples];
+    MatchedWindows[] all = new MatchedWindows[couples];
     for (int i = 0; i < couples; i++) {
       all[i] = comparison.couple();
       for (int w = 0; w < 30; w++) {
@@ -49,7 +49,7 @@
     }
     for (int w = 0; w < windows; w++) {
       double shared = w % 20 < 5 ? 0.2 : 0; // now and then everybody is worse
-      for (Couple one : all) {
+      for (MatchedWindows one : all) {
         one.after(window(40, fresh + shared, freshMs), window(40, old + shared, 60));
       }
     }
@@ -105,7 +105,7 @@
   @Test
   public void whatARelayDiffersInByItselfIsNotBlamedOnItsChange() {
     Comparison comparison = new Comparison(0.02, 0.1);
-    Couple couple = comparison.couple();
+    MatchedWindows couple = comparison.couple();
     for (int w = 0; w < 30; w++) {
       couple.before(window(40, 0.10, 90), window(40, 0.02, 60));
     }
@@ -134,7 +134,7 @@
   public void aWagerOnNothingSeldomGetsRich() {
     int rich = 0;
     for (int i = 0; i < 1000; i++) {
-      Wager wager = new Wager();
+      BettingTest wager = new BettingTest();
       for (int n = 0; n < 500; n++) {
         wager.add(random.nextBoolean() ? 0.5 : -0.5);
       }
--- a/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import sprucerock.controller.deployment.Change.State;
+import sprucerock.controller.deployment.Deployment.State;
 import sprucerock.time.Timestamp;
 
 /**
@@ -20,9 +20,9 @@
 class ChangesProperties {
   private static final int ZONES = 3;
 
-  private static final class Wild implements Changes.Host {
+  private static final class Wild implements DeploymentManager.Host {
     final SplittableRandom random;
-    final Changes changes = new Changes(ChangesTest.PLAN, this);
+    final DeploymentManager changes = new DeploymentManager(ChangesTest.PLAN, this);
     final Map<Integer, Integer> turns = new HashMap<>();
     final int relays;
     double now = 1000;
@@ -66,7 +66,7 @@
         return;
       }
       int size = (relays + ZONES - 1 - relay.zone()) / ZONES;
-      Change under = changes.under();
+      Deployment under = changes.under();
       boolean back =
           under == null || under.state() == State.GOING_BACK || under.state() == State.DONE;
       int most = Math.min(Math.max(1, (int) (0.2 * size)), back ? Math.max(1, room) : room);
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void changed(Change change, Change.Step step) {
+    public void changed(Deployment change, Deployment.Step step) {
       if (step.state() == State.MOVING
           && step.stage() > 0
           && !step.cause().startsWith("held")
@@ -105,7 +105,7 @@
       now += random.nextInt(1500);
       int number = random.nextInt(relays);
       ManagedRelay relay = changes.relay(number);
-      Change under = changes.under();
+      Deployment under = changes.under();
       switch (random.nextInt(14)) {
         case 0 -> changes.silent(number, at(), 0);
         case 1 ->
@@ -151,11 +151,11 @@
         case 7 -> {
           if (under != null && random.nextInt(10) == 0) {
             changes.word(
-                Changes.Word.values()[random.nextInt(3)], under.number, "any", "one", at(), 0);
+                DeploymentManager.Word.values()[random.nextInt(3)], under.number, "any", "one", at(), 0);
           }
         }
         case 8, 9 -> {
-          Change waits = changes.waiting();
+          Deployment waits = changes.waiting();
           if (waits != null) {
             changes.checked(number, waits.number, random.nextInt(60) == 0 ? "no" : "", at(), 0);
           }
@@ -196,7 +196,7 @@
       }
       wild.changes.tick(wild.at(), 0);
     }
-    for (Change one : wild.changes.all()) {
+    for (Deployment one : wild.changes.all()) {
       assertTrue(
           !one.state().open(),
           "change "
@@ -224,19 +224,19 @@
       if (i % 50 != 0) {
         continue;
       }
-      Changes back =
-          new Changes(
+      DeploymentManager back =
+          new DeploymentManager(
               ChangesTest.PLAN,
-              new Changes.Host() {
+              new DeploymentManager.Host() {
                 @Override
-                public void changed(Change change, Change.Step step) {}
+                public void changed(Deployment change, Deployment.Step step) {}
 
                 @Override
                 public void wants(ManagedRelay relay) {}
               });
-      ChangeNotes before = ChangeNotes.of(wild.changes);
+      DeploymentState before = DeploymentState.of(wild.changes);
       before.into(back);
-      assertEquals(ChangeNotes.of(back), before);
+      assertEquals(DeploymentState.of(back), before);
       assertEquals(back.due(wild.at()), wild.changes.due(wild.at()));
     }
   }
--- a/src/test/java/sprucerock/controller/deployment/ChangesTest.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Change.State;
+import sprucerock.controller.deployment.Deployment.State;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 
@@ -17,9 +17,9 @@
 public class ChangesTest {
   static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
-  static final Plan PLAN =
-      new Plan(
-          List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)),
+  static final DeploymentPlan PLAN =
+      new DeploymentPlan(
+          List.of(new DeploymentPlan.Stage(0.05, 0.1), new DeploymentPlan.Stage(0.25, 0.05), new DeploymentPlan.Stage(1, 0.01)),
           TimeSpan.ofMs(10_000),
           TimeSpan.ofMs(120_000),
           TimeSpan.ofMs(20_000),
@@ -31,14 +31,14 @@
    * So many relays in two zones, each third one busy, whose agents do at once what is wanted of
    * them.
    */
-  static final class Fleet implements Changes.Host {
-    final Changes changes;
-    final List<Change.Step> steps = new ArrayList<>();
+  static final class Fleet implements DeploymentManager.Host {
+    final DeploymentManager changes;
+    final List<Deployment.Step> steps = new ArrayList<>();
     final List<ManagedRelay> wants = new ArrayList<>();
     double now = 1000;
 
     Fleet(int relays) {
-      changes = new Changes(PLAN, this);
+      changes = new DeploymentManager(PLAN, this);
       for (int i = 0; i < relays; i++) {
         changes.says(i, i % 2, i % 3 == 0, OLD, true, 0, at(), 0);
       }
@@ -66,9 +66,9 @@
       }
     }
 
-    Change propose() {
+    Deployment propose() {
       assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
-      Change change = changes.waiting();
+      Deployment change = changes.waiting();
       for (ManagedRelay relay : List.copyOf(changes.relays())) {
         changes.checked(relay.number, change.number, "", at(), 0);
       }
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void changed(Change change, Change.Step step) {
+    public void changed(Deployment change, Deployment.Step step) {
       steps.add(step);
     }
 
@@ -101,14 +101,14 @@
     }
   }
 
-  private static void fine(Fleet fleet, Change change) {
+  private static void fine(Fleet fleet, Deployment change) {
     fleet.changes.judged(change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
   }
 
   @Test
   public void aGoodChangeGoesFromOneRelayToAllBesideControls() {
     Fleet fleet = new Fleet(20);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     assertEquals(change.state(), State.MOVING);
     fleet.obey();
     assertEquals(fleet.on(NEW), 1);
@@ -137,7 +137,7 @@
   @Test
   public void aWorseChangeIsTakenBackNewestFirst() {
     Fleet fleet = new Fleet(20);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     fleet.obey();
     fine(fleet, change);
     fleet.pass(11_000);
@@ -156,7 +156,7 @@
   @Test
   public void aRelayThatEndsByItselfOnTheNewVersionStopsItAtOnce() {
     Fleet fleet = new Fleet(20);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     int first = change.moved().iterator().next();
     fleet.says(first, NEW, false);
     fleet.changes.failed(first, NEW, 0, "ended with code 3", fleet.at(), 0);
@@ -175,13 +175,13 @@
   @Test
   public void aFailureThatIsToldAgainDoesNotStopTheSameVersionProposedAnew() {
     Fleet fleet = new Fleet(20);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     int first = change.moved().iterator().next();
     int turn = fleet.changes.relay(first).turn();
     fleet.changes.failed(first, NEW, turn, "the disk was full", fleet.at(), 0);
     fleet.obey();
     assertEquals(change.state(), State.GIVEN_UP);
-    Change again = fleet.propose();
+    Deployment again = fleet.propose();
     assertTrue(again.moved().contains(first), "the story needs the same relay first");
     fleet.changes.failed(
         first,
@@ -200,12 +200,12 @@
   @Test
   public void aRelayThatIsNeverReadyOrNeverHeardAgainStopsIt() {
     Fleet slow = new Fleet(20);
-    Change change = slow.propose();
+    Deployment change = slow.propose();
     slow.says(change.moved().iterator().next(), NEW, false);
     slow.pass(21_000);
     assertEquals(change.state(), State.GOING_BACK);
     Fleet gone = new Fleet(20);
-    Change other = gone.propose();
+    Deployment other = gone.propose();
     gone.changes.silent(other.moved().iterator().next(), gone.at(), 0);
     assertEquals(
         other.state(), State.GIVEN_UP); // nobody is there to go back: it is told once it is heard
@@ -219,7 +219,7 @@
   @Test
   public void aRelayThatFellBackByItselfIsNotWaitedForInVain() {
     Fleet fleet = new Fleet(3);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     int first = change.moved().iterator().next();
     fleet.says(first, NEW, false);
     ManagedRelay relay = fleet.changes.relay(first);
@@ -235,7 +235,7 @@
   public void aFileThatSomeRefuseIsGivenUpBeforeAnyoneIsMoved() {
     Fleet fleet = new Fleet(20);
     assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
-    Change change = fleet.changes.waiting();
+    Deployment change = fleet.changes.waiting();
     for (int i = 0; i < 3; i++) {
       fleet.changes.checked(i, change.number, "relay.xml:12: sockets is above 0", fleet.at(), 0);
     }
@@ -249,7 +249,7 @@
   public void oneMachineThatRefusesIsLeftOut() {
     Fleet fleet = new Fleet(20);
     assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
-    Change change = fleet.changes.waiting();
+    Deployment change = fleet.changes.waiting();
     for (int i = 0; i < 20; i++) {
       fleet.changes.checked(i, change.number, i == 4 ? "its disk is full" : "", fleet.at(), 0);
     }
@@ -267,7 +267,7 @@
   public void noMoreAreOutThanTheRoomAllows() {
     Fleet fleet = new Fleet(20);
     fleet.changes.room(Map.of(0, 1, 1, 1), "", fleet.at(), 0);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     fleet.obey();
     fine(fleet, change);
     fleet.wants.clear();
@@ -291,7 +291,7 @@
   public void nothingIsMovedWhileABuildIsOnTrialOrInASurge() {
     Fleet fleet = new Fleet(20);
     fleet.changes.releasing(true, fleet.at(), 0);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     assertEquals(change.state(), State.CHECKED);
     assertTrue(
         fleet
@@ -311,7 +311,7 @@
   @Test
   public void harmIsTakenBackEvenThenOneAtATime() {
     Fleet fleet = new Fleet(20);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     fleet.obey();
     fine(fleet, change);
     fleet.pass(11_000);
@@ -327,15 +327,15 @@
   @Test
   public void whatIsNeverSureEndsAndSoDoesWhatIsHeld() {
     Fleet fleet = new Fleet(20);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     fleet.obey();
     fleet.pass(121_000);
     assertEquals(change.state(), State.GOING_BACK);
     fleet.obey();
     assertEquals(change.state(), State.GIVEN_UP);
-    Change next = fleet.propose();
+    Deployment next = fleet.propose();
     fleet.obey();
-    assertNull(fleet.changes.word(Changes.Word.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
+    assertNull(fleet.changes.word(DeploymentManager.Word.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
     fine(fleet, next);
     fleet.pass(60_000);
     assertEquals(next.stage(), 0);
@@ -348,10 +348,10 @@
   @Test
   public void aSecondOneWaitsAndAThirdTakesItsPlace() {
     Fleet fleet = new Fleet(4);
-    Change first = fleet.propose();
+    Deployment first = fleet.propose();
     Version third = new Version("c".repeat(64), "0".repeat(64));
     assertNull(fleet.changes.propose("bob", "more heap", third, false, fleet.at(), 0));
-    Change second = fleet.changes.waiting();
+    Deployment second = fleet.changes.waiting();
     assertNull(
         fleet.changes.propose(
             "bob", "less heap", new Version("d".repeat(64), "0".repeat(64)), false, fleet.at(), 0));
@@ -366,7 +366,7 @@
   @Test
   public void aFleetOfOneIsChangedByTimeAndBySeeingItRun() {
     Fleet fleet = new Fleet(1);
-    Change change = fleet.propose();
+    Deployment change = fleet.propose();
     for (int stage = 0; stage < 3; stage++) {
       fleet.obey();
       fleet.pass(11_000);
--- a/src/test/java/sprucerock/controller/maintenance/FreezeStudy.java
+++ b/src/test/java/sprucerock/controller/maintenance/FreezeStudy.java
@@ -44,8 +44,8 @@
 
   private final SplittableRandom random;
   private final Relay[] relays;
-  private final Freezes freezes;
-  private Promises promises;
+  private final MaintenanceWindows freezes;
+  private PlacementGrants promises;
   private final Map<Way, Tally> tallies = new java.util.EnumMap<>(Way.class);
   private final List<Double> shortNotice = new ArrayList<>();
   private final List<Double> late = new ArrayList<>();
@@ -63,12 +63,12 @@
       racks.add(new Rack("r" + i, 1, i, Map.of(0, 10.0), NOTICE));
     }
     freezes =
-        new Freezes(
-            new Freezes.Rules(0, MINUTE, 0.95),
-            new Headroom(racks, Map.of(), 0),
-            new Freezes.Host() {
+        new MaintenanceWindows(
+            new MaintenanceWindows.Rules(0, MINUTE, 0.95),
+            new CapacityCheck(racks, Map.of(), 0),
+            new MaintenanceWindows.Host() {
               @Override
-              public void changed(Freeze freeze, Freeze.Step step) {
+              public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
                 // read below
               }
 
@@ -77,7 +77,7 @@
                 // relays ask within a second anyway
               }
             });
-    promises = new Promises(freezes, -NOTICE);
+    promises = new PlacementGrants(freezes, -NOTICE);
     for (Way way : Way.values()) {
       tallies.put(way, new Tally());
     }
@@ -92,11 +92,11 @@
       Object made =
           freezes.announce(
               Set.of(rack), now + ahead, 5 * MINUTE, 0, "", "UTC", false, "ann", "x", now);
-      Freeze freeze = freezes.of((Long) ((List<?>) made).get(0));
+      MaintenanceWindow freeze = freezes.of((Long) ((List<?>) made).get(0));
       long inForce = -1;
       for (long end = freeze.to() + MINUTE; now < end; now += SECOND) {
         second(now);
-        if (inForce < 0 && freeze.state() == Freeze.State.IN_FORCE) {
+        if (inForce < 0 && freeze.state() == MaintenanceWindow.State.IN_FORCE) {
           inForce = now;
           if (ahead < NOTICE) {
             shortNotice.add((now - announced) / 1000.0);
@@ -110,7 +110,7 @@
 
   private void second(long now) {
     if (random.nextInt(1800) == 0) {
-      promises = new Promises(freezes, now);
+      promises = new PlacementGrants(freezes, now);
     }
     for (int i = 0; i < relays.length; i++) {
       Relay relay = relays[i];
@@ -140,11 +140,11 @@
         boolean inForce = false;
         boolean wanted = false;
         long from = Long.MAX_VALUE;
-        for (Freeze one : freezes.all()) {
+        for (MaintenanceWindow one : freezes.all()) {
           if (!one.racks.contains("r" + r)) {
             continue;
           }
-          inForce |= one.state() == Freeze.State.IN_FORCE;
+          inForce |= one.state() == MaintenanceWindow.State.IN_FORCE;
           wanted |= now >= one.from() && now < one.to();
           if (one.state().open() && one.from() > now) {
             from = Math.min(from, one.from());
--- a/src/test/java/sprucerock/controller/maintenance/FreezesTest.java
+++ b/src/test/java/sprucerock/controller/maintenance/FreezesTest.java
@@ -25,14 +25,14 @@
   private static final long HOUR = 60 * MIN;
   private static final long NOTICE = 10 * MIN;
   private final List<String> steps = new ArrayList<>();
-  private Freezes freezes;
-  private Promises promises;
+  private MaintenanceWindows freezes;
+  private PlacementGrants promises;
 
   @BeforeMethod
   public void fresh() {
     steps.clear();
     freezes = made();
-    promises = new Promises(freezes, 0);
+    promises = new PlacementGrants(freezes, 0);
   }
 
   /**
@@ -44,7 +44,7 @@
     promises.cleared(now).forEach(number -> freezes.cleared(number, now));
   }
 
-  private Freezes made() {
+  private MaintenanceWindows made() {
     List<Rack> racks =
         List.of(
             new Rack("a1", 1, 1, Map.of(2, 10.0), NOTICE),
@@ -54,13 +54,13 @@
     double[] needs = new double[24];
     Arrays.fill(needs, 10);
     needs[12] = 20; // noon
-    Headroom room = new Headroom(racks, Map.of(1, new Headroom.Forecast(2, 0, needs)), 0.2);
-    return new Freezes(
-        new Freezes.Rules(5 * MIN, 15 * MIN, 0.95),
+    CapacityCheck room = new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
+    return new MaintenanceWindows(
+        new MaintenanceWindows.Rules(5 * MIN, 15 * MIN, 0.95),
         room,
-        new Freezes.Host() {
+        new MaintenanceWindows.Host() {
           @Override
-          public void changed(Freeze freeze, Freeze.Step step) {
+          public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
             steps.add(freeze.number + " " + step.state());
           }
 
@@ -71,7 +71,7 @@
         });
   }
 
-  private Freeze announce(String rack, long from, long lasts, long slack, long now) {
+  private MaintenanceWindow announce(String rack, long from, long lasts, long slack, long now) {
     Object made =
         freezes.announce(
             Set.of(rack), from, lasts, slack, "", "UTC", false, "ann", "new switch", now);
@@ -100,34 +100,34 @@
 
   @Test
   public void oneAtShortNoticeWaitsForEachPromiseToBeGivenBackOrToRunOut() {
-    promises = new Promises(freezes, -HOUR);
+    promises = new PlacementGrants(freezes, -HOUR);
     asks(7, 0, 0);
     asks(8, 0, 0);
-    Freeze freeze = announce("a1", MIN, HOUR, 0, 0);
+    MaintenanceWindow freeze = announce("a1", MIN, HOUR, 0, 0);
     freezes.tick(2 * MIN);
     assertEquals(promises.out(freeze, 2 * MIN), Set.of(7, 8));
     heard("1 ANNOUNCED", "1 ACCEPTED", "1 DRAINING");
     asks(7, freezes.sequence(), 3 * MIN);
-    assertEquals(freeze.state(), Freeze.State.DRAINING);
+    assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
     asks(8, freezes.sequence(), 4 * MIN);
     heard("1 IN_FORCE");
   }
 
   @Test
   public void afterAStartNobodyKnowsWhoHoldsAPromiseSoTheyMustRunOut() {
-    Freeze freeze = announce("a1", MIN, HOUR, 0, 0);
+    MaintenanceWindow freeze = announce("a1", MIN, HOUR, 0, 0);
     freezes.tick(MIN);
     asks(7, freezes.sequence(), MIN);
     freezes.tick(NOTICE - 1);
-    assertEquals(freeze.state(), Freeze.State.DRAINING);
+    assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
     assertEquals(promises.out(freeze, NOTICE - 1), Set.of(-1));
     freezes.tick(NOTICE);
-    assertEquals(freeze.state(), Freeze.State.IN_FORCE);
+    assertEquals(freeze.state(), MaintenanceWindow.State.IN_FORCE);
   }
 
   @Test
   public void anEmergencyBeginsAtOnceAndIsInForceOnceAllKnow() {
-    promises = new Promises(freezes, -HOUR);
+    promises = new PlacementGrants(freezes, -HOUR);
     asks(7, 0, 0);
     freezes.announce(Set.of("a1", "a2", "a3"), 0, HOUR, 0, "", "UTC", true, "ann", "smoke", 1000);
     assertEquals(promises.promised("a1", 1000), 0);
@@ -139,62 +139,62 @@
   public void withoutRoomItIsDelayedWithinItsSlackOrRefusedWithWhatIsShort() {
     announce("a1", 11 * HOUR + 30 * MIN, 10 * MIN, 0, 0); // 15 of 12 are left
     heard("1 ANNOUNCED", "1 ACCEPTED");
-    Freeze late = announce("a1", 12 * HOUR + 10 * MIN, 10 * MIN, 2 * HOUR, 0);
+    MaintenanceWindow late = announce("a1", 12 * HOUR + 10 * MIN, 10 * MIN, 2 * HOUR, 0);
     assertEquals(late.from(), 13 * HOUR + 10 * MIN);
     assertTrue(
         late.steps().get(1).cause().startsWith("delayed by 60 min: zone 1 at 12:00 UTC needs 24.0"),
         late.steps().get(1).cause());
-    Freeze refused = announce("a2", 12 * HOUR, 10 * MIN, 0, 0);
-    assertEquals(refused.state(), Freeze.State.REFUSED);
+    MaintenanceWindow refused = announce("a2", 12 * HOUR, 10 * MIN, 0, 0);
+    assertEquals(refused.state(), MaintenanceWindow.State.REFUSED);
   }
 
   @Test
   public void twoThatFitSinglyAndNotTogether() {
     announce("a1", HOUR, HOUR, 0, 0);
-    Freeze second = announce("a2", HOUR + 30 * MIN, HOUR, 0, 0);
-    assertEquals(second.state(), Freeze.State.REFUSED);
+    MaintenanceWindow second = announce("a2", HOUR + 30 * MIN, HOUR, 0, 0);
+    assertEquals(second.state(), MaintenanceWindow.State.REFUSED);
     assertEquals(
-        announce("b1", HOUR, HOUR, 0, 0).state(), Freeze.State.ACCEPTED); // of another zone
+        announce("b1", HOUR, HOUR, 0, 0).state(), MaintenanceWindow.State.ACCEPTED); // of another zone
     // the first one's units come back cold at two: the second fits five minutes later
     assertEquals(announce("a2", 2 * HOUR, 30 * MIN, 30 * MIN, 0).from(), 2 * HOUR + 15 * MIN);
   }
 
   @Test
   public void oneThatNoLongerFitsIsHeldAndTwoOperatorsMayForceIt() {
-    Freeze freeze = announce("a1", HOUR, HOUR, 0, 0);
+    MaintenanceWindow freeze = announce("a1", HOUR, HOUR, 0, 0);
     freezes.down("a2", true, 30 * MIN);
-    assertEquals(freeze.state(), Freeze.State.HELD);
+    assertEquals(freeze.state(), MaintenanceWindow.State.HELD);
     assertEquals(promises.promised("a1", HOUR - MIN), NOTICE);
     freezes.tick(HOUR);
-    assertEquals(freeze.state(), Freeze.State.HELD);
+    assertEquals(freeze.state(), MaintenanceWindow.State.HELD);
     assertNull(freezes.force(1, "ann", "must be", HOUR));
     assertNull(freezes.force(1, "ann", "really", HOUR));
-    assertEquals(freeze.state(), Freeze.State.HELD);
+    assertEquals(freeze.state(), MaintenanceWindow.State.HELD);
     assertNull(freezes.force(1, "bob", "agreed", HOUR + MIN));
-    assertEquals(freeze.state(), Freeze.State.DRAINING);
+    assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
     freezes.tick(HOUR + MIN + NOTICE);
-    assertEquals(freeze.state(), Freeze.State.IN_FORCE);
+    assertEquals(freeze.state(), MaintenanceWindow.State.IN_FORCE);
     assertEquals(freezes.force(1, "eve", "again", HOUR), "freeze 1 is not held: IN_FORCE");
   }
 
   @Test
   public void oneThatIsHeldGoesOnOnceThereIsRoomOrIsRefusedAtItsEnd() {
-    Freeze freeze = announce("a1", HOUR, HOUR, 0, 0);
+    MaintenanceWindow freeze = announce("a1", HOUR, HOUR, 0, 0);
     freezes.onTrial(0.5, MIN);
-    assertEquals(freeze.state(), Freeze.State.HELD);
+    assertEquals(freeze.state(), MaintenanceWindow.State.HELD);
     freezes.onTrial(0, 2 * MIN);
-    assertEquals(freeze.state(), Freeze.State.ACCEPTED);
+    assertEquals(freeze.state(), MaintenanceWindow.State.ACCEPTED);
     freezes.onTrial(0.5, 3 * MIN);
     freezes.tick(2 * HOUR);
-    assertEquals(freeze.state(), Freeze.State.REFUSED);
+    assertEquals(freeze.state(), MaintenanceWindow.State.REFUSED);
   }
 
   @Test
   public void calledOffAndExtended() {
-    Freeze first = announce("a1", HOUR, HOUR, 0, 0);
+    MaintenanceWindow first = announce("a1", HOUR, HOUR, 0, 0);
     assertNull(freezes.callOff(1, "ann", "rain", MIN));
-    assertEquals(first.state(), Freeze.State.CALLED_OFF);
-    Freeze second = announce("a1", HOUR, HOUR, 0, MIN);
+    assertEquals(first.state(), MaintenanceWindow.State.CALLED_OFF);
+    MaintenanceWindow second = announce("a1", HOUR, HOUR, 0, MIN);
     freezes.tick(HOUR);
     assertNull(freezes.extend(2, 3 * HOUR, "ann", "a screw", HOUR));
     assertTrue(
@@ -202,7 +202,7 @@
             .extend(2, 13 * HOUR, "ann", "lost it", HOUR)
             .startsWith("there is no room for that: zone 1 at 12:00"));
     assertNull(freezes.callOff(2, "ann", "done", 2 * HOUR));
-    assertEquals(second.state(), Freeze.State.ENDING);
+    assertEquals(second.state(), MaintenanceWindow.State.ENDING);
     assertEquals(promises.promised("a1", 2 * HOUR), NOTICE);
   }
 
@@ -210,18 +210,18 @@
   @Test
   public void aRackMayHaveALongerNoticeOfItsOwn() {
     assertEquals(promises.promised("b1", 0), 24 * HOUR);
-    Freeze freeze = announce("b1", HOUR, 30 * HOUR, 0, 0);
+    MaintenanceWindow freeze = announce("b1", HOUR, 30 * HOUR, 0, 0);
     freezes.tick(24 * HOUR - 1);
-    assertEquals(freeze.state(), Freeze.State.DRAINING);
+    assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
     freezes.tick(24 * HOUR);
-    assertEquals(freeze.state(), Freeze.State.IN_FORCE);
+    assertEquals(freeze.state(), MaintenanceWindow.State.IN_FORCE);
   }
 
   @Test
   public void windowsThatComeAgainKeepTheirTimeOfDayWhenClocksChange() {
     ZoneId zone = ZoneId.of("Europe/Berlin");
     long first = LocalDateTime.of(2027, 3, 26, 2, 30).atZone(zone).toInstant().toEpochMilli();
-    List<Long> begins = Occurrences.from(first, first, "FREQ=DAILY;COUNT=5", "Europe/Berlin");
+    List<Long> begins = RecurrenceExpander.from(first, first, "FREQ=DAILY;COUNT=5", "Europe/Berlin");
     List<String> local =
         begins.stream()
             .map(ms -> java.time.Instant.ofEpochMilli(ms).atZone(zone).toLocalDateTime().toString())
@@ -268,13 +268,13 @@
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
       freezes = made();
-      promises = new Promises(freezes, 0);
+      promises = new PlacementGrants(freezes, 0);
       Map<Integer, Long> until = new TreeMap<>(); // by relay, for rack a1
       Map<Integer, Long> holds = new TreeMap<>();
       for (long now = 0; now < 3 * HOUR; now += MIN / 2) {
         long at = now;
         if (random.nextInt(120) == 0) {
-          promises = new Promises(freezes, now);
+          promises = new PlacementGrants(freezes, now);
         }
         if (random.nextInt(60) == 0) {
           freezes.announce(
@@ -310,7 +310,7 @@
         }
         freezes.tick(now);
         boolean frozen =
-            freezes.all().stream().anyMatch(one -> one.state() == Freeze.State.IN_FORCE);
+            freezes.all().stream().anyMatch(one -> one.state() == MaintenanceWindow.State.IN_FORCE);
         if (frozen) {
           inForce++;
         }
@@ -331,18 +331,18 @@
    */
   @Test
   public void oneThatWasExtendedOftenStillWaitsForThosePromisedBefore() {
-    promises = new Promises(freezes, -HOUR);
+    promises = new PlacementGrants(freezes, -HOUR);
     asks(7, 0, 0);
-    Freeze freeze = announce("a1", MIN, HOUR, 0, 0);
+    MaintenanceWindow freeze = announce("a1", MIN, HOUR, 0, 0);
     freezes.tick(2 * MIN);
-    for (int i = 1; i <= 2 * Freeze.MOST_STEPS; i++) {
+    for (int i = 1; i <= 2 * MaintenanceWindow.MOST_STEPS; i++) {
       assertNull(
           freezes.extend(freeze.number, MIN + HOUR + i * 1000, "ann", "not done yet", 2 * MIN));
     }
-    assertEquals(freeze.steps().size(), Freeze.MOST_STEPS);
+    assertEquals(freeze.steps().size(), MaintenanceWindow.MOST_STEPS);
     asks(8, freezes.sequence(), 3 * MIN);
     assertEquals(promises.out(freeze, 3 * MIN), Set.of(7));
-    assertEquals(freeze.state(), Freeze.State.DRAINING);
+    assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
   }
 
   /**
@@ -356,7 +356,7 @@
       Random random = new Random(seed);
       Map<Integer, long[]> held = new TreeMap<>(); // state, since
       long now = 0;
-      promises = new Promises(freezes, -NOTICE);
+      promises = new PlacementGrants(freezes, -NOTICE);
       for (int i = 0; i < 400; i++) {
         now += random.nextInt(4) == 0 ? random.nextInt((int) (20 * MIN)) : random.nextInt(5000);
         int dice = random.nextInt(20);
@@ -410,7 +410,7 @@
     List<Long> cleared = new ArrayList<>();
     Map<String, Long> free =
         new TreeMap<>(Map.of("a1", NOTICE, "a2", NOTICE, "a3", NOTICE, "b1", 24 * HOUR));
-    for (Freeze one : freezes.all()) {
+    for (MaintenanceWindow one : freezes.all()) {
       due |=
           switch (one.state()) {
             case ACCEPTED -> now >= one.from();
@@ -432,8 +432,8 @@
         }
         long bound =
             one.steps().stream()
-                .filter(step -> step.state() == Freeze.State.ACCEPTED)
-                .mapToLong(Freeze.Step::sequence)
+                .filter(step -> step.state() == MaintenanceWindow.State.ACCEPTED)
+                .mapToLong(MaintenanceWindow.Step::sequence)
                 .max()
                 .orElse(0);
         held.forEach(
@@ -444,7 +444,7 @@
             });
       }
       assertEquals(promises.out(one, now), out, where + ", freeze " + one.number);
-      if (one.state() == Freeze.State.DRAINING && out.isEmpty()) {
+      if (one.state() == MaintenanceWindow.State.DRAINING && out.isEmpty()) {
         cleared.add(one.number);
       }
     }
--- a/src/test/java/sprucerock/controller/server/AbsentTest.java
+++ b/src/test/java/sprucerock/controller/server/AbsentTest.java
@@ -18,7 +18,7 @@
 
   @Test
   public void whoWasHeardLongestAgoComesFirstAndStaysUntilItIsBack() {
-    Absent absent = new Absent();
+    DisconnectedAgents absent = new DisconnectedAgents();
     absent.left(1, at(2000));
     absent.left(2, at(1000)); // its link broke later, but it had said nothing for longer
     absent.left(3, at(3000));
@@ -35,7 +35,7 @@
   @Test
   public void aLookCostsThoseWhoAreAwayForTooLong() {
     for (int agents : new int[] {100, 400, 1600}) {
-      Absent absent = new Absent();
+      DisconnectedAgents absent = new DisconnectedAgents();
       for (int i = 0; i < agents; i++) {
         absent.left(i, at(i < 3 ? 0 : 4000));
       }
--- a/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
@@ -26,7 +26,7 @@
 public class AgentsDoorTest {
   private Path folder;
   private NioLoop loop;
-  private Desk desk;
+  private ControllerServer desk;
 
   @BeforeMethod
   public void begin() throws Exception {
@@ -70,8 +70,8 @@
                 secret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
                 secret("token", "0123456789abcdef0123")));
     desk =
-        new Desk(
-            DeskConfig.read(file),
+        new ControllerServer(
+            ControllerConfig.read(file),
             new Engine.Clock() {
               @Override
               public long wallMs() {
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -15,7 +15,7 @@
 import sprucerock.compat.Corpus;
 import sprucerock.compat.Rendering;
 import sprucerock.config.ConfigException;
-import sprucerock.controller.Rules;
+import sprucerock.controller.RolloutRules;
 
 /**
  * Configurations of controllers: the values that are read, and the errors, are those that were
@@ -65,11 +65,11 @@
 
   @Test(dataProvider = "documents")
   public void aControllersSettingsAreReadAsBefore(String name) throws Exception {
-    DeskConfig config = DeskConfig.read(written(Corpus.input(SETTINGS + name + ".xml")));
+    ControllerConfig config = ControllerConfig.read(written(Corpus.input(SETTINGS + name + ".xml")));
     Corpus.holds(SETTINGS + name + ".txt", rendered(config));
   }
 
-  private static String rendered(DeskConfig config) {
+  private static String rendered(ControllerConfig config) {
     Rendering text = new Rendering();
     text.put("name", config.name)
         .put("folder", config.folder)
@@ -85,7 +85,7 @@
         .put("api.token", config.token)
         .putLeases("leases", config.leases);
     for (int i = 0; i < config.tells.size(); i++) {
-      Outbox.Target tell = config.tells.get(i);
+      WebhookOutbox.Target tell = config.tells.get(i);
       text.put("tell." + tell.name() + ".url", tell.url())
           .put("tell." + tell.name() + ".secret", hex(tell.secret()));
       text.put("tell." + tell.name() + ".give-up", tell.giveUp().toMillis());
@@ -100,7 +100,7 @@
     return HexFormat.of().formatHex(bytes);
   }
 
-  private static void hooks(Rendering text, DeskConfig config) {
+  private static void hooks(Rendering text, ControllerConfig config) {
     text.put("hooks.at", config.hooks)
         .put("hooks.body", config.body)
         .put("hooks.window", config.window)
@@ -124,7 +124,7 @@
     };
   }
 
-  private static void agents(Rendering text, DeskConfig config) {
+  private static void agents(Rendering text, ControllerConfig config) {
     text.put("agents.at", config.agents)
         .put("agents.most", config.mostAgents)
         .put("agents.pieces-a-second", config.piecesASecond);
@@ -141,7 +141,7 @@
         .put("agents.silent", config.plan.silent());
   }
 
-  private static void rules(Rendering text, Rules rules) {
+  private static void rules(Rendering text, RolloutRules rules) {
     for (int i = 0; i < rules.stages().size(); i++) {
       text.put("stage." + i + ".share", rules.stages().get(i).share())
           .put("stage." + i + ".cap", rules.stages().get(i).cap());
@@ -159,7 +159,7 @@
         .put("votes.a-second", rules.votesASecond());
   }
 
-  private static String control(Rules.Control control) {
+  private static String control(RolloutRules.Control control) {
     return switch (control) {
       case SINGLE -> "single";
       case MAJORITY -> "majority";
@@ -167,7 +167,7 @@
     };
   }
 
-  private static void racks(Rendering text, DeskConfig config) {
+  private static void racks(Rendering text, ControllerConfig config) {
     if (config.room == null) {
       text.put("racks", (Object) null);
       return;
@@ -195,7 +195,7 @@
       List<String> parts = Arrays.asList(line.split(" => ", 2));
       Path file = written(Corpus.replaced(good, parts.get(0), parts.get(1)));
       String message =
-          expectThrows(ConfigException.class, () -> DeskConfig.read(file)).getMessage();
+          expectThrows(ConfigException.class, () -> ControllerConfig.read(file)).getMessage();
       text.append(message.replace(folder.toString(), FOLDER)).append('\n');
     }
     Corpus.holds(SETTINGS + "controller-wrong-errors.txt", text.toString());
--- a/src/test/java/sprucerock/controller/server/DeskTest.java
+++ b/src/test/java/sprucerock/controller/server/DeskTest.java
@@ -47,7 +47,7 @@
   private static final String TOKEN = "0123456789abcdef0123";
 
   private Path folder;
-  private Desk desk;
+  private ControllerServer desk;
   private String tells = "";
   private final String lease = "30s"; // no machine is that slow
   private NioLoop loop;
@@ -98,8 +98,8 @@
 
   private void starts(String rate) throws Exception {
     desk =
-        new Desk(
-            DeskConfig.read(config(rate)),
+        new ControllerServer(
+            ControllerConfig.read(config(rate)),
             new Engine.Clock() {
               @Override
               public long wallMs() {
@@ -382,8 +382,8 @@
   @Test
   public void aStandbyTakesOver() throws Exception {
     sends(hook("m1", body(2)));
-    Desk first = desk;
-    CompletableFuture<Desk> second =
+    ControllerServer first = desk;
+    CompletableFuture<ControllerServer> second =
         CompletableFuture.supplyAsync(
             () -> {
               try {
@@ -477,7 +477,7 @@
         Files.readString(Path.of("deploy", "controller.xml"))
             .replace("ci.secret", folder.resolve("ci").toString())
             .replace("api.token", folder.resolve("token").toString()));
-    DeskConfig config = DeskConfig.read(file);
+    ControllerConfig config = ControllerConfig.read(file);
     assertEquals(config.rules.stages().size(), 3);
     assertEquals(config.rules.least(), TimeSpan.ofMs(10_000));
     assertEquals(config.sources.get("ci").form(), Signatures.Form.STANDARD);
@@ -488,7 +488,7 @@
     Path file = config("5");
     Files.setPosixFilePermissions(
         folder.resolve("token"), PosixFilePermissions.fromString("rw-r--r--"));
-    String message = expectThrows(ConfigException.class, () -> DeskConfig.read(file)).getMessage();
+    String message = expectThrows(ConfigException.class, () -> ControllerConfig.read(file)).getMessage();
     assertTrue(message.endsWith("is open to others than its owner; chmod 600 it"), message);
   }
 }
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -56,7 +56,7 @@
   private static final int AGENTS = 3;
 
   private Path folder;
-  private Desk desk;
+  private ControllerServer desk;
   private NioLoop loop;
 
   @BeforeMethod
@@ -90,8 +90,8 @@
             folder.resolve("controller.xml"),
             Corpus.input(HTTP + name + ".xml").replace("FOLDER", folder.toString()));
     desk =
-        new Desk(
-            DeskConfig.read(file),
+        new ControllerServer(
+            ControllerConfig.read(file),
             new Engine.Clock() {
               @Override
               public long wallMs() {
--- a/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
@@ -37,7 +37,7 @@
   private static final long MIN = 60_000;
   private Path folder;
   private NioLoop loop;
-  private Desk desk;
+  private ControllerServer desk;
   private long lastAsk;
 
   @BeforeMethod
@@ -89,8 +89,8 @@
                 secret("token", "0123456789abcdef0123"),
                 all));
     desk =
-        new Desk(
-            DeskConfig.read(file),
+        new ControllerServer(
+            ControllerConfig.read(file),
             new Engine.Clock() {
               @Override
               public long wallMs() {
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.compat.CorpusFiles;
 import sprucerock.controller.Engine;
-import sprucerock.controller.Release;
-import sprucerock.controller.Rules;
+import sprucerock.controller.Rollout;
+import sprucerock.controller.RolloutRules;
 import sprucerock.controller.v1.Announced;
 import sprucerock.controller.v1.Input;
-import sprucerock.controller.maintenance.Freezes;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -50,10 +50,10 @@
   private static final int WAIT_SECONDS = 20;
   private static final List<String> HEADER_NAMES =
       List.of("Content-Type", "webhook-id", "webhook-timestamp", "webhook-signature");
-  private static final Rules RULES =
-      new Rules(
-          List.of(new Rules.Stage(1, 1)),
-          Rules.Control.SINGLE,
+  private static final RolloutRules RULES =
+      new RolloutRules(
+          List.of(new RolloutRules.Stage(1, 1)),
+          RolloutRules.Control.SINGLE,
           1,
           1,
           1,
@@ -64,9 +64,9 @@
           TimeSpan.ofMs(800),
           TimeSpan.ofMs(3000),
           1000);
-  private static final Plan PLAN =
-      new Plan(
-          List.of(new Plan.Stage(1, 0.1)),
+  private static final DeploymentPlan PLAN =
+      new DeploymentPlan(
+          List.of(new DeploymentPlan.Stage(1, 0.1)),
           TimeSpan.ofMs(500),
           TimeSpan.ofMs(20_000),
           TimeSpan.ofMs(3000),
@@ -78,7 +78,7 @@
   private record Received(List<String> headers, byte[] body) {}
 
   /** A step of a release, as the controller tells it. */
-  private record Told(Release release, Release.Step step) {}
+  private record Told(Rollout release, Rollout.Step step) {}
 
   public static void record(Path corpus) throws Exception {
     Files.createDirectories(corpus.resolve("webhooks"));
@@ -153,10 +153,10 @@
             return 0;
           }
         };
-    Changes.Host nobody =
-        new Changes.Host() {
+    DeploymentManager.Host nobody =
+        new DeploymentManager.Host() {
           @Override
-          public void changed(Change change, Change.Step step) {}
+          public void changed(Deployment change, Deployment.Step step) {}
 
           @Override
           public void wants(ManagedRelay relay) {}
@@ -171,7 +171,7 @@
             clock,
             (release, step) -> told.add(new Told(release, step)),
             nobody,
-            Freezes.none(),
+            MaintenanceWindows.none(),
             said -> {});
     engine.start();
     engine.submit(
@@ -193,7 +193,7 @@
     Path folder = Files.createTempDirectory("compat");
     BlockingQueue<Received> received = new LinkedBlockingQueue<>();
     HttpServer server = receiver(TAKEN, received);
-    try (Outbox outbox =
+    try (WebhookOutbox outbox =
         outbox(
             server,
             secrets,
@@ -214,15 +214,15 @@
     }
   }
 
-  private static Outbox outbox(
+  private static WebhookOutbox outbox(
       HttpServer server,
       String secrets,
       Path deadLetters,
       Duration giveUp,
       BlockingQueue<Long> done) {
     URI url = URI.create("http://127.0.0.1:" + server.getAddress().getPort() + "/hook");
-    return new Outbox(
-        new Outbox.Target(
+    return new WebhookOutbox(
+        new WebhookOutbox.Target(
             "listener", url, secrets(secrets, Signatures.Form.STANDARD).get(0), giveUp),
         deadLetters,
         done::add,
@@ -311,7 +311,7 @@
     BlockingQueue<Long> done = new LinkedBlockingQueue<>();
     HttpServer server = receiver(REFUSED, new LinkedBlockingQueue<>());
     Path letters = folder.resolve("dead-letters");
-    try (Outbox outbox =
+    try (WebhookOutbox outbox =
         outbox(server, CorpusFiles.text(SECRETS), letters, Duration.ofMillis(1), done)) {
       outbox.start();
       for (Told one : steps(Files.createDirectories(folder.resolve("store")))) {
--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -31,8 +31,8 @@
       int known = 0;
       for (int seed = 0; seed < truths; seed++) {
         Truth truth = new Truth(1000 + seed, 4);
-        Seen seen = truth.seen(12, picks, 3);
-        Model model = Fit.of(seen, 0, build -> true, 1);
+        Observation seen = truth.seen(12, picks, 3);
+        Model model = LeastSquaresFit.of(seen, 0, build -> true, 1);
         double errors = model.errors(0.95);
         double[][] sums = new double[4][3];
         double[][] counts = new double[4][3];
--- a/src/test/java/sprucerock/hardware/HardwareTest.java
+++ b/src/test/java/sprucerock/hardware/HardwareTest.java
@@ -28,7 +28,7 @@
     double widest = 0;
     for (int seed = 0; seed < 60; seed++) {
       Truth truth = new Truth(seed, 4);
-      Model model = Fit.of(truth.seen(12, 1500, 3), 0, ALL, 1);
+      Model model = LeastSquaresFit.of(truth.seen(12, 1500, 3), 0, ALL, 1);
       double errors = model.errors(0.95);
       for (int a = 0; a < 4; a++) {
         for (int b = 0; b < 4; b++) {
@@ -60,11 +60,11 @@
   @Test
   public void familiesThatWereNeverSeenTogetherAreLinkedThroughOthersOrNotKnown() {
     Truth truth = new Truth(5, 4);
-    Seen seen = new Seen();
+    Observation seen = new Observation();
     int[][] pairs = {{0, 1}, {1, 2}, {3, 3}};
     for (int w = 1; w <= 20; w++) {
       truth.window();
-      Tally tally = new Tally(0, w);
+      SampleSums tally = new SampleSums(0, w);
       int[] pair = pairs[w % 3];
       for (int i = 0; i < 400; i++) {
         int family = pair[truth.draw(2)];
@@ -72,7 +72,7 @@
       }
       seen.told(tally);
     }
-    Model model = Fit.of(seen, 0, ALL, 1);
+    Model model = LeastSquaresFit.of(seen, 0, ALL, 1);
     Model.Estimate linked = model.time(0, 0, 2);
     assertEquals(linked.log(), Math.log(truth.time(0, 0) / truth.time(2, 0)), 4 * linked.error());
     assertTrue(linked.error() > model.time(0, 0, 1).error() && linked.error() < 0.2, "" + linked);
@@ -88,13 +88,13 @@
   @Test
   public void whatComesTwiceOrLateCountsOnce() {
     Truth truth = new Truth(6, 3);
-    Seen once = truth.seen(10, 600, 2);
-    Model model = Fit.of(once, 0, ALL, 1);
-    Tally part = new Tally(0, 10); // an earlier state of that relay's last window
+    Observation once = truth.seen(10, 600, 2);
+    Model model = LeastSquaresFit.of(once, 0, ALL, 1);
+    SampleSums part = new SampleSums(0, 10); // an earlier state of that relay's last window
     part.ended(0, 0, 1, 0, 5);
     assertFalse(once.told(part));
-    assertFalse(once.told(new Tally(7, 10 - Seen.WINDOWS)));
-    assertEquals(Fit.of(once, 0, ALL, 1).time(0, 0, 1), model.time(0, 0, 1));
+    assertFalse(once.told(new SampleSums(7, 10 - Observation.WINDOWS)));
+    assertEquals(LeastSquaresFit.of(once, 0, ALL, 1).time(0, 0, 1), model.time(0, 0, 1));
   }
 
   @Test
@@ -108,7 +108,7 @@
               new Family(2, 0, 0),
               new Family(3, 16, 16_000));
       Translation translation =
-          new Translation(Fit.of(truth.seen(10, 2000, 2), 0, ALL, 1), declared, 0.9);
+          new Translation(LeastSquaresFit.of(truth.seen(10, 2000, 2), 0, ALL, 1), declared, 0.9);
       for (int a = 0; a < 4; a++) {
         for (int b = 0; b < 4; b++) {
           Translation.Answer there = translation.needed(1, 40, a, b);
@@ -133,7 +133,7 @@
     truth.speed[1] = 0.4;
     truth.cores[0] = 4;
     truth.cores[1] = 4;
-    Model model = Fit.of(truth.seen(20, 3000, 2), 0, ALL, 1);
+    Model model = LeastSquaresFit.of(truth.seen(20, 3000, 2), 0, ALL, 1);
     Translation translation =
         new Translation(model, List.of(new Family(0, 0, 8000), new Family(1, 0, 1000)), 0.95);
     assertEquals(translation.needed(0, 10, 0, 1).limit(), Translation.Limit.MEMORY);
@@ -144,12 +144,12 @@
   }
 
   /** Five families; from window 11 on one is slower, or a new build is on that one. */
-  private static Seen troubled(int slowFamily, boolean byBuild) {
+  private static Observation troubled(int slowFamily, boolean byBuild) {
     Truth truth = new Truth(11, 5);
-    Seen seen = new Seen();
+    Observation seen = new Observation();
     for (int w = 1; w <= 20; w++) {
       truth.window();
-      Tally tally = new Tally(0, w);
+      SampleSums tally = new SampleSums(0, w);
       for (int i = 0; i < 4000; i++) {
         int family = truth.draw(5);
         int method = truth.draw(3);
@@ -164,50 +164,50 @@
 
   @Test
   public void aFamilyThatGrowsSlowAndABuildThatIsSlowThereAreToldApart() {
-    Seen ill = troubled(3, false);
+    Observation ill = troubled(3, false);
     assertEquals(
-        Suspicion.families(ill, 0, 11, OLD).stream().map(Suspicion.Finding::family).toList(),
+        OutlierScore.families(ill, 0, 11, OLD).stream().map(OutlierScore.Finding::family).toList(),
         List.of(3));
-    assertEquals(Suspicion.builds(ill, 0, 2, OLD), List.of());
-    Seen bad = troubled(3, true);
-    assertEquals(Suspicion.families(bad, 0, 11, OLD), List.of());
+    assertEquals(OutlierScore.builds(ill, 0, 2, OLD), List.of());
+    Observation bad = troubled(3, true);
+    assertEquals(OutlierScore.families(bad, 0, 11, OLD), List.of());
     assertEquals(
-        Suspicion.builds(bad, 0, 2, OLD).stream().map(Suspicion.Finding::family).toList(),
+        OutlierScore.builds(bad, 0, 2, OLD).stream().map(OutlierScore.Finding::family).toList(),
         List.of(3));
-    Seen well = troubled(-1, false);
-    assertEquals(Suspicion.families(well, 0, 11, OLD), List.of());
-    assertEquals(Suspicion.builds(well, 0, 2, OLD), List.of());
+    Observation well = troubled(-1, false);
+    assertEquals(OutlierScore.families(well, 0, 11, OLD), List.of());
+    assertEquals(OutlierScore.builds(well, 0, 2, OLD), List.of());
   }
 
   @Test
   public void aBuildOnTrialIsNoPartOfAFamilysWorth() {
-    double with = Fit.of(troubled(3, true), 0, OLD, 1).time(0, 3, 1).log();
-    double without = Fit.of(troubled(-1, false), 0, OLD, 1).time(0, 3, 1).log();
+    double with = LeastSquaresFit.of(troubled(3, true), 0, OLD, 1).time(0, 3, 1).log();
+    double without = LeastSquaresFit.of(troubled(-1, false), 0, OLD, 1).time(0, 3, 1).log();
     assertEquals(with, without, 0.08);
   }
 
   @Test
   public void oneOddWindowMovesLittle() {
     Truth truth = new Truth(12, 3);
-    Seen seen = truth.seen(20, 1500, 1);
-    double before = Fit.of(seen, 0, ALL, 1).time(0, 0, 1).log();
-    Tally odd = new Tally(0, 21);
+    Observation seen = truth.seen(20, 1500, 1);
+    double before = LeastSquaresFit.of(seen, 0, ALL, 1).time(0, 0, 1).log();
+    SampleSums odd = new SampleSums(0, 21);
     for (int i = 0; i < 300; i++) {
       odd.ended(0, 0, 1, 0, truth.ms(0, 0, 0, 20));
       odd.ended(0, 1, 1, 0, truth.ms(1, 0, 0, 1));
     }
     seen.told(odd);
-    assertEquals(Fit.of(seen, 0, ALL, 1).time(0, 0, 1).log(), before, 0.15);
+    assertEquals(LeastSquaresFit.of(seen, 0, ALL, 1).time(0, 0, 1).log(), before, 0.15);
   }
 
   @Test
   public void whatARelayKeepsIsBounded() {
-    Tally tally = new Tally(0, 1);
+    SampleSums tally = new SampleSums(0, 1);
     for (int method = 0; method < 1000; method++) {
       tally.ended(method, 0, 1, 0, 5);
     }
-    assertEquals(tally.cells().size(), Tally.MOST_CELLS);
-    assertEquals(tally.leftOut(), 1000 - Tally.MOST_CELLS);
-    assertEquals(Fit.of(new Seen(), 0, ALL, 1), null);
+    assertEquals(tally.cells().size(), SampleSums.MOST_CELLS);
+    assertEquals(tally.leftOut(), 1000 - SampleSums.MOST_CELLS);
+    assertEquals(LeastSquaresFit.of(new Observation(), 0, ALL, 1), null);
   }
 }
--- a/src/test/java/sprucerock/hardware/Truth.java
+++ b/src/test/java/sprucerock/hardware/Truth.java
@@ -67,13 +67,13 @@
   }
 
   /** So many windows of so many picks each, over all families and methods, by some relays. */
-  Seen seen(int windows, int picks, int relays) {
-    Seen seen = new Seen();
+  Observation seen(int windows, int picks, int relays) {
+    Observation seen = new Observation();
     for (int w = 1; w <= windows; w++) {
       window();
-      Tally[] tallies = new Tally[relays];
+      SampleSums[] tallies = new SampleSums[relays];
       for (int r = 0; r < relays; r++) {
-        tallies[r] = new Tally(r, w);
+        tallies[r] = new SampleSums(r, w);
       }
       for (int i = 0; i < picks; i++) {
         int family = draw(speed.length);
@@ -81,7 +81,7 @@
         int others = random.nextInt(3) == 0 ? draw(64) : 0;
         tallies[draw(relays)].ended(method, family, 1, others, ms(family, method, others, 1));
       }
-      for (Tally one : tallies) {
+      for (SampleSums one : tallies) {
         seen.told(one);
       }
     }
--- a/src/test/java/sprucerock/lease/BadMakers.java
+++ b/src/test/java/sprucerock/lease/BadMakers.java
@@ -12,29 +12,29 @@
   private static World.Makers candidates(Made made) {
     return new World.Makers() {
       @Override
-      public Candidate candidate(
-          Terms terms, Candidate.Host host, int me, long life, double chance) {
+      public LeaseClient candidate(
+          Terms terms, LeaseClient.Host host, int me, long life, double chance) {
         return made.of(terms, host, chance, me, life);
       }
     };
   }
 
   private interface Made {
-    Candidate of(Terms terms, Candidate.Host host, double chance, int me, long life);
+    LeaseClient of(Terms terms, LeaseClient.Host host, double chance, int me, long life);
   }
 
   private static World.Makers granters(MadeGranter made) {
     return new World.Makers() {
       @Override
-      public Granter granter(
-          Terms terms, Granter.Host host, Timestamp opens, Map<String, Grant> grants) {
+      public LeaseGrantor granter(
+          Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants) {
         return made.of(terms, host, opens, grants);
       }
     };
   }
 
   private interface MadeGranter {
-    Granter of(Terms terms, Granter.Host host, Timestamp opens, Map<String, Grant> grants);
+    LeaseGrantor of(Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants);
   }
 
   /** Each by what it lacks. */
@@ -44,7 +44,7 @@
         "a granter minds what is out",
         granters(
             (terms, host, opens, grants) ->
-                new Granter(terms, host, opens, grants) {
+                new LeaseGrantor(terms, host, opens, grants) {
                   @Override
                   boolean runs(Grant grant, Timestamp now) {
                     return false;
@@ -54,7 +54,7 @@
         "a number exceeds all before",
         granters(
             (terms, host, opens, grants) ->
-                new Granter(terms, host, opens, grants) {
+                new LeaseGrantor(terms, host, opens, grants) {
                   @Override
                   boolean exceeds(long number, Grant grant) {
                     return true;
@@ -72,7 +72,7 @@
         "a majority grants",
         candidates(
             (terms, host, chance, me, life) ->
-                new Candidate(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
                   @Override
                   int enough() {
                     return 1;
@@ -82,7 +82,7 @@
         "time counts from before it asked",
         candidates(
             (terms, host, chance, me, life) ->
-                new Candidate(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
                   @Override
                   Timestamp from(Timestamp now) {
                     return now;
@@ -92,7 +92,7 @@
         "time is shortened by the drift",
         candidates(
             (terms, host, chance, me, life) ->
-                new Candidate(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
                   @Override
                   TimeSpan usable() {
                     return terms.term();
@@ -102,7 +102,7 @@
         "an answer counts for its own round",
         candidates(
             (terms, host, chance, me, life) ->
-                new Candidate(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
                   @Override
                   boolean thisRound(long ofRound) {
                     return true;
--- a/src/test/java/sprucerock/lease/LeaseFire.java
+++ b/src/test/java/sprucerock/lease/LeaseFire.java
@@ -17,10 +17,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.rehearsal.fake.WayStandIn;
+import sprucerock.rehearsal.fake.FaultProxy;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.Tap;
@@ -57,12 +57,12 @@
   private final boolean fenced;
   private final Random random;
   private final NioLoop loop;
-  private final Fence fence = new Fence();
+  private final FencingToken fence = new FencingToken();
   private final List<Landed> landed = Collections.synchronizedList(new ArrayList<>());
   private final Map<String, Long> highest = new HashMap<>();
   private volatile int taken;
   private final int[] granterPorts = {free(), free(), free()};
-  private final List<List<WayStandIn>> ways = new ArrayList<>();
+  private final List<List<FaultProxy>> ways = new ArrayList<>();
   private final int[][] wayPorts = new int[PROCESSES][3];
   private final Process[] processes = new Process[PROCESSES];
   private int placePort;
@@ -85,7 +85,7 @@
           try {
             Hello mine =
                 Hello.newBuilder()
-                    .setVersion(FrameLink.VERSION)
+                    .setVersion(FrameConnection.VERSION)
                     .setRole(Role.UNIT)
                     .setName("place")
                     .build();
@@ -97,7 +97,7 @@
                         () -> {
                           Place place = new Place();
                           place.link =
-                              new FrameLink(
+                              new FrameConnection(
                                   loop,
                                   mine,
                                   new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
@@ -108,10 +108,10 @@
                     .address()
                     .getPort();
             for (int i = 0; i < PROCESSES; i++) {
-              List<WayStandIn> own = new ArrayList<>();
+              List<FaultProxy> own = new ArrayList<>();
               for (int g = 0; g < 3; g++) {
-                WayStandIn way =
-                    new WayStandIn(
+                FaultProxy way =
+                    new FaultProxy(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), granterPorts[g]),
                         seed + i * 3L + g);
@@ -167,11 +167,11 @@
             .start();
   }
 
-  private final class Place implements FrameUser {
-    private FrameLink link;
+  private final class Place implements FrameListener {
+    private FrameConnection link;
 
     @Override
-    public void greeted(FrameLink made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       // whoever comes may act, by its number
     }
 
@@ -256,14 +256,14 @@
   }
 
   private interface Ill {
-    void befall(WayStandIn way);
+    void befall(FaultProxy way);
   }
 
   private void all(int who, Ill ill) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
-          for (WayStandIn way : ways.get(who)) {
+          for (FaultProxy way : ways.get(who)) {
             ill.befall(way);
           }
           done.countDown();
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -15,11 +15,11 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
@@ -34,7 +34,7 @@
 public final class LeaseProcess {
   private final NioLoop loop;
   private final FileChannel notes;
-  private final Redial place;
+  private final ReconnectingConnection place;
   private final Leases leases;
   private final SplittableRandom random;
   private final TimeSpan term;
@@ -72,22 +72,22 @@
         };
     Hello hello =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
             .setNumber(me)
             .setName("process")
             .build();
     place =
-        new Redial(
+        new ReconnectingConnection(
             loop,
             at(Integer.parseInt(args[3])),
             hello,
             new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
             Tap.NONE,
             new DeterministicRandom(life),
-            new FrameUser() {
+            new FrameListener() {
               @Override
-              public void greeted(FrameLink link, Hello other) {
+              public void greeted(FrameConnection link, Hello other) {
                 // it only listens
               }
 
@@ -107,7 +107,7 @@
         () -> {
           try {
             if (granter >= 0) {
-              new GranterDoor(loop, config, "process-" + me, Tap.NONE, log).start();
+              new GrantorListener(loop, config, "process-" + me, Tap.NONE, log).start();
             }
           } catch (java.io.IOException e) {
             e.printStackTrace();
@@ -126,16 +126,16 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  private final java.util.Map<String, Guard> guards = new java.util.TreeMap<>();
+  private final java.util.Map<String, LeaseCheck> guards = new java.util.TreeMap<>();
 
   private void stand(String name) {
     boolean[] held = new boolean[1];
-    Guard guard =
+    LeaseCheck guard =
         leases.stand(
             name,
             new Leases.Task() {
               @Override
-              public void begun(Guard guard) {
+              public void begun(LeaseCheck guard) {
                 held[0] = true;
                 act(name, guard, held);
                 if (random.nextInt(4) > 0) {
@@ -169,7 +169,7 @@
 
   private long lastNumber;
 
-  private void act(String name, Guard guard, boolean[] held) {
+  private void act(String name, LeaseCheck guard, boolean[] held) {
     if (!held[0] || guards.get(name) != guard) {
       return;
     }
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -26,8 +26,8 @@
    * are counted.
    */
   private static final class Day {
-    private final Granter[] granters = new Granter[3];
-    private final Candidate[] candidates;
+    private final LeaseGrantor[] granters = new LeaseGrantor[3];
+    private final LeaseClient[] candidates;
     private final PriorityQueue<Due> due =
         new PriorityQueue<>(
             (a, b) ->
@@ -41,17 +41,17 @@
     private long freed;
 
     Day(int size) {
-      candidates = new Candidate[size];
+      candidates = new LeaseClient[size];
       for (int i = 0; i < 3; i++) {
         granters[i] = granter(i);
       }
       for (int i = 0; i < size; i++) {
         int me = i;
         candidates[i] =
-            new Candidate(
+            new LeaseClient(
                 NAME,
                 TERMS,
-                new Candidate.Host() {
+                new LeaseClient.Host() {
                   @Override
                   public void ask(int granter, String name, long number, long round) {
                     messages.add(
@@ -84,10 +84,10 @@
       }
     }
 
-    private Granter granter(int which) {
-      return new Granter(
+    private LeaseGrantor granter(int which) {
+      return new LeaseGrantor(
           TERMS,
-          new Granter.Host() {
+          new LeaseGrantor.Host() {
             @Override
             public void granted(int candidate, String name, long number, long round) {
               messages.add(() -> candidates[candidate].granted(which, number, round, now));
@@ -101,11 +101,11 @@
                 long round,
                 long highest,
                 TimeSpan left,
-                Granter.Refusal why) {
+                LeaseGrantor.Refusal why) {
               messages.add(
                   () ->
                       candidates[candidate].refused(
-                          which, number, round, highest, left, why == Granter.Refusal.HELD, now));
+                          which, number, round, highest, left, why == LeaseGrantor.Refusal.HELD, now));
             }
 
             @Override
--- a/src/test/java/sprucerock/lease/LeaseStudy.java
+++ b/src/test/java/sprucerock/lease/LeaseStudy.java
@@ -35,7 +35,7 @@
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private final Terms terms = new Terms(GRANTERS, TimeSpan.ofMs(TERM), TimeSpan.ofMs(TERM), 0.01);
-  private final List<Granter> granters = new ArrayList<>();
+  private final List<LeaseGrantor> granters = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private double now;
   private long made;
@@ -51,9 +51,9 @@
     for (int g = 0; g < GRANTERS; g++) {
       int at = g;
       granters.add(
-          new Granter(
+          new LeaseGrantor(
               terms,
-              new Granter.Host() {
+              new LeaseGrantor.Host() {
                 @Override
                 public void granted(int who, String name, long number, long round) {
                   way(
@@ -76,7 +76,7 @@
                     long round,
                     long highest,
                     TimeSpan left,
-                    Granter.Refusal why) {
+                    LeaseGrantor.Refusal why) {
                   way(
                       () ->
                           members
@@ -92,7 +92,7 @@
                                               round,
                                               highest,
                                               left,
-                                              why == Granter.Refusal.HELD,
+                                              why == LeaseGrantor.Refusal.HELD,
                                               time())));
                 }
 
@@ -140,9 +140,9 @@
   }
 
   /** A relay: stands still, is cut off or is dead, each until a moment. */
-  private final class Member implements Candidate.Host {
+  private final class Member implements LeaseClient.Host {
     private final int number;
-    private Candidate candidate;
+    private LeaseClient candidate;
     private double stillUntil;
     private double cutUntil;
     private long life;
@@ -151,7 +151,7 @@
     Member(int number, long seed) {
       this.number = number;
       candidate =
-          new Candidate(
+          new LeaseClient(
               "task", terms, this, new DeterministicRandom(seed * 10_007 + number)::next, number, life);
     }
 
@@ -238,7 +238,7 @@
           life++;
           timer = null;
           candidate =
-              new Candidate(
+              new LeaseClient(
                   "task",
                   terms,
                   this,
--- a/src/test/java/sprucerock/lease/LeaseTest.java
+++ b/src/test/java/sprucerock/lease/LeaseTest.java
@@ -19,11 +19,11 @@
 public class LeaseTest {
   private static final Terms TERMS = new Terms(3, TimeSpan.ofMs(1000), TimeSpan.ofMs(2000), 0.01);
   private final List<String> said = new ArrayList<>();
-  private Granter granter;
-  private Candidate candidate;
+  private LeaseGrantor granter;
+  private LeaseClient candidate;
 
-  private final Granter.Host granting =
-      new Granter.Host() {
+  private final LeaseGrantor.Host granting =
+      new LeaseGrantor.Host() {
         @Override
         public void granted(int who, String name, long number, long round) {
           said.add(who + " granted " + number);
@@ -37,7 +37,7 @@
             long round,
             long highest,
             TimeSpan left,
-            Granter.Refusal why) {
+            LeaseGrantor.Refusal why) {
           said.add(who + " refused " + why + " " + Math.round(left.ms()));
         }
 
@@ -47,8 +47,8 @@
         }
       };
 
-  private final Candidate.Host asking =
-      new Candidate.Host() {
+  private final LeaseClient.Host asking =
+      new LeaseClient.Host() {
         @Override
         public void ask(int to, String name, long number, long round) {
           if (to == 0) {
@@ -74,8 +74,8 @@
 
   @BeforeMethod
   public void fresh() {
-    granter = new Granter(TERMS, granting, at(0));
-    candidate = new Candidate("seat", TERMS, asking, () -> 0.5, 7, 70);
+    granter = new LeaseGrantor(TERMS, granting, at(0));
+    candidate = new LeaseClient("seat", TERMS, asking, () -> 0.5, 7, 70);
     said.clear();
   }
 
@@ -164,7 +164,7 @@
   @Test
   public void theLineIsBoundedAndWhoFindsItFullComesLater() {
     ask(1, 5, 3000);
-    for (int who = 2; who < 2 + Granter.MOST_WAITING; who++) {
+    for (int who = 2; who < 2 + LeaseGrantor.MOST_WAITING; who++) {
       ask(who, 5 + who, 3000);
     }
     said.clear();
@@ -177,14 +177,14 @@
 
   @Test
   public void namesAreBoundedAndLongEndedOnesGiveWay() {
-    for (int i = 0; i < Granter.MOST_NAMES; i++) {
+    for (int i = 0; i < LeaseGrantor.MOST_NAMES; i++) {
       granter.asked(1, 1, "name" + i, 5, 1, at(3000));
     }
     said.clear();
     ask(1, 5, 4500);
     ask(1, 5, 6001);
     heard("1 refused TOO_MANY 2000", "1 granted 5");
-    assertEquals(granter.grants().size(), Granter.MOST_NAMES);
+    assertEquals(granter.grants().size(), LeaseGrantor.MOST_NAMES);
   }
 
   @Test
@@ -257,7 +257,7 @@
       candidate.granted(g, 40 << 16 | 7, 1, at(1));
     }
     double[] clock = {0};
-    Guard guard = new Guard(candidate, () -> at(clock[0]));
+    LeaseCheck guard = new LeaseCheck(candidate, () -> at(clock[0]));
     List<Long> acts = new ArrayList<>();
     assertTrue(guard.act(TimeSpan.ofMs(900), acts::add));
     clock[0] = 500;
@@ -270,7 +270,7 @@
 
   @Test
   public void aFenceTakesNothingLowerThanItSaw() {
-    Fence fence = new Fence();
+    FencingToken fence = new FencingToken();
     assertTrue(fence.admits("seat", 5));
     assertTrue(fence.admits("seat", 5));
     assertTrue(fence.admits("other", 1));
@@ -278,7 +278,7 @@
     assertFalse(fence.admits("seat", 8));
     assertEquals(fence.highest("seat"), 9);
     assertEquals(fence.refused(), 1);
-    for (int i = 0; i < Fence.MOST; i++) {
+    for (int i = 0; i < FencingToken.MOST; i++) {
       fence.admits("name" + i, 1);
     }
     assertEquals(fence.highest("seat"), 0);
--- a/src/test/java/sprucerock/lease/World.java
+++ b/src/test/java/sprucerock/lease/World.java
@@ -24,18 +24,18 @@
       return right;
     }
 
-    default Candidate candidate(
-        Terms terms, Candidate.Host host, int me, long life, double chance) {
-      return new Candidate(NAME, terms, host, () -> chance, me, life);
+    default LeaseClient candidate(
+        Terms terms, LeaseClient.Host host, int me, long life, double chance) {
+      return new LeaseClient(NAME, terms, host, () -> chance, me, life);
     }
 
-    default Granter granter(
-        Terms terms, Granter.Host host, Timestamp opens, Map<String, Grant> grants) {
-      return new Granter(terms, host, opens, grants);
+    default LeaseGrantor granter(
+        Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants) {
+      return new LeaseGrantor(terms, host, opens, grants);
     }
 
     /** Whether an act may be sent. */
-    default boolean guards(Candidate candidate, Timestamp now) {
+    default boolean guards(LeaseClient candidate, Timestamp now) {
       return candidate.holds(now);
     }
 
@@ -96,7 +96,7 @@
   private final double[] paceOfCandidates;
   private final double[] paceOfGranters;
   int tick;
-  private final Candidate[] candidates;
+  private final LeaseClient[] candidates;
   private final boolean[] stalled;
   private final long[] lives;
   private final Timestamp[] opens;
@@ -107,7 +107,7 @@
   int granterCrashes;
   int candidateCrashes;
   int stalls;
-  private Fence fence = new Fence();
+  private FencingToken fence = new FencingToken();
   private long landed; // the checker's own
   private long lastTaken;
   String wrong;
@@ -127,7 +127,7 @@
     terms = makers.terms(right);
     this.paceOfCandidates = paceOfCandidates;
     this.paceOfGranters = paceOfGranters;
-    candidates = new Candidate[paceOfCandidates.length];
+    candidates = new LeaseClient[paceOfCandidates.length];
     stalled = new boolean[candidates.length];
     lives = new long[candidates.length];
     opens = new Timestamp[paceOfGranters.length];
@@ -138,7 +138,7 @@
     for (int i = 0; i < candidates.length; i++) {
       candidates[i] = made(i);
     }
-    for (Candidate one : candidates) {
+    for (LeaseClient one : candidates) {
       one.want(Timestamp.ofMs(0), 1);
     }
   }
@@ -150,7 +150,7 @@
     paceOfCandidates = other.paceOfCandidates;
     paceOfGranters = other.paceOfGranters;
     tick = other.tick;
-    candidates = new Candidate[other.candidates.length];
+    candidates = new LeaseClient[other.candidates.length];
     stalled = other.stalled.clone();
     lives = other.lives.clone();
     opens = other.opens.clone();
@@ -176,10 +176,10 @@
     return new World(this);
   }
 
-  private Candidate made(int index) {
+  private LeaseClient made(int index) {
     return makers.candidate(
         terms,
-        new Candidate.Host() {
+        new LeaseClient.Host() {
           @Override
           public void ask(int granter, String name, long number, long round) {
             if (granter == 0) {
@@ -393,10 +393,10 @@
       return check();
     }
     int at = message.granter;
-    Granter granter =
+    LeaseGrantor granter =
         makers.granter(
             terms,
-            new Granter.Host() {
+            new LeaseGrantor.Host() {
               @Override
               public void granted(int candidate, String name, long number, long round) {
                 send(
@@ -420,7 +420,7 @@
                   long round,
                   long highest,
                   TimeSpan left,
-                  Granter.Refusal why) {
+                  LeaseGrantor.Refusal why) {
                 if (!brief) {
                   send(
                       new Message(
@@ -432,7 +432,7 @@
                           round,
                           highest,
                           left,
-                          why == Granter.Refusal.HELD));
+                          why == LeaseGrantor.Refusal.HELD));
                 }
               }
 
@@ -511,7 +511,7 @@
               .append(';');
         }
       }
-      for (Candidate candidate : candidates) {
+      for (LeaseClient candidate : candidates) {
         one.append(candidate.has(at));
       }
       each.add(one.toString());
--- a/src/test/java/sprucerock/rehearsal/fake/MonitorStandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/MonitorStandInTest.java
@@ -31,7 +31,7 @@
 
   @Test
   public void aScrapeThatAddsUpHolds() {
-    assertEquals(MonitorStandIn.unbalanced(GOOD), List.of());
+    assertEquals(FakeMonitor.unbalanced(GOOD), List.of());
   }
 
   @DataProvider
@@ -48,7 +48,7 @@
 
   @Test(dataProvider = "spoilt")
   public void oneWrongLineIsFound(String right, String wrong, String says) {
-    List<String> found = MonitorStandIn.unbalanced(GOOD.replace(right, wrong));
+    List<String> found = FakeMonitor.unbalanced(GOOD.replace(right, wrong));
     assertEquals(found.size(), 1, found.toString());
     assertEquals(found.get(0).startsWith(says), true, found.toString());
   }
@@ -56,6 +56,6 @@
   @Test
   public void aScrapeWithoutFiguresIsWrong() {
     assertEquals(
-        MonitorStandIn.unbalanced("sprucerock_figures_drift 0.0\n"), List.of("no figures in it"));
+        FakeMonitor.unbalanced("sprucerock_figures_drift 0.0\n"), List.of("no figures in it"));
   }
 }
--- a/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.transport.wire.Kind;
@@ -38,14 +38,14 @@
 
 /** The stand-ins do to a relay what their command says, in simulated time. */
 public class StandInTest {
-  private ScriptedNet net;
+  private SimulatedNet net;
   private TraceWriter trace;
   private Path file;
   private Site site;
 
   @BeforeMethod
   public void begin() throws Exception {
-    net = new ScriptedNet(0, 1);
+    net = new SimulatedNet(0, 1);
     Path folder = Files.createTempDirectory("standins");
     file = folder.resolve("t.trace");
     trace = new TraceWriter(net, file, "test");
@@ -77,9 +77,9 @@
         new Site.Cold(0.4, TimeSpan.ofMs(3000), 3, TimeSpan.ofMs(1000)));
   }
 
-  private UnitStandIn unit(BuildFault fault, boolean cold) throws Exception {
-    UnitStandIn unit =
-        new UnitStandIn(
+  private FakeEndpoint unit(BuildFault fault, boolean cold) throws Exception {
+    FakeEndpoint unit =
+        new FakeEndpoint(
             net,
             trace,
             Person.LIMITS,
@@ -134,7 +134,7 @@
 
   @Test
   public void aUnitWorksRefusesPastItsQueueAndDropsWhatNobodyWaitsFor() throws Exception {
-    UnitStandIn unit = unit(BuildFault.GOOD, false);
+    FakeEndpoint unit = unit(BuildFault.GOOD, false);
     Person relay = at(unit.port());
     work(relay, 1, 0, 0, 1000);
     net.pass(60);
@@ -155,7 +155,7 @@
 
   @Test
   public void tokenedRepeatsAreDroppedAndEffectsNoted() throws Exception {
-    UnitStandIn unit = unit(BuildFault.GOOD, false);
+    FakeEndpoint unit = unit(BuildFault.GOOD, false);
     Person relay = at(unit.port());
     work(relay, 1, 1, 55, 1000);
     net.pass(60);
@@ -173,7 +173,7 @@
 
   @Test
   public void faultsOfUnitsAndBuildsShowAsTheyShould() throws Exception {
-    UnitStandIn unit = unit(new BuildFault(BuildFault.What.METHOD, 1, 2), false);
+    FakeEndpoint unit = unit(new BuildFault(BuildFault.What.METHOD, 1, 2), false);
     Person relay = at(unit.port());
     work(relay, 1, 0, 0, 1000);
     work(relay, 2, 2, 0, 1000);
@@ -195,7 +195,7 @@
 
   @Test
   public void aColdUnitPushedPastWhatItBearsFallsOverAndStaysDown() throws Exception {
-    UnitStandIn unit = unit(BuildFault.GOOD, true);
+    FakeEndpoint unit = unit(BuildFault.GOOD, true);
     Person relay = at(unit.port());
     for (int i = 0; i < 100; i++) {
       work(relay, i, 0, 0, 1000);
@@ -213,7 +213,7 @@
 
   @Test
   public void theRosterTellsLateAndInOrder() throws Exception {
-    RosterStandIn roster = new RosterStandIn(net, trace, Person.LIMITS, TimeSpan.ofMs(300));
+    FakeDiscovery roster = new FakeDiscovery(net, trace, Person.LIMITS, TimeSpan.ofMs(300));
     Person relay = at(roster.start());
     net.turn(() -> relay.send(Kind.WATCH, Watch.getDefaultInstance()));
     net.settle();
@@ -238,14 +238,14 @@
 
   private final List<String> places = new ArrayList<>();
 
-  private DeskStandIn desk(Site ofSite) {
+  private FakeController desk(Site ofSite) {
     places.clear();
-    return new DeskStandIn(
+    return new FakeController(
         net,
         trace,
         Person.LIMITS,
         ofSite,
-        new DeskStandIn.Places() {
+        new FakeController.Places() {
           @Override
           public void enter(int build, int stage) {
             places.add("enter " + build + "/" + stage);
@@ -280,7 +280,7 @@
 
   @Test
   public void oneVoteMovesABuildAndOneCallsItBackEvenOnceReleased() throws Exception {
-    DeskStandIn desk = desk(site);
+    FakeController desk = desk(site);
     Person relay = at(desk.start());
     net.pass(300);
     assertEquals(relay.<News>all(Kind.NEWS).get(0).getStanding(), Stand.RELEASED);
@@ -305,7 +305,7 @@
 
   @Test
   public void amongManyAMajorityMovesAndVotesExpire() throws Exception {
-    DeskStandIn desk = desk(site(Site.Control.MAJORITY, 2, 2));
+    FakeController desk = desk(site(Site.Control.MAJORITY, 2, 2));
     int port = desk.start();
     Person one = Person.at(net, Role.RELAY, 1, port);
     Person two = Person.at(net, Role.RELAY, 2, port);
@@ -327,7 +327,7 @@
 
   @Test
   public void theClockMovesAStageUnlessSomeoneHolds() throws Exception {
-    DeskStandIn desk = desk(site(Site.Control.CLOCKED, 0, 1));
+    FakeController desk = desk(site(Site.Control.CLOCKED, 0, 1));
     Person relay = at(desk.start());
     desk.offer(2);
     vote(relay, 0, Say.HOLD);
@@ -345,21 +345,21 @@
   @Test
   public void clientsTryAgainOnlyAsTheirMethodAllows() throws Exception {
     List<Person> relays = Person.listen(net, Role.RELAY, 0, 3000);
-    Map<ClientStandIn.End, Integer> ends = new HashMap<>();
+    Map<FakeClient.End, Integer> ends = new HashMap<>();
     Map<Integer, Integer> tries = new HashMap<>();
-    ClientStandIn client =
-        new ClientStandIn(
+    FakeClient client =
+        new FakeClient(
             net,
             trace,
             Person.LIMITS,
             site,
-            new ClientStandIn.Manners(2, TimeSpan.ofMs(20), 0, 0),
-            new ClientStandIn.Ear() {
+            new FakeClient.Manners(2, TimeSpan.ofMs(20), 0, 0),
+            new FakeClient.Ear() {
               @Override
-              public void asked(ClientStandIn.Order order) {}
+              public void asked(FakeClient.Order order) {}
 
               @Override
-              public void ended(ClientStandIn.Order order, ClientStandIn.End end) {
+              public void ended(FakeClient.Order order, FakeClient.End end) {
                 ends.merge(end, 1, Integer::sum);
                 tries.merge(order.method, order.tries, Math::max);
               }
@@ -385,7 +385,7 @@
         client.stop();
       }
     }
-    assertEquals(ends.keySet(), java.util.Set.of(ClientStandIn.End.ABORTED));
+    assertEquals(ends.keySet(), java.util.Set.of(FakeClient.End.ABORTED));
     assertEquals(tries, Map.of(0, 3, 1, 3, 2, 1));
     assertEquals(client.open(), 0);
   }
--- a/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -23,13 +23,13 @@
  * order, whatever befalls it.
  */
 public class WayStandInTest {
-  private static final class Party implements LinkUser {
+  private static final class Party implements ConnectionListener {
     final StringBuilder got = new StringBuilder();
-    Link link;
+    Connection link;
     String closed;
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -44,14 +44,14 @@
     }
   }
 
-  private ScriptedNet net;
-  private WayStandIn way;
+  private SimulatedNet net;
+  private FaultProxy way;
   private int port;
   private final List<Party> taken = new ArrayList<>();
 
   @BeforeMethod
   public void begin() throws Exception {
-    net = new ScriptedNet(0, 1);
+    net = new SimulatedNet(0, 1);
     taken.clear();
     int far =
         net.listen(
@@ -64,7 +64,7 @@
                 })
             .address()
             .getPort();
-    way = new WayStandIn(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), far), 7);
+    way = new FaultProxy(net, new InetSocketAddress(InetAddress.getLoopbackAddress(), far), 7);
     port = way.start();
   }
 
--- a/src/test/java/sprucerock/rehearsal/invariant/JudgeTest.java
+++ b/src/test/java/sprucerock/rehearsal/invariant/JudgeTest.java
@@ -161,7 +161,7 @@
             100_000,
             List.of(0.1, 0.5, 1.0));
     try {
-      return Judge.judge(
+      return InvariantChecker.judge(
               rules,
               Map.of("relay-0.1.trace", Line.parse("relay-0.1.trace", relay.toString())),
               Line.parse("standins.trace", others.toString()))
@@ -560,6 +560,6 @@
   public void aTraceWithNothingInItProvesNothing() throws IOException {
     List<Line> none = new ArrayList<>();
     Rules rules = new Rules(List.of(), 0, 0, 1, 1, 1, 0, false, 0, false, 1, true, 0, List.of(1.0));
-    assertTrue(!Judge.judge(rules, Map.of("relay-0.1.trace", none), none).kept());
+    assertTrue(!InvariantChecker.judge(rules, Map.of("relay-0.1.trace", none), none).kept());
   }
 }
--- a/src/test/java/sprucerock/rehearsal/recovery/MeterTest.java
+++ b/src/test/java/sprucerock/rehearsal/recovery/MeterTest.java
@@ -95,12 +95,12 @@
     line(text, 12_000, "rehearsal", '!', "TROUBLE", "relay 0 busy times 4 for 3s");
     line(text, 9050, "unit-4", '<', "HELLO", "");
     line(text, 9060, "unit-4", '<', "HELLO", "");
-    Meter meter = new Meter(List.of(new Meter.Method(500, 2)));
+    RecoveryMeter meter = new RecoveryMeter(List.of(new RecoveryMeter.Method(500, 2)));
     for (Line one : Line.parse("t", text.toString())) {
       meter.line(one);
     }
     assertEquals(meter.returns().size(), 1);
-    Meter.Return back = meter.returns().get(0);
+    RecoveryMeter.Return back = meter.returns().get(0);
     assertEquals(back.words(), "relay 1 killed for 1s; relay 2 killed for 1s");
     assertEquals(back.fullS().getAsDouble(), 1.0, 0.11);
     assertEquals(back.lostS(), 1.0, 0.1);
--- a/src/test/java/sprucerock/rehearsal/scenario/DayScriptCompatTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/DayScriptCompatTest.java
@@ -70,7 +70,7 @@
   @Test(dataProvider = "own")
   public void aDayOfTheCorpusIsReadAsBefore(String name) throws Exception {
     Corpus.holds(
-        DAYS + name + ".txt", rendered(Script.parse(name, Corpus.input(DAYS + name + ".day"))));
+        DAYS + name + ".txt", rendered(ScenarioParser.parse(name, Corpus.input(DAYS + name + ".day"))));
   }
 
   @Test
@@ -80,7 +80,7 @@
       text.append("== ")
           .append(file.getFileName())
           .append('\n')
-          .append(rendered(Script.read(file)));
+          .append(rendered(ScenarioParser.read(file)));
     }
     Corpus.holds(DAYS + "repository.txt", text.toString());
   }
@@ -91,14 +91,14 @@
     }
   }
 
-  private static String rendered(Script day) {
+  private static String rendered(ScenarioParser day) {
     Rendering text = new Rendering();
     text.put("day", day.name)
         .put("seed", day.seed)
         .put("lasts", day.lasts)
         .put("relays", day.relays)
         .put("tick", day.tick);
-    for (Script.Units units : day.units) {
+    for (ScenarioParser.Units units : day.units) {
       text.put(
           "units",
           units.count()
@@ -144,7 +144,7 @@
         .put("clients.impatient", day.manners.impatient())
         .put("clients.flags", day.manners.flags());
     options(text, day);
-    for (Script.Trouble trouble : day.troubles) {
+    for (ScenarioParser.Trouble trouble : day.troubles) {
       text.put(
           "at " + trouble.at().ms() + "ms for " + trouble.lasts().ms() + "ms",
           withoutProgram(trouble.words()));
@@ -178,7 +178,7 @@
         + method.utility();
   }
 
-  private static void votes(Rendering text, Script day) {
+  private static void votes(Rendering text, ScenarioParser day) {
     String control =
         switch (day.control) {
           case SINGLE -> "single";
@@ -197,7 +197,7 @@
         .put("counts.sample", day.sample);
   }
 
-  private static void options(Rendering text, Script day) {
+  private static void options(Rendering text, ScenarioParser day) {
     text.put("controller-real", day.realController)
         .put("agents.watch", day.changeWatch)
         .put("tls", day.tls)
@@ -230,7 +230,7 @@
       List<String> parts = new ArrayList<>(List.of(line.split(": ", 2)));
       String day = Corpus.input(DAYS + parts.get(0) + ".day") + parts.get(1) + "\n";
       text.append(
-              expectThrows(Script.ScriptException.class, () -> Script.parse(parts.get(0), day))
+              expectThrows(ScenarioParser.ScriptException.class, () -> ScenarioParser.parse(parts.get(0), day))
                   .getMessage())
           .append('\n');
     }
--- a/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
@@ -51,7 +51,7 @@
         unit-4.held=0
         """;
 
-  private static List<FleetBook.Entry> hold(String standIns, String relay, String counts, int picks)
+  private static List<FleetMetricsAudit.Entry> hold(String standIns, String relay, String counts, int picks)
       throws Exception {
     Path folder = Files.createTempDirectory("fleet");
     MethodAccounts accounts = new MethodAccounts(List.of("read"), new MethodAccounts.Room(1, 1, 1));
@@ -70,17 +70,17 @@
     Files.writeString(folder.resolve("relay-0.xml"), "");
     Files.writeString(folder.resolve("standins.trace"), standIns);
     Files.writeString(folder.resolve("relay-0.1.trace"), relay);
-    Files.writeString(folder.resolve(FleetBook.COUNTS), counts);
-    return FleetBook.hold(folder);
+    Files.writeString(folder.resolve(FleetMetricsAudit.COUNTS), counts);
+    return FleetMetricsAudit.hold(folder);
   }
 
   @Test
   public void eachDifferenceIsTheSumOfItsClasses() throws Exception {
-    List<FleetBook.Entry> entries = hold(STANDINS, RELAY, COUNTS, 2);
+    List<FleetMetricsAudit.Entry> entries = hold(STANDINS, RELAY, COUNTS, 2);
     assertEquals(
         entries.stream().filter(entry -> entry.unexplained() != 0).toList(),
         List.of(),
-        FleetBook.table(entries));
+        FleetMetricsAudit.table(entries));
     assertEquals(
         entries
             .get(0)
@@ -114,10 +114,10 @@
   @Test(dataProvider = "wrong")
   public void whatNoClassExplainsIsToldApart(
       String standIns, String relay, String counts, int picks) throws Exception {
-    List<FleetBook.Entry> entries = hold(standIns, relay, counts, picks);
+    List<FleetMetricsAudit.Entry> entries = hold(standIns, relay, counts, picks);
     assertEquals(
         entries.stream().anyMatch(entry -> entry.unexplained() != 0),
         true,
-        FleetBook.table(entries));
+        FleetMetricsAudit.table(entries));
   }
 }
--- a/src/test/java/sprucerock/rehearsal/scenario/ScriptTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/ScriptTest.java
@@ -24,8 +24,8 @@
 
   @Test
   public void allThatADayCanHaveIsRead() throws Exception {
-    Script day =
-        Script.parse(
+    ScenarioParser day =
+        ScenarioParser.parse(
             "d",
             HEAD
                 + "allow peers picks 3 # and no more\nexposure free 2 over 4s by method guarded 1 one-way\n"
@@ -74,7 +74,7 @@
   @Test(dataProvider = "wrong")
   public void aWrongLineIsNamedWithItsColumn(String line, String says) {
     String message =
-        expectThrows(Script.ScriptException.class, () -> Script.parse("d", HEAD + line))
+        expectThrows(ScenarioParser.ScriptException.class, () -> ScenarioParser.parse("d", HEAD + line))
             .getMessage();
     assertTrue(message.contains(says) && !message.contains("\n"), message);
   }
--- a/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
@@ -30,9 +30,9 @@
     }
     keeper.close();
     Files.writeString(folder.resolve("relay-0.1.trace"), trace);
-    return SecondBook.hold(folder, 0).stream()
+    return TraceMetricsAudit.hold(folder, 0).stream()
         .filter(entry -> !entry.holds())
-        .map(SecondBook.Entry::toString)
+        .map(TraceMetricsAudit.Entry::toString)
         .toList();
   }
 
--- a/src/test/java/sprucerock/relay/frames/RacksTest.java
+++ b/src/test/java/sprucerock/relay/frames/RacksTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.ScriptedNet;
-import sprucerock.relay.engine.Events;
+import sprucerock.transport.net.SimulatedNet;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.transport.wire.v1.PromiseAsk;
 import sprucerock.transport.wire.v1.Promised;
@@ -22,22 +22,22 @@
 public class RacksTest {
   private static final long NOTICE = 60_000;
   private static final long LIST = 0xabcdef;
-  private ScriptedNet net;
-  private Racks racks;
+  private SimulatedNet net;
+  private RackPermits racks;
   private List<PromiseAsk> asks;
 
   @BeforeMethod
   public void begin() throws Exception {
-    net = new ScriptedNet(1000, 5);
+    net = new SimulatedNet(1000, 5);
     asks = new ArrayList<>();
     String xml = RelayTest.CONFIG.replace("<site ", "<racks ask-every=\"1s\" drift=\"0\"/><site ");
     racks =
-        new Racks(
+        new RackPermits(
             net,
             RelayTest.config(xml),
-            new Events(net),
+            new EventLog(net),
             new DeterministicRandom(1),
-            new Racks.Owner() {
+            new RackPermits.Owner() {
               @Override
               public boolean ask(PromiseAsk ask) {
                 return asks.add(ask);
--- a/src/test/java/sprucerock/relay/frames/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/RelayTest.java
@@ -20,9 +20,9 @@
 import sprucerock.model.Rpc;
 import sprucerock.model.Endpoint;
 import sprucerock.model.Verdict;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
@@ -124,8 +124,8 @@
     }
   }
 
-  private ScriptedNet net;
-  private Relay relay;
+  private SimulatedNet net;
+  private FrameRelay relay;
   private Simple module;
   private List<Person> rosters;
   private List<Person> desks;
@@ -140,12 +140,12 @@
 
   @BeforeMethod
   public void begin() throws Exception {
-    net = new ScriptedNet(1000, 5);
+    net = new SimulatedNet(1000, 5);
     module = new Simple();
     rosters = Person.listen(net, Role.ROSTER, 0, 1001);
     desks = Person.listen(net, Role.DESK, 0, 1002);
     units = Person.listen(net, Role.UNIT, 7, 2007);
-    relay = new Relay(config(CONFIG), net, Tap.NONE);
+    relay = new FrameRelay(config(CONFIG), net, Tap.NONE);
     relay.start(
         (host, settings, seed) -> {
           module.host = host;
@@ -280,7 +280,7 @@
         () -> {
           Rpc rpc = module.picks.get(module.picks.size() - 1).rpc;
           made[0] = module.send(rpc, null);
-          ((Exchange) made[0].door).link.link.cut("a turn that went wrong");
+          ((FrameExchange) made[0].door).link.link.cut("a turn that went wrong");
         });
     net.settle();
     return made[0];
@@ -313,9 +313,9 @@
           new java.net.InetSocketAddress("127.0.0.1", 1000),
           TimeSpan.ofMs(100),
           1000,
-          new LinkUser() {
+          new ConnectionListener() {
             @Override
-            public void up(Link link) {
+            public void up(Connection link) {
               if (talk.length > 0) {
                 link.append(talk);
               }
@@ -481,10 +481,10 @@
   @Test
   public void clientsWaitUntilListAndNewsAreThereOrTheWaitIsOver() throws Exception {
     for (boolean comes : new boolean[] {true, false}) {
-      net = new ScriptedNet(1000, 5);
+      net = new SimulatedNet(1000, 5);
       rosters = Person.listen(net, Role.ROSTER, 0, 1001);
       desks = Person.listen(net, Role.DESK, 0, 1002);
-      new Relay(
+      new FrameRelay(
               config(CONFIG.replace("wait-for-list=\"0ms\"", "wait-for-list=\"1s\"")),
               net,
               Tap.NONE)
@@ -538,9 +538,9 @@
 
   @Test
   public void thousandsOfRpcsThatEndAtOneDeadlineGetOneAnswerEach() throws Exception {
-    net = new ScriptedNet(1000, 5);
+    net = new SimulatedNet(1000, 5);
     relay =
-        new Relay(
+        new FrameRelay(
             config(
                 CONFIG.replace(
                     "open=\"50\" open-per-client=\"40\"",
--- a/src/test/java/sprucerock/relay/frames/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/frames/SecuredTest.java
@@ -21,8 +21,8 @@
 import sprucerock.model.Attempt;
 import sprucerock.model.Rpc;
 import sprucerock.model.Endpoint;
-import sprucerock.transport.net.LinkUser;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
 import sprucerock.transport.tls.Buffers;
@@ -31,7 +31,7 @@
 import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.TestCa;
-import sprucerock.transport.tls.TlsLink;
+import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -75,9 +75,9 @@
     }
   }
 
-  private ScriptedNet net;
+  private SimulatedNet net;
   private Aside aside;
-  private Relay relay;
+  private FrameRelay relay;
   private Simple module;
   private Path folder;
   private List<Person> rosters;
@@ -100,13 +100,13 @@
         Instant::now);
   }
 
-  private TlsLink.Place place() {
-    return new TlsLink.Place(net, new Buffers(), aside, TimeSpan.ofMs(500), Counter.NONE);
+  private TlsConnection.Place place() {
+    return new TlsConnection.Place(net, new Buffers(), aside, TimeSpan.ofMs(500), Counter.NONE);
   }
 
   @BeforeMethod
   public void begin() throws Exception {
-    net = new ScriptedNet(1000, 5);
+    net = new SimulatedNet(1000, 5);
     aside =
         (work, done) -> {
           work.run();
@@ -127,7 +127,7 @@
         () -> {
           Person person = new Person(net, Role.UNIT, 7);
           units.add(person);
-          return TlsLink.server(place(), shown, true, person.link);
+          return TlsConnection.server(place(), shown, true, person.link);
         });
     module = new Simple();
     lastCall = 0;
@@ -150,7 +150,7 @@
                     + "\" look-every=\"100ms\" move-within=\"1s\" "
                     + attributes
                     + "/>\n  <site ");
-    relay = new Relay(RelayTest.config(xml), net, Tap.NONE);
+    relay = new FrameRelay(RelayTest.config(xml), net, Tap.NONE);
     relay.start(
         (host, settings, seed) -> {
           module.host = host;
@@ -194,7 +194,7 @@
         new InetSocketAddress("127.0.0.1", 1000),
         TimeSpan.ofMs(500),
         1 << 20,
-        TlsLink.client(place(), with, "relay-0.example", 1000, person.link));
+        TlsConnection.client(place(), with, "relay-0.example", 1000, person.link));
     return person;
   }
 
@@ -295,9 +295,9 @@
         100,
         1 << 20,
         () ->
-            new LinkUser() {
+            new ConnectionListener() {
               @Override
-              public void up(sprucerock.transport.net.Link link) {}
+              public void up(sprucerock.transport.net.Connection link) {}
 
               @Override
               public void received(java.nio.ByteBuffer bytes) {}
@@ -340,8 +340,8 @@
     assertTrue(relay.ledger().accounts().value(relay.ledger().accounts().tlsFiles, 0, 2) == 1);
     calls();
     assertEquals(works(), 1);
-    Relay other =
-        new Relay(
+    FrameRelay other =
+        new FrameRelay(
             RelayTest.config(
                 RelayTest.CONFIG
                     .replace("port=\"1000\"", "port=\"1100\"")
--- a/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
+++ b/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
@@ -34,7 +34,7 @@
   public void turnsAreThoseThatAWalkOverAllUnitsFinds() {
     for (int seed = 1; seed <= 20; seed++) {
       Random random = new Random(seed);
-      Lookout lookout = new Lookout(() -> draw);
+      HealthCheckScheduler lookout = new HealthCheckScheduler(() -> draw);
       Map<Long, Double> due = new TreeMap<>();
       double nowMs = 0;
       int turns = 0;
--- a/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
@@ -73,7 +73,7 @@
   private Peers.Unit one;
   private Peers.Unit two;
   private NioLoop loop;
-  private Serving serving;
+  private PlatformRelay serving;
   private Peers.Client marker;
   private int port;
   private int ids;
@@ -108,7 +108,7 @@
     loop = new NioLoop("relay", broken::add);
     loop.post(
         () -> {
-          serving = new Serving(config, loop, System.currentTimeMillis(), () -> {});
+          serving = new PlatformRelay(config, loop, System.currentTimeMillis(), () -> {});
           try {
             serving.start((host, settings, seed) -> new Policy(watched(host), settings, seed));
           } catch (IOException e) {
--- a/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
@@ -12,12 +12,12 @@
 import java.util.function.Supplier;
 import org.testng.annotations.Test;
 import sprucerock.model.Method;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.postgres.Writer;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -29,7 +29,7 @@
   private static final int ENOUGH = 3;
 
   /** A connection of which only its end is looked at. */
-  private static final class End implements Link {
+  private static final class End implements Connection {
     boolean finished;
 
     @Override
@@ -61,15 +61,15 @@
     }
   }
 
-  private final List<ClientAsked> arrived = new ArrayList<>();
-  private final List<ClientAsked> left = new ArrayList<>();
-  private Supplier<LinkUser> users;
+  private final List<PlatformRequest> arrived = new ArrayList<>();
+  private final List<PlatformRequest> left = new ArrayList<>();
+  private Supplier<ConnectionListener> users;
 
-  private final ScriptedNet net =
-      new ScriptedNet(0, 1) {
+  private final SimulatedNet net =
+      new SimulatedNet(0, 1) {
         @Override
         public Net.Listener bind(
-            InetSocketAddress at, int most, long mostUnsent, Supplier<LinkUser> made) {
+            InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> made) {
           users = made;
           return super.bind(at, most, mostUnsent, made);
         }
@@ -81,18 +81,18 @@
     Method look =
         new Method(
             0, Method.Effect.IDEMPOTENT, Method.Group.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
-    ClientDoor door =
-        new ClientDoor(
+    ClientListener door =
+        new ClientListener(
             net,
-            new Events(net),
-            new ClientDoor.Owner() {
+            new EventLog(net),
+            new ClientListener.Owner() {
               @Override
-              public void arrived(ClientAsked asked) {
+              public void arrived(PlatformRequest asked) {
                 arrived.add(asked);
               }
 
               @Override
-              public void left(ClientAsked asked) {
+              public void left(PlatformRequest asked) {
                 left.add(asked);
               }
             },
@@ -107,7 +107,7 @@
     End end = new End();
     net.turn(
         () -> {
-          LinkUser link = users.get();
+          ConnectionListener link = users.get();
           link.up(end);
           link.received(ByteBuffer.wrap(says));
         });
--- a/src/test/java/sprucerock/relay/platform/CrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/CrossingsTest.java
@@ -22,8 +22,8 @@
 import sprucerock.model.Method;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.postgres.Writer;
-import sprucerock.relay.engine.Ending;
-import sprucerock.relay.engine.Events;
+import sprucerock.relay.engine.RequestOutcome;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -52,7 +52,7 @@
   private Peers.Agent discovery;
   private Peers.Agent desk;
   private NioLoop loop;
-  private Serving serving;
+  private PlatformRelay serving;
   private Peers.Agent.Call watch;
   private int port;
   private int ids;
@@ -86,7 +86,7 @@
     loop = new NioLoop("relay", broken::add);
     loop.post(
         () -> {
-          serving = new Serving(config, loop, System.currentTimeMillis(), () -> {});
+          serving = new PlatformRelay(config, loop, System.currentTimeMillis(), () -> {});
           try {
             serving.start(Policy::new);
           } catch (IOException e) {
@@ -516,7 +516,7 @@
     CountDownLatch go = new CountDownLatch(1);
     loop.post(
         () -> {
-          loop.at(loop.now().plus(Serving.STILL), standsStill(held, go));
+          loop.at(loop.now().plus(PlatformRelay.STILL), standsStill(held, go));
           serving.shutdown(
               () -> {
                 loop.close();
@@ -579,20 +579,20 @@
     CountDownLatch listens = new CountDownLatch(1);
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
-    ClientDoor[] door = new ClientDoor[1];
-    ClientDoor.Owner answers =
-        new ClientDoor.Owner() {
+    ClientListener[] door = new ClientListener[1];
+    ClientListener.Owner answers =
+        new ClientListener.Owner() {
           @Override
-          public void arrived(ClientAsked asked) {
-            asked.client.answer(asked, Ending.OK, TimeSpan.ZERO, Writer.empty());
+          public void arrived(PlatformRequest asked) {
+            asked.client.answer(asked, RequestOutcome.OK, TimeSpan.ZERO, Writer.empty());
           }
 
           @Override
-          public void left(ClientAsked asked) {}
+          public void left(PlatformRequest asked) {}
         };
     loop.post(
         () -> {
-          door[0] = new ClientDoor(loop, new Events(loop), answers, Map.of("look", look), 10, 10);
+          door[0] = new ClientListener(loop, new EventLog(loop), answers, Map.of("look", look), 10, 10);
           try {
             door[0].start(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
           } catch (IOException e) {
--- a/src/test/java/sprucerock/relay/platform/FeedTest.java
+++ b/src/test/java/sprucerock/relay/platform/FeedTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 
 /** One answer without end, from a server that tells nothing or comes and goes. */
@@ -19,8 +19,8 @@
   private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 200);
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  private ScriptedNet net;
-  private final List<Link> asked = new ArrayList<>();
+  private SimulatedNet net;
+  private final List<Connection> asked = new ArrayList<>();
   private final List<String> lost = new ArrayList<>();
 
   /** What each watch told, in the order in which they were asked for. */
@@ -30,22 +30,22 @@
 
   @BeforeMethod
   public void begin() {
-    net = new ScriptedNet(0, 1);
+    net = new SimulatedNet(0, 1);
     asked.clear();
     lost.clear();
     told.clear();
     closed = 0;
   }
 
-  private Feed feed() throws Exception {
+  private Watch feed() throws Exception {
     net.listen(
         AT,
         100,
         1 << 20,
         () ->
-            new LinkUser() {
+            new ConnectionListener() {
               @Override
-              public void up(Link link) {
+              public void up(Connection link) {
                 asked.add(link);
               }
 
@@ -57,20 +57,20 @@
                 closed++;
               }
             });
-    Feed feed =
-        new Feed(
+    Watch feed =
+        new Watch(
             net,
             AT,
             TimeSpan.ofMs(3000),
             TimeSpan.ofMs(1000),
             TimeSpan.ofMs(200),
             () -> 0.5,
-            new Feed.Reader() {
+            new Watch.Reader() {
               @Override
-              public Feed.Answer asks() {
+              public Watch.Answer asks() {
                 StringBuilder text = new StringBuilder();
                 told.add(text);
-                return new Feed.Answer() {
+                return new Watch.Answer() {
                   @Override
                   public String path() {
                     return "/";
--- a/src/test/java/sprucerock/relay/platform/InventedSettingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/InventedSettingsTest.java
@@ -28,7 +28,7 @@
   private Peers.Agent discovery;
   private Peers.Agent desk;
   private NioLoop loop;
-  private Serving serving;
+  private PlatformRelay serving;
   private int port;
   private int ids;
   private final ConcurrentLinkedQueue<Throwable> broken = new ConcurrentLinkedQueue<>();
@@ -70,7 +70,7 @@
     loop = new NioLoop("relay", broken::add);
     loop.post(
         () -> {
-          serving = new Serving(config, loop, System.currentTimeMillis(), () -> {});
+          serving = new PlatformRelay(config, loop, System.currentTimeMillis(), () -> {});
           try {
             serving.start(Policy::new);
           } catch (IOException e) {
--- a/src/test/java/sprucerock/relay/platform/ListCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListCrossingsTest.java
@@ -47,7 +47,7 @@
   private Peers.Agent elsewhere;
   private Peers.Agent desk;
   private NioLoop loop;
-  private Serving serving;
+  private PlatformRelay serving;
   private Peers.Agent.Call watch;
   private int port;
   private int ids;
@@ -66,7 +66,7 @@
     loop = new NioLoop("relay", broken::add);
     loop.post(
         () -> {
-          serving = new Serving(config, loop, System.currentTimeMillis(), () -> {});
+          serving = new PlatformRelay(config, loop, System.currentTimeMillis(), () -> {});
           try {
             serving.start(Policy::new);
           } catch (IOException e) {
--- a/src/test/java/sprucerock/relay/platform/ListTimesTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListTimesTest.java
@@ -15,10 +15,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -54,23 +54,23 @@
     LIST
   }
 
-  private ScriptedNet net;
-  private Serving serving;
+  private SimulatedNet net;
+  private PlatformRelay serving;
   private Net.Listener listener;
   private final ArrayDeque<Meets> to = new ArrayDeque<>();
-  private Link heard;
+  private Connection heard;
   private double toldAt;
   private double nowMs;
 
   @BeforeMethod
   public void begin() throws Exception {
-    net = new ScriptedNet(0, 1);
+    net = new SimulatedNet(0, 1);
     nowMs = 0;
     to.clear();
     listen(FIRST);
     net.listen(new InetSocketAddress("127.0.0.1", 500), 100, 1 << 20, Bulletin::new);
     to.add(Meets.LIST);
-    serving = new Serving(config(FIRST), net, 5000, () -> {});
+    serving = new PlatformRelay(config(FIRST), net, 5000, () -> {});
     net.turn(
         () -> {
           try {
@@ -85,11 +85,11 @@
   }
 
   /** The desk's: a sign of life each second, so that only discovery is asked for anew. */
-  private final class Bulletin implements LinkUser {
-    private Link link;
+  private final class Bulletin implements ConnectionListener {
+    private Connection link;
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -126,11 +126,11 @@
             100,
             1 << 20,
             () ->
-                new LinkUser() {
-                  private Link link;
+                new ConnectionListener() {
+                  private Connection link;
 
                   @Override
-                  public void up(Link made) {
+                  public void up(Connection made) {
                     link = made;
                   }
 
--- a/src/test/java/sprucerock/relay/platform/PlatformSettingsCompatTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformSettingsCompatTest.java
@@ -19,8 +19,8 @@
 import sprucerock.compat.LogLines;
 import sprucerock.compat.Rendering;
 import sprucerock.config.ConfigException;
-import sprucerock.transport.net.ScriptedNet;
-import sprucerock.relay.engine.Events;
+import sprucerock.transport.net.SimulatedNet;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.config.settings.SettingsText;
 
 /**
@@ -175,15 +175,15 @@
   /** The names of the figures that a relay on the platform logs, without their values. */
   @Test
   public void theLineOfFiguresHasTheSameNames() throws Exception {
-    ScriptedNet net = new ScriptedNet(1000, 1);
+    SimulatedNet net = new SimulatedNet(1000, 1);
     List<String> logged = new ArrayList<>();
-    Serving serving =
-        new Serving(
+    PlatformRelay serving =
+        new PlatformRelay(
             read(Corpus.input(FOLDER + "least.json"), Map.of()),
             net,
             5000,
             () -> {},
-            new Events(net, LogLines.into(logged)));
+            new EventLog(net, LogLines.into(logged)));
     net.turn(
         () -> {
           try {
--- a/src/test/java/sprucerock/relay/platform/PlatformTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformTest.java
@@ -21,9 +21,9 @@
 import sprucerock.config.ConfigException;
 import sprucerock.model.Settings;
 import sprucerock.transport.net.Datagrams;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.postgres.Messages;
 import sprucerock.transport.postgres.ProtocolException;
 import sprucerock.transport.postgres.Reader;
@@ -52,13 +52,13 @@
           "specifics":{"ballot_ttl":4000,"call_timeout":1000,"caps":[0.1,1.0],"per":"all","uncounted":3,"vote_mode":"single"}}}""";
 
   /** A unit: greets, and answers queries as it is told. */
-  private final class FakeUnit implements LinkUser, Messages.User {
+  private final class FakeUnit implements ConnectionListener, Messages.User {
     private final Messages in = Messages.ofClient(1 << 18);
-    Link link;
+    Connection link;
     String query;
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -99,10 +99,10 @@
     }
   }
 
-  private class Client implements LinkUser, Messages.User {
+  private class Client implements ConnectionListener, Messages.User {
     private final Messages in = Messages.ofServer(1 << 18);
     final List<String> got = new ArrayList<>();
-    Link link;
+    Connection link;
     boolean closed;
 
     Client() {
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -167,12 +167,12 @@
   }
 
   /** Discovery or desk: keeps what was asked, and says what it is told. */
-  private final class Told implements LinkUser {
-    Link link;
+  private final class Told implements ConnectionListener {
+    Connection link;
     final StringBuilder heard = new StringBuilder();
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -198,8 +198,8 @@
     }
   }
 
-  private ScriptedNet net;
-  private Serving serving;
+  private SimulatedNet net;
+  private PlatformRelay serving;
   private final List<FakeUnit> asked = new ArrayList<>();
   private final List<Told> discovery = new ArrayList<>();
   private final List<Told> desk = new ArrayList<>();
@@ -237,7 +237,7 @@
 
   @BeforeMethod
   public void start() throws Exception {
-    net = new ScriptedNet(1000, 1);
+    net = new SimulatedNet(1000, 1);
     asked.clear();
     discovery.clear();
     desk.clear();
@@ -249,7 +249,7 @@
     net.listen(address(200), 10, 1 << 20, () -> keep(discovery));
     net.listen(address(500), 40, 1 << 20, () -> keep(desk));
     serving =
-        new Serving(
+        new PlatformRelay(
             config(
                 128, 500, entry("s-1", 300, "SERVING", 7) + "," + entry("s-2", 301, "SERVING", 7)),
             net,
--- a/src/test/java/sprucerock/relay/snapshot/PictureBenchmark.java
+++ b/src/test/java/sprucerock/relay/snapshot/PictureBenchmark.java
@@ -31,16 +31,16 @@
   @Param({"0", "1000"})
   public int swapsASecond;
 
-  private final Shared shared = new Shared();
+  private final SharedSnapshot shared = new SharedSnapshot();
   private volatile boolean over;
   private int at;
 
-  private static Picture picture(long number) {
+  private static RackSnapshot picture(long number) {
     Map<Integer, Timestamp> until = new HashMap<>();
     for (int rack = 0; rack < 300; rack++) {
-      until.put(Picture.key(rack / 20, rack % 20), Timestamp.ofMs(1e12 + number));
+      until.put(RackSnapshot.key(rack / 20, rack % 20), Timestamp.ofMs(1e12 + number));
     }
-    return new Picture(number, until);
+    return new RackSnapshot(number, until);
   }
 
   @Setup
@@ -69,7 +69,7 @@
   @Benchmark
   public boolean look() {
     at = at + 7 & 0xff;
-    return shared.take().mayPlace(Picture.key(at >> 4, at & 15), 1e9, 100);
+    return shared.take().mayPlace(RackSnapshot.key(at >> 4, at & 15), 1e9, 100);
   }
 
   public static void main(String[] args) throws Exception {
--- a/src/test/java/sprucerock/relay/snapshot/SharedTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/SharedTest.java
@@ -15,15 +15,15 @@
 public class SharedTest {
   @Test
   public void workIsPlacedWhereItEndsInTime() {
-    Picture picture =
-        new Picture(
-            1, Map.of(Picture.key(1, 7), Timestamp.ofMs(1000), Picture.key(2, 7), Timestamp.ofMs(-5)));
-    assertTrue(picture.mayPlace(Picture.key(1, 7), 900, 100));
-    assertFalse(picture.mayPlace(Picture.key(1, 7), 900, 101));
-    assertFalse(picture.mayPlace(Picture.key(2, 7), 0, 0));
-    assertTrue(picture.mayPlace(Picture.key(3, 7), 1e9, 1e9));
-    assertNull(picture.until(Picture.key(1, 8)));
-    assertEquals(picture.until(Picture.key(1, 7)), Timestamp.ofMs(1000));
+    RackSnapshot picture =
+        new RackSnapshot(
+            1, Map.of(RackSnapshot.key(1, 7), Timestamp.ofMs(1000), RackSnapshot.key(2, 7), Timestamp.ofMs(-5)));
+    assertTrue(picture.mayPlace(RackSnapshot.key(1, 7), 900, 100));
+    assertFalse(picture.mayPlace(RackSnapshot.key(1, 7), 900, 101));
+    assertFalse(picture.mayPlace(RackSnapshot.key(2, 7), 0, 0));
+    assertTrue(picture.mayPlace(RackSnapshot.key(3, 7), 1e9, 1e9));
+    assertNull(picture.until(RackSnapshot.key(1, 8)));
+    assertEquals(picture.until(RackSnapshot.key(1, 7)), Timestamp.ofMs(1000));
   }
 
   @Test
@@ -31,19 +31,19 @@
     Map<Integer, Timestamp> until = new HashMap<>();
     for (int zone = 0; zone < 30; zone++) {
       for (int cell = 0; cell < 40; cell++) {
-        until.put(Picture.key(zone, cell * 256), Timestamp.ofMs(zone * 1000 + cell));
+        until.put(RackSnapshot.key(zone, cell * 256), Timestamp.ofMs(zone * 1000 + cell));
       }
     }
-    Picture picture = new Picture(1, until);
+    RackSnapshot picture = new RackSnapshot(1, until);
     until.forEach((key, moment) -> assertEquals(picture.until(key), moment));
     assertEquals(picture.size(), 1200);
   }
 
   @Test
   public void anOlderStateTakesNoNewerOnesPlace() {
-    Shared shared = new Shared();
-    assertTrue(shared.put(new Picture(5, Map.of())));
-    assertFalse(shared.put(new Picture(4, Map.of())));
+    SharedSnapshot shared = new SharedSnapshot();
+    assertTrue(shared.put(new RackSnapshot(5, Map.of())));
+    assertFalse(shared.put(new RackSnapshot(4, Map.of())));
     assertEquals(shared.take().sequence(), 5);
   }
 
@@ -53,7 +53,7 @@
    */
   @Test
   public void readersSeeOnePictureWholeWhileItIsSwapped() throws Exception {
-    Shared shared = new Shared();
+    SharedSnapshot shared = new SharedSnapshot();
     AtomicReference<String> wrong = new AtomicReference<>();
     Thread[] readers = new Thread[4];
     for (int i = 0; i < readers.length; i++) {
@@ -62,13 +62,13 @@
               () -> {
                 long before = 0;
                 while (before < 20_000 && wrong.get() == null) {
-                  Picture picture = shared.take();
+                  RackSnapshot picture = shared.take();
                   if (picture.sequence() < before) {
                     wrong.set("went back from " + before + " to " + picture.sequence());
                   }
                   before = picture.sequence();
                   for (int cell = 0; cell < 50 && before > 0; cell++) {
-                    Timestamp until = picture.until(Picture.key(1, cell));
+                    Timestamp until = picture.until(RackSnapshot.key(1, cell));
                     if (until == null || until.ms() != before) {
                       wrong.set("in " + before + " a rack has " + until);
                     }
@@ -80,9 +80,9 @@
     for (long n = 1; n <= 20_000; n++) {
       Map<Integer, Timestamp> until = new HashMap<>();
       for (int cell = 0; cell < 50; cell++) {
-        until.put(Picture.key(1, cell), Timestamp.ofMs(n));
+        until.put(RackSnapshot.key(1, cell), Timestamp.ofMs(n));
       }
-      shared.put(new Picture(n, until));
+      shared.put(new RackSnapshot(n, until));
     }
     for (Thread one : readers) {
       one.join(60_000);
--- a/src/test/java/sprucerock/scale/ControllerScaleTest.java
+++ b/src/test/java/sprucerock/scale/ControllerScaleTest.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Locale;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Change;
-import sprucerock.controller.deployment.Changes;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Plan;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
-import sprucerock.controller.Release;
-import sprucerock.controller.Releases;
-import sprucerock.controller.Rules;
+import sprucerock.controller.Rollout;
+import sprucerock.controller.RolloutManager;
+import sprucerock.controller.RolloutRules;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.AgentSays;
@@ -39,9 +39,9 @@
 public class ControllerScaleTest {
   private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
-  private static final Plan PLAN =
-      new Plan(
-          List.of(new Plan.Stage(0.05, 0.1), new Plan.Stage(0.25, 0.05), new Plan.Stage(1, 0.01)),
+  private static final DeploymentPlan PLAN =
+      new DeploymentPlan(
+          List.of(new DeploymentPlan.Stage(0.05, 0.1), new DeploymentPlan.Stage(0.25, 0.05), new DeploymentPlan.Stage(1, 0.01)),
           TimeSpan.ofMs(10_000),
           TimeSpan.ofMs(120_000),
           TimeSpan.ofMs(20_000),
@@ -53,8 +53,8 @@
    * So many relays in three zones that run the old version, settled on it, whose agents do what is
    * wanted.
    */
-  private static final class Fleet implements Changes.Host {
-    private final Changes changes = new Changes(PLAN, this);
+  private static final class Fleet implements DeploymentManager.Host {
+    private final DeploymentManager changes = new DeploymentManager(PLAN, this);
     private final ArrayDeque<ManagedRelay> wants = new ArrayDeque<>();
     private double now = 1000;
     private long words;
@@ -74,12 +74,12 @@
       changes.says(number, number % 3, number % 5 == 0, runs, ready, done, at(), 0);
     }
 
-    Change propose() {
+    Deployment propose() {
       assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
       return changes.waiting();
     }
 
-    void read(Change change) {
+    void read(Deployment change) {
       for (int i = 0; i < changes.relays().size(); i++) {
         changes.checked(i, change.number, "", at(), 0);
       }
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void changed(Change change, Change.Step step) {
+    public void changed(Deployment change, Deployment.Step step) {
       // not counted
     }
 
@@ -148,12 +148,12 @@
             "an agent that has read it",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              Change change = fleet.propose();
+              Deployment change = fleet.propose();
               long before = fleet.changes.looked();
               for (int i = 0; i < relays - 1; i++) {
                 fleet.changes.checked(i, change.number, "", fleet.at(), 0);
               }
-              assertEquals(change.state(), Change.State.PROPOSED);
+              assertEquals(change.state(), Deployment.State.PROPOSED);
               return (fleet.changes.looked() - before) / (double) relays;
             },
             100,
@@ -173,18 +173,18 @@
             "an agent's word while a change moves",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              Change change = fleet.propose();
+              Deployment change = fleet.propose();
               long before = fleet.changes.looked();
               long words = fleet.words;
               fleet.read(change);
-              for (int i = 0; i < 20 && change.state() != Change.State.DONE; i++) {
+              for (int i = 0; i < 20 && change.state() != Deployment.State.DONE; i++) {
                 fleet.obey();
                 fleet.changes.judged(
                     change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
                 fleet.now += 11_000;
                 fleet.changes.tick(fleet.at(), 0);
               }
-              assertEquals(change.state(), Change.State.DONE);
+              assertEquals(change.state(), Deployment.State.DONE);
               return (fleet.changes.looked() - before) / (double) (fleet.words - words);
             },
             100,
@@ -198,10 +198,10 @@
     Counted.at(
             "a vote",
             relays -> {
-              Rules rules =
-                  new Rules(
-                      List.of(new Rules.Stage(0.1, 0.12), new Rules.Stage(1, 1)),
-                      Rules.Control.MAJORITY,
+              RolloutRules rules =
+                  new RolloutRules(
+                      List.of(new RolloutRules.Stage(0.1, 0.12), new RolloutRules.Stage(1, 1)),
+                      RolloutRules.Control.MAJORITY,
                       relays + 1,
                       relays + 1,
                       relays + 1,
@@ -212,12 +212,12 @@
                       TimeSpan.ofMs(1000),
                       TimeSpan.ofMs(60_000),
                       10);
-              Releases releases = new Releases(rules, 10, 1, Timestamp.ofMs(0), (release, step) -> {});
+              RolloutManager releases = new RolloutManager(rules, 10, 1, Timestamp.ofMs(0), (release, step) -> {});
               releases.announced("m1", 2, "a2", "ci", Timestamp.ofMs(10), 10);
               releases.ready(2, 10, Timestamp.ofMs(20), 20);
-              assertEquals(releases.present().standing(), Release.Standing.ON_TRIAL);
+              assertEquals(releases.present().standing(), Rollout.Standing.ON_TRIAL);
               for (int i = 0; i < relays; i++) {
-                releases.cast(i, 2, 0, Releases.Say.ON, Timestamp.ofMs(1500), 1500);
+                releases.cast(i, 2, 0, RolloutManager.Say.ON, Timestamp.ofMs(1500), 1500);
               }
               long before = releases.looked();
               for (int i = 0; i < relays; i++) {
@@ -225,7 +225,7 @@
                     i,
                     2,
                     0,
-                    i % 2 == 0 ? Releases.Say.ON : Releases.Say.BACK,
+                    i % 2 == 0 ? RolloutManager.Say.ON : RolloutManager.Say.BACK,
                     Timestamp.ofMs(3000 + i),
                     3000);
                 releases.due(Timestamp.ofMs(3000 + i));
@@ -249,10 +249,10 @@
     int[] sizes = {100, 400};
     for (int i = 0; i < 2; i++) {
       Fleet fleet = new Fleet(sizes[i]);
-      Change change = fleet.propose();
+      Deployment change = fleet.propose();
       fleet.read(change);
       double from = fleet.now;
-      while (change.state() != Change.State.DONE) {
+      while (change.state() != Deployment.State.DONE) {
         double before = fleet.now;
         fleet.obey();
         fleet.now = before; // as if nobody took any time
