--- a/src/test/java/sprucerock/scale/FreezeScaleTest.java
+++ b/src/test/java/sprucerock/scale/FreezeScaleTest.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.testng.annotations.Test;
-import sprucerock.controller.maintenance.Freeze;
-import sprucerock.controller.maintenance.Freezes;
-import sprucerock.controller.maintenance.Headroom;
-import sprucerock.controller.maintenance.Promises;
+import sprucerock.controller.maintenance.MaintenanceWindow;
+import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.controller.maintenance.CapacityCheck;
+import sprucerock.controller.maintenance.PlacementGrants;
 import sprucerock.controller.maintenance.Rack;
 
 /**
@@ -21,10 +21,10 @@
 public class FreezeScaleTest {
   private static final long MIN = 60_000;
   private static final long NOTICE = 10 * MIN;
-  private static final Freezes.Host NOBODY =
-      new Freezes.Host() {
+  private static final MaintenanceWindows.Host NOBODY =
+      new MaintenanceWindows.Host() {
         @Override
-        public void changed(Freeze freeze, Freeze.Step step) {
+        public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
           // not counted
         }
 
@@ -35,8 +35,8 @@
       };
 
   private final int racks;
-  private final Freezes freezes;
-  private final Promises promises;
+  private final MaintenanceWindows freezes;
+  private final PlacementGrants promises;
 
   public FreezeScaleTest() {
     this(1, 0);
@@ -53,14 +53,14 @@
       all.add(new Rack("r" + i, 1 + i % 3, i / 3, Map.of(1, 40.0), NOTICE));
     }
     freezes =
-        new Freezes(new Freezes.Rules(MIN, MIN, 0.95), new Headroom(all, Map.of(), 0), NOBODY);
-    promises = new Promises(freezes, -NOTICE);
+        new MaintenanceWindows(new MaintenanceWindows.Rules(MIN, MIN, 0.95), new CapacityCheck(all, Map.of(), 0), NOBODY);
+    promises = new PlacementGrants(freezes, -NOTICE);
     for (int i = 0; i < windows; i++) {
       announce("r" + i % racks, (60 + i) * MIN, 0);
     }
   }
 
-  private Freeze announce(String rack, long from, long now) {
+  private MaintenanceWindow announce(String rack, long from, long now) {
     Object made =
         freezes.announce(Set.of(rack), from, MIN, 0, "", "UTC", false, "ann", "new switch", now);
     return freezes.of((Long) ((List<?>) made).get(0));
@@ -83,9 +83,9 @@
       one.asks(i, one.freezes.sequence(), 1000 + i * 1000L / relays);
     }
     if (draining) {
-      Freeze freeze = one.announce("r0", 2100, 2100);
+      MaintenanceWindow freeze = one.announce("r0", 2100, 2100);
       one.freezes.tick(2100);
-      assertEquals(freeze.state(), Freeze.State.DRAINING);
+      assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
     }
     long before = one.looked();
     for (int i = 0; i < relays; i++) {
@@ -93,7 +93,7 @@
     }
     if (draining) {
       assertTrue(
-          one.freezes.all().stream().anyMatch(freeze -> freeze.state() == Freeze.State.IN_FORCE),
+          one.freezes.all().stream().anyMatch(freeze -> freeze.state() == MaintenanceWindow.State.IN_FORCE),
           "it never came into force");
     }
     return (one.looked() - before) / (double) relays;
--- a/src/test/java/sprucerock/scale/LinksCount.java
+++ b/src/test/java/sprucerock/scale/LinksCount.java
@@ -11,11 +11,11 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.FrameLink;
-import sprucerock.transport.wire.FrameUser;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Redial;
+import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
@@ -51,15 +51,15 @@
     Limits limits = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(600_000));
     Hello mine =
         Hello.newBuilder()
-            .setVersion(FrameLink.VERSION)
+            .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
             .setNumber(1)
             .setName("r1")
             .build();
-    FrameUser user =
-        new FrameUser() {
+    FrameListener user =
+        new FrameListener() {
           @Override
-          public void greeted(FrameLink link, Hello other) {
+          public void greeted(FrameConnection link, Hello other) {
             greeted.countDown();
           }
 
@@ -80,7 +80,7 @@
                         links,
                         4 << 20,
                         () -> {
-                          FrameLink link = new FrameLink(loop, mine, limits, Tap.NONE, user);
+                          FrameConnection link = new FrameConnection(loop, mine, limits, Tap.NONE, user);
                           held.add(link);
                           return link;
                         })
@@ -98,7 +98,7 @@
       loop.post(
           () -> {
             for (int j = from; j < Math.min(from + 50, links); j++) {
-              Redial redial = new Redial(loop, at[0], mine, limits, Tap.NONE, chance, user);
+              ReconnectingConnection redial = new ReconnectingConnection(loop, at[0], mine, limits, Tap.NONE, chance, user);
               held.add(redial);
               redial.dial();
             }
--- a/src/test/java/sprucerock/scale/Listed.java
+++ b/src/test/java/sprucerock/scale/Listed.java
@@ -8,12 +8,12 @@
 import sprucerock.config.ConfigException;
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.GranterDoor;
+import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
-import sprucerock.transport.net.ScriptedNet;
-import sprucerock.relay.frames.Relay;
+import sprucerock.transport.net.SimulatedNet;
+import sprucerock.relay.frames.FrameRelay;
 import sprucerock.time.Timestamp;
-import sprucerock.transport.wire.FrameLink;
+import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -36,7 +36,7 @@
   static final int RACK = 40;
 
   /** Counts how often the clock is read. */
-  static final class CountingNet extends ScriptedNet {
+  static final class CountingNet extends SimulatedNet {
     long clockReads;
 
     CountingNet() {
@@ -59,7 +59,7 @@
 
     @Override
     public void frame(
-        FrameLink link,
+        FrameConnection link,
         boolean sent,
         Kind kind,
         com.google.protobuf.MessageLite head,
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void closed(FrameLink link, String why) {}
+    public void closed(FrameConnection link, String why) {}
   }
 
   private static final String CONFIG =
@@ -110,7 +110,7 @@
 
   final CountingNet net = new CountingNet();
   final Frames frames = new Frames();
-  final Relay relay;
+  final FrameRelay relay;
   private final List<Person> rosters;
   private final List<Person> desks;
 
@@ -151,7 +151,7 @@
     RelayConfig config = config(limits, racks, leases, 2, "");
     for (int i = 0; !leases.isEmpty() && i < 3; i++) {
       LeaseConfig of = config.leases;
-      new GranterDoor(
+      new GrantorListener(
               net,
               new LeaseConfig(
                   100 + i,
@@ -169,7 +169,7 @@
               SILENT)
           .start();
     }
-    relay = new Relay(config, net, frames);
+    relay = new FrameRelay(config, net, frames);
     relay.start(Policy::new);
     net.pass(100);
   }
--- a/src/test/java/sprucerock/scale/PeersScaleTest.java
+++ b/src/test/java/sprucerock/scale/PeersScaleTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.ScriptedNet;
-import sprucerock.relay.frames.Relay;
+import sprucerock.transport.net.SimulatedNet;
+import sprucerock.relay.frames.FrameRelay;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Role;
@@ -113,8 +113,8 @@
   /** A message to one other relay takes one connection, however many there are. */
   @Test
   public void aMessageToOneRelayTakesOneConnection() throws Exception {
-    ScriptedNet net = new ScriptedNet(1000, 5);
-    Relay relay = started(net, 20);
+    SimulatedNet net = new SimulatedNet(1000, 5);
+    FrameRelay relay = started(net, 20);
     int before = net.connects();
     net.turn(() -> relay.tellPeer(7, new byte[4]));
     net.pass(100);
@@ -122,8 +122,8 @@
   }
 
   private static int connections(int relays) throws Exception {
-    ScriptedNet net = new ScriptedNet(1000, 5);
-    Relay relay = started(net, relays);
+    SimulatedNet net = new SimulatedNet(1000, 5);
+    FrameRelay relay = started(net, relays);
     int before = net.connects();
     for (int i = 0; i < 3; i++) {
       net.turn(() -> relay.tellPeers(new byte[8]));
@@ -132,7 +132,7 @@
     return net.connects() - before;
   }
 
-  private static Relay started(ScriptedNet net, int relays) throws Exception {
+  private static FrameRelay started(SimulatedNet net, int relays) throws Exception {
     Person.listen(net, Role.ROSTER, 0, 1001);
     Person.listen(net, Role.DESK, 0, 1002);
     StringBuilder peers = new StringBuilder();
@@ -146,7 +146,7 @@
           .append(i)
           .append("\"/>");
     }
-    Relay relay = new Relay(Listed.config("", false, "", relays, peers.toString()), net, Tap.NONE);
+    FrameRelay relay = new FrameRelay(Listed.config("", false, "", relays, peers.toString()), net, Tap.NONE);
     relay.start(sprucerock.Policy::new);
     net.pass(100);
     return relay;
--- a/src/test/java/sprucerock/simulation/BothHostsTest.java
+++ b/src/test/java/sprucerock/simulation/BothHostsTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 import sprucerock.Policy;
 import sprucerock.config.RelayConfig;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.relay.frames.Told;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.Kind;
@@ -192,8 +192,8 @@
 
     private final Told told = new Told();
     private final Replies replies = new Replies();
-    private final Relay relay =
-        new Relay(
+    private final SimulatedRelay relay =
+        new SimulatedRelay(
             3,
             replies,
             (host, settings, seed) -> {
@@ -420,7 +420,7 @@
   /** The same stretch over the relay's links. */
   private static final class Linked implements Side {
     private final Told told = new Told();
-    private final ScriptedNet net = new ScriptedNet(START, STEP);
+    private final SimulatedNet net = new SimulatedNet(START, STEP);
     private final List<Person> rosters = Person.listen(net, Role.ROSTER, 0, 1001);
     private final List<Person> desks = Person.listen(net, Role.DESK, 0, 1002);
     private final Map<Long, List<Person>> units = new TreeMap<>();
@@ -451,8 +451,8 @@
                   </site>
                 </relay>
                 """);
-      sprucerock.relay.frames.Relay relay =
-          new sprucerock.relay.frames.Relay(RelayConfig.read(file), net, Tap.NONE);
+      sprucerock.relay.frames.FrameRelay relay =
+          new sprucerock.relay.frames.FrameRelay(RelayConfig.read(file), net, Tap.NONE);
       Files.delete(file);
       relay.start(
           (host, settings, seed) -> {
--- a/src/test/java/sprucerock/transport/http/HttpLinkTest.java
+++ b/src/test/java/sprucerock/transport/http/HttpLinkTest.java
@@ -8,23 +8,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 
 /** Calls over HTTP/1.1 against a server that answers as it is told. */
 public class HttpLinkTest {
   private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 7000);
 
-  private final ScriptedNet net = new ScriptedNet(0, 1);
+  private final SimulatedNet net = new SimulatedNet(0, 1);
   private final List<String> told = new ArrayList<>();
-  private Link server;
+  private Connection server;
 
   /** Stands in for the server: keeps its end, and reads nothing. */
-  private final class Server implements LinkUser {
+  private final class Server implements ConnectionListener {
     @Override
-    public void up(Link link) {
+    public void up(Connection link) {
       server = link;
     }
 
@@ -35,7 +35,7 @@
     public void closed(String why) {}
   }
 
-  private final class Told implements HttpLink.Call {
+  private final class Told implements HttpConnection.Call {
     private final String name;
     private final boolean streams;
 
@@ -67,10 +67,10 @@
     }
   }
 
-  private HttpLink link() throws java.io.IOException {
+  private HttpConnection link() throws java.io.IOException {
     told.clear();
     net.listen(AT, 10, 1 << 20, Server::new);
-    HttpLink link = new HttpLink(net, AT, TimeSpan.ofMs(100));
+    HttpConnection link = new HttpConnection(net, AT, TimeSpan.ofMs(100));
     net.settle();
     return link;
   }
@@ -82,7 +82,7 @@
 
   @Test
   public void callsOneBehindAnotherAreAnsweredInTheirOrder() throws Exception {
-    HttpLink link = link();
+    HttpConnection link = link();
     net.turn(() -> link.post("/a", "x=1", new Told("first", false)));
     net.turn(() -> link.get("/b", new Told("second", false)));
     net.settle();
@@ -93,7 +93,7 @@
 
   @Test
   public void aStreamIsToldPieceByPiece() throws Exception {
-    HttpLink link = link();
+    HttpConnection link = link();
     net.turn(() -> link.get("/a", new Told("stream", true)));
     net.settle();
     says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
@@ -103,7 +103,7 @@
 
   @Test
   public void noiseEndsTheLinkAndItsCallsMayHaveBeenCarriedOut() throws Exception {
-    HttpLink link = link();
+    HttpConnection link = link();
     net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
     net.settle();
     says("\u0007\u0001\u0002 noise\r\n");
@@ -114,7 +114,7 @@
   @Test
   public void aRefusedConnectionProvesThatNothingWasCarriedOut() {
     told.clear();
-    HttpLink link = new HttpLink(net, new InetSocketAddress("127.0.0.1", 7999), TimeSpan.ofMs(100));
+    HttpConnection link = new HttpConnection(net, new InetSocketAddress("127.0.0.1", 7999), TimeSpan.ofMs(100));
     net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
     net.settle();
     assertEquals(told, List.of("vote failed, carried out false"));
@@ -130,7 +130,7 @@
           "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
           "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + "x".repeat(70_000)
         }) {
-      HttpLink link = link();
+      HttpConnection link = link();
       net.turn(() -> link.get("/a", new Told("call", false)));
       net.settle();
       says(bad);
@@ -141,7 +141,7 @@
   @Test
   public void eventsHaveNamesAndDataAndSignsOfLifeAreNone() throws HttpException {
     List<String> seen = new ArrayList<>();
-    Events events = new Events();
+    EventStream events = new EventStream();
     byte[] all =
         ":\n\nevent: news\ndata: a=1\n\n:\nevent: counts\r\ndata: b=2\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
--- a/src/test/java/sprucerock/transport/net/TimersTest.java
+++ b/src/test/java/sprucerock/transport/net/TimersTest.java
@@ -13,7 +13,7 @@
    */
   @Test
   public void standingStillIsNotTheOthersSilence() {
-    ScriptedNet net = new ScriptedNet(0, 1);
+    SimulatedNet net = new SimulatedNet(0, 1);
     int[] ran = {0};
     net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
     net.standStill(150);
@@ -27,7 +27,7 @@
 
   @Test
   public void aLoopThatRunsWaitsOnce() {
-    ScriptedNet net = new ScriptedNet(0, 1);
+    SimulatedNet net = new SimulatedNet(0, 1);
     int[] ran = {0};
     net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
     net.pass(101);
--- a/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.time.TimeSpan;
 
@@ -49,11 +49,11 @@
   }
 
   /** Sends back what comes, or says what it is. */
-  private class Echo implements LinkUser {
-    Link link;
+  private class Echo implements ConnectionListener {
+    Connection link;
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -71,7 +71,7 @@
   }
 
   private InetSocketAddress listen(
-      int most, long unsent, java.util.function.Supplier<LinkUser> users) throws Exception {
+      int most, long unsent, java.util.function.Supplier<ConnectionListener> users) throws Exception {
     loop.post(
         () -> {
           try {
@@ -104,12 +104,12 @@
                 at,
                 LONG,
                 8 << 20,
-                new LinkUser() {
-                  private Link link;
+                new ConnectionListener() {
+                  private Connection link;
                   private int have;
 
                   @Override
-                  public void up(Link made) {
+                  public void up(Connection made) {
                     link = made;
                     for (int i = 0; i < sent.length / 2; i += 512) {
                       link.claim(512).put(sent, i, 512);
--- a/src/test/java/sprucerock/transport/net/nio/WheelTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/WheelTest.java
@@ -18,7 +18,7 @@
    */
   @Test
   public void whatWasCancelledWakesNobody() {
-    Wheel wheel = new Wheel();
+    TimerWheel wheel = new TimerWheel();
     sprucerock.transport.net.Timers.Timer gone = wheel.add(10, () -> {});
     sprucerock.transport.net.Timers.Timer kept = wheel.add(20, () -> {});
     wheel.add(20, () -> {}).cancel();
@@ -37,7 +37,7 @@
   public void runsWhatAHeapWouldRunInItsOrderNeverEarlyAndAtMostASlotLate() {
     for (int seed = 0; seed < 30; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      Wheel wheel = new Wheel();
+      TimerWheel wheel = new TimerWheel();
       PriorityQueue<Due> heap =
           new PriorityQueue<>(
               (a, b) -> a.when != b.when ? Double.compare(a.when, b.when) : a.id - b.id);
--- a/src/test/java/sprucerock/transport/tls/MaterialTest.java
+++ b/src/test/java/sprucerock/transport/tls/MaterialTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
 
 /** Files that can be used, files that can't, and their change while in use. */
@@ -129,7 +129,7 @@
 
   @Test
   public void aChangeCountsOnceItIsWholeAndABrokenOneLeavesTheOldInPlace() throws Exception {
-    ScriptedNet net = new ScriptedNet(0, 10);
+    SimulatedNet net = new SimulatedNet(0, 10);
     Tls tls =
         new Tls(
             net,
--- a/src/test/java/sprucerock/transport/tls/Pipe.java
+++ b/src/test/java/sprucerock/transport/tls/Pipe.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntUnaryOperator;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers;
 import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
@@ -19,10 +19,10 @@
  */
 final class Pipe implements Timers {
   /** One side. */
-  final class End implements Link {
+  final class End implements Connection {
     final ArrayDeque<byte[]> out = new ArrayDeque<>();
     private final List<ByteBuffer> claimed = new ArrayList<>();
-    LinkUser user;
+    ConnectionListener user;
     End other;
     String cut;
     boolean finishing;
@@ -84,13 +84,13 @@
   }
 
   /** A user that keeps what it is told. */
-  static final class Ear implements LinkUser {
+  static final class Ear implements ConnectionListener {
     final ByteArrayOutputStream heard = new ByteArrayOutputStream();
-    Link link;
+    Connection link;
     String closed;
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -171,8 +171,8 @@
     far.other = near;
   }
 
-  TlsLink.Place place() {
-    return new TlsLink.Place(
+  TlsConnection.Place place() {
+    return new TlsConnection.Place(
         this,
         new Buffers(),
         (work, done) -> {
@@ -190,7 +190,7 @@
         counts);
   }
 
-  void up(LinkUser client, LinkUser server) {
+  void up(ConnectionListener client, ConnectionListener server) {
     near.user = client;
     far.user = server;
     client.up(near);
--- a/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
+++ b/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.Link;
-import sprucerock.transport.net.LinkUser;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
 import sprucerock.time.TimeSpan;
 
 /** The filter against peers of every kind, over a wire in memory. */
@@ -51,7 +51,7 @@
     return credentials(CA.make(wish).material(CA.certificate()));
   }
 
-  private static void say(Link link, String text) {
+  private static void say(Connection link, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     link.claim(bytes.length).put(bytes);
   }
@@ -61,18 +61,18 @@
     final Pipe pipe = new Pipe();
     final Pipe.Ear client = new Pipe.Ear();
     final Pipe.Ear server = new Pipe.Ear();
-    final TlsLink near;
-    final TlsLink far;
+    final TlsConnection near;
+    final TlsConnection far;
 
     Pair(Credentials relay, Credentials unit, String name, boolean proven) {
       this(relay, unit, name, 7000, proven);
     }
 
     Pair(Credentials relay, Credentials unit, String name, int port, boolean proven) {
-      near = TlsLink.client(pipe.place(), relay, name, port, client);
+      near = TlsConnection.client(pipe.place(), relay, name, port, client);
       far =
-          TlsLink.server(
-              new TlsLink.Place(
+          TlsConnection.server(
+              new TlsConnection.Place(
                   pipe, new Buffers(), pipe.place().aside(), pipe.within, Counter.NONE),
               unit,
               proven,
@@ -292,7 +292,7 @@
   public void aHandshakeThatNeverEndsIsEndedInItsTime() {
     Pipe pipe = new Pipe();
     Pipe.Ear ear = new Pipe.Ear();
-    TlsLink link = TlsLink.client(pipe.place(), relay(), NAME, 1, ear);
+    TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
     Pipe.Ear silent = new Pipe.Ear();
     pipe.up(link, silent);
     pipe.settle();
@@ -308,7 +308,7 @@
     for (String first : new String[] {"HTTP/1.1 400 Bad Request\r\n\r\n", ""}) {
       Pipe pipe = new Pipe();
       Pipe.Ear ear = new Pipe.Ear();
-      TlsLink link = TlsLink.client(pipe.place(), relay(), NAME, 1, ear);
+      TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
       pipe.up(link, new Pipe.Ear());
       if (first.isEmpty()) {
         pipe.near.cut("closed by the other side");
@@ -340,7 +340,7 @@
     engine.setUseClientMode(false);
     Pipe pipe = new Pipe();
     Pipe.Ear ear = new Pipe.Ear();
-    TlsLink link = TlsLink.client(pipe.place(), relay(), NAME, 1, ear);
+    TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
     pipe.up(link, new Engine(engine));
     pipe.settle();
     assertEquals(link.refused(), Refusal.NO_PROTOCOL, ear.closed);
@@ -348,9 +348,9 @@
   }
 
   /** The library's engine without our filter. */
-  private static final class Engine implements LinkUser {
+  private static final class Engine implements ConnectionListener {
     private final javax.net.ssl.SSLEngine engine;
-    private Link link;
+    private Connection link;
     private ByteBuffer in = ByteBuffer.allocate(40_000);
 
     Engine(javax.net.ssl.SSLEngine engine) {
@@ -358,7 +358,7 @@
     }
 
     @Override
-    public void up(Link made) {
+    public void up(Connection made) {
       link = made;
     }
 
@@ -465,7 +465,7 @@
                 List.of("TLSv1.2"),
                 Instant::now));
     pair.up();
-    java.lang.reflect.Field engine = TlsLink.class.getDeclaredField("engine");
+    java.lang.reflect.Field engine = TlsConnection.class.getDeclaredField("engine");
     engine.setAccessible(true);
     ((javax.net.ssl.SSLEngine) engine.get(pair.far)).beginHandshake(); // a HelloRequest
     say(pair.server.link, "again?");
@@ -522,7 +522,7 @@
     Pipe pipe = new Pipe();
     pipe.within = TimeSpan.ofMs(50);
     Pipe.Ear ear = new Pipe.Ear();
-    TlsLink link = TlsLink.client(pipe.place(), relay(), NAME, 1, ear);
+    TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
     pipe.up(link, new Pipe.Ear());
     pipe.pass(60);
     pipe.pass(60);
--- a/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.ScriptedNet;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
@@ -145,14 +145,14 @@
   @Test
   public void versionsWithinReachUnderstandEachOther() {
     assertEquals(
-        FrameLink.tooFar(Hello.newBuilder().setVersion(1).build()),
+        FrameConnection.tooFar(Hello.newBuilder().setVersion(1).build()),
         null); // as the last program greeted
-    assertEquals(FrameLink.tooFar(Hello.newBuilder().setVersion(3).setOldest(1).build()), null);
+    assertEquals(FrameConnection.tooFar(Hello.newBuilder().setVersion(3).setOldest(1).build()), null);
     assertEquals(
-        FrameLink.tooFar(Hello.newBuilder().setVersion(3).setOldest(2).build()),
+        FrameConnection.tooFar(Hello.newBuilder().setVersion(3).setOldest(2).build()),
         "speaks versions 2 to 3, here 1 to 1 are spoken");
     assertEquals(
-        FrameLink.tooFar(Hello.newBuilder().setVersion(9).build()),
+        FrameConnection.tooFar(Hello.newBuilder().setVersion(9).build()),
         "speaks versions 9 to 9, here 1 to 1 are spoken");
   }
 
@@ -179,10 +179,10 @@
 
   @Test
   public void aLinkIsCutForAnotherVersionAndForSilence() throws java.io.IOException {
-    ScriptedNet net = new ScriptedNet(0, 1);
+    SimulatedNet net = new SimulatedNet(0, 1);
     List<Person> there = Person.listen(net, Role.UNIT, 1, 7000);
-    FrameLink old =
-        new FrameLink(
+    FrameConnection old =
+        new FrameConnection(
             net,
             Hello.newBuilder().setVersion(9).build(),
             Person.LIMITS,
--- a/src/test/java/sprucerock/transport/wire/Person.java
+++ b/src/test/java/sprucerock/transport/wire/Person.java
@@ -10,21 +10,21 @@
 import sprucerock.transport.wire.v1.Role;
 
 /** Somebody at a link's other end who writes down what comes. */
-public final class Person implements FrameUser {
+public final class Person implements FrameListener {
   public static final Limits LIMITS = new Limits(1 << 16, 1 << 20, TimeSpan.ofMs(1000));
 
   public record Got(Kind kind, MessageLite head, byte[] body) {}
 
   public final List<Got> got = new ArrayList<>();
-  public final FrameLink link;
+  public final FrameConnection link;
   public String gone;
 
   public Person(Net net, Role role, int number) {
     link =
-        new FrameLink(
+        new FrameConnection(
             net,
             Hello.newBuilder()
-                .setVersion(FrameLink.VERSION)
+                .setVersion(FrameConnection.VERSION)
                 .setRole(role)
                 .setNumber(number)
                 .build(),
@@ -66,7 +66,7 @@
   }
 
   @Override
-  public void greeted(FrameLink made, Hello other) {}
+  public void greeted(FrameConnection made, Hello other) {}
 
   @Override
   public void frame(Kind kind, MessageLite head, byte[] body) {
