--- a/src/main/java/sprucerock/Policy.java
+++ b/src/main/java/sprucerock/Policy.java
@@ -4,38 +4,38 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.policy.evidence.Ballot;
-import sprucerock.policy.evidence.Board;
-import sprucerock.policy.evidence.Tenants;
-import sprucerock.policy.evidence.Evidence;
-import sprucerock.policy.evidence.Met;
-import sprucerock.policy.evidence.CanaryTrial;
-import sprucerock.policy.RelayActions;
-import sprucerock.policy.RelayEvents;
+import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
-import sprucerock.model.AttemptOutcome;
-import sprucerock.model.ShadowPair;
-import sprucerock.model.Attempt;
-import sprucerock.model.VoteReply;
+import sprucerock.model.RolloutState;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.RolloutState;
-import sprucerock.model.Endpoint;
+import sprucerock.model.ShadowPair;
 import sprucerock.model.Verdict;
-import sprucerock.stats.DeterministicRandom;
+import sprucerock.model.VoteReply;
+import sprucerock.policy.RelayActions;
+import sprucerock.policy.RelayEvents;
+import sprucerock.policy.evidence.Ballot;
+import sprucerock.policy.evidence.Board;
+import sprucerock.policy.evidence.CanaryTrial;
+import sprucerock.policy.evidence.Evidence;
+import sprucerock.policy.evidence.Met;
+import sprucerock.policy.evidence.Tenants;
 import sprucerock.stats.DecayingMean;
 import sprucerock.stats.DecayingSum;
+import sprucerock.stats.DeterministicRandom;
 import sprucerock.stats.KeyedSums;
 import sprucerock.stats.Pace;
 import sprucerock.stats.Shares;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * All decisions of one relay. The host (bench adapter, later the relay) makes one Policy at start
- * and calls one method for each thing that happens; Policy acts at once through {@link RelayActions}, in
- * sprucerock.host.
+ * and calls one method for each thing that happens; Policy acts at once through {@link
+ * RelayActions}, in sprucerock.host.
  *
  * <p>The ordinary path is the design, "Shadow traffic": an idempotent RPC goes to the earlier build
  * with a copy to the build on trial; pairs are judged by failure match and one-sided KS, stage by
@@ -70,8 +70,9 @@
   private final DecayingSum endedAnywhere = new DecayingSum(TimeSpan.ofMs(2000));
 
   private final DecayingSum arrivals = new DecayingSum(TimeSpan.ofMs(5000));
-  private final Tenants customers;
-  private final KeyedSums keyArrivals = new KeyedSums(TimeSpan.ofMs(20000), 4096); // of popular keys
+  private final Tenants tenants;
+  private final KeyedSums keyArrivals =
+      new KeyedSums(TimeSpan.ofMs(20000), 4096); // of popular keys
   private final DecayingSum homeSends = new DecayingSum(TimeSpan.ofMs(3000));
   private final DecayingSum repeats = new DecayingSum(TimeSpan.ofMs(5000));
   private final DecayingSum answered = new DecayingSum(TimeSpan.ofMs(2000));
@@ -87,7 +88,7 @@
     this.settings = settings;
     chance = new DeterministicRandom(seed);
     started = host.now();
-    customers = new Tenants(settings.customerShares, TimeSpan.ofMs(5000));
+    tenants = new Tenants(settings.tenantShares, TimeSpan.ofMs(5000));
     sharedTokens = settings.free;
     alone = !settings.peers && !settings.countsEvery.over(TimeSpan.ZERO);
     strays = Math.sqrt(2 * Math.log(20 * settings.relays));
@@ -104,22 +105,24 @@
     look();
   }
 
-  public void unitReady(Endpoint unit) {
-    if (unit.pace == null) {
-      unit.pace = new DecayingMean(TimeSpan.ofMs(4000));
+  public void endpointReady(Endpoint endpoint) {
+    if (endpoint.pace == null) {
+      endpoint.pace = new DecayingMean(TimeSpan.ofMs(4000));
     }
-    unit.zonePace = zonePaces.computeIfAbsent(unit.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
-    board.ready(unit);
-    builds.put(unit.build.number, unit.build);
-    unit.coldTokens =
+    endpoint.zonePace =
+        zonePaces.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
+    board.ready(endpoint);
+    builds.put(endpoint.build.number, endpoint.build);
+    endpoint.coldTokens =
         chance.next(); // relays learn of a unit together: first tokens come one by one
-    unit.coldAsOf = host.now();
+    endpoint.coldAsOf = host.now();
   }
 
-  public void unitLeaving(Endpoint unit) { // rule 3: gets nothing new at once; no grace is used
-    board.left(unit);
-    if (unit.build.units.isEmpty()) {
-      builds.remove(unit.build.number);
+  public void endpointDraining(
+      Endpoint endpoint) { // rule 3: gets nothing new at once; no grace is used
+    board.left(endpoint);
+    if (endpoint.build.endpoints.isEmpty()) {
+      builds.remove(endpoint.build.number);
     }
   }
 
@@ -172,7 +175,8 @@
     if (offer == null) {
       return !builds.isEmpty() && build.number > builds.firstKey();
     }
-    return build.number > offer.build.number || isOffered(build) && standing != RolloutState.RELEASED;
+    return build.number > offer.build.number
+        || isOffered(build) && standing != RolloutState.RELEASED;
   }
 
   /** Rule 5: a build not yet named in the news counts as in the first stage. */
@@ -198,14 +202,15 @@
   }
 
   private Build trial() { // that pairs can judge now
-    boolean judged = offer != null && standing == RolloutState.ON_TRIAL && !offer.build.units.isEmpty();
+    boolean judged =
+        offer != null && standing == RolloutState.ON_TRIAL && !offer.build.endpoints.isEmpty();
     return judged ? offer.build : null;
   }
 
   public void rpcArrived(Rpc rpc) {
     Timestamp now = host.now();
     arrivals.add(now, 1);
-    customers.add(rpc.customer, now);
+    tenants.add(rpc.tenant, now);
     if (settings.oneWayKeys) {
       keyArrivals.add(rpc.key, now, 1);
     }
@@ -220,7 +225,7 @@
   }
 
   private void route(Rpc rpc) {
-    host.wake(rpc, host.now().plus(rpc.method.softDeadline), () -> settle(rpc));
+    host.wake(rpc, host.now().plus(rpc.method.latencyObjective), () -> settle(rpc));
     // Rule 1: two rounds before the client's own deadline, since a timer may come a round late.
     host.wake(
         rpc,
@@ -249,20 +254,21 @@
     if (trial == null || home.build == trial) {
       return;
     }
-    Endpoint unit = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
-    earlier.pair = unit != null ? new ShadowPair() : offer.evidence.waiting.get(rpc.method.index).poll();
+    Endpoint endpoint = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
+    earlier.pair =
+        endpoint != null ? new ShadowPair() : offer.evidence.waiting.get(rpc.method.index).poll();
     if (earlier.pair == null) {
       return;
     }
     earlier.pair.earlier = earlier;
-    if (unit != null) {
-      sendCopy(rpc, unit, earlier.pair);
+    if (endpoint != null) {
+      sendCopy(rpc, endpoint, earlier.pair);
     }
     judge(earlier.pair);
   }
 
-  private void sendCopy(Rpc rpc, Endpoint unit, ShadowPair pair) {
-    pair.fresh = send(rpc, unit, true);
+  private void sendCopy(Rpc rpc, Endpoint endpoint, ShadowPair pair) {
+    pair.fresh = send(rpc, endpoint, true);
     pair.fresh.pair = pair;
     copiesOut++;
   }
@@ -281,7 +287,7 @@
         && settings.secondCopies
         && !breakerOpen()
         && budgetHasRoom()
-        && rpc.picks.size() < settings.maxPicks
+        && rpc.attempts.size() < settings.maxAttempts
         && mayTry(trial, rpc.method, tokens);
   }
 
@@ -302,9 +308,9 @@
    * (5) An ok copy binds its key to the new build: half the cap must carry what such keys bring.
    */
   private Endpoint chooseFitting(Rpc rpc, Build trial) {
-    Endpoint unit = chooseIn(rpc, trial);
-    if (unit == null || !settings.oneWayKeys || rpc.key == 0) {
-      return unit;
+    Endpoint endpoint = chooseIn(rpc, trial);
+    if (endpoint == null || !settings.oneWayKeys || rpc.key == 0) {
+      return endpoint;
     }
     Timestamp now = host.now();
     double share = keyArrivals.perSecond(rpc.key, now) / Math.max(arrivals.perSecond(now), 1e-9);
@@ -312,16 +318,16 @@
       return null;
     }
     offer.pinnedShare += share;
-    return unit;
+    return endpoint;
   }
 
-  private Attempt send(Rpc rpc, Endpoint unit, boolean copy) {
+  private Attempt send(Rpc rpc, Endpoint endpoint, boolean copy) {
     Timestamp now = host.now();
-    int tried = onTrial(unit.build) ? 1 : 0;
+    int tried = onTrial(endpoint.build) ? 1 : 0;
     sharedTokens -= tried;
     rpc.method.trialTokens -= tried;
     homeSends.add(now, 1 - tried);
-    unit.coldTokens--;
+    endpoint.coldTokens--;
     TimeSpan overdue = overdueAfter(rpc);
     // Where one pick must end before the next, it is cut only when lost: its work so far is thrown
     // away.
@@ -329,18 +335,18 @@
     boolean cut =
         !settings.secondCopies
             && !rpc.method.streamOrOnce()
-            && rpc.picks.size() + 1 < settings.maxPicks
+            && rpc.attempts.size() + 1 < settings.maxAttempts
             && rpc.deadline.since(now).over(lost.times(1.5));
-    Attempt pick = new Attempt(rpc, unit, now, cut ? lost : null);
-    pick.copy = copy;
+    Attempt attempt = new Attempt(rpc, endpoint, now, cut ? lost : null);
+    attempt.copy = copy;
     // rule 2: a repeat that waits for a connection must not come up after its window
     Attempt first = rpc.firstThatMayHaveRun();
     boolean binds = first != null && rpc.method.effect == Method.Effect.TOKENED;
-    pick.startBy = binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
-    host.send(pick);
-    report(unit, null);
-    host.wake(pick, now.plus(overdue), () -> overdue(pick));
-    return pick;
+    attempt.startBy = binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
+    host.send(attempt);
+    report(endpoint, null);
+    host.wake(attempt, now.plus(overdue), () -> overdue(attempt));
+    return attempt;
   }
 
   /**
@@ -349,30 +355,31 @@
    */
   private TimeSpan overdueAfter(Rpc rpc) {
     TimeSpan usual = TimeSpan.ofMs(3 * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
-    return rpc.method.softDeadline.times(0.45).atLeast(usual);
+    return rpc.method.latencyObjective.times(0.45).atLeast(usual);
   }
 
   private double usualMs(Method method) {
     return method.took.at(
-        host.now(), method.softDeadline.ms() / 6, 1); // a guess until answers come
+        host.now(), method.latencyObjective.ms() / 6, 1); // a guess until answers come
   }
 
   /**
    * Silence, no answer from the unit since: it is marked and, where copies may run, picked past.
    */
-  private void overdue(Attempt pick) {
-    pick.overdue = true;
-    boolean silent = pick.unit.lastAnswer == null || pick.sent.after(pick.unit.lastAnswer);
+  private void overdue(Attempt attempt) {
+    attempt.overdue = true;
+    boolean silent =
+        attempt.endpoint.lastAnswer == null || attempt.sent.after(attempt.endpoint.lastAnswer);
     if (silent) {
-      note(pick.unit, false);
+      note(attempt.endpoint, false);
     }
-    pick.unit.pace.add(host.now(), 3);
-    pick.unit.zonePace.add(host.now(), 3);
-    if (pick.pair != null) {
-      judge(pick.pair);
+    attempt.endpoint.pace.add(host.now(), 3);
+    attempt.endpoint.zonePace.add(host.now(), 3);
+    if (attempt.pair != null) {
+      judge(attempt.pair);
     }
-    if (silent && settings.secondCopies && pick.rpc.out() == 1) {
-      tryAgain(pick.rpc);
+    if (silent && settings.secondCopies && attempt.rpc.out() == 1) {
+      tryAgain(attempt.rpc);
     }
   }
 
@@ -383,7 +390,7 @@
 
   private boolean mayRepeat(Rpc rpc) { // rule 2
     boolean barred =
-        !settings.secondCopies && rpc.out() > 0 || rpc.picks.size() >= settings.maxPicks;
+        !settings.secondCopies && rpc.out() > 0 || rpc.attempts.size() >= settings.maxAttempts;
     if (rpc.ended() || rpc.streaming() || barred) {
       return false;
     }
@@ -400,63 +407,65 @@
     if (late || !mayRepeat(rpc) || !budgetHasRoom()) {
       return false;
     }
-    Endpoint unit = chooseAny(rpc);
-    if (unit == null) {
+    Endpoint endpoint = chooseAny(rpc);
+    if (endpoint == null) {
       return false;
     }
     repeats.add(host.now(), 1);
-    send(rpc, unit, false);
+    send(rpc, endpoint, false);
     return true;
   }
 
-  public void streamStarted(Attempt pick) {
-    settle(pick.rpc);
+  public void streamStarted(Attempt attempt) {
+    settle(attempt.rpc);
   }
 
   /** A pick ended; {@code answers} says that it ended its RPC too. */
-  public void pickEnded(Attempt pick, boolean answers) {
+  public void attemptEnded(Attempt attempt, boolean answers) {
     Timestamp now = host.now();
-    Rpc rpc = pick.rpc;
-    boolean ok = pick.outcome() == AttemptOutcome.OK;
+    Rpc rpc = attempt.rpc;
+    boolean ok = attempt.outcome() == AttemptOutcome.OK;
     if (answers) {
       settle(rpc);
     }
     if (answers && ok) {
       answered.add(now, 1);
     }
-    if (pick.copy) {
+    if (attempt.copy) {
       copiesOut--;
     }
-    report(pick.unit, now.since(pick.sent));
-    boolean tells = pick.outcome() != AttemptOutcome.CANCELLED && pick.outcome() != AttemptOutcome.MOOT;
-    if (tells && (ok || !pick.overdue)) {
-      note(pick.unit, ok);
+    report(attempt.endpoint, now.since(attempt.sent));
+    boolean tells =
+        attempt.outcome() != AttemptOutcome.CANCELLED && attempt.outcome() != AttemptOutcome.MOOT;
+    if (tells && (ok || !attempt.overdue)) {
+      note(attempt.endpoint, ok);
     }
-    if (ok || pick.erred()) {
-      pick.unit.lastAnswer = now;
+    if (ok || attempt.erred()) {
+      attempt.endpoint.lastAnswer = now;
     }
-    noConnection.add(now, pick.outcome() == AttemptOutcome.NOT_CONNECTED ? 1 : 0);
+    noConnection.add(now, attempt.outcome() == AttemptOutcome.NOT_CONNECTED ? 1 : 0);
     if (ok) {
-      met.answered(pick.unit);
+      met.answered(attempt.endpoint);
     }
-    if (pick.outcome() == AttemptOutcome.NOT_CONNECTED || pick.outcome() == AttemptOutcome.BROKEN) {
-      met.lost(pick.unit);
+    if (attempt.outcome() == AttemptOutcome.NOT_CONNECTED
+        || attempt.outcome() == AttemptOutcome.BROKEN) {
+      met.lost(attempt.endpoint);
     }
-    if (ok || pick.outcome() == AttemptOutcome.TIMED_OUT) {
-      learnPace(pick);
+    if (ok || attempt.outcome() == AttemptOutcome.TIMED_OUT) {
+      learnPace(attempt);
     }
-    if (isOffered(pick.unit.build)) {
-      offer.erred |= pick.erred();
+    if (isOffered(attempt.endpoint.build)) {
+      offer.erred |= attempt.erred();
       if (standing == RolloutState.RELEASED) {
-        offer.evidence.ended(pick);
+        offer.evidence.ended(attempt);
       }
       boolean binds = standing == RolloutState.ON_TRIAL && settings.oneWayKeys && rpc.key != 0;
       if (ok && binds) {
         offer.pins.put(rpc.key, offer.build);
       }
     }
-    if (pick.pair != null) {
-      judge(pick.pair);
+    if (attempt.pair != null) {
+      judge(attempt.pair);
     }
     if (!rpc.ended() && !rpc.streaming() && rpc.out() == 0 && !tryAgain(rpc)) {
       giveUp(rpc);
@@ -475,7 +484,7 @@
     settle(rpc);
     if (rpc.firstThatMayHaveRun() == null || rpc.method.harmlessAnywhere()) {
       // half a soft deadline: about what a queue that long needs to drain
-      TimeSpan wait = rpc.method.softDeadline.times(0.5).atMost(settings.maxRetryAfter);
+      TimeSpan wait = rpc.method.latencyObjective.times(0.5).atMost(settings.maxRetryAfter);
       host.pushBack(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
     } else {
       host.abort(rpc);
@@ -487,9 +496,9 @@
     if (!settings.cancel) {
       return;
     }
-    for (Attempt pick : rpc.picks) {
-      if (pick.outcome() == null && pick.pair == null) {
-        host.cancel(pick);
+    for (Attempt attempt : rpc.attempts) {
+      if (attempt.outcome() == null && attempt.pair == null) {
+        host.cancel(attempt);
       }
     }
   }
@@ -520,7 +529,7 @@
     waitMs = Math.min(waitMs, 2 * (now.ms() - timelySinceMs / Math.max(timely, 1)));
     boolean byFleet = loadsFresh() && arrivals.perSecond(now) < 10;
     double worth = rpc.method.utility / settings.mostUtility;
-    double over = customers.timesShare(rpc.customer, now);
+    double over = tenants.timesShare(rpc.tenant, now);
     // of a customer at thrice its share, two RPCs in three are over it
     if (over > 1.2 && chance.next() > 1 / over) {
       worth *= settings.overShareWorth;
@@ -535,8 +544,8 @@
    * Of the newest build not on trial, else of an earlier one, else of one on trial or withdrawn.
    */
   private Endpoint chooseAny(Rpc rpc) {
-    Endpoint unit = choose(rpc, false);
-    return unit != null ? unit : choose(rpc, true);
+    Endpoint endpoint = choose(rpc, false);
+    return endpoint != null ? endpoint : choose(rpc, true);
   }
 
   private Endpoint choose(Rpc rpc, boolean trialToo) {
@@ -545,9 +554,9 @@
     // back
     Build pin =
         !keyed ? null : standing == RolloutState.RELEASED ? offer.build : offer.pins.get(rpc.key);
-    Endpoint unit = null;
+    Endpoint endpoint = null;
     for (Build build : builds.descendingMap().values()) {
-      if (unit != null || pin != null && build.number < pin.number) {
+      if (endpoint != null || pin != null && build.number < pin.number) {
         break;
       }
       boolean mayUse = trialToo || pin != null && build.number == pin.number;
@@ -556,47 +565,51 @@
               ? mayUse && mayTry(build, rpc.method, 1)
               : trialToo || !withdrawn.contains(build.number);
       if (mayServe) {
-        unit = chooseIn(rpc, build);
+        endpoint = chooseIn(rpc, build);
       }
     }
-    return unit;
+    return endpoint;
   }
 
   private Endpoint chooseIn(Rpc rpc, Build build) {
     Timestamp now = host.now();
     Attempt first = rpc.firstThatMayHaveRun();
-    boolean mayLook = rpc.method.idempotent() && rpc.picks.isEmpty();
+    boolean mayLook = rpc.method.idempotent() && rpc.attempts.isEmpty();
     Endpoint one = null;
     Endpoint rest = null;
     // no scan of a large fleet: 24 draws miss the usable third of a build once in 17,000 times
     // Where connections fail, units that answered lately come first: their connections are open.
-    List<Endpoint> open = noConnection.at(now, 0, 2) > 0.15 ? met.of(build, chance.next()) : List.of();
-    for (int i = 0; i < open.size() + Math.min(build.units.size(), 24); i++) {
-      Endpoint unit = i < open.size() ? open.get(i) : build.draw(i - open.size(), chance.next());
-      if (!mayTake(rpc, first, unit, now)) {
+    List<Endpoint> open =
+        noConnection.at(now, 0, 2) > 0.15 ? met.of(build, chance.next()) : List.of();
+    for (int i = 0; i < open.size() + Math.min(build.endpoints.size(), 24); i++) {
+      Endpoint endpoint =
+          i < open.size() ? open.get(i) : build.draw(i - open.size(), chance.next());
+      if (!mayTake(rpc, first, endpoint, now)) {
         continue;
       }
-      if (sick(unit) && mayLook && now.after(unit.retryAt) && budgetHasRoom()) {
-        unit.retryAt = now.plus(TimeSpan.ofMs(1000)); // a look a second shows recovery at little cost
+      if (sick(endpoint) && mayLook && now.after(endpoint.retryAt) && budgetHasRoom()) {
+        endpoint.retryAt =
+            now.plus(TimeSpan.ofMs(1000)); // a look a second shows recovery at little cost
         repeats.add(now, 1);
-        return unit;
+        return endpoint;
       }
-      if (sick(unit) || farOff(unit)) {
-        rest = unit;
+      if (sick(endpoint) || farOff(endpoint)) {
+        rest = endpoint;
       } else if (one == null) {
-        one = unit;
+        one = endpoint;
       } else {
-        return sparingly(rpc, first, cost(one) <= cost(unit) ? one : unit, now); // two choices
+        return sparingly(
+            rpc, first, cost(one) <= cost(endpoint) ? one : endpoint, now); // two choices
       }
     }
     return one != null ? one : rest;
   }
 
-  private boolean mayTake(Rpc rpc, Attempt first, Endpoint unit, Timestamp now) {
-    if (first != null && !rpc.method.dropsRepeats(first.unit, unit)) {
+  private boolean mayTake(Rpc rpc, Attempt first, Endpoint endpoint, Timestamp now) {
+    if (first != null && !rpc.method.dropsRepeats(first.endpoint, endpoint)) {
       return false;
     }
-    return !rpc.triedAt(unit) && hasRoom(unit, now);
+    return !rpc.triedAt(endpoint) && hasRoom(endpoint, now);
   }
 
   // A new connection costs its unit a handshake. Where hundreds of relays see little each, most
@@ -608,62 +621,68 @@
     if (connected(drawn, now) || onTrial(drawn.build)) {
       return drawn;
     }
-    for (Endpoint unit : met.of(drawn.build, chance.next())) {
-      boolean well = connected(unit, now) && !sick(unit) && !farOff(unit);
-      if (well && mayTake(rpc, first, unit, now) && cost(unit) <= cost(drawn)) {
-        return unit;
+    for (Endpoint endpoint : met.of(drawn.build, chance.next())) {
+      boolean well = connected(endpoint, now) && !sick(endpoint) && !farOff(endpoint);
+      if (well && mayTake(rpc, first, endpoint, now) && cost(endpoint) <= cost(drawn)) {
+        return endpoint;
       }
     }
     return drawn;
   }
 
   private boolean connected(
-      Endpoint unit, Timestamp now) { // by half the idle time neither end has closed it
-    return unit.lastAnswer != null && settings.idle.times(0.5).over(now.since(unit.lastAnswer));
+      Endpoint endpoint, Timestamp now) { // by half the idle time neither end has closed it
+    return endpoint.lastAnswer != null
+        && settings.idle.times(0.5).over(now.since(endpoint.lastAnswer));
   }
 
-  private boolean farOff(Endpoint unit) { // a slow or lossy link: about twice the own zone's times
-    if (unit.zone == settings.zone || !zonePaces.containsKey(settings.zone)) {
+  private boolean farOff(
+      Endpoint endpoint) { // a slow or lossy link: about twice the own zone's times
+    if (endpoint.zone == settings.zone || !zonePaces.containsKey(settings.zone)) {
       return false;
     }
     Timestamp now = host.now();
-    return unit.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
+    return endpoint.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
   }
 
-  private double cost(Endpoint unit) {
-    double far = unit.zone == settings.zone ? 1 : 1.1; // a tie goes to the relay's own zone
-    int out = unit.toldAt == loadsAt && loadsFresh() ? Math.max(unit.out(), unit.told) : unit.out();
-    double load = 1 + out / Math.max(unit.weight(), 0.1);
-    return load * unit.pace.at(host.now(), 1, 2) * (1 + unit.failed(6)) * far;
+  private double cost(Endpoint endpoint) {
+    double far = endpoint.zone == settings.zone ? 1 : 1.1; // a tie goes to the relay's own zone
+    int out =
+        endpoint.toldAt == loadsAt && loadsFresh()
+            ? Math.max(endpoint.out(), endpoint.told)
+            : endpoint.out();
+    double load = 1 + out / Math.max(endpoint.weight(), 0.1);
+    return load * endpoint.pace.at(host.now(), 1, 2) * (1 + endpoint.failed(6)) * far;
   }
 
   /**
    * (2) By the successes among its last six outcomes: under half of at least three, it is left
    * alone.
    */
-  private static boolean sick(Endpoint unit) {
-    return unit.known(6) >= 3 && 2 * unit.failed(6) > unit.known(6);
+  private static boolean sick(Endpoint endpoint) {
+    return endpoint.known(6) >= 3 && 2 * endpoint.failed(6) > endpoint.known(6);
   }
 
-  private void note(Endpoint unit, boolean ok) {
-    boolean before = sick(unit);
-    unit.note(ok);
-    if (!before && sick(unit)) {
-      unit.retryAt = host.now().plus(TimeSpan.ofMs(1000));
+  private void note(Endpoint endpoint, boolean ok) {
+    boolean before = sick(endpoint);
+    endpoint.note(ok);
+    if (!before && sick(endpoint)) {
+      endpoint.retryAt = host.now().plus(TimeSpan.ofMs(1000));
     }
   }
 
-  private void learnPace(Attempt pick) {
+  private void learnPace(Attempt attempt) {
     Timestamp now = host.now();
-    Method method = pick.rpc.method;
-    double ms = Math.max(pick.took().ms(), 1);
+    Method method = attempt.rpc.method;
+    double ms = Math.max(attempt.took().ms(), 1);
     double times = Math.min(ms / usualMs(method), 8);
-    pick.unit.pace.add(now, times);
-    pick.unit.zonePace.add(now, times);
-    double log = Math.log(ms / Math.max(pick.rpc.hinted().ms(), 1));
-    if (onTrial(pick.unit.build)) {
+    attempt.endpoint.pace.add(now, times);
+    attempt.endpoint.zonePace.add(now, times);
+    double log = Math.log(ms / Math.max(attempt.rpc.hinted().ms(), 1));
+    if (onTrial(attempt.endpoint.build)) {
       // younger ones look slow for being cold
-      if (!isOffered(pick.unit.build) || !pick.unit.olderThan(TimeSpan.ofMs(5000), now)) {
+      if (!isOffered(attempt.endpoint.build)
+          || !attempt.endpoint.olderThan(TimeSpan.ofMs(5000), now)) {
         return;
       }
       offer.excessLog.add(now, log - method.logNow.at(now, log, 1e-9));
@@ -695,8 +714,8 @@
   // over relays is within the budget, however uneven they are. On trial it holds for warm ones too:
   // like
   // loads.
-  private boolean hasRoom(Endpoint unit, Timestamp now) {
-    if (!onTrial(unit.build) && unit.olderThan(settings.cold, now)) {
+  private boolean hasRoom(Endpoint endpoint, Timestamp now) {
+    if (!onTrial(endpoint.build) && endpoint.olderThan(settings.cold, now)) {
       return true;
     }
     double all = 0;
@@ -709,15 +728,16 @@
       }
     }
     double carried =
-        homeSends.perSecond(now) * unit.weight() / Math.max(warm > 0 ? warm : all, 0.1);
-    double age = unit.started == null ? 1 : Math.max(0, now.since(unit.started).per(settings.cold));
+        homeSends.perSecond(now) * endpoint.weight() / Math.max(warm > 0 ? warm : all, 0.1);
+    double age =
+        endpoint.started == null ? 1 : Math.max(0, now.since(endpoint.started).per(settings.cold));
     double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
     double perSecond = Math.min(0.5 * settings.tipMultiple, 0.8) * share * carried;
     double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
-    unit.coldTokens =
-        Math.min(unit.coldTokens + perSecond * now.since(unit.coldAsOf).ms() / 1000, most);
-    unit.coldAsOf = now;
-    return unit.coldTokens >= 1;
+    endpoint.coldTokens =
+        Math.min(endpoint.coldTokens + perSecond * now.since(endpoint.coldAsOf).ms() / 1000, most);
+    endpoint.coldAsOf = now;
+    return endpoint.coldTokens >= 1;
   }
 
   private void judge(ShadowPair pair) {
@@ -736,36 +756,38 @@
     pair.judged = true;
     // Full, out of reach, called off or cut off says nothing of a build; time-outs are slowness,
     // for KS.
-    if (trial() != fresh.unit.build || fresh.voidsPair() || earlier.voidsPair()) {
+    if (trial() != fresh.endpoint.build || fresh.voidsPair() || earlier.voidsPair()) {
       return;
     }
     Evidence seen = offer.evidence;
     seen.pairs++;
-    boolean few = fresh.unit.build.units.size() < 3; // else one unit gives two mismatches at most
+    boolean few =
+        fresh.endpoint.build.endpoints.size() < 3; // else one unit gives two mismatches at most
     boolean freshOnly = fresh.erred() && !earlier.erred();
-    if (freshOnly && (++fresh.unit.excess <= 2 || few)) {
-      seen.freshFails(fresh.unit);
+    if (freshOnly && (++fresh.endpoint.excess <= 2 || few)) {
+      seen.freshFails(fresh.endpoint);
     }
     if (earlier.erred() && !fresh.erred()) {
       seen.earlierFailed++;
     }
     Timestamp now = host.now();
-    TimeSpan settled = TimeSpan.ofMs(5000); // the design's age, under which copies look slow for being cold
+    TimeSpan settled =
+        TimeSpan.ofMs(5000); // the design's age, under which copies look slow for being cold
     boolean alike =
-        fresh.unit.kind == earlier.unit.kind
+        fresh.endpoint.kind == earlier.endpoint.kind
             && !fresh.erred()
             && !earlier.erred()
-            && fresh.unit.olderThan(settled, now)
-            && earlier.unit.olderThan(settled, now);
+            && fresh.endpoint.olderThan(settled, now)
+            && earlier.endpoint.olderThan(settled, now);
     int n = alike ? seen.time(tookOf(fresh, now), tookOf(earlier, now)) : 0;
     boolean test = n == 20 || n == 40 || n == 80;
     seen.slower |= test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n));
     consider();
   }
 
-  private double tookOf(Attempt pick, Timestamp now) {
-    return pick.took(now).ms()
-        / (pick.rpc.hint != null ? pick.rpc.hint.ms() : usualMs(pick.rpc.method));
+  private double tookOf(Attempt attempt, Timestamp now) {
+    return attempt.took(now).ms()
+        / (attempt.rpc.hint != null ? attempt.rpc.hint.ms() : usualMs(attempt.rpc.method));
   }
 
   // (6) The release desk's counts show builds bad for methods that are never copied, and quiet
@@ -773,9 +795,9 @@
   // pace of the earlier build. They hold time-outs too: errors that picks or pairs showed must bear
   // them
   // out.
-  public void counted(Build build, Method method, double picks, double failed, TimeSpan mean) {
-    if (!onTrial(build) && quiet() && picks > failed) {
-      seePace(1, method, mean.ms(), picks - failed);
+  public void counted(Build build, Method method, double attempts, double failed, TimeSpan mean) {
+    if (!onTrial(build) && quiet() && attempts > failed) {
+      seePace(1, method, mean.ms(), attempts - failed);
     }
     if (offer == null || build.number > offer.build.number) {
       return;
@@ -783,7 +805,7 @@
     double[] fresh = offer.freshCounts[method.index];
     double[] earlier = offer.earlierCounts[method.index];
     double[] counts = isOffered(build) ? fresh : earlier;
-    counts[0] += picks;
+    counts[0] += attempts;
     counts[1] += failed;
     boolean released = standing == RolloutState.RELEASED;
     int lead = offer.lead();
@@ -807,12 +829,12 @@
    * A wrong answer that a client reported stands as a failed copy beside an ok primary, or the
    * reverse.
    */
-  public void flagged(Endpoint unit) {
+  public void flagged(Endpoint endpoint) {
     if (offer == null) {
       return;
     }
-    if (isOffered(unit.build)) {
-      offer.evidence.freshFails(unit);
+    if (isOffered(endpoint.build)) {
+      offer.evidence.freshFails(endpoint);
     } else {
       offer.evidence.earlierFailed++;
     }
@@ -823,11 +845,11 @@
    * A sign makes a sick unit worth its look at once; silence counts like that of a pick, so three
    * in a row leave it alone.
    */
-  public void looked(Endpoint unit, boolean answered) {
+  public void looked(Endpoint endpoint, boolean answered) {
     if (!answered) {
-      note(unit, false);
-    } else if (sick(unit)) {
-      unit.retryAt = host.now();
+      note(endpoint, false);
+    } else if (sick(endpoint)) {
+      endpoint.retryAt = host.now();
     }
   }
 
@@ -851,7 +873,7 @@
   // Where it
   // is silent the next one is told; the lowest is believed. With all messages lost, own picks must
   // do.
-  private void report(Endpoint unit, TimeSpan endedAt) {
+  private void report(Endpoint endpoint, TimeSpan endedAt) {
     if (!settings.peers) {
       return;
     }
@@ -863,7 +885,7 @@
       hubSince = now;
       hub = (hub + 1) % settings.relays;
     }
-    byte[] told = board.pick(unit, endedAt);
+    byte[] told = board.attempt(endpoint, endedAt);
     if (hub == settings.index) {
       added(told);
     } else {
@@ -976,7 +998,8 @@
     offer.lostAsOf = now;
     // more than a fifth of the units that fail for other reasons; or a few errors on most units
     boolean share = alone && seen.erring >= 3 && seen.errors > Math.max(3, 0.25 * seen.ended);
-    boolean many = seen.erring >= Math.max(3, 0.6 * offer.build.units.size()) && seen.errors >= 5;
+    boolean many =
+        seen.erring >= Math.max(3, 0.6 * offer.build.endpoints.size()) && seen.errors >= 5;
     return share || many && seen.errors > 0.02 * seen.ended || offer.lost > (quiet() ? 4 : 6);
   }
 
@@ -1011,7 +1034,7 @@
     int[] pooled = offer.pooled();
     int lead = offer.lead();
     // Three to none is enough, ten to three is not; one sick unit of several is no sick build.
-    boolean spread = offer.failingUnits() >= Math.min(2, offer.build.units.size());
+    boolean spread = offer.failingUnits() >= Math.min(2, offer.build.endpoints.size());
     double few = alone ? strays / 2 : 1.5;
     boolean failing =
         spread && lead >= 3 && lead > 0.01 * pooled[0] && lead > few * offer.stray()
@@ -1056,7 +1079,8 @@
     // by the start times in the list; while the new units of a stage are not listed, none up to 8 s
     TimeSpan known = now.since(offer.since);
     Timestamp newest = offer.build.newest();
-    boolean missing = newest == null || offer.since.after(newest) && TimeSpan.ofMs(8000).over(known);
+    boolean missing =
+        newest == null || offer.since.after(newest) && TimeSpan.ofMs(8000).over(known);
     boolean old = !missing && now.since(newest).atMost(known).over(TimeSpan.ofMs(fallback));
     return pairs >= 20 && !untested || old;
   }
--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -17,7 +17,7 @@
   private static final int LAST = 64; // postings that a drift can name; some turns' worth
 
   /** How many rows there may be; further ones count as other. */
-  public record Room(int builds, int units, int customers) {
+  public record Room(int builds, int endpoints, int tenants) {
     /** For hosts whose figures nobody reads by these. */
     public static final Room NONE = new Room(0, 0, 0);
   }
@@ -46,10 +46,10 @@
 
   public final MethodMetrics calls;
   public final MethodMetrics rpcs;
-  public final MethodMetrics customers;
-  public final MethodMetrics picks;
+  public final MethodMetrics tenants;
+  public final MethodMetrics attempts;
   public final MethodMetrics builds;
-  public final MethodMetrics units;
+  public final MethodMetrics endpoints;
 
   /** Copies to a build on trial, by build; each is among the picks, too. */
   public final MethodMetrics copies;
@@ -113,16 +113,20 @@
             "method",
             methods.size() + 1,
             List.of("taken", "ok", "pushed_back", "aborted", "left", "lost", "open"));
-    customers =
+    tenants =
         sheet(
             "customer_rpcs",
             "customer",
-            room.customers + 1,
+            room.tenants + 1,
             List.of("taken", "ended", "lost", "open"));
-    picks = sheet("picks", "method", methods.size() + 1, PICK_ENDS);
+    attempts = sheet("picks", "method", methods.size() + 1, PICK_ENDS);
     builds = sheet("build_picks", "build", room.builds + 1, PICK_ENDS);
-    units =
-        sheet("unit_picks", "unit", room.units + 1, List.of("sent", "ok", "not_ok", "lost", "out"));
+    endpoints =
+        sheet(
+            "unit_picks",
+            "unit",
+            room.endpoints + 1,
+            List.of("sent", "ok", "not_ok", "lost", "out"));
     copies = sheet("copies", "build", room.builds + 1, PICK_ENDS);
     answers =
         sheet(
@@ -131,7 +135,8 @@
             methods.size() + 1,
             List.of("answered", "in_time", "late", "too_late"),
             false);
-    latency = sheet("latency", "method", methods.size() + 1, HistogramBuckets.columns("answered"), false);
+    latency =
+        sheet("latency", "method", methods.size() + 1, HistogramBuckets.columns("answered"), false);
     took =
         sheet(
             "pick_latency",
@@ -209,7 +214,7 @@
       }
     }
     for (String method : methods) {
-      for (MethodMetrics sheet : List.of(rpcs, picks, answers, latency)) {
+      for (MethodMetrics sheet : List.of(rpcs, attempts, answers, latency)) {
         row(sheet, method);
       }
     }
@@ -219,7 +224,8 @@
     return sheet(name, by, rows, columns, true);
   }
 
-  private MethodMetrics sheet(String name, String by, int rows, List<String> columns, boolean settles) {
+  private MethodMetrics sheet(
+      String name, String by, int rows, List<String> columns, boolean settles) {
     int base =
         sheets.isEmpty()
             ? 0
@@ -291,9 +297,9 @@
    * its first use.
    */
   public int tookRow(int build, int method) {
-    int row = build * picks.rows() + method;
+    int row = build * attempts.rows() + method;
     if (names[firstTook + row] == null) {
-      label(took, row, name(builds, build) + "/" + name(picks, method));
+      label(took, row, name(builds, build) + "/" + name(attempts, method));
     }
     return row;
   }
@@ -339,7 +345,7 @@
     int cut = label.indexOf('/');
     int row =
         sheet == took
-            ? tookRow(row(builds, label.substring(0, cut)), row(picks, label.substring(cut + 1)))
+            ? tookRow(row(builds, label.substring(0, cut)), row(attempts, label.substring(cut + 1)))
             : row(sheet == copies ? builds : sheet, label);
     add(sheet.index(row, column == sheet.pending() ? sheet.lost() : column), value);
   }
@@ -377,30 +383,30 @@
   // those of names.
 
   /** An RPC was taken. */
-  public void rpcArrived(int method, int customer) {
+  public void rpcArrived(int method, int tenant) {
     begin(calls, 0, 1);
     begin(rpcs, method, rpcs.pending());
-    begin(customers, customer, customers.pending());
+    begin(tenants, tenant, tenants.pending());
   }
 
   /** It ended, not ok: in a column of the RPCs' sheet. */
-  public void rpcEnded(int method, int customer, int how) {
+  public void rpcEnded(int method, int tenant, int how) {
     move(rpcs, method, rpcs.pending(), how);
-    move(customers, customer, customers.pending(), 1);
+    move(tenants, tenant, tenants.pending(), 1);
   }
 
   /** It ended ok, so long after it came. */
   public void rpcAnswered(
-      int method, int customer, TimeSpan after, boolean inTime, boolean byDeadline) {
+      int method, int tenant, TimeSpan after, boolean inTime, boolean byDeadline) {
     begin(answers, method, inTime ? 1 : byDeadline ? 2 : 3);
     begin(latency, method, 1 + HistogramBuckets.bucket(after));
-    rpcEnded(method, customer, 1);
+    rpcEnded(method, tenant, 1);
   }
 
-  public void pickSent(int method, int build, int unit, boolean copy) {
-    begin(picks, method, picks.pending());
+  public void attemptSent(int method, int build, int endpoint, boolean copy) {
+    begin(attempts, method, attempts.pending());
     begin(builds, build, builds.pending());
-    begin(units, unit, units.pending());
+    begin(endpoints, endpoint, endpoints.pending());
     begin(frames, 0, frames.pending());
     if (copy) {
       begin(copies, build, copies.pending());
@@ -408,19 +414,19 @@
   }
 
   /** It is on a connection. */
-  public void pickWritten() {
+  public void attemptWritten() {
     move(frames, 0, frames.pending(), 1);
   }
 
   /** A pick ended: in a column of the picks' sheet, of which the first one is ok. */
-  public void pickEnded(
-      int method, int build, int unit, boolean copy, boolean written, int how, TimeSpan after) {
+  public void attemptEnded(
+      int method, int build, int endpoint, boolean copy, boolean written, int how, TimeSpan after) {
     if (!written) {
       move(frames, 0, frames.pending(), 2);
     }
-    move(picks, method, picks.pending(), how);
+    move(attempts, method, attempts.pending(), how);
     move(builds, build, builds.pending(), how);
-    move(units, unit, units.pending(), how == 1 ? 1 : 2);
+    move(endpoints, endpoint, endpoints.pending(), how == 1 ? 1 : 2);
     if (copy) {
       move(copies, build, copies.pending(), how);
     }
@@ -512,26 +518,26 @@
         }
       }
     }
-    same(found, of, rpcs, 0, customers, 0);
-    same(found, of, rpcs, rpcs.pending(), customers, customers.pending());
-    same(found, of, rpcs, rpcs.lost(), customers, customers.lost());
+    same(found, of, rpcs, 0, tenants, 0);
+    same(found, of, rpcs, rpcs.pending(), tenants, tenants.pending());
+    same(found, of, rpcs, rpcs.lost(), tenants, tenants.lost());
     same(found, of, calls, 1, rpcs, 0);
     for (int column = 0; column < PICK_ENDS.size(); column++) {
-      same(found, of, picks, column, builds, column);
+      same(found, of, attempts, column, builds, column);
     }
-    same(found, of, picks, 0, units, 0);
-    same(found, of, picks, 1, units, 1);
-    same(found, of, picks, picks.pending(), units, units.pending());
-    same(found, of, picks, picks.lost(), units, units.lost());
-    same(found, of, picks, 0, frames, 0);
+    same(found, of, attempts, 0, endpoints, 0);
+    same(found, of, attempts, 1, endpoints, 1);
+    same(found, of, attempts, attempts.pending(), endpoints, endpoints.pending());
+    same(found, of, attempts, attempts.lost(), endpoints, endpoints.lost());
+    same(found, of, attempts, 0, frames, 0);
     for (int row = 0; row < rpcs.rows(); row++) {
       same(found, of, cell(rpcs, row, 1), of[rpcs.index(row, 1)], answers, row);
       same(found, of, cell(answers, row, 0), of[answers.index(row, 0)], latency, row);
     }
     for (int build = 0; build < builds.rows(); build++) {
       long sum = 0;
-      for (int method = 0; method < picks.rows(); method++) {
-        sum += of[took.index(build * picks.rows() + method, 0)];
+      for (int method = 0; method < attempts.rows(); method++) {
+        sum += of[took.index(build * attempts.rows() + method, 0)];
       }
       same(found, of, "pick_latency ok of build " + name(builds, build), sum, builds, build, 1);
       for (int column = 0; column < PICK_ENDS.size(); column++) {
@@ -548,22 +554,36 @@
         }
       }
     }
-    for (int method = 0; method < picks.rows(); method++) {
+    for (int method = 0; method < attempts.rows(); method++) {
       long sum = 0;
       for (int build = 0; build < builds.rows(); build++) {
-        sum += of[took.index(build * picks.rows() + method, 0)];
+        sum += of[took.index(build * attempts.rows() + method, 0)];
       }
-      same(found, of, "pick_latency ok of method " + name(picks, method), sum, picks, method, 1);
+      same(
+          found,
+          of,
+          "pick_latency ok of method " + name(attempts, method),
+          sum,
+          attempts,
+          method,
+          1);
     }
     return found;
   }
 
-  private void same(List<Drift> found, long[] of, String what, long left, MethodMetrics sheet, int row) {
+  private void same(
+      List<Drift> found, long[] of, String what, long left, MethodMetrics sheet, int row) {
     same(found, of, what, left, sheet, row, 0);
   }
 
   private void same(
-      List<Drift> found, long[] of, String what, long left, MethodMetrics sheet, int row, int column) {
+      List<Drift> found,
+      long[] of,
+      String what,
+      long left,
+      MethodMetrics sheet,
+      int row,
+      int column) {
     long right = of[sheet.index(row, column)];
     if (left != right) {
       found.add(
@@ -577,7 +597,12 @@
   }
 
   private void same(
-      List<Drift> found, long[] of, MethodMetrics one, int column, MethodMetrics other, int otherColumn) {
+      List<Drift> found,
+      long[] of,
+      MethodMetrics one,
+      int column,
+      MethodMetrics other,
+      int otherColumn) {
     long left = sum(of, one, column);
     long right = sum(of, other, otherColumn);
     if (left == right) {
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.policy.RelayEvents;
+import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
-import sprucerock.model.AttemptOutcome;
-import sprucerock.model.Attempt;
+import sprucerock.model.RolloutState;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.RolloutState;
-import sprucerock.model.Endpoint;
-import sprucerock.time.Timestamp;
+import sprucerock.policy.RelayEvents;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * The life of each RPC, pick, unit and build of one relay, the same under every host of the module:
@@ -32,11 +32,11 @@
 
   private final Settings settings;
   private final Map<Long, Rpc> rpcs = new HashMap<>();
-  private final TreeMap<Long, Endpoint> units = new TreeMap<>();
+  private final TreeMap<Long, Endpoint> endpoints = new TreeMap<>();
   private int newestTried;
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
   private final MethodAccounts accounts;
-  private final int[] customerRows;
+  private final int[] tenantRows;
   private RelayEvents module;
   private int open;
 
@@ -52,23 +52,23 @@
   public RequestTracker(Settings settings, MethodAccounts accounts) {
     this.settings = settings;
     this.accounts = accounts;
-    customerRows = new int[accounts.customers.rows()];
-    Arrays.fill(customerRows, -1);
+    tenantRows = new int[accounts.tenants.rows()];
+    Arrays.fill(tenantRows, -1);
   }
 
   public MethodAccounts accounts() {
     return accounts;
   }
 
-  private int row(int customer) {
-    int other = customerRows.length - 1;
-    if (customer < 0 || customer >= other) {
+  private int row(int tenant) {
+    int other = tenantRows.length - 1;
+    if (tenant < 0 || tenant >= other) {
       return other;
     }
-    if (customerRows[customer] < 0) {
-      customerRows[customer] = accounts.row(accounts.customers, "" + customer);
+    if (tenantRows[tenant] < 0) {
+      tenantRows[tenant] = accounts.row(accounts.tenants, "" + tenant);
     }
-    return customerRows[customer];
+    return tenantRows[tenant];
   }
 
   /** Names the module to be told; once, since it needs its host before it can be made. */
@@ -93,11 +93,11 @@
 
   /** A unit as listed now; null where none has the id. */
   public Endpoint unit(long id) {
-    return units.get(id);
+    return endpoints.get(id);
   }
 
   public List<Endpoint> units() {
-    return new ArrayList<>(units.values());
+    return new ArrayList<>(endpoints.values());
   }
 
   // What comes in.
@@ -106,54 +106,54 @@
   public Rpc arrived(
       long id,
       Method method,
-      int customer,
+      int tenant,
       long key,
       Timestamp now,
       Timestamp deadline,
       TimeSpan hint,
       Object door) {
-    Rpc rpc = new Rpc(id, method, customer, key, now, deadline, hint, door);
+    Rpc rpc = new Rpc(id, method, tenant, key, now, deadline, hint, door);
     rpcs.put(id, rpc);
     open++;
-    accounts.rpcArrived(method.index, row(customer));
+    accounts.rpcArrived(method.index, row(tenant));
     module.rpcArrived(rpc);
     return rpc;
   }
 
   /** The answer has begun to reach the client. */
-  public void streamStarted(Attempt pick) {
-    pick.rpc.stream();
-    module.streamStarted(pick);
+  public void streamStarted(Attempt attempt) {
+    attempt.rpc.stream();
+    module.streamStarted(attempt);
   }
 
   /**
    * A pick ended, once; {@code closes} says that its RPC is over, by this or before. An ok that
    * closes one which was open is its answer.
    */
-  public void pickEnded(Attempt pick, AttemptOutcome outcome, TimeSpan took, boolean closes) {
-    if (pick.outcome() != null) {
+  public void attemptEnded(Attempt attempt, AttemptOutcome outcome, TimeSpan took, boolean closes) {
+    if (attempt.outcome() != null) {
       return;
     }
-    Rpc rpc = pick.rpc;
-    pick.end(outcome, took);
-    pick.unit.pickEnded();
-    rpc.pickEnded();
+    Rpc rpc = attempt.rpc;
+    attempt.end(outcome, took);
+    attempt.endpoint.attemptEnded();
+    rpc.attemptEnded();
     // the columns have the order of the outcomes
-    accounts.pickEnded(
+    accounts.attemptEnded(
         rpc.method.index,
-        pick.unit.build.row(),
-        pick.unit.row(),
-        pick.copy,
-        pick.written(),
+        attempt.endpoint.build.row(),
+        attempt.endpoint.row(),
+        attempt.copy,
+        attempt.written(),
         1 + outcome.ordinal(),
         took);
     boolean answers = closes && !rpc.ended();
     if (answers && outcome == AttemptOutcome.OK) {
-      answered(rpc, pick.sent.plus(took));
+      answered(rpc, attempt.sent.plus(took));
     } else if (answers) {
       close(rpc, ABORTED); // a stream that broke
     }
-    module.pickEnded(pick, answers);
+    module.attemptEnded(attempt, answers);
     forget(rpc);
   }
 
@@ -162,9 +162,9 @@
     end(rpc);
     accounts.rpcAnswered(
         rpc.method.index,
-        row(rpc.customer),
+        row(rpc.tenant),
         after,
-        !after.over(rpc.method.softDeadline),
+        !after.over(rpc.method.latencyObjective),
         !now.after(rpc.deadline));
   }
 
@@ -188,15 +188,15 @@
       Timestamp started,
       double weight,
       boolean mayGetWork) {
-    Endpoint known = units.get(id);
+    Endpoint known = endpoints.get(id);
     if (known != null && !known.sameRun(build, started)) {
       removed(id);
       known = null;
     }
     if (known == null) {
       known = new Endpoint(id, zone, kind, cell, build(build), started, weight);
-      known.row(accounts.row(accounts.units, "" + id));
-      units.put(id, known);
+      known.row(accounts.row(accounts.endpoints, "" + id));
+      endpoints.put(id, known);
     }
     known.weigh(weight);
     if (!mayGetWork) {
@@ -204,47 +204,47 @@
     } else if (!known.ready()) {
       known.ready(true);
       known.build.add(known);
-      module.unitReady(known);
+      module.endpointReady(known);
     }
     return known;
   }
 
   /** A unit is gone; nothing happens where none has the id. */
   public void removed(long id) {
-    Endpoint unit = units.remove(id);
-    if (unit != null) {
-      leave(unit);
+    Endpoint endpoint = endpoints.remove(id);
+    if (endpoint != null) {
+      leave(endpoint);
     }
   }
 
   /** A whole list came: all that it does not name are gone. */
   public void keepOnly(Set<Long> named) {
-    for (Endpoint unit : units()) {
-      if (!named.contains(unit.id)) {
-        removed(unit.id);
+    for (Endpoint endpoint : units()) {
+      if (!named.contains(endpoint.id)) {
+        removed(endpoint.id);
       }
     }
   }
 
-  private void leave(Endpoint unit) {
-    if (unit.ready()) {
-      unit.build.remove(unit);
+  private void leave(Endpoint endpoint) {
+    if (endpoint.ready()) {
+      endpoint.build.remove(endpoint);
     }
-    unit.ready(false);
-    module.unitLeaving(unit);
+    endpoint.ready(false);
+    module.endpointDraining(endpoint);
   }
 
   public void news(int build, int stage, RolloutState standing, double cap, Timestamp since) {
     newestTried = standing == RolloutState.RELEASED ? build + 1 : build;
     module.newsOfBuild(build(build), stage, standing, cap, since);
-    builds.values().removeIf(one -> one.units.isEmpty() && one.number < build - 1);
+    builds.values().removeIf(one -> one.endpoints.isEmpty() && one.number < build - 1);
   }
 
   /** Counts of a build that this relay never heard of tell it nothing. */
-  public void counted(int build, int method, double picks, double failed, TimeSpan mean) {
+  public void counted(int build, int method, double attempts, double failed, TimeSpan mean) {
     Build known = builds.get(build);
     if (known != null) {
-      module.counted(known, settings.methods.get(method), picks, failed, mean);
+      module.counted(known, settings.methods.get(method), attempts, failed, mean);
     }
   }
 
@@ -252,8 +252,8 @@
    * A client found an answer of a pick wrong that was sent so long ago; only the run that gave it
    * is meant.
    */
-  public void flagged(long unit, TimeSpan sentAgo, Timestamp now) {
-    Endpoint known = units.get(unit);
+  public void flagged(long endpoint, TimeSpan sentAgo, Timestamp now) {
+    Endpoint known = endpoints.get(endpoint);
     if (known != null && known.olderThan(sentAgo, now)) {
       module.flagged(known);
     }
@@ -268,8 +268,8 @@
   }
 
   /** A unit gave a sign when it was looked at, or none. */
-  public void looked(long unit, boolean answered) {
-    Endpoint known = units.get(unit);
+  public void looked(long endpoint, boolean answered) {
+    Endpoint known = endpoints.get(endpoint);
     if (known != null && known.ready()) {
       module.looked(known, answered);
     }
@@ -288,22 +288,28 @@
 
   // What the module had its host do.
 
-  public void sent(Attempt pick) {
-    pick.rpc.add(pick);
-    pick.unit.picked();
-    accounts.pickSent(pick.rpc.method.index, pick.unit.build.row(), pick.unit.row(), pick.copy);
+  public void sent(Attempt attempt) {
+    attempt.rpc.add(attempt);
+    attempt.endpoint.picked();
+    accounts.attemptSent(
+        attempt.rpc.method.index,
+        attempt.endpoint.build.row(),
+        attempt.endpoint.row(),
+        attempt.copy);
   }
 
   /** A pick was put on a connection to its unit. */
-  public void written(Attempt pick) {
-    pick.write();
-    accounts.pickWritten();
+  public void written(Attempt attempt) {
+    attempt.write();
+    accounts.attemptWritten();
   }
 
   /** The result of a pick came that had ended before; it changes nothing. */
   public void lateResult(AttemptOutcome outcome) {
     accounts.begin(
-        accounts.lateResults, 0, outcome == AttemptOutcome.OK ? 1 : outcome == AttemptOutcome.FULL ? 3 : 2);
+        accounts.lateResults,
+        0,
+        outcome == AttemptOutcome.OK ? 1 : outcome == AttemptOutcome.FULL ? 3 : 2);
   }
 
   public void pushedBack(Rpc rpc) {
@@ -324,7 +330,7 @@
 
   private void close(Rpc rpc, int how) {
     end(rpc);
-    accounts.rpcEnded(rpc.method.index, row(rpc.customer), how);
+    accounts.rpcEnded(rpc.method.index, row(rpc.tenant), how);
   }
 
   private void end(Rpc rpc) {
--- a/src/main/java/sprucerock/agent/Agent.java
+++ b/src/main/java/sprucerock/agent/Agent.java
@@ -5,8 +5,8 @@
 import java.util.Collections;
 import java.util.Deque;
 import sprucerock.controller.deployment.Version;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * Keeps one relay running on one machine: on what the controller wants, else on what ran well last.
--- a/src/main/java/sprucerock/agent/ControllerClient.java
+++ b/src/main/java/sprucerock/agent/ControllerClient.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.controller.deployment.Version;
-import sprucerock.transport.net.Net;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -55,7 +55,7 @@
   private final ArtifactStore vault;
   private final RelaySupervisor here;
   private final Agent agent;
-  private final List<ReconnectingConnection> links = new ArrayList<>();
+  private final List<ReconnectingConnection> connections = new ArrayList<>();
   private final Deque<Failure> failures = new ArrayDeque<>();
 
   /**
@@ -89,7 +89,8 @@
         loop,
         vault,
         Tap.NONE,
-        (says, fails, consumers) -> new LocalRelaySupervisor(config, loop, vault, says, fails, consumers));
+        (says, fails, consumers) ->
+            new LocalRelaySupervisor(config, loop, vault, says, fails, consumers));
   }
 
   /**
@@ -148,9 +149,10 @@
     DeterministicRandom chance = new DeterministicRandom(number);
     for (InetSocketAddress to : config.controllers) {
       Door door = new Door(to);
-      ReconnectingConnection link = new ReconnectingConnection(loop, to, mine, LIMITS, tap, chance, door);
-      door.link = link;
-      links.add(link);
+      ReconnectingConnection connection =
+          new ReconnectingConnection(loop, to, mine, LIMITS, tap, chance, door);
+      door.connection = connection;
+      connections.add(connection);
     }
     here.adopt();
     agent.begin();
@@ -161,7 +163,7 @@
         here.log("what it is to begin with can't be read: " + e.getMessage());
       }
     }
-    links.forEach(ReconnectingConnection::dial);
+    connections.forEach(ReconnectingConnection::dial);
     // from the number, so that a thousand agents that were started together do not speak together
     loop.at(loop.now().plus(config.sayEvery.times(chance.next())), this::now);
   }
@@ -202,8 +204,9 @@
 
   private void tell() {
     RelaySums sums = here.sums();
-    ReconnectingConnection link = links.stream().filter(ReconnectingConnection::usable).findFirst().orElse(null);
-    if (link == null) {
+    ReconnectingConnection connection =
+        connections.stream().filter(ReconnectingConnection::usable).findFirst().orElse(null);
+    if (connection == null) {
       return;
     }
     AgentSays.Builder says =
@@ -228,7 +231,7 @@
     }
     failures.clear();
     readables.clear();
-    for (ReconnectingConnection one : links) {
+    for (ReconnectingConnection one : connections) {
       if (one.usable()) {
         one.send(Kind.AGENT, says.build(), new byte[0]);
       }
@@ -283,7 +286,7 @@
   private void ask() {
     asked = 0;
     Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.from()).build();
-    for (ReconnectingConnection one : links) {
+    for (ReconnectingConnection one : connections) {
       if (one.usable()) {
         one.send(Kind.FETCH, fetch, new byte[0]);
       }
@@ -343,14 +346,14 @@
       loop.at(loop.now().plus(TimeSpan.ofMs(20)), () -> wait(done));
       return;
     }
-    links.forEach(ReconnectingConnection::stop);
+    connections.forEach(ReconnectingConnection::stop);
     done.run();
   }
 
   /** A controller's end of a link. */
   private final class Door implements FrameListener {
     private final InetSocketAddress to;
-    private ReconnectingConnection link;
+    private ReconnectingConnection connection;
     private boolean up;
 
     Door(InetSocketAddress to) {
@@ -380,7 +383,7 @@
       } else if (kind == Kind.WANTS) {
         wants((Wants) head);
       } else {
-        link.cut("an agent takes no " + kind);
+        connection.cut("an agent takes no " + kind);
       }
     }
 
@@ -403,7 +406,7 @@
           fetch(checks);
         }
       } catch (IllegalArgumentException e) {
-        link.cut(e.getMessage());
+        connection.cut(e.getMessage());
       }
     }
 
--- a/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
+++ b/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
@@ -19,14 +19,14 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucerock.controller.deployment.Version;
+import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.config.RelayConfig;
-import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.Timestamp;
+import sprucerock.controller.deployment.Version;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
@@ -265,7 +265,12 @@
 
   /** Waits for a line of its own that has these words; without end, or until then. */
   private void lookFor(
-      String words, ProcessHandle one, Path file, long from, Timestamp until, Consumer<Boolean> told) {
+      String words,
+      ProcessHandle one,
+      Path file,
+      long from,
+      Timestamp until,
+      Consumer<Boolean> told) {
     if (process != one) {
       return;
     }
--- a/src/main/java/sprucerock/agent/MetricsSummary.java
+++ b/src/main/java/sprucerock/agent/MetricsSummary.java
@@ -6,10 +6,10 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import sprucerock.metrics.MetricsSnapshot;
-import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.HistogramBuckets;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.MethodMetrics;
+import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
@@ -72,7 +72,9 @@
       answered += of(snapshot, accounts.latency, row, "answered");
       for (int i = 0; i < HistogramBuckets.BUCKETS; i++) {
         answeredMs +=
-            snapshot.values[accounts.latency.index(row, 1 + i)] * HistogramBuckets.fromUs(i) / 1000.0;
+            snapshot.values[accounts.latency.index(row, 1 + i)]
+                * HistogramBuckets.fromUs(i)
+                / 1000.0;
       }
     }
     worth += turned; // of what was turned away nobody knows the method: as worth as the least
--- a/src/main/java/sprucerock/agent/RelaySupervisor.java
+++ b/src/main/java/sprucerock/agent/RelaySupervisor.java
@@ -5,9 +5,10 @@
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
- * The machine that a {@link ControllerClient} works on: what the agent's core can do there, and what is
- * asked of it for the controller. The one of real processes is {@link LocalRelaySupervisor}; a scale run has
- * others, so that thousands of agents run their own core and link in one process.
+ * The machine that a {@link ControllerClient} works on: what the agent's core can do there, and
+ * what is asked of it for the controller. The one of real processes is {@link
+ * LocalRelaySupervisor}; a scale run has others, so that thousands of agents run their own core and
+ * link in one process.
  */
 public interface RelaySupervisor extends ProcessLauncher {
   /** What comes of a fetch and of reading through is asked of and told to these. */
--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -26,8 +26,8 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.metrics.MetricsExporter;
 import sprucerock.metrics.MetricsFileWriter;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.relay.frames.FrameRelay;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Workers;
 import sprucerock.transport.wire.Tap;
@@ -65,17 +65,17 @@
   private record Row(Load.Took took, double cpuUs, double bytes) {}
 
   /** Runs one size and prints a table. */
-  public void run(int connections, int units)
+  public void run(int connections, int endpoints)
       throws IOException, InterruptedException, ConfigException {
     out.printf(
         "%d connections, %d units, bodies of %d bytes, %d RPCs open at saturation, %s, %d cores%n",
         connections,
-        units,
+        endpoints,
         BODY,
         Math.max(OPEN, connections),
         System.getProperty("java.vm.version"),
         Runtime.getRuntime().availableProcessors());
-    try (Fleet fleet = new Fleet(units, THREADS)) {
+    try (Fleet fleet = new Fleet(endpoints, THREADS)) {
       Set<Long> before = alive();
       Forwarder forwarder = new Forwarder(fleet.ports(), task -> new Thread(task, "forwarder"));
       Set<Long> forwarderOwn = since(before);
@@ -148,12 +148,12 @@
    * then times at a tenth of that rate with and without a monitor that scrapes ten times a second,
    * in turns too.
    */
-  public void figures(int connections, int units, int methods, int rounds)
+  public void figures(int connections, int endpoints, int methods, int rounds)
       throws IOException, InterruptedException, ConfigException {
     out.printf(
         "%d connections, %d units, %d methods, %s, %d cores: %d rounds of %.1f s each%n",
         connections,
-        units,
+        endpoints,
         methods,
         System.getProperty("java.vm.version"),
         Runtime.getRuntime().availableProcessors(),
@@ -162,7 +162,7 @@
     List<Double> rates = new ArrayList<>();
     List<Double> cpus = new ArrayList<>();
     List<Double> p99s = new ArrayList<>();
-    try (Fleet fleet = new Fleet(units, THREADS);
+    try (Fleet fleet = new Fleet(endpoints, THREADS);
         Subject without = new Subject("without", fleet, methods, Kept.NOT);
         Subject with = new Subject("with", fleet, methods, Kept.IN_A_FILE)) {
       double rate = 0;
@@ -218,12 +218,12 @@
    * What TLS costs: the same relay without it and with it towards units and clients, in turns; then
    * times at a tenth of the slower's rate.
    */
-  public void tls(int connections, int units, int rounds)
+  public void tls(int connections, int endpoints, int rounds)
       throws IOException, InterruptedException, ConfigException {
     out.printf(
         "%d connections, %d units, %s, %d cores: %d rounds of %.1f s each%n",
         connections,
-        units,
+        endpoints,
         System.getProperty("java.vm.version"),
         Runtime.getRuntime().availableProcessors(),
         rounds,
@@ -233,8 +233,8 @@
     List<Double> p50s = new ArrayList<>();
     List<Double> p99s = new ArrayList<>();
     BenchTls tls = new BenchTls();
-    try (Fleet plainFleet = new Fleet(units, THREADS);
-        Fleet securedFleet = new Fleet(units, THREADS, tls);
+    try (Fleet plainFleet = new Fleet(endpoints, THREADS);
+        Fleet securedFleet = new Fleet(endpoints, THREADS, tls);
         Subject plain = new Subject("plain", plainFleet, 1, Kept.IN_A_FILE);
         Subject secured = new Subject("tls", securedFleet, 1, Kept.IN_A_FILE, tls)) {
       double rate = 0;
--- a/src/main/java/sprucerock/benchmark/BenchTls.java
+++ b/src/main/java/sprucerock/benchmark/BenchTls.java
@@ -7,9 +7,9 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.Set;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Buffers;
 import sprucerock.transport.tls.Counter;
 import sprucerock.transport.tls.Credentials;
@@ -60,7 +60,8 @@
     return TlsConnection.server(place, credentials, false, user);
   }
 
-  ConnectionListener client(TlsConnection.Place place, String name, int port, ConnectionListener user) {
+  ConnectionListener client(
+      TlsConnection.Place place, String name, int port, ConnectionListener user) {
     return TlsConnection.client(place, credentials, name, port, user);
   }
 }
--- a/src/main/java/sprucerock/benchmark/Fleet.java
+++ b/src/main/java/sprucerock/benchmark/Fleet.java
@@ -34,22 +34,22 @@
   private int rosterPort;
   private int deskPort;
 
-  Fleet(int units, int threads) throws IOException, InterruptedException {
-    this(units, threads, null);
+  Fleet(int endpoints, int threads) throws IOException, InterruptedException {
+    this(endpoints, threads, null);
   }
 
   /** Units that are reached by TLS, unless that is null. */
-  Fleet(int units, int threads, BenchTls tls) throws IOException, InterruptedException {
+  Fleet(int endpoints, int threads, BenchTls tls) throws IOException, InterruptedException {
     loops = new NioLoop[threads];
     for (int i = 0; i < threads; i++) {
       loops[i] = new NioLoop("units-" + i, Throwable::printStackTrace);
     }
-    ports = new int[units];
+    ports = new int[endpoints];
     TlsConnection.Place[] places = new TlsConnection.Place[threads];
     for (int i = 0; i < threads && tls != null; i++) {
       places[i] = BenchTls.place(loops[i]);
     }
-    for (int i = 0; i < units; i++) {
+    for (int i = 0; i < endpoints; i++) {
       int id = i;
       ports[i] =
           listen(
@@ -58,7 +58,7 @@
               i,
               tls,
               places[i % threads],
-              link ->
+              connection ->
                   new FrameListener() {
                     @Override
                     public void greeted(FrameConnection made, Hello other) {}
@@ -68,7 +68,7 @@
                       if (kind != Kind.WORK) {
                         return;
                       }
-                      link[0].send(
+                      connection[0].send(
                           Kind.DONE,
                           Done.newBuilder()
                               .setId(((Work) head).getId())
@@ -82,7 +82,7 @@
                   });
     }
     Listing.Builder listing = Listing.newBuilder().setForm(Form.WHOLE);
-    for (int i = 0; i < units; i++) {
+    for (int i = 0; i < endpoints; i++) {
       listing.addEntries(
           Entry.newBuilder()
               .setUnit(i)
@@ -101,14 +101,14 @@
             0,
             null,
             null,
-            link ->
+            connection ->
                 new FrameListener() {
                   @Override
                   public void greeted(FrameConnection made, Hello other) {}
 
                   @Override
                   public void frame(Kind kind, MessageLite head, byte[] body) {
-                    link[0].send(Kind.LISTING, listing.build(), NO_BODY);
+                    connection[0].send(Kind.LISTING, listing.build(), NO_BODY);
                   }
 
                   @Override
@@ -121,7 +121,7 @@
             0,
             null,
             null,
-            link ->
+            connection ->
                 new FrameListener() {
                   @Override
                   public void greeted(FrameConnection made, Hello other) {
@@ -146,14 +146,18 @@
   }
 
   private interface Made {
-    FrameListener user(FrameConnection[] link);
+    FrameListener user(FrameConnection[] connection);
   }
 
   private static int listen(
       NioLoop loop, Role role, int number, BenchTls tls, TlsConnection.Place place, Made made)
       throws IOException, InterruptedException {
     Hello hello =
-        Hello.newBuilder().setVersion(FrameConnection.VERSION).setRole(role).setNumber(number).build();
+        Hello.newBuilder()
+            .setVersion(FrameConnection.VERSION)
+            .setRole(role)
+            .setNumber(number)
+            .build();
     return Loops.on(
         loop,
         () -> {
@@ -163,9 +167,10 @@
                   10_000,
                   LIMITS.unsent(),
                   () -> {
-                    FrameConnection[] link = new FrameConnection[1];
-                    link[0] = new FrameConnection(loop, hello, LIMITS, Tap.NONE, made.user(link));
-                    return tls == null ? link[0] : tls.server(place, link[0]);
+                    FrameConnection[] connection = new FrameConnection[1];
+                    connection[0] =
+                        new FrameConnection(loop, hello, LIMITS, Tap.NONE, made.user(connection));
+                    return tls == null ? connection[0] : tls.server(place, connection[0]);
                   });
           return listener.address().getPort();
         });
--- a/src/main/java/sprucerock/benchmark/Forwarder.java
+++ b/src/main/java/sprucerock/benchmark/Forwarder.java
@@ -20,11 +20,11 @@
 
   private final AsynchronousChannelGroup group;
   private final AsynchronousServerSocketChannel server;
-  private final int[] units;
+  private final int[] endpoints;
   private int next;
 
   Forwarder(int[] unitPorts, ThreadFactory threads) throws IOException {
-    units = unitPorts;
+    endpoints = unitPorts;
     group = AsynchronousChannelGroup.withFixedThreadPool(1, threads);
     server =
         AsynchronousServerSocketChannel.open(group)
@@ -51,18 +51,18 @@
 
   private void join(AsynchronousSocketChannel client) {
     try {
-      AsynchronousSocketChannel unit = AsynchronousSocketChannel.open(group);
-      int port = units[next++ % units.length];
+      AsynchronousSocketChannel endpoint = AsynchronousSocketChannel.open(group);
+      int port = endpoints[next++ % endpoints.length];
       client.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      unit.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      unit.connect(
+      endpoint.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      endpoint.connect(
           new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
           null,
           new CompletionHandler<Void, Void>() {
             @Override
             public void completed(Void none, Void nothing) {
-              new Way(client, unit).read();
-              new Way(unit, client).read();
+              new Way(client, endpoint).read();
+              new Way(endpoint, client).read();
             }
 
             @Override
--- a/src/main/java/sprucerock/benchmark/Load.java
+++ b/src/main/java/sprucerock/benchmark/Load.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.Histogram;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
@@ -70,7 +70,7 @@
 
   private final class Client implements FrameListener {
     final Lane lane;
-    FrameConnection link;
+    FrameConnection connection;
     private long[] started = new long[1024];
     private long lastId;
     private boolean closedLoop;
@@ -83,10 +83,10 @@
       long id = ++lastId;
       started[(int) (id & started.length - 1)] = meant;
       if (straight) {
-        link.send(
+        connection.send(
             Kind.WORK, Work.newBuilder().setId(id).setLeftUs(5_000_000).setKey(id).build(), body);
       } else {
-        link.send(
+        connection.send(
             Kind.CALL,
             Call.newBuilder()
                 .setId(id)
@@ -162,13 +162,14 @@
           lane.loop,
           () -> {
             Client client = new Client(lane);
-            client.link = new FrameConnection(lane.loop, hello, Fleet.LIMITS, Tap.NONE, client);
+            client.connection =
+                new FrameConnection(lane.loop, hello, Fleet.LIMITS, Tap.NONE, client);
             lane.clients.add(client);
             ConnectionListener user =
                 tls == null
-                    ? client.link
+                    ? client.connection
                     : tls.client(
-                        places.get(lanes.indexOf(lane)), BenchTls.RELAY, port, client.link);
+                        places.get(lanes.indexOf(lane)), BenchTls.RELAY, port, client.connection);
             return lane.loop.connect(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 TimeSpan.ofMs(10_000),
--- a/src/main/java/sprucerock/cli/BenchCommand.java
+++ b/src/main/java/sprucerock/cli/BenchCommand.java
@@ -27,7 +27,7 @@
       split = ",",
       defaultValue = "10,300",
       description = "units, several with commas")
-  private int[] units;
+  private int[] endpoints;
 
   @Option(
       names = "--seconds",
@@ -58,7 +58,7 @@
     ((ch.qos.logback.classic.Logger) org.slf4j.LoggerFactory.getLogger("sprucerock"))
         .setLevel(ch.qos.logback.classic.Level.ERROR);
     Bench bench = new Bench(System.out, new Bench.Lengths(seconds, seconds), shares);
-    for (int many : units) {
+    for (int many : endpoints) {
       for (int some : connections) {
         if (tls) {
           bench.tls(some, many, ROUNDS);
--- a/src/main/java/sprucerock/cli/ControllerCommand.java
+++ b/src/main/java/sprucerock/cli/ControllerCommand.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Option;
 import sprucerock.config.ConfigException;
 import sprucerock.controller.Engine;
-import sprucerock.controller.server.ControllerServer;
 import sprucerock.controller.server.ControllerConfig;
+import sprucerock.controller.server.ControllerServer;
 import sprucerock.transport.wire.Tap;
 
 @Command(
--- a/src/main/java/sprucerock/cli/FiguresCommand.java
+++ b/src/main/java/sprucerock/cli/FiguresCommand.java
@@ -12,9 +12,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.metrics.MetricsTable;
-import sprucerock.accounting.MethodAccounts;
 import sprucerock.rehearsal.scenario.FleetMetricsAudit;
 
 @Command(
--- a/src/main/java/sprucerock/cli/JudgeCommand.java
+++ b/src/main/java/sprucerock/cli/JudgeCommand.java
@@ -25,7 +25,7 @@
         (verdict.kept() ? "rules kept: " : "RULES BROKEN OR NOTHING SEEN: ")
             + verdict.rpcs()
             + " RPCs, "
-            + verdict.picks()
+            + verdict.attempts()
             + " picks, "
             + verdict.frames()
             + " lines");
--- a/src/main/java/sprucerock/cli/LabCommand.java
+++ b/src/main/java/sprucerock/cli/LabCommand.java
@@ -59,7 +59,7 @@
         names = "--units",
         defaultValue = "-1",
         description = "in all racks, 16 a relay unless given")
-    private int units;
+    private int endpoints;
 
     @Option(
         names = "--seconds",
@@ -100,7 +100,7 @@
             new ScaleRun.Plan(
                 relays,
                 racks,
-                units < 0 ? Math.max(racks, 16 * relays) : units,
+                endpoints < 0 ? Math.max(racks, 16 * relays) : endpoints,
                 seconds,
                 named,
                 seed);
--- a/src/main/java/sprucerock/cli/ServeCommand.java
+++ b/src/main/java/sprucerock/cli/ServeCommand.java
@@ -9,14 +9,14 @@
 import picocli.CommandLine.Command;
 import sprucerock.Policy;
 import sprucerock.config.ConfigException;
-import sprucerock.transport.net.Connection;
-import sprucerock.transport.net.ConnectionListener;
-import sprucerock.transport.net.Net;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.relay.platform.PlatformConfig;
 import sprucerock.relay.platform.PlatformRelay;
 import sprucerock.relay.platform.WarmUp;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.Connection;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.nio.NioLoop;
 import sun.misc.Signal;
 
 /** Named here for the help; Main starts it without this command line. */
@@ -54,7 +54,8 @@
       loop.post(
           () -> {
             try {
-              serving.set(new PlatformRelay(config, loop, System.currentTimeMillis(), asks::release));
+              serving.set(
+                  new PlatformRelay(config, loop, System.currentTimeMillis(), asks::release));
               serving.get().start(Policy::new);
             } catch (IOException e) {
               wrong.set("an address can't be listened at: " + e.getMessage());
@@ -117,7 +118,7 @@
   private static final class Echo implements ConnectionListener {
     private final boolean first;
     private final CountDownLatch heard;
-    private Connection link;
+    private Connection connection;
     private int rounds;
 
     Echo(boolean first, CountDownLatch heard) {
@@ -127,9 +128,9 @@
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
       if (first) {
-        link.append(new byte[64]);
+        connection.append(new byte[64]);
       }
     }
 
@@ -139,9 +140,9 @@
         heard.countDown();
       }
       if (rounds < 200) {
-        link.append(new byte[bytes.remaining()]);
+        connection.append(new byte[bytes.remaining()]);
       } else {
-        link.finish();
+        connection.finish();
       }
     }
 
--- a/src/main/java/sprucerock/cli/TlsCheckCommand.java
+++ b/src/main/java/sprucerock/cli/TlsCheckCommand.java
@@ -16,10 +16,10 @@
 import picocli.CommandLine.Option;
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Buffers;
 import sprucerock.transport.tls.Chain;
 import sprucerock.transport.tls.Counter;
@@ -190,12 +190,12 @@
         Workers workers = new Workers(1, 10, loop::post, end::completeExceptionally)) {
       loop.post(
           () -> {
-            TlsConnection[] link = new TlsConnection[1];
+            TlsConnection[] connection = new TlsConnection[1];
             ConnectionListener user =
                 new ConnectionListener() {
                   @Override
                   public void up(Connection made) {
-                    X509Certificate shown = link[0].peer();
+                    X509Certificate shown = connection[0].peer();
                     System.out.println("peer at " + at + ":");
                     describe(shown, now);
                     end.complete("");
@@ -210,14 +210,14 @@
                     end.complete(why);
                   }
                 };
-            link[0] =
+            connection[0] =
                 TlsConnection.client(
                     new TlsConnection.Place(loop, new Buffers(), workers, WITHIN, Counter.NONE),
                     credentials,
                     name,
                     to.getPort(),
                     user);
-            loop.connect(to, WITHIN, 1 << 20, link[0]);
+            loop.connect(to, WITHIN, 1 << 20, connection[0]);
           });
       String why = end.get(20, TimeUnit.SECONDS);
       System.out.println(
--- a/src/main/java/sprucerock/config/LeaseConfig.java
+++ b/src/main/java/sprucerock/config/LeaseConfig.java
@@ -92,7 +92,8 @@
   }
 
   /** Null where this process does not stand for it. */
-  private static TimeSpan every(Node node, String task, TimeSpan usual, TimeSpan least) throws ConfigException {
+  private static TimeSpan every(Node node, String task, TimeSpan usual, TimeSpan least)
+      throws ConfigException {
     TimeSpan found = null;
     for (Node one : node.all("stand")) {
       if (!one.text("for").equals(task)) {
--- a/src/main/java/sprucerock/config/Node.java
+++ b/src/main/java/sprucerock/config/Node.java
@@ -149,10 +149,10 @@
   /** The schema lets only whole numbers with B, KiB or MiB through. */
   public long bytes(String key) {
     String text = text(key).trim();
-    String unit = text.replaceFirst("^[0-9]+", "");
-    long value = Long.parseLong(text.substring(0, text.length() - unit.length()));
+    String endpoint = text.replaceFirst("^[0-9]+", "");
+    long value = Long.parseLong(text.substring(0, text.length() - endpoint.length()));
     return value
-        * switch (unit) {
+        * switch (endpoint) {
           case "B" -> 1;
           case "KiB" -> 1 << 10;
           default -> 1 << 20;
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -40,8 +40,8 @@
   /** Connections that are taken at a time. */
   public final int clients;
 
-  public final int units;
-  public final Limits link;
+  public final int endpoints;
+  public final Limits connection;
 
   /** Bytes that may wait for a peer; a message that would come on top is dropped. */
   public final long peerUnsent;
@@ -121,12 +121,13 @@
     open = limits.count("open");
     openPerClient = limits.count("open-per-client");
     clients = limits.count("clients");
-    units = limits.count("units");
+    endpoints = limits.count("units");
     if (limits.bytes("frame") < 1024 || limits.bytes("frame") > 1 << 30) {
       throw limits.wrong("frame may be 1KiB to 1024MiB, not " + limits.text("frame"));
     }
-    link = new Limits((int) limits.bytes("frame"), limits.bytes("unsent"), limits.span("beat"));
-    if (link.unsent() < link.frame()) {
+    connection =
+        new Limits((int) limits.bytes("frame"), limits.bytes("unsent"), limits.span("beat"));
+    if (connection.unsent() < connection.frame()) {
       throw limits.wrong("unsent must hold one frame, " + limits.text("frame"));
     }
     atLeast(limits, "beat", TimeSpan.ofMs(10));
@@ -286,8 +287,8 @@
     for (Node method : site.all("method")) {
       draft.methods.add(method(method, draft.methods.size()));
     }
-    for (Node customer : site.all("customer")) {
-      draft.customerShares.add(customer.number("share"));
+    for (Node tenant : site.all("customer")) {
+      draft.tenantShares.add(tenant.number("share"));
     }
     for (Node stage : site.all("stage")) {
       draft.caps.add(stage.number("cap"));
@@ -317,7 +318,7 @@
       draft.oneWayKeys = rules.flag("one-way-keys");
     }
     Node allowed = site.child("allowed");
-    draft.maxPicks = allowed.count("picks");
+    draft.maxAttempts = allowed.count("picks");
     draft.secondCopies = allowed.flag("second-copies");
     draft.cancel = allowed.flag("cancel");
     draft.peers = allowed.flag("peers");
--- a/src/main/java/sprucerock/config/settings/SettingsText.java
+++ b/src/main/java/sprucerock/config/settings/SettingsText.java
@@ -50,7 +50,7 @@
     draft.startShare = number("obligations.start_capacity");
     draft.tipAfter = span("obligations.tip_after");
     draft.tipMultiple = number("obligations.tip_multiple");
-    draft.maxPicks = (int) number("permissions.send_cap");
+    draft.maxAttempts = (int) number("permissions.send_cap");
     draft.secondCopies = text("permissions.second_copies").equals("true");
     draft.cancel = text("permissions.cancel").equals("true");
     draft.peers = text("permissions.peers").equals("true");
@@ -115,7 +115,7 @@
   private void addShares(Settings.Draft draft) {
     int count = (int) optional("orgs.count", 0);
     for (int i = 0; i < count; i++) {
-      draft.customerShares.add(optional("orgs." + i + ".share", 1.0 / count));
+      draft.tenantShares.add(optional("orgs." + i + ".share", 1.0 / count));
     }
   }
 
--- a/src/main/java/sprucerock/controller/Codec.java
+++ b/src/main/java/sprucerock/controller/Codec.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 import sprucerock.controller.deployment.DeploymentManager;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.v1.Ballot;
 import sprucerock.controller.v1.Delivery;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.State;
-import sprucerock.controller.maintenance.MaintenanceWindows;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * Between the core and what is kept of it on disk: inputs are applied from their records, a state
@@ -21,7 +21,8 @@
    * What an input came to, for whoever brought it: an {@code Answer}, a {@code Taken}, an
    * operator's refusal, or null.
    */
-  static Object apply(RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes, Input input) {
+  static Object apply(
+      RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes, Input input) {
     Timestamp now = Timestamp.ofMs(input.getAtMs());
     long wall = input.getWallMs();
     Object answer =
@@ -62,7 +63,8 @@
           }
           case RESTARTED -> {
             core.restarted(input.getRestarted().getDownMs(), now, wall);
-            changes.restarted(TimeSpan.ofMs(Math.max(0, input.getRestarted().getDownMs())), now, wall);
+            changes.restarted(
+                TimeSpan.ofMs(Math.max(0, input.getRestarted().getDownMs())), now, wall);
             yield null;
           }
           case DELIVERED -> {
@@ -87,7 +89,8 @@
     return answer;
   }
 
-  static State write(RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes, long atMs) {
+  static State write(
+      RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes, long atMs) {
     State.Builder state =
         State.newBuilder()
             .setAtMs(atMs)
@@ -108,7 +111,7 @@
               .setSinceMs(ms(one.since))
               .setHeldMs((long) one.heldFor.ms())
               .setHeld(one.held)
-              .setUnits(one.units)
+              .setUnits(one.endpoints)
               .setClockRan(one.clockRan);
       if (one.clock != null) {
         release.setStageClockMs(ms(one.clock)).setHasClock(true);
@@ -163,7 +166,8 @@
     return Math.round(moment.ms());
   }
 
-  static void read(State state, RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes) {
+  static void read(
+      State state, RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes) {
     FreezeCodec.read(state.getFreezes(), freezes);
     ChangeCodec.read(state.getChanges(), changes);
     core.releases.clear();
@@ -178,7 +182,7 @@
       release.stage = one.getStage();
       release.heldFor = TimeSpan.ofMs(one.getHeldMs());
       release.held = one.getHeld();
-      release.units = one.getUnits();
+      release.endpoints = one.getUnits();
       release.clockRan = one.getClockRan();
       if (one.getHasClock()) {
         release.clock = Timestamp.ofMs(one.getStageClockMs());
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -7,13 +7,13 @@
 import java.util.function.Consumer;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.DeploymentPlan;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.Restarted;
 import sprucerock.controller.v1.State;
 import sprucerock.controller.v1.Tick;
-import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.time.Timestamp;
 
 /**
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -49,7 +49,8 @@
    * One in a folder of the machine's; {@code holder} names this process among all that may hold it.
    */
   public static FileLeadership in(
-      java.nio.file.Path folder, Engine.Clock clock, TimeSpan time, String holder) throws IOException {
+      java.nio.file.Path folder, Engine.Clock clock, TimeSpan time, String holder)
+      throws IOException {
     return new FileLeadership(new FileStorage(folder), clock, time, holder);
   }
 
--- a/src/main/java/sprucerock/controller/FreezeCodec.java
+++ b/src/main/java/sprucerock/controller/FreezeCodec.java
@@ -1,12 +1,12 @@
 package sprucerock.controller;
 
+import sprucerock.controller.maintenance.FreezeNotes;
+import sprucerock.controller.maintenance.MaintenanceWindow;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.v1.FamiliesWorth;
 import sprucerock.controller.v1.FreezeMemory;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.OfFreeze;
-import sprucerock.controller.maintenance.MaintenanceWindow;
-import sprucerock.controller.maintenance.FreezeNotes;
-import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.hardware.LeastSquaresFit;
 import sprucerock.hardware.Model;
 
--- a/src/main/java/sprucerock/controller/Rollout.java
+++ b/src/main/java/sprucerock/controller/Rollout.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** One build on its way through the stages, with every step and its cause. */
 public final class Rollout {
@@ -60,7 +60,7 @@
   boolean clockRan = true;
 
   Timestamp clockStopped;
-  int units;
+  int endpoints;
   private final List<Step> steps = new ArrayList<>();
 
   Rollout(int build, String artifact, Timestamp now) {
@@ -87,7 +87,7 @@
 
   /** Units of it that were told to be there. */
   public int units() {
-    return units;
+    return endpoints;
   }
 
   /** The transitions so far; of very many the first and the last ones. */
--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 import sprucerock.controller.Rollout.Standing;
 import sprucerock.controller.Rollout.Step;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * The releases of one fleet: what announcements, votes, operators and the time that passes make of
@@ -282,8 +282,8 @@
       found.add("its time of going back to be over");
     }
     boolean running = open.standing == Standing.STARTING || open.standing == Standing.ON_TRIAL;
-    if (running && open.units < wanted(open.stage)) {
-      found.add("units: " + open.units + " of " + wanted(open.stage) + " are there");
+    if (running && open.endpoints < wanted(open.stage)) {
+      found.add("units: " + open.endpoints + " of " + wanted(open.stage) + " are there");
     }
     if (open.standing != Standing.ON_TRIAL || open.clock == null) {
       return found;
@@ -459,7 +459,8 @@
   }
 
   /** An operator's word, which is stronger than votes; says why it has no effect, or null. */
-  public String word(Action action, int build, String who, String reason, Timestamp now, long wall) {
+  public String word(
+      Action action, int build, String who, String reason, Timestamp now, long wall) {
     wallMs = wall;
     Rollout release = releases.get(build);
     if (release == null) {
@@ -516,13 +517,13 @@
   }
 
   /** So many units of a build are there. */
-  public void ready(int build, int units, Timestamp now, long wall) {
+  public void ready(int build, int endpoints, Timestamp now, long wall) {
     wallMs = wall;
     Rollout release = releases.get(build);
     if (release == null) {
       return;
     }
-    release.units = units;
+    release.endpoints = endpoints;
     settle(now);
   }
 
@@ -559,7 +560,7 @@
   /** Whether a tick now would change anything: only then is it worth recording. */
   public boolean due(Timestamp now) {
     return switch (present.standing) {
-      case STARTING -> startIsOver(now) || !present.held && present.units >= wanted(0);
+      case STARTING -> startIsOver(now) || !present.held && present.endpoints >= wanted(0);
       case GOING_BACK -> now.since(present.since).over(rules.goingBack());
       case ON_TRIAL ->
           startIsOver(now)
@@ -605,20 +606,20 @@
       countHeld(now);
       present.clockRan = clockRuns(now);
     }
-    if (present.standing == Standing.STARTING && !present.held && present.units >= wanted(0)) {
-      step(present, Standing.ON_TRIAL, 0, present.units + " units are there", now);
+    if (present.standing == Standing.STARTING && !present.held && present.endpoints >= wanted(0)) {
+      step(present, Standing.ON_TRIAL, 0, present.endpoints + " units are there", now);
       present.clock = now;
     }
     if (present.standing == Standing.ON_TRIAL
         && present.clock == null
-        && present.units >= wanted(present.stage)) {
+        && present.endpoints >= wanted(present.stage)) {
       present.clock = now;
     }
     if ((present.standing == Standing.STARTING || present.standing == Standing.ON_TRIAL)
         && startIsOver(now)) {
       goBack(
           present,
-          "its units did not start: " + present.units + " of " + wanted(present.stage),
+          "its units did not start: " + present.endpoints + " of " + wanted(present.stage),
           now);
     } else if (present.standing == Standing.ON_TRIAL && count(Say.BACK, now) >= rules.back()) {
       goBack(present, "votes to go back of relays " + standing(Say.BACK, now), now);
@@ -649,7 +650,7 @@
     } else {
       step(present, Standing.ON_TRIAL, present.stage + 1, cause, now);
     }
-    present.clock = !last && present.units >= wanted(present.stage) ? now : null;
+    present.clock = !last && present.endpoints >= wanted(present.stage) ? now : null;
   }
 
   private void goBack(Rollout release, String cause, Timestamp now) {
--- a/src/main/java/sprucerock/controller/Watcher.java
+++ b/src/main/java/sprucerock/controller/Watcher.java
@@ -6,15 +6,15 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
+import sprucerock.controller.comparison.Comparison;
+import sprucerock.controller.comparison.Level;
+import sprucerock.controller.comparison.MatchedWindows;
+import sprucerock.controller.comparison.Window;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.DeploymentPlan;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Verdict;
-import sprucerock.controller.comparison.Comparison;
-import sprucerock.controller.comparison.MatchedWindows;
-import sprucerock.controller.comparison.Level;
-import sprucerock.controller.comparison.Window;
 
 /**
  * Holds relays that were moved beside those restarted with them, by the sums that their agents
@@ -130,7 +130,8 @@
           under == null
               ? null
               : new Comparison(
-                  FALSE_ALARM, plan.stages().stream().mapToDouble(DeploymentPlan.Stage::harm).toArray());
+                  FALSE_ALARM,
+                  plan.stages().stream().mapToDouble(DeploymentPlan.Stage::harm).toArray());
       if (under == null) {
         level.over();
       }
@@ -186,7 +187,8 @@
       }
     }
     boolean looks =
-        of != null && (of.state() == Deployment.State.MOVING || of.state() == Deployment.State.WATCHED);
+        of != null
+            && (of.state() == Deployment.State.MOVING || of.state() == Deployment.State.WATCHED);
     if (!looks) {
       return;
     }
--- a/src/main/java/sprucerock/controller/comparison/Comparison.java
+++ b/src/main/java/sprucerock/controller/comparison/Comparison.java
@@ -4,10 +4,10 @@
 
 /**
  * Old and new side by side, answered as data come and looked at as often as one likes. Each look at
- * a {@link MatchedWindows} is one bet a measure that what has changed is worse by more than the margin;
- * beside it run bets that it is not worse by a stated harm. It knows neither relays nor versions by
- * name, and no clock. What it can't see: harm that both sides suffer alike, which is the {@link
- * Level}'s to find.
+ * a {@link MatchedWindows} is one bet a measure that what has changed is worse by more than the
+ * margin; beside it run bets that it is not worse by a stated harm. It knows neither relays nor
+ * versions by name, and no clock. What it can't see: harm that both sides suffer alike, which is
+ * the {@link Level}'s to find.
  */
 public final class Comparison {
   public enum Answer {
--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -43,7 +43,8 @@
    * @param sequence of all steps of all changes, from 1
    * @param wallMs the machine's clock then, for people
    */
-  public record Step(long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
+  public record Step(
+      long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
 
   static final int MOST_STEPS =
       100; // a change has a dozen; a flapping hand should not fill the disk
@@ -82,7 +83,8 @@
 
   private final List<Step> steps = new ArrayList<>();
 
-  Deployment(long number, String who, String why, Version from, Version to, boolean live, Timestamp now) {
+  Deployment(
+      long number, String who, String why, Version from, Version to, boolean live, Timestamp now) {
     this.number = number;
     this.who = who;
     this.why = why;
--- a/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import sprucerock.controller.deployment.Deployment.State;
 import sprucerock.controller.deployment.Deployment.Step;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * What the relays of a fleet run, and how that changes: proposed, read through by every agent,
@@ -319,7 +319,8 @@
    * Somebody proposes what relays are to run, {@code live}: without a restart; says why it is not
    * taken, or null.
    */
-  public String propose(String who, String why, Version to, boolean live, Timestamp now, long wall) {
+  public String propose(
+      String who, String why, Version to, boolean live, Timestamp now, long wall) {
     wallMs = wall;
     Version from = usual();
     if (from.equals(Version.NONE)) {
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -87,8 +87,8 @@
             || down.contains(rack.name())) {
           continue;
         }
-        for (Map.Entry<Integer, Double> units : rack.units().entrySet()) {
-          double worth = worth(needs, units.getKey(), units.getValue());
+        for (Map.Entry<Integer, Double> endpoints : rack.endpoints().entrySet()) {
+          double worth = worth(needs, endpoints.getKey(), endpoints.getValue());
           if (Double.isNaN(worth)) {
             unknown.add(rack.name());
           } else {
@@ -118,12 +118,12 @@
     return null;
   }
 
-  private double worth(Forecast needs, int family, double units) {
+  private double worth(Forecast needs, int family, double endpoints) {
     if (family == needs.family()) {
-      return units;
+      return endpoints;
     }
     return translation == null
         ? Double.NaN
-        : translation.counted(needs.method(), units, family, needs.family()).units();
+        : translation.counted(needs.method(), endpoints, family, needs.family()).endpoints();
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -73,7 +73,10 @@
    */
   long boundBy;
 
-  /** When time alone makes its next step; kept by {@link MaintenanceWindows}, which finds it by that. */
+  /**
+   * When time alone makes its next step; kept by {@link MaintenanceWindows}, which finds it by
+   * that.
+   */
   long dueMs = Long.MAX_VALUE;
 
   /** The longest of its racks', once it was asked for; below 0: not yet. */
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -51,7 +51,8 @@
   private static final int MOST_KEPT =
       2000; // with those that are over, of which the oldest go first
   private static final Comparator<MaintenanceWindow> BY_BEGIN =
-      Comparator.<MaintenanceWindow>comparingLong(one -> one.from).thenComparingLong(one -> one.number);
+      Comparator.<MaintenanceWindow>comparingLong(one -> one.from)
+          .thenComparingLong(one -> one.number);
 
   private final Rules rules;
   private final CapacityCheck room;
@@ -63,7 +64,8 @@
       new HashMap<>(); // by rack, by when they begin
   private final TreeSet<MaintenanceWindow> timed =
       new TreeSet<>(
-          Comparator.<MaintenanceWindow>comparingLong(one -> one.dueMs).thenComparingLong(one -> one.number));
+          Comparator.<MaintenanceWindow>comparingLong(one -> one.dueMs)
+              .thenComparingLong(one -> one.number));
   private final TreeSet<MaintenanceWindow> bound = new TreeSet<>(BY_BEGIN); // all that bind
   private final TreeMap<Long, MaintenanceWindow> draining = new TreeMap<>();
   private final long longestMs;
@@ -272,7 +274,9 @@
     if (!freeze.state.open() || freeze.state == MaintenanceWindow.State.ENDING) {
       return "freeze " + number + " is over or as good as over: " + freeze.state;
     }
-    boolean began = freeze.state == MaintenanceWindow.State.IN_FORCE || freeze.state == MaintenanceWindow.State.DRAINING;
+    boolean began =
+        freeze.state == MaintenanceWindow.State.IN_FORCE
+            || freeze.state == MaintenanceWindow.State.DRAINING;
     if (began) {
       freeze.to = Math.min(freeze.to, nowMs);
     }
@@ -554,7 +558,8 @@
     return room;
   }
 
-  private void step(MaintenanceWindow freeze, MaintenanceWindow.State to, String cause, long nowMs) {
+  private void step(
+      MaintenanceWindow freeze, MaintenanceWindow.State to, String cause, long nowMs) {
     leave(freeze);
     freeze.state = to;
     enter(freeze);
--- a/src/main/java/sprucerock/controller/maintenance/Rack.java
+++ b/src/main/java/sprucerock/controller/maintenance/Rack.java
@@ -11,4 +11,5 @@
  * @param noticeMs how far ahead relays are promised that it will not be frozen; a relay that hears
  *     nothing for so long stops placing there
  */
-public record Rack(String name, int zone, int cell, Map<Integer, Double> units, long noticeMs) {}
+public record Rack(
+    String name, int zone, int cell, Map<Integer, Double> endpoints, long noticeMs) {}
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -8,23 +8,23 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.controller.Watcher;
+import sprucerock.controller.comparison.Window;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
-import sprucerock.controller.comparison.Window;
-import sprucerock.controller.Watcher;
 import sprucerock.controller.v1.Checked;
 import sprucerock.controller.v1.Failed;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.Judged;
 import sprucerock.controller.v1.Room;
 import sprucerock.controller.v1.Silent;
-import sprucerock.transport.net.Net;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -69,7 +69,8 @@
   private final Deque<Waiting> fetches = new ArrayDeque<>();
   private Net.Listener listener;
 
-  AgentListener(Net net, ControllerConfig config, Tap tap, ControllerServer desk, ArtifactStore vault) {
+  AgentListener(
+      Net net, ControllerConfig config, Tap tap, ControllerServer desk, ArtifactStore vault) {
     this.net = net;
     this.config = config;
     this.tap = tap;
@@ -96,7 +97,7 @@
             limits.unsent(),
             () -> {
               Session session = new Session();
-              session.link =
+              session.connection =
                   new FrameConnection(
                       net,
                       Hello.newBuilder()
@@ -107,7 +108,7 @@
                       limits,
                       tap,
                       session);
-              return session.link;
+              return session.connection;
             });
     look();
     net.at(net.now().plus(WINDOW), this::window);
@@ -118,7 +119,7 @@
   void stop() {
     listener.close();
     for (Session session : java.util.List.copyOf(sessions.values())) {
-      session.link.finish();
+      session.connection.finish();
     }
   }
 
@@ -164,10 +165,10 @@
     int most = (int) Math.max(1, config.piecesASecond * PUMP.ms() / 1000);
     for (int i = fetches.size(); i > 0 && most > 0; i--) {
       Waiting next = fetches.pollFirst();
-      if (!next.session.link.usable()) {
+      if (!next.session.connection.usable()) {
         continue;
       }
-      if (next.session.link.unsent() > PIECE) {
+      if (next.session.connection.unsent() > PIECE) {
         fetches.addLast(next); // it has not read the last one
         continue;
       }
@@ -210,7 +211,7 @@
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection link;
+    private FrameConnection connection;
     private int number;
     private Timestamp heard;
     private AgentSays last;
@@ -224,7 +225,7 @@
       number = other.getNumber();
       Session before = sessions.put(number, this);
       if (before != null) {
-        before.link.cut("another agent came under number " + number);
+        before.connection.cut("another agent came under number " + number);
       }
       heard = net.now();
       absent.back(number);
@@ -245,7 +246,7 @@
             .setCheckProgram(waits.to.program())
             .setCheckSettings(waits.to.settings());
       }
-      link.send(Kind.WANTS, wants.build(), NO_BODY);
+      connection.send(Kind.WANTS, wants.build(), NO_BODY);
     }
 
     @Override
@@ -258,7 +259,7 @@
           fetches.addLast(new Waiting(this, (Fetch) head)); // else it asks again
         }
       } else {
-        link.cut("a controller takes no " + kind + " of an agent");
+        connection.cut("a controller takes no " + kind + " of an agent");
       }
     }
 
@@ -302,7 +303,7 @@
               outcome -> {});
         }
       } catch (IllegalArgumentException e) {
-        link.cut(e.getMessage());
+        connection.cut(e.getMessage());
         return;
       }
       if (says.getEpoch() > desk.engine().releases().epoch()) {
@@ -346,7 +347,7 @@
       } catch (IOException e) {
         log.error("VERSIONS {} can't be read: {}", fetch.getDigest(), e.getMessage());
       }
-      link.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
+      connection.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
     }
 
     @Override
--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.Node;
 import sprucerock.controller.RolloutRules;
-import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.maintenance.CapacityCheck;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.maintenance.Rack;
 import sprucerock.time.TimeSpan;
 
@@ -230,9 +230,9 @@
     Map<String, Rack> racks = new TreeMap<>();
     Set<Integer> places = new java.util.HashSet<>();
     for (Node one : node.all("rack")) {
-      Map<Integer, Double> units = new TreeMap<>();
+      Map<Integer, Double> endpoints = new TreeMap<>();
       for (Node some : one.all("units")) {
-        if (units.put(some.count("kind"), (double) some.count("count")) != null) {
+        if (endpoints.put(some.count("kind"), (double) some.count("count")) != null) {
           throw some.wrong("kind " + some.text("kind") + " is named twice");
         }
       }
@@ -241,7 +241,7 @@
               one.text("name"),
               one.count("zone"),
               one.count("cell"),
-              units,
+              endpoints,
               (long) (one.has("notice") ? one : node).span("notice").ms());
       if (racks.put(rack.name(), rack) != null) {
         throw one.wrong("two racks have one name");
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -13,25 +13,25 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucerock.controller.deployment.Deployment;
-import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.controller.Engine;
 import sprucerock.controller.FileLeadership;
-import sprucerock.controller.Rollout;
 import sprucerock.controller.Leadership;
 import sprucerock.controller.LeadershipMark;
-import sprucerock.controller.v1.Delivered;
-import sprucerock.controller.v1.FreezeCleared;
-import sprucerock.controller.v1.Input;
+import sprucerock.controller.Rollout;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.maintenance.PlacementGrants;
+import sprucerock.controller.v1.Delivered;
+import sprucerock.controller.v1.FreezeCleared;
+import sprucerock.controller.v1.Input;
 import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Tap;
 
 /**
@@ -69,7 +69,8 @@
    *
    * @throws Exception if a file is damaged or an address can't be had; the message says which
    */
-  public ControllerServer(ControllerConfig config, Engine.Clock clock, Tap tap, Runnable replaced) throws Exception {
+  public ControllerServer(ControllerConfig config, Engine.Clock clock, Tap tap, Runnable replaced)
+      throws Exception {
     this.replaced = replaced;
     this.config = config;
     String holder =
@@ -462,7 +463,8 @@
           if (granter != null) {
             granter.stop();
           }
-          loop.at(loop.now().plus(TimeSpan.ofMs(100)), gone::countDown); // what was given back goes out
+          loop.at(
+              loop.now().plus(TimeSpan.ofMs(100)), gone::countDown); // what was given back goes out
         });
     try {
       gone.await();
--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * Agents that are not linked, those first that were heard longest ago: who has been away for too
--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -28,15 +28,16 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.xnio.Options;
-import sprucerock.controller.deployment.Deployment;
-import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.Version;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.controller.Engine;
 import sprucerock.controller.Rollout;
 import sprucerock.controller.RolloutManager;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.deployment.Version;
+import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.v1.Announced;
 import sprucerock.controller.v1.ChangeWord;
 import sprucerock.controller.v1.FreezeWanted;
@@ -46,7 +47,6 @@
 import sprucerock.controller.v1.RackSays;
 import sprucerock.controller.v1.Ready;
 import sprucerock.controller.v1.Word;
-import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.LeaseEntry;
 import sprucerock.transport.wire.v1.LeaseListed;
@@ -372,16 +372,17 @@
                     outcome -> done(exchange, outcome)));
       }
     } else if (path.length == 2 && path[0].equals("fleet")) {
-      int units = body.path("units").asInt(-1);
+      int endpoints = body.path("units").asInt(-1);
       int build = number(path[1]);
-      if (units < 0 || build < 1) {
+      if (endpoints < 0 || build < 1) {
         answer(exchange, 400, "no_units", "{\"units\": n} is needed");
       } else {
         onLoop(
             exchange,
             () ->
                 desk.submit(
-                    Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(units)),
+                    Input.newBuilder()
+                        .setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints)),
                     outcome -> done(exchange, outcome)));
       }
     } else if (path.length == 3
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -9,9 +9,9 @@
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.FamiliesWorth;
 import sprucerock.controller.v1.Input;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -62,7 +62,7 @@
             limits.unsent(),
             () -> {
               Session session = new Session();
-              session.link =
+              session.connection =
                   new FrameConnection(
                       net,
                       Hello.newBuilder()
@@ -73,7 +73,7 @@
                       limits,
                       tap,
                       session);
-              return session.link;
+              return session.connection;
             });
     push();
     return listener.address();
@@ -82,7 +82,7 @@
   void stop() {
     listener.close();
     for (Session session : Set.copyOf(sessions)) {
-      session.link.finish();
+      session.connection.finish();
     }
   }
 
@@ -90,7 +90,7 @@
   Set<Integer> relays() {
     Set<Integer> found = new java.util.TreeSet<>();
     for (Session session : sessions) {
-      found.add(session.link.other().getNumber());
+      found.add(session.connection.other().getNumber());
     }
     return found;
   }
@@ -112,7 +112,7 @@
    */
   void promisesChanged() {
     for (Session session : sessions) {
-      session.link.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
+      session.connection.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
     }
   }
 
@@ -137,7 +137,7 @@
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection link;
+    private FrameConnection connection;
     private Timers.Timer behind;
 
     @Override
@@ -154,7 +154,8 @@
       if (behind != null) {
         return;
       }
-      if (link.unsent() > config.unsent / 2) { // it does not read: the newest is told when it does
+      if (connection.unsent()
+          > config.unsent / 2) { // it does not read: the newest is told when it does
         behind =
             net.at(
                 net.now().plus(TimeSpan.ofMs(100)),
@@ -166,7 +167,7 @@
                 });
         return;
       }
-      link.send(Kind.NEWS, news(), NO_BODY);
+      connection.send(Kind.NEWS, news(), NO_BODY);
     }
 
     @Override
@@ -180,7 +181,7 @@
         return;
       }
       if (kind != Kind.VOTE) {
-        link.cut("a controller takes no " + kind);
+        connection.cut("a controller takes no " + kind);
         return;
       }
       Vote vote = (Vote) head;
@@ -192,7 +193,7 @@
             case BACK -> RolloutManager.Say.BACK;
             default -> null;
           };
-      if (say == null || link.other().getNumber() < 0) {
+      if (say == null || connection.other().getNumber() < 0) {
         answer(vote, Taken.FAILED_TO_TAKE);
         return;
       }
@@ -200,7 +201,7 @@
           Input.newBuilder()
               .setCast(
                   Cast.newBuilder()
-                      .setRelay(link.other().getNumber())
+                      .setRelay(connection.other().getNumber())
                       .setBuild(vote.getBuild())
                       .setStage(vote.getStage())
                       .setSay(say.name())),
@@ -226,7 +227,7 @@
             Input.newBuilder().setWorth(FamiliesWorth.parseFrom(told.toByteArray())),
             outcome -> {});
       } catch (com.google.protobuf.InvalidProtocolBufferException e) {
-        link.cut("what hardware is worth can't be read");
+        connection.cut("what hardware is worth can't be read");
       }
     }
 
@@ -236,7 +237,7 @@
      */
     private void promise(PromiseAsk ask) {
       long now = desk.engine().freezes().later(desk.engine().wallMs());
-      desk.promises().asked(link.other().getNumber(), ask.getHolds(), now);
+      desk.promises().asked(connection.other().getNumber(), ask.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(ask.getId())
@@ -245,12 +246,12 @@
       racks.into(promised, ask.getList(), desk.promises().shorter(now));
       desk.lookAtFreezes();
       if (ask.getId() > 0 && desk.holdsSeat()) {
-        link.send(Kind.PROMISED, promised.build(), NO_BODY);
+        connection.send(Kind.PROMISED, promised.build(), NO_BODY);
       }
     }
 
     private void answer(Vote vote, Taken taken) {
-      link.send(
+      connection.send(
           Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
     }
 
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -57,7 +57,12 @@
 
   /** {@code window}: by how much a sender's clock may differ. */
   public static Verdict check(
-      Form form, Headers headers, byte[] body, List<byte[]> secrets, long nowSeconds, TimeSpan window) {
+      Form form,
+      Headers headers,
+      byte[] body,
+      List<byte[]> secrets,
+      long nowSeconds,
+      TimeSpan window) {
     boolean named =
         headers.id != null
             && !headers.id.isEmpty()
--- a/src/main/java/sprucerock/hardware/LeastSquaresFit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -185,7 +185,7 @@
       for (int f = 0; f < families.size(); f++) {
         precision[f][f] += 1 / (PRIOR * PRIOR);
         for (int m = 0; m < methods.size(); m++) {
-          link(precision, f, node(f, m), 1 / tau);
+          connection(precision, f, node(f, m), 1 / tau);
         }
       }
       Map<Integer, List<Integer>> groups = new TreeMap<>();
@@ -251,7 +251,7 @@
         number, newest, families, methods, times, cores(), Math.max(3, free - families.size()));
   }
 
-  private static void link(double[][] precision, int a, int b, double by) {
+  private static void connection(double[][] precision, int a, int b, double by) {
     precision[a][a] += by;
     precision[b][b] += by;
     precision[a][b] -= by;
--- a/src/main/java/sprucerock/hardware/Observation.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -26,7 +26,8 @@
     if (!windows.isEmpty() && tally.window() <= windows.lastKey() - WINDOWS) {
       return false;
     }
-    Map<Integer, SampleSums> window = windows.computeIfAbsent(tally.window(), any -> new TreeMap<>());
+    Map<Integer, SampleSums> window =
+        windows.computeIfAbsent(tally.window(), any -> new TreeMap<>());
     SampleSums before = window.get(tally.relay());
     if (before != null ? before.count() >= tally.count() : window.size() >= MOST_RELAYS) {
       return false;
--- a/src/main/java/sprucerock/hardware/Translation.java
+++ b/src/main/java/sprucerock/hardware/Translation.java
@@ -25,9 +25,9 @@
    *
    * @param units NaN where the limit is TIME (no number of them helps) or NOT_KNOWN
    */
-  public record Answer(double units, Limit limit, String why) {
+  public record Answer(double endpoints, Limit limit, String why) {
     public boolean known() {
-      return !Double.isNaN(units);
+      return !Double.isNaN(endpoints);
     }
   }
 
@@ -58,18 +58,18 @@
    * How many units of {@code to} bear for certain what so many of {@code from} bear, with {@code
    * method} in most of the work.
    */
-  public Answer needed(int method, double units, int from, int to) {
-    return translated(method, units, from, to, 1);
+  public Answer needed(int method, double endpoints, int from, int to) {
+    return translated(method, endpoints, from, to, 1);
   }
 
   /** How many units of {@code to} so many of {@code from} surely stand for. */
-  public Answer counted(int method, double units, int from, int to) {
-    return translated(method, units, from, to, -1);
+  public Answer counted(int method, double endpoints, int from, int to) {
+    return translated(method, endpoints, from, to, -1);
   }
 
-  private Answer translated(int method, double units, int from, int to, int side) {
+  private Answer translated(int method, double endpoints, int from, int to, int side) {
     if (from == to) {
-      return new Answer(units, Limit.NOTHING, "");
+      return new Answer(endpoints, Limit.NOTHING, "");
     }
     Model.Estimate capacity = model.capacity(method, from, to);
     if (capacity == null) {
@@ -101,7 +101,7 @@
         limit = Limit.SLOTS;
       }
     }
-    return new Answer(units * most, limit, "");
+    return new Answer(endpoints * most, limit, "");
   }
 
   private static Answer unknown(int family, String why) {
@@ -126,7 +126,7 @@
    * The same as {@link #needed}, for work that has to be done within a time: slower units may be no
    * good in any number.
    */
-  public Answer needed(int method, double units, int from, int to, double ms, double withinMs) {
+  public Answer needed(int method, double endpoints, int from, int to, double ms, double withinMs) {
     double longest = atMost(method, ms, from, to);
     if (Double.isNaN(longest)) {
       return unknown(to, "is not known well enough beside " + from);
@@ -143,7 +143,7 @@
               to,
               withinMs));
     }
-    return needed(method, units, from, to);
+    return needed(method, endpoints, from, to);
   }
 
   public double confidence() {
--- a/src/main/java/sprucerock/lab/HollowFleet.java
+++ b/src/main/java/sprucerock/lab/HollowFleet.java
@@ -20,14 +20,14 @@
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.AgentConfig;
 import sprucerock.agent.ControllerClient;
-import sprucerock.controller.deployment.Version;
+import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.controller.deployment.Version;
 import sprucerock.stats.DeterministicRandom;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.nio.NioLoop;
 
 /**
  * One hollow process: relays and their agents, all on one loop, under the words of whoever started
@@ -86,7 +86,12 @@
               agentsLinks,
               (says, fails, consumers) ->
                   new HollowMachine(
-                      loop, new DeterministicRandom(~relay.seed ^ number), first, says, fails, consumers)));
+                      loop,
+                      new DeterministicRandom(~relay.seed ^ number),
+                      first,
+                      says,
+                      fails,
+                      consumers)));
     }
   }
 
@@ -144,7 +149,7 @@
       case "start" -> start();
       case "status" ->
           answer
-              .put("linked", relays.stream().filter(HollowRelay::linked).count())
+              .put("linked", relays.stream().filter(HollowRelay::connected).count())
               .put("votes_open", relays.stream().mapToLong(HollowRelay::votesOpen).sum());
       case "begin" -> begin();
       case "expect" -> {
@@ -244,10 +249,10 @@
   }
 
   private void report(ObjectNode answer) {
-    ArrayNode links = answer.putArray("links");
-    controller.tell(links);
-    agentsLinks.tell(links);
-    granters.tell(links);
+    ArrayNode connections = answer.putArray("links");
+    controller.tell(connections);
+    agentsLinks.tell(connections);
+    granters.tell(connections);
     long cast = 0;
     long counted = 0;
     long refused = 0;
@@ -259,7 +264,7 @@
       one.votesTook().forEach(took::add);
     }
     answer
-        .put("linked", relays.stream().filter(HollowRelay::linked).count())
+        .put("linked", relays.stream().filter(HollowRelay::connected).count())
         .put("votes_cast", cast)
         .put("votes_counted", counted)
         .put("votes_refused", refused)
--- a/src/main/java/sprucerock/lab/HollowMachine.java
+++ b/src/main/java/sprucerock/lab/HollowMachine.java
@@ -5,10 +5,10 @@
 import sprucerock.agent.AgentState;
 import sprucerock.agent.RelaySupervisor;
 import sprucerock.controller.deployment.Version;
-import sprucerock.transport.net.Net;
 import sprucerock.stats.DeterministicRandom;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.Map;
 import org.slf4j.helpers.NOPLogger;
+import sprucerock.accounting.RequestTracker;
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.LeaseCheck;
 import sprucerock.lease.Leases;
-import sprucerock.accounting.RequestTracker;
-import sprucerock.model.VoteReply;
 import sprucerock.model.RolloutState;
 import sprucerock.model.Verdict;
-import sprucerock.transport.net.Net;
-import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.model.VoteReply;
+import sprucerock.relay.engine.EventLog;
 import sprucerock.relay.frames.ControllerConnection;
 import sprucerock.relay.frames.RackPermits;
-import sprucerock.relay.engine.EventLog;
 import sprucerock.stats.DeterministicRandom;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Tap;
@@ -78,7 +78,7 @@
   private int lives;
   private long epoch;
   private long sequence;
-  private boolean linked;
+  private boolean connected;
   // what is waited for: an event, what is known already, and since when (microseconds of the
   // machine) it is in force; 0: not yet
   private Event event;
@@ -102,13 +102,14 @@
   /** As its process starts: with nothing known of its former life. */
   void start() {
     lives++;
-    linked = false;
+    connected = false;
     news = null;
     votesOut.clear();
     RequestTracker ledger = new RequestTracker(config.settings);
     ledger.tell(new UnresponsivePeer(this::news));
     EventLog events = new EventLog(net, NOPLogger.NOP_LOGGER);
-    DeterministicRandom chance = new DeterministicRandom(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
+    DeterministicRandom chance =
+        new DeterministicRandom(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
     Hello mine =
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
@@ -157,14 +158,14 @@
   }
 
   void stop() {
-    linked = false;
+    connected = false;
     desk.stop();
     racks.stop();
     leases.stop();
   }
 
-  boolean linked() {
-    return linked;
+  boolean connected() {
+    return connected;
   }
 
   /**
@@ -208,16 +209,16 @@
 
   /** As relay.Relay lets its clients in: once news and a first promise are there. */
   private void learnt() {
-    if (linked || !desk.told() || !racks.told()) {
+    if (connected || !desk.told() || !racks.told()) {
       return;
     }
-    linked = true;
+    connected = true;
     now(Event.LINKED);
   }
 
   /** Votes on what it was told of last; false where it was told of no trial. */
   boolean vote() {
-    if (news == null || news.standing() != RolloutState.ON_TRIAL || !linked) {
+    if (news == null || news.standing() != RolloutState.ON_TRIAL || !connected) {
       return false;
     }
     votesCast++;
@@ -282,8 +283,9 @@
   // What crosses the link to the controller.
 
   @Override
-  public void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body) {
-    controller.frame(link, out, kind, head, body);
+  public void frame(
+      FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body) {
+    controller.frame(connection, out, kind, head, body);
     if (kind == Kind.VOTE) {
       votesOut.put(((Vote) head).getId(), NioLoop.machineMicros());
     } else if (kind == Kind.VOTED) {
@@ -305,7 +307,7 @@
   }
 
   @Override
-  public void closed(FrameConnection link, String why) {
-    controller.closed(link, why);
+  public void closed(FrameConnection connection, String why) {
+    controller.closed(connection, why);
   }
 }
--- a/src/main/java/sprucerock/lab/LinkCounts.java
+++ b/src/main/java/sprucerock/lab/LinkCounts.java
@@ -27,14 +27,15 @@
   }
 
   @Override
-  public void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body) {
+  public void frame(
+      FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body) {
     Sum sum = sums.computeIfAbsent(kind + (out ? " in" : " out"), key -> new Sum());
     sum.messages++;
     sum.bytes += FrameConnection.size(head, body);
   }
 
   @Override
-  public void closed(FrameConnection link, String why) {
+  public void closed(FrameConnection connection, String why) {
     closed++;
   }
 
--- a/src/main/java/sprucerock/lab/ScaleRun.java
+++ b/src/main/java/sprucerock/lab/ScaleRun.java
@@ -53,7 +53,7 @@
    * @param seconds of each scene that are measured, 10 at least, behind some for the start
    */
   public record Plan(
-      int relays, int racks, int units, double seconds, List<Scene> scenes, long seed) {
+      int relays, int racks, int endpoints, double seconds, List<Scene> scenes, long seed) {
     public Plan {
       if (relays < 1 || relays > MOST_RELAYS) {
         throw new IllegalArgumentException("--relays is 1 to " + MOST_RELAYS + ", not " + relays);
@@ -61,9 +61,9 @@
       if (racks < 1 || racks > MOST_RACKS) {
         throw new IllegalArgumentException("--racks is 1 to " + MOST_RACKS + ", not " + racks);
       }
-      if (units < racks) {
+      if (endpoints < racks) {
         throw new IllegalArgumentException(
-            "--units is one a rack at least, " + racks + ", not " + units);
+            "--units is one a rack at least, " + racks + ", not " + endpoints);
       }
       if (scenes.isEmpty()) {
         throw new IllegalArgumentException("--scene names none");
@@ -268,7 +268,7 @@
               "" + Math.min(PER_PROCESS, plan.relays - from)));
     }
     tellAll("start");
-    until("all hollow relays are linked", () -> linked() == plan.relays);
+    until("all hollow relays are linked", () -> connected() == plan.relays);
   }
 
   /** What the scene needs that is not measured; then the measuring begins. */
@@ -349,7 +349,7 @@
     return answers;
   }
 
-  private int linked() throws IOException {
+  private int connected() throws IOException {
     return askAll("status").stream().mapToInt(one -> one.get("linked").asInt()).sum();
   }
 
@@ -399,14 +399,14 @@
                 < 300
             ? 0
             : 1);
-    int units = 0;
+    int endpoints = 0;
     for (JsonNode one : ask("GET", "/releases", null).body.path("releases")) {
       if (one.get("build").asInt() == build) {
-        units = one.get("units_wanted").asInt();
+        endpoints = one.get("units_wanted").asInt();
       }
     }
     long at = NioLoop.machineMicros();
-    Answer answer = ask("PUT", "/fleet/" + build, JSON.createObjectNode().put("units", units));
+    Answer answer = ask("PUT", "/fleet/" + build, JSON.createObjectNode().put("units", endpoints));
     if (answer.status != 200) {
       throw new IOException("the controller did not take the build's units: " + answer);
     }
@@ -606,7 +606,7 @@
     long at = NioLoop.machineMicros();
     startController("c" + ++lives);
     until("all hear the controller's new life", () -> missing() == 0);
-    until("all are linked", () -> linked() == plan.relays);
+    until("all are linked", () -> connected() == plan.relays);
     waitFor(plan.seconds);
     heard("control", at, plan.relays);
   }
@@ -678,7 +678,7 @@
         whyNot.add(one.name + " has ended");
       }
     }
-    Map<String, long[]> links = new TreeMap<>();
+    Map<String, long[]> connections = new TreeMap<>();
     List<Long> votes = new ArrayList<>();
     boolean stalled = scene == Scene.STALL;
     for (int i = 0; i < reports.size(); i++) {
@@ -709,20 +709,20 @@
       counts.merge("lag_p99_ms", report.get("lag_p99_us").asLong() / 1000, Math::max);
       counts.merge("lag_max_ms", report.get("lag_max_us").asLong() / 1000, Math::max);
       report.get("votes_took_us").forEach(took -> votes.add(took.asLong()));
-      for (JsonNode link : report.get("links")) {
+      for (JsonNode connection : report.get("links")) {
         long[] sum =
-            links.computeIfAbsent(
-                link.get("role").asText()
+            connections.computeIfAbsent(
+                connection.get("role").asText()
                     + " "
-                    + link.get("kind").asText()
+                    + connection.get("kind").asText()
                     + " "
-                    + link.get("direction").asText(),
+                    + connection.get("direction").asText(),
                 key -> new long[2]);
-        sum[0] += link.get("messages").asLong();
-        sum[1] += link.get("bytes").asLong();
+        sum[0] += connection.get("messages").asLong();
+        sum[1] += connection.get("bytes").asLong();
       }
     }
-    count("linked_at_end", linked());
+    count("linked_at_end", connected());
     count("refused", counts.getOrDefault("votes_refused", 0L));
     counts.putIfAbsent("reconnects", 0L);
     if (counts.getOrDefault("votes_cast", 0L) > 0) {
@@ -734,7 +734,7 @@
             .put("scene", scene.name().toLowerCase(Locale.ROOT))
             .put("relays", plan.relays)
             .put("racks", plan.racks)
-            .put("units", plan.units)
+            .put("units", plan.endpoints)
             .put("services", 1)
             .put("seconds", rounded(seconds))
             .put("kept_up", whyNot.isEmpty())
@@ -752,7 +752,7 @@
           .put("seconds", rounded(seconds));
     }
     ArrayNode list = result.putArray("links");
-    links.forEach(
+    connections.forEach(
         (key, sum) -> {
           String[] words = key.split(" ");
           list.addObject()
--- a/src/main/java/sprucerock/lab/ScaleSite.java
+++ b/src/main/java/sprucerock/lab/ScaleSite.java
@@ -144,7 +144,7 @@
       racks.append(
           String.format(
               "    <rack name=\"%s\" zone=\"%d\" cell=\"%d\"><units kind=\"0\" count=\"%d\"/></rack>%n",
-              rack(i), zone(i), cell(i), Math.max(1, plan.units() / plan.racks())));
+              rack(i), zone(i), cell(i), Math.max(1, plan.endpoints() / plan.racks())));
     }
     racks.append("  </racks>\n");
     Files.writeString(
@@ -164,7 +164,7 @@
             """,
             folder.resolve("store"),
             FIRST_BUILD,
-            plan.units(),
+            plan.endpoints(),
             host,
             relays,
             2 * plan.relays() + 100,
--- a/src/main/java/sprucerock/lab/UnresponsivePeer.java
+++ b/src/main/java/sprucerock/lab/UnresponsivePeer.java
@@ -1,16 +1,16 @@
 package sprucerock.lab;
 
 import java.util.function.Consumer;
-import sprucerock.policy.RelayEvents;
+import sprucerock.model.Attempt;
 import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
-import sprucerock.model.Attempt;
-import sprucerock.model.VoteReply;
-import sprucerock.model.Rpc;
 import sprucerock.model.RolloutState;
-import sprucerock.model.Endpoint;
-import sprucerock.time.Timestamp;
+import sprucerock.model.Rpc;
+import sprucerock.model.VoteReply;
+import sprucerock.policy.RelayEvents;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * The module of a hollow relay, which has no requests to decide on: of all it is told, only news is
@@ -27,15 +27,16 @@
   }
 
   @Override
-  public void newsOfBuild(Build build, int stage, RolloutState standing, double cap, Timestamp since) {
+  public void newsOfBuild(
+      Build build, int stage, RolloutState standing, double cap, Timestamp since) {
     news.accept(new Told(build, stage, standing));
   }
 
   @Override
-  public void unitReady(Endpoint unit) {}
+  public void endpointReady(Endpoint endpoint) {}
 
   @Override
-  public void unitLeaving(Endpoint unit) {}
+  public void endpointDraining(Endpoint endpoint) {}
 
   @Override
   public void listFailed() {}
@@ -44,22 +45,22 @@
   public void rpcArrived(Rpc rpc) {}
 
   @Override
-  public void streamStarted(Attempt pick) {}
+  public void streamStarted(Attempt attempt) {}
 
   @Override
-  public void pickEnded(Attempt pick, boolean answers) {}
+  public void attemptEnded(Attempt attempt, boolean answers) {}
 
   @Override
   public void clientLeft(Rpc rpc) {}
 
   @Override
-  public void counted(Build build, Method method, double picks, double failed, TimeSpan mean) {}
+  public void counted(Build build, Method method, double attempts, double failed, TimeSpan mean) {}
 
   @Override
-  public void flagged(Endpoint unit) {}
+  public void flagged(Endpoint endpoint) {}
 
   @Override
-  public void looked(Endpoint unit, boolean answered) {}
+  public void looked(Endpoint endpoint, boolean answered) {}
 
   @Override
   public void peerTold(int sender, byte[] contents) {}
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -14,5 +14,6 @@
  * @param heir to whom it was handed over, and is kept for until {@code until}; -1: to nobody
  */
 record Grant(long number, int holder, long life, Timestamp until, boolean open, int heir) {
-  static final Grant NONE = new Grant(0, -1, 0, Timestamp.ofMs(Double.NEGATIVE_INFINITY), false, -1);
+  static final Grant NONE =
+      new Grant(0, -1, 0, Timestamp.ofMs(Double.NEGATIVE_INFINITY), false, -1);
 }
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.config.LeaseConfig;
-import sprucerock.transport.net.Net;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -65,7 +65,7 @@
             new LeaseGrantor.Host() {
               @Override
               public void granted(int candidate, String name, long number, long round) {
-                asking.link.send(
+                asking.connection.send(
                     Kind.LEASE_SAID,
                     LeaseSaid.newBuilder()
                         .setName(name)
@@ -85,7 +85,7 @@
                   long highest,
                   TimeSpan left,
                   LeaseGrantor.Refusal why) {
-                asking.link.send(
+                asking.connection.send(
                     Kind.LEASE_SAID,
                     LeaseSaid.newBuilder()
                         .setName(name)
@@ -103,7 +103,7 @@
               public void freed(int candidate, String name) {
                 Session session = sessions.get(candidate);
                 if (session != null) {
-                  session.link.send(
+                  session.connection.send(
                       Kind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
                 }
               }
@@ -123,8 +123,8 @@
             Leases.LIMITS.unsent(),
             () -> {
               Session session = new Session();
-              session.link = new FrameConnection(net, mine, Leases.LIMITS, tap, session);
-              return session.link;
+              session.connection = new FrameConnection(net, mine, Leases.LIMITS, tap, session);
+              return session.connection;
             });
     log.info(
         "granter "
@@ -141,7 +141,7 @@
   public void stop() {
     listener.close();
     for (Session session : java.util.List.copyOf(sessions.values())) {
-      session.link.finish();
+      session.connection.finish();
     }
   }
 
@@ -151,7 +151,7 @@
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection link;
+    private FrameConnection connection;
     private int number = -1;
     private Timestamp second;
     private int inSecond;
@@ -183,8 +183,8 @@
               back.getHanded() ? back.getHeir() : -1,
               net.clock());
         }
-        case LEASE_LIST -> link.send(Kind.LEASE_LISTED, listed(), NO_BODY);
-        default -> link.cut("a granter takes no " + kind);
+        case LEASE_LIST -> connection.send(Kind.LEASE_LISTED, listed(), NO_BODY);
+        default -> connection.cut("a granter takes no " + kind);
       }
     }
 
@@ -200,7 +200,7 @@
       }
       // a candidate that counts other terms would trust in what nobody granted
       if (ask.getTermUs() != (long) (config.term().ms() * 1000)) {
-        link.cut(
+        connection.cut(
             "terms differ: leases/term is "
                 + Math.round(config.term().ms())
                 + " ms here and "
@@ -209,7 +209,8 @@
       } else if (ask.getName().isEmpty()
           || ask.getName().length() > MOST_NAME
           || ask.getNumber() <= 0) {
-        link.cut("a lease has a name of 1 to " + MOST_NAME + " characters and a number above 0");
+        connection.cut(
+            "a lease has a name of 1 to " + MOST_NAME + " characters and a number above 0");
       } else {
         asking = this;
         granter.asked(number, ask.getLife(), ask.getName(), ask.getNumber(), ask.getRound(), now);
--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -2,14 +2,14 @@
 
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * The one way to act under a lease. Time is looked at when the act begins, not when its turn of the
  * loop began; and as a process may stand still right after that look, the act bears the lease's
- * number, which the place where it lands holds against the highest that it saw ({@link FencingToken}).
- * (Burrows, "The Chubby lock service", 2006, calls such a number a sequencer.)
+ * number, which the place where it lands holds against the highest that it saw ({@link
+ * FencingToken}). (Burrows, "The Chubby lock service", 2006, calls such a number a sequencer.)
  */
 public class LeaseCheck {
   private final LeaseClient candidate;
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -1,8 +1,8 @@
 package sprucerock.lease;
 
 import java.util.function.DoubleSupplier;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * One process's side of one lease: asks all granters, holds it while a majority granted it in one
@@ -203,7 +203,13 @@
   }
 
   void refused(
-      int granter, long ofNumber, long ofRound, long highest, TimeSpan left, boolean held, Timestamp now) {
+      int granter,
+      long ofNumber,
+      long ofRound,
+      long highest,
+      TimeSpan left,
+      boolean held,
+      Timestamp now) {
     seen = Math.max(seen, highest);
     if (ofNumber != number || ofRound != round) {
       return;
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * One of those who grant leases: for each name at most one grant at a time, each under a higher
@@ -31,7 +31,13 @@
      * at once.
      */
     void refused(
-        int candidate, String name, long number, long round, long highest, TimeSpan left, Refusal why);
+        int candidate,
+        String name,
+        long number,
+        long round,
+        long highest,
+        TimeSpan left,
+        Refusal why);
 
     /** It may be had now; told to one that waits. */
     void freed(int candidate, String name);
@@ -108,7 +114,8 @@
     host.refused(candidate, name, number, round, grant.number(), left, why);
   }
 
-  private Refusal why(int candidate, long life, String name, long number, Grant grant, Timestamp now) {
+  private Refusal why(
+      int candidate, long life, String name, long number, Grant grant, Timestamp now) {
     if (startsOut(now)) {
       return Refusal.STARTING;
     }
--- a/src/main/java/sprucerock/lease/Leases.java
+++ b/src/main/java/sprucerock/lease/Leases.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 import sprucerock.config.LeaseConfig;
-import sprucerock.transport.net.Net;
-import sprucerock.transport.net.Timers.Timer;
 import sprucerock.stats.DeterministicRandom;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -102,15 +102,16 @@
   /** Links up. On the loop's thread. */
   public void start() {
     for (int i = 0; i < config.granters().size(); i++) {
-      ReconnectingConnection link =
-          new ReconnectingConnection(net, config.granters().get(i), mine, LIMITS, tap, chance, new Granting(i));
-      granters.add(link);
+      ReconnectingConnection connection =
+          new ReconnectingConnection(
+              net, config.granters().get(i), mine, LIMITS, tap, chance, new Granting(i));
+      granters.add(connection);
       // a fleet that starts together does not come to its granters in one instant
       net.at(
           net.now().plus(terms.usable().times(0.1 * chance.next())),
           () -> {
             if (!stopping) {
-              link.dial();
+              connection.dial();
             }
           });
     }
@@ -272,9 +273,9 @@
     }
 
     @Override
-    public void greeted(FrameConnection link, Hello other) {
+    public void greeted(FrameConnection connection, Hello other) {
       if (other.getRole() != Role.GRANTER || other.getNumber() != granter) {
-        link.cut("granter " + granter + " is not who answers there");
+        connection.cut("granter " + granter + " is not who answers there");
         return;
       }
       up = true;
--- a/src/main/java/sprucerock/metrics/MetricsExporter.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.HistogramBuckets;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.MethodMetrics;
 
 /**
@@ -235,7 +235,8 @@
         if (!last && !octave) {
           continue;
         }
-        buckets.bucket(last ? Double.POSITIVE_INFINITY : HistogramBuckets.fromUs(i + 1) / 1e6, count);
+        buckets.bucket(
+            last ? Double.POSITIVE_INFINITY : HistogramBuckets.fromUs(i + 1) / 1e6, count);
         count = 0;
       }
       Labels labels = label(sheet, accounts.name(sheet, row));
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -61,9 +61,11 @@
     accounts.begin(accounts.files, 0, found);
     accounts.begin(accounts.starts, 0, RUNNING);
     String layout = accounts.layout();
-    ByteBuffer bytes = ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rows()));
+    ByteBuffer bytes =
+        ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rows()));
     MappedMetricsFile pages =
-        new MappedMetricsFile(new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
+        new MappedMetricsFile(
+            new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
     accounts.keepIn(pages, onFirstPostingOfATurn);
     boolean kept = false;
     try {
@@ -119,7 +121,8 @@
     return mapped;
   }
 
-  private static void carry(MetricsSnapshot last, MethodAccounts accounts) throws MetricsSnapshot.BadFileException {
+  private static void carry(MetricsSnapshot last, MethodAccounts accounts)
+      throws MetricsSnapshot.BadFileException {
     MethodAccounts old = last.accounts();
     for (MethodMetrics from : old.sheets()) {
       MethodMetrics to = accounts.sheets().get(old.sheets().indexOf(from));
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -33,7 +33,8 @@
   public final String[] names;
   public final long[] values;
 
-  private MetricsSnapshot(long generation, boolean closed, String layout, String[] names, long[] values) {
+  private MetricsSnapshot(
+      long generation, boolean closed, String layout, String[] names, long[] values) {
     this.generation = generation;
     this.closed = closed;
     this.layout = layout;
@@ -54,7 +55,8 @@
         throw new BadFileException(file + ": " + size + " bytes are no figures");
       }
       return read(
-          new BufferMetricsMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)), file.toString());
+          new BufferMetricsMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)),
+          file.toString());
     }
   }
 
@@ -218,7 +220,8 @@
       }
       row += rows;
     }
-    MethodAccounts made = new MethodAccounts(methods, new MethodAccounts.Room(rooms[0], rooms[1], rooms[2]));
+    MethodAccounts made =
+        new MethodAccounts(methods, new MethodAccounts.Room(rooms[0], rooms[1], rooms[2]));
     if (!made.layout().equals(layout)) {
       throw new BadFileException("figures of another version");
     }
--- a/src/main/java/sprucerock/metrics/MetricsTable.java
+++ b/src/main/java/sprucerock/metrics/MetricsTable.java
@@ -3,8 +3,8 @@
 import java.math.BigDecimal;
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
-import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.HistogramBuckets;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.MethodMetrics;
 
 /** Figures as a table for a terminal: rows in use, columns that are not all zero. */
@@ -32,7 +32,8 @@
     return text.toString();
   }
 
-  private static void sheet(StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
+  private static void sheet(
+      StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
     int columns = sheet.columns().size();
     boolean[] used = new boolean[columns];
     for (int row = 0; row < sheet.rows(); row++) {
@@ -61,7 +62,8 @@
     }
   }
 
-  private static void scaled(StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
+  private static void scaled(
+      StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
     text.append(
         String.format(
             Locale.ROOT,
--- a/src/main/java/sprucerock/model/Attempt.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -1,12 +1,12 @@
 package sprucerock.model;
 
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** One sending of an RPC to a unit. */
 public final class Attempt {
   public final Rpc rpc;
-  public final Endpoint unit;
+  public final Endpoint endpoint;
   public final int number;
   public final Timestamp sent;
 
@@ -32,10 +32,10 @@
   public boolean copy;
   public ShadowPair pair;
 
-  public Attempt(Rpc rpc, Endpoint unit, Timestamp sent, TimeSpan patience) {
+  public Attempt(Rpc rpc, Endpoint endpoint, Timestamp sent, TimeSpan patience) {
     this.rpc = rpc;
-    this.unit = unit;
-    this.number = rpc.picks.size();
+    this.endpoint = endpoint;
+    this.number = rpc.attempts.size();
     this.sent = sent;
     this.patience = patience;
   }
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** One version of the servers' software, with the units that run it and may get new work. */
 public final class Build {
@@ -12,7 +12,7 @@
   private final List<Endpoint> listed = new ArrayList<>();
 
   /** Those that may get new work, in an order that draws change; each unit knows its place. */
-  public final List<Endpoint> units = Collections.unmodifiableList(listed);
+  public final List<Endpoint> endpoints = Collections.unmodifiableList(listed);
 
   private Timestamp newest;
   private int row;
@@ -44,10 +44,10 @@
     weighedAt = now;
     weight = 0;
     weightOfOlder = 0;
-    for (Endpoint unit : units) {
-      weight += unit.weight();
-      if (unit.olderThan(age, now)) {
-        weightOfOlder += unit.weight();
+    for (Endpoint endpoint : endpoints) {
+      weight += endpoint.weight();
+      if (endpoint.olderThan(age, now)) {
+        weightOfOlder += endpoint.weight();
       }
     }
   }
@@ -63,19 +63,19 @@
   }
 
   @ByLedger
-  public void add(Endpoint unit) {
+  public void add(Endpoint endpoint) {
     weighedAt = null;
-    unit.place = listed.size();
-    listed.add(unit);
-    if (unit.started != null && (newest == null || unit.started.after(newest))) {
-      newest = unit.started;
+    endpoint.place = listed.size();
+    listed.add(endpoint);
+    if (endpoint.started != null && (newest == null || endpoint.started.after(newest))) {
+      newest = endpoint.started;
     }
   }
 
   @ByLedger
-  public void remove(Endpoint unit) {
+  public void remove(Endpoint endpoint) {
     weighedAt = null;
-    swap(unit.place, listed.size() - 1);
+    swap(endpoint.place, listed.size() - 1);
     listed.remove(listed.size() - 1);
   }
 
--- a/src/main/java/sprucerock/model/Endpoint.java
+++ b/src/main/java/sprucerock/model/Endpoint.java
@@ -1,8 +1,8 @@
 package sprucerock.model;
 
 import sprucerock.stats.DecayingMean;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * One run of one machine's process: a restart, or another machine under the same id, is another
@@ -45,14 +45,15 @@
   public int excess;
 
   /** Picks of all relays that are out, where this relay adds them up. */
-  public sprucerock.stats.DecayingSum pickedByAll;
+  public sprucerock.stats.DecayingSum attemptsByAll;
 
   /** How many it was said to hold, and when. */
   public int told;
 
   public Timestamp toldAt;
 
-  public Endpoint(long id, int zone, int kind, int cell, Build build, Timestamp started, double weight) {
+  public Endpoint(
+      long id, int zone, int kind, int cell, Build build, Timestamp started, double weight) {
     this.id = id;
     this.zone = zone;
     this.kind = kind;
@@ -103,7 +104,7 @@
   }
 
   @ByLedger
-  public void pickEnded() {
+  public void attemptEnded() {
     out--;
   }
 
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -20,7 +20,7 @@
   public final int index;
   public final Effect effect;
   public final Group group;
-  public final TimeSpan softDeadline;
+  public final TimeSpan latencyObjective;
   public final TimeSpan window;
   public final double utility;
   public final boolean stream;
@@ -40,14 +40,14 @@
       int index,
       Effect effect,
       Group group,
-      TimeSpan softDeadline,
+      TimeSpan latencyObjective,
       TimeSpan window,
       double utility,
       boolean stream) {
     this.index = index;
     this.effect = effect;
     this.group = group;
-    this.softDeadline = softDeadline;
+    this.latencyObjective = latencyObjective;
     this.window = window;
     this.utility = utility;
     this.stream = stream;
@@ -59,12 +59,12 @@
   }
 
   /** Whether {@code unit} drops a repeat of what {@code before} may have run. */
-  public boolean dropsRepeats(Endpoint before, Endpoint unit) {
+  public boolean dropsRepeats(Endpoint before, Endpoint endpoint) {
     return effect != Effect.TOKENED
         || switch (group) {
           case ALL -> true;
-          case ZONE -> before.zone == unit.zone;
-          case CELL -> before.cell == unit.cell;
+          case ZONE -> before.zone == endpoint.zone;
+          case CELL -> before.cell == endpoint.cell;
         };
   }
 
--- a/src/main/java/sprucerock/model/Rpc.java
+++ b/src/main/java/sprucerock/model/Rpc.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** One RPC that a client handed to this relay, with the picks made for it. */
 public final class Rpc {
   public final long id;
   public final Method method;
-  public final int customer;
+  public final int tenant;
   public final long key;
   public final Timestamp arrived;
   public final Timestamp deadline;
@@ -21,7 +21,7 @@
   private final List<Attempt> made = new ArrayList<>(2);
 
   /** The picks made for it, in their order; for reading. */
-  public final List<Attempt> picks = Collections.unmodifiableList(made);
+  public final List<Attempt> attempts = Collections.unmodifiableList(made);
 
   /** What the door that took it keeps with it; nobody else looks at it. */
   public final Object door;
@@ -36,7 +36,7 @@
   public Rpc(
       long id,
       Method method,
-      int customer,
+      int tenant,
       long key,
       Timestamp arrived,
       Timestamp deadline,
@@ -44,7 +44,7 @@
       Object door) {
     this.id = id;
     this.method = method;
-    this.customer = customer;
+    this.tenant = tenant;
     this.key = key;
     this.arrived = arrived;
     this.deadline = deadline;
@@ -68,13 +68,13 @@
   }
 
   @ByLedger
-  public void add(Attempt pick) {
-    made.add(pick);
+  public void add(Attempt attempt) {
+    made.add(attempt);
     out++;
   }
 
   @ByLedger
-  public void pickEnded() {
+  public void attemptEnded() {
     out--;
   }
 
@@ -95,17 +95,17 @@
 
   /** The first pick that may have taken effect; null where none may. */
   public Attempt firstThatMayHaveRun() {
-    for (Attempt pick : picks) {
-      if (pick.mayHaveRun()) {
-        return pick;
+    for (Attempt attempt : attempts) {
+      if (attempt.mayHaveRun()) {
+        return attempt;
       }
     }
     return null;
   }
 
-  public boolean triedAt(Endpoint unit) {
-    for (Attempt pick : picks) {
-      if (pick.unit == unit) {
+  public boolean triedAt(Endpoint endpoint) {
+    for (Attempt attempt : attempts) {
+      if (attempt.endpoint == endpoint) {
         return true;
       }
     }
--- a/src/main/java/sprucerock/model/Settings.java
+++ b/src/main/java/sprucerock/model/Settings.java
@@ -18,7 +18,7 @@
 
   public final int zone;
   public final List<Method> methods;
-  public final List<Double> customerShares;
+  public final List<Double> tenantShares;
   public final double overShareWorth;
   public final TimeSpan tick;
   public final boolean ask;
@@ -27,7 +27,7 @@
   public final double startShare;
   public final TimeSpan tipAfter;
   public final double tipMultiple;
-  public final int maxPicks;
+  public final int maxAttempts;
   public final boolean secondCopies;
   public final boolean cancel;
   public final boolean peers;
@@ -54,7 +54,7 @@
   public static final class Draft {
     public int zone;
     public List<Method> methods = new ArrayList<>();
-    public List<Double> customerShares = new ArrayList<>();
+    public List<Double> tenantShares = new ArrayList<>();
     public double overShareWorth = 1;
     public TimeSpan tick;
     public boolean ask;
@@ -63,7 +63,7 @@
     public double startShare;
     public TimeSpan tipAfter;
     public double tipMultiple;
-    public int maxPicks;
+    public int maxAttempts;
     public boolean secondCopies;
     public boolean cancel;
     public boolean peers;
@@ -86,7 +86,7 @@
   public Settings(Draft draft) {
     zone = draft.zone;
     methods = Collections.unmodifiableList(new ArrayList<>(draft.methods));
-    customerShares = Collections.unmodifiableList(new ArrayList<>(draft.customerShares));
+    tenantShares = Collections.unmodifiableList(new ArrayList<>(draft.tenantShares));
     overShareWorth = draft.overShareWorth;
     tick = draft.tick;
     ask = draft.ask;
@@ -95,7 +95,7 @@
     startShare = draft.startShare;
     tipAfter = draft.tipAfter;
     tipMultiple = draft.tipMultiple;
-    maxPicks = draft.maxPicks;
+    maxAttempts = draft.maxAttempts;
     secondCopies = draft.secondCopies;
     cancel = draft.cancel;
     peers = draft.peers;
@@ -115,6 +115,6 @@
     idle = draft.idle;
     mostUtility = methods.stream().mapToDouble(method -> method.utility).max().orElse(1);
     meanSoftMs =
-        methods.stream().mapToDouble(method -> method.softDeadline.ms()).average().orElse(1000);
+        methods.stream().mapToDouble(method -> method.latencyObjective.ms()).average().orElse(1000);
   }
 }
--- a/src/main/java/sprucerock/policy/RelayActions.java
+++ b/src/main/java/sprucerock/policy/RelayActions.java
@@ -1,11 +1,11 @@
 package sprucerock.policy;
 
-import sprucerock.model.Build;
 import sprucerock.model.Attempt;
+import sprucerock.model.Build;
 import sprucerock.model.Rpc;
 import sprucerock.model.Verdict;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * What the module can do; whoever runs it, a bench adapter or a relay, carries it out at once and
@@ -15,9 +15,9 @@
   Timestamp now();
 
   /** Sends the pick to its unit. The first ok answers the client by itself. */
-  void send(Attempt pick);
+  void send(Attempt attempt);
 
-  void cancel(Attempt pick);
+  void cancel(Attempt attempt);
 
   /** Final: the client may safely try again, best after {@code wait} (zero: no advice). */
   void pushBack(Rpc rpc, TimeSpan wait);
@@ -40,11 +40,11 @@
   }
 
   /** The same, unless the pick has ended by then. */
-  default void wake(Attempt pick, Timestamp when, Runnable what) {
+  default void wake(Attempt attempt, Timestamp when, Runnable what) {
     wake(
         when,
         () -> {
-          if (pick.outcome() == null) {
+          if (attempt.outcome() == null) {
             what.run();
           }
         });
--- a/src/main/java/sprucerock/policy/RelayEvents.java
+++ b/src/main/java/sprucerock/policy/RelayEvents.java
@@ -1,24 +1,24 @@
 package sprucerock.policy;
 
+import sprucerock.model.Attempt;
 import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
-import sprucerock.model.Attempt;
-import sprucerock.model.VoteReply;
-import sprucerock.model.Rpc;
 import sprucerock.model.RolloutState;
-import sprucerock.model.Endpoint;
-import sprucerock.time.Timestamp;
+import sprucerock.model.Rpc;
+import sprucerock.model.VoteReply;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * What the module is told, one method for each thing that can happen. The facts hold already when
  * it is told.
  */
 public interface RelayEvents {
-  void unitReady(Endpoint unit);
+  void endpointReady(Endpoint endpoint);
 
   /** It drains, is gone, or came back as another run: nothing new goes there. */
-  void unitLeaving(Endpoint unit);
+  void endpointDraining(Endpoint endpoint);
 
   /** A list that was asked for did not come, or the subscription broke. */
   void listFailed();
@@ -27,24 +27,24 @@
 
   void rpcArrived(Rpc rpc);
 
-  void streamStarted(Attempt pick);
+  void streamStarted(Attempt attempt);
 
   /** A pick ended; {@code answers} says that it ended its RPC too. */
-  void pickEnded(Attempt pick, boolean answers);
+  void attemptEnded(Attempt attempt, boolean answers);
 
   void clientLeft(Rpc rpc);
 
   /** What the release desk counted in a sample of all relays' picks, in one period. */
-  void counted(Build build, Method method, double picks, double failed, TimeSpan mean);
+  void counted(Build build, Method method, double attempts, double failed, TimeSpan mean);
 
   /** A client found wrong what this unit answered. */
-  void flagged(Endpoint unit);
+  void flagged(Endpoint endpoint);
 
   /**
    * The one relay that looks at units for all asked it for a sign, and got it or not; no work was
    * run for it.
    */
-  void looked(Endpoint unit, boolean answered);
+  void looked(Endpoint endpoint, boolean answered);
 
   void peerTold(int sender, byte[] contents);
 
--- a/src/main/java/sprucerock/policy/evidence/Ballot.java
+++ b/src/main/java/sprucerock/policy/evidence/Ballot.java
@@ -1,9 +1,9 @@
 package sprucerock.policy.evidence;
 
-import sprucerock.model.VoteReply;
 import sprucerock.model.Verdict;
-import sprucerock.time.Timestamp;
+import sprucerock.model.VoteReply;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** The vote that this relay cast last, and how the release desk took it. */
 public final class Ballot {
--- a/src/main/java/sprucerock/policy/evidence/Board.java
+++ b/src/main/java/sprucerock/policy/evidence/Board.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 import sprucerock.model.Endpoint;
 import sprucerock.stats.DecayingSum;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** What relays tell each other of picks that are out, as messages, and their sums by unit. */
 public final class Board {
@@ -23,33 +23,33 @@
     this.life = life;
   }
 
-  public void ready(Endpoint unit) {
-    marked.put(mark(unit), unit);
-    if (unit.pickedByAll == null) {
-      unit.pickedByAll = new DecayingSum(life);
+  public void ready(Endpoint endpoint) {
+    marked.put(mark(endpoint), endpoint);
+    if (endpoint.attemptsByAll == null) {
+      endpoint.attemptsByAll = new DecayingSum(life);
     }
   }
 
-  public void left(Endpoint unit) {
-    marked.remove(mark(unit), unit);
+  public void left(Endpoint endpoint) {
+    marked.remove(mark(endpoint), endpoint);
   }
 
   /** A short name that all relays share; two units of a large fleet seldom have the same. */
-  private static int mark(Endpoint unit) {
-    return (int) (unit.id * 0x9E3779B1L >>> 16) & 0xffff;
+  private static int mark(Endpoint endpoint) {
+    return (int) (endpoint.id * 0x9E3779B1L >>> 16) & 0xffff;
   }
 
   /** Says that a pick started, or that one of some age ended. */
-  public byte[] pick(Endpoint unit, TimeSpan endedAt) {
+  public byte[] attempt(Endpoint endpoint, TimeSpan endedAt) {
     int age = endedAt == null ? 0 : 1 + (int) Math.min(endedAt.per(life) * AGES, AGES);
-    return new byte[] {PICK, (byte) mark(unit), (byte) (mark(unit) >> 8), (byte) age};
+    return new byte[] {PICK, (byte) mark(endpoint), (byte) (mark(endpoint) >> 8), (byte) age};
   }
 
   /** Adds such a message; its end takes off what is left of a pick. True where a pick ended. */
   public boolean add(byte[] told, Timestamp now) {
-    Endpoint unit = unit(told, 1);
-    if (unit != null) {
-      unit.pickedByAll.add(now, told[3] == 0 ? 1 : -Math.exp((1.0 - told[3]) / AGES));
+    Endpoint endpoint = unit(told, 1);
+    if (endpoint != null) {
+      endpoint.attemptsByAll.add(now, told[3] == 0 ? 1 : -Math.exp((1.0 - told[3]) / AGES));
     }
     return told[3] != 0;
   }
@@ -61,8 +61,8 @@
   /** All picks that are out. */
   public double out(Timestamp now) {
     double sum = 0;
-    for (Endpoint unit : marked.values()) {
-      sum += Math.max(0, unit.pickedByAll.at(now));
+    for (Endpoint endpoint : marked.values()) {
+      sum += Math.max(0, endpoint.attemptsByAll.at(now));
     }
     return sum;
   }
@@ -70,10 +70,10 @@
   /** Says which units hold so many picks or more, the fullest first, and one figure beside. */
   public byte[] loads(int least, double figure, Timestamp now) {
     List<Endpoint> loaded = new ArrayList<>();
-    for (Endpoint unit : marked.values()) {
-      unit.told = (int) Math.round(unit.pickedByAll.at(now));
-      if (unit.told >= least) {
-        loaded.add(unit);
+    for (Endpoint endpoint : marked.values()) {
+      endpoint.told = (int) Math.round(endpoint.attemptsByAll.at(now));
+      if (endpoint.told >= least) {
+        loaded.add(endpoint);
       }
     }
     loaded.sort((a, b) -> b.told - a.told);
@@ -92,12 +92,12 @@
   /** Notes such loads at the units, and returns the figure. */
   public double read(byte[] told, Timestamp now) {
     for (int i = 2; i + 2 < told.length; i += 3) {
-      Endpoint unit = unit(told, i);
-      if (unit == null) {
+      Endpoint endpoint = unit(told, i);
+      if (endpoint == null) {
         continue;
       }
-      unit.told = told[i + 2];
-      unit.toldAt = now;
+      endpoint.told = told[i + 2];
+      endpoint.toldAt = now;
     }
     return told[1] / 64.0;
   }
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -6,8 +6,8 @@
 import sprucerock.model.Build;
 import sprucerock.model.Endpoint;
 import sprucerock.stats.DecayingMean;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** What one relay knows of the build that the release desk offered last. */
 public final class CanaryTrial {
@@ -115,8 +115,8 @@
     for (int i = 0; released && i < freshCounts.length; i++) {
       freshCounts[i] = new double[2];
     }
-    for (Endpoint unit : build.units) {
-      unit.excess = 0;
+    for (Endpoint endpoint : build.endpoints) {
+      endpoint.excess = 0;
     }
   }
 
--- a/src/main/java/sprucerock/policy/evidence/Evidence.java
+++ b/src/main/java/sprucerock/policy/evidence/Evidence.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 import java.util.Deque;
 import java.util.List;
-import sprucerock.model.Method;
-import sprucerock.model.ShadowPair;
 import sprucerock.model.Attempt;
 import sprucerock.model.Endpoint;
+import sprucerock.model.Method;
+import sprucerock.model.ShadowPair;
 import sprucerock.stats.Ks;
 
 /** What one relay saw of the offered build in its present stage. */
@@ -45,13 +45,13 @@
   public final List<Deque<ShadowPair>> waiting = new ArrayList<>();
 
   /** Notes a pick that ended at the build after its release. */
-  public void ended(Attempt pick) {
+  public void ended(Attempt attempt) {
     ended++;
-    if (!pick.erred()) {
+    if (!attempt.erred()) {
       return;
     }
     errors++;
-    if (++pick.unit.excess == 1) {
+    if (++attempt.endpoint.excess == 1) {
       erring++;
     }
   }
@@ -60,9 +60,9 @@
   int failedAt;
 
   /** A copy failed beside a served primary. */
-  public void freshFails(Endpoint unit) {
+  public void freshFails(Endpoint endpoint) {
     freshFailed++;
-    failedAt |= 1 << (int) ((unit.id * 0x9E3779B1L >>> 16) & 15);
+    failedAt |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
   }
 
   /** Each of a method's RPCs sent alone has its like at the earlier build. */
--- a/src/main/java/sprucerock/policy/evidence/Met.java
+++ b/src/main/java/sprucerock/policy/evidence/Met.java
@@ -9,27 +9,27 @@
 
 /** The units that answered this relay last. */
 public final class Met {
-  private final LinkedHashSet<Endpoint> units = new LinkedHashSet<>();
+  private final LinkedHashSet<Endpoint> endpoints = new LinkedHashSet<>();
   private final int most;
 
   public Met(int most) {
     this.most = most;
   }
 
-  public void answered(Endpoint unit) {
-    if (units.add(unit) && units.size() > most) {
-      units.remove(units.iterator().next());
+  public void answered(Endpoint endpoint) {
+    if (endpoints.add(endpoint) && endpoints.size() > most) {
+      endpoints.remove(endpoints.iterator().next());
     }
   }
 
-  public void lost(Endpoint unit) {
-    units.remove(unit);
+  public void lost(Endpoint endpoint) {
+    endpoints.remove(endpoint);
   }
 
   /** Those of a build that may get new work, from one by the dice (0 to under 1) on. */
   public List<Endpoint> of(Build build, double dice) {
-    List<Endpoint> found = new ArrayList<>(units);
-    found.removeIf(unit -> unit.build != build || !unit.ready());
+    List<Endpoint> found = new ArrayList<>(endpoints);
+    found.removeIf(endpoint -> endpoint.build != build || !endpoint.ready());
     Collections.rotate(found, (int) (dice * found.size()));
     return found;
   }
--- a/src/main/java/sprucerock/policy/evidence/Tenants.java
+++ b/src/main/java/sprucerock/policy/evidence/Tenants.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import sprucerock.stats.DecayingSum;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** What each customer sends of late, beside its share. */
 public final class Tenants {
@@ -20,10 +20,10 @@
     all = new DecayingSum(life);
   }
 
-  public void add(int customer, Timestamp now) {
+  public void add(int tenant, Timestamp now) {
     all.add(now, 1);
-    if (customer < sent.length) {
-      sent[customer].add(now, 1);
+    if (tenant < sent.length) {
+      sent[tenant].add(now, 1);
     }
   }
 
@@ -31,12 +31,12 @@
    * How many times its share a customer sends, beside what the others send; 0 where there are no
    * shares.
    */
-  public double timesShare(int customer, Timestamp now) {
-    if (customer >= sent.length) {
+  public double timesShare(int tenant, Timestamp now) {
+    if (tenant >= sent.length) {
       return 0;
     }
-    double own = sent[customer].at(now);
-    double share = shares.get(customer);
+    double own = sent[tenant].at(now);
+    double share = shares.get(tenant);
     return own / Math.max((all.at(now) - own) * share / Math.max(1 - share, 0.01), 1e-9);
   }
 }
--- a/src/main/java/sprucerock/rehearsal/fake/FakeClient.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeClient.java
@@ -6,12 +6,12 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
-import sprucerock.transport.net.Net;
-import sprucerock.transport.net.Timers.Timer;
+import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.stats.DeterministicRandom;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
-import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -53,16 +53,16 @@
   public static final class Order {
     public final long number;
     public final int method;
-    public final int customer;
+    public final int tenant;
     final long key;
     public final Timestamp at;
     public int tries;
     boolean over;
 
-    Order(long number, int method, int customer, long key, Timestamp at) {
+    Order(long number, int method, int tenant, long key, Timestamp at) {
       this.number = number;
       this.method = method;
-      this.customer = customer;
+      this.tenant = tenant;
       this.key = key;
       this.at = at;
     }
@@ -75,7 +75,8 @@
   public record Manners(int retries, TimeSpan pause, double impatient, double flags) {}
 
   private static final byte[] NO_BODY = {};
-  private static final TimeSpan GRACE = TimeSpan.ofMs(60); // an answer may be that long on its way here
+  private static final TimeSpan GRACE =
+      TimeSpan.ofMs(60); // an answer may be that long on its way here
   private static final int KEYS = 500;
 
   private final Net net;
@@ -140,7 +141,7 @@
     this.number = number;
     this.perSecond = perSecond;
     chance = new SplittableRandom(seed);
-    customerTimes = new double[Math.max(1, site.customers().size())];
+    customerTimes = new double[Math.max(1, site.tenants().size())];
     java.util.Arrays.fill(customerTimes, 1);
     redial =
         new ReconnectingConnection(
@@ -187,8 +188,8 @@
     times = factor;
   }
 
-  public void customerTimes(int customer, double factor) {
-    customerTimes[customer] = factor;
+  public void tenantTimes(int tenant, double factor) {
+    customerTimes[tenant] = factor;
   }
 
   public void rude(boolean on) {
@@ -196,12 +197,12 @@
   }
 
   /** The same for one customer's RPCs. */
-  public void rude(int customer, boolean on) {
-    rudeCustomer = on ? customer : -1;
+  public void rude(int tenant, boolean on) {
+    rudeCustomer = on ? tenant : -1;
   }
 
   private boolean rude(Order order) {
-    return rude || order.customer == rudeCustomer;
+    return rude || order.tenant == rudeCustomer;
   }
 
   private void next() {
@@ -223,16 +224,16 @@
         });
   }
 
-  private double share(int customer) {
-    return site.customers().isEmpty() ? 1 : site.customers().get(customer).share();
+  private double share(int tenant) {
+    return site.tenants().isEmpty() ? 1 : site.tenants().get(tenant).share();
   }
 
   private void ask() {
     int method = draw(site.methods().size(), i -> site.methods().get(i).share());
-    int customer = draw(customerTimes.length, i -> share(i) * customerTimes[i]);
+    int tenant = draw(customerTimes.length, i -> share(i) * customerTimes[i]);
     // few keys are far more popular than the rest
     long key = 1 + (long) (KEYS * Math.pow(chance.nextDouble(), 3));
-    Order order = new Order(((long) number << 40) + ++lastOrder, method, customer, key, net.now());
+    Order order = new Order(((long) number << 40) + ++lastOrder, method, tenant, key, net.now());
     ear.asked(order);
     attempt(order);
   }
@@ -282,7 +283,7 @@
         Call.newBuilder()
             .setId(id)
             .setMethod(order.method)
-            .setCustomer(order.customer)
+            .setCustomer(order.tenant)
             .setKey(order.key)
             .setLeftUs((long) (left.ms() * 1000))
             .setToken(order.number)
@@ -320,7 +321,7 @@
   }
 
   @Override
-  public void greeted(FrameConnection link, Hello other) {
+  public void greeted(FrameConnection connection, Hello other) {
     if (other.getRole() != Role.RELAY) {
       redial.cut("no relay answers there");
     }
@@ -355,7 +356,9 @@
     boolean may = pushedBack || mayRepeat(order);
     TimeSpan told = TimeSpan.ofMs(answer.getWaitUs() / 1000.0);
     TimeSpan wait =
-        rude(order) ? TimeSpan.ofMs(1) : manners.pause().times(0.5 + chance.nextDouble()).atLeast(told);
+        rude(order)
+            ? TimeSpan.ofMs(1)
+            : manners.pause().times(0.5 + chance.nextDouble()).atLeast(told);
     again(order, may, how, wait);
   }
 
@@ -377,14 +380,14 @@
     };
   }
 
-  private void flag(long unit, Timestamp sent) {
+  private void flag(long endpoint, Timestamp sent) {
     net.at(
         net.now().plus(TimeSpan.ofMs(500 + 2500 * chance.nextDouble())),
         () ->
             redial.send(
                 Kind.FLAG,
                 Flag.newBuilder()
-                    .setUnit(unit)
+                    .setUnit(endpoint)
                     .setAgoUs((long) (net.now().since(sent).ms() * 1000))
                     .build(),
                 NO_BODY));
--- a/src/main/java/sprucerock/rehearsal/fake/FakeController.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeController.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import sprucerock.transport.net.Net;
-import sprucerock.time.Timestamp;
-import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -102,7 +102,7 @@
             limits.unsent(),
             () -> {
               Session session = new Session();
-              session.link =
+              session.connection =
                   new FrameConnection(
                       net,
                       Hello.newBuilder()
@@ -113,7 +113,7 @@
                       limits,
                       trace,
                       session);
-              return session.link;
+              return session.connection;
             });
     push();
     if (site.desk().countsEvery().over(TimeSpan.ZERO)) {
@@ -243,7 +243,7 @@
           () -> {
             for (Session session : Set.copyOf(sessions)) {
               for (Counts one : period) {
-                session.link.send(Kind.COUNTS, one, NO_BODY);
+                session.connection.send(Kind.COUNTS, one, NO_BODY);
               }
             }
           });
@@ -300,7 +300,7 @@
 
   private void take(Session session, Vote vote) {
     boolean silent = down;
-    int relay = session.link.other().getNumber();
+    int relay = session.connection.other().getNumber();
     boolean trial = standing == Stand.ON_TRIAL;
     boolean clocked = site.desk().control() == Site.Control.CLOCKED;
     boolean fits =
@@ -325,7 +325,7 @@
     if (silent) {
       return;
     }
-    session.link.send(
+    session.connection.send(
         Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
     if (fits) {
       weigh();
@@ -333,7 +333,7 @@
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection link;
+    private FrameConnection connection;
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
@@ -355,7 +355,7 @@
           () -> {
             long lasted = (long) (net.now().since(from).ms() * 1000);
             if (!down) {
-              link.send(Kind.NEWS, news.toBuilder().setLastedUs(lasted).build(), NO_BODY);
+              connection.send(Kind.NEWS, news.toBuilder().setLastedUs(lasted).build(), NO_BODY);
             }
           });
     }
@@ -365,7 +365,7 @@
       if (kind == Kind.VOTE) {
         take(this, (Vote) head);
       } else {
-        link.cut("a release desk takes no " + kind);
+        connection.cut("a release desk takes no " + kind);
       }
     }
 
--- a/src/main/java/sprucerock/rehearsal/fake/FakeDiscovery.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeDiscovery.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.transport.net.Net;
-import sprucerock.time.Timestamp;
-import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -57,7 +57,7 @@
             limits.unsent(),
             () -> {
               Session session = new Session();
-              session.link =
+              session.connection =
                   new FrameConnection(
                       net,
                       Hello.newBuilder()
@@ -69,7 +69,7 @@
                       trace,
                       session);
               sessions.add(session);
-              return session.link;
+              return session.connection;
             });
     return listener.address().getPort();
   }
@@ -84,7 +84,7 @@
     down = on;
     if (on) {
       for (Session session : Set.copyOf(sessions)) {
-        session.link.cut("the roster is down");
+        session.connection.cut("the roster is down");
       }
     }
   }
@@ -109,7 +109,7 @@
           Listing change =
               Listing.newBuilder().setForm(Form.CHANGES).addEntries(aged(entry)).build();
           for (Session watcher : Set.copyOf(watchers)) {
-            watcher.link.send(Kind.LISTING, change, NO_BODY);
+            watcher.connection.send(Kind.LISTING, change, NO_BODY);
           }
         });
   }
@@ -125,7 +125,7 @@
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection link;
+    private FrameConnection connection;
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
@@ -137,7 +137,7 @@
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
       if (kind != Kind.WATCH) {
-        link.cut("a roster takes no " + kind);
+        connection.cut("a roster takes no " + kind);
         return;
       }
       watchers.add(this);
@@ -145,7 +145,7 @@
       for (Entry entry : listed.values()) {
         whole.addEntries(aged(entry));
       }
-      link.send(Kind.LISTING, whole.build(), NO_BODY);
+      connection.send(Kind.LISTING, whole.build(), NO_BODY);
     }
 
     @Override
--- a/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import sprucerock.lease.FencingToken;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
-import sprucerock.time.Timestamp;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.tls.TlsConnection;
-import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -170,7 +170,7 @@
     busy = 0;
     generation++;
     for (Session session : new ArrayList<>(sessions)) {
-      session.link.cut("the unit's process ended");
+      session.connection.cut("the unit's process ended");
     }
   }
 
@@ -247,12 +247,12 @@
     while (sessions.size() > most) {
       Session last = sessions.iterator().next();
       sessions.remove(last);
-      last.link.cut("no connections left");
+      last.connection.cut("no connections left");
     }
   }
 
   /** Its link takes longer each way, and loses this share of what passes either way. */
-  public void link(TimeSpan oneWay, double loses) {
+  public void connection(TimeSpan oneWay, double loses) {
     linkDelay = oneWay;
     linkLoses = loses;
   }
@@ -301,13 +301,13 @@
 
   private void reconnect(String why) {
     for (Session session : new ArrayList<>(sessions)) {
-      session.link.cut(why);
+      session.connection.cut(why);
     }
   }
 
   private ConnectionListener session() {
     Session session = new Session();
-    session.link =
+    session.connection =
         new FrameConnection(
             net,
             Hello.newBuilder()
@@ -321,9 +321,9 @@
             session);
     session.proven = !wronglyShown;
     if (secure == null) {
-      return session.link;
+      return session.connection;
     }
-    TlsConnection tls = secure.taken(shown, askProof, session.link);
+    TlsConnection tls = secure.taken(shown, askProof, session.connection);
     return handshakes == null ? tls : new Handshaker(net, handshakes, handshakeBy, tls);
   }
 
@@ -337,7 +337,7 @@
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection link;
+    private FrameConnection connection;
     private boolean proven;
     private final Map<Long, Job> jobs = new HashMap<>();
 
@@ -356,7 +356,7 @@
         counts.add("came");
       }
       if (kind == Kind.WORK && !proven) {
-        trace.note("UNPROVEN", "unit=" + id + " by=" + link.other().getNumber());
+        trace.note("UNPROVEN", "unit=" + id + " by=" + connection.other().getNumber());
       }
       if (lost(linkLoses)) {
         if (kind == Kind.WORK) {
@@ -395,7 +395,7 @@
           job.stopped = true; // dropped if it still waits; running work goes on
         }
       } else {
-        link.cut("a unit takes no " + kind);
+        connection.cut("a unit takes no " + kind);
       }
     }
 
@@ -413,10 +413,10 @@
               + " number="
               + look.getNumber()
               + " by="
-              + link.other().getNumber()
+              + connection.other().getNumber()
               + " taken="
               + taken);
-      link.send(
+      connection.send(
           Kind.LOOKED,
           Looked.newBuilder()
               .setTaken(taken)
@@ -468,7 +468,7 @@
             + " run="
             + run
             + " by="
-            + job.session.link.other().getNumber()
+            + job.session.connection.other().getNumber()
             + " cost_us="
             + (long) (job.costMs * 1000));
     Timestamp now = net.now();
@@ -509,7 +509,8 @@
       busy++;
       shared.begins(fault, now);
       double factor = slow * shared.slowness(job.work.getMethod(), now) * buildFactor();
-      TimeSpan takes = TimeSpan.ofMs(job.costMs * factor / (speed * capacityShare() * (1 - stolen)));
+      TimeSpan takes =
+          TimeSpan.ofMs(job.costMs * factor / (speed * capacityShare() * (1 - stolen)));
       int current = generation;
       net.at(
           now.plus(takes),
@@ -598,15 +599,15 @@
     Done done = Done.newBuilder().setId(job.work.getId()).setResult(result).build();
     Runnable send =
         () -> {
-          boolean gone = !job.session.link.usable();
+          boolean gone = !job.session.connection.usable();
           counts.add((gone ? "link_gone_" : rubbish ? "rubbish_" : "sent_") + result);
           if (rubbish) {
-            job.session.link.send(Kind.WORK, job.work, body); // what a unit never sends
+            job.session.connection.send(Kind.WORK, job.work, body); // what a unit never sends
           } else {
-            job.session.link.send(Kind.DONE, done, body);
+            job.session.connection.send(Kind.DONE, done, body);
           }
           if (truncates) {
-            job.session.link.cut("truncated on purpose");
+            job.session.connection.cut("truncated on purpose");
           }
         };
     if (linkDelay.over(TimeSpan.ZERO)) {
--- a/src/main/java/sprucerock/rehearsal/fake/FakeTls.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeTls.java
@@ -12,9 +12,9 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
 import sprucerock.transport.tls.Buffers;
 import sprucerock.transport.tls.Counter;
@@ -65,8 +65,8 @@
     return folder.resolve("relay-" + relay + ".pem");
   }
 
-  public static String unitName(int unit) {
-    return "unit-" + unit + ".test";
+  public static String endpointName(int endpoint) {
+    return "unit-" + endpoint + ".test";
   }
 
   public static String relayName(int relay) {
@@ -129,19 +129,19 @@
 
   /** What a unit shows from now on. */
   public Credentials unit(int id) {
-    return credentials(TestCa.leaf(unitName(id)));
+    return credentials(TestCa.leaf(endpointName(id)));
   }
 
   /** The same, wrong. */
   public Credentials unit(int id, Fault fault) {
     Instant now = Instant.now();
     return switch (fault) {
-      case MISNAMED -> credentials(TestCa.leaf(unitName(id + 1)));
+      case MISNAMED -> credentials(TestCa.leaf(endpointName(id + 1)));
       case EXPIRED ->
           credentials(
-              TestCa.leaf(unitName(id))
+              TestCa.leaf(endpointName(id))
                   .valid(now.minus(Duration.ofDays(9)), now.minus(Duration.ofDays(1))));
-      case UNTRUSTED -> credentials(TestCa.root("nobody").make(TestCa.leaf(unitName(id))));
+      case UNTRUSTED -> credentials(TestCa.root("nobody").make(TestCa.leaf(endpointName(id))));
     };
   }
 
@@ -170,6 +170,9 @@
   public ReconnectingConnection.Connector asRelays(String name) {
     return (at, within, mostUnsent, user) ->
         net.connect(
-            at, within, mostUnsent, TlsConnection.client(place, allRelays(), name, at.getPort(), user));
+            at,
+            within,
+            mostUnsent,
+            TlsConnection.client(place, allRelays(), name, at.getPort(), user));
   }
 }
