--- a/src/main/java/sprucerock/transport/tls/Tls.java
+++ b/src/main/java/sprucerock/transport/tls/Tls.java
@@ -5,11 +5,11 @@
 import java.security.GeneralSecurityException;
 import java.time.Instant;
 import java.util.function.Supplier;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.time.TimeSpan;
 
 /**
  * All TLS of one place: its present credentials, the watch over their files, and the limit on
@@ -222,16 +222,23 @@
    * is no room in time it is closed, for that reason.
    */
   public void connect(
-      Object peer, String name, InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user) {
+      Object peer,
+      String name,
+      InetSocketAddress to,
+      TimeSpan within,
+      long mostUnsent,
+      ConnectionListener user) {
     handshakes.want(
         peer,
         net.now(),
         net.now().plus(within),
         () -> {
           Attempt attempt = new Attempt(user);
-          TlsConnection.Place place = new TlsConnection.Place(net, buffers, aside, setup.within, attempt);
-          TlsConnection link = TlsConnection.client(place, credentials, name, to.getPort(), attempt);
-          net.connect(to, within, mostUnsent, link);
+          TlsConnection.Place place =
+              new TlsConnection.Place(net, buffers, aside, setup.within, attempt);
+          TlsConnection connection =
+              TlsConnection.client(place, credentials, name, to.getPort(), attempt);
+          net.connect(to, within, mostUnsent, connection);
         },
         () -> {
           owner.handshakeBegun();
@@ -279,6 +286,9 @@
           }
         };
     return TlsConnection.server(
-        new TlsConnection.Place(net, buffers, aside, setup.within, counter), credentials, proven, user);
+        new TlsConnection.Place(net, buffers, aside, setup.within, counter),
+        credentials,
+        proven,
+        user);
   }
 }
--- a/src/main/java/sprucerock/transport/tls/TlsConnection.java
+++ b/src/main/java/sprucerock/transport/tls/TlsConnection.java
@@ -11,10 +11,10 @@
 import javax.net.ssl.SSLEngineResult.Status;
 import javax.net.ssl.SSLException;
 import javax.net.ssl.SSLPeerUnverifiedException;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.TimeSpan;
 
 /**
  * TLS between a link and who uses it: to the link it is the user, to the user it is the link. It
@@ -24,7 +24,8 @@
  */
 public final class TlsConnection implements Connection, ConnectionListener {
   /** What a place's links have in common. */
-  public record Place(Timers timers, Buffers buffers, Aside aside, TimeSpan within, Counter counter) {}
+  public record Place(
+      Timers timers, Buffers buffers, Aside aside, TimeSpan within, Counter counter) {}
 
   private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
   private static final int MOST_HELD =
@@ -40,7 +41,7 @@
   private final SSLEngine engine;
   private final Credentials.Expected expected;
   private final ConnectionListener user;
-  private Connection link;
+  private Connection connection;
   private Timers.Timer limit;
   private Instant begun;
   private boolean shaken;
@@ -65,7 +66,8 @@
   private long handed;
   private final ArrayDeque<Mark> marks = new ArrayDeque<>();
 
-  private TlsConnection(Place place, Credentials credentials, SSLEngine engine, ConnectionListener user) {
+  private TlsConnection(
+      Place place, Credentials credentials, SSLEngine engine, ConnectionListener user) {
     this.place = place;
     this.credentials = credentials;
     this.engine = engine;
@@ -105,9 +107,9 @@
 
   @Override
   public void up(Connection made) {
-    link = made;
+    connection = made;
     if (over) { // cut while it came up
-      link.cut(why);
+      connection.cut(why);
       return;
     }
     begun = credentials.now();
@@ -291,11 +293,11 @@
       SSLEngineResult result = engine.wrap(from, 0, many, record);
       if (result.bytesConsumed() > 0) {
         wrapped += result.bytesConsumed();
-        marks.add(new Mark(wrapped, link.written()));
+        marks.add(new Mark(wrapped, connection.written()));
       }
       record.flip();
       if (record.hasRemaining()) {
-        link.claim(record.remaining()).put(record);
+        connection.claim(record.remaining()).put(record);
       }
       shookHands(result);
       return result.getStatus() == Status.OK
@@ -426,7 +428,7 @@
         SSLEngineResult result = engine.wrap(NOTHING, record);
         record.flip();
         if (record.hasRemaining()) {
-          link.claim(record.remaining()).put(record);
+          connection.claim(record.remaining()).put(record);
         }
         if (result.getStatus() != Status.OK) {
           break;
@@ -441,7 +443,7 @@
       }
     }
     ended();
-    link.finish();
+    connection.finish();
   }
 
   private void ended() {
@@ -464,7 +466,7 @@
     over = true;
     ended();
     if (!shaken && silent) {
-      if (link != null) {
+      if (connection != null) {
         count(Refusal.ENDED, false);
         refused = Refusal.ENDED;
         why = "TLS: " + Refusal.ENDED.words() + " (" + below + ")";
@@ -558,10 +560,10 @@
 
   @Override
   public long handed() {
-    if (link == null) {
+    if (connection == null) {
       return 0;
     }
-    long below = link.handed();
+    long below = connection.handed();
     while (!marks.isEmpty() && marks.peek().recordStart < below) {
       handed = marks.poll().plainEnd;
     }
@@ -586,8 +588,8 @@
     why = reason;
     count(Refusal.ENDED, false);
     ended();
-    if (link != null) {
-      link.cut(reason);
+    if (connection != null) {
+      connection.cut(reason);
     }
   }
 }
--- a/src/main/java/sprucerock/transport/wire/FrameConnection.java
+++ b/src/main/java/sprucerock/transport/wire/FrameConnection.java
@@ -5,10 +5,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.Beat;
 import sprucerock.transport.wire.v1.Hello;
 
@@ -30,7 +30,7 @@
   private final Tap tap;
   private final FrameListener user;
   private final FrameReader reader;
-  private Connection link;
+  private Connection connection;
   private Hello other;
   private Timestamp heard;
   private boolean closed;
@@ -57,15 +57,15 @@
 
   /** Bytes that wait for the other side to read, or for the connection to come up. */
   public long unsent() {
-    return link == null ? 0 : link.written() - link.handed();
+    return connection == null ? 0 : connection.written() - connection.handed();
   }
 
   @Override
   public void up(Connection made) {
-    link = made;
+    connection = made;
     heard = timers.now();
     if (closed) { // cut while it came up
-      link.cut(whyCut);
+      connection.cut(whyCut);
       return;
     }
     send(Kind.HELLO, mine, FrameReader.NO_BODY);
@@ -94,14 +94,14 @@
 
   /** Sends a frame; returns a mark for {@link #mayHaveLeft}. On a closed link nothing happens. */
   public long send(Kind kind, MessageLite head, byte[] body) {
-    if (closed || link == null) {
+    if (closed || connection == null) {
       return Long.MAX_VALUE;
     }
     tap.frame(this, true, kind, head, body);
-    long mark = link.written();
+    long mark = connection.written();
     int size = head.getSerializedSize();
     boolean copied = body.length <= COPIED_BODY;
-    ByteBuffer room = link.claim(FrameReader.START + size + (copied ? body.length : 0));
+    ByteBuffer room = connection.claim(FrameReader.START + size + (copied ? body.length : 0));
     room.putInt(FrameReader.START - 4 + size + body.length).putInt(kind.code << 24 | size);
     try {
       CodedOutputStream out = CodedOutputStream.newInstance(room.slice(FrameReader.START, size));
@@ -113,7 +113,7 @@
     if (copied) {
       room.put(FrameReader.START + size, body);
     } else {
-      link.append(body);
+      connection.append(body);
     }
     return mark;
   }
@@ -123,7 +123,7 @@
    * it.
    */
   public boolean mayHaveLeft(long mark) {
-    return link != null && link.handed() > mark;
+    return connection != null && connection.handed() > mark;
   }
 
   @Override
@@ -189,15 +189,15 @@
     }
     closed = true;
     whyCut = why;
-    if (link != null) {
-      link.cut(why);
+    if (connection != null) {
+      connection.cut(why);
     }
   }
 
   /** Closes once all that was sent has gone out. */
   public void finish() {
-    if (link != null) {
-      link.finish();
+    if (connection != null) {
+      connection.finish();
     } else {
       cut("not wanted any more");
     }
--- a/src/main/java/sprucerock/transport/wire/FrameListener.java
+++ b/src/main/java/sprucerock/transport/wire/FrameListener.java
@@ -9,7 +9,7 @@
    * The other side said who it is, in this protocol's version; frames may be sent. A cut refuses
    * it.
    */
-  void greeted(FrameConnection link, Hello other);
+  void greeted(FrameConnection connection, Hello other);
 
   /** A frame other than greetings and beats. One that has no place here is answered with a cut. */
   void frame(Kind kind, MessageLite head, byte[] body);
--- a/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
+++ b/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
@@ -2,11 +2,11 @@
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
-import sprucerock.transport.net.ConnectionListener;
-import sprucerock.transport.net.Net;
-import sprucerock.transport.net.ExponentialBackoff;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.ExponentialBackoff;
+import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.v1.Hello;
 
 /**
@@ -16,7 +16,8 @@
 public final class ReconnectingConnection implements FrameListener {
   private static final TimeSpan FIRST =
       TimeSpan.ofMs(50); // a restart on the same machine takes about a second
-  private static final TimeSpan MOST = TimeSpan.ofMs(2000); // what comes back is known again within this
+  private static final TimeSpan MOST =
+      TimeSpan.ofMs(2000); // what comes back is known again within this
   private static final TimeSpan CONNECT = TimeSpan.ofMs(1000);
 
   /** How connections are made: by default as they are, or by TLS. */
@@ -32,7 +33,7 @@
   private final Tap tap;
   private final ExponentialBackoff pauses;
   private final FrameListener user;
-  private FrameConnection link;
+  private FrameConnection connection;
   private boolean stopped;
 
   public ReconnectingConnection(
@@ -69,16 +70,16 @@
     if (stopped) {
       return;
     }
-    link = new FrameConnection(net, mine, limits, tap, this);
-    connector.connect(to, CONNECT, limits.unsent(), link);
+    connection = new FrameConnection(net, mine, limits, tap, this);
+    connector.connect(to, CONNECT, limits.unsent(), connection);
   }
 
   public boolean usable() {
-    return link != null && link.usable();
+    return connection != null && connection.usable();
   }
 
   public long unsent() {
-    return link.unsent();
+    return connection.unsent();
   }
 
   /** Sends if the link is there; false where it is not. */
@@ -86,20 +87,20 @@
     if (!usable()) {
       return false;
     }
-    link.send(kind, head, body);
+    connection.send(kind, head, body);
     return true;
   }
 
   /** Closes, and stays closed. */
   public void stop() {
     stopped = true;
-    if (link != null) {
-      link.finish();
+    if (connection != null) {
+      connection.finish();
     }
   }
 
   public void cut(String why) {
-    link.cut(why);
+    connection.cut(why);
   }
 
   @Override
--- a/src/main/java/sprucerock/transport/wire/Tap.java
+++ b/src/main/java/sprucerock/transport/wire/Tap.java
@@ -7,13 +7,14 @@
   Tap NONE =
       new Tap() {
         @Override
-        public void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body) {}
+        public void frame(
+            FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body) {}
 
         @Override
-        public void closed(FrameConnection link, String why) {}
+        public void closed(FrameConnection connection, String why) {}
       };
 
-  void frame(FrameConnection link, boolean out, Kind kind, MessageLite head, byte[] body);
+  void frame(FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body);
 
-  void closed(FrameConnection link, String why);
+  void closed(FrameConnection connection, String why);
 }
--- a/src/test/java/sprucerock/AloneVoteTest.java
+++ b/src/test/java/sprucerock/AloneVoteTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.Test;
-import sprucerock.model.Build;
 import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Build;
 import sprucerock.model.RolloutState;
 
 /** Stories of relays that nobody tells what others saw, while builds come and go. */
@@ -83,8 +83,8 @@
   @Test
   public void whereNothingElseIsListedItServes() {
     FakeHost host = thenOffered(after(RolloutState.WITHDRAWN));
-    for (var unit : java.util.List.copyOf(host.old.units)) {
-      host.ledger.removed(unit.id);
+    for (var endpoint : java.util.List.copyOf(host.old.endpoints)) {
+      host.ledger.removed(endpoint.id);
     }
     effects(host, 20, AttemptOutcome.OK);
     assertEquals(host.sentTo(host.fresh), 20);
--- a/src/test/java/sprucerock/ArchitectureTest.java
+++ b/src/test/java/sprucerock/ArchitectureTest.java
@@ -33,7 +33,10 @@
       {"transport.postgres", ""},
       {"transport.http", "time transport.net"},
       {"relay.engine", "time model policy accounting transport.net"},
-      {"relay.platform", "time stats model policy accounting config config.settings transport.net transport.postgres transport.http relay.engine"},
+      {
+        "relay.platform",
+        "time stats model policy accounting config config.settings transport.net transport.postgres transport.http relay.engine"
+      },
       {"transport.net", "time"},
       {"transport.net.nio", "time transport.net"},
       {"transport.tls", "time stats transport.net"},
@@ -53,14 +56,23 @@
       {"rehearsal.invariant", "time rehearsal.trace transport.wire transport.wire.v1"},
       {"controller.comparison", ""},
       {"controller.deployment", "time"},
-      {"controller", "time controller.deployment controller.comparison controller.maintenance hardware controller.v1"},
+      {
+        "controller",
+        "time controller.deployment controller.comparison controller.maintenance hardware controller.v1"
+      },
       {"agent.artifact", ""},
-      {"agent", "time model stats accounting metrics controller.deployment config transport.net transport.net.nio agent.artifact transport.wire transport.wire.v1"},
+      {
+        "agent",
+        "time model stats accounting metrics controller.deployment config transport.net transport.net.nio agent.artifact transport.wire transport.wire.v1"
+      },
       {
         "controller.server",
         "time lease controller.maintenance transport.net transport.net.nio config controller.deployment controller.comparison agent.artifact controller controller.v1 transport.wire transport.wire.v1"
       },
-      {"rehearsal.fake", "time stats lease transport.net transport.tls rehearsal.trace transport.wire transport.wire.v1"},
+      {
+        "rehearsal.fake",
+        "time stats lease transport.net transport.tls rehearsal.trace transport.wire transport.wire.v1"
+      },
       {"lab.slope", ""},
       {"lab.plot", "lab.slope"},
       {"rehearsal.recovery", "rehearsal.trace transport.wire transport.wire.v1"},
@@ -120,7 +132,8 @@
 
   @Test
   public void whatDecidesOpensNothingAndReadsNoClock() {
-    for (String room : new String[] {"model", "stats", "policy.evidence", "accounting", "policy", "time"}) {
+    for (String room :
+        new String[] {"model", "stats", "policy.evidence", "accounting", "policy", "time"}) {
       noClasses()
           .that()
           .resideInAPackage("sprucerock." + room)
@@ -145,7 +158,11 @@
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
-            "java.io", "java.net", "java.nio..", "java.util.concurrent..", "sprucerock.transport.net..")
+            "java.io",
+            "java.net",
+            "java.nio..",
+            "java.util.concurrent..",
+            "sprucerock.transport.net..")
         .check(ALL);
     for (String core :
         new String[] {
@@ -227,7 +244,8 @@
     fields()
         .that()
         .areDeclaredInClassesThat()
-        .resideInAnyPackage("sprucerock.relay.frames", "sprucerock.transport.net..", "sprucerock.transport.wire")
+        .resideInAnyPackage(
+            "sprucerock.relay.frames", "sprucerock.transport.net..", "sprucerock.transport.wire")
         .and()
         .arePublic()
         .should()
--- a/src/test/java/sprucerock/FakeHost.java
+++ b/src/test/java/sprucerock/FakeHost.java
@@ -3,19 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import sprucerock.policy.RelayActions;
 import sprucerock.accounting.RequestTracker;
-import sprucerock.model.Build;
-import sprucerock.model.AttemptOutcome;
+import sprucerock.config.settings.SettingsText;
 import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
+import sprucerock.model.RolloutState;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.RolloutState;
-import sprucerock.model.Endpoint;
 import sprucerock.model.Verdict;
-import sprucerock.config.settings.SettingsText;
-import sprucerock.time.Timestamp;
+import sprucerock.policy.RelayActions;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** One relay's world for a story: a clock, timers, and a record of what the module did. */
 final class FakeHost implements RelayActions {
@@ -97,8 +97,8 @@
   }
 
   /** Warm units of the earlier build, and news that it is the released one. */
-  FakeHost with(int units) {
-    for (int i = 0; i < units; i++) {
+  FakeHost with(int endpoints) {
+    for (int i = 0; i < endpoints; i++) {
       unit(old, null);
     }
     ledger.news(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
@@ -106,8 +106,8 @@
   }
 
   /** So many warm units of the build on trial, and news that puts it there. */
-  FakeHost offering(int units, int stage, double cap) {
-    for (int i = 0; i < units; i++) {
+  FakeHost offering(int endpoints, int stage, double cap) {
+    for (int i = 0; i < endpoints; i++) {
       unit(fresh, now.minus(TimeSpan.ofMs(20_000)));
     }
     ledger.news(2, stage, RolloutState.ON_TRIAL, cap, now);
@@ -124,14 +124,21 @@
 
   Rpc rpc(int method, long key, double leftMs) {
     return ledger.arrived(
-        made++, settings.methods.get(method), 0, key, now, now.plus(TimeSpan.ofMs(leftMs)), null, null);
+        made++,
+        settings.methods.get(method),
+        0,
+        key,
+        now,
+        now.plus(TimeSpan.ofMs(leftMs)),
+        null,
+        null);
   }
 
   /** The first idempotent RPC of the key that gets a copy; those before it are answered ok. */
   Rpc firstCopied(long key) {
     for (int i = 0; i < 100; i++) {
       Rpc rpc = rpc(0, key, 4000);
-      if (rpc.picks.size() == 2) {
+      if (rpc.attempts.size() == 2) {
         return rpc;
       }
       pass(50);
@@ -140,9 +147,9 @@
     throw new AssertionError("no RPC got a copy");
   }
 
-  void end(Attempt pick, AttemptOutcome outcome) {
-    boolean closes = outcome == AttemptOutcome.OK || pick.rpc.ended();
-    ledger.pickEnded(pick, outcome, now.since(pick.sent), closes);
+  void end(Attempt attempt, AttemptOutcome outcome) {
+    boolean closes = outcome == AttemptOutcome.OK || attempt.rpc.ended();
+    ledger.attemptEnded(attempt, outcome, now.since(attempt.sent), closes);
   }
 
   /**
@@ -150,15 +157,15 @@
    * another.
    */
   void endAll(AttemptOutcome atFresh, AttemptOutcome atOld) {
-    for (Attempt pick : List.copyOf(sent)) {
-      if (pick.outcome() == null) {
-        end(pick, pick.unit.build == fresh ? atFresh : atOld);
+    for (Attempt attempt : List.copyOf(sent)) {
+      if (attempt.outcome() == null) {
+        end(attempt, attempt.endpoint.build == fresh ? atFresh : atOld);
       }
     }
   }
 
   long sentTo(Build build) {
-    return sent.stream().filter(pick -> pick.unit.build == build).count();
+    return sent.stream().filter(attempt -> attempt.endpoint.build == build).count();
   }
 
   /** Idempotent RPCs, one every so many milliseconds, all answered ok after 40 ms. */
@@ -187,14 +194,14 @@
   }
 
   @Override
-  public void send(Attempt pick) {
-    ledger.sent(pick);
-    sent.add(pick);
+  public void send(Attempt attempt) {
+    ledger.sent(attempt);
+    sent.add(attempt);
   }
 
   @Override
-  public void cancel(Attempt pick) {
-    cancelled.add(pick);
+  public void cancel(Attempt attempt) {
+    cancelled.add(attempt);
   }
 
   @Override
--- a/src/test/java/sprucerock/PolicyTest.java
+++ b/src/test/java/sprucerock/PolicyTest.java
@@ -7,14 +7,14 @@
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.Test;
-import sprucerock.policy.evidence.Board;
-import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Attempt;
-import sprucerock.model.VoteReply;
-import sprucerock.model.Rpc;
-import sprucerock.model.RolloutState;
+import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Endpoint;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Rpc;
 import sprucerock.model.Verdict;
+import sprucerock.model.VoteReply;
+import sprucerock.policy.evidence.Board;
 import sprucerock.stats.Ks;
 import sprucerock.time.TimeSpan;
 
@@ -57,9 +57,9 @@
     assertEquals(host.sent.size(), 2);
     host.pass(1999);
     int sent = host.sent.size();
-    for (Attempt pick : host.sent) {
-      if (pick.outcome() == null) {
-        host.end(pick, AttemptOutcome.ERROR);
+    for (Attempt attempt : host.sent) {
+      if (attempt.outcome() == null) {
+        host.end(attempt, AttemptOutcome.ERROR);
       }
     }
     assertEquals(host.sent.size(), sent);
@@ -71,8 +71,8 @@
     FakeHost host = new FakeHost("classes.1.group=zone").with(1);
     Endpoint far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
     Rpc order = host.rpc(1);
-    host.end(order.picks.get(0), AttemptOutcome.ERROR);
-    assertEquals(order.picks.size(), 1);
+    host.end(order.attempts.get(0), AttemptOutcome.ERROR);
+    assertEquals(order.attempts.size(), 1);
     assertSame(host.aborted.get(0), order);
   }
 
@@ -87,18 +87,18 @@
     }
     Rpc slow = host.rpc(0);
     host.pass(1400);
-    assertEquals(slow.picks.size(), 1);
+    assertEquals(slow.attempts.size(), 1);
   }
 
   @Test
   public void drainingUnitGetsNothingNew() {
     FakeHost host = new FakeHost().with(2);
-    Endpoint left = host.old.units.get(0);
+    Endpoint left = host.old.endpoints.get(0);
     host.ledger.removed(left.id);
     for (int i = 0; i < 20; i++) {
       host.rpc(0);
     }
-    assertTrue(host.sent.stream().noneMatch(pick -> pick.unit == left));
+    assertTrue(host.sent.stream().noneMatch(attempt -> attempt.endpoint == left));
   }
 
   @Test
@@ -108,7 +108,8 @@
     Endpoint cold = host.unit(host.old, host.now());
     int before = host.sent.size();
     host.traffic(20, 50);
-    long atCold = host.sent.stream().skip(before).filter(pick -> pick.unit == cold).count();
+    long atCold =
+        host.sent.stream().skip(before).filter(attempt -> attempt.endpoint == cold).count();
     assertTrue(atCold <= 3, "sent " + atCold);
   }
 
@@ -137,7 +138,7 @@
     for (int i = 0; i < 20; i++) {
       Rpc rpc = host.rpc(1 + i % 2);
       host.pass(50);
-      assertEquals(rpc.picks.size(), 1);
+      assertEquals(rpc.attempts.size(), 1);
       host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     assertEquals(host.sentTo(host.fresh), 0);
@@ -149,9 +150,9 @@
     host.traffic(40, 50);
     host.offering(3, 1, 1.0);
     Rpc rpc = host.firstCopied(0);
-    assertSame(rpc.picks.get(0).unit.build, host.old);
-    assertSame(rpc.picks.get(1).unit.build, host.fresh);
-    host.end(rpc.picks.get(1), AttemptOutcome.OK);
+    assertSame(rpc.attempts.get(0).endpoint.build, host.old);
+    assertSame(rpc.attempts.get(1).endpoint.build, host.fresh);
+    host.end(rpc.attempts.get(1), AttemptOutcome.OK);
     assertTrue(rpc.ended());
     assertTrue(host.cancelled.isEmpty());
   }
@@ -170,27 +171,27 @@
     host.pass(500);
     int pushed = host.pushedBack.size();
     Rpc second = host.rpc(2, 7, 4000);
-    for (Attempt pick : second.picks) {
-      assertSame(pick.unit.build, host.fresh);
+    for (Attempt attempt : second.attempts) {
+      assertSame(attempt.endpoint.build, host.fresh);
     }
-    assertEquals(host.pushedBack.size() - pushed + second.picks.size(), 1);
+    assertEquals(host.pushedBack.size() - pushed + second.attempts.size(), 1);
     host.ledger.news(2, 1, RolloutState.GOING_BACK, 0, host.now());
     Rpc third = host.rpc(2, 7, 4000);
-    assertSame(third.picks.get(0).unit.build, host.old);
+    assertSame(third.attempts.get(0).endpoint.build, host.old);
   }
 
   @Test
   public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey() {
     FakeHost host = new FakeHost(ONE_WAY).with(2).offering(4, 2, 1.0);
     host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
-    for (Endpoint unit : java.util.List.copyOf(host.old.units)) {
-      host.ledger.removed(unit.id);
+    for (Endpoint endpoint : java.util.List.copyOf(host.old.endpoints)) {
+      host.ledger.removed(endpoint.id);
     }
     host.rpc(0, 7, 4000);
     host.pass(50);
     host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
-    for (Endpoint unit : java.util.List.copyOf(host.fresh.units)) {
-      host.ledger.removed(unit.id);
+    for (Endpoint endpoint : java.util.List.copyOf(host.fresh.endpoints)) {
+      host.ledger.removed(endpoint.id);
     }
     host.unit(host.old, host.now().minus(TimeSpan.ofMs(9000)));
     host.rpc(0, 7, 4000);
@@ -207,7 +208,7 @@
     }
     host.offering(3, 0, 0.1);
     host.pass(2000);
-    assertEquals(host.rpc(0, 7, 4000).picks.size(), 1);
+    assertEquals(host.rpc(0, 7, 4000).attempts.size(), 1);
   }
 
   @Test
@@ -281,24 +282,24 @@
     host.traffic(20, 50);
     Rpc rpc = host.rpc(0);
     host.pass(700);
-    assertEquals(rpc.picks.size(), 2);
-    assertNotSame(rpc.picks.get(0).unit, rpc.picks.get(1).unit);
+    assertEquals(rpc.attempts.size(), 2);
+    assertNotSame(rpc.attempts.get(0).endpoint, rpc.attempts.get(1).endpoint);
   }
 
   @Test
   public void unitThatFailsFastIsLeftAlone() {
     FakeHost host = new FakeHost().with(5);
-    Endpoint bad = host.old.units.get(0);
+    Endpoint bad = host.old.endpoints.get(0);
     for (int i = 0; i < 60; i++) {
       host.rpc(0);
       host.pass(30);
-      for (Attempt pick : java.util.List.copyOf(host.sent)) {
-        if (pick.outcome() == null) {
-          host.end(pick, pick.unit == bad ? AttemptOutcome.ERROR : AttemptOutcome.OK);
+      for (Attempt attempt : java.util.List.copyOf(host.sent)) {
+        if (attempt.outcome() == null) {
+          host.end(attempt, attempt.endpoint == bad ? AttemptOutcome.ERROR : AttemptOutcome.OK);
         }
       }
     }
-    long atBad = host.sent.stream().skip(30).filter(pick -> pick.unit == bad).count();
+    long atBad = host.sent.stream().skip(30).filter(attempt -> attempt.endpoint == bad).count();
     assertTrue(atBad <= 4, "sent " + atBad);
   }
 
@@ -310,7 +311,7 @@
       host.pass(10);
     }
     assertFalse(host.pushedBack.isEmpty());
-    assertTrue(host.pushedBack.get(0).picks.isEmpty());
+    assertTrue(host.pushedBack.get(0).attempts.isEmpty());
   }
 
   @Test
@@ -321,10 +322,10 @@
       host.pass(10);
       if (i >= 9) {
         host.sent.stream()
-            .filter(pick -> pick.outcome() == null)
+            .filter(attempt -> attempt.outcome() == null)
             .limit(1)
             .toList()
-            .forEach(pick -> host.end(pick, AttemptOutcome.OK));
+            .forEach(attempt -> host.end(attempt, AttemptOutcome.OK));
       }
     }
     assertTrue(host.pushedBack.isEmpty(), host.pushedBack.size() + " pushed back");
@@ -338,7 +339,7 @@
     host.offering(3, 1, 0.4);
     int copied = 0;
     for (int i = 0; i < 900 && !host.votes.contains(Verdict.BACK); i++) {
-      if (host.rpc(0).picks.size() > 1) {
+      if (host.rpc(0).attempts.size() > 1) {
         copied = i;
       }
       host.pass(i - copied < 12 ? 200 : 40);
@@ -352,8 +353,8 @@
   public void releasedBuildIsWatchedForAFixedTimeOnly() {
     FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
     host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
-    for (Endpoint unit : java.util.List.copyOf(host.old.units)) {
-      host.ledger.removed(unit.id);
+    for (Endpoint endpoint : java.util.List.copyOf(host.old.endpoints)) {
+      host.ledger.removed(endpoint.id);
     }
     host.pass(16_000);
     for (int i = 0; i < 40; i++) {
@@ -368,8 +369,8 @@
   public void releasedBuildThatFailsEverywhereGoesBack() {
     FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
     host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
-    for (Endpoint unit : java.util.List.copyOf(host.old.units)) {
-      host.ledger.removed(unit.id);
+    for (Endpoint endpoint : java.util.List.copyOf(host.old.endpoints)) {
+      host.ledger.removed(endpoint.id);
     }
     for (int i = 0; i < 40; i++) {
       host.rpc(2);
@@ -400,17 +401,17 @@
   @Test
   public void loadsToldByPeersSteerTheTwoChoices() {
     FakeHost host = new FakeHost("index=3", "balancers=9").with(2);
-    Endpoint full = host.old.units.get(0);
+    Endpoint full = host.old.endpoints.get(0);
     Board board = new Board(TimeSpan.ofMs(6000));
-    for (Endpoint unit : host.old.units) {
-      board.ready(unit);
+    for (Endpoint endpoint : host.old.endpoints) {
+      board.ready(endpoint);
     }
     for (int i = 0; i < 5; i++) {
-      board.add(board.pick(full, null), host.now());
+      board.add(board.attempt(full, null), host.now());
     }
     for (int i = 0; i < 4; i++) {
       host.policy.peerTold(0, board.loads(2, 0, host.now()));
-      assertNotSame(host.rpc(0).picks.get(0).unit, full);
+      assertNotSame(host.rpc(0).attempts.get(0).endpoint, full);
     }
     assertEquals(host.toldTo, java.util.List.of(0, 0, 0, 0));
   }
@@ -427,9 +428,9 @@
   public void quietRelayPushesBackByTheFleetsWait() {
     FakeHost host = new FakeHost("index=3", "balancers=9").with(4);
     host.policy.peerTold(0, new byte[] {Board.LOADS, 60});
-    assertTrue(host.rpc(0).picks.isEmpty());
+    assertTrue(host.rpc(0).attempts.isEmpty());
     host.pass(1500);
-    assertEquals(host.rpc(0).picks.size(), 1);
+    assertEquals(host.rpc(0).attempts.size(), 1);
   }
 
   @Test
@@ -437,18 +438,18 @@
     FakeHost host = new FakeHost().with(3);
     Endpoint far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
     for (int i = 0; i < 60; i++) {
-      Attempt pick = host.rpc(0).picks.get(0);
-      host.pass(pick.unit == far ? 600 : 50);
+      Attempt attempt = host.rpc(0).attempts.get(0);
+      host.pass(attempt.endpoint == far ? 600 : 50);
       host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
-    assertTrue(host.sent.stream().skip(20).noneMatch(pick -> pick.unit == far));
+    assertTrue(host.sent.stream().skip(20).noneMatch(attempt -> attempt.endpoint == far));
   }
 
   @Test
   public void quietRelayStaysWithUnitsThatItHasConnectionsTo() {
     FakeHost host = new FakeHost("permissions.keepalive=20000").with(60);
     host.traffic(200, 400);
-    long met = host.sent.stream().map(pick -> pick.unit).distinct().count();
+    long met = host.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
     assertTrue(met <= 20, met + " units met");
   }
 
@@ -459,7 +460,7 @@
       host.pass(15_000);
       host.traffic(1, 400);
     }
-    long met = host.sent.stream().map(pick -> pick.unit).distinct().count();
+    long met = host.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
     assertTrue(met >= 10, met + " units met");
   }
 
--- a/src/test/java/sprucerock/SimhostTest.java
+++ b/src/test/java/sprucerock/SimhostTest.java
@@ -86,8 +86,8 @@
     assertTrue(text.startsWith("0c000000"), text);
     int at = text.indexOf("0a1400000003000000c4913a5d");
     assertTrue(at > 0, text);
-    String unit = text.substring(at + 26, at + 34);
-    assertTrue(unit.equals("074a1203") || unit.equals("f211902c"), unit);
+    String endpoint = text.substring(at + 26, at + 34);
+    assertTrue(endpoint.equals("074a1203") || endpoint.equals("f211902c"), endpoint);
   }
 
   @Test
--- a/src/test/java/sprucerock/VoteStudy.java
+++ b/src/test/java/sprucerock/VoteStudy.java
@@ -44,15 +44,15 @@
         told[i] = new byte[] {3, 2, (byte) stage, 0, 0, 0, 0, 0};
       }
       for (int pair = 0; pair < PAIRS[stage]; pair++) {
-        int unit = random.nextInt(ill.length);
-        boolean illFails = ill[unit] && random.nextDouble() < ILL_FAILS;
+        int endpoint = random.nextInt(ill.length);
+        boolean illFails = ill[endpoint] && random.nextDouble() < ILL_FAILS;
         boolean fresh = illFails || random.nextDouble() < badShare;
         boolean earlier = random.nextDouble() < illShare && random.nextDouble() < ILL_FAILS;
         byte[] report = told[pair % SENDERS].clone(); // the module keeps what it was told last
         report[3]++;
         if (fresh && !earlier) {
           report[4]++;
-          int mark = (int) (unit * 0x9E3779B1L >>> 16) & 15;
+          int mark = (int) (endpoint * 0x9E3779B1L >>> 16) & 15;
           report[6 + mark / 8] |= (byte) (1 << mark % 8);
         }
         if (earlier && !fresh) {
--- a/src/test/java/sprucerock/accounting/AccountsTest.java
+++ b/src/test/java/sprucerock/accounting/AccountsTest.java
@@ -10,12 +10,13 @@
 /** That the check can fail: an error planted in any account is found and named. */
 public class AccountsTest {
   private static MethodAccounts some() {
-    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 2, 2));
-    accounts.row(accounts.units, "u1");
+    MethodAccounts accounts =
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 2, 2));
+    accounts.row(accounts.endpoints, "u1");
     accounts.rpcArrived(1, 0);
-    accounts.pickSent(1, accounts.row(accounts.builds, "7"), 0, true);
-    accounts.pickWritten();
-    accounts.pickEnded(1, 0, 0, true, true, 1, TimeSpan.ofMs(3));
+    accounts.attemptSent(1, accounts.row(accounts.builds, "7"), 0, true);
+    accounts.attemptWritten();
+    accounts.attemptEnded(1, 0, 0, true, true, 1, TimeSpan.ofMs(3));
     accounts.rpcAnswered(1, 0, TimeSpan.ofMs(4), true, true);
     return accounts;
   }
@@ -55,10 +56,10 @@
   @Test
   public void postingsThatDifferBetweenSheetsAreFound() {
     MethodAccounts accounts = some();
-    accounts.begin(accounts.picks, 0, 1);
+    accounts.begin(accounts.attempts, 0, 1);
     assertEquals(accounts.check().get(0).equation(), "picks sent = build_picks sent");
     accounts.begin(accounts.builds, 0, 2);
-    accounts.begin(accounts.units, 0, 1);
+    accounts.begin(accounts.endpoints, 0, 1);
     assertEquals(
         accounts.check().stream().map(MethodAccounts.Drift::equation).toList(),
         List.of(
@@ -84,11 +85,11 @@
   @Test
   public void namesBeyondTheRoomCountAsOther() {
     MethodAccounts accounts = some();
-    assertEquals(accounts.row(accounts.units, "u1"), 0);
-    assertEquals(accounts.row(accounts.units, "u2"), 1);
-    assertEquals(accounts.row(accounts.units, "u3"), 2);
-    assertEquals(accounts.name(accounts.units, 2), MethodMetrics.OTHER);
-    assertEquals(accounts.row(accounts.units, "u2"), 1);
+    assertEquals(accounts.row(accounts.endpoints, "u1"), 0);
+    assertEquals(accounts.row(accounts.endpoints, "u2"), 1);
+    assertEquals(accounts.row(accounts.endpoints, "u3"), 2);
+    assertEquals(accounts.name(accounts.endpoints, 2), MethodMetrics.OTHER);
+    assertEquals(accounts.row(accounts.endpoints, "u2"), 1);
   }
 
   @Test
--- a/src/test/java/sprucerock/accounting/LedgerProperties.java
+++ b/src/test/java/sprucerock/accounting/LedgerProperties.java
@@ -19,15 +19,15 @@
 import org.HdrHistogram.Histogram;
 import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.metrics.MetricsSnapshot;
-import sprucerock.model.Method;
-import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Endpoint;
+import sprucerock.model.Method;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.Endpoint;
 import sprucerock.relay.frames.Told;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * Sums hold after each step, in whatever order things happen, stale, doubled or never, and through
@@ -53,11 +53,12 @@
 
   /** One life of a relay, of which the test drives only the ledger. */
   private static final class Life {
-    final MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 3, 2));
+    final MethodAccounts accounts =
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 3, 2));
     final RequestTracker ledger;
     final List<Method> methods = new ArrayList<>();
     final List<Rpc> rpcs = new ArrayList<>();
-    final List<Attempt> picks = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
     Timestamp now = Timestamp.ofMs(1000);
     long last;
 
@@ -87,7 +88,7 @@
     void happens(Event event) {
       now = now.plus(TimeSpan.ofMs(event.afterMs));
       Rpc rpc = rpcs.isEmpty() ? null : rpcs.get(event.whom % rpcs.size());
-      Attempt pick = picks.isEmpty() ? null : picks.get(event.whom % picks.size());
+      Attempt attempt = attempts.isEmpty() ? null : attempts.get(event.whom % attempts.size());
       switch (event.what) {
         case 0, 1 ->
             rpcs.add(
@@ -118,21 +119,25 @@
           }
         }
         case 7 -> {
-          Endpoint unit = ledger.unit(event.how % 6);
-          if (rpc == null || rpc.ended() || unit == null) {
+          Endpoint endpoint = ledger.unit(event.how % 6);
+          if (rpc == null || rpc.ended() || endpoint == null) {
             break;
           }
-          Attempt made = new Attempt(rpc, unit, now, null);
+          Attempt made = new Attempt(rpc, endpoint, now, null);
           made.copy = event.how % 3 == 0;
-          picks.add(made);
+          attempts.add(made);
           ledger.sent(made);
         }
         default -> { // late ones, and the same again, among them
-          if (pick == null) {
+          if (attempt == null) {
             break;
           }
           AttemptOutcome how = OUTCOMES[event.how % OUTCOMES.length];
-          ledger.pickEnded(pick, how, now.since(pick.sent), pick.rpc.ended() || how == AttemptOutcome.OK);
+          ledger.attemptEnded(
+              attempt,
+              how,
+              now.since(attempt.sent),
+              attempt.rpc.ended() || how == AttemptOutcome.OK);
         }
       }
     }
@@ -140,9 +145,10 @@
     void holds() {
       assertEquals(accounts.check(), List.of());
       assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), ledger.open());
-      long out = picks.stream().filter(pick -> pick.outcome() == null).count();
-      assertEquals(accounts.sum(accounts.picks, accounts.picks.pending()), out);
-      long copies = picks.stream().filter(pick -> pick.outcome() == null && pick.copy).count();
+      long out = attempts.stream().filter(attempt -> attempt.outcome() == null).count();
+      assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), out);
+      long copies =
+          attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.copy).count();
       assertEquals(accounts.sum(accounts.copies, accounts.copies.pending()), copies);
     }
   }
@@ -213,11 +219,14 @@
     Histogram same = HistogramBuckets.histogram();
     long us = (long) (ms * 1000);
     int bucket = HistogramBuckets.bucket(TimeSpan.ofMs(us / 1000.0));
-    assertEquals(HistogramBuckets.fromUs(bucket), same.lowestEquivalentValue(HistogramBuckets.fromUs(bucket)));
+    assertEquals(
+        HistogramBuckets.fromUs(bucket),
+        same.lowestEquivalentValue(HistogramBuckets.fromUs(bucket)));
     long slack = 1; // a microsecond is lost where milliseconds are cut to whole ones
     assertTrue(us + slack >= HistogramBuckets.fromUs(bucket), us + " in " + bucket);
     assertTrue(
-        bucket == HistogramBuckets.BUCKETS - 1 || us - slack < HistogramBuckets.fromUs(bucket + 1), us + " in " + bucket);
+        bucket == HistogramBuckets.BUCKETS - 1 || us - slack < HistogramBuckets.fromUs(bucket + 1),
+        us + " in " + bucket);
     same.recordValue(us);
     assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
   }
--- a/src/test/java/sprucerock/accounting/LedgerTest.java
+++ b/src/test/java/sprucerock/accounting/LedgerTest.java
@@ -13,26 +13,32 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.model.Method;
-import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Endpoint;
+import sprucerock.model.Method;
+import sprucerock.model.RolloutState;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.RolloutState;
-import sprucerock.model.Endpoint;
 import sprucerock.relay.frames.Told;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** The life of RPCs, picks and units as the module is told it. */
 public class LedgerTest {
   private static final Timestamp T = Timestamp.ofMs(1000);
   private final Method method =
       new Method(
-          0, Method.Effect.IDEMPOTENT, Method.Group.ALL, TimeSpan.ofMs(100), TimeSpan.ZERO, 1, false);
+          0,
+          Method.Effect.IDEMPOTENT,
+          Method.Group.ALL,
+          TimeSpan.ofMs(100),
+          TimeSpan.ZERO,
+          1,
+          false);
   private Told told;
   private RequestTracker ledger;
-  private Endpoint unit;
+  private Endpoint endpoint;
 
   @BeforeMethod
   public void begin() {
@@ -41,7 +47,7 @@
     ledger = new RequestTracker(new Settings(draft));
     told = new Told();
     ledger.tell(told);
-    unit = ledger.listed(1, 0, 0, 0, 1, null, 1, true);
+    endpoint = ledger.listed(1, 0, 0, 0, 1, null, 1, true);
     told.calls.clear();
   }
 
@@ -58,9 +64,9 @@
   }
 
   private Attempt sends(Rpc rpc) {
-    Attempt pick = new Attempt(rpc, unit, T, null);
-    ledger.sent(pick);
-    return pick;
+    Attempt attempt = new Attempt(rpc, endpoint, T, null);
+    ledger.sent(attempt);
+    return attempt;
   }
 
   @Test
@@ -68,12 +74,12 @@
     Rpc rpc = arrives(5);
     Attempt first = sends(rpc);
     Attempt second = sends(rpc);
-    ledger.pickEnded(second, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
+    ledger.attemptEnded(second, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
     assertTrue(rpc.ended());
     assertSame(ledger.rpc(5), rpc);
-    ledger.pickEnded(first, AttemptOutcome.OK, TimeSpan.ofMs(4), true);
+    ledger.attemptEnded(first, AttemptOutcome.OK, TimeSpan.ofMs(4), true);
     assertNull(ledger.rpc(5));
-    ledger.pickEnded(first, AttemptOutcome.ERROR, TimeSpan.ofMs(9), true);
+    ledger.attemptEnded(first, AttemptOutcome.ERROR, TimeSpan.ofMs(9), true);
     assertEquals(told.calls, List.of("arrived 5", "ended 5.1 OK answers", "ended 5.0 OK"));
     assertEquals(figures(), List.of(1L, 1L, 0L, 0L, 0L, 0L, 0L));
     assertEquals(first.outcome(), AttemptOutcome.OK);
@@ -82,11 +88,11 @@
   @Test
   public void anOkAfterTheFinalAnswerChangesNothing() {
     Rpc rpc = arrives(6);
-    Attempt pick = sends(rpc);
+    Attempt attempt = sends(rpc);
     ledger.pushedBack(rpc);
     ledger.aborted(rpc);
     ledger.clientLeft(rpc);
-    ledger.pickEnded(pick, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
+    ledger.attemptEnded(attempt, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
     assertEquals(told.calls, List.of("arrived 6", "ended 6.0 OK"));
     assertEquals(figures(), List.of(1L, 0L, 1L, 0L, 0L, 0L, 0L));
   }
@@ -97,21 +103,21 @@
     Attempt late = sends(first);
     ledger.pushedBack(first);
     Rpc again = arrives(7);
-    ledger.pickEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
+    ledger.attemptEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
     assertSame(ledger.rpc(7), again);
     assertFalse(again.ended());
   }
 
   @Test
   public void anotherRunIsAnotherUnitAndADrainingOneIsNotReady() {
-    assertSame(ledger.listed(1, 0, 0, 0, 1, null, 2, true), unit);
-    assertEquals(unit.weight(), 2.0);
+    assertSame(ledger.listed(1, 0, 0, 0, 1, null, 2, true), endpoint);
+    assertEquals(endpoint.weight(), 2.0);
     Endpoint next = ledger.listed(1, 0, 0, 0, 1, T, 1, true);
-    assertNotSame(next, unit);
-    assertFalse(unit.ready());
+    assertNotSame(next, endpoint);
+    assertFalse(endpoint.ready());
     ledger.listed(1, 0, 0, 0, 1, T, 1, false);
     assertFalse(next.ready());
-    assertTrue(next.build.units.isEmpty());
+    assertTrue(next.build.endpoints.isEmpty());
     ledger.keepOnly(Set.of());
     assertNull(ledger.unit(1));
     assertEquals(told.calls, List.of("leaving 1", "ready 1", "leaving 1", "leaving 1"));
@@ -144,13 +150,17 @@
         case 2 -> ledger.clientLeft(rpc);
         case 3 -> sends(rpc);
         default -> {
-          if (rpc.picks.isEmpty()) {
+          if (rpc.attempts.isEmpty()) {
             break;
           }
-          AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
+          AttemptOutcome outcome =
+              AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
           boolean closes = rpc.ended() || outcome == AttemptOutcome.OK;
-          ledger.pickEnded(
-              rpc.picks.get(random.nextInt(rpc.picks.size())), outcome, TimeSpan.ofMs(1), closes);
+          ledger.attemptEnded(
+              rpc.attempts.get(random.nextInt(rpc.attempts.size())),
+              outcome,
+              TimeSpan.ofMs(1),
+              closes);
         }
       }
       if (rpcs.size() > 30) {
@@ -159,8 +169,8 @@
       assertEquals(ledger.accounts().check(), List.of());
       assertEquals((long) figures().get(6), ledger.open());
       assertEquals(
-          ledger.accounts().sum(ledger.accounts().picks, ledger.accounts().picks.pending()),
-          unit.out());
+          ledger.accounts().sum(ledger.accounts().attempts, ledger.accounts().attempts.pending()),
+          endpoint.out());
     }
   }
 }
--- a/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
+++ b/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Version;
+import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.compat.CorpusFiles;
+import sprucerock.controller.deployment.Version;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.agent.artifact.ArtifactStore;
 
 /**
  * An agent's folder and the command line of its relay, by which a later agent's life, of a newer
--- a/src/test/java/sprucerock/agent/AgentTest.java
+++ b/src/test/java/sprucerock/agent/AgentTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.Test;
 import sprucerock.agent.Agent.Phase;
 import sprucerock.controller.deployment.Version;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** One machine's agent, told as stories on a machine that does what the story says. */
 public class AgentTest {
--- a/src/test/java/sprucerock/benchmark/PostingsBenchmark.java
+++ b/src/test/java/sprucerock/benchmark/PostingsBenchmark.java
@@ -19,9 +19,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.metrics.MetricsSnapshot;
-import sprucerock.accounting.MethodAccounts;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -53,7 +53,7 @@
     }
     accounts = new MethodAccounts(methods, new MethodAccounts.Room(16, 1024, 64));
     for (int i = 0; i < 300; i++) {
-      accounts.row(accounts.units, "" + i);
+      accounts.row(accounts.endpoints, "" + i);
     }
     for (int i = 0; i < 2; i++) {
       accounts.row(accounts.builds, "" + i);
@@ -74,12 +74,12 @@
     for (int i = 0; i < RPCS; i++) {
       int method = i % 20;
       int build = i & 1;
-      int unit = (i * 7919 & 0xffff) % 300;
+      int endpoint = (i * 7919 & 0xffff) % 300;
       TimeSpan took = TimeSpan.ofMs(0.1 + (i & 255) * 0.05);
       accounts.rpcArrived(method, 0);
-      accounts.pickSent(method, build, unit, false);
-      accounts.pickWritten();
-      accounts.pickEnded(method, build, unit, false, true, 1, took);
+      accounts.attemptSent(method, build, endpoint, false);
+      accounts.attemptWritten();
+      accounts.attemptEnded(method, build, endpoint, false, true, 1, took);
       accounts.rpcAnswered(method, 0, took, true, true);
       if (i % eachTurn == eachTurn - 1) {
         accounts.commit();
--- a/src/test/java/sprucerock/compat/FiguresCompatTest.java
+++ b/src/test/java/sprucerock/compat/FiguresCompatTest.java
@@ -7,10 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
+import sprucerock.accounting.MethodAccounts;
 import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.metrics.MetricsTable;
-import sprucerock.accounting.MethodAccounts;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -48,18 +48,18 @@
     List<String> said = new ArrayList<>();
     MetricsFileWriter keeper = MetricsFileWriter.open(file, accounts, () -> {}, said::add);
     assertEquals(said, List.of());
-    int customer = accounts.row(accounts.customers, "north");
+    int tenant = accounts.row(accounts.tenants, "north");
     int build = accounts.row(accounts.builds, "7");
-    int unit = accounts.row(accounts.units, "unit \u00e9");
+    int endpoint = accounts.row(accounts.endpoints, "unit \u00e9");
     for (int turn = 1; turn <= TURNS; turn++) {
-      accounts.rpcArrived(0, customer);
-      accounts.pickSent(0, build, unit, false);
-      accounts.pickWritten();
+      accounts.rpcArrived(0, tenant);
+      accounts.attemptSent(0, build, endpoint, false);
+      accounts.attemptWritten();
       if (turn == TURNS) {
         break;
       }
-      accounts.pickEnded(0, build, unit, false, true, ENDED_OK, TimeSpan.ofMs(2 * turn));
-      accounts.rpcAnswered(0, customer, TimeSpan.ofMs(3 * turn), true, true);
+      accounts.attemptEnded(0, build, endpoint, false, true, ENDED_OK, TimeSpan.ofMs(2 * turn));
+      accounts.rpcAnswered(0, tenant, TimeSpan.ofMs(3 * turn), true, true);
       accounts.commit();
     }
     accounts.commit();
--- a/src/test/java/sprucerock/compat/FrameRecorder.java
+++ b/src/test/java/sprucerock/compat/FrameRecorder.java
@@ -9,14 +9,14 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Timestamp;
-import sprucerock.time.TimeSpan;
-import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.FrameReader;
 import sprucerock.transport.wire.FrameListener;
+import sprucerock.transport.wire.FrameReader;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.Tap;
@@ -50,10 +50,11 @@
   static byte[] encode(Kind kind, MessageLite head, byte[] body) {
     ManualTimers timers = new ManualTimers();
     CapturedLink captured = new CapturedLink();
-    FrameConnection link = new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
-    link.up(captured);
+    FrameConnection connection =
+        new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+    connection.up(captured);
     captured.pieces.clear(); // its greeting
-    link.send(kind, head, body);
+    connection.send(kind, head, body);
     ByteArrayOutputStream sent = new ByteArrayOutputStream();
     for (byte[] piece : captured.pieces) {
       sent.writeBytes(piece);
@@ -68,8 +69,9 @@
       Path file = folder.resolve("one.trace");
       ManualTimers timers = new ManualTimers();
       TraceWriter writer = new TraceWriter(timers, file, "relay-1");
-      FrameConnection link = new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
-      writer.frame(link, false, frame.kind, frame.head, frame.body);
+      FrameConnection connection =
+          new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+      writer.frame(connection, false, frame.kind, frame.head, frame.body);
       timers.endTurn();
       String line = Files.readString(file);
       return line.substring(line.indexOf('\t') + 1, line.lastIndexOf('\n'));
@@ -81,7 +83,7 @@
   private static final FrameListener NOBODY =
       new FrameListener() {
         @Override
-        public void greeted(FrameConnection link, Hello other) {}
+        public void greeted(FrameConnection connection, Hello other) {}
 
         @Override
         public void frame(Kind kind, MessageLite head, byte[] body) {}
--- a/src/test/java/sprucerock/compat/FramesCompatTest.java
+++ b/src/test/java/sprucerock/compat/FramesCompatTest.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.transport.tls.Credentials;
 import sprucerock.rehearsal.trace.Line;
+import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 
--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -19,12 +19,12 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.MethodMetrics;
 import sprucerock.cli.Commands;
 import sprucerock.metrics.MetricsExporter;
 import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.metrics.MetricsTable;
-import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -35,10 +35,11 @@
   private static final String METRICS = "metrics/";
 
   private static MethodAccounts accounts() {
-    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
+    MethodAccounts accounts =
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
     accounts.row(accounts.builds, "7");
-    accounts.row(accounts.units, "unit-3");
-    accounts.row(accounts.customers, "north");
+    accounts.row(accounts.endpoints, "unit-3");
+    accounts.row(accounts.tenants, "north");
     accounts.row(accounts.copies, "7");
     return accounts;
   }
@@ -62,9 +63,9 @@
     for (double ms : new double[] {0.1, 0.9, 1.1, 200, 80_000}) {
       accounts.rpcArrived(0, 0);
       accounts.rpcAnswered(0, 0, TimeSpan.ofMs(ms), ms < 100, ms < 1000);
-      accounts.pickSent(1, 0, 0, true);
-      accounts.pickWritten();
-      accounts.pickEnded(1, 0, 0, true, true, 1, TimeSpan.ofMs(ms));
+      accounts.attemptSent(1, 0, 0, true);
+      accounts.attemptWritten();
+      accounts.attemptEnded(1, 0, 0, true, true, 1, TimeSpan.ofMs(ms));
     }
     accounts.commit();
   }
@@ -79,7 +80,8 @@
     return keeper;
   }
 
-  private static String scraped(MetricsFileWriter keeper, String path, String accept) throws Exception {
+  private static String scraped(MetricsFileWriter keeper, String path, String accept)
+      throws Exception {
     Map<String, Double> more = Map.of("tls_days_left", 3.0, "lease_held", 1.0);
     try (MetricsExporter export =
         new MetricsExporter(
--- a/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
+++ b/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
@@ -8,13 +8,13 @@
 import java.util.HexFormat;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.policy.evidence.Board;
-import sprucerock.policy.evidence.Evidence;
-import sprucerock.policy.evidence.CanaryTrial;
 import sprucerock.model.Build;
 import sprucerock.model.Endpoint;
-import sprucerock.time.Timestamp;
+import sprucerock.policy.evidence.Board;
+import sprucerock.policy.evidence.CanaryTrial;
+import sprucerock.policy.evidence.Evidence;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * What relays tell each other, on recorded bytes: the contents of a datagram, or the body of a TOLD
@@ -60,14 +60,14 @@
   private static List<String> written() {
     Relay relay = new Relay();
     List<byte[]> messages = new ArrayList<>();
-    messages.add(relay.board.pick(relay.first, null));
-    messages.add(relay.board.pick(relay.second, LIFE.times(0.5)));
-    messages.add(relay.board.pick(relay.second, LIFE.times(9)));
+    messages.add(relay.board.attempt(relay.first, null));
+    messages.add(relay.board.attempt(relay.second, LIFE.times(0.5)));
+    messages.add(relay.board.attempt(relay.second, LIFE.times(9)));
     for (int i = 0; i < 3; i++) {
-      relay.board.add(relay.board.pick(relay.first, null), START);
+      relay.board.add(relay.board.attempt(relay.first, null), START);
     }
     for (int i = 0; i < 5; i++) {
-      relay.board.add(relay.board.pick(relay.second, null), START);
+      relay.board.add(relay.board.attempt(relay.second, null), START);
     }
     messages.add(relay.board.loads(2, 1.25, START));
     messages.add(evidence(relay).report(BUILD, STAGE));
@@ -88,15 +88,15 @@
     List<byte[]> bytes = messages.stream().map(HexFormat.of()::parseHex).toList();
     Relay relay = new Relay();
     List<String> lines = new ArrayList<>();
-    for (byte[] pick : bytes.subList(0, 3)) {
-      boolean ended = relay.board.add(pick, START);
+    for (byte[] attempt : bytes.subList(0, 3)) {
+      boolean ended = relay.board.add(attempt, START);
       lines.add(
           "ended "
               + ended
               + ", first "
-              + relay.first.pickedByAll.at(START)
+              + relay.first.attemptsByAll.at(START)
               + ", second "
-              + relay.second.pickedByAll.at(START));
+              + relay.second.attemptsByAll.at(START));
     }
     lines.add(
         "figure "
--- a/src/test/java/sprucerock/compat/PostgresCompatTest.java
+++ b/src/test/java/sprucerock/compat/PostgresCompatTest.java
@@ -128,7 +128,8 @@
         ByteBuffer.wrap(fromClients),
         new User(lines) {
           @Override
-          public void message(char type, byte[] body) throws sprucerock.transport.postgres.ProtocolException {
+          public void message(char type, byte[] body)
+              throws sprucerock.transport.postgres.ProtocolException {
             if (type == 0 && Reader.startup(body) == Reader.Startup.SESSION) {
               clients.started();
             }
@@ -147,7 +148,8 @@
     }
 
     @Override
-    public void message(char type, byte[] body) throws sprucerock.transport.postgres.ProtocolException {
+    public void message(char type, byte[] body)
+        throws sprucerock.transport.postgres.ProtocolException {
       lines.add(
           (type == 0 ? "startup" : String.valueOf(type))
               + " "
@@ -161,7 +163,8 @@
       return true;
     }
 
-    private static String said(char type, byte[] body) throws sprucerock.transport.postgres.ProtocolException {
+    private static String said(char type, byte[] body)
+        throws sprucerock.transport.postgres.ProtocolException {
       switch (type) {
         case 0:
           return Reader.startup(body).toString();
--- a/src/test/java/sprucerock/compat/RehearsalCompatTest.java
+++ b/src/test/java/sprucerock/compat/RehearsalCompatTest.java
@@ -50,7 +50,7 @@
         .append(", RPCs ")
         .append(verdict.rpcs())
         .append(", picks ")
-        .append(verdict.picks())
+        .append(verdict.attempts())
         .append(", stalled ms ")
         .append(verdict.stalledMs())
         .append('\n');
--- a/src/test/java/sprucerock/compat/Rendering.java
+++ b/src/test/java/sprucerock/compat/Rendering.java
@@ -38,7 +38,7 @@
     for (Method method : settings.methods) {
       putMethod(key + "method." + method.index + ".", method);
     }
-    put(key + "customer-shares", settings.customerShares)
+    put(key + "customer-shares", settings.tenantShares)
         .put(key + "caps", settings.caps)
         .put(key + "over-share-worth", settings.overShareWorth);
     put(key + "relays", settings.relays)
@@ -55,7 +55,7 @@
         .put(key + "cap-by-method", settings.perMethod)
         .put(key + "guarded-stages", settings.guardedStages);
     put(key + "one-way-keys", settings.oneWayKeys)
-        .put(key + "picks", settings.maxPicks)
+        .put(key + "picks", settings.maxAttempts)
         .put(key + "second-copies", settings.secondCopies);
     put(key + "cancel", settings.cancel)
         .put(key + "peers", settings.peers)
@@ -73,7 +73,7 @@
   private void putMethod(String key, Method method) {
     put(key + "effect", effect(method.effect))
         .put(key + "group", group(method.group))
-        .put(key + "soft-deadline", method.softDeadline);
+        .put(key + "soft-deadline", method.latencyObjective);
     put(key + "window", method.window)
         .put(key + "utility", method.utility)
         .put(key + "stream", method.stream);
--- a/src/test/java/sprucerock/compat/SettingsCompatTest.java
+++ b/src/test/java/sprucerock/compat/SettingsCompatTest.java
@@ -114,10 +114,10 @@
     text.put("limits.open", config.open)
         .put("limits.open-per-client", config.openPerClient)
         .put("limits.clients", config.clients);
-    text.put("limits.units", config.units)
-        .put("limits.frame", config.link.frame())
-        .put("limits.unsent", config.link.unsent());
-    text.put("limits.beat", config.link.beat())
+    text.put("limits.units", config.endpoints)
+        .put("limits.frame", config.connection.frame())
+        .put("limits.unsent", config.connection.unsent());
+    text.put("limits.beat", config.connection.beat())
         .put("limits.peer-unsent", config.peerUnsent)
         .put("limits.finish-within", config.finishWithin);
     text.put("limits.wait-for-list", config.waitForList)
--- a/src/test/java/sprucerock/controller/ChangeStudy.java
+++ b/src/test/java/sprucerock/controller/ChangeStudy.java
@@ -7,15 +7,15 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
+import sprucerock.controller.comparison.Window;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.DeploymentPlan;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
-import sprucerock.controller.comparison.Window;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * How often good changes are stopped and bad ones missed, at several sizes of a fleet: changes and
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -13,13 +13,17 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucerock.compat.CorpusFiles;
+import sprucerock.compat.FilledMessages;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.DeploymentPlan;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Version;
-import sprucerock.compat.CorpusFiles;
-import sprucerock.compat.FilledMessages;
+import sprucerock.controller.maintenance.CapacityCheck;
+import sprucerock.controller.maintenance.MaintenanceWindow;
+import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.controller.maintenance.Rack;
 import sprucerock.controller.v1.AgentSays;
 import sprucerock.controller.v1.Announced;
 import sprucerock.controller.v1.Cast;
@@ -40,10 +44,6 @@
 import sprucerock.controller.v1.Silent;
 import sprucerock.controller.v1.State;
 import sprucerock.controller.v1.Word;
-import sprucerock.controller.maintenance.MaintenanceWindow;
-import sprucerock.controller.maintenance.MaintenanceWindows;
-import sprucerock.controller.maintenance.CapacityCheck;
-import sprucerock.controller.maintenance.Rack;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -126,7 +126,8 @@
             new Rack("a2", 1, 2, Map.of(2, 10.0), 5 * MINUTE),
             new Rack("a3", 1, 3, Map.of(3, 8.0), 5 * MINUTE),
             new Rack("b1", 2, 1, Map.of(2, 10.0), 5 * MINUTE));
-    CapacityCheck room = new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
+    CapacityCheck room =
+        new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
     return new MaintenanceWindows(
         new MaintenanceWindows.Rules(MINUTE, 15 * MINUTE, 0.95),
         room,
@@ -217,8 +218,8 @@
                       .setSource("ci")));
     }
 
-    private void ready(int build, int units) {
-      take(Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(units)));
+    private void ready(int build, int endpoints) {
+      take(Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints)));
     }
 
     private void cast(int relay, int build, int stage, String say) {
@@ -675,7 +676,8 @@
       ManualClock clock = new ManualClock();
       List<String> lines = new ArrayList<>();
       FileLeadership seat =
-          new FileLeadership(new FileStorage(folder), clock, TimeSpan.ofMs(2000), "controller-1@host");
+          new FileLeadership(
+              new FileStorage(folder), clock, TimeSpan.ofMs(2000), "controller-1@host");
       seat.take();
       lines.add(files(folder));
       clock.passedMs += 600;
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.DeploymentPlan;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Version;
 import sprucerock.controller.v1.AgentSays;
 import sprucerock.controller.v1.Announced;
@@ -301,8 +301,8 @@
         .setCast(Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(say));
   }
 
-  private static Input.Builder ready(int build, int units) {
-    return Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(units));
+  private static Input.Builder ready(int build, int endpoints) {
+    return Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints));
   }
 
   /** Some inputs as a day brings them, and what each was answered. */
@@ -470,7 +470,8 @@
       engine.commit();
       disk.restart(Long.MAX_VALUE);
     }
-    assertEquals(answers.subList(0, 2), List.of(RolloutManager.Answer.TAKEN, RolloutManager.Answer.AGAIN));
+    assertEquals(
+        answers.subList(0, 2), List.of(RolloutManager.Answer.TAKEN, RolloutManager.Answer.AGAIN));
     assertEquals(answers.stream().filter(RolloutManager.Answer.TAKEN::equals).count(), 1);
   }
 
@@ -531,7 +532,9 @@
     hole[good.length / 2] ^= 1;
     Path holed = only(hole);
     String message =
-        expectThrows(WriteAheadLog.DamagedException.class, () -> engine(new FileStorage(holed), 1000).start())
+        expectThrows(
+                WriteAheadLog.DamagedException.class,
+                () -> engine(new FileStorage(holed), 1000).start())
             .getMessage();
     assertTrue(
         message.startsWith("inputs-0000000000000000 is damaged at byte ")
@@ -542,7 +545,8 @@
     System.arraycopy(good, 0, gap, 0, 30);
     System.arraycopy(good, 90, gap, 30, good.length - 90);
     Path gapped = only(gap);
-    expectThrows(WriteAheadLog.DamagedException.class, () -> engine(new FileStorage(gapped), 1000).start());
+    expectThrows(
+        WriteAheadLog.DamagedException.class, () -> engine(new FileStorage(gapped), 1000).start());
   }
 
   /** A folder with one log in it. */
--- a/src/test/java/sprucerock/controller/PlainReleases.java
+++ b/src/test/java/sprucerock/controller/PlainReleases.java
@@ -25,7 +25,7 @@
   final List<Change> changes = new ArrayList<>();
   private final Map<String, String> deliveries = new HashMap<>();
   private final Map<Integer, String> artifacts = new HashMap<>();
-  private final Map<Integer, Integer> units = new HashMap<>();
+  private final Map<Integer, Integer> endpoints = new HashMap<>();
   private final Map<Integer, Double> unitsSince = new HashMap<>();
   private final Set<Integer> held = new HashSet<>();
   private double heldMs;
@@ -201,13 +201,13 @@
     if (!artifacts.containsKey(build)) {
       return;
     }
-    units.put(build, many);
+    endpoints.put(build, many);
     settle(now);
   }
 
   void settle(double now) {
     boolean isHeld = held.contains(present);
-    int there = units.getOrDefault(present, 0);
+    int there = endpoints.getOrDefault(present, 0);
     if (is(Standing.STARTING) && !isHeld && there >= wanted(0)) {
       change(now, present, 0, Standing.ON_TRIAL);
       clockAt = now;
--- a/src/test/java/sprucerock/controller/ReleasesProperties.java
+++ b/src/test/java/sprucerock/controller/ReleasesProperties.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.ShrinkingMode;
 import sprucerock.controller.Rollout.Standing;
 import sprucerock.controller.RolloutManager.Say;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * The core beside the plain model under any inputs, lost, doubled and out of order; and what may
@@ -24,7 +24,10 @@
 class ReleasesProperties {
   static final RolloutRules RULES =
       new RolloutRules(
-          List.of(new RolloutRules.Stage(0.1, 0.12), new RolloutRules.Stage(0.4, 0.45), new RolloutRules.Stage(1, 1)),
+          List.of(
+              new RolloutRules.Stage(0.1, 0.12),
+              new RolloutRules.Stage(0.4, 0.45),
+              new RolloutRules.Stage(1, 1)),
           RolloutRules.Control.SINGLE,
           2,
           1,
@@ -96,7 +99,12 @@
         case 2 -> {
           boolean on = event.which % 2 == 0;
           core.word(
-              on ? RolloutManager.Action.HOLD : RolloutManager.Action.RESUME, build, "ann", "why", now, 0);
+              on ? RolloutManager.Action.HOLD : RolloutManager.Action.RESUME,
+              build,
+              "ann",
+              "why",
+              now,
+              0);
           plain.hold(build, on, at);
         }
         case 3 -> {
@@ -107,9 +115,9 @@
           plain.withdraw(build, at);
         }
         case 4, 5, 6, 7, 8 -> {
-          int units = event.which % 12;
-          core.ready(core.present().build, units, now, 0);
-          plain.ready(plain.present(), units, at);
+          int endpoints = event.which % 12;
+          core.ready(core.present().build, endpoints, now, 0);
+          plain.ready(plain.present(), endpoints, at);
         }
         case 9, 10, 11 -> {
           if (core.due(now)) {
--- a/src/test/java/sprucerock/controller/ReleasesTest.java
+++ b/src/test/java/sprucerock/controller/ReleasesTest.java
@@ -13,8 +13,8 @@
 import sprucerock.controller.RolloutManager.Answer;
 import sprucerock.controller.RolloutManager.Say;
 import sprucerock.controller.RolloutManager.Taken;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** Stories of releases, from the announcement to the end. */
 public class ReleasesTest {
--- a/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
@@ -151,7 +151,12 @@
         case 7 -> {
           if (under != null && random.nextInt(10) == 0) {
             changes.word(
-                DeploymentManager.Word.values()[random.nextInt(3)], under.number, "any", "one", at(), 0);
+                DeploymentManager.Word.values()[random.nextInt(3)],
+                under.number,
+                "any",
+                "one",
+                at(),
+                0);
           }
         }
         case 8, 9 -> {
--- a/src/test/java/sprucerock/controller/deployment/ChangesTest.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesTest.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 import sprucerock.controller.deployment.Deployment.State;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** A change on its way through a fleet, told as stories. */
 public class ChangesTest {
@@ -19,7 +19,10 @@
   static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
   static final DeploymentPlan PLAN =
       new DeploymentPlan(
-          List.of(new DeploymentPlan.Stage(0.05, 0.1), new DeploymentPlan.Stage(0.25, 0.05), new DeploymentPlan.Stage(1, 0.01)),
+          List.of(
+              new DeploymentPlan.Stage(0.05, 0.1),
+              new DeploymentPlan.Stage(0.25, 0.05),
+              new DeploymentPlan.Stage(1, 0.01)),
           TimeSpan.ofMs(10_000),
           TimeSpan.ofMs(120_000),
           TimeSpan.ofMs(20_000),
@@ -335,7 +338,9 @@
     assertEquals(change.state(), State.GIVEN_UP);
     Deployment next = fleet.propose();
     fleet.obey();
-    assertNull(fleet.changes.word(DeploymentManager.Word.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
+    assertNull(
+        fleet.changes.word(
+            DeploymentManager.Word.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
     fine(fleet, next);
     fleet.pass(60_000);
     assertEquals(next.stage(), 0);
--- a/src/test/java/sprucerock/controller/maintenance/FreezesTest.java
+++ b/src/test/java/sprucerock/controller/maintenance/FreezesTest.java
@@ -54,7 +54,8 @@
     double[] needs = new double[24];
     Arrays.fill(needs, 10);
     needs[12] = 20; // noon
-    CapacityCheck room = new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
+    CapacityCheck room =
+        new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
     return new MaintenanceWindows(
         new MaintenanceWindows.Rules(5 * MIN, 15 * MIN, 0.95),
         room,
@@ -154,7 +155,8 @@
     MaintenanceWindow second = announce("a2", HOUR + 30 * MIN, HOUR, 0, 0);
     assertEquals(second.state(), MaintenanceWindow.State.REFUSED);
     assertEquals(
-        announce("b1", HOUR, HOUR, 0, 0).state(), MaintenanceWindow.State.ACCEPTED); // of another zone
+        announce("b1", HOUR, HOUR, 0, 0).state(),
+        MaintenanceWindow.State.ACCEPTED); // of another zone
     // the first one's units come back cold at two: the second fits five minutes later
     assertEquals(announce("a2", 2 * HOUR, 30 * MIN, 30 * MIN, 0).from(), 2 * HOUR + 15 * MIN);
   }
@@ -221,7 +223,8 @@
   public void windowsThatComeAgainKeepTheirTimeOfDayWhenClocksChange() {
     ZoneId zone = ZoneId.of("Europe/Berlin");
     long first = LocalDateTime.of(2027, 3, 26, 2, 30).atZone(zone).toInstant().toEpochMilli();
-    List<Long> begins = RecurrenceExpander.from(first, first, "FREQ=DAILY;COUNT=5", "Europe/Berlin");
+    List<Long> begins =
+        RecurrenceExpander.from(first, first, "FREQ=DAILY;COUNT=5", "Europe/Berlin");
     List<String> local =
         begins.stream()
             .map(ms -> java.time.Instant.ofEpochMilli(ms).atZone(zone).toLocalDateTime().toString())
--- a/src/test/java/sprucerock/controller/server/AbsentTest.java
+++ b/src/test/java/sprucerock/controller/server/AbsentTest.java
@@ -5,8 +5,8 @@
 
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** Which agents are away for too long, and that finding them costs those alone. */
 public class AbsentTest {
--- a/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.Engine;
-import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -109,10 +109,10 @@
                   new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
                   TimeSpan.ofMs(5000),
                   1 << 20,
-                  person.link);
+                  person.connection);
               return person;
             });
-    until("it is linked", () -> on(agent.link::usable));
+    until("it is linked", () -> on(agent.connection::usable));
     loop.post(
         () ->
             agent.send(
@@ -142,12 +142,12 @@
     Person stays = agent(1);
     Person goes = agent(2);
     until("both are heard", () -> known(1, false) && known(2, false));
-    loop.post(() -> goes.link.cut("it goes"));
+    loop.post(() -> goes.connection.cut("it goes"));
     until("it is silent", () -> known(2, true));
     assertTrue(known(1, false), "one that is linked is not silent, though it says nothing");
     agent(2);
     until("it is heard again", () -> known(2, false));
-    assertTrue(on(stays.link::usable));
+    assertTrue(on(stays.connection::usable));
   }
 
   /** A link that takes the place of another one is no absence when the old one closes. */
@@ -160,7 +160,7 @@
     until("the old link is cut", () -> on(() -> first.gone != null));
     Person other = agent(3); // whose silence shows that time enough has passed
     until("the other is heard", () -> known(3, false));
-    loop.post(() -> other.link.cut("it goes"));
+    loop.post(() -> other.connection.cut("it goes"));
     until("the other is silent", () -> known(3, true));
     assertTrue(known(2, false));
   }
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -65,7 +65,8 @@
 
   @Test(dataProvider = "documents")
   public void aControllersSettingsAreReadAsBefore(String name) throws Exception {
-    ControllerConfig config = ControllerConfig.read(written(Corpus.input(SETTINGS + name + ".xml")));
+    ControllerConfig config =
+        ControllerConfig.read(written(Corpus.input(SETTINGS + name + ".xml")));
     Corpus.holds(SETTINGS + name + ".txt", rendered(config));
   }
 
@@ -179,7 +180,7 @@
             (name, rack) -> {
               text.put("rack." + name + ".zone", rack.zone())
                   .put("rack." + name + ".cell", rack.cell())
-                  .put("rack." + name + ".units", rack.units());
+                  .put("rack." + name + ".units", rack.endpoints());
               text.put("rack." + name + ".notice", rack.noticeMs());
             });
     text.put("racks.warm", config.freezes.warmMs())
--- a/src/test/java/sprucerock/controller/server/DeskTest.java
+++ b/src/test/java/sprucerock/controller/server/DeskTest.java
@@ -25,8 +25,8 @@
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
 import sprucerock.controller.Engine;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -172,7 +172,7 @@
               new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
               TimeSpan.ofMs(5000),
               1 << 20,
-              person.link);
+              person.connection);
           made.complete(person);
         });
     return made.join();
@@ -488,7 +488,8 @@
     Path file = config("5");
     Files.setPosixFilePermissions(
         folder.resolve("token"), PosixFilePermissions.fromString("rw-r--r--"));
-    String message = expectThrows(ConfigException.class, () -> ControllerConfig.read(file)).getMessage();
+    String message =
+        expectThrows(ConfigException.class, () -> ControllerConfig.read(file)).getMessage();
     assertTrue(message.endsWith("is open to others than its owner; chmod 600 it"), message);
   }
 }
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -24,8 +24,8 @@
 import org.testng.annotations.Test;
 import sprucerock.compat.Corpus;
 import sprucerock.controller.Engine;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -154,11 +154,11 @@
               new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
               TimeSpan.ofMs(5000),
               1 << 20,
-              person.link);
+              person.connection);
           made.complete(person);
         });
     Person agent = made.join();
-    until(() -> on(agent.link::usable));
+    until(() -> on(agent.connection::usable));
     loop.post(
         () ->
             agent.send(
--- a/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
@@ -19,8 +19,8 @@
 import sprucerock.controller.Engine;
 import sprucerock.controller.v1.FreezeWanted;
 import sprucerock.controller.v1.Input;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -127,13 +127,13 @@
               new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
               TimeSpan.ofMs(5000),
               1 << 20,
-              person.link);
+              person.connection);
           return person;
         });
   }
 
   private Promised asks(Person relay, long list) throws Exception {
-    until("it is linked", () -> on(relay.link::usable));
+    until("it is linked", () -> on(relay.connection::usable));
     long id = ++lastAsk;
     loop.post(
         () ->
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import sprucerock.controller.deployment.Deployment;
-import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.compat.CorpusFiles;
 import sprucerock.controller.Engine;
 import sprucerock.controller.Rollout;
 import sprucerock.controller.RolloutRules;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
+import sprucerock.controller.deployment.DeploymentPlan;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.v1.Announced;
 import sprucerock.controller.v1.Input;
-import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.time.TimeSpan;
 
 /**
--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -23,7 +23,7 @@
     int truths = args.length > 0 ? Integer.parseInt(args[0]) : 200;
     System.out.println(
         "four families, three methods, 12 windows; median error of a factor in percent; share of bounds of 95% that hold");
-    for (int picks : new int[] {100, 300, 1000, 3000, 10_000}) {
+    for (int attempts : new int[] {100, 300, 1000, 3000, 10_000}) {
       Map<String, List<Double>> off = new TreeMap<>();
       int all = 0;
       int times = 0;
@@ -31,7 +31,7 @@
       int known = 0;
       for (int seed = 0; seed < truths; seed++) {
         Truth truth = new Truth(1000 + seed, 4);
-        Observation seen = truth.seen(12, picks, 3);
+        Observation seen = truth.seen(12, attempts, 3);
         Model model = LeastSquaresFit.of(seen, 0, build -> true, 1);
         double errors = model.errors(0.95);
         double[][] sums = new double[4][3];
@@ -82,7 +82,7 @@
         }
       }
       StringBuilder line =
-          new StringBuilder(String.format(Locale.ROOT, "%6d picks a window:", picks));
+          new StringBuilder(String.format(Locale.ROOT, "%6d picks a window:", attempts));
       off.forEach(
           (name, one) ->
               line.append(
--- a/src/test/java/sprucerock/hardware/HardwareTest.java
+++ b/src/test/java/sprucerock/hardware/HardwareTest.java
@@ -73,9 +73,11 @@
       seen.told(tally);
     }
     Model model = LeastSquaresFit.of(seen, 0, ALL, 1);
-    Model.Estimate linked = model.time(0, 0, 2);
-    assertEquals(linked.log(), Math.log(truth.time(0, 0) / truth.time(2, 0)), 4 * linked.error());
-    assertTrue(linked.error() > model.time(0, 0, 1).error() && linked.error() < 0.2, "" + linked);
+    Model.Estimate connected = model.time(0, 0, 2);
+    assertEquals(
+        connected.log(), Math.log(truth.time(0, 0) / truth.time(2, 0)), 4 * connected.error());
+    assertTrue(
+        connected.error() > model.time(0, 0, 1).error() && connected.error() < 0.2, "" + connected);
     Translation translation = new Translation(model, List.of(), 0.95);
     assertTrue(
         translation.needed(0, 10, 0, 1).limit() == Translation.Limit.NOT_KNOWN,
@@ -115,11 +117,12 @@
           if (!there.known()) {
             continue;
           }
-          Translation.Answer back = translation.counted(1, there.units(), b, a);
-          assertTrue(back.units() <= 40 * (1 + 1e-9), a + " to " + b + " and back: " + back);
+          Translation.Answer back = translation.counted(1, there.endpoints(), b, a);
+          assertTrue(back.endpoints() <= 40 * (1 + 1e-9), a + " to " + b + " and back: " + back);
           assertEquals(
-              translation.needed(1, 15, a, b).units() + translation.needed(1, 25, a, b).units(),
-              there.units(),
+              translation.needed(1, 15, a, b).endpoints()
+                  + translation.needed(1, 25, a, b).endpoints(),
+              there.endpoints(),
               1e-9);
         }
       }
@@ -137,7 +140,7 @@
     Translation translation =
         new Translation(model, List.of(new Family(0, 0, 8000), new Family(1, 0, 1000)), 0.95);
     assertEquals(translation.needed(0, 10, 0, 1).limit(), Translation.Limit.MEMORY);
-    assertEquals(translation.needed(0, 10, 0, 1).units(), 80, 1e-9);
+    assertEquals(translation.needed(0, 10, 0, 1).endpoints(), 80, 1e-9);
     assertEquals(translation.needed(0, 10, 0, 1, 100, 150).limit(), Translation.Limit.TIME);
     assertEquals(translation.needed(0, 10, 0, 1, 100, 5000).limit(), Translation.Limit.MEMORY);
     assertEquals(translation.needed(0, 10, 1, 0).limit(), Translation.Limit.CORES);
--- a/src/test/java/sprucerock/hardware/Truth.java
+++ b/src/test/java/sprucerock/hardware/Truth.java
@@ -67,7 +67,7 @@
   }
 
   /** So many windows of so many picks each, over all families and methods, by some relays. */
-  Observation seen(int windows, int picks, int relays) {
+  Observation seen(int windows, int attempts, int relays) {
     Observation seen = new Observation();
     for (int w = 1; w <= windows; w++) {
       window();
@@ -75,7 +75,7 @@
       for (int r = 0; r < relays; r++) {
         tallies[r] = new SampleSums(r, w);
       }
-      for (int i = 0; i < picks; i++) {
+      for (int i = 0; i < attempts; i++) {
         int family = draw(speed.length);
         int method = draw(WORK_MS.length);
         int others = random.nextInt(3) == 0 ? draw(64) : 0;
--- a/src/test/java/sprucerock/lease/BadMakers.java
+++ b/src/test/java/sprucerock/lease/BadMakers.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** Parties that each lack one guard. */
 final class BadMakers {
@@ -34,7 +34,8 @@
   }
 
   private interface MadeGranter {
-    LeaseGrantor of(Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants);
+    LeaseGrantor of(
+        Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants);
   }
 
   /** Each by what it lacks. */
--- a/src/test/java/sprucerock/lease/LeaseFire.java
+++ b/src/test/java/sprucerock/lease/LeaseFire.java
@@ -16,9 +16,9 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.rehearsal.fake.FaultProxy;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -96,14 +96,14 @@
                         1 << 20,
                         () -> {
                           Place place = new Place();
-                          place.link =
+                          place.connection =
                               new FrameConnection(
                                   loop,
                                   mine,
                                   new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
                                   Tap.NONE,
                                   place);
-                          return place.link;
+                          return place.connection;
                         })
                     .address()
                     .getPort();
@@ -168,7 +168,7 @@
   }
 
   private final class Place implements FrameListener {
-    private FrameConnection link;
+    private FrameConnection connection;
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
@@ -182,7 +182,7 @@
       boolean admitted = !fenced || fence.admits(words[0], number);
       landed.add(new Landed(words[0], number, admitted));
       if (!admitted) {
-        link.send(
+        connection.send(
             Kind.TOLD,
             Told.getDefaultInstance(),
             (words[0] + " " + fence.highest(words[0])).getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import sprucerock.config.LeaseConfig;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -87,7 +87,7 @@
             new DeterministicRandom(life),
             new FrameListener() {
               @Override
-              public void greeted(FrameConnection link, Hello other) {
+              public void greeted(FrameConnection connection, Hello other) {
                 // it only listens
               }
 
@@ -140,7 +140,8 @@
                 act(name, guard, held);
                 if (random.nextInt(4) > 0) {
                   loop.at(
-                      loop.now().plus(TimeSpan.ofMs(20 + random.nextInt(200))), () -> away(name, held));
+                      loop.now().plus(TimeSpan.ofMs(20 + random.nextInt(200))),
+                      () -> away(name, held));
                 }
               }
 
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 import java.util.PriorityQueue;
 import org.testng.annotations.Test;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.LeaseAsk;
 import sprucerock.transport.wire.v1.LeaseSaid;
 
@@ -105,7 +105,13 @@
               messages.add(
                   () ->
                       candidates[candidate].refused(
-                          which, number, round, highest, left, why == LeaseGrantor.Refusal.HELD, now));
+                          which,
+                          number,
+                          round,
+                          highest,
+                          left,
+                          why == LeaseGrantor.Refusal.HELD,
+                          now));
             }
 
             @Override
--- a/src/test/java/sprucerock/lease/LeaseStudy.java
+++ b/src/test/java/sprucerock/lease/LeaseStudy.java
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import sprucerock.stats.DeterministicRandom;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * In simulated time: how long a lease has no holder after the holder crashes, stands still or is
@@ -152,7 +152,12 @@
       this.number = number;
       candidate =
           new LeaseClient(
-              "task", terms, this, new DeterministicRandom(seed * 10_007 + number)::next, number, life);
+              "task",
+              terms,
+              this,
+              new DeterministicRandom(seed * 10_007 + number)::next,
+              number,
+              life);
     }
 
     void heard(Runnable what) {
--- a/src/test/java/sprucerock/lease/LeaseTest.java
+++ b/src/test/java/sprucerock/lease/LeaseTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * Granters and candidates, one thing at a time. A granter's word is "1 granted 5" and so on, in the
--- a/src/test/java/sprucerock/lease/SearchTest.java
+++ b/src/test/java/sprucerock/lease/SearchTest.java
@@ -185,7 +185,7 @@
   /** Long orders: messages are mostly taken soon, some late or more than once. */
   private static void run(World world, int seed) {
     Random random = new Random(seed);
-    Supplier<Integer> pick =
+    Supplier<Integer> attempt =
         () -> {
           int messages = world.choices() - 1 - world.others();
           if (random.nextInt(6) == 0) {
@@ -202,7 +202,7 @@
                       : Math.max(0, world.recent(random)));
         };
     for (int i = 0; i < 3000 && world.wrong == null; i++) {
-      int choice = pick.get();
+      int choice = attempt.get();
       if (world.isLeave(choice) && seed % 2 > 0 && random.nextInt(8) > 0) {
         continue; // in every other order most claims run out
       }
--- a/src/test/java/sprucerock/lease/World.java
+++ b/src/test/java/sprucerock/lease/World.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * Candidates and granters of one lease as they may stand to each other, with every message that was
@@ -187,7 +187,15 @@
             }
             send(
                 new Message(
-                    Kind.ASK, index, granter, lives[index], number, round, 0, TimeSpan.ZERO, false));
+                    Kind.ASK,
+                    index,
+                    granter,
+                    lives[index],
+                    number,
+                    round,
+                    0,
+                    TimeSpan.ZERO,
+                    false));
           }
 
           @Override
@@ -330,7 +338,15 @@
         }
         return send(
             new Message(
-                Kind.ACT, who, 0, lives[who], candidates[who].number(), 0, 0, TimeSpan.ZERO, false));
+                Kind.ACT,
+                who,
+                0,
+                lives[who],
+                candidates[who].number(),
+                0,
+                0,
+                TimeSpan.ZERO,
+                false));
       }
       case 1 -> {
         if (candidateCrashes >= mostCandidateCrashes) {
--- a/src/test/java/sprucerock/metrics/ExportTest.java
+++ b/src/test/java/sprucerock/metrics/ExportTest.java
@@ -119,8 +119,9 @@
   }
 
   private static MethodAccounts accounts() {
-    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
-    accounts.row(accounts.customers, "0");
+    MethodAccounts accounts =
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
+    accounts.row(accounts.tenants, "0");
     return accounts;
   }
 
--- a/src/test/java/sprucerock/metrics/PagesTest.java
+++ b/src/test/java/sprucerock/metrics/PagesTest.java
@@ -77,11 +77,12 @@
     for (int i = random.nextInt(4); i >= 0; i--) {
       int method = random.nextInt(2);
       int build = accounts.row(accounts.builds, "" + random.nextInt(4));
-      int unit = accounts.row(accounts.units, "u" + random.nextInt(5));
-      accounts.pickSent(method, build, unit, false);
-      accounts.pickWritten();
+      int endpoint = accounts.row(accounts.endpoints, "u" + random.nextInt(5));
+      accounts.attemptSent(method, build, endpoint, false);
+      accounts.attemptWritten();
       if (random.nextBoolean()) {
-        accounts.pickEnded(method, build, unit, false, true, 1, TimeSpan.ofMs(random.nextDouble(20)));
+        accounts.attemptEnded(
+            method, build, endpoint, false, true, 1, TimeSpan.ofMs(random.nextDouble(20)));
       }
     }
   }
@@ -172,14 +173,14 @@
     Path file = folder().resolve("r.figures");
     List<String> said = new ArrayList<>();
     MethodAccounts first = life(file, said, false, 50);
-    long sent = first.sum(first.picks, 0);
-    long out = first.sum(first.picks, first.picks.pending());
+    long sent = first.sum(first.attempts, 0);
+    long out = first.sum(first.attempts, first.attempts.pending());
     assertTrue(out > 0);
     MethodAccounts second = life(file, said, false, 0); // killed again before anything happened
-    assertEquals(second.sum(second.picks, second.picks.lost()), out);
+    assertEquals(second.sum(second.attempts, second.attempts.lost()), out);
     MethodAccounts third = life(file, said, true, 20);
-    assertTrue(third.sum(third.picks, 0) > sent);
-    assertEquals(third.sum(third.picks, third.picks.lost()), out);
+    assertTrue(third.sum(third.attempts, 0) > sent);
+    assertEquals(third.sum(third.attempts, third.attempts.lost()), out);
     MetricsSnapshot snapshot = MetricsSnapshot.read(file);
     assertEquals(snapshot.generation, 3);
     assertTrue(snapshot.closed);
@@ -194,13 +195,14 @@
     Path file = folder().resolve("r.figures");
     life(file, new ArrayList<>(), true, 30);
     long[] before = MetricsSnapshot.read(file).values;
-    MethodAccounts now = new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Room(1, 1, 1));
+    MethodAccounts now =
+        new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Room(1, 1, 1));
     List<String> said = new ArrayList<>();
     MetricsFileWriter.open(file, now, () -> {}, said::add);
     assertEquals(said, List.of());
     MethodAccounts old = new MethodAccounts(METHODS, ROOM);
-    assertEquals(now.value(now.picks, 2, 0), before[old.picks.index(0, 0)]);
-    assertEquals(now.value(now.picks, 0, 1), before[old.picks.index(1, 1)]);
+    assertEquals(now.value(now.attempts, 2, 0), before[old.attempts.index(0, 0)]);
+    assertEquals(now.value(now.attempts, 0, 1), before[old.attempts.index(1, 1)]);
     assertEquals(now.check(), List.of());
     assertEquals(MetricsSnapshot.read(file).names[0], "all");
   }
@@ -251,10 +253,11 @@
     for (int copy = 0; copy < 2; copy++) {
       byte[] damaged = bytes.clone();
       damaged[bytes.length - 24 - copy * (accounts.size() + 2) * 8] ^= 4;
-      MetricsSnapshot read = MetricsSnapshot.read(new BufferMetricsMemory(ByteBuffer.wrap(damaged)), "f");
+      MetricsSnapshot read =
+          MetricsSnapshot.read(new BufferMetricsMemory(ByteBuffer.wrap(damaged)), "f");
       assertEquals(read.accounts().check(read.values), List.of());
       assertTrue(
-          read.values[accounts.picks.index(0, 0)] <= good.values[accounts.picks.index(0, 0)]);
+          read.values[accounts.attempts.index(0, 0)] <= good.values[accounts.attempts.index(0, 0)]);
     }
   }
 
@@ -264,10 +267,12 @@
     Path file = folder.resolve("none").resolve("r.figures");
     List<String> said = new ArrayList<>();
     MethodAccounts accounts = life(file, said, true, 5);
-    assertTrue(accounts.sum(accounts.picks, 0) > 0);
+    assertTrue(accounts.sum(accounts.attempts, 0) > 0);
     assertEquals(said.size(), 1);
     assertTrue(said.get(0).contains("figures stay in memory"), said.get(0));
-    assertTrue(!MetricsFileWriter.open(file, new MethodAccounts(METHODS, ROOM), () -> {}, said::add).kept());
+    assertTrue(
+        !MetricsFileWriter.open(file, new MethodAccounts(METHODS, ROOM), () -> {}, said::add)
+            .kept());
     assertTrue(
         PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)).startsWith("rwx"));
     expectThrows(java.io.IOException.class, () -> MetricsSnapshot.read(file));
--- a/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.SimulatedNet;
-import sprucerock.time.TimeSpan;
 import sprucerock.rehearsal.trace.TraceWriter;
+import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.v1.Answer;
@@ -57,7 +57,8 @@
     TimeSpan deadline = TimeSpan.ofMs(1000);
     return new Site(
         List.of(
-            new Site.Method("read", Site.Effect.IDEMPOTENT, 0.4, 10, soft, deadline, 1, TimeSpan.ZERO),
+            new Site.Method(
+                "read", Site.Effect.IDEMPOTENT, 0.4, 10, soft, deadline, 1, TimeSpan.ZERO),
             new Site.Method(
                 "reserve", Site.Effect.TOKENED, 0.3, 10, soft, deadline, 1, TimeSpan.ofMs(2000)),
             new Site.Method(
@@ -78,7 +79,7 @@
   }
 
   private FakeEndpoint unit(BuildFault fault, boolean cold) throws Exception {
-    FakeEndpoint unit =
+    FakeEndpoint endpoint =
         new FakeEndpoint(
             net,
             trace,
@@ -94,8 +95,8 @@
             (a, b, c, d) -> {},
             5);
     // in memory there is no system that gives out ports
-    unit.start(cold);
-    return unit;
+    endpoint.start(cold);
+    return endpoint;
   }
 
   private Person at(int port) {
@@ -134,29 +135,29 @@
 
   @Test
   public void aUnitWorksRefusesPastItsQueueAndDropsWhatNobodyWaitsFor() throws Exception {
-    FakeEndpoint unit = unit(BuildFault.GOOD, false);
-    Person relay = at(unit.port());
+    FakeEndpoint endpoint = unit(BuildFault.GOOD, false);
+    Person relay = at(endpoint.port());
     work(relay, 1, 0, 0, 1000);
     net.pass(60);
     assertEquals(results(relay), List.of("1 DONE"));
-    unit.hang(true);
+    endpoint.hang(true);
     for (int i = 2; i < 80; i++) {
       work(relay, i, 0, 0, 20);
     }
     assertEquals(relay.<Done>all(Kind.DONE).size(), 1 + 78 - 64, "two cores, 32 waiting each");
     net.pass(500);
-    unit.hang(false);
+    endpoint.hang(false);
     net.pass(200);
     assertEquals(relay.<Done>all(Kind.DONE).size(), 15, "all that waited is overdue");
-    unit.drain();
+    endpoint.drain();
     work(relay, 99, 0, 0, 1000);
     assertEquals(results(relay).get(15), "99 FULL");
   }
 
   @Test
   public void tokenedRepeatsAreDroppedAndEffectsNoted() throws Exception {
-    FakeEndpoint unit = unit(BuildFault.GOOD, false);
-    Person relay = at(unit.port());
+    FakeEndpoint endpoint = unit(BuildFault.GOOD, false);
+    Person relay = at(endpoint.port());
     work(relay, 1, 1, 55, 1000);
     net.pass(60);
     work(relay, 2, 1, 55, 1000);
@@ -173,41 +174,41 @@
 
   @Test
   public void faultsOfUnitsAndBuildsShowAsTheyShould() throws Exception {
-    FakeEndpoint unit = unit(new BuildFault(BuildFault.What.METHOD, 1, 2), false);
-    Person relay = at(unit.port());
+    FakeEndpoint endpoint = unit(new BuildFault(BuildFault.What.METHOD, 1, 2), false);
+    Person relay = at(endpoint.port());
     work(relay, 1, 0, 0, 1000);
     work(relay, 2, 2, 0, 1000);
     net.pass(100);
     assertEquals(results(relay).stream().sorted().toList(), List.of("1 DONE", "2 ERROR"));
-    unit.loseAnswers(1);
+    endpoint.loseAnswers(1);
     work(relay, 3, 0, 0, 1000);
     net.pass(100);
     assertEquals(results(relay).size(), 2);
-    unit.loseAnswers(0);
-    unit.rubbish(true);
+    endpoint.loseAnswers(0);
+    endpoint.rubbish(true);
     work(relay, 4, 0, 0, 1000);
     net.pass(100);
     assertEquals(relay.all(Kind.WORK).size(), 1);
-    unit.connections(0);
+    endpoint.connections(0);
     net.settle();
     assertEquals(relay.gone, "closed by the other side");
   }
 
   @Test
   public void aColdUnitPushedPastWhatItBearsFallsOverAndStaysDown() throws Exception {
-    FakeEndpoint unit = unit(BuildFault.GOOD, true);
-    Person relay = at(unit.port());
+    FakeEndpoint endpoint = unit(BuildFault.GOOD, true);
+    Person relay = at(endpoint.port());
     for (int i = 0; i < 100; i++) {
       work(relay, i, 0, 0, 1000);
     }
     assertFalse(
-        unit.hasFallen(), "about a second of work is what two cores at 40% bear thrice over");
+        endpoint.hasFallen(), "about a second of work is what two cores at 40% bear thrice over");
     for (int i = 100; i < 500; i++) {
       work(relay, i, 0, 0, 1000);
     }
-    assertTrue(unit.hasFallen());
-    unit.start(true);
-    assertTrue(unit.isDown());
+    assertTrue(endpoint.hasFallen());
+    endpoint.start(true);
+    assertTrue(endpoint.isDown());
     assertEquals(noted("FELL"), 1);
   }
 
--- a/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
@@ -13,10 +13,10 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.time.TimeSpan;
 
 /**
  * What a way does to connections, in simulated time: nothing is lost, made up or put in another
@@ -25,12 +25,12 @@
 public class WayStandInTest {
   private static final class Party implements ConnectionListener {
     final StringBuilder got = new StringBuilder();
-    Connection link;
+    Connection connection;
     String closed;
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
@@ -82,7 +82,7 @@
   }
 
   private void say(Party party, String what) {
-    net.turn(() -> party.link.append(what.getBytes(StandardCharsets.UTF_8)));
+    net.turn(() -> party.connection.append(what.getBytes(StandardCharsets.UTF_8)));
     net.settle();
   }
 
@@ -96,7 +96,7 @@
     net.pass(5000);
     assertEquals(taken.get(0).got.toString(), "one ");
     assertEquals(near.got.toString(), "heard");
-    net.turn(() -> near.link.finish());
+    net.turn(() -> near.connection.finish());
     net.pass(1000);
     assertNull(taken.get(0).closed, "its end passed where nothing does");
     net.turn(() -> way.cut(false, false));
@@ -114,7 +114,7 @@
     net.pass(3000);
     assertTrue(taken.isEmpty());
     Party left = dial();
-    net.turn(() -> left.link.finish());
+    net.turn(() -> left.connection.finish());
     net.settle();
     net.turn(() -> way.cut(false, false));
     net.settle();
--- a/src/test/java/sprucerock/rehearsal/invariant/JudgeTest.java
+++ b/src/test/java/sprucerock/rehearsal/invariant/JudgeTest.java
@@ -52,7 +52,7 @@
       StringBuilder to,
       double ms,
       String place,
-      int link,
+      int connection,
       String other,
       String way,
       String kind,
@@ -62,7 +62,7 @@
         .append('\t')
         .append(place)
         .append('\t')
-        .append(link)
+        .append(connection)
         .append('\t')
         .append(other)
         .append('\t')
@@ -78,12 +78,12 @@
         .append('\n');
   }
 
-  private void in(double ms, int link, String other, String kind, String mark, String text) {
-    line(relay, ms, "relay-0", link, other, "<", kind, mark, text);
+  private void in(double ms, int connection, String other, String kind, String mark, String text) {
+    line(relay, ms, "relay-0", connection, other, "<", kind, mark, text);
   }
 
-  private void out(double ms, int link, String other, String kind, String mark, String text) {
-    line(relay, ms, "relay-0", link, other, ">", kind, mark, text);
+  private void out(double ms, int connection, String other, String kind, String mark, String text) {
+    line(relay, ms, "relay-0", connection, other, ">", kind, mark, text);
   }
 
   private static String mark(int id) {
@@ -104,13 +104,19 @@
         "id: " + id + " method: " + method + " left_us: 1000000 key: " + key);
   }
 
-  private int work(double ms, int id, int unit) {
-    out(ms, 20 + unit, "UNIT-" + unit, "WORK", mark(id), "id: " + ++lastWork + " left_us: 500000");
+  private int work(double ms, int id, int endpoint) {
+    out(
+        ms,
+        20 + endpoint,
+        "UNIT-" + endpoint,
+        "WORK",
+        mark(id),
+        "id: " + ++lastWork + " left_us: 500000");
     return lastWork;
   }
 
-  private void done(double ms, int work, int unit, String result) {
-    in(ms, 20 + unit, "UNIT-" + unit, "DONE", "", "id: " + work + " result: " + result);
+  private void done(double ms, int work, int endpoint, String result) {
+    in(ms, 20 + endpoint, "UNIT-" + endpoint, "DONE", "", "id: " + work + " result: " + result);
   }
 
   private void answer(double ms, int id, String ending) {
@@ -127,8 +133,8 @@
         "build: " + build + " stage: " + stage + " standing: " + standing + " cap: " + cap);
   }
 
-  private void closed(double ms, int link, String other) {
-    line(relay, ms, "relay-0", link, other, "x", "CLOSED", "", "gone");
+  private void closed(double ms, int connection, String other) {
+    line(relay, ms, "relay-0", connection, other, "x", "CLOSED", "", "gone");
   }
 
   private void end(double ms) {
@@ -183,9 +189,9 @@
     assertEquals(judge(), List.of());
   }
 
-  private void served(double ms, int id, int method, int unit) {
+  private void served(double ms, int id, int method, int endpoint) {
     call(ms, id, method);
-    done(ms + 20, work(ms + 1, id, unit), unit, "DONE");
+    done(ms + 20, work(ms + 1, id, endpoint), endpoint, "DONE");
     answer(ms + 20, id, "OK");
   }
 
--- a/src/test/java/sprucerock/rehearsal/scenario/DayScriptCompatTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/DayScriptCompatTest.java
@@ -70,7 +70,8 @@
   @Test(dataProvider = "own")
   public void aDayOfTheCorpusIsReadAsBefore(String name) throws Exception {
     Corpus.holds(
-        DAYS + name + ".txt", rendered(ScenarioParser.parse(name, Corpus.input(DAYS + name + ".day"))));
+        DAYS + name + ".txt",
+        rendered(ScenarioParser.parse(name, Corpus.input(DAYS + name + ".day"))));
   }
 
   @Test
@@ -98,22 +99,22 @@
         .put("lasts", day.lasts)
         .put("relays", day.relays)
         .put("tick", day.tick);
-    for (ScenarioParser.Units units : day.units) {
+    for (ScenarioParser.Units endpoints : day.endpoints) {
       text.put(
           "units",
-          units.count()
+          endpoints.count()
               + " zone "
-              + units.zone()
+              + endpoints.zone()
               + " cores "
-              + units.cores()
+              + endpoints.cores()
               + " speed "
-              + units.speed());
+              + endpoints.speed());
     }
     for (Site.Method method : day.methods) {
       text.put("method", method(method));
     }
-    for (Site.Customer customer : day.customers) {
-      text.put("customer", customer.name() + " " + customer.share());
+    for (Site.Customer tenant : day.tenants) {
+      text.put("customer", tenant.name() + " " + tenant.share());
     }
     for (Site.Stage stage : day.stages) {
       text.put("stage", stage.share() + " cap " + stage.cap());
@@ -131,7 +132,7 @@
         .put("drain-grace", day.drainGrace)
         .put("roster.notice", day.notice)
         .put("roster.ask", day.ask);
-    text.put("allow.picks", day.picks)
+    text.put("allow.picks", day.attempts)
         .put("allow.second-copies", day.secondCopies)
         .put("allow.cancel", day.cancel)
         .put("allow.peers", day.peers);
@@ -230,7 +231,9 @@
       List<String> parts = new ArrayList<>(List.of(line.split(": ", 2)));
       String day = Corpus.input(DAYS + parts.get(0) + ".day") + parts.get(1) + "\n";
       text.append(
-              expectThrows(ScenarioParser.ScriptException.class, () -> ScenarioParser.parse(parts.get(0), day))
+              expectThrows(
+                      ScenarioParser.ScriptException.class,
+                      () -> ScenarioParser.parse(parts.get(0), day))
                   .getMessage())
           .append('\n');
     }
--- a/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.accounting.MethodAccounts;
+import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -51,19 +51,20 @@
         unit-4.held=0
         """;
 
-  private static List<FleetMetricsAudit.Entry> hold(String standIns, String relay, String counts, int picks)
-      throws Exception {
+  private static List<FleetMetricsAudit.Entry> hold(
+      String standIns, String relay, String counts, int attempts) throws Exception {
     Path folder = Files.createTempDirectory("fleet");
     MethodAccounts accounts = new MethodAccounts(List.of("read"), new MethodAccounts.Room(1, 1, 1));
-    MetricsFileWriter keeper = MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
+    MetricsFileWriter keeper =
+        MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
     int build = accounts.row(accounts.builds, "1");
-    accounts.row(accounts.customers, "0");
-    accounts.row(accounts.units, "4");
-    for (int i = 0; i < picks; i++) {
+    accounts.row(accounts.tenants, "0");
+    accounts.row(accounts.endpoints, "4");
+    for (int i = 0; i < attempts; i++) {
       accounts.rpcArrived(0, 0);
-      accounts.pickSent(0, build, 0, false);
-      accounts.pickWritten();
-      accounts.pickEnded(0, build, 0, false, true, 1, TimeSpan.ofMs(1));
+      accounts.attemptSent(0, build, 0, false);
+      accounts.attemptWritten();
+      accounts.attemptEnded(0, build, 0, false, true, 1, TimeSpan.ofMs(1));
       accounts.rpcAnswered(0, 0, TimeSpan.ofMs(1), true, true);
     }
     keeper.close();
@@ -113,8 +114,8 @@
 
   @Test(dataProvider = "wrong")
   public void whatNoClassExplainsIsToldApart(
-      String standIns, String relay, String counts, int picks) throws Exception {
-    List<FleetMetricsAudit.Entry> entries = hold(standIns, relay, counts, picks);
+      String standIns, String relay, String counts, int attempts) throws Exception {
+    List<FleetMetricsAudit.Entry> entries = hold(standIns, relay, counts, attempts);
     assertEquals(
         entries.stream().anyMatch(entry -> entry.unexplained() != 0),
         true,
--- a/src/test/java/sprucerock/rehearsal/scenario/ScriptTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/ScriptTest.java
@@ -74,7 +74,8 @@
   @Test(dataProvider = "wrong")
   public void aWrongLineIsNamedWithItsColumn(String line, String says) {
     String message =
-        expectThrows(ScenarioParser.ScriptException.class, () -> ScenarioParser.parse("d", HEAD + line))
+        expectThrows(
+                ScenarioParser.ScriptException.class, () -> ScenarioParser.parse("d", HEAD + line))
             .getMessage();
     assertTrue(message.contains(says) && !message.contains("\n"), message);
   }
--- a/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.accounting.MethodAccounts;
+import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.time.TimeSpan;
 
 /** Figures held against frames: what is equal holds, what differs is named. */
@@ -19,7 +19,8 @@
   private static List<String> differing(int posted, int left, String trace) throws Exception {
     Path folder = Files.createTempDirectory("book");
     MethodAccounts accounts = new MethodAccounts(List.of("read"), MethodAccounts.Room.NONE);
-    MetricsFileWriter keeper = MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
+    MetricsFileWriter keeper =
+        MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
     for (int i = 0; i < posted; i++) {
       accounts.rpcArrived(0, 0);
       if (i < left) {
--- a/src/test/java/sprucerock/relay/frames/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/RelayTest.java
@@ -14,16 +14,16 @@
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
-import sprucerock.policy.RelayActions;
-import sprucerock.model.Build;
 import sprucerock.model.Attempt;
-import sprucerock.model.Rpc;
+import sprucerock.model.Build;
 import sprucerock.model.Endpoint;
+import sprucerock.model.Rpc;
 import sprucerock.model.Verdict;
+import sprucerock.policy.RelayActions;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -74,20 +74,20 @@
   private final class Simple extends Told {
     private RelayActions host;
     private final List<Endpoint> ready = new ArrayList<>();
-    private final List<Attempt> picks = new ArrayList<>();
+    private final List<Attempt> attempts = new ArrayList<>();
     private boolean waits;
     private boolean faulty;
 
     @Override
-    public void unitReady(Endpoint unit) {
-      super.unitReady(unit);
-      ready.add(unit);
+    public void endpointReady(Endpoint endpoint) {
+      super.endpointReady(endpoint);
+      ready.add(endpoint);
     }
 
     @Override
-    public void unitLeaving(Endpoint unit) {
-      super.unitLeaving(unit);
-      ready.remove(unit);
+    public void endpointDraining(Endpoint endpoint) {
+      super.endpointDraining(endpoint);
+      ready.remove(endpoint);
     }
 
     @Override
@@ -109,17 +109,17 @@
     }
 
     Attempt send(Rpc rpc, TimeSpan patience) {
-      Attempt pick = new Attempt(rpc, ready.get(0), host.now(), patience);
-      picks.add(pick);
-      host.send(pick);
-      return pick;
+      Attempt attempt = new Attempt(rpc, ready.get(0), host.now(), patience);
+      attempts.add(attempt);
+      host.send(attempt);
+      return attempt;
     }
 
     @Override
-    public void pickEnded(Attempt pick, boolean answers) {
-      super.pickEnded(pick, answers);
-      if (!pick.rpc.ended() && pick.rpc.out() == 0 && !waits) {
-        host.pushBack(pick.rpc, TimeSpan.ofMs(20));
+    public void attemptEnded(Attempt attempt, boolean answers) {
+      super.attemptEnded(attempt, answers);
+      if (!attempt.rpc.ended() && attempt.rpc.out() == 0 && !waits) {
+        host.pushBack(attempt.rpc, TimeSpan.ofMs(20));
       }
     }
   }
@@ -129,7 +129,7 @@
   private Simple module;
   private List<Person> rosters;
   private List<Person> desks;
-  private List<Person> units;
+  private List<Person> endpoints;
   private Person client;
 
   static RelayConfig config(String xml) throws IOException, ConfigException {
@@ -144,7 +144,7 @@
     module = new Simple();
     rosters = Person.listen(net, Role.ROSTER, 0, 1001);
     desks = Person.listen(net, Role.DESK, 0, 1002);
-    units = Person.listen(net, Role.UNIT, 7, 2007);
+    endpoints = Person.listen(net, Role.UNIT, 7, 2007);
     relay = new FrameRelay(config(CONFIG), net, Tap.NONE);
     relay.start(
         (host, settings, seed) -> {
@@ -157,12 +157,12 @@
     module.calls.clear();
   }
 
-  private static Entry.Builder entry(long unit, long run, Health health) {
+  private static Entry.Builder entry(long endpoint, long run, Health health) {
     return Entry.newBuilder()
-        .setUnit(unit)
+        .setUnit(endpoint)
         .setRun(run)
         .setHost("127.0.0.1")
-        .setPort(2000 + (int) unit)
+        .setPort(2000 + (int) endpoint)
         .setBuild(1)
         .setHealth(health)
         .setWeight(1);
@@ -199,7 +199,7 @@
   private void answers(long workId, Result result) {
     net.turn(
         () ->
-            last(units)
+            last(endpoints)
                 .send(
                     Kind.DONE,
                     Done.newBuilder().setId(workId).setResult(result).build(),
@@ -215,9 +215,9 @@
   @Test
   public void anRpcGoesToItsUnitAndTheAnswerBack() {
     calls(1);
-    Person unit = units.get(0);
-    assertEquals(unit.got.get(0).body(), new byte[] {1, 42});
-    Work work = (Work) unit.got.get(0).head();
+    Person endpoint = endpoints.get(0);
+    assertEquals(endpoint.got.get(0).body(), new byte[] {1, 42});
+    Work work = (Work) endpoint.got.get(0).head();
     assertTrue(
         work.getLeftUs() > 980_000 && work.getLeftUs() <= 1_000_000, "left " + work.getLeftUs());
     net.pass(20);
@@ -234,7 +234,8 @@
     net.turn(
         () -> {
           client.send(Kind.LEAVE, Leave.newBuilder().setId(1).build());
-          last(units).send(Kind.DONE, Done.newBuilder().setId(1).setResult(Result.DONE).build());
+          last(endpoints)
+              .send(Kind.DONE, Done.newBuilder().setId(1).setResult(Result.DONE).build());
         });
     net.settle();
     assertTrue(client.got.isEmpty());
@@ -254,7 +255,7 @@
   @Test
   public void aCutAfterTheRequestWasWrittenMayHaveRunAndOneBeforeDidNot() {
     calls(1);
-    units.get(0).link.cut("crash");
+    endpoints.get(0).connection.cut("crash");
     net.settle();
     assertEquals(module.calls.get(1), "ended 1.0 BROKEN");
     module.calls.clear();
@@ -278,9 +279,9 @@
     Attempt[] made = new Attempt[1];
     net.turn(
         () -> {
-          Rpc rpc = module.picks.get(module.picks.size() - 1).rpc;
+          Rpc rpc = module.attempts.get(module.attempts.size() - 1).rpc;
           made[0] = module.send(rpc, null);
-          ((FrameExchange) made[0].door).link.link.cut("a turn that went wrong");
+          ((FrameExchange) made[0].door).connection.connection.cut("a turn that went wrong");
         });
     net.settle();
     return made[0];
@@ -315,9 +316,9 @@
           1000,
           new ConnectionListener() {
             @Override
-            public void up(Connection link) {
+            public void up(Connection connection) {
               if (talk.length > 0) {
-                link.append(talk);
+                connection.append(talk);
               }
             }
 
@@ -348,7 +349,7 @@
         () -> {
           Person other = new Person(net, Role.UNIT, 9);
           others.add(other);
-          return other.link;
+          return other.connection;
         });
     lists(Form.WHOLE, entry(8, 1, Health.READY));
     calls(1);
@@ -363,14 +364,14 @@
     for (int i = 1; i <= 12; i++) {
       calls(i);
     }
-    assertEquals(units.size(), 2);
-    assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
+    assertEquals(endpoints.size(), 2);
+    assertEquals(endpoints.get(0).got.size() + endpoints.get(1).got.size(), 6);
     assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 2);
     lists(Form.CHANGES, entry(7, 1, Health.DRAINING));
     assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 6);
     answers(1, Result.DONE);
     net.pass(300);
-    assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
+    assertEquals(endpoints.get(0).got.size() + endpoints.get(1).got.size(), 6);
   }
 
   @Test
@@ -383,8 +384,8 @@
     net.settle();
     answers(1, Result.DONE); // room for the one that waited
     net.settle();
-    assertEquals(module.picks.get(6).outcome().name(), "MOOT");
-    assertEquals(units.get(0).got.size() + units.get(1).got.size(), 6);
+    assertEquals(module.attempts.get(6).outcome().name(), "MOOT");
+    assertEquals(endpoints.get(0).got.size() + endpoints.get(1).got.size(), 6);
   }
 
   @Test
@@ -409,10 +410,10 @@
     assertTrue(
         net.connects() <= 11,
         "seven in two seconds at most, beside three links: " + net.connects());
-    units = Person.listen(net, Role.UNIT, 8, 2008);
+    endpoints = Person.listen(net, Role.UNIT, 8, 2008);
     net.pass(1000);
     calls(500);
-    assertEquals(units.size(), 1);
+    assertEquals(endpoints.size(), 1);
   }
 
   @Test
@@ -427,9 +428,9 @@
       net.pass(5);
     }
     net.pass(11_000);
-    assertEquals(units.get(0).gone, "closed by the other side");
+    assertEquals(endpoints.get(0).gone, "closed by the other side");
     calls(30);
-    assertEquals(units.size(), 2);
+    assertEquals(endpoints.size(), 2);
     assertTrue(
         module.calls.stream().noneMatch(call -> call.endsWith("BROKEN")), module.calls.toString());
   }
@@ -442,9 +443,9 @@
                 Kind.CALL,
                 Call.newBuilder().setId(-1).setCustomer(-1).setLeftUs(-1).setHintUs(-1).build()));
     net.settle();
-    Rpc rpc = module.picks.get(0).rpc;
+    Rpc rpc = module.attempts.get(0).rpc;
     assertTrue(
-        rpc.customer > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.hint == null);
+        rpc.tenant > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.hint == null);
     answers(1, Result.DONE);
     net.settle();
     assertEquals(client.<Answer>all(Kind.ANSWER).get(0).getId(), -1);
@@ -454,16 +455,16 @@
   public void aPickPastItsPatienceIsTimedOutAndItsLateAnswerDropped() {
     module.waits = true;
     calls(1);
-    Attempt second = module.send(module.picks.get(0).rpc, TimeSpan.ofMs(50));
+    Attempt second = module.send(module.attempts.get(0).rpc, TimeSpan.ofMs(50));
     net.pass(60);
     assertEquals(second.outcome().name(), "TIMED_OUT");
     answers(2, Result.DONE);
     net.settle();
     assertTrue(client.got.isEmpty());
-    net.turn(() -> module.host.cancel(module.picks.get(0)));
+    net.turn(() -> module.host.cancel(module.attempts.get(0)));
     net.settle();
-    assertEquals(last(units).<Stop>all(Kind.STOP).get(0).getId(), 1);
-    assertEquals(module.picks.get(0).outcome().name(), "CANCELLED");
+    assertEquals(last(endpoints).<Stop>all(Kind.STOP).get(0).getId(), 1);
+    assertEquals(module.attempts.get(0).outcome().name(), "CANCELLED");
   }
 
   @Test
@@ -473,9 +474,9 @@
       calls(i);
     }
     net.pass(1100);
-    assertEquals(units.get(0).gone, "closed by the other side");
+    assertEquals(endpoints.get(0).gone, "closed by the other side");
     calls(9);
-    assertEquals(last(units).<Work>all(Kind.WORK).size(), 1);
+    assertEquals(last(endpoints).<Work>all(Kind.WORK).size(), 1);
   }
 
   @Test
@@ -496,7 +497,7 @@
       client = Person.at(net, Role.CLIENT, 3, 1000);
       net.pass(300);
       lists(Form.WHOLE, entry(7, 1, Health.READY));
-      assertNull(client.link.other(), "no news yet");
+      assertNull(client.connection.other(), "no news yet");
       if (comes) {
         net.turn(
             () ->
@@ -512,9 +513,9 @@
                             .build()));
       }
       net.pass(20);
-      assertEquals(client.link.other() != null, comes);
+      assertEquals(client.connection.other() != null, comes);
       net.pass(1000);
-      assertTrue(client.link.other() != null);
+      assertTrue(client.connection.other() != null);
     }
   }
 
@@ -627,8 +628,8 @@
 
   @Test
   public void theRosterAndDeskComeBackByThemselves() {
-    rosters.get(0).link.cut("restart");
-    desks.get(0).link.cut("restart");
+    rosters.get(0).connection.cut("restart");
+    desks.get(0).connection.cut("restart");
     net.pass(300);
     assertEquals(rosters.size(), 2);
     assertEquals(desks.size(), 2);
@@ -694,7 +695,11 @@
     net.settle();
     net.turn(
         () ->
-            peer.send(Kind.TOLD, sprucerock.transport.wire.v1.Told.getDefaultInstance(), (byte) 5, (byte) 6));
+            peer.send(
+                Kind.TOLD,
+                sprucerock.transport.wire.v1.Told.getDefaultInstance(),
+                (byte) 5,
+                (byte) 6));
     net.turn(() -> client.send(Kind.FLAG, Flag.newBuilder().setUnit(7).setAgoUs(1).build()));
     net.settle();
     assertEquals(module.calls, List.of("peer 1 2", "flagged 7"));
--- a/src/test/java/sprucerock/relay/frames/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/frames/SecuredTest.java
@@ -14,16 +14,16 @@
 import java.util.Set;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.config.ConfigException;
-import sprucerock.policy.RelayActions;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.model.AttemptOutcome;
+import sprucerock.config.ConfigException;
 import sprucerock.model.Attempt;
-import sprucerock.model.Rpc;
+import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Endpoint;
+import sprucerock.model.Rpc;
+import sprucerock.policy.RelayActions;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Aside;
 import sprucerock.transport.tls.Buffers;
 import sprucerock.transport.tls.Chain;
@@ -53,24 +53,24 @@
   /** Sends each RPC to the one unit, and notes how picks end. */
   private static final class Simple extends sprucerock.relay.frames.Told {
     private RelayActions host;
-    private Endpoint unit;
+    private Endpoint endpoint;
     private final List<AttemptOutcome> ends = new ArrayList<>();
 
     @Override
-    public void unitReady(Endpoint ready) {
-      unit = ready;
+    public void endpointReady(Endpoint ready) {
+      endpoint = ready;
     }
 
     @Override
     public void rpcArrived(Rpc rpc) {
-      host.send(new Attempt(rpc, unit, host.now(), null));
+      host.send(new Attempt(rpc, endpoint, host.now(), null));
     }
 
     @Override
-    public void pickEnded(Attempt pick, boolean answers) {
-      ends.add(pick.outcome());
-      if (!pick.rpc.ended()) {
-        host.pushBack(pick.rpc, TimeSpan.ZERO);
+    public void attemptEnded(Attempt attempt, boolean answers) {
+      ends.add(attempt.outcome());
+      if (!attempt.rpc.ended()) {
+        host.pushBack(attempt.rpc, TimeSpan.ZERO);
       }
     }
   }
@@ -81,7 +81,7 @@
   private Simple module;
   private Path folder;
   private List<Person> rosters;
-  private List<Person> units;
+  private List<Person> endpoints;
   private Credentials shown;
   private Person client;
   private long lastCall;
@@ -119,15 +119,15 @@
     rosters = Person.listen(net, Role.ROSTER, 0, 1001);
     Person.listen(net, Role.DESK, 0, 1002);
     shown = credentials(CA, TestCa.leaf("unit-7.example"));
-    units = new ArrayList<>();
+    endpoints = new ArrayList<>();
     net.listen(
         new InetSocketAddress("127.0.0.1", 2007),
         100,
         1 << 20,
         () -> {
           Person person = new Person(net, Role.UNIT, 7);
-          units.add(person);
-          return TlsConnection.server(place(), shown, true, person.link);
+          endpoints.add(person);
+          return TlsConnection.server(place(), shown, true, person.connection);
         });
     module = new Simple();
     lastCall = 0;
@@ -194,7 +194,7 @@
         new InetSocketAddress("127.0.0.1", 1000),
         TimeSpan.ofMs(500),
         1 << 20,
-        TlsConnection.client(place(), with, "relay-0.example", 1000, person.link));
+        TlsConnection.client(place(), with, "relay-0.example", 1000, person.connection));
     return person;
   }
 
@@ -208,13 +208,13 @@
   }
 
   private int works() {
-    return units.stream().mapToInt(one -> one.all(Kind.WORK).size()).sum();
+    return endpoints.stream().mapToInt(one -> one.all(Kind.WORK).size()).sum();
   }
 
-  private void answers(Person unit, long id) {
+  private void answers(Person endpoint, long id) {
     net.turn(
         () ->
-            unit.send(
+            endpoint.send(
                 Kind.DONE, Done.newBuilder().setId(id).setResult(Result.DONE).build(), (byte) 9));
     net.pass(10);
   }
@@ -229,7 +229,7 @@
     starts("plain", "");
     calls();
     assertEquals(works(), 1);
-    answers(units.get(0), ((Work) units.get(0).all(Kind.WORK).get(0)).getId());
+    answers(endpoints.get(0), ((Work) endpoints.get(0).all(Kind.WORK).get(0)).getId());
     assertEquals(module.ends, List.of(AttemptOutcome.OK));
     assertEquals(client.all(Kind.ANSWER).size(), 1);
     assertEquals(handshakes("full"), 1);
@@ -297,7 +297,7 @@
         () ->
             new ConnectionListener() {
               @Override
-              public void up(sprucerock.transport.net.Connection link) {}
+              public void up(sprucerock.transport.net.Connection connection) {}
 
               @Override
               public void received(java.nio.ByteBuffer bytes) {}
@@ -318,13 +318,13 @@
   public void newFilesMoveConnectionsOverOneAfterAnotherWithoutABrokenPick() throws Exception {
     starts("plain", "");
     calls();
-    Person old = units.get(0);
+    Person old = endpoints.get(0);
     TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
     net.pass(2000);
-    assertEquals(units.size(), 2);
+    assertEquals(endpoints.size(), 2);
     assertNull(old.gone); // a pick is out on it
     calls();
-    assertEquals(units.get(1).all(Kind.WORK).size(), 1); // what is new goes the new way
+    assertEquals(endpoints.get(1).all(Kind.WORK).size(), 1); // what is new goes the new way
     answers(old, ((Work) old.all(Kind.WORK).get(0)).getId());
     assertEquals(module.ends, List.of(AttemptOutcome.OK));
     net.pass(100);
--- a/src/test/java/sprucerock/relay/frames/Told.java
+++ b/src/test/java/sprucerock/relay/frames/Told.java
@@ -2,17 +2,17 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.policy.RelayActions;
-import sprucerock.policy.RelayEvents;
+import sprucerock.model.Attempt;
 import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
-import sprucerock.model.Attempt;
-import sprucerock.model.VoteReply;
-import sprucerock.model.Rpc;
 import sprucerock.model.RolloutState;
-import sprucerock.model.Endpoint;
-import sprucerock.time.Timestamp;
+import sprucerock.model.Rpc;
+import sprucerock.model.VoteReply;
+import sprucerock.policy.RelayActions;
+import sprucerock.policy.RelayEvents;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** A module that writes down what it is told, and hands it on where there is another behind it. */
 public class Told implements RelayEvents {
@@ -30,13 +30,13 @@
   }
 
   @Override
-  public void unitReady(Endpoint unit) {
-    say("ready " + unit.id, m -> m.unitReady(unit));
+  public void endpointReady(Endpoint endpoint) {
+    say("ready " + endpoint.id, m -> m.endpointReady(endpoint));
   }
 
   @Override
-  public void unitLeaving(Endpoint unit) {
-    say("leaving " + unit.id, m -> m.unitLeaving(unit));
+  public void endpointDraining(Endpoint endpoint) {
+    say("leaving " + endpoint.id, m -> m.endpointDraining(endpoint));
   }
 
   @Override
@@ -45,7 +45,8 @@
   }
 
   @Override
-  public void newsOfBuild(Build build, int stage, RolloutState standing, double cap, Timestamp since) {
+  public void newsOfBuild(
+      Build build, int stage, RolloutState standing, double cap, Timestamp since) {
     say(
         "news " + build.number + " " + stage + " " + standing + " " + (float) cap,
         m -> m.newsOfBuild(build, stage, standing, cap, since));
@@ -57,21 +58,21 @@
   }
 
   @Override
-  public void streamStarted(Attempt pick) {
-    say("stream " + pick.rpc.id, m -> m.streamStarted(pick));
+  public void streamStarted(Attempt attempt) {
+    say("stream " + attempt.rpc.id, m -> m.streamStarted(attempt));
   }
 
   @Override
-  public void pickEnded(Attempt pick, boolean answers) {
+  public void attemptEnded(Attempt attempt, boolean answers) {
     say(
         "ended "
-            + pick.rpc.id
+            + attempt.rpc.id
             + "."
-            + pick.number
+            + attempt.number
             + " "
-            + pick.outcome()
+            + attempt.outcome()
             + (answers ? " answers" : ""),
-        m -> m.pickEnded(pick, answers));
+        m -> m.attemptEnded(attempt, answers));
   }
 
   @Override
@@ -80,18 +81,18 @@
   }
 
   @Override
-  public void counted(Build build, Method method, double picks, double failed, TimeSpan mean) {
-    say("counted " + build.number, m -> m.counted(build, method, picks, failed, mean));
+  public void counted(Build build, Method method, double attempts, double failed, TimeSpan mean) {
+    say("counted " + build.number, m -> m.counted(build, method, attempts, failed, mean));
   }
 
   @Override
-  public void looked(Endpoint unit, boolean answered) {
-    say("looked " + unit.id + " " + answered, m -> m.looked(unit, answered));
+  public void looked(Endpoint endpoint, boolean answered) {
+    say("looked " + endpoint.id + " " + answered, m -> m.looked(endpoint, answered));
   }
 
   @Override
-  public void flagged(Endpoint unit) {
-    say("flagged " + unit.id, m -> m.flagged(unit));
+  public void flagged(Endpoint endpoint) {
+    say("flagged " + endpoint.id, m -> m.flagged(endpoint));
   }
 
   @Override
--- a/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
+++ b/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * Whose turn it is, held against a walk over all units that knows only when each was said to be
@@ -41,31 +41,31 @@
       for (int i = 0; i < 5000; i++) {
         nowMs += random.nextInt(4) * 25;
         draw = random.nextInt(8) / 8.0; // few draws, so that many units are due at one moment
-        long unit = random.nextInt(50);
+        long endpoint = random.nextInt(50);
         Timestamp now = Timestamp.ofMs(nowMs);
         switch (random.nextInt(6)) {
           case 0 -> {
-            lookout.ready(unit, now);
-            due.putIfAbsent(unit, nowMs + 2000 * draw);
+            lookout.ready(endpoint, now);
+            due.putIfAbsent(endpoint, nowMs + 2000 * draw);
           }
           case 1 -> {
             if (random.nextInt(4) > 0) {
               continue;
             }
-            lookout.left(unit);
-            due.remove(unit);
+            lookout.left(endpoint);
+            due.remove(endpoint);
           }
           case 2 -> {
             boolean busy = random.nextBoolean();
-            lookout.answered(unit, TimeSpan.ofMs(busy ? 100 : 5000), now);
-            if (due.containsKey(unit)) {
-              due.put(unit, nowMs + (busy ? 10_000 : 2000) * (0.75 + 0.5 * draw));
+            lookout.answered(endpoint, TimeSpan.ofMs(busy ? 100 : 5000), now);
+            if (due.containsKey(endpoint)) {
+              due.put(endpoint, nowMs + (busy ? 10_000 : 2000) * (0.75 + 0.5 * draw));
             }
           }
           case 3 -> {
-            lookout.silent(unit, now);
-            if (due.containsKey(unit)) {
-              due.put(unit, nowMs + 1000 * (0.75 + 0.5 * draw));
+            lookout.silent(endpoint, now);
+            if (due.containsKey(endpoint)) {
+              due.put(endpoint, nowMs + 1000 * (0.75 + 0.5 * draw));
             }
           }
           default -> {
--- a/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
@@ -23,8 +23,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
-import sprucerock.policy.RelayActions;
 import sprucerock.model.Attempt;
+import sprucerock.policy.RelayActions;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.postgres.Writer;
 
@@ -242,8 +242,8 @@
   private Peers.Unit.Query either() throws InterruptedException {
     for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.LONG);
         System.nanoTime() < until; ) {
-      for (Peers.Unit unit : List.of(one, two)) {
-        Peers.Unit.Query query = unit.asked.poll(2, TimeUnit.MILLISECONDS);
+      for (Peers.Unit endpoint : List.of(one, two)) {
+        Peers.Unit.Query query = endpoint.asked.poll(2, TimeUnit.MILLISECONDS);
         if (query != null) {
           return query;
         }
@@ -252,11 +252,11 @@
     throw new AssertionError("never seen: a statement at either unit");
   }
 
-  private Peers.Unit other(Peers.Unit unit) {
-    return unit == one ? two : one;
+  private Peers.Unit other(Peers.Unit endpoint) {
+    return endpoint == one ? two : one;
   }
 
-  private Peers.Unit unitOf(Peers.Unit.Query query) {
+  private Peers.Unit endpointOf(Peers.Unit.Query query) {
     return one.connections.contains(query.on()) ? one : two;
   }
 
@@ -347,11 +347,11 @@
   private long times(int id) throws Exception {
     loop.close();
     long count = 0;
-    for (Peers.Unit unit : List.of(one, two)) {
-      for (Peers.Unit.Connection each : new ArrayList<>(unit.connections)) {
+    for (Peers.Unit endpoint : List.of(one, two)) {
+      for (Peers.Unit.Connection each : new ArrayList<>(endpoint.connections)) {
         Peers.await(each.closed, "the end of a unit's connection");
       }
-      count += unit.seen.stream().filter(text -> id(text) == id).count();
+      count += endpoint.seen.stream().filter(text -> id(text) == id).count();
     }
     return count;
   }
@@ -404,7 +404,7 @@
     chosen.clear();
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.LONG);
     while (chosen.stream()
-        .noneMatch(pick -> pick.copy)) { // the build has room for one now and then
+        .noneMatch(attempt -> attempt.copy)) { // the build has room for one now and then
       assertTrue(System.nanoTime() < until, "never seen: a copy");
       Peers.Client gone = client();
       CountDownLatch go = hold();
@@ -577,7 +577,7 @@
       return Peers.next(two.accepted, "the copy's connection");
     }
     Peers.Unit.Query query = either();
-    Peers.Unit further = other(unitOf(query));
+    Peers.Unit further = other(endpointOf(query));
     further.holdsWelcomes = true;
     if (kind != Kind.HEDGE) {
       fails(query, kind);
--- a/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
@@ -12,13 +12,13 @@
 import java.util.function.Supplier;
 import org.testng.annotations.Test;
 import sprucerock.model.Method;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.postgres.Writer;
-import sprucerock.relay.engine.EventLog;
-import sprucerock.time.TimeSpan;
 
 /**
  * Who gives way when all places are taken, with what is read in the turn of the accept, as a loop
@@ -80,7 +80,13 @@
     left.clear();
     Method look =
         new Method(
-            0, Method.Effect.IDEMPOTENT, Method.Group.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
+            0,
+            Method.Effect.IDEMPOTENT,
+            Method.Group.ALL,
+            TimeSpan.ofMs(300),
+            TimeSpan.ZERO,
+            1,
+            false);
     ClientListener door =
         new ClientListener(
             net,
@@ -107,9 +113,9 @@
     End end = new End();
     net.turn(
         () -> {
-          ConnectionListener link = users.get();
-          link.up(end);
-          link.received(ByteBuffer.wrap(says));
+          ConnectionListener connection = users.get();
+          connection.up(end);
+          connection.received(ByteBuffer.wrap(says));
         });
     return end;
   }
--- a/src/test/java/sprucerock/relay/platform/CrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/CrossingsTest.java
@@ -20,11 +20,11 @@
 import org.testng.annotations.Test;
 import sprucerock.Policy;
 import sprucerock.model.Method;
-import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.postgres.Writer;
-import sprucerock.relay.engine.RequestOutcome;
 import sprucerock.relay.engine.EventLog;
+import sprucerock.relay.engine.RequestOutcome;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.transport.postgres.Writer;
 
 /**
  * Two events that cross, forced on real sockets: a relay's loop is held while both happen, or a
@@ -145,10 +145,10 @@
   }
 
   /** A client's statement is answered over a connection that is kept from then on. */
-  private Peers.Unit.Connection kept(Peers.Unit unit) throws Exception {
+  private Peers.Unit.Connection kept(Peers.Unit endpoint) throws Exception {
     Peers.Client client = client();
     client.asks(look());
-    Peers.Unit.Query query = unit.query();
+    Peers.Unit.Query query = endpoint.query();
     query.on().says(Peers.value("first"));
     assertEquals(client.answer(), "value first");
     return query.on();
@@ -575,7 +575,13 @@
     loop = new NioLoop("relay", broken::add);
     Method look =
         new Method(
-            0, Method.Effect.IDEMPOTENT, Method.Group.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
+            0,
+            Method.Effect.IDEMPOTENT,
+            Method.Group.ALL,
+            TimeSpan.ofMs(300),
+            TimeSpan.ZERO,
+            1,
+            false);
     CountDownLatch listens = new CountDownLatch(1);
     CountDownLatch held = new CountDownLatch(1);
     CountDownLatch go = new CountDownLatch(1);
@@ -592,7 +598,8 @@
         };
     loop.post(
         () -> {
-          door[0] = new ClientListener(loop, new EventLog(loop), answers, Map.of("look", look), 10, 10);
+          door[0] =
+              new ClientListener(loop, new EventLog(loop), answers, Map.of("look", look), 10, 10);
           try {
             door[0].start(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
           } catch (IOException e) {
--- a/src/test/java/sprucerock/relay/platform/InventedSettingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/InventedSettingsTest.java
@@ -24,7 +24,7 @@
  */
 public class InventedSettingsTest {
   private Peers peers;
-  private Peers.Unit unit;
+  private Peers.Unit endpoint;
   private Peers.Agent discovery;
   private Peers.Agent desk;
   private NioLoop loop;
@@ -36,7 +36,7 @@
   @BeforeMethod
   public void begin() throws Exception {
     peers = new Peers();
-    unit = peers.new Unit();
+    endpoint = peers.new Unit();
     discovery = peers.new Agent();
     desk = peers.new Agent();
     broken.clear();
@@ -81,7 +81,7 @@
 
   private void listed(int build) throws Exception {
     Peers.Agent.Call watch =
-        discovery.call().begins().list(1, true, unit.entry("u", "SERVING", build));
+        discovery.call().begins().list(1, true, endpoint.entry("u", "SERVING", build));
     Peers.read(watch.socket);
   }
 
@@ -119,7 +119,7 @@
     byte[] text =
         asks("!#$%&'()+./:;<>?@[]^_`{|}~ \u00e9", true, 30_000).getBytes(StandardCharsets.UTF_8);
     client.sends(sprucerock.transport.postgres.Writer.query(text));
-    Peers.Unit.Query query = unit.query();
+    Peers.Unit.Query query = endpoint.query();
     query.on().says(Peers.value("done"));
     assertEquals(client.answer(), "value done");
     client.asks(asks("other", true, 1000));
@@ -128,10 +128,12 @@
         sprucerock.transport.postgres.Writer.query(
             asks("!#$%&'()+./:;<>?@[]^_`{|}~ \u00e9", true, 30_000)
                 .getBytes(StandardCharsets.UTF_8)));
-    unit.query()
+    endpoint
+        .query()
         .on()
         .says(
-            sprucerock.transport.postgres.Writer.error("ERROR", "XX000", "no", null), sprucerock.transport.postgres.Writer.ready());
+            sprucerock.transport.postgres.Writer.error("ERROR", "XX000", "no", null),
+            sprucerock.transport.postgres.Writer.ready());
     assertEquals(client.answer(), "error 58000");
     ends(client);
   }
@@ -177,7 +179,7 @@
     Peers.Client client = peers.new Client(port).welcomed();
     for (int i = 0; i < 20; i++) {
       client.asks(asks("c." + i, i % 3 != 0, 30_000));
-      unit.query().on().says(Peers.value("v" + i));
+      endpoint.query().on().says(Peers.value("v" + i));
       assertEquals(client.answer(), "value v" + i);
     }
     client.asks(asks("c.20", false, 1000));
--- a/src/test/java/sprucerock/relay/platform/ListCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListCrossingsTest.java
@@ -86,20 +86,20 @@
     assertEquals(List.copyOf(broken), List.of());
   }
 
-  private String serves(Peers.Unit unit) {
-    return unit.entry(name(unit), "SERVING", 7);
+  private String serves(Peers.Unit endpoint) {
+    return endpoint.entry(name(endpoint), "SERVING", 7);
   }
 
-  private String drains(Peers.Unit unit) {
-    return unit.entry(name(unit), "DRAINING", 7);
+  private String drains(Peers.Unit endpoint) {
+    return endpoint.entry(name(endpoint), "DRAINING", 7);
   }
 
-  private String gone(Peers.Unit unit) {
-    return unit.entry(name(unit), "DELETED", 7);
+  private String gone(Peers.Unit endpoint) {
+    return endpoint.entry(name(endpoint), "DELETED", 7);
   }
 
-  private String name(Peers.Unit unit) {
-    return unit == one ? "s-1" : "s-2";
+  private String name(Peers.Unit endpoint) {
+    return endpoint == one ? "s-1" : "s-2";
   }
 
   private PlatformConfig config(Peers.Agent at) throws Exception {
@@ -182,16 +182,16 @@
    * All that these asked goes to this unit and none to the other. They are open together: the more
    * of them a unit has, the sooner one goes to the other, if that may be chosen.
    */
-  private void served(List<Peers.Client> clients, Peers.Unit unit) throws Exception {
-    served(clients, unit, unit.query());
+  private void served(List<Peers.Client> clients, Peers.Unit endpoint) throws Exception {
+    served(clients, endpoint, endpoint.query());
   }
 
-  private void served(List<Peers.Client> clients, Peers.Unit unit, Peers.Unit.Query first)
+  private void served(List<Peers.Client> clients, Peers.Unit endpoint, Peers.Unit.Query first)
       throws Exception {
-    Peers.Unit other = unit == one ? two : one;
+    Peers.Unit other = endpoint == one ? two : one;
     List<Peers.Unit.Query> queries = new ArrayList<>(List.of(first));
     while (queries.size() < ASKED) {
-      queries.add(unit.query());
+      queries.add(endpoint.query());
     }
     for (Peers.Unit.Query query : queries) {
       query.on().says(Peers.value("x"));
@@ -202,14 +202,14 @@
     assertTrue(other.asked.isEmpty());
   }
 
-  private void allGoTo(Peers.Unit unit) throws Exception {
+  private void allGoTo(Peers.Unit endpoint) throws Exception {
     List<Peers.Client> clients = some();
     ask(clients);
-    served(clients, unit);
+    served(clients, endpoint);
   }
 
   /** A connection to this unit that is kept, while both serve. */
-  private Peers.Unit.Connection kept(Peers.Unit unit) throws Exception {
+  private Peers.Unit.Connection kept(Peers.Unit endpoint) throws Exception {
     List<Peers.Client> clients = some();
     List<Peers.Unit.Query> queries = new ArrayList<>();
     ask(clients);
@@ -228,11 +228,11 @@
       assertEquals(client.answer(), "value x");
     }
     for (Peers.Unit.Query query : queries) {
-      if (unit.accepted.contains(query.on())) {
+      if (endpoint.accepted.contains(query.on())) {
         return query.on();
       }
     }
-    throw new AssertionError("never asked: " + name(unit));
+    throw new AssertionError("never asked: " + name(endpoint));
   }
 
   // A new address lists a drain while the old watch still tells.
@@ -437,8 +437,9 @@
 
   // A unit that was restarted, and is cold.
 
-  private String restarted(Peers.Unit unit) {
-    return serves(unit).replace("\"started_ms\":0", "\"started_ms\":" + System.currentTimeMillis());
+  private String restarted(Peers.Unit endpoint) {
+    return serves(endpoint)
+        .replace("\"started_ms\":0", "\"started_ms\":" + System.currentTimeMillis());
   }
 
   /**
--- a/src/test/java/sprucerock/relay/platform/ListTimesTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListTimesTest.java
@@ -15,11 +15,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.Policy;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.time.TimeSpan;
 
 /**
  * How long a relay is without its list: what a silent watch misses counts as told 6 s after it fell
@@ -86,21 +86,21 @@
 
   /** The desk's: a sign of life each second, so that only discovery is asked for anew. */
   private final class Bulletin implements ConnectionListener {
-    private Connection link;
+    private Connection connection;
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      link.append(HEAD.getBytes(StandardCharsets.US_ASCII));
+      connection.append(HEAD.getBytes(StandardCharsets.US_ASCII));
       lives();
     }
 
     private void lives() {
-      link.append(chunk(":\n").getBytes(StandardCharsets.US_ASCII));
+      connection.append(chunk(":\n").getBytes(StandardCharsets.US_ASCII));
       net.at(net.now().plus(TimeSpan.ofMs(1000)), this::lives);
     }
 
@@ -127,11 +127,11 @@
             1 << 20,
             () ->
                 new ConnectionListener() {
-                  private Connection link;
+                  private Connection connection;
 
                   @Override
                   public void up(Connection made) {
-                    link = made;
+                    connection = made;
                   }
 
                   @Override
@@ -141,14 +141,14 @@
                     if (meets == Meets.SILENT || meets == null) {
                       return;
                     }
-                    heard = link;
+                    heard = connection;
                     String half =
                         meets == Meets.HEAD
                             ? ""
                             : meets == Meets.HALF
                                 ? chunk("{\"version\":5,\"full\":false,\"serv")
                                 : chunk("{\"version\":5,\"full\":false,\"servers\":[]}\n");
-                    link.append((HEAD + half).getBytes(StandardCharsets.US_ASCII));
+                    connection.append((HEAD + half).getBytes(StandardCharsets.US_ASCII));
                     if (meets == Meets.LIST) {
                       toldAt = net.now().ms();
                     }
--- a/src/test/java/sprucerock/relay/platform/PlatformSettingsCompatTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformSettingsCompatTest.java
@@ -19,9 +19,9 @@
 import sprucerock.compat.LogLines;
 import sprucerock.compat.Rendering;
 import sprucerock.config.ConfigException;
-import sprucerock.transport.net.SimulatedNet;
-import sprucerock.relay.engine.EventLog;
 import sprucerock.config.settings.SettingsText;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.transport.net.SimulatedNet;
 
 /**
  * The platform's configuration, in JSON, and the simulator's settings, in lines: the values read
--- a/src/test/java/sprucerock/relay/platform/PlatformTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformTest.java
@@ -20,15 +20,15 @@
 import sprucerock.Policy;
 import sprucerock.config.ConfigException;
 import sprucerock.model.Settings;
-import sprucerock.transport.net.Datagrams;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.Datagrams;
 import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.postgres.Messages;
 import sprucerock.transport.postgres.ProtocolException;
 import sprucerock.transport.postgres.Reader;
 import sprucerock.transport.postgres.Writer;
-import sprucerock.time.TimeSpan;
 
 /**
  * A relay on the platform, with the module that decides, among clients, units, discovery and a desk
@@ -54,12 +54,12 @@
   /** A unit: greets, and answers queries as it is told. */
   private final class FakeUnit implements ConnectionListener, Messages.User {
     private final Messages in = Messages.ofClient(1 << 18);
-    Connection link;
+    Connection connection;
     String query;
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
@@ -80,7 +80,7 @@
     public void message(char type, byte[] body) throws ProtocolException {
       if (type == 0) {
         in.started();
-        link.append(Writer.welcome());
+        connection.append(Writer.welcome());
       } else if (type == 'Q') {
         query = new String(Reader.query(body), StandardCharsets.US_ASCII);
         asked.add(this);
@@ -89,7 +89,7 @@
 
     void says(byte[]... messages) {
       query = null;
-      net.turn(() -> link.append(Writer.join(messages)));
+      net.turn(() -> connection.append(Writer.join(messages)));
       net.settle();
     }
 
@@ -102,7 +102,7 @@
   private class Client implements ConnectionListener, Messages.User {
     private final Messages in = Messages.ofServer(1 << 18);
     final List<String> got = new ArrayList<>();
-    Connection link;
+    Connection connection;
     boolean closed;
 
     Client() {
@@ -117,7 +117,7 @@
     }
 
     void sends(byte[]... bytes) {
-      net.turn(() -> link.append(Writer.join(bytes)));
+      net.turn(() -> connection.append(Writer.join(bytes)));
       net.settle();
     }
 
@@ -127,7 +127,7 @@
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
@@ -168,12 +168,12 @@
 
   /** Discovery or desk: keeps what was asked, and says what it is told. */
   private final class Told implements ConnectionListener {
-    Connection link;
+    Connection connection;
     final StringBuilder heard = new StringBuilder();
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
@@ -193,7 +193,7 @@
     }
 
     void says(String text) {
-      net.turn(() -> link.append(text.getBytes(StandardCharsets.US_ASCII)));
+      net.turn(() -> connection.append(text.getBytes(StandardCharsets.US_ASCII)));
       net.settle();
     }
   }
@@ -563,7 +563,7 @@
   public void aClientThatLeavesEndsItsPick() {
     Client client = new Client().started();
     client.asks(look(900));
-    net.turn(() -> client.link.cut("left"));
+    net.turn(() -> client.connection.cut("left"));
     net.settle();
     assertEquals(closed, 1);
   }
@@ -606,7 +606,7 @@
   @Test
   public void aLostWatchIsAskedForAgainFromTheVersionKnown() {
     discovery.get(0).chunk("{\"version\":9,\"full\":false,\"servers\":[]}\n");
-    net.turn(() -> discovery.get(0).link.cut("gone"));
+    net.turn(() -> discovery.get(0).connection.cut("gone"));
     net.pass(50);
     assertEquals(discovery.size(), 2);
     assertTrue(
@@ -663,7 +663,7 @@
     int asked = settingsAsked;
     assertEquals(asked, 1); // as it took clients: the file may have been replaced since it was read
     net.pass(600);
-    net.turn(() -> discovery.get(0).link.cut("the address is none any more"));
+    net.turn(() -> discovery.get(0).connection.cut("the address is none any more"));
     net.pass(10);
     assertEquals(settingsAsked, asked + 1);
     net.listen(address(501), 40, 1 << 20, () -> keep(desk));
@@ -674,7 +674,7 @@
     net.turn(() -> serving.reload(anew)); // the same once more moves nothing
     net.settle();
     assertEquals(desk.size(), before);
-    net.turn(() -> desk.get(before - 1).link.cut("gone"));
+    net.turn(() -> desk.get(before - 1).connection.cut("gone"));
     net.pass(10);
     assertEquals(settingsAsked, asked + 2);
   }
@@ -767,7 +767,7 @@
             net.at(
                 net.now().plus(TimeSpan.ofMs(1000)),
                 () ->
-                    client.link.append(
+                    client.connection.append(
                         Writer.query(pay(3000).getBytes(StandardCharsets.US_ASCII)))));
     net.pass(3500);
     assertEquals(asked.size(), 2); // the first had its deadline before
@@ -785,21 +785,21 @@
     Client client = new Client().started();
     byte[][] all = value("x");
     client.asks(look(5000));
-    FakeUnit unit = last();
-    unit.says(all[0], all[1], all[2]);
+    FakeUnit endpoint = last();
+    endpoint.says(all[0], all[1], all[2]);
     net.pass(900);
-    unit.says(all[3]);
+    endpoint.says(all[3]);
     net.pass(50);
     client.asks(look(5000));
-    assertTrue(last() == unit);
-    unit.says(all[0], all[1], all[2]);
+    assertTrue(last() == endpoint);
+    endpoint.says(all[0], all[1], all[2]);
     net.pass(60); // past a second since the first answer
-    unit.says(all[3]);
+    endpoint.says(all[3]);
     net.pass(50);
     client.asks(look(5000));
-    assertTrue(last() == unit);
+    assertTrue(last() == endpoint);
     assertEquals(asked.size(), 3);
-    unit.says(all);
+    endpoint.says(all);
     assertEquals(client.got.size(), 12);
   }
 
@@ -810,9 +810,9 @@
       Client client = new Client().started();
       client.asks(look(900));
       net.nobodyReads(true);
-      FakeUnit unit = last();
+      FakeUnit endpoint = last();
       net.nobodyReads(false);
-      unit.says(value("slow"));
+      endpoint.says(value("slow"));
       boolean[] done = {false};
       net.turn(() -> serving.shutdown(() -> done[0] = true));
       net.nobodyReads(true);
@@ -851,7 +851,7 @@
       last().says(value("x"));
       net.pass(20);
     }
-    net.turn(() -> discovery.get(0).link.cut("gone"));
+    net.turn(() -> discovery.get(0).connection.cut("gone"));
     net.pass(50);
     assertTrue(discovery.get(1).heard.toString().startsWith("GET /v1/servers?watch=1&from=6 "));
   }
--- a/src/test/java/sprucerock/relay/platform/ReconnectingWatchTest.java
+++ b/src/test/java/sprucerock/relay/platform/ReconnectingWatchTest.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.time.TimeSpan;
 
 /** One answer without end, from a server that tells nothing or comes and goes. */
-public class FeedTest {
+public class ReconnectingWatchTest {
   private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 200);
   private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -37,7 +37,7 @@
     closed = 0;
   }
 
-  private Watch feed() throws Exception {
+  private ReconnectingWatch feed() throws Exception {
     net.listen(
         AT,
         100,
@@ -45,8 +45,8 @@
         () ->
             new ConnectionListener() {
               @Override
-              public void up(Connection link) {
-                asked.add(link);
+              public void up(Connection connection) {
+                asked.add(connection);
               }
 
               @Override
@@ -57,20 +57,20 @@
                 closed++;
               }
             });
-    Watch feed =
-        new Watch(
+    ReconnectingWatch feed =
+        new ReconnectingWatch(
             net,
             AT,
             TimeSpan.ofMs(3000),
             TimeSpan.ofMs(1000),
             TimeSpan.ofMs(200),
             () -> 0.5,
-            new Watch.Reader() {
+            new ReconnectingWatch.Reader() {
               @Override
-              public Watch.Answer asks() {
+              public ReconnectingWatch.Answer asks() {
                 StringBuilder text = new StringBuilder();
                 told.add(text);
-                return new Watch.Answer() {
+                return new ReconnectingWatch.Answer() {
                   @Override
                   public String path() {
                     return "/";
--- a/src/test/java/sprucerock/relay/platform/ServeKillTest.java
+++ b/src/test/java/sprucerock/relay/platform/ServeKillTest.java
@@ -46,7 +46,7 @@
   }
 
   private Peers peers;
-  private Peers.Unit unit;
+  private Peers.Unit endpoint;
   private Peers.Agent discovery;
   private Path file;
   private Process relay;
@@ -57,7 +57,7 @@
   @BeforeMethod
   public void start() throws Exception {
     peers = new Peers();
-    unit = peers.new Unit();
+    endpoint = peers.new Unit();
     discovery = peers.new Agent();
     port = Peers.freePort();
     file = Files.createTempFile("serve", ".json");
@@ -67,7 +67,7 @@
             port,
             discovery.address(),
             peers.new Agent().address(),
-            unit.entry("s-1", "SERVING", 7)));
+            endpoint.entry("s-1", "SERVING", 7)));
     starts();
   }
 
@@ -172,13 +172,13 @@
     assertTrue(relay.waitFor(Peers.LONG, TimeUnit.SECONDS), "it does not end");
     String last = client.answer();
     assertTrue(last.equals("closed") || last.equals("reset"), last);
-    assertTrue(unit.seen.isEmpty(), unit.seen.toString());
+    assertTrue(endpoint.seen.isEmpty(), endpoint.seen.toString());
     starts(); // at the same address, at once
     Peers.Client again = peers.new Client(port).welcomed();
     again.sends(pay());
-    unit.query().on().says(Peers.value("next"));
+    endpoint.query().on().says(Peers.value("next"));
     assertEquals(again.answer(), "value next");
-    assertEquals(unit.seen.size(), 1);
+    assertEquals(endpoint.seen.size(), 1);
   }
 
   /**
@@ -191,7 +191,7 @@
     signal("TERM");
     signal("CONT");
     while (!Peers.next(log, "in the log: FINISHING").contains("FINISHING")) {}
-    Peers.Unit.Query query = unit.asked.poll(Peers.LONG, TimeUnit.SECONDS);
+    Peers.Unit.Query query = endpoint.asked.poll(Peers.LONG, TimeUnit.SECONDS);
     if (query == null) {
       throw new AssertionError("never sent on; its client was told: " + client.answer());
     }
@@ -213,11 +213,11 @@
   public void killedBehindARequestThatWasPassedOn() throws Exception {
     Peers.Client client = peers.new Client(port).welcomed();
     client.sends(pay());
-    Peers.Unit.Query query = unit.query();
+    Peers.Unit.Query query = endpoint.query();
     signal("KILL");
     String last = client.answer();
     assertTrue(last.equals("closed") || last.equals("reset"), last);
     Peers.await(query.on().closed, "the end of the unit's connection");
-    assertEquals(unit.seen.size(), 1);
+    assertEquals(endpoint.seen.size(), 1);
   }
 }
--- a/src/test/java/sprucerock/relay/platform/ServeShutdownTest.java
+++ b/src/test/java/sprucerock/relay/platform/ServeShutdownTest.java
@@ -39,7 +39,7 @@
         """;
 
   private Peers peers;
-  private Peers.Unit unit;
+  private Peers.Unit endpoint;
   private Peers.Agent discovery;
   private Path file;
   private Process relay;
@@ -50,7 +50,7 @@
   @BeforeMethod
   public void start() throws Exception {
     peers = new Peers();
-    unit = peers.new Unit();
+    endpoint = peers.new Unit();
     discovery = peers.new Agent();
     port = Peers.freePort();
     file = Files.createTempFile("serve", ".json");
@@ -60,7 +60,7 @@
             port,
             discovery.address(),
             peers.new Agent().address(),
-            unit.entry("s-1", "SERVING", 7)));
+            endpoint.entry("s-1", "SERVING", 7)));
     ProcessBuilder builder =
         new ProcessBuilder(
                 List.of(
@@ -127,7 +127,7 @@
             () -> {
               try {
                 while (true) {
-                  unit.asked.take().on().says(Peers.value("ok"));
+                  endpoint.asked.take().on().says(Peers.value("ok"));
                 }
               } catch (InterruptedException | IOException e) {
                 // the test is over, or the relay is
@@ -161,10 +161,10 @@
     ready();
     Peers.Client out = peers.new Client(port).welcomed();
     out.asks(look());
-    Peers.Unit.Query held = unit.query();
+    Peers.Unit.Query held = endpoint.query();
     Peers.Client behind = peers.new Client(port).welcomed();
     behind.asks(look(), look());
-    unit.query().on().says(Peers.value("first"));
+    endpoint.query().on().says(Peers.value("first"));
     assertEquals(behind.answer(), "value first");
     Peers.Client idle = peers.new Client(port).welcomed();
     idle.asks("");
@@ -212,12 +212,12 @@
     ready();
     Peers.Client one = peers.new Client(port).welcomed();
     one.asks(pay(), pay());
-    unit.query();
+    endpoint.query();
     signal("TERM");
     assertEquals(one.answer(), "error 58000");
     assertEquals(one.answer(), "error 57P03");
     assertEquals(one.answer(), "closed");
     ended();
-    assertTrue(unit.asked.isEmpty());
+    assertTrue(endpoint.asked.isEmpty());
   }
 }
--- a/src/test/java/sprucerock/relay/snapshot/SharedTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/SharedTest.java
@@ -17,7 +17,12 @@
   public void workIsPlacedWhereItEndsInTime() {
     RackSnapshot picture =
         new RackSnapshot(
-            1, Map.of(RackSnapshot.key(1, 7), Timestamp.ofMs(1000), RackSnapshot.key(2, 7), Timestamp.ofMs(-5)));
+            1,
+            Map.of(
+                RackSnapshot.key(1, 7),
+                Timestamp.ofMs(1000),
+                RackSnapshot.key(2, 7),
+                Timestamp.ofMs(-5)));
     assertTrue(picture.mayPlace(RackSnapshot.key(1, 7), 900, 100));
     assertFalse(picture.mayPlace(RackSnapshot.key(1, 7), 900, 101));
     assertFalse(picture.mayPlace(RackSnapshot.key(2, 7), 0, 0));
--- a/src/test/java/sprucerock/scale/AddedLatencyStudy.java
+++ b/src/test/java/sprucerock/scale/AddedLatencyStudy.java
@@ -88,7 +88,7 @@
   private final ArrayDeque<Client> idleStraight = new ArrayDeque<>();
   private final List<Asked> done = new ArrayList<>();
   private final Random chance;
-  private final int units;
+  private final int endpoints;
   private final int unitPort;
   private long order;
 
@@ -140,7 +140,7 @@
       given.put(parts[0], parts[1]);
     }
     chance = new Random(number("seed"));
-    units = (int) number("units");
+    endpoints = (int) number("units");
     ServerSocketChannel server =
         ServerSocketChannel.open().bind(new InetSocketAddress("0.0.0.0", 0), 4096);
     server.configureBlocking(false);
@@ -337,15 +337,20 @@
   }
 
   /** Units each have an address of their own; one socket listens at all of them. */
-  private static String address(int unit) {
-    return "127." + (16 + (unit >> 16 & 63)) + "." + (unit >> 8 & 255) + "." + (unit & 255);
+  private static String address(int endpoint) {
+    return "127."
+        + (16 + (endpoint >> 16 & 63))
+        + "."
+        + (endpoint >> 8 & 255)
+        + "."
+        + (endpoint & 255);
   }
 
-  private String entry(int unit, boolean serves, long startedMs) {
+  private String entry(int endpoint, boolean serves, long startedMs) {
     return "{\"id\":\"order-unit-"
-        + unit
+        + endpoint
         + "\",\"addr\":\""
-        + address(unit)
+        + address(endpoint)
         + ":"
         + unitPort
         + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":0,\"state\":\""
@@ -435,7 +440,7 @@
   private void run() throws Exception {
     long hourAgo = System.currentTimeMillis() - 3_600_000;
     List<String> all = new ArrayList<>();
-    for (int i = 0; i < units; i++) {
+    for (int i = 0; i < endpoints; i++) {
       all.add(entry(i, true, hourAgo));
     }
     Agent discovery = new Agent("discovery", list(5, true, all));
@@ -517,7 +522,7 @@
       new Client(at, false);
     }
     for (int i = 0; i < 32; i++) {
-      new Client(new InetSocketAddress(address(i % units), unitPort), true);
+      new Client(new InetSocketAddress(address(i % endpoints), unitPort), true);
     }
     long start = System.nanoTime() + 500_000_000L;
     long end = start + (long) (value("seconds") * 1e9);
@@ -540,7 +545,7 @@
           start + (end - start) * 3 / 4,
           () -> {
             List<String> many = new ArrayList<>();
-            for (int i = 0; i < Math.min(units, number("burst")); i++) {
+            for (int i = 0; i < Math.min(endpoints, number("burst")); i++) {
               many.add(entry(i, true, System.currentTimeMillis() - 60_000));
             }
             burst[0] = System.nanoTime();
@@ -593,10 +598,10 @@
     long gap = (long) (1e9 / value("churn"));
     long version = 6;
     boolean away = false;
-    int unit = 0;
+    int endpoint = 0;
     for (long when = start; when < end; when += gap) {
       long number = version++;
-      int which = unit;
+      int which = endpoint;
       boolean back = away;
       at(
           when,
@@ -607,7 +612,7 @@
                       false,
                       List.of(entry(which, back, back ? System.currentTimeMillis() : 0)))));
       if (away) {
-        unit = (unit + 7) % units;
+        endpoint = (endpoint + 7) % endpoints;
       }
       away = !away;
     }
@@ -736,7 +741,7 @@
               "cpu "
                   + given.get("label")
                   + " units="
-                  + units
+                  + endpoints
                   + (one.intended < warm ? " first " : " then "));
       line.append(one.fresh ? "new" : one.settling ? "settling" : "kept");
       String[] names = {"", " compiling", " collecting"};
--- a/src/test/java/sprucerock/scale/Cluster.java
+++ b/src/test/java/sprucerock/scale/Cluster.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import sprucerock.Policy;
-import sprucerock.policy.RelayActions;
 import sprucerock.accounting.RequestTracker;
-import sprucerock.model.Build;
-import sprucerock.model.AttemptOutcome;
+import sprucerock.config.settings.SettingsText;
 import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Build;
+import sprucerock.model.RolloutState;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.model.RolloutState;
 import sprucerock.model.Verdict;
-import sprucerock.config.settings.SettingsText;
-import sprucerock.time.Timestamp;
+import sprucerock.policy.RelayActions;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /**
  * So many relays' real modules on one clock, with units that answer ok after 40 ms, and links
@@ -113,20 +113,20 @@
     }
 
     @Override
-    public void send(Attempt pick) {
-      ledger.sent(pick);
+    public void send(Attempt attempt) {
+      ledger.sent(attempt);
       counts.sends++;
       wake(
           now.plus(TimeSpan.ofMs(ANSWER_MS)),
           () -> {
-            if (pick.outcome() == null) {
-              ledger.pickEnded(pick, AttemptOutcome.OK, now.since(pick.sent), true);
+            if (attempt.outcome() == null) {
+              ledger.attemptEnded(attempt, AttemptOutcome.OK, now.since(attempt.sent), true);
             }
           });
     }
 
     @Override
-    public void cancel(Attempt pick) {}
+    public void cancel(Attempt attempt) {}
 
     @Override
     public void pushBack(Rpc rpc, TimeSpan wait) {
@@ -192,13 +192,13 @@
    * All with so many warm units of the released build, each with RPCs at a fixed rate from an own
    * place in the second on.
    */
-  Cluster(int size, int units, double rpcsPerSecond) {
+  Cluster(int size, int endpoints, double rpcsPerSecond) {
     for (int i = 0; i < size; i++) {
       relays.add(new One(i, size));
     }
     double gapMs = 1000 / rpcsPerSecond;
     for (One one : relays) {
-      for (int i = 0; i < units; i++) {
+      for (int i = 0; i < endpoints; i++) {
         one.ledger.listed(i, 0, 0, 0, 1, null, 1, true);
       }
       one.ledger.news(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
@@ -207,9 +207,9 @@
   }
 
   /** Units of a newer build are there, and it is on trial: from now on there are pairs. */
-  void offer(int units) {
+  void offer(int endpoints) {
     for (One one : relays) {
-      for (int i = 0; i < units; i++) {
+      for (int i = 0; i < endpoints; i++) {
         one.ledger.listed(1_000_000 + i, 0, 0, 0, 2, now.minus(TimeSpan.ofMs(20_000)), 1, true);
       }
       one.ledger.news(2, 2, RolloutState.ON_TRIAL, 1, now);
--- a/src/test/java/sprucerock/scale/ControllerScaleTest.java
+++ b/src/test/java/sprucerock/scale/ControllerScaleTest.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import java.util.Locale;
 import org.testng.annotations.Test;
+import sprucerock.controller.Rollout;
+import sprucerock.controller.RolloutManager;
+import sprucerock.controller.RolloutRules;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.DeploymentPlan;
+import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
-import sprucerock.controller.Rollout;
-import sprucerock.controller.RolloutManager;
-import sprucerock.controller.RolloutRules;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.Piece;
@@ -41,7 +41,10 @@
   private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
   private static final DeploymentPlan PLAN =
       new DeploymentPlan(
-          List.of(new DeploymentPlan.Stage(0.05, 0.1), new DeploymentPlan.Stage(0.25, 0.05), new DeploymentPlan.Stage(1, 0.01)),
+          List.of(
+              new DeploymentPlan.Stage(0.05, 0.1),
+              new DeploymentPlan.Stage(0.25, 0.05),
+              new DeploymentPlan.Stage(1, 0.01)),
           TimeSpan.ofMs(10_000),
           TimeSpan.ofMs(120_000),
           TimeSpan.ofMs(20_000),
@@ -212,7 +215,8 @@
                       TimeSpan.ofMs(1000),
                       TimeSpan.ofMs(60_000),
                       10);
-              RolloutManager releases = new RolloutManager(rules, 10, 1, Timestamp.ofMs(0), (release, step) -> {});
+              RolloutManager releases =
+                  new RolloutManager(rules, 10, 1, Timestamp.ofMs(0), (release, step) -> {});
               releases.announced("m1", 2, "a2", "ci", Timestamp.ofMs(10), 10);
               releases.ready(2, 10, Timestamp.ofMs(20), 20);
               assertEquals(releases.present().standing(), Rollout.Standing.ON_TRIAL);
--- a/src/test/java/sprucerock/scale/CpuCount.java
+++ b/src/test/java/sprucerock/scale/CpuCount.java
@@ -21,17 +21,17 @@
   private static void rpc(String[] args) {
     System.out.println("units phase cpuMs/s of one hub at 169 RPCs/s | of one that is not the hub");
     for (int i = 1; i < args.length; i++) {
-      int units = Integer.parseInt(args[i]);
+      int endpoints = Integer.parseInt(args[i]);
       for (boolean trial : new boolean[] {false, true}) {
-        Cluster cluster = new Cluster(1, units, 169);
+        Cluster cluster = new Cluster(1, endpoints, 169);
         if (trial) {
-          cluster.offer(Math.max(3, units / 10));
+          cluster.offer(Math.max(3, endpoints / 10));
         }
         cluster.pass(20_000); // code is compiled
         long began = ListsCount.cpu();
         cluster.pass(20_000);
         double hub = (ListsCount.cpu() - began) / 20e6;
-        System.out.printf("%d %s %.2f%n", units, trial ? "trial" : "released", hub);
+        System.out.printf("%d %s %.2f%n", endpoints, trial ? "trial" : "released", hub);
       }
     }
   }
@@ -64,11 +64,11 @@
       }
       System.out.printf("module ns/pairs message %.0f%n", (ListsCount.cpu() - began) / 1e6);
     }
-    byte[] pick = {1, 0, 0, 0};
+    byte[] attempt = {1, 0, 0, 0};
     for (int round = 0; round < 5; round++) {
       long began = ListsCount.cpu();
       for (int i = 0; i < 1_000_000; i++) {
-        cluster.toldPairs(1 + i % 7699, pick);
+        cluster.toldPairs(1 + i % 7699, attempt);
       }
       System.out.printf(
           "module ns/pick message at the hub %.0f%n", (ListsCount.cpu() - began) / 1e6);
--- a/src/test/java/sprucerock/scale/FreezeScaleTest.java
+++ b/src/test/java/sprucerock/scale/FreezeScaleTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.testng.annotations.Test;
+import sprucerock.controller.maintenance.CapacityCheck;
 import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.maintenance.MaintenanceWindows;
-import sprucerock.controller.maintenance.CapacityCheck;
 import sprucerock.controller.maintenance.PlacementGrants;
 import sprucerock.controller.maintenance.Rack;
 
@@ -53,7 +53,10 @@
       all.add(new Rack("r" + i, 1 + i % 3, i / 3, Map.of(1, 40.0), NOTICE));
     }
     freezes =
-        new MaintenanceWindows(new MaintenanceWindows.Rules(MIN, MIN, 0.95), new CapacityCheck(all, Map.of(), 0), NOBODY);
+        new MaintenanceWindows(
+            new MaintenanceWindows.Rules(MIN, MIN, 0.95),
+            new CapacityCheck(all, Map.of(), 0),
+            NOBODY);
     promises = new PlacementGrants(freezes, -NOTICE);
     for (int i = 0; i < windows; i++) {
       announce("r" + i % racks, (60 + i) * MIN, 0);
@@ -93,7 +96,8 @@
     }
     if (draining) {
       assertTrue(
-          one.freezes.all().stream().anyMatch(freeze -> freeze.state() == MaintenanceWindow.State.IN_FORCE),
+          one.freezes.all().stream()
+              .anyMatch(freeze -> freeze.state() == MaintenanceWindow.State.IN_FORCE),
           "it never came into force");
     }
     return (one.looked() - before) / (double) relays;
--- a/src/test/java/sprucerock/scale/LinksCount.java
+++ b/src/test/java/sprucerock/scale/LinksCount.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.Kind;
@@ -42,11 +42,11 @@
         .sum();
   }
 
-  private static void count(int links) throws Exception {
+  private static void count(int connections) throws Exception {
     long heapBefore = ListsCount.heap();
     long directBefore = direct();
     NioLoop loop = new NioLoop("links", Throwable::printStackTrace);
-    CountDownLatch greeted = new CountDownLatch(2 * links);
+    CountDownLatch greeted = new CountDownLatch(2 * connections);
     List<Object> held = new ArrayList<>();
     Limits limits = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(600_000));
     Hello mine =
@@ -59,7 +59,7 @@
     FrameListener user =
         new FrameListener() {
           @Override
-          public void greeted(FrameConnection link, Hello other) {
+          public void greeted(FrameConnection connection, Hello other) {
             greeted.countDown();
           }
 
@@ -77,12 +77,13 @@
             at[0] =
                 loop.listen(
                         new InetSocketAddress("127.0.0.1", 0),
-                        links,
+                        connections,
                         4 << 20,
                         () -> {
-                          FrameConnection link = new FrameConnection(loop, mine, limits, Tap.NONE, user);
-                          held.add(link);
-                          return link;
+                          FrameConnection connection =
+                              new FrameConnection(loop, mine, limits, Tap.NONE, user);
+                          held.add(connection);
+                          return connection;
                         })
                     .address();
           } catch (java.io.IOException e) {
@@ -92,20 +93,21 @@
         });
     bound.await();
     DeterministicRandom chance = new DeterministicRandom(1);
-    for (int i = 0; i < links; i += 50) { // no more at once than a listener's queue holds
+    for (int i = 0; i < connections; i += 50) { // no more at once than a listener's queue holds
       int from = i;
       CountDownLatch dialled = new CountDownLatch(1);
       loop.post(
           () -> {
-            for (int j = from; j < Math.min(from + 50, links); j++) {
-              ReconnectingConnection redial = new ReconnectingConnection(loop, at[0], mine, limits, Tap.NONE, chance, user);
+            for (int j = from; j < Math.min(from + 50, connections); j++) {
+              ReconnectingConnection redial =
+                  new ReconnectingConnection(loop, at[0], mine, limits, Tap.NONE, chance, user);
               held.add(redial);
               redial.dial();
             }
             dialled.countDown();
           });
       dialled.await();
-      long want = 2L * (links - Math.min(from + 50, links));
+      long want = 2L * (connections - Math.min(from + 50, connections));
       for (long until = System.nanoTime() + 30_000_000_000L;
           greeted.getCount() > want && System.nanoTime() < until; ) {
         Thread.sleep(2);
@@ -114,7 +116,7 @@
     boolean all = greeted.await(60, TimeUnit.SECONDS);
     System.out.printf(
         "%d %d %d%s%n",
-        links,
+        connections,
         ListsCount.heap() - heapBefore,
         direct() - directBefore,
         all ? "" : " not all greeted: " + greeted.getCount());
--- a/src/test/java/sprucerock/scale/Listed.java
+++ b/src/test/java/sprucerock/scale/Listed.java
@@ -10,9 +10,9 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
-import sprucerock.transport.net.SimulatedNet;
 import sprucerock.relay.frames.FrameRelay;
 import sprucerock.time.Timestamp;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.wire.FrameConnection;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
@@ -59,7 +59,7 @@
 
     @Override
     public void frame(
-        FrameConnection link,
+        FrameConnection connection,
         boolean sent,
         Kind kind,
         com.google.protobuf.MessageLite head,
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void closed(FrameConnection link, String why) {}
+    public void closed(FrameConnection connection, String why) {}
   }
 
   private static final String CONFIG =
@@ -175,31 +175,31 @@
   }
 
   /** One entry as a roster of two regions with named machines tells it. */
-  static Entry.Builder entry(int unit, long run, Health health) {
+  static Entry.Builder entry(int endpoint, long run, Health health) {
     return Entry.newBuilder()
-        .setUnit(unit)
+        .setUnit(endpoint)
         .setRun(1_764_633_600_000L + run)
-        .setHost("10." + unit / 65536 + "." + unit / 256 % 256 + "." + unit % 256)
-        .setPort(20_000 + unit % 1000)
-        .setZone(unit / RACK % 6)
-        .setKind(unit % 3)
-        .setCell(unit / RACK)
+        .setHost("10." + endpoint / 65536 + "." + endpoint / 256 % 256 + "." + endpoint % 256)
+        .setPort(20_000 + endpoint % 1000)
+        .setZone(endpoint / RACK % 6)
+        .setKind(endpoint % 3)
+        .setCell(endpoint / RACK)
         .setBuild(1)
         .setHealth(health)
         .setWeight(1)
         .setAgeUs(86_400_000_000L);
   }
 
-  static Listing whole(int units) {
+  static Listing whole(int endpoints) {
     Listing.Builder listing = Listing.newBuilder().setForm(Form.WHOLE);
-    for (int i = 0; i < units; i++) {
+    for (int i = 0; i < endpoints; i++) {
       listing.addEntries(entry(i, 0, Health.READY));
     }
     return listing.build();
   }
 
-  Listed tellsWhole(int units) {
-    tells(whole(units));
+  Listed tellsWhole(int endpoints) {
+    tells(whole(endpoints));
     return this;
   }
 
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.accounting.MethodAccounts;
+import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.transport.wire.v1.Health;
 
 /**
@@ -47,11 +47,11 @@
     System.out.println("units heapB wholeB makeCpuMs inForceCpuMs changeB changeCpuMs");
     new Listed(Listed.ROOMY, false).tellsWhole(3000); // code is compiled
     for (int i = 1; i < args.length; i++) {
-      int units = Integer.parseInt(args[i]);
+      int endpoints = Integer.parseInt(args[i]);
       Listed listed = new Listed(Listed.ROOMY, false);
       long before = heap();
       long began = cpu();
-      sprucerock.transport.wire.v1.Listing whole = Listed.whole(units);
+      sprucerock.transport.wire.v1.Listing whole = Listed.whole(endpoints);
       long encoded = cpu();
       long bytes = listed.frames.bytesIn;
       listed.tells(whole);
@@ -81,30 +81,30 @@
   private static void racks(String[] args) throws Exception {
     System.out.println("units clockReads/s cpuMs/s-first cpuMs/s");
     for (int i = 1; i < args.length; i++) {
-      int units = Integer.parseInt(args[i]);
-      Listed listed = new Listed(Listed.ROOMY, true).tellsWhole(units);
+      int endpoints = Integer.parseInt(args[i]);
+      Listed listed = new Listed(Listed.ROOMY, true).tellsWhole(endpoints);
       listed.promises(1, 60_000, 0);
       long base = cpu();
       long reads = listed.clockReads(1000);
       long first = cpu() - base;
       base = cpu();
       listed.clockReads(1000);
-      System.out.printf("%d %d %.1f %.1f%n", units, reads, first / 1e6, (cpu() - base) / 1e6);
+      System.out.printf("%d %d %.1f %.1f%n", endpoints, reads, first / 1e6, (cpu() - base) / 1e6);
     }
   }
 
   private static void looks(String[] args) throws Exception {
     System.out.println("units clockReads/s cpuMs/s");
     for (int i = 1; i < args.length; i++) {
-      int units = Integer.parseInt(args[i]);
-      Listed listed = Listed.looking().tellsWhole(units);
+      int endpoints = Integer.parseInt(args[i]);
+      Listed listed = Listed.looking().tellsWhole(endpoints);
       for (int j = 0; j < 100 && listed.relay.leases().held() == 0; j++) {
         listed.net.pass(100);
       }
       listed.net.pass(1000);
       long began = cpu();
       long reads = listed.clockReads(5000) / 5;
-      System.out.printf("%d %d %.1f%n", units, reads, (cpu() - began) / 5e6);
+      System.out.printf("%d %d %.1f%n", endpoints, reads, (cpu() - began) / 5e6);
     }
   }
 
@@ -141,14 +141,14 @@
       for (int j = 0; j < n; j++) {
         shares.add(1.0 / n + j * 1e-12);
       }
-      sprucerock.policy.evidence.Tenants customers =
+      sprucerock.policy.evidence.Tenants tenants =
           new sprucerock.policy.evidence.Tenants(shares, sprucerock.time.TimeSpan.ofMs(5000));
       for (int j = 0; j < n; j++) {
-        customers.add(j, sprucerock.time.Timestamp.ofMs(j));
+        tenants.add(j, sprucerock.time.Timestamp.ofMs(j));
       }
       long after = heap();
       System.out.printf("%d %d%n", n, after - before);
-      if (customers.timesShare(0, sprucerock.time.Timestamp.ofMs(0)) < 0) {
+      if (tenants.timesShare(0, sprucerock.time.Timestamp.ofMs(0)) < 0) {
         throw new IllegalStateException();
       }
     }
--- a/src/test/java/sprucerock/scale/ListsScaleTest.java
+++ b/src/test/java/sprucerock/scale/ListsScaleTest.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.zip.CRC32;
 import org.testng.annotations.Test;
-import sprucerock.policy.evidence.Board;
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.model.Build;
 import sprucerock.model.Endpoint;
+import sprucerock.policy.evidence.Board;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Health;
@@ -31,8 +31,8 @@
     assertEquals(bytesOfAChange(SMALL), bytesOfAChange(LARGE));
   }
 
-  private static long bytesOfAChange(int units) throws Exception {
-    Listed listed = new Listed(Listed.ROOMY, false).tellsWhole(units);
+  private static long bytesOfAChange(int endpoints) throws Exception {
+    Listed listed = new Listed(Listed.ROOMY, false).tellsWhole(endpoints);
     long before = listed.frames.bytesIn;
     listed.tellsChange(Listed.entry(7, 0, Health.DRAINING));
     return listed.frames.bytesIn - before;
@@ -48,9 +48,9 @@
   private static final int RACKS = 10;
 
   /** So many units in ten racks. */
-  private static Listed racked(int units) throws Exception {
+  private static Listed racked(int endpoints) throws Exception {
     Listed listed = new Listed(Listed.ROOMY, true);
-    for (int i = 0; i < units; i += 100) {
+    for (int i = 0; i < endpoints; i += 100) {
       Entry.Builder[] some = new Entry.Builder[100];
       for (int j = 0; j < 100; j++) {
         some[j] =
@@ -83,7 +83,8 @@
     // is not used
     assertEquals(ready(listed), 80);
     assertTrue(
-        listed.relay.ledger().units().stream().allMatch(unit -> unit.ready() == (unit.cell > 1)));
+        listed.relay.ledger().units().stream()
+            .allMatch(endpoint -> endpoint.ready() == (endpoint.cell > 1)));
     listed.tellsChange(
         Listed.entry(200, 0, Health.READY).setCell(1).setZone(1),
         Listed.entry(0, 0, Health.GONE),
@@ -97,7 +98,7 @@
         ready(listed), 98); // all but the one that is gone and the two that drain, and a new one
     assertTrue(
         listed.relay.ledger().units().stream()
-            .allMatch(unit -> unit.ready() == (unit.id != 10 && unit.id != 3)));
+            .allMatch(endpoint -> endpoint.ready() == (endpoint.id != 10 && endpoint.id != 3)));
   }
 
   private static long ready(Listed listed) {
@@ -125,8 +126,8 @@
             + LARGE);
   }
 
-  private static long looking(int units) throws Exception {
-    Listed listed = Listed.looking().tellsWhole(units);
+  private static long looking(int endpoints) throws Exception {
+    Listed listed = Listed.looking().tellsWhole(endpoints);
     for (int i = 0; i < 100 && listed.relay.leases().held() == 0; i++) {
       listed.net.pass(100);
     }
@@ -191,13 +192,14 @@
         new int[] {992, 9288, 55_161});
   }
 
-  private static int namesOf(int units) {
+  private static int namesOf(int endpoints) {
     Board board = new Board(TimeSpan.ofMs(1000));
     Set<Integer> names = new HashSet<>();
-    for (int i = 0; i < units; i++) {
+    for (int i = 0; i < endpoints; i++) {
       CRC32 crc = new CRC32();
       crc.update(("unit-" + i).getBytes(StandardCharsets.UTF_8));
-      byte[] told = board.pick(new Endpoint(crc.getValue(), 0, 0, 0, new Build(1), null, 1), null);
+      byte[] told =
+          board.attempt(new Endpoint(crc.getValue(), 0, 0, 0, new Build(1), null, 1), null);
       names.add(told[1] & 0xff | (told[2] & 0xff) << 8);
     }
     return names.size();
