--- a/src/test/java/sprucerock/scale/PeersScaleTest.java
+++ b/src/test/java/sprucerock/scale/PeersScaleTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.SimulatedNet;
 import sprucerock.relay.frames.FrameRelay;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Role;
@@ -146,7 +146,8 @@
           .append(i)
           .append("\"/>");
     }
-    FrameRelay relay = new FrameRelay(Listed.config("", false, "", relays, peers.toString()), net, Tap.NONE);
+    FrameRelay relay =
+        new FrameRelay(Listed.config("", false, "", relays, peers.toString()), net, Tap.NONE);
     relay.start(sprucerock.Policy::new);
     net.pass(100);
     return relay;
--- a/src/test/java/sprucerock/simulation/BothHostsTest.java
+++ b/src/test/java/sprucerock/simulation/BothHostsTest.java
@@ -18,9 +18,9 @@
 import org.testng.annotations.Test;
 import sprucerock.Policy;
 import sprucerock.config.RelayConfig;
-import sprucerock.transport.net.SimulatedNet;
 import sprucerock.relay.frames.Told;
 import sprucerock.time.Timestamp;
+import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
 import sprucerock.transport.wire.Tap;
@@ -101,9 +101,10 @@
     return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
   }
 
-  private static int outcome(long rpc, int number, long unit) { // 1 ok, 0 error, 2 full, -1 silence
+  private static int outcome(
+      long rpc, int number, long endpoint) { // 1 ok, 0 error, 2 full, -1 silence
     int dice = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
-    if (unit >= 100 && dice < 30) {
+    if (endpoint >= 100 && dice < 30) {
       return 0;
     }
     return dice < 5 ? -1 : dice < 8 ? 0 : dice < 11 ? 2 : 1;
@@ -117,21 +118,21 @@
 
     void leave(long id);
 
-    void list(long unit, int build, int health, double age);
+    void list(long endpoint, int build, int health, double age);
 
     void news(int build, int stage, int standing, float cap, double lasted);
 
-    void counts(int build, int method, int picks, int failed, double mean);
+    void counts(int build, int method, int attempts, int failed, double mean);
 
     void peer(int sender, byte[] contents);
 
-    void flag(long unit, double ago);
+    void flag(long endpoint, double ago);
   }
 
   private static void play(Side side) {
     SplittableRandom random = new SplittableRandom(7);
-    for (int unit = 1; unit <= 5; unit++) {
-      side.list(unit, 1, 1, 0);
+    for (int endpoint = 1; endpoint <= 5; endpoint++) {
+      side.list(endpoint, 1, 1, 0);
     }
     side.news(1, 2, 2, 1, 60_000);
     long lastRpc = 0;
@@ -144,8 +145,8 @@
         side.list(2, 1, 0, 0);
       }
       if (i == 400) {
-        for (int unit = 100; unit < 103; unit++) {
-          side.list(unit, 2, 1, 50);
+        for (int endpoint = 100; endpoint < 103; endpoint++) {
+          side.list(endpoint, 2, 1, 50);
         }
         side.news(2, 0, 0, 0.125f, 10);
       }
@@ -156,8 +157,8 @@
         side.news(2, 1, 1, 0, 15);
       }
       if (i == 2250) {
-        for (int unit = 100; unit < 103; unit++) {
-          side.list(unit, 2, 2, 0);
+        for (int endpoint = 100; endpoint < 103; endpoint++) {
+          side.list(endpoint, 2, 2, 0);
         }
       }
       if (i == 900) {
@@ -206,7 +207,7 @@
             (a, b) ->
                 a.when != b.when ? Double.compare(a.when, b.when) : Long.compare(a.order, b.order));
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
-    private final Map<Long, List<Long>> picks = new HashMap<>();
+    private final Map<Long, List<Long>> attempts = new HashMap<>();
     private final Map<Long, Double> since = new HashMap<>();
     private final Map<Long, Double> sentAt = new HashMap<>();
     private final Map<Long, Double> deadlines = new HashMap<>();
@@ -268,14 +269,14 @@
       cancels.forEach(Runnable::run);
     }
 
-    private void sent(long id, long unit, double patience) {
-      List<Long> units = picks.computeIfAbsent(id, key -> new ArrayList<>());
-      int shot = units.size();
-      units.add(unit);
+    private void sent(long id, long endpoint, double patience) {
+      List<Long> endpoints = attempts.computeIfAbsent(id, key -> new ArrayList<>());
+      int shot = endpoints.size();
+      endpoints.add(endpoint);
       sentAt.put(id * 100 + shot, now);
       double until = Math.min(deadlines.get(id), patience > 0 ? now + patience : 1e12);
       timers.add(new Due(until, order++, () -> returned(id, shot, 3)));
-      int how = outcome(id, shot, unit);
+      int how = outcome(id, shot, endpoint);
       if (how >= 0) {
         answers
             .computeIfAbsent(now + latency(id, shot), key -> new TreeMap<>())
@@ -284,11 +285,11 @@
     }
 
     private void returned(long id, int shot, int how) {
-      Long unit = picks.get(id).get(shot);
-      if (unit < 0) {
+      Long endpoint = attempts.get(id).get(shot);
+      if (endpoint < 0) {
         return; // ended already
       }
-      picks.get(id).set(shot, -1L);
+      attempts.get(id).set(shot, -1L);
       boolean closes = !open.containsKey(id) || how == 1;
       if (open.containsKey(id) && how == 1) {
         open.remove(id);
@@ -301,7 +302,7 @@
               .put((byte) shot)
               .putDouble(now - sentAt.get(id * 100 + shot))
               .put((byte) (closes ? 1 : 0))
-              .putInt((int) (long) unit)
+              .putInt((int) (long) endpoint)
               .put((byte) how)
               .put((byte) 0));
     }
@@ -359,15 +360,16 @@
     }
 
     @Override
-    public void list(long unit, int build, int health, double age) {
+    public void list(long endpoint, int build, int health, double age) {
       if (age > 0) {
-        since.put(unit, now - age);
+        since.put(endpoint, now - age);
       }
       relay.listed(
           Timestamp.ofMs(now),
           0,
           new Simhost.Entry[] {
-            new Simhost.Entry(unit, 0, 0, 0, build, health, 1, since.getOrDefault(unit, 0.0))
+            new Simhost.Entry(
+                endpoint, 0, 0, 0, build, health, 1, since.getOrDefault(endpoint, 0.0))
           });
       act();
     }
@@ -412,8 +414,8 @@
     }
 
     @Override
-    public void flag(long unit, double ago) {
-      take(130, fields(20).putInt((int) unit).putShort((short) 0).putDouble(ago));
+    public void flag(long endpoint, double ago) {
+      take(130, fields(20).putInt((int) endpoint).putShort((short) 0).putDouble(ago));
     }
   }
 
@@ -423,7 +425,7 @@
     private final SimulatedNet net = new SimulatedNet(START, STEP);
     private final List<Person> rosters = Person.listen(net, Role.ROSTER, 0, 1001);
     private final List<Person> desks = Person.listen(net, Role.DESK, 0, 1002);
-    private final Map<Long, List<Person>> units = new TreeMap<>();
+    private final Map<Long, List<Person>> endpoints = new TreeMap<>();
     private final Map<Person, Integer> seen = new HashMap<>();
     private final Map<Long, Integer> shots = new HashMap<>();
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
@@ -474,26 +476,26 @@
     }
 
     private void works() {
-      for (Map.Entry<Long, List<Person>> unit : units.entrySet()) {
-        for (Person link : unit.getValue()) {
-          List<Person.Got> got = link.got;
-          for (int i = seen.merge(link, 0, Integer::sum); i < got.size(); i++) {
+      for (Map.Entry<Long, List<Person>> endpoint : endpoints.entrySet()) {
+        for (Person connection : endpoint.getValue()) {
+          List<Person.Got> got = connection.got;
+          for (int i = seen.merge(connection, 0, Integer::sum); i < got.size(); i++) {
             if (got.get(i).kind() == Kind.WORK) {
               work(
-                  unit.getKey(),
-                  link,
+                  endpoint.getKey(),
+                  connection,
                   (Work) got.get(i).head(),
                   ByteBuffer.wrap(got.get(i).body()).getLong());
             }
           }
-          seen.put(link, got.size());
+          seen.put(connection, got.size());
         }
       }
     }
 
-    private void work(long unit, Person link, Work work, long rpc) {
+    private void work(long endpoint, Person connection, Work work, long rpc) {
       int shot = shots.merge(rpc, 1, Integer::sum) - 1;
-      int how = outcome(rpc, shot, unit);
+      int how = outcome(rpc, shot, endpoint);
       if (how < 0) {
         return;
       }
@@ -505,7 +507,7 @@
               () ->
                   turn(
                       () ->
-                          link.send(
+                          connection.send(
                               Kind.DONE,
                               Done.newBuilder().setId(work.getId()).setResult(result).build())));
     }
@@ -551,17 +553,17 @@
     }
 
     @Override
-    public void list(long unit, int build, int health, double age) {
-      int port = 2000 + (int) unit;
-      if (!units.containsKey(unit)) {
+    public void list(long endpoint, int build, int health, double age) {
+      int port = 2000 + (int) endpoint;
+      if (!endpoints.containsKey(endpoint)) {
         try {
-          units.put(unit, Person.listen(net, Role.UNIT, (int) unit, port));
+          endpoints.put(endpoint, Person.listen(net, Role.UNIT, (int) endpoint, port));
         } catch (java.io.IOException e) {
           throw new AssertionError(e);
         }
       }
       Health said = health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE;
-      int run = unit == 3 && age > 0 ? 2 : 1;
+      int run = endpoint == 3 && age > 0 ? 2 : 1;
       turn(
           () ->
               rosters
@@ -572,7 +574,7 @@
                           .setForm(Form.CHANGES)
                           .addEntries(
                               Entry.newBuilder()
-                                  .setUnit(unit)
+                                  .setUnit(endpoint)
                                   .setRun(run)
                                   .setHost("127.0.0.1")
                                   .setPort(port)
@@ -597,7 +599,7 @@
     }
 
     @Override
-    public void counts(int build, int method, int picks, int failed, double mean) {
+    public void counts(int build, int method, int attempts, int failed, double mean) {
       turn(
           () ->
               desks
@@ -607,7 +609,7 @@
                       Counts.newBuilder()
                           .setBuild(build)
                           .setMethod(method)
-                          .setPicks(picks)
+                          .setPicks(attempts)
                           .setFailed(failed)
                           .setMeanUs((long) (mean * 1000))
                           .build()));
@@ -619,16 +621,17 @@
           () ->
               peers
                   .get(sender)
-                  .send(Kind.TOLD, sprucerock.transport.wire.v1.Told.getDefaultInstance(), contents));
+                  .send(
+                      Kind.TOLD, sprucerock.transport.wire.v1.Told.getDefaultInstance(), contents));
     }
 
     @Override
-    public void flag(long unit, double ago) {
+    public void flag(long endpoint, double ago) {
       turn(
           () ->
               client.send(
                   Kind.FLAG,
-                  Flag.newBuilder().setUnit(unit).setAgoUs((long) (ago * 1000)).build()));
+                  Flag.newBuilder().setUnit(endpoint).setAgoUs((long) (ago * 1000)).build()));
     }
 
     List<String> ends() {
@@ -641,18 +644,18 @@
   @Test
   public void theSameEventsEndInTheSameCallsOfTheModule() throws Exception {
     Bench bench = new Bench();
-    Linked linked = new Linked();
+    Linked connected = new Linked();
     play(bench);
-    play(linked);
-    for (int i = 0; i < Math.min(bench.told.calls.size(), linked.told.calls.size()); i++) {
+    play(connected);
+    for (int i = 0; i < Math.min(bench.told.calls.size(), connected.told.calls.size()); i++) {
       int at = i;
       assertEquals(
-          linked.told.calls.get(i),
+          connected.told.calls.get(i),
           bench.told.calls.get(i),
           "call " + i + " after " + bench.told.calls.subList(Math.max(0, at - 5), at));
     }
-    assertEquals(linked.told.calls.size(), bench.told.calls.size());
-    assertEquals(linked.ends(), bench.ends);
+    assertEquals(connected.told.calls.size(), bench.told.calls.size());
+    assertEquals(connected.ends(), bench.ends);
     // the stretch is worth the comparing: everything the module can be told was among it
     String all = String.join("\n", bench.told.calls);
     for (String part :
--- a/src/test/java/sprucerock/transport/http/HttpLinkTest.java
+++ b/src/test/java/sprucerock/transport/http/HttpLinkTest.java
@@ -8,10 +8,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.time.TimeSpan;
 
 /** Calls over HTTP/1.1 against a server that answers as it is told. */
 public class HttpLinkTest {
@@ -24,8 +24,8 @@
   /** Stands in for the server: keeps its end, and reads nothing. */
   private final class Server implements ConnectionListener {
     @Override
-    public void up(Connection link) {
-      server = link;
+    public void up(Connection connection) {
+      server = connection;
     }
 
     @Override
@@ -67,12 +67,12 @@
     }
   }
 
-  private HttpConnection link() throws java.io.IOException {
+  private HttpConnection connection() throws java.io.IOException {
     told.clear();
     net.listen(AT, 10, 1 << 20, Server::new);
-    HttpConnection link = new HttpConnection(net, AT, TimeSpan.ofMs(100));
+    HttpConnection connection = new HttpConnection(net, AT, TimeSpan.ofMs(100));
     net.settle();
-    return link;
+    return connection;
   }
 
   private void says(String text) {
@@ -82,9 +82,9 @@
 
   @Test
   public void callsOneBehindAnotherAreAnsweredInTheirOrder() throws Exception {
-    HttpConnection link = link();
-    net.turn(() -> link.post("/a", "x=1", new Told("first", false)));
-    net.turn(() -> link.get("/b", new Told("second", false)));
+    HttpConnection connection = connection();
+    net.turn(() -> connection.post("/a", "x=1", new Told("first", false)));
+    net.turn(() -> connection.get("/b", new Told("second", false)));
     net.settle();
     says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 400 Bad\r\nTransfer-Enc");
     says("oding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n");
@@ -93,8 +93,8 @@
 
   @Test
   public void aStreamIsToldPieceByPiece() throws Exception {
-    HttpConnection link = link();
-    net.turn(() -> link.get("/a", new Told("stream", true)));
+    HttpConnection connection = connection();
+    net.turn(() -> connection.get("/a", new Told("stream", true)));
     net.settle();
     says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
     says("1\r\n!\r\n");
@@ -103,19 +103,20 @@
 
   @Test
   public void noiseEndsTheLinkAndItsCallsMayHaveBeenCarriedOut() throws Exception {
-    HttpConnection link = link();
-    net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
+    HttpConnection connection = connection();
+    net.turn(() -> connection.post("/a", "x=1", new Told("vote", false)));
     net.settle();
     says("\u0007\u0001\u0002 noise\r\n");
     assertEquals(told, List.of("vote failed, carried out true"));
-    assertEquals(link.usable(), false);
+    assertEquals(connection.usable(), false);
   }
 
   @Test
   public void aRefusedConnectionProvesThatNothingWasCarriedOut() {
     told.clear();
-    HttpConnection link = new HttpConnection(net, new InetSocketAddress("127.0.0.1", 7999), TimeSpan.ofMs(100));
-    net.turn(() -> link.post("/a", "x=1", new Told("vote", false)));
+    HttpConnection connection =
+        new HttpConnection(net, new InetSocketAddress("127.0.0.1", 7999), TimeSpan.ofMs(100));
+    net.turn(() -> connection.post("/a", "x=1", new Told("vote", false)));
     net.settle();
     assertEquals(told, List.of("vote failed, carried out false"));
   }
@@ -130,8 +131,8 @@
           "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
           "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + "x".repeat(70_000)
         }) {
-      HttpConnection link = link();
-      net.turn(() -> link.get("/a", new Told("call", false)));
+      HttpConnection connection = connection();
+      net.turn(() -> connection.get("/a", new Told("call", false)));
       net.settle();
       says(bad);
       assertEquals(told, List.of("call failed, carried out true"), bad);
--- a/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
@@ -16,10 +16,10 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
-import sprucerock.time.TimeSpan;
 
 /** The loop over real loopback sockets. Waits are for what must come, however long it takes. */
 public class NioLoopTest {
@@ -50,18 +50,18 @@
 
   /** Sends back what comes, or says what it is. */
   private class Echo implements ConnectionListener {
-    Connection link;
+    Connection connection;
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       byte[] copy = new byte[bytes.remaining()];
       bytes.get(copy);
-      link.append(copy);
+      connection.append(copy);
     }
 
     @Override
@@ -71,7 +71,8 @@
   }
 
   private InetSocketAddress listen(
-      int most, long unsent, java.util.function.Supplier<ConnectionListener> users) throws Exception {
+      int most, long unsent, java.util.function.Supplier<ConnectionListener> users)
+      throws Exception {
     loop.post(
         () -> {
           try {
@@ -105,16 +106,16 @@
                 LONG,
                 8 << 20,
                 new ConnectionListener() {
-                  private Connection link;
+                  private Connection connection;
                   private int have;
 
                   @Override
                   public void up(Connection made) {
-                    link = made;
+                    connection = made;
                     for (int i = 0; i < sent.length / 2; i += 512) {
-                      link.claim(512).put(sent, i, 512);
+                      connection.claim(512).put(sent, i, 512);
                     }
-                    link.append(Arrays.copyOfRange(sent, sent.length / 2, sent.length));
+                    connection.append(Arrays.copyOfRange(sent, sent.length / 2, sent.length));
                   }
 
                   @Override
@@ -126,7 +127,7 @@
                       return;
                     }
                     events.add("all");
-                    link.finish();
+                    connection.finish();
                   }
 
                   @Override
@@ -153,7 +154,7 @@
                   public void received(ByteBuffer bytes) {
                     // as fast as it can, far more than a socket's own buffers hold
                     for (int i = 0; i < 3000; i++) {
-                      link.append(new byte[16_384]);
+                      connection.append(new byte[16_384]);
                     }
                   }
                 });
--- a/src/test/java/sprucerock/transport/tls/HandshakeBenchmark.java
+++ b/src/test/java/sprucerock/transport/tls/HandshakeBenchmark.java
@@ -33,13 +33,13 @@
   public String kind;
 
   private TestCa ca;
-  private Credentials unit;
+  private Credentials endpoint;
   private Credentials relay;
 
   @Setup
   public void begin() {
     ca = TestCa.root("root");
-    unit =
+    endpoint =
         TlsLinkTest.credentials(
             ca.make(TestCa.leaf("unit").keyKind(kind)).material(ca.certificate()),
             List.of(version),
@@ -49,8 +49,8 @@
             ca.make(TestCa.leaf("relay").keyKind(kind)).material(ca.certificate()));
   }
 
-  private static void meet(Credentials relay, Credentials unit, int port, boolean resumed) {
-    TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, unit, "unit", port, false).meet();
+  private static void meet(Credentials relay, Credentials endpoint, int port, boolean resumed) {
+    TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, endpoint, "unit", port, false).meet();
     if (pair.pipe.counts.full + pair.pipe.counts.resumed != 1) {
       throw new AssertionError(pair.client.closed);
     }
@@ -58,23 +58,23 @@
       throw new AssertionError(
           "full " + pair.pipe.counts.full + ", resumed " + pair.pipe.counts.resumed);
     }
-    pair.client.link.finish();
+    pair.client.connection.finish();
     pair.pipe.settle();
   }
 
   /** Each to a port of its own, for which there is no session. */
   @Benchmark
   public void full() {
-    meet(relay, unit, ++port, false);
+    meet(relay, endpoint, ++port, false);
   }
 
   @Benchmark
   public void resumed() {
     if (!warm) {
-      meet(relay, unit, 0, false);
+      meet(relay, endpoint, 0, false);
     }
     warm = true;
-    meet(relay, unit, 0, true);
+    meet(relay, endpoint, 0, true);
   }
 
   private boolean warm;
--- a/src/test/java/sprucerock/transport/tls/HandshakesTest.java
+++ b/src/test/java/sprucerock/transport/tls/HandshakesTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.time.Timestamp;
 import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 
 /** Storms of handshakes, and what of them begins when. */
 public class HandshakesTest {
--- a/src/test/java/sprucerock/transport/tls/MaterialTest.java
+++ b/src/test/java/sprucerock/transport/tls/MaterialTest.java
@@ -16,8 +16,8 @@
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.net.SimulatedNet;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.SimulatedNet;
 
 /** Files that can be used, files that can't, and their change while in use. */
 public class MaterialTest {
--- a/src/test/java/sprucerock/transport/tls/Pipe.java
+++ b/src/test/java/sprucerock/transport/tls/Pipe.java
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntUnaryOperator;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers;
-import sprucerock.time.Timestamp;
-import sprucerock.time.TimeSpan;
 
 /**
  * Two ends of a wire in memory, with a clock that stands still until told; what crosses can be cut
@@ -86,12 +86,12 @@
   /** A user that keeps what it is told. */
   static final class Ear implements ConnectionListener {
     final ByteArrayOutputStream heard = new ByteArrayOutputStream();
-    Connection link;
+    Connection connection;
     String closed;
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
--- a/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
+++ b/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
@@ -15,9 +15,9 @@
 import java.util.function.Supplier;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
-import sprucerock.time.TimeSpan;
 
 /** The filter against peers of every kind, over a wire in memory. */
 public class TlsLinkTest {
@@ -51,9 +51,9 @@
     return credentials(CA.make(wish).material(CA.certificate()));
   }
 
-  private static void say(Connection link, String text) {
+  private static void say(Connection connection, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    link.claim(bytes.length).put(bytes);
+    connection.claim(bytes.length).put(bytes);
   }
 
   /** A client and a server that have done what they can. */
@@ -64,17 +64,17 @@
     final TlsConnection near;
     final TlsConnection far;
 
-    Pair(Credentials relay, Credentials unit, String name, boolean proven) {
-      this(relay, unit, name, 7000, proven);
+    Pair(Credentials relay, Credentials endpoint, String name, boolean proven) {
+      this(relay, endpoint, name, 7000, proven);
     }
 
-    Pair(Credentials relay, Credentials unit, String name, int port, boolean proven) {
+    Pair(Credentials relay, Credentials endpoint, String name, int port, boolean proven) {
       near = TlsConnection.client(pipe.place(), relay, name, port, client);
       far =
           TlsConnection.server(
               new TlsConnection.Place(
                   pipe, new Buffers(), pipe.place().aside(), pipe.within, Counter.NONE),
-              unit,
+              endpoint,
               proven,
               server);
     }
@@ -86,13 +86,13 @@
     }
 
     void up() {
-      assertNotNull(client.link, "refused: " + client.closed + "; server: " + server.closed);
-      assertNotNull(server.link);
+      assertNotNull(client.connection, "refused: " + client.closed + "; server: " + server.closed);
+      assertNotNull(server.connection);
     }
   }
 
-  private static Pair meet(Credentials relay, Credentials unit) {
-    return new Pair(relay, unit, NAME, false).meet();
+  private static Pair meet(Credentials relay, Credentials endpoint) {
+    return new Pair(relay, endpoint, NAME, false).meet();
   }
 
   @DataProvider
@@ -111,14 +111,14 @@
     Material material = CA.make(TestCa.leaf(NAME).keyKind(kind)).material(CA.certificate());
     Pair pair = meet(relay(), credentials(material, List.of(version), Instant::now));
     pair.up();
-    say(pair.client.link, "hello ");
-    pair.client.link.append("to you".getBytes(StandardCharsets.UTF_8));
-    say(pair.server.link, "x".repeat(100_000));
+    say(pair.client.connection, "hello ");
+    pair.client.connection.append("to you".getBytes(StandardCharsets.UTF_8));
+    say(pair.server.connection, "x".repeat(100_000));
     pair.pipe.settle();
     assertEquals(pair.server.text(), "hello to you");
     assertEquals(pair.client.heard.size(), 100_000);
-    say(pair.client.link, ", goodbye");
-    pair.client.link.finish();
+    say(pair.client.connection, ", goodbye");
+    pair.client.connection.finish();
     pair.pipe.settle();
     assertEquals(pair.server.text(), "hello to you, goodbye");
     assertEquals(pair.server.closed, "closed by the other side");
@@ -165,7 +165,7 @@
       return;
     }
     Pair pair = meet(relay(), credentials(shows));
-    assertNull(pair.client.link);
+    assertNull(pair.client.connection);
     assertEquals(pair.near.refused(), why, pair.client.closed);
     assertTrue(pair.client.closed.startsWith("TLS: " + why.words()), pair.client.closed);
     assertEquals(pair.pipe.counts.refused, List.of(why));
@@ -225,8 +225,8 @@
 
   @Test
   public void aServerMayAskForProofAndRefusesWhoHasNone() {
-    Credentials unit = unit(TestCa.leaf(NAME));
-    Pair proven = new Pair(relay(), unit, NAME, true).meet();
+    Credentials endpoint = unit(TestCa.leaf(NAME));
+    Pair proven = new Pair(relay(), endpoint, NAME, true).meet();
     proven.up();
     assertEquals(proven.far.peer().getSubjectX500Principal().getName(), "CN=relay-0.example");
     Credentials nobody =
@@ -234,12 +234,12 @@
             Material.of(Set.of(CA.certificate()), List.of(), null, List.of(), "x"),
             List.of("TLSv1.2"),
             Instant::now);
-    Pair pair = new Pair(nobody, unit, NAME, true).meet();
-    assertNull(pair.server.link);
-    assertNull(pair.client.link);
+    Pair pair = new Pair(nobody, endpoint, NAME, true).meet();
+    assertNull(pair.server.connection);
+    assertNull(pair.client.connection);
     Credentials asUnit = unit(TestCa.leaf("x").uses(Chain.Use.SERVER));
-    Pair wrongUse = new Pair(asUnit, unit, NAME, true).meet();
-    assertNull(wrongUse.server.link);
+    Pair wrongUse = new Pair(asUnit, endpoint, NAME, true).meet();
+    assertNull(wrongUse.server.connection);
     assertEquals(wrongUse.far.refused(), Refusal.WRONG_USE);
   }
 
@@ -251,16 +251,16 @@
   @Test(dataProvider = "both")
   public void sessionsAreResumedForTheSameNameOnlyAndNeverAcrossAChange(String version) {
     Credentials relay = relay();
-    Credentials unit =
+    Credentials endpoint =
         credentials(
             CA.make(TestCa.leaf(NAME, "orders-9.example")).material(CA.certificate()),
             List.of(version),
             Instant::now);
-    assertEquals(meet(relay, unit).pipe.counts.full, 1);
-    assertEquals(meet(relay, unit).pipe.counts.resumed, 1);
-    Pair otherName = new Pair(relay, unit, "orders-9.example", false).meet();
+    assertEquals(meet(relay, endpoint).pipe.counts.full, 1);
+    assertEquals(meet(relay, endpoint).pipe.counts.resumed, 1);
+    Pair otherName = new Pair(relay, endpoint, "orders-9.example", false).meet();
     assertEquals(otherName.pipe.counts.full, 1);
-    assertEquals(meet(relay(), unit).pipe.counts.full, 1); // the same files loaded anew
+    assertEquals(meet(relay(), endpoint).pipe.counts.full, 1); // the same files loaded anew
     Credentials replaced =
         unit(
             TestCa.leaf(
@@ -274,17 +274,17 @@
     Credentials relay =
         credentials(
             CA.make(TestCa.leaf("r")).material(CA.certificate()), List.of(version), () -> now[0]);
-    Credentials unit =
+    Credentials endpoint =
         credentials(
             CA.make(TestCa.leaf(NAME).valid(Pipe.day(-1), Pipe.day(1))).material(CA.certificate()),
             List.of(version),
             Instant::now);
-    meet(relay, unit).up();
-    assertEquals(meet(relay, unit).pipe.counts.resumed, 1);
+    meet(relay, endpoint).up();
+    assertEquals(meet(relay, endpoint).pipe.counts.resumed, 1);
     now[0] = Pipe.day(2);
-    Pair pair = meet(relay, unit);
+    Pair pair = meet(relay, endpoint);
     assertEquals(pair.near.refused(), Refusal.EXPIRED);
-    assertNull(pair.client.link);
+    assertNull(pair.client.connection);
     assertEquals(pair.server.heard.size(), 0);
   }
 
@@ -292,14 +292,14 @@
   public void aHandshakeThatNeverEndsIsEndedInItsTime() {
     Pipe pipe = new Pipe();
     Pipe.Ear ear = new Pipe.Ear();
-    TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
+    TlsConnection connection = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
     Pipe.Ear silent = new Pipe.Ear();
-    pipe.up(link, silent);
+    pipe.up(connection, silent);
     pipe.settle();
     pipe.pass(999);
     assertNull(ear.closed);
     pipe.pass(2);
-    assertEquals(link.refused(), Refusal.TIMED_OUT);
+    assertEquals(connection.refused(), Refusal.TIMED_OUT);
     assertEquals(ear.closed, "TLS: its handshake took too long (over 1000.0 ms)");
   }
 
@@ -308,16 +308,17 @@
     for (String first : new String[] {"HTTP/1.1 400 Bad Request\r\n\r\n", ""}) {
       Pipe pipe = new Pipe();
       Pipe.Ear ear = new Pipe.Ear();
-      TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
-      pipe.up(link, new Pipe.Ear());
+      TlsConnection connection = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
+      pipe.up(connection, new Pipe.Ear());
       if (first.isEmpty()) {
         pipe.near.cut("closed by the other side");
       } else {
-        link.received(ByteBuffer.wrap(first.getBytes(StandardCharsets.US_ASCII)));
+        connection.received(ByteBuffer.wrap(first.getBytes(StandardCharsets.US_ASCII)));
       }
       pipe.settle();
-      assertEquals(link.refused(), first.isEmpty() ? Refusal.ENDED : Refusal.NOT_TLS, ear.closed);
-      assertNull(ear.link);
+      assertEquals(
+          connection.refused(), first.isEmpty() ? Refusal.ENDED : Refusal.NOT_TLS, ear.closed);
+      assertNull(ear.connection);
     }
   }
 
@@ -340,17 +341,17 @@
     engine.setUseClientMode(false);
     Pipe pipe = new Pipe();
     Pipe.Ear ear = new Pipe.Ear();
-    TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
-    pipe.up(link, new Engine(engine));
+    TlsConnection connection = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
+    pipe.up(connection, new Engine(engine));
     pipe.settle();
-    assertEquals(link.refused(), Refusal.NO_PROTOCOL, ear.closed);
-    assertNull(ear.link);
+    assertEquals(connection.refused(), Refusal.NO_PROTOCOL, ear.closed);
+    assertNull(ear.connection);
   }
 
   /** The library's engine without our filter. */
   private static final class Engine implements ConnectionListener {
     private final javax.net.ssl.SSLEngine engine;
-    private Connection link;
+    private Connection connection;
     private ByteBuffer in = ByteBuffer.allocate(40_000);
 
     Engine(javax.net.ssl.SSLEngine engine) {
@@ -359,7 +360,7 @@
 
     @Override
     public void up(Connection made) {
-      link = made;
+      connection = made;
     }
 
     @Override
@@ -377,13 +378,13 @@
             ByteBuffer out = ByteBuffer.allocate(20_000);
             engine.wrap(ByteBuffer.allocate(0), out);
             out.flip();
-            link.claim(out.remaining()).put(out);
+            connection.claim(out.remaining()).put(out);
           } else {
             engine.unwrap(in, ByteBuffer.allocate(20_000));
           }
         }
       } catch (javax.net.ssl.SSLException e) {
-        link.cut("refused: " + e.getMessage());
+        connection.cut("refused: " + e.getMessage());
       }
       in.compact();
     }
@@ -395,7 +396,7 @@
   @Test
   public void anEndWithoutTlssCloseIsToldAsCutOff() {
     Pair pair = meet(relay(), unit(TestCa.leaf(NAME)));
-    say(pair.server.link, "half an ans");
+    say(pair.server.connection, "half an ans");
     pair.pipe.settle();
     pair.pipe.near.cut("closed by the other side");
     pair.pipe.settle();
@@ -406,7 +407,7 @@
   public void aChangedByteEndsTheConnection() {
     Pair pair = meet(relay(), unit(TestCa.leaf(NAME)));
     pair.pipe.flips = pair.pipe.crossed + 9;
-    say(pair.client.link, "pay 100 to north");
+    say(pair.client.connection, "pay 100 to north");
     pair.pipe.settle();
     assertEquals(pair.server.text(), "");
     assertTrue(pair.server.closed.startsWith("damaged: "), pair.server.closed);
@@ -417,8 +418,8 @@
     Pair pair = new Pair(relay(), unit(TestCa.leaf(NAME)), NAME, true);
     pair.pipe.split = length -> 1;
     pair.meet().up();
-    say(pair.client.link, "as it was written");
-    say(pair.server.link, "and back");
+    say(pair.client.connection, "as it was written");
+    say(pair.server.connection, "and back");
     pair.pipe.settle();
     assertEquals(pair.server.text() + ", " + pair.client.text(), "as it was written, and back");
   }
@@ -429,14 +430,14 @@
     pair.pipe.asideFull = true;
     pair.meet();
     assertEquals(pair.far.refused(), Refusal.TOO_MANY, pair.server.closed);
-    assertNull(pair.client.link);
+    assertNull(pair.client.connection);
   }
 
   @Test
   public void whatMayHaveLeftIsCountedInPlainBytes() {
     Pair pair = meet(relay(), unit(TestCa.leaf(NAME)));
     assertEquals(pair.near.written(), 0);
-    say(pair.client.link, "12345");
+    say(pair.client.connection, "12345");
     assertEquals(pair.near.written(), 5);
     assertEquals(pair.near.handed(), 0); // not even a record yet
     pair.pipe.settle();
@@ -446,10 +447,10 @@
   @Test
   public void nothingIsTakenFromTheUserOnceItIsOver() {
     Pair pair = meet(relay(), unit(TestCa.leaf(NAME)));
-    pair.client.link.cut("enough");
+    pair.client.connection.cut("enough");
     pair.pipe.settle();
     assertEquals(pair.client.closed, "enough");
-    say(pair.client.link, "more");
+    say(pair.client.connection, "more");
     pair.pipe.settle();
     assertEquals(pair.server.text(), "");
     assertFalse(pair.server.closed == null);
@@ -468,7 +469,7 @@
     java.lang.reflect.Field engine = TlsConnection.class.getDeclaredField("engine");
     engine.setAccessible(true);
     ((javax.net.ssl.SSLEngine) engine.get(pair.far)).beginHandshake(); // a HelloRequest
-    say(pair.server.link, "again?");
+    say(pair.server.connection, "again?");
     pair.pipe.settle();
     assertTrue(pair.client.closed != null || pair.server.closed != null, "still open");
     assertEquals(pair.pipe.counts.full, 1);
@@ -478,8 +479,8 @@
   public static void main(String[] arguments) {
     Pair pair = meet(relay(), unit(TestCa.leaf(NAME)));
     for (int i = 0; i < 40; i++) {
-      say(pair.client.link, "abcdefgh".repeat(2000));
-      say(pair.server.link, "x".repeat(3000));
+      say(pair.client.connection, "abcdefgh".repeat(2000));
+      say(pair.server.connection, "x".repeat(3000));
       pair.pipe.settle();
     }
     System.out.println(
@@ -522,8 +523,8 @@
     Pipe pipe = new Pipe();
     pipe.within = TimeSpan.ofMs(50);
     Pipe.Ear ear = new Pipe.Ear();
-    TlsConnection link = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
-    pipe.up(link, new Pipe.Ear());
+    TlsConnection connection = TlsConnection.client(pipe.place(), relay(), NAME, 1, ear);
+    pipe.up(connection, new Pipe.Ear());
     pipe.pass(60);
     pipe.pass(60);
     assertEquals(pipe.counts.refused, List.of(Refusal.TIMED_OUT));
--- a/src/test/java/sprucerock/transport/tls/TlsProperties.java
+++ b/src/test/java/sprucerock/transport/tls/TlsProperties.java
@@ -42,15 +42,15 @@
               .repeat(1 + random.nextInt(random.nextInt(5) == 0 ? 40_000 : 200));
       said.append(piece);
       if (random.nextBoolean()) {
-        pair.client.link.claim(piece.length()).put(piece.getBytes());
+        pair.client.connection.claim(piece.length()).put(piece.getBytes());
       } else {
-        pair.client.link.append(piece.getBytes());
+        pair.client.connection.append(piece.getBytes());
       }
       if (random.nextInt(3) == 0) {
         pair.pipe.settle();
       }
     }
-    pair.client.link.finish();
+    pair.client.connection.finish();
     pair.pipe.settle();
     assertEquals(pair.server.text(), said.toString());
     assertEquals(pair.server.closed, "closed by the other side");
@@ -66,9 +66,9 @@
     pair.pipe.flips = place;
     pair.meet();
     String said = "";
-    for (int i = 0; i < 8 && pair.client.link != null && pair.client.closed == null; i++) {
+    for (int i = 0; i < 8 && pair.client.connection != null && pair.client.closed == null; i++) {
       String piece = "piece " + i + " of what is said; ";
-      pair.client.link.claim(piece.length()).put(piece.getBytes());
+      pair.client.connection.claim(piece.length()).put(piece.getBytes());
       said += piece;
       pair.pipe.settle();
     }
--- a/src/test/java/sprucerock/transport/tls/TlsSizes.java
+++ b/src/test/java/sprucerock/transport/tls/TlsSizes.java
@@ -17,14 +17,14 @@
       TestCa ca = TestCa.root("root");
       Credentials relay =
           TlsLinkTest.credentials(ca.make(TestCa.leaf("relay")).material(ca.certificate()));
-      Credentials unit =
+      Credentials endpoint =
           TlsLinkTest.credentials(
               ca.make(TestCa.leaf("unit")).material(ca.certificate()),
               List.of(version),
               java.time.Instant::now);
       StringBuilder said = new StringBuilder(version + ":");
       for (int i = 0; i < 2; i++) {
-        TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, unit, "unit", false).meet();
+        TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, endpoint, "unit", false).meet();
         said.append(pair.pipe.counts.resumed == 1 ? " resumed" : " full")
             .append(' ')
             .append(pair.pipe.near.written)
@@ -32,7 +32,7 @@
             .append(pair.pipe.far.written)
             .append(" back;");
         long before = pair.pipe.near.written;
-        pair.client.link.claim(100).put(new byte[100]);
+        pair.client.connection.claim(100).put(new byte[100]);
         pair.pipe.settle();
         said.append(" 100 bytes take ").append(pair.pipe.near.written - before).append(';');
       }
@@ -40,7 +40,7 @@
       List<Object> kept = new ArrayList<>();
       long before = used();
       for (int i = 0; i < MANY; i++) {
-        TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, unit, "unit", false).meet();
+        TlsLinkTest.Pair pair = new TlsLinkTest.Pair(relay, endpoint, "unit", false).meet();
         pair.pipe.sent.reset();
         kept.add(pair);
       }
--- a/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
@@ -147,7 +147,8 @@
     assertEquals(
         FrameConnection.tooFar(Hello.newBuilder().setVersion(1).build()),
         null); // as the last program greeted
-    assertEquals(FrameConnection.tooFar(Hello.newBuilder().setVersion(3).setOldest(1).build()), null);
+    assertEquals(
+        FrameConnection.tooFar(Hello.newBuilder().setVersion(3).setOldest(1).build()), null);
     assertEquals(
         FrameConnection.tooFar(Hello.newBuilder().setVersion(3).setOldest(2).build()),
         "speaks versions 2 to 3, here 1 to 1 are spoken");
--- a/src/test/java/sprucerock/transport/wire/Person.java
+++ b/src/test/java/sprucerock/transport/wire/Person.java
@@ -4,8 +4,8 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.transport.net.Net;
 import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 
@@ -16,11 +16,11 @@
   public record Got(Kind kind, MessageLite head, byte[] body) {}
 
   public final List<Got> got = new ArrayList<>();
-  public final FrameConnection link;
+  public final FrameConnection connection;
   public String gone;
 
   public Person(Net net, Role role, int number) {
-    link =
+    connection =
         new FrameConnection(
             net,
             Hello.newBuilder()
@@ -36,7 +36,8 @@
   /** One that connects. */
   public static Person at(Net net, Role role, int number, int port) {
     Person person = new Person(net, role, number);
-    net.connect(new InetSocketAddress("127.0.0.1", port), TimeSpan.ofMs(500), 1 << 20, person.link);
+    net.connect(
+        new InetSocketAddress("127.0.0.1", port), TimeSpan.ofMs(500), 1 << 20, person.connection);
     return person;
   }
 
@@ -51,7 +52,7 @@
         () -> {
           Person person = new Person(net, role, number);
           all.add(person);
-          return person.link;
+          return person.connection;
         });
     return all;
   }
@@ -62,7 +63,7 @@
   }
 
   public void send(Kind kind, MessageLite head, byte... body) {
-    link.send(kind, head, body);
+    connection.send(kind, head, body);
   }
 
   @Override
