--- a/src/test/java/sprucerock/ArchitectureTest.java
+++ b/src/test/java/sprucerock/ArchitectureTest.java
@@ -152,9 +152,9 @@
     }
     noClasses()
         .that()
-        .haveFullyQualifiedName("sprucerock.controller.Releases")
+        .haveFullyQualifiedName("sprucerock.controller.RolloutManager")
         .or()
-        .haveFullyQualifiedName("sprucerock.controller.Release")
+        .haveFullyQualifiedName("sprucerock.controller.Rollout")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
@@ -166,20 +166,20 @@
         .check(ALL);
     for (String core :
         new String[] {
-          "lease.Granter",
-          "lease.Candidate",
-          "lease.Guard",
-          "lease.Fence",
+          "lease.LeaseGrantor",
+          "lease.LeaseClient",
+          "lease.LeaseCheck",
+          "lease.FencingToken",
           "lease.Terms",
           "lease.Grant",
-          "relay.healthcheck.Lookout",
-          "hardware.Fit",
-          "hardware.Seen",
-          "hardware.Tally",
+          "relay.healthcheck.HealthCheckScheduler",
+          "hardware.LeastSquaresFit",
+          "hardware.Observation",
+          "hardware.SampleSums",
           "hardware.Translation",
-          "controller.maintenance.Freezes",
-          "controller.maintenance.Freeze",
-          "controller.maintenance.Headroom"
+          "controller.maintenance.MaintenanceWindows",
+          "controller.maintenance.MaintenanceWindow",
+          "controller.maintenance.CapacityCheck"
         }) {
       noClasses()
           .that()
