--- /dev/null
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -0,0 +1,54 @@
+package sprucerock.lease;
+
+import java.util.function.LongConsumer;
+import java.util.function.Supplier;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/**
+ * The one way to act under a lease. Time is looked at when the act begins, not when its turn of the
+ * loop began; and as a process may stand still right after that look, the act bears the lease's
+ * number, which the place where it lands holds against the highest that it saw ({@link
+ * FencingToken}). (Burrows, "The Chubby lock service", 2006, calls such a number a sequencer.)
+ */
+public class LeaseCheck {
+  private final LeaseClient candidate;
+  private final Supplier<Timestamp> clock;
+
+  /** {@code clock}: this process's steady clock, read anew with each call. */
+  LeaseCheck(LeaseClient candidate, Supplier<Timestamp> clock) {
+    this.candidate = candidate;
+    this.clock = clock;
+  }
+
+  /** Acts if the lease is held for certain for that long yet; false if nothing was done. */
+  public boolean act(TimeSpan needs, LongConsumer act) {
+    if (!may(needs)) {
+      return false;
+    }
+    act.accept(candidate.number());
+    return true;
+  }
+
+  boolean may(TimeSpan needs) {
+    Timestamp now = clock.get();
+    return candidate.holds(now) && !needs.over(candidate.left(now));
+  }
+
+  /** The same for an act that takes no time worth the name. */
+  public boolean act(LongConsumer act) {
+    return act(TimeSpan.ZERO, act);
+  }
+
+  /**
+   * Whether it is held now. What is done on this answer alone, without {@link #act}, is not safe.
+   */
+  public boolean held() {
+    return may(TimeSpan.ZERO);
+  }
+
+  /** An act was refused where it landed, as that had seen a higher number. */
+  public void refused(long higher) {
+    candidate.saw(higher);
+  }
+}
--- a/src/main/java/sprucerock/model/Reply.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package sprucerock.model;
-
-/** How the release desk took a vote. */
-public enum Reply { COUNTS, MOOT, TOO_MANY, ERROR, UNANSWERED }
--- /dev/null
+++ b/src/main/java/sprucerock/relay/engine/RequestOutcome.java
@@ -0,0 +1,8 @@
+package sprucerock.relay.engine;
+
+/** What a client is told at the end. */
+public enum RequestOutcome {
+  OK,
+  PUSHED_BACK,
+  ABORTED
+}
--- /dev/null
+++ b/src/main/java/sprucerock/relay/frames/FrameRequest.java
@@ -0,0 +1,23 @@
+package sprucerock.relay.frames;
+
+/** What the door keeps with an RPC: who asked, under which id, and what the units are sent. */
+final class FrameRequest extends sprucerock.relay.engine.Request {
+  final FrameClientConnection client;
+  final long id;
+  final long token;
+  byte[] body;
+
+  FrameRequest(FrameClientConnection client, long id, long token, byte[] body) {
+    this.client = client;
+    this.id = id;
+    this.token = token;
+    this.body = body;
+  }
+
+  /** Its body is not kept either. */
+  @Override
+  protected void over() {
+    super.over();
+    body = null;
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/relay/platform/ClientListener.java
@@ -0,0 +1,226 @@
+package sprucerock.relay.platform;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import sprucerock.model.Method;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Net;
+
+/**
+ * Where clients come in. Their number is bounded: when full, one that never spoke or stands idle
+ * gives way, else a new one does.
+ */
+final class ClientListener {
+  /** What the door needs of the relay. */
+  interface Owner {
+    void arrived(PlatformRequest asked);
+
+    void left(PlatformRequest asked);
+  }
+
+  private static final TimeSpan PATIENCE =
+      TimeSpan.ofMs(2000); // a client that means it needs some milliseconds
+  private static final TimeSpan LOOK = TimeSpan.ofMs(100);
+  private static final TimeSpan SPEAKS =
+      TimeSpan.ofMs(100); // who was just taken or answered may be about to ask
+  private static final int SPARE = 8; // being closed, while new ones come
+  private static final long UNSENT = 512 * 1024;
+
+  private final Net net;
+  private final EventLog events;
+  private final Owner owner;
+  private final Map<String, Method> methods;
+  private final int enough;
+  private final int most;
+  private final Set<PlatformClientConnection> connections = new LinkedHashSet<>();
+  private final Map<String, PlatformRequest> open = new HashMap<>();
+  private Net.Listener listener;
+  private boolean leaving;
+  private boolean refusing;
+
+  /**
+   * {@code enough}: beyond it quiet ones give way, so that clients with a bound of their own can
+   * come; {@code most} is never passed.
+   */
+  ClientListener(
+      Net net, EventLog events, Owner owner, Map<String, Method> methods, int enough, int most) {
+    this.net = net;
+    this.events = events;
+    this.owner = owner;
+    this.methods = methods;
+    this.enough = enough;
+    this.most = most;
+  }
+
+  void start(InetSocketAddress at) throws IOException {
+    listener =
+        net.bind(
+            at,
+            most + SPARE,
+            UNSENT,
+            () -> {
+              PlatformClientConnection connection =
+                  new PlatformClientConnection(this, net.now(), leaving);
+              connections.add(connection);
+              return connection;
+            });
+    listener.turnedAway(
+        () ->
+            events.warn(
+                EventLog.Kind.TURNED_AWAY,
+                "a client as it came: " + (most + SPARE) + " connections are open"));
+    look();
+  }
+
+  void take() {
+    listener.take();
+  }
+
+  int size() {
+    return connections.size();
+  }
+
+  /** It was taken. */
+  void up(PlatformClientConnection connection) {
+    if (connections.size() > enough) {
+      later(() -> makeRoom(connection));
+    }
+  }
+
+  /**
+   * One that never spoke goes first, else the one on which nothing was asked for longest: guards
+   * against clients that ask once and stay, until others find no place. Where all are being
+   * answered and no more may come the newest goes, unless it has asked too: whose request was taken
+   * is never cut off.
+   */
+  private void makeRoom(PlatformClientConnection newest) {
+    PlatformClientConnection goes = quietest(newest);
+    if (goes != null) {
+      goes.giveWay();
+    } else if (connections.size() > most && newest.quietFor(TimeSpan.ZERO)) {
+      newest.giveWay();
+    }
+  }
+
+  private PlatformClientConnection quietest(PlatformClientConnection but) {
+    PlatformClientConnection found = null;
+    for (PlatformClientConnection connection : connections) {
+      if (connection == but || !connection.quietFor(SPEAKS)) {
+        continue;
+      }
+      if (found == null
+          || connection.never() && !found.never()
+          || connection.never() == found.never()
+              && connection.quietSince().ms() < found.quietSince().ms()) {
+        found = connection;
+      }
+    }
+    return found;
+  }
+
+  private void look() {
+    for (PlatformClientConnection connection : new ArrayList<>(connections)) {
+      connection.look(PATIENCE);
+    }
+    // not only as one comes: clients that have reached a bound of their own send none
+    int over = connections.size() - enough;
+    for (PlatformClientConnection quiet = quietest(null);
+        over > 0 && quiet != null;
+        quiet = quietest(null), over--) {
+      quiet.giveWay();
+    }
+    net.at(net.now().plus(LOOK), this::look);
+  }
+
+  Timestamp now() {
+    return net.now();
+  }
+
+  Timestamp heardUpTo() {
+    return net.heardUpTo();
+  }
+
+  void later(Runnable what) {
+    net.atTurnsEnd(what);
+  }
+
+  Statement read(byte[] text) throws Statement.UnreadableException {
+    return Statement.read(text, methods);
+  }
+
+  /** Null where it may be asked; else why not. */
+  String take(PlatformRequest asked) {
+    if (open.putIfAbsent(asked.statement.id, asked) == null) {
+      return null;
+    }
+    return "a request of the same id is open";
+  }
+
+  void over(PlatformRequest asked) {
+    open.remove(asked.statement.id, asked);
+  }
+
+  void arrived(PlatformRequest asked) {
+    owner.arrived(asked);
+  }
+
+  void left(PlatformRequest asked) {
+    owner.left(asked);
+  }
+
+  void refused(String why) {
+    events.warn(EventLog.Kind.CLIENT_REFUSED, why);
+  }
+
+  void gone(PlatformClientConnection connection) {
+    connections.remove(connection);
+  }
+
+  /**
+   * New connections are taken for {@code still}. Those that are open serve on, as others may not be
+   * able to take all at once, and close one after another until {@code last}, each between two
+   * commands; who comes later is served once.
+   */
+  void shutdown(TimeSpan still, TimeSpan last) {
+    List<PlatformClientConnection> all = new ArrayList<>(connections);
+    for (int i = 0; i < all.size(); i++) {
+      net.at(
+          net.now().plus(still.plus(last.minus(still).times((double) i / all.size()))),
+          all.get(i)::leaveSoon);
+    }
+    net.at(net.now().plus(still), listener::close);
+    net.at(
+        net.now().plus(last),
+        () -> {
+          leaving = true;
+          for (PlatformClientConnection connection : new ArrayList<>(connections)) {
+            connection.leaveSoon();
+          }
+        });
+  }
+
+  /** From now on what comes is refused, and what has nothing open closes. */
+  void refuse() {
+    refusing = true;
+    for (PlatformClientConnection connection : new ArrayList<>(connections)) {
+      connection.leaveNow();
+    }
+  }
+
+  boolean refuses() {
+    return refusing;
+  }
+
+  /** The relay's time is over: what is open gets an answer that promises nothing. */
+  List<PlatformRequest> open() {
+    return new ArrayList<>(open.values());
+  }
+}
--- /dev/null
+++ b/src/test/java/sprucerock/accounting/AccountsTest.java
@@ -0,0 +1,104 @@
+package sprucerock.accounting;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.util.List;
+import org.testng.annotations.Test;
+import sprucerock.time.TimeSpan;
+
+/** That the check can fail: an error planted in any account is found and named. */
+public class AccountsTest {
+  private static MethodAccounts some() {
+    MethodAccounts accounts =
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 2, 2));
+    accounts.row(accounts.endpoints, "u1");
+    accounts.rpcArrived(1, 0);
+    accounts.attemptSent(1, accounts.row(accounts.builds, "7"), 0, true);
+    accounts.attemptWritten();
+    accounts.attemptEnded(1, 0, 0, true, true, 1, TimeSpan.ofMs(3));
+    accounts.rpcAnswered(1, 0, TimeSpan.ofMs(4), true, true);
+    return accounts;
+  }
+
+  @Test
+  public void anErrorInAnyAccountIsFoundAndNamed() {
+    for (int index = 0; index < some().size(); index++) {
+      for (long by : new long[] {1, -1, 1L << 55}) {
+        MethodAccounts accounts = some();
+        assertEquals(accounts.check(), List.of());
+        accounts.spoil(index, by);
+        List<MethodAccounts.Drift> drifts = accounts.check();
+        assertTrue(!drifts.isEmpty(), "account " + index);
+        MethodMetrics sheet = null;
+        for (MethodMetrics one : accounts.sheets()) {
+          if (index >= one.base) {
+            sheet = one;
+          }
+        }
+        assertTrue(
+            drifts.get(0).equation().startsWith(sheet.name() + "{"),
+            drifts + " for " + sheet.name());
+      }
+    }
+  }
+
+  @Test
+  public void aDriftNamesTheLastPostingsThere() {
+    MethodAccounts accounts = some();
+    accounts.spoil(accounts.rpcs.index(1, 2), 1);
+    assertEquals(
+        accounts.check().get(0).toString(),
+        "rpcs{method=pay} taken = ok + pushed_back + aborted + left + lost + open: 1 is not 2; "
+            + "last postings there: [rpcs{method=pay} taken to rpcs{method=pay} open, rpcs{method=pay} open to rpcs{method=pay} ok]");
+  }
+
+  @Test
+  public void postingsThatDifferBetweenSheetsAreFound() {
+    MethodAccounts accounts = some();
+    accounts.begin(accounts.attempts, 0, 1);
+    assertEquals(accounts.check().get(0).equation(), "picks sent = build_picks sent");
+    accounts.begin(accounts.builds, 0, 2);
+    accounts.begin(accounts.endpoints, 0, 1);
+    assertEquals(
+        accounts.check().stream().map(MethodAccounts.Drift::equation).toList(),
+        List.of(
+            "picks ok = build_picks ok",
+            "picks error = build_picks error",
+            "picks sent = pick_frames wanted",
+            "pick_latency ok of method read = picks{method=read} ok"));
+  }
+
+  @Test
+  public void aLatencyWithoutItsAnswerAndACopyThatIsNoPickAreFound() {
+    MethodAccounts accounts = some();
+    accounts.begin(accounts.latency, 0, 1 + HistogramBuckets.bucket(TimeSpan.ofMs(7)));
+    accounts.begin(accounts.copies, 0, 2);
+    assertEquals(
+        accounts.check().stream().map(MethodAccounts.Drift::equation).toList(),
+        List.of(
+            "answers{method=read} answered = latency{method=read} answered",
+            "copies{build=7} sent <= build_picks{build=7} sent",
+            "copies{build=7} error <= build_picks{build=7} error"));
+  }
+
+  @Test
+  public void namesBeyondTheRoomCountAsOther() {
+    MethodAccounts accounts = some();
+    assertEquals(accounts.row(accounts.endpoints, "u1"), 0);
+    assertEquals(accounts.row(accounts.endpoints, "u2"), 1);
+    assertEquals(accounts.row(accounts.endpoints, "u3"), 2);
+    assertEquals(accounts.name(accounts.endpoints, 2), MethodMetrics.OTHER);
+    assertEquals(accounts.row(accounts.endpoints, "u2"), 1);
+  }
+
+  @Test
+  public void countersGoOnPastTheNumbersThatFloatingPointHolds() {
+    MethodAccounts accounts = some();
+    accounts.carry(accounts.messages, MethodMetrics.ALL, 0, 1L << 54);
+    accounts.carry(accounts.messages, MethodMetrics.ALL, 1, 1L << 54);
+    accounts.begin(accounts.messages, 0, 1);
+    assertEquals(accounts.value(accounts.messages, 0, 0), (1L << 54) + 1);
+    assertEquals(accounts.check(), List.of());
+  }
+}
--- /dev/null
+++ b/src/test/java/sprucerock/relay/snapshot/PictureBenchmark.java
@@ -0,0 +1,78 @@
+package sprucerock.relay.snapshot;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import org.openjdk.jmh.annotations.Benchmark;
+import org.openjdk.jmh.annotations.BenchmarkMode;
+import org.openjdk.jmh.annotations.Fork;
+import org.openjdk.jmh.annotations.Measurement;
+import org.openjdk.jmh.annotations.Mode;
+import org.openjdk.jmh.annotations.OutputTimeUnit;
+import org.openjdk.jmh.annotations.Param;
+import org.openjdk.jmh.annotations.Scope;
+import org.openjdk.jmh.annotations.Setup;
+import org.openjdk.jmh.annotations.State;
+import org.openjdk.jmh.annotations.TearDown;
+import org.openjdk.jmh.annotations.Warmup;
+import sprucerock.time.Timestamp;
+
+/**
+ * What one look costs at 300 racks (windows are one moment a rack by then), by itself and while the
+ * picture is swapped 1,000 times a second.
+ */
+@State(Scope.Benchmark)
+@BenchmarkMode(Mode.AverageTime)
+@OutputTimeUnit(TimeUnit.NANOSECONDS)
+@Warmup(iterations = 3, time = 1)
+@Measurement(iterations = 5, time = 1)
+@Fork(1)
+public class PictureBenchmark {
+  @Param({"0", "1000"})
+  public int swapsASecond;
+
+  private final SharedSnapshot shared = new SharedSnapshot();
+  private volatile boolean over;
+  private int at;
+
+  private static RackSnapshot picture(long number) {
+    Map<Integer, Timestamp> until = new HashMap<>();
+    for (int rack = 0; rack < 300; rack++) {
+      until.put(RackSnapshot.key(rack / 20, rack % 20), Timestamp.ofMs(1e12 + number));
+    }
+    return new RackSnapshot(number, until);
+  }
+
+  @Setup
+  public void begin() {
+    shared.put(picture(1));
+    if (swapsASecond == 0) {
+      return;
+    }
+    Thread writer =
+        new Thread(
+            () -> {
+              for (long n = 2; !over; n++) {
+                shared.put(picture(n));
+                java.util.concurrent.locks.LockSupport.parkNanos(1_000_000_000L / swapsASecond);
+              }
+            });
+    writer.setDaemon(true);
+    writer.start();
+  }
+
+  @TearDown
+  public void end() {
+    over = true;
+  }
+
+  @Benchmark
+  public boolean look() {
+    at = at + 7 & 0xff;
+    return shared.take().mayPlace(RackSnapshot.key(at >> 4, at & 15), 1e9, 100);
+  }
+
+  public static void main(String[] args) throws Exception {
+    org.openjdk.jmh.Main.main(new String[] {"PictureBenchmark"});
+  }
+}
