--- a/src/main/java/sprucerock/cli/ServeCommand.java
+++ b/src/main/java/sprucerock/cli/ServeCommand.java
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
       if (first) {
         connection.append(new byte[64]);
--- a/src/main/java/sprucerock/cli/TlsCheckCommand.java
+++ b/src/main/java/sprucerock/cli/TlsCheckCommand.java
@@ -194,7 +194,7 @@
             ConnectionListener user =
                 new ConnectionListener() {
                   @Override
-                  public void up(Connection made) {
+                  public void connected(Connection made) {
                     X509Certificate shown = connection[0].peer();
                     System.out.println("peer at " + at + ":");
                     describe(shown, now);
--- a/src/main/java/sprucerock/lab/HollowFleet.java
+++ b/src/main/java/sprucerock/lab/HollowFleet.java
@@ -184,7 +184,7 @@
 
   /** How late the loop is: this is due every so often, and a loop that keeps up is there. */
   private void look() {
-    lag.recordValue(Math.max(0, Math.round(loop.clock().since(due).ms() * 1000)));
+    lag.recordValue(Math.max(0, Math.round(loop.readClock().since(due).ms() * 1000)));
     due = loop.now().plus(LOOK);
     loop.at(due, this::look);
   }
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -194,7 +194,7 @@
 
   private void now(Event what) {
     if (event == what && inForce == 0) {
-      inForce = NioLoop.machineMicros();
+      inForce = NioLoop.monotonicMicros();
     }
   }
 
@@ -287,11 +287,11 @@
       FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body) {
     controller.frame(connection, out, kind, head, body);
     if (kind == Kind.VOTE) {
-      votesOut.put(((Vote) head).getId(), NioLoop.machineMicros());
+      votesOut.put(((Vote) head).getId(), NioLoop.monotonicMicros());
     } else if (kind == Kind.VOTED) {
       Long sent = votesOut.remove(((Voted) head).getId());
       if (sent != null && ((Voted) head).getTaken() == Taken.COUNTS) {
-        votesTook.add(NioLoop.machineMicros() - sent);
+        votesTook.add(NioLoop.monotonicMicros() - sent);
       }
     } else if (kind == Kind.PROMISED && ((Promised) head).getId() != 0) {
       if (event == Event.FREEZE && ((Promised) head).getSequence() > beyond) {
--- a/src/main/java/sprucerock/lab/ScaleRun.java
+++ b/src/main/java/sprucerock/lab/ScaleRun.java
@@ -405,7 +405,7 @@
         endpoints = one.get("units_wanted").asInt();
       }
     }
-    long at = NioLoop.machineMicros();
+    long at = NioLoop.monotonicMicros();
     Answer answer = ask("PUT", "/fleet/" + build, JSON.createObjectNode().put("units", endpoints));
     if (answer.status != 200) {
       throw new IOException("the controller did not take the build's units: " + answer);
@@ -535,7 +535,7 @@
     int cut = askAll("cut " + oneIn).stream().mapToInt(one -> one.get("cut").asInt()).sum();
     waitFor(plan.seconds / 3);
     tellAll("expect LINKED");
-    long at = NioLoop.machineMicros();
+    long at = NioLoop.monotonicMicros();
     if (name.equals("rack")) {
       ask("POST", "/racks/" + ScaleSite.rack(0), JSON.createObjectNode().put("down", false));
     }
@@ -548,7 +548,7 @@
   private void mass() throws IOException, InterruptedException {
     waitFor(2);
     tellAll("expect LINKED");
-    long at = NioLoop.machineMicros();
+    long at = NioLoop.monotonicMicros();
     tellAll("restart -1");
     count("reconnects", plan.relays);
     until("all are linked again", () -> missing() == 0);
@@ -570,7 +570,7 @@
     String rack = ScaleSite.rack(0);
     tellAll("expect FREEZE " + ScaleSite.zone(0) + " " + ScaleSite.cell(0));
     long wall = System.currentTimeMillis();
-    long at = NioLoop.machineMicros();
+    long at = NioLoop.monotonicMicros();
     ObjectNode wanted = said().put("from_ms", wall + 3000).put("lasts_ms", 600_000);
     wanted.putArray("racks").add(rack);
     Answer answer = ask("POST", "/freezes", wanted);
@@ -587,7 +587,7 @@
                 .path("state")
                 .asText()
                 .equals("in force"));
-    count("freeze_in_force_ms", (NioLoop.machineMicros() - at) / 1000);
+    count("freeze_in_force_ms", (NioLoop.monotonicMicros() - at) / 1000);
     // by the controller's word nobody places there any more: this is looked at from the relays'
     // side
     count(
@@ -603,7 +603,7 @@
     ended.put(controller, controller.cpu().minus(before.get(controller)));
     controller.kill();
     waitFor(4);
-    long at = NioLoop.machineMicros();
+    long at = NioLoop.monotonicMicros();
     startController("c" + ++lives);
     until("all hear the controller's new life", () -> missing() == 0);
     until("all are linked", () -> connected() == plan.relays);
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -108,7 +108,7 @@
                 }
               }
             },
-            net.clock());
+            net.readClock());
   }
 
   /**
@@ -181,7 +181,7 @@
               back.getName(),
               back.getNumber(),
               back.getHanded() ? back.getHeir() : -1,
-              net.clock());
+              net.readClock());
         }
         case LEASE_LIST -> connection.send(Kind.LEASE_LISTED, listed(), NO_BODY);
         default -> connection.cut("a granter takes no " + kind);
@@ -189,7 +189,7 @@
     }
 
     private void ask(LeaseAsk ask) {
-      Timestamp now = net.clock();
+      Timestamp now = net.readClock();
       if (second == null || now.since(second).ms() >= 1000) {
         second = now;
         inSecond = 0;
@@ -226,7 +226,7 @@
   }
 
   private LeaseListed listed() {
-    Timestamp now = net.clock();
+    Timestamp now = net.readClock();
     LeaseListed.Builder all =
         LeaseListed.newBuilder()
             .setGranter(config.granter())
--- a/src/main/java/sprucerock/lease/Leases.java
+++ b/src/main/java/sprucerock/lease/Leases.java
@@ -201,7 +201,7 @@
     Standing(String name, Task task) {
       this.task = task;
       candidate = new LeaseClient(name, terms, this, chance::next, config.me(), life);
-      guard = new LeaseCheck(candidate, net::clock);
+      guard = new LeaseCheck(candidate, net::readClock);
     }
 
     /** Something happens to it; then its next moment is set. */
@@ -214,7 +214,7 @@
       timer =
           due == null
               ? null
-              : net.at(due, () -> step(() -> candidate.tick(net.clock(), wallMs.getAsLong())));
+              : net.at(due, () -> step(() -> candidate.tick(net.readClock(), wallMs.getAsLong())));
     }
 
     @Override
@@ -321,7 +321,8 @@
       standing.step(
           () -> {
             if (said.getGranted()) {
-              standing.candidate.granted(granter, said.getNumber(), said.getRound(), net.clock());
+              standing.candidate.granted(
+                  granter, said.getNumber(), said.getRound(), net.readClock());
             } else {
               standing.candidate.refused(
                   granter,
@@ -330,7 +331,7 @@
                   said.getHighest(),
                   TimeSpan.ofMs(said.getLeftUs() / 1000.0),
                   said.getHeld(),
-                  net.clock());
+                  net.readClock());
             }
           });
     }
--- a/src/main/java/sprucerock/rehearsal/fake/FaultProxy.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FaultProxy.java
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
       up = true;
       open.add(pass);
--- a/src/main/java/sprucerock/rehearsal/fake/Handshaker.java
+++ b/src/main/java/sprucerock/rehearsal/fake/Handshaker.java
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public void up(Connection made) {
+  public void connected(Connection made) {
     connection = made;
     if (how != How.SLOW) {
       return;
@@ -44,7 +44,7 @@
             return;
           }
           passes = true;
-          tls.up(connection);
+          tls.connected(connection);
           if (held.size() > 0) {
             tls.received(ByteBuffer.wrap(held.toByteArray()));
           }
--- a/src/main/java/sprucerock/rehearsal/recovery/Peaks.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/Peaks.java
@@ -12,13 +12,13 @@
  */
 public final class Peaks {
   /** The fullest tenth of a second of a thing, where it was and how many came. */
-  public record Peak(String thing, String place, int many) {}
+  public record Peak(String activity, String place, int count) {}
 
   private static final long WINDOW_US = 100_000;
 
   private final Map<String, Map<String, List<Long>>> times = new TreeMap<>();
 
-  public void came(String thing, String place, long us) {
+  public void record(String thing, String place, long us) {
     times
         .computeIfAbsent(thing, key -> new TreeMap<>())
         .computeIfAbsent(place, key -> new ArrayList<>())
@@ -36,7 +36,7 @@
           Peak most = null;
           for (Map.Entry<String, List<Long>> place : places.entrySet()) {
             int many = most(place.getValue(), fromUs, toUs);
-            if (many > 0 && (most == null || many > most.many)) {
+            if (many > 0 && (most == null || many > most.count)) {
               most = new Peak(thing, place.getKey(), many);
             }
           }
--- a/src/main/java/sprucerock/rehearsal/recovery/RecoveryMeter.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/RecoveryMeter.java
@@ -20,7 +20,7 @@
  */
 public final class RecoveryMeter {
   /** A method's soft deadline and utility, in the order of the relays' list. */
-  public record Method(double softMs, double utility) {}
+  public record Method(double latencyObjectiveMs, double weight) {}
 
   /**
    * How the day came back from an event.
@@ -30,13 +30,13 @@
    * @param calls sent in those ten seconds, {@code again} of them for an RPC that had been sent
    *     before
    */
-  public record Return(
-      long us,
-      String words,
-      OptionalDouble fullS,
-      double lostS,
+  public record Recovery(
+      long eventMicros,
+      String description,
+      OptionalDouble secondsToFullService,
+      double lostSeconds,
       int calls,
-      int again,
+      int retries,
       List<Peaks.Peak> peaks) {
     @Override
     public String toString() {
@@ -45,23 +45,26 @@
               String.format(
                   Locale.ROOT,
                   "%s; %.2f s of service lost, %d of %d calls sent again; most in 0.1 s:",
-                  fullS.isPresent()
-                      ? String.format(Locale.ROOT, "full service after %.1f s", fullS.getAsDouble())
+                  secondsToFullService.isPresent()
+                      ? String.format(
+                          Locale.ROOT,
+                          "full service after %.1f s",
+                          secondsToFullService.getAsDouble())
                       : "no full service before the day's end",
-                  lostS,
-                  again,
+                  lostSeconds,
+                  retries,
                   calls));
       for (Peaks.Peak one : peaks) {
         text.append(' ')
-            .append(one.many())
+            .append(one.count())
             .append(' ')
-            .append(one.thing())
+            .append(one.activity())
             .append(" at ")
             .append(one.place())
             .append(',');
       }
       text.setCharAt(text.length() - 1, ';');
-      return text.append(' ').append(words).toString();
+      return text.append(' ').append(description).toString();
     }
   }
 
@@ -73,7 +76,7 @@
   private record Called(long us, boolean again) {}
 
   private final List<Method> methods;
-  private final Service service = new Service();
+  private final ServedWeight service = new ServedWeight();
   private final Peaks peaks = new Peaks();
   private final Map<String, Sent> open = new HashMap<>();
   private final Map<String, Long> firstSent = new HashMap<>();
@@ -85,7 +88,7 @@
   }
 
   /** The next line of a trace; lines of one place come in their order, places in any. */
-  public void line(Line line) {
+  public void accept(Line line) {
     if (line.isNote("TROUBLE") && befallsProcesses(line.text())) {
       events.merge(line.us(), line.text(), (a, b) -> a + "; " + b);
     }
@@ -99,15 +102,15 @@
       return;
     }
     if (line.is('<', Kind.HELLO)) {
-      peaks.came("new connections", place, line.us());
+      peaks.record("new connections", place, line.us());
     } else if (line.is('<', Kind.WATCH)) {
-      peaks.came("lists asked for", place, line.us());
+      peaks.record("lists asked for", place, line.us());
     } else if (line.is('<', Kind.WORK)) {
-      peaks.came("picks", place, line.us());
+      peaks.record("picks", place, line.us());
     } else if (line.is('>', Kind.VOTE)) {
-      peaks.came("votes sent", place, line.us());
+      peaks.record("votes sent", place, line.us());
     } else if (line.is('<', Kind.TOLD)) {
-      peaks.came("messages", place, line.us());
+      peaks.record("messages", place, line.us());
     }
   }
 
@@ -139,23 +142,23 @@
       return;
     }
     Method method = methods.get(sent.method());
-    if (line.us() - sent.firstUs() <= method.softMs() * 1000) {
-      service.served(line.us(), method.utility());
+    if (line.us() - sent.firstUs() <= method.latencyObjectiveMs() * 1000) {
+      service.record(line.us(), method.weight());
     }
   }
 
   /** One for each time at which something befell processes, in the day's order. */
-  public List<Return> returns() {
-    List<Return> found = new ArrayList<>();
+  public List<Recovery> recoveries() {
+    List<Recovery> found = new ArrayList<>();
     events.forEach(
         (us, words) -> {
           List<Called> meanwhile =
               calls.stream().filter(one -> one.us() >= us && one.us() < us + LOOK_US).toList();
           found.add(
-              new Return(
+              new Recovery(
                   us,
                   words,
-                  service.fullAfter(us),
+                  service.secondsToFullService(us),
                   service.lostSeconds(us, LOOK_US / 1e6),
                   meanwhile.size(),
                   (int) meanwhile.stream().filter(Called::again).count(),
--- a/src/main/java/sprucerock/rehearsal/recovery/Service.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/ServedWeight.java
@@ -8,7 +8,7 @@
  * Times are microseconds on one clock. What is measured is what was served, not its share of what
  * was asked: clients of a relay that is gone ask nothing.
  */
-public final class Service {
+public final class ServedWeight {
   static final double BEFORE_S = 5; // over which the level before an event is taken
   static final double STAYS_S = 2;
   static final double WITHIN = 0.05;
@@ -16,7 +16,7 @@
 
   private final TreeMap<Long, Double> buckets = new TreeMap<>();
 
-  public void served(long us, double worth) {
+  public void record(long us, double worth) {
     buckets.merge(Math.floorDiv(us, BUCKET_US), worth, Double::sum);
   }
 
@@ -41,7 +41,7 @@
    * two seconds from then on; empty where that never came, or the record ends before two seconds of
    * it are over.
    */
-  public OptionalDouble fullAfter(long us) {
+  public OptionalDouble secondsToFullService(long us) {
     double level = levelBefore(us);
     if (buckets.isEmpty() || level == 0) {
       return OptionalDouble.empty();
--- a/src/main/java/sprucerock/rehearsal/scenario/RealController.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/RealController.java
@@ -265,7 +265,7 @@
   private void pipeline() throws InterruptedException {
     while (!over) {
       Delivery delivery = toSend.take();
-      delivery.sentUs = NioLoop.machineMicros();
+      delivery.sentUs = NioLoop.monotonicMicros();
       for (int left = 2; left > 0 && !over; ) {
         int status = send(delivery);
         if (status >= 200 && status < 300) {
@@ -274,7 +274,7 @@
           break;
         }
         if (status >= 200 && status < 300 && delivery.takenUs == 0) {
-          delivery.takenUs = NioLoop.machineMicros();
+          delivery.takenUs = NioLoop.monotonicMicros();
         }
         Thread.sleep(100);
       }
--- a/src/main/java/sprucerock/rehearsal/scenario/Rehearsal.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Rehearsal.java
@@ -71,7 +71,7 @@
   /**
    * How the day came back from what befell its processes, from the traces of stand-ins and relays.
    */
-  private static List<RecoveryMeter.Return> returns(ScenarioRunner play, Path folder)
+  private static List<RecoveryMeter.Recovery> returns(ScenarioRunner play, Path folder)
       throws IOException {
     RecoveryMeter meter =
         new RecoveryMeter(
@@ -80,9 +80,9 @@
                 .toList());
     try (Stream<Path> files = Files.list(folder)) {
       for (Path file : files.filter(one -> one.toString().endsWith(".trace")).sorted().toList()) {
-        Line.read(file).forEach(meter::line);
+        Line.read(file).forEach(meter::accept);
       }
     }
-    return meter.returns();
+    return meter.recoveries();
   }
 }
--- a/src/main/java/sprucerock/rehearsal/scenario/Report.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/Report.java
@@ -26,7 +26,7 @@
       InvariantChecker.Verdict verdict,
       List<List<TraceMetricsAudit.Entry>> books,
       List<FleetMetricsAudit.Entry> fleet,
-      List<RecoveryMeter.Return> returns,
+      List<RecoveryMeter.Recovery> returns,
       List<String> followed) {
     StringBuilder text = new StringBuilder();
     ScenarioParser day = play.day();
@@ -77,7 +77,7 @@
       line(
           text,
           "coming back: seconds until 95%% of the worth a second before is served in time again for 2 s; 10 s of each looked at");
-      for (RecoveryMeter.Return one : returns) {
+      for (RecoveryMeter.Recovery one : returns) {
         line(text, "  %s", one);
       }
     }
--- a/src/main/java/sprucerock/rehearsal/trace/TraceWriter.java
+++ b/src/main/java/sprucerock/rehearsal/trace/TraceWriter.java
@@ -113,7 +113,7 @@
       timers.atTurnsEnd(this::flush);
     }
     lines
-        .append(NioLoop.machineMicros())
+        .append(NioLoop.monotonicMicros())
         .append('\t')
         .append(place)
         .append('\t')
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -248,7 +248,7 @@
       return;
     }
     taking = true;
-    listener.take();
+    listener.startAccepting();
     events.info(
         EventLog.Kind.STARTED,
         "relay "
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -135,7 +135,7 @@
       open++;
       owner.look(endpoint, this, made -> connection = made);
       late =
-          net.patiently(
+          net.stallTolerantTimeout(
               PATIENCE, () -> end(null)); // this relay's own standing still is not the unit's
     }
 
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -194,7 +194,7 @@
    * module chose.
    */
   boolean mayStillPlace(Endpoint endpoint) {
-    return mayPlace(endpoint.zone, endpoint.cell, net.clock(), TimeSpan.ZERO);
+    return mayPlace(endpoint.zone, endpoint.cell, net.readClock(), TimeSpan.ZERO);
   }
 
   /** Racks are nothing to it, or it was promised something. */
--- a/src/main/java/sprucerock/relay/platform/ClientListener.java
+++ b/src/main/java/sprucerock/relay/platform/ClientListener.java
@@ -72,7 +72,7 @@
               connections.add(connection);
               return connection;
             });
-    listener.turnedAway(
+    listener.onRejected(
         () ->
             events.warn(
                 EventLog.Kind.TURNED_AWAY,
@@ -81,7 +81,7 @@
   }
 
   void take() {
-    listener.take();
+    listener.startAccepting();
   }
 
   int size() {
@@ -145,7 +145,7 @@
   }
 
   Timestamp heardUpTo() {
-    return net.heardUpTo();
+    return net.previousTurnStart();
   }
 
   void later(Runnable what) {
--- a/src/main/java/sprucerock/relay/platform/Discovery.java
+++ b/src/main/java/sprucerock/relay/platform/Discovery.java
@@ -229,7 +229,7 @@
           return;
         }
         older = new LinkedHashMap<>();
-        net.patiently(BEHIND, this::holds); // what it says meanwhile may not be read yet
+        net.stallTolerantTimeout(BEHIND, this::holds); // what it says meanwhile may not be read yet
       }
       if (full) {
         older.clear();
--- a/src/main/java/sprucerock/relay/platform/PlatformClientConnection.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformClientConnection.java
@@ -7,21 +7,21 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
-import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.MessageFramer;
+import sprucerock.transport.postgres.MessageReader;
+import sprucerock.transport.postgres.MessageWriter;
 import sprucerock.transport.postgres.ProtocolException;
-import sprucerock.transport.postgres.Reader;
-import sprucerock.transport.postgres.Writer;
 
 /**
  * A client's connection: one command at a time, answered in order; a bounded number wait behind it.
  */
-final class PlatformClientConnection implements ConnectionListener, Messages.User {
+final class PlatformClientConnection implements ConnectionListener, MessageFramer.Listener {
   private static final int MESSAGE =
       160 * 1024; // a value of 64 KiB in hexadecimal, and its statement
   private static final int WAITING =
       32; // commands; clients that send one behind another stay far below it
   private static final int WAITING_BYTES = 256 * 1024;
-  private static final byte[] WELCOME = Writer.welcome();
+  private static final byte[] WELCOME = MessageWriter.sessionStart();
   private static final byte[] NO_ENCRYPTION = {'N'};
 
   private record Command(char type, byte[] body) {}
@@ -38,7 +38,7 @@
   }
 
   private final ClientListener door;
-  private final Messages in = Messages.ofClient(MESSAGE);
+  private final MessageFramer in = MessageFramer.fromClient(MESSAGE);
   private final ArrayDeque<Command> waiting = new ArrayDeque<>();
   private final Timestamp cameAt;
   private int waitingBytes;
@@ -63,13 +63,13 @@
   }
 
   @Override
-  public void up(Connection made) {
+  public void connected(Connection made) {
     connection = made;
     door.up(this);
   }
 
   @Override
-  public boolean open() {
+  public boolean wantsMore() {
     return at == At.OPEN;
   }
 
@@ -78,12 +78,12 @@
     if (at == At.PARTING) {
       at = At.OPEN; // it crossed the close, which is taken back
     }
-    if (!open()) {
+    if (!wantsMore()) {
       return;
     }
     try {
-      in.take(bytes, this);
-      if (!in.partial()) {
+      in.feed(bytes, this);
+      if (!in.isPartial()) {
         partialSince = null;
       } else if (partialSince == null) {
         partialSince = door.now();
@@ -98,7 +98,7 @@
   }
 
   @Override
-  public void message(char type, byte[] body) throws ProtocolException {
+  public void onMessage(char type, byte[] body) throws ProtocolException {
     if (type == 0) {
       startup(body);
       return;
@@ -116,12 +116,12 @@
   }
 
   private void startup(byte[] body) throws ProtocolException {
-    switch (Reader.startup(body)) {
+    switch (MessageReader.parseStartup(body)) {
       case ENCRYPTION -> connection.append(NO_ENCRYPTION);
       case CANCEL -> end(null, "cancels nothing here");
       default -> {
         started = true;
-        in.started();
+        in.startupComplete();
         connection.append(WELCOME);
       }
     }
@@ -129,13 +129,13 @@
 
   /** Takes up what waits, unless a command is being answered. */
   private void pump() throws ProtocolException {
-    while (open() && open == null && !waiting.isEmpty()) {
+    while (wantsMore() && open == null && !waiting.isEmpty()) {
       Command next = waiting.poll();
       waitingBytes -= next.body.length;
       if (next.type == 'X') {
         end(null, "client said goodbye");
       } else if (next.type == 'Q') {
-        query(Reader.query(next.body));
+        query(MessageReader.parseQuery(next.body));
       } else {
         throw new ProtocolException(
             "only simple queries are served here, not a message of type " + next.type);
@@ -147,12 +147,13 @@
     asked = true;
     quietSince = door.now();
     if (blank(text)) {
-      answered(Writer.empty());
+      answered(MessageWriter.emptyQueryResponse());
       return;
     }
     if (door.refuses()) {
       answered(
-          Writer.error("ERROR", "57P03", "the relay is ending; trying again is harmless", null));
+          MessageWriter.errorResponse(
+              "ERROR", "57P03", "the relay is ending; trying again is harmless", null));
       return;
     }
     String wrong;
@@ -169,7 +170,7 @@
       wrong = e.getMessage();
     }
     door.refused(wrong);
-    answered(Writer.error("ERROR", "42601", wrong, null));
+    answered(MessageWriter.errorResponse("ERROR", "42601", wrong, null));
   }
 
   private static boolean blank(byte[] text) {
@@ -185,7 +186,7 @@
     for (byte[] message : messages) {
       connection.append(message);
     }
-    connection.append(Writer.ready());
+    connection.append(MessageWriter.readyForQuery());
     quietSince = door.now();
     if (leaves) {
       leaveSoon();
@@ -195,7 +196,7 @@
   /** The one final answer; none goes to a client that left. */
   void answer(PlatformRequest one, RequestOutcome ending, TimeSpan wait, byte[] body) {
     one.over();
-    if (!open() || open != one) {
+    if (!wantsMore() || open != one) {
       return;
     }
     open = null;
@@ -203,12 +204,13 @@
       case OK -> answered(body);
       case PUSHED_BACK ->
           answered(
-              Writer.error(
+              MessageWriter.errorResponse(
                   "ERROR",
                   "53300",
                   "not taken; trying again is harmless",
                   wait.over(TimeSpan.ZERO) ? Long.toString((long) Math.ceil(wait.ms())) : null));
-      default -> answered(Writer.error("ERROR", "58000", "no unit gave an answer", null));
+      default ->
+          answered(MessageWriter.errorResponse("ERROR", "58000", "no unit gave an answer", null));
     }
     if (!waiting.isEmpty()) {
       door.later(
@@ -235,7 +237,7 @@
     }
     if (code != null) {
       door.refused(why);
-      connection.append(Writer.error("FATAL", code, why, null));
+      connection.append(MessageWriter.errorResponse("FATAL", code, why, null));
     }
     at = At.ENDING;
     waiting.clear();
@@ -249,7 +251,7 @@
    */
   private void part() {
     at = At.PARTING;
-    connection.finishUnlessRead();
+    connection.finishUnlessReceived();
   }
 
   private void leave() {
@@ -271,9 +273,9 @@
 
   /** Nothing is being asked on it, and nothing has been for so long. */
   boolean quietFor(TimeSpan time) {
-    return open()
+    return wantsMore()
         && open == null
-        && !in.partial()
+        && !in.isPartial()
         && waiting.isEmpty()
         && !time.over(door.now().since(quietSince));
   }
@@ -300,7 +302,7 @@
    */
   void leaveNow() {
     leaves = true;
-    if (open() && open == null && waiting.isEmpty()) {
+    if (wantsMore() && open == null && waiting.isEmpty()) {
       part();
     }
   }
--- a/src/main/java/sprucerock/relay/platform/PlatformConnectionPools.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformConnectionPools.java
@@ -71,7 +71,7 @@
 
   /** Its unit may be about to close it; by the clock read anew, as a turn may take long. */
   boolean idleTooLong(PlatformEndpointConnection connection) {
-    return net.clock().since(connection.idleSince).over(keepIdle);
+    return net.readClock().since(connection.idleSince).over(keepIdle);
   }
 
   int open() {
@@ -83,11 +83,11 @@
   }
 
   Timestamp clock() {
-    return net.clock();
+    return net.readClock();
   }
 
   Timestamp heardUpTo() {
-    return net.heardUpTo();
+    return net.previousTurnStart();
   }
 
   void later(Runnable what) {
@@ -95,7 +95,7 @@
   }
 
   Timer patiently(TimeSpan time, Runnable what) {
-    return net.patiently(time, what);
+    return net.stallTolerantTimeout(time, what);
   }
 
   TimeSpan connectWithin() {
@@ -121,7 +121,7 @@
   void open(PlatformEndpointConnection connection, InetSocketAddress to) {
     open++;
     connection.connecting(net.connect(to, connectWithin, UNSENT, connection));
-    net.patiently(
+    net.stallTolerantTimeout(
         connectWithin,
         () -> { // it may be connected, and never welcomed
           if (connection.starting()) {
--- a/src/main/java/sprucerock/relay/platform/PlatformEndpointConnection.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformEndpointConnection.java
@@ -7,17 +7,17 @@
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.MessageFramer;
+import sprucerock.transport.postgres.MessageReader;
+import sprucerock.transport.postgres.MessageWriter;
 import sprucerock.transport.postgres.ProtocolException;
-import sprucerock.transport.postgres.Reader;
-import sprucerock.transport.postgres.Writer;
 
 /**
  * One connection to a unit, for one pick at a time. What comes is read strictly: an answer that is
  * not whole ends its pick as broken, and a connection on which anything came that was not asked for
  * is closed, as nobody can tell what follows.
  */
-final class PlatformEndpointConnection implements ConnectionListener, Messages.User {
+final class PlatformEndpointConnection implements ConnectionListener, MessageFramer.Listener {
   /**
    * SETTLING: answered and ready again, but what came behind the answer by now may still be on its
    * way.
@@ -39,10 +39,10 @@
   private static final TimeSpan QUIET =
       TimeSpan.ofMs(10); // what came behind an answer by then shows that the connection is spoilt
   private static final long NOT_WRITTEN = Long.MAX_VALUE;
-  private static final byte[] STARTUP = Writer.startup("svc", "main");
+  private static final byte[] STARTUP = MessageWriter.startupMessage("svc", "main");
 
   private final PlatformConnectionPool door;
-  private final Messages in = Messages.ofServer(MESSAGE);
+  private final MessageFramer in = MessageFramer.fromServer(MESSAGE);
   private Connection connection;
   private At at = At.STARTING;
   private boolean authenticated;
@@ -80,11 +80,11 @@
 
   /** What was last asked on it has not left this process. */
   boolean unsent() {
-    return exchange != null && connection.handed() < mark;
+    return exchange != null && connection.bytesHandedOver() < mark;
   }
 
   @Override
-  public void up(Connection made) {
+  public void connected(Connection made) {
     connection = made;
     connection.append(STARTUP);
   }
@@ -108,8 +108,9 @@
     }
     Timestamp clock = door.clock();
     if (next.mayStart(clock) && next.ends().after(clock)) {
-      connection.append(Writer.query(next.statement().within(next.ends().since(clock).ms())));
-      mark = connection.written();
+      connection.append(
+          MessageWriter.query(next.statement().within(next.ends().since(clock).ms())));
+      mark = connection.bytesWritten();
       door.written(next);
       return;
     }
@@ -121,7 +122,7 @@
   }
 
   @Override
-  public boolean open() {
+  public boolean wantsMore() {
     return !closed;
   }
 
@@ -131,11 +132,11 @@
       return;
     }
     try {
-      in.take(bytes, this);
+      in.feed(bytes, this);
       if (closed) {
         return;
       }
-      if ((at == At.IDLE || at == At.SETTLING || unsent()) && in.partial()) {
+      if ((at == At.IDLE || at == At.SETTLING || unsent()) && in.isPartial()) {
         throw new ProtocolException("something that was not asked for");
       }
       if ((at == At.SERVED || at == At.FAILED) && leaves == null) {
@@ -173,7 +174,7 @@
   }
 
   @Override
-  public void message(char type, byte[] body) throws ProtocolException {
+  public void onMessage(char type, byte[] body) throws ProtocolException {
     if (type == 'N' || type == 'S') {
       return;
     }
@@ -186,7 +187,7 @@
           throw new ProtocolException("something that was not asked for");
         }
         if (type == 'T') {
-          Reader.oneColumn(body);
+          MessageReader.requireSingleColumn(body);
           column = body;
           at = At.COLUMN;
         } else {
@@ -195,7 +196,7 @@
       }
       case COLUMN -> {
         if (type == 'D') {
-          Reader.oneValue(body);
+          MessageReader.parseSingleValue(body);
           row = body;
           at = At.ROW;
         } else {
@@ -204,18 +205,20 @@
       }
       case ROW -> {
         expect(type, 'C');
-        Reader.complete(body);
+        MessageReader.parseCommandTag(body);
         at = At.SERVED;
         byte[] answer =
-            Writer.join(
-                Writer.message('T', column), Writer.message('D', row), Writer.message('C', body));
+            MessageWriter.concat(
+                MessageWriter.message('T', column),
+                MessageWriter.message('D', row),
+                MessageWriter.message('C', body));
         column = null;
         row = null;
         ended(AttemptOutcome.OK, answer);
       }
       case SERVED, FAILED -> {
         expect(type, 'Z');
-        Reader.ready(body);
+        MessageReader.requireReadyForQuery(body);
         if (leaves != null) {
           leaves.cancel();
         }
@@ -235,15 +238,15 @@
 
   private void starting(char type, byte[] body) throws ProtocolException {
     if (type == 'R') {
-      Reader.authenticated(body);
+      MessageReader.requireAuthenticationOk(body);
       authenticated = true;
     } else if (type == 'E') {
       if (full(body)) {
         startFailed = AttemptOutcome.FULL;
       }
-      throw new ProtocolException("no session: " + Reader.errorField(body, 'M'));
+      throw new ProtocolException("no session: " + MessageReader.parseErrorField(body, 'M'));
     } else if (type == 'Z' && authenticated) {
-      Reader.ready(body);
+      MessageReader.requireReadyForQuery(body);
       at = At.IDLE;
       becameReady = true;
     } else if (type != 'K') {
@@ -252,7 +255,7 @@
   }
 
   private static boolean full(byte[] error) throws ProtocolException {
-    return "53300".equals(Reader.errorField(error, 'C'));
+    return "53300".equals(MessageReader.parseErrorField(error, 'C'));
   }
 
   private void failed(char type, byte[] body) throws ProtocolException {
@@ -272,7 +275,7 @@
   /** Nobody waits for what was asked on it any more; true where that provably never left. */
   boolean giveUp() {
     exchange = null;
-    boolean never = connection.handed() < mark;
+    boolean never = connection.bytesHandedOver() < mark;
     cut("given up");
     return never;
   }
@@ -290,7 +293,7 @@
     if (closed) {
       return;
     }
-    connection.append(Writer.terminate());
+    connection.append(MessageWriter.terminate());
     connection.finish();
     down("no longer needed");
   }
@@ -308,7 +311,10 @@
     // the last byte of a query that has not left proves that it never ran; after that nobody knows
     if (open != null) {
       door.endsSoon(
-          open, connection.handed() < mark ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN);
+          open,
+          connection.bytesHandedOver() < mark
+              ? AttemptOutcome.NOT_CONNECTED
+              : AttemptOutcome.BROKEN);
     }
     door.down(this, startFailed, why);
   }
--- a/src/main/java/sprucerock/relay/platform/ReconnectingWatch.java
+++ b/src/main/java/sprucerock/relay/platform/ReconnectingWatch.java
@@ -85,7 +85,7 @@
   }
 
   /** One answer, from its asking on. */
-  private final class Watch implements HttpConnection.Call {
+  private final class Watch implements HttpConnection.ResponseListener {
     private final HttpConnection connection = new HttpConnection(net, to, within);
     private final Answer answer = reader.asks();
     private final Timestamp asked = net.now();
@@ -100,8 +100,9 @@
 
     /** What is left until it counts as silent. */
     private TimeSpan left() {
-      TimeSpan may = !connection.heard() ? begins : midway ? answers.atMost(silence) : silence;
-      return may.minus(net.now().since(connection.heardLast()));
+      TimeSpan may =
+          !connection.hasReceived() ? begins : midway ? answers.atMost(silence) : silence;
+      return may.minus(net.now().since(connection.lastReceivedAt()));
     }
 
     /**
@@ -119,7 +120,7 @@
               () -> {
                 if (overdue()) {
                   look =
-                      net.patiently(
+                      net.stallTolerantTimeout(
                           AGAIN,
                           () -> {
                             if (overdue()) {
@@ -148,8 +149,9 @@
      * silent too gives way to another.
      */
     private void silent() {
-      String why = "silent for " + Math.round(net.now().since(connection.heardLast()).ms()) + " ms";
-      if (!connection.heard()) {
+      String why =
+          "silent for " + Math.round(net.now().since(connection.lastReceivedAt()).ms()) + " ms";
+      if (!connection.hasReceived()) {
         unanswered++;
       }
       if (this == next) {
@@ -171,12 +173,12 @@
     }
 
     @Override
-    public boolean streams() {
+    public boolean isStreaming() {
       return true;
     }
 
     @Override
-    public void piece(int status, ByteBuffer bytes) throws HttpException {
+    public void bodyPart(int status, ByteBuffer bytes) throws HttpException {
       if (this != heard && this != next) {
         return;
       }
@@ -200,7 +202,7 @@
     }
 
     @Override
-    public void answered(int status, byte[] body) {
+    public void completed(int status, byte[] body) {
       cut("it ended with status " + status);
       gone("it ended with status " + status);
     }
@@ -218,7 +220,7 @@
       // what lasted was good: else one that can't be read to its end would be asked for without a
       // pause
       if (net.now().since(asked).over(silence)) {
-        pauses.over();
+        pauses.reset();
       }
       if (this == next) {
         next = null;
@@ -231,7 +233,7 @@
       if (next == null && again == null) {
         again =
             net.at(
-                net.now().plus(pauses.next()),
+                net.now().plus(pauses.nextPause()),
                 () -> {
                   again = null;
                   dial();
@@ -259,7 +261,7 @@
       return false;
     }
     to = there;
-    pauses.over();
+    pauses.reset();
     unanswered = 0;
     Watch elsewhere = next;
     next = null;
@@ -273,7 +275,7 @@
   /** How long nothing has come; for as long as there is no watch, since the last one went. */
   TimeSpan silent() {
     if (heard != null) {
-      lastHeard = heard.connection.heardLast().later(lastHeard);
+      lastHeard = heard.connection.lastReceivedAt().later(lastHeard);
     }
     return net.now().since(lastHeard);
   }
--- a/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
+++ b/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
@@ -145,15 +145,15 @@
   private HttpConnection connection() {
     Timestamp now = net.now();
     for (HttpConnection connection : new ArrayList<>(connections)) {
-      if (!connection.usable()) {
+      if (!connection.canSend()) {
         connections.remove(connection);
-      } else if (connection.idle() && now.since(connection.usedLast()).over(FRESH)) {
+      } else if (connection.isIdle() && now.since(connection.lastSentAt()).over(FRESH)) {
         connections.remove(connection);
         connection.finish();
       }
     }
     for (HttpConnection connection : connections) {
-      if (connection.idle()) {
+      if (connection.isIdle()) {
         return connection;
       }
     }
@@ -166,7 +166,7 @@
   }
 
   /** One vote on its way. */
-  private final class Vote implements HttpConnection.Call {
+  private final class Vote implements HttpConnection.ResponseListener {
     private final HttpConnection connection;
     private final Timer timer;
     private boolean over;
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public void answered(int status, byte[] body) {
+    public void completed(int status, byte[] body) {
       try {
         Map<String, String> said = xml(body);
         String code = said.get("Code");
@@ -260,7 +260,8 @@
 
   @Override
   public ReconnectingWatch.Answer asks() {
-    sprucerock.transport.http.EventStream stream = new sprucerock.transport.http.EventStream();
+    sprucerock.transport.http.EventStreamParser stream =
+        new sprucerock.transport.http.EventStreamParser();
     return new ReconnectingWatch.Answer() {
       @Override
       public String path() {
@@ -269,7 +270,7 @@
 
       @Override
       public boolean piece(ByteBuffer bytes) throws HttpException {
-        stream.take(bytes, ReleaseApiClient.this::event);
+        stream.feed(bytes, ReleaseApiClient.this::event);
         return true; // an event that is not whole is told by the next piece or by nobody
       }
     };
--- a/src/main/java/sprucerock/relay/platform/WarmUp.java
+++ b/src/main/java/sprucerock/relay/platform/WarmUp.java
@@ -14,10 +14,10 @@
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.MessageFramer;
+import sprucerock.transport.postgres.MessageReader;
+import sprucerock.transport.postgres.MessageWriter;
 import sprucerock.transport.postgres.ProtocolException;
-import sprucerock.transport.postgres.Reader;
-import sprucerock.transport.postgres.Writer;
 
 /**
  * A made-up day in memory, before any socket is open: the virtual machine has loaded and compiled
@@ -128,30 +128,30 @@
   }
 
   /** What client and unit have in common: messages that are always whole. */
-  private abstract static class Speaker implements ConnectionListener, Messages.User {
-    private final Messages in;
+  private abstract static class Speaker implements ConnectionListener, MessageFramer.Listener {
+    private final MessageFramer in;
     Connection connection;
 
-    Speaker(Messages in) {
+    Speaker(MessageFramer in) {
       this.in = in;
     }
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       try {
-        in.take(bytes, this);
+        in.feed(bytes, this);
       } catch (ProtocolException e) {
         throw new IllegalStateException(e);
       }
     }
 
     @Override
-    public boolean open() {
+    public boolean wantsMore() {
       return true;
     }
 
@@ -159,7 +159,7 @@
     public void closed(String why) {}
 
     void started() {
-      in.started();
+      in.startupComplete();
     }
   }
 
@@ -167,17 +167,17 @@
     boolean waits = true;
 
     Client() {
-      super(Messages.ofServer(1 << 17));
+      super(MessageFramer.fromServer(1 << 17));
     }
 
     @Override
-    public void up(Connection made) {
-      super.up(made);
-      made.append(Writer.startup("svc", "main"));
+    public void connected(Connection made) {
+      super.connected(made);
+      made.append(MessageWriter.startupMessage("svc", "main"));
     }
 
     @Override
-    public void message(char type, byte[] body) {
+    public void onMessage(char type, byte[] body) {
       if (type == 'C') {
         answered++;
       }
@@ -202,7 +202,8 @@
               ? "SELECT v FROM records WHERE k = '00000000000000aa'" + comment
               : "INSERT INTO records (k, v) VALUES ('00000000000000ab', '\\x9f03') RETURNING v"
                   + comment;
-      net.turn(() -> connection.append(Writer.query(text.getBytes(StandardCharsets.US_ASCII))));
+      net.turn(
+          () -> connection.append(MessageWriter.query(text.getBytes(StandardCharsets.US_ASCII))));
     }
   }
 
@@ -211,24 +212,26 @@
         ByteBuffer.allocate(22).putShort((short) 1).put((byte) 'v').array();
     private static final byte[] ROW = ByteBuffer.allocate(10).putShort((short) 1).putInt(4).array();
     private final byte[] answer =
-        Writer.join(
-            Writer.message('T', COLUMN),
-            Writer.message('D', ROW),
-            Writer.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
-            Writer.ready());
+        MessageWriter.concat(
+            MessageWriter.message('T', COLUMN),
+            MessageWriter.message('D', ROW),
+            MessageWriter.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
+            MessageWriter.readyForQuery());
 
     Unit() {
-      super(Messages.ofClient(1 << 18));
+      super(MessageFramer.fromClient(1 << 18));
     }
 
     @Override
-    public void message(char type, byte[] body) throws ProtocolException {
+    public void onMessage(char type, byte[] body) throws ProtocolException {
       if (type == 0) {
         started();
-        connection.append(Writer.welcome());
-      } else if (type == 'Q' && Reader.query(body).length % 17 == 3) {
+        connection.append(MessageWriter.sessionStart());
+      } else if (type == 'Q' && MessageReader.parseQuery(body).length % 17 == 3) {
         connection.append(
-            Writer.join(Writer.error("ERROR", "XX000", "now and then", null), Writer.ready()));
+            MessageWriter.concat(
+                MessageWriter.errorResponse("ERROR", "XX000", "now and then", null),
+                MessageWriter.readyForQuery()));
       } else if (type == 'Q') {
         connection.append(answer);
       }
@@ -238,7 +241,7 @@
   /** Discovery and desk: an answer without end that begins with one piece. */
   private record Teller(String piece) implements ConnectionListener {
     @Override
-    public void up(Connection connection) {
+    public void connected(Connection connection) {
       String text =
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
               + Integer.toHexString(piece.length())
--- a/src/main/java/sprucerock/transport/http/EventStream.java
+++ b/src/main/java/sprucerock/transport/http/EventStreamParser.java
@@ -3,32 +3,32 @@
 import java.nio.ByteBuffer;
 
 /** An event stream: names and data of events, and signs of life. */
-public final class EventStream {
+public final class EventStreamParser {
   /** Who is told of events. */
-  public interface User {
-    void event(String name, String data) throws HttpException;
+  public interface Listener {
+    void onEvent(String name, String data) throws HttpException;
   }
 
   private static final int LINE = 16 * 1024;
 
-  private final Lines lines = new Lines(LINE);
+  private final LineReader lines = new LineReader(LINE);
   private String name = "";
   private String data;
 
   /**
    * @throws HttpException if it is no event stream, or the user says so
    */
-  public void take(ByteBuffer in, User user) throws HttpException {
-    lines.take(in, line -> line(line, user));
+  public void feed(ByteBuffer in, Listener user) throws HttpException {
+    lines.feed(in, line -> line(line, user));
   }
 
-  private void line(String line, User user) throws HttpException {
+  private void line(String line, Listener user) throws HttpException {
     if (line.startsWith(":")) {
       return; // a comment, as a sign of life
     }
     if (line.isEmpty()) {
       if (data != null) {
-        user.event(name, data);
+        user.onEvent(name, data);
       }
       name = "";
       data = null;
--- a/src/main/java/sprucerock/transport/http/HttpConnection.java
+++ b/src/main/java/sprucerock/transport/http/HttpConnection.java
@@ -20,23 +20,23 @@
    * Who made a call. Exactly one of {@code answered} and {@code failed} is told, unless the answer
    * never ends.
    */
-  public interface Call {
+  public interface ResponseListener {
     /** A piece of the body, as it comes; by default bodies are only told whole. */
-    default void piece(int status, ByteBuffer bytes) throws HttpException {}
+    default void bodyPart(int status, ByteBuffer bytes) throws HttpException {}
 
     /** The answer is whole; the body is empty for calls whose body {@link #streams}. */
-    void answered(int status, byte[] body);
+    void completed(int status, byte[] body);
 
     /** No answer; {@code carriedOut}: whether the server may have got the call whole. */
     void failed(String why, boolean carriedOut);
 
     /** Its body is told in pieces only, and may be without end. */
-    default boolean streams() {
+    default boolean isStreaming() {
       return false;
     }
   }
 
-  private record Open(Call call, long mark) {}
+  private record Open(ResponseListener call, long mark) {}
 
   private static final int BODY = 64 * 1024; // of an answer that is told whole
   private static final int OPEN = 64; // calls one behind the other
@@ -45,56 +45,56 @@
   private final Net net;
   private final InetSocketAddress to;
   private final ArrayDeque<Open> calls = new ArrayDeque<>();
-  private final Answers answers = new Answers();
+  private final ResponseParser answers = new ResponseParser();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private final Connection connection;
   private int status;
   private boolean up;
   private boolean closed;
-  private Timestamp usedLast;
-  private Timestamp heardLast;
-  private boolean heard;
+  private Timestamp lastSentAt;
+  private Timestamp lastReceivedAt;
+  private boolean hasReceived;
 
   /** Begins to connect. */
   public HttpConnection(Net net, InetSocketAddress to, TimeSpan within) {
     this.net = net;
     this.to = to;
-    usedLast = net.now();
-    heardLast = usedLast;
+    lastSentAt = net.now();
+    lastReceivedAt = lastSentAt;
     connection = net.connect(to, within, UNSENT, this);
   }
 
   /** Whether another call may be sent on it. */
-  public boolean usable() {
+  public boolean canSend() {
     return !closed && calls.size() < OPEN;
   }
 
-  public boolean idle() {
+  public boolean isIdle() {
     return calls.isEmpty();
   }
 
   /** When bytes came last, or it was made. */
-  public Timestamp heardLast() {
-    return heardLast;
+  public Timestamp lastReceivedAt() {
+    return lastReceivedAt;
   }
 
   /** Whether any bytes came. */
-  public boolean heard() {
-    return heard;
+  public boolean hasReceived() {
+    return hasReceived;
   }
 
   /** When a call was sent last, or it was made. */
-  public Timestamp usedLast() {
-    return usedLast;
+  public Timestamp lastSentAt() {
+    return lastSentAt;
   }
 
   /** Asks for a path. */
-  public void get(String path, Call call) {
+  public void get(String path, ResponseListener call) {
     send("GET " + path + " HTTP/1.1\r\nHost: " + host() + "\r\n\r\n", call);
   }
 
   /** Sends a form. */
-  public void post(String path, String form, Call call) {
+  public void post(String path, String form, ResponseListener call) {
     send(
         "POST "
             + path
@@ -111,10 +111,10 @@
     return to.getAddress().getHostAddress() + ":" + to.getPort();
   }
 
-  private void send(String text, Call call) {
-    usedLast = net.now();
+  private void send(String text, ResponseListener call) {
+    lastSentAt = net.now();
     connection.append(text.getBytes(StandardCharsets.US_ASCII));
-    calls.add(new Open(call, connection.written()));
+    calls.add(new Open(call, connection.bytesWritten()));
   }
 
   public void cut(String why) {
@@ -127,21 +127,21 @@
   }
 
   @Override
-  public void up(Connection made) {
+  public void connected(Connection made) {
     up = true;
   }
 
   @Override
   public void received(ByteBuffer bytes) {
-    heardLast = net.now();
-    heard = true;
+    lastReceivedAt = net.now();
+    hasReceived = true;
     if (closed) {
       return;
     }
     try {
       answers.take(
           bytes,
-          new Answers.User() {
+          new ResponseParser.Listener() {
             @Override
             public void head(int code) throws HttpException {
               if (calls.isEmpty()) {
@@ -153,9 +153,9 @@
 
             @Override
             public void body(ByteBuffer piece) throws HttpException {
-              Call call = calls.peek().call;
-              call.piece(status, piece.duplicate());
-              if (call.streams()) {
+              ResponseListener call = calls.peek().call;
+              call.bodyPart(status, piece.duplicate());
+              if (call.isStreaming()) {
                 return;
               }
               if (body.size() + piece.remaining() > BODY) {
@@ -168,7 +168,7 @@
 
             @Override
             public void end() {
-              calls.poll().call.answered(status, body.toByteArray());
+              calls.poll().call.completed(status, body.toByteArray());
             }
           });
     } catch (HttpException e) {
@@ -181,7 +181,7 @@
     closed = true;
     while (!calls.isEmpty()) {
       Open open = calls.poll();
-      open.call.failed(why, up && connection.handed() >= open.mark);
+      open.call.failed(why, up && connection.bytesHandedOver() >= open.mark);
     }
   }
 }
--- a/src/main/java/sprucerock/transport/http/Lines.java
+++ b/src/main/java/sprucerock/transport/http/LineReader.java
@@ -5,17 +5,17 @@
 import java.util.Arrays;
 
 /** Cuts bytes into lines of a bounded length, each without its end. */
-public final class Lines {
+public final class LineReader {
   /** Who is told of lines. */
-  public interface User {
-    void line(String line) throws HttpException;
+  public interface Listener {
+    void onLine(String line) throws HttpException;
   }
 
   private final int most;
   private byte[] held = new byte[128];
   private int have;
 
-  public Lines(int most) {
+  public LineReader(int most) {
     this.most = most;
   }
 
@@ -23,7 +23,7 @@
    * The next whole line; null once all bytes are taken and none is. @throws HttpException if it
    * gets too long
    */
-  public String next(ByteBuffer in) throws HttpException {
+  public String nextLine(ByteBuffer in) throws HttpException {
     while (in.hasRemaining()) {
       byte b = in.get();
       if (b == '\n') {
@@ -46,9 +46,9 @@
    * Tells of all lines that are whole. @throws HttpException if one is too long, or the user says
    * so
    */
-  public void take(ByteBuffer in, User user) throws HttpException {
-    for (String line = next(in); line != null; line = next(in)) {
-      user.line(line);
+  public void feed(ByteBuffer in, Listener user) throws HttpException {
+    for (String line = nextLine(in); line != null; line = nextLine(in)) {
+      user.onLine(line);
     }
   }
 }
--- a/src/main/java/sprucerock/transport/http/Answers.java
+++ b/src/main/java/sprucerock/transport/http/ResponseParser.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 
 /** Reads answers one behind the other: heads, then bodies by length or in chunks. */
-final class Answers {
+final class ResponseParser {
   /** Who is told of an answer as it comes. */
-  interface User {
+  interface Listener {
     void head(int status) throws HttpException;
 
     void body(ByteBuffer piece) throws HttpException;
@@ -27,7 +27,7 @@
   private static final int LINE = 4096;
   private static final int HEADERS = 64;
 
-  private final Lines lines = new Lines(LINE);
+  private final LineReader lines = new LineReader(LINE);
   private At at = At.STATUS;
   private int status;
   private int headers;
@@ -42,7 +42,7 @@
   /**
    * @throws HttpException if it can't be an answer; nothing may be taken after that
    */
-  void take(ByteBuffer in, User user) throws HttpException {
+  void take(ByteBuffer in, Listener user) throws HttpException {
     while (in.hasRemaining()) {
       if (at == At.LENGTH || at == At.CHUNK) {
         int count = (int) Math.min(left, in.remaining());
@@ -57,14 +57,14 @@
         }
         continue;
       }
-      String line = lines.next(in);
+      String line = lines.nextLine(in);
       if (line != null) {
         line(line, user);
       }
     }
   }
 
-  private void line(String line, User user) throws HttpException {
+  private void line(String line, Listener user) throws HttpException {
     switch (at) {
       case STATUS -> {
         if (!line.matches("HTTP/1\\.[01] [1-5][0-9]{2}( .*)?")) {
@@ -131,7 +131,7 @@
     }
   }
 
-  private void body(User user) throws HttpException {
+  private void body(Listener user) throws HttpException {
     if (status / 100 == 1) { // others come before the answer
       at = At.STATUS;
       return;
@@ -148,7 +148,7 @@
     }
   }
 
-  private void end(User user) throws HttpException {
+  private void end(Listener user) throws HttpException {
     at = At.STATUS;
     user.end();
   }
--- a/src/main/java/sprucerock/transport/net/Connection.java
+++ b/src/main/java/sprucerock/transport/net/Connection.java
@@ -11,7 +11,7 @@
    * Room for the next so many bytes, which the caller fills before its turn ends. Takes no large
    * pieces: see below.
    */
-  ByteBuffer claim(int bytes);
+  ByteBuffer reserve(int bytes);
 
   /**
    * The same for bytes that are there already; they are not copied and must not change any more.
@@ -19,12 +19,12 @@
   void append(byte[] bytes);
 
   /** How many bytes were written to it so far. */
-  long written();
+  long bytesWritten();
 
   /**
    * How many of those may have left this process; none after them can have been read by anybody.
    */
-  long handed();
+  long bytesHandedOver();
 
   /** Closes once all that was written has gone out, or its limit of time is over. */
   void finish();
@@ -34,7 +34,7 @@
    * told to the user as ever and takes the closing back. Guards against a close that crosses a
    * request: what was read can't be asked for elsewhere.
    */
-  default void finishUnlessRead() {
+  default void finishUnlessReceived() {
     finish();
   }
 
--- a/src/main/java/sprucerock/transport/net/ConnectionListener.java
+++ b/src/main/java/sprucerock/transport/net/ConnectionListener.java
@@ -5,7 +5,7 @@
 /** Who uses a link. */
 public interface ConnectionListener {
   /** It can be written and will be read from now on. */
-  void up(Connection connection);
+  void connected(Connection connection);
 
   /** Bytes came, in order, in pieces of any size; they are only there during the call. */
   void received(ByteBuffer bytes);
--- a/src/main/java/sprucerock/transport/net/ExponentialBackoff.java
+++ b/src/main/java/sprucerock/transport/net/ExponentialBackoff.java
@@ -24,14 +24,14 @@
    * The next pause; from half to all of it, so that hundreds that lost the same one don't come back
    * together.
    */
-  public TimeSpan next() {
+  public TimeSpan nextPause() {
     TimeSpan now = pause.times(0.5 + 0.5 * dice.getAsDouble());
     pause = pause.times(2).atMost(most);
     return now;
   }
 
   /** It is there again: the next pause is the first. */
-  public void over() {
+  public void reset() {
     pause = first;
   }
 }
--- a/src/main/java/sprucerock/transport/net/Net.java
+++ b/src/main/java/sprucerock/transport/net/Net.java
@@ -12,7 +12,7 @@
       InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users)
       throws IOException {
     Listener listener = bind(at, most, mostUnsent, users);
-    listener.take();
+    listener.startAccepting();
     return listener;
   }
 
@@ -39,17 +39,17 @@
    *
    * @throws IOException if the address can't be had
    */
-  Datagrams datagrams(InetSocketAddress at, Datagrams.User user) throws IOException;
+  Datagrams datagrams(InetSocketAddress at, Datagrams.Receiver user) throws IOException;
 
   /** A listening address. */
   interface Listener {
     InetSocketAddress address();
 
     /** Takes connections from now on; those that came before have waited in the system's queue. */
-    void take();
+    void startAccepting();
 
     /** Is run for each connection that was closed as it came, since too many were open. */
-    default void turnedAway(Runnable what) {}
+    default void onRejected(Runnable what) {}
 
     /**
      * Takes no more connections once those that had come by now are taken; those that are open
--- a/src/main/java/sprucerock/transport/net/SimulatedNet.java
+++ b/src/main/java/sprucerock/transport/net/SimulatedNet.java
@@ -29,10 +29,10 @@
   private final double stepMs;
   private double nowMs;
   private long made;
-  private boolean connectsHang;
-  private boolean nobodyReads;
+  private boolean setConnectsHang;
+  private boolean setNobodyReads;
   private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
-  private int connects;
+  private int connectCount;
 
   public SimulatedNet(double startMs, double stepMs) {
     nowMs = startMs;
@@ -40,21 +40,21 @@
   }
 
   /** Whether connections that are begun stay in the making. */
-  public void connectsHang(boolean all) {
-    connectsHang = all;
+  public void setConnectsHang(boolean all) {
+    setConnectsHang = all;
   }
 
   /** Whether what is written stays unsent, as where nobody reads. */
-  public void nobodyReads(boolean all) {
-    nobodyReads = all;
+  public void setNobodyReads(boolean all) {
+    setNobodyReads = all;
     while (!all && !unread.isEmpty()) {
       turn(unread.poll());
     }
   }
 
   /** How many connections were begun. */
-  public int connects() {
-    return connects;
+  public int connectCount() {
+    return connectCount;
   }
 
   /** Lets that time pass, in whole steps. */
@@ -67,7 +67,7 @@
   }
 
   /** Time passes, and nothing is done: as where the loop's thread got no processor. */
-  public void standStill(double ms) {
+  public void stall(double ms) {
     nowMs += ms;
   }
 
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void take() {
+    public void startAccepting() {
       taking = true;
       while (!queue.isEmpty()) {
         queue.poll().run();
@@ -151,10 +151,10 @@
   @Override
   public Connection connect(
       InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user) {
-    connects++;
+    connectCount++;
     End near = new End(user);
     Door door = doors.get(to.getPort());
-    if (connectsHang) {
+    if (setConnectsHang) {
       at(now().plus(within), () -> near.cut("no connection in time"));
     } else if (door == null) {
       near.cut("no connection: refused");
@@ -168,17 +168,17 @@
     return near;
   }
 
-  private final Map<InetSocketAddress, Datagrams.User> datagrams = new HashMap<>();
+  private final Map<InetSocketAddress, Datagrams.Receiver> datagrams = new HashMap<>();
 
   @Override
-  public Datagrams datagrams(InetSocketAddress at, Datagrams.User user) {
+  public Datagrams datagrams(InetSocketAddress at, Datagrams.Receiver user) {
     datagrams.put(at, user);
     return new Datagrams() {
       @Override
       public boolean send(InetSocketAddress to, byte[] bytes) {
-        Datagrams.User other = datagrams.get(to);
+        Datagrams.Receiver other = datagrams.get(to);
         if (other != null) {
-          events.add(() -> other.came(at, bytes));
+          events.add(() -> other.received(at, bytes));
         }
         return other != null;
       }
@@ -194,8 +194,8 @@
     End far = new End(door.users.get());
     near.other = far;
     far.other = near;
-    events.add(() -> near.user.up(near));
-    events.add(() -> far.user.up(far));
+    events.add(() -> near.user.connected(near));
+    events.add(() -> far.user.connected(far));
   }
 
   /** One side of a connection. */
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public ByteBuffer claim(int bytes) {
+    public ByteBuffer reserve(int bytes) {
       ByteBuffer room = ByteBuffer.allocate(bytes);
       add(room);
       return room.slice();
@@ -244,7 +244,7 @@
       if (closed) {
         return;
       }
-      if (nobodyReads) {
+      if (setNobodyReads) {
         unread.add(this::flush);
         return;
       }
@@ -268,12 +268,12 @@
     }
 
     @Override
-    public long written() {
+    public long bytesWritten() {
       return written;
     }
 
     @Override
-    public long handed() {
+    public long bytesHandedOver() {
       return handed;
     }
 
--- a/src/main/java/sprucerock/transport/net/Timers.java
+++ b/src/main/java/sprucerock/transport/net/Timers.java
@@ -11,7 +11,7 @@
   Timestamp now();
 
   /** The same clock read anew: for what must not be earlier than it was. From the loop's thread. */
-  default Timestamp clock() {
+  default Timestamp readClock() {
     return now();
   }
 
@@ -19,7 +19,7 @@
    * What comes in this turn came after that moment: when the turn before this one began. Earlier by
    * as long as the loop stood still.
    */
-  default Timestamp heardUpTo() {
+  default Timestamp previousTurnStart() {
     return now();
   }
 
@@ -37,7 +37,7 @@
    * are given the same time again: what they sent meanwhile is not heard yet, and their silence is
    * not theirs.
    */
-  default Timer patiently(TimeSpan time, Runnable what) {
+  default Timer stallTolerantTimeout(TimeSpan time, Runnable what) {
     TimeSpan late = TimeSpan.ofMs(5); // a loop that runs is a millisecond or two late
     Timer[] current = new Timer[1];
     Timestamp due = now().plus(time);
@@ -46,7 +46,7 @@
             due,
             () -> {
               if (now().since(due).over(late)) {
-                current[0] = patiently(time, what);
+                current[0] = stallTolerantTimeout(time, what);
               } else {
                 what.run();
               }
--- a/src/main/java/sprucerock/transport/net/nio/NioConnection.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioConnection.java
@@ -65,7 +65,7 @@
   }
 
   void connect(InetSocketAddress to, TimeSpan within) {
-    connecting = loop.patiently(within, () -> cut("no connection in time"));
+    connecting = loop.stallTolerantTimeout(within, () -> cut("no connection in time"));
     try {
       channel.connect(
           to,
@@ -100,7 +100,7 @@
     }
     up = true;
     in = loop.chunk(READ);
-    user.up(this);
+    user.connected(this);
     if (!closed) {
       read();
     } else {
@@ -161,7 +161,7 @@
   }
 
   @Override
-  public ByteBuffer claim(int bytes) {
+  public ByteBuffer reserve(int bytes) {
     if (tail == null || tail.remaining() < bytes) {
       tail = loop.chunk(bytes);
       unsent.add(tail);
@@ -276,12 +276,12 @@
       };
 
   @Override
-  public long written() {
+  public long bytesWritten() {
     return written;
   }
 
   @Override
-  public long handed() {
+  public long bytesHandedOver() {
     return handed;
   }
 
@@ -309,7 +309,7 @@
   }
 
   @Override
-  public void finishUnlessRead() {
+  public void finishUnlessReceived() {
     if (closed || finishing) {
       return;
     }
--- a/src/main/java/sprucerock/transport/net/nio/NioDatagrams.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioDatagrams.java
@@ -21,10 +21,10 @@
 
   private final NioLoop loop;
   private final DatagramChannel channel;
-  private final User user;
+  private final Receiver user;
   private final AtomicInteger waiting = new AtomicInteger();
 
-  NioDatagrams(NioLoop loop, InetSocketAddress at, User user) throws IOException {
+  NioDatagrams(NioLoop loop, InetSocketAddress at, Receiver user) throws IOException {
     this.loop = loop;
     this.user = user;
     channel = DatagramChannel.open();
@@ -54,7 +54,7 @@
         loop.post(
             () -> {
               waiting.decrementAndGet();
-              user.came(from, bytes);
+              user.received(from, bytes);
             });
       } catch (ClosedChannelException e) {
         return;
--- a/src/main/java/sprucerock/transport/net/nio/NioLoop.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioLoop.java
@@ -112,7 +112,7 @@
   private void run() {
     while (!stopped) {
       before = now;
-      now = clock();
+      now = readClock();
       timers.run(now.ms(), this::guarded);
       // not more than a turn's worth: timers and writes must get their turn under any load
       for (int i = 0; i < 512; i++) {
@@ -156,7 +156,7 @@
   }
 
   private void sleep() {
-    double ms = timers.next() - clock().ms();
+    double ms = timers.next() - readClock().ms();
     if (ms <= 0) {
       return;
     }
@@ -169,12 +169,12 @@
 
   /** From any thread. */
   @Override
-  public Timestamp clock() {
+  public Timestamp readClock() {
     return Timestamp.ofMs((System.nanoTime() - origin) / 1e6);
   }
 
   /** Microseconds on the machine's monotonic clock, which its processes share: for traces. */
-  public static long machineMicros() {
+  public static long monotonicMicros() {
     return System.nanoTime() / 1000;
   }
 
@@ -192,7 +192,7 @@
   }
 
   @Override
-  public Timestamp heardUpTo() {
+  public Timestamp previousTurnStart() {
     return before;
   }
 
@@ -255,7 +255,7 @@
   }
 
   @Override
-  public Datagrams datagrams(InetSocketAddress at, Datagrams.User user) throws IOException {
+  public Datagrams datagrams(InetSocketAddress at, Datagrams.Receiver user) throws IOException {
     return new NioDatagrams(this, at, user);
   }
 
@@ -319,7 +319,7 @@
     }
 
     @Override
-    public void take() {
+    public void startAccepting() {
       server.accept(null, this);
     }
 
@@ -333,7 +333,7 @@
     }
 
     @Override
-    public void turnedAway(Runnable what) {
+    public void onRejected(Runnable what) {
       turnedAway = what;
     }
 
--- a/src/main/java/sprucerock/transport/postgres/Messages.java
+++ b/src/main/java/sprucerock/transport/postgres/MessageFramer.java
@@ -7,17 +7,17 @@
  * Cuts a stream of bytes into version 3 messages. It holds one message at most, and grows only as
  * bytes come, so that a length alone asks for no memory.
  */
-public final class Messages {
+public final class MessageFramer {
   /** Who is told of whole messages. */
-  public interface User {
+  public interface Listener {
     /**
      * {@code type} is 0 for a startup message; {@code body} is without type and length, and the
      * user's to keep.
      */
-    void message(char type, byte[] body) throws ProtocolException;
+    void onMessage(char type, byte[] body) throws ProtocolException;
 
     /** False once nothing more is to be told. */
-    boolean open();
+    boolean wantsMore();
   }
 
   private static final byte[] NONE = {};
@@ -30,7 +30,7 @@
   private byte[] held = NONE;
   private int have;
 
-  private Messages(String types, int most, int mostStartup) {
+  private MessageFramer(String types, int most, int mostStartup) {
     this.types = types;
     this.most = most;
     this.mostStartup = mostStartup;
@@ -41,23 +41,23 @@
    * What a client sends; bodies of at most {@code most} bytes. Startup messages come until {@link
    * #started}.
    */
-  public static Messages ofClient(int most) {
-    return new Messages(
+  public static MessageFramer fromClient(int most) {
+    return new MessageFramer(
         "QXPBEDCSHFdcfp", most, 10_000); // the limit that servers of this protocol have
   }
 
   /** What a server sends; bodies of at most {@code most} bytes. */
-  public static Messages ofServer(int most) {
-    return new Messages("RSKZTDCEINA", most, 0);
+  public static MessageFramer fromServer(int most) {
+    return new MessageFramer("RSKZTDCEINA", most, 0);
   }
 
   /** The startup message came: typed messages follow. */
-  public void started() {
+  public void startupComplete() {
     startup = false;
   }
 
   /** Whether a message has begun and is not whole. */
-  public boolean partial() {
+  public boolean isPartial() {
     return have > 0;
   }
 
@@ -65,8 +65,8 @@
    * Takes all bytes. @throws ProtocolException if they can't be messages; nothing may be taken
    * after that
    */
-  public void take(ByteBuffer in, User user) throws ProtocolException {
-    while (in.hasRemaining() && user.open()) {
+  public void feed(ByteBuffer in, Listener user) throws ProtocolException {
+    while (in.hasRemaining() && user.wantsMore()) {
       int head = startup ? 4 : 5;
       if (have < head) {
         if (!startup && have == 0 && types.indexOf(in.get(in.position()) & 0xff) < 0) {
@@ -94,7 +94,7 @@
       if (held.length > 4 * FIRST) {
         held = NONE;
       }
-      user.message(type, body);
+      user.onMessage(type, body);
     }
   }
 
--- a/src/main/java/sprucerock/transport/postgres/Reader.java
+++ b/src/main/java/sprucerock/transport/postgres/MessageReader.java
@@ -4,34 +4,34 @@
 import java.nio.charset.StandardCharsets;
 
 /** Bodies of messages, read strictly: each must be whole, and nothing may be left over. */
-public final class Reader {
+public final class MessageReader {
   private static final int SSL = 80877103;
   private static final int GSS = 80877104;
   private static final int CANCEL = 80877102;
 
   /** What a startup message asks for. */
-  public enum Startup {
+  public enum StartupKind {
     SESSION,
     ENCRYPTION,
     CANCEL
   }
 
-  private Reader() {}
+  private MessageReader() {}
 
   /**
    * @throws ProtocolException if it is no startup message of version 3
    */
-  public static Startup startup(byte[] body) throws ProtocolException {
+  public static StartupKind parseStartup(byte[] body) throws ProtocolException {
     if (body.length < 4) {
       throw new ProtocolException("a startup message without a version");
     }
     ByteBuffer in = ByteBuffer.wrap(body);
     int code = in.getInt();
     if (code == SSL || code == GSS) {
-      return Startup.ENCRYPTION;
+      return StartupKind.ENCRYPTION;
     }
     if (code == CANCEL) {
-      return Startup.CANCEL;
+      return StartupKind.CANCEL;
     }
     if (code >>> 16 != 3) {
       throw new ProtocolException(
@@ -52,11 +52,11 @@
     if (in.hasRemaining() || !user) {
       throw new ProtocolException("startup parameters that can't be read");
     }
-    return Startup.SESSION;
+    return StartupKind.SESSION;
   }
 
   /** The text of a simple query. @throws ProtocolException if it does not end where it should */
-  public static byte[] query(byte[] body) throws ProtocolException {
+  public static byte[] parseQuery(byte[] body) throws ProtocolException {
     int end = body.length - 1;
     if (end < 0 || body[end] != 0) {
       throw new ProtocolException("a query that does not end");
@@ -72,7 +72,7 @@
   /**
    * @throws ProtocolException unless it says that no password is wanted
    */
-  public static void authenticated(byte[] body) throws ProtocolException {
+  public static void requireAuthenticationOk(byte[] body) throws ProtocolException {
     if (body.length != 4 || ByteBuffer.wrap(body).getInt() != 0) {
       throw new ProtocolException("a password is asked for");
     }
@@ -81,7 +81,7 @@
   /**
    * @throws ProtocolException unless it describes rows of one column
    */
-  public static void oneColumn(byte[] body) throws ProtocolException {
+  public static void requireSingleColumn(byte[] body) throws ProtocolException {
     ByteBuffer in = ByteBuffer.wrap(body);
     if (in.remaining() < 2 || in.getShort() != 1) {
       throw new ProtocolException("rows of other than one column");
@@ -93,7 +93,7 @@
   }
 
   /** The one value of a row. @throws ProtocolException unless it is one whole value */
-  public static byte[] oneValue(byte[] body) throws ProtocolException {
+  public static byte[] parseSingleValue(byte[] body) throws ProtocolException {
     ByteBuffer in = ByteBuffer.wrap(body);
     if (in.remaining() < 6 || in.getShort() != 1) {
       throw new ProtocolException("a row of other than one value");
@@ -111,7 +111,7 @@
   /**
    * @throws ProtocolException unless it tells that a command is complete
    */
-  public static String complete(byte[] body) throws ProtocolException {
+  public static String parseCommandTag(byte[] body) throws ProtocolException {
     ByteBuffer in = ByteBuffer.wrap(body);
     String tag = string(in);
     if (in.hasRemaining() || tag.isEmpty()) {
@@ -123,7 +123,7 @@
   /**
    * @throws ProtocolException unless it says ready, outside a transaction
    */
-  public static void ready(byte[] body) throws ProtocolException {
+  public static void requireReadyForQuery(byte[] body) throws ProtocolException {
     if (body.length != 1 || body[0] != 'I') {
       throw new ProtocolException("a readiness that can't be read");
     }
@@ -133,7 +133,7 @@
    * A field of an error, by its letter; null where it has none. @throws ProtocolException if it
    * can't be read
    */
-  public static String errorField(byte[] body, char field) throws ProtocolException {
+  public static String parseErrorField(byte[] body, char field) throws ProtocolException {
     ByteBuffer in = ByteBuffer.wrap(body);
     String found = null;
     while (true) {
--- a/src/main/java/sprucerock/transport/postgres/Writer.java
+++ b/src/main/java/sprucerock/transport/postgres/MessageWriter.java
@@ -4,13 +4,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** Messages as bytes. Arrays that are shared must not be changed. */
-public final class Writer {
+public final class MessageWriter {
   private static final int VERSION = 3 << 16;
   private static final byte[] READY = message('Z', new byte[] {'I'});
   private static final byte[] EMPTY = message('I', new byte[0]);
   private static final byte[] TERMINATE = message('X', new byte[0]);
 
-  private Writer() {}
+  private MessageWriter() {}
 
   /** A whole message of a type and its body. */
   public static byte[] message(char type, byte[] body) {
@@ -24,8 +24,8 @@
   // What a server sends.
 
   /** Welcomes a client: no password, a few parameters, a key that cancels nothing, ready. */
-  public static byte[] welcome() {
-    return join(
+  public static byte[] sessionStart() {
+    return concat(
         message('R', new byte[4]),
         parameter("server_version", "14.0"),
         parameter("server_encoding", "UTF8"),
@@ -42,17 +42,17 @@
   }
 
   /** Ready for the next query. */
-  public static byte[] ready() {
+  public static byte[] readyForQuery() {
     return READY;
   }
 
   /** The answer to an empty query. */
-  public static byte[] empty() {
+  public static byte[] emptyQueryResponse() {
     return EMPTY;
   }
 
   /** An error of a severity (ERROR, FATAL) and SQLSTATE; {@code detail} may be null. */
-  public static byte[] error(String severity, String code, String text, String detail) {
+  public static byte[] errorResponse(String severity, String code, String text, String detail) {
     StringBuilder body =
         new StringBuilder()
             .append('S')
@@ -75,7 +75,7 @@
 
   // What a client sends.
 
-  public static byte[] startup(String user, String database) {
+  public static byte[] startupMessage(String user, String database) {
     byte[] body = text("user", user, "database", database, "");
     return ByteBuffer.allocate(8 + body.length)
         .putInt(8 + body.length)
@@ -106,7 +106,7 @@
   }
 
   /** One behind the other. */
-  public static byte[] join(byte[]... parts) {
+  public static byte[] concat(byte[]... parts) {
     int length = 0;
     for (byte[] part : parts) {
       length += part.length;
--- a/src/main/java/sprucerock/transport/tls/Tls.java
+++ b/src/main/java/sprucerock/transport/tls/Tls.java
@@ -200,8 +200,8 @@
     }
 
     @Override
-    public void up(Connection made) {
-      user.up(made);
+    public void connected(Connection made) {
+      user.connected(made);
     }
 
     @Override
--- a/src/main/java/sprucerock/transport/tls/TlsConnection.java
+++ b/src/main/java/sprucerock/transport/tls/TlsConnection.java
@@ -106,7 +106,7 @@
   // From the link below.
 
   @Override
-  public void up(Connection made) {
+  public void connected(Connection made) {
     connection = made;
     if (over) { // cut while it came up
       connection.cut(why);
@@ -293,11 +293,11 @@
       SSLEngineResult result = engine.wrap(from, 0, many, record);
       if (result.bytesConsumed() > 0) {
         wrapped += result.bytesConsumed();
-        marks.add(new Mark(wrapped, connection.written()));
+        marks.add(new Mark(wrapped, connection.bytesWritten()));
       }
       record.flip();
       if (record.hasRemaining()) {
-        connection.claim(record.remaining()).put(record);
+        connection.reserve(record.remaining()).put(record);
       }
       shookHands(result);
       return result.getStatus() == Status.OK
@@ -333,7 +333,7 @@
     limit.cancel();
     credentials.over(engine);
     count(null, asks() ? !looked : engine.getSession().getCreationTime() < begun.toEpochMilli());
-    user.up(this);
+    user.connected(this);
   }
 
   /** Whether its peer has to show a certificate. */
@@ -428,7 +428,7 @@
         SSLEngineResult result = engine.wrap(NOTHING, record);
         record.flip();
         if (record.hasRemaining()) {
-          connection.claim(record.remaining()).put(record);
+          connection.reserve(record.remaining()).put(record);
         }
         if (result.getStatus() != Status.OK) {
           break;
@@ -481,7 +481,7 @@
   // From the user above.
 
   @Override
-  public ByteBuffer claim(int bytes) {
+  public ByteBuffer reserve(int bytes) {
     if (tail == null || tail.remaining() < bytes) {
       tail = ByteBuffer.allocate(Math.max(bytes, CLAIMED));
       plain.add(tail);
@@ -546,7 +546,7 @@
     if (!ready.isEmpty()) {
       advance(); // it wants work done first; then this goes on
     }
-    handed();
+    bytesHandedOver();
     if (finishing && !over && ready.isEmpty()) {
       why = "done";
       close();
@@ -554,16 +554,16 @@
   }
 
   @Override
-  public long written() {
+  public long bytesWritten() {
     return written;
   }
 
   @Override
-  public long handed() {
+  public long bytesHandedOver() {
     if (connection == null) {
       return 0;
     }
-    long below = connection.handed();
+    long below = connection.bytesHandedOver();
     while (!marks.isEmpty() && marks.peek().recordStart < below) {
       handed = marks.poll().plainEnd;
     }
--- a/src/main/java/sprucerock/transport/wire/FrameConnection.java
+++ b/src/main/java/sprucerock/transport/wire/FrameConnection.java
@@ -57,11 +57,11 @@
 
   /** Bytes that wait for the other side to read, or for the connection to come up. */
   public long unsent() {
-    return connection == null ? 0 : connection.written() - connection.handed();
+    return connection == null ? 0 : connection.bytesWritten() - connection.bytesHandedOver();
   }
 
   @Override
-  public void up(Connection made) {
+  public void connected(Connection made) {
     connection = made;
     heard = timers.now();
     if (closed) { // cut while it came up
@@ -98,10 +98,10 @@
       return Long.MAX_VALUE;
     }
     tap.frame(this, true, kind, head, body);
-    long mark = connection.written();
+    long mark = connection.bytesWritten();
     int size = head.getSerializedSize();
     boolean copied = body.length <= COPIED_BODY;
-    ByteBuffer room = connection.claim(FrameReader.START + size + (copied ? body.length : 0));
+    ByteBuffer room = connection.reserve(FrameReader.START + size + (copied ? body.length : 0));
     room.putInt(FrameReader.START - 4 + size + body.length).putInt(kind.code << 24 | size);
     try {
       CodedOutputStream out = CodedOutputStream.newInstance(room.slice(FrameReader.START, size));
@@ -123,7 +123,7 @@
    * it.
    */
   public boolean mayHaveLeft(long mark) {
-    return connection != null && connection.handed() > mark;
+    return connection != null && connection.bytesHandedOver() > mark;
   }
 
   @Override
--- a/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
+++ b/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
@@ -105,7 +105,7 @@
 
   @Override
   public void greeted(FrameConnection made, Hello other) {
-    pauses.over();
+    pauses.reset();
     user.greeted(made, other);
   }
 
@@ -120,6 +120,6 @@
     if (stopped) {
       return;
     }
-    net.at(net.now().plus(pauses.next()), this::dial);
+    net.at(net.now().plus(pauses.nextPause()), this::dial);
   }
 }
--- a/src/test/java/sprucerock/compat/FrameRecorder.java
+++ b/src/test/java/sprucerock/compat/FrameRecorder.java
@@ -52,7 +52,7 @@
     CapturedLink captured = new CapturedLink();
     FrameConnection connection =
         new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
-    connection.up(captured);
+    connection.connected(captured);
     captured.pieces.clear(); // its greeting
     connection.send(kind, head, body);
     ByteArrayOutputStream sent = new ByteArrayOutputStream();
@@ -122,7 +122,7 @@
     private final List<byte[]> pieces = new ArrayList<>();
 
     @Override
-    public ByteBuffer claim(int bytes) {
+    public ByteBuffer reserve(int bytes) {
       byte[] piece = new byte[bytes];
       pieces.add(piece);
       return ByteBuffer.wrap(piece);
@@ -134,12 +134,12 @@
     }
 
     @Override
-    public long written() {
+    public long bytesWritten() {
       return 0;
     }
 
     @Override
-    public long handed() {
+    public long bytesHandedOver() {
       return 0;
     }
 
--- a/src/test/java/sprucerock/compat/PostgresCompatTest.java
+++ b/src/test/java/sprucerock/compat/PostgresCompatTest.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.Test;
-import sprucerock.transport.postgres.Messages;
-import sprucerock.transport.postgres.Reader;
-import sprucerock.transport.postgres.Writer;
+import sprucerock.transport.postgres.MessageFramer;
+import sprucerock.transport.postgres.MessageReader;
+import sprucerock.transport.postgres.MessageWriter;
 
 /**
  * PostgreSQL messages on recorded bytes, in both directions; those that only a client or a server
@@ -54,14 +54,16 @@
   /** All that the program itself writes, to its clients and to the units behind it. */
   private static Map<String, byte[]> written() {
     Map<String, byte[]> all = new LinkedHashMap<>();
-    all.put("welcome", Writer.welcome());
-    all.put("ready", Writer.ready());
-    all.put("empty-query", Writer.empty());
-    all.put("error", Writer.error("ERROR", "53300", "no room", null));
-    all.put("fatal-with-detail", Writer.error("FATAL", "57P01", "ends now", "told to end; \u00e9"));
-    all.put("startup", Writer.startup("relay", "records"));
-    all.put("query", Writer.query(QUERY.getBytes(StandardCharsets.UTF_8)));
-    all.put("terminate", Writer.terminate());
+    all.put("welcome", MessageWriter.sessionStart());
+    all.put("ready", MessageWriter.readyForQuery());
+    all.put("empty-query", MessageWriter.emptyQueryResponse());
+    all.put("error", MessageWriter.errorResponse("ERROR", "53300", "no room", null));
+    all.put(
+        "fatal-with-detail",
+        MessageWriter.errorResponse("FATAL", "57P01", "ends now", "told to end; \u00e9"));
+    all.put("startup", MessageWriter.startupMessage("relay", "records"));
+    all.put("query", MessageWriter.query(QUERY.getBytes(StandardCharsets.UTF_8)));
+    all.put("terminate", MessageWriter.terminate());
     return all;
   }
 
@@ -85,62 +87,64 @@
   private static byte[] fromClients() {
     byte[] parameters = ascii("user\0ann\0database\0records\0application_name\0psql\0\0");
     byte[] startup =
-        Writer.join(
+        MessageWriter.concat(
             ByteBuffer.allocate(8).putInt(8 + parameters.length).putInt(VERSION_3).array(),
             parameters);
-    return Writer.join(
+    return MessageWriter.concat(
         request(SSL_REQUEST),
         request(GSS_REQUEST),
         request(CANCEL_REQUEST, 4711, 815),
         startup,
-        Writer.message('Q', ascii(QUERY + "\0")),
-        Writer.message('P', ascii("\0SELECT 1\0\0\0")),
-        Writer.message('S', new byte[0]),
-        Writer.message('X', new byte[0]));
+        MessageWriter.message('Q', ascii(QUERY + "\0")),
+        MessageWriter.message('P', ascii("\0SELECT 1\0\0\0")),
+        MessageWriter.message('S', new byte[0]),
+        MessageWriter.message('X', new byte[0]));
   }
 
   /** What a server of one column answers a startup message and queries with. */
   private static byte[] fromServers() {
     byte[] column =
-        Writer.join(
+        MessageWriter.concat(
             new byte[] {0, 1},
             ascii("v\0"),
             new byte[] {0, 0, 0x40, 1, 0, 2, 0, 0, 0, 17, -1, -1, -1, -1, -1, -1, 0, 0});
-    byte[] row = Writer.join(new byte[] {0, 1, 0, 0, 0, 6}, ascii("\\x0a0b"));
-    return Writer.join(
-        Writer.message('R', new byte[4]),
-        Writer.message('S', ascii("server_version\00014.9\0")),
-        Writer.message('K', new byte[] {0, 0, 0x12, 0x67, 0, 0, 3, 0x2f}),
-        Writer.message('Z', ascii("I")),
-        Writer.message('T', column),
-        Writer.message('D', row),
-        Writer.message('C', ascii("SELECT 1\0")),
-        Writer.message('I', new byte[0]),
-        Writer.message('N', ascii("SNOTICE\0C00000\0Mnote\0\0")),
-        Writer.message('E', ascii("SERROR\0VERROR\0C23505\0Mduplicate key\0DKey (k)=(a)\0\0")));
+    byte[] row = MessageWriter.concat(new byte[] {0, 1, 0, 0, 0, 6}, ascii("\\x0a0b"));
+    return MessageWriter.concat(
+        MessageWriter.message('R', new byte[4]),
+        MessageWriter.message('S', ascii("server_version\00014.9\0")),
+        MessageWriter.message('K', new byte[] {0, 0, 0x12, 0x67, 0, 0, 3, 0x2f}),
+        MessageWriter.message('Z', ascii("I")),
+        MessageWriter.message('T', column),
+        MessageWriter.message('D', row),
+        MessageWriter.message('C', ascii("SELECT 1\0")),
+        MessageWriter.message('I', new byte[0]),
+        MessageWriter.message('N', ascii("SNOTICE\0C00000\0Mnote\0\0")),
+        MessageWriter.message(
+            'E', ascii("SERROR\0VERROR\0C23505\0Mduplicate key\0DKey (k)=(a)\0\0")));
   }
 
   /** One line for each message that is read from both streams, with what it says. */
   private static List<String> read(byte[] fromClients, byte[] fromServers) throws Exception {
     List<String> lines = new ArrayList<>();
-    Messages clients = Messages.ofClient(MOST_BODY);
-    clients.take(
+    MessageFramer clients = MessageFramer.fromClient(MOST_BODY);
+    clients.feed(
         ByteBuffer.wrap(fromClients),
         new User(lines) {
           @Override
-          public void message(char type, byte[] body)
+          public void onMessage(char type, byte[] body)
               throws sprucerock.transport.postgres.ProtocolException {
-            if (type == 0 && Reader.startup(body) == Reader.Startup.SESSION) {
-              clients.started();
+            if (type == 0
+                && MessageReader.parseStartup(body) == MessageReader.StartupKind.SESSION) {
+              clients.startupComplete();
             }
-            super.message(type, body);
+            super.onMessage(type, body);
           }
         });
-    Messages.ofServer(MOST_BODY).take(ByteBuffer.wrap(fromServers), new User(lines));
+    MessageFramer.fromServer(MOST_BODY).feed(ByteBuffer.wrap(fromServers), new User(lines));
     return lines;
   }
 
-  private static class User implements Messages.User {
+  private static class User implements MessageFramer.Listener {
     private final List<String> lines;
 
     User(List<String> lines) {
@@ -148,7 +152,7 @@
     }
 
     @Override
-    public void message(char type, byte[] body)
+    public void onMessage(char type, byte[] body)
         throws sprucerock.transport.postgres.ProtocolException {
       lines.add(
           (type == 0 ? "startup" : String.valueOf(type))
@@ -159,7 +163,7 @@
     }
 
     @Override
-    public boolean open() {
+    public boolean wantsMore() {
       return true;
     }
 
@@ -167,30 +171,30 @@
         throws sprucerock.transport.postgres.ProtocolException {
       switch (type) {
         case 0:
-          return Reader.startup(body).toString();
+          return MessageReader.parseStartup(body).toString();
         case 'Q':
-          return new String(Reader.query(body), StandardCharsets.UTF_8);
+          return new String(MessageReader.parseQuery(body), StandardCharsets.UTF_8);
         case 'R':
-          Reader.authenticated(body);
+          MessageReader.requireAuthenticationOk(body);
           return "no password";
         case 'Z':
-          Reader.ready(body);
+          MessageReader.requireReadyForQuery(body);
           return "ready";
         case 'T':
-          Reader.oneColumn(body);
+          MessageReader.requireSingleColumn(body);
           return "one column";
         case 'D':
-          return new String(Reader.oneValue(body), StandardCharsets.UTF_8);
+          return new String(MessageReader.parseSingleValue(body), StandardCharsets.UTF_8);
         case 'C':
-          return Reader.complete(body);
+          return MessageReader.parseCommandTag(body);
         case 'E':
-          return Reader.errorField(body, 'C')
+          return MessageReader.parseErrorField(body, 'C')
               + " "
-              + Reader.errorField(body, 'M')
+              + MessageReader.parseErrorField(body, 'M')
               + " "
-              + Reader.errorField(body, 'D')
+              + MessageReader.parseErrorField(body, 'D')
               + " "
-              + Reader.errorField(body, 'H');
+              + MessageReader.parseErrorField(body, 'H');
         default:
           return "-";
       }
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -189,7 +189,7 @@
     try {
       notes.write(
           ByteBuffer.wrap(
-              (name + " " + number + " " + NioLoop.machineMicros() + "\n")
+              (name + " " + number + " " + NioLoop.monotonicMicros() + "\n")
                   .getBytes(StandardCharsets.UTF_8)));
       if (random.nextInt(400) == 0) {
         Thread.sleep((long) (term.ms() * 1.5)); // between the look and the act
--- a/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/WayStandInTest.java
@@ -29,7 +29,7 @@
     String closed;
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
--- a/src/test/java/sprucerock/rehearsal/recovery/MeterTest.java
+++ b/src/test/java/sprucerock/rehearsal/recovery/RecoveryMeterTest.java
@@ -9,14 +9,14 @@
 import sprucerock.rehearsal.trace.Line;
 
 /** Days whose return is known, and what the meter reads from them. */
-public class MeterTest {
+public class RecoveryMeterTest {
   private static final long S = 1_000_000;
 
-  private static Service served(double[][] spans) {
-    Service service = new Service();
+  private static ServedWeight served(double[][] spans) {
+    ServedWeight service = new ServedWeight();
     for (double[] span : spans) {
       for (long us = (long) (span[0] * S); us < span[1] * S; us += 10_000) {
-        service.served(us, span[2]);
+        service.record(us, span[2]);
       }
     }
     return service;
@@ -24,41 +24,48 @@
 
   @Test
   public void fullServiceIsWhereTheLevelBeforeIsBackForTwoSeconds() {
-    Service service =
+    ServedWeight service =
         served(
             new double[][] {
               {0, 10, 1}, {10, 13, 0.3}, {13, 13.5, 1}, {13.5, 15, 0.3}, {15, 30, 0.97}
             });
     assertEquals(service.levelBefore(10 * S), 100, 1);
-    assertEquals(service.fullAfter(10 * S).getAsDouble(), 5.0, 0.21);
+    assertEquals(service.secondsToFullService(10 * S).getAsDouble(), 5.0, 0.21);
     assertEquals(service.lostSeconds(10 * S, 10), 3.3, 0.1); // 4.5 s at 0.7 less, 5 s at 0.03 less
   }
 
   @Test
   public void whatComesBackToNineTenthsOrTooLateIsNotBack() {
-    assertFalse(served(new double[][] {{0, 10, 1}, {12, 40, 0.9}}).fullAfter(10 * S).isPresent());
-    assertFalse(served(new double[][] {{0, 10, 1}, {12, 13.5, 1}}).fullAfter(10 * S).isPresent());
-    assertFalse(new Service().fullAfter(0).isPresent());
+    assertFalse(
+        served(new double[][] {{0, 10, 1}, {12, 40, 0.9}})
+            .secondsToFullService(10 * S)
+            .isPresent());
+    assertFalse(
+        served(new double[][] {{0, 10, 1}, {12, 13.5, 1}})
+            .secondsToFullService(10 * S)
+            .isPresent());
+    assertFalse(new ServedWeight().secondsToFullService(0).isPresent());
   }
 
   @Test
   public void whatNobodyNoticedTakesNoTime() {
-    assertEquals(served(new double[][] {{0, 20, 1}}).fullAfter(10 * S).getAsDouble(), 0.1, 0.1);
+    assertEquals(
+        served(new double[][] {{0, 20, 1}}).secondsToFullService(10 * S).getAsDouble(), 0.1, 0.1);
   }
 
   @Test
   public void theFullestTenthOfASecondOfEachThingIsFound() {
     Peaks peaks = new Peaks();
     for (int i = 0; i < 7; i++) {
-      peaks.came("new connections", "unit-1", 5 * S + i * 20_000);
+      peaks.record("new connections", "unit-1", 5 * S + i * 20_000);
     }
     for (int i = 0; i < 6; i++) {
-      peaks.came("new connections", "unit-2", 5 * S + i * 15_000);
+      peaks.record("new connections", "unit-2", 5 * S + i * 15_000);
     }
     for (int i = 0; i < 50; i++) {
-      peaks.came("new connections", "unit-3", 50 * S);
+      peaks.record("new connections", "unit-3", 50 * S);
     }
-    peaks.came("votes", "relay-0", 4 * S);
+    peaks.record("votes", "relay-0", 4 * S);
     assertEquals(
         peaks.between(5 * S, 6 * S), List.of(new Peaks.Peak("new connections", "unit-2", 6)));
   }
@@ -97,14 +104,14 @@
     line(text, 9060, "unit-4", '<', "HELLO", "");
     RecoveryMeter meter = new RecoveryMeter(List.of(new RecoveryMeter.Method(500, 2)));
     for (Line one : Line.parse("t", text.toString())) {
-      meter.line(one);
+      meter.accept(one);
     }
-    assertEquals(meter.returns().size(), 1);
-    RecoveryMeter.Return back = meter.returns().get(0);
-    assertEquals(back.words(), "relay 1 killed for 1s; relay 2 killed for 1s");
-    assertEquals(back.fullS().getAsDouble(), 1.0, 0.11);
-    assertEquals(back.lostS(), 1.0, 0.1);
-    assertEquals(back.again(), 50);
+    assertEquals(meter.recoveries().size(), 1);
+    RecoveryMeter.Recovery back = meter.recoveries().get(0);
+    assertEquals(back.description(), "relay 1 killed for 1s; relay 2 killed for 1s");
+    assertEquals(back.secondsToFullService().getAsDouble(), 1.0, 0.11);
+    assertEquals(back.lostSeconds(), 1.0, 0.1);
+    assertEquals(back.retries(), 50);
     assertEquals(back.peaks(), List.of(new Peaks.Peak("new connections", "unit-4", 2)));
     assertTrue(back.toString().startsWith("full service after "), back.toString());
   }
--- a/src/test/java/sprucerock/relay/frames/RacksTest.java
+++ b/src/test/java/sprucerock/relay/frames/RacksTest.java
@@ -118,7 +118,7 @@
   public void anAnswerThatWasLongOnItsWayPromisesLess() {
     whole(1, LIST, rack(1, NOTICE, NOTICE), rack(3, 2500, 2500));
     PromiseAsk ask = asked();
-    net.standStill(1600);
+    net.stall(1600);
     racks.told(
         Promised.newBuilder()
             .setId(ask.getId())
--- a/src/test/java/sprucerock/relay/frames/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/RelayTest.java
@@ -316,7 +316,7 @@
           1000,
           new ConnectionListener() {
             @Override
-            public void up(Connection connection) {
+            public void connected(Connection connection) {
               if (talk.length > 0) {
                 connection.append(talk);
               }
@@ -390,7 +390,7 @@
 
   @Test
   public void aConnectionThatDoesNotComeUpInTimeEndsItsPicksAsNeverSent() {
-    net.connectsHang(true);
+    net.setConnectsHang(true);
     calls(1);
     net.pass(195);
     assertEquals(module.calls.size(), 1);
@@ -408,8 +408,8 @@
     }
     assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 400);
     assertTrue(
-        net.connects() <= 11,
-        "seven in two seconds at most, beside three links: " + net.connects());
+        net.connectCount() <= 11,
+        "seven in two seconds at most, beside three links: " + net.connectCount());
     endpoints = Person.listen(net, Role.UNIT, 8, 2008);
     net.pass(1000);
     calls(500);
--- a/src/test/java/sprucerock/relay/frames/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/frames/SecuredTest.java
@@ -297,7 +297,7 @@
         () ->
             new ConnectionListener() {
               @Override
-              public void up(sprucerock.transport.net.Connection connection) {}
+              public void connected(sprucerock.transport.net.Connection connection) {}
 
               @Override
               public void received(java.nio.ByteBuffer bytes) {}
--- a/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
@@ -26,7 +26,7 @@
 import sprucerock.model.Attempt;
 import sprucerock.policy.RelayActions;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.postgres.Writer;
+import sprucerock.transport.postgres.MessageWriter;
 
 /**
  * What can cross a client's request: its close, its own pieces, the time that is left to it, an
@@ -477,7 +477,11 @@
    */
   private static void fails(Peers.Unit.Query query, Kind kind) throws Exception {
     if (kind == Kind.RETRY) {
-      query.on().says(Writer.error("ERROR", "53300", "full", null), Writer.ready());
+      query
+          .on()
+          .says(
+              MessageWriter.errorResponse("ERROR", "53300", "full", null),
+              MessageWriter.readyForQuery());
       Peers.read(query.on().socket);
     } else {
       query.on().socket.close();
@@ -712,13 +716,13 @@
    */
   @Test
   public void aSecondAnswerComesInTheTurnInWhichItsConnectionIsChosenAgain() throws Exception {
-    secondAnswer(Writer.join(Peers.value("stale")));
+    secondAnswer(MessageWriter.concat(Peers.value("stale")));
   }
 
   /** The same, of which the first bytes come then. */
   @Test
   public void halfASecondAnswerComesInTheTurnInWhichItsConnectionIsChosenAgain() throws Exception {
-    secondAnswer(Arrays.copyOf(Writer.join(Peers.value("stale")), 3));
+    secondAnswer(Arrays.copyOf(MessageWriter.concat(Peers.value("stale")), 3));
   }
 
   private void secondAnswer(byte[] bytes) throws Exception {
@@ -788,7 +792,7 @@
   @Test
   public void aStatementCutAtEachByteIsServedWhole() throws Exception {
     startsWithOne();
-    byte[] startup = Writer.startup("svc", "main");
+    byte[] startup = MessageWriter.startupMessage("svc", "main");
     for (int cut = 1; cut < startup.length; cut++) {
       Peers.Client client = peers.new Client(port, Arrays.copyOf(startup, cut));
       Peers.read(client.socket);
@@ -797,10 +801,10 @@
       client.socket.close();
     }
     Peers.Client client = client();
-    int length = Writer.query(look().getBytes(StandardCharsets.US_ASCII)).length;
+    int length = MessageWriter.query(look().getBytes(StandardCharsets.US_ASCII)).length;
     for (int cut = 1; cut < length; cut++) {
       String text = look(TIME).replace("id=", "id=" + "0".repeat(8 - ("" + ids).length()));
-      byte[] query = Writer.query(text.getBytes(StandardCharsets.US_ASCII));
+      byte[] query = MessageWriter.query(text.getBytes(StandardCharsets.US_ASCII));
       length = query.length;
       client.sends(Arrays.copyOf(query, cut));
       Peers.read(client.socket);
@@ -824,7 +828,7 @@
     Peers.Client stays = client();
     Peers.Client gone = client();
     String text = look();
-    byte[] query = Writer.query(text.getBytes(StandardCharsets.US_ASCII));
+    byte[] query = MessageWriter.query(text.getBytes(StandardCharsets.US_ASCII));
     gone.sends(Arrays.copyOf(query, query.length - 1));
     Peers.read(gone.socket);
     goes(gone, how);
@@ -841,7 +845,7 @@
   public void theLoopStandsStillWhileTheRestOfAStatementComes() throws Exception {
     startsWithOne();
     Peers.Client client = client();
-    byte[] query = Writer.query(look().getBytes(StandardCharsets.US_ASCII));
+    byte[] query = MessageWriter.query(look().getBytes(StandardCharsets.US_ASCII));
     client.sends(Arrays.copyOf(query, query.length - 1));
     Peers.read(client.socket);
     marker.asks("");
--- a/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
@@ -18,7 +18,7 @@
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.transport.postgres.Writer;
+import sprucerock.transport.postgres.MessageWriter;
 
 /**
  * Who gives way when all places are taken, with what is read in the turn of the accept, as a loop
@@ -33,7 +33,7 @@
     boolean finished;
 
     @Override
-    public ByteBuffer claim(int bytes) {
+    public ByteBuffer reserve(int bytes) {
       return ByteBuffer.allocate(bytes);
     }
 
@@ -41,12 +41,12 @@
     public void append(byte[] bytes) {}
 
     @Override
-    public long written() {
+    public long bytesWritten() {
       return 0;
     }
 
     @Override
-    public long handed() {
+    public long bytesHandedOver() {
       return 0;
     }
 
@@ -114,7 +114,7 @@
     net.turn(
         () -> {
           ConnectionListener connection = users.get();
-          connection.up(end);
+          connection.connected(end);
           connection.received(ByteBuffer.wrap(says));
         });
     return end;
@@ -122,8 +122,9 @@
 
   private static byte[] asks(int id) {
     String text = "SELECT v FROM records WHERE k = 'aa' /* id=" + id + ",c=look,d=900 */";
-    return Writer.join(
-        Writer.startup("svc", "main"), Writer.query(text.getBytes(StandardCharsets.US_ASCII)));
+    return MessageWriter.concat(
+        MessageWriter.startupMessage("svc", "main"),
+        MessageWriter.query(text.getBytes(StandardCharsets.US_ASCII)));
   }
 
   /**
@@ -143,7 +144,10 @@
   @Test
   public void whoNeverSpokeGivesWayFirstThenWhoWasQuietForLongest() throws Exception {
     begin();
-    End quiet = comes(Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0])));
+    End quiet =
+        comes(
+            MessageWriter.concat(
+                MessageWriter.startupMessage("svc", "main"), MessageWriter.query(new byte[0])));
     net.pass(150);
     End silent = comes(new byte[0]);
     net.pass(150);
@@ -159,7 +163,9 @@
   @Test
   public void quietOnesGiveWayBeforeAllPlacesAreTaken() throws Exception {
     begin();
-    byte[] once = Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0]));
+    byte[] once =
+        MessageWriter.concat(
+            MessageWriter.startupMessage("svc", "main"), MessageWriter.query(new byte[0]));
     End first = comes(once);
     net.pass(150);
     comes(once);
@@ -177,7 +183,9 @@
   @Test
   public void quietOnesGiveWayThoughNoneComes() throws Exception {
     begin();
-    byte[] once = Writer.join(Writer.startup("svc", "main"), Writer.query(new byte[0]));
+    byte[] once =
+        MessageWriter.concat(
+            MessageWriter.startupMessage("svc", "main"), MessageWriter.query(new byte[0]));
     List<End> all = new ArrayList<>();
     for (int i = 0; i < PLACES; i++) {
       all.add(comes(once));
--- a/src/test/java/sprucerock/relay/platform/CrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/CrossingsTest.java
@@ -24,7 +24,7 @@
 import sprucerock.relay.engine.RequestOutcome;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.postgres.Writer;
+import sprucerock.transport.postgres.MessageWriter;
 
 /**
  * Two events that cross, forced on real sockets: a relay's loop is held while both happen, or a
@@ -590,7 +590,8 @@
         new ClientListener.Owner() {
           @Override
           public void arrived(PlatformRequest asked) {
-            asked.client.answer(asked, RequestOutcome.OK, TimeSpan.ZERO, Writer.empty());
+            asked.client.answer(
+                asked, RequestOutcome.OK, TimeSpan.ZERO, MessageWriter.emptyQueryResponse());
           }
 
           @Override
--- a/src/test/java/sprucerock/relay/platform/InventedSettingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/InventedSettingsTest.java
@@ -118,22 +118,22 @@
     assertEquals(client.answer(), "");
     byte[] text =
         asks("!#$%&'()+./:;<>?@[]^_`{|}~ \u00e9", true, 30_000).getBytes(StandardCharsets.UTF_8);
-    client.sends(sprucerock.transport.postgres.Writer.query(text));
+    client.sends(sprucerock.transport.postgres.MessageWriter.query(text));
     Peers.Unit.Query query = endpoint.query();
     query.on().says(Peers.value("done"));
     assertEquals(client.answer(), "value done");
     client.asks(asks("other", true, 1000));
     assertEquals(client.answer(), "error 42601");
     client.sends(
-        sprucerock.transport.postgres.Writer.query(
+        sprucerock.transport.postgres.MessageWriter.query(
             asks("!#$%&'()+./:;<>?@[]^_`{|}~ \u00e9", true, 30_000)
                 .getBytes(StandardCharsets.UTF_8)));
     endpoint
         .query()
         .on()
         .says(
-            sprucerock.transport.postgres.Writer.error("ERROR", "XX000", "no", null),
-            sprucerock.transport.postgres.Writer.ready());
+            sprucerock.transport.postgres.MessageWriter.errorResponse("ERROR", "XX000", "no", null),
+            sprucerock.transport.postgres.MessageWriter.readyForQuery());
     assertEquals(client.answer(), "error 58000");
     ends(client);
   }
--- a/src/test/java/sprucerock/relay/platform/ListTimesTest.java
+++ b/src/test/java/sprucerock/relay/platform/ListTimesTest.java
@@ -89,7 +89,7 @@
     private Connection connection;
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
@@ -130,7 +130,7 @@
                   private Connection connection;
 
                   @Override
-                  public void up(Connection made) {
+                  public void connected(Connection made) {
                     connection = made;
                   }
 
@@ -161,7 +161,7 @@
 
   /** What can't be met by a server that listens is set up before it comes: refused, or never up. */
   private void next() {
-    net.connectsHang(to.peek() == Meets.HANGS);
+    net.setConnectsHang(to.peek() == Meets.HANGS);
     if (to.peek() == Meets.REFUSED) {
       listener.close();
     }
@@ -170,9 +170,9 @@
   /** Passes time; connections that are refused or hang are counted off as they are begun. */
   private void pass(double ms) throws Exception {
     for (double until = nowMs + ms; nowMs < until; nowMs++) {
-      int before = net.connects();
+      int before = net.connectCount();
       net.pass(1);
-      for (int i = before; i < net.connects(); i++) {
+      for (int i = before; i < net.connectCount(); i++) {
         Meets peek = to.peek();
         if (peek != Meets.REFUSED && peek != Meets.HANGS) {
           break;
@@ -238,9 +238,9 @@
       next();
       PlatformConfig anew = config(SECOND);
       double signal = net.now().ms();
-      int before = net.connects();
+      int before = net.connectCount();
       net.turn(() -> serving.reload(anew));
-      if (net.connects() > before && (to.peek() == Meets.REFUSED || to.peek() == Meets.HANGS)) {
+      if (net.connectCount() > before && (to.peek() == Meets.REFUSED || to.peek() == Meets.HANGS)) {
         Meets first = to.poll();
         if (first == Meets.REFUSED && to.peek() != Meets.REFUSED) {
           listen(there);
@@ -264,7 +264,7 @@
     double silentSince = net.now().ms() - 500; // its list came as it began
     to.add(Meets.LIST);
     pass(2400);
-    net.standStill(200);
+    net.stall(200);
     pass(6000);
     assertTrue(
         toldAt - silentSince <= AFTER_SILENCE, "told after " + (toldAt - silentSince) + " ms");
@@ -276,10 +276,10 @@
    */
   @Test
   public void ofThreeWatchesThatSayNothingTheThirdIsGivenTheWholeTime() throws Exception {
-    int before = net.connects();
+    int before = net.connectCount();
     pass(7500); // at 8 s since its list came
-    assertEquals(net.connects() - before, 3); // at 3, 4 and 5 s
+    assertEquals(net.connectCount() - before, 3); // at 3, 4 and 5 s
     pass(200);
-    assertEquals(net.connects() - before, 4);
+    assertEquals(net.connectCount() - before, 4);
   }
 }
--- a/src/test/java/sprucerock/relay/platform/Peers.java
+++ b/src/test/java/sprucerock/relay/platform/Peers.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import sprucerock.transport.postgres.Writer;
+import sprucerock.transport.postgres.MessageWriter;
 
 /**
  * Clients, units, discovery and desk on real sockets, each with threads of its own that block: a
@@ -321,11 +321,11 @@
       }
 
       void welcome() throws IOException {
-        says(Writer.welcome());
+        says(MessageWriter.sessionStart());
       }
 
       void says(byte[]... messages) throws IOException {
-        socket.getOutputStream().write(Writer.join(messages));
+        socket.getOutputStream().write(MessageWriter.concat(messages));
       }
     }
   }
@@ -342,10 +342,10 @@
             .put(bytes)
             .array();
     return new byte[][] {
-      Writer.message('T', column),
-      Writer.message('D', row),
-      Writer.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
-      Writer.ready()
+      MessageWriter.message('T', column),
+      MessageWriter.message('D', row),
+      MessageWriter.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
+      MessageWriter.readyForQuery()
     };
   }
 
@@ -360,7 +360,7 @@
 
     /** {@code room}: bytes that the system keeps for it unread; 0: what it does by itself. */
     Client(int port, int room) throws IOException {
-      this(port, room, Writer.startup("svc", "main"));
+      this(port, room, MessageWriter.startupMessage("svc", "main"));
     }
 
     /** One that begins with these bytes. */
@@ -389,13 +389,13 @@
     }
 
     void sends(byte[]... bytes) throws IOException {
-      socket.getOutputStream().write(Writer.join(bytes));
+      socket.getOutputStream().write(MessageWriter.concat(bytes));
     }
 
     void asks(String... texts) throws IOException {
       byte[][] all = new byte[texts.length][];
       for (int i = 0; i < all.length; i++) {
-        all[i] = Writer.query(texts[i].getBytes(StandardCharsets.UTF_8));
+        all[i] = MessageWriter.query(texts[i].getBytes(StandardCharsets.UTF_8));
       }
       sends(all);
     }
--- a/src/test/java/sprucerock/relay/platform/PlatformTest.java
+++ b/src/test/java/sprucerock/relay/platform/PlatformTest.java
@@ -25,10 +25,10 @@
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Datagrams;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.MessageFramer;
+import sprucerock.transport.postgres.MessageReader;
+import sprucerock.transport.postgres.MessageWriter;
 import sprucerock.transport.postgres.ProtocolException;
-import sprucerock.transport.postgres.Reader;
-import sprucerock.transport.postgres.Writer;
 
 /**
  * A relay on the platform, with the module that decides, among clients, units, discovery and a desk
@@ -52,44 +52,44 @@
           "specifics":{"ballot_ttl":4000,"call_timeout":1000,"caps":[0.1,1.0],"per":"all","uncounted":3,"vote_mode":"single"}}}""";
 
   /** A unit: greets, and answers queries as it is told. */
-  private final class FakeUnit implements ConnectionListener, Messages.User {
-    private final Messages in = Messages.ofClient(1 << 18);
+  private final class FakeUnit implements ConnectionListener, MessageFramer.Listener {
+    private final MessageFramer in = MessageFramer.fromClient(1 << 18);
     Connection connection;
     String query;
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       try {
-        in.take(bytes, this);
+        in.feed(bytes, this);
       } catch (ProtocolException e) {
         throw new AssertionError(e);
       }
     }
 
     @Override
-    public boolean open() {
+    public boolean wantsMore() {
       return true;
     }
 
     @Override
-    public void message(char type, byte[] body) throws ProtocolException {
+    public void onMessage(char type, byte[] body) throws ProtocolException {
       if (type == 0) {
-        in.started();
-        connection.append(Writer.welcome());
+        in.startupComplete();
+        connection.append(MessageWriter.sessionStart());
       } else if (type == 'Q') {
-        query = new String(Reader.query(body), StandardCharsets.US_ASCII);
+        query = new String(MessageReader.parseQuery(body), StandardCharsets.US_ASCII);
         asked.add(this);
       }
     }
 
     void says(byte[]... messages) {
       query = null;
-      net.turn(() -> connection.append(Writer.join(messages)));
+      net.turn(() -> connection.append(MessageWriter.concat(messages)));
       net.settle();
     }
 
@@ -99,8 +99,8 @@
     }
   }
 
-  private class Client implements ConnectionListener, Messages.User {
-    private final Messages in = Messages.ofServer(1 << 18);
+  private class Client implements ConnectionListener, MessageFramer.Listener {
+    private final MessageFramer in = MessageFramer.fromServer(1 << 18);
     final List<String> got = new ArrayList<>();
     Connection connection;
     boolean closed;
@@ -111,50 +111,51 @@
     }
 
     Client started() {
-      sends(Writer.startup("svc", "main"));
+      sends(MessageWriter.startupMessage("svc", "main"));
       got.clear();
       return this;
     }
 
     void sends(byte[]... bytes) {
-      net.turn(() -> connection.append(Writer.join(bytes)));
+      net.turn(() -> connection.append(MessageWriter.concat(bytes)));
       net.settle();
     }
 
     void asks(String text) {
-      sends(Writer.query(text.getBytes(StandardCharsets.US_ASCII)));
+      sends(MessageWriter.query(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
     @Override
     public void received(ByteBuffer bytes) {
       try {
-        in.take(bytes, this);
+        in.feed(bytes, this);
       } catch (ProtocolException e) {
         throw new AssertionError(e);
       }
     }
 
     @Override
-    public boolean open() {
+    public boolean wantsMore() {
       return true;
     }
 
     @Override
-    public void message(char type, byte[] body) throws ProtocolException {
+    public void onMessage(char type, byte[] body) throws ProtocolException {
       if (type == 'D') {
-        got.add("value " + new String(Reader.oneValue(body), StandardCharsets.US_ASCII));
+        got.add(
+            "value " + new String(MessageReader.parseSingleValue(body), StandardCharsets.US_ASCII));
       } else if (type == 'E') {
         got.add(
             "error "
-                + Reader.errorField(body, 'C')
-                + (Reader.errorField(body, 'D') == null
+                + MessageReader.parseErrorField(body, 'C')
+                + (MessageReader.parseErrorField(body, 'D') == null
                     ? ""
-                    : " again after " + Reader.errorField(body, 'D')));
+                    : " again after " + MessageReader.parseErrorField(body, 'D')));
       } else {
         got.add("" + type);
       }
@@ -172,7 +173,7 @@
     final StringBuilder heard = new StringBuilder();
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
@@ -302,10 +303,10 @@
             .put(bytes)
             .array();
     return new byte[][] {
-      Writer.message('T', Arrays.copyOf(column, 22)),
-      Writer.message('D', row),
-      Writer.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
-      Writer.ready()
+      MessageWriter.message('T', Arrays.copyOf(column, 22)),
+      MessageWriter.message('D', row),
+      MessageWriter.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
+      MessageWriter.readyForQuery()
     };
   }
 
@@ -331,8 +332,8 @@
     Client client = new Client();
     String text = look(900);
     client.sends(
-        Writer.startup("svc", "main"),
-        Writer.query(text.getBytes(StandardCharsets.US_ASCII))); // right behind
+        MessageWriter.startupMessage("svc", "main"),
+        MessageWriter.query(text.getBytes(StandardCharsets.US_ASCII))); // right behind
     client.got.clear();
     assertEquals(last().query.replaceAll(",d=[0-9]+", ",d=900"), text);
     last().says(value("nine"));
@@ -347,9 +348,9 @@
   public void commandsOneBehindAnotherAreAnsweredInOrder() {
     Client client = new Client().started();
     client.sends(
-        Writer.query(look(900).getBytes(StandardCharsets.US_ASCII)),
-        Writer.query(new byte[0]),
-        Writer.query(look(900).getBytes(StandardCharsets.US_ASCII)));
+        MessageWriter.query(look(900).getBytes(StandardCharsets.US_ASCII)),
+        MessageWriter.query(new byte[0]),
+        MessageWriter.query(look(900).getBytes(StandardCharsets.US_ASCII)));
     assertEquals(asked.size(), 1);
     last().says(value("one"));
     assertEquals(asked.size(), 2);
@@ -434,7 +435,7 @@
   @Test
   public void theTimeOfAStatementInPiecesCountsFromItsLastByte() {
     Client client = new Client().started();
-    byte[] query = Writer.query(look(500).getBytes(StandardCharsets.US_ASCII));
+    byte[] query = MessageWriter.query(look(500).getBytes(StandardCharsets.US_ASCII));
     client.sends(Arrays.copyOf(query, query.length - 1));
     net.pass(600);
     assertTrue(asked.isEmpty());
@@ -463,7 +464,7 @@
     Client client = new Client().started();
     byte[][] all = new byte[300][];
     for (int i = 0; i < all.length; i++) {
-      all[i] = Writer.query(look(900).getBytes(StandardCharsets.US_ASCII));
+      all[i] = MessageWriter.query(look(900).getBytes(StandardCharsets.US_ASCII));
     }
     client.sends(all);
     assertEquals(client.got, List.of("error 08P01"));
@@ -543,7 +544,8 @@
     Client client = new Client().started();
     client.asks(pay(900));
     FakeUnit first = last();
-    first.says(Writer.error("ERROR", "53300", "full", null), Writer.ready());
+    first.says(
+        MessageWriter.errorResponse("ERROR", "53300", "full", null), MessageWriter.readyForQuery());
     assertEquals(asked.size(), 2);
     assertFalse(last() == first);
     last().says(value("paid"));
@@ -554,7 +556,10 @@
   public void anErrorOfWhatMustNotRunTwiceIsTheAnswer() {
     Client client = new Client().started();
     client.asks(pay(900));
-    last().says(Writer.error("ERROR", "XX000", "went wrong", null), Writer.ready());
+    last()
+        .says(
+            MessageWriter.errorResponse("ERROR", "XX000", "went wrong", null),
+            MessageWriter.readyForQuery());
     assertEquals(client.got, List.of("error 58000", "Z"));
     assertEquals(asked.size(), 1);
   }
@@ -758,8 +763,8 @@
   public void whatWaitsBehindARequestAsTimeIsOverIsRefused() {
     Client client = new Client().started();
     client.sends(
-        Writer.query(pay(3000).getBytes(StandardCharsets.US_ASCII)),
-        Writer.query(pay(3000).getBytes(StandardCharsets.US_ASCII)));
+        MessageWriter.query(pay(3000).getBytes(StandardCharsets.US_ASCII)),
+        MessageWriter.query(pay(3000).getBytes(StandardCharsets.US_ASCII)));
     boolean[] done = {false};
     net.turn(() -> serving.shutdown(() -> done[0] = true));
     net.turn(
@@ -768,7 +773,7 @@
                 net.now().plus(TimeSpan.ofMs(1000)),
                 () ->
                     client.connection.append(
-                        Writer.query(pay(3000).getBytes(StandardCharsets.US_ASCII)))));
+                        MessageWriter.query(pay(3000).getBytes(StandardCharsets.US_ASCII)))));
     net.pass(3500);
     assertEquals(asked.size(), 2); // the first had its deadline before
     assertEquals(client.got, List.of("error 58000", "Z", "error 58000", "Z", "error 57P03", "Z"));
@@ -809,19 +814,19 @@
     for (boolean reads : new boolean[] {true, false}) {
       Client client = new Client().started();
       client.asks(look(900));
-      net.nobodyReads(true);
+      net.setNobodyReads(true);
       FakeUnit endpoint = last();
-      net.nobodyReads(false);
+      net.setNobodyReads(false);
       endpoint.says(value("slow"));
       boolean[] done = {false};
       net.turn(() -> serving.shutdown(() -> done[0] = true));
-      net.nobodyReads(true);
+      net.setNobodyReads(true);
       net.pass(3600);
       assertFalse(done[0]);
-      net.nobodyReads(!reads);
+      net.setNobodyReads(!reads);
       net.pass(reads ? 20 : 200);
       assertTrue(done[0]);
-      net.nobodyReads(false);
+      net.setNobodyReads(false);
       if (reads) {
         restart();
       }
--- a/src/test/java/sprucerock/relay/platform/ReconnectingWatchTest.java
+++ b/src/test/java/sprucerock/relay/platform/ReconnectingWatchTest.java
@@ -45,7 +45,7 @@
         () ->
             new ConnectionListener() {
               @Override
-              public void up(Connection connection) {
+              public void connected(Connection connection) {
                 asked.add(connection);
               }
 
--- a/src/test/java/sprucerock/relay/platform/ServeKillTest.java
+++ b/src/test/java/sprucerock/relay/platform/ServeKillTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.transport.postgres.Writer;
+import sprucerock.transport.postgres.MessageWriter;
 
 /**
  * A relay as its own process, stopped by the system (SIGSTOP) while a request comes, and ended
@@ -131,7 +131,7 @@
   }
 
   private byte[] pay() {
-    return Writer.query(
+    return MessageWriter.query(
         ("INSERT INTO records (k, v) VALUES ('00000000000000ab', '\\x9f03') RETURNING v /* id="
                 + (++ids)
                 + ",c=pay,d=20000 */")
--- a/src/test/java/sprucerock/relay/platform/ServeShutdownTest.java
+++ b/src/test/java/sprucerock/relay/platform/ServeShutdownTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.transport.postgres.Writer;
+import sprucerock.transport.postgres.MessageWriter;
 
 /**
  * A relay as its own process, told to end with requests of each kind in flight. Verdicts hold
@@ -170,10 +170,10 @@
     idle.asks("");
     assertEquals(idle.answer(), "");
     Peers.Client half = peers.new Client(port).welcomed();
-    byte[] query = Writer.query(look().getBytes(StandardCharsets.US_ASCII));
+    byte[] query = MessageWriter.query(look().getBytes(StandardCharsets.US_ASCII));
     half.sends(Arrays.copyOf(query, query.length / 2));
     Socket greeting = new Socket("127.0.0.1", port);
-    greeting.getOutputStream().write(Arrays.copyOf(Writer.startup("svc", "main"), 7));
+    greeting.getOutputStream().write(Arrays.copyOf(MessageWriter.startupMessage("svc", "main"), 7));
     Peers.read(half.socket);
     Peers.read(greeting);
     signal("TERM");
--- a/src/test/java/sprucerock/scale/AddedLatencyStudy.java
+++ b/src/test/java/sprucerock/scale/AddedLatencyStudy.java
@@ -28,10 +28,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
-import sprucerock.transport.postgres.Messages;
+import sprucerock.transport.postgres.MessageFramer;
+import sprucerock.transport.postgres.MessageReader;
+import sprucerock.transport.postgres.MessageWriter;
 import sprucerock.transport.postgres.ProtocolException;
-import sprucerock.transport.postgres.Reader;
-import sprucerock.transport.postgres.Writer;
 
 /**
  * What the relay that serves adds to a request's time, at a fixed rate that waits for no answer.
@@ -69,11 +69,11 @@
       ByteBuffer.allocate(22).putShort((short) 1).put((byte) 'v').array();
   private static final byte[] ROW = ByteBuffer.allocate(10).putShort((short) 1).putInt(4).array();
   private static final byte[] ANSWER =
-      Writer.join(
-          Writer.message('T', COLUMN),
-          Writer.message('D', ROW),
-          Writer.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
-          Writer.ready());
+      MessageWriter.concat(
+          MessageWriter.message('T', COLUMN),
+          MessageWriter.message('D', ROW),
+          MessageWriter.message('C', "SELECT 1\0".getBytes(StandardCharsets.US_ASCII)),
+          MessageWriter.readyForQuery());
   private static final long START_WITHIN_S = 60;
   private static final long SETTLED =
       14_000_000; // by then it is idle again, and so are the relay's threads
@@ -165,12 +165,12 @@
   }
 
   /** A connection of either kind, with what came of a message in part. */
-  private abstract class Peer implements Messages.User {
+  private abstract class Peer implements MessageFramer.Listener {
     final SocketChannel channel;
-    final Messages in;
+    final MessageFramer in;
     private final ByteBuffer room = ByteBuffer.allocate(16 * 1024);
 
-    Peer(SocketChannel channel, Messages in) throws IOException {
+    Peer(SocketChannel channel, MessageFramer in) throws IOException {
       this.channel = channel;
       this.in = in;
       channel.configureBlocking(false);
@@ -205,7 +205,7 @@
             return;
           }
           room.flip();
-          in.take(room, this);
+          in.feed(room, this);
         }
       } catch (IOException | ProtocolException e) {
         shut();
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public boolean open() {
+    public boolean wantsMore() {
       return channel.isOpen();
     }
   }
@@ -232,21 +232,21 @@
     private long answeredLast;
 
     UnitSide(SocketChannel channel) throws IOException {
-      super(channel, Messages.ofClient(1 << 18));
+      super(channel, MessageFramer.fromClient(1 << 18));
     }
 
     @Override
-    public void message(char type, byte[] body) throws ProtocolException {
+    public void onMessage(char type, byte[] body) throws ProtocolException {
       long now = System.nanoTime();
       if (type == 0) {
-        in.started();
-        write(Writer.welcome());
+        in.startupComplete();
+        write(MessageWriter.sessionStart());
         return;
       }
       if (type != 'Q') {
         return;
       }
-      String text = new String(Reader.query(body), StandardCharsets.US_ASCII);
+      String text = new String(MessageReader.parseQuery(body), StandardCharsets.US_ASCII);
       int from = text.indexOf("id=") + 3;
       Asked asked = open.get(Integer.parseInt(text.substring(from, text.indexOf(',', from))));
       if (asked != null && asked.attempts++ == 0) {
@@ -276,9 +276,9 @@
     private Asked asked;
 
     Client(InetSocketAddress to, boolean straight) throws IOException {
-      super(SocketChannel.open(to), Messages.ofServer(1 << 18));
+      super(SocketChannel.open(to), MessageFramer.fromServer(1 << 18));
       this.straight = straight;
-      write(Writer.startup("svc", "main"));
+      write(MessageWriter.startupMessage("svc", "main"));
     }
 
     void ask(Asked made) {
@@ -305,7 +305,7 @@
                   + "9f".repeat(128)
                   + "') RETURNING v"
                   + comment;
-      byte[] query = Writer.query(text.getBytes(StandardCharsets.US_ASCII));
+      byte[] query = MessageWriter.query(text.getBytes(StandardCharsets.US_ASCII));
       if (!straight) {
         made.used[0] = used();
       }
@@ -314,7 +314,7 @@
     }
 
     @Override
-    public void message(char type, byte[] body) {
+    public void onMessage(char type, byte[] body) {
       long now = System.nanoTime();
       if (type == 'C' && asked != null) {
         asked.ok = true;
@@ -637,7 +637,7 @@
           () -> {
             ArrayDeque<Client> free = straight ? idleStraight : idle;
             free.removeIf(
-                one -> !one.open()); // the relay ends those that ask nothing for two seconds
+                one -> !one.wantsMore()); // the relay ends those that ask nothing for two seconds
             Client client = free.poll();
             if (client != null) {
               client.ask(asked);
--- a/src/test/java/sprucerock/scale/ListsScaleTest.java
+++ b/src/test/java/sprucerock/scale/ListsScaleTest.java
@@ -133,10 +133,11 @@
     }
     assertEquals(listed.relay.leases().held(), 1);
     listed.net.pass(1000);
-    int connects = listed.net.connects();
+    int connects = listed.net.connectCount();
     long reads = listed.clockReads(1000);
     assertTrue(
-        listed.net.connects() - connects >= 8, "looks " + (listed.net.connects() - connects));
+        listed.net.connectCount() - connects >= 8,
+        "looks " + (listed.net.connectCount() - connects));
     return reads;
   }
 
--- a/src/test/java/sprucerock/scale/PeersScaleTest.java
+++ b/src/test/java/sprucerock/scale/PeersScaleTest.java
@@ -115,21 +115,21 @@
   public void aMessageToOneRelayTakesOneConnection() throws Exception {
     SimulatedNet net = new SimulatedNet(1000, 5);
     FrameRelay relay = started(net, 20);
-    int before = net.connects();
+    int before = net.connectCount();
     net.turn(() -> relay.tellPeer(7, new byte[4]));
     net.pass(100);
-    assertEquals(net.connects() - before, 1);
+    assertEquals(net.connectCount() - before, 1);
   }
 
   private static int connections(int relays) throws Exception {
     SimulatedNet net = new SimulatedNet(1000, 5);
     FrameRelay relay = started(net, relays);
-    int before = net.connects();
+    int before = net.connectCount();
     for (int i = 0; i < 3; i++) {
       net.turn(() -> relay.tellPeers(new byte[8]));
       net.pass(100);
     }
-    return net.connects() - before;
+    return net.connectCount() - before;
   }
 
   private static FrameRelay started(SimulatedNet net, int relays) throws Exception {
--- a/src/test/java/sprucerock/transport/http/HttpLinkTest.java
+++ b/src/test/java/sprucerock/transport/http/HttpConnectionTest.java
@@ -14,7 +14,7 @@
 import sprucerock.transport.net.SimulatedNet;
 
 /** Calls over HTTP/1.1 against a server that answers as it is told. */
-public class HttpLinkTest {
+public class HttpConnectionTest {
   private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 7000);
 
   private final SimulatedNet net = new SimulatedNet(0, 1);
@@ -24,7 +24,7 @@
   /** Stands in for the server: keeps its end, and reads nothing. */
   private final class Server implements ConnectionListener {
     @Override
-    public void up(Connection connection) {
+    public void connected(Connection connection) {
       server = connection;
     }
 
@@ -35,7 +35,7 @@
     public void closed(String why) {}
   }
 
-  private final class Told implements HttpConnection.Call {
+  private final class Told implements HttpConnection.ResponseListener {
     private final String name;
     private final boolean streams;
 
@@ -45,19 +45,19 @@
     }
 
     @Override
-    public void piece(int status, ByteBuffer bytes) {
+    public void bodyPart(int status, ByteBuffer bytes) {
       if (streams) {
         told.add(name + " piece " + StandardCharsets.US_ASCII.decode(bytes));
       }
     }
 
     @Override
-    public boolean streams() {
+    public boolean isStreaming() {
       return streams;
     }
 
     @Override
-    public void answered(int status, byte[] body) {
+    public void completed(int status, byte[] body) {
       told.add(name + " " + status + " " + new String(body, StandardCharsets.US_ASCII));
     }
 
@@ -108,7 +108,7 @@
     net.settle();
     says("\u0007\u0001\u0002 noise\r\n");
     assertEquals(told, List.of("vote failed, carried out true"));
-    assertEquals(connection.usable(), false);
+    assertEquals(connection.canSend(), false);
   }
 
   @Test
@@ -142,12 +142,12 @@
   @Test
   public void eventsHaveNamesAndDataAndSignsOfLifeAreNone() throws HttpException {
     List<String> seen = new ArrayList<>();
-    EventStream events = new EventStream();
+    EventStreamParser events = new EventStreamParser();
     byte[] all =
         ":\n\nevent: news\ndata: a=1\n\n:\nevent: counts\r\ndata: b=2\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
     for (byte b : all) {
-      events.take(ByteBuffer.wrap(new byte[] {b}), (name, data) -> seen.add(name + " " + data));
+      events.feed(ByteBuffer.wrap(new byte[] {b}), (name, data) -> seen.add(name + " " + data));
     }
     assertEquals(seen, List.of("news a=1", "counts b=2"));
   }
--- a/src/test/java/sprucerock/transport/net/TimersTest.java
+++ b/src/test/java/sprucerock/transport/net/TimersTest.java
@@ -15,8 +15,8 @@
   public void standingStillIsNotTheOthersSilence() {
     SimulatedNet net = new SimulatedNet(0, 1);
     int[] ran = {0};
-    net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
-    net.standStill(150);
+    net.stallTolerantTimeout(TimeSpan.ofMs(100), () -> ran[0]++);
+    net.stall(150);
     net.settle();
     assertEquals(ran[0], 0);
     net.pass(99);
@@ -29,11 +29,11 @@
   public void aLoopThatRunsWaitsOnce() {
     SimulatedNet net = new SimulatedNet(0, 1);
     int[] ran = {0};
-    net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
+    net.stallTolerantTimeout(TimeSpan.ofMs(100), () -> ran[0]++);
     net.pass(101);
     assertEquals(ran[0], 1);
-    Timers.Timer cancelled = net.patiently(TimeSpan.ofMs(100), () -> ran[0]++);
-    net.standStill(150);
+    Timers.Timer cancelled = net.stallTolerantTimeout(TimeSpan.ofMs(100), () -> ran[0]++);
+    net.stall(150);
     net.settle();
     cancelled.cancel();
     net.pass(300);
--- a/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
@@ -53,7 +53,7 @@
     Connection connection;
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
@@ -110,10 +110,10 @@
                   private int have;
 
                   @Override
-                  public void up(Connection made) {
+                  public void connected(Connection made) {
                     connection = made;
                     for (int i = 0; i < sent.length / 2; i += 512) {
-                      connection.claim(512).put(sent, i, 512);
+                      connection.reserve(512).put(sent, i, 512);
                     }
                     connection.append(Arrays.copyOfRange(sent, sent.length / 2, sent.length));
                   }
--- a/src/test/java/sprucerock/transport/net/nio/WheelTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/TimerWheelTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** The wheel beside a plain heap. */
-public class WheelTest {
+public class TimerWheelTest {
   private record Due(double when, int id) {}
 
   /**
--- a/src/test/java/sprucerock/transport/tls/Pipe.java
+++ b/src/test/java/sprucerock/transport/tls/Pipe.java
@@ -30,7 +30,7 @@
     long handed;
 
     @Override
-    public ByteBuffer claim(int bytes) {
+    public ByteBuffer reserve(int bytes) {
       ByteBuffer room = ByteBuffer.allocate(bytes);
       claimed.add(room);
       written += bytes;
@@ -57,12 +57,12 @@
     }
 
     @Override
-    public long written() {
+    public long bytesWritten() {
       return written;
     }
 
     @Override
-    public long handed() {
+    public long bytesHandedOver() {
       return handed;
     }
 
@@ -90,7 +90,7 @@
     String closed;
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
@@ -193,8 +193,8 @@
   void up(ConnectionListener client, ConnectionListener server) {
     near.user = client;
     far.user = server;
-    client.up(near);
-    server.up(far);
+    client.connected(near);
+    server.connected(far);
   }
 
   /** Until nothing moves. */
--- a/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
+++ b/src/test/java/sprucerock/transport/tls/TlsLinkTest.java
@@ -53,7 +53,7 @@
 
   private static void say(Connection connection, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    connection.claim(bytes.length).put(bytes);
+    connection.reserve(bytes.length).put(bytes);
   }
 
   /** A client and a server that have done what they can. */
@@ -359,7 +359,7 @@
     }
 
     @Override
-    public void up(Connection made) {
+    public void connected(Connection made) {
       connection = made;
     }
 
@@ -378,7 +378,7 @@
             ByteBuffer out = ByteBuffer.allocate(20_000);
             engine.wrap(ByteBuffer.allocate(0), out);
             out.flip();
-            connection.claim(out.remaining()).put(out);
+            connection.reserve(out.remaining()).put(out);
           } else {
             engine.unwrap(in, ByteBuffer.allocate(20_000));
           }
@@ -436,12 +436,12 @@
   @Test
   public void whatMayHaveLeftIsCountedInPlainBytes() {
     Pair pair = meet(relay(), unit(TestCa.leaf(NAME)));
-    assertEquals(pair.near.written(), 0);
+    assertEquals(pair.near.bytesWritten(), 0);
     say(pair.client.connection, "12345");
-    assertEquals(pair.near.written(), 5);
-    assertEquals(pair.near.handed(), 0); // not even a record yet
+    assertEquals(pair.near.bytesWritten(), 5);
+    assertEquals(pair.near.bytesHandedOver(), 0); // not even a record yet
     pair.pipe.settle();
-    assertEquals(pair.near.handed(), 5);
+    assertEquals(pair.near.bytesHandedOver(), 5);
   }
 
   @Test
--- a/src/test/java/sprucerock/transport/tls/TlsProperties.java
+++ b/src/test/java/sprucerock/transport/tls/TlsProperties.java
@@ -42,7 +42,7 @@
               .repeat(1 + random.nextInt(random.nextInt(5) == 0 ? 40_000 : 200));
       said.append(piece);
       if (random.nextBoolean()) {
-        pair.client.connection.claim(piece.length()).put(piece.getBytes());
+        pair.client.connection.reserve(piece.length()).put(piece.getBytes());
       } else {
         pair.client.connection.append(piece.getBytes());
       }
@@ -68,7 +68,7 @@
     String said = "";
     for (int i = 0; i < 8 && pair.client.connection != null && pair.client.closed == null; i++) {
       String piece = "piece " + i + " of what is said; ";
-      pair.client.connection.claim(piece.length()).put(piece.getBytes());
+      pair.client.connection.reserve(piece.length()).put(piece.getBytes());
       said += piece;
       pair.pipe.settle();
     }
--- a/src/test/java/sprucerock/transport/tls/TlsSizes.java
+++ b/src/test/java/sprucerock/transport/tls/TlsSizes.java
@@ -32,7 +32,7 @@
             .append(pair.pipe.far.written)
             .append(" back;");
         long before = pair.pipe.near.written;
-        pair.client.connection.claim(100).put(new byte[100]);
+        pair.client.connection.reserve(100).put(new byte[100]);
         pair.pipe.settle();
         said.append(" 100 bytes take ").append(pair.pipe.near.written - before).append(';');
       }
