--- a/src/main/java/sprucerock/Policy.java
+++ b/src/main/java/sprucerock/Policy.java
@@ -27,8 +27,8 @@
 import sprucerock.stats.DecayingSum;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.stats.KeyedSums;
-import sprucerock.stats.Pace;
-import sprucerock.stats.Shares;
+import sprucerock.stats.Proportions;
+import sprucerock.stats.RelativeSlowness;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
@@ -58,7 +58,7 @@
   private final boolean alone; // neither peers nor the desk's counts add up what relays see
   private final double strays; // marks for one unlucky relay among all in twenty days
   private final TreeMap<Integer, DecayingMean> zonePaces = new TreeMap<>();
-  private final Pace pace;
+  private final RelativeSlowness pace;
   private final Board board;
   private final Met met = new Met(8);
   private final DecayingMean noConnection = new DecayingMean(TimeSpan.ofMs(5000));
@@ -90,32 +90,33 @@
     started = host.now();
     tenants = new Tenants(settings.tenantShares, TimeSpan.ofMs(5000));
     sharedTokens = settings.free;
-    alone = !settings.peers && !settings.countsEvery.over(TimeSpan.ZERO);
+    alone = !settings.gossip && !settings.countsEvery.over(TimeSpan.ZERO);
     strays = Math.sqrt(2 * Math.log(20 * settings.relays));
     for (Method method : settings.methods) {
-      method.took = new DecayingMean(TimeSpan.ofMs(10000));
-      method.logNow = new DecayingMean(TimeSpan.ofMs(20000));
-      method.trialTokens = settings.free;
-    }
-    pace = new Pace(settings.methods.size(), 2, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
-    board = new Board(TimeSpan.ofMs(4 * settings.meanSoftMs));
-    if (settings.ask) {
+      method.recentLatency = new DecayingMean(TimeSpan.ofMs(10000));
+      method.recentLogLatency = new DecayingMean(TimeSpan.ofMs(20000));
+      method.canaryTokens = settings.free;
+    }
+    pace =
+        new RelativeSlowness(settings.methods.size(), 2, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
+    board = new Board(TimeSpan.ofMs(4 * settings.meanLatencyObjectiveMs));
+    if (settings.pollsEndpointList) {
       subscribe();
     }
     look();
   }
 
   public void endpointReady(Endpoint endpoint) {
-    if (endpoint.pace == null) {
-      endpoint.pace = new DecayingMean(TimeSpan.ofMs(4000));
+    if (endpoint.relativeLatency == null) {
+      endpoint.relativeLatency = new DecayingMean(TimeSpan.ofMs(4000));
     }
-    endpoint.zonePace =
+    endpoint.zoneRelativeLatency =
         zonePaces.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
     board.ready(endpoint);
     builds.put(endpoint.build.number, endpoint.build);
-    endpoint.coldTokens =
+    endpoint.warmUpTokens =
         chance.next(); // relays learn of a unit together: first tokens come one by one
-    endpoint.coldAsOf = host.now();
+    endpoint.warmUpTokensAt = host.now();
   }
 
   public void endpointDraining(
@@ -187,7 +188,7 @@
     double most = isOffered(build) ? cap : settings.caps.get(0);
     int stage = isOffered(build) ? offer.stage : 0;
     return most > 0
-        && (settings.perMethod ? method.trialTokens : sharedTokens) >= tokens
+        && (settings.perMethod ? method.canaryTokens : sharedTokens) >= tokens
         && (method.idempotent() || stage >= settings.guardedStages);
   }
 
@@ -198,7 +199,7 @@
     boolean ended = standing == RolloutState.RELEASED || standing == RolloutState.WITHDRAWN;
     double share = (ended ? settings.caps.get(0) : cap) * (1 - 1e-6);
     sharedTokens = Math.min(settings.free, sharedTokens + share);
-    method.trialTokens = Math.min(settings.free, method.trialTokens + share);
+    method.canaryTokens = Math.min(settings.free, method.canaryTokens + share);
   }
 
   private Build trial() { // that pairs can judge now
@@ -255,21 +256,21 @@
       return;
     }
     Endpoint endpoint = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
-    earlier.pair =
+    earlier.shadowPair =
         endpoint != null ? new ShadowPair() : offer.evidence.waiting.get(rpc.method.index).poll();
-    if (earlier.pair == null) {
+    if (earlier.shadowPair == null) {
       return;
     }
-    earlier.pair.earlier = earlier;
+    earlier.shadowPair.baseline = earlier;
     if (endpoint != null) {
-      sendCopy(rpc, endpoint, earlier.pair);
+      sendCopy(rpc, endpoint, earlier.shadowPair);
     }
-    judge(earlier.pair);
+    judge(earlier.shadowPair);
   }
 
   private void sendCopy(Rpc rpc, Endpoint endpoint, ShadowPair pair) {
-    pair.fresh = send(rpc, endpoint, true);
-    pair.fresh.pair = pair;
+    pair.canary = send(rpc, endpoint, true);
+    pair.canary.shadowPair = pair;
     copiesOut++;
   }
 
@@ -284,7 +285,7 @@
   private boolean mayCopy(Rpc rpc, Build trial) {
     double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
     return rpc.method.idempotent()
-        && settings.secondCopies
+        && settings.hedging
         && !breakerOpen()
         && budgetHasRoom()
         && rpc.attempts.size() < settings.maxAttempts
@@ -298,7 +299,7 @@
     Evidence seen = offer.evidence;
     // every other one of a method at most: each has its like at the earlier build
     if (rpc.method.idempotent()) {
-      return !settings.secondCopies && seen.even(rpc.method);
+      return !settings.hedging && seen.even(rpc.method);
     }
     // (6) A build bad for one method with effects shows in no copy: a few such RPCs go there alone
     return offer.stage > 0 && seen.singles[rpc.method.index] < singles;
@@ -325,24 +326,24 @@
     Timestamp now = host.now();
     int tried = onTrial(endpoint.build) ? 1 : 0;
     sharedTokens -= tried;
-    rpc.method.trialTokens -= tried;
+    rpc.method.canaryTokens -= tried;
     homeSends.add(now, 1 - tried);
-    endpoint.coldTokens--;
+    endpoint.warmUpTokens--;
     TimeSpan overdue = overdueAfter(rpc);
     // Where one pick must end before the next, it is cut only when lost: its work so far is thrown
     // away.
     TimeSpan lost = overdue.times(2);
     boolean cut =
-        !settings.secondCopies
-            && !rpc.method.streamOrOnce()
+        !settings.hedging
+            && !rpc.method.mustNotBeCutShort()
             && rpc.attempts.size() + 1 < settings.maxAttempts
             && rpc.deadline.since(now).over(lost.times(1.5));
     Attempt attempt = new Attempt(rpc, endpoint, now, cut ? lost : null);
-    attempt.copy = copy;
+    attempt.shadow = copy;
     // rule 2: a repeat that waits for a connection must not come up after its window
     Attempt first = rpc.firstThatMayHaveRun();
-    boolean binds = first != null && rpc.method.effect == Method.Effect.TOKENED;
-    attempt.startBy = binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
+    boolean binds = first != null && rpc.method.idempotency == Method.Idempotency.KEYED;
+    attempt.writeBy = binds ? first.sent.plus(rpc.method.keyLifetime).minus(settings.tick) : null;
     host.send(attempt);
     report(endpoint, null);
     host.wake(attempt, now.plus(overdue), () -> overdue(attempt));
@@ -354,12 +355,12 @@
    * time.
    */
   private TimeSpan overdueAfter(Rpc rpc) {
-    TimeSpan usual = TimeSpan.ofMs(3 * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
+    TimeSpan usual = TimeSpan.ofMs(3 * usualMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
     return rpc.method.latencyObjective.times(0.45).atLeast(usual);
   }
 
   private double usualMs(Method method) {
-    return method.took.at(
+    return method.recentLatency.at(
         host.now(), method.latencyObjective.ms() / 6, 1); // a guess until answers come
   }
 
@@ -369,16 +370,17 @@
   private void overdue(Attempt attempt) {
     attempt.overdue = true;
     boolean silent =
-        attempt.endpoint.lastAnswer == null || attempt.sent.after(attempt.endpoint.lastAnswer);
+        attempt.endpoint.lastAnsweredAt == null
+            || attempt.sent.after(attempt.endpoint.lastAnsweredAt);
     if (silent) {
       note(attempt.endpoint, false);
     }
-    attempt.endpoint.pace.add(host.now(), 3);
-    attempt.endpoint.zonePace.add(host.now(), 3);
-    if (attempt.pair != null) {
-      judge(attempt.pair);
+    attempt.endpoint.relativeLatency.add(host.now(), 3);
+    attempt.endpoint.zoneRelativeLatency.add(host.now(), 3);
+    if (attempt.shadowPair != null) {
+      judge(attempt.shadowPair);
     }
-    if (silent && settings.secondCopies && attempt.rpc.out() == 1) {
+    if (silent && settings.hedging && attempt.rpc.inFlight() == 1) {
       tryAgain(attempt.rpc);
     }
   }
@@ -390,7 +392,7 @@
 
   private boolean mayRepeat(Rpc rpc) { // rule 2
     boolean barred =
-        !settings.secondCopies && rpc.out() > 0 || rpc.attempts.size() >= settings.maxAttempts;
+        !settings.hedging && rpc.inFlight() > 0 || rpc.attempts.size() >= settings.maxAttempts;
     if (rpc.ended() || rpc.streaming() || barred) {
       return false;
     }
@@ -398,8 +400,8 @@
     if (first == null || rpc.method.idempotent()) {
       return true;
     }
-    return rpc.method.effect == Method.Effect.TOKENED
-        && rpc.method.window.minus(settings.tick).over(host.now().since(first.sent));
+    return rpc.method.idempotency == Method.Idempotency.KEYED
+        && rpc.method.keyLifetime.minus(settings.tick).over(host.now().since(first.sent));
   }
 
   private boolean tryAgain(Rpc rpc) {
@@ -431,7 +433,7 @@
     if (answers && ok) {
       answered.add(now, 1);
     }
-    if (attempt.copy) {
+    if (attempt.shadow) {
       copiesOut--;
     }
     report(attempt.endpoint, now.since(attempt.sent));
@@ -440,8 +442,8 @@
     if (tells && (ok || !attempt.overdue)) {
       note(attempt.endpoint, ok);
     }
-    if (ok || attempt.erred()) {
-      attempt.endpoint.lastAnswer = now;
+    if (ok || attempt.answeredWithError()) {
+      attempt.endpoint.lastAnsweredAt = now;
     }
     noConnection.add(now, attempt.outcome() == AttemptOutcome.NOT_CONNECTED ? 1 : 0);
     if (ok) {
@@ -455,7 +457,7 @@
       learnPace(attempt);
     }
     if (isOffered(attempt.endpoint.build)) {
-      offer.erred |= attempt.erred();
+      offer.erred |= attempt.answeredWithError();
       if (standing == RolloutState.RELEASED) {
         offer.evidence.ended(attempt);
       }
@@ -464,10 +466,10 @@
         offer.pins.put(rpc.key, offer.build);
       }
     }
-    if (attempt.pair != null) {
-      judge(attempt.pair);
+    if (attempt.shadowPair != null) {
+      judge(attempt.shadowPair);
     }
-    if (!rpc.ended() && !rpc.streaming() && rpc.out() == 0 && !tryAgain(rpc)) {
+    if (!rpc.ended() && !rpc.streaming() && rpc.inFlight() == 0 && !tryAgain(rpc)) {
       giveUp(rpc);
     }
   }
@@ -482,7 +484,7 @@
    */
   private void giveUp(Rpc rpc) {
     settle(rpc);
-    if (rpc.firstThatMayHaveRun() == null || rpc.method.harmlessAnywhere()) {
+    if (rpc.firstThatMayHaveRun() == null || rpc.method.repeatableAnywhere()) {
       // half a soft deadline: about what a queue that long needs to drain
       TimeSpan wait = rpc.method.latencyObjective.times(0.5).atMost(settings.maxRetryAfter);
       host.pushBack(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
@@ -493,11 +495,11 @@
   }
 
   private void cancelOut(Rpc rpc) {
-    if (!settings.cancel) {
+    if (!settings.cancellation) {
       return;
     }
     for (Attempt attempt : rpc.attempts) {
-      if (attempt.outcome() == null && attempt.pair == null) {
+      if (attempt.outcome() == null && attempt.shadowPair == null) {
         host.cancel(attempt);
       }
     }
@@ -528,16 +530,17 @@
     // back.
     waitMs = Math.min(waitMs, 2 * (now.ms() - timelySinceMs / Math.max(timely, 1)));
     boolean byFleet = loadsFresh() && arrivals.perSecond(now) < 10;
-    double worth = rpc.method.utility / settings.mostUtility;
+    double worth = rpc.method.priorityWeight / settings.maxPriorityWeight;
     double over = tenants.timesShare(rpc.tenant, now);
     // of a customer at thrice its share, two RPCs in three are over it
     if (over > 1.2 && chance.next() > 1 / over) {
-      worth *= settings.overShareWorth;
+      worth *= settings.overQuotaWeight;
     }
     // what is left must hold the long tail; the fleet's wait holds the work itself
     return byFleet
-        ? chance.next() > 0.05 && fleetWaitMs > settings.meanSoftMs * (0.4 + 0.3 * worth)
-        : waitMs > settings.meanSoftMs * (0.25 + 0.3 * worth);
+        ? chance.next() > 0.05
+            && fleetWaitMs > settings.meanLatencyObjectiveMs * (0.4 + 0.3 * worth)
+        : waitMs > settings.meanLatencyObjectiveMs * (0.25 + 0.3 * worth);
   }
 
   /**
@@ -632,8 +635,8 @@
 
   private boolean connected(
       Endpoint endpoint, Timestamp now) { // by half the idle time neither end has closed it
-    return endpoint.lastAnswer != null
-        && settings.idle.times(0.5).over(now.since(endpoint.lastAnswer));
+    return endpoint.lastAnsweredAt != null
+        && settings.idleTimeout.times(0.5).over(now.since(endpoint.lastAnsweredAt));
   }
 
   private boolean farOff(
@@ -642,17 +645,21 @@
       return false;
     }
     Timestamp now = host.now();
-    return endpoint.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
+    return endpoint.zoneRelativeLatency.at(now, 1, 1)
+        > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
   }
 
   private double cost(Endpoint endpoint) {
     double far = endpoint.zone == settings.zone ? 1 : 1.1; // a tie goes to the relay's own zone
     int out =
-        endpoint.toldAt == loadsAt && loadsFresh()
-            ? Math.max(endpoint.out(), endpoint.told)
-            : endpoint.out();
+        endpoint.reportedAt == loadsAt && loadsFresh()
+            ? Math.max(endpoint.inFlight(), endpoint.reportedInFlight)
+            : endpoint.inFlight();
     double load = 1 + out / Math.max(endpoint.weight(), 0.1);
-    return load * endpoint.pace.at(host.now(), 1, 2) * (1 + endpoint.failed(6)) * far;
+    return load
+        * endpoint.relativeLatency.at(host.now(), 1, 2)
+        * (1 + endpoint.failedResults(6))
+        * far;
   }
 
   /**
@@ -660,12 +667,13 @@
    * alone.
    */
   private static boolean sick(Endpoint endpoint) {
-    return endpoint.known(6) >= 3 && 2 * endpoint.failed(6) > endpoint.known(6);
+    return endpoint.knownResults(6) >= 3
+        && 2 * endpoint.failedResults(6) > endpoint.knownResults(6);
   }
 
   private void note(Endpoint endpoint, boolean ok) {
     boolean before = sick(endpoint);
-    endpoint.note(ok);
+    endpoint.recordResult(ok);
     if (!before && sick(endpoint)) {
       endpoint.retryAt = host.now().plus(TimeSpan.ofMs(1000));
     }
@@ -674,22 +682,22 @@
   private void learnPace(Attempt attempt) {
     Timestamp now = host.now();
     Method method = attempt.rpc.method;
-    double ms = Math.max(attempt.took().ms(), 1);
+    double ms = Math.max(attempt.latency().ms(), 1);
     double times = Math.min(ms / usualMs(method), 8);
-    attempt.endpoint.pace.add(now, times);
-    attempt.endpoint.zonePace.add(now, times);
-    double log = Math.log(ms / Math.max(attempt.rpc.hinted().ms(), 1));
+    attempt.endpoint.relativeLatency.add(now, times);
+    attempt.endpoint.zoneRelativeLatency.add(now, times);
+    double log = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
     if (onTrial(attempt.endpoint.build)) {
       // younger ones look slow for being cold
       if (!isOffered(attempt.endpoint.build)
           || !attempt.endpoint.olderThan(TimeSpan.ofMs(5000), now)) {
         return;
       }
-      offer.excessLog.add(now, log - method.logNow.at(now, log, 1e-9));
+      offer.excessLog.add(now, log - method.recentLogLatency.at(now, log, 1e-9));
       return;
     }
-    method.took.add(now, ms);
-    method.logNow.add(now, log);
+    method.recentLatency.add(now, ms);
+    method.recentLogLatency.add(now, log);
     seePace(0, method, Math.exp(log), 1);
   }
 
@@ -701,9 +709,9 @@
     boolean before =
         !watched(now) || offer.stage == 0; // a first stage's few picks slow nothing much
     if (before) {
-      pace.seeBefore(source, method.index, ms, weight, now);
+      pace.addBaseline(source, method.index, ms, weight, now);
     } else {
-      pace.see(source, method.index, ms, weight, now);
+      pace.add(source, method.index, ms, weight, now);
     }
   }
 
@@ -715,13 +723,13 @@
   // like
   // loads.
   private boolean hasRoom(Endpoint endpoint, Timestamp now) {
-    if (!onTrial(endpoint.build) && endpoint.olderThan(settings.cold, now)) {
+    if (!onTrial(endpoint.build) && endpoint.olderThan(settings.warmUp, now)) {
       return true;
     }
     double all = 0;
     double warm = 0;
     for (Build build : builds.values()) {
-      build.weigh(settings.cold, TimeSpan.ofMs(500), now); // no scan for each pick
+      build.refreshWeights(settings.warmUp, TimeSpan.ofMs(500), now); // no scan for each pick
       all += build.weight;
       if (!onTrial(build)) {
         warm += build.weightOfOlder;
@@ -730,19 +738,23 @@
     double carried =
         homeSends.perSecond(now) * endpoint.weight() / Math.max(warm > 0 ? warm : all, 0.1);
     double age =
-        endpoint.started == null ? 1 : Math.max(0, now.since(endpoint.started).per(settings.cold));
+        endpoint.started == null
+            ? 1
+            : Math.max(0, now.since(endpoint.started).per(settings.warmUp));
     double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
     double perSecond = Math.min(0.5 * settings.tipMultiple, 0.8) * share * carried;
     double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
-    endpoint.coldTokens =
-        Math.min(endpoint.coldTokens + perSecond * now.since(endpoint.coldAsOf).ms() / 1000, most);
-    endpoint.coldAsOf = now;
-    return endpoint.coldTokens >= 1;
+    endpoint.warmUpTokens =
+        Math.min(
+            endpoint.warmUpTokens + perSecond * now.since(endpoint.warmUpTokensAt).ms() / 1000,
+            most);
+    endpoint.warmUpTokensAt = now;
+    return endpoint.warmUpTokens >= 1;
   }
 
   private void judge(ShadowPair pair) {
-    Attempt fresh = pair.fresh;
-    Attempt earlier = pair.earlier;
+    Attempt fresh = pair.canary;
+    Attempt earlier = pair.baseline;
     if (pair.judged || earlier == null) {
       return;
     }
@@ -763,11 +775,11 @@
     seen.pairs++;
     boolean few =
         fresh.endpoint.build.endpoints.size() < 3; // else one unit gives two mismatches at most
-    boolean freshOnly = fresh.erred() && !earlier.erred();
+    boolean freshOnly = fresh.answeredWithError() && !earlier.answeredWithError();
     if (freshOnly && (++fresh.endpoint.excess <= 2 || few)) {
       seen.freshFails(fresh.endpoint);
     }
-    if (earlier.erred() && !fresh.erred()) {
+    if (earlier.answeredWithError() && !fresh.answeredWithError()) {
       seen.earlierFailed++;
     }
     Timestamp now = host.now();
@@ -775,8 +787,8 @@
         TimeSpan.ofMs(5000); // the design's age, under which copies look slow for being cold
     boolean alike =
         fresh.endpoint.kind == earlier.endpoint.kind
-            && !fresh.erred()
-            && !earlier.erred()
+            && !fresh.answeredWithError()
+            && !earlier.answeredWithError()
             && fresh.endpoint.olderThan(settled, now)
             && earlier.endpoint.olderThan(settled, now);
     int n = alike ? seen.time(tookOf(fresh, now), tookOf(earlier, now)) : 0;
@@ -786,8 +798,8 @@
   }
 
   private double tookOf(Attempt attempt, Timestamp now) {
-    return attempt.took(now).ms()
-        / (attempt.rpc.hint != null ? attempt.rpc.hint.ms() : usualMs(attempt.rpc.method));
+    return attempt.latency(now).ms()
+        / (attempt.rpc.workHint != null ? attempt.rpc.workHint.ms() : usualMs(attempt.rpc.method));
   }
 
   // (6) The release desk's counts show builds bad for methods that are never copied, and quiet
@@ -809,13 +821,13 @@
     counts[1] += failed;
     boolean released = standing == RolloutState.RELEASED;
     int lead = offer.lead();
-    boolean led = settings.peers ? lead > 0.01 * offer.pooled()[0] : offer.erred;
+    boolean led = settings.gossip ? lead > 0.01 * offer.pooled()[0] : offer.erred;
     if (fresh[0] < 12 || fresh[1] < 3 || !(released ? offer.evidence.errors > 2 : led)) {
       return;
     }
     // 3.5 standard errors: one look in 4,000 by chance; once released a fifth of units may fail
     // anyway
-    double mark = 3.5 * Shares.error(fresh[1], fresh[0], earlier[1], earlier[0]);
+    double mark = 3.5 * Proportions.error(fresh[1], fresh[0], earlier[1], earlier[0]);
     double excess = fresh[1] / fresh[0] - earlier[1] / Math.max(earlier[0], 1);
     offer.evidence.counted |= excess > Math.max(released ? 0.25 : 0.05, mark);
     consider();
@@ -874,7 +886,7 @@
   // is silent the next one is told; the lowest is believed. With all messages lost, own picks must
   // do.
   private void report(Endpoint endpoint, TimeSpan endedAt) {
-    if (!settings.peers) {
+    if (!settings.gossip) {
       return;
     }
     Timestamp now = host.now();
@@ -908,7 +920,7 @@
           sumsDue = false;
           Timestamp at = host.now();
           double waitMs = 1000 * board.out(at) / Math.max(endedAnywhere.perSecond(started, at), 1);
-          byte[] loads = board.loads(2, waitMs / settings.meanSoftMs, at);
+          byte[] loads = board.loads(2, waitMs / settings.meanLatencyObjectiveMs, at);
           host.tellPeers(loads);
           loadsTold(settings.index, loads);
         });
@@ -921,7 +933,7 @@
     hub = sender;
     hubSince = host.now();
     loadsAt = hubSince;
-    fleetWaitMs = board.read(told, loadsAt) * settings.meanSoftMs;
+    fleetWaitMs = board.read(told, loadsAt) * settings.meanLatencyObjectiveMs;
   }
 
   private boolean loadsFresh() {
@@ -1005,12 +1017,12 @@
 
   private void look() {
     Timestamp now = host.now();
-    if (settings.ask && now.since(lastAsked).over(settings.askWithin.times(0.5))) {
+    if (settings.pollsEndpointList && now.since(lastAsked).over(settings.pollWithin.times(0.5))) {
       subscribe();
     }
     consider();
     // (6) peers tell each other their pairs, twice a second at most, and add them up
-    boolean news = settings.peers && trial() != null && !offer.evidence.told();
+    boolean news = settings.gossip && trial() != null && !offer.evidence.told();
     if (news && (offer.told == null || longerThan(500, offer.told, now))) {
       offer.told = now;
       host.tellPeers(offer.evidence.report(offer.build.number, offer.stage));
@@ -1078,7 +1090,7 @@
     }
     // by the start times in the list; while the new units of a stage are not listed, none up to 8 s
     TimeSpan known = now.since(offer.since);
-    Timestamp newest = offer.build.newest();
+    Timestamp newest = offer.build.newestStart();
     boolean missing =
         newest == null || offer.since.after(newest) && TimeSpan.ofMs(8000).over(known);
     boolean old = !missing && now.since(newest).atMost(known).over(TimeSpan.ofMs(fallback));
@@ -1092,7 +1104,7 @@
   private void vote(Verdict verdict) {
     Timestamp now = host.now();
     boolean anew = verdict != ballot.verdict;
-    TimeSpan renew = settings.voteLife.times(0.5);
+    TimeSpan renew = settings.voteLifetime.times(0.5);
     if (!anew && !ballot.due(renew, settings.callTimeout, TimeSpan.ofMs(300), now)) {
       return;
     }
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -122,7 +122,7 @@
 
   /** The answer has begun to reach the client. */
   public void streamStarted(Attempt attempt) {
-    attempt.rpc.stream();
+    attempt.rpc.markStreaming();
     module.streamStarted(attempt);
   }
 
@@ -135,7 +135,7 @@
       return;
     }
     Rpc rpc = attempt.rpc;
-    attempt.end(outcome, took);
+    attempt.recordOutcome(outcome, took);
     attempt.endpoint.attemptEnded();
     rpc.attemptEnded();
     // the columns have the order of the outcomes
@@ -143,7 +143,7 @@
         rpc.method.index,
         attempt.endpoint.build.row(),
         attempt.endpoint.row(),
-        attempt.copy,
+        attempt.shadow,
         attempt.written(),
         1 + outcome.ordinal(),
         took);
@@ -198,7 +198,7 @@
       known.row(accounts.row(accounts.endpoints, "" + id));
       endpoints.put(id, known);
     }
-    known.weigh(weight);
+    known.setWeight(weight);
     if (!mayGetWork) {
       leave(known);
     } else if (!known.ready()) {
@@ -290,17 +290,17 @@
 
   public void sent(Attempt attempt) {
     attempt.rpc.add(attempt);
-    attempt.endpoint.picked();
+    attempt.endpoint.attemptStarted();
     accounts.attemptSent(
         attempt.rpc.method.index,
         attempt.endpoint.build.row(),
         attempt.endpoint.row(),
-        attempt.copy);
+        attempt.shadow);
   }
 
   /** A pick was put on a connection to its unit. */
   public void written(Attempt attempt) {
-    attempt.write();
+    attempt.markWritten();
     accounts.attemptWritten();
   }
 
@@ -334,12 +334,12 @@
   }
 
   private void end(Rpc rpc) {
-    rpc.end();
+    rpc.markEnded();
     open--;
   }
 
   private void forget(Rpc rpc) {
-    if (rpc.ended() && rpc.out() == 0) {
+    if (rpc.ended() && rpc.inFlight() == 0) {
       rpcs.remove(rpc.id, rpc);
     }
   }
--- a/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
+++ b/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
@@ -365,7 +365,7 @@
     }
     Map<String, Double> utilities = new LinkedHashMap<>();
     for (int i = 0; i < settings.methodNames.size(); i++) {
-      utilities.put(settings.methodNames.get(i), settings.settings.methods.get(i).utility);
+      utilities.put(settings.methodNames.get(i), settings.settings.methods.get(i).priorityWeight);
     }
     RelaySums sums = MetricsSummary.read(settings.figures, utilities, process.pid());
     if (sums == null) {
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -167,7 +167,7 @@
     Node site = root.child("site");
     int number = root.count("number");
     Settings.Draft draft = draft(site, number);
-    draft.idle = idle;
+    draft.idleTimeout = idle;
     settings = new Settings(draft);
     if (number >= settings.relays) {
       throw root.wrong(
@@ -295,14 +295,14 @@
     }
     draft.zone = site.count("zone");
     if (site.has("over-share-worth")) {
-      draft.overShareWorth = site.number("over-share-worth");
+      draft.overQuotaWeight = site.number("over-share-worth");
     }
     draft.tick = site.span("tick");
     atLeast(site, "tick", TimeSpan.ofMs(0.1));
-    draft.ask = site.flag("ask");
-    draft.askWithin = site.span("ask-within");
+    draft.pollsEndpointList = site.flag("ask");
+    draft.pollWithin = site.span("ask-within");
     Node rules = site.child("rules");
-    draft.cold = rules.span("cold");
+    draft.warmUp = rules.span("cold");
     draft.startShare = rules.number("start-capacity");
     draft.tipAfter = rules.span("tip-after");
     draft.tipMultiple = rules.number("tip-multiple");
@@ -319,15 +319,15 @@
     }
     Node allowed = site.child("allowed");
     draft.maxAttempts = allowed.count("picks");
-    draft.secondCopies = allowed.flag("second-copies");
-    draft.cancel = allowed.flag("cancel");
-    draft.peers = allowed.flag("peers");
+    draft.hedging = allowed.flag("second-copies");
+    draft.cancellation = allowed.flag("cancel");
+    draft.gossip = allowed.flag("peers");
     draft.retryAfter = allowed.flag("retry-after");
     draft.maxRetryAfter = allowed.span("most-retry-after");
     Node votes = site.child("votes");
     draft.control =
         Settings.Control.valueOf(votes.text("control").toUpperCase(java.util.Locale.ROOT));
-    draft.voteLife = votes.span("life");
+    draft.voteLifetime = votes.span("life");
     draft.callTimeout = votes.span("answer-within");
     if (votes.has("counts-every")) {
       draft.countsEvery = votes.span("counts-every");
@@ -338,13 +338,13 @@
   }
 
   private static Method method(Node node, int index) throws ConfigException {
-    Method.Effect effect =
+    Method.Idempotency effect =
         switch (node.text("effect")) {
-          case "idempotent" -> Method.Effect.IDEMPOTENT;
-          case "tokened" -> Method.Effect.TOKENED;
-          default -> Method.Effect.NON_IDEMPOTENT;
+          case "idempotent" -> Method.Idempotency.IDEMPOTENT;
+          case "tokened" -> Method.Idempotency.KEYED;
+          default -> Method.Idempotency.NONE;
         };
-    boolean tokened = effect == Method.Effect.TOKENED;
+    boolean tokened = effect == Method.Idempotency.KEYED;
     if (tokened != node.has("window") || !tokened && node.has("group")) {
       throw node.wrong("window is for tokened methods, which need it; group for them alone");
     }
@@ -356,13 +356,13 @@
     if (!(node.number("utility") > 0)) {
       throw node.wrong("utility is above 0, not " + node.text("utility"));
     }
-    Method.Group group =
+    Method.KeyScope group =
         !node.has("group")
-            ? Method.Group.ALL
+            ? Method.KeyScope.ALL
             : switch (node.text("group")) {
-              case "zone" -> Method.Group.ZONE;
-              case "cell" -> Method.Group.CELL;
-              default -> Method.Group.ALL;
+              case "zone" -> Method.KeyScope.ZONE;
+              case "cell" -> Method.KeyScope.CELL;
+              default -> Method.KeyScope.ALL;
             };
     return new Method(
         index,
--- a/src/main/java/sprucerock/config/settings/SettingsText.java
+++ b/src/main/java/sprucerock/config/settings/SettingsText.java
@@ -42,18 +42,18 @@
     draft.zone = (int) number("my_zone");
     addMethods(draft);
     addShares(draft);
-    draft.overShareWorth = optional("over_share_worth", draft.overShareWorth);
+    draft.overQuotaWeight = optional("over_share_worth", draft.overQuotaWeight);
     draft.tick = span("tick");
-    draft.ask = text("membership_mode").equals("ask");
-    draft.askWithin = span("obligations.ask_within");
-    draft.cold = span("obligations.cold");
+    draft.pollsEndpointList = text("membership_mode").equals("ask");
+    draft.pollWithin = span("obligations.ask_within");
+    draft.warmUp = span("obligations.cold");
     draft.startShare = number("obligations.start_capacity");
     draft.tipAfter = span("obligations.tip_after");
     draft.tipMultiple = number("obligations.tip_multiple");
     draft.maxAttempts = (int) number("permissions.send_cap");
-    draft.secondCopies = text("permissions.second_copies").equals("true");
-    draft.cancel = text("permissions.cancel").equals("true");
-    draft.peers = text("permissions.peers").equals("true");
+    draft.hedging = text("permissions.second_copies").equals("true");
+    draft.cancellation = text("permissions.cancel").equals("true");
+    draft.gossip = text("permissions.peers").equals("true");
     draft.retryAfter = text("permissions.retry_after").equals("true");
     draft.maxRetryAfter = span("permissions.max_retry_after");
     draft.control =
@@ -73,32 +73,32 @@
     draft.guardedStages = (int) optional("specifics.safe_only_stages", draft.guardedStages);
     draft.oneWayKeys =
         optionalText("specifics.keys_stay", Boolean.toString(draft.oneWayKeys)).equals("true");
-    draft.voteLife = span("specifics.ballot_ttl");
+    draft.voteLifetime = span("specifics.ballot_ttl");
     draft.callTimeout = span("specifics.call_timeout");
     draft.index = (int) number("index");
     draft.relays = (int) number("balancers");
     draft.countsEvery = TimeSpan.ofMs(optional("specifics.sums_every", draft.countsEvery.ms()));
-    draft.idle = TimeSpan.ofMs(optional("permissions.keepalive", draft.idle.ms()));
+    draft.idleTimeout = TimeSpan.ofMs(optional("permissions.keepalive", draft.idleTimeout.ms()));
     return draft;
   }
 
   private void addMethods(Settings.Draft draft) {
     for (int i = 0; i < (int) number("classes.count"); i++) {
       String at = "classes." + i + ".";
-      Method.Effect effect =
+      Method.Idempotency effect =
           switch (text(at + "effect")) {
-            case "read_like" -> Method.Effect.IDEMPOTENT;
-            case "idempotency_key" -> Method.Effect.TOKENED;
-            case "non_idempotent" -> Method.Effect.NON_IDEMPOTENT;
+            case "read_like" -> Method.Idempotency.IDEMPOTENT;
+            case "idempotency_key" -> Method.Idempotency.KEYED;
+            case "non_idempotent" -> Method.Idempotency.NONE;
             default ->
                 throw new IllegalArgumentException(
                     "setting " + at + "effect is not known: " + text(at + "effect"));
           };
-      Method.Group group =
+      Method.KeyScope group =
           switch (optionalText(at + "group", "all")) {
-            case "zone" -> Method.Group.ZONE;
-            case "cell" -> Method.Group.CELL;
-            default -> Method.Group.ALL;
+            case "zone" -> Method.KeyScope.ZONE;
+            case "cell" -> Method.KeyScope.CELL;
+            default -> Method.KeyScope.ALL;
           };
       draft.methods.add(
           new Method(
--- a/src/main/java/sprucerock/model/Attempt.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -11,33 +11,33 @@
   public final Timestamp sent;
 
   /** When to give up on it; null: not before the client does. */
-  public final TimeSpan patience;
+  public final TimeSpan timeout;
 
   /**
    * Noted by the module: from then on it may not be put on a connection any more; null: it always
    * may.
    */
-  public Timestamp startBy;
+  public Timestamp writeBy;
 
   private AttemptOutcome outcome;
-  private TimeSpan took;
+  private TimeSpan latency;
   private boolean written;
 
   /** What the relay's pool keeps with it; nobody else looks at it. */
-  public Object door;
+  public Object attachment;
 
   /** Noted by the module, like those below: nothing came within the usual time. */
   public boolean overdue;
 
-  public boolean copy;
-  public ShadowPair pair;
+  public boolean shadow;
+  public ShadowPair shadowPair;
 
   public Attempt(Rpc rpc, Endpoint endpoint, Timestamp sent, TimeSpan patience) {
     this.rpc = rpc;
     this.endpoint = endpoint;
     this.number = rpc.attempts.size();
     this.sent = sent;
-    this.patience = patience;
+    this.timeout = patience;
   }
 
   /** How it ended; null while it is out. */
@@ -46,14 +46,14 @@
   }
 
   /** How long it took; null while it is out. */
-  public TimeSpan took() {
-    return took;
+  public TimeSpan latency() {
+    return latency;
   }
 
-  @ByLedger
-  public void end(AttemptOutcome how, TimeSpan after) {
+  @WrittenByRequestTracker
+  public void recordOutcome(AttemptOutcome how, TimeSpan after) {
     outcome = how;
-    took = after;
+    latency = after;
   }
 
   /** Whether it is, or was, on a connection. */
@@ -61,14 +61,14 @@
     return written;
   }
 
-  @ByLedger
-  public void write() {
+  @WrittenByRequestTracker
+  public void markWritten() {
     written = true;
   }
 
   /** How long it took, or has taken so far. */
-  public TimeSpan took(Timestamp now) {
-    return took != null ? took : now.since(sent);
+  public TimeSpan latency(Timestamp now) {
+    return latency != null ? latency : now.since(sent);
   }
 
   public boolean mayHaveRun() {
@@ -85,7 +85,7 @@
   /**
    * The unit answered with an error: no time-out, no broken connection, no full or missing unit.
    */
-  public boolean erred() {
+  public boolean answeredWithError() {
     return outcome == AttemptOutcome.ERROR;
   }
 }
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -14,7 +14,7 @@
   /** Those that may get new work, in an order that draws change; each unit knows its place. */
   public final List<Endpoint> endpoints = Collections.unmodifiableList(listed);
 
-  private Timestamp newest;
+  private Timestamp newestStart;
   private int row;
 
   public Build(int number) {
@@ -25,8 +25,8 @@
    * When the process of a unit started last, of all that were ready so far; null where all did long
    * ago.
    */
-  public Timestamp newest() {
-    return newest;
+  public Timestamp newestStart() {
+    return newestStart;
   }
 
   private Timestamp weighedAt;
@@ -37,7 +37,7 @@
   public double weightOfOlder;
 
   /** Adds the weights up, if that was longer ago than {@code keep} or units came or went since. */
-  public void weigh(TimeSpan age, TimeSpan keep, Timestamp now) {
+  public void refreshWeights(TimeSpan age, TimeSpan keep, Timestamp now) {
     if (weighedAt != null && !now.since(weighedAt).over(keep)) {
       return;
     }
@@ -57,25 +57,25 @@
     return row;
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void row(int inAccounts) {
     row = inAccounts;
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void add(Endpoint endpoint) {
     weighedAt = null;
-    endpoint.place = listed.size();
+    endpoint.position = listed.size();
     listed.add(endpoint);
-    if (endpoint.started != null && (newest == null || endpoint.started.after(newest))) {
-      newest = endpoint.started;
+    if (endpoint.started != null && (newestStart == null || endpoint.started.after(newestStart))) {
+      newestStart = endpoint.started;
     }
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void remove(Endpoint endpoint) {
     weighedAt = null;
-    swap(endpoint.place, listed.size() - 1);
+    swap(endpoint.position, listed.size() - 1);
     listed.remove(listed.size() - 1);
   }
 
@@ -93,7 +93,7 @@
     Endpoint second = listed.get(two);
     listed.set(one, second);
     listed.set(two, first);
-    second.place = one;
-    first.place = two;
+    second.position = one;
+    first.position = two;
   }
 }
--- a/src/main/java/sprucerock/model/Endpoint.java
+++ b/src/main/java/sprucerock/model/Endpoint.java
@@ -19,38 +19,38 @@
   public final Timestamp started;
 
   /** What the relay's pool keeps with it; nobody else looks at it. */
-  public Object door;
+  public Object attachment;
 
   private double weight;
   private boolean ready;
-  private int out;
+  private int inFlight;
   private int row;
 
   /** Where it stands in its build's list. */
-  int place;
+  int position;
 
   /** What the module notes about the unit, from here on. */
   private int outcomes;
 
   private int seen;
   public Timestamp retryAt;
-  public Timestamp lastAnswer;
-  public DecayingMean pace;
+  public Timestamp lastAnsweredAt;
+  public DecayingMean relativeLatency;
 
   /** The same for all units of its zone. */
-  public DecayingMean zonePace;
+  public DecayingMean zoneRelativeLatency;
 
-  public double coldTokens;
-  public Timestamp coldAsOf;
+  public double warmUpTokens;
+  public Timestamp warmUpTokensAt;
   public int excess;
 
   /** Picks of all relays that are out, where this relay adds them up. */
-  public sprucerock.stats.DecayingSum attemptsByAll;
+  public sprucerock.stats.DecayingSum fleetInFlight;
 
   /** How many it was said to hold, and when. */
-  public int told;
+  public int reportedInFlight;
 
-  public Timestamp toldAt;
+  public Timestamp reportedAt;
 
   public Endpoint(
       long id, int zone, int kind, int cell, Build build, Timestamp started, double weight) {
@@ -74,8 +74,8 @@
   }
 
   /** How many picks of this relay are out at it. */
-  public int out() {
-    return out;
+  public int inFlight() {
+    return inFlight;
   }
 
   /** Its row in the accounts. */
@@ -83,44 +83,44 @@
     return row;
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void row(int inAccounts) {
     row = inAccounts;
   }
 
-  @ByLedger
-  public void weigh(double now) {
+  @WrittenByRequestTracker
+  public void setWeight(double now) {
     weight = now;
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void ready(boolean may) {
     ready = may;
   }
 
-  @ByLedger
-  public void picked() {
-    out++;
+  @WrittenByRequestTracker
+  public void attemptStarted() {
+    inFlight++;
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void attemptEnded() {
-    out--;
+    inFlight--;
   }
 
-  public void note(boolean ok) {
+  public void recordResult(boolean ok) {
     outcomes = outcomes << 1 | (ok ? 1 : 0);
     seen++;
   }
 
   /** How many of the last outcomes are known, of so many at most. */
-  public int known(int most) {
+  public int knownResults(int most) {
     return Math.min(seen, most);
   }
 
   /** How many of the last so many outcomes were no success. */
-  public int failed(int most) {
-    int known = known(most);
+  public int failedResults(int most) {
+    int known = knownResults(most);
     return known - Integer.bitCount(outcomes & (1 << known) - 1);
   }
 
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -5,63 +5,63 @@
 
 /** A kind of RPC, as the start settings state it. */
 public final class Method {
-  public enum Effect {
+  public enum Idempotency {
     IDEMPOTENT,
-    TOKENED,
-    NON_IDEMPOTENT
+    KEYED,
+    NONE
   }
 
-  public enum Group {
+  public enum KeyScope {
     ALL,
     ZONE,
     CELL
   }
 
   public final int index;
-  public final Effect effect;
-  public final Group group;
+  public final Idempotency idempotency;
+  public final KeyScope keyScope;
   public final TimeSpan latencyObjective;
-  public final TimeSpan window;
-  public final double utility;
+  public final TimeSpan keyLifetime;
+  public final double priorityWeight;
   public final boolean stream;
 
   /**
    * What the module notes: how long picks took of late, and the logarithms of all times before an
    * offer.
    */
-  public DecayingMean took;
+  public DecayingMean recentLatency;
 
-  public DecayingMean logNow;
+  public DecayingMean recentLogLatency;
 
   /** Picks that may go to a build on trial. */
-  public double trialTokens;
+  public double canaryTokens;
 
   public Method(
       int index,
-      Effect effect,
-      Group group,
+      Idempotency effect,
+      KeyScope group,
       TimeSpan latencyObjective,
       TimeSpan window,
       double utility,
       boolean stream) {
     this.index = index;
-    this.effect = effect;
-    this.group = group;
+    this.idempotency = effect;
+    this.keyScope = group;
     this.latencyObjective = latencyObjective;
-    this.window = window;
-    this.utility = utility;
+    this.keyLifetime = window;
+    this.priorityWeight = utility;
     this.stream = stream;
   }
 
   /** Never to be cut short in the hope of another pick: what must not run twice, and streams. */
-  public boolean streamOrOnce() {
-    return effect == Effect.NON_IDEMPOTENT || stream;
+  public boolean mustNotBeCutShort() {
+    return idempotency == Idempotency.NONE || stream;
   }
 
   /** Whether {@code unit} drops a repeat of what {@code before} may have run. */
   public boolean dropsRepeats(Endpoint before, Endpoint endpoint) {
-    return effect != Effect.TOKENED
-        || switch (group) {
+    return idempotency != Idempotency.KEYED
+        || switch (keyScope) {
           case ALL -> true;
           case ZONE -> before.zone == endpoint.zone;
           case CELL -> before.cell == endpoint.cell;
@@ -69,11 +69,11 @@
   }
 
   /** A repeat does no harm at any unit. */
-  public boolean harmlessAnywhere() {
-    return idempotent() || effect == Effect.TOKENED && group == Group.ALL;
+  public boolean repeatableAnywhere() {
+    return idempotent() || idempotency == Idempotency.KEYED && keyScope == KeyScope.ALL;
   }
 
   public boolean idempotent() {
-    return effect == Effect.IDEMPOTENT;
+    return idempotency == Idempotency.IDEMPOTENT;
   }
 }
--- a/src/main/java/sprucerock/model/Rpc.java
+++ b/src/main/java/sprucerock/model/Rpc.java
@@ -16,7 +16,7 @@
   public final Timestamp deadline;
 
   /** Expected work as the client hinted it; null without a hint. */
-  public final TimeSpan hint;
+  public final TimeSpan workHint;
 
   private final List<Attempt> made = new ArrayList<>(2);
 
@@ -24,11 +24,11 @@
   public final List<Attempt> attempts = Collections.unmodifiableList(made);
 
   /** What the door that took it keeps with it; nobody else looks at it. */
-  public final Object door;
+  public final Object attachment;
 
   private boolean ended;
   private boolean streaming;
-  private int out;
+  private int inFlight;
 
   /** Noted by the module: no longer part of the queue that a new RPC faces. */
   public boolean settled;
@@ -48,8 +48,8 @@
     this.key = key;
     this.arrived = arrived;
     this.deadline = deadline;
-    this.hint = hint;
-    this.door = door;
+    this.workHint = hint;
+    this.attachment = door;
   }
 
   /** Has its final answer, or its client left. */
@@ -63,34 +63,34 @@
   }
 
   /** How many of its picks have not ended. */
-  public int out() {
-    return out;
+  public int inFlight() {
+    return inFlight;
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void add(Attempt attempt) {
     made.add(attempt);
-    out++;
+    inFlight++;
   }
 
-  @ByLedger
+  @WrittenByRequestTracker
   public void attemptEnded() {
-    out--;
+    inFlight--;
   }
 
-  @ByLedger
-  public void end() {
+  @WrittenByRequestTracker
+  public void markEnded() {
     ended = true;
   }
 
-  @ByLedger
-  public void stream() {
+  @WrittenByRequestTracker
+  public void markStreaming() {
     streaming = true;
   }
 
   /** The hinted work; none without a hint. */
-  public TimeSpan hinted() {
-    return hint == null ? TimeSpan.ZERO : hint;
+  public TimeSpan hintedWork() {
+    return workHint == null ? TimeSpan.ZERO : workHint;
   }
 
   /** The first pick that may have taken effect; null where none may. */
--- a/src/main/java/sprucerock/model/Settings.java
+++ b/src/main/java/sprucerock/model/Settings.java
@@ -19,18 +19,18 @@
   public final int zone;
   public final List<Method> methods;
   public final List<Double> tenantShares;
-  public final double overShareWorth;
+  public final double overQuotaWeight;
   public final TimeSpan tick;
-  public final boolean ask;
-  public final TimeSpan askWithin;
-  public final TimeSpan cold;
+  public final boolean pollsEndpointList;
+  public final TimeSpan pollWithin;
+  public final TimeSpan warmUp;
   public final double startShare;
   public final TimeSpan tipAfter;
   public final double tipMultiple;
   public final int maxAttempts;
-  public final boolean secondCopies;
-  public final boolean cancel;
-  public final boolean peers;
+  public final boolean hedging;
+  public final boolean cancellation;
+  public final boolean gossip;
   public final boolean retryAfter;
   public final TimeSpan maxRetryAfter;
   public final Control control;
@@ -39,34 +39,34 @@
   public final double free;
   public final int guardedStages;
   public final boolean oneWayKeys;
-  public final TimeSpan voteLife;
+  public final TimeSpan voteLifetime;
   public final TimeSpan callTimeout;
   public final int relays;
-  public final double mostUtility;
-  public final double meanSoftMs;
+  public final double maxPriorityWeight;
+  public final double meanLatencyObjectiveMs;
   public final int index;
   public final TimeSpan countsEvery;
 
   /** A connection that carries nothing for this long is closed, at either end. */
-  public final TimeSpan idle;
+  public final TimeSpan idleTimeout;
 
   /** What a reader fills in. What has a value here may be left out; the rest must be set. */
   public static final class Draft {
     public int zone;
     public List<Method> methods = new ArrayList<>();
     public List<Double> tenantShares = new ArrayList<>();
-    public double overShareWorth = 1;
+    public double overQuotaWeight = 1;
     public TimeSpan tick;
-    public boolean ask;
-    public TimeSpan askWithin;
-    public TimeSpan cold;
+    public boolean pollsEndpointList;
+    public TimeSpan pollWithin;
+    public TimeSpan warmUp;
     public double startShare;
     public TimeSpan tipAfter;
     public double tipMultiple;
     public int maxAttempts;
-    public boolean secondCopies;
-    public boolean cancel;
-    public boolean peers;
+    public boolean hedging;
+    public boolean cancellation;
+    public boolean gossip;
     public boolean retryAfter;
     public TimeSpan maxRetryAfter;
     public Control control;
@@ -75,30 +75,30 @@
     public double free;
     public int guardedStages;
     public boolean oneWayKeys;
-    public TimeSpan voteLife;
+    public TimeSpan voteLifetime;
     public TimeSpan callTimeout;
     public int relays;
     public int index;
     public TimeSpan countsEvery = TimeSpan.ZERO;
-    public TimeSpan idle = TimeSpan.ofMs(30_000);
+    public TimeSpan idleTimeout = TimeSpan.ofMs(30_000);
   }
 
   public Settings(Draft draft) {
     zone = draft.zone;
     methods = Collections.unmodifiableList(new ArrayList<>(draft.methods));
     tenantShares = Collections.unmodifiableList(new ArrayList<>(draft.tenantShares));
-    overShareWorth = draft.overShareWorth;
+    overQuotaWeight = draft.overQuotaWeight;
     tick = draft.tick;
-    ask = draft.ask;
-    askWithin = draft.askWithin;
-    cold = draft.cold;
+    pollsEndpointList = draft.pollsEndpointList;
+    pollWithin = draft.pollWithin;
+    warmUp = draft.warmUp;
     startShare = draft.startShare;
     tipAfter = draft.tipAfter;
     tipMultiple = draft.tipMultiple;
     maxAttempts = draft.maxAttempts;
-    secondCopies = draft.secondCopies;
-    cancel = draft.cancel;
-    peers = draft.peers;
+    hedging = draft.hedging;
+    cancellation = draft.cancellation;
+    gossip = draft.gossip;
     retryAfter = draft.retryAfter;
     maxRetryAfter = draft.maxRetryAfter;
     control = draft.control;
@@ -107,14 +107,15 @@
     free = draft.free;
     guardedStages = draft.guardedStages;
     oneWayKeys = draft.oneWayKeys;
-    voteLife = draft.voteLife;
+    voteLifetime = draft.voteLifetime;
     callTimeout = draft.callTimeout;
     relays = draft.relays;
     index = draft.index;
     countsEvery = draft.countsEvery;
-    idle = draft.idle;
-    mostUtility = methods.stream().mapToDouble(method -> method.utility).max().orElse(1);
-    meanSoftMs =
+    idleTimeout = draft.idleTimeout;
+    maxPriorityWeight =
+        methods.stream().mapToDouble(method -> method.priorityWeight).max().orElse(1);
+    meanLatencyObjectiveMs =
         methods.stream().mapToDouble(method -> method.latencyObjective.ms()).average().orElse(1000);
   }
 }
--- a/src/main/java/sprucerock/model/ShadowPair.java
+++ b/src/main/java/sprucerock/model/ShadowPair.java
@@ -5,7 +5,7 @@
  * of its like.
  */
 public final class ShadowPair {
-  public Attempt earlier;
-  public Attempt fresh;
+  public Attempt baseline;
+  public Attempt canary;
   public boolean judged;
 }
--- a/src/main/java/sprucerock/model/ByLedger.java
+++ b/src/main/java/sprucerock/model/WrittenByRequestTracker.java
@@ -11,4 +11,4 @@
  */
 @Retention(RetentionPolicy.CLASS)
 @Target(ElementType.METHOD)
-public @interface ByLedger {}
+public @interface WrittenByRequestTracker {}
--- a/src/main/java/sprucerock/policy/evidence/Board.java
+++ b/src/main/java/sprucerock/policy/evidence/Board.java
@@ -25,8 +25,8 @@
 
   public void ready(Endpoint endpoint) {
     marked.put(mark(endpoint), endpoint);
-    if (endpoint.attemptsByAll == null) {
-      endpoint.attemptsByAll = new DecayingSum(life);
+    if (endpoint.fleetInFlight == null) {
+      endpoint.fleetInFlight = new DecayingSum(life);
     }
   }
 
@@ -49,7 +49,7 @@
   public boolean add(byte[] told, Timestamp now) {
     Endpoint endpoint = unit(told, 1);
     if (endpoint != null) {
-      endpoint.attemptsByAll.add(now, told[3] == 0 ? 1 : -Math.exp((1.0 - told[3]) / AGES));
+      endpoint.fleetInFlight.add(now, told[3] == 0 ? 1 : -Math.exp((1.0 - told[3]) / AGES));
     }
     return told[3] != 0;
   }
@@ -62,7 +62,7 @@
   public double out(Timestamp now) {
     double sum = 0;
     for (Endpoint endpoint : marked.values()) {
-      sum += Math.max(0, endpoint.attemptsByAll.at(now));
+      sum += Math.max(0, endpoint.fleetInFlight.at(now));
     }
     return sum;
   }
@@ -71,12 +71,12 @@
   public byte[] loads(int least, double figure, Timestamp now) {
     List<Endpoint> loaded = new ArrayList<>();
     for (Endpoint endpoint : marked.values()) {
-      endpoint.told = (int) Math.round(endpoint.attemptsByAll.at(now));
-      if (endpoint.told >= least) {
+      endpoint.reportedInFlight = (int) Math.round(endpoint.fleetInFlight.at(now));
+      if (endpoint.reportedInFlight >= least) {
         loaded.add(endpoint);
       }
     }
-    loaded.sort((a, b) -> b.told - a.told);
+    loaded.sort((a, b) -> b.reportedInFlight - a.reportedInFlight);
     int size = Math.min(loaded.size(), MOST);
     byte[] told = new byte[2 + 3 * size];
     told[0] = LOADS;
@@ -84,7 +84,7 @@
     for (int i = 0; i < size; i++) {
       told[2 + 3 * i] = (byte) mark(loaded.get(i));
       told[3 + 3 * i] = (byte) (mark(loaded.get(i)) >> 8);
-      told[4 + 3 * i] = (byte) Math.min(loaded.get(i).told, 127);
+      told[4 + 3 * i] = (byte) Math.min(loaded.get(i).reportedInFlight, 127);
     }
     return told;
   }
@@ -96,8 +96,8 @@
       if (endpoint == null) {
         continue;
       }
-      endpoint.told = told[i + 2];
-      endpoint.toldAt = now;
+      endpoint.reportedInFlight = told[i + 2];
+      endpoint.reportedAt = now;
     }
     return told[1] / 64.0;
   }
--- a/src/main/java/sprucerock/policy/evidence/Evidence.java
+++ b/src/main/java/sprucerock/policy/evidence/Evidence.java
@@ -9,7 +9,7 @@
 import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
 import sprucerock.model.ShadowPair;
-import sprucerock.stats.Ks;
+import sprucerock.stats.KolmogorovSmirnov;
 
 /** What one relay saw of the offered build in its present stage. */
 public final class Evidence {
@@ -47,7 +47,7 @@
   /** Notes a pick that ended at the build after its release. */
   public void ended(Attempt attempt) {
     ended++;
-    if (!attempt.erred()) {
+    if (!attempt.answeredWithError()) {
       return;
     }
     errors++;
@@ -87,7 +87,8 @@
 
   /** One-sided KS of the times so far. */
   public double slowerSide() {
-    return Ks.slowerSide(Arrays.copyOf(freshTook, timed), Arrays.copyOf(earlierTook, timed));
+    return KolmogorovSmirnov.slowerSide(
+        Arrays.copyOf(freshTook, timed), Arrays.copyOf(earlierTook, timed));
   }
 
   /** The counts of the pairs, to be told to peers. */
--- a/src/main/java/sprucerock/relay/engine/AttemptExchange.java
+++ b/src/main/java/sprucerock/relay/engine/AttemptExchange.java
@@ -42,7 +42,7 @@
    * while it waited for one.
    */
   public final boolean mayStart(Timestamp now) {
-    return !attempt.rpc.ended() && (attempt.startBy == null || attempt.startBy.after(now));
+    return !attempt.rpc.ended() && (attempt.writeBy == null || attempt.writeBy.after(now));
   }
 
   final void endBy(Timer timer) {
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -107,7 +107,11 @@
     boolean answers = outcome == AttemptOutcome.OK && !attempt.rpc.ended();
     if (answers) {
       answer(
-          (Request) attempt.rpc.door, RequestOutcome.OK, TimeSpan.ZERO, attempt.endpoint.id, body);
+          (Request) attempt.rpc.attachment,
+          RequestOutcome.OK,
+          TimeSpan.ZERO,
+          attempt.endpoint.id,
+          body);
     }
     ledger.attemptEnded(
         attempt, outcome, net.now().since(attempt.sent), answers || attempt.rpc.ended());
@@ -143,11 +147,11 @@
     ledger.sent(attempt);
     Timestamp now = net.now();
     Timestamp until =
-        attempt.patience == null
+        attempt.timeout == null
             ? attempt.rpc.deadline
-            : attempt.rpc.deadline.earlier(now.plus(attempt.patience));
+            : attempt.rpc.deadline.earlier(now.plus(attempt.timeout));
     AttemptExchange exchange = exchange(attempt, until);
-    attempt.door = exchange;
+    attempt.attachment = exchange;
     exchange.endBy(net.at(until, () -> timedOut(exchange)));
     boolean moot =
         attempt.rpc.ended()
@@ -162,7 +166,7 @@
 
   @Override
   public void cancel(Attempt attempt) {
-    AttemptExchange exchange = (AttemptExchange) attempt.door;
+    AttemptExchange exchange = (AttemptExchange) attempt.attachment;
     if (exchange.over()) {
       return;
     }
@@ -172,13 +176,13 @@
 
   @Override
   public void pushBack(Rpc rpc, TimeSpan wait) {
-    answer((Request) rpc.door, RequestOutcome.PUSHED_BACK, wait, 0, NO_BODY);
+    answer((Request) rpc.attachment, RequestOutcome.PUSHED_BACK, wait, 0, NO_BODY);
     ledger.pushedBack(rpc);
   }
 
   @Override
   public void abort(Rpc rpc) {
-    answer((Request) rpc.door, RequestOutcome.ABORTED, TimeSpan.ZERO, 0, NO_BODY);
+    answer((Request) rpc.attachment, RequestOutcome.ABORTED, TimeSpan.ZERO, 0, NO_BODY);
     ledger.aborted(rpc);
   }
 
@@ -189,12 +193,12 @@
 
   @Override
   public void wake(Rpc rpc, Timestamp when, Runnable what) {
-    ((Request) rpc.door).until(net.at(when, what));
+    ((Request) rpc.attachment).until(net.at(when, what));
   }
 
   @Override
   public void wake(Attempt attempt, Timestamp when, Runnable what) {
-    ((AttemptExchange) attempt.door).until(net.at(when, what));
+    ((AttemptExchange) attempt.attachment).until(net.at(when, what));
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -140,7 +140,7 @@
       return;
     }
     events.info(EventLog.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
-    if (!config.settings.ask) {
+    if (!config.settings.pollsEndpointList) {
       redial.send(Kind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
   }
@@ -232,8 +232,8 @@
     boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
     boolean moved =
         sameRun
-            && known.door != null
-            && !((EndpointConnectionPool) known.door).at(address, entry.getName());
+            && known.attachment != null
+            && !((EndpointConnectionPool) known.attachment).at(address, entry.getName());
     if (known != null && (!sameRun || moved)) {
       leave(known);
     }
@@ -259,8 +259,8 @@
     } else {
       forget(endpoint);
     }
-    if (endpoint.door == null) {
-      endpoint.door =
+    if (endpoint.attachment == null) {
+      endpoint.attachment =
           new EndpointConnectionPool(endpoint, address, entry.getName(), config, chance, owner);
     }
     if (entry.getHealth() == Health.DRAINING) {
@@ -324,8 +324,8 @@
   }
 
   private static void leave(Endpoint endpoint) {
-    if (endpoint.door != null) {
-      ((EndpointConnectionPool) endpoint.door).leave();
+    if (endpoint.attachment != null) {
+      ((EndpointConnectionPool) endpoint.attachment).leave();
     }
   }
 
--- a/src/main/java/sprucerock/relay/frames/EndpointConnection.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnection.java
@@ -71,7 +71,7 @@
 
   void send(FrameExchange exchange, Timestamp now) {
     Rpc rpc = exchange.attempt().rpc;
-    FrameRequest asked = (FrameRequest) rpc.door;
+    FrameRequest asked = (FrameRequest) rpc.attachment;
     TimeSpan left = exchange.ends().since(now);
     Work.Builder work =
         Work.newBuilder()
@@ -80,8 +80,8 @@
             .setCustomer(rpc.tenant)
             .setKey(rpc.key)
             .setLeftUs((long) (left.ms() * 1000))
-            .setHintUs((long) (rpc.hinted().ms() * 1000));
-    if (rpc.method.effect == Method.Effect.TOKENED) {
+            .setHintUs((long) (rpc.hintedWork().ms() * 1000));
+    if (rpc.method.idempotency == Method.Idempotency.KEYED) {
       work.setToken(asked.token);
     }
     exchange.connection = this;
--- a/src/main/java/sprucerock/relay/frames/FrameExchange.java
+++ b/src/main/java/sprucerock/relay/frames/FrameExchange.java
@@ -20,6 +20,6 @@
 
   FrameExchange(Attempt attempt, Timestamp ends) {
     super(attempt, ends);
-    others = Math.max(0, attempt.endpoint.out() - 1);
+    others = Math.max(0, attempt.endpoint.inFlight() - 1);
   }
 }
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -278,8 +278,8 @@
 
   private void moveUnits(TimeSpan within) {
     for (Endpoint endpoint : ledger.units()) {
-      if (endpoint.door != null) {
-        ((EndpointConnectionPool) endpoint.door).move(within);
+      if (endpoint.attachment != null) {
+        ((EndpointConnectionPool) endpoint.attachment).move(within);
       }
     }
   }
@@ -565,7 +565,7 @@
   public void look(Endpoint endpoint, FrameListener user, HealthChecker.LinkTaker taker) {
     FrameConnection connection = new FrameConnection(net, mine, config.connection, tap, user);
     taker.take(connection);
-    EndpointConnectionPool door = (EndpointConnectionPool) endpoint.door;
+    EndpointConnectionPool door = (EndpointConnectionPool) endpoint.attachment;
     secured.toUnit(endpoint.id, door.address(), door.name(), connection);
   }
 
@@ -675,7 +675,7 @@
 
   private static EndpointConnectionPool connections(
       sprucerock.relay.engine.AttemptExchange exchange) {
-    return (EndpointConnectionPool) exchange.attempt().endpoint.door;
+    return (EndpointConnectionPool) exchange.attempt().endpoint.attachment;
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -107,7 +107,7 @@
         attempt.endpoint.kind,
         attempt.endpoint.build.number,
         others,
-        attempt.took().ms());
+        attempt.latency().ms());
   }
 
   private void turn() {
--- a/src/main/java/sprucerock/relay/platform/Discovery.java
+++ b/src/main/java/sprucerock/relay/platform/Discovery.java
@@ -371,8 +371,8 @@
     boolean sameRun = known != null && known.sameRun(build, started);
     boolean moved =
         sameRun
-            && known.door != null
-            && !((PlatformConnectionPool) known.door).address.equals(address);
+            && known.attachment != null
+            && !((PlatformConnectionPool) known.attachment).address.equals(address);
     if (known != null && (!sameRun || moved)) {
       leave(known);
     }
@@ -389,10 +389,10 @@
             started,
             weight,
             state.equals("SERVING"));
-    if (endpoint.door == null) {
-      endpoint.door = new PlatformConnectionPool(endpoint, address, doors);
+    if (endpoint.attachment == null) {
+      endpoint.attachment = new PlatformConnectionPool(endpoint, address, doors);
     } else if (state.equals("SERVING")) {
-      ((PlatformConnectionPool) endpoint.door).back();
+      ((PlatformConnectionPool) endpoint.attachment).back();
     }
     if (state.equals("DRAINING")) {
       leave(endpoint);
@@ -411,8 +411,8 @@
   }
 
   private static void leave(Endpoint endpoint) {
-    if (endpoint.door != null) {
-      ((PlatformConnectionPool) endpoint.door).leave();
+    if (endpoint.attachment != null) {
+      ((PlatformConnectionPool) endpoint.attachment).leave();
     }
   }
 }
--- a/src/main/java/sprucerock/relay/platform/PgExchange.java
+++ b/src/main/java/sprucerock/relay/platform/PgExchange.java
@@ -17,6 +17,6 @@
   }
 
   Statement statement() {
-    return ((PlatformRequest) attempt().rpc.door).statement;
+    return ((PlatformRequest) attempt().rpc.attachment).statement;
   }
 }
--- a/src/main/java/sprucerock/relay/platform/PlatformRelay.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -94,7 +94,7 @@
             events,
             this,
             config.sockets - forClients - OWN,
-            settings.idle,
+            settings.idleTimeout,
             config.connectWithin);
     Timestamp unix = net.now().minus(TimeSpan.ofMs(unixMs));
     discovery =
@@ -131,7 +131,7 @@
   public void start(Maker maker) throws IOException {
     begin(maker, config.seed);
     clients.start(config.listen);
-    if (settings.peers && config.peerListen != null) {
+    if (settings.gossip && config.peerListen != null) {
       datagrams = net.datagrams(config.peerListen, this::told);
     }
     endpoints.start();
@@ -320,12 +320,12 @@
 
   @Override
   protected void toUnit(AttemptExchange exchange) {
-    ((PlatformConnectionPool) exchange.attempt().endpoint.door).send((PgExchange) exchange);
+    ((PlatformConnectionPool) exchange.attempt().endpoint.attachment).send((PgExchange) exchange);
   }
 
   @Override
   protected boolean giveUp(AttemptExchange exchange, boolean told) {
-    return ((PlatformConnectionPool) exchange.attempt().endpoint.door)
+    return ((PlatformConnectionPool) exchange.attempt().endpoint.attachment)
         .giveUp((PgExchange) exchange);
   }
 
--- a/src/main/java/sprucerock/relay/platform/Statement.java
+++ b/src/main/java/sprucerock/relay/platform/Statement.java
@@ -102,7 +102,7 @@
       throw new UnreadableException(
           "the comment has no time above 0 for which an answer is waited for");
     }
-    if (method.effect == Method.Effect.TOKENED && !said.containsKey("k")) {
+    if (method.idempotency == Method.Idempotency.KEYED && !said.containsKey("k")) {
       throw new UnreadableException("the comment has no idempotency key");
     }
     String key = form.group(1) != null ? form.group(1) : form.group(2);
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -298,7 +298,7 @@
   public void send(Attempt attempt) {
     ledger.sent(attempt);
     ledger.written(attempt);
-    double patience = attempt.patience == null ? 0 : attempt.patience.ms();
+    double patience = attempt.timeout == null ? 0 : attempt.timeout.ms();
     open(10).u32(attempt.rpc.id).u32(attempt.endpoint.id).f64(patience).close();
   }
 
--- a/src/main/java/sprucerock/stats/Ks.java
+++ b/src/main/java/sprucerock/stats/KolmogorovSmirnov.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /** The Kolmogorov-Smirnov distance between two samples. */
-public final class Ks {
-  private Ks() {}
+public final class KolmogorovSmirnov {
+  private KolmogorovSmirnov() {}
 
   /**
    * One-sided: how far the share of {@code slow} above some value exceeds that of {@code fast}, at
--- a/src/main/java/sprucerock/stats/Shares.java
+++ b/src/main/java/sprucerock/stats/Proportions.java
@@ -1,8 +1,8 @@
 package sprucerock.stats;
 
 /** Two shares beside each other. */
-public final class Shares {
-  private Shares() {}
+public final class Proportions {
+  private Proportions() {}
 
   /**
    * The standard error of the difference of two shares, if both samples came from one population.
--- a/src/main/java/sprucerock/stats/Pace.java
+++ b/src/main/java/sprucerock/stats/RelativeSlowness.java
@@ -8,11 +8,11 @@
  * How slow several kinds of work are beside an earlier time, by the logarithms of their times, in
  * which tails count little. Each source of times has its own earlier ones.
  */
-public final class Pace {
+public final class RelativeSlowness {
   private final DecayingMean[][] before;
   private final DecayingMean[] slowness;
 
-  public Pace(int kinds, int sources, TimeSpan lifeBefore, TimeSpan life) {
+  public RelativeSlowness(int kinds, int sources, TimeSpan lifeBefore, TimeSpan life) {
     before = new DecayingMean[sources][kinds];
     for (DecayingMean[] source : before) {
       Arrays.setAll(source, i -> new DecayingMean(lifeBefore));
@@ -21,12 +21,12 @@
     Arrays.setAll(slowness, i -> new DecayingMean(life));
   }
 
-  public void seeBefore(int source, int kind, double ms, double weight, Timestamp now) {
+  public void addBaseline(int source, int kind, double ms, double weight, Timestamp now) {
     before[source][kind].add(now, Math.log(Math.max(ms, 1e-3)), weight);
   }
 
   /** Counts from two earlier ones on. */
-  public void see(int source, int kind, double ms, double weight, Timestamp now) {
+  public void add(int source, int kind, double ms, double weight, Timestamp now) {
     DecayingMean earlier = before[source][kind];
     if (earlier.count(now) < 2) {
       return;
--- a/src/test/java/sprucerock/ArchitectureTest.java
+++ b/src/test/java/sprucerock/ArchitectureTest.java
@@ -10,7 +10,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucerock.model.ByLedger;
+import sprucerock.model.WrittenByRequestTracker;
 
 /** The arrows of docs/architecture.md, and the one writer of each fact. */
 public class ArchitectureTest {
@@ -122,7 +122,7 @@
   public void onlyTheLedgerWritesFacts() {
     methods()
         .that()
-        .areAnnotatedWith(ByLedger.class)
+        .areAnnotatedWith(WrittenByRequestTracker.class)
         .should()
         .onlyBeCalled()
         .byClassesThat()
--- a/src/test/java/sprucerock/PolicyTest.java
+++ b/src/test/java/sprucerock/PolicyTest.java
@@ -15,7 +15,7 @@
 import sprucerock.model.Verdict;
 import sprucerock.model.VoteReply;
 import sprucerock.policy.evidence.Board;
-import sprucerock.stats.Ks;
+import sprucerock.stats.KolmogorovSmirnov;
 import sprucerock.time.TimeSpan;
 
 /** Stories of one relay, each of a rule's edge or of a failure met. */
@@ -82,7 +82,7 @@
     for (int i = 0; i < 20; i++) {
       Rpc rpc = host.rpc(i % 3);
       host.pass(60);
-      assertTrue(rpc.out() <= 1);
+      assertTrue(rpc.inFlight() <= 1);
       host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     Rpc slow = host.rpc(0);
@@ -241,9 +241,9 @@
   public void oneSidedKsSeesOnlyTheSlowerSide() {
     double[] fast = {1, 2, 3, 4};
     double[] slow = {5, 6, 7, 8};
-    assertEquals(Ks.slowerSide(slow, fast), 1.0);
-    assertEquals(Ks.slowerSide(fast, slow), 0.0);
-    assertEquals(Ks.slowerSide(fast, fast), 0.0);
+    assertEquals(KolmogorovSmirnov.slowerSide(slow, fast), 1.0);
+    assertEquals(KolmogorovSmirnov.slowerSide(fast, slow), 0.0);
+    assertEquals(KolmogorovSmirnov.slowerSide(fast, fast), 0.0);
   }
 
   @Test
--- a/src/test/java/sprucerock/accounting/AccountsTest.java
+++ b/src/test/java/sprucerock/accounting/MethodAccountsTest.java
@@ -8,7 +8,7 @@
 import sprucerock.time.TimeSpan;
 
 /** That the check can fail: an error planted in any account is found and named. */
-public class AccountsTest {
+public class MethodAccountsTest {
   private static MethodAccounts some() {
     MethodAccounts accounts =
         new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 2, 2));
--- a/src/test/java/sprucerock/accounting/LedgerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -33,7 +33,7 @@
  * Sums hold after each step, in whatever order things happen, stale, doubled or never, and through
  * crashes.
  */
-class LedgerProperties {
+class RequestTrackerProperties {
   private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
   /**
@@ -68,8 +68,8 @@
         methods.add(
             new Method(
                 i,
-                Method.Effect.IDEMPOTENT,
-                Method.Group.ALL,
+                Method.Idempotency.IDEMPOTENT,
+                Method.KeyScope.ALL,
                 TimeSpan.ofMs(100),
                 TimeSpan.ZERO,
                 1,
@@ -124,7 +124,7 @@
             break;
           }
           Attempt made = new Attempt(rpc, endpoint, now, null);
-          made.copy = event.how % 3 == 0;
+          made.shadow = event.how % 3 == 0;
           attempts.add(made);
           ledger.sent(made);
         }
@@ -148,7 +148,7 @@
       long out = attempts.stream().filter(attempt -> attempt.outcome() == null).count();
       assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), out);
       long copies =
-          attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.copy).count();
+          attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.shadow).count();
       assertEquals(accounts.sum(accounts.copies, accounts.copies.pending()), copies);
     }
   }
--- a/src/test/java/sprucerock/accounting/LedgerTest.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerTest.java
@@ -25,13 +25,13 @@
 import sprucerock.time.Timestamp;
 
 /** The life of RPCs, picks and units as the module is told it. */
-public class LedgerTest {
+public class RequestTrackerTest {
   private static final Timestamp T = Timestamp.ofMs(1000);
   private final Method method =
       new Method(
           0,
-          Method.Effect.IDEMPOTENT,
-          Method.Group.ALL,
+          Method.Idempotency.IDEMPOTENT,
+          Method.KeyScope.ALL,
           TimeSpan.ofMs(100),
           TimeSpan.ZERO,
           1,
@@ -170,7 +170,7 @@
       assertEquals((long) figures().get(6), ledger.open());
       assertEquals(
           ledger.accounts().sum(ledger.accounts().attempts, ledger.accounts().attempts.pending()),
-          endpoint.out());
+          endpoint.inFlight());
     }
   }
 }
--- a/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
+++ b/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
@@ -94,17 +94,17 @@
           "ended "
               + ended
               + ", first "
-              + relay.first.attemptsByAll.at(START)
+              + relay.first.fleetInFlight.at(START)
               + ", second "
-              + relay.second.attemptsByAll.at(START));
+              + relay.second.fleetInFlight.at(START));
     }
     lines.add(
         "figure "
             + relay.board.read(bytes.get(3), START)
             + ", first "
-            + relay.first.told
+            + relay.first.reportedInFlight
             + ", second "
-            + relay.second.told);
+            + relay.second.reportedInFlight);
     CanaryTrial offer = new CanaryTrial(new Build(BUILD), 2);
     offer.enter(STAGE, START, false);
     offer.heard(1, bytes.get(4));
--- a/src/test/java/sprucerock/compat/Rendering.java
+++ b/src/test/java/sprucerock/compat/Rendering.java
@@ -40,14 +40,14 @@
     }
     put(key + "customer-shares", settings.tenantShares)
         .put(key + "caps", settings.caps)
-        .put(key + "over-share-worth", settings.overShareWorth);
+        .put(key + "over-share-worth", settings.overQuotaWeight);
     put(key + "relays", settings.relays)
         .put(key + "index", settings.index)
         .put(key + "zone", settings.zone)
         .put(key + "tick", settings.tick);
-    put(key + "ask", settings.ask)
-        .put(key + "ask-within", settings.askWithin)
-        .put(key + "cold", settings.cold);
+    put(key + "ask", settings.pollsEndpointList)
+        .put(key + "ask-within", settings.pollWithin)
+        .put(key + "cold", settings.warmUp);
     put(key + "start-capacity", settings.startShare)
         .put(key + "tip-multiple", settings.tipMultiple)
         .put(key + "tip-after", settings.tipAfter);
@@ -56,38 +56,38 @@
         .put(key + "guarded-stages", settings.guardedStages);
     put(key + "one-way-keys", settings.oneWayKeys)
         .put(key + "picks", settings.maxAttempts)
-        .put(key + "second-copies", settings.secondCopies);
-    put(key + "cancel", settings.cancel)
-        .put(key + "peers", settings.peers)
+        .put(key + "second-copies", settings.hedging);
+    put(key + "cancel", settings.cancellation)
+        .put(key + "peers", settings.gossip)
         .put(key + "retry-after", settings.retryAfter);
     put(key + "most-retry-after", settings.maxRetryAfter)
         .put(key + "control", control(settings.control))
-        .put(key + "vote-life", settings.voteLife);
+        .put(key + "vote-life", settings.voteLifetime);
     put(key + "answer-within", settings.callTimeout)
         .put(key + "counts-every", settings.countsEvery)
-        .put(key + "idle", settings.idle);
-    return put(key + "most-utility", settings.mostUtility)
-        .put(key + "mean-soft-ms", settings.meanSoftMs);
+        .put(key + "idle", settings.idleTimeout);
+    return put(key + "most-utility", settings.maxPriorityWeight)
+        .put(key + "mean-soft-ms", settings.meanLatencyObjectiveMs);
   }
 
   private void putMethod(String key, Method method) {
-    put(key + "effect", effect(method.effect))
-        .put(key + "group", group(method.group))
+    put(key + "effect", effect(method.idempotency))
+        .put(key + "group", group(method.keyScope))
         .put(key + "soft-deadline", method.latencyObjective);
-    put(key + "window", method.window)
-        .put(key + "utility", method.utility)
+    put(key + "window", method.keyLifetime)
+        .put(key + "utility", method.priorityWeight)
         .put(key + "stream", method.stream);
   }
 
-  private static String effect(Method.Effect effect) {
+  private static String effect(Method.Idempotency effect) {
     return switch (effect) {
       case IDEMPOTENT -> "idempotent";
-      case TOKENED -> "tokened";
-      case NON_IDEMPOTENT -> "non-idempotent";
+      case KEYED -> "tokened";
+      case NONE -> "non-idempotent";
     };
   }
 
-  private static String group(Method.Group group) {
+  private static String group(Method.KeyScope group) {
     return switch (group) {
       case ALL -> "all";
       case ZONE -> "zone";
--- a/src/test/java/sprucerock/config/RelayConfigTest.java
+++ b/src/test/java/sprucerock/config/RelayConfigTest.java
@@ -20,8 +20,8 @@
   public void theExampleIsInOrder() throws Exception {
     RelayConfig config = RelayConfig.read(GOOD);
     Settings settings = config.settings;
-    assertEquals(settings.methods.get(1).effect, Method.Effect.TOKENED);
-    assertEquals(settings.methods.get(1).window.ms(), 4000.0);
+    assertEquals(settings.methods.get(1).idempotency, Method.Idempotency.KEYED);
+    assertEquals(settings.methods.get(1).keyLifetime.ms(), 4000.0);
     assertEquals(settings.caps.size(), 3);
     assertEquals(config.connection.frame(), 1 << 20);
     assertEquals(config.connectWithin.ms(), 250.0);
--- a/src/test/java/sprucerock/relay/frames/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/RelayTest.java
@@ -118,7 +118,7 @@
     @Override
     public void attemptEnded(Attempt attempt, boolean answers) {
       super.attemptEnded(attempt, answers);
-      if (!attempt.rpc.ended() && attempt.rpc.out() == 0 && !waits) {
+      if (!attempt.rpc.ended() && attempt.rpc.inFlight() == 0 && !waits) {
         host.pushBack(attempt.rpc, TimeSpan.ofMs(20));
       }
     }
@@ -281,7 +281,7 @@
         () -> {
           Rpc rpc = module.attempts.get(module.attempts.size() - 1).rpc;
           made[0] = module.send(rpc, null);
-          ((FrameExchange) made[0].door).connection.connection.cut("a turn that went wrong");
+          ((FrameExchange) made[0].attachment).connection.connection.cut("a turn that went wrong");
         });
     net.settle();
     return made[0];
@@ -445,7 +445,7 @@
     net.settle();
     Rpc rpc = module.attempts.get(0).rpc;
     assertTrue(
-        rpc.tenant > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.hint == null);
+        rpc.tenant > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.workHint == null);
     answers(1, Result.DONE);
     net.settle();
     assertEquals(client.<Answer>all(Kind.ANSWER).get(0).getId(), -1);
--- a/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientCrossingsTest.java
@@ -404,7 +404,7 @@
     chosen.clear();
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(Peers.LONG);
     while (chosen.stream()
-        .noneMatch(attempt -> attempt.copy)) { // the build has room for one now and then
+        .noneMatch(attempt -> attempt.shadow)) { // the build has room for one now and then
       assertTrue(System.nanoTime() < until, "never seen: a copy");
       Peers.Client gone = client();
       CountDownLatch go = hold();
--- a/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
+++ b/src/test/java/sprucerock/relay/platform/ClientDoorTest.java
@@ -81,8 +81,8 @@
     Method look =
         new Method(
             0,
-            Method.Effect.IDEMPOTENT,
-            Method.Group.ALL,
+            Method.Idempotency.IDEMPOTENT,
+            Method.KeyScope.ALL,
             TimeSpan.ofMs(300),
             TimeSpan.ZERO,
             1,
--- a/src/test/java/sprucerock/relay/platform/CrossingsTest.java
+++ b/src/test/java/sprucerock/relay/platform/CrossingsTest.java
@@ -576,8 +576,8 @@
     Method look =
         new Method(
             0,
-            Method.Effect.IDEMPOTENT,
-            Method.Group.ALL,
+            Method.Idempotency.IDEMPOTENT,
+            Method.KeyScope.ALL,
             TimeSpan.ofMs(300),
             TimeSpan.ZERO,
             1,
--- a/src/test/java/sprucerock/relay/platform/StatementsCompatTest.java
+++ b/src/test/java/sprucerock/relay/platform/StatementsCompatTest.java
@@ -24,12 +24,13 @@
   private static final Map<String, Method> METHODS =
       Map.of(
           "read",
-          method(0, Method.Effect.IDEMPOTENT),
+          method(0, Method.Idempotency.IDEMPOTENT),
           "pay \u00e9",
-          method(1, Method.Effect.TOKENED));
+          method(1, Method.Idempotency.KEYED));
 
-  private static Method method(int index, Method.Effect effect) {
-    return new Method(index, effect, Method.Group.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
+  private static Method method(int index, Method.Idempotency effect) {
+    return new Method(
+        index, effect, Method.KeyScope.ALL, TimeSpan.ofMs(300), TimeSpan.ZERO, 1, false);
   }
 
   public static void record(Path corpus) throws Exception {
