--- a/src/main/java/sprucerock/Main.java
+++ b/src/main/java/sprucerock/Main.java
@@ -4,7 +4,7 @@
 import sprucerock.cli.Commands;
 import sprucerock.cli.ServeCommand;
 import sprucerock.simulation.FrameException;
-import sprucerock.simulation.Simhost;
+import sprucerock.simulation.SimulationHost;
 
 /** Starts what the command line names. */
 public final class Main {
@@ -24,7 +24,7 @@
 
   private static void simhost() throws IOException {
     try {
-      new Simhost(System.in, System.out).run();
+      new SimulationHost(System.in, System.out).run();
     } catch (FrameException e) {
       System.err.println(e.getMessage());
       System.exit(Commands.WANTING);
--- a/src/main/java/sprucerock/accounting/HistogramBuckets.java
+++ b/src/main/java/sprucerock/accounting/HistogramBuckets.java
@@ -36,7 +36,7 @@
   }
 
   /** The shortest latency that falls into a bucket, in microseconds. */
-  public static long fromUs(int bucket) {
+  public static long lowerBoundUs(int bucket) {
     if (bucket < 2 * HALF) {
       return (long) bucket * FINE_US;
     }
@@ -54,7 +54,7 @@
     for (int i = 0; i < BUCKETS; i++) {
       long count = values[sheet.index(row, 1 + i)];
       if (count > 0) {
-        made.recordValueWithCount(fromUs(i), count);
+        made.recordValueWithCount(lowerBoundUs(i), count);
       }
     }
     return made;
@@ -64,7 +64,7 @@
     List<String> columns = new ArrayList<>();
     columns.add(total);
     for (int i = 0; i < BUCKETS; i++) {
-      columns.add("us" + fromUs(i));
+      columns.add("us" + lowerBoundUs(i));
     }
     return List.copyOf(columns);
   }
--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -17,13 +17,13 @@
   private static final int LAST = 64; // postings that a drift can name; some turns' worth
 
   /** How many rows there may be; further ones count as other. */
-  public record Room(int builds, int endpoints, int tenants) {
+  public record Capacity(int builds, int endpoints, int tenants) {
     /** For hosts whose figures nobody reads by these. */
-    public static final Room NONE = new Room(0, 0, 0);
+    public static final Capacity NONE = new Capacity(0, 0, 0);
   }
 
   /** An equation that does not hold: what it says, its two sides, and the last postings to it. */
-  public record Drift(String equation, long left, long right, List<String> lastPostings) {
+  public record Imbalance(String equation, long left, long right, List<String> lastPostings) {
     @Override
     public String toString() {
       return equation + ": " + left + " is not " + right + "; last postings there: " + lastPostings;
@@ -52,7 +52,7 @@
   public final MethodMetrics endpoints;
 
   /** Copies to a build on trial, by build; each is among the picks, too. */
-  public final MethodMetrics copies;
+  public final MethodMetrics shadowAttempts;
 
   /** RPCs that ended ok, by the deadlines they were in time for. */
   public final MethodMetrics answers;
@@ -61,7 +61,7 @@
   public final MethodMetrics latency;
 
   /** How long picks took that ended ok, by build and method; see {@link #tookRow}. */
-  public final MethodMetrics took;
+  public final MethodMetrics attemptLatency;
 
   /** Picks on their way to a connection: written as a frame, or ended before. */
   public final MethodMetrics frames;
@@ -84,7 +84,7 @@
   /** What each start found of the figures kept before. */
   public final MethodMetrics files;
 
-  private final List<MethodMetrics> sheets = new ArrayList<>();
+  private final List<MethodMetrics> tables = new ArrayList<>();
   private final long[] values;
   private final String[] names;
   private final int[] firstRow;
@@ -96,11 +96,11 @@
   private final int[] lastTo = new int[LAST];
   private long posted;
   private MetricsStore book = MetricsStore.NONE;
-  private boolean mute;
+  private boolean disablePostings;
   private final int firstTook;
   private Runnable firstOfTurn = () -> {};
 
-  public MethodAccounts(List<String> methods, Room room) {
+  public MethodAccounts(List<String> methods, Capacity room) {
     calls =
         sheet(
             "calls",
@@ -127,7 +127,7 @@
             "unit",
             room.endpoints + 1,
             List.of("sent", "ok", "not_ok", "lost", "out"));
-    copies = sheet("copies", "build", room.builds + 1, PICK_ENDS);
+    shadowAttempts = sheet("copies", "build", room.builds + 1, PICK_ENDS);
     answers =
         sheet(
             "answers",
@@ -137,7 +137,7 @@
             false);
     latency =
         sheet("latency", "method", methods.size() + 1, HistogramBuckets.columns("answered"), false);
-    took =
+    attemptLatency =
         sheet(
             "pick_latency",
             "build_and_method",
@@ -197,19 +197,19 @@
             List.of("opened", "fresh", "carried", "set_aside", "lost", "unread"));
     int size = 0;
     int rows = 0;
-    firstRow = new int[sheets.size()];
-    for (int i = 0; i < sheets.size(); i++) {
+    firstRow = new int[tables.size()];
+    for (int i = 0; i < tables.size(); i++) {
       firstRow[i] = rows;
-      size += sheets.get(i).size();
-      rows += sheets.get(i).rows();
+      size += tables.get(i).size();
+      rows += tables.get(i).rows();
     }
-    firstTook = firstRow[took.place];
+    firstTook = firstRow[attemptLatency.position];
     values = new long[size];
     dirty = new int[size];
     isDirty = new boolean[size];
     names = new String[rows];
-    for (MethodMetrics sheet : sheets) {
-      if (sheet != took) {
+    for (MethodMetrics sheet : tables) {
+      if (sheet != attemptLatency) {
         label(sheet, sheet.rows() - 1, sheet.rows() == 1 ? MethodMetrics.ALL : MethodMetrics.OTHER);
       }
     }
@@ -227,17 +227,17 @@
   private MethodMetrics sheet(
       String name, String by, int rows, List<String> columns, boolean settles) {
     int base =
-        sheets.isEmpty()
+        tables.isEmpty()
             ? 0
-            : sheets.get(sheets.size() - 1).base + sheets.get(sheets.size() - 1).size();
-    MethodMetrics made = new MethodMetrics(name, by, rows, base, sheets.size(), columns, settles);
-    sheets.add(made);
+            : tables.get(tables.size() - 1).base + tables.get(tables.size() - 1).size();
+    MethodMetrics made = new MethodMetrics(name, by, rows, base, tables.size(), columns, settles);
+    tables.add(made);
     rowsByName.add(new HashMap<>());
     return made;
   }
 
-  public List<MethodMetrics> sheets() {
-    return Collections.unmodifiableList(sheets);
+  public List<MethodMetrics> tables() {
+    return Collections.unmodifiableList(tables);
   }
 
   public int size() {
@@ -250,7 +250,7 @@
 
   /** A row's name; null where it is not in use. */
   public String name(MethodMetrics sheet, int row) {
-    return names[firstRow[sheet.place] + row];
+    return names[firstRow[sheet.position] + row];
   }
 
   /**
@@ -259,7 +259,7 @@
    */
   public String layout() {
     StringBuilder text = new StringBuilder();
-    for (MethodMetrics sheet : sheets) {
+    for (MethodMetrics sheet : tables) {
       text.append(sheet.name())
           .append(' ')
           .append(sheet.by())
@@ -277,7 +277,7 @@
    * builds.
    */
   public int row(MethodMetrics sheet, String label) {
-    Map<String, Integer> known = rowsByName.get(sheet.place);
+    Map<String, Integer> known = rowsByName.get(sheet.position);
     Integer row = known.get(label);
     if (row != null) {
       return row;
@@ -287,7 +287,7 @@
     }
     int made = label(sheet, known.size() - 1, label);
     if (sheet == builds) {
-      label(copies, made, label);
+      label(shadowAttempts, made, label);
     }
     return made;
   }
@@ -296,22 +296,22 @@
    * Where a build's latencies of a method stand, both by their rows in their own sheets. Named at
    * its first use.
    */
-  public int tookRow(int build, int method) {
+  public int attemptLatencyRow(int build, int method) {
     int row = build * attempts.rows() + method;
     if (names[firstTook + row] == null) {
-      label(took, row, name(builds, build) + "/" + name(attempts, method));
+      label(attemptLatency, row, name(builds, build) + "/" + name(attempts, method));
     }
     return row;
   }
 
   /** Names a row as another's file has it. */
-  public void named(MethodMetrics sheet, int row, String label) {
+  public void nameRow(MethodMetrics sheet, int row, String label) {
     label(sheet, row, label);
   }
 
   private int label(MethodMetrics sheet, int row, String label) {
-    rowsByName.get(sheet.place).put(label, row);
-    int all = firstRow[sheet.place] + row;
+    rowsByName.get(sheet.position).put(label, row);
+    int all = firstRow[sheet.position] + row;
     names[all] = label;
     book.name(all, label);
     return row;
@@ -321,7 +321,7 @@
    * Keeps everything in a book from now on; what was posted so far goes there first. Whoever runs
    * the turns is told when one has its first posting, and then has to {@link #commit} at its end.
    */
-  public void keepIn(MetricsStore kept, Runnable onFirstPostingOfATurn) {
+  public void persistTo(MetricsStore kept, Runnable onFirstPostingOfATurn) {
     firstOfTurn = onFirstPostingOfATurn;
     book = kept;
     for (int i = 0; i < names.length; i++) {
@@ -341,27 +341,27 @@
    * What an earlier life of the relay counted: its figures go on, and what was pending then is
    * lost.
    */
-  public void carry(MethodMetrics sheet, String label, int column, long value) {
+  public void carryOver(MethodMetrics sheet, String label, int column, long value) {
     int cut = label.indexOf('/');
     int row =
-        sheet == took
-            ? tookRow(row(builds, label.substring(0, cut)), row(attempts, label.substring(cut + 1)))
-            : row(sheet == copies ? builds : sheet, label);
+        sheet == attemptLatency
+            ? attemptLatencyRow(row(builds, label.substring(0, cut)), row(attempts, label.substring(cut + 1)))
+            : row(sheet == shadowAttempts ? builds : sheet, label);
     add(sheet.index(row, column == sheet.pending() ? sheet.lost() : column), value);
   }
 
   /** From now on nothing is posted: for measuring what postings cost. Before the first of them. */
-  public void mute() {
-    mute = true;
+  public void disablePostings() {
+    disablePostings = true;
   }
 
-  public boolean muted() {
-    return mute;
+  public boolean postingsDisabled() {
+    return disablePostings;
   }
 
   /** Something new, in a column. */
-  public void begin(MethodMetrics sheet, int row, int column) {
-    if (mute) {
+  public void postNew(MethodMetrics sheet, int row, int column) {
+    if (disablePostings) {
       return;
     }
     add(sheet.index(row, 0), 1);
@@ -370,8 +370,8 @@
   }
 
   /** From one column to another. */
-  public void move(MethodMetrics sheet, int row, int from, int to) {
-    if (mute) {
+  public void postTransfer(MethodMetrics sheet, int row, int from, int to) {
+    if (disablePostings) {
       return;
     }
     add(sheet.index(row, from), -1);
@@ -384,54 +384,54 @@
 
   /** An RPC was taken. */
   public void rpcArrived(int method, int tenant) {
-    begin(calls, 0, 1);
-    begin(rpcs, method, rpcs.pending());
-    begin(tenants, tenant, tenants.pending());
+    postNew(calls, 0, 1);
+    postNew(rpcs, method, rpcs.pending());
+    postNew(tenants, tenant, tenants.pending());
   }
 
   /** It ended, not ok: in a column of the RPCs' sheet. */
   public void rpcEnded(int method, int tenant, int how) {
-    move(rpcs, method, rpcs.pending(), how);
-    move(tenants, tenant, tenants.pending(), 1);
+    postTransfer(rpcs, method, rpcs.pending(), how);
+    postTransfer(tenants, tenant, tenants.pending(), 1);
   }
 
   /** It ended ok, so long after it came. */
   public void rpcAnswered(
       int method, int tenant, TimeSpan after, boolean inTime, boolean byDeadline) {
-    begin(answers, method, inTime ? 1 : byDeadline ? 2 : 3);
-    begin(latency, method, 1 + HistogramBuckets.bucket(after));
+    postNew(answers, method, inTime ? 1 : byDeadline ? 2 : 3);
+    postNew(latency, method, 1 + HistogramBuckets.bucket(after));
     rpcEnded(method, tenant, 1);
   }
 
   public void attemptSent(int method, int build, int endpoint, boolean copy) {
-    begin(attempts, method, attempts.pending());
-    begin(builds, build, builds.pending());
-    begin(endpoints, endpoint, endpoints.pending());
-    begin(frames, 0, frames.pending());
+    postNew(attempts, method, attempts.pending());
+    postNew(builds, build, builds.pending());
+    postNew(endpoints, endpoint, endpoints.pending());
+    postNew(frames, 0, frames.pending());
     if (copy) {
-      begin(copies, build, copies.pending());
+      postNew(shadowAttempts, build, shadowAttempts.pending());
     }
   }
 
   /** It is on a connection. */
   public void attemptWritten() {
-    move(frames, 0, frames.pending(), 1);
+    postTransfer(frames, 0, frames.pending(), 1);
   }
 
   /** A pick ended: in a column of the picks' sheet, of which the first one is ok. */
   public void attemptEnded(
       int method, int build, int endpoint, boolean copy, boolean written, int how, TimeSpan after) {
     if (!written) {
-      move(frames, 0, frames.pending(), 2);
+      postTransfer(frames, 0, frames.pending(), 2);
     }
-    move(attempts, method, attempts.pending(), how);
-    move(builds, build, builds.pending(), how);
-    move(endpoints, endpoint, endpoints.pending(), how == 1 ? 1 : 2);
+    postTransfer(attempts, method, attempts.pending(), how);
+    postTransfer(builds, build, builds.pending(), how);
+    postTransfer(endpoints, endpoint, endpoints.pending(), how == 1 ? 1 : 2);
     if (copy) {
-      move(copies, build, copies.pending(), how);
+      postTransfer(shadowAttempts, build, shadowAttempts.pending(), how);
     }
     if (how == 1) {
-      begin(took, tookRow(build, method), 1 + HistogramBuckets.bucket(after));
+      postNew(attemptLatency, attemptLatencyRow(build, method), 1 + HistogramBuckets.bucket(after));
     }
   }
 
@@ -488,14 +488,14 @@
   }
 
   /** All equations, held against the values at hand. Empty: all hold. */
-  public List<Drift> check() {
+  public List<Imbalance> check() {
     return check(values);
   }
 
   /** The same for values read elsewhere, such as from a file. */
-  public List<Drift> check(long[] of) {
-    List<Drift> found = new ArrayList<>();
-    for (MethodMetrics sheet : sheets) {
+  public List<Imbalance> check(long[] of) {
+    List<Imbalance> found = new ArrayList<>();
+    for (MethodMetrics sheet : tables) {
       int columns = sheet.columns().size();
       for (int row = 0; row < sheet.rows(); row++) {
         long parts = 0;
@@ -506,7 +506,7 @@
         if (total != parts) {
           found.add(drift(equation(sheet, row), total, parts, sheet.index(row, 0), columns));
         }
-        long pending = sheet.settles() ? of[sheet.index(row, sheet.pending())] : 0;
+        long pending = sheet.hasPending() ? of[sheet.index(row, sheet.pending())] : 0;
         if (pending < 0) {
           found.add(
               drift(
@@ -537,19 +537,19 @@
     for (int build = 0; build < builds.rows(); build++) {
       long sum = 0;
       for (int method = 0; method < attempts.rows(); method++) {
-        sum += of[took.index(build * attempts.rows() + method, 0)];
+        sum += of[attemptLatency.index(build * attempts.rows() + method, 0)];
       }
       same(found, of, "pick_latency ok of build " + name(builds, build), sum, builds, build, 1);
       for (int column = 0; column < PICK_ENDS.size(); column++) {
-        long some = of[copies.index(build, column)];
+        long some = of[shadowAttempts.index(build, column)];
         long all = of[builds.index(build, column)];
         if (some > all) {
           found.add(
               drift(
-                  cell(copies, build, column) + " <= " + cell(builds, build, column),
+                  cell(shadowAttempts, build, column) + " <= " + cell(builds, build, column),
                   some,
                   all,
-                  copies.index(build, 0),
+                  shadowAttempts.index(build, 0),
                   PICK_ENDS.size()));
         }
       }
@@ -557,7 +557,7 @@
     for (int method = 0; method < attempts.rows(); method++) {
       long sum = 0;
       for (int build = 0; build < builds.rows(); build++) {
-        sum += of[took.index(build * attempts.rows() + method, 0)];
+        sum += of[attemptLatency.index(build * attempts.rows() + method, 0)];
       }
       same(
           found,
@@ -572,12 +572,12 @@
   }
 
   private void same(
-      List<Drift> found, long[] of, String what, long left, MethodMetrics sheet, int row) {
+      List<Imbalance> found, long[] of, String what, long left, MethodMetrics sheet, int row) {
     same(found, of, what, left, sheet, row, 0);
   }
 
   private void same(
-      List<Drift> found,
+      List<Imbalance> found,
       long[] of,
       String what,
       long left,
@@ -597,7 +597,7 @@
   }
 
   private void same(
-      List<Drift> found,
+      List<Imbalance> found,
       long[] of,
       MethodMetrics one,
       int column,
@@ -619,7 +619,7 @@
     found.add(drift(equation, left, right, one.base, one.size()));
   }
 
-  private Drift drift(String equation, long left, long right, int from, int many) {
+  private Imbalance drift(String equation, long left, long right, int from, int many) {
     List<String> last = new ArrayList<>();
     for (long i = Math.max(0, posted - LAST); i < posted; i++) {
       int one = lastFrom[(int) (i & LAST - 1)];
@@ -628,12 +628,12 @@
         last.add(cell(one) + " to " + cell(other));
       }
     }
-    return new Drift(
+    return new Imbalance(
         equation, left, right, last.subList(Math.max(0, last.size() - 5), last.size()));
   }
 
   private String cell(int index) {
-    for (MethodMetrics sheet : sheets) {
+    for (MethodMetrics sheet : tables) {
       int at = index - sheet.base;
       if (at < sheet.size()) {
         return cell(sheet, at / sheet.columns().size(), at % sheet.columns().size());
@@ -653,7 +653,7 @@
   }
 
   private String equation(MethodMetrics sheet, int row) {
-    if (sheet.scaled()) {
+    if (sheet.isHistogram()) {
       return cell(sheet, row, 0) + " = the sum of its buckets";
     }
     return cell(sheet, row, 0)
@@ -662,7 +662,7 @@
   }
 
   /** Spoils one account, so that tests can show that it is found. */
-  void spoil(int index, long by) {
+  void corrupt(int index, long by) {
     values[index] += by;
   }
 
--- a/src/main/java/sprucerock/accounting/MethodMetrics.java
+++ b/src/main/java/sprucerock/accounting/MethodMetrics.java
@@ -24,7 +24,7 @@
   final int base;
 
   /** Its place among all sheets. */
-  final int place;
+  final int position;
 
   /**
    * {@code settles}: its last two columns are what a crash ended and what is not over yet; else all
@@ -42,25 +42,25 @@
     this.by = by;
     this.rows = rows;
     this.base = base;
-    this.place = place;
+    this.position = place;
     this.columns = columns;
     width = columns.size();
     pending = settles ? columns.size() - 1 : -1;
   }
 
   /** Whether its postings are pending at first; else it has neither pending nor lost. */
-  public boolean settles() {
+  public boolean hasPending() {
     return pending > 0;
   }
 
   /** Whether its columns are the buckets of a {@link HistogramBuckets}. */
-  public boolean scaled() {
+  public boolean isHistogram() {
     return columns.size() == 1 + HistogramBuckets.BUCKETS;
   }
 
   /** The first column after those of how something ended. */
   public int endsBefore() {
-    return settles() ? pending : columns.size();
+    return hasPending() ? pending : columns.size();
   }
 
   public String name() {
@@ -97,6 +97,6 @@
 
   /** The column of what a crash of the relay ended. */
   public int lost() {
-    return settles() ? pending - 1 : -1;
+    return hasPending() ? pending - 1 : -1;
   }
 }
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -33,12 +33,12 @@
   private final Settings settings;
   private final Map<Long, Rpc> rpcs = new HashMap<>();
   private final TreeMap<Long, Endpoint> endpoints = new TreeMap<>();
-  private int newestTried;
+  private int newestRolloutBuild;
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
   private final MethodAccounts accounts;
   private final int[] tenantRows;
   private RelayEvents module;
-  private int open;
+  private int openRpcs;
 
   /** One whose figures are told apart by method only, under their numbers. */
   public RequestTracker(Settings settings) {
@@ -46,7 +46,7 @@
         settings,
         new MethodAccounts(
             settings.methods.stream().map(method -> "" + method.index).toList(),
-            MethodAccounts.Room.NONE));
+            MethodAccounts.Capacity.NONE));
   }
 
   public RequestTracker(Settings settings, MethodAccounts accounts) {
@@ -72,17 +72,17 @@
   }
 
   /** Names the module to be told; once, since it needs its host before it can be made. */
-  public void tell(RelayEvents toBeTold) {
+  public void setListener(RelayEvents toBeTold) {
     module = toBeTold;
   }
 
   /** RPCs that have no final answer yet. */
-  public int open() {
-    return open;
+  public int openRpcs() {
+    return openRpcs;
   }
 
   /** RPCs that are open or have picks out. */
-  public int known() {
+  public int trackedRpcs() {
     return rpcs.size();
   }
 
@@ -92,18 +92,18 @@
   }
 
   /** A unit as listed now; null where none has the id. */
-  public Endpoint unit(long id) {
+  public Endpoint endpoint(long id) {
     return endpoints.get(id);
   }
 
-  public List<Endpoint> units() {
+  public List<Endpoint> endpoints() {
     return new ArrayList<>(endpoints.values());
   }
 
   // What comes in.
 
   /** An RPC came; {@code id} is one that no RPC known here has. */
-  public Rpc arrived(
+  public Rpc rpcArrived(
       long id,
       Method method,
       int tenant,
@@ -114,7 +114,7 @@
       Object door) {
     Rpc rpc = new Rpc(id, method, tenant, key, now, deadline, hint, door);
     rpcs.put(id, rpc);
-    open++;
+    openRpcs++;
     accounts.rpcArrived(method.index, row(tenant));
     module.rpcArrived(rpc);
     return rpc;
@@ -179,7 +179,7 @@
   }
 
   /** A unit as a list or a change has it; a run that began at another time is another unit. */
-  public Endpoint listed(
+  public Endpoint endpointListed(
       long id,
       int zone,
       int kind,
@@ -190,7 +190,7 @@
       boolean mayGetWork) {
     Endpoint known = endpoints.get(id);
     if (known != null && !known.sameRun(build, started)) {
-      removed(id);
+      endpointRemoved(id);
       known = null;
     }
     if (known == null) {
@@ -210,7 +210,7 @@
   }
 
   /** A unit is gone; nothing happens where none has the id. */
-  public void removed(long id) {
+  public void endpointRemoved(long id) {
     Endpoint endpoint = endpoints.remove(id);
     if (endpoint != null) {
       leave(endpoint);
@@ -218,10 +218,10 @@
   }
 
   /** A whole list came: all that it does not name are gone. */
-  public void keepOnly(Set<Long> named) {
-    for (Endpoint endpoint : units()) {
+  public void retainEndpoints(Set<Long> named) {
+    for (Endpoint endpoint : endpoints()) {
       if (!named.contains(endpoint.id)) {
-        removed(endpoint.id);
+        endpointRemoved(endpoint.id);
       }
     }
   }
@@ -234,8 +234,8 @@
     module.endpointDraining(endpoint);
   }
 
-  public void news(int build, int stage, RolloutState standing, double cap, Timestamp since) {
-    newestTried = standing == RolloutState.RELEASED ? build + 1 : build;
+  public void rolloutChanged(int build, int stage, RolloutState standing, double cap, Timestamp since) {
+    newestRolloutBuild = standing == RolloutState.RELEASED ? build + 1 : build;
     module.newsOfBuild(build(build), stage, standing, cap, since);
     builds.values().removeIf(one -> one.endpoints.isEmpty() && one.number < build - 1);
   }
@@ -263,12 +263,12 @@
    * The number of the newest build that news was of; builds below it are no part of a trial. 0:
    * there was no news.
    */
-  public int newestTried() {
-    return newestTried;
+  public int newestRolloutBuild() {
+    return newestRolloutBuild;
   }
 
   /** A unit gave a sign when it was looked at, or none. */
-  public void looked(long endpoint, boolean answered) {
+  public void healthChecked(long endpoint, boolean answered) {
     Endpoint known = endpoints.get(endpoint);
     if (known != null && known.ready()) {
       module.looked(known, answered);
@@ -288,7 +288,7 @@
 
   // What the module had its host do.
 
-  public void sent(Attempt attempt) {
+  public void attemptSent(Attempt attempt) {
     attempt.rpc.add(attempt);
     attempt.endpoint.attemptStarted();
     accounts.attemptSent(
@@ -299,20 +299,20 @@
   }
 
   /** A pick was put on a connection to its unit. */
-  public void written(Attempt attempt) {
+  public void attemptWritten(Attempt attempt) {
     attempt.markWritten();
     accounts.attemptWritten();
   }
 
   /** The result of a pick came that had ended before; it changes nothing. */
   public void lateResult(AttemptOutcome outcome) {
-    accounts.begin(
+    accounts.postNew(
         accounts.lateResults,
         0,
         outcome == AttemptOutcome.OK ? 1 : outcome == AttemptOutcome.FULL ? 3 : 2);
   }
 
-  public void pushedBack(Rpc rpc) {
+  public void rejected(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
@@ -335,7 +335,7 @@
 
   private void end(Rpc rpc) {
     rpc.markEnded();
-    open--;
+    openRpcs--;
   }
 
   private void forget(Rpc rpc) {
--- a/src/main/java/sprucerock/agent/MetricsSummary.java
+++ b/src/main/java/sprucerock/agent/MetricsSummary.java
@@ -73,7 +73,7 @@
       for (int i = 0; i < HistogramBuckets.BUCKETS; i++) {
         answeredMs +=
             snapshot.values[accounts.latency.index(row, 1 + i)]
-                * HistogramBuckets.fromUs(i)
+                * HistogramBuckets.lowerBoundUs(i)
                 / 1000.0;
       }
     }
--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -385,7 +385,7 @@
             () -> {
               FrameRelay made = new FrameRelay(config, loop, Tap.NONE);
               if (kept == Kept.NOT) {
-                made.ledger().accounts().mute();
+                made.ledger().accounts().disablePostings();
               }
               try {
                 made.start(
--- a/src/main/java/sprucerock/cli/FiguresCommand.java
+++ b/src/main/java/sprucerock/cli/FiguresCommand.java
@@ -92,8 +92,8 @@
       if (!check) {
         System.out.print(file + ": " + MetricsTable.of(snapshot));
       }
-      List<MethodAccounts.Drift> drifts = snapshot.accounts().check(snapshot.values);
-      for (MethodAccounts.Drift drift : drifts) {
+      List<MethodAccounts.Imbalance> drifts = snapshot.accounts().check(snapshot.values);
+      for (MethodAccounts.Imbalance drift : drifts) {
         System.out.println(file + ": " + drift);
       }
       if (check && drifts.isEmpty()) {
--- a/src/main/java/sprucerock/cli/SimhostCommand.java
+++ b/src/main/java/sprucerock/cli/SimhostCommand.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import sprucerock.simulation.FrameException;
-import sprucerock.simulation.Simhost;
+import sprucerock.simulation.SimulationHost;
 
 /** Named here for the help; Main starts it without this command line. */
 @Command(
@@ -14,7 +14,7 @@
   @Override
   public Integer call() throws Exception {
     try {
-      new Simhost(System.in, System.out).run();
+      new SimulationHost(System.in, System.out).run();
       return Commands.DONE;
     } catch (FrameException e) {
       System.err.println(e.getMessage());
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -106,7 +106,7 @@
     news = null;
     votesOut.clear();
     RequestTracker ledger = new RequestTracker(config.settings);
-    ledger.tell(new UnresponsivePeer(this::news));
+    ledger.setListener(new UnresponsivePeer(this::news));
     EventLog events = new EventLog(net, NOPLogger.NOP_LOGGER);
     DeterministicRandom chance =
         new DeterministicRandom(config.seed ^ number * 0x9e3779b97f4a7c15L + lives);
--- a/src/main/java/sprucerock/metrics/MetricsExporter.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -101,7 +101,7 @@
     try {
       MetricsSnapshot snapshot = snapshots.get();
       text.append(MetricsTable.of(snapshot));
-      for (MethodAccounts.Drift drift : snapshot.accounts().check(snapshot.values)) {
+      for (MethodAccounts.Imbalance drift : snapshot.accounts().check(snapshot.values)) {
         text.append("DRIFT ").append(drift).append('\n');
         status = 500;
       }
@@ -130,8 +130,8 @@
       throw new IllegalStateException(e.getMessage());
     }
     MetricSnapshots.Builder all = MetricSnapshots.builder();
-    for (MethodMetrics sheet : accounts.sheets()) {
-      if (sheet.scaled()) {
+    for (MethodMetrics sheet : accounts.tables()) {
+      if (sheet.isHistogram()) {
         scaled(all, sheet, accounts, snapshot.values);
       } else {
         add(all, sheet, accounts, snapshot.values);
@@ -167,7 +167,7 @@
   private static void add(
       MetricSnapshots.Builder all, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
     String total = sheet.columns().get(0);
-    String pending = sheet.settles() ? sheet.columns().get(sheet.pending()) : "";
+    String pending = sheet.hasPending() ? sheet.columns().get(sheet.pending()) : "";
     CounterSnapshot.Builder begun =
         CounterSnapshot.builder()
             .name(PREFIX + sheet.name() + "_" + total)
@@ -175,7 +175,7 @@
                 "All "
                     + sheet.name()
                     + "; the sum of ended"
-                    + (sheet.settles() ? " and " + pending : "")
+                    + (sheet.hasPending() ? " and " + pending : "")
                     + ".");
     CounterSnapshot.Builder ended =
         CounterSnapshot.builder()
@@ -197,7 +197,7 @@
             counter(
                 labels.add("how", sheet.columns().get(column)), values[sheet.index(row, column)]));
       }
-      if (!sheet.settles()) {
+      if (!sheet.hasPending()) {
         continue;
       }
       out.dataPoint(
@@ -207,7 +207,7 @@
               .build());
     }
     all.metricSnapshot(begun.build()).metricSnapshot(ended.build());
-    if (sheet.settles()) {
+    if (sheet.hasPending()) {
       all.metricSnapshot(out.build());
     }
   }
@@ -236,7 +236,7 @@
           continue;
         }
         buckets.bucket(
-            last ? Double.POSITIVE_INFINITY : HistogramBuckets.fromUs(i + 1) / 1e6, count);
+            last ? Double.POSITIVE_INFINITY : HistogramBuckets.lowerBoundUs(i + 1) / 1e6, count);
         count = 0;
       }
       Labels labels = label(sheet, accounts.name(sheet, row));
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -58,15 +58,15 @@
       found = UNREAD;
       say.accept(file + ": can't be read: " + e.getMessage() + "; figures begin anew");
     }
-    accounts.begin(accounts.files, 0, found);
-    accounts.begin(accounts.starts, 0, RUNNING);
+    accounts.postNew(accounts.files, 0, found);
+    accounts.postNew(accounts.starts, 0, RUNNING);
     String layout = accounts.layout();
     ByteBuffer bytes =
         ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rows()));
     MappedMetricsFile pages =
         new MappedMetricsFile(
             new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
-    accounts.keepIn(pages, onFirstPostingOfATurn);
+    accounts.persistTo(pages, onFirstPostingOfATurn);
     boolean kept = false;
     try {
       if (file != null) {
@@ -124,13 +124,13 @@
   private static void carry(MetricsSnapshot last, MethodAccounts accounts)
       throws MetricsSnapshot.BadFileException {
     MethodAccounts old = last.accounts();
-    for (MethodMetrics from : old.sheets()) {
-      MethodMetrics to = accounts.sheets().get(old.sheets().indexOf(from));
+    for (MethodMetrics from : old.tables()) {
+      MethodMetrics to = accounts.tables().get(old.tables().indexOf(from));
       for (int row = 0; row < from.rows(); row++) {
         for (int column = 0; column < from.columns().size(); column++) {
           long value = last.values[from.index(row, column)];
           if (value != 0) {
-            accounts.carry(to, old.name(from, row), column, value);
+            accounts.carryOver(to, old.name(from, row), column, value);
           }
         }
       }
@@ -153,7 +153,7 @@
 
   /** The relay ends in good order. */
   public void close() {
-    accounts.move(accounts.starts, 0, RUNNING, ENDED);
+    accounts.postTransfer(accounts.starts, 0, RUNNING, ENDED);
     accounts.commit();
     pages.close();
   }
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -221,15 +221,15 @@
       row += rows;
     }
     MethodAccounts made =
-        new MethodAccounts(methods, new MethodAccounts.Room(rooms[0], rooms[1], rooms[2]));
+        new MethodAccounts(methods, new MethodAccounts.Capacity(rooms[0], rooms[1], rooms[2]));
     if (!made.layout().equals(layout)) {
       throw new BadFileException("figures of another version");
     }
     int at = 0;
-    for (MethodMetrics sheet : made.sheets()) {
+    for (MethodMetrics sheet : made.tables()) {
       for (int i = 0; i < sheet.rows(); i++, at++) {
         if (names[at] != null) {
-          made.named(sheet, i, names[at]);
+          made.nameRow(sheet, i, names[at]);
         }
       }
     }
--- a/src/main/java/sprucerock/metrics/MetricsTable.java
+++ b/src/main/java/sprucerock/metrics/MetricsTable.java
@@ -22,8 +22,8 @@
                 + ", "
                 + (snapshot.closed ? "ended in good order" : "running, or cut off")
                 + "\n");
-    for (MethodMetrics sheet : accounts.sheets()) {
-      if (sheet.scaled()) {
+    for (MethodMetrics sheet : accounts.tables()) {
+      if (sheet.isHistogram()) {
         scaled(text, sheet, accounts, snapshot.values);
       } else {
         sheet(text, sheet, accounts, snapshot.values);
--- a/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
@@ -153,7 +153,7 @@
             votes[1],
             votes[0] <= cast + votes[1] && cast - unanswered <= votes[0]));
     found.add(same(LEFT, sum(accounts.rpcs, v, 4), left));
-    for (MethodAccounts.Drift drift : accounts.check(v)) {
+    for (MethodAccounts.Imbalance drift : accounts.check(v)) {
       found.add(new Entry(drift.toString(), drift.left(), drift.right(), 0, false));
     }
     return found;
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -42,7 +42,7 @@
   /** The module is made, told of nothing yet. */
   protected void begin(Maker maker, long seed) {
     module = maker.make(this, settings, seed);
-    ledger.tell(module);
+    ledger.setListener(module);
   }
 
   /** Puts the pick on a connection to its unit, now or later. */
@@ -78,7 +78,7 @@
     // nothing
     asked.until(net.at(deadline, () -> forgotten(asked)));
     asked.number(++lastRpc);
-    ledger.arrived(asked.number(), method, tenant, key, net.now(), deadline, hint, asked);
+    ledger.rpcArrived(asked.number(), method, tenant, key, net.now(), deadline, hint, asked);
   }
 
   private void forgotten(Request asked) {
@@ -124,7 +124,7 @@
 
   /** It is on a connection now. */
   public void written(AttemptExchange exchange) {
-    ledger.written(exchange.attempt());
+    ledger.attemptWritten(exchange.attempt());
   }
 
   private void timedOut(AttemptExchange exchange) {
@@ -144,7 +144,7 @@
 
   @Override
   public void send(Attempt attempt) {
-    ledger.sent(attempt);
+    ledger.attemptSent(attempt);
     Timestamp now = net.now();
     Timestamp until =
         attempt.timeout == null
@@ -177,7 +177,7 @@
   @Override
   public void pushBack(Rpc rpc, TimeSpan wait) {
     answer((Request) rpc.attachment, RequestOutcome.PUSHED_BACK, wait, 0, NO_BODY);
-    ledger.pushedBack(rpc);
+    ledger.rejected(rpc);
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -102,7 +102,7 @@
   public void vote(Build build, int stage, Verdict verdict) {
     long id = ++lastVote;
     MethodAccounts accounts = ledger.accounts();
-    accounts.begin(accounts.votes, 0, accounts.votes.pending());
+    accounts.postNew(accounts.votes, 0, accounts.votes.pending());
     Say say =
         switch (verdict) {
           case NONE -> Say.NOTHING;
@@ -208,7 +208,7 @@
     epoch = news.getEpoch();
     sequence = news.getSequence();
     TimeSpan lasted = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
-    ledger.news(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
+    ledger.rolloutChanged(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
     told = true;
     learnt.run();
   }
@@ -257,7 +257,7 @@
 
   private void count(int column) {
     MethodAccounts accounts = ledger.accounts();
-    accounts.move(accounts.votes, 0, accounts.votes.pending(), column);
+    accounts.postTransfer(accounts.votes, 0, accounts.votes.pending(), column);
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -169,7 +169,7 @@
       take(entry);
     }
     if (listing.getForm() == Form.WHOLE) {
-      for (Endpoint endpoint : ledger.units()) {
+      for (Endpoint endpoint : ledger.endpoints()) {
         if (!named.contains(endpoint.id)) {
           removed(endpoint);
         }
@@ -188,7 +188,7 @@
   }
 
   private void take(Entry entry) {
-    Endpoint known = ledger.unit(entry.getUnit());
+    Endpoint known = ledger.endpoint(entry.getUnit());
     if (entry.getHealth() == Health.GONE) {
       if (known != null) {
         removed(known);
@@ -238,11 +238,11 @@
       leave(known);
     }
     if (moved) {
-      ledger.removed(known.id);
+      ledger.endpointRemoved(known.id);
     }
     boolean mayPlace = racks.mayPlace(entry.getZone(), entry.getCell());
     Endpoint endpoint =
-        ledger.listed(
+        ledger.endpointListed(
             entry.getUnit(),
             entry.getZone(),
             entry.getKind(),
@@ -308,7 +308,7 @@
     for (Rack rack : turned) {
       boolean mayPlace = rack.mayPlace;
       for (Entry entry : new ArrayList<>(rack.ready.values())) {
-        if (ledger.unit(entry.getUnit()).ready() != mayPlace) {
+        if (ledger.endpoint(entry.getUnit()).ready() != mayPlace) {
           take(entry);
         }
       }
@@ -318,7 +318,7 @@
   private void removed(Endpoint endpoint) {
     runs.remove(endpoint.id);
     forget(endpoint);
-    ledger.removed(endpoint.id);
+    ledger.endpointRemoved(endpoint.id);
     leave(endpoint);
     changed.accept(endpoint);
   }
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -97,7 +97,7 @@
             config.settings,
             new MethodAccounts(
                 config.methodNames,
-                new MethodAccounts.Room(BUILDS, Math.min(config.endpoints, UNITS), CUSTOMERS))),
+                new MethodAccounts.Capacity(BUILDS, Math.min(config.endpoints, UNITS), CUSTOMERS))),
         new EventLog(net));
     this.config = config;
     live = config;
@@ -173,7 +173,7 @@
                 config.settings.index,
                 config.leases.fitsEvery(),
                 System::currentTimeMillis,
-                build -> build < ledger.newestTried(),
+                build -> build < ledger.newestRolloutBuild(),
                 events,
                 this);
     if (config.leases != null && config.leases.granter() >= 0) {
@@ -277,7 +277,7 @@
   }
 
   private void moveUnits(TimeSpan within) {
-    for (Endpoint endpoint : ledger.units()) {
+    for (Endpoint endpoint : ledger.endpoints()) {
       if (endpoint.attachment != null) {
         ((EndpointConnectionPool) endpoint.attachment).move(within);
       }
@@ -313,16 +313,16 @@
       tlsDaysLeft = secured.tls().daysLeft();
       tlsBroken = secured.tls().broken();
     }
-    if (accounts.muted()) {
+    if (accounts.postingsDisabled()) {
       return;
     }
-    List<MethodAccounts.Drift> drifts = accounts.check();
+    List<MethodAccounts.Imbalance> drifts = accounts.check();
     long open = accounts.sum(accounts.rpcs, accounts.rpcs.pending());
-    drifting |= !drifts.isEmpty() || open != ledger.open();
-    if (open != ledger.open()) {
+    drifting |= !drifts.isEmpty() || open != ledger.openRpcs();
+    if (open != ledger.openRpcs()) {
       events.error(
           EventLog.Kind.DRIFT,
-          "rpcs open: " + open + " by the accounts, " + ledger.open() + " by count");
+          "rpcs open: " + open + " by the accounts, " + ledger.openRpcs() + " by count");
     }
     if (!drifts.isEmpty()) {
       events.error(
@@ -356,7 +356,7 @@
       leases.stop(); // before its last RPCs end: others may do the fleet's tasks meanwhile
     }
     listener.close();
-    events.info(EventLog.Kind.FINISHING, ledger.open() + " RPCs are open");
+    events.info(EventLog.Kind.FINISHING, ledger.openRpcs() + " RPCs are open");
     net.at(net.now().plus(live.finishWithin), this::abortOpen);
     lookWhetherDone();
   }
@@ -389,7 +389,7 @@
   }
 
   private void lookWhetherDone() {
-    if (ledger.open() == 0) {
+    if (ledger.openRpcs() == 0) {
       end();
     } else {
       net.at(net.now().plus(TimeSpan.ofMs(5)), this::lookWhetherDone);
@@ -439,7 +439,7 @@
             + " messages-dropped "
             + accounts.value(accounts.messages, 0, 2)
             + " units "
-            + ledger.units().size()
+            + ledger.endpoints().size()
             + " clients "
             + clients.size());
     if (!finishing) {
@@ -455,7 +455,7 @@
    */
   void called(FrameRequest asked, Call call) {
     if (call.getMethod() < 0 || call.getMethod() >= config.settings.methods.size()) {
-      accounts.begin(accounts.calls, 0, 3);
+      accounts.postNew(accounts.calls, 0, 3);
       asked.client.answer(asked, Ending.ABORTED, 0, 0, FrameClientConnection.NO_BODY);
       events.warn(
           EventLog.Kind.CLIENT_REFUSED,
@@ -471,13 +471,13 @@
             ? "figures drift, and figures/strict is set"
             : finishing
                 ? "the relay is finishing"
-                : ledger.open() >= live.open
+                : ledger.openRpcs() >= live.open
                     ? "limits/open is reached"
                     : asked.client.open() > live.openPerClient
                         ? "limits/open-per-client is reached"
                         : null;
     if (full != null) {
-      accounts.begin(accounts.calls, 0, 2);
+      accounts.postNew(accounts.calls, 0, 2);
       asked.client.answer(asked, Ending.PUSHED_BACK, 0, 0, FrameClientConnection.NO_BODY);
       events.warn(EventLog.Kind.TURNED_AWAY, full);
       return;
@@ -516,7 +516,7 @@
    */
   void peerSaw(Seen seen) {
     if (fence.admits(HealthChecker.LEASE, seen.getNumber())) {
-      ledger.looked(seen.getUnit(), seen.getAnswered());
+      ledger.healthChecked(seen.getUnit(), seen.getAnswered());
     }
   }
 
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -75,7 +75,7 @@
   public void begun(LeaseCheck by) {
     guard = by;
     lookout = new HealthCheckScheduler(chance::next);
-    for (Endpoint endpoint : ledger.units()) {
+    for (Endpoint endpoint : ledger.endpoints()) {
       listed(endpoint);
     }
     turn(by);
@@ -107,7 +107,7 @@
     }
     if (open < AT_ONCE) {
       long next = lookout.next(net.now());
-      Endpoint endpoint = next < 0 ? null : ledger.unit(next);
+      Endpoint endpoint = next < 0 ? null : ledger.endpoint(next);
       if (endpoint == null || !endpoint.ready()) {
         lookout.left(next);
       } else {
--- a/src/main/java/sprucerock/relay/frames/Peers.java
+++ b/src/main/java/sprucerock/relay/frames/Peers.java
@@ -102,7 +102,7 @@
   }
 
   private void count(boolean sent) {
-    accounts.begin(accounts.messages, 0, sent ? 1 : 2);
+    accounts.postNew(accounts.messages, 0, sent ? 1 : 2);
   }
 
   void tellAll(byte[] contents) {
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -108,17 +108,17 @@
 
   @Override
   public void handshakeBegun() {
-    accounts.begin(accounts.handshakes, 0, accounts.handshakes.pending());
+    accounts.postNew(accounts.handshakes, 0, accounts.handshakes.pending());
   }
 
   @Override
   public void handshakeDone(boolean resumed) {
-    accounts.move(accounts.handshakes, 0, accounts.handshakes.pending(), resumed ? 2 : 1);
+    accounts.postTransfer(accounts.handshakes, 0, accounts.handshakes.pending(), resumed ? 2 : 1);
   }
 
   @Override
   public void handshakeRefused(Refusal why) {
-    accounts.move(
+    accounts.postTransfer(
         accounts.handshakes,
         0,
         accounts.handshakes.pending(),
@@ -127,7 +127,7 @@
 
   @Override
   public void loaded(String wrong) {
-    accounts.begin(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
+    accounts.postNew(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
     if (wrong == null) {
       events.info(
           EventLog.Kind.TLS_FILES,
--- a/src/main/java/sprucerock/relay/platform/Discovery.java
+++ b/src/main/java/sprucerock/relay/platform/Discovery.java
@@ -128,7 +128,7 @@
   /** The unit of a name; null where none is listed. */
   Endpoint unit(String name) {
     long id = number(name);
-    return name.equals(names.get(id)) ? ledger.unit(id) : null;
+    return name.equals(names.get(id)) ? ledger.endpoint(id) : null;
   }
 
   @Override
@@ -255,7 +255,7 @@
       if (known != null
           && known.ready()
           && known.sameRun(entry.path("image_id").asInt(-1), started(entry))) {
-        ledger.listed(
+        ledger.endpointListed(
             known.id,
             known.zone,
             known.kind,
@@ -309,7 +309,7 @@
       }
     }
     if (listing.get("full").asBoolean()) {
-      for (Endpoint endpoint : ledger.units()) {
+      for (Endpoint endpoint : ledger.endpoints()) {
         if (!named.contains(endpoint.id)) {
           removed(endpoint.id);
         }
@@ -367,7 +367,7 @@
     }
     names.put(id, name);
     Timestamp started = started(entry);
-    Endpoint known = ledger.unit(id);
+    Endpoint known = ledger.endpoint(id);
     boolean sameRun = known != null && known.sameRun(build, started);
     boolean moved =
         sameRun
@@ -377,10 +377,10 @@
       leave(known);
     }
     if (moved) {
-      ledger.removed(id);
+      ledger.endpointRemoved(id);
     }
     Endpoint endpoint =
-        ledger.listed(
+        ledger.endpointListed(
             id,
             Math.max(0, zones.indexOf(entry.path("zone").asText(""))),
             Math.max(0, kinds.indexOf(entry.path("kind").asText(""))),
@@ -402,11 +402,11 @@
 
   private void removed(long id) {
     names.remove(id);
-    Endpoint endpoint = ledger.unit(id);
+    Endpoint endpoint = ledger.endpoint(id);
     if (endpoint == null) {
       return;
     }
-    ledger.removed(id);
+    ledger.endpointRemoved(id);
     leave(endpoint);
   }
 
--- a/src/main/java/sprucerock/relay/platform/PlatformRelay.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -153,7 +153,7 @@
     if (late.over(HELD_UP)) {
       events.warn(
           EventLog.Kind.HELD_UP,
-          "for " + Math.round(late.ms()) + " ms; " + ledger.open() + " RPCs are open");
+          "for " + Math.round(late.ms()) + " ms; " + ledger.openRpcs() + " RPCs are open");
     }
     Timestamp next = net.now().plus(BEAT);
     net.at(next, () -> beat(next));
@@ -208,15 +208,15 @@
     events.info(
         EventLog.Kind.FIGURES,
         "open "
-            + ledger.open()
+            + ledger.openRpcs()
             + " known "
-            + ledger.known()
+            + ledger.trackedRpcs()
             + " clients "
             + clients.size()
             + " to-units "
             + endpoints.open()
             + " units "
-            + ledger.units().size()
+            + ledger.endpoints().size()
             + " heap-kb "
             + (machine.totalMemory() - machine.freeMemory()) / 1024
             + " list-silent-ms "
@@ -254,7 +254,7 @@
       return;
     }
     finishing = true;
-    events.info(EventLog.Kind.FINISHING, ledger.open() + " RPCs are open");
+    events.info(EventLog.Kind.FINISHING, ledger.openRpcs() + " RPCs are open");
     if (!taking) {
       clients.take();
     }
@@ -274,7 +274,7 @@
   }
 
   private void endIfDone(Timestamp by, Runnable done) {
-    boolean all = ledger.open() == 0 && clients.size() == 0;
+    boolean all = ledger.openRpcs() == 0 && clients.size() == 0;
     if (!all && by.after(net.now())) {
       net.at(net.now().plus(TimeSpan.ofMs(5)), () -> endIfDone(by, done));
       return;
--- a/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
+++ b/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
@@ -366,6 +366,6 @@
     }
     build = number;
     ranked = rank;
-    ledger.news(number, stage, standing, form.number("cap", 1), since);
+    ledger.rolloutChanged(number, stage, standing, form.number("cap", 1), since);
   }
 }
--- a/src/main/java/sprucerock/simulation/Replies.java
+++ b/src/main/java/sprucerock/simulation/ReplyWriter.java
@@ -4,12 +4,12 @@
 import java.nio.ByteOrder;
 
 /** The records of one reply, in the order in which they were written. */
-final class Replies {
+final class ReplyWriter {
   private ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
   private int count;
   private int start;
 
-  Replies open(int code, long relay) {
+  ReplyWriter open(int code, long relay) {
     room(9);
     body.put((byte) code);
     start = body.position();
@@ -18,31 +18,31 @@
     return this;
   }
 
-  Replies u8(int value) {
+  ReplyWriter u8(int value) {
     room(1);
     body.put((byte) value);
     return this;
   }
 
-  Replies u16(int value) {
+  ReplyWriter u16(int value) {
     room(2);
     body.putShort((short) value);
     return this;
   }
 
-  Replies u32(long value) {
+  ReplyWriter u32(long value) {
     room(4);
     body.putInt((int) value);
     return this;
   }
 
-  Replies f64(double value) {
+  ReplyWriter f64(double value) {
     room(8);
     body.putDouble(value);
     return this;
   }
 
-  Replies bytes(byte[] value) {
+  ReplyWriter bytes(byte[] value) {
     int length = Math.min(value.length, 0xffff);
     u16(length);
     room(length);
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -27,7 +27,7 @@
  */
 final class SimulatedRelay implements RelayActions {
   /** Makes the module of a relay. */
-  interface Maker {
+  interface PolicyFactory {
     RelayEvents make(RelayActions host, Settings settings, long seed);
   }
 
@@ -35,8 +35,8 @@
   private static final int DRAINING = 2;
 
   private final long id;
-  private final Replies replies;
-  private final Maker maker;
+  private final ReplyWriter replies;
+  private final PolicyFactory maker;
   private final Map<Long, Runnable> timers = new HashMap<>();
   private long timerCount;
   private Settings settings;
@@ -44,7 +44,7 @@
   private RelayEvents policy;
   private Timestamp now;
 
-  SimulatedRelay(long id, Replies replies, Maker maker) {
+  SimulatedRelay(long id, ReplyWriter replies, PolicyFactory maker) {
     this.id = id;
     this.replies = replies;
     this.maker = maker;
@@ -57,11 +57,11 @@
           settings = SettingsText.read(text);
           ledger = new RequestTracker(settings);
           policy = maker.make(this, settings, seed);
-          ledger.tell(policy);
+          ledger.setListener(policy);
         });
   }
 
-  void listed(Timestamp at, int form, Simhost.Entry[] entries) {
+  void listed(Timestamp at, int form, SimulationHost.Entry[] entries) {
     now = at;
     if (policy == null) {
       return;
@@ -73,23 +73,23 @@
             return;
           }
           Set<Long> named = new HashSet<>();
-          for (Simhost.Entry entry : entries) {
+          for (SimulationHost.Entry entry : entries) {
             named.add(entry.endpoint());
             listed(entry);
           }
           if (form != 0) {
-            ledger.keepOnly(named);
+            ledger.retainEndpoints(named);
           }
         });
   }
 
-  private void listed(Simhost.Entry entry) {
+  private void listed(SimulationHost.Entry entry) {
     if (entry.health() != READY && entry.health() != DRAINING) {
-      ledger.removed(entry.endpoint());
+      ledger.endpointRemoved(entry.endpoint());
       return;
     }
     Timestamp since = entry.since() == 0 ? null : Timestamp.ofMs(entry.since());
-    ledger.listed(
+    ledger.endpointListed(
         entry.endpoint(),
         entry.zone(),
         entry.kind(),
@@ -135,7 +135,7 @@
     double hint = f.getDouble();
     boolean hinted = (f.get() & 1) != 0;
     return () -> {
-      ledger.arrived(
+      ledger.rpcArrived(
           handle,
           settings.methods.get(method),
           tenant,
@@ -201,7 +201,7 @@
 
   private Runnable note(ByteBuffer f) {
     int sender = f.getInt();
-    byte[] contents = new byte[Simhost.count(f, f.getShort() & 0xffff, 1)];
+    byte[] contents = new byte[SimulationHost.count(f, f.getShort() & 0xffff, 1)];
     f.get(contents);
     return () -> policy.peerTold(sender, contents);
   }
@@ -219,7 +219,7 @@
         policy.voteAnswered(reply(status));
       }
       if (status == 1 && standing < RolloutState.values().length) {
-        ledger.news(number, stage, RolloutState.values()[standing], cap, now.minus(lasted));
+        ledger.rolloutChanged(number, stage, RolloutState.values()[standing], cap, now.minus(lasted));
       }
     };
   }
@@ -258,7 +258,7 @@
 
   /** Load reports are read past: the module does not use them. */
   private static void load(ByteBuffer f) {
-    int values = Simhost.count(f, f.get() & 0xff, 4);
+    int values = SimulationHost.count(f, f.get() & 0xff, 4);
     f.position(f.position() + 4 * values);
   }
 
@@ -285,7 +285,7 @@
     };
   }
 
-  private Replies open(int code) {
+  private ReplyWriter open(int code) {
     return replies.open(code, id);
   }
 
@@ -296,8 +296,8 @@
 
   @Override
   public void send(Attempt attempt) {
-    ledger.sent(attempt);
-    ledger.written(attempt);
+    ledger.attemptSent(attempt);
+    ledger.attemptWritten(attempt);
     double patience = attempt.timeout == null ? 0 : attempt.timeout.ms();
     open(10).u32(attempt.rpc.id).u32(attempt.endpoint.id).f64(patience).close();
   }
@@ -310,7 +310,7 @@
   @Override
   public void pushBack(Rpc rpc, TimeSpan wait) {
     open(20).u32(rpc.id).f64(wait.ms()).close();
-    ledger.pushedBack(rpc);
+    ledger.rejected(rpc);
   }
 
   @Override
--- a/src/main/java/sprucerock/simulation/Simhost.java
+++ b/src/main/java/sprucerock/simulation/SimulationHost.java
@@ -15,7 +15,7 @@
 import sprucerock.time.Timestamp;
 
 /** Reads batches, hands each event to the relay that it is for, and writes one reply a batch. */
-public final class Simhost {
+public final class SimulationHost {
   private static final int INIT = 10;
   private static final int ANNOUNCE = 20;
   private static final int DESTROY = 100;
@@ -32,18 +32,18 @@
       double weight,
       double since) {}
 
-  private final SimulatedRelay.Maker maker;
+  private final SimulatedRelay.PolicyFactory maker;
   private final DataInputStream in;
   private final OutputStream out;
   private final Map<Long, SimulatedRelay> relays = new HashMap<>();
   private final Entry[][] lists = new Entry[16][];
-  private final Replies replies = new Replies();
+  private final ReplyWriter replies = new ReplyWriter();
 
-  public Simhost(InputStream in, OutputStream out) {
+  public SimulationHost(InputStream in, OutputStream out) {
     this(in, out, Policy::new);
   }
 
-  Simhost(InputStream in, OutputStream out, SimulatedRelay.Maker maker) {
+  SimulationHost(InputStream in, OutputStream out, SimulatedRelay.PolicyFactory maker) {
     this.maker = maker;
     this.in = new DataInputStream(new java.io.BufferedInputStream(in, 1 << 16));
     this.out = out;
--- a/src/test/java/sprucerock/AloneVoteTest.java
+++ b/src/test/java/sprucerock/AloneVoteTest.java
@@ -22,14 +22,14 @@
     FakeHost host = new FakeHost(ALONE).with(4).offering(2, 0, 0.1);
     for (RolloutState standing : told) {
       host.pass(500);
-      host.ledger.news(2, 0, standing, standing == RolloutState.RELEASED ? 1 : 0, host.now());
+      host.ledger.rolloutChanged(2, 0, standing, standing == RolloutState.RELEASED ? 1 : 0, host.now());
     }
     return host;
   }
 
   private static FakeHost thenOffered(FakeHost host) {
     host.pass(500);
-    host.ledger.news(3, 0, RolloutState.ON_TRIAL, 0.1, host.now());
+    host.ledger.rolloutChanged(3, 0, RolloutState.ON_TRIAL, 0.1, host.now());
     return host;
   }
 
@@ -73,9 +73,9 @@
     FakeHost host = thenOffered(after(RolloutState.WITHDRAWN));
     Build second = host.ledger.build(3);
     host.unit(second, null);
-    host.ledger.news(3, 0, RolloutState.WITHDRAWN, 0, host.now());
+    host.ledger.rolloutChanged(3, 0, RolloutState.WITHDRAWN, 0, host.now());
     host.pass(500);
-    host.ledger.news(4, 0, RolloutState.ON_TRIAL, 0.1, host.now());
+    host.ledger.rolloutChanged(4, 0, RolloutState.ON_TRIAL, 0.1, host.now());
     effects(host, 40, AttemptOutcome.OK);
     assertEquals(host.sentTo(host.fresh) + host.sentTo(second), 0);
   }
@@ -84,7 +84,7 @@
   public void whereNothingElseIsListedItServes() {
     FakeHost host = thenOffered(after(RolloutState.WITHDRAWN));
     for (var endpoint : java.util.List.copyOf(host.old.endpoints)) {
-      host.ledger.removed(endpoint.id);
+      host.ledger.endpointRemoved(endpoint.id);
     }
     effects(host, 20, AttemptOutcome.OK);
     assertEquals(host.sentTo(host.fresh), 20);
--- a/src/test/java/sprucerock/FakeHost.java
+++ b/src/test/java/sprucerock/FakeHost.java
@@ -93,7 +93,7 @@
     old = ledger.build(1);
     fresh = ledger.build(2);
     policy = new Policy(this, settings, 42);
-    ledger.tell(policy);
+    ledger.setListener(policy);
   }
 
   /** Warm units of the earlier build, and news that it is the released one. */
@@ -101,7 +101,7 @@
     for (int i = 0; i < endpoints; i++) {
       unit(old, null);
     }
-    ledger.news(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
+    ledger.rolloutChanged(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
     return this;
   }
 
@@ -110,12 +110,12 @@
     for (int i = 0; i < endpoints; i++) {
       unit(fresh, now.minus(TimeSpan.ofMs(20_000)));
     }
-    ledger.news(2, stage, RolloutState.ON_TRIAL, cap, now);
+    ledger.rolloutChanged(2, stage, RolloutState.ON_TRIAL, cap, now);
     return this;
   }
 
   Endpoint unit(Build build, Timestamp started) {
-    return ledger.listed(made++, 0, 0, 0, build.number, started, 1, true);
+    return ledger.endpointListed(made++, 0, 0, 0, build.number, started, 1, true);
   }
 
   Rpc rpc(int method) {
@@ -123,7 +123,7 @@
   }
 
   Rpc rpc(int method, long key, double leftMs) {
-    return ledger.arrived(
+    return ledger.rpcArrived(
         made++,
         settings.methods.get(method),
         0,
@@ -195,7 +195,7 @@
 
   @Override
   public void send(Attempt attempt) {
-    ledger.sent(attempt);
+    ledger.attemptSent(attempt);
     sent.add(attempt);
   }
 
@@ -206,7 +206,7 @@
 
   @Override
   public void pushBack(Rpc rpc, TimeSpan wait) {
-    ledger.pushedBack(rpc);
+    ledger.rejected(rpc);
     pushedBack.add(rpc);
   }
 
--- a/src/test/java/sprucerock/PolicyTest.java
+++ b/src/test/java/sprucerock/PolicyTest.java
@@ -69,7 +69,7 @@
   @Test
   public void tokenedStaysInItsGroupOnceItMayHaveRun() {
     FakeHost host = new FakeHost("classes.1.group=zone").with(1);
-    Endpoint far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
+    Endpoint far = host.ledger.endpointListed(90, 1, 0, 0, 1, null, 1, true);
     Rpc order = host.rpc(1);
     host.end(order.attempts.get(0), AttemptOutcome.ERROR);
     assertEquals(order.attempts.size(), 1);
@@ -94,7 +94,7 @@
   public void drainingUnitGetsNothingNew() {
     FakeHost host = new FakeHost().with(2);
     Endpoint left = host.old.endpoints.get(0);
-    host.ledger.removed(left.id);
+    host.ledger.endpointRemoved(left.id);
     for (int i = 0; i < 20; i++) {
       host.rpc(0);
     }
@@ -127,7 +127,7 @@
     host.unit(host.fresh, host.now().minus(TimeSpan.ofMs(9000)));
     host.traffic(10, 50);
     assertEquals(host.sentTo(host.fresh), 0);
-    host.ledger.news(2, 0, RolloutState.GOING_BACK, 0, host.now());
+    host.ledger.rolloutChanged(2, 0, RolloutState.GOING_BACK, 0, host.now());
     host.traffic(10, 50);
     assertEquals(host.sentTo(host.fresh), 0);
   }
@@ -175,7 +175,7 @@
       assertSame(attempt.endpoint.build, host.fresh);
     }
     assertEquals(host.pushedBack.size() - pushed + second.attempts.size(), 1);
-    host.ledger.news(2, 1, RolloutState.GOING_BACK, 0, host.now());
+    host.ledger.rolloutChanged(2, 1, RolloutState.GOING_BACK, 0, host.now());
     Rpc third = host.rpc(2, 7, 4000);
     assertSame(third.attempts.get(0).endpoint.build, host.old);
   }
@@ -183,15 +183,15 @@
   @Test
   public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey() {
     FakeHost host = new FakeHost(ONE_WAY).with(2).offering(4, 2, 1.0);
-    host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
+    host.ledger.rolloutChanged(2, 2, RolloutState.RELEASED, 1, host.now());
     for (Endpoint endpoint : java.util.List.copyOf(host.old.endpoints)) {
-      host.ledger.removed(endpoint.id);
+      host.ledger.endpointRemoved(endpoint.id);
     }
     host.rpc(0, 7, 4000);
     host.pass(50);
     host.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     for (Endpoint endpoint : java.util.List.copyOf(host.fresh.endpoints)) {
-      host.ledger.removed(endpoint.id);
+      host.ledger.endpointRemoved(endpoint.id);
     }
     host.unit(host.old, host.now().minus(TimeSpan.ofMs(9000)));
     host.rpc(0, 7, 4000);
@@ -267,7 +267,7 @@
   @Test
   public void quietRelayVotesOnAtTheFallbackAge() {
     FakeHost host = new FakeHost("specifics.vote_mode=majority").with(2);
-    host.ledger.news(2, 0, RolloutState.ON_TRIAL, 0.1, host.now());
+    host.ledger.rolloutChanged(2, 0, RolloutState.ON_TRIAL, 0.1, host.now());
     host.pass(1000);
     host.unit(host.fresh, host.now());
     host.pass(2900);
@@ -352,9 +352,9 @@
   @Test
   public void releasedBuildIsWatchedForAFixedTimeOnly() {
     FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
-    host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
+    host.ledger.rolloutChanged(2, 2, RolloutState.RELEASED, 1, host.now());
     for (Endpoint endpoint : java.util.List.copyOf(host.old.endpoints)) {
-      host.ledger.removed(endpoint.id);
+      host.ledger.endpointRemoved(endpoint.id);
     }
     host.pass(16_000);
     for (int i = 0; i < 40; i++) {
@@ -368,9 +368,9 @@
   @Test
   public void releasedBuildThatFailsEverywhereGoesBack() {
     FakeHost host = new FakeHost().with(6).offering(6, 2, 1.0);
-    host.ledger.news(2, 2, RolloutState.RELEASED, 1, host.now());
+    host.ledger.rolloutChanged(2, 2, RolloutState.RELEASED, 1, host.now());
     for (Endpoint endpoint : java.util.List.copyOf(host.old.endpoints)) {
-      host.ledger.removed(endpoint.id);
+      host.ledger.endpointRemoved(endpoint.id);
     }
     for (int i = 0; i < 40; i++) {
       host.rpc(2);
@@ -436,7 +436,7 @@
   @Test
   public void unitsBehindASlowLinkComeLast() {
     FakeHost host = new FakeHost().with(3);
-    Endpoint far = host.ledger.listed(90, 1, 0, 0, 1, null, 1, true);
+    Endpoint far = host.ledger.endpointListed(90, 1, 0, 0, 1, null, 1, true);
     for (int i = 0; i < 60; i++) {
       Attempt attempt = host.rpc(0).attempts.get(0);
       host.pass(attempt.endpoint == far ? 600 : 50);
@@ -468,7 +468,7 @@
   public void leadsOfSeveralStagesAddUp() {
     FakeHost host = new FakeHost().with(4).offering(3, 0, 0.1);
     for (int stage = 0; stage < 3; stage++) {
-      host.ledger.news(2, stage, RolloutState.ON_TRIAL, 0.4, host.now());
+      host.ledger.rolloutChanged(2, stage, RolloutState.ON_TRIAL, 0.4, host.now());
       assertFalse(host.votes.contains(Verdict.BACK));
       host.policy.peerTold(1, new byte[] {3, 2, (byte) stage, 19, 2, 0, 6, 0});
     }
--- a/src/test/java/sprucerock/SimhostTest.java
+++ b/src/test/java/sprucerock/SimhostTest.java
@@ -13,7 +13,7 @@
 import java.util.HexFormat;
 import org.testng.annotations.Test;
 import sprucerock.simulation.FrameException;
-import sprucerock.simulation.Simhost;
+import sprucerock.simulation.SimulationHost;
 
 /** Frames in and out of the adapter. */
 public class SimhostTest {
@@ -31,7 +31,7 @@
 
   private static byte[] play(byte[] input) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Simhost(new ByteArrayInputStream(input), out).run();
+    new SimulationHost(new ByteArrayInputStream(input), out).run();
     return out.toByteArray();
   }
 
--- a/src/test/java/sprucerock/VoteStudy.java
+++ b/src/test/java/sprucerock/VoteStudy.java
@@ -33,7 +33,7 @@
     FakeHost host = new FakeHost("balancers=" + (SENDERS + 1)).with(4).offering(5, 0, 0.1);
     for (int stage = 0; stage < PAIRS.length; stage++) {
       if (stage > 0) {
-        host.ledger.news(2, stage, RolloutState.ON_TRIAL, 0.4, host.now());
+        host.ledger.rolloutChanged(2, stage, RolloutState.ON_TRIAL, 0.4, host.now());
       }
       boolean[] ill = new boolean[UNITS[stage]];
       for (int i = 0; i < ill.length; i++) {
--- a/src/test/java/sprucerock/accounting/MethodAccountsTest.java
+++ b/src/test/java/sprucerock/accounting/MethodAccountsTest.java
@@ -11,7 +11,7 @@
 public class MethodAccountsTest {
   private static MethodAccounts some() {
     MethodAccounts accounts =
-        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 2, 2));
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(2, 2, 2));
     accounts.row(accounts.endpoints, "u1");
     accounts.rpcArrived(1, 0);
     accounts.attemptSent(1, accounts.row(accounts.builds, "7"), 0, true);
@@ -27,11 +27,11 @@
       for (long by : new long[] {1, -1, 1L << 55}) {
         MethodAccounts accounts = some();
         assertEquals(accounts.check(), List.of());
-        accounts.spoil(index, by);
-        List<MethodAccounts.Drift> drifts = accounts.check();
+        accounts.corrupt(index, by);
+        List<MethodAccounts.Imbalance> drifts = accounts.check();
         assertTrue(!drifts.isEmpty(), "account " + index);
         MethodMetrics sheet = null;
-        for (MethodMetrics one : accounts.sheets()) {
+        for (MethodMetrics one : accounts.tables()) {
           if (index >= one.base) {
             sheet = one;
           }
@@ -46,7 +46,7 @@
   @Test
   public void aDriftNamesTheLastPostingsThere() {
     MethodAccounts accounts = some();
-    accounts.spoil(accounts.rpcs.index(1, 2), 1);
+    accounts.corrupt(accounts.rpcs.index(1, 2), 1);
     assertEquals(
         accounts.check().get(0).toString(),
         "rpcs{method=pay} taken = ok + pushed_back + aborted + left + lost + open: 1 is not 2; "
@@ -56,12 +56,12 @@
   @Test
   public void postingsThatDifferBetweenSheetsAreFound() {
     MethodAccounts accounts = some();
-    accounts.begin(accounts.attempts, 0, 1);
+    accounts.postNew(accounts.attempts, 0, 1);
     assertEquals(accounts.check().get(0).equation(), "picks sent = build_picks sent");
-    accounts.begin(accounts.builds, 0, 2);
-    accounts.begin(accounts.endpoints, 0, 1);
+    accounts.postNew(accounts.builds, 0, 2);
+    accounts.postNew(accounts.endpoints, 0, 1);
     assertEquals(
-        accounts.check().stream().map(MethodAccounts.Drift::equation).toList(),
+        accounts.check().stream().map(MethodAccounts.Imbalance::equation).toList(),
         List.of(
             "picks ok = build_picks ok",
             "picks error = build_picks error",
@@ -72,10 +72,10 @@
   @Test
   public void aLatencyWithoutItsAnswerAndACopyThatIsNoPickAreFound() {
     MethodAccounts accounts = some();
-    accounts.begin(accounts.latency, 0, 1 + HistogramBuckets.bucket(TimeSpan.ofMs(7)));
-    accounts.begin(accounts.copies, 0, 2);
+    accounts.postNew(accounts.latency, 0, 1 + HistogramBuckets.bucket(TimeSpan.ofMs(7)));
+    accounts.postNew(accounts.shadowAttempts, 0, 2);
     assertEquals(
-        accounts.check().stream().map(MethodAccounts.Drift::equation).toList(),
+        accounts.check().stream().map(MethodAccounts.Imbalance::equation).toList(),
         List.of(
             "answers{method=read} answered = latency{method=read} answered",
             "copies{build=7} sent <= build_picks{build=7} sent",
@@ -95,9 +95,9 @@
   @Test
   public void countersGoOnPastTheNumbersThatFloatingPointHolds() {
     MethodAccounts accounts = some();
-    accounts.carry(accounts.messages, MethodMetrics.ALL, 0, 1L << 54);
-    accounts.carry(accounts.messages, MethodMetrics.ALL, 1, 1L << 54);
-    accounts.begin(accounts.messages, 0, 1);
+    accounts.carryOver(accounts.messages, MethodMetrics.ALL, 0, 1L << 54);
+    accounts.carryOver(accounts.messages, MethodMetrics.ALL, 1, 1L << 54);
+    accounts.postNew(accounts.messages, 0, 1);
     assertEquals(accounts.value(accounts.messages, 0, 0), (1L << 54) + 1);
     assertEquals(accounts.check(), List.of());
   }
--- a/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -54,7 +54,7 @@
   /** One life of a relay, of which the test drives only the ledger. */
   private static final class Life {
     final MethodAccounts accounts =
-        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(2, 3, 2));
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(2, 3, 2));
     final RequestTracker ledger;
     final List<Method> methods = new ArrayList<>();
     final List<Rpc> rpcs = new ArrayList<>();
@@ -77,12 +77,12 @@
         draft.methods.add(methods.get(i));
       }
       ledger = new RequestTracker(new Settings(draft), accounts);
-      ledger.tell(new Told());
+      ledger.setListener(new Told());
       listed(0);
     }
 
     private Endpoint listed(int id) {
-      return ledger.listed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
+      return ledger.endpointListed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
     }
 
     void happens(Event event) {
@@ -92,7 +92,7 @@
       switch (event.what) {
         case 0, 1 ->
             rpcs.add(
-                ledger.arrived(
+                ledger.rpcArrived(
                     ++last,
                     methods.get(event.how % 2),
                     event.whom % 5,
@@ -102,10 +102,10 @@
                     null,
                     null));
         case 2 -> listed(event.how % 6);
-        case 3 -> ledger.removed(event.how % 6);
+        case 3 -> ledger.endpointRemoved(event.how % 6);
         case 4 -> {
           if (rpc != null) {
-            ledger.pushedBack(rpc);
+            ledger.rejected(rpc);
           }
         }
         case 5 -> {
@@ -119,14 +119,14 @@
           }
         }
         case 7 -> {
-          Endpoint endpoint = ledger.unit(event.how % 6);
+          Endpoint endpoint = ledger.endpoint(event.how % 6);
           if (rpc == null || rpc.ended() || endpoint == null) {
             break;
           }
           Attempt made = new Attempt(rpc, endpoint, now, null);
           made.shadow = event.how % 3 == 0;
           attempts.add(made);
-          ledger.sent(made);
+          ledger.attemptSent(made);
         }
         default -> { // late ones, and the same again, among them
           if (attempt == null) {
@@ -144,12 +144,12 @@
 
     void holds() {
       assertEquals(accounts.check(), List.of());
-      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), ledger.open());
+      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), ledger.openRpcs());
       long out = attempts.stream().filter(attempt -> attempt.outcome() == null).count();
       assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), out);
       long copies =
           attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.shadow).count();
-      assertEquals(accounts.sum(accounts.copies, accounts.copies.pending()), copies);
+      assertEquals(accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pending()), copies);
     }
   }
 
@@ -220,12 +220,12 @@
     long us = (long) (ms * 1000);
     int bucket = HistogramBuckets.bucket(TimeSpan.ofMs(us / 1000.0));
     assertEquals(
-        HistogramBuckets.fromUs(bucket),
-        same.lowestEquivalentValue(HistogramBuckets.fromUs(bucket)));
+        HistogramBuckets.lowerBoundUs(bucket),
+        same.lowestEquivalentValue(HistogramBuckets.lowerBoundUs(bucket)));
     long slack = 1; // a microsecond is lost where milliseconds are cut to whole ones
-    assertTrue(us + slack >= HistogramBuckets.fromUs(bucket), us + " in " + bucket);
+    assertTrue(us + slack >= HistogramBuckets.lowerBoundUs(bucket), us + " in " + bucket);
     assertTrue(
-        bucket == HistogramBuckets.BUCKETS - 1 || us - slack < HistogramBuckets.fromUs(bucket + 1),
+        bucket == HistogramBuckets.BUCKETS - 1 || us - slack < HistogramBuckets.lowerBoundUs(bucket + 1),
         us + " in " + bucket);
     same.recordValue(us);
     assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
--- a/src/test/java/sprucerock/accounting/RequestTrackerTest.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerTest.java
@@ -46,8 +46,8 @@
     draft.methods.add(method);
     ledger = new RequestTracker(new Settings(draft));
     told = new Told();
-    ledger.tell(told);
-    endpoint = ledger.listed(1, 0, 0, 0, 1, null, 1, true);
+    ledger.setListener(told);
+    endpoint = ledger.endpointListed(1, 0, 0, 0, 1, null, 1, true);
     told.calls.clear();
   }
 
@@ -60,12 +60,12 @@
   }
 
   private Rpc arrives(long id) {
-    return ledger.arrived(id, method, 0, 0, T, T.plus(TimeSpan.ofMs(1000)), null, null);
+    return ledger.rpcArrived(id, method, 0, 0, T, T.plus(TimeSpan.ofMs(1000)), null, null);
   }
 
   private Attempt sends(Rpc rpc) {
     Attempt attempt = new Attempt(rpc, endpoint, T, null);
-    ledger.sent(attempt);
+    ledger.attemptSent(attempt);
     return attempt;
   }
 
@@ -89,7 +89,7 @@
   public void anOkAfterTheFinalAnswerChangesNothing() {
     Rpc rpc = arrives(6);
     Attempt attempt = sends(rpc);
-    ledger.pushedBack(rpc);
+    ledger.rejected(rpc);
     ledger.aborted(rpc);
     ledger.clientLeft(rpc);
     ledger.attemptEnded(attempt, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
@@ -101,7 +101,7 @@
   public void anIdThatComesBackIsAnotherRpc() {
     Rpc first = arrives(7);
     Attempt late = sends(first);
-    ledger.pushedBack(first);
+    ledger.rejected(first);
     Rpc again = arrives(7);
     ledger.attemptEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
     assertSame(ledger.rpc(7), again);
@@ -110,16 +110,16 @@
 
   @Test
   public void anotherRunIsAnotherUnitAndADrainingOneIsNotReady() {
-    assertSame(ledger.listed(1, 0, 0, 0, 1, null, 2, true), endpoint);
+    assertSame(ledger.endpointListed(1, 0, 0, 0, 1, null, 2, true), endpoint);
     assertEquals(endpoint.weight(), 2.0);
-    Endpoint next = ledger.listed(1, 0, 0, 0, 1, T, 1, true);
+    Endpoint next = ledger.endpointListed(1, 0, 0, 0, 1, T, 1, true);
     assertNotSame(next, endpoint);
     assertFalse(endpoint.ready());
-    ledger.listed(1, 0, 0, 0, 1, T, 1, false);
+    ledger.endpointListed(1, 0, 0, 0, 1, T, 1, false);
     assertFalse(next.ready());
     assertTrue(next.build.endpoints.isEmpty());
-    ledger.keepOnly(Set.of());
-    assertNull(ledger.unit(1));
+    ledger.retainEndpoints(Set.of());
+    assertNull(ledger.endpoint(1));
     assertEquals(told.calls, List.of("leaving 1", "ready 1", "leaving 1", "leaving 1"));
   }
 
@@ -127,7 +127,7 @@
   public void countsOfUnknownBuildsTellNothing() {
     ledger.counted(9, 0, 10, 1, TimeSpan.ZERO);
     assertTrue(told.calls.isEmpty());
-    ledger.news(9, 0, RolloutState.ON_TRIAL, 0.1, T);
+    ledger.rolloutChanged(9, 0, RolloutState.ON_TRIAL, 0.1, T);
     ledger.counted(9, 0, 10, 1, TimeSpan.ZERO);
     assertEquals(told.calls, List.of("news 9 0 ON_TRIAL 0.1", "counted 9"));
   }
@@ -145,7 +145,7 @@
         rpcs.add(rpc);
       }
       switch (random.nextInt(6)) {
-        case 0 -> ledger.pushedBack(rpc);
+        case 0 -> ledger.rejected(rpc);
         case 1 -> ledger.aborted(rpc);
         case 2 -> ledger.clientLeft(rpc);
         case 3 -> sends(rpc);
@@ -167,7 +167,7 @@
         rpcs.remove(0);
       }
       assertEquals(ledger.accounts().check(), List.of());
-      assertEquals((long) figures().get(6), ledger.open());
+      assertEquals((long) figures().get(6), ledger.openRpcs());
       assertEquals(
           ledger.accounts().sum(ledger.accounts().attempts, ledger.accounts().attempts.pending()),
           endpoint.inFlight());
--- a/src/test/java/sprucerock/benchmark/PostingsBenchmark.java
+++ b/src/test/java/sprucerock/benchmark/PostingsBenchmark.java
@@ -51,7 +51,7 @@
     for (int i = 0; i < 20; i++) {
       methods.add("method-" + i);
     }
-    accounts = new MethodAccounts(methods, new MethodAccounts.Room(16, 1024, 64));
+    accounts = new MethodAccounts(methods, new MethodAccounts.Capacity(16, 1024, 64));
     for (int i = 0; i < 300; i++) {
       accounts.row(accounts.endpoints, "" + i);
     }
--- a/src/test/java/sprucerock/compat/FiguresCompatTest.java
+++ b/src/test/java/sprucerock/compat/FiguresCompatTest.java
@@ -24,7 +24,7 @@
   private static final String CARRIED_ON = "carried-on";
   private static final String LISTING = ".txt";
   private static final List<String> METHODS = List.of("read");
-  private static final MethodAccounts.Room ROOM = new MethodAccounts.Room(1, 2, 1);
+  private static final MethodAccounts.Capacity ROOM = new MethodAccounts.Capacity(1, 2, 1);
   private static final int TURNS = 5;
   private static final int ENDED_OK = 1;
 
--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -36,23 +36,23 @@
 
   private static MethodAccounts accounts() {
     MethodAccounts accounts =
-        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(1, 1, 1));
     accounts.row(accounts.builds, "7");
     accounts.row(accounts.endpoints, "unit-3");
     accounts.row(accounts.tenants, "north");
-    accounts.row(accounts.copies, "7");
+    accounts.row(accounts.shadowAttempts, "7");
     return accounts;
   }
 
   /** One of each kind at once: no sum holds, and nothing is missing. */
   private static void fill(MethodAccounts accounts) {
-    for (MethodMetrics sheet : accounts.sheets()) {
-      if (sheet.scaled() || sheet == accounts.starts || sheet == accounts.files) {
+    for (MethodMetrics sheet : accounts.tables()) {
+      if (sheet.isHistogram() || sheet == accounts.starts || sheet == accounts.files) {
         continue;
       }
       for (int column = 1; column < sheet.columns().size(); column++) {
         for (int row = 0; row < sheet.rows(); row++) {
-          accounts.begin(sheet, row, column);
+          accounts.postNew(sheet, row, column);
         }
       }
     }
--- a/src/test/java/sprucerock/compat/SimhostCompatTest.java
+++ b/src/test/java/sprucerock/compat/SimhostCompatTest.java
@@ -8,7 +8,7 @@
 import java.util.HexFormat;
 import org.testng.annotations.Test;
 import sprucerock.simulation.FrameException;
-import sprucerock.simulation.Simhost;
+import sprucerock.simulation.SimulationHost;
 
 /**
  * The simulator's wire: a recorded stretch of batches for three relays is answered byte for byte as
@@ -21,7 +21,7 @@
 
   private static byte[] played(byte[] input) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new Simhost(new ByteArrayInputStream(input), out).run();
+    new SimulationHost(new ByteArrayInputStream(input), out).run();
     return out.toByteArray();
   }
 
--- a/src/test/java/sprucerock/metrics/ExportTest.java
+++ b/src/test/java/sprucerock/metrics/ExportTest.java
@@ -43,7 +43,7 @@
 
   @Test
   public void everyScrapeBalancesBesideARelayThatNeverRests() throws Exception {
-    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), MethodAccounts.Room.NONE);
+    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), MethodAccounts.Capacity.NONE);
     MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     AtomicBoolean drift = new AtomicBoolean();
     AtomicBoolean over = new AtomicBoolean();
@@ -120,7 +120,7 @@
 
   private static MethodAccounts accounts() {
     MethodAccounts accounts =
-        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Room(1, 1, 1));
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(1, 1, 1));
     accounts.row(accounts.tenants, "0");
     return accounts;
   }
--- a/src/test/java/sprucerock/metrics/PagesTest.java
+++ b/src/test/java/sprucerock/metrics/PagesTest.java
@@ -20,7 +20,7 @@
 /** Figures through kills at every write, damage of every kind, and one life after another. */
 public class PagesTest {
   private static final List<String> METHODS = List.of("read", "pay");
-  private static final MethodAccounts.Room ROOM = new MethodAccounts.Room(2, 3, 2);
+  private static final MethodAccounts.Capacity ROOM = new MethodAccounts.Capacity(2, 3, 2);
 
   /** Memory of a process that is killed at its n-th write, which gets so many of its bytes down. */
   private static final class Mortal implements MetricsMemory {
@@ -101,11 +101,11 @@
     MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
     SplittableRandom random = new SplittableRandom(4);
     MappedMetricsFile pages = pages(memory, accounts);
-    accounts.keepIn(pages, () -> {});
+    accounts.persistTo(pages, () -> {});
     for (int i = 0; i < 120; i++) {
       someTurn(accounts, random);
       long[] after = new long[accounts.size()];
-      for (MethodMetrics sheet : accounts.sheets()) {
+      for (MethodMetrics sheet : accounts.tables()) {
         for (int row = 0; row < sheet.rows(); row++) {
           for (int column = 0; column < sheet.columns().size(); column++) {
             after[sheet.index(row, column)] = accounts.value(sheet, row, column);
@@ -196,7 +196,7 @@
     life(file, new ArrayList<>(), true, 30);
     long[] before = MetricsSnapshot.read(file).values;
     MethodAccounts now =
-        new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Room(1, 1, 1));
+        new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Capacity(1, 1, 1));
     List<String> said = new ArrayList<>();
     MetricsFileWriter.open(file, now, () -> {}, said::add);
     assertEquals(said, List.of());
--- a/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/SecondBookTest.java
@@ -18,7 +18,7 @@
 
   private static List<String> differing(int posted, int left, String trace) throws Exception {
     Path folder = Files.createTempDirectory("book");
-    MethodAccounts accounts = new MethodAccounts(List.of("read"), MethodAccounts.Room.NONE);
+    MethodAccounts accounts = new MethodAccounts(List.of("read"), MethodAccounts.Capacity.NONE);
     MetricsFileWriter keeper =
         MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
     for (int i = 0; i < posted; i++) {
--- a/src/test/java/sprucerock/relay/frames/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/RelayTest.java
@@ -249,7 +249,7 @@
     answers(1, Result.DONE);
     net.pass(50);
     assertEquals(answered(client), List.of("1 ABORTED"));
-    assertEquals(relay.ledger().known(), 0);
+    assertEquals(relay.ledger().trackedRpcs(), 0);
   }
 
   @Test
@@ -567,7 +567,7 @@
     net.pass(100);
     assertEquals(answered(client).stream().distinct().count(), 5000);
     assertEquals(client.got.size(), 5000);
-    assertEquals(relay.ledger().open(), 0);
+    assertEquals(relay.ledger().openRpcs(), 0);
   }
 
   @Test
@@ -583,7 +583,7 @@
     assertTrue(client.got.isEmpty());
     net.pass(10);
     assertEquals(answered(client), List.of("1 ABORTED"));
-    assertEquals(relay.ledger().open(), 0);
+    assertEquals(relay.ledger().openRpcs(), 0);
   }
 
   @Test
--- a/src/test/java/sprucerock/relay/frames/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/frames/SecuredTest.java
@@ -285,7 +285,7 @@
                     Kind.LISTING,
                     Listing.newBuilder().setForm(Form.CHANGES).addEntries(entry).build()));
     net.settle();
-    assertEquals(relay.ledger().units().size(), 1);
+    assertEquals(relay.ledger().endpoints().size(), 1);
   }
 
   @Test
--- a/src/test/java/sprucerock/scale/Cluster.java
+++ b/src/test/java/sprucerock/scale/Cluster.java
@@ -104,7 +104,7 @@
       settings = SettingsText.read(SETTINGS + "index=" + index + "\nbalancers=" + relays + "\n");
       ledger = new RequestTracker(settings);
       policy = new Policy(this, settings, 42 + index);
-      ledger.tell(policy);
+      ledger.setListener(policy);
     }
 
     @Override
@@ -114,7 +114,7 @@
 
     @Override
     public void send(Attempt attempt) {
-      ledger.sent(attempt);
+      ledger.attemptSent(attempt);
       counts.sends++;
       wake(
           now.plus(TimeSpan.ofMs(ANSWER_MS)),
@@ -130,7 +130,7 @@
 
     @Override
     public void pushBack(Rpc rpc, TimeSpan wait) {
-      ledger.pushedBack(rpc);
+      ledger.rejected(rpc);
     }
 
     @Override
@@ -182,7 +182,7 @@
 
     private void rpc(double gapMs) {
       counts.rpcs++;
-      ledger.arrived(
+      ledger.rpcArrived(
           made++, settings.methods.get(0), 0, 0, now, now.plus(TimeSpan.ofMs(4000)), null, null);
       wake(now.plus(TimeSpan.ofMs(gapMs)), () -> rpc(gapMs));
     }
@@ -199,9 +199,9 @@
     double gapMs = 1000 / rpcsPerSecond;
     for (One one : relays) {
       for (int i = 0; i < endpoints; i++) {
-        one.ledger.listed(i, 0, 0, 0, 1, null, 1, true);
+        one.ledger.endpointListed(i, 0, 0, 0, 1, null, 1, true);
       }
-      one.ledger.news(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
+      one.ledger.rolloutChanged(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
       one.wake(now.plus(TimeSpan.ofMs(gapMs * one.index / size)), () -> one.rpc(gapMs));
     }
   }
@@ -210,9 +210,9 @@
   void offer(int endpoints) {
     for (One one : relays) {
       for (int i = 0; i < endpoints; i++) {
-        one.ledger.listed(1_000_000 + i, 0, 0, 0, 2, now.minus(TimeSpan.ofMs(20_000)), 1, true);
+        one.ledger.endpointListed(1_000_000 + i, 0, 0, 0, 2, now.minus(TimeSpan.ofMs(20_000)), 1, true);
       }
-      one.ledger.news(2, 2, RolloutState.ON_TRIAL, 1, now);
+      one.ledger.rolloutChanged(2, 2, RolloutState.ON_TRIAL, 1, now);
     }
   }
 
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -68,7 +68,7 @@
       changeBytes = (listed.frames.bytesIn - changeBytes) / 100;
       System.out.printf(
           "%d %d %d %.1f %.1f %d %.3f%n",
-          listed.relay.ledger().units().size(),
+          listed.relay.ledger().endpoints().size(),
           after - before,
           bytes,
           (encoded - began) / 1e6,
@@ -116,7 +116,7 @@
         methods.add("m" + j);
       }
       long before = heap();
-      MethodAccounts accounts = new MethodAccounts(methods, new MethodAccounts.Room(16, 1024, 64));
+      MethodAccounts accounts = new MethodAccounts(methods, new MethodAccounts.Capacity(16, 1024, 64));
       long alone = heap();
       MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
       long kept = heap();
--- a/src/test/java/sprucerock/simulation/BothHostsTest.java
+++ b/src/test/java/sprucerock/simulation/BothHostsTest.java
@@ -192,7 +192,7 @@
     private record Due(double when, long order, Runnable what) {}
 
     private final Told told = new Told();
-    private final Replies replies = new Replies();
+    private final ReplyWriter replies = new ReplyWriter();
     private final SimulatedRelay relay =
         new SimulatedRelay(
             3,
@@ -367,8 +367,8 @@
       relay.listed(
           Timestamp.ofMs(now),
           0,
-          new Simhost.Entry[] {
-            new Simhost.Entry(
+          new SimulationHost.Entry[] {
+            new SimulationHost.Entry(
                 endpoint, 0, 0, 0, build, health, 1, since.getOrDefault(endpoint, 0.0))
           });
       act();
