--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -140,7 +140,7 @@
       return;
     }
     events.info(EventLog.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
-    if (!config.settings.ask) {
+    if (!config.settings.pollsEndpointList) {
       redial.send(Kind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
   }
@@ -169,7 +169,7 @@
       take(entry);
     }
     if (listing.getForm() == Form.WHOLE) {
-      for (Endpoint endpoint : ledger.units()) {
+      for (Endpoint endpoint : ledger.endpoints()) {
         if (!named.contains(endpoint.id)) {
           removed(endpoint);
         }
@@ -188,7 +188,7 @@
   }
 
   private void take(Entry entry) {
-    Endpoint known = ledger.unit(entry.getUnit());
+    Endpoint known = ledger.endpoint(entry.getUnit());
     if (entry.getHealth() == Health.GONE) {
       if (known != null) {
         removed(known);
@@ -232,17 +232,17 @@
     boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
     boolean moved =
         sameRun
-            && known.door != null
-            && !((EndpointConnectionPool) known.door).at(address, entry.getName());
+            && known.attachment != null
+            && !((EndpointConnectionPool) known.attachment).at(address, entry.getName());
     if (known != null && (!sameRun || moved)) {
       leave(known);
     }
     if (moved) {
-      ledger.removed(known.id);
+      ledger.endpointRemoved(known.id);
     }
     boolean mayPlace = racks.mayPlace(entry.getZone(), entry.getCell());
     Endpoint endpoint =
-        ledger.listed(
+        ledger.endpointListed(
             entry.getUnit(),
             entry.getZone(),
             entry.getKind(),
@@ -259,8 +259,8 @@
     } else {
       forget(endpoint);
     }
-    if (endpoint.door == null) {
-      endpoint.door =
+    if (endpoint.attachment == null) {
+      endpoint.attachment =
           new EndpointConnectionPool(endpoint, address, entry.getName(), config, chance, owner);
     }
     if (entry.getHealth() == Health.DRAINING) {
@@ -308,7 +308,7 @@
     for (Rack rack : turned) {
       boolean mayPlace = rack.mayPlace;
       for (Entry entry : new ArrayList<>(rack.ready.values())) {
-        if (ledger.unit(entry.getUnit()).ready() != mayPlace) {
+        if (ledger.endpoint(entry.getUnit()).ready() != mayPlace) {
           take(entry);
         }
       }
@@ -318,14 +318,14 @@
   private void removed(Endpoint endpoint) {
     runs.remove(endpoint.id);
     forget(endpoint);
-    ledger.removed(endpoint.id);
+    ledger.endpointRemoved(endpoint.id);
     leave(endpoint);
     changed.accept(endpoint);
   }
 
   private static void leave(Endpoint endpoint) {
-    if (endpoint.door != null) {
-      ((EndpointConnectionPool) endpoint.door).leave();
+    if (endpoint.attachment != null) {
+      ((EndpointConnectionPool) endpoint.attachment).leave();
     }
   }
 
