--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -14,7 +14,7 @@
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.metrics.MetricsExporter;
 import sprucerock.metrics.MetricsFileWriter;
 import sprucerock.rehearsal.trace.TraceWriter;
@@ -59,9 +59,9 @@
       all.put("tls_days_left", days.doubleValue());
       all.put("tls_files_broken", relay.tlsBroken() ? 1.0 : 0.0);
     }
-    Leases.Figures leases = relay.leases();
+    LeaseManager.Counts leases = relay.leases();
     if (leases != null) {
-      all.put("lease_taken", (double) leases.taken());
+      all.put("lease_taken", (double) leases.acquired());
       all.put("lease_lost", (double) leases.lost());
       all.put("lease_held", (double) leases.held());
     }
--- a/src/main/java/sprucerock/controller/Codec.java
+++ b/src/main/java/sprucerock/controller/Codec.java
@@ -58,7 +58,7 @@
           case TICK -> {
             core.tick(now, wall);
             changes.tick(now, wall);
-            FreezeCodec.apply(freezes, input);
+            MaintenanceCodec.apply(freezes, input);
             yield null;
           }
           case RESTARTED -> {
@@ -72,7 +72,7 @@
             yield null;
           }
           case FREEZE, FREEZE_WORD, FREEZE_CLEARED, RACK, WORTH ->
-              FreezeCodec.apply(freezes, input);
+              MaintenanceCodec.apply(freezes, input);
           default -> ChangeCodec.apply(changes, input);
         };
     // relays that judge a build are not restarted meanwhile
@@ -85,7 +85,7 @@
       changes.releasing(releasing, now, wall);
     }
     // nor are its units counted on where racks are to be spared
-    freezes.onTrial(releasing ? core.share(core.present) : 0, freezes.later(wall));
+    freezes.setCanaryShare(releasing ? core.share(core.present) : 0, freezes.advanceClock(wall));
     return answer;
   }
 
@@ -100,7 +100,7 @@
             .setEarlier(core.earlier)
             .setEpoch(core.epoch)
             .setChanges(ChangeCodec.write(changes))
-            .setFreezes(FreezeCodec.write(freezes));
+            .setFreezes(MaintenanceCodec.write(freezes));
     for (Rollout one : core.releases.values()) {
       sprucerock.controller.v1.Release.Builder release =
           sprucerock.controller.v1.Release.newBuilder()
@@ -168,7 +168,7 @@
 
   static void read(
       State state, RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes) {
-    FreezeCodec.read(state.getFreezes(), freezes);
+    MaintenanceCodec.read(state.getFreezes(), freezes);
     ChangeCodec.read(state.getChanges(), changes);
     core.releases.clear();
     core.sequence = state.getSequence();
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -290,7 +290,7 @@
       waiting.clear();
       return;
     }
-    if ((core.due(now()) || changes.due(now()) || freezes.due(wallMs())) && waiting.isEmpty()) {
+    if ((core.due(now()) || changes.due(now()) || freezes.isDue(wallMs())) && waiting.isEmpty()) {
       submit(Input.newBuilder().setTick(Tick.getDefaultInstance()), outcome -> {});
     }
     if (waiting.isEmpty()) {
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -20,7 +20,7 @@
    * Once the seat was granted by a majority, nobody takes it by this file: who was granted it would
    * not see that.
    */
-  static final String MAJORITY = "seat";
+  static final String TOKEN_FILE = "seat";
 
   private static final TimeSpan CLAIM =
       TimeSpan.ofMs(500); // twice as long as between two looks of whoever holds it
@@ -67,11 +67,11 @@
   }
 
   @Override
-  public synchronized boolean take() throws IOException {
-    if (disk.list().contains(MAJORITY)) {
+  public synchronized boolean tryAcquire() throws IOException {
+    if (disk.list().contains(TOKEN_FILE)) {
       throw new IOException(
           "the seat of this folder is granted by a majority: leases are to be configured, or the file "
-              + MAJORITY
+              + TOKEN_FILE
               + " taken away");
     }
     String now = read();
@@ -106,7 +106,7 @@
   }
 
   @Override
-  public synchronized boolean holds() {
+  public synchronized boolean isHeld() {
     return own != null && clock.steadyMs() - renewedAt < time.ms();
   }
 
--- a/src/main/java/sprucerock/controller/LeadershipMark.java
+++ b/src/main/java/sprucerock/controller/LeadershipMark.java
@@ -24,26 +24,26 @@
    *
    * @throws IOException if the file can't be read, or is none of ours
    */
-  public long highest() throws IOException {
-    if (!disk.list().contains(FileLeadership.MAJORITY)) {
+  public long highestToken() throws IOException {
+    if (!disk.list().contains(FileLeadership.TOKEN_FILE)) {
       return 0;
     }
-    String text = new String(disk.read(FileLeadership.MAJORITY), StandardCharsets.UTF_8).strip();
+    String text = new String(disk.read(FileLeadership.TOKEN_FILE), StandardCharsets.UTF_8).strip();
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
-      throw new IOException("the file " + FileLeadership.MAJORITY + " holds no number");
+      throw new IOException("the file " + FileLeadership.TOKEN_FILE + " holds no number");
     }
   }
 
   /** Takes the folder under a number, for good on the disk; false if a higher one took it. */
-  public boolean take(long number) throws IOException {
-    long highest = highest();
+  public boolean claim(long number) throws IOException {
+    long highest = highestToken();
     if (number < highest) {
       return false;
     }
     if (number > highest) {
-      disk.put(FileLeadership.MAJORITY, Long.toString(number).getBytes(StandardCharsets.UTF_8));
+      disk.put(FileLeadership.TOKEN_FILE, Long.toString(number).getBytes(StandardCharsets.UTF_8));
     }
     return true;
   }
--- a/src/main/java/sprucerock/controller/FreezeCodec.java
+++ b/src/main/java/sprucerock/controller/MaintenanceCodec.java
@@ -1,22 +1,22 @@
 package sprucerock.controller;
 
-import sprucerock.controller.maintenance.FreezeNotes;
+import sprucerock.controller.maintenance.MaintenanceState;
 import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.v1.FamiliesWorth;
 import sprucerock.controller.v1.FreezeMemory;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.OfFreeze;
+import sprucerock.hardware.HardwareModel;
 import sprucerock.hardware.LeastSquaresFit;
-import sprucerock.hardware.Model;
 
 /** Between freezes and what is kept of them on disk. */
-final class FreezeCodec {
-  private FreezeCodec() {}
+final class MaintenanceCodec {
+  private MaintenanceCodec() {}
 
   /** What an input came to: numbers of freezes, an operator's refusal, or null. */
   static Object apply(MaintenanceWindows core, Input input) {
-    long now = core.later(input.getWallMs());
+    long now = core.advanceClock(input.getWallMs());
     switch (input.getWhatCase()) {
       case FREEZE -> {
         var wanted = input.getFreeze();
@@ -35,7 +35,7 @@
       case FREEZE_WORD -> {
         var word = input.getFreezeWord();
         return switch (word.getWord()) {
-          case "CALL_OFF" -> core.callOff(word.getFreeze(), word.getWho(), word.getReason(), now);
+          case "CALL_OFF" -> core.cancel(word.getFreeze(), word.getWho(), word.getReason(), now);
           case "EXTEND" ->
               core.extend(word.getFreeze(), word.getToMs(), word.getWho(), word.getReason(), now);
           case "FORCE" -> core.force(word.getFreeze(), word.getWho(), word.getReason(), now);
@@ -44,26 +44,28 @@
                   "a word about freezes of an unknown kind, written by a newer controller");
         };
       }
-      case FREEZE_CLEARED -> core.cleared(input.getFreezeCleared().getFreeze(), now);
+      case FREEZE_CLEARED -> core.grantsReturned(input.getFreezeCleared().getFreeze(), now);
       case WORTH -> {
-        Model model = model(input.getWorth());
-        return model == null || !core.worth(model, now) ? "it is none, or an older one" : null;
+        HardwareModel model = model(input.getWorth());
+        return model == null || !core.updateModel(model, now)
+            ? "it is none, or an older one"
+            : null;
       }
-      case RACK -> core.down(input.getRack().getRack(), input.getRack().getDown(), now);
+      case RACK -> core.setRackDown(input.getRack().getRack(), input.getRack().getDown(), now);
       default -> core.tick(now);
     }
     return null;
   }
 
   /** Null where it can't be one. */
-  private static Model model(FamiliesWorth said) {
+  private static HardwareModel model(FamiliesWorth said) {
     int families = said.getFamiliesCount();
     int methods = said.getMethodsCount();
     int pairs = (methods + 1) * families * families;
     boolean can =
         families > 0
-            && families <= LeastSquaresFit.MOST_FAMILIES
-            && methods <= LeastSquaresFit.MOST_METHODS
+            && families <= LeastSquaresFit.MAX_FAMILIES
+            && methods <= LeastSquaresFit.MAX_METHODS
             && said.getLogsCount() == pairs
             && said.getErrorsCount() == pairs
             && said.getCoresCount() == families
@@ -72,7 +74,7 @@
     if (!can) {
       return null;
     }
-    return Model.of(
+    return HardwareModel.of(
         said.getNumber(),
         said.getWindow(),
         said.getFamiliesList(),
@@ -84,23 +86,24 @@
         said.getFree());
   }
 
-  private static FamiliesWorth worth(Model model) {
+  private static FamiliesWorth worth(HardwareModel model) {
     FamiliesWorth.Builder said =
         FamiliesWorth.newBuilder()
             .setNumber(model.number())
             .setWindow(model.window())
             .addAllFamilies(model.families())
             .addAllMethods(model.methods())
-            .setFree(model.free());
+            .setFree(model.degreesOfFreedom());
     model.times(time -> said.addLogs(time.log()).addErrors(time.error()));
     for (int family : model.families()) {
-      said.addCores(model.cores(family).log()).addCoresErrors(model.cores(family).error());
+      said.addCores(model.concurrency(family).log())
+          .addCoresErrors(model.concurrency(family).error());
     }
     return said.build();
   }
 
   static FreezeMemory write(MaintenanceWindows core) {
-    FreezeNotes notes = FreezeNotes.of(core);
+    MaintenanceState notes = MaintenanceState.capture(core);
     FreezeMemory.Builder written =
         FreezeMemory.newBuilder()
             .setSequence(notes.sequence())
@@ -111,7 +114,7 @@
     if (core.model() != null) {
       written.setWorth(worth(core.model()));
     }
-    for (FreezeNotes.One one : notes.freezes()) {
+    for (MaintenanceState.Window one : notes.windows()) {
       OfFreeze.Builder freeze =
           OfFreeze.newBuilder()
               .setNumber(one.number())
@@ -143,7 +146,7 @@
     if (written.hasWorth()) {
       core.model(model(written.getWorth()));
     }
-    new FreezeNotes(
+    new MaintenanceState(
             written.getSequence(),
             written.getNumbers(),
             written.getDownList(),
@@ -152,7 +155,7 @@
             written.getFreezesList().stream()
                 .map(
                     one ->
-                        new FreezeNotes.One(
+                        new MaintenanceState.Window(
                             one.getNumber(),
                             one.getRacksList(),
                             one.getFromMs(),
@@ -175,6 +178,6 @@
                                             step.getCause()))
                                 .toList()))
                 .toList())
-        .into(core);
+        .restore(core);
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucerock.hardware.Translation;
+import sprucerock.hardware.CapacityTranslator;
 
 /**
  * Whether what is left bears the load, zone by zone and hour by hour: racks that are up and not
@@ -29,9 +29,9 @@
   private final Map<String, Rack> racks = new TreeMap<>();
   private final Map<Integer, Forecast> byZone;
   private final double reserve;
-  private Translation translation; // null: only units of the forecast's own family count
+  private CapacityTranslator translation; // null: only units of the forecast's own family count
   private final Set<String> down = new java.util.TreeSet<>();
-  private double onTrial;
+  private double canaryShare;
 
   /** {@code reserve}: how much more than the forecast is to be there, as a share of it. */
   public CapacityCheck(Collection<Rack> racks, Map<Integer, Forecast> byZone, double reserve) {
@@ -47,7 +47,7 @@
   }
 
   /** A newer model of what families are worth. */
-  void translation(Translation newer) {
+  void translation(CapacityTranslator newer) {
     translation = newer;
   }
 
@@ -64,19 +64,19 @@
    * This share of all units serves a build on trial or is being moved by a change: it is not
    * counted on.
    */
-  void onTrial(double share) {
-    onTrial = share;
+  void canaryShare(double share) {
+    canaryShare = share;
   }
 
-  double onTrial() {
-    return onTrial;
+  double canaryShare() {
+    return canaryShare;
   }
 
   /**
    * What is short in some hour between two moments, in one line; null where nothing is. {@code
    * away}: racks that are frozen meanwhile.
    */
-  String shortOf(Set<String> away, long from, long to) {
+  String shortage(Set<String> away, long from, long to) {
     for (Map.Entry<Integer, Forecast> one : byZone.entrySet()) {
       Forecast needs = one.getValue();
       double left = 0;
@@ -96,7 +96,7 @@
           }
         }
       }
-      left *= 1 - onTrial;
+      left *= 1 - canaryShare;
       for (long hour = from - Math.floorMod(from, HOUR); hour < to; hour += HOUR) {
         double wanted = needs.byHour()[(int) Math.floorMod(hour / HOUR, 24L)] * (1 + reserve);
         if (left + 1e-9 < wanted) {
--- a/src/main/java/sprucerock/controller/maintenance/FreezeNotes.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
@@ -3,10 +3,15 @@
 import java.util.List;
 
 /** All that freezes are, for whoever keeps it: out of them, and into empty ones. */
-public record FreezeNotes(
-    long sequence, long numbers, List<String> down, double onTrial, long nowMs, List<One> freezes) {
+public record MaintenanceState(
+    long sequence,
+    long numbers,
+    List<String> down,
+    double onTrial,
+    long nowMs,
+    List<Window> windows) {
   /** A freeze. */
-  public record One(
+  public record Window(
       long number,
       List<String> racks,
       long from,
@@ -21,17 +26,17 @@
       List<String> forcedBy,
       List<MaintenanceWindow.Step> steps) {}
 
-  public static FreezeNotes of(MaintenanceWindows core) {
-    return new FreezeNotes(
+  public static MaintenanceState capture(MaintenanceWindows core) {
+    return new MaintenanceState(
         core.sequence,
         core.numbers,
-        List.copyOf(core.room().down()),
-        core.room().onTrial(),
+        List.copyOf(core.capacity().down()),
+        core.capacity().canaryShare(),
         core.nowMs,
-        core.freezes.values().stream()
+        core.windows.values().stream()
             .map(
                 one ->
-                    new One(
+                    new Window(
                         one.number,
                         List.copyOf(one.racks),
                         one.from,
@@ -39,8 +44,8 @@
                         one.slackMs,
                         one.emergency,
                         one.series,
-                        one.who,
-                        one.why,
+                        one.operator,
+                        one.reason,
                         one.state,
                         one.boundSince,
                         List.copyOf(one.forcedBy),
@@ -49,15 +54,15 @@
   }
 
   /** Racks that the configuration no longer has stay in their freezes, and bind nobody. */
-  public void into(MaintenanceWindows core) {
+  public void restore(MaintenanceWindows core) {
     core.sequence = sequence;
     core.numbers = numbers;
     core.nowMs = nowMs;
-    core.room().onTrial(onTrial);
+    core.capacity().canaryShare(onTrial);
     for (String rack : down) {
-      core.room().down(rack, true);
+      core.capacity().down(rack, true);
     }
-    for (One one : freezes) {
+    for (Window one : windows) {
       MaintenanceWindow freeze =
           new MaintenanceWindow(
               one.number,
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -32,12 +32,12 @@
     CALLED_OFF;
 
     /** It is still to come, or is under way. */
-    public boolean open() {
+    public boolean isOpen() {
       return this != ENDED && this != REFUSED && this != CALLED_OFF;
     }
 
     /** Its racks are promised to nobody beyond its beginning. */
-    public boolean binds() {
+    public boolean isBinding() {
       return this == ACCEPTED || this == DRAINING || this == IN_FORCE;
     }
   }
@@ -49,8 +49,8 @@
 
   public final long number;
   public final Set<String> racks;
-  public final String who;
-  public final String why;
+  public final String operator;
+  public final String reason;
 
   /** It does not wait for room, and begins at once. */
   public final boolean emergency;
@@ -104,8 +104,8 @@
     this.slackMs = slackMs;
     this.emergency = emergency;
     this.series = series;
-    this.who = who;
-    this.why = why;
+    this.operator = who;
+    this.reason = why;
   }
 
   void add(Step step) {
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.hardware.Model;
-import sprucerock.hardware.Translation;
+import sprucerock.hardware.CapacityTranslator;
+import sprucerock.hardware.HardwareModel;
 
 /**
  * All freezes, and what relays are promised: told what happened and that it is now so late by the
@@ -25,20 +25,20 @@
  */
 public final class MaintenanceWindows {
   /** What it can do. */
-  public interface Host {
+  public interface Listener {
     void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step);
 
     /** Relays should learn of it now. */
-    void promisesChanged();
+    void grantsChanged();
   }
 
   /** How windows are dealt with; the same at all controllers of a fleet. */
-  public record Rules(long warmMs, long stepMs, double confidence) {
+  public record Rules(long warmUpMs, long delayStepMs, double confidence) {
     /**
      * @throws IllegalArgumentException if they make no sense
      */
     public Rules {
-      if (warmMs < 0 || stepMs <= 0) {
+      if (warmUpMs < 0 || delayStepMs <= 0) {
         throw new IllegalArgumentException("step is over 0");
       }
       if (!(confidence > 0.5 && confidence < 1)) {
@@ -47,7 +47,7 @@
     }
   }
 
-  public static final int MOST_OPEN = 1000;
+  public static final int MAX_OPEN = 1000;
   private static final int MOST_KEPT =
       2000; // with those that are over, of which the oldest go first
   private static final Comparator<MaintenanceWindow> BY_BEGIN =
@@ -55,9 +55,9 @@
           .thenComparingLong(one -> one.number);
 
   private final Rules rules;
-  private final CapacityCheck room;
-  private final Host host;
-  final TreeMap<Long, MaintenanceWindow> freezes = new TreeMap<>();
+  private final CapacityCheck capacity;
+  private final Listener host;
+  final TreeMap<Long, MaintenanceWindow> windows = new TreeMap<>();
   // What is asked often is kept as it changes, by step() alone: a relay's ask, and a look each 50
   // ms, walk neither racks nor freezes.
   private final Map<String, TreeSet<MaintenanceWindow>> binding =
@@ -69,15 +69,15 @@
   private final TreeSet<MaintenanceWindow> bound = new TreeSet<>(BY_BEGIN); // all that bind
   private final TreeMap<Long, MaintenanceWindow> draining = new TreeMap<>();
   private final long longestMs;
-  private long looked;
+  private long entriesExamined;
   long sequence;
   long numbers;
   long nowMs;
-  private Model model;
+  private HardwareModel model;
 
-  public MaintenanceWindows(Rules rules, CapacityCheck room, Host host) {
+  public MaintenanceWindows(Rules rules, CapacityCheck room, Listener host) {
     this.rules = rules;
-    this.room = room;
+    this.capacity = room;
     this.host = host;
     longestMs = room.racks().values().stream().mapToLong(Rack::noticeMs).max().orElse(0);
   }
@@ -87,31 +87,31 @@
     return new MaintenanceWindows(
         new Rules(0, 1, 0.9),
         new CapacityCheck(List.of(), Map.of(), 0),
-        new Host() {
+        new Listener() {
           @Override
           public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
             // there is none
           }
 
           @Override
-          public void promisesChanged() {
+          public void grantsChanged() {
             // nobody holds one
           }
         });
   }
 
   /** A wall's clock that was set back stands still here until it is past. */
-  public long later(long wallMs) {
+  public long advanceClock(long wallMs) {
     nowMs = Math.max(nowMs, wallMs);
     return nowMs;
   }
 
   public Collection<MaintenanceWindow> all() {
-    return freezes.values();
+    return windows.values();
   }
 
-  public MaintenanceWindow of(long number) {
-    return freezes.get(number);
+  public MaintenanceWindow find(long number) {
+    return windows.get(number);
   }
 
   /** Counts up with all that relays should know. */
@@ -139,11 +139,11 @@
       String why,
       long nowMs) {
     Set<String> unknown = new TreeSet<>(racks);
-    unknown.removeAll(room.racks().keySet());
+    unknown.removeAll(capacity.racks().keySet());
     if (racks.isEmpty() || !unknown.isEmpty()) {
       return racks.isEmpty()
           ? "a freeze is of one rack at least"
-          : "no rack is called " + unknown + "; there are " + room.racks().keySet();
+          : "no rack is called " + unknown + "; there are " + capacity.racks().keySet();
     }
     if (lastsMs <= 0) {
       return "a window lasts longer than no time";
@@ -151,18 +151,18 @@
     if (emergency && !rule.isEmpty()) {
       return "what comes again is no emergency";
     }
-    long open = freezes.values().stream().filter(one -> one.state.open()).count();
+    long open = windows.values().stream().filter(one -> one.state.isOpen()).count();
     List<Long> begins;
     try {
-      begins = emergency ? List.of(nowMs) : RecurrenceExpander.from(nowMs, fromMs, rule, zone);
+      begins = emergency ? List.of(nowMs) : RecurrenceExpander.expand(nowMs, fromMs, rule, zone);
     } catch (IllegalArgumentException e) {
       return e.getMessage();
     }
     if (begins.isEmpty()) {
       return "it would begin in the past, or not within two weeks";
     }
-    if (open + begins.size() > MOST_OPEN) {
-      return MOST_OPEN + " freezes are open already";
+    if (open + begins.size() > MAX_OPEN) {
+      return MAX_OPEN + " freezes are open already";
     }
     List<Long> made = new ArrayList<>();
     long series = begins.size() > 1 ? numbers + 1 : 0;
@@ -178,7 +178,7 @@
               series,
               who,
               why);
-      freezes.put(freeze.number, freeze);
+      windows.put(freeze.number, freeze);
       step(freeze, MaintenanceWindow.State.ANNOUNCED, "announced by " + who + ": " + why, nowMs);
       if (emergency) {
         bind(freeze, "an emergency does not wait for room", nowMs);
@@ -187,8 +187,8 @@
       }
       made.add(freeze.number);
     }
-    while (freezes.size() > MOST_KEPT && !freezes.firstEntry().getValue().state.open()) {
-      freezes.pollFirstEntry();
+    while (windows.size() > MOST_KEPT && !windows.firstEntry().getValue().state.isOpen()) {
+      windows.pollFirstEntry();
     }
     settle(nowMs);
     return made;
@@ -202,7 +202,7 @@
     long lasts = freeze.to - freeze.from;
     long wanted = freeze.from;
     String first = null;
-    for (long late = 0; late <= freeze.slackMs; late += rules.stepMs()) {
+    for (long late = 0; late <= freeze.slackMs; late += rules.delayStepMs()) {
       String lacks = lacks(freeze, wanted + late, wanted + late + lasts);
       if (first == null) {
         first = lacks;
@@ -226,15 +226,15 @@
    * yet.
    */
   private String lacks(MaintenanceWindow freeze, long from, long to) {
-    long until = to + rules.warmMs();
+    long until = to + rules.warmUpMs();
     TreeSet<Long> begins = new TreeSet<>(List.of(from));
     List<MaintenanceWindow> others = new ArrayList<>();
-    for (MaintenanceWindow one : freezes.values()) {
+    for (MaintenanceWindow one : windows.values()) {
       boolean counts =
           one != freeze
-              && (one.state.binds() || one.state == MaintenanceWindow.State.ENDING)
+              && (one.state.isBinding() || one.state == MaintenanceWindow.State.ENDING)
               && one.from < until
-              && from < one.to + rules.warmMs();
+              && from < one.to + rules.warmUpMs();
       if (!counts) {
         continue;
       }
@@ -247,11 +247,11 @@
       Set<String> away = new TreeSet<>(freeze.racks);
       long end = until;
       for (MaintenanceWindow one : others) {
-        if (one.from <= at && at < one.to + rules.warmMs()) {
+        if (one.from <= at && at < one.to + rules.warmUpMs()) {
           away.addAll(one.racks);
         }
       }
-      String lacks = room.shortOf(away, at, end);
+      String lacks = capacity.shortage(away, at, end);
       if (lacks != null) {
         return lacks;
       }
@@ -262,16 +262,16 @@
   private void bind(MaintenanceWindow freeze, String cause, long nowMs) {
     freeze.boundSince = nowMs;
     step(freeze, MaintenanceWindow.State.ACCEPTED, cause, nowMs);
-    host.promisesChanged();
+    host.grantsChanged();
   }
 
   /** Says why it has no effect, or null. */
-  public String callOff(long number, String who, String why, long nowMs) {
-    MaintenanceWindow freeze = freezes.get(number);
+  public String cancel(long number, String who, String why, long nowMs) {
+    MaintenanceWindow freeze = windows.get(number);
     if (freeze == null) {
       return "no freeze " + number + " is known";
     }
-    if (!freeze.state.open() || freeze.state == MaintenanceWindow.State.ENDING) {
+    if (!freeze.state.isOpen() || freeze.state == MaintenanceWindow.State.ENDING) {
       return "freeze " + number + " is over or as good as over: " + freeze.state;
     }
     boolean began =
@@ -285,18 +285,18 @@
         began ? MaintenanceWindow.State.ENDING : MaintenanceWindow.State.CALLED_OFF,
         "called off by " + who + ": " + why,
         nowMs);
-    host.promisesChanged();
+    host.grantsChanged();
     settle(nowMs);
     return null;
   }
 
   /** It lasts until later; where there is no room for that, it ends as it would. */
   public String extend(long number, long toMs, String who, String why, long nowMs) {
-    MaintenanceWindow freeze = freezes.get(number);
+    MaintenanceWindow freeze = windows.get(number);
     if (freeze == null) {
       return "no freeze " + number + " is known";
     }
-    if (!freeze.state.binds() && freeze.state != MaintenanceWindow.State.HELD) {
+    if (!freeze.state.isBinding() && freeze.state != MaintenanceWindow.State.HELD) {
       return "freeze " + number + " can't be extended: " + freeze.state;
     }
     if (toMs <= freeze.to) {
@@ -308,13 +308,13 @@
     }
     freeze.to = toMs;
     step(freeze, freeze.state, "extended by " + who + ": " + why, nowMs);
-    host.promisesChanged();
+    host.grantsChanged();
     return null;
   }
 
   /** One that is held begins although there is no room, once two different operators said so. */
   public String force(long number, String who, String why, long nowMs) {
-    MaintenanceWindow freeze = freezes.get(number);
+    MaintenanceWindow freeze = windows.get(number);
     if (freeze == null) {
       return "no freeze " + number + " is known";
     }
@@ -339,23 +339,23 @@
    * A rack died or is back; a build is on trial or was decided; families are worth other than was
    * thought: what was accepted may not fit any more.
    */
-  public void down(String rack, boolean is, long nowMs) {
-    if (room.racks().containsKey(rack) && room.down(rack, is)) {
+  public void setRackDown(String rack, boolean is, long nowMs) {
+    if (capacity.racks().containsKey(rack) && capacity.down(rack, is)) {
       review(nowMs);
     }
   }
 
-  public void onTrial(double share, long nowMs) {
-    if (share == room.onTrial()) {
+  public void setCanaryShare(double share, long nowMs) {
+    if (share == capacity.canaryShare()) {
       return;
     }
-    room.onTrial(share);
+    capacity.canaryShare(share);
     review(nowMs);
   }
 
   /** What families are worth by now; false where it is older than what is known. */
-  public boolean worth(Model newer, long nowMs) {
-    if (!newer.newerThan(model)) {
+  public boolean updateModel(HardwareModel newer, long nowMs) {
+    if (!newer.isNewerThan(model)) {
       return false;
     }
     model(newer);
@@ -364,17 +364,18 @@
   }
 
   /** The last model; null: none was told. */
-  public Model model() {
+  public HardwareModel model() {
     return model;
   }
 
-  public void model(Model known) {
+  public void model(HardwareModel known) {
     model = known;
-    room.translation(known == null ? null : new Translation(known, List.of(), rules.confidence()));
+    capacity.translation(
+        known == null ? null : new CapacityTranslator(known, List.of(), rules.confidence()));
   }
 
   private void review(long nowMs) {
-    for (MaintenanceWindow one : List.copyOf(freezes.values())) {
+    for (MaintenanceWindow one : List.copyOf(windows.values())) {
       if (one.state != MaintenanceWindow.State.ACCEPTED && one.state != MaintenanceWindow.State.HELD
           || one.emergency
           || one.forcedBy.size() >= 2) {
@@ -383,7 +384,7 @@
       String lacks = lacks(one, Math.max(one.from, nowMs), one.to);
       if (one.state == MaintenanceWindow.State.ACCEPTED && lacks != null) {
         step(one, MaintenanceWindow.State.HELD, lacks, nowMs);
-        host.promisesChanged();
+        host.grantsChanged();
       } else if (one.state == MaintenanceWindow.State.HELD && lacks == null) {
         bind(one, "there is room again", nowMs);
       }
@@ -392,8 +393,8 @@
   }
 
   /** Each relay has said that it holds a promise without it: {@link PlacementGrants} knows. */
-  public void cleared(long number, long nowMs) {
-    MaintenanceWindow freeze = freezes.get(number);
+  public void grantsReturned(long number, long nowMs) {
+    MaintenanceWindow freeze = windows.get(number);
     if (freeze != null && freeze.state == MaintenanceWindow.State.DRAINING) {
       inForce(freeze, "every relay has given its promise back", nowMs);
     }
@@ -402,7 +403,7 @@
 
   private void inForce(MaintenanceWindow freeze, String cause, long nowMs) {
     step(freeze, MaintenanceWindow.State.IN_FORCE, cause, nowMs);
-    host.promisesChanged();
+    host.grantsChanged();
   }
 
   public void tick(long nowMs) {
@@ -410,9 +411,9 @@
   }
 
   /** Whether a tick would change anything. */
-  public boolean due(long wallMs) {
+  public boolean isDue(long wallMs) {
     long at = Math.max(nowMs, wallMs);
-    looked++;
+    entriesExamined++;
     return !timed.isEmpty() && timed.first().dueMs <= at;
   }
 
@@ -420,9 +421,9 @@
   private long dueMs(MaintenanceWindow one) {
     return switch (one.state) {
       case ACCEPTED -> one.from;
-      case DRAINING -> Math.min(promisesEnd(one), one.to);
+      case DRAINING -> Math.min(grantsEndMs(one), one.to);
       case HELD, IN_FORCE -> one.to;
-      case ENDING -> one.to + rules.warmMs();
+      case ENDING -> one.to + rules.warmUpMs();
       default -> Long.MAX_VALUE;
     };
   }
@@ -432,11 +433,11 @@
       case ACCEPTED -> nowMs >= one.from ? MaintenanceWindow.State.DRAINING : null;
       case HELD -> nowMs >= one.to ? MaintenanceWindow.State.REFUSED : null;
       case DRAINING ->
-          nowMs >= promisesEnd(one)
+          nowMs >= grantsEndMs(one)
               ? MaintenanceWindow.State.IN_FORCE
               : nowMs >= one.to ? MaintenanceWindow.State.ENDING : null;
       case IN_FORCE -> nowMs >= one.to ? MaintenanceWindow.State.ENDING : null;
-      case ENDING -> nowMs >= one.to + rules.warmMs() ? MaintenanceWindow.State.ENDED : null;
+      case ENDING -> nowMs >= one.to + rules.warmUpMs() ? MaintenanceWindow.State.ENDED : null;
       default -> null;
     };
   }
@@ -445,7 +446,7 @@
     TreeMap<Long, MaintenanceWindow> due =
         new TreeMap<>(); // in the order of their numbers, as steps are counted
     for (MaintenanceWindow one : timed) {
-      looked++;
+      entriesExamined++;
       if (one.dueMs > nowMs) {
         break;
       }
@@ -465,13 +466,13 @@
               default -> "its units are warm again";
             };
         step(one, next, cause, nowMs);
-        host.promisesChanged();
+        host.grantsChanged();
       }
     }
   }
 
   /** From when on no promise that was ever given can reach into it. */
-  public long promisesEnd(MaintenanceWindow freeze) {
+  public long grantsEndMs(MaintenanceWindow freeze) {
     return Math.max(freeze.from, freeze.boundSince + noticeMs(freeze));
   }
 
@@ -482,7 +483,7 @@
     }
     long longest = 0;
     for (String name : freeze.racks) {
-      Rack rack = room.racks().get(name);
+      Rack rack = capacity.racks().get(name);
       if (rack != null) {
         longest = Math.max(longest, rack.noticeMs());
       }
@@ -505,22 +506,22 @@
    * Entries that were looked at so far to answer relays and to see what time changes: what tests of
    * its growth count.
    */
-  public long looked() {
-    return looked;
+  public long entriesExamined() {
+    return entriesExamined;
   }
 
   /**
    * For how long from now on nothing will be frozen on a rack, in milliseconds; 0: it is frozen or
    * draining.
    */
-  long free(String rack, long nowMs) {
-    long left = room.racks().get(rack).noticeMs();
+  long freeForMs(String rack, long nowMs) {
+    long left = capacity.racks().get(rack).noticeMs();
     TreeSet<MaintenanceWindow> known = binding.get(rack);
     if (known == null) {
       return left;
     }
     for (MaintenanceWindow one : known) {
-      looked++;
+      entriesExamined++;
       if (nowMs < one.to) {
         return Math.min(left, Math.max(0, one.from - nowMs)); // the others begin later
       }
@@ -532,10 +533,10 @@
    * Racks that are frozen or will be within their notice, each with how long it is free; all others
    * are free for their notice.
    */
-  TreeMap<String, Long> soon(long nowMs) {
+  TreeMap<String, Long> freeForLessThanNotice(long nowMs) {
     TreeMap<String, Long> found = new TreeMap<>();
     for (MaintenanceWindow one : bound) {
-      looked++;
+      entriesExamined++;
       if (one.from >= nowMs + longestMs) {
         break;
       }
@@ -544,8 +545,8 @@
       }
       long left = Math.max(0, one.from - nowMs);
       for (String name : one.racks) {
-        looked++;
-        Rack rack = room.racks().get(name);
+        entriesExamined++;
+        Rack rack = capacity.racks().get(name);
         if (rack != null && left < rack.noticeMs()) {
           found.putIfAbsent(name, left); // the first begins first
         }
@@ -554,8 +555,8 @@
     return found;
   }
 
-  public CapacityCheck room() {
-    return room;
+  public CapacityCheck capacity() {
+    return capacity;
   }
 
   private void step(
@@ -570,7 +571,7 @@
 
   /** One that is known from a former life. */
   void known(MaintenanceWindow freeze) {
-    freezes.put(freeze.number, freeze);
+    windows.put(freeze.number, freeze);
     enter(freeze);
   }
 
@@ -578,7 +579,7 @@
   private void leave(MaintenanceWindow freeze) {
     timed.remove(freeze);
     draining.remove(freeze.number);
-    if (!freeze.state.binds()) {
+    if (!freeze.state.isBinding()) {
       return;
     }
     bound.remove(freeze);
@@ -599,7 +600,7 @@
     if (freeze.state == MaintenanceWindow.State.DRAINING) {
       draining.put(freeze.number, freeze);
     }
-    if (!freeze.state.binds()) {
+    if (!freeze.state.isBinding()) {
       return;
     }
     bound.add(freeze);
--- a/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
+++ b/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
@@ -30,13 +30,13 @@
   private final LinkedHashMap<Integer, Held> held = new LinkedHashMap<>();
 
   private final TreeMap<Long, TreeSet<Held>> byState = new TreeMap<>();
-  private final MaintenanceWindows freezes;
+  private final MaintenanceWindows windows;
   private final long startedMs;
-  private long looked;
+  private long entriesExamined;
 
   /** {@code nowMs}: when this life began to promise. */
   public PlacementGrants(MaintenanceWindows freezes, long nowMs) {
-    this.freezes = freezes;
+    this.windows = freezes;
     startedMs = nowMs;
   }
 
@@ -44,7 +44,7 @@
    * A relay asks, and is promised anew: what it holds is of that state, or of none (0), and of no
    * earlier one. {@code nowMs} never goes back.
    */
-  public void asked(int relay, long holds, long nowMs) {
+  public void request(int relay, long holds, long nowMs) {
     Held before = held.remove(relay);
     if (before != null) {
       leave(before);
@@ -55,9 +55,9 @@
     held.put(relay, now);
     byState.computeIfAbsent(now.sequence, any -> new TreeSet<>(BY_TIME)).add(now);
     for (Iterator<Held> oldest = held.values().iterator(); oldest.hasNext(); ) {
-      looked++;
+      entriesExamined++;
       Held one = oldest.next();
-      if (nowMs - one.since <= freezes.longestMs()) {
+      if (nowMs - one.since <= windows.longestMs()) {
         break;
       }
       oldest.remove();
@@ -77,34 +77,34 @@
    * For how long from now on nothing will be frozen on a rack, in milliseconds; 0: it is frozen or
    * draining.
    */
-  public long promised(String rack, long nowMs) {
-    return freezes.free(rack, nowMs);
+  public long grantedForMs(String rack, long nowMs) {
+    return windows.freeForMs(rack, nowMs);
   }
 
   /**
    * The racks that are promised for less than their notice, by their names, in milliseconds: all
    * others are for just that.
    */
-  public Map<String, Long> shorter(long nowMs) {
-    return freezes.soon(nowMs);
+  public Map<String, Long> shortened(long nowMs) {
+    return windows.freeForLessThanNotice(nowMs);
   }
 
   /**
    * Relays that may still hold a promise into it, by their numbers; -1: such as are not known,
    * because this life began since.
    */
-  public Set<Integer> out(MaintenanceWindow freeze, long nowMs) {
+  public Set<Integer> outstanding(MaintenanceWindow freeze, long nowMs) {
     Set<Integer> out = new TreeSet<>();
-    if (nowMs >= freezes.promisesEnd(freeze)) {
+    if (nowMs >= windows.grantsEndMs(freeze)) {
       return out;
     }
-    if (nowMs < startedMs + freezes.noticeMs(freeze)) {
+    if (nowMs < startedMs + windows.noticeMs(freeze)) {
       out.add(-1);
     }
     for (TreeSet<Held> same : byState.headMap(freeze.boundBy).values()) {
       for (Held one : same.descendingSet()) {
-        looked++;
-        if (nowMs >= one.since + freezes.noticeMs(freeze)) {
+        entriesExamined++;
+        if (nowMs >= one.since + windows.noticeMs(freeze)) {
           break;
         }
         out.add(one.relay);
@@ -115,15 +115,15 @@
 
   /** The same as whether {@link #out} finds none, by the last of each state. */
   private boolean nobodyOut(MaintenanceWindow freeze, long nowMs) {
-    if (nowMs >= freezes.promisesEnd(freeze)) {
+    if (nowMs >= windows.grantsEndMs(freeze)) {
       return true;
     }
-    if (nowMs < startedMs + freezes.noticeMs(freeze)) {
+    if (nowMs < startedMs + windows.noticeMs(freeze)) {
       return false;
     }
     for (Map.Entry<Long, TreeSet<Held>> same : byState.headMap(freeze.boundBy).entrySet()) {
-      looked++;
-      if (nowMs < same.getValue().last().since + freezes.noticeMs(freeze)) {
+      entriesExamined++;
+      if (nowMs < same.getValue().last().since + windows.noticeMs(freeze)) {
         return false;
       }
     }
@@ -134,10 +134,10 @@
    * Freezes whose time has come and into which nobody holds a promise any more: to be recorded as
    * {@link MaintenanceWindows#cleared}.
    */
-  public List<Long> cleared(long nowMs) {
+  public List<Long> returned(long nowMs) {
     List<Long> found = new ArrayList<>();
-    for (MaintenanceWindow one : freezes.draining()) {
-      looked++;
+    for (MaintenanceWindow one : windows.draining()) {
+      entriesExamined++;
       if (nobodyOut(one, nowMs)) {
         found.add(one.number);
       }
@@ -146,7 +146,7 @@
   }
 
   /** Entries that were looked at so far: what tests of its growth count. */
-  public long looked() {
-    return looked;
+  public long entriesExamined() {
+    return entriesExamined;
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
+++ b/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
@@ -20,7 +20,7 @@
   /** As far as they are looked ahead, and how many at most. */
   public static final long HORIZON_MS = 14L * 24 * 3_600_000;
 
-  public static final int MOST = 50;
+  public static final int MAX_OCCURRENCES = 50;
 
   private RecurrenceExpander() {}
 
@@ -30,7 +30,7 @@
    * @throws IllegalArgumentException if the rule or the zone is none; the message says what is
    *     allowed
    */
-  public static List<Long> from(long nowMs, long firstMs, String rule, String zone) {
+  public static List<Long> expand(long nowMs, long firstMs, String rule, String zone) {
     List<Long> found = new ArrayList<>();
     if (rule.isEmpty()) {
       if (firstMs >= nowMs) {
@@ -43,7 +43,7 @@
           TimeZone.getTimeZone(ZoneId.of(zone)); // which refuses what TimeZone takes for UTC
       RecurrenceRuleIterator each = new RecurrenceRule(rule).iterator(new DateTime(named, firstMs));
       each.fastForward(nowMs);
-      while (each.hasNext() && found.size() < MOST) {
+      while (each.hasNext() && found.size() < MAX_OCCURRENCES) {
         long next = each.nextMillis();
         if (next > nowMs + HORIZON_MS) {
           break;
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -29,7 +29,7 @@
 import sprucerock.controller.v1.FreezeCleared;
 import sprucerock.controller.v1.Input;
 import sprucerock.lease.GrantorListener;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Tap;
@@ -52,7 +52,7 @@
   private AgentListener agents;
   private InetSocketAddress agentsAt;
   private final Leadership seat;
-  private Leases leases;
+  private LeaseManager leases;
   private GrantorListener granter;
   private final List<WebhookOutbox> outboxes = new ArrayList<>();
   private final Map<String, Long> delivered = new ConcurrentHashMap<>();
@@ -82,7 +82,7 @@
     loop = new NioLoop("controller", this::broken);
     seat = seat(holder, tap, clock);
     boolean told = false;
-    while (!seat.take()) {
+    while (!seat.tryAcquire()) {
       if (!told) {
         log.info("STANDBY {} waits for the seat at {}", holder, config.folder);
       }
@@ -126,9 +126,9 @@
               upTo -> loop.post(() -> delivered(target.name(), upTo)),
               what -> log.error("OUTBOX {}", what)));
     }
-    engine.onlyWhile(seat::holds);
+    engine.onlyWhile(seat::isHeld);
     engine.start(this::tellAgain);
-    promises = new PlacementGrants(freezes, freezes.later(engine.wallMs()));
+    promises = new PlacementGrants(freezes, freezes.advanceClock(engine.wallMs()));
     relays = new RelayListener(loop, config, tap, this);
     vault =
         config.agents == null
@@ -189,8 +189,8 @@
     if (config.leases == null) {
       return FileLeadership.in(config.folder, clock, config.lease, holder);
     }
-    Leases.Log say =
-        new Leases.Log() {
+    LeaseManager.Log say =
+        new LeaseManager.Log() {
           @Override
           public void info(String what) {
             log.info("LEASE {}", what);
@@ -202,7 +202,14 @@
           }
         };
     leases =
-        new Leases(loop, config.leases, config.name, Leases.newLife(), tap, clock::wallMs, say);
+        new LeaseManager(
+            loop,
+            config.leases,
+            config.name,
+            LeaseManager.newIncarnation(),
+            tap,
+            clock::wallMs,
+            say);
     LeadershipMark mark = LeadershipMark.in(config.folder);
     Exception[] wrong = new Exception[1];
     CountDownLatch done = new CountDownLatch(1);
@@ -230,7 +237,7 @@
   }
 
   /** What the granters know; null: none are configured. */
-  Leases leases() {
+  LeaseManager leases() {
     return leases;
   }
 
@@ -287,8 +294,8 @@
     };
   }
 
-  private MaintenanceWindows.Host ofFreezes() {
-    return new MaintenanceWindows.Host() {
+  private MaintenanceWindows.Listener ofFreezes() {
+    return new MaintenanceWindows.Listener() {
       @Override
       public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
         if (!engine().replaying()) {
@@ -303,7 +310,7 @@
       }
 
       @Override
-      public void promisesChanged() {
+      public void grantsChanged() {
         // a start happens on another thread; a turn that moves many freezes is told once
         if (!engine().replaying() && promisesTold.getAndSet(false)) {
           loop.post(ControllerServer.this::tellPromises);
@@ -326,12 +333,12 @@
 
   /** Whether this controller acts, asked at the last instant before it promises anything. */
   boolean holdsSeat() {
-    return seat.holds();
+    return seat.isHeld();
   }
 
   /** A relay has asked: some freeze may be in force by that. */
   void lookAtFreezes() {
-    for (long number : promises.cleared(engine.freezes().later(engine.wallMs()))) {
+    for (long number : promises.returned(engine.freezes().advanceClock(engine.wallMs()))) {
       submit(
           Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
           outcome -> {});
@@ -410,7 +417,7 @@
       holds = seat.renew();
     } catch (IOException e) {
       log.error("LEASE can't be renewed: {}", e.getMessage());
-      holds = seat.holds(); // as long as its time is not over
+      holds = seat.isHeld(); // as long as its time is not over
     }
     if (!holds) {
       log.error("LEASE lost: another controller acts, this one ends");
@@ -419,7 +426,7 @@
       replaced.run();
       return;
     }
-    loop.at(loop.now().plus(Leadership.RENEW), this::renew);
+    loop.at(loop.now().plus(Leadership.RENEW_INTERVAL), this::renew);
   }
 
   private void look() {
@@ -428,7 +435,7 @@
     }
     if (engine.releases().due(engine.now())
         || engine.changes().due(engine.now())
-        || engine.freezes().due(engine.wallMs())) {
+        || engine.freezes().isDue(engine.wallMs())) {
       commit();
     }
     lookAtFreezes();
--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -290,7 +290,8 @@
       if (desk.leases() == null) {
         answer(exchange, 409, "no_leases", "this controller's configuration has no leases");
       } else {
-        onLoop(exchange, () -> desk.leases().list(all -> answer(exchange, 200, leases(all))));
+        onLoop(
+            exchange, () -> desk.leases().queryGrantors(all -> answer(exchange, 200, leases(all))));
       }
     } else if (!get) {
       body(exchange, MOST_API_BODY, bytes -> word(exchange, path, bytes));
@@ -324,7 +325,7 @@
       freeze(exchange, body);
     } else if (path.length == 2 && path[0].equals("racks")) {
       boolean known =
-          desk.engine().freezes().room().racks().containsKey(path[1])
+          desk.engine().freezes().capacity().racks().containsKey(path[1])
               && body.path("down").isBoolean();
       if (!known) {
         answer(
@@ -659,7 +660,7 @@
                     ObjectNode all = Announcements.JSON.createObjectNode();
                     ArrayNode list = all.putArray("freezes");
                     for (Object number : (List<?>) outcome.answer()) {
-                      list.add(brief(desk.engine().freezes().of((Long) number)));
+                      list.add(brief(desk.engine().freezes().find((Long) number)));
                     }
                     answer(exchange, 200, all);
                   }
@@ -674,8 +675,8 @@
             .put("state", freeze.state().name().toLowerCase(Locale.ROOT).replace('_', ' '))
             .put("from", Instant.ofEpochMilli(freeze.from()).toString())
             .put("to", Instant.ofEpochMilli(freeze.to()).toString())
-            .put("who", freeze.who)
-            .put("why", freeze.why)
+            .put("who", freeze.operator)
+            .put("why", freeze.reason)
             .put("emergency", freeze.emergency);
     ArrayNode racks = node.putArray("racks");
     freeze.racks.forEach(racks::add);
@@ -693,7 +694,7 @@
 
   /** With who may still place work there, and until when at most. */
   private void showFreeze(HttpServerExchange exchange, int number) {
-    MaintenanceWindow freeze = desk.engine().freezes().of(number);
+    MaintenanceWindow freeze = desk.engine().freezes().find(number);
     if (freeze == null) {
       answer(exchange, 404, "no_such_freeze", null);
       return;
@@ -709,9 +710,9 @@
           .put("cause", step.cause());
     }
     ArrayNode out = node.putArray("out");
-    if (freeze.state().binds()) {
+    if (freeze.state().isBinding()) {
       desk.promises()
-          .out(freeze, desk.engine().freezes().later(desk.engine().wallMs()))
+          .outstanding(freeze, desk.engine().freezes().advanceClock(desk.engine().wallMs()))
           .forEach(
               relay ->
                   out.add(
@@ -720,7 +721,7 @@
                           : "relay " + relay));
       node.put(
           "at_most_until",
-          Instant.ofEpochMilli(desk.engine().freezes().promisesEnd(freeze)).toString());
+          Instant.ofEpochMilli(desk.engine().freezes().grantsEndMs(freeze)).toString());
     }
     ArrayNode forced = node.putArray("forced_by");
     freeze.forcedBy().forEach(forced::add);
--- a/src/main/java/sprucerock/controller/server/LeaseLeadership.java
+++ b/src/main/java/sprucerock/controller/server/LeaseLeadership.java
@@ -6,7 +6,7 @@
 import sprucerock.controller.Leadership;
 import sprucerock.controller.LeadershipMark;
 import sprucerock.lease.LeaseCheck;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.transport.net.nio.NioLoop;
 
 /**
@@ -17,7 +17,7 @@
  */
 final class LeaseLeadership implements Leadership {
   private final NioLoop loop;
-  private final Leases leases;
+  private final LeaseManager leases;
   private final LeadershipMark mark;
   private final String name;
   private LeaseCheck guard;
@@ -25,7 +25,7 @@
   private boolean taken;
   private boolean lost;
 
-  LeaseLeadership(NioLoop loop, Leases leases, LeadershipMark mark, String name) {
+  LeaseLeadership(NioLoop loop, LeaseManager leases, LeadershipMark mark, String name) {
     this.loop = loop;
     this.leases = leases;
     this.mark = mark;
@@ -35,16 +35,16 @@
 
   private void stand() {
     guard =
-        leases.stand(
+        leases.campaign(
             name,
-            new Leases.Task() {
+            new LeaseManager.Listener() {
               @Override
-              public void begun(LeaseCheck by) {
+              public void acquired(LeaseCheck by) {
                 held = true;
               }
 
               @Override
-              public void ended(String why) {
+              public void lost(String why) {
                 held = false;
                 lost |= taken;
               }
@@ -73,19 +73,19 @@
   }
 
   @Override
-  public boolean take() throws IOException {
+  public boolean tryAcquire() throws IOException {
     String[] wrong = new String[1];
     boolean is =
         onLoop(
             () -> {
-              if (!held || !guard.held()) {
+              if (!held || !guard.isHeld()) {
                 return false;
               }
               try {
                 // the disk may take long: the guard is asked again behind it
                 boolean[] first = {false};
-                boolean may = guard.act(number -> first[0] = takeFolder(number));
-                taken = may && first[0] && guard.held();
+                boolean may = guard.runIfHeld(number -> first[0] = takeFolder(number));
+                taken = may && first[0] && guard.isHeld();
               } catch (java.io.UncheckedIOException e) {
                 wrong[0] = e.getCause().getMessage();
               }
@@ -99,37 +99,37 @@
 
   private boolean takeFolder(long number) {
     try {
-      if (mark.take(number)) {
+      if (mark.claim(number)) {
         return true;
       }
-      guard.refused(mark.highest());
+      guard.tokenRejected(mark.highestToken());
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
-    leases.leave(name, -1); // granters forgot their numbers: it is asked for under a higher one
+    leases.withdraw(name, -1); // granters forgot their numbers: it is asked for under a higher one
     stand();
     return false;
   }
 
   @Override
-  public boolean holds() {
-    return taken && !lost && guard.held();
+  public boolean isHeld() {
+    return taken && !lost && guard.isHeld();
   }
 
   @Override
   public boolean renew() throws IOException {
-    if (!holds()) {
+    if (!isHeld()) {
       return false;
     }
     boolean[] first = {false};
-    boolean may = guard.act(number -> first[0] = isHighest(number));
+    boolean may = guard.runIfHeld(number -> first[0] = isHighest(number));
     lost |= !may || !first[0];
     return !lost;
   }
 
   private boolean isHighest(long number) {
     try {
-      return mark.highest() == number;
+      return mark.highestToken() == number;
     } catch (IOException e) {
       return true; // not known: time still guards, and the store says by itself what it can't write
     }
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -50,7 +50,7 @@
     this.config = config;
     this.tap = tap;
     this.desk = desk;
-    racks = new RackList(desk.engine().freezes().room().racks());
+    racks = new RackList(desk.engine().freezes().capacity().racks());
     limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), TimeSpan.ofMs(2000));
   }
 
@@ -236,14 +236,14 @@
      * last, and says nothing.
      */
     private void promise(PromiseAsk ask) {
-      long now = desk.engine().freezes().later(desk.engine().wallMs());
-      desk.promises().asked(connection.other().getNumber(), ask.getHolds(), now);
+      long now = desk.engine().freezes().advanceClock(desk.engine().wallMs());
+      desk.promises().request(connection.other().getNumber(), ask.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(ask.getId())
               .setEpoch(desk.engine().releases().epoch())
               .setSequence(desk.engine().freezes().sequence());
-      racks.into(promised, ask.getList(), desk.promises().shorter(now));
+      racks.into(promised, ask.getList(), desk.promises().shortened(now));
       desk.lookAtFreezes();
       if (ask.getId() > 0 && desk.holdsSeat()) {
         connection.send(Kind.PROMISED, promised.build(), NO_BODY);
--- a/src/main/java/sprucerock/hardware/Translation.java
+++ b/src/main/java/sprucerock/hardware/CapacityTranslator.java
@@ -9,7 +9,7 @@
  * the upper bound of what is needed, room that is counted at the lower bound of what is there; so
  * there and back never yields more than was asked.
  */
-public final class Translation {
+public final class CapacityTranslator {
   /** What an amount is limited by. */
   public enum Limit {
     NOTHING,
@@ -36,13 +36,13 @@
   // worth nothing. Then it is said that it is not known.
   private static final double MOST_ERROR = 0.4;
 
-  private final Model model;
+  private final HardwareModel model;
   private final Map<Integer, Family> families = new TreeMap<>();
   private final double errors;
   private final double confidence;
 
   /** {@code confidence}: with which each single bound holds, from over 0.5 to under 1. */
-  public Translation(Model model, Iterable<Family> declared, double confidence) {
+  public CapacityTranslator(HardwareModel model, Iterable<Family> declared, double confidence) {
     if (!(confidence > 0.5 && confidence < 1)) {
       throw new IllegalArgumentException("a confidence is over 0.5 and under 1, not " + confidence);
     }
@@ -51,7 +51,7 @@
     for (Family one : declared) {
       families.put(one.kind(), one);
     }
-    errors = model.errors(confidence);
+    errors = model.standardErrors(confidence);
   }
 
   /**
@@ -71,7 +71,7 @@
     if (from == to) {
       return new Answer(endpoints, Limit.NOTHING, "");
     }
-    Model.Estimate capacity = model.capacity(method, from, to);
+    HardwareModel.Estimate capacity = model.capacityRatio(method, from, to);
     if (capacity == null) {
       return unknown(model.families().contains(from) ? to : from, "was not seen");
     }
@@ -116,7 +116,7 @@
     if (from == to) {
       return ms;
     }
-    Model.Estimate time = model.time(method, to, from);
+    HardwareModel.Estimate time = model.timeRatio(method, to, from);
     return time == null || time.error() > MOST_ERROR
         ? Double.NaN
         : ms * Math.exp(time.log() + errors * time.error());
--- a/src/main/java/sprucerock/hardware/Model.java
+++ b/src/main/java/sprucerock/hardware/HardwareModel.java
@@ -7,7 +7,7 @@
  * What families are worth beside each other, with how well that is known. Never changed; a later
  * one takes its place by {@link #newerThan}.
  */
-public final class Model {
+public final class HardwareModel {
   /** A logarithm and its standard error. */
   public record Estimate(double log, double error) {
     Estimate minus(Estimate other) {
@@ -20,8 +20,8 @@
   private final List<Integer> families;
   private final List<Integer> methods;
   private final Estimate[][][] times;
-  private final Estimate[] cores;
-  private final int free;
+  private final Estimate[] concurrency;
+  private final int degreesOfFreedom;
 
   /**
    * @param number of the lease under which it was fitted
@@ -31,7 +31,7 @@
    * @param cores by family: how many picks side by side
    * @param free degrees of freedom behind the errors, 1 at least
    */
-  public Model(
+  public HardwareModel(
       long number,
       long window,
       List<Integer> families,
@@ -47,12 +47,12 @@
     this.families = List.copyOf(families);
     this.methods = List.copyOf(methods);
     this.times = times;
-    this.cores = cores;
-    this.free = free;
+    this.concurrency = cores;
+    this.degreesOfFreedom = free;
   }
 
   /** From its figures in a row: times by method (last: for all), family, other family. */
-  public static Model of(
+  public static HardwareModel of(
       long number,
       long window,
       List<Integer> families,
@@ -75,7 +75,7 @@
     for (int a = 0; a < all.length; a++) {
       all[a] = new Estimate(cores.get(a), coresErrors.get(a));
     }
-    return new Model(number, window, families, methods, times, all, free);
+    return new HardwareModel(number, window, families, methods, times, all, free);
   }
 
   /** All times, in the order of {@link #of}. */
@@ -98,7 +98,7 @@
   }
 
   /** Of a later holder, or of the same one and later windows. */
-  public boolean newerThan(Model other) {
+  public boolean isNewerThan(HardwareModel other) {
     return other == null
         || number > other.number
         || number == other.number && window > other.window;
@@ -112,15 +112,15 @@
     return methods;
   }
 
-  public int free() {
-    return free;
+  public int degreesOfFreedom() {
+    return degreesOfFreedom;
   }
 
   /**
    * How many times as long a method takes on one family as on another at low load, or all methods
    * where it was not seen; null: a family was never seen.
    */
-  public Estimate time(int method, int on, int than) {
+  public Estimate timeRatio(int method, int on, int than) {
     int a = families.indexOf(on);
     int b = families.indexOf(than);
     int m = methods.indexOf(method);
@@ -131,28 +131,28 @@
    * How many times as many picks of a method a second a unit of one family bears as one of another;
    * null as above.
    */
-  public Estimate capacity(int method, int of, int than) {
-    Estimate time = time(method, of, than);
+  public Estimate capacityRatio(int method, int of, int than) {
+    Estimate time = timeRatio(method, of, than);
     if (time == null) {
       return null;
     }
     if (of == than) {
       return new Estimate(0, 0);
     }
-    return cores(of).minus(cores(than)).minus(time);
+    return concurrency(of).minus(concurrency(than)).minus(time);
   }
 
   /** How many picks side by side a unit of a family bears before they slow each other. */
-  public Estimate cores(int family) {
+  public Estimate concurrency(int family) {
     int f = families.indexOf(family);
-    return f < 0 ? null : cores[f];
+    return f < 0 ? null : concurrency[f];
   }
 
   /**
    * How many standard errors lie between an estimate and a bound that holds with that confidence,
    * over 0.5 and under 1.
    */
-  public double errors(double confidence) {
-    return new TDistribution(free).inverseCumulativeProbability(confidence);
+  public double standardErrors(double confidence) {
+    return new TDistribution(degreesOfFreedom).inverseCumulativeProbability(confidence);
   }
 }
--- a/src/main/java/sprucerock/hardware/LeastSquaresFit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -28,9 +28,9 @@
  */
 public final class LeastSquaresFit {
   /** Methods and families that are told apart; what comes beyond is left out, and said. */
-  public static final int MOST_METHODS = 64;
+  public static final int MAX_METHODS = 64;
 
-  public static final int MOST_FAMILIES = 16;
+  public static final int MAX_FAMILIES = 16;
   // Before anything is seen: a family may be twenty times as fast as another or as slow (three
   // sigma of 1), for one method up to half
   // as much beside the others.
@@ -65,24 +65,24 @@
   private double omega = 0.05 * 0.05;
   private double tau = 0.1 * 0.1;
 
-  private LeastSquaresFit(Collection<Map<Cell, Sums>> windows, IntPredicate settled) {
+  private LeastSquaresFit(Collection<Map<Cell, RunningMoments>> windows, IntPredicate settled) {
     TreeSet<Integer> kinds = new TreeSet<>();
     TreeSet<Integer> ways = new TreeSet<>();
-    for (Map<Cell, Sums> window : windows) {
+    for (Map<Cell, RunningMoments> window : windows) {
       for (Cell cell : window.keySet()) {
         kinds.add(cell.family());
         ways.add(cell.method());
       }
     }
-    families = kinds.stream().limit(MOST_FAMILIES).toList();
-    methods = ways.stream().limit(MOST_METHODS).toList();
+    families = kinds.stream().limit(MAX_FAMILIES).toList();
+    methods = ways.stream().limit(MAX_METHODS).toList();
     int group = 0;
-    for (Map<Cell, Sums> window : windows) {
+    for (Map<Cell, RunningMoments> window : windows) {
       Map<List<Integer>, Integer> groups =
           new TreeMap<>(java.util.Comparator.comparing(List::toString));
-      for (Map.Entry<Cell, Sums> one : window.entrySet()) {
+      for (Map.Entry<Cell, RunningMoments> one : window.entrySet()) {
         Cell cell = one.getKey();
-        Sums sums = one.getValue();
+        RunningMoments sums = one.getValue();
         boolean known = families.contains(cell.family()) && methods.contains(cell.method());
         if (!known || sums.count() < LEAST_PICKS || !settled.test(cell.build())) {
           continue;
@@ -121,7 +121,7 @@
               one.mean,
               variance(methods.get(one.method)) / one.count));
     }
-    for (Map<Cell, Sums> window : windows) {
+    for (Map<Cell, RunningMoments> window : windows) {
       depths(window, settled);
     }
   }
@@ -132,10 +132,10 @@
   }
 
   /** Beside the time at no depth of the same window, method, family and build. */
-  private void depths(Map<Cell, Sums> window, IntPredicate settled) {
-    for (Map.Entry<Cell, Sums> one : window.entrySet()) {
+  private void depths(Map<Cell, RunningMoments> window, IntPredicate settled) {
+    for (Map.Entry<Cell, RunningMoments> one : window.entrySet()) {
       Cell cell = one.getKey();
-      Sums calm = window.get(new Cell(cell.method(), cell.family(), cell.build(), 0));
+      RunningMoments calm = window.get(new Cell(cell.method(), cell.family(), cell.build(), 0));
       boolean known =
           families.contains(cell.family())
               && methods.contains(cell.method())
@@ -163,16 +163,17 @@
    *
    * @return null where nothing was seen of any
    */
-  public static Model of(Observation seen, long firstWindow, IntPredicate settled, long number) {
+  public static HardwareModel fit(
+      Observation seen, long firstWindow, IntPredicate settled, long number) {
     LeastSquaresFit fit = new LeastSquaresFit(seen.since(firstWindow).values(), settled);
-    return fit.points.isEmpty() ? null : fit.model(number, seen.newest());
+    return fit.points.isEmpty() ? null : fit.model(number, seen.newestWindow());
   }
 
   private int node(int family, int method) {
     return families.size() + family * methods.size() + method;
   }
 
-  private Model model(long number, long newest) {
+  private HardwareModel model(long number, long newest) {
     int size = families.size() * (1 + methods.size());
     double[] weights = new double[points.size()];
     java.util.Arrays.fill(weights, 1);
@@ -231,8 +232,8 @@
       spread(values, levels, weights, free);
       shrink(values, covariance);
     }
-    Model.Estimate[][][] times =
-        new Model.Estimate[methods.size() + 1][families.size()][families.size()];
+    HardwareModel.Estimate[][][] times =
+        new HardwareModel.Estimate[methods.size() + 1][families.size()][families.size()];
     for (int m = 0; m <= methods.size(); m++) {
       for (int a = 0; a < families.size(); a++) {
         for (int b = 0; b < families.size(); b++) {
@@ -243,11 +244,12 @@
                   + covariance.getEntry(other, other)
                   - 2 * covariance.getEntry(one, other);
           times[m][a][b] =
-              new Model.Estimate(values[one] - values[other], Math.sqrt(Math.max(0, variance)));
+              new HardwareModel.Estimate(
+                  values[one] - values[other], Math.sqrt(Math.max(0, variance)));
         }
       }
     }
-    return new Model(
+    return new HardwareModel(
         number, newest, families, methods, times, cores(), Math.max(3, free - families.size()));
   }
 
@@ -301,8 +303,8 @@
   /**
    * By family: the logarithm of how many picks a unit bears side by side, and its standard error.
    */
-  private Model.Estimate[] cores() {
-    Model.Estimate[] found = new Model.Estimate[families.size()];
+  private HardwareModel.Estimate[] cores() {
+    HardwareModel.Estimate[] found = new HardwareModel.Estimate[families.size()];
     for (int f = 0; f < families.size(); f++) {
       double[] logs = new double[CORES.length];
       double best = Double.NEGATIVE_INFINITY;
@@ -332,7 +334,8 @@
         square += weight * CORES[i] * CORES[i];
       }
       mean /= all;
-      found[f] = new Model.Estimate(mean, Math.sqrt(Math.max(square / all - mean * mean, 1e-6)));
+      found[f] =
+          new HardwareModel.Estimate(mean, Math.sqrt(Math.max(square / all - mean * mean, 1e-6)));
     }
     return found;
   }
--- a/src/main/java/sprucerock/hardware/Observation.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -22,7 +22,7 @@
    * True where it says something new; one that holds less than what is known of its relay and
    * window came late or twice.
    */
-  public boolean told(SampleSums tally) {
+  public boolean add(SampleSums tally) {
     if (!windows.isEmpty() && tally.window() <= windows.lastKey() - WINDOWS) {
       return false;
     }
@@ -47,15 +47,15 @@
   }
 
   /** All relays' cells of each window from one on, added up. */
-  Map<Long, Map<Cell, Sums>> since(long first) {
-    Map<Long, Map<Cell, Sums>> all = new TreeMap<>();
+  Map<Long, Map<Cell, RunningMoments>> since(long first) {
+    Map<Long, Map<Cell, RunningMoments>> all = new TreeMap<>();
     windows
         .tailMap(first)
         .forEach(
             (window, relays) -> {
-              Map<Cell, Sums> sums = new TreeMap<>();
+              Map<Cell, RunningMoments> sums = new TreeMap<>();
               for (SampleSums tally : relays.values()) {
-                tally.cells().forEach((cell, one) -> sums.merge(cell, one, Sums::plus));
+                tally.cells().forEach((cell, one) -> sums.merge(cell, one, RunningMoments::plus));
               }
               all.put(window, sums);
             });
@@ -63,7 +63,7 @@
   }
 
   /** The newest window; 0: there is none. */
-  public long newest() {
+  public long newestWindow() {
     return windows.isEmpty() ? 0 : windows.lastKey();
   }
 }
--- a/src/main/java/sprucerock/hardware/OutlierScore.java
+++ b/src/main/java/sprucerock/hardware/OutlierScore.java
@@ -48,17 +48,17 @@
   /**
    * Families on which a build runs slower beside the settled ones than it does on other families.
    */
-  public static List<Finding> builds(
+  public static List<Finding> slowBuilds(
       Observation seen, long firstWindow, int build, java.util.function.IntPredicate settled) {
     Map<Integer, Mean> byFamily = new TreeMap<>();
-    for (Map<Cell, Sums> window : seen.since(firstWindow).values()) {
+    for (Map<Cell, RunningMoments> window : seen.since(firstWindow).values()) {
       window.forEach(
           (cell, own) -> {
             if (cell.build() != build || cell.depth() > 0 || own.count() < LEAST_PICKS) {
               return;
             }
-            Sums usual = Sums.NONE;
-            for (Map.Entry<Cell, Sums> other : window.entrySet()) {
+            RunningMoments usual = RunningMoments.NONE;
+            for (Map.Entry<Cell, RunningMoments> other : window.entrySet()) {
               Cell beside = other.getKey();
               boolean like =
                   beside.method() == cell.method()
@@ -87,25 +87,25 @@
    * Families on which settled builds run slower in the windows from one on than before it, beside
    * other families.
    */
-  public static List<Finding> families(
+  public static List<Finding> slowFamilies(
       Observation seen, long firstWindow, long from, java.util.function.IntPredicate settled) {
     Map<Integer, Mean> byFamily = new TreeMap<>();
-    Map<Cell, Sums> before = new TreeMap<>();
-    Map<Cell, Sums> since = new TreeMap<>();
+    Map<Cell, RunningMoments> before = new TreeMap<>();
+    Map<Cell, RunningMoments> since = new TreeMap<>();
     seen.since(firstWindow)
         .forEach(
             (window, cells) ->
                 cells.forEach(
                     (cell, sums) -> {
                       if (cell.depth() == 0 && settled.test(cell.build())) {
-                        (window < from ? before : since).merge(cell, sums, Sums::plus);
+                        (window < from ? before : since).merge(cell, sums, RunningMoments::plus);
                       }
                     }));
     TreeSet<Cell> both = new TreeSet<>(before.keySet());
     both.retainAll(since.keySet());
     for (Cell cell : both) {
-      Sums old = before.get(cell);
-      Sums now = since.get(cell);
+      RunningMoments old = before.get(cell);
+      RunningMoments now = since.get(cell);
       if (old.count() < LEAST_PICKS || now.count() < LEAST_PICKS) {
         continue;
       }
--- a/src/main/java/sprucerock/hardware/Sums.java
+++ b/src/main/java/sprucerock/hardware/RunningMoments.java
@@ -4,18 +4,18 @@
  * Logarithms of times: how many, their mean, and the sum of their squared distances from it.
  * (Welford 1962; merged as by Chan and others, 1979.) Never changed, only replaced.
  */
-public record Sums(double count, double mean, double squares) {
-  static final Sums NONE = new Sums(0, 0, 0);
+public record RunningMoments(double count, double mean, double squares) {
+  static final RunningMoments NONE = new RunningMoments(0, 0, 0);
 
   /** With one more time, in milliseconds; what is under a microsecond counts as that. */
-  public Sums plus(double ms) {
+  public RunningMoments plus(double ms) {
     double log = Math.log(Math.max(ms, 0.001));
     double off = log - mean;
     double now = mean + off / (count + 1);
-    return new Sums(count + 1, now, squares + off * (log - now));
+    return new RunningMoments(count + 1, now, squares + off * (log - now));
   }
 
-  public Sums plus(Sums other) {
+  public RunningMoments plus(RunningMoments other) {
     if (count == 0) {
       return other;
     }
@@ -24,7 +24,7 @@
     }
     double all = count + other.count;
     double off = other.mean - mean;
-    return new Sums(
+    return new RunningMoments(
         all,
         mean + off * other.count / all,
         squares + other.squares + off * off * count * other.count / all);
--- a/src/main/java/sprucerock/hardware/SampleSums.java
+++ b/src/main/java/sprucerock/hardware/SampleSums.java
@@ -13,12 +13,12 @@
    * Cells of a window; a relay with more methods, families and builds than that leaves out the ones
    * it met last.
    */
-  public static final int MOST_CELLS = 256;
+  public static final int MAX_CELLS = 256;
 
   private final int relay;
   private final long window;
-  private final TreeMap<Cell, Sums> cells = new TreeMap<>();
-  private long leftOut;
+  private final TreeMap<Cell, RunningMoments> cells = new TreeMap<>();
+  private long droppedSamples;
 
   /** {@code window}: the same number for the same stretch of time at all relays. */
   public SampleSums(int relay, long window) {
@@ -30,18 +30,18 @@
    * A pick ended ok after so many milliseconds, on a unit that held so many others when it was
    * sent.
    */
-  public void ended(int method, int family, int build, int others, double ms) {
+  public void add(int method, int family, int build, int others, double ms) {
     Cell cell = Cell.of(method, family, build, others);
-    if (cells.size() >= MOST_CELLS && !cells.containsKey(cell)) {
-      leftOut++;
+    if (cells.size() >= MAX_CELLS && !cells.containsKey(cell)) {
+      droppedSamples++;
     } else {
-      cells.merge(cell, Sums.NONE.plus(ms), Sums::plus);
+      cells.merge(cell, RunningMoments.NONE.plus(ms), RunningMoments::plus);
     }
   }
 
   /** A cell as it was told. */
-  public void put(Cell cell, Sums sums) {
-    if (cells.size() < MOST_CELLS) {
+  public void put(Cell cell, RunningMoments sums) {
+    if (cells.size() < MAX_CELLS) {
       cells.put(cell, sums);
     }
   }
@@ -54,17 +54,17 @@
     return window;
   }
 
-  public Map<Cell, Sums> cells() {
+  public Map<Cell, RunningMoments> cells() {
     return cells;
   }
 
   /** Picks in it. */
   double count() {
-    return cells.values().stream().mapToDouble(Sums::count).sum();
+    return cells.values().stream().mapToDouble(RunningMoments::count).sum();
   }
 
   /** Picks that found no room. */
-  public long leftOut() {
-    return leftOut;
+  public long droppedSamples() {
+    return droppedSamples;
   }
 }
--- a/src/main/java/sprucerock/lab/GranterProcess.java
+++ b/src/main/java/sprucerock/lab/GranterProcess.java
@@ -10,7 +10,7 @@
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.GrantorListener;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Tap;
 
@@ -41,7 +41,7 @@
                     of.leases,
                     of.name,
                     Tap.NONE,
-                    new Leases.Log() {
+                    new LeaseManager.Log() {
                       @Override
                       public void info(String what) {
                         log.info("LEASE {}", what);
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -10,7 +10,7 @@
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.LeaseCheck;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.model.RolloutState;
 import sprucerock.model.Verdict;
 import sprucerock.model.VoteReply;
@@ -48,21 +48,21 @@
   }
 
   private static final String LEASE = "looks"; // of relay.Looks
-  private static final Leases.Log SILENT =
-      new Leases.Log() {
+  private static final LeaseManager.Log SILENT =
+      new LeaseManager.Log() {
         @Override
         public void info(String what) {}
 
         @Override
         public void warn(String what) {}
       };
-  private static final Leases.Task NO_LOOKS =
-      new Leases.Task() {
+  private static final LeaseManager.Listener NO_LOOKS =
+      new LeaseManager.Listener() {
         @Override
-        public void begun(LeaseCheck guard) {}
+        public void acquired(LeaseCheck guard) {}
 
         @Override
-        public void ended(String why) {}
+        public void lost(String why) {}
       };
 
   private final Net net;
@@ -73,7 +73,7 @@
   private final Map<Long, Long> votesOut = new HashMap<>();
   private ControllerConnection desk;
   private RackPermits racks;
-  private Leases leases;
+  private LeaseManager leases;
   private UnresponsivePeer.Told news;
   private int lives;
   private long epoch;
@@ -133,7 +133,7 @@
             this::learnt);
     LeaseConfig of = config.leases;
     leases =
-        new Leases(
+        new LeaseManager(
             net,
             new LeaseConfig(
                 number,
@@ -154,7 +154,7 @@
     desk.start();
     racks.start();
     leases.start();
-    leases.stand(LEASE, NO_LOOKS);
+    leases.campaign(LEASE, NO_LOOKS);
   }
 
   void stop() {
--- a/src/main/java/sprucerock/lease/FencingToken.java
+++ b/src/main/java/sprucerock/lease/FencingTokenRegistry.java
@@ -9,22 +9,22 @@
  * more. It holds whatever clocks do, and needs no word with granters. It forgets with its process;
  * then time alone guards, for one term.
  */
-public final class FencingToken {
+public final class FencingTokenRegistry {
   /** Names that are remembered; beyond, the one that acted longest ago is forgotten. */
-  public static final int MOST = 1024;
+  public static final int MAX_LEASES = 1024;
 
   private final Map<String, Long> highest = new LinkedHashMap<>(16, 0.75f, true);
-  private long refused;
+  private long rejectedCount;
 
   /** Whether an act under that number may be done; it is then the highest. */
   public boolean admits(String name, long number) {
     Long known = highest.get(name);
     if (known != null && number < known) {
-      refused++;
+      rejectedCount++;
       return false;
     }
     highest.put(name, number);
-    if (highest.size() > MOST) {
+    if (highest.size() > MAX_LEASES) {
       Iterator<String> oldest = highest.keySet().iterator();
       oldest.next();
       oldest.remove();
@@ -38,7 +38,7 @@
   }
 
   /** Acts that were refused so far. */
-  public long refused() {
-    return refused;
+  public long rejectedCount() {
+    return rejectedCount;
   }
 }
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -13,7 +13,8 @@
  * @param open it was not given back
  * @param heir to whom it was handed over, and is kept for until {@code until}; -1: to nobody
  */
-record Grant(long number, int holder, long life, Timestamp until, boolean open, int heir) {
+record Grant(
+    long token, int holder, long incarnation, Timestamp expiresAt, boolean open, int successor) {
   static final Grant NONE =
       new Grant(0, -1, 0, Timestamp.ofMs(Double.NEGATIVE_INFINITY), false, -1);
 }
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -38,16 +38,16 @@
   private final Net net;
   private final LeaseConfig config;
   private final Tap tap;
-  private final Leases.Log log;
+  private final LeaseManager.Log log;
   private final Hello mine;
   private final Map<Integer, Session> sessions = new TreeMap<>();
   private final LeaseGrantor granter;
   private Session asking;
   private Net.Listener listener;
-  private long dropped;
+  private long droppedRequests;
 
   /** The granter that the configuration says this process is. */
-  public GrantorListener(Net net, LeaseConfig config, String name, Tap tap, Leases.Log log) {
+  public GrantorListener(Net net, LeaseConfig config, String name, Tap tap, LeaseManager.Log log) {
     this.net = net;
     this.config = config;
     this.tap = tap;
@@ -61,8 +61,8 @@
             .build();
     granter =
         new LeaseGrantor(
-            Leases.terms(config),
-            new LeaseGrantor.Host() {
+            LeaseManager.terms(config),
+            new LeaseGrantor.Replies() {
               @Override
               public void granted(int candidate, String name, long number, long round) {
                 asking.connection.send(
@@ -77,14 +77,14 @@
               }
 
               @Override
-              public void refused(
+              public void rejected(
                   int candidate,
                   String name,
                   long number,
                   long round,
                   long highest,
                   TimeSpan left,
-                  LeaseGrantor.Refusal why) {
+                  LeaseGrantor.Rejection why) {
                 asking.connection.send(
                     Kind.LEASE_SAID,
                     LeaseSaid.newBuilder()
@@ -93,14 +93,14 @@
                         .setRound(round)
                         .setHighest(highest)
                         .setLeftUs((long) Math.max(0, left.ms() * 1000))
-                        .setHeld(why == LeaseGrantor.Refusal.HELD)
+                        .setHeld(why == LeaseGrantor.Rejection.HELD)
                         .setWhy(why.name())
                         .build(),
                     NO_BODY);
               }
 
               @Override
-              public void freed(int candidate, String name) {
+              public void available(int candidate, String name) {
                 Session session = sessions.get(candidate);
                 if (session != null) {
                   session.connection.send(
@@ -120,10 +120,11 @@
         net.listen(
             config.listen() == null ? at : config.listen(),
             config.most(),
-            Leases.LIMITS.unsent(),
+            LeaseManager.LIMITS.unsent(),
             () -> {
               Session session = new Session();
-              session.connection = new FrameConnection(net, mine, Leases.LIMITS, tap, session);
+              session.connection =
+                  new FrameConnection(net, mine, LeaseManager.LIMITS, tap, session);
               return session.connection;
             });
     log.info(
@@ -146,8 +147,8 @@
   }
 
   /** Asks beyond what one link may send, which got no answer. */
-  public long dropped() {
-    return dropped;
+  public long droppedRequests() {
+    return droppedRequests;
   }
 
   private final class Session implements FrameListener {
@@ -175,7 +176,7 @@
         case LEASE_ASK -> ask((LeaseAsk) head);
         case LEASE_BACK -> {
           LeaseBack back = (LeaseBack) head;
-          granter.returned(
+          granter.release(
               number,
               back.getLife(),
               back.getName(),
@@ -195,7 +196,7 @@
         inSecond = 0;
       }
       if (++inSecond > ASKS_A_SECOND) {
-        dropped++;
+        droppedRequests++;
         return;
       }
       // a candidate that counts other terms would trust in what nobody granted
@@ -213,14 +214,14 @@
             "a lease has a name of 1 to " + MOST_NAME + " characters and a number above 0");
       } else {
         asking = this;
-        granter.asked(number, ask.getLife(), ask.getName(), ask.getNumber(), ask.getRound(), now);
+        granter.request(number, ask.getLife(), ask.getName(), ask.getNumber(), ask.getRound(), now);
       }
     }
 
     @Override
     public void closed(String why) {
       if (sessions.remove(number, this)) {
-        granter.gone(number);
+        granter.disconnected(number);
       }
     }
   }
@@ -230,8 +231,8 @@
     LeaseListed.Builder all =
         LeaseListed.newBuilder()
             .setGranter(config.granter())
-            .setRefused(granter.refusals())
-            .setOpensUs((long) Math.max(0, granter.opens().since(now).ms() * 1000));
+            .setRefused(granter.rejectedCount())
+            .setOpensUs((long) Math.max(0, granter.grantsFrom().since(now).ms() * 1000));
     granter
         .grants()
         .forEach(
@@ -239,13 +240,13 @@
                 all.addEntries(
                     LeaseEntry.newBuilder()
                         .setName(name)
-                        .setNumber(grant.number())
+                        .setNumber(grant.token())
                         .setHolder(grant.holder())
                         .setLeftUs(
                             grant.open()
-                                ? (long) Math.max(0, grant.until().since(now).ms() * 1000)
+                                ? (long) Math.max(0, grant.expiresAt().since(now).ms() * 1000)
                                 : 0)
-                        .setWaiting(granter.waiting(name).size())));
+                        .setWaiting(granter.waiters(name).size())));
     return all.build();
   }
 }
--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -12,43 +12,43 @@
  * FencingToken}). (Burrows, "The Chubby lock service", 2006, calls such a number a sequencer.)
  */
 public class LeaseCheck {
-  private final LeaseClient candidate;
+  private final LeaseClient client;
   private final Supplier<Timestamp> clock;
 
   /** {@code clock}: this process's steady clock, read anew with each call. */
   LeaseCheck(LeaseClient candidate, Supplier<Timestamp> clock) {
-    this.candidate = candidate;
+    this.client = candidate;
     this.clock = clock;
   }
 
   /** Acts if the lease is held for certain for that long yet; false if nothing was done. */
-  public boolean act(TimeSpan needs, LongConsumer act) {
-    if (!may(needs)) {
+  public boolean runIfHeld(TimeSpan needs, LongConsumer act) {
+    if (!isHeldFor(needs)) {
       return false;
     }
-    act.accept(candidate.number());
+    act.accept(client.token());
     return true;
   }
 
-  boolean may(TimeSpan needs) {
+  boolean isHeldFor(TimeSpan needs) {
     Timestamp now = clock.get();
-    return candidate.holds(now) && !needs.over(candidate.left(now));
+    return client.isHeldAt(now) && !needs.over(client.remaining(now));
   }
 
   /** The same for an act that takes no time worth the name. */
-  public boolean act(LongConsumer act) {
-    return act(TimeSpan.ZERO, act);
+  public boolean runIfHeld(LongConsumer act) {
+    return runIfHeld(TimeSpan.ZERO, act);
   }
 
   /**
    * Whether it is held now. What is done on this answer alone, without {@link #act}, is not safe.
    */
-  public boolean held() {
-    return may(TimeSpan.ZERO);
+  public boolean isHeld() {
+    return isHeldFor(TimeSpan.ZERO);
   }
 
   /** An act was refused where it landed, as that had seen a higher number. */
-  public void refused(long higher) {
-    candidate.saw(higher);
+  public void tokenRejected(long higher) {
+    client.observeToken(higher);
   }
 }
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -12,13 +12,13 @@
  */
 class LeaseClient {
   /** What it can do; messages may get lost. */
-  interface Host {
-    void ask(int granter, String name, long number, long round);
+  interface Transport {
+    void request(int granter, String name, long number, long round);
 
     /** {@code heir}: who is to have it next; -1: anybody. */
-    void giveBack(int granter, String name, long number, int heir);
+    void release(int granter, String name, long number, int heir);
 
-    void taken(String name, long number);
+    void acquired(String name, long number);
 
     void lost(String name, long number, String why);
   }
@@ -35,14 +35,14 @@
   private static final int MOST_DOUBLINGS = 4;
 
   private final String name;
-  private final Terms terms;
-  private final Host host;
+  private final LeaseTerms terms;
+  private final Transport host;
   private final DoubleSupplier chance;
   private final int me;
-  private final long life;
+  private final long incarnation;
 
   private boolean wanted;
-  private long number; // 0: none is asked for
+  private long token; // 0: none is asked for
   private long round;
   private Timestamp askedAt;
   private long granters; // of this round, as bits
@@ -50,7 +50,7 @@
   private TimeSpan shortest; // what they said is left
   private boolean inTheWay; // somebody else has it, so that asking sooner is of no use
   private Timestamp until; // null: not held
-  private Timestamp due; // null: nothing is to be done by time
+  private Timestamp nextTick; // null: nothing is to be done by time
   private long seen;
   private int fails;
 
@@ -58,7 +58,8 @@
    * {@code me}: its number in the fleet, 0 to 65535; {@code life}: another one with each start of
    * the process.
    */
-  LeaseClient(String name, Terms terms, Host host, DoubleSupplier chance, int me, long life) {
+  LeaseClient(
+      String name, LeaseTerms terms, Transport host, DoubleSupplier chance, int me, long life) {
     if (me < 0 || me >= 1 << NUMBER_BITS) {
       throw new IllegalArgumentException("a candidate's number is 0 to 65535, not " + me);
     }
@@ -67,13 +68,13 @@
     this.host = host;
     this.chance = chance;
     this.me = me;
-    this.life = life;
+    this.incarnation = life;
   }
 
   /** All that the other one knows, so that a search can go on from there more than once. */
-  void become(LeaseClient other) {
+  void copyStateFrom(LeaseClient other) {
     wanted = other.wanted;
-    number = other.number;
+    token = other.token;
     round = other.round;
     askedAt = other.askedAt;
     granters = other.granters;
@@ -81,19 +82,19 @@
     shortest = other.shortest;
     inTheWay = other.inTheWay;
     until = other.until;
-    due = other.due;
+    nextTick = other.nextTick;
     seen = other.seen;
     fails = other.fails;
   }
 
   /** All that it knows but for which granters said what: {@link #has}. */
-  String withoutGranters() {
+  String stateWithoutVotes() {
     return name
         + " by "
         + me
         + (wanted ? "" : ", not wanted")
         + ", number "
-        + number
+        + token
         + ", round "
         + round
         + " of "
@@ -104,7 +105,7 @@
         + ", until "
         + until
         + ", due "
-        + due
+        + nextTick
         + ", seen "
         + seen
         + ", fails "
@@ -112,7 +113,7 @@
   }
 
   /** What a granter said in this round: 1 that it is granted, 2 that it isn't, 0 nothing. */
-  int has(int granter) {
+  int voteOf(int granter) {
     return (int) (granters >> granter & 1 | (refusers >> granter & 1) << 1);
   }
 
@@ -120,12 +121,12 @@
     return name;
   }
 
-  long life() {
-    return life;
+  long incarnation() {
+    return incarnation;
   }
 
   /** It is to be had from now on. {@code floorMs}: see {@link #fresh}. */
-  void want(Timestamp now, long floorMs) {
+  void acquire(Timestamp now, long floorMs) {
     if (wanted) {
       return;
     }
@@ -137,9 +138,9 @@
    * It is given back, if it is held, and not asked for any more; {@code heir}: who is to have it
    * next, -1: anybody.
    */
-  void leave(int heir) {
+  void release(int heir) {
     wanted = false;
-    due = null;
+    nextTick = null;
     drop("left", heir);
   }
 
@@ -158,8 +159,8 @@
   }
 
   private void ask(Timestamp now, long floorMs) {
-    number = fresh(floorMs);
-    seen = number;
+    token = fresh(floorMs);
+    seen = token;
     round(now);
   }
 
@@ -170,39 +171,40 @@
     refusers = 0;
     shortest = null;
     inTheWay = false;
-    due = now.plus(terms.usable().times(PATIENCE));
-    for (int each = 0; each < terms.granters(); each++) {
-      host.ask(each, name, number, round);
+    nextTick = now.plus(terms.usableTerm().times(PATIENCE));
+    for (int each = 0; each < terms.grantors(); each++) {
+      host.request(each, name, token, round);
     }
   }
 
   void granted(int granter, long ofNumber, long ofRound, Timestamp now) {
     if (ofNumber
-        != number) { // of a number that was given up; what told the granter so may have been lost
-      host.giveBack(granter, name, ofNumber, -1);
+        != token) { // of a number that was given up; what told the granter so may have been lost
+      host.release(granter, name, ofNumber, -1);
       return;
     }
-    if (!thisRound(ofRound)) {
+    if (!isCurrentRound(ofRound)) {
       return;
     }
     granters |= 1L << granter;
-    if (Long.bitCount(granters) < enough()) {
+    if (Long.bitCount(granters) < requiredGrants()) {
       return;
     }
-    Timestamp end = from(now).plus(usable());
+    Timestamp end = termStart(now).plus(usableTerm());
     if (!end.after(now)) {
       return; // so late that it is over; the round ends by its patience
     }
     boolean first = until == null;
     until = end;
     fails = 0;
-    due = askedAt.plus(terms.usable().times(RENEW + SPREAD * chance.getAsDouble())).later(now);
+    nextTick =
+        askedAt.plus(terms.usableTerm().times(RENEW + SPREAD * chance.getAsDouble())).later(now);
     if (first) {
-      host.taken(name, number);
+      host.acquired(name, token);
     }
   }
 
-  void refused(
+  void rejected(
       int granter,
       long ofNumber,
       long ofRound,
@@ -211,13 +213,13 @@
       boolean held,
       Timestamp now) {
     seen = Math.max(seen, highest);
-    if (ofNumber != number || ofRound != round) {
+    if (ofNumber != token || ofRound != round) {
       return;
     }
     refusers |= 1L << granter;
     shortest = shortest == null ? left : shortest.atMost(left);
     inTheWay |= held;
-    if (until == null && Long.bitCount(refusers) > terms.granters() - terms.majority()) {
+    if (until == null && Long.bitCount(refusers) > terms.grantors() - terms.quorum()) {
       fail(now);
     }
   }
@@ -226,29 +228,29 @@
   // checker finds it missing.
 
   /** An answer to an earlier round says nothing of when this one began. */
-  boolean thisRound(long ofRound) {
+  boolean isCurrentRound(long ofRound) {
     return ofRound == round;
   }
 
-  int enough() {
-    return terms.majority();
+  int requiredGrants() {
+    return terms.quorum();
   }
 
   /**
    * The moment from which the term counts: nobody knows when a granter began to count, but not
    * before it was asked.
    */
-  Timestamp from(Timestamp now) {
+  Timestamp termStart(Timestamp now) {
     return askedAt;
   }
 
-  TimeSpan usable() {
-    return terms.usable();
+  TimeSpan usableTerm() {
+    return terms.usableTerm();
   }
 
   /** A granter has said that it may be had. */
-  void freed(Timestamp now, long floorMs) {
-    if (wanted && until == null && number == 0) {
+  void available(Timestamp now, long floorMs) {
+    if (wanted && until == null && token == 0) {
       ask(now, floorMs);
     }
   }
@@ -258,11 +260,11 @@
    * block each other.
    */
   private void fail(Timestamp now) {
-    long given = number;
-    number = 0;
-    for (int each = 0; each < terms.granters(); each++) {
+    long given = token;
+    token = 0;
+    for (int each = 0; each < terms.grantors(); each++) {
       if ((refusers >> each & 1) == 0) {
-        host.giveBack(each, name, given, -1);
+        host.release(each, name, given, -1);
       }
     }
     fails = Math.min(fails + 1, MOST_DOUBLINGS);
@@ -271,51 +273,51 @@
     // is drawn, so that those who asked together do not ask together again.
     TimeSpan pause =
         inTheWay && shortest != null
-            ? shortest.plus(terms.usable().times(PATIENCE * chance.getAsDouble()))
-            : terms.usable().times(PATIENCE * (1 << fails - 1) * (0.5 + chance.getAsDouble()));
-    due = now.plus(pause);
+            ? shortest.plus(terms.usableTerm().times(PATIENCE * chance.getAsDouble()))
+            : terms.usableTerm().times(PATIENCE * (1 << fails - 1) * (0.5 + chance.getAsDouble()));
+    nextTick = now.plus(pause);
   }
 
   /** When {@link #tick} is to be called next; null: not before something else happens. */
-  Timestamp due() {
-    return due;
+  Timestamp nextTick() {
+    return nextTick;
   }
 
   void tick(Timestamp now, long floorMs) {
-    if (until != null && !holds(now)) {
+    if (until != null && !isHeldAt(now)) {
       drop("it ran out, not renewed in time", -1);
       if (wanted) {
         ask(now, floorMs);
       }
       return;
     }
-    if (due == null || due.after(now)) {
+    if (nextTick == null || nextTick.after(now)) {
       return;
     }
     if (until != null) {
       round(now); // to hold on to it; until then it is held as before
-    } else if (number != 0) {
+    } else if (token != 0) {
       fail(now);
     } else if (wanted) {
       ask(now, floorMs);
     } else {
-      due = null;
+      nextTick = null;
     }
     if (until != null) {
-      due = due.earlier(until);
+      nextTick = nextTick.earlier(until);
     }
   }
 
   private void drop(String why, int heir) {
-    if (number == 0) {
+    if (token == 0) {
       return;
     }
-    long given = number;
+    long given = token;
     boolean held = until != null;
-    number = 0;
+    token = 0;
     until = null;
-    for (int each = 0; each < terms.granters(); each++) {
-      host.giveBack(each, name, given, heir);
+    for (int each = 0; each < terms.grantors(); each++) {
+      host.release(each, name, given, heir);
     }
     if (held) {
       host.lost(name, given, why);
@@ -323,22 +325,22 @@
   }
 
   /** Whether it is held for certain at that moment of this process's clock. */
-  boolean holds(Timestamp at) {
+  boolean isHeldAt(Timestamp at) {
     return until != null && until.after(at);
   }
 
   /** How long it is held for certain from then on; zero where it isn't. */
-  TimeSpan left(Timestamp at) {
-    return holds(at) ? until.since(at) : TimeSpan.ZERO;
+  TimeSpan remaining(Timestamp at) {
+    return isHeldAt(at) ? until.since(at) : TimeSpan.ZERO;
   }
 
   /** By which acts are stamped; 0 where it is not held. */
-  long number() {
-    return until == null ? 0 : number;
+  long token() {
+    return until == null ? 0 : token;
   }
 
   /** The place where an act landed has seen this number; the next one is higher. */
-  void saw(long higher) {
+  void observeToken(long higher) {
     seen = Math.max(seen, higher);
   }
 }
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -23,28 +23,28 @@
  */
 class LeaseGrantor {
   /** What it can do; answers may get lost. */
-  interface Host {
+  interface Replies {
     void granted(int candidate, String name, long number, long round);
 
     /**
      * {@code highest}: the number to be exceeded; {@code left}: not worth asking before that; zero:
      * at once.
      */
-    void refused(
+    void rejected(
         int candidate,
         String name,
         long number,
         long round,
         long highest,
         TimeSpan left,
-        Refusal why);
+        Rejection why);
 
     /** It may be had now; told to one that waits. */
-    void freed(int candidate, String name);
+    void available(int candidate, String name);
   }
 
   /** Why it was not granted. */
-  enum Refusal {
+  enum Rejection {
     HELD,
     LOWER,
     RETURNED,
@@ -54,10 +54,10 @@
   }
 
   /** Names at most; a grant that ended long ago gives way to a new name. */
-  static final int MOST_NAMES = 1024;
+  static final int MAX_LEASES = 1024;
 
   /** That are told when a name comes free; others ask again by themselves. */
-  static final int MOST_WAITING = 16;
+  static final int MAX_WAITERS = 16;
 
   // Whoever finds the line full asks again after so many terms: with a thousand candidates and
   // terms of three seconds a granter
@@ -66,33 +66,33 @@
   private static final double LINE_FULL_TERMS = 8;
   private static final double HEIR_TERMS = 0.5; // an heir that is alive asks within a round trip
 
-  private final Terms terms;
-  private final Host host;
-  private final Timestamp opens;
+  private final LeaseTerms terms;
+  private final Replies host;
+  private final Timestamp grantsFrom;
   private final Map<String, Grant> grants = new TreeMap<>();
-  private final Map<String, Set<Integer>> waiting = new TreeMap<>();
+  private final Map<String, Set<Integer>> waiters = new TreeMap<>();
   private long refused;
 
   /** Begins with nothing known. */
-  LeaseGrantor(Terms terms, Host host, Timestamp now) {
-    this(terms, host, now.plus(terms.longest()), Map.of());
+  LeaseGrantor(LeaseTerms terms, Replies host, Timestamp now) {
+    this(terms, host, now.plus(terms.longestTerm()), Map.of());
   }
 
   /** As it stands. */
-  LeaseGrantor(Terms terms, Host host, Timestamp opens, Map<String, Grant> grants) {
+  LeaseGrantor(LeaseTerms terms, Replies host, Timestamp opens, Map<String, Grant> grants) {
     this.terms = terms;
     this.host = host;
-    this.opens = opens;
+    this.grantsFrom = opens;
     this.grants.putAll(grants);
   }
 
   /** A candidate asks, for the first time or to hold on to it: {@code number} says which. */
-  void asked(int candidate, long life, String name, long number, long round, Timestamp now) {
+  void request(int candidate, long life, String name, long number, long round, Timestamp now) {
     Grant grant = grants.getOrDefault(name, Grant.NONE);
-    Refusal why = why(candidate, life, name, number, grant, now);
+    Rejection why = why(candidate, life, name, number, grant, now);
     if (why == null) {
       grants.put(name, new Grant(number, candidate, life, now.plus(terms.term()), true, -1));
-      Set<Integer> line = waiting.get(name);
+      Set<Integer> line = waiters.get(name);
       if (line != null) {
         line.remove(candidate);
       }
@@ -100,71 +100,71 @@
       return;
     }
     refused++;
-    boolean mine = grant.number() == number && grant.life() == life;
+    boolean mine = grant.token() == number && grant.incarnation() == life;
     TimeSpan left =
         switch (why) {
-          case STARTING -> opens.since(now);
-          case HELD, KEPT -> grant.until().since(now);
-          case TOO_MANY -> terms.longest();
+          case STARTING -> grantsFrom.since(now);
+          case HELD, KEPT -> grant.expiresAt().since(now);
+          case TOO_MANY -> terms.longestTerm();
           case LOWER, RETURNED -> TimeSpan.ZERO;
         };
-    if (why == Refusal.HELD && !mine && !waits(candidate, name)) {
+    if (why == Rejection.HELD && !mine && !waits(candidate, name)) {
       left = left.plus(terms.term().times(LINE_FULL_TERMS));
     }
-    host.refused(candidate, name, number, round, grant.number(), left, why);
+    host.rejected(candidate, name, number, round, grant.token(), left, why);
   }
 
-  private Refusal why(
+  private Rejection why(
       int candidate, long life, String name, long number, Grant grant, Timestamp now) {
-    if (startsOut(now)) {
-      return Refusal.STARTING;
+    if (isStarting(now)) {
+      return Rejection.STARTING;
     }
-    if (same(grant, candidate, life, number)) {
-      return isOut(grant) ? null : Refusal.RETURNED;
+    if (isHolder(grant, candidate, life, number)) {
+      return isOutstanding(grant) ? null : Rejection.RETURNED;
     }
-    if (runs(grant, now)) {
-      return Refusal.HELD;
+    if (isRunning(grant, now)) {
+      return Rejection.HELD;
     }
-    if (grant.heir() >= 0 && grant.heir() != candidate && grant.until().after(now)) {
-      return Refusal.KEPT;
+    if (grant.successor() >= 0 && grant.successor() != candidate && grant.expiresAt().after(now)) {
+      return Rejection.KEPT;
     }
-    if (!exceeds(number, grant)) {
-      return Refusal.LOWER;
+    if (!exceedsToken(number, grant)) {
+      return Rejection.LOWER;
     }
-    return grants.containsKey(name) || hasRoom(now) ? null : Refusal.TOO_MANY;
+    return grants.containsKey(name) || hasCapacity(now) ? null : Rejection.TOO_MANY;
   }
 
   // What keeps two from holding it stands alone, so that tests can take it out and show that their
   // checker finds it missing.
 
   /** What its last life granted may still run. */
-  boolean startsOut(Timestamp now) {
-    return opens.after(now);
+  boolean isStarting(Timestamp now) {
+    return grantsFrom.after(now);
   }
 
   /** Whoever asks under the number that is out is its holder, if it is that same life of it. */
-  boolean same(Grant grant, int candidate, long life, long number) {
-    return grant.number() == number && grant.holder() == candidate && grant.life() == life;
+  boolean isHolder(Grant grant, int candidate, long life, long number) {
+    return grant.token() == number && grant.holder() == candidate && grant.incarnation() == life;
   }
 
   /**
    * A grant that was given back is not revived by an ask that was long on its way, and the name
    * blocked for a term.
    */
-  boolean isOut(Grant grant) {
+  boolean isOutstanding(Grant grant) {
     return grant.open();
   }
 
-  boolean runs(Grant grant, Timestamp now) {
-    return grant.open() && grant.until().after(now);
+  boolean isRunning(Grant grant, Timestamp now) {
+    return grant.open() && grant.expiresAt().after(now);
   }
 
-  boolean exceeds(long number, Grant grant) {
-    return number > grant.number();
+  boolean exceedsToken(long number, Grant grant) {
+    return number > grant.token();
   }
 
-  private boolean hasRoom(Timestamp now) {
-    if (grants.size() < MOST_NAMES) {
+  private boolean hasCapacity(Timestamp now) {
+    if (grants.size() < MAX_LEASES) {
       return true;
     }
     Iterator<Map.Entry<String, Grant>> each = grants.entrySet().iterator();
@@ -172,7 +172,7 @@
         .hasNext()) { // full only where somebody uses names without end: the search is then the
       // price
       Grant grant = each.next().getValue();
-      if (!now.since(grant.until()).over(terms.longest())) {
+      if (!now.since(grant.expiresAt()).over(terms.longestTerm())) {
         continue;
       }
       each.remove();
@@ -182,11 +182,11 @@
   }
 
   private boolean waits(int candidate, String name) {
-    if (waiting.size() >= MOST_NAMES && !waiting.containsKey(name)) {
+    if (waiters.size() >= MAX_LEASES && !waiters.containsKey(name)) {
       return false;
     }
-    Set<Integer> line = waiting.computeIfAbsent(name, any -> new java.util.LinkedHashSet<>());
-    if (line.size() >= MOST_WAITING && !line.contains(candidate)) {
+    Set<Integer> line = waiters.computeIfAbsent(name, any -> new java.util.LinkedHashSet<>());
+    if (line.size() >= MAX_WAITERS && !line.contains(candidate)) {
       return false;
     }
     line.add(candidate);
@@ -197,15 +197,15 @@
    * The holder gives it back, or a candidate what was no majority; {@code heir}: who is to have it
    * next, -1: anybody.
    */
-  void returned(int candidate, long life, String name, long number, int heir, Timestamp now) {
+  void release(int candidate, long life, String name, long number, int heir, Timestamp now) {
     Grant grant = grants.get(name);
-    if (grant == null || !same(grant, candidate, life, number) || !grant.open()) {
+    if (grant == null || !isHolder(grant, candidate, life, number) || !grant.open()) {
       return;
     }
     Timestamp keptUntil = heir >= 0 ? now.plus(terms.term().times(HEIR_TERMS)) : now;
     grants.put(name, new Grant(number, candidate, life, keptUntil, false, heir));
     if (heir >= 0) {
-      host.freed(heir, name);
+      host.available(heir, name);
     } else {
       tellNext(name);
     }
@@ -215,7 +215,7 @@
       String
           name) { // who has waited longest at this granter; it may be gone, and then the next asks
     // by itself
-    Set<Integer> line = waiting.get(name);
+    Set<Integer> line = waiters.get(name);
     if (line == null) {
       return;
     }
@@ -223,16 +223,16 @@
     if (first.hasNext()) {
       int next = first.next();
       first.remove();
-      host.freed(next, name);
+      host.available(next, name);
     }
     if (line.isEmpty()) {
-      waiting.remove(name);
+      waiters.remove(name);
     }
   }
 
   /** Its link is gone; what it holds runs out by itself. */
-  void gone(int candidate) {
-    waiting
+  void disconnected(int candidate) {
+    waiters
         .values()
         .removeIf(
             line -> {
@@ -247,17 +247,17 @@
   }
 
   /** The moment from which it grants. */
-  Timestamp opens() {
-    return opens;
+  Timestamp grantsFrom() {
+    return grantsFrom;
   }
 
   /** Asks that were refused so far. */
-  long refusals() {
+  long rejectedCount() {
     return refused;
   }
 
   /** Who waits for a name, the longest first. */
-  List<Integer> waiting(String name) {
-    return new ArrayList<>(waiting.getOrDefault(name, new TreeSet<>()));
+  List<Integer> waiters(String name) {
+    return new ArrayList<>(waiters.getOrDefault(name, new TreeSet<>()));
   }
 }
--- a/src/main/java/sprucerock/lease/Leases.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -31,14 +31,14 @@
  * All leases that one process stands for: its links to the granters, and its candidates between
  * them. On one loop's thread; only a {@link LeaseCheck} reads the clock anew.
  */
-public final class Leases {
+public final class LeaseManager {
   /** A task that one process of the fleet does. Told on the loop's thread. */
-  public interface Task {
+  public interface Listener {
     /** The lease is held from now on; what was begun under former ones may be half done. */
-    void begun(LeaseCheck guard);
+    void acquired(LeaseCheck guard);
 
     /** It is held no more; nothing may be done on it. */
-    void ended(String why);
+    void lost(String why);
   }
 
   /** Told of all that a person may want to know. */
@@ -49,16 +49,16 @@
   }
 
   /** How often since this start. */
-  public record Figures(long taken, long lost, long held) {}
+  public record Counts(long acquired, long lost, long held) {}
 
   /** Leases that a process stands for at most. */
-  public static final int MOST = 64;
+  public static final int MAX_LEASES = 64;
 
   static final Limits LIMITS = new Limits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
 
   private final Net net;
   private final LeaseConfig config;
-  private final Terms terms;
+  private final LeaseTerms terms;
   private final Hello mine;
   private final long life;
   private final Tap tap;
@@ -70,13 +70,13 @@
   private final Map<Integer, LeaseListed> listed = new TreeMap<>();
   private Runnable whenListed;
   private boolean stopping;
-  private volatile Figures figures = new Figures(0, 0, 0);
+  private volatile Counts counts = new Counts(0, 0, 0);
 
   /**
    * {@code life}: another one with each start of this process; {@code wallMs}: the wall's clock,
    * below which no number is chosen.
    */
-  public Leases(
+  public LeaseManager(
       Net net, LeaseConfig config, String name, long life, Tap tap, LongSupplier wallMs, Log log) {
     this.net = net;
     this.config = config;
@@ -95,8 +95,9 @@
             .build();
   }
 
-  static Terms terms(LeaseConfig config) {
-    return new Terms(config.granters().size(), config.term(), config.longest(), config.drift());
+  static LeaseTerms terms(LeaseConfig config) {
+    return new LeaseTerms(
+        config.granters().size(), config.term(), config.longest(), config.drift());
   }
 
   /** Links up. On the loop's thread. */
@@ -108,7 +109,7 @@
       granters.add(connection);
       // a fleet that starts together does not come to its granters in one instant
       net.at(
-          net.now().plus(terms.usable().times(0.1 * chance.next())),
+          net.now().plus(terms.usableTerm().times(0.1 * chance.next())),
           () -> {
             if (!stopping) {
               connection.dial();
@@ -123,15 +124,15 @@
    *
    * @throws IllegalStateException if it stands for too many
    */
-  public LeaseCheck stand(String name, Task task) {
-    if (standings.size() >= MOST) {
-      throw new IllegalStateException("a process stands for " + MOST + " leases at most");
+  public LeaseCheck campaign(String name, Listener task) {
+    if (standings.size() >= MAX_LEASES) {
+      throw new IllegalStateException("a process stands for " + MAX_LEASES + " leases at most");
     }
     Standing standing = new Standing(name, task);
     if (standings.put(name, standing) != null) {
       throw new IllegalStateException("it stands for " + name + " already");
     }
-    standing.step(() -> standing.candidate.want(net.now(), wallMs.getAsLong()));
+    standing.step(() -> standing.candidate.acquire(net.now(), wallMs.getAsLong()));
     return standing.guard;
   }
 
@@ -139,10 +140,10 @@
    * Gives it back, and stands for it no more; {@code heir}: who is to have it next, by its number,
    * -1: anybody.
    */
-  public void leave(String name, int heir) {
+  public void withdraw(String name, int heir) {
     Standing standing = standings.remove(name);
     if (standing != null) {
-      standing.step(() -> standing.candidate.leave(heir));
+      standing.step(() -> standing.candidate.release(heir));
     }
   }
 
@@ -150,18 +151,18 @@
   public void stop() {
     stopping = true;
     for (String name : List.copyOf(standings.keySet())) {
-      leave(name, -1);
+      withdraw(name, -1);
     }
     granters.forEach(ReconnectingConnection::stop);
   }
 
   /** From any thread, as it was last. */
-  public Figures figures() {
-    return figures;
+  public Counts counts() {
+    return counts;
   }
 
   /** Another life's number for each start of a process. */
-  public static long newLife() {
+  public static long newIncarnation() {
     return java.util.UUID.randomUUID().getMostSignificantBits();
   }
 
@@ -169,7 +170,7 @@
    * Asks the granters what they know; {@code done} is told once all have answered, or a second is
    * over.
    */
-  public void list(java.util.function.Consumer<Map<Integer, LeaseListed>> done) {
+  public void queryGrantors(java.util.function.Consumer<Map<Integer, LeaseListed>> done) {
     listed.clear();
     Runnable[] once = new Runnable[1];
     Timer late = net.at(net.now().plus(TimeSpan.ofMs(1000)), () -> once[0].run());
@@ -192,13 +193,13 @@
   }
 
   /** One lease, and this process's side of it. */
-  private final class Standing implements LeaseClient.Host {
+  private final class Standing implements LeaseClient.Transport {
     private final LeaseClient candidate;
     private final LeaseCheck guard;
-    private final Task task;
+    private final Listener task;
     private Timer timer;
 
-    Standing(String name, Task task) {
+    Standing(String name, Listener task) {
       this.task = task;
       candidate = new LeaseClient(name, terms, this, chance::next, config.me(), life);
       guard = new LeaseCheck(candidate, net::clock);
@@ -210,7 +211,7 @@
       if (timer != null) {
         timer.cancel();
       }
-      Timestamp due = candidate.due();
+      Timestamp due = candidate.nextTick();
       timer =
           due == null
               ? null
@@ -218,7 +219,7 @@
     }
 
     @Override
-    public void ask(int granter, String name, long number, long round) {
+    public void request(int granter, String name, long number, long round) {
       granters
           .get(granter)
           .send(
@@ -234,7 +235,7 @@
     }
 
     @Override
-    public void giveBack(int granter, String name, long number, int heir) {
+    public void release(int granter, String name, long number, int heir) {
       granters
           .get(granter)
           .send(
@@ -250,17 +251,17 @@
     }
 
     @Override
-    public void taken(String name, long number) {
-      figures = new Figures(figures.taken + 1, figures.lost, figures.held + 1);
+    public void acquired(String name, long number) {
+      counts = new Counts(counts.acquired + 1, counts.lost, counts.held + 1);
       log.info(name + " is held under " + number);
-      task.begun(guard);
+      task.acquired(guard);
     }
 
     @Override
     public void lost(String name, long number, String why) {
-      figures = new Figures(figures.taken, figures.lost + 1, figures.held - 1);
+      counts = new Counts(counts.acquired, counts.lost + 1, counts.held - 1);
       log.info(name + " under " + number + " is held no more: " + why);
-      task.ended(why);
+      task.lost(why);
     }
   }
 
@@ -288,7 +289,7 @@
         case LEASE_FREE -> {
           Standing standing = standings.get(((LeaseFree) head).getName());
           if (standing != null) {
-            standing.step(() -> standing.candidate.freed(net.now(), wallMs.getAsLong()));
+            standing.step(() -> standing.candidate.available(net.now(), wallMs.getAsLong()));
           }
         }
         case LEASE_LISTED -> {
@@ -323,7 +324,7 @@
             if (said.getGranted()) {
               standing.candidate.granted(granter, said.getNumber(), said.getRound(), net.clock());
             } else {
-              standing.candidate.refused(
+              standing.candidate.rejected(
                   granter,
                   said.getNumber(),
                   said.getRound(),
--- a/src/main/java/sprucerock/lease/Terms.java
+++ b/src/main/java/sprucerock/lease/LeaseTerms.java
@@ -11,15 +11,15 @@
  *     their last lives, ran
  * @param drift how far any clock's pace may be from the true one, as a share; 0 to under 0.2
  */
-public record Terms(int granters, TimeSpan term, TimeSpan longest, double drift) {
+public record LeaseTerms(int grantors, TimeSpan term, TimeSpan longestTerm, double drift) {
   /**
    * @throws IllegalArgumentException if they make no sense together; the message says which
    */
-  public Terms {
-    if (granters != 3 && granters != 5) {
-      throw new IllegalArgumentException("3 or 5 granters, not " + granters);
+  public LeaseTerms {
+    if (grantors != 3 && grantors != 5) {
+      throw new IllegalArgumentException("3 or 5 granters, not " + grantors);
     }
-    if (term.over(longest)) {
+    if (term.over(longestTerm)) {
       throw new IllegalArgumentException("longest may not be shorter than term");
     }
     if (!(drift >= 0 && drift < 0.2)) {
@@ -27,8 +27,8 @@
     }
   }
 
-  int majority() {
-    return granters / 2 + 1;
+  int quorum() {
+    return grantors / 2 + 1;
   }
 
   /**
@@ -36,7 +36,7 @@
    * the fastest that is allowed and so end the grant after term / (1 + drift); the holder's may be
    * the slowest and take its own count for less than it is.
    */
-  TimeSpan usable() {
+  TimeSpan usableTerm() {
     return term.times((1 - drift) / (1 + drift));
   }
 }
--- a/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import sprucerock.lease.FencingToken;
+import sprucerock.lease.FencingTokenRegistry;
 import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
@@ -176,7 +176,7 @@
 
   private int generation;
   private Timestamp called;
-  private final FencingToken fence = new FencingToken();
+  private final FencingTokenRegistry fence = new FencingTokenRegistry();
 
   public int port() {
     return port;
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -9,9 +9,9 @@
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.FencingToken;
+import sprucerock.lease.FencingTokenRegistry;
 import sprucerock.lease.GrantorListener;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.model.Attempt;
 import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Build;
@@ -72,9 +72,9 @@
   private final DiscoveryConnection roster;
   private final RackPermits racks;
   private final HardwareReporter fitting; // null: it takes no part in that
-  private final Leases leases; // null: none are configured
+  private final LeaseManager leases; // null: none are configured
   private GrantorListener granter;
-  private final FencingToken fence = new FencingToken();
+  private final FencingTokenRegistry fence = new FencingTokenRegistry();
   private final Set<FrameClientConnection> clients = new LinkedHashSet<>();
   private Net.Listener listener;
   private HealthChecker looks; // null: it does not stand for that lease
@@ -141,8 +141,8 @@
             () -> module.listFailed(),
             this::learnt,
             this::unitChanged);
-    Leases.Log say =
-        new Leases.Log() {
+    LeaseManager.Log say =
+        new LeaseManager.Log() {
           @Override
           public void info(String what) {
             events.info(EventLog.Kind.LEASE, what);
@@ -156,11 +156,11 @@
     leases =
         config.leases == null
             ? null
-            : new Leases(
+            : new LeaseManager(
                 net,
                 config.leases,
                 config.name,
-                Leases.newLife(),
+                LeaseManager.newIncarnation(),
                 tap,
                 System::currentTimeMillis,
                 say);
@@ -224,11 +224,11 @@
       leases.start();
       if (fitting != null) {
         fitting.start(aside);
-        leases.stand(HardwareReporter.LEASE, fitting);
+        leases.campaign(HardwareReporter.LEASE, fitting);
       }
       if (config.leases.looksEvery() != null) {
         looks = new HealthChecker(net, ledger, events, config.leases.looksEvery(), chance, this);
-        leases.stand(HealthChecker.LEASE, looks);
+        leases.campaign(HealthChecker.LEASE, looks);
       }
     }
     net.at(
@@ -580,8 +580,8 @@
    * Leases that were taken, lost and are held since the start; null where none are configured. From
    * any thread.
    */
-  public Leases.Figures leases() {
-    return leases == null ? null : leases.figures();
+  public LeaseManager.Counts leases() {
+    return leases == null ? null : leases.counts();
   }
 
   void gone(FrameClientConnection client, boolean peer, String why) {
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -3,14 +3,14 @@
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
 import sprucerock.hardware.Cell;
+import sprucerock.hardware.HardwareModel;
 import sprucerock.hardware.LeastSquaresFit;
-import sprucerock.hardware.Model;
 import sprucerock.hardware.Observation;
+import sprucerock.hardware.RunningMoments;
 import sprucerock.hardware.SampleSums;
-import sprucerock.hardware.Sums;
-import sprucerock.lease.FencingToken;
+import sprucerock.lease.FencingTokenRegistry;
 import sprucerock.lease.LeaseCheck;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.model.Attempt;
 import sprucerock.relay.engine.EventLog;
 import sprucerock.time.TimeSpan;
@@ -28,7 +28,7 @@
  * under the lease's number. A holder that is replaced has done nothing that the next one needs:
  * relays tell it what they see from then on.
  */
-final class HardwareReporter implements Leases.Task {
+final class HardwareReporter implements LeaseManager.Listener {
   static final String LEASE = "fit";
 
   /** What it needs of the relay. */
@@ -52,7 +52,7 @@
   private final IntPredicate settled;
   private final EventLog events;
   private final Owner owner;
-  private final FencingToken fence = new FencingToken();
+  private final FencingTokenRegistry fence = new FencingTokenRegistry();
   private Aside aside;
   private SampleSums tally;
   private int fitter = -1;
@@ -60,7 +60,7 @@
   private Observation seen;
   private boolean fits;
   private Timestamp told;
-  private Model newest;
+  private HardwareModel newest;
   private boolean stopped;
 
   /** {@code settled}: builds that are no part of a trial. */
@@ -102,7 +102,7 @@
 
   /** A pick ended ok, on a unit that held so many others of this relay's when it was sent. */
   void ended(Attempt attempt, int others) {
-    tally.ended(
+    tally.add(
         attempt.rpc.method.index,
         attempt.endpoint.kind,
         attempt.endpoint.build.number,
@@ -120,9 +120,9 @@
     }
     if (guard != null && (told == null || net.now().since(told).over(AGAIN))) {
       told = net.now();
-      guard.act(number -> owner.tellFitter(Fitter.newBuilder().setNumber(number).build()));
+      guard.runIfHeld(number -> owner.tellFitter(Fitter.newBuilder().setNumber(number).build()));
     }
-    if (guard != null && guard.held()) {
+    if (guard != null && guard.isHeld()) {
       fit();
     }
     net.at(net.now().plus(window.times(0.25)), this::turn);
@@ -130,7 +130,7 @@
 
   private void tell(SampleSums of) {
     if (guard != null) {
-      seen.told(of);
+      seen.add(of);
       return;
     }
     if (fitter < 0 || of.cells().isEmpty()) {
@@ -155,37 +155,39 @@
   // While it holds the lease.
 
   @Override
-  public void begun(LeaseCheck by) {
+  public void acquired(LeaseCheck by) {
     guard = by;
     seen = new Observation();
     told = null;
   }
 
   @Override
-  public void ended(String why) {
+  public void lost(String why) {
     guard = null;
     seen = null;
   }
 
   private void fit() {
-    if (fits || seen.newest() == 0 || newest != null && newest.window() >= seen.newest()) {
+    if (fits
+        || seen.newestWindow() == 0
+        || newest != null && newest.window() >= seen.newestWindow()) {
       return;
     }
     LeaseCheck by = guard;
     Observation copy = seen.copy();
-    Model[] model = new Model[1];
+    HardwareModel[] model = new HardwareModel[1];
     fits =
         aside.run(
-            () -> model[0] = LeastSquaresFit.of(copy, 0, settled, 0),
+            () -> model[0] = LeastSquaresFit.fit(copy, 0, settled, 0),
             () -> fitted(by, model[0])); // where too much waits, a quarter of a window later
   }
 
-  private void fitted(LeaseCheck by, Model model) {
+  private void fitted(LeaseCheck by, HardwareModel model) {
     fits = false;
     if (model == null || guard != by) {
       return;
     }
-    by.act(
+    by.runIfHeld(
         number -> {
           Worth.Builder worth =
               Worth.newBuilder()
@@ -193,10 +195,10 @@
                   .setWindow(model.window())
                   .addAllFamilies(model.families())
                   .addAllMethods(model.methods())
-                  .setFree(model.free());
+                  .setFree(model.degreesOfFreedom());
           model.times(time -> worth.addLogs(time.log()).addErrors(time.error()));
           for (int a : model.families()) {
-            worth.addCores(model.cores(a).log()).addCoresErrors(model.cores(a).error());
+            worth.addCores(model.concurrency(a).log()).addCoresErrors(model.concurrency(a).error());
           }
           Worth done = worth.build();
           worth(done);
@@ -214,7 +216,7 @@
   }
 
   void tallied(int relay, Tallied said) {
-    if (guard == null || said.getCellsCount() > SampleSums.MOST_CELLS) {
+    if (guard == null || said.getCellsCount() > SampleSums.MAX_CELLS) {
       return;
     }
     SampleSums of = new SampleSums(relay, said.getWindow());
@@ -227,10 +229,10 @@
       if (can) {
         of.put(
             new Cell(one.getMethod(), one.getFamily(), one.getBuild(), one.getDepth()),
-            new Sums(one.getCount(), one.getMean(), one.getSquares()));
+            new RunningMoments(one.getCount(), one.getMean(), one.getSquares()));
       }
     }
-    seen.told(of);
+    seen.add(of);
   }
 
   /** A model was published; one of a holder that was replaced is refused, and said. */
@@ -245,26 +247,26 @@
               + " was heard");
       return;
     }
-    Model model = read(said);
-    if (model != null && model.newerThan(newest)) {
+    HardwareModel model = read(said);
+    if (model != null && model.isNewerThan(newest)) {
       newest = model;
     }
   }
 
   /** The last model that was heard of; null: none. */
-  Model newest() {
+  HardwareModel newest() {
     return newest;
   }
 
   /** Null where it can't be one. */
-  static Model read(Worth said) {
+  static HardwareModel read(Worth said) {
     int families = said.getFamiliesCount();
     int methods = said.getMethodsCount();
     int pairs = (methods + 1) * families * families;
     boolean can =
         families > 0
-            && families <= LeastSquaresFit.MOST_FAMILIES
-            && methods <= LeastSquaresFit.MOST_METHODS
+            && families <= LeastSquaresFit.MAX_FAMILIES
+            && methods <= LeastSquaresFit.MAX_METHODS
             && said.getLogsCount() == pairs
             && said.getErrorsCount() == pairs
             && said.getCoresCount() == families
@@ -273,7 +275,7 @@
     if (!can) {
       return null;
     }
-    return Model.of(
+    return HardwareModel.of(
         said.getNumber(),
         said.getWindow(),
         said.getFamiliesList(),
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.MessageLite;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.lease.LeaseCheck;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.model.Endpoint;
 import sprucerock.relay.engine.EventLog;
 import sprucerock.relay.healthcheck.HealthCheckScheduler;
@@ -24,7 +24,7 @@
  * one question under the lease's number, one answer. What it finds is told to the other relays and
  * to this one's module, which says what it is worth.
  */
-final class HealthChecker implements Leases.Task {
+final class HealthChecker implements LeaseManager.Listener {
   static final String LEASE = "looks";
   private static final TimeSpan PATIENCE =
       TimeSpan.ofMs(
@@ -72,7 +72,7 @@
   }
 
   @Override
-  public void begun(LeaseCheck by) {
+  public void acquired(LeaseCheck by) {
     guard = by;
     lookout = new HealthCheckScheduler(chance::next);
     for (Endpoint endpoint : ledger.units()) {
@@ -90,14 +90,14 @@
       return; // whoever holds the lease next goes through the list once
     }
     if (endpoint.ready()) {
-      lookout.ready(endpoint.id, net.now());
+      lookout.add(endpoint.id, net.now());
     } else {
-      lookout.left(endpoint.id);
+      lookout.remove(endpoint.id);
     }
   }
 
   @Override
-  public void ended(String why) {
+  public void lost(String why) {
     guard = null;
   }
 
@@ -109,9 +109,9 @@
       long next = lookout.next(net.now());
       Endpoint endpoint = next < 0 ? null : ledger.unit(next);
       if (endpoint == null || !endpoint.ready()) {
-        lookout.left(next);
+        lookout.remove(next);
       } else {
-        by.act(PATIENCE, number -> new One(by, endpoint, number).begin());
+        by.runIfHeld(PATIENCE, number -> new One(by, endpoint, number).begin());
       }
     }
     net.at(net.now().plus(every), () -> turn(by));
@@ -157,13 +157,13 @@
                 + endpoint.id
                 + ", which saw "
                 + looked.getHighest());
-        by.refused(looked.getHighest());
-      } else if (guard == by && by.held()) {
+        by.tokenRejected(looked.getHighest());
+      } else if (guard == by && by.isHeld()) {
         boolean tell =
             looked != null
                 ? lookout.answered(
                     endpoint.id, TimeSpan.ofMs(looked.getIdleUs() / 1000.0), net.now())
-                : lookout.silent(endpoint.id, net.now());
+                : lookout.timedOut(endpoint.id, net.now());
         if (tell) {
           owner.seen(endpoint.id, looked != null, number);
         }
@@ -177,7 +177,7 @@
         end(null);
       }
       // to connect took time, in which this process may have stood still
-      else if (!by.act(
+      else if (!by.runIfHeld(
           now ->
               made.send(
                   Kind.LOOK,
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -94,7 +94,7 @@
     PromiseAsk ask =
         PromiseAsk.newBuilder()
             .setId(++lastAsk)
-            .setHolds(shared.take().sequence())
+            .setHolds(shared.current().sequence())
             .setList(list)
             .build();
     asked.put(lastAsk, net.now());
@@ -141,7 +141,7 @@
           RackSnapshot.key(rack.getZone(), rack.getCell()),
           from.plus(TimeSpan.ofMs(rack.getLeftMs() * shorter)));
     }
-    if (!shared.put(new RackSnapshot(promised.getSequence(), until))) {
+    if (!shared.publish(new RackSnapshot(promised.getSequence(), until))) {
       return;
     }
     boolean first = !told;
@@ -203,6 +203,6 @@
   }
 
   private boolean mayPlace(int zone, int cell, Timestamp now, TimeSpan takes) {
-    return told() && shared.take().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
+    return told() && shared.current().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
   }
 }
--- a/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
+++ b/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
@@ -54,7 +54,7 @@
   }
 
   /** It is listed, and may get work. */
-  public void ready(long endpoint, Timestamp now) {
+  public void add(long endpoint, Timestamp now) {
     if (endpoints.containsKey(endpoint)) {
       return;
     }
@@ -72,7 +72,7 @@
   }
 
   /** It is not any more. */
-  public void left(long endpoint) {
+  public void remove(long endpoint) {
     Known known = endpoints.remove(endpoint);
     if (known != null) {
       byTurn.remove(known);
@@ -104,7 +104,7 @@
   }
 
   /** It gave none in time; others should be told. */
-  public boolean silent(long endpoint, Timestamp now) {
+  public boolean timedOut(long endpoint, Timestamp now) {
     Known known = endpoints.get(endpoint);
     if (known == null) {
       return false;
--- a/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
@@ -64,7 +64,7 @@
   }
 
   /** Until when a rack is free for certain; null: it is never frozen. */
-  public Timestamp until(int key) {
+  public Timestamp freeUntil(int key) {
     for (int at = place(key); keys[at] != -1; at = at + 1 & mask) {
       if (keys[at] == key) {
         return Timestamp.ofMs(untilMs[at]);
--- a/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
@@ -11,7 +11,7 @@
   private final AtomicReference<RackSnapshot> current = new AtomicReference<>(RackSnapshot.NOTHING);
 
   /** The picture as it is now; whole, however old the reader's other knowledge is. */
-  public RackSnapshot take() {
+  public RackSnapshot current() {
     return current.getAcquire();
   }
 
@@ -19,7 +19,7 @@
    * From now on. An older state never takes a newer one's place; false if that was tried. On the
    * writer's one thread.
    */
-  public boolean put(RackSnapshot next) {
+  public boolean publish(RackSnapshot next) {
     if (next.sequence() < current.getPlain().sequence()) {
       return false;
     }
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -131,12 +131,12 @@
     return new MaintenanceWindows(
         new MaintenanceWindows.Rules(MINUTE, 15 * MINUTE, 0.95),
         room,
-        new MaintenanceWindows.Host() {
+        new MaintenanceWindows.Listener() {
           @Override
           public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {}
 
           @Override
-          public void promisesChanged() {}
+          public void grantsChanged() {}
         });
   }
 
@@ -606,9 +606,9 @@
           .append(" of ")
           .append(freeze.racks)
           .append(" by ")
-          .append(freeze.who)
+          .append(freeze.operator)
           .append(": ")
-          .append(freeze.why)
+          .append(freeze.reason)
           .append('\n');
       freeze
           .steps()
@@ -678,14 +678,14 @@
       FileLeadership seat =
           new FileLeadership(
               new FileStorage(folder), clock, TimeSpan.ofMs(2000), "controller-1@host");
-      seat.take();
+      seat.tryAcquire();
       lines.add(files(folder));
       clock.passedMs += 600;
-      seat.take();
+      seat.tryAcquire();
       lines.add(files(folder));
       seat.release();
       lines.add(files(folder));
-      new LeadershipMark(new FileStorage(folder)).take(1_700_000_000_123L);
+      new LeadershipMark(new FileStorage(folder)).claim(1_700_000_000_123L);
       lines.add(files(folder));
       return lines;
     } finally {
@@ -785,7 +785,7 @@
       for (String file : last.split(" (?=[a-z]+=)")) {
         Files.writeString(folder.resolve(file.split("=")[0]), file.split("=")[1]);
       }
-      assertEquals(new LeadershipMark(new FileStorage(folder)).highest(), 1_700_000_000_123L);
+      assertEquals(new LeadershipMark(new FileStorage(folder)).highestToken(), 1_700_000_000_123L);
     } finally {
       CorpusFiles.remove(folder);
     }
--- a/src/test/java/sprucerock/controller/FolderSeatTest.java
+++ b/src/test/java/sprucerock/controller/FileLeadershipTest.java
@@ -13,7 +13,7 @@
 import sprucerock.time.TimeSpan;
 
 /** Two controllers over one folder: never do both act. */
-public class FolderSeatTest {
+public class FileLeadershipTest {
   private static final TimeSpan TIME = TimeSpan.ofMs(1000);
 
   /** A folder in memory, of which a lease needs little. */
@@ -78,7 +78,7 @@
 
   private long takes(FileLeadership lease, long patience) throws Exception {
     long from = now;
-    while (!lease.take()) {
+    while (!lease.tryAcquire()) {
       now += 100;
       if (now - from > patience) {
         return -1;
@@ -94,8 +94,8 @@
     assertTrue(takes(a, 5000) >= 0);
     for (int i = 0; i < 50; i++) {
       now += 200;
-      assertTrue(a.renew() && a.holds());
-      assertFalse(b.take());
+      assertTrue(a.renew() && a.isHeld());
+      assertFalse(b.tryAcquire());
     }
   }
 
@@ -104,13 +104,13 @@
     FileLeadership a = lease("a");
     takes(a, 5000);
     FileLeadership b = lease("b");
-    b.take();
+    b.tryAcquire();
     long after = takes(b, 10_000);
     assertTrue(after >= TIME.ms() && after <= 2 * TIME.ms(), after + " ms");
-    assertFalse(a.holds());
+    assertFalse(a.isHeld());
     b.release();
     FileLeadership c = lease("c");
-    c.take();
+    c.tryAcquire();
     assertTrue(takes(c, 5000) <= TIME.ms());
   }
 
@@ -120,10 +120,10 @@
     takes(a, 5000);
     FileLeadership b = lease("b");
     takes(b, 10_000); // while a stands still
-    assertFalse(a.holds());
+    assertFalse(a.isHeld());
     assertFalse(a.renew());
     assertTrue(b.renew());
-    assertFalse(a.take()); // and stands in line like any other
+    assertFalse(a.tryAcquire()); // and stands in line like any other
   }
 
   @Test
@@ -145,10 +145,10 @@
           now += 1500;
         }
         FileLeadership lease = all.get(who);
-        has[who] = has[who] ? lease.renew() : lease.take();
+        has[who] = has[who] ? lease.renew() : lease.tryAcquire();
         int holders = 0;
         for (FileLeadership one : all) {
-          holders += one.holds() ? 1 : 0;
+          holders += one.isHeld() ? 1 : 0;
         }
         most = Math.max(most, holders);
         assertTrue(holders <= 1, holders + " hold it, seed " + seed + ", step " + step);
--- a/src/test/java/sprucerock/controller/maintenance/FreezeStudy.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
@@ -10,10 +10,10 @@
 
 /**
  * In simulated time: racks are frozen while relays are cut off from the controller for seconds to
- * many minutes and it is restarted. Promises beside two ways without them. {@code FreezeStudy
+ * many minutes and it is restarted. Promises beside two ways without them. {@code MaintenanceStudy
  * [freezes a size]}. A relay places one job a second on each of ten racks.
  */
-public final class FreezeStudy {
+public final class MaintenanceStudy {
   private static final long SECOND = 1000;
   private static final long MINUTE = 60 * SECOND;
   private static final long NOTICE = 10 * MINUTE;
@@ -52,7 +52,7 @@
   private long asks;
   private double relaySeconds;
 
-  private FreezeStudy(int size, long seed) {
+  private MaintenanceStudy(int size, long seed) {
     random = new SplittableRandom(seed);
     relays = new Relay[size];
     for (int i = 0; i < size; i++) {
@@ -66,14 +66,14 @@
         new MaintenanceWindows(
             new MaintenanceWindows.Rules(0, MINUTE, 0.95),
             new CapacityCheck(racks, Map.of(), 0),
-            new MaintenanceWindows.Host() {
+            new MaintenanceWindows.Listener() {
               @Override
               public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
                 // read below
               }
 
               @Override
-              public void promisesChanged() {
+              public void grantsChanged() {
                 // relays ask within a second anyway
               }
             });
@@ -92,7 +92,7 @@
       Object made =
           freezes.announce(
               Set.of(rack), now + ahead, 5 * MINUTE, 0, "", "UTC", false, "ann", "x", now);
-      MaintenanceWindow freeze = freezes.of((Long) ((List<?>) made).get(0));
+      MaintenanceWindow freeze = freezes.find((Long) ((List<?>) made).get(0));
       long inForce = -1;
       for (long end = freeze.to() + MINUTE; now < end; now += SECOND) {
         second(now);
@@ -121,17 +121,17 @@
       if (relay.cutUntil > now) {
         continue;
       }
-      promises.asked(i, relay.holds, now);
+      promises.request(i, relay.holds, now);
       asks++;
       relay.holds = freezes.sequence();
       relay.heardAt = now;
       for (int r = 0; r < RACKS; r++) {
-        relay.until[r] = now + (long) (promises.promised("r" + r, now) * 0.98);
+        relay.until[r] = now + (long) (promises.grantedForMs("r" + r, now) * 0.98);
         relay.toldFrozen[r] = frozen("r" + r, now + SECOND);
       }
     }
-    for (long number : promises.cleared(now)) {
-      freezes.cleared(number, now);
+    for (long number : promises.returned(now)) {
+      freezes.grantsReturned(number, now);
     }
     freezes.tick(now);
     for (Relay relay : relays) {
@@ -146,7 +146,7 @@
           }
           inForce |= one.state() == MaintenanceWindow.State.IN_FORCE;
           wanted |= now >= one.from() && now < one.to();
-          if (one.state().open() && one.from() > now) {
+          if (one.state().isOpen() && one.from() > now) {
             from = Math.min(from, one.from());
           }
         }
@@ -187,7 +187,7 @@
     System.out.println(
         "ten racks, notice 10 min, each relay cut off once in two hours for 2 s to 30 min, the controller restarted once in half an hour; a job a relay, rack and second");
     for (int size : new int[] {10, 100, 300, 1000}) {
-      FreezeStudy study = new FreezeStudy(size, 5);
+      MaintenanceStudy study = new MaintenanceStudy(size, 5);
       study.run(Math.max(6, times * 100 / Math.max(100, size)));
       StringBuilder line =
           new StringBuilder(
--- a/src/test/java/sprucerock/controller/maintenance/FreezesTest.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceWindowsTest.java
@@ -20,7 +20,7 @@
  * Freezes of four racks in two zones: what is accepted, delayed, refused, held; and that none is in
  * force while a relay holds a promise.
  */
-public class FreezesTest {
+public class MaintenanceWindowsTest {
   private static final long MIN = 60_000;
   private static final long HOUR = 60 * MIN;
   private static final long NOTICE = 10 * MIN;
@@ -40,8 +40,8 @@
    * is noted, as the door does.
    */
   private void asks(int relay, long holds, long now) {
-    promises.asked(relay, holds, now);
-    promises.cleared(now).forEach(number -> freezes.cleared(number, now));
+    promises.request(relay, holds, now);
+    promises.returned(now).forEach(number -> freezes.grantsReturned(number, now));
   }
 
   private MaintenanceWindows made() {
@@ -59,14 +59,14 @@
     return new MaintenanceWindows(
         new MaintenanceWindows.Rules(5 * MIN, 15 * MIN, 0.95),
         room,
-        new MaintenanceWindows.Host() {
+        new MaintenanceWindows.Listener() {
           @Override
           public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
             steps.add(freeze.number + " " + step.state());
           }
 
           @Override
-          public void promisesChanged() {
+          public void grantsChanged() {
             // told by the sequence
           }
         });
@@ -76,7 +76,7 @@
     Object made =
         freezes.announce(
             Set.of(rack), from, lasts, slack, "", "UTC", false, "ann", "new switch", now);
-    return freezes.of((Long) ((List<?>) made).get(0));
+    return freezes.find((Long) ((List<?>) made).get(0));
   }
 
   private void heard(String... words) {
@@ -88,15 +88,15 @@
   public void oneThatWasAnnouncedInTimeIsInForceAtItsBeginningWhoeverIsCutOff() {
     announce("a1", HOUR, HOUR, 0, 0);
     asks(7, 0, 1000); // holds an old promise, and is never heard again
-    assertEquals(promises.promised("a1", HOUR - MIN), MIN);
-    assertEquals(promises.promised("a2", HOUR - MIN), NOTICE);
+    assertEquals(promises.grantedForMs("a1", HOUR - MIN), MIN);
+    assertEquals(promises.grantedForMs("a2", HOUR - MIN), NOTICE);
     freezes.tick(HOUR - 1);
     heard("1 ANNOUNCED", "1 ACCEPTED");
     freezes.tick(HOUR);
     freezes.tick(2 * HOUR);
     freezes.tick(2 * HOUR + 5 * MIN);
     heard("1 DRAINING", "1 IN_FORCE", "1 ENDING", "1 ENDED");
-    assertEquals(promises.promised("a1", 3 * HOUR), NOTICE);
+    assertEquals(promises.grantedForMs("a1", 3 * HOUR), NOTICE);
   }
 
   @Test
@@ -106,7 +106,7 @@
     asks(8, 0, 0);
     MaintenanceWindow freeze = announce("a1", MIN, HOUR, 0, 0);
     freezes.tick(2 * MIN);
-    assertEquals(promises.out(freeze, 2 * MIN), Set.of(7, 8));
+    assertEquals(promises.outstanding(freeze, 2 * MIN), Set.of(7, 8));
     heard("1 ANNOUNCED", "1 ACCEPTED", "1 DRAINING");
     asks(7, freezes.sequence(), 3 * MIN);
     assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
@@ -121,7 +121,7 @@
     asks(7, freezes.sequence(), MIN);
     freezes.tick(NOTICE - 1);
     assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
-    assertEquals(promises.out(freeze, NOTICE - 1), Set.of(-1));
+    assertEquals(promises.outstanding(freeze, NOTICE - 1), Set.of(-1));
     freezes.tick(NOTICE);
     assertEquals(freeze.state(), MaintenanceWindow.State.IN_FORCE);
   }
@@ -131,7 +131,7 @@
     promises = new PlacementGrants(freezes, -HOUR);
     asks(7, 0, 0);
     freezes.announce(Set.of("a1", "a2", "a3"), 0, HOUR, 0, "", "UTC", true, "ann", "smoke", 1000);
-    assertEquals(promises.promised("a1", 1000), 0);
+    assertEquals(promises.grantedForMs("a1", 1000), 0);
     asks(7, freezes.sequence(), 2000);
     heard("1 ANNOUNCED", "1 ACCEPTED", "1 DRAINING", "1 IN_FORCE");
   }
@@ -164,9 +164,9 @@
   @Test
   public void oneThatNoLongerFitsIsHeldAndTwoOperatorsMayForceIt() {
     MaintenanceWindow freeze = announce("a1", HOUR, HOUR, 0, 0);
-    freezes.down("a2", true, 30 * MIN);
+    freezes.setRackDown("a2", true, 30 * MIN);
     assertEquals(freeze.state(), MaintenanceWindow.State.HELD);
-    assertEquals(promises.promised("a1", HOUR - MIN), NOTICE);
+    assertEquals(promises.grantedForMs("a1", HOUR - MIN), NOTICE);
     freezes.tick(HOUR);
     assertEquals(freeze.state(), MaintenanceWindow.State.HELD);
     assertNull(freezes.force(1, "ann", "must be", HOUR));
@@ -182,11 +182,11 @@
   @Test
   public void oneThatIsHeldGoesOnOnceThereIsRoomOrIsRefusedAtItsEnd() {
     MaintenanceWindow freeze = announce("a1", HOUR, HOUR, 0, 0);
-    freezes.onTrial(0.5, MIN);
+    freezes.setCanaryShare(0.5, MIN);
     assertEquals(freeze.state(), MaintenanceWindow.State.HELD);
-    freezes.onTrial(0, 2 * MIN);
+    freezes.setCanaryShare(0, 2 * MIN);
     assertEquals(freeze.state(), MaintenanceWindow.State.ACCEPTED);
-    freezes.onTrial(0.5, 3 * MIN);
+    freezes.setCanaryShare(0.5, 3 * MIN);
     freezes.tick(2 * HOUR);
     assertEquals(freeze.state(), MaintenanceWindow.State.REFUSED);
   }
@@ -194,7 +194,7 @@
   @Test
   public void calledOffAndExtended() {
     MaintenanceWindow first = announce("a1", HOUR, HOUR, 0, 0);
-    assertNull(freezes.callOff(1, "ann", "rain", MIN));
+    assertNull(freezes.cancel(1, "ann", "rain", MIN));
     assertEquals(first.state(), MaintenanceWindow.State.CALLED_OFF);
     MaintenanceWindow second = announce("a1", HOUR, HOUR, 0, MIN);
     freezes.tick(HOUR);
@@ -203,15 +203,15 @@
         freezes
             .extend(2, 13 * HOUR, "ann", "lost it", HOUR)
             .startsWith("there is no room for that: zone 1 at 12:00"));
-    assertNull(freezes.callOff(2, "ann", "done", 2 * HOUR));
+    assertNull(freezes.cancel(2, "ann", "done", 2 * HOUR));
     assertEquals(second.state(), MaintenanceWindow.State.ENDING);
-    assertEquals(promises.promised("a1", 2 * HOUR), NOTICE);
+    assertEquals(promises.grantedForMs("a1", 2 * HOUR), NOTICE);
   }
 
   /** A relay that hears nothing goes on with what was promised for longer. */
   @Test
   public void aRackMayHaveALongerNoticeOfItsOwn() {
-    assertEquals(promises.promised("b1", 0), 24 * HOUR);
+    assertEquals(promises.grantedForMs("b1", 0), 24 * HOUR);
     MaintenanceWindow freeze = announce("b1", HOUR, 30 * HOUR, 0, 0);
     freezes.tick(24 * HOUR - 1);
     assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
@@ -224,7 +224,7 @@
     ZoneId zone = ZoneId.of("Europe/Berlin");
     long first = LocalDateTime.of(2027, 3, 26, 2, 30).atZone(zone).toInstant().toEpochMilli();
     List<Long> begins =
-        RecurrenceExpander.from(first, first, "FREQ=DAILY;COUNT=5", "Europe/Berlin");
+        RecurrenceExpander.expand(first, first, "FREQ=DAILY;COUNT=5", "Europe/Berlin");
     List<String> local =
         begins.stream()
             .map(ms -> java.time.Instant.ofEpochMilli(ms).atZone(zone).toLocalDateTime().toString())
@@ -258,7 +258,7 @@
     assertEquals(
         freezes.announce(Set.of("a1"), HOUR, 0, 0, "", "UTC", false, "ann", "x", 0),
         "a window lasts longer than no time");
-    assertEquals(freezes.callOff(9, "ann", "x", 0), "no freeze 9 is known");
+    assertEquals(freezes.cancel(9, "ann", "x", 0), "no freeze 9 is known");
   }
 
   /**
@@ -293,10 +293,10 @@
               now);
         }
         if (random.nextInt(200) == 0) {
-          freezes.callOff(1 + random.nextInt(5), "ann", "x", now);
+          freezes.cancel(1 + random.nextInt(5), "ann", "x", now);
         }
         if (random.nextInt(100) == 0) {
-          freezes.down("a2", random.nextBoolean(), now);
+          freezes.setRackDown("a2", random.nextBoolean(), now);
         }
         for (int relay = 0; relay < 4; relay++) {
           boolean cut = random.nextInt(4) > 0 || relay == 3 && now > HOUR && now < 2 * HOUR;
@@ -304,7 +304,7 @@
             continue;
           }
           asks(relay, holds.getOrDefault(relay, 0L), now);
-          long left = promises.promised("a1", now);
+          long left = promises.grantedForMs("a1", now);
           if (random.nextInt(5) == 0) {
             continue; // the answer is lost
           }
@@ -344,7 +344,7 @@
     }
     assertEquals(freeze.steps().size(), MaintenanceWindow.MOST_STEPS);
     asks(8, freezes.sequence(), 3 * MIN);
-    assertEquals(promises.out(freeze, 3 * MIN), Set.of(7));
+    assertEquals(promises.outstanding(freeze, 3 * MIN), Set.of(7));
     assertEquals(freeze.state(), MaintenanceWindow.State.DRAINING);
   }
 
@@ -378,12 +378,12 @@
               "x",
               now);
         } else if (dice == 1) {
-          freezes.callOff(some, "ann", "x", now);
-        } else if (dice == 2 && freezes.of(some) != null) {
+          freezes.cancel(some, "ann", "x", now);
+        } else if (dice == 2 && freezes.find(some) != null) {
           freezes.extend(
-              some, freezes.of(some).to() + random.nextInt((int) (30 * MIN)), "ann", "x", now);
+              some, freezes.find(some).to() + random.nextInt((int) (30 * MIN)), "ann", "x", now);
         } else if (dice == 3) {
-          freezes.down(rack, random.nextBoolean(), now);
+          freezes.setRackDown(rack, random.nextBoolean(), now);
         } else if (dice == 4) {
           freezes.force(some, random.nextBoolean() ? "ann" : "bob", "x", now);
         } else if (dice == 5) {
@@ -391,7 +391,7 @@
         } else {
           int relay = random.nextInt(8);
           long holds = Math.max(0, freezes.sequence() - random.nextInt(6));
-          promises.asked(relay, holds, now);
+          promises.request(relay, holds, now);
           long before =
               held.containsKey(relay) && now - held.get(relay)[1] <= 24 * HOUR
                   ? held.get(relay)[0]
@@ -400,8 +400,8 @@
         }
         walk(held, now, "seed " + seed + ", step " + i);
         if (random.nextInt(3) == 0) {
-          for (long number : promises.cleared(now)) {
-            freezes.cleared(number, now);
+          for (long number : promises.returned(now)) {
+            freezes.grantsReturned(number, now);
           }
         }
       }
@@ -418,18 +418,18 @@
           switch (one.state()) {
             case ACCEPTED -> now >= one.from();
             case HELD, IN_FORCE -> now >= one.to();
-            case DRAINING -> now >= one.to() || now >= freezes.promisesEnd(one);
+            case DRAINING -> now >= one.to() || now >= freezes.grantsEndMs(one);
             case ENDING -> now >= one.to() + 5 * MIN;
             default -> false;
           };
-      if (one.state().binds() && now < one.to()) {
+      if (one.state().isBinding() && now < one.to()) {
         for (String rack : one.racks) {
           free.merge(rack, Math.max(0, one.from() - now), Math::min);
         }
       }
       Set<Integer> out = new java.util.TreeSet<>();
       long notice = one.racks.contains("b1") ? 24 * HOUR : NOTICE;
-      if (now < freezes.promisesEnd(one)) {
+      if (now < freezes.grantsEndMs(one)) {
         if (now < -NOTICE + notice) {
           out.add(-1);
         }
@@ -446,17 +446,17 @@
               }
             });
       }
-      assertEquals(promises.out(one, now), out, where + ", freeze " + one.number);
+      assertEquals(promises.outstanding(one, now), out, where + ", freeze " + one.number);
       if (one.state() == MaintenanceWindow.State.DRAINING && out.isEmpty()) {
         cleared.add(one.number);
       }
     }
-    assertEquals(freezes.due(now), due, where);
-    assertEquals(promises.cleared(now), cleared, where);
-    Map<String, Long> shorter = promises.shorter(now);
+    assertEquals(freezes.isDue(now), due, where);
+    assertEquals(promises.returned(now), cleared, where);
+    Map<String, Long> shorter = promises.shortened(now);
     free.forEach(
         (rack, left) -> {
-          assertEquals(promises.promised(rack, now), (long) left, where + ", rack " + rack);
+          assertEquals(promises.grantedForMs(rack, now), (long) left, where + ", rack " + rack);
           assertEquals(
               shorter.getOrDefault(rack, rack.equals("b1") ? 24 * HOUR : NOTICE),
               left,
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -183,8 +183,8 @@
                   .put("rack." + name + ".units", rack.endpoints());
               text.put("rack." + name + ".notice", rack.noticeMs());
             });
-    text.put("racks.warm", config.freezes.warmMs())
-        .put("racks.step", config.freezes.stepMs())
+    text.put("racks.warm", config.freezes.warmUpMs())
+        .put("racks.step", config.freezes.delayStepMs())
         .put("racks.confidence", config.freezes.confidence());
   }
 
--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -30,10 +30,10 @@
       int capacities = 0;
       int known = 0;
       for (int seed = 0; seed < truths; seed++) {
-        Truth truth = new Truth(1000 + seed, 4);
+        SimulatedHardware truth = new SimulatedHardware(1000 + seed, 4);
         Observation seen = truth.seen(12, attempts, 3);
-        Model model = LeastSquaresFit.of(seen, 0, build -> true, 1);
-        double errors = model.errors(0.95);
+        HardwareModel model = LeastSquaresFit.fit(seen, 0, build -> true, 1);
+        double errors = model.standardErrors(0.95);
         double[][] sums = new double[4][3];
         double[][] counts = new double[4][3];
         seen.since(0)
@@ -50,8 +50,8 @@
             for (int m = 0; m < 3 && a != b; m++) {
               double time = Math.log(truth.time(a, m) / truth.time(b, m));
               double capacity = Math.log(truth.capacity(a, m) / truth.capacity(b, m));
-              Model.Estimate ofTime = model.time(m, a, b);
-              Model.Estimate ofCapacity = model.capacity(m, a, b);
+              HardwareModel.Estimate ofTime = model.timeRatio(m, a, b);
+              HardwareModel.Estimate ofCapacity = model.capacityRatio(m, a, b);
               if (ofTime == null) {
                 continue;
               }
--- a/src/test/java/sprucerock/hardware/HardwareTest.java
+++ b/src/test/java/sprucerock/hardware/LeastSquaresFitTest.java
@@ -12,7 +12,7 @@
  * Families whose cores and speeds are known, seen by relays: what is made of them, and how well
  * that is known.
  */
-public class HardwareTest {
+public class LeastSquaresFitTest {
   private static final IntPredicate ALL = build -> true;
   private static final IntPredicate OLD = build -> build < 2;
 
@@ -27,9 +27,9 @@
     int capacitiesHeld = 0;
     double widest = 0;
     for (int seed = 0; seed < 60; seed++) {
-      Truth truth = new Truth(seed, 4);
-      Model model = LeastSquaresFit.of(truth.seen(12, 1500, 3), 0, ALL, 1);
-      double errors = model.errors(0.95);
+      SimulatedHardware truth = new SimulatedHardware(seed, 4);
+      HardwareModel model = LeastSquaresFit.fit(truth.seen(12, 1500, 3), 0, ALL, 1);
+      double errors = model.standardErrors(0.95);
       for (int a = 0; a < 4; a++) {
         for (int b = 0; b < 4; b++) {
           if (a == b) {
@@ -37,12 +37,12 @@
           }
           for (int m = 0; m < 3; m++) {
             times++;
-            Model.Estimate time = model.time(m, a, b);
+            HardwareModel.Estimate time = model.timeRatio(m, a, b);
             if (Math.log(truth.time(a, m) / truth.time(b, m))
                 < time.log() + errors * time.error()) {
               timesHeld++;
             }
-            Model.Estimate capacity = model.capacity(m, a, b);
+            HardwareModel.Estimate capacity = model.capacityRatio(m, a, b);
             if (Math.log(truth.capacity(a, m) / truth.capacity(b, m))
                 < capacity.log() + errors * capacity.error()) {
               capacitiesHeld++;
@@ -59,7 +59,7 @@
 
   @Test
   public void familiesThatWereNeverSeenTogetherAreLinkedThroughOthersOrNotKnown() {
-    Truth truth = new Truth(5, 4);
+    SimulatedHardware truth = new SimulatedHardware(5, 4);
     Observation seen = new Observation();
     int[][] pairs = {{0, 1}, {1, 2}, {3, 3}};
     for (int w = 1; w <= 20; w++) {
@@ -68,56 +68,58 @@
       int[] pair = pairs[w % 3];
       for (int i = 0; i < 400; i++) {
         int family = pair[truth.draw(2)];
-        tally.ended(0, family, 1, 0, truth.ms(family, 0, 0, 1));
+        tally.add(0, family, 1, 0, truth.ms(family, 0, 0, 1));
       }
-      seen.told(tally);
+      seen.add(tally);
     }
-    Model model = LeastSquaresFit.of(seen, 0, ALL, 1);
-    Model.Estimate connected = model.time(0, 0, 2);
+    HardwareModel model = LeastSquaresFit.fit(seen, 0, ALL, 1);
+    HardwareModel.Estimate connected = model.timeRatio(0, 0, 2);
     assertEquals(
         connected.log(), Math.log(truth.time(0, 0) / truth.time(2, 0)), 4 * connected.error());
     assertTrue(
-        connected.error() > model.time(0, 0, 1).error() && connected.error() < 0.2, "" + connected);
-    Translation translation = new Translation(model, List.of(), 0.95);
+        connected.error() > model.timeRatio(0, 0, 1).error() && connected.error() < 0.2,
+        "" + connected);
+    CapacityTranslator translation = new CapacityTranslator(model, List.of(), 0.95);
     assertTrue(
-        translation.needed(0, 10, 0, 1).limit() == Translation.Limit.NOT_KNOWN,
+        translation.needed(0, 10, 0, 1).limit() == CapacityTranslator.Limit.NOT_KNOWN,
         "no pick ever met a busy unit, so cores are not known");
     assertTrue(translation.atMost(0, 100, 0, 2) > 0);
     assertTrue(Double.isNaN(translation.atMost(0, 100, 0, 3)));
-    assertEquals(translation.needed(0, 10, 0, 9).limit(), Translation.Limit.NOT_KNOWN);
+    assertEquals(translation.needed(0, 10, 0, 9).limit(), CapacityTranslator.Limit.NOT_KNOWN);
   }
 
   @Test
   public void whatComesTwiceOrLateCountsOnce() {
-    Truth truth = new Truth(6, 3);
+    SimulatedHardware truth = new SimulatedHardware(6, 3);
     Observation once = truth.seen(10, 600, 2);
-    Model model = LeastSquaresFit.of(once, 0, ALL, 1);
+    HardwareModel model = LeastSquaresFit.fit(once, 0, ALL, 1);
     SampleSums part = new SampleSums(0, 10); // an earlier state of that relay's last window
-    part.ended(0, 0, 1, 0, 5);
-    assertFalse(once.told(part));
-    assertFalse(once.told(new SampleSums(7, 10 - Observation.WINDOWS)));
-    assertEquals(LeastSquaresFit.of(once, 0, ALL, 1).time(0, 0, 1), model.time(0, 0, 1));
+    part.add(0, 0, 1, 0, 5);
+    assertFalse(once.add(part));
+    assertFalse(once.add(new SampleSums(7, 10 - Observation.WINDOWS)));
+    assertEquals(LeastSquaresFit.fit(once, 0, ALL, 1).timeRatio(0, 0, 1), model.timeRatio(0, 0, 1));
   }
 
   @Test
   public void thereAndBackNeverYieldsMoreThanWasAskedAndSumsAddUp() {
     for (int seed = 0; seed < 20; seed++) {
-      Truth truth = new Truth(seed, 4);
+      SimulatedHardware truth = new SimulatedHardware(seed, 4);
       List<Family> declared =
           List.of(
               new Family(0, 8, 4000),
               new Family(1, 32, 2000),
               new Family(2, 0, 0),
               new Family(3, 16, 16_000));
-      Translation translation =
-          new Translation(LeastSquaresFit.of(truth.seen(10, 2000, 2), 0, ALL, 1), declared, 0.9);
+      CapacityTranslator translation =
+          new CapacityTranslator(
+              LeastSquaresFit.fit(truth.seen(10, 2000, 2), 0, ALL, 1), declared, 0.9);
       for (int a = 0; a < 4; a++) {
         for (int b = 0; b < 4; b++) {
-          Translation.Answer there = translation.needed(1, 40, a, b);
+          CapacityTranslator.Answer there = translation.needed(1, 40, a, b);
           if (!there.known()) {
             continue;
           }
-          Translation.Answer back = translation.counted(1, there.endpoints(), b, a);
+          CapacityTranslator.Answer back = translation.counted(1, there.endpoints(), b, a);
           assertTrue(back.endpoints() <= 40 * (1 + 1e-9), a + " to " + b + " and back: " + back);
           assertEquals(
               translation.needed(1, 15, a, b).endpoints()
@@ -131,24 +133,26 @@
 
   @Test
   public void memoryOrSlotsLimitWhereCoresDoNotAndTimeWhereNoNumberHelps() {
-    Truth truth = new Truth(9, 2);
+    SimulatedHardware truth = new SimulatedHardware(9, 2);
     truth.speed[0] = 1;
     truth.speed[1] = 0.4;
     truth.cores[0] = 4;
     truth.cores[1] = 4;
-    Model model = LeastSquaresFit.of(truth.seen(20, 3000, 2), 0, ALL, 1);
-    Translation translation =
-        new Translation(model, List.of(new Family(0, 0, 8000), new Family(1, 0, 1000)), 0.95);
-    assertEquals(translation.needed(0, 10, 0, 1).limit(), Translation.Limit.MEMORY);
+    HardwareModel model = LeastSquaresFit.fit(truth.seen(20, 3000, 2), 0, ALL, 1);
+    CapacityTranslator translation =
+        new CapacityTranslator(
+            model, List.of(new Family(0, 0, 8000), new Family(1, 0, 1000)), 0.95);
+    assertEquals(translation.needed(0, 10, 0, 1).limit(), CapacityTranslator.Limit.MEMORY);
     assertEquals(translation.needed(0, 10, 0, 1).endpoints(), 80, 1e-9);
-    assertEquals(translation.needed(0, 10, 0, 1, 100, 150).limit(), Translation.Limit.TIME);
-    assertEquals(translation.needed(0, 10, 0, 1, 100, 5000).limit(), Translation.Limit.MEMORY);
-    assertEquals(translation.needed(0, 10, 1, 0).limit(), Translation.Limit.CORES);
+    assertEquals(translation.needed(0, 10, 0, 1, 100, 150).limit(), CapacityTranslator.Limit.TIME);
+    assertEquals(
+        translation.needed(0, 10, 0, 1, 100, 5000).limit(), CapacityTranslator.Limit.MEMORY);
+    assertEquals(translation.needed(0, 10, 1, 0).limit(), CapacityTranslator.Limit.CORES);
   }
 
   /** Five families; from window 11 on one is slower, or a new build is on that one. */
   private static Observation troubled(int slowFamily, boolean byBuild) {
-    Truth truth = new Truth(11, 5);
+    SimulatedHardware truth = new SimulatedHardware(11, 5);
     Observation seen = new Observation();
     for (int w = 1; w <= 20; w++) {
       truth.window();
@@ -158,9 +162,9 @@
         int method = truth.draw(3);
         int build = w > 10 && truth.draw(4) == 0 ? 2 : 1;
         boolean slow = w > 10 && family == slowFamily && (!byBuild || build == 2);
-        tally.ended(method, family, build, 0, truth.ms(family, method, 0, slow ? 1.4 : 1));
+        tally.add(method, family, build, 0, truth.ms(family, method, 0, slow ? 1.4 : 1));
       }
-      seen.told(tally);
+      seen.add(tally);
     }
     return seen;
   }
@@ -169,48 +173,50 @@
   public void aFamilyThatGrowsSlowAndABuildThatIsSlowThereAreToldApart() {
     Observation ill = troubled(3, false);
     assertEquals(
-        OutlierScore.families(ill, 0, 11, OLD).stream().map(OutlierScore.Finding::family).toList(),
+        OutlierScore.slowFamilies(ill, 0, 11, OLD).stream()
+            .map(OutlierScore.Finding::family)
+            .toList(),
         List.of(3));
-    assertEquals(OutlierScore.builds(ill, 0, 2, OLD), List.of());
+    assertEquals(OutlierScore.slowBuilds(ill, 0, 2, OLD), List.of());
     Observation bad = troubled(3, true);
-    assertEquals(OutlierScore.families(bad, 0, 11, OLD), List.of());
+    assertEquals(OutlierScore.slowFamilies(bad, 0, 11, OLD), List.of());
     assertEquals(
-        OutlierScore.builds(bad, 0, 2, OLD).stream().map(OutlierScore.Finding::family).toList(),
+        OutlierScore.slowBuilds(bad, 0, 2, OLD).stream().map(OutlierScore.Finding::family).toList(),
         List.of(3));
     Observation well = troubled(-1, false);
-    assertEquals(OutlierScore.families(well, 0, 11, OLD), List.of());
-    assertEquals(OutlierScore.builds(well, 0, 2, OLD), List.of());
+    assertEquals(OutlierScore.slowFamilies(well, 0, 11, OLD), List.of());
+    assertEquals(OutlierScore.slowBuilds(well, 0, 2, OLD), List.of());
   }
 
   @Test
   public void aBuildOnTrialIsNoPartOfAFamilysWorth() {
-    double with = LeastSquaresFit.of(troubled(3, true), 0, OLD, 1).time(0, 3, 1).log();
-    double without = LeastSquaresFit.of(troubled(-1, false), 0, OLD, 1).time(0, 3, 1).log();
+    double with = LeastSquaresFit.fit(troubled(3, true), 0, OLD, 1).timeRatio(0, 3, 1).log();
+    double without = LeastSquaresFit.fit(troubled(-1, false), 0, OLD, 1).timeRatio(0, 3, 1).log();
     assertEquals(with, without, 0.08);
   }
 
   @Test
   public void oneOddWindowMovesLittle() {
-    Truth truth = new Truth(12, 3);
+    SimulatedHardware truth = new SimulatedHardware(12, 3);
     Observation seen = truth.seen(20, 1500, 1);
-    double before = LeastSquaresFit.of(seen, 0, ALL, 1).time(0, 0, 1).log();
+    double before = LeastSquaresFit.fit(seen, 0, ALL, 1).timeRatio(0, 0, 1).log();
     SampleSums odd = new SampleSums(0, 21);
     for (int i = 0; i < 300; i++) {
-      odd.ended(0, 0, 1, 0, truth.ms(0, 0, 0, 20));
-      odd.ended(0, 1, 1, 0, truth.ms(1, 0, 0, 1));
+      odd.add(0, 0, 1, 0, truth.ms(0, 0, 0, 20));
+      odd.add(0, 1, 1, 0, truth.ms(1, 0, 0, 1));
     }
-    seen.told(odd);
-    assertEquals(LeastSquaresFit.of(seen, 0, ALL, 1).time(0, 0, 1).log(), before, 0.15);
+    seen.add(odd);
+    assertEquals(LeastSquaresFit.fit(seen, 0, ALL, 1).timeRatio(0, 0, 1).log(), before, 0.15);
   }
 
   @Test
   public void whatARelayKeepsIsBounded() {
     SampleSums tally = new SampleSums(0, 1);
     for (int method = 0; method < 1000; method++) {
-      tally.ended(method, 0, 1, 0, 5);
+      tally.add(method, 0, 1, 0, 5);
     }
-    assertEquals(tally.cells().size(), SampleSums.MOST_CELLS);
-    assertEquals(tally.leftOut(), 1000 - SampleSums.MOST_CELLS);
-    assertEquals(LeastSquaresFit.of(new Observation(), 0, ALL, 1), null);
+    assertEquals(tally.cells().size(), SampleSums.MAX_CELLS);
+    assertEquals(tally.droppedSamples(), 1000 - SampleSums.MAX_CELLS);
+    assertEquals(LeastSquaresFit.fit(new Observation(), 0, ALL, 1), null);
   }
 }
--- a/src/test/java/sprucerock/hardware/Truth.java
+++ b/src/test/java/sprucerock/hardware/SimulatedHardware.java
@@ -6,7 +6,7 @@
  * Families as they truly are, and what relays see of them: work of an exponential length, cores
  * that it shares, units that differ a little.
  */
-final class Truth {
+final class SimulatedHardware {
   static final double[] WORK_MS = {8, 20, 3};
 
   final double[] speed;
@@ -18,7 +18,7 @@
   private final SplittableRandom random;
   private final double[] level = new double[WORK_MS.length];
 
-  Truth(long seed, int families) {
+  SimulatedHardware(long seed, int families) {
     random = new SplittableRandom(seed);
     speed = new double[families];
     cores = new double[families];
@@ -79,10 +79,10 @@
         int family = draw(speed.length);
         int method = draw(WORK_MS.length);
         int others = random.nextInt(3) == 0 ? draw(64) : 0;
-        tallies[draw(relays)].ended(method, family, 1, others, ms(family, method, others, 1));
+        tallies[draw(relays)].add(method, family, 1, others, ms(family, method, others, 1));
       }
       for (SampleSums one : tallies) {
-        seen.told(one);
+        seen.add(one);
       }
     }
     return seen;
--- a/src/test/java/sprucerock/lease/BadMakers.java
+++ b/src/test/java/sprucerock/lease/FaultyParties.java
@@ -6,28 +6,28 @@
 import sprucerock.time.Timestamp;
 
 /** Parties that each lack one guard. */
-final class BadMakers {
-  private BadMakers() {}
+final class FaultyParties {
+  private FaultyParties() {}
 
-  private static World.Makers candidates(Made made) {
-    return new World.Makers() {
+  private static LeaseSimulation.Makers candidates(Made made) {
+    return new LeaseSimulation.Makers() {
       @Override
       public LeaseClient candidate(
-          Terms terms, LeaseClient.Host host, int me, long life, double chance) {
+          LeaseTerms terms, LeaseClient.Transport host, int me, long life, double chance) {
         return made.of(terms, host, chance, me, life);
       }
     };
   }
 
   private interface Made {
-    LeaseClient of(Terms terms, LeaseClient.Host host, double chance, int me, long life);
+    LeaseClient of(LeaseTerms terms, LeaseClient.Transport host, double chance, int me, long life);
   }
 
-  private static World.Makers granters(MadeGranter made) {
-    return new World.Makers() {
+  private static LeaseSimulation.Makers granters(MadeGranter made) {
+    return new LeaseSimulation.Makers() {
       @Override
       public LeaseGrantor granter(
-          Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants) {
+          LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants) {
         return made.of(terms, host, opens, grants);
       }
     };
@@ -35,19 +35,19 @@
 
   private interface MadeGranter {
     LeaseGrantor of(
-        Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants);
+        LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants);
   }
 
   /** Each by what it lacks. */
-  static Map<String, World.Makers> all() {
-    Map<String, World.Makers> all = new TreeMap<>();
+  static Map<String, LeaseSimulation.Makers> all() {
+    Map<String, LeaseSimulation.Makers> all = new TreeMap<>();
     all.put(
         "a granter minds what is out",
         granters(
             (terms, host, opens, grants) ->
                 new LeaseGrantor(terms, host, opens, grants) {
                   @Override
-                  boolean runs(Grant grant, Timestamp now) {
+                  boolean isRunning(Grant grant, Timestamp now) {
                     return false;
                   }
                 }));
@@ -57,15 +57,15 @@
             (terms, host, opens, grants) ->
                 new LeaseGrantor(terms, host, opens, grants) {
                   @Override
-                  boolean exceeds(long number, Grant grant) {
+                  boolean exceedsToken(long number, Grant grant) {
                     return true;
                   }
                 }));
     all.put(
         "a granter sits out after its start",
-        new World.Makers() {
+        new LeaseSimulation.Makers() {
           @Override
-          public TimeSpan sitsOut(Terms terms) {
+          public TimeSpan sitsOut(LeaseTerms terms) {
             return TimeSpan.ZERO;
           }
         });
@@ -73,9 +73,9 @@
         "a majority grants",
         candidates(
             (terms, host, chance, me, life) ->
-                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
                   @Override
-                  int enough() {
+                  int requiredGrants() {
                     return 1;
                   }
                 }));
@@ -83,9 +83,9 @@
         "time counts from before it asked",
         candidates(
             (terms, host, chance, me, life) ->
-                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
                   @Override
-                  Timestamp from(Timestamp now) {
+                  Timestamp termStart(Timestamp now) {
                     return now;
                   }
                 }));
@@ -93,9 +93,9 @@
         "time is shortened by the drift",
         candidates(
             (terms, host, chance, me, life) ->
-                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
                   @Override
-                  TimeSpan usable() {
+                  TimeSpan usableTerm() {
                     return terms.term();
                   }
                 }));
@@ -103,15 +103,15 @@
         "an answer counts for its own round",
         candidates(
             (terms, host, chance, me, life) ->
-                new LeaseClient(World.NAME, terms, host, () -> chance, me, life) {
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
                   @Override
-                  boolean thisRound(long ofRound) {
+                  boolean isCurrentRound(long ofRound) {
                     return true;
                   }
                 }));
     all.put(
         "a place refuses lower numbers",
-        new World.Makers() {
+        new LeaseSimulation.Makers() {
           @Override
           public boolean fences() {
             return false;
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -35,7 +35,7 @@
   private final NioLoop loop;
   private final FileChannel notes;
   private final ReconnectingConnection place;
-  private final Leases leases;
+  private final LeaseManager leases;
   private final SplittableRandom random;
   private final TimeSpan term;
   private final boolean guarded;
@@ -58,8 +58,8 @@
     loop = new NioLoop("lease-" + me, Throwable::printStackTrace);
     long life = System.nanoTime() ^ ProcessHandle.current().pid() << 32;
     random = new SplittableRandom(life);
-    Leases.Log log =
-        new Leases.Log() {
+    LeaseManager.Log log =
+        new LeaseManager.Log() {
           @Override
           public void info(String what) {
             // thousands of take-overs
@@ -102,7 +102,8 @@
               }
             });
     leases =
-        new Leases(loop, config, "process-" + me, life, Tap.NONE, System::currentTimeMillis, log);
+        new LeaseManager(
+            loop, config, "process-" + me, life, Tap.NONE, System::currentTimeMillis, log);
     loop.post(
         () -> {
           try {
@@ -131,11 +132,11 @@
   private void stand(String name) {
     boolean[] held = new boolean[1];
     LeaseCheck guard =
-        leases.stand(
+        leases.campaign(
             name,
-            new Leases.Task() {
+            new LeaseManager.Listener() {
               @Override
-              public void begun(LeaseCheck guard) {
+              public void acquired(LeaseCheck guard) {
                 held[0] = true;
                 act(name, guard, held);
                 if (random.nextInt(4) > 0) {
@@ -146,7 +147,7 @@
               }
 
               @Override
-              public void ended(String why) {
+              public void lost(String why) {
                 if (guarded) {
                   held[0] = false;
                 } else {
@@ -164,7 +165,7 @@
     if (!held[0]) {
       return;
     }
-    leases.leave(name, random.nextInt(3) == 0 ? random.nextInt(5) : -1);
+    leases.withdraw(name, random.nextInt(3) == 0 ? random.nextInt(5) : -1);
     loop.at(loop.now().plus(TimeSpan.ofMs(random.nextInt(100))), () -> stand(name));
   }
 
@@ -175,10 +176,10 @@
       return;
     }
     if (guarded) {
-      guard.act(number -> land(name, number));
+      guard.runIfHeld(number -> land(name, number));
     } else {
-      if (guard.held()) {
-        guard.act(number -> lastNumber = number);
+      if (guard.isHeld()) {
+        guard.runIfHeld(number -> lastNumber = number);
       }
       land(name, lastNumber);
     }
@@ -206,7 +207,7 @@
   private void refused(String text) {
     String[] words = text.split(" ");
     if (guards.containsKey(words[0])) {
-      guards.get(words[0]).refused(Long.parseLong(words[1]));
+      guards.get(words[0]).tokenRejected(Long.parseLong(words[1]));
     }
   }
 
--- a/src/test/java/sprucerock/lease/LeaseFire.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessCluster.java
@@ -33,7 +33,7 @@
  * cut, late, lossy and reset; they are killed and stopped. The place where acts land is here, and
  * so is the checker, which reads that and the processes' notes.
  */
-final class LeaseFire implements AutoCloseable {
+final class LeaseProcessCluster implements AutoCloseable {
   private record Landed(String name, long number, boolean admitted) {}
 
   /** What came of it. */
@@ -57,7 +57,7 @@
   private final boolean fenced;
   private final Random random;
   private final NioLoop loop;
-  private final FencingToken fence = new FencingToken();
+  private final FencingTokenRegistry fence = new FencingTokenRegistry();
   private final List<Landed> landed = Collections.synchronizedList(new ArrayList<>());
   private final Map<String, Long> highest = new HashMap<>();
   private volatile int taken;
@@ -70,7 +70,8 @@
   private int stops;
   private int cuts;
 
-  LeaseFire(Path folder, int names, TimeSpan term, boolean guarded, boolean fenced, long seed)
+  LeaseProcessCluster(
+      Path folder, int names, TimeSpan term, boolean guarded, boolean fenced, long seed)
       throws Exception {
     this.folder = folder;
     this.names = names;
@@ -358,12 +359,13 @@
   }
 
   /**
-   * {@code LeaseFire FOLDER TAKE-OVERS TROUBLES SECONDS [SEED]}: the same for as long as one wants.
+   * {@code LeaseProcessCluster FOLDER TAKE-OVERS TROUBLES SECONDS [SEED]}: the same for as long as
+   * one wants.
    */
   public static void main(String[] args) throws Exception {
     Path folder = Files.createDirectories(Path.of(args[0]));
-    try (LeaseFire fire =
-        new LeaseFire(
+    try (LeaseProcessCluster fire =
+        new LeaseProcessCluster(
             folder,
             30,
             TimeSpan.ofMs(400),
--- a/src/test/java/sprucerock/lease/LeaseProcessesTest.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessesTest.java
@@ -34,9 +34,10 @@
     }
   }
 
-  private LeaseFire.Result play(boolean guarded, boolean fenced, int taken, int troubles)
+  private LeaseProcessCluster.Result play(boolean guarded, boolean fenced, int taken, int troubles)
       throws Exception {
-    try (LeaseFire fire = new LeaseFire(folder, 30, TimeSpan.ofMs(400), guarded, fenced, 7)) {
+    try (LeaseProcessCluster fire =
+        new LeaseProcessCluster(folder, 30, TimeSpan.ofMs(400), guarded, fenced, 7)) {
       fire.run(taken, troubles, 120);
       return fire.end();
     }
@@ -44,7 +45,7 @@
 
   @Test
   public void neverTwoActAtOnceAndNoLowerNumberAfterAHigher() throws Exception {
-    LeaseFire.Result result = play(true, true, 300, 12);
+    LeaseProcessCluster.Result result = play(true, true, 300, 12);
     assertNull(result.wrong(), result.toString());
     assertTrue(result.taken() >= 300, result.toString());
   }
--- a/src/test/java/sprucerock/lease/SearchTest.java
+++ b/src/test/java/sprucerock/lease/LeaseSafetyTest.java
@@ -15,7 +15,7 @@
  * That never two act at once: looked for in every order of events up to stated bounds, and in long
  * ones by chance; and with each guard taken out.
  */
-public class SearchTest {
+public class LeaseSafetyTest {
   private static final double DRIFT = 0.19;
   private static final double SLOW = 1 - DRIFT;
   private static final double FAST = 1 + DRIFT;
@@ -25,10 +25,10 @@
     {SLOW, FAST, FAST, FAST, FAST}, {FAST, SLOW, SLOW, FAST, FAST}, {1, 1, 1, 1, 1}
   };
 
-  static World world(World.Makers makers, double chance, double[] paces) {
-    Terms terms = new Terms(3, TimeSpan.ofMs(2), TimeSpan.ofMs(2), DRIFT);
-    World world =
-        new World(
+  static LeaseSimulation world(LeaseSimulation.Makers makers, double chance, double[] paces) {
+    LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(2), TimeSpan.ofMs(2), DRIFT);
+    LeaseSimulation world =
+        new LeaseSimulation(
             makers,
             terms,
             chance,
@@ -42,8 +42,10 @@
   public void nowhereInEveryOrderOfEvents() {
     // SearchMain goes further, in minutes; docs/lease.md has how far
     for (double[] paces : PACES) {
-      Search.Bounds bounds = new Search.Bounds(paces == PACES[0] ? 3 : 2, 3, 0, 0, 0, 400_000);
-      Search.Found found = Search.every(() -> world(new World.Makers() {}, 0, paces), bounds);
+      StateSpaceSearch.Bounds bounds =
+          new StateSpaceSearch.Bounds(paces == PACES[0] ? 3 : 2, 3, 0, 0, 0, 400_000);
+      StateSpaceSearch.Found found =
+          StateSpaceSearch.every(() -> world(new LeaseSimulation.Makers() {}, 0, paces), bounds);
       assertNull(found.wrong());
       assertTrue(found.whole(), found.worlds() + " worlds and more");
       assertTrue(found.withHolder() > 100, "hardly anybody ever held it: " + found);
@@ -54,7 +56,7 @@
   public void nowhereInLongOrdersByChance() {
     int taken = 0;
     for (int seed = 0; seed < 60; seed++) {
-      World world = random(new World.Makers() {}, seed);
+      LeaseSimulation world = random(new LeaseSimulation.Makers() {}, seed);
       assertNull(world.wrong, "seed " + seed);
       taken += world.takenOver;
     }
@@ -64,7 +66,7 @@
   /** Each guard is there for something that the checker sees once it is not. */
   @Test
   public void eachGuardIsMissedByTheChecker() {
-    Map<String, World.Makers> all = BadMakers.all();
+    Map<String, LeaseSimulation.Makers> all = FaultyParties.all();
     assertEquals(all.size(), 8);
     all.forEach(
         (lacks, makers) -> {
@@ -84,24 +86,25 @@
 
   @Test
   public void whoStoodStillWithItsAskOnTheWayTakesNothingUnderALowerNumber() {
-    assertNull(oneThatStoodStillWhileAnotherHeldIt(new World.Makers() {}).wrong);
-    assertNull(oneThatHearsOldAnswersAgain(new World.Makers() {}).wrong);
+    assertNull(oneThatStoodStillWhileAnotherHeldIt(new LeaseSimulation.Makers() {}).wrong);
+    assertNull(oneThatHearsOldAnswersAgain(new LeaseSimulation.Makers() {}).wrong);
   }
 
   /**
    * Too rare for chance: a holder asks again, one granter hears it, and another one's old answer
    * comes a second time.
    */
-  private static World oneThatHearsOldAnswersAgain(World.Makers makers) {
-    Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
-    World world = new World(makers, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
+  private static LeaseSimulation oneThatHearsOldAnswersAgain(LeaseSimulation.Makers makers) {
+    LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
+    LeaseSimulation world =
+        new LeaseSimulation(makers, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
     world.befall(1, 3);
-    world.arrive(World.Kind.ASK, 0);
-    world.arrive(World.Kind.GRANTED, 0);
+    world.arrive(LeaseSimulation.Kind.ASK, 0);
+    world.arrive(LeaseSimulation.Kind.GRANTED, 0);
     world.pass(3); // both asked once, and the holder again
-    world.arrive(World.Kind.ASK, 0, 0, 2);
-    world.arrive(World.Kind.GRANTED, 0, 0, 2);
-    world.arrive(World.Kind.GRANTED, 0, 1, 1);
+    world.arrive(LeaseSimulation.Kind.ASK, 0, 0, 2);
+    world.arrive(LeaseSimulation.Kind.GRANTED, 0, 0, 2);
+    world.arrive(LeaseSimulation.Kind.GRANTED, 0, 1, 1);
     while (world.tick < 9) {
       world.happen(0, Integer.MAX_VALUE, 0, 0, 0);
     }
@@ -117,11 +120,11 @@
    * All that is on its way of a candidate; what was granted to a number that it gave up is given
    * back, and then the newest counts.
    */
-  private static void heardOut(World world, int candidate) {
+  private static void heardOut(LeaseSimulation world, int candidate) {
     for (int i = 0; i < 2; i++) {
-      world.arrive(World.Kind.ASK, candidate);
-      world.arrive(World.Kind.GRANTED, candidate);
-      world.arrive(World.Kind.RETURN, candidate);
+      world.arrive(LeaseSimulation.Kind.ASK, candidate);
+      world.arrive(LeaseSimulation.Kind.GRANTED, candidate);
+      world.arrive(LeaseSimulation.Kind.RETURN, candidate);
     }
   }
 
@@ -129,17 +132,19 @@
    * Too rare for chance: one asks and stands still; the other one takes it under a higher number
    * and gives it back; then the ask arrives.
    */
-  private static World oneThatStoodStillWhileAnotherHeldIt(World.Makers makers) {
-    Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
-    World world = new World(makers, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
+  private static LeaseSimulation oneThatStoodStillWhileAnotherHeldIt(
+      LeaseSimulation.Makers makers) {
+    LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
+    LeaseSimulation world =
+        new LeaseSimulation(makers, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
     world.befall(1, 3);
     world.pass(3); // both asked once, and the first one again
     heardOut(world, 0);
     world.befall(0, 2);
-    world.arrive(World.Kind.RETURN, 0);
+    world.arrive(LeaseSimulation.Kind.RETURN, 0);
     world.befall(1, 3);
-    world.arrive(World.Kind.ASK, 1);
-    world.arrive(World.Kind.GRANTED, 1);
+    world.arrive(LeaseSimulation.Kind.ASK, 1);
+    world.arrive(LeaseSimulation.Kind.GRANTED, 1);
     return world;
   }
 
@@ -151,10 +156,10 @@
   public void fencingAloneHoldsWhereClocksAreWorseThanStated() {
     boolean two = false;
     for (int seed = 0; seed < 60; seed++) {
-      Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), 0);
-      World world =
-          new World(
-              new World.Makers() {},
+      LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), 0);
+      LeaseSimulation world =
+          new LeaseSimulation(
+              new LeaseSimulation.Makers() {},
               terms,
               0.5,
               new double[] {0.5, 1.6},
@@ -166,13 +171,13 @@
     assertTrue(two, "the clocks were not bad enough to show anything");
   }
 
-  private static World random(World.Makers makers, int seed) {
+  private static LeaseSimulation random(LeaseSimulation.Makers makers, int seed) {
     Random random = new Random(seed);
     double[][] paces = PACES;
     double[] some = paces[random.nextInt(paces.length)];
-    Terms terms = new Terms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
-    World world =
-        new World(
+    LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
+    LeaseSimulation world =
+        new LeaseSimulation(
             makers,
             terms,
             random.nextDouble(),
@@ -183,7 +188,7 @@
   }
 
   /** Long orders: messages are mostly taken soon, some late or more than once. */
-  private static void run(World world, int seed) {
+  private static void run(LeaseSimulation world, int seed) {
     Random random = new Random(seed);
     Supplier<Integer> attempt =
         () -> {
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -16,7 +16,8 @@
  * told how long to wait.
  */
 public class LeaseScaleTest {
-  private static final Terms TERMS = new Terms(3, TimeSpan.ofMs(3000), TimeSpan.ofMs(3000), 0.01);
+  private static final LeaseTerms TERMS =
+      new LeaseTerms(3, TimeSpan.ofMs(3000), TimeSpan.ofMs(3000), 0.01);
   private static final String NAME = "seat";
 
   private record Due(double ms, int candidate) {}
@@ -51,25 +52,25 @@
             new LeaseClient(
                 NAME,
                 TERMS,
-                new LeaseClient.Host() {
+                new LeaseClient.Transport() {
                   @Override
-                  public void ask(int granter, String name, long number, long round) {
+                  public void request(int granter, String name, long number, long round) {
                     messages.add(
                         () -> {
                           if (granter == 0) {
                             asks++;
                           }
-                          granters[granter].asked(me, 1, name, number, round, now);
+                          granters[granter].request(me, 1, name, number, round, now);
                         });
                   }
 
                   @Override
-                  public void giveBack(int granter, String name, long number, int heir) {
-                    messages.add(() -> granters[granter].returned(me, 1, name, number, heir, now));
+                  public void release(int granter, String name, long number, int heir) {
+                    messages.add(() -> granters[granter].release(me, 1, name, number, heir, now));
                   }
 
                   @Override
-                  public void taken(String name, long number) {
+                  public void acquired(String name, long number) {
                     // one does
                   }
 
@@ -87,35 +88,35 @@
     private LeaseGrantor granter(int which) {
       return new LeaseGrantor(
           TERMS,
-          new LeaseGrantor.Host() {
+          new LeaseGrantor.Replies() {
             @Override
             public void granted(int candidate, String name, long number, long round) {
               messages.add(() -> candidates[candidate].granted(which, number, round, now));
             }
 
             @Override
-            public void refused(
+            public void rejected(
                 int candidate,
                 String name,
                 long number,
                 long round,
                 long highest,
                 TimeSpan left,
-                LeaseGrantor.Refusal why) {
+                LeaseGrantor.Rejection why) {
               messages.add(
                   () ->
-                      candidates[candidate].refused(
+                      candidates[candidate].rejected(
                           which,
                           number,
                           round,
                           highest,
                           left,
-                          why == LeaseGrantor.Refusal.HELD,
+                          why == LeaseGrantor.Rejection.HELD,
                           now));
             }
 
             @Override
-            public void freed(int candidate, String name) {
+            public void available(int candidate, String name) {
               freed++;
             }
           },
@@ -125,14 +126,14 @@
     void pass(double untilMs) {
       for (int i = 0; i < candidates.length; i++) {
         if (!candidates[i].wanted()) {
-          candidates[i].want(now, 1);
+          candidates[i].acquire(now, 1);
           settle();
           again(i);
         }
       }
       while (!due.isEmpty() && due.peek().ms <= untilMs) {
         Due next = due.poll();
-        Timestamp at = candidates[next.candidate].due();
+        Timestamp at = candidates[next.candidate].nextTick();
         if (at == null || Math.abs(at.ms() - next.ms) > 1e-9) {
           continue;
         }
@@ -145,8 +146,9 @@
     }
 
     private void again(int candidate) {
-      if (candidates[candidate].due() != null) {
-        due.add(new Due(Math.max(candidates[candidate].due().ms(), now.ms() + 1e-6), candidate));
+      if (candidates[candidate].nextTick() != null) {
+        due.add(
+            new Due(Math.max(candidates[candidate].nextTick().ms(), now.ms() + 1e-6), candidate));
       }
     }
 
