--- a/src/test/java/sprucerock/lease/World.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -15,28 +15,28 @@
  * later or before another its delay. A world is branched by {@link #copy}. The checker reads only
  * claims against the one true time, and what was done where acts land.
  */
-final class World {
+final class LeaseSimulation {
   static final String NAME = "seat";
 
   /** Who makes the parties: the real ones, or such as lack a guard. */
   interface Makers {
-    default Terms terms(Terms right) {
+    default LeaseTerms terms(LeaseTerms right) {
       return right;
     }
 
     default LeaseClient candidate(
-        Terms terms, LeaseClient.Host host, int me, long life, double chance) {
+        LeaseTerms terms, LeaseClient.Transport host, int me, long life, double chance) {
       return new LeaseClient(NAME, terms, host, () -> chance, me, life);
     }
 
     default LeaseGrantor granter(
-        Terms terms, LeaseGrantor.Host host, Timestamp opens, Map<String, Grant> grants) {
+        LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants) {
       return new LeaseGrantor(terms, host, opens, grants);
     }
 
     /** Whether an act may be sent. */
     default boolean guards(LeaseClient candidate, Timestamp now) {
-      return candidate.holds(now);
+      return candidate.isHeldAt(now);
     }
 
     default boolean fences() {
@@ -44,8 +44,8 @@
     }
 
     /** How long a granter that begins anew grants nothing. */
-    default TimeSpan sitsOut(Terms terms) {
-      return terms.longest();
+    default TimeSpan sitsOut(LeaseTerms terms) {
+      return terms.longestTerm();
     }
   }
 
@@ -91,7 +91,7 @@
   }
 
   private final Makers makers;
-  private final Terms terms;
+  private final LeaseTerms terms;
   private final double chance;
   private final double[] paceOfCandidates;
   private final double[] paceOfGranters;
@@ -107,7 +107,7 @@
   int granterCrashes;
   int candidateCrashes;
   int stalls;
-  private FencingToken fence = new FencingToken();
+  private FencingTokenRegistry fence = new FencingTokenRegistry();
   private long landed; // the checker's own
   private long lastTaken;
   String wrong;
@@ -116,9 +116,9 @@
   /** Refusals and acts are left out: what they lead to, patience that ends leads to as well. */
   boolean brief;
 
-  World(
+  LeaseSimulation(
       Makers makers,
-      Terms right,
+      LeaseTerms right,
       double chance,
       double[] paceOfCandidates,
       double[] paceOfGranters) {
@@ -139,11 +139,11 @@
       candidates[i] = made(i);
     }
     for (LeaseClient one : candidates) {
-      one.want(Timestamp.ofMs(0), 1);
+      one.acquire(Timestamp.ofMs(0), 1);
     }
   }
 
-  private World(World other) {
+  private LeaseSimulation(LeaseSimulation other) {
     makers = other.makers;
     terms = other.terms;
     chance = other.chance;
@@ -168,20 +168,20 @@
     }
     for (int i = 0; i < candidates.length; i++) {
       candidates[i] = made(i);
-      candidates[i].become(other.candidates[i]);
+      candidates[i].copyStateFrom(other.candidates[i]);
     }
   }
 
-  World copy() {
-    return new World(this);
+  LeaseSimulation copy() {
+    return new LeaseSimulation(this);
   }
 
   private LeaseClient made(int index) {
     return makers.candidate(
         terms,
-        new LeaseClient.Host() {
+        new LeaseClient.Transport() {
           @Override
-          public void ask(int granter, String name, long number, long round) {
+          public void request(int granter, String name, long number, long round) {
             if (granter == 0) {
               asks++;
             }
@@ -199,14 +199,14 @@
           }
 
           @Override
-          public void giveBack(int granter, String name, long number, int heir) {
+          public void release(int granter, String name, long number, int heir) {
             send(
                 new Message(
                     Kind.RETURN, index, granter, lives[index], number, 0, 0, TimeSpan.ZERO, false));
           }
 
           @Override
-          public void taken(String name, long number) {
+          public void acquired(String name, long number) {
             takenOver++;
             if (number <= lastTaken) {
               wrong = "taken under " + number + " after " + lastTaken;
@@ -338,15 +338,7 @@
         }
         return send(
             new Message(
-                Kind.ACT,
-                who,
-                0,
-                lives[who],
-                candidates[who].number(),
-                0,
-                0,
-                TimeSpan.ZERO,
-                false));
+                Kind.ACT, who, 0, lives[who], candidates[who].token(), 0, 0, TimeSpan.ZERO, false));
       }
       case 1 -> {
         if (candidateCrashes >= mostCandidateCrashes) {
@@ -356,14 +348,14 @@
         lives[who]++;
         stalled[who] = false;
         candidates[who] = made(who);
-        candidates[who].want(clock(who), 1 + tick); // the wall's clock does not go back
+        candidates[who].acquire(clock(who), 1 + tick); // the wall's clock does not go back
       }
       case 2 -> { // gives it back, and wants it again
-        if (stalled[who] || asks >= mostAsks || !candidates[who].holds(clock(who))) {
+        if (stalled[who] || asks >= mostAsks || !candidates[who].isHeldAt(clock(who))) {
           return false;
         }
-        candidates[who].leave(-1);
-        candidates[who].want(clock(who), 1 + tick);
+        candidates[who].release(-1);
+        candidates[who].acquire(clock(who), 1 + tick);
       }
       default -> {
         if (!stalled[who] && stalls >= mostStalls) {
@@ -397,7 +389,7 @@
       if (message.kind == Kind.GRANTED) {
         candidates[who].granted(message.granter, message.number, message.round, clock(who));
       } else {
-        candidates[who].refused(
+        candidates[who].rejected(
             message.granter,
             message.number,
             message.round,
@@ -412,7 +404,7 @@
     LeaseGrantor granter =
         makers.granter(
             terms,
-            new LeaseGrantor.Host() {
+            new LeaseGrantor.Replies() {
               @Override
               public void granted(int candidate, String name, long number, long round) {
                 send(
@@ -429,14 +421,14 @@
               }
 
               @Override
-              public void refused(
+              public void rejected(
                   int candidate,
                   String name,
                   long number,
                   long round,
                   long highest,
                   TimeSpan left,
-                  LeaseGrantor.Refusal why) {
+                  LeaseGrantor.Rejection why) {
                 if (!brief) {
                   send(
                       new Message(
@@ -448,12 +440,12 @@
                           round,
                           highest,
                           left,
-                          why == LeaseGrantor.Refusal.HELD));
+                          why == LeaseGrantor.Rejection.HELD));
                 }
               }
 
               @Override
-              public void freed(int candidate, String name) {
+              public void available(int candidate, String name) {
                 // only makes it quicker
               }
             },
@@ -461,9 +453,9 @@
             grants.get(at));
     Timestamp now = Timestamp.ofMs(tick * paceOfGranters[at]);
     if (message.kind == Kind.ASK) {
-      granter.asked(who, message.life, NAME, message.number, message.round, now);
+      granter.request(who, message.life, NAME, message.number, message.round, now);
     } else {
-      granter.returned(who, message.life, NAME, message.number, -1, now);
+      granter.release(who, message.life, NAME, message.number, -1, now);
     }
     grants.set(at, new TreeMap<>(granter.grants()));
     return check();
@@ -473,7 +465,7 @@
   private boolean check() {
     int holders = 0;
     for (int i = 0; i < candidates.length; i++) {
-      if (candidates[i].holds(clock(i))) {
+      if (candidates[i].isHeldAt(clock(i))) {
         holders++;
       }
     }
@@ -487,7 +479,7 @@
   int holders() {
     int found = 0;
     for (int i = 0; i < candidates.length; i++) {
-      if (candidates[i].holds(clock(i))) {
+      if (candidates[i].isHeldAt(clock(i))) {
         found++;
       }
     }
@@ -528,7 +520,7 @@
         }
       }
       for (LeaseClient candidate : candidates) {
-        one.append(candidate.has(at));
+        one.append(candidate.voteOf(at));
       }
       each.add(one.toString());
     }
@@ -545,7 +537,7 @@
             .append(' ')
             .append(lastTaken);
     for (int i = 0; i < candidates.length; i++) {
-      text.append(candidates[i].withoutGranters()).append(stalled[i]).append(lives[i]);
+      text.append(candidates[i].stateWithoutVotes()).append(stalled[i]).append(lives[i]);
     }
     for (Message message : sent) {
       if (message.kind == Kind.ACT) {
--- a/src/test/java/sprucerock/lease/LeaseStudy.java
+++ b/src/test/java/sprucerock/lease/LeaseStudy.java
@@ -34,7 +34,8 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private final Terms terms = new Terms(GRANTERS, TimeSpan.ofMs(TERM), TimeSpan.ofMs(TERM), 0.01);
+  private final LeaseTerms terms =
+      new LeaseTerms(GRANTERS, TimeSpan.ofMs(TERM), TimeSpan.ofMs(TERM), 0.01);
   private final List<LeaseGrantor> granters = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private double now;
@@ -53,7 +54,7 @@
       granters.add(
           new LeaseGrantor(
               terms,
-              new LeaseGrantor.Host() {
+              new LeaseGrantor.Replies() {
                 @Override
                 public void granted(int who, String name, long number, long round) {
                   way(
@@ -69,14 +70,14 @@
                 }
 
                 @Override
-                public void refused(
+                public void rejected(
                     int who,
                     String name,
                     long number,
                     long round,
                     long highest,
                     TimeSpan left,
-                    LeaseGrantor.Refusal why) {
+                    LeaseGrantor.Rejection why) {
                   way(
                       () ->
                           members
@@ -86,23 +87,23 @@
                                       members
                                           .get(who)
                                           .candidate
-                                          .refused(
+                                          .rejected(
                                               at,
                                               number,
                                               round,
                                               highest,
                                               left,
-                                              why == LeaseGrantor.Refusal.HELD,
+                                              why == LeaseGrantor.Rejection.HELD,
                                               time())));
                 }
 
                 @Override
-                public void freed(int who, String name) {
+                public void available(int who, String name) {
                   way(
                       () ->
                           members
                               .get(who)
-                              .heard(() -> members.get(who).candidate.freed(time(), 0)));
+                              .heard(() -> members.get(who).candidate.available(time(), 0)));
                 }
               },
               Timestamp.ofMs(-1),
@@ -112,7 +113,7 @@
       members.add(new Member(i, seed));
     }
     for (Member one : members) {
-      at(random.nextDouble() * 100, () -> one.heard(() -> one.candidate.want(time(), 0)));
+      at(random.nextDouble() * 100, () -> one.heard(() -> one.candidate.acquire(time(), 0)));
     }
   }
 
@@ -140,7 +141,7 @@
   }
 
   /** A relay: stands still, is cut off or is dead, each until a moment. */
-  private final class Member implements LeaseClient.Host {
+  private final class Member implements LeaseClient.Transport {
     private final int number;
     private LeaseClient candidate;
     private double stillUntil;
@@ -173,13 +174,13 @@
     }
 
     private void arm() {
-      if (candidate.due() == null) {
+      if (candidate.nextTick() == null) {
         return;
       }
       Event[] mine = new Event[1];
       mine[0] =
           new Event(
-              Math.max(now, candidate.due().ms()),
+              Math.max(now, candidate.nextTick().ms()),
               made++,
               () -> {
                 if (timer != mine[0]) {
@@ -197,7 +198,7 @@
     }
 
     @Override
-    public void ask(int granter, String name, long asked, long round) {
+    public void request(int granter, String name, long asked, long round) {
       if (holder == number) {
         fromHolder++;
       } else {
@@ -208,21 +209,21 @@
         return;
       }
       long own = life;
-      way(() -> granters.get(granter).asked(number, own, name, asked, round, time()));
+      way(() -> granters.get(granter).request(number, own, name, asked, round, time()));
     }
 
     @Override
-    public void giveBack(int granter, String name, long given, int heir) {
+    public void release(int granter, String name, long given, int heir) {
       toGranters++;
       if (cutUntil > now) {
         return;
       }
       long own = life;
-      way(() -> granters.get(granter).returned(number, own, name, given, heir, time()));
+      way(() -> granters.get(granter).release(number, own, name, given, heir, time()));
     }
 
     @Override
-    public void taken(String name, long given) {
+    public void acquired(String name, long given) {
       if (lostAt >= 0) {
         gaps.add(now - lostAt);
       }
@@ -250,15 +251,15 @@
                   new DeterministicRandom(now == 0 ? 1 : (long) now * 31 + number)::next,
                   number,
                   life);
-          at(now + 1500, () -> heard(() -> candidate.want(time(), 0)));
+          at(now + 1500, () -> heard(() -> candidate.acquire(time(), 0)));
         }
         case STALL -> stillUntil = now + 2 * TERM;
         case CUT -> cutUntil = now + 2 * TERM;
         default ->
             heard(
                 () -> {
-                  candidate.leave(-1);
-                  at(now + 1000, () -> heard(() -> candidate.want(time(), 0)));
+                  candidate.release(-1);
+                  at(now + 1000, () -> heard(() -> candidate.acquire(time(), 0)));
                 });
       }
     }
--- a/src/test/java/sprucerock/lease/Search.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearch.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 
 /** Every world that can come from one, up to stated bounds; ends at the first that is wrong. */
-final class Search {
+final class StateSpaceSearch {
   /** How far it goes: ticks, rounds of asks, and how often each trouble comes. */
   record Bounds(
       int ticks, int asks, int granterCrashes, int candidateCrashes, int stalls, int most) {}
@@ -17,12 +17,12 @@
   /** How many worlds there are; whether all were seen; what was wrong, or null. */
   record Found(int worlds, boolean whole, String wrong, int withHolder) {}
 
-  static Found every(Supplier<World> start, Bounds bounds) {
+  static Found every(Supplier<LeaseSimulation> start, Bounds bounds) {
     Set<Long> seen = ConcurrentHashMap.newKeySet();
-    List<World> edge = List.of(start.get());
+    List<LeaseSimulation> edge = List.of(start.get());
     int holders = 0;
     while (!edge.isEmpty() && seen.size() < bounds.most()) {
-      List<World> next =
+      List<LeaseSimulation> next =
           edge.parallelStream()
               .flatMap(
                   world ->
@@ -32,7 +32,7 @@
                                 if (choice == 0 && world.tick >= bounds.ticks()) {
                                   return null;
                                 }
-                                World then = world.copy();
+                                LeaseSimulation then = world.copy();
                                 if (!then.happen(
                                     choice,
                                     bounds.asks(),
@@ -45,7 +45,7 @@
                               })
                           .filter(one -> one != null))
               .collect(Collectors.toList());
-      for (World one : next) {
+      for (LeaseSimulation one : next) {
         if (one.wrong != null) {
           return new Found(seen.size(), false, one.wrong, holders);
         }
@@ -70,5 +70,5 @@
     return hash ^ hash >>> 33;
   }
 
-  private Search() {}
+  private StateSpaceSearch() {}
 }
--- a/src/test/java/sprucerock/lease/SearchMain.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearchMain.java
@@ -3,23 +3,26 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The search at sizes that take minutes: {@code SearchMain [ticks asks granter-crashes
+ * The search at sizes that take minutes: {@code StateSpaceSearchMain [ticks asks granter-crashes
  * candidate-crashes stalls most]}.
  */
-public final class SearchMain {
-  private SearchMain() {}
+public final class StateSpaceSearchMain {
+  private StateSpaceSearchMain() {}
 
   public static void main(String[] args) {
     int[] n = new int[] {5, 3, 1, 0, 1, 20_000_000};
     for (int i = 0; i < args.length; i++) {
       n[i] = Integer.parseInt(args[i]);
     }
-    Search.Bounds bounds = new Search.Bounds(n[0], n[1], n[2], n[3], n[4], n[5]);
+    StateSpaceSearch.Bounds bounds =
+        new StateSpaceSearch.Bounds(n[0], n[1], n[2], n[3], n[4], n[5]);
     for (double chance : new double[] {0, 0.99}) {
-      for (double[] paces : SearchTest.PACES) {
+      for (double[] paces : LeaseSafetyTest.PACES) {
         long began = System.nanoTime();
-        Search.Found found =
-            Search.every(() -> SearchTest.world(new World.Makers() {}, chance, paces), bounds);
+        StateSpaceSearch.Found found =
+            StateSpaceSearch.every(
+                () -> LeaseSafetyTest.world(new LeaseSimulation.Makers() {}, chance, paces),
+                bounds);
         System.out.println(
             bounds
                 + " chance "
--- a/src/test/java/sprucerock/relay/healthcheck/LookoutTest.java
+++ b/src/test/java/sprucerock/relay/healthcheck/HealthCheckSchedulerTest.java
@@ -13,7 +13,7 @@
  * Whose turn it is, held against a walk over all units that knows only when each was said to be
  * due.
  */
-public class LookoutTest {
+public class HealthCheckSchedulerTest {
   private double draw;
 
   /** What a walk finds: of those due, the one due longest, of these the highest number. */
@@ -45,14 +45,14 @@
         Timestamp now = Timestamp.ofMs(nowMs);
         switch (random.nextInt(6)) {
           case 0 -> {
-            lookout.ready(endpoint, now);
+            lookout.add(endpoint, now);
             due.putIfAbsent(endpoint, nowMs + 2000 * draw);
           }
           case 1 -> {
             if (random.nextInt(4) > 0) {
               continue;
             }
-            lookout.left(endpoint);
+            lookout.remove(endpoint);
             due.remove(endpoint);
           }
           case 2 -> {
@@ -63,7 +63,7 @@
             }
           }
           case 3 -> {
-            lookout.silent(endpoint, now);
+            lookout.timedOut(endpoint, now);
             if (due.containsKey(endpoint)) {
               due.put(endpoint, nowMs + 1000 * (0.75 + 0.5 * draw));
             }
--- a/src/test/java/sprucerock/relay/snapshot/PictureBenchmark.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotBenchmark.java
@@ -27,7 +27,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class PictureBenchmark {
+public class RackSnapshotBenchmark {
   @Param({"0", "1000"})
   public int swapsASecond;
 
@@ -45,7 +45,7 @@
 
   @Setup
   public void begin() {
-    shared.put(picture(1));
+    shared.publish(picture(1));
     if (swapsASecond == 0) {
       return;
     }
@@ -53,7 +53,7 @@
         new Thread(
             () -> {
               for (long n = 2; !over; n++) {
-                shared.put(picture(n));
+                shared.publish(picture(n));
                 java.util.concurrent.locks.LockSupport.parkNanos(1_000_000_000L / swapsASecond);
               }
             });
@@ -69,7 +69,7 @@
   @Benchmark
   public boolean look() {
     at = at + 7 & 0xff;
-    return shared.take().mayPlace(RackSnapshot.key(at >> 4, at & 15), 1e9, 100);
+    return shared.current().mayPlace(RackSnapshot.key(at >> 4, at & 15), 1e9, 100);
   }
 
   public static void main(String[] args) throws Exception {
--- a/src/test/java/sprucerock/relay/snapshot/SharedTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotTest.java
@@ -12,7 +12,7 @@
 import sprucerock.time.Timestamp;
 
 /** The picture on a request's path. */
-public class SharedTest {
+public class RackSnapshotTest {
   @Test
   public void workIsPlacedWhereItEndsInTime() {
     RackSnapshot picture =
@@ -27,8 +27,8 @@
     assertFalse(picture.mayPlace(RackSnapshot.key(1, 7), 900, 101));
     assertFalse(picture.mayPlace(RackSnapshot.key(2, 7), 0, 0));
     assertTrue(picture.mayPlace(RackSnapshot.key(3, 7), 1e9, 1e9));
-    assertNull(picture.until(RackSnapshot.key(1, 8)));
-    assertEquals(picture.until(RackSnapshot.key(1, 7)), Timestamp.ofMs(1000));
+    assertNull(picture.freeUntil(RackSnapshot.key(1, 8)));
+    assertEquals(picture.freeUntil(RackSnapshot.key(1, 7)), Timestamp.ofMs(1000));
   }
 
   @Test
@@ -40,16 +40,16 @@
       }
     }
     RackSnapshot picture = new RackSnapshot(1, until);
-    until.forEach((key, moment) -> assertEquals(picture.until(key), moment));
+    until.forEach((key, moment) -> assertEquals(picture.freeUntil(key), moment));
     assertEquals(picture.size(), 1200);
   }
 
   @Test
   public void anOlderStateTakesNoNewerOnesPlace() {
     SharedSnapshot shared = new SharedSnapshot();
-    assertTrue(shared.put(new RackSnapshot(5, Map.of())));
-    assertFalse(shared.put(new RackSnapshot(4, Map.of())));
-    assertEquals(shared.take().sequence(), 5);
+    assertTrue(shared.publish(new RackSnapshot(5, Map.of())));
+    assertFalse(shared.publish(new RackSnapshot(4, Map.of())));
+    assertEquals(shared.current().sequence(), 5);
   }
 
   /**
@@ -67,13 +67,13 @@
               () -> {
                 long before = 0;
                 while (before < 20_000 && wrong.get() == null) {
-                  RackSnapshot picture = shared.take();
+                  RackSnapshot picture = shared.current();
                   if (picture.sequence() < before) {
                     wrong.set("went back from " + before + " to " + picture.sequence());
                   }
                   before = picture.sequence();
                   for (int cell = 0; cell < 50 && before > 0; cell++) {
-                    Timestamp until = picture.until(RackSnapshot.key(1, cell));
+                    Timestamp until = picture.freeUntil(RackSnapshot.key(1, cell));
                     if (until == null || until.ms() != before) {
                       wrong.set("in " + before + " a rack has " + until);
                     }
@@ -87,7 +87,7 @@
       for (int cell = 0; cell < 50; cell++) {
         until.put(RackSnapshot.key(1, cell), Timestamp.ofMs(n));
       }
-      shared.put(new RackSnapshot(n, until));
+      shared.publish(new RackSnapshot(n, until));
     }
     for (Thread one : readers) {
       one.join(60_000);
--- a/src/test/java/sprucerock/scale/FreezeScaleTest.java
+++ b/src/test/java/sprucerock/scale/FreezeScaleTest.java
@@ -21,15 +21,15 @@
 public class FreezeScaleTest {
   private static final long MIN = 60_000;
   private static final long NOTICE = 10 * MIN;
-  private static final MaintenanceWindows.Host NOBODY =
-      new MaintenanceWindows.Host() {
+  private static final MaintenanceWindows.Listener NOBODY =
+      new MaintenanceWindows.Listener() {
         @Override
         public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
           // not counted
         }
 
         @Override
-        public void promisesChanged() {
+        public void grantsChanged() {
           // not counted here
         }
       };
@@ -66,17 +66,17 @@
   private MaintenanceWindow announce(String rack, long from, long now) {
     Object made =
         freezes.announce(Set.of(rack), from, MIN, 0, "", "UTC", false, "ann", "new switch", now);
-    return freezes.of((Long) ((List<?>) made).get(0));
+    return freezes.find((Long) ((List<?>) made).get(0));
   }
 
   private long looked() {
-    return freezes.looked() + promises.looked();
+    return freezes.entriesExamined() + promises.entriesExamined();
   }
 
   /** As the door does with each ask. */
   private void asks(int relay, long holds, long now) {
-    promises.asked(relay, holds, now);
-    promises.cleared(now).forEach(number -> freezes.cleared(number, now));
+    promises.request(relay, holds, now);
+    promises.returned(now).forEach(number -> freezes.grantsReturned(number, now));
   }
 
   /** The second round of asks of so many relays, each once, within a second. */
@@ -137,7 +137,7 @@
               FreezeScaleTest one = new FreezeScaleTest(windows, windows);
               long before = one.looked();
               for (int i = 0; i < one.racks; i++) {
-                one.promises.promised("r" + i, 1000);
+                one.promises.grantedForMs("r" + i, 1000);
               }
               return (one.looked() - before) / (double) one.racks;
             },
@@ -156,7 +156,7 @@
               FreezeScaleTest one = new FreezeScaleTest(windows, windows);
               long before = one.looked();
               for (int i = 0; i < 20; i++) {
-                one.freezes.due(1000 + i * 50L);
+                one.freezes.isDue(1000 + i * 50L);
               }
               return (one.looked() - before) / 20.0;
             },
--- a/src/test/java/sprucerock/scale/Listed.java
+++ b/src/test/java/sprucerock/scale/Listed.java
@@ -9,7 +9,7 @@
 import sprucerock.config.LeaseConfig;
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.GrantorListener;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.relay.frames.FrameRelay;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.SimulatedNet;
@@ -99,8 +99,8 @@
         """;
   static final String ROOMY = "units=\"200000\" frame=\"64MiB\" unsent=\"64MiB\"";
 
-  private static final Leases.Log SILENT =
-      new Leases.Log() {
+  private static final LeaseManager.Log SILENT =
+      new LeaseManager.Log() {
         @Override
         public void info(String what) {}
 
