--- a/src/main/java/sprucerock/agent/ControllerClient.java
+++ b/src/main/java/sprucerock/agent/ControllerClient.java
@@ -18,11 +18,11 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Failure;
 import sprucerock.transport.wire.v1.Fetch;
@@ -39,7 +39,7 @@
  * relay runs on meanwhile.
  */
 public final class ControllerClient {
-  private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(1000));
+  private static final FrameLimits LIMITS = new FrameLimits(1 << 20, 4 << 20, TimeSpan.ofMs(1000));
   private static final int MOST_FAILURES =
       20; // that wait for a controller; of more the oldest go, and the log has them
   private static final TimeSpan ASK_AGAIN =
@@ -51,7 +51,7 @@
   private final int number;
   private final int zone;
   private final String name;
-  private final Tap tap;
+  private final FrameTap tap;
   private final ArtifactStore vault;
   private final RelaySupervisor here;
   private final Agent agent;
@@ -88,7 +88,7 @@
         config.zone,
         loop,
         vault,
-        Tap.NONE,
+        FrameTap.NONE,
         (says, fails, consumers) ->
             new LocalRelaySupervisor(config, loop, vault, says, fails, consumers));
   }
@@ -104,7 +104,7 @@
       int zone,
       Net loop,
       ArtifactStore vault,
-      Tap tap,
+      FrameTap tap,
       RelaySupervisor.Maker places) {
     this.config = config;
     this.name = name;
@@ -163,7 +163,7 @@
         here.log("what it is to begin with can't be read: " + e.getMessage());
       }
     }
-    connections.forEach(ReconnectingConnection::dial);
+    connections.forEach(ReconnectingConnection::connect);
     // from the number, so that a thousand agents that were started together do not speak together
     loop.at(loop.now().plus(config.sayEvery.times(chance.next())), this::now);
   }
@@ -205,7 +205,7 @@
   private void tell() {
     RelaySums sums = here.sums();
     ReconnectingConnection connection =
-        connections.stream().filter(ReconnectingConnection::usable).findFirst().orElse(null);
+        connections.stream().filter(ReconnectingConnection::isReady).findFirst().orElse(null);
     if (connection == null) {
       return;
     }
@@ -232,8 +232,8 @@
     failures.clear();
     readables.clear();
     for (ReconnectingConnection one : connections) {
-      if (one.usable()) {
-        one.send(Kind.AGENT, says.build(), new byte[0]);
+      if (one.isReady()) {
+        one.send(FrameKind.AGENT, says.build(), new byte[0]);
       }
     }
   }
@@ -287,8 +287,8 @@
     asked = 0;
     Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.from()).build();
     for (ReconnectingConnection one : connections) {
-      if (one.usable()) {
-        one.send(Kind.FETCH, fetch, new byte[0]);
+      if (one.isReady()) {
+        one.send(FrameKind.FETCH, fetch, new byte[0]);
       }
     }
   }
@@ -361,7 +361,7 @@
     }
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getRole() != Role.DESK) {
         made.cut("no controller");
         return;
@@ -377,10 +377,10 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind == Kind.PIECE) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      if (kind == FrameKind.PIECE) {
         piece((Piece) head, body);
-      } else if (kind == Kind.WANTS) {
+      } else if (kind == FrameKind.WANTS) {
         wants((Wants) head);
       } else {
         connection.cut("an agent takes no " + kind);
--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -30,7 +30,7 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Workers;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 
 /**
  * Straight to the units, through a bare forwarder and through the relay, in one run: RPCs a second
@@ -383,9 +383,9 @@
         Loops.on(
             loop,
             () -> {
-              FrameRelay made = new FrameRelay(config, loop, Tap.NONE);
+              FrameRelay made = new FrameRelay(config, loop, FrameTap.NONE);
               if (kept == Kept.NOT) {
-                made.ledger().accounts().mute();
+                made.requestTracker().accounts().mute();
               }
               try {
                 made.start(
@@ -393,15 +393,18 @@
                     tls == null
                         ? null
                         : new Workers(
-                            config.tlsWorkers, config.tlsWorkWaiting, loop::post, made::broken));
+                            config.tlsWorkers,
+                            config.tlsWorkWaiting,
+                            loop::post,
+                            made::internalError));
               } catch (Material.BadMaterialException e) {
                 throw new IOException(e.getMessage());
               }
               lastKeeper =
                   MetricsFileWriter.open(
                       figures,
-                      made.ledger().accounts(),
-                      () -> loop.atTurnsEnd(made.ledger().accounts()::commit),
+                      made.requestTracker().accounts(),
+                      () -> loop.atTurnsEnd(made.requestTracker().accounts()::commit),
                       out::println);
               return made;
             });
--- a/src/main/java/sprucerock/benchmark/Fleet.java
+++ b/src/main/java/sprucerock/benchmark/Fleet.java
@@ -8,10 +8,10 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Done;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Form;
@@ -26,7 +26,8 @@
 
 /** Units that answer at once with what they were sent, and the roster and desk that name them. */
 final class Fleet implements AutoCloseable {
-  static final Limits LIMITS = new Limits(1 << 20, 64 << 20, sprucerock.time.TimeSpan.ofMs(5000));
+  static final FrameLimits LIMITS =
+      new FrameLimits(1 << 20, 64 << 20, sprucerock.time.TimeSpan.ofMs(5000));
   private static final byte[] NO_BODY = {};
 
   private final NioLoop[] loops;
@@ -61,15 +62,15 @@
               connection ->
                   new FrameListener() {
                     @Override
-                    public void greeted(FrameConnection made, Hello other) {}
+                    public void helloReceived(FrameConnection made, Hello other) {}
 
                     @Override
-                    public void frame(Kind kind, MessageLite head, byte[] body) {
-                      if (kind != Kind.WORK) {
+                    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+                      if (kind != FrameKind.WORK) {
                         return;
                       }
                       connection[0].send(
-                          Kind.DONE,
+                          FrameKind.DONE,
                           Done.newBuilder()
                               .setId(((Work) head).getId())
                               .setResult(Result.DONE)
@@ -104,11 +105,11 @@
             connection ->
                 new FrameListener() {
                   @Override
-                  public void greeted(FrameConnection made, Hello other) {}
+                  public void helloReceived(FrameConnection made, Hello other) {}
 
                   @Override
-                  public void frame(Kind kind, MessageLite head, byte[] body) {
-                    connection[0].send(Kind.LISTING, listing.build(), NO_BODY);
+                  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+                    connection[0].send(FrameKind.LISTING, listing.build(), NO_BODY);
                   }
 
                   @Override
@@ -124,9 +125,9 @@
             connection ->
                 new FrameListener() {
                   @Override
-                  public void greeted(FrameConnection made, Hello other) {
+                  public void helloReceived(FrameConnection made, Hello other) {
                     made.send(
-                        Kind.NEWS,
+                        FrameKind.NEWS,
                         News.newBuilder()
                             .setBuild(1)
                             .setStage(0)
@@ -138,7 +139,7 @@
                   }
 
                   @Override
-                  public void frame(Kind kind, MessageLite head, byte[] body) {}
+                  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {}
 
                   @Override
                   public void closed(String why) {}
@@ -165,11 +166,12 @@
               loop.listen(
                   new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                   10_000,
-                  LIMITS.unsent(),
+                  LIMITS.maxUnsentBytes(),
                   () -> {
                     FrameConnection[] connection = new FrameConnection[1];
                     connection[0] =
-                        new FrameConnection(loop, hello, LIMITS, Tap.NONE, made.user(connection));
+                        new FrameConnection(
+                            loop, hello, LIMITS, FrameTap.NONE, made.user(connection));
                     return tls == null ? connection[0] : tls.server(place, connection[0]);
                   });
           return listener.address().getPort();
--- a/src/main/java/sprucerock/benchmark/Load.java
+++ b/src/main/java/sprucerock/benchmark/Load.java
@@ -13,9 +13,9 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Done;
@@ -84,10 +84,12 @@
       started[(int) (id & started.length - 1)] = meant;
       if (straight) {
         connection.send(
-            Kind.WORK, Work.newBuilder().setId(id).setLeftUs(5_000_000).setKey(id).build(), body);
+            FrameKind.WORK,
+            Work.newBuilder().setId(id).setLeftUs(5_000_000).setKey(id).build(),
+            body);
       } else {
         connection.send(
-            Kind.CALL,
+            FrameKind.CALL,
             Call.newBuilder()
                 .setId(id)
                 .setMethod((int) (id % methods))
@@ -99,12 +101,12 @@
     }
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       up.incrementAndGet();
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] bytes) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] bytes) {
       long id = straight ? ((Done) head).getId() : ((Answer) head).getId();
       boolean fine = straight || ((Answer) head).getEnding() == Ending.OK;
       long now = System.nanoTime();
@@ -163,7 +165,7 @@
           () -> {
             Client client = new Client(lane);
             client.connection =
-                new FrameConnection(lane.loop, hello, Fleet.LIMITS, Tap.NONE, client);
+                new FrameConnection(lane.loop, hello, Fleet.LIMITS, FrameTap.NONE, client);
             lane.clients.add(client);
             ConnectionListener user =
                 tls == null
@@ -173,7 +175,7 @@
             return lane.loop.connect(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 TimeSpan.ofMs(10_000),
-                Fleet.LIMITS.unsent(),
+                Fleet.LIMITS.maxUnsentBytes(),
                 user);
           });
     }
--- a/src/main/java/sprucerock/cli/ControllerCommand.java
+++ b/src/main/java/sprucerock/cli/ControllerCommand.java
@@ -9,7 +9,7 @@
 import sprucerock.controller.Engine;
 import sprucerock.controller.server.ControllerConfig;
 import sprucerock.controller.server.ControllerServer;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 
 @Command(
     name = "controller",
@@ -66,7 +66,7 @@
                 return System.nanoTime() / 1_000_000;
               }
             },
-            Tap.NONE,
+            FrameTap.NONE,
             () -> new Thread(() -> System.exit(Commands.FAILED), "replaced").start());
     CountDownLatch told = new CountDownLatch(1);
     Thread stopper =
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -22,7 +22,7 @@
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Workers;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sun.misc.Signal;
 
 @Command(
@@ -82,7 +82,7 @@
       inForce = text;
       loop.post(() -> relay.reload(anew));
     } catch (ConfigException | IOException e) {
-      loop.post(() -> relay.notReloaded(e.getMessage()));
+      loop.post(() -> relay.reloadFailed(e.getMessage()));
     }
   }
 
@@ -103,7 +103,7 @@
             "relay-" + config.settings.index,
             e -> {
               if (relay.get() != null) {
-                relay.get().broken(e);
+                relay.get().internalError(e);
               } else {
                 e.printStackTrace(System.err);
               }
@@ -117,14 +117,14 @@
               tracing.set(new TraceWriter(loop, trace, "relay-" + config.settings.index));
               tracing.get().watchStalls();
             }
-            relay.set(new FrameRelay(config, loop, trace == null ? Tap.NONE : tracing.get()));
-            MethodAccounts accounts = relay.get().ledger().accounts();
+            relay.set(new FrameRelay(config, loop, trace == null ? FrameTap.NONE : tracing.get()));
+            MethodAccounts accounts = relay.get().requestTracker().accounts();
             keeper.set(
                 MetricsFileWriter.open(
                     config.figures,
                     accounts,
                     () -> loop.atTurnsEnd(accounts::commit),
-                    relay.get()::figuresFile));
+                    relay.get()::metricsFileProblem));
             boolean fits = config.leases != null && config.leases.fitsEvery() != null;
             Workers aside =
                 config.tls == null && !fits
@@ -133,7 +133,7 @@
                         Math.max(1, config.tlsWorkers),
                         Math.max(1, config.tlsWorkWaiting),
                         loop::post,
-                        relay.get()::broken);
+                        relay.get()::internalError);
             relay.get().start(Policy::new, aside);
           } catch (IOException e) {
             wrong.set(
@@ -154,7 +154,7 @@
       try {
         new MetricsExporter(
             keeper.get()::snapshot,
-            relay.get()::drifting,
+            relay.get()::hasMetricsDrift,
             keeper.get()::kept,
             () -> now(relay.get()),
             config.scrapedAt);
@@ -170,7 +170,7 @@
                   () ->
                       relay
                           .get()
-                          .finish(
+                          .shutdown(
                               () -> {
                                 keeper.get().close();
                                 if (tracing.get() != null) {
--- a/src/main/java/sprucerock/cli/ServeCommand.java
+++ b/src/main/java/sprucerock/cli/ServeCommand.java
@@ -46,7 +46,7 @@
               "serving",
               e -> {
                 if (serving.get() != null) {
-                  serving.get().broken(e);
+                  serving.get().internalError(e);
                 } else {
                   e.printStackTrace(System.err);
                 }
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -16,7 +16,7 @@
 import sprucerock.transport.tls.Handshakes;
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.Tls;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameLimits;
 
 /**
  * The configuration of one relay, checked; the schema relay.xsd names the units and the values used
@@ -41,7 +41,7 @@
   public final int clients;
 
   public final int endpoints;
-  public final Limits connection;
+  public final FrameLimits connection;
 
   /** Bytes that may wait for a peer; a message that would come on top is dropped. */
   public final long peerUnsent;
@@ -126,8 +126,8 @@
       throw limits.wrong("frame may be 1KiB to 1024MiB, not " + limits.text("frame"));
     }
     connection =
-        new Limits((int) limits.bytes("frame"), limits.bytes("unsent"), limits.span("beat"));
-    if (connection.unsent() < connection.frame()) {
+        new FrameLimits((int) limits.bytes("frame"), limits.bytes("unsent"), limits.span("beat"));
+    if (connection.maxUnsentBytes() < connection.maxFrameBytes()) {
       throw limits.wrong("unsent must hold one frame, " + limits.text("frame"));
     }
     atLeast(limits, "beat", TimeSpan.ofMs(10));
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -26,10 +26,10 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Failure;
 import sprucerock.transport.wire.v1.Fetch;
@@ -59,8 +59,8 @@
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final Net net;
   private final ControllerConfig config;
-  private final Limits limits;
-  private final Tap tap;
+  private final FrameLimits limits;
+  private final FrameTap tap;
   private final ControllerServer desk;
   private final ArtifactStore vault;
   private final Watcher watch;
@@ -70,13 +70,13 @@
   private Net.Listener listener;
 
   AgentListener(
-      Net net, ControllerConfig config, Tap tap, ControllerServer desk, ArtifactStore vault) {
+      Net net, ControllerConfig config, FrameTap tap, ControllerServer desk, ArtifactStore vault) {
     this.net = net;
     this.config = config;
     this.tap = tap;
     this.desk = desk;
     this.vault = vault;
-    limits = new Limits(1 << 20, 4L << 20, TimeSpan.ofMs(1000));
+    limits = new FrameLimits(1 << 20, 4L << 20, TimeSpan.ofMs(1000));
     watch = new Watcher(changes(), this);
     for (ManagedRelay relay : changes().relays()) {
       absent.left(
@@ -94,7 +94,7 @@
         net.listen(
             config.agents,
             config.mostAgents,
-            limits.unsent(),
+            limits.maxUnsentBytes(),
             () -> {
               Session session = new Session();
               session.connection =
@@ -165,10 +165,10 @@
     int most = (int) Math.max(1, config.piecesASecond * PUMP.ms() / 1000);
     for (int i = fetches.size(); i > 0 && most > 0; i--) {
       Waiting next = fetches.pollFirst();
-      if (!next.session.connection.usable()) {
+      if (!next.session.connection.isReady()) {
         continue;
       }
-      if (next.session.connection.unsent() > PIECE) {
+      if (next.session.connection.unsentBytes() > PIECE) {
         fetches.addLast(next); // it has not read the last one
         continue;
       }
@@ -217,7 +217,7 @@
     private AgentSays last;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getRole() != Role.AGENT || other.getNumber() < 0 || other.getNumber() > 65_534) {
         made.cut("only agents are taken here");
         return;
@@ -246,15 +246,15 @@
             .setCheckProgram(waits.to.program())
             .setCheckSettings(waits.to.settings());
       }
-      connection.send(Kind.WANTS, wants.build(), NO_BODY);
+      connection.send(FrameKind.WANTS, wants.build(), NO_BODY);
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       heard = net.now();
-      if (kind == Kind.AGENT) {
+      if (kind == FrameKind.AGENT) {
         says((AgentSays) head);
-      } else if (kind == Kind.FETCH) {
+      } else if (kind == FrameKind.FETCH) {
         if (fetches.size() < MOST_WAITING) {
           fetches.addLast(new Waiting(this, (Fetch) head)); // else it asks again
         }
@@ -347,7 +347,7 @@
       } catch (IOException e) {
         log.error("VERSIONS {} can't be read: {}", fetch.getDigest(), e.getMessage());
       }
-      connection.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
+      connection.send(FrameKind.PIECE, piece.setMissing(body.length == 0).build(), body);
     }
 
     @Override
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -32,7 +32,7 @@
 import sprucerock.lease.Leases;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 
 /**
  * The controller: its engine between relays, pipelines and operators, on one loop that also waits
@@ -69,7 +69,8 @@
    *
    * @throws Exception if a file is damaged or an address can't be had; the message says which
    */
-  public ControllerServer(ControllerConfig config, Engine.Clock clock, Tap tap, Runnable replaced)
+  public ControllerServer(
+      ControllerConfig config, Engine.Clock clock, FrameTap tap, Runnable replaced)
       throws Exception {
     this.replaced = replaced;
     this.config = config;
@@ -185,7 +186,7 @@
    * By the store's folder, or by a lease where granters are configured; this process may be one of
    * them.
    */
-  private Leadership seat(String holder, Tap tap, Engine.Clock clock) throws Exception {
+  private Leadership seat(String holder, FrameTap tap, Engine.Clock clock) throws Exception {
     if (config.leases == null) {
       return FileLeadership.in(config.folder, clock, config.lease, holder);
     }
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -13,10 +13,10 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.PromiseAsk;
@@ -38,20 +38,20 @@
 
   private final Net net;
   private final ControllerConfig config;
-  private final Limits limits;
-  private final Tap tap;
+  private final FrameLimits limits;
+  private final FrameTap tap;
   private final ControllerServer desk;
   private final Set<Session> sessions = new LinkedHashSet<>();
   private final RackList racks;
   private Net.Listener listener;
 
-  RelayListener(Net net, ControllerConfig config, Tap tap, ControllerServer desk) {
+  RelayListener(Net net, ControllerConfig config, FrameTap tap, ControllerServer desk) {
     this.net = net;
     this.config = config;
     this.tap = tap;
     this.desk = desk;
     racks = new RackList(desk.engine().freezes().room().racks());
-    limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), TimeSpan.ofMs(2000));
+    limits = new FrameLimits(64 * 1024, Math.max(config.unsent, 64 * 1024), TimeSpan.ofMs(2000));
   }
 
   InetSocketAddress start() throws IOException {
@@ -59,7 +59,7 @@
         net.listen(
             config.relays,
             config.mostRelays,
-            limits.unsent(),
+            limits.maxUnsentBytes(),
             () -> {
               Session session = new Session();
               session.connection =
@@ -90,7 +90,7 @@
   Set<Integer> relays() {
     Set<Integer> found = new java.util.TreeSet<>();
     for (Session session : sessions) {
-      found.add(session.connection.other().getNumber());
+      found.add(session.connection.remoteHello().getNumber());
     }
     return found;
   }
@@ -112,7 +112,7 @@
    */
   void promisesChanged() {
     for (Session session : sessions) {
-      session.connection.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
+      session.connection.send(FrameKind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
     }
   }
 
@@ -141,7 +141,7 @@
     private Timers.Timer behind;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getRole() != Role.RELAY) {
         made.cut("only relays are taken here");
         return;
@@ -154,7 +154,7 @@
       if (behind != null) {
         return;
       }
-      if (connection.unsent()
+      if (connection.unsentBytes()
           > config.unsent / 2) { // it does not read: the newest is told when it does
         behind =
             net.at(
@@ -167,20 +167,20 @@
                 });
         return;
       }
-      connection.send(Kind.NEWS, news(), NO_BODY);
+      connection.send(FrameKind.NEWS, news(), NO_BODY);
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind == Kind.PROMISE_ASK) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      if (kind == FrameKind.PROMISE_ASK) {
         promise((PromiseAsk) head);
         return;
       }
-      if (kind == Kind.WORTH) {
+      if (kind == FrameKind.WORTH) {
         worth((Worth) head);
         return;
       }
-      if (kind != Kind.VOTE) {
+      if (kind != FrameKind.VOTE) {
         connection.cut("a controller takes no " + kind);
         return;
       }
@@ -193,7 +193,7 @@
             case BACK -> RolloutManager.Say.BACK;
             default -> null;
           };
-      if (say == null || connection.other().getNumber() < 0) {
+      if (say == null || connection.remoteHello().getNumber() < 0) {
         answer(vote, Taken.FAILED_TO_TAKE);
         return;
       }
@@ -201,7 +201,7 @@
           Input.newBuilder()
               .setCast(
                   Cast.newBuilder()
-                      .setRelay(connection.other().getNumber())
+                      .setRelay(connection.remoteHello().getNumber())
                       .setBuild(vote.getBuild())
                       .setStage(vote.getStage())
                       .setSay(say.name())),
@@ -237,7 +237,7 @@
      */
     private void promise(PromiseAsk ask) {
       long now = desk.engine().freezes().later(desk.engine().wallMs());
-      desk.promises().asked(connection.other().getNumber(), ask.getHolds(), now);
+      desk.promises().asked(connection.remoteHello().getNumber(), ask.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(ask.getId())
@@ -246,13 +246,13 @@
       racks.into(promised, ask.getList(), desk.promises().shorter(now));
       desk.lookAtFreezes();
       if (ask.getId() > 0 && desk.holdsSeat()) {
-        connection.send(Kind.PROMISED, promised.build(), NO_BODY);
+        connection.send(FrameKind.PROMISED, promised.build(), NO_BODY);
       }
     }
 
     private void answer(Vote vote, Taken taken) {
       connection.send(
-          Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
+          FrameKind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
     }
 
     @Override
--- a/src/main/java/sprucerock/lab/GranterProcess.java
+++ b/src/main/java/sprucerock/lab/GranterProcess.java
@@ -12,7 +12,7 @@
 import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 
 /**
  * A granter as a process of its own, the relays' door and core without the relay; it ends with its
@@ -40,7 +40,7 @@
                     loop,
                     of.leases,
                     of.name,
-                    Tap.NONE,
+                    FrameTap.NONE,
                     new Leases.Log() {
                       @Override
                       public void info(String what) {
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -21,8 +21,8 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.PromiseAsk;
@@ -38,7 +38,7 @@
  * thousands would say the same; what it hears of each kind of event is timed here. On one loop's
  * thread.
  */
-final class HollowRelay implements RackPermits.Owner, Tap {
+final class HollowRelay implements RackPermits.PermitListener, FrameTap {
   /** What is in force is timed for. */
   enum Event {
     NEWS,
@@ -129,7 +129,7 @@
             events,
             chance,
             this::answered,
-            promised::told,
+            promised::promiseReceived,
             this::learnt);
     LeaseConfig of = config.leases;
     leases =
@@ -209,7 +209,7 @@
 
   /** As relay.Relay lets its clients in: once news and a first promise are there. */
   private void learnt() {
-    if (connected || !desk.told() || !racks.told()) {
+    if (connected || !desk.hasNews() || !racks.mayHavePermits()) {
       return;
     }
     connected = true;
@@ -266,17 +266,17 @@
   // What the racks' core asks of its relay.
 
   @Override
-  public boolean ask(PromiseAsk ask) {
-    return desk.ask(ask);
+  public boolean requestPromise(PromiseAsk ask) {
+    return desk.requestPromise(ask);
   }
 
   @Override
-  public void firstPromise() {
+  public void firstPromiseReceived() {
     learnt();
   }
 
   @Override
-  public void racksChanged() {
+  public void permitsChanged() {
     // it has no units whose readiness would change
   }
 
@@ -284,21 +284,21 @@
 
   @Override
   public void frame(
-      FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body) {
+      FrameConnection connection, boolean out, FrameKind kind, MessageLite head, byte[] body) {
     controller.frame(connection, out, kind, head, body);
-    if (kind == Kind.VOTE) {
+    if (kind == FrameKind.VOTE) {
       votesOut.put(((Vote) head).getId(), NioLoop.machineMicros());
-    } else if (kind == Kind.VOTED) {
+    } else if (kind == FrameKind.VOTED) {
       Long sent = votesOut.remove(((Voted) head).getId());
       if (sent != null && ((Voted) head).getTaken() == Taken.COUNTS) {
         votesTook.add(NioLoop.machineMicros() - sent);
       }
-    } else if (kind == Kind.PROMISED && ((Promised) head).getId() != 0) {
+    } else if (kind == FrameKind.PROMISED && ((Promised) head).getId() != 0) {
       if (event == Event.FREEZE && ((Promised) head).getSequence() > beyond) {
         now(Event.FREEZE);
       }
       sequence = ((Promised) head).getSequence();
-    } else if (kind == Kind.NEWS) {
+    } else if (kind == FrameKind.NEWS) {
       epoch = ((News) head).getEpoch();
       if (event == Event.CONTROL && epoch > beyond) {
         now(Event.CONTROL);
--- a/src/main/java/sprucerock/lab/LinkCounts.java
+++ b/src/main/java/sprucerock/lab/LinkCounts.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
 
 /**
  * Messages and bytes by kind on the links to the processes of one role, counted at the hollow end
  * and told as that role sees them: what goes out there comes in here. On one loop's thread.
  */
-final class LinkCounts implements Tap {
+final class LinkCounts implements FrameTap {
   private static final class Sum {
     private long messages;
     private long bytes;
@@ -28,10 +28,10 @@
 
   @Override
   public void frame(
-      FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body) {
+      FrameConnection connection, boolean out, FrameKind kind, MessageLite head, byte[] body) {
     Sum sum = sums.computeIfAbsent(kind + (out ? " in" : " out"), key -> new Sum());
     sum.messages++;
-    sum.bytes += FrameConnection.size(head, body);
+    sum.bytes += FrameConnection.wireSize(head, body);
   }
 
   @Override
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -10,9 +10,9 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.LeaseAsk;
 import sprucerock.transport.wire.v1.LeaseBack;
@@ -37,7 +37,7 @@
 
   private final Net net;
   private final LeaseConfig config;
-  private final Tap tap;
+  private final FrameTap tap;
   private final Leases.Log log;
   private final Hello mine;
   private final Map<Integer, Session> sessions = new TreeMap<>();
@@ -47,7 +47,7 @@
   private long dropped;
 
   /** The granter that the configuration says this process is. */
-  public GrantorListener(Net net, LeaseConfig config, String name, Tap tap, Leases.Log log) {
+  public GrantorListener(Net net, LeaseConfig config, String name, FrameTap tap, Leases.Log log) {
     this.net = net;
     this.config = config;
     this.tap = tap;
@@ -66,7 +66,7 @@
               @Override
               public void granted(int candidate, String name, long number, long round) {
                 asking.connection.send(
-                    Kind.LEASE_SAID,
+                    FrameKind.LEASE_SAID,
                     LeaseSaid.newBuilder()
                         .setName(name)
                         .setNumber(number)
@@ -86,7 +86,7 @@
                   TimeSpan left,
                   LeaseGrantor.Refusal why) {
                 asking.connection.send(
-                    Kind.LEASE_SAID,
+                    FrameKind.LEASE_SAID,
                     LeaseSaid.newBuilder()
                         .setName(name)
                         .setNumber(number)
@@ -104,7 +104,7 @@
                 Session session = sessions.get(candidate);
                 if (session != null) {
                   session.connection.send(
-                      Kind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
+                      FrameKind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
                 }
               }
             },
@@ -120,7 +120,7 @@
         net.listen(
             config.listen() == null ? at : config.listen(),
             config.most(),
-            Leases.LIMITS.unsent(),
+            Leases.LIMITS.maxUnsentBytes(),
             () -> {
               Session session = new Session();
               session.connection = new FrameConnection(net, mine, Leases.LIMITS, tap, session);
@@ -157,7 +157,7 @@
     private int inSecond;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getNumber() < 0 || other.getNumber() > 65_535) {
         made.cut("a candidate's number is 0 to 65535");
         return;
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       switch (kind) {
         case LEASE_ASK -> ask((LeaseAsk) head);
         case LEASE_BACK -> {
@@ -183,7 +183,7 @@
               back.getHanded() ? back.getHeir() : -1,
               net.clock());
         }
-        case LEASE_LIST -> connection.send(Kind.LEASE_LISTED, listed(), NO_BODY);
+        case LEASE_LIST -> connection.send(FrameKind.LEASE_LISTED, listed(), NO_BODY);
         default -> connection.cut("a granter takes no " + kind);
       }
     }
--- a/src/main/java/sprucerock/lease/Leases.java
+++ b/src/main/java/sprucerock/lease/Leases.java
@@ -13,11 +13,11 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.LeaseAsk;
 import sprucerock.transport.wire.v1.LeaseBack;
@@ -54,14 +54,14 @@
   /** Leases that a process stands for at most. */
   public static final int MOST = 64;
 
-  static final Limits LIMITS = new Limits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
+  static final FrameLimits LIMITS = new FrameLimits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
 
   private final Net net;
   private final LeaseConfig config;
   private final Terms terms;
   private final Hello mine;
   private final long life;
-  private final Tap tap;
+  private final FrameTap tap;
   private final DeterministicRandom chance;
   private final LongSupplier wallMs;
   private final Log log;
@@ -77,7 +77,13 @@
    * below which no number is chosen.
    */
   public Leases(
-      Net net, LeaseConfig config, String name, long life, Tap tap, LongSupplier wallMs, Log log) {
+      Net net,
+      LeaseConfig config,
+      String name,
+      long life,
+      FrameTap tap,
+      LongSupplier wallMs,
+      Log log) {
     this.net = net;
     this.config = config;
     this.life = life;
@@ -111,7 +117,7 @@
           net.now().plus(terms.usable().times(0.1 * chance.next())),
           () -> {
             if (!stopping) {
-              connection.dial();
+              connection.connect();
             }
           });
     }
@@ -187,7 +193,7 @@
     }
     whenListed = once[0];
     for (ReconnectingConnection one : granters) {
-      one.send(Kind.LEASE_LIST, LeaseList.getDefaultInstance(), new byte[0]);
+      one.send(FrameKind.LEASE_LIST, LeaseList.getDefaultInstance(), new byte[0]);
     }
   }
 
@@ -222,7 +228,7 @@
       granters
           .get(granter)
           .send(
-              Kind.LEASE_ASK,
+              FrameKind.LEASE_ASK,
               LeaseAsk.newBuilder()
                   .setName(name)
                   .setNumber(number)
@@ -238,7 +244,7 @@
       granters
           .get(granter)
           .send(
-              Kind.LEASE_BACK,
+              FrameKind.LEASE_BACK,
               LeaseBack.newBuilder()
                   .setName(name)
                   .setNumber(number)
@@ -273,7 +279,7 @@
     }
 
     @Override
-    public void greeted(FrameConnection connection, Hello other) {
+    public void helloReceived(FrameConnection connection, Hello other) {
       if (other.getRole() != Role.GRANTER || other.getNumber() != granter) {
         connection.cut("granter " + granter + " is not who answers there");
         return;
@@ -282,7 +288,7 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       switch (kind) {
         case LEASE_SAID -> said((LeaseSaid) head);
         case LEASE_FREE -> {
@@ -308,7 +314,7 @@
           granters
               .get(granter)
               .send(
-                  Kind.LEASE_BACK,
+                  FrameKind.LEASE_BACK,
                   LeaseBack.newBuilder()
                       .setName(said.getName())
                       .setNumber(said.getNumber())
--- a/src/main/java/sprucerock/rehearsal/fake/FakeClient.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeClient.java
@@ -13,9 +13,9 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
@@ -110,7 +110,7 @@
   public FakeClient(
       Net net,
       TraceWriter trace,
-      Limits limits,
+      FrameLimits limits,
       Site site,
       Manners manners,
       Ear ear,
@@ -125,7 +125,7 @@
   public FakeClient(
       Net net,
       TraceWriter trace,
-      Limits limits,
+      FrameLimits limits,
       Site site,
       Manners manners,
       Ear ear,
@@ -161,7 +161,7 @@
   }
 
   public void start() {
-    redial.dial();
+    redial.connect();
     next();
   }
 
@@ -267,7 +267,7 @@
       end(order, End.UNANSWERED);
       return;
     }
-    if (!redial.usable()) { // nobody there: asked again soon, while there is time
+    if (!redial.isReady()) { // nobody there: asked again soon, while there is time
       net.at(net.now().plus(TimeSpan.ofMs(100)), () -> attempt(order));
       return;
     }
@@ -279,7 +279,7 @@
     byte[] body =
         ByteBuffer.allocate(32).putInt(number).putInt((int) id).putLong(order.number).array();
     redial.send(
-        Kind.CALL,
+        FrameKind.CALL,
         Call.newBuilder()
             .setId(id)
             .setMethod(order.method)
@@ -299,7 +299,7 @@
   private void leave(long id) {
     Try one = open.remove(id);
     counts.add("left");
-    redial.send(Kind.LEAVE, Leave.newBuilder().setId(id).build(), NO_BODY);
+    redial.send(FrameKind.LEAVE, Leave.newBuilder().setId(id).build(), NO_BODY);
     end(one.order, End.LEFT);
   }
 
@@ -321,15 +321,15 @@
   }
 
   @Override
-  public void greeted(FrameConnection connection, Hello other) {
+  public void helloReceived(FrameConnection connection, Hello other) {
     if (other.getRole() != Role.RELAY) {
       redial.cut("no relay answers there");
     }
   }
 
   @Override
-  public void frame(Kind kind, MessageLite head, byte[] body) {
-    if (kind != Kind.ANSWER) {
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    if (kind != FrameKind.ANSWER) {
       redial.cut("a client takes no " + kind);
       return;
     }
@@ -385,7 +385,7 @@
         net.now().plus(TimeSpan.ofMs(500 + 2500 * chance.nextDouble())),
         () ->
             redial.send(
-                Kind.FLAG,
+                FrameKind.FLAG,
                 Flag.newBuilder()
                     .setUnit(endpoint)
                     .setAgoUs((long) (net.now().since(sent).ms() * 1000))
--- a/src/main/java/sprucerock/rehearsal/fake/FakeController.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeController.java
@@ -16,9 +16,9 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.v1.Counts;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.News;
@@ -55,7 +55,7 @@
 
   private final Net net;
   private final TraceWriter trace;
-  private final Limits limits;
+  private final FrameLimits limits;
   private final Site site;
   private final Places places;
   private final SplittableRandom chance;
@@ -77,7 +77,7 @@
   public FakeController(
       Net net,
       TraceWriter trace,
-      Limits limits,
+      FrameLimits limits,
       Site site,
       Places places,
       int firstBuild,
@@ -99,7 +99,7 @@
         net.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             1000,
-            limits.unsent(),
+            limits.maxUnsentBytes(),
             () -> {
               Session session = new Session();
               session.connection =
@@ -243,7 +243,7 @@
           () -> {
             for (Session session : Set.copyOf(sessions)) {
               for (Counts one : period) {
-                session.connection.send(Kind.COUNTS, one, NO_BODY);
+                session.connection.send(FrameKind.COUNTS, one, NO_BODY);
               }
             }
           });
@@ -300,7 +300,7 @@
 
   private void take(Session session, Vote vote) {
     boolean silent = down;
-    int relay = session.connection.other().getNumber();
+    int relay = session.connection.remoteHello().getNumber();
     boolean trial = standing == Stand.ON_TRIAL;
     boolean clocked = site.desk().control() == Site.Control.CLOCKED;
     boolean fits =
@@ -326,7 +326,7 @@
       return;
     }
     session.connection.send(
-        Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
+        FrameKind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
     if (fits) {
       weigh();
     }
@@ -336,7 +336,7 @@
     private FrameConnection connection;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       sessions.add(this);
       tell();
     }
@@ -355,14 +355,15 @@
           () -> {
             long lasted = (long) (net.now().since(from).ms() * 1000);
             if (!down) {
-              connection.send(Kind.NEWS, news.toBuilder().setLastedUs(lasted).build(), NO_BODY);
+              connection.send(
+                  FrameKind.NEWS, news.toBuilder().setLastedUs(lasted).build(), NO_BODY);
             }
           });
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind == Kind.VOTE) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      if (kind == FrameKind.VOTE) {
         take(this, (Vote) head);
       } else {
         connection.cut("a release desk takes no " + kind);
--- a/src/main/java/sprucerock/rehearsal/fake/FakeDiscovery.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeDiscovery.java
@@ -13,9 +13,9 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Form;
 import sprucerock.transport.wire.v1.Health;
@@ -31,7 +31,7 @@
 
   private final Net net;
   private final TraceWriter trace;
-  private final Limits limits;
+  private final FrameLimits limits;
   private final TimeSpan notice;
   private final Map<Long, Entry> listed = new TreeMap<>();
   private final Map<Long, Timestamp> startedAt = new TreeMap<>();
@@ -42,7 +42,7 @@
   private Net.Listener listener;
   private boolean down;
 
-  public FakeDiscovery(Net net, TraceWriter trace, Limits limits, TimeSpan notice) {
+  public FakeDiscovery(Net net, TraceWriter trace, FrameLimits limits, TimeSpan notice) {
     this.net = net;
     this.trace = trace;
     this.limits = limits;
@@ -54,7 +54,7 @@
         net.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             1000,
-            limits.unsent(),
+            limits.maxUnsentBytes(),
             () -> {
               Session session = new Session();
               session.connection =
@@ -109,7 +109,7 @@
           Listing change =
               Listing.newBuilder().setForm(Form.CHANGES).addEntries(aged(entry)).build();
           for (Session watcher : Set.copyOf(watchers)) {
-            watcher.connection.send(Kind.LISTING, change, NO_BODY);
+            watcher.connection.send(FrameKind.LISTING, change, NO_BODY);
           }
         });
   }
@@ -128,15 +128,15 @@
     private FrameConnection connection;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (down) {
         made.cut("the roster is down");
       }
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind != Kind.WATCH) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      if (kind != FrameKind.WATCH) {
         connection.cut("a roster takes no " + kind);
         return;
       }
@@ -145,7 +145,7 @@
       for (Entry entry : listed.values()) {
         whole.addEntries(aged(entry));
       }
-      connection.send(Kind.LISTING, whole.build(), NO_BODY);
+      connection.send(FrameKind.LISTING, whole.build(), NO_BODY);
     }
 
     @Override
--- a/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
@@ -20,9 +20,9 @@
 import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.v1.Done;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Look;
@@ -58,7 +58,7 @@
   private final Shared shared;
   private final Net net;
   private final TraceWriter trace;
-  private final Limits limits;
+  private final FrameLimits limits;
   private final SplittableRandom chance;
   private final Ear ear;
   private final Set<Session> sessions = new LinkedHashSet<>();
@@ -96,7 +96,7 @@
   public FakeEndpoint(
       Net net,
       TraceWriter trace,
-      Limits limits,
+      FrameLimits limits,
       int id,
       int build,
       int zone,
@@ -139,7 +139,7 @@
         net.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
             10_000,
-            limits.unsent(),
+            limits.maxUnsentBytes(),
             this::session);
     port = listener.address().getPort();
     if (cold) {
@@ -342,7 +342,7 @@
     private final Map<Long, Job> jobs = new HashMap<>();
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (sessions.size() >= mostConnections) {
         made.cut("no connections left");
         return;
@@ -351,15 +351,15 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind == Kind.WORK) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      if (kind == FrameKind.WORK) {
         counts.add("came");
       }
-      if (kind == Kind.WORK && !proven) {
-        trace.note("UNPROVEN", "unit=" + id + " by=" + connection.other().getNumber());
+      if (kind == FrameKind.WORK && !proven) {
+        trace.note("UNPROVEN", "unit=" + id + " by=" + connection.remoteHello().getNumber());
       }
       if (lost(linkLoses)) {
-        if (kind == Kind.WORK) {
+        if (kind == FrameKind.WORK) {
           counts.add("lost_on_way");
         }
         return;
@@ -371,14 +371,14 @@
       }
     }
 
-    private void take(Kind kind, MessageLite head, byte[] body) {
+    private void take(FrameKind kind, MessageLite head, byte[] body) {
       if (down) {
-        if (kind == Kind.WORK) {
+        if (kind == FrameKind.WORK) {
           counts.add("came_when_down");
         }
         return;
       }
-      if (kind == Kind.WORK) {
+      if (kind == FrameKind.WORK) {
         called = net.now();
         Job job = new Job();
         job.session = this;
@@ -387,9 +387,9 @@
         job.came = net.now();
         jobs.put(job.work.getId(), job);
         FakeEndpoint.this.take(job);
-      } else if (kind == Kind.LOOK) {
+      } else if (kind == FrameKind.LOOK) {
         look((Look) head);
-      } else if (kind == Kind.STOP) {
+      } else if (kind == FrameKind.STOP) {
         Job job = jobs.get(((Stop) head).getId());
         if (job != null) {
           job.stopped = true; // dropped if it still waits; running work goes on
@@ -413,11 +413,11 @@
               + " number="
               + look.getNumber()
               + " by="
-              + connection.other().getNumber()
+              + connection.remoteHello().getNumber()
               + " taken="
               + taken);
       connection.send(
-          Kind.LOOKED,
+          FrameKind.LOOKED,
           Looked.newBuilder()
               .setTaken(taken)
               .setHighest(fence.highest(look.getLease()))
@@ -468,7 +468,7 @@
             + " run="
             + run
             + " by="
-            + job.session.connection.other().getNumber()
+            + job.session.connection.remoteHello().getNumber()
             + " cost_us="
             + (long) (job.costMs * 1000));
     Timestamp now = net.now();
@@ -599,12 +599,12 @@
     Done done = Done.newBuilder().setId(job.work.getId()).setResult(result).build();
     Runnable send =
         () -> {
-          boolean gone = !job.session.connection.usable();
+          boolean gone = !job.session.connection.isReady();
           counts.add((gone ? "link_gone_" : rubbish ? "rubbish_" : "sent_") + result);
           if (rubbish) {
-            job.session.connection.send(Kind.WORK, job.work, body); // what a unit never sends
+            job.session.connection.send(FrameKind.WORK, job.work, body); // what a unit never sends
           } else {
-            job.session.connection.send(Kind.DONE, done, body);
+            job.session.connection.send(FrameKind.DONE, done, body);
           }
           if (truncates) {
             job.session.connection.cut("truncated on purpose");
--- a/src/main/java/sprucerock/rehearsal/fake/PeerFaultProxy.java
+++ b/src/main/java/sprucerock/rehearsal/fake/PeerFaultProxy.java
@@ -12,9 +12,9 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
 import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
@@ -23,7 +23,7 @@
 public final class PeerFaultProxy {
   private final Net net;
   private final TraceWriter trace;
-  private final Limits limits;
+  private final FrameLimits limits;
   private final SplittableRandom chance;
   private final DeterministicRandom pauses;
   private final Map<Integer, InetSocketAddress> relays = new HashMap<>();
@@ -32,7 +32,7 @@
   private double lost;
   private TimeSpan delay = TimeSpan.ofMs(1);
 
-  public PeerFaultProxy(Net net, TraceWriter trace, Limits limits, long seed) {
+  public PeerFaultProxy(Net net, TraceWriter trace, FrameLimits limits, long seed) {
     this.net = net;
     this.trace = trace;
     this.limits = limits;
@@ -51,7 +51,7 @@
     return net.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             1000,
-            limits.unsent(),
+            limits.maxUnsentBytes(),
             () -> {
               From from = new From(relay);
               from.connection = new FrameConnection(net, hello(relay), limits, trace, from);
@@ -90,14 +90,14 @@
     }
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {}
+    public void helloReceived(FrameConnection made, Hello other) {}
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind != Kind.TOLD || chance.nextDouble() < lost) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      if (kind != FrameKind.TOLD || chance.nextDouble() < lost) {
         return;
       }
-      int sender = connection.other().getNumber();
+      int sender = connection.remoteHello().getNumber();
       ReconnectingConnection onwards =
           onward.computeIfAbsent(
               (long) sender << 32 | to,
@@ -107,7 +107,7 @@
                 ReconnectingConnection made =
                     new ReconnectingConnection(
                         net, way, relays.get(to), hello(sender), limits, trace, pauses, new Deaf());
-                made.dial();
+                made.connect();
                 return made;
               });
       net.at(net.now().plus(delay), () -> onwards.send(kind, head, body));
@@ -119,10 +119,10 @@
 
   private static final class Deaf implements FrameListener {
     @Override
-    public void greeted(FrameConnection made, Hello other) {}
+    public void helloReceived(FrameConnection made, Hello other) {}
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {}
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {}
 
     @Override
     public void closed(String why) {}
--- a/src/main/java/sprucerock/rehearsal/invariant/FleetJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/FleetJudge.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Health;
@@ -44,7 +44,7 @@
   /** Notes when each relay was told of each unit's run. */
   void relay(int number, List<Line> lines) {
     for (Line line : lines) {
-      if (!line.is('<', Kind.LISTING)) {
+      if (!line.is('<', FrameKind.LISTING)) {
         continue;
       }
       for (Entry entry : line.head(Listing.getDefaultInstance()).getEntriesList()) {
@@ -71,7 +71,7 @@
       } else if (line.isNote("UNPROVEN")) {
         findings.add(
             new Finding(6, "a unit that showed a wrong certificate got an RPC", List.of(line)));
-      } else if (line.is('<', Kind.ANSWER)) {
+      } else if (line.is('<', FrameKind.ANSWER)) {
         answer(line);
       }
     }
--- a/src/main/java/sprucerock/rehearsal/invariant/FreezeJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/FreezeJudge.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 
 /**
  * Counts picks that came to units while their racks were frozen. It knows what was in force and
@@ -46,7 +46,7 @@
                     one.freeze == freeze
                         ? new Frozen(one.line, freeze, Math.min(one.untilUs, line.us()))
                         : one);
-      } else if (line.is('<', Kind.WORK) && line.place().startsWith("unit-")) {
+      } else if (line.is('<', FrameKind.WORK) && line.place().startsWith("unit-")) {
         for (Frozen one : frozen.getOrDefault(line.place().substring(5), List.of())) {
           if (line.us() >= one.untilUs) {
             continue;
--- a/src/main/java/sprucerock/rehearsal/invariant/InvariantChecker.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/InvariantChecker.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 
 /**
  * Rules on all five from traces and the deployment's figures alone. It knows nothing of the module
@@ -59,7 +59,7 @@
     List<Finding> findings = new ArrayList<>();
     Set<String> arrived = new HashSet<>();
     for (Line line : others) {
-      if (line.is('<', Kind.WORK) && line.place().startsWith("unit-")) {
+      if (line.is('<', FrameKind.WORK) && line.place().startsWith("unit-")) {
         arrived.add(line.mark() + "@" + line.place().substring(5));
       }
     }
@@ -75,8 +75,8 @@
       fleet.relay(Integer.parseInt(relay.getKey().replaceFirst("relay-([0-9]+).*", "$1")), lines);
       leases.relay(lines);
       frames += lines.size();
-      rpcs += lines.stream().filter(line -> line.is('<', Kind.CALL)).count();
-      attempts += lines.stream().filter(line -> line.is('>', Kind.WORK)).count();
+      rpcs += lines.stream().filter(line -> line.is('<', FrameKind.CALL)).count();
+      attempts += lines.stream().filter(line -> line.is('>', FrameKind.WORK)).count();
       for (Line line : lines) {
         if (line.isNote("STALL")) {
           stalledUs += Long.parseLong(line.text());
--- a/src/main/java/sprucerock/rehearsal/invariant/LeaseJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/LeaseJudge.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Look;
 
 /**
@@ -31,7 +31,7 @@
   /** What a relay did. */
   void relay(List<Line> lines) {
     for (Line line : lines) {
-      if (!line.is('>', Kind.LOOK)) {
+      if (!line.is('>', FrameKind.LOOK)) {
         continue;
       }
       Look look = line.head(Look.getDefaultInstance());
--- a/src/main/java/sprucerock/rehearsal/invariant/RelayJudge.java
+++ b/src/main/java/sprucerock/rehearsal/invariant/RelayJudge.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Done;
@@ -101,21 +101,21 @@
         finished = true;
       } else if (line.way() == 'x') {
         closed(line);
-      } else if (line.is('<', Kind.CALL)) {
+      } else if (line.is('<', FrameKind.CALL)) {
         call(line, line.head(Call.getDefaultInstance()));
-      } else if (line.is('<', Kind.LEAVE)) {
+      } else if (line.is('<', FrameKind.LEAVE)) {
         leave(line, line.head(Leave.getDefaultInstance()));
-      } else if (line.is('>', Kind.ANSWER)) {
+      } else if (line.is('>', FrameKind.ANSWER)) {
         answer(line, line.head(Answer.getDefaultInstance()));
-      } else if (line.is('>', Kind.WORK)) {
+      } else if (line.is('>', FrameKind.WORK)) {
         work(line, line.head(Work.getDefaultInstance()));
-      } else if (line.is('<', Kind.DONE)) {
+      } else if (line.is('<', FrameKind.DONE)) {
         done(line, line.head(Done.getDefaultInstance()));
-      } else if (line.is('>', Kind.STOP)) {
+      } else if (line.is('>', FrameKind.STOP)) {
         stop(line, line.head(Stop.getDefaultInstance()));
-      } else if (line.is('<', Kind.LISTING)) {
+      } else if (line.is('<', FrameKind.LISTING)) {
         listing(line, line.head(Listing.getDefaultInstance()));
-      } else if (line.is('<', Kind.NEWS)) {
+      } else if (line.is('<', FrameKind.NEWS)) {
         news(line, line.head(News.getDefaultInstance()));
       }
     }
--- a/src/main/java/sprucerock/rehearsal/scenario/FleetMetricsAudit.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/FleetMetricsAudit.java
@@ -16,7 +16,7 @@
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.rehearsal.fake.Counts;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Done;
@@ -120,10 +120,10 @@
   private void standIns(List<Line> lines) {
     for (Line line : lines) {
       boolean client = line.place().startsWith("client-");
-      if (client && line.is('>', Kind.CALL)) {
+      if (client && line.is('>', FrameKind.CALL)) {
         calls.put(call(line.place(), line.head(Call.getDefaultInstance()).getId()), new Fate());
       }
-      if (client && line.is('<', Kind.ANSWER)) {
+      if (client && line.is('<', FrameKind.ANSWER)) {
         Fate fate = calls.get(call(line.place(), line.head(Answer.getDefaultInstance()).getId()));
         if (fate != null) {
           fate.came = true;
@@ -132,10 +132,10 @@
       if (!line.place().startsWith("unit-")) {
         continue;
       }
-      if (line.is('<', Kind.WORK)) {
+      if (line.is('<', FrameKind.WORK)) {
         worksOut.merge(work(line.other(), line.place(), line.mark()), -1L, Long::sum);
       }
-      if (line.is('>', Kind.DONE)) {
+      if (line.is('>', FrameKind.DONE)) {
         resultsOut.merge(done(line.other(), line.place(), line), 1L, Long::sum);
       }
     }
@@ -165,18 +165,18 @@
     Map<String, List<Fate>> openOn = new HashMap<>();
     String name = "relay-" + relay;
     for (Line line : lines) {
-      if (line.is('>', Kind.WORK)) {
+      if (line.is('>', FrameKind.WORK)) {
         worksOut.merge(work(name, line.other(), line.mark()), 1L, Long::sum);
-      } else if (line.is('<', Kind.DONE)) {
+      } else if (line.is('<', FrameKind.DONE)) {
         resultsOut.merge(done(name, line.other(), line), -1L, Long::sum);
-      } else if (line.is('<', Kind.CALL)) {
+      } else if (line.is('<', FrameKind.CALL)) {
         Fate fate = calls.get(call(line.other(), line.head(Call.getDefaultInstance()).getId()));
         if (fate == null) {
           continue; // no client's: its counts will not add up
         }
         fate.received = true;
         openOn.computeIfAbsent(line.connection() + "", key -> new ArrayList<>()).add(fate);
-      } else if (line.is('>', Kind.ANSWER)) {
+      } else if (line.is('>', FrameKind.ANSWER)) {
         Answer answer = line.head(Answer.getDefaultInstance());
         Fate fate = calls.get(call(line.other(), answer.getId()));
         if (fate == null) {
@@ -184,7 +184,7 @@
         }
         fate.answered = true;
         fate.ending = answer.getEnding();
-      } else if (line.is('<', Kind.LEAVE)) {
+      } else if (line.is('<', FrameKind.LEAVE)) {
         Fate fate = calls.get(call(line.other(), line.head(Leave.getDefaultInstance()).getId()));
         if (fate != null) {
           fate.left = true;
--- a/src/main/java/sprucerock/rehearsal/scenario/LogTailer.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/LogTailer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Ending;
 
@@ -23,10 +23,10 @@
     Map<Integer, Long> firstAttempt = new TreeMap<>();
     Map<Integer, Long> firstAnswer = new TreeMap<>();
     for (Line line : Line.read(folder.resolve("standins.trace"))) {
-      if (line.is('<', Kind.WORK) && line.place().startsWith("unit-")) {
+      if (line.is('<', FrameKind.WORK) && line.place().startsWith("unit-")) {
         firstAttempt.putIfAbsent(
             play.buildOf(Integer.parseInt(line.place().substring(5))), line.us());
-      } else if (line.is('<', Kind.ANSWER) && line.place().startsWith("client-")) {
+      } else if (line.is('<', FrameKind.ANSWER) && line.place().startsWith("client-")) {
         Answer answer = line.head(Answer.getDefaultInstance());
         if (answer.getEnding() == Ending.OK) {
           firstAnswer.putIfAbsent(play.buildOf((int) answer.getUnit()), line.us());
--- a/src/main/java/sprucerock/rehearsal/scenario/ScenarioRunner.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/ScenarioRunner.java
@@ -37,7 +37,7 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.tls.Workers;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Health;
 
@@ -81,7 +81,7 @@
   private final Path folder;
   private final PrintStream out;
   private final NioLoop loop;
-  private final Limits limits = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(2000));
+  private final FrameLimits limits = new FrameLimits(1 << 20, 4 << 20, TimeSpan.ofMs(2000));
   private final SplittableRandom chance;
   private final Shared shared = new Shared();
   private final Map<Integer, FakeEndpoint> endpoints = new TreeMap<>();
--- a/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
@@ -12,7 +12,7 @@
 import sprucerock.accounting.MethodMetrics;
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Done;
@@ -86,10 +86,10 @@
       Set<String> open = new HashSet<>();
       for (Line line : lines) {
         int late = line.us() >= cutFrom ? 1 : 0;
-        if (line.is('<', Kind.CALL)) {
+        if (line.is('<', FrameKind.CALL)) {
           add(calls, late);
           open.add(line.connection() + "/" + line.head(Call.getDefaultInstance()).getId());
-        } else if (line.is('<', Kind.LEAVE)) {
+        } else if (line.is('<', FrameKind.LEAVE)) {
           // one whose answer was on its way already leaves nothing
           if (open.remove(
               line.connection() + "/" + line.head(Leave.getDefaultInstance()).getId())) {
@@ -103,15 +103,15 @@
             }
           }
         }
-        if (line.is('>', Kind.WORK)) {
+        if (line.is('>', FrameKind.WORK)) {
           add(works, late);
-        } else if (line.is('<', Kind.DONE)) {
+        } else if (line.is('<', FrameKind.DONE)) {
           add(results.get(line.head(Done.getDefaultInstance()).getResult()), late);
-        } else if (line.is('>', Kind.VOTE)) {
+        } else if (line.is('>', FrameKind.VOTE)) {
           add(votes, late);
-        } else if (line.is('>', Kind.TOLD)) {
+        } else if (line.is('>', FrameKind.TOLD)) {
           add(told, late);
-        } else if (line.is('>', Kind.ANSWER)) {
+        } else if (line.is('>', FrameKind.ANSWER)) {
           Answer answer = line.head(Answer.getDefaultInstance());
           Ending ending = answer.getEnding();
           open.remove(line.connection() + "/" + answer.getId());
--- a/src/main/java/sprucerock/rehearsal/trace/Line.java
+++ b/src/main/java/sprucerock/rehearsal/trace/Line.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 
 /**
  * One line of a trace: a frame that crossed a link, a link's end, or a note.
@@ -69,7 +69,7 @@
     return found;
   }
 
-  public boolean is(char whichWay, Kind which) {
+  public boolean is(char whichWay, FrameKind which) {
     return way == whichWay && kind.equals(which.name());
   }
 
--- a/src/main/java/sprucerock/rehearsal/trace/TraceWriter.java
+++ b/src/main/java/sprucerock/rehearsal/trace/TraceWriter.java
@@ -18,8 +18,8 @@
 import sprucerock.transport.net.Timers;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Hello;
 
 /**
@@ -27,7 +27,7 @@
  * it. The lines of a turn are written before its frames go out, so that a place that is killed has
  * said all that it sent.
  */
-public final class TraceWriter implements Tap {
+public final class TraceWriter implements FrameTap {
   private static final int MARK = 16;
   private static final TimeSpan LOOK = TimeSpan.ofMs(10);
   private static final TimeSpan STALL =
@@ -73,7 +73,7 @@
 
   @Override
   public void frame(
-      FrameConnection connection, boolean out, Kind kind, MessageLite head, byte[] body) {
+      FrameConnection connection, boolean out, FrameKind kind, MessageLite head, byte[] body) {
     String mark = HexFormat.of().formatHex(body, 0, Math.min(body.length, MARK));
     line(
         number(connection),
@@ -100,8 +100,8 @@
   }
 
   private static String label(
-      FrameConnection connection, Kind kind, MessageLite head, boolean out) {
-    Hello hello = kind == Kind.HELLO && !out ? (Hello) head : connection.other();
+      FrameConnection connection, FrameKind kind, MessageLite head, boolean out) {
+    Hello hello = kind == FrameKind.HELLO && !out ? (Hello) head : connection.remoteHello();
     return hello == null
         ? "-"
         : hello.getRole() + "-" + Integer.toUnsignedString(hello.getNumber());
--- a/src/main/java/sprucerock/relay/engine/AttemptExchange.java
+++ b/src/main/java/sprucerock/relay/engine/AttemptExchange.java
@@ -12,16 +12,16 @@
  */
 public class AttemptExchange {
   private final Attempt attempt;
-  private final Timestamp ends;
-  private boolean over;
-  private Timer end;
+  private final Timestamp deadline;
+  private boolean hasEnded;
+  private Timer markEnded;
 
   /** What is to be done while the pick is out. */
-  private final List<Timer> until = new ArrayList<>(1);
+  private final List<Timer> cancelAtEnd = new ArrayList<>(1);
 
   public AttemptExchange(Attempt attempt, Timestamp ends) {
     this.attempt = attempt;
-    this.ends = ends;
+    this.deadline = ends;
   }
 
   public final Attempt attempt() {
@@ -29,12 +29,12 @@
   }
 
   /** When nobody waits for it any more. */
-  public final Timestamp ends() {
-    return ends;
+  public final Timestamp deadline() {
+    return deadline;
   }
 
-  public final boolean over() {
-    return over;
+  public final boolean hasEnded() {
+    return hasEnded;
   }
 
   /**
@@ -45,20 +45,20 @@
     return !attempt.rpc.ended() && (attempt.startBy == null || attempt.startBy.after(now));
   }
 
-  final void endBy(Timer timer) {
-    end = timer;
+  final void setTimeoutTimer(Timer timer) {
+    markEnded = timer;
   }
 
-  final void until(Timer timer) {
-    until.add(timer);
+  final void cancelAtEnd(Timer timer) {
+    cancelAtEnd.add(timer);
   }
 
-  final void end() {
-    over = true;
-    end.cancel();
-    for (Timer timer : until) {
+  final void markEnded() {
+    hasEnded = true;
+    markEnded.cancel();
+    for (Timer timer : cancelAtEnd) {
       timer.cancel();
     }
-    until.clear();
+    cancelAtEnd.clear();
   }
 }
--- a/src/main/java/sprucerock/relay/engine/EventLog.java
+++ b/src/main/java/sprucerock/relay/engine/EventLog.java
@@ -14,7 +14,7 @@
  */
 public final class EventLog {
   /** The kinds, as docs/operators/relay.md explains them one by one. */
-  public enum Kind {
+  public enum Event {
     STARTED,
     FIGURES,
     FINISHING,
@@ -50,8 +50,8 @@
 
   private final Logger log;
   private final Timers timers;
-  private final Map<Kind, Timestamp> said = new EnumMap<>(Kind.class);
-  private final Map<Kind, Integer> leftOut = new EnumMap<>(Kind.class);
+  private final Map<Event, Timestamp> said = new EnumMap<>(Event.class);
+  private final Map<Event, Integer> leftOut = new EnumMap<>(Event.class);
 
   public EventLog(Timers timers) {
     this(timers, LoggerFactory.getLogger("sprucerock.relay"));
@@ -63,30 +63,30 @@
     this.log = log;
   }
 
-  public void info(Kind kind, String text) {
+  public void info(Event kind, String text) {
     if (due(kind)) {
       log.info("{} {}", kind, text(kind, text));
     }
   }
 
-  public void warn(Kind kind, String text) {
+  public void warn(Event kind, String text) {
     if (due(kind)) {
       log.warn("{} {}", kind, text(kind, text));
     }
   }
 
-  public void error(Kind kind, String text) {
+  public void error(Event kind, String text) {
     if (due(kind)) {
       log.error("{} {}", kind, text(kind, text));
     }
   }
 
   /** Something in the program itself went wrong; always said. */
-  public void broken(Throwable why) {
-    log.error("{} {}", Kind.BROKEN, why.toString(), why);
+  public void internalError(Throwable why) {
+    log.error("{} {}", Event.BROKEN, why.toString(), why);
   }
 
-  private boolean due(Kind kind) {
+  private boolean due(Event kind) {
     Timestamp now = timers.now();
     Timestamp last = said.get(kind);
     if (last != null && !now.since(last).over(EVERY)) {
@@ -97,7 +97,7 @@
     return true;
   }
 
-  private String text(Kind kind, String text) {
+  private String text(Event kind, String text) {
     Integer more = leftOut.remove(kind);
     return more == null ? text : text + " (and " + more + " more of these since the last line)";
   }
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -19,40 +19,40 @@
  */
 public abstract class RelayEngine implements RelayActions {
   /** Makes the module that decides. */
-  public interface Maker {
-    RelayEvents make(RelayActions host, Settings settings, long seed);
+  public interface PolicyFactory {
+    RelayEvents create(RelayActions host, Settings settings, long seed);
   }
 
   private static final byte[] NO_BODY = {};
 
   protected final Net net;
   protected final Settings settings;
-  protected final RequestTracker ledger;
-  protected final EventLog events;
-  protected RelayEvents module;
+  protected final RequestTracker requestTracker;
+  protected final EventLog eventLog;
+  protected RelayEvents policy;
   private long lastRpc;
 
   protected RelayEngine(Net net, Settings settings, RequestTracker ledger, EventLog events) {
     this.net = net;
     this.settings = settings;
-    this.ledger = ledger;
-    this.events = events;
+    this.requestTracker = ledger;
+    this.eventLog = events;
   }
 
   /** The module is made, told of nothing yet. */
-  protected void begin(Maker maker, long seed) {
-    module = maker.make(this, settings, seed);
-    ledger.tell(module);
+  protected void createPolicy(PolicyFactory maker, long seed) {
+    policy = maker.create(this, settings, seed);
+    requestTracker.tell(policy);
   }
 
   /** Puts the pick on a connection to its unit, now or later. */
-  protected abstract void toUnit(AttemptExchange exchange);
+  protected abstract void sendToEndpoint(AttemptExchange exchange);
 
   /**
    * Nobody waits for it any more; true where it was provably never sent. {@code told}: its unit may
    * be told.
    */
-  protected abstract boolean giveUp(AttemptExchange exchange, boolean told);
+  protected abstract boolean abandon(AttemptExchange exchange, boolean told);
 
   /**
    * The final answer to a client; what is answered an RPC twice or to one that left is dropped by
@@ -61,74 +61,76 @@
   protected abstract void answer(
       Request asked, RequestOutcome ending, TimeSpan wait, long endpoint, byte[] body);
 
-  protected AttemptExchange exchange(Attempt attempt, Timestamp ends) {
+  protected AttemptExchange newExchange(Attempt attempt, Timestamp ends) {
     return new AttemptExchange(attempt, ends);
   }
 
   /** What goes wrong in the program itself is logged here. */
-  public void broken(Throwable why) {
-    events.broken(why);
+  public void internalError(Throwable why) {
+    eventLog.internalError(why);
   }
 
   // What comes in.
 
-  protected void arrived(
+  protected void requestArrived(
       Request asked, Method method, int tenant, long key, Timestamp deadline, TimeSpan hint) {
     // guards against a fault in the module: whatever it forgot has an answer, one that promises
     // nothing
-    asked.until(net.at(deadline, () -> forgotten(asked)));
-    asked.number(++lastRpc);
-    ledger.arrived(asked.number(), method, tenant, key, net.now(), deadline, hint, asked);
+    asked.cancelAtEnd(net.at(deadline, () -> forgotten(asked)));
+    asked.requestId(++lastRpc);
+    requestTracker.arrived(
+        asked.requestId(), method, tenant, key, net.now(), deadline, hint, asked);
   }
 
   private void forgotten(Request asked) {
-    events.broken(new IllegalStateException("an RPC had no answer at its deadline; it is aborted"));
+    eventLog.internalError(
+        new IllegalStateException("an RPC had no answer at its deadline; it is aborted"));
     abort(asked);
   }
 
   /** At the end of the relay's time: an answer that promises nothing. */
   public void abort(Request asked) {
-    abort(ledger.rpc(asked.number()));
+    abort(requestTracker.rpc(asked.requestId()));
   }
 
   /** The client went away. */
-  public void left(Request asked) {
-    asked.over();
-    ledger.clientLeft(ledger.rpc(asked.number()));
+  public void clientLeft(Request asked) {
+    asked.complete();
+    requestTracker.clientLeft(requestTracker.rpc(asked.requestId()));
   }
 
   /** A pick ended; the first ok is its RPC's answer. */
-  public void ended(AttemptExchange exchange, AttemptOutcome outcome, byte[] body) {
-    if (exchange.over()) {
+  public void attemptEnded(AttemptExchange exchange, AttemptOutcome outcome, byte[] body) {
+    if (exchange.hasEnded()) {
       return;
     }
-    exchange.end();
+    exchange.markEnded();
     Attempt attempt = exchange.attempt();
     boolean answers = outcome == AttemptOutcome.OK && !attempt.rpc.ended();
     if (answers) {
       answer(
           (Request) attempt.rpc.door, RequestOutcome.OK, TimeSpan.ZERO, attempt.endpoint.id, body);
     }
-    ledger.attemptEnded(
+    requestTracker.attemptEnded(
         attempt, outcome, net.now().since(attempt.sent), answers || attempt.rpc.ended());
   }
 
   /** The same, but told once the module has returned from what it does now. */
-  public void endsSoon(AttemptExchange exchange, AttemptOutcome outcome) {
-    net.atTurnsEnd(() -> ended(exchange, outcome, NO_BODY));
+  public void attemptEndsAfterTurn(AttemptExchange exchange, AttemptOutcome outcome) {
+    net.atTurnsEnd(() -> attemptEnded(exchange, outcome, NO_BODY));
   }
 
   /** It is on a connection now. */
-  public void written(AttemptExchange exchange) {
-    ledger.written(exchange.attempt());
+  public void attemptWritten(AttemptExchange exchange) {
+    requestTracker.written(exchange.attempt());
   }
 
   private void timedOut(AttemptExchange exchange) {
-    if (exchange.over()) {
+    if (exchange.hasEnded()) {
       return;
     }
-    boolean never = giveUp(exchange, false); // its unit was told how long it is waited for
-    ended(exchange, never ? AttemptOutcome.MOOT : AttemptOutcome.TIMED_OUT, NO_BODY);
+    boolean never = abandon(exchange, false); // its unit was told how long it is waited for
+    attemptEnded(exchange, never ? AttemptOutcome.MOOT : AttemptOutcome.TIMED_OUT, NO_BODY);
   }
 
   // What the module does.
@@ -140,46 +142,46 @@
 
   @Override
   public void send(Attempt attempt) {
-    ledger.sent(attempt);
+    requestTracker.sent(attempt);
     Timestamp now = net.now();
     Timestamp until =
         attempt.patience == null
             ? attempt.rpc.deadline
             : attempt.rpc.deadline.earlier(now.plus(attempt.patience));
-    AttemptExchange exchange = exchange(attempt, until);
+    AttemptExchange exchange = newExchange(attempt, until);
     attempt.door = exchange;
-    exchange.endBy(net.at(until, () -> timedOut(exchange)));
+    exchange.setTimeoutTimer(net.at(until, () -> timedOut(exchange)));
     boolean moot =
         attempt.rpc.ended()
             || !until.after(now)
             || attempt.rpc.attempts.size() > settings.maxAttempts;
     if (moot) {
-      endsSoon(exchange, AttemptOutcome.MOOT);
+      attemptEndsAfterTurn(exchange, AttemptOutcome.MOOT);
     } else {
-      toUnit(exchange);
+      sendToEndpoint(exchange);
     }
   }
 
   @Override
   public void cancel(Attempt attempt) {
     AttemptExchange exchange = (AttemptExchange) attempt.door;
-    if (exchange.over()) {
+    if (exchange.hasEnded()) {
       return;
     }
-    boolean never = giveUp(exchange, true);
-    endsSoon(exchange, never ? AttemptOutcome.MOOT : AttemptOutcome.CANCELLED);
+    boolean never = abandon(exchange, true);
+    attemptEndsAfterTurn(exchange, never ? AttemptOutcome.MOOT : AttemptOutcome.CANCELLED);
   }
 
   @Override
   public void pushBack(Rpc rpc, TimeSpan wait) {
-    answer((Request) rpc.door, RequestOutcome.PUSHED_BACK, wait, 0, NO_BODY);
-    ledger.pushedBack(rpc);
+    answer((Request) rpc.door, RequestOutcome.REJECTED, wait, 0, NO_BODY);
+    requestTracker.pushedBack(rpc);
   }
 
   @Override
   public void abort(Rpc rpc) {
     answer((Request) rpc.door, RequestOutcome.ABORTED, TimeSpan.ZERO, 0, NO_BODY);
-    ledger.aborted(rpc);
+    requestTracker.aborted(rpc);
   }
 
   @Override
@@ -189,16 +191,16 @@
 
   @Override
   public void wake(Rpc rpc, Timestamp when, Runnable what) {
-    ((Request) rpc.door).until(net.at(when, what));
+    ((Request) rpc.door).cancelAtEnd(net.at(when, what));
   }
 
   @Override
   public void wake(Attempt attempt, Timestamp when, Runnable what) {
-    ((AttemptExchange) attempt.door).until(net.at(when, what));
+    ((AttemptExchange) attempt.door).cancelAtEnd(net.at(when, what));
   }
 
   @Override
   public void log(String line) {
-    events.info(EventLog.Kind.MODULE, line);
+    eventLog.info(EventLog.Event.MODULE, line);
   }
 }
--- a/src/main/java/sprucerock/relay/engine/RequestOutcome.java
+++ b/src/main/java/sprucerock/relay/engine/RequestOutcome.java
@@ -3,6 +3,6 @@
 /** What a client is told at the end. */
 public enum RequestOutcome {
   OK,
-  PUSHED_BACK,
+  REJECTED,
   ABORTED
 }
--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -17,10 +17,10 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Counts;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.News;
@@ -49,7 +49,7 @@
   private long lastVote;
   private long epoch;
   private long sequence;
-  private boolean told;
+  private boolean hasNews;
   private boolean stopping;
 
   /** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */
@@ -57,7 +57,7 @@
       Net net,
       RelayConfig config,
       Hello mine,
-      Tap tap,
+      FrameTap tap,
       RequestTracker ledger,
       EventLog events,
       DeterministicRandom chance,
@@ -76,7 +76,7 @@
   }
 
   public void start() {
-    redial.dial();
+    redial.connect();
   }
 
   public void stop() {
@@ -85,17 +85,17 @@
   }
 
   /** News has come since the start. */
-  public boolean told() {
-    return told;
+  public boolean hasNews() {
+    return hasNews;
   }
 
   void tell(Worth worth) {
-    redial.send(Kind.WORTH, worth, FrameClientConnection.NO_BODY);
+    redial.send(FrameKind.WORTH, worth, FrameClientConnection.NO_BODY);
   }
 
   /** False where the desk is away. */
-  public boolean ask(PromiseAsk ask) {
-    return redial.send(Kind.PROMISE_ASK, ask, FrameClientConnection.NO_BODY);
+  public boolean requestPromise(PromiseAsk ask) {
+    return redial.send(FrameKind.PROMISE_ASK, ask, FrameClientConnection.NO_BODY);
   }
 
   /** Ends in one answer, or in none within the time that the settings have. */
@@ -111,7 +111,7 @@
           case BACK -> Say.BACK;
         };
     redial.send(
-        Kind.VOTE,
+        FrameKind.VOTE,
         Vote.newBuilder().setId(id).setBuild(build.number).setStage(stage).setSay(say).build(),
         FrameClientConnection.NO_BODY);
     // one that could not be sent is not answered either: to the module the desk is away in both
@@ -123,7 +123,7 @@
             () -> {
               votes.remove(id);
               events.warn(
-                  EventLog.Kind.VOTE_UNANSWERED,
+                  EventLog.Event.VOTE_UNANSWERED,
                   "vote "
                       + verdict
                       + " on build "
@@ -137,23 +137,23 @@
   }
 
   @Override
-  public void greeted(FrameConnection connection, Hello other) {
+  public void helloReceived(FrameConnection connection, Hello other) {
     if (other.getRole() != Role.DESK) {
       redial.cut("no release desk answers there");
       return;
     }
-    events.info(EventLog.Kind.DESK_BACK, "linked to the release desk at " + config.desk);
+    events.info(EventLog.Event.DESK_BACK, "linked to the release desk at " + config.desk);
   }
 
   @Override
-  public void frame(Kind kind, MessageLite head, byte[] body) {
-    if (kind == Kind.NEWS) {
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    if (kind == FrameKind.NEWS) {
       news((News) head);
-    } else if (kind == Kind.COUNTS) {
+    } else if (kind == FrameKind.COUNTS) {
       counts((Counts) head);
-    } else if (kind == Kind.VOTED) {
+    } else if (kind == FrameKind.VOTED) {
       voted((Voted) head);
-    } else if (kind == Kind.PROMISED) {
+    } else if (kind == FrameKind.PROMISED) {
       promised.accept((Promised) head);
     } else {
       redial.cut("a release desk sends no " + kind);
@@ -178,7 +178,7 @@
             && news.getStage() <= config.settings.caps.size();
     if (!known) {
       events.warn(
-          EventLog.Kind.NEWS_REFUSED,
+          EventLog.Event.NEWS_REFUSED,
           "build "
               + news.getBuild()
               + ", stage "
@@ -194,7 +194,7 @@
         news.getEpoch() < epoch || news.getEpoch() == epoch && news.getSequence() < sequence;
     if (old) {
       events.warn(
-          EventLog.Kind.NEWS_REFUSED,
+          EventLog.Event.NEWS_REFUSED,
           "epoch "
               + news.getEpoch()
               + ", sequence "
@@ -209,7 +209,7 @@
     sequence = news.getSequence();
     TimeSpan lasted = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
     ledger.news(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
-    told = true;
+    hasNews = true;
     learnt.run();
   }
 
@@ -220,7 +220,7 @@
         || counts.getFailed() > counts.getPicks()
         || counts.getFailed() < 0) {
       events.warn(
-          EventLog.Kind.NEWS_REFUSED,
+          EventLog.Event.NEWS_REFUSED,
           "counts of method "
               + method
               + ": "
@@ -263,7 +263,7 @@
   @Override
   public void closed(String why) {
     if (!stopping) {
-      events.warn(EventLog.Kind.DESK_LOST, why + "; what it said last holds");
+      events.warn(EventLog.Event.DESK_LOST, why + "; what it said last holds");
     }
   }
 }
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -21,10 +21,10 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Form;
 import sprucerock.transport.wire.v1.Health;
@@ -67,7 +67,7 @@
   private final RelayConfig config;
   private final RequestTracker ledger;
   private final EventLog events;
-  private final EndpointConnectionPool.Owner owner;
+  private final EndpointConnectionPool.PoolListener owner;
   private final DeterministicRandom chance;
   private final Runnable listFailed;
   private final ReconnectingConnection redial;
@@ -87,11 +87,11 @@
       Net net,
       RelayConfig config,
       Hello mine,
-      Tap tap,
+      FrameTap tap,
       RequestTracker ledger,
       EventLog events,
       DeterministicRandom chance,
-      EndpointConnectionPool.Owner owner,
+      EndpointConnectionPool.PoolListener owner,
       RackPermits racks,
       Runnable listFailed,
       Runnable learnt,
@@ -111,7 +111,7 @@
   }
 
   void start() {
-    redial.dial();
+    redial.connect();
   }
 
   void stop() {
@@ -126,7 +126,7 @@
 
   /** The module asks for the list and its changes; where the roster is away, it is told so. */
   void subscribe() {
-    if (redial.send(Kind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
+    if (redial.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
       asked = true;
     } else {
       net.atTurnsEnd(listFailed);
@@ -134,20 +134,20 @@
   }
 
   @Override
-  public void greeted(FrameConnection connection, Hello other) {
+  public void helloReceived(FrameConnection connection, Hello other) {
     if (other.getRole() != Role.ROSTER) {
       redial.cut("no roster answers there");
       return;
     }
-    events.info(EventLog.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
+    events.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.roster);
     if (!config.settings.ask) {
-      redial.send(Kind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
+      redial.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
   }
 
   @Override
-  public void frame(Kind kind, MessageLite head, byte[] body) {
-    if (kind != Kind.LISTING) {
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    if (kind != FrameKind.LISTING) {
       redial.cut("a roster sends no " + kind);
       return;
     }
@@ -158,7 +158,7 @@
     }
     if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
       events.warn(
-          EventLog.Kind.LISTING_REFUSED,
+          EventLog.Event.LISTING_REFUSED,
           "a listing that is neither whole nor changes; the old one holds");
       return;
     }
@@ -214,7 +214,7 @@
                                     : null;
     if (wrong != null) {
       events.warn(
-          EventLog.Kind.LISTING_REFUSED,
+          EventLog.Event.LISTING_REFUSED,
           "unit "
               + Long.toUnsignedString(entry.getUnit())
               + " has "
@@ -332,7 +332,7 @@
   @Override
   public void closed(String why) {
     if (!stopping) {
-      events.warn(EventLog.Kind.ROSTER_LOST, why + "; the units listed last hold");
+      events.warn(EventLog.Event.ROSTER_LOST, why + "; the units listed last hold");
     }
     failed();
   }
--- a/src/main/java/sprucerock/relay/frames/EndpointConnection.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnection.java
@@ -10,8 +10,8 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.v1.Done;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
@@ -72,7 +72,7 @@
   void send(FrameExchange exchange, Timestamp now) {
     Rpc rpc = exchange.attempt().rpc;
     FrameRequest asked = (FrameRequest) rpc.door;
-    TimeSpan left = exchange.ends().since(now);
+    TimeSpan left = exchange.deadline().since(now);
     Work.Builder work =
         Work.newBuilder()
             .setId(++lastId)
@@ -86,7 +86,7 @@
     }
     exchange.connection = this;
     exchange.id = lastId;
-    exchange.mark = connection.send(Kind.WORK, work.build(), asked.body);
+    exchange.mark = connection.send(FrameKind.WORK, work.build(), asked.body);
     live.put(lastId, exchange);
     connections.written(exchange);
     usedLast = now;
@@ -97,13 +97,13 @@
     live.remove(exchange.id);
     forsaken++;
     if (tellUnit) {
-      connection.send(Kind.STOP, Stop.newBuilder().setId(exchange.id).build(), NO_BODY);
+      connection.send(FrameKind.STOP, Stop.newBuilder().setId(exchange.id).build(), NO_BODY);
     }
     connections.emptied(this);
   }
 
   @Override
-  public void greeted(FrameConnection made, Hello other) {
+  public void helloReceived(FrameConnection made, Hello other) {
     if (other.getRole() != Role.UNIT
         || Integer.toUnsignedLong(other.getNumber()) != connections.endpoint.id) {
       connections.misnamed(other);
@@ -115,8 +115,8 @@
   }
 
   @Override
-  public void frame(Kind kind, MessageLite head, byte[] body) {
-    if (kind != Kind.DONE) {
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    if (kind != FrameKind.DONE) {
       connection.cut("a unit sends no " + kind);
       return;
     }
@@ -146,7 +146,7 @@
     connections.down(this, why);
     for (FrameExchange exchange : new ArrayList<>(live.values())) {
       // a cut before its frame left proves that it never ran; after that nobody knows
-      boolean never = !connection.mayHaveLeft(exchange.mark);
+      boolean never = !connection.mayHaveBeenSent(exchange.mark);
       connections.ended(
           exchange, never ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN, NO_BODY);
     }
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -20,17 +20,18 @@
  */
 final class EndpointConnectionPool {
   /** What the links need of the relay. */
-  interface Owner {
+  interface PoolListener {
     void open(EndpointConnection connection, InetSocketAddress to, String name);
 
-    void ended(
+    void attemptEnded(
         sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
 
     /** The same, but told once the module has returned from what it does now. */
-    void endsSoon(sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
+    void attemptEndsAfterTurn(
+        sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
 
     /** It is on a connection now. */
-    void written(sprucerock.relay.engine.AttemptExchange exchange);
+    void attemptWritten(sprucerock.relay.engine.AttemptExchange exchange);
 
     /** A result came for a pick that had ended before. */
     void late(AttemptOutcome outcome);
@@ -51,7 +52,7 @@
   private final InetSocketAddress address;
   private final String name;
   private final RelayConfig config;
-  private final Owner owner;
+  private final PoolListener owner;
   private final DeterministicRandom chance;
   private final List<EndpointConnection> connections = new ArrayList<>();
   private final ArrayDeque<FrameExchange> waiting = new ArrayDeque<>();
@@ -71,7 +72,7 @@
       String name,
       RelayConfig config,
       DeterministicRandom chance,
-      Owner owner) {
+      PoolListener owner) {
     this.endpoint = endpoint;
     this.address = address;
     this.name = name;
@@ -116,7 +117,7 @@
     boolean paused = notBefore != null && notBefore.after(now);
     boolean more = connections.size() < config.connectionsPerUnit && !paused;
     if (waiting.size() >= config.waitingPerUnit || paused && connections.isEmpty()) {
-      owner.endsSoon(exchange, AttemptOutcome.NOT_CONNECTED);
+      owner.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
       return;
     }
     waiting.add(exchange);
@@ -125,7 +126,7 @@
             now.plus(config.connectWithin),
             () -> {
               if (waiting.remove(exchange)) {
-                owner.ended(exchange, AttemptOutcome.NOT_CONNECTED, new byte[0]);
+                owner.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, new byte[0]);
               }
             });
     if (more && connecting * config.picksEach < waiting.size()) {
@@ -213,7 +214,7 @@
       FrameExchange next = waiting.poll();
       next.waiting.cancel();
       if (!next.mayStart(owner.now())) {
-        owner.endsSoon(next, AttemptOutcome.MOOT);
+        owner.attemptEndsAfterTurn(next, AttemptOutcome.MOOT);
       } else {
         connection.send(next, owner.now());
       }
@@ -267,7 +268,7 @@
     while (!hope && !waiting.isEmpty()) {
       FrameExchange next = waiting.poll();
       next.waiting.cancel();
-      owner.endsSoon(next, AttemptOutcome.NOT_CONNECTED);
+      owner.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
     }
   }
 
@@ -276,7 +277,7 @@
   }
 
   void written(FrameExchange exchange) {
-    owner.written(exchange);
+    owner.attemptWritten(exchange);
   }
 
   void late(AttemptOutcome outcome) {
@@ -284,7 +285,7 @@
   }
 
   void ended(FrameExchange exchange, AttemptOutcome outcome, byte[] body) {
-    owner.ended(exchange, outcome, body);
+    owner.attemptEnded(exchange, outcome, body);
   }
 
   /**
@@ -312,7 +313,7 @@
     while (!waiting.isEmpty()) { // not sent yet, so not to be sent any more
       FrameExchange next = waiting.poll();
       next.waiting.cancel();
-      owner.endsSoon(next, AttemptOutcome.NOT_CONNECTED);
+      owner.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
     }
     for (EndpointConnection connection : new ArrayList<>(connections)) {
       if (connection.idle()) {
--- a/src/main/java/sprucerock/relay/frames/FrameClientConnection.java
+++ b/src/main/java/sprucerock/relay/frames/FrameClientConnection.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Ending;
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public void greeted(FrameConnection made, Hello other) {
+  public void helloReceived(FrameConnection made, Hello other) {
     connection = made;
     peer = other.getRole() == Role.RELAY;
     if (peer && !relay.proven(other.getNumber(), by)) {
@@ -57,20 +57,20 @@
   }
 
   @Override
-  public void frame(Kind kind, MessageLite head, byte[] body) {
-    if (peer && kind == Kind.TOLD) {
-      relay.peerTold(connection.other().getNumber(), body);
-    } else if (peer && kind == Kind.SEEN) {
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    if (peer && kind == FrameKind.TOLD) {
+      relay.peerTold(connection.remoteHello().getNumber(), body);
+    } else if (peer && kind == FrameKind.SEEN) {
       relay.peerSaw((Seen) head);
-    } else if (peer && relay.aboutHardware(connection.other().getNumber(), kind, head)) {
+    } else if (peer && relay.aboutHardware(connection.remoteHello().getNumber(), kind, head)) {
       return;
     } else if (peer) {
       connection.cut("a relay sends no " + kind + " here");
-    } else if (kind == Kind.CALL) {
+    } else if (kind == FrameKind.CALL) {
       call((Call) head, body);
-    } else if (kind == Kind.LEAVE) {
+    } else if (kind == FrameKind.LEAVE) {
       leave((Leave) head);
-    } else if (kind == Kind.FLAG) {
+    } else if (kind == FrameKind.FLAG) {
       relay.flagged(((Flag) head).getUnit(), ((Flag) head).getAgoUs());
     } else {
       connection.cut("a client sends no " + kind);
@@ -90,18 +90,18 @@
   private void leave(Leave leave) {
     FrameRequest asked = open.remove(leave.getId());
     if (asked != null) {
-      relay.left(asked); // else its answer is on the way
+      relay.clientLeft(asked); // else its answer is on the way
     }
   }
 
   /** The one final answer. */
   void answer(FrameRequest asked, Ending ending, long waitUs, long endpoint, byte[] body) {
-    asked.over();
+    asked.complete();
     if (closed || !open.remove(asked.id, asked)) {
       return;
     }
     connection.send(
-        Kind.ANSWER,
+        FrameKind.ANSWER,
         Answer.newBuilder()
             .setId(asked.id)
             .setEnding(ending)
@@ -115,7 +115,7 @@
   public void closed(String why) {
     closed = true;
     for (FrameRequest asked : new ArrayList<>(open.values())) {
-      relay.left(asked);
+      relay.clientLeft(asked);
     }
     open.clear();
     relay.gone(this, peer, why);
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -29,9 +29,9 @@
 import sprucerock.transport.tls.Refusal;
 import sprucerock.transport.tls.TlsConnection;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Ending;
 import sprucerock.transport.wire.v1.Fitter;
@@ -48,9 +48,9 @@
  * unit, no further pick and no vote. All of it runs on the loop's thread.
  */
 public final class FrameRelay extends RelayEngine
-    implements EndpointConnectionPool.Owner,
+    implements EndpointConnectionPool.PoolListener,
         HealthChecker.Owner,
-        RackPermits.Owner,
+        RackPermits.PermitListener,
         HardwareReporter.Owner {
   // rows of figures; what is beyond counts as other. A monitor bears some thousand series a relay
   private static final int BUILDS = 16;
@@ -62,12 +62,12 @@
       TimeSpan.ofMs(10_000); // seldom enough for a log, often enough for a first look
 
   private final RelayConfig config;
-  private final Tap tap;
+  private final FrameTap tap;
   private final MethodAccounts accounts;
   private final Hello mine;
   private final DeterministicRandom chance;
   private final TlsConnections secured;
-  private final Peers peers;
+  private final PeerConnections peers;
   private final ControllerConnection desk;
   private final DiscoveryConnection roster;
   private final RackPermits racks;
@@ -82,14 +82,14 @@
   private boolean finishing;
   private volatile Long tlsDaysLeft;
   private volatile boolean tlsBroken;
-  private volatile boolean drifting; // written by the loop, read by whoever scrapes
+  private volatile boolean hasMetricsDrift; // written by the loop, read by whoever scrapes
   private Runnable finished;
 
   /** The configuration as it was read last: what the schema marks as live is looked up here. */
   private RelayConfig live;
 
   /** Nothing is opened yet, see {@link #start}. */
-  public FrameRelay(RelayConfig config, Net net, Tap tap) {
+  public FrameRelay(RelayConfig config, Net net, FrameTap tap) {
     super(
         net,
         config.settings,
@@ -102,7 +102,7 @@
     this.config = config;
     live = config;
     this.tap = tap;
-    accounts = ledger.accounts();
+    accounts = requestTracker.accounts();
     // the doors' dice, apart from the module's, whose draws must not depend on links
     chance = new DeterministicRandom(config.seed ^ 0x5bd1e995L);
     mine =
@@ -112,20 +112,20 @@
             .setNumber(config.settings.index)
             .setName(config.name)
             .build();
-    secured = new TlsConnections(config, net, events, accounts);
-    peers = new Peers(net, config, mine, tap, events, chance, accounts, secured);
-    racks = new RackPermits(net, config, events, chance, this);
+    secured = new TlsConnections(config, net, eventLog, accounts);
+    peers = new PeerConnections(net, config, mine, tap, eventLog, chance, accounts, secured);
+    racks = new RackPermits(net, config, eventLog, chance, this);
     desk =
         new ControllerConnection(
             net,
             config,
             mine,
             tap,
-            ledger,
-            events,
+            requestTracker,
+            eventLog,
             chance,
-            reply -> module.voteAnswered(reply),
-            promised -> racks.told(promised),
+            reply -> policy.voteAnswered(reply),
+            promised -> racks.promiseReceived(promised),
             this::learnt);
     roster =
         new DiscoveryConnection(
@@ -133,24 +133,24 @@
             config,
             mine,
             tap,
-            ledger,
-            events,
+            requestTracker,
+            eventLog,
             chance,
             this,
             racks,
-            () -> module.listFailed(),
+            () -> policy.listFailed(),
             this::learnt,
             this::unitChanged);
     Leases.Log say =
         new Leases.Log() {
           @Override
           public void info(String what) {
-            events.info(EventLog.Kind.LEASE, what);
+            eventLog.info(EventLog.Event.LEASE, what);
           }
 
           @Override
           public void warn(String what) {
-            events.warn(EventLog.Kind.GRANTER_LOST, what);
+            eventLog.warn(EventLog.Event.GRANTER_LOST, what);
           }
         };
     leases =
@@ -173,8 +173,8 @@
                 config.settings.index,
                 config.leases.fitsEvery(),
                 System::currentTimeMillis,
-                build -> build < ledger.newestTried(),
-                events,
+                build -> build < requestTracker.newestTried(),
+                eventLog,
                 this);
     if (config.leases != null && config.leases.granter() >= 0) {
       granter = new GrantorListener(net, config.leases, config.name, tap, say);
@@ -186,7 +186,7 @@
    *
    * @throws IOException if the address to listen at can't be had
    */
-  public void start(Maker maker) throws IOException {
+  public void start(PolicyFactory maker) throws IOException {
     try {
       start(maker, null);
     } catch (Material.BadMaterialException e) {
@@ -200,14 +200,15 @@
    * @throws IOException if the address to listen at can't be had
    * @throws Material.BadMaterialException if TLS is configured, and its files can't be used
    */
-  public void start(Maker maker, Aside aside) throws IOException, Material.BadMaterialException {
+  public void start(PolicyFactory maker, Aside aside)
+      throws IOException, Material.BadMaterialException {
     secured.start(aside, this::moveUnits);
-    begin(maker, config.seed);
+    createPolicy(maker, config.seed);
     listener =
         net.bind(
             config.listen,
             config.clients,
-            config.connection.unsent(),
+            config.connection.maxUnsentBytes(),
             () -> {
               FrameClientConnection client = new FrameClientConnection(this);
               clients.add(client);
@@ -227,7 +228,9 @@
         leases.stand(HardwareReporter.LEASE, fitting);
       }
       if (config.leases.looksEvery() != null) {
-        looks = new HealthChecker(net, ledger, events, config.leases.looksEvery(), chance, this);
+        looks =
+            new HealthChecker(
+                net, requestTracker, eventLog, config.leases.looksEvery(), chance, this);
         leases.stand(HealthChecker.LEASE, looks);
       }
     }
@@ -249,8 +252,8 @@
     }
     taking = true;
     listener.take();
-    events.info(
-        EventLog.Kind.STARTED,
+    eventLog.info(
+        EventLog.Event.STARTED,
         "relay "
             + config.name
             + ", number "
@@ -265,7 +268,7 @@
 
   /** The first list has come, or the first news. */
   void learnt() {
-    if (roster.listed() && desk.told() && racks.told()) {
+    if (roster.listed() && desk.hasNews() && racks.mayHavePermits()) {
       letClientsIn("with list and news");
     }
   }
@@ -277,7 +280,7 @@
   }
 
   private void moveUnits(TimeSpan within) {
-    for (Endpoint endpoint : ledger.units()) {
+    for (Endpoint endpoint : requestTracker.units()) {
       if (endpoint.door != null) {
         ((EndpointConnectionPool) endpoint.door).move(within);
       }
@@ -299,13 +302,13 @@
   }
 
   /** Says that something is the matter with the file of figures, which never stops routing. */
-  public void figuresFile(String what) {
-    events.warn(EventLog.Kind.FIGURES_FILE, what);
+  public void metricsFileProblem(String what) {
+    eventLog.warn(EventLog.Event.FIGURES_FILE, what);
   }
 
   /** Some sum did not hold since this start; it stays so until the next. */
-  public boolean drifting() {
-    return drifting;
+  public boolean hasMetricsDrift() {
+    return hasMetricsDrift;
   }
 
   private void checkFigures() {
@@ -318,15 +321,15 @@
     }
     List<MethodAccounts.Drift> drifts = accounts.check();
     long open = accounts.sum(accounts.rpcs, accounts.rpcs.pending());
-    drifting |= !drifts.isEmpty() || open != ledger.open();
-    if (open != ledger.open()) {
-      events.error(
-          EventLog.Kind.DRIFT,
-          "rpcs open: " + open + " by the accounts, " + ledger.open() + " by count");
+    hasMetricsDrift |= !drifts.isEmpty() || open != requestTracker.open();
+    if (open != requestTracker.open()) {
+      eventLog.error(
+          EventLog.Event.DRIFT,
+          "rpcs open: " + open + " by the accounts, " + requestTracker.open() + " by count");
     }
     if (!drifts.isEmpty()) {
-      events.error(
-          EventLog.Kind.DRIFT,
+      eventLog.error(
+          EventLog.Event.DRIFT,
           drifts.get(0) + (drifts.size() > 1 ? "; and " + (drifts.size() - 1) + " more" : ""));
     }
     if (!finishing) {
@@ -338,15 +341,15 @@
     return listener.address();
   }
 
-  public RequestTracker ledger() {
-    return ledger;
+  public RequestTracker requestTracker() {
+    return requestTracker;
   }
 
   /**
    * No new RPC is taken; each open one gets its one answer, by its deadline or when the configured
    * time is over. Then {@code done} runs.
    */
-  public void finish(Runnable done) {
+  public void shutdown(Runnable done) {
     if (finishing) {
       return;
     }
@@ -356,7 +359,7 @@
       leases.stop(); // before its last RPCs end: others may do the fleet's tasks meanwhile
     }
     listener.close();
-    events.info(EventLog.Kind.FINISHING, ledger.open() + " RPCs are open");
+    eventLog.info(EventLog.Event.FINISHING, requestTracker.open() + " RPCs are open");
     net.at(net.now().plus(live.finishWithin), this::abortOpen);
     lookWhetherDone();
   }
@@ -364,8 +367,8 @@
   /** Settings that were read anew, of which only such differ as the schema marks as live. */
   public void reload(RelayConfig anew) {
     live = anew;
-    events.info(
-        EventLog.Kind.SETTINGS,
+    eventLog.info(
+        EventLog.Event.SETTINGS,
         "taken over: limits/open "
             + anew.open
             + ", limits/open-per-client "
@@ -376,8 +379,8 @@
   }
 
   /** Settings that were read anew can't be taken over; what holds goes on. */
-  public void notReloaded(String why) {
-    events.error(EventLog.Kind.SETTINGS, why + "; what was read before holds");
+  public void reloadFailed(String why) {
+    eventLog.error(EventLog.Event.SETTINGS, why + "; what was read before holds");
   }
 
   private void abortOpen() {
@@ -389,7 +392,7 @@
   }
 
   private void lookWhetherDone() {
-    if (ledger.open() == 0) {
+    if (requestTracker.open() == 0) {
       end();
     } else {
       net.at(net.now().plus(TimeSpan.ofMs(5)), this::lookWhetherDone);
@@ -417,7 +420,7 @@
       client.finish();
     }
     figures();
-    events.info(EventLog.Kind.FINISHED, "every RPC taken has its answer");
+    eventLog.info(EventLog.Event.FINISHED, "every RPC taken has its answer");
     net.at(net.now().plus(TimeSpan.ofMs(100)), done); // the last answers go out in this turn
   }
 
@@ -429,8 +432,8 @@
           .append(accounts.sum(accounts.rpcs, i))
           .append(' ');
     }
-    events.info(
-        EventLog.Kind.FIGURES,
+    eventLog.info(
+        EventLog.Event.FIGURES,
         text
             + "picks "
             + accounts.sum(accounts.attempts, 0)
@@ -439,7 +442,7 @@
             + " messages-dropped "
             + accounts.value(accounts.messages, 0, 2)
             + " units "
-            + ledger.units().size()
+            + requestTracker.units().size()
             + " clients "
             + clients.size());
     if (!finishing) {
@@ -457,8 +460,8 @@
     if (call.getMethod() < 0 || call.getMethod() >= config.settings.methods.size()) {
       accounts.begin(accounts.calls, 0, 3);
       asked.client.answer(asked, Ending.ABORTED, 0, 0, FrameClientConnection.NO_BODY);
-      events.warn(
-          EventLog.Kind.CLIENT_REFUSED,
+      eventLog.warn(
+          EventLog.Event.CLIENT_REFUSED,
           "an RPC of method "
               + call.getMethod()
               + ", there are "
@@ -467,11 +470,11 @@
       return;
     }
     String full =
-        config.strict && drifting
+        config.strict && hasMetricsDrift
             ? "figures drift, and figures/strict is set"
             : finishing
                 ? "the relay is finishing"
-                : ledger.open() >= live.open
+                : requestTracker.open() >= live.open
                     ? "limits/open is reached"
                     : asked.client.open() > live.openPerClient
                         ? "limits/open-per-client is reached"
@@ -479,7 +482,7 @@
     if (full != null) {
       accounts.begin(accounts.calls, 0, 2);
       asked.client.answer(asked, Ending.PUSHED_BACK, 0, 0, FrameClientConnection.NO_BODY);
-      events.warn(EventLog.Kind.TURNED_AWAY, full);
+      eventLog.warn(EventLog.Event.TURNED_AWAY, full);
       return;
     }
     Timestamp now = net.now();
@@ -491,7 +494,7 @@
     Timestamp deadline = now.plus(TimeSpan.ofMs(left));
     int tenant =
         call.getCustomer() < 0 ? Integer.MAX_VALUE : call.getCustomer(); // unsigned on the wire
-    arrived(
+    requestArrived(
         asked,
         config.settings.methods.get(call.getMethod()),
         tenant,
@@ -501,12 +504,12 @@
   }
 
   void flagged(long endpoint, long agoUs) {
-    ledger.flagged(endpoint, TimeSpan.ofMs(Math.max(0, agoUs) / 1000.0), net.now());
+    requestTracker.flagged(endpoint, TimeSpan.ofMs(Math.max(0, agoUs) / 1000.0), net.now());
   }
 
   void peerTold(int sender, byte[] contents) {
     if (sender >= 0 && sender < config.settings.relays) {
-      module.peerTold(sender, contents);
+      policy.peerTold(sender, contents);
     }
   }
 
@@ -516,18 +519,19 @@
    */
   void peerSaw(Seen seen) {
     if (fence.admits(HealthChecker.LEASE, seen.getNumber())) {
-      ledger.looked(seen.getUnit(), seen.getAnswered());
+      requestTracker.looked(seen.getUnit(), seen.getAnswered());
     }
   }
 
   /** What another relay says of hardware; false where it is about something else. */
-  boolean aboutHardware(int relay, Kind kind, MessageLite head) {
-    if (fitting == null || kind != Kind.FITTER && kind != Kind.TALLIED && kind != Kind.WORTH) {
+  boolean aboutHardware(int relay, FrameKind kind, MessageLite head) {
+    if (fitting == null
+        || kind != FrameKind.FITTER && kind != FrameKind.TALLIED && kind != FrameKind.WORTH) {
       return false;
     }
-    if (kind == Kind.FITTER) {
+    if (kind == FrameKind.FITTER) {
       fitting.fitter(relay, (Fitter) head);
-    } else if (kind == Kind.TALLIED) {
+    } else if (kind == FrameKind.TALLIED) {
       fitting.tallied(relay, (Tallied) head);
     } else {
       fitting.worth((Worth) head);
@@ -537,25 +541,25 @@
 
   @Override
   public void tellFitter(Fitter fitter) {
-    peers.tellAll(Kind.FITTER, fitter);
+    peers.tellAll(FrameKind.FITTER, fitter);
   }
 
   @Override
   public void tellTally(int relay, Tallied tally) {
-    peers.tell(relay, Kind.TALLIED, tally);
+    peers.tell(relay, FrameKind.TALLIED, tally);
   }
 
   @Override
   public void tellWorth(Worth worth) {
-    peers.tellAll(Kind.WORTH, worth);
+    peers.tellAll(FrameKind.WORTH, worth);
     desk.tell(worth);
   }
 
   @Override
-  public void ended(
+  public void attemptEnded(
       sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body) {
-    boolean first = !exchange.over();
-    super.ended(exchange, outcome, body);
+    boolean first = !exchange.hasEnded();
+    super.attemptEnded(exchange, outcome, body);
     if (first && outcome == AttemptOutcome.OK && fitting != null) {
       fitting.ended(exchange.attempt(), ((FrameExchange) exchange).others);
     }
@@ -587,8 +591,8 @@
   void gone(FrameClientConnection client, boolean peer, String why) {
     clients.remove(client);
     if (!why.equals("closed by the other side") && !finishing) {
-      events.warn(
-          EventLog.Kind.CLIENT_CUT,
+      eventLog.warn(
+          EventLog.Event.CLIENT_CUT,
           (peer ? "a relay's" : "a client's") + " connection ended: " + why);
     }
   }
@@ -604,14 +608,14 @@
   @Override
   public void refused(Endpoint endpoint, String why) {
     boolean misnamed = why.startsWith("TLS: " + Refusal.WRONG_NAME.words());
-    events.warn(
-        misnamed ? EventLog.Kind.UNIT_MISNAMED : EventLog.Kind.UNIT_REFUSED,
+    eventLog.warn(
+        misnamed ? EventLog.Event.UNIT_MISNAMED : EventLog.Event.UNIT_REFUSED,
         "unit " + endpoint.id + ": " + why);
   }
 
   @Override
   public void late(AttemptOutcome outcome) {
-    ledger.lateResult(outcome);
+    requestTracker.lateResult(outcome);
   }
 
   @Override
@@ -621,13 +625,13 @@
 
   @Override
   public void lost(Endpoint endpoint, String why) {
-    events.warn(EventLog.Kind.UNIT_LOST, "unit " + endpoint.id + ": " + why);
+    eventLog.warn(EventLog.Event.UNIT_LOST, "unit " + endpoint.id + ": " + why);
   }
 
   @Override
   public void misnamed(Endpoint endpoint, Hello other) {
-    events.warn(
-        EventLog.Kind.UNIT_MISNAMED,
+    eventLog.warn(
+        EventLog.Event.UNIT_MISNAMED,
         "unit "
             + endpoint.id
             + " was connected to, "
@@ -638,38 +642,38 @@
   }
 
   @Override
-  protected FrameExchange exchange(Attempt attempt, Timestamp ends) {
+  protected FrameExchange newExchange(Attempt attempt, Timestamp ends) {
     return new FrameExchange(attempt, ends);
   }
 
   @Override
-  public boolean ask(PromiseAsk ask) {
-    return desk.ask(ask);
+  public boolean requestPromise(PromiseAsk ask) {
+    return desk.requestPromise(ask);
   }
 
   @Override
-  public void firstPromise() {
+  public void firstPromiseReceived() {
     learnt();
   }
 
   @Override
-  public void racksChanged() {
+  public void permitsChanged() {
     roster.racksChanged();
   }
 
   @Override
-  protected void toUnit(sprucerock.relay.engine.AttemptExchange exchange) {
+  protected void sendToEndpoint(sprucerock.relay.engine.AttemptExchange exchange) {
     // guards against a process that stood still between the module's choice and now; the pick never
     // ran
     if (!racks.mayStillPlace(exchange.attempt().endpoint)) {
-      endsSoon((FrameExchange) exchange, AttemptOutcome.NOT_CONNECTED);
+      attemptEndsAfterTurn((FrameExchange) exchange, AttemptOutcome.NOT_CONNECTED);
     } else {
       connections(exchange).send((FrameExchange) exchange);
     }
   }
 
   @Override
-  protected boolean giveUp(sprucerock.relay.engine.AttemptExchange exchange, boolean told) {
+  protected boolean abandon(sprucerock.relay.engine.AttemptExchange exchange, boolean told) {
     return connections(exchange).giveUp((FrameExchange) exchange, told);
   }
 
@@ -688,7 +692,7 @@
     Ending told =
         switch (ending) {
           case OK -> Ending.OK;
-          case PUSHED_BACK -> Ending.PUSHED_BACK;
+          case REJECTED -> Ending.PUSHED_BACK;
           case ABORTED -> Ending.ABORTED;
         };
     ((FrameRequest) asked)
--- a/src/main/java/sprucerock/relay/frames/FrameRequest.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRequest.java
@@ -16,8 +16,8 @@
 
   /** Its body is not kept either. */
   @Override
-  protected void over() {
-    super.over();
+  protected void complete() {
+    super.complete();
     body = null;
   }
 }
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -237,7 +237,7 @@
   void worth(Worth said) {
     if (!fence.admits(LEASE, said.getNumber())) {
       events.warn(
-          EventLog.Kind.LEASE,
+          EventLog.Event.LEASE,
           "a model under "
               + said.getNumber()
               + " was refused, "
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -12,8 +12,8 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Look;
 import sprucerock.transport.wire.v1.Looked;
@@ -150,7 +150,7 @@
       connection.cut("looked at");
       if (looked != null && !looked.getTaken()) {
         events.warn(
-            EventLog.Kind.LEASE,
+            EventLog.Event.LEASE,
             "a look under "
                 + number
                 + " was refused by unit "
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getRole() != Role.UNIT
           || Integer.toUnsignedLong(other.getNumber()) != endpoint.id) {
         end(null);
@@ -180,7 +180,7 @@
       else if (!by.act(
           now ->
               made.send(
-                  Kind.LOOK,
+                  FrameKind.LOOK,
                   Look.newBuilder().setLease(LEASE).setNumber(number).build(),
                   FrameClientConnection.NO_BODY))) {
         end(null);
@@ -188,8 +188,8 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      end(kind == Kind.LOOKED ? (Looked) head : null);
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      end(kind == FrameKind.LOOKED ? (Looked) head : null);
     }
 
     @Override
--- a/src/main/java/sprucerock/relay/frames/Peers.java
+++ b/src/main/java/sprucerock/relay/frames/PeerConnections.java
@@ -10,10 +10,10 @@
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Seen;
@@ -23,11 +23,11 @@
  * Links to the other relays, made when the module first has something to tell. A message that can't
  * go now is dropped.
  */
-final class Peers {
+final class PeerConnections {
   private final Net net;
   private final RelayConfig config;
   private final Hello mine;
-  private final Tap tap;
+  private final FrameTap tap;
   private final EventLog events;
   private final DeterministicRandom chance;
   private final Map<Integer, ReconnectingConnection> connections = new TreeMap<>();
@@ -35,11 +35,11 @@
   private final TlsConnections secured;
   private boolean stopping;
 
-  Peers(
+  PeerConnections(
       Net net,
       RelayConfig config,
       Hello mine,
-      Tap tap,
+      FrameTap tap,
       EventLog events,
       DeterministicRandom chance,
       MethodAccounts accounts,
@@ -55,10 +55,10 @@
   }
 
   void tell(int number, byte[] contents) {
-    count(tell(number, Kind.TOLD, Told.getDefaultInstance(), contents));
+    count(tell(number, FrameKind.TOLD, Told.getDefaultInstance(), contents));
   }
 
-  private boolean tell(int number, Kind kind, MessageLite head, byte[] contents) {
+  private boolean tell(int number, FrameKind kind, MessageLite head, byte[] contents) {
     InetSocketAddress address = config.peers.get(number);
     if (address == null || stopping) {
       return false;
@@ -76,29 +76,29 @@
               chance,
               new Other(number));
       connections.put(number, connection);
-      connection.dial();
+      connection.connect();
     }
     // one that reads slowly loses messages, as the module expects, and is not cut for it
     boolean room =
-        connection.usable() && connection.unsent() + contents.length <= config.peerUnsent;
+        connection.isReady() && connection.unsentBytes() + contents.length <= config.peerUnsent;
     return room && connection.send(kind, head, contents);
   }
 
   /** To all, or dropped. */
-  void tellAll(Kind kind, MessageLite head) {
+  void tellAll(FrameKind kind, MessageLite head) {
     for (int number : config.peers.keySet()) {
       tell(number, kind, head, FrameClientConnection.NO_BODY);
     }
   }
 
   /** To one, or dropped. */
-  void tell(int number, Kind kind, MessageLite head) {
+  void tell(int number, FrameKind kind, MessageLite head) {
     tell(number, kind, head, FrameClientConnection.NO_BODY);
   }
 
   /** What a look found, to all. */
   void seen(Seen seen) {
-    tellAll(Kind.SEEN, seen);
+    tellAll(FrameKind.SEEN, seen);
   }
 
   private void count(boolean sent) {
@@ -126,14 +126,14 @@
     }
 
     @Override
-    public void greeted(FrameConnection connection, Hello other) {
+    public void helloReceived(FrameConnection connection, Hello other) {
       if (other.getRole() != Role.RELAY || other.getNumber() != number) {
         connection.cut("another one answers there");
       }
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       connections.get(number).cut("a relay tells over links of its own");
     }
 
@@ -141,7 +141,7 @@
     public void closed(String why) {
       if (!stopping) {
         events.warn(
-            EventLog.Kind.PEER_LOST,
+            EventLog.Event.PEER_LOST,
             "relay " + number + ": " + why + "; messages to it are dropped");
       }
     }
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -25,15 +25,15 @@
  */
 public final class RackPermits {
   /** What it needs of the relay. */
-  public interface Owner {
+  public interface PermitListener {
     /** False where nobody can be asked. */
-    boolean ask(PromiseAsk ask);
+    boolean requestPromise(PromiseAsk ask);
 
     /** It may place work from now on, where it was promised to. */
-    void firstPromise();
+    void firstPromiseReceived();
 
     /** Some rack is free that was not, or the other way round. */
-    void racksChanged();
+    void permitsChanged();
   }
 
   private static final long NO_LIST = 1; // of the protocol: one is welcome
@@ -44,7 +44,7 @@
   private final RelayConfig config;
   private final EventLog events;
   private final DeterministicRandom chance;
-  private final Owner owner;
+  private final PermitListener owner;
   private final SharedSnapshot shared = new SharedSnapshot();
   private final Map<Long, Timestamp> asked = new HashMap<>();
   // Told whole once; by its number a controller names only racks that are free for less than their
@@ -56,12 +56,16 @@
   private long epoch;
   private Timer next;
   private Timer turns;
-  private boolean told;
+  private boolean promiseReceived;
   private boolean stopped;
 
   /** It asks nobody yet, see {@link #start}. */
   public RackPermits(
-      Net net, RelayConfig config, EventLog events, DeterministicRandom chance, Owner owner) {
+      Net net,
+      RelayConfig config,
+      EventLog events,
+      DeterministicRandom chance,
+      PermitListener owner) {
     this.net = net;
     this.config = config;
     this.events = events;
@@ -98,12 +102,12 @@
             .setList(list)
             .build();
     asked.put(lastAsk, net.now());
-    owner.ask(ask);
+    owner.requestPromise(ask);
     next = net.at(net.now().plus(config.racksEvery.times(0.75 + 0.5 * chance.next())), this::ask);
   }
 
   /** An answer, or word that something has changed. */
-  public void told(Promised promised) {
+  public void promiseReceived(Promised promised) {
     if (config.racksEvery == null || stopped) {
       return;
     }
@@ -118,13 +122,13 @@
     }
     if (promised.getEpoch() < epoch) {
       events.warn(
-          EventLog.Kind.NEWS_REFUSED,
+          EventLog.Event.NEWS_REFUSED,
           "a promise of epoch " + promised.getEpoch() + ", " + epoch + " was heard");
       return;
     }
     if (promised.getRest()
         && promised.getList() != list) { // never asked for: what it leaves out can't be known
-      events.warn(EventLog.Kind.NEWS_REFUSED, "a promise by a list of racks that was not told");
+      events.warn(EventLog.Event.NEWS_REFUSED, "a promise by a list of racks that was not told");
       list = NO_LIST;
       return;
     }
@@ -144,11 +148,11 @@
     if (!shared.put(new RackSnapshot(promised.getSequence(), until))) {
       return;
     }
-    boolean first = !told;
-    told = true;
+    boolean first = !promiseReceived;
+    promiseReceived = true;
     look();
     if (first) {
-      owner.firstPromise();
+      owner.firstPromiseReceived();
     }
   }
 
@@ -169,7 +173,7 @@
     if (turns != null) {
       turns.cancel();
     }
-    owner.racksChanged();
+    owner.permitsChanged();
     turns =
         net.at(
             net.now().plus(TimeSpan.ofMs(50)),
@@ -198,11 +202,12 @@
   }
 
   /** Racks are nothing to it, or it was promised something. */
-  public boolean told() {
-    return told || config.racksEvery == null;
+  public boolean mayHavePermits() {
+    return promiseReceived || config.racksEvery == null;
   }
 
   private boolean mayPlace(int zone, int cell, Timestamp now, TimeSpan takes) {
-    return told() && shared.take().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
+    return mayHavePermits()
+        && shared.take().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
   }
 }
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -67,9 +67,10 @@
 
   void toUnit(long endpoint, InetSocketAddress to, String name, FrameConnection user) {
     if (tls == null || !config.tlsUnits) {
-      net.connect(to, config.connectWithin, config.connection.unsent(), user);
+      net.connect(to, config.connectWithin, config.connection.maxUnsentBytes(), user);
     } else {
-      tls.connect(endpoint, name, to, config.connectWithin, config.connection.unsent(), user);
+      tls.connect(
+          endpoint, name, to, config.connectWithin, config.connection.maxUnsentBytes(), user);
     }
   }
 
@@ -130,10 +131,10 @@
     accounts.begin(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
     if (wrong == null) {
       events.info(
-          EventLog.Kind.TLS_FILES,
+          EventLog.Event.TLS_FILES,
           "new key and trust are in use; the certificate has " + tls.daysLeft() + " days left");
     } else {
-      events.error(EventLog.Kind.TLS_FILES, wrong + "; key and trust stay as they were");
+      events.error(EventLog.Event.TLS_FILES, wrong + "; key and trust stay as they were");
     }
   }
 
--- a/src/main/java/sprucerock/relay/platform/ClientListener.java
+++ b/src/main/java/sprucerock/relay/platform/ClientListener.java
@@ -75,7 +75,7 @@
     listener.turnedAway(
         () ->
             events.warn(
-                EventLog.Kind.TURNED_AWAY,
+                EventLog.Event.TURNED_AWAY,
                 "a client as it came: " + (most + SPARE) + " connections are open"));
     look();
   }
@@ -177,7 +177,7 @@
   }
 
   void refused(String why) {
-    events.warn(EventLog.Kind.CLIENT_REFUSED, why);
+    events.warn(EventLog.Event.CLIENT_REFUSED, why);
   }
 
   void gone(PlatformClientConnection connection) {
--- a/src/main/java/sprucerock/relay/platform/Discovery.java
+++ b/src/main/java/sprucerock/relay/platform/Discovery.java
@@ -100,7 +100,7 @@
         take(known);
       } catch (HttpException e) {
         events.warn(
-            EventLog.Kind.LISTING_REFUSED, "the list in the configuration: " + e.getMessage());
+            EventLog.Event.LISTING_REFUSED, "the list in the configuration: " + e.getMessage());
       }
     }
     listed = false;
@@ -281,7 +281,7 @@
 
   @Override
   public void lost(String why) {
-    events.warn(EventLog.Kind.ROSTER_LOST, why + "; the units listed last hold");
+    events.warn(EventLog.Event.ROSTER_LOST, why + "; the units listed last hold");
     lost.run();
   }
 
@@ -304,7 +304,7 @@
       String wrong = entry(entry, named);
       if (wrong != null) {
         events.warn(
-            EventLog.Kind.LISTING_REFUSED,
+            EventLog.Event.LISTING_REFUSED,
             "unit " + entry.path("id").asText("?") + " has " + wrong + "; the entry is left out");
       }
     }
--- a/src/main/java/sprucerock/relay/platform/PlatformClientConnection.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformClientConnection.java
@@ -194,14 +194,14 @@
 
   /** The one final answer; none goes to a client that left. */
   void answer(PlatformRequest one, RequestOutcome ending, TimeSpan wait, byte[] body) {
-    one.over();
+    one.complete();
     if (!open() || open != one) {
       return;
     }
     open = null;
     switch (ending) {
       case OK -> answered(body);
-      case PUSHED_BACK ->
+      case REJECTED ->
           answered(
               Writer.error(
                   "ERROR",
--- a/src/main/java/sprucerock/relay/platform/PlatformConnectionPools.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformConnectionPools.java
@@ -19,12 +19,13 @@
 final class PlatformConnectionPools {
   /** What the doors need of the relay. */
   interface Owner {
-    void ended(
+    void attemptEnded(
         sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
 
-    void endsSoon(sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
+    void attemptEndsAfterTurn(
+        sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
 
-    void written(sprucerock.relay.engine.AttemptExchange exchange);
+    void attemptWritten(sprucerock.relay.engine.AttemptExchange exchange);
   }
 
   private static final long UNSENT = 512 * 1024;
@@ -143,22 +144,22 @@
   }
 
   void lost(Endpoint endpoint, String why) {
-    events.warn(EventLog.Kind.UNIT_LOST, "unit " + endpoint.id + ": " + why);
+    events.warn(EventLog.Event.UNIT_LOST, "unit " + endpoint.id + ": " + why);
   }
 
   void spoilt(Endpoint endpoint, String why) {
-    events.warn(EventLog.Kind.PLATFORM_UNREADABLE, "unit " + endpoint.id + " sent " + why);
+    events.warn(EventLog.Event.PLATFORM_UNREADABLE, "unit " + endpoint.id + " sent " + why);
   }
 
   void written(PgExchange exchange) {
-    owner.written(exchange);
+    owner.attemptWritten(exchange);
   }
 
   void ended(PgExchange exchange, AttemptOutcome outcome, byte[] body) {
-    owner.ended(exchange, outcome, body);
+    owner.attemptEnded(exchange, outcome, body);
   }
 
   void endsSoon(PgExchange exchange, AttemptOutcome outcome) {
-    owner.endsSoon(exchange, outcome);
+    owner.attemptEndsAfterTurn(exchange, outcome);
   }
 }
--- a/src/main/java/sprucerock/relay/platform/PlatformEndpointConnection.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformEndpointConnection.java
@@ -107,8 +107,8 @@
       return;
     }
     Timestamp clock = door.clock();
-    if (next.mayStart(clock) && next.ends().after(clock)) {
-      connection.append(Writer.query(next.statement().within(next.ends().since(clock).ms())));
+    if (next.mayStart(clock) && next.deadline().after(clock)) {
+      connection.append(Writer.query(next.statement().within(next.deadline().since(clock).ms())));
       mark = connection.written();
       door.written(next);
       return;
--- a/src/main/java/sprucerock/relay/platform/PlatformRelay.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -101,7 +101,7 @@
         new Discovery(
             net,
             config,
-            ledger,
+            requestTracker,
             events,
             endpoints,
             unix,
@@ -112,11 +112,11 @@
         new ReleaseApiClient(
             net,
             config,
-            ledger,
+            requestTracker,
             events,
             chance::next,
             discovery::unit,
-            reply -> module.voteAnswered(reply),
+            reply -> policy.voteAnswered(reply),
             this::askSettings);
     for (int i = 0; i < config.peers.size(); i++) {
       peers.put(config.peers.get(i), i);
@@ -128,8 +128,8 @@
    *
    * @throws IOException if an address to listen at can't be had
    */
-  public void start(Maker maker) throws IOException {
-    begin(maker, config.seed);
+  public void start(PolicyFactory maker) throws IOException {
+    createPolicy(maker, config.seed);
     clients.start(config.listen);
     if (settings.peers && config.peerListen != null) {
       datagrams = net.datagrams(config.peerListen, this::told);
@@ -151,9 +151,9 @@
   private void beat(Timestamp due) {
     TimeSpan late = net.now().since(due);
     if (late.over(HELD_UP)) {
-      events.warn(
-          EventLog.Kind.HELD_UP,
-          "for " + Math.round(late.ms()) + " ms; " + ledger.open() + " RPCs are open");
+      eventLog.warn(
+          EventLog.Event.HELD_UP,
+          "for " + Math.round(late.ms()) + " ms; " + requestTracker.open() + " RPCs are open");
     }
     Timestamp next = net.now().plus(BEAT);
     net.at(next, () -> beat(next));
@@ -164,7 +164,7 @@
   }
 
   private void listLost() {
-    module.listFailed();
+    policy.listFailed();
     askSettings();
   }
 
@@ -188,8 +188,8 @@
     }
     taking = true;
     clients.take();
-    events.info(
-        EventLog.Kind.STARTED,
+    eventLog.info(
+        EventLog.Event.STARTED,
         "relay "
             + config.name
             + ", number "
@@ -205,18 +205,18 @@
 
   private void figures() {
     Runtime machine = Runtime.getRuntime();
-    events.info(
-        EventLog.Kind.FIGURES,
+    eventLog.info(
+        EventLog.Event.FIGURES,
         "open "
-            + ledger.open()
+            + requestTracker.open()
             + " known "
-            + ledger.known()
+            + requestTracker.known()
             + " clients "
             + clients.size()
             + " to-units "
             + endpoints.open()
             + " units "
-            + ledger.units().size()
+            + requestTracker.units().size()
             + " heap-kb "
             + (machine.totalMemory() - machine.freeMemory()) / 1024
             + " list-silent-ms "
@@ -234,15 +234,15 @@
     boolean moves = discovery.move(anew.discovery);
     moves |= desk.move(anew.desk);
     if (moves) {
-      events.info(
-          EventLog.Kind.SETTINGS,
+      eventLog.info(
+          EventLog.Event.SETTINGS,
           "discovery is at " + anew.discovery + ", the desk at " + anew.desk);
     }
   }
 
   /** A new configuration can't be used; the old one holds. */
   public void notReloaded(String why) {
-    events.error(EventLog.Kind.SETTINGS, why + "; what was read before holds");
+    eventLog.error(EventLog.Event.SETTINGS, why + "; what was read before holds");
   }
 
   /**
@@ -254,7 +254,7 @@
       return;
     }
     finishing = true;
-    events.info(EventLog.Kind.FINISHING, ledger.open() + " RPCs are open");
+    eventLog.info(EventLog.Event.FINISHING, requestTracker.open() + " RPCs are open");
     if (!taking) {
       clients.take();
     }
@@ -274,7 +274,7 @@
   }
 
   private void endIfDone(Timestamp by, Runnable done) {
-    boolean all = ledger.open() == 0 && clients.size() == 0;
+    boolean all = requestTracker.open() == 0 && clients.size() == 0;
     if (!all && by.after(net.now())) {
       net.at(net.now().plus(TimeSpan.ofMs(5)), () -> endIfDone(by, done));
       return;
@@ -284,8 +284,8 @@
     if (datagrams != null) {
       datagrams.close();
     }
-    events.info(
-        EventLog.Kind.FINISHED,
+    eventLog.info(
+        EventLog.Event.FINISHED,
         all
             ? "every RPC taken has its answer"
             : clients.size() + " clients have not read their answers in time");
@@ -297,12 +297,13 @@
   @Override
   public void arrived(PlatformRequest asked) {
     Statement said = asked.statement;
-    arrived(asked, said.method, 0, said.key, net.now().plus(TimeSpan.ofMs(said.deadlineMs)), null);
+    requestArrived(
+        asked, said.method, 0, said.key, net.now().plus(TimeSpan.ofMs(said.deadlineMs)), null);
   }
 
   @Override
   public void left(PlatformRequest asked) {
-    super.left(asked);
+    super.clientLeft(asked);
   }
 
   @Override
@@ -314,17 +315,17 @@
   // Units.
 
   @Override
-  protected AttemptExchange exchange(Attempt attempt, Timestamp ends) {
+  protected AttemptExchange newExchange(Attempt attempt, Timestamp ends) {
     return new PgExchange(attempt, ends);
   }
 
   @Override
-  protected void toUnit(AttemptExchange exchange) {
+  protected void sendToEndpoint(AttemptExchange exchange) {
     ((PlatformConnectionPool) exchange.attempt().endpoint.door).send((PgExchange) exchange);
   }
 
   @Override
-  protected boolean giveUp(AttemptExchange exchange, boolean told) {
+  protected boolean abandon(AttemptExchange exchange, boolean told) {
     return ((PlatformConnectionPool) exchange.attempt().endpoint.door)
         .giveUp((PgExchange) exchange);
   }
@@ -344,7 +345,7 @@
   private void told(InetSocketAddress from, byte[] contents) {
     Integer number = peers.get(from);
     if (number != null && number != settings.index) {
-      module.peerTold(number, contents);
+      policy.peerTold(number, contents);
     }
   }
 
--- a/src/main/java/sprucerock/relay/platform/PlatformRequest.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRequest.java
@@ -13,8 +13,8 @@
   }
 
   @Override
-  protected void over() {
-    super.over();
+  protected void complete() {
+    super.complete();
     client.over(this);
   }
 }
--- a/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
+++ b/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
@@ -95,7 +95,8 @@
       try {
         news(RequestCodec.of(values));
       } catch (HttpException e) {
-        events.warn(EventLog.Kind.NEWS_REFUSED, "the news in the configuration: " + e.getMessage());
+        events.warn(
+            EventLog.Event.NEWS_REFUSED, "the news in the configuration: " + e.getMessage());
       }
     }
     feed.dial();
@@ -178,7 +179,7 @@
               net.now().plus(settings.callTimeout),
               () -> {
                 events.warn(
-                    EventLog.Kind.VOTE_UNANSWERED,
+                    EventLog.Event.VOTE_UNANSWERED,
                     "within " + settings.callTimeout.ms() + " ms; it may count");
                 over(VoteReply.UNANSWERED);
                 connection.cut("no answer in time");
@@ -219,7 +220,7 @@
       } catch (
           HttpException
               e) { // nobody knows whether it counts, and nothing can follow on that connection
-        events.warn(EventLog.Kind.PLATFORM_UNREADABLE, "a vote's answer: " + e.getMessage());
+        events.warn(EventLog.Event.PLATFORM_UNREADABLE, "a vote's answer: " + e.getMessage());
         over(VoteReply.UNANSWERED);
         connection.cut("not to be read");
       }
@@ -277,7 +278,7 @@
 
   @Override
   public void lost(String why) {
-    events.warn(EventLog.Kind.DESK_LOST, why + "; what it said last holds");
+    events.warn(EventLog.Event.DESK_LOST, why + "; what it said last holds");
     lost.run();
   }
 
--- a/src/main/java/sprucerock/relay/platform/WarmUp.java
+++ b/src/main/java/sprucerock/relay/platform/WarmUp.java
@@ -55,7 +55,7 @@
   private WarmUp() {}
 
   /** Plays it, for a second or two at most; returns how many RPCs were answered. */
-  public static int run(RelayEngine.Maker maker) {
+  public static int run(RelayEngine.PolicyFactory maker) {
     try {
       return new WarmUp().play(maker);
     } catch (IOException | ConfigException | ProtocolException e) {
@@ -64,7 +64,8 @@
     }
   }
 
-  private int play(RelayEngine.Maker maker) throws IOException, ConfigException, ProtocolException {
+  private int play(RelayEngine.PolicyFactory maker)
+      throws IOException, ConfigException, ProtocolException {
     long until = System.currentTimeMillis() + TIME_MS;
     StringBuilder servers = new StringBuilder();
     for (int i = 0; i < UNITS; i++) {
--- a/src/main/java/sprucerock/transport/wire/FrameConnection.java
+++ b/src/main/java/sprucerock/transport/wire/FrameConnection.java
@@ -26,37 +26,38 @@
 
   private final Timers timers;
   private final Hello mine;
-  private final Limits limits;
-  private final Tap tap;
+  private final FrameLimits limits;
+  private final FrameTap tap;
   private final FrameListener user;
   private final FrameReader reader;
   private Connection connection;
-  private Hello other;
+  private Hello remoteHello;
   private Timestamp heard;
   private boolean closed;
   private String whyCut;
 
-  public FrameConnection(Timers timers, Hello mine, Limits limits, Tap tap, FrameListener user) {
+  public FrameConnection(
+      Timers timers, Hello mine, FrameLimits limits, FrameTap tap, FrameListener user) {
     this.timers = timers;
     this.mine = mine;
     this.limits = limits;
     this.tap = tap;
     this.user = user;
-    reader = new FrameReader(limits.frame());
+    reader = new FrameReader(limits.maxFrameBytes());
   }
 
   /** What the other side said it is; null before it did. */
-  public Hello other() {
-    return other;
+  public Hello remoteHello() {
+    return remoteHello;
   }
 
   /** Both sides have greeted, and it is not closed. */
-  public boolean usable() {
-    return other != null && !closed;
+  public boolean isReady() {
+    return remoteHello != null && !closed;
   }
 
   /** Bytes that wait for the other side to read, or for the connection to come up. */
-  public long unsent() {
+  public long unsentBytes() {
     return connection == null ? 0 : connection.written() - connection.handed();
   }
 
@@ -68,8 +69,8 @@
       connection.cut(whyCut);
       return;
     }
-    send(Kind.HELLO, mine, FrameReader.NO_BODY);
-    timers.at(heard.plus(limits.beat()), this::beat);
+    send(FrameKind.HELLO, mine, FrameReader.NO_BODY);
+    timers.at(heard.plus(limits.heartbeat()), this::beat);
   }
 
   private void beat() {
@@ -77,23 +78,23 @@
       return;
     }
     Timestamp now = timers.now();
-    if (now.since(heard).over(limits.beat().times(2.9))) {
-      cut(other == null ? "did not greet" : "silent");
+    if (now.since(heard).over(limits.heartbeat().times(2.9))) {
+      cut(remoteHello == null ? "did not greet" : "silent");
       return;
     }
-    if (other != null && now.since(heard).over(limits.beat().times(0.9))) {
-      send(Kind.BEAT, Beat.getDefaultInstance(), FrameReader.NO_BODY);
+    if (remoteHello != null && now.since(heard).over(limits.heartbeat().times(0.9))) {
+      send(FrameKind.BEAT, Beat.getDefaultInstance(), FrameReader.NO_BODY);
     }
-    timers.at(now.plus(limits.beat()), this::beat);
+    timers.at(now.plus(limits.heartbeat()), this::beat);
   }
 
   /** Bytes of a frame on the wire. */
-  public static int size(MessageLite head, byte[] body) {
+  public static int wireSize(MessageLite head, byte[] body) {
     return FrameReader.START + head.getSerializedSize() + body.length;
   }
 
   /** Sends a frame; returns a mark for {@link #mayHaveLeft}. On a closed link nothing happens. */
-  public long send(Kind kind, MessageLite head, byte[] body) {
+  public long send(FrameKind kind, MessageLite head, byte[] body) {
     if (closed || connection == null) {
       return Long.MAX_VALUE;
     }
@@ -122,7 +123,7 @@
    * False only where not one byte of that frame has left this process, so that nobody can have read
    * it.
    */
-  public boolean mayHaveLeft(long mark) {
+  public boolean mayHaveBeenSent(long mark) {
     return connection != null && connection.handed() > mark;
   }
 
@@ -131,34 +132,34 @@
     heard = timers.now();
     try {
       reader.feed(bytes, this::frame);
-    } catch (WireException e) {
+    } catch (MalformedFrameException e) {
       cut("not this protocol: " + e.getMessage());
     }
   }
 
-  private void frame(Kind kind, MessageLite head, byte[] body) {
+  private void frame(FrameKind kind, MessageLite head, byte[] body) {
     if (closed) {
       return;
     }
     tap.frame(this, false, kind, head, body);
-    if (kind == Kind.HELLO) {
+    if (kind == FrameKind.HELLO) {
       Hello hello = (Hello) head;
-      if (other != null) {
+      if (remoteHello != null) {
         cut("greeted twice");
       } else if (tooFar(hello) != null) {
         cut(tooFar(hello));
       } else {
-        other = hello;
-        user.greeted(this, hello);
+        remoteHello = hello;
+        user.helloReceived(this, hello);
       }
-    } else if (other == null) {
+    } else if (remoteHello == null) {
       cut("sent " + kind + " before its greeting");
-    } else if (kind == Kind.BEAT) {
+    } else if (kind == FrameKind.BEAT) {
       if (!((Beat) head).getAnswer()) {
-        send(Kind.BEAT, Beat.newBuilder().setAnswer(true).build(), FrameReader.NO_BODY);
+        send(FrameKind.BEAT, Beat.newBuilder().setAnswer(true).build(), FrameReader.NO_BODY);
       }
     } else {
-      user.frame(kind, head, body);
+      user.frameReceived(kind, head, body);
     }
   }
 
@@ -206,7 +207,7 @@
   @Override
   public void closed(String why) {
     closed = true;
-    String told = reader.inFrame() && whyCut == null ? why + ", within a frame" : why;
+    String told = reader.hasPartialFrame() && whyCut == null ? why + ", within a frame" : why;
     tap.closed(this, told);
     user.closed(told);
   }
--- a/src/main/java/sprucerock/transport/wire/Kind.java
+++ b/src/main/java/sprucerock/transport/wire/FrameKind.java
@@ -38,7 +38,7 @@
 import sprucerock.transport.wire.v1.Worth;
 
 /** What a frame is, by the number that stands in it. */
-public enum Kind {
+public enum FrameKind {
   HELLO(1, Hello.parser(), false),
   CALL(2, Call.parser(), true),
   ANSWER(3, Answer.parser(), true),
@@ -74,10 +74,10 @@
   TALLIED(33, Tallied.parser(), false),
   WORTH(34, Worth.parser(), false);
 
-  private static final Kind[] BY_CODE = new Kind[35];
+  private static final FrameKind[] BY_CODE = new FrameKind[35];
 
   static {
-    for (Kind kind : values()) {
+    for (FrameKind kind : values()) {
       BY_CODE[kind.code] = kind;
     }
   }
@@ -86,14 +86,14 @@
   private final Parser<? extends MessageLite> parser;
   final boolean hasBody;
 
-  Kind(int code, Parser<? extends MessageLite> parser, boolean hasBody) {
+  FrameKind(int code, Parser<? extends MessageLite> parser, boolean hasBody) {
     this.code = code;
     this.parser = parser;
     this.hasBody = hasBody;
   }
 
   /** The kind of a number; null where there is none. */
-  static Kind of(int code) {
+  static FrameKind of(int code) {
     return code < BY_CODE.length ? BY_CODE[code] : null;
   }
 
--- a/src/main/java/sprucerock/transport/wire/Limits.java
+++ b/src/main/java/sprucerock/transport/wire/FrameLimits.java
@@ -7,4 +7,4 @@
  * read, and how long silence may last: after one {@code beat} it is asked for a sign, after three
  * it is cut; a greeting has three too.
  */
-public record Limits(int frame, long unsent, TimeSpan beat) {}
+public record FrameLimits(int maxFrameBytes, long maxUnsentBytes, TimeSpan heartbeat) {}
--- a/src/main/java/sprucerock/transport/wire/FrameListener.java
+++ b/src/main/java/sprucerock/transport/wire/FrameListener.java
@@ -9,10 +9,10 @@
    * The other side said who it is, in this protocol's version; frames may be sent. A cut refuses
    * it.
    */
-  void greeted(FrameConnection connection, Hello other);
+  void helloReceived(FrameConnection connection, Hello other);
 
   /** A frame other than greetings and beats. One that has no place here is answered with a cut. */
-  void frame(Kind kind, MessageLite head, byte[] body);
+  void frameReceived(FrameKind kind, MessageLite head, byte[] body);
 
   /** The link is gone, or never came up; told once. */
   void closed(String why);
--- a/src/main/java/sprucerock/transport/wire/FrameReader.java
+++ b/src/main/java/sprucerock/transport/wire/FrameReader.java
@@ -14,7 +14,7 @@
   /** Where frames go. */
   public interface Sink {
     /** The body is the frame's own copy, or the empty array. */
-    void frame(Kind kind, MessageLite head, byte[] body);
+    void frame(FrameKind kind, MessageLite head, byte[] body);
   }
 
   static final int START = 8;
@@ -33,12 +33,12 @@
   }
 
   /** Whether bytes of a frame are there whose rest is missing. */
-  public boolean inFrame() {
+  public boolean hasPartialFrame() {
     return have > 0;
   }
 
   /** Takes all bytes there are. After an exception the rest means nothing any more. */
-  public void feed(ByteBuffer bytes, Sink sink) throws WireException {
+  public void feed(ByteBuffer bytes, Sink sink) throws MalformedFrameException {
     while (bytes.hasRemaining()) {
       if (have == 0 && bytes.remaining() >= START) {
         int size = 4 + length(bytes.getInt(bytes.position()));
@@ -78,32 +78,32 @@
     return have >= wanted;
   }
 
-  private int length(int told) throws WireException {
+  private int length(int told) throws MalformedFrameException {
     if (told < START - 4) {
-      throw new WireException("a frame of " + told + " bytes can't be");
+      throw new MalformedFrameException("a frame of " + told + " bytes can't be");
     }
     if (told > mostBytes) {
-      throw new WireException("a frame of " + told + " bytes, " + mostBytes + " at most");
+      throw new MalformedFrameException("a frame of " + told + " bytes, " + mostBytes + " at most");
     }
     return told;
   }
 
-  private static void one(ByteBuffer frame, Sink sink) throws WireException {
+  private static void one(ByteBuffer frame, Sink sink) throws MalformedFrameException {
     int start = frame.getInt(4);
-    Kind kind = Kind.of(start >>> 24);
+    FrameKind kind = FrameKind.of(start >>> 24);
     if (kind == null && start >>> 24 >= FIRST_UNKNOWN && start >>> 24 <= LAST_UNKNOWN) {
       return; // of a newer program: read past
     }
     int head = start & 0xffffff;
     int body = frame.capacity() - START - head;
     if (kind == null) {
-      throw new WireException("no kind of frame is " + (start >>> 24));
+      throw new MalformedFrameException("no kind of frame is " + (start >>> 24));
     }
     if (body < 0) {
-      throw new WireException(kind + ": the head is longer than the frame");
+      throw new MalformedFrameException(kind + ": the head is longer than the frame");
     }
     if (body > 0 && !kind.hasBody) {
-      throw new WireException(kind + ": has a body of " + body + " bytes");
+      throw new MalformedFrameException(kind + ": has a body of " + body + " bytes");
     }
     byte[] bytes = NO_BODY;
     if (body > 0) {
@@ -114,7 +114,7 @@
     try {
       message = kind.parser().parseFrom(frame.slice(START, head));
     } catch (InvalidProtocolBufferException e) {
-      throw new WireException(kind + ": the head can't be read: " + e.getMessage());
+      throw new MalformedFrameException(kind + ": the head can't be read: " + e.getMessage());
     }
     sink.frame(kind, message, bytes);
   }
--- a/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
+++ b/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
@@ -29,8 +29,8 @@
   private final Connector connector;
   private final InetSocketAddress to;
   private final Hello mine;
-  private final Limits limits;
-  private final Tap tap;
+  private final FrameLimits limits;
+  private final FrameTap tap;
   private final ExponentialBackoff pauses;
   private final FrameListener user;
   private FrameConnection connection;
@@ -40,8 +40,8 @@
       Net net,
       InetSocketAddress to,
       Hello mine,
-      Limits limits,
-      Tap tap,
+      FrameLimits limits,
+      FrameTap tap,
       DeterministicRandom chance,
       FrameListener user) {
     this(net, net::connect, to, mine, limits, tap, chance, user);
@@ -52,8 +52,8 @@
       Connector connector,
       InetSocketAddress to,
       Hello mine,
-      Limits limits,
-      Tap tap,
+      FrameLimits limits,
+      FrameTap tap,
       DeterministicRandom chance,
       FrameListener user) {
     this.net = net;
@@ -66,25 +66,25 @@
     this.user = user;
   }
 
-  public void dial() {
+  public void connect() {
     if (stopped) {
       return;
     }
     connection = new FrameConnection(net, mine, limits, tap, this);
-    connector.connect(to, CONNECT, limits.unsent(), connection);
+    connector.connect(to, CONNECT, limits.maxUnsentBytes(), connection);
   }
 
-  public boolean usable() {
-    return connection != null && connection.usable();
+  public boolean isReady() {
+    return connection != null && connection.isReady();
   }
 
-  public long unsent() {
-    return connection.unsent();
+  public long unsentBytes() {
+    return connection.unsentBytes();
   }
 
   /** Sends if the link is there; false where it is not. */
-  public boolean send(Kind kind, MessageLite head, byte[] body) {
-    if (!usable()) {
+  public boolean send(FrameKind kind, MessageLite head, byte[] body) {
+    if (!isReady()) {
       return false;
     }
     connection.send(kind, head, body);
@@ -104,14 +104,14 @@
   }
 
   @Override
-  public void greeted(FrameConnection made, Hello other) {
+  public void helloReceived(FrameConnection made, Hello other) {
     pauses.over();
-    user.greeted(made, other);
+    user.helloReceived(made, other);
   }
 
   @Override
-  public void frame(Kind kind, MessageLite head, byte[] body) {
-    user.frame(kind, head, body);
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    user.frameReceived(kind, head, body);
   }
 
   @Override
@@ -120,6 +120,6 @@
     if (stopped) {
       return;
     }
-    net.at(net.now().plus(pauses.next()), this::dial);
+    net.at(net.now().plus(pauses.next()), this::connect);
   }
 }
--- a/src/test/java/sprucerock/accounting/LedgerProperties.java
+++ b/src/test/java/sprucerock/accounting/LedgerProperties.java
@@ -25,7 +25,7 @@
 import sprucerock.model.Method;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.relay.frames.Told;
+import sprucerock.relay.frames.RecordingRelayEvents;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
@@ -77,7 +77,7 @@
         draft.methods.add(methods.get(i));
       }
       ledger = new RequestTracker(new Settings(draft), accounts);
-      ledger.tell(new Told());
+      ledger.tell(new RecordingRelayEvents());
       listed(0);
     }
 
--- a/src/test/java/sprucerock/accounting/LedgerTest.java
+++ b/src/test/java/sprucerock/accounting/LedgerTest.java
@@ -20,7 +20,7 @@
 import sprucerock.model.RolloutState;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
-import sprucerock.relay.frames.Told;
+import sprucerock.relay.frames.RecordingRelayEvents;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
@@ -36,7 +36,7 @@
           TimeSpan.ZERO,
           1,
           false);
-  private Told told;
+  private RecordingRelayEvents told;
   private RequestTracker ledger;
   private Endpoint endpoint;
 
@@ -45,7 +45,7 @@
     Settings.Draft draft = new Settings.Draft();
     draft.methods.add(method);
     ledger = new RequestTracker(new Settings(draft));
-    told = new Told();
+    told = new RecordingRelayEvents();
     ledger.tell(told);
     endpoint = ledger.listed(1, 0, 0, 0, 1, null, 1, true);
     told.calls.clear();
--- a/src/test/java/sprucerock/compat/FrameRecorder.java
+++ b/src/test/java/sprucerock/compat/FrameRecorder.java
@@ -15,12 +15,12 @@
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.Timers;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
 import sprucerock.transport.wire.FrameReader;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
-import sprucerock.transport.wire.WireException;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.MalformedFrameException;
 import sprucerock.transport.wire.v1.Hello;
 
 /**
@@ -29,15 +29,16 @@
  */
 final class FrameRecorder {
   static final int MOST_BYTES = 1 << 20;
-  private static final Limits LIMITS = new Limits(MOST_BYTES, MOST_BYTES, TimeSpan.ofMs(1000));
+  private static final FrameLimits LIMITS =
+      new FrameLimits(MOST_BYTES, MOST_BYTES, TimeSpan.ofMs(1000));
   private static final byte[] NO_BODY = {};
 
   /** A frame that was read. */
-  record Frame(Kind kind, Message head, byte[] body) {}
+  record Frame(FrameKind kind, Message head, byte[] body) {}
 
   private FrameRecorder() {}
 
-  static List<Frame> decode(byte[] bytes) throws WireException {
+  static List<Frame> decode(byte[] bytes) throws MalformedFrameException {
     List<Frame> frames = new ArrayList<>();
     new FrameReader(MOST_BYTES)
         .feed(
@@ -47,11 +48,11 @@
   }
 
   /** The bytes that a link sends for a frame. */
-  static byte[] encode(Kind kind, MessageLite head, byte[] body) {
+  static byte[] encode(FrameKind kind, MessageLite head, byte[] body) {
     ManualTimers timers = new ManualTimers();
     CapturedLink captured = new CapturedLink();
     FrameConnection connection =
-        new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+        new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, FrameTap.NONE, NOBODY);
     connection.up(captured);
     captured.pieces.clear(); // its greeting
     connection.send(kind, head, body);
@@ -70,7 +71,7 @@
       ManualTimers timers = new ManualTimers();
       TraceWriter writer = new TraceWriter(timers, file, "relay-1");
       FrameConnection connection =
-          new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, Tap.NONE, NOBODY);
+          new FrameConnection(timers, Hello.getDefaultInstance(), LIMITS, FrameTap.NONE, NOBODY);
       writer.frame(connection, false, frame.kind, frame.head, frame.body);
       timers.endTurn();
       String line = Files.readString(file);
@@ -83,10 +84,10 @@
   private static final FrameListener NOBODY =
       new FrameListener() {
         @Override
-        public void greeted(FrameConnection connection, Hello other) {}
+        public void helloReceived(FrameConnection connection, Hello other) {}
 
         @Override
-        public void frame(Kind kind, MessageLite head, byte[] body) {}
+        public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {}
 
         @Override
         public void closed(String why) {}
--- a/src/test/java/sprucerock/compat/FramesCompatTest.java
+++ b/src/test/java/sprucerock/compat/FramesCompatTest.java
@@ -16,7 +16,7 @@
 import sprucerock.rehearsal.trace.Line;
 import sprucerock.transport.tls.Credentials;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 
 /**
  * The relay protocol on recorded bytes: one frame of each kind, with every field of its head set.
@@ -32,14 +32,20 @@
   private static final String PREFIX = "frame-";
   private static final int NEWER_KIND_NUMBER = 100;
   private static final int KIND_AT = 4;
-  private static final Set<Kind> WITH_BODY =
-      EnumSet.of(Kind.CALL, Kind.ANSWER, Kind.WORK, Kind.DONE, Kind.TOLD, Kind.PIECE);
+  private static final Set<FrameKind> WITH_BODY =
+      EnumSet.of(
+          FrameKind.CALL,
+          FrameKind.ANSWER,
+          FrameKind.WORK,
+          FrameKind.DONE,
+          FrameKind.TOLD,
+          FrameKind.PIECE);
 
   /** Writes the recorded files below a folder. */
   static void record(Path corpus) throws Exception {
     Path folder = Files.createDirectories(corpus.resolve(FOLDER));
     StringBuilder trace = new StringBuilder();
-    for (Kind kind : Kind.values()) {
+    for (FrameKind kind : FrameKind.values()) {
       Message head =
           FilledMessages.filled((Message) kind.parser().parseFrom(FrameRecorder.noBody()), 0);
       byte[] body =
@@ -57,9 +63,9 @@
     Files.writeString(folder.resolve(PROTOCOL), protocol() + "\n");
     byte[] newer =
         FrameRecorder.encode(
-            Kind.LEAVE,
+            FrameKind.LEAVE,
             FilledMessages.filled(
-                (Message) Kind.LEAVE.parser().parseFrom(FrameRecorder.noBody()), 0),
+                (Message) FrameKind.LEAVE.parser().parseFrom(FrameRecorder.noBody()), 0),
             FrameRecorder.noBody());
     newer[KIND_AT] = NEWER_KIND_NUMBER;
     Files.writeString(folder.resolve(NEWER_KIND), CorpusFiles.dump(newer));
@@ -71,7 +77,7 @@
    */
   private static List<String> enumerations() throws Exception {
     List<String> lines = new ArrayList<>();
-    for (Kind kind : Kind.values()) {
+    for (FrameKind kind : FrameKind.values()) {
       Message head = (Message) kind.parser().parseFrom(FrameRecorder.noBody());
       FilledMessages.enumerations(head.getDescriptorForType(), "")
           .forEach(line -> lines.add(kind + " " + line));
@@ -110,11 +116,11 @@
 
   @Test
   public void everyKindIsRecorded() throws Exception {
-    Set<Kind> found = EnumSet.noneOf(Kind.class);
+    Set<FrameKind> found = EnumSet.noneOf(FrameKind.class);
     for (FrameRecorder.Frame frame : all()) {
       found.add(frame.kind());
     }
-    assertEquals(found, EnumSet.allOf(Kind.class));
+    assertEquals(found, EnumSet.allOf(FrameKind.class));
   }
 
   @Test(dataProvider = "recorded")
--- a/src/test/java/sprucerock/compat/SettingsCompatTest.java
+++ b/src/test/java/sprucerock/compat/SettingsCompatTest.java
@@ -115,9 +115,9 @@
         .put("limits.open-per-client", config.openPerClient)
         .put("limits.clients", config.clients);
     text.put("limits.units", config.endpoints)
-        .put("limits.frame", config.connection.frame())
-        .put("limits.unsent", config.connection.unsent());
-    text.put("limits.beat", config.connection.beat())
+        .put("limits.frame", config.connection.maxFrameBytes())
+        .put("limits.unsent", config.connection.maxUnsentBytes());
+    text.put("limits.beat", config.connection.heartbeat())
         .put("limits.peer-unsent", config.peerUnsent)
         .put("limits.finish-within", config.finishWithin);
     text.put("limits.wait-for-list", config.waitForList)
--- a/src/test/java/sprucerock/config/RelayConfigTest.java
+++ b/src/test/java/sprucerock/config/RelayConfigTest.java
@@ -23,7 +23,7 @@
     assertEquals(settings.methods.get(1).effect, Method.Effect.TOKENED);
     assertEquals(settings.methods.get(1).window.ms(), 4000.0);
     assertEquals(settings.caps.size(), 3);
-    assertEquals(config.connection.frame(), 1 << 20);
+    assertEquals(config.connection.maxFrameBytes(), 1 << 20);
     assertEquals(config.connectWithin.ms(), 250.0);
     assertFalse(settings.oneWayKeys);
   }
--- a/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
@@ -16,9 +16,9 @@
 import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Role;
 
@@ -83,7 +83,7 @@
                 return System.nanoTime() / 1_000_000;
               }
             },
-            Tap.NONE,
+            FrameTap.NONE,
             () -> {});
   }
 
@@ -100,11 +100,11 @@
     return result.join();
   }
 
-  private Person agent(int number) throws Exception {
-    Person agent =
+  private RecordingPeer agent(int number) throws Exception {
+    RecordingPeer agent =
         on(
             () -> {
-              Person person = new Person(loop, Role.AGENT, number);
+              RecordingPeer person = new RecordingPeer(loop, Role.AGENT, number);
               loop.connect(
                   new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
                   TimeSpan.ofMs(5000),
@@ -112,11 +112,11 @@
                   person.connection);
               return person;
             });
-    until("it is linked", () -> on(agent.connection::usable));
+    until("it is linked", () -> on(agent.connection::isReady));
     loop.post(
         () ->
             agent.send(
-                Kind.AGENT,
+                FrameKind.AGENT,
                 AgentSays.newBuilder()
                     .setProgram("a".repeat(64))
                     .setSettings("b".repeat(64))
@@ -139,26 +139,26 @@
   @Test
   public void whoGoesIsSilentAfterAWhileAndHeardAgainWhenItIsBack() throws Exception {
     starts();
-    Person stays = agent(1);
-    Person goes = agent(2);
+    RecordingPeer stays = agent(1);
+    RecordingPeer goes = agent(2);
     until("both are heard", () -> known(1, false) && known(2, false));
     loop.post(() -> goes.connection.cut("it goes"));
     until("it is silent", () -> known(2, true));
     assertTrue(known(1, false), "one that is linked is not silent, though it says nothing");
     agent(2);
     until("it is heard again", () -> known(2, false));
-    assertTrue(on(stays.connection::usable));
+    assertTrue(on(stays.connection::isReady));
   }
 
   /** A link that takes the place of another one is no absence when the old one closes. */
   @Test
   public void whoComesUnderItsNumberAgainIsNotAway() throws Exception {
     starts();
-    Person first = agent(2);
+    RecordingPeer first = agent(2);
     until("it is heard", () -> known(2, false));
     agent(2);
-    until("the old link is cut", () -> on(() -> first.gone != null));
-    Person other = agent(3); // whose silence shows that time enough has passed
+    until("the old link is cut", () -> on(() -> first.closeReason != null));
+    RecordingPeer other = agent(3); // whose silence shows that time enough has passed
     until("the other is heard", () -> known(3, false));
     loop.post(() -> other.connection.cut("it goes"));
     until("the other is silent", () -> known(3, true));
--- a/src/test/java/sprucerock/controller/server/DeskTest.java
+++ b/src/test/java/sprucerock/controller/server/DeskTest.java
@@ -27,9 +27,9 @@
 import sprucerock.controller.Engine;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Say;
@@ -111,7 +111,7 @@
                 return System.nanoTime() / 1_000_000;
               }
             },
-            Tap.NONE,
+            FrameTap.NONE,
             () -> {});
   }
 
@@ -163,11 +163,11 @@
     assertTrue(holds.getAsBoolean(), what);
   }
 
-  private Person relay(int number) {
-    CompletableFuture<Person> made = new CompletableFuture<>();
+  private RecordingPeer relay(int number) {
+    CompletableFuture<RecordingPeer> made = new CompletableFuture<>();
     loop.post(
         () -> {
-          Person person = new Person(loop, Role.RELAY, number);
+          RecordingPeer person = new RecordingPeer(loop, Role.RELAY, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
               TimeSpan.ofMs(5000),
@@ -184,23 +184,27 @@
     return result.join();
   }
 
-  private News last(Person relay) {
-    List<News> all = on(() -> new ArrayList<>(relay.<News>all(Kind.NEWS)));
+  private News last(RecordingPeer relay) {
+    List<News> all = on(() -> new ArrayList<>(relay.<News>heads(FrameKind.NEWS)));
     return all.isEmpty() ? News.getDefaultInstance() : all.get(all.size() - 1);
   }
 
-  private Taken votes(Person relay, int id, int build, int stage, Say say) throws Exception {
+  private Taken votes(RecordingPeer relay, int id, int build, int stage, Say say) throws Exception {
     loop.post(
         () ->
             relay.send(
-                Kind.VOTE,
+                FrameKind.VOTE,
                 Vote.newBuilder().setId(id).setBuild(build).setStage(stage).setSay(say).build()));
     until(
         "vote " + id + " is answered",
-        () -> on(() -> relay.<Voted>all(Kind.VOTED).stream().anyMatch(one -> one.getId() == id)));
+        () ->
+            on(
+                () ->
+                    relay.<Voted>heads(FrameKind.VOTED).stream()
+                        .anyMatch(one -> one.getId() == id)));
     return on(
         () ->
-            relay.<Voted>all(Kind.VOTED).stream()
+            relay.<Voted>heads(FrameKind.VOTED).stream()
                 .filter(one -> one.getId() == id)
                 .findFirst()
                 .get()
@@ -209,7 +213,7 @@
 
   @Test
   public void aSignedAnnouncementGoesThroughItsStagesToTheRelease() throws Exception {
-    Person relay = relay(0);
+    RecordingPeer relay = relay(0);
     until("it is told at once", () -> last(relay).getStanding() == Stand.RELEASED);
     assertEquals(sends(hook("m1", body(2))), "202 {\"answer\":\"taken\"}");
     assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
@@ -235,14 +239,14 @@
 
   @Test
   public void afterARestartItIsWhereItWasAndItsNewsIsNewer() throws Exception {
-    Person relay = relay(0);
+    RecordingPeer relay = relay(0);
     sends(hook("m1", body(2)));
     api("PUT", "/fleet/2", "{\"units\":1}");
     until("the trial is told", () -> last(relay).getStanding() == Stand.ON_TRIAL);
     News before = last(relay);
     desk.close();
     starts("1000");
-    Person again = relay(0);
+    RecordingPeer again = relay(0);
     until("it is told", () -> last(again).getBuild() == 2);
     News after = last(again);
     assertEquals(after.getStanding(), Stand.ON_TRIAL);
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -26,9 +26,9 @@
 import sprucerock.controller.Engine;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Role;
 
@@ -103,7 +103,7 @@
                 return System.nanoTime() / 1_000_000;
               }
             },
-            Tap.NONE,
+            FrameTap.NONE,
             () -> {});
   }
 
@@ -146,10 +146,10 @@
 
   /** One that runs something, and takes no part in more. */
   private void agent(int number) throws Exception {
-    CompletableFuture<Person> made = new CompletableFuture<>();
+    CompletableFuture<RecordingPeer> made = new CompletableFuture<>();
     loop.post(
         () -> {
-          Person person = new Person(loop, Role.AGENT, number);
+          RecordingPeer person = new RecordingPeer(loop, Role.AGENT, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
               TimeSpan.ofMs(5000),
@@ -157,12 +157,12 @@
               person.connection);
           made.complete(person);
         });
-    Person agent = made.join();
-    until(() -> on(agent.connection::usable));
+    RecordingPeer agent = made.join();
+    until(() -> on(agent.connection::isReady));
     loop.post(
         () ->
             agent.send(
-                Kind.AGENT,
+                FrameKind.AGENT,
                 AgentSays.newBuilder()
                     .setProgram("a".repeat(64))
                     .setSettings("b".repeat(64))
--- a/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
@@ -21,9 +21,9 @@
 import sprucerock.controller.v1.Input;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.PromiseAsk;
 import sprucerock.transport.wire.v1.Promised;
 import sprucerock.transport.wire.v1.RackFree;
@@ -102,7 +102,7 @@
                 return System.nanoTime() / 1_000_000;
               }
             },
-            Tap.NONE,
+            FrameTap.NONE,
             () -> {});
   }
 
@@ -119,10 +119,10 @@
     return result.join();
   }
 
-  private Person relay(int number) {
+  private RecordingPeer relay(int number) {
     return on(
         () -> {
-          Person person = new Person(loop, Role.RELAY, number);
+          RecordingPeer person = new RecordingPeer(loop, Role.RELAY, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
               TimeSpan.ofMs(5000),
@@ -132,22 +132,23 @@
         });
   }
 
-  private Promised asks(Person relay, long list) throws Exception {
-    until("it is linked", () -> on(relay.connection::usable));
+  private Promised asks(RecordingPeer relay, long list) throws Exception {
+    until("it is linked", () -> on(relay.connection::isReady));
     long id = ++lastAsk;
     loop.post(
         () ->
-            relay.send(Kind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
+            relay.send(
+                FrameKind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
     until(
         "ask " + id + " is answered",
         () ->
             on(
                 () ->
-                    relay.<Promised>all(Kind.PROMISED).stream()
+                    relay.<Promised>heads(FrameKind.PROMISED).stream()
                         .anyMatch(one -> one.getId() == id)));
     return on(
         () ->
-            relay.<Promised>all(Kind.PROMISED).stream()
+            relay.<Promised>heads(FrameKind.PROMISED).stream()
                 .filter(one -> one.getId() == id)
                 .findFirst()
                 .get());
@@ -178,7 +179,7 @@
   @Test
   public void anOlderRelayIsToldAllEachTime() throws Exception {
     starts(5);
-    Person relay = relay(0);
+    RecordingPeer relay = relay(0);
     for (int i = 0; i < 2; i++) {
       Promised all = asks(relay, 0);
       assertEquals(all.getRacksCount(), 5);
@@ -192,7 +193,7 @@
   @Test
   public void aRelayThatWasToldAllIsToldWhatIsShorterThanItsNotice() throws Exception {
     starts(5);
-    Person relay = relay(0);
+    RecordingPeer relay = relay(0);
     Promised all = asks(relay, 1);
     assertTrue(!all.getRest() && all.getList() != 0);
     assertEquals(
@@ -251,7 +252,7 @@
     int[] bytes = new int[2];
     for (int i = 0; i < 2; i++) {
       starts(sizes[i]);
-      Person relay = relay(0);
+      RecordingPeer relay = relay(0);
       Promised whole = asks(relay, 1);
       freeze("r4", MIN, 1);
       bytes[i] = asks(relay, whole.getList()).getSerializedSize();
@@ -278,14 +279,14 @@
   @Test
   public void manyFreezesOfOneTurnAreToldOnce() throws Exception {
     starts(5);
-    Person relay = relay(0);
+    RecordingPeer relay = relay(0);
     asks(relay, 0);
     freeze("r1", 30 * MIN, 20);
     asks(relay, 0);
     long told =
         on(
             () ->
-                relay.<Promised>all(Kind.PROMISED).stream()
+                relay.<Promised>heads(FrameKind.PROMISED).stream()
                     .filter(one -> one.getId() == 0)
                     .count());
     System.out.println("counted: nudges for 20 freezes of one turn: " + told);
--- a/src/test/java/sprucerock/lease/LeaseFire.java
+++ b/src/test/java/sprucerock/lease/LeaseFire.java
@@ -20,10 +20,10 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Told;
@@ -100,8 +100,8 @@
                               new FrameConnection(
                                   loop,
                                   mine,
-                                  new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
-                                  Tap.NONE,
+                                  new FrameLimits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
+                                  FrameTap.NONE,
                                   place);
                           return place.connection;
                         })
@@ -171,19 +171,19 @@
     private FrameConnection connection;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       // whoever comes may act, by its number
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       String[] words = new String(body, StandardCharsets.UTF_8).split(" ");
       long number = Long.parseLong(words[1]);
       boolean admitted = !fenced || fence.admits(words[0], number);
       landed.add(new Landed(words[0], number, admitted));
       if (!admitted) {
         connection.send(
-            Kind.TOLD,
+            FrameKind.TOLD,
             Told.getDefaultInstance(),
             (words[0] + " " + fence.highest(words[0])).getBytes(StandardCharsets.UTF_8));
       }
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -16,11 +16,11 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Told;
@@ -82,17 +82,17 @@
             loop,
             at(Integer.parseInt(args[3])),
             hello,
-            new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
-            Tap.NONE,
+            new FrameLimits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
+            FrameTap.NONE,
             new DeterministicRandom(life),
             new FrameListener() {
               @Override
-              public void greeted(FrameConnection connection, Hello other) {
+              public void helloReceived(FrameConnection connection, Hello other) {
                 // it only listens
               }
 
               @Override
-              public void frame(Kind kind, MessageLite head, byte[] body) {
+              public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
                 refused(new String(body, StandardCharsets.UTF_8));
               }
 
@@ -102,18 +102,19 @@
               }
             });
     leases =
-        new Leases(loop, config, "process-" + me, life, Tap.NONE, System::currentTimeMillis, log);
+        new Leases(
+            loop, config, "process-" + me, life, FrameTap.NONE, System::currentTimeMillis, log);
     loop.post(
         () -> {
           try {
             if (granter >= 0) {
-              new GrantorListener(loop, config, "process-" + me, Tap.NONE, log).start();
+              new GrantorListener(loop, config, "process-" + me, FrameTap.NONE, log).start();
             }
           } catch (java.io.IOException e) {
             e.printStackTrace();
             System.exit(3);
           }
-          place.dial();
+          place.connect();
           leases.start();
           for (int i = 0; i < names; i++) {
             stand("name-" + i);
@@ -198,7 +199,7 @@
       throw new IllegalStateException(e);
     }
     place.send(
-        Kind.TOLD,
+        FrameKind.TOLD,
         Told.getDefaultInstance(),
         (name + " " + number).getBytes(StandardCharsets.UTF_8));
   }
