--- a/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
+++ b/src/test/java/sprucerock/rehearsal/fake/StandInTest.java
@@ -17,8 +17,8 @@
 import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Done;
@@ -83,7 +83,7 @@
         new FakeEndpoint(
             net,
             trace,
-            Person.LIMITS,
+            RecordingPeer.LIMITS,
             7,
             1,
             0,
@@ -99,17 +99,17 @@
     return endpoint;
   }
 
-  private Person at(int port) {
-    Person person = Person.at(net, Role.RELAY, 0, port);
+  private RecordingPeer at(int port) {
+    RecordingPeer person = RecordingPeer.connect(net, Role.RELAY, 0, port);
     net.settle();
     return person;
   }
 
-  private void work(Person relay, long id, int method, long token, long leftMs) {
+  private void work(RecordingPeer relay, long id, int method, long token, long leftMs) {
     net.turn(
         () ->
             relay.send(
-                Kind.WORK,
+                FrameKind.WORK,
                 Work.newBuilder()
                     .setId(id)
                     .setMethod(method)
@@ -121,8 +121,8 @@
     net.settle();
   }
 
-  private List<String> results(Person relay) {
-    return relay.<Done>all(Kind.DONE).stream()
+  private List<String> results(RecordingPeer relay) {
+    return relay.<Done>heads(FrameKind.DONE).stream()
         .map(one -> one.getId() + " " + one.getResult())
         .toList();
   }
@@ -136,7 +136,7 @@
   @Test
   public void aUnitWorksRefusesPastItsQueueAndDropsWhatNobodyWaitsFor() throws Exception {
     FakeEndpoint endpoint = unit(BuildFault.GOOD, false);
-    Person relay = at(endpoint.port());
+    RecordingPeer relay = at(endpoint.port());
     work(relay, 1, 0, 0, 1000);
     net.pass(60);
     assertEquals(results(relay), List.of("1 DONE"));
@@ -144,11 +144,12 @@
     for (int i = 2; i < 80; i++) {
       work(relay, i, 0, 0, 20);
     }
-    assertEquals(relay.<Done>all(Kind.DONE).size(), 1 + 78 - 64, "two cores, 32 waiting each");
+    assertEquals(
+        relay.<Done>heads(FrameKind.DONE).size(), 1 + 78 - 64, "two cores, 32 waiting each");
     net.pass(500);
     endpoint.hang(false);
     net.pass(200);
-    assertEquals(relay.<Done>all(Kind.DONE).size(), 15, "all that waited is overdue");
+    assertEquals(relay.<Done>heads(FrameKind.DONE).size(), 15, "all that waited is overdue");
     endpoint.drain();
     work(relay, 99, 0, 0, 1000);
     assertEquals(results(relay).get(15), "99 FULL");
@@ -157,7 +158,7 @@
   @Test
   public void tokenedRepeatsAreDroppedAndEffectsNoted() throws Exception {
     FakeEndpoint endpoint = unit(BuildFault.GOOD, false);
-    Person relay = at(endpoint.port());
+    RecordingPeer relay = at(endpoint.port());
     work(relay, 1, 1, 55, 1000);
     net.pass(60);
     work(relay, 2, 1, 55, 1000);
@@ -175,7 +176,7 @@
   @Test
   public void faultsOfUnitsAndBuildsShowAsTheyShould() throws Exception {
     FakeEndpoint endpoint = unit(new BuildFault(BuildFault.What.METHOD, 1, 2), false);
-    Person relay = at(endpoint.port());
+    RecordingPeer relay = at(endpoint.port());
     work(relay, 1, 0, 0, 1000);
     work(relay, 2, 2, 0, 1000);
     net.pass(100);
@@ -188,16 +189,16 @@
     endpoint.rubbish(true);
     work(relay, 4, 0, 0, 1000);
     net.pass(100);
-    assertEquals(relay.all(Kind.WORK).size(), 1);
+    assertEquals(relay.heads(FrameKind.WORK).size(), 1);
     endpoint.connections(0);
     net.settle();
-    assertEquals(relay.gone, "closed by the other side");
+    assertEquals(relay.closeReason, "closed by the other side");
   }
 
   @Test
   public void aColdUnitPushedPastWhatItBearsFallsOverAndStaysDown() throws Exception {
     FakeEndpoint endpoint = unit(BuildFault.GOOD, true);
-    Person relay = at(endpoint.port());
+    RecordingPeer relay = at(endpoint.port());
     for (int i = 0; i < 100; i++) {
       work(relay, i, 0, 0, 1000);
     }
@@ -214,9 +215,9 @@
 
   @Test
   public void theRosterTellsLateAndInOrder() throws Exception {
-    FakeDiscovery roster = new FakeDiscovery(net, trace, Person.LIMITS, TimeSpan.ofMs(300));
-    Person relay = at(roster.start());
-    net.turn(() -> relay.send(Kind.WATCH, Watch.getDefaultInstance()));
+    FakeDiscovery roster = new FakeDiscovery(net, trace, RecordingPeer.LIMITS, TimeSpan.ofMs(300));
+    RecordingPeer relay = at(roster.start());
+    net.turn(() -> relay.send(FrameKind.WATCH, Watch.getDefaultInstance()));
     net.settle();
     Entry.Builder entry = Entry.newBuilder().setUnit(1).setRun(1).setHealth(Health.READY);
     roster.late(TimeSpan.ofMs(1000));
@@ -224,17 +225,17 @@
     roster.late(TimeSpan.ZERO);
     roster.changed(entry.setHealth(Health.DRAINING).build(), null);
     net.pass(1200);
-    assertEquals(relay.<Listing>all(Kind.LISTING).size(), 1, "the whole list, empty");
+    assertEquals(relay.<Listing>heads(FrameKind.LISTING).size(), 1, "the whole list, empty");
     net.pass(200);
     assertEquals(
-        relay.<Listing>all(Kind.LISTING).stream()
+        relay.<Listing>heads(FrameKind.LISTING).stream()
             .flatMap(one -> one.getEntriesList().stream())
             .map(Entry::getHealth)
             .toList(),
         List.of(Health.READY, Health.DRAINING));
     roster.down(true);
     net.settle();
-    assertEquals(relay.gone, "closed by the other side");
+    assertEquals(relay.closeReason, "closed by the other side");
   }
 
   private final List<String> places = new ArrayList<>();
@@ -244,7 +245,7 @@
     return new FakeController(
         net,
         trace,
-        Person.LIMITS,
+        RecordingPeer.LIMITS,
         ofSite,
         new FakeController.Places() {
           @Override
@@ -266,25 +267,25 @@
         5);
   }
 
-  private void vote(Person relay, int stage, Say say) {
+  private void vote(RecordingPeer relay, int stage, Say say) {
     net.turn(
         () ->
             relay.send(
-                Kind.VOTE,
+                FrameKind.VOTE,
                 Vote.newBuilder().setId(stage).setBuild(2).setStage(stage).setSay(say).build()));
     net.settle();
   }
 
-  private List<Taken> taken(Person relay) {
-    return relay.<Voted>all(Kind.VOTED).stream().map(Voted::getTaken).toList();
+  private List<Taken> taken(RecordingPeer relay) {
+    return relay.<Voted>heads(FrameKind.VOTED).stream().map(Voted::getTaken).toList();
   }
 
   @Test
   public void oneVoteMovesABuildAndOneCallsItBackEvenOnceReleased() throws Exception {
     FakeController desk = desk(site);
-    Person relay = at(desk.start());
+    RecordingPeer relay = at(desk.start());
     net.pass(300);
-    assertEquals(relay.<News>all(Kind.NEWS).get(0).getStanding(), Stand.RELEASED);
+    assertEquals(relay.<News>heads(FrameKind.NEWS).get(0).getStanding(), Stand.RELEASED);
     desk.offer(2);
     vote(relay, 0, Say.ON);
     net.pass(1000);
@@ -300,7 +301,7 @@
     assertEquals(desk.standing(), Stand.WITHDRAWN);
     assertEquals(places, List.of("enter 2/0", "enter 2/1", "released 2", "off 2"));
     assertEquals(taken(relay), List.of(Taken.COUNTS, Taken.MOOT, Taken.COUNTS, Taken.COUNTS));
-    News last = relay.<News>all(Kind.NEWS).get(relay.<News>all(Kind.NEWS).size() - 1);
+    News last = relay.<News>heads(FrameKind.NEWS).get(relay.<News>heads(FrameKind.NEWS).size() - 1);
     assertEquals(last.getCap(), 0.0);
   }
 
@@ -308,8 +309,8 @@
   public void amongManyAMajorityMovesAndVotesExpire() throws Exception {
     FakeController desk = desk(site(Site.Control.MAJORITY, 2, 2));
     int port = desk.start();
-    Person one = Person.at(net, Role.RELAY, 1, port);
-    Person two = Person.at(net, Role.RELAY, 2, port);
+    RecordingPeer one = RecordingPeer.connect(net, Role.RELAY, 1, port);
+    RecordingPeer two = RecordingPeer.connect(net, Role.RELAY, 2, port);
     net.pass(10);
     desk.offer(2);
     vote(one, 0, Say.ON);
@@ -329,7 +330,7 @@
   @Test
   public void theClockMovesAStageUnlessSomeoneHolds() throws Exception {
     FakeController desk = desk(site(Site.Control.CLOCKED, 0, 1));
-    Person relay = at(desk.start());
+    RecordingPeer relay = at(desk.start());
     desk.offer(2);
     vote(relay, 0, Say.HOLD);
     net.pass(3900);
@@ -345,14 +346,14 @@
 
   @Test
   public void clientsTryAgainOnlyAsTheirMethodAllows() throws Exception {
-    List<Person> relays = Person.listen(net, Role.RELAY, 0, 3000);
+    List<RecordingPeer> relays = RecordingPeer.listen(net, Role.RELAY, 0, 3000);
     Map<FakeClient.End, Integer> ends = new HashMap<>();
     Map<Integer, Integer> tries = new HashMap<>();
     FakeClient client =
         new FakeClient(
             net,
             trace,
-            Person.LIMITS,
+            RecordingPeer.LIMITS,
             site,
             new FakeClient.Manners(2, TimeSpan.ofMs(20), 0, 0),
             new FakeClient.Ear() {
@@ -371,16 +372,17 @@
             9);
     client.start();
     net.pass(10);
-    Person relay = relays.get(0);
+    RecordingPeer relay = relays.get(0);
     for (int i = 0, answered = 0; i < 1500; i++) {
       net.pass(1);
-      List<Call> calls = relay.all(Kind.CALL);
+      List<Call> calls = relay.heads(FrameKind.CALL);
       for (; answered < calls.size(); answered++) {
         long id = calls.get(answered).getId();
         net.turn(
             () ->
                 relay.send(
-                    Kind.ANSWER, Answer.newBuilder().setId(id).setEnding(Ending.ABORTED).build()));
+                    FrameKind.ANSWER,
+                    Answer.newBuilder().setId(id).setEnding(Ending.ABORTED).build()));
       }
       if (i == 400) {
         client.stop();
--- a/src/test/java/sprucerock/relay/frames/RelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
@@ -24,9 +24,9 @@
 import sprucerock.transport.net.Connection;
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Done;
@@ -47,7 +47,7 @@
 import sprucerock.transport.wire.v1.Work;
 
 /** The relay between scripted people, with a module that does as each story says. */
-public class RelayTest {
+public class FrameRelayTest {
   static final String CONFIG =
       """
         <relay xmlns="urn:sprucerock:relay:1" name="r0" number="0" seed="1">
@@ -71,7 +71,7 @@
   /**
    * Sends each RPC to the first unit that is ready, and pushes back what ends otherwise than ok.
    */
-  private final class Simple extends Told {
+  private final class Simple extends RecordingRelayEvents {
     private RelayActions host;
     private final List<Endpoint> ready = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
@@ -127,10 +127,10 @@
   private SimulatedNet net;
   private FrameRelay relay;
   private Simple module;
-  private List<Person> rosters;
-  private List<Person> desks;
-  private List<Person> endpoints;
-  private Person client;
+  private List<RecordingPeer> rosters;
+  private List<RecordingPeer> desks;
+  private List<RecordingPeer> endpoints;
+  private RecordingPeer client;
 
   static RelayConfig config(String xml) throws IOException, ConfigException {
     Path file = Files.createTempFile("relay", ".xml");
@@ -142,16 +142,16 @@
   public void begin() throws Exception {
     net = new SimulatedNet(1000, 5);
     module = new Simple();
-    rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-    desks = Person.listen(net, Role.DESK, 0, 1002);
-    endpoints = Person.listen(net, Role.UNIT, 7, 2007);
-    relay = new FrameRelay(config(CONFIG), net, Tap.NONE);
+    rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
+    endpoints = RecordingPeer.listen(net, Role.UNIT, 7, 2007);
+    relay = new FrameRelay(config(CONFIG), net, FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
           module.host = host;
           return module;
         });
-    client = Person.at(net, Role.CLIENT, 3, 1000);
+    client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
     net.pass(10);
     lists(Form.WHOLE, entry(7, 1, Health.READY));
     module.calls.clear();
@@ -173,11 +173,11 @@
     for (Entry.Builder one : entries) {
       listing.addEntries(one);
     }
-    net.turn(() -> last(rosters).send(Kind.LISTING, listing.build()));
+    net.turn(() -> last(rosters).send(FrameKind.LISTING, listing.build()));
     net.settle();
   }
 
-  private static Person last(List<Person> people) {
+  private static RecordingPeer last(List<RecordingPeer> people) {
     return people.get(people.size() - 1);
   }
 
@@ -185,11 +185,11 @@
     calls(client, id, 0);
   }
 
-  private void calls(Person who, long id, int method) {
+  private void calls(RecordingPeer who, long id, int method) {
     net.turn(
         () ->
             who.send(
-                Kind.CALL,
+                FrameKind.CALL,
                 Call.newBuilder().setId(id).setMethod(method).setLeftUs(1_000_000).build(),
                 (byte) id,
                 (byte) 42));
@@ -201,13 +201,13 @@
         () ->
             last(endpoints)
                 .send(
-                    Kind.DONE,
+                    FrameKind.DONE,
                     Done.newBuilder().setId(workId).setResult(result).build(),
                     (byte) 99));
   }
 
-  private List<String> answered(Person who) {
-    return who.<Answer>all(Kind.ANSWER).stream()
+  private List<String> answered(RecordingPeer who) {
+    return who.<Answer>heads(FrameKind.ANSWER).stream()
         .map(one -> one.getId() + " " + one.getEnding())
         .toList();
   }
@@ -215,16 +215,16 @@
   @Test
   public void anRpcGoesToItsUnitAndTheAnswerBack() {
     calls(1);
-    Person endpoint = endpoints.get(0);
-    assertEquals(endpoint.got.get(0).body(), new byte[] {1, 42});
-    Work work = (Work) endpoint.got.get(0).head();
+    RecordingPeer endpoint = endpoints.get(0);
+    assertEquals(endpoint.received.get(0).body(), new byte[] {1, 42});
+    Work work = (Work) endpoint.received.get(0).head();
     assertTrue(
         work.getLeftUs() > 980_000 && work.getLeftUs() <= 1_000_000, "left " + work.getLeftUs());
     net.pass(20);
     answers(work.getId(), Result.DONE);
     net.settle();
     assertEquals(answered(client), List.of("1 OK"));
-    assertEquals(client.got.get(0).body(), new byte[] {99});
+    assertEquals(client.received.get(0).body(), new byte[] {99});
     assertEquals(module.calls, List.of("arrived 1", "ended 1.0 OK answers"));
   }
 
@@ -233,12 +233,12 @@
     calls(1);
     net.turn(
         () -> {
-          client.send(Kind.LEAVE, Leave.newBuilder().setId(1).build());
+          client.send(FrameKind.LEAVE, Leave.newBuilder().setId(1).build());
           last(endpoints)
-              .send(Kind.DONE, Done.newBuilder().setId(1).setResult(Result.DONE).build());
+              .send(FrameKind.DONE, Done.newBuilder().setId(1).setResult(Result.DONE).build());
         });
     net.settle();
-    assertTrue(client.got.isEmpty());
+    assertTrue(client.received.isEmpty());
     assertEquals(module.calls, List.of("arrived 1", "left 1", "ended 1.0 OK"));
   }
 
@@ -249,7 +249,7 @@
     answers(1, Result.DONE);
     net.pass(50);
     assertEquals(answered(client), List.of("1 ABORTED"));
-    assertEquals(relay.ledger().known(), 0);
+    assertEquals(relay.requestTracker().known(), 0);
   }
 
   @Test
@@ -267,7 +267,7 @@
     net.turn(
         () -> { // in one turn: the frame is written to the link, which is cut before anything went
           // out
-          client.send(Kind.CALL, Call.newBuilder().setId(3).setLeftUs(1_000_000).build());
+          client.send(FrameKind.CALL, Call.newBuilder().setId(3).setLeftUs(1_000_000).build());
         });
     Attempt unsent = sendThenCut();
     assertEquals(unsent.outcome().name(), "NOT_CONNECTED");
@@ -299,7 +299,7 @@
     calls(4);
     calls(4);
     net.settle();
-    assertEquals(client.gone, "closed by the other side");
+    assertEquals(client.closeReason, "closed by the other side");
     assertTrue(module.calls.contains("left 3"), module.calls.toString());
   }
 
@@ -341,20 +341,20 @@
 
   @Test
   public void anotherUnitBehindTheAddressIsNeverSentAnything() throws IOException {
-    List<Person> others = new ArrayList<>();
+    List<RecordingPeer> others = new ArrayList<>();
     net.listen(
         new java.net.InetSocketAddress("127.0.0.1", 2008),
         10,
         1000,
         () -> {
-          Person other = new Person(net, Role.UNIT, 9);
+          RecordingPeer other = new RecordingPeer(net, Role.UNIT, 9);
           others.add(other);
           return other.connection;
         });
     lists(Form.WHOLE, entry(8, 1, Health.READY));
     calls(1);
     assertEquals(module.calls.get(3), "ended 1.0 NOT_CONNECTED");
-    assertTrue(others.get(0).got.isEmpty());
+    assertTrue(others.get(0).received.isEmpty());
     assertEquals(answered(client), List.of("1 PUSHED_BACK"));
   }
 
@@ -365,13 +365,13 @@
       calls(i);
     }
     assertEquals(endpoints.size(), 2);
-    assertEquals(endpoints.get(0).got.size() + endpoints.get(1).got.size(), 6);
+    assertEquals(endpoints.get(0).received.size() + endpoints.get(1).received.size(), 6);
     assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 2);
     lists(Form.CHANGES, entry(7, 1, Health.DRAINING));
     assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 6);
     answers(1, Result.DONE);
     net.pass(300);
-    assertEquals(endpoints.get(0).got.size() + endpoints.get(1).got.size(), 6);
+    assertEquals(endpoints.get(0).received.size() + endpoints.get(1).received.size(), 6);
   }
 
   @Test
@@ -380,12 +380,12 @@
     for (int i = 1; i <= 7; i++) {
       calls(i);
     }
-    net.turn(() -> client.send(Kind.LEAVE, Leave.newBuilder().setId(7).build()));
+    net.turn(() -> client.send(FrameKind.LEAVE, Leave.newBuilder().setId(7).build()));
     net.settle();
     answers(1, Result.DONE); // room for the one that waited
     net.settle();
     assertEquals(module.attempts.get(6).outcome().name(), "MOOT");
-    assertEquals(endpoints.get(0).got.size() + endpoints.get(1).got.size(), 6);
+    assertEquals(endpoints.get(0).received.size() + endpoints.get(1).received.size(), 6);
   }
 
   @Test
@@ -410,7 +410,7 @@
     assertTrue(
         net.connects() <= 11,
         "seven in two seconds at most, beside three links: " + net.connects());
-    endpoints = Person.listen(net, Role.UNIT, 8, 2008);
+    endpoints = RecordingPeer.listen(net, Role.UNIT, 8, 2008);
     net.pass(1000);
     calls(500);
     assertEquals(endpoints.size(), 1);
@@ -428,7 +428,7 @@
       net.pass(5);
     }
     net.pass(11_000);
-    assertEquals(endpoints.get(0).gone, "closed by the other side");
+    assertEquals(endpoints.get(0).closeReason, "closed by the other side");
     calls(30);
     assertEquals(endpoints.size(), 2);
     assertTrue(
@@ -440,7 +440,7 @@
     net.turn(
         () ->
             client.send(
-                Kind.CALL,
+                FrameKind.CALL,
                 Call.newBuilder().setId(-1).setCustomer(-1).setLeftUs(-1).setHintUs(-1).build()));
     net.settle();
     Rpc rpc = module.attempts.get(0).rpc;
@@ -448,7 +448,7 @@
         rpc.tenant > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.hint == null);
     answers(1, Result.DONE);
     net.settle();
-    assertEquals(client.<Answer>all(Kind.ANSWER).get(0).getId(), -1);
+    assertEquals(client.<Answer>heads(FrameKind.ANSWER).get(0).getId(), -1);
   }
 
   @Test
@@ -460,10 +460,10 @@
     assertEquals(second.outcome().name(), "TIMED_OUT");
     answers(2, Result.DONE);
     net.settle();
-    assertTrue(client.got.isEmpty());
+    assertTrue(client.received.isEmpty());
     net.turn(() -> module.host.cancel(module.attempts.get(0)));
     net.settle();
-    assertEquals(last(endpoints).<Stop>all(Kind.STOP).get(0).getId(), 1);
+    assertEquals(last(endpoints).<Stop>heads(FrameKind.STOP).get(0).getId(), 1);
     assertEquals(module.attempts.get(0).outcome().name(), "CANCELLED");
   }
 
@@ -474,37 +474,37 @@
       calls(i);
     }
     net.pass(1100);
-    assertEquals(endpoints.get(0).gone, "closed by the other side");
+    assertEquals(endpoints.get(0).closeReason, "closed by the other side");
     calls(9);
-    assertEquals(last(endpoints).<Work>all(Kind.WORK).size(), 1);
+    assertEquals(last(endpoints).<Work>heads(FrameKind.WORK).size(), 1);
   }
 
   @Test
   public void clientsWaitUntilListAndNewsAreThereOrTheWaitIsOver() throws Exception {
     for (boolean comes : new boolean[] {true, false}) {
       net = new SimulatedNet(1000, 5);
-      rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-      desks = Person.listen(net, Role.DESK, 0, 1002);
+      rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+      desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
       new FrameRelay(
               config(CONFIG.replace("wait-for-list=\"0ms\"", "wait-for-list=\"1s\"")),
               net,
-              Tap.NONE)
+              FrameTap.NONE)
           .start(
               (host, settings, seed) -> {
                 module.host = host;
                 return module;
               });
-      client = Person.at(net, Role.CLIENT, 3, 1000);
+      client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
       net.pass(300);
       lists(Form.WHOLE, entry(7, 1, Health.READY));
-      assertNull(client.connection.other(), "no news yet");
+      assertNull(client.connection.remoteHello(), "no news yet");
       if (comes) {
         net.turn(
             () ->
                 desks
                     .get(0)
                     .send(
-                        Kind.NEWS,
+                        FrameKind.NEWS,
                         News.newBuilder()
                             .setBuild(1)
                             .setStage(1)
@@ -513,9 +513,9 @@
                             .build()));
       }
       net.pass(20);
-      assertEquals(client.connection.other() != null, comes);
+      assertEquals(client.connection.remoteHello() != null, comes);
       net.pass(1000);
-      assertTrue(client.connection.other() != null);
+      assertTrue(client.connection.remoteHello() != null);
     }
   }
 
@@ -526,7 +526,7 @@
       calls(i);
     }
     assertEquals(answered(client), List.of("41 PUSHED_BACK"));
-    Person other = Person.at(net, Role.CLIENT, 4, 1000);
+    RecordingPeer other = RecordingPeer.connect(net, Role.CLIENT, 4, 1000);
     net.settle();
     for (int i = 1; i <= 11; i++) {
       calls(other, i, 0);
@@ -547,43 +547,44 @@
                     "open=\"50\" open-per-client=\"40\"",
                     "open=\"9000\" open-per-client=\"9000\"")),
             net,
-            Tap.NONE);
+            FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
           module.host = host;
           return module;
         });
-    client = Person.at(net, Role.CLIENT, 3, 1000);
+    client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
     net.pass(10);
     module.ready.clear();
     net.turn(
         () -> {
           for (int i = 1; i <= 5000; i++) {
-            client.send(Kind.CALL, Call.newBuilder().setId(i).setLeftUs(500_000).build());
+            client.send(FrameKind.CALL, Call.newBuilder().setId(i).setLeftUs(500_000).build());
           }
         });
     net.pass(480);
-    assertTrue(client.got.isEmpty());
+    assertTrue(client.received.isEmpty());
     net.pass(100);
     assertEquals(answered(client).stream().distinct().count(), 5000);
-    assertEquals(client.got.size(), 5000);
-    assertEquals(relay.ledger().open(), 0);
+    assertEquals(client.received.size(), 5000);
+    assertEquals(relay.requestTracker().open(), 0);
   }
 
   @Test
   public void anRpcThatAFaultyModuleForgetsIsAbortedAtItsDeadline() {
     module.faulty = true;
-    net.turn(() -> client.send(Kind.CALL, Call.newBuilder().setId(1).setLeftUs(300_000).build()));
+    net.turn(
+        () -> client.send(FrameKind.CALL, Call.newBuilder().setId(1).setLeftUs(300_000).build()));
     try {
       net.settle();
     } catch (IllegalStateException e) {
       assertEquals(e.getMessage(), "a fault in the module"); // the loop logs it and goes on
     }
     net.pass(295);
-    assertTrue(client.got.isEmpty());
+    assertTrue(client.received.isEmpty());
     net.pass(10);
     assertEquals(answered(client), List.of("1 ABORTED"));
-    assertEquals(relay.ledger().open(), 0);
+    assertEquals(relay.requestTracker().open(), 0);
   }
 
   @Test
@@ -591,7 +592,7 @@
     boolean[] done = new boolean[1];
     calls(1);
     calls(2);
-    net.turn(() -> relay.finish(() -> done[0] = true));
+    net.turn(() -> relay.shutdown(() -> done[0] = true));
     calls(3);
     assertEquals(answered(client), List.of("3 PUSHED_BACK"));
     answers(1, Result.DONE);
@@ -600,7 +601,7 @@
     net.pass(1200);
     assertEquals(answered(client), List.of("3 PUSHED_BACK", "1 OK", "2 ABORTED"));
     assertTrue(done[0]);
-    assertEquals(client.gone, "closed by the other side");
+    assertEquals(client.closeReason, "closed by the other side");
   }
 
   @Test
@@ -633,7 +634,7 @@
     net.pass(300);
     assertEquals(rosters.size(), 2);
     assertEquals(desks.size(), 2);
-    assertEquals(last(rosters).got.get(0).kind(), Kind.WATCH);
+    assertEquals(last(rosters).received.get(0).kind(), FrameKind.WATCH);
     assertEquals(module.ready.size(), 1, "what was listed holds");
   }
 
@@ -642,13 +643,13 @@
     Build build = module.ready.get(0).build;
     net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
     net.settle();
-    Vote vote = desks.get(0).<Vote>all(Kind.VOTE).get(0);
+    Vote vote = desks.get(0).<Vote>heads(FrameKind.VOTE).get(0);
     net.turn(
         () ->
             desks
                 .get(0)
                 .send(
-                    Kind.VOTED,
+                    FrameKind.VOTED,
                     Voted.newBuilder().setId(vote.getId()).setTaken(Taken.MOOT).build()));
     net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
     net.pass(1100);
@@ -657,7 +658,7 @@
             desks
                 .get(0)
                 .send(
-                    Kind.VOTED,
+                    FrameKind.VOTED,
                     Voted.newBuilder().setId(vote.getId() + 1).setTaken(Taken.COUNTS).build()));
     net.settle();
     assertEquals(module.calls, List.of("vote MOOT", "vote UNANSWERED"));
@@ -675,32 +676,32 @@
                   good.clone().setCap(Double.NaN).build(),
                   good.clone().setStage(9).build(),
                   good.clone().setStanding(Stand.STAND_UNKNOWN).build())) {
-            desks.get(0).send(Kind.NEWS, news);
+            desks.get(0).send(FrameKind.NEWS, news);
           }
         });
     net.settle();
     assertEquals(module.calls, List.of("news 2 1 ON_TRIAL 0.5"));
-    assertNull(desks.get(0).gone);
+    assertNull(desks.get(0).closeReason);
   }
 
   @Test
   public void peersAreToldOverLinksOfTheirOwnAndLossesAreBorne() throws IOException {
     net.turn(() -> module.host.tellPeers(new byte[] {1}));
-    List<Person> peers = Person.listen(net, Role.RELAY, 1, 1003);
+    List<RecordingPeer> peers = RecordingPeer.listen(net, Role.RELAY, 1, 1003);
     net.pass(300);
     net.turn(() -> module.host.tellPeer(1, new byte[] {2}));
     net.settle();
-    assertEquals(last(peers).got.get(0).body(), new byte[] {2});
-    Person peer = Person.at(net, Role.RELAY, 1, 1000);
+    assertEquals(last(peers).received.get(0).body(), new byte[] {2});
+    RecordingPeer peer = RecordingPeer.connect(net, Role.RELAY, 1, 1000);
     net.settle();
     net.turn(
         () ->
             peer.send(
-                Kind.TOLD,
+                FrameKind.TOLD,
                 sprucerock.transport.wire.v1.Told.getDefaultInstance(),
                 (byte) 5,
                 (byte) 6));
-    net.turn(() -> client.send(Kind.FLAG, Flag.newBuilder().setUnit(7).setAgoUs(1).build()));
+    net.turn(() -> client.send(FrameKind.FLAG, Flag.newBuilder().setUnit(7).setAgoUs(1).build()));
     net.settle();
     assertEquals(module.calls, List.of("peer 1 2", "flagged 7"));
   }
--- a/src/test/java/sprucerock/relay/frames/RacksTest.java
+++ b/src/test/java/sprucerock/relay/frames/RackPermitsTest.java
@@ -19,7 +19,7 @@
  * What a relay makes of promises that name all racks, or only those that are free for less than
  * their notice. Its longest deadline is 1 s.
  */
-public class RacksTest {
+public class RackPermitsTest {
   private static final long NOTICE = 60_000;
   private static final long LIST = 0xabcdef;
   private SimulatedNet net;
@@ -30,26 +30,27 @@
   public void begin() throws Exception {
     net = new SimulatedNet(1000, 5);
     asks = new ArrayList<>();
-    String xml = RelayTest.CONFIG.replace("<site ", "<racks ask-every=\"1s\" drift=\"0\"/><site ");
+    String xml =
+        FrameRelayTest.CONFIG.replace("<site ", "<racks ask-every=\"1s\" drift=\"0\"/><site ");
     racks =
         new RackPermits(
             net,
-            RelayTest.config(xml),
+            FrameRelayTest.config(xml),
             new EventLog(net),
             new DeterministicRandom(1),
-            new RackPermits.Owner() {
+            new RackPermits.PermitListener() {
               @Override
-              public boolean ask(PromiseAsk ask) {
+              public boolean requestPromise(PromiseAsk ask) {
                 return asks.add(ask);
               }
 
               @Override
-              public void firstPromise() {
+              public void firstPromiseReceived() {
                 // asked for by told()
               }
 
               @Override
-              public void racksChanged() {
+              public void permitsChanged() {
                 // asked for by mayPlace()
               }
             });
@@ -74,7 +75,7 @@
 
   /** All there is, by a controller of that epoch that numbers lists. */
   private void whole(long epoch, long list, RackFree... all) {
-    racks.told(
+    racks.promiseReceived(
         Promised.newBuilder()
             .setId(asked().getId())
             .setEpoch(epoch)
@@ -85,7 +86,7 @@
   }
 
   private void rest(long epoch, long list, RackFree... some) {
-    racks.told(
+    racks.promiseReceived(
         Promised.newBuilder()
             .setId(asked().getId())
             .setEpoch(epoch)
@@ -119,7 +120,7 @@
     whole(1, LIST, rack(1, NOTICE, NOTICE), rack(3, 2500, 2500));
     PromiseAsk ask = asked();
     net.standStill(1600);
-    racks.told(
+    racks.promiseReceived(
         Promised.newBuilder()
             .setId(ask.getId())
             .setEpoch(1)
--- a/src/test/java/sprucerock/relay/frames/Told.java
+++ b/src/test/java/sprucerock/relay/frames/RecordingRelayEvents.java
@@ -15,17 +15,17 @@
 import sprucerock.time.Timestamp;
 
 /** A module that writes down what it is told, and hands it on where there is another behind it. */
-public class Told implements RelayEvents {
+public class RecordingRelayEvents implements RelayEvents {
   public final List<String> calls = new ArrayList<>();
-  public RelayEvents behind;
+  public RelayEvents delegate;
 
   /** Where set, each call is noted with its time. */
   public RelayActions clock;
 
   private void say(String call, java.util.function.Consumer<RelayEvents> next) {
     calls.add(clock == null ? call : call + " @" + clock.now().ms());
-    if (behind != null) {
-      next.accept(behind);
+    if (delegate != null) {
+      next.accept(delegate);
     }
   }
 
--- a/src/test/java/sprucerock/relay/frames/SecuredTest.java
+++ b/src/test/java/sprucerock/relay/frames/TlsConnectionsTest.java
@@ -32,9 +32,9 @@
 import sprucerock.transport.tls.Material;
 import sprucerock.transport.tls.TestCa;
 import sprucerock.transport.tls.TlsConnection;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Done;
 import sprucerock.transport.wire.v1.Entry;
@@ -47,11 +47,11 @@
 import sprucerock.transport.wire.v1.Work;
 
 /** A relay whose connections are by TLS, between scripted people with certificates of their own. */
-public class SecuredTest {
+public class TlsConnectionsTest {
   private static final TestCa CA = TestCa.root("root");
 
   /** Sends each RPC to the one unit, and notes how picks end. */
-  private static final class Simple extends sprucerock.relay.frames.Told {
+  private static final class Simple extends sprucerock.relay.frames.RecordingRelayEvents {
     private RelayActions host;
     private Endpoint endpoint;
     private final List<AttemptOutcome> ends = new ArrayList<>();
@@ -80,10 +80,10 @@
   private FrameRelay relay;
   private Simple module;
   private Path folder;
-  private List<Person> rosters;
-  private List<Person> endpoints;
+  private List<RecordingPeer> rosters;
+  private List<RecordingPeer> endpoints;
   private Credentials shown;
-  private Person client;
+  private RecordingPeer client;
   private long lastCall;
 
   private static Credentials credentials(TestCa ca, TestCa.Wish wish, TestCa... trusted)
@@ -116,8 +116,8 @@
     folder = Files.createTempDirectory("secured");
     Files.writeString(folder.resolve("trust.pem"), TestCa.pem(CA.certificate()));
     TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
-    rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-    Person.listen(net, Role.DESK, 0, 1002);
+    rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    RecordingPeer.listen(net, Role.DESK, 0, 1002);
     shown = credentials(CA, TestCa.leaf("unit-7.example"));
     endpoints = new ArrayList<>();
     net.listen(
@@ -125,7 +125,7 @@
         100,
         1 << 20,
         () -> {
-          Person person = new Person(net, Role.UNIT, 7);
+          RecordingPeer person = new RecordingPeer(net, Role.UNIT, 7);
           endpoints.add(person);
           return TlsConnection.server(place(), shown, true, person.connection);
         });
@@ -135,7 +135,7 @@
 
   private void starts(String clients, String attributes) throws Exception {
     String xml =
-        RelayTest.CONFIG
+        FrameRelayTest.CONFIG
             .replace("number=\"1\"/>", "number=\"1\" name=\"relay-1.example\"/>")
             .replace(
                 "  <site ",
@@ -150,7 +150,7 @@
                     + "\" look-every=\"100ms\" move-within=\"1s\" "
                     + attributes
                     + "/>\n  <site ");
-    relay = new FrameRelay(RelayTest.config(xml), net, Tap.NONE);
+    relay = new FrameRelay(FrameRelayTest.config(xml), net, FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
           module.host = host;
@@ -161,7 +161,7 @@
     lists("unit-7.example", 1);
     client =
         clients.equals("plain")
-            ? Person.at(net, Role.CLIENT, 3, 1000)
+            ? RecordingPeer.connect(net, Role.CLIENT, 3, 1000)
             : caller(Role.CLIENT, 3, credentials(CA, TestCa.leaf("app")));
     net.pass(20);
   }
@@ -183,13 +183,13 @@
             rosters
                 .get(rosters.size() - 1)
                 .send(
-                    Kind.LISTING,
+                    FrameKind.LISTING,
                     Listing.newBuilder().setForm(Form.WHOLE).addEntries(entry).build()));
     net.settle();
   }
 
-  private Person caller(Role role, int number, Credentials with) {
-    Person person = new Person(net, role, number);
+  private RecordingPeer caller(Role role, int number, Credentials with) {
+    RecordingPeer person = new RecordingPeer(net, role, number);
     net.connect(
         new InetSocketAddress("127.0.0.1", 1000),
         TimeSpan.ofMs(500),
@@ -203,24 +203,28 @@
     net.turn(
         () ->
             client.send(
-                Kind.CALL, Call.newBuilder().setId(id).setLeftUs(5_000_000).build(), (byte) 7));
+                FrameKind.CALL,
+                Call.newBuilder().setId(id).setLeftUs(5_000_000).build(),
+                (byte) 7));
     net.pass(150);
   }
 
   private int works() {
-    return endpoints.stream().mapToInt(one -> one.all(Kind.WORK).size()).sum();
+    return endpoints.stream().mapToInt(one -> one.heads(FrameKind.WORK).size()).sum();
   }
 
-  private void answers(Person endpoint, long id) {
+  private void answers(RecordingPeer endpoint, long id) {
     net.turn(
         () ->
             endpoint.send(
-                Kind.DONE, Done.newBuilder().setId(id).setResult(Result.DONE).build(), (byte) 9));
+                FrameKind.DONE,
+                Done.newBuilder().setId(id).setResult(Result.DONE).build(),
+                (byte) 9));
     net.pass(10);
   }
 
   private long handshakes(String how) {
-    MethodAccounts accounts = relay.ledger().accounts();
+    MethodAccounts accounts = relay.requestTracker().accounts();
     return accounts.value(accounts.handshakes, 0, accounts.handshakes.columns().indexOf(how));
   }
 
@@ -229,11 +233,11 @@
     starts("plain", "");
     calls();
     assertEquals(works(), 1);
-    answers(endpoints.get(0), ((Work) endpoints.get(0).all(Kind.WORK).get(0)).getId());
+    answers(endpoints.get(0), ((Work) endpoints.get(0).heads(FrameKind.WORK).get(0)).getId());
     assertEquals(module.ends, List.of(AttemptOutcome.OK));
-    assertEquals(client.all(Kind.ANSWER).size(), 1);
+    assertEquals(client.heads(FrameKind.ANSWER).size(), 1);
     assertEquals(handshakes("full"), 1);
-    assertEquals(relay.ledger().accounts().check(), List.of());
+    assertEquals(relay.requestTracker().accounts().check(), List.of());
   }
 
   @Test
@@ -282,10 +286,10 @@
             rosters
                 .get(0)
                 .send(
-                    Kind.LISTING,
+                    FrameKind.LISTING,
                     Listing.newBuilder().setForm(Form.CHANGES).addEntries(entry).build()));
     net.settle();
-    assertEquals(relay.ledger().units().size(), 1);
+    assertEquals(relay.requestTracker().units().size(), 1);
   }
 
   @Test
@@ -318,17 +322,17 @@
   public void newFilesMoveConnectionsOverOneAfterAnotherWithoutABrokenPick() throws Exception {
     starts("plain", "");
     calls();
-    Person old = endpoints.get(0);
+    RecordingPeer old = endpoints.get(0);
     TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
     net.pass(2000);
     assertEquals(endpoints.size(), 2);
-    assertNull(old.gone); // a pick is out on it
+    assertNull(old.closeReason); // a pick is out on it
     calls();
-    assertEquals(endpoints.get(1).all(Kind.WORK).size(), 1); // what is new goes the new way
-    answers(old, ((Work) old.all(Kind.WORK).get(0)).getId());
+    assertEquals(endpoints.get(1).heads(FrameKind.WORK).size(), 1); // what is new goes the new way
+    answers(old, ((Work) old.heads(FrameKind.WORK).get(0)).getId());
     assertEquals(module.ends, List.of(AttemptOutcome.OK));
     net.pass(100);
-    assertTrue(old.gone != null, "still open");
+    assertTrue(old.closeReason != null, "still open");
     assertEquals(handshakes("resumed"), 0); // never across a change
   }
 
@@ -337,19 +341,21 @@
     starts("plain", "");
     Files.writeString(folder.resolve("key.pem"), "gone wrong");
     net.pass(1000);
-    assertTrue(relay.ledger().accounts().value(relay.ledger().accounts().tlsFiles, 0, 2) == 1);
+    assertTrue(
+        relay.requestTracker().accounts().value(relay.requestTracker().accounts().tlsFiles, 0, 2)
+            == 1);
     calls();
     assertEquals(works(), 1);
     FrameRelay other =
         new FrameRelay(
-            RelayTest.config(
-                RelayTest.CONFIG
+            FrameRelayTest.config(
+                FrameRelayTest.CONFIG
                     .replace("port=\"1000\"", "port=\"1100\"")
                     .replace(
                         "  <site ",
                         "  <tls trust=\"" + folder.resolve("none.pem") + "\"/>\n  <site ")),
             net,
-            Tap.NONE);
+            FrameTap.NONE);
     String message =
         expectThrows(
                 Material.BadMaterialException.class,
@@ -363,33 +369,34 @@
     starts("proven", "");
     calls();
     assertEquals(works(), 1);
-    Person stranger = caller(Role.CLIENT, 4, credentials(TestCa.root("other"), TestCa.leaf("app")));
-    Person unitsKey =
+    RecordingPeer stranger =
+        caller(Role.CLIENT, 4, credentials(TestCa.root("other"), TestCa.leaf("app")));
+    RecordingPeer unitsKey =
         caller(Role.CLIENT, 5, credentials(CA, TestCa.leaf("app").uses(Chain.Use.SERVER)));
-    Person plain = Person.at(net, Role.CLIENT, 6, 1000);
+    RecordingPeer plain = RecordingPeer.connect(net, Role.CLIENT, 6, 1000);
     net.pass(3000);
     assertTrue(
-        stranger.gone != null && unitsKey.gone != null && plain.gone != null,
-        stranger.gone + ", " + unitsKey.gone + ", " + plain.gone);
+        stranger.closeReason != null && unitsKey.closeReason != null && plain.closeReason != null,
+        stranger.closeReason + ", " + unitsKey.closeReason + ", " + plain.closeReason);
     assertEquals(
         handshakes("no_certificate") + handshakes("wrong_use") + handshakes("not_tls"),
         3,
         "" + handshakes("ended"));
-    assertNull(client.gone);
+    assertNull(client.closeReason);
   }
 
   @Test
   public void aRelayIsTakenByItsNameOnly() throws Exception {
     starts("proven", "");
-    Person real = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("relay-1.example")));
-    Person pretends = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("app")));
+    RecordingPeer real = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("relay-1.example")));
+    RecordingPeer pretends = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("app")));
     net.pass(50);
-    for (Person one : List.of(real, pretends)) {
-      net.turn(() -> one.send(Kind.TOLD, Told.getDefaultInstance(), (byte) 1));
+    for (RecordingPeer one : List.of(real, pretends)) {
+      net.turn(() -> one.send(FrameKind.TOLD, Told.getDefaultInstance(), (byte) 1));
     }
     net.pass(50);
-    assertNull(real.gone);
-    assertTrue(pretends.gone != null, "it was taken for relay 1");
+    assertNull(real.closeReason);
+    assertTrue(pretends.closeReason != null, "it was taken for relay 1");
     assertEquals(
         module.calls.stream().filter(call -> call.startsWith("peer 1 ")).count(),
         1,
@@ -403,9 +410,10 @@
           {"clients=\"tls\"", "clients need a key"}, {"peers=\"true\"", "a name is needed"}
         }) {
       String xml =
-          RelayTest.CONFIG.replace("  <site ", "  <tls trust=\"t.pem\" " + one[0] + "/>\n  <site ");
+          FrameRelayTest.CONFIG.replace(
+              "  <site ", "  <tls trust=\"t.pem\" " + one[0] + "/>\n  <site ");
       String message =
-          expectThrows(ConfigException.class, () -> RelayTest.config(xml)).getMessage();
+          expectThrows(ConfigException.class, () -> FrameRelayTest.config(xml)).getMessage();
       assertTrue(message.contains(one[1]), message);
     }
   }
--- a/src/test/java/sprucerock/scale/LinksCount.java
+++ b/src/test/java/sprucerock/scale/LinksCount.java
@@ -12,11 +12,11 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 
@@ -48,7 +48,7 @@
     NioLoop loop = new NioLoop("links", Throwable::printStackTrace);
     CountDownLatch greeted = new CountDownLatch(2 * connections);
     List<Object> held = new ArrayList<>();
-    Limits limits = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(600_000));
+    FrameLimits limits = new FrameLimits(1 << 20, 4 << 20, TimeSpan.ofMs(600_000));
     Hello mine =
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
@@ -59,12 +59,12 @@
     FrameListener user =
         new FrameListener() {
           @Override
-          public void greeted(FrameConnection connection, Hello other) {
+          public void helloReceived(FrameConnection connection, Hello other) {
             greeted.countDown();
           }
 
           @Override
-          public void frame(Kind kind, MessageLite head, byte[] body) {}
+          public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {}
 
           @Override
           public void closed(String why) {}
@@ -81,7 +81,7 @@
                         4 << 20,
                         () -> {
                           FrameConnection connection =
-                              new FrameConnection(loop, mine, limits, Tap.NONE, user);
+                              new FrameConnection(loop, mine, limits, FrameTap.NONE, user);
                           held.add(connection);
                           return connection;
                         })
@@ -100,9 +100,10 @@
           () -> {
             for (int j = from; j < Math.min(from + 50, connections); j++) {
               ReconnectingConnection redial =
-                  new ReconnectingConnection(loop, at[0], mine, limits, Tap.NONE, chance, user);
+                  new ReconnectingConnection(
+                      loop, at[0], mine, limits, FrameTap.NONE, chance, user);
               held.add(redial);
-              redial.dial();
+              redial.connect();
             }
             dialled.countDown();
           });
--- a/src/test/java/sprucerock/scale/Listed.java
+++ b/src/test/java/sprucerock/scale/Listed.java
@@ -14,9 +14,9 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.SimulatedNet;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Entry;
 import sprucerock.transport.wire.v1.Form;
 import sprucerock.transport.wire.v1.Health;
@@ -51,7 +51,7 @@
   }
 
   /** Bytes and messages that the relay read and wrote, by the codec. */
-  static final class Frames implements Tap {
+  static final class Frames implements FrameTap {
     long in;
     long bytesIn;
     long out;
@@ -61,7 +61,7 @@
     public void frame(
         FrameConnection connection,
         boolean sent,
-        Kind kind,
+        FrameKind kind,
         com.google.protobuf.MessageLite head,
         byte[] body) {
       if (sent) {
@@ -111,8 +111,8 @@
   final CountingNet net = new CountingNet();
   final Frames frames = new Frames();
   final FrameRelay relay;
-  private final List<Person> rosters;
-  private final List<Person> desks;
+  private final List<RecordingPeer> rosters;
+  private final List<RecordingPeer> desks;
 
   static RelayConfig config(String limits, boolean racks, String leases, int relays, String peers)
       throws IOException, ConfigException {
@@ -146,8 +146,8 @@
   }
 
   private Listed(String limits, boolean racks, String leases) throws Exception {
-    rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-    desks = Person.listen(net, Role.DESK, 0, 1002);
+    rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
     RelayConfig config = config(limits, racks, leases, 2, "");
     for (int i = 0; !leases.isEmpty() && i < 3; i++) {
       LeaseConfig of = config.leases;
@@ -165,7 +165,7 @@
                   null,
                   null),
               "granter " + i,
-              Tap.NONE,
+              FrameTap.NONE,
               SILENT)
           .start();
     }
@@ -204,7 +204,7 @@
   }
 
   void tells(Listing listing) {
-    net.turn(() -> rosters.get(rosters.size() - 1).send(Kind.LISTING, listing));
+    net.turn(() -> rosters.get(rosters.size() - 1).send(FrameKind.LISTING, listing));
     net.pass(10);
   }
 
@@ -218,7 +218,7 @@
 
   /** Whether the roster's connection was cut. */
   boolean cut() {
-    return rosters.get(0).gone != null;
+    return rosters.get(0).closeReason != null;
   }
 
   /**
@@ -226,11 +226,11 @@
    * asking on.
    */
   void promises(long sequence, int leftMs, int... cells) {
-    Person desk = desks.get(0);
-    for (int i = 0; i < 20 && desk.all(Kind.PROMISE_ASK).isEmpty(); i++) {
+    RecordingPeer desk = desks.get(0);
+    for (int i = 0; i < 20 && desk.heads(FrameKind.PROMISE_ASK).isEmpty(); i++) {
       net.pass(100); // its first one may come before the link is up
     }
-    List<PromiseAsk> asks = desk.all(Kind.PROMISE_ASK);
+    List<PromiseAsk> asks = desk.heads(FrameKind.PROMISE_ASK);
     Promised.Builder promised =
         Promised.newBuilder()
             .setId(asks.get(asks.size() - 1).getId())
@@ -239,7 +239,7 @@
     for (int cell : cells) {
       promised.addRacks(RackFree.newBuilder().setZone(cell % 6).setCell(cell).setLeftMs(leftMs));
     }
-    net.turn(() -> desk.send(Kind.PROMISED, promised.build()));
+    net.turn(() -> desk.send(FrameKind.PROMISED, promised.build()));
     net.pass(10);
   }
 
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -68,7 +68,7 @@
       changeBytes = (listed.frames.bytesIn - changeBytes) / 100;
       System.out.printf(
           "%d %d %d %.1f %.1f %d %.3f%n",
-          listed.relay.ledger().units().size(),
+          listed.relay.requestTracker().units().size(),
           after - before,
           bytes,
           (encoded - began) / 1e6,
--- a/src/test/java/sprucerock/scale/ListsScaleTest.java
+++ b/src/test/java/sprucerock/scale/ListsScaleTest.java
@@ -83,7 +83,7 @@
     // is not used
     assertEquals(ready(listed), 80);
     assertTrue(
-        listed.relay.ledger().units().stream()
+        listed.relay.requestTracker().units().stream()
             .allMatch(endpoint -> endpoint.ready() == (endpoint.cell > 1)));
     listed.tellsChange(
         Listed.entry(200, 0, Health.READY).setCell(1).setZone(1),
@@ -97,12 +97,12 @@
     assertEquals(
         ready(listed), 98); // all but the one that is gone and the two that drain, and a new one
     assertTrue(
-        listed.relay.ledger().units().stream()
+        listed.relay.requestTracker().units().stream()
             .allMatch(endpoint -> endpoint.ready() == (endpoint.id != 10 && endpoint.id != 3)));
   }
 
   private static long ready(Listed listed) {
-    return listed.relay.ledger().units().stream().filter(Endpoint::ready).count();
+    return listed.relay.requestTracker().units().stream().filter(Endpoint::ready).count();
   }
 
   /**
@@ -154,10 +154,10 @@
     assertTrue(fits < LIMIT_UNITS, "units that the default frame holds: " + fits);
     Listed holds = new Listed("units=\"200000\"", false).tellsWhole(fits - 1000);
     assertTrue(!holds.cut());
-    assertEquals(holds.relay.ledger().units().size(), fits - 1000);
+    assertEquals(holds.relay.requestTracker().units().size(), fits - 1000);
     Listed over = new Listed("units=\"200000\"", false).tellsWhole(LIMIT_UNITS);
     assertTrue(over.cut());
-    assertEquals(over.relay.ledger().units().size(), 0);
+    assertEquals(over.relay.requestTracker().units().size(), 0);
   }
 
   /**
--- a/src/test/java/sprucerock/scale/PeersScaleTest.java
+++ b/src/test/java/sprucerock/scale/PeersScaleTest.java
@@ -8,8 +8,8 @@
 import org.testng.annotations.Test;
 import sprucerock.relay.frames.FrameRelay;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Role;
 
 /**
@@ -133,12 +133,12 @@
   }
 
   private static FrameRelay started(SimulatedNet net, int relays) throws Exception {
-    Person.listen(net, Role.ROSTER, 0, 1001);
-    Person.listen(net, Role.DESK, 0, 1002);
+    RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    RecordingPeer.listen(net, Role.DESK, 0, 1002);
     StringBuilder peers = new StringBuilder();
-    List<List<Person>> others = new ArrayList<>();
+    List<List<RecordingPeer>> others = new ArrayList<>();
     for (int i = 1; i < relays; i++) {
-      others.add(Person.listen(net, Role.RELAY, i, 3000 + i));
+      others.add(RecordingPeer.listen(net, Role.RELAY, i, 3000 + i));
       peers
           .append("<peer host=\"127.0.0.1\" port=\"")
           .append(3000 + i)
@@ -147,7 +147,7 @@
           .append("\"/>");
     }
     FrameRelay relay =
-        new FrameRelay(Listed.config("", false, "", relays, peers.toString()), net, Tap.NONE);
+        new FrameRelay(Listed.config("", false, "", relays, peers.toString()), net, FrameTap.NONE);
     relay.start(sprucerock.Policy::new);
     net.pass(100);
     return relay;
--- a/src/test/java/sprucerock/simulation/BothHostsTest.java
+++ b/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
@@ -18,12 +18,12 @@
 import org.testng.annotations.Test;
 import sprucerock.Policy;
 import sprucerock.config.RelayConfig;
-import sprucerock.relay.frames.Told;
+import sprucerock.relay.frames.RecordingRelayEvents;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.SimulatedNet;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Counts;
@@ -47,7 +47,7 @@
  * One stretch of events, given to the bench's adapter and to the relay: the module is told the
  * same, in the same order.
  */
-public class BothHostsTest {
+public class RelayAndSimulatorParityTest {
   private static final double START = 1000;
   private static final double STEP = 5;
   private static final int STEPS = 2600;
@@ -191,7 +191,7 @@
   private static final class Bench implements Side {
     private record Due(double when, long order, Runnable what) {}
 
-    private final Told told = new Told();
+    private final RecordingRelayEvents told = new RecordingRelayEvents();
     private final Replies replies = new Replies();
     private final SimulatedRelay relay =
         new SimulatedRelay(
@@ -199,7 +199,7 @@
             replies,
             (host, settings, seed) -> {
               told.clock = host;
-              told.behind = new Policy(host, settings, seed);
+              told.delegate = new Policy(host, settings, seed);
               return told;
             });
     private final PriorityQueue<Due> timers =
@@ -421,16 +421,16 @@
 
   /** The same stretch over the relay's links. */
   private static final class Linked implements Side {
-    private final Told told = new Told();
+    private final RecordingRelayEvents told = new RecordingRelayEvents();
     private final SimulatedNet net = new SimulatedNet(START, STEP);
-    private final List<Person> rosters = Person.listen(net, Role.ROSTER, 0, 1001);
-    private final List<Person> desks = Person.listen(net, Role.DESK, 0, 1002);
-    private final Map<Long, List<Person>> endpoints = new TreeMap<>();
-    private final Map<Person, Integer> seen = new HashMap<>();
+    private final List<RecordingPeer> rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    private final List<RecordingPeer> desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
+    private final Map<Long, List<RecordingPeer>> endpoints = new TreeMap<>();
+    private final Map<RecordingPeer, Integer> seen = new HashMap<>();
     private final Map<Long, Integer> shots = new HashMap<>();
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
-    private final Person client;
-    private final Map<Integer, Person> peers = new TreeMap<>();
+    private final RecordingPeer client;
+    private final Map<Integer, RecordingPeer> peers = new TreeMap<>();
     private int votesSeen;
     private News lastNews;
 
@@ -454,17 +454,17 @@
                 </relay>
                 """);
       sprucerock.relay.frames.FrameRelay relay =
-          new sprucerock.relay.frames.FrameRelay(RelayConfig.read(file), net, Tap.NONE);
+          new sprucerock.relay.frames.FrameRelay(RelayConfig.read(file), net, FrameTap.NONE);
       Files.delete(file);
       relay.start(
           (host, settings, seed) -> {
             told.clock = host;
-            told.behind = new Policy(host, settings, seed);
+            told.delegate = new Policy(host, settings, seed);
             return told;
           });
-      client = Person.at(net, Role.CLIENT, 3, 1000);
+      client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
       for (int i = 1; i < 3; i++) {
-        peers.put(i, Person.at(net, Role.RELAY, i, 1000));
+        peers.put(i, RecordingPeer.connect(net, Role.RELAY, i, 1000));
       }
       net.settle();
     }
@@ -476,11 +476,11 @@
     }
 
     private void works() {
-      for (Map.Entry<Long, List<Person>> endpoint : endpoints.entrySet()) {
-        for (Person connection : endpoint.getValue()) {
-          List<Person.Got> got = connection.got;
+      for (Map.Entry<Long, List<RecordingPeer>> endpoint : endpoints.entrySet()) {
+        for (RecordingPeer connection : endpoint.getValue()) {
+          List<RecordingPeer.ReceivedFrame> got = connection.received;
           for (int i = seen.merge(connection, 0, Integer::sum); i < got.size(); i++) {
-            if (got.get(i).kind() == Kind.WORK) {
+            if (got.get(i).kind() == FrameKind.WORK) {
               work(
                   endpoint.getKey(),
                   connection,
@@ -493,7 +493,7 @@
       }
     }
 
-    private void work(long endpoint, Person connection, Work work, long rpc) {
+    private void work(long endpoint, RecordingPeer connection, Work work, long rpc) {
       int shot = shots.merge(rpc, 1, Integer::sum) - 1;
       int how = outcome(rpc, shot, endpoint);
       if (how < 0) {
@@ -508,7 +508,7 @@
                   turn(
                       () ->
                           connection.send(
-                              Kind.DONE,
+                              FrameKind.DONE,
                               Done.newBuilder().setId(work.getId()).setResult(result).build())));
     }
 
@@ -516,15 +516,21 @@
     public void step() {
       net.pass(STEP);
       works();
-      List<Vote> votes = desks.get(0).all(Kind.VOTE);
+      List<Vote> votes = desks.get(0).heads(FrameKind.VOTE);
       for (int many = votes.size(); votesSeen < many; votesSeen++) {
         long id = votes.get(votesSeen).getId();
         turn(
             () ->
                 desks
                     .get(0)
-                    .send(Kind.VOTED, Voted.newBuilder().setId(id).setTaken(Taken.COUNTS).build()));
-        turn(() -> desks.get(0).send(Kind.NEWS, lastNews.toBuilder().setLastedUs(100_000).build()));
+                    .send(
+                        FrameKind.VOTED,
+                        Voted.newBuilder().setId(id).setTaken(Taken.COUNTS).build()));
+        turn(
+            () ->
+                desks
+                    .get(0)
+                    .send(FrameKind.NEWS, lastNews.toBuilder().setLastedUs(100_000).build()));
       }
       while (!answers.isEmpty() && answers.firstKey() <= net.now().ms() + 1e-9) {
         answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
@@ -537,7 +543,7 @@
       turn(
           () ->
               client.send(
-                  Kind.CALL,
+                  FrameKind.CALL,
                   Call.newBuilder()
                       .setId(id)
                       .setMethod(method)
@@ -549,7 +555,7 @@
 
     @Override
     public void leave(long id) {
-      turn(() -> client.send(Kind.LEAVE, Leave.newBuilder().setId(id).build()));
+      turn(() -> client.send(FrameKind.LEAVE, Leave.newBuilder().setId(id).build()));
     }
 
     @Override
@@ -557,7 +563,7 @@
       int port = 2000 + (int) endpoint;
       if (!endpoints.containsKey(endpoint)) {
         try {
-          endpoints.put(endpoint, Person.listen(net, Role.UNIT, (int) endpoint, port));
+          endpoints.put(endpoint, RecordingPeer.listen(net, Role.UNIT, (int) endpoint, port));
         } catch (java.io.IOException e) {
           throw new AssertionError(e);
         }
@@ -569,7 +575,7 @@
               rosters
                   .get(0)
                   .send(
-                      Kind.LISTING,
+                      FrameKind.LISTING,
                       Listing.newBuilder()
                           .setForm(Form.CHANGES)
                           .addEntries(
@@ -595,7 +601,7 @@
               .setCap(cap)
               .setLastedUs((long) (lasted * 1000))
               .build();
-      turn(() -> desks.get(0).send(Kind.NEWS, lastNews));
+      turn(() -> desks.get(0).send(FrameKind.NEWS, lastNews));
     }
 
     @Override
@@ -605,7 +611,7 @@
               desks
                   .get(0)
                   .send(
-                      Kind.COUNTS,
+                      FrameKind.COUNTS,
                       Counts.newBuilder()
                           .setBuild(build)
                           .setMethod(method)
@@ -622,7 +628,9 @@
               peers
                   .get(sender)
                   .send(
-                      Kind.TOLD, sprucerock.transport.wire.v1.Told.getDefaultInstance(), contents));
+                      FrameKind.TOLD,
+                      sprucerock.transport.wire.v1.Told.getDefaultInstance(),
+                      contents));
     }
 
     @Override
@@ -630,12 +638,12 @@
       turn(
           () ->
               client.send(
-                  Kind.FLAG,
+                  FrameKind.FLAG,
                   Flag.newBuilder().setUnit(endpoint).setAgoUs((long) (ago * 1000)).build()));
     }
 
     List<String> ends() {
-      return client.<Answer>all(Kind.ANSWER).stream()
+      return client.<Answer>heads(FrameKind.ANSWER).stream()
           .map(one -> one.getId() + " " + one.getEnding())
           .toList();
     }
--- a/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
@@ -60,7 +60,8 @@
         .array();
   }
 
-  private static List<String> read(FrameReader reader, byte[] bytes) throws WireException {
+  private static List<String> read(FrameReader reader, byte[] bytes)
+      throws MalformedFrameException {
     List<String> seen = new ArrayList<>();
     reader.feed(
         ByteBuffer.wrap(bytes),
@@ -73,7 +74,7 @@
   }
 
   @Test
-  public void workedBytesOfTheProtocolPageAreRead() throws WireException {
+  public void workedBytesOfTheProtocolPageAreRead() throws MalformedFrameException {
     assertEquals(
         read(new FrameReader(1000), hex(HELLO)),
         List.of("HELLO version: 1 role: CLIENT number: 3 name: \"till-3\" "));
@@ -91,7 +92,7 @@
   }
 
   @Test
-  public void everySplitGivesTheSameFrames() throws WireException {
+  public void everySplitGivesTheSameFrames() throws MalformedFrameException {
     byte[] all = stream();
     List<String> whole = read(new FrameReader(1000), all);
     assertEquals(whole.size(), 3);
@@ -102,18 +103,18 @@
         seen.addAll(read(reader, Arrays.copyOfRange(all, i, j)));
         seen.addAll(read(reader, Arrays.copyOfRange(all, j, all.length)));
         assertEquals(seen, whole, "split at " + i + " and " + j);
-        assertFalse(reader.inFrame());
+        assertFalse(reader.hasPartialFrame());
       }
     }
   }
 
   @Test
-  public void everyTruncationIsKnownToBeOne() throws WireException {
+  public void everyTruncationIsKnownToBeOne() throws MalformedFrameException {
     byte[] hello = hex(HELLO);
     for (int i = 1; i < hello.length; i++) {
       FrameReader reader = new FrameReader(1000);
       assertTrue(read(reader, Arrays.copyOf(hello, i)).isEmpty());
-      assertTrue(reader.inFrame(), "after " + i + " bytes");
+      assertTrue(reader.hasPartialFrame(), "after " + i + " bytes");
     }
   }
 
@@ -132,7 +133,7 @@
   }
 
   @Test
-  public void kindsAndFieldsOfANewerProgramAreReadPast() throws WireException {
+  public void kindsAndFieldsOfANewerProgramAreReadPast() throws MalformedFrameException {
     byte[] unknown = hex("00000007" + "63" + "000002" + "0801" + "42");
     byte[] both = Arrays.copyOf(unknown, unknown.length + hex(CALL).length);
     System.arraycopy(hex(CALL), 0, both, unknown.length, hex(CALL).length);
@@ -159,7 +160,8 @@
 
   private static String wrong(String bytes) {
     byte[] all = Arrays.copyOf(hex(bytes), Math.max(8, bytes.length() / 2));
-    return expectThrows(WireException.class, () -> read(new FrameReader(1000), all)).getMessage();
+    return expectThrows(MalformedFrameException.class, () -> read(new FrameReader(1000), all))
+        .getMessage();
   }
 
   @Test
@@ -172,7 +174,7 @@
       }
       try {
         read(new FrameReader(1000), bytes);
-      } catch (WireException e) {
+      } catch (MalformedFrameException e) {
         assertTrue(e.getMessage().length() < 300, e.getMessage());
       }
     }
@@ -181,23 +183,23 @@
   @Test
   public void aLinkIsCutForAnotherVersionAndForSilence() throws java.io.IOException {
     SimulatedNet net = new SimulatedNet(0, 1);
-    List<Person> there = Person.listen(net, Role.UNIT, 1, 7000);
+    List<RecordingPeer> there = RecordingPeer.listen(net, Role.UNIT, 1, 7000);
     FrameConnection old =
         new FrameConnection(
             net,
             Hello.newBuilder().setVersion(9).build(),
-            Person.LIMITS,
-            Tap.NONE,
-            new Person(net, Role.CLIENT, 0));
+            RecordingPeer.LIMITS,
+            FrameTap.NONE,
+            new RecordingPeer(net, Role.CLIENT, 0));
     net.connect(
         new java.net.InetSocketAddress("127.0.0.1", 7000),
         sprucerock.time.TimeSpan.ofMs(100),
         1000,
         old);
     net.pass(10);
-    assertEquals(there.get(0).gone, "speaks versions 9 to 9, here 1 to 1 are spoken");
-    Person mute = Person.at(net, Role.CLIENT, 2, 7000);
+    assertEquals(there.get(0).closeReason, "speaks versions 9 to 9, here 1 to 1 are spoken");
+    RecordingPeer mute = RecordingPeer.connect(net, Role.CLIENT, 2, 7000);
     net.pass(10_000);
-    assertEquals(mute.gone, null, "beats must keep a quiet link");
+    assertEquals(mute.closeReason, null, "beats must keep a quiet link");
   }
 }
--- a/src/test/java/sprucerock/transport/wire/Person.java
+++ b/src/test/java/sprucerock/transport/wire/RecordingPeer.java
@@ -10,16 +10,16 @@
 import sprucerock.transport.wire.v1.Role;
 
 /** Somebody at a link's other end who writes down what comes. */
-public final class Person implements FrameListener {
-  public static final Limits LIMITS = new Limits(1 << 16, 1 << 20, TimeSpan.ofMs(1000));
+public final class RecordingPeer implements FrameListener {
+  public static final FrameLimits LIMITS = new FrameLimits(1 << 16, 1 << 20, TimeSpan.ofMs(1000));
 
-  public record Got(Kind kind, MessageLite head, byte[] body) {}
+  public record ReceivedFrame(FrameKind kind, MessageLite head, byte[] body) {}
 
-  public final List<Got> got = new ArrayList<>();
+  public final List<ReceivedFrame> received = new ArrayList<>();
   public final FrameConnection connection;
-  public String gone;
+  public String closeReason;
 
-  public Person(Net net, Role role, int number) {
+  public RecordingPeer(Net net, Role role, int number) {
     connection =
         new FrameConnection(
             net,
@@ -29,28 +29,28 @@
                 .setNumber(number)
                 .build(),
             LIMITS,
-            Tap.NONE,
+            FrameTap.NONE,
             this);
   }
 
   /** One that connects. */
-  public static Person at(Net net, Role role, int number, int port) {
-    Person person = new Person(net, role, number);
+  public static RecordingPeer connect(Net net, Role role, int number, int port) {
+    RecordingPeer person = new RecordingPeer(net, role, number);
     net.connect(
         new InetSocketAddress("127.0.0.1", port), TimeSpan.ofMs(500), 1 << 20, person.connection);
     return person;
   }
 
   /** Those that come to a port. */
-  public static List<Person> listen(Net net, Role role, int number, int port)
+  public static List<RecordingPeer> listen(Net net, Role role, int number, int port)
       throws java.io.IOException {
-    List<Person> all = new ArrayList<>();
+    List<RecordingPeer> all = new ArrayList<>();
     net.listen(
         new InetSocketAddress("127.0.0.1", port),
         100,
         1 << 20,
         () -> {
-          Person person = new Person(net, role, number);
+          RecordingPeer person = new RecordingPeer(net, role, number);
           all.add(person);
           return person.connection;
         });
@@ -58,24 +58,24 @@
   }
 
   @SuppressWarnings("unchecked")
-  public <M> List<M> all(Kind kind) {
-    return got.stream().filter(one -> one.kind == kind).map(one -> (M) one.head).toList();
+  public <M> List<M> heads(FrameKind kind) {
+    return received.stream().filter(one -> one.kind == kind).map(one -> (M) one.head).toList();
   }
 
-  public void send(Kind kind, MessageLite head, byte... body) {
+  public void send(FrameKind kind, MessageLite head, byte... body) {
     connection.send(kind, head, body);
   }
 
   @Override
-  public void greeted(FrameConnection made, Hello other) {}
+  public void helloReceived(FrameConnection made, Hello other) {}
 
   @Override
-  public void frame(Kind kind, MessageLite head, byte[] body) {
-    got.add(new Got(kind, head, body));
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    received.add(new ReceivedFrame(kind, head, body));
   }
 
   @Override
   public void closed(String why) {
-    gone = why;
+    closeReason = why;
   }
 }
