--- a/src/main/java/sprucerock/relay/engine/AttemptExchange.java
+++ b/src/main/java/sprucerock/relay/engine/AttemptExchange.java
@@ -7,58 +7,64 @@
 import sprucerock.transport.net.Timers.Timer;
 
 /**
- * A pick on its way: waiting for a connection, or on one. Each door to units keeps in it what it
- * needs there.
+ * One attempt's exchange with its endpoint: waiting for a connection, or sent on one. Each protocol
+ * extends it by what its connections need. Ends exactly once, see {@link RelayEngine#attemptEnded}.
  */
 public class AttemptExchange {
   private final Attempt attempt;
   private final Timestamp deadline;
-  private boolean hasEnded;
-  private Timer markEnded;
+  private boolean ended;
+  private Timer timeoutTimer;
 
-  /** What is to be done while the pick is out. */
-  private final List<Timer> cancelAtEnd = new ArrayList<>(1);
+  /** Of the policy, for as long as the attempt is out; seldom more than one. */
+  private final List<Timer> timers = new ArrayList<>(1);
 
-  public AttemptExchange(Attempt attempt, Timestamp ends) {
+  /** An exchange that times out at {@code deadline}, on the event loop's clock. */
+  public AttemptExchange(Attempt attempt, Timestamp deadline) {
     this.attempt = attempt;
-    this.deadline = ends;
+    this.deadline = deadline;
   }
 
+  /** The attempt that is exchanged. */
   public final Attempt attempt() {
     return attempt;
   }
 
-  /** When nobody waits for it any more. */
+  /**
+   * When the attempt times out: the request's deadline, or the attempt's own if that is earlier.
+   */
   public final Timestamp deadline() {
     return deadline;
   }
 
+  /** Whether the attempt has its outcome; what comes for it afterwards is ignored. */
   public final boolean hasEnded() {
-    return hasEnded;
+    return ended;
   }
 
   /**
-   * Whether it may be put on a connection: its RPC may have ended, or its own time may be over,
-   * while it waited for one.
+   * Whether it may still be put on a connection: while it waited for one, its request may have
+   * ended, or the time by which it had to start may have passed.
    */
   public final boolean mayStart(Timestamp now) {
     return !attempt.rpc.ended() && (attempt.startBy == null || attempt.startBy.after(now));
   }
 
   final void setTimeoutTimer(Timer timer) {
-    markEnded = timer;
+    timeoutTimer = timer;
   }
 
+  /** Has the timer cancelled when the attempt ends. */
   final void cancelAtEnd(Timer timer) {
-    cancelAtEnd.add(timer);
+    timers.add(timer);
   }
 
   final void markEnded() {
-    hasEnded = true;
-    markEnded.cancel();
-    for (Timer timer : cancelAtEnd) {
+    ended = true;
+    timeoutTimer.cancel();
+    for (Timer timer : timers) {
       timer.cancel();
     }
-    cancelAtEnd.clear();
+    timers.clear();
   }
 }
--- a/src/main/java/sprucerock/relay/engine/EventLog.java
+++ b/src/main/java/sprucerock/relay/engine/EventLog.java
@@ -9,11 +9,14 @@
 import sprucerock.transport.net.Timers;
 
 /**
- * What a relay says in its log: each kind of event at most once a second, with how many were left
- * out in between.
+ * A relay's log, rate limited: each event is logged at most once a second, with the number of those
+ * suppressed since. Not thread-safe; for the event loop's thread.
  */
 public final class EventLog {
-  /** The kinds, as docs/operators/relay.md explains them one by one. */
+  /**
+   * The events. Their names stand in log lines, alerts search for them: they are never renamed.
+   * docs/operators/relay.md explains them one by one.
+   */
   public enum Event {
     STARTED,
     FIGURES,
@@ -45,60 +48,69 @@
     BROKEN
   }
 
-  private static final TimeSpan EVERY =
-      TimeSpan.ofMs(1000); // readable while it streams by, and a bound for disks
+  /** Few enough lines to be read as they scroll by, and a bound for the disk. */
+  private static final TimeSpan MIN_INTERVAL = TimeSpan.ofMs(1000);
 
   private final Logger log;
   private final Timers timers;
-  private final Map<Event, Timestamp> said = new EnumMap<>(Event.class);
-  private final Map<Event, Integer> leftOut = new EnumMap<>(Event.class);
+  private final Map<Event, Timestamp> lastLogged = new EnumMap<>(Event.class);
+  private final Map<Event, Integer> suppressed = new EnumMap<>(Event.class);
 
+  /** Logs to the logger {@code sprucerock.relay}, by the clock of {@code timers}. */
   public EventLog(Timers timers) {
     this(timers, LoggerFactory.getLogger("sprucerock.relay"));
   }
 
-  /** Says it elsewhere. */
+  /** Logs to another logger. */
   public EventLog(Timers timers, Logger log) {
     this.timers = timers;
     this.log = log;
   }
 
-  public void info(Event kind, String text) {
-    if (due(kind)) {
-      log.info("{} {}", kind, text(kind, text));
+  /** Logs something expected, unless the event was logged within the last second. */
+  public void info(Event event, String text) {
+    if (isDue(event)) {
+      log.info("{} {}", event, withSuppressed(event, text));
     }
   }
 
-  public void warn(Event kind, String text) {
-    if (due(kind)) {
-      log.warn("{} {}", kind, text(kind, text));
+  /**
+   * Logs something that the relay copes with, unless the event was logged within the last second.
+   */
+  public void warn(Event event, String text) {
+    if (isDue(event)) {
+      log.warn("{} {}", event, withSuppressed(event, text));
     }
   }
 
-  public void error(Event kind, String text) {
-    if (due(kind)) {
-      log.error("{} {}", kind, text(kind, text));
+  /**
+   * Logs something that an operator has to act on, unless the event was logged within the last
+   * second.
+   */
+  public void error(Event event, String text) {
+    if (isDue(event)) {
+      log.error("{} {}", event, withSuppressed(event, text));
     }
   }
 
-  /** Something in the program itself went wrong; always said. */
-  public void internalError(Throwable why) {
-    log.error("{} {}", Event.BROKEN, why.toString(), why);
+  /** Logs a fault of the program itself, with its stack trace; never suppressed. */
+  public void internalError(Throwable fault) {
+    log.error("{} {}", Event.BROKEN, fault.toString(), fault);
   }
 
-  private boolean due(Event kind) {
+  private boolean isDue(Event event) {
     Timestamp now = timers.now();
-    Timestamp last = said.get(kind);
-    if (last != null && !now.since(last).over(EVERY)) {
-      leftOut.merge(kind, 1, Integer::sum);
+    Timestamp last = lastLogged.get(event);
+    if (last != null && !now.since(last).over(MIN_INTERVAL)) {
+      suppressed.merge(event, 1, Integer::sum);
       return false;
     }
-    said.put(kind, now);
+    lastLogged.put(event, now);
     return true;
   }
 
-  private String text(Event kind, String text) {
-    Integer more = leftOut.remove(kind);
-    return more == null ? text : text + " (and " + more + " more of these since the last line)";
+  private String withSuppressed(Event event, String text) {
+    Integer count = suppressed.remove(event);
+    return count == null ? text : text + " (and " + count + " more of these since the last line)";
   }
 }
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -13,93 +13,132 @@
 import sprucerock.transport.net.Net;
 
 /**
- * Carries out what the module chooses, alike in every relay that runs: each pick ends once, each
- * RPC has one final answer, and what is to be done for either ends with it. How clients and units
- * are spoken to is the doors' business. One thread.
+ * Carries out the routing policy's decisions, alike in every relay: each attempt ends exactly once,
+ * each request gets one final answer, and the timers of either are cancelled when it ends. How
+ * clients and endpoints are spoken to is left to the subclasses. For the event loop's thread only.
  */
 public abstract class RelayEngine implements RelayActions {
-  /** Makes the module that decides. */
+  /** Creates the routing policy of a relay. */
   public interface PolicyFactory {
-    RelayEvents create(RelayActions host, Settings settings, long seed);
+    /**
+     * Creates the policy, which is told of nothing yet and may do nothing before it is.
+     *
+     * @param actions what the policy acts through
+     * @param seed of the policy's random draws
+     */
+    RelayEvents create(RelayActions actions, Settings settings, long seed);
   }
 
   private static final byte[] NO_BODY = {};
 
+  /** The event loop: its clock, timers and connections. */
   protected final Net net;
+
+  /** What the site allows: methods, limits, rules. */
   protected final Settings settings;
+
+  /** The open requests and attempts, their accounts, and the known endpoints. */
   protected final RequestTracker requestTracker;
+
+  /** The relay's log. */
   protected final EventLog eventLog;
+
+  /** What decides; null until {@link #createPolicy}. */
   protected RelayEvents policy;
-  private long lastRpc;
 
-  protected RelayEngine(Net net, Settings settings, RequestTracker ledger, EventLog events) {
+  private long lastRequestId;
+
+  /** An engine without a policy, see {@link #createPolicy}. */
+  protected RelayEngine(
+      Net net, Settings settings, RequestTracker requestTracker, EventLog eventLog) {
     this.net = net;
     this.settings = settings;
-    this.requestTracker = ledger;
-    this.eventLog = events;
+    this.requestTracker = requestTracker;
+    this.eventLog = eventLog;
   }
 
-  /** The module is made, told of nothing yet. */
-  protected void createPolicy(PolicyFactory maker, long seed) {
-    policy = maker.create(this, settings, seed);
+  /** Creates the policy; from here on it is told of all that the tracker learns. */
+  protected void createPolicy(PolicyFactory factory, long seed) {
+    policy = factory.create(this, settings, seed);
     requestTracker.tell(policy);
   }
 
-  /** Puts the pick on a connection to its unit, now or later. */
+  /** Puts the attempt on a connection to its endpoint, now or once there is one. */
   protected abstract void sendToEndpoint(AttemptExchange exchange);
 
   /**
-   * Nobody waits for it any more; true where it was provably never sent. {@code told}: its unit may
-   * be told.
+   * Stops waiting for an attempt that was cancelled or timed out. Its outcome follows separately.
+   *
+   * @param notifyEndpoint whether its endpoint may be told that it can stop
+   * @return true where the attempt was provably never sent
    */
-  protected abstract boolean abandon(AttemptExchange exchange, boolean told);
+  protected abstract boolean abandon(AttemptExchange exchange, boolean notifyEndpoint);
 
   /**
-   * The final answer to a client; what is answered an RPC twice or to one that left is dropped by
-   * the door.
+   * Sends a client the final answer to its request. A second answer, and one to a client that has
+   * left, is dropped here.
+   *
+   * @param retryAfter how long the client should wait before it retries; meant for {@link
+   *     RequestOutcome#REJECTED}, else zero
+   * @param endpoint id of the endpoint that answered; 0 where none did
+   * @param body of the answer; empty unless it is {@link RequestOutcome#OK}
    */
   protected abstract void answer(
-      Request asked, RequestOutcome ending, TimeSpan wait, long endpoint, byte[] body);
+      Request request, RequestOutcome outcome, TimeSpan retryAfter, long endpoint, byte[] body);
 
-  protected AttemptExchange newExchange(Attempt attempt, Timestamp ends) {
-    return new AttemptExchange(attempt, ends);
+  /** The exchange of an attempt that times out at {@code deadline}, in the subclass's own type. */
+  protected AttemptExchange newExchange(Attempt attempt, Timestamp deadline) {
+    return new AttemptExchange(attempt, deadline);
   }
 
-  /** What goes wrong in the program itself is logged here. */
-  public void internalError(Throwable why) {
-    eventLog.internalError(why);
+  /** Logs a fault of the program itself. */
+  public void internalError(Throwable fault) {
+    eventLog.internalError(fault);
   }
 
-  // What comes in.
+  // Events, from clients and endpoints.
 
+  /**
+   * Takes a client's request and hands it to the policy.
+   *
+   * @param tenant number of the tenant it belongs to
+   * @param key by which requests are kept together; 0: none
+   * @param deadline by which it has its final answer
+   * @param hint how long the client expects it to take; null: it said nothing
+   */
   protected void requestArrived(
-      Request asked, Method method, int tenant, long key, Timestamp deadline, TimeSpan hint) {
-    // guards against a fault in the module: whatever it forgot has an answer, one that promises
-    // nothing
-    asked.cancelAtEnd(net.at(deadline, () -> forgotten(asked)));
-    asked.requestId(++lastRpc);
+      Request request, Method method, int tenant, long key, Timestamp deadline, TimeSpan hint) {
+    // guards against a fault in the policy: a request that it forgot is aborted, which is true
+    // whatever became of it
+    request.cancelAtEnd(net.at(deadline, () -> abortForgotten(request)));
+    request.requestId(++lastRequestId);
     requestTracker.arrived(
-        asked.requestId(), method, tenant, key, net.now(), deadline, hint, asked);
+        request.requestId(), method, tenant, key, net.now(), deadline, hint, request);
   }
 
-  private void forgotten(Request asked) {
+  private void abortForgotten(Request request) {
     eventLog.internalError(
         new IllegalStateException("an RPC had no answer at its deadline; it is aborted"));
-    abort(asked);
+    abort(request);
   }
 
-  /** At the end of the relay's time: an answer that promises nothing. */
-  public void abort(Request asked) {
-    abort(requestTracker.rpc(asked.requestId()));
+  /** Aborts an open request, as its deadline or the relay's own end has come. */
+  public void abort(Request request) {
+    abort(requestTracker.rpc(request.requestId()));
   }
 
-  /** The client went away. */
-  public void clientLeft(Request asked) {
-    asked.complete();
-    requestTracker.clientLeft(requestTracker.rpc(asked.requestId()));
+  /** The client left or withdrew the request: nobody waits for the answer. */
+  public void clientLeft(Request request) {
+    request.complete();
+    requestTracker.clientLeft(requestTracker.rpc(request.requestId()));
   }
 
-  /** A pick ended; the first ok is its RPC's answer. */
+  /**
+   * Ends an attempt; one that has ended before is ignored. The first that succeeds is its request's
+   * answer.
+   *
+   * @param body of the endpoint's answer; empty unless the outcome is OK
+   */
   public void attemptEnded(AttemptExchange exchange, AttemptOutcome outcome, byte[] body) {
     if (exchange.hasEnded()) {
       return;
@@ -115,12 +154,12 @@
         attempt, outcome, net.now().since(attempt.sent), answers || attempt.rpc.ended());
   }
 
-  /** The same, but told once the module has returned from what it does now. */
+  /** Ends an attempt at the end of this turn of the loop, so that the policy is not re-entered. */
   public void attemptEndsAfterTurn(AttemptExchange exchange, AttemptOutcome outcome) {
     net.atTurnsEnd(() -> attemptEnded(exchange, outcome, NO_BODY));
   }
 
-  /** It is on a connection now. */
+  /** The attempt has been handed to a connection. */
   public void attemptWritten(AttemptExchange exchange) {
     requestTracker.written(exchange.attempt());
   }
@@ -129,11 +168,12 @@
     if (exchange.hasEnded()) {
       return;
     }
-    boolean never = abandon(exchange, false); // its unit was told how long it is waited for
-    attemptEnded(exchange, never ? AttemptOutcome.MOOT : AttemptOutcome.TIMED_OUT, NO_BODY);
+    // the endpoint need not be told: it knows the deadline
+    boolean neverSent = abandon(exchange, false);
+    attemptEnded(exchange, neverSent ? AttemptOutcome.MOOT : AttemptOutcome.TIMED_OUT, NO_BODY);
   }
 
-  // What the module does.
+  // Actions, by the policy.
 
   @Override
   public Timestamp now() {
@@ -144,18 +184,18 @@
   public void send(Attempt attempt) {
     requestTracker.sent(attempt);
     Timestamp now = net.now();
-    Timestamp until =
+    Timestamp deadline =
         attempt.patience == null
             ? attempt.rpc.deadline
             : attempt.rpc.deadline.earlier(now.plus(attempt.patience));
-    AttemptExchange exchange = newExchange(attempt, until);
+    AttemptExchange exchange = newExchange(attempt, deadline);
     attempt.door = exchange;
-    exchange.setTimeoutTimer(net.at(until, () -> timedOut(exchange)));
-    boolean moot =
+    exchange.setTimeoutTimer(net.at(deadline, () -> timedOut(exchange)));
+    boolean isMoot =
         attempt.rpc.ended()
-            || !until.after(now)
+            || !deadline.after(now)
             || attempt.rpc.attempts.size() > settings.maxAttempts;
-    if (moot) {
+    if (isMoot) {
       attemptEndsAfterTurn(exchange, AttemptOutcome.MOOT);
     } else {
       sendToEndpoint(exchange);
@@ -168,8 +208,8 @@
     if (exchange.hasEnded()) {
       return;
     }
-    boolean never = abandon(exchange, true);
-    attemptEndsAfterTurn(exchange, never ? AttemptOutcome.MOOT : AttemptOutcome.CANCELLED);
+    boolean neverSent = abandon(exchange, true);
+    attemptEndsAfterTurn(exchange, neverSent ? AttemptOutcome.MOOT : AttemptOutcome.CANCELLED);
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/engine/Request.java
+++ b/src/main/java/sprucerock/relay/engine/Request.java
@@ -4,30 +4,38 @@
 import java.util.List;
 import sprucerock.transport.net.Timers.Timer;
 
-/** What the door that took an RPC keeps with it. */
+/**
+ * A client's request as the relay's client side keeps it. Each protocol extends it by what it needs
+ * to answer: the client's connection and its own id of the request.
+ */
 public abstract class Request {
-  private final List<Timer> cancelAtEnd = new ArrayList<>(2);
+  private static final int USUAL_TIMERS = 2; // the deadline's, and one of the policy
+
+  private final List<Timer> timers = new ArrayList<>(USUAL_TIMERS);
   private long requestId;
 
-  /** The relay's own number for the RPC; 0 while it has none. */
+  /** The relay's own id of the request, from 1 upwards; 0 until the engine has taken it. */
   public final long requestId() {
     return requestId;
   }
 
-  final void requestId(long given) {
-    requestId = given;
+  final void requestId(long assigned) {
+    requestId = assigned;
   }
 
-  /** Is to be done while the RPC is open. */
+  /** Has the timer cancelled when the request ends. */
   final void cancelAtEnd(Timer timer) {
-    cancelAtEnd.add(timer);
+    timers.add(timer);
   }
 
-  /** The RPC has ended: what was to be done for it is not kept until its deadline. */
+  /**
+   * The request has its answer or its client left. Cancels its timers, which would otherwise hold
+   * it in memory until its deadline. Subclasses release what else they hold, and call this.
+   */
   protected void complete() {
-    for (Timer timer : cancelAtEnd) {
+    for (Timer timer : timers) {
       timer.cancel();
     }
-    cancelAtEnd.clear();
+    timers.clear();
   }
 }
--- a/src/main/java/sprucerock/relay/engine/RequestOutcome.java
+++ b/src/main/java/sprucerock/relay/engine/RequestOutcome.java
@@ -1,8 +1,11 @@
 package sprucerock.relay.engine;
 
-/** What a client is told at the end. */
+/** The final answer that a client gets to a request. */
 public enum RequestOutcome {
+  /** An attempt succeeded; the answer carries its body. */
   OK,
+  /** Not executed: the client may retry, after the time that the answer states. */
   REJECTED,
+  /** Nothing is known of its execution: only an idempotent request may be retried. */
   ABORTED
 }
