--- a/src/main/java/sprucerock/agent/Agent.java
+++ b/src/main/java/sprucerock/agent/Agent.java
@@ -19,52 +19,53 @@
   /** What the relay does now. */
   public enum Phase {
     OFF,
-    FETCHING,
+    DOWNLOADING,
     STARTING,
     READY,
-    ENDING,
-    PAUSE
+    STOPPING,
+    BACKING_OFF
   }
 
   /** A run of the relay that is over. */
-  public record Run(Version version, Timestamp from, Timestamp to, String how) {}
+  public record FinishedRun(
+      Version version, Timestamp startedAt, Timestamp endedAt, String outcome) {}
 
   /**
    * @param readyWithin a start that takes longer has failed; {@code endWithin}: told to end, it is
    *     killed after that
    * @param proven a version that was ready for so long ran well
    */
-  public record Times(TimeSpan readyWithin, TimeSpan endWithin, TimeSpan proven) {}
+  public record Timeouts(TimeSpan start, TimeSpan stop, TimeSpan provenAfter) {}
 
-  private static final int TRIES =
+  private static final int MAX_FAILED_RUNS =
       3; // of a new version: a start may fail once for what is none of its fault
-  private static final TimeSpan FIRST_PAUSE = TimeSpan.ofMs(500); // as long as a start takes
-  private static final TimeSpan LONGEST_PAUSE =
+  private static final TimeSpan FIRST_BACKOFF = TimeSpan.ofMs(500); // as long as a start takes
+  private static final TimeSpan MAX_BACKOFF =
       TimeSpan.ofMs(
           30_000); // of what ran well before: it will again, once what ails the machine is over
-  private static final int MOST_RUNS = 20;
+  private static final int MAX_FINISHED_RUNS = 20;
 
-  private final ProcessLauncher machine;
-  private final Times times;
-  private AgentState memory;
+  private final ProcessLauncher launcher;
+  private final Timeouts timeouts;
+  private AgentState state;
   private Phase phase = Phase.OFF;
-  private Version runs = Version.NONE;
-  private Version next;
-  private Timestamp since;
-  private int tries;
-  private int run;
+  private Version runningVersion = Version.NONE;
+  private Version pendingVersion;
+  private Timestamp phaseSince;
+  private int failedRuns;
+  private int runNumber;
 
   /** The turn for which the relay that was taken over was started; 0 where none was. */
-  private int adoptedFor;
+  private int adoptedGeneration;
 
   private boolean stopped;
-  private String ending;
-  private final Deque<Run> runsOver = new ArrayDeque<>();
+  private String forcedStopReason;
+  private final Deque<FinishedRun> finishedRuns = new ArrayDeque<>();
 
-  public Agent(ProcessLauncher machine, Times times, AgentState memory) {
-    this.machine = machine;
-    this.times = times;
-    this.memory = memory;
+  public Agent(ProcessLauncher machine, Timeouts times, AgentState memory) {
+    this.launcher = machine;
+    this.timeouts = times;
+    this.state = memory;
   }
 
   // What is asked.
@@ -74,9 +75,9 @@
   }
 
   /** What runs now, or is being started; {@link Version#NONE} where nothing is. */
-  public Version runs() {
-    return phase == Phase.STARTING || phase == Phase.READY || phase == Phase.ENDING
-        ? runs
+  public Version runningVersion() {
+    return phase == Phase.STARTING || phase == Phase.READY || phase == Phase.STOPPING
+        ? runningVersion
         : Version.NONE;
   }
 
@@ -85,26 +86,26 @@
   }
 
   /** The turn that is carried out. */
-  public int done() {
-    return memory.done();
+  public int completedGeneration() {
+    return state.completedGeneration();
   }
 
   public long epoch() {
-    return memory.epoch();
+    return state.epoch();
   }
 
   /** How often the relay was started, in all lives of this agent. */
   public int starts() {
-    return memory.starts();
+    return state.starts();
   }
 
-  public AgentState memory() {
-    return memory;
+  public AgentState state() {
+    return state;
   }
 
   /** The last runs that are over, the latest last. */
-  public Collection<Run> runsOver() {
-    return Collections.unmodifiableCollection(runsOver);
+  public Collection<FinishedRun> finishedRuns() {
+    return Collections.unmodifiableCollection(finishedRuns);
   }
 
   // What happens.
@@ -113,75 +114,76 @@
    * The agent begins: what was wanted last, else what ran well last, is started without waiting for
    * anybody.
    */
-  public void begin() {
+  public void resume() {
     boolean asWanted =
-        memory.wanted().equals(Version.NONE)
-            || runs.equals(memory.wanted()) && memory.done() == memory.turn();
+        state.desired().equals(Version.NONE)
+            || runningVersion.equals(state.desired())
+                && state.completedGeneration() == state.generation();
     if (phase == Phase.READY && asWanted) {
       return;
     }
-    if (!memory.wanted().equals(Version.NONE) && machine.has(memory.wanted())) {
-      go(memory.wanted());
-    } else if (!memory.good().equals(Version.NONE) && machine.has(memory.good())) {
-      go(memory.good());
-    } else if (!memory.wanted().equals(Version.NONE)) {
-      go(memory.wanted());
+    if (!state.desired().equals(Version.NONE) && launcher.hasArtifacts(state.desired())) {
+      switchTo(state.desired());
+    } else if (!state.lastGood().equals(Version.NONE) && launcher.hasArtifacts(state.lastGood())) {
+      switchTo(state.lastGood());
+    } else if (!state.desired().equals(Version.NONE)) {
+      switchTo(state.desired());
     } else {
-      machine.log("nothing is known to run here; the controller's word is waited for");
+      launcher.log("nothing is known to run here; the controller's word is waited for");
     }
   }
 
   /** A relay that an earlier life of the agent started for that turn runs still. */
-  public void adopted(Version version, int turn) {
-    runs = version;
-    run++;
-    adoptedFor = turn;
-    becomeReady();
-    if (version.equals(memory.wanted()) && turn == memory.turn()) {
-      carriedOut();
+  public void relayAdopted(Version version, int turn) {
+    runningVersion = version;
+    runNumber++;
+    adoptedGeneration = turn;
+    enterReady();
+    if (version.equals(state.desired()) && turn == state.generation()) {
+      completeGeneration();
     }
   }
 
   /** Found in a folder, for a machine that no controller has spoken to yet. */
-  public void offered(Version version) {
-    if (memory.wanted().equals(Version.NONE)
-        && memory.good().equals(Version.NONE)
+  public void offerInitialVersion(Version version) {
+    if (state.desired().equals(Version.NONE)
+        && state.lastGood().equals(Version.NONE)
         && phase == Phase.OFF) {
-      go(version);
+      switchTo(version);
     }
   }
 
   /**
    * A controller says what is to run; only the newest one is obeyed, and of it only what is newer.
    */
-  public void wants(long epoch, int turn, Version version) {
+  public void applyDesiredState(long epoch, int turn, Version version) {
     if (stopped) {
       return;
     }
-    boolean older = epoch < memory.epoch() || epoch == memory.epoch() && turn < memory.turn();
+    boolean older = epoch < state.epoch() || epoch == state.epoch() && turn < state.generation();
     if (older) {
-      machine.log(
+      launcher.log(
           "a word of epoch "
               + epoch
               + ", turn "
               + turn
               + " is older than "
-              + memory.epoch()
+              + state.epoch()
               + ", turn "
-              + memory.turn()
+              + state.generation()
               + ": not obeyed");
       return;
     }
-    boolean same = turn == memory.turn() && version.equals(memory.wanted());
+    boolean same = turn == state.generation() && version.equals(state.desired());
     if (!same
-        && epoch == memory.epoch()
-        && turn == memory.turn()
-        && !memory.wanted().equals(Version.NONE)) {
-      machine.log(
+        && epoch == state.epoch()
+        && turn == state.generation()
+        && !state.desired().equals(Version.NONE)) {
+      launcher.log(
           "epoch "
               + epoch
               + " said "
-              + memory.wanted()
+              + state.desired()
               + " for turn "
               + turn
               + " and says "
@@ -193,70 +195,77 @@
     // where all agents lose theirs
     // together, all relays would else be restarted at once
     boolean asItIs =
-        (turn == 0 || turn == adoptedFor) && !same && phase == Phase.READY && runs.equals(version);
-    if (!same || epoch != memory.epoch()) {
-      keep(
-          memory.told(
-              epoch, turn, same ? memory.done() : Math.min(memory.done(), turn - 1), version));
+        (turn == 0 || turn == adoptedGeneration)
+            && !same
+            && phase == Phase.READY
+            && runningVersion.equals(version);
+    if (!same || epoch != state.epoch()) {
+      saveState(
+          state.withDesired(
+              epoch,
+              turn,
+              same ? state.completedGeneration() : Math.min(state.completedGeneration(), turn - 1),
+              version));
     }
     if (!same) {
-      tries = 0;
+      failedRuns = 0;
     }
     if (asItIs) {
-      carriedOut();
+      completeGeneration();
     } else if (!same || phase == Phase.OFF) {
-      go(version);
+      switchTo(version);
     }
   }
 
-  private void go(Version version) {
-    next = version;
-    if (machine.has(version)) {
-      change();
+  private void switchTo(Version version) {
+    pendingVersion = version;
+    if (launcher.hasArtifacts(version)) {
+      replaceRunning();
     } else {
-      if (phase == Phase.OFF || phase == Phase.PAUSE) {
-        become(Phase.FETCHING);
+      if (phase == Phase.OFF || phase == Phase.BACKING_OFF) {
+        enter(Phase.DOWNLOADING);
       }
-      machine.fetch(version);
+      launcher.download(version);
     }
   }
 
-  public void fetched(Version version) {
-    if (version.equals(next)) {
-      change();
+  public void downloadSucceeded(Version version) {
+    if (version.equals(pendingVersion)) {
+      replaceRunning();
     }
   }
 
   /** It can't be had; what runs goes on. */
-  public void notFetched(Version version, String why) {
-    if (!version.equals(next)) {
+  public void downloadFailed(Version version, String why) {
+    if (!version.equals(pendingVersion)) {
       return;
     }
-    machine.log(version + " can't be had: " + why);
-    machine.failed(version, "can't be had: " + why);
-    next = null;
-    if (phase == Phase.FETCHING) {
-      fallBack();
+    launcher.log(version + " can't be had: " + why);
+    launcher.runFailed(version, "can't be had: " + why);
+    pendingVersion = null;
+    if (phase == Phase.DOWNLOADING) {
+      fallBackToLastGood();
     }
   }
 
   /** All is here: what runs makes room for it, by a signal where that will do. */
-  private void change() {
+  private void replaceRunning() {
     if (stopped) {
       return;
     }
     switch (phase) {
-      case OFF, FETCHING, PAUSE -> start();
+      case OFF, DOWNLOADING, BACKING_OFF -> start();
       case READY -> {
-        if (runs.equals(next) || !machine.reload(runs, next)) {
-          end("told to change");
+        if (runningVersion.equals(pendingVersion)
+            || !launcher.reload(runningVersion, pendingVersion)) {
+          terminate("told to change");
         }
       }
       case STARTING -> {
-        if (runs.equals(next)) {
-          next = null;
+        if (runningVersion.equals(pendingVersion)) {
+          pendingVersion = null;
         } else {
-          end("told to change before it was ready");
+          terminate("told to change before it was ready");
         }
       }
       default -> {} // it ends already; then the next one starts
@@ -264,205 +273,208 @@
   }
 
   /** The relay was told by a signal to read its settings; {@code taken}: it says that it has. */
-  public void reloaded(Version version, boolean taken) {
-    if (phase != Phase.READY || !version.equals(next)) {
+  public void reloadFinished(Version version, boolean taken) {
+    if (phase != Phase.READY || !version.equals(pendingVersion)) {
       return;
     }
     if (!taken) {
-      end("it did not take its settings over by a signal");
+      terminate("it did not take its settings over by a signal");
       return;
     }
-    machine.log("settings of " + version + " are taken over by a signal");
-    runs = version;
-    next = null;
-    since = machine.now();
-    carriedOut();
+    launcher.log("settings of " + version + " are taken over by a signal");
+    runningVersion = version;
+    pendingVersion = null;
+    phaseSince = launcher.now();
+    completeGeneration();
   }
 
   private void start() {
-    runs = next;
-    next = null;
-    keep(memory.started());
-    ending = null;
-    int of = ++run;
-    become(Phase.STARTING);
-    machine.start(runs);
-    machine.at(
-        machine.now().plus(times.readyWithin()),
+    runningVersion = pendingVersion;
+    pendingVersion = null;
+    saveState(state.withOneMoreStart());
+    forcedStopReason = null;
+    int of = ++runNumber;
+    enter(Phase.STARTING);
+    launcher.start(runningVersion);
+    launcher.schedule(
+        launcher.now().plus(timeouts.start()),
         () -> {
-          if (run == of && phase == Phase.STARTING) {
-            ending = "was not ready within " + Math.round(times.readyWithin().ms()) + " ms";
-            become(Phase.ENDING);
-            machine.kill();
+          if (runNumber == of && phase == Phase.STARTING) {
+            forcedStopReason = "was not ready within " + Math.round(timeouts.start().ms()) + " ms";
+            enter(Phase.STOPPING);
+            launcher.kill();
           }
         });
   }
 
-  public void isReady() {
+  public void relayStarted() {
     if (phase != Phase.STARTING) {
       return;
     }
-    becomeReady();
-    if (runs.equals(memory.wanted())) {
-      carriedOut();
+    enterReady();
+    if (runningVersion.equals(state.desired())) {
+      completeGeneration();
     }
   }
 
-  private void becomeReady() {
-    int of = run;
-    become(Phase.READY);
-    machine.at(
-        machine.now().plus(times.proven()),
+  private void enterReady() {
+    int of = runNumber;
+    enter(Phase.READY);
+    launcher.schedule(
+        launcher.now().plus(timeouts.provenAfter()),
         () -> {
-          if (run != of || phase != Phase.READY) {
+          if (runNumber != of || phase != Phase.READY) {
             return;
           }
-          tries = 0;
-          if (!runs.equals(memory.good())) {
-            keep(memory.ranWell(runs));
+          failedRuns = 0;
+          if (!runningVersion.equals(state.lastGood())) {
+            saveState(state.withLastGood(runningVersion));
           }
         });
   }
 
-  private void carriedOut() {
-    if (memory.done() != memory.turn()) {
-      keep(memory.carriedOut());
+  private void completeGeneration() {
+    if (state.completedGeneration() != state.generation()) {
+      saveState(state.withGenerationCompleted());
     }
-    machine.say();
+    launcher.stateChanged();
   }
 
   /** It holds more than it may: it is ended at once, before it takes the machine along. */
-  public void over(String limit) {
+  public void limitExceeded(String limit) {
     if (phase != Phase.READY && phase != Phase.STARTING) {
       return;
     }
-    ending = "went over " + limit;
-    become(Phase.ENDING);
-    machine.kill();
-  }
-
-  private void end(String why) {
-    int of = run;
-    machine.log(runs + " is ended: " + why);
-    become(Phase.ENDING);
-    machine.terminate();
-    machine.at(
-        machine.now().plus(times.endWithin()),
+    forcedStopReason = "went over " + limit;
+    enter(Phase.STOPPING);
+    launcher.kill();
+  }
+
+  private void terminate(String why) {
+    int of = runNumber;
+    launcher.log(runningVersion + " is ended: " + why);
+    enter(Phase.STOPPING);
+    launcher.terminate();
+    launcher.schedule(
+        launcher.now().plus(timeouts.stop()),
         () -> {
-          if (run != of || phase != Phase.ENDING) {
+          if (runNumber != of || phase != Phase.STOPPING) {
             return;
           }
-          machine.log(
-              runs
+          launcher.log(
+              runningVersion
                   + " did not end within "
-                  + Math.round(times.endWithin().ms())
+                  + Math.round(timeouts.stop().ms())
                   + " ms and is killed");
-          machine.kill();
+          launcher.kill();
         });
   }
 
   /** The relay's process is gone; {@code how}: with what code, or by which signal. */
-  public void ended(String how) {
-    if (phase != Phase.STARTING && phase != Phase.READY && phase != Phase.ENDING) {
+  public void processExited(String how) {
+    if (phase != Phase.STARTING && phase != Phase.READY && phase != Phase.STOPPING) {
       return;
     }
-    boolean told = phase == Phase.ENDING && ending == null;
+    boolean told = phase == Phase.STOPPING && forcedStopReason == null;
     String said =
-        ending != null
-            ? ending
+        forcedStopReason != null
+            ? forcedStopReason
             : told
                 ? how + ", as told"
                 : (phase == Phase.READY ? "ended by itself: " : "ended before it was ready: ")
                     + how;
-    runsOver.addLast(new Run(runs, since, machine.now(), said));
-    if (runsOver.size() > MOST_RUNS) {
-      runsOver.removeFirst();
+    finishedRuns.addLast(new FinishedRun(runningVersion, phaseSince, launcher.now(), said));
+    if (finishedRuns.size() > MAX_FINISHED_RUNS) {
+      finishedRuns.removeFirst();
     }
-    Version was = runs;
-    ending = null;
-    become(Phase.OFF);
+    Version was = runningVersion;
+    forcedStopReason = null;
+    enter(Phase.OFF);
     if (stopped) {
       return;
     }
     if (told) {
-      if (next != null) {
+      if (pendingVersion != null) {
         start();
       } else {
-        fallBack();
+        fallBackToLastGood();
       }
       return;
     }
-    machine.log(was + " " + said);
-    machine.failed(was, said);
-    tries++;
-    if (next != null && !next.equals(was)) {
-      tries = 0;
+    launcher.log(was + " " + said);
+    launcher.runFailed(was, said);
+    failedRuns++;
+    if (pendingVersion != null && !pendingVersion.equals(was)) {
+      failedRuns = 0;
       start();
     } else {
-      again(was);
+      retryAfterBackoff(was);
     }
   }
 
   /** After a pause that grows; a version that never ran well gives way after a few tries. */
-  private void again(Version was) {
+  private void retryAfterBackoff(Version was) {
     boolean fails =
-        tries >= TRIES && !was.equals(memory.good()) && !memory.good().equals(Version.NONE);
+        failedRuns >= MAX_FAILED_RUNS
+            && !was.equals(state.lastGood())
+            && !state.lastGood().equals(Version.NONE);
     if (fails) {
-      tries = 0;
-      fallBack();
+      failedRuns = 0;
+      fallBackToLastGood();
       return;
     }
-    next = was;
-    become(Phase.PAUSE);
-    int of = run;
-    TimeSpan pause = FIRST_PAUSE.times(Math.pow(2, Math.min(tries, 20) - 1)).atMost(LONGEST_PAUSE);
-    machine.at(
-        machine.now().plus(pause),
+    pendingVersion = was;
+    enter(Phase.BACKING_OFF);
+    int of = runNumber;
+    TimeSpan pause =
+        FIRST_BACKOFF.times(Math.pow(2, Math.min(failedRuns, 20) - 1)).atMost(MAX_BACKOFF);
+    launcher.schedule(
+        launcher.now().plus(pause),
         () -> {
-          if (run == of && phase == Phase.PAUSE && next != null) {
-            go(next);
+          if (runNumber == of && phase == Phase.BACKING_OFF && pendingVersion != null) {
+            switchTo(pendingVersion);
           }
         });
   }
 
-  private void fallBack() {
-    Version good = memory.good();
-    if (good.equals(Version.NONE) || !machine.has(good)) {
-      become(Phase.OFF);
-      machine.log("nothing that ran well is here");
+  private void fallBackToLastGood() {
+    Version good = state.lastGood();
+    if (good.equals(Version.NONE) || !launcher.hasArtifacts(good)) {
+      enter(Phase.OFF);
+      launcher.log("nothing that ran well is here");
       return;
     }
-    machine.log("back to " + good + ", which ran well");
-    next = good;
+    launcher.log("back to " + good + ", which ran well");
+    pendingVersion = good;
     start();
   }
 
   /** The agent ends, and its relay with it. */
   public void stop() {
     stopped = true;
-    next = null;
+    pendingVersion = null;
     if (phase == Phase.STARTING || phase == Phase.READY) {
-      end("the agent ends");
-    } else if (phase != Phase.ENDING) {
-      become(Phase.OFF);
+      terminate("the agent ends");
+    } else if (phase != Phase.STOPPING) {
+      enter(Phase.OFF);
     }
   }
 
-  public boolean stoppedWhole() {
+  public boolean isStopped() {
     return stopped && phase == Phase.OFF;
   }
 
-  private void become(Phase now) {
+  private void enter(Phase now) {
     phase = now;
-    since = machine.now();
-    machine.say();
+    phaseSince = launcher.now();
+    launcher.stateChanged();
   }
 
-  private void keep(AgentState now) {
-    memory = now;
-    String wrong = machine.keep(now);
+  private void saveState(AgentState now) {
+    state = now;
+    String wrong = launcher.saveState(now);
     if (wrong != null) {
-      machine.log("what is known can't be kept: " + wrong + "; it holds until the agent ends");
+      launcher.log("what is known can't be kept: " + wrong + "; it holds until the agent ends");
     }
   }
 }
--- a/src/main/java/sprucerock/agent/AgentState.java
+++ b/src/main/java/sprucerock/agent/AgentState.java
@@ -10,22 +10,28 @@
  * @param good what ran well last; {@link Version#NONE} where nothing did
  * @param starts of the relay, in all lives of the agent
  */
-public record AgentState(long epoch, int turn, int done, Version wanted, Version good, int starts) {
+public record AgentState(
+    long epoch,
+    int generation,
+    int completedGeneration,
+    Version desired,
+    Version lastGood,
+    int starts) {
   public static final AgentState NONE = new AgentState(0, 0, 0, Version.NONE, Version.NONE, 0);
 
-  AgentState told(long newEpoch, int newTurn, int carriedOut, Version version) {
-    return new AgentState(newEpoch, newTurn, carriedOut, version, good, starts);
+  AgentState withDesired(long newEpoch, int newTurn, int carriedOut, Version version) {
+    return new AgentState(newEpoch, newTurn, carriedOut, version, lastGood, starts);
   }
 
-  AgentState carriedOut() {
-    return new AgentState(epoch, turn, turn, wanted, good, starts);
+  AgentState withGenerationCompleted() {
+    return new AgentState(epoch, generation, generation, desired, lastGood, starts);
   }
 
-  AgentState ranWell(Version version) {
-    return new AgentState(epoch, turn, done, wanted, version, starts);
+  AgentState withLastGood(Version version) {
+    return new AgentState(epoch, generation, completedGeneration, desired, version, starts);
   }
 
-  AgentState started() {
-    return new AgentState(epoch, turn, done, wanted, good, starts + 1);
+  AgentState withOneMoreStart() {
+    return new AgentState(epoch, generation, completedGeneration, desired, lastGood, starts + 1);
   }
 }
--- a/src/main/java/sprucerock/agent/ControllerClient.java
+++ b/src/main/java/sprucerock/agent/ControllerClient.java
@@ -66,7 +66,7 @@
 
   private final Deque<Readable> readables = new ArrayDeque<>();
   private Version fetching;
-  private ArtifactStore.Incoming incoming;
+  private ArtifactStore.Download incoming;
   private String incomingDigest;
   private long asked;
   private long toCheck;
@@ -105,7 +105,7 @@
       Net loop,
       ArtifactStore vault,
       Tap tap,
-      RelaySupervisor.Maker places) {
+      RelaySupervisor.Factory places) {
     this.config = config;
     this.name = name;
     this.number = number;
@@ -114,27 +114,27 @@
     this.vault = vault;
     this.tap = tap;
     here =
-        places.make(
+        places.create(
             this::changed,
             this::failed,
-            new RelaySupervisor.Consumers() {
+            new RelaySupervisor.VersionListener() {
               @Override
-              public void fetch(Version version) {
+              public void downloadRequested(Version version) {
                 ControllerClient.this.fetch(version);
               }
 
               @Override
-              public void readThrough(Version version, String refusal) {
+              public void settingsChecked(Version version, String refusal) {
                 checked(version, refusal);
               }
             });
-    agent = new Agent(here, config.times, here.remembered());
-    here.serves(agent);
+    agent = new Agent(here, config.timeouts, here.loadState());
+    here.attach(agent);
   }
 
   private static ArtifactStore vault(AgentConfig config) throws IOException {
     java.nio.file.Files.createDirectories(config.folder);
-    return new ArtifactStore(config.folder.resolve("versions"), config.mostBytes);
+    return new ArtifactStore(config.folder.resolve("versions"), config.maxArtifactBytes);
   }
 
   /** On the loop. */
@@ -154,26 +154,27 @@
       door.connection = connection;
       connections.add(connection);
     }
-    here.adopt();
-    agent.begin();
-    if (config.program != null) {
+    here.adoptRunningRelay();
+    agent.resume();
+    if (config.initialProgram != null) {
       try {
-        agent.offered(new Version(vault.put(config.program), vault.put(config.settings)));
+        agent.offerInitialVersion(
+            new Version(vault.store(config.initialProgram), vault.store(config.initialSettings)));
       } catch (IOException e) {
         here.log("what it is to begin with can't be read: " + e.getMessage());
       }
     }
     connections.forEach(ReconnectingConnection::dial);
     // from the number, so that a thousand agents that were started together do not speak together
-    loop.at(loop.now().plus(config.sayEvery.times(chance.next())), this::now);
+    loop.at(loop.now().plus(config.reportInterval.times(chance.next())), this::now);
   }
 
   private void now() {
     tell();
-    if (fetching != null && ++asked * config.sayEvery.ms() > ASK_AGAIN.ms()) {
+    if (fetching != null && ++asked * config.reportInterval.ms() > ASK_AGAIN.ms()) {
       ask();
     }
-    loop.at(loop.now().plus(config.sayEvery), this::now);
+    loop.at(loop.now().plus(config.reportInterval), this::now);
   }
 
   private void changed() {
@@ -197,13 +198,13 @@
             .setProgram(version.program())
             .setSettings(version.settings())
             .setHow(how)
-            .setTurn(agent.memory().turn())
+            .setTurn(agent.state().generation())
             .build());
     changed();
   }
 
   private void tell() {
-    RelaySums sums = here.sums();
+    RelaySums sums = here.readSums();
     ReconnectingConnection connection =
         connections.stream().filter(ReconnectingConnection::usable).findFirst().orElse(null);
     if (connection == null) {
@@ -212,12 +213,12 @@
     AgentSays.Builder says =
         AgentSays.newBuilder()
             .setZone(zone)
-            .setProgram(agent.runs().program())
-            .setSettings(agent.runs().settings())
+            .setProgram(agent.runningVersion().program())
+            .setSettings(agent.runningVersion().settings())
             .setReady(agent.ready())
-            .setDone(agent.done())
+            .setDone(agent.completedGeneration())
             .setEpoch(agent.epoch())
-            .setLife(here.life())
+            .setLife(here.incarnation())
             .setStarts(agent.starts())
             .setCores(config.cores)
             .addAllFailures(failures)
@@ -255,13 +256,13 @@
       fetching = null;
       trim(whole);
       if (whole.equals(checks)) {
-        here.readThrough(whole);
+        here.checkSettings(whole);
       }
-      agent.fetched(whole);
+      agent.downloadSucceeded(whole);
       return;
     }
     try {
-      incoming = vault.incoming(missing);
+      incoming = vault.startDownload(missing);
       incomingDigest = missing;
       ask();
     } catch (IOException e) {
@@ -272,12 +273,14 @@
   private void trim(Version whole) {
     Set<String> needed = new HashSet<>();
     for (Version one :
-        new Version[] {whole, agent.memory().good(), agent.memory().wanted(), agent.runs()}) {
+        new Version[] {
+          whole, agent.state().lastGood(), agent.state().desired(), agent.runningVersion()
+        }) {
       needed.add(one.program());
       needed.add(one.settings());
     }
     try {
-      vault.trim(needed, 2 * config.versions);
+      vault.evictOldest(needed, 2 * config.versionsKept);
     } catch (IOException | java.io.UncheckedIOException e) {
       here.log("old versions can't be deleted: " + e.getMessage());
     }
@@ -285,7 +288,7 @@
 
   private void ask() {
     asked = 0;
-    Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.from()).build();
+    Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.offset()).build();
     for (ReconnectingConnection one : connections) {
       if (one.usable()) {
         one.send(Kind.FETCH, fetch, new byte[0]);
@@ -296,7 +299,7 @@
   private void piece(Piece head, byte[] body) {
     if (fetching == null
         || !head.getDigest().equals(incomingDigest)
-        || head.getFrom() != incoming.from()) {
+        || head.getFrom() != incoming.offset()) {
       return; // asked for twice
     }
     if (head.getMissing()) {
@@ -304,7 +307,7 @@
       return;
     }
     try {
-      if (incoming.add(head.getFrom(), body, head.getSize())) {
+      if (incoming.append(head.getFrom(), body, head.getSize())) {
         nextFile();
       } else {
         ask();
@@ -320,7 +323,7 @@
     if (gone.equals(checks)) {
       checked(gone, why);
     }
-    agent.notFetched(gone, why);
+    agent.downloadFailed(gone, why);
   }
 
   private void checked(Version version, String refusal) {
@@ -342,7 +345,7 @@
   }
 
   private void wait(Runnable done) {
-    if (!agent.stoppedWhole()) {
+    if (!agent.isStopped()) {
       loop.at(loop.now().plus(TimeSpan.ofMs(20)), () -> wait(done));
       return;
     }
@@ -390,7 +393,7 @@
     private void wants(Wants wants) {
       try {
         if (!wants.getProgram().isEmpty()) {
-          agent.wants(
+          agent.applyDesiredState(
               wants.getEpoch(),
               wants.getTurn(),
               new Version(wants.getProgram(), wants.getSettings()));
@@ -400,8 +403,8 @@
         }
         checks = new Version(wants.getCheckProgram(), wants.getCheckSettings());
         toCheck = wants.getChange();
-        if (here.has(checks)) {
-          here.readThrough(checks);
+        if (here.hasArtifacts(checks)) {
+          here.checkSettings(checks);
         } else if (fetching == null) {
           fetch(checks);
         }
--- a/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
+++ b/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.config.ConfigException;
-import sprucerock.config.Live;
+import sprucerock.config.LiveSettings;
 import sprucerock.config.RelayConfig;
 import sprucerock.controller.deployment.Version;
 import sprucerock.time.TimeSpan;
@@ -54,7 +54,7 @@
   private final ArtifactStore vault;
   private final Runnable says;
   private final BiConsumer<Version, String> fails;
-  private final Consumers consumers;
+  private final VersionListener consumers;
   private Agent agent;
   private ProcessHandle process;
   private RelayConfig settings;
@@ -65,7 +65,7 @@
       ArtifactStore vault,
       Runnable says,
       BiConsumer<Version, String> fails,
-      Consumers consumers) {
+      VersionListener consumers) {
     this.config = config;
     this.loop = loop;
     this.vault = vault;
@@ -75,7 +75,7 @@
   }
 
   @Override
-  public void serves(Agent made) {
+  public void attach(Agent made) {
     agent = made;
   }
 
@@ -85,24 +85,25 @@
   }
 
   @Override
-  public void at(Timestamp when, Runnable what) {
+  public void schedule(Timestamp when, Runnable what) {
     loop.at(when, what);
   }
 
   @Override
-  public boolean has(Version version) {
+  public boolean hasArtifacts(Version version) {
     return vault.has(version.program()) && vault.has(version.settings());
   }
 
   @Override
-  public void fetch(Version version) {
-    consumers.fetch(version);
+  public void download(Version version) {
+    consumers.downloadRequested(version);
   }
 
   /** The settings as this machine has them; the message of what is wrong is one line. */
   private String filled(Version version) throws IOException, ConfigException {
     try {
-      return Template.fill(Files.readString(vault.path(version.settings())), config.values);
+      return SettingsTemplate.fill(
+          Files.readString(vault.path(version.settings())), config.templateValues);
     } catch (IllegalArgumentException e) {
       throw new ConfigException(e.getMessage());
     }
@@ -120,20 +121,20 @@
   }
 
   private List<String> command(Version version, boolean marked, String... words) {
-    List<String> command = new ArrayList<>(List.of(config.java));
+    List<String> command = new ArrayList<>(List.of(config.javaCommand));
     // in front: of a long command line the system tells its beginning
     if (marked) {
       command.add(
-          mark() + version.program() + "," + version.settings() + "," + agent.memory().turn());
+          mark() + version.program() + "," + version.settings() + "," + agent.state().generation());
     }
-    command.addAll(config.options);
+    command.addAll(config.jvmOptions);
     command.addAll(List.of("-jar", vault.path(version.program()).toString()));
     command.addAll(List.of(words));
     return command;
   }
 
   @Override
-  public void readThrough(Version version) {
+  public void checkSettings(Version version) {
     Path file;
     Process check;
     try {
@@ -143,7 +144,7 @@
               .redirectErrorStream(true)
               .start();
     } catch (IOException | ConfigException e) {
-      consumers.readThrough(version, e.getMessage());
+      consumers.settingsChecked(version, e.getMessage());
       return;
     }
     thread(
@@ -169,7 +170,7 @@
             last = "the agent ends";
           }
           String refusal = last;
-          loop.post(() -> consumers.readThrough(version, refusal));
+          loop.post(() -> consumers.settingsChecked(version, refusal));
         });
   }
 
@@ -191,7 +192,7 @@
       long from = Files.exists(file) ? Files.size(file) : 0;
       // into a file, not to the agent: the relay outlives it
       List<String> command = command(version, true, "relay", "--config", filled.toString());
-      for (String argument : config.arguments) {
+      for (String argument : config.relayArguments) {
         command.add(argument.replace("${run}", Integer.toString(agent.starts())));
       }
       Process made =
@@ -203,10 +204,10 @@
       note(version);
       log.info("START {} as process {}", version, process.pid());
       follow(process, made);
-      lookFor(" STARTED ", process, file, from, null, said -> agent.isReady());
+      lookFor(" STARTED ", process, file, from, null, said -> agent.relayStarted());
     } catch (IOException | ConfigException e) {
       process = null;
-      loop.atTurnsEnd(() -> agent.ended("can't be started: " + e.getMessage()));
+      loop.atTurnsEnd(() -> agent.processExited("can't be started: " + e.getMessage()));
     }
   }
 
@@ -231,7 +232,7 @@
         + " "
         + version.settings()
         + " "
-        + agent.memory().turn();
+        + agent.state().generation();
   }
 
   private static long startedMs(ProcessHandle one) {
@@ -254,7 +255,7 @@
                       process = null;
                       int code = child == null ? -1 : child.exitValue();
                       // Java tells a signal as 128 and its number
-                      agent.ended(
+                      agent.processExited(
                           code < 0
                               ? "its process is gone"
                               : code > 128
@@ -294,7 +295,7 @@
 
   /** The relay of an earlier life of the agent, if it runs still: it goes on. */
   @Override
-  public void adopt() {
+  public void adoptRunningRelay() {
     Path file = config.folder.resolve(PID);
     try {
       if (Files.exists(file)) {
@@ -354,12 +355,12 @@
     process = found;
     log.info("ADOPT {} as process {}", version, found.pid());
     follow(found, null);
-    agent.adopted(version, turn);
+    agent.relayAdopted(version, turn);
   }
 
   /** Its sums, or null while there are none; what goes over a limit ends it. */
   @Override
-  public RelaySums sums() {
+  public RelaySums readSums() {
     if (process == null || settings == null) {
       return null;
     }
@@ -367,21 +368,23 @@
     for (int i = 0; i < settings.methodNames.size(); i++) {
       utilities.put(settings.methodNames.get(i), settings.settings.methods.get(i).utility);
     }
-    RelaySums sums = MetricsSummary.read(settings.figures, utilities, process.pid());
+    RelaySums sums = MetricsSummary.read(settings.metricsFile, utilities, process.pid());
     if (sums == null) {
       return null;
     }
-    if (config.memoryMb > 0 && sums.getMemoryMb() > config.memoryMb) {
-      agent.over("its memory: " + Math.round(sums.getMemoryMb()) + " MB of " + config.memoryMb);
-    } else if (config.descriptors > 0 && sums.getConnections() > config.descriptors) {
-      agent.over("its descriptors: " + sums.getConnections() + " of " + config.descriptors);
+    if (config.maxMemoryMb > 0 && sums.getMemoryMb() > config.maxMemoryMb) {
+      agent.limitExceeded(
+          "its memory: " + Math.round(sums.getMemoryMb()) + " MB of " + config.maxMemoryMb);
+    } else if (config.maxDescriptors > 0 && sums.getConnections() > config.maxDescriptors) {
+      agent.limitExceeded(
+          "its descriptors: " + sums.getConnections() + " of " + config.maxDescriptors);
     }
     return sums;
   }
 
   /** Which run of the relay this is: its processor time counts from there. */
   @Override
-  public long life() {
+  public long incarnation() {
     return process == null ? 0 : process.pid() * 31 + startedMs(process);
   }
 
@@ -408,7 +411,7 @@
     try {
       Path now = config.folder.resolve(SETTINGS);
       String anew = filled(to);
-      if (!Live.needRestart(Files.readString(now), anew).isEmpty()) {
+      if (!LiveSettings.pathsThatNeedRestart(Files.readString(now), anew).isEmpty()) {
         return false;
       }
       Path log = config.folder.resolve(LOG);
@@ -417,7 +420,8 @@
       note(to);
       new ProcessBuilder("kill", "-HUP", Long.toString(one.pid())).start();
       Timestamp until = loop.now().plus(TAKES_OVER);
-      lookFor(" SETTINGS taken over", one, log, from0, until, said -> agent.reloaded(to, said));
+      lookFor(
+          " SETTINGS taken over", one, log, from0, until, said -> agent.reloadFinished(to, said));
       return true;
     } catch (IOException | ConfigException e) {
       log("settings can't be handed over: " + e.getMessage());
@@ -426,14 +430,14 @@
   }
 
   @Override
-  public String keep(AgentState memory) {
+  public String saveState(AgentState memory) {
     Properties written = new Properties();
     written.setProperty("epoch", Long.toString(memory.epoch()));
-    written.setProperty("turn", Integer.toString(memory.turn()));
-    written.setProperty("done", Integer.toString(memory.done()));
+    written.setProperty("turn", Integer.toString(memory.generation()));
+    written.setProperty("done", Integer.toString(memory.completedGeneration()));
     written.setProperty("starts", Integer.toString(memory.starts()));
-    written.setProperty("wanted", memory.wanted().program() + " " + memory.wanted().settings());
-    written.setProperty("good", memory.good().program() + " " + memory.good().settings());
+    written.setProperty("wanted", memory.desired().program() + " " + memory.desired().settings());
+    written.setProperty("good", memory.lastGood().program() + " " + memory.lastGood().settings());
     Path part = config.folder.resolve(MEMORY + ".part");
     try {
       try (var out = Files.newOutputStream(part)) {
@@ -459,7 +463,7 @@
    * said.
    */
   @Override
-  public AgentState remembered() {
+  public AgentState loadState() {
     Path file = config.folder.resolve(MEMORY);
     if (!Files.exists(file)) {
       return AgentState.NONE;
@@ -486,12 +490,12 @@
   }
 
   @Override
-  public void say() {
+  public void stateChanged() {
     says.run();
   }
 
   @Override
-  public void failed(Version version, String how) {
+  public void runFailed(Version version, String how) {
     fails.accept(version, how);
   }
 
--- a/src/main/java/sprucerock/agent/MetricsSummary.java
+++ b/src/main/java/sprucerock/agent/MetricsSummary.java
@@ -36,7 +36,7 @@
       accounts(snapshot, snapshot.accounts(), utilities, sums);
     } catch (NoSuchFileException e) {
       return sums.build(); // it has not begun one yet
-    } catch (IOException | MetricsSnapshot.BadFileException e) {
+    } catch (IOException | MetricsSnapshot.InvalidFileException e) {
       return null;
     }
     return sums.build();
--- a/src/main/java/sprucerock/agent/ProcessLauncher.java
+++ b/src/main/java/sprucerock/agent/ProcessLauncher.java
@@ -10,16 +10,16 @@
 public interface ProcessLauncher {
   Timestamp now();
 
-  void at(Timestamp when, Runnable what);
+  void schedule(Timestamp when, Runnable what);
 
   /** Whether program and settings are here, whole. */
-  boolean has(Version version);
+  boolean hasArtifacts(Version version);
 
   /** Gets what is missing of it; ends in {@link Agent#fetched} or {@link Agent#notFetched}. */
-  void fetch(Version version);
+  void download(Version version);
 
   /** Reads the settings through with that program; ends in {@link Agent#readThrough}. */
-  void readThrough(Version version);
+  void checkSettings(Version version);
 
   /**
    * Starts the relay; ends, if all goes well, in {@link Agent#isReady}, and some time in {@link
@@ -43,13 +43,13 @@
    * Keeps what has to be known after the agent's own end; null where the disk took it, else why
    * not.
    */
-  String keep(AgentState memory);
+  String saveState(AgentState memory);
 
   /** How its relay stands has changed: the controller is told, if it can be heard. */
-  void say();
+  void stateChanged();
 
   /** A run ended other than as told: it did not get ready, ended by itself or went over a limit. */
-  void failed(Version version, String how);
+  void runFailed(Version version, String how);
 
   /** One line for people. */
   void log(String line);
--- a/src/main/java/sprucerock/agent/RelaySupervisor.java
+++ b/src/main/java/sprucerock/agent/RelaySupervisor.java
@@ -12,32 +12,33 @@
  */
 public interface RelaySupervisor extends ProcessLauncher {
   /** What comes of a fetch and of reading through is asked of and told to these. */
-  interface Consumers {
-    void fetch(Version version);
+  interface VersionListener {
+    void downloadRequested(Version version);
 
-    void readThrough(Version version, String refusal);
+    void settingsChecked(Version version, String refusal);
   }
 
   /**
    * Makes the place of one agent; {@code says}: how its relay stands has changed; {@code fails}: a
    * run ended other than as told.
    */
-  interface Maker {
-    RelaySupervisor make(Runnable says, BiConsumer<Version, String> fails, Consumers consumers);
+  interface Factory {
+    RelaySupervisor create(
+        Runnable says, BiConsumer<Version, String> fails, VersionListener consumers);
   }
 
   /** Names the core that is told what comes of things. */
-  void serves(Agent agent);
+  void attach(Agent agent);
 
   /** What an earlier life of the agent kept, else {@link MetricsMemory#NONE}. */
-  AgentState remembered();
+  AgentState loadState();
 
   /** The relay of an earlier life of the agent goes on, if it runs still. */
-  void adopt();
+  void adoptRunningRelay();
 
   /** Its relay's sums; null while there are none. */
-  RelaySums sums();
+  RelaySums readSums();
 
   /** Which run of the relay this is. */
-  long life();
+  long incarnation();
 }
--- a/src/main/java/sprucerock/agent/Template.java
+++ b/src/main/java/sprucerock/agent/SettingsTemplate.java
@@ -11,10 +11,10 @@
  * dollar sign stands for a value that the agent's configuration has. So one digest names the
  * settings of all.
  */
-final class Template {
+final class SettingsTemplate {
   private static final Pattern PLACE = Pattern.compile("\\$\\{([A-Za-z0-9_.-]{1,64})\\}");
 
-  private Template() {}
+  private SettingsTemplate() {}
 
   /**
    * @throws IllegalArgumentException in one line, if a place has no value here
--- a/src/main/java/sprucerock/agent/artifact/ArtifactStore.java
+++ b/src/main/java/sprucerock/agent/artifact/ArtifactStore.java
@@ -25,13 +25,13 @@
  * takes its place by one renaming.
  */
 public final class ArtifactStore {
-  private static final String PART = ".part";
+  private static final String PARTIAL_SUFFIX = ".part";
 
   private final Path folder;
-  private final long most;
+  private final long maxBytes;
 
   /** Those whose bytes were looked at in this life. */
-  private final Set<String> whole = new HashSet<>();
+  private final Set<String> verified = new HashSet<>();
 
   /**
    * {@code most}: bytes of one file that are taken.
@@ -40,10 +40,10 @@
    */
   public ArtifactStore(Path folder, long most) throws IOException {
     this.folder = Files.createDirectories(folder);
-    this.most = most;
+    this.maxBytes = most;
     try (Stream<Path> found = Files.list(folder)) {
       for (Path one : found.toList()) {
-        if (one.toString().endsWith(PART)) {
+        if (one.toString().endsWith(PARTIAL_SUFFIX)) {
           Files.delete(one); // of an earlier life: begun anew
         }
       }
@@ -60,13 +60,13 @@
     if (!Files.exists(file)) {
       return false;
     }
-    if (whole.contains(digest)) {
+    if (verified.contains(digest)) {
       return true;
     }
     try {
       boolean right = digest(file).equals(digest);
       if (right) {
-        whole.add(digest);
+        verified.add(digest);
       } else {
         Files.delete(file);
       }
@@ -88,29 +88,29 @@
    * Takes a file in; returns its digest. @throws IOException if it can't be read or kept, or is too
    * large
    */
-  public String put(Path file) throws IOException {
+  public String store(Path file) throws IOException {
     long size = Files.size(file);
-    if (size > most) {
-      throw new IOException(file + " has " + size + " bytes, " + most + " are allowed");
+    if (size > maxBytes) {
+      throw new IOException(file + " has " + size + " bytes, " + maxBytes + " are allowed");
     }
-    Path part = folder.resolve("put-" + System.nanoTime() + PART);
+    Path part = folder.resolve("put-" + System.nanoTime() + PARTIAL_SUFFIX);
     Files.copy(file, part);
     String digest = digest(part);
-    place(part, digest);
+    publish(part, digest);
     return digest;
   }
 
-  private void place(Path part, String digest) throws IOException {
+  private void publish(Path part, String digest) throws IOException {
     try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
       channel.force(true);
     }
     Files.move(
         part, path(digest), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    whole.add(digest);
+    verified.add(digest);
   }
 
   public static String digest(Path file) throws IOException {
-    MessageDigest sha = sha();
+    MessageDigest sha = sha256();
     byte[] piece = new byte[1 << 16];
     try (InputStream in = Files.newInputStream(file)) {
       for (int read = in.read(piece); read > 0; read = in.read(piece)) {
@@ -120,7 +120,7 @@
     return HexFormat.of().formatHex(sha.digest());
   }
 
-  private static MessageDigest sha() {
+  private static MessageDigest sha256() {
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
@@ -133,7 +133,7 @@
   }
 
   /** So many bytes of it from there on, fewer at its end. */
-  public byte[] piece(String digest, long from, int many) throws IOException {
+  public byte[] readChunk(String digest, long from, int many) throws IOException {
     try (FileChannel channel = FileChannel.open(path(digest), StandardOpenOption.READ)) {
       ByteBuffer bytes =
           ByteBuffer.allocate((int) Math.max(0, Math.min(many, channel.size() - from)));
@@ -143,19 +143,19 @@
   }
 
   /** Something that comes in pieces. */
-  public final class Incoming {
+  public final class Download {
     private final String digest;
-    private final Path part;
+    private final Path partialFile;
     private long written;
 
-    private Incoming(String digest) throws IOException {
+    private Download(String digest) throws IOException {
       this.digest = digest;
-      part = folder.resolve(digest + PART);
-      Files.deleteIfExists(part);
+      partialFile = folder.resolve(digest + PARTIAL_SUFFIX);
+      Files.deleteIfExists(partialFile);
     }
 
     /** From where the next piece is wanted. */
-    public long from() {
+    public long offset() {
       return written;
     }
 
@@ -164,57 +164,57 @@
      *
      * @throws IOException if the disk does not take it, or what came is not what was asked for
      */
-    public boolean add(long from, byte[] bytes, long size) throws IOException {
-      if (size > most) {
-        throw new IOException("it has " + size + " bytes, " + most + " are allowed");
+    public boolean append(long from, byte[] bytes, long size) throws IOException {
+      if (size > maxBytes) {
+        throw new IOException("it has " + size + " bytes, " + maxBytes + " are allowed");
       }
       if (from != written || bytes.length == 0 || written + bytes.length > size) {
         throw new IOException(
             "a piece from " + from + " came where one from " + written + " was asked for");
       }
-      Files.write(part, bytes, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+      Files.write(partialFile, bytes, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
       written += bytes.length;
       if (written < size) {
         return false;
       }
-      String found = digest(part);
+      String found = digest(partialFile);
       if (!found.equals(digest)) {
-        Files.delete(part);
+        Files.delete(partialFile);
         throw new IOException(
             "what came has the digest "
                 + found.substring(0, 8)
                 + ", not "
                 + digest.substring(0, 8));
       }
-      place(part, digest);
+      publish(partialFile, digest);
       return true;
     }
   }
 
-  public Incoming incoming(String digest) throws IOException {
-    return new Incoming(digest);
+  public Download startDownload(String digest) throws IOException {
+    return new Download(digest);
   }
 
   /** Leaves the newest so many, and those that are needed whatever their age. */
-  public void trim(Set<String> needed, int newest) throws IOException {
+  public void evictOldest(Set<String> needed, int newest) throws IOException {
     List<Path> found = new ArrayList<>();
     try (Stream<Path> all = Files.list(folder)) {
       all.filter(one -> one.getFileName().toString().matches("[0-9a-f]{64}")).forEach(found::add);
     }
-    found.sort(Comparator.comparing(ArtifactStore::age).reversed());
+    found.sort(Comparator.comparing(ArtifactStore::lastModified).reversed());
     for (int i = newest; i < found.size(); i++) {
       if (!needed.contains(found.get(i).getFileName().toString())) {
-        forget(found.get(i));
+        delete(found.get(i));
       }
     }
   }
 
-  private void forget(Path file) throws IOException {
-    whole.remove(file.getFileName().toString());
+  private void delete(Path file) throws IOException {
+    verified.remove(file.getFileName().toString());
     Files.delete(file);
   }
 
-  private static java.nio.file.attribute.FileTime age(Path file) {
+  private static java.nio.file.attribute.FileTime lastModified(Path file) {
     try {
       return Files.getLastModifiedTime(file);
     } catch (IOException e) {
--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -183,7 +183,7 @@
           new MetricsExporter(
               with.keeper::snapshot,
               () -> false,
-              with.keeper::kept,
+              with.keeper::isPersistent,
               Map::of,
               new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
         Histogram scrapes = new Histogram(60_000_000_000L, 3);
@@ -393,7 +393,7 @@
                     tls == null
                         ? null
                         : new Workers(
-                            config.tlsWorkers, config.tlsWorkWaiting, loop::post, made::broken));
+                            config.tlsWorkers, config.tlsQueueCapacity, loop::post, made::broken));
               } catch (Material.BadMaterialException e) {
                 throw new IOException(e.getMessage());
               }
--- a/src/main/java/sprucerock/cli/CheckConfigCommand.java
+++ b/src/main/java/sprucerock/cli/CheckConfigCommand.java
@@ -19,9 +19,9 @@
   @Override
   public Integer call() throws Exception {
     RelayConfig config = RelayConfig.read(file);
-    if (config.tls != null) {
+    if (config.tlsSetup != null) {
       try {
-        Material.read(config.tls.files());
+        Material.read(config.tlsSetup.files());
       } catch (Material.BadMaterialException e) {
         throw new ConfigException(e.getMessage());
       }
--- a/src/main/java/sprucerock/cli/FiguresCommand.java
+++ b/src/main/java/sprucerock/cli/FiguresCommand.java
@@ -90,7 +90,7 @@
     try {
       MetricsSnapshot snapshot = MetricsSnapshot.read(file);
       if (!check) {
-        System.out.print(file + ": " + MetricsTable.of(snapshot));
+        System.out.print(file + ": " + MetricsTable.format(snapshot));
       }
       List<MethodAccounts.Drift> drifts = snapshot.accounts().check(snapshot.values);
       for (MethodAccounts.Drift drift : drifts) {
@@ -100,7 +100,7 @@
         System.out.println(file + ": every sum holds");
       }
       return drifts.isEmpty();
-    } catch (MetricsSnapshot.BadFileException e) {
+    } catch (MetricsSnapshot.InvalidFileException e) {
       System.out.println(e.getMessage());
       return false;
     }
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -12,7 +12,7 @@
 import sprucerock.Policy;
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.config.ConfigException;
-import sprucerock.config.Live;
+import sprucerock.config.LiveSettings;
 import sprucerock.config.RelayConfig;
 import sprucerock.lease.Leases;
 import sprucerock.metrics.MetricsExporter;
@@ -75,7 +75,7 @@
     try {
       RelayConfig anew = RelayConfig.read(file);
       String text = Files.readString(file);
-      java.util.List<String> restart = Live.needRestart(inForce, text);
+      java.util.List<String> restart = LiveSettings.pathsThatNeedRestart(inForce, text);
       if (!restart.isEmpty()) {
         throw new ConfigException(file + ": " + restart + " can't be taken over without a restart");
       }
@@ -121,17 +121,17 @@
             MethodAccounts accounts = relay.get().ledger().accounts();
             keeper.set(
                 MetricsFileWriter.open(
-                    config.figures,
+                    config.metricsFile,
                     accounts,
                     () -> loop.atTurnsEnd(accounts::commit),
                     relay.get()::figuresFile));
-            boolean fits = config.leases != null && config.leases.fitsEvery() != null;
+            boolean fits = config.leases != null && config.leases.hardwareFitInterval() != null;
             Workers aside =
-                config.tls == null && !fits
+                config.tlsSetup == null && !fits
                     ? null
                     : new Workers(
                         Math.max(1, config.tlsWorkers),
-                        Math.max(1, config.tlsWorkWaiting),
+                        Math.max(1, config.tlsQueueCapacity),
                         loop::post,
                         relay.get()::broken);
             relay.get().start(Policy::new, aside);
@@ -150,16 +150,16 @@
     if (wrong.get() != null) {
       throw new IOException(wrong.get());
     }
-    if (config.scrapedAt != null) {
+    if (config.scrapeAddress != null) {
       try {
         new MetricsExporter(
             keeper.get()::snapshot,
             relay.get()::drifting,
-            keeper.get()::kept,
+            keeper.get()::isPersistent,
             () -> now(relay.get()),
-            config.scrapedAt);
+            config.scrapeAddress);
       } catch (IOException e) {
-        throw new IOException(config.scrapedAt + " can't be scraped at: " + e.getMessage());
+        throw new IOException(config.scrapeAddress + " can't be scraped at: " + e.getMessage());
       }
     }
     Signal.handle(new Signal("HUP"), signal -> reload(loop, relay.get()));
--- a/src/main/java/sprucerock/config/LeaseConfig.java
+++ b/src/main/java/sprucerock/config/LeaseConfig.java
@@ -21,55 +21,56 @@
  *     null: it does not stand for it
  */
 public record LeaseConfig(
-    int me,
-    int granter,
+    int memberNumber,
+    int grantorNumber,
     InetSocketAddress listen,
-    List<InetSocketAddress> granters,
+    List<InetSocketAddress> grantors,
     TimeSpan term,
-    TimeSpan longest,
+    TimeSpan maxTerm,
     double drift,
-    int most,
-    TimeSpan looksEvery,
-    TimeSpan fitsEvery) {
+    int maxConnections,
+    TimeSpan healthCheckInterval,
+    TimeSpan hardwareFitInterval) {
 
   /**
    * Of an element {@code leases}; null where there is none. {@code me}: used where the element
    * names none.
    */
-  public static LeaseConfig of(Node node, int me) throws ConfigException {
+  public static LeaseConfig of(XmlElement node, int me) throws ConfigException {
     if (node == null) {
       return null;
     }
     List<InetSocketAddress> granters = new ArrayList<>();
-    for (Node one : node.all("granter")) {
+    for (XmlElement one : node.children("granter")) {
       InetSocketAddress address = Address.of(one.text("host"), one.count("port"));
       if (address == null) {
-        throw one.wrong("host \"" + one.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+        throw one.invalid(
+            "host \"" + one.text("host") + "\" is no IPv4 or IPv6 address in numbers");
       }
       if (granters.contains(address)) {
-        throw one.wrong("two granters have one address, and would be one");
+        throw one.invalid("two granters have one address, and would be one");
       }
       granters.add(address);
     }
     if (granters.size() != 3 && granters.size() != 5) {
-      throw node.wrong(
+      throw node.invalid(
           granters.size() + " granters: 3 or 5 are needed, of which 2 or 3 have to be there");
     }
     TimeSpan term = node.span("term");
     TimeSpan longest = node.has("longest") ? node.span("longest") : term;
     if (TimeSpan.ofMs(100).over(term)) {
-      throw node.wrong("term is 100ms at least, far over what a process may be held up");
+      throw node.invalid("term is 100ms at least, far over what a process may be held up");
     }
     if (term.over(longest)) {
-      throw node.wrong("longest is not under term, " + node.text("term"));
+      throw node.invalid("longest is not under term, " + node.text("term"));
     }
     double drift = node.number("drift");
     if (!(drift >= 0 && drift < 0.2)) {
-      throw node.wrong("drift is 0 to under 0.2: a share by which a clock may run fast or slow");
+      throw node.invalid("drift is 0 to under 0.2: a share by which a clock may run fast or slow");
     }
     int granter = node.has("grants") ? node.count("grants") : -1;
     if (granter >= granters.size()) {
-      throw node.wrong(
+      throw node.invalid(
           "grants=\"" + granter + "\": the granters are 0 to " + (granters.size() - 1));
     }
     InetSocketAddress listen =
@@ -92,19 +93,19 @@
   }
 
   /** Null where this process does not stand for it. */
-  private static TimeSpan every(Node node, String task, TimeSpan usual, TimeSpan least)
+  private static TimeSpan every(XmlElement node, String task, TimeSpan usual, TimeSpan least)
       throws ConfigException {
     TimeSpan found = null;
-    for (Node one : node.all("stand")) {
+    for (XmlElement one : node.children("stand")) {
       if (!one.text("for").equals(task)) {
         continue;
       }
       if (found != null) {
-        throw one.wrong(task + " is named twice");
+        throw one.invalid(task + " is named twice");
       }
       found = one.has("every") ? one.span("every") : usual;
       if (least.over(found)) {
-        throw one.wrong("every is " + Math.round(least.ms()) + "ms at least for " + task);
+        throw one.invalid("every is " + Math.round(least.ms()) + "ms at least for " + task);
       }
     }
     return found;
--- a/src/main/java/sprucerock/config/Live.java
+++ b/src/main/java/sprucerock/config/LiveSettings.java
@@ -23,11 +23,11 @@
  * {@code appinfo} of "live". The schema is the only list there is; relay, agent and controller ask
  * here.
  */
-public final class Live {
+public final class LiveSettings {
   private static final String SCHEMA = "/sprucerock/relay.xsd";
   private static final Set<String> LIVE = live();
 
-  private Live() {}
+  private LiveSettings() {}
 
   /**
    * Where two settings differ and a restart is needed, by paths such as relay/limits/frame; empty
@@ -35,7 +35,7 @@
    *
    * @throws ConfigException if either is no XML
    */
-  public static List<String> needRestart(String from, String to) throws ConfigException {
+  public static List<String> pathsThatNeedRestart(String from, String to) throws ConfigException {
     List<String> found = new ArrayList<>();
     differences(parse(from), parse(to), "", found);
     found.removeIf(LIVE::contains);
@@ -111,7 +111,7 @@
   /** From the schema: the chain of elements around each attribute that is marked. */
   private static Set<String> live() {
     Set<String> found = new TreeSet<>();
-    try (InputStream in = Live.class.getResourceAsStream(SCHEMA)) {
+    try (InputStream in = LiveSettings.class.getResourceAsStream(SCHEMA)) {
       NodeList marks =
           builder().parse(in).getElementsByTagNameNS(XMLConstants.W3C_XML_SCHEMA_NS_URI, "appinfo");
       for (int i = 0; i < marks.getLength(); i++) {
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -26,63 +26,63 @@
   public final String name;
   public final long seed;
   public final InetSocketAddress listen;
-  public final InetSocketAddress roster;
-  public final InetSocketAddress desk;
+  public final InetSocketAddress discovery;
+  public final InetSocketAddress controller;
 
   /** Where the other relays are, by their numbers. */
   public final Map<Integer, InetSocketAddress> peers;
 
   /** RPCs open at a time, in all and from one connection. */
-  public final int open;
+  public final int maxOpenRequests;
 
-  public final int openPerClient;
+  public final int maxOpenRequestsPerClient;
 
   /** Connections that are taken at a time. */
-  public final int clients;
+  public final int maxClientConnections;
 
-  public final int endpoints;
-  public final Limits connection;
+  public final int maxEndpoints;
+  public final Limits connectionLimits;
 
   /** Bytes that may wait for a peer; a message that would come on top is dropped. */
-  public final long peerUnsent;
+  public final long maxPeerUnsentBytes;
 
   /** How long open RPCs may take to end once the relay is told to. */
-  public final TimeSpan finishWithin;
+  public final TimeSpan shutdownTimeout;
 
   /** How long the first list and news may take before clients are let in without them. */
-  public final TimeSpan waitForList;
+  public final TimeSpan discoveryTimeout;
 
-  public final TimeSpan connectWithin;
-  public final int connectionsPerUnit;
-  public final int picksEach;
-  public final int waitingPerUnit;
-  public final TimeSpan idle;
-  public final TimeSpan pauseFirst;
-  public final TimeSpan pauseMost;
+  public final TimeSpan connectTimeout;
+  public final int connectionsPerEndpoint;
+  public final int attemptsPerConnection;
+  public final int waitingPerEndpoint;
+  public final TimeSpan idleTimeout;
+  public final TimeSpan firstBackoff;
+  public final TimeSpan maxBackoff;
 
   /** Where figures are kept through the relay's lives; null: in memory only. */
-  public final Path figures;
+  public final Path metricsFile;
 
   /** Where they can be scraped; null: nowhere. */
-  public final InetSocketAddress scrapedAt;
+  public final InetSocketAddress scrapeAddress;
 
   /** Once figures drift, no new RPC is taken. */
-  public final boolean strict;
+  public final boolean rejectsOnMetricsDrift;
 
   /** Null: nothing is encrypted. */
-  public final Tls.Setup tls;
+  public final Tls.Setup tlsSetup;
 
   /**
    * Whether units, other relays and clients are reached and taken by TLS; and whether clients have
    * to be proven.
    */
-  public final boolean tlsUnits;
+  public final boolean tlsToEndpoints;
 
   public final boolean tlsPeers;
   public final boolean tlsClients;
-  public final boolean provenClients;
+  public final boolean clientsAuthenticated;
   public final int tlsWorkers;
-  public final int tlsWorkWaiting;
+  public final int tlsQueueCapacity;
 
   /** The names that other relays' certificates have to carry, by their numbers. */
   public final Map<Integer, String> peerNames;
@@ -90,10 +90,10 @@
   /**
    * How often it asks until when it may place work on racks; null: nothing is ever frozen for it.
    */
-  public final TimeSpan racksEvery;
+  public final TimeSpan rackPermitInterval;
 
   /** By how much of itself a clock may be off, the controller's and this one's each. */
-  public final double racksDrift;
+  public final double rackClockDrift;
 
   /** The longest deadline of all methods: what is begun may run for so long. */
   public final TimeSpan longestDeadline;
@@ -108,116 +108,116 @@
 
   /** Reads and checks a file; the first thing that is wrong ends it. */
   public static RelayConfig read(Path file) throws ConfigException {
-    return new RelayConfig(Node.read(file, "/sprucerock/relay.xsd"));
+    return new RelayConfig(XmlElement.read(file, "/sprucerock/relay.xsd"));
   }
 
-  private RelayConfig(Node root) throws ConfigException {
+  private RelayConfig(XmlElement root) throws ConfigException {
     name = root.text("name");
-    seed = root.big("seed");
+    seed = root.longNumber("seed");
     listen = address(root.child("listen"));
-    roster = address(root.child("roster"));
-    desk = address(root.child("desk"));
-    Node limits = root.child("limits");
-    open = limits.count("open");
-    openPerClient = limits.count("open-per-client");
-    clients = limits.count("clients");
-    endpoints = limits.count("units");
+    discovery = address(root.child("roster"));
+    controller = address(root.child("desk"));
+    XmlElement limits = root.child("limits");
+    maxOpenRequests = limits.count("open");
+    maxOpenRequestsPerClient = limits.count("open-per-client");
+    maxClientConnections = limits.count("clients");
+    maxEndpoints = limits.count("units");
     if (limits.bytes("frame") < 1024 || limits.bytes("frame") > 1 << 30) {
-      throw limits.wrong("frame may be 1KiB to 1024MiB, not " + limits.text("frame"));
+      throw limits.invalid("frame may be 1KiB to 1024MiB, not " + limits.text("frame"));
     }
-    connection =
+    connectionLimits =
         new Limits((int) limits.bytes("frame"), limits.bytes("unsent"), limits.span("beat"));
-    if (connection.unsent() < connection.frame()) {
-      throw limits.wrong("unsent must hold one frame, " + limits.text("frame"));
+    if (connectionLimits.unsent() < connectionLimits.frame()) {
+      throw limits.invalid("unsent must hold one frame, " + limits.text("frame"));
     }
     atLeast(limits, "beat", TimeSpan.ofMs(10));
-    peerUnsent = limits.bytes("peer-unsent");
-    finishWithin = limits.span("finish-within");
-    waitForList = limits.span("wait-for-list");
-    Node connections = root.child("connections");
-    connectWithin = connections.span("connect-within");
-    connectionsPerUnit = connections.count("per-unit");
-    picksEach = connections.count("picks-each");
-    waitingPerUnit = connections.count("waiting-per-unit");
-    idle = connections.span("idle");
-    pauseFirst = connections.span("pause-first");
-    pauseMost = connections.span("pause-most");
+    maxPeerUnsentBytes = limits.bytes("peer-unsent");
+    shutdownTimeout = limits.span("finish-within");
+    discoveryTimeout = limits.span("wait-for-list");
+    XmlElement connections = root.child("connections");
+    connectTimeout = connections.span("connect-within");
+    connectionsPerEndpoint = connections.count("per-unit");
+    attemptsPerConnection = connections.count("picks-each");
+    waitingPerEndpoint = connections.count("waiting-per-unit");
+    idleTimeout = connections.span("idle");
+    firstBackoff = connections.span("pause-first");
+    maxBackoff = connections.span("pause-most");
     atLeast(connections, "idle", TimeSpan.ofMs(10));
     atLeast(connections, "pause-first", TimeSpan.ofMs(1));
-    atLeast(connections, "pause-most", pauseFirst);
-    Node kept = root.child("figures");
-    figures = kept == null || !kept.has("file") ? null : Path.of(kept.text("file"));
-    scrapedAt = kept == null || !kept.has("port") ? null : address(kept);
-    strict = kept != null && kept.flag("strict");
-    Node racks = root.child("racks");
-    racksEvery = racks == null ? null : racks.span("ask-every");
-    racksDrift = racks == null ? 0 : racks.number("drift");
+    atLeast(connections, "pause-most", firstBackoff);
+    XmlElement kept = root.child("figures");
+    metricsFile = kept == null || !kept.has("file") ? null : Path.of(kept.text("file"));
+    scrapeAddress = kept == null || !kept.has("port") ? null : address(kept);
+    rejectsOnMetricsDrift = kept != null && kept.flag("strict");
+    XmlElement racks = root.child("racks");
+    rackPermitInterval = racks == null ? null : racks.span("ask-every");
+    rackClockDrift = racks == null ? 0 : racks.number("drift");
     if (racks != null) {
       atLeast(racks, "ask-every", TimeSpan.ofMs(10));
     }
-    if (racksDrift >= 0.2) {
-      throw racks.wrong("drift is under 0.2: a share by which a clock may run fast or slow");
+    if (rackClockDrift >= 0.2) {
+      throw racks.invalid("drift is under 0.2: a share by which a clock may run fast or slow");
     }
     TimeSpan longest = TimeSpan.ZERO;
-    for (Node method : root.child("site").all("method")) {
+    for (XmlElement method : root.child("site").children("method")) {
       longest = longest.atLeast(method.span("deadline"));
     }
     longestDeadline = longest;
     leases = LeaseConfig.of(root.child("leases"), root.count("number"));
-    Node site = root.child("site");
+    XmlElement site = root.child("site");
     int number = root.count("number");
     Settings.Draft draft = draft(site, number);
-    draft.idle = idle;
+    draft.idle = idleTimeout;
     settings = new Settings(draft);
     if (number >= settings.relays) {
-      throw root.wrong(
+      throw root.invalid(
           "number " + number + " of " + settings.relays + " relays: 0 to " + (settings.relays - 1));
     }
-    methodNames = site.all("method").stream().map(method -> method.text("name")).toList();
+    methodNames = site.children("method").stream().map(method -> method.text("name")).toList();
     if (Set.copyOf(methodNames).size() < methodNames.size()) {
-      throw site.wrong("two methods have one name");
+      throw site.invalid("two methods have one name");
     }
     TreeMap<Integer, InetSocketAddress> found = new TreeMap<>();
-    for (Node peer : root.all("peer")) {
+    for (XmlElement peer : root.children("peer")) {
       int other = peer.count("number");
       if (other >= settings.relays) {
-        throw peer.wrong("number " + other + ": allowed are 0 to " + (settings.relays - 1));
+        throw peer.invalid("number " + other + ": allowed are 0 to " + (settings.relays - 1));
       }
       if (other == number) {
         continue; // one list can serve a whole fleet
       }
       if (found.put(other, address(peer)) != null) {
-        throw peer.wrong("number " + other + " is named twice");
+        throw peer.invalid("number " + other + " is named twice");
       }
     }
     peers = Collections.unmodifiableMap(found);
-    Node secured = root.child("tls");
-    tls = secured == null ? null : setup(secured);
-    tlsUnits = secured != null && secured.flag("units");
+    XmlElement secured = root.child("tls");
+    tlsSetup = secured == null ? null : setup(secured);
+    tlsToEndpoints = secured != null && secured.flag("units");
     tlsPeers = secured != null && secured.flag("peers");
     tlsClients = secured != null && !secured.text("clients").equals("plain");
-    provenClients = secured != null && secured.text("clients").equals("proven");
+    clientsAuthenticated = secured != null && secured.text("clients").equals("proven");
     tlsWorkers = secured == null ? 0 : secured.count("workers");
-    tlsWorkWaiting = secured == null ? 0 : secured.count("work-waiting");
+    tlsQueueCapacity = secured == null ? 0 : secured.count("work-waiting");
     TreeMap<Integer, String> names = new TreeMap<>();
-    for (Node peer : root.all("peer")) {
+    for (XmlElement peer : root.children("peer")) {
       if (tlsPeers && !peer.has("name")) {
-        throw peer.wrong("with tls/peers a name is needed, that its certificate carries");
+        throw peer.invalid("with tls/peers a name is needed, that its certificate carries");
       }
       if (peer.has("name")) {
         names.put(peer.count("number"), peer.text("name"));
       }
     }
     peerNames = Collections.unmodifiableMap(names);
-    if (tlsPeers && !provenClients) {
-      throw secured.wrong("peers need clients=\"proven\": relays are taken where clients are");
+    if (tlsPeers && !clientsAuthenticated) {
+      throw secured.invalid("peers need clients=\"proven\": relays are taken where clients are");
     }
     if (tlsClients && !secured.has("key")) {
-      throw secured.wrong("clients need a key");
+      throw secured.invalid("clients need a key");
     }
   }
 
-  private static Tls.Setup setup(Node node) throws ConfigException {
+  private static Tls.Setup setup(XmlElement node) throws ConfigException {
     Material.Sources files =
         new Material.Sources(
             path(node, "trust"),
@@ -254,43 +254,44 @@
     return Duration.ofNanos((long) (span.ms() * 1e6));
   }
 
-  private static Path path(Node node, String key) {
+  private static Path path(XmlElement node, String key) {
     return node.has(key) ? Path.of(node.text(key)) : null;
   }
 
-  private static void atLeast(Node node, String key, TimeSpan least) throws ConfigException {
+  private static void atLeast(XmlElement node, String key, TimeSpan least) throws ConfigException {
     if (least.over(node.span(key))) {
-      throw node.wrong(key + " may be " + least.ms() + "ms at least, not " + node.text(key));
+      throw node.invalid(key + " may be " + least.ms() + "ms at least, not " + node.text(key));
     }
   }
 
-  private static void atMost(Node node, String child, int most) throws ConfigException {
-    int count = node.all(child).size();
+  private static void atMost(XmlElement node, String child, int most) throws ConfigException {
+    int count = node.children(child).size();
     if (count > most) {
-      throw node.wrong(count + " of " + child + ", allowed are " + most);
+      throw node.invalid(count + " of " + child + ", allowed are " + most);
     }
   }
 
-  private static InetSocketAddress address(Node node) throws ConfigException {
+  private static InetSocketAddress address(XmlElement node) throws ConfigException {
     InetSocketAddress address = Address.of(node.text("host"), node.count("port"));
     if (address == null) {
-      throw node.wrong("host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+      throw node.invalid(
+          "host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
     }
     return address;
   }
 
-  private static Settings.Draft draft(Node site, int number) throws ConfigException {
+  private static Settings.Draft draft(XmlElement site, int number) throws ConfigException {
     Settings.Draft draft = new Settings.Draft();
     atMost(site, "method", 256);
     atMost(site, "customer", 10_000);
     atMost(site, "stage", 100);
-    for (Node method : site.all("method")) {
+    for (XmlElement method : site.children("method")) {
       draft.methods.add(method(method, draft.methods.size()));
     }
-    for (Node tenant : site.all("customer")) {
+    for (XmlElement tenant : site.children("customer")) {
       draft.tenantShares.add(tenant.number("share"));
     }
-    for (Node stage : site.all("stage")) {
+    for (XmlElement stage : site.children("stage")) {
       draft.caps.add(stage.number("cap"));
     }
     draft.zone = site.count("zone");
@@ -301,7 +302,7 @@
     atLeast(site, "tick", TimeSpan.ofMs(0.1));
     draft.ask = site.flag("ask");
     draft.askWithin = site.span("ask-within");
-    Node rules = site.child("rules");
+    XmlElement rules = site.child("rules");
     draft.cold = rules.span("cold");
     draft.startShare = rules.number("start-capacity");
     draft.tipAfter = rules.span("tip-after");
@@ -309,7 +310,7 @@
     draft.perMethod = rules.flag("cap-by-method");
     draft.free = rules.number("free-picks");
     if (!(draft.free >= 0) || !(draft.tipMultiple > 0)) {
-      throw rules.wrong("free-picks: 0 or more; tip-multiple: above 0");
+      throw rules.invalid("free-picks: 0 or more; tip-multiple: above 0");
     }
     if (rules.has("guarded-stages")) {
       draft.guardedStages = rules.count("guarded-stages");
@@ -317,14 +318,14 @@
     if (rules.has("one-way-keys")) {
       draft.oneWayKeys = rules.flag("one-way-keys");
     }
-    Node allowed = site.child("allowed");
+    XmlElement allowed = site.child("allowed");
     draft.maxAttempts = allowed.count("picks");
     draft.secondCopies = allowed.flag("second-copies");
     draft.cancel = allowed.flag("cancel");
     draft.peers = allowed.flag("peers");
     draft.retryAfter = allowed.flag("retry-after");
     draft.maxRetryAfter = allowed.span("most-retry-after");
-    Node votes = site.child("votes");
+    XmlElement votes = site.child("votes");
     draft.control =
         Settings.Control.valueOf(votes.text("control").toUpperCase(java.util.Locale.ROOT));
     draft.voteLife = votes.span("life");
@@ -337,7 +338,7 @@
     return draft;
   }
 
-  private static Method method(Node node, int index) throws ConfigException {
+  private static Method method(XmlElement node, int index) throws ConfigException {
     Method.Effect effect =
         switch (node.text("effect")) {
           case "idempotent" -> Method.Effect.IDEMPOTENT;
@@ -346,15 +347,15 @@
         };
     boolean tokened = effect == Method.Effect.TOKENED;
     if (tokened != node.has("window") || !tokened && node.has("group")) {
-      throw node.wrong("window is for tokened methods, which need it; group for them alone");
+      throw node.invalid("window is for tokened methods, which need it; group for them alone");
     }
     TimeSpan soft = node.span("soft-deadline");
     if (soft.over(node.span("deadline"))) {
-      throw node.wrong("soft-deadline is at most the deadline, " + node.text("deadline"));
+      throw node.invalid("soft-deadline is at most the deadline, " + node.text("deadline"));
     }
     atLeast(node, "soft-deadline", TimeSpan.ofMs(1));
     if (!(node.number("utility") > 0)) {
-      throw node.wrong("utility is above 0, not " + node.text("utility"));
+      throw node.invalid("utility is above 0, not " + node.text("utility"));
     }
     Method.Group group =
         !node.has("group")
--- a/src/main/java/sprucerock/config/Node.java
+++ b/src/main/java/sprucerock/config/XmlElement.java
@@ -22,26 +22,28 @@
 import sprucerock.time.TimeSpan;
 
 /** An element of a checked XML file, with its line; spans and sizes are read with their units. */
-public final class Node {
+public final class XmlElement {
   private final String file;
   private final int line;
   private final String name;
   private final Map<String, String> values = new LinkedHashMap<>();
-  private final List<Node> children = new ArrayList<>();
+  private final List<XmlElement> children = new ArrayList<>();
 
-  private Node(String file, int line, String name) {
+  private XmlElement(String file, int line, String name) {
     this.file = file;
     this.line = line;
     this.name = name;
   }
 
   /** Reads a file against a schema in the jar; the first thing that is wrong ends it. */
-  public static Node read(Path path, String schema) throws ConfigException {
+  public static XmlElement read(Path path, String schema) throws ConfigException {
     String file = path.toString();
     Reader reader = new Reader(file);
     String where =
-        Node.class.getResource(schema).toExternalForm(); // so that it can include others beside it
-    try (InputStream xsd = Node.class.getResourceAsStream(schema);
+        XmlElement.class
+            .getResource(schema)
+            .toExternalForm(); // so that it can include others beside it
+    try (InputStream xsd = XmlElement.class.getResourceAsStream(schema);
         InputStream in = Files.newInputStream(path)) {
       SAXParserFactory factory = SAXParserFactory.newInstance();
       factory.setNamespaceAware(true);
@@ -65,9 +67,9 @@
 
   private static final class Reader extends DefaultHandler {
     private final String file;
-    private final List<Node> open = new ArrayList<>();
+    private final List<XmlElement> open = new ArrayList<>();
     private Locator locator;
-    private Node root;
+    private XmlElement root;
 
     Reader(String file) {
       this.file = file;
@@ -80,7 +82,7 @@
 
     @Override
     public void startElement(String space, String local, String qualified, Attributes attributes) {
-      Node node = new Node(file, locator.getLineNumber(), local);
+      XmlElement node = new XmlElement(file, locator.getLineNumber(), local);
       for (int i = 0; i < attributes.getLength(); i++) {
         node.values.put(attributes.getLocalName(i), attributes.getValue(i));
       }
@@ -104,16 +106,16 @@
   }
 
   /** One that says what is wrong here, and what is allowed. */
-  public ConfigException wrong(String what) {
+  public ConfigException invalid(String what) {
     return new ConfigException(file + ":" + line + ": " + name + ": " + what);
   }
 
-  public List<Node> all(String child) {
+  public List<XmlElement> children(String child) {
     return children.stream().filter(node -> node.name.equals(child)).toList();
   }
 
   /** The child of a name; null where there is none. */
-  public Node child(String child) {
+  public XmlElement child(String child) {
     return children.stream().filter(node -> node.name.equals(child)).findFirst().orElse(null);
   }
 
@@ -133,7 +135,7 @@
     return Integer.parseInt(text(key).trim());
   }
 
-  public long big(String key) {
+  public long longNumber(String key) {
     return Long.parseLong(text(key).trim());
   }
 
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -342,7 +342,7 @@
       try {
         if (Version.digest(fetch.getDigest()) && vault.has(fetch.getDigest())) {
           piece.setSize(vault.size(fetch.getDigest()));
-          body = vault.piece(fetch.getDigest(), fetch.getFrom(), PIECE);
+          body = vault.readChunk(fetch.getDigest(), fetch.getFrom(), PIECE);
         }
       } catch (IOException e) {
         log.error("VERSIONS {} can't be read: {}", fetch.getDigest(), e.getMessage());
--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -16,7 +16,7 @@
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.LeaseConfig;
-import sprucerock.config.Node;
+import sprucerock.config.XmlElement;
 import sprucerock.controller.RolloutRules;
 import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.maintenance.CapacityCheck;
@@ -89,64 +89,64 @@
 
   /** Reads and checks a file; the first thing that is wrong ends it. */
   public static ControllerConfig read(Path file) throws ConfigException {
-    return new ControllerConfig(Node.read(file, "/sprucerock/controller.xsd"));
+    return new ControllerConfig(XmlElement.read(file, "/sprucerock/controller.xsd"));
   }
 
-  private ControllerConfig(Node root) throws ConfigException {
+  private ControllerConfig(XmlElement root) throws ConfigException {
     name = root.text("name");
     folder = Path.of(root.text("folder"));
     firstBuild = root.count("first-build");
     places = root.count("places");
     if (firstBuild > 65_535) {
-      throw root.wrong("first-build is 65535 at most");
+      throw root.invalid("first-build is 65535 at most");
     }
-    Node relayNode = root.child("relays");
+    XmlElement relayNode = root.child("relays");
     relays = address(relayNode);
     mostRelays = relayNode.count("most");
     unsent = relayNode.bytes("unsent");
     tellEvery = relayNode.span("tell-every");
-    Node hookNode = root.child("hooks");
+    XmlElement hookNode = root.child("hooks");
     hooks = address(hookNode);
     body = (int) Math.min(hookNode.bytes("body"), 16 << 20);
     window = hookNode.span("window");
     atOnce = hookNode.count("at-once");
     readWithin = hookNode.span("read-within");
     Map<String, Source> found = new TreeMap<>();
-    for (Node node : hookNode.all("source")) {
+    for (XmlElement node : hookNode.children("source")) {
       Signatures.Form form = Signatures.Form.valueOf(node.text("form").toUpperCase(Locale.ROOT));
       List<byte[]> secrets;
       try {
         secrets = Signatures.secrets(secret(node, "secrets"), form);
       } catch (IllegalArgumentException e) {
-        throw node.wrong("secrets: a line of " + node.text("secrets") + " is no base64");
+        throw node.invalid("secrets: a line of " + node.text("secrets") + " is no base64");
       }
       if (secrets.isEmpty()) {
-        throw node.wrong("secrets: " + node.text("secrets") + " holds none");
+        throw node.invalid("secrets: " + node.text("secrets") + " holds none");
       }
       if (found.put(
               node.text("name"),
               new Source(node.text("name"), form, secrets, node.count("a-second")))
           != null) {
-        throw node.wrong("named twice");
+        throw node.invalid("named twice");
       }
     }
     sources = found;
-    Node apiNode = root.child("api");
+    XmlElement apiNode = root.child("api");
     api = address(apiNode);
     token = secret(apiNode, "token").strip();
     if (token.length() < 16) {
-      throw apiNode.wrong("token: " + apiNode.text("token") + " holds fewer than 16 characters");
+      throw apiNode.invalid("token: " + apiNode.text("token") + " holds fewer than 16 characters");
     }
     List<WebhookOutbox.Target> targets = new ArrayList<>();
-    for (Node node : root.all("tell")) {
+    for (XmlElement node : root.children("tell")) {
       URI url;
       try {
         url = URI.create(node.text("url"));
       } catch (IllegalArgumentException e) {
-        throw node.wrong("url is none: " + e.getMessage());
+        throw node.invalid("url is none: " + e.getMessage());
       }
       if (!"http".equals(url.getScheme()) && !"https".equals(url.getScheme())) {
-        throw node.wrong("url begins with http:// or https://");
+        throw node.invalid("url begins with http:// or https://");
       }
       try {
         targets.add(
@@ -156,19 +156,19 @@
                 Signatures.secrets(secret(node, "secret"), Signatures.Form.STANDARD).get(0),
                 Duration.ofMillis((long) node.span("give-up").ms())));
       } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-        throw node.wrong("secret: " + node.text("secret") + " holds no base64");
+        throw node.invalid("secret: " + node.text("secret") + " holds no base64");
       }
     }
     tells = List.copyOf(targets);
     lease = root.span("lease");
     if (TimeSpan.ofMs(500).over(lease)) {
-      throw root.wrong("lease is 500ms at least");
+      throw root.invalid("lease is 500ms at least");
     }
     leases = LeaseConfig.of(root.child("leases"), CANDIDATE);
-    Node racks = root.child("racks");
+    XmlElement racks = root.child("racks");
     room = racks == null ? null : room(racks);
     freezes = racks == null ? null : freezes(racks);
-    Node agentsNode = root.child("agents");
+    XmlElement agentsNode = root.child("agents");
     agents = agentsNode == null ? null : address(agentsNode);
     mostAgents = agentsNode == null ? 1 : agentsNode.count("most");
     piecesASecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
@@ -176,10 +176,10 @@
     incoming = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
     plan = plan(agentsNode);
     List<RolloutRules.Stage> stages =
-        root.all("stage").stream()
+        root.children("stage").stream()
             .map(stage -> new RolloutRules.Stage(stage.number("share"), stage.number("cap")))
             .toList();
-    Node votes = root.child("votes");
+    XmlElement votes = root.child("votes");
     rules =
         new RolloutRules(
             stages,
@@ -197,7 +197,7 @@
   }
 
   /** Without agents there is a plan too, which nobody goes by. */
-  private static DeploymentPlan plan(Node node) throws ConfigException {
+  private static DeploymentPlan plan(XmlElement node) throws ConfigException {
     if (node == null) {
       return new DeploymentPlan(
           List.of(new DeploymentPlan.Stage(1, 0.1)),
@@ -209,7 +209,7 @@
           TimeSpan.ofMs(1));
     }
     List<DeploymentPlan.Stage> stages = new ArrayList<>();
-    for (Node stage : node.all("change-stage")) {
+    for (XmlElement stage : node.children("change-stage")) {
       stages.add(new DeploymentPlan.Stage(stage.number("share"), stage.number("harm")));
     }
     try {
@@ -222,18 +222,18 @@
           node.number("refused"),
           node.span("silent"));
     } catch (IllegalArgumentException e) {
-      throw node.wrong(e.getMessage());
+      throw node.invalid(e.getMessage());
     }
   }
 
-  private static CapacityCheck room(Node node) throws ConfigException {
+  private static CapacityCheck room(XmlElement node) throws ConfigException {
     Map<String, Rack> racks = new TreeMap<>();
     Set<Integer> places = new java.util.HashSet<>();
-    for (Node one : node.all("rack")) {
+    for (XmlElement one : node.children("rack")) {
       Map<Integer, Double> endpoints = new TreeMap<>();
-      for (Node some : one.all("units")) {
+      for (XmlElement some : one.children("units")) {
         if (endpoints.put(some.count("kind"), (double) some.count("count")) != null) {
-          throw some.wrong("kind " + some.text("kind") + " is named twice");
+          throw some.invalid("kind " + some.text("kind") + " is named twice");
         }
       }
       Rack rack =
@@ -244,26 +244,26 @@
               endpoints,
               (long) (one.has("notice") ? one : node).span("notice").ms());
       if (racks.put(rack.name(), rack) != null) {
-        throw one.wrong("two racks have one name");
+        throw one.invalid("two racks have one name");
       }
       if (rack.noticeMs() <= 0) {
-        throw one.wrong("notice is over 0");
+        throw one.invalid("notice is over 0");
       }
       if (rack.zone() > 32_767) {
-        throw one.wrong("a zone is 0 to 32767");
+        throw one.invalid("a zone is 0 to 32767");
       }
       if (!places.add(rack.zone() << 16 | rack.cell())) {
-        throw one.wrong("two racks have one zone and cell");
+        throw one.invalid("two racks have one zone and cell");
       }
       if (racks.size() > MOST_RACKS) {
-        throw one.wrong("more than " + MOST_RACKS + " racks");
+        throw one.invalid("more than " + MOST_RACKS + " racks");
       }
     }
     Map<Integer, CapacityCheck.Forecast> forecasts = new TreeMap<>();
-    for (Node one : node.all("forecast")) {
+    for (XmlElement one : node.children("forecast")) {
       String[] words = one.text("by-hour").trim().split("\\s+");
       if (words.length != 24) {
-        throw one.wrong(
+        throw one.invalid(
             "by-hour has a number for each of the 24 hours of the day in UTC, not " + words.length);
       }
       double[] byHour = new double[24];
@@ -274,31 +274,32 @@
               one.count("zone"),
               new CapacityCheck.Forecast(one.count("kind"), one.count("method"), byHour))
           != null) {
-        throw one.wrong("a zone has two forecasts");
+        throw one.invalid("a zone has two forecasts");
       }
     }
     return new CapacityCheck(racks.values(), forecasts, node.number("reserve"));
   }
 
-  private static MaintenanceWindows.Rules freezes(Node node) throws ConfigException {
+  private static MaintenanceWindows.Rules freezes(XmlElement node) throws ConfigException {
     try {
       return new MaintenanceWindows.Rules(
           (long) node.span("warm").ms(), (long) node.span("step").ms(), node.number("confidence"));
     } catch (IllegalArgumentException e) {
-      throw node.wrong(e.getMessage());
+      throw node.invalid(e.getMessage());
     }
   }
 
-  private static InetSocketAddress address(Node node) throws ConfigException {
+  private static InetSocketAddress address(XmlElement node) throws ConfigException {
     InetSocketAddress address = Address.of(node.text("host"), node.count("port"));
     if (address == null) {
-      throw node.wrong("host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+      throw node.invalid(
+          "host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
     }
     return address;
   }
 
   /** A secret that others may read is none. */
-  private static String secret(Node node, String key) throws ConfigException {
+  private static String secret(XmlElement node, String key) throws ConfigException {
     Path file = Path.of(node.text(key));
     try {
       Set<PosixFilePermission> open = Files.getPosixFilePermissions(file);
@@ -308,11 +309,11 @@
               PosixFilePermission.OWNER_WRITE,
               PosixFilePermission.OWNER_EXECUTE));
       if (!open.isEmpty()) {
-        throw node.wrong(key + ": " + file + " is open to others than its owner; chmod 600 it");
+        throw node.invalid(key + ": " + file + " is open to others than its owner; chmod 600 it");
       }
       return Files.readString(file);
     } catch (IOException e) {
-      throw node.wrong(key + ": " + file + " can't be read: " + e.getClass().getSimpleName());
+      throw node.invalid(key + ": " + file + " can't be read: " + e.getClass().getSimpleName());
     }
   }
 }
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -209,7 +209,7 @@
     loop.post(
         () -> {
           try {
-            if (config.leases.granter() >= 0) {
+            if (config.leases.grantorNumber() >= 0) {
               granter = new GrantorListener(loop, config.leases, config.name, tap, say);
               granter.start();
             }
@@ -217,7 +217,10 @@
           } catch (IOException e) {
             wrong[0] =
                 new IOException(
-                    "granter " + config.leases.granter() + " can't listen: " + e.getMessage());
+                    "granter "
+                        + config.leases.grantorNumber()
+                        + " can't listen: "
+                        + e.getMessage());
           } finally {
             done.countDown();
           }
--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -29,7 +29,7 @@
 import java.util.function.Consumer;
 import org.xnio.Options;
 import sprucerock.config.ConfigException;
-import sprucerock.config.Live;
+import sprucerock.config.LiveSettings;
 import sprucerock.controller.Engine;
 import sprucerock.controller.Rollout;
 import sprucerock.controller.RolloutManager;
@@ -490,7 +490,7 @@
   private boolean needsNoRestart(String from, String to) {
     try {
       return desk.vault().has(from)
-          && Live.needRestart(
+          && LiveSettings.pathsThatNeedRestart(
                   Files.readString(desk.vault().path(from)),
                   Files.readString(desk.vault().path(to)))
               .isEmpty();
@@ -510,7 +510,7 @@
       throw new IllegalArgumentException(
           "no file " + name + " is in the controller's incoming folder");
     }
-    return desk.vault().put(file);
+    return desk.vault().store(file);
   }
 
   private static ObjectNode brief(Deployment change) {
@@ -569,13 +569,13 @@
   private ObjectNode leases(Map<Integer, LeaseListed> known) {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode granters = all.putArray("granters");
-    for (int i = 0; i < config.leases.granters().size(); i++) {
+    for (int i = 0; i < config.leases.grantors().size(); i++) {
       LeaseListed one = known.get(i);
       ObjectNode node =
           granters
               .addObject()
               .put("granter", i)
-              .put("at", config.leases.granters().get(i).toString().replaceFirst("^/", ""))
+              .put("at", config.leases.grantors().get(i).toString().replaceFirst("^/", ""))
               .put("heard", one != null);
       if (one != null) {
         node.put("grants_in_ms", one.getOpensUs() / 1000).put("refused", one.getRefused());
@@ -610,7 +610,7 @@
         });
     ArrayNode list = all.putArray("leases");
     byName.values().forEach(list::add);
-    return all.put("majority", config.leases.granters().size() / 2 + 1);
+    return all.put("majority", config.leases.grantors().size() / 2 + 1);
   }
 
   private void freeze(HttpServerExchange exchange, JsonNode body) {
--- a/src/main/java/sprucerock/lab/GranterProcess.java
+++ b/src/main/java/sprucerock/lab/GranterProcess.java
@@ -62,7 +62,7 @@
       started.get();
     } catch (ExecutionException e) {
       throw new IOException(
-          "granter " + of.leases.granter() + " can't listen: " + e.getCause().getMessage());
+          "granter " + of.leases.grantorNumber() + " can't listen: " + e.getCause().getMessage());
     }
     in.transferTo(java.io.OutputStream.nullOutputStream());
     loop.close();
--- a/src/main/java/sprucerock/lab/HollowMachine.java
+++ b/src/main/java/sprucerock/lab/HollowMachine.java
@@ -29,7 +29,7 @@
   private final Version first;
   private final Runnable says;
   private final BiConsumer<Version, String> fails;
-  private final Consumers consumers;
+  private final VersionListener consumers;
   private AgentState memory;
   private Agent agent;
   private int run;
@@ -41,7 +41,7 @@
       Version first,
       Runnable says,
       BiConsumer<Version, String> fails,
-      Consumers consumers) {
+      VersionListener consumers) {
     this.net = net;
     this.chance = chance;
     this.first = first;
@@ -52,12 +52,12 @@
   }
 
   @Override
-  public void serves(Agent made) {
+  public void attach(Agent made) {
     agent = made;
   }
 
   @Override
-  public AgentState remembered() {
+  public AgentState loadState() {
     return memory;
   }
 
@@ -65,14 +65,14 @@
    * As where an agent comes back to a relay that runs: a fleet that starts cold is another scene.
    */
   @Override
-  public void adopt() {
+  public void adoptRunningRelay() {
     run++;
     started = net.now();
-    agent.adopted(first, 0);
+    agent.relayAdopted(first, 0);
   }
 
   @Override
-  public RelaySums sums() {
+  public RelaySums readSums() {
     if (started == null) {
       return null;
     }
@@ -92,7 +92,7 @@
   }
 
   @Override
-  public long life() {
+  public long incarnation() {
     return run;
   }
 
@@ -102,23 +102,23 @@
   }
 
   @Override
-  public void at(Timestamp when, Runnable what) {
+  public void schedule(Timestamp when, Runnable what) {
     net.at(when, what);
   }
 
   @Override
-  public boolean has(Version version) {
+  public boolean hasArtifacts(Version version) {
     return true;
   }
 
   @Override
-  public void fetch(Version version) {
-    net.atTurnsEnd(() -> agent.fetched(version));
+  public void download(Version version) {
+    net.atTurnsEnd(() -> agent.downloadSucceeded(version));
   }
 
   @Override
-  public void readThrough(Version version) {
-    net.atTurnsEnd(() -> consumers.readThrough(version, ""));
+  public void checkSettings(Version version) {
+    net.atTurnsEnd(() -> consumers.settingsChecked(version, ""));
   }
 
   @Override
@@ -129,7 +129,7 @@
         net.now().plus(STARTS.times(0.8 + 0.4 * chance.next())),
         () -> {
           if (run == of) {
-            agent.isReady();
+            agent.relayStarted();
           }
         });
   }
@@ -151,7 +151,7 @@
         net.now().plus(after),
         () -> {
           if (run == of) {
-            agent.ended(how);
+            agent.processExited(how);
           }
         });
   }
@@ -167,25 +167,25 @@
         net.now().plus(ENDS),
         () -> {
           if (run == of) {
-            agent.reloaded(to, true);
+            agent.reloadFinished(to, true);
           }
         });
     return true;
   }
 
   @Override
-  public String keep(AgentState kept) {
+  public String saveState(AgentState kept) {
     memory = kept;
     return null;
   }
 
   @Override
-  public void say() {
+  public void stateChanged() {
     says.run();
   }
 
   @Override
-  public void failed(Version version, String how) {
+  public void runFailed(Version version, String how) {
     fails.accept(version, how);
   }
 
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -56,7 +56,7 @@
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
             .setRole(Role.GRANTER)
-            .setNumber(config.granter())
+            .setNumber(config.grantorNumber())
             .setName(name)
             .build();
     granter =
@@ -115,11 +115,11 @@
    * @throws IOException if its address can't be had
    */
   public InetSocketAddress start() throws IOException {
-    InetSocketAddress at = config.granters().get(config.granter());
+    InetSocketAddress at = config.grantors().get(config.grantorNumber());
     listener =
         net.listen(
             config.listen() == null ? at : config.listen(),
-            config.most(),
+            config.maxConnections(),
             Leases.LIMITS.unsent(),
             () -> {
               Session session = new Session();
@@ -128,11 +128,11 @@
             });
     log.info(
         "granter "
-            + config.granter()
+            + config.grantorNumber()
             + " listens at "
             + listener.address()
             + " and grants after "
-            + Math.round(config.longest().ms())
+            + Math.round(config.maxTerm().ms())
             + " ms, when all that its last life granted is over");
     return listener.address();
   }
@@ -229,7 +229,7 @@
     Timestamp now = net.clock();
     LeaseListed.Builder all =
         LeaseListed.newBuilder()
-            .setGranter(config.granter())
+            .setGranter(config.grantorNumber())
             .setRefused(granter.refusals())
             .setOpensUs((long) Math.max(0, granter.opens().since(now).ms() * 1000));
     granter
--- a/src/main/java/sprucerock/lease/Leases.java
+++ b/src/main/java/sprucerock/lease/Leases.java
@@ -85,26 +85,26 @@
     this.wallMs = wallMs;
     this.log = log;
     terms = terms(config);
-    chance = new DeterministicRandom(life ^ config.me());
+    chance = new DeterministicRandom(life ^ config.memberNumber());
     mine =
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
-            .setNumber(config.me())
+            .setNumber(config.memberNumber())
             .setName(name)
             .build();
   }
 
   static Terms terms(LeaseConfig config) {
-    return new Terms(config.granters().size(), config.term(), config.longest(), config.drift());
+    return new Terms(config.grantors().size(), config.term(), config.maxTerm(), config.drift());
   }
 
   /** Links up. On the loop's thread. */
   public void start() {
-    for (int i = 0; i < config.granters().size(); i++) {
+    for (int i = 0; i < config.grantors().size(); i++) {
       ReconnectingConnection connection =
           new ReconnectingConnection(
-              net, config.granters().get(i), mine, LIMITS, tap, chance, new Granting(i));
+              net, config.grantors().get(i), mine, LIMITS, tap, chance, new Granting(i));
       granters.add(connection);
       // a fleet that starts together does not come to its granters in one instant
       net.at(
@@ -200,7 +200,7 @@
 
     Standing(String name, Task task) {
       this.task = task;
-      candidate = new LeaseClient(name, terms, this, chance::next, config.me(), life);
+      candidate = new LeaseClient(name, terms, this, chance::next, config.memberNumber(), life);
       guard = new LeaseCheck(candidate, net::clock);
     }
 
@@ -339,7 +339,7 @@
     public void closed(String why) {
       if (up && !stopping) {
         log.warn(
-            "granter " + granter + " at " + config.granters().get(granter) + " is lost: " + why);
+            "granter " + granter + " at " + config.grantors().get(granter) + " is lost: " + why);
       }
       up = false;
     }
--- a/src/main/java/sprucerock/metrics/MetricsExporter.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -100,12 +100,12 @@
     int status = 200;
     try {
       MetricsSnapshot snapshot = snapshots.get();
-      text.append(MetricsTable.of(snapshot));
+      text.append(MetricsTable.format(snapshot));
       for (MethodAccounts.Drift drift : snapshot.accounts().check(snapshot.values)) {
         text.append("DRIFT ").append(drift).append('\n');
         status = 500;
       }
-    } catch (MetricsSnapshot.BadFileException e) {
+    } catch (MetricsSnapshot.InvalidFileException e) {
       throw new IOException(e.getMessage());
     }
     byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
@@ -126,7 +126,7 @@
     MethodAccounts accounts;
     try {
       accounts = snapshot.accounts();
-    } catch (MetricsSnapshot.BadFileException e) {
+    } catch (MetricsSnapshot.InvalidFileException e) {
       throw new IllegalStateException(e.getMessage());
     }
     MetricSnapshots.Builder all = MetricSnapshots.builder();
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -27,10 +27,10 @@
 
   private final MethodAccounts accounts;
   private final MappedMetricsFile pages;
-  private final boolean kept;
+  private final boolean isPersistent;
 
   private MetricsFileWriter(MethodAccounts accounts, MappedMetricsFile pages, boolean kept) {
-    this.kept = kept;
+    this.isPersistent = kept;
     this.accounts = accounts;
     this.pages = pages;
   }
@@ -51,7 +51,7 @@
         generation = last.generation + 1;
         found = CARRIED;
       }
-    } catch (MetricsSnapshot.BadFileException e) {
+    } catch (MetricsSnapshot.InvalidFileException e) {
       found = SET_ASIDE;
       say.accept(e.getMessage() + "; " + setAside(file));
     } catch (IOException e) {
@@ -122,7 +122,7 @@
   }
 
   private static void carry(MetricsSnapshot last, MethodAccounts accounts)
-      throws MetricsSnapshot.BadFileException {
+      throws MetricsSnapshot.InvalidFileException {
     MethodAccounts old = last.accounts();
     for (MethodMetrics from : old.sheets()) {
       MethodMetrics to = accounts.sheets().get(old.sheets().indexOf(from));
@@ -138,15 +138,15 @@
   }
 
   /** Whether they outlive a kill: there is a file, and it could be written. */
-  public boolean kept() {
-    return kept;
+  public boolean isPersistent() {
+    return isPersistent;
   }
 
   /** All figures at the end of a turn; from any thread, without holding the relay up. */
   public MetricsSnapshot snapshot() {
     try {
       return MetricsSnapshot.read(pages.memory(), "this relay");
-    } catch (MetricsSnapshot.BadFileException e) {
+    } catch (MetricsSnapshot.InvalidFileException e) {
       throw new IllegalStateException(e.getMessage());
     }
   }
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -16,10 +16,10 @@
  */
 public final class MetricsSnapshot {
   /** A file that can't be used; the message says why in one line. */
-  public static final class BadFileException extends Exception {
+  public static final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadFileException(String message) {
+    InvalidFileException(String message) {
       super(message);
     }
   }
@@ -28,17 +28,17 @@
   private static final int MOST_VALUES = 10_000_000;
 
   public final long generation;
-  public final boolean closed;
+  public final boolean cleanShutdown;
   public final String layout;
-  public final String[] names;
+  public final String[] rowNames;
   public final long[] values;
 
   private MetricsSnapshot(
       long generation, boolean closed, String layout, String[] names, long[] values) {
     this.generation = generation;
-    this.closed = closed;
+    this.cleanShutdown = closed;
     this.layout = layout;
-    this.names = names;
+    this.rowNames = names;
     this.values = values;
   }
 
@@ -48,11 +48,11 @@
    * @throws IOException if it can't be read at all
    * @throws BadFileException if what it holds are no figures, or not whole
    */
-  public static MetricsSnapshot read(Path file) throws IOException, BadFileException {
+  public static MetricsSnapshot read(Path file) throws IOException, InvalidFileException {
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
       long size = channel.size();
       if (size < MappedMetricsFile.HEAD || size > Integer.MAX_VALUE) {
-        throw new BadFileException(file + ": " + size + " bytes are no figures");
+        throw new InvalidFileException(file + ": " + size + " bytes are no figures");
       }
       return read(
           new BufferMetricsMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)),
@@ -60,9 +60,9 @@
     }
   }
 
-  static MetricsSnapshot read(MetricsMemory memory, String file) throws BadFileException {
+  static MetricsSnapshot read(MetricsMemory memory, String file) throws InvalidFileException {
     if (memory.get(0) != MappedMetricsFile.MAGIC) {
-      throw new BadFileException(file + ": no figures, or those of another version");
+      throw new InvalidFileException(file + ": no figures, or those of another version");
     }
     long count = memory.get(MappedMetricsFile.VALUES);
     long rows = memory.get(MappedMetricsFile.ROWS);
@@ -80,11 +80,11 @@
                     + 2 * (count + 2) * 8
                 == memory.size();
     if (!fits) {
-      throw new BadFileException(file + ": cut short, or its head is damaged");
+      throw new InvalidFileException(file + ": cut short, or its head is damaged");
     }
     byte[] layout = bytes(memory, MappedMetricsFile.HEAD, (int) layoutBytes);
     if (MappedMetricsFile.crc(layout) != memory.get(MappedMetricsFile.LAYOUT_CRC)) {
-      throw new BadFileException(file + ": its layout is damaged");
+      throw new InvalidFileException(file + ": its layout is damaged");
     }
     Copies copies =
         new Copies(
@@ -106,7 +106,7 @@
         long odd = copies.read(1);
         read = Math.max(even, odd) >= 0 && copies.read(Math.max(even, odd)) >= 0;
         if (!read) {
-          throw new BadFileException(file + ": its checksums are wrong");
+          throw new InvalidFileException(file + ": its checksums are wrong");
         }
       }
       if (read) {
@@ -119,7 +119,7 @@
       }
       Thread.onSpinWait();
     }
-    throw new BadFileException(file + ": changed at each of " + TRIES + " looks");
+    throw new InvalidFileException(file + ": changed at each of " + TRIES + " looks");
   }
 
   /**
@@ -137,7 +137,7 @@
     final long[] values;
 
     Copies(MetricsMemory memory, int namesAt, int rows, int count, String layout, String file)
-        throws BadFileException {
+        throws InvalidFileException {
       this.memory = memory;
       this.file = file;
       this.namesAt = namesAt;
@@ -154,7 +154,7 @@
         }
       }
       if (row != rows || firsts[rows] != count) {
-        throw new BadFileException(file + ": its layout does not fit its head");
+        throw new InvalidFileException(file + ": its layout does not fit its head");
       }
     }
 
@@ -162,14 +162,14 @@
      * Reads the copy that a turn's number falls to; returns the number that stands in it, -1 where
      * it is not whole.
      */
-    long read(long sequence) throws BadFileException {
+    long read(long sequence) throws InvalidFileException {
       int at = MappedMetricsFile.copyAt(valuesAt, values.length, sequence);
       long check = 0;
       for (int row = 0; row < names.length; row++) {
         int nameAt = namesAt + row * MappedMetricsFile.NAME;
         long length = memory.get(nameAt);
         if (length < 0 || length > MappedMetricsFile.NAME - 8) {
-          throw new BadFileException(file + ": a name is damaged");
+          throw new InvalidFileException(file + ": a name is damaged");
         }
         if (length == 0) {
           continue;
@@ -199,7 +199,7 @@
   }
 
   /** Accounts of the same layout and names, to check and name these values by. */
-  public MethodAccounts accounts() throws BadFileException {
+  public MethodAccounts accounts() throws InvalidFileException {
     List<String> methods = new ArrayList<>();
     int[] rooms = new int[3];
     int row = 0;
@@ -207,7 +207,7 @@
       String[] parts = line.split(" ");
       int rows = Integer.parseInt(parts[2]);
       for (int i = 0; i < rows - 1 && parts[0].equals("rpcs"); i++) {
-        methods.add(names[row + i]);
+        methods.add(rowNames[row + i]);
       }
       if (parts[0].equals("build_picks")) {
         rooms[0] = rows - 1;
@@ -223,13 +223,13 @@
     MethodAccounts made =
         new MethodAccounts(methods, new MethodAccounts.Room(rooms[0], rooms[1], rooms[2]));
     if (!made.layout().equals(layout)) {
-      throw new BadFileException("figures of another version");
+      throw new InvalidFileException("figures of another version");
     }
     int at = 0;
     for (MethodMetrics sheet : made.sheets()) {
       for (int i = 0; i < sheet.rows(); i++, at++) {
-        if (names[at] != null) {
-          made.named(sheet, i, names[at]);
+        if (rowNames[at] != null) {
+          made.named(sheet, i, rowNames[at]);
         }
       }
     }
--- a/src/main/java/sprucerock/metrics/MetricsTable.java
+++ b/src/main/java/sprucerock/metrics/MetricsTable.java
@@ -13,14 +13,15 @@
 
   private MetricsTable() {}
 
-  public static String of(MetricsSnapshot snapshot) throws MetricsSnapshot.BadFileException {
+  public static String format(MetricsSnapshot snapshot)
+      throws MetricsSnapshot.InvalidFileException {
     MethodAccounts accounts = snapshot.accounts();
     StringBuilder text =
         new StringBuilder(
             "generation "
                 + snapshot.generation
                 + ", "
-                + (snapshot.closed ? "ended in good order" : "running, or cut off")
+                + (snapshot.cleanShutdown ? "ended in good order" : "running, or cut off")
                 + "\n");
     for (MethodMetrics sheet : accounts.sheets()) {
       if (sheet.scaled()) {
--- a/src/main/java/sprucerock/rehearsal/scenario/FleetMetricsAudit.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/FleetMetricsAudit.java
@@ -103,7 +103,7 @@
           MetricsSnapshot.read(folder.resolve("relay-" + number + ".figures"));
       relays.add(snapshot);
       accounts.add(snapshot.accounts());
-    } catch (MetricsSnapshot.BadFileException e) {
+    } catch (MetricsSnapshot.InvalidFileException e) {
       throw new IOException(e.getMessage());
     }
     // frames of turns that a kill cut off before their postings counted, within bounds that the
--- a/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
@@ -61,7 +61,7 @@
     try {
       snapshot = MetricsSnapshot.read(folder.resolve("relay-" + relay + ".figures"));
       accounts = snapshot.accounts();
-    } catch (MetricsSnapshot.BadFileException e) {
+    } catch (MetricsSnapshot.InvalidFileException e) {
       return List.of(new Entry(e.getMessage(), 0, 1, 0, false));
     }
     long[] calls = new long[2];
--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -72,7 +72,8 @@
     this.events = events;
     this.answered = answered;
     redial =
-        new ReconnectingConnection(net, config.desk, mine, config.connection, tap, chance, this);
+        new ReconnectingConnection(
+            net, config.controller, mine, config.connectionLimits, tap, chance, this);
   }
 
   public void start() {
@@ -142,7 +143,7 @@
       redial.cut("no release desk answers there");
       return;
     }
-    events.info(EventLog.Kind.DESK_BACK, "linked to the release desk at " + config.desk);
+    events.info(EventLog.Kind.DESK_BACK, "linked to the release desk at " + config.controller);
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -107,7 +107,8 @@
     this.chance = chance;
     this.listFailed = listFailed;
     redial =
-        new ReconnectingConnection(net, config.roster, mine, config.connection, tap, chance, this);
+        new ReconnectingConnection(
+            net, config.discovery, mine, config.connectionLimits, tap, chance, this);
   }
 
   void start() {
@@ -139,7 +140,7 @@
       redial.cut("no roster answers there");
       return;
     }
-    events.info(EventLog.Kind.ROSTER_BACK, "linked to the roster at " + config.roster);
+    events.info(EventLog.Kind.ROSTER_BACK, "linked to the roster at " + config.discovery);
     if (!config.settings.ask) {
       redial.send(Kind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
@@ -205,11 +206,13 @@
                     ? "a build over 65535"
                     : !(entry.getWeight() > 0) || entry.getWeight() > 1e6
                         ? "a weight that is not above 0"
-                        : known == null && runs.size() >= config.endpoints
+                        : known == null && runs.size() >= config.maxEndpoints
                             ? "more units than limits/units allows"
                             : entry.getUnit() >>> 32 != 0
                                 ? "an id of 2^32 or more"
-                                : config.tls != null && config.tlsUnits && entry.getName().isEmpty()
+                                : config.tlsSetup != null
+                                        && config.tlsToEndpoints
+                                        && entry.getName().isEmpty()
                                     ? "no name, by which it could be proven"
                                     : null;
     if (wrong != null) {
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -78,7 +78,7 @@
     this.config = config;
     this.chance = chance;
     this.owner = owner;
-    pause = config.pauseFirst;
+    pause = config.firstBackoff;
   }
 
   boolean at(InetSocketAddress there, String called) {
@@ -103,7 +103,7 @@
       }
       if (!connection.greeted) {
         connecting++;
-      } else if (connection.load() < config.picksEach
+      } else if (connection.load() < config.attemptsPerConnection
           && (best == null || connection.load() < best.load())) {
         best = connection;
       }
@@ -114,21 +114,21 @@
     }
     Timestamp now = owner.now();
     boolean paused = notBefore != null && notBefore.after(now);
-    boolean more = connections.size() < config.connectionsPerUnit && !paused;
-    if (waiting.size() >= config.waitingPerUnit || paused && connections.isEmpty()) {
+    boolean more = connections.size() < config.connectionsPerEndpoint && !paused;
+    if (waiting.size() >= config.waitingPerEndpoint || paused && connections.isEmpty()) {
       owner.endsSoon(exchange, AttemptOutcome.NOT_CONNECTED);
       return;
     }
     waiting.add(exchange);
     exchange.waiting =
         owner.at(
-            now.plus(config.connectWithin),
+            now.plus(config.connectTimeout),
             () -> {
               if (waiting.remove(exchange)) {
                 owner.ended(exchange, AttemptOutcome.NOT_CONNECTED, new byte[0]);
               }
             });
-    if (more && connecting * config.picksEach < waiting.size()) {
+    if (more && connecting * config.attemptsPerConnection < waiting.size()) {
       open(now);
     }
   }
@@ -194,22 +194,22 @@
       return;
     }
     replacement = null;
-    owner.at(owner.now().plus(config.pauseMost), this::moveNext);
+    owner.at(owner.now().plus(config.maxBackoff), this::moveNext);
   }
 
   void up(EndpointConnection connection) {
-    pause = config.pauseFirst;
+    pause = config.firstBackoff;
     notBefore = null;
     drain(connection);
     moved(connection);
-    owner.at(owner.now().plus(config.idle), () -> closeIdle(connection));
+    owner.at(owner.now().plus(config.idleTimeout), () -> closeIdle(connection));
   }
 
   private void drain(EndpointConnection connection) {
     while (!waiting.isEmpty()
         && !connection.retired
         && connection.greeted
-        && connection.load() < config.picksEach) {
+        && connection.load() < config.attemptsPerConnection) {
       FrameExchange next = waiting.poll();
       next.waiting.cancel();
       if (!next.mayStart(owner.now())) {
@@ -225,10 +225,10 @@
       return;
     }
     TimeSpan unused = owner.now().since(connection.usedLast);
-    if (connection.idle() && !config.idle.over(unused)) {
+    if (connection.idle() && !config.idleTimeout.over(unused)) {
       connection.retire();
     } else {
-      owner.at(owner.now().plus(config.idle), () -> closeIdle(connection));
+      owner.at(owner.now().plus(config.idleTimeout), () -> closeIdle(connection));
     }
   }
 
@@ -236,7 +236,7 @@
   void emptied(EndpointConnection connection) {
     // a unit that answers nothing fills its connection with picks that nobody waits for: another is
     // made
-    boolean stuck = connection.idle() && 2 * connection.load() >= config.picksEach;
+    boolean stuck = connection.idle() && 2 * connection.load() >= config.attemptsPerConnection;
     if ((left || connection.retired) && connection.idle() || stuck) {
       connection.retire();
     }
@@ -262,7 +262,7 @@
     }
     Timestamp now = owner.now();
     notBefore = now.plus(pause.times(0.5 + 0.5 * chance.next()));
-    pause = pause.times(2).atMost(config.pauseMost);
+    pause = pause.times(2).atMost(config.maxBackoff);
     boolean hope = connections.stream().anyMatch(other -> !other.retired);
     while (!hope && !waiting.isEmpty()) {
       FrameExchange next = waiting.poll();
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -97,7 +97,7 @@
             config.settings,
             new MethodAccounts(
                 config.methodNames,
-                new MethodAccounts.Room(BUILDS, Math.min(config.endpoints, UNITS), CUSTOMERS))),
+                new MethodAccounts.Room(BUILDS, Math.min(config.maxEndpoints, UNITS), CUSTOMERS))),
         new EventLog(net));
     this.config = config;
     live = config;
@@ -164,19 +164,19 @@
                 tap,
                 System::currentTimeMillis,
                 say);
-    boolean fits = config.leases != null && config.leases.fitsEvery() != null;
+    boolean fits = config.leases != null && config.leases.hardwareFitInterval() != null;
     fitting =
         !fits
             ? null
             : new HardwareReporter(
                 net,
                 config.settings.index,
-                config.leases.fitsEvery(),
+                config.leases.hardwareFitInterval(),
                 System::currentTimeMillis,
                 build -> build < ledger.newestTried(),
                 events,
                 this);
-    if (config.leases != null && config.leases.granter() >= 0) {
+    if (config.leases != null && config.leases.grantorNumber() >= 0) {
       granter = new GrantorListener(net, config.leases, config.name, tap, say);
     }
   }
@@ -206,13 +206,13 @@
     listener =
         net.bind(
             config.listen,
-            config.clients,
-            config.connection.unsent(),
+            config.maxClientConnections,
+            config.connectionLimits.unsent(),
             () -> {
               FrameClientConnection client = new FrameClientConnection(this);
               clients.add(client);
               return secured.taken(
-                  client, new FrameConnection(net, mine, config.connection, tap, client));
+                  client, new FrameConnection(net, mine, config.connectionLimits, tap, client));
             });
     roster.start();
     desk.start();
@@ -226,13 +226,15 @@
         fitting.start(aside);
         leases.stand(HardwareReporter.LEASE, fitting);
       }
-      if (config.leases.looksEvery() != null) {
-        looks = new HealthChecker(net, ledger, events, config.leases.looksEvery(), chance, this);
+      if (config.leases.healthCheckInterval() != null) {
+        looks =
+            new HealthChecker(
+                net, ledger, events, config.leases.healthCheckInterval(), chance, this);
         leases.stand(HealthChecker.LEASE, looks);
       }
     }
     net.at(
-        net.now().plus(config.waitForList),
+        net.now().plus(config.discoveryTimeout),
         () -> letClientsIn("without list or news, which did not come in time"));
     net.at(net.now().plus(FIGURES), this::figures);
     checkFigures();
@@ -357,7 +359,7 @@
     }
     listener.close();
     events.info(EventLog.Kind.FINISHING, ledger.open() + " RPCs are open");
-    net.at(net.now().plus(live.finishWithin), this::abortOpen);
+    net.at(net.now().plus(live.shutdownTimeout), this::abortOpen);
     lookWhetherDone();
   }
 
@@ -367,11 +369,11 @@
     events.info(
         EventLog.Kind.SETTINGS,
         "taken over: limits/open "
-            + anew.open
+            + anew.maxOpenRequests
             + ", limits/open-per-client "
-            + anew.openPerClient
+            + anew.maxOpenRequestsPerClient
             + ", limits/finish-within "
-            + anew.finishWithin.ms()
+            + anew.shutdownTimeout.ms()
             + "ms");
   }
 
@@ -467,13 +469,13 @@
       return;
     }
     String full =
-        config.strict && drifting
+        config.rejectsOnMetricsDrift && drifting
             ? "figures drift, and figures/strict is set"
             : finishing
                 ? "the relay is finishing"
-                : ledger.open() >= live.open
+                : ledger.open() >= live.maxOpenRequests
                     ? "limits/open is reached"
-                    : asked.client.open() > live.openPerClient
+                    : asked.client.open() > live.maxOpenRequestsPerClient
                         ? "limits/open-per-client is reached"
                         : null;
     if (full != null) {
@@ -563,7 +565,7 @@
 
   @Override
   public void look(Endpoint endpoint, FrameListener user, HealthChecker.LinkTaker taker) {
-    FrameConnection connection = new FrameConnection(net, mine, config.connection, tap, user);
+    FrameConnection connection = new FrameConnection(net, mine, config.connectionLimits, tap, user);
     taker.take(connection);
     EndpointConnectionPool door = (EndpointConnectionPool) endpoint.door;
     secured.toUnit(endpoint.id, door.address(), door.name(), connection);
@@ -597,7 +599,8 @@
 
   @Override
   public void open(EndpointConnection connection, InetSocketAddress to, String name) {
-    connection.connection = new FrameConnection(net, mine, config.connection, tap, connection);
+    connection.connection =
+        new FrameConnection(net, mine, config.connectionLimits, tap, connection);
     secured.toUnit(connection.unit().id, to, name, connection.connection);
   }
 
--- a/src/main/java/sprucerock/relay/frames/Peers.java
+++ b/src/main/java/sprucerock/relay/frames/Peers.java
@@ -71,7 +71,7 @@
               secured.toPeer(number),
               address,
               mine,
-              config.connection,
+              config.connectionLimits,
               tap,
               chance,
               new Other(number));
@@ -80,7 +80,7 @@
     }
     // one that reads slowly loses messages, as the module expects, and is not cut for it
     boolean room =
-        connection.usable() && connection.unsent() + contents.length <= config.peerUnsent;
+        connection.usable() && connection.unsent() + contents.length <= config.maxPeerUnsentBytes;
     return room && connection.send(kind, head, contents);
   }
 
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -70,7 +70,7 @@
   }
 
   public void start() {
-    if (config.racksEvery != null) {
+    if (config.rackPermitInterval != null) {
       ask();
     }
   }
@@ -99,12 +99,14 @@
             .build();
     asked.put(lastAsk, net.now());
     owner.ask(ask);
-    next = net.at(net.now().plus(config.racksEvery.times(0.75 + 0.5 * chance.next())), this::ask);
+    next =
+        net.at(
+            net.now().plus(config.rackPermitInterval.times(0.75 + 0.5 * chance.next())), this::ask);
   }
 
   /** An answer, or word that something has changed. */
   public void told(Promised promised) {
-    if (config.racksEvery == null || stopped) {
+    if (config.rackPermitInterval == null || stopped) {
       return;
     }
     if (promised.getId() == 0) { // something has changed
@@ -129,7 +131,7 @@
       return;
     }
     epoch = promised.getEpoch();
-    double shorter = (1 - config.racksDrift) / (1 + config.racksDrift);
+    double shorter = (1 - config.rackClockDrift) / (1 + config.rackClockDrift);
     Map<Integer, Timestamp> until = new HashMap<>();
     if (promised.getRest()) {
       notices.forEach((rack, notice) -> until.put(rack, from.plus(notice.times(shorter))));
@@ -199,7 +201,7 @@
 
   /** Racks are nothing to it, or it was promised something. */
   public boolean told() {
-    return told || config.racksEvery == null;
+    return told || config.rackPermitInterval == null;
   }
 
   private boolean mayPlace(int zone, int cell, Timestamp now, TimeSpan takes) {
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -49,8 +49,8 @@
    */
   void start(Aside aside, Movers whom) throws Material.BadMaterialException {
     movers = whom;
-    if (config.tls != null) {
-      tls = new Tls(net, config.tls, aside, Instant::now, this);
+    if (config.tlsSetup != null) {
+      tls = new Tls(net, config.tlsSetup, aside, Instant::now, this);
     }
   }
 
@@ -66,10 +66,11 @@
   }
 
   void toUnit(long endpoint, InetSocketAddress to, String name, FrameConnection user) {
-    if (tls == null || !config.tlsUnits) {
-      net.connect(to, config.connectWithin, config.connection.unsent(), user);
+    if (tls == null || !config.tlsToEndpoints) {
+      net.connect(to, config.connectTimeout, config.connectionLimits.unsent(), user);
     } else {
-      tls.connect(endpoint, name, to, config.connectWithin, config.connection.unsent(), user);
+      tls.connect(
+          endpoint, name, to, config.connectTimeout, config.connectionLimits.unsent(), user);
     }
   }
 
@@ -86,7 +87,7 @@
     if (!config.tlsClients) {
       return user;
     }
-    TlsConnection connection = tls.take(config.provenClients, user);
+    TlsConnection connection = tls.take(config.clientsAuthenticated, user);
     client.by(connection);
     return connection;
   }
--- a/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
+++ b/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
@@ -72,12 +72,12 @@
       AgentConfig config = AgentConfig.read(configuration);
       Files.delete(configuration);
       loop = new NioLoop("agent", Throwable::printStackTrace);
-      vault = new ArtifactStore(folder.resolve("versions"), config.mostBytes);
+      vault = new ArtifactStore(folder.resolve("versions"), config.maxArtifactBytes);
       here = new LocalRelaySupervisor(config, loop, vault, () -> {}, (any, how) -> {}, null);
       version =
-          new Version(vault.put(corpus.resolve(PROGRAM)), vault.put(corpus.resolve(SETTINGS)));
-      agent = new Agent(here, config.times, memory(version));
-      here.serves(agent);
+          new Version(vault.store(corpus.resolve(PROGRAM)), vault.store(corpus.resolve(SETTINGS)));
+      agent = new Agent(here, config.timeouts, memory(version));
+      here.attach(agent);
     }
 
     private <T> T onLoop(Supplier<T> what) throws Exception {
@@ -130,7 +130,7 @@
   private static void start(Life life) throws Exception {
     life.run(
         () -> {
-          life.here.keep(life.agent.memory());
+          life.here.saveState(life.agent.state());
           life.here.start(life.version);
         });
     await(() -> Files.exists(life.folder.resolve(ARGUMENTS)));
@@ -172,11 +172,11 @@
     return String.join(
             "\n",
             "epoch " + memory.epoch(),
-            "turn " + memory.turn(),
-            "done " + memory.done(),
+            "turn " + memory.generation(),
+            "done " + memory.completedGeneration(),
             "starts " + memory.starts(),
-            "wanted " + memory.wanted().program() + " " + memory.wanted().settings(),
-            "good " + memory.good().program() + " " + memory.good().settings())
+            "wanted " + memory.desired().program() + " " + memory.desired().settings(),
+            "good " + memory.lastGood().program() + " " + memory.lastGood().settings())
         + "\n";
   }
 
@@ -188,7 +188,7 @@
     try (Life life = new Life(folder, corpus)) {
       start(life);
       Files.write(corpus.resolve(NOTES), notes(folder.resolve("agent.state")));
-      Files.writeString(corpus.resolve(NOTES_READ), read(life.here.remembered()));
+      Files.writeString(corpus.resolve(NOTES_READ), read(life.here.loadState()));
       Files.write(corpus.resolve(COMMAND), command(folder));
       Files.writeString(corpus.resolve(PROCESS_NOTE), processNote(folder) + "\n");
       Files.copy(
@@ -206,7 +206,7 @@
     Path folder = folder();
     try (Life life = new Life(folder, CorpusFiles.path(""))) {
       Files.copy(CorpusFiles.path(NOTES), folder.resolve("agent.state"));
-      assertEquals(read(life.here.remembered()), CorpusFiles.text(NOTES_READ));
+      assertEquals(read(life.here.loadState()), CorpusFiles.text(NOTES_READ));
     } finally {
       CorpusFiles.remove(folder);
     }
@@ -254,10 +254,11 @@
                 + CorpusFiles.lines(PROCESS_NOTE).get(0));
       }
       Files.copy(CorpusFiles.path(FILLED), folder.resolve("relay.xml"));
-      life.run(life.here::adopt);
+      life.run(life.here::adoptRunningRelay);
       assertEquals(life.onLoop(life.agent::phase), Agent.Phase.READY);
-      assertEquals(life.onLoop(life.agent::runs), life.version);
-      assertEquals((int) life.onLoop(life.agent::done), TURN, "that turn is carried out");
+      assertEquals(life.onLoop(life.agent::runningVersion), life.version);
+      assertEquals(
+          (int) life.onLoop(life.agent::completedGeneration), TURN, "that turn is carried out");
     } finally {
       relay.destroyForcibly();
       CorpusFiles.remove(folder);
--- a/src/test/java/sprucerock/agent/AgentTest.java
+++ b/src/test/java/sprucerock/agent/AgentTest.java
@@ -20,8 +20,8 @@
 public class AgentTest {
   private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
-  private static final Agent.Times TIMES =
-      new Agent.Times(TimeSpan.ofMs(5000), TimeSpan.ofMs(3000), TimeSpan.ofMs(10_000));
+  private static final Agent.Timeouts TIMES =
+      new Agent.Timeouts(TimeSpan.ofMs(5000), TimeSpan.ofMs(3000), TimeSpan.ofMs(10_000));
 
   private static final class Stage implements ProcessLauncher {
     private record Timer(Timestamp when, int order, Runnable what) {}
@@ -53,22 +53,22 @@
     }
 
     @Override
-    public void at(Timestamp when, Runnable what) {
+    public void schedule(Timestamp when, Runnable what) {
       timers.add(new Timer(when, made++, what));
     }
 
     @Override
-    public boolean has(Version version) {
+    public boolean hasArtifacts(Version version) {
       return here.contains(version);
     }
 
     @Override
-    public void fetch(Version version) {
+    public void download(Version version) {
       did.add("fetch " + version.program().charAt(0));
     }
 
     @Override
-    public void readThrough(Version version) {
+    public void checkSettings(Version version) {
       did.add("read " + version.program().charAt(0));
     }
 
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public String keep(AgentState memory) {
+    public String saveState(AgentState memory) {
       if (diskSays == null) {
         kept = memory;
       }
@@ -101,10 +101,10 @@
     }
 
     @Override
-    public void say() {}
+    public void stateChanged() {}
 
     @Override
-    public void failed(Version version, String how) {
+    public void runFailed(Version version, String how) {
       did.add("failed " + version.program().charAt(0) + ": " + how);
     }
 
@@ -121,9 +121,9 @@
 
   private Agent running(Version version) {
     Agent agent = new Agent(stage, TIMES, AgentState.NONE);
-    agent.begin();
-    agent.offered(version);
-    agent.isReady();
+    agent.resume();
+    agent.offerInitialVersion(version);
+    agent.relayStarted();
     stage.pass(11_000);
     stage.did.clear();
     return agent;
@@ -133,24 +133,24 @@
   public void aNewVersionIsFetchedBeforeTheOldOneEnds() {
     stage.here.remove(NEW);
     Agent agent = running(OLD);
-    agent.wants(1, 1, NEW);
+    agent.applyDesiredState(1, 1, NEW);
     assertEquals(stage.did, List.of("fetch b"));
     assertTrue(agent.ready()); // it serves meanwhile
     stage.here.add(NEW);
-    agent.fetched(NEW);
-    agent.ended("ended with code 0");
-    agent.isReady();
+    agent.downloadSucceeded(NEW);
+    agent.processExited("ended with code 0");
+    agent.relayStarted();
     assertEquals(stage.did, List.of("fetch b", "terminate", "start b"));
-    assertEquals(agent.done(), 1);
-    assertEquals(agent.runs(), NEW);
+    assertEquals(agent.completedGeneration(), 1);
+    assertEquals(agent.runningVersion(), NEW);
   }
 
   @Test
   public void whatCanNotBeHadIsReportedAndTheOldOneRunsOn() {
     stage.here.remove(NEW);
     Agent agent = running(OLD);
-    agent.wants(1, 1, NEW);
-    agent.notFetched(NEW, "the controller has it not");
+    agent.applyDesiredState(1, 1, NEW);
+    agent.downloadFailed(NEW, "the controller has it not");
     assertTrue(agent.ready());
     assertEquals(stage.did.get(1), "failed b: can't be had: the controller has it not");
   }
@@ -158,14 +158,14 @@
   @Test
   public void aVersionThatKeepsEndingGivesWayToWhatRanWell() {
     Agent agent = running(OLD);
-    agent.wants(1, 1, NEW);
-    agent.ended("ended with code 0");
+    agent.applyDesiredState(1, 1, NEW);
+    agent.processExited("ended with code 0");
     for (int i = 0; i < 3; i++) {
-      agent.ended("ended with code 3");
+      agent.processExited("ended with code 3");
       stage.pass(2500);
     }
-    agent.isReady();
-    assertEquals(agent.runs(), OLD);
+    agent.relayStarted();
+    assertEquals(agent.runningVersion(), OLD);
     assertTrue(agent.ready());
     assertEquals(stage.did.stream().filter("start b"::equals).count(), 3);
     assertEquals(
@@ -173,7 +173,7 @@
             .filter("failed b: ended before it was ready: ended with code 3"::equals)
             .count(),
         3);
-    assertEquals(agent.done(), 0); // what was wanted is not carried out
+    assertEquals(agent.completedGeneration(), 0); // what was wanted is not carried out
   }
 
   @Test
@@ -181,7 +181,7 @@
     Agent agent = running(OLD);
     for (int i = 0; i < 12; i++) {
       int before = stage.did.size();
-      agent.ended("ended by signal 9");
+      agent.processExited("ended by signal 9");
       stage.pass(200);
       assertEquals(
           stage.did.size(),
@@ -197,84 +197,84 @@
   @Test
   public void aStartThatHangsIsKilledAndAnEndThatHangsToo() {
     Agent agent = running(OLD);
-    agent.wants(1, 1, NEW);
+    agent.applyDesiredState(1, 1, NEW);
     stage.pass(2900);
     assertFalse(stage.did.contains("kill"));
     stage.pass(200);
     assertEquals(stage.did, List.of("terminate", "kill"));
-    agent.ended("ended by signal 9");
+    agent.processExited("ended by signal 9");
     stage.pass(5100);
     assertEquals(stage.did.subList(2, 4), List.of("start b", "kill"));
-    agent.ended("ended by signal 9");
+    agent.processExited("ended by signal 9");
     assertTrue(stage.did.contains("failed b: was not ready within 5000 ms"), stage.did.toString());
   }
 
   @Test
   public void onlyTheNewestControllerIsObeyed() {
     Agent agent = running(OLD);
-    agent.wants(5, 3, OLD);
-    agent.ended("ended with code 0");
-    agent.isReady();
+    agent.applyDesiredState(5, 3, OLD);
+    agent.processExited("ended with code 0");
+    agent.relayStarted();
     stage.did.clear();
-    agent.wants(4, 9, NEW); // one that was replaced
-    agent.wants(5, 2, NEW); // an older word
-    agent.wants(5, 3, NEW); // the same word, and another content
-    agent.wants(5, 3, OLD); // once more
+    agent.applyDesiredState(4, 9, NEW); // one that was replaced
+    agent.applyDesiredState(5, 2, NEW); // an older word
+    agent.applyDesiredState(5, 3, NEW); // the same word, and another content
+    agent.applyDesiredState(5, 3, OLD); // once more
     assertEquals(stage.did, List.of());
-    assertEquals(agent.memory().wanted(), OLD);
-    agent.wants(6, 4, NEW);
+    assertEquals(agent.state().desired(), OLD);
+    agent.applyDesiredState(6, 4, NEW);
     assertEquals(stage.did, List.of("terminate"));
   }
 
   @Test
   public void withoutAnyControllerWhatWasWantedLastIsStarted() {
     Agent first = running(OLD);
-    first.wants(2, 1, NEW);
+    first.applyDesiredState(2, 1, NEW);
     Stage machine = stage;
     Agent second = new Agent(machine, TIMES, machine.kept);
     machine.did.clear();
-    second.begin();
-    second.isReady();
+    second.resume();
+    second.relayStarted();
     assertEquals(machine.did, List.of("start b"));
-    assertEquals(second.done(), 1);
+    assertEquals(second.completedGeneration(), 1);
     machine.here.remove(NEW);
     Agent third = new Agent(machine, TIMES, machine.kept);
-    third.begin();
+    third.resume();
     assertEquals(third.phase(), Phase.STARTING);
-    assertEquals(third.runs(), OLD); // it is not here any more: what ran well is
+    assertEquals(third.runningVersion(), OLD); // it is not here any more: what ran well is
   }
 
   @Test
   public void aRestartOnTheSameVersionIsARestart() {
     Agent agent = running(OLD);
     stage.signalWillDo = true;
-    agent.wants(1, 0, OLD);
+    agent.applyDesiredState(1, 0, OLD);
     assertEquals(stage.did, List.of()); // adopted as it is
-    agent.wants(1, 1, OLD);
+    agent.applyDesiredState(1, 1, OLD);
     assertEquals(stage.did, List.of("terminate"));
-    agent.ended("ended with code 0");
-    agent.isReady();
-    assertEquals(agent.done(), 1);
+    agent.processExited("ended with code 0");
+    agent.relayStarted();
+    assertEquals(agent.completedGeneration(), 1);
   }
 
   @Test
   public void anAgentThatLostItsNotesLeavesARelayThatRunsWhatIsWanted() {
     Agent agent = new Agent(stage, TIMES, AgentState.NONE);
-    agent.adopted(NEW, 3);
-    agent.begin();
-    agent.wants(7, 3, NEW);
+    agent.relayAdopted(NEW, 3);
+    agent.resume();
+    agent.applyDesiredState(7, 3, NEW);
     assertEquals(stage.did, List.of());
-    assertEquals(agent.done(), 3);
-    agent.wants(7, 4, NEW); // what was not carried out still is
+    assertEquals(agent.completedGeneration(), 3);
+    agent.applyDesiredState(7, 4, NEW); // what was not carried out still is
     assertEquals(stage.did, List.of("terminate"));
   }
 
   @Test
   public void anAgentThatLostItsNotesCarriesOutWhatItsRelayWasNotStartedFor() {
     Agent agent = new Agent(stage, TIMES, AgentState.NONE);
-    agent.adopted(OLD, 3);
-    agent.begin();
-    agent.wants(7, 3, NEW);
+    agent.relayAdopted(OLD, 3);
+    agent.resume();
+    agent.applyDesiredState(7, 3, NEW);
     assertEquals(stage.did, List.of("terminate"));
   }
 
@@ -282,22 +282,22 @@
   public void whatASignalCanTakeOverNeedsNoRestart() {
     Agent agent = running(OLD);
     stage.signalWillDo = true;
-    agent.wants(1, 1, NEW);
-    agent.reloaded(NEW, true);
+    agent.applyDesiredState(1, 1, NEW);
+    agent.reloadFinished(NEW, true);
     assertEquals(stage.did, List.of());
-    assertEquals(agent.runs(), NEW);
-    assertEquals(agent.done(), 1);
-    agent.wants(1, 2, OLD);
-    agent.reloaded(OLD, false);
+    assertEquals(agent.runningVersion(), NEW);
+    assertEquals(agent.completedGeneration(), 1);
+    agent.applyDesiredState(1, 2, OLD);
+    agent.reloadFinished(OLD, false);
     assertEquals(stage.did, List.of("terminate"));
   }
 
   @Test
   public void whatGoesOverALimitIsEndedAndTriedAgain() {
     Agent agent = running(OLD);
-    agent.over("its memory: 300 MB of 256");
+    agent.limitExceeded("its memory: 300 MB of 256");
     assertEquals(stage.did, List.of("kill"));
-    agent.ended("ended by signal 9");
+    agent.processExited("ended by signal 9");
     assertEquals(stage.did.get(1), "failed a: went over its memory: 300 MB of 256");
     stage.pass(1000);
     assertEquals(agent.phase(), Phase.STARTING);
@@ -307,21 +307,21 @@
   public void aDiskThatTakesNothingStopsNoRelay() {
     stage.diskSays = "No space left on device";
     Agent agent = running(OLD);
-    agent.wants(1, 1, NEW);
-    agent.ended("ended with code 0");
-    agent.isReady();
-    assertEquals(agent.runs(), NEW);
+    agent.applyDesiredState(1, 1, NEW);
+    agent.processExited("ended with code 0");
+    agent.relayStarted();
+    assertEquals(agent.runningVersion(), NEW);
   }
 
   @Test
   public void anOtherWordOnTheWayIsTheOneThatCounts() {
     Agent agent = running(OLD);
-    agent.wants(1, 1, NEW);
-    agent.wants(1, 2, OLD); // before the first has ended
-    agent.ended("ended with code 0");
-    assertEquals(agent.runs(), OLD);
-    agent.isReady();
-    assertEquals(agent.done(), 2);
+    agent.applyDesiredState(1, 1, NEW);
+    agent.applyDesiredState(1, 2, OLD); // before the first has ended
+    agent.processExited("ended with code 0");
+    assertEquals(agent.runningVersion(), OLD);
+    agent.relayStarted();
+    assertEquals(agent.completedGeneration(), 2);
     assertEquals(stage.did, List.of("terminate", "start a"));
   }
 }
--- a/src/test/java/sprucerock/agent/artifact/VaultTest.java
+++ b/src/test/java/sprucerock/agent/artifact/ArtifactStoreTest.java
@@ -17,7 +17,7 @@
  * What is in the folder under a name is that, whole, or is not there: whatever crashes and people
  * do to it.
  */
-public class VaultTest {
+public class ArtifactStoreTest {
   private static final byte[] PROGRAM = new byte[100_000];
   private Path folder;
   private String digest;
@@ -28,7 +28,7 @@
     Arrays.fill(PROGRAM, (byte) 7);
     digest =
         new ArtifactStore(folder, 1 << 20)
-            .put(Files.write(Files.createTempFile("program", ".jar"), PROGRAM));
+            .store(Files.write(Files.createTempFile("program", ".jar"), PROGRAM));
   }
 
   private ArtifactStore nextLife() throws IOException {
@@ -43,11 +43,11 @@
       Files.write(folder.resolve(digest), wrong);
       ArtifactStore vault = nextLife();
       assertFalse(vault.has(digest));
-      ArtifactStore.Incoming incoming = vault.incoming(digest);
-      assertFalse(incoming.add(0, Arrays.copyOf(PROGRAM, 60_000), PROGRAM.length));
+      ArtifactStore.Download incoming = vault.startDownload(digest);
+      assertFalse(incoming.append(0, Arrays.copyOf(PROGRAM, 60_000), PROGRAM.length));
       assertFalse(vault.has(digest), "half of it is not it");
       assertTrue(
-          incoming.add(
+          incoming.append(
               60_000, Arrays.copyOfRange(PROGRAM, 60_000, PROGRAM.length), PROGRAM.length));
       assertTrue(vault.has(digest));
     }
@@ -56,7 +56,7 @@
   @Test
   public void anEndBetweenTwoPiecesLeavesNothingThatCountsAsThere() throws Exception {
     String other = "0".repeat(64);
-    nextLife().incoming(other).add(0, new byte[10], 20);
+    nextLife().startDownload(other).append(0, new byte[10], 20);
     assertEquals(Files.list(folder).count(), 2);
     assertFalse(nextLife().has(other));
     assertEquals(Files.list(folder).count(), 1, "half of a file stays for ever");
@@ -65,13 +65,13 @@
   @Test
   public void whatIsNotWhatWasAskedForIsNotKept() throws Exception {
     ArtifactStore vault = nextLife();
-    ArtifactStore.Incoming incoming = vault.incoming("0".repeat(64));
+    ArtifactStore.Download incoming = vault.startDownload("0".repeat(64));
     assertTrue(
-        expectThrows(IOException.class, () -> incoming.add(0, new byte[10], 10))
+        expectThrows(IOException.class, () -> incoming.append(0, new byte[10], 10))
             .getMessage()
             .contains("has the digest"));
     assertFalse(vault.has("0".repeat(64)));
-    vault.trim(Set.of(), 0);
+    vault.evictOldest(Set.of(), 0);
     assertFalse(vault.has(digest));
   }
 }
--- a/src/test/java/sprucerock/compat/FiguresCompatTest.java
+++ b/src/test/java/sprucerock/compat/FiguresCompatTest.java
@@ -71,16 +71,16 @@
   /** The table that is shown, then the layout, the names of rows and all values but zeros. */
   private static String listing(Path file) throws Exception {
     MetricsSnapshot snapshot = MetricsSnapshot.read(file);
-    StringBuilder text = new StringBuilder(MetricsTable.of(snapshot));
+    StringBuilder text = new StringBuilder(MetricsTable.format(snapshot));
     text.append("drifts ")
         .append(snapshot.accounts().check(snapshot.values))
         .append('\n')
         .append("layout\n")
         .append(snapshot.layout.stripTrailing())
         .append('\n');
-    for (int row = 0; row < snapshot.names.length; row++) {
-      if (snapshot.names[row] != null) {
-        text.append("row ").append(row).append(' ').append(snapshot.names[row]).append('\n');
+    for (int row = 0; row < snapshot.rowNames.length; row++) {
+      if (snapshot.rowNames[row] != null) {
+        text.append("row ").append(row).append(' ').append(snapshot.rowNames[row]).append('\n');
       }
     }
     for (int i = 0; i < snapshot.values.length; i++) {
--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -87,7 +87,7 @@
         new MetricsExporter(
             keeper::snapshot,
             () -> false,
-            keeper::kept,
+            keeper::isPersistent,
             () -> more,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
       HttpRequest request =
@@ -132,7 +132,7 @@
   public void theTableForPeopleIsTheSame() throws Exception {
     Corpus.holds(METRICS + "table.txt", scraped(keeper(true), "/figures", "text/plain"));
     assertEquals(
-        "content-type text/plain; charset=utf-8\n" + MetricsTable.of(keeper(true).snapshot()),
+        "content-type text/plain; charset=utf-8\n" + MetricsTable.format(keeper(true).snapshot()),
         scraped(keeper(true), "/figures", "text/plain"));
   }
 
--- a/src/test/java/sprucerock/compat/Rendering.java
+++ b/src/test/java/sprucerock/compat/Rendering.java
@@ -108,19 +108,19 @@
     if (leases == null) {
       return put(key, (Object) null);
     }
-    List<InetSocketAddress> granters = leases.granters();
+    List<InetSocketAddress> granters = leases.grantors();
     for (int i = 0; i < granters.size(); i++) {
       put(key + ".granter." + i, granters.get(i));
     }
-    put(key + ".me", leases.me())
-        .put(key + ".grants", leases.granter())
+    put(key + ".me", leases.memberNumber())
+        .put(key + ".grants", leases.grantorNumber())
         .put(key + ".listen", leases.listen())
         .put(key + ".term", leases.term());
-    put(key + ".longest", leases.longest())
+    put(key + ".longest", leases.maxTerm())
         .put(key + ".drift", leases.drift())
-        .put(key + ".most", leases.most());
-    return put(key + ".looks-every", leases.looksEvery())
-        .put(key + ".fit-every", leases.fitsEvery());
+        .put(key + ".most", leases.maxConnections());
+    return put(key + ".looks-every", leases.healthCheckInterval())
+        .put(key + ".fit-every", leases.hardwareFitInterval());
   }
 
   @Override
--- a/src/test/java/sprucerock/compat/SettingsCompatTest.java
+++ b/src/test/java/sprucerock/compat/SettingsCompatTest.java
@@ -13,7 +13,7 @@
 import org.w3c.dom.Element;
 import sprucerock.agent.AgentConfig;
 import sprucerock.config.ConfigException;
-import sprucerock.config.Live;
+import sprucerock.config.LiveSettings;
 import sprucerock.config.RelayConfig;
 
 /**
@@ -92,16 +92,16 @@
     text.put("name", config.name)
         .put("seed", config.seed)
         .put("listen", config.listen)
-        .put("roster", config.roster)
-        .put("desk", config.desk);
+        .put("roster", config.discovery)
+        .put("desk", config.controller);
     config.peers.forEach((number, address) -> text.put("peer." + number, address));
     config.peerNames.forEach((number, name) -> text.put("peer." + number + ".name", name));
     limits(text, config);
-    text.put("figures.file", config.figures)
-        .put("figures.at", config.scrapedAt)
-        .put("figures.strict", config.strict);
-    text.put("racks.ask-every", config.racksEvery)
-        .put("racks.drift", config.racksDrift)
+    text.put("figures.file", config.metricsFile)
+        .put("figures.at", config.scrapeAddress)
+        .put("figures.strict", config.rejectsOnMetricsDrift);
+    text.put("racks.ask-every", config.rackPermitInterval)
+        .put("racks.drift", config.rackClockDrift)
         .put("longest-deadline", config.longestDeadline);
     tls(text, config);
     return text.putLeases("leases", config.leases)
@@ -111,51 +111,51 @@
   }
 
   private static void limits(Rendering text, RelayConfig config) {
-    text.put("limits.open", config.open)
-        .put("limits.open-per-client", config.openPerClient)
-        .put("limits.clients", config.clients);
-    text.put("limits.units", config.endpoints)
-        .put("limits.frame", config.connection.frame())
-        .put("limits.unsent", config.connection.unsent());
-    text.put("limits.beat", config.connection.beat())
-        .put("limits.peer-unsent", config.peerUnsent)
-        .put("limits.finish-within", config.finishWithin);
-    text.put("limits.wait-for-list", config.waitForList)
-        .put("connections.connect-within", config.connectWithin);
-    text.put("connections.per-unit", config.connectionsPerUnit)
-        .put("connections.picks-each", config.picksEach);
-    text.put("connections.waiting-per-unit", config.waitingPerUnit)
-        .put("connections.idle", config.idle);
-    text.put("connections.pause-first", config.pauseFirst)
-        .put("connections.pause-most", config.pauseMost);
+    text.put("limits.open", config.maxOpenRequests)
+        .put("limits.open-per-client", config.maxOpenRequestsPerClient)
+        .put("limits.clients", config.maxClientConnections);
+    text.put("limits.units", config.maxEndpoints)
+        .put("limits.frame", config.connectionLimits.frame())
+        .put("limits.unsent", config.connectionLimits.unsent());
+    text.put("limits.beat", config.connectionLimits.beat())
+        .put("limits.peer-unsent", config.maxPeerUnsentBytes)
+        .put("limits.finish-within", config.shutdownTimeout);
+    text.put("limits.wait-for-list", config.discoveryTimeout)
+        .put("connections.connect-within", config.connectTimeout);
+    text.put("connections.per-unit", config.connectionsPerEndpoint)
+        .put("connections.picks-each", config.attemptsPerConnection);
+    text.put("connections.waiting-per-unit", config.waitingPerEndpoint)
+        .put("connections.idle", config.idleTimeout);
+    text.put("connections.pause-first", config.firstBackoff)
+        .put("connections.pause-most", config.maxBackoff);
   }
 
   private static void tls(Rendering text, RelayConfig config) {
-    text.put("tls.units", config.tlsUnits)
+    text.put("tls.units", config.tlsToEndpoints)
         .put("tls.peers", config.tlsPeers)
         .put("tls.clients", config.tlsClients);
-    text.put("tls.proven-clients", config.provenClients)
+    text.put("tls.proven-clients", config.clientsAuthenticated)
         .put("tls.workers", config.tlsWorkers)
-        .put("tls.work-waiting", config.tlsWorkWaiting);
-    if (config.tls == null) {
+        .put("tls.work-waiting", config.tlsQueueCapacity);
+    if (config.tlsSetup == null) {
       return;
     }
-    var files = config.tls.files();
+    var files = config.tlsSetup.files();
     text.put("tls.trust", files.trust())
         .put("tls.key", files.key())
         .put("tls.chain", files.chain())
         .put("tls.password", files.password())
         .put("tls.crl", files.crl());
-    var policy = config.tls.policy();
+    var policy = config.tlsSetup.policy();
     text.put("tls.versions", policy.versions())
         .put("tls.skew", policy.skew().toMillis())
         .put("tls.longest-chain", policy.longestChain());
     text.put("tls.sessions", policy.sessions())
         .put("tls.session-life", policy.sessionLife().toMillis());
-    text.put("tls.handshake-within", config.tls.within())
-        .put("tls.look-every", config.tls.lookEvery())
-        .put("tls.move-within", config.tls.moveWithin());
-    var most = config.tls.most();
+    text.put("tls.handshake-within", config.tlsSetup.within())
+        .put("tls.look-every", config.tlsSetup.lookEvery())
+        .put("tls.move-within", config.tlsSetup.moveWithin());
+    var most = config.tlsSetup.most();
     text.put("tls.handshakes-a-second", most.aSecond())
         .put("tls.handshakes-at-once", most.atOnce());
     text.put("tls.handshakes-a-second-each", most.aSecondEach())
@@ -184,23 +184,23 @@
     for (int i = 0; i < config.controllers.size(); i++) {
       text.put("controller." + i, config.controllers.get(i));
     }
-    text.put("relay.program", config.program)
-        .put("relay.settings", config.settings)
-        .put("relay.java", config.java)
-        .put("relay.options", config.options);
-    text.put("relay.arguments", config.arguments)
+    text.put("relay.program", config.initialProgram)
+        .put("relay.settings", config.initialSettings)
+        .put("relay.java", config.javaCommand)
+        .put("relay.options", config.jvmOptions);
+    text.put("relay.arguments", config.relayArguments)
         .put("relay.cores", config.cores)
-        .put("relay.memory-mb", config.memoryMb);
-    text.put("relay.descriptors", config.descriptors);
-    for (Map.Entry<String, String> value : config.values.entrySet()) {
+        .put("relay.memory-mb", config.maxMemoryMb);
+    text.put("relay.descriptors", config.maxDescriptors);
+    for (Map.Entry<String, String> value : config.templateValues.entrySet()) {
       text.put("value." + value.getKey(), value.getValue());
     }
-    text.put("ready-within", config.times.readyWithin())
-        .put("end-within", config.times.endWithin())
-        .put("proven", config.times.proven());
-    return text.put("say-every", config.sayEvery)
-        .put("most-bytes", config.mostBytes)
-        .put("versions", config.versions)
+    text.put("ready-within", config.timeouts.start())
+        .put("end-within", config.timeouts.stop())
+        .put("proven", config.timeouts.provenAfter());
+    return text.put("say-every", config.reportInterval)
+        .put("most-bytes", config.maxArtifactBytes)
+        .put("versions", config.versionsKept)
         .toString();
   }
 
@@ -236,7 +236,7 @@
 
   @Test
   public void theSameSettingsNeedNoRestart() throws Exception {
-    Corpus.holdsSorted(SETTINGS + "relay-live.txt", Live.paths());
+    Corpus.holdsSorted(SETTINGS + "relay-live.txt", LiveSettings.paths());
   }
 
   @Test
@@ -244,6 +244,7 @@
     String least = Corpus.input(SETTINGS + "relay-least.xml");
     String plain = Corpus.input(SETTINGS + "relay-plain-clients.xml");
     Corpus.holds(
-        SETTINGS + "relay-restart.txt", String.join("\n", Live.needRestart(least, plain)) + "\n");
+        SETTINGS + "relay-restart.txt",
+        String.join("\n", LiveSettings.pathsThatNeedRestart(least, plain)) + "\n");
   }
 }
--- a/src/test/java/sprucerock/config/RelayConfigTest.java
+++ b/src/test/java/sprucerock/config/RelayConfigTest.java
@@ -23,8 +23,8 @@
     assertEquals(settings.methods.get(1).effect, Method.Effect.TOKENED);
     assertEquals(settings.methods.get(1).window.ms(), 4000.0);
     assertEquals(settings.caps.size(), 3);
-    assertEquals(config.connection.frame(), 1 << 20);
-    assertEquals(config.connectWithin.ms(), 250.0);
+    assertEquals(config.connectionLimits.frame(), 1 << 20);
+    assertEquals(config.connectTimeout.ms(), 250.0);
     assertFalse(settings.oneWayKeys);
   }
 
--- a/src/test/java/sprucerock/metrics/PagesTest.java
+++ b/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
@@ -18,7 +18,7 @@
 import sprucerock.time.TimeSpan;
 
 /** Figures through kills at every write, damage of every kind, and one life after another. */
-public class PagesTest {
+public class MappedMetricsFileTest {
   private static final List<String> METHODS = List.of("read", "pay");
   private static final MethodAccounts.Room ROOM = new MethodAccounts.Room(2, 3, 2);
 
@@ -183,7 +183,7 @@
     assertEquals(third.sum(third.attempts, third.attempts.lost()), out);
     MetricsSnapshot snapshot = MetricsSnapshot.read(file);
     assertEquals(snapshot.generation, 3);
-    assertTrue(snapshot.closed);
+    assertTrue(snapshot.cleanShutdown);
     assertEquals(snapshot.accounts().check(snapshot.values), List.of());
     assertEquals(third.value(third.starts, 0, 0), 3);
     assertEquals(third.value(third.starts, 0, third.starts.lost()), 2);
@@ -204,7 +204,7 @@
     assertEquals(now.value(now.attempts, 2, 0), before[old.attempts.index(0, 0)]);
     assertEquals(now.value(now.attempts, 0, 1), before[old.attempts.index(1, 1)]);
     assertEquals(now.check(), List.of());
-    assertEquals(MetricsSnapshot.read(file).names[0], "all");
+    assertEquals(MetricsSnapshot.read(file).rowNames[0], "all");
   }
 
   @Test
@@ -236,7 +236,7 @@
           said.get(0).startsWith(file + ": ") && said.get(0).contains("kept as r.figures.aside-"),
           said.get(0));
       assertEquals(life.value(life.files, 0, 3), 1);
-      assertTrue(MetricsSnapshot.read(file).closed);
+      assertTrue(MetricsSnapshot.read(file).cleanShutdown);
     }
     try (var files = Files.list(folder)) {
       assertEquals(files.filter(path -> path.toString().contains(".aside-")).count(), bad.size());
@@ -272,7 +272,7 @@
     assertTrue(said.get(0).contains("figures stay in memory"), said.get(0));
     assertTrue(
         !MetricsFileWriter.open(file, new MethodAccounts(METHODS, ROOM), () -> {}, said::add)
-            .kept());
+            .isPersistent());
     assertTrue(
         PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)).startsWith("rwx"));
     expectThrows(java.io.IOException.class, () -> MetricsSnapshot.read(file));
--- a/src/test/java/sprucerock/metrics/ExportTest.java
+++ b/src/test/java/sprucerock/metrics/MetricsExporterTest.java
@@ -21,7 +21,7 @@
 import sprucerock.time.TimeSpan;
 
 /** What a monitor reads: sums hold within each scrape, whatever the relay does meanwhile. */
-public class ExportTest {
+public class MetricsExporterTest {
   private static Map<String, Double> scrape(HttpClient http, int port, String accept)
       throws Exception {
     HttpRequest request =
@@ -69,7 +69,7 @@
         new MetricsExporter(
             keeper::snapshot,
             drift::get,
-            keeper::kept,
+            keeper::isPersistent,
             Map::of,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
       relay.start();
@@ -113,7 +113,7 @@
     return new MetricsExporter(
         keeper::snapshot,
         () -> false,
-        keeper::kept,
+        keeper::isPersistent,
         Map::of,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -126,7 +126,7 @@
       System.out.printf(
           "%d %d %d %d %.2f%n",
           methods.size(), accounts.size(), alone - before, kept - before, (cpu() - began) / 1e6);
-      if (keeper.kept()) {
+      if (keeper.isPersistent()) {
         throw new IllegalStateException();
       }
     }
