--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -174,7 +174,7 @@
 rate = one.took.perSecond ( ) / 10 ;
 }
 out.printf ( "  with figures to without: rate %s, CPU an RPC %s%n" , spread ( rates ) , spread ( cpus ) ) ;
-try ( MetricsExporter export = new MetricsExporter ( with.keeper :: snapshot , ( ) -> false , with.keeper :: kept , Map :: of , new InetSocketAddress ( InetAddress.getLoopbackAddress ( ) , 0 ) ) ) {
+try ( MetricsExporter export = new MetricsExporter ( with.keeper :: snapshot , ( ) -> false , with.keeper :: isPersistent , Map :: of , new InetSocketAddress ( InetAddress.getLoopbackAddress ( ) , 0 ) ) ) {
 Histogram scrapes = new Histogram ( 60_000_000_000L , 3 ) ;
 long [ ] size = new long [ 1 ] ;
 for ( int i = 0 ;
@@ -331,7 +331,7 @@
 made.requestTracker ( ).accounts ( ).disablePostings ( ) ;
 }
 try {
-made.start ( Policy :: new , tls == null ? null : new Workers ( config.tlsWorkers , config.tlsWorkWaiting , loop :: post , made :: internalError ) ) ;
+made.start ( Policy :: new , tls == null ? null : new Workers ( config.tlsWorkers , config.tlsQueueCapacity , loop :: post , made :: internalError ) ) ;
 }
 catch ( Material.BadMaterialException e ) {
 throw new IOException ( e.getMessage ( ) ) ;
--- a/src/main/java/sprucerock/lab/GranterProcess.java
+++ b/src/main/java/sprucerock/lab/GranterProcess.java
@@ -60,7 +60,7 @@
 started.get ( ) ;
 }
 catch ( ExecutionException e ) {
-throw new IOException ( "granter " + of.leases.granter ( ) + " can't listen: " + e.getCause ( ).getMessage ( ) ) ;
+throw new IOException ( "granter " + of.leases.grantorNumber ( ) + " can't listen: " + e.getCause ( ).getMessage ( ) ) ;
 }
 in.transferTo ( java.io.OutputStream.nullOutputStream ( ) ) ;
 loop.close ( ) ;
--- a/src/main/java/sprucerock/lab/HollowRelay.java
+++ b/src/main/java/sprucerock/lab/HollowRelay.java
@@ -119,7 +119,7 @@
 RackPermits promised = racks ;
 desk = new ControllerConnection ( net , config , mine , this , ledger , events , chance , this :: answered , promised :: promiseReceived , this :: learnt ) ;
 LeaseConfig of = config.leases ;
-leases = new LeaseManager ( net , new LeaseConfig ( number , - 1 , null , of.granters ( ) , of.term ( ) , of.longest ( ) , of.drift ( ) , of.most ( ) , null , null ) , "hollow-" + number , ( long ) ( chance.next ( ) * Long.MAX_VALUE ) , granters , System :: currentTimeMillis , SILENT ) ;
+leases = new LeaseManager ( net , new LeaseConfig ( number , - 1 , null , of.grantors ( ) , of.term ( ) , of.maxTerm ( ) , of.drift ( ) , of.maxConnections ( ) , null , null ) , "hollow-" + number , ( long ) ( chance.next ( ) * Long.MAX_VALUE ) , granters , System :: currentTimeMillis , SILENT ) ;
 desk.start ( ) ;
 racks.start ( ) ;
 leases.start ( ) ;
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -58,7 +58,7 @@
 this.config = config ;
 this.tap = tap ;
 this.log = log ;
-mine = Hello.newBuilder ( ).setVersion ( FrameConnection.VERSION ).setRole ( Role.GRANTER ).setNumber ( config.granter ( ) ).setName ( name ).build ( ) ;
+mine = Hello.newBuilder ( ).setVersion ( FrameConnection.VERSION ).setRole ( Role.GRANTER ).setNumber ( config.grantorNumber ( ) ).setName ( name ).build ( ) ;
 granter = new LeaseGrantor ( LeaseManager.terms ( config ) , new LeaseGrantor.Replies ( ) {
 @Override public void granted ( int candidate , String name , long number , long round ) {
 asking.connection.send ( FrameKind.LEASE_SAID , LeaseSaid.newBuilder ( ).setName ( name ).setNumber ( number ).setRound ( round ).setGranted ( true ).build ( ) , NO_BODY ) ;
@@ -85,14 +85,14 @@
 * @throws IOException if its address can't be had 
 */ 
 public InetSocketAddress start ( ) throws IOException {
-InetSocketAddress at = config.granters ( ).get ( config.granter ( ) ) ;
-listener = net.listen ( config.listen ( ) == null ? at : config.listen ( ) , config.most ( ) , LeaseManager.LIMITS.maxUnsentBytes ( ) , ( ) -> {
+InetSocketAddress at = config.grantors ( ).get ( config.grantorNumber ( ) ) ;
+listener = net.listen ( config.listen ( ) == null ? at : config.listen ( ) , config.maxConnections ( ) , LeaseManager.LIMITS.maxUnsentBytes ( ) , ( ) -> {
 Session session = new Session ( ) ;
 session.connection = new FrameConnection ( net , mine , LeaseManager.LIMITS , tap , session ) ;
 return session.connection ;
 }
 ) ;
-log.info ( "granter " + config.granter ( ) + " listens at " + listener.address ( ) + " and grants after " + Math.round ( config.longest ( ).ms ( ) ) + " ms, when all that its last life granted is over" ) ;
+log.info ( "granter " + config.grantorNumber ( ) + " listens at " + listener.address ( ) + " and grants after " + Math.round ( config.maxTerm ( ).ms ( ) ) + " ms, when all that its last life granted is over" ) ;
 return listener.address ( ) ;
 }
 
@@ -178,7 +178,7 @@
 
 private LeaseListed listed ( ) {
 Timestamp now = net.readClock ( ) ;
-LeaseListed.Builder all = LeaseListed.newBuilder ( ).setGranter ( config.granter ( ) ).setRefused ( granter.rejectedCount ( ) ).setOpensUs ( ( long ) Math.max ( 0 , granter.grantsFrom ( ).since ( now ).ms ( ) * 1000 ) ) ;
+LeaseListed.Builder all = LeaseListed.newBuilder ( ).setGranter ( config.grantorNumber ( ) ).setRefused ( granter.rejectedCount ( ) ).setOpensUs ( ( long ) Math.max ( 0 , granter.grantsFrom ( ).since ( now ).ms ( ) * 1000 ) ) ;
 granter.grants ( ).forEach ( ( name , grant ) -> all.addEntries ( LeaseEntry.newBuilder ( ).setName ( name ).setNumber ( grant.token ( ) ).setHolder ( grant.holder ( ) ).setLeftUs ( grant.open ( ) ? ( long ) Math.max ( 0 , grant.expiresAt ( ).since ( now ).ms ( ) * 1000 ) : 0 ).setWaiting ( granter.waiters ( name ).size ( ) ) ) ) ;
 return all.build ( ) ;
 }
--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -64,7 +64,7 @@
 this.ledger = ledger ;
 this.events = events ;
 this.answered = answered ;
-redial = new ReconnectingConnection ( net , config.desk , mine , config.connection , tap , chance , this ) ;
+redial = new ReconnectingConnection ( net , config.controller , mine , config.connectionLimits , tap , chance , this ) ;
 }
 
 
@@ -126,7 +126,7 @@
 redial.cut ( "no release desk answers there" ) ;
 return ;
 }
-events.info ( EventLog.Event.DESK_BACK , "linked to the release desk at " + config.desk ) ;
+events.info ( EventLog.Event.DESK_BACK , "linked to the release desk at " + config.controller ) ;
 }
 
 
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -104,7 +104,7 @@
 this.owner = owner ;
 this.chance = chance ;
 this.listFailed = listFailed ;
-redial = new ReconnectingConnection ( net , config.roster , mine , config.connection , tap , chance , this ) ;
+redial = new ReconnectingConnection ( net , config.discovery , mine , config.connectionLimits , tap , chance , this ) ;
 }
 
 
@@ -141,7 +141,7 @@
 redial.cut ( "no roster answers there" ) ;
 return ;
 }
-events.info ( EventLog.Event.ROSTER_BACK , "linked to the roster at " + config.roster ) ;
+events.info ( EventLog.Event.ROSTER_BACK , "linked to the roster at " + config.discovery ) ;
 if ( ! config.settings.pollsEndpointList ) {
 redial.send ( FrameKind.WATCH , Watch.getDefaultInstance ( ) , FrameClientConnection.NO_BODY ) ;
 }
@@ -198,7 +198,7 @@
 return ;
 }
 InetSocketAddress address = Address.of ( entry.getHost ( ) , entry.getPort ( ) ) ;
-String wrong = entry.getHealth ( ) != Health.READY && entry.getHealth ( ) != Health.DRAINING ? "no known health" : address == null || entry.getPort ( ) == 0 ? "no address to connect to" : entry.getBuild ( ) >>> 16 != 0 ? "a build over 65535" : ! ( entry.getWeight ( ) > 0 ) || entry.getWeight ( ) > 1e6 ? "a weight that is not above 0" : known == null && runs.size ( ) >= config.endpoints ? "more units than limits/units allows" : entry.getUnit ( ) >>> 32 != 0 ? "an id of 2^32 or more" : config.tls != null && config.tlsUnits && entry.getName ( ).isEmpty ( ) ? "no name, by which it could be proven" : null ;
+String wrong = entry.getHealth ( ) != Health.READY && entry.getHealth ( ) != Health.DRAINING ? "no known health" : address == null || entry.getPort ( ) == 0 ? "no address to connect to" : entry.getBuild ( ) >>> 16 != 0 ? "a build over 65535" : ! ( entry.getWeight ( ) > 0 ) || entry.getWeight ( ) > 1e6 ? "a weight that is not above 0" : known == null && runs.size ( ) >= config.maxEndpoints ? "more units than limits/units allows" : entry.getUnit ( ) >>> 32 != 0 ? "an id of 2^32 or more" : config.tlsSetup != null && config.tlsToEndpoints && entry.getName ( ).isEmpty ( ) ? "no name, by which it could be proven" : null ;
 if ( wrong != null ) {
 events.warn ( EventLog.Event.LISTING_REFUSED , "unit " + Long.toUnsignedString ( entry.getUnit ( ) ) + " has " + wrong + "; the entry is left out" ) ;
 return ;
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -95,7 +95,7 @@
 
 /** Nothing is opened yet, see {@link #start}. */ 
 public FrameRelay ( RelayConfig config , Net net , FrameTap tap ) {
-super ( net , config.settings , new RequestTracker ( config.settings , new MethodAccounts ( config.methodNames , new MethodAccounts.Capacity ( BUILDS , Math.min ( config.endpoints , UNITS ) , CUSTOMERS ) ) ) , new EventLog ( net ) ) ;
+super ( net , config.settings , new RequestTracker ( config.settings , new MethodAccounts ( config.methodNames , new MethodAccounts.Capacity ( BUILDS , Math.min ( config.maxEndpoints , UNITS ) , CUSTOMERS ) ) ) , new EventLog ( net ) ) ;
 this.config = config ;
 live = config ;
 this.tap = tap ;
@@ -120,9 +120,9 @@
 }
 ;
 leases = config.leases == null ? null : new LeaseManager ( net , config.leases , config.name , LeaseManager.newIncarnation ( ) , tap , System :: currentTimeMillis , say ) ;
-boolean fits = config.leases != null && config.leases.fitsEvery ( ) != null ;
-fitting = ! fits ? null : new HardwareReporter ( net , config.settings.index , config.leases.fitsEvery ( ) , System :: currentTimeMillis , build -> build < requestTracker.newestRolloutBuild ( ) , eventLog , this ) ;
-if ( config.leases != null && config.leases.granter ( ) >= 0 ) {
+boolean fits = config.leases != null && config.leases.hardwareFitInterval ( ) != null ;
+fitting = ! fits ? null : new HardwareReporter ( net , config.settings.index , config.leases.hardwareFitInterval ( ) , System :: currentTimeMillis , build -> build < requestTracker.newestRolloutBuild ( ) , eventLog , this ) ;
+if ( config.leases != null && config.leases.grantorNumber ( ) >= 0 ) {
 granter = new GrantorListener ( net , config.leases , config.name , tap , say ) ;
 }
 }
@@ -152,10 +152,10 @@
 public void start ( PolicyFactory maker , Aside aside ) throws IOException , Material.BadMaterialException {
 secured.start ( aside , this :: moveUnits ) ;
 createPolicy ( maker , config.seed ) ;
-listener = net.bind ( config.listen , config.clients , config.connection.maxUnsentBytes ( ) , ( ) -> {
+listener = net.bind ( config.listen , config.maxClientConnections , config.connectionLimits.maxUnsentBytes ( ) , ( ) -> {
 FrameClientConnection client = new FrameClientConnection ( this ) ;
 clients.add ( client ) ;
-return secured.taken ( client , new FrameConnection ( net , mine , config.connection , tap , client ) ) ;
+return secured.taken ( client , new FrameConnection ( net , mine , config.connectionLimits , tap , client ) ) ;
 }
 ) ;
 roster.start ( ) ;
@@ -170,12 +170,12 @@
 fitting.start ( aside ) ;
 leases.campaign ( HardwareReporter.LEASE , fitting ) ;
 }
-if ( config.leases.looksEvery ( ) != null ) {
-looks = new HealthChecker ( net , requestTracker , eventLog , config.leases.looksEvery ( ) , chance , this ) ;
+if ( config.leases.healthCheckInterval ( ) != null ) {
+looks = new HealthChecker ( net , requestTracker , eventLog , config.leases.healthCheckInterval ( ) , chance , this ) ;
 leases.campaign ( HealthChecker.LEASE , looks ) ;
 }
 }
-net.at ( net.now ( ).plus ( config.waitForList ) , ( ) -> letClientsIn ( "without list or news, which did not come in time" ) ) ;
+net.at ( net.now ( ).plus ( config.discoveryTimeout ) , ( ) -> letClientsIn ( "without list or news, which did not come in time" ) ) ;
 net.at ( net.now ( ).plus ( FIGURES ) , this :: figures ) ;
 checkFigures ( ) ;
 }
@@ -298,7 +298,7 @@
 }
 listener.close ( ) ;
 eventLog.info ( EventLog.Event.FINISHING , requestTracker.openRpcs ( ) + " RPCs are open" ) ;
-net.at ( net.now ( ).plus ( live.finishWithin ) , this :: abortOpen ) ;
+net.at ( net.now ( ).plus ( live.shutdownTimeout ) , this :: abortOpen ) ;
 lookWhetherDone ( ) ;
 }
 
@@ -306,7 +306,7 @@
 /** Settings that were read anew, of which only such differ as the schema marks as live. */ 
 public void reload ( RelayConfig anew ) {
 live = anew ;
-eventLog.info ( EventLog.Event.SETTINGS , "taken over: limits/open " + anew.open + ", limits/open-per-client " + anew.openPerClient + ", limits/finish-within " + anew.finishWithin.ms ( ) + "ms" ) ;
+eventLog.info ( EventLog.Event.SETTINGS , "taken over: limits/open " + anew.maxOpenRequests + ", limits/open-per-client " + anew.maxOpenRequestsPerClient + ", limits/finish-within " + anew.shutdownTimeout.ms ( ) + "ms" ) ;
 }
 
 
@@ -390,7 +390,7 @@
 eventLog.warn ( EventLog.Event.CLIENT_REFUSED , "an RPC of method " + call.getMethod ( ) + ", there are " + config.settings.methods.size ( ) + "; it was aborted" ) ;
 return ;
 }
-String full = config.strict && hasMetricsDrift ? "figures drift, and figures/strict is set" : finishing ? "the relay is finishing" : requestTracker.openRpcs ( ) >= live.open ? "limits/open is reached" : asked.client.open ( ) > live.openPerClient ? "limits/open-per-client is reached" : null ;
+String full = config.rejectsOnMetricsDrift && hasMetricsDrift ? "figures drift, and figures/strict is set" : finishing ? "the relay is finishing" : requestTracker.openRpcs ( ) >= live.maxOpenRequests ? "limits/open is reached" : asked.client.open ( ) > live.maxOpenRequestsPerClient ? "limits/open-per-client is reached" : null ;
 if ( full != null ) {
 accounts.postNew ( accounts.calls , 0 , 2 ) ;
 asked.client.answer ( asked , Ending.PUSHED_BACK , 0 , 0 , FrameClientConnection.NO_BODY ) ;
@@ -476,7 +476,7 @@
 
 
 @Override public void look ( Endpoint endpoint , FrameListener user , HealthChecker.LinkTaker taker ) {
-FrameConnection connection = new FrameConnection ( net , mine , config.connection , tap , user ) ;
+FrameConnection connection = new FrameConnection ( net , mine , config.connectionLimits , tap , user ) ;
 taker.take ( connection ) ;
 EndpointConnectionPool door = ( EndpointConnectionPool ) endpoint.attachment ;
 secured.toUnit ( endpoint.id , door.address ( ) , door.name ( ) , connection ) ;
@@ -511,7 +511,7 @@
 
 
 @Override public void open ( EndpointConnection connection , InetSocketAddress to , String name ) {
-connection.connection = new FrameConnection ( net , mine , config.connection , tap , connection ) ;
+connection.connection = new FrameConnection ( net , mine , config.connectionLimits , tap , connection ) ;
 secured.toUnit ( connection.unit ( ).id , to , name , connection.connection ) ;
 }
 
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -78,7 +78,7 @@
 
 
 public void start ( ) {
-if ( config.racksEvery != null ) {
+if ( config.rackPermitInterval != null ) {
 ask ( ) ;
 }
 }
@@ -105,13 +105,13 @@
 PromiseAsk ask = PromiseAsk.newBuilder ( ).setId ( ++ lastAsk ).setHolds ( shared.current ( ).sequence ( ) ).setList ( list ).build ( ) ;
 asked.put ( lastAsk , net.now ( ) ) ;
 owner.requestPromise ( ask ) ;
-next = net.at ( net.now ( ).plus ( config.racksEvery.times ( 0.75 + 0.5 * chance.next ( ) ) ) , this :: ask ) ;
+next = net.at ( net.now ( ).plus ( config.rackPermitInterval.times ( 0.75 + 0.5 * chance.next ( ) ) ) , this :: ask ) ;
 }
 
 
 /** An answer, or word that something has changed. */ 
 public void promiseReceived ( Promised promised ) {
-if ( config.racksEvery == null || stopped ) {
+if ( config.rackPermitInterval == null || stopped ) {
 return ;
 }
 if ( promised.getId ( ) == 0 ) {
@@ -135,7 +135,7 @@
 return ;
 }
 epoch = promised.getEpoch ( ) ;
-double shorter = ( 1 - config.racksDrift ) / ( 1 + config.racksDrift ) ;
+double shorter = ( 1 - config.rackClockDrift ) / ( 1 + config.rackClockDrift ) ;
 Map < Integer , Timestamp > until = new HashMap < > ( ) ;
 if ( promised.getRest ( ) ) {
 notices.forEach ( ( rack , notice ) -> until.put ( rack , from.plus ( notice.times ( shorter ) ) ) ) ;
@@ -207,7 +207,7 @@
 
 /** Racks are nothing to it, or it was promised something. */ 
 public boolean mayHavePermits ( ) {
-return promiseReceived || config.racksEvery == null ;
+return promiseReceived || config.rackPermitInterval == null ;
 }
 
 
