--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -174,7 +174,7 @@
       return;
     }
     close(rpc, LEFT);
-    module.clientLeft(rpc);
+    module.clientDisconnected(rpc);
     forget(rpc);
   }
 
@@ -236,7 +236,7 @@
 
   public void news(int build, int stage, RolloutState standing, double cap, Timestamp since) {
     newestTried = standing == RolloutState.RELEASED ? build + 1 : build;
-    module.newsOfBuild(build(build), stage, standing, cap, since);
+    module.rolloutChanged(build(build), stage, standing, cap, since);
     builds.values().removeIf(one -> one.endpoints.isEmpty() && one.number < build - 1);
   }
 
@@ -244,7 +244,7 @@
   public void counted(int build, int method, double attempts, double failed, TimeSpan mean) {
     Build known = builds.get(build);
     if (known != null) {
-      module.counted(known, settings.methods.get(method), attempts, failed, mean);
+      module.fleetCountsReceived(known, settings.methods.get(method), attempts, failed, mean);
     }
   }
 
@@ -255,7 +255,7 @@
   public void flagged(long endpoint, TimeSpan sentAgo, Timestamp now) {
     Endpoint known = endpoints.get(endpoint);
     if (known != null && known.olderThan(sentAgo, now)) {
-      module.flagged(known);
+      module.answerReportedWrong(known);
     }
   }
 
@@ -271,7 +271,7 @@
   public void looked(long endpoint, boolean answered) {
     Endpoint known = endpoints.get(endpoint);
     if (known != null && known.ready()) {
-      module.looked(known, answered);
+      module.healthChecked(known, answered);
     }
   }
 
--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -21,11 +21,11 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
-import sprucerock.Policy;
 import sprucerock.config.ConfigException;
 import sprucerock.config.RelayConfig;
 import sprucerock.metrics.MetricsExporter;
 import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.policy.RoutingPolicy;
 import sprucerock.relay.frames.FrameRelay;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.tls.Material;
@@ -389,7 +389,7 @@
               }
               try {
                 made.start(
-                    Policy::new,
+                    RoutingPolicy::new,
                     tls == null
                         ? null
                         : new Workers(
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -9,7 +9,6 @@
 import java.util.concurrent.atomic.AtomicReference;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sprucerock.Policy;
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
@@ -17,6 +16,7 @@
 import sprucerock.lease.Leases;
 import sprucerock.metrics.MetricsExporter;
 import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.policy.RoutingPolicy;
 import sprucerock.rehearsal.trace.TraceWriter;
 import sprucerock.relay.frames.FrameRelay;
 import sprucerock.transport.net.nio.NioLoop;
@@ -134,7 +134,7 @@
                         Math.max(1, config.tlsWorkWaiting),
                         loop::post,
                         relay.get()::broken);
-            relay.get().start(Policy::new, aside);
+            relay.get().start(RoutingPolicy::new, aside);
           } catch (IOException e) {
             wrong.set(
                 config.listen
--- a/src/main/java/sprucerock/cli/ServeCommand.java
+++ b/src/main/java/sprucerock/cli/ServeCommand.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicReference;
 import picocli.CommandLine.Command;
-import sprucerock.Policy;
 import sprucerock.config.ConfigException;
+import sprucerock.policy.RoutingPolicy;
 import sprucerock.relay.platform.PlatformConfig;
 import sprucerock.relay.platform.PlatformRelay;
 import sprucerock.relay.platform.WarmUp;
@@ -40,7 +40,7 @@
     try {
       PlatformConfig config = PlatformConfig.read(System.getenv());
       Logs.to(Logs.Form.PLAIN);
-      WarmUp.run(Policy::new);
+      WarmUp.run(RoutingPolicy::new);
       NioLoop loop =
           new NioLoop(
               "serving",
@@ -56,7 +56,7 @@
             try {
               serving.set(
                   new PlatformRelay(config, loop, System.currentTimeMillis(), asks::release));
-              serving.get().start(Policy::new);
+              serving.get().start(RoutingPolicy::new);
             } catch (IOException e) {
               wrong.set("an address can't be listened at: " + e.getMessage());
               ended.countDown();
@@ -89,7 +89,7 @@
    */
   public static void warm() throws IOException, InterruptedException {
     Logs.to(Logs.Form.PLAIN);
-    int answered = WarmUp.run(Policy::new);
+    int answered = WarmUp.run(RoutingPolicy::new);
     CountDownLatch heard = new CountDownLatch(1);
     NioLoop loop = new NioLoop("warm", Throwable::printStackTrace);
     loop.post(
--- a/src/main/java/sprucerock/policy/RelayActions.java
+++ b/src/main/java/sprucerock/policy/RelayActions.java
@@ -20,17 +20,17 @@
   void cancel(Attempt attempt);
 
   /** Final: the client may safely try again, best after {@code wait} (zero: no advice). */
-  void pushBack(Rpc rpc, TimeSpan wait);
+  void reject(Rpc rpc, TimeSpan wait);
 
   /** Final: no promise about what happened. */
-  void abort(Rpc rpc);
+  void fail(Rpc rpc);
 
   /** Runs {@code what} in the first round at or after {@code when}. */
-  void wake(Timestamp when, Runnable what);
+  void schedule(Timestamp when, Runnable what);
 
   /** The same, unless the RPC has ended by then: a host need not keep hold of what is over. */
-  default void wake(Rpc rpc, Timestamp when, Runnable what) {
-    wake(
+  default void schedule(Rpc rpc, Timestamp when, Runnable what) {
+    schedule(
         when,
         () -> {
           if (!rpc.ended()) {
@@ -40,8 +40,8 @@
   }
 
   /** The same, unless the pick has ended by then. */
-  default void wake(Attempt attempt, Timestamp when, Runnable what) {
-    wake(
+  default void schedule(Attempt attempt, Timestamp when, Runnable what) {
+    schedule(
         when,
         () -> {
           if (attempt.outcome() == null) {
@@ -53,10 +53,10 @@
   void vote(Build build, int stage, Verdict verdict);
 
   /** A short message to every other relay; it may come late or never. */
-  void tellPeers(byte[] contents);
+  void sendToPeers(byte[] contents);
 
   /** The same to one relay, by its number. */
-  void tellPeer(int relay, byte[] contents);
+  void sendToPeer(int relay, byte[] contents);
 
   void subscribe();
 
--- a/src/main/java/sprucerock/policy/RelayEvents.java
+++ b/src/main/java/sprucerock/policy/RelayEvents.java
@@ -21,9 +21,9 @@
   void endpointDraining(Endpoint endpoint);
 
   /** A list that was asked for did not come, or the subscription broke. */
-  void listFailed();
+  void endpointListFailed();
 
-  void newsOfBuild(Build build, int stage, RolloutState standing, double cap, Timestamp since);
+  void rolloutChanged(Build build, int stage, RolloutState standing, double cap, Timestamp since);
 
   void rpcArrived(Rpc rpc);
 
@@ -32,21 +32,22 @@
   /** A pick ended; {@code answers} says that it ended its RPC too. */
   void attemptEnded(Attempt attempt, boolean answers);
 
-  void clientLeft(Rpc rpc);
+  void clientDisconnected(Rpc rpc);
 
   /** What the release desk counted in a sample of all relays' picks, in one period. */
-  void counted(Build build, Method method, double attempts, double failed, TimeSpan mean);
+  void fleetCountsReceived(
+      Build build, Method method, double attempts, double failed, TimeSpan mean);
 
   /** A client found wrong what this unit answered. */
-  void flagged(Endpoint endpoint);
+  void answerReportedWrong(Endpoint endpoint);
 
   /**
    * The one relay that looks at units for all asked it for a sign, and got it or not; no work was
    * run for it.
    */
-  void looked(Endpoint endpoint, boolean answered);
+  void healthChecked(Endpoint endpoint, boolean answered);
 
-  void peerTold(int sender, byte[] contents);
+  void peerMessageReceived(int sender, byte[] contents);
 
   void voteAnswered(VoteReply reply);
 }
--- a/src/main/java/sprucerock/Policy.java
+++ b/src/main/java/sprucerock/policy/RoutingPolicy.java
@@ -1,4 +1,4 @@
-package sprucerock;
+package sprucerock.policy;
 
 import java.util.List;
 import java.util.Set;
@@ -15,14 +15,12 @@
 import sprucerock.model.ShadowPair;
 import sprucerock.model.Verdict;
 import sprucerock.model.VoteReply;
-import sprucerock.policy.RelayActions;
-import sprucerock.policy.RelayEvents;
-import sprucerock.policy.evidence.Ballot;
-import sprucerock.policy.evidence.Board;
 import sprucerock.policy.evidence.CanaryTrial;
-import sprucerock.policy.evidence.Evidence;
-import sprucerock.policy.evidence.Met;
-import sprucerock.policy.evidence.Tenants;
+import sprucerock.policy.evidence.LastVote;
+import sprucerock.policy.evidence.LoadReports;
+import sprucerock.policy.evidence.RecentEndpoints;
+import sprucerock.policy.evidence.StageEvidence;
+import sprucerock.policy.evidence.TenantArrivals;
 import sprucerock.stats.DecayingMean;
 import sprucerock.stats.DecayingSum;
 import sprucerock.stats.DeterministicRandom;
@@ -43,7 +41,7 @@
  * with the loads that relays tell each other, (3) time-out and further pick under a retry budget,
  * (4) pushback under overload, (5) pinned keys, (6) evidence where pairs can't see.
  */
-public final class Policy implements RelayEvents {
+public final class RoutingPolicy implements RelayEvents {
   private final RelayActions host;
   private final Settings settings;
   private final DeterministicRandom chance;
@@ -59,8 +57,8 @@
   private final double strays; // marks for one unlucky relay among all in twenty days
   private final TreeMap<Integer, DecayingMean> zonePaces = new TreeMap<>();
   private final Pace pace;
-  private final Board board;
-  private final Met met = new Met(8);
+  private final LoadReports board;
+  private final RecentEndpoints met = new RecentEndpoints(8);
   private final DecayingMean noConnection = new DecayingMean(TimeSpan.ofMs(5000));
   private int hub;
   private Timestamp hubSince;
@@ -70,7 +68,7 @@
   private final DecayingSum endedAnywhere = new DecayingSum(TimeSpan.ofMs(2000));
 
   private final DecayingSum arrivals = new DecayingSum(TimeSpan.ofMs(5000));
-  private final Tenants tenants;
+  private final TenantArrivals tenants;
   private final KeyedSums keyArrivals =
       new KeyedSums(TimeSpan.ofMs(20000), 4096); // of popular keys
   private final DecayingSum homeSends = new DecayingSum(TimeSpan.ofMs(3000));
@@ -79,16 +77,16 @@
   private int timely;
   private double timelySinceMs; // the sum of their arrivals
 
-  private final Ballot ballot = new Ballot();
+  private final LastVote ballot = new LastVote();
   private Timestamp lastAsked;
   private final Timestamp started;
 
-  public Policy(RelayActions host, Settings settings, long seed) {
+  public RoutingPolicy(RelayActions host, Settings settings, long seed) {
     this.host = host;
     this.settings = settings;
     chance = new DeterministicRandom(seed);
     started = host.now();
-    tenants = new Tenants(settings.tenantShares, TimeSpan.ofMs(5000));
+    tenants = new TenantArrivals(settings.tenantShares, TimeSpan.ofMs(5000));
     sharedTokens = settings.free;
     alone = !settings.peers && !settings.countsEvery.over(TimeSpan.ZERO);
     strays = Math.sqrt(2 * Math.log(20 * settings.relays));
@@ -98,7 +96,7 @@
       method.trialTokens = settings.free;
     }
     pace = new Pace(settings.methods.size(), 2, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
-    board = new Board(TimeSpan.ofMs(4 * settings.meanSoftMs));
+    board = new LoadReports(TimeSpan.ofMs(4 * settings.meanSoftMs));
     if (settings.ask) {
       subscribe();
     }
@@ -111,7 +109,7 @@
     }
     endpoint.zonePace =
         zonePaces.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
-    board.ready(endpoint);
+    board.addEndpoint(endpoint);
     builds.put(endpoint.build.number, endpoint.build);
     endpoint.coldTokens =
         chance.next(); // relays learn of a unit together: first tokens come one by one
@@ -120,14 +118,15 @@
 
   public void endpointDraining(
       Endpoint endpoint) { // rule 3: gets nothing new at once; no grace is used
-    board.left(endpoint);
+    board.removeEndpoint(endpoint);
     if (endpoint.build.endpoints.isEmpty()) {
       builds.remove(endpoint.build.number);
     }
   }
 
-  public void listFailed() { // asked for again after a pause, so that a busy discovery recovers
-    host.wake(host.now().plus(TimeSpan.ofMs(500 + 500 * chance.next())), this::subscribe);
+  public void
+      endpointListFailed() { // asked for again after a pause, so that a busy discovery recovers
+    host.schedule(host.now().plus(TimeSpan.ofMs(500 + 500 * chance.next())), this::subscribe);
   }
 
   private void subscribe() {
@@ -135,23 +134,23 @@
     host.subscribe();
   }
 
-  public void newsOfBuild(
+  public void rolloutChanged(
       Build build, int stage, RolloutState newStanding, double newCap, Timestamp since) {
     if (!isOffered(build)) {
       noteWithdrawn();
       offer = new CanaryTrial(build, settings.methods.size());
     }
     if (offer.evidence == null || stage != offer.stage || newStanding != standing) {
-      offer.enter(stage, since, newStanding == RolloutState.RELEASED);
+      offer.enterStage(stage, since, newStanding == RolloutState.RELEASED);
       singles =
           (int) (Math.min(10, 40.0 / settings.relays) + chance.next()); // 40 by all: each harms
       ballot.verdict = Verdict.NONE;
     }
     standing = newStanding;
-    offer.tried |= standing == RolloutState.ON_TRIAL;
+    offer.seenOnTrial |= standing == RolloutState.ON_TRIAL;
     cap = newCap;
     if (standing != RolloutState.ON_TRIAL) {
-      offer.pins.clear();
+      offer.stickyKeys.clear();
     }
     consider();
   }
@@ -225,9 +224,9 @@
   }
 
   private void route(Rpc rpc) {
-    host.wake(rpc, host.now().plus(rpc.method.latencyObjective), () -> settle(rpc));
+    host.schedule(rpc, host.now().plus(rpc.method.latencyObjective), () -> settle(rpc));
     // Rule 1: two rounds before the client's own deadline, since a timer may come a round late.
-    host.wake(
+    host.schedule(
         rpc,
         rpc.deadline.minus(settings.tick.times(2)),
         () -> {
@@ -241,8 +240,8 @@
     if (single != null) {
       ShadowPair pair = new ShadowPair();
       sendCopy(rpc, single, pair);
-      offer.evidence.waiting.get(rpc.method.index).add(pair);
-      offer.evidence.singles[rpc.method.index]++;
+      offer.evidence.awaitingBaseline.get(rpc.method.index).add(pair);
+      offer.evidence.sentAlone[rpc.method.index]++;
       return;
     }
     Endpoint home = chooseAny(rpc);
@@ -256,7 +255,9 @@
     }
     Endpoint endpoint = mayCopy(rpc, trial) ? chooseFitting(rpc, trial) : null;
     earlier.pair =
-        endpoint != null ? new ShadowPair() : offer.evidence.waiting.get(rpc.method.index).poll();
+        endpoint != null
+            ? new ShadowPair()
+            : offer.evidence.awaitingBaseline.get(rpc.method.index).poll();
     if (earlier.pair == null) {
       return;
     }
@@ -292,16 +293,16 @@
   }
 
   private boolean maySingle(Rpc rpc, Build trial) {
-    if (breakerOpen() || !mayTry(trial, rpc.method, 1) || offer.pins.containsKey(rpc.key)) {
+    if (breakerOpen() || !mayTry(trial, rpc.method, 1) || offer.stickyKeys.containsKey(rpc.key)) {
       return false;
     }
-    Evidence seen = offer.evidence;
+    StageEvidence seen = offer.evidence;
     // every other one of a method at most: each has its like at the earlier build
     if (rpc.method.idempotent()) {
-      return !settings.secondCopies && seen.even(rpc.method);
+      return !settings.secondCopies && seen.isBalanced(rpc.method);
     }
     // (6) A build bad for one method with effects shows in no copy: a few such RPCs go there alone
-    return offer.stage > 0 && seen.singles[rpc.method.index] < singles;
+    return offer.stage > 0 && seen.sentAlone[rpc.method.index] < singles;
   }
 
   /**
@@ -314,10 +315,10 @@
     }
     Timestamp now = host.now();
     double share = keyArrivals.perSecond(rpc.key, now) / Math.max(arrivals.perSecond(now), 1e-9);
-    if (offer.pinnedShare + share > 0.5 * cap) {
+    if (offer.stickyShare + share > 0.5 * cap) {
       return null;
     }
-    offer.pinnedShare += share;
+    offer.stickyShare += share;
     return endpoint;
   }
 
@@ -345,7 +346,7 @@
     attempt.startBy = binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
     host.send(attempt);
     report(endpoint, null);
-    host.wake(attempt, now.plus(overdue), () -> overdue(attempt));
+    host.schedule(attempt, now.plus(overdue), () -> overdue(attempt));
     return attempt;
   }
 
@@ -445,23 +446,23 @@
     }
     noConnection.add(now, attempt.outcome() == AttemptOutcome.NOT_CONNECTED ? 1 : 0);
     if (ok) {
-      met.answered(attempt.endpoint);
+      met.add(attempt.endpoint);
     }
     if (attempt.outcome() == AttemptOutcome.NOT_CONNECTED
         || attempt.outcome() == AttemptOutcome.BROKEN) {
-      met.lost(attempt.endpoint);
+      met.remove(attempt.endpoint);
     }
     if (ok || attempt.outcome() == AttemptOutcome.TIMED_OUT) {
       learnPace(attempt);
     }
     if (isOffered(attempt.endpoint.build)) {
-      offer.erred |= attempt.erred();
+      offer.errorSeen |= attempt.erred();
       if (standing == RolloutState.RELEASED) {
-        offer.evidence.ended(attempt);
+        offer.evidence.attemptEnded(attempt);
       }
       boolean binds = standing == RolloutState.ON_TRIAL && settings.oneWayKeys && rpc.key != 0;
       if (ok && binds) {
-        offer.pins.put(rpc.key, offer.build);
+        offer.stickyKeys.put(rpc.key, offer.build);
       }
     }
     if (attempt.pair != null) {
@@ -472,7 +473,7 @@
     }
   }
 
-  public void clientLeft(Rpc rpc) {
+  public void clientDisconnected(Rpc rpc) {
     settle(rpc);
     cancelOut(rpc);
   }
@@ -485,9 +486,9 @@
     if (rpc.firstThatMayHaveRun() == null || rpc.method.harmlessAnywhere()) {
       // half a soft deadline: about what a queue that long needs to drain
       TimeSpan wait = rpc.method.latencyObjective.times(0.5).atMost(settings.maxRetryAfter);
-      host.pushBack(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
+      host.reject(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
     } else {
-      host.abort(rpc);
+      host.fail(rpc);
     }
     cancelOut(rpc);
   }
@@ -553,7 +554,9 @@
     // once released, a build has every key: earlier units may be listed before news that it goes
     // back
     Build pin =
-        !keyed ? null : standing == RolloutState.RELEASED ? offer.build : offer.pins.get(rpc.key);
+        !keyed
+            ? null
+            : standing == RolloutState.RELEASED ? offer.build : offer.stickyKeys.get(rpc.key);
     Endpoint endpoint = null;
     for (Build build : builds.descendingMap().values()) {
       if (endpoint != null || pin != null && build.number < pin.number) {
@@ -580,7 +583,7 @@
     // no scan of a large fleet: 24 draws miss the usable third of a build once in 17,000 times
     // Where connections fail, units that answered lately come first: their connections are open.
     List<Endpoint> open =
-        noConnection.at(now, 0, 2) > 0.15 ? met.of(build, chance.next()) : List.of();
+        noConnection.at(now, 0, 2) > 0.15 ? met.ofBuild(build, chance.next()) : List.of();
     for (int i = 0; i < open.size() + Math.min(build.endpoints.size(), 24); i++) {
       Endpoint endpoint =
           i < open.size() ? open.get(i) : build.draw(i - open.size(), chance.next());
@@ -621,7 +624,7 @@
     if (connected(drawn, now) || onTrial(drawn.build)) {
       return drawn;
     }
-    for (Endpoint endpoint : met.of(drawn.build, chance.next())) {
+    for (Endpoint endpoint : met.ofBuild(drawn.build, chance.next())) {
       boolean well = connected(endpoint, now) && !sick(endpoint) && !farOff(endpoint);
       if (well && mayTake(rpc, first, endpoint, now) && cost(endpoint) <= cost(drawn)) {
         return endpoint;
@@ -685,7 +688,7 @@
           || !attempt.endpoint.olderThan(TimeSpan.ofMs(5000), now)) {
         return;
       }
-      offer.excessLog.add(now, log - method.logNow.at(now, log, 1e-9));
+      offer.logExcess.add(now, log - method.logNow.at(now, log, 1e-9));
       return;
     }
     method.took.add(now, ms);
@@ -759,16 +762,16 @@
     if (trial() != fresh.endpoint.build || fresh.voidsPair() || earlier.voidsPair()) {
       return;
     }
-    Evidence seen = offer.evidence;
+    StageEvidence seen = offer.evidence;
     seen.pairs++;
     boolean few =
         fresh.endpoint.build.endpoints.size() < 3; // else one unit gives two mismatches at most
     boolean freshOnly = fresh.erred() && !earlier.erred();
     if (freshOnly && (++fresh.endpoint.excess <= 2 || few)) {
-      seen.freshFails(fresh.endpoint);
+      seen.canaryFailed(fresh.endpoint);
     }
     if (earlier.erred() && !fresh.erred()) {
-      seen.earlierFailed++;
+      seen.baselineFailures++;
     }
     Timestamp now = host.now();
     TimeSpan settled =
@@ -779,9 +782,9 @@
             && !earlier.erred()
             && fresh.endpoint.olderThan(settled, now)
             && earlier.endpoint.olderThan(settled, now);
-    int n = alike ? seen.time(tookOf(fresh, now), tookOf(earlier, now)) : 0;
+    int n = alike ? seen.addTimes(tookOf(fresh, now), tookOf(earlier, now)) : 0;
     boolean test = n == 20 || n == 40 || n == 80;
-    seen.slower |= test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n));
+    seen.slowerByTimes |= test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n));
     consider();
   }
 
@@ -795,29 +798,32 @@
   // pace of the earlier build. They hold time-outs too: errors that picks or pairs showed must bear
   // them
   // out.
-  public void counted(Build build, Method method, double attempts, double failed, TimeSpan mean) {
+  public void fleetCountsReceived(
+      Build build, Method method, double attempts, double failed, TimeSpan mean) {
     if (!onTrial(build) && quiet() && attempts > failed) {
       seePace(1, method, mean.ms(), attempts - failed);
     }
     if (offer == null || build.number > offer.build.number) {
       return;
     }
-    double[] fresh = offer.freshCounts[method.index];
-    double[] earlier = offer.earlierCounts[method.index];
+    double[] fresh = offer.canaryCounts[method.index];
+    double[] earlier = offer.baselineCounts[method.index];
     double[] counts = isOffered(build) ? fresh : earlier;
     counts[0] += attempts;
     counts[1] += failed;
     boolean released = standing == RolloutState.RELEASED;
-    int lead = offer.lead();
-    boolean led = settings.peers ? lead > 0.01 * offer.pooled()[0] : offer.erred;
-    if (fresh[0] < 12 || fresh[1] < 3 || !(released ? offer.evidence.errors > 2 : led)) {
+    int lead = offer.failureLead();
+    boolean led = settings.peers ? lead > 0.01 * offer.pooledCounts()[0] : offer.errorSeen;
+    if (fresh[0] < 12
+        || fresh[1] < 3
+        || !(released ? offer.evidence.errorsAfterRelease > 2 : led)) {
       return;
     }
     // 3.5 standard errors: one look in 4,000 by chance; once released a fifth of units may fail
     // anyway
     double mark = 3.5 * Shares.error(fresh[1], fresh[0], earlier[1], earlier[0]);
     double excess = fresh[1] / fresh[0] - earlier[1] / Math.max(earlier[0], 1);
-    offer.evidence.counted |= excess > Math.max(released ? 0.25 : 0.05, mark);
+    offer.evidence.worseByCounts |= excess > Math.max(released ? 0.25 : 0.05, mark);
     consider();
   }
 
@@ -829,14 +835,14 @@
    * A wrong answer that a client reported stands as a failed copy beside an ok primary, or the
    * reverse.
    */
-  public void flagged(Endpoint endpoint) {
+  public void answerReportedWrong(Endpoint endpoint) {
     if (offer == null) {
       return;
     }
     if (isOffered(endpoint.build)) {
-      offer.evidence.freshFails(endpoint);
+      offer.evidence.canaryFailed(endpoint);
     } else {
-      offer.evidence.earlierFailed++;
+      offer.evidence.baselineFailures++;
     }
     consider();
   }
@@ -845,7 +851,7 @@
    * A sign makes a sick unit worth its look at once; silence counts like that of a pick, so three
    * in a row leave it alone.
    */
-  public void looked(Endpoint endpoint, boolean answered) {
+  public void healthChecked(Endpoint endpoint, boolean answered) {
     if (!answered) {
       note(endpoint, false);
     } else if (sick(endpoint)) {
@@ -853,16 +859,16 @@
     }
   }
 
-  public void peerTold(int sender, byte[] contents) {
+  public void peerMessageReceived(int sender, byte[] contents) {
     if (contents.length < 2) {
       return;
     }
-    if (contents[0] == Board.PICK && contents.length == 4) {
+    if (contents[0] == LoadReports.ATTEMPT && contents.length == 4) {
       added(contents);
-    } else if (contents[0] == Board.LOADS) {
+    } else if (contents[0] == LoadReports.LOADS) {
       loadsTold(sender, contents);
     } else if (offer != null && contents.length == 8) {
-      offer.heard(sender, contents);
+      offer.receiveReport(sender, contents);
       consider();
     }
   }
@@ -885,31 +891,32 @@
       hubSince = now;
       hub = (hub + 1) % settings.relays;
     }
-    byte[] told = board.attempt(endpoint, endedAt);
+    byte[] told = board.encodeAttempt(endpoint, endedAt);
     if (hub == settings.index) {
       added(told);
     } else {
-      host.tellPeer(hub, told);
+      host.sendToPeer(hub, told);
     }
   }
 
   private void added(byte[] told) {
     Timestamp now = host.now();
-    if (board.add(told, now)) {
+    if (board.applyAttempt(told, now)) {
       endedAnywhere.add(now, 1);
     }
     if (sumsDue) {
       return;
     }
     sumsDue = true;
-    host.wake(
+    host.schedule(
         now.plus(TimeSpan.ofMs(250)),
         () -> {
           sumsDue = false;
           Timestamp at = host.now();
-          double waitMs = 1000 * board.out(at) / Math.max(endedAnywhere.perSecond(started, at), 1);
-          byte[] loads = board.loads(2, waitMs / settings.meanSoftMs, at);
-          host.tellPeers(loads);
+          double waitMs =
+              1000 * board.outstanding(at) / Math.max(endedAnywhere.perSecond(started, at), 1);
+          byte[] loads = board.encodeLoads(2, waitMs / settings.meanSoftMs, at);
+          host.sendToPeers(loads);
           loadsTold(settings.index, loads);
         });
   }
@@ -921,7 +928,7 @@
     hub = sender;
     hubSince = host.now();
     loadsAt = hubSince;
-    fleetWaitMs = board.read(told, loadsAt) * settings.meanSoftMs;
+    fleetWaitMs = board.applyLoads(told, loadsAt) * settings.meanSoftMs;
   }
 
   private boolean loadsFresh() {
@@ -944,7 +951,7 @@
   private void watchPace(Timestamp now) {
     if (pace.mean(now) < 0.2) {
       offer.slowSince = null;
-      offer.excused = false;
+      offer.slowdownExcused = false;
       if (offer.pausedAt != null && now.since(offer.pausedAt).over(TimeSpan.ofMs(500))) {
         offer.pausedAt = null;
         offer.resumedAt = now;
@@ -952,22 +959,22 @@
     } else if (offer.slowSince == null && slowed(now)) {
       offer.slowSince = now;
     }
-    if (offer.pausedAt == null && !offer.excused && longerThan(700, offer.slowSince, now)) {
+    if (offer.pausedAt == null && !offer.slowdownExcused && longerThan(700, offer.slowSince, now)) {
       if (offer.resumedAt != null && !longerThan(5000 + lagMs(), offer.resumedAt, now)) {
-        offer.blames++;
+        offer.slowdownsBlamed++;
       }
       offer.pausedAt = now;
     }
     if (longerThan(5000 + lagMs(), offer.pausedAt, now)) { // twice what a queue needs to drain
       offer.pausedAt = null;
-      offer.excused = true;
+      offer.slowdownExcused = true;
     }
   }
 
   private boolean paceLost(Timestamp now) { // at the build, against the earlier one by method
-    double count = offer.excessLog.count(now);
+    double count = offer.logExcess.count(now);
     double mark = Math.max(0.5, strays * 0.9 / Math.sqrt(count));
-    return count >= 4 && offer.excessLog.at(now, 0, 1e-9) > mark;
+    return count >= 4 && offer.logExcess.at(now, 0, 1e-9) > mark;
   }
 
   private static boolean longerThan(double ms, Timestamp since, Timestamp now) {
@@ -980,7 +987,7 @@
 
   private boolean inDoubt(Timestamp now) {
     return offer.pausedAt != null
-        || offer.slowSince != null && !offer.excused
+        || offer.slowSince != null && !offer.slowdownExcused
         || offer.resumedAt != null && !longerThan(3000 + lagMs(), offer.resumedAt, now);
   }
 
@@ -989,18 +996,24 @@
    * last.
    */
   private boolean failsAfterRelease(Timestamp now) {
-    Evidence seen = offer.evidence;
+    StageEvidence seen = offer.evidence;
     if (pace.mean(now) < 0.6 || !slowed(now)) {
-      offer.lost = 0;
-    } else if (offer.lostAsOf != null) {
-      offer.lost += pace.mean(now) * now.since(offer.lostAsOf).ms() / 1000;
+      offer.lostPaceSeconds = 0;
+    } else if (offer.lostPaceAsOf != null) {
+      offer.lostPaceSeconds += pace.mean(now) * now.since(offer.lostPaceAsOf).ms() / 1000;
     }
-    offer.lostAsOf = now;
+    offer.lostPaceAsOf = now;
     // more than a fifth of the units that fail for other reasons; or a few errors on most units
-    boolean share = alone && seen.erring >= 3 && seen.errors > Math.max(3, 0.25 * seen.ended);
+    boolean share =
+        alone
+            && seen.failingAfterRelease >= 3
+            && seen.errorsAfterRelease > Math.max(3, 0.25 * seen.attemptEnded);
     boolean many =
-        seen.erring >= Math.max(3, 0.6 * offer.build.endpoints.size()) && seen.errors >= 5;
-    return share || many && seen.errors > 0.02 * seen.ended || offer.lost > (quiet() ? 4 : 6);
+        seen.failingAfterRelease >= Math.max(3, 0.6 * offer.build.endpoints.size())
+            && seen.errorsAfterRelease >= 5;
+    return share
+        || many && seen.errorsAfterRelease > 0.02 * seen.attemptEnded
+        || offer.lostPaceSeconds > (quiet() ? 4 : 6);
   }
 
   private void look() {
@@ -1010,16 +1023,16 @@
     }
     consider();
     // (6) peers tell each other their pairs, twice a second at most, and add them up
-    boolean news = settings.peers && trial() != null && !offer.evidence.told();
-    if (news && (offer.told == null || longerThan(500, offer.told, now))) {
-      offer.told = now;
-      host.tellPeers(offer.evidence.report(offer.build.number, offer.stage));
+    boolean news = settings.peers && trial() != null && !offer.evidence.isReported();
+    if (news && (offer.reportSentAt == null || longerThan(500, offer.reportSentAt, now))) {
+      offer.reportSentAt = now;
+      host.sendToPeers(offer.evidence.encodeReport(offer.build.number, offer.stage));
     }
-    host.wake(now.plus(TimeSpan.ofMs(100)), this::look); // well under a stage's shortest time
+    host.schedule(now.plus(TimeSpan.ofMs(100)), this::look); // well under a stage's shortest time
   }
 
   private boolean watched(Timestamp now) { // for 15 s after release all traffic shows what it shows
-    boolean released = standing == RolloutState.RELEASED && offer.tried;
+    boolean released = standing == RolloutState.RELEASED && offer.seenOnTrial;
     return standing == RolloutState.ON_TRIAL
         || released && !longerThan(15000 + lagMs(), offer.since, now);
   }
@@ -1030,23 +1043,25 @@
     if (!watched(now)) {
       return;
     }
-    Evidence seen = offer.evidence;
-    int[] pooled = offer.pooled();
-    int lead = offer.lead();
+    StageEvidence seen = offer.evidence;
+    int[] pooled = offer.pooledCounts();
+    int lead = offer.failureLead();
     // Three to none is enough, ten to three is not; one sick unit of several is no sick build.
-    boolean spread = offer.failingUnits() >= Math.min(2, offer.build.endpoints.size());
+    boolean spread = offer.failingEndpoints() >= Math.min(2, offer.build.endpoints.size());
     double few = alone ? strays / 2 : 1.5;
     boolean failing =
-        spread && lead >= 3 && lead > 0.01 * pooled[0] && lead > few * offer.stray()
+        spread && lead >= 3 && lead > 0.01 * pooled[0] && lead > few * offer.leadDeviation()
             || spread
                 && lead > 0
-                && lead + offer.carried >= Math.max(5, few * (offer.stray() + offer.carriedStray));
+                && lead + offer.carriedLead
+                    >= Math.max(5, few * (offer.leadDeviation() + offer.carriedDeviation));
     if (!released) {
       watchPace(now);
     }
     boolean blamed =
-        offer.blames > (quiet() ? 0 : 1); // the desk's counts stray less than own picks
-    boolean proven = failing || blamed || seen.slower || seen.counted || alone && paceLost(now);
+        offer.slowdownsBlamed > (quiet() ? 0 : 1); // the desk's counts stray less than own picks
+    boolean proven =
+        failing || blamed || seen.slowerByTimes || seen.worseByCounts || alone && paceLost(now);
     if (proven || released && failsAfterRelease(now)) {
       vote(Verdict.BACK);
     } else if (!released && settings.control == Settings.Control.CLOCKED) {
@@ -1066,11 +1081,11 @@
   // seconds
   // more.
   private boolean mayMoveOn(Timestamp now) {
-    Evidence seen = offer.evidence;
+    StageEvidence seen = offer.evidence;
     boolean single = settings.control == Settings.Control.SINGLE;
-    int pairs = offer.pooled()[0];
+    int pairs = offer.pooledCounts()[0];
     boolean last = offer.stage == settings.caps.size() - 1;
-    boolean untested = single && last && seen.timed < 20 && pairs < 100;
+    boolean untested = single && last && seen.timedPairs < 20 && pairs < 100;
     double fallback = untested ? 6000 : single && pairs < 5 ? 5000 : 3000;
     // alone, the busiest of many relays must see enough first
     if (single && alone) {
@@ -1093,18 +1108,18 @@
     Timestamp now = host.now();
     boolean anew = verdict != ballot.verdict;
     TimeSpan renew = settings.voteLife.times(0.5);
-    if (!anew && !ballot.due(renew, settings.callTimeout, TimeSpan.ofMs(300), now)) {
+    if (!anew && !ballot.isDue(renew, settings.callTimeout, TimeSpan.ofMs(300), now)) {
       return;
     }
     boolean told = anew && (verdict != Verdict.ON || settings.index == 0); // hundreds say the same
     if (told) {
       host.log("vote " + verdict + " on " + offer + ", pace " + pace.mean(now));
     }
-    ballot.cast(verdict, now);
+    ballot.recordCast(verdict, now);
     host.vote(offer.build, offer.stage, verdict);
   }
 
   public void voteAnswered(VoteReply reply) {
-    ballot.answered(reply);
+    ballot.recordReply(reply);
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/Ballot.java
+++ b/src/main/java/sprucerock/policy/evidence/LastVote.java
@@ -6,21 +6,21 @@
 import sprucerock.time.Timestamp;
 
 /** The vote that this relay cast last, and how the release desk took it. */
-public final class Ballot {
+public final class LastVote {
   public Verdict verdict = Verdict.NONE;
   private Timestamp castAt;
   private boolean counts;
-  private boolean pending;
+  private boolean replyPending;
 
-  public void cast(Verdict what, Timestamp now) {
+  public void recordCast(Verdict what, Timestamp now) {
     verdict = what;
     castAt = now;
-    pending = true;
+    replyPending = true;
     counts = false;
   }
 
-  public void answered(VoteReply reply) {
-    pending = false;
+  public void recordReply(VoteReply reply) {
+    replyPending = false;
     counts = reply == VoteReply.COUNTS;
   }
 
@@ -28,7 +28,7 @@
    * Whether it is due again: after {@code renew} if it counts, {@code wait} unanswered, else {@code
    * retry}.
    */
-  public boolean due(TimeSpan renew, TimeSpan wait, TimeSpan retry, Timestamp now) {
-    return now.since(castAt).over(counts ? renew : pending ? wait : retry);
+  public boolean isDue(TimeSpan renew, TimeSpan wait, TimeSpan retry, Timestamp now) {
+    return now.since(castAt).over(counts ? renew : replyPending ? wait : retry);
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/Met.java
+++ b/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
@@ -8,26 +8,26 @@
 import sprucerock.model.Endpoint;
 
 /** The units that answered this relay last. */
-public final class Met {
+public final class RecentEndpoints {
   private final LinkedHashSet<Endpoint> endpoints = new LinkedHashSet<>();
-  private final int most;
+  private final int maxEndpoints;
 
-  public Met(int most) {
-    this.most = most;
+  public RecentEndpoints(int most) {
+    this.maxEndpoints = most;
   }
 
-  public void answered(Endpoint endpoint) {
-    if (endpoints.add(endpoint) && endpoints.size() > most) {
+  public void add(Endpoint endpoint) {
+    if (endpoints.add(endpoint) && endpoints.size() > maxEndpoints) {
       endpoints.remove(endpoints.iterator().next());
     }
   }
 
-  public void lost(Endpoint endpoint) {
+  public void remove(Endpoint endpoint) {
     endpoints.remove(endpoint);
   }
 
   /** Those of a build that may get new work, from one by the dice (0 to under 1) on. */
-  public List<Endpoint> of(Build build, double dice) {
+  public List<Endpoint> ofBuild(Build build, double dice) {
     List<Endpoint> found = new ArrayList<>(endpoints);
     found.removeIf(endpoint -> endpoint.build != build || !endpoint.ready());
     Collections.rotate(found, (int) (dice * found.size()));
--- a/src/main/java/sprucerock/policy/evidence/Evidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -12,47 +12,47 @@
 import sprucerock.stats.Ks;
 
 /** What one relay saw of the offered build in its present stage. */
-public final class Evidence {
+public final class StageEvidence {
   public int pairs;
-  public int freshFailed;
-  public int earlierFailed;
+  public int canaryFailures;
+  public int baselineFailures;
 
   /** Pairs of which both times are known, and those times. */
-  public int timed;
+  public int timedPairs;
 
-  private final double[] freshTook;
-  private final double[] earlierTook;
-  public boolean slower;
-  public boolean counted;
+  private final double[] canaryTook;
+  private final double[] baselineTook;
+  public boolean slowerByTimes;
+  public boolean worseByCounts;
 
   /** Picks ended at the build since its release, and those that failed. */
-  public int ended;
+  public int attemptEnded;
 
-  public int errors;
+  public int errorsAfterRelease;
 
   /** Units of the build that failed a pick since its release. */
-  public int erring;
+  public int failingAfterRelease;
 
-  private int toldPairs;
-  private int toldFailed;
+  private int reportedPairs;
+  private int reportedFailures;
 
   /**
    * RPCs sent to the build alone, by method, and those whose like has not been sent to the earlier
    * build yet.
    */
-  public final int[] singles;
+  public final int[] sentAlone;
 
-  public final List<Deque<ShadowPair>> waiting = new ArrayList<>();
+  public final List<Deque<ShadowPair>> awaitingBaseline = new ArrayList<>();
 
   /** Notes a pick that ended at the build after its release. */
-  public void ended(Attempt attempt) {
-    ended++;
+  public void attemptEnded(Attempt attempt) {
+    attemptEnded++;
     if (!attempt.erred()) {
       return;
     }
-    errors++;
+    errorsAfterRelease++;
     if (++attempt.endpoint.excess == 1) {
-      erring++;
+      failingAfterRelease++;
     }
   }
 
@@ -60,58 +60,59 @@
   int failedAt;
 
   /** A copy failed beside a served primary. */
-  public void freshFails(Endpoint endpoint) {
-    freshFailed++;
+  public void canaryFailed(Endpoint endpoint) {
+    canaryFailures++;
     failedAt |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
   }
 
   /** Each of a method's RPCs sent alone has its like at the earlier build. */
-  public boolean even(Method method) {
-    return waiting.get(method.index).isEmpty();
+  public boolean isBalanced(Method method) {
+    return awaitingBaseline.get(method.index).isEmpty();
   }
 
   /** Whether the peers know all of this. */
-  public boolean told() {
-    return toldPairs == pairs && toldFailed == freshFailed + earlierFailed;
+  public boolean isReported() {
+    return reportedPairs == pairs && reportedFailures == canaryFailures + baselineFailures;
   }
 
   /** Notes the times of a pair; returns how many are known, 0 where no more are kept. */
-  public int time(double fresh, double earlier) {
-    if (timed == freshTook.length) {
+  public int addTimes(double fresh, double earlier) {
+    if (timedPairs == canaryTook.length) {
       return 0;
     }
-    freshTook[timed] = fresh;
-    earlierTook[timed] = earlier;
-    return ++timed;
+    canaryTook[timedPairs] = fresh;
+    baselineTook[timedPairs] = earlier;
+    return ++timedPairs;
   }
 
   /** One-sided KS of the times so far. */
   public double slowerSide() {
-    return Ks.slowerSide(Arrays.copyOf(freshTook, timed), Arrays.copyOf(earlierTook, timed));
+    return Ks.slowerSide(
+        Arrays.copyOf(canaryTook, timedPairs), Arrays.copyOf(baselineTook, timedPairs));
   }
 
   /** The counts of the pairs, to be told to peers. */
-  public byte[] report(int build, int stage) {
-    toldPairs = pairs;
-    toldFailed = freshFailed + earlierFailed;
+  public byte[] encodeReport(int build, int stage) {
+    reportedPairs = pairs;
+    reportedFailures = canaryFailures + baselineFailures;
     return new byte[] {
       3,
       (byte) build,
       (byte) stage,
       (byte) Math.min(pairs, 255),
-      (byte) Math.min(freshFailed, 255),
-      (byte) Math.min(earlierFailed, 255),
+      (byte) Math.min(canaryFailures, 255),
+      (byte) Math.min(baselineFailures, 255),
       (byte) failedAt,
       (byte) (failedAt >> 8)
     };
   }
 
-  public Evidence(int methods, int most) {
-    freshTook = new double[most];
-    earlierTook = new double[most];
-    singles = new int[methods];
+  public StageEvidence(int methods, int most) {
+    canaryTook = new double[most];
+    baselineTook = new double[most];
+    sentAlone = new int[methods];
     for (int i = 0; i < methods; i++) {
-      waiting.add(new ArrayDeque<>());
+      awaitingBaseline.add(new ArrayDeque<>());
     }
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/Tenants.java
+++ b/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
@@ -6,12 +6,12 @@
 import sprucerock.time.Timestamp;
 
 /** What each customer sends of late, beside its share. */
-public final class Tenants {
+public final class TenantArrivals {
   private final List<Double> shares;
   private final DecayingSum[] sent;
   private final DecayingSum all;
 
-  public Tenants(List<Double> shares, TimeSpan life) {
+  public TenantArrivals(List<Double> shares, TimeSpan life) {
     this.shares = shares;
     sent = new DecayingSum[shares.size()];
     for (int i = 0; i < sent.length; i++) {
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -88,7 +88,7 @@
 
   /** At the end of the relay's time: an answer that promises nothing. */
   public void abort(Request asked) {
-    abort(ledger.rpc(asked.number()));
+    fail(ledger.rpc(asked.number()));
   }
 
   /** The client went away. */
@@ -171,29 +171,29 @@
   }
 
   @Override
-  public void pushBack(Rpc rpc, TimeSpan wait) {
+  public void reject(Rpc rpc, TimeSpan wait) {
     answer((Request) rpc.door, RequestOutcome.PUSHED_BACK, wait, 0, NO_BODY);
     ledger.pushedBack(rpc);
   }
 
   @Override
-  public void abort(Rpc rpc) {
+  public void fail(Rpc rpc) {
     answer((Request) rpc.door, RequestOutcome.ABORTED, TimeSpan.ZERO, 0, NO_BODY);
     ledger.aborted(rpc);
   }
 
   @Override
-  public void wake(Timestamp when, Runnable what) {
+  public void schedule(Timestamp when, Runnable what) {
     net.at(when, what);
   }
 
   @Override
-  public void wake(Rpc rpc, Timestamp when, Runnable what) {
+  public void schedule(Rpc rpc, Timestamp when, Runnable what) {
     ((Request) rpc.door).until(net.at(when, what));
   }
 
   @Override
-  public void wake(Attempt attempt, Timestamp when, Runnable what) {
+  public void schedule(Attempt attempt, Timestamp when, Runnable what) {
     ((AttemptExchange) attempt.door).until(net.at(when, what));
   }
 
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -138,7 +138,7 @@
             chance,
             this,
             racks,
-            () -> module.listFailed(),
+            () -> module.endpointListFailed(),
             this::learnt,
             this::unitChanged);
     Leases.Log say =
@@ -506,7 +506,7 @@
 
   void peerTold(int sender, byte[] contents) {
     if (sender >= 0 && sender < config.settings.relays) {
-      module.peerTold(sender, contents);
+      module.peerMessageReceived(sender, contents);
     }
   }
 
@@ -703,12 +703,12 @@
   }
 
   @Override
-  public void tellPeers(byte[] contents) {
+  public void sendToPeers(byte[] contents) {
     peers.tellAll(contents);
   }
 
   @Override
-  public void tellPeer(int relay, byte[] contents) {
+  public void sendToPeer(int relay, byte[] contents) {
     peers.tell(relay, contents);
   }
 
--- a/src/main/java/sprucerock/relay/platform/PlatformRelay.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -164,7 +164,7 @@
   }
 
   private void listLost() {
-    module.listFailed();
+    module.endpointListFailed();
     askSettings();
   }
 
@@ -344,17 +344,17 @@
   private void told(InetSocketAddress from, byte[] contents) {
     Integer number = peers.get(from);
     if (number != null && number != settings.index) {
-      module.peerTold(number, contents);
+      module.peerMessageReceived(number, contents);
     }
   }
 
   @Override
-  public void tellPeers(byte[] contents) {
+  public void sendToPeers(byte[] contents) {
     tell(config.peersAll, contents);
   }
 
   @Override
-  public void tellPeer(int relay, byte[] contents) {
+  public void sendToPeer(int relay, byte[] contents) {
     tell(relay < config.peers.size() ? config.peers.get(relay) : null, contents);
   }
 
--- a/src/main/java/sprucerock/simulation/Simhost.java
+++ b/src/main/java/sprucerock/simulation/Simhost.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import sprucerock.Policy;
+import sprucerock.policy.RoutingPolicy;
 import sprucerock.time.Timestamp;
 
 /** Reads batches, hands each event to the relay that it is for, and writes one reply a batch. */
@@ -40,7 +40,7 @@
   private final Replies replies = new Replies();
 
   public Simhost(InputStream in, OutputStream out) {
-    this(in, out, Policy::new);
+    this(in, out, RoutingPolicy::new);
   }
 
   Simhost(InputStream in, OutputStream out, SimulatedRelay.Maker maker) {
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -69,7 +69,7 @@
     guarded(
         () -> {
           if (form == 3) {
-            policy.listFailed();
+            policy.endpointListFailed();
             return;
           }
           Set<Long> named = new HashSet<>();
@@ -203,7 +203,7 @@
     int sender = f.getInt();
     byte[] contents = new byte[Simhost.count(f, f.getShort() & 0xffff, 1)];
     f.get(contents);
-    return () -> policy.peerTold(sender, contents);
+    return () -> policy.peerMessageReceived(sender, contents);
   }
 
   private Runnable news(ByteBuffer f) {
@@ -308,19 +308,19 @@
   }
 
   @Override
-  public void pushBack(Rpc rpc, TimeSpan wait) {
+  public void reject(Rpc rpc, TimeSpan wait) {
     open(20).u32(rpc.id).f64(wait.ms()).close();
     ledger.pushedBack(rpc);
   }
 
   @Override
-  public void abort(Rpc rpc) {
+  public void fail(Rpc rpc) {
     open(30).u32(rpc.id).close();
     ledger.aborted(rpc);
   }
 
   @Override
-  public void wake(Timestamp when, Runnable what) {
+  public void schedule(Timestamp when, Runnable what) {
     long token = timerCount++ & 0xffffffffL;
     timers.put(token, what);
     open(50).u32(token).f64(when.ms()).close();
@@ -339,12 +339,12 @@
   }
 
   @Override
-  public void tellPeers(byte[] contents) {
+  public void sendToPeers(byte[] contents) {
     open(80).u16(0xffff).bytes(contents).close();
   }
 
   @Override
-  public void tellPeer(int relay, byte[] contents) {
+  public void sendToPeer(int relay, byte[] contents) {
     open(80).u16(relay).bytes(contents).close();
   }
 
--- /dev/null
+++ b/src/test/java/sprucerock/policy/CanaryVoteTest.java
@@ -0,0 +1,52 @@
+package sprucerock.policy;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import org.testng.annotations.Test;
+import sprucerock.model.Verdict;
+
+/** Stories of what a vote on a stage may go by: whose pairs, of which units. */
+public class CanaryVoteTest {
+  /** Peers tell of so many pairs in this stage, all alike. */
+  private static void peersReport(FakeRelayActions relay, int stage, int pairs) {
+    for (int sender = 1; sender <= 2; sender++) {
+      relay.policy.peerMessageReceived(
+          sender, new byte[] {3, 2, (byte) stage, (byte) (pairs / 2), 0, 0, 0, 0});
+    }
+  }
+
+  @Test
+  public void aStageMovesOnWithItsUnitsListed() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
+    relay.advance(1500);
+    peersReport(relay, 2, 200);
+    relay.advance(500);
+    relay.endpoint(relay.canary, relay.now().minus(sprucerock.time.TimeSpan.ofMs(500)));
+    relay.advance(150);
+    assertEquals(relay.votes, java.util.List.of(Verdict.ON));
+  }
+
+  @Test
+  public void aStageWhoseUnitsAreNeverListedMovesOnWithinEightSeconds() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
+    peersReport(relay, 2, 200);
+    relay.advance(8150);
+    assertTrue(relay.votes.contains(Verdict.ON));
+  }
+
+  @Test
+  public void theFirstStagesPairsAreOfItsOwnUnits() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(3, 0, 0.1);
+    peersReport(relay, 0, 40);
+    assertTrue(relay.votes.contains(Verdict.ON));
+  }
+
+  @Test
+  public void aGoodBuildOnSoundMachinesIsNeverTakenBackAndABadOneNearlyAlways() {
+    assertEquals(VoteStudy.takenBack(100, 0, 0, 11), 0.0);
+    assertTrue(VoteStudy.takenBack(100, 0.1, 0, 11) >= 0.98);
+    assertTrue(
+        VoteStudy.takenBack(100, 0.2, 0.05, 11) >= 0.95, "few ill machines hide a bad build");
+  }
+}
