--- a/src/main/java/sprucerock/benchmark/Bench.java
+++ b/src/main/java/sprucerock/benchmark/Bench.java
@@ -22,11 +22,11 @@
 import java.util.stream.Collectors ;
 import java.util.stream.IntStream ;
 import org.HdrHistogram.Histogram ;
-import sprucerock.Policy ;
 import sprucerock.config.ConfigException ;
 import sprucerock.config.RelayConfig ;
 import sprucerock.metrics.MetricsExporter ;
 import sprucerock.metrics.MetricsFileWriter ;
+import sprucerock.policy.RoutingPolicy ;
 import sprucerock.relay.frames.FrameRelay ;
 import sprucerock.transport.net.nio.NioLoop ;
 import sprucerock.transport.tls.Material ;
@@ -331,7 +331,7 @@
 made.requestTracker ( ).accounts ( ).disablePostings ( ) ;
 }
 try {
-made.start ( Policy :: new , tls == null ? null : new Workers ( config.tlsWorkers , config.tlsQueueCapacity , loop :: post , made :: internalError ) ) ;
+made.start ( RoutingPolicy :: new , tls == null ? null : new Workers ( config.tlsWorkers , config.tlsQueueCapacity , loop :: post , made :: internalError ) ) ;
 }
 catch ( Material.BadMaterialException e ) {
 throw new IOException ( e.getMessage ( ) ) ;
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -10,7 +10,6 @@
 import java.util.concurrent.atomic.AtomicReference ;
 import picocli.CommandLine.Command ;
 import picocli.CommandLine.Option ;
-import sprucerock.Policy ;
 import sprucerock.accounting.MethodAccounts ;
 import sprucerock.config.ConfigException ;
 import sprucerock.config.LiveSettings ;
@@ -18,6 +17,7 @@
 import sprucerock.lease.LeaseManager ;
 import sprucerock.metrics.MetricsExporter ;
 import sprucerock.metrics.MetricsFileWriter ;
+import sprucerock.policy.RoutingPolicy ;
 import sprucerock.rehearsal.trace.TraceWriter ;
 import sprucerock.relay.frames.FrameRelay ;
 import sprucerock.transport.net.nio.NioLoop ;
@@ -109,7 +109,7 @@
 keeper.set ( MetricsFileWriter.open ( config.metricsFile , accounts , ( ) -> loop.atTurnsEnd ( accounts :: commit ) , relay.get ( ) :: metricsFileProblem ) ) ;
 boolean fits = config.leases != null && config.leases.hardwareFitInterval ( ) != null ;
 Workers aside = config.tlsSetup == null && ! fits ? null : new Workers ( Math.max ( 1 , config.tlsWorkers ) , Math.max ( 1 , config.tlsQueueCapacity ) , loop :: post , relay.get ( ) :: internalError ) ;
-relay.get ( ).start ( Policy :: new , aside ) ;
+relay.get ( ).start ( RoutingPolicy :: new , aside ) ;
 }
 catch ( IOException e ) {
 wrong.set ( config.listen + " can't be listened at, or the trace can't be written: " + e.getMessage ( ) ) ;
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -141,7 +141,7 @@
 
 /** Aborts an open request, as its deadline or the relay's own end has come. */ 
 public void abort ( Request request ) {
-abort ( requestTracker.rpc ( request.requestId ( ) ) ) ;
+fail ( requestTracker.rpc ( request.requestId ( ) ) ) ;
 }
 
 
@@ -229,29 +229,29 @@
 }
 
 
-@Override public void pushBack ( Rpc rpc , TimeSpan wait ) {
+@Override public void reject ( Rpc rpc , TimeSpan wait ) {
 answer ( ( Request ) rpc.attachment , RequestOutcome.REJECTED , wait , 0 , NO_BODY ) ;
 requestTracker.rejected ( rpc ) ;
 }
 
 
-@Override public void abort ( Rpc rpc ) {
+@Override public void fail ( Rpc rpc ) {
 answer ( ( Request ) rpc.attachment , RequestOutcome.ABORTED , TimeSpan.ZERO , 0 , NO_BODY ) ;
 requestTracker.aborted ( rpc ) ;
 }
 
 
-@Override public void wake ( Timestamp when , Runnable what ) {
+@Override public void schedule ( Timestamp when , Runnable what ) {
 net.at ( when , what ) ;
 }
 
 
-@Override public void wake ( Rpc rpc , Timestamp when , Runnable what ) {
+@Override public void schedule ( Rpc rpc , Timestamp when , Runnable what ) {
 ( ( Request ) rpc.attachment ).cancelAtEnd ( net.at ( when , what ) ) ;
 }
 
 
-@Override public void wake ( Attempt attempt , Timestamp when , Runnable what ) {
+@Override public void schedule ( Attempt attempt , Timestamp when , Runnable what ) {
 ( ( AttemptExchange ) attempt.attachment ).cancelAtEnd ( net.at ( when , what ) ) ;
 }
 
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -107,7 +107,7 @@
 peers = new PeerConnections ( net , config , mine , tap , eventLog , chance , accounts , secured ) ;
 racks = new RackPermits ( net , config , eventLog , chance , this ) ;
 desk = new ControllerConnection ( net , config , mine , tap , requestTracker , eventLog , chance , reply -> policy.voteAnswered ( reply ) , promised -> racks.promiseReceived ( promised ) , this :: learnt ) ;
-roster = new DiscoveryConnection ( net , config , mine , tap , requestTracker , eventLog , chance , this , racks , ( ) -> policy.listFailed ( ) , this :: learnt , this :: unitChanged ) ;
+roster = new DiscoveryConnection ( net , config , mine , tap , requestTracker , eventLog , chance , this , racks , ( ) -> policy.endpointListFailed ( ) , this :: learnt , this :: unitChanged ) ;
 LeaseManager.Log say = new LeaseManager.Log ( ) {
 @Override public void info ( String what ) {
 eventLog.info ( EventLog.Event.LEASE , what ) ;
@@ -416,7 +416,7 @@
 
 void peerTold ( int sender , byte [ ] contents ) {
 if ( sender >= 0 && sender < config.settings.relays ) {
-policy.peerTold ( sender , contents ) ;
+policy.peerMessageReceived ( sender , contents ) ;
 }
 }
 
@@ -603,12 +603,12 @@
 }
 
 
-@Override public void tellPeers ( byte [ ] contents ) {
+@Override public void sendToPeers ( byte [ ] contents ) {
 peers.tellAll ( contents ) ;
 }
 
 
-@Override public void tellPeer ( int relay , byte [ ] contents ) {
+@Override public void sendToPeer ( int relay , byte [ ] contents ) {
 peers.tell ( relay , contents ) ;
 }
 
--- a/src/main/java/sprucerock/relay/platform/PlatformRelay.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -144,7 +144,7 @@
 
 
 private void listLost ( ) {
-policy.listFailed ( ) ;
+policy.endpointListFailed ( ) ;
 askSettings ( ) ;
 }
 
@@ -298,17 +298,17 @@
 private void told ( InetSocketAddress from , byte [ ] contents ) {
 Integer number = peers.get ( from ) ;
 if ( number != null && number != settings.index ) {
-policy.peerTold ( number , contents ) ;
+policy.peerMessageReceived ( number , contents ) ;
 }
 }
 
 
-@Override public void tellPeers ( byte [ ] contents ) {
+@Override public void sendToPeers ( byte [ ] contents ) {
 tell ( config.peersAll , contents ) ;
 }
 
 
-@Override public void tellPeer ( int relay , byte [ ] contents ) {
+@Override public void sendToPeer ( int relay , byte [ ] contents ) {
 tell ( relay < config.peers.size ( ) ? config.peers.get ( relay ) : null , contents ) ;
 }
 
--- a/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
@@ -102,9 +102,9 @@
 if ( ! ready.isEmpty ( ) ) {
 send ( rpc , null ) ;
 }
-host.wake ( rpc.deadline.minus ( TimeSpan.ofMs ( 10 ) ) , ( ) -> {
+host.schedule ( rpc.deadline.minus ( TimeSpan.ofMs ( 10 ) ) , ( ) -> {
 if ( ! rpc.ended ( ) ) {
-host.abort ( rpc ) ;
+host.fail ( rpc ) ;
 }
 }
 ) ;
@@ -122,7 +122,7 @@
 @Override public void attemptEnded ( Attempt attempt , boolean answers ) {
 super.attemptEnded ( attempt , answers ) ;
 if ( ! attempt.rpc.ended ( ) && attempt.rpc.inFlight ( ) == 0 && ! waits ) {
-host.pushBack ( attempt.rpc , TimeSpan.ofMs ( 20 ) ) ;
+host.reject ( attempt.rpc , TimeSpan.ofMs ( 20 ) ) ;
 }
 }
 }
@@ -652,12 +652,12 @@
 
 
 @Test public void peersAreToldOverLinksOfTheirOwnAndLossesAreBorne ( ) throws IOException {
-net.turn ( ( ) -> module.host.tellPeers ( new byte [ ] {
+net.turn ( ( ) -> module.host.sendToPeers ( new byte [ ] {
 1 }
 ) ) ;
 List < RecordingPeer > peers = RecordingPeer.listen ( net , Role.RELAY , 1 , 1003 ) ;
 net.pass ( 300 ) ;
-net.turn ( ( ) -> module.host.tellPeer ( 1 , new byte [ ] {
+net.turn ( ( ) -> module.host.sendToPeer ( 1 , new byte [ ] {
 2 }
 ) ) ;
 net.settle ( ) ;
--- a/src/test/java/sprucerock/relay/frames/TlsConnectionsTest.java
+++ b/src/test/java/sprucerock/relay/frames/TlsConnectionsTest.java
@@ -74,7 +74,7 @@
 @Override public void attemptEnded ( Attempt attempt , boolean answers ) {
 ends.add ( attempt.outcome ( ) ) ;
 if ( ! attempt.rpc.ended ( ) ) {
-host.pushBack ( attempt.rpc , TimeSpan.ZERO ) ;
+host.reject ( attempt.rpc , TimeSpan.ZERO ) ;
 }
 }
 }
--- a/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
+++ b/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
@@ -18,8 +18,8 @@
 import java.util.SplittableRandom ;
 import java.util.TreeMap ;
 import org.testng.annotations.Test ;
-import sprucerock.Policy ;
 import sprucerock.config.RelayConfig ;
+import sprucerock.policy.RoutingPolicy ;
 import sprucerock.relay.frames.RecordingRelayEvents ;
 import sprucerock.time.Timestamp ;
 import sprucerock.transport.net.SimulatedNet ;
@@ -228,7 +228,7 @@
 private final ReplyWriter replies = new ReplyWriter ( ) ;
 private final SimulatedRelay relay = new SimulatedRelay ( 3 , replies , ( host , settings , seed ) -> {
 told.clock = host ;
-told.delegate = new Policy ( host , settings , seed ) ;
+told.delegate = new RoutingPolicy ( host , settings , seed ) ;
 return told ;
 }
 ) ;
@@ -435,7 +435,7 @@
 Files.delete ( file ) ;
 relay.start ( ( host , settings , seed ) -> {
 told.clock = host ;
-told.delegate = new Policy ( host , settings , seed ) ;
+told.delegate = new RoutingPolicy ( host , settings , seed ) ;
 return told ;
 }
 ) ;
