--- a/src/main/java/sprucerock/controller/ChangeCodec.java
+++ b/src/main/java/sprucerock/controller/DeploymentCodec.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
-import sprucerock.controller.deployment.DeploymentState;
+import sprucerock.controller.deployment.DeploymentSnapshot;
 import sprucerock.controller.deployment.Verdict;
 import sprucerock.controller.deployment.Version;
 import sprucerock.controller.v1.ChangeMemory;
@@ -13,11 +13,15 @@
 import sprucerock.time.Timestamp;
 
 /** Between the fleet's changes and what is kept of them on disk. */
-final class ChangeCodec {
-  private ChangeCodec() {}
+final class DeploymentCodec {
+  private DeploymentCodec() {}
 
-  /** What an input came to: an operator's refusal, or null. Those of releases do nothing here. */
-  static Object apply(DeploymentManager core, Input input) {
+  /**
+   * Applies an entry about deployments; why it had no effect, or null.
+   *
+   * @throws IllegalArgumentException if its kind is not known here
+   */
+  static String apply(DeploymentManager core, Input input) {
     Timestamp now = Timestamp.ofMs(input.getAtMs());
     long wall = input.getWallMs();
     switch (input.getWhatCase()) {
@@ -31,8 +35,8 @@
             wall);
       }
       case CHANGE_WORD -> {
-        return core.word(
-            DeploymentManager.Word.valueOf(input.getChangeWord().getWord()),
+        return core.command(
+            DeploymentManager.OperatorCommand.valueOf(input.getChangeWord().getWord()),
             input.getChangeWord().getChange(),
             input.getChangeWord().getWho(),
             input.getChangeWord().getReason(),
@@ -40,7 +44,7 @@
             wall);
       }
       case AGENT ->
-          core.says(
+          core.reportStatus(
               input.getAgent().getRelay(),
               input.getAgent().getZone(),
               input.getAgent().getBusy(),
@@ -49,9 +53,9 @@
               input.getAgent().getDone(),
               now,
               wall);
-      case SILENT -> core.silent(input.getSilent().getRelay(), now, wall);
+      case SILENT -> core.reportUnreachable(input.getSilent().getRelay(), now, wall);
       case FAILED ->
-          core.failed(
+          core.reportFailure(
               input.getFailed().getRelay(),
               version(input.getFailed().getVersion()),
               input.getFailed().getTurn(),
@@ -59,21 +63,23 @@
               now,
               wall);
       case CHECKED ->
-          core.checked(
+          core.reportValidation(
               input.getChecked().getRelay(),
               input.getChecked().getChange(),
               input.getChecked().getRefusal(),
               now,
               wall);
       case JUDGED ->
-          core.judged(
+          core.reportVerdict(
               input.getJudged().getChange(),
               input.getJudged().getStage(),
               Verdict.valueOf(input.getJudged().getVerdict()),
               input.getJudged().getReason(),
               now,
               wall);
-      case ROOM -> core.room(input.getRoom().getByZoneMap(), input.getRoom().getWhy(), now, wall);
+      case ROOM ->
+          core.setRestartBudget(
+              input.getRoom().getByZoneMap(), input.getRoom().getWhy(), now, wall);
       case TICK -> core.tick(now, wall);
       default ->
           throw new IllegalArgumentException(
@@ -102,54 +108,54 @@
   }
 
   static ChangeMemory write(DeploymentManager core) {
-    DeploymentState memory = DeploymentState.of(core);
+    DeploymentSnapshot memory = DeploymentSnapshot.of(core);
     ChangeMemory.Builder written =
         ChangeMemory.newBuilder()
-            .setCurrent(version(memory.current()))
+            .setCurrent(version(memory.currentVersion()))
             .setSequence(memory.sequence())
-            .setNumbers(memory.numbers())
-            .setWeather(memory.weather())
-            .setReleasing(memory.releasing())
-            .putAllRooms(memory.rooms())
-            .addAllControls(memory.controls());
-    for (DeploymentState.OfRelay one : memory.relays()) {
+            .setNumbers(memory.lastNumber())
+            .setWeather(memory.blockedReason())
+            .setReleasing(memory.rolloutInProgress())
+            .putAllRooms(memory.restartBudgetByZone())
+            .addAllControls(memory.pendingControlRestarts());
+    for (DeploymentSnapshot.RelayRecord one : memory.relays()) {
       sprucerock.controller.v1.OfRelay.Builder relay =
           sprucerock.controller.v1.OfRelay.newBuilder()
               .setNumber(one.number())
               .setZone(one.zone())
               .setBusy(one.busy())
-              .setRuns(version(one.runs()))
+              .setRuns(version(one.observedVersion()))
               .setReady(one.ready())
-              .setSilentSinceMs(ms(one.silentSince()))
-              .setTurn(one.turn())
-              .setDone(one.done())
-              .setToldAtMs(ms(one.toldAt()))
+              .setSilentSinceMs(ms(one.unreachableSince()))
+              .setTurn(one.generation())
+              .setDone(one.observedGeneration())
+              .setToldAtMs(ms(one.notifiedAt()))
               .setReadyAtMs(ms(one.readyAt()));
-      if (one.wanted() != null) {
-        relay.setWanted(version(one.wanted()));
+      if (one.desiredVersion() != null) {
+        relay.setWanted(version(one.desiredVersion()));
       }
       written.addRelays(relay);
     }
-    for (DeploymentState.OfChange one : memory.changes()) {
+    for (DeploymentSnapshot.DeploymentRecord one : memory.deployments()) {
       sprucerock.controller.v1.OfChange.Builder change =
           sprucerock.controller.v1.OfChange.newBuilder()
               .setNumber(one.number())
-              .setWho(one.who())
-              .setWhy(one.why())
-              .setFrom(version(one.from()))
-              .setTo(version(one.to()))
+              .setWho(one.proposedBy())
+              .setWhy(one.reason())
+              .setFrom(version(one.fromVersion()))
+              .setTo(version(one.toVersion()))
               .setState(one.state().name())
               .setStage(one.stage())
-              .setSinceMs(ms(one.since()))
-              .setProgressMs(ms(one.progress()))
+              .setSinceMs(ms(one.stateSince()))
+              .setProgressMs(ms(one.lastProgress()))
               .setHeld(one.held())
-              .addAllChecked(one.checked())
-              .putAllRefused(one.refused())
-              .addAllMoved(one.moved())
-              .putAllBeside(one.beside())
+              .addAllChecked(one.validated())
+              .putAllRefused(one.rejections())
+              .addAllMoved(one.updated())
+              .putAllBeside(one.controls())
               .setVerdict(one.verdict().name())
-              .setLive(one.live());
-      for (Deployment.Step step : one.steps()) {
+              .setLive(one.hotReload());
+      for (Deployment.Transition step : one.transitions()) {
         change.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
                 .setSequence(step.sequence())
@@ -165,11 +171,11 @@
   }
 
   static void read(ChangeMemory written, DeploymentManager core) {
-    List<DeploymentState.OfRelay> relays =
+    List<DeploymentSnapshot.RelayRecord> relays =
         written.getRelaysList().stream()
             .map(
                 one ->
-                    new DeploymentState.OfRelay(
+                    new DeploymentSnapshot.RelayRecord(
                         one.getNumber(),
                         one.getZone(),
                         one.getBusy(),
@@ -182,11 +188,11 @@
                         moment(one.getToldAtMs()),
                         moment(one.getReadyAtMs())))
             .toList();
-    List<DeploymentState.OfChange> changes =
+    List<DeploymentSnapshot.DeploymentRecord> changes =
         written.getChangesList().stream()
             .map(
                 one ->
-                    new DeploymentState.OfChange(
+                    new DeploymentSnapshot.DeploymentRecord(
                         one.getNumber(),
                         one.getWho(),
                         one.getWhy(),
@@ -206,7 +212,7 @@
                         one.getStepsList().stream()
                             .map(
                                 step ->
-                                    new Deployment.Step(
+                                    new Deployment.Transition(
                                         step.getSequence(),
                                         Timestamp.ofMs(step.getAtMs()),
                                         step.getWallMs(),
@@ -215,7 +221,7 @@
                                         step.getCause()))
                             .toList()))
             .toList();
-    new DeploymentState(
+    new DeploymentSnapshot(
             version(written.getCurrent()),
             written.getSequence(),
             written.getNumbers(),
@@ -225,7 +231,7 @@
             written.getControlsList(),
             relays,
             changes)
-        .into(core);
+        .restore(core);
   }
 
   private static <V> Map<Integer, V> sorted(Map<Integer, V> any) {
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -29,31 +29,30 @@
     long steadyMs();
   }
 
-  /** What an input came to: an answer, or why the disk did not take it. */
-  public record Outcome(Object answer, String refused) {}
+  private record Waiting(Input.Builder input, Consumer<AppendResult> done) {}
 
-  private record Waiting(Input.Builder input, Consumer<Outcome> done) {}
+  private static final int SNAPSHOT_EVERY_ENTRIES =
+      10_000; // some hundred milliseconds to read back
+  private static final int MAX_PENDING = 20_000;
 
-  private static final int SNAPSHOT_EVERY = 10_000; // some hundred milliseconds to read back
-  private static final int MOST_WAITING = 20_000;
-
-  private final WriteAheadLog store;
+  private final WriteAheadLog log;
   private final Clock clock;
-  private final Consumer<String> say;
-  private final RolloutManager core;
-  private final DeploymentManager changes;
-  private final MaintenanceWindows freezes;
-  private final List<Waiting> waiting = new ArrayList<>();
+  private final Consumer<String> statusLine;
+  private final RolloutManager rollouts;
+  private final DeploymentManager deployments;
+  private final MaintenanceWindows maintenanceWindows;
+  private final StateMachine stateMachine;
+  private final List<Waiting> pending = new ArrayList<>();
   private boolean replaying = true;
-  private long lastAtMs;
+  private long lastTimeMs;
   private long lastWallMs;
   private long steadyAtStart;
-  private long atStart;
-  private BooleanSupplier mayAct = () -> true;
-  private String failed;
-  private boolean lost;
-  private double wall;
-  private long wallAsOf = -1;
+  private long timeAtStart;
+  private BooleanSupplier leadershipCheck = () -> true;
+  private AppendResult.Rejected failure;
+  private boolean storageLost;
+  private double smoothedWallMs;
+  private long smoothedAtSteadyMs = -1;
 
   /** One of a fleet without racks. */
   Engine(
@@ -64,8 +63,8 @@
       int first,
       DeploymentPlan plan,
       Clock clock,
-      RolloutManager.Host host,
-      DeploymentManager.Host ofChanges,
+      RolloutManager.Listener host,
+      DeploymentManager.Listener ofChanges,
       Consumer<String> say) {
     this(
         disk,
@@ -93,15 +92,15 @@
       int first,
       DeploymentPlan plan,
       Clock clock,
-      RolloutManager.Host host,
-      DeploymentManager.Host ofChanges,
+      RolloutManager.Listener host,
+      DeploymentManager.Listener ofChanges,
       MaintenanceWindows freezes,
       Consumer<String> say) {
-    this.freezes = freezes;
-    store = new WriteAheadLog(disk, snapshotEvery);
+    this.maintenanceWindows = freezes;
+    log = new WriteAheadLog(disk, snapshotEvery);
     this.clock = clock;
-    this.say = say;
-    core =
+    this.statusLine = say;
+    rollouts =
         new RolloutManager(
             rules,
             places,
@@ -109,45 +108,46 @@
             Timestamp.ofMs(0),
             (release, step) -> {
               if (!replaying) {
-                host.changed(release, step);
+                host.transitioned(release, step);
               }
             });
-    changes =
+    deployments =
         new DeploymentManager(
             plan,
-            new DeploymentManager.Host() {
+            new DeploymentManager.Listener() {
               @Override
-              public void changed(Deployment change, Deployment.Step step) {
+              public void transitioned(Deployment change, Deployment.Transition step) {
                 if (!replaying) {
-                  ofChanges.changed(change, step);
+                  ofChanges.transitioned(change, step);
                 }
               }
 
               @Override
-              public void wants(ManagedRelay relay) {
+              public void desiredStateChanged(ManagedRelay relay) {
                 if (!replaying) {
-                  ofChanges.wants(relay);
+                  ofChanges.desiredStateChanged(relay);
                 }
               }
             });
+    stateMachine = new StateMachine(rollouts, deployments, maintenanceWindows);
   }
 
   /** One that keeps its files in a folder of the machine's. */
-  public static Engine in(
+  public static Engine open(
       java.nio.file.Path folder,
       RolloutRules rules,
       int places,
       int first,
       DeploymentPlan plan,
       Clock clock,
-      RolloutManager.Host host,
-      DeploymentManager.Host ofChanges,
+      RolloutManager.Listener host,
+      DeploymentManager.Listener ofChanges,
       MaintenanceWindows freezes,
       Consumer<String> say)
       throws IOException {
     return new Engine(
         new FileStorage(folder),
-        SNAPSHOT_EVERY,
+        SNAPSHOT_EVERY_ENTRIES,
         rules,
         places,
         first,
@@ -171,47 +171,50 @@
   /** The same; {@code back} is run once it is where it was, before anything new happens. */
   public void start(Runnable back) throws IOException, WriteAheadLog.DamagedException {
     boolean[] before = new boolean[1];
-    store.open(
+    log.replay(
         new WriteAheadLog.Reader() {
           @Override
-          public void state(State state) {
-            Codec.read(state, core, changes, freezes);
-            lastAtMs = state.getAtMs();
+          public void snapshot(State state) {
+            SnapshotCodec.readSnapshot(state, rollouts, deployments, maintenanceWindows);
+            lastTimeMs = state.getAtMs();
             lastWallMs = state.getWallMs();
             before[0] = true;
           }
 
           @Override
-          public void input(Input input) {
-            lastAtMs = input.getAtMs();
+          public void entry(Input input) {
+            lastTimeMs = input.getAtMs();
             lastWallMs = input.getWallMs();
-            Codec.apply(core, changes, freezes, input);
+            stateMachine.apply(input);
             before[0] = true;
           }
         },
-        say);
+        statusLine);
     // files of its own from here on: what a controller that was replaced still writes into the old
     // ones is never read
     if (before[0]) {
-      store.snapshot(
-          Codec.write(core, changes, freezes, lastAtMs).toBuilder().setWallMs(lastWallMs).build());
+      log.snapshot(
+          SnapshotCodec.writeSnapshot(rollouts, deployments, maintenanceWindows, lastTimeMs)
+              .toBuilder()
+              .setWallMs(lastWallMs)
+              .build());
     }
     long wall = clock.wallMs();
     long down = before[0] ? wall - lastWallMs : 0;
-    atStart = lastAtMs + Math.max(0, Math.min(down, 24 * 3_600_000L));
+    timeAtStart = lastTimeMs + Math.max(0, Math.min(down, 24 * 3_600_000L));
     steadyAtStart = clock.steadyMs();
     Input.Builder restarted =
         Input.newBuilder().setRestarted(Restarted.newBuilder().setDownMs(down));
-    Input stamped = stamped(restarted);
-    store.add(stamped);
-    store.force();
+    Input stamped = timestamped(restarted);
+    log.append(stamped);
+    log.fsync();
     back.run();
     replaying = false; // what this leads to is news
-    Codec.apply(core, changes, freezes, stamped);
+    stateMachine.apply(stamped);
   }
 
-  public MaintenanceWindows freezes() {
-    return freezes;
+  public MaintenanceWindows maintenanceWindows() {
+    return maintenanceWindows;
   }
 
   /** Whether what is done now, after a restart, is news; before, it happened in a former life. */
@@ -225,23 +228,24 @@
    */
   public long wallMs() {
     long steady = clock.steadyMs();
-    if (wallAsOf < 0) {
-      wall = clock.wallMs();
+    if (smoothedAtSteadyMs < 0) {
+      smoothedWallMs = clock.wallMs();
     } else {
-      double passed = steady - wallAsOf;
-      wall += passed;
-      wall += Math.max(-0.005 * passed, Math.min(0.005 * passed, clock.wallMs() - wall));
+      double passed = steady - smoothedAtSteadyMs;
+      smoothedWallMs += passed;
+      smoothedWallMs +=
+          Math.max(-0.005 * passed, Math.min(0.005 * passed, clock.wallMs() - smoothedWallMs));
     }
-    wallAsOf = steady;
-    return Math.round(wall);
+    smoothedAtSteadyMs = steady;
+    return Math.round(smoothedWallMs);
   }
 
-  public DeploymentManager changes() {
-    return changes;
+  public DeploymentManager deployments() {
+    return deployments;
   }
 
-  public RolloutManager releases() {
-    return core;
+  public RolloutManager rollouts() {
+    return rollouts;
   }
 
   /** The controller's time: goes on through restarts, and never back. */
@@ -250,84 +254,88 @@
   }
 
   private long atMs() {
-    return Math.max(lastAtMs, atStart + clock.steadyMs() - steadyAtStart);
+    return Math.max(lastTimeMs, timeAtStart + clock.steadyMs() - steadyAtStart);
   }
 
-  private Input stamped(Input.Builder input) {
-    lastAtMs = atMs();
+  private Input timestamped(Input.Builder input) {
+    lastTimeMs = atMs();
     lastWallMs = wallMs();
-    return input.setAtMs(lastAtMs).setWallMs(lastWallMs).build();
+    return input.setAtMs(lastTimeMs).setWallMs(lastWallMs).build();
   }
 
   /** What it is that the disk does not take; null while all is well. */
-  public String failed() {
-    return failed;
+  public String storageFailure() {
+    return failure == null ? null : failure.text();
   }
 
   /**
    * Something came in; {@code done} is told once it has happened, or was refused. It waits for the
    * turn's end.
    */
-  public void submit(Input.Builder input, Consumer<Outcome> done) {
-    if (waiting.size() >= MOST_WAITING) {
-      done.accept(new Outcome(null, "so much waits already"));
+  public void append(Input.Builder input, Consumer<AppendResult> done) {
+    if (pending.size() >= MAX_PENDING) {
+      done.accept(
+          new AppendResult.Rejected(AppendResult.Reason.QUEUE_FULL, "so much waits already"));
     } else {
-      waiting.add(new Waiting(input, done));
+      pending.add(new Waiting(input, done));
     }
   }
 
   /** Asked before anything is kept, and again before it happens. */
-  public void onlyWhile(BooleanSupplier holds) {
-    mayAct = holds;
+  public void setLeadershipCheck(BooleanSupplier holds) {
+    leadershipCheck = holds;
   }
 
   /** At a turn's end: what came is kept, then happens. */
-  public void commit() {
-    if (!mayAct.getAsBoolean()) {
-      for (Waiting one : List.copyOf(waiting)) {
-        one.done.accept(new Outcome(null, "another controller may act by now"));
+  public void flush() {
+    if (!leadershipCheck.getAsBoolean()) {
+      for (Waiting one : List.copyOf(pending)) {
+        one.done.accept(
+            new AppendResult.Rejected(
+                AppendResult.Reason.NOT_LEADER, "another controller may act by now"));
       }
-      waiting.clear();
+      pending.clear();
       return;
     }
-    if ((core.due(now()) || changes.due(now()) || freezes.due(wallMs())) && waiting.isEmpty()) {
-      submit(Input.newBuilder().setTick(Tick.getDefaultInstance()), outcome -> {});
+    if ((rollouts.transitionDue(now())
+            || deployments.transitionDue(now())
+            || maintenanceWindows.due(wallMs()))
+        && pending.isEmpty()) {
+      append(Input.newBuilder().setTick(Tick.getDefaultInstance()), outcome -> {});
     }
-    if (waiting.isEmpty()) {
+    if (pending.isEmpty()) {
       return;
     }
-    List<Waiting> turn = List.copyOf(waiting);
-    waiting.clear();
+    List<Waiting> turn = List.copyOf(pending);
+    pending.clear();
     int kept = 0;
     try {
       for (Waiting one : turn) {
-        store.add(stamped(one.input));
+        log.append(timestamped(one.input));
         kept++;
       }
     } catch (IOException e) {
-      complain("it takes no more: " + e.getMessage());
+      reportFailure(AppendResult.Reason.STORAGE_FAILED, "it takes no more: " + e.getMessage());
     }
-    if (kept > 0 && !force()) {
+    if (kept > 0 && !fsync()) {
       kept = 0;
     }
-    if (!mayAct
+    if (!leadershipCheck
         .getAsBoolean()) { // held up meanwhile: what was kept is in files that the other one does
       // not read
-      complain("another controller may act by now");
+      reportFailure(AppendResult.Reason.NOT_LEADER, "another controller may act by now");
       kept = 0;
-      lost = true;
+      storageLost = true;
     }
     if (kept == turn.size()) {
-      failed = null;
+      failure = null;
     }
     for (int i = 0; i < turn.size(); i++) {
       Waiting one = turn.get(i);
       one.done.accept(
-          i < kept
-              ? new Outcome(Codec.apply(core, changes, freezes, one.input.build()), null)
-              : new Outcome(null, failed));
+          i < kept ? new AppendResult.Accepted(stateMachine.apply(one.input.build())) : failure);
     }
-    if (kept > 0 && store.full()) {
+    if (kept > 0 && log.snapshotDue()) {
       snapshot();
     }
   }
@@ -336,16 +344,17 @@
    * A disk that did not force may have lost what it took: nothing more can be promised in this
    * life.
    */
-  private boolean force() {
-    if (lost) {
+  private boolean fsync() {
+    if (storageLost) {
       return false;
     }
     try {
-      store.force();
+      log.fsync();
       return true;
     } catch (IOException e) {
-      lost = true;
-      complain(
+      storageLost = true;
+      reportFailure(
+          AppendResult.Reason.STORAGE_FAILED,
           "what was written may be lost: "
               + e.getMessage()
               + "; nothing more is taken until the controller is restarted");
@@ -353,30 +362,34 @@
     }
   }
 
-  private void complain(String what) {
-    if (!what.equals(failed)) {
-      say.accept("the store: " + what);
+  private void reportFailure(AppendResult.Reason reason, String what) {
+    if (failure == null || !what.equals(failure.text())) {
+      statusLine.accept("the store: " + what);
     }
-    failed = what;
+    failure = new AppendResult.Rejected(reason, what);
   }
 
   private void snapshot() {
     try {
-      store.snapshot(
-          Codec.write(core, changes, freezes, lastAtMs).toBuilder().setWallMs(lastWallMs).build());
+      log.snapshot(
+          SnapshotCodec.writeSnapshot(rollouts, deployments, maintenanceWindows, lastTimeMs)
+              .toBuilder()
+              .setWallMs(lastWallMs)
+              .build());
     } catch (IOException e) {
-      complain(
+      reportFailure(
+          AppendResult.Reason.STORAGE_FAILED,
           "no snapshot: "
               + e.getMessage()); // the inputs are there: it is tried again with the next
     }
   }
 
   /** Inputs kept so far, over all lives. */
-  public long inputs() {
-    return store.number();
+  public long entryCount() {
+    return log.lastIndex();
   }
 
   public void close() throws IOException {
-    store.close();
+    log.close();
   }
 }
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -70,7 +70,8 @@
   public synchronized boolean take() throws IOException {
     if (disk.list().contains(MAJORITY)) {
       throw new IOException(
-          "the seat of this folder is granted by a majority: leases are to be configured, or the file "
+          "the seat of this folder is granted by a majority: leases are to be configured, or the"
+              + " file "
               + MAJORITY
               + " taken away");
     }
@@ -100,7 +101,7 @@
       return false;
     }
     claimed = (term(now) + 1) + " " + holder + " 0";
-    disk.put(FILE, claimed.getBytes(StandardCharsets.UTF_8));
+    disk.replaceAtomically(FILE, claimed.getBytes(StandardCharsets.UTF_8));
     claimedAt = clock.steadyMs();
     return false;
   }
@@ -126,7 +127,7 @@
       own = null;
       return false;
     }
-    disk.put(FILE, next.getBytes(StandardCharsets.UTF_8));
+    disk.replaceAtomically(FILE, next.getBytes(StandardCharsets.UTF_8));
     own = next;
     renewedAt = at;
     return true;
@@ -135,7 +136,7 @@
   @Override
   public synchronized void release() throws IOException {
     if (own != null && read().equals(own)) {
-      disk.put(FILE, (term(own) + " free").getBytes(StandardCharsets.UTF_8));
+      disk.replaceAtomically(FILE, (term(own) + " free").getBytes(StandardCharsets.UTF_8));
     }
     own = null;
   }
--- a/src/main/java/sprucerock/controller/FileStorage.java
+++ b/src/main/java/sprucerock/controller/FileStorage.java
@@ -37,14 +37,14 @@
     }
   }
 
-  private void forceFolder() throws IOException {
+  private void fsyncFolder() throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true); // the names in it
     }
   }
 
   @Override
-  public Log open(String name) throws IOException {
+  public AppendFile openForAppend(String name) throws IOException {
     boolean made = !Files.exists(folder.resolve(name));
     FileChannel channel =
         FileChannel.open(
@@ -53,16 +53,16 @@
             StandardOpenOption.WRITE,
             StandardOpenOption.APPEND);
     if (made) {
-      forceFolder();
+      fsyncFolder();
     }
-    return new Log() {
+    return new AppendFile() {
       @Override
-      public void add(byte[] bytes) throws IOException {
+      public void append(byte[] bytes) throws IOException {
         write(channel, bytes);
       }
 
       @Override
-      public void force() throws IOException {
+      public void fsync() throws IOException {
         channel.force(false);
       }
 
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public void put(String name, byte[] bytes) throws IOException {
+  public void replaceAtomically(String name, byte[] bytes) throws IOException {
     Path next = folder.resolve(name + ".new");
     try (FileChannel channel =
         FileChannel.open(
@@ -90,7 +90,7 @@
         folder.resolve(name),
         StandardCopyOption.ATOMIC_MOVE,
         StandardCopyOption.REPLACE_EXISTING);
-    forceFolder();
+    fsyncFolder();
   }
 
   @Override
@@ -99,7 +99,7 @@
   }
 
   @Override
-  public void cut(String name, long length) throws IOException {
+  public void truncate(String name, long length) throws IOException {
     try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
       channel.truncate(length);
       channel.force(true);
--- a/src/main/java/sprucerock/controller/LeadershipMark.java
+++ b/src/main/java/sprucerock/controller/LeadershipMark.java
@@ -43,7 +43,8 @@
       return false;
     }
     if (number > highest) {
-      disk.put(FileLeadership.MAJORITY, Long.toString(number).getBytes(StandardCharsets.UTF_8));
+      disk.replaceAtomically(
+          FileLeadership.MAJORITY, Long.toString(number).getBytes(StandardCharsets.UTF_8));
     }
     return true;
   }
--- a/src/main/java/sprucerock/controller/RestartCapacity.java
+++ b/src/main/java/sprucerock/controller/RestartCapacity.java
@@ -27,7 +27,7 @@
   private double last;
 
   /** A relay's window: the share of its processors' time that it used, and what came. */
-  void seen(int zone, double use, double rpcs) {
+  void record(int zone, double use, double rpcs) {
     double[] sum = zones.computeIfAbsent(zone, any -> new double[2]);
     sum[0] += use;
     sum[1]++;
@@ -35,7 +35,7 @@
   }
 
   /** The window is over; returns by zone how many may be out. */
-  Map<Integer, Integer> cut() {
+  Map<Integer, Integer> closeWindow() {
     TreeMap<Integer, Integer> found = new TreeMap<>();
     zones.forEach(
         (zone, sum) ->
@@ -56,7 +56,7 @@
   }
 
   /** Why nobody is to be restarted; empty where nothing speaks against it. */
-  String why() {
+  String blockedReason() {
     return surge
         ? String.format(
             java.util.Locale.ROOT, "a surge: %.0f RPCs came in a window, usually %.0f", last, usual)
--- a/src/main/java/sprucerock/controller/Rollout.java
+++ b/src/main/java/sprucerock/controller/Rollout.java
@@ -9,7 +9,7 @@
 /** One build on its way through the stages, with every step and its cause. */
 public final class Rollout {
   /** Where a release stands. */
-  public enum Standing {
+  public enum State {
     /** Waits until the one before it has gone back. */
     ANNOUNCED,
     /** Its first units are being started. */
@@ -33,23 +33,23 @@
    * @param sequence of all transitions of all releases, from 1
    * @param wallMs the machine's clock then, for people
    */
-  public record Step(
-      long sequence, Timestamp at, long wallMs, Standing standing, int stage, String cause) {}
+  public record Transition(
+      long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
 
-  private static final int MOST_STEPS =
+  private static final int MAX_TRANSITIONS =
       200; // a release has some ten; a flapping hand should not fill the disk
 
   public final int build;
   public final String artifact;
-  Standing standing = Standing.ANNOUNCED;
+  State state = State.ANNOUNCED;
   int stage;
   Timestamp since;
 
   /** From when the stage's least time counts; null while its units are not there. */
-  Timestamp clock;
+  Timestamp clockStart;
 
   /** Time that did not count: held by relays under the clock, or by an operator. */
-  TimeSpan heldFor = TimeSpan.ZERO;
+  TimeSpan pausedTime = TimeSpan.ZERO;
 
   /** An operator holds it, and since when. */
   boolean held;
@@ -57,11 +57,11 @@
   Timestamp heldSince;
 
   /** Under the clock: whether that ran, and since when it did or did not. */
-  boolean clockRan = true;
+  boolean clockRunning = true;
 
-  Timestamp clockStopped;
-  int endpoints;
-  private final List<Step> steps = new ArrayList<>();
+  Timestamp clockUpdatedAt;
+  int readyEndpoints;
+  private final List<Transition> transitions = new ArrayList<>();
 
   Rollout(int build, String artifact, Timestamp now) {
     this.build = build;
@@ -69,8 +69,8 @@
     since = now;
   }
 
-  public Standing standing() {
-    return standing;
+  public State state() {
+    return state;
   }
 
   public int stage() {
@@ -86,19 +86,19 @@
   }
 
   /** Units of it that were told to be there. */
-  public int units() {
-    return endpoints;
+  public int readyEndpoints() {
+    return readyEndpoints;
   }
 
   /** The transitions so far; of very many the first and the last ones. */
-  public List<Step> steps() {
-    return Collections.unmodifiableList(steps);
+  public List<Transition> transitions() {
+    return Collections.unmodifiableList(transitions);
   }
 
-  void add(Step step) {
-    if (steps.size() >= MOST_STEPS) {
-      steps.remove(MOST_STEPS / 2);
+  void add(Transition step) {
+    if (transitions.size() >= MAX_TRANSITIONS) {
+      transitions.remove(MAX_TRANSITIONS / 2);
     }
-    steps.add(step);
+    transitions.add(step);
   }
 }
--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucerock.controller.Rollout.Standing;
-import sprucerock.controller.Rollout.Step;
+import sprucerock.controller.Rollout.State;
+import sprucerock.controller.Rollout.Transition;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
@@ -24,7 +24,7 @@
  */
 public final class RolloutManager {
   /** What an announcement came to. */
-  public enum Answer {
+  public enum AnnouncementResult {
     TAKEN,
     /** The same delivery was taken before, with this answer then or another. */
     AGAIN,
@@ -39,39 +39,39 @@
   }
 
   /** What a vote came to. */
-  public enum Taken {
+  public enum VoteResult {
     COUNTS,
     MOOT,
     TOO_MANY
   }
 
-  public enum Say {
+  public enum Vote {
     NOTHING,
     ON,
     HOLD,
     BACK
   }
 
-  public enum Action {
+  public enum OperatorCommand {
     HOLD,
     RESUME,
     WITHDRAW
   }
 
   /** Who acts on transitions: tells relays and others, has units started and taken away. */
-  public interface Host {
+  public interface Listener {
     /** Told in the order in which they happen, each once by each life that makes it. */
-    void changed(Rollout release, Step step);
+    void transitioned(Rollout release, Transition step);
   }
 
   /** A relay's standing vote. */
   static final class Ballot {
     int build;
     int stage;
-    Say say = Say.NOTHING;
-    Timestamp until;
-    Timestamp second;
-    int inSecond;
+    Vote vote = Vote.NOTHING;
+    Timestamp expiresAt;
+    Timestamp rateWindowStart;
+    int votesInWindow;
     private final int relay;
 
     Ballot(int relay) {
@@ -80,48 +80,48 @@
   }
 
   /** A delivery that was answered, so that copies of it have the same answer. */
-  record Delivery(String id, Timestamp at, Answer answer, String content) {}
+  record Delivery(String id, Timestamp at, AnnouncementResult answer, String content) {}
 
-  static final int MOST_WAITING = 20;
-  static final int MOST_RELEASES = 100;
-  static final int MOST_DELIVERIES = 50_000;
-  static final int MOST_RELAYS = 10_000;
-  static final TimeSpan REMEMBERED =
+  static final int MAX_ANNOUNCED = 20;
+  static final int MAX_ROLLOUTS = 100;
+  static final int MAX_DELIVERIES = 50_000;
+  static final int MAX_RELAYS = 10_000;
+  static final TimeSpan DELIVERY_RETENTION =
       TimeSpan.ofMs(7 * 24 * 3_600_000.0); // longer than senders retry: a day or three
 
   private final RolloutRules rules;
-  private final int places;
-  private final Host host;
-  final TreeMap<Integer, Rollout> releases = new TreeMap<>();
-  final TreeMap<Integer, Ballot> ballots = new TreeMap<>();
+  private final int fleetSize;
+  private final Listener listener;
+  final TreeMap<Integer, Rollout> rolloutsByBuild = new TreeMap<>();
+  final TreeMap<Integer, Ballot> ballotsByRelay = new TreeMap<>();
   final LinkedHashMap<String, Delivery> deliveries = new LinkedHashMap<>();
   long sequence;
-  long delivered;
+  long webhooksDeliveredUpTo;
   long epoch;
-  Rollout present;
-  int earlier;
+  Rollout current;
+  int previousBuild;
   private long wallMs;
   // Votes that stand for the present build and stage, the first to run out first: all others are
   // taken out as they are cast anew, as the release
   // moves and as time passes, so that a vote and a look each 50 ms walk no other vote.
-  private final Map<Say, TreeSet<Ballot>> standing = new EnumMap<>(Say.class);
-  private long looked;
+  private final Map<Vote, TreeSet<Ballot>> relaysVoting = new EnumMap<>(Vote.class);
+  private long votesExamined;
 
   /** {@code places} units make up the fleet; {@code first} serves from the start. */
-  public RolloutManager(RolloutRules rules, int places, int first, Timestamp now, Host host) {
+  public RolloutManager(RolloutRules rules, int places, int first, Timestamp now, Listener host) {
     this.rules = rules;
-    this.places = places;
-    this.host = host;
-    present = new Rollout(first, "", now);
-    present.standing = Standing.RELEASED;
-    present.stage = rules.stages().size() - 1;
-    releases.put(first, present);
-    earlier = first;
-    for (Say say : Say.values()) {
-      standing.put(
+    this.fleetSize = places;
+    this.listener = host;
+    current = new Rollout(first, "", now);
+    current.state = State.RELEASED;
+    current.stage = rules.stages().size() - 1;
+    rolloutsByBuild.put(first, current);
+    previousBuild = first;
+    for (Vote say : Vote.values()) {
+      relaysVoting.put(
           say,
           new TreeSet<>(
-              Comparator.<Ballot>comparingDouble(vote -> vote.until.ms())
+              Comparator.<Ballot>comparingDouble(vote -> vote.expiresAt.ms())
                   .thenComparingInt(vote -> vote.relay)));
     }
   }
@@ -129,21 +129,21 @@
   // What is asked.
 
   /** The release that relays are told of: on trial, going back, released or withdrawn last. */
-  public Rollout present() {
-    return present;
+  public Rollout current() {
+    return current;
   }
 
   /** The build that serves beside the one on trial, or alone. */
-  public int earlier() {
-    return earlier;
+  public int previousBuild() {
+    return previousBuild;
   }
 
-  public Collection<Rollout> all() {
-    return Collections.unmodifiableCollection(releases.values());
+  public Collection<Rollout> rollouts() {
+    return Collections.unmodifiableCollection(rolloutsByBuild.values());
   }
 
-  public Rollout of(int build) {
-    return releases.get(build);
+  public Rollout rollout(int build) {
+    return rolloutsByBuild.get(build);
   }
 
   /** Transitions so far. */
@@ -157,36 +157,38 @@
   }
 
   /** Up to which transition outgoing webhooks were taken, or given up. */
-  public long delivered() {
-    return delivered;
+  public long webhooksDeliveredUpTo() {
+    return webhooksDeliveredUpTo;
   }
 
   /** What relays are to know: of which build, how it stands, and the cap on its exposure. */
-  public record News(int build, int stage, Standing standing, double cap, Timestamp since) {}
+  public record RolloutStatus(
+      int build, int stage, State state, double exposureCap, Timestamp since) {}
 
   /**
    * The news as it is now. A build whose units only start is none yet: until then what was before
    * it is told.
    */
-  public News news() {
-    return switch (present.standing) {
+  public RolloutStatus currentStatus() {
+    return switch (current.state) {
       case ON_TRIAL ->
-          new News(
-              present.build,
-              present.stage,
-              Standing.ON_TRIAL,
-              rules.stages().get(present.stage).cap(),
-              present.since);
+          new RolloutStatus(
+              current.build,
+              current.stage,
+              State.ON_TRIAL,
+              rules.stages().get(current.stage).exposureCap(),
+              current.since);
       case GOING_BACK, WITHDRAWN ->
-          new News(present.build, present.stage, present.standing, 0, present.since);
-      case RELEASED -> new News(present.build, present.stage, Standing.RELEASED, 1, present.since);
+          new RolloutStatus(current.build, current.stage, current.state, 0, current.since);
+      case RELEASED ->
+          new RolloutStatus(current.build, current.stage, State.RELEASED, 1, current.since);
       default -> {
-        Rollout before = releases.lowerEntry(present.build).getValue();
-        boolean serves = before.build == earlier;
-        yield new News(
+        Rollout before = rolloutsByBuild.lowerEntry(current.build).getValue();
+        boolean serves = before.build == previousBuild;
+        yield new RolloutStatus(
             before.build,
             before.stage,
-            serves ? Standing.RELEASED : Standing.WITHDRAWN,
+            serves ? State.RELEASED : State.WITHDRAWN,
             serves ? 1 : 0,
             before.since);
       }
@@ -194,45 +196,45 @@
   }
 
   /** How many units of a build there should be now. */
-  public int wanted(Rollout release) {
-    return switch (release.standing) {
-      case STARTING, ON_TRIAL -> wanted(release.stage);
+  public int desiredEndpoints(Rollout release) {
+    return switch (release.state) {
+      case STARTING, ON_TRIAL -> desiredEndpoints(release.stage);
       case RELEASED ->
-          release == present || release.build == earlier && present.standing != Standing.RELEASED
-              ? places
+          release == current || release.build == previousBuild && current.state != State.RELEASED
+              ? fleetSize
               : 0;
       default -> 0;
     };
   }
 
   /** Of all units, that a release takes while it is decided. */
-  double share(Rollout release) {
+  double fleetShare(Rollout release) {
     return rules.stages().get(release.stage).share();
   }
 
-  private int wanted(int stage) {
-    return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * places - 1e-9));
+  private int desiredEndpoints(int stage) {
+    return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
 
   /** Relays whose votes of a kind stand for the present build and stage. */
-  public List<Integer> standing(Say say, Timestamp now) {
+  public List<Integer> relaysVoting(Vote say, Timestamp now) {
     TreeSet<Integer> found = new TreeSet<>();
-    for (Ballot vote : lasting(say, now)) {
+    for (Ballot vote : unexpired(say, now)) {
       found.add(vote.relay);
     }
     return List.copyOf(found);
   }
 
-  private int count(Say say, Timestamp now) {
-    return lasting(say, now).size();
+  private int count(Vote say, Timestamp now) {
+    return unexpired(say, now).size();
   }
 
   /** Without those whose time is over; time never goes back. */
-  private TreeSet<Ballot> lasting(Say say, Timestamp now) {
-    TreeSet<Ballot> all = standing.get(say);
+  private TreeSet<Ballot> unexpired(Vote say, Timestamp now) {
+    TreeSet<Ballot> all = relaysVoting.get(say);
     while (!all.isEmpty()) {
-      looked++;
-      if (all.first().until.after(now)) {
+      votesExamined++;
+      if (all.first().expiresAt.after(now)) {
         break;
       }
       all.pollFirst();
@@ -241,83 +243,84 @@
   }
 
   /** Votes of a former life are there, and what they are on. */
-  void known() {
-    standing.values().forEach(TreeSet::clear);
-    for (Ballot vote : ballots.values()) {
+  void restoreVotes() {
+    relaysVoting.values().forEach(TreeSet::clear);
+    for (Ballot vote : ballotsByRelay.values()) {
       boolean stands =
-          vote.say != Say.NOTHING
-              && vote.build == present.build
-              && (vote.say == Say.BACK || vote.stage == present.stage);
+          vote.vote != Vote.NOTHING
+              && vote.build == current.build
+              && (vote.vote == Vote.BACK || vote.stage == current.stage);
       if (stands) {
-        standing.get(vote.say).add(vote);
+        relaysVoting.get(vote.vote).add(vote);
       }
     }
   }
 
   /** They were on what it was. */
-  private void forgetVotes() {
-    ballots.values().forEach(vote -> vote.say = Say.NOTHING);
-    standing.values().forEach(TreeSet::clear);
+  private void clearVotes() {
+    ballotsByRelay.values().forEach(vote -> vote.vote = Vote.NOTHING);
+    relaysVoting.values().forEach(TreeSet::clear);
   }
 
   /** Votes that were looked at so far to count them: what tests of its growth count. */
-  public long looked() {
-    return looked;
+  public long votesExamined() {
+    return votesExamined;
   }
 
   /** Why the present release stands where it stands, in one line each. */
-  public List<String> waitsFor(Timestamp now) {
+  public List<String> blockers(Timestamp now) {
     List<String> found = new ArrayList<>();
-    Rollout open = open();
+    Rollout open = openRollout();
     if (open == null) {
       return found;
     }
     if (open.held) {
       found.add("an operator holds it");
     }
-    if (open.standing == Standing.ANNOUNCED) {
-      found.add("build " + present.build + " to have gone back");
+    if (open.state == State.ANNOUNCED) {
+      found.add("build " + current.build + " to have gone back");
     }
-    if (open.standing == Standing.GOING_BACK) {
+    if (open.state == State.GOING_BACK) {
       found.add("its time of going back to be over");
     }
-    boolean running = open.standing == Standing.STARTING || open.standing == Standing.ON_TRIAL;
-    if (running && open.endpoints < wanted(open.stage)) {
-      found.add("units: " + open.endpoints + " of " + wanted(open.stage) + " are there");
+    boolean running = open.state == State.STARTING || open.state == State.ON_TRIAL;
+    if (running && open.readyEndpoints < desiredEndpoints(open.stage)) {
+      found.add(
+          "units: " + open.readyEndpoints + " of " + desiredEndpoints(open.stage) + " are there");
     }
-    if (open.standing != Standing.ON_TRIAL || open.clock == null) {
+    if (open.state != State.ON_TRIAL || open.clockStart == null) {
       return found;
     }
-    TimeSpan so = now.since(open.clock).minus(open.heldFor);
+    TimeSpan so = now.since(open.clockStart).minus(open.pausedTime);
     if (rules.control() == RolloutRules.Control.CLOCKED) {
       found.add(
           "the clock: "
               + Math.round(so.ms())
               + " of "
-              + Math.round(rules.step().ms())
+              + Math.round(rules.clockedStageTime().ms())
               + " ms; "
-              + count(Say.HOLD, now)
+              + count(Vote.HOLD, now)
               + " relays hold it, "
-              + rules.hold()
+              + rules.votesToPause()
               + " stop it");
     } else {
-      if (!so.over(rules.least())) {
+      if (!so.over(rules.minStageTime())) {
         found.add(
             "its least time: "
                 + Math.round(so.ms())
                 + " of "
-                + Math.round(rules.least().ms())
+                + Math.round(rules.minStageTime().ms())
                 + " ms");
       }
-      found.add("votes to go on: " + count(Say.ON, now) + " of " + rules.on());
+      found.add("votes to go on: " + count(Vote.ON, now) + " of " + rules.votesToAdvance());
     }
-    found.add("votes to go back: " + count(Say.BACK, now) + " of " + rules.back());
+    found.add("votes to go back: " + count(Vote.BACK, now) + " of " + rules.votesToRollBack());
     return found;
   }
 
-  private Rollout open() {
-    for (Rollout one : releases.descendingMap().values()) {
-      if (one.standing.open()) {
+  private Rollout openRollout() {
+    for (Rollout one : rolloutsByBuild.descendingMap().values()) {
+      if (one.state.open()) {
         return one;
       }
     }
@@ -327,184 +330,189 @@
   // What happens. Each with the time, and the wall's clock for people.
 
   /** A build was announced; a delivery that was answered before has that answer again. */
-  public Answer announced(
+  public AnnouncementResult announceDelivery(
       String delivery, int build, String artifact, String source, Timestamp now, long wall) {
     wallMs = wall;
-    forget(now);
+    forgetOldDeliveries(now);
     String content = build + " " + artifact;
     Delivery before = deliveries.get(delivery);
     if (before != null) {
-      return before.content.equals(content) ? Answer.AGAIN : Answer.CONTRADICTS;
+      return before.content.equals(content)
+          ? AnnouncementResult.AGAIN
+          : AnnouncementResult.CONTRADICTS;
     }
-    Answer answer = announce(build, artifact, source, now);
+    AnnouncementResult answer = announce(build, artifact, source, now);
     deliveries.put(delivery, new Delivery(delivery, now, answer, content));
     return answer;
   }
 
-  private void forget(Timestamp now) {
+  private void forgetOldDeliveries(Timestamp now) {
     Iterator<Delivery> oldest = deliveries.values().iterator();
     while (oldest.hasNext()) {
-      boolean old = now.since(oldest.next().at).over(REMEMBERED);
-      if (!old && deliveries.size() < MOST_DELIVERIES) {
+      boolean old = now.since(oldest.next().at).over(DELIVERY_RETENTION);
+      if (!old && deliveries.size() < MAX_DELIVERIES) {
         return;
       }
       oldest.remove();
     }
   }
 
-  private Answer announce(int build, String artifact, String source, Timestamp now) {
-    Rollout known = releases.get(build);
+  private AnnouncementResult announce(int build, String artifact, String source, Timestamp now) {
+    Rollout known = rolloutsByBuild.get(build);
     if (known != null) {
-      return known.artifact.equals(artifact) ? Answer.KNOWN : Answer.CONTRADICTS;
+      return known.artifact.equals(artifact)
+          ? AnnouncementResult.KNOWN
+          : AnnouncementResult.CONTRADICTS;
     }
-    if (build <= releases.lastKey()) {
-      return Answer.TOO_OLD;
+    if (build <= rolloutsByBuild.lastKey()) {
+      return AnnouncementResult.TOO_OLD;
     }
     long waiting =
-        releases.values().stream().filter(one -> one.standing == Standing.ANNOUNCED).count();
-    if (waiting >= MOST_WAITING) {
-      return Answer.TOO_MANY;
+        rolloutsByBuild.values().stream().filter(one -> one.state == State.ANNOUNCED).count();
+    if (waiting >= MAX_ANNOUNCED) {
+      return AnnouncementResult.TOO_MANY;
     }
     Rollout made = new Rollout(build, artifact, now);
-    releases.put(build, made);
-    step(made, Standing.ANNOUNCED, 0, "announced by " + source, now);
-    for (Rollout one : List.copyOf(releases.values())) {
+    rolloutsByBuild.put(build, made);
+    transition(made, State.ANNOUNCED, 0, "announced by " + source, now);
+    for (Rollout one : List.copyOf(rolloutsByBuild.values())) {
       if (one != made
-          && (one.standing == Standing.ON_TRIAL
-              || one.standing == Standing.STARTING
-              || one.standing == Standing.ANNOUNCED)) {
-        step(one, Standing.SUPERSEDED, one.stage, "build " + build + " was announced", now);
+          && (one.state == State.ON_TRIAL
+              || one.state == State.STARTING
+              || one.state == State.ANNOUNCED)) {
+        transition(one, State.SUPERSEDED, one.stage, "build " + build + " was announced", now);
       }
     }
-    begin(now);
-    while (releases.size() > MOST_RELEASES
-        && !releases.firstEntry().getValue().standing.open()
-        && releases.firstKey() != earlier
-        && releases.firstEntry().getValue() != present) {
-      releases.pollFirstEntry();
+    startNext(now);
+    while (rolloutsByBuild.size() > MAX_ROLLOUTS
+        && !rolloutsByBuild.firstEntry().getValue().state.open()
+        && rolloutsByBuild.firstKey() != previousBuild
+        && rolloutsByBuild.firstEntry().getValue() != current) {
+      rolloutsByBuild.pollFirstEntry();
     }
-    return Answer.TAKEN;
+    return AnnouncementResult.TAKEN;
   }
 
   /** The one that waits begins once none is in its way: never are two on trial. */
-  private void begin(Timestamp now) {
-    if (present.standing == Standing.GOING_BACK) {
+  private void startNext(Timestamp now) {
+    if (current.state == State.GOING_BACK) {
       return;
     }
-    Rollout next = open();
-    if (next == null || next.standing != Standing.ANNOUNCED) {
+    Rollout next = openRollout();
+    if (next == null || next.state != State.ANNOUNCED) {
       return;
     }
-    if (present.standing == Standing.RELEASED) {
-      earlier = present.build;
+    if (current.state == State.RELEASED) {
+      previousBuild = current.build;
     }
-    present = next;
-    forgetVotes();
-    step(next, Standing.STARTING, 0, "nothing is in its way", now);
+    current = next;
+    clearVotes();
+    transition(next, State.STARTING, 0, "nothing is in its way", now);
   }
 
   /** A relay votes. Only votes on the present build and its stage count. */
-  public Taken cast(int relay, int build, int stage, Say say, Timestamp now, long wall) {
+  public VoteResult castVote(int relay, int build, int stage, Vote say, Timestamp now, long wall) {
     wallMs = wall;
-    Ballot vote = ballots.get(relay);
+    Ballot vote = ballotsByRelay.get(relay);
     if (vote == null) {
-      if (ballots.size() >= MOST_RELAYS) {
-        return Taken.TOO_MANY;
+      if (ballotsByRelay.size() >= MAX_RELAYS) {
+        return VoteResult.TOO_MANY;
       }
       vote = new Ballot(relay);
-      ballots.put(relay, vote);
+      ballotsByRelay.put(relay, vote);
     }
-    if (vote.second == null || now.since(vote.second).ms() >= 1000) {
-      vote.second = now;
-      vote.inSecond = 0;
+    if (vote.rateWindowStart == null || now.since(vote.rateWindowStart).ms() >= 1000) {
+      vote.rateWindowStart = now;
+      vote.votesInWindow = 0;
     }
-    if (++vote.inSecond > rules.votesASecond()) {
-      return Taken.TOO_MANY;
+    if (++vote.votesInWindow > rules.maxVotesPerSecond()) {
+      return VoteResult.TOO_MANY;
     }
-    boolean trial = present.standing == Standing.ON_TRIAL;
+    boolean trial = current.state == State.ON_TRIAL;
     boolean clocked = rules.control() == RolloutRules.Control.CLOCKED;
     boolean fits =
-        build == present.build
+        build == current.build
             && switch (say) {
-              case ON -> trial && !clocked && stage == present.stage;
-              case HOLD -> trial && clocked && stage == present.stage;
-              case BACK -> trial || watched(now);
+              case ON -> trial && !clocked && stage == current.stage;
+              case HOLD -> trial && clocked && stage == current.stage;
+              case BACK -> trial || underObservation(now);
               case NOTHING -> true;
             };
     if (!fits) {
-      return Taken.MOOT;
+      return VoteResult.MOOT;
     }
     if (clocked && trial) {
-      countHeld(now);
+      addPausedTime(now);
     }
-    if (vote.until != null) {
-      standing.get(vote.say).remove(vote);
+    if (vote.expiresAt != null) {
+      relaysVoting.get(vote.vote).remove(vote);
     }
     vote.build = build;
     vote.stage = stage;
-    vote.say = say;
-    vote.until = now.plus(rules.voteLife());
-    if (say != Say.NOTHING) {
-      standing.get(say).add(vote);
+    vote.vote = say;
+    vote.expiresAt = now.plus(rules.voteValidity());
+    if (say != Vote.NOTHING) {
+      relaysVoting.get(say).add(vote);
     }
-    settle(now);
-    return Taken.COUNTS;
+    reconcile(now);
+    return VoteResult.COUNTS;
   }
 
   /** A released build is watched for a time, if there is one to go back to. */
-  private boolean watched(Timestamp now) {
-    return present.standing == Standing.RELEASED
-        && earlier != present.build
-        && !now.since(present.since).over(rules.watch());
+  private boolean underObservation(Timestamp now) {
+    return current.state == State.RELEASED
+        && previousBuild != current.build
+        && !now.since(current.since).over(rules.observationTime());
   }
 
   /** An operator's word, which is stronger than votes; says why it has no effect, or null. */
-  public String word(
-      Action action, int build, String who, String reason, Timestamp now, long wall) {
+  public String command(
+      OperatorCommand action, int build, String who, String reason, Timestamp now, long wall) {
     wallMs = wall;
-    Rollout release = releases.get(build);
+    Rollout release = rolloutsByBuild.get(build);
     if (release == null) {
       return "no build " + build + " is known";
     }
     String cause = who + ": " + reason;
     boolean running =
-        release.standing == Standing.STARTING
-            || release.standing == Standing.ON_TRIAL
-            || release.standing == Standing.ANNOUNCED;
+        release.state == State.STARTING
+            || release.state == State.ON_TRIAL
+            || release.state == State.ANNOUNCED;
     switch (action) {
       case HOLD -> {
         if (!running) {
-          return "build " + build + " is " + words(release) + ": there is nothing to hold";
+          return "build " + build + " is " + stateText(release) + ": there is nothing to hold";
         }
         if (release.held) {
           return "build " + build + " is held already";
         }
         release.held = true;
         release.heldSince = now;
-        step(release, release.standing, release.stage, "held by " + cause, now);
+        transition(release, release.state, release.stage, "held by " + cause, now);
       }
       case RESUME -> {
         if (!release.held) {
           return "build " + build + " is not held";
         }
         release.held = false;
-        if (release.clock != null) {
-          release.heldFor = release.heldFor.plus(now.since(release.heldSince.later(release.clock)));
+        if (release.clockStart != null) {
+          release.pausedTime =
+              release.pausedTime.plus(now.since(release.heldSince.later(release.clockStart)));
         }
-        step(release, release.standing, release.stage, "resumed by " + cause, now);
-        settle(now);
+        transition(release, release.state, release.stage, "resumed by " + cause, now);
+        reconcile(now);
       }
       case WITHDRAW -> {
         boolean last =
-            release == present && release.standing == Standing.RELEASED && earlier != release.build;
+            release == current && release.state == State.RELEASED && previousBuild != release.build;
         if (!running && !last) {
-          return "build " + build + " is " + words(release) + ": it can't be withdrawn";
+          return "build " + build + " is " + stateText(release) + ": it can't be withdrawn";
         }
         release.held = false;
-        if (release.standing == Standing.ANNOUNCED) {
-          step(release, Standing.WITHDRAWN, 0, "withdrawn by " + cause, now);
+        if (release.state == State.ANNOUNCED) {
+          transition(release, State.WITHDRAWN, 0, "withdrawn by " + cause, now);
         } else {
-          goBack(release, "withdrawn by " + cause, now);
+          rollBack(release, "withdrawn by " + cause, now);
         }
       }
       default -> throw new IllegalArgumentException("no such action");
@@ -512,25 +520,25 @@
     return null;
   }
 
-  private static String words(Rollout release) {
-    return release.standing.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
+  private static String stateText(Rollout release) {
+    return release.state.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
   }
 
   /** So many units of a build are there. */
-  public void ready(int build, int endpoints, Timestamp now, long wall) {
+  public void reportEndpoints(int build, int endpoints, Timestamp now, long wall) {
     wallMs = wall;
-    Rollout release = releases.get(build);
+    Rollout release = rolloutsByBuild.get(build);
     if (release == null) {
       return;
     }
-    release.endpoints = endpoints;
-    settle(now);
+    release.readyEndpoints = endpoints;
+    reconcile(now);
   }
 
   /** Time has passed. */
   public void tick(Timestamp now, long wall) {
     wallMs = wall;
-    settle(now);
+    reconcile(now);
   }
 
   /**
@@ -541,138 +549,146 @@
     wallMs = wall;
     epoch++;
     if (downMs < 0) {
-      forgetVotes();
+      clearVotes();
     }
-    if (downMs > 0 && present.clock != null) {
-      present.heldFor = present.heldFor.plus(TimeSpan.ofMs(downMs));
+    if (downMs > 0 && current.clockStart != null) {
+      current.pausedTime = current.pausedTime.plus(TimeSpan.ofMs(downMs));
     }
-    if (downMs > 0 && present.standing == Standing.STARTING) {
-      present.since = present.since.plus(TimeSpan.ofMs(downMs));
+    if (downMs > 0 && current.state == State.STARTING) {
+      current.since = current.since.plus(TimeSpan.ofMs(downMs));
     }
-    settle(now);
+    reconcile(now);
   }
 
   /** Outgoing webhooks up to a transition are done with. */
-  public void delivered(long upTo) {
-    delivered = Math.max(delivered, Math.min(upTo, sequence));
+  public void webhooksDeliveredUpTo(long upTo) {
+    webhooksDeliveredUpTo = Math.max(webhooksDeliveredUpTo, Math.min(upTo, sequence));
   }
 
   /** Whether a tick now would change anything: only then is it worth recording. */
-  public boolean due(Timestamp now) {
-    return switch (present.standing) {
-      case STARTING -> startIsOver(now) || !present.held && present.endpoints >= wanted(0);
-      case GOING_BACK -> now.since(present.since).over(rules.goingBack());
+  public boolean transitionDue(Timestamp now) {
+    return switch (current.state) {
+      case STARTING ->
+          startTimedOut(now) || !current.held && current.readyEndpoints >= desiredEndpoints(0);
+      case GOING_BACK -> now.since(current.since).over(rules.rollbackTime());
       case ON_TRIAL ->
-          startIsOver(now)
-              || count(Say.BACK, now) >= rules.back()
-              || mayGoOn(now)
-              || clockRuns(now) != present.clockRan;
-      case RELEASED -> watched(now) && count(Say.BACK, now) >= rules.back();
+          startTimedOut(now)
+              || count(Vote.BACK, now) >= rules.votesToRollBack()
+              || mayAdvance(now)
+              || clockRunning(now) != current.clockRunning;
+      case RELEASED -> underObservation(now) && count(Vote.BACK, now) >= rules.votesToRollBack();
       default -> false;
     };
   }
 
-  private boolean startIsOver(Timestamp now) {
-    return present.clock == null
-        && !present.held
-        && now.since(present.since).over(rules.startWithin());
+  private boolean startTimedOut(Timestamp now) {
+    return current.clockStart == null
+        && !current.held
+        && now.since(current.since).over(rules.startTimeout());
   }
 
-  private boolean clockRuns(Timestamp now) {
-    return count(Say.HOLD, now) < rules.hold();
+  private boolean clockRunning(Timestamp now) {
+    return count(Vote.HOLD, now) < rules.votesToPause();
   }
 
-  private void countHeld(Timestamp now) {
-    if (!present.clockRan && present.clockStopped != null && present.clock != null) {
-      present.heldFor = present.heldFor.plus(now.since(present.clockStopped));
+  private void addPausedTime(Timestamp now) {
+    if (!current.clockRunning && current.clockUpdatedAt != null && current.clockStart != null) {
+      current.pausedTime = current.pausedTime.plus(now.since(current.clockUpdatedAt));
     }
-    present.clockStopped = now;
+    current.clockUpdatedAt = now;
   }
 
-  private boolean mayGoOn(Timestamp now) {
-    if (present.clock == null || present.held) {
+  private boolean mayAdvance(Timestamp now) {
+    if (current.clockStart == null || current.held) {
       return false;
     }
-    TimeSpan so = now.since(present.clock).minus(present.heldFor);
+    TimeSpan so = now.since(current.clockStart).minus(current.pausedTime);
     if (rules.control() != RolloutRules.Control.CLOCKED) {
-      return so.over(rules.least()) && count(Say.ON, now) >= rules.on();
+      return so.over(rules.minStageTime()) && count(Vote.ON, now) >= rules.votesToAdvance();
     }
-    return clockRuns(now) && present.clockRan && so.over(rules.step());
+    return clockRunning(now) && current.clockRunning && so.over(rules.clockedStageTime());
   }
 
   /** Does all that is due now. */
-  private void settle(Timestamp now) {
-    if (rules.control() == RolloutRules.Control.CLOCKED && present.standing == Standing.ON_TRIAL) {
-      countHeld(now);
-      present.clockRan = clockRuns(now);
-    }
-    if (present.standing == Standing.STARTING && !present.held && present.endpoints >= wanted(0)) {
-      step(present, Standing.ON_TRIAL, 0, present.endpoints + " units are there", now);
-      present.clock = now;
-    }
-    if (present.standing == Standing.ON_TRIAL
-        && present.clock == null
-        && present.endpoints >= wanted(present.stage)) {
-      present.clock = now;
-    }
-    if ((present.standing == Standing.STARTING || present.standing == Standing.ON_TRIAL)
-        && startIsOver(now)) {
-      goBack(
-          present,
-          "its units did not start: " + present.endpoints + " of " + wanted(present.stage),
+  private void reconcile(Timestamp now) {
+    if (rules.control() == RolloutRules.Control.CLOCKED && current.state == State.ON_TRIAL) {
+      addPausedTime(now);
+      current.clockRunning = clockRunning(now);
+    }
+    if (current.state == State.STARTING
+        && !current.held
+        && current.readyEndpoints >= desiredEndpoints(0)) {
+      transition(current, State.ON_TRIAL, 0, current.readyEndpoints + " units are there", now);
+      current.clockStart = now;
+    }
+    if (current.state == State.ON_TRIAL
+        && current.clockStart == null
+        && current.readyEndpoints >= desiredEndpoints(current.stage)) {
+      current.clockStart = now;
+    }
+    if ((current.state == State.STARTING || current.state == State.ON_TRIAL)
+        && startTimedOut(now)) {
+      rollBack(
+          current,
+          "its units did not start: "
+              + current.readyEndpoints
+              + " of "
+              + desiredEndpoints(current.stage),
           now);
-    } else if (present.standing == Standing.ON_TRIAL && count(Say.BACK, now) >= rules.back()) {
-      goBack(present, "votes to go back of relays " + standing(Say.BACK, now), now);
-    } else if (present.standing == Standing.RELEASED
-        && watched(now)
-        && count(Say.BACK, now) >= rules.back()) {
-      goBack(
-          present,
-          "votes to go back of relays " + standing(Say.BACK, now) + " after its release",
+    } else if (current.state == State.ON_TRIAL
+        && count(Vote.BACK, now) >= rules.votesToRollBack()) {
+      rollBack(current, "votes to go back of relays " + relaysVoting(Vote.BACK, now), now);
+    } else if (current.state == State.RELEASED
+        && underObservation(now)
+        && count(Vote.BACK, now) >= rules.votesToRollBack()) {
+      rollBack(
+          current,
+          "votes to go back of relays " + relaysVoting(Vote.BACK, now) + " after its release",
           now);
-    } else if (present.standing == Standing.ON_TRIAL && mayGoOn(now)) {
-      goOn(now);
-    } else if (present.standing == Standing.GOING_BACK
-        && now.since(present.since).over(rules.goingBack())) {
-      step(present, Standing.WITHDRAWN, present.stage, "it has gone back", now);
-      begin(now);
+    } else if (current.state == State.ON_TRIAL && mayAdvance(now)) {
+      advance(now);
+    } else if (current.state == State.GOING_BACK
+        && now.since(current.since).over(rules.rollbackTime())) {
+      transition(current, State.WITHDRAWN, current.stage, "it has gone back", now);
+      startNext(now);
     }
   }
 
-  private void goOn(Timestamp now) {
+  private void advance(Timestamp now) {
     String cause =
         rules.control() == RolloutRules.Control.CLOCKED
             ? "its time is over"
-            : "votes to go on of relays " + standing(Say.ON, now);
-    boolean last = present.stage + 1 >= rules.stages().size();
+            : "votes to go on of relays " + relaysVoting(Vote.ON, now);
+    boolean last = current.stage + 1 >= rules.stages().size();
     if (last) {
-      step(present, Standing.RELEASED, present.stage, cause, now);
+      transition(current, State.RELEASED, current.stage, cause, now);
     } else {
-      step(present, Standing.ON_TRIAL, present.stage + 1, cause, now);
+      transition(current, State.ON_TRIAL, current.stage + 1, cause, now);
     }
-    present.clock = !last && present.endpoints >= wanted(present.stage) ? now : null;
+    current.clockStart =
+        !last && current.readyEndpoints >= desiredEndpoints(current.stage) ? now : null;
   }
 
-  private void goBack(Rollout release, String cause, Timestamp now) {
-    step(release, Standing.GOING_BACK, release.stage, cause, now);
+  private void rollBack(Rollout release, String cause, Timestamp now) {
+    transition(release, State.GOING_BACK, release.stage, cause, now);
   }
 
-  private void step(Rollout release, Standing to, int stage, String cause, Timestamp now) {
-    boolean moves = release.standing != to || release.stage != stage;
-    release.standing = to;
+  private void transition(Rollout release, State to, int stage, String cause, Timestamp now) {
+    boolean moves = release.state != to || release.stage != stage;
+    release.state = to;
     release.stage = stage;
-    if (moves || release.steps().isEmpty()) {
+    if (moves || release.transitions().isEmpty()) {
       release.since = now;
-      release.clock = null;
-      release.heldFor = TimeSpan.ZERO;
-      release.clockStopped = now;
-      release.clockRan = true;
-      if (release == present) {
-        forgetVotes();
+      release.clockStart = null;
+      release.pausedTime = TimeSpan.ZERO;
+      release.clockUpdatedAt = now;
+      release.clockRunning = true;
+      if (release == current) {
+        clearVotes();
       }
     }
-    Step step = new Step(++sequence, now, wallMs, to, stage, cause);
+    Transition step = new Transition(++sequence, now, wallMs, to, stage, cause);
     release.add(step);
-    host.changed(release, step);
+    listener.transitioned(release, step);
   }
 }
--- a/src/main/java/sprucerock/controller/RolloutRules.java
+++ b/src/main/java/sprucerock/controller/RolloutRules.java
@@ -18,18 +18,18 @@
 public record RolloutRules(
     List<Stage> stages,
     Control control,
-    int on,
-    int hold,
-    int back,
-    TimeSpan voteLife,
-    TimeSpan least,
-    TimeSpan step,
-    TimeSpan startWithin,
-    TimeSpan goingBack,
-    TimeSpan watch,
-    int votesASecond) {
+    int votesToAdvance,
+    int votesToPause,
+    int votesToRollBack,
+    TimeSpan voteValidity,
+    TimeSpan minStageTime,
+    TimeSpan clockedStageTime,
+    TimeSpan startTimeout,
+    TimeSpan rollbackTime,
+    TimeSpan observationTime,
+    int maxVotesPerSecond) {
   /** The share of the fleet's places that get the build, and the cap on its exposure. */
-  public record Stage(double share, double cap) {}
+  public record Stage(double share, double exposureCap) {}
 
   /**
    * Whose votes let a build go on: a stated number of relays, more than half of those that stand,
--- a/src/main/java/sprucerock/controller/Storage.java
+++ b/src/main/java/sprucerock/controller/Storage.java
@@ -14,22 +14,22 @@
   byte[] read(String name) throws IOException;
 
   /** Opens a file to be added to; made if it is not there. */
-  Log open(String name) throws IOException;
+  AppendFile openForAppend(String name) throws IOException;
 
   /** Writes a file whole, and puts it in its place by one renaming that outlives a crash. */
-  void put(String name, byte[] bytes) throws IOException;
+  void replaceAtomically(String name, byte[] bytes) throws IOException;
 
   void delete(String name) throws IOException;
 
   /** Cuts a file off. */
-  void cut(String name, long length) throws IOException;
+  void truncate(String name, long length) throws IOException;
 
   /** A file that grows. */
-  interface Log {
-    void add(byte[] bytes) throws IOException;
+  interface AppendFile {
+    void append(byte[] bytes) throws IOException;
 
     /** All that was added outlives a crash from now on. */
-    void force() throws IOException;
+    void fsync() throws IOException;
 
     void close() throws IOException;
   }
--- a/src/main/java/sprucerock/controller/WriteAheadLog.java
+++ b/src/main/java/sprucerock/controller/WriteAheadLog.java
@@ -28,36 +28,36 @@
 
   /** What a start finds, in order: a state, perhaps none, then inputs. */
   interface Reader {
-    void state(State state);
+    void snapshot(State state);
 
-    void input(Input input);
+    void entry(Input input);
   }
 
-  private static final int HEAD = 4 + 4 + 8;
-  private static final int MOST_RECORD = 1 << 20;
-  private static final String LOG = "inputs-";
-  private static final String SNAPSHOT = "snapshot-";
+  private static final int HEADER_BYTES = 4 + 4 + 8;
+  private static final int MAX_RECORD_BYTES = 1 << 20;
+  private static final String LOG_PREFIX = "inputs-";
+  private static final String SNAPSHOT_PREFIX = "snapshot-";
 
-  private final Storage disk;
-  private final int snapshotEvery;
-  private Storage.Log log;
-  private String logName;
-  private long length;
-  private boolean torn;
-  private long number;
-  private int sinceSnapshot;
+  private final Storage storage;
+  private final int snapshotEveryEntries;
+  private Storage.AppendFile file;
+  private String fileName;
+  private long fileLength;
+  private boolean tailTorn;
+  private long lastIndex;
+  private int entriesSinceSnapshot;
 
   /** {@code snapshotEvery} inputs, which bounds the files and the time to come back. */
   WriteAheadLog(Storage disk, int snapshotEvery) {
-    this.disk = disk;
-    this.snapshotEvery = snapshotEvery;
+    this.storage = disk;
+    this.snapshotEveryEntries = snapshotEvery;
   }
 
   private static String name(String kind, long number) {
     return String.format("%s%016d", kind, number);
   }
 
-  private static long number(String name) {
+  private static long lastIndex(String name) {
     return Long.parseLong(name.substring(name.lastIndexOf('-') + 1));
   }
 
@@ -67,54 +67,55 @@
    *
    * @throws DamagedException if a record before the last one is damaged or missing
    */
-  void open(Reader reader, Consumer<String> say) throws IOException, DamagedException {
-    List<String> names = disk.list();
+  void replay(Reader reader, Consumer<String> say) throws IOException, DamagedException {
+    List<String> names = storage.list();
     for (String one : names) {
       if (one.endsWith(".new")) {
-        disk.delete(one); // never came into its place
+        storage.delete(one); // never came into its place
       }
     }
     String snapshot =
         names.stream()
-            .filter(one -> one.startsWith(SNAPSHOT) && !one.endsWith(".new"))
+            .filter(one -> one.startsWith(SNAPSHOT_PREFIX) && !one.endsWith(".new"))
             .reduce((a, b) -> b)
             .orElse(null);
     if (snapshot != null) {
-      number = number(snapshot);
-      reader.state(state(snapshot));
+      lastIndex = lastIndex(snapshot);
+      reader.snapshot(readSnapshot(snapshot));
     }
-    List<String> logs = names.stream().filter(one -> one.startsWith(LOG)).toList();
+    List<String> logs = names.stream().filter(one -> one.startsWith(LOG_PREFIX)).toList();
     for (int i = 0; i < logs.size(); i++) {
       boolean last = i == logs.size() - 1;
-      boolean older = !last && number(logs.get(i + 1)) <= number; // all of it is in the snapshot
+      boolean older =
+          !last && lastIndex(logs.get(i + 1)) <= lastIndex; // all of it is in the snapshot
       if (!older) {
-        inputs(logs.get(i), last, reader, say);
+        replayEntries(logs.get(i), last, reader, say);
       }
     }
-    logName = logs.isEmpty() ? name(LOG, number) : logs.get(logs.size() - 1);
-    log = disk.open(logName);
-    length = disk.read(logName).length;
+    fileName = logs.isEmpty() ? name(LOG_PREFIX, lastIndex) : logs.get(logs.size() - 1);
+    file = storage.openForAppend(fileName);
+    fileLength = storage.read(fileName).length;
   }
 
-  private State state(String name) throws IOException, DamagedException {
-    byte[] bytes = disk.read(name);
+  private State readSnapshot(String name) throws IOException, DamagedException {
+    byte[] bytes = storage.read(name);
     ByteBuffer buffer = ByteBuffer.wrap(bytes);
     if (bytes.length < 8) {
-      throw damaged(name, "is cut short");
+      throw damagedException(name, "is cut short");
     }
     int sum = buffer.getInt();
     int length = buffer.getInt();
     if (length != buffer.remaining() || sum != checksum(bytes, 8, length)) {
-      throw damaged(name, "has a wrong checksum");
+      throw damagedException(name, "has a wrong checksum");
     }
     try {
       return State.parser().parseFrom(bytes, 8, length);
     } catch (InvalidProtocolBufferException e) {
-      throw damaged(name, "can't be read");
+      throw damagedException(name, "can't be read");
     }
   }
 
-  private static DamagedException damaged(String name, String what) {
+  private static DamagedException damagedException(String name, String what) {
     return new DamagedException(
         name
             + " "
@@ -129,36 +130,36 @@
     return (int) sum.getValue();
   }
 
-  private void inputs(String name, boolean last, Reader reader, Consumer<String> say)
+  private void replayEntries(String name, boolean last, Reader reader, Consumer<String> say)
       throws IOException, DamagedException {
-    byte[] bytes = disk.read(name);
+    byte[] bytes = storage.read(name);
     int at = 0;
     while (at < bytes.length) {
-      int length = whole(bytes, at);
+      int length = recordLength(bytes, at);
       if (length < 0) {
         // nothing that is whole may follow a torn tail: else it is a hole
-        if (!last || followed(bytes, at)) {
-          throw damaged(name, "is damaged at byte " + at + " of " + bytes.length);
+        if (!last || validRecordAfter(bytes, at)) {
+          throw damagedException(name, "is damaged at byte " + at + " of " + bytes.length);
         }
         say.accept(
             name
                 + ": "
                 + (bytes.length - at)
                 + " bytes of a record that was not finished are cut off; it was never told");
-        disk.cut(name, at);
+        storage.truncate(name, at);
         return;
       }
       long found = ByteBuffer.wrap(bytes, at + 8, 8).getLong();
-      if (found > number + 1) {
-        throw damaged(name, "goes on with input " + found + " after " + number);
+      if (found > lastIndex + 1) {
+        throw damagedException(name, "goes on with input " + found + " after " + lastIndex);
       }
-      if (found == number + 1) {
-        number = found;
-        sinceSnapshot++;
+      if (found == lastIndex + 1) {
+        lastIndex = found;
+        entriesSinceSnapshot++;
         try {
-          reader.input(Input.parser().parseFrom(bytes, at + HEAD, length - 8));
+          reader.entry(Input.parser().parseFrom(bytes, at + HEADER_BYTES, length - 8));
         } catch (InvalidProtocolBufferException e) {
-          throw damaged(name, "has an input at byte " + at + " that can't be read");
+          throw damagedException(name, "has an input at byte " + at + " that can't be read");
         }
       }
       at += 8 + length;
@@ -166,20 +167,20 @@
   }
 
   /** The length after the checksum of a whole record that begins there; -1 where there is none. */
-  private static int whole(byte[] bytes, int at) {
-    if (bytes.length - at < HEAD) {
+  private static int recordLength(byte[] bytes, int at) {
+    if (bytes.length - at < HEADER_BYTES) {
       return -1;
     }
-    ByteBuffer head = ByteBuffer.wrap(bytes, at, HEAD);
+    ByteBuffer head = ByteBuffer.wrap(bytes, at, HEADER_BYTES);
     int length = head.getInt();
     int sum = head.getInt();
-    boolean fits = length >= 8 && length <= MOST_RECORD && at + 8 + length <= bytes.length;
+    boolean fits = length >= 8 && length <= MAX_RECORD_BYTES && at + 8 + length <= bytes.length;
     return fits && sum == checksum(bytes, at + 8, length) ? length : -1;
   }
 
-  private static boolean followed(byte[] bytes, int at) {
-    for (int i = at + 1; i + HEAD <= bytes.length; i++) {
-      if (whole(bytes, i) >= 0) {
+  private static boolean validRecordAfter(byte[] bytes, int at) {
+    for (int i = at + 1; i + HEADER_BYTES <= bytes.length; i++) {
+      if (recordLength(bytes, i) >= 0) {
         return true;
       }
     }
@@ -191,76 +192,78 @@
    *
    * @throws IOException if the disk takes it not; it can be tried again, and nothing of it stays
    */
-  void add(Input input) throws IOException {
-    if (torn) {
-      disk.cut(logName, length);
-      torn = false;
+  void append(Input input) throws IOException {
+    if (tailTorn) {
+      storage.truncate(fileName, fileLength);
+      tailTorn = false;
     }
     byte[] body = input.toByteArray();
-    ByteArrayOutputStream record = new ByteArrayOutputStream(HEAD + body.length);
-    ByteBuffer rest = ByteBuffer.allocate(8 + body.length).putLong(number + 1).put(body);
+    ByteArrayOutputStream record = new ByteArrayOutputStream(HEADER_BYTES + body.length);
+    ByteBuffer rest = ByteBuffer.allocate(8 + body.length).putLong(lastIndex + 1).put(body);
     record.writeBytes(
         ByteBuffer.allocate(8)
             .putInt(rest.capacity())
             .putInt(checksum(rest.array(), 0, rest.capacity()))
             .array());
     record.writeBytes(rest.array());
-    torn = true;
-    log.add(record.toByteArray());
-    torn = false;
-    length += record.size();
-    number++;
-    sinceSnapshot++;
+    tailTorn = true;
+    file.append(record.toByteArray());
+    tailTorn = false;
+    fileLength += record.size();
+    lastIndex++;
+    entriesSinceSnapshot++;
   }
 
   /** All that was added counts from now on. */
-  void force() throws IOException {
-    log.force();
+  void fsync() throws IOException {
+    file.fsync();
   }
 
   /** Whether it is time for a snapshot. */
-  boolean full() {
-    return sinceSnapshot >= snapshotEvery;
+  boolean snapshotDue() {
+    return entriesSinceSnapshot >= snapshotEveryEntries;
   }
 
   /**
    * Keeps the state that all inputs so far came to; older files but for one snapshot's worth go.
    */
   void snapshot(State state) throws IOException {
-    log.force();
+    file.fsync();
     byte[] body = state.toByteArray();
     ByteBuffer all =
         ByteBuffer.allocate(8 + body.length)
             .putInt(checksum(body, 0, body.length))
             .putInt(body.length)
             .put(body);
-    disk.put(name(SNAPSHOT, number), all.array());
-    Storage.Log next = disk.open(name(LOG, number));
-    log.close();
-    log = next;
-    logName = name(LOG, number);
-    length = 0;
-    sinceSnapshot = 0;
-    List<String> snapshots = disk.list().stream().filter(one -> one.startsWith(SNAPSHOT)).toList();
+    storage.replaceAtomically(name(SNAPSHOT_PREFIX, lastIndex), all.array());
+    Storage.AppendFile next = storage.openForAppend(name(LOG_PREFIX, lastIndex));
+    file.close();
+    file = next;
+    fileName = name(LOG_PREFIX, lastIndex);
+    fileLength = 0;
+    entriesSinceSnapshot = 0;
+    List<String> snapshots =
+        storage.list().stream().filter(one -> one.startsWith(SNAPSHOT_PREFIX)).toList();
     if (snapshots.size() <= 2) {
       return;
     }
-    long keep = number(snapshots.get(snapshots.size() - 2));
-    for (String one : disk.list()) {
-      if ((one.startsWith(SNAPSHOT) || one.startsWith(LOG)) && number(one) < keep) {
-        disk.delete(one);
+    long keep = lastIndex(snapshots.get(snapshots.size() - 2));
+    for (String one : storage.list()) {
+      if ((one.startsWith(SNAPSHOT_PREFIX) || one.startsWith(LOG_PREFIX))
+          && lastIndex(one) < keep) {
+        storage.delete(one);
       }
     }
   }
 
   /** Inputs so far, over all lives. */
-  long number() {
-    return number;
+  long lastIndex() {
+    return lastIndex;
   }
 
   void close() throws IOException {
-    if (log != null) {
-      log.close();
+    if (file != null) {
+      file.close();
     }
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/Level.java
+++ b/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
@@ -8,71 +8,71 @@
  * looks the same here, whatever its cause; so the answer is not who is to blame but whether it is a
  * time to go on. Only a loss that comes with the stage, and stays, counts.
  */
-public final class Level {
+public final class BaselineLevel {
   // what a burst or a bad build of the units takes off for a while; a stage may wait that long, and
   // goes on once it is over
-  private static final double LOSS = 0.03;
-  private static final int FEW = 5;
+  private static final double MIN_LOSS = 0.03;
+  private static final int MIN_LOW_WINDOWS = 5;
 
   private final double[] before;
-  private int known;
-  private double mark = Double.NaN;
-  private double now = Double.NaN;
-  private int low;
+  private int windowsRecorded;
+  private double baseline = Double.NaN;
+  private double latest = Double.NaN;
+  private int windowsLow;
 
   /** {@code windows}: how many make up the level before. */
-  public Level(int windows) {
+  public BaselineLevel(int windows) {
     before = new double[windows];
   }
 
   /** A window of all that did not change, together. */
-  public void seen(Window all) {
-    if (all.worth() <= 0) {
+  public void record(Window all) {
+    if (all.weight() <= 0) {
       return;
     }
-    now = all.inTime() / all.worth();
-    if (Double.isNaN(mark)) {
-      before[known++ % before.length] = now;
+    latest = all.weightInTime() / all.weight();
+    if (Double.isNaN(baseline)) {
+      before[windowsRecorded++ % before.length] = latest;
     } else {
-      low = now < mark - LOSS ? low + 1 : 0;
+      windowsLow = latest < baseline - MIN_LOSS ? windowsLow + 1 : 0;
     }
   }
 
   /** A stage begins: from here on it is held against what was. */
-  public void stage() {
-    int size = Math.min(known, before.length);
+  public void stageStarted() {
+    int size = Math.min(windowsRecorded, before.length);
     if (size == 0) {
       return;
     }
     double[] sorted = Arrays.copyOf(before, size);
     Arrays.sort(sorted);
-    if (Double.isNaN(mark)) {
-      mark = sorted[size / 2];
+    if (Double.isNaN(baseline)) {
+      baseline = sorted[size / 2];
     }
-    low = 0;
+    windowsLow = 0;
   }
 
   /** Nothing is under way any more. */
-  public void over() {
-    mark = Double.NaN;
-    known = 0;
-    low = 0;
+  public void reset() {
+    baseline = Double.NaN;
+    windowsRecorded = 0;
+    windowsLow = 0;
   }
 
   /**
    * So many windows in a row lie well below the level before; none is a reason to wait while there
    * are few.
    */
-  public int lowFor() {
-    return low < FEW ? 0 : low;
+  public int windowsBelowBaseline() {
+    return windowsLow < MIN_LOW_WINDOWS ? 0 : windowsLow;
   }
 
   /** For people. */
-  public String why() {
+  public String explanation() {
     return String.format(
         java.util.Locale.ROOT,
         "those that did not change serve %.3f of the worth in time, %.3f before",
-        now,
-        mark);
+        latest,
+        baseline);
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/BettingTest.java
+++ b/src/main/java/sprucerock/controller/comparison/BettingTest.java
@@ -12,33 +12,33 @@
   // halves from what loses nothing on noise to what a value of -1 just does not ruin
   private static final double[] STAKES = {0.01, 0.02, 0.04, 0.08, 0.16, 0.32, 0.64, 0.9};
 
-  private final double[] logs = new double[STAKES.length];
-  private double most;
+  private final double[] logWealthByStake = new double[STAKES.length];
+  private double maxLogWealth;
 
   /** One more value, from -1 to 1; what lies beyond counts as these. */
   void add(double value) {
     double bounded = Math.max(-1, Math.min(1, value));
     for (int i = 0; i < STAKES.length; i++) {
-      logs[i] += Math.log1p(STAKES[i] * bounded);
+      logWealthByStake[i] += Math.log1p(STAKES[i] * bounded);
     }
-    most = Math.max(most, log());
+    maxLogWealth = Math.max(maxLogWealth, logWealth());
   }
 
   /** The logarithm of the wealth now; it began at 0. */
-  double log() {
+  double logWealth() {
     double best = Double.NEGATIVE_INFINITY;
-    for (double one : logs) {
+    for (double one : logWealthByStake) {
       best = Math.max(best, one);
     }
     double sum = 0;
-    for (double one : logs) {
+    for (double one : logWealthByStake) {
       sum += Math.exp(one - best);
     }
-    return best + Math.log(sum / logs.length);
+    return best + Math.log(sum / logWealthByStake.length);
   }
 
   /** Whether the wealth ever passed {@code 1 / chance}. */
-  boolean passed(double chance) {
-    return most > -Math.log(chance);
+  boolean everExceeded(double chance) {
+    return maxLogWealth > -Math.log(chance);
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/Comparison.java
+++ b/src/main/java/sprucerock/controller/comparison/Comparison.java
@@ -7,30 +7,30 @@
  * a {@link MatchedWindows} is one bet a measure that what has changed is worse by more than the
  * margin; beside it run bets that it is not worse by a stated harm. It knows neither relays nor
  * versions by name, and no clock. What it can't see: harm that both sides suffer alike, which is
- * the {@link Level}'s to find.
+ * the {@link BaselineLevel}'s to find.
  */
 public final class Comparison {
-  public enum Answer {
+  public enum Result {
     WORSE,
     NO_WORSE,
     NOT_SURE
   }
 
-  private static final Measure[] KINDS = Measure.values();
-  private static final double UNSEEN =
+  private static final Measure[] MEASURES = Measure.values();
+  private static final double MISSED_HARM =
       0.05; // the chance to take harm for none; the one stated error on that side
   // two standard errors of what couples differ by anyhow, over all of them: else one pair that is
   // unlike would look guilty in time
-  private static final double ERRORS = 2;
+  private static final double MARGIN_STANDARD_ERRORS = 2;
 
   private final double falseAlarm;
   private final double[] harms;
-  private final BettingTest[] worse = new BettingTest[KINDS.length];
-  private final BettingTest[] fine;
-  private final double[] sums = new double[KINDS.length];
-  private final double[] strays = new double[KINDS.length];
-  private final int[] looks = new int[KINDS.length];
-  private int couples;
+  private final BettingTest[] worse = new BettingTest[MEASURES.length];
+  private final BettingTest[] noWorse;
+  private final double[] differences = new double[MEASURES.length];
+  private final double[] squaredErrors = new double[MEASURES.length];
+  private final int[] samples = new int[MEASURES.length];
+  private int pairs;
 
   /**
    * {@code falseAlarm}: the chance, over the whole life, to call worse what is none; it is shared
@@ -45,29 +45,31 @@
     this.falseAlarm = falseAlarm;
     this.harms = harms.clone();
     Arrays.setAll(worse, i -> new BettingTest());
-    fine = new BettingTest[harms.length];
-    Arrays.setAll(fine, i -> new BettingTest());
+    noWorse = new BettingTest[harms.length];
+    Arrays.setAll(noWorse, i -> new BettingTest());
   }
 
   /** Two more that are compared. */
-  public MatchedWindows couple() {
+  public MatchedWindows newPair() {
     return new MatchedWindows(this);
   }
 
-  void joined() {
-    couples++;
+  void pairStarted() {
+    pairs++;
   }
 
-  void seen(Measure measure, double difference, double stray) {
+  void record(Measure measure, double difference, double stray) {
     int i = measure.ordinal();
-    looks[i]++;
-    sums[i] += difference;
-    strays[i] += stray * stray;
+    samples[i]++;
+    differences[i] += difference;
+    squaredErrors[i] += stray * stray;
     double margin =
-        measure.margin + ERRORS * Math.sqrt(strays[i] / looks[i] / Math.max(couples, 1));
-    worse[i].add((difference - margin) / measure.reach);
+        measure.margin
+            + MARGIN_STANDARD_ERRORS
+                * Math.sqrt(squaredErrors[i] / samples[i] / Math.max(pairs, 1));
+    worse[i].add((difference - margin) / measure.maxDifference);
     for (int h = 0; measure == Measure.UNSERVED && h < harms.length; h++) {
-      fine[h].add((harms[h] - difference) / measure.reach);
+      noWorse[h].add((harms[h] - difference) / measure.maxDifference);
     }
   }
 
@@ -75,18 +77,20 @@
    * What can be said now; {@code harm}: the place of one of the harms, which no more than that is
    * to be ruled out.
    */
-  public Answer answer(int harm) {
+  public Result result(int harm) {
     if (worst() != null) {
-      return Answer.WORSE;
+      return Result.WORSE;
     }
-    return fine[harm].passed(UNSEEN) ? Answer.NO_WORSE : Answer.NOT_SURE;
+    return noWorse[harm].everExceeded(MISSED_HARM) ? Result.NO_WORSE : Result.NOT_SURE;
   }
 
   private Measure worst() {
     Measure found = null;
-    for (Measure kind : KINDS) {
-      boolean sure = worse[kind.ordinal()].passed(falseAlarm / KINDS.length);
-      if (sure && (found == null || worse[kind.ordinal()].log() > worse[found.ordinal()].log())) {
+    for (Measure kind : MEASURES) {
+      boolean sure = worse[kind.ordinal()].everExceeded(falseAlarm / MEASURES.length);
+      if (sure
+          && (found == null
+              || worse[kind.ordinal()].logWealth() > worse[found.ordinal()].logWealth())) {
         found = kind;
       }
     }
@@ -94,14 +98,14 @@
   }
 
   /** For people: the answer's reason, in one line. */
-  public String why() {
+  public String explanation() {
     Measure worst = worst();
     Measure told = worst == null ? Measure.UNSERVED : worst;
     int i = told.ordinal();
-    if (looks[i] == 0) {
+    if (samples[i] == 0) {
       return "nothing was seen side by side yet";
     }
-    double mean = sums[i] / looks[i];
+    double mean = differences[i] / samples[i];
     boolean share = told.ordinal() <= Measure.LOST.ordinal();
     String by =
         share
@@ -111,9 +115,9 @@
         + " "
         + by
         + " beside "
-        + couples
+        + pairs
         + " that did not change, in "
-        + looks[i]
+        + samples[i]
         + " looks"
         + (worst == null ? "" : ": worse than a margin of " + told.margin);
   }
--- a/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
+++ b/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
@@ -11,97 +11,98 @@
    * RPCs on each side for one look. With 25, a share of 0.97 strays by 0.05 between two that are
    * alike.
    */
-  static final int ENOUGH = 25;
+  static final int MIN_RPCS = 25;
 
   private static final int KINDS = Measure.values().length;
 
-  private final Comparison all;
+  private final Comparison comparison;
 
   /**
    * By how much the one that changes was worse already before it did: sums, their squares, looks.
    */
-  private final double[] earlier = new double[KINDS];
+  private final double[] differencesBefore = new double[KINDS];
 
-  private final double[] squares = new double[KINDS];
-  private final int[] looks = new int[KINDS];
-  private Window changing = Window.NONE;
-  private Window staying = Window.NONE;
+  private final double[] squaresBefore = new double[KINDS];
+  private final int[] samplesBefore = new int[KINDS];
+  private Window changed = Window.NONE;
+  private Window control = Window.NONE;
   private Window firstChanged;
-  private Window firstStayed;
+  private Window firstControl;
 
   MatchedWindows(Comparison all) {
-    this.all = all;
+    this.comparison = all;
   }
 
   /** A window before the change: what they differ in by themselves is not blamed on it. */
-  public void before(Window changes, Window stays) {
-    if (!enough(changes, stays)) {
+  public void recordBefore(Window changes, Window stays) {
+    if (!accumulate(changes, stays)) {
       return;
     }
     for (Measure measure : Measure.values()) {
-      double worse = changing.of(measure, changing) - staying.of(measure, staying);
+      double worse = changed.value(measure, changed) - control.value(measure, control);
       if (!Double.isFinite(worse) || measure == Measure.GROWTH) {
         continue;
       }
-      earlier[measure.ordinal()] += worse;
-      squares[measure.ordinal()] += worse * worse;
-      looks[measure.ordinal()]++;
+      differencesBefore[measure.ordinal()] += worse;
+      squaresBefore[measure.ordinal()] += worse * worse;
+      samplesBefore[measure.ordinal()]++;
     }
-    changing = Window.NONE;
-    staying = Window.NONE;
+    changed = Window.NONE;
+    control = Window.NONE;
   }
 
   /** A window after it. */
-  public void after(Window changed, Window stayed) {
+  public void recordAfter(Window changed, Window stayed) {
     if (firstChanged == null) {
-      begin();
+      startComparing();
     }
-    if (!enough(changed, stayed)) {
+    if (!accumulate(changed, stayed)) {
       return;
     }
     if (firstChanged == Window.NONE) {
-      firstChanged = changing;
-      firstStayed = staying;
+      firstChanged = changed;
+      firstControl = control;
     }
     for (Measure measure : Measure.values()) {
-      double worse = changing.of(measure, firstChanged) - staying.of(measure, firstStayed);
+      double worse = changed.value(measure, firstChanged) - control.value(measure, firstControl);
       if (Double.isFinite(worse)) {
-        all.seen(measure, worse - usual(measure), stray(measure));
+        comparison.record(measure, worse - usualDifference(measure), standardError(measure));
       }
     }
-    changing = Window.NONE;
-    staying = Window.NONE;
+    changed = Window.NONE;
+    control = Window.NONE;
   }
 
-  private void begin() { // nothing of before counts as after
-    changing = Window.NONE;
-    staying = Window.NONE;
+  private void startComparing() { // nothing of before counts as after
+    changed = Window.NONE;
+    control = Window.NONE;
     firstChanged = Window.NONE;
-    all.joined();
+    comparison.pairStarted();
   }
 
-  private boolean enough(Window one, Window other) {
-    changing = changing.and(one);
-    staying = staying.and(other);
-    return changing.rpcs() >= ENOUGH && staying.rpcs() >= ENOUGH;
+  private boolean accumulate(Window one, Window other) {
+    changed = changed.plus(one);
+    control = control.plus(other);
+    return changed.rpcs() >= MIN_RPCS && control.rpcs() >= MIN_RPCS;
   }
 
   /** Drawn towards no difference by four looks: what few looks show is mostly chance. */
-  private double usual(Measure measure) {
+  private double usualDifference(Measure measure) {
     int i = measure.ordinal();
-    return earlier[i] / (looks[i] + 4);
+    return differencesBefore[i] / (samplesBefore[i] + 4);
   }
 
   /**
    * A standard error of the usual difference; that of a difference nobody looked at is the reach's
    * eighth.
    */
-  private double stray(Measure measure) {
+  private double standardError(Measure measure) {
     int i = measure.ordinal();
-    double unknown = measure.reach / 8;
-    double mean = earlier[i] / Math.max(looks[i], 1);
+    double unknown = measure.maxDifference / 8;
+    double mean = differencesBefore[i] / Math.max(samplesBefore[i], 1);
     double variance =
-        (Math.max(0, squares[i] - looks[i] * mean * mean) + unknown * unknown) / (looks[i] + 1);
-    return Math.sqrt(variance / (looks[i] + 1));
+        (Math.max(0, squaresBefore[i] - samplesBefore[i] * mean * mean) + unknown * unknown)
+            / (samplesBefore[i] + 1);
+    return Math.sqrt(variance / (samplesBefore[i] + 1));
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/Measure.java
+++ b/src/main/java/sprucerock/controller/comparison/Measure.java
@@ -32,10 +32,10 @@
   MESSAGES(0.5, 1.5);
 
   final double margin;
-  final double reach;
+  final double maxDifference;
 
   Measure(double margin, double reach) {
     this.margin = margin;
-    this.reach = reach;
+    this.maxDifference = reach;
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/Window.java
+++ b/src/main/java/sprucerock/controller/comparison/Window.java
@@ -13,9 +13,9 @@
  */
 public record Window(
     double rpcs,
-    double worth,
-    double inTime,
-    double refused,
+    double weight,
+    double weightInTime,
+    double rejected,
     double aborted,
     double lost,
     double answered,
@@ -27,12 +27,12 @@
   public static final Window NONE = new Window(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
   /** Both together; what is held is what the later one holds. */
-  public Window and(Window later) {
+  public Window plus(Window later) {
     return new Window(
         rpcs + later.rpcs,
-        worth + later.worth,
-        inTime + later.inTime,
-        refused + later.refused,
+        weight + later.weight,
+        weightInTime + later.weightInTime,
+        rejected + later.rejected,
         aborted + later.aborted,
         lost + later.lost,
         answered + later.answered,
@@ -47,12 +47,12 @@
    * What came between an earlier reading of the same sums and this one; what is held is as it is
    * now.
    */
-  public Window since(Window earlier) {
+  public Window minus(Window earlier) {
     return new Window(
         rpcs - earlier.rpcs,
-        worth - earlier.worth,
-        inTime - earlier.inTime,
-        refused - earlier.refused,
+        weight - earlier.weight,
+        weightInTime - earlier.weightInTime,
+        rejected - earlier.rejected,
         aborted - earlier.aborted,
         lost - earlier.lost,
         answered - earlier.answered,
@@ -64,10 +64,10 @@
   }
 
   /** One figure; NaN where there is none. {@code first}: the window after the start. */
-  double of(Measure measure, Window first) {
+  double value(Measure measure, Window first) {
     return switch (measure) {
-      case UNSERVED -> 1 - inTime / worth;
-      case REFUSED -> refused / rpcs;
+      case UNSERVED -> 1 - weightInTime / weight;
+      case REFUSED -> rejected / rpcs;
       case ABORTED -> aborted / rpcs;
       case LOST -> lost / rpcs;
       case LATENCY -> Math.log(answeredMs / answered);
--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -32,7 +32,7 @@
     }
 
     /** Relays run it. */
-    public boolean out() {
+    public boolean active() {
       return this == MOVING || this == WATCHED || this == GOING_BACK;
     }
   }
@@ -43,56 +43,56 @@
    * @param sequence of all steps of all changes, from 1
    * @param wallMs the machine's clock then, for people
    */
-  public record Step(
+  public record Transition(
       long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
 
-  static final int MOST_STEPS =
+  static final int MAX_TRANSITIONS =
       100; // a change has a dozen; a flapping hand should not fill the disk
 
   public final long number;
-  public final String who;
-  public final String why;
-  public final Version from;
-  public final Version to;
+  public final String proposedBy;
+  public final String reason;
+  public final Version fromVersion;
+  public final Version toVersion;
 
   /** A running relay can take it over: nobody is restarted, and nobody beside it needs to be. */
-  public final boolean live;
+  public final boolean hotReload;
 
   State state = State.PROPOSED;
   int stage;
-  Timestamp since;
+  Timestamp stateSince;
 
   /** When it came further last, in its stage or with a relay; it is not waited for without end. */
-  Timestamp progress;
+  Timestamp lastProgress;
 
   boolean held;
 
   /** Agents that have read it through, and those that refuse it, with the reason. */
-  final TreeSet<Integer> checked = new TreeSet<>();
+  final TreeSet<Integer> validated = new TreeSet<>();
 
-  final Map<Integer, String> refused = new TreeMap<>();
+  final Map<Integer, String> rejections = new TreeMap<>();
 
   /** Relays that were told to run it, in that order. */
-  final Set<Integer> moved = new LinkedHashSet<>();
+  final Set<Integer> updated = new LinkedHashSet<>();
 
   /** Beside whom each of them is held: a relay that was restarted with it on the old version. */
-  final Map<Integer, Integer> beside = new LinkedHashMap<>();
+  final Map<Integer, Integer> controls = new LinkedHashMap<>();
 
   /** What the comparison said last in this stage. */
   Verdict verdict = Verdict.NOT_SURE;
 
-  private final List<Step> steps = new ArrayList<>();
+  private final List<Transition> transitions = new ArrayList<>();
 
   Deployment(
       long number, String who, String why, Version from, Version to, boolean live, Timestamp now) {
     this.number = number;
-    this.who = who;
-    this.why = why;
-    this.from = from;
-    this.to = to;
-    this.live = live;
-    since = now;
-    progress = now;
+    this.proposedBy = who;
+    this.reason = why;
+    this.fromVersion = from;
+    this.toVersion = to;
+    this.hotReload = live;
+    stateSince = now;
+    lastProgress = now;
   }
 
   public State state() {
@@ -103,35 +103,35 @@
     return stage;
   }
 
-  public Timestamp since() {
-    return since;
+  public Timestamp stateSince() {
+    return stateSince;
   }
 
   public boolean held() {
     return held;
   }
 
-  public Set<Integer> moved() {
-    return Collections.unmodifiableSet(moved);
+  public Set<Integer> updated() {
+    return Collections.unmodifiableSet(updated);
   }
 
   /** Of each relay that was moved in a stage which has others left, the one it is held beside. */
-  public Map<Integer, Integer> beside() {
-    return Collections.unmodifiableMap(beside);
+  public Map<Integer, Integer> controls() {
+    return Collections.unmodifiableMap(controls);
   }
 
-  public Map<Integer, String> refused() {
-    return Collections.unmodifiableMap(refused);
+  public Map<Integer, String> rejections() {
+    return Collections.unmodifiableMap(rejections);
   }
 
-  public List<Step> steps() {
-    return Collections.unmodifiableList(steps);
+  public List<Transition> transitions() {
+    return Collections.unmodifiableList(transitions);
   }
 
-  void add(Step step) {
-    if (steps.size() >= MOST_STEPS) {
-      steps.remove(MOST_STEPS / 2);
+  void add(Transition step) {
+    if (transitions.size() >= MAX_TRANSITIONS) {
+      transitions.remove(MAX_TRANSITIONS / 2);
     }
-    steps.add(step);
+    transitions.add(step);
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import sprucerock.controller.deployment.Deployment.State;
-import sprucerock.controller.deployment.Deployment.Step;
+import sprucerock.controller.deployment.Deployment.Transition;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
@@ -24,58 +24,58 @@
  */
 public final class DeploymentManager {
   /** What an operator may say of a change. */
-  public enum Word {
+  public enum OperatorCommand {
     HOLD,
     RESUME,
     WITHDRAW
   }
 
   /** Who acts on it. */
-  public interface Host {
+  public interface Listener {
     /** Told in the order in which they happen. */
-    void changed(Deployment change, Step step);
+    void transitioned(Deployment change, Transition step);
 
     /** What a relay is to run has changed. */
-    void wants(ManagedRelay relay);
+    void desiredStateChanged(ManagedRelay relay);
   }
 
-  static final int MOST_CHANGES = 50;
-  public static final int MOST_RELAYS = 10_000;
+  static final int MAX_DEPLOYMENTS = 50;
+  public static final int MAX_RELAYS = 10_000;
 
   private final DeploymentPlan plan;
-  private final Host host;
+  private final Listener listener;
   final TreeMap<Integer, ManagedRelay> relays = new TreeMap<>();
-  final TreeMap<Long, Deployment> changes = new TreeMap<>();
+  final TreeMap<Long, Deployment> deploymentsByNumber = new TreeMap<>();
 
   /** Restarts on the old version that wait for room. */
-  final List<Integer> controls = new ArrayList<>();
+  final List<Integer> pendingControlRestarts = new ArrayList<>();
 
   /**
    * How many may be out in a zone, as the fleet's load allows; what is not in it has no bound but
    * the plan's.
    */
-  final TreeMap<Integer, Integer> rooms = new TreeMap<>();
+  final TreeMap<Integer, Integer> restartBudgetByZone = new TreeMap<>();
 
-  Version current = Version.NONE;
+  Version currentVersion = Version.NONE;
   long sequence;
-  long numbers;
+  long lastNumber;
 
   /** Why nothing is moved now, whatever the room; empty where nothing is in the way. */
-  String weather = "";
+  String blockedReason = "";
 
   /** A build of the units is on trial or going back: relays that judge it are not restarted. */
-  boolean releasing;
+  boolean rolloutInProgress;
 
   private long wallMs;
   // What each word asks of all is kept as relays change; who of those that are heard has not read
   // the proposed version through yet, too.
-  private final FleetStatus census = new FleetStatus();
-  private final Set<Integer> unread = new HashSet<>();
-  private long looked;
+  private final FleetStatus fleet = new FleetStatus();
+  private final Set<Integer> awaitingValidation = new HashSet<>();
+  private long entriesExamined;
 
-  public DeploymentManager(DeploymentPlan plan, Host host) {
+  public DeploymentManager(DeploymentPlan plan, Listener host) {
     this.plan = plan;
-    this.host = host;
+    this.listener = host;
   }
 
   // What is asked.
@@ -84,12 +84,12 @@
     return plan;
   }
 
-  public Collection<Deployment> all() {
-    return Collections.unmodifiableCollection(changes.values());
+  public Collection<Deployment> deployments() {
+    return Collections.unmodifiableCollection(deploymentsByNumber.values());
   }
 
-  public Deployment of(long number) {
-    return changes.get(number);
+  public Deployment deployment(long number) {
+    return deploymentsByNumber.get(number);
   }
 
   public ManagedRelay relay(int number) {
@@ -101,19 +101,19 @@
   }
 
   /** What relays run that no change is at. */
-  public Version current() {
-    return current;
+  public Version currentVersion() {
+    return currentVersion;
   }
 
   /** The same; before the first change what most relays run. */
-  public Version usual() {
-    return current.equals(Version.NONE) ? most() : current;
+  public Version baselineVersion() {
+    return currentVersion.equals(Version.NONE) ? budget() : currentVersion;
   }
 
   /** The one that relays are moved by now; null where there is none. */
-  public Deployment under() {
-    for (Deployment one : changes.values()) {
-      if (one.state.out()) {
+  public Deployment active() {
+    for (Deployment one : deploymentsByNumber.values()) {
+      if (one.state.active()) {
         return one;
       }
     }
@@ -121,8 +121,8 @@
   }
 
   /** The one that agents are to read through, or that waits; null where there is none. */
-  public Deployment waiting() {
-    for (Deployment one : changes.values()) {
+  public Deployment pending() {
+    for (Deployment one : deploymentsByNumber.values()) {
       if (one.state == State.PROPOSED || one.state == State.CHECKED) {
         return one;
       }
@@ -137,52 +137,52 @@
   /**
    * Relays that were looked at so far to find what is to be done: what tests of its growth count.
    */
-  public long looked() {
-    return looked;
+  public long entriesExamined() {
+    return entriesExamined;
   }
 
-  private Collection<ManagedRelay> each() {
-    looked += relays.size();
+  private Collection<ManagedRelay> examineAll() {
+    entriesExamined += relays.size();
     return relays.values();
   }
 
   /** All relays and changes are there from a former life. */
-  void known() {
+  void restored() {
     for (ManagedRelay relay : relays.values()) {
-      census.enter(relay);
+      fleet.add(relay);
     }
-    readAnew();
+    rebuildAwaitingValidation();
   }
 
-  private void readAnew() {
-    unread.clear();
-    for (ManagedRelay relay : each()) {
-      reads(relay);
+  private void rebuildAwaitingValidation() {
+    awaitingValidation.clear();
+    for (ManagedRelay relay : examineAll()) {
+      updateAwaitingValidation(relay);
     }
   }
 
   /** Whether it is still to read the proposed version through. */
-  private void reads(ManagedRelay relay) {
-    Deployment proposed = waiting();
+  private void updateAwaitingValidation(ManagedRelay relay) {
+    Deployment proposed = pending();
     boolean is =
         proposed != null
             && proposed.state == State.PROPOSED
-            && !relay.silent()
-            && !proposed.checked.contains(relay.number)
-            && !proposed.refused.containsKey(relay.number);
+            && !relay.unreachable()
+            && !proposed.validated.contains(relay.number)
+            && !proposed.rejections.containsKey(relay.number);
     if (is) {
-      unread.add(relay.number);
+      awaitingValidation.add(relay.number);
     } else {
-      unread.remove(relay.number);
+      awaitingValidation.remove(relay.number);
     }
   }
 
-  public boolean releasing() {
-    return releasing;
+  public boolean rolloutInProgress() {
+    return rolloutInProgress;
   }
 
   /** Why a change stands where it stands, a line each. */
-  public List<String> waitsFor(Deployment change, Timestamp now) {
+  public List<String> blockers(Deployment change, Timestamp now) {
     List<String> found = new ArrayList<>();
     if (!change.state.open()) {
       return found;
@@ -190,27 +190,27 @@
     if (change.held) {
       found.add(
           "an operator holds it, for "
-              + seconds(plan.patience().minus(now.since(change.progress)))
+              + seconds(plan.progressDeadline().minus(now.since(change.lastProgress)))
               + " at most");
     }
     boolean moves = change.state == State.MOVING || change.state == State.CHECKED;
-    if (moves && releasing) {
+    if (moves && rolloutInProgress) {
       found.add("a build of the units to be off trial");
     }
-    if (moves && !weather.isEmpty()) {
-      found.add(weather);
+    if (moves && !blockedReason.isEmpty()) {
+      found.add(blockedReason);
     }
     switch (change.state) {
       case PROPOSED ->
           found.add(
               "agents to read it through: "
-                  + (change.checked.size() + change.refused.size())
+                  + (change.validated.size() + change.rejections.size())
                   + " of "
-                  + live()
+                  + reachable()
                   + " have");
       case CHECKED -> {
-        if (under() != null) {
-          found.add("change " + under().number + " to end");
+        if (active() != null) {
+          found.add("change " + active().number + " to end");
         }
       }
       case MOVING ->
@@ -218,20 +218,24 @@
               "relays of stage "
                   + change.stage
                   + ": "
-                  + change.moved.size()
+                  + change.updated.size()
                   + " of "
-                  + target(change)
+                  + targetSize(change)
                   + " were told, "
-                  + unsettled(change).size()
+                  + unreconciled(change).size()
                   + " of them are not ready; room in zones "
-                  + free());
+                  + freeBudgetText());
       case WATCHED -> {
-        found.add("its time: " + seconds(now.since(change.since)) + " of " + seconds(plan.watch()));
-        if (judged(change) && change.verdict != Verdict.NO_WORSE) {
+        found.add(
+            "its time: "
+                + seconds(now.since(change.stateSince))
+                + " of "
+                + seconds(plan.observationTime()));
+        if (reportVerdict(change) && change.verdict != Verdict.NO_WORSE) {
           found.add("the comparison, which is not sure");
         }
       }
-      default -> found.add("relays to be back: " + unsettled(change));
+      default -> found.add("relays to be back: " + unreconciled(change));
     }
     return found;
   }
@@ -246,7 +250,7 @@
    * An agent says how its relay stands: told on change only. {@code done}: the turn that it has
    * carried out.
    */
-  public void says(
+  public void reportStatus(
       int number,
       int zone,
       boolean busy,
@@ -258,40 +262,40 @@
     wallMs = wall;
     ManagedRelay relay = relays.get(number);
     if (relay == null) {
-      if (relays.size() >= MOST_RELAYS) {
+      if (relays.size() >= MAX_RELAYS) {
         return;
       }
       relay = new ManagedRelay(number);
       relays.put(number, relay);
     } else {
-      census.leave(relay);
+      fleet.remove(relay);
     }
     relay.zone = zone;
     relay.busy = busy;
-    relay.runs = runs;
+    relay.observedVersion = runs;
     relay.ready = ready;
-    relay.silentSince = null;
-    relay.done = done;
-    census.enter(relay);
-    reads(relay);
-    if (relay.wanted == null && !current.equals(Version.NONE)) {
-      want(relay, current, now);
+    relay.unreachableSince = null;
+    relay.observedGeneration = done;
+    fleet.add(relay);
+    updateAwaitingValidation(relay);
+    if (relay.desiredVersion == null && !currentVersion.equals(Version.NONE)) {
+      setDesired(relay, currentVersion, now);
     }
-    settle(now);
+    reconcile(now);
   }
 
   /** An agent is not heard any more. */
-  public void silent(int number, Timestamp now, long wall) {
+  public void reportUnreachable(int number, Timestamp now, long wall) {
     wallMs = wall;
     ManagedRelay relay = relays.get(number);
-    if (relay == null || relay.silentSince != null) {
+    if (relay == null || relay.unreachableSince != null) {
       return;
     }
-    census.leave(relay);
-    relay.silentSince = now;
-    census.enter(relay);
-    reads(relay);
-    settle(now);
+    fleet.remove(relay);
+    relay.unreachableSince = now;
+    fleet.add(relay);
+    updateAwaitingValidation(relay);
+    reconcile(now);
   }
 
   /**
@@ -300,19 +304,20 @@
    * know. Agents tell a controller that starts what they told the last one: a failure from before
    * this change is none of its, though it may be of the same version, proposed again.
    */
-  public void failed(int number, Version version, int turn, String how, Timestamp now, long wall) {
+  public void reportFailure(
+      int number, Version version, int turn, String how, Timestamp now, long wall) {
     wallMs = wall;
-    Deployment under = under();
+    Deployment under = active();
     boolean ours =
         under != null
             && under.state != State.GOING_BACK
-            && version.equals(under.to)
-            && under.moved.contains(number)
-            && (turn == 0 || turn >= relays.get(number).turn);
+            && version.equals(under.toVersion)
+            && under.updated.contains(number)
+            && (turn == 0 || turn >= relays.get(number).generation);
     if (ours) {
-      goBack(under, "relay " + number + " " + how, now);
+      rollBack(under, "relay " + number + " " + how, now);
     }
-    settle(now);
+    reconcile(now);
   }
 
   /**
@@ -322,40 +327,41 @@
   public String propose(
       String who, String why, Version to, boolean live, Timestamp now, long wall) {
     wallMs = wall;
-    Version from = usual();
+    Version from = baselineVersion();
     if (from.equals(Version.NONE)) {
       return "no relay runs anything that is known, so there is nothing to change from";
     }
-    Deployment under = under();
-    if (to.equals(under == null ? from : under.to)) {
+    Deployment under = active();
+    if (to.equals(under == null ? from : under.toVersion)) {
       return "that is what relays run"
           + (under == null ? "" : " once change " + under.number + " is done");
     }
-    if (current.equals(Version.NONE)) {
-      current = from;
+    if (currentVersion.equals(Version.NONE)) {
+      currentVersion = from;
       for (ManagedRelay relay : relays.values()) {
-        if (relay.wanted == null) {
-          want(relay, relay.runs, now);
+        if (relay.desiredVersion == null) {
+          setDesired(relay, relay.observedVersion, now);
         }
       }
     }
-    Deployment waits = waiting();
+    Deployment waits = pending();
     if (waits != null) {
-      step(
+      transition(
           waits,
           State.GIVEN_UP,
           waits.stage,
-          "change " + (numbers + 1) + " by " + who + " takes its place",
+          "change " + (lastNumber + 1) + " by " + who + " takes its place",
           now);
     }
-    Deployment made = new Deployment(++numbers, who, why, from, to, live, now);
-    changes.put(made.number, made);
-    readAnew();
-    step(made, State.PROPOSED, 0, "proposed by " + who + ": " + why, now);
-    while (changes.size() > MOST_CHANGES && !changes.firstEntry().getValue().state.open()) {
-      changes.pollFirstEntry();
+    Deployment made = new Deployment(++lastNumber, who, why, from, to, live, now);
+    deploymentsByNumber.put(made.number, made);
+    rebuildAwaitingValidation();
+    transition(made, State.PROPOSED, 0, "proposed by " + who + ": " + why, now);
+    while (deploymentsByNumber.size() > MAX_DEPLOYMENTS
+        && !deploymentsByNumber.firstEntry().getValue().state.open()) {
+      deploymentsByNumber.pollFirstEntry();
     }
-    settle(now);
+    reconcile(now);
     return null;
   }
 
@@ -363,28 +369,28 @@
    * An agent has read a proposed version through; {@code refusal}: why it can't be run there, empty
    * where it can.
    */
-  public void checked(int number, long change, String refusal, Timestamp now, long wall) {
+  public void reportValidation(int number, long change, String refusal, Timestamp now, long wall) {
     wallMs = wall;
-    Deployment proposed = changes.get(change);
+    Deployment proposed = deploymentsByNumber.get(change);
     if (proposed == null || proposed.state != State.PROPOSED || !relays.containsKey(number)) {
       return;
     }
     if (refusal.isEmpty()) {
-      proposed.checked.add(number);
-      proposed.refused.remove(number);
+      proposed.validated.add(number);
+      proposed.rejections.remove(number);
     } else {
-      proposed.refused.put(number, refusal);
-      proposed.checked.remove(number);
+      proposed.rejections.put(number, refusal);
+      proposed.validated.remove(number);
     }
-    reads(relays.get(number));
-    settle(now);
+    updateAwaitingValidation(relays.get(number));
+    reconcile(now);
   }
 
   /** The comparison of a change in that stage says something else than before. */
-  public void judged(
+  public void reportVerdict(
       long change, int stage, Verdict verdict, String reason, Timestamp now, long wall) {
     wallMs = wall;
-    Deployment under = changes.get(change);
+    Deployment under = deploymentsByNumber.get(change);
     boolean fits =
         under != null
             && under.stage == stage
@@ -394,37 +400,38 @@
     }
     under.verdict = verdict;
     if (verdict == Verdict.WORSE) {
-      goBack(under, "worse: " + reason, now);
+      rollBack(under, "worse: " + reason, now);
     }
-    settle(now);
+    reconcile(now);
   }
 
   /**
    * How many relays of a zone may be out at once by the fleet's load; {@code why} none should be,
    * or empty.
    */
-  public void room(Map<Integer, Integer> byZone, String why, Timestamp now, long wall) {
+  public void setRestartBudget(Map<Integer, Integer> byZone, String why, Timestamp now, long wall) {
     wallMs = wall;
-    rooms.clear();
-    rooms.putAll(byZone);
-    weather = why;
-    settle(now);
+    restartBudgetByZone.clear();
+    restartBudgetByZone.putAll(byZone);
+    blockedReason = why;
+    reconcile(now);
   }
 
   /** A build of the units is on trial or going back, or none is any more. */
-  public void releasing(boolean is, Timestamp now, long wall) {
+  public void rolloutInProgress(boolean is, Timestamp now, long wall) {
     wallMs = wall;
-    releasing = is;
-    settle(now);
+    rolloutInProgress = is;
+    reconcile(now);
   }
 
   /**
    * An operator's word, which is stronger than verdicts but for a worse one; says why it has no
    * effect, or null.
    */
-  public String word(Word word, long number, String who, String reason, Timestamp now, long wall) {
+  public String command(
+      OperatorCommand word, long number, String who, String reason, Timestamp now, long wall) {
     wallMs = wall;
-    Deployment change = changes.get(number);
+    Deployment change = deploymentsByNumber.get(number);
     if (change == null) {
       return "no change " + number + " is known";
     }
@@ -434,7 +441,7 @@
       return "change "
           + number
           + " is "
-          + words(change.state)
+          + stateText(change.state)
           + ": it can't be held, resumed or withdrawn";
     }
     switch (word) {
@@ -443,108 +450,108 @@
           return "change " + number + " is held already";
         }
         change.held = true;
-        step(change, change.state, change.stage, "held by " + cause, now);
-        change.progress = now;
+        transition(change, change.state, change.stage, "held by " + cause, now);
+        change.lastProgress = now;
       }
       case RESUME -> {
         if (!change.held) {
           return "change " + number + " is not held";
         }
         change.held = false;
-        step(change, change.state, change.stage, "resumed by " + cause, now);
-        change.progress = now;
-        change.since = now; // it is watched anew
+        transition(change, change.state, change.stage, "resumed by " + cause, now);
+        change.lastProgress = now;
+        change.stateSince = now; // it is watched anew
       }
       case WITHDRAW -> {
-        if (change.state.out()) {
-          goBack(change, "withdrawn by " + cause, now);
+        if (change.state.active()) {
+          rollBack(change, "withdrawn by " + cause, now);
         } else {
-          step(change, State.GIVEN_UP, change.stage, "withdrawn by " + cause, now);
+          transition(change, State.GIVEN_UP, change.stage, "withdrawn by " + cause, now);
         }
       }
       default -> throw new IllegalArgumentException("no such word");
     }
-    settle(now);
+    reconcile(now);
     return null;
   }
 
-  static String words(State state) {
+  static String stateText(State state) {
     return state.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
   }
 
   /** Time has passed. */
   public void tick(Timestamp now, long wall) {
     wallMs = wall;
-    settle(now);
+    reconcile(now);
   }
 
   /** Whoever counts here was down for so long: nobody could be told, and nobody watched. */
   public void restarted(TimeSpan down, Timestamp now, long wall) {
     wallMs = wall;
-    for (Deployment change : changes.values()) {
-      change.since = change.since.plus(down);
-      change.progress = change.progress.plus(down);
+    for (Deployment change : deploymentsByNumber.values()) {
+      change.stateSince = change.stateSince.plus(down);
+      change.lastProgress = change.lastProgress.plus(down);
     }
     for (ManagedRelay relay : relays.values()) {
-      if (relay.toldAt != null) {
-        relay.toldAt = relay.toldAt.plus(down);
+      if (relay.notifiedAt != null) {
+        relay.notifiedAt = relay.notifiedAt.plus(down);
       }
     }
-    settle(now);
+    reconcile(now);
   }
 
   /** Whether a tick now would change anything: only then is it worth recording. */
-  public boolean due(Timestamp now) {
-    return next(now) != null;
+  public boolean transitionDue(Timestamp now) {
+    return nextTransition(now) != null;
   }
 
-  private void settle(Timestamp now) {
-    for (Runnable next = next(now); next != null; next = next(now)) {
+  private void reconcile(Timestamp now) {
+    for (Runnable next = nextTransition(now); next != null; next = nextTransition(now)) {
       next.run();
     }
   }
 
   /** The one thing that is to be done next; each takes its own reason away, so that this ends. */
-  private Runnable next(Timestamp now) {
-    int settled = census.firstSettled();
+  private Runnable nextTransition(Timestamp now) {
+    int settled = fleet.firstReconciled();
     if (settled >= 0) {
       return () -> {
         ManagedRelay relay = relays.get(settled);
-        census.leave(relay);
+        fleet.remove(relay);
         relay.readyAt = now;
-        census.enter(relay);
+        fleet.add(relay);
       };
     }
-    Deployment under = under();
-    Deployment waits = waiting();
+    Deployment under = active();
+    Deployment waits = pending();
     Runnable found =
         under == null
             ? null
             : switch (under.state) {
-              case MOVING -> moving(under, now);
-              case WATCHED -> watched(under, now);
-              default -> goingBack(under, now);
+              case MOVING -> rollingOut(under, now);
+              case WATCHED -> observing(under, now);
+              default -> rollingBack(under, now);
             };
     if (found != null || waits == null) {
       return found;
     }
-    return waits.state == State.PROPOSED ? proposed(waits, now) : begins(waits, under, now);
+    return waits.state == State.PROPOSED ? validating(waits, now) : startRollout(waits, under, now);
   }
 
   // Before it begins.
 
-  private Runnable proposed(Deployment change, Timestamp now) {
-    int live = live();
-    int most = (int) (plan.refused() * live);
-    boolean late = now.since(change.since).over(plan.patience());
-    if (change.refused.size() > most) {
-      Map.Entry<Integer, String> first = change.refused.entrySet().iterator().next();
+  private Runnable validating(Deployment change, Timestamp now) {
+    int live = reachable();
+    int most = (int) (plan.maxRejectedShare() * live);
+    boolean late = now.since(change.stateSince).over(plan.progressDeadline());
+    if (change.rejections.size() > most) {
+      Map.Entry<Integer, String> first = change.rejections.entrySet().iterator().next();
       return () ->
-          step(
+          transition(
               change,
               State.GIVEN_UP,
               0,
-              change.refused.size()
+              change.rejections.size()
                   + " of "
                   + live
                   + " refuse it; relay "
@@ -553,18 +560,22 @@
                   + first.getValue(),
               now);
     }
-    int unheard = unread.size();
+    int unheard = awaitingValidation.size();
     if (unheard == 0 && live > 0) {
       return () ->
-          step(
-              change, State.CHECKED, 0, change.checked.size() + " of " + live + " can run it", now);
+          transition(
+              change,
+              State.CHECKED,
+              0,
+              change.validated.size() + " of " + live + " can run it",
+              now);
     }
     if (!late) {
       return null;
     }
-    if (change.checked.isEmpty() || unheard + change.refused.size() > most) {
+    if (change.validated.isEmpty() || unheard + change.rejections.size() > most) {
       return () ->
-          step(
+          transition(
               change,
               State.GIVEN_UP,
               0,
@@ -572,98 +583,102 @@
               now);
     }
     return () ->
-        step(
+        transition(
             change,
             State.CHECKED,
             0,
-            change.checked.size() + " of " + live + " can run it; the others are left out",
+            change.validated.size() + " of " + live + " can run it; the others are left out",
             now);
   }
 
-  private Runnable begins(Deployment change, Deployment under, Timestamp now) {
+  private Runnable startRollout(Deployment change, Deployment under, Timestamp now) {
     if (change.held) {
-      return patienceOver(change, now);
+      return deadlineExceeded(change, now);
     }
-    if (under != null || releasing || !weather.isEmpty()) {
+    if (under != null || rolloutInProgress || !blockedReason.isEmpty()) {
       return null;
     }
-    return () -> step(change, State.MOVING, 0, "nothing is in its way", now);
+    return () -> transition(change, State.MOVING, 0, "nothing is in its way", now);
   }
 
-  private Runnable patienceOver(Deployment change, Timestamp now) {
-    if (!now.since(change.progress).over(plan.patience())) {
+  private Runnable deadlineExceeded(Deployment change, Timestamp now) {
+    if (!now.since(change.lastProgress).over(plan.progressDeadline())) {
       return null;
     }
     String cause =
         change.held
-            ? "it was held for longer than " + seconds(plan.patience())
+            ? "it was held for longer than " + seconds(plan.progressDeadline())
             : change.state == State.WATCHED
-                ? "it is not known to be no worse after " + seconds(plan.patience())
-                : "it came no further for " + seconds(plan.patience());
+                ? "it is not known to be no worse after " + seconds(plan.progressDeadline())
+                : "it came no further for " + seconds(plan.progressDeadline());
     return () -> {
-      if (change.state.out()) {
-        goBack(change, cause, now);
+      if (change.state.active()) {
+        rollBack(change, cause, now);
       } else {
-        step(change, State.GIVEN_UP, change.stage, cause, now);
+        transition(change, State.GIVEN_UP, change.stage, cause, now);
       }
     };
   }
 
   // On its way.
 
-  private Runnable moving(Deployment change, Timestamp now) {
+  private Runnable rollingOut(Deployment change, Timestamp now) {
     String failed = failure(change, now);
     if (failed != null) {
-      return () -> goBack(change, failed, now);
+      return () -> rollBack(change, failed, now);
     }
     if (change.held) {
-      return patienceOver(change, now);
+      return deadlineExceeded(change, now);
     }
-    boolean still = releasing || !weather.isEmpty();
-    for (Integer number : controls) {
-      looked++;
+    boolean still = rolloutInProgress || !blockedReason.isEmpty();
+    for (Integer number : pendingControlRestarts) {
+      entriesExamined++;
       ManagedRelay relay = relays.get(number);
-      if (!still && relay.serves() && hasRoom(relay.zone)) {
+      if (!still && relay.serving() && hasRestartBudget(relay.zone)) {
         return () -> {
-          controls.remove(number);
-          want(relay, relay.wanted, now);
+          pendingControlRestarts.remove(number);
+          setDesired(relay, relay.desiredVersion, now);
         };
       }
-      if (relay.silent()) {
-        return () -> controls.remove(number);
+      if (relay.unreachable()) {
+        return () -> pendingControlRestarts.remove(number);
       }
     }
-    ManagedRelay next = still || change.moved.size() >= target(change) ? null : candidate(change);
+    ManagedRelay next =
+        still || change.updated.size() >= targetSize(change) ? null : nextCandidate(change);
     if (next != null) {
-      return () -> move(change, next, now);
+      return () -> update(change, next, now);
     }
     boolean all =
-        !change.moved.isEmpty() && change.moved.size() >= target(change) && controls.isEmpty();
-    looked += change.moved.size() + change.beside.size();
-    for (int number : change.moved) {
-      all &= relays.get(number).settled() || relays.get(number).silent();
+        !change.updated.isEmpty()
+            && change.updated.size() >= targetSize(change)
+            && pendingControlRestarts.isEmpty();
+    entriesExamined += change.updated.size() + change.controls.size();
+    for (int number : change.updated) {
+      all &= relays.get(number).reconciled() || relays.get(number).unreachable();
     }
-    for (int number : change.beside.values()) {
-      all &= relays.get(number).settled() || relays.get(number).silent();
+    for (int number : change.controls.values()) {
+      all &= relays.get(number).reconciled() || relays.get(number).unreachable();
     }
     if (!all) {
-      return patienceOver(change, now);
+      return deadlineExceeded(change, now);
     }
     return () ->
-        step(change, State.WATCHED, change.stage, change.moved.size() + " relays run it", now);
+        transition(
+            change, State.WATCHED, change.stage, change.updated.size() + " relays run it", now);
   }
 
   /** Why it can't go on, by what relays that were told do; null where they do well. */
   private String failure(Deployment change, Timestamp now) {
     int gone = 0;
-    looked += change.moved.size();
-    for (int number : change.moved) {
+    entriesExamined += change.updated.size();
+    for (int number : change.updated) {
       ManagedRelay relay = relays.get(number);
-      if (relay.silent()) {
+      if (relay.unreachable()) {
         gone++;
-      } else if (!relay.settled()
+      } else if (!relay.reconciled()
           && relay.readyAt == null
-          && now.since(relay.toldAt).over(plan.readyWithin())) {
+          && now.since(relay.notifiedAt).over(plan.readyWithin())) {
         return "relay " + number + " was not ready within " + seconds(plan.readyWithin());
       }
     }
@@ -671,115 +686,120 @@
       return null;
     }
     long others =
-        each().stream().filter(one -> one.silent() && !change.moved.contains(one.number)).count();
-    double usual = others / (double) Math.max(1, relays.size() - change.moved.size());
+        examineAll().stream()
+            .filter(one -> one.unreachable() && !change.updated.contains(one.number))
+            .count();
+    double usual = others / (double) Math.max(1, relays.size() - change.updated.size());
     // a machine may die by itself; that moved ones do so more often than others is the change's
     // doing
-    if (change.stage == 0 || gone > 1 && gone > 3 * usual * change.moved.size()) {
+    if (change.stage == 0 || gone > 1 && gone > 3 * usual * change.updated.size()) {
       return gone + " of the relays that were moved are not heard any more";
     }
     return null;
   }
 
-  private void move(Deployment change, ManagedRelay relay, Timestamp now) {
-    change.moved.add(relay.number);
-    change.progress = now;
-    change.beside.values().remove(relay.number);
-    controls.remove(Integer.valueOf(relay.number));
-    want(relay, change.to, now);
+  private void update(Deployment change, ManagedRelay relay, Timestamp now) {
+    change.updated.add(relay.number);
+    change.lastProgress = now;
+    change.controls.values().remove(relay.number);
+    pendingControlRestarts.remove(Integer.valueOf(relay.number));
+    setDesired(relay, change.toVersion, now);
     if (change.stage == plan.stages().size() - 1) {
       return;
     }
-    ManagedRelay control = control(change, relay);
+    ManagedRelay control = chooseControl(change, relay);
     if (control == null) {
       return;
     }
-    change.beside.put(relay.number, control.number);
-    if (!change.live) {
-      controls.add(control.number);
+    change.controls.put(relay.number, control.number);
+    if (!change.hotReload) {
+      pendingControlRestarts.add(control.number);
     }
   }
 
-  private void want(ManagedRelay relay, Version version, Timestamp now) {
-    boolean anew = relay.wanted != null;
-    census.leave(relay);
-    relay.wanted = version;
+  private void setDesired(ManagedRelay relay, Version version, Timestamp now) {
+    boolean anew = relay.desiredVersion != null;
+    fleet.remove(relay);
+    relay.desiredVersion = version;
     if (anew) {
-      relay.turn++;
+      relay.generation++;
     }
-    relay.toldAt = now;
+    relay.notifiedAt = now;
     relay.readyAt = null;
-    census.enter(relay);
-    host.wants(relay);
+    fleet.add(relay);
+    listener.desiredStateChanged(relay);
   }
 
-  private Runnable watched(Deployment change, Timestamp now) {
+  private Runnable observing(Deployment change, Timestamp now) {
     String failed = failure(change, now);
     if (failed != null) {
-      return () -> goBack(change, failed, now);
+      return () -> rollBack(change, failed, now);
     }
     if (change.held) {
-      return patienceOver(change, now);
+      return deadlineExceeded(change, now);
     }
-    boolean over = now.since(change.since).over(plan.watch());
-    boolean sure = !judged(change) || change.verdict == Verdict.NO_WORSE;
-    if (!over || !sure || releasing || !weather.isEmpty()) {
-      return sure ? null : patienceOver(change, now);
+    boolean over = now.since(change.stateSince).over(plan.observationTime());
+    boolean sure = !reportVerdict(change) || change.verdict == Verdict.NO_WORSE;
+    if (!over || !sure || rolloutInProgress || !blockedReason.isEmpty()) {
+      return sure ? null : deadlineExceeded(change, now);
     }
-    String cause = judged(change) ? "no worse than those beside it" : "nothing spoke against it";
+    String cause =
+        reportVerdict(change) ? "no worse than those beside it" : "nothing spoke against it";
     if (change.stage < plan.stages().size() - 1) {
-      return () -> step(change, State.MOVING, change.stage + 1, cause, now);
+      return () -> transition(change, State.MOVING, change.stage + 1, cause, now);
     }
-    if (change.moved.size() < target(change)) {
+    if (change.updated.size() < targetSize(change)) {
       return () ->
-          step(change, State.MOVING, change.stage, "relays are there that were not before", now);
+          transition(
+              change, State.MOVING, change.stage, "relays are there that were not before", now);
     }
     return () -> {
-      current = change.to;
+      currentVersion = change.toVersion;
       for (ManagedRelay relay : relays.values()) {
         boolean left =
-            !change.moved.contains(relay.number) && !change.refused.containsKey(relay.number);
+            !change.updated.contains(relay.number) && !change.rejections.containsKey(relay.number);
         if (left) {
-          want(relay, current, now); // those that were silent all through
+          setDesired(relay, currentVersion, now); // those that were silent all through
         }
       }
-      step(change, State.DONE, change.stage, cause, now);
+      transition(change, State.DONE, change.stage, cause, now);
     };
   }
 
   /** Whether there is anybody left to hold it against. */
-  private boolean judged(Deployment change) {
-    return change.stage < plan.stages().size() - 1 && !change.beside.isEmpty();
+  private boolean reportVerdict(Deployment change) {
+    return change.stage < plan.stages().size() - 1 && !change.controls.isEmpty();
   }
 
-  private void goBack(Deployment change, String cause, Timestamp now) {
-    controls.clear();
-    step(change, State.GOING_BACK, change.stage, cause, now);
+  private void rollBack(Deployment change, String cause, Timestamp now) {
+    pendingControlRestarts.clear();
+    transition(change, State.GOING_BACK, change.stage, cause, now);
   }
 
   /** The newest first; a relay that does not serve anyway needs no room. */
-  private Runnable goingBack(Deployment change, Timestamp now) {
+  private Runnable rollingBack(Deployment change, Timestamp now) {
     boolean all = true;
-    looked += change.moved.size();
-    List<Integer> newestFirst = new ArrayList<>(change.moved);
+    entriesExamined += change.updated.size();
+    List<Integer> newestFirst = new ArrayList<>(change.updated);
     Collections.reverse(newestFirst);
     for (int number : newestFirst) {
       ManagedRelay relay = relays.get(number);
-      boolean told = relay.wanted.equals(change.from);
+      boolean told = relay.desiredVersion.equals(change.fromVersion);
       // one that is not settled is out already, if only because it fell back to what ran well
       // before
-      if (!told && (!relay.settled() || hasRoom(relay.zone))) {
-        return () -> want(relay, change.from, now);
+      if (!told && (!relay.reconciled() || hasRestartBudget(relay.zone))) {
+        return () -> setDesired(relay, change.fromVersion, now);
       }
-      boolean lost = relay.silent() || told && now.since(relay.toldAt).over(plan.readyWithin());
-      all &= told && (relay.settled() || lost);
+      boolean lost =
+          relay.unreachable() || told && now.since(relay.notifiedAt).over(plan.readyWithin());
+      all &= told && (relay.reconciled() || lost);
     }
     if (!all) {
       return null;
     }
-    List<Integer> lost = unsettled(change);
+    List<Integer> lost = unreconciled(change);
     return () ->
-        step(
+        transition(
             change,
             State.GIVEN_UP,
             change.stage,
@@ -792,15 +812,15 @@
 
   // Who, and how many at once.
 
-  private int live() {
-    return census.live();
+  private int reachable() {
+    return fleet.reachable();
   }
 
-  private int target(Deployment change) {
+  private int targetSize(Deployment change) {
     int able = 0; // who does not serve is left out, and told at the end
-    for (ManagedRelay relay : each()) {
-      if (change.moved.contains(relay.number)
-          || relay.serves() && !change.refused.containsKey(relay.number)) {
+    for (ManagedRelay relay : examineAll()) {
+      if (change.updated.contains(relay.number)
+          || relay.serving() && !change.rejections.containsKey(relay.number)) {
         able++;
       }
     }
@@ -808,10 +828,10 @@
     return change.stage == 0 ? 1 : (int) Math.ceil(share * able - 1e-9);
   }
 
-  private List<Integer> unsettled(Deployment change) {
+  private List<Integer> unreconciled(Deployment change) {
     List<Integer> found = new ArrayList<>();
-    for (int number : change.moved) {
-      if (!relays.get(number).settled()) {
+    for (int number : change.updated) {
+      if (!relays.get(number).reconciled()) {
         found.add(number);
       }
     }
@@ -822,26 +842,26 @@
    * Zones, then busy and quiet ones, have their turn by how few of them were moved; who is a
    * control comes last.
    */
-  private ManagedRelay candidate(Deployment change) {
+  private ManagedRelay nextCandidate(Deployment change) {
     Map<Integer, int[]> zones = new HashMap<>();
     Map<Integer, int[]> kinds = new HashMap<>();
     Map<Integer, Boolean> hasRoom = new HashMap<>();
-    for (ManagedRelay relay : each()) {
-      int moved = change.moved.contains(relay.number) ? 1 : 0;
+    for (ManagedRelay relay : examineAll()) {
+      int moved = change.updated.contains(relay.number) ? 1 : 0;
       zones.computeIfAbsent(relay.zone, zone -> new int[2])[0] += moved;
       zones.get(relay.zone)[1]++;
       kinds.computeIfAbsent(2 * relay.zone + (relay.busy ? 1 : 0), kind -> new int[2])[0] += moved;
       kinds.get(2 * relay.zone + (relay.busy ? 1 : 0))[1]++;
     }
-    Set<Integer> beside = new HashSet<>(change.beside.values());
+    Set<Integer> beside = new HashSet<>(change.controls.values());
     ManagedRelay best = null;
     double least = 0;
-    for (ManagedRelay relay : each()) {
+    for (ManagedRelay relay : examineAll()) {
       boolean may =
-          relay.serves()
-              && !change.moved.contains(relay.number)
-              && !change.refused.containsKey(relay.number);
-      if (!may || !hasRoom.computeIfAbsent(relay.zone, this::hasRoom)) {
+          relay.serving()
+              && !change.updated.contains(relay.number)
+              && !change.rejections.containsKey(relay.number);
+      if (!may || !hasRoom.computeIfAbsent(relay.zone, this::hasRestartBudget)) {
         continue;
       }
       int[] zone = zones.get(relay.zone);
@@ -852,7 +872,7 @@
           (beside.contains(relay.number) ? 10 : 0)
               + zone[0] / (double) zone[1]
               + 0.01 * kind[0] / kind[1]
-              + (change.moved.isEmpty() ? (relay.busy ? 1 : 0) + 1.0 / zone[1] : 0);
+              + (change.updated.isEmpty() ? (relay.busy ? 1 : 0) + 1.0 / zone[1] : 0);
       if (best == null || rank < least) {
         best = relay;
         least = rank;
@@ -865,23 +885,23 @@
    * The most alike of those that serve and are neither moved nor beside another: same zone and
    * load, else same zone.
    */
-  private ManagedRelay control(Deployment change, ManagedRelay of) {
-    Set<Integer> beside = new HashSet<>(change.beside.values());
+  private ManagedRelay chooseControl(Deployment change, ManagedRelay of) {
+    Set<Integer> beside = new HashSet<>(change.controls.values());
     ManagedRelay best = null;
-    for (ManagedRelay relay : each()) {
+    for (ManagedRelay relay : examineAll()) {
       boolean free =
-          relay.serves()
-              && !change.moved.contains(relay.number)
+          relay.serving()
+              && !change.updated.contains(relay.number)
               && !beside.contains(relay.number)
-              && relay.runs.equals(change.from);
-      if (free && (best == null || alike(relay, of) > alike(best, of))) {
+              && relay.observedVersion.equals(change.fromVersion);
+      if (free && (best == null || similarity(relay, of) > similarity(best, of))) {
         best = relay;
       }
     }
     return best;
   }
 
-  private static int alike(ManagedRelay one, ManagedRelay other) {
+  private static int similarity(ManagedRelay one, ManagedRelay other) {
     return (one.zone == other.zone ? 2 : 0) + (one.busy == other.busy ? 1 : 0);
   }
 
@@ -889,67 +909,67 @@
    * Whether one more of a zone may be out: no more than the load allows, and than the plan does;
    * who is lost is out too.
    */
-  private boolean hasRoom(int zone) {
-    return out(zone) < most(zone);
+  private boolean hasRestartBudget(int zone) {
+    return unavailable(zone) < budget(zone);
   }
 
-  private int out(int zone) {
-    return census.out(zone);
+  private int unavailable(int zone) {
+    return fleet.unavailable(zone);
   }
 
-  private int most(int zone) {
-    int size = census.size(zone);
-    int byPlan = Math.max(1, (int) (plan.out() * size));
-    Deployment under = under();
+  private int budget(int zone) {
+    int size = fleet.size(zone);
+    int byPlan = Math.max(1, (int) (plan.maxUnavailableShare() * size));
+    Deployment under = active();
     boolean back = under != null && under.state == State.GOING_BACK;
     // what does worse is taken back even where there is no room, one at a time
-    return Math.min(byPlan, Math.max(back ? 1 : 0, rooms.getOrDefault(zone, byPlan)));
+    return Math.min(byPlan, Math.max(back ? 1 : 0, restartBudgetByZone.getOrDefault(zone, byPlan)));
   }
 
-  private String free() {
+  private String freeBudgetText() {
     StringBuilder found = new StringBuilder();
     for (int zone : relays.values().stream().map(one -> one.zone).distinct().toList()) {
       found
           .append(found.length() == 0 ? "" : ", ")
           .append(zone)
           .append(": ")
-          .append(Math.max(0, most(zone) - out(zone)));
+          .append(Math.max(0, budget(zone) - unavailable(zone)));
     }
     return found.toString();
   }
 
   /** What most of those that serve run. */
-  private Version most() {
+  private Version budget() {
     Map<Version, Integer> counts = new HashMap<>();
     Version found = Version.NONE;
     for (ManagedRelay relay : relays.values()) {
-      if (!relay.serves() || relay.runs.equals(Version.NONE)) {
+      if (!relay.serving() || relay.observedVersion.equals(Version.NONE)) {
         continue;
       }
-      int count = counts.merge(relay.runs, 1, Integer::sum);
+      int count = counts.merge(relay.observedVersion, 1, Integer::sum);
       if (count > counts.getOrDefault(found, 0)) {
-        found = relay.runs;
+        found = relay.observedVersion;
       }
     }
     return found;
   }
 
-  private void step(Deployment change, State to, int stage, String cause, Timestamp now) {
-    boolean moves = change.state != to || change.stage != stage || change.steps().isEmpty();
+  private void transition(Deployment change, State to, int stage, String cause, Timestamp now) {
+    boolean moves = change.state != to || change.stage != stage || change.transitions().isEmpty();
     if (change.stage != stage) {
       change.verdict = Verdict.NOT_SURE;
     }
     change.state = to;
     change.stage = stage;
     if (moves) {
-      change.since = now;
-      change.progress = now;
+      change.stateSince = now;
+      change.lastProgress = now;
     }
     if (moves && !to.open()) {
       change.held = false;
     }
-    Step step = new Step(++sequence, now, wallMs, to, stage, cause);
+    Transition step = new Transition(++sequence, now, wallMs, to, stage, cause);
     change.add(step);
-    host.changed(change, step);
+    listener.transitioned(change, step);
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
@@ -20,17 +20,17 @@
  */
 public record DeploymentPlan(
     List<Stage> stages,
-    TimeSpan watch,
-    TimeSpan patience,
+    TimeSpan observationTime,
+    TimeSpan progressDeadline,
     TimeSpan readyWithin,
-    double out,
-    double refused,
-    TimeSpan silent) {
+    double maxUnavailableShare,
+    double maxRejectedShare,
+    TimeSpan unreachableAfter) {
   /**
    * A stage's share of the relays, and the loss of worth, from 0 to 1, that has to be ruled out
    * before the next.
    */
-  public record Stage(double share, double harm) {}
+  public record Stage(double share, double maxLoss) {}
 
   /**
    * @throws IllegalArgumentException if the stages do not grow to 1
@@ -42,9 +42,9 @@
         throw new IllegalArgumentException(
             "stages of a change grow, and none is over 1: " + stage.share + " after " + before);
       }
-      if (!(stage.harm > 0 && stage.harm < 1)) {
+      if (!(stage.maxLoss > 0 && stage.maxLoss < 1)) {
         throw new IllegalArgumentException(
-            "the harm to rule out lies between 0 and 1, not at " + stage.harm);
+            "the harm to rule out lies between 0 and 1, not at " + stage.maxLoss);
       }
       before = stage.share;
     }
--- a/src/main/java/sprucerock/controller/deployment/FleetStatus.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetStatus.java
@@ -11,50 +11,50 @@
 final class FleetStatus {
   private static final class Zone {
     private int size;
-    private int out;
+    private int unavailable;
   }
 
   private final TreeMap<Integer, Zone> zones = new TreeMap<>();
-  private final TreeSet<Integer> settled = new TreeSet<>();
-  private int live;
+  private final TreeSet<Integer> newlyReconciled = new TreeSet<>();
+  private int reachable;
 
-  void enter(ManagedRelay relay) {
+  void add(ManagedRelay relay) {
     Zone zone = zones.computeIfAbsent(relay.zone, any -> new Zone());
     zone.size++;
-    if (out(relay)) {
-      zone.out++;
+    if (unavailable(relay)) {
+      zone.unavailable++;
     }
-    if (!relay.silent()) {
-      live++;
+    if (!relay.unreachable()) {
+      reachable++;
     }
-    if (relay.readyAt == null && relay.settled()) {
-      settled.add(relay.number);
+    if (relay.readyAt == null && relay.reconciled()) {
+      newlyReconciled.add(relay.number);
     }
   }
 
-  void leave(ManagedRelay relay) {
+  void remove(ManagedRelay relay) {
     Zone zone = zones.get(relay.zone);
     zone.size--;
-    if (out(relay)) {
-      zone.out--;
+    if (unavailable(relay)) {
+      zone.unavailable--;
     }
     if (zone.size == 0) {
       zones.remove(relay.zone);
     }
-    if (!relay.silent()) {
-      live--;
+    if (!relay.unreachable()) {
+      reachable--;
     }
-    settled.remove(relay.number);
+    newlyReconciled.remove(relay.number);
   }
 
   /** It does not serve, or is to run something else than it does; who is lost is out too. */
-  private static boolean out(ManagedRelay relay) {
-    return !relay.serves() || relay.wanted != null && !relay.settled();
+  private static boolean unavailable(ManagedRelay relay) {
+    return !relay.serving() || relay.desiredVersion != null && !relay.reconciled();
   }
 
   /** Whose agents are heard. */
-  int live() {
-    return live;
+  int reachable() {
+    return reachable;
   }
 
   /** Of a zone. */
@@ -63,12 +63,12 @@
   }
 
   /** Of a zone. */
-  int out(int zone) {
-    return zones.containsKey(zone) ? zones.get(zone).out : 0;
+  int unavailable(int zone) {
+    return zones.containsKey(zone) ? zones.get(zone).unavailable : 0;
   }
 
   /** The first that has done what it was told and of which that is not noted yet; -1: none. */
-  int firstSettled() {
-    return settled.isEmpty() ? -1 : settled.first();
+  int firstReconciled() {
+    return newlyReconciled.isEmpty() ? -1 : newlyReconciled.first();
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
+++ b/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
@@ -10,19 +10,19 @@
   /** Carries more than the median of the fleet. */
   boolean busy;
 
-  Version runs = Version.NONE;
+  Version observedVersion = Version.NONE;
   boolean ready;
 
   /** Since when its agent is silent; null while it is heard. */
-  Timestamp silentSince;
+  Timestamp unreachableSince;
 
-  Version wanted;
+  Version desiredVersion;
 
   /** Counts what is wanted of it: a restart on the same version is one more. */
-  int turn;
+  int generation;
 
-  int done;
-  Timestamp toldAt;
+  int observedGeneration;
+  Timestamp notifiedAt;
 
   /** Ready on what is wanted since its turn; null while it is not. */
   Timestamp readyAt;
@@ -39,39 +39,39 @@
     return busy;
   }
 
-  public Version runs() {
-    return runs;
+  public Version observedVersion() {
+    return observedVersion;
   }
 
   public boolean ready() {
     return ready;
   }
 
-  public boolean silent() {
-    return silentSince != null;
+  public boolean unreachable() {
+    return unreachableSince != null;
   }
 
   /** What it is to run; null while nobody has said. */
-  public Version wanted() {
-    return wanted;
+  public Version desiredVersion() {
+    return desiredVersion;
   }
 
-  public int turn() {
-    return turn;
+  public int generation() {
+    return generation;
   }
 
   /** The turn that its agent says it has carried out. */
-  public int done() {
-    return done;
+  public int observedGeneration() {
+    return observedGeneration;
   }
 
   /** It serves, or says so. */
-  boolean serves() {
-    return ready && silentSince == null;
+  boolean serving() {
+    return ready && unreachableSince == null;
   }
 
   /** It has done what it was told last. */
-  boolean settled() {
-    return serves() && done == turn && runs.equals(wanted);
+  boolean reconciled() {
+    return serving() && observedGeneration == generation && observedVersion.equals(desiredVersion);
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/Version.java
+++ b/src/main/java/sprucerock/controller/deployment/Version.java
@@ -13,7 +13,7 @@
    */
   public Version {
     boolean none = program.isEmpty() && settings.isEmpty();
-    if (!none && !(digest(program) && digest(settings))) {
+    if (!none && !(isDigest(program) && isDigest(settings))) {
       throw new IllegalArgumentException(
           "a version is two SHA-256 digests of 64 hexadecimal digits, not \""
               + program
@@ -23,7 +23,7 @@
     }
   }
 
-  public static boolean digest(String text) {
+  public static boolean isDigest(String text) {
     return text.matches("[0-9a-f]{64}");
   }
 
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.artifact.ArtifactStore;
-import sprucerock.controller.Watcher;
+import sprucerock.controller.DeploymentMonitor;
 import sprucerock.controller.comparison.Window;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
@@ -46,7 +46,7 @@
  * agent after another, so that a thousand that fetch at once neither fill memory nor hold up what
  * is said.
  */
-final class AgentListener implements Watcher.Host {
+final class AgentListener implements DeploymentMonitor.Listener {
   private static final byte[] NO_BODY = {};
   private static final int PIECE = 128 * 1024;
   private static final int MOST_WAITING = 20_000; // fetches; an agent has one or two
@@ -63,7 +63,7 @@
   private final Tap tap;
   private final ControllerServer desk;
   private final ArtifactStore vault;
-  private final Watcher watch;
+  private final DeploymentMonitor watch;
   private final TreeMap<Integer, Session> sessions = new TreeMap<>();
   private final DisconnectedAgents absent = new DisconnectedAgents();
   private final Deque<Waiting> fetches = new ArrayDeque<>();
@@ -77,7 +77,7 @@
     this.desk = desk;
     this.vault = vault;
     limits = new Limits(1 << 20, 4L << 20, TimeSpan.ofMs(1000));
-    watch = new Watcher(changes(), this);
+    watch = new DeploymentMonitor(changes(), this);
     for (ManagedRelay relay : changes().relays()) {
       absent.left(
           relay.number,
@@ -86,7 +86,7 @@
   }
 
   private DeploymentManager changes() {
-    return desk.engine().changes();
+    return desk.engine().deployments();
   }
 
   InetSocketAddress start() throws IOException {
@@ -124,15 +124,15 @@
   }
 
   private void window() {
-    watch.cut(WINDOW.ms());
+    watch.closeWindow(WINDOW.ms());
     net.at(net.now().plus(WINDOW), this::window);
   }
 
   /** Who is not heard any more; and, after a start of the controller, who was not heard at all. */
   private void look() {
-    for (int number : absent.longer(config.plan.silent(), net.now())) {
+    for (int number : absent.longer(config.plan.unreachableAfter(), net.now())) {
       ManagedRelay relay = changes().relay(number);
-      if (relay == null || relay.silent()) {
+      if (relay == null || relay.unreachable()) {
         absent.back(number);
       } else {
         desk.submit(
@@ -181,7 +181,7 @@
   // What the comparison finds.
 
   @Override
-  public void judged(Deployment change, Verdict verdict, String reason) {
+  public void verdictChanged(Deployment change, Verdict verdict, String reason) {
     log.info(
         "JUDGED change {} in stage {}: {}: {}", change.number, change.stage(), verdict, reason);
     desk.submit(
@@ -196,14 +196,14 @@
   }
 
   @Override
-  public void room(java.util.Map<Integer, Integer> byZone, String why) {
+  public void restartBudgetChanged(java.util.Map<Integer, Integer> byZone, String why) {
     desk.submit(
         Input.newBuilder().setRoom(Room.newBuilder().putAllByZone(byZone).setWhy(why)),
         outcome -> {});
   }
 
   @Override
-  public void busy(int number, boolean is) {
+  public void busyChanged(int number, boolean is) {
     Session session = sessions.get(number);
     if (session != null && session.last != null) {
       session.record(is);
@@ -232,19 +232,21 @@
     }
 
     void tell(ManagedRelay relay) {
-      Wants.Builder wants = Wants.newBuilder().setEpoch(desk.engine().releases().epoch());
-      if (relay != null && relay.wanted() != null && !relay.wanted().equals(Version.NONE)) {
+      Wants.Builder wants = Wants.newBuilder().setEpoch(desk.engine().rollouts().epoch());
+      if (relay != null
+          && relay.desiredVersion() != null
+          && !relay.desiredVersion().equals(Version.NONE)) {
         wants
-            .setTurn(relay.turn())
-            .setProgram(relay.wanted().program())
-            .setSettings(relay.wanted().settings());
+            .setTurn(relay.generation())
+            .setProgram(relay.desiredVersion().program())
+            .setSettings(relay.desiredVersion().settings());
       }
-      Deployment waits = changes().waiting();
+      Deployment waits = changes().pending();
       if (waits != null && waits.state() == Deployment.State.PROPOSED) {
         wants
             .setChange(waits.number)
-            .setCheckProgram(waits.to.program())
-            .setCheckSettings(waits.to.settings());
+            .setCheckProgram(waits.toVersion.program())
+            .setCheckSettings(waits.toVersion.settings());
       }
       connection.send(Kind.WANTS, wants.build(), NO_BODY);
     }
@@ -271,11 +273,11 @@
         Version runs = new Version(says.getProgram(), says.getSettings());
         boolean news =
             known == null
-                || known.silent()
+                || known.unreachable()
                 || known.zone() != says.getZone()
-                || !known.runs().equals(runs)
+                || !known.observedVersion().equals(runs)
                 || known.ready() != says.getReady()
-                || known.done() != says.getDone();
+                || known.observedGeneration() != says.getDone();
         if (news) {
           record(known != null && known.busy());
         }
@@ -306,15 +308,15 @@
         connection.cut(e.getMessage());
         return;
       }
-      if (says.getEpoch() > desk.engine().releases().epoch()) {
+      if (says.getEpoch() > desk.engine().rollouts().epoch()) {
         log.error(
             "BEHIND relay {}'s agent was told by epoch {}, this is {}: the store may be an old one",
             number,
             says.getEpoch(),
-            desk.engine().releases().epoch());
+            desk.engine().rollouts().epoch());
       }
       if (says.hasSums()) {
-        watch.told(number, says.getLife(), says.getCores(), sums(says.getSums()));
+        watch.reportTotals(number, says.getLife(), says.getCores(), sums(says.getSums()));
       }
       if (first) {
         tell(changes().relay(number));
@@ -340,7 +342,7 @@
           Piece.newBuilder().setDigest(fetch.getDigest()).setFrom(fetch.getFrom());
       byte[] body = NO_BODY;
       try {
-        if (Version.digest(fetch.getDigest()) && vault.has(fetch.getDigest())) {
+        if (Version.isDigest(fetch.getDigest()) && vault.has(fetch.getDigest())) {
           piece.setSize(vault.size(fetch.getDigest()));
           body = vault.piece(fetch.getDigest(), fetch.getFrom(), PIECE);
         }
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -14,6 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.Engine;
 import sprucerock.controller.FileLeadership;
 import sprucerock.controller.Leadership;
@@ -95,7 +96,7 @@
             ? MaintenanceWindows.none()
             : new MaintenanceWindows(config.freezes, config.room, ofFreezes());
     engine =
-        Engine.in(
+        Engine.open(
             config.folder,
             config.rules,
             config.places,
@@ -107,7 +108,7 @@
                   "STEP {} build {} {} stage {}: {}",
                   step.sequence(),
                   release.build,
-                  step.standing(),
+                  step.state(),
                   step.stage(),
                   step.cause());
               outboxes.forEach(outbox -> outbox.add(release, step));
@@ -126,7 +127,7 @@
               upTo -> loop.post(() -> delivered(target.name(), upTo)),
               what -> log.error("OUTBOX {}", what)));
     }
-    engine.onlyWhile(seat::holds);
+    engine.setLeadershipCheck(seat::holds);
     engine.start(this::tellAgain);
     promises = new PlacementGrants(freezes, freezes.later(engine.wallMs()));
     relays = new RelayListener(loop, config, tap, this);
@@ -174,8 +175,8 @@
     log.info(
         "STARTED controller {}, epoch {}, {} inputs; relays at {}, webhooks at {}, operators at {}",
         config.name,
-        engine.releases().epoch(),
-        engine.inputs(),
+        engine.rollouts().epoch(),
+        engine.entryCount(),
         at[0],
         http.hooksAt(),
         http.apiAt());
@@ -262,10 +263,10 @@
     return vault;
   }
 
-  private DeploymentManager.Host ofChanges() {
-    return new DeploymentManager.Host() {
+  private DeploymentManager.Listener ofChanges() {
+    return new DeploymentManager.Listener() {
       @Override
-      public void changed(Deployment change, Deployment.Step step) {
+      public void transitioned(Deployment change, Deployment.Transition step) {
         log.info(
             "CHANGE {} step {}: {}, stage {}: {}",
             change.number,
@@ -279,7 +280,7 @@
       }
 
       @Override
-      public void wants(ManagedRelay relay) {
+      public void desiredStateChanged(ManagedRelay relay) {
         if (agents != null) {
           agents.wants(relay);
         }
@@ -331,7 +332,7 @@
 
   /** A relay has asked: some freeze may be in force by that. */
   void lookAtFreezes() {
-    for (long number : promises.cleared(engine.freezes().later(engine.wallMs()))) {
+    for (long number : promises.cleared(engine.maintenanceWindows().later(engine.wallMs()))) {
       submit(
           Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
           outcome -> {});
@@ -356,8 +357,8 @@
   }
 
   /** On the loop: kept at the turn's end, then it happens and is answered. */
-  void submit(Input.Builder input, Consumer<Engine.Outcome> done) {
-    engine.submit(input, done);
+  void submit(Input.Builder input, Consumer<AppendResult> done) {
+    engine.append(input, done);
     if (marked) {
       return;
     }
@@ -367,19 +368,19 @@
 
   private void commit() {
     marked = false;
-    long before = engine.releases().sequence();
-    engine.commit();
-    if (engine.releases().sequence() != before) {
+    long before = engine.rollouts().sequence();
+    engine.flush();
+    if (engine.rollouts().sequence() != before) {
       relays.tellAll();
     }
   }
 
   /** Steps of earlier lives that not every listener has taken yet. */
   private void tellAgain() {
-    List<Map.Entry<Rollout, Rollout.Step>> again = new ArrayList<>();
-    for (Rollout release : engine.releases().all()) {
-      for (Rollout.Step step : release.steps()) {
-        if (step.sequence() > engine.releases().delivered()) {
+    List<Map.Entry<Rollout, Rollout.Transition>> again = new ArrayList<>();
+    for (Rollout release : engine.rollouts().rollouts()) {
+      for (Rollout.Transition step : release.transitions()) {
+        if (step.sequence() > engine.rollouts().webhooksDeliveredUpTo()) {
           again.add(Map.entry(release, step));
         }
       }
@@ -395,7 +396,7 @@
       return;
     }
     long all = delivered.values().stream().mapToLong(Long::longValue).min().orElse(0);
-    if (all > engine.releases().delivered()) {
+    if (all > engine.rollouts().webhooksDeliveredUpTo()) {
       submit(
           Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(all)), outcome -> {});
     }
@@ -426,9 +427,9 @@
     if (stopped) {
       return;
     }
-    if (engine.releases().due(engine.now())
-        || engine.changes().due(engine.now())
-        || engine.freezes().due(engine.wallMs())) {
+    if (engine.rollouts().transitionDue(engine.now())
+        || engine.deployments().transitionDue(engine.now())
+        || engine.maintenanceWindows().due(engine.wallMs())) {
       commit();
     }
     lookAtFreezes();
--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -30,7 +30,7 @@
 import org.xnio.Options;
 import sprucerock.config.ConfigException;
 import sprucerock.config.Live;
-import sprucerock.controller.Engine;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.Rollout;
 import sprucerock.controller.RolloutManager;
 import sprucerock.controller.deployment.Deployment;
@@ -241,11 +241,12 @@
                     .setArtifact(artifact)
                     .setSource(source)),
         outcome -> {
-          if (outcome.refused() != null) {
-            answer(exchange, 503, "not_kept", outcome.refused());
+          if (outcome instanceof AppendResult.Rejected rejected) {
+            answer(exchange, 503, "not_kept", rejected.text());
             return;
           }
-          RolloutManager.Answer answer = (RolloutManager.Answer) outcome.answer();
+          AppendResult.Value value = ((AppendResult.Accepted) outcome).value();
+          RolloutManager.AnnouncementResult answer = ((AppendResult.Announced) value).result();
           int status =
               switch (answer) {
                 case TAKEN -> 202;
@@ -324,7 +325,7 @@
       freeze(exchange, body);
     } else if (path.length == 2 && path[0].equals("racks")) {
       boolean known =
-          desk.engine().freezes().room().racks().containsKey(path[1])
+          desk.engine().maintenanceWindows().room().racks().containsKey(path[1])
               && body.path("down").isBoolean();
       if (!known) {
         answer(
@@ -441,7 +442,8 @@
           exchange,
           400,
           "no_change",
-          "{\"who\": ..., \"reason\": ..., \"program\": file, \"settings\": file} are needed, one of the last two at least");
+          "{\"who\": ..., \"reason\": ..., \"program\": file, \"settings\": file} are needed, one"
+              + " of the last two at least");
       return;
     }
     exchange.dispatch(
@@ -452,8 +454,11 @@
             onLoop(
                 exchange,
                 () -> {
-                  DeploymentManager changes = desk.engine().changes();
-                  Version base = changes.under() != null ? changes.under().to : changes.usual();
+                  DeploymentManager changes = desk.engine().deployments();
+                  Version base =
+                      changes.active() != null
+                          ? changes.active().toVersion
+                          : changes.baselineVersion();
                   if (base.equals(Version.NONE) && (program == null || settings == null)) {
                     answer(
                         exchange,
@@ -520,34 +525,34 @@
         .put("state", change.state().name().toLowerCase(Locale.ROOT))
         .put("stage", change.stage())
         .put("held", change.held())
-        .put("moved", change.moved().size())
-        .put("who", change.who)
-        .put("why", change.why)
-        .put("from", change.from.toString())
-        .put("to", change.to.toString())
-        .put("program", change.to.program())
-        .put("settings", change.to.settings());
+        .put("moved", change.updated().size())
+        .put("who", change.proposedBy)
+        .put("why", change.reason)
+        .put("from", change.fromVersion.toString())
+        .put("to", change.toVersion.toString())
+        .put("program", change.toVersion.program())
+        .put("settings", change.toVersion.settings());
   }
 
   private ObjectNode changes() {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode list = all.putArray("changes");
-    for (Deployment one : desk.engine().changes().all()) {
+    for (Deployment one : desk.engine().deployments().deployments()) {
       list.add(brief(one));
     }
-    return all.put("epoch", desk.engine().releases().epoch())
-        .put("runs", desk.engine().changes().usual().toString());
+    return all.put("epoch", desk.engine().rollouts().epoch())
+        .put("runs", desk.engine().deployments().baselineVersion().toString());
   }
 
   private void showChange(HttpServerExchange exchange, int number) {
-    Deployment change = desk.engine().changes().of(number);
+    Deployment change = desk.engine().deployments().deployment(number);
     if (change == null) {
       answer(exchange, 404, "no_such_change", null);
       return;
     }
     ObjectNode node = brief(change);
     ArrayNode steps = node.putArray("steps");
-    for (Deployment.Step step : change.steps()) {
+    for (Deployment.Transition step : change.transitions()) {
       steps
           .addObject()
           .put("sequence", step.sequence())
@@ -557,11 +562,11 @@
           .put("cause", step.cause());
     }
     ArrayNode waits = node.putArray("waits_for");
-    desk.engine().changes().waitsFor(change, desk.engine().now()).forEach(waits::add);
+    desk.engine().deployments().blockers(change, desk.engine().now()).forEach(waits::add);
     ObjectNode beside = node.putObject("beside");
-    change.beside().forEach((moved, control) -> beside.put(Integer.toString(moved), control));
+    change.controls().forEach((moved, control) -> beside.put(Integer.toString(moved), control));
     ObjectNode refused = node.putObject("refused");
-    change.refused().forEach((relay, why) -> refused.put(Integer.toString(relay), why));
+    change.rejections().forEach((relay, why) -> refused.put(Integer.toString(relay), why));
     answer(exchange, 200, node);
   }
 
@@ -631,7 +636,8 @@
           exchange,
           400,
           "no_freeze",
-          "{\"who\": ..., \"reason\": ..., \"racks\": [...], \"from_ms\": ..., \"lasts_ms\": ...} are needed; slack_ms, rule, zone and emergency may be");
+          "{\"who\": ..., \"reason\": ..., \"racks\": [...], \"from_ms\": ..., \"lasts_ms\": ...}"
+              + " are needed; slack_ms, rule, zone and emergency may be");
       return;
     }
     FreezeWanted.Builder wanted =
@@ -651,15 +657,14 @@
             desk.submit(
                 Input.newBuilder().setFreeze(wanted),
                 outcome -> {
-                  if (outcome.refused() != null) {
-                    answer(exchange, 503, "not_kept", outcome.refused());
-                  } else if (outcome.answer() instanceof String why) {
-                    answer(exchange, 409, "no_effect", why);
+                  if (!(outcome instanceof AppendResult.Accepted accepted
+                      && accepted.value() instanceof AppendResult.WindowsOpened opened)) {
+                    done(exchange, outcome);
                   } else {
                     ObjectNode all = Announcements.JSON.createObjectNode();
                     ArrayNode list = all.putArray("freezes");
-                    for (Object number : (List<?>) outcome.answer()) {
-                      list.add(brief(desk.engine().freezes().of((Long) number)));
+                    for (long number : opened.numbers()) {
+                      list.add(brief(desk.engine().maintenanceWindows().of(number)));
                     }
                     answer(exchange, 200, all);
                   }
@@ -685,7 +690,7 @@
   private ObjectNode freezes() {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode list = all.putArray("freezes");
-    for (MaintenanceWindow one : desk.engine().freezes().all()) {
+    for (MaintenanceWindow one : desk.engine().maintenanceWindows().all()) {
       list.add(brief(one));
     }
     return all;
@@ -693,7 +698,7 @@
 
   /** With who may still place work there, and until when at most. */
   private void showFreeze(HttpServerExchange exchange, int number) {
-    MaintenanceWindow freeze = desk.engine().freezes().of(number);
+    MaintenanceWindow freeze = desk.engine().maintenanceWindows().of(number);
     if (freeze == null) {
       answer(exchange, 404, "no_such_freeze", null);
       return;
@@ -711,7 +716,7 @@
     ArrayNode out = node.putArray("out");
     if (freeze.state().binds()) {
       desk.promises()
-          .out(freeze, desk.engine().freezes().later(desk.engine().wallMs()))
+          .out(freeze, desk.engine().maintenanceWindows().later(desk.engine().wallMs()))
           .forEach(
               relay ->
                   out.add(
@@ -720,7 +725,7 @@
                           : "relay " + relay));
       node.put(
           "at_most_until",
-          Instant.ofEpochMilli(desk.engine().freezes().promisesEnd(freeze)).toString());
+          Instant.ofEpochMilli(desk.engine().maintenanceWindows().promisesEnd(freeze)).toString());
     }
     ArrayNode forced = node.putArray("forced_by");
     freeze.forcedBy().forEach(forced::add);
@@ -730,18 +735,18 @@
   private ObjectNode agents() {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode list = all.putArray("agents");
-    for (ManagedRelay one : desk.engine().changes().relays()) {
+    for (ManagedRelay one : desk.engine().deployments().relays()) {
       list.addObject()
           .put("relay", one.number)
           .put("zone", one.zone())
-          .put("heard", !one.silent())
-          .put("runs", one.runs().toString())
-          .put("wanted", one.wanted() == null ? "" : one.wanted().toString())
+          .put("heard", !one.unreachable())
+          .put("runs", one.observedVersion().toString())
+          .put("wanted", one.desiredVersion() == null ? "" : one.desiredVersion().toString())
           .put("ready", one.ready())
-          .put("done", one.done())
-          .put("turn", one.turn())
+          .put("done", one.observedGeneration())
+          .put("turn", one.generation())
           .put("busy", one.busy())
-          .put("program", one.runs().program());
+          .put("program", one.observedVersion().program());
     }
     return all;
   }
@@ -767,32 +772,32 @@
     }
   }
 
-  private static void done(HttpServerExchange exchange, Engine.Outcome outcome) {
-    if (outcome.refused() != null) {
-      answer(exchange, 503, "not_kept", outcome.refused());
-    } else if (outcome.answer() != null) {
-      answer(exchange, 409, "no_effect", (String) outcome.answer());
+  private static void done(HttpServerExchange exchange, AppendResult outcome) {
+    if (outcome instanceof AppendResult.Rejected rejected) {
+      answer(exchange, 503, "not_kept", rejected.text());
+    } else if (((AppendResult.Accepted) outcome).value() instanceof AppendResult.NoEffect none) {
+      answer(exchange, 409, "no_effect", none.reason());
     } else {
       answer(exchange, 200, "done", null);
     }
   }
 
   private ObjectNode brief(Rollout release) {
-    RolloutManager releases = desk.engine().releases();
+    RolloutManager releases = desk.engine().rollouts();
     ObjectNode node =
         Announcements.JSON
             .createObjectNode()
             .put("build", release.build)
             .put("artifact", release.artifact)
-            .put("standing", release.standing().name().toLowerCase(Locale.ROOT))
+            .put("standing", release.state().name().toLowerCase(Locale.ROOT))
             .put("stage", release.stage())
             .put("held", release.held())
-            .put("units", release.units())
-            .put("units_wanted", releases.wanted(release));
-    if (release == releases.present()) {
+            .put("units", release.readyEndpoints())
+            .put("units_wanted", releases.desiredEndpoints(release));
+    if (release == releases.current()) {
       node.put("present", true);
     }
-    if (release.build == releases.earlier()) {
+    if (release.build == releases.previousBuild()) {
       node.put("serves", true);
     }
     return node;
@@ -801,51 +806,52 @@
   private ObjectNode list() {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode list = all.putArray("releases");
-    for (Rollout one : desk.engine().releases().all()) {
+    for (Rollout one : desk.engine().rollouts().rollouts()) {
       list.add(brief(one));
     }
-    all.put("epoch", desk.engine().releases().epoch()).put("inputs", desk.engine().inputs());
-    if (desk.engine().failed() != null) {
-      all.put("store", desk.engine().failed());
+    all.put("epoch", desk.engine().rollouts().epoch()).put("inputs", desk.engine().entryCount());
+    if (desk.engine().storageFailure() != null) {
+      all.put("store", desk.engine().storageFailure());
     }
     return all;
   }
 
   private void show(HttpServerExchange exchange, int build) {
-    RolloutManager releases = desk.engine().releases();
-    Rollout release = releases.of(build);
+    RolloutManager releases = desk.engine().rollouts();
+    Rollout release = releases.rollout(build);
     if (release == null) {
       answer(exchange, 404, "no_such_build", null);
       return;
     }
     ObjectNode node = brief(release);
     ArrayNode steps = node.putArray("steps");
-    for (Rollout.Step step : release.steps()) {
+    for (Rollout.Transition step : release.transitions()) {
       steps
           .addObject()
           .put("sequence", step.sequence())
           .put("at", Instant.ofEpochMilli(step.wallMs()).toString())
-          .put("standing", step.standing().name().toLowerCase(Locale.ROOT))
+          .put("standing", step.state().name().toLowerCase(Locale.ROOT))
           .put("stage", step.stage())
           .put("cause", step.cause());
     }
-    if (release == releases.present()) {
+    if (release == releases.current()) {
       Timestamp now = desk.engine().now();
       ArrayNode waits = node.putArray("waits_for");
-      releases.waitsFor(now).forEach(waits::add);
+      releases.blockers(now).forEach(waits::add);
       ObjectNode votes = node.putObject("votes");
-      for (RolloutManager.Say say : RolloutManager.Say.values()) {
-        if (say == RolloutManager.Say.NOTHING) {
+      for (RolloutManager.Vote say : RolloutManager.Vote.values()) {
+        if (say == RolloutManager.Vote.NOTHING) {
           continue;
         }
         ArrayNode relays = votes.putArray(say.name().toLowerCase(Locale.ROOT));
-        releases.standing(say, now).forEach(relays::add);
+        releases.relaysVoting(say, now).forEach(relays::add);
       }
       ArrayNode silent = node.putArray("silent");
       for (int relay : desk.relays()) {
         boolean voted = false;
-        for (RolloutManager.Say say : RolloutManager.Say.values()) {
-          voted |= say != RolloutManager.Say.NOTHING && releases.standing(say, now).contains(relay);
+        for (RolloutManager.Vote say : RolloutManager.Vote.values()) {
+          voted |=
+              say != RolloutManager.Vote.NOTHING && releases.relaysVoting(say, now).contains(relay);
         }
         if (!voted) {
           silent.add(relay);
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -5,6 +5,7 @@
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.RolloutManager;
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.FamiliesWorth;
@@ -50,7 +51,7 @@
     this.config = config;
     this.tap = tap;
     this.desk = desk;
-    racks = new RackList(desk.engine().freezes().room().racks());
+    racks = new RackList(desk.engine().maintenanceWindows().room().racks());
     limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), TimeSpan.ofMs(2000));
   }
 
@@ -117,9 +118,9 @@
   }
 
   private News news() {
-    RolloutManager.News news = desk.engine().releases().news();
+    RolloutManager.RolloutStatus news = desk.engine().rollouts().currentStatus();
     Stand stand =
-        switch (news.standing()) {
+        switch (news.state()) {
           case ON_TRIAL -> Stand.ON_TRIAL;
           case GOING_BACK -> Stand.GOING_BACK;
           case RELEASED -> Stand.RELEASED;
@@ -129,10 +130,10 @@
         .setBuild(news.build())
         .setStage(news.stage())
         .setStanding(stand)
-        .setCap(news.cap())
+        .setCap(news.exposureCap())
         .setLastedUs(Math.max(0, (long) (desk.engine().now().since(news.since()).ms() * 1000)))
-        .setEpoch(desk.engine().releases().epoch())
-        .setSequence(desk.engine().releases().sequence())
+        .setEpoch(desk.engine().rollouts().epoch())
+        .setSequence(desk.engine().rollouts().sequence())
         .build();
   }
 
@@ -185,12 +186,12 @@
         return;
       }
       Vote vote = (Vote) head;
-      RolloutManager.Say say =
+      RolloutManager.Vote say =
           switch (vote.getSay()) {
-            case NOTHING -> RolloutManager.Say.NOTHING;
-            case ON -> RolloutManager.Say.ON;
-            case HOLD -> RolloutManager.Say.HOLD;
-            case BACK -> RolloutManager.Say.BACK;
+            case NOTHING -> RolloutManager.Vote.NOTHING;
+            case ON -> RolloutManager.Vote.ON;
+            case HOLD -> RolloutManager.Vote.HOLD;
+            case BACK -> RolloutManager.Vote.BACK;
             default -> null;
           };
       if (say == null || connection.other().getNumber() < 0) {
@@ -208,13 +209,14 @@
           outcome ->
               answer(
                   vote,
-                  outcome.refused() != null
-                      ? Taken.FAILED_TO_TAKE
-                      : switch ((RolloutManager.Taken) outcome.answer()) {
+                  outcome instanceof AppendResult.Accepted accepted
+                          && accepted.value() instanceof AppendResult.Voted voted
+                      ? switch (voted.result()) {
                         case COUNTS -> Taken.COUNTS;
                         case MOOT -> Taken.MOOT;
                         case TOO_MANY -> Taken.TOO_MANY;
-                      }));
+                      }
+                      : Taken.FAILED_TO_TAKE));
     }
 
     /**
@@ -236,13 +238,13 @@
      * last, and says nothing.
      */
     private void promise(PromiseAsk ask) {
-      long now = desk.engine().freezes().later(desk.engine().wallMs());
+      long now = desk.engine().maintenanceWindows().later(desk.engine().wallMs());
       desk.promises().asked(connection.other().getNumber(), ask.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(ask.getId())
-              .setEpoch(desk.engine().releases().epoch())
-              .setSequence(desk.engine().freezes().sequence());
+              .setEpoch(desk.engine().rollouts().epoch())
+              .setSequence(desk.engine().maintenanceWindows().sequence());
       racks.into(promised, ask.getList(), desk.promises().shorter(now));
       desk.lookAtFreezes();
       if (ask.getId() > 0 && desk.holdsSeat()) {
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -64,7 +64,7 @@
   /**
    * A step to be told. From any thread; where too many wait, the oldest one becomes a dead letter.
    */
-  void add(Rollout release, Rollout.Step step) {
+  void add(Rollout release, Rollout.Transition step) {
     ObjectNode body =
         Announcements.JSON
             .createObjectNode()
@@ -72,7 +72,7 @@
             .put("sequence", step.sequence())
             .put("build", release.build)
             .put("artifact", release.artifact)
-            .put("standing", step.standing().name().toLowerCase(Locale.ROOT))
+            .put("standing", step.state().name().toLowerCase(Locale.ROOT))
             .put("stage", step.stage())
             .put("cause", step.cause())
             .put("at", Instant.ofEpochMilli(step.wallMs()).toString());
--- a/src/test/java/sprucerock/controller/ChangeStudy.java
+++ b/src/test/java/sprucerock/controller/ChangeStudy.java
@@ -175,7 +175,7 @@
                 memory[i] * (0.8 + 0.2 * (1 - cold)) * (1 + 0.01 * normal()),
                 20 + Math.sqrt(rate[i]) * 5,
                 n * 0.3 + 2);
-        total[i] = total[i].and(last[i]);
+        total[i] = total[i].plus(last[i]);
         age[i] += TICK_MS;
         if (fresh[i]) {
           lost += harm * rate[i] / worth * TICK_MS / 1000;
@@ -185,9 +185,10 @@
   }
 
   /** Changes and watcher as they are. */
-  private static final class Ours implements Way, DeploymentManager.Host, Watcher.Host {
+  private static final class Ours
+      implements Way, DeploymentManager.Listener, DeploymentMonitor.Listener {
     private final DeploymentManager changes = new DeploymentManager(PLAN, this);
-    private final Watcher watcher = new Watcher(changes, this);
+    private final DeploymentMonitor watcher = new DeploymentMonitor(changes, this);
     private final Map<Integer, Integer> lives = new TreeMap<>();
     private final List<ManagedRelay> wants = new ArrayList<>();
     private double now;
@@ -200,39 +201,47 @@
         ManagedRelay relay = changes.relay(i);
         Version runs = fleet.fresh[i] ? NEW : OLD;
         boolean ready = fleet.ready(i);
-        if (relay == null || relay.ready() != ready || !relay.runs().equals(runs)) {
-          changes.says(
+        if (relay == null || relay.ready() != ready || !relay.observedVersion().equals(runs)) {
+          changes.reportStatus(
               i,
               i % 3,
               relay != null && relay.busy(),
               runs,
               ready,
-              relay == null ? 0 : relay.turn(),
+              relay == null ? 0 : relay.generation(),
               at(),
               0);
         }
         if (ready) {
-          watcher.told(i, lives.getOrDefault(i, 0), 1, fleet.total[i]);
+          watcher.reportTotals(i, lives.getOrDefault(i, 0), 1, fleet.total[i]);
         }
       }
-      watcher.cut(TICK_MS);
+      watcher.closeWindow(TICK_MS);
       if (warm-- == 0) {
         changes.propose("study", "", NEW, false, at(), 0);
         for (int i = 0; i < fleet.size; i++) {
-          changes.checked(i, 1, "", at(), 0);
+          changes.reportValidation(i, 1, "", at(), 0);
         }
       }
       changes.tick(at(), 0);
       for (ManagedRelay one : wants) {
-        if (one.turn() == 0) {
+        if (one.generation() == 0) {
           continue;
         }
-        fleet.restart(one.number, one.wanted().equals(NEW));
+        fleet.restart(one.number, one.desiredVersion().equals(NEW));
         lives.merge(one.number, 1, Integer::sum);
-        changes.says(one.number, one.zone(), one.busy(), one.wanted(), false, one.turn(), at(), 0);
+        changes.reportStatus(
+            one.number,
+            one.zone(),
+            one.busy(),
+            one.desiredVersion(),
+            false,
+            one.generation(),
+            at(),
+            0);
       }
       wants.clear();
-      Deployment change = changes.of(1);
+      Deployment change = changes.deployment(1);
       return change != null && !change.state().open();
     }
 
@@ -242,31 +251,39 @@
 
     @Override
     public boolean stopped() {
-      return changes.of(1).state() == Deployment.State.GIVEN_UP;
+      return changes.deployment(1).state() == Deployment.State.GIVEN_UP;
     }
 
     @Override
-    public void changed(Deployment change, Deployment.Step step) {}
+    public void transitioned(Deployment change, Deployment.Transition step) {}
 
     @Override
-    public void wants(ManagedRelay relay) {
+    public void desiredStateChanged(ManagedRelay relay) {
       wants.add(relay);
     }
 
     @Override
-    public void judged(Deployment change, Verdict verdict, String reason) {
-      changes.judged(change.number, change.stage(), verdict, reason, at(), 0);
+    public void verdictChanged(Deployment change, Verdict verdict, String reason) {
+      changes.reportVerdict(change.number, change.stage(), verdict, reason, at(), 0);
     }
 
     @Override
-    public void room(Map<Integer, Integer> byZone, String why) {
-      changes.room(byZone, why, at(), 0);
+    public void restartBudgetChanged(Map<Integer, Integer> byZone, String why) {
+      changes.setRestartBudget(byZone, why, at(), 0);
     }
 
     @Override
-    public void busy(int number, boolean is) {
+    public void busyChanged(int number, boolean is) {
       ManagedRelay relay = changes.relay(number);
-      changes.says(number, relay.zone(), is, relay.runs(), relay.ready(), relay.done(), at(), 0);
+      changes.reportStatus(
+          number,
+          relay.zone(),
+          is,
+          relay.observedVersion(),
+          relay.ready(),
+          relay.observedGeneration(),
+          at(),
+          0);
     }
   }
 
@@ -294,8 +311,8 @@
         if (fleet.last[i] == null || stage < 0) {
           continue;
         }
-        sums[fleet.fresh[i] ? 0 : 2] += fleet.last[i].worth();
-        sums[fleet.fresh[i] ? 1 : 3] += fleet.last[i].inTime();
+        sums[fleet.fresh[i] ? 0 : 2] += fleet.last[i].weight();
+        sums[fleet.fresh[i] ? 1 : 3] += fleet.last[i].weightInTime();
       }
       if (--ticks > 0) {
         return false;
