--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -142,13 +142,13 @@
 
   private static Engine engine(Path folder, int snapshotEvery, Engine.Clock clock)
       throws IOException {
-    DeploymentManager.Host nobody =
-        new DeploymentManager.Host() {
+    DeploymentManager.Listener nobody =
+        new DeploymentManager.Listener() {
           @Override
-          public void changed(Deployment change, Deployment.Step step) {}
+          public void transitioned(Deployment change, Deployment.Transition step) {}
 
           @Override
-          public void wants(ManagedRelay relay) {}
+          public void desiredStateChanged(ManagedRelay relay) {}
         };
     return new Engine(
         new FileStorage(folder),
@@ -198,13 +198,13 @@
 
     private void pass(long ms) {
       clock.passedMs += ms;
-      engine.commit();
+      engine.flush();
     }
 
     private void take(Input.Builder input) {
       clock.passedMs += 10;
-      engine.submit(input, outcome -> {});
-      engine.commit();
+      engine.append(input, outcome -> {});
+      engine.flush();
     }
 
     private void announced(String delivery, int build) {
@@ -268,15 +268,19 @@
                       .setRelay(relay)
                       .setZone(relay == RELAYS ? 2 : 1)
                       .setBusy(relay == 1)
-                      .setRuns(ChangeCodec.version(runs))
+                      .setRuns(DeploymentCodec.version(runs))
                       .setReady(ready)
                       .setDone(done)));
     }
 
     /** Each agent says that its relay runs what it was told. */
     private void agentsObey() {
-      for (ManagedRelay relay : List.copyOf(engine.changes().relays())) {
-        agent(relay.number, relay.wanted() == null ? OLD : relay.wanted(), true, relay.turn());
+      for (ManagedRelay relay : List.copyOf(engine.deployments().relays())) {
+        agent(
+            relay.number,
+            relay.desiredVersion() == null ? OLD : relay.desiredVersion(),
+            true,
+            relay.generation());
       }
     }
 
@@ -287,7 +291,7 @@
                   Proposed.newBuilder()
                       .setWho("ben")
                       .setWhy("newer")
-                      .setVersion(ChangeCodec.version(version))
+                      .setVersion(DeploymentCodec.version(version))
                       .setLive(live)));
     }
 
@@ -360,8 +364,8 @@
     private void failure() {
       take(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(4)));
       int moved =
-          engine.changes().relays().stream()
-              .filter(relay -> NEW.equals(relay.wanted()))
+          engine.deployments().relays().stream()
+              .filter(relay -> NEW.equals(relay.desiredVersion()))
               .findFirst()
               .orElseThrow()
               .number;
@@ -370,7 +374,7 @@
               .setFailed(
                   Failed.newBuilder()
                       .setRelay(moved)
-                      .setVersion(ChangeCodec.version(NEW))
+                      .setVersion(DeploymentCodec.version(NEW))
                       .setHow("ended with code 1")
                       .setTurn(1)));
     }
@@ -512,16 +516,16 @@
   private static void read(Path folder, List<State> states, List<Input> inputs, long[] lastWallMs)
       throws Exception {
     WriteAheadLog store = new WriteAheadLog(new FileStorage(folder), NEVER);
-    store.open(
+    store.replay(
         new WriteAheadLog.Reader() {
           @Override
-          public void state(State state) {
+          public void snapshot(State state) {
             states.add(state);
             lastWallMs[0] = state.getWallMs();
           }
 
           @Override
-          public void input(Input input) {
+          public void entry(Input input) {
             inputs.add(input);
             lastWallMs[0] = input.getWallMs();
           }
@@ -537,16 +541,16 @@
     StringBuilder text =
         new StringBuilder(
             "epoch "
-                + engine.releases().epoch()
+                + engine.rollouts().epoch()
                 + " at "
                 + engine.now().ms()
                 + ", inputs "
-                + engine.inputs()
+                + engine.entryCount()
                 + "\n");
-    for (Rollout release : engine.releases().all()) {
+    for (Rollout release : engine.rollouts().rollouts()) {
       text.append("build ").append(release.build).append(' ').append(release.artifact).append('\n');
       release
-          .steps()
+          .transitions()
           .forEach(
               step ->
                   text.append("  ")
@@ -556,25 +560,25 @@
                       .append(' ')
                       .append(step.wallMs())
                       .append(' ')
-                      .append(step.standing())
+                      .append(step.state())
                       .append(' ')
                       .append(step.stage())
                       .append(' ')
                       .append(step.cause())
                       .append('\n'));
     }
-    for (Deployment change : engine.changes().all()) {
+    for (Deployment change : engine.deployments().deployments()) {
       text.append("change ")
           .append(change.number)
           .append(" by ")
-          .append(change.who)
+          .append(change.proposedBy)
           .append(": ")
-          .append(change.why)
+          .append(change.reason)
           .append(", to ")
-          .append(change.to)
+          .append(change.toVersion)
           .append('\n');
       change
-          .steps()
+          .transitions()
           .forEach(
               step ->
                   text.append("  ")
@@ -591,16 +595,16 @@
                       .append(step.cause())
                       .append('\n'));
     }
-    for (ManagedRelay relay : engine.changes().relays()) {
+    for (ManagedRelay relay : engine.deployments().relays()) {
       text.append("relay ")
           .append(relay.number)
           .append(" turn ")
-          .append(relay.turn())
+          .append(relay.generation())
           .append(" wants ")
-          .append(relay.wanted())
+          .append(relay.desiredVersion())
           .append('\n');
     }
-    for (MaintenanceWindow freeze : engine.freezes().all()) {
+    for (MaintenanceWindow freeze : engine.maintenanceWindows().all()) {
       text.append("freeze ")
           .append(freeze.number)
           .append(" of ")
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -81,13 +81,13 @@
     }
 
     @Override
-    public Log open(String name) {
+    public AppendFile openForAppend(String name) {
       step();
       ByteArrayOutputStream file = now.computeIfAbsent(name, key -> new ByteArrayOutputStream());
       forced.putIfAbsent(name, new byte[0]);
-      return new Log() {
+      return new AppendFile() {
         @Override
-        public void add(byte[] bytes) throws IOException {
+        public void append(byte[] bytes) throws IOException {
           if (full) {
             file.write(bytes, 0, bytes.length / 2);
             throw new IOException("No space left on device");
@@ -97,7 +97,7 @@
         }
 
         @Override
-        public void force() {
+        public void fsync() {
           step();
           forced.put(name, file.toByteArray());
         }
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void put(String name, byte[] bytes) {
+    public void replaceAtomically(String name, byte[] bytes) {
       step();
       ByteArrayOutputStream file = new ByteArrayOutputStream();
       file.writeBytes(bytes);
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void cut(String name, long length) {
+    public void truncate(String name, long length) {
       step();
       byte[] cut = Arrays.copyOf(read(name), (int) length);
       now.get(name).reset();
@@ -182,16 +182,10 @@
         clock,
         (release, step) ->
             told.add(
-                step.sequence()
-                    + ": "
-                    + release.build
-                    + " "
-                    + step.standing()
-                    + " "
-                    + step.stage()),
-        new DeploymentManager.Host() {
+                step.sequence() + ": " + release.build + " " + step.state() + " " + step.stage()),
+        new DeploymentManager.Listener() {
           @Override
-          public void changed(Deployment change, Deployment.Step step) {
+          public void transitioned(Deployment change, Deployment.Transition step) {
             told.add(
                 "change "
                     + step.sequence()
@@ -204,21 +198,21 @@
           }
 
           @Override
-          public void wants(ManagedRelay relay) {
+          public void desiredStateChanged(ManagedRelay relay) {
             Version before =
                 wanted
                     .computeIfAbsent(relay.number, any -> new TreeMap<>())
-                    .putIfAbsent(relay.turn(), relay.wanted());
-            if (before != null && !before.equals(relay.wanted())) {
+                    .putIfAbsent(relay.generation(), relay.desiredVersion());
+            if (before != null && !before.equals(relay.desiredVersion())) {
               contradictions.add(
                   "relay "
                       + relay.number
                       + ", turn "
-                      + relay.turn()
+                      + relay.generation()
                       + ": "
                       + before
                       + ", then "
-                      + relay.wanted());
+                      + relay.desiredVersion());
             }
           }
         },
@@ -231,18 +225,18 @@
             AgentSays.newBuilder()
                 .setRelay(relay)
                 .setZone(relay % 2)
-                .setRuns(ChangeCodec.version(runs))
+                .setRuns(DeploymentCodec.version(runs))
                 .setReady(ready)
                 .setDone(done));
   }
 
   /** Something befalls what relays run. */
   private static Input.Builder ofChange(Engine engine, SplittableRandom random) {
-    DeploymentManager changes = engine.changes();
+    DeploymentManager changes = engine.deployments();
     int number = random.nextInt(6);
     ManagedRelay relay = changes.relay(number);
-    Deployment any = changes.under() != null ? changes.under() : changes.waiting();
-    boolean begun = relay != null && relay.wanted() != null;
+    Deployment any = changes.active() != null ? changes.active() : changes.pending();
+    boolean begun = relay != null && relay.desiredVersion() != null;
     return switch (random.nextInt(8)) {
       case 0 ->
           any != null
@@ -253,7 +247,7 @@
                       Proposed.newBuilder()
                           .setWho("ann")
                           .setWhy("why")
-                          .setVersion(ChangeCodec.version(VERSIONS[random.nextInt(2)])));
+                          .setVersion(DeploymentCodec.version(VERSIONS[random.nextInt(2)])));
       case 1 ->
           any == null
               ? says(number, VERSIONS[0], true, 0)
@@ -265,19 +259,23 @@
                           .setVerdict(random.nextInt(8) == 0 ? "WORSE" : "NO_WORSE"));
       case 2 ->
           any == null || random.nextInt(6) > 0
-              ? says(number, begun ? relay.wanted() : VERSIONS[0], true, begun ? relay.turn() : 0)
+              ? says(
+                  number,
+                  begun ? relay.desiredVersion() : VERSIONS[0],
+                  true,
+                  begun ? relay.generation() : 0)
               : Input.newBuilder()
                   .setFailed(
                       Failed.newBuilder()
                           .setRelay(number)
-                          .setVersion(ChangeCodec.version(any.to))
+                          .setVersion(DeploymentCodec.version(any.toVersion))
                           .setHow("ended"));
       default ->
           says(
               number,
-              begun ? relay.wanted() : VERSIONS[0],
+              begun ? relay.desiredVersion() : VERSIONS[0],
               random.nextInt(5) > 0,
-              begun ? relay.turn() : 0);
+              begun ? relay.generation() : 0);
     };
   }
 
@@ -309,23 +307,23 @@
   private void live(Engine engine, SplittableRandom random, List<Integer> taken, int turns) {
     for (int i = 0; i < turns; i++) {
       pass(random.nextInt(400));
-      int build = engine.releases().present().build;
-      int stage = engine.releases().present().stage();
+      int build = engine.rollouts().current().build;
+      int stage = engine.rollouts().current().stage();
       for (int j = random.nextInt(3); j >= 0; j--) {
         int next = build + 1 + random.nextInt(2);
         switch (random.nextInt(10)) {
-          case 6, 7, 8, 9 -> engine.submit(ofChange(engine, random), outcome -> {});
+          case 6, 7, 8, 9 -> engine.append(ofChange(engine, random), outcome -> {});
           case 0 ->
-              engine.submit(
+              engine.append(
                   announce("d" + next, next),
                   outcome -> {
-                    if (outcome.answer() == RolloutManager.Answer.TAKEN) {
+                    if (isTaken(outcome)) {
                       taken.add(next);
                     }
                   });
-          case 1 -> engine.submit(ready(build, 10), outcome -> {});
+          case 1 -> engine.append(ready(build, 10), outcome -> {});
           case 2 ->
-              engine.submit(
+              engine.append(
                   Input.newBuilder()
                       .setWord(
                           Word.newBuilder()
@@ -335,12 +333,12 @@
                               .setReason("why")),
                   outcome -> {});
           default ->
-              engine.submit(
+              engine.append(
                   vote(random.nextInt(4), build, stage, random.nextInt(9) == 0 ? "BACK" : "ON"),
                   outcome -> {});
         }
       }
-      engine.commit();
+      engine.flush();
     }
   }
 
@@ -369,12 +367,12 @@
         Engine next = engine(disk, every);
         next.start();
         List<String> steps = new ArrayList<>();
-        next.releases()
-            .all()
+        next.rollouts()
+            .rollouts()
             .forEach(
                 release ->
                     release
-                        .steps()
+                        .transitions()
                         .forEach(
                             step ->
                                 steps.add(
@@ -382,15 +380,15 @@
                                         + ": "
                                         + release.build
                                         + " "
-                                        + step.standing()
+                                        + step.state()
                                         + " "
                                         + step.stage())));
-        next.changes()
-            .all()
+        next.deployments()
+            .deployments()
             .forEach(
                 change ->
                     change
-                        .steps()
+                        .transitions()
                         .forEach(
                             step ->
                                 steps.add(
@@ -402,25 +400,25 @@
                                         + step.state()
                                         + " "
                                         + step.stage())));
-        for (ManagedRelay relay : next.changes().relays()) {
+        for (ManagedRelay relay : next.deployments().relays()) {
           if (wanted.get(relay.number) == null) {
             continue;
           }
           assertTrue(
-              relay.turn() >= wanted.get(relay.number).lastKey(),
+              relay.generation() >= wanted.get(relay.number).lastKey(),
               "a turn that was told is forgotten, crash at " + most);
         }
         assertTrue(
-            next.changes().relays().size() >= wanted.size(),
+            next.deployments().relays().size() >= wanted.size(),
             "a relay that was told something is forgotten");
         assertTrue(
             steps.containsAll(before),
             "told and forgotten, crash at " + most + ": " + before + " / " + steps);
         for (int build : taken) {
-          assertTrue(next.releases().of(build) != null, "answered and forgotten: " + build);
+          assertTrue(next.rollouts().rollout(build) != null, "answered and forgotten: " + build);
         }
         assertTrue(
-            next.releases().epoch() > engine.releases().epoch(), "what it tells now is not newer");
+            next.rollouts().epoch() > engine.rollouts().epoch(), "what it tells now is not newer");
         live(next, new SplittableRandom(1), taken, 5); // and it goes on
         assertEquals(contradictions, List.of());
         if (!crashed) {
@@ -439,18 +437,23 @@
       Engine engine = engine(disk, every);
       engine.start();
       live(engine, new SplittableRandom(3), new ArrayList<>(), 300);
-      while (engine.releases().due(engine.now()) || engine.changes().due(engine.now())) {
-        engine.commit(); // what a restart would do at once
+      while (engine.rollouts().transitionDue(engine.now())
+          || engine.deployments().transitionDue(engine.now())) {
+        engine.flush(); // what a restart would do at once
       }
       var before =
-          Codec.write(engine.releases(), engine.changes(), engine.freezes(), 0).toBuilder()
+          SnapshotCodec.writeSnapshot(
+                  engine.rollouts(), engine.deployments(), engine.maintenanceWindows(), 0)
+              .toBuilder()
               .clearEpoch()
               .build();
       disk.restart(Long.MAX_VALUE);
       Engine next = engine(disk, every);
       next.start();
       assertEquals(
-          Codec.write(next.releases(), next.changes(), next.freezes(), 0).toBuilder()
+          SnapshotCodec.writeSnapshot(
+                  next.rollouts(), next.deployments(), next.maintenanceWindows(), 0)
+              .toBuilder()
               .clearEpoch()
               .build(),
           before);
@@ -458,6 +461,16 @@
     }
   }
 
+  private static RolloutManager.AnnouncementResult announced(AppendResult result) {
+    AppendResult.Value value = ((AppendResult.Accepted) result).value();
+    return ((AppendResult.Announced) value).result();
+  }
+
+  private static boolean isTaken(AppendResult result) {
+    return result instanceof AppendResult.Accepted
+        && announced(result) == RolloutManager.AnnouncementResult.TAKEN;
+  }
+
   @Test
   public void theSameWebhookAfterARestartHasOneEffect() throws Exception {
     SimDisk disk = new SimDisk();
@@ -465,14 +478,16 @@
     for (int i = 0; i < 3; i++) {
       Engine engine = engine(disk, 2);
       engine.start();
-      engine.submit(announce("d", 2), outcome -> answers.add(outcome.answer()));
-      engine.submit(announce("d", 2), outcome -> answers.add(outcome.answer()));
-      engine.commit();
+      engine.append(announce("d", 2), outcome -> answers.add(announced(outcome)));
+      engine.append(announce("d", 2), outcome -> answers.add(announced(outcome)));
+      engine.flush();
       disk.restart(Long.MAX_VALUE);
     }
     assertEquals(
-        answers.subList(0, 2), List.of(RolloutManager.Answer.TAKEN, RolloutManager.Answer.AGAIN));
-    assertEquals(answers.stream().filter(RolloutManager.Answer.TAKEN::equals).count(), 1);
+        answers.subList(0, 2),
+        List.of(RolloutManager.AnnouncementResult.TAKEN, RolloutManager.AnnouncementResult.AGAIN));
+    assertEquals(
+        answers.stream().filter(RolloutManager.AnnouncementResult.TAKEN::equals).count(), 1);
   }
 
   @Test
@@ -482,28 +497,28 @@
     SimDisk disk = new SimDisk();
     Engine engine = engine(disk, 1000);
     engine.start();
-    engine.submit(announce("d", 2), outcome -> {});
-    engine.commit();
+    engine.append(announce("d", 2), outcome -> {});
+    engine.flush();
     disk.full = true;
     int before = told.size();
     List<String> refused = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      engine.submit(announce("e", 3), outcome -> refused.add(outcome.refused()));
-      engine.commit();
+      engine.append(
+          announce("e", 3), outcome -> refused.add(((AppendResult.Rejected) outcome).text()));
+      engine.flush();
     }
     assertEquals(told.size(), before);
     assertEquals(said, List.of("the store: it takes no more: No space left on device"));
     assertEquals(
         refused, java.util.Collections.nCopies(3, "it takes no more: No space left on device"));
     disk.full = false;
-    engine.submit(
-        announce("e", 3), outcome -> assertEquals(outcome.answer(), RolloutManager.Answer.TAKEN));
-    engine.commit();
-    assertEquals(engine.failed(), null);
+    engine.append(announce("e", 3), outcome -> assertTrue(isTaken(outcome)));
+    engine.flush();
+    assertEquals(engine.storageFailure(), null);
     disk.restart(Long.MAX_VALUE);
     Engine next = engine(disk, 1000);
     next.start();
-    assertEquals(next.releases().present().build, 3);
+    assertEquals(next.rollouts().current().build, 3);
   }
 
   @Test
@@ -512,8 +527,8 @@
     Engine engine = engine(new FileStorage(folder), 1000);
     engine.start();
     for (int i = 2; i < 12; i++) {
-      engine.submit(announce("d" + i, i), outcome -> {});
-      engine.commit();
+      engine.append(announce("d" + i, i), outcome -> {});
+      engine.flush();
     }
     engine.close();
     Path log = folder.resolve("inputs-0000000000000000");
@@ -527,7 +542,7 @@
         said.get(0)
             .contains("bytes of a record that was not finished are cut off; it was never told"),
         said.get(0));
-    assertEquals(cut.releases().present().build, 10);
+    assertEquals(cut.rollouts().current().build, 10);
     byte[] hole = good.clone();
     hole[good.length / 2] ^= 1;
     Path holed = only(hole);
@@ -561,22 +576,22 @@
     Path folder = Files.createTempDirectory("store");
     Engine old = engine(new FileStorage(folder), 1000);
     old.start();
-    old.submit(announce("a", 2), outcome -> {});
-    old.commit();
+    old.append(announce("a", 2), outcome -> {});
+    old.flush();
     Engine next = engine(new FileStorage(folder), 1000);
     next.start();
-    old.submit(announce("b", 9), outcome -> {}); // it was held up, and does not know
-    old.commit();
-    next.submit(announce("c", 3), outcome -> {});
-    next.commit();
+    old.append(announce("b", 9), outcome -> {}); // it was held up, and does not know
+    old.flush();
+    next.append(announce("c", 3), outcome -> {});
+    next.flush();
     Engine third = engine(new FileStorage(folder), 1000);
     third.start();
-    assertEquals(third.releases().present().build, 3);
-    assertEquals(third.releases().of(9), null);
-    old.onlyWhile(() -> false); // once it has looked at its lease
+    assertEquals(third.rollouts().current().build, 3);
+    assertEquals(third.rollouts().rollout(9), null);
+    old.setLeadershipCheck(() -> false); // once it has looked at its lease
     List<String> refused = new ArrayList<>();
-    old.submit(announce("d", 10), outcome -> refused.add(outcome.refused()));
-    old.commit();
+    old.append(announce("d", 10), outcome -> refused.add(((AppendResult.Rejected) outcome).text()));
+    old.flush();
     assertEquals(refused, List.of("another controller may act by now"));
   }
 
@@ -586,8 +601,8 @@
     Engine engine = engine(disk, 1000);
     engine.start();
     pass(5000);
-    engine.submit(announce("d", 2), outcome -> {});
-    engine.commit();
+    engine.append(announce("d", 2), outcome -> {});
+    engine.flush();
     double last = engine.now().ms();
     wall -= 3_600_000; // set back
     steady = 7; // another process
--- a/src/test/java/sprucerock/controller/FolderSeatTest.java
+++ b/src/test/java/sprucerock/controller/FolderSeatTest.java
@@ -31,12 +31,12 @@
     }
 
     @Override
-    public void put(String name, byte[] bytes) {
+    public void replaceAtomically(String name, byte[] bytes) {
       files.put(name, bytes);
     }
 
     @Override
-    public Log open(String name) {
+    public AppendFile openForAppend(String name) {
       throw new UnsupportedOperationException();
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void cut(String name, long length) {
+    public void truncate(String name, long length) {
       throw new UnsupportedOperationException();
     }
   }
--- a/src/test/java/sprucerock/controller/PlainReleases.java
+++ b/src/test/java/sprucerock/controller/PlainReleases.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sprucerock.controller.Rollout.Standing;
-import sprucerock.controller.RolloutManager.Say;
+import sprucerock.controller.Rollout.State;
+import sprucerock.controller.RolloutManager.Vote;
 
 /**
  * The same rules once more, as plain as can be: everything that ever happened is kept in lists, and
@@ -15,13 +15,13 @@
  * milliseconds.
  */
 final class PlainReleases {
-  record Vote(double at, int relay, int build, int stage, Say say) {}
+  record CastVote(double at, int relay, int build, int stage, Vote say) {}
 
-  record Change(double at, int build, int stage, Standing to) {}
+  record Change(double at, int build, int stage, State to) {}
 
   private final RolloutRules rules;
   private final int places;
-  private final List<Vote> votes = new ArrayList<>();
+  private final List<CastVote> votes = new ArrayList<>();
   final List<Change> changes = new ArrayList<>();
   private final Map<String, String> deliveries = new HashMap<>();
   private final Map<Integer, String> artifacts = new HashMap<>();
@@ -40,7 +40,7 @@
     present = first;
     earlier = first;
     artifacts.put(first, "");
-    changes.add(new Change(0, first, rules.stages().size() - 1, Standing.RELEASED));
+    changes.add(new Change(0, first, rules.stages().size() - 1, State.RELEASED));
   }
 
   Change last(int build) {
@@ -61,28 +61,28 @@
     return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * places - 1e-9));
   }
 
-  private boolean is(Standing standing) {
+  private boolean is(State standing) {
     return last(present).to == standing;
   }
 
   /** Relays whose last fitting vote since the last change is that one, and not too old. */
-  private int count(Say say, double now) {
-    Map<Integer, Vote> newest = new HashMap<>();
-    for (Vote one : votes) {
+  private int count(Vote say, double now) {
+    Map<Integer, CastVote> newest = new HashMap<>();
+    for (CastVote one : votes) {
       if (one.at >= last(present).at && one.build == present) {
         newest.put(one.relay, one);
       }
     }
     int count = 0;
-    for (Vote one : newest.values()) {
-      if (one.say == say && now < one.at + rules.voteLife().ms()) {
+    for (CastVote one : newest.values()) {
+      if (one.say == say && now < one.at + rules.voteValidity().ms()) {
         count++;
       }
     }
     return count;
   }
 
-  private void change(double now, int build, int stage, Standing to) {
+  private void change(double now, int build, int stage, State to) {
     changes.add(new Change(now, build, stage, to));
     if (build != present) {
       return;
@@ -92,73 +92,74 @@
     heldMs = 0;
   }
 
-  RolloutManager.Answer announced(String delivery, int build, String artifact, double now) {
+  RolloutManager.AnnouncementResult announced(
+      String delivery, int build, String artifact, double now) {
     String content = build + " " + artifact;
     if (deliveries.containsKey(delivery)) {
       return deliveries.get(delivery).equals(content)
-          ? RolloutManager.Answer.AGAIN
-          : RolloutManager.Answer.CONTRADICTS;
+          ? RolloutManager.AnnouncementResult.AGAIN
+          : RolloutManager.AnnouncementResult.CONTRADICTS;
     }
     deliveries.put(delivery, content);
     if (artifacts.containsKey(build)) {
       return artifacts.get(build).equals(artifact)
-          ? RolloutManager.Answer.KNOWN
-          : RolloutManager.Answer.CONTRADICTS;
+          ? RolloutManager.AnnouncementResult.KNOWN
+          : RolloutManager.AnnouncementResult.CONTRADICTS;
     }
     if (artifacts.keySet().stream().anyMatch(one -> one > build)) {
-      return RolloutManager.Answer.TOO_OLD;
+      return RolloutManager.AnnouncementResult.TOO_OLD;
     }
     artifacts.put(build, artifact);
-    changes.add(new Change(now, build, 0, Standing.ANNOUNCED));
+    changes.add(new Change(now, build, 0, State.ANNOUNCED));
     for (int other : new java.util.TreeSet<>(artifacts.keySet())) {
       if (other == build) {
         continue;
       }
       Change at = last(other);
-      if (at.to == Standing.ON_TRIAL || at.to == Standing.STARTING || at.to == Standing.ANNOUNCED) {
-        change(now, other, at.stage, Standing.SUPERSEDED);
+      if (at.to == State.ON_TRIAL || at.to == State.STARTING || at.to == State.ANNOUNCED) {
+        change(now, other, at.stage, State.SUPERSEDED);
       }
     }
     begin(now);
-    return RolloutManager.Answer.TAKEN;
+    return RolloutManager.AnnouncementResult.TAKEN;
   }
 
   private void begin(double now) {
-    if (is(Standing.GOING_BACK)) {
+    if (is(State.GOING_BACK)) {
       return;
     }
     for (int build : artifacts.keySet()) {
-      if (last(build).to != Standing.ANNOUNCED) {
+      if (last(build).to != State.ANNOUNCED) {
         continue;
       }
-      if (is(Standing.RELEASED)) {
+      if (is(State.RELEASED)) {
         earlier = present;
       }
       present = build;
-      change(now, build, 0, Standing.STARTING);
+      change(now, build, 0, State.STARTING);
       return;
     }
   }
 
-  boolean cast(int relay, int build, int stage, Say say, double now) {
-    boolean trial = is(Standing.ON_TRIAL);
+  boolean cast(int relay, int build, int stage, Vote say, double now) {
+    boolean trial = is(State.ON_TRIAL);
     boolean fits =
         build == present
-            && (say == Say.NOTHING
-                || say == Say.ON && trial && stage == last(present).stage
-                || say == Say.BACK && (trial || watched(now)));
+            && (say == Vote.NOTHING
+                || say == Vote.ON && trial && stage == last(present).stage
+                || say == Vote.BACK && (trial || watched(now)));
     if (!fits) {
       return false;
     }
-    votes.add(new Vote(now, relay, build, stage, say));
+    votes.add(new CastVote(now, relay, build, stage, say));
     settle(now);
     return true;
   }
 
   private boolean watched(double now) {
-    return is(Standing.RELEASED)
+    return is(State.RELEASED)
         && earlier != present
-        && now - last(present).at <= rules.watch().ms();
+        && now - last(present).at <= rules.observationTime().ms();
   }
 
   void hold(int build, boolean on, double now) {
@@ -167,7 +168,7 @@
       return;
     }
     boolean running =
-        at.to == Standing.STARTING || at.to == Standing.ON_TRIAL || at.to == Standing.ANNOUNCED;
+        at.to == State.STARTING || at.to == State.ON_TRIAL || at.to == State.ANNOUNCED;
     if (on && running && held.add(build)) {
       heldAt = now;
     } else if (!on && held.remove(build)) {
@@ -184,17 +185,13 @@
       return;
     }
     boolean running =
-        at.to == Standing.STARTING || at.to == Standing.ON_TRIAL || at.to == Standing.ANNOUNCED;
-    boolean last = build == present && at.to == Standing.RELEASED && earlier != build;
+        at.to == State.STARTING || at.to == State.ON_TRIAL || at.to == State.ANNOUNCED;
+    boolean last = build == present && at.to == State.RELEASED && earlier != build;
     if (!running && !last) {
       return;
     }
     held.remove(build);
-    change(
-        now,
-        build,
-        at.stage,
-        at.to == Standing.ANNOUNCED ? Standing.WITHDRAWN : Standing.GOING_BACK);
+    change(now, build, at.stage, at.to == State.ANNOUNCED ? State.WITHDRAWN : State.GOING_BACK);
   }
 
   void ready(int build, int many, double now) {
@@ -208,31 +205,31 @@
   void settle(double now) {
     boolean isHeld = held.contains(present);
     int there = endpoints.getOrDefault(present, 0);
-    if (is(Standing.STARTING) && !isHeld && there >= wanted(0)) {
-      change(now, present, 0, Standing.ON_TRIAL);
+    if (is(State.STARTING) && !isHeld && there >= wanted(0)) {
+      change(now, present, 0, State.ON_TRIAL);
       clockAt = now;
     }
-    if (is(Standing.ON_TRIAL) && clockAt < 0 && there >= wanted(last(present).stage)) {
+    if (is(State.ON_TRIAL) && clockAt < 0 && there >= wanted(last(present).stage)) {
       clockAt = now;
     }
-    boolean trial = is(Standing.ON_TRIAL);
-    boolean late = clockAt < 0 && !isHeld && now - last(present).at > rules.startWithin().ms();
-    if ((trial || is(Standing.STARTING)) && late
-        || (trial || watched(now)) && count(Say.BACK, now) >= rules.back()) {
-      change(now, present, last(present).stage, Standing.GOING_BACK);
+    boolean trial = is(State.ON_TRIAL);
+    boolean late = clockAt < 0 && !isHeld && now - last(present).at > rules.startTimeout().ms();
+    if ((trial || is(State.STARTING)) && late
+        || (trial || watched(now)) && count(Vote.BACK, now) >= rules.votesToRollBack()) {
+      change(now, present, last(present).stage, State.GOING_BACK);
     } else if (trial
         && clockAt >= 0
         && !isHeld
-        && now - clockAt - heldMs > rules.least().ms()
-        && count(Say.ON, now) >= rules.on()) {
+        && now - clockAt - heldMs > rules.minStageTime().ms()
+        && count(Vote.ON, now) >= rules.votesToAdvance()) {
       int stage = last(present).stage;
       boolean end = stage + 1 >= rules.stages().size();
-      change(now, present, end ? stage : stage + 1, end ? Standing.RELEASED : Standing.ON_TRIAL);
+      change(now, present, end ? stage : stage + 1, end ? State.RELEASED : State.ON_TRIAL);
       if (!end && there >= wanted(stage + 1)) {
         clockAt = now;
       }
-    } else if (is(Standing.GOING_BACK) && now - last(present).at > rules.goingBack().ms()) {
-      change(now, present, last(present).stage, Standing.WITHDRAWN);
+    } else if (is(State.GOING_BACK) && now - last(present).at > rules.rollbackTime().ms()) {
+      change(now, present, last(present).stage, State.WITHDRAWN);
       begin(now);
     }
   }
--- a/src/test/java/sprucerock/controller/ReleasesProperties.java
+++ b/src/test/java/sprucerock/controller/ReleasesProperties.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.ShrinkingMode;
-import sprucerock.controller.Rollout.Standing;
-import sprucerock.controller.RolloutManager.Say;
+import sprucerock.controller.Rollout.State;
+import sprucerock.controller.RolloutManager.Vote;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
@@ -70,12 +70,12 @@
                       || told.stream()
                           .filter(one -> one.build() == release.build)
                           .reduce((a, b) -> b)
-                          .map(one -> one.to() != step.standing() || one.stage() != step.stage())
+                          .map(one -> one.to() != step.state() || one.stage() != step.stage())
                           .orElse(true);
               if (moved) {
                 told.add(
                     new PlainReleases.Change(
-                        step.at().ms(), release.build, step.stage(), step.standing()));
+                        step.at().ms(), release.build, step.stage(), step.state()));
               }
             });
     PlainReleases plain = new PlainReleases(RULES, 10, 1);
@@ -85,21 +85,21 @@
     for (Event event : day) {
       at += event.afterMs;
       Timestamp now = Timestamp.ofMs(at);
-      int build = Math.max(1, core.present().build - 1 + event.other % 3);
-      int stage = event.other % 7 == 0 ? event.other % 3 : core.present().stage();
+      int build = Math.max(1, core.current().build - 1 + event.other % 3);
+      int stage = event.other % 7 == 0 ? event.other % 3 : core.current().stage();
       switch (event.what) {
         case 0, 1 -> {
           int offered = event.which % 4 == 0 ? 1 + event.which % newest : ++newest;
           String delivery = "d" + (event.which % 5 == 0 ? event.other % 6 : 1000 + newest);
           String artifact = "a" + event.other % 2;
           assertEquals(
-              core.announced(delivery, offered, artifact, "ci", now, 0),
+              core.announceDelivery(delivery, offered, artifact, "ci", now, 0),
               plain.announced(delivery, offered, artifact, at));
         }
         case 2 -> {
           boolean on = event.which % 2 == 0;
-          core.word(
-              on ? RolloutManager.Action.HOLD : RolloutManager.Action.RESUME,
+          core.command(
+              on ? RolloutManager.OperatorCommand.HOLD : RolloutManager.OperatorCommand.RESUME,
               build,
               "ann",
               "why",
@@ -111,42 +111,42 @@
           if (event.which % 4 > 0) {
             break;
           }
-          core.word(RolloutManager.Action.WITHDRAW, build, "ann", "why", now, 0);
+          core.command(RolloutManager.OperatorCommand.WITHDRAW, build, "ann", "why", now, 0);
           plain.withdraw(build, at);
         }
         case 4, 5, 6, 7, 8 -> {
           int endpoints = event.which % 12;
-          core.ready(core.present().build, endpoints, now, 0);
+          core.reportEndpoints(core.current().build, endpoints, now, 0);
           plain.ready(plain.present(), endpoints, at);
         }
         case 9, 10, 11 -> {
-          if (core.due(now)) {
+          if (core.transitionDue(now)) {
             core.tick(now, 0);
           }
           plain.settle(at);
         }
         default -> {
-          Say say =
+          Vote say =
               event.what == 12 && event.which % 3 == 0
-                  ? Say.BACK
-                  : event.what == 13 ? Say.NOTHING : Say.ON;
+                  ? Vote.BACK
+                  : event.what == 13 ? Vote.NOTHING : Vote.ON;
           int relay = event.which % 5;
           boolean counts =
-              core.cast(
+              core.castVote(
                       relay,
-                      core.present().build - (event.other % 9 == 0 ? 1 : 0),
+                      core.current().build - (event.other % 9 == 0 ? 1 : 0),
                       stage,
                       say,
                       now,
                       0)
-                  == RolloutManager.Taken.COUNTS;
+                  == RolloutManager.VoteResult.COUNTS;
           assertEquals(
               counts,
               plain.cast(relay, plain.present() - (event.other % 9 == 0 ? 1 : 0), stage, say, at));
         }
       }
-      assertEquals(core.present().build, plain.present());
-      assertEquals(core.present().standing(), plain.last(plain.present()).to());
+      assertEquals(core.current().build, plain.present());
+      assertEquals(core.current().state(), plain.last(plain.present()).to());
       assertEquals(told, plain.changes.subList(1, plain.changes.size()));
       never(core);
       assertTrue(core.sequence() >= steps);
@@ -156,23 +156,21 @@
 
   private static void never(RolloutManager core) {
     assertTrue(
-        core.all().stream()
-                .filter(
-                    one ->
-                        one.standing() == Standing.ON_TRIAL || one.standing() == Standing.STARTING)
+        core.rollouts().stream()
+                .filter(one -> one.state() == State.ON_TRIAL || one.state() == State.STARTING)
                 .count()
             <= 1,
         "two at a time");
-    RolloutManager.News news = core.news();
+    RolloutManager.RolloutStatus news = core.currentStatus();
     double most =
-        news.standing() == Standing.ON_TRIAL
-            ? RULES.stages().get(news.stage()).cap()
-            : news.standing() == Standing.RELEASED ? 1 : 0;
-    assertTrue(news.cap() <= most, news.toString());
+        news.state() == State.ON_TRIAL
+            ? RULES.stages().get(news.stage()).exposureCap()
+            : news.state() == State.RELEASED ? 1 : 0;
+    assertTrue(news.exposureCap() <= most, news.toString());
     assertTrue(
-        news.standing() != Standing.STARTING
-            && news.standing() != Standing.ANNOUNCED
-            && news.standing() != Standing.SUPERSEDED,
+        news.state() != State.STARTING
+            && news.state() != State.ANNOUNCED
+            && news.state() != State.SUPERSEDED,
         news.toString());
   }
 }
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -58,18 +58,18 @@
     }
 
     @Override
-    public Log open(String name) {
+    public AppendFile openForAppend(String name) {
       ByteArrayOutputStream file = files.computeIfAbsent(name, any -> new ByteArrayOutputStream());
-      return new Log() {
+      return new AppendFile() {
         @Override
-        public void add(byte[] more) {
+        public void append(byte[] more) {
           adds++;
           bytes += more.length;
           file.writeBytes(more);
         }
 
         @Override
-        public void force() {
+        public void fsync() {
           forces++;
         }
 
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public void put(String name, byte[] all) {
+    public void replaceAtomically(String name, byte[] all) {
       snapshots++;
       snapshotBytes = all.length;
       ByteArrayOutputStream file = new ByteArrayOutputStream();
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void cut(String name, long length) {
+    public void truncate(String name, long length) {
       throw new IllegalStateException("nothing is torn here");
     }
   }
@@ -143,14 +143,14 @@
               }
             },
             (release, step) -> {},
-            new DeploymentManager.Host() {
+            new DeploymentManager.Listener() {
               @Override
-              public void changed(Deployment change, Deployment.Step step) {
+              public void transitioned(Deployment change, Deployment.Transition step) {
                 // not counted
               }
 
               @Override
-              public void wants(ManagedRelay relay) {
+              public void desiredStateChanged(ManagedRelay relay) {
                 // not counted
               }
             },
@@ -160,7 +160,7 @@
   }
 
   private void says(int relay, int done) {
-    engine.submit(
+    engine.append(
         Input.newBuilder()
             .setAgent(
                 AgentSays.newBuilder()
@@ -169,14 +169,14 @@
                     .setRuns(RUNS)
                     .setReady(true)
                     .setDone(done)),
-        outcome -> assertEquals(outcome.refused(), null));
+        outcome -> assertTrue(outcome instanceof AppendResult.Accepted));
   }
 
   private void votes(int relay) {
-    engine.submit(
+    engine.append(
         Input.newBuilder()
             .setCast(Cast.newBuilder().setRelay(relay).setBuild(1).setStage(1).setSay("NOTHING")),
-        outcome -> assertEquals(outcome.refused(), null));
+        outcome -> assertTrue(outcome instanceof AppendResult.Accepted));
   }
 
   private static void print(String what, int size, double cost) {
@@ -195,11 +195,11 @@
       for (int i = 0; i < burst; i++) {
         one.votes(i);
       }
-      one.engine.commit();
+      one.engine.flush();
       print("records for the votes of one turn", burst, one.disk.adds - adds);
       print("bytes of a vote on disk", burst, (one.disk.bytes - bytes) / (double) burst);
       assertEquals(one.disk.forces - forces, 1, "forces for " + burst + " votes");
-      assertEquals(one.engine.inputs(), burst + 1, "each is there");
+      assertEquals(one.engine.entryCount(), burst + 1, "each is there");
       assertEquals(one.disk.adds - adds, burst, "records for " + burst + " votes of one turn");
     }
   }
@@ -222,7 +222,7 @@
         one.votes(relay);
       }
       long bytes = one.disk.bytes;
-      one.engine.commit();
+      one.engine.flush();
       print(
           "bytes of an agent's word and a vote on disk",
           sizes[i],
--- a/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
+++ b/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
@@ -5,7 +5,7 @@
 
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
-import sprucerock.controller.comparison.Comparison.Answer;
+import sprucerock.controller.comparison.Comparison.Result;
 
 /**
  * What is told of old and new side by side; chance from seeds, so each verdict is the same every
@@ -42,15 +42,15 @@
     Comparison comparison = new Comparison(0.02, 0.1, 0.05, 0.02, 0.01);
     MatchedWindows[] all = new MatchedWindows[couples];
     for (int i = 0; i < couples; i++) {
-      all[i] = comparison.couple();
+      all[i] = comparison.newPair();
       for (int w = 0; w < 30; w++) {
-        all[i].before(window(40, old, 60), window(40, old, 60));
+        all[i].recordBefore(window(40, old, 60), window(40, old, 60));
       }
     }
     for (int w = 0; w < windows; w++) {
       double shared = w % 20 < 5 ? 0.2 : 0; // now and then everybody is worse
       for (MatchedWindows one : all) {
-        one.after(window(40, fresh + shared, freshMs), window(40, old + shared, 60));
+        one.recordAfter(window(40, fresh + shared, freshMs), window(40, old + shared, 60));
       }
     }
     return comparison;
@@ -61,11 +61,11 @@
     int stopped = 0;
     int known = 0;
     for (int i = 0; i < 200; i++) {
-      Answer answer = play(5, 60, 0.02, 0.02, 60).answer(1);
-      if (answer == Answer.WORSE) {
+      Result answer = play(5, 60, 0.02, 0.02, 60).result(1);
+      if (answer == Result.WORSE) {
         stopped++;
       }
-      if (answer == Answer.NO_WORSE) {
+      if (answer == Result.NO_WORSE) {
         known++;
       }
     }
@@ -77,7 +77,7 @@
   public void aVersionThatLosesOneInTwentyIsFoundByFewRelays() {
     int found = 0;
     for (int i = 0; i < 50; i++) {
-      if (play(5, 60, 0.02, 0.07, 60).answer(0) == Answer.WORSE) {
+      if (play(5, 60, 0.02, 0.07, 60).result(0) == Result.WORSE) {
         found++;
       }
     }
@@ -86,48 +86,49 @@
 
   @Test
   public void slownessAloneIsFoundThoughAllIsServed() {
-    assertEquals(play(5, 60, 0.02, 0.02, 90).answer(0), Answer.WORSE);
+    assertEquals(play(5, 60, 0.02, 0.02, 90).result(0), Result.WORSE);
     assertTrue(
-        play(5, 60, 0.02, 0.02, 90).why().startsWith("latency"), play(5, 60, 0.02, 0.02, 90).why());
+        play(5, 60, 0.02, 0.02, 90).explanation().startsWith("latency"),
+        play(5, 60, 0.02, 0.02, 90).explanation());
   }
 
   @Test
   public void nothingIsSaidOfWhatWasNotSeen() {
     Comparison comparison = new Comparison(0.02, 0.1);
-    assertEquals(comparison.answer(0), Answer.NOT_SURE);
+    assertEquals(comparison.result(0), Result.NOT_SURE);
     comparison
-        .couple()
-        .after(window(20, 0, 60), window(400, 0, 60)); // one of them too quiet for a look
-    assertEquals(comparison.answer(0), Answer.NOT_SURE);
-    assertEquals(comparison.why(), "nothing was seen side by side yet");
+        .newPair()
+        .recordAfter(window(20, 0, 60), window(400, 0, 60)); // one of them too quiet for a look
+    assertEquals(comparison.result(0), Result.NOT_SURE);
+    assertEquals(comparison.explanation(), "nothing was seen side by side yet");
   }
 
   @Test
   public void whatARelayDiffersInByItselfIsNotBlamedOnItsChange() {
     Comparison comparison = new Comparison(0.02, 0.1);
-    MatchedWindows couple = comparison.couple();
+    MatchedWindows couple = comparison.newPair();
     for (int w = 0; w < 30; w++) {
-      couple.before(window(40, 0.10, 90), window(40, 0.02, 60));
+      couple.recordBefore(window(40, 0.10, 90), window(40, 0.02, 60));
     }
     for (int w = 0; w < 300; w++) {
-      couple.after(window(40, 0.10, 90), window(40, 0.02, 60));
+      couple.recordAfter(window(40, 0.10, 90), window(40, 0.02, 60));
     }
-    assertTrue(comparison.answer(0) != Answer.WORSE, comparison.why());
+    assertTrue(comparison.result(0) != Result.WORSE, comparison.explanation());
   }
 
   @Test
   public void harmToThoseThatDidNotChangeIsSeenAndEnds() {
-    Level level = new Level(15);
+    BaselineLevel level = new BaselineLevel(15);
     for (int w = 0; w < 15; w++) {
-      level.seen(window(1000, 0.02, 60));
+      level.record(window(1000, 0.02, 60));
     }
-    level.stage();
+    level.stageStarted();
     for (int w = 0; w < 8; w++) {
-      level.seen(window(1000, 0.10, 60));
+      level.record(window(1000, 0.10, 60));
     }
-    assertEquals(level.lowFor(), 8);
-    level.seen(window(1000, 0.02, 60));
-    assertEquals(level.lowFor(), 0);
+    assertEquals(level.windowsBelowBaseline(), 8);
+    level.record(window(1000, 0.02, 60));
+    assertEquals(level.windowsBelowBaseline(), 0);
   }
 
   @Test
@@ -138,7 +139,7 @@
       for (int n = 0; n < 500; n++) {
         wager.add(random.nextBoolean() ? 0.5 : -0.5);
       }
-      if (wager.passed(0.05)) {
+      if (wager.everExceeded(0.05)) {
         rich++;
       }
     }
--- a/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
@@ -20,7 +20,7 @@
 class ChangesProperties {
   private static final int ZONES = 3;
 
-  private static final class Wild implements DeploymentManager.Host {
+  private static final class Wild implements DeploymentManager.Listener {
     final SplittableRandom random;
     final DeploymentManager changes = new DeploymentManager(ChangesTest.PLAN, this);
     final Map<Integer, Integer> turns = new HashMap<>();
@@ -33,7 +33,8 @@
       random = new SplittableRandom(seed);
       this.relays = relays;
       for (int i = 0; i < relays; i++) {
-        changes.says(i, i % ZONES, random.nextInt(3) == 0, ChangesTest.OLD, true, 0, at(), 0);
+        changes.reportStatus(
+            i, i % ZONES, random.nextInt(3) == 0, ChangesTest.OLD, true, 0, at(), 0);
       }
     }
 
@@ -43,9 +44,10 @@
 
     private boolean away(ManagedRelay relay) {
       return !relay.ready()
-          || relay.silent()
-          || relay.wanted() != null
-              && (relay.done() != relay.turn() || !relay.runs().equals(relay.wanted()));
+          || relay.unreachable()
+          || relay.desiredVersion() != null
+              && (relay.observedGeneration() != relay.generation()
+                  || !relay.observedVersion().equals(relay.desiredVersion()));
     }
 
     int away(int zone) {
@@ -59,19 +61,19 @@
     }
 
     @Override
-    public void wants(ManagedRelay relay) {
-      assertTrue(relay.turn() >= turns.getOrDefault(relay.number, 0), "a turn went back");
-      turns.put(relay.number, relay.turn());
-      if (relay.turn() == 0) {
+    public void desiredStateChanged(ManagedRelay relay) {
+      assertTrue(relay.generation() >= turns.getOrDefault(relay.number, 0), "a turn went back");
+      turns.put(relay.number, relay.generation());
+      if (relay.generation() == 0) {
         return;
       }
       int size = (relays + ZONES - 1 - relay.zone()) / ZONES;
-      Deployment under = changes.under();
+      Deployment under = changes.active();
       boolean back =
           under == null || under.state() == State.GOING_BACK || under.state() == State.DONE;
       int most = Math.min(Math.max(1, (int) (0.2 * size)), back ? Math.max(1, room) : room);
       // it was told just now: it counts among those away, unless it was so before
-      if (relay.ready() && !relay.silent() && !back) {
+      if (relay.ready() && !relay.unreachable() && !back) {
         assertTrue(
             away(relay.zone()) <= most,
             "relay "
@@ -86,13 +88,13 @@
     }
 
     @Override
-    public void changed(Deployment change, Deployment.Step step) {
+    public void transitioned(Deployment change, Deployment.Transition step) {
       if (step.state() == State.MOVING
           && step.stage() > 0
           && !step.cause().startsWith("held")
           && !step.cause().startsWith("resumed")
           && !step.cause().startsWith("relays are")
-          && !change.beside().isEmpty()) {
+          && !change.controls().isEmpty()) {
         assertTrue(verdict, "stage " + step.stage() + " began without evidence");
       }
       if (step.state() != State.PROPOSED) {
@@ -105,19 +107,26 @@
       now += random.nextInt(1500);
       int number = random.nextInt(relays);
       ManagedRelay relay = changes.relay(number);
-      Deployment under = changes.under();
+      Deployment under = changes.active();
       switch (random.nextInt(14)) {
-        case 0 -> changes.silent(number, at(), 0);
+        case 0 -> changes.reportUnreachable(number, at(), 0);
         case 1 ->
-            changes.says(
-                number, relay.zone(), relay.busy(), relay.runs(), false, relay.done(), at(), 0);
+            changes.reportStatus(
+                number,
+                relay.zone(),
+                relay.busy(),
+                relay.observedVersion(),
+                false,
+                relay.observedGeneration(),
+                at(),
+                0);
         case 2 -> {
           if (under == null || random.nextInt(4) > 0) {
             return;
           }
-          changes.failed(
+          changes.reportFailure(
               number,
-              random.nextBoolean() ? under.to : under.from,
+              random.nextBoolean() ? under.toVersion : under.fromVersion,
               0,
               "ended with code 1",
               at(),
@@ -131,7 +140,7 @@
           verdict =
               is == Verdict.NO_WORSE
                   && (under.state() == State.MOVING || under.state() == State.WATCHED);
-          changes.judged(under.number, under.stage(), is, "", at(), 0);
+          changes.reportVerdict(under.number, under.stage(), is, "", at(), 0);
         }
         case 4 -> {
           room = random.nextInt(4);
@@ -139,19 +148,19 @@
           for (int zone = 0; zone < ZONES; zone++) {
             byZone.put(zone, room);
           }
-          changes.room(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
+          changes.setRestartBudget(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
         }
-        case 5 -> changes.releasing(random.nextInt(4) == 0, at(), 0);
+        case 5 -> changes.rolloutInProgress(random.nextInt(4) == 0, at(), 0);
         case 6 -> {
-          if (changes.waiting() == null && under == null) {
-            boolean old = changes.usual().equals(ChangesTest.OLD);
+          if (changes.pending() == null && under == null) {
+            boolean old = changes.baselineVersion().equals(ChangesTest.OLD);
             changes.propose("any", "one", old ? ChangesTest.NEW : ChangesTest.OLD, false, at(), 0);
           }
         }
         case 7 -> {
           if (under != null && random.nextInt(10) == 0) {
-            changes.word(
-                DeploymentManager.Word.values()[random.nextInt(3)],
+            changes.command(
+                DeploymentManager.OperatorCommand.values()[random.nextInt(3)],
                 under.number,
                 "any",
                 "one",
@@ -160,9 +169,10 @@
           }
         }
         case 8, 9 -> {
-          Deployment waits = changes.waiting();
+          Deployment waits = changes.pending();
           if (waits != null) {
-            changes.checked(number, waits.number, random.nextInt(60) == 0 ? "no" : "", at(), 0);
+            changes.reportValidation(
+                number, waits.number, random.nextInt(60) == 0 ? "no" : "", at(), 0);
           }
         }
         case 10 -> changes.tick(at(), 0);
@@ -171,8 +181,10 @@
     }
 
     void obey(ManagedRelay relay) {
-      Version runs = relay.wanted() == null ? relay.runs() : relay.wanted();
-      changes.says(relay.number, relay.zone(), relay.busy(), runs, true, relay.turn(), at(), 0);
+      Version runs =
+          relay.desiredVersion() == null ? relay.observedVersion() : relay.desiredVersion();
+      changes.reportStatus(
+          relay.number, relay.zone(), relay.busy(), runs, true, relay.generation(), at(), 0);
     }
   }
 
@@ -191,9 +203,9 @@
     for (int i = 0; i < 300; i++) {
       wild.step();
     }
-    wild.changes.releasing(false, wild.at(), 0);
+    wild.changes.rolloutInProgress(false, wild.at(), 0);
     wild.room = 99;
-    wild.changes.room(Map.of(), "", wild.at(), 0);
+    wild.changes.setRestartBudget(Map.of(), "", wild.at(), 0);
     for (int i = 0; i < 400; i++) { // agents obey, nobody speaks, time passes
       wild.now += 5000;
       for (ManagedRelay relay : java.util.List.copyOf(wild.changes.relays())) {
@@ -201,7 +213,7 @@
       }
       wild.changes.tick(wild.at(), 0);
     }
-    for (Deployment one : wild.changes.all()) {
+    for (Deployment one : wild.changes.deployments()) {
       assertTrue(
           !one.state().open(),
           "change "
@@ -209,13 +221,15 @@
               + " is "
               + one.state()
               + " still: "
-              + wild.changes.waitsFor(one, wild.at()));
+              + wild.changes.blockers(one, wild.at()));
     }
     for (ManagedRelay relay : wild.changes.relays()) {
       boolean refused =
-          wild.changes.all().stream().anyMatch(one -> one.refused().containsKey(relay.number));
-      if (wild.changes.all().stream().anyMatch(one -> one.state() == State.DONE) && !refused) {
-        assertEquals(relay.runs(), wild.changes.current());
+          wild.changes.deployments().stream()
+              .anyMatch(one -> one.rejections().containsKey(relay.number));
+      if (wild.changes.deployments().stream().anyMatch(one -> one.state() == State.DONE)
+          && !refused) {
+        assertEquals(relay.observedVersion(), wild.changes.currentVersion());
       }
     }
   }
@@ -232,17 +246,17 @@
       DeploymentManager back =
           new DeploymentManager(
               ChangesTest.PLAN,
-              new DeploymentManager.Host() {
+              new DeploymentManager.Listener() {
                 @Override
-                public void changed(Deployment change, Deployment.Step step) {}
+                public void transitioned(Deployment change, Deployment.Transition step) {}
 
                 @Override
-                public void wants(ManagedRelay relay) {}
+                public void desiredStateChanged(ManagedRelay relay) {}
               });
-      DeploymentState before = DeploymentState.of(wild.changes);
-      before.into(back);
-      assertEquals(DeploymentState.of(back), before);
-      assertEquals(back.due(wild.at()), wild.changes.due(wild.at()));
+      DeploymentSnapshot before = DeploymentSnapshot.of(wild.changes);
+      before.restore(back);
+      assertEquals(DeploymentSnapshot.of(back), before);
+      assertEquals(back.transitionDue(wild.at()), wild.changes.transitionDue(wild.at()));
     }
   }
 }
--- a/src/test/java/sprucerock/controller/deployment/ChangesTest.java
+++ b/src/test/java/sprucerock/controller/deployment/ChangesTest.java
@@ -34,16 +34,16 @@
    * So many relays in two zones, each third one busy, whose agents do at once what is wanted of
    * them.
    */
-  static final class Fleet implements DeploymentManager.Host {
+  static final class Fleet implements DeploymentManager.Listener {
     final DeploymentManager changes;
-    final List<Deployment.Step> steps = new ArrayList<>();
+    final List<Deployment.Transition> steps = new ArrayList<>();
     final List<ManagedRelay> wants = new ArrayList<>();
     double now = 1000;
 
     Fleet(int relays) {
       changes = new DeploymentManager(PLAN, this);
       for (int i = 0; i < relays; i++) {
-        changes.says(i, i % 2, i % 3 == 0, OLD, true, 0, at(), 0);
+        changes.reportStatus(i, i % 2, i % 3 == 0, OLD, true, 0, at(), 0);
       }
     }
 
@@ -53,27 +53,28 @@
 
     void says(int number, Version runs, boolean ready) {
       ManagedRelay relay = changes.relay(number);
-      changes.says(number, relay.zone, relay.busy, runs, ready, relay.turn(), at(), 0);
+      changes.reportStatus(
+          number, relay.zone, relay.busy, runs, ready, relay.generation(), at(), 0);
     }
 
     /** All that are to run something else do so, one after another, each for a moment away. */
     void obey() {
       while (!wants.isEmpty()) {
         ManagedRelay next = wants.remove(0);
-        if (next.silent()) {
+        if (next.unreachable()) {
           continue;
         }
-        says(next.number, next.wanted(), false);
+        says(next.number, next.desiredVersion(), false);
         now += 300;
-        says(next.number, next.wanted(), true);
+        says(next.number, next.desiredVersion(), true);
       }
     }
 
     Deployment propose() {
       assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
-      Deployment change = changes.waiting();
+      Deployment change = changes.pending();
       for (ManagedRelay relay : List.copyOf(changes.relays())) {
-        changes.checked(relay.number, change.number, "", at(), 0);
+        changes.reportValidation(relay.number, change.number, "", at(), 0);
       }
       return change;
     }
@@ -86,7 +87,7 @@
     int on(Version version) {
       int count = 0;
       for (ManagedRelay relay : changes.relays()) {
-        if (relay.runs().equals(version)) {
+        if (relay.observedVersion().equals(version)) {
           count++;
         }
       }
@@ -94,18 +95,19 @@
     }
 
     @Override
-    public void changed(Deployment change, Deployment.Step step) {
+    public void transitioned(Deployment change, Deployment.Transition step) {
       steps.add(step);
     }
 
     @Override
-    public void wants(ManagedRelay relay) {
+    public void desiredStateChanged(ManagedRelay relay) {
       wants.add(relay);
     }
   }
 
   private static void fine(Fleet fleet, Deployment change) {
-    fleet.changes.judged(change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+    fleet.changes.reportVerdict(
+        change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
   }
 
   @Test
@@ -115,10 +117,10 @@
     assertEquals(change.state(), State.MOVING);
     fleet.obey();
     assertEquals(fleet.on(NEW), 1);
-    assertEquals(change.beside().size(), 1);
-    int control = change.beside().values().iterator().next();
-    assertEquals(fleet.changes.relay(control).runs(), OLD);
-    assertEquals(fleet.changes.relay(control).turn(), 1); // restarted with it
+    assertEquals(change.controls().size(), 1);
+    int control = change.controls().values().iterator().next();
+    assertEquals(fleet.changes.relay(control).observedVersion(), OLD);
+    assertEquals(fleet.changes.relay(control).generation(), 1); // restarted with it
     assertEquals(change.state(), State.WATCHED);
     fleet.pass(11_000);
     assertEquals(change.stage(), 0); // time alone is no evidence
@@ -126,7 +128,7 @@
     assertEquals(change.stage(), 1);
     fleet.obey();
     assertEquals(fleet.on(NEW), 5);
-    assertEquals(change.beside().size(), 5);
+    assertEquals(change.controls().size(), 5);
     fine(fleet, change);
     assertEquals(change.stage(), 1); // evidence alone is too quick
     fleet.pass(11_000);
@@ -134,7 +136,7 @@
     assertEquals(fleet.on(NEW), 20);
     fleet.pass(11_000);
     assertEquals(change.state(), State.DONE);
-    assertEquals(fleet.changes.current(), NEW);
+    assertEquals(fleet.changes.currentVersion(), NEW);
   }
 
   @Test
@@ -145,28 +147,28 @@
     fine(fleet, change);
     fleet.pass(11_000);
     fleet.obey();
-    List<Integer> moved = List.copyOf(change.moved());
-    fleet.changes.judged(change.number, 1, Verdict.WORSE, "unserved +0.05", fleet.at(), 0);
+    List<Integer> moved = List.copyOf(change.updated());
+    fleet.changes.reportVerdict(change.number, 1, Verdict.WORSE, "unserved +0.05", fleet.at(), 0);
     assertEquals(change.state(), State.GOING_BACK);
     assertEquals(fleet.wants.get(0).number, (int) moved.get(moved.size() - 1));
     fleet.obey();
     assertEquals(fleet.on(NEW), 0);
     assertEquals(change.state(), State.GIVEN_UP);
     assertTrue(fleet.steps.stream().anyMatch(step -> step.cause().equals("worse: unserved +0.05")));
-    assertEquals(fleet.changes.current(), OLD);
+    assertEquals(fleet.changes.currentVersion(), OLD);
   }
 
   @Test
   public void aRelayThatEndsByItselfOnTheNewVersionStopsItAtOnce() {
     Fleet fleet = new Fleet(20);
     Deployment change = fleet.propose();
-    int first = change.moved().iterator().next();
+    int first = change.updated().iterator().next();
     fleet.says(first, NEW, false);
-    fleet.changes.failed(first, NEW, 0, "ended with code 3", fleet.at(), 0);
+    fleet.changes.reportFailure(first, NEW, 0, "ended with code 3", fleet.at(), 0);
     assertEquals(change.state(), State.GOING_BACK);
     fleet.obey();
     assertEquals(change.state(), State.GIVEN_UP);
-    fleet.changes.failed(
+    fleet.changes.reportFailure(
         5,
         OLD,
         0,
@@ -179,14 +181,14 @@
   public void aFailureThatIsToldAgainDoesNotStopTheSameVersionProposedAnew() {
     Fleet fleet = new Fleet(20);
     Deployment change = fleet.propose();
-    int first = change.moved().iterator().next();
-    int turn = fleet.changes.relay(first).turn();
-    fleet.changes.failed(first, NEW, turn, "the disk was full", fleet.at(), 0);
+    int first = change.updated().iterator().next();
+    int turn = fleet.changes.relay(first).generation();
+    fleet.changes.reportFailure(first, NEW, turn, "the disk was full", fleet.at(), 0);
     fleet.obey();
     assertEquals(change.state(), State.GIVEN_UP);
     Deployment again = fleet.propose();
-    assertTrue(again.moved().contains(first), "the story needs the same relay first");
-    fleet.changes.failed(
+    assertTrue(again.updated().contains(first), "the story needs the same relay first");
+    fleet.changes.reportFailure(
         first,
         NEW,
         turn,
@@ -195,8 +197,8 @@
         0); // a controller that started is told once more
     assertTrue(
         again.state() == State.MOVING || again.state() == State.WATCHED, again.state().toString());
-    fleet.changes.failed(
-        first, NEW, fleet.changes.relay(first).turn(), "ended with code 3", fleet.at(), 0);
+    fleet.changes.reportFailure(
+        first, NEW, fleet.changes.relay(first).generation(), "ended with code 3", fleet.at(), 0);
     assertEquals(again.state(), State.GOING_BACK);
   }
 
@@ -204,15 +206,15 @@
   public void aRelayThatIsNeverReadyOrNeverHeardAgainStopsIt() {
     Fleet slow = new Fleet(20);
     Deployment change = slow.propose();
-    slow.says(change.moved().iterator().next(), NEW, false);
+    slow.says(change.updated().iterator().next(), NEW, false);
     slow.pass(21_000);
     assertEquals(change.state(), State.GOING_BACK);
     Fleet gone = new Fleet(20);
     Deployment other = gone.propose();
-    gone.changes.silent(other.moved().iterator().next(), gone.at(), 0);
+    gone.changes.reportUnreachable(other.updated().iterator().next(), gone.at(), 0);
     assertEquals(
         other.state(), State.GIVEN_UP); // nobody is there to go back: it is told once it is heard
-    assertEquals(gone.changes.relay(other.moved().iterator().next()).wanted(), OLD);
+    assertEquals(gone.changes.relay(other.updated().iterator().next()).desiredVersion(), OLD);
   }
 
   /**
@@ -223,13 +225,20 @@
   public void aRelayThatFellBackByItselfIsNotWaitedForInVain() {
     Fleet fleet = new Fleet(3);
     Deployment change = fleet.propose();
-    int first = change.moved().iterator().next();
+    int first = change.updated().iterator().next();
     fleet.says(first, NEW, false);
     ManagedRelay relay = fleet.changes.relay(first);
-    fleet.changes.says(
-        first, relay.zone(), relay.busy(), OLD, true, relay.done() - 1, fleet.at(), 0);
+    fleet.changes.reportStatus(
+        first,
+        relay.zone(),
+        relay.busy(),
+        OLD,
+        true,
+        relay.observedGeneration() - 1,
+        fleet.at(),
+        0);
     fleet.wants.clear();
-    fleet.changes.failed(first, NEW, 0, "ended with code 3", fleet.at(), 0);
+    fleet.changes.reportFailure(first, NEW, 0, "ended with code 3", fleet.at(), 0);
     fleet.obey();
     assertEquals(change.state(), State.GIVEN_UP);
   }
@@ -238,23 +247,26 @@
   public void aFileThatSomeRefuseIsGivenUpBeforeAnyoneIsMoved() {
     Fleet fleet = new Fleet(20);
     assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
-    Deployment change = fleet.changes.waiting();
+    Deployment change = fleet.changes.pending();
     for (int i = 0; i < 3; i++) {
-      fleet.changes.checked(i, change.number, "relay.xml:12: sockets is above 0", fleet.at(), 0);
+      fleet.changes.reportValidation(
+          i, change.number, "relay.xml:12: sockets is above 0", fleet.at(), 0);
     }
     assertEquals(change.state(), State.GIVEN_UP);
     assertTrue(
-        change.steps().get(1).cause().contains("relay.xml:12"), change.steps().get(1).cause());
-    assertTrue(fleet.wants.stream().noneMatch(relay -> relay.turn() > 0));
+        change.transitions().get(1).cause().contains("relay.xml:12"),
+        change.transitions().get(1).cause());
+    assertTrue(fleet.wants.stream().noneMatch(relay -> relay.generation() > 0));
   }
 
   @Test
   public void oneMachineThatRefusesIsLeftOut() {
     Fleet fleet = new Fleet(20);
     assertNull(fleet.changes.propose("eve", "new limits", NEW, false, fleet.at(), 0));
-    Deployment change = fleet.changes.waiting();
+    Deployment change = fleet.changes.pending();
     for (int i = 0; i < 20; i++) {
-      fleet.changes.checked(i, change.number, i == 4 ? "its disk is full" : "", fleet.at(), 0);
+      fleet.changes.reportValidation(
+          i, change.number, i == 4 ? "its disk is full" : "", fleet.at(), 0);
     }
     for (int stage = 0; stage < 3; stage++) {
       fleet.obey();
@@ -263,13 +275,13 @@
     }
     assertEquals(change.state(), State.DONE);
     assertEquals(fleet.on(NEW), 19);
-    assertEquals(fleet.changes.relay(4).runs(), OLD);
+    assertEquals(fleet.changes.relay(4).observedVersion(), OLD);
   }
 
   @Test
   public void noMoreAreOutThanTheRoomAllows() {
     Fleet fleet = new Fleet(20);
-    fleet.changes.room(Map.of(0, 1, 1, 1), "", fleet.at(), 0);
+    fleet.changes.setRestartBudget(Map.of(0, 1, 1, 1), "", fleet.at(), 0);
     Deployment change = fleet.propose();
     fleet.obey();
     fine(fleet, change);
@@ -278,36 +290,36 @@
     assertTrue(
         fleet.wants.size() <= 2,
         fleet.wants.size() + " were told with room for one in each of two zones");
-    fleet.changes.silent(
+    fleet.changes.reportUnreachable(
         fleet.wants.get(0).number == 19 ? 18 : 19, fleet.at(), 0); // an outage takes up the room
-    int before = change.moved().size();
+    int before = change.updated().size();
     fleet.obey();
-    assertTrue(change.moved().size() >= before);
-    fleet.changes.room(Map.of(0, 0, 1, 0), "", fleet.at(), 0);
-    before = change.moved().size();
+    assertTrue(change.updated().size() >= before);
+    fleet.changes.setRestartBudget(Map.of(0, 0, 1, 0), "", fleet.at(), 0);
+    before = change.updated().size();
     fleet.obey();
     fleet.pass(1000);
-    assertEquals(change.moved().size(), before);
+    assertEquals(change.updated().size(), before);
   }
 
   @Test
   public void nothingIsMovedWhileABuildIsOnTrialOrInASurge() {
     Fleet fleet = new Fleet(20);
-    fleet.changes.releasing(true, fleet.at(), 0);
+    fleet.changes.rolloutInProgress(true, fleet.at(), 0);
     Deployment change = fleet.propose();
     assertEquals(change.state(), State.CHECKED);
     assertTrue(
         fleet
             .changes
-            .waitsFor(change, fleet.at())
+            .blockers(change, fleet.at())
             .contains("a build of the units to be off trial"));
-    fleet.changes.releasing(false, fleet.at(), 0);
+    fleet.changes.rolloutInProgress(false, fleet.at(), 0);
     fleet.obey();
-    fleet.changes.room(Map.of(), "those that did not change serve 0.8", fleet.at(), 0);
+    fleet.changes.setRestartBudget(Map.of(), "those that did not change serve 0.8", fleet.at(), 0);
     fine(fleet, change);
     fleet.pass(30_000);
     assertEquals(change.stage(), 0);
-    fleet.changes.room(Map.of(), "", fleet.at(), 0);
+    fleet.changes.setRestartBudget(Map.of(), "", fleet.at(), 0);
     assertEquals(change.stage(), 1);
   }
 
@@ -319,9 +331,9 @@
     fine(fleet, change);
     fleet.pass(11_000);
     fleet.obey();
-    fleet.changes.room(Map.of(0, 0, 1, 0), "a surge", fleet.at(), 0);
+    fleet.changes.setRestartBudget(Map.of(0, 0, 1, 0), "a surge", fleet.at(), 0);
     fleet.wants.clear();
-    fleet.changes.judged(change.number, 1, Verdict.WORSE, "refused +0.2", fleet.at(), 0);
+    fleet.changes.reportVerdict(change.number, 1, Verdict.WORSE, "refused +0.2", fleet.at(), 0);
     assertEquals(fleet.wants.size(), 2); // one of each zone
     fleet.obey();
     assertEquals(change.state(), State.GIVEN_UP);
@@ -339,15 +351,18 @@
     Deployment next = fleet.propose();
     fleet.obey();
     assertNull(
-        fleet.changes.word(
-            DeploymentManager.Word.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
+        fleet.changes.command(
+            DeploymentManager.OperatorCommand.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
     fine(fleet, next);
     fleet.pass(60_000);
     assertEquals(next.stage(), 0);
     fleet.pass(61_000);
     assertEquals(next.state(), State.GOING_BACK);
     assertTrue(
-        next.steps().get(next.steps().size() - 1).cause().startsWith("it was held for longer"));
+        next.transitions()
+            .get(next.transitions().size() - 1)
+            .cause()
+            .startsWith("it was held for longer"));
   }
 
   @Test
@@ -356,7 +371,7 @@
     Deployment first = fleet.propose();
     Version third = new Version("c".repeat(64), "0".repeat(64));
     assertNull(fleet.changes.propose("bob", "more heap", third, false, fleet.at(), 0));
-    Deployment second = fleet.changes.waiting();
+    Deployment second = fleet.changes.pending();
     assertNull(
         fleet.changes.propose(
             "bob", "less heap", new Version("d".repeat(64), "0".repeat(64)), false, fleet.at(), 0));
@@ -365,7 +380,7 @@
     assertEquals(
         fleet.changes.propose("bob", "again", NEW, false, fleet.at(), 0),
         "that is what relays run once change 1 is done");
-    assertFalse(fleet.changes.waiting().state().out());
+    assertFalse(fleet.changes.pending().state().active());
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
@@ -52,18 +52,18 @@
     Files.writeString(
         file,
         """
-            <controller xmlns="urn:sprucerock:controller:1" name="desk" lease="30s" folder="%s" first-build="1" places="10">
-              <relays host="127.0.0.1" port="0" tell-every="10min"/>
-              <agents host="127.0.0.1" port="0" incoming="%s" silent="300ms"><change-stage share="1" harm="0.05"/></agents>
-              <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
-                <source name="ci" form="standard" secrets="%s" a-second="10"/>
-              </hooks>
-              <api host="127.0.0.1" port="0" token="%s"/>
-              <stage share="0.1" cap="0.12"/>
-              <stage share="1" cap="1"/>
-              <votes control="single" life="60s" least="1ms" going-back="1ms"/>
-            </controller>
-            """
+<controller xmlns="urn:sprucerock:controller:1" name="desk" lease="30s" folder="%s" first-build="1" places="10">
+  <relays host="127.0.0.1" port="0" tell-every="10min"/>
+  <agents host="127.0.0.1" port="0" incoming="%s" silent="300ms"><change-stage share="1" harm="0.05"/></agents>
+  <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
+    <source name="ci" form="standard" secrets="%s" a-second="10"/>
+  </hooks>
+  <api host="127.0.0.1" port="0" token="%s"/>
+  <stage share="0.1" cap="0.12"/>
+  <stage share="1" cap="1"/>
+  <votes control="single" life="60s" least="1ms" going-back="1ms"/>
+</controller>
+"""
             .formatted(
                 folder.resolve("store"),
                 folder,
@@ -130,8 +130,8 @@
     CompletableFuture<Boolean> is = new CompletableFuture<>();
     desk.post(
         () -> {
-          ManagedRelay relay = desk.engine().changes().relay(number);
-          is.complete(relay != null && relay.silent() == silent);
+          ManagedRelay relay = desk.engine().deployments().relay(number);
+          is.complete(relay != null && relay.unreachable() == silent);
         });
     return is.join();
   }
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -132,32 +132,32 @@
     text.put("agents.incoming", config.incoming).put("agents.most-bytes", config.mostBytes);
     for (int i = 0; i < config.plan.stages().size(); i++) {
       text.put("change-stage." + i + ".share", config.plan.stages().get(i).share())
-          .put("change-stage." + i + ".harm", config.plan.stages().get(i).harm());
+          .put("change-stage." + i + ".harm", config.plan.stages().get(i).maxLoss());
     }
-    text.put("agents.watch", config.plan.watch())
-        .put("agents.patience", config.plan.patience())
+    text.put("agents.watch", config.plan.observationTime())
+        .put("agents.patience", config.plan.progressDeadline())
         .put("agents.ready-within", config.plan.readyWithin());
-    text.put("agents.out", config.plan.out())
-        .put("agents.refused", config.plan.refused())
-        .put("agents.silent", config.plan.silent());
+    text.put("agents.out", config.plan.maxUnavailableShare())
+        .put("agents.refused", config.plan.maxRejectedShare())
+        .put("agents.silent", config.plan.unreachableAfter());
   }
 
   private static void rules(Rendering text, RolloutRules rules) {
     for (int i = 0; i < rules.stages().size(); i++) {
       text.put("stage." + i + ".share", rules.stages().get(i).share())
-          .put("stage." + i + ".cap", rules.stages().get(i).cap());
+          .put("stage." + i + ".cap", rules.stages().get(i).exposureCap());
     }
     text.put("votes.control", control(rules.control()))
-        .put("votes.on", rules.on())
-        .put("votes.hold", rules.hold())
-        .put("votes.back", rules.back());
-    text.put("votes.life", rules.voteLife())
-        .put("votes.least", rules.least())
-        .put("votes.step", rules.step())
-        .put("votes.start-within", rules.startWithin());
-    text.put("votes.going-back", rules.goingBack())
-        .put("votes.watch", rules.watch())
-        .put("votes.a-second", rules.votesASecond());
+        .put("votes.on", rules.votesToAdvance())
+        .put("votes.hold", rules.votesToPause())
+        .put("votes.back", rules.votesToRollBack());
+    text.put("votes.life", rules.voteValidity())
+        .put("votes.least", rules.minStageTime())
+        .put("votes.step", rules.clockedStageTime())
+        .put("votes.start-within", rules.startTimeout());
+    text.put("votes.going-back", rules.rollbackTime())
+        .put("votes.watch", rules.observationTime())
+        .put("votes.a-second", rules.maxVotesPerSecond());
   }
 
   private static String control(RolloutRules.Control control) {
--- a/src/test/java/sprucerock/controller/server/DeskTest.java
+++ b/src/test/java/sprucerock/controller/server/DeskTest.java
@@ -65,19 +65,19 @@
     Files.writeString(
         file,
         """
-            <controller xmlns="urn:sprucerock:controller:1" name="desk" lease="%s" folder="%s" first-build="1" places="10">
-              <relays host="127.0.0.1" port="0" tell-every="10min"/>
-              <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
-                <source name="ci" form="standard" secrets="%s" a-second="%s"/>
-                <source name="hub" form="github" secrets="%s"/>
-              </hooks>
-              <api host="127.0.0.1" port="0" token="%s"/>
-              %s
-              <stage share="0.1" cap="0.12"/>
-              <stage share="1" cap="1"/>
-              <votes control="single" life="60s" least="1ms" going-back="1ms"/>
-            </controller>
-            """
+<controller xmlns="urn:sprucerock:controller:1" name="desk" lease="%s" folder="%s" first-build="1" places="10">
+  <relays host="127.0.0.1" port="0" tell-every="10min"/>
+  <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
+    <source name="ci" form="standard" secrets="%s" a-second="%s"/>
+    <source name="hub" form="github" secrets="%s"/>
+  </hooks>
+  <api host="127.0.0.1" port="0" token="%s"/>
+  %s
+  <stage share="0.1" cap="0.12"/>
+  <stage share="1" cap="1"/>
+  <votes control="single" life="60s" least="1ms" going-back="1ms"/>
+</controller>
+"""
             .formatted(
                 lease,
                 folder.resolve("store"),
@@ -479,7 +479,7 @@
             .replace("api.token", folder.resolve("token").toString()));
     ControllerConfig config = ControllerConfig.read(file);
     assertEquals(config.rules.stages().size(), 3);
-    assertEquals(config.rules.least(), TimeSpan.ofMs(10_000));
+    assertEquals(config.rules.minStageTime(), TimeSpan.ofMs(10_000));
     assertEquals(config.sources.get("ci").form(), Signatures.Form.STANDARD);
   }
 
--- a/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
@@ -16,6 +16,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.Engine;
 import sprucerock.controller.v1.FreezeWanted;
 import sprucerock.controller.v1.Input;
@@ -71,18 +72,18 @@
     Files.writeString(
         file,
         """
-            <controller xmlns="urn:sprucerock:controller:1" name="desk" lease="30s" folder="%s" first-build="1" places="10">
-              <relays host="127.0.0.1" port="0" tell-every="10min"/>
-              <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
-                <source name="ci" form="standard" secrets="%s" a-second="10"/>
-              </hooks>
-              <api host="127.0.0.1" port="0" token="%s"/>
-              <racks notice="10min">%s</racks>
-              <stage share="0.1" cap="0.12"/>
-              <stage share="1" cap="1"/>
-              <votes control="single" life="60s" least="1ms" going-back="1ms"/>
-            </controller>
-            """
+<controller xmlns="urn:sprucerock:controller:1" name="desk" lease="30s" folder="%s" first-build="1" places="10">
+  <relays host="127.0.0.1" port="0" tell-every="10min"/>
+  <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
+    <source name="ci" form="standard" secrets="%s" a-second="10"/>
+  </hooks>
+  <api host="127.0.0.1" port="0" token="%s"/>
+  <racks notice="10min">%s</racks>
+  <stage share="0.1" cap="0.12"/>
+  <stage share="1" cap="1"/>
+  <votes control="single" life="60s" least="1ms" going-back="1ms"/>
+</controller>
+"""
             .formatted(
                 folder.resolve("store"),
                 secret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
@@ -168,10 +169,10 @@
                             .setZone("UTC")
                             .setWho("ann")
                             .setReason("new switch")),
-                outcome -> done.complete(outcome.answer()));
+                outcome -> done.complete(((AppendResult.Accepted) outcome).value()));
           }
         });
-    assertTrue(done.get() instanceof List, "" + done.get());
+    assertTrue(done.get() instanceof AppendResult.WindowsOpened, "" + done.get());
   }
 
   /** As before there were lists: all racks, and nothing that it does not know. */
@@ -257,7 +258,8 @@
       bytes[i] = asks(relay, whole.getList()).getSerializedSize();
       System.out.printf(
           Locale.ROOT,
-          "counted: bytes of an answer about racks, one of them frozen soon: at %d %d; told whole %d; to an older relay %d%n",
+          "counted: bytes of an answer about racks, one of them frozen soon: at %d %d; told whole"
+              + " %d; to an older relay %d%n",
           sizes[i],
           bytes[i],
           whole.getSerializedSize(),
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -78,7 +78,7 @@
   private record Received(List<String> headers, byte[] body) {}
 
   /** A step of a release, as the controller tells it. */
-  private record Told(Rollout release, Rollout.Step step) {}
+  private record Told(Rollout release, Rollout.Transition step) {}
 
   public static void record(Path corpus) throws Exception {
     Files.createDirectories(corpus.resolve("webhooks"));
@@ -87,7 +87,9 @@
         "{\"type\": \"build.announced\", \"build\": 4711, \"artifact\": \"registry/app:4711\"}\n");
     Files.writeString(
         corpus.resolve(SECRETS),
-        "# the one of today, and the one before\nwhsec_dGhlIHNlY3JldCBub3c=\ndGhlIHNlY3JldCBiZWZvcmU=\n");
+        "# the one of today, and the one before\n"
+            + "whsec_dGhlIHNlY3JldCBub3c=\n"
+            + "dGhlIHNlY3JldCBiZWZvcmU=\n");
     byte[] announcement = Files.readAllBytes(corpus.resolve(ANNOUNCEMENT));
     String secrets = Files.readString(corpus.resolve(SECRETS));
     Files.writeString(corpus.resolve(READ), String.join("\n", read(announcement)) + "\n");
@@ -153,16 +155,16 @@
             return 0;
           }
         };
-    DeploymentManager.Host nobody =
-        new DeploymentManager.Host() {
+    DeploymentManager.Listener nobody =
+        new DeploymentManager.Listener() {
           @Override
-          public void changed(Deployment change, Deployment.Step step) {}
+          public void transitioned(Deployment change, Deployment.Transition step) {}
 
           @Override
-          public void wants(ManagedRelay relay) {}
+          public void desiredStateChanged(ManagedRelay relay) {}
         };
     Engine engine =
-        Engine.in(
+        Engine.open(
             folder,
             RULES,
             10,
@@ -174,7 +176,7 @@
             MaintenanceWindows.none(),
             said -> {});
     engine.start();
-    engine.submit(
+    engine.append(
         Input.newBuilder()
             .setAnnounced(
                 Announced.newBuilder()
@@ -183,7 +185,7 @@
                     .setArtifact("registry/app:4711")
                     .setSource("ci \"1\"")),
         any -> {});
-    engine.commit();
+    engine.flush();
     engine.close();
     return told;
   }
--- a/src/test/java/sprucerock/scale/ControllerScaleTest.java
+++ b/src/test/java/sprucerock/scale/ControllerScaleTest.java
@@ -56,7 +56,7 @@
    * So many relays in three zones that run the old version, settled on it, whose agents do what is
    * wanted.
    */
-  private static final class Fleet implements DeploymentManager.Host {
+  private static final class Fleet implements DeploymentManager.Listener {
     private final DeploymentManager changes = new DeploymentManager(PLAN, this);
     private final ArrayDeque<ManagedRelay> wants = new ArrayDeque<>();
     private double now = 1000;
@@ -74,17 +74,17 @@
 
     void says(int number, Version runs, boolean ready, int done) {
       words++;
-      changes.says(number, number % 3, number % 5 == 0, runs, ready, done, at(), 0);
+      changes.reportStatus(number, number % 3, number % 5 == 0, runs, ready, done, at(), 0);
     }
 
     Deployment propose() {
       assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
-      return changes.waiting();
+      return changes.pending();
     }
 
     void read(Deployment change) {
       for (int i = 0; i < changes.relays().size(); i++) {
-        changes.checked(i, change.number, "", at(), 0);
+        changes.reportValidation(i, change.number, "", at(), 0);
       }
     }
 
@@ -92,18 +92,18 @@
       while (!wants.isEmpty()) {
         ManagedRelay next = wants.poll();
         now += 1;
-        says(next.number, next.wanted(), false, next.turn());
-        says(next.number, next.wanted(), true, next.turn());
+        says(next.number, next.desiredVersion(), false, next.generation());
+        says(next.number, next.desiredVersion(), true, next.generation());
       }
     }
 
     @Override
-    public void changed(Deployment change, Deployment.Step step) {
+    public void transitioned(Deployment change, Deployment.Transition step) {
       // not counted
     }
 
     @Override
-    public void wants(ManagedRelay relay) {
+    public void desiredStateChanged(ManagedRelay relay) {
       wants.add(relay);
     }
   }
@@ -114,11 +114,11 @@
             "an agent's word, nothing under way",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              long before = fleet.changes.looked();
+              long before = fleet.changes.entriesExamined();
               for (int i = 0; i < relays; i++) {
                 fleet.says(i, OLD, i % 2 == 0, 0);
               }
-              return (fleet.changes.looked() - before) / (double) relays;
+              return (fleet.changes.entriesExamined() - before) / (double) relays;
             },
             100,
             200,
@@ -133,11 +133,11 @@
             "a look whether a change is due",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              long before = fleet.changes.looked();
+              long before = fleet.changes.entriesExamined();
               for (int i = 0; i < 20; i++) {
-                fleet.changes.due(Timestamp.ofMs(2000 + i * 50));
+                fleet.changes.transitionDue(Timestamp.ofMs(2000 + i * 50));
               }
-              return (fleet.changes.looked() - before) / 20.0;
+              return (fleet.changes.entriesExamined() - before) / 20.0;
             },
             100,
             200,
@@ -152,12 +152,12 @@
             relays -> {
               Fleet fleet = new Fleet(relays);
               Deployment change = fleet.propose();
-              long before = fleet.changes.looked();
+              long before = fleet.changes.entriesExamined();
               for (int i = 0; i < relays - 1; i++) {
-                fleet.changes.checked(i, change.number, "", fleet.at(), 0);
+                fleet.changes.reportValidation(i, change.number, "", fleet.at(), 0);
               }
               assertEquals(change.state(), Deployment.State.PROPOSED);
-              return (fleet.changes.looked() - before) / (double) relays;
+              return (fleet.changes.entriesExamined() - before) / (double) relays;
             },
             100,
             200,
@@ -177,18 +177,18 @@
             relays -> {
               Fleet fleet = new Fleet(relays);
               Deployment change = fleet.propose();
-              long before = fleet.changes.looked();
+              long before = fleet.changes.entriesExamined();
               long words = fleet.words;
               fleet.read(change);
               for (int i = 0; i < 20 && change.state() != Deployment.State.DONE; i++) {
                 fleet.obey();
-                fleet.changes.judged(
+                fleet.changes.reportVerdict(
                     change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
                 fleet.now += 11_000;
                 fleet.changes.tick(fleet.at(), 0);
               }
               assertEquals(change.state(), Deployment.State.DONE);
-              return (fleet.changes.looked() - before) / (double) (fleet.words - words);
+              return (fleet.changes.entriesExamined() - before) / (double) (fleet.words - words);
             },
             100,
             200,
@@ -217,24 +217,24 @@
                       10);
               RolloutManager releases =
                   new RolloutManager(rules, 10, 1, Timestamp.ofMs(0), (release, step) -> {});
-              releases.announced("m1", 2, "a2", "ci", Timestamp.ofMs(10), 10);
-              releases.ready(2, 10, Timestamp.ofMs(20), 20);
-              assertEquals(releases.present().standing(), Rollout.Standing.ON_TRIAL);
+              releases.announceDelivery("m1", 2, "a2", "ci", Timestamp.ofMs(10), 10);
+              releases.reportEndpoints(2, 10, Timestamp.ofMs(20), 20);
+              assertEquals(releases.current().state(), Rollout.State.ON_TRIAL);
               for (int i = 0; i < relays; i++) {
-                releases.cast(i, 2, 0, RolloutManager.Say.ON, Timestamp.ofMs(1500), 1500);
+                releases.castVote(i, 2, 0, RolloutManager.Vote.ON, Timestamp.ofMs(1500), 1500);
               }
-              long before = releases.looked();
+              long before = releases.votesExamined();
               for (int i = 0; i < relays; i++) {
-                releases.cast(
+                releases.castVote(
                     i,
                     2,
                     0,
-                    i % 2 == 0 ? RolloutManager.Say.ON : RolloutManager.Say.BACK,
+                    i % 2 == 0 ? RolloutManager.Vote.ON : RolloutManager.Vote.BACK,
                     Timestamp.ofMs(3000 + i),
                     3000);
-                releases.due(Timestamp.ofMs(3000 + i));
+                releases.transitionDue(Timestamp.ofMs(3000 + i));
               }
-              return (releases.looked() - before) / (double) relays;
+              return (releases.votesExamined() - before) / (double) relays;
             },
             100,
             200,
@@ -260,7 +260,7 @@
         double before = fleet.now;
         fleet.obey();
         fleet.now = before; // as if nobody took any time
-        fleet.changes.judged(
+        fleet.changes.reportVerdict(
             change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
         fleet.now += 1000;
         fleet.changes.tick(fleet.at(), 0);
