--- a/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
@@ -58,14 +58,14 @@
   /** What there is now. */
   public static DeploymentSnapshot of(DeploymentManager all) {
     return new DeploymentSnapshot(
-        all.currentVersion,
-        all.sequence,
-        all.lastNumber,
-        all.blockedReason,
-        all.rolloutInProgress,
-        Map.copyOf(all.restartBudgetByZone),
-        List.copyOf(all.pendingControlRestarts),
-        all.relays.values().stream()
+        all.fleet.currentVersion,
+        all.fleet.sequence,
+        all.fleet.lastNumber,
+        all.fleet.blockedReason,
+        all.fleet.rolloutInProgress,
+        Map.copyOf(all.fleet.restartBudgetByZone),
+        List.copyOf(all.fleet.pendingControlRestarts),
+        all.fleet.relays.values().stream()
             .map(
                 one ->
                     new RelayRecord(
@@ -81,7 +81,7 @@
                         one.notifiedAt,
                         one.readyAt))
             .toList(),
-        all.deploymentsByNumber.values().stream()
+        all.fleet.deployments.values().stream()
             .map(
                 one ->
                     new DeploymentRecord(
@@ -107,13 +107,13 @@
 
   /** Puts it back into one that has seen nothing yet. */
   public void restore(DeploymentManager all) {
-    all.currentVersion = currentVersion;
-    all.sequence = sequence;
-    all.lastNumber = lastNumber;
-    all.blockedReason = blockedReason;
-    all.rolloutInProgress = rolloutInProgress;
-    all.restartBudgetByZone.putAll(restartBudgetByZone);
-    all.pendingControlRestarts.addAll(pendingControlRestarts);
+    all.fleet.currentVersion = currentVersion;
+    all.fleet.sequence = sequence;
+    all.fleet.lastNumber = lastNumber;
+    all.fleet.blockedReason = blockedReason;
+    all.fleet.rolloutInProgress = rolloutInProgress;
+    all.fleet.restartBudgetByZone.putAll(restartBudgetByZone);
+    all.fleet.pendingControlRestarts.addAll(pendingControlRestarts);
     for (RelayRecord one : relays) {
       ManagedRelay relay = new ManagedRelay(one.number);
       relay.zone = one.zone;
@@ -126,7 +126,7 @@
       relay.observedGeneration = one.observedGeneration;
       relay.notifiedAt = one.notifiedAt;
       relay.readyAt = one.readyAt;
-      all.relays.put(one.number, relay);
+      all.fleet.relays.put(one.number, relay);
     }
     for (DeploymentRecord one : deployments) {
       Deployment change =
@@ -148,7 +148,7 @@
       change.controls.putAll(one.controls);
       change.verdict = one.verdict;
       one.transitions.forEach(change::add);
-      all.deploymentsByNumber.put(one.number, change);
+      all.fleet.deployments.put(one.number, change);
     }
     all.restored();
   }
