--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -345,7 +345,8 @@
     int cut = label.indexOf('/');
     int row =
         sheet == attemptLatency
-            ? attemptLatencyRow(row(builds, label.substring(0, cut)), row(attempts, label.substring(cut + 1)))
+            ? attemptLatencyRow(
+                row(builds, label.substring(0, cut)), row(attempts, label.substring(cut + 1)))
             : row(sheet == shadowAttempts ? builds : sheet, label);
     add(sheet.index(row, column == sheet.pending() ? sheet.lost() : column), value);
   }
--- a/src/main/java/sprucerock/controller/StateMachine.java
+++ b/src/main/java/sprucerock/controller/StateMachine.java
@@ -118,7 +118,8 @@
     }
     // nor are the build's endpoints counted on where racks are to be spared
     maintenanceWindows.onTrial(
-        inProgress ? rollouts.fleetShare(rollouts.current) : 0, maintenanceWindows.later(wallMs));
+        inProgress ? rollouts.fleetShare(rollouts.current) : 0,
+        maintenanceWindows.advanceClock(wallMs));
   }
 
   /** The numbers of new windows, why a command had no effect, or null. */
--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -1,223 +1,272 @@
-package sprucerock.relay.frames ;
-
-
-import com.google.protobuf.MessageLite ;
-import java.util.HashMap ;
-import java.util.Map ;
-import java.util.function.Consumer ;
-import sprucerock.accounting.MethodAccounts ;
-import sprucerock.accounting.RequestTracker ;
-import sprucerock.config.RelayConfig ;
-import sprucerock.model.Build ;
-import sprucerock.model.RolloutState ;
-import sprucerock.model.Verdict ;
-import sprucerock.model.VoteReply ;
-import sprucerock.relay.engine.EventLog ;
-import sprucerock.stats.DeterministicRandom ;
-import sprucerock.time.TimeSpan ;
-import sprucerock.transport.net.Net ;
-import sprucerock.transport.net.Timers.Timer ;
-import sprucerock.transport.wire.FrameConnection ;
-import sprucerock.transport.wire.FrameKind ;
-import sprucerock.transport.wire.FrameListener ;
-import sprucerock.transport.wire.FrameTap ;
-import sprucerock.transport.wire.ReconnectingConnection ;
-import sprucerock.transport.wire.v1.Counts ;
-import sprucerock.transport.wire.v1.Hello ;
-import sprucerock.transport.wire.v1.News ;
-import sprucerock.transport.wire.v1.PromiseAsk ;
-import sprucerock.transport.wire.v1.Promised ;
-import sprucerock.transport.wire.v1.Role ;
-import sprucerock.transport.wire.v1.Say ;
-import sprucerock.transport.wire.v1.Vote ;
-import sprucerock.transport.wire.v1.Voted ;
-import sprucerock.transport.wire.v1.Worth ;
-
-
-/** 
-* News and counts of the release desk, told to the ledger; and the module's votes, each with one 
-* answer or none in time. 
-*/ 
+package sprucerock.relay.frames;
+
+import com.google.protobuf.MessageLite;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.RequestTracker;
+import sprucerock.config.RelayConfig;
+import sprucerock.model.Build;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Verdict;
+import sprucerock.model.VoteReply;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.net.Timers.Timer;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameListener;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.ReconnectingConnection;
+import sprucerock.transport.wire.v1.Counts;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Say;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
+import sprucerock.transport.wire.v1.Worth;
+
+/**
+ * News and counts of the release desk, told to the ledger; and the module's votes, each with one
+ * answer or none in time.
+ */
 public final class ControllerConnection implements FrameListener {
-private final Net net ;
-private final RelayConfig config ;
-private final RequestTracker ledger ;
-private final EventLog events ;
-private final Consumer < VoteReply > answered ;
-private final ReconnectingConnection redial ;
-private final Map < Long , Timer > votes = new HashMap < > ( ) ;
-private final Runnable learnt ;
-private final Consumer < Promised > promised ;
-private long lastVote ;
-private long epoch ;
-private long sequence ;
-private boolean hasNews ;
-private boolean stopping ;
-
-
-/** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */ 
-public ControllerConnection ( Net net , RelayConfig config , Hello mine , FrameTap tap , RequestTracker ledger , EventLog events , DeterministicRandom chance , Consumer < VoteReply > answered , Consumer < Promised > promised , Runnable learnt ) {
-this.promised = promised ;
-this.learnt = learnt ;
-this.net = net ;
-this.config = config ;
-this.ledger = ledger ;
-this.events = events ;
-this.answered = answered ;
-redial = new ReconnectingConnection ( net , config.controller , mine , config.connectionLimits , tap , chance , this ) ;
+  private final Net net;
+  private final RelayConfig config;
+  private final RequestTracker ledger;
+  private final EventLog events;
+  private final Consumer<VoteReply> answered;
+  private final ReconnectingConnection redial;
+  private final Map<Long, Timer> votes = new HashMap<>();
+  private final Runnable learnt;
+  private final Consumer<Promised> promised;
+  private long lastVote;
+  private long epoch;
+  private long sequence;
+  private boolean hasNews;
+  private boolean stopping;
+
+  /** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */
+  public ControllerConnection(
+      Net net,
+      RelayConfig config,
+      Hello mine,
+      FrameTap tap,
+      RequestTracker ledger,
+      EventLog events,
+      DeterministicRandom chance,
+      Consumer<VoteReply> answered,
+      Consumer<Promised> promised,
+      Runnable learnt) {
+    this.promised = promised;
+    this.learnt = learnt;
+    this.net = net;
+    this.config = config;
+    this.ledger = ledger;
+    this.events = events;
+    this.answered = answered;
+    redial =
+        new ReconnectingConnection(
+            net, config.controller, mine, config.connectionLimits, tap, chance, this);
+  }
+
+  public void start() {
+    redial.connect();
+  }
+
+  public void stop() {
+    stopping = true;
+    redial.stop();
+  }
+
+  /** News has come since the start. */
+  public boolean hasNews() {
+    return hasNews;
+  }
+
+  void tell(Worth worth) {
+    redial.send(FrameKind.WORTH, worth, FrameClientConnection.NO_BODY);
+  }
+
+  /** False where the desk is away. */
+  public boolean requestPromise(PromiseAsk ask) {
+    return redial.send(FrameKind.PROMISE_ASK, ask, FrameClientConnection.NO_BODY);
+  }
+
+  /** Ends in one answer, or in none within the time that the settings have. */
+  public void vote(Build build, int stage, Verdict verdict) {
+    long id = ++lastVote;
+    MethodAccounts accounts = ledger.accounts();
+    accounts.postNew(accounts.votes, 0, accounts.votes.pending());
+    Say say =
+        switch (verdict) {
+          case NONE -> Say.NOTHING;
+          case ON -> Say.ON;
+          case HOLD -> Say.HOLD;
+          case BACK -> Say.BACK;
+        };
+    redial.send(
+        FrameKind.VOTE,
+        Vote.newBuilder().setId(id).setBuild(build.number).setStage(stage).setSay(say).build(),
+        FrameClientConnection.NO_BODY);
+    // one that could not be sent is not answered either: to the module the desk is away in both
+    // cases
+    votes.put(
+        id,
+        net.at(
+            net.now().plus(config.settings.callTimeout),
+            () -> {
+              votes.remove(id);
+              events.warn(
+                  EventLog.Event.VOTE_UNANSWERED,
+                  "vote "
+                      + verdict
+                      + " on build "
+                      + build.number
+                      + " within "
+                      + config.settings.callTimeout.ms()
+                      + " ms; it may count");
+              count(5);
+              answered.accept(VoteReply.UNANSWERED);
+            }));
+  }
+
+  @Override
+  public void helloReceived(FrameConnection connection, Hello other) {
+    if (other.getRole() != Role.DESK) {
+      redial.cut("no release desk answers there");
+      return;
+    }
+    events.info(EventLog.Event.DESK_BACK, "linked to the release desk at " + config.controller);
+  }
+
+  @Override
+  public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+    if (kind == FrameKind.NEWS) {
+      news((News) head);
+    } else if (kind == FrameKind.COUNTS) {
+      counts((Counts) head);
+    } else if (kind == FrameKind.VOTED) {
+      voted((Voted) head);
+    } else if (kind == FrameKind.PROMISED) {
+      promised.accept((Promised) head);
+    } else {
+      redial.cut("a release desk sends no " + kind);
+    }
+  }
+
+  private void news(News news) {
+    RolloutState standing =
+        switch (news.getStanding()) {
+          case ON_TRIAL -> RolloutState.ON_TRIAL;
+          case GOING_BACK -> RolloutState.GOING_BACK;
+          case RELEASED -> RolloutState.RELEASED;
+          case WITHDRAWN -> RolloutState.WITHDRAWN;
+          default -> null;
+        };
+    boolean known =
+        standing != null
+            && news.getCap() >= 0
+            && news.getCap() <= 1
+            && news.getBuild() >>> 16 == 0
+            && news.getStage() >= 0
+            && news.getStage() <= config.settings.caps.size();
+    if (!known) {
+      events.warn(
+          EventLog.Event.NEWS_REFUSED,
+          "build "
+              + news.getBuild()
+              + ", stage "
+              + news.getStage()
+              + ", cap "
+              + news.getCap()
+              + ": no such standing, stage or cap; what was known holds");
+      return;
+    }
+    // guards against a controller that was replaced and does not know it, and against news that was
+    // long on its way
+    boolean old =
+        news.getEpoch() < epoch || news.getEpoch() == epoch && news.getSequence() < sequence;
+    if (old) {
+      events.warn(
+          EventLog.Event.NEWS_REFUSED,
+          "epoch "
+              + news.getEpoch()
+              + ", sequence "
+              + news.getSequence()
+              + " is older than "
+              + epoch
+              + ", "
+              + sequence);
+      return;
+    }
+    epoch = news.getEpoch();
+    sequence = news.getSequence();
+    TimeSpan lasted = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
+    ledger.rolloutChanged(
+        news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
+    hasNews = true;
+    learnt.run();
+  }
+
+  private void counts(Counts counts) {
+    int method = counts.getMethod();
+    if (method < 0
+        || method >= config.settings.methods.size()
+        || counts.getFailed() > counts.getPicks()
+        || counts.getFailed() < 0) {
+      events.warn(
+          EventLog.Event.NEWS_REFUSED,
+          "counts of method "
+              + method
+              + ": "
+              + counts.getFailed()
+              + " of "
+              + counts.getPicks()
+              + " failed can't be; they are left out");
+      return;
+    }
+    ledger.counted(
+        counts.getBuild(),
+        method,
+        counts.getPicks(),
+        counts.getFailed(),
+        TimeSpan.ofMs(counts.getMeanUs() / 1000.0));
+  }
+
+  private void voted(Voted voted) {
+    Timer timer = votes.remove(voted.getId());
+    if (timer == null) {
+      return;
+      // answered too late: it was taken as unanswered
+    }
+    timer.cancel();
+    VoteReply reply =
+        switch (voted.getTaken()) {
+          case COUNTS -> VoteReply.COUNTS;
+          case MOOT -> VoteReply.MOOT;
+          case TOO_MANY -> VoteReply.TOO_MANY;
+          default -> VoteReply.ERROR;
+        };
+    count(1 + reply.ordinal());
+    answered.accept(reply);
+  }
+
+  private void count(int column) {
+    MethodAccounts accounts = ledger.accounts();
+    accounts.postTransfer(accounts.votes, 0, accounts.votes.pending(), column);
+  }
+
+  @Override
+  public void closed(String why) {
+    if (!stopping) {
+      events.warn(EventLog.Event.DESK_LOST, why + "; what it said last holds");
+    }
+  }
 }
-
-
-public void start ( ) {
-redial.connect ( ) ;
-}
-
-
-public void stop ( ) {
-stopping = true ;
-redial.stop ( ) ;
-}
-
-
-/** News has come since the start. */ 
-public boolean hasNews ( ) {
-return hasNews ;
-}
-
-
-void tell ( Worth worth ) {
-redial.send ( FrameKind.WORTH , worth , FrameClientConnection.NO_BODY ) ;
-}
-
-
-/** False where the desk is away. */ 
-public boolean requestPromise ( PromiseAsk ask ) {
-return redial.send ( FrameKind.PROMISE_ASK , ask , FrameClientConnection.NO_BODY ) ;
-}
-
-
-/** Ends in one answer, or in none within the time that the settings have. */ 
-public void vote ( Build build , int stage , Verdict verdict ) {
-long id = ++ lastVote ;
-MethodAccounts accounts = ledger.accounts ( ) ;
-accounts.postNew ( accounts.votes , 0 , accounts.votes.pending ( ) ) ;
-Say say = switch ( verdict ) {
-case NONE -> Say.NOTHING ;
-case ON -> Say.ON ;
-case HOLD -> Say.HOLD ;
-case BACK -> Say.BACK ;
-}
-;
-redial.send ( FrameKind.VOTE , Vote.newBuilder ( ).setId ( id ).setBuild ( build.number ).setStage ( stage ).setSay ( say ).build ( ) , FrameClientConnection.NO_BODY ) ;
-// one that could not be sent is not answered either: to the module the desk is away in both
-// cases
-votes.put ( id , net.at ( net.now ( ).plus ( config.settings.callTimeout ) , ( ) -> {
-votes.remove ( id ) ;
-events.warn ( EventLog.Event.VOTE_UNANSWERED , "vote " + verdict + " on build " + build.number + " within " + config.settings.callTimeout.ms ( ) + " ms; it may count" ) ;
-count ( 5 ) ;
-answered.accept ( VoteReply.UNANSWERED ) ;
-}
-) ) ;
-}
-
-
-@Override public void helloReceived ( FrameConnection connection , Hello other ) {
-if ( other.getRole ( ) != Role.DESK ) {
-redial.cut ( "no release desk answers there" ) ;
-return ;
-}
-events.info ( EventLog.Event.DESK_BACK , "linked to the release desk at " + config.controller ) ;
-}
-
-
-@Override public void frameReceived ( FrameKind kind , MessageLite head , byte [ ] body ) {
-if ( kind == FrameKind.NEWS ) {
-news ( ( News ) head ) ;
-}
-else if ( kind == FrameKind.COUNTS ) {
-counts ( ( Counts ) head ) ;
-}
-else if ( kind == FrameKind.VOTED ) {
-voted ( ( Voted ) head ) ;
-}
-else if ( kind == FrameKind.PROMISED ) {
-promised.accept ( ( Promised ) head ) ;
-}
-else {
-redial.cut ( "a release desk sends no " + kind ) ;
-}
-}
-
-
-private void news ( News news ) {
-RolloutState standing = switch ( news.getStanding ( ) ) {
-case ON_TRIAL -> RolloutState.ON_TRIAL ;
-case GOING_BACK -> RolloutState.GOING_BACK ;
-case RELEASED -> RolloutState.RELEASED ;
-case WITHDRAWN -> RolloutState.WITHDRAWN ;
-default -> null ;
-}
-;
-boolean known = standing != null && news.getCap ( ) >= 0 && news.getCap ( ) <= 1 && news.getBuild ( ) >>> 16 == 0 && news.getStage ( ) >= 0 && news.getStage ( ) <= config.settings.caps.size ( ) ;
-if ( ! known ) {
-events.warn ( EventLog.Event.NEWS_REFUSED , "build " + news.getBuild ( ) + ", stage " + news.getStage ( ) + ", cap " + news.getCap ( ) + ": no such standing, stage or cap; what was known holds" ) ;
-return ;
-}
-// guards against a controller that was replaced and does not know it, and against news that was
-// long on its way
-boolean old = news.getEpoch ( ) < epoch || news.getEpoch ( ) == epoch && news.getSequence ( ) < sequence ;
-if ( old ) {
-events.warn ( EventLog.Event.NEWS_REFUSED , "epoch " + news.getEpoch ( ) + ", sequence " + news.getSequence ( ) + " is older than " + epoch + ", " + sequence ) ;
-return ;
-}
-epoch = news.getEpoch ( ) ;
-sequence = news.getSequence ( ) ;
-TimeSpan lasted = TimeSpan.ofMs ( Math.max ( 0 , news.getLastedUs ( ) ) / 1000.0 ) ;
-ledger.rolloutChanged ( news.getBuild ( ) , news.getStage ( ) , standing , news.getCap ( ) , net.now ( ).minus ( lasted ) ) ;
-hasNews = true ;
-learnt.run ( ) ;
-}
-
-
-private void counts ( Counts counts ) {
-int method = counts.getMethod ( ) ;
-if ( method < 0 || method >= config.settings.methods.size ( ) || counts.getFailed ( ) > counts.getPicks ( ) || counts.getFailed ( ) < 0 ) {
-events.warn ( EventLog.Event.NEWS_REFUSED , "counts of method " + method + ": " + counts.getFailed ( ) + " of " + counts.getPicks ( ) + " failed can't be; they are left out" ) ;
-return ;
-}
-ledger.counted ( counts.getBuild ( ) , method , counts.getPicks ( ) , counts.getFailed ( ) , TimeSpan.ofMs ( counts.getMeanUs ( ) / 1000.0 ) ) ;
-}
-
-
-private void voted ( Voted voted ) {
-Timer timer = votes.remove ( voted.getId ( ) ) ;
-if ( timer == null ) {
-return ;
-// answered too late: it was taken as unanswered
-}
-timer.cancel ( ) ;
-VoteReply reply = switch ( voted.getTaken ( ) ) {
-case COUNTS -> VoteReply.COUNTS ;
-case MOOT -> VoteReply.MOOT ;
-case TOO_MANY -> VoteReply.TOO_MANY ;
-default -> VoteReply.ERROR ;
-}
-;
-count ( 1 + reply.ordinal ( ) ) ;
-answered.accept ( reply ) ;
-}
-
-
-private void count ( int column ) {
-MethodAccounts accounts = ledger.accounts ( ) ;
-accounts.postTransfer ( accounts.votes , 0 , accounts.votes.pending ( ) , column ) ;
-}
-
-
-@Override public void closed ( String why ) {
-if ( ! stopping ) {
-events.warn ( EventLog.Event.DESK_LOST , why + "; what it said last holds" ) ;
-}
-}
-}
- 
--- a/src/main/java/sprucerock/relay/frames/PeerConnections.java
+++ b/src/main/java/sprucerock/relay/frames/PeerConnections.java
@@ -1,143 +1,150 @@
-package sprucerock.relay.frames ;
-
-
-import com.google.protobuf.MessageLite ;
-import java.net.InetSocketAddress ;
-import java.util.Map ;
-import java.util.TreeMap ;
-import sprucerock.accounting.MethodAccounts ;
-import sprucerock.config.RelayConfig ;
-import sprucerock.relay.engine.EventLog ;
-import sprucerock.stats.DeterministicRandom ;
-import sprucerock.transport.net.Net ;
-import sprucerock.transport.wire.FrameConnection ;
-import sprucerock.transport.wire.FrameKind ;
-import sprucerock.transport.wire.FrameListener ;
-import sprucerock.transport.wire.FrameTap ;
-import sprucerock.transport.wire.ReconnectingConnection ;
-import sprucerock.transport.wire.v1.Hello ;
-import sprucerock.transport.wire.v1.Role ;
-import sprucerock.transport.wire.v1.Seen ;
-import sprucerock.transport.wire.v1.Told ;
-
-
-/** 
-* Links to the other relays, made when the module first has something to tell. A message that can't 
-* go now is dropped. 
-*/ 
+package sprucerock.relay.frames;
+
+import com.google.protobuf.MessageLite;
+import java.net.InetSocketAddress;
+import java.util.Map;
+import java.util.TreeMap;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.config.RelayConfig;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameListener;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.ReconnectingConnection;
+import sprucerock.transport.wire.v1.Hello;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Seen;
+import sprucerock.transport.wire.v1.Told;
+
+/**
+ * Links to the other relays, made when the module first has something to tell. A message that can't
+ * go now is dropped.
+ */
 final class PeerConnections {
-private final Net net ;
-private final RelayConfig config ;
-private final Hello mine ;
-private final FrameTap tap ;
-private final EventLog events ;
-private final DeterministicRandom chance ;
-private final Map < Integer , ReconnectingConnection > connections = new TreeMap < > ( ) ;
-private final MethodAccounts accounts ;
-private final TlsConnections secured ;
-private boolean stopping ;
-
-
-PeerConnections ( Net net , RelayConfig config , Hello mine , FrameTap tap , EventLog events , DeterministicRandom chance , MethodAccounts accounts , TlsConnections secured ) {
-this.accounts = accounts ;
-this.secured = secured ;
-this.net = net ;
-this.config = config ;
-this.mine = mine ;
-this.tap = tap ;
-this.events = events ;
-this.chance = chance ;
+  private final Net net;
+  private final RelayConfig config;
+  private final Hello mine;
+  private final FrameTap tap;
+  private final EventLog events;
+  private final DeterministicRandom chance;
+  private final Map<Integer, ReconnectingConnection> connections = new TreeMap<>();
+  private final MethodAccounts accounts;
+  private final TlsConnections secured;
+  private boolean stopping;
+
+  PeerConnections(
+      Net net,
+      RelayConfig config,
+      Hello mine,
+      FrameTap tap,
+      EventLog events,
+      DeterministicRandom chance,
+      MethodAccounts accounts,
+      TlsConnections secured) {
+    this.accounts = accounts;
+    this.secured = secured;
+    this.net = net;
+    this.config = config;
+    this.mine = mine;
+    this.tap = tap;
+    this.events = events;
+    this.chance = chance;
+  }
+
+  void tell(int number, byte[] contents) {
+    count(tell(number, FrameKind.TOLD, Told.getDefaultInstance(), contents));
+  }
+
+  private boolean tell(int number, FrameKind kind, MessageLite head, byte[] contents) {
+    InetSocketAddress address = config.peers.get(number);
+    if (address == null || stopping) {
+      return false;
+    }
+    ReconnectingConnection connection = connections.get(number);
+    if (connection == null) {
+      connection =
+          new ReconnectingConnection(
+              net,
+              secured.toPeer(number),
+              address,
+              mine,
+              config.connectionLimits,
+              tap,
+              chance,
+              new Other(number));
+      connections.put(number, connection);
+      connection.connect();
+    }
+    // one that reads slowly loses messages, as the module expects, and is not cut for it
+    boolean room =
+        connection.isReady()
+            && connection.unsentBytes() + contents.length <= config.maxPeerUnsentBytes;
+    return room && connection.send(kind, head, contents);
+  }
+
+  /** To all, or dropped. */
+  void tellAll(FrameKind kind, MessageLite head) {
+    for (int number : config.peers.keySet()) {
+      tell(number, kind, head, FrameClientConnection.NO_BODY);
+    }
+  }
+
+  /** To one, or dropped. */
+  void tell(int number, FrameKind kind, MessageLite head) {
+    tell(number, kind, head, FrameClientConnection.NO_BODY);
+  }
+
+  /** What a look found, to all. */
+  void seen(Seen seen) {
+    tellAll(FrameKind.SEEN, seen);
+  }
+
+  private void count(boolean sent) {
+    accounts.postNew(accounts.messages, 0, sent ? 1 : 2);
+  }
+
+  void tellAll(byte[] contents) {
+    for (int number : config.peers.keySet()) {
+      tell(number, contents);
+    }
+  }
+
+  void stop() {
+    stopping = true;
+    for (ReconnectingConnection connection : connections.values()) {
+      connection.stop();
+    }
+  }
+
+  private final class Other implements FrameListener {
+    private final int number;
+
+    Other(int number) {
+      this.number = number;
+    }
+
+    @Override
+    public void helloReceived(FrameConnection connection, Hello other) {
+      if (other.getRole() != Role.RELAY || other.getNumber() != number) {
+        connection.cut("another one answers there");
+      }
+    }
+
+    @Override
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      connections.get(number).cut("a relay tells over links of its own");
+    }
+
+    @Override
+    public void closed(String why) {
+      if (!stopping) {
+        events.warn(
+            EventLog.Event.PEER_LOST,
+            "relay " + number + ": " + why + "; messages to it are dropped");
+      }
+    }
+  }
 }
-
-
-void tell ( int number , byte [ ] contents ) {
-count ( tell ( number , FrameKind.TOLD , Told.getDefaultInstance ( ) , contents ) ) ;
-}
-
-
-private boolean tell ( int number , FrameKind kind , MessageLite head , byte [ ] contents ) {
-InetSocketAddress address = config.peers.get ( number ) ;
-if ( address == null || stopping ) {
-return false ;
-}
-ReconnectingConnection connection = connections.get ( number ) ;
-if ( connection == null ) {
-connection = new ReconnectingConnection ( net , secured.toPeer ( number ) , address , mine , config.connectionLimits , tap , chance , new Other ( number ) ) ;
-connections.put ( number , connection ) ;
-connection.connect ( ) ;
-}
-// one that reads slowly loses messages, as the module expects, and is not cut for it
-boolean room = connection.isReady ( ) && connection.unsentBytes ( ) + contents.length <= config.maxPeerUnsentBytes ;
-return room && connection.send ( kind , head , contents ) ;
-}
-
-
-/** To all, or dropped. */ 
-void tellAll ( FrameKind kind , MessageLite head ) {
-for ( int number : config.peers.keySet ( ) ) {
-tell ( number , kind , head , FrameClientConnection.NO_BODY ) ;
-}
-}
-
-
-/** To one, or dropped. */ 
-void tell ( int number , FrameKind kind , MessageLite head ) {
-tell ( number , kind , head , FrameClientConnection.NO_BODY ) ;
-}
-
-
-/** What a look found, to all. */ 
-void seen ( Seen seen ) {
-tellAll ( FrameKind.SEEN , seen ) ;
-}
-
-
-private void count ( boolean sent ) {
-accounts.postNew ( accounts.messages , 0 , sent ? 1 : 2 ) ;
-}
-
-
-void tellAll ( byte [ ] contents ) {
-for ( int number : config.peers.keySet ( ) ) {
-tell ( number , contents ) ;
-}
-}
-
-
-void stop ( ) {
-stopping = true ;
-for ( ReconnectingConnection connection : connections.values ( ) ) {
-connection.stop ( ) ;
-}
-}
-
-
-private final class Other implements FrameListener {
-private final int number ;
-
-
-Other ( int number ) {
-this.number = number ;
-}
-
-
-@Override public void helloReceived ( FrameConnection connection , Hello other ) {
-if ( other.getRole ( ) != Role.RELAY || other.getNumber ( ) != number ) {
-connection.cut ( "another one answers there" ) ;
-}
-}
-
-
-@Override public void frameReceived ( FrameKind kind , MessageLite head , byte [ ] body ) {
-connections.get ( number ).cut ( "a relay tells over links of its own" ) ;
-}
-
-
-@Override public void closed ( String why ) {
-if ( ! stopping ) {
-events.warn ( EventLog.Event.PEER_LOST , "relay " + number + ": " + why + "; messages to it are dropped" ) ;
-}
-}
-}
-}
- 
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -1,152 +1,150 @@
-package sprucerock.relay.frames ;
-
-
-import java.net.InetSocketAddress ;
-import java.time.Instant ;
-import java.util.Locale ;
-import sprucerock.accounting.MethodAccounts ;
-import sprucerock.config.RelayConfig ;
-import sprucerock.relay.engine.EventLog ;
-import sprucerock.time.TimeSpan ;
-import sprucerock.transport.net.ConnectionListener ;
-import sprucerock.transport.net.Net ;
-import sprucerock.transport.tls.Aside ;
-import sprucerock.transport.tls.Material ;
-import sprucerock.transport.tls.Names ;
-import sprucerock.transport.tls.Refusal ;
-import sprucerock.transport.tls.RefusedException ;
-import sprucerock.transport.tls.Tls ;
-import sprucerock.transport.tls.TlsConnection ;
-import sprucerock.transport.wire.FrameConnection ;
-import sprucerock.transport.wire.ReconnectingConnection ;
-
-
-/** 
-* Which of a relay's connections are by TLS, and with whom; counts and tells what becomes of them. 
-*/ 
+package sprucerock.relay.frames;
+
+import java.net.InetSocketAddress;
+import java.time.Instant;
+import java.util.Locale;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.config.RelayConfig;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.ConnectionListener;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.tls.Aside;
+import sprucerock.transport.tls.Material;
+import sprucerock.transport.tls.Names;
+import sprucerock.transport.tls.Refusal;
+import sprucerock.transport.tls.RefusedException;
+import sprucerock.transport.tls.Tls;
+import sprucerock.transport.tls.TlsConnection;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.ReconnectingConnection;
+
+/**
+ * Which of a relay's connections are by TLS, and with whom; counts and tells what becomes of them.
+ */
 final class TlsConnections implements Tls.Owner {
-/** Whose connections are to be replaced once credentials have changed. */ 
-interface Movers {
-void move ( TimeSpan within ) ;
+  /** Whose connections are to be replaced once credentials have changed. */
+  interface Movers {
+    void move(TimeSpan within);
+  }
+
+  private final RelayConfig config;
+  private final Net net;
+  private final EventLog events;
+  private final MethodAccounts accounts;
+  private Movers movers;
+  private Tls tls;
+
+  TlsConnections(RelayConfig config, Net net, EventLog events, MethodAccounts accounts) {
+    this.config = config;
+    this.net = net;
+    this.events = events;
+    this.accounts = accounts;
+  }
+
+  /**
+   * Reads the files; nothing where TLS is not configured.
+   *
+   * @throws Material.BadMaterialException if they can't be used
+   */
+  void start(Aside aside, Movers whom) throws Material.BadMaterialException {
+    movers = whom;
+    if (config.tlsSetup != null) {
+      tls = new Tls(net, config.tlsSetup, aside, Instant::now, this);
+    }
+  }
+
+  void stop() {
+    if (tls != null) {
+      tls.stop();
+    }
+  }
+
+  /** Null where TLS is not configured. */
+  Tls tls() {
+    return tls;
+  }
+
+  void toUnit(long endpoint, InetSocketAddress to, String name, FrameConnection user) {
+    if (tls == null || !config.tlsToEndpoints) {
+      net.connect(to, config.connectTimeout, config.connectionLimits.maxUnsentBytes(), user);
+    } else {
+      tls.connect(
+          endpoint,
+          name,
+          to,
+          config.connectTimeout,
+          config.connectionLimits.maxUnsentBytes(),
+          user);
+    }
+  }
+
+  ReconnectingConnection.Connector toPeer(int number) {
+    if (!config.tlsPeers) {
+      return net::connect;
+    }
+    return (to, within, mostUnsent, user) ->
+        tls.connect("relay " + number, config.peerNames.get(number), to, within, mostUnsent, user);
+  }
+
+  /** What a taken connection has before its user. */
+  ConnectionListener taken(FrameClientConnection client, FrameConnection user) {
+    if (!config.tlsClients) {
+      return user;
+    }
+    TlsConnection connection = tls.take(config.clientsAuthenticated, user);
+    client.by(connection);
+    return connection;
+  }
+
+  /**
+   * Whether who says that it is a relay of a number has proven it; true where relays don't have to.
+   */
+  boolean provenRelay(int number, TlsConnection by) {
+    if (!config.tlsPeers) {
+      return true;
+    }
+    String name = config.peerNames.get(number);
+    try {
+      return name != null && by != null && by.peer() != null && Names.carries(by.peer(), name);
+    } catch (RefusedException e) {
+      return false;
+    }
+  }
+
+  @Override
+  public void handshakeBegun() {
+    accounts.postNew(accounts.handshakes, 0, accounts.handshakes.pending());
+  }
+
+  @Override
+  public void handshakeDone(boolean resumed) {
+    accounts.postTransfer(accounts.handshakes, 0, accounts.handshakes.pending(), resumed ? 2 : 1);
+  }
+
+  @Override
+  public void handshakeRefused(Refusal why) {
+    accounts.postTransfer(
+        accounts.handshakes,
+        0,
+        accounts.handshakes.pending(),
+        accounts.handshakes.columns().indexOf(why.name().toLowerCase(Locale.ROOT)));
+  }
+
+  @Override
+  public void loaded(String wrong) {
+    accounts.postNew(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
+    if (wrong == null) {
+      events.info(
+          EventLog.Event.TLS_FILES,
+          "new key and trust are in use; the certificate has " + tls.daysLeft() + " days left");
+    } else {
+      events.error(EventLog.Event.TLS_FILES, wrong + "; key and trust stay as they were");
+    }
+  }
+
+  @Override
+  public void changed() {
+    movers.move(tls.moveWithin());
+  }
 }
-
-
-private final RelayConfig config ;
-private final Net net ;
-private final EventLog events ;
-private final MethodAccounts accounts ;
-private Movers movers ;
-private Tls tls ;
-
-
-TlsConnections ( RelayConfig config , Net net , EventLog events , MethodAccounts accounts ) {
-this.config = config ;
-this.net = net ;
-this.events = events ;
-this.accounts = accounts ;
-}
-
-
-/** 
-* Reads the files; nothing where TLS is not configured. 
-* 
-* @throws Material.BadMaterialException if they can't be used 
-*/ 
-void start ( Aside aside , Movers whom ) throws Material.BadMaterialException {
-movers = whom ;
-if ( config.tlsSetup != null ) {
-tls = new Tls ( net , config.tlsSetup , aside , Instant :: now , this ) ;
-}
-}
-
-
-void stop ( ) {
-if ( tls != null ) {
-tls.stop ( ) ;
-}
-}
-
-
-/** Null where TLS is not configured. */ 
-Tls tls ( ) {
-return tls ;
-}
-
-
-void toUnit ( long endpoint , InetSocketAddress to , String name , FrameConnection user ) {
-if ( tls == null || ! config.tlsToEndpoints ) {
-net.connect ( to , config.connectTimeout , config.connectionLimits.maxUnsentBytes ( ) , user ) ;
-}
-else {
-tls.connect ( endpoint , name , to , config.connectTimeout , config.connectionLimits.maxUnsentBytes ( ) , user ) ;
-}
-}
-
-
-ReconnectingConnection.Connector toPeer ( int number ) {
-if ( ! config.tlsPeers ) {
-return net :: connect ;
-}
-return ( to , within , mostUnsent , user ) -> tls.connect ( "relay " + number , config.peerNames.get ( number ) , to , within , mostUnsent , user ) ;
-}
-
-
-/** What a taken connection has before its user. */ 
-ConnectionListener taken ( FrameClientConnection client , FrameConnection user ) {
-if ( ! config.tlsClients ) {
-return user ;
-}
-TlsConnection connection = tls.take ( config.clientsAuthenticated , user ) ;
-client.by ( connection ) ;
-return connection ;
-}
-
-
-/** 
-* Whether who says that it is a relay of a number has proven it; true where relays don't have to. 
-*/ 
-boolean provenRelay ( int number , TlsConnection by ) {
-if ( ! config.tlsPeers ) {
-return true ;
-}
-String name = config.peerNames.get ( number ) ;
-try {
-return name != null && by != null && by.peer ( ) != null && Names.carries ( by.peer ( ) , name ) ;
-}
-catch ( RefusedException e ) {
-return false ;
-}
-}
-
-
-@Override public void handshakeBegun ( ) {
-accounts.postNew ( accounts.handshakes , 0 , accounts.handshakes.pending ( ) ) ;
-}
-
-
-@Override public void handshakeDone ( boolean resumed ) {
-accounts.postTransfer ( accounts.handshakes , 0 , accounts.handshakes.pending ( ) , resumed ? 2 : 1 ) ;
-}
-
-
-@Override public void handshakeRefused ( Refusal why ) {
-accounts.postTransfer ( accounts.handshakes , 0 , accounts.handshakes.pending ( ) , accounts.handshakes.columns ( ).indexOf ( why.name ( ).toLowerCase ( Locale.ROOT ) ) ) ;
-}
-
-
-@Override public void loaded ( String wrong ) {
-accounts.postNew ( accounts.tlsFiles , 0 , wrong == null ? 1 : 2 ) ;
-if ( wrong == null ) {
-events.info ( EventLog.Event.TLS_FILES , "new key and trust are in use; the certificate has " + tls.daysLeft ( ) + " days left" ) ;
-}
-else {
-events.error ( EventLog.Event.TLS_FILES , wrong + "; key and trust stay as they were" ) ;
-}
-}
-
-
-@Override public void changed ( ) {
-movers.move ( tls.moveWithin ( ) ) ;
-}
-}
- 
--- a/src/main/java/sprucerock/relay/platform/PlatformRelay.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -1,323 +1,370 @@
-package sprucerock.relay.platform ;
-
-
-import java.io.IOException ;
-import java.net.InetSocketAddress ;
-import java.util.HashMap ;
-import java.util.Map ;
-import sprucerock.accounting.RequestTracker ;
-import sprucerock.model.Attempt ;
-import sprucerock.model.Build ;
-import sprucerock.model.Method ;
-import sprucerock.model.Verdict ;
-import sprucerock.relay.engine.AttemptExchange ;
-import sprucerock.relay.engine.EventLog ;
-import sprucerock.relay.engine.RelayEngine ;
-import sprucerock.relay.engine.Request ;
-import sprucerock.relay.engine.RequestOutcome ;
-import sprucerock.stats.DeterministicRandom ;
-import sprucerock.time.TimeSpan ;
-import sprucerock.time.Timestamp ;
-import sprucerock.transport.net.Datagrams ;
-import sprucerock.transport.net.Net ;
-
-
-/** 
-* A relay on the operators' platform: clients and units over PostgreSQL's protocol, discovery and 
-* release desk over HTTP, other relays by datagrams. It chooses no unit, no further pick and no 
-* vote. All of it runs on the loop's thread. 
-*/ 
-public final class PlatformRelay extends RelayEngine implements ClientListener.Owner , PlatformConnectionPools.Owner {
-// of the descriptors a relay may hold: what the program itself, the list, the desk and the peers
-// need
-private static final int OWN = 40 ;
-private static final double CLIENTS = 3.0 / 8 ;
-// usual ones hold a third at most; the rest is for the units
-private static final double ENOUGH = 1.0 / 4 ;
-// some three in four of that third: quiet ones give way before clients run out
-private static final TimeSpan WAIT_FOR_LIST = TimeSpan.ofMs ( 1000 ) ;
-// the agent answers at once
-static final TimeSpan STILL = TimeSpan.ofMs ( 600 ) ;
-// after it is told to end, new connections come for 400 ms at most
-// the kill comes no sooner than the longest deadline, counted as 3 s at most, and 0.7 s more
-static final TimeSpan LONGEST = TimeSpan.ofMs ( 3000 ) ;
-private static final TimeSpan GRACE = TimeSpan.ofMs ( 700 ) ;
-private static final double LAST = 0.6 ;
-// of that time clients are served: what is open then has ended long before
-private static final TimeSpan MARGIN = TimeSpan.ofMs ( 250 ) ;
-// before the kill; a loop under load is some 50 ms late
-private static final TimeSpan FIGURES = TimeSpan.ofMs ( 5000 ) ;
-private static final int DATAGRAM = 256 ;
-private static final TimeSpan BEAT = TimeSpan.ofMs ( 50 ) ;
-// how late it comes tells how far the loop is behind
-private static final TimeSpan ASK_AGAIN = TimeSpan.ofMs ( 500 ) ;
-// for a file on the own machine; the old addresses end within 1.5 s
-private static final TimeSpan HELD_UP = TimeSpan.ofMs ( 300 ) ;
-// the rules forgive less
-
-
-private final PlatformConfig config ;
-private final DeterministicRandom chance ;
-private final Runnable askSettings ;
-private Timestamp askedSettings ;
-private final PlatformConnectionPools endpoints ;
-private final ClientListener clients ;
-private final Discovery discovery ;
-private final ReleaseApiClient desk ;
-private final Map < InetSocketAddress , Integer > peers = new HashMap < > ( ) ;
-private Datagrams datagrams ;
-private boolean taking ;
-private boolean finishing ;
-
-
-/** 
-* {@code unixMs}: the wall's clock now, in milliseconds of Unix time; {@code askSettings} has the 
-* configuration read again, aside from the loop: what comes of it is told by {@link #reload} or 
-* {@link #notReloaded}. 
-*/ 
-public PlatformRelay ( PlatformConfig config , Net net , double unixMs , Runnable askSettings ) {
-this ( config , net , unixMs , askSettings , new EventLog ( net ) ) ;
-}
-
-
-PlatformRelay ( PlatformConfig config , Net net , double unixMs , Runnable askSettings , EventLog events ) {
-super ( net , config.settings , new RequestTracker ( config.settings ) , events ) ;
-this.config = config ;
-this.askSettings = askSettings ;
-// the doors' dice, apart from the module's, whose draws must not depend on links
-chance = new DeterministicRandom ( config.seed ^ 0x5bd1e995L ) ;
-Map < String , Method > methods = new HashMap < > ( ) ;
-for ( Method method : settings.methods ) {
-methods.put ( config.methodNames.get ( method.index ) , method ) ;
-}
-int forClients = ( int ) ( config.sockets * CLIENTS ) ;
-clients = new ClientListener ( net , events , this , methods , ( int ) ( config.sockets * ENOUGH ) , forClients ) ;
-endpoints = new PlatformConnectionPools ( net , events , this , config.sockets - forClients - OWN , settings.idleTimeout , config.connectWithin ) ;
-Timestamp unix = net.now ( ).minus ( TimeSpan.ofMs ( unixMs ) ) ;
-discovery = new Discovery ( net , config , requestTracker , events , endpoints , unix , chance :: next , this :: learnt , this :: listLost ) ;
-desk = new ReleaseApiClient ( net , config , requestTracker , events , chance :: next , discovery :: unit , reply -> policy.voteAnswered ( reply ) , this :: askSettings ) ;
-for ( int i = 0 ;
-i < config.peers.size ( ) ;
-i ++ ) {
-peers.put ( config.peers.get ( i ) , i ) ;
-}
-}
-
-
-/** 
-* Listens and links up. On the loop's thread. 
-* 
-* @throws IOException if an address to listen at can't be had 
-*/ 
-public void start ( PolicyFactory maker ) throws IOException {
-createPolicy ( maker , config.seed ) ;
-clients.start ( config.listen ) ;
-if ( settings.gossip && config.peerListen != null ) {
-datagrams = net.datagrams ( config.peerListen , this :: told ) ;
-}
-endpoints.start ( ) ;
-discovery.start ( config.known ) ;
-desk.start ( config.news ) ;
-net.at ( net.now ( ).plus ( WAIT_FOR_LIST ) , ( ) -> letClientsIn ( "without discovery, which did not answer in time" ) ) ;
-net.at ( net.now ( ).plus ( FIGURES ) , this :: figures ) ;
-beat ( net.now ( ) ) ;
-}
-
-
-/** 
-* Says when the loop stood still, and for how long: whatever came meanwhile was acted on that 
-* late. 
-*/ 
-private void beat ( Timestamp due ) {
-TimeSpan late = net.now ( ).since ( due ) ;
-if ( late.over ( HELD_UP ) ) {
-eventLog.warn ( EventLog.Event.HELD_UP , "for " + Math.round ( late.ms ( ) ) + " ms; " + requestTracker.openRpcs ( ) + " RPCs are open" ) ;
-}
-Timestamp next = net.now ( ).plus ( BEAT ) ;
-net.at ( next , ( ) -> beat ( next ) ) ;
-}
-
-
-private void learnt ( ) {
-letClientsIn ( "with a list" ) ;
-}
-
-
-private void listLost ( ) {
-policy.endpointListFailed ( ) ;
-askSettings ( ) ;
-}
-
-
-/** 
-* Guards against a configuration that was replaced unnoticed: while this relay started, as no 
-* signal comes before it is ready, or by a signal that was lost. Else it would go on by a list 
-* that nobody tells any more, to units long gone. 
-*/ 
-private void askSettings ( ) {
-Timestamp now = net.now ( ) ;
-if ( finishing || askedSettings != null && ! now.since ( askedSettings ).over ( ASK_AGAIN ) ) {
-return ;
-}
-askedSettings = now ;
-askSettings.run ( ) ;
-}
-
-
-private void letClientsIn ( String how ) {
-if ( taking || finishing ) {
-return ;
-}
-taking = true ;
-clients.take ( ) ;
-eventLog.info ( EventLog.Event.STARTED , "relay " + config.name + ", number " + settings.index + " of " + settings.relays + ", listens at " + config.listen + ", " + how ) ;
-askSettings ( ) ;
-}
-
-
-private void figures ( ) {
-Runtime machine = Runtime.getRuntime ( ) ;
-eventLog.info ( EventLog.Event.FIGURES , "open " + requestTracker.openRpcs ( ) + " known " + requestTracker.trackedRpcs ( ) + " clients " + clients.size ( ) + " to-units " + endpoints.open ( ) + " units " + requestTracker.endpoints ( ).size ( ) + " heap-kb " + ( machine.totalMemory ( ) - machine.freeMemory ( ) ) / 1024 + " list-silent-ms " + Math.round ( discovery.silent ( ).ms ( ) ) + " desk-silent-ms " + Math.round ( desk.silent ( ).ms ( ) ) ) ;
-net.at ( net.now ( ).plus ( FIGURES ) , this :: figures ) ;
-}
-
-
-/** 
-* A new configuration: the addresses of discovery and desk are taken over, the rest holds from 
-* the start. 
-*/ 
-public void reload ( PlatformConfig anew ) {
-boolean moves = discovery.move ( anew.discovery ) ;
-moves |= desk.move ( anew.desk ) ;
-if ( moves ) {
-eventLog.info ( EventLog.Event.SETTINGS , "discovery is at " + anew.discovery + ", the desk at " + anew.desk ) ;
-}
-}
-
-
-/** A new configuration can't be used; the old one holds. */ 
-public void notReloaded ( String why ) {
-eventLog.error ( EventLog.Event.SETTINGS , why + "; what was read before holds" ) ;
-}
-
-
-/** 
-* Each open RPC gets its answer, clients that still come too; then {@code done} runs, once all 
-* clients have read theirs, or as the time to the kill is over. 
-*/ 
-public void shutdown ( Runnable done ) {
-if ( finishing ) {
-return ;
-}
-finishing = true ;
-eventLog.info ( EventLog.Event.FINISHING , requestTracker.openRpcs ( ) + " RPCs are open" ) ;
-if ( ! taking ) {
-clients.take ( ) ;
-}
-Timestamp now = net.now ( ) ;
-TimeSpan time = config.longest.atMost ( LONGEST ).plus ( GRACE ) ;
-TimeSpan last = time.times ( LAST ).atLeast ( STILL ) ;
-clients.shutdown ( STILL , last ) ;
-net.at ( now.plus ( time.minus ( MARGIN ).atLeast ( last ) ) , ( ) -> {
-clients.refuse ( ) ;
-for ( PlatformRequest asked : clients.open ( ) ) {
-abort ( asked ) ;
-}
-}
-) ;
-net.at ( now.plus ( last ) , ( ) -> endIfDone ( now.plus ( time ) , done ) ) ;
-}
-
-
-private void endIfDone ( Timestamp by , Runnable done ) {
-boolean all = requestTracker.openRpcs ( ) == 0 && clients.size ( ) == 0 ;
-if ( ! all && by.after ( net.now ( ) ) ) {
-net.at ( net.now ( ).plus ( TimeSpan.ofMs ( 5 ) ) , ( ) -> endIfDone ( by , done ) ) ;
-return ;
-}
-discovery.stop ( ) ;
-desk.stop ( ) ;
-if ( datagrams != null ) {
-datagrams.close ( ) ;
-}
-eventLog.info ( EventLog.Event.FINISHED , all ? "every RPC taken has its answer" : clients.size ( ) + " clients have not read their answers in time" ) ;
-done.run ( ) ;
-}
-
-
-// Clients.
-
-
-@Override public void arrived ( PlatformRequest asked ) {
-Statement said = asked.statement ;
-requestArrived ( asked , said.method , 0 , said.key , net.now ( ).plus ( TimeSpan.ofMs ( said.deadlineMs ) ) , null ) ;
-}
-
-
-@Override public void left ( PlatformRequest asked ) {
-super.clientLeft ( asked ) ;
-}
-
-
-@Override protected void answer ( Request asked , RequestOutcome ending , TimeSpan wait , long endpoint , byte [ ] body ) {
-( ( PlatformRequest ) asked ).client.answer ( ( PlatformRequest ) asked , ending , wait , body ) ;
-}
-
-
-// Units.
-
-
-@Override protected AttemptExchange newExchange ( Attempt attempt , Timestamp ends ) {
-return new PgExchange ( attempt , ends ) ;
-}
-
-
-@Override protected void sendToEndpoint ( AttemptExchange exchange ) {
-( ( PlatformConnectionPool ) exchange.attempt ( ).endpoint.attachment ).send ( ( PgExchange ) exchange ) ;
-}
-
-
-@Override protected boolean abandon ( AttemptExchange exchange , boolean told ) {
-return ( ( PlatformConnectionPool ) exchange.attempt ( ).endpoint.attachment ).giveUp ( ( PgExchange ) exchange ) ;
-}
-
-
-// Release desk, discovery, peers.
-
-
-@Override public void vote ( Build build , int stage , Verdict verdict ) {
-desk.vote ( build , stage , verdict ) ;
-}
-
-
-@Override public void subscribe ( ) {
-// discovery tells all changes by itself, for as long as it can be reached
-}
-
-
-private void told ( InetSocketAddress from , byte [ ] contents ) {
-Integer number = peers.get ( from ) ;
-if ( number != null && number != settings.index ) {
-policy.peerMessageReceived ( number , contents ) ;
-}
-}
-
-
-@Override public void sendToPeers ( byte [ ] contents ) {
-tell ( config.peersAll , contents ) ;
-}
-
-
-@Override public void sendToPeer ( int relay , byte [ ] contents ) {
-tell ( relay < config.peers.size ( ) ? config.peers.get ( relay ) : null , contents ) ;
-}
-
-
-private void tell ( InetSocketAddress to , byte [ ] contents ) {
-if ( datagrams == null || to == null || contents.length > DATAGRAM ) {
-return ;
-}
-datagrams.send ( to , contents ) ;
-}
+package sprucerock.relay.platform;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.Map;
+import sprucerock.accounting.RequestTracker;
+import sprucerock.model.Attempt;
+import sprucerock.model.Build;
+import sprucerock.model.Method;
+import sprucerock.model.Verdict;
+import sprucerock.relay.engine.AttemptExchange;
+import sprucerock.relay.engine.EventLog;
+import sprucerock.relay.engine.RelayEngine;
+import sprucerock.relay.engine.Request;
+import sprucerock.relay.engine.RequestOutcome;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Datagrams;
+import sprucerock.transport.net.Net;
+
+/**
+ * A relay on the operators' platform: clients and units over PostgreSQL's protocol, discovery and
+ * release desk over HTTP, other relays by datagrams. It chooses no unit, no further pick and no
+ * vote. All of it runs on the loop's thread.
+ */
+public final class PlatformRelay extends RelayEngine
+    implements ClientListener.Owner, PlatformConnectionPools.Owner {
+  // of the descriptors a relay may hold: what the program itself, the list, the desk and the peers
+  // need
+  private static final int OWN = 40;
+  private static final double CLIENTS = 3.0 / 8;
+  // usual ones hold a third at most; the rest is for the units
+  private static final double ENOUGH = 1.0 / 4;
+  // some three in four of that third: quiet ones give way before clients run out
+  private static final TimeSpan WAIT_FOR_LIST = TimeSpan.ofMs(1000);
+  // the agent answers at once
+  static final TimeSpan STILL = TimeSpan.ofMs(600);
+  // after it is told to end, new connections come for 400 ms at most
+  // the kill comes no sooner than the longest deadline, counted as 3 s at most, and 0.7 s more
+  static final TimeSpan LONGEST = TimeSpan.ofMs(3000);
+  private static final TimeSpan GRACE = TimeSpan.ofMs(700);
+  private static final double LAST = 0.6;
+  // of that time clients are served: what is open then has ended long before
+  private static final TimeSpan MARGIN = TimeSpan.ofMs(250);
+  // before the kill; a loop under load is some 50 ms late
+  private static final TimeSpan FIGURES = TimeSpan.ofMs(5000);
+  private static final int DATAGRAM = 256;
+  private static final TimeSpan BEAT = TimeSpan.ofMs(50);
+  // how late it comes tells how far the loop is behind
+  private static final TimeSpan ASK_AGAIN = TimeSpan.ofMs(500);
+  // for a file on the own machine; the old addresses end within 1.5 s
+  private static final TimeSpan HELD_UP = TimeSpan.ofMs(300);
+  // the rules forgive less
+
+  private final PlatformConfig config;
+  private final DeterministicRandom chance;
+  private final Runnable askSettings;
+  private Timestamp askedSettings;
+  private final PlatformConnectionPools endpoints;
+  private final ClientListener clients;
+  private final Discovery discovery;
+  private final ReleaseApiClient desk;
+  private final Map<InetSocketAddress, Integer> peers = new HashMap<>();
+  private Datagrams datagrams;
+  private boolean taking;
+  private boolean finishing;
+
+  /**
+   * {@code unixMs}: the wall's clock now, in milliseconds of Unix time; {@code askSettings} has the
+   * configuration read again, aside from the loop: what comes of it is told by {@link #reload} or
+   * {@link #notReloaded}.
+   */
+  public PlatformRelay(PlatformConfig config, Net net, double unixMs, Runnable askSettings) {
+    this(config, net, unixMs, askSettings, new EventLog(net));
+  }
+
+  PlatformRelay(
+      PlatformConfig config, Net net, double unixMs, Runnable askSettings, EventLog events) {
+    super(net, config.settings, new RequestTracker(config.settings), events);
+    this.config = config;
+    this.askSettings = askSettings;
+    // the doors' dice, apart from the module's, whose draws must not depend on links
+    chance = new DeterministicRandom(config.seed ^ 0x5bd1e995L);
+    Map<String, Method> methods = new HashMap<>();
+    for (Method method : settings.methods) {
+      methods.put(config.methodNames.get(method.index), method);
+    }
+    int forClients = (int) (config.sockets * CLIENTS);
+    clients =
+        new ClientListener(net, events, this, methods, (int) (config.sockets * ENOUGH), forClients);
+    endpoints =
+        new PlatformConnectionPools(
+            net,
+            events,
+            this,
+            config.sockets - forClients - OWN,
+            settings.idleTimeout,
+            config.connectWithin);
+    Timestamp unix = net.now().minus(TimeSpan.ofMs(unixMs));
+    discovery =
+        new Discovery(
+            net,
+            config,
+            requestTracker,
+            events,
+            endpoints,
+            unix,
+            chance::next,
+            this::learnt,
+            this::listLost);
+    desk =
+        new ReleaseApiClient(
+            net,
+            config,
+            requestTracker,
+            events,
+            chance::next,
+            discovery::unit,
+            reply -> policy.voteAnswered(reply),
+            this::askSettings);
+    for (int i = 0; i < config.peers.size(); i++) {
+      peers.put(config.peers.get(i), i);
+    }
+  }
+
+  /**
+   * Listens and links up. On the loop's thread.
+   *
+   * @throws IOException if an address to listen at can't be had
+   */
+  public void start(PolicyFactory maker) throws IOException {
+    createPolicy(maker, config.seed);
+    clients.start(config.listen);
+    if (settings.gossip && config.peerListen != null) {
+      datagrams = net.datagrams(config.peerListen, this::told);
+    }
+    endpoints.start();
+    discovery.start(config.known);
+    desk.start(config.news);
+    net.at(
+        net.now().plus(WAIT_FOR_LIST),
+        () -> letClientsIn("without discovery, which did not answer in time"));
+    net.at(net.now().plus(FIGURES), this::figures);
+    beat(net.now());
+  }
+
+  /**
+   * Says when the loop stood still, and for how long: whatever came meanwhile was acted on that
+   * late.
+   */
+  private void beat(Timestamp due) {
+    TimeSpan late = net.now().since(due);
+    if (late.over(HELD_UP)) {
+      eventLog.warn(
+          EventLog.Event.HELD_UP,
+          "for " + Math.round(late.ms()) + " ms; " + requestTracker.openRpcs() + " RPCs are open");
+    }
+    Timestamp next = net.now().plus(BEAT);
+    net.at(next, () -> beat(next));
+  }
+
+  private void learnt() {
+    letClientsIn("with a list");
+  }
+
+  private void listLost() {
+    policy.endpointListFailed();
+    askSettings();
+  }
+
+  /**
+   * Guards against a configuration that was replaced unnoticed: while this relay started, as no
+   * signal comes before it is ready, or by a signal that was lost. Else it would go on by a list
+   * that nobody tells any more, to units long gone.
+   */
+  private void askSettings() {
+    Timestamp now = net.now();
+    if (finishing || askedSettings != null && !now.since(askedSettings).over(ASK_AGAIN)) {
+      return;
+    }
+    askedSettings = now;
+    askSettings.run();
+  }
+
+  private void letClientsIn(String how) {
+    if (taking || finishing) {
+      return;
+    }
+    taking = true;
+    clients.take();
+    eventLog.info(
+        EventLog.Event.STARTED,
+        "relay "
+            + config.name
+            + ", number "
+            + settings.index
+            + " of "
+            + settings.relays
+            + ", listens at "
+            + config.listen
+            + ", "
+            + how);
+    askSettings();
+  }
+
+  private void figures() {
+    Runtime machine = Runtime.getRuntime();
+    eventLog.info(
+        EventLog.Event.FIGURES,
+        "open "
+            + requestTracker.openRpcs()
+            + " known "
+            + requestTracker.trackedRpcs()
+            + " clients "
+            + clients.size()
+            + " to-units "
+            + endpoints.open()
+            + " units "
+            + requestTracker.endpoints().size()
+            + " heap-kb "
+            + (machine.totalMemory() - machine.freeMemory()) / 1024
+            + " list-silent-ms "
+            + Math.round(discovery.silent().ms())
+            + " desk-silent-ms "
+            + Math.round(desk.silent().ms()));
+    net.at(net.now().plus(FIGURES), this::figures);
+  }
+
+  /**
+   * A new configuration: the addresses of discovery and desk are taken over, the rest holds from
+   * the start.
+   */
+  public void reload(PlatformConfig anew) {
+    boolean moves = discovery.move(anew.discovery);
+    moves |= desk.move(anew.desk);
+    if (moves) {
+      eventLog.info(
+          EventLog.Event.SETTINGS,
+          "discovery is at " + anew.discovery + ", the desk at " + anew.desk);
+    }
+  }
+
+  /** A new configuration can't be used; the old one holds. */
+  public void notReloaded(String why) {
+    eventLog.error(EventLog.Event.SETTINGS, why + "; what was read before holds");
+  }
+
+  /**
+   * Each open RPC gets its answer, clients that still come too; then {@code done} runs, once all
+   * clients have read theirs, or as the time to the kill is over.
+   */
+  public void shutdown(Runnable done) {
+    if (finishing) {
+      return;
+    }
+    finishing = true;
+    eventLog.info(EventLog.Event.FINISHING, requestTracker.openRpcs() + " RPCs are open");
+    if (!taking) {
+      clients.take();
+    }
+    Timestamp now = net.now();
+    TimeSpan time = config.longest.atMost(LONGEST).plus(GRACE);
+    TimeSpan last = time.times(LAST).atLeast(STILL);
+    clients.shutdown(STILL, last);
+    net.at(
+        now.plus(time.minus(MARGIN).atLeast(last)),
+        () -> {
+          clients.refuse();
+          for (PlatformRequest asked : clients.open()) {
+            abort(asked);
+          }
+        });
+    net.at(now.plus(last), () -> endIfDone(now.plus(time), done));
+  }
+
+  private void endIfDone(Timestamp by, Runnable done) {
+    boolean all = requestTracker.openRpcs() == 0 && clients.size() == 0;
+    if (!all && by.after(net.now())) {
+      net.at(net.now().plus(TimeSpan.ofMs(5)), () -> endIfDone(by, done));
+      return;
+    }
+    discovery.stop();
+    desk.stop();
+    if (datagrams != null) {
+      datagrams.close();
+    }
+    eventLog.info(
+        EventLog.Event.FINISHED,
+        all
+            ? "every RPC taken has its answer"
+            : clients.size() + " clients have not read their answers in time");
+    done.run();
+  }
+
+  // Clients.
+
+  @Override
+  public void arrived(PlatformRequest asked) {
+    Statement said = asked.statement;
+    requestArrived(
+        asked, said.method, 0, said.key, net.now().plus(TimeSpan.ofMs(said.deadlineMs)), null);
+  }
+
+  @Override
+  public void left(PlatformRequest asked) {
+    super.clientLeft(asked);
+  }
+
+  @Override
+  protected void answer(
+      Request asked, RequestOutcome ending, TimeSpan wait, long endpoint, byte[] body) {
+    ((PlatformRequest) asked).client.answer((PlatformRequest) asked, ending, wait, body);
+  }
+
+  // Units.
+
+  @Override
+  protected AttemptExchange newExchange(Attempt attempt, Timestamp ends) {
+    return new PgExchange(attempt, ends);
+  }
+
+  @Override
+  protected void sendToEndpoint(AttemptExchange exchange) {
+    ((PlatformConnectionPool) exchange.attempt().endpoint.attachment).send((PgExchange) exchange);
+  }
+
+  @Override
+  protected boolean abandon(AttemptExchange exchange, boolean told) {
+    return ((PlatformConnectionPool) exchange.attempt().endpoint.attachment)
+        .giveUp((PgExchange) exchange);
+  }
+
+  // Release desk, discovery, peers.
+
+  @Override
+  public void vote(Build build, int stage, Verdict verdict) {
+    desk.vote(build, stage, verdict);
+  }
+
+  @Override
+  public void subscribe() {
+    // discovery tells all changes by itself, for as long as it can be reached
+  }
+
+  private void told(InetSocketAddress from, byte[] contents) {
+    Integer number = peers.get(from);
+    if (number != null && number != settings.index) {
+      policy.peerMessageReceived(number, contents);
+    }
+  }
+
+  @Override
+  public void sendToPeers(byte[] contents) {
+    tell(config.peersAll, contents);
+  }
+
+  @Override
+  public void sendToPeer(int relay, byte[] contents) {
+    tell(relay < config.peers.size() ? config.peers.get(relay) : null, contents);
+  }
+
+  private void tell(InetSocketAddress to, byte[] contents) {
+    if (datagrams == null || to == null || contents.length > DATAGRAM) {
+      return;
+    }
+    datagrams.send(to, contents);
+  }
 }
- 
--- a/src/test/java/sprucerock/policy/FakeRelayActions.java
+++ b/src/test/java/sprucerock/policy/FakeRelayActions.java
@@ -1,30 +1,27 @@
-package sprucerock.policy ;
-
-
-import java.util.ArrayList ;
-import java.util.List ;
-import java.util.PriorityQueue ;
-import sprucerock.accounting.RequestTracker ;
-import sprucerock.config.settings.SettingsText ;
-import sprucerock.model.Attempt ;
-import sprucerock.model.AttemptOutcome ;
-import sprucerock.model.Build ;
-import sprucerock.model.Endpoint ;
-import sprucerock.model.RolloutState ;
-import sprucerock.model.Rpc ;
-import sprucerock.model.Settings ;
-import sprucerock.model.Verdict ;
-import sprucerock.time.TimeSpan ;
-import sprucerock.time.Timestamp ;
-
-
-/** One relay's world for a story: a clock, timers, and a record of what the module did. */ 
+package sprucerock.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.PriorityQueue;
+import sprucerock.accounting.RequestTracker;
+import sprucerock.config.settings.SettingsText;
+import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Rpc;
+import sprucerock.model.Settings;
+import sprucerock.model.Verdict;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/** One relay's world for a story: a clock, timers, and a record of what the module did. */
 public final class FakeRelayActions implements RelayActions {
-private record Timer ( Timestamp when , int order , Runnable what ) {
-}
-
+  private record Timer(Timestamp when, int order, Runnable what) {}
 
-public static final String SETTINGS = """
+  public static final String SETTINGS =
+      """
         balancers=3
         classes.count=3
         classes.0.effect=read_like
@@ -63,201 +60,187 @@
         specifics.vote_mode=single
         telemetry.names=
         tick=5.0
-        """ ;
-
-
-final List < Attempt > sent = new ArrayList < > ( ) ;
-final List < Attempt > cancelled = new ArrayList < > ( ) ;
-final List < Rpc > rejected = new ArrayList < > ( ) ;
-final List < Rpc > failed = new ArrayList < > ( ) ;
-final List < Verdict > votes = new ArrayList < > ( ) ;
-final List < byte [ ] > broadcasts = new ArrayList < > ( ) ;
-final List < byte [ ] > directMessages = new ArrayList < > ( ) ;
-final List < Integer > recipients = new ArrayList < > ( ) ;
-int subscriptions ;
-final Settings settings ;
-final RequestTracker tracker ;
-final RoutingPolicy policy ;
-final Build baseline ;
-final Build canary ;
-private final PriorityQueue < Timer > timers = new PriorityQueue < > ( ( a , b ) -> {
-int byTime = a.when.compareTo ( b.when ) ;
-return byTime != 0 ? byTime : Integer.compare ( a.order , b.order ) ;
-}
-) ;
-private Timestamp now = Timestamp.ofMs ( 100_000 ) ;
-private int nextId ;
-
-
-/** A host whose settings differ from the usual ones as the lines say. */ 
-FakeRelayActions ( String ... lines ) {
-settings = SettingsText.read ( SETTINGS + String.join ( "\n" , lines ) ) ;
-tracker = new RequestTracker ( settings ) ;
-baseline = tracker.build ( 1 ) ;
-canary = tracker.build ( 2 ) ;
-policy = new RoutingPolicy ( this , settings , 42 ) ;
-tracker.setListener ( policy ) ;
-}
-
-
-/** Warm units of the earlier build, and news that it is the released one. */ 
-FakeRelayActions withBaseline ( int endpoints ) {
-for ( int i = 0 ;
-i < endpoints ;
-i ++ ) {
-endpoint ( baseline , null ) ;
-}
-tracker.rolloutChanged ( 1 , 2 , RolloutState.RELEASED , 1 , now.minus ( TimeSpan.ofMs ( 60_000 ) ) ) ;
-return this ;
-}
-
-
-/** So many warm units of the build on trial, and news that puts it there. */ 
-FakeRelayActions withCanary ( int endpoints , int stage , double cap ) {
-for ( int i = 0 ;
-i < endpoints ;
-i ++ ) {
-endpoint ( canary , now.minus ( TimeSpan.ofMs ( 20_000 ) ) ) ;
-}
-tracker.rolloutChanged ( 2 , stage , RolloutState.ON_TRIAL , cap , now ) ;
-return this ;
-}
-
-
-Endpoint endpoint ( Build build , Timestamp started ) {
-return tracker.endpointListed ( nextId ++ , 0 , 0 , 0 , build.number , started , 1 , true ) ;
-}
-
-
-Rpc rpc ( int method ) {
-return rpc ( method , 0 , 4000 ) ;
-}
-
-
-Rpc rpc ( int method , long key , double leftMs ) {
-return tracker.rpcArrived ( nextId ++ , settings.methods.get ( method ) , 0 , key , now , now.plus ( TimeSpan.ofMs ( leftMs ) ) , null , null ) ;
-}
-
-
-/** The first idempotent RPC of the key that gets a copy; those before it are answered ok. */ 
-Rpc firstShadowed ( long key ) {
-for ( int i = 0 ;
-i < 100 ;
-i ++ ) {
-Rpc rpc = rpc ( 0 , key , 4000 ) ;
-if ( rpc.attempts.size ( ) == 2 ) {
-return rpc ;
-}
-advance ( 50 ) ;
-endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-}
-throw new AssertionError ( "no RPC got a copy" ) ;
-}
-
-
-void end ( Attempt attempt , AttemptOutcome outcome ) {
-boolean closes = outcome == AttemptOutcome.OK || attempt.rpc.ended ( ) ;
-tracker.attemptEnded ( attempt , outcome , now.since ( attempt.sent ) , closes ) ;
-}
-
-
-/** 
-* Ends all picks that are out, those at the fresh build with one outcome, the others with 
-* another. 
-*/ 
-void endAll ( AttemptOutcome atFresh , AttemptOutcome atOld ) {
-for ( Attempt attempt : List.copyOf ( sent ) ) {
-if ( attempt.outcome ( ) == null ) {
-end ( attempt , attempt.endpoint.build == canary ? atFresh : atOld ) ;
-}
-}
-}
-
-
-long sentTo ( Build build ) {
-return sent.stream ( ).filter ( attempt -> attempt.endpoint.build == build ).count ( ) ;
-}
-
-
-/** Idempotent RPCs, one every so many milliseconds, all answered ok after 40 ms. */ 
-void traffic ( int rpcs , double gapMs ) {
-for ( int i = 0 ;
-i < rpcs ;
-i ++ ) {
-rpc ( 0 ) ;
-advance ( 40 ) ;
-endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-advance ( gapMs - 40 ) ;
-}
-}
-
-
-void advance ( double ms ) {
-Timestamp until = now.plus ( TimeSpan.ofMs ( ms ) ) ;
-while ( ! timers.isEmpty ( ) && ! timers.peek ( ).when.after ( until ) ) {
-Timer timer = timers.poll ( ) ;
-now = now.later ( timer.when ) ;
-timer.what.run ( ) ;
-}
-now = until ;
-}
-
-
-@Override public Timestamp now ( ) {
-return now ;
-}
-
-
-@Override public void send ( Attempt attempt ) {
-tracker.attemptSent ( attempt ) ;
-sent.add ( attempt ) ;
-}
-
-
-@Override public void cancel ( Attempt attempt ) {
-cancelled.add ( attempt ) ;
-}
-
-
-@Override public void reject ( Rpc rpc , TimeSpan wait ) {
-tracker.rejected ( rpc ) ;
-rejected.add ( rpc ) ;
-}
-
-
-@Override public void fail ( Rpc rpc ) {
-tracker.aborted ( rpc ) ;
-failed.add ( rpc ) ;
-}
-
-
-@Override public void schedule ( Timestamp when , Runnable what ) {
-timers.add ( new Timer ( when , nextId ++ , what ) ) ;
-}
-
-
-@Override public void vote ( Build build , int stage , Verdict verdict ) {
-votes.add ( verdict ) ;
-}
-
-
-@Override public void sendToPeers ( byte [ ] contents ) {
-broadcasts.add ( contents ) ;
-}
-
-
-@Override public void sendToPeer ( int relay , byte [ ] contents ) {
-directMessages.add ( contents ) ;
-recipients.add ( relay ) ;
-}
-
-
-@Override public void subscribe ( ) {
-subscriptions ++ ;
-}
-
-
-@Override public void log ( String line ) {
-}
+        """;
+
+  final List<Attempt> sent = new ArrayList<>();
+  final List<Attempt> cancelled = new ArrayList<>();
+  final List<Rpc> rejected = new ArrayList<>();
+  final List<Rpc> failed = new ArrayList<>();
+  final List<Verdict> votes = new ArrayList<>();
+  final List<byte[]> broadcasts = new ArrayList<>();
+  final List<byte[]> directMessages = new ArrayList<>();
+  final List<Integer> recipients = new ArrayList<>();
+  int subscriptions;
+  final Settings settings;
+  final RequestTracker tracker;
+  final RoutingPolicy policy;
+  final Build baseline;
+  final Build canary;
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>(
+          (a, b) -> {
+            int byTime = a.when.compareTo(b.when);
+            return byTime != 0 ? byTime : Integer.compare(a.order, b.order);
+          });
+  private Timestamp now = Timestamp.ofMs(100_000);
+  private int nextId;
+
+  /** A host whose settings differ from the usual ones as the lines say. */
+  FakeRelayActions(String... lines) {
+    settings = SettingsText.read(SETTINGS + String.join("\n", lines));
+    tracker = new RequestTracker(settings);
+    baseline = tracker.build(1);
+    canary = tracker.build(2);
+    policy = new RoutingPolicy(this, settings, 42);
+    tracker.setListener(policy);
+  }
+
+  /** Warm units of the earlier build, and news that it is the released one. */
+  FakeRelayActions withBaseline(int endpoints) {
+    for (int i = 0; i < endpoints; i++) {
+      endpoint(baseline, null);
+    }
+    tracker.rolloutChanged(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
+    return this;
+  }
+
+  /** So many warm units of the build on trial, and news that puts it there. */
+  FakeRelayActions withCanary(int endpoints, int stage, double cap) {
+    for (int i = 0; i < endpoints; i++) {
+      endpoint(canary, now.minus(TimeSpan.ofMs(20_000)));
+    }
+    tracker.rolloutChanged(2, stage, RolloutState.ON_TRIAL, cap, now);
+    return this;
+  }
+
+  Endpoint endpoint(Build build, Timestamp started) {
+    return tracker.endpointListed(nextId++, 0, 0, 0, build.number, started, 1, true);
+  }
+
+  Rpc rpc(int method) {
+    return rpc(method, 0, 4000);
+  }
+
+  Rpc rpc(int method, long key, double leftMs) {
+    return tracker.rpcArrived(
+        nextId++,
+        settings.methods.get(method),
+        0,
+        key,
+        now,
+        now.plus(TimeSpan.ofMs(leftMs)),
+        null,
+        null);
+  }
+
+  /** The first idempotent RPC of the key that gets a copy; those before it are answered ok. */
+  Rpc firstShadowed(long key) {
+    for (int i = 0; i < 100; i++) {
+      Rpc rpc = rpc(0, key, 4000);
+      if (rpc.attempts.size() == 2) {
+        return rpc;
+      }
+      advance(50);
+      endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    }
+    throw new AssertionError("no RPC got a copy");
+  }
+
+  void end(Attempt attempt, AttemptOutcome outcome) {
+    boolean closes = outcome == AttemptOutcome.OK || attempt.rpc.ended();
+    tracker.attemptEnded(attempt, outcome, now.since(attempt.sent), closes);
+  }
+
+  /**
+   * Ends all picks that are out, those at the fresh build with one outcome, the others with
+   * another.
+   */
+  void endAll(AttemptOutcome atFresh, AttemptOutcome atOld) {
+    for (Attempt attempt : List.copyOf(sent)) {
+      if (attempt.outcome() == null) {
+        end(attempt, attempt.endpoint.build == canary ? atFresh : atOld);
+      }
+    }
+  }
+
+  long sentTo(Build build) {
+    return sent.stream().filter(attempt -> attempt.endpoint.build == build).count();
+  }
+
+  /** Idempotent RPCs, one every so many milliseconds, all answered ok after 40 ms. */
+  void traffic(int rpcs, double gapMs) {
+    for (int i = 0; i < rpcs; i++) {
+      rpc(0);
+      advance(40);
+      endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      advance(gapMs - 40);
+    }
+  }
+
+  void advance(double ms) {
+    Timestamp until = now.plus(TimeSpan.ofMs(ms));
+    while (!timers.isEmpty() && !timers.peek().when.after(until)) {
+      Timer timer = timers.poll();
+      now = now.later(timer.when);
+      timer.what.run();
+    }
+    now = until;
+  }
+
+  @Override
+  public Timestamp now() {
+    return now;
+  }
+
+  @Override
+  public void send(Attempt attempt) {
+    tracker.attemptSent(attempt);
+    sent.add(attempt);
+  }
+
+  @Override
+  public void cancel(Attempt attempt) {
+    cancelled.add(attempt);
+  }
+
+  @Override
+  public void reject(Rpc rpc, TimeSpan wait) {
+    tracker.rejected(rpc);
+    rejected.add(rpc);
+  }
+
+  @Override
+  public void fail(Rpc rpc) {
+    tracker.aborted(rpc);
+    failed.add(rpc);
+  }
+
+  @Override
+  public void schedule(Timestamp when, Runnable what) {
+    timers.add(new Timer(when, nextId++, what));
+  }
+
+  @Override
+  public void vote(Build build, int stage, Verdict verdict) {
+    votes.add(verdict);
+  }
+
+  @Override
+  public void sendToPeers(byte[] contents) {
+    broadcasts.add(contents);
+  }
+
+  @Override
+  public void sendToPeer(int relay, byte[] contents) {
+    directMessages.add(contents);
+    recipients.add(relay);
+  }
+
+  @Override
+  public void subscribe() {
+    subscriptions++;
+  }
+
+  @Override
+  public void log(String line) {}
 }
- 
--- a/src/test/java/sprucerock/policy/RoutingPolicyTest.java
+++ b/src/test/java/sprucerock/policy/RoutingPolicyTest.java
@@ -1,525 +1,478 @@
-package sprucerock.policy ;
-
-
-import static org.testng.Assert.assertEquals ;
-import static org.testng.Assert.assertFalse ;
-import static org.testng.Assert.assertNotSame ;
-import static org.testng.Assert.assertSame ;
-import static org.testng.Assert.assertTrue ;
-
-
-import org.testng.annotations.Test ;
-import sprucerock.model.Attempt ;
-import sprucerock.model.AttemptOutcome ;
-import sprucerock.model.Endpoint ;
-import sprucerock.model.RolloutState ;
-import sprucerock.model.Rpc ;
-import sprucerock.model.Verdict ;
-import sprucerock.model.VoteReply ;
-import sprucerock.policy.evidence.LoadReports ;
-import sprucerock.stats.KolmogorovSmirnov ;
-import sprucerock.time.TimeSpan ;
-
-
-/** Stories of one relay, each of a rule's edge or of a failure met. */ 
+package sprucerock.policy;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertNotSame;
+import static org.testng.Assert.assertSame;
+import static org.testng.Assert.assertTrue;
+
+import org.testng.annotations.Test;
+import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Endpoint;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Rpc;
+import sprucerock.model.Verdict;
+import sprucerock.model.VoteReply;
+import sprucerock.policy.evidence.LoadReports;
+import sprucerock.stats.KolmogorovSmirnov;
+import sprucerock.time.TimeSpan;
+
+/** Stories of one relay, each of a rule's edge or of a failure met. */
 public class RoutingPolicyTest {
-private static final String ALONE = "permissions.second_copies=false" ;
-private static final String ONE_WAY = "specifics.keys_stay=true" ;
-
-
-@Test public void everyRpcIsAnsweredBeforeItsClientLeaves ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 2 ) ;
-Rpc order = relay.rpc ( 2 , 0 , 1000 ) ;
-relay.advance ( 985 ) ;
-assertTrue ( relay.failed.isEmpty ( ) ) ;
-relay.advance ( 10 ) ;
-assertSame ( relay.failed.get ( 0 ) , order ) ;
-relay.end ( relay.sent.get ( 0 ) , AttemptOutcome.ERROR ) ;
-relay.advance ( 5000 ) ;
-assertEquals ( relay.sent.size ( ) , 1 ) ;
-assertEquals ( relay.failed.size ( ) + relay.rejected.size ( ) , 1 ) ;
-}
-
-
-@Test public void nonIdempotentGoesAgainOnlyIfItProvablyNeverRan ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 3 ) ;
-relay.rpc ( 2 ) ;
-relay.end ( relay.sent.get ( 0 ) , AttemptOutcome.FULL ) ;
-assertEquals ( relay.sent.size ( ) , 2 ) ;
-relay.end ( relay.sent.get ( 1 ) , AttemptOutcome.BROKEN ) ;
-assertEquals ( relay.sent.size ( ) , 2 ) ;
-assertEquals ( relay.failed.size ( ) , 1 ) ;
-assertTrue ( relay.rejected.isEmpty ( ) ) ;
-}
-
-
-@Test public void tokenedIsRepeatedOnlyInsideItsWindow ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 5 ) ;
-relay.rpc ( 1 ) ;
-relay.end ( relay.sent.get ( 0 ) , AttemptOutcome.ERROR ) ;
-assertEquals ( relay.sent.size ( ) , 2 ) ;
-relay.advance ( 1999 ) ;
-int sent = relay.sent.size ( ) ;
-for ( Attempt attempt : relay.sent ) {
-if ( attempt.outcome ( ) == null ) {
-relay.end ( attempt , AttemptOutcome.ERROR ) ;
-}
-}
-assertEquals ( relay.sent.size ( ) , sent ) ;
-assertEquals ( relay.rejected.size ( ) , 1 ) ;
-}
-
-
-@Test public void tokenedStaysInItsGroupOnceItMayHaveRun ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "classes.1.group=zone" ).withBaseline ( 1 ) ;
-Endpoint far = relay.tracker.endpointListed ( 90 , 1 , 0 , 0 , 1 , null , 1 , true ) ;
-Rpc order = relay.rpc ( 1 ) ;
-relay.end ( order.attempts.get ( 0 ) , AttemptOutcome.ERROR ) ;
-assertEquals ( order.attempts.size ( ) , 1 ) ;
-assertSame ( relay.failed.get ( 0 ) , order ) ;
-}
-
-
-@Test public void neverTwoPicksOutWhereSecondCopiesAreBarred ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ALONE ).withBaseline ( 4 ).withCanary ( 2 , 1 , 0.4 ) ;
-for ( int i = 0 ;
-i < 20 ;
-i ++ ) {
-Rpc rpc = relay.rpc ( i % 3 ) ;
-relay.advance ( 60 ) ;
-assertTrue ( rpc.inFlight ( ) <= 1 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-}
-Rpc slow = relay.rpc ( 0 ) ;
-relay.advance ( 1400 ) ;
-assertEquals ( slow.attempts.size ( ) , 1 ) ;
-}
-
-
-@Test public void drainingUnitGetsNothingNew ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 2 ) ;
-Endpoint left = relay.baseline.endpoints.get ( 0 ) ;
-relay.tracker.endpointRemoved ( left.id ) ;
-for ( int i = 0 ;
-i < 20 ;
-i ++ ) {
-relay.rpc ( 0 ) ;
-}
-assertTrue ( relay.sent.stream ( ).noneMatch ( attempt -> attempt.endpoint == left ) ) ;
-}
-
-
-@Test public void coldUnitGetsLessThanAWarmOne ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 4 ) ;
-relay.traffic ( 40 , 50 ) ;
-Endpoint cold = relay.endpoint ( relay.baseline , relay.now ( ) ) ;
-int before = relay.sent.size ( ) ;
-relay.traffic ( 20 , 50 ) ;
-long atCold = relay.sent.stream ( ).skip ( before ).filter ( attempt -> attempt.endpoint == cold ).count ( ) ;
-assertTrue ( atCold <= 3 , "sent " + atCold ) ;
-}
-
-
-@Test public void picksAtABuildOnTrialStayUnderTheCap ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 4 ).withCanary ( 3 , 0 , 0.1 ) ;
-relay.traffic ( 100 , 50 ) ;
-long copies = relay.sentTo ( relay.canary ) ;
-assertTrue ( copies > 3 && copies <= 3 + 0.1 * 100 , "copies " + copies ) ;
-}
-
-
-@Test public void unannouncedOrWithdrawnBuildGetsNothing ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 2 ) ;
-relay.endpoint ( relay.canary , relay.now ( ).minus ( TimeSpan.ofMs ( 9000 ) ) ) ;
-relay.traffic ( 10 , 50 ) ;
-assertEquals ( relay.sentTo ( relay.canary ) , 0 ) ;
-relay.tracker.rolloutChanged ( 2 , 0 , RolloutState.GOING_BACK , 0 , relay.now ( ) ) ;
-relay.traffic ( 10 , 50 ) ;
-assertEquals ( relay.sentTo ( relay.canary ) , 0 ) ;
-}
-
-
-@Test public void effectsAreNeverCopiedAndStayOutOfTheFirstStage ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 4 ).withCanary ( 3 , 0 , 1.0 ) ;
-for ( int i = 0 ;
-i < 20 ;
-i ++ ) {
-Rpc rpc = relay.rpc ( 1 + i % 2 ) ;
-relay.advance ( 50 ) ;
-assertEquals ( rpc.attempts.size ( ) , 1 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-}
-assertEquals ( relay.sentTo ( relay.canary ) , 0 ) ;
-}
-
-
-@Test public void copyGoesBesideThePrimaryAndTheFirstOkAnswers ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 4 ) ;
-relay.traffic ( 40 , 50 ) ;
-relay.withCanary ( 3 , 1 , 1.0 ) ;
-Rpc rpc = relay.firstShadowed ( 0 ) ;
-assertSame ( rpc.attempts.get ( 0 ).endpoint.build , relay.baseline ) ;
-assertSame ( rpc.attempts.get ( 1 ).endpoint.build , relay.canary ) ;
-relay.end ( rpc.attempts.get ( 1 ) , AttemptOutcome.OK ) ;
-assertTrue ( rpc.ended ( ) ) ;
-assertTrue ( relay.cancelled.isEmpty ( ) ) ;
-}
-
-
-@Test public void keyThatTheNewBuildAnsweredNeverGoesBackToTheEarlier ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ONE_WAY ).withBaseline ( 4 ) ;
-for ( long key = 100 ;
-key < 140 ;
-key ++ ) {
-relay.rpc ( 0 , key , 4000 ) ;
-relay.advance ( 50 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-}
-relay.withCanary ( 3 , 1 , 1.0 ) ;
-relay.firstShadowed ( 7 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-relay.advance ( 500 ) ;
-int pushed = relay.rejected.size ( ) ;
-Rpc second = relay.rpc ( 2 , 7 , 4000 ) ;
-for ( Attempt attempt : second.attempts ) {
-assertSame ( attempt.endpoint.build , relay.canary ) ;
-}
-assertEquals ( relay.rejected.size ( ) - pushed + second.attempts.size ( ) , 1 ) ;
-relay.tracker.rolloutChanged ( 2 , 1 , RolloutState.GOING_BACK , 0 , relay.now ( ) ) ;
-Rpc third = relay.rpc ( 2 , 7 , 4000 ) ;
-assertSame ( third.attempts.get ( 0 ).endpoint.build , relay.baseline ) ;
-}
-
-
-@Test public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ONE_WAY ).withBaseline ( 2 ).withCanary ( 4 , 2 , 1.0 ) ;
-relay.tracker.rolloutChanged ( 2 , 2 , RolloutState.RELEASED , 1 , relay.now ( ) ) ;
-for ( Endpoint endpoint : java.util.List.copyOf ( relay.baseline.endpoints ) ) {
-relay.tracker.endpointRemoved ( endpoint.id ) ;
-}
-relay.rpc ( 0 , 7 , 4000 ) ;
-relay.advance ( 50 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-for ( Endpoint endpoint : java.util.List.copyOf ( relay.canary.endpoints ) ) {
-relay.tracker.endpointRemoved ( endpoint.id ) ;
-}
-relay.endpoint ( relay.baseline , relay.now ( ).minus ( TimeSpan.ofMs ( 9000 ) ) ) ;
-relay.rpc ( 0 , 7 , 4000 ) ;
-assertEquals ( relay.sentTo ( relay.baseline ) , 0 ) ;
-}
-
-
-@Test public void popularKeyIsNotPinned ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ONE_WAY ).withBaseline ( 4 ) ;
-for ( int i = 0 ;
-i < 40 ;
-i ++ ) {
-relay.rpc ( 0 , 7 , 4000 ) ;
-relay.advance ( 50 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-}
-relay.withCanary ( 3 , 0 , 0.1 ) ;
-relay.advance ( 2000 ) ;
-assertEquals ( relay.rpc ( 0 , 7 , 4000 ).attempts.size ( ) , 1 ) ;
-}
-
-
-@Test public void failedCopiesBesideServedPrimariesSendTheBuildBack ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 6 ) ;
-relay.traffic ( 40 , 50 ) ;
-relay.withCanary ( 3 , 1 , 1.0 ) ;
-for ( int i = 0 ;
-i < 40 && ! relay.votes.contains ( Verdict.BACK ) ;
-i ++ ) {
-relay.rpc ( 0 ) ;
-relay.advance ( 50 ) ;
-relay.endAll ( AttemptOutcome.ERROR , AttemptOutcome.OK ) ;
-}
-assertTrue ( relay.votes.contains ( Verdict.BACK ) ) ;
-}
-
-
-@Test public void timeOutsAndFullUnitsAreNoFailures ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 6 ) ;
-relay.traffic ( 40 , 50 ) ;
-relay.withCanary ( 3 , 1 , 1.0 ) ;
-for ( int i = 0 ;
-i < 60 ;
-i ++ ) {
-relay.rpc ( 0 ) ;
-relay.advance ( 50 ) ;
-relay.endAll ( i % 2 == 0 ? AttemptOutcome.FULL : AttemptOutcome.TIMED_OUT , AttemptOutcome.OK ) ;
-}
-assertFalse ( relay.votes.contains ( Verdict.BACK ) ) ;
-}
-
-
-@Test public void oneSidedKsSeesOnlyTheSlowerSide ( ) {
-double [ ] fast = {
-1 , 2 , 3 , 4 }
-;
-double [ ] slow = {
-5 , 6 , 7 , 8 }
-;
-assertEquals ( KolmogorovSmirnov.slowerSide ( slow , fast ) , 1.0 ) ;
-assertEquals ( KolmogorovSmirnov.slowerSide ( fast , slow ) , 0.0 ) ;
-assertEquals ( KolmogorovSmirnov.slowerSide ( fast , fast ) , 0.0 ) ;
-}
-
-
-@Test public void goodBuildIsVotedOnRenewedAndCastAgainWhenLost ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 6 ) ;
-relay.traffic ( 40 , 50 ) ;
-relay.withCanary ( 3 , 0 , 0.4 ) ;
-relay.traffic ( 120 , 50 ) ;
-assertTrue ( relay.votes.contains ( Verdict.ON ) ) ;
-relay.policy.voteAnswered ( VoteReply.TOO_MANY ) ;
-int cast = relay.votes.size ( ) ;
-relay.advance ( 500 ) ;
-assertEquals ( relay.votes.size ( ) , cast + 1 ) ;
-relay.policy.voteAnswered ( VoteReply.COUNTS ) ;
-relay.advance ( 1500 ) ;
-assertEquals ( relay.votes.size ( ) , cast + 1 ) ;
-relay.advance ( 1000 ) ;
-assertEquals ( relay.votes.size ( ) , cast + 2 ) ;
-}
-
-
-@Test public void quietRelayVotesOnAtTheFallbackAge ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "specifics.vote_mode=majority" ).withBaseline ( 2 ) ;
-relay.tracker.rolloutChanged ( 2 , 0 , RolloutState.ON_TRIAL , 0.1 , relay.now ( ) ) ;
-relay.advance ( 1000 ) ;
-relay.endpoint ( relay.canary , relay.now ( ) ) ;
-relay.advance ( 2900 ) ;
-assertTrue ( relay.votes.isEmpty ( ) ) ;
-relay.advance ( 300 ) ;
-assertEquals ( relay.votes.get ( 0 ) , Verdict.ON ) ;
-}
-
-
-@Test public void silentUnitIsPassedByWithAFurtherPick ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 3 ) ;
-relay.traffic ( 20 , 50 ) ;
-Rpc rpc = relay.rpc ( 0 ) ;
-relay.advance ( 700 ) ;
-assertEquals ( rpc.attempts.size ( ) , 2 ) ;
-assertNotSame ( rpc.attempts.get ( 0 ).endpoint , rpc.attempts.get ( 1 ).endpoint ) ;
-}
-
-
-@Test public void unitThatFailsFastIsLeftAlone ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 5 ) ;
-Endpoint bad = relay.baseline.endpoints.get ( 0 ) ;
-for ( int i = 0 ;
-i < 60 ;
-i ++ ) {
-relay.rpc ( 0 ) ;
-relay.advance ( 30 ) ;
-for ( Attempt attempt : java.util.List.copyOf ( relay.sent ) ) {
-if ( attempt.outcome ( ) == null ) {
-relay.end ( attempt , attempt.endpoint == bad ? AttemptOutcome.ERROR : AttemptOutcome.OK ) ;
-}
-}
-}
-long atBad = relay.sent.stream ( ).skip ( 30 ).filter ( attempt -> attempt.endpoint == bad ).count ( ) ;
-assertTrue ( atBad <= 4 , "sent " + atBad ) ;
-}
-
-
-@Test public void overloadIsPushedBackAtOnce ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 2 ) ;
-for ( int i = 0 ;
-i < 60 ;
-i ++ ) {
-relay.rpc ( 0 ) ;
-relay.advance ( 10 ) ;
-}
-assertFalse ( relay.rejected.isEmpty ( ) ) ;
-assertTrue ( relay.rejected.get ( 0 ).attempts.isEmpty ( ) ) ;
-}
-
-
-@Test public void trafficThatHasJustComeIsNoQueue ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 4 ) ;
-for ( int i = 0 ;
-i < 200 ;
-i ++ ) {
-// 100 a second from nothing, each answered after 100 ms
-relay.rpc ( 0 ) ;
-relay.advance ( 10 ) ;
-if ( i >= 9 ) {
-relay.sent.stream ( ).filter ( attempt -> attempt.outcome ( ) == null ).limit ( 1 ).toList ( ).forEach ( attempt -> relay.end ( attempt , AttemptOutcome.OK ) ) ;
-}
-}
-assertTrue ( relay.rejected.isEmpty ( ) , relay.rejected.size ( ) + " pushed back" ) ;
-}
-
-
-@Test public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheCopies ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 8 ) ;
-relay.advance ( 2500 ) ;
-relay.traffic ( 80 , 50 ) ;
-relay.withCanary ( 3 , 1 , 0.4 ) ;
-int copied = 0 ;
-for ( int i = 0 ;
-i < 900 && ! relay.votes.contains ( Verdict.BACK ) ;
-i ++ ) {
-if ( relay.rpc ( 0 ).attempts.size ( ) > 1 ) {
-copied = i ;
-}
-relay.advance ( i - copied < 12 ? 200 : 40 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-relay.advance ( 10 ) ;
-}
-assertTrue ( relay.votes.contains ( Verdict.BACK ) ) ;
-}
-
-
-@Test public void releasedBuildIsWatchedForAFixedTimeOnly ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 6 ).withCanary ( 6 , 2 , 1.0 ) ;
-relay.tracker.rolloutChanged ( 2 , 2 , RolloutState.RELEASED , 1 , relay.now ( ) ) ;
-for ( Endpoint endpoint : java.util.List.copyOf ( relay.baseline.endpoints ) ) {
-relay.tracker.endpointRemoved ( endpoint.id ) ;
-}
-relay.advance ( 16_000 ) ;
-for ( int i = 0 ;
-i < 40 ;
-i ++ ) {
-relay.rpc ( 2 ) ;
-relay.advance ( 50 ) ;
-relay.endAll ( AttemptOutcome.ERROR , AttemptOutcome.OK ) ;
-}
-assertFalse ( relay.votes.contains ( Verdict.BACK ) ) ;
-}
-
-
-@Test public void releasedBuildThatFailsEverywhereGoesBack ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 6 ).withCanary ( 6 , 2 , 1.0 ) ;
-relay.tracker.rolloutChanged ( 2 , 2 , RolloutState.RELEASED , 1 , relay.now ( ) ) ;
-for ( Endpoint endpoint : java.util.List.copyOf ( relay.baseline.endpoints ) ) {
-relay.tracker.endpointRemoved ( endpoint.id ) ;
-}
-for ( int i = 0 ;
-i < 40 ;
-i ++ ) {
-relay.rpc ( 2 ) ;
-relay.advance ( 50 ) ;
-relay.endAll ( AttemptOutcome.ERROR , AttemptOutcome.OK ) ;
-}
-assertTrue ( relay.votes.contains ( Verdict.BACK ) ) ;
-}
-
-
-@Test public void peersAddUpTheirPairs ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 6 ).withCanary ( 3 , 1 , 0.4 ) ;
-relay.policy.peerMessageReceived ( 1 , new byte [ ] {
-3 , 2 , 1 , 9 , 2 , 0 , 6 , 0 }
-) ;
-assertTrue ( relay.votes.isEmpty ( ) ) ;
-relay.policy.peerMessageReceived ( 2 , new byte [ ] {
-3 , 2 , 1 , 9 , 2 , 0 , 6 , 0 }
-) ;
-assertEquals ( relay.votes.get ( 0 ) , Verdict.BACK ) ;
-}
-
-
-@Test public void brokenSubscriptionIsAskedForAgain ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "membership_mode=ask" ).withBaseline ( 2 ) ;
-assertEquals ( relay.subscriptions , 1 ) ;
-relay.policy.endpointListFailed ( ) ;
-relay.advance ( 1100 ) ;
-assertEquals ( relay.subscriptions , 2 ) ;
-}
-
-
-@Test public void loadsToldByPeersSteerTheTwoChoices ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "index=3" , "balancers=9" ).withBaseline ( 2 ) ;
-Endpoint full = relay.baseline.endpoints.get ( 0 ) ;
-LoadReports board = new LoadReports ( TimeSpan.ofMs ( 6000 ) ) ;
-for ( Endpoint endpoint : relay.baseline.endpoints ) {
-board.addEndpoint ( endpoint ) ;
-}
-for ( int i = 0 ;
-i < 5 ;
-i ++ ) {
-board.applyAttempt ( board.encodeAttempt ( full , null ) , relay.now ( ) ) ;
-}
-for ( int i = 0 ;
-i < 4 ;
-i ++ ) {
-relay.policy.peerMessageReceived ( 0 , board.encodeLoads ( 2 , 0 , relay.now ( ) ) ) ;
-assertNotSame ( relay.rpc ( 0 ).attempts.get ( 0 ).endpoint , full ) ;
-}
-assertEquals ( relay.recipients , java.util.List.of ( 0 , 0 , 0 , 0 ) ) ;
-}
-
-
-@Test public void nextRelayIsToldWhereTheOneThatAddsUpIsSilent ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "index=3" , "balancers=9" ).withBaseline ( 4 ) ;
-relay.traffic ( 80 , 50 ) ;
-assertTrue ( relay.recipients.contains ( 0 ) && relay.recipients.contains ( 1 ) ) ;
-assertFalse ( relay.recipients.contains ( 4 ) ) ;
-}
-
-
-@Test public void quietRelayPushesBackByTheFleetsWait ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "index=3" , "balancers=9" ).withBaseline ( 4 ) ;
-relay.policy.peerMessageReceived ( 0 , new byte [ ] {
-LoadReports.LOADS , 60 }
-) ;
-assertTrue ( relay.rpc ( 0 ).attempts.isEmpty ( ) ) ;
-relay.advance ( 1500 ) ;
-assertEquals ( relay.rpc ( 0 ).attempts.size ( ) , 1 ) ;
-}
-
-
-@Test public void unitsBehindASlowLinkComeLast ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 3 ) ;
-Endpoint far = relay.tracker.endpointListed ( 90 , 1 , 0 , 0 , 1 , null , 1 , true ) ;
-for ( int i = 0 ;
-i < 60 ;
-i ++ ) {
-Attempt attempt = relay.rpc ( 0 ).attempts.get ( 0 ) ;
-relay.advance ( attempt.endpoint == far ? 600 : 50 ) ;
-relay.endAll ( AttemptOutcome.OK , AttemptOutcome.OK ) ;
-}
-assertTrue ( relay.sent.stream ( ).skip ( 20 ).noneMatch ( attempt -> attempt.endpoint == far ) ) ;
-}
-
-
-@Test public void quietRelayStaysWithUnitsThatItHasConnectionsTo ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "permissions.keepalive=20000" ).withBaseline ( 60 ) ;
-relay.traffic ( 200 , 400 ) ;
-long met = relay.sent.stream ( ).map ( attempt -> attempt.endpoint ).distinct ( ).count ( ) ;
-assertTrue ( met <= 20 , met + " units met" ) ;
-}
-
-
-@Test public void connectionsThatStoodIdleForLongDrawNobody ( ) {
-FakeRelayActions relay = new FakeRelayActions ( "permissions.keepalive=20000" ).withBaseline ( 60 ) ;
-for ( int i = 0 ;
-i < 12 ;
-i ++ ) {
-relay.advance ( 15_000 ) ;
-relay.traffic ( 1 , 400 ) ;
-}
-long met = relay.sent.stream ( ).map ( attempt -> attempt.endpoint ).distinct ( ).count ( ) ;
-assertTrue ( met >= 10 , met + " units met" ) ;
-}
-
-
-@Test public void leadsOfSeveralStagesAddUp ( ) {
-FakeRelayActions relay = new FakeRelayActions ( ).withBaseline ( 4 ).withCanary ( 3 , 0 , 0.1 ) ;
-for ( int stage = 0 ;
-stage < 3 ;
-stage ++ ) {
-relay.tracker.rolloutChanged ( 2 , stage , RolloutState.ON_TRIAL , 0.4 , relay.now ( ) ) ;
-assertFalse ( relay.votes.contains ( Verdict.BACK ) ) ;
-relay.policy.peerMessageReceived ( 1 , new byte [ ] {
-3 , 2 , ( byte ) stage , 19 , 2 , 0 , 6 , 0 }
-) ;
-}
-assertTrue ( relay.votes.contains ( Verdict.BACK ) ) ;
-}
+  private static final String ALONE = "permissions.second_copies=false";
+  private static final String ONE_WAY = "specifics.keys_stay=true";
+
+  @Test
+  public void everyRpcIsAnsweredBeforeItsClientLeaves() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
+    Rpc order = relay.rpc(2, 0, 1000);
+    relay.advance(985);
+    assertTrue(relay.failed.isEmpty());
+    relay.advance(10);
+    assertSame(relay.failed.get(0), order);
+    relay.end(relay.sent.get(0), AttemptOutcome.ERROR);
+    relay.advance(5000);
+    assertEquals(relay.sent.size(), 1);
+    assertEquals(relay.failed.size() + relay.rejected.size(), 1);
+  }
+
+  @Test
+  public void nonIdempotentGoesAgainOnlyIfItProvablyNeverRan() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
+    relay.rpc(2);
+    relay.end(relay.sent.get(0), AttemptOutcome.FULL);
+    assertEquals(relay.sent.size(), 2);
+    relay.end(relay.sent.get(1), AttemptOutcome.BROKEN);
+    assertEquals(relay.sent.size(), 2);
+    assertEquals(relay.failed.size(), 1);
+    assertTrue(relay.rejected.isEmpty());
+  }
+
+  @Test
+  public void tokenedIsRepeatedOnlyInsideItsWindow() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
+    relay.rpc(1);
+    relay.end(relay.sent.get(0), AttemptOutcome.ERROR);
+    assertEquals(relay.sent.size(), 2);
+    relay.advance(1999);
+    int sent = relay.sent.size();
+    for (Attempt attempt : relay.sent) {
+      if (attempt.outcome() == null) {
+        relay.end(attempt, AttemptOutcome.ERROR);
+      }
+    }
+    assertEquals(relay.sent.size(), sent);
+    assertEquals(relay.rejected.size(), 1);
+  }
+
+  @Test
+  public void tokenedStaysInItsGroupOnceItMayHaveRun() {
+    FakeRelayActions relay = new FakeRelayActions("classes.1.group=zone").withBaseline(1);
+    Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
+    Rpc order = relay.rpc(1);
+    relay.end(order.attempts.get(0), AttemptOutcome.ERROR);
+    assertEquals(order.attempts.size(), 1);
+    assertSame(relay.failed.get(0), order);
+  }
+
+  @Test
+  public void neverTwoPicksOutWhereSecondCopiesAreBarred() {
+    FakeRelayActions relay = new FakeRelayActions(ALONE).withBaseline(4).withCanary(2, 1, 0.4);
+    for (int i = 0; i < 20; i++) {
+      Rpc rpc = relay.rpc(i % 3);
+      relay.advance(60);
+      assertTrue(rpc.inFlight() <= 1);
+      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    }
+    Rpc slow = relay.rpc(0);
+    relay.advance(1400);
+    assertEquals(slow.attempts.size(), 1);
+  }
+
+  @Test
+  public void drainingUnitGetsNothingNew() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
+    Endpoint left = relay.baseline.endpoints.get(0);
+    relay.tracker.endpointRemoved(left.id);
+    for (int i = 0; i < 20; i++) {
+      relay.rpc(0);
+    }
+    assertTrue(relay.sent.stream().noneMatch(attempt -> attempt.endpoint == left));
+  }
+
+  @Test
+  public void coldUnitGetsLessThanAWarmOne() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
+    relay.traffic(40, 50);
+    Endpoint cold = relay.endpoint(relay.baseline, relay.now());
+    int before = relay.sent.size();
+    relay.traffic(20, 50);
+    long atCold =
+        relay.sent.stream().skip(before).filter(attempt -> attempt.endpoint == cold).count();
+    assertTrue(atCold <= 3, "sent " + atCold);
+  }
+
+  @Test
+  public void picksAtABuildOnTrialStayUnderTheCap() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 0.1);
+    relay.traffic(100, 50);
+    long copies = relay.sentTo(relay.canary);
+    assertTrue(copies > 3 && copies <= 3 + 0.1 * 100, "copies " + copies);
+  }
+
+  @Test
+  public void unannouncedOrWithdrawnBuildGetsNothing() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
+    relay.endpoint(relay.canary, relay.now().minus(TimeSpan.ofMs(9000)));
+    relay.traffic(10, 50);
+    assertEquals(relay.sentTo(relay.canary), 0);
+    relay.tracker.rolloutChanged(2, 0, RolloutState.GOING_BACK, 0, relay.now());
+    relay.traffic(10, 50);
+    assertEquals(relay.sentTo(relay.canary), 0);
+  }
+
+  @Test
+  public void effectsAreNeverCopiedAndStayOutOfTheFirstStage() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 1.0);
+    for (int i = 0; i < 20; i++) {
+      Rpc rpc = relay.rpc(1 + i % 2);
+      relay.advance(50);
+      assertEquals(rpc.attempts.size(), 1);
+      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    }
+    assertEquals(relay.sentTo(relay.canary), 0);
+  }
+
+  @Test
+  public void copyGoesBesideThePrimaryAndTheFirstOkAnswers() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
+    relay.traffic(40, 50);
+    relay.withCanary(3, 1, 1.0);
+    Rpc rpc = relay.firstShadowed(0);
+    assertSame(rpc.attempts.get(0).endpoint.build, relay.baseline);
+    assertSame(rpc.attempts.get(1).endpoint.build, relay.canary);
+    relay.end(rpc.attempts.get(1), AttemptOutcome.OK);
+    assertTrue(rpc.ended());
+    assertTrue(relay.cancelled.isEmpty());
+  }
+
+  @Test
+  public void keyThatTheNewBuildAnsweredNeverGoesBackToTheEarlier() {
+    FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(4);
+    for (long key = 100; key < 140; key++) {
+      relay.rpc(0, key, 4000);
+      relay.advance(50);
+      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    }
+    relay.withCanary(3, 1, 1.0);
+    relay.firstShadowed(7);
+    relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    relay.advance(500);
+    int pushed = relay.rejected.size();
+    Rpc second = relay.rpc(2, 7, 4000);
+    for (Attempt attempt : second.attempts) {
+      assertSame(attempt.endpoint.build, relay.canary);
+    }
+    assertEquals(relay.rejected.size() - pushed + second.attempts.size(), 1);
+    relay.tracker.rolloutChanged(2, 1, RolloutState.GOING_BACK, 0, relay.now());
+    Rpc third = relay.rpc(2, 7, 4000);
+    assertSame(third.attempts.get(0).endpoint.build, relay.baseline);
+  }
+
+  @Test
+  public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey() {
+    FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(2).withCanary(4, 2, 1.0);
+    relay.tracker.rolloutChanged(2, 2, RolloutState.RELEASED, 1, relay.now());
+    for (Endpoint endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
+      relay.tracker.endpointRemoved(endpoint.id);
+    }
+    relay.rpc(0, 7, 4000);
+    relay.advance(50);
+    relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    for (Endpoint endpoint : java.util.List.copyOf(relay.canary.endpoints)) {
+      relay.tracker.endpointRemoved(endpoint.id);
+    }
+    relay.endpoint(relay.baseline, relay.now().minus(TimeSpan.ofMs(9000)));
+    relay.rpc(0, 7, 4000);
+    assertEquals(relay.sentTo(relay.baseline), 0);
+  }
+
+  @Test
+  public void popularKeyIsNotPinned() {
+    FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(4);
+    for (int i = 0; i < 40; i++) {
+      relay.rpc(0, 7, 4000);
+      relay.advance(50);
+      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    }
+    relay.withCanary(3, 0, 0.1);
+    relay.advance(2000);
+    assertEquals(relay.rpc(0, 7, 4000).attempts.size(), 1);
+  }
+
+  @Test
+  public void failedCopiesBesideServedPrimariesSendTheBuildBack() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
+    relay.traffic(40, 50);
+    relay.withCanary(3, 1, 1.0);
+    for (int i = 0; i < 40 && !relay.votes.contains(Verdict.BACK); i++) {
+      relay.rpc(0);
+      relay.advance(50);
+      relay.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
+    }
+    assertTrue(relay.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void timeOutsAndFullUnitsAreNoFailures() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
+    relay.traffic(40, 50);
+    relay.withCanary(3, 1, 1.0);
+    for (int i = 0; i < 60; i++) {
+      relay.rpc(0);
+      relay.advance(50);
+      relay.endAll(i % 2 == 0 ? AttemptOutcome.FULL : AttemptOutcome.TIMED_OUT, AttemptOutcome.OK);
+    }
+    assertFalse(relay.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void oneSidedKsSeesOnlyTheSlowerSide() {
+    double[] fast = {1, 2, 3, 4};
+    double[] slow = {5, 6, 7, 8};
+    assertEquals(KolmogorovSmirnov.slowerSide(slow, fast), 1.0);
+    assertEquals(KolmogorovSmirnov.slowerSide(fast, slow), 0.0);
+    assertEquals(KolmogorovSmirnov.slowerSide(fast, fast), 0.0);
+  }
+
+  @Test
+  public void goodBuildIsVotedOnRenewedAndCastAgainWhenLost() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
+    relay.traffic(40, 50);
+    relay.withCanary(3, 0, 0.4);
+    relay.traffic(120, 50);
+    assertTrue(relay.votes.contains(Verdict.ON));
+    relay.policy.voteAnswered(VoteReply.TOO_MANY);
+    int cast = relay.votes.size();
+    relay.advance(500);
+    assertEquals(relay.votes.size(), cast + 1);
+    relay.policy.voteAnswered(VoteReply.COUNTS);
+    relay.advance(1500);
+    assertEquals(relay.votes.size(), cast + 1);
+    relay.advance(1000);
+    assertEquals(relay.votes.size(), cast + 2);
+  }
+
+  @Test
+  public void quietRelayVotesOnAtTheFallbackAge() {
+    FakeRelayActions relay = new FakeRelayActions("specifics.vote_mode=majority").withBaseline(2);
+    relay.tracker.rolloutChanged(2, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
+    relay.advance(1000);
+    relay.endpoint(relay.canary, relay.now());
+    relay.advance(2900);
+    assertTrue(relay.votes.isEmpty());
+    relay.advance(300);
+    assertEquals(relay.votes.get(0), Verdict.ON);
+  }
+
+  @Test
+  public void silentUnitIsPassedByWithAFurtherPick() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
+    relay.traffic(20, 50);
+    Rpc rpc = relay.rpc(0);
+    relay.advance(700);
+    assertEquals(rpc.attempts.size(), 2);
+    assertNotSame(rpc.attempts.get(0).endpoint, rpc.attempts.get(1).endpoint);
+  }
+
+  @Test
+  public void unitThatFailsFastIsLeftAlone() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
+    Endpoint bad = relay.baseline.endpoints.get(0);
+    for (int i = 0; i < 60; i++) {
+      relay.rpc(0);
+      relay.advance(30);
+      for (Attempt attempt : java.util.List.copyOf(relay.sent)) {
+        if (attempt.outcome() == null) {
+          relay.end(attempt, attempt.endpoint == bad ? AttemptOutcome.ERROR : AttemptOutcome.OK);
+        }
+      }
+    }
+    long atBad = relay.sent.stream().skip(30).filter(attempt -> attempt.endpoint == bad).count();
+    assertTrue(atBad <= 4, "sent " + atBad);
+  }
+
+  @Test
+  public void overloadIsPushedBackAtOnce() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
+    for (int i = 0; i < 60; i++) {
+      relay.rpc(0);
+      relay.advance(10);
+    }
+    assertFalse(relay.rejected.isEmpty());
+    assertTrue(relay.rejected.get(0).attempts.isEmpty());
+  }
+
+  @Test
+  public void trafficThatHasJustComeIsNoQueue() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
+    for (int i = 0; i < 200; i++) {
+      // 100 a second from nothing, each answered after 100 ms
+      relay.rpc(0);
+      relay.advance(10);
+      if (i >= 9) {
+        relay.sent.stream()
+            .filter(attempt -> attempt.outcome() == null)
+            .limit(1)
+            .toList()
+            .forEach(attempt -> relay.end(attempt, AttemptOutcome.OK));
+      }
+    }
+    assertTrue(relay.rejected.isEmpty(), relay.rejected.size() + " pushed back");
+  }
+
+  @Test
+  public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheCopies() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(8);
+    relay.advance(2500);
+    relay.traffic(80, 50);
+    relay.withCanary(3, 1, 0.4);
+    int copied = 0;
+    for (int i = 0; i < 900 && !relay.votes.contains(Verdict.BACK); i++) {
+      if (relay.rpc(0).attempts.size() > 1) {
+        copied = i;
+      }
+      relay.advance(i - copied < 12 ? 200 : 40);
+      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      relay.advance(10);
+    }
+    assertTrue(relay.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void releasedBuildIsWatchedForAFixedTimeOnly() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(6).withCanary(6, 2, 1.0);
+    relay.tracker.rolloutChanged(2, 2, RolloutState.RELEASED, 1, relay.now());
+    for (Endpoint endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
+      relay.tracker.endpointRemoved(endpoint.id);
+    }
+    relay.advance(16_000);
+    for (int i = 0; i < 40; i++) {
+      relay.rpc(2);
+      relay.advance(50);
+      relay.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
+    }
+    assertFalse(relay.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void releasedBuildThatFailsEverywhereGoesBack() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(6).withCanary(6, 2, 1.0);
+    relay.tracker.rolloutChanged(2, 2, RolloutState.RELEASED, 1, relay.now());
+    for (Endpoint endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
+      relay.tracker.endpointRemoved(endpoint.id);
+    }
+    for (int i = 0; i < 40; i++) {
+      relay.rpc(2);
+      relay.advance(50);
+      relay.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
+    }
+    assertTrue(relay.votes.contains(Verdict.BACK));
+  }
+
+  @Test
+  public void peersAddUpTheirPairs() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(6).withCanary(3, 1, 0.4);
+    relay.policy.peerMessageReceived(1, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
+    assertTrue(relay.votes.isEmpty());
+    relay.policy.peerMessageReceived(2, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
+    assertEquals(relay.votes.get(0), Verdict.BACK);
+  }
+
+  @Test
+  public void brokenSubscriptionIsAskedForAgain() {
+    FakeRelayActions relay = new FakeRelayActions("membership_mode=ask").withBaseline(2);
+    assertEquals(relay.subscriptions, 1);
+    relay.policy.endpointListFailed();
+    relay.advance(1100);
+    assertEquals(relay.subscriptions, 2);
+  }
+
+  @Test
+  public void loadsToldByPeersSteerTheTwoChoices() {
+    FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(2);
+    Endpoint full = relay.baseline.endpoints.get(0);
+    LoadReports board = new LoadReports(TimeSpan.ofMs(6000));
+    for (Endpoint endpoint : relay.baseline.endpoints) {
+      board.addEndpoint(endpoint);
+    }
+    for (int i = 0; i < 5; i++) {
+      board.applyAttempt(board.encodeAttempt(full, null), relay.now());
+    }
+    for (int i = 0; i < 4; i++) {
+      relay.policy.peerMessageReceived(0, board.encodeLoads(2, 0, relay.now()));
+      assertNotSame(relay.rpc(0).attempts.get(0).endpoint, full);
+    }
+    assertEquals(relay.recipients, java.util.List.of(0, 0, 0, 0));
+  }
+
+  @Test
+  public void nextRelayIsToldWhereTheOneThatAddsUpIsSilent() {
+    FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
+    relay.traffic(80, 50);
+    assertTrue(relay.recipients.contains(0) && relay.recipients.contains(1));
+    assertFalse(relay.recipients.contains(4));
+  }
+
+  @Test
+  public void quietRelayPushesBackByTheFleetsWait() {
+    FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
+    relay.policy.peerMessageReceived(0, new byte[] {LoadReports.LOADS, 60});
+    assertTrue(relay.rpc(0).attempts.isEmpty());
+    relay.advance(1500);
+    assertEquals(relay.rpc(0).attempts.size(), 1);
+  }
+
+  @Test
+  public void unitsBehindASlowLinkComeLast() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
+    Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
+    for (int i = 0; i < 60; i++) {
+      Attempt attempt = relay.rpc(0).attempts.get(0);
+      relay.advance(attempt.endpoint == far ? 600 : 50);
+      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    }
+    assertTrue(relay.sent.stream().skip(20).noneMatch(attempt -> attempt.endpoint == far));
+  }
+
+  @Test
+  public void quietRelayStaysWithUnitsThatItHasConnectionsTo() {
+    FakeRelayActions relay = new FakeRelayActions("permissions.keepalive=20000").withBaseline(60);
+    relay.traffic(200, 400);
+    long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
+    assertTrue(met <= 20, met + " units met");
+  }
+
+  @Test
+  public void connectionsThatStoodIdleForLongDrawNobody() {
+    FakeRelayActions relay = new FakeRelayActions("permissions.keepalive=20000").withBaseline(60);
+    for (int i = 0; i < 12; i++) {
+      relay.advance(15_000);
+      relay.traffic(1, 400);
+    }
+    long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
+    assertTrue(met >= 10, met + " units met");
+  }
+
+  @Test
+  public void leadsOfSeveralStagesAddUp() {
+    FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 0.1);
+    for (int stage = 0; stage < 3; stage++) {
+      relay.tracker.rolloutChanged(2, stage, RolloutState.ON_TRIAL, 0.4, relay.now());
+      assertFalse(relay.votes.contains(Verdict.BACK));
+      relay.policy.peerMessageReceived(1, new byte[] {3, 2, (byte) stage, 19, 2, 0, 6, 0});
+    }
+    assertTrue(relay.votes.contains(Verdict.BACK));
+  }
 }
- 
--- a/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
+++ b/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
@@ -1,108 +1,100 @@
-package sprucerock.policy ;
+package sprucerock.policy;
 
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
 
-import static org.testng.Assert.assertEquals ;
-import static org.testng.Assert.assertTrue ;
+import org.testng.annotations.Test;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Build;
+import sprucerock.model.RolloutState;
 
-
-import org.testng.annotations.Test ;
-import sprucerock.model.AttemptOutcome ;
-import sprucerock.model.Build ;
-import sprucerock.model.RolloutState ;
-
-
-/** Stories of relays that nobody tells what others saw, while builds come and go. */ 
+/** Stories of relays that nobody tells what others saw, while builds come and go. */
 public class WithdrawnBuildTest {
-private static final String [ ] ALONE = {
-"permissions.peers=false" , "permissions.second_copies=false" , "balancers=110" }
-;
-
-
-/** 
-* Four units of the released build 1 and two of build 2, which was on trial and then stood as 
-* told. 
-*/ 
-private static FakeRelayActions after ( RolloutState ... told ) {
-FakeRelayActions relay = new FakeRelayActions ( ALONE ).withBaseline ( 4 ).withCanary ( 2 , 0 , 0.1 ) ;
-for ( RolloutState standing : told ) {
-relay.advance ( 500 ) ;
-relay.tracker.rolloutChanged ( 2 , 0 , standing , standing == RolloutState.RELEASED ? 1 : 0 , relay.now ( ) ) ;
-}
-return relay ;
-}
-
-
-private static FakeRelayActions thenOffered ( FakeRelayActions relay ) {
-relay.advance ( 500 ) ;
-relay.tracker.rolloutChanged ( 3 , 0 , RolloutState.ON_TRIAL , 0.1 , relay.now ( ) ) ;
-return relay ;
-}
-
-
-/** RPCs with effects, one every 50 ms, that are answered ok or refused as full after 40 ms. */ 
-private static void effects ( FakeRelayActions relay , int rpcs , AttemptOutcome atFresh ) {
-for ( int i = 0 ;
-i < rpcs ;
-i ++ ) {
-relay.rpc ( 2 ) ;
-relay.advance ( 40 ) ;
-relay.endAll ( atFresh , AttemptOutcome.OK ) ;
-relay.advance ( 10 ) ;
-}
-}
-
-
-@Test public void withdrawnBuildStillListedGetsNothingOnceTheNextIsOffered ( ) {
-FakeRelayActions relay = thenOffered ( after ( RolloutState.GOING_BACK , RolloutState.WITHDRAWN ) ) ;
-effects ( relay , 40 , AttemptOutcome.FULL ) ;
-assertEquals ( relay.sentTo ( relay.canary ) , 0 ) ;
-assertEquals ( relay.sentTo ( relay.baseline ) , 40 ) ;
-assertTrue ( relay.rejected.isEmpty ( ) && relay.failed.isEmpty ( ) ) ;
-}
-
-
-@Test public void soDoesOneOfWhichOnlyItsGoingBackWasTold ( ) {
-FakeRelayActions relay = thenOffered ( after ( RolloutState.GOING_BACK ) ) ;
-effects ( relay , 40 , AttemptOutcome.NOT_CONNECTED ) ;
-assertEquals ( relay.sentTo ( relay.canary ) , 0 ) ;
-assertTrue ( relay.rejected.isEmpty ( ) && relay.failed.isEmpty ( ) ) ;
-}
-
-
-@Test public void unitsOfItListedLateGetNothingEither ( ) {
-FakeRelayActions relay = thenOffered ( after ( RolloutState.WITHDRAWN ) ) ;
-relay.endpoint ( relay.canary , relay.now ( ) ) ;
-effects ( relay , 40 , AttemptOutcome.OK ) ;
-assertEquals ( relay.sentTo ( relay.canary ) , 0 ) ;
-}
-
-
-@Test public void oneWithdrawnBeforeTheLastGetsNothingToo ( ) {
-FakeRelayActions relay = thenOffered ( after ( RolloutState.WITHDRAWN ) ) ;
-Build second = relay.tracker.build ( 3 ) ;
-relay.endpoint ( second , null ) ;
-relay.tracker.rolloutChanged ( 3 , 0 , RolloutState.WITHDRAWN , 0 , relay.now ( ) ) ;
-relay.advance ( 500 ) ;
-relay.tracker.rolloutChanged ( 4 , 0 , RolloutState.ON_TRIAL , 0.1 , relay.now ( ) ) ;
-effects ( relay , 40 , AttemptOutcome.OK ) ;
-assertEquals ( relay.sentTo ( relay.canary ) + relay.sentTo ( second ) , 0 ) ;
-}
-
-
-@Test public void whereNothingElseIsListedItServes ( ) {
-FakeRelayActions relay = thenOffered ( after ( RolloutState.WITHDRAWN ) ) ;
-for ( var endpoint : java.util.List.copyOf ( relay.baseline.endpoints ) ) {
-relay.tracker.endpointRemoved ( endpoint.id ) ;
-}
-effects ( relay , 20 , AttemptOutcome.OK ) ;
-assertEquals ( relay.sentTo ( relay.canary ) , 20 ) ;
-}
-
-
-@Test public void releasedBuildKeepsTheTrafficWhileTheNextIsOnTrial ( ) {
-FakeRelayActions relay = thenOffered ( after ( RolloutState.RELEASED ) ) ;
-effects ( relay , 20 , AttemptOutcome.OK ) ;
-assertEquals ( relay.sentTo ( relay.canary ) , 20 ) ;
-}
+  private static final String[] ALONE = {
+    "permissions.peers=false", "permissions.second_copies=false", "balancers=110"
+  };
+
+  /**
+   * Four units of the released build 1 and two of build 2, which was on trial and then stood as
+   * told.
+   */
+  private static FakeRelayActions after(RolloutState... told) {
+    FakeRelayActions relay = new FakeRelayActions(ALONE).withBaseline(4).withCanary(2, 0, 0.1);
+    for (RolloutState standing : told) {
+      relay.advance(500);
+      relay.tracker.rolloutChanged(
+          2, 0, standing, standing == RolloutState.RELEASED ? 1 : 0, relay.now());
+    }
+    return relay;
+  }
+
+  private static FakeRelayActions thenOffered(FakeRelayActions relay) {
+    relay.advance(500);
+    relay.tracker.rolloutChanged(3, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
+    return relay;
+  }
+
+  /** RPCs with effects, one every 50 ms, that are answered ok or refused as full after 40 ms. */
+  private static void effects(FakeRelayActions relay, int rpcs, AttemptOutcome atFresh) {
+    for (int i = 0; i < rpcs; i++) {
+      relay.rpc(2);
+      relay.advance(40);
+      relay.endAll(atFresh, AttemptOutcome.OK);
+      relay.advance(10);
+    }
+  }
+
+  @Test
+  public void withdrawnBuildStillListedGetsNothingOnceTheNextIsOffered() {
+    FakeRelayActions relay = thenOffered(after(RolloutState.GOING_BACK, RolloutState.WITHDRAWN));
+    effects(relay, 40, AttemptOutcome.FULL);
+    assertEquals(relay.sentTo(relay.canary), 0);
+    assertEquals(relay.sentTo(relay.baseline), 40);
+    assertTrue(relay.rejected.isEmpty() && relay.failed.isEmpty());
+  }
+
+  @Test
+  public void soDoesOneOfWhichOnlyItsGoingBackWasTold() {
+    FakeRelayActions relay = thenOffered(after(RolloutState.GOING_BACK));
+    effects(relay, 40, AttemptOutcome.NOT_CONNECTED);
+    assertEquals(relay.sentTo(relay.canary), 0);
+    assertTrue(relay.rejected.isEmpty() && relay.failed.isEmpty());
+  }
+
+  @Test
+  public void unitsOfItListedLateGetNothingEither() {
+    FakeRelayActions relay = thenOffered(after(RolloutState.WITHDRAWN));
+    relay.endpoint(relay.canary, relay.now());
+    effects(relay, 40, AttemptOutcome.OK);
+    assertEquals(relay.sentTo(relay.canary), 0);
+  }
+
+  @Test
+  public void oneWithdrawnBeforeTheLastGetsNothingToo() {
+    FakeRelayActions relay = thenOffered(after(RolloutState.WITHDRAWN));
+    Build second = relay.tracker.build(3);
+    relay.endpoint(second, null);
+    relay.tracker.rolloutChanged(3, 0, RolloutState.WITHDRAWN, 0, relay.now());
+    relay.advance(500);
+    relay.tracker.rolloutChanged(4, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
+    effects(relay, 40, AttemptOutcome.OK);
+    assertEquals(relay.sentTo(relay.canary) + relay.sentTo(second), 0);
+  }
+
+  @Test
+  public void whereNothingElseIsListedItServes() {
+    FakeRelayActions relay = thenOffered(after(RolloutState.WITHDRAWN));
+    for (var endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
+      relay.tracker.endpointRemoved(endpoint.id);
+    }
+    effects(relay, 20, AttemptOutcome.OK);
+    assertEquals(relay.sentTo(relay.canary), 20);
+  }
+
+  @Test
+  public void releasedBuildKeepsTheTrafficWhileTheNextIsOnTrial() {
+    FakeRelayActions relay = thenOffered(after(RolloutState.RELEASED));
+    effects(relay, 20, AttemptOutcome.OK);
+    assertEquals(relay.sentTo(relay.canary), 20);
+  }
 }
- 
