--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -1,28 +1,51 @@
 package sprucerock.accounting;
 
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Collections;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import sprucerock.time.TimeSpan;
 
 /**
- * The double-entry accounts of one relay. One thread posts; a posting is a few additions. What was
- * posted in a turn goes into the book together at its end, so that nobody, nor a crash, ever sees
- * half of one.
+ * The double-entry accounts of one relay: tables of counters, and one method for each thing that is
+ * counted. A posting adds to a row's total and to one of its parts, or moves from one part to
+ * another, so that each row's sum holds at all times.
+ *
+ * <p>One thread posts; a posting is a few additions. What was posted in a turn reaches the {@link
+ * MetricsStore} together at {@link #commit}, so that no reader, nor a crash, ever sees half of one.
  */
 public final class MethodAccounts {
-  private static final int LAST = 64; // postings that a drift can name; some turns' worth
+  private static final int TOTAL = 0;
 
-  /** How many rows there may be; further ones count as other. */
+  // columns of the calls' table
+  private static final int CALLS_TAKEN = 1;
+
+  // columns that several tables have in common
+  private static final int OK = 1;
+  private static final int ENDPOINT_NOT_OK = 2;
+  private static final int TENANT_ENDED = 1;
+
+  // columns of the answers' table
+  private static final int ANSWER_IN_TIME = 1;
+  private static final int ANSWER_LATE = 2;
+  private static final int ANSWER_TOO_LATE = 3;
+
+  // columns of the frames' table
+  private static final int FRAME_WRITTEN = 1;
+  private static final int FRAME_UNWRITTEN = 2;
+
+  /**
+   * How many named rows the tables have; names beyond these count in the row {@link
+   * MethodMetrics#OTHER}.
+   */
   public record Capacity(int builds, int endpoints, int tenants) {
-    /** For hosts whose figures nobody reads by these. */
+    /** No named rows, for hosts whose counters nobody reads by these. */
     public static final Capacity NONE = new Capacity(0, 0, 0);
   }
 
-  /** An equation that does not hold: what it says, its two sides, and the last postings to it. */
+  /**
+   * An equation that doesn't hold: its text, its two sides, and the last postings to the accounts
+   * in it.
+   */
   public record Imbalance(String equation, long left, long right, List<String> lastPostings) {
     @Override
     public String toString() {
@@ -30,28 +53,25 @@
     }
   }
 
-  static final List<String> PICK_ENDS =
-      List.of(
-          "sent",
-          "ok",
-          "error",
-          "full",
-          "timed_out",
-          "not_connected",
-          "broken",
-          "cancelled",
-          "moot",
-          "lost",
-          "out");
-
+  /** Requests as they reach the relay, before it decides whether to take them. */
   public final MethodMetrics calls;
+
+  /** RPCs taken, by method, and how they ended. */
   public final MethodMetrics rpcs;
+
+  /** RPCs taken, by tenant. */
   public final MethodMetrics tenants;
+
+  /** Attempts, by method, and how they ended. */
   public final MethodMetrics attempts;
+
+  /** Attempts, by build. */
   public final MethodMetrics builds;
+
+  /** Attempts, by endpoint. */
   public final MethodMetrics endpoints;
 
-  /** Copies to a build on trial, by build; each is among the picks, too. */
+  /** Shadow requests to a canary, by build; each is among the attempts, too. */
   public final MethodMetrics shadowAttempts;
 
   /** RPCs that ended ok, by the deadlines they were in time for. */
@@ -60,614 +80,362 @@
   /** How long these took, from their arrival here. */
   public final MethodMetrics latency;
 
-  /** How long picks took that ended ok, by build and method; see {@link #tookRow}. */
+  /** How long attempts took that ended ok, by build and method; see {@link #attemptLatencyRow}. */
   public final MethodMetrics attemptLatency;
 
-  /** Picks on their way to a connection: written as a frame, or ended before. */
+  /** Attempts on their way to a connection: written as a frame, or ended before. */
   public final MethodMetrics frames;
 
-  /** Results of picks that had ended before, as of one that was out of time. */
+  /** Results of attempts that had ended before, such as one that timed out. */
   public final MethodMetrics lateResults;
 
-  /** TLS handshakes, begun from here or taken, by how they ended. */
+  /** TLS handshakes, begun or accepted here, by how they ended. */
   public final MethodMetrics handshakes;
 
   /** Changes of the TLS files, taken or refused. */
   public final MethodMetrics tlsFiles;
 
+  /** Votes cast on a canary, by the controller's reply. */
   public final MethodMetrics votes;
+
+  /** Gossip messages to other relays. */
   public final MethodMetrics messages;
 
   /** The relay's own starts: how each ended. */
   public final MethodMetrics starts;
 
-  /** What each start found of the figures kept before. */
+  /** What each start found of the metrics kept before. */
   public final MethodMetrics files;
 
   private final List<MethodMetrics> tables = new ArrayList<>();
-  private final long[] values;
-  private final String[] names;
-  private final int[] firstRow;
-  private final List<Map<String, Integer>> rowsByName = new ArrayList<>();
-  private final int[] dirty;
-  private final boolean[] isDirty;
-  private int dirtyCount;
-  private final int[] lastFrom = new int[LAST];
-  private final int[] lastTo = new int[LAST];
-  private long posted;
-  private MetricsStore book = MetricsStore.NONE;
-  private boolean disablePostings;
-  private final int firstTook;
-  private Runnable firstOfTurn = () -> {};
-
-  public MethodAccounts(List<String> methods, Capacity room) {
-    calls =
-        sheet(
-            "calls",
-            "relay",
-            1,
-            List.of("received", "taken", "turned_away", "refused", "lost", "at_door"));
-    rpcs =
-        sheet(
-            "rpcs",
-            "method",
-            methods.size() + 1,
-            List.of("taken", "ok", "pushed_back", "aborted", "left", "lost", "open"));
-    tenants =
-        sheet(
-            "customer_rpcs",
-            "customer",
-            room.tenants + 1,
-            List.of("taken", "ended", "lost", "open"));
-    attempts = sheet("picks", "method", methods.size() + 1, PICK_ENDS);
-    builds = sheet("build_picks", "build", room.builds + 1, PICK_ENDS);
-    endpoints =
-        sheet(
-            "unit_picks",
-            "unit",
-            room.endpoints + 1,
-            List.of("sent", "ok", "not_ok", "lost", "out"));
-    shadowAttempts = sheet("copies", "build", room.builds + 1, PICK_ENDS);
-    answers =
-        sheet(
-            "answers",
-            "method",
-            methods.size() + 1,
-            List.of("answered", "in_time", "late", "too_late"),
-            false);
-    latency =
-        sheet("latency", "method", methods.size() + 1, HistogramBuckets.columns("answered"), false);
-    attemptLatency =
-        sheet(
-            "pick_latency",
-            "build_and_method",
-            (room.builds + 1) * (methods.size() + 1),
-            HistogramBuckets.columns("ok"),
-            false);
-    frames =
-        sheet(
-            "pick_frames",
-            "relay",
-            1,
-            List.of("wanted", "written", "unwritten", "lost", "waiting"));
-    lateResults = sheet("late_results", "relay", 1, List.of("came", "ok", "error", "full"), false);
-    handshakes =
-        sheet(
-            "handshakes",
-            "relay",
-            1,
-            List.of(
-                "begun",
-                "full",
-                "resumed",
-                "wrong_name",
-                "expired",
-                "not_yet_valid",
-                "wrong_use",
-                "unknown_issuer",
-                "weak",
-                "chain_too_long",
-                "revoked",
-                "no_certificate",
-                "malformed",
-                "no_protocol",
-                "not_tls",
-                "peer_refused",
-                "timed_out",
-                "ended",
-                "too_many",
-                "failed",
-                "lost",
-                "under_way"));
-    tlsFiles = sheet("tls_files", "relay", 1, List.of("changes", "taken", "refused"), false);
-    votes =
-        sheet(
-            "votes",
-            "relay",
-            1,
-            List.of(
-                "cast", "counts", "moot", "too_many", "error", "unanswered", "lost", "waiting"));
-    messages = sheet("messages", "relay", 1, List.of("told", "sent", "dropped", "lost", "queued"));
-    starts = sheet("starts", "relay", 1, List.of("starts", "ended", "lost", "running"));
-    files =
-        sheet(
-            "files",
-            "relay",
-            1,
-            List.of("opened", "fresh", "carried", "set_aside", "lost", "unread"));
-    int size = 0;
-    int rows = 0;
-    firstRow = new int[tables.size()];
-    for (int i = 0; i < tables.size(); i++) {
-      firstRow[i] = rows;
-      size += tables.get(i).size();
-      rows += tables.get(i).rows();
+  private final RowNames names;
+  private final CounterValues values;
+  private final PostingHistory history = new PostingHistory();
+  private MetricsStore store = MetricsStore.NONE;
+  private boolean disabled;
+
+  /**
+   * Accounts that are all zero.
+   *
+   * @param methods the methods' names, in the order of their numbers
+   * @param capacity how many named rows other tables have
+   */
+  public MethodAccounts(List<String> methods, Capacity capacity) {
+    int byMethod = methods.size() + 1;
+    int byBuild = capacity.builds + 1;
+    List<String> ends = TableColumns.ATTEMPTS;
+    List<String> answered = HistogramBuckets.columns("answered");
+    List<String> ok = HistogramBuckets.columns("ok");
+    calls = settling("calls", "relay", 1, TableColumns.CALLS);
+    rpcs = settling("rpcs", "method", byMethod, TableColumns.RPCS);
+    tenants = settling("customer_rpcs", "customer", capacity.tenants + 1, TableColumns.TENANTS);
+    attempts = settling("picks", "method", byMethod, ends);
+    builds = settling("build_picks", "build", byBuild, ends);
+    endpoints = settling("unit_picks", "unit", capacity.endpoints + 1, TableColumns.ENDPOINTS);
+    shadowAttempts = settling("copies", "build", byBuild, ends);
+    answers = immediate("answers", "method", byMethod, TableColumns.ANSWERS);
+    latency = immediate("latency", "method", byMethod, answered);
+    attemptLatency = immediate("pick_latency", "build_and_method", byBuild * byMethod, ok);
+    frames = settling("pick_frames", "relay", 1, TableColumns.FRAMES);
+    lateResults = immediate("late_results", "relay", 1, TableColumns.LATE_RESULTS);
+    handshakes = settling("handshakes", "relay", 1, TableColumns.HANDSHAKES);
+    tlsFiles = immediate("tls_files", "relay", 1, TableColumns.TLS_FILES);
+    votes = settling("votes", "relay", 1, TableColumns.VOTES);
+    messages = settling("messages", "relay", 1, TableColumns.MESSAGES);
+    starts = settling("starts", "relay", 1, TableColumns.STARTS);
+    files = settling("files", "relay", 1, TableColumns.FILES);
+    names = new RowNames(tables);
+    values = new CounterValues(endOfTables());
+    nameFixedRows(methods);
+  }
+
+  /** Adds a table whose postings are pending at first. */
+  private MethodMetrics settling(String name, String by, int rows, List<String> columns) {
+    return table(name, by, rows, columns, true);
+  }
+
+  /** Adds a table whose postings are final at once. */
+  private MethodMetrics immediate(String name, String by, int rows, List<String> columns) {
+    return table(name, by, rows, columns, false);
+  }
+
+  private MethodMetrics table(
+      String name, String by, int rows, List<String> columns, boolean hasPending) {
+    MethodMetrics made =
+        new MethodMetrics(name, by, rows, endOfTables(), tables.size(), columns, hasPending);
+    tables.add(made);
+    return made;
+  }
+
+  private int endOfTables() {
+    if (tables.isEmpty()) {
+      return 0;
     }
-    firstTook = firstRow[attemptLatency.position];
-    values = new long[size];
-    dirty = new int[size];
-    isDirty = new boolean[size];
-    names = new String[rows];
-    for (MethodMetrics sheet : tables) {
-      if (sheet != attemptLatency) {
-        label(sheet, sheet.rows() - 1, sheet.rows() == 1 ? MethodMetrics.ALL : MethodMetrics.OTHER);
+    MethodMetrics last = tables.get(tables.size() - 1);
+    return last.base + last.size();
+  }
+
+  private void nameFixedRows(List<String> methods) {
+    for (MethodMetrics table : tables) {
+      if (table != attemptLatency) {
+        String name = table.rows() == 1 ? MethodMetrics.ALL : MethodMetrics.OTHER;
+        nameRow(table, table.rows() - 1, name);
       }
     }
     for (String method : methods) {
-      for (MethodMetrics sheet : List.of(rpcs, attempts, answers, latency)) {
-        row(sheet, method);
+      for (MethodMetrics table : List.of(rpcs, attempts, answers, latency)) {
+        row(table, method);
       }
     }
   }
 
-  private MethodMetrics sheet(String name, String by, int rows, List<String> columns) {
-    return sheet(name, by, rows, columns, true);
-  }
-
-  private MethodMetrics sheet(
-      String name, String by, int rows, List<String> columns, boolean settles) {
-    int base =
-        tables.isEmpty()
-            ? 0
-            : tables.get(tables.size() - 1).base + tables.get(tables.size() - 1).size();
-    MethodMetrics made = new MethodMetrics(name, by, rows, base, tables.size(), columns, settles);
-    tables.add(made);
-    rowsByName.add(new HashMap<>());
-    return made;
-  }
-
+  /** All tables, in the order in which they are stored. */
   public List<MethodMetrics> tables() {
     return Collections.unmodifiableList(tables);
   }
 
+  /** How many accounts there are: cells of all tables. */
   public int size() {
-    return values.length;
+    return values.size();
   }
 
+  /** How many rows all tables have. */
   public int rows() {
-    return names.length;
+    return names.count();
   }
 
-  /** A row's name; null where it is not in use. */
-  public String name(MethodMetrics sheet, int row) {
-    return names[firstRow[sheet.position] + row];
+  /** A row's name; null where it isn't in use. */
+  public String name(MethodMetrics table, int row) {
+    return names.name(table, row);
   }
 
   /**
-   * One line a sheet: its name, what tells rows apart, how many, the columns. The same text, the
-   * same places.
+   * One line a table: its name, its key, how many rows, the columns. Where this text is the same,
+   * so are the places of all accounts.
    */
   public String layout() {
     StringBuilder text = new StringBuilder();
-    for (MethodMetrics sheet : tables) {
-      text.append(sheet.name())
+    for (MethodMetrics table : tables) {
+      text.append(table.name())
           .append(' ')
-          .append(sheet.by())
+          .append(table.by())
           .append(' ')
-          .append(sheet.rows())
+          .append(table.rows())
           .append(' ')
-          .append(String.join(",", sheet.columns()))
+          .append(String.join(",", table.columns()))
           .append('\n');
     }
     return text.toString();
   }
 
   /**
-   * The row of a name, made if there is room; else the one for all others. Copies have the rows of
-   * builds.
+   * The row of a name, assigned if there is one left; else the row for all others. Shadow requests
+   * have the rows of builds.
    */
-  public int row(MethodMetrics sheet, String label) {
-    Map<String, Integer> known = rowsByName.get(sheet.position);
-    Integer row = known.get(label);
+  public int row(MethodMetrics table, String name) {
+    Integer row = names.find(table, name);
     if (row != null) {
       return row;
     }
-    if (known.size() >= sheet.rows()) {
-      return sheet.rows() - 1;
+    int used = names.used(table);
+    if (used >= table.rows()) {
+      return table.rows() - 1;
     }
-    int made = label(sheet, known.size() - 1, label);
-    if (sheet == builds) {
-      label(shadowAttempts, made, label);
+    int assigned = used - 1;
+    nameRow(table, assigned, name);
+    if (table == builds) {
+      nameRow(shadowAttempts, assigned, name);
     }
-    return made;
+    return assigned;
   }
 
   /**
-   * Where a build's latencies of a method stand, both by their rows in their own sheets. Named at
-   * its first use.
+   * The row of a build's attempt latencies for a method, named at its first use.
+   *
+   * @param build row in {@link #builds}
+   * @param method row in {@link #attempts}
    */
   public int attemptLatencyRow(int build, int method) {
     int row = build * attempts.rows() + method;
-    if (names[firstTook + row] == null) {
-      label(attemptLatency, row, name(builds, build) + "/" + name(attempts, method));
+    if (names.name(attemptLatency, row) == null) {
+      nameRow(attemptLatency, row, name(builds, build) + "/" + name(attempts, method));
     }
     return row;
   }
 
-  /** Names a row as another's file has it. */
-  public void nameRow(MethodMetrics sheet, int row, String label) {
-    label(sheet, row, label);
-  }
-
-  private int label(MethodMetrics sheet, int row, String label) {
-    rowsByName.get(sheet.position).put(label, row);
-    int all = firstRow[sheet.position] + row;
-    names[all] = label;
-    book.name(all, label);
-    return row;
+  /** Names a row, as a file of another relay has it. */
+  public void nameRow(MethodMetrics table, int row, String name) {
+    int rowOfAll = names.assign(table, row, name);
+    store.name(rowOfAll, name);
   }
 
   /**
-   * Keeps everything in a book from now on; what was posted so far goes there first. Whoever runs
-   * the turns is told when one has its first posting, and then has to {@link #commit} at its end.
+   * Keeps everything in a store from now on; what was posted so far goes there first.
+   *
+   * @param onFirstPostingOfTurn run at the first posting of each turn; whoever runs the turns then
+   *     has to {@link #commit} at the turn's end
    */
-  public void persistTo(MetricsStore kept, Runnable onFirstPostingOfATurn) {
-    firstOfTurn = onFirstPostingOfATurn;
-    book = kept;
-    for (int i = 0; i < names.length; i++) {
-      if (names[i] != null) {
-        book.name(i, names[i]);
-      }
-    }
-    for (int i = 0; i < values.length; i++) {
-      if (values[i] != 0) {
-        mark(i);
+  public void persistTo(MetricsStore newStore, Runnable onFirstPostingOfTurn) {
+    store = newStore;
+    for (int row = 0; row < names.count(); row++) {
+      if (names.name(row) != null) {
+        store.name(row, names.name(row));
       }
     }
-    commit();
+    values.persistTo(newStore, onFirstPostingOfTurn);
   }
 
   /**
-   * What an earlier life of the relay counted: its figures go on, and what was pending then is
-   * lost.
+   * Adds what an earlier incarnation of the relay counted; what was pending then counts as lost.
+   *
+   * @param name the row's name there
    */
-  public void carryOver(MethodMetrics sheet, String label, int column, long value) {
-    int cut = label.indexOf('/');
-    int row =
-        sheet == attemptLatency
-            ? attemptLatencyRow(row(builds, label.substring(0, cut)), row(attempts, label.substring(cut + 1)))
-            : row(sheet == shadowAttempts ? builds : sheet, label);
-    add(sheet.index(row, column == sheet.pending() ? sheet.lost() : column), value);
+  public void carryOver(MethodMetrics table, String name, int column, long value) {
+    int row;
+    if (table == attemptLatency) {
+      int slash = name.indexOf('/');
+      int build = row(builds, name.substring(0, slash));
+      row = attemptLatencyRow(build, row(attempts, name.substring(slash + 1)));
+    } else {
+      row = row(table == shadowAttempts ? builds : table, name);
+    }
+    values.add(table.index(row, column == table.pending() ? table.lost() : column), value);
   }
 
-  /** From now on nothing is posted: for measuring what postings cost. Before the first of them. */
+  /**
+   * From now on nothing is posted, to measure what postings cost. Called before the first of them.
+   */
   public void disablePostings() {
-    disablePostings = true;
+    disabled = true;
   }
 
+  /** Whether postings are disabled. */
   public boolean postingsDisabled() {
-    return disablePostings;
+    return disabled;
   }
 
-  /** Something new, in a column. */
-  public void postNew(MethodMetrics sheet, int row, int column) {
-    if (disablePostings) {
-      return;
-    }
-    add(sheet.index(row, 0), 1);
-    add(sheet.index(row, column), 1);
-    note(sheet.index(row, 0), sheet.index(row, column));
+  /** Counts something new, in a column. */
+  public void postNew(MethodMetrics table, int row, int column) {
+    post(table.index(row, TOTAL), 1, table.index(row, column));
+  }
+
+  /** Moves one from a column to another. */
+  public void postTransfer(MethodMetrics table, int row, int from, int to) {
+    post(table.index(row, from), -1, table.index(row, to));
   }
 
-  /** From one column to another. */
-  public void postTransfer(MethodMetrics sheet, int row, int from, int to) {
-    if (disablePostings) {
+  private void post(int from, long amount, int to) {
+    if (disabled) {
       return;
     }
-    add(sheet.index(row, from), -1);
-    add(sheet.index(row, to), 1);
-    note(sheet.index(row, from), sheet.index(row, to));
+    values.add(from, amount);
+    values.add(to, 1);
+    history.record(from, to);
   }
 
-  // What happens to RPCs and picks, each one posting over all sheets that it touches. Rows are
-  // those of names.
+  // What happens to RPCs and attempts, each one posting over all tables that it touches. Methods,
+  // tenants, builds and endpoints are given by their rows.
 
   /** An RPC was taken. */
   public void rpcArrived(int method, int tenant) {
-    postNew(calls, 0, 1);
+    postNew(calls, 0, CALLS_TAKEN);
     postNew(rpcs, method, rpcs.pending());
     postNew(tenants, tenant, tenants.pending());
   }
 
-  /** It ended, not ok: in a column of the RPCs' sheet. */
+  /** An RPC ended; {@code how} is a column of the RPCs' table. */
   public void rpcEnded(int method, int tenant, int how) {
     postTransfer(rpcs, method, rpcs.pending(), how);
-    postTransfer(tenants, tenant, tenants.pending(), 1);
+    postTransfer(tenants, tenant, tenants.pending(), TENANT_ENDED);
   }
 
-  /** It ended ok, so long after it came. */
+  /**
+   * An RPC ended ok.
+   *
+   * @param after since its arrival
+   * @param inTime whether it met its latency objective
+   * @param byDeadline whether it met its deadline
+   */
   public void rpcAnswered(
       int method, int tenant, TimeSpan after, boolean inTime, boolean byDeadline) {
-    postNew(answers, method, inTime ? 1 : byDeadline ? 2 : 3);
+    int column = inTime ? ANSWER_IN_TIME : byDeadline ? ANSWER_LATE : ANSWER_TOO_LATE;
+    postNew(answers, method, column);
     postNew(latency, method, 1 + HistogramBuckets.bucket(after));
-    rpcEnded(method, tenant, 1);
+    rpcEnded(method, tenant, OK);
   }
 
-  public void attemptSent(int method, int build, int endpoint, boolean copy) {
+  /** An attempt was started. */
+  public void attemptSent(int method, int build, int endpoint, boolean shadow) {
     postNew(attempts, method, attempts.pending());
     postNew(builds, build, builds.pending());
     postNew(endpoints, endpoint, endpoints.pending());
     postNew(frames, 0, frames.pending());
-    if (copy) {
+    if (shadow) {
       postNew(shadowAttempts, build, shadowAttempts.pending());
     }
   }
 
-  /** It is on a connection. */
+  /** An attempt was put on a connection. */
   public void attemptWritten() {
-    postTransfer(frames, 0, frames.pending(), 1);
+    postTransfer(frames, 0, frames.pending(), FRAME_WRITTEN);
   }
 
-  /** A pick ended: in a column of the picks' sheet, of which the first one is ok. */
+  /** An attempt ended; {@code how} is a column of the attempts' table, of which the first is ok. */
   public void attemptEnded(
-      int method, int build, int endpoint, boolean copy, boolean written, int how, TimeSpan after) {
+      int method,
+      int build,
+      int endpoint,
+      boolean shadow,
+      boolean written,
+      int how,
+      TimeSpan after) {
     if (!written) {
-      postTransfer(frames, 0, frames.pending(), 2);
+      postTransfer(frames, 0, frames.pending(), FRAME_UNWRITTEN);
     }
     postTransfer(attempts, method, attempts.pending(), how);
     postTransfer(builds, build, builds.pending(), how);
-    postTransfer(endpoints, endpoint, endpoints.pending(), how == 1 ? 1 : 2);
-    if (copy) {
+    postTransfer(endpoints, endpoint, endpoints.pending(), how == OK ? OK : ENDPOINT_NOT_OK);
+    if (shadow) {
       postTransfer(shadowAttempts, build, shadowAttempts.pending(), how);
     }
-    if (how == 1) {
-      postNew(attemptLatency, attemptLatencyRow(build, method), 1 + HistogramBuckets.bucket(after));
-    }
-  }
-
-  private void note(int from, int to) {
-    lastFrom[(int) (posted & LAST - 1)] = from;
-    lastTo[(int) (posted & LAST - 1)] = to;
-    posted++;
-  }
-
-  private void add(int index, long amount) {
-    values[index] += amount;
-    mark(index);
-  }
-
-  private void mark(int index) {
-    if (isDirty[index]) {
-      return;
-    }
-    isDirty[index] = true;
-    if (dirtyCount == 0) {
-      firstOfTurn.run();
+    if (how == OK) {
+      int row = attemptLatencyRow(build, method);
+      postNew(attemptLatency, row, 1 + HistogramBuckets.bucket(after));
     }
-    dirty[dirtyCount++] = index;
   }
 
   /** At a turn's end: what was posted in it counts. */
   public void commit() {
-    if (dirtyCount == 0) {
-      return;
-    }
-    for (int i = 0; i < dirtyCount; i++) {
-      isDirty[dirty[i]] = false;
-      book.put(dirty[i], values[dirty[i]]);
-    }
-    dirtyCount = 0;
-    book.commit();
-  }
-
-  public long value(MethodMetrics sheet, int row, int column) {
-    return values[sheet.index(row, column)];
+    values.commit();
   }
 
-  /** A column over all rows. */
-  public long sum(MethodMetrics sheet, int column) {
-    return sum(values, sheet, column);
+  /** An account's value. */
+  public long value(MethodMetrics table, int row, int column) {
+    return values.get(table.index(row, column));
   }
 
-  private static long sum(long[] of, MethodMetrics sheet, int column) {
-    long sum = 0;
-    for (int row = 0; row < sheet.rows(); row++) {
-      sum += of[sheet.index(row, column)];
-    }
-    return sum;
+  /** A column's sum over all rows. */
+  public long sum(MethodMetrics table, int column) {
+    return AccountAudit.sum(values.all(), table, column);
   }
 
-  /** All equations, held against the values at hand. Empty: all hold. */
+  /** The equations that don't hold for the present values. Empty: all hold. */
   public List<Imbalance> check() {
-    return check(values);
+    return check(values.all());
   }
 
   /** The same for values read elsewhere, such as from a file. */
-  public List<Imbalance> check(long[] of) {
-    List<Imbalance> found = new ArrayList<>();
-    for (MethodMetrics sheet : tables) {
-      int columns = sheet.columns().size();
-      for (int row = 0; row < sheet.rows(); row++) {
-        long parts = 0;
-        for (int column = 1; column < columns; column++) {
-          parts += of[sheet.index(row, column)];
-        }
-        long total = of[sheet.index(row, 0)];
-        if (total != parts) {
-          found.add(drift(equation(sheet, row), total, parts, sheet.index(row, 0), columns));
-        }
-        long pending = sheet.hasPending() ? of[sheet.index(row, sheet.pending())] : 0;
-        if (pending < 0) {
-          found.add(
-              drift(
-                  cell(sheet, row, sheet.pending()) + " >= 0",
-                  pending,
-                  0,
-                  sheet.index(row, 0),
-                  columns));
-        }
-      }
-    }
-    same(found, of, rpcs, 0, tenants, 0);
-    same(found, of, rpcs, rpcs.pending(), tenants, tenants.pending());
-    same(found, of, rpcs, rpcs.lost(), tenants, tenants.lost());
-    same(found, of, calls, 1, rpcs, 0);
-    for (int column = 0; column < PICK_ENDS.size(); column++) {
-      same(found, of, attempts, column, builds, column);
-    }
-    same(found, of, attempts, 0, endpoints, 0);
-    same(found, of, attempts, 1, endpoints, 1);
-    same(found, of, attempts, attempts.pending(), endpoints, endpoints.pending());
-    same(found, of, attempts, attempts.lost(), endpoints, endpoints.lost());
-    same(found, of, attempts, 0, frames, 0);
-    for (int row = 0; row < rpcs.rows(); row++) {
-      same(found, of, cell(rpcs, row, 1), of[rpcs.index(row, 1)], answers, row);
-      same(found, of, cell(answers, row, 0), of[answers.index(row, 0)], latency, row);
-    }
-    for (int build = 0; build < builds.rows(); build++) {
-      long sum = 0;
-      for (int method = 0; method < attempts.rows(); method++) {
-        sum += of[attemptLatency.index(build * attempts.rows() + method, 0)];
-      }
-      same(found, of, "pick_latency ok of build " + name(builds, build), sum, builds, build, 1);
-      for (int column = 0; column < PICK_ENDS.size(); column++) {
-        long some = of[shadowAttempts.index(build, column)];
-        long all = of[builds.index(build, column)];
-        if (some > all) {
-          found.add(
-              drift(
-                  cell(shadowAttempts, build, column) + " <= " + cell(builds, build, column),
-                  some,
-                  all,
-                  shadowAttempts.index(build, 0),
-                  PICK_ENDS.size()));
-        }
-      }
-    }
-    for (int method = 0; method < attempts.rows(); method++) {
-      long sum = 0;
-      for (int build = 0; build < builds.rows(); build++) {
-        sum += of[attemptLatency.index(build * attempts.rows() + method, 0)];
-      }
-      same(
-          found,
-          of,
-          "pick_latency ok of method " + name(attempts, method),
-          sum,
-          attempts,
-          method,
-          1);
-    }
-    return found;
-  }
-
-  private void same(
-      List<Imbalance> found, long[] of, String what, long left, MethodMetrics sheet, int row) {
-    same(found, of, what, left, sheet, row, 0);
-  }
-
-  private void same(
-      List<Imbalance> found,
-      long[] of,
-      String what,
-      long left,
-      MethodMetrics sheet,
-      int row,
-      int column) {
-    long right = of[sheet.index(row, column)];
-    if (left != right) {
-      found.add(
-          drift(
-              what + " = " + cell(sheet, row, column),
-              left,
-              right,
-              sheet.index(row, 0),
-              sheet.columns().size()));
-    }
-  }
-
-  private void same(
-      List<Imbalance> found,
-      long[] of,
-      MethodMetrics one,
-      int column,
-      MethodMetrics other,
-      int otherColumn) {
-    long left = sum(of, one, column);
-    long right = sum(of, other, otherColumn);
-    if (left == right) {
-      return;
-    }
-    String equation =
-        one.name()
-            + " "
-            + one.columns().get(column)
-            + " = "
-            + other.name()
-            + " "
-            + other.columns().get(otherColumn);
-    found.add(drift(equation, left, right, one.base, one.size()));
-  }
-
-  private Imbalance drift(String equation, long left, long right, int from, int many) {
-    List<String> last = new ArrayList<>();
-    for (long i = Math.max(0, posted - LAST); i < posted; i++) {
-      int one = lastFrom[(int) (i & LAST - 1)];
-      int other = lastTo[(int) (i & LAST - 1)];
-      if (one >= from && one < from + many || other >= from && other < from + many) {
-        last.add(cell(one) + " to " + cell(other));
-      }
-    }
-    return new Imbalance(
-        equation, left, right, last.subList(Math.max(0, last.size() - 5), last.size()));
-  }
-
-  private String cell(int index) {
-    for (MethodMetrics sheet : tables) {
-      int at = index - sheet.base;
-      if (at < sheet.size()) {
-        return cell(sheet, at / sheet.columns().size(), at % sheet.columns().size());
-      }
-    }
-    throw new IllegalArgumentException("no account " + index);
-  }
-
-  private String cell(MethodMetrics sheet, int row, int column) {
-    return sheet.name()
-        + "{"
-        + sheet.by()
-        + "="
-        + name(sheet, row)
-        + "} "
-        + sheet.columns().get(column);
-  }
-
-  private String equation(MethodMetrics sheet, int row) {
-    if (sheet.isHistogram()) {
-      return cell(sheet, row, 0) + " = the sum of its buckets";
-    }
-    return cell(sheet, row, 0)
-        + " = "
-        + String.join(" + ", sheet.columns().subList(1, sheet.columns().size()));
+  public List<Imbalance> check(long[] other) {
+    return new AccountAudit(this, other, history).run();
   }
 
-  /** Spoils one account, so that tests can show that it is found. */
+  /** Corrupts one account, so that tests can show that it is found. */
   void corrupt(int index, long by) {
-    values[index] += by;
+    values.corrupt(index, by);
   }
 
   @Override
   public String toString() {
-    return Arrays.toString(values);
+    return values.toString();
   }
 }
--- a/src/main/java/sprucerock/accounting/MethodMetrics.java
+++ b/src/main/java/sprucerock/accounting/MethodMetrics.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Accounts of one kind, a row for each method, unit or whatever they are told apart by. In every
+ * The shape of one table of accounts, with a row for each method, endpoint or other key. In every
  * row the first column, the total, is the sum of the others at all times: a posting adds to the
- * total and to one of them, or moves from one to another. The last row stands for all that found no
- * row of their own.
+ * total and to one of them, or moves from one to another. The last row stands for all keys that
+ * found no row of their own. The values are in {@link MethodAccounts}.
  */
 public final class MethodMetrics {
-  /** A row's name where more were wanted than there is room for. */
+  /** The name of the row for keys beyond the capacity. */
   public static final String OTHER = "other";
 
-  /** The name of an only row. */
+  /** The name of a table's only row. */
   public static final String ALL = "all";
 
   private final String name;
@@ -23,12 +23,15 @@
   private final int width;
   final int base;
 
-  /** Its place among all sheets. */
+  /** Its place among all tables. */
   final int position;
 
   /**
-   * {@code settles}: its last two columns are what a crash ended and what is not over yet; else all
-   * of it is over at once.
+   * The shape of a table.
+   *
+   * @param base the place of its first account among all
+   * @param hasPending whether its last two columns are what a crash ended and what isn't over yet;
+   *     else each posting is final at once
    */
   MethodMetrics(
       String name,
@@ -37,7 +40,7 @@
       int base,
       int place,
       List<String> columns,
-      boolean settles) {
+      boolean hasPending) {
     this.name = name;
     this.by = by;
     this.rows = rows;
@@ -45,7 +48,7 @@
     this.position = place;
     this.columns = columns;
     width = columns.size();
-    pending = settles ? columns.size() - 1 : -1;
+    pending = hasPending ? columns.size() - 1 : -1;
   }
 
   /** Whether its postings are pending at first; else it has neither pending nor lost. */
@@ -63,20 +66,22 @@
     return hasPending() ? pending : columns.size();
   }
 
+  /** The table's name, as stored and exported. */
   public String name() {
     return name;
   }
 
-  /** What rows are told apart by, such as method. */
+  /** The key that tells rows apart, such as method. */
   public String by() {
     return by;
   }
 
-  /** Their names, the total first; where it settles, the last two are lost and what is pending. */
+  /** Their names, the total first; with {@link #hasPending}, the last two are lost and pending. */
   public List<String> columns() {
     return columns;
   }
 
+  /** How many rows it has, the one for all others among them. */
   public int rows() {
     return rows;
   }
@@ -90,12 +95,12 @@
     return rows * columns.size();
   }
 
-  /** The column of what is not over yet; -1 where there is none. */
+  /** The column of what isn't over yet; -1 where there is none. */
   public int pending() {
     return pending;
   }
 
-  /** The column of what a crash of the relay ended. */
+  /** The column of what a crash of the relay ended; -1 where there is none. */
   public int lost() {
     return hasPending() ? pending - 1 : -1;
   }
--- a/src/main/java/sprucerock/accounting/MetricsStore.java
+++ b/src/main/java/sprucerock/accounting/MetricsStore.java
@@ -5,6 +5,7 @@
  * of it or none.
  */
 public interface MetricsStore {
+  /** Keeps nothing. */
   MetricsStore NONE =
       new MetricsStore() {
         @Override
@@ -17,10 +18,12 @@
         public void commit() {}
       };
 
-  /** A row, counted through all sheets, has this name from now on. */
+  /** From now on, a row has this name; rows are counted through all tables. */
   void name(int row, String label);
 
+  /** An account's new value; accounts are counted through all tables. */
   void put(int account, long value);
 
+  /** Makes all that was put since the last commit count at once. */
   void commit();
 }
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -234,7 +234,8 @@
     module.endpointDraining(endpoint);
   }
 
-  public void rolloutChanged(int build, int stage, RolloutState standing, double cap, Timestamp since) {
+  public void rolloutChanged(
+      int build, int stage, RolloutState standing, double cap, Timestamp since) {
     newestRolloutBuild = standing == RolloutState.RELEASED ? build + 1 : build;
     module.newsOfBuild(build(build), stage, standing, cap, since);
     builds.values().removeIf(one -> one.endpoints.isEmpty() && one.number < build - 1);
--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -208,7 +208,8 @@
     epoch = news.getEpoch();
     sequence = news.getSequence();
     TimeSpan lasted = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
-    ledger.rolloutChanged(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
+    ledger.rolloutChanged(
+        news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
     told = true;
     learnt.run();
   }
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -219,7 +219,8 @@
         policy.voteAnswered(reply(status));
       }
       if (status == 1 && standing < RolloutState.values().length) {
-        ledger.rolloutChanged(number, stage, RolloutState.values()[standing], cap, now.minus(lasted));
+        ledger.rolloutChanged(
+            number, stage, RolloutState.values()[standing], cap, now.minus(lasted));
       }
     };
   }
--- a/src/main/java/sprucerock/stats/DecayingSum.java
+++ b/src/main/java/sprucerock/stats/DecayingSum.java
@@ -9,25 +9,32 @@
   private double sum;
   private Timestamp asOf;
 
+  /**
+   * An empty sum.
+   *
+   * @param life the time in which a term's weight falls to 1/e
+   */
   public DecayingSum(TimeSpan life) {
     lifeMs = life.ms();
   }
 
+  /** Adds a term; {@code now} is no earlier than in the calls before. */
   public void add(Timestamp now, double amount) {
     sum = at(now) + amount;
     asOf = now;
   }
 
+  /** The sum as it stands at {@code now}. */
   public double at(Timestamp now) {
     return asOf == null ? 0 : sum * Math.exp(-now.since(asOf).ms() / lifeMs);
   }
 
-  /** The rate a second that a steady flow would need to hold the sum where it is. */
+  /** The rate a second at which a steady flow would hold the sum where it is. */
   public double perSecond(Timestamp now) {
     return at(now) * 1000 / lifeMs;
   }
 
-  /** The same for a sum that began then, whose first time is not full. */
+  /** The same, corrected for a sum whose terms go back no further than {@code began}. */
   public double perSecond(Timestamp began, Timestamp now) {
     return perSecond(now)
         / (1 - Math.exp(-Math.max(now.since(began).ms(), 0.05 * lifeMs) / lifeMs));
--- a/src/main/java/sprucerock/stats/DeterministicRandom.java
+++ b/src/main/java/sprucerock/stats/DeterministicRandom.java
@@ -2,25 +2,29 @@
 
 import java.util.zip.CRC32;
 
-/** Numbers from 0 to under 1, evenly spread: CRC32 over a seed and a counter. */
+/** A reproducible sequence of uniform numbers: CRC32 over a seed and a counter. Not for secrets. */
 public final class DeterministicRandom {
+  private static final double CRC_RANGE = 4294967296.0; // 2^32 values
+
   private final CRC32 crc = new CRC32();
-  private final byte[] dice = new byte[16];
+  private final byte[] block = new byte[16];
   private long draws;
 
+  /** The sequence that belongs to {@code seed}. */
   public DeterministicRandom(long seed) {
     for (int i = 0; i < 8; i++) {
-      dice[i] = (byte) (seed >>> 8 * i);
+      block[i] = (byte) (seed >>> 8 * i);
     }
   }
 
+  /** The next number, from 0 to under 1. */
   public double next() {
     draws++;
     for (int i = 0; i < 8; i++) {
-      dice[8 + i] = (byte) (draws >>> 8 * i);
+      block[8 + i] = (byte) (draws >>> 8 * i);
     }
     crc.reset();
-    crc.update(dice);
-    return crc.getValue() / 4294967296.0;
+    crc.update(block);
+    return crc.getValue() / CRC_RANGE;
   }
 }
--- a/src/main/java/sprucerock/stats/KeyedSums.java
+++ b/src/main/java/sprucerock/stats/KeyedSums.java
@@ -5,12 +5,18 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** A decaying sum a key, for as many of the keys used last as it is told to hold. */
+/** A decaying sum for each of the most recently used keys, bounded in number. */
 public final class KeyedSums {
   private final TimeSpan life;
   private final LinkedHashMap<Long, DecayingSum> sums;
 
-  public KeyedSums(TimeSpan life, int most) {
+  /**
+   * Holds no keys yet.
+   *
+   * @param life the time in which a term's weight falls to 1/e
+   * @param maxKeys how many keys are held; the least recently used one goes first
+   */
+  public KeyedSums(TimeSpan life, int maxKeys) {
     this.life = life;
     sums =
         new LinkedHashMap<>(64, 0.75f, true) {
@@ -18,15 +24,17 @@
 
           @Override
           protected boolean removeEldestEntry(Map.Entry<Long, DecayingSum> eldest) {
-            return size() > most;
+            return size() > maxKeys;
           }
         };
   }
 
+  /** Adds a term to the key's sum. */
   public void add(long key, Timestamp now, double amount) {
     sums.computeIfAbsent(key, k -> new DecayingSum(life)).add(now, amount);
   }
 
+  /** The key's rate a second; 0 where it isn't held. */
   public double perSecond(long key, Timestamp now) {
     DecayingSum sum = sums.get(key);
     return sum == null ? 0 : sum.perSecond(now);
--- a/src/main/java/sprucerock/stats/KolmogorovSmirnov.java
+++ b/src/main/java/sprucerock/stats/KolmogorovSmirnov.java
@@ -7,22 +7,22 @@
   private KolmogorovSmirnov() {}
 
   /**
-   * One-sided: how far the share of {@code slow} above some value exceeds that of {@code fast}, at
-   * most.
+   * The one-sided distance: the largest excess, over all values, of the share of {@code slow} above
+   * the value beyond the share of {@code fast} above it; 0 to 1.
    */
   public static double slowerSide(double[] slow, double[] fast) {
     double[] s = slow.clone();
     double[] f = fast.clone();
     Arrays.sort(s);
     Arrays.sort(f);
-    double most = 0;
+    double distance = 0;
     int i = 0;
     for (int j = 0; j < f.length; j++) {
       while (i < s.length && s[i] <= f[j]) {
         i++;
       }
-      most = Math.max(most, (j + 1.0) / f.length - (double) i / s.length);
+      distance = Math.max(distance, (j + 1.0) / f.length - (double) i / s.length);
     }
-    return most;
+    return distance;
   }
 }
--- a/src/main/java/sprucerock/stats/Proportions.java
+++ b/src/main/java/sprucerock/stats/Proportions.java
@@ -1,11 +1,12 @@
 package sprucerock.stats;
 
-/** Two shares beside each other. */
+/** Comparison of two proportions. */
 public final class Proportions {
   private Proportions() {}
 
   /**
-   * The standard error of the difference of two shares, if both samples came from one population.
+   * The standard error of the difference of two proportions under the hypothesis that both samples
+   * came from one population; pooled, with one success and one failure added.
    */
   public static double error(double hits, double size, double otherHits, double otherSize) {
     double pooled = (hits + otherHits + 1) / (size + otherSize + 2);
--- a/src/main/java/sprucerock/stats/RelativeSlowness.java
+++ b/src/main/java/sprucerock/stats/RelativeSlowness.java
@@ -5,45 +5,66 @@
 import sprucerock.time.Timestamp;
 
 /**
- * How slow several kinds of work are beside an earlier time, by the logarithms of their times, in
- * which tails count little. Each source of times has its own earlier ones.
+ * How much slower several kinds of work have become than in a baseline period, as a mean difference
+ * of the logarithms of their latencies, so that tails count little. Each source of latencies is
+ * compared with its own baseline only.
  */
 public final class RelativeSlowness {
-  private final DecayingMean[][] before;
+  private static final double MIN_MS = 1e-3; // keeps the logarithm finite
+
+  private final DecayingMean[][] baselines;
   private final DecayingMean[] slowness;
 
-  public RelativeSlowness(int kinds, int sources, TimeSpan lifeBefore, TimeSpan life) {
-    before = new DecayingMean[sources][kinds];
-    for (DecayingMean[] source : before) {
-      Arrays.setAll(source, i -> new DecayingMean(lifeBefore));
+  /**
+   * Has no values yet.
+   *
+   * @param kinds how many kinds of work there are
+   * @param sources how many sources of latencies there are
+   * @param baselineLife decay time of the baselines
+   * @param life decay time of the differences
+   */
+  public RelativeSlowness(int kinds, int sources, TimeSpan baselineLife, TimeSpan life) {
+    baselines = new DecayingMean[sources][kinds];
+    for (DecayingMean[] source : baselines) {
+      Arrays.setAll(source, i -> new DecayingMean(baselineLife));
     }
     slowness = new DecayingMean[kinds];
     Arrays.setAll(slowness, i -> new DecayingMean(life));
   }
 
+  /** Adds a latency of the baseline period, in milliseconds. */
   public void addBaseline(int source, int kind, double ms, double weight, Timestamp now) {
-    before[source][kind].add(now, Math.log(Math.max(ms, 1e-3)), weight);
+    baselines[source][kind].add(now, logOf(ms), weight);
   }
 
-  /** Counts from two earlier ones on. */
+  /** Adds a present latency, in milliseconds; dropped while the baseline has under two values. */
   public void add(int source, int kind, double ms, double weight, Timestamp now) {
-    DecayingMean earlier = before[source][kind];
-    if (earlier.count(now) < 2) {
+    DecayingMean baseline = baselines[source][kind];
+    if (baseline.count(now) < 2) {
       return;
     }
-    slowness[kind].add(now, Math.log(Math.max(ms, 1e-3)) - earlier.at(now, 0, 1e-9), weight);
+    slowness[kind].add(now, logOf(ms) - baseline.at(now, 0, 1e-9), weight);
   }
 
-  /** The mean over all kinds; of three or more that were seen of late without the slowest. */
+  /**
+   * The mean logarithm of the slowdown over all kinds; with over two active ones, without the
+   * slowest.
+   */
   public double mean(Timestamp now) {
     double[] sum = sums(now);
     return sum[0] / (sum[1] + 0.1);
   }
 
+  /** The weight of the values behind {@link #mean}, in values. */
   public double weight(Timestamp now) {
     return sums(now)[1];
   }
 
+  private static double logOf(double ms) {
+    return Math.log(Math.max(ms, MIN_MS));
+  }
+
+  /** Weighted sum and weight of the differences that count. */
   private double[] sums(Timestamp now) {
     double[] all = new double[2];
     double[] slowest = {0, 1e-9};
--- a/src/test/java/sprucerock/AloneVoteTest.java
+++ b/src/test/java/sprucerock/AloneVoteTest.java
@@ -22,7 +22,8 @@
     FakeHost host = new FakeHost(ALONE).with(4).offering(2, 0, 0.1);
     for (RolloutState standing : told) {
       host.pass(500);
-      host.ledger.rolloutChanged(2, 0, standing, standing == RolloutState.RELEASED ? 1 : 0, host.now());
+      host.ledger.rolloutChanged(
+          2, 0, standing, standing == RolloutState.RELEASED ? 1 : 0, host.now());
     }
     return host;
   }
--- a/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -149,7 +149,8 @@
       assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), out);
       long copies =
           attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.shadow).count();
-      assertEquals(accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pending()), copies);
+      assertEquals(
+          accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pending()), copies);
     }
   }
 
@@ -225,7 +226,8 @@
     long slack = 1; // a microsecond is lost where milliseconds are cut to whole ones
     assertTrue(us + slack >= HistogramBuckets.lowerBoundUs(bucket), us + " in " + bucket);
     assertTrue(
-        bucket == HistogramBuckets.BUCKETS - 1 || us - slack < HistogramBuckets.lowerBoundUs(bucket + 1),
+        bucket == HistogramBuckets.BUCKETS - 1
+            || us - slack < HistogramBuckets.lowerBoundUs(bucket + 1),
         us + " in " + bucket);
     same.recordValue(us);
     assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
--- a/src/test/java/sprucerock/metrics/ExportTest.java
+++ b/src/test/java/sprucerock/metrics/ExportTest.java
@@ -43,7 +43,8 @@
 
   @Test
   public void everyScrapeBalancesBesideARelayThatNeverRests() throws Exception {
-    MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), MethodAccounts.Capacity.NONE);
+    MethodAccounts accounts =
+        new MethodAccounts(List.of("read", "pay"), MethodAccounts.Capacity.NONE);
     MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     AtomicBoolean drift = new AtomicBoolean();
     AtomicBoolean over = new AtomicBoolean();
--- a/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
+++ b/src/test/java/sprucerock/rehearsal/scenario/FleetBookTest.java
@@ -54,7 +54,8 @@
   private static List<FleetMetricsAudit.Entry> hold(
       String standIns, String relay, String counts, int attempts) throws Exception {
     Path folder = Files.createTempDirectory("fleet");
-    MethodAccounts accounts = new MethodAccounts(List.of("read"), new MethodAccounts.Capacity(1, 1, 1));
+    MethodAccounts accounts =
+        new MethodAccounts(List.of("read"), new MethodAccounts.Capacity(1, 1, 1));
     MetricsFileWriter keeper =
         MetricsFileWriter.open(folder.resolve("relay-0.figures"), accounts, () -> {}, line -> {});
     int build = accounts.row(accounts.builds, "1");
--- a/src/test/java/sprucerock/scale/Cluster.java
+++ b/src/test/java/sprucerock/scale/Cluster.java
@@ -210,7 +210,8 @@
   void offer(int endpoints) {
     for (One one : relays) {
       for (int i = 0; i < endpoints; i++) {
-        one.ledger.endpointListed(1_000_000 + i, 0, 0, 0, 2, now.minus(TimeSpan.ofMs(20_000)), 1, true);
+        one.ledger.endpointListed(
+            1_000_000 + i, 0, 0, 0, 2, now.minus(TimeSpan.ofMs(20_000)), 1, true);
       }
       one.ledger.rolloutChanged(2, 2, RolloutState.ON_TRIAL, 1, now);
     }
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -116,7 +116,8 @@
         methods.add("m" + j);
       }
       long before = heap();
-      MethodAccounts accounts = new MethodAccounts(methods, new MethodAccounts.Capacity(16, 1024, 64));
+      MethodAccounts accounts =
+          new MethodAccounts(methods, new MethodAccounts.Capacity(16, 1024, 64));
       long alone = heap();
       MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
       long kept = heap();
