--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -1,12 +1,10 @@
 package sprucerock.accounting;
 
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import sprucerock.model.Attempt;
 import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Build;
@@ -20,27 +18,34 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The life of each RPC, pick, unit and build of one relay, the same under every host of the module:
- * it writes the facts, and then tells the module. The host tells it what came in, and what the
- * module had it do. One thread.
+ * The state of each RPC, attempt, endpoint and build of one relay, the same under every host of the
+ * routing policy. It is the only writer of their facts, counts them in {@link MethodAccounts}, and
+ * then notifies the policy. The host reports what came in, and what the policy had it do.
+ *
+ * <p>One thread. Calls about what has ended already change nothing.
  */
 public final class RequestTracker {
   // columns of the RPCs' accounts
-  private static final int PUSHED_BACK = 2;
+  private static final int REJECTED = 2;
   private static final int ABORTED = 3;
-  private static final int LEFT = 4;
+  private static final int CLIENT_LEFT = 4;
+
+  // columns of the late results' accounts
+  private static final int LATE_OK = 1;
+  private static final int LATE_ERROR = 2;
+  private static final int LATE_FULL = 3;
+
+  private static final int UNASSIGNED = -1;
 
   private final Settings settings;
   private final Map<Long, Rpc> rpcs = new HashMap<>();
-  private final TreeMap<Long, Endpoint> endpoints = new TreeMap<>();
-  private int newestRolloutBuild;
-  private final TreeMap<Integer, Build> builds = new TreeMap<>();
+  private final EndpointRegistry endpoints;
   private final MethodAccounts accounts;
   private final int[] tenantRows;
-  private RelayEvents module;
+  private RelayEvents listener;
   private int openRpcs;
 
-  /** One whose figures are told apart by method only, under their numbers. */
+  /** A tracker whose counters are told apart by method only, named by their numbers. */
   public RequestTracker(Settings settings) {
     this(
         settings,
@@ -49,60 +54,74 @@
             MethodAccounts.Capacity.NONE));
   }
 
+  /** A tracker that counts in the given accounts, which nobody else posts RPCs and attempts to. */
   public RequestTracker(Settings settings, MethodAccounts accounts) {
     this.settings = settings;
     this.accounts = accounts;
+    endpoints = new EndpointRegistry(accounts);
     tenantRows = new int[accounts.tenants.rows()];
-    Arrays.fill(tenantRows, -1);
+    Arrays.fill(tenantRows, UNASSIGNED);
   }
 
+  /** Where it counts. */
   public MethodAccounts accounts() {
     return accounts;
   }
 
-  private int row(int tenant) {
+  private int tenantRow(int tenant) {
     int other = tenantRows.length - 1;
     if (tenant < 0 || tenant >= other) {
       return other;
     }
-    if (tenantRows[tenant] < 0) {
+    if (tenantRows[tenant] == UNASSIGNED) {
       tenantRows[tenant] = accounts.row(accounts.tenants, "" + tenant);
     }
     return tenantRows[tenant];
   }
 
-  /** Names the module to be told; once, since it needs its host before it can be made. */
-  public void setListener(RelayEvents toBeTold) {
-    module = toBeTold;
+  /**
+   * Sets the policy to be notified; once, before anything else. It isn't an argument of the
+   * constructor because a policy needs its host first.
+   */
+  public void setListener(RelayEvents policy) {
+    listener = policy;
+    endpoints.setListener(policy);
   }
 
-  /** RPCs that have no final answer yet. */
+  /** How many RPCs have no final answer yet. */
   public int openRpcs() {
     return openRpcs;
   }
 
-  /** RPCs that are open or have picks out. */
+  /** How many RPCs are open or have attempts in flight. */
   public int trackedRpcs() {
     return rpcs.size();
   }
 
-  /** An RPC by the id under which it arrived; null once it is over and forgotten. */
+  /** The RPC that arrived under an id; null once it is over and forgotten. */
   public Rpc rpc(long id) {
     return rpcs.get(id);
   }
 
-  /** A unit as listed now; null where none has the id. */
+  /** The endpoint listed under an id; null where there is none. */
   public Endpoint endpoint(long id) {
     return endpoints.get(id);
   }
 
+  /** A copy of the list of endpoints, by id. */
   public List<Endpoint> endpoints() {
-    return new ArrayList<>(endpoints.values());
+    return endpoints.all();
   }
 
   // What comes in.
 
-  /** An RPC came; {@code id} is one that no RPC known here has. */
+  /**
+   * An RPC arrived.
+   *
+   * @param id one that no RPC tracked here has
+   * @param workHint the work that the client expects; null without a hint
+   * @param attachment what the listener that took it keeps with it; may be null
+   */
   public Rpc rpcArrived(
       long id,
       Method method,
@@ -110,32 +129,35 @@
       long key,
       Timestamp now,
       Timestamp deadline,
-      TimeSpan hint,
-      Object door) {
-    Rpc rpc = new Rpc(id, method, tenant, key, now, deadline, hint, door);
+      TimeSpan workHint,
+      Object attachment) {
+    Rpc rpc = new Rpc(id, method, tenant, key, now, deadline, workHint, attachment);
     rpcs.put(id, rpc);
     openRpcs++;
-    accounts.rpcArrived(method.index, row(tenant));
-    module.rpcArrived(rpc);
+    accounts.rpcArrived(method.index, tenantRow(tenant));
+    listener.rpcArrived(rpc);
     return rpc;
   }
 
-  /** The answer has begun to reach the client. */
+  /** An attempt's answer has begun to reach the client. */
   public void streamStarted(Attempt attempt) {
     attempt.rpc.markStreaming();
-    module.streamStarted(attempt);
+    listener.streamStarted(attempt);
   }
 
   /**
-   * A pick ended, once; {@code closes} says that its RPC is over, by this or before. An ok that
-   * closes one which was open is its answer.
+   * An attempt ended; only the first call for it counts.
+   *
+   * @param closes whether its RPC is over, by this or before; an ok that closes one which was open
+   *     is its answer
    */
-  public void attemptEnded(Attempt attempt, AttemptOutcome outcome, TimeSpan took, boolean closes) {
+  public void attemptEnded(
+      Attempt attempt, AttemptOutcome outcome, TimeSpan latency, boolean closes) {
     if (attempt.outcome() != null) {
       return;
     }
     Rpc rpc = attempt.rpc;
-    attempt.recordOutcome(outcome, took);
+    attempt.recordOutcome(outcome, latency);
     attempt.endpoint.attemptEnded();
     rpc.attemptEnded();
     // the columns have the order of the outcomes
@@ -146,14 +168,14 @@
         attempt.shadow,
         attempt.written(),
         1 + outcome.ordinal(),
-        took);
+        latency);
     boolean answers = closes && !rpc.ended();
     if (answers && outcome == AttemptOutcome.OK) {
-      answered(rpc, attempt.sent.plus(took));
+      answered(rpc, attempt.sent.plus(latency));
     } else if (answers) {
       close(rpc, ABORTED); // a stream that broke
     }
-    module.attemptEnded(attempt, answers);
+    listener.attemptEnded(attempt, answers);
     forget(rpc);
   }
 
@@ -162,23 +184,23 @@
     end(rpc);
     accounts.rpcAnswered(
         rpc.method.index,
-        row(rpc.tenant),
+        tenantRow(rpc.tenant),
         after,
         !after.over(rpc.method.latencyObjective),
         !now.after(rpc.deadline));
   }
 
-  /** The client went away; nothing is owed any more. */
+  /** The client of an RPC went away; it needs no answer any more. */
   public void clientLeft(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
-    close(rpc, LEFT);
-    module.clientLeft(rpc);
+    close(rpc, CLIENT_LEFT);
+    listener.clientLeft(rpc);
     forget(rpc);
   }
 
-  /** A unit as a list or a change has it; a run that began at another time is another unit. */
+  /** An endpoint as a list or a change has it. See {@link EndpointRegistry}. */
   public Endpoint endpointListed(
       long id,
       int zone,
@@ -187,108 +209,76 @@
       int build,
       Timestamp started,
       double weight,
-      boolean mayGetWork) {
-    Endpoint known = endpoints.get(id);
-    if (known != null && !known.sameRun(build, started)) {
-      endpointRemoved(id);
-      known = null;
-    }
-    if (known == null) {
-      known = new Endpoint(id, zone, kind, cell, build(build), started, weight);
-      known.row(accounts.row(accounts.endpoints, "" + id));
-      endpoints.put(id, known);
-    }
-    known.setWeight(weight);
-    if (!mayGetWork) {
-      leave(known);
-    } else if (!known.ready()) {
-      known.ready(true);
-      known.build.add(known);
-      module.endpointReady(known);
-    }
-    return known;
+      boolean ready) {
+    return endpoints.listed(id, zone, kind, cell, build, started, weight, ready);
   }
 
-  /** A unit is gone; nothing happens where none has the id. */
+  /** An endpoint is gone; nothing happens where none has the id. */
   public void endpointRemoved(long id) {
-    Endpoint endpoint = endpoints.remove(id);
-    if (endpoint != null) {
-      leave(endpoint);
-    }
+    endpoints.removed(id);
   }
 
-  /** A whole list came: all that it does not name are gone. */
-  public void retainEndpoints(Set<Long> named) {
-    for (Endpoint endpoint : endpoints()) {
-      if (!named.contains(endpoint.id)) {
-        endpointRemoved(endpoint.id);
-      }
-    }
-  }
-
-  private void leave(Endpoint endpoint) {
-    if (endpoint.ready()) {
-      endpoint.build.remove(endpoint);
-    }
-    endpoint.ready(false);
-    module.endpointDraining(endpoint);
+  /** A complete list came: all endpoints that it doesn't name are gone. */
+  public void retainEndpoints(Set<Long> listed) {
+    endpoints.retain(listed);
   }
 
+  /**
+   * The controller announced where a build stands.
+   *
+   * @param cap greatest share of traffic for the build, from 0 to 1
+   * @param since when the stage began
+   */
   public void rolloutChanged(
-      int build, int stage, RolloutState standing, double cap, Timestamp since) {
-    newestRolloutBuild = standing == RolloutState.RELEASED ? build + 1 : build;
-    module.newsOfBuild(build(build), stage, standing, cap, since);
-    builds.values().removeIf(one -> one.endpoints.isEmpty() && one.number < build - 1);
+      int build, int stage, RolloutState state, double cap, Timestamp since) {
+    endpoints.recordRollout(build, state == RolloutState.RELEASED);
+    listener.newsOfBuild(build(build), stage, state, cap, since);
+    endpoints.forgetBuildsBefore(build - 1);
   }
 
-  /** Counts of a build that this relay never heard of tell it nothing. */
+  /** Counts of attempts at a build, of all relays; dropped where the build is unknown here. */
   public void counted(int build, int method, double attempts, double failed, TimeSpan mean) {
-    Build known = builds.get(build);
+    Build known = endpoints.knownBuild(build);
     if (known != null) {
-      module.counted(known, settings.methods.get(method), attempts, failed, mean);
+      listener.counted(known, settings.methods.get(method), attempts, failed, mean);
     }
   }
 
   /**
-   * A client found an answer of a pick wrong that was sent so long ago; only the run that gave it
-   * is meant.
+   * A client found wrong what an endpoint answered to an attempt sent so long ago. Dropped where
+   * the endpoint's process started since: only the one that gave the answer is meant.
    */
   public void flagged(long endpoint, TimeSpan sentAgo, Timestamp now) {
     Endpoint known = endpoints.get(endpoint);
     if (known != null && known.olderThan(sentAgo, now)) {
-      module.flagged(known);
+      listener.flagged(known);
     }
   }
 
   /**
-   * The number of the newest build that news was of; builds below it are no part of a trial. 0:
-   * there was no news.
+   * The number of the newest build that was announced; builds below it are no part of a trial. 0:
+   * none was announced.
    */
   public int newestRolloutBuild() {
-    return newestRolloutBuild;
+    return endpoints.newestRolloutBuild();
   }
 
-  /** A unit gave a sign when it was looked at, or none. */
+  /** A health check of an endpoint was answered, or wasn't. */
   public void healthChecked(long endpoint, boolean answered) {
     Endpoint known = endpoints.get(endpoint);
     if (known != null && known.ready()) {
-      module.looked(known, answered);
+      listener.looked(known, answered);
     }
   }
 
   /** The build of a number, known from now on. */
   public Build build(int number) {
-    return builds.computeIfAbsent(
-        number,
-        key -> {
-          Build made = new Build(key);
-          made.row(accounts.row(accounts.builds, "" + key));
-          return made;
-        });
+    return endpoints.build(number);
   }
 
-  // What the module had its host do.
+  // What the policy had its host do.
 
+  /** An attempt was started. */
   public void attemptSent(Attempt attempt) {
     attempt.rpc.add(attempt);
     attempt.endpoint.attemptStarted();
@@ -299,28 +289,35 @@
         attempt.shadow);
   }
 
-  /** A pick was put on a connection to its unit. */
+  /** An attempt was put on a connection to its endpoint. */
   public void attemptWritten(Attempt attempt) {
     attempt.markWritten();
     accounts.attemptWritten();
   }
 
-  /** The result of a pick came that had ended before; it changes nothing. */
+  /**
+   * The result came of an attempt that had ended before; it is counted and changes nothing else.
+   */
   public void lateResult(AttemptOutcome outcome) {
-    accounts.postNew(
-        accounts.lateResults,
-        0,
-        outcome == AttemptOutcome.OK ? 1 : outcome == AttemptOutcome.FULL ? 3 : 2);
+    int column =
+        switch (outcome) {
+          case OK -> LATE_OK;
+          case FULL -> LATE_FULL;
+          default -> LATE_ERROR;
+        };
+    accounts.postNew(accounts.lateResults, 0, column);
   }
 
+  /** An RPC was rejected: the client may safely try again. */
   public void rejected(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
-    close(rpc, PUSHED_BACK);
+    close(rpc, REJECTED);
     forget(rpc);
   }
 
+  /** An RPC was aborted, with no promise about what happened. */
   public void aborted(Rpc rpc) {
     if (rpc.ended()) {
       return;
@@ -331,7 +328,7 @@
 
   private void close(Rpc rpc, int how) {
     end(rpc);
-    accounts.rpcEnded(rpc.method.index, row(rpc.tenant), how);
+    accounts.rpcEnded(rpc.method.index, tenantRow(rpc.tenant), how);
   }
 
   private void end(Rpc rpc) {
--- a/src/main/java/sprucerock/config/settings/SettingsText.java
+++ b/src/main/java/sprucerock/config/settings/SettingsText.java
@@ -7,8 +7,8 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Start settings as the operators write them: values under paths; the simulator has path=value, one
- * a line.
+ * Reads start settings as the operators write them: values under paths, such as {@code
+ * permissions.cancel}; the simulator has {@code path=value}, one a line.
  */
 public final class SettingsText {
   private final Map<String, String> pairs = new HashMap<>();
@@ -18,8 +18,9 @@
   }
 
   /**
-   * Fails with an {@link IllegalArgumentException} that names the setting which is missing or not
-   * understood.
+   * Reads lines of {@code path=value}; lines without {@code =} are ignored.
+   *
+   * @throws IllegalArgumentException naming the setting that is missing or not understood
    */
   public static Settings read(String text) {
     Map<String, String> pairs = new HashMap<>();
@@ -32,7 +33,11 @@
     return read(pairs);
   }
 
-  /** The same of pairs of path and value. */
+  /**
+   * Reads pairs of path and value.
+   *
+   * @throws IllegalArgumentException naming the setting that is missing or not understood
+   */
   public static Settings read(Map<String, String> pairs) {
     return new Settings(new SettingsText(pairs).draft());
   }
--- a/src/main/java/sprucerock/model/Attempt.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -3,53 +3,65 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One sending of an RPC to a unit. */
+/**
+ * One sending of an RPC to an endpoint: the first, a retry, a hedged or a shadow request. Facts are
+ * written by the request tracker, public fields that aren't final by the routing policy.
+ */
 public final class Attempt {
+  /** The RPC that it is made for. */
   public final Rpc rpc;
+
+  /** Where it is sent. */
   public final Endpoint endpoint;
+
+  /** Its place among the RPC's attempts, from 0. */
   public final int number;
+
+  /** When it was handed over for sending. */
   public final Timestamp sent;
 
-  /** When to give up on it; null: not before the client does. */
+  /** How long to wait for its answer; null: as long as the client does. */
   public final TimeSpan timeout;
 
-  /**
-   * Noted by the module: from then on it may not be put on a connection any more; null: it always
-   * may.
-   */
+  /** From then on it may not be put on a connection any more; null: it always may. */
   public Timestamp writeBy;
 
   private AttemptOutcome outcome;
   private TimeSpan latency;
   private boolean written;
 
-  /** What the relay's pool keeps with it; nobody else looks at it. */
+  /** What the relay's connection pool keeps with it; no other code reads it. */
   public Object attachment;
 
-  /** Noted by the module, like those below: nothing came within the usual time. */
+  /** No answer came within the usual time. */
   public boolean overdue;
 
+  /** Whether it is a shadow request, whose answer no client gets. */
   public boolean shadow;
+
+  /** The comparison that it is part of; null where there is none. */
   public ShadowPair shadowPair;
 
-  public Attempt(Rpc rpc, Endpoint endpoint, Timestamp sent, TimeSpan patience) {
+  /** An attempt that is about to be sent; it gets the RPC's next number. */
+  public Attempt(Rpc rpc, Endpoint endpoint, Timestamp sent, TimeSpan timeout) {
     this.rpc = rpc;
     this.endpoint = endpoint;
     this.number = rpc.attempts.size();
     this.sent = sent;
-    this.timeout = patience;
+    this.timeout = timeout;
   }
 
-  /** How it ended; null while it is out. */
+  /** How it ended; null while it is in flight. */
   public AttemptOutcome outcome() {
     return outcome;
   }
 
-  /** How long it took; null while it is out. */
+  /** The time from its sending to its end; null while it is in flight. */
   public TimeSpan latency() {
     return latency;
   }
 
+  /** Ends it. */
   @WrittenByRequestTracker
   public void recordOutcome(AttemptOutcome how, TimeSpan after) {
     outcome = how;
@@ -61,30 +73,30 @@
     return written;
   }
 
+  /** Notes that it was put on a connection. */
   @WrittenByRequestTracker
   public void markWritten() {
     written = true;
   }
 
-  /** How long it took, or has taken so far. */
+  /** How long it took, or has taken until {@code now}. */
   public TimeSpan latency(Timestamp now) {
     return latency != null ? latency : now.since(sent);
   }
 
+  /** Whether the endpoint may have run it, in whole or in part. */
   public boolean mayHaveRun() {
     return outcome == null || !outcome.neverRan;
   }
 
-  /** Full, out of reach, called off or cut off: says nothing of a build. */
+  /** Whether it ended in a way that says nothing about a build: never run, cancelled or cut off. */
   public boolean voidsPair() {
     return outcome != null && outcome.neverRan
         || outcome == AttemptOutcome.CANCELLED
         || outcome == AttemptOutcome.BROKEN;
   }
 
-  /**
-   * The unit answered with an error: no time-out, no broken connection, no full or missing unit.
-   */
+  /** Whether the endpoint itself answered with an error. */
   public boolean answeredWithError() {
     return outcome == AttemptOutcome.ERROR;
   }
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -6,12 +6,14 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One version of the servers' software, with the units that run it and may get new work. */
+/** One version of the servers' software, with the endpoints that run it and may get new work. */
 public final class Build {
+  /** Its number; a later build has a higher one. */
   public final int number;
+
   private final List<Endpoint> listed = new ArrayList<>();
 
-  /** Those that may get new work, in an order that draws change; each unit knows its place. */
+  /** Those that may get new work, in an order that draws change; each knows its position. */
   public final List<Endpoint> endpoints = Collections.unmodifiableList(listed);
 
   private Timestamp newestStart;
@@ -22,8 +24,8 @@
   }
 
   /**
-   * When the process of a unit started last, of all that were ready so far; null where all did long
-   * ago.
+   * The latest start of an endpoint's process, of all that were ready so far; null where all
+   * started long ago.
    */
   public Timestamp newestStart() {
     return newestStart;
@@ -31,14 +33,20 @@
 
   private Timestamp weighedAt;
 
-  /** The weights of all units and of those older than asked for, when they were added up last. */
+  /** The weight of all endpoints, when it was added up last. */
   public double weight;
 
+  /** The weight of those that had run for long enough, when it was added up last. */
   public double weightOfOlder;
 
-  /** Adds the weights up, if that was longer ago than {@code keep} or units came or went since. */
-  public void refreshWeights(TimeSpan age, TimeSpan keep, Timestamp now) {
-    if (weighedAt != null && !now.since(weighedAt).over(keep)) {
+  /**
+   * Adds the weights up, if that was longer ago than {@code maxAge} or endpoints came or went
+   * since.
+   *
+   * @param olderThan an endpoint that has run for longer counts in {@link #weightOfOlder}
+   */
+  public void refreshWeights(TimeSpan olderThan, TimeSpan maxAge, Timestamp now) {
+    if (weighedAt != null && !now.since(weighedAt).over(maxAge)) {
       return;
     }
     weighedAt = now;
@@ -46,22 +54,24 @@
     weightOfOlder = 0;
     for (Endpoint endpoint : endpoints) {
       weight += endpoint.weight();
-      if (endpoint.olderThan(age, now)) {
+      if (endpoint.olderThan(olderThan, now)) {
         weightOfOlder += endpoint.weight();
       }
     }
   }
 
-  /** Its row in the accounts. */
+  /** Its row in the accounts of builds. */
   public int row() {
     return row;
   }
 
+  /** Sets its row in the accounts. */
   @WrittenByRequestTracker
   public void row(int inAccounts) {
     row = inAccounts;
   }
 
+  /** An endpoint is ready for new work. */
   @WrittenByRequestTracker
   public void add(Endpoint endpoint) {
     weighedAt = null;
@@ -72,6 +82,7 @@
     }
   }
 
+  /** An endpoint gets no new work any more. */
   @WrittenByRequestTracker
   public void remove(Endpoint endpoint) {
     weighedAt = null;
@@ -80,11 +91,13 @@
   }
 
   /**
-   * The unit of a draw without return: {@code done} draws came before, {@code dice} is from 0 to
-   * under 1.
+   * Draws an endpoint without replacement.
+   *
+   * @param done how many were drawn before; less than there are
+   * @param random uniform, from 0 to under 1
    */
-  public Endpoint draw(int done, double dice) {
-    swap(done, done + (int) (dice * (listed.size() - done)));
+  public Endpoint draw(int done, double random) {
+    swap(done, done + (int) (random * (listed.size() - done)));
     return listed.get(done);
   }
 
--- a/src/main/java/sprucerock/model/Rpc.java
+++ b/src/main/java/sprucerock/model/Rpc.java
@@ -6,13 +6,27 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One RPC that a client handed to this relay, with the picks made for it. */
+/**
+ * One RPC that a client handed to this relay, with the attempts made for it. Its facts are written
+ * by the request tracker.
+ */
 public final class Rpc {
+  /** Unique among the RPCs that the relay tracks. */
   public final long id;
+
+  /** What is called. */
   public final Method method;
+
+  /** The number of the tenant that it belongs to. */
   public final int tenant;
+
+  /** Hash of its affinity or idempotency key. */
   public final long key;
+
+  /** When it arrived here. */
   public final Timestamp arrived;
+
+  /** When the client stops waiting. */
   public final Timestamp deadline;
 
   /** Expected work as the client hinted it; null without a hint. */
@@ -20,19 +34,20 @@
 
   private final List<Attempt> made = new ArrayList<>(2);
 
-  /** The picks made for it, in their order; for reading. */
+  /** The attempts made for it, in their order; read-only. */
   public final List<Attempt> attempts = Collections.unmodifiableList(made);
 
-  /** What the door that took it keeps with it; nobody else looks at it. */
+  /** What the listener that took it keeps with it; no other code reads it. */
   public final Object attachment;
 
   private boolean ended;
   private boolean streaming;
   private int inFlight;
 
-  /** Noted by the module: no longer part of the queue that a new RPC faces. */
+  /** Written by the routing policy: no longer part of the queue that a new RPC faces. */
   public boolean settled;
 
+  /** An RPC that has just arrived. */
   public Rpc(
       long id,
       Method method,
@@ -40,49 +55,53 @@
       long key,
       Timestamp arrived,
       Timestamp deadline,
-      TimeSpan hint,
-      Object door) {
+      TimeSpan workHint,
+      Object attachment) {
     this.id = id;
     this.method = method;
     this.tenant = tenant;
     this.key = key;
     this.arrived = arrived;
     this.deadline = deadline;
-    this.workHint = hint;
-    this.attachment = door;
+    this.workHint = workHint;
+    this.attachment = attachment;
   }
 
-  /** Has its final answer, or its client left. */
+  /** Whether it has its final answer, or its client left. */
   public boolean ended() {
     return ended;
   }
 
-  /** Its answer has begun and belongs to the client. */
+  /** Whether its answer has begun to reach the client. */
   public boolean streaming() {
     return streaming;
   }
 
-  /** How many of its picks have not ended. */
+  /** How many of its attempts haven't ended. */
   public int inFlight() {
     return inFlight;
   }
 
+  /** An attempt was started for it. */
   @WrittenByRequestTracker
   public void add(Attempt attempt) {
     made.add(attempt);
     inFlight++;
   }
 
+  /** One of its attempts ended. */
   @WrittenByRequestTracker
   public void attemptEnded() {
     inFlight--;
   }
 
+  /** It is over for the client. */
   @WrittenByRequestTracker
   public void markEnded() {
     ended = true;
   }
 
+  /** Its answer has begun to reach the client. */
   @WrittenByRequestTracker
   public void markStreaming() {
     streaming = true;
@@ -93,7 +112,7 @@
     return workHint == null ? TimeSpan.ZERO : workHint;
   }
 
-  /** The first pick that may have taken effect; null where none may. */
+  /** The first attempt that may have taken effect; null where none may. */
   public Attempt firstThatMayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun()) {
@@ -103,6 +122,7 @@
     return null;
   }
 
+  /** Whether an attempt was made at the endpoint. */
   public boolean triedAt(Endpoint endpoint) {
     for (Attempt attempt : attempts) {
       if (attempt.endpoint == endpoint) {
--- a/src/main/java/sprucerock/model/Settings.java
+++ b/src/main/java/sprucerock/model/Settings.java
@@ -6,51 +6,117 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The start settings that the module reads. Each form in which they are written has a reader that
- * fills {@link Draft}.
+ * The start settings that the routing policy reads; immutable. Each form in which they are written
+ * has a reader that fills {@link Draft}.
  */
 public final class Settings {
+  /** How the controller counts votes on a canary. */
   public enum Control {
+    /** One vote decides. */
     SINGLE,
+    /** A majority of the relays decides. */
     MAJORITY,
+    /** Time decides, unless votes are against it. */
     CLOCKED
   }
 
+  /** The relay's own zone. */
   public final int zone;
+
+  /** All methods, by their index. */
   public final List<Method> methods;
+
+  /** Each tenant's quota, as a share from 0 to 1. */
   public final List<Double> tenantShares;
+
+  /** Factor on the weight of RPCs beyond their tenant's quota; 1: none. */
   public final double overQuotaWeight;
+
+  /** How late a timer may come. */
   public final TimeSpan tick;
+
+  /** Whether the endpoint list has to be asked for; else it is pushed. */
   public final boolean pollsEndpointList;
+
+  /** How old a polled endpoint list may become. */
   public final TimeSpan pollWithin;
+
+  /** How long an endpoint is warming up after its start. */
   public final TimeSpan warmUp;
+
+  /** Share of its capacity that an endpoint has at its start, from 0 to 1. */
   public final double startShare;
+
+  /** Over how long an endpoint that is warming up may be overloaded before it tips over. */
   public final TimeSpan tipAfter;
+
+  /** Load, as a multiple of its capacity, at which an endpoint that is warming up tips over. */
   public final double tipMultiple;
+
+  /** How many attempts an RPC may have. */
   public final int maxAttempts;
+
+  /** Whether hedged requests are allowed. */
   public final boolean hedging;
+
+  /** Whether attempts may be cancelled. */
   public final boolean cancellation;
+
+  /** Whether relays may send each other messages. */
   public final boolean gossip;
+
+  /** Whether a rejection may say when to retry. */
   public final boolean retryAfter;
+
+  /** The longest advice for a retry. */
   public final TimeSpan maxRetryAfter;
+
+  /** How the controller counts votes on a canary. */
   public final Control control;
+
+  /** A canary's greatest share of traffic in each stage, from 0 to 1. */
   public final List<Double> caps;
+
+  /** Whether caps hold for each method by itself. */
   public final boolean perMethod;
+
+  /** Attempts at a canary that no cap counts. */
   public final double free;
+
+  /** Stages in which a canary gets idempotent methods only. */
   public final int guardedStages;
+
+  /** Whether a key that a canary served isn't served by the baseline again. */
   public final boolean oneWayKeys;
+
+  /** How long a vote counts. */
   public final TimeSpan voteLifetime;
+
+  /** How long the answer to a call of the controller may take. */
   public final TimeSpan callTimeout;
+
+  /** How many relays there are. */
   public final int relays;
+
+  /** The greatest priority weight of all methods; 1 without methods. */
   public final double maxPriorityWeight;
+
+  /** The mean latency objective of all methods, in milliseconds; 1000 without methods. */
   public final double meanLatencyObjectiveMs;
+
+  /** The relay's own number, from 0. */
   public final int index;
+
+  /** The period of the controller's counts; zero: there are none. */
   public final TimeSpan countsEvery;
 
   /** A connection that carries nothing for this long is closed, at either end. */
   public final TimeSpan idleTimeout;
 
-  /** What a reader fills in. What has a value here may be left out; the rest must be set. */
+  /**
+   * What a reader fills in. What has a value here may be left out; the rest must be set. The fields
+   * are those of {@link Settings}.
+   */
   public static final class Draft {
     public int zone;
     public List<Method> methods = new ArrayList<>();
@@ -83,6 +149,11 @@
     public TimeSpan idleTimeout = TimeSpan.ofMs(30_000);
   }
 
+  /**
+   * A copy of the draft.
+   *
+   * @throws NullPointerException if a list in it is null
+   */
   public Settings(Draft draft) {
     zone = draft.zone;
     methods = Collections.unmodifiableList(new ArrayList<>(draft.methods));
--- a/src/main/java/sprucerock/model/Verdict.java
+++ b/src/main/java/sprucerock/model/Verdict.java
@@ -1,6 +1,6 @@
 package sprucerock.model;
 
-/** What a relay says of a build. */
+/** A relay's vote on a canary: none yet, go on, hold, or go back. */
 public enum Verdict {
   NONE,
   ON,
--- a/src/main/java/sprucerock/model/VoteReply.java
+++ b/src/main/java/sprucerock/model/VoteReply.java
@@ -1,6 +1,6 @@
 package sprucerock.model;
 
-/** How the release desk took a vote. */
+/** How the controller answered a vote; {@link #UNANSWERED} where it did not. */
 public enum VoteReply {
   COUNTS,
   MOOT,
--- a/src/main/java/sprucerock/model/WrittenByRequestTracker.java
+++ b/src/main/java/sprucerock/model/WrittenByRequestTracker.java
@@ -6,8 +6,8 @@
 import java.lang.annotation.Target;
 
 /**
- * Writes a fact of an RPC, pick, unit or build: only the ledger calls it, so that each fact has one
- * writer.
+ * Marks a method that writes a fact of an RPC, attempt, endpoint or build. Only the request tracker
+ * calls it, so that each fact has one writer; a test of the architecture checks that.
  */
 @Retention(RetentionPolicy.CLASS)
 @Target(ElementType.METHOD)
--- a/src/main/java/sprucerock/simulation/ReplyWriter.java
+++ b/src/main/java/sprucerock/simulation/ReplyWriter.java
@@ -3,66 +3,79 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 
-/** The records of one reply, in the order in which they were written. */
+/**
+ * Encodes the records of one reply frame, in the order in which they are written; little-endian.
+ * One frame is filled at a time.
+ */
 final class ReplyWriter {
-  private ByteBuffer body = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
+  private static final int INITIAL_BYTES = 1 << 16;
+  private static final int MAX_FIELD_BYTES = 0xffff;
+  private static final int RECORD_HEADER_BYTES = 9;
+  private static final int FRAME_HEADER_BYTES = 12;
+
+  private ByteBuffer body = ByteBuffer.allocate(INITIAL_BYTES).order(ByteOrder.LITTLE_ENDIAN);
   private int count;
-  private int start;
+  private int lengthAt;
 
+  /** Begins a record of a relay; {@link #close} ends it. */
   ReplyWriter open(int code, long relay) {
-    room(9);
+    reserve(RECORD_HEADER_BYTES);
     body.put((byte) code);
-    start = body.position();
+    lengthAt = body.position();
     body.putInt(0).putInt((int) relay);
     count++;
     return this;
   }
 
   ReplyWriter u8(int value) {
-    room(1);
+    reserve(1);
     body.put((byte) value);
     return this;
   }
 
   ReplyWriter u16(int value) {
-    room(2);
+    reserve(2);
     body.putShort((short) value);
     return this;
   }
 
   ReplyWriter u32(long value) {
-    room(4);
+    reserve(4);
     body.putInt((int) value);
     return this;
   }
 
   ReplyWriter f64(double value) {
-    room(8);
+    reserve(8);
     body.putDouble(value);
     return this;
   }
 
+  /** A length and the bytes; what is beyond 65,535 of them is cut off. */
   ReplyWriter bytes(byte[] value) {
-    int length = Math.min(value.length, 0xffff);
+    int length = Math.min(value.length, MAX_FIELD_BYTES);
     u16(length);
-    room(length);
+    reserve(length);
     body.put(value, 0, length);
     return this;
   }
 
+  /** Ends the record. */
   void close() {
-    body.putInt(start, body.position() - start - 4);
+    body.putInt(lengthAt, body.position() - lengthAt - Integer.BYTES);
   }
 
+  /** The whole reply to a batch; the writer is empty afterwards. */
   byte[] frame(int batch) {
-    ByteBuffer whole = ByteBuffer.allocate(12 + body.position()).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer whole =
+        ByteBuffer.allocate(FRAME_HEADER_BYTES + body.position()).order(ByteOrder.LITTLE_ENDIAN);
     whole.putInt(batch).putInt(body.position()).putInt(count).put(body.array(), 0, body.position());
     body.clear();
     count = 0;
     return whole.array();
   }
 
-  private void room(int bytes) {
+  private void reserve(int bytes) {
     if (body.remaining() >= bytes) {
       return;
     }
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -9,58 +9,58 @@
 import sprucerock.accounting.RequestTracker;
 import sprucerock.config.settings.SettingsText;
 import sprucerock.model.Attempt;
-import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Build;
-import sprucerock.model.RolloutState;
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
 import sprucerock.model.Verdict;
-import sprucerock.model.VoteReply;
 import sprucerock.policy.RelayActions;
 import sprucerock.policy.RelayEvents;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
 /**
- * One relay at the bench's door: events in as calls of the ledger, calls of the host out as
- * actions.
+ * One relay of the simulator: events come in as calls of the request tracker, and what the policy
+ * does goes out as records. A relay whose policy throws reports that, and ignores events from then
+ * on.
  */
 final class SimulatedRelay implements RelayActions {
-  /** Makes the module of a relay. */
+  /** Makes the routing policy of a relay. */
   interface PolicyFactory {
-    RelayEvents make(RelayActions host, Settings settings, long seed);
+    RelayEvents make(RelayActions actions, Settings settings, long seed);
   }
 
-  private static final int READY = 1;
-  private static final int DRAINING = 2;
+  private static final long TOKEN_MASK = 0xffffffffL; // timers have 32 bits on the wire
 
   private final long id;
   private final ReplyWriter replies;
-  private final PolicyFactory maker;
+  private final PolicyFactory policies;
   private final Map<Long, Runnable> timers = new HashMap<>();
   private long timerCount;
   private Settings settings;
-  private RequestTracker ledger;
+  private RequestTracker tracker;
   private RelayEvents policy;
   private Timestamp now;
+  private final EventDecoder events = new EventDecoder(this);
 
-  SimulatedRelay(long id, ReplyWriter replies, PolicyFactory maker) {
+  SimulatedRelay(long id, ReplyWriter replies, PolicyFactory policies) {
     this.id = id;
     this.replies = replies;
-    this.maker = maker;
+    this.policies = policies;
   }
 
+  /** Starts it with settings as the operators write them. */
   void start(Timestamp at, long seed, String text) {
     now = at;
     guarded(
         () -> {
           settings = SettingsText.read(text);
-          ledger = new RequestTracker(settings);
-          policy = maker.make(this, settings, seed);
-          ledger.setListener(policy);
+          tracker = new RequestTracker(settings);
+          policy = policies.make(this, settings, seed);
+          tracker.setListener(policy);
         });
   }
 
+  /** A list of endpoints came, partial or complete, or failed to. */
   void listed(Timestamp at, int form, SimulationHost.Entry[] entries) {
     now = at;
     if (policy == null) {
@@ -68,28 +68,28 @@
     }
     guarded(
         () -> {
-          if (form == 3) {
+          if (form == WireCodes.LIST_FAILED) {
             policy.listFailed();
             return;
           }
-          Set<Long> named = new HashSet<>();
+          Set<Long> listed = new HashSet<>();
           for (SimulationHost.Entry entry : entries) {
-            named.add(entry.endpoint());
-            listed(entry);
+            listed.add(entry.endpoint());
+            applyEntry(entry);
           }
-          if (form != 0) {
-            ledger.retainEndpoints(named);
+          if (form != WireCodes.PARTIAL_LIST) {
+            tracker.retainEndpoints(listed);
           }
         });
   }
 
-  private void listed(SimulationHost.Entry entry) {
-    if (entry.health() != READY && entry.health() != DRAINING) {
-      ledger.endpointRemoved(entry.endpoint());
+  private void applyEntry(SimulationHost.Entry entry) {
+    if (entry.health() != WireCodes.READY && entry.health() != WireCodes.DRAINING) {
+      tracker.endpointRemoved(entry.endpoint());
       return;
     }
     Timestamp since = entry.since() == 0 ? null : Timestamp.ofMs(entry.since());
-    ledger.endpointListed(
+    tracker.endpointListed(
         entry.endpoint(),
         entry.zone(),
         entry.kind(),
@@ -97,26 +97,13 @@
         entry.build(),
         since,
         entry.weight(),
-        entry.health() == READY);
+        entry.health() == WireCodes.READY);
   }
 
-  /** Takes an event that is no list; false where the code is none of the wire's. */
+  /** Takes an event that is no list; false where the code is unknown. */
   boolean take(int code, ByteBuffer f, Timestamp at) {
     now = at;
-    Runnable call =
-        switch (code) {
-          case 30 -> rpc(f);
-          case 40 -> streaming(f);
-          case 50 -> returned(f);
-          case 60 -> gone(f);
-          case 70 -> ring(f);
-          case 80 -> checked(f);
-          case 90 -> note(f);
-          case 110 -> news(f);
-          case 120 -> counts(f);
-          case 130 -> flagged(f);
-          default -> null;
-        };
+    Runnable call = events.decode(code, f);
     if (call == null) {
       return false;
     }
@@ -126,122 +113,24 @@
     return true;
   }
 
-  private Runnable rpc(ByteBuffer f) {
-    long handle = u32(f);
-    int method = f.getShort() & 0xffff;
-    int tenant = f.getInt();
-    long key = f.getLong();
-    Timestamp deadline = Timestamp.ofMs(f.getDouble());
-    double hint = f.getDouble();
-    boolean hinted = (f.get() & 1) != 0;
-    return () -> {
-      ledger.rpcArrived(
-          handle,
-          settings.methods.get(method),
-          tenant,
-          key,
-          now,
-          deadline,
-          hinted ? TimeSpan.ofMs(hint) : null,
-          null);
-    };
+  Settings settings() {
+    return settings;
   }
 
-  private Runnable streaming(ByteBuffer f) {
-    long handle = u32(f);
-    f.getInt();
-    int shot = f.get() & 0xff;
-    f.getDouble();
-    return () -> {
-      Rpc rpc = ledger.rpc(handle);
-      if (rpc != null && shot < rpc.attempts.size()) {
-        ledger.streamStarted(rpc.attempts.get(shot));
-      }
-    };
+  RequestTracker tracker() {
+    return tracker;
   }
 
-  private Runnable returned(ByteBuffer f) {
-    long handle = u32(f);
-    int shot = f.get() & 0xff;
-    TimeSpan took = TimeSpan.ofMs(f.getDouble());
-    boolean closed = f.get() != 0;
-    f.getInt();
-    AttemptOutcome outcome = outcome(f.get() & 0xff);
-    load(f);
-    return () -> {
-      Rpc rpc = ledger.rpc(handle);
-      if (rpc != null && shot < rpc.attempts.size()) {
-        ledger.attemptEnded(rpc.attempts.get(shot), outcome, took, closed);
-      }
-    };
+  RelayEvents policy() {
+    return policy;
   }
 
-  private Runnable gone(ByteBuffer f) {
-    long handle = u32(f);
-    return () -> {
-      Rpc rpc = ledger.rpc(handle);
-      if (rpc != null) {
-        ledger.clientLeft(rpc);
-      }
-    };
-  }
-
-  private Runnable ring(ByteBuffer f) {
-    Runnable due = timers.remove(u32(f));
-    return due == null ? () -> {} : due;
-  }
-
-  private Runnable checked(ByteBuffer f) {
-    f.getDouble();
-    f.get();
-    f.getInt();
-    load(f);
-    return () -> {};
-  }
-
-  private Runnable note(ByteBuffer f) {
-    int sender = f.getInt();
-    byte[] contents = new byte[SimulationHost.count(f, f.getShort() & 0xffff, 1)];
-    f.get(contents);
-    return () -> policy.peerTold(sender, contents);
-  }
-
-  private Runnable news(ByteBuffer f) {
-    int number = f.getShort() & 0xffff;
-    int stage = f.get() & 0xff;
-    int standing = f.get() & 0xff;
-    boolean answer = f.get() == 1;
-    int status = f.get() & 0xff;
-    double cap = f.getFloat();
-    TimeSpan lasted = TimeSpan.ofMs(f.getDouble());
-    return () -> {
-      if (answer) {
-        policy.voteAnswered(reply(status));
-      }
-      if (status == 1 && standing < RolloutState.values().length) {
-        ledger.rolloutChanged(
-            number, stage, RolloutState.values()[standing], cap, now.minus(lasted));
-      }
-    };
-  }
-
-  private Runnable counts(ByteBuffer f) {
-    int number = f.getShort() & 0xffff;
-    int method = f.getShort() & 0xffff;
-    long attempts = u32(f);
-    long failed = u32(f);
-    TimeSpan mean = TimeSpan.ofMs(f.getDouble());
-    f.getDouble();
-    return () -> ledger.counted(number, method, attempts, failed, mean);
-  }
-
-  private Runnable flagged(ByteBuffer f) {
-    long endpoint = u32(f);
-    f.getShort();
-    TimeSpan behind = TimeSpan.ofMs(f.getDouble());
-    return () -> ledger.flagged(endpoint, behind, now);
+  /** The timer of a token, once; null where there is none. */
+  Runnable takeTimer(long token) {
+    return timers.remove(token);
   }
 
+  /** Runs a call; a simulated relay that fails must not end the others. */
   private void guarded(Runnable call) {
     try {
       call.run();
@@ -249,43 +138,10 @@
       policy = null;
       StackTraceElement[] trace = e.getStackTrace();
       String text = "relay " + id + ": " + e + (trace.length > 0 ? " at " + trace[0] : "");
-      open(100).bytes(text.getBytes(StandardCharsets.UTF_8)).close();
+      open(WireCodes.RELAY_FAILED).bytes(text.getBytes(StandardCharsets.UTF_8)).close();
     }
   }
 
-  private static long u32(ByteBuffer f) {
-    return Integer.toUnsignedLong(f.getInt());
-  }
-
-  /** Load reports are read past: the module does not use them. */
-  private static void load(ByteBuffer f) {
-    int values = SimulationHost.count(f, f.get() & 0xff, 4);
-    f.position(f.position() + 4 * values);
-  }
-
-  private static AttemptOutcome outcome(int reason) {
-    return switch (reason) {
-      case 1 -> AttemptOutcome.OK;
-      case 2 -> AttemptOutcome.FULL;
-      case 3 -> AttemptOutcome.TIMED_OUT;
-      case 4 -> AttemptOutcome.NOT_CONNECTED;
-      case 5 -> AttemptOutcome.BROKEN;
-      case 6 -> AttemptOutcome.CANCELLED;
-      case 7 -> AttemptOutcome.MOOT;
-      default -> AttemptOutcome.ERROR;
-    };
-  }
-
-  private static VoteReply reply(int status) {
-    return switch (status) {
-      case 1 -> VoteReply.COUNTS;
-      case 2 -> VoteReply.TOO_MANY;
-      case 3 -> VoteReply.UNANSWERED;
-      case 7 -> VoteReply.MOOT;
-      default -> VoteReply.ERROR;
-    };
-  }
-
   private ReplyWriter open(int code) {
     return replies.open(code, id);
   }
@@ -297,65 +153,58 @@
 
   @Override
   public void send(Attempt attempt) {
-    ledger.attemptSent(attempt);
-    ledger.attemptWritten(attempt);
-    double patience = attempt.timeout == null ? 0 : attempt.timeout.ms();
-    open(10).u32(attempt.rpc.id).u32(attempt.endpoint.id).f64(patience).close();
+    tracker.attemptSent(attempt);
+    tracker.attemptWritten(attempt);
+    double timeoutMs = attempt.timeout == null ? 0 : attempt.timeout.ms();
+    open(WireCodes.SEND).u32(attempt.rpc.id).u32(attempt.endpoint.id).f64(timeoutMs).close();
   }
 
   @Override
   public void cancel(Attempt attempt) {
-    open(40).u32(attempt.rpc.id).u8(attempt.number).close();
+    open(WireCodes.CANCEL).u32(attempt.rpc.id).u8(attempt.number).close();
   }
 
   @Override
   public void pushBack(Rpc rpc, TimeSpan wait) {
-    open(20).u32(rpc.id).f64(wait.ms()).close();
-    ledger.rejected(rpc);
+    open(WireCodes.REJECT).u32(rpc.id).f64(wait.ms()).close();
+    tracker.rejected(rpc);
   }
 
   @Override
   public void abort(Rpc rpc) {
-    open(30).u32(rpc.id).close();
-    ledger.aborted(rpc);
+    open(WireCodes.ABORT).u32(rpc.id).close();
+    tracker.aborted(rpc);
   }
 
   @Override
   public void wake(Timestamp when, Runnable what) {
-    long token = timerCount++ & 0xffffffffL;
+    long token = timerCount++ & TOKEN_MASK;
     timers.put(token, what);
-    open(50).u32(token).f64(when.ms()).close();
+    open(WireCodes.SET_TIMER).u32(token).f64(when.ms()).close();
   }
 
   @Override
   public void vote(Build build, int stage, Verdict verdict) {
-    int code =
-        switch (verdict) {
-          case NONE -> 0;
-          case ON -> 1;
-          case HOLD -> 2;
-          case BACK -> 3;
-        };
-    open(130).u16(build.number).u8(stage).u8(code).close();
+    open(WireCodes.VOTE).u16(build.number).u8(stage).u8(WireCodes.verdict(verdict)).close();
   }
 
   @Override
   public void tellPeers(byte[] contents) {
-    open(80).u16(0xffff).bytes(contents).close();
+    open(WireCodes.TELL_PEER).u16(WireCodes.ALL_PEERS).bytes(contents).close();
   }
 
   @Override
   public void tellPeer(int relay, byte[] contents) {
-    open(80).u16(relay).bytes(contents).close();
+    open(WireCodes.TELL_PEER).u16(relay).bytes(contents).close();
   }
 
   @Override
   public void subscribe() {
-    open(110).u8(1).close();
+    open(WireCodes.SUBSCRIBE).u8(1).close();
   }
 
   @Override
   public void log(String line) {
-    open(90).bytes(line.getBytes(StandardCharsets.UTF_8)).close();
+    open(WireCodes.LOG).bytes(line.getBytes(StandardCharsets.UTF_8)).close();
   }
 }
--- a/src/main/java/sprucerock/simulation/SimulationHost.java
+++ b/src/main/java/sprucerock/simulation/SimulationHost.java
@@ -1,5 +1,6 @@
 package sprucerock.simulation;
 
+import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.EOFException;
 import java.io.IOException;
@@ -14,14 +15,21 @@
 import sprucerock.Policy;
 import sprucerock.time.Timestamp;
 
-/** Reads batches, hands each event to the relay that it is for, and writes one reply a batch. */
+/**
+ * Reads batches of records, hands each to the relay that it is for, and writes one reply frame a
+ * batch. It ends at the end of the input, or with a {@link FrameException} at the first malformed
+ * record.
+ */
 public final class SimulationHost {
-  private static final int INIT = 10;
-  private static final int ANNOUNCE = 20;
-  private static final int DESTROY = 100;
-  private static final int CENSUS = 140;
+  private static final int HEADER_BYTES = 20;
+  private static final int RECORD_HEADER_BYTES = 5;
+  private static final int ENTRY_BYTES = 26;
+  private static final int INPUT_BUFFER_BYTES = 1 << 16;
+  private static final int MAX_LISTS = 16;
+  private static final int MAX_HEALTH = 2;
+  private static final int MAX_FORM = 3;
 
-  /** One line of a list of units, as the wire has it. */
+  /** One line of a list of endpoints, as the wire has it. */
   record Entry(
       long endpoint,
       int zone,
@@ -32,33 +40,39 @@
       double weight,
       double since) {}
 
-  private final SimulatedRelay.PolicyFactory maker;
+  private final SimulatedRelay.PolicyFactory policies;
   private final DataInputStream in;
   private final OutputStream out;
   private final Map<Long, SimulatedRelay> relays = new HashMap<>();
-  private final Entry[][] lists = new Entry[16][];
+  private final Entry[][] lists = new Entry[MAX_LISTS][];
   private final ReplyWriter replies = new ReplyWriter();
 
+  /** A host whose relays have the program's own routing policy. */
   public SimulationHost(InputStream in, OutputStream out) {
     this(in, out, Policy::new);
   }
 
-  SimulationHost(InputStream in, OutputStream out, SimulatedRelay.PolicyFactory maker) {
-    this.maker = maker;
-    this.in = new DataInputStream(new java.io.BufferedInputStream(in, 1 << 16));
+  SimulationHost(InputStream in, OutputStream out, SimulatedRelay.PolicyFactory policies) {
+    this.policies = policies;
+    this.in = new DataInputStream(new BufferedInputStream(in, INPUT_BUFFER_BYTES));
     this.out = out;
   }
 
-  /** Runs to the end of the input. */
+  /**
+   * Runs to the end of the input.
+   *
+   * @throws FrameException if the input breaks the wire format
+   * @throws IOException if a stream fails
+   */
   public void run() throws IOException {
-    byte[] head = new byte[20];
+    byte[] head = new byte[HEADER_BYTES];
     for (long seen = 0; ; seen++) {
       int first = in.read();
       if (first < 0) {
         return;
       }
       head[0] = (byte) first;
-      fill(head, 1, 19, "batch after " + seen + " whole ones: header is cut short");
+      fill(head, 1, HEADER_BYTES - 1, "batch after " + seen + " whole ones: header is cut short");
       ByteBuffer header = wrap(head);
       int batch = header.getInt();
       int length = header.getInt();
@@ -72,16 +86,16 @@
       if (body.length < length) {
         throw new FrameException(where + ": body is cut short");
       }
-      play(wrap(body), records, now, where);
+      process(wrap(body), records, now, where);
       out.write(replies.frame(batch));
       out.flush();
     }
   }
 
-  private void play(ByteBuffer body, int records, Timestamp now, String where) {
+  private void process(ByteBuffer body, int records, Timestamp now, String where) {
     for (int i = 0; i < records; i++) {
       String record = where + ", record " + i;
-      if (body.remaining() < 5) {
+      if (body.remaining() < RECORD_HEADER_BYTES) {
         throw new FrameException(record + ": head is cut short");
       }
       int code = body.get() & 0xff;
@@ -92,7 +106,7 @@
       ByteBuffer fields = body.slice(body.position(), length).order(ByteOrder.LITTLE_ENDIAN);
       body.position(body.position() + length);
       try {
-        one(code, fields, now, record);
+        dispatch(code, fields, now, record);
       } catch (BufferUnderflowException e) {
         throw new FrameException(record + " (code " + code + "): fields are cut short");
       }
@@ -105,17 +119,17 @@
     }
   }
 
-  private void one(int code, ByteBuffer f, Timestamp now, String record) {
-    if (code == CENSUS) {
-      census(f, record);
+  private void dispatch(int code, ByteBuffer f, Timestamp now, String record) {
+    if (code == WireCodes.DEFINE_LIST) {
+      defineList(f, record);
       return;
     }
     long id = Integer.toUnsignedLong(f.getInt());
-    if (code == INIT) {
+    if (code == WireCodes.START_RELAY) {
       long seed = f.getLong();
       byte[] settings = new byte[count(f, Integer.toUnsignedLong(f.getInt()), 1)];
       f.get(settings);
-      SimulatedRelay relay = new SimulatedRelay(id, replies, maker);
+      SimulatedRelay relay = new SimulatedRelay(id, replies, policies);
       relays.put(id, relay);
       relay.start(now, seed, new String(settings, StandardCharsets.UTF_8));
       return;
@@ -124,17 +138,17 @@
     if (relay == null) {
       throw new FrameException(record + " (code " + code + "): relay " + id + " never started");
     }
-    if (code == DESTROY) {
+    if (code == WireCodes.STOP_RELAY) {
       relays.remove(id);
-    } else if (code == ANNOUNCE) {
+    } else if (code == WireCodes.ENDPOINT_LIST) {
       int list = f.getShort() & 0xffff;
       f.getLong();
       int form = f.get() & 0xff;
-      if (form > 3) {
+      if (form > MAX_FORM) {
         throw new FrameException(record + ": unknown form of list " + form);
       }
       Entry[] entries = list < lists.length ? lists[list] : null;
-      if (form != 3 && entries == null) {
+      if (form != WireCodes.LIST_FAILED && entries == null) {
         throw new FrameException(record + ": list " + list + " was never sent");
       }
       relay.listed(now, form, entries);
@@ -143,12 +157,12 @@
     }
   }
 
-  private void census(ByteBuffer f, String record) {
+  private void defineList(ByteBuffer f, String record) {
     int list = f.getShort() & 0xffff;
     if (list >= lists.length) {
       throw new FrameException(record + ": list number " + list + " is out of range");
     }
-    Entry[] entries = new Entry[count(f, Integer.toUnsignedLong(f.getInt()), 26)];
+    Entry[] entries = new Entry[count(f, Integer.toUnsignedLong(f.getInt()), ENTRY_BYTES)];
     for (int i = 0; i < entries.length; i++) {
       long endpoint = Integer.toUnsignedLong(f.getInt());
       int zone = f.getShort() & 0xffff;
@@ -158,14 +172,18 @@
       int health = f.get() & 0xff;
       entries[i] =
           new Entry(endpoint, zone, kind, cell, build, health, f.getFloat(), f.getDouble());
-      if (health > 2) {
+      if (health > MAX_HEALTH) {
         throw new FrameException(record + ": unknown health " + health);
       }
     }
     lists[list] = entries;
   }
 
-  /** A count that its content must bear out, so that a bad one cannot ask for memory. */
+  /**
+   * Checks a count against the bytes that are left, so that a bad one can't ask for memory.
+   *
+   * @throws BufferUnderflowException if the content is too short for it
+   */
   static int count(ByteBuffer f, long count, int size) {
     if (count * size > f.remaining()) {
       throw new BufferUnderflowException();
@@ -173,11 +191,11 @@
     return (int) count;
   }
 
-  private void fill(byte[] into, int from, int length, String trouble) throws IOException {
+  private void fill(byte[] into, int from, int length, String message) throws IOException {
     try {
       in.readFully(into, from, length);
     } catch (EOFException e) {
-      throw new FrameException(trouble);
+      throw new FrameException(message);
     }
   }
 
