--- a/src/main/java/sprucerock/controller/StateMachine.java
+++ b/src/main/java/sprucerock/controller/StateMachine.java
@@ -117,7 +117,7 @@
       deployments.rolloutInProgress(inProgress, now, wallMs);
     }
     // nor are the build's endpoints counted on where racks are to be spared
-    maintenanceWindows.onTrial(
+    maintenanceWindows.setCanaryShare(
         inProgress ? rollouts.fleetShare(rollouts.current) : 0,
         maintenanceWindows.advanceClock(wallMs));
   }
