--- a/src/main/java/sprucerock/transport/http/HttpConnection.java
+++ b/src/main/java/sprucerock/transport/http/HttpConnection.java
@@ -12,89 +12,120 @@
 import sprucerock.transport.net.Net;
 
 /**
- * One connection to a server: calls may follow one behind another, and their answers come in that
- * order. Nothing is sent again, and no other connection is made: who calls decides that.
+ * One connection to an HTTP/1.1 server. Requests may be pipelined; responses come in their order.
+ * Nothing is retried and no other connection is made: the caller decides that.
+ *
+ * <p>Confined to the loop thread of its {@link Net}.
  */
 public final class HttpConnection implements ConnectionListener {
   /**
-   * Who made a call. Exactly one of {@code answered} and {@code failed} is told, unless the answer
-   * never ends.
+   * Receives the response to one request. Exactly one of {@link #completed} and {@link #failed} is
+   * called, unless the response never ends.
    */
   public interface ResponseListener {
-    /** A piece of the body, as it comes; by default bodies are only told whole. */
+    /**
+     * A piece of the body has arrived; by default bodies are passed on only when complete.
+     *
+     * @param bytes valid during the call only
+     * @throws HttpException if the piece is invalid: the connection is cut then
+     */
     default void bodyPart(int status, ByteBuffer bytes) throws HttpException {}
 
-    /** The answer is whole; the body is empty for calls whose body {@link #streams}. */
+    /**
+     * The response is complete.
+     *
+     * @param body empty if the body {@link #isStreaming}
+     */
     void completed(int status, byte[] body);
 
-    /** No answer; {@code carriedOut}: whether the server may have got the call whole. */
-    void failed(String why, boolean carriedOut);
+    /**
+     * The connection closed before the response was complete.
+     *
+     * @param why the reason, for a log
+     * @param maybeExecuted whether the server may have received the whole request; false proves
+     *     that it did not
+     */
+    void failed(String why, boolean maybeExecuted);
 
-    /** Its body is told in pieces only, and may be without end. */
+    /** Whether the body is passed on in pieces only, without a limit of its length. */
     default boolean isStreaming() {
       return false;
     }
   }
 
-  private record Open(ResponseListener call, long mark) {}
+  /** A request without a complete response; {@code endOffset} is where its bytes end. */
+  private record PendingRequest(ResponseListener listener, long endOffset) {}
 
-  private static final int BODY = 64 * 1024; // of an answer that is told whole
-  private static final int OPEN = 64; // calls one behind the other
-  private static final long UNSENT = 256 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024; // of a response that isn't streaming
+  private static final int MAX_PENDING_REQUESTS = 64;
+  private static final long MAX_UNSENT_BYTES = 256 * 1024;
 
   private final Net net;
-  private final InetSocketAddress to;
-  private final ArrayDeque<Open> calls = new ArrayDeque<>();
-  private final ResponseParser answers = new ResponseParser();
-  private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+  private final InetSocketAddress server;
+  private final ArrayDeque<PendingRequest> pending = new ArrayDeque<>();
+  private final ResponseParser parser = new ResponseParser();
+  private final ResponseParser.Listener responses = new ResponseAssembler();
   private final Connection connection;
-  private int status;
-  private boolean up;
+  private boolean connected;
   private boolean closed;
   private Timestamp lastSentAt;
   private Timestamp lastReceivedAt;
   private boolean hasReceived;
 
-  /** Begins to connect. */
-  public HttpConnection(Net net, InetSocketAddress to, TimeSpan within) {
+  /**
+   * Begins to connect. Requests may be sent at once; they go out when the connection is up.
+   *
+   * @param connectTimeout how long connecting may take
+   */
+  public HttpConnection(Net net, InetSocketAddress server, TimeSpan connectTimeout) {
     this.net = net;
-    this.to = to;
+    this.server = server;
     lastSentAt = net.now();
     lastReceivedAt = lastSentAt;
-    connection = net.connect(to, within, UNSENT, this);
+    connection = net.connect(server, connectTimeout, MAX_UNSENT_BYTES, this);
   }
 
-  /** Whether another call may be sent on it. */
+  /** Whether another request may be sent: it is not closed, and under 64 are pending. */
   public boolean canSend() {
-    return !closed && calls.size() < OPEN;
+    return !closed && pending.size() < MAX_PENDING_REQUESTS;
   }
 
+  /** Whether no request is pending. */
   public boolean isIdle() {
-    return calls.isEmpty();
+    return pending.isEmpty();
   }
 
-  /** When bytes came last, or it was made. */
+  /** When bytes last arrived; before any did, when the connection was begun. */
   public Timestamp lastReceivedAt() {
     return lastReceivedAt;
   }
 
-  /** Whether any bytes came. */
+  /** Whether any bytes arrived. */
   public boolean hasReceived() {
     return hasReceived;
   }
 
-  /** When a call was sent last, or it was made. */
+  /** When a request was last sent; before any was, when the connection was begun. */
   public Timestamp lastSentAt() {
     return lastSentAt;
   }
 
-  /** Asks for a path. */
-  public void get(String path, ResponseListener call) {
-    send("GET " + path + " HTTP/1.1\r\nHost: " + host() + "\r\n\r\n", call);
+  /**
+   * Sends a GET request.
+   *
+   * @param path path and query, in ASCII
+   */
+  public void get(String path, ResponseListener listener) {
+    send("GET " + path + " HTTP/1.1\r\nHost: " + host() + "\r\n\r\n", listener);
   }
 
-  /** Sends a form. */
-  public void post(String path, String form, ResponseListener call) {
+  /**
+   * Sends a POST request.
+   *
+   * @param path path and query, in ASCII
+   * @param form the body, encoded as {@code application/x-www-form-urlencoded}
+   */
+  public void post(String path, String form, ResponseListener listener) {
     send(
         "POST "
             + path
@@ -104,31 +135,36 @@
             + form.getBytes(StandardCharsets.UTF_8).length
             + "\r\n\r\n"
             + form,
-        call);
+        listener);
   }
 
   private String host() {
-    return to.getAddress().getHostAddress() + ":" + to.getPort();
+    return server.getAddress().getHostAddress() + ":" + server.getPort();
   }
 
-  private void send(String text, ResponseListener call) {
+  private void send(String text, ResponseListener listener) {
     lastSentAt = net.now();
     connection.append(text.getBytes(StandardCharsets.US_ASCII));
-    calls.add(new Open(call, connection.bytesWritten()));
+    pending.add(new PendingRequest(listener, connection.bytesWritten()));
   }
 
+  /**
+   * Closes at once; pending requests fail in a later turn.
+   *
+   * @param why the reason, which their listeners are given
+   */
   public void cut(String why) {
     connection.cut(why);
   }
 
-  /** Closes once what was written has gone out. */
+  /** Closes once all that was written has gone out. */
   public void finish() {
     connection.finish();
   }
 
   @Override
   public void connected(Connection made) {
-    up = true;
+    connected = true;
   }
 
   @Override
@@ -139,38 +175,7 @@
       return;
     }
     try {
-      answers.take(
-          bytes,
-          new ResponseParser.Listener() {
-            @Override
-            public void head(int code) throws HttpException {
-              if (calls.isEmpty()) {
-                throw new HttpException("an answer that nobody asked for");
-              }
-              status = code;
-              body.reset();
-            }
-
-            @Override
-            public void body(ByteBuffer piece) throws HttpException {
-              ResponseListener call = calls.peek().call;
-              call.bodyPart(status, piece.duplicate());
-              if (call.isStreaming()) {
-                return;
-              }
-              if (body.size() + piece.remaining() > BODY) {
-                throw new HttpException("a body of more than " + BODY + " bytes");
-              }
-              byte[] copy = new byte[piece.remaining()];
-              piece.get(copy);
-              body.writeBytes(copy);
-            }
-
-            @Override
-            public void end() {
-              calls.poll().call.completed(status, body.toByteArray());
-            }
-          });
+      parser.feed(bytes, responses);
     } catch (HttpException e) {
       connection.cut("not to be read: " + e.getMessage());
     }
@@ -179,9 +184,45 @@
   @Override
   public void closed(String why) {
     closed = true;
-    while (!calls.isEmpty()) {
-      Open open = calls.poll();
-      open.call.failed(why, up && connection.bytesHandedOver() >= open.mark);
+    while (!pending.isEmpty()) {
+      PendingRequest request = pending.poll();
+      boolean maybeExecuted = connected && connection.bytesHandedOver() >= request.endOffset;
+      request.listener.failed(why, maybeExecuted);
+    }
+  }
+
+  /** Assigns what is parsed to the oldest pending request. */
+  private final class ResponseAssembler implements ResponseParser.Listener {
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private int status;
+
+    @Override
+    public void head(int code) throws HttpException {
+      if (pending.isEmpty()) {
+        throw new HttpException("an answer that nobody asked for");
+      }
+      status = code;
+      body.reset();
+    }
+
+    @Override
+    public void body(ByteBuffer piece) throws HttpException {
+      ResponseListener listener = pending.peek().listener;
+      listener.bodyPart(status, piece.duplicate());
+      if (listener.isStreaming()) {
+        return;
+      }
+      if (body.size() + piece.remaining() > MAX_BODY_BYTES) {
+        throw new HttpException("a body of more than " + MAX_BODY_BYTES + " bytes");
+      }
+      byte[] copy = new byte[piece.remaining()];
+      piece.get(copy);
+      body.writeBytes(copy);
+    }
+
+    @Override
+    public void end() {
+      pending.poll().listener.completed(status, body.toByteArray());
     }
   }
 }
--- a/src/main/java/sprucerock/transport/http/LineReader.java
+++ b/src/main/java/sprucerock/transport/http/LineReader.java
@@ -4,51 +4,70 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Cuts bytes into lines of a bounded length, each without its end. */
+/**
+ * Cuts a byte stream into lines of bounded length, ended by LF or CR LF, and decodes them as UTF-8.
+ * It buffers at most one incomplete line. Not thread-safe.
+ */
 public final class LineReader {
-  /** Who is told of lines. */
+  /** Receives complete lines. */
   public interface Listener {
+    /**
+     * A line has arrived.
+     *
+     * @param line the line without its end
+     * @throws HttpException if the listener finds the line invalid; {@link #feed} passes it on
+     */
     void onLine(String line) throws HttpException;
   }
 
-  private final int most;
-  private byte[] held = new byte[128];
-  private int have;
+  private static final int INITIAL_BUFFER_BYTES = 128;
 
-  public LineReader(int most) {
-    this.most = most;
+  private final int maxLineBytes;
+  private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+  private int buffered;
+
+  /**
+   * A reader at the beginning of a stream.
+   *
+   * @param maxLineBytes the longest line accepted, without its LF
+   */
+  public LineReader(int maxLineBytes) {
+    this.maxLineBytes = maxLineBytes;
   }
 
   /**
-   * The next whole line; null once all bytes are taken and none is. @throws HttpException if it
-   * gets too long
+   * Consumes bytes up to the end of the next line.
+   *
+   * @return the line without its end; null if all bytes were consumed and the line is incomplete
+   * @throws HttpException if the line exceeds its limit
    */
   public String nextLine(ByteBuffer in) throws HttpException {
     while (in.hasRemaining()) {
-      byte b = in.get();
-      if (b == '\n') {
-        int end = have > 0 && held[have - 1] == '\r' ? have - 1 : have;
-        have = 0;
-        return new String(held, 0, end, StandardCharsets.UTF_8);
+      byte next = in.get();
+      if (next == '\n') {
+        int end = buffered > 0 && buffer[buffered - 1] == '\r' ? buffered - 1 : buffered;
+        buffered = 0;
+        return new String(buffer, 0, end, StandardCharsets.UTF_8);
       }
-      if (have == most) {
-        throw new HttpException("a line of more than " + most + " bytes");
+      if (buffered == maxLineBytes) {
+        throw new HttpException("a line of more than " + maxLineBytes + " bytes");
       }
-      if (have == held.length) {
-        held = Arrays.copyOf(held, Math.min(2 * have, most));
+      if (buffered == buffer.length) {
+        buffer = Arrays.copyOf(buffer, Math.min(2 * buffered, maxLineBytes));
       }
-      held[have++] = b;
+      buffer[buffered++] = next;
     }
     return null;
   }
 
   /**
-   * Tells of all lines that are whole. @throws HttpException if one is too long, or the user says
-   * so
+   * Consumes all bytes and passes on each line that they complete.
+   *
+   * @throws HttpException if a line exceeds its limit, or the listener threw it
    */
-  public void feed(ByteBuffer in, Listener user) throws HttpException {
+  public void feed(ByteBuffer in, Listener listener) throws HttpException {
     for (String line = nextLine(in); line != null; line = nextLine(in)) {
-      user.onLine(line);
+      listener.onLine(line);
     }
   }
 }
--- a/src/main/java/sprucerock/transport/postgres/MessageWriter.java
+++ b/src/main/java/sprucerock/transport/postgres/MessageWriter.java
@@ -3,109 +3,134 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Messages as bytes. Arrays that are shared must not be changed. */
+/**
+ * Encodes messages. Arrays that are returned may be shared between callers and must not be changed.
+ */
 public final class MessageWriter {
-  private static final int VERSION = 3 << 16;
-  private static final byte[] READY = message('Z', new byte[] {'I'});
-  private static final byte[] EMPTY = message('I', new byte[0]);
+  private static final int PROTOCOL_VERSION = 3 << 16;
+  private static final int TYPE_BYTES = 1;
+  private static final int LENGTH_BYTES = 4;
+  private static final int HEADER_BYTES = TYPE_BYTES + LENGTH_BYTES;
+  private static final int VERSION_BYTES = 4;
+  private static final int AUTHENTICATION_CODE_BYTES = 4;
+  private static final int BACKEND_KEY_BYTES = 8;
+
+  private static final byte[] READY_FOR_QUERY = message('Z', new byte[] {'I'});
+  private static final byte[] EMPTY_QUERY_RESPONSE = message('I', new byte[0]);
   private static final byte[] TERMINATE = message('X', new byte[0]);
 
   private MessageWriter() {}
 
-  /** A whole message of a type and its body. */
+  /**
+   * A typed message.
+   *
+   * @param type the type byte
+   * @param body what follows the length
+   */
   public static byte[] message(char type, byte[] body) {
-    return ByteBuffer.allocate(5 + body.length)
+    return ByteBuffer.allocate(HEADER_BYTES + body.length)
         .put((byte) type)
-        .putInt(4 + body.length)
+        .putInt(LENGTH_BYTES + body.length)
         .put(body)
         .array();
   }
 
-  // What a server sends.
-
-  /** Welcomes a client: no password, a few parameters, a key that cancels nothing, ready. */
+  /**
+   * What a server answers a startup message with: no password wanted, the parameters that client
+   * libraries ask for, a key that cancels nothing, ready for a query.
+   */
   public static byte[] sessionStart() {
     return concat(
-        message('R', new byte[4]),
-        parameter("server_version", "14.0"),
-        parameter("server_encoding", "UTF8"),
-        parameter("client_encoding", "UTF8"),
-        parameter("DateStyle", "ISO, MDY"),
-        parameter("integer_datetimes", "on"),
-        parameter("standard_conforming_strings", "on"),
-        message('K', new byte[8]),
-        READY);
+        message('R', new byte[AUTHENTICATION_CODE_BYTES]),
+        parameterStatus("server_version", "14.0"),
+        parameterStatus("server_encoding", "UTF8"),
+        parameterStatus("client_encoding", "UTF8"),
+        parameterStatus("DateStyle", "ISO, MDY"),
+        parameterStatus("integer_datetimes", "on"),
+        parameterStatus("standard_conforming_strings", "on"),
+        message('K', new byte[BACKEND_KEY_BYTES]),
+        READY_FOR_QUERY);
   }
 
-  private static byte[] parameter(String name, String value) {
-    return message('S', text(name, value));
+  private static byte[] parameterStatus(String name, String value) {
+    return message('S', strings(name, value));
   }
 
-  /** Ready for the next query. */
+  /** A server's ReadyForQuery outside a transaction; shared. */
   public static byte[] readyForQuery() {
-    return READY;
+    return READY_FOR_QUERY;
   }
 
-  /** The answer to an empty query. */
+  /** A server's response to an empty query; shared. */
   public static byte[] emptyQueryResponse() {
-    return EMPTY;
+    return EMPTY_QUERY_RESPONSE;
   }
 
-  /** An error of a severity (ERROR, FATAL) and SQLSTATE; {@code detail} may be null. */
-  public static byte[] errorResponse(String severity, String code, String text, String detail) {
-    StringBuilder body =
-        new StringBuilder()
-            .append('S')
-            .append(severity)
-            .append('\0')
-            .append('V')
-            .append(severity)
-            .append('\0')
-            .append('C')
-            .append(code)
-            .append('\0')
-            .append('M')
-            .append(text)
-            .append('\0');
+  /**
+   * A server's error response.
+   *
+   * @param severity ERROR ends the query, FATAL the session
+   * @param sqlState the five characters of the SQLSTATE
+   * @param text the message for a person
+   * @param detail more about it; null for none
+   */
+  public static byte[] errorResponse(String severity, String sqlState, String text, String detail) {
+    StringBuilder body = new StringBuilder();
+    appendField(body, 'S', severity);
+    appendField(body, 'V', severity);
+    appendField(body, 'C', sqlState);
+    appendField(body, 'M', text);
     if (detail != null) {
-      body.append('D').append(detail).append('\0');
+      appendField(body, 'D', detail);
     }
     return message('E', body.append('\0').toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  // What a client sends.
+  private static void appendField(StringBuilder body, char field, String value) {
+    body.append(field).append(value).append('\0');
+  }
 
+  /** A client's startup message for a session. */
   public static byte[] startupMessage(String user, String database) {
-    byte[] body = text("user", user, "database", database, "");
-    return ByteBuffer.allocate(8 + body.length)
-        .putInt(8 + body.length)
-        .putInt(VERSION)
-        .put(body)
+    byte[] parameters = strings("user", user, "database", database, "");
+    int length = LENGTH_BYTES + VERSION_BYTES + parameters.length;
+    return ByteBuffer.allocate(length)
+        .putInt(length)
+        .putInt(PROTOCOL_VERSION)
+        .put(parameters)
         .array();
   }
 
+  /**
+   * A client's simple query.
+   *
+   * @param text the statement, without a zero byte
+   */
   public static byte[] query(byte[] text) {
-    return ByteBuffer.allocate(6 + text.length)
+    int length = LENGTH_BYTES + text.length + 1;
+    return ByteBuffer.allocate(TYPE_BYTES + length)
         .put((byte) 'Q')
-        .putInt(5 + text.length)
+        .putInt(length)
         .put(text)
         .put((byte) 0)
         .array();
   }
 
+  /** A client's message that ends the session; shared. */
   public static byte[] terminate() {
     return TERMINATE;
   }
 
-  private static byte[] text(String... parts) {
+  /** Strings in UTF-8, each followed by a zero byte. */
+  private static byte[] strings(String... values) {
     StringBuilder text = new StringBuilder();
-    for (String part : parts) {
-      text.append(part).append('\0');
+    for (String value : values) {
+      text.append(value).append('\0');
     }
     return text.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** One behind the other. */
+  /** All arrays, one behind the other, in a new array. */
   public static byte[] concat(byte[]... parts) {
     int length = 0;
     for (byte[] part : parts) {
--- a/src/main/java/sprucerock/transport/postgres/ProtocolException.java
+++ b/src/main/java/sprucerock/transport/postgres/ProtocolException.java
@@ -1,10 +1,18 @@
 package sprucerock.transport.postgres;
 
-/** Bytes that are not the protocol; the message says what and why in one line. */
+/**
+ * Bytes that violate the protocol or exceed its limits; the message says what and why in one line.
+ * It has no stack trace, because hostile peers can cause many of them.
+ */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /**
+   * An exception without cause, suppression or stack trace.
+   *
+   * @param message what is wrong, in one line
+   */
   public ProtocolException(String message) {
-    super(message, null, false, false); // hostile peers can ask for many: no stack is kept
+    super(message, null, false, false);
   }
 }
--- a/src/test/java/sprucerock/transport/http/HttpConnectionTest.java
+++ b/src/test/java/sprucerock/transport/http/HttpConnectionTest.java
@@ -2,6 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -13,15 +14,15 @@
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.SimulatedNet;
 
-/** Calls over HTTP/1.1 against a server that answers as it is told. */
+/** Requests over HTTP/1.1 against a scripted server, and the parsing of event streams. */
 public class HttpConnectionTest {
-  private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 7000);
+  private static final InetSocketAddress SERVER = new InetSocketAddress("127.0.0.1", 7000);
 
   private final SimulatedNet net = new SimulatedNet(0, 1);
-  private final List<String> told = new ArrayList<>();
+  private final List<String> notifications = new ArrayList<>();
   private Connection server;
 
-  /** Stands in for the server: keeps its end, and reads nothing. */
+  /** Keeps the server's end of the connection and ignores what arrives. */
   private final class Server implements ConnectionListener {
     @Override
     public void connected(Connection connection) {
@@ -35,95 +36,95 @@
     public void closed(String why) {}
   }
 
-  private final class Told implements HttpConnection.ResponseListener {
+  private final class RecordingListener implements HttpConnection.ResponseListener {
     private final String name;
-    private final boolean streams;
+    private final boolean streaming;
 
-    Told(String name, boolean streams) {
+    RecordingListener(String name, boolean streaming) {
       this.name = name;
-      this.streams = streams;
+      this.streaming = streaming;
     }
 
     @Override
     public void bodyPart(int status, ByteBuffer bytes) {
-      if (streams) {
-        told.add(name + " piece " + StandardCharsets.US_ASCII.decode(bytes));
+      if (streaming) {
+        notifications.add(name + " piece " + StandardCharsets.US_ASCII.decode(bytes));
       }
     }
 
     @Override
     public boolean isStreaming() {
-      return streams;
+      return streaming;
     }
 
     @Override
     public void completed(int status, byte[] body) {
-      told.add(name + " " + status + " " + new String(body, StandardCharsets.US_ASCII));
+      notifications.add(name + " " + status + " " + new String(body, StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void failed(String why, boolean carriedOut) {
-      told.add(name + " failed, carried out " + carriedOut);
+    public void failed(String why, boolean maybeExecuted) {
+      notifications.add(name + " failed, carried out " + maybeExecuted);
     }
   }
 
-  private HttpConnection connection() throws java.io.IOException {
-    told.clear();
-    net.listen(AT, 10, 1 << 20, Server::new);
-    HttpConnection connection = new HttpConnection(net, AT, TimeSpan.ofMs(100));
+  private HttpConnection connection() throws IOException {
+    notifications.clear();
+    net.listen(SERVER, 10, 1 << 20, Server::new);
+    HttpConnection connection = new HttpConnection(net, SERVER, TimeSpan.ofMs(100));
     net.settle();
     return connection;
   }
 
-  private void says(String text) {
+  private void serverSends(String text) {
     net.turn(() -> server.append(text.getBytes(StandardCharsets.US_ASCII)));
     net.settle();
   }
 
   @Test
-  public void callsOneBehindAnotherAreAnsweredInTheirOrder() throws Exception {
+  public void pipelinedRequestsAreAnsweredInOrder() throws Exception {
     HttpConnection connection = connection();
-    net.turn(() -> connection.post("/a", "x=1", new Told("first", false)));
-    net.turn(() -> connection.get("/b", new Told("second", false)));
+    net.turn(() -> connection.post("/a", "x=1", new RecordingListener("first", false)));
+    net.turn(() -> connection.get("/b", new RecordingListener("second", false)));
     net.settle();
-    says("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 400 Bad\r\nTransfer-Enc");
-    says("oding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n");
-    assertEquals(told, List.of("first 200 one", "second 400 two"));
+    serverSends("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\noneHTTP/1.1 400 Bad\r\nTransfer-Enc");
+    serverSends("oding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n");
+    assertEquals(notifications, List.of("first 200 one", "second 400 two"));
   }
 
   @Test
-  public void aStreamIsToldPieceByPiece() throws Exception {
+  public void streamingBodiesArePassedOnInPieces() throws Exception {
     HttpConnection connection = connection();
-    net.turn(() -> connection.get("/a", new Told("stream", true)));
+    net.turn(() -> connection.get("/a", new RecordingListener("stream", true)));
     net.settle();
-    says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
-    says("1\r\n!\r\n");
-    assertEquals(told, List.of("stream piece hello", "stream piece !"));
+    serverSends("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
+    serverSends("1\r\n!\r\n");
+    assertEquals(notifications, List.of("stream piece hello", "stream piece !"));
   }
 
   @Test
-  public void noiseEndsTheLinkAndItsCallsMayHaveBeenCarriedOut() throws Exception {
+  public void invalidBytesCloseTheConnectionAndItsRequestsMayHaveBeenExecuted() throws Exception {
     HttpConnection connection = connection();
-    net.turn(() -> connection.post("/a", "x=1", new Told("vote", false)));
+    net.turn(() -> connection.post("/a", "x=1", new RecordingListener("vote", false)));
     net.settle();
-    says("\u0007\u0001\u0002 noise\r\n");
-    assertEquals(told, List.of("vote failed, carried out true"));
+    serverSends("\u0007\u0001\u0002 noise\r\n");
+    assertEquals(notifications, List.of("vote failed, carried out true"));
     assertEquals(connection.canSend(), false);
   }
 
   @Test
-  public void aRefusedConnectionProvesThatNothingWasCarriedOut() {
-    told.clear();
+  public void refusedConnectionProvesThatNothingWasExecuted() {
+    notifications.clear();
     HttpConnection connection =
         new HttpConnection(net, new InetSocketAddress("127.0.0.1", 7999), TimeSpan.ofMs(100));
-    net.turn(() -> connection.post("/a", "x=1", new Told("vote", false)));
+    net.turn(() -> connection.post("/a", "x=1", new RecordingListener("vote", false)));
     net.settle();
-    assertEquals(told, List.of("vote failed, carried out false"));
+    assertEquals(notifications, List.of("vote failed, carried out false"));
   }
 
   @Test
-  public void linesWithoutEndAndBodiesWithoutLengthAreRefused() throws Exception {
-    for (String bad :
+  public void overlongLinesAndBodiesOfUnknownOrExcessiveLengthAreRejected() throws Exception {
+    for (String invalid :
         new String[] {
           "HTTP/1.1 200 " + "x".repeat(5000),
           "HTTP/1.1 200 OK\r\n\r\n",
@@ -132,23 +133,23 @@
           "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + "x".repeat(70_000)
         }) {
       HttpConnection connection = connection();
-      net.turn(() -> connection.get("/a", new Told("call", false)));
+      net.turn(() -> connection.get("/a", new RecordingListener("call", false)));
       net.settle();
-      says(bad);
-      assertEquals(told, List.of("call failed, carried out true"), bad);
+      serverSends(invalid);
+      assertEquals(notifications, List.of("call failed, carried out true"), invalid);
     }
   }
 
   @Test
-  public void eventsHaveNamesAndDataAndSignsOfLifeAreNone() throws HttpException {
-    List<String> seen = new ArrayList<>();
-    EventStreamParser events = new EventStreamParser();
+  public void eventsHaveNamesAndDataAndKeepAlivesAreSkipped() throws HttpException {
+    List<String> received = new ArrayList<>();
+    EventStreamParser parser = new EventStreamParser();
     byte[] all =
         ":\n\nevent: news\ndata: a=1\n\n:\nevent: counts\r\ndata: b=2\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
     for (byte b : all) {
-      events.feed(ByteBuffer.wrap(new byte[] {b}), (name, data) -> seen.add(name + " " + data));
+      parser.feed(ByteBuffer.wrap(new byte[] {b}), (name, data) -> received.add(name + " " + data));
     }
-    assertEquals(seen, List.of("news a=1", "counts b=2"));
+    assertEquals(received, List.of("news a=1", "counts b=2"));
   }
 }
--- a/src/test/java/sprucerock/transport/postgres/MessageFramerTest.java
+++ b/src/test/java/sprucerock/transport/postgres/MessageFramerTest.java
@@ -7,14 +7,16 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import org.testng.annotations.Test;
 
 /**
- * The codec of PostgreSQL's protocol against bytes in any pieces, and against bytes that are none.
+ * Framing of PostgreSQL's messages, with the reader and writer of their bodies: streams cut into
+ * pieces of any size, and bytes that are no messages.
  */
 public class MessageFramerTest {
-  private static final class Seen implements MessageFramer.Listener {
+  private static final class RecordingListener implements MessageFramer.Listener {
     final List<String> messages = new ArrayList<>();
 
     @Override
@@ -39,89 +41,93 @@
   }
 
   @Test
-  public void piecesOfAnySizeGiveTheSameMessages() throws ProtocolException {
+  public void piecesOfAnySizeYieldTheSameMessages() throws ProtocolException {
     byte[] all =
         MessageWriter.concat(
             MessageWriter.query("a".repeat(700).getBytes(StandardCharsets.US_ASCII)),
             MessageWriter.terminate(),
             MessageWriter.query(new byte[0]));
     for (int piece = 1; piece <= all.length; piece++) {
-      Seen seen = new Seen();
-      MessageFramer in = MessageFramer.fromClient(1000);
-      in.startupComplete();
+      RecordingListener recorded = new RecordingListener();
+      MessageFramer framer = MessageFramer.fromClient(1000);
+      framer.startupComplete();
       for (int at = 0; at < all.length; at += piece) {
-        in.feed(ByteBuffer.wrap(all, at, Math.min(piece, all.length - at)), seen);
+        framer.feed(ByteBuffer.wrap(all, at, Math.min(piece, all.length - at)), recorded);
       }
-      assertEquals(seen.messages, List.of("Q701", "X0", "Q1"));
-      assertEquals(in.isPartial(), false);
+      assertEquals(recorded.messages, List.of("Q701", "X0", "Q1"));
+      assertEquals(framer.isPartial(), false);
     }
   }
 
   @Test
-  public void startupComesFirstAndTypedMessagesAfterIt() throws ProtocolException {
-    Seen seen = new Seen();
-    MessageFramer in = MessageFramer.fromClient(1000);
-    in.feed(ByteBuffer.wrap(MessageWriter.startupMessage("svc", "main")), seen);
-    assertEquals(seen.messages.size(), 1);
-    assertTrue(seen.messages.get(0).startsWith("start"));
-    in.startupComplete();
-    in.feed(ByteBuffer.wrap(MessageWriter.terminate()), seen);
-    assertEquals(seen.messages.get(1), "X0");
+  public void typedMessagesFollowTheStartupMessage() throws ProtocolException {
+    RecordingListener recorded = new RecordingListener();
+    MessageFramer framer = MessageFramer.fromClient(1000);
+    framer.feed(ByteBuffer.wrap(MessageWriter.startupMessage("svc", "main")), recorded);
+    assertEquals(recorded.messages.size(), 1);
+    assertTrue(recorded.messages.get(0).startsWith("start"));
+    framer.startupComplete();
+    framer.feed(ByteBuffer.wrap(MessageWriter.terminate()), recorded);
+    assertEquals(recorded.messages.get(1), "X0");
   }
 
   @Test
-  public void lengthsThatAreWrongNegativeOrHugeAreRefusedAtTheHead() {
+  public void invalidNegativeOrOversizedLengthsAreRejectedAtTheHeader() {
     for (int length :
         new int[] {0, 3, -1, Integer.MIN_VALUE, 1005, 60_000_000, Integer.MAX_VALUE}) {
-      MessageFramer in = MessageFramer.fromClient(1000);
-      in.startupComplete();
+      MessageFramer framer = MessageFramer.fromClient(1000);
+      framer.startupComplete();
       byte[] head = ByteBuffer.allocate(5).put((byte) 'Q').putInt(length).array();
-      assertThrows(ProtocolException.class, () -> in.feed(ByteBuffer.wrap(head), new Seen()));
-      MessageFramer first = MessageFramer.fromClient(1000_000);
-      byte[] start = ByteBuffer.allocate(4).putInt(length == 1005 ? 20_000 : length).array();
-      assertThrows(ProtocolException.class, () -> first.feed(ByteBuffer.wrap(start), new Seen()));
+      assertThrows(
+          ProtocolException.class,
+          () -> framer.feed(ByteBuffer.wrap(head), new RecordingListener()));
+      MessageFramer startupFramer = MessageFramer.fromClient(1000_000);
+      byte[] startupHead = ByteBuffer.allocate(4).putInt(length == 1005 ? 20_000 : length).array();
+      assertThrows(
+          ProtocolException.class,
+          () -> startupFramer.feed(ByteBuffer.wrap(startupHead), new RecordingListener()));
     }
   }
 
   @Test
-  public void noiseIsRefusedAtItsFirstByte() {
-    MessageFramer in = MessageFramer.fromServer(1000);
+  public void unknownTypesAreRejectedAtTheFirstByte() {
+    MessageFramer framer = MessageFramer.fromServer(1000);
     assertThrows(
         ProtocolException.class,
-        () -> in.feed(ByteBuffer.wrap(new byte[] {(byte) 0xfe}), new Seen()));
+        () -> framer.feed(ByteBuffer.wrap(new byte[] {(byte) 0xfe}), new RecordingListener()));
   }
 
   @Test
-  public void aRowIsOneWholeValueAndNothingElse() throws ProtocolException {
-    byte[] good = row(new byte[] {1, 2, 3});
-    byte[] body = java.util.Arrays.copyOfRange(good, 5, good.length);
+  public void singleValueRowsAreParsedStrictly() throws ProtocolException {
+    byte[] message = row(new byte[] {1, 2, 3});
+    byte[] body = Arrays.copyOfRange(message, 5, message.length);
     assertEquals(MessageReader.parseSingleValue(body), new byte[] {1, 2, 3});
     assertThrows(
         ProtocolException.class,
-        () -> MessageReader.parseSingleValue(java.util.Arrays.copyOf(body, body.length + 1)));
+        () -> MessageReader.parseSingleValue(Arrays.copyOf(body, body.length + 1)));
     assertThrows(
         ProtocolException.class,
-        () -> MessageReader.parseSingleValue(java.util.Arrays.copyOf(body, body.length - 1)));
-    byte[] three =
+        () -> MessageReader.parseSingleValue(Arrays.copyOf(body, body.length - 1)));
+    byte[] hugeLength =
         ByteBuffer.allocate(6)
             .putShort((short) 1)
             .putInt(-1)
-            .array(); // a value of 3 GB, as an unsigned length
-    assertThrows(ProtocolException.class, () -> MessageReader.parseSingleValue(three));
+            .array(); // -1 is null; unsigned, it would be 4 GiB
+    assertThrows(ProtocolException.class, () -> MessageReader.parseSingleValue(hugeLength));
     assertThrows(
         ProtocolException.class,
         () -> MessageReader.parseSingleValue(ByteBuffer.allocate(6).putShort((short) 2).array()));
   }
 
   @Test
-  public void errorsAreReadByFieldAndStrictly() throws ProtocolException {
-    byte[] whole = MessageWriter.errorResponse("ERROR", "53300", "full", "40");
-    byte[] body = java.util.Arrays.copyOfRange(whole, 5, whole.length);
+  public void errorFieldsAreParsedStrictly() throws ProtocolException {
+    byte[] message = MessageWriter.errorResponse("ERROR", "53300", "full", "40");
+    byte[] body = Arrays.copyOfRange(message, 5, message.length);
     assertEquals(MessageReader.parseErrorField(body, 'C'), "53300");
     assertEquals(MessageReader.parseErrorField(body, 'D'), "40");
     assertEquals(MessageReader.parseErrorField(body, 'H'), null);
     assertThrows(
         ProtocolException.class,
-        () -> MessageReader.parseErrorField(java.util.Arrays.copyOf(body, body.length - 1), 'C'));
+        () -> MessageReader.parseErrorField(Arrays.copyOf(body, body.length - 1), 'C'));
   }
 }
