--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -11,43 +11,47 @@
 import java.util.TreeSet;
 import sprucerock.time.Timestamp;
 
-/** One change on its way through the relays, with every step and its cause. */
+/** One deployment of a version to the relays, with each of its transitions and their causes. */
 public final class Deployment {
-  /** Where a change stands. */
+  /** Where a deployment stands. The names are stored and sent, so they stay. */
   public enum State {
-    /** Every agent fetches it and reads it through. */
+    /** Every agent fetches the version and validates it. */
     PROPOSED,
-    /** It waits to begin: one change at a time. */
+    /** Validated; it waits to begin, as one deployment is active at a time. */
     CHECKED,
-    /** Relays of its stage are being moved. */
+    /** Rolling out: relays of its stage are being updated. */
     MOVING,
-    /** They all run it, and are held beside those that do not. */
+    /** Observing: all relays of its stage run the version and are compared with the controls. */
     WATCHED,
+    /** Rolling back: updated relays return to the old version. */
     GOING_BACK,
+    /** The version is the fleet's. */
     DONE,
+    /** Aborted: the old version is the fleet's. */
     GIVEN_UP;
 
+    /** It has not ended. */
     public boolean open() {
       return this != DONE && this != GIVEN_UP;
     }
 
-    /** Relays run it. */
+    /** Relays run the new version. */
     public boolean active() {
       return this == MOVING || this == WATCHED || this == GOING_BACK;
     }
   }
 
   /**
-   * A transition, or a word that changed nothing but whether it is held.
+   * A transition, or a command that changed nothing but whether the deployment is held.
    *
-   * @param sequence of all steps of all changes, from 1
-   * @param wallMs the machine's clock then, for people
+   * @param sequence among the transitions of all deployments, from 1
+   * @param wallMs the wall clock then, for people
    */
   public record Transition(
       long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
 
   static final int MAX_TRANSITIONS =
-      100; // a change has a dozen; a flapping hand should not fill the disk
+      100; // a deployment has a dozen; an operator's script should not fill the disk
 
   public final long number;
   public final String proposedBy;
@@ -55,30 +59,31 @@
   public final Version fromVersion;
   public final Version toVersion;
 
-  /** A running relay can take it over: nobody is restarted, and nobody beside it needs to be. */
+  /** Running relays take the version over: neither they nor their controls are restarted. */
   public final boolean hotReload;
 
   State state = State.PROPOSED;
   int stage;
   Timestamp stateSince;
 
-  /** When it came further last, in its stage or with a relay; it is not waited for without end. */
+  /** When a stage or a relay advanced last: from then on the progress deadline counts. */
   Timestamp lastProgress;
 
   boolean held;
 
-  /** Agents that have read it through, and those that refuse it, with the reason. */
+  /** Relays whose agents can run the version. */
   final TreeSet<Integer> validated = new TreeSet<>();
 
+  /** Relays whose agents can't run it, with the reason. */
   final Map<Integer, String> rejections = new TreeMap<>();
 
-  /** Relays that were told to run it, in that order. */
+  /** Relays that are to run the version, in the order in which they were told. */
   final Set<Integer> updated = new LinkedHashSet<>();
 
-  /** Beside whom each of them is held: a relay that was restarted with it on the old version. */
+  /** The control of each updated relay: one that was restarted with it on the old version. */
   final Map<Integer, Integer> controls = new LinkedHashMap<>();
 
-  /** What the comparison said last in this stage. */
+  /** The comparison's last verdict in this stage. */
   Verdict verdict = Verdict.NOT_SURE;
 
   private final List<Transition> transitions = new ArrayList<>();
@@ -95,43 +100,50 @@
     lastProgress = now;
   }
 
+  /** Where it stands. */
   public State state() {
     return state;
   }
 
+  /** The index of its stage in the plan. */
   public int stage() {
     return stage;
   }
 
+  /** Since when it has been in its state and stage; operators' resuming counts as a beginning. */
   public Timestamp stateSince() {
     return stateSince;
   }
 
+  /** An operator holds it. */
   public boolean held() {
     return held;
   }
 
+  /** Relays that are to run the version, in the order in which they were told. */
   public Set<Integer> updated() {
     return Collections.unmodifiableSet(updated);
   }
 
-  /** Of each relay that was moved in a stage which has others left, the one it is held beside. */
+  /** The control of each relay that was updated in a stage which leaves some for that. */
   public Map<Integer, Integer> controls() {
     return Collections.unmodifiableMap(controls);
   }
 
+  /** Relays whose agents can't run the version, with the reason. */
   public Map<Integer, String> rejections() {
     return Collections.unmodifiableMap(rejections);
   }
 
+  /** Its transitions, the oldest first; of very many, the first and the last ones. */
   public List<Transition> transitions() {
     return Collections.unmodifiableList(transitions);
   }
 
-  void add(Transition step) {
+  void add(Transition transition) {
     if (transitions.size() >= MAX_TRANSITIONS) {
       transitions.remove(MAX_TRANSITIONS / 2);
     }
-    transitions.add(step);
+    transitions.add(transition);
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
@@ -4,11 +4,11 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * How changes go through a fleet, from its configuration.
+ * How deployments go through a fleet, from its configuration.
  *
  * @param stages the shares of the relays that run the new version, growing to 1; the first stage is
  *     one relay whatever its share
- * @param watch a stage is watched at least so long once its relays are ready
+ * @param watch a stage is observed at least so long once its relays are ready
  * @param patience a stage that is not known to be no worse by then goes back; so does one that is
  *     held for so long
  * @param readyWithin a relay that is told to change and is not ready by then has failed
@@ -27,8 +27,11 @@
     double maxRejectedShare,
     TimeSpan unreachableAfter) {
   /**
-   * A stage's share of the relays, and the loss of worth, from 0 to 1, that has to be ruled out
-   * before the next.
+   * A stage.
+   *
+   * @param share of the relays, over 0 and up to 1
+   * @param maxLoss the loss of weight served in time, between 0 and 1, that has to be ruled out
+   *     before the next stage
    */
   public record Stage(double share, double maxLoss) {}
 
--- a/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
@@ -6,8 +6,8 @@
 import sprucerock.time.Timestamp;
 
 /**
- * All of a fleet's changes as plain values, to be kept and put back: what is not in it is not
- * needed to go on.
+ * The state of a {@link DeploymentManager} as plain values, to be stored and restored: what is not
+ * in it is not needed to go on.
  */
 public record DeploymentSnapshot(
     Version currentVersion,
@@ -20,6 +20,8 @@
     List<RelayRecord> relays,
     List<DeploymentRecord> deployments) {
   /**
+   * One relay.
+   *
    * @param silentSince null while it is heard; {@code toldAt}, {@code readyAt}, {@code wanted}:
    *     null where there is none
    */
@@ -36,6 +38,7 @@
       Timestamp notifiedAt,
       Timestamp readyAt) {}
 
+  /** One deployment. */
   public record DeploymentRecord(
       long number,
       String proposedBy,
@@ -55,17 +58,17 @@
       Verdict verdict,
       List<Deployment.Transition> transitions) {}
 
-  /** What there is now. */
-  public static DeploymentSnapshot of(DeploymentManager all) {
+  /** The state of a manager now. */
+  public static DeploymentSnapshot of(DeploymentManager manager) {
     return new DeploymentSnapshot(
-        all.fleet.currentVersion,
-        all.fleet.sequence,
-        all.fleet.lastNumber,
-        all.fleet.blockedReason,
-        all.fleet.rolloutInProgress,
-        Map.copyOf(all.fleet.restartBudgetByZone),
-        List.copyOf(all.fleet.pendingControlRestarts),
-        all.fleet.relays.values().stream()
+        manager.fleet.currentVersion,
+        manager.fleet.sequence,
+        manager.fleet.lastNumber,
+        manager.fleet.blockedReason,
+        manager.fleet.rolloutInProgress,
+        Map.copyOf(manager.fleet.restartBudgetByZone),
+        List.copyOf(manager.fleet.pendingControlRestarts),
+        manager.fleet.relays.values().stream()
             .map(
                 one ->
                     new RelayRecord(
@@ -81,7 +84,7 @@
                         one.notifiedAt,
                         one.readyAt))
             .toList(),
-        all.fleet.deployments.values().stream()
+        manager.fleet.deployments.values().stream()
             .map(
                 one ->
                     new DeploymentRecord(
@@ -105,15 +108,15 @@
             .toList());
   }
 
-  /** Puts it back into one that has seen nothing yet. */
-  public void restore(DeploymentManager all) {
-    all.fleet.currentVersion = currentVersion;
-    all.fleet.sequence = sequence;
-    all.fleet.lastNumber = lastNumber;
-    all.fleet.blockedReason = blockedReason;
-    all.fleet.rolloutInProgress = rolloutInProgress;
-    all.fleet.restartBudgetByZone.putAll(restartBudgetByZone);
-    all.fleet.pendingControlRestarts.addAll(pendingControlRestarts);
+  /** Restores it into a manager that has seen nothing yet. */
+  public void restore(DeploymentManager manager) {
+    manager.fleet.currentVersion = currentVersion;
+    manager.fleet.sequence = sequence;
+    manager.fleet.lastNumber = lastNumber;
+    manager.fleet.blockedReason = blockedReason;
+    manager.fleet.rolloutInProgress = rolloutInProgress;
+    manager.fleet.restartBudgetByZone.putAll(restartBudgetByZone);
+    manager.fleet.pendingControlRestarts.addAll(pendingControlRestarts);
     for (RelayRecord one : relays) {
       ManagedRelay relay = new ManagedRelay(one.number);
       relay.zone = one.zone;
@@ -126,7 +129,7 @@
       relay.observedGeneration = one.observedGeneration;
       relay.notifiedAt = one.notifiedAt;
       relay.readyAt = one.readyAt;
-      all.fleet.relays.put(one.number, relay);
+      manager.fleet.relays.put(one.number, relay);
     }
     for (DeploymentRecord one : deployments) {
       Deployment change =
@@ -148,8 +151,8 @@
       change.controls.putAll(one.controls);
       change.verdict = one.verdict;
       one.transitions.forEach(change::add);
-      all.fleet.deployments.put(one.number, change);
+      manager.fleet.deployments.put(one.number, change);
     }
-    all.restored();
+    manager.restored();
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/FleetStatus.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetStatus.java
@@ -4,9 +4,9 @@
 import java.util.TreeSet;
 
 /**
- * What is asked of all relays together with each word of one of them, kept as they change: how many
- * are heard, how many of each zone there are and are out, and who has settled since it was last
- * looked. A relay is taken out before anything of it changes, and put back after.
+ * Sums over all relays, kept as they change: how many are reachable, how many of each zone there
+ * are and are out, and which ones were reconciled without that being noted yet. A relay is removed
+ * before anything of it changes, and added again after.
  */
 final class FleetStatus {
   private static final class Zone {
@@ -47,27 +47,27 @@
     newlyReconciled.remove(relay.number);
   }
 
-  /** It does not serve, or is to run something else than it does; who is lost is out too. */
+  /** It does not serve, or its observed state is not the desired one; a lost one is out too. */
   private static boolean unavailable(ManagedRelay relay) {
     return !relay.serving() || relay.desiredVersion != null && !relay.reconciled();
   }
 
-  /** Whose agents are heard. */
+  /** How many relays' agents are heard. */
   int reachable() {
     return reachable;
   }
 
-  /** Of a zone. */
+  /** How many relays a zone has. */
   int size(int zone) {
     return zones.containsKey(zone) ? zones.get(zone).size : 0;
   }
 
-  /** Of a zone. */
+  /** How many relays of a zone are out. */
   int unavailable(int zone) {
     return zones.containsKey(zone) ? zones.get(zone).unavailable : 0;
   }
 
-  /** The first that has done what it was told and of which that is not noted yet; -1: none. */
+  /** The first reconciled relay whose readiness has not been noted; -1 where there is none. */
   int firstReconciled() {
     return newlyReconciled.isEmpty() ? -1 : newlyReconciled.first();
   }
--- a/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
+++ b/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
@@ -2,7 +2,7 @@
 
 import sprucerock.time.Timestamp;
 
-/** What the fleet's changes know of one relay, by what its agent says, and what they want of it. */
+/** The desired state of one relay, and its observed state as its agent reported it last. */
 public final class ManagedRelay {
   public final int number;
   int zone;
@@ -13,64 +13,74 @@
   Version observedVersion = Version.NONE;
   boolean ready;
 
-  /** Since when its agent is silent; null while it is heard. */
+  /** Since when its agent is not heard; null while it is. */
   Timestamp unreachableSince;
 
+  /** The version that it is to run; null before anybody decided on one. */
   Version desiredVersion;
 
-  /** Counts what is wanted of it: a restart on the same version is one more. */
+  /** Counts the desired states after the first; a restart on the same version is one more. */
   int generation;
 
+  /** The last generation that its agent has carried out. */
   int observedGeneration;
+
+  /** When the desired state changed last; null before the first. */
   Timestamp notifiedAt;
 
-  /** Ready on what is wanted since its turn; null while it is not. */
+  /** When it was reconciled with its generation; null while it has not been. */
   Timestamp readyAt;
 
   ManagedRelay(int number) {
     this.number = number;
   }
 
+  /** The zone that its agent reports. */
   public int zone() {
     return zone;
   }
 
+  /** It carries more than the median of the fleet. */
   public boolean busy() {
     return busy;
   }
 
+  /** The version that it runs, by its agent's last report. */
   public Version observedVersion() {
     return observedVersion;
   }
 
+  /** It serves, by its agent's last report. */
   public boolean ready() {
     return ready;
   }
 
+  /** Its agent is not heard. */
   public boolean unreachable() {
     return unreachableSince != null;
   }
 
-  /** What it is to run; null while nobody has said. */
+  /** The version that it is to run; null before anybody decided on one. */
   public Version desiredVersion() {
     return desiredVersion;
   }
 
+  /** Of the desired state: 0 at first, one more each time it changes or a restart is due. */
   public int generation() {
     return generation;
   }
 
-  /** The turn that its agent says it has carried out. */
+  /** The last generation that its agent has carried out. */
   public int observedGeneration() {
     return observedGeneration;
   }
 
-  /** It serves, or says so. */
+  /** It serves, and its agent is heard. */
   boolean serving() {
     return ready && unreachableSince == null;
   }
 
-  /** It has done what it was told last. */
+  /** Its observed state is the desired one. */
   boolean reconciled() {
     return serving() && observedGeneration == generation && observedVersion.equals(desiredVersion);
   }
--- a/src/main/java/sprucerock/controller/deployment/Verdict.java
+++ b/src/main/java/sprucerock/controller/deployment/Verdict.java
@@ -1,6 +1,6 @@
 package sprucerock.controller.deployment;
 
-/** What the comparison says of the new version, stage by stage. */
+/** What the comparison says of the new version in a stage. The names are stored. */
 public enum Verdict {
   NOT_SURE,
   NO_WORSE,
--- a/src/main/java/sprucerock/controller/deployment/Version.java
+++ b/src/main/java/sprucerock/controller/deployment/Version.java
@@ -23,6 +23,7 @@
     }
   }
 
+  /** Whether a text is a SHA-256 digest in lower-case hexadecimal. */
   public static boolean isDigest(String text) {
     return text.matches("[0-9a-f]{64}");
   }
