--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -1,16 +1,9 @@
 package sprucerock.controller;
 
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
-import java.util.Comparator;
-import java.util.EnumMap;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import sprucerock.controller.Rollout.State;
 import sprucerock.controller.Rollout.Transition;
 import sprucerock.time.TimeSpan;
@@ -64,48 +57,21 @@
     void transitioned(Rollout release, Transition step);
   }
 
-  /** A relay's standing vote. */
-  static final class Ballot {
-    int build;
-    int stage;
-    Vote vote = Vote.NOTHING;
-    Timestamp expiresAt;
-    Timestamp rateWindowStart;
-    int votesInWindow;
-    private final int relay;
-
-    Ballot(int relay) {
-      this.relay = relay;
-    }
-  }
-
-  /** A delivery that was answered, so that copies of it have the same answer. */
-  record Delivery(String id, Timestamp at, AnnouncementResult answer, String content) {}
-
   static final int MAX_ANNOUNCED = 20;
   static final int MAX_ROLLOUTS = 100;
-  static final int MAX_DELIVERIES = 50_000;
-  static final int MAX_RELAYS = 10_000;
-  static final TimeSpan DELIVERY_RETENTION =
-      TimeSpan.ofMs(7 * 24 * 3_600_000.0); // longer than senders retry: a day or three
 
   private final RolloutRules rules;
   private final int fleetSize;
   private final Listener listener;
   final TreeMap<Integer, Rollout> rolloutsByBuild = new TreeMap<>();
-  final TreeMap<Integer, Ballot> ballotsByRelay = new TreeMap<>();
-  final LinkedHashMap<String, Delivery> deliveries = new LinkedHashMap<>();
+  final BallotBox ballots = new BallotBox();
+  final DeliveryLog deliveries = new DeliveryLog();
   long sequence;
   long webhooksDeliveredUpTo;
   long epoch;
   Rollout current;
   int previousBuild;
   private long wallMs;
-  // Votes that stand for the present build and stage, the first to run out first: all others are
-  // taken out as they are cast anew, as the release
-  // moves and as time passes, so that a vote and a look each 50 ms walk no other vote.
-  private final Map<Vote, TreeSet<Ballot>> relaysVoting = new EnumMap<>(Vote.class);
-  private long votesExamined;
 
   /** {@code places} units make up the fleet; {@code first} serves from the start. */
   public RolloutManager(RolloutRules rules, int places, int first, Timestamp now, Listener host) {
@@ -117,13 +83,6 @@
     current.stage = rules.stages().size() - 1;
     rolloutsByBuild.put(first, current);
     previousBuild = first;
-    for (Vote say : Vote.values()) {
-      relaysVoting.put(
-          say,
-          new TreeSet<>(
-              Comparator.<Ballot>comparingDouble(vote -> vote.expiresAt.ms())
-                  .thenComparingInt(vote -> vote.relay)));
-    }
   }
 
   // What is asked.
@@ -212,113 +171,37 @@
     return rules.stages().get(release.stage).share();
   }
 
-  private int desiredEndpoints(int stage) {
+  /** How many endpoints of a build a stage has. */
+  int desiredEndpoints(int stage) {
     return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
 
   /** Relays whose votes of a kind stand for the present build and stage. */
-  public List<Integer> relaysVoting(Vote say, Timestamp now) {
-    TreeSet<Integer> found = new TreeSet<>();
-    for (Ballot vote : unexpired(say, now)) {
-      found.add(vote.relay);
-    }
-    return List.copyOf(found);
-  }
-
-  private int count(Vote say, Timestamp now) {
-    return unexpired(say, now).size();
+  public List<Integer> relaysVoting(Vote vote, Timestamp now) {
+    return ballots.relays(vote, now);
   }
 
-  /** Without those whose time is over; time never goes back. */
-  private TreeSet<Ballot> unexpired(Vote say, Timestamp now) {
-    TreeSet<Ballot> all = relaysVoting.get(say);
-    while (!all.isEmpty()) {
-      votesExamined++;
-      if (all.first().expiresAt.after(now)) {
-        break;
-      }
-      all.pollFirst();
-    }
-    return all;
+  private int count(Vote vote, Timestamp now) {
+    return ballots.count(vote, now);
   }
 
-  /** Votes of a former life are there, and what they are on. */
+  /** The votes of an earlier incarnation are there, and the rollout that they are on. */
   void restoreVotes() {
-    relaysVoting.values().forEach(TreeSet::clear);
-    for (Ballot vote : ballotsByRelay.values()) {
-      boolean stands =
-          vote.vote != Vote.NOTHING
-              && vote.build == current.build
-              && (vote.vote == Vote.BACK || vote.stage == current.stage);
-      if (stands) {
-        relaysVoting.get(vote.vote).add(vote);
-      }
-    }
+    ballots.restored(current.build, current.stage);
   }
 
-  /** They were on what it was. */
-  private void clearVotes() {
-    ballotsByRelay.values().forEach(vote -> vote.vote = Vote.NOTHING);
-    relaysVoting.values().forEach(TreeSet::clear);
-  }
-
-  /** Votes that were looked at so far to count them: what tests of its growth count. */
+  /** Votes looked at so far to count them: what the scale tests bound. */
   public long votesExamined() {
-    return votesExamined;
+    return ballots.votesExamined();
   }
 
-  /** Why the present release stands where it stands, in one line each. */
+  /** What the rollout that is not ended waits for, a line each; empty where there is none. */
   public List<String> blockers(Timestamp now) {
-    List<String> found = new ArrayList<>();
-    Rollout open = openRollout();
-    if (open == null) {
-      return found;
-    }
-    if (open.held) {
-      found.add("an operator holds it");
-    }
-    if (open.state == State.ANNOUNCED) {
-      found.add("build " + current.build + " to have gone back");
-    }
-    if (open.state == State.GOING_BACK) {
-      found.add("its time of going back to be over");
-    }
-    boolean running = open.state == State.STARTING || open.state == State.ON_TRIAL;
-    if (running && open.readyEndpoints < desiredEndpoints(open.stage)) {
-      found.add(
-          "units: " + open.readyEndpoints + " of " + desiredEndpoints(open.stage) + " are there");
-    }
-    if (open.state != State.ON_TRIAL || open.clockStart == null) {
-      return found;
-    }
-    TimeSpan so = now.since(open.clockStart).minus(open.pausedTime);
-    if (rules.control() == RolloutRules.Control.CLOCKED) {
-      found.add(
-          "the clock: "
-              + Math.round(so.ms())
-              + " of "
-              + Math.round(rules.clockedStageTime().ms())
-              + " ms; "
-              + count(Vote.HOLD, now)
-              + " relays hold it, "
-              + rules.votesToPause()
-              + " stop it");
-    } else {
-      if (!so.over(rules.minStageTime())) {
-        found.add(
-            "its least time: "
-                + Math.round(so.ms())
-                + " of "
-                + Math.round(rules.minStageTime().ms())
-                + " ms");
-      }
-      found.add("votes to go on: " + count(Vote.ON, now) + " of " + rules.votesToAdvance());
-    }
-    found.add("votes to go back: " + count(Vote.BACK, now) + " of " + rules.votesToRollBack());
-    return found;
+    return new RolloutBlockers(this, rules, ballots).lines(now);
   }
 
-  private Rollout openRollout() {
+  /** The newest rollout that has not ended; null where there is none. */
+  Rollout openRollout() {
     for (Rollout one : rolloutsByBuild.descendingMap().values()) {
       if (one.state.open()) {
         return one;
@@ -333,28 +216,8 @@
   public AnnouncementResult announceDelivery(
       String delivery, int build, String artifact, String source, Timestamp now, long wall) {
     wallMs = wall;
-    forgetOldDeliveries(now);
-    String content = build + " " + artifact;
-    Delivery before = deliveries.get(delivery);
-    if (before != null) {
-      return before.content.equals(content)
-          ? AnnouncementResult.AGAIN
-          : AnnouncementResult.CONTRADICTS;
-    }
-    AnnouncementResult answer = announce(build, artifact, source, now);
-    deliveries.put(delivery, new Delivery(delivery, now, answer, content));
-    return answer;
-  }
-
-  private void forgetOldDeliveries(Timestamp now) {
-    Iterator<Delivery> oldest = deliveries.values().iterator();
-    while (oldest.hasNext()) {
-      boolean old = now.since(oldest.next().at).over(DELIVERY_RETENTION);
-      if (!old && deliveries.size() < MAX_DELIVERIES) {
-        return;
-      }
-      oldest.remove();
-    }
+    return deliveries.answer(
+        delivery, build + " " + artifact, now, () -> announce(build, artifact, source, now));
   }
 
   private AnnouncementResult announce(int build, String artifact, String source, Timestamp now) {
@@ -406,26 +269,15 @@
       previousBuild = current.build;
     }
     current = next;
-    clearVotes();
+    ballots.clear();
     transition(next, State.STARTING, 0, "nothing is in its way", now);
   }
 
   /** A relay votes. Only votes on the present build and its stage count. */
   public VoteResult castVote(int relay, int build, int stage, Vote say, Timestamp now, long wall) {
     wallMs = wall;
-    Ballot vote = ballotsByRelay.get(relay);
-    if (vote == null) {
-      if (ballotsByRelay.size() >= MAX_RELAYS) {
-        return VoteResult.TOO_MANY;
-      }
-      vote = new Ballot(relay);
-      ballotsByRelay.put(relay, vote);
-    }
-    if (vote.rateWindowStart == null || now.since(vote.rateWindowStart).ms() >= 1000) {
-      vote.rateWindowStart = now;
-      vote.votesInWindow = 0;
-    }
-    if (++vote.votesInWindow > rules.maxVotesPerSecond()) {
+    BallotBox.Ballot ballot = ballots.admit(relay, rules.maxVotesPerSecond(), now);
+    if (ballot == null) {
       return VoteResult.TOO_MANY;
     }
     boolean trial = current.state == State.ON_TRIAL;
@@ -444,16 +296,7 @@
     if (clocked && trial) {
       addPausedTime(now);
     }
-    if (vote.expiresAt != null) {
-      relaysVoting.get(vote.vote).remove(vote);
-    }
-    vote.build = build;
-    vote.stage = stage;
-    vote.vote = say;
-    vote.expiresAt = now.plus(rules.voteValidity());
-    if (say != Vote.NOTHING) {
-      relaysVoting.get(say).add(vote);
-    }
+    ballots.cast(ballot, build, stage, say, rules.voteValidity(), now);
     reconcile(now);
     return VoteResult.COUNTS;
   }
@@ -549,7 +392,7 @@
     wallMs = wall;
     epoch++;
     if (downMs < 0) {
-      clearVotes();
+      ballots.clear();
     }
     if (downMs > 0 && current.clockStart != null) {
       current.pausedTime = current.pausedTime.plus(TimeSpan.ofMs(downMs));
@@ -684,7 +527,7 @@
       release.clockUpdatedAt = now;
       release.clockRunning = true;
       if (release == current) {
-        clearVotes();
+        ballots.clear();
       }
     }
     Transition step = new Transition(++sequence, now, wallMs, to, stage, cause);
--- a/src/main/java/sprucerock/controller/SnapshotCodec.java
+++ b/src/main/java/sprucerock/controller/SnapshotCodec.java
@@ -61,7 +61,7 @@
       }
       state.addReleases(release);
     }
-    core.ballotsByRelay.forEach(
+    core.ballots.ballots.forEach(
         (relay, vote) -> {
           Ballot.Builder ballot =
               Ballot.newBuilder()
@@ -78,7 +78,7 @@
           }
           state.addBallots(ballot);
         });
-    for (RolloutManager.Delivery one : core.deliveries.values()) {
+    for (DeliveryLog.Delivery one : core.deliveries.deliveries.values()) {
       state.addDeliveries(
           Delivery.newBuilder()
               .setId(one.id())
@@ -134,20 +134,20 @@
     }
     core.current = core.rolloutsByBuild.get(state.getPresent());
     for (Ballot one : state.getBallotsList()) {
-      RolloutManager.Ballot vote = new RolloutManager.Ballot(one.getRelay());
+      BallotBox.Ballot vote = new BallotBox.Ballot(one.getRelay());
       vote.build = one.getBuild();
       vote.stage = one.getStage();
       vote.vote = RolloutManager.Vote.valueOf(one.getSay());
       vote.expiresAt = Timestamp.ofMs(one.getUntilMs());
       vote.rateWindowStart = Timestamp.ofMs(one.getSecondMs());
       vote.votesInWindow = one.getInSecond();
-      core.ballotsByRelay.put(one.getRelay(), vote);
+      core.ballots.ballots.put(one.getRelay(), vote);
     }
     core.restoreVotes();
     for (Delivery one : state.getDeliveriesList()) {
-      core.deliveries.put(
+      core.deliveries.deliveries.put(
           one.getId(),
-          new RolloutManager.Delivery(
+          new DeliveryLog.Delivery(
               one.getId(),
               Timestamp.ofMs(one.getAtMs()),
               RolloutManager.AnnouncementResult.valueOf(one.getAnswer()),
