--- a/src/main/java/sprucerock/lease/FencingTokenRegistry.java
+++ b/src/main/java/sprucerock/lease/FencingTokenRegistry.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 
 /**
- * Stands where acts land: of each lease the highest number that acted, below which none acts any
- * more. It holds whatever clocks do, and needs no word with granters. It forgets with its process;
- * then time alone guards, for one term.
+ * At the place where acts land: the highest fencing token of each lease that acted there, below
+ * which none acts any more. It holds whatever clocks do, and never asks the grantors. It is lost
+ * with its process; then time alone guards, for one term. Not thread-safe.
  */
 public final class FencingTokenRegistry {
-  /** Names that are remembered; beyond, the one that acted longest ago is forgotten. */
+  /** Leases that are remembered; beyond, the one that acted longest ago is forgotten. */
   public static final int MAX_LEASES = 1024;
 
   private final Map<String, Long> highest = new LinkedHashMap<>(16, 0.75f, true);
   private long rejectedCount;
 
-  /** Whether an act under that number may be done; it is then the highest. */
-  public boolean admits(String name, long number) {
+  /** Whether an act under that token may be done; it is then the highest. */
+  public boolean admits(String name, long token) {
     Long known = highest.get(name);
-    if (known != null && number < known) {
+    if (known != null && token < known) {
       rejectedCount++;
       return false;
     }
-    highest.put(name, number);
+    highest.put(name, token);
     if (highest.size() > MAX_LEASES) {
       Iterator<String> oldest = highest.keySet().iterator();
       oldest.next();
@@ -32,12 +32,12 @@
     return true;
   }
 
-  /** The highest that acted; 0: none is known. */
+  /** The highest token that acted; 0: none is known. */
   public long highest(String name) {
     return highest.getOrDefault(name, 0L);
   }
 
-  /** Acts that were refused so far. */
+  /** Acts that were rejected so far. */
   public long rejectedCount() {
     return rejectedCount;
   }
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -3,15 +3,16 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What a granter knows of one name. Never changed, only replaced.
+ * What a grantor knows of one name. Never changed, only replaced.
  *
- * @param number the highest that was granted under this name
+ * @param token the highest that was granted under this name
  * @param holder by its number in the fleet
- * @param life of the holder's process: another one with each start, so that two under one number
- *     are told apart
- * @param until by the granter's clock
+ * @param incarnation of the holder's process: another one with each start, so that two under one
+ *     number are told apart
+ * @param expiresAt by the grantor's clock
  * @param open it was not given back
- * @param heir to whom it was handed over, and is kept for until {@code until}; -1: to nobody
+ * @param successor to whom it was handed over, and is kept for until {@code expiresAt}; -1: to
+ *     nobody
  */
 record Grant(
     long token, int holder, long incarnation, Timestamp expiresAt, boolean open, int successor) {
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -3,6 +3,7 @@
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import sprucerock.config.LeaseConfig;
@@ -23,95 +24,48 @@
 import sprucerock.transport.wire.v1.Role;
 
 /**
- * A granter's links. It reads the steady clock anew with each ask: a loop's moment stands still
- * within a turn, and a grant that began before its ask was sent would end before its holder expects
- * it.
+ * The grantor's side on the network: takes connections from lease clients and passes their requests
+ * to a {@link LeaseGrantor}. It reads the steady clock anew with each request: a loop's time stands
+ * still within a turn, and a grant that began before its request was sent would end before its
+ * holder expects it. On one loop's thread.
  */
 public final class GrantorListener {
   private static final byte[] NO_BODY = {};
-  private static final int MOST_NAME = 64;
-  // Of one link: a candidate for 64 leases that renews each at its quickest asks a tenth of that.
-  // What is more gets no answer, and a
-  // candidate waits for answers no longer than its patience.
-  private static final int ASKS_A_SECOND = 2000;
+  private static final int MAX_NAME_LENGTH = 64;
+  // Of one connection: a client for 64 leases that renews each at its quickest sends a tenth of
+  // that. What is more gets no answer, and a client waits for answers no longer than its timeout.
+  private static final int MAX_REQUESTS_PER_SECOND = 2000;
 
   private final Net net;
   private final LeaseConfig config;
   private final Tap tap;
   private final LeaseManager.Log log;
-  private final Hello mine;
+  private final Hello hello;
   private final Map<Integer, Session> sessions = new TreeMap<>();
-  private final LeaseGrantor granter;
-  private Session asking;
+  private final LeaseGrantor grantor;
+  private Session requester;
   private Net.Listener listener;
   private long droppedRequests;
 
-  /** The granter that the configuration says this process is. */
+  /** The grantor that the configuration says this process is. */
   public GrantorListener(Net net, LeaseConfig config, String name, Tap tap, LeaseManager.Log log) {
     this.net = net;
     this.config = config;
     this.tap = tap;
     this.log = log;
-    mine =
+    hello =
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
             .setRole(Role.GRANTER)
             .setNumber(config.granter())
             .setName(name)
             .build();
-    granter =
-        new LeaseGrantor(
-            LeaseManager.terms(config),
-            new LeaseGrantor.Replies() {
-              @Override
-              public void granted(int candidate, String name, long number, long round) {
-                asking.connection.send(
-                    Kind.LEASE_SAID,
-                    LeaseSaid.newBuilder()
-                        .setName(name)
-                        .setNumber(number)
-                        .setRound(round)
-                        .setGranted(true)
-                        .build(),
-                    NO_BODY);
-              }
-
-              @Override
-              public void rejected(
-                  int candidate,
-                  String name,
-                  long number,
-                  long round,
-                  long highest,
-                  TimeSpan left,
-                  LeaseGrantor.Rejection why) {
-                asking.connection.send(
-                    Kind.LEASE_SAID,
-                    LeaseSaid.newBuilder()
-                        .setName(name)
-                        .setNumber(number)
-                        .setRound(round)
-                        .setHighest(highest)
-                        .setLeftUs((long) Math.max(0, left.ms() * 1000))
-                        .setHeld(why == LeaseGrantor.Rejection.HELD)
-                        .setWhy(why.name())
-                        .build(),
-                    NO_BODY);
-              }
-
-              @Override
-              public void available(int candidate, String name) {
-                Session session = sessions.get(candidate);
-                if (session != null) {
-                  session.connection.send(
-                      Kind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
-                }
-              }
-            },
-            net.clock());
+    grantor = new LeaseGrantor(LeaseManager.terms(config), new Answers(), net.clock());
   }
 
   /**
+   * Listens for lease clients; says at which address.
+   *
    * @throws IOException if its address can't be had
    */
   public InetSocketAddress start() throws IOException {
@@ -124,7 +78,7 @@
             () -> {
               Session session = new Session();
               session.connection =
-                  new FrameConnection(net, mine, LeaseManager.LIMITS, tap, session);
+                  new FrameConnection(net, hello, LeaseManager.LIMITS, tap, session);
               return session.connection;
             });
     log.info(
@@ -138,24 +92,73 @@
     return listener.address();
   }
 
-  /** What is granted runs on; candidates find other granters, or this one's next life. */
+  /**
+   * Closes all connections. What is granted runs on; clients find other grantors, or this one's
+   * next incarnation.
+   */
   public void stop() {
     listener.close();
-    for (Session session : java.util.List.copyOf(sessions.values())) {
+    for (Session session : List.copyOf(sessions.values())) {
       session.connection.finish();
     }
   }
 
-  /** Asks beyond what one link may send, which got no answer. */
+  /** Requests beyond what one connection may send, which got no answer. */
   public long droppedRequests() {
     return droppedRequests;
   }
 
+  /** Answers go to whoever asked last, notifications to the client that waits. */
+  private final class Answers implements LeaseGrantor.Replies {
+    @Override
+    public void granted(int client, String name, long token, long round) {
+      answer(
+          LeaseSaid.newBuilder().setName(name).setNumber(token).setRound(round).setGranted(true));
+    }
+
+    @Override
+    public void rejected(
+        int client,
+        String name,
+        long token,
+        long round,
+        long highest,
+        TimeSpan left,
+        LeaseGrantor.Rejection why) {
+      answer(
+          LeaseSaid.newBuilder()
+              .setName(name)
+              .setNumber(token)
+              .setRound(round)
+              .setHighest(highest)
+              .setLeftUs(notNegativeUs(left))
+              .setHeld(why == LeaseGrantor.Rejection.HELD)
+              .setWhy(why.name()));
+    }
+
+    private void answer(LeaseSaid.Builder answer) {
+      requester.connection.send(Kind.LEASE_SAID, answer.build(), NO_BODY);
+    }
+
+    @Override
+    public void available(int client, String name) {
+      Session session = sessions.get(client);
+      if (session != null) {
+        session.connection.send(
+            Kind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
+      }
+    }
+  }
+
+  private static long notNegativeUs(TimeSpan span) {
+    return (long) Math.max(0, span.ms() * 1000);
+  }
+
   private final class Session implements FrameListener {
     private FrameConnection connection;
-    private int number = -1;
-    private Timestamp second;
-    private int inSecond;
+    private int number = -1; // the client's, once it has greeted
+    private Timestamp secondBegan;
+    private int requestsInSecond;
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
@@ -164,19 +167,18 @@
         return;
       }
       number = other.getNumber();
-      sessions.put(
-          number,
-          this); // an older link under this number still gets its answers, but is told of nothing
-      // that comes free
+      // an older connection under this number still gets its answers, but is notified of nothing
+      // that becomes available
+      sessions.put(number, this);
     }
 
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
       switch (kind) {
-        case LEASE_ASK -> ask((LeaseAsk) head);
+        case LEASE_ASK -> request((LeaseAsk) head);
         case LEASE_BACK -> {
           LeaseBack back = (LeaseBack) head;
-          granter.release(
+          grantor.release(
               number,
               back.getLife(),
               back.getName(),
@@ -189,39 +191,49 @@
       }
     }
 
-    private void ask(LeaseAsk ask) {
+    private void request(LeaseAsk request) {
       Timestamp now = net.clock();
-      if (second == null || now.since(second).ms() >= 1000) {
-        second = now;
-        inSecond = 0;
-      }
-      if (++inSecond > ASKS_A_SECOND) {
+      if (isOverRate(now)) {
         droppedRequests++;
         return;
       }
-      // a candidate that counts other terms would trust in what nobody granted
-      if (ask.getTermUs() != (long) (config.term().ms() * 1000)) {
+      // a client that counts other terms would trust in what nobody granted
+      if (request.getTermUs() != (long) (config.term().ms() * 1000)) {
         connection.cut(
             "terms differ: leases/term is "
                 + Math.round(config.term().ms())
                 + " ms here and "
-                + ask.getTermUs() / 1000
+                + request.getTermUs() / 1000
                 + " ms there");
-      } else if (ask.getName().isEmpty()
-          || ask.getName().length() > MOST_NAME
-          || ask.getNumber() <= 0) {
+      } else if (request.getName().isEmpty()
+          || request.getName().length() > MAX_NAME_LENGTH
+          || request.getNumber() <= 0) {
         connection.cut(
-            "a lease has a name of 1 to " + MOST_NAME + " characters and a number above 0");
+            "a lease has a name of 1 to " + MAX_NAME_LENGTH + " characters and a number above 0");
       } else {
-        asking = this;
-        granter.request(number, ask.getLife(), ask.getName(), ask.getNumber(), ask.getRound(), now);
+        requester = this;
+        grantor.request(
+            number,
+            request.getLife(),
+            request.getName(),
+            request.getNumber(),
+            request.getRound(),
+            now);
       }
     }
 
+    private boolean isOverRate(Timestamp now) {
+      if (secondBegan == null || now.since(secondBegan).ms() >= 1000) {
+        secondBegan = now;
+        requestsInSecond = 0;
+      }
+      return ++requestsInSecond > MAX_REQUESTS_PER_SECOND;
+    }
+
     @Override
     public void closed(String why) {
       if (sessions.remove(number, this)) {
-        granter.disconnected(number);
+        grantor.disconnected(number);
       }
     }
   }
@@ -231,22 +243,19 @@
     LeaseListed.Builder all =
         LeaseListed.newBuilder()
             .setGranter(config.granter())
-            .setRefused(granter.rejectedCount())
-            .setOpensUs((long) Math.max(0, granter.grantsFrom().since(now).ms() * 1000));
-    granter
-        .grants()
-        .forEach(
-            (name, grant) ->
-                all.addEntries(
-                    LeaseEntry.newBuilder()
-                        .setName(name)
-                        .setNumber(grant.token())
-                        .setHolder(grant.holder())
-                        .setLeftUs(
-                            grant.open()
-                                ? (long) Math.max(0, grant.expiresAt().since(now).ms() * 1000)
-                                : 0)
-                        .setWaiting(granter.waiters(name).size())));
+            .setRefused(grantor.rejectedCount())
+            .setOpensUs(notNegativeUs(grantor.grantsFrom().since(now)));
+    grantor.grants().forEach((name, grant) -> all.addEntries(entry(name, grant, now)));
     return all.build();
   }
+
+  private LeaseEntry entry(String name, Grant grant, Timestamp now) {
+    return LeaseEntry.newBuilder()
+        .setName(name)
+        .setNumber(grant.token())
+        .setHolder(grant.holder())
+        .setLeftUs(grant.open() ? notNegativeUs(grant.expiresAt().since(now)) : 0)
+        .setWaiting(grantor.waiters(name).size())
+        .build();
+  }
 }
--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -8,20 +8,25 @@
 /**
  * The one way to act under a lease. Time is looked at when the act begins, not when its turn of the
  * loop began; and as a process may stand still right after that look, the act bears the lease's
- * number, which the place where it lands holds against the highest that it saw ({@link
- * FencingToken}). (Burrows, "The Chubby lock service", 2006, calls such a number a sequencer.)
+ * fencing token, which the place where it lands compares with the highest that it saw ({@link
+ * FencingToken}). (Burrows, "The Chubby lock service", 2006, calls such a token a sequencer.)
  */
 public class LeaseCheck {
   private final LeaseClient client;
   private final Supplier<Timestamp> clock;
 
   /** {@code clock}: this process's steady clock, read anew with each call. */
-  LeaseCheck(LeaseClient candidate, Supplier<Timestamp> clock) {
-    this.client = candidate;
+  LeaseCheck(LeaseClient client, Supplier<Timestamp> clock) {
+    this.client = client;
     this.clock = clock;
   }
 
-  /** Acts if the lease is held for certain for that long yet; false if nothing was done. */
+  /**
+   * Runs an act with the fencing token if the lease is held for certain for that long yet.
+   *
+   * @param needs how long the act takes at most
+   * @return false if nothing was done
+   */
   public boolean runIfHeld(TimeSpan needs, LongConsumer act) {
     if (!isHeldFor(needs)) {
       return false;
@@ -41,14 +46,15 @@
   }
 
   /**
-   * Whether it is held now. What is done on this answer alone, without {@link #act}, is not safe.
+   * Whether it is held now. What is done on this answer alone, without {@link
+   * #runIfHeld(LongConsumer)}, is not safe.
    */
   public boolean isHeld() {
     return isHeldFor(TimeSpan.ZERO);
   }
 
-  /** An act was refused where it landed, as that had seen a higher number. */
-  public void tokenRejected(long higher) {
-    client.observeToken(higher);
+  /** An act was rejected where it landed, as that had seen a higher token. */
+  public void tokenRejected(long higherToken) {
+    client.observeToken(higherToken);
   }
 }
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -5,116 +5,118 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One process's side of one lease: asks all granters, holds it while a majority granted it in one
- * round, asks again in time, and gives it back. It counts its time from before it asked, by its own
- * clock, shortened by what clocks may differ; so it stops before any granter can give it to
- * another. Whether it holds is asked at the last instant, through {@link LeaseCheck}.
+ * One process's side of one lease: requests it from all grantors, holds it while a quorum granted
+ * it in one round, renews it in time, and releases it. The term counts from before the request was
+ * sent, by this process's own clock, shortened by the allowed clock drift; so the client stops
+ * before any grantor can grant the lease to another. Whether it is held is asked at the last
+ * instant, through {@link LeaseCheck}.
+ *
+ * <p>A pure state machine: it reads no clock, starts no timer and sends through its {@link
+ * Transport} alone. Not thread-safe.
  */
 class LeaseClient {
-  /** What it can do; messages may get lost. */
+  /** Sends requests and is notified of changes; messages may get lost. */
   interface Transport {
-    void request(int granter, String name, long number, long round);
+    void request(int grantor, String name, long token, long round);
 
-    /** {@code heir}: who is to have it next; -1: anybody. */
-    void release(int granter, String name, long number, int heir);
+    /**
+     * Gives a grant back.
+     *
+     * @param successor the client that should have it next; -1: anybody
+     */
+    void release(int grantor, String name, long token, int successor);
 
-    void acquired(String name, long number);
+    void acquired(String name, long token);
 
-    void lost(String name, long number, String why);
+    void lost(String name, long token, String why);
   }
 
-  private static final int NUMBER_BITS =
-      16; // of a lease's number: who chose it; the rest counts up
-  // Of the usable term. Renewed after a third, with up to a sixth of chance, so that a fleet's
-  // renewals spread and two lost rounds
-  // still leave a third one; an answer is waited for a sixth, far over a round trip wherever a term
-  // makes sense.
-  private static final double RENEW = 1.0 / 3;
-  private static final double SPREAD = 1.0 / 6;
-  private static final double PATIENCE = 1.0 / 6;
-  private static final int MOST_DOUBLINGS = 4;
+  /** The low bits of a token say which client chose it; the rest counts up. */
+  private static final int CLIENT_BITS = 16;
+
+  // Shares of the usable term. Renewed after a third, with up to a sixth of jitter, so that a
+  // fleet's renewals spread and two lost rounds still leave a third one. An answer is waited for a
+  // sixth, far over a round trip wherever a term makes sense.
+  private static final double RENEW_SHARE = 1.0 / 3;
+  private static final double JITTER_SHARE = 1.0 / 6;
+  private static final double ROUND_TIMEOUT_SHARE = 1.0 / 6;
+  private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
   private final String name;
   private final LeaseTerms terms;
-  private final Transport host;
-  private final DoubleSupplier chance;
-  private final int me;
+  private final Transport transport;
+  private final DoubleSupplier random;
+  private final int client;
   private final long incarnation;
 
+  private final LeaseRound round = new LeaseRound();
   private boolean wanted;
-  private long token; // 0: none is asked for
-  private long round;
-  private Timestamp askedAt;
-  private long granters; // of this round, as bits
-  private long refusers;
-  private TimeSpan shortest; // what they said is left
-  private boolean inTheWay; // somebody else has it, so that asking sooner is of no use
-  private Timestamp until; // null: not held
+  private long token; // 0: none is requested
+  private Timestamp heldUntil; // null: not held
   private Timestamp nextTick; // null: nothing is to be done by time
-  private long seen;
-  private int fails;
+  private long highestSeen;
+  private int failures;
 
   /**
-   * {@code me}: its number in the fleet, 0 to 65535; {@code life}: another one with each start of
-   * the process.
+   * A client that wants nothing yet.
+   *
+   * @param random numbers from 0 to under 1
+   * @param client this process's number in the fleet, 0 to 65535
+   * @param incarnation another one with each start of the process
+   * @throws IllegalArgumentException if {@code client} is out of range
    */
   LeaseClient(
-      String name, LeaseTerms terms, Transport host, DoubleSupplier chance, int me, long life) {
-    if (me < 0 || me >= 1 << NUMBER_BITS) {
-      throw new IllegalArgumentException("a candidate's number is 0 to 65535, not " + me);
+      String name,
+      LeaseTerms terms,
+      Transport transport,
+      DoubleSupplier random,
+      int client,
+      long incarnation) {
+    if (client < 0 || client >= 1 << CLIENT_BITS) {
+      throw new IllegalArgumentException("a candidate's number is 0 to 65535, not " + client);
     }
     this.name = name;
     this.terms = terms;
-    this.host = host;
-    this.chance = chance;
-    this.me = me;
-    this.incarnation = life;
+    this.transport = transport;
+    this.random = random;
+    this.client = client;
+    this.incarnation = incarnation;
   }
 
-  /** All that the other one knows, so that a search can go on from there more than once. */
+  /** Takes over all that the other one knows, so that a search can branch from one state. */
   void copyStateFrom(LeaseClient other) {
+    round.copyFrom(other.round);
     wanted = other.wanted;
     token = other.token;
-    round = other.round;
-    askedAt = other.askedAt;
-    granters = other.granters;
-    refusers = other.refusers;
-    shortest = other.shortest;
-    inTheWay = other.inTheWay;
-    until = other.until;
+    heldUntil = other.heldUntil;
     nextTick = other.nextTick;
-    seen = other.seen;
-    fails = other.fails;
+    highestSeen = other.highestSeen;
+    failures = other.failures;
   }
 
-  /** All that it knows but for which granters said what: {@link #has}. */
+  /** All that it knows but for each grantor's vote, which {@link #voteOf} says. */
   String stateWithoutVotes() {
     return name
         + " by "
-        + me
+        + client
         + (wanted ? "" : ", not wanted")
-        + ", number "
+        + ", token "
         + token
         + ", round "
-        + round
-        + " of "
-        + askedAt
-        + ", "
-        + shortest
-        + (inTheWay ? " in the way" : "")
+        + round.stateWithoutVotes()
         + ", until "
-        + until
-        + ", due "
+        + heldUntil
+        + ", next "
         + nextTick
         + ", seen "
-        + seen
-        + ", fails "
-        + fails;
+        + highestSeen
+        + ", failures "
+        + failures;
   }
 
-  /** What a granter said in this round: 1 that it is granted, 2 that it isn't, 0 nothing. */
-  int voteOf(int granter) {
-    return (int) (granters >> granter & 1 | (refusers >> granter & 1) << 1);
+  /** What a grantor said in this round: 1 that it is granted, 2 that it isn't, 0 nothing. */
+  int voteOf(int grantor) {
+    return round.voteOf(grantor);
   }
 
   String name() {
@@ -125,23 +127,24 @@
     return incarnation;
   }
 
-  /** It is to be had from now on. {@code floorMs}: see {@link #fresh}. */
+  /** It is to be had from now on. {@code floorMs}: see {@link #nextToken}. */
   void acquire(Timestamp now, long floorMs) {
     if (wanted) {
       return;
     }
     wanted = true;
-    ask(now, floorMs);
+    requestAnew(now, floorMs);
   }
 
   /**
-   * It is given back, if it is held, and not asked for any more; {@code heir}: who is to have it
-   * next, -1: anybody.
+   * Gives it back, if it is held, and requests it no more.
+   *
+   * @param successor who is to have it next; -1: anybody
    */
-  void release(int heir) {
+  void release(int successor) {
     wanted = false;
     nextTick = null;
-    drop("left", heir);
+    drop("left", successor);
   }
 
   boolean wanted() {
@@ -149,87 +152,88 @@
   }
 
   /**
-   * A number higher than all that were seen, ending in whose it is, so that no two candidates can
-   * ask under one. Granters forget numbers when they start anew; so it is not below the wall's
-   * clock either, where {@code floorMs} tells it. A wall clock that is wrong costs nothing but
-   * numbers: nobody's safety hangs on it while one granter of a majority remembers.
+   * A token higher than all that were seen, ending in whose it is, so that no two clients can
+   * request under one. Grantors forget tokens when they restart; so it is not below the wall clock
+   * either, which {@code floorMs} tells in milliseconds. A wall clock that is wrong costs nothing
+   * but tokens: nobody's safety depends on it while one grantor of a quorum remembers.
    */
-  private long fresh(long floorMs) {
-    return Math.max((seen >>> NUMBER_BITS) + 1, floorMs) << NUMBER_BITS | me;
+  private long nextToken(long floorMs) {
+    return Math.max((highestSeen >>> CLIENT_BITS) + 1, floorMs) << CLIENT_BITS | client;
   }
 
-  private void ask(Timestamp now, long floorMs) {
-    token = fresh(floorMs);
-    seen = token;
-    round(now);
+  private void requestAnew(Timestamp now, long floorMs) {
+    token = nextToken(floorMs);
+    highestSeen = token;
+    beginRound(now);
   }
 
-  private void round(Timestamp now) {
-    round++;
-    askedAt = now;
-    granters = 0;
-    refusers = 0;
-    shortest = null;
-    inTheWay = false;
-    nextTick = now.plus(terms.usableTerm().times(PATIENCE));
+  private void beginRound(Timestamp now) {
+    round.begin(now);
+    nextTick = now.plus(terms.usableTerm().times(ROUND_TIMEOUT_SHARE));
     for (int each = 0; each < terms.grantors(); each++) {
-      host.request(each, name, token, round);
+      transport.request(each, name, token, round.number());
     }
   }
 
-  void granted(int granter, long ofNumber, long ofRound, Timestamp now) {
-    if (ofNumber
-        != token) { // of a number that was given up; what told the granter so may have been lost
-      host.release(granter, name, ofNumber, -1);
+  /** A grantor granted it. */
+  void granted(int grantor, long ofToken, long ofRound, Timestamp now) {
+    if (ofToken != token) {
+      // of a token that was given up; the release that told the grantor so may have been lost
+      transport.release(grantor, name, ofToken, -1);
       return;
     }
     if (!isCurrentRound(ofRound)) {
       return;
     }
-    granters |= 1L << granter;
-    if (Long.bitCount(granters) < requiredGrants()) {
+    round.addGrant(grantor);
+    if (round.grantCount() < requiredGrants()) {
       return;
     }
     Timestamp end = termStart(now).plus(usableTerm());
     if (!end.after(now)) {
-      return; // so late that it is over; the round ends by its patience
+      return; // so late that the term is over; the round ends by its timeout
     }
-    boolean first = until == null;
-    until = end;
-    fails = 0;
-    nextTick =
-        askedAt.plus(terms.usableTerm().times(RENEW + SPREAD * chance.getAsDouble())).later(now);
+    boolean first = heldUntil == null;
+    heldUntil = end;
+    failures = 0;
+    double renewAfter = RENEW_SHARE + JITTER_SHARE * random.getAsDouble();
+    nextTick = round.requestedAt().plus(terms.usableTerm().times(renewAfter)).later(now);
     if (first) {
-      host.acquired(name, token);
+      transport.acquired(name, token);
     }
   }
 
+  /**
+   * A grantor rejected the request.
+   *
+   * @param highest the token that the next one has to exceed
+   * @param wait asking again before that is of no use
+   * @param held whether another client holds it
+   */
   void rejected(
-      int granter,
-      long ofNumber,
+      int grantor,
+      long ofToken,
       long ofRound,
       long highest,
-      TimeSpan left,
+      TimeSpan wait,
       boolean held,
       Timestamp now) {
-    seen = Math.max(seen, highest);
-    if (ofNumber != token || ofRound != round) {
+    observeToken(highest);
+    if (ofToken != token || ofRound != round.number()) {
       return;
     }
-    refusers |= 1L << granter;
-    shortest = shortest == null ? left : shortest.atMost(left);
-    inTheWay |= held;
-    if (until == null && Long.bitCount(refusers) > terms.grantors() - terms.quorum()) {
-      fail(now);
+    round.addRejection(grantor, wait, held);
+    if (heldUntil == null && round.rejectionCount() > terms.grantors() - terms.quorum()) {
+      failRound(now);
     }
   }
 
-  // What keeps two from holding it stands alone, so that tests can take it out and show that their
-  // checker finds it missing.
+  // Each rule that keeps two clients from holding it stands alone, so that tests can take it out
+  // and show that their checker finds it missing.
 
   /** An answer to an earlier round says nothing of when this one began. */
   boolean isCurrentRound(long ofRound) {
-    return ofRound == round;
+    return ofRound == round.number();
   }
 
   int requiredGrants() {
@@ -237,45 +241,53 @@
   }
 
   /**
-   * The moment from which the term counts: nobody knows when a granter began to count, but not
+   * The moment from which the term counts: nobody knows when a grantor began to count, but not
    * before it was asked.
    */
   Timestamp termStart(Timestamp now) {
-    return askedAt;
+    return round.requestedAt();
   }
 
   TimeSpan usableTerm() {
     return terms.usableTerm();
   }
 
-  /** A granter has said that it may be had. */
+  /** A grantor has said that it may be had. */
   void available(Timestamp now, long floorMs) {
-    if (wanted && until == null && token == 0) {
-      ask(now, floorMs);
+    if (wanted && heldUntil == null && token == 0) {
+      requestAnew(now, floorMs);
     }
   }
 
   /**
-   * No majority: what was granted is given back at once, so that two who were granted a part do not
+   * No quorum: what was granted is given back at once, so that two who were granted a part do not
    * block each other.
    */
-  private void fail(Timestamp now) {
+  private void failRound(Timestamp now) {
     long given = token;
     token = 0;
     for (int each = 0; each < terms.grantors(); each++) {
-      if ((refusers >> each & 1) == 0) {
-        host.release(each, name, given, -1);
+      if (!round.rejectedBy(each)) {
+        transport.release(each, name, given, -1);
       }
     }
-    fails = Math.min(fails + 1, MOST_DOUBLINGS);
-    // Somebody has it: asked again when it may have ended. Else two asked at once, or granters are
-    // away: a pause that doubles. Each
-    // is drawn, so that those who asked together do not ask together again.
-    TimeSpan pause =
-        inTheWay && shortest != null
-            ? shortest.plus(terms.usableTerm().times(PATIENCE * chance.getAsDouble()))
-            : terms.usableTerm().times(PATIENCE * (1 << fails - 1) * (0.5 + chance.getAsDouble()));
-    nextTick = now.plus(pause);
+    failures = Math.min(failures + 1, MAX_BACKOFF_DOUBLINGS);
+    nextTick = now.plus(backoff());
+  }
+
+  /**
+   * Where another client holds it, until its term may have ended. Else two requested it at once, or
+   * grantors are away: a backoff that doubles. Each has jitter, so that those who requested
+   * together do not request together again.
+   */
+  private TimeSpan backoff() {
+    TimeSpan heldFor = round.heldByOtherFor();
+    if (heldFor != null) {
+      return heldFor.plus(terms.usableTerm().times(ROUND_TIMEOUT_SHARE * random.getAsDouble()));
+    }
+    return terms
+        .usableTerm()
+        .times(ROUND_TIMEOUT_SHARE * (1 << failures - 1) * (0.5 + random.getAsDouble()));
   }
 
   /** When {@link #tick} is to be called next; null: not before something else happens. */
@@ -283,64 +295,65 @@
     return nextTick;
   }
 
+  /** Does what is due by then: renews, requests again, or notices that the term ran out. */
   void tick(Timestamp now, long floorMs) {
-    if (until != null && !isHeldAt(now)) {
+    if (heldUntil != null && !isHeldAt(now)) {
       drop("it ran out, not renewed in time", -1);
       if (wanted) {
-        ask(now, floorMs);
+        requestAnew(now, floorMs);
       }
       return;
     }
     if (nextTick == null || nextTick.after(now)) {
       return;
     }
-    if (until != null) {
-      round(now); // to hold on to it; until then it is held as before
+    if (heldUntil != null) {
+      beginRound(now); // to renew it; until then it is held as before
     } else if (token != 0) {
-      fail(now);
+      failRound(now);
     } else if (wanted) {
-      ask(now, floorMs);
+      requestAnew(now, floorMs);
     } else {
       nextTick = null;
     }
-    if (until != null) {
-      nextTick = nextTick.earlier(until);
+    if (heldUntil != null) {
+      nextTick = nextTick.earlier(heldUntil);
     }
   }
 
-  private void drop(String why, int heir) {
+  private void drop(String why, int successor) {
     if (token == 0) {
       return;
     }
     long given = token;
-    boolean held = until != null;
+    boolean held = heldUntil != null;
     token = 0;
-    until = null;
+    heldUntil = null;
     for (int each = 0; each < terms.grantors(); each++) {
-      host.release(each, name, given, heir);
+      transport.release(each, name, given, successor);
     }
     if (held) {
-      host.lost(name, given, why);
+      transport.lost(name, given, why);
     }
   }
 
   /** Whether it is held for certain at that moment of this process's clock. */
   boolean isHeldAt(Timestamp at) {
-    return until != null && until.after(at);
+    return heldUntil != null && heldUntil.after(at);
   }
 
   /** How long it is held for certain from then on; zero where it isn't. */
   TimeSpan remaining(Timestamp at) {
-    return isHeldAt(at) ? until.since(at) : TimeSpan.ZERO;
+    return isHeldAt(at) ? heldUntil.since(at) : TimeSpan.ZERO;
   }
 
-  /** By which acts are stamped; 0 where it is not held. */
+  /** The fencing token that stamps acts under it; 0 where it is not held. */
   long token() {
-    return until == null ? 0 : token;
+    return heldUntil == null ? 0 : token;
   }
 
-  /** The place where an act landed has seen this number; the next one is higher. */
-  void observeToken(long higher) {
-    seen = Math.max(seen, higher);
+  /** Somebody acted or asked under this token; the next one of ours is higher. */
+  void observeToken(long seen) {
+    highestSeen = Math.max(highestSeen, seen);
   }
 }
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -12,38 +13,39 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One of those who grant leases: for each name at most one grant at a time, each under a higher
- * number than any before. It needs no disk: once started it grants nothing for the longest term
- * that its last life may have granted, and of numbers it forgot it is told by whoever asks with a
- * higher one. Messages may come late, twice, never and in any order.
+ * One grantor (an acceptor in the terms of Paxos): for each lease at most one grant at a time, each
+ * under a higher token than any before. It needs no disk: once started it grants nothing for the
+ * longest term that its last incarnation may have granted, and of tokens it forgot it is told by
+ * whoever asks with a higher one. Messages may come late, twice, never and in any order. A pure
+ * state machine: it reads no clock and opens no connection. Not thread-safe.
  *
  * <p>The ground is Gray and Cheriton's lease (1989): a promise that ends by itself; granted here by
- * a majority, as in PaxosLease (Trencseni and others, 2009), whose two rounds are one here, since a
- * candidate brings a number of its own that nobody else can bring.
+ * a quorum, as in PaxosLease (Trencseni and others, 2009), whose two rounds are one here, since a
+ * client brings a token of its own that nobody else can bring.
  */
 class LeaseGrantor {
-  /** What it can do; answers may get lost. */
+  /** Answers to clients; they may get lost. */
   interface Replies {
-    void granted(int candidate, String name, long number, long round);
+    void granted(int client, String name, long token, long round);
 
     /**
-     * {@code highest}: the number to be exceeded; {@code left}: not worth asking before that; zero:
+     * {@code highest}: the token to be exceeded; {@code left}: not worth asking before that; zero:
      * at once.
      */
     void rejected(
-        int candidate,
+        int client,
         String name,
-        long number,
+        long token,
         long round,
         long highest,
         TimeSpan left,
         Rejection why);
 
     /** It may be had now; told to one that waits. */
-    void available(int candidate, String name);
+    void available(int client, String name);
   }
 
-  /** Why it was not granted. */
+  /** Why it was not granted; the names are sent to clients. */
   enum Rejection {
     HELD,
     LOWER,
@@ -53,54 +55,57 @@
     TOO_MANY
   }
 
-  /** Names at most; a grant that ended long ago gives way to a new name. */
+  /** Leases at most; a grant that ended long ago gives way to a new name. */
   static final int MAX_LEASES = 1024;
 
-  /** That are told when a name comes free; others ask again by themselves. */
+  /** Clients that are notified when a lease becomes available; others ask again by themselves. */
   static final int MAX_WAITERS = 16;
 
-  // Whoever finds the line full asks again after so many terms: with a thousand candidates and
-  // terms of three seconds a granter
-  // has some forty asks a second to refuse, which is little beside the holder's renewals being sure
+  // Whoever finds the queue full asks again after so many terms: with a thousand clients and
+  // terms of three seconds a grantor
+  // has some forty requests a second to reject, which is little beside the holder's renewals being
+  // sure
   // to be heard.
-  private static final double LINE_FULL_TERMS = 8;
-  private static final double HEIR_TERMS = 0.5; // an heir that is alive asks within a round trip
+  private static final double QUEUE_FULL_TERMS = 8;
+
+  /** A successor that is alive asks within a round trip. */
+  private static final double SUCCESSOR_TERMS = 0.5;
 
   private final LeaseTerms terms;
-  private final Replies host;
+  private final Replies replies;
   private final Timestamp grantsFrom;
   private final Map<String, Grant> grants = new TreeMap<>();
   private final Map<String, Set<Integer>> waiters = new TreeMap<>();
-  private long refused;
+  private long rejectedCount;
 
-  /** Begins with nothing known. */
-  LeaseGrantor(LeaseTerms terms, Replies host, Timestamp now) {
-    this(terms, host, now.plus(terms.longestTerm()), Map.of());
+  /** A grantor that has just started: it grants nothing for the longest term. */
+  LeaseGrantor(LeaseTerms terms, Replies replies, Timestamp now) {
+    this(terms, replies, now.plus(terms.longestTerm()), Map.of());
   }
 
-  /** As it stands. */
-  LeaseGrantor(LeaseTerms terms, Replies host, Timestamp opens, Map<String, Grant> grants) {
+  /** One that continues from known grants. */
+  LeaseGrantor(LeaseTerms terms, Replies replies, Timestamp grantsFrom, Map<String, Grant> grants) {
     this.terms = terms;
-    this.host = host;
-    this.grantsFrom = opens;
+    this.replies = replies;
+    this.grantsFrom = grantsFrom;
     this.grants.putAll(grants);
   }
 
-  /** A candidate asks, for the first time or to hold on to it: {@code number} says which. */
-  void request(int candidate, long life, String name, long number, long round, Timestamp now) {
+  /** A client asks, for the first time or to hold on to it: {@code token} says which. */
+  void request(int client, long incarnation, String name, long token, long round, Timestamp now) {
     Grant grant = grants.getOrDefault(name, Grant.NONE);
-    Rejection why = why(candidate, life, name, number, grant, now);
+    Rejection why = rejectionOf(client, incarnation, name, token, grant, now);
     if (why == null) {
-      grants.put(name, new Grant(number, candidate, life, now.plus(terms.term()), true, -1));
-      Set<Integer> line = waiters.get(name);
-      if (line != null) {
-        line.remove(candidate);
+      grants.put(name, new Grant(token, client, incarnation, now.plus(terms.term()), true, -1));
+      Set<Integer> queue = waiters.get(name);
+      if (queue != null) {
+        queue.remove(client);
       }
-      host.granted(candidate, name, number, round);
+      replies.granted(client, name, token, round);
       return;
     }
-    refused++;
-    boolean mine = grant.token() == number && grant.incarnation() == life;
+    rejectedCount++;
+    boolean mine = grant.token() == token && grant.incarnation() == incarnation;
     TimeSpan left =
         switch (why) {
           case STARTING -> grantsFrom.since(now);
@@ -108,47 +113,50 @@
           case TOO_MANY -> terms.longestTerm();
           case LOWER, RETURNED -> TimeSpan.ZERO;
         };
-    if (why == Rejection.HELD && !mine && !waits(candidate, name)) {
-      left = left.plus(terms.term().times(LINE_FULL_TERMS));
+    if (why == Rejection.HELD && !mine && !enqueue(client, name)) {
+      left = left.plus(terms.term().times(QUEUE_FULL_TERMS));
     }
-    host.rejected(candidate, name, number, round, grant.token(), left, why);
+    replies.rejected(client, name, token, round, grant.token(), left, why);
   }
 
-  private Rejection why(
-      int candidate, long life, String name, long number, Grant grant, Timestamp now) {
+  private Rejection rejectionOf(
+      int client, long incarnation, String name, long token, Grant grant, Timestamp now) {
     if (isStarting(now)) {
       return Rejection.STARTING;
     }
-    if (isHolder(grant, candidate, life, number)) {
+    if (isHolder(grant, client, incarnation, token)) {
       return isOutstanding(grant) ? null : Rejection.RETURNED;
     }
     if (isRunning(grant, now)) {
       return Rejection.HELD;
     }
-    if (grant.successor() >= 0 && grant.successor() != candidate && grant.expiresAt().after(now)) {
+    if (grant.successor() >= 0 && grant.successor() != client && grant.expiresAt().after(now)) {
       return Rejection.KEPT;
     }
-    if (!exceedsToken(number, grant)) {
+    if (!exceedsToken(token, grant)) {
       return Rejection.LOWER;
     }
     return grants.containsKey(name) || hasCapacity(now) ? null : Rejection.TOO_MANY;
   }
 
-  // What keeps two from holding it stands alone, so that tests can take it out and show that their
-  // checker finds it missing.
+  // Each rule that keeps two clients from holding it stands alone, so that tests can take it out
+  // and show that their checker finds it missing.
 
-  /** What its last life granted may still run. */
+  /** What its last incarnation granted may still run. */
   boolean isStarting(Timestamp now) {
     return grantsFrom.after(now);
   }
 
-  /** Whoever asks under the number that is out is its holder, if it is that same life of it. */
-  boolean isHolder(Grant grant, int candidate, long life, long number) {
-    return grant.token() == number && grant.holder() == candidate && grant.incarnation() == life;
+  /**
+   * Whoever asks under the token that is outstanding is its holder, if it is that same incarnation
+   * of it.
+   */
+  boolean isHolder(Grant grant, int client, long incarnation, long token) {
+    return grant.token() == token && grant.holder() == client && grant.incarnation() == incarnation;
   }
 
   /**
-   * A grant that was given back is not revived by an ask that was long on its way, and the name
+   * A grant that was given back is not revived by a request that was long on its way, and the name
    * blocked for a term.
    */
   boolean isOutstanding(Grant grant) {
@@ -159,8 +167,8 @@
     return grant.open() && grant.expiresAt().after(now);
   }
 
-  boolean exceedsToken(long number, Grant grant) {
-    return number > grant.token();
+  boolean exceedsToken(long token, Grant grant) {
+    return token > grant.token();
   }
 
   private boolean hasCapacity(Timestamp now) {
@@ -168,9 +176,8 @@
       return true;
     }
     Iterator<Map.Entry<String, Grant>> each = grants.entrySet().iterator();
-    while (each
-        .hasNext()) { // full only where somebody uses names without end: the search is then the
-      // price
+    // full only where somebody uses names without end: the search is then the price
+    while (each.hasNext()) {
       Grant grant = each.next().getValue();
       if (!now.since(grant.expiresAt()).over(terms.longestTerm())) {
         continue;
@@ -181,63 +188,62 @@
     return false;
   }
 
-  private boolean waits(int candidate, String name) {
+  private boolean enqueue(int client, String name) {
     if (waiters.size() >= MAX_LEASES && !waiters.containsKey(name)) {
       return false;
     }
-    Set<Integer> line = waiters.computeIfAbsent(name, any -> new java.util.LinkedHashSet<>());
-    if (line.size() >= MAX_WAITERS && !line.contains(candidate)) {
+    Set<Integer> queue = waiters.computeIfAbsent(name, any -> new LinkedHashSet<>());
+    if (queue.size() >= MAX_WAITERS && !queue.contains(client)) {
       return false;
     }
-    line.add(candidate);
+    queue.add(client);
     return true;
   }
 
   /**
-   * The holder gives it back, or a candidate what was no majority; {@code heir}: who is to have it
+   * The holder gives it back, or a client what was no quorum; {@code successor}: who is to have it
    * next, -1: anybody.
    */
-  void release(int candidate, long life, String name, long number, int heir, Timestamp now) {
+  void release(
+      int client, long incarnation, String name, long token, int successor, Timestamp now) {
     Grant grant = grants.get(name);
-    if (grant == null || !isHolder(grant, candidate, life, number) || !grant.open()) {
+    if (grant == null || !isHolder(grant, client, incarnation, token) || !grant.open()) {
       return;
     }
-    Timestamp keptUntil = heir >= 0 ? now.plus(terms.term().times(HEIR_TERMS)) : now;
-    grants.put(name, new Grant(number, candidate, life, keptUntil, false, heir));
-    if (heir >= 0) {
-      host.available(heir, name);
+    Timestamp keptUntil = successor >= 0 ? now.plus(terms.term().times(SUCCESSOR_TERMS)) : now;
+    grants.put(name, new Grant(token, client, incarnation, keptUntil, false, successor));
+    if (successor >= 0) {
+      replies.available(successor, name);
     } else {
-      tellNext(name);
+      notifyNext(name);
     }
   }
 
-  private void tellNext(
-      String
-          name) { // who has waited longest at this granter; it may be gone, and then the next asks
-    // by itself
-    Set<Integer> line = waiters.get(name);
-    if (line == null) {
+  /** Who has waited longest here; it may be gone, and then the next one asks by itself. */
+  private void notifyNext(String name) {
+    Set<Integer> queue = waiters.get(name);
+    if (queue == null) {
       return;
     }
-    Iterator<Integer> first = line.iterator();
+    Iterator<Integer> first = queue.iterator();
     if (first.hasNext()) {
       int next = first.next();
       first.remove();
-      host.available(next, name);
+      replies.available(next, name);
     }
-    if (line.isEmpty()) {
+    if (queue.isEmpty()) {
       waiters.remove(name);
     }
   }
 
-  /** Its link is gone; what it holds runs out by itself. */
-  void disconnected(int candidate) {
+  /** A client is disconnected; what it holds runs out by itself. */
+  void disconnected(int client) {
     waiters
         .values()
         .removeIf(
-            line -> {
-              line.remove(candidate);
-              return line.isEmpty();
+            queue -> {
+              queue.remove(client);
+              return queue.isEmpty();
             });
   }
 
@@ -251,12 +257,12 @@
     return grantsFrom;
   }
 
-  /** Asks that were refused so far. */
+  /** Asks that were rejected so far. */
   long rejectedCount() {
-    return refused;
+    return rejectedCount;
   }
 
-  /** Who waits for a name, the longest first. */
+  /** Which clients wait for a lease, the longest first. */
   List<Integer> waiters(String name) {
     return new ArrayList<>(waiters.getOrDefault(name, new TreeSet<>()));
   }
--- a/src/main/java/sprucerock/lease/LeaseManager.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -1,10 +1,10 @@
 package sprucerock.lease;
 
-import com.google.protobuf.MessageLite;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.UUID;
+import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import sprucerock.config.LeaseConfig;
 import sprucerock.stats.DeterministicRandom;
@@ -12,87 +12,79 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.ReconnectingConnection;
 import sprucerock.transport.wire.Tap;
-import sprucerock.transport.wire.v1.Hello;
-import sprucerock.transport.wire.v1.LeaseAsk;
-import sprucerock.transport.wire.v1.LeaseBack;
-import sprucerock.transport.wire.v1.LeaseFree;
-import sprucerock.transport.wire.v1.LeaseList;
 import sprucerock.transport.wire.v1.LeaseListed;
 import sprucerock.transport.wire.v1.LeaseSaid;
-import sprucerock.transport.wire.v1.Role;
 
 /**
- * All leases that one process stands for: its links to the granters, and its candidates between
- * them. On one loop's thread; only a {@link LeaseCheck} reads the clock anew.
+ * All leases that one process campaigns for: a {@link LeaseClient} each, its timer, and the
+ * connections to the grantors that they share. On one loop's thread; only a {@link LeaseCheck}
+ * reads the clock anew, and {@link #counts} may be read from any thread.
  */
 public final class LeaseManager {
-  /** A task that one process of the fleet does. Told on the loop's thread. */
+  /** A task that one process of the fleet does. Notified on the loop's thread. */
   public interface Listener {
     /** The lease is held from now on; what was begun under former ones may be half done. */
-    void acquired(LeaseCheck guard);
+    void acquired(LeaseCheck check);
 
     /** It is held no more; nothing may be done on it. */
     void lost(String why);
   }
 
-  /** Told of all that a person may want to know. */
+  /** Where lines for operators go. */
   public interface Log {
     void info(String what);
 
     void warn(String what);
   }
 
-  /** How often since this start. */
+  /** Leases that were acquired and lost since this start, and that are held now. */
   public record Counts(long acquired, long lost, long held) {}
 
-  /** Leases that a process stands for at most. */
+  /** Leases that a process campaigns for at most. */
   public static final int MAX_LEASES = 64;
 
   static final Limits LIMITS = new Limits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
 
+  private static final TimeSpan QUERY_TIMEOUT = TimeSpan.ofMs(1000);
+
   private final Net net;
   private final LeaseConfig config;
   private final LeaseTerms terms;
-  private final Hello mine;
-  private final long life;
-  private final Tap tap;
-  private final DeterministicRandom chance;
+  private final long incarnation;
+  private final DeterministicRandom random;
   private final LongSupplier wallMs;
   private final Log log;
-  private final Map<String, Standing> standings = new TreeMap<>();
-  private final List<ReconnectingConnection> granters = new ArrayList<>();
+  private final GrantorConnections grantors;
+  private final Map<String, Campaign> campaigns = new TreeMap<>();
   private final Map<Integer, LeaseListed> listed = new TreeMap<>();
-  private Runnable whenListed;
-  private boolean stopping;
+  private Runnable endQuery; // null: no query is under way
   private volatile Counts counts = new Counts(0, 0, 0);
 
   /**
-   * {@code life}: another one with each start of this process; {@code wallMs}: the wall's clock,
-   * below which no number is chosen.
+   * One that campaigns for nothing yet.
+   *
+   * @param incarnation another one with each start of this process: {@link #newIncarnation}
+   * @param wallMs the wall clock in milliseconds, below which no token is chosen
    */
   public LeaseManager(
-      Net net, LeaseConfig config, String name, long life, Tap tap, LongSupplier wallMs, Log log) {
+      Net net,
+      LeaseConfig config,
+      String name,
+      long incarnation,
+      Tap tap,
+      LongSupplier wallMs,
+      Log log) {
     this.net = net;
     this.config = config;
-    this.life = life;
-    this.tap = tap;
+    this.incarnation = incarnation;
     this.wallMs = wallMs;
     this.log = log;
     terms = terms(config);
-    chance = new DeterministicRandom(life ^ config.me());
-    mine =
-        Hello.newBuilder()
-            .setVersion(FrameConnection.VERSION)
-            .setRole(Role.RELAY)
-            .setNumber(config.me())
-            .setName(name)
-            .build();
+    random = new DeterministicRandom(incarnation ^ config.me());
+    grantors =
+        new GrantorConnections(net, config, name, incarnation, tap, log, new GrantorAnswers());
   }
 
   static LeaseTerms terms(LeaseConfig config) {
@@ -100,60 +92,53 @@
         config.granters().size(), config.term(), config.longest(), config.drift());
   }
 
-  /** Links up. On the loop's thread. */
+  /** Another number for each start of a process. */
+  public static long newIncarnation() {
+    return UUID.randomUUID().getMostSignificantBits();
+  }
+
+  /** Connects to the grantors. On the loop's thread. */
   public void start() {
-    for (int i = 0; i < config.granters().size(); i++) {
-      ReconnectingConnection connection =
-          new ReconnectingConnection(
-              net, config.granters().get(i), mine, LIMITS, tap, chance, new Granting(i));
-      granters.add(connection);
-      // a fleet that starts together does not come to its granters in one instant
-      net.at(
-          net.now().plus(terms.usableTerm().times(0.1 * chance.next())),
-          () -> {
-            if (!stopping) {
-              connection.dial();
-            }
-          });
-    }
+    grantors.start(terms.usableTerm(), random);
   }
 
   /**
-   * Stands for a lease from now on, until {@link #leave}; the task is told when it is held and when
-   * no more.
+   * Campaigns for a lease from now on, until {@link #withdraw}; the listener is notified when it is
+   * held and when no more.
    *
-   * @throws IllegalStateException if it stands for too many
+   * @throws IllegalStateException if it campaigns for too many, or for this one already
    */
-  public LeaseCheck campaign(String name, Listener task) {
-    if (standings.size() >= MAX_LEASES) {
+  public LeaseCheck campaign(String name, Listener listener) {
+    if (campaigns.size() >= MAX_LEASES) {
       throw new IllegalStateException("a process stands for " + MAX_LEASES + " leases at most");
     }
-    Standing standing = new Standing(name, task);
-    if (standings.put(name, standing) != null) {
+    Campaign campaign = new Campaign(name, listener);
+    if (campaigns.put(name, campaign) != null) {
       throw new IllegalStateException("it stands for " + name + " already");
     }
-    standing.step(() -> standing.candidate.acquire(net.now(), wallMs.getAsLong()));
-    return standing.guard;
+    campaign.step(() -> campaign.client.acquire(net.now(), wallMs.getAsLong()));
+    return campaign.check;
   }
 
   /**
-   * Gives it back, and stands for it no more; {@code heir}: who is to have it next, by its number,
-   * -1: anybody.
+   * Gives it back, and campaigns for it no more.
+   *
+   * @param successor who is to have it next, by its number; -1: anybody
    */
-  public void withdraw(String name, int heir) {
-    Standing standing = standings.remove(name);
-    if (standing != null) {
-      standing.step(() -> standing.candidate.release(heir));
+  public void withdraw(String name, int successor) {
+    Campaign campaign = campaigns.remove(name);
+    if (campaign != null) {
+      campaign.step(() -> campaign.client.release(successor));
     }
   }
 
   /** Gives all back, and closes once that has gone out. */
   public void stop() {
-    stopping = true;
-    for (String name : List.copyOf(standings.keySet())) {
+    grantors.expectClose();
+    for (String name : List.copyOf(campaigns.keySet())) {
       withdraw(name, -1);
     }
-    granters.forEach(ReconnectingConnection::stop);
+    grantors.stop();
   }
 
   /** From any thread, as it was last. */
@@ -161,188 +146,121 @@
     return counts;
   }
 
-  /** Another life's number for each start of a process. */
-  public static long newIncarnation() {
-    return java.util.UUID.randomUUID().getMostSignificantBits();
-  }
-
   /**
-   * Asks the granters what they know; {@code done} is told once all have answered, or a second is
-   * over.
+   * Asks the grantors what they know; {@code done} gets the answers by grantor once all have
+   * answered, or after a second, and at once if another query begins before.
    */
-  public void queryGrantors(java.util.function.Consumer<Map<Integer, LeaseListed>> done) {
+  public void queryGrantors(Consumer<Map<Integer, LeaseListed>> done) {
     listed.clear();
-    Runnable[] once = new Runnable[1];
-    Timer late = net.at(net.now().plus(TimeSpan.ofMs(1000)), () -> once[0].run());
-    once[0] =
+    Runnable[] end = new Runnable[1];
+    Timer timeout = net.at(net.now().plus(QUERY_TIMEOUT), () -> end[0].run());
+    end[0] =
         () -> {
-          late.cancel();
-          if (whenListed != once[0]) {
+          timeout.cancel();
+          if (endQuery != end[0]) {
             return;
           }
-          whenListed = null;
+          endQuery = null;
           done.accept(Map.copyOf(listed));
         };
-    if (whenListed != null) {
-      whenListed.run(); // who asked before gets what is there by now
-    }
-    whenListed = once[0];
-    for (ReconnectingConnection one : granters) {
-      one.send(Kind.LEASE_LIST, LeaseList.getDefaultInstance(), new byte[0]);
+    if (endQuery != null) {
+      endQuery.run(); // who asked before gets what is there by now
     }
+    endQuery = end[0];
+    grantors.query();
   }
 
   /** One lease, and this process's side of it. */
-  private final class Standing implements LeaseClient.Transport {
-    private final LeaseClient candidate;
-    private final LeaseCheck guard;
-    private final Listener task;
+  private final class Campaign implements LeaseClient.Transport {
+    private final LeaseClient client;
+    private final LeaseCheck check;
+    private final Listener listener;
     private Timer timer;
 
-    Standing(String name, Listener task) {
-      this.task = task;
-      candidate = new LeaseClient(name, terms, this, chance::next, config.me(), life);
-      guard = new LeaseCheck(candidate, net::clock);
+    Campaign(String name, Listener listener) {
+      this.listener = listener;
+      client = new LeaseClient(name, terms, this, random::next, config.me(), incarnation);
+      check = new LeaseCheck(client, net::clock);
     }
 
-    /** Something happens to it; then its next moment is set. */
+    /** Runs one step of the client, then sets the timer for its next one. */
     void step(Runnable what) {
       what.run();
       if (timer != null) {
         timer.cancel();
       }
-      Timestamp due = candidate.nextTick();
+      Timestamp next = client.nextTick();
       timer =
-          due == null
+          next == null
               ? null
-              : net.at(due, () -> step(() -> candidate.tick(net.clock(), wallMs.getAsLong())));
+              : net.at(next, () -> step(() -> client.tick(net.clock(), wallMs.getAsLong())));
     }
 
     @Override
-    public void request(int granter, String name, long number, long round) {
-      granters
-          .get(granter)
-          .send(
-              Kind.LEASE_ASK,
-              LeaseAsk.newBuilder()
-                  .setName(name)
-                  .setNumber(number)
-                  .setRound(round)
-                  .setLife(life)
-                  .setTermUs((long) (config.term().ms() * 1000))
-                  .build(),
-              new byte[0]);
+    public void request(int grantor, String name, long token, long round) {
+      grantors.request(grantor, name, token, round);
     }
 
     @Override
-    public void release(int granter, String name, long number, int heir) {
-      granters
-          .get(granter)
-          .send(
-              Kind.LEASE_BACK,
-              LeaseBack.newBuilder()
-                  .setName(name)
-                  .setNumber(number)
-                  .setLife(life)
-                  .setHanded(heir >= 0)
-                  .setHeir(Math.max(heir, 0))
-                  .build(),
-              new byte[0]);
+    public void release(int grantor, String name, long token, int successor) {
+      grantors.release(grantor, name, token, successor);
     }
 
     @Override
-    public void acquired(String name, long number) {
+    public void acquired(String name, long token) {
       counts = new Counts(counts.acquired + 1, counts.lost, counts.held + 1);
-      log.info(name + " is held under " + number);
-      task.acquired(guard);
+      log.info(name + " is held under " + token);
+      listener.acquired(check);
     }
 
     @Override
-    public void lost(String name, long number, String why) {
+    public void lost(String name, long token, String why) {
       counts = new Counts(counts.acquired, counts.lost + 1, counts.held - 1);
-      log.info(name + " under " + number + " is held no more: " + why);
-      task.lost(why);
+      log.info(name + " under " + token + " is held no more: " + why);
+      listener.lost(why);
     }
   }
 
-  private final class Granting implements FrameListener {
-    private final int granter;
-    private boolean up;
-
-    Granting(int granter) {
-      this.granter = granter;
-    }
-
+  private final class GrantorAnswers implements GrantorConnections.Listener {
     @Override
-    public void greeted(FrameConnection connection, Hello other) {
-      if (other.getRole() != Role.GRANTER || other.getNumber() != granter) {
-        connection.cut("granter " + granter + " is not who answers there");
-        return;
+    public void voted(int grantor, LeaseSaid vote) {
+      Campaign campaign = campaigns.get(vote.getName());
+      if (campaign != null) {
+        campaign.step(() -> count(grantor, vote, campaign.client));
+      } else if (vote.getGranted()) { // withdrawn meanwhile: what was granted since is of no use
+        grantors.release(grantor, vote.getName(), vote.getNumber(), -1);
       }
-      up = true;
     }
 
-    @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      switch (kind) {
-        case LEASE_SAID -> said((LeaseSaid) head);
-        case LEASE_FREE -> {
-          Standing standing = standings.get(((LeaseFree) head).getName());
-          if (standing != null) {
-            standing.step(() -> standing.candidate.available(net.now(), wallMs.getAsLong()));
-          }
-        }
-        case LEASE_LISTED -> {
-          listed.put(granter, (LeaseListed) head);
-          if (whenListed != null && listed.size() == granters.size()) {
-            whenListed.run();
-          }
-        }
-        default -> granters.get(granter).cut("a granter sends no " + kind);
+    private void count(int grantor, LeaseSaid vote, LeaseClient client) {
+      if (vote.getGranted()) {
+        client.granted(grantor, vote.getNumber(), vote.getRound(), net.clock());
+        return;
       }
+      client.rejected(
+          grantor,
+          vote.getNumber(),
+          vote.getRound(),
+          vote.getHighest(),
+          TimeSpan.ofMs(vote.getLeftUs() / 1000.0),
+          vote.getHeld(),
+          net.clock());
     }
 
-    private void said(LeaseSaid said) {
-      Standing standing = standings.get(said.getName());
-      if (standing == null) { // left meanwhile: what was granted since is of no use to it
-        if (said.getGranted()) {
-          granters
-              .get(granter)
-              .send(
-                  Kind.LEASE_BACK,
-                  LeaseBack.newBuilder()
-                      .setName(said.getName())
-                      .setNumber(said.getNumber())
-                      .setLife(life)
-                      .build(),
-                  new byte[0]);
-        }
-        return;
+    @Override
+    public void available(String name) {
+      Campaign campaign = campaigns.get(name);
+      if (campaign != null) {
+        campaign.step(() -> campaign.client.available(net.now(), wallMs.getAsLong()));
       }
-      standing.step(
-          () -> {
-            if (said.getGranted()) {
-              standing.candidate.granted(granter, said.getNumber(), said.getRound(), net.clock());
-            } else {
-              standing.candidate.rejected(
-                  granter,
-                  said.getNumber(),
-                  said.getRound(),
-                  said.getHighest(),
-                  TimeSpan.ofMs(said.getLeftUs() / 1000.0),
-                  said.getHeld(),
-                  net.clock());
-            }
-          });
     }
 
     @Override
-    public void closed(String why) {
-      if (up && !stopping) {
-        log.warn(
-            "granter " + granter + " at " + config.granters().get(granter) + " is lost: " + why);
+    public void listed(int grantor, LeaseListed known) {
+      listed.put(grantor, known);
+      if (endQuery != null && listed.size() == grantors.size()) {
+        endQuery.run();
       }
-      up = false;
     }
   }
 }
--- a/src/main/java/sprucerock/lease/LeaseTerms.java
+++ b/src/main/java/sprucerock/lease/LeaseTerms.java
@@ -5,10 +5,10 @@
 /**
  * What all sides of leases agree on; the same in every process's configuration.
  *
- * @param granters how many there are: 3 or 5, of which a majority grants
- * @param term how long a grant lasts by the granter's clock
- * @param longest no term was ever longer than this while any of the processes that run now, or
- *     their last lives, ran
+ * @param grantors how many there are: 3 or 5, of which a quorum (majority) grants
+ * @param term how long a grant lasts by the grantor's clock
+ * @param longestTerm no term was ever longer than this while any of the processes that run now, or
+ *     their last incarnations, ran
  * @param drift how far any clock's pace may be from the true one, as a share; 0 to under 0.2
  */
 public record LeaseTerms(int grantors, TimeSpan term, TimeSpan longestTerm, double drift) {
@@ -32,7 +32,7 @@
   }
 
   /**
-   * How long a holder may act, by its own clock, from before it asked. The granter's clock may be
+   * How long a holder may act, by its own clock, from before it asked. The grantor's clock may be
    * the fastest that is allowed and so end the grant after term / (1 + drift); the holder's may be
    * the slowest and take its own count for less than it is.
    */
--- a/src/test/java/sprucerock/lease/FaultyParties.java
+++ b/src/test/java/sprucerock/lease/FaultyParties.java
@@ -5,45 +5,46 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Parties that each lack one guard. */
+/** Factories of parties that each lack one safety rule. */
 final class FaultyParties {
   private FaultyParties() {}
 
-  private static LeaseSimulation.Makers candidates(Made made) {
-    return new LeaseSimulation.Makers() {
+  private static LeaseSimulation.PartyFactory clients(ClientFactory made) {
+    return new LeaseSimulation.PartyFactory() {
       @Override
-      public LeaseClient candidate(
-          LeaseTerms terms, LeaseClient.Transport host, int me, long life, double chance) {
-        return made.of(terms, host, chance, me, life);
+      public LeaseClient client(
+          LeaseTerms terms, LeaseClient.Transport host, int me, long incarnation, double chance) {
+        return made.of(terms, host, chance, me, incarnation);
       }
     };
   }
 
-  private interface Made {
-    LeaseClient of(LeaseTerms terms, LeaseClient.Transport host, double chance, int me, long life);
+  private interface ClientFactory {
+    LeaseClient of(
+        LeaseTerms terms, LeaseClient.Transport host, double chance, int me, long incarnation);
   }
 
-  private static LeaseSimulation.Makers granters(MadeGranter made) {
-    return new LeaseSimulation.Makers() {
+  private static LeaseSimulation.PartyFactory grantors(GrantorFactory made) {
+    return new LeaseSimulation.PartyFactory() {
       @Override
-      public LeaseGrantor granter(
+      public LeaseGrantor grantor(
           LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants) {
         return made.of(terms, host, opens, grants);
       }
     };
   }
 
-  private interface MadeGranter {
+  private interface GrantorFactory {
     LeaseGrantor of(
         LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants);
   }
 
   /** Each by what it lacks. */
-  static Map<String, LeaseSimulation.Makers> all() {
-    Map<String, LeaseSimulation.Makers> all = new TreeMap<>();
+  static Map<String, LeaseSimulation.PartyFactory> all() {
+    Map<String, LeaseSimulation.PartyFactory> all = new TreeMap<>();
     all.put(
         "a granter minds what is out",
-        granters(
+        grantors(
             (terms, host, opens, grants) ->
                 new LeaseGrantor(terms, host, opens, grants) {
                   @Override
@@ -53,27 +54,27 @@
                 }));
     all.put(
         "a number exceeds all before",
-        granters(
+        grantors(
             (terms, host, opens, grants) ->
                 new LeaseGrantor(terms, host, opens, grants) {
                   @Override
-                  boolean exceedsToken(long number, Grant grant) {
+                  boolean exceedsToken(long token, Grant grant) {
                     return true;
                   }
                 }));
     all.put(
         "a granter sits out after its start",
-        new LeaseSimulation.Makers() {
+        new LeaseSimulation.PartyFactory() {
           @Override
-          public TimeSpan sitsOut(LeaseTerms terms) {
+          public TimeSpan startupDelay(LeaseTerms terms) {
             return TimeSpan.ZERO;
           }
         });
     all.put(
         "a majority grants",
-        candidates(
-            (terms, host, chance, me, life) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
+        clients(
+            (terms, host, chance, me, incarnation) ->
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
                   @Override
                   int requiredGrants() {
                     return 1;
@@ -81,9 +82,9 @@
                 }));
     all.put(
         "time counts from before it asked",
-        candidates(
-            (terms, host, chance, me, life) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
+        clients(
+            (terms, host, chance, me, incarnation) ->
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
                   @Override
                   Timestamp termStart(Timestamp now) {
                     return now;
@@ -91,9 +92,9 @@
                 }));
     all.put(
         "time is shortened by the drift",
-        candidates(
-            (terms, host, chance, me, life) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
+        clients(
+            (terms, host, chance, me, incarnation) ->
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
                   @Override
                   TimeSpan usableTerm() {
                     return terms.term();
@@ -101,9 +102,9 @@
                 }));
     all.put(
         "an answer counts for its own round",
-        candidates(
-            (terms, host, chance, me, life) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, life) {
+        clients(
+            (terms, host, chance, me, incarnation) ->
+                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
                   @Override
                   boolean isCurrentRound(long ofRound) {
                     return true;
@@ -111,9 +112,9 @@
                 }));
     all.put(
         "a place refuses lower numbers",
-        new LeaseSimulation.Makers() {
+        new LeaseSimulation.PartyFactory() {
           @Override
-          public boolean fences() {
+          public boolean rejectsLowerTokens() {
             return false;
           }
         });
--- /dev/null
+++ b/src/test/java/sprucerock/lease/FencingTokenRegistryTest.java
@@ -0,0 +1,26 @@
+package sprucerock.lease;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import org.testng.annotations.Test;
+
+/** The place where acts land. */
+public class FencingTokenRegistryTest {
+  @Test
+  public void admitsNoTokenLowerThanOneItSaw() {
+    FencingTokenRegistry registry = new FencingTokenRegistry();
+    assertTrue(registry.admits("seat", 5));
+    assertTrue(registry.admits("seat", 5));
+    assertTrue(registry.admits("other", 1));
+    assertTrue(registry.admits("seat", 9));
+    assertFalse(registry.admits("seat", 8));
+    assertEquals(registry.highest("seat"), 9);
+    assertEquals(registry.rejectedCount(), 1);
+    for (int i = 0; i < FencingTokenRegistry.MAX_LEASES; i++) {
+      registry.admits("name" + i, 1);
+    }
+    assertEquals(registry.highest("seat"), 0);
+  }
+}
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -26,10 +26,9 @@
 import sprucerock.transport.wire.v1.Told;
 
 /**
- * One process of {@link LeaseProcessesTest}: a candidate for many leases, perhaps a granter too.
- * While it holds one it acts on the test's own place again and again; sometimes it stands still
- * between the look at its guard and the act. Each act is noted before it is sent, with the
- * machine's clock.
+ * One process of {@link LeaseProcessesTest}: a client for many leases, perhaps a grantor too. While
+ * it holds one it acts on the test's own place again and again; sometimes it stands still between
+ * the look at its check and the act. Each act is noted before it is sent, with the machine's clock.
  */
 public final class LeaseProcess {
   private final NioLoop loop;
@@ -38,26 +37,26 @@
   private final LeaseManager leases;
   private final SplittableRandom random;
   private final TimeSpan term;
-  private final boolean guarded;
+  private final boolean checked;
 
   private LeaseProcess(String[] args) throws Exception {
     int me = Integer.parseInt(args[0]);
-    int granter = Integer.parseInt(args[1]);
+    int grantor = Integer.parseInt(args[1]);
     int own = Integer.parseInt(args[2]);
     int names = Integer.parseInt(args[5]);
     term = TimeSpan.ofMs(Integer.parseInt(args[6]));
-    guarded = !args[7].equals("unguarded");
+    checked = !args[7].equals("unguarded");
     notes =
         FileChannel.open(Path.of(args[4]), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-    List<InetSocketAddress> granters = new ArrayList<>();
+    List<InetSocketAddress> grantors = new ArrayList<>();
     for (int i = 8; i < args.length; i++) {
-      granters.add(at(Integer.parseInt(args[i])));
+      grantors.add(at(Integer.parseInt(args[i])));
     }
     LeaseConfig config =
-        new LeaseConfig(me, granter, at(own), granters, term, term, 0.01, 100, null, null);
+        new LeaseConfig(me, grantor, at(own), grantors, term, term, 0.01, 100, null, null);
     loop = new NioLoop("lease-" + me, Throwable::printStackTrace);
-    long life = System.nanoTime() ^ ProcessHandle.current().pid() << 32;
-    random = new SplittableRandom(life);
+    long incarnation = System.nanoTime() ^ ProcessHandle.current().pid() << 32;
+    random = new SplittableRandom(incarnation);
     LeaseManager.Log log =
         new LeaseManager.Log() {
           @Override
@@ -84,7 +83,7 @@
             hello,
             new Limits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
             Tap.NONE,
-            new DeterministicRandom(life),
+            new DeterministicRandom(incarnation),
             new FrameListener() {
               @Override
               public void greeted(FrameConnection connection, Hello other) {
@@ -93,7 +92,7 @@
 
               @Override
               public void frame(Kind kind, MessageLite head, byte[] body) {
-                refused(new String(body, StandardCharsets.UTF_8));
+                tokenRejected(new String(body, StandardCharsets.UTF_8));
               }
 
               @Override
@@ -103,11 +102,11 @@
             });
     leases =
         new LeaseManager(
-            loop, config, "process-" + me, life, Tap.NONE, System::currentTimeMillis, log);
+            loop, config, "process-" + me, incarnation, Tap.NONE, System::currentTimeMillis, log);
     loop.post(
         () -> {
           try {
-            if (granter >= 0) {
+            if (grantor >= 0) {
               new GrantorListener(loop, config, "process-" + me, Tap.NONE, log).start();
             }
           } catch (java.io.IOException e) {
@@ -117,7 +116,7 @@
           place.dial();
           leases.start();
           for (int i = 0; i < names; i++) {
-            stand("name-" + i);
+            campaign("name-" + i);
           }
           System.out.println("UP");
         });
@@ -127,28 +126,28 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  private final java.util.Map<String, LeaseCheck> guards = new java.util.TreeMap<>();
+  private final java.util.Map<String, LeaseCheck> checks = new java.util.TreeMap<>();
 
-  private void stand(String name) {
+  private void campaign(String name) {
     boolean[] held = new boolean[1];
-    LeaseCheck guard =
+    LeaseCheck check =
         leases.campaign(
             name,
             new LeaseManager.Listener() {
               @Override
-              public void acquired(LeaseCheck guard) {
+              public void acquired(LeaseCheck check) {
                 held[0] = true;
-                act(name, guard, held);
+                act(name, check, held);
                 if (random.nextInt(4) > 0) {
                   loop.at(
                       loop.now().plus(TimeSpan.ofMs(20 + random.nextInt(200))),
-                      () -> away(name, held));
+                      () -> withdraw(name, held));
                 }
               }
 
               @Override
               public void lost(String why) {
-                if (guarded) {
+                if (checked) {
                   held[0] = false;
                 } else {
                   loop.at(
@@ -157,36 +156,36 @@
                 }
               }
             });
-    guards.put(name, guard);
+    checks.put(name, check);
   }
 
   /** Gives it back, often to one by name, and stands for it again a little later. */
-  private void away(String name, boolean[] held) {
+  private void withdraw(String name, boolean[] held) {
     if (!held[0]) {
       return;
     }
     leases.withdraw(name, random.nextInt(3) == 0 ? random.nextInt(5) : -1);
-    loop.at(loop.now().plus(TimeSpan.ofMs(random.nextInt(100))), () -> stand(name));
+    loop.at(loop.now().plus(TimeSpan.ofMs(random.nextInt(100))), () -> campaign(name));
   }
 
-  private long lastNumber;
+  private long lastToken;
 
-  private void act(String name, LeaseCheck guard, boolean[] held) {
-    if (!held[0] || guards.get(name) != guard) {
+  private void act(String name, LeaseCheck check, boolean[] held) {
+    if (!held[0] || checks.get(name) != check) {
       return;
     }
-    if (guarded) {
-      guard.runIfHeld(number -> land(name, number));
+    if (checked) {
+      check.runIfHeld(number -> sendAct(name, number));
     } else {
-      if (guard.isHeld()) {
-        guard.runIfHeld(number -> lastNumber = number);
+      if (check.isHeld()) {
+        check.runIfHeld(number -> lastToken = number);
       }
-      land(name, lastNumber);
+      sendAct(name, lastToken);
     }
-    loop.at(loop.now().plus(TimeSpan.ofMs(5 + random.nextInt(20))), () -> act(name, guard, held));
+    loop.at(loop.now().plus(TimeSpan.ofMs(5 + random.nextInt(20))), () -> act(name, check, held));
   }
 
-  private void land(String name, long number) {
+  private void sendAct(String name, long number) {
     try {
       notes.write(
           ByteBuffer.wrap(
@@ -204,16 +203,16 @@
         (name + " " + number).getBytes(StandardCharsets.UTF_8));
   }
 
-  private void refused(String text) {
+  private void tokenRejected(String text) {
     String[] words = text.split(" ");
-    if (guards.containsKey(words[0])) {
-      guards.get(words[0]).tokenRejected(Long.parseLong(words[1]));
+    if (checks.containsKey(words[0])) {
+      checks.get(words[0]).tokenRejected(Long.parseLong(words[1]));
     }
   }
 
   /**
-   * Number, granter or -1, its port, the place's port, notes, names, term in ms, guarded or
-   * unguarded, ports of all granters.
+   * Number, grantor or -1, its port, the place's port, notes, names, term in ms, checked or
+   * unguarded, ports of all grantors.
    */
   public static void main(String[] args) throws Exception {
     new LeaseProcess(args);
--- a/src/test/java/sprucerock/lease/LeaseProcessCluster.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessCluster.java
@@ -29,41 +29,41 @@
 import sprucerock.transport.wire.v1.Told;
 
 /**
- * Five real processes, three of them granters, that stand for the same leases, over ways that are
- * cut, late, lossy and reset; they are killed and stopped. The place where acts land is here, and
- * so is the checker, which reads that and the processes' notes.
+ * Five real processes, three of them grantors, that campaign for the same leases through proxies
+ * that cut, delay, lose and reset; the processes are killed and stopped. The place where acts land
+ * is here, and so is the checker, which reads that and the processes' notes.
  */
 final class LeaseProcessCluster implements AutoCloseable {
-  private record Landed(String name, long number, boolean admitted) {}
+  private record Landed(String name, long token, boolean admitted) {}
 
   /** What came of it. */
   record Result(
       int taken,
       long acts,
-      long refusedByNumber,
+      long rejectedByToken,
       int kills,
       int stops,
       int cuts,
       double worstGapMs,
       double medianGapMs,
-      String wrong) {}
+      String violation) {}
 
   private static final int PROCESSES = 5;
 
   private final Path folder;
   private final int names;
   private final TimeSpan term;
-  private final boolean guarded;
+  private final boolean checked;
   private final boolean fenced;
   private final Random random;
   private final NioLoop loop;
-  private final FencingTokenRegistry fence = new FencingTokenRegistry();
+  private final FencingTokenRegistry registry = new FencingTokenRegistry();
   private final List<Landed> landed = Collections.synchronizedList(new ArrayList<>());
   private final Map<String, Long> highest = new HashMap<>();
   private volatile int taken;
-  private final int[] granterPorts = {free(), free(), free()};
-  private final List<List<FaultProxy>> ways = new ArrayList<>();
-  private final int[][] wayPorts = new int[PROCESSES][3];
+  private final int[] grantorPorts = {free(), free(), free()};
+  private final List<List<FaultProxy>> proxies = new ArrayList<>();
+  private final int[][] proxyPorts = new int[PROCESSES][3];
   private final Process[] processes = new Process[PROCESSES];
   private int placePort;
   private int kills;
@@ -71,12 +71,12 @@
   private int cuts;
 
   LeaseProcessCluster(
-      Path folder, int names, TimeSpan term, boolean guarded, boolean fenced, long seed)
+      Path folder, int names, TimeSpan term, boolean checked, boolean fenced, long seed)
       throws Exception {
     this.folder = folder;
     this.names = names;
     this.term = term;
-    this.guarded = guarded;
+    this.checked = checked;
     this.fenced = fenced;
     random = new Random(seed);
     loop = new NioLoop("place", Throwable::printStackTrace);
@@ -111,15 +111,15 @@
             for (int i = 0; i < PROCESSES; i++) {
               List<FaultProxy> own = new ArrayList<>();
               for (int g = 0; g < 3; g++) {
-                FaultProxy way =
+                FaultProxy proxy =
                     new FaultProxy(
                         loop,
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), granterPorts[g]),
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), grantorPorts[g]),
                         seed + i * 3L + g);
-                wayPorts[i][g] = way.start();
-                own.add(way);
+                proxyPorts[i][g] = proxy.start();
+                own.add(proxy);
               }
-              ways.add(own);
+              proxies.add(own);
             }
           } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -152,14 +152,14 @@
                 "sprucerock.lease.LeaseProcess",
                 "" + i,
                 "" + (i < 3 ? i : -1),
-                "" + (i < 3 ? granterPorts[i] : 0),
+                "" + (i < 3 ? grantorPorts[i] : 0),
                 "" + placePort,
                 folder.resolve("notes-" + i).toString(),
                 "" + names,
                 "" + (int) term.ms(),
-                guarded ? "guarded" : "unguarded"));
+                checked ? "guarded" : "unguarded"));
     for (int g = 0; g < 3; g++) {
-      command.add("" + wayPorts[i][g]);
+      command.add("" + proxyPorts[i][g]);
     }
     processes[i] =
         new ProcessBuilder(command)
@@ -173,24 +173,24 @@
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
-      // whoever comes may act, by its number
+      // whoever comes may act, by its token
     }
 
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
       String[] words = new String(body, StandardCharsets.UTF_8).split(" ");
-      long number = Long.parseLong(words[1]);
-      boolean admitted = !fenced || fence.admits(words[0], number);
-      landed.add(new Landed(words[0], number, admitted));
+      long token = Long.parseLong(words[1]);
+      boolean admitted = !fenced || registry.admits(words[0], token);
+      landed.add(new Landed(words[0], token, admitted));
       if (!admitted) {
         connection.send(
             Kind.TOLD,
             Told.getDefaultInstance(),
-            (words[0] + " " + fence.highest(words[0])).getBytes(StandardCharsets.UTF_8));
+            (words[0] + " " + registry.highest(words[0])).getBytes(StandardCharsets.UTF_8));
       }
       Long before = highest.get(words[0]);
-      if (before == null || number > before) {
-        highest.put(words[0], number);
+      if (before == null || token > before) {
+        highest.put(words[0], token);
         taken++;
       }
     }
@@ -206,14 +206,12 @@
   }
 
   /**
-   * Troubles follow one another until so many leases were taken over and so many troubles came, or
-   * the time is over.
+   * Faults follow one another until so many leases were taken over and so many faults came, or the
+   * time is over.
    */
-  void run(int wanted, int troubles, int mostSeconds) throws Exception {
-    long until = System.nanoTime() + mostSeconds * 1_000_000_000L;
-    for (int round = 0;
-        (taken < wanted || round < troubles) && System.nanoTime() < until;
-        round++) {
+  void run(int wanted, int faults, int maxSeconds) throws Exception {
+    long until = System.nanoTime() + maxSeconds * 1_000_000_000L;
+    for (int round = 0; (taken < wanted || round < faults) && System.nanoTime() < until; round++) {
       Thread.sleep((long) (term.ms() * (0.5 + random.nextDouble())));
       if (round < 4) {
         continue; // the first come up
@@ -235,37 +233,38 @@
           boolean there = random.nextBoolean();
           boolean back = !there || random.nextBoolean();
           cuts++;
-          all(who, way -> way.cut(there, back));
+          all(who, proxy -> proxy.cut(there, back));
           Thread.sleep((long) (term.ms() * (0.5 + 2 * random.nextDouble())));
-          all(who, way -> way.cut(false, false));
+          all(who, proxy -> proxy.cut(false, false));
         }
-        case 4 -> all(who, way -> way.late(TimeSpan.ofMs(term.ms() * random.nextDouble() * 0.5)));
+        case 4 ->
+            all(who, proxy -> proxy.late(TimeSpan.ofMs(term.ms() * random.nextDouble() * 0.5)));
         case 5 -> {
-          all(who, way -> way.reset(true));
+          all(who, proxy -> proxy.reset(true));
           Thread.sleep((long) (term.ms() * 0.2));
-          all(who, way -> way.reset(false));
+          all(who, proxy -> proxy.reset(false));
         }
         default ->
             all(
                 who,
-                way -> {
-                  way.late(TimeSpan.ZERO);
-                  way.lose(random.nextDouble() * 0.1);
+                proxy -> {
+                  proxy.late(TimeSpan.ZERO);
+                  proxy.lose(random.nextDouble() * 0.1);
                 });
       }
     }
   }
 
-  private interface Ill {
-    void befall(FaultProxy way);
+  private interface Fault {
+    void disturb(FaultProxy proxy);
   }
 
-  private void all(int who, Ill ill) throws InterruptedException {
+  private void all(int who, Fault fault) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
-          for (FaultProxy way : ways.get(who)) {
-            ill.befall(way);
+          for (FaultProxy proxy : proxies.get(who)) {
+            fault.disturb(proxy);
           }
           done.countDown();
         });
@@ -278,21 +277,22 @@
       one.destroyForcibly().waitFor();
     }
     Thread.sleep(100);
-    String wrong = null;
+    String violation = null;
     Map<String, Long> last = new HashMap<>();
     long acts = 0;
-    long refused = 0;
+    long rejected = 0;
     for (Landed one : List.copyOf(landed)) {
       acts++;
       if (!one.admitted) {
-        refused++;
+        rejected++;
         continue;
       }
       long before = last.getOrDefault(one.name, 0L);
-      if (one.number < before) {
-        wrong = one.name + ": an act under " + one.number + " was taken after one under " + before;
+      if (one.token < before) {
+        violation =
+            one.name + ": an act under " + one.token + " was taken after one under " + before;
       }
-      last.put(one.name, Math.max(before, one.number));
+      last.put(one.name, Math.max(before, one.token));
     }
     Map<String, TreeMap<Long, long[]>> claims = new TreeMap<>();
     for (int i = 0; i < PROCESSES; i++) {
@@ -320,7 +320,7 @@
       for (Map.Entry<Long, long[]> claim : one.getValue().entrySet()) {
         takeOvers++;
         if (claim.getValue()[0] <= until) {
-          wrong =
+          violation =
               one.getKey()
                   + " under "
                   + claim.getKey()
@@ -339,13 +339,13 @@
     return new Result(
         takeOvers,
         acts,
-        refused,
+        rejected,
         kills,
         stops,
         cuts,
         gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1),
         median,
-        wrong);
+        violation);
   }
 
   @Override
@@ -364,7 +364,7 @@
    */
   public static void main(String[] args) throws Exception {
     Path folder = Files.createDirectories(Path.of(args[0]));
-    try (LeaseProcessCluster fire =
+    try (LeaseProcessCluster cluster =
         new LeaseProcessCluster(
             folder,
             30,
@@ -372,8 +372,8 @@
             true,
             true,
             args.length > 4 ? Long.parseLong(args[4]) : 1)) {
-      fire.run(Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]));
-      System.out.println(fire.end());
+      cluster.run(Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]));
+      System.out.println(cluster.end());
     }
   }
 }
--- a/src/test/java/sprucerock/lease/LeaseProcessesTest.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessesTest.java
@@ -14,8 +14,8 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Real processes under fire; the verdicts hang on the order of what landed and on one clock, not on
- * how fast anything went.
+ * Real processes under faults; the verdicts depend on the order of what landed and on one clock,
+ * not on how fast anything went.
  */
 public class LeaseProcessesTest {
   private Path folder;
@@ -26,7 +26,7 @@
   }
 
   @AfterMethod
-  public void away() throws Exception {
+  public void deleteFolder() throws Exception {
     try (Stream<Path> all = Files.walk(folder)) {
       for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(one);
@@ -34,24 +34,24 @@
     }
   }
 
-  private LeaseProcessCluster.Result play(boolean guarded, boolean fenced, int taken, int troubles)
+  private LeaseProcessCluster.Result run(boolean checked, boolean fenced, int taken, int faults)
       throws Exception {
-    try (LeaseProcessCluster fire =
-        new LeaseProcessCluster(folder, 30, TimeSpan.ofMs(400), guarded, fenced, 7)) {
-      fire.run(taken, troubles, 120);
-      return fire.end();
+    try (LeaseProcessCluster cluster =
+        new LeaseProcessCluster(folder, 30, TimeSpan.ofMs(400), checked, fenced, 7)) {
+      cluster.run(taken, faults, 120);
+      return cluster.end();
     }
   }
 
   @Test
-  public void neverTwoActAtOnceAndNoLowerNumberAfterAHigher() throws Exception {
-    LeaseProcessCluster.Result result = play(true, true, 300, 12);
-    assertNull(result.wrong(), result.toString());
+  public void neverTwoHoldersNorALowerTokenAfterAHigher() throws Exception {
+    LeaseProcessCluster.Result result = run(true, true, 300, 12);
+    assertNull(result.violation(), result.toString());
     assertTrue(result.taken() >= 300, result.toString());
   }
 
   @Test
-  public void theCheckerSeesOneWhoActsWithoutItsGuard() throws Exception {
-    assertNotNull(play(false, true, 300, 25).wrong());
+  public void checkerFindsActsWithoutALeaseCheck() throws Exception {
+    assertNotNull(run(false, true, 300, 25).violation());
   }
 }
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -11,8 +11,8 @@
 import sprucerock.transport.wire.v1.LeaseSaid;
 
 /**
- * What one granter is asked in a minute by so many candidates for one name, of which one holds it:
- * counted in simulated time. A hundred seconds pass before, so that whoever came first has been
+ * What one grantor is asked in a minute by so many clients for one name, of which one holds it:
+ * counted in simulated time. A hundred seconds runUntil before, so that whoever came first has been
  * told how long to wait.
  */
 public class LeaseScaleTest {
@@ -20,94 +20,93 @@
       new LeaseTerms(3, TimeSpan.ofMs(3000), TimeSpan.ofMs(3000), 0.01);
   private static final String NAME = "seat";
 
-  private record Due(double ms, int candidate) {}
+  private record ScheduledTick(double ms, int client) {}
 
   /**
-   * All of a day of candidates and three granters without loss or delay; asks of the first granter
-   * are counted.
+   * All of a fleet of clients and three grantors without loss or delay; requests of the first
+   * grantor are counted.
    */
-  private static final class Day {
-    private final LeaseGrantor[] granters = new LeaseGrantor[3];
-    private final LeaseClient[] candidates;
-    private final PriorityQueue<Due> due =
+  private static final class Fleet {
+    private final LeaseGrantor[] grantors = new LeaseGrantor[3];
+    private final LeaseClient[] clients;
+    private final PriorityQueue<ScheduledTick> ticks =
         new PriorityQueue<>(
             (a, b) ->
-                a.ms != b.ms
-                    ? Double.compare(a.ms, b.ms)
-                    : Integer.compare(a.candidate, b.candidate));
+                a.ms != b.ms ? Double.compare(a.ms, b.ms) : Integer.compare(a.client, b.client));
     private final java.util.ArrayDeque<Runnable> messages = new java.util.ArrayDeque<>();
     private final java.util.Random random = new java.util.Random(7);
     private Timestamp now = Timestamp.ofMs(5000);
-    private long asks;
-    private long freed;
+    private long requests;
+    private long notifications;
 
-    Day(int size) {
-      candidates = new LeaseClient[size];
+    Fleet(int size) {
+      clients = new LeaseClient[size];
       for (int i = 0; i < 3; i++) {
-        granters[i] = granter(i);
+        grantors[i] = grantor(i);
       }
       for (int i = 0; i < size; i++) {
-        int me = i;
-        candidates[i] =
+        int self = i;
+        clients[i] =
             new LeaseClient(
                 NAME,
                 TERMS,
                 new LeaseClient.Transport() {
                   @Override
-                  public void request(int granter, String name, long number, long round) {
+                  public void request(int grantor, String name, long token, long round) {
                     messages.add(
                         () -> {
-                          if (granter == 0) {
-                            asks++;
+                          if (grantor == 0) {
+                            requests++;
                           }
-                          granters[granter].request(me, 1, name, number, round, now);
+                          grantors[grantor].request(self, 1, name, token, round, now);
                         });
                   }
 
                   @Override
-                  public void release(int granter, String name, long number, int heir) {
-                    messages.add(() -> granters[granter].release(me, 1, name, number, heir, now));
+                  public void release(int grantor, String name, long token, int successor) {
+                    messages.add(
+                        () -> grantors[grantor].release(self, 1, name, token, successor, now));
                   }
 
                   @Override
-                  public void acquired(String name, long number) {
+                  public void acquired(String name, long token) {
                     // one does
                   }
 
                   @Override
-                  public void lost(String name, long number, String why) {
-                    throw new IllegalStateException(me + " lost it: " + why);
+                  public void lost(String name, long token, String why) {
+                    throw new IllegalStateException(self + " lost it: " + why);
                   }
                 },
                 random::nextDouble,
-                me,
+                self,
                 1);
       }
     }
 
-    private LeaseGrantor granter(int which) {
+    private LeaseGrantor grantor(int which) {
       return new LeaseGrantor(
           TERMS,
           new LeaseGrantor.Replies() {
             @Override
-            public void granted(int candidate, String name, long number, long round) {
-              messages.add(() -> candidates[candidate].granted(which, number, round, now));
+            public void granted(int client, String name, long token, long round) {
+              messages.add(() -> clients[client].granted(which, token, round, now));
             }
 
             @Override
             public void rejected(
-                int candidate,
+                int client,
                 String name,
-                long number,
+                long token,
                 long round,
                 long highest,
                 TimeSpan left,
                 LeaseGrantor.Rejection why) {
               messages.add(
                   () ->
-                      candidates[candidate].rejected(
+                      clients[client].rejected(
                           which,
-                          number,
+                          token,
                           round,
                           highest,
                           left,
@@ -116,43 +115,43 @@
             }
 
             @Override
-            public void available(int candidate, String name) {
-              freed++;
+            public void available(int client, String name) {
+              notifications++;
             }
           },
           Timestamp.ofMs(0));
     }
 
-    void pass(double untilMs) {
-      for (int i = 0; i < candidates.length; i++) {
-        if (!candidates[i].wanted()) {
-          candidates[i].acquire(now, 1);
-          settle();
-          again(i);
+    void runUntil(double untilMs) {
+      for (int i = 0; i < clients.length; i++) {
+        if (!clients[i].wanted()) {
+          clients[i].acquire(now, 1);
+          deliverAll();
+          schedule(i);
         }
       }
-      while (!due.isEmpty() && due.peek().ms <= untilMs) {
-        Due next = due.poll();
-        Timestamp at = candidates[next.candidate].nextTick();
+      while (!ticks.isEmpty() && ticks.peek().ms <= untilMs) {
+        ScheduledTick next = ticks.poll();
+        Timestamp at = clients[next.client].nextTick();
         if (at == null || Math.abs(at.ms() - next.ms) > 1e-9) {
           continue;
         }
         now = Timestamp.ofMs(next.ms);
-        candidates[next.candidate].tick(now, 1);
-        settle();
-        again(next.candidate);
+        clients[next.client].tick(now, 1);
+        deliverAll();
+        schedule(next.client);
       }
       now = Timestamp.ofMs(untilMs);
     }
 
-    private void again(int candidate) {
-      if (candidates[candidate].nextTick() != null) {
-        due.add(
-            new Due(Math.max(candidates[candidate].nextTick().ms(), now.ms() + 1e-6), candidate));
+    private void schedule(int client) {
+      if (clients[client].nextTick() != null) {
+        ticks.add(
+            new ScheduledTick(Math.max(clients[client].nextTick().ms(), now.ms() + 1e-6), client));
       }
     }
 
-    private void settle() {
+    private void deliverAll() {
       while (!messages.isEmpty()) {
         messages.poll().run();
       }
@@ -160,19 +159,19 @@
   }
 
   /**
-   * A line of sixteen asks each term; all others one time in eight terms: so much of a slope a
+   * A line of sixteen requests each term; all others one time in eight terms: so much of a slope a
    * fleet's leases have.
    */
   @Test
-  public void whoWaitsInVainAsksSeldom() {
+  public void waitingClientsRequestSeldom() {
     double[] each = new double[3];
     int[] sizes = {100, 400, 1600};
     for (int i = 0; i < 3; i++) {
-      Day day = new Day(sizes[i]);
-      day.pass(105_000);
-      long before = day.asks;
-      day.pass(165_000);
-      each[i] = (day.asks - before) / 60.0;
+      Fleet fleet = new Fleet(sizes[i]);
+      fleet.runUntil(105_000);
+      long before = fleet.requests;
+      fleet.runUntil(165_000);
+      each[i] = (fleet.requests - before) / 60.0;
       System.out.printf(
           Locale.ROOT,
           "counted: asks of a granter a second for one name: at %d %.2f; each %.4f%n",
--- a/src/test/java/sprucerock/lease/LeaseSimulation.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -10,41 +10,41 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Candidates and granters of one lease as they may stand to each other, with every message that was
+ * Clients and grantors of one lease as they may stand to each other, with every message that was
  * ever sent still on its way: not taking it is its loss, taking it again its double, taking it
- * later or before another its delay. A world is branched by {@link #copy}. The checker reads only
- * claims against the one true time, and what was done where acts land.
+ * later or before another its delay. A simulation is branched by {@link #copy}. The checker reads
+ * only claims against the one true time, and what was done where acts land.
  */
 final class LeaseSimulation {
   static final String NAME = "seat";
 
-  /** Who makes the parties: the real ones, or such as lack a guard. */
-  interface Makers {
+  /** Makes the parties: the real ones, or such as lack a safety rule. */
+  interface PartyFactory {
     default LeaseTerms terms(LeaseTerms right) {
       return right;
     }
 
-    default LeaseClient candidate(
-        LeaseTerms terms, LeaseClient.Transport host, int me, long life, double chance) {
-      return new LeaseClient(NAME, terms, host, () -> chance, me, life);
+    default LeaseClient client(
+        LeaseTerms terms, LeaseClient.Transport host, int me, long incarnation, double chance) {
+      return new LeaseClient(NAME, terms, host, () -> chance, me, incarnation);
     }
 
-    default LeaseGrantor granter(
+    default LeaseGrantor grantor(
         LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants) {
       return new LeaseGrantor(terms, host, opens, grants);
     }
 
     /** Whether an act may be sent. */
-    default boolean guards(LeaseClient candidate, Timestamp now) {
-      return candidate.isHeldAt(now);
+    default boolean mayAct(LeaseClient client, Timestamp now) {
+      return client.isHeldAt(now);
     }
 
-    default boolean fences() {
+    default boolean rejectsLowerTokens() {
       return true;
     }
 
-    /** How long a granter that begins anew grants nothing. */
-    default TimeSpan sitsOut(LeaseTerms terms) {
+    /** How long a grantor that begins anew grants nothing. */
+    default TimeSpan startupDelay(LeaseTerms terms) {
       return terms.longestTerm();
     }
   }
@@ -59,10 +59,10 @@
 
   record Message(
       Kind kind,
-      int candidate,
-      int granter,
-      long life,
-      long number,
+      int client,
+      int grantor,
+      long incarnation,
+      long token,
       long round,
       long highest,
       TimeSpan left,
@@ -72,16 +72,16 @@
     public int compareTo(Message other) {
       int so =
           Integer.compare(
-              kind.ordinal() * 100 + candidate * 10 + granter,
-              other.kind.ordinal() * 100 + other.candidate * 10 + other.granter);
+              kind.ordinal() * 100 + client * 10 + grantor,
+              other.kind.ordinal() * 100 + other.client * 10 + other.grantor);
       if (so == 0) {
-        so = Long.compare(number, other.number);
+        so = Long.compare(token, other.token);
       }
       if (so == 0) {
         so = Long.compare(round, other.round);
       }
       if (so == 0) {
-        so = Long.compare(life, other.life);
+        so = Long.compare(incarnation, other.incarnation);
       }
       if (so == 0) {
         so = Long.compare(highest, other.highest);
@@ -90,85 +90,85 @@
     }
   }
 
-  private final Makers makers;
+  private final PartyFactory factory;
   private final LeaseTerms terms;
   private final double chance;
-  private final double[] paceOfCandidates;
-  private final double[] paceOfGranters;
+  private final double[] paceOfClients;
+  private final double[] paceOfGrantors;
   int tick;
-  private final LeaseClient[] candidates;
+  private final LeaseClient[] clients;
   private final boolean[] stalled;
-  private final long[] lives;
+  private final long[] incarnations;
   private final Timestamp[] opens;
   private final List<Map<String, Grant>> grants = new ArrayList<>();
   private TreeSet<Message> sent = new TreeSet<>();
   private final List<Message> order = new ArrayList<>(); // as they were sent; not kept in copies
-  private int asks;
-  int granterCrashes;
-  int candidateCrashes;
+  private int requests;
+  int grantorCrashes;
+  int clientCrashes;
   int stalls;
-  private FencingTokenRegistry fence = new FencingTokenRegistry();
+  private FencingTokenRegistry registry = new FencingTokenRegistry();
   private long landed; // the checker's own
   private long lastTaken;
-  String wrong;
-  int takenOver;
+  String violation;
+  int takeovers;
 
-  /** Refusals and acts are left out: what they lead to, patience that ends leads to as well. */
-  boolean brief;
+  /** Rejections and acts are left out: what they lead to, a timeout leads to as well. */
+  boolean withoutRejections;
 
   LeaseSimulation(
-      Makers makers,
+      PartyFactory factory,
       LeaseTerms right,
       double chance,
-      double[] paceOfCandidates,
-      double[] paceOfGranters) {
-    this.makers = makers;
+      double[] paceOfClients,
+      double[] paceOfGrantors) {
+    this.factory = factory;
     this.chance = chance;
-    terms = makers.terms(right);
-    this.paceOfCandidates = paceOfCandidates;
-    this.paceOfGranters = paceOfGranters;
-    candidates = new LeaseClient[paceOfCandidates.length];
-    stalled = new boolean[candidates.length];
-    lives = new long[candidates.length];
-    opens = new Timestamp[paceOfGranters.length];
+    terms = factory.terms(right);
+    this.paceOfClients = paceOfClients;
+    this.paceOfGrantors = paceOfGrantors;
+    clients = new LeaseClient[paceOfClients.length];
+    stalled = new boolean[clients.length];
+    incarnations = new long[clients.length];
+    opens = new Timestamp[paceOfGrantors.length];
     for (int i = 0; i < opens.length; i++) {
       opens[i] = Timestamp.ofMs(0);
       grants.add(Map.of());
     }
-    for (int i = 0; i < candidates.length; i++) {
-      candidates[i] = made(i);
+    for (int i = 0; i < clients.length; i++) {
+      clients[i] = made(i);
     }
-    for (LeaseClient one : candidates) {
+    for (LeaseClient one : clients) {
       one.acquire(Timestamp.ofMs(0), 1);
     }
   }
 
   private LeaseSimulation(LeaseSimulation other) {
-    makers = other.makers;
+    factory = other.factory;
     terms = other.terms;
     chance = other.chance;
-    paceOfCandidates = other.paceOfCandidates;
-    paceOfGranters = other.paceOfGranters;
+    paceOfClients = other.paceOfClients;
+    paceOfGrantors = other.paceOfGrantors;
     tick = other.tick;
-    candidates = new LeaseClient[other.candidates.length];
+    clients = new LeaseClient[other.clients.length];
     stalled = other.stalled.clone();
-    lives = other.lives.clone();
+    incarnations = other.incarnations.clone();
     opens = other.opens.clone();
     grants.addAll(other.grants); // maps are replaced, never changed
     sent = new TreeSet<>(other.sent);
-    asks = other.asks;
-    granterCrashes = other.granterCrashes;
-    candidateCrashes = other.candidateCrashes;
+    requests = other.requests;
+    grantorCrashes = other.grantorCrashes;
+    clientCrashes = other.clientCrashes;
     stalls = other.stalls;
     landed = other.landed;
-    brief = other.brief;
+    withoutRejections = other.withoutRejections;
     lastTaken = other.lastTaken;
-    if (other.fence.highest(NAME) > 0) {
-      fence.admits(NAME, other.fence.highest(NAME));
+    if (other.registry.highest(NAME) > 0) {
+      registry.admits(NAME, other.registry.highest(NAME));
     }
-    for (int i = 0; i < candidates.length; i++) {
-      candidates[i] = made(i);
-      candidates[i].copyStateFrom(other.candidates[i]);
+    for (int i = 0; i < clients.length; i++) {
+      clients[i] = made(i);
+      clients[i].copyStateFrom(other.clients[i]);
     }
   }
 
@@ -177,21 +177,21 @@
   }
 
   private LeaseClient made(int index) {
-    return makers.candidate(
+    return factory.client(
         terms,
         new LeaseClient.Transport() {
           @Override
-          public void request(int granter, String name, long number, long round) {
-            if (granter == 0) {
-              asks++;
+          public void request(int grantor, String name, long token, long round) {
+            if (grantor == 0) {
+              requests++;
             }
             send(
                 new Message(
                     Kind.ASK,
                     index,
-                    granter,
-                    lives[index],
-                    number,
+                    grantor,
+                    incarnations[index],
+                    token,
                     round,
                     0,
                     TimeSpan.ZERO,
@@ -199,28 +199,36 @@
           }
 
           @Override
-          public void release(int granter, String name, long number, int heir) {
+          public void release(int grantor, String name, long token, int successor) {
             send(
                 new Message(
-                    Kind.RETURN, index, granter, lives[index], number, 0, 0, TimeSpan.ZERO, false));
+                    Kind.RETURN,
+                    index,
+                    grantor,
+                    incarnations[index],
+                    token,
+                    0,
+                    0,
+                    TimeSpan.ZERO,
+                    false));
           }
 
           @Override
-          public void acquired(String name, long number) {
-            takenOver++;
-            if (number <= lastTaken) {
-              wrong = "taken under " + number + " after " + lastTaken;
+          public void acquired(String name, long token) {
+            takeovers++;
+            if (token <= lastTaken) {
+              violation = "taken under " + token + " after " + lastTaken;
             }
-            lastTaken = Math.max(lastTaken, number);
+            lastTaken = Math.max(lastTaken, token);
           }
 
           @Override
-          public void lost(String name, long number, String why) {
-            // claims are read from the candidate itself
+          public void lost(String name, long token, String why) {
+            // claims are read from the client itself
           }
         },
         index,
-        lives[index],
+        incarnations[index],
         chance);
   }
 
@@ -232,57 +240,57 @@
     return isNew;
   }
 
-  private Timestamp clock(int candidate) {
-    return Timestamp.ofMs(tick * paceOfCandidates[candidate]);
+  private Timestamp clock(int client) {
+    return Timestamp.ofMs(tick * paceOfClients[client]);
   }
 
-  /** What can happen next, by number: each leads to another world. */
+  /** What can happen next, by token: each leads to another simulation. */
   int choices() {
-    return 1 + sent.size() + candidates.length * 4 + opens.length;
+    return 1 + sent.size() + clients.length * 4 + opens.length;
   }
 
-  /** All that is on its way of a kind, from or to one candidate, arrives. */
-  void arrive(Kind kind, int candidate) {
+  /** All that is on its way of a kind, from or to one client, arrives. */
+  void arrive(Kind kind, int client) {
     for (Message one : List.copyOf(sent)) {
-      if (one.kind == kind && one.candidate == candidate) {
+      if (one.kind == kind && one.client == client) {
         take(one);
       }
     }
   }
 
-  /** The same of one granter, and of one round. */
-  void arrive(Kind kind, int candidate, int granter, long round) {
+  /** The same of one grantor, and of one round. */
+  void arrive(Kind kind, int client, int grantor, long round) {
     for (Message one : List.copyOf(sent)) {
       if (one.kind == kind
-          && one.candidate == candidate
-          && one.granter == granter
+          && one.client == client
+          && one.grantor == grantor
           && one.round == round) {
         take(one);
       }
     }
   }
 
-  /** Time passes, until a candidate has asked so often in all. */
-  void pass(int upToAsks) {
-    while (asks < upToAsks) {
+  /** Time passes, until a client has asked so often in all. */
+  void pass(int upToRequests) {
+    while (requests < upToRequests) {
       happen(0, Integer.MAX_VALUE, 0, 0, 0);
     }
   }
 
-  /** Something befalls a candidate: 2, it gives back; 3, it stands still or goes on. */
-  void befall(int who, int what) {
-    befall(who, what, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
+  /** Something befalls a client: 2, it gives back; 3, it stands still or goes on. */
+  void disturb(int who, int what) {
+    disturb(who, what, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
   }
 
   /** How many of these are no message. */
   int others() {
-    return candidates.length * 4 + opens.length;
+    return clients.length * 4 + opens.length;
   }
 
   /** Whether a holder would give it back. */
   boolean isLeave(int choice) {
     int other = choice - 1 - sent.size();
-    return other >= 0 && other < candidates.length * 4 && other % 4 == 2;
+    return other >= 0 && other < clients.length * 4 && other % 4 == 2;
   }
 
   /** The place of a message that was sent lately, or some other one's. */
@@ -294,12 +302,12 @@
 
   /** Does one of them; false where it can't happen. */
   boolean happen(
-      int choice, int mostAsks, int mostGranterCrashes, int mostCandidateCrashes, int mostStalls) {
+      int choice, int maxRequests, int maxGrantorCrashes, int maxClientCrashes, int maxStalls) {
     if (choice == 0) {
       tick++;
-      for (int i = 0; i < candidates.length; i++) {
-        if (!stalled[i] && asks < mostAsks) {
-          candidates[i].tick(clock(i), 1 + tick);
+      for (int i = 0; i < clients.length; i++) {
+        if (!stalled[i] && requests < maxRequests) {
+          clients[i].tick(clock(i), 1 + tick);
         }
       }
       return check();
@@ -316,49 +324,57 @@
     }
     choice -= sent.size();
     int who = choice / 4;
-    if (who < candidates.length) {
-      return befall(who, choice % 4, mostAsks, mostCandidateCrashes, mostStalls);
+    if (who < clients.length) {
+      return disturb(who, choice % 4, maxRequests, maxClientCrashes, maxStalls);
     }
-    if (granterCrashes >= mostGranterCrashes) {
+    if (grantorCrashes >= maxGrantorCrashes) {
       return false;
     }
-    int granter = choice - 4 * candidates.length;
-    granterCrashes++;
-    grants.set(granter, Map.of());
-    opens[granter] = Timestamp.ofMs(tick * paceOfGranters[granter]).plus(makers.sitsOut(terms));
+    int grantor = choice - 4 * clients.length;
+    grantorCrashes++;
+    grants.set(grantor, Map.of());
+    opens[grantor] =
+        Timestamp.ofMs(tick * paceOfGrantors[grantor]).plus(factory.startupDelay(terms));
     return check();
   }
 
-  private boolean befall(
-      int who, int what, int mostAsks, int mostCandidateCrashes, int mostStalls) {
+  private boolean disturb(int who, int what, int maxRequests, int maxClientCrashes, int maxStalls) {
     switch (what) {
       case 0 -> { // looks whether it may, and acts; when that lands is open
-        if (brief || stalled[who] || !makers.guards(candidates[who], clock(who))) {
+        if (withoutRejections || stalled[who] || !factory.mayAct(clients[who], clock(who))) {
           return false;
         }
         return send(
             new Message(
-                Kind.ACT, who, 0, lives[who], candidates[who].token(), 0, 0, TimeSpan.ZERO, false));
+                Kind.ACT,
+                who,
+                0,
+                incarnations[who],
+                clients[who].token(),
+                0,
+                0,
+                TimeSpan.ZERO,
+                false));
       }
       case 1 -> {
-        if (candidateCrashes >= mostCandidateCrashes) {
+        if (clientCrashes >= maxClientCrashes) {
           return false;
         }
-        candidateCrashes++;
-        lives[who]++;
+        clientCrashes++;
+        incarnations[who]++;
         stalled[who] = false;
-        candidates[who] = made(who);
-        candidates[who].acquire(clock(who), 1 + tick); // the wall's clock does not go back
+        clients[who] = made(who);
+        clients[who].acquire(clock(who), 1 + tick); // the wall's clock does not go back
       }
       case 2 -> { // gives it back, and wants it again
-        if (stalled[who] || asks >= mostAsks || !candidates[who].isHeldAt(clock(who))) {
+        if (stalled[who] || requests >= maxRequests || !clients[who].isHeldAt(clock(who))) {
           return false;
         }
-        candidates[who].release(-1);
-        candidates[who].acquire(clock(who), 1 + tick);
+        clients[who].release(-1);
+        clients[who].acquire(clock(who), 1 + tick);
       }
       default -> {
-        if (!stalled[who] && stalls >= mostStalls) {
+        if (!stalled[who] && stalls >= maxStalls) {
           return false;
         }
         if (!stalled[who]) {
@@ -371,27 +387,27 @@
   }
 
   private boolean take(Message message) {
-    int who = message.candidate;
+    int who = message.client;
     if (message.kind == Kind.ACT) {
-      boolean admitted = fence.admits(NAME, message.number) || !makers.fences();
-      if (admitted && message.number < landed) {
-        wrong = "an act under " + message.number + " was taken after one under " + landed;
+      boolean admitted = registry.admits(NAME, message.token) || !factory.rejectsLowerTokens();
+      if (admitted && message.token < landed) {
+        violation = "an act under " + message.token + " was taken after one under " + landed;
       }
       if (admitted) {
-        landed = Math.max(landed, message.number);
+        landed = Math.max(landed, message.token);
       }
       return check();
     }
     if (message.kind == Kind.GRANTED || message.kind == Kind.REFUSED) {
-      if (message.life != lives[who] || stalled[who]) {
+      if (message.incarnation != incarnations[who] || stalled[who]) {
         return false;
       }
       if (message.kind == Kind.GRANTED) {
-        candidates[who].granted(message.granter, message.number, message.round, clock(who));
+        clients[who].granted(message.grantor, message.token, message.round, clock(who));
       } else {
-        candidates[who].rejected(
-            message.granter,
-            message.number,
+        clients[who].rejected(
+            message.grantor,
+            message.token,
             message.round,
             message.highest,
             message.left,
@@ -400,20 +416,20 @@
       }
       return check();
     }
-    int at = message.granter;
-    LeaseGrantor granter =
-        makers.granter(
+    int at = message.grantor;
+    LeaseGrantor grantor =
+        factory.grantor(
             terms,
             new LeaseGrantor.Replies() {
               @Override
-              public void granted(int candidate, String name, long number, long round) {
+              public void granted(int client, String name, long token, long round) {
                 send(
                     new Message(
                         Kind.GRANTED,
-                        candidate,
+                        client,
                         at,
-                        message.life,
-                        number,
+                        message.incarnation,
+                        token,
                         round,
                         0,
                         TimeSpan.ZERO,
@@ -422,21 +438,21 @@
 
               @Override
               public void rejected(
-                  int candidate,
+                  int client,
                   String name,
-                  long number,
+                  long token,
                   long round,
                   long highest,
                   TimeSpan left,
                   LeaseGrantor.Rejection why) {
-                if (!brief) {
+                if (!withoutRejections) {
                   send(
                       new Message(
                           Kind.REFUSED,
-                          candidate,
+                          client,
                           at,
-                          message.life,
-                          number,
+                          message.incarnation,
+                          token,
                           round,
                           highest,
                           left,
@@ -445,32 +461,32 @@
               }
 
               @Override
-              public void available(int candidate, String name) {
+              public void available(int client, String name) {
                 // only makes it quicker
               }
             },
             opens[at],
             grants.get(at));
-    Timestamp now = Timestamp.ofMs(tick * paceOfGranters[at]);
+    Timestamp now = Timestamp.ofMs(tick * paceOfGrantors[at]);
     if (message.kind == Kind.ASK) {
-      granter.request(who, message.life, NAME, message.number, message.round, now);
+      grantor.request(who, message.incarnation, NAME, message.token, message.round, now);
     } else {
-      granter.release(who, message.life, NAME, message.number, -1, now);
+      grantor.release(who, message.incarnation, NAME, message.token, -1, now);
     }
-    grants.set(at, new TreeMap<>(granter.grants()));
+    grants.set(at, new TreeMap<>(grantor.grants()));
     return check();
   }
 
   /** No two claims at one true time. */
   private boolean check() {
     int holders = 0;
-    for (int i = 0; i < candidates.length; i++) {
-      if (candidates[i].isHeldAt(clock(i))) {
+    for (int i = 0; i < clients.length; i++) {
+      if (clients[i].isHeldAt(clock(i))) {
         holders++;
       }
     }
     if (holders > 1) {
-      wrong = "two hold it at tick " + tick;
+      violation = "two hold it at tick " + tick;
     }
     return true;
   }
@@ -478,20 +494,20 @@
   /** How many say now that they hold it. */
   int holders() {
     int found = 0;
-    for (int i = 0; i < candidates.length; i++) {
-      if (candidates[i].isHeldAt(clock(i))) {
+    for (int i = 0; i < clients.length; i++) {
+      if (clients[i].isHeldAt(clock(i))) {
         found++;
       }
     }
     return found;
   }
 
-  int asks() {
-    return asks;
+  int requests() {
+    return requests;
   }
 
   /**
-   * Two worlds of one text go on alike: granters that differ by their numbers alone are told in one
+   * Two states of one text go on alike: grantors that differ by their tokens alone are told in one
    * order.
    */
   String text() {
@@ -499,17 +515,17 @@
     for (int at = 0; at < opens.length; at++) {
       StringBuilder one =
           new StringBuilder()
-              .append(paceOfGranters[at])
+              .append(paceOfGrantors[at])
               .append(opens[at].ms())
               .append(grants.get(at).get(NAME));
       for (Message message : sent) {
-        if (message.kind != Kind.ACT && message.granter == at) {
+        if (message.kind != Kind.ACT && message.grantor == at) {
           one.append(message.kind.ordinal())
-              .append(message.candidate)
+              .append(message.client)
               .append(',')
-              .append(message.life)
+              .append(message.incarnation)
               .append(',')
-              .append(message.number)
+              .append(message.token)
               .append(',')
               .append(message.round)
               .append(',')
@@ -519,8 +535,8 @@
               .append(';');
         }
       }
-      for (LeaseClient candidate : candidates) {
-        one.append(candidate.voteOf(at));
+      for (LeaseClient client : clients) {
+        one.append(client.voteOf(at));
       }
       each.add(one.toString());
     }
@@ -529,19 +545,19 @@
         new StringBuilder()
             .append(tick)
             .append(each)
-            .append(asks)
-            .append(granterCrashes)
-            .append(candidateCrashes)
+            .append(requests)
+            .append(grantorCrashes)
+            .append(clientCrashes)
             .append(stalls)
             .append(landed)
             .append(' ')
             .append(lastTaken);
-    for (int i = 0; i < candidates.length; i++) {
-      text.append(candidates[i].stateWithoutVotes()).append(stalled[i]).append(lives[i]);
+    for (int i = 0; i < clients.length; i++) {
+      text.append(clients[i].stateWithoutVotes()).append(stalled[i]).append(incarnations[i]);
     }
     for (Message message : sent) {
       if (message.kind == Kind.ACT) {
-        text.append(message.candidate).append(message.number).append(';');
+        text.append(message.client).append(message.token).append(';');
       }
     }
     return text.toString();
--- a/src/test/java/sprucerock/lease/LeaseStudy.java
+++ b/src/test/java/sprucerock/lease/LeaseStudy.java
@@ -15,15 +15,15 @@
  * size]}.
  */
 public final class LeaseStudy {
-  private static final double TERM = 3000;
-  private static final int GRANTERS = 5;
+  private static final double TERM_MS = 3000;
+  private static final int GRANTORS = 5;
 
   /** What a message weighs on the wire: 8 bytes before the head, and the head. */
-  private static final int BYTES = 48;
+  private static final int MESSAGE_BYTES = 48;
 
   private record Event(double at, long order, Runnable what) {}
 
-  private enum Ill {
+  private enum Fault {
     CRASH,
     STALL,
     CUT,
@@ -35,38 +35,35 @@
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private final LeaseTerms terms =
-      new LeaseTerms(GRANTERS, TimeSpan.ofMs(TERM), TimeSpan.ofMs(TERM), 0.01);
-  private final List<LeaseGrantor> granters = new ArrayList<>();
+      new LeaseTerms(GRANTORS, TimeSpan.ofMs(TERM_MS), TimeSpan.ofMs(TERM_MS), 0.01);
+  private final List<LeaseGrantor> grantors = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private double now;
   private long made;
   private long fromWaiting;
   private long fromHolder;
-  private long toGranters;
+  private long toGrantors;
   private int holder = -1;
   private double lostAt = -1;
   private final List<Double> gaps = new ArrayList<>();
 
   private LeaseStudy(int relays, long seed) {
     random = new SplittableRandom(seed);
-    for (int g = 0; g < GRANTERS; g++) {
+    for (int g = 0; g < GRANTORS; g++) {
       int at = g;
-      granters.add(
+      grantors.add(
           new LeaseGrantor(
               terms,
               new LeaseGrantor.Replies() {
                 @Override
                 public void granted(int who, String name, long number, long round) {
-                  way(
+                  deliver(
                       () ->
                           members
                               .get(who)
                               .heard(
                                   () ->
-                                      members
-                                          .get(who)
-                                          .candidate
-                                          .granted(at, number, round, time())));
+                                      members.get(who).client.granted(at, number, round, time())));
                 }
 
                 @Override
@@ -78,7 +75,7 @@
                     long highest,
                     TimeSpan left,
                     LeaseGrantor.Rejection why) {
-                  way(
+                  deliver(
                       () ->
                           members
                               .get(who)
@@ -86,7 +83,7 @@
                                   () ->
                                       members
                                           .get(who)
-                                          .candidate
+                                          .client
                                           .rejected(
                                               at,
                                               number,
@@ -99,11 +96,11 @@
 
                 @Override
                 public void available(int who, String name) {
-                  way(
+                  deliver(
                       () ->
                           members
                               .get(who)
-                              .heard(() -> members.get(who).candidate.available(time(), 0)));
+                              .heard(() -> members.get(who).client.available(time(), 0)));
                 }
               },
               Timestamp.ofMs(-1),
@@ -113,7 +110,7 @@
       members.add(new Member(i, seed));
     }
     for (Member one : members) {
-      at(random.nextDouble() * 100, () -> one.heard(() -> one.candidate.acquire(time(), 0)));
+      at(random.nextDouble() * 100, () -> one.heard(() -> one.client.acquire(time(), 0)));
     }
   }
 
@@ -126,7 +123,7 @@
   }
 
   /** Half a millisecond, and now and then ten. */
-  private void way(Runnable what) {
+  private void deliver(Runnable what) {
     double ms = 0.3 + 0.4 * random.nextDouble();
     at(now + (random.nextInt(100) == 0 ? 10 : ms), what);
   }
@@ -143,22 +140,22 @@
   /** A relay: stands still, is cut off or is dead, each until a moment. */
   private final class Member implements LeaseClient.Transport {
     private final int number;
-    private LeaseClient candidate;
+    private LeaseClient client;
     private double stillUntil;
     private double cutUntil;
-    private long life;
+    private long incarnation;
     private Event timer;
 
     Member(int number, long seed) {
       this.number = number;
-      candidate =
+      client =
           new LeaseClient(
               "task",
               terms,
               this,
               new DeterministicRandom(seed * 10_007 + number)::next,
               number,
-              life);
+              incarnation);
     }
 
     void heard(Runnable what) {
@@ -174,13 +171,13 @@
     }
 
     private void arm() {
-      if (candidate.nextTick() == null) {
+      if (client.nextTick() == null) {
         return;
       }
       Event[] mine = new Event[1];
       mine[0] =
           new Event(
-              Math.max(now, candidate.nextTick().ms()),
+              Math.max(now, client.nextTick().ms()),
               made++,
               () -> {
                 if (timer != mine[0]) {
@@ -189,7 +186,7 @@
                 if (stillUntil > now) {
                   at(stillUntil, mine[0].what);
                 } else {
-                  candidate.tick(time(), 0);
+                  client.tick(time(), 0);
                   arm();
                 }
               });
@@ -198,28 +195,28 @@
     }
 
     @Override
-    public void request(int granter, String name, long asked, long round) {
+    public void request(int grantor, String name, long asked, long round) {
       if (holder == number) {
         fromHolder++;
       } else {
         fromWaiting++;
       }
-      toGranters++;
+      toGrantors++;
       if (cutUntil > now) {
         return;
       }
-      long own = life;
-      way(() -> granters.get(granter).request(number, own, name, asked, round, time()));
+      long own = incarnation;
+      deliver(() -> grantors.get(grantor).request(number, own, name, asked, round, time()));
     }
 
     @Override
-    public void release(int granter, String name, long given, int heir) {
-      toGranters++;
+    public void release(int grantor, String name, long given, int successor) {
+      toGrantors++;
       if (cutUntil > now) {
         return;
       }
-      long own = life;
-      way(() -> granters.get(granter).release(number, own, name, given, heir, time()));
+      long own = incarnation;
+      deliver(() -> grantors.get(grantor).release(number, own, name, given, successor, time()));
     }
 
     @Override
@@ -236,30 +233,30 @@
       // measured from what befell it
     }
 
-    void befall(Ill ill) {
+    void disturb(Fault fault) {
       lostAt = now;
       holder = -1;
-      switch (ill) {
+      switch (fault) {
         case CRASH -> {
-          life++;
+          incarnation++;
           timer = null;
-          candidate =
+          client =
               new LeaseClient(
                   "task",
                   terms,
                   this,
                   new DeterministicRandom(now == 0 ? 1 : (long) now * 31 + number)::next,
                   number,
-                  life);
-          at(now + 1500, () -> heard(() -> candidate.acquire(time(), 0)));
+                  incarnation);
+          at(now + 1500, () -> heard(() -> client.acquire(time(), 0)));
         }
-        case STALL -> stillUntil = now + 2 * TERM;
-        case CUT -> cutUntil = now + 2 * TERM;
+        case STALL -> stillUntil = now + 2 * TERM_MS;
+        case CUT -> cutUntil = now + 2 * TERM_MS;
         default ->
             heard(
                 () -> {
-                  candidate.release(-1);
-                  at(now + 1000, () -> heard(() -> candidate.acquire(time(), 0)));
+                  client.release(-1);
+                  at(now + 1000, () -> heard(() -> client.acquire(time(), 0)));
                 });
       }
     }
@@ -275,16 +272,16 @@
       long waiting = 0;
       long holding = 0;
       long granting = 0;
-      for (Ill ill : Ill.values()) {
-        LeaseStudy study = new LeaseStudy(relays, 1 + ill.ordinal());
+      for (Fault fault : Fault.values()) {
+        LeaseStudy study = new LeaseStudy(relays, 1 + fault.ordinal());
         study.run(20_000);
         study.fromWaiting = 0;
         study.fromHolder = 0;
-        study.toGranters = 0;
+        study.toGrantors = 0;
         double from = study.now;
         for (int i = 0; i < times; i++) {
           if (study.holder >= 0) {
-            study.members.get(study.holder).befall(ill);
+            study.members.get(study.holder).disturb(fault);
           }
           study.run(study.now + 12_000 + 3000 * study.random.nextDouble());
         }
@@ -293,14 +290,14 @@
             String.format(
                 Locale.ROOT,
                 "  %s %.0f, worst %.0f (%d)",
-                ill.name().toLowerCase(Locale.ROOT),
+                fault.name().toLowerCase(Locale.ROOT),
                 study.gaps.get(study.gaps.size() / 2),
                 study.gaps.get(study.gaps.size() - 1),
                 study.gaps.size()));
         seconds += (study.now - from) / 1000;
         waiting += study.fromWaiting;
         holding += study.fromHolder;
-        granting += study.toGranters;
+        granting += study.toGrantors;
       }
       line.append(
           String.format(
@@ -308,8 +305,8 @@
               "; messages %.2f, %.2f, %.1f (%.0f bytes a second at a relay)",
               waiting / seconds / (relays - 1),
               holding / seconds,
-              granting / seconds / GRANTERS,
-              BYTES * waiting / seconds / (relays - 1)));
+              granting / seconds / GRANTORS,
+              MESSAGE_BYTES * waiting / seconds / (relays - 1)));
       System.out.println(line);
     }
   }
--- a/src/test/java/sprucerock/lease/StateSpaceSearch.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearch.java
@@ -8,36 +8,36 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Every world that can come from one, up to stated bounds; ends at the first that is wrong. */
+/** Every simulation that can come from one, up to stated bounds; ends at the first violation. */
 final class StateSpaceSearch {
-  /** How far it goes: ticks, rounds of asks, and how often each trouble comes. */
+  /** How far it goes: ticks, rounds of requests, and how often each trouble comes. */
   record Bounds(
-      int ticks, int asks, int granterCrashes, int candidateCrashes, int stalls, int most) {}
+      int ticks, int requests, int grantorCrashes, int clientCrashes, int stalls, int maxStates) {}
 
-  /** How many worlds there are; whether all were seen; what was wrong, or null. */
-  record Found(int worlds, boolean whole, String wrong, int withHolder) {}
+  /** How many states there are; whether all were seen; what was violation, or null. */
+  record Result(int states, boolean complete, String violation, int statesWithHolder) {}
 
-  static Found every(Supplier<LeaseSimulation> start, Bounds bounds) {
+  static Result explore(Supplier<LeaseSimulation> start, Bounds bounds) {
     Set<Long> seen = ConcurrentHashMap.newKeySet();
     List<LeaseSimulation> edge = List.of(start.get());
     int holders = 0;
-    while (!edge.isEmpty() && seen.size() < bounds.most()) {
+    while (!edge.isEmpty() && seen.size() < bounds.maxStates()) {
       List<LeaseSimulation> next =
           edge.parallelStream()
               .flatMap(
-                  world ->
-                      IntStream.range(0, world.choices())
+                  simulation ->
+                      IntStream.range(0, simulation.choices())
                           .mapToObj(
                               choice -> {
-                                if (choice == 0 && world.tick >= bounds.ticks()) {
+                                if (choice == 0 && simulation.tick >= bounds.ticks()) {
                                   return null;
                                 }
-                                LeaseSimulation then = world.copy();
+                                LeaseSimulation then = simulation.copy();
                                 if (!then.happen(
                                     choice,
-                                    bounds.asks(),
-                                    bounds.granterCrashes(),
-                                    bounds.candidateCrashes(),
+                                    bounds.requests(),
+                                    bounds.grantorCrashes(),
+                                    bounds.clientCrashes(),
                                     bounds.stalls())) {
                                   return null;
                                 }
@@ -46,18 +46,18 @@
                           .filter(one -> one != null))
               .collect(Collectors.toList());
       for (LeaseSimulation one : next) {
-        if (one.wrong != null) {
-          return new Found(seen.size(), false, one.wrong, holders);
+        if (one.violation != null) {
+          return new Result(seen.size(), false, one.violation, holders);
         }
         holders += one.holders();
       }
       edge = next;
     }
-    return new Found(seen.size(), edge.isEmpty(), null, holders);
+    return new Result(seen.size(), edge.isEmpty(), null, holders);
   }
 
   /**
-   * Over 64 bits: among ten million worlds two differing ones are taken for one with a chance of
+   * Over 64 bits: among ten million states two differing ones are taken for one with a chance of
    * one in 300,000.
    */
   private static long hash(String text) {
--- a/src/test/java/sprucerock/lease/StateSpaceSearchMain.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearchMain.java
@@ -3,8 +3,8 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The search at sizes that take minutes: {@code StateSpaceSearchMain [ticks asks granter-crashes
- * candidate-crashes stalls most]}.
+ * The search at sizes that take minutes: {@code StateSpaceSearchMain [ticks requests
+ * grantor-crashes client-crashes stalls maxStates]}.
  */
 public final class StateSpaceSearchMain {
   private StateSpaceSearchMain() {}
@@ -19,9 +19,11 @@
     for (double chance : new double[] {0, 0.99}) {
       for (double[] paces : LeaseSafetyTest.PACES) {
         long began = System.nanoTime();
-        StateSpaceSearch.Found found =
-            StateSpaceSearch.every(
-                () -> LeaseSafetyTest.world(new LeaseSimulation.Makers() {}, chance, paces),
+        StateSpaceSearch.Result result =
+            StateSpaceSearch.explore(
+                () ->
+                    LeaseSafetyTest.simulation(
+                        new LeaseSimulation.PartyFactory() {}, chance, paces),
                 bounds);
         System.out.println(
             bounds
@@ -30,7 +32,7 @@
                 + " paces "
                 + java.util.Arrays.toString(paces)
                 + ": "
-                + found
+                + result
                 + ", "
                 + (System.nanoTime() - began) / 1_000_000
                 + " ms");
