--- a/src/main/java/sprucerock/controller/LeadershipMark.java
+++ b/src/main/java/sprucerock/controller/LeadershipMark.java
@@ -2,48 +2,55 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
 
 /**
- * The highest number under which a controller took this store's folder: who comes with a lower one
- * stood still too long.
+ * The highest fencing token under which a controller took this store's folder, in a file there: who
+ * comes with a lower one was stalled for too long.
  */
 public final class LeadershipMark {
-  private final Storage disk;
+  private final Storage storage;
 
-  LeadershipMark(Storage disk) {
-    this.disk = disk;
+  LeadershipMark(Storage storage) {
+    this.storage = storage;
   }
 
   /** Of a folder of the machine's. */
-  public static LeadershipMark in(java.nio.file.Path folder) throws IOException {
+  public static LeadershipMark in(Path folder) throws IOException {
     return new LeadershipMark(new FileStorage(folder));
   }
 
   /**
-   * The highest that took it; 0: none did.
+   * The highest token that took it; 0: none did.
    *
-   * @throws IOException if the file can't be read, or is none of ours
+   * @throws IOException if the file can't be read, or holds something else
    */
   public long highestToken() throws IOException {
-    if (!disk.list().contains(FileLeadership.TOKEN_FILE)) {
+    if (!storage.list().contains(FileLeadership.TOKEN_FILE)) {
       return 0;
     }
-    String text = new String(disk.read(FileLeadership.TOKEN_FILE), StandardCharsets.UTF_8).strip();
+    String text =
+        new String(storage.read(FileLeadership.TOKEN_FILE), StandardCharsets.UTF_8).strip();
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
-      throw new IOException("the file " + FileLeadership.TOKEN_FILE + " holds no number");
+      throw new IOException("the file " + FileLeadership.TOKEN_FILE + " holds no number", e);
     }
   }
 
-  /** Takes the folder under a number, for good on the disk; false if a higher one took it. */
-  public boolean claim(long number) throws IOException {
+  /**
+   * Takes the folder under a token, on disk for good.
+   *
+   * @return false if a higher one took it
+   * @throws IOException if the file can't be read or written
+   */
+  public boolean claim(long token) throws IOException {
     long highest = highestToken();
-    if (number < highest) {
+    if (token < highest) {
       return false;
     }
-    if (number > highest) {
-      disk.put(FileLeadership.TOKEN_FILE, Long.toString(number).getBytes(StandardCharsets.UTF_8));
+    if (token > highest) {
+      storage.put(FileLeadership.TOKEN_FILE, Long.toString(token).getBytes(StandardCharsets.UTF_8));
     }
     return true;
   }
--- a/src/main/java/sprucerock/controller/server/LeaseLeadership.java
+++ b/src/main/java/sprucerock/controller/server/LeaseLeadership.java
@@ -1,8 +1,9 @@
 package sprucerock.controller.server;
 
 import java.io.IOException;
-import java.util.concurrent.CountDownLatch;
-import java.util.function.Supplier;
+import java.io.UncheckedIOException;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import sprucerock.controller.Leadership;
 import sprucerock.controller.LeadershipMark;
 import sprucerock.lease.LeaseCheck;
@@ -10,110 +11,113 @@
 import sprucerock.transport.net.nio.NioLoop;
 
 /**
- * The controller's seat by a lease that a majority grants: no clock of a file server has a part in
- * it. Where it lands, in the store's folder, each holder leaves its number, and who comes with a
- * lower one gives up; each start writes files of its own, so that what a former holder still writes
- * is never read. Calls but for {@link #take} and {@link #release} come on the loop's thread.
+ * The controller's leadership by a lease that a quorum of grantors grants: no clock of a file
+ * server has a part in it. Each leader leaves its fencing token in the store's folder, and who
+ * comes with a lower one gives up; each start writes files of its own, so that what a former leader
+ * still writes is never read. Calls but for {@link #tryAcquire} and {@link #release} come on the
+ * loop's thread; those two block until the loop has answered.
  */
 final class LeaseLeadership implements Leadership {
+  /** Work for the loop's thread. */
+  private interface LoopTask<T> {
+    T run() throws IOException;
+  }
+
   private final NioLoop loop;
   private final LeaseManager leases;
   private final LeadershipMark mark;
   private final String name;
-  private LeaseCheck guard;
-  private boolean held;
-  private boolean taken;
+  private LeaseCheck check;
+  private boolean leaseHeld;
+  private boolean acquired;
   private boolean lost;
 
+  /** Campaigns for the lease of that name from now on. */
   LeaseLeadership(NioLoop loop, LeaseManager leases, LeadershipMark mark, String name) {
     this.loop = loop;
     this.leases = leases;
     this.mark = mark;
     this.name = name;
-    loop.post(this::stand);
+    loop.post(this::campaign);
   }
 
-  private void stand() {
-    guard =
+  private void campaign() {
+    check =
         leases.campaign(
             name,
             new LeaseManager.Listener() {
               @Override
-              public void acquired(LeaseCheck by) {
-                held = true;
+              public void acquired(LeaseCheck held) {
+                leaseHeld = true;
               }
 
               @Override
               public void lost(String why) {
-                held = false;
-                lost |= taken;
+                leaseHeld = false;
+                lost |= acquired;
               }
             });
   }
 
-  private <T> T onLoop(Supplier<T> what) throws IOException {
-    CountDownLatch done = new CountDownLatch(1);
-    Object[] answer = new Object[1];
+  private <T> T onLoop(LoopTask<T> task) throws IOException {
+    CompletableFuture<T> answer = new CompletableFuture<>();
     loop.post(
         () -> {
           try {
-            answer[0] = what.get();
-          } finally {
-            done.countDown();
+            answer.complete(task.run());
+          } catch (IOException e) {
+            answer.completeExceptionally(e);
+          } catch (RuntimeException e) {
+            answer.completeExceptionally(e);
+            throw e; // the loop's to report
           }
         });
     try {
-      done.await();
+      return answer.get();
     } catch (InterruptedException e) {
-      throw new IOException("interrupted while it waited for the seat");
+      throw new IOException("interrupted while it waited for the seat", e);
+    } catch (ExecutionException e) {
+      throw new IOException(e.getCause().getMessage(), e.getCause());
     }
-    @SuppressWarnings("unchecked")
-    T typed = (T) answer[0];
-    return typed;
   }
 
   @Override
   public boolean tryAcquire() throws IOException {
-    String[] wrong = new String[1];
-    boolean is =
-        onLoop(
-            () -> {
-              if (!held || !guard.isHeld()) {
-                return false;
-              }
-              try {
-                // the disk may take long: the guard is asked again behind it
-                boolean[] first = {false};
-                boolean may = guard.runIfHeld(number -> first[0] = takeFolder(number));
-                taken = may && first[0] && guard.isHeld();
-              } catch (java.io.UncheckedIOException e) {
-                wrong[0] = e.getCause().getMessage();
-              }
-              return taken;
-            });
-    if (wrong[0] != null) {
-      throw new IOException(wrong[0]);
+    return onLoop(this::claimFolder);
+  }
+
+  private boolean claimFolder() throws IOException {
+    if (!leaseHeld || !check.isHeld()) {
+      return false;
+    }
+    boolean[] highest = {false};
+    try {
+      boolean held = check.runIfHeld(token -> highest[0] = claim(token));
+      // the disk may take long: the lease is checked again behind it
+      acquired = held && highest[0] && check.isHeld();
+    } catch (UncheckedIOException e) {
+      throw e.getCause();
     }
-    return is;
+    return acquired;
   }
 
-  private boolean takeFolder(long number) {
+  private boolean claim(long token) {
     try {
-      if (mark.claim(number)) {
+      if (mark.claim(token)) {
         return true;
       }
-      guard.tokenRejected(mark.highestToken());
+      check.tokenRejected(mark.highestToken());
     } catch (IOException e) {
-      throw new java.io.UncheckedIOException(e);
+      throw new UncheckedIOException(e);
     }
-    leases.withdraw(name, -1); // granters forgot their numbers: it is asked for under a higher one
-    stand();
+    leases.withdraw(name, -1); // grantors forgot their tokens: it is requested under a higher one
+    campaign();
     return false;
   }
 
   @Override
   public boolean isHeld() {
-    return taken && !lost && guard.isHeld();
+    return acquired && !lost && check.isHeld();
   }
 
   @Override
@@ -121,15 +125,15 @@
     if (!isHeld()) {
       return false;
     }
-    boolean[] first = {false};
-    boolean may = guard.runIfHeld(number -> first[0] = isHighest(number));
-    lost |= !may || !first[0];
+    boolean[] highest = {false};
+    boolean held = check.runIfHeld(token -> highest[0] = isHighest(token));
+    lost |= !held || !highest[0];
     return !lost;
   }
 
-  private boolean isHighest(long number) {
+  private boolean isHighest(long token) {
     try {
-      return mark.highestToken() == number;
+      return mark.highestToken() == token;
     } catch (IOException e) {
       return true; // not known: time still guards, and the store says by itself what it can't write
     }
@@ -139,9 +143,9 @@
   public void release() throws IOException {
     onLoop(
         () -> {
-          taken = false;
+          acquired = false;
           leases.stop();
-          return null;
+          return true;
         });
   }
 }
--- a/src/test/java/sprucerock/controller/FileLeadershipTest.java
+++ b/src/test/java/sprucerock/controller/FileLeadershipTest.java
@@ -14,10 +14,10 @@
 
 /** Two controllers over one folder: never do both act. */
 public class FileLeadershipTest {
-  private static final TimeSpan TIME = TimeSpan.ofMs(1000);
+  private static final TimeSpan LEASE_DURATION = TimeSpan.ofMs(1000);
 
-  /** A folder in memory, of which a lease needs little. */
-  private static final class Memory implements Storage {
+  /** A folder in memory, of which leadership needs little. */
+  private static final class InMemoryStorage implements Storage {
     private final TreeMap<String, byte[]> files = new TreeMap<>();
 
     @Override
@@ -52,7 +52,7 @@
   }
 
   private long now;
-  private Storage disk;
+  private Storage storage;
   private final Engine.Clock clock =
       new Engine.Clock() {
         @Override
@@ -67,20 +67,20 @@
       };
 
   @BeforeMethod
-  public void begin() throws Exception {
+  public void createStorage() throws Exception {
     now = 0;
-    disk = new Memory();
+    storage = new InMemoryStorage();
   }
 
-  private FileLeadership lease(String holder) throws Exception {
-    return new FileLeadership(disk, clock, TIME, holder);
+  private FileLeadership leadership(String holder) throws Exception {
+    return new FileLeadership(storage, clock, LEASE_DURATION, holder);
   }
 
-  private long takes(FileLeadership lease, long patience) throws Exception {
+  private long acquireWithin(FileLeadership leadership, long timeoutMs) throws Exception {
     long from = now;
-    while (!lease.tryAcquire()) {
+    while (!leadership.tryAcquire()) {
       now += 100;
-      if (now - from > patience) {
+      if (now - from > timeoutMs) {
         return -1;
       }
     }
@@ -88,10 +88,10 @@
   }
 
   @Test
-  public void theFirstTakesItAndTheSecondWaits() throws Exception {
-    FileLeadership a = lease("a");
-    FileLeadership b = lease("b");
-    assertTrue(takes(a, 5000) >= 0);
+  public void firstAcquiresAndSecondWaits() throws Exception {
+    FileLeadership a = leadership("a");
+    FileLeadership b = leadership("b");
+    assertTrue(acquireWithin(a, 5000) >= 0);
     for (int i = 0; i < 50; i++) {
       now += 200;
       assertTrue(a.renew() && a.isHeld());
@@ -100,26 +100,26 @@
   }
 
   @Test
-  public void itIsTakenOverAfterItsTimeAndAtOnceWhereItWasGivenBack() throws Exception {
-    FileLeadership a = lease("a");
-    takes(a, 5000);
-    FileLeadership b = lease("b");
+  public void takenOverAfterItExpiresAndAtOnceAfterRelease() throws Exception {
+    FileLeadership a = leadership("a");
+    acquireWithin(a, 5000);
+    FileLeadership b = leadership("b");
     b.tryAcquire();
-    long after = takes(b, 10_000);
-    assertTrue(after >= TIME.ms() && after <= 2 * TIME.ms(), after + " ms");
+    long after = acquireWithin(b, 10_000);
+    assertTrue(after >= LEASE_DURATION.ms() && after <= 2 * LEASE_DURATION.ms(), after + " ms");
     assertFalse(a.isHeld());
     b.release();
-    FileLeadership c = lease("c");
+    FileLeadership c = leadership("c");
     c.tryAcquire();
-    assertTrue(takes(c, 5000) <= TIME.ms());
+    assertTrue(acquireWithin(c, 5000) <= LEASE_DURATION.ms());
   }
 
   @Test
-  public void oneThatWasHeldUpWakesWithoutIt() throws Exception {
-    FileLeadership a = lease("a");
-    takes(a, 5000);
-    FileLeadership b = lease("b");
-    takes(b, 10_000); // while a stands still
+  public void stalledLeaderHasLostIt() throws Exception {
+    FileLeadership a = leadership("a");
+    acquireWithin(a, 5000);
+    FileLeadership b = leadership("b");
+    acquireWithin(b, 10_000); // while a stands still
     assertFalse(a.isHeld());
     assertFalse(a.renew());
     assertTrue(b.renew());
@@ -127,16 +127,16 @@
   }
 
   @Test
-  public void ofManyThatWantItAtOnceOneHasIt() throws Exception {
+  public void atMostOneOfManyHoldsIt() throws Exception {
     for (int seed = 0; seed < 60; seed++) {
-      disk = new Memory();
+      storage = new InMemoryStorage();
       SplittableRandom random = new SplittableRandom(seed);
       List<FileLeadership> all = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        all.add(lease("h" + i));
+        all.add(leadership("h" + i));
       }
       boolean[] has = new boolean[4];
-      int most = 0;
+      int maxHolders = 0;
       for (int step = 0; step < 400; step++) {
         now += random.nextInt(120);
         int who = random.nextInt(4);
@@ -144,16 +144,16 @@
         if (stalls) {
           now += 1500;
         }
-        FileLeadership lease = all.get(who);
-        has[who] = has[who] ? lease.renew() : lease.tryAcquire();
+        FileLeadership leadership = all.get(who);
+        has[who] = has[who] ? leadership.renew() : leadership.tryAcquire();
         int holders = 0;
         for (FileLeadership one : all) {
           holders += one.isHeld() ? 1 : 0;
         }
-        most = Math.max(most, holders);
+        maxHolders = Math.max(maxHolders, holders);
         assertTrue(holders <= 1, holders + " hold it, seed " + seed + ", step " + step);
       }
-      assertEquals(most, 1, "nobody ever had it, seed " + seed);
+      assertEquals(maxHolders, 1, "nobody ever had it, seed " + seed);
     }
   }
 }
