--- a/src/main/java/sprucerock/agent/Agent.java
+++ b/src/main/java/sprucerock/agent/Agent.java
@@ -9,40 +9,48 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Keeps one relay running on one machine: on what the controller wants, else on what ran well last.
- * It does no I/O; one thread. A controller that is silent, gone or older than one that was obeyed
- * changes nothing. A version that does not get ready, ends by itself or goes over a limit is tried
- * a few times with growing pauses, then what ran well last is taken up again by itself: the relay
- * is never left with nothing because nobody can be asked.
+ * Keeps one relay running on one machine: in the version that the controller wants, else in the one
+ * that ran well last. It does no I/O and runs on one thread.
+ *
+ * <p>A controller that is silent, gone or older than one that was obeyed changes nothing. A version
+ * that does not get ready, ends by itself or goes over a limit is tried a few times with growing
+ * pauses; then the agent falls back to the last good version by itself: the relay is never left
+ * down because nobody can be asked.
  */
 public final class Agent {
   /** What the relay does now. */
   public enum Phase {
+    /** Nothing runs, and nothing is about to. */
     OFF,
+    /** Nothing runs until a version has been downloaded. */
     DOWNLOADING,
+    /** Its process runs and is not ready. */
     STARTING,
+    /** It serves. */
     READY,
+    /** It was told to end, or killed, and its process is not gone yet. */
     STOPPING,
+    /** A run failed; the next one waits for the backoff. */
     BACKING_OFF
   }
 
-  /** A run of the relay that is over. */
+  /**
+   * A run of the relay that is over.
+   *
+   * @param outcome why it is over, in one line
+   */
   public record FinishedRun(
       Version version, Timestamp startedAt, Timestamp endedAt, String outcome) {}
 
   /**
-   * @param readyWithin a start that takes longer has failed; {@code endWithin}: told to end, it is
-   *     killed after that
-   * @param proven a version that was ready for so long ran well
+   * How long things may take.
+   *
+   * @param start a start that takes longer has failed
+   * @param stop a relay that was told to end is killed after that
+   * @param provenAfter a version that was ready for so long ran well
    */
   public record Timeouts(TimeSpan start, TimeSpan stop, TimeSpan provenAfter) {}
 
-  private static final int MAX_FAILED_RUNS =
-      3; // of a new version: a start may fail once for what is none of its fault
-  private static final TimeSpan FIRST_BACKOFF = TimeSpan.ofMs(500); // as long as a start takes
-  private static final TimeSpan MAX_BACKOFF =
-      TimeSpan.ofMs(
-          30_000); // of what ran well before: it will again, once what ails the machine is over
   private static final int MAX_FINISHED_RUNS = 20;
 
   private final ProcessLauncher launcher;
@@ -52,24 +60,24 @@
   private Version runningVersion = Version.NONE;
   private Version pendingVersion;
   private Timestamp phaseSince;
-  private int failedRuns;
+  private final RestartBackoff backoff = new RestartBackoff();
   private int runNumber;
 
-  /** The turn for which the relay that was taken over was started; 0 where none was. */
+  /** The generation for which an adopted relay was started; 0 where none was adopted. */
   private int adoptedGeneration;
 
   private boolean stopped;
   private String forcedStopReason;
   private final Deque<FinishedRun> finishedRuns = new ArrayDeque<>();
 
-  public Agent(ProcessLauncher machine, Timeouts times, AgentState memory) {
-    this.launcher = machine;
-    this.timeouts = times;
-    this.state = memory;
+  /** An agent that does nothing until {@link #resume}; {@code state} is what it remembers. */
+  public Agent(ProcessLauncher launcher, Timeouts timeouts, AgentState state) {
+    this.launcher = launcher;
+    this.timeouts = timeouts;
+    this.state = state;
   }
 
-  // What is asked.
-
+  /** What the relay does now. */
   public Phase phase() {
     return phase;
   }
@@ -81,45 +89,46 @@
         : Version.NONE;
   }
 
-  public boolean ready() {
+  /** Whether the relay serves. */
+  public boolean isReady() {
     return phase == Phase.READY;
   }
 
-  /** The turn that is carried out. */
+  /** The last generation that was carried out. */
   public int completedGeneration() {
     return state.completedGeneration();
   }
 
+  /** The highest epoch of a controller that was obeyed. */
   public long epoch() {
     return state.epoch();
   }
 
-  /** How often the relay was started, in all lives of this agent. */
+  /** How often the relay was started, in all incarnations of this agent. */
   public int starts() {
     return state.starts();
   }
 
+  /** What is remembered across restarts of the agent. */
   public AgentState state() {
     return state;
   }
 
-  /** The last runs that are over, the latest last. */
+  /** The last finished runs, at most twenty, the latest last. */
   public Collection<FinishedRun> finishedRuns() {
     return Collections.unmodifiableCollection(finishedRuns);
   }
 
-  // What happens.
-
   /**
-   * The agent begins: what was wanted last, else what ran well last, is started without waiting for
-   * anybody.
+   * The agent begins: the version wanted last, else the last good one, is started without waiting
+   * for a controller.
    */
   public void resume() {
-    boolean asWanted =
+    boolean isAsDesired =
         state.desired().equals(Version.NONE)
             || runningVersion.equals(state.desired())
                 && state.completedGeneration() == state.generation();
-    if (phase == Phase.READY && asWanted) {
+    if (phase == Phase.READY && isAsDesired) {
       return;
     }
     if (!state.desired().equals(Version.NONE) && launcher.hasArtifacts(state.desired())) {
@@ -133,18 +142,18 @@
     }
   }
 
-  /** A relay that an earlier life of the agent started for that turn runs still. */
-  public void relayAdopted(Version version, int turn) {
+  /** A relay that an earlier incarnation of the agent started for a generation runs still. */
+  public void relayAdopted(Version version, int generation) {
     runningVersion = version;
     runNumber++;
-    adoptedGeneration = turn;
+    adoptedGeneration = generation;
     enterReady();
-    if (version.equals(state.desired()) && turn == state.generation()) {
+    if (version.equals(state.desired()) && generation == state.generation()) {
       completeGeneration();
     }
   }
 
-  /** Found in a folder, for a machine that no controller has spoken to yet. */
+  /** A version from the configuration, for a machine that no controller has spoken to yet. */
   public void offerInitialVersion(Version version) {
     if (state.desired().equals(Version.NONE)
         && state.lastGood().equals(Version.NONE)
@@ -154,65 +163,46 @@
   }
 
   /**
-   * A controller says what is to run; only the newest one is obeyed, and of it only what is newer.
+   * Takes what a controller wants. Only the newest controller is obeyed, and of it only what is
+   * newer than what is known; the rest is logged.
    */
-  public void applyDesiredState(long epoch, int turn, Version version) {
+  public void applyDesiredState(long epoch, int generation, Version version) {
     if (stopped) {
       return;
     }
-    boolean older = epoch < state.epoch() || epoch == state.epoch() && turn < state.generation();
-    if (older) {
-      launcher.log(
-          "a word of epoch "
-              + epoch
-              + ", turn "
-              + turn
-              + " is older than "
-              + state.epoch()
-              + ", turn "
-              + state.generation()
-              + ": not obeyed");
-      return;
-    }
-    boolean same = turn == state.generation() && version.equals(state.desired());
-    if (!same
-        && epoch == state.epoch()
-        && turn == state.generation()
-        && !state.desired().equals(Version.NONE)) {
-      launcher.log(
-          "epoch "
-              + epoch
-              + " said "
-              + state.desired()
-              + " for turn "
-              + turn
-              + " and says "
-              + version
-              + " now: the first holds");
-      return;
+    switch (state.compare(epoch, generation, version)) {
+      case STALE ->
+          launcher.log(
+              "a word of epoch %d, turn %d is older than %d, turn %d: not obeyed"
+                  .formatted(epoch, generation, state.epoch(), state.generation()));
+      case CONFLICTING ->
+          launcher.log(
+              "epoch %d said %s for turn %d and says %s now: the first holds"
+                  .formatted(epoch, state.desired(), generation, version));
+      case UNCHANGED -> {
+        if (epoch != state.epoch()) {
+          saveState(state.withDesired(epoch, generation, version));
+        }
+        if (phase == Phase.OFF) {
+          switchTo(version);
+        }
+      }
+      default -> applyNewDesiredState(epoch, generation, version);
     }
-    // no restart was asked for; or it was, and carried out, and this agent's notes of it are lost:
-    // where all agents lose theirs
-    // together, all relays would else be restarted at once
-    boolean asItIs =
-        (turn == 0 || turn == adoptedGeneration)
-            && !same
+  }
+
+  private void applyNewDesiredState(long epoch, int generation, Version version) {
+    // No restart was asked for; or it was, and carried out, and the note of it is lost: where all
+    // agents lose theirs together, all relays would else be restarted at once.
+    boolean runsAlready =
+        (generation == 0 || generation == adoptedGeneration)
             && phase == Phase.READY
             && runningVersion.equals(version);
-    if (!same || epoch != state.epoch()) {
-      saveState(
-          state.withDesired(
-              epoch,
-              turn,
-              same ? state.completedGeneration() : Math.min(state.completedGeneration(), turn - 1),
-              version));
-    }
-    if (!same) {
-      failedRuns = 0;
-    }
-    if (asItIs) {
+    saveState(state.withDesired(epoch, generation, version));
+    backoff.reset();
+    if (runsAlready) {
       completeGeneration();
-    } else if (!same || phase == Phase.OFF) {
+    } else {
       switchTo(version);
     }
   }
@@ -229,13 +219,14 @@
     }
   }
 
+  /** A version that was missing is here. */
   public void downloadSucceeded(Version version) {
     if (version.equals(pendingVersion)) {
       replaceRunning();
     }
   }
 
-  /** It can't be had; what runs goes on. */
+  /** A version can't be had; what runs goes on. */
   public void downloadFailed(Version version, String why) {
     if (!version.equals(pendingVersion)) {
       return;
@@ -248,7 +239,7 @@
     }
   }
 
-  /** All is here: what runs makes room for it, by a signal where that will do. */
+  /** Replaces what runs by the pending version, by a signal where that will do. */
   private void replaceRunning() {
     if (stopped) {
       return;
@@ -268,11 +259,15 @@
           terminate("told to change before it was ready");
         }
       }
-      default -> {} // it ends already; then the next one starts
+      default -> {} // it stops already; the pending version starts after that
     }
   }
 
-  /** The relay was told by a signal to read its settings; {@code taken}: it says that it has. */
+  /**
+   * A reload by signal is over.
+   *
+   * @param taken whether the relay confirmed the settings; it is restarted where it did not
+   */
   public void reloadFinished(Version version, boolean taken) {
     if (phase != Phase.READY || !version.equals(pendingVersion)) {
       return;
@@ -293,13 +288,13 @@
     pendingVersion = null;
     saveState(state.withOneMoreStart());
     forcedStopReason = null;
-    int of = ++runNumber;
+    int scheduledRun = ++runNumber;
     enter(Phase.STARTING);
     launcher.start(runningVersion);
     launcher.schedule(
         launcher.now().plus(timeouts.start()),
         () -> {
-          if (runNumber == of && phase == Phase.STARTING) {
+          if (runNumber == scheduledRun && phase == Phase.STARTING) {
             forcedStopReason = "was not ready within " + Math.round(timeouts.start().ms()) + " ms";
             enter(Phase.STOPPING);
             launcher.kill();
@@ -307,6 +302,7 @@
         });
   }
 
+  /** The relay that was started serves. */
   public void relayStarted() {
     if (phase != Phase.STARTING) {
       return;
@@ -318,15 +314,15 @@
   }
 
   private void enterReady() {
-    int of = runNumber;
+    int scheduledRun = runNumber;
     enter(Phase.READY);
     launcher.schedule(
         launcher.now().plus(timeouts.provenAfter()),
         () -> {
-          if (runNumber != of || phase != Phase.READY) {
+          if (runNumber != scheduledRun || phase != Phase.READY) {
             return;
           }
-          failedRuns = 0;
+          backoff.reset();
           if (!runningVersion.equals(state.lastGood())) {
             saveState(state.withLastGood(runningVersion));
           }
@@ -340,7 +336,7 @@
     launcher.stateChanged();
   }
 
-  /** It holds more than it may: it is ended at once, before it takes the machine along. */
+  /** The relay holds more than it may, and is killed before it takes the machine along. */
   public void limitExceeded(String limit) {
     if (phase != Phase.READY && phase != Phase.STARTING) {
       return;
@@ -351,14 +347,14 @@
   }
 
   private void terminate(String why) {
-    int of = runNumber;
+    int scheduledRun = runNumber;
     launcher.log(runningVersion + " is ended: " + why);
     enter(Phase.STOPPING);
     launcher.terminate();
     launcher.schedule(
         launcher.now().plus(timeouts.stop()),
         () -> {
-          if (runNumber != of || phase != Phase.STOPPING) {
+          if (runNumber != scheduledRun || phase != Phase.STOPPING) {
             return;
           }
           launcher.log(
@@ -370,30 +366,24 @@
         });
   }
 
-  /** The relay's process is gone; {@code how}: with what code, or by which signal. */
+  /** The relay's process is gone; {@code how} names its exit code or signal. */
   public void processExited(String how) {
     if (phase != Phase.STARTING && phase != Phase.READY && phase != Phase.STOPPING) {
       return;
     }
-    boolean told = phase == Phase.STOPPING && forcedStopReason == null;
-    String said =
-        forcedStopReason != null
-            ? forcedStopReason
-            : told
-                ? how + ", as told"
-                : (phase == Phase.READY ? "ended by itself: " : "ended before it was ready: ")
-                    + how;
-    finishedRuns.addLast(new FinishedRun(runningVersion, phaseSince, launcher.now(), said));
+    boolean expected = phase == Phase.STOPPING && forcedStopReason == null;
+    String outcome = outcome(how, expected);
+    finishedRuns.addLast(new FinishedRun(runningVersion, phaseSince, launcher.now(), outcome));
     if (finishedRuns.size() > MAX_FINISHED_RUNS) {
       finishedRuns.removeFirst();
     }
-    Version was = runningVersion;
+    Version exited = runningVersion;
     forcedStopReason = null;
     enter(Phase.OFF);
     if (stopped) {
       return;
     }
-    if (told) {
+    if (expected) {
       if (pendingVersion != null) {
         start();
       } else {
@@ -401,37 +391,45 @@
       }
       return;
     }
-    launcher.log(was + " " + said);
-    launcher.runFailed(was, said);
-    failedRuns++;
-    if (pendingVersion != null && !pendingVersion.equals(was)) {
-      failedRuns = 0;
+    launcher.log(exited + " " + outcome);
+    launcher.runFailed(exited, outcome);
+    backoff.runFailed();
+    if (pendingVersion != null && !pendingVersion.equals(exited)) {
+      backoff.reset();
       start();
     } else {
-      retryAfterBackoff(was);
+      retryAfterBackoff(exited);
+    }
+  }
+
+  private String outcome(String how, boolean expected) {
+    if (forcedStopReason != null) {
+      return forcedStopReason;
+    }
+    if (expected) {
+      return how + ", as told";
     }
+    return (phase == Phase.READY ? "ended by itself: " : "ended before it was ready: ") + how;
   }
 
-  /** After a pause that grows; a version that never ran well gives way after a few tries. */
-  private void retryAfterBackoff(Version was) {
-    boolean fails =
-        failedRuns >= MAX_FAILED_RUNS
-            && !was.equals(state.lastGood())
+  /** A version that never ran well gives way to the last good one after a few failed runs. */
+  private void retryAfterBackoff(Version exited) {
+    boolean givesWay =
+        backoff.isExhausted()
+            && !exited.equals(state.lastGood())
             && !state.lastGood().equals(Version.NONE);
-    if (fails) {
-      failedRuns = 0;
+    if (givesWay) {
+      backoff.reset();
       fallBackToLastGood();
       return;
     }
-    pendingVersion = was;
+    pendingVersion = exited;
     enter(Phase.BACKING_OFF);
-    int of = runNumber;
-    TimeSpan pause =
-        FIRST_BACKOFF.times(Math.pow(2, Math.min(failedRuns, 20) - 1)).atMost(MAX_BACKOFF);
+    int scheduledRun = runNumber;
     launcher.schedule(
-        launcher.now().plus(pause),
+        launcher.now().plus(backoff.pause()),
         () -> {
-          if (runNumber == of && phase == Phase.BACKING_OFF && pendingVersion != null) {
+          if (runNumber == scheduledRun && phase == Phase.BACKING_OFF && pendingVersion != null) {
             switchTo(pendingVersion);
           }
         });
@@ -449,7 +447,7 @@
     start();
   }
 
-  /** The agent ends, and its relay with it. */
+  /** Ends the relay; {@link #isStopped} is true once it is gone. */
   public void stop() {
     stopped = true;
     pendingVersion = null;
@@ -460,21 +458,22 @@
     }
   }
 
+  /** Whether the agent was stopped and its relay is gone. */
   public boolean isStopped() {
     return stopped && phase == Phase.OFF;
   }
 
-  private void enter(Phase now) {
-    phase = now;
+  private void enter(Phase entered) {
+    phase = entered;
     phaseSince = launcher.now();
     launcher.stateChanged();
   }
 
-  private void saveState(AgentState now) {
-    state = now;
-    String wrong = launcher.saveState(now);
-    if (wrong != null) {
-      launcher.log("what is known can't be kept: " + wrong + "; it holds until the agent ends");
+  private void saveState(AgentState changed) {
+    state = changed;
+    String error = launcher.saveState(changed);
+    if (error != null) {
+      launcher.log("what is known can't be kept: " + error + "; it holds until the agent ends");
     }
   }
 }
--- a/src/main/java/sprucerock/agent/AgentConfig.java
+++ b/src/main/java/sprucerock/agent/AgentConfig.java
@@ -18,34 +18,47 @@
   public final int zone;
   public final Path folder;
 
-  /** A controller and its standbys. */
+  /** The controller and its standbys. */
   public final List<InetSocketAddress> controllers;
 
-  /** Run where no controller has spoken yet; null: it is waited for. */
+  /** Run where no controller has spoken yet; null: the agent waits for one. */
   public final Path initialProgram;
 
   public final Path initialSettings;
   public final String javaCommand;
   public final List<String> jvmOptions;
 
-  /**
-   * Of the relay's command line, behind its configuration; ${run} in them stands for the number of
-   * the start.
-   */
+  /** At the end of the relay's command line; ${run} in them stands for the number of the start. */
   public final List<String> relayArguments;
 
-  /** Over which the relay is ended, in MB and open files; 0: no bound of the agent's. */
-  /** Of processors, that the relay may use. */
+  /** Processors that the relay may use; reported to the controller. */
   public final double cores;
 
+  /** Resident memory in MB, over which the relay is ended; 0: not bounded. */
   public final int maxMemoryMb;
+
+  /** Open files and sockets, over which the relay is ended; 0: not bounded. */
   public final int maxDescriptors;
+
+  /** This machine's values for the places of a settings template, by name. */
   public final Map<String, String> templateValues;
+
   public final Agent.Timeouts timeouts;
+
+  /** Between two status reports, at least 100 ms. */
   public final TimeSpan reportInterval;
+
+  /** A file of a version that is larger is not taken. */
   public final long maxArtifactBytes;
+
+  /** Versions that are left on the disk; those that are needed come on top. */
   public final int versionsKept;
 
+  /**
+   * Reads and checks a file.
+   *
+   * @throws ConfigException at the first thing that is wrong
+   */
   public static AgentConfig read(Path file) throws ConfigException {
     return new AgentConfig(XmlElement.read(file, "/sprucerock/agent.xsd"));
   }
@@ -55,16 +68,16 @@
     number = root.count("number");
     zone = root.count("zone");
     folder = Path.of(root.text("folder"));
-    List<InetSocketAddress> found = new ArrayList<>();
-    for (XmlElement one : root.children("controller")) {
-      InetSocketAddress address = Address.of(one.text("host"), one.count("port"));
+    List<InetSocketAddress> addresses = new ArrayList<>();
+    for (XmlElement controller : root.children("controller")) {
+      InetSocketAddress address = Address.of(controller.text("host"), controller.count("port"));
       if (address == null) {
-        throw one.invalid(
-            "host \"" + one.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+        throw controller.invalid(
+            "host \"" + controller.text("host") + "\" is no IPv4 or IPv6 address in numbers");
       }
-      found.add(address);
+      addresses.add(address);
     }
-    controllers = List.copyOf(found);
+    controllers = List.copyOf(addresses);
     XmlElement relay = root.child("relay");
     initialProgram = relay.has("program") ? Path.of(relay.text("program")) : null;
     initialSettings = relay.has("settings") ? Path.of(relay.text("settings")) : null;
@@ -78,13 +91,13 @@
     cores = relay.number("cores");
     maxMemoryMb = relay.has("memory") ? (int) (relay.bytes("memory") >> 20) : 0;
     maxDescriptors = relay.has("descriptors") ? relay.count("descriptors") : 0;
-    Map<String, String> own = new TreeMap<>();
+    Map<String, String> values = new TreeMap<>();
     for (XmlElement value : root.children("value")) {
-      if (own.put(value.text("name"), value.text("text")) != null) {
+      if (values.put(value.text("name"), value.text("text")) != null) {
         throw value.invalid("named twice");
       }
     }
-    templateValues = own;
+    templateValues = values;
     timeouts =
         new Agent.Timeouts(root.span("ready-within"), root.span("end-within"), root.span("proven"));
     reportInterval = root.span("say-every");
--- a/src/main/java/sprucerock/agent/ControllerClient.java
+++ b/src/main/java/sprucerock/agent/ControllerClient.java
@@ -2,10 +2,10 @@
 
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
+import java.nio.file.Files;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -34,16 +34,15 @@
 import sprucerock.transport.wire.v1.Wants;
 
 /**
- * An agent at work: its core between this machine and the controllers, of which only one speaks at
- * a time. One loop owns all of it. What can't be told is told when somebody listens again; the
- * relay runs on meanwhile.
+ * Connects an {@link Agent} and its {@link RelaySupervisor} to the controllers, of which one leads
+ * at a time: takes desired state, sends status reports, downloads versions and answers settings
+ * checks. One loop owns all of it. Without a controller the relay runs on, and reports wait for the
+ * next one that connects.
  */
 public final class ControllerClient {
   private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(1000));
-  private static final int MOST_FAILURES =
-      20; // that wait for a controller; of more the oldest go, and the log has them
-  private static final TimeSpan ASK_AGAIN =
-      TimeSpan.ofMs(5000); // a piece that has not come: the controller may have gone meanwhile
+  private static final TimeSpan STOP_POLL_INTERVAL = TimeSpan.ofMs(20);
+  private static final byte[] NO_BODY = {};
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.agent");
   private final AgentConfig config;
@@ -52,50 +51,45 @@
   private final int zone;
   private final String name;
   private final Tap tap;
-  private final ArtifactStore vault;
-  private final RelaySupervisor here;
+  private final ArtifactStore artifacts;
+  private final RelaySupervisor supervisor;
   private final Agent agent;
   private final List<ReconnectingConnection> connections = new ArrayList<>();
-  private final Deque<Failure> failures = new ArrayDeque<>();
+  private final PendingReports pendingReports = new PendingReports();
+  private final VersionDownloader downloader;
 
-  /**
-   * Those that a controller was told, which it may have lost: the next one is told again, and takes
-   * them for what they are.
-   */
-  private final Deque<Failure> told = new ArrayDeque<>();
+  /** The deployment whose settings are to be checked here, and the version that it has. */
+  private long deploymentToCheck;
 
-  private final Deque<Readable> readables = new ArrayDeque<>();
-  private Version fetching;
-  private ArtifactStore.Download incoming;
-  private String incomingDigest;
-  private long asked;
-  private long toCheck;
-  private Version checks;
-  private boolean marked;
+  private Version versionToCheck;
+  private boolean reportScheduled;
 
   /**
-   * @throws IOException if its folder can't be had
+   * The agent of this machine.
+   *
+   * @throws IOException if its folder can't be made or read
    */
   public ControllerClient(AgentConfig config, NioLoop loop) throws IOException {
-    this(config, loop, vault(config));
+    this(config, loop, artifacts(config));
   }
 
-  private ControllerClient(AgentConfig config, NioLoop loop, ArtifactStore vault) {
+  private ControllerClient(AgentConfig config, NioLoop loop, ArtifactStore artifacts) {
     this(
         config,
         config.name,
         config.number,
         config.zone,
         loop,
-        vault,
+        artifacts,
         Tap.NONE,
-        (says, fails, consumers) ->
-            new LocalRelaySupervisor(config, loop, vault, says, fails, consumers));
+        (onStateChange, onFailedRun, listener) ->
+            new LocalRelaySupervisor(
+                config, loop, artifacts, onStateChange, onFailedRun, listener));
   }
 
   /**
-   * One of many that share a configuration, a loop and a folder of versions: its name, number, zone
-   * and place are its own.
+   * One of many agents that share a configuration, a loop and an artifact store; name, number, zone
+   * and supervisor are each agent's own.
    */
   public ControllerClient(
       AgentConfig config,
@@ -103,310 +97,259 @@
       int number,
       int zone,
       Net loop,
-      ArtifactStore vault,
+      ArtifactStore artifacts,
       Tap tap,
-      RelaySupervisor.Factory places) {
+      RelaySupervisor.Factory supervisors) {
     this.config = config;
     this.name = name;
     this.number = number;
     this.zone = zone;
     this.loop = loop;
-    this.vault = vault;
+    this.artifacts = artifacts;
     this.tap = tap;
-    here =
-        places.create(
-            this::changed,
-            this::failed,
+    supervisor =
+        supervisors.create(
+            this::scheduleReport,
+            this::runFailed,
             new RelaySupervisor.VersionListener() {
               @Override
               public void downloadRequested(Version version) {
-                ControllerClient.this.fetch(version);
+                downloader.start(version);
               }
 
               @Override
               public void settingsChecked(Version version, String refusal) {
-                checked(version, refusal);
+                ControllerClient.this.settingsChecked(version, refusal);
               }
             });
-    agent = new Agent(here, config.timeouts, here.loadState());
-    here.attach(agent);
+    agent = new Agent(supervisor, config.timeouts, supervisor.loadState());
+    supervisor.attach(agent);
+    downloader = new VersionDownloader(artifacts, config.reportInterval, new DownloadCallbacks());
   }
 
-  private static ArtifactStore vault(AgentConfig config) throws IOException {
-    java.nio.file.Files.createDirectories(config.folder);
+  private static ArtifactStore artifacts(AgentConfig config) throws IOException {
+    Files.createDirectories(config.folder);
     return new ArtifactStore(config.folder.resolve("versions"), config.maxArtifactBytes);
   }
 
-  /** On the loop. */
+  /** Adopts or starts the relay and connects to the controllers; called once, on the loop. */
   public void start() {
-    Hello mine =
+    Hello hello =
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
             .setRole(Role.AGENT)
             .setNumber(number)
             .setName(name)
             .build();
-    DeterministicRandom chance = new DeterministicRandom(number);
+    DeterministicRandom random = new DeterministicRandom(number);
     for (InetSocketAddress to : config.controllers) {
-      Door door = new Door(to);
+      ControllerListener listener = new ControllerListener(to);
       ReconnectingConnection connection =
-          new ReconnectingConnection(loop, to, mine, LIMITS, tap, chance, door);
-      door.connection = connection;
+          new ReconnectingConnection(loop, to, hello, LIMITS, tap, random, listener);
+      listener.connection = connection;
       connections.add(connection);
     }
-    here.adoptRunningRelay();
+    supervisor.adoptRunningRelay();
     agent.resume();
     if (config.initialProgram != null) {
       try {
         agent.offerInitialVersion(
-            new Version(vault.store(config.initialProgram), vault.store(config.initialSettings)));
+            new Version(
+                artifacts.store(config.initialProgram), artifacts.store(config.initialSettings)));
       } catch (IOException e) {
-        here.log("what it is to begin with can't be read: " + e.getMessage());
+        supervisor.log("what it is to begin with can't be read: " + e.getMessage());
       }
     }
     connections.forEach(ReconnectingConnection::dial);
-    // from the number, so that a thousand agents that were started together do not speak together
-    loop.at(loop.now().plus(config.reportInterval.times(chance.next())), this::now);
+    // drawn from the number, so that agents that were started together do not report together
+    loop.at(loop.now().plus(config.reportInterval.times(random.next())), this::reportRegularly);
   }
 
-  private void now() {
-    tell();
-    if (fetching != null && ++asked * config.reportInterval.ms() > ASK_AGAIN.ms()) {
-      ask();
-    }
-    loop.at(loop.now().plus(config.reportInterval), this::now);
+  private void reportRegularly() {
+    sendReport();
+    downloader.tick();
+    loop.at(loop.now().plus(config.reportInterval), this::reportRegularly);
   }
 
-  private void changed() {
-    if (marked) {
+  /** Several changes within one turn of the loop make one report. */
+  private void scheduleReport() {
+    if (reportScheduled) {
       return;
     }
-    marked = true;
+    reportScheduled = true;
     loop.atTurnsEnd(
         () -> {
-          marked = false;
-          tell();
+          reportScheduled = false;
+          sendReport();
         });
   }
 
-  private void failed(Version version, String how) {
-    if (failures.size() >= MOST_FAILURES) {
-      failures.removeFirst();
-    }
-    failures.addLast(
+  private void runFailed(Version version, String how) {
+    pendingReports.add(
         Failure.newBuilder()
             .setProgram(version.program())
             .setSettings(version.settings())
             .setHow(how)
             .setTurn(agent.state().generation())
             .build());
-    changed();
+    scheduleReport();
   }
 
-  private void tell() {
-    RelaySums sums = here.readSums();
-    ReconnectingConnection connection =
-        connections.stream().filter(ReconnectingConnection::usable).findFirst().orElse(null);
-    if (connection == null) {
+  private void sendReport() {
+    // read also where nobody listens: it ends a relay that is over its limits
+    RelaySums sums = supervisor.readSums();
+    if (connections.stream().noneMatch(ReconnectingConnection::usable)) {
       return;
     }
-    AgentSays.Builder says =
+    AgentSays.Builder report =
         AgentSays.newBuilder()
             .setZone(zone)
             .setProgram(agent.runningVersion().program())
             .setSettings(agent.runningVersion().settings())
-            .setReady(agent.ready())
+            .setReady(agent.isReady())
             .setDone(agent.completedGeneration())
             .setEpoch(agent.epoch())
-            .setLife(here.incarnation())
+            .setLife(supervisor.incarnation())
             .setStarts(agent.starts())
-            .setCores(config.cores)
-            .addAllFailures(failures)
-            .addAllReadables(readables);
+            .setCores(config.cores);
+    pendingReports.drainInto(report);
     if (sums != null) {
-      says.setSums(sums);
-    }
-    told.addAll(failures);
-    while (told.size() > MOST_FAILURES) {
-      told.removeFirst();
-    }
-    failures.clear();
-    readables.clear();
-    for (ReconnectingConnection one : connections) {
-      if (one.usable()) {
-        one.send(Kind.AGENT, says.build(), new byte[0]);
-      }
+      report.setSums(sums);
     }
+    sendToControllers(Kind.AGENT, report.build());
   }
 
-  // What is missing is fetched, a piece at a time.
-
-  private void fetch(Version version) {
-    fetching = version;
-    nextFile();
-  }
-
-  private void nextFile() {
-    String missing =
-        !vault.has(fetching.settings())
-            ? fetching.settings()
-            : !vault.has(fetching.program()) ? fetching.program() : null;
-    if (missing == null) {
-      Version whole = fetching;
-      fetching = null;
-      trim(whole);
-      if (whole.equals(checks)) {
-        here.checkSettings(whole);
+  private void sendToControllers(Kind kind, MessageLite head) {
+    for (ReconnectingConnection connection : connections) {
+      if (connection.usable()) {
+        connection.send(kind, head, NO_BODY);
       }
-      agent.downloadSucceeded(whole);
-      return;
-    }
-    try {
-      incoming = vault.startDownload(missing);
-      incomingDigest = missing;
-      ask();
-    } catch (IOException e) {
-      notFetched(e.getMessage());
     }
   }
 
-  private void trim(Version whole) {
-    Set<String> needed = new HashSet<>();
-    for (Version one :
-        new Version[] {
-          whole, agent.state().lastGood(), agent.state().desired(), agent.runningVersion()
-        }) {
-      needed.add(one.program());
-      needed.add(one.settings());
-    }
-    try {
-      vault.evictOldest(needed, 2 * config.versionsKept);
-    } catch (IOException | java.io.UncheckedIOException e) {
-      here.log("old versions can't be deleted: " + e.getMessage());
+  private final class DownloadCallbacks implements VersionDownloader.Callbacks {
+    @Override
+    public void request(Fetch fetch) {
+      sendToControllers(Kind.FETCH, fetch);
     }
-  }
 
-  private void ask() {
-    asked = 0;
-    Fetch fetch = Fetch.newBuilder().setDigest(incomingDigest).setFrom(incoming.offset()).build();
-    for (ReconnectingConnection one : connections) {
-      if (one.usable()) {
-        one.send(Kind.FETCH, fetch, new byte[0]);
+    @Override
+    public void downloaded(Version version) {
+      evictOldVersions(version);
+      if (version.equals(versionToCheck)) {
+        supervisor.checkSettings(version);
       }
+      agent.downloadSucceeded(version);
     }
-  }
 
-  private void piece(Piece head, byte[] body) {
-    if (fetching == null
-        || !head.getDigest().equals(incomingDigest)
-        || head.getFrom() != incoming.offset()) {
-      return; // asked for twice
-    }
-    if (head.getMissing()) {
-      notFetched("the controller has it not");
-      return;
-    }
-    try {
-      if (incoming.append(head.getFrom(), body, head.getSize())) {
-        nextFile();
-      } else {
-        ask();
+    @Override
+    public void failed(Version version, String reason) {
+      if (version.equals(versionToCheck)) {
+        settingsChecked(version, reason);
       }
-    } catch (IOException e) {
-      notFetched(e.getMessage());
+      agent.downloadFailed(version, reason);
     }
   }
 
-  private void notFetched(String why) {
-    Version gone = fetching;
-    fetching = null;
-    if (gone.equals(checks)) {
-      checked(gone, why);
+  private void evictOldVersions(Version downloaded) {
+    Set<String> needed = new HashSet<>();
+    for (Version version :
+        List.of(
+            downloaded,
+            agent.state().lastGood(),
+            agent.state().desired(),
+            agent.runningVersion())) {
+      needed.add(version.program());
+      needed.add(version.settings());
+    }
+    try {
+      artifacts.evictOldest(needed, 2 * config.versionsKept);
+    } catch (IOException | UncheckedIOException e) {
+      supervisor.log("old versions can't be deleted: " + e.getMessage());
     }
-    agent.downloadFailed(gone, why);
   }
 
-  private void checked(Version version, String refusal) {
-    if (!version.equals(checks)) {
+  private void settingsChecked(Version version, String refusal) {
+    if (!version.equals(versionToCheck)) {
       return;
     }
-    checks = null;
-    readables.addLast(Readable.newBuilder().setChange(toCheck).setRefusal(refusal).build());
+    versionToCheck = null;
+    pendingReports.add(
+        Readable.newBuilder().setChange(deploymentToCheck).setRefusal(refusal).build());
     if (!refusal.isEmpty()) {
-      here.log("change " + toCheck + " can't be run here: " + refusal);
+      supervisor.log("change " + deploymentToCheck + " can't be run here: " + refusal);
     }
-    changed();
+    scheduleReport();
   }
 
-  /** The agent ends, its relay first; {@code done} is told on the loop. */
-  public void stop(Runnable done) {
+  /** Ends the relay, then closes the connections; {@code onStopped} runs on the loop. */
+  public void stop(Runnable onStopped) {
     agent.stop();
-    wait(done);
+    awaitStopped(onStopped);
   }
 
-  private void wait(Runnable done) {
+  private void awaitStopped(Runnable onStopped) {
     if (!agent.isStopped()) {
-      loop.at(loop.now().plus(TimeSpan.ofMs(20)), () -> wait(done));
+      loop.at(loop.now().plus(STOP_POLL_INTERVAL), () -> awaitStopped(onStopped));
       return;
     }
     connections.forEach(ReconnectingConnection::stop);
-    done.run();
+    onStopped.run();
   }
 
-  /** A controller's end of a link. */
-  private final class Door implements FrameListener {
-    private final InetSocketAddress to;
+  /** What comes from one controller. */
+  private final class ControllerListener implements FrameListener {
+    private final InetSocketAddress address;
     private ReconnectingConnection connection;
-    private boolean up;
+    private boolean connected;
 
-    Door(InetSocketAddress to) {
-      this.to = to;
+    ControllerListener(InetSocketAddress address) {
+      this.address = address;
     }
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void greeted(FrameConnection greeted, Hello other) {
       if (other.getRole() != Role.DESK) {
-        made.cut("no controller");
+        greeted.cut("no controller");
         return;
       }
-      up = true;
-      told.descendingIterator().forEachRemaining(failures::addFirst);
-      told.clear();
-      log.info("CONTROLLER at {} is heard", to);
-      changed();
-      if (fetching != null) {
-        ask();
+      connected = true;
+      pendingReports.resendFailures();
+      log.info("CONTROLLER at {} is heard", address);
+      scheduleReport();
+      if (downloader.isActive()) {
+        downloader.requestChunk();
       }
     }
 
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
       if (kind == Kind.PIECE) {
-        piece((Piece) head, body);
+        downloader.chunkReceived((Piece) head, body);
       } else if (kind == Kind.WANTS) {
-        wants((Wants) head);
+        desiredStateReceived((Wants) head);
       } else {
         connection.cut("an agent takes no " + kind);
       }
     }
 
-    private void wants(Wants wants) {
+    private void desiredStateReceived(Wants desired) {
       try {
-        if (!wants.getProgram().isEmpty()) {
+        if (!desired.getProgram().isEmpty()) {
           agent.applyDesiredState(
-              wants.getEpoch(),
-              wants.getTurn(),
-              new Version(wants.getProgram(), wants.getSettings()));
+              desired.getEpoch(),
+              desired.getTurn(),
+              new Version(desired.getProgram(), desired.getSettings()));
         }
-        if (wants.getChange() == 0 || wants.getEpoch() < agent.epoch()) {
+        if (desired.getChange() == 0 || desired.getEpoch() < agent.epoch()) {
           return;
         }
-        checks = new Version(wants.getCheckProgram(), wants.getCheckSettings());
-        toCheck = wants.getChange();
-        if (here.hasArtifacts(checks)) {
-          here.checkSettings(checks);
-        } else if (fetching == null) {
-          fetch(checks);
+        versionToCheck = new Version(desired.getCheckProgram(), desired.getCheckSettings());
+        deploymentToCheck = desired.getChange();
+        if (supervisor.hasArtifacts(versionToCheck)) {
+          supervisor.checkSettings(versionToCheck);
+        } else if (!downloader.isActive()) {
+          downloader.start(versionToCheck);
         }
       } catch (IllegalArgumentException e) {
         connection.cut(e.getMessage());
@@ -415,10 +358,10 @@
 
     @Override
     public void closed(String why) {
-      if (up) {
-        log.warn("CONTROLLER at {} is lost: {}; the relay runs on", to, why);
+      if (connected) {
+        log.warn("CONTROLLER at {} is lost: {}; the relay runs on", address, why);
       }
-      up = false;
+      connected = false;
     }
   }
 }
--- a/src/main/java/sprucerock/agent/MetricsSummary.java
+++ b/src/main/java/sprucerock/agent/MetricsSummary.java
@@ -5,6 +5,7 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Map;
 import java.util.stream.Stream;
 import sprucerock.accounting.HistogramBuckets;
 import sprucerock.accounting.MethodAccounts;
@@ -13,27 +14,31 @@
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
- * What a relay did so far: its accounts from the file that it keeps, and what the machine says of
- * its process.
+ * Sums of a relay's work so far, from its metrics file, and of its process, from the operating
+ * system.
  */
 final class MetricsSummary {
   private MetricsSummary() {}
 
   /**
-   * {@code utilities}: by the names of methods. Null while there are no figures that can be read.
+   * Reads the sums of a relay.
+   *
+   * @param metricsFile null: the relay has none, and only its process is summed
+   * @param weights by method name; 1 for a method that is not there
+   * @return null while the metrics file can't be read
    */
-  static RelaySums read(Path figures, java.util.Map<String, Double> utilities, long pid) {
+  static RelaySums read(Path metricsFile, Map<String, Double> weights, long pid) {
     RelaySums.Builder sums = RelaySums.newBuilder();
     ProcessHandle.of(pid)
         .flatMap(one -> one.info().totalCpuDuration())
         .ifPresent(time -> sums.setWorkMs(time.toNanos() / 1e6));
     sums.setMemoryMb(memoryMb(pid)).setConnections(descriptors(pid));
-    if (figures == null) {
+    if (metricsFile == null) {
       return sums.build();
     }
     try {
-      MetricsSnapshot snapshot = MetricsSnapshot.read(figures);
-      accounts(snapshot, snapshot.accounts(), utilities, sums);
+      MetricsSnapshot snapshot = MetricsSnapshot.read(metricsFile);
+      addAccounts(snapshot, snapshot.accounts(), weights, sums);
     } catch (NoSuchFileException e) {
       return sums.build(); // it has not begun one yet
     } catch (IOException | MetricsSnapshot.InvalidFileException e) {
@@ -42,16 +47,16 @@
     return sums.build();
   }
 
-  private static void accounts(
+  private static void addAccounts(
       MetricsSnapshot snapshot,
       MethodAccounts accounts,
-      java.util.Map<String, Double> utilities,
+      Map<String, Double> weights,
       RelaySums.Builder sums) {
-    long turned = of(snapshot, accounts.calls, 0, "turned_away");
-    double worth = 0;
-    double inTime = 0;
-    long rpcs = turned;
-    long refused = turned;
+    long rejectedUnread = value(snapshot, accounts.calls, 0, "turned_away");
+    double weightedRequests = 0;
+    double weightedInTime = 0;
+    long requests = rejectedUnread;
+    long rejected = rejectedUnread;
     long aborted = 0;
     long lost = 0;
     long answered = 0;
@@ -61,15 +66,15 @@
       if (method == null) {
         continue;
       }
-      double utility = utilities.getOrDefault(method, 1.0);
-      long taken = of(snapshot, accounts.rpcs, row, "taken");
-      rpcs += taken;
-      worth += utility * taken;
-      inTime += utility * of(snapshot, accounts.answers, row, "in_time");
-      refused += of(snapshot, accounts.rpcs, row, "pushed_back");
-      aborted += of(snapshot, accounts.rpcs, row, "aborted");
-      lost += of(snapshot, accounts.rpcs, row, "lost");
-      answered += of(snapshot, accounts.latency, row, "answered");
+      double weight = weights.getOrDefault(method, 1.0);
+      long accepted = value(snapshot, accounts.rpcs, row, "taken");
+      requests += accepted;
+      weightedRequests += weight * accepted;
+      weightedInTime += weight * value(snapshot, accounts.answers, row, "in_time");
+      rejected += value(snapshot, accounts.rpcs, row, "pushed_back");
+      aborted += value(snapshot, accounts.rpcs, row, "aborted");
+      lost += value(snapshot, accounts.rpcs, row, "lost");
+      answered += value(snapshot, accounts.latency, row, "answered");
       for (int i = 0; i < HistogramBuckets.BUCKETS; i++) {
         answeredMs +=
             snapshot.values[accounts.latency.index(row, 1 + i)]
@@ -77,24 +82,26 @@
                 / 1000.0;
       }
     }
-    worth += turned; // of what was turned away nobody knows the method: as worth as the least
-    sums.setRpcs(rpcs)
-        .setWorth(worth)
-        .setInTime(inTime)
-        .setRefused(refused)
+    weightedRequests +=
+        rejectedUnread; // of what was turned away nobody knows the method: weighed as the least
+    sums.setRpcs(requests)
+        .setWorth(weightedRequests)
+        .setInTime(weightedInTime)
+        .setRefused(rejected)
         .setAborted(aborted)
         .setLost(lost)
         .setAnswered(answered)
         .setAnsweredMs(answeredMs)
         .setMessages(
-            of(snapshot, accounts.messages, 0, "sent") + of(snapshot, accounts.votes, 0, "cast"));
+            value(snapshot, accounts.messages, 0, "sent")
+                + value(snapshot, accounts.votes, 0, "cast"));
   }
 
-  private static long of(MetricsSnapshot snapshot, MethodMetrics sheet, int row, String column) {
-    return snapshot.values[sheet.index(row, sheet.columns().indexOf(column))];
+  private static long value(MetricsSnapshot snapshot, MethodMetrics table, int row, String column) {
+    return snapshot.values[table.index(row, table.columns().indexOf(column))];
   }
 
-  /** What the process holds, in MB; 0 where the machine does not say. */
+  /** Resident memory of a process in MB; 0 where the machine does not tell. */
   static double memoryMb(long pid) {
     try {
       List<String> lines = Files.readAllLines(Path.of("/proc/" + pid + "/status"));
@@ -109,7 +116,7 @@
     return 0;
   }
 
-  /** Its open files and sockets; 0 where the machine does not say. */
+  /** Open files and sockets of a process; 0 where the machine does not tell. */
   static int descriptors(long pid) {
     try (Stream<Path> open = Files.list(Path.of("/proc/" + pid + "/fd"))) {
       return (int) open.count();
--- a/src/main/java/sprucerock/agent/ProcessLauncher.java
+++ b/src/main/java/sprucerock/agent/ProcessLauncher.java
@@ -4,53 +4,57 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What an agent can do on its machine, carried out at once; what comes of it is told to the {@link
- * Agent} later.
+ * What an {@link Agent} can do on its machine. Calls return at once; results are reported to the
+ * agent later, on its thread.
  */
 public interface ProcessLauncher {
+  /** Monotonic time. */
   Timestamp now();
 
-  void schedule(Timestamp when, Runnable what);
+  /** Runs a task on the agent's thread at that time. */
+  void schedule(Timestamp when, Runnable task);
 
-  /** Whether program and settings are here, whole. */
+  /** Whether a version's program and settings are stored here. */
   boolean hasArtifacts(Version version);
 
-  /** Gets what is missing of it; ends in {@link Agent#fetched} or {@link Agent#notFetched}. */
+  /**
+   * Downloads what is missing of a version; ends in {@link Agent#downloadSucceeded} or {@link
+   * Agent#downloadFailed}.
+   */
   void download(Version version);
 
-  /** Reads the settings through with that program; ends in {@link Agent#readThrough}. */
+  /** Has a version's program check its settings; the result goes to the controller. */
   void checkSettings(Version version);
 
-  /**
-   * Starts the relay; ends, if all goes well, in {@link Agent#isReady}, and some time in {@link
-   * Agent#ended}.
-   */
+  /** Starts the relay; {@link Agent#relayStarted} and {@link Agent#processExited} follow. */
   void start(Version version);
 
-  /** SIGTERM. */
+  /** Sends SIGTERM. */
   void terminate();
 
-  /** SIGKILL. */
+  /** Sends SIGKILL. */
   void kill();
 
   /**
-   * Has the relay read new settings, where a signal can take them over; ends in {@link
-   * Agent#reloaded}. False where a restart is needed.
+   * Has the relay take over new settings by a signal; ends in {@link Agent#reloadFinished}.
+   *
+   * @return false where a restart is needed instead
    */
   boolean reload(Version from, Version to);
 
   /**
-   * Keeps what has to be known after the agent's own end; null where the disk took it, else why
-   * not.
+   * Stores what the agent has to remember across its restarts.
+   *
+   * @return null where it is on the disk, else why not, in one line
    */
-  String saveState(AgentState memory);
+  String saveState(AgentState state);
 
-  /** How its relay stands has changed: the controller is told, if it can be heard. */
+  /** The relay's phase or version has changed, and is reported to the controller. */
   void stateChanged();
 
-  /** A run ended other than as told: it did not get ready, ended by itself or went over a limit. */
-  void runFailed(Version version, String how);
+  /** A run ended unasked: it did not get ready, exited by itself or went over a limit. */
+  void runFailed(Version version, String reason);
 
-  /** One line for people. */
+  /** Writes one line to the log. */
   void log(String line);
 }
--- a/src/main/java/sprucerock/agent/RelaySupervisor.java
+++ b/src/main/java/sprucerock/agent/RelaySupervisor.java
@@ -5,40 +5,48 @@
 import sprucerock.transport.wire.v1.RelaySums;
 
 /**
- * The machine that a {@link ControllerClient} works on: what the agent's core can do there, and
- * what is asked of it for the controller. The one of real processes is {@link
- * LocalRelaySupervisor}; a scale run has others, so that thousands of agents run their own core and
- * link in one process.
+ * Where an agent's relay runs, as the {@link ControllerClient} sees it. {@link
+ * LocalRelaySupervisor} has a real process; a scale run has simulated ones, so that thousands of
+ * agents run in one process.
  */
 public interface RelaySupervisor extends ProcessLauncher {
-  /** What comes of a fetch and of reading through is asked of and told to these. */
+  /** Told of what a supervisor can't do, or has done, with a version. */
   interface VersionListener {
+    /** Artifacts of the version are missing here. */
     void downloadRequested(Version version);
 
+    /** A settings check is over; {@code refusal} is one line, empty where they can be used. */
     void settingsChecked(Version version, String refusal);
   }
 
-  /**
-   * Makes the place of one agent; {@code says}: how its relay stands has changed; {@code fails}: a
-   * run ended other than as told.
-   */
+  /** Makes the supervisor of one agent. */
   interface Factory {
+    /**
+     * Makes a supervisor.
+     *
+     * @param onStateChange runs whenever the relay's state has changed
+     * @param onFailedRun gets the version and the reason of a run that ended unasked
+     */
     RelaySupervisor create(
-        Runnable says, BiConsumer<Version, String> fails, VersionListener consumers);
+        Runnable onStateChange,
+        BiConsumer<Version, String> onFailedRun,
+        VersionListener versionListener);
   }
 
-  /** Names the core that is told what comes of things. */
+  /**
+   * Names the agent that is told of events; called once, before all else but {@link #loadState}.
+   */
   void attach(Agent agent);
 
-  /** What an earlier life of the agent kept, else {@link MetricsMemory#NONE}. */
+  /** What an earlier incarnation of the agent saved, else {@link AgentState#NONE}. */
   AgentState loadState();
 
-  /** The relay of an earlier life of the agent goes on, if it runs still. */
+  /** Goes on with the relay of an earlier incarnation of the agent, if it runs still. */
   void adoptRunningRelay();
 
-  /** Its relay's sums; null while there are none. */
+  /** Sums of the relay's work so far; null while there are none. */
   RelaySums readSums();
 
-  /** Which run of the relay this is. */
+  /** Differs between any two relay processes: sums count from there. 0 where none runs. */
   long incarnation();
 }
--- a/src/main/java/sprucerock/agent/SettingsTemplate.java
+++ b/src/main/java/sprucerock/agent/SettingsTemplate.java
@@ -7,28 +7,29 @@
 import java.util.regex.Pattern;
 
 /**
- * Settings of a whole fleet, with places for what is each machine's own: a name in braces behind a
- * dollar sign stands for a value that the agent's configuration has. So one digest names the
- * settings of all.
+ * Relay settings shared by a fleet, with placeholders such as {@code ${name}} for the values that
+ * each agent's configuration has; so one digest names the settings of all machines.
  */
 final class SettingsTemplate {
-  private static final Pattern PLACE = Pattern.compile("\\$\\{([A-Za-z0-9_.-]{1,64})\\}");
+  private static final Pattern PLACEHOLDER = Pattern.compile("\\$\\{([A-Za-z0-9_.-]{1,64})\\}");
 
   private SettingsTemplate() {}
 
   /**
-   * @throws IllegalArgumentException in one line, if a place has no value here
+   * Fills all placeholders; the values are escaped for XML.
+   *
+   * @throws IllegalArgumentException in one line, if a placeholder has no value here
    */
   static String fill(String text, Map<String, String> values) {
     Set<String> missing = new TreeSet<>();
-    Matcher place = PLACE.matcher(text);
+    Matcher placeholder = PLACEHOLDER.matcher(text);
     StringBuilder filled = new StringBuilder();
-    while (place.find()) {
-      String value = values.get(place.group(1));
+    while (placeholder.find()) {
+      String value = values.get(placeholder.group(1));
       if (value == null) {
-        missing.add(place.group(1));
+        missing.add(placeholder.group(1));
       }
-      place.appendReplacement(
+      placeholder.appendReplacement(
           filled, Matcher.quoteReplacement(value == null ? "" : escaped(value)));
     }
     if (!missing.isEmpty()) {
@@ -37,7 +38,7 @@
               + missing
               + ", which this machine's agent has not; give them as <value> in its configuration");
     }
-    return place.appendTail(filled).toString();
+    return placeholder.appendTail(filled).toString();
   }
 
   private static String escaped(String value) {
--- a/src/main/java/sprucerock/agent/artifact/ArtifactStore.java
+++ b/src/main/java/sprucerock/agent/artifact/ArtifactStore.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
+import java.nio.file.attribute.FileTime;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.ArrayList;
@@ -20,23 +21,28 @@
 import java.util.stream.Stream;
 
 /**
- * Programs and settings in a folder, each under the SHA-256 of its bytes: what is there under a
- * name is that, whole, or is not there. What comes in pieces is written aside, checked, forced, and
- * takes its place by one renaming.
+ * Stores programs and settings in a folder, each under the SHA-256 of its bytes. A file under a
+ * digest has that content, completely, or is not there: what arrives in chunks is written to a
+ * partial file, verified, forced to the disk and renamed.
+ *
+ * <p>Not thread-safe; the folder belongs to one store at a time.
  */
 public final class ArtifactStore {
+  private static final int BUFFER_BYTES = 1 << 16;
+  private static final String SHA_256 = "[0-9a-f]{64}";
   private static final String PARTIAL_SUFFIX = ".part";
 
   private final Path folder;
   private final long maxBytes;
 
-  /** Those whose bytes were looked at in this life. */
+  /** Digests whose content was verified by this process. */
   private final Set<String> verified = new HashSet<>();
 
   /**
-   * {@code most}: bytes of one file that are taken.
+   * Opens the store and deletes partial files of an earlier process.
    *
-   * @throws IOException if the folder can't be made
+   * @param maxBytes a larger file is rejected
+   * @throws IOException if the folder can't be made or read
    */
   public ArtifactStore(Path folder, long most) throws IOException {
     this.folder = Files.createDirectories(folder);
@@ -44,16 +50,16 @@
     try (Stream<Path> found = Files.list(folder)) {
       for (Path one : found.toList()) {
         if (one.toString().endsWith(PARTIAL_SUFFIX)) {
-          Files.delete(one); // of an earlier life: begun anew
+          Files.delete(one); // of an earlier process: downloaded anew
         }
       }
     }
   }
 
   /**
-   * Whether it is here, whole. The first time in a life all of it is read: what a crash tore, or
-   * somebody changed, is taken away, and counts as missing. So does what can't be read; whoever
-   * then brings it in is told why the disk refuses.
+   * Whether an artifact is here. Its content is verified the first time; what a crash tore or
+   * somebody changed is deleted and counts as missing. So does what can't be read: storing it again
+   * then shows the disk's error.
    */
   public boolean has(String digest) {
     Path file = path(digest);
@@ -64,29 +70,35 @@
       return true;
     }
     try {
-      boolean right = digest(file).equals(digest);
-      if (right) {
+      boolean intact = digest(file).equals(digest);
+      if (intact) {
         verified.add(digest);
       } else {
         Files.delete(file);
       }
-      return right;
+      return intact;
     } catch (IOException e) {
       return false;
     }
   }
 
-  /** Where it is, or would be. */
+  /**
+   * Where an artifact is, or would be.
+   *
+   * @throws IllegalArgumentException if the digest is no SHA-256 in lower-case hex
+   */
   public Path path(String digest) {
-    if (!digest.matches("[0-9a-f]{64}")) {
+    if (!digest.matches(SHA_256)) {
       throw new IllegalArgumentException("no SHA-256: " + digest);
     }
     return folder.resolve(digest);
   }
 
   /**
-   * Takes a file in; returns its digest. @throws IOException if it can't be read or kept, or is too
-   * large
+   * Copies a file into the store.
+   *
+   * @return its digest
+   * @throws IOException if it can't be read or stored, or is too large
    */
   public String store(Path file) throws IOException {
     long size = Files.size(file);
@@ -109,12 +121,13 @@
     verified.add(digest);
   }
 
+  /** The SHA-256 of a file in lower-case hex. */
   public static String digest(Path file) throws IOException {
     MessageDigest sha = sha256();
-    byte[] piece = new byte[1 << 16];
+    byte[] buffer = new byte[BUFFER_BYTES];
     try (InputStream in = Files.newInputStream(file)) {
-      for (int read = in.read(piece); read > 0; read = in.read(piece)) {
-        sha.update(piece, 0, read);
+      for (int read = in.read(buffer); read > 0; read = in.read(buffer)) {
+        sha.update(buffer, 0, read);
       }
     }
     return HexFormat.of().formatHex(sha.digest());
@@ -128,21 +141,22 @@
     }
   }
 
+  /** An artifact's size in bytes. */
   public long size(String digest) throws IOException {
     return Files.size(path(digest));
   }
 
-  /** So many bytes of it from there on, fewer at its end. */
-  public byte[] readChunk(String digest, long from, int many) throws IOException {
+  /** Up to {@code maxChunkBytes} bytes of an artifact from an offset on; fewer at its end. */
+  public byte[] readChunk(String digest, long offset, int maxChunkBytes) throws IOException {
     try (FileChannel channel = FileChannel.open(path(digest), StandardOpenOption.READ)) {
       ByteBuffer bytes =
-          ByteBuffer.allocate((int) Math.max(0, Math.min(many, channel.size() - from)));
-      while (bytes.hasRemaining() && channel.read(bytes, from + bytes.position()) >= 0) {}
+          ByteBuffer.allocate((int) Math.max(0, Math.min(maxChunkBytes, channel.size() - offset)));
+      while (bytes.hasRemaining() && channel.read(bytes, offset + bytes.position()) >= 0) {}
       return bytes.array();
     }
   }
 
-  /** Something that comes in pieces. */
+  /** An artifact that arrives in chunks, in order. */
   public final class Download {
     private final String digest;
     private final Path partialFile;
@@ -154,23 +168,26 @@
       Files.deleteIfExists(partialFile);
     }
 
-    /** From where the next piece is wanted. */
+    /** Where the next chunk has to begin, in bytes. */
     public long offset() {
       return written;
     }
 
     /**
-     * Takes the next piece; true once all is there and in its place.
+     * Appends the next chunk.
      *
-     * @throws IOException if the disk does not take it, or what came is not what was asked for
+     * @param size of the whole artifact, in bytes
+     * @return true once the artifact is complete, verified and stored
+     * @throws IOException if the disk does not take it, the chunk is not the next one, the artifact
+     *     is too large, or its content has another digest
      */
-    public boolean append(long from, byte[] bytes, long size) throws IOException {
+    public boolean append(long chunkOffset, byte[] bytes, long size) throws IOException {
       if (size > maxBytes) {
         throw new IOException("it has " + size + " bytes, " + maxBytes + " are allowed");
       }
-      if (from != written || bytes.length == 0 || written + bytes.length > size) {
+      if (chunkOffset != written || bytes.length == 0 || written + bytes.length > size) {
         throw new IOException(
-            "a piece from " + from + " came where one from " + written + " was asked for");
+            "a piece from " + chunkOffset + " came where one from " + written + " was asked for");
       }
       Files.write(partialFile, bytes, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
       written += bytes.length;
@@ -191,15 +208,25 @@
     }
   }
 
+  /**
+   * Begins a download, in place of any other of that digest.
+   *
+   * @throws IOException if an earlier partial file can't be deleted
+   */
   public Download startDownload(String digest) throws IOException {
     return new Download(digest);
   }
 
-  /** Leaves the newest so many, and those that are needed whatever their age. */
+  /**
+   * Deletes all but the newest artifacts.
+   *
+   * @param needed digests that stay whatever their age
+   * @param newest how many of the newest stay
+   */
   public void evictOldest(Set<String> needed, int newest) throws IOException {
     List<Path> found = new ArrayList<>();
     try (Stream<Path> all = Files.list(folder)) {
-      all.filter(one -> one.getFileName().toString().matches("[0-9a-f]{64}")).forEach(found::add);
+      all.filter(one -> one.getFileName().toString().matches(SHA_256)).forEach(found::add);
     }
     found.sort(Comparator.comparing(ArtifactStore::lastModified).reversed());
     for (int i = newest; i < found.size(); i++) {
@@ -214,7 +241,7 @@
     Files.delete(file);
   }
 
-  private static java.nio.file.attribute.FileTime lastModified(Path file) {
+  private static FileTime lastModified(Path file) {
     try {
       return Files.getLastModifiedTime(file);
     } catch (IOException e) {
--- a/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
+++ b/src/test/java/sprucerock/agent/AgentFolderCompatTest.java
@@ -21,9 +21,9 @@
 import sprucerock.transport.net.nio.NioLoop;
 
 /**
- * An agent's folder and the command line of its relay, by which a later agent's life, of a newer
- * program perhaps, knows both again: its notes, the note of the process, the versions, the settings
- * filled in. The relay is a script that says that it started.
+ * An agent's folder and the command line of its relay, by which a later agent's incarnation, of a
+ * newer program perhaps, knows both again: its notes, the note of the process, the versions, the
+ * settings filled in. The relay is a script that says that it started.
  */
 public class AgentFolderCompatTest {
   private static final String FOLDER = "agent/";
@@ -54,16 +54,16 @@
   private static final int TURN = 7;
   private static final Version GOOD = new Version("a".repeat(64), "b".repeat(64));
 
-  /** An agent's life in a folder, up to its machine; the relay that it started outlives it. */
-  private static final class Life implements AutoCloseable {
+  /** An agent with its supervisor in a folder; the relay that it started outlives it. */
+  private static final class Incarnation implements AutoCloseable {
     private final Path folder;
     private final NioLoop loop;
-    private final ArtifactStore vault;
-    private final LocalRelaySupervisor here;
+    private final ArtifactStore artifacts;
+    private final LocalRelaySupervisor supervisor;
     private final Agent agent;
     private final Version version;
 
-    Life(Path folder, Path corpus) throws Exception {
+    Incarnation(Path folder, Path corpus) throws Exception {
       this.folder = folder;
       Path configuration = folder.resolveSibling(folder.getFileName() + ".xml");
       Files.writeString(
@@ -72,12 +72,14 @@
       AgentConfig config = AgentConfig.read(configuration);
       Files.delete(configuration);
       loop = new NioLoop("agent", Throwable::printStackTrace);
-      vault = new ArtifactStore(folder.resolve("versions"), config.maxArtifactBytes);
-      here = new LocalRelaySupervisor(config, loop, vault, () -> {}, (any, how) -> {}, null);
+      artifacts = new ArtifactStore(folder.resolve("versions"), config.maxArtifactBytes);
+      supervisor =
+          new LocalRelaySupervisor(config, loop, artifacts, () -> {}, (any, how) -> {}, null);
       version =
-          new Version(vault.store(corpus.resolve(PROGRAM)), vault.store(corpus.resolve(SETTINGS)));
-      agent = new Agent(here, config.timeouts, memory(version));
-      here.attach(agent);
+          new Version(
+              artifacts.store(corpus.resolve(PROGRAM)), artifacts.store(corpus.resolve(SETTINGS)));
+      agent = new Agent(supervisor, config.timeouts, state(version));
+      supervisor.attach(agent);
     }
 
     private <T> T onLoop(Supplier<T> what) throws Exception {
@@ -107,8 +109,8 @@
     }
   }
 
-  private static AgentState memory(Version wanted) {
-    return new AgentState(5, TURN, 6, wanted, GOOD, 41);
+  private static AgentState state(Version desired) {
+    return new AgentState(5, TURN, 6, desired, GOOD, 41);
   }
 
   private static Path folder() throws IOException {
@@ -127,13 +129,13 @@
     }
   }
 
-  private static void start(Life life) throws Exception {
-    life.run(
+  private static void start(Incarnation incarnation) throws Exception {
+    incarnation.run(
         () -> {
-          life.here.saveState(life.agent.state());
-          life.here.start(life.version);
+          incarnation.supervisor.saveState(incarnation.agent.state());
+          incarnation.supervisor.start(incarnation.version);
         });
-    await(() -> Files.exists(life.folder.resolve(ARGUMENTS)));
+    await(() -> Files.exists(incarnation.folder.resolve(ARGUMENTS)));
   }
 
   /** Notes are lines of names and values, in any order, with a comment that has the time. */
@@ -168,15 +170,15 @@
     }
   }
 
-  private static String read(AgentState memory) {
+  private static String read(AgentState state) {
     return String.join(
             "\n",
-            "epoch " + memory.epoch(),
-            "turn " + memory.generation(),
-            "done " + memory.completedGeneration(),
-            "starts " + memory.starts(),
-            "wanted " + memory.desired().program() + " " + memory.desired().settings(),
-            "good " + memory.lastGood().program() + " " + memory.lastGood().settings())
+            "epoch " + state.epoch(),
+            "turn " + state.generation(),
+            "done " + state.completedGeneration(),
+            "starts " + state.starts(),
+            "wanted " + state.desired().program() + " " + state.desired().settings(),
+            "good " + state.lastGood().program() + " " + state.lastGood().settings())
         + "\n";
   }
 
@@ -185,10 +187,10 @@
    */
   public static void record(Path corpus) throws Exception {
     Path folder = folder();
-    try (Life life = new Life(folder, corpus)) {
-      start(life);
+    try (Incarnation incarnation = new Incarnation(folder, corpus)) {
+      start(incarnation);
       Files.write(corpus.resolve(NOTES), notes(folder.resolve("agent.state")));
-      Files.writeString(corpus.resolve(NOTES_READ), read(life.here.loadState()));
+      Files.writeString(corpus.resolve(NOTES_READ), read(incarnation.supervisor.loadState()));
       Files.write(corpus.resolve(COMMAND), command(folder));
       Files.writeString(corpus.resolve(PROCESS_NOTE), processNote(folder) + "\n");
       Files.copy(
@@ -196,33 +198,33 @@
           corpus.resolve(FILLED),
           java.nio.file.StandardCopyOption.REPLACE_EXISTING);
       Files.write(corpus.resolve(FILES), files(folder));
-      life.run(life.here::kill);
+      incarnation.run(incarnation.supervisor::kill);
     }
     CorpusFiles.remove(folder);
   }
 
   @Test
-  public void recordedNotesAreReadTheSame() throws Exception {
+  public void readsRecordedState() throws Exception {
     Path folder = folder();
-    try (Life life = new Life(folder, CorpusFiles.path(""))) {
+    try (Incarnation incarnation = new Incarnation(folder, CorpusFiles.path(""))) {
       Files.copy(CorpusFiles.path(NOTES), folder.resolve("agent.state"));
-      assertEquals(read(life.here.loadState()), CorpusFiles.text(NOTES_READ));
+      assertEquals(read(incarnation.supervisor.loadState()), CorpusFiles.text(NOTES_READ));
     } finally {
       CorpusFiles.remove(folder);
     }
   }
 
   @Test
-  public void aStartedRelayHasTheSameCommandLineAndFiles() throws Exception {
+  public void startsRelayWithRecordedCommandLineAndFiles() throws Exception {
     Path folder = folder();
-    try (Life life = new Life(folder, CorpusFiles.path(""))) {
-      start(life);
+    try (Incarnation incarnation = new Incarnation(folder, CorpusFiles.path(""))) {
+      start(incarnation);
       assertEquals(command(folder), CorpusFiles.lines(COMMAND));
       assertEquals(processNote(folder), CorpusFiles.lines(PROCESS_NOTE).get(0));
       assertEquals(notes(folder.resolve("agent.state")), CorpusFiles.lines(NOTES));
       assertEquals(Files.readString(folder.resolve("relay.xml")), CorpusFiles.text(FILLED));
       assertEquals(files(folder), CorpusFiles.lines(FILES));
-      life.run(life.here::kill);
+      incarnation.run(incarnation.supervisor::kill);
     } finally {
       CorpusFiles.remove(folder);
     }
@@ -242,7 +244,7 @@
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .start();
-    try (Life life = new Life(folder, CorpusFiles.path(""))) {
+    try (Incarnation incarnation = new Incarnation(folder, CorpusFiles.path(""))) {
       await(() -> Files.exists(folder.resolve(ARGUMENTS)));
       if (noted) {
         Files.writeString(
@@ -254,11 +256,13 @@
                 + CorpusFiles.lines(PROCESS_NOTE).get(0));
       }
       Files.copy(CorpusFiles.path(FILLED), folder.resolve("relay.xml"));
-      life.run(life.here::adoptRunningRelay);
-      assertEquals(life.onLoop(life.agent::phase), Agent.Phase.READY);
-      assertEquals(life.onLoop(life.agent::runningVersion), life.version);
+      incarnation.run(incarnation.supervisor::adoptRunningRelay);
+      assertEquals(incarnation.onLoop(incarnation.agent::phase), Agent.Phase.READY);
+      assertEquals(incarnation.onLoop(incarnation.agent::runningVersion), incarnation.version);
       assertEquals(
-          (int) life.onLoop(life.agent::completedGeneration), TURN, "that turn is carried out");
+          (int) incarnation.onLoop(incarnation.agent::completedGeneration),
+          TURN,
+          "that turn is carried out");
     } finally {
       relay.destroyForcibly();
       CorpusFiles.remove(folder);
@@ -266,12 +270,12 @@
   }
 
   @Test
-  public void aRelayIsKnownByTheRecordedMark() throws Exception {
+  public void adoptsRelayByRecordedMark() throws Exception {
     adopts(false);
   }
 
   @Test
-  public void aRelayIsKnownByTheRecordedNote() throws Exception {
+  public void adoptsRelayByRecordedNote() throws Exception {
     adopts(true);
   }
 }
--- a/src/test/java/sprucerock/agent/artifact/ArtifactStoreTest.java
+++ b/src/test/java/sprucerock/agent/artifact/ArtifactStoreTest.java
@@ -14,8 +14,7 @@
 import org.testng.annotations.Test;
 
 /**
- * What is in the folder under a name is that, whole, or is not there: whatever crashes and people
- * do to it.
+ * An artifact is there completely under its digest or not at all, after crashes and edits alike.
  */
 public class ArtifactStoreTest {
   private static final byte[] PROGRAM = new byte[100_000];
@@ -23,55 +22,55 @@
   private String digest;
 
   @BeforeMethod
-  public void begin() throws Exception {
-    folder = Files.createTempDirectory("vault");
+  public void storeProgram() throws Exception {
+    folder = Files.createTempDirectory("store");
     Arrays.fill(PROGRAM, (byte) 7);
     digest =
         new ArtifactStore(folder, 1 << 20)
             .store(Files.write(Files.createTempFile("program", ".jar"), PROGRAM));
   }
 
-  private ArtifactStore nextLife() throws IOException {
+  private ArtifactStore reopened() throws IOException {
     return new ArtifactStore(folder, 1 << 20);
   }
 
   @Test
-  public void aFileThatWasTornOrChangedIsMissingAndCanBeFetchedAgain() throws Exception {
-    assertTrue(nextLife().has(digest));
-    for (byte[] wrong :
+  public void deletesDamagedArtifactAndTakesItAgain() throws Exception {
+    assertTrue(reopened().has(digest));
+    for (byte[] damaged :
         new byte[][] {Arrays.copyOf(PROGRAM, 99_999), new byte[0], new byte[100_000]}) {
-      Files.write(folder.resolve(digest), wrong);
-      ArtifactStore vault = nextLife();
-      assertFalse(vault.has(digest));
-      ArtifactStore.Download incoming = vault.startDownload(digest);
-      assertFalse(incoming.append(0, Arrays.copyOf(PROGRAM, 60_000), PROGRAM.length));
-      assertFalse(vault.has(digest), "half of it is not it");
+      Files.write(folder.resolve(digest), damaged);
+      ArtifactStore store = reopened();
+      assertFalse(store.has(digest));
+      ArtifactStore.Download download = store.startDownload(digest);
+      assertFalse(download.append(0, Arrays.copyOf(PROGRAM, 60_000), PROGRAM.length));
+      assertFalse(store.has(digest), "half of it is not it");
       assertTrue(
-          incoming.append(
+          download.append(
               60_000, Arrays.copyOfRange(PROGRAM, 60_000, PROGRAM.length), PROGRAM.length));
-      assertTrue(vault.has(digest));
+      assertTrue(store.has(digest));
     }
   }
 
   @Test
-  public void anEndBetweenTwoPiecesLeavesNothingThatCountsAsThere() throws Exception {
+  public void dropsPartialDownloadOnReopen() throws Exception {
     String other = "0".repeat(64);
-    nextLife().startDownload(other).append(0, new byte[10], 20);
+    reopened().startDownload(other).append(0, new byte[10], 20);
     assertEquals(Files.list(folder).count(), 2);
-    assertFalse(nextLife().has(other));
+    assertFalse(reopened().has(other));
     assertEquals(Files.list(folder).count(), 1, "half of a file stays for ever");
   }
 
   @Test
-  public void whatIsNotWhatWasAskedForIsNotKept() throws Exception {
-    ArtifactStore vault = nextLife();
-    ArtifactStore.Download incoming = vault.startDownload("0".repeat(64));
+  public void rejectsContentOfAnotherDigest() throws Exception {
+    ArtifactStore store = reopened();
+    ArtifactStore.Download download = store.startDownload("0".repeat(64));
     assertTrue(
-        expectThrows(IOException.class, () -> incoming.append(0, new byte[10], 10))
+        expectThrows(IOException.class, () -> download.append(0, new byte[10], 10))
             .getMessage()
             .contains("has the digest"));
-    assertFalse(vault.has("0".repeat(64)));
-    vault.evictOldest(Set.of(), 0);
-    assertFalse(vault.has(digest));
+    assertFalse(store.has("0".repeat(64)));
+    store.evictOldest(Set.of(), 0);
+    assertFalse(store.has(digest));
   }
 }
