--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -41,11 +41,11 @@
   private final RelayConfig config;
   private final RequestTracker ledger;
   private final EventLog events;
-  private final Consumer<VoteReply> answered;
-  private final ReconnectingConnection redial;
-  private final Map<Long, Timer> votes = new HashMap<>();
-  private final Runnable learnt;
-  private final Consumer<Promised> promised;
+  private final Consumer<VoteReply> onVoteReply;
+  private final ReconnectingConnection connection;
+  private final Map<Long, Timer> pendingVotes = new HashMap<>();
+  private final Runnable onNews;
+  private final Consumer<Promised> onPromise;
   private long lastVote;
   private long epoch;
   private long sequence;
@@ -64,24 +64,24 @@
       Consumer<VoteReply> answered,
       Consumer<Promised> promised,
       Runnable learnt) {
-    this.promised = promised;
-    this.learnt = learnt;
+    this.onPromise = promised;
+    this.onNews = learnt;
     this.net = net;
     this.config = config;
     this.ledger = ledger;
     this.events = events;
-    this.answered = answered;
-    redial =
+    this.onVoteReply = answered;
+    connection =
         new ReconnectingConnection(net, config.desk, mine, config.connection, tap, chance, this);
   }
 
   public void start() {
-    redial.connect();
+    connection.connect();
   }
 
   public void stop() {
     stopping = true;
-    redial.stop();
+    connection.stop();
   }
 
   /** News has come since the start. */
@@ -89,13 +89,13 @@
     return hasNews;
   }
 
-  void tell(Worth worth) {
-    redial.send(FrameKind.WORTH, worth, FrameClientConnection.NO_BODY);
+  void publishModel(Worth worth) {
+    connection.send(FrameKind.WORTH, worth, FrameClientConnection.NO_BODY);
   }
 
   /** False where the desk is away. */
   public boolean requestPromise(PromiseAsk ask) {
-    return redial.send(FrameKind.PROMISE_ASK, ask, FrameClientConnection.NO_BODY);
+    return connection.send(FrameKind.PROMISE_ASK, ask, FrameClientConnection.NO_BODY);
   }
 
   /** Ends in one answer, or in none within the time that the settings have. */
@@ -110,18 +110,18 @@
           case HOLD -> Say.HOLD;
           case BACK -> Say.BACK;
         };
-    redial.send(
+    connection.send(
         FrameKind.VOTE,
         Vote.newBuilder().setId(id).setBuild(build.number).setStage(stage).setSay(say).build(),
         FrameClientConnection.NO_BODY);
     // one that could not be sent is not answered either: to the module the desk is away in both
     // cases
-    votes.put(
+    pendingVotes.put(
         id,
         net.at(
             net.now().plus(config.settings.callTimeout),
             () -> {
-              votes.remove(id);
+              pendingVotes.remove(id);
               events.warn(
                   EventLog.Event.VOTE_UNANSWERED,
                   "vote "
@@ -131,15 +131,15 @@
                       + " within "
                       + config.settings.callTimeout.ms()
                       + " ms; it may count");
-              count(5);
-              answered.accept(VoteReply.UNANSWERED);
+              countVote(5);
+              onVoteReply.accept(VoteReply.UNANSWERED);
             }));
   }
 
   @Override
   public void helloReceived(FrameConnection connection, Hello other) {
     if (other.getRole() != Role.DESK) {
-      redial.cut("no release desk answers there");
+      connection.cut("no release desk answers there");
       return;
     }
     events.info(EventLog.Event.DESK_BACK, "linked to the release desk at " + config.desk);
@@ -148,19 +148,19 @@
   @Override
   public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
     if (kind == FrameKind.NEWS) {
-      news((News) head);
+      applyNews((News) head);
     } else if (kind == FrameKind.COUNTS) {
-      counts((Counts) head);
+      applyCounts((Counts) head);
     } else if (kind == FrameKind.VOTED) {
-      voted((Voted) head);
+      voteReplied((Voted) head);
     } else if (kind == FrameKind.PROMISED) {
-      promised.accept((Promised) head);
+      onPromise.accept((Promised) head);
     } else {
-      redial.cut("a release desk sends no " + kind);
+      connection.cut("a release desk sends no " + kind);
     }
   }
 
-  private void news(News news) {
+  private void applyNews(News news) {
     RolloutState standing =
         switch (news.getStanding()) {
           case ON_TRIAL -> RolloutState.ON_TRIAL;
@@ -210,10 +210,10 @@
     TimeSpan lasted = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
     ledger.news(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
     hasNews = true;
-    learnt.run();
+    onNews.run();
   }
 
-  private void counts(Counts counts) {
+  private void applyCounts(Counts counts) {
     int method = counts.getMethod();
     if (method < 0
         || method >= config.settings.methods.size()
@@ -238,8 +238,8 @@
         TimeSpan.ofMs(counts.getMeanUs() / 1000.0));
   }
 
-  private void voted(Voted voted) {
-    Timer timer = votes.remove(voted.getId());
+  private void voteReplied(Voted voted) {
+    Timer timer = pendingVotes.remove(voted.getId());
     if (timer == null) {
       return; // answered too late: it was taken as unanswered
     }
@@ -251,11 +251,11 @@
           case TOO_MANY -> VoteReply.TOO_MANY;
           default -> VoteReply.ERROR;
         };
-    count(1 + reply.ordinal());
-    answered.accept(reply);
+    countVote(1 + reply.ordinal());
+    onVoteReply.accept(reply);
   }
 
-  private void count(int column) {
+  private void countVote(int column) {
     MethodAccounts accounts = ledger.accounts();
     accounts.move(accounts.votes, 0, accounts.votes.pending(), column);
   }
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -39,14 +39,14 @@
    * A run of a unit's process, by the roster's number for it, with the one start time that it keeps
    * here.
    */
-  private record Run(long number, Timestamp started) {}
+  private record ProcessRun(long number, Timestamp started) {}
 
   /**
    * The listed units of one rack that may get work if the rack may. They are looked at when its
    * verdict turns, not at each look at racks: a look is for twenty times a second, and racks are a
    * fraction of the units.
    */
-  private static final class Rack {
+  private static final class RackEndpoints {
     private final int zone;
     private final int cell;
     private final Map<Long, Entry> ready = new TreeMap<>();
@@ -57,7 +57,7 @@
      */
     private Boolean mayPlace;
 
-    Rack(Endpoint first) {
+    RackEndpoints(Endpoint first) {
       zone = first.zone;
       cell = first.cell;
     }
@@ -67,20 +67,20 @@
   private final RelayConfig config;
   private final RequestTracker ledger;
   private final EventLog events;
-  private final EndpointConnectionPool.PoolListener owner;
-  private final DeterministicRandom chance;
-  private final Runnable listFailed;
-  private final ReconnectingConnection redial;
-  private final Map<Long, Run> runs = new HashMap<>();
+  private final EndpointConnectionPool.PoolListener poolListener;
+  private final DeterministicRandom random;
+  private final Runnable onListFailed;
+  private final ReconnectingConnection connection;
+  private final Map<Long, ProcessRun> runs = new HashMap<>();
 
   /** By {@link RackSnapshot#key}; none is empty. */
-  private final Map<Integer, Rack> rackOf = new TreeMap<>();
+  private final Map<Integer, RackEndpoints> racksByKey = new TreeMap<>();
 
-  private final RackPermits racks;
-  private final Runnable learnt;
-  private final Consumer<Endpoint> changed;
-  private boolean listed;
-  private boolean asked;
+  private final RackPermits permits;
+  private final Runnable onList;
+  private final Consumer<Endpoint> onEndpointChanged;
+  private boolean hasList;
+  private boolean isAwaitingList;
   private boolean stopping;
 
   DiscoveryConnection(
@@ -96,64 +96,65 @@
       Runnable listFailed,
       Runnable learnt,
       Consumer<Endpoint> changed) {
-    this.changed = changed;
-    this.racks = racks;
-    this.learnt = learnt;
+    this.onEndpointChanged = changed;
+    this.permits = racks;
+    this.onList = learnt;
     this.net = net;
     this.config = config;
     this.ledger = ledger;
     this.events = events;
-    this.owner = owner;
-    this.chance = chance;
-    this.listFailed = listFailed;
-    redial =
+    this.poolListener = owner;
+    this.random = chance;
+    this.onListFailed = listFailed;
+    connection =
         new ReconnectingConnection(net, config.roster, mine, config.connection, tap, chance, this);
   }
 
   void start() {
-    redial.connect();
+    connection.connect();
   }
 
   void stop() {
     stopping = true;
-    redial.stop();
+    connection.stop();
   }
 
   /** A whole list has come since the start. */
-  boolean listed() {
-    return listed;
+  boolean hasList() {
+    return hasList;
   }
 
   /** The module asks for the list and its changes; where the roster is away, it is told so. */
   void subscribe() {
-    if (redial.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
-      asked = true;
+    if (connection.send(
+        FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
+      isAwaitingList = true;
     } else {
-      net.atTurnsEnd(listFailed);
+      net.atTurnsEnd(onListFailed);
     }
   }
 
   @Override
   public void helloReceived(FrameConnection connection, Hello other) {
     if (other.getRole() != Role.ROSTER) {
-      redial.cut("no roster answers there");
+      connection.cut("no roster answers there");
       return;
     }
     events.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.roster);
     if (!config.settings.ask) {
-      redial.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
+      connection.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
   }
 
   @Override
   public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
     if (kind != FrameKind.LISTING) {
-      redial.cut("a roster sends no " + kind);
+      connection.cut("a roster sends no " + kind);
       return;
     }
     Listing listing = (Listing) head;
     if (listing.getForm() == Form.FAILED) {
-      failed();
+      listFailed();
       return;
     }
     if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
@@ -162,36 +163,36 @@
           "a listing that is neither whole nor changes; the old one holds");
       return;
     }
-    asked = false;
+    isAwaitingList = false;
     Set<Long> named = new HashSet<>();
     for (Entry entry : listing.getEntriesList()) {
       named.add(entry.getUnit());
-      take(entry);
+      apply(entry);
     }
     if (listing.getForm() == Form.WHOLE) {
       for (Endpoint endpoint : ledger.units()) {
         if (!named.contains(endpoint.id)) {
-          removed(endpoint);
+          remove(endpoint);
         }
       }
-      listed = true;
-      learnt.run();
+      hasList = true;
+      onList.run();
     }
   }
 
-  private void failed() {
-    if (!asked) {
+  private void listFailed() {
+    if (!isAwaitingList) {
       return;
     }
-    asked = false;
-    listFailed.run();
+    isAwaitingList = false;
+    onListFailed.run();
   }
 
-  private void take(Entry entry) {
+  private void apply(Entry entry) {
     Endpoint known = ledger.unit(entry.getUnit());
     if (entry.getHealth() == Health.GONE) {
       if (known != null) {
-        removed(known);
+        remove(known);
       }
       return;
     }
@@ -222,25 +223,25 @@
               + "; the entry is left out");
       return;
     }
-    Run run = runs.get(entry.getUnit());
+    ProcessRun run = runs.get(entry.getUnit());
     if (run == null || run.number != entry.getRun()) {
       // its age is told anew with each listing, late by the way here: the first one told is kept
       TimeSpan age = TimeSpan.ofMs(entry.getAgeUs() / 1000.0);
-      run = new Run(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
+      run = new ProcessRun(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
       runs.put(entry.getUnit(), run);
     }
     boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
     boolean moved =
         sameRun
             && known.door != null
-            && !((EndpointConnectionPool) known.door).at(address, entry.getName());
+            && !((EndpointConnectionPool) known.door).isFor(address, entry.getName());
     if (known != null && (!sameRun || moved)) {
-      leave(known);
+      closePool(known);
     }
     if (moved) {
       ledger.removed(known.id);
     }
-    boolean mayPlace = racks.mayPlace(entry.getZone(), entry.getCell());
+    boolean mayPlace = permits.mayPlace(entry.getZone(), entry.getCell());
     Endpoint endpoint =
         ledger.listed(
             entry.getUnit(),
@@ -252,42 +253,43 @@
             entry.getWeight(),
             entry.getHealth() == Health.READY && mayPlace);
     if (known != null && known != endpoint) {
-      forget(known);
+      removeFromRack(known);
     }
     if (entry.getHealth() == Health.READY) {
-      remember(endpoint, entry, mayPlace);
+      addToRack(endpoint, entry, mayPlace);
     } else {
-      forget(endpoint);
+      removeFromRack(endpoint);
     }
     if (endpoint.door == null) {
       endpoint.door =
-          new EndpointConnectionPool(endpoint, address, entry.getName(), config, chance, owner);
+          new EndpointConnectionPool(
+              endpoint, address, entry.getName(), config, random, poolListener);
     }
     if (entry.getHealth() == Health.DRAINING) {
-      leave(endpoint);
+      closePool(endpoint);
     }
-    changed.accept(endpoint);
+    onEndpointChanged.accept(endpoint);
   }
 
-  private void remember(Endpoint endpoint, Entry entry, boolean mayPlace) {
-    Rack rack =
-        rackOf.computeIfAbsent(
-            RackSnapshot.key(endpoint.zone, endpoint.cell), any -> new Rack(endpoint));
+  private void addToRack(Endpoint endpoint, Entry entry, boolean mayPlace) {
+    RackEndpoints rack =
+        racksByKey.computeIfAbsent(
+            RackSnapshot.key(endpoint.zone, endpoint.cell), any -> new RackEndpoints(endpoint));
     rack.ready.put(endpoint.id, entry);
     if (rack.mayPlace != null && rack.mayPlace != mayPlace) {
       rack.mayPlace = null;
     }
   }
 
-  private void forget(Endpoint endpoint) {
+  private void removeFromRack(Endpoint endpoint) {
     int key = RackSnapshot.key(endpoint.zone, endpoint.cell);
-    Rack rack = rackOf.get(key);
+    RackEndpoints rack = racksByKey.get(key);
     if (rack == null) {
       return;
     }
     rack.ready.remove(endpoint.id);
     if (rack.ready.isEmpty()) {
-      rackOf.remove(key);
+      racksByKey.remove(key);
     }
   }
 
@@ -295,37 +297,37 @@
    * Units of a rack that must be left are told as such that drain, and once it may be used again as
    * listed: the module knows no racks.
    */
-  void racksChanged() {
-    List<Rack> turned = new ArrayList<>();
-    for (Rack rack : rackOf.values()) {
-      boolean mayPlace = racks.mayPlace(rack.zone, rack.cell);
+  void permitsChanged() {
+    List<RackEndpoints> turned = new ArrayList<>();
+    for (RackEndpoints rack : racksByKey.values()) {
+      boolean mayPlace = permits.mayPlace(rack.zone, rack.cell);
       if (rack.mayPlace != null && rack.mayPlace == mayPlace) {
         continue;
       }
       rack.mayPlace = mayPlace;
       turned.add(rack);
     }
-    for (Rack rack : turned) {
+    for (RackEndpoints rack : turned) {
       boolean mayPlace = rack.mayPlace;
       for (Entry entry : new ArrayList<>(rack.ready.values())) {
         if (ledger.unit(entry.getUnit()).ready() != mayPlace) {
-          take(entry);
+          apply(entry);
         }
       }
     }
   }
 
-  private void removed(Endpoint endpoint) {
+  private void remove(Endpoint endpoint) {
     runs.remove(endpoint.id);
-    forget(endpoint);
+    removeFromRack(endpoint);
     ledger.removed(endpoint.id);
-    leave(endpoint);
-    changed.accept(endpoint);
+    closePool(endpoint);
+    onEndpointChanged.accept(endpoint);
   }
 
-  private static void leave(Endpoint endpoint) {
+  private static void closePool(Endpoint endpoint) {
     if (endpoint.door != null) {
-      ((EndpointConnectionPool) endpoint.door).leave();
+      ((EndpointConnectionPool) endpoint.door).close();
     }
   }
 
@@ -334,6 +336,6 @@
     if (!stopping) {
       events.warn(EventLog.Event.ROSTER_LOST, why + "; the units listed last hold");
     }
-    failed();
+    listFailed();
   }
 }
--- a/src/main/java/sprucerock/relay/frames/EndpointConnection.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnection.java
@@ -22,56 +22,56 @@
 final class EndpointConnection implements FrameListener {
   private static final byte[] NO_BODY = {};
 
-  private final EndpointConnectionPool connections;
-  private final Map<Long, FrameExchange> live = new LinkedHashMap<>();
+  private final EndpointConnectionPool pool;
+  private final Map<Long, FrameExchange> inFlight = new LinkedHashMap<>();
   FrameConnection connection;
 
   /** The unit said who it is, and is the one meant. */
-  boolean greeted;
+  boolean isReady;
 
   /** Gets nothing new, and is closed once it is empty. */
-  boolean retired;
+  boolean isRetired;
 
-  Timestamp usedLast;
+  Timestamp lastUsed;
   private long lastId;
-  private int forsaken;
+  private int abandoned;
 
   EndpointConnection(EndpointConnectionPool connections, Timestamp now) {
-    this.connections = connections;
-    usedLast = now;
+    this.pool = connections;
+    lastUsed = now;
   }
 
-  sprucerock.model.Endpoint unit() {
-    return connections.endpoint;
+  sprucerock.model.Endpoint endpoint() {
+    return pool.endpoint;
   }
 
   /** Picks on it, those included that nobody waits for any more: the unit may still be at them. */
   int load() {
-    return live.size() + forsaken;
+    return inFlight.size() + abandoned;
   }
 
-  boolean idle() {
-    return live.isEmpty();
+  boolean isIdle() {
+    return inFlight.isEmpty();
   }
 
   /** Nothing new may follow what closes it: such a pick would be cut off with it. */
   void retire() {
-    retired = true;
+    isRetired = true;
     connection.finish();
   }
 
   /** Gets nothing new; closes once what is out on it has ended. */
   void drain() {
-    if (idle()) {
+    if (isIdle()) {
       retire();
     } else {
-      retired = true;
+      isRetired = true;
     }
   }
 
   void send(FrameExchange exchange, Timestamp now) {
     Rpc rpc = exchange.attempt().rpc;
-    FrameRequest asked = (FrameRequest) rpc.door;
+    FrameRequest request = (FrameRequest) rpc.door;
     TimeSpan left = exchange.deadline().since(now);
     Work.Builder work =
         Work.newBuilder()
@@ -82,36 +82,36 @@
             .setLeftUs((long) (left.ms() * 1000))
             .setHintUs((long) (rpc.hinted().ms() * 1000));
     if (rpc.method.effect == Method.Effect.TOKENED) {
-      work.setToken(asked.token);
+      work.setToken(request.idempotencyKey);
     }
     exchange.connection = this;
-    exchange.id = lastId;
-    exchange.mark = connection.send(FrameKind.WORK, work.build(), asked.body);
-    live.put(lastId, exchange);
-    connections.written(exchange);
-    usedLast = now;
+    exchange.wireId = lastId;
+    exchange.sentMark = connection.send(FrameKind.WORK, work.build(), request.body);
+    inFlight.put(lastId, exchange);
+    pool.attemptWritten(exchange);
+    lastUsed = now;
   }
 
   /** Nobody waits for it any more. A unit that is told so may stop. */
-  void forsake(FrameExchange exchange, boolean tellUnit) {
-    live.remove(exchange.id);
-    forsaken++;
+  void abandon(FrameExchange exchange, boolean tellUnit) {
+    inFlight.remove(exchange.wireId);
+    abandoned++;
     if (tellUnit) {
-      connection.send(FrameKind.STOP, Stop.newBuilder().setId(exchange.id).build(), NO_BODY);
+      connection.send(FrameKind.STOP, Stop.newBuilder().setId(exchange.wireId).build(), NO_BODY);
     }
-    connections.emptied(this);
+    pool.capacityFreed(this);
   }
 
   @Override
   public void helloReceived(FrameConnection made, Hello other) {
     if (other.getRole() != Role.UNIT
-        || Integer.toUnsignedLong(other.getNumber()) != connections.endpoint.id) {
-      connections.misnamed(other);
+        || Integer.toUnsignedLong(other.getNumber()) != pool.endpoint.id) {
+      pool.wrongEndpoint(other);
       made.cut("another one answers there");
       return;
     }
-    greeted = true;
-    connections.up(this);
+    isReady = true;
+    pool.connectionReady(this);
   }
 
   @Override
@@ -127,29 +127,29 @@
           case FULL -> AttemptOutcome.FULL;
           default -> AttemptOutcome.ERROR;
         };
-    FrameExchange exchange = live.remove(done.getId());
+    FrameExchange exchange = inFlight.remove(done.getId());
     if (exchange == null) {
       // late, for one given up on; or an id that never was, which a unit can't use to gain room
-      if (forsaken > 0 && done.getId() <= lastId) {
-        forsaken--;
+      if (abandoned > 0 && done.getId() <= lastId) {
+        abandoned--;
       }
-      connections.late(outcome);
-      connections.emptied(this);
+      pool.lateResult(outcome);
+      pool.capacityFreed(this);
       return;
     }
-    connections.ended(exchange, outcome, body);
-    connections.emptied(this);
+    pool.attemptEnded(exchange, outcome, body);
+    pool.capacityFreed(this);
   }
 
   @Override
   public void closed(String why) {
-    connections.down(this, why);
-    for (FrameExchange exchange : new ArrayList<>(live.values())) {
+    pool.connectionClosed(this, why);
+    for (FrameExchange exchange : new ArrayList<>(inFlight.values())) {
       // a cut before its frame left proves that it never ran; after that nobody knows
-      boolean never = !connection.mayHaveBeenSent(exchange.mark);
-      connections.ended(
+      boolean never = !connection.mayHaveBeenSent(exchange.sentMark);
+      pool.attemptEnded(
           exchange, never ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN, NO_BODY);
     }
-    live.clear();
+    inFlight.clear();
   }
 }
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -21,7 +21,7 @@
 final class EndpointConnectionPool {
   /** What the links need of the relay. */
   interface PoolListener {
-    void open(EndpointConnection connection, InetSocketAddress to, String name);
+    void openConnection(EndpointConnection connection, InetSocketAddress to, String name);
 
     void attemptEnded(
         sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
@@ -34,36 +34,36 @@
     void attemptWritten(sprucerock.relay.engine.AttemptExchange exchange);
 
     /** A result came for a pick that had ended before. */
-    void late(AttemptOutcome outcome);
+    void lateResult(AttemptOutcome outcome);
 
     Timestamp now();
 
-    sprucerock.transport.net.Timers.Timer at(Timestamp when, Runnable what);
+    sprucerock.transport.net.Timers.Timer schedule(Timestamp when, Runnable what);
 
-    void lost(Endpoint endpoint, String why);
+    void endpointLost(Endpoint endpoint, String why);
 
-    void misnamed(Endpoint endpoint, Hello other);
+    void wrongEndpoint(Endpoint endpoint, Hello other);
 
     /** It was not proven to be the one meant, for that reason. */
-    void refused(Endpoint endpoint, String why);
+    void endpointRefused(Endpoint endpoint, String why);
   }
 
   final Endpoint endpoint;
   private final InetSocketAddress address;
-  private final String name;
+  private final String tlsName;
   private final RelayConfig config;
-  private final PoolListener owner;
-  private final DeterministicRandom chance;
+  private final PoolListener listener;
+  private final DeterministicRandom random;
   private final List<EndpointConnection> connections = new ArrayList<>();
   private final ArrayDeque<FrameExchange> waiting = new ArrayDeque<>();
-  private TimeSpan pause;
-  private Timestamp notBefore;
-  private boolean left;
+  private TimeSpan backoff;
+  private Timestamp retryAt;
+  private boolean isClosing;
 
   /** While old connections are replaced: until when, and which ones are left. */
-  private Timestamp movedBy;
+  private Timestamp replaceBy;
 
-  private final ArrayDeque<EndpointConnection> old = new ArrayDeque<>();
+  private final ArrayDeque<EndpointConnection> toReplace = new ArrayDeque<>();
   private EndpointConnection replacement;
 
   EndpointConnectionPool(
@@ -75,15 +75,15 @@
       PoolListener owner) {
     this.endpoint = endpoint;
     this.address = address;
-    this.name = name;
+    this.tlsName = name;
     this.config = config;
-    this.chance = chance;
-    this.owner = owner;
-    pause = config.pauseFirst;
+    this.random = chance;
+    this.listener = owner;
+    backoff = config.pauseFirst;
   }
 
-  boolean at(InetSocketAddress there, String called) {
-    return address.equals(there) && name.equals(called);
+  boolean isFor(InetSocketAddress there, String called) {
+    return address.equals(there) && tlsName.equals(called);
   }
 
   /** That its certificate has to carry. */
@@ -91,18 +91,18 @@
     return address;
   }
 
-  String name() {
-    return name;
+  String tlsName() {
+    return tlsName;
   }
 
   void send(FrameExchange exchange) {
     EndpointConnection best = null;
     int connecting = 0;
     for (EndpointConnection connection : connections) {
-      if (connection.retired) {
+      if (connection.isRetired) {
         continue;
       }
-      if (!connection.greeted) {
+      if (!connection.isReady) {
         connecting++;
       } else if (connection.load() < config.picksEach
           && (best == null || connection.load() < best.load())) {
@@ -110,23 +110,23 @@
       }
     }
     if (best != null) {
-      best.send(exchange, owner.now());
+      best.send(exchange, listener.now());
       return;
     }
-    Timestamp now = owner.now();
-    boolean paused = notBefore != null && notBefore.after(now);
+    Timestamp now = listener.now();
+    boolean paused = retryAt != null && retryAt.after(now);
     boolean more = connections.size() < config.connectionsPerUnit && !paused;
     if (waiting.size() >= config.waitingPerUnit || paused && connections.isEmpty()) {
-      owner.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
+      listener.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
       return;
     }
     waiting.add(exchange);
-    exchange.waiting =
-        owner.at(
+    exchange.connectTimer =
+        listener.schedule(
             now.plus(config.connectWithin),
             () -> {
               if (waiting.remove(exchange)) {
-                owner.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, new byte[0]);
+                listener.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, new byte[0]);
               }
             });
     if (more && connecting * config.picksEach < waiting.size()) {
@@ -137,7 +137,7 @@
   private EndpointConnection open(Timestamp now) {
     EndpointConnection connection = new EndpointConnection(this, now);
     connections.add(connection);
-    owner.open(connection, address, name);
+    listener.openConnection(connection, address, tlsName);
     return connection;
   }
 
@@ -146,77 +146,77 @@
    * time, one after another, each old one only once the new one is there, and from a moment that is
    * drawn, so that units see no storm.
    */
-  void move(TimeSpan within) {
-    if (left) {
+  void replaceConnections(TimeSpan within) {
+    if (isClosing) {
       return;
     }
-    Timestamp now = owner.now();
-    movedBy = now.plus(within);
-    old.clear();
+    Timestamp now = listener.now();
+    replaceBy = now.plus(within);
+    toReplace.clear();
     for (EndpointConnection connection : connections) {
-      if (connection.greeted && !connection.retired) {
-        old.add(connection);
+      if (connection.isReady && !connection.isRetired) {
+        toReplace.add(connection);
       }
     }
     replacement = null;
-    owner.at(now.plus(within.times(0.5 * chance.next())), this::moveNext);
+    listener.schedule(now.plus(within.times(0.5 * random.next())), this::replaceNext);
   }
 
-  private void moveNext() {
-    old.removeIf(connection -> connection.retired || !connections.contains(connection));
-    if (left || old.isEmpty() || replacement != null) {
+  private void replaceNext() {
+    toReplace.removeIf(connection -> connection.isRetired || !connections.contains(connection));
+    if (isClosing || toReplace.isEmpty() || replacement != null) {
       return;
     }
-    if (!movedBy.after(
-        owner.now())) { // the new one can't be had, and what the old one was proven by counts no
+    if (!replaceBy.after(
+        listener.now())) { // the new one can't be had, and what the old one was proven by counts no
       // more
-      while (!old.isEmpty()) {
-        old.poll().drain();
+      while (!toReplace.isEmpty()) {
+        toReplace.poll().drain();
       }
       return;
     }
-    replacement = open(owner.now());
+    replacement = open(listener.now());
   }
 
-  private void moved(EndpointConnection connection) {
+  private void replacementReady(EndpointConnection connection) {
     if (connection != replacement) {
       return;
     }
     replacement = null;
-    EndpointConnection gone = old.poll();
+    EndpointConnection gone = toReplace.poll();
     if (gone != null) {
       gone.drain();
     }
-    moveNext();
+    replaceNext();
   }
 
-  private void notMoved(EndpointConnection connection) {
+  private void replacementFailed(EndpointConnection connection) {
     if (connection != replacement) {
       return;
     }
     replacement = null;
-    owner.at(owner.now().plus(config.pauseMost), this::moveNext);
+    listener.schedule(listener.now().plus(config.pauseMost), this::replaceNext);
   }
 
-  void up(EndpointConnection connection) {
-    pause = config.pauseFirst;
-    notBefore = null;
-    drain(connection);
-    moved(connection);
-    owner.at(owner.now().plus(config.idle), () -> closeIdle(connection));
+  void connectionReady(EndpointConnection connection) {
+    backoff = config.pauseFirst;
+    retryAt = null;
+    sendWaiting(connection);
+    replacementReady(connection);
+    listener.schedule(listener.now().plus(config.idle), () -> closeIdle(connection));
   }
 
-  private void drain(EndpointConnection connection) {
+  private void sendWaiting(EndpointConnection connection) {
     while (!waiting.isEmpty()
-        && !connection.retired
-        && connection.greeted
+        && !connection.isRetired
+        && connection.isReady
         && connection.load() < config.picksEach) {
       FrameExchange next = waiting.poll();
-      next.waiting.cancel();
-      if (!next.mayStart(owner.now())) {
-        owner.attemptEndsAfterTurn(next, AttemptOutcome.MOOT);
+      next.connectTimer.cancel();
+      if (!next.mayStart(listener.now())) {
+        listener.attemptEndsAfterTurn(next, AttemptOutcome.MOOT);
       } else {
-        connection.send(next, owner.now());
+        connection.send(next, listener.now());
       }
     }
   }
@@ -225,81 +225,81 @@
     if (!connections.contains(connection)) {
       return;
     }
-    TimeSpan unused = owner.now().since(connection.usedLast);
-    if (connection.idle() && !config.idle.over(unused)) {
+    TimeSpan unused = listener.now().since(connection.lastUsed);
+    if (connection.isIdle() && !config.idle.over(unused)) {
       connection.retire();
     } else {
-      owner.at(owner.now().plus(config.idle), () -> closeIdle(connection));
+      listener.schedule(listener.now().plus(config.idle), () -> closeIdle(connection));
     }
   }
 
   /** A pick on it ended: there is room, or a unit that leaves is done with. */
-  void emptied(EndpointConnection connection) {
+  void capacityFreed(EndpointConnection connection) {
     // a unit that answers nothing fills its connection with picks that nobody waits for: another is
     // made
-    boolean stuck = connection.idle() && 2 * connection.load() >= config.picksEach;
-    if ((left || connection.retired) && connection.idle() || stuck) {
+    boolean stuck = connection.isIdle() && 2 * connection.load() >= config.picksEach;
+    if ((isClosing || connection.isRetired) && connection.isIdle() || stuck) {
       connection.retire();
     }
-    drain(connection);
+    sendWaiting(connection);
   }
 
-  void down(EndpointConnection connection, String why) {
+  void connectionClosed(EndpointConnection connection, String why) {
     connections.remove(connection);
-    if (left) {
+    if (isClosing) {
       return;
     }
-    notMoved(connection);
+    replacementFailed(connection);
     if (why.startsWith("TLS: ")) {
-      owner.refused(endpoint, why);
-    } else if (!connection.greeted || !connection.idle()) {
-      owner.lost(endpoint, why);
+      listener.endpointRefused(endpoint, why);
+    } else if (!connection.isReady || !connection.isIdle()) {
+      listener.endpointLost(endpoint, why);
     }
-    if (connection.greeted && connection.idle()) { // closed in good order
+    if (connection.isReady && connection.isIdle()) { // closed in good order
       if (!waiting.isEmpty() && connections.isEmpty()) {
-        open(owner.now());
+        open(listener.now());
       }
       return;
     }
-    Timestamp now = owner.now();
-    notBefore = now.plus(pause.times(0.5 + 0.5 * chance.next()));
-    pause = pause.times(2).atMost(config.pauseMost);
-    boolean hope = connections.stream().anyMatch(other -> !other.retired);
+    Timestamp now = listener.now();
+    retryAt = now.plus(backoff.times(0.5 + 0.5 * random.next()));
+    backoff = backoff.times(2).atMost(config.pauseMost);
+    boolean hope = connections.stream().anyMatch(other -> !other.isRetired);
     while (!hope && !waiting.isEmpty()) {
       FrameExchange next = waiting.poll();
-      next.waiting.cancel();
-      owner.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
+      next.connectTimer.cancel();
+      listener.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
     }
   }
 
-  void misnamed(Hello other) {
-    owner.misnamed(endpoint, other);
+  void wrongEndpoint(Hello other) {
+    listener.wrongEndpoint(endpoint, other);
   }
 
-  void written(FrameExchange exchange) {
-    owner.attemptWritten(exchange);
+  void attemptWritten(FrameExchange exchange) {
+    listener.attemptWritten(exchange);
   }
 
-  void late(AttemptOutcome outcome) {
-    owner.late(outcome);
+  void lateResult(AttemptOutcome outcome) {
+    listener.lateResult(outcome);
   }
 
-  void ended(FrameExchange exchange, AttemptOutcome outcome, byte[] body) {
-    owner.attemptEnded(exchange, outcome, body);
+  void attemptEnded(FrameExchange exchange, AttemptOutcome outcome, byte[] body) {
+    listener.attemptEnded(exchange, outcome, body);
   }
 
   /**
    * Called off, or out of time: whoever called says with which outcome it ends. True where it was
    * never sent.
    */
-  boolean giveUp(FrameExchange exchange, boolean tellUnit) {
+  boolean abandon(FrameExchange exchange, boolean tellUnit) {
     if (exchange.connection != null) {
-      exchange.connection.forsake(exchange, tellUnit);
+      exchange.connection.abandon(exchange, tellUnit);
       return false;
     }
     waiting.remove(exchange);
-    if (exchange.waiting != null) {
-      exchange.waiting.cancel();
+    if (exchange.connectTimer != null) {
+      exchange.connectTimer.cancel();
     }
     return true;
   }
@@ -308,15 +308,15 @@
    * The unit drains, is gone or became another: what is out ends as it may, then the connections
    * close.
    */
-  void leave() {
-    left = true;
+  void close() {
+    isClosing = true;
     while (!waiting.isEmpty()) { // not sent yet, so not to be sent any more
       FrameExchange next = waiting.poll();
-      next.waiting.cancel();
-      owner.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
+      next.connectTimer.cancel();
+      listener.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
     }
     for (EndpointConnection connection : new ArrayList<>(connections)) {
-      if (connection.idle()) {
+      if (connection.isIdle()) {
         connection.retire();
       }
     }
--- a/src/main/java/sprucerock/relay/frames/FrameClientConnection.java
+++ b/src/main/java/sprucerock/relay/frames/FrameClientConnection.java
@@ -15,97 +15,92 @@
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Leave;
 import sprucerock.transport.wire.v1.Role;
-import sprucerock.transport.wire.v1.Seen;
 
 /**
- * A connection that somebody made to this relay: a client's, or another relay's with messages for
- * the module.
+ * A connection that was accepted: a client's with its open requests, or another relay's with
+ * messages for the policy. For the event loop's thread.
  */
 final class FrameClientConnection implements FrameListener {
   static final byte[] NO_BODY = {};
 
-  private final FrameRelay relay;
-  private final Map<Long, FrameRequest> open = new LinkedHashMap<>();
+  private final ClientConnections owner;
+  private final Map<Long, FrameRequest> openRequests = new LinkedHashMap<>();
   private FrameConnection connection;
-  private TlsConnection by;
-  private boolean peer;
-  private boolean closed;
+  private TlsConnection tls;
+  private boolean isPeer;
+  private boolean isClosed;
 
-  FrameClientConnection(FrameRelay relay) {
-    this.relay = relay;
+  FrameClientConnection(ClientConnections owner) {
+    this.owner = owner;
   }
 
-  int open() {
-    return open.size();
+  int openRequests() {
+    return openRequests.size();
   }
 
-  /** It came over TLS. */
-  void by(TlsConnection over) {
-    by = over;
+  /** The connection is by TLS, with its certificates. */
+  void tls(TlsConnection over) {
+    tls = over;
   }
 
   @Override
   public void helloReceived(FrameConnection made, Hello other) {
     connection = made;
-    peer = other.getRole() == Role.RELAY;
-    if (peer && !relay.proven(other.getNumber(), by)) {
+    isPeer = other.getRole() == Role.RELAY;
+    if (isPeer && !owner.isProvenRelay(other.getNumber(), tls)) {
       made.cut("its certificate is not that of relay " + other.getNumber());
     }
-    if (!peer && other.getRole() != Role.CLIENT) {
+    if (!isPeer && other.getRole() != Role.CLIENT) {
       made.cut("only clients and relays are taken here");
     }
   }
 
   @Override
   public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
-    if (peer && kind == FrameKind.TOLD) {
-      relay.peerTold(connection.remoteHello().getNumber(), body);
-    } else if (peer && kind == FrameKind.SEEN) {
-      relay.peerSaw((Seen) head);
-    } else if (peer && relay.aboutHardware(connection.remoteHello().getNumber(), kind, head)) {
-      return;
-    } else if (peer) {
-      connection.cut("a relay sends no " + kind + " here");
+    if (isPeer) {
+      if (!owner.peerFrame(connection.remoteHello().getNumber(), kind, head, body)) {
+        connection.cut("a relay sends no " + kind + " here");
+      }
     } else if (kind == FrameKind.CALL) {
-      call((Call) head, body);
+      requestReceived((Call) head, body);
     } else if (kind == FrameKind.LEAVE) {
-      leave((Leave) head);
+      requestWithdrawn((Leave) head);
     } else if (kind == FrameKind.FLAG) {
-      relay.flagged(((Flag) head).getUnit(), ((Flag) head).getAgoUs());
+      owner.endpointFlagged(((Flag) head).getUnit(), ((Flag) head).getAgoUs());
     } else {
       connection.cut("a client sends no " + kind);
     }
   }
 
-  private void call(Call call, byte[] body) {
-    if (open.containsKey(call.getId())) {
+  private void requestReceived(Call call, byte[] body) {
+    if (openRequests.containsKey(call.getId())) {
       connection.cut("RPC id " + call.getId() + " is still open");
       return;
     }
-    FrameRequest asked = new FrameRequest(this, call.getId(), call.getToken(), body);
-    open.put(asked.id, asked);
-    relay.called(asked, call);
+    FrameRequest request = new FrameRequest(this, call.getId(), call.getToken(), body);
+    openRequests.put(request.clientRequestId, request);
+    owner.requestReceived(request, call);
   }
 
-  private void leave(Leave leave) {
-    FrameRequest asked = open.remove(leave.getId());
-    if (asked != null) {
-      relay.clientLeft(asked); // else its answer is on the way
+  private void requestWithdrawn(Leave leave) {
+    FrameRequest request = openRequests.remove(leave.getId());
+    if (request != null) {
+      owner.clientLeft(request); // else its answer is on its way
     }
   }
 
-  /** The one final answer. */
-  void answer(FrameRequest asked, Ending ending, long waitUs, long endpoint, byte[] body) {
-    asked.complete();
-    if (closed || !open.remove(asked.id, asked)) {
+  /** Sends the final answer; dropped where the request has one, or its client left. */
+  void answer(FrameRequest request, Ending ending, long retryAfterUs, long endpoint, byte[] body) {
+    request.complete();
+    if (isClosed || !openRequests.remove(request.clientRequestId, request)) {
       return;
     }
     connection.send(
         FrameKind.ANSWER,
         Answer.newBuilder()
-            .setId(asked.id)
+            .setId(request.clientRequestId)
             .setEnding(ending)
-            .setWaitUs(waitUs)
+            .setWaitUs(retryAfterUs)
             .setUnit(endpoint)
             .build(),
         body);
@@ -113,18 +108,18 @@
 
   @Override
   public void closed(String why) {
-    closed = true;
-    for (FrameRequest asked : new ArrayList<>(open.values())) {
-      relay.clientLeft(asked);
+    isClosed = true;
+    for (FrameRequest request : new ArrayList<>(openRequests.values())) {
+      owner.clientLeft(request);
     }
-    open.clear();
-    relay.gone(this, peer, why);
+    openRequests.clear();
+    owner.connectionClosed(this, isPeer, why);
   }
 
-  /** The relay's time is over: each open RPC gets an answer that promises nothing. */
+  /** Aborts each open request, as the time for the relay's shutdown is over. */
   void abortAll() {
-    for (FrameRequest asked : new ArrayList<>(open.values())) {
-      relay.abort(asked);
+    for (FrameRequest request : new ArrayList<>(openRequests.values())) {
+      owner.abort(request);
     }
   }
 
--- a/src/main/java/sprucerock/relay/frames/FrameExchange.java
+++ b/src/main/java/sprucerock/relay/frames/FrameExchange.java
@@ -10,16 +10,16 @@
   EndpointConnection connection;
 
   /** Its id on that connection, and where its frame stands in what was written. */
-  long id;
+  long wireId;
 
-  long mark;
-  Timer waiting;
+  long sentMark;
+  Timer connectTimer;
 
   /** Picks of this relay that its unit held when it was sent. */
-  final int others;
+  final int concurrentAttempts;
 
   FrameExchange(Attempt attempt, Timestamp ends) {
     super(attempt, ends);
-    others = Math.max(0, attempt.endpoint.out() - 1);
+    concurrentAttempts = Math.max(0, attempt.endpoint.out() - 1);
   }
 }
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -32,35 +32,35 @@
   static final String LEASE = "fit";
 
   /** What it needs of the relay. */
-  interface Owner {
+  interface ReportTransport {
     /** To all other relays. */
-    void tellFitter(Fitter fitter);
+    void announceFitter(Fitter fitter);
 
-    void tellTally(int relay, Tallied tally);
+    void sendSamples(int relay, Tallied tally);
 
     /** To all other relays and the controller. */
-    void tellWorth(Worth worth);
+    void publishModel(Worth worth);
   }
 
-  private static final TimeSpan AGAIN =
+  private static final TimeSpan ANNOUNCE_INTERVAL =
       TimeSpan.ofMs(5000); // a relay that started meanwhile is told who fits
 
   private final Net net;
-  private final int me;
+  private final int relayIndex;
   private final TimeSpan window;
   private final LongSupplier wallMs;
-  private final IntPredicate settled;
+  private final IntPredicate isSettledBuild;
   private final EventLog events;
-  private final Owner owner;
+  private final ReportTransport transport;
   private final FencingToken fence = new FencingToken();
-  private Aside aside;
-  private SampleSums tally;
+  private Aside worker;
+  private SampleSums samples;
   private int fitter = -1;
-  private LeaseCheck guard;
-  private Observation seen;
-  private boolean fits;
-  private Timestamp told;
-  private Model newest;
+  private LeaseCheck leaseCheck;
+  private Observation observation;
+  private boolean isFitting;
+  private Timestamp announcedAt;
+  private Model newestModel;
   private boolean stopped;
 
   /** {@code settled}: builds that are no part of a trial. */
@@ -71,21 +71,21 @@
       LongSupplier wallMs,
       IntPredicate settled,
       EventLog events,
-      Owner owner) {
+      ReportTransport owner) {
     this.net = net;
-    this.me = me;
+    this.relayIndex = me;
     this.window = window;
     this.wallMs = wallMs;
-    this.settled = settled;
+    this.isSettledBuild = settled;
     this.events = events;
-    this.owner = owner;
+    this.transport = owner;
   }
 
   /** {@code on}: where a fit is done, which may take a second with many families and methods. */
   void start(Aside on) {
-    aside = on;
-    tally = new SampleSums(me, number());
-    turn();
+    worker = on;
+    samples = new SampleSums(relayIndex, windowNumber());
+    tick();
   }
 
   void stop() {
@@ -96,41 +96,43 @@
    * Windows are the same at all relays, as far as their wall clocks are; a pick that falls into the
    * next one does no harm.
    */
-  private long number() {
+  private long windowNumber() {
     return (long) (wallMs.getAsLong() / window.ms());
   }
 
   /** A pick ended ok, on a unit that held so many others of this relay's when it was sent. */
-  void ended(Attempt attempt, int others) {
-    tally.ended(
+  void attemptSucceeded(Attempt attempt, int concurrentAttempts) {
+    samples.ended(
         attempt.rpc.method.index,
         attempt.endpoint.kind,
         attempt.endpoint.build.number,
-        others,
+        concurrentAttempts,
         attempt.took().ms());
   }
 
-  private void turn() {
+  private void tick() {
     if (stopped) {
       return;
     }
-    if (number() != tally.window()) {
-      tell(tally);
-      tally = new SampleSums(me, number());
+    if (windowNumber() != samples.window()) {
+      report(samples);
+      samples = new SampleSums(relayIndex, windowNumber());
     }
-    if (guard != null && (told == null || net.now().since(told).over(AGAIN))) {
-      told = net.now();
-      guard.act(number -> owner.tellFitter(Fitter.newBuilder().setNumber(number).build()));
+    if (leaseCheck != null
+        && (announcedAt == null || net.now().since(announcedAt).over(ANNOUNCE_INTERVAL))) {
+      announcedAt = net.now();
+      leaseCheck.act(
+          number -> transport.announceFitter(Fitter.newBuilder().setNumber(number).build()));
     }
-    if (guard != null && guard.held()) {
-      fit();
+    if (leaseCheck != null && leaseCheck.held()) {
+      startFit();
     }
-    net.at(net.now().plus(window.times(0.25)), this::turn);
+    net.at(net.now().plus(window.times(0.25)), this::tick);
   }
 
-  private void tell(SampleSums of) {
-    if (guard != null) {
-      seen.told(of);
+  private void report(SampleSums of) {
+    if (leaseCheck != null) {
+      observation.told(of);
       return;
     }
     if (fitter < 0 || of.cells().isEmpty()) {
@@ -149,40 +151,42 @@
                         .setCount(sums.count())
                         .setMean(sums.mean())
                         .setSquares(sums.squares())));
-    owner.tellTally(fitter, said.build());
+    transport.sendSamples(fitter, said.build());
   }
 
   // While it holds the lease.
 
   @Override
   public void begun(LeaseCheck by) {
-    guard = by;
-    seen = new Observation();
-    told = null;
+    leaseCheck = by;
+    observation = new Observation();
+    announcedAt = null;
   }
 
   @Override
   public void ended(String why) {
-    guard = null;
-    seen = null;
+    leaseCheck = null;
+    observation = null;
   }
 
-  private void fit() {
-    if (fits || seen.newest() == 0 || newest != null && newest.window() >= seen.newest()) {
+  private void startFit() {
+    if (isFitting
+        || observation.newest() == 0
+        || newestModel != null && newestModel.window() >= observation.newest()) {
       return;
     }
-    LeaseCheck by = guard;
-    Observation copy = seen.copy();
+    LeaseCheck by = leaseCheck;
+    Observation copy = observation.copy();
     Model[] model = new Model[1];
-    fits =
-        aside.run(
-            () -> model[0] = LeastSquaresFit.of(copy, 0, settled, 0),
-            () -> fitted(by, model[0])); // where too much waits, a quarter of a window later
+    isFitting =
+        worker.run(
+            () -> model[0] = LeastSquaresFit.of(copy, 0, isSettledBuild, 0),
+            () -> fitCompleted(by, model[0])); // where too much waits, a quarter of a window later
   }
 
-  private void fitted(LeaseCheck by, Model model) {
-    fits = false;
-    if (model == null || guard != by) {
+  private void fitCompleted(LeaseCheck by, Model model) {
+    isFitting = false;
+    if (model == null || leaseCheck != by) {
       return;
     }
     by.act(
@@ -199,22 +203,22 @@
             worth.addCores(model.cores(a).log()).addCoresErrors(model.cores(a).error());
           }
           Worth done = worth.build();
-          worth(done);
-          owner.tellWorth(done);
+          modelReceived(done);
+          transport.publishModel(done);
         });
   }
 
   // What other relays tell.
 
   /** Who fits from now on. */
-  void fitter(int relay, Fitter said) {
+  void fitterAnnounced(int relay, Fitter said) {
     if (fence.admits(LEASE, said.getNumber())) {
       fitter = relay;
     }
   }
 
-  void tallied(int relay, Tallied said) {
-    if (guard == null || said.getCellsCount() > SampleSums.MOST_CELLS) {
+  void samplesReceived(int relay, Tallied said) {
+    if (leaseCheck == null || said.getCellsCount() > SampleSums.MOST_CELLS) {
       return;
     }
     SampleSums of = new SampleSums(relay, said.getWindow());
@@ -230,11 +234,11 @@
             new Sums(one.getCount(), one.getMean(), one.getSquares()));
       }
     }
-    seen.told(of);
+    observation.told(of);
   }
 
   /** A model was published; one of a holder that was replaced is refused, and said. */
-  void worth(Worth said) {
+  void modelReceived(Worth said) {
     if (!fence.admits(LEASE, said.getNumber())) {
       events.warn(
           EventLog.Event.LEASE,
@@ -245,19 +249,19 @@
               + " was heard");
       return;
     }
-    Model model = read(said);
-    if (model != null && model.newerThan(newest)) {
-      newest = model;
+    Model model = decode(said);
+    if (model != null && model.newerThan(newestModel)) {
+      newestModel = model;
     }
   }
 
   /** The last model that was heard of; null: none. */
-  Model newest() {
-    return newest;
+  Model newestModel() {
+    return newestModel;
   }
 
   /** Null where it can't be one. */
-  static Model read(Worth said) {
+  static Model decode(Worth said) {
     int families = said.getFamiliesCount();
     int methods = said.getMethodsCount();
     int pairs = (methods + 1) * families * families;
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -26,35 +26,35 @@
  */
 final class HealthChecker implements Leases.Task {
   static final String LEASE = "looks";
-  private static final TimeSpan PATIENCE =
+  private static final TimeSpan PROBE_TIMEOUT =
       TimeSpan.ofMs(
           500); // a unit that is there answers within some milliseconds; a paused one may take
   // longer
-  private static final int AT_ONCE = 16;
+  private static final int MAX_CONCURRENT_PROBES = 16;
 
   /** What it needs of the relay. */
-  interface Owner {
+  interface ProbeTransport {
     /** A connection to a unit, as any pick's. */
-    void look(Endpoint endpoint, FrameListener user, LinkTaker taker);
+    void openProbeConnection(Endpoint endpoint, FrameListener user, ConnectionTaker taker);
 
     /** What was found, for this relay's module and the others'. */
-    void seen(long endpoint, boolean answered, long number);
+    void probeCompleted(long endpoint, boolean answered, long number);
   }
 
   /** Gets the link that was begun. */
-  interface LinkTaker {
+  interface ConnectionTaker {
     void take(FrameConnection connection);
   }
 
   private final Net net;
   private final RequestTracker ledger;
   private final EventLog events;
-  private final TimeSpan every;
-  private final DeterministicRandom chance;
-  private final Owner owner;
-  private HealthCheckScheduler lookout;
-  private LeaseCheck guard;
-  private int open;
+  private final TimeSpan interval;
+  private final DeterministicRandom random;
+  private final ProbeTransport transport;
+  private HealthCheckScheduler scheduler;
+  private LeaseCheck leaseCheck;
+  private int openProbes;
 
   HealthChecker(
       Net net,
@@ -62,110 +62,111 @@
       EventLog events,
       TimeSpan every,
       DeterministicRandom chance,
-      Owner owner) {
+      ProbeTransport owner) {
     this.net = net;
     this.ledger = ledger;
     this.events = events;
-    this.every = every;
-    this.chance = chance;
-    this.owner = owner;
+    this.interval = every;
+    this.random = chance;
+    this.transport = owner;
   }
 
   @Override
   public void begun(LeaseCheck by) {
-    guard = by;
-    lookout = new HealthCheckScheduler(chance::next);
+    leaseCheck = by;
+    scheduler = new HealthCheckScheduler(random::next);
     for (Endpoint endpoint : ledger.units()) {
-      listed(endpoint);
+      endpointChanged(endpoint);
     }
-    turn(by);
+    probeNext(by);
   }
 
   /**
    * A unit may get work or may not, as it stands now; told as it changes, so that a turn walks no
    * list.
    */
-  void listed(Endpoint endpoint) {
-    if (guard == null) {
+  void endpointChanged(Endpoint endpoint) {
+    if (leaseCheck == null) {
       return; // whoever holds the lease next goes through the list once
     }
     if (endpoint.ready()) {
-      lookout.ready(endpoint.id, net.now());
+      scheduler.ready(endpoint.id, net.now());
     } else {
-      lookout.left(endpoint.id);
+      scheduler.left(endpoint.id);
     }
   }
 
   @Override
   public void ended(String why) {
-    guard = null;
+    leaseCheck = null;
   }
 
-  private void turn(LeaseCheck by) {
-    if (guard != by) {
+  private void probeNext(LeaseCheck by) {
+    if (leaseCheck != by) {
       return;
     }
-    if (open < AT_ONCE) {
-      long next = lookout.next(net.now());
+    if (openProbes < MAX_CONCURRENT_PROBES) {
+      long next = scheduler.next(net.now());
       Endpoint endpoint = next < 0 ? null : ledger.unit(next);
       if (endpoint == null || !endpoint.ready()) {
-        lookout.left(next);
+        scheduler.left(next);
       } else {
-        by.act(PATIENCE, number -> new One(by, endpoint, number).begin());
+        by.act(PROBE_TIMEOUT, number -> new Probe(by, endpoint, number).begin());
       }
     }
-    net.at(net.now().plus(every), () -> turn(by));
+    net.at(net.now().plus(interval), () -> probeNext(by));
   }
 
-  private final class One implements FrameListener {
-    private final LeaseCheck by;
+  private final class Probe implements FrameListener {
+    private final LeaseCheck leaseAtStart;
     private final Endpoint endpoint;
-    private final long number;
+    private final long fencingNumber;
     private FrameConnection connection;
-    private Timer late;
+    private Timer timeout;
     private boolean done;
 
-    One(LeaseCheck by, Endpoint endpoint, long number) {
-      this.by = by;
+    Probe(LeaseCheck by, Endpoint endpoint, long number) {
+      this.leaseAtStart = by;
       this.endpoint = endpoint;
-      this.number = number;
+      this.fencingNumber = number;
     }
 
     void begin() {
-      open++;
-      owner.look(endpoint, this, made -> connection = made);
-      late =
+      openProbes++;
+      transport.openProbeConnection(endpoint, this, made -> connection = made);
+      timeout =
           net.patiently(
-              PATIENCE, () -> end(null)); // this relay's own standing still is not the unit's
+              PROBE_TIMEOUT,
+              () -> finish(null)); // this relay's own standing still is not the unit's
     }
 
     /** {@code looked}: null where it gave no sign. */
-    private void end(Looked looked) {
+    private void finish(Looked looked) {
       if (done) {
         return;
       }
       done = true;
-      open--;
-      late.cancel();
+      openProbes--;
+      timeout.cancel();
       connection.cut("looked at");
       if (looked != null && !looked.getTaken()) {
         events.warn(
             EventLog.Event.LEASE,
             "a look under "
-                + number
+                + fencingNumber
                 + " was refused by unit "
                 + endpoint.id
                 + ", which saw "
                 + looked.getHighest());
-        by.refused(looked.getHighest());
-      } else if (guard == by && by.held()) {
+        leaseAtStart.refused(looked.getHighest());
+      } else if (leaseCheck == leaseAtStart && leaseAtStart.held()) {
         boolean tell =
             looked != null
-                ? lookout.answered(
+                ? scheduler.answered(
                     endpoint.id, TimeSpan.ofMs(looked.getIdleUs() / 1000.0), net.now())
-                : lookout.silent(endpoint.id, net.now());
+                : scheduler.silent(endpoint.id, net.now());
         if (tell) {
-          owner.seen(endpoint.id, looked != null, number);
+          transport.probeCompleted(endpoint.id, looked != null, fencingNumber);
         }
       }
     }
@@ -174,27 +175,27 @@
     public void helloReceived(FrameConnection made, Hello other) {
       if (other.getRole() != Role.UNIT
           || Integer.toUnsignedLong(other.getNumber()) != endpoint.id) {
-        end(null);
+        finish(null);
       }
       // to connect took time, in which this process may have stood still
-      else if (!by.act(
+      else if (!leaseAtStart.act(
           now ->
               made.send(
                   FrameKind.LOOK,
-                  Look.newBuilder().setLease(LEASE).setNumber(number).build(),
+                  Look.newBuilder().setLease(LEASE).setNumber(fencingNumber).build(),
                   FrameClientConnection.NO_BODY))) {
-        end(null);
+        finish(null);
       }
     }
 
     @Override
     public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
-      end(kind == FrameKind.LOOKED ? (Looked) head : null);
+      finish(kind == FrameKind.LOOKED ? (Looked) head : null);
     }
 
     @Override
     public void closed(String why) {
-      end(null);
+      finish(null);
     }
   }
 }
--- a/src/main/java/sprucerock/relay/frames/PeerConnections.java
+++ b/src/main/java/sprucerock/relay/frames/PeerConnections.java
@@ -29,10 +29,10 @@
   private final Hello mine;
   private final FrameTap tap;
   private final EventLog events;
-  private final DeterministicRandom chance;
+  private final DeterministicRandom random;
   private final Map<Integer, ReconnectingConnection> connections = new TreeMap<>();
   private final MethodAccounts accounts;
-  private final TlsConnections secured;
+  private final TlsConnections tlsConnections;
   private boolean stopping;
 
   PeerConnections(
@@ -45,20 +45,20 @@
       MethodAccounts accounts,
       TlsConnections secured) {
     this.accounts = accounts;
-    this.secured = secured;
+    this.tlsConnections = secured;
     this.net = net;
     this.config = config;
     this.mine = mine;
     this.tap = tap;
     this.events = events;
-    this.chance = chance;
+    this.random = chance;
   }
 
-  void tell(int number, byte[] contents) {
-    count(tell(number, FrameKind.TOLD, Told.getDefaultInstance(), contents));
+  void send(int number, byte[] contents) {
+    count(send(number, FrameKind.TOLD, Told.getDefaultInstance(), contents));
   }
 
-  private boolean tell(int number, FrameKind kind, MessageLite head, byte[] contents) {
+  private boolean send(int number, FrameKind kind, MessageLite head, byte[] contents) {
     InetSocketAddress address = config.peers.get(number);
     if (address == null || stopping) {
       return false;
@@ -68,13 +68,13 @@
       connection =
           new ReconnectingConnection(
               net,
-              secured.toPeer(number),
+              tlsConnections.peerConnector(number),
               address,
               mine,
               config.connection,
               tap,
-              chance,
-              new Other(number));
+              random,
+              new PeerListener(number));
       connections.put(number, connection);
       connection.connect();
     }
@@ -85,29 +85,29 @@
   }
 
   /** To all, or dropped. */
-  void tellAll(FrameKind kind, MessageLite head) {
+  void sendToAll(FrameKind kind, MessageLite head) {
     for (int number : config.peers.keySet()) {
-      tell(number, kind, head, FrameClientConnection.NO_BODY);
+      send(number, kind, head, FrameClientConnection.NO_BODY);
     }
   }
 
   /** To one, or dropped. */
-  void tell(int number, FrameKind kind, MessageLite head) {
-    tell(number, kind, head, FrameClientConnection.NO_BODY);
+  void send(int number, FrameKind kind, MessageLite head) {
+    send(number, kind, head, FrameClientConnection.NO_BODY);
   }
 
   /** What a look found, to all. */
-  void seen(Seen seen) {
-    tellAll(FrameKind.SEEN, seen);
+  void sendProbeResult(Seen seen) {
+    sendToAll(FrameKind.SEEN, seen);
   }
 
   private void count(boolean sent) {
     accounts.begin(accounts.messages, 0, sent ? 1 : 2);
   }
 
-  void tellAll(byte[] contents) {
+  void sendToAll(byte[] contents) {
     for (int number : config.peers.keySet()) {
-      tell(number, contents);
+      send(number, contents);
     }
   }
 
@@ -118,10 +118,10 @@
     }
   }
 
-  private final class Other implements FrameListener {
+  private final class PeerListener implements FrameListener {
     private final int number;
 
-    Other(int number) {
+    PeerListener(int number) {
       this.number = number;
     }
 
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -37,25 +37,25 @@
   }
 
   private static final long NO_LIST = 1; // of the protocol: one is welcome
-  private static final TimeSpan SPREAD =
+  private static final TimeSpan REQUEST_JITTER =
       TimeSpan.ofMs(100); // over which relays that were told together ask
 
   private final Net net;
   private final RelayConfig config;
   private final EventLog events;
-  private final DeterministicRandom chance;
-  private final PermitListener owner;
-  private final SharedSnapshot shared = new SharedSnapshot();
-  private final Map<Long, Timestamp> asked = new HashMap<>();
+  private final DeterministicRandom random;
+  private final PermitListener listener;
+  private final SharedSnapshot snapshots = new SharedSnapshot();
+  private final Map<Long, Timestamp> requestedAt = new HashMap<>();
   // Told whole once; by its number a controller names only racks that are free for less than their
   // notice. One that knows of no lists
   // tells all each time, and so does one whose racks are others.
-  private long list = NO_LIST;
-  private Map<Integer, TimeSpan> notices = Map.of();
-  private long lastAsk;
+  private long listId = NO_LIST;
+  private Map<Integer, TimeSpan> noticeByRack = Map.of();
+  private long lastRequestId;
   private long epoch;
-  private Timer next;
-  private Timer turns;
+  private Timer nextRequest;
+  private Timer nextCheck;
   private boolean promiseReceived;
   private boolean stopped;
 
@@ -69,41 +69,45 @@
     this.net = net;
     this.config = config;
     this.events = events;
-    this.chance = chance;
-    this.owner = owner;
+    this.random = chance;
+    this.listener = owner;
   }
 
   public void start() {
     if (config.racksEvery != null) {
-      ask();
+      requestPromise();
     }
   }
 
   public void stop() {
     stopped = true;
-    if (next != null) {
-      next.cancel();
+    if (nextRequest != null) {
+      nextRequest.cancel();
     }
-    if (turns != null) {
-      turns.cancel();
+    if (nextCheck != null) {
+      nextCheck.cancel();
     }
   }
 
-  private void ask() {
+  private void requestPromise() {
     if (stopped) {
       return;
     }
-    asked.clear(); // an answer that took longer than a round is of no use: the next one is on its
+    requestedAt
+        .clear(); // an answer that took longer than a round is of no use: the next one is on its
     // way
     PromiseAsk ask =
         PromiseAsk.newBuilder()
-            .setId(++lastAsk)
-            .setHolds(shared.take().sequence())
-            .setList(list)
+            .setId(++lastRequestId)
+            .setHolds(snapshots.take().sequence())
+            .setList(listId)
             .build();
-    asked.put(lastAsk, net.now());
-    owner.requestPromise(ask);
-    next = net.at(net.now().plus(config.racksEvery.times(0.75 + 0.5 * chance.next())), this::ask);
+    requestedAt.put(lastRequestId, net.now());
+    listener.requestPromise(ask);
+    nextRequest =
+        net.at(
+            net.now().plus(config.racksEvery.times(0.75 + 0.5 * random.next())),
+            this::requestPromise);
   }
 
   /** An answer, or word that something has changed. */
@@ -112,11 +116,12 @@
       return;
     }
     if (promised.getId() == 0) { // something has changed
-      next.cancel();
-      next = net.at(net.now().plus(SPREAD.times(chance.next())), this::ask);
+      nextRequest.cancel();
+      nextRequest =
+          net.at(net.now().plus(REQUEST_JITTER.times(random.next())), this::requestPromise);
       return;
     }
-    Timestamp from = asked.remove(promised.getId());
+    Timestamp from = requestedAt.remove(promised.getId());
     if (from == null) {
       return;
     }
@@ -127,57 +132,57 @@
       return;
     }
     if (promised.getRest()
-        && promised.getList() != list) { // never asked for: what it leaves out can't be known
+        && promised.getList() != listId) { // never asked for: what it leaves out can't be known
       events.warn(EventLog.Event.NEWS_REFUSED, "a promise by a list of racks that was not told");
-      list = NO_LIST;
+      listId = NO_LIST;
       return;
     }
     epoch = promised.getEpoch();
     double shorter = (1 - config.racksDrift) / (1 + config.racksDrift);
     Map<Integer, Timestamp> until = new HashMap<>();
     if (promised.getRest()) {
-      notices.forEach((rack, notice) -> until.put(rack, from.plus(notice.times(shorter))));
+      noticeByRack.forEach((rack, notice) -> until.put(rack, from.plus(notice.times(shorter))));
     } else {
-      keep(promised);
+      rememberNotices(promised);
     }
     for (RackFree rack : promised.getRacksList()) {
       until.put(
           RackSnapshot.key(rack.getZone(), rack.getCell()),
           from.plus(TimeSpan.ofMs(rack.getLeftMs() * shorter)));
     }
-    if (!shared.put(new RackSnapshot(promised.getSequence(), until))) {
+    if (!snapshots.put(new RackSnapshot(promised.getSequence(), until))) {
       return;
     }
     boolean first = !promiseReceived;
     promiseReceived = true;
-    look();
+    checkPermits();
     if (first) {
-      owner.firstPromiseReceived();
+      listener.firstPromiseReceived();
     }
   }
 
-  private void keep(Promised whole) {
-    list = whole.getList() == 0 ? NO_LIST : whole.getList();
-    notices = new HashMap<>();
-    if (list == NO_LIST) {
+  private void rememberNotices(Promised whole) {
+    listId = whole.getList() == 0 ? NO_LIST : whole.getList();
+    noticeByRack = new HashMap<>();
+    if (listId == NO_LIST) {
       return;
     }
     for (RackFree rack : whole.getRacksList()) {
-      notices.put(
+      noticeByRack.put(
           RackSnapshot.key(rack.getZone(), rack.getCell()), TimeSpan.ofMs(rack.getNoticeMs()));
     }
   }
 
   /** Now, and when the next rack has to be left. */
-  private void look() {
-    if (turns != null) {
-      turns.cancel();
+  private void checkPermits() {
+    if (nextCheck != null) {
+      nextCheck.cancel();
     }
-    owner.permitsChanged();
-    turns =
+    listener.permitsChanged();
+    nextCheck =
         net.at(
             net.now().plus(TimeSpan.ofMs(50)),
-            this::look); // a fifth of the shortest deadline that is in use, and cheap
+            this::checkPermits); // a fifth of the shortest deadline that is in use, and cheap
   }
 
   /**
@@ -208,6 +213,6 @@
 
   private boolean mayPlace(int zone, int cell, Timestamp now, TimeSpan takes) {
     return mayHavePermits()
-        && shared.take().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
+        && snapshots.take().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
   }
 }
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -24,15 +24,15 @@
  */
 final class TlsConnections implements Tls.Owner {
   /** Whose connections are to be replaced once credentials have changed. */
-  interface Movers {
-    void move(TimeSpan within);
+  interface ConnectionReplacer {
+    void replaceConnections(TimeSpan within);
   }
 
   private final RelayConfig config;
   private final Net net;
   private final EventLog events;
   private final MethodAccounts accounts;
-  private Movers movers;
+  private ConnectionReplacer replacer;
   private Tls tls;
 
   TlsConnections(RelayConfig config, Net net, EventLog events, MethodAccounts accounts) {
@@ -47,8 +47,8 @@
    *
    * @throws Material.BadMaterialException if they can't be used
    */
-  void start(Aside aside, Movers whom) throws Material.BadMaterialException {
-    movers = whom;
+  void start(Aside aside, ConnectionReplacer whom) throws Material.BadMaterialException {
+    replacer = whom;
     if (config.tls != null) {
       tls = new Tls(net, config.tls, aside, Instant::now, this);
     }
@@ -65,7 +65,7 @@
     return tls;
   }
 
-  void toUnit(long endpoint, InetSocketAddress to, String name, FrameConnection user) {
+  void connectToEndpoint(long endpoint, InetSocketAddress to, String name, FrameConnection user) {
     if (tls == null || !config.tlsUnits) {
       net.connect(to, config.connectWithin, config.connection.maxUnsentBytes(), user);
     } else {
@@ -74,7 +74,7 @@
     }
   }
 
-  ReconnectingConnection.Connector toPeer(int number) {
+  ReconnectingConnection.Connector peerConnector(int number) {
     if (!config.tlsPeers) {
       return net::connect;
     }
@@ -83,19 +83,19 @@
   }
 
   /** What a taken connection has before its user. */
-  ConnectionListener taken(FrameClientConnection client, FrameConnection user) {
+  ConnectionListener accepted(FrameClientConnection client, FrameConnection user) {
     if (!config.tlsClients) {
       return user;
     }
     TlsConnection connection = tls.take(config.provenClients, user);
-    client.by(connection);
+    client.tls(connection);
     return connection;
   }
 
   /**
    * Whether who says that it is a relay of a number has proven it; true where relays don't have to.
    */
-  boolean provenRelay(int number, TlsConnection by) {
+  boolean isProvenRelay(int number, TlsConnection by) {
     if (!config.tlsPeers) {
       return true;
     }
@@ -140,6 +140,6 @@
 
   @Override
   public void changed() {
-    movers.move(tls.moveWithin());
+    replacer.replaceConnections(tls.moveWithin());
   }
 }
