--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -33,8 +33,9 @@
 import sprucerock.transport.wire.v1.Worth;
 
 /**
- * News and counts of the release desk, told to the ledger; and the module's votes, each with one
- * answer or none in time.
+ * The connection to the controller: takes over its news of rollouts and its counts, carries the
+ * policy's votes, each with one reply or none in time, and requests for rack permits. While it is
+ * away, what it said last holds. For the event loop's thread.
  */
 public final class ControllerConnection implements FrameListener {
   private final Net net;
@@ -52,7 +53,13 @@
   private boolean hasNews;
   private boolean stopping;
 
-  /** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */
+  /**
+   * Nothing is opened yet, see {@link #start}.
+   *
+   * @param onVoteReply gets one reply for each vote
+   * @param onPromise gets what the controller promises of racks
+   * @param onNews is run after each news that was taken over
+   */
   public ControllerConnection(
       Net net,
       RelayConfig config,
@@ -61,30 +68,32 @@
       RequestTracker ledger,
       EventLog events,
       DeterministicRandom chance,
-      Consumer<VoteReply> answered,
-      Consumer<Promised> promised,
-      Runnable learnt) {
-    this.onPromise = promised;
-    this.onNews = learnt;
+      Consumer<VoteReply> onVoteReply,
+      Consumer<Promised> onPromise,
+      Runnable onNews) {
+    this.onPromise = onPromise;
+    this.onNews = onNews;
     this.net = net;
     this.config = config;
     this.ledger = ledger;
     this.events = events;
-    this.onVoteReply = answered;
+    this.onVoteReply = onVoteReply;
     connection =
         new ReconnectingConnection(net, config.desk, mine, config.connection, tap, chance, this);
   }
 
+  /** Connects, and again whenever the connection is lost. */
   public void start() {
     connection.connect();
   }
 
+  /** Closes the connection for good. */
   public void stop() {
     stopping = true;
     connection.stop();
   }
 
-  /** News has come since the start. */
+  /** Whether news has come since the start. */
   public boolean hasNews() {
     return hasNews;
   }
@@ -93,12 +102,15 @@
     connection.send(FrameKind.WORTH, worth, FrameClientConnection.NO_BODY);
   }
 
-  /** False where the desk is away. */
+  /** Asks for rack permits; false where the controller is away. */
   public boolean requestPromise(PromiseAsk ask) {
     return connection.send(FrameKind.PROMISE_ASK, ask, FrameClientConnection.NO_BODY);
   }
 
-  /** Ends in one answer, or in none within the time that the settings have. */
+  /**
+   * Votes on a build. The reply is told once; UNANSWERED where none comes within the settings' call
+   * timeout, in which case the vote may count all the same.
+   */
   public void vote(Build build, int stage, Verdict verdict) {
     long id = ++lastVote;
     MethodAccounts accounts = ledger.accounts();
@@ -114,8 +126,7 @@
         FrameKind.VOTE,
         Vote.newBuilder().setId(id).setBuild(build.number).setStage(stage).setSay(say).build(),
         FrameClientConnection.NO_BODY);
-    // one that could not be sent is not answered either: to the module the desk is away in both
-    // cases
+    // one that could not be sent is not answered either: to the policy it is the same
     pendingVotes.put(
         id,
         net.at(
@@ -137,7 +148,7 @@
   }
 
   @Override
-  public void helloReceived(FrameConnection connection, Hello other) {
+  public void helloReceived(FrameConnection made, Hello other) {
     if (other.getRole() != Role.DESK) {
       connection.cut("no release desk answers there");
       return;
@@ -161,7 +172,7 @@
   }
 
   private void applyNews(News news) {
-    RolloutState standing =
+    RolloutState state =
         switch (news.getStanding()) {
           case ON_TRIAL -> RolloutState.ON_TRIAL;
           case GOING_BACK -> RolloutState.GOING_BACK;
@@ -169,14 +180,14 @@
           case WITHDRAWN -> RolloutState.WITHDRAWN;
           default -> null;
         };
-    boolean known =
-        standing != null
+    boolean isValid =
+        state != null
             && news.getCap() >= 0
             && news.getCap() <= 1
             && news.getBuild() >>> 16 == 0
             && news.getStage() >= 0
             && news.getStage() <= config.settings.caps.size();
-    if (!known) {
+    if (!isValid) {
       events.warn(
           EventLog.Event.NEWS_REFUSED,
           "build "
@@ -190,9 +201,9 @@
     }
     // guards against a controller that was replaced and does not know it, and against news that was
     // long on its way
-    boolean old =
+    boolean isStale =
         news.getEpoch() < epoch || news.getEpoch() == epoch && news.getSequence() < sequence;
-    if (old) {
+    if (isStale) {
       events.warn(
           EventLog.Event.NEWS_REFUSED,
           "epoch "
@@ -207,8 +218,8 @@
     }
     epoch = news.getEpoch();
     sequence = news.getSequence();
-    TimeSpan lasted = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
-    ledger.news(news.getBuild(), news.getStage(), standing, news.getCap(), net.now().minus(lasted));
+    TimeSpan inState = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
+    ledger.news(news.getBuild(), news.getStage(), state, news.getCap(), net.now().minus(inState));
     hasNews = true;
     onNews.run();
   }
@@ -241,7 +252,7 @@
   private void voteReplied(Voted voted) {
     Timer timer = pendingVotes.remove(voted.getId());
     if (timer == null) {
-      return; // answered too late: it was taken as unanswered
+      return; // too late: it was taken as unanswered
     }
     timer.cancel();
     VoteReply reply =
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -2,20 +2,16 @@
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.config.Address;
 import sprucerock.config.RelayConfig;
 import sprucerock.model.Endpoint;
 import sprucerock.relay.engine.EventLog;
-import sprucerock.relay.snapshot.RackSnapshot;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
@@ -33,35 +29,17 @@
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Watch;
 
-/** What the roster says of the units, told to the ledger; and each unit's connections. */
+/**
+ * The connection to the discovery service, which lists the endpoints: takes over whole lists and
+ * changes, and gives each endpoint its pool of connections. While it is away, the list holds. For
+ * the event loop's thread.
+ */
 final class DiscoveryConnection implements FrameListener {
-  /**
-   * A run of a unit's process, by the roster's number for it, with the one start time that it keeps
-   * here.
-   */
+  /** A run of an endpoint's process by its number, and when it started; null: it didn't say. */
   private record ProcessRun(long number, Timestamp started) {}
 
-  /**
-   * The listed units of one rack that may get work if the rack may. They are looked at when its
-   * verdict turns, not at each look at racks: a look is for twenty times a second, and racks are a
-   * fraction of the units.
-   */
-  private static final class RackEndpoints {
-    private final int zone;
-    private final int cell;
-    private final Map<Long, Entry> ready = new TreeMap<>();
-
-    /**
-     * What the last look found, and every unit has been told; null: some unit may have been told
-     * otherwise since.
-     */
-    private Boolean mayPlace;
-
-    RackEndpoints(Endpoint first) {
-      zone = first.zone;
-      cell = first.cell;
-    }
-  }
+  private static final int MAX_BUILD = 0xffff;
+  private static final double MAX_WEIGHT = 1e6;
 
   private final Net net;
   private final RelayConfig config;
@@ -73,8 +51,7 @@
   private final ReconnectingConnection connection;
   private final Map<Long, ProcessRun> runs = new HashMap<>();
 
-  /** By {@link RackSnapshot#key}; none is empty. */
-  private final Map<Integer, RackEndpoints> racksByKey = new TreeMap<>();
+  private final RackIndex rackIndex = new RackIndex();
 
   private final RackPermits permits;
   private final Runnable onList;
@@ -119,12 +96,12 @@
     connection.stop();
   }
 
-  /** A whole list has come since the start. */
+  /** Whether a whole list has come since the start. */
   boolean hasList() {
     return hasList;
   }
 
-  /** The module asks for the list and its changes; where the roster is away, it is told so. */
+  /** Asks for the list and its changes, for the policy; without a connection it is told so. */
   void subscribe() {
     if (connection.send(
         FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
@@ -135,7 +112,7 @@
   }
 
   @Override
-  public void helloReceived(FrameConnection connection, Hello other) {
+  public void helloReceived(FrameConnection made, Hello other) {
     if (other.getRole() != Role.ROSTER) {
       connection.cut("no roster answers there");
       return;
@@ -197,39 +174,18 @@
       return;
     }
     InetSocketAddress address = Address.of(entry.getHost(), entry.getPort());
-    String wrong =
-        entry.getHealth() != Health.READY && entry.getHealth() != Health.DRAINING
-            ? "no known health"
-            : address == null || entry.getPort() == 0
-                ? "no address to connect to"
-                : entry.getBuild() >>> 16 != 0
-                    ? "a build over 65535"
-                    : !(entry.getWeight() > 0) || entry.getWeight() > 1e6
-                        ? "a weight that is not above 0"
-                        : known == null && runs.size() >= config.endpoints
-                            ? "more units than limits/units allows"
-                            : entry.getUnit() >>> 32 != 0
-                                ? "an id of 2^32 or more"
-                                : config.tls != null && config.tlsUnits && entry.getName().isEmpty()
-                                    ? "no name, by which it could be proven"
-                                    : null;
-    if (wrong != null) {
+    String problem = problemOf(entry, known, address);
+    if (problem != null) {
       events.warn(
           EventLog.Event.LISTING_REFUSED,
           "unit "
               + Long.toUnsignedString(entry.getUnit())
               + " has "
-              + wrong
+              + problem
               + "; the entry is left out");
       return;
     }
-    ProcessRun run = runs.get(entry.getUnit());
-    if (run == null || run.number != entry.getRun()) {
-      // its age is told anew with each listing, late by the way here: the first one told is kept
-      TimeSpan age = TimeSpan.ofMs(entry.getAgeUs() / 1000.0);
-      run = new ProcessRun(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
-      runs.put(entry.getUnit(), run);
-    }
+    ProcessRun run = runOf(entry);
     boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
     boolean moved =
         sameRun
@@ -241,6 +197,10 @@
     if (moved) {
       ledger.removed(known.id);
     }
+    list(entry, known, address, run.started);
+  }
+
+  private void list(Entry entry, Endpoint known, InetSocketAddress address, Timestamp started) {
     boolean mayPlace = permits.mayPlace(entry.getZone(), entry.getCell());
     Endpoint endpoint =
         ledger.listed(
@@ -249,16 +209,16 @@
             entry.getKind(),
             entry.getCell(),
             entry.getBuild(),
-            run.started,
+            started,
             entry.getWeight(),
             entry.getHealth() == Health.READY && mayPlace);
     if (known != null && known != endpoint) {
-      removeFromRack(known);
+      rackIndex.remove(known);
     }
     if (entry.getHealth() == Health.READY) {
-      addToRack(endpoint, entry, mayPlace);
+      rackIndex.add(endpoint, entry, mayPlace);
     } else {
-      removeFromRack(endpoint);
+      rackIndex.remove(endpoint);
     }
     if (endpoint.door == null) {
       endpoint.door =
@@ -271,45 +231,52 @@
     onEndpointChanged.accept(endpoint);
   }
 
-  private void addToRack(Endpoint endpoint, Entry entry, boolean mayPlace) {
-    RackEndpoints rack =
-        racksByKey.computeIfAbsent(
-            RackSnapshot.key(endpoint.zone, endpoint.cell), any -> new RackEndpoints(endpoint));
-    rack.ready.put(endpoint.id, entry);
-    if (rack.mayPlace != null && rack.mayPlace != mayPlace) {
-      rack.mayPlace = null;
+  /** What is wrong with an entry, for the log; null where it can be taken. */
+  private String problemOf(Entry entry, Endpoint known, InetSocketAddress address) {
+    if (entry.getHealth() != Health.READY && entry.getHealth() != Health.DRAINING) {
+      return "no known health";
     }
+    if (address == null || entry.getPort() == 0) {
+      return "no address to connect to";
+    }
+    if (Integer.compareUnsigned(entry.getBuild(), MAX_BUILD) > 0) {
+      return "a build over 65535";
+    }
+    if (!(entry.getWeight() > 0) || entry.getWeight() > MAX_WEIGHT) {
+      return "a weight that is not above 0";
+    }
+    if (known == null && runs.size() >= config.endpoints) {
+      return "more units than limits/units allows";
+    }
+    if (entry.getUnit() >>> 32 != 0) {
+      return "an id of 2^32 or more";
+    }
+    return config.tls != null && config.tlsUnits && entry.getName().isEmpty()
+        ? "no name, by which it could be proven"
+        : null;
   }
 
-  private void removeFromRack(Endpoint endpoint) {
-    int key = RackSnapshot.key(endpoint.zone, endpoint.cell);
-    RackEndpoints rack = racksByKey.get(key);
-    if (rack == null) {
-      return;
-    }
-    rack.ready.remove(endpoint.id);
-    if (rack.ready.isEmpty()) {
-      racksByKey.remove(key);
+  /**
+   * The run of the endpoint's process: its age is told late by the way here, so the first holds.
+   */
+  private ProcessRun runOf(Entry entry) {
+    ProcessRun run = runs.get(entry.getUnit());
+    if (run == null || run.number != entry.getRun()) {
+      TimeSpan age = TimeSpan.ofMs(entry.getAgeUs() / 1000.0);
+      run = new ProcessRun(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
+      runs.put(entry.getUnit(), run);
     }
+    return run;
   }
 
   /**
-   * Units of a rack that must be left are told as such that drain, and once it may be used again as
-   * listed: the module knows no racks.
+   * Tells the policy, which knows no racks, of endpoints whose rack's permit has changed: as
+   * draining where it must be left, as listed where it may be used again.
    */
   void permitsChanged() {
-    List<RackEndpoints> turned = new ArrayList<>();
-    for (RackEndpoints rack : racksByKey.values()) {
-      boolean mayPlace = permits.mayPlace(rack.zone, rack.cell);
-      if (rack.mayPlace != null && rack.mayPlace == mayPlace) {
-        continue;
-      }
-      rack.mayPlace = mayPlace;
-      turned.add(rack);
-    }
-    for (RackEndpoints rack : turned) {
-      boolean mayPlace = rack.mayPlace;
-      for (Entry entry : new ArrayList<>(rack.ready.values())) {
+    for (RackIndex.RackEndpoints rack : rackIndex.update(permits)) {
+      boolean mayPlace = rack.mayPlace();
+      for (Entry entry : rack.entries()) {
         if (ledger.unit(entry.getUnit()).ready() != mayPlace) {
           apply(entry);
         }
@@ -319,7 +286,7 @@
 
   private void remove(Endpoint endpoint) {
     runs.remove(endpoint.id);
-    removeFromRack(endpoint);
+    rackIndex.remove(endpoint);
     ledger.removed(endpoint.id);
     closePool(endpoint);
     onEndpointChanged.accept(endpoint);
--- a/src/main/java/sprucerock/relay/frames/EndpointConnection.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnection.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
 import sprucerock.model.Rpc;
 import sprucerock.time.TimeSpan;
@@ -18,7 +19,7 @@
 import sprucerock.transport.wire.v1.Stop;
 import sprucerock.transport.wire.v1.Work;
 
-/** One connection to a unit, with the picks that are out on it. */
+/** One connection to an endpoint, with the attempts in flight on it. */
 final class EndpointConnection implements FrameListener {
   private static final byte[] NO_BODY = {};
 
@@ -26,10 +27,10 @@
   private final Map<Long, FrameExchange> inFlight = new LinkedHashMap<>();
   FrameConnection connection;
 
-  /** The unit said who it is, and is the one meant. */
+  /** The endpoint has greeted, and is the one meant. */
   boolean isReady;
 
-  /** Gets nothing new, and is closed once it is empty. */
+  /** Is sent nothing new, and closes once nothing is in flight on it. */
   boolean isRetired;
 
   Timestamp lastUsed;
@@ -41,11 +42,11 @@
     lastUsed = now;
   }
 
-  sprucerock.model.Endpoint endpoint() {
+  Endpoint endpoint() {
     return pool.endpoint;
   }
 
-  /** Picks on it, those included that nobody waits for any more: the unit may still be at them. */
+  /** Attempts on it, with abandoned ones: the endpoint may still be working on those. */
   int load() {
     return inFlight.size() + abandoned;
   }
@@ -54,13 +55,13 @@
     return inFlight.isEmpty();
   }
 
-  /** Nothing new may follow what closes it: such a pick would be cut off with it. */
+  /** Closes it. Nothing new may follow: such an attempt would be cut off with it. */
   void retire() {
     isRetired = true;
     connection.finish();
   }
 
-  /** Gets nothing new; closes once what is out on it has ended. */
+  /** Sends nothing new on it, and closes it once what is in flight has ended. */
   void drain() {
     if (isIdle()) {
       retire();
@@ -92,11 +93,11 @@
     lastUsed = now;
   }
 
-  /** Nobody waits for it any more. A unit that is told so may stop. */
-  void abandon(FrameExchange exchange, boolean tellUnit) {
+  /** Stops waiting for an attempt. An endpoint that is notified may stop working on it. */
+  void abandon(FrameExchange exchange, boolean notifyEndpoint) {
     inFlight.remove(exchange.wireId);
     abandoned++;
-    if (tellUnit) {
+    if (notifyEndpoint) {
       connection.send(FrameKind.STOP, Stop.newBuilder().setId(exchange.wireId).build(), NO_BODY);
     }
     pool.capacityFreed(this);
@@ -129,7 +130,7 @@
         };
     FrameExchange exchange = inFlight.remove(done.getId());
     if (exchange == null) {
-      // late, for one given up on; or an id that never was, which a unit can't use to gain room
+      // late, for an abandoned one; an id that never was must not free capacity
       if (abandoned > 0 && done.getId() <= lastId) {
         abandoned--;
       }
@@ -146,9 +147,9 @@
     pool.connectionClosed(this, why);
     for (FrameExchange exchange : new ArrayList<>(inFlight.values())) {
       // a cut before its frame left proves that it never ran; after that nobody knows
-      boolean never = !connection.mayHaveBeenSent(exchange.sentMark);
+      boolean neverSent = !connection.mayHaveBeenSent(exchange.sentMark);
       pool.attemptEnded(
-          exchange, never ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN, NO_BODY);
+          exchange, neverSent ? AttemptOutcome.NOT_CONNECTED : AttemptOutcome.BROKEN, NO_BODY);
     }
     inFlight.clear();
   }
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -7,47 +7,55 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Endpoint;
+import sprucerock.relay.engine.AttemptExchange;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.v1.Hello;
 
 /**
- * The connections to one unit. They are made as picks need them, up to a number; a pick that finds
- * none with room waits for one, for as long as a connection may take. After a connection failed
- * none is tried for a pause that grows: picks end at once as never connected. Which unit gets a
- * pick is none of its business.
+ * The connections to one endpoint, opened as attempts need them, up to the configured number. An
+ * attempt that finds none with capacity waits for one, for as long as a connection may take, in a
+ * queue with a bound. After a connection failed none is tried for a backoff that grows: without any
+ * other connection, attempts end at once as NOT_CONNECTED. For the event loop's thread.
  */
 final class EndpointConnectionPool {
-  /** What the links need of the relay. */
+  /** What the pool needs of the relay, and tells it. */
   interface PoolListener {
+    /** Begins a connection, by TLS to that name where configured, and hands it its frames. */
     void openConnection(EndpointConnection connection, InetSocketAddress to, String name);
 
-    void attemptEnded(
-        sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
+    /** An attempt has its outcome. */
+    void attemptEnded(AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
 
-    /** The same, but told once the module has returned from what it does now. */
-    void attemptEndsAfterTurn(
-        sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
+    /** The same, but told at the end of this turn of the loop. */
+    void attemptEndsAfterTurn(AttemptExchange exchange, AttemptOutcome outcome);
 
-    /** It is on a connection now. */
-    void attemptWritten(sprucerock.relay.engine.AttemptExchange exchange);
+    /** An attempt was handed to a connection. */
+    void attemptWritten(AttemptExchange exchange);
 
-    /** A result came for a pick that had ended before. */
+    /** A result came for an attempt that had ended before. */
     void lateResult(AttemptOutcome outcome);
 
+    /** The event loop's clock. */
     Timestamp now();
 
-    sprucerock.transport.net.Timers.Timer schedule(Timestamp when, Runnable what);
+    /** Runs something at a time, unless the timer is cancelled. */
+    Timer schedule(Timestamp when, Runnable what);
 
+    /** A connection failed, or closed with attempts on it. */
     void endpointLost(Endpoint endpoint, String why);
 
+    /** Another process than the endpoint answers at its address. */
     void wrongEndpoint(Endpoint endpoint, Hello other);
 
-    /** It was not proven to be the one meant, for that reason. */
+    /** A TLS handshake did not prove the endpoint to be the one meant. */
     void endpointRefused(Endpoint endpoint, String why);
   }
 
+  private static final byte[] NO_BODY = {};
+
   final Endpoint endpoint;
   private final InetSocketAddress address;
   private final String tlsName;
@@ -60,11 +68,7 @@
   private Timestamp retryAt;
   private boolean isClosing;
 
-  /** While old connections are replaced: until when, and which ones are left. */
-  private Timestamp replaceBy;
-
-  private final ArrayDeque<EndpointConnection> toReplace = new ArrayDeque<>();
-  private EndpointConnection replacement;
+  private RollingReplacement replacement; // null until credentials change for the first time
 
   EndpointConnectionPool(
       Endpoint endpoint,
@@ -82,19 +86,21 @@
     backoff = config.pauseFirst;
   }
 
-  boolean isFor(InetSocketAddress there, String called) {
-    return address.equals(there) && tlsName.equals(called);
+  /** Whether these are the address and name that the connections go to. */
+  boolean isFor(InetSocketAddress address, String tlsName) {
+    return this.address.equals(address) && this.tlsName.equals(tlsName);
   }
 
-  /** That its certificate has to carry. */
   InetSocketAddress address() {
     return address;
   }
 
+  /** The name that the endpoint's certificate has to carry; may be empty without TLS. */
   String tlsName() {
     return tlsName;
   }
 
+  /** Sends the attempt on the connection with the least load, or has it wait for one. */
   void send(FrameExchange exchange) {
     EndpointConnection best = null;
     int connecting = 0;
@@ -114,9 +120,9 @@
       return;
     }
     Timestamp now = listener.now();
-    boolean paused = retryAt != null && retryAt.after(now);
-    boolean more = connections.size() < config.connectionsPerUnit && !paused;
-    if (waiting.size() >= config.waitingPerUnit || paused && connections.isEmpty()) {
+    boolean isBackingOff = retryAt != null && retryAt.after(now);
+    boolean mayOpen = connections.size() < config.connectionsPerUnit && !isBackingOff;
+    if (waiting.size() >= config.waitingPerUnit || isBackingOff && connections.isEmpty()) {
       listener.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
       return;
     }
@@ -126,83 +132,49 @@
             now.plus(config.connectWithin),
             () -> {
               if (waiting.remove(exchange)) {
-                listener.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, new byte[0]);
+                listener.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, NO_BODY);
               }
             });
-    if (more && connecting * config.picksEach < waiting.size()) {
+    if (mayOpen && connecting * config.picksEach < waiting.size()) {
       open(now);
     }
   }
 
-  private EndpointConnection open(Timestamp now) {
+  /** Begins a connection beside those that there are. */
+  EndpointConnection open(Timestamp now) {
     EndpointConnection connection = new EndpointConnection(this, now);
     connections.add(connection);
     listener.openConnection(connection, address, tlsName);
     return connection;
   }
 
-  /**
-   * What proves this relay and its units has changed: connections are replaced by new ones within a
-   * time, one after another, each old one only once the new one is there, and from a moment that is
-   * drawn, so that units see no storm.
-   */
+  /** Replaces all connections within a time, as credentials have changed. */
   void replaceConnections(TimeSpan within) {
     if (isClosing) {
       return;
     }
-    Timestamp now = listener.now();
-    replaceBy = now.plus(within);
-    toReplace.clear();
-    for (EndpointConnection connection : connections) {
-      if (connection.isReady && !connection.isRetired) {
-        toReplace.add(connection);
-      }
+    if (replacement == null) {
+      replacement = new RollingReplacement(this, listener, random, config.pauseMost);
     }
-    replacement = null;
-    listener.schedule(now.plus(within.times(0.5 * random.next())), this::replaceNext);
+    replacement.begin(connections, within);
   }
 
-  private void replaceNext() {
-    toReplace.removeIf(connection -> connection.isRetired || !connections.contains(connection));
-    if (isClosing || toReplace.isEmpty() || replacement != null) {
-      return;
-    }
-    if (!replaceBy.after(
-        listener.now())) { // the new one can't be had, and what the old one was proven by counts no
-      // more
-      while (!toReplace.isEmpty()) {
-        toReplace.poll().drain();
-      }
-      return;
-    }
-    replacement = open(listener.now());
-  }
-
-  private void replacementReady(EndpointConnection connection) {
-    if (connection != replacement) {
-      return;
-    }
-    replacement = null;
-    EndpointConnection gone = toReplace.poll();
-    if (gone != null) {
-      gone.drain();
-    }
-    replaceNext();
+  boolean contains(EndpointConnection connection) {
+    return connections.contains(connection);
   }
 
-  private void replacementFailed(EndpointConnection connection) {
-    if (connection != replacement) {
-      return;
-    }
-    replacement = null;
-    listener.schedule(listener.now().plus(config.pauseMost), this::replaceNext);
+  boolean isClosing() {
+    return isClosing;
   }
 
+  /** A connection's endpoint has greeted: what waits for one is sent on it. */
   void connectionReady(EndpointConnection connection) {
     backoff = config.pauseFirst;
     retryAt = null;
     sendWaiting(connection);
-    replacementReady(connection);
+    if (replacement != null) {
+      replacement.connectionReady(connection);
+    }
     listener.schedule(listener.now().plus(config.idle), () -> closeIdle(connection));
   }
 
@@ -233,23 +205,26 @@
     }
   }
 
-  /** A pick on it ended: there is room, or a unit that leaves is done with. */
+  /** An attempt on the connection ended: others may be sent, or it is done with and closes. */
   void capacityFreed(EndpointConnection connection) {
-    // a unit that answers nothing fills its connection with picks that nobody waits for: another is
-    // made
-    boolean stuck = connection.isIdle() && 2 * connection.load() >= config.picksEach;
-    if ((isClosing || connection.isRetired) && connection.isIdle() || stuck) {
+    // an endpoint that answers nothing fills its connection with attempts that nobody waits for:
+    // another is made
+    boolean isStuck = connection.isIdle() && 2 * connection.load() >= config.picksEach;
+    if ((isClosing || connection.isRetired) && connection.isIdle() || isStuck) {
       connection.retire();
     }
     sendWaiting(connection);
   }
 
+  /** A connection failed, was refused, or closed in good order. */
   void connectionClosed(EndpointConnection connection, String why) {
     connections.remove(connection);
     if (isClosing) {
       return;
     }
-    replacementFailed(connection);
+    if (replacement != null) {
+      replacement.connectionClosed(connection);
+    }
     if (why.startsWith("TLS: ")) {
       listener.endpointRefused(endpoint, why);
     } else if (!connection.isReady || !connection.isIdle()) {
@@ -264,8 +239,8 @@
     Timestamp now = listener.now();
     retryAt = now.plus(backoff.times(0.5 + 0.5 * random.next()));
     backoff = backoff.times(2).atMost(config.pauseMost);
-    boolean hope = connections.stream().anyMatch(other -> !other.isRetired);
-    while (!hope && !waiting.isEmpty()) {
+    boolean hasOthers = connections.stream().anyMatch(other -> !other.isRetired);
+    while (!hasOthers && !waiting.isEmpty()) {
       FrameExchange next = waiting.poll();
       next.connectTimer.cancel();
       listener.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
@@ -289,12 +264,13 @@
   }
 
   /**
-   * Called off, or out of time: whoever called says with which outcome it ends. True where it was
-   * never sent.
+   * Stops waiting for an attempt; the caller says with which outcome it ends.
+   *
+   * @return true where it was never sent
    */
-  boolean abandon(FrameExchange exchange, boolean tellUnit) {
+  boolean abandon(FrameExchange exchange, boolean notifyEndpoint) {
     if (exchange.connection != null) {
-      exchange.connection.abandon(exchange, tellUnit);
+      exchange.connection.abandon(exchange, notifyEndpoint);
       return false;
     }
     waiting.remove(exchange);
@@ -305,12 +281,12 @@
   }
 
   /**
-   * The unit drains, is gone or became another: what is out ends as it may, then the connections
-   * close.
+   * The endpoint drains, is gone or was restarted: what waits is not sent any more, what is in
+   * flight ends as it may, then the connections close.
    */
   void close() {
     isClosing = true;
-    while (!waiting.isEmpty()) { // not sent yet, so not to be sent any more
+    while (!waiting.isEmpty()) {
       FrameExchange next = waiting.poll();
       next.connectTimer.cancel();
       listener.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
--- a/src/main/java/sprucerock/relay/frames/FrameExchange.java
+++ b/src/main/java/sprucerock/relay/frames/FrameExchange.java
@@ -1,25 +1,29 @@
 package sprucerock.relay.frames;
 
 import sprucerock.model.Attempt;
+import sprucerock.relay.engine.AttemptExchange;
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Timers.Timer;
 
-/** A pick on its way over frames. */
-final class FrameExchange extends sprucerock.relay.engine.AttemptExchange {
+/** An attempt over frames: waiting for a connection, or in flight on one. */
+final class FrameExchange extends AttemptExchange {
   /** Null while it waits for a connection. */
   EndpointConnection connection;
 
-  /** Its id on that connection, and where its frame stands in what was written. */
+  /** Its id on that connection. */
   long wireId;
 
+  /** Where its frame stands in the bytes written, see FrameConnection.mayHaveBeenSent. */
   long sentMark;
+
+  /** Ends the wait for a connection; null if it did not wait. */
   Timer connectTimer;
 
-  /** Picks of this relay that its unit held when it was sent. */
+  /** Other attempts of this relay that its endpoint had when it was sent. */
   final int concurrentAttempts;
 
-  FrameExchange(Attempt attempt, Timestamp ends) {
-    super(attempt, ends);
+  FrameExchange(Attempt attempt, Timestamp deadline) {
+    super(attempt, deadline);
     concurrentAttempts = Math.max(0, attempt.endpoint.out() - 1);
   }
 }
--- a/src/main/java/sprucerock/relay/frames/FrameRequest.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRequest.java
@@ -1,7 +1,9 @@
 package sprucerock.relay.frames;
 
-/** What the door keeps with an RPC: who asked, under which id, and what the units are sent. */
-final class FrameRequest extends sprucerock.relay.engine.Request {
+import sprucerock.relay.engine.Request;
+
+/** A client's request over frames: its connection, its own id for it, and what endpoints get. */
+final class FrameRequest extends Request {
   final FrameClientConnection client;
   final long clientRequestId;
   final long idempotencyKey;
@@ -14,7 +16,7 @@
     this.body = body;
   }
 
-  /** Its body is not kept either. */
+  /** Releases the body too. */
   @Override
   protected void complete() {
     super.complete();
--- a/src/main/java/sprucerock/relay/frames/PeerConnections.java
+++ b/src/main/java/sprucerock/relay/frames/PeerConnections.java
@@ -20,8 +20,8 @@
 import sprucerock.transport.wire.v1.Told;
 
 /**
- * Links to the other relays, made when the module first has something to tell. A message that can't
- * go now is dropped.
+ * The connections to the other relays, opened when the first message is to be sent. A message that
+ * can't be sent at once is dropped, as the policy expects. For the event loop's thread.
  */
 final class PeerConnections {
   private final Net net;
@@ -33,7 +33,7 @@
   private final Map<Integer, ReconnectingConnection> connections = new TreeMap<>();
   private final MethodAccounts accounts;
   private final TlsConnections tlsConnections;
-  private boolean stopping;
+  private boolean isStopping;
 
   PeerConnections(
       Net net,
@@ -54,13 +54,14 @@
     this.random = chance;
   }
 
+  /** Sends the policy's message to one relay, or drops it; either is counted. */
   void send(int number, byte[] contents) {
     count(send(number, FrameKind.TOLD, Told.getDefaultInstance(), contents));
   }
 
   private boolean send(int number, FrameKind kind, MessageLite head, byte[] contents) {
     InetSocketAddress address = config.peers.get(number);
-    if (address == null || stopping) {
+    if (address == null || isStopping) {
       return false;
     }
     ReconnectingConnection connection = connections.get(number);
@@ -78,25 +79,25 @@
       connections.put(number, connection);
       connection.connect();
     }
-    // one that reads slowly loses messages, as the module expects, and is not cut for it
-    boolean room =
+    // a relay that reads slowly loses messages, as the policy expects, and stays connected
+    boolean hasCapacity =
         connection.isReady() && connection.unsentBytes() + contents.length <= config.peerUnsent;
-    return room && connection.send(kind, head, contents);
+    return hasCapacity && connection.send(kind, head, contents);
   }
 
-  /** To all, or dropped. */
+  /** Sends a frame to all relays, or drops it. */
   void sendToAll(FrameKind kind, MessageLite head) {
     for (int number : config.peers.keySet()) {
       send(number, kind, head, FrameClientConnection.NO_BODY);
     }
   }
 
-  /** To one, or dropped. */
+  /** Sends a frame to one relay, or drops it. */
   void send(int number, FrameKind kind, MessageLite head) {
     send(number, kind, head, FrameClientConnection.NO_BODY);
   }
 
-  /** What a look found, to all. */
+  /** Sends a health check's result to all relays. */
   void sendProbeResult(Seen seen) {
     sendToAll(FrameKind.SEEN, seen);
   }
@@ -105,6 +106,7 @@
     accounts.begin(accounts.messages, 0, sent ? 1 : 2);
   }
 
+  /** Sends the policy's message to all relays. */
   void sendToAll(byte[] contents) {
     for (int number : config.peers.keySet()) {
       send(number, contents);
@@ -112,7 +114,7 @@
   }
 
   void stop() {
-    stopping = true;
+    isStopping = true;
     for (ReconnectingConnection connection : connections.values()) {
       connection.stop();
     }
@@ -139,7 +141,7 @@
 
     @Override
     public void closed(String why) {
-      if (!stopping) {
+      if (!isStopping) {
         events.warn(
             EventLog.Event.PEER_LOST,
             "relay " + number + ": " + why + "; messages to it are dropped");
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -17,28 +17,33 @@
 import sprucerock.transport.wire.v1.RackFree;
 
 /**
- * Until when this relay may place work on which rack, as the controller promised. It counts from
- * before it asked, by its own clock, shortened by what clocks may differ, and stops as long before
- * as the longest RPC may run. Before the first promise it places nothing: it can't know which racks
- * there are, and one may be frozen while it starts. Cut off from the controller it goes on by what
- * it was promised, and stops rack by rack as that runs out.
+ * Until when this relay may place work on which rack, as the controller promised. A promise counts
+ * from before it was requested, by this relay's clock, shortened by the clocks' possible drift, and
+ * work is placed only if the longest RPC ends within it. Before the first promise nothing is
+ * placed: the racks are not known, and one may be frozen. Without the controller, the promises hold
+ * until they expire, rack by rack. For the event loop's thread.
  */
 public final class RackPermits {
-  /** What it needs of the relay. */
+  /** What the permits need of the relay, and tell it. */
   public interface PermitListener {
-    /** False where nobody can be asked. */
+    /** Sends a request to the controller; false where it is away. */
     boolean requestPromise(PromiseAsk ask);
 
-    /** It may place work from now on, where it was promised to. */
+    /** The first promise has come: work may be placed from now on. */
     void firstPromiseReceived();
 
-    /** Some rack is free that was not, or the other way round. */
+    /** Permits may have changed; called every 50 ms too, as they expire. */
     void permitsChanged();
   }
 
-  private static final long NO_LIST = 1; // of the protocol: one is welcome
-  private static final TimeSpan REQUEST_JITTER =
-      TimeSpan.ofMs(100); // over which relays that were told together ask
+  /** In a request: no list is known, one is welcome. */
+  private static final long NO_LIST = 1;
+
+  /** Over which the requests of relays that were notified together are spread. */
+  private static final TimeSpan REQUEST_JITTER = TimeSpan.ofMs(100);
+
+  /** A fifth of the shortest deadline that is in use; a check is cheap. */
+  private static final TimeSpan CHECK_INTERVAL = TimeSpan.ofMs(50);
 
   private final Net net;
   private final RelayConfig config;
@@ -47,9 +52,9 @@
   private final PermitListener listener;
   private final SharedSnapshot snapshots = new SharedSnapshot();
   private final Map<Long, Timestamp> requestedAt = new HashMap<>();
-  // Told whole once; by its number a controller names only racks that are free for less than their
-  // notice. One that knows of no lists
-  // tells all each time, and so does one whose racks are others.
+  // The list of racks is sent whole once. By its id a controller then names only racks that are
+  // free
+  // for less than their notice; one that knows no lists, or has another, names all.
   private long listId = NO_LIST;
   private Map<Integer, TimeSpan> noticeByRack = Map.of();
   private long lastRequestId;
@@ -59,26 +64,28 @@
   private boolean promiseReceived;
   private boolean stopped;
 
-  /** It asks nobody yet, see {@link #start}. */
+  /** Requests nothing yet, see {@link #start}. */
   public RackPermits(
       Net net,
       RelayConfig config,
       EventLog events,
-      DeterministicRandom chance,
-      PermitListener owner) {
+      DeterministicRandom random,
+      PermitListener listener) {
     this.net = net;
     this.config = config;
     this.events = events;
-    this.random = chance;
-    this.listener = owner;
+    this.random = random;
+    this.listener = listener;
   }
 
+  /** Begins to request promises, where racks are configured. */
   public void start() {
     if (config.racksEvery != null) {
       requestPromise();
     }
   }
 
+  /** Requests nothing more; later promises are ignored. */
   public void stop() {
     stopped = true;
     if (nextRequest != null) {
@@ -93,9 +100,8 @@
     if (stopped) {
       return;
     }
-    requestedAt
-        .clear(); // an answer that took longer than a round is of no use: the next one is on its
-    // way
+    // an answer that took longer than a round is of no use: the next one is on its way
+    requestedAt.clear();
     PromiseAsk ask =
         PromiseAsk.newBuilder()
             .setId(++lastRequestId)
@@ -110,7 +116,7 @@
             this::requestPromise);
   }
 
-  /** An answer, or word that something has changed. */
+  /** A promise has come, or, with id 0, the notice that something has changed. */
   public void promiseReceived(Promised promised) {
     if (config.racksEvery == null || stopped) {
       return;
@@ -138,25 +144,25 @@
       return;
     }
     epoch = promised.getEpoch();
-    double shorter = (1 - config.racksDrift) / (1 + config.racksDrift);
+    double driftFactor = (1 - config.racksDrift) / (1 + config.racksDrift);
     Map<Integer, Timestamp> until = new HashMap<>();
     if (promised.getRest()) {
-      noticeByRack.forEach((rack, notice) -> until.put(rack, from.plus(notice.times(shorter))));
+      noticeByRack.forEach((rack, notice) -> until.put(rack, from.plus(notice.times(driftFactor))));
     } else {
       rememberNotices(promised);
     }
     for (RackFree rack : promised.getRacksList()) {
       until.put(
           RackSnapshot.key(rack.getZone(), rack.getCell()),
-          from.plus(TimeSpan.ofMs(rack.getLeftMs() * shorter)));
+          from.plus(TimeSpan.ofMs(rack.getLeftMs() * driftFactor)));
     }
     if (!snapshots.put(new RackSnapshot(promised.getSequence(), until))) {
       return;
     }
-    boolean first = !promiseReceived;
+    boolean isFirst = !promiseReceived;
     promiseReceived = true;
     checkPermits();
-    if (first) {
+    if (isFirst) {
       listener.firstPromiseReceived();
     }
   }
@@ -173,40 +179,37 @@
     }
   }
 
-  /** Now, and when the next rack has to be left. */
+  /** Has endpoints follow the permits, now and at each interval. */
   private void checkPermits() {
     if (nextCheck != null) {
       nextCheck.cancel();
     }
     listener.permitsChanged();
-    nextCheck =
-        net.at(
-            net.now().plus(TimeSpan.ofMs(50)),
-            this::checkPermits); // a fifth of the shortest deadline that is in use, and cheap
+    nextCheck = net.at(net.now().plus(CHECK_INTERVAL), this::checkPermits);
   }
 
   /**
-   * Whether new work may be placed on the unit: all that may run there is over before its rack may
+   * Whether new work may be placed on the endpoint: all that may run there ends before its rack may
    * be frozen.
    */
   boolean mayPlace(Endpoint endpoint) {
     return mayPlace(endpoint.zone, endpoint.cell, net.now(), config.longestDeadline);
   }
 
-  /** The same for a rack by its place. */
+  /** The same for a rack, by zone and cell. */
   public boolean mayPlace(int zone, int cell) {
     return mayPlace(zone, cell, net.now(), config.longestDeadline);
   }
 
   /**
-   * The same at the last instant before it goes out: this process may have stood still since the
-   * module chose.
+   * The same just before an attempt is sent, without time to run: the process may have stood still
+   * since the policy decided.
    */
   boolean mayStillPlace(Endpoint endpoint) {
     return mayPlace(endpoint.zone, endpoint.cell, net.clock(), TimeSpan.ZERO);
   }
 
-  /** Racks are nothing to it, or it was promised something. */
+  /** Whether a promise has come, or none is needed as racks are not configured. */
   public boolean mayHavePermits() {
     return promiseReceived || config.racksEvery == null;
   }
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -20,10 +20,11 @@
 import sprucerock.transport.wire.ReconnectingConnection;
 
 /**
- * Which of a relay's connections are by TLS, and with whom; counts and tells what becomes of them.
+ * Decides which of a relay's connections use TLS and whom each has to prove, and counts and logs
+ * handshakes and reloads of credentials. For the event loop's thread.
  */
 final class TlsConnections implements Tls.Owner {
-  /** Whose connections are to be replaced once credentials have changed. */
+  /** Replaces connections once credentials have changed. */
   interface ConnectionReplacer {
     void replaceConnections(TimeSpan within);
   }
@@ -43,7 +44,7 @@
   }
 
   /**
-   * Reads the files; nothing where TLS is not configured.
+   * Reads the credentials; does nothing where TLS is not configured.
    *
    * @throws Material.BadMaterialException if they can't be used
    */
@@ -60,11 +61,12 @@
     }
   }
 
-  /** Null where TLS is not configured. */
+  /** The TLS context; null where TLS is not configured. */
   Tls tls() {
     return tls;
   }
 
+  /** Connects to an endpoint, by TLS where that is configured. */
   void connectToEndpoint(long endpoint, InetSocketAddress to, String name, FrameConnection user) {
     if (tls == null || !config.tlsUnits) {
       net.connect(to, config.connectWithin, config.connection.maxUnsentBytes(), user);
@@ -74,6 +76,7 @@
     }
   }
 
+  /** How connections to another relay are made. */
   ReconnectingConnection.Connector peerConnector(int number) {
     if (!config.tlsPeers) {
       return net::connect;
@@ -82,7 +85,7 @@
         tls.connect("relay " + number, config.peerNames.get(number), to, within, mostUnsent, user);
   }
 
-  /** What a taken connection has before its user. */
+  /** Wraps an accepted connection's listener in TLS, where that is configured for clients. */
   ConnectionListener accepted(FrameClientConnection client, FrameConnection user) {
     if (!config.tlsClients) {
       return user;
@@ -93,7 +96,8 @@
   }
 
   /**
-   * Whether who says that it is a relay of a number has proven it; true where relays don't have to.
+   * Whether the other side's certificate carries the name of the relay that it says it is; true
+   * where peers need none.
    */
   boolean isProvenRelay(int number, TlsConnection by) {
     if (!config.tlsPeers) {
