--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -35,19 +35,20 @@
 
 
 /** 
-* News and counts of the release desk, told to the ledger; and the module's votes, each with one 
-* answer or none in time. 
+* The connection to the controller: takes over its news of rollouts and its counts, carries the 
+* policy's votes, each with one reply or none in time, and requests for rack permits. While it is 
+* away, what it said last holds. For the event loop's thread. 
 */ 
 public final class ControllerConnection implements FrameListener {
 private final Net net ;
 private final RelayConfig config ;
 private final RequestTracker ledger ;
 private final EventLog events ;
-private final Consumer < VoteReply > answered ;
-private final ReconnectingConnection redial ;
-private final Map < Long , Timer > votes = new HashMap < > ( ) ;
-private final Runnable learnt ;
-private final Consumer < Promised > promised ;
+private final Consumer < VoteReply > onVoteReply ;
+private final ReconnectingConnection connection ;
+private final Map < Long , Timer > pendingVotes = new HashMap < > ( ) ;
+private final Runnable onNews ;
+private final Consumer < Promised > onPromise ;
 private long lastVote ;
 private long epoch ;
 private long sequence ;
@@ -55,48 +56,59 @@
 private boolean stopping ;
 
 
-/** {@code learnt} is run with each news; nothing is opened yet, see {@link #start}. */ 
-public ControllerConnection ( Net net , RelayConfig config , Hello mine , FrameTap tap , RequestTracker ledger , EventLog events , DeterministicRandom chance , Consumer < VoteReply > answered , Consumer < Promised > promised , Runnable learnt ) {
-this.promised = promised ;
-this.learnt = learnt ;
+/** 
+* Nothing is opened yet, see {@link #start}. 
+* 
+* @param onVoteReply gets one reply for each vote 
+* @param onPromise gets what the controller promises of racks 
+* @param onNews is run after each news that was taken over 
+*/ 
+public ControllerConnection ( Net net , RelayConfig config , Hello mine , FrameTap tap , RequestTracker ledger , EventLog events , DeterministicRandom chance , Consumer < VoteReply > onVoteReply , Consumer < Promised > onPromise , Runnable onNews ) {
+this.onPromise = onPromise ;
+this.onNews = onNews ;
 this.net = net ;
 this.config = config ;
 this.ledger = ledger ;
 this.events = events ;
-this.answered = answered ;
-redial = new ReconnectingConnection ( net , config.controller , mine , config.connectionLimits , tap , chance , this ) ;
+this.onVoteReply = onVoteReply ;
+connection = new ReconnectingConnection ( net , config.controller , mine , config.connectionLimits , tap , chance , this ) ;
 }
 
 
+/** Connects, and again whenever the connection is lost. */ 
 public void start ( ) {
-redial.connect ( ) ;
+connection.connect ( ) ;
 }
 
 
+/** Closes the connection for good. */ 
 public void stop ( ) {
 stopping = true ;
-redial.stop ( ) ;
+connection.stop ( ) ;
 }
 
 
-/** News has come since the start. */ 
+/** Whether news has come since the start. */ 
 public boolean hasNews ( ) {
 return hasNews ;
 }
 
 
-void tell ( Worth worth ) {
-redial.send ( FrameKind.WORTH , worth , FrameClientConnection.NO_BODY ) ;
+void publishModel ( Worth worth ) {
+connection.send ( FrameKind.WORTH , worth , FrameClientConnection.NO_BODY ) ;
 }
 
 
-/** False where the desk is away. */ 
+/** Asks for rack permits; false where the controller is away. */ 
 public boolean requestPromise ( PromiseAsk ask ) {
-return redial.send ( FrameKind.PROMISE_ASK , ask , FrameClientConnection.NO_BODY ) ;
+return connection.send ( FrameKind.PROMISE_ASK , ask , FrameClientConnection.NO_BODY ) ;
 }
 
 
-/** Ends in one answer, or in none within the time that the settings have. */ 
+/** 
+* Votes on a build. The reply is told once; UNANSWERED where none comes within the settings' call 
+* timeout, in which case the vote may count all the same. 
+*/ 
 public void vote ( Build build , int stage , Verdict verdict ) {
 long id = ++ lastVote ;
 MethodAccounts accounts = ledger.accounts ( ) ;
@@ -108,22 +120,21 @@
 case BACK -> Say.BACK ;
 }
 ;
-redial.send ( FrameKind.VOTE , Vote.newBuilder ( ).setId ( id ).setBuild ( build.number ).setStage ( stage ).setSay ( say ).build ( ) , FrameClientConnection.NO_BODY ) ;
-// one that could not be sent is not answered either: to the module the desk is away in both
-// cases
-votes.put ( id , net.at ( net.now ( ).plus ( config.settings.callTimeout ) , ( ) -> {
-votes.remove ( id ) ;
+connection.send ( FrameKind.VOTE , Vote.newBuilder ( ).setId ( id ).setBuild ( build.number ).setStage ( stage ).setSay ( say ).build ( ) , FrameClientConnection.NO_BODY ) ;
+// one that could not be sent is not answered either: to the policy it is the same
+pendingVotes.put ( id , net.at ( net.now ( ).plus ( config.settings.callTimeout ) , ( ) -> {
+pendingVotes.remove ( id ) ;
 events.warn ( EventLog.Event.VOTE_UNANSWERED , "vote " + verdict + " on build " + build.number + " within " + config.settings.callTimeout.ms ( ) + " ms; it may count" ) ;
-count ( 5 ) ;
-answered.accept ( VoteReply.UNANSWERED ) ;
+countVote ( 5 ) ;
+onVoteReply.accept ( VoteReply.UNANSWERED ) ;
 }
 ) ) ;
 }
 
 
-@Override public void helloReceived ( FrameConnection connection , Hello other ) {
+@Override public void helloReceived ( FrameConnection made , Hello other ) {
 if ( other.getRole ( ) != Role.DESK ) {
-redial.cut ( "no release desk answers there" ) ;
+connection.cut ( "no release desk answers there" ) ;
 return ;
 }
 events.info ( EventLog.Event.DESK_BACK , "linked to the release desk at " + config.controller ) ;
@@ -132,25 +143,25 @@
 
 @Override public void frameReceived ( FrameKind kind , MessageLite head , byte [ ] body ) {
 if ( kind == FrameKind.NEWS ) {
-news ( ( News ) head ) ;
+applyNews ( ( News ) head ) ;
 }
 else if ( kind == FrameKind.COUNTS ) {
-counts ( ( Counts ) head ) ;
+applyCounts ( ( Counts ) head ) ;
 }
 else if ( kind == FrameKind.VOTED ) {
-voted ( ( Voted ) head ) ;
+voteReplied ( ( Voted ) head ) ;
 }
 else if ( kind == FrameKind.PROMISED ) {
-promised.accept ( ( Promised ) head ) ;
+onPromise.accept ( ( Promised ) head ) ;
 }
 else {
-redial.cut ( "a release desk sends no " + kind ) ;
+connection.cut ( "a release desk sends no " + kind ) ;
 }
 }
 
 
-private void news ( News news ) {
-RolloutState standing = switch ( news.getStanding ( ) ) {
+private void applyNews ( News news ) {
+RolloutState state = switch ( news.getStanding ( ) ) {
 case ON_TRIAL -> RolloutState.ON_TRIAL ;
 case GOING_BACK -> RolloutState.GOING_BACK ;
 case RELEASED -> RolloutState.RELEASED ;
@@ -158,28 +169,28 @@
 default -> null ;
 }
 ;
-boolean known = standing != null && news.getCap ( ) >= 0 && news.getCap ( ) <= 1 && news.getBuild ( ) >>> 16 == 0 && news.getStage ( ) >= 0 && news.getStage ( ) <= config.settings.caps.size ( ) ;
-if ( ! known ) {
+boolean isValid = state != null && news.getCap ( ) >= 0 && news.getCap ( ) <= 1 && news.getBuild ( ) >>> 16 == 0 && news.getStage ( ) >= 0 && news.getStage ( ) <= config.settings.caps.size ( ) ;
+if ( ! isValid ) {
 events.warn ( EventLog.Event.NEWS_REFUSED , "build " + news.getBuild ( ) + ", stage " + news.getStage ( ) + ", cap " + news.getCap ( ) + ": no such standing, stage or cap; what was known holds" ) ;
 return ;
 }
 // guards against a controller that was replaced and does not know it, and against news that was
 // long on its way
-boolean old = news.getEpoch ( ) < epoch || news.getEpoch ( ) == epoch && news.getSequence ( ) < sequence ;
-if ( old ) {
+boolean isStale = news.getEpoch ( ) < epoch || news.getEpoch ( ) == epoch && news.getSequence ( ) < sequence ;
+if ( isStale ) {
 events.warn ( EventLog.Event.NEWS_REFUSED , "epoch " + news.getEpoch ( ) + ", sequence " + news.getSequence ( ) + " is older than " + epoch + ", " + sequence ) ;
 return ;
 }
 epoch = news.getEpoch ( ) ;
 sequence = news.getSequence ( ) ;
-TimeSpan lasted = TimeSpan.ofMs ( Math.max ( 0 , news.getLastedUs ( ) ) / 1000.0 ) ;
-ledger.rolloutChanged ( news.getBuild ( ) , news.getStage ( ) , standing , news.getCap ( ) , net.now ( ).minus ( lasted ) ) ;
+TimeSpan inState = TimeSpan.ofMs ( Math.max ( 0 , news.getLastedUs ( ) ) / 1000.0 ) ;
+ledger.rolloutChanged ( news.getBuild ( ) , news.getStage ( ) , state , news.getCap ( ) , net.now ( ).minus ( inState ) ) ;
 hasNews = true ;
-learnt.run ( ) ;
+onNews.run ( ) ;
 }
 
 
-private void counts ( Counts counts ) {
+private void applyCounts ( Counts counts ) {
 int method = counts.getMethod ( ) ;
 if ( method < 0 || method >= config.settings.methods.size ( ) || counts.getFailed ( ) > counts.getPicks ( ) || counts.getFailed ( ) < 0 ) {
 events.warn ( EventLog.Event.NEWS_REFUSED , "counts of method " + method + ": " + counts.getFailed ( ) + " of " + counts.getPicks ( ) + " failed can't be; they are left out" ) ;
@@ -189,11 +200,11 @@
 }
 
 
-private void voted ( Voted voted ) {
-Timer timer = votes.remove ( voted.getId ( ) ) ;
+private void voteReplied ( Voted voted ) {
+Timer timer = pendingVotes.remove ( voted.getId ( ) ) ;
 if ( timer == null ) {
 return ;
-// answered too late: it was taken as unanswered
+// too late: it was taken as unanswered
 }
 timer.cancel ( ) ;
 VoteReply reply = switch ( voted.getTaken ( ) ) {
@@ -203,12 +214,12 @@
 default -> VoteReply.ERROR ;
 }
 ;
-count ( 1 + reply.ordinal ( ) ) ;
-answered.accept ( reply ) ;
+countVote ( 1 + reply.ordinal ( ) ) ;
+onVoteReply.accept ( reply ) ;
 }
 
 
-private void count ( int column ) {
+private void countVote ( int column ) {
 MethodAccounts accounts = ledger.accounts ( ) ;
 accounts.postTransfer ( accounts.votes , 0 , accounts.votes.pending ( ) , column ) ;
 }
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -2,20 +2,16 @@
 
 import com.google.protobuf.MessageLite;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.config.Address;
 import sprucerock.config.RelayConfig;
 import sprucerock.model.Endpoint;
 import sprucerock.relay.engine.EventLog;
-import sprucerock.relay.snapshot.RackSnapshot;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
@@ -33,54 +29,35 @@
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Watch;
 
-/** What the roster says of the units, told to the ledger; and each unit's connections. */
+/**
+ * The connection to the discovery service, which lists the endpoints: takes over whole lists and
+ * changes, and gives each endpoint its pool of connections. While it is away, the list holds. For
+ * the event loop's thread.
+ */
 final class DiscoveryConnection implements FrameListener {
-  /**
-   * A run of a unit's process, by the roster's number for it, with the one start time that it keeps
-   * here.
-   */
-  private record Run(long number, Timestamp started) {}
+  /** A run of an endpoint's process by its number, and when it started; null: it didn't say. */
+  private record ProcessRun(long number, Timestamp started) {}
 
-  /**
-   * The listed units of one rack that may get work if the rack may. They are looked at when its
-   * verdict turns, not at each look at racks: a look is for twenty times a second, and racks are a
-   * fraction of the units.
-   */
-  private static final class Rack {
-    private final int zone;
-    private final int cell;
-    private final Map<Long, Entry> ready = new TreeMap<>();
-
-    /**
-     * What the last look found, and every unit has been told; null: some unit may have been told
-     * otherwise since.
-     */
-    private Boolean mayPlace;
-
-    Rack(Endpoint first) {
-      zone = first.zone;
-      cell = first.cell;
-    }
-  }
+  private static final int MAX_BUILD = 0xffff;
+  private static final double MAX_WEIGHT = 1e6;
 
   private final Net net;
   private final RelayConfig config;
   private final RequestTracker ledger;
   private final EventLog events;
-  private final EndpointConnectionPool.PoolListener owner;
-  private final DeterministicRandom chance;
-  private final Runnable listFailed;
-  private final ReconnectingConnection redial;
-  private final Map<Long, Run> runs = new HashMap<>();
+  private final EndpointConnectionPool.PoolListener poolListener;
+  private final DeterministicRandom random;
+  private final Runnable onListFailed;
+  private final ReconnectingConnection connection;
+  private final Map<Long, ProcessRun> runs = new HashMap<>();
 
-  /** By {@link RackSnapshot#key}; none is empty. */
-  private final Map<Integer, Rack> rackOf = new TreeMap<>();
+  private final RackIndex rackIndex = new RackIndex();
 
-  private final RackPermits racks;
-  private final Runnable learnt;
-  private final Consumer<Endpoint> changed;
-  private boolean listed;
-  private boolean asked;
+  private final RackPermits permits;
+  private final Runnable onList;
+  private final Consumer<Endpoint> onEndpointChanged;
+  private boolean hasList;
+  private boolean isAwaitingList;
   private boolean stopping;
 
   DiscoveryConnection(
@@ -96,65 +73,65 @@
       Runnable listFailed,
       Runnable learnt,
       Consumer<Endpoint> changed) {
-    this.changed = changed;
-    this.racks = racks;
-    this.learnt = learnt;
+    this.onEndpointChanged = changed;
+    this.permits = racks;
+    this.onList = learnt;
     this.net = net;
     this.config = config;
     this.ledger = ledger;
     this.events = events;
-    this.owner = owner;
-    this.chance = chance;
-    this.listFailed = listFailed;
-    redial =
-        new ReconnectingConnection(
-            net, config.discovery, mine, config.connectionLimits, tap, chance, this);
+    this.poolListener = owner;
+    this.random = chance;
+    this.onListFailed = listFailed;
+    connection =
+        new ReconnectingConnection(net, config.roster, mine, config.connection, tap, chance, this);
   }
 
   void start() {
-    redial.connect();
+    connection.connect();
   }
 
   void stop() {
     stopping = true;
-    redial.stop();
+    connection.stop();
   }
 
-  /** A whole list has come since the start. */
-  boolean listed() {
-    return listed;
+  /** Whether a whole list has come since the start. */
+  boolean hasList() {
+    return hasList;
   }
 
-  /** The module asks for the list and its changes; where the roster is away, it is told so. */
+  /** Asks for the list and its changes, for the policy; without a connection it is told so. */
   void subscribe() {
-    if (redial.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
-      asked = true;
+    if (connection.send(
+        FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY)) {
+      isAwaitingList = true;
     } else {
-      net.atTurnsEnd(listFailed);
+      net.atTurnsEnd(onListFailed);
     }
   }
 
   @Override
-  public void helloReceived(FrameConnection connection, Hello other) {
+  public void helloReceived(FrameConnection made, Hello other) {
     if (other.getRole() != Role.ROSTER) {
-      redial.cut("no roster answers there");
+      connection.cut("no roster answers there");
       return;
     }
-    events.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.discovery);
-    if (!config.settings.pollsEndpointList) {
-      redial.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
+    events.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.roster);
+    if (!config.settings.ask) {
+      connection.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
   }
 
   @Override
   public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
     if (kind != FrameKind.LISTING) {
-      redial.cut("a roster sends no " + kind);
+      connection.cut("a roster sends no " + kind);
       return;
     }
     Listing listing = (Listing) head;
     if (listing.getForm() == Form.FAILED) {
-      failed();
+      listFailed();
       return;
     }
     if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
@@ -163,172 +140,161 @@
           "a listing that is neither whole nor changes; the old one holds");
       return;
     }
-    asked = false;
+    isAwaitingList = false;
     Set<Long> named = new HashSet<>();
     for (Entry entry : listing.getEntriesList()) {
       named.add(entry.getUnit());
-      take(entry);
+      apply(entry);
     }
     if (listing.getForm() == Form.WHOLE) {
-      for (Endpoint endpoint : ledger.endpoints()) {
+      for (Endpoint endpoint : ledger.units()) {
         if (!named.contains(endpoint.id)) {
-          removed(endpoint);
+          remove(endpoint);
         }
       }
-      listed = true;
-      learnt.run();
+      hasList = true;
+      onList.run();
     }
   }
 
-  private void failed() {
-    if (!asked) {
+  private void listFailed() {
+    if (!isAwaitingList) {
       return;
     }
-    asked = false;
-    listFailed.run();
+    isAwaitingList = false;
+    onListFailed.run();
   }
 
-  private void take(Entry entry) {
-    Endpoint known = ledger.endpoint(entry.getUnit());
+  private void apply(Entry entry) {
+    Endpoint known = ledger.unit(entry.getUnit());
     if (entry.getHealth() == Health.GONE) {
       if (known != null) {
-        removed(known);
+        remove(known);
       }
       return;
     }
     InetSocketAddress address = Address.of(entry.getHost(), entry.getPort());
-    String wrong =
-        entry.getHealth() != Health.READY && entry.getHealth() != Health.DRAINING
-            ? "no known health"
-            : address == null || entry.getPort() == 0
-                ? "no address to connect to"
-                : entry.getBuild() >>> 16 != 0
-                    ? "a build over 65535"
-                    : !(entry.getWeight() > 0) || entry.getWeight() > 1e6
-                        ? "a weight that is not above 0"
-                        : known == null && runs.size() >= config.maxEndpoints
-                            ? "more units than limits/units allows"
-                            : entry.getUnit() >>> 32 != 0
-                                ? "an id of 2^32 or more"
-                                : config.tlsSetup != null
-                                        && config.tlsToEndpoints
-                                        && entry.getName().isEmpty()
-                                    ? "no name, by which it could be proven"
-                                    : null;
-    if (wrong != null) {
+    String problem = problemOf(entry, known, address);
+    if (problem != null) {
       events.warn(
           EventLog.Event.LISTING_REFUSED,
           "unit "
               + Long.toUnsignedString(entry.getUnit())
               + " has "
-              + wrong
+              + problem
               + "; the entry is left out");
       return;
     }
-    Run run = runs.get(entry.getUnit());
-    if (run == null || run.number != entry.getRun()) {
-      // its age is told anew with each listing, late by the way here: the first one told is kept
-      TimeSpan age = TimeSpan.ofMs(entry.getAgeUs() / 1000.0);
-      run = new Run(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
-      runs.put(entry.getUnit(), run);
-    }
+    ProcessRun run = runOf(entry);
     boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
     boolean moved =
         sameRun
-            && known.attachment != null
-            && !((EndpointConnectionPool) known.attachment).at(address, entry.getName());
+            && known.door != null
+            && !((EndpointConnectionPool) known.door).isFor(address, entry.getName());
     if (known != null && (!sameRun || moved)) {
-      leave(known);
+      closePool(known);
     }
     if (moved) {
-      ledger.endpointRemoved(known.id);
+      ledger.removed(known.id);
     }
-    boolean mayPlace = racks.mayPlace(entry.getZone(), entry.getCell());
+    list(entry, known, address, run.started);
+  }
+
+  private void list(Entry entry, Endpoint known, InetSocketAddress address, Timestamp started) {
+    boolean mayPlace = permits.mayPlace(entry.getZone(), entry.getCell());
     Endpoint endpoint =
-        ledger.endpointListed(
+        ledger.listed(
             entry.getUnit(),
             entry.getZone(),
             entry.getKind(),
             entry.getCell(),
             entry.getBuild(),
-            run.started,
+            started,
             entry.getWeight(),
             entry.getHealth() == Health.READY && mayPlace);
     if (known != null && known != endpoint) {
-      forget(known);
+      rackIndex.remove(known);
     }
     if (entry.getHealth() == Health.READY) {
-      remember(endpoint, entry, mayPlace);
+      rackIndex.add(endpoint, entry, mayPlace);
     } else {
-      forget(endpoint);
+      rackIndex.remove(endpoint);
     }
-    if (endpoint.attachment == null) {
-      endpoint.attachment =
-          new EndpointConnectionPool(endpoint, address, entry.getName(), config, chance, owner);
+    if (endpoint.door == null) {
+      endpoint.door =
+          new EndpointConnectionPool(
+              endpoint, address, entry.getName(), config, random, poolListener);
     }
     if (entry.getHealth() == Health.DRAINING) {
-      leave(endpoint);
+      closePool(endpoint);
     }
-    changed.accept(endpoint);
+    onEndpointChanged.accept(endpoint);
   }
 
-  private void remember(Endpoint endpoint, Entry entry, boolean mayPlace) {
-    Rack rack =
-        rackOf.computeIfAbsent(
-            RackSnapshot.key(endpoint.zone, endpoint.cell), any -> new Rack(endpoint));
-    rack.ready.put(endpoint.id, entry);
-    if (rack.mayPlace != null && rack.mayPlace != mayPlace) {
-      rack.mayPlace = null;
+  /** What is wrong with an entry, for the log; null where it can be taken. */
+  private String problemOf(Entry entry, Endpoint known, InetSocketAddress address) {
+    if (entry.getHealth() != Health.READY && entry.getHealth() != Health.DRAINING) {
+      return "no known health";
     }
-  }
-
-  private void forget(Endpoint endpoint) {
-    int key = RackSnapshot.key(endpoint.zone, endpoint.cell);
-    Rack rack = rackOf.get(key);
-    if (rack == null) {
-      return;
+    if (address == null || entry.getPort() == 0) {
+      return "no address to connect to";
+    }
+    if (Integer.compareUnsigned(entry.getBuild(), MAX_BUILD) > 0) {
+      return "a build over 65535";
     }
-    rack.ready.remove(endpoint.id);
-    if (rack.ready.isEmpty()) {
-      rackOf.remove(key);
+    if (!(entry.getWeight() > 0) || entry.getWeight() > MAX_WEIGHT) {
+      return "a weight that is not above 0";
     }
+    if (known == null && runs.size() >= config.endpoints) {
+      return "more units than limits/units allows";
+    }
+    if (entry.getUnit() >>> 32 != 0) {
+      return "an id of 2^32 or more";
+    }
+    return config.tls != null && config.tlsUnits && entry.getName().isEmpty()
+        ? "no name, by which it could be proven"
+        : null;
   }
 
   /**
-   * Units of a rack that must be left are told as such that drain, and once it may be used again as
-   * listed: the module knows no racks.
+   * The run of the endpoint's process: its age is told late by the way here, so the first holds.
    */
-  void racksChanged() {
-    List<Rack> turned = new ArrayList<>();
-    for (Rack rack : rackOf.values()) {
-      boolean mayPlace = racks.mayPlace(rack.zone, rack.cell);
-      if (rack.mayPlace != null && rack.mayPlace == mayPlace) {
-        continue;
-      }
-      rack.mayPlace = mayPlace;
-      turned.add(rack);
+  private ProcessRun runOf(Entry entry) {
+    ProcessRun run = runs.get(entry.getUnit());
+    if (run == null || run.number != entry.getRun()) {
+      TimeSpan age = TimeSpan.ofMs(entry.getAgeUs() / 1000.0);
+      run = new ProcessRun(entry.getRun(), entry.getAgeUs() == 0 ? null : net.now().minus(age));
+      runs.put(entry.getUnit(), run);
     }
-    for (Rack rack : turned) {
-      boolean mayPlace = rack.mayPlace;
-      for (Entry entry : new ArrayList<>(rack.ready.values())) {
-        if (ledger.endpoint(entry.getUnit()).ready() != mayPlace) {
-          take(entry);
+    return run;
+  }
+
+  /**
+   * Tells the policy, which knows no racks, of endpoints whose rack's permit has changed: as
+   * draining where it must be left, as listed where it may be used again.
+   */
+  void permitsChanged() {
+    for (RackIndex.RackEndpoints rack : rackIndex.update(permits)) {
+      boolean mayPlace = rack.mayPlace();
+      for (Entry entry : rack.entries()) {
+        if (ledger.unit(entry.getUnit()).ready() != mayPlace) {
+          apply(entry);
         }
       }
     }
   }
 
-  private void removed(Endpoint endpoint) {
+  private void remove(Endpoint endpoint) {
     runs.remove(endpoint.id);
-    forget(endpoint);
-    ledger.endpointRemoved(endpoint.id);
-    leave(endpoint);
-    changed.accept(endpoint);
+    rackIndex.remove(endpoint);
+    ledger.removed(endpoint.id);
+    closePool(endpoint);
+    onEndpointChanged.accept(endpoint);
   }
 
-  private static void leave(Endpoint endpoint) {
-    if (endpoint.attachment != null) {
-      ((EndpointConnectionPool) endpoint.attachment).leave();
+  private static void closePool(Endpoint endpoint) {
+    if (endpoint.door != null) {
+      ((EndpointConnectionPool) endpoint.door).close();
     }
   }
 
@@ -337,6 +303,6 @@
     if (!stopping) {
       events.warn(EventLog.Event.ROSTER_LOST, why + "; the units listed last hold");
     }
-    failed();
+    listFailed();
   }
 }
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -7,64 +7,68 @@
 import sprucerock.config.RelayConfig;
 import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Endpoint;
+import sprucerock.relay.engine.AttemptExchange;
 import sprucerock.stats.DeterministicRandom;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
+import sprucerock.transport.net.Timers.Timer;
 import sprucerock.transport.wire.v1.Hello;
 
 /**
- * The connections to one unit. They are made as picks need them, up to a number; a pick that finds
- * none with room waits for one, for as long as a connection may take. After a connection failed
- * none is tried for a pause that grows: picks end at once as never connected. Which unit gets a
- * pick is none of its business.
+ * The connections to one endpoint, opened as attempts need them, up to the configured number. An
+ * attempt that finds none with capacity waits for one, for as long as a connection may take, in a
+ * queue with a bound. After a connection failed none is tried for a backoff that grows: without any
+ * other connection, attempts end at once as NOT_CONNECTED. For the event loop's thread.
  */
 final class EndpointConnectionPool {
-  /** What the links need of the relay. */
+  /** What the pool needs of the relay, and tells it. */
   interface PoolListener {
-    void open(EndpointConnection connection, InetSocketAddress to, String name);
+    /** Begins a connection, by TLS to that name where configured, and hands it its frames. */
+    void openConnection(EndpointConnection connection, InetSocketAddress to, String name);
 
-    void attemptEnded(
-        sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
+    /** An attempt has its outcome. */
+    void attemptEnded(AttemptExchange exchange, AttemptOutcome outcome, byte[] body);
 
-    /** The same, but told once the module has returned from what it does now. */
-    void attemptEndsAfterTurn(
-        sprucerock.relay.engine.AttemptExchange exchange, AttemptOutcome outcome);
+    /** The same, but told at the end of this turn of the loop. */
+    void attemptEndsAfterTurn(AttemptExchange exchange, AttemptOutcome outcome);
 
-    /** It is on a connection now. */
-    void attemptWritten(sprucerock.relay.engine.AttemptExchange exchange);
+    /** An attempt was handed to a connection. */
+    void attemptWritten(AttemptExchange exchange);
 
-    /** A result came for a pick that had ended before. */
-    void late(AttemptOutcome outcome);
+    /** A result came for an attempt that had ended before. */
+    void lateResult(AttemptOutcome outcome);
 
+    /** The event loop's clock. */
     Timestamp now();
 
-    sprucerock.transport.net.Timers.Timer at(Timestamp when, Runnable what);
+    /** Runs something at a time, unless the timer is cancelled. */
+    Timer schedule(Timestamp when, Runnable what);
 
-    void lost(Endpoint endpoint, String why);
+    /** A connection failed, or closed with attempts on it. */
+    void endpointLost(Endpoint endpoint, String why);
 
-    void misnamed(Endpoint endpoint, Hello other);
+    /** Another process than the endpoint answers at its address. */
+    void wrongEndpoint(Endpoint endpoint, Hello other);
 
-    /** It was not proven to be the one meant, for that reason. */
-    void refused(Endpoint endpoint, String why);
+    /** A TLS handshake did not prove the endpoint to be the one meant. */
+    void endpointRefused(Endpoint endpoint, String why);
   }
 
+  private static final byte[] NO_BODY = {};
+
   final Endpoint endpoint;
   private final InetSocketAddress address;
-  private final String name;
+  private final String tlsName;
   private final RelayConfig config;
-  private final PoolListener owner;
-  private final DeterministicRandom chance;
+  private final PoolListener listener;
+  private final DeterministicRandom random;
   private final List<EndpointConnection> connections = new ArrayList<>();
   private final ArrayDeque<FrameExchange> waiting = new ArrayDeque<>();
-  private TimeSpan pause;
-  private Timestamp notBefore;
-  private boolean left;
-
-  /** While old connections are replaced: until when, and which ones are left. */
-  private Timestamp movedBy;
+  private TimeSpan backoff;
+  private Timestamp retryAt;
+  private boolean isClosing;
 
-  private final ArrayDeque<EndpointConnection> old = new ArrayDeque<>();
-  private EndpointConnection replacement;
+  private RollingReplacement replacement; // null until credentials change for the first time
 
   EndpointConnectionPool(
       Endpoint endpoint,
@@ -75,148 +79,116 @@
       PoolListener owner) {
     this.endpoint = endpoint;
     this.address = address;
-    this.name = name;
+    this.tlsName = name;
     this.config = config;
-    this.chance = chance;
-    this.owner = owner;
-    pause = config.firstBackoff;
+    this.random = chance;
+    this.listener = owner;
+    backoff = config.pauseFirst;
   }
 
-  boolean at(InetSocketAddress there, String called) {
-    return address.equals(there) && name.equals(called);
+  /** Whether these are the address and name that the connections go to. */
+  boolean isFor(InetSocketAddress address, String tlsName) {
+    return this.address.equals(address) && this.tlsName.equals(tlsName);
   }
 
-  /** That its certificate has to carry. */
   InetSocketAddress address() {
     return address;
   }
 
-  String name() {
-    return name;
+  /** The name that the endpoint's certificate has to carry; may be empty without TLS. */
+  String tlsName() {
+    return tlsName;
   }
 
+  /** Sends the attempt on the connection with the least load, or has it wait for one. */
   void send(FrameExchange exchange) {
     EndpointConnection best = null;
     int connecting = 0;
     for (EndpointConnection connection : connections) {
-      if (connection.retired) {
+      if (connection.isRetired) {
         continue;
       }
-      if (!connection.greeted) {
+      if (!connection.isReady) {
         connecting++;
-      } else if (connection.load() < config.attemptsPerConnection
+      } else if (connection.load() < config.picksEach
           && (best == null || connection.load() < best.load())) {
         best = connection;
       }
     }
     if (best != null) {
-      best.send(exchange, owner.now());
+      best.send(exchange, listener.now());
       return;
     }
-    Timestamp now = owner.now();
-    boolean paused = notBefore != null && notBefore.after(now);
-    boolean more = connections.size() < config.connectionsPerEndpoint && !paused;
-    if (waiting.size() >= config.waitingPerEndpoint || paused && connections.isEmpty()) {
-      owner.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
+    Timestamp now = listener.now();
+    boolean isBackingOff = retryAt != null && retryAt.after(now);
+    boolean mayOpen = connections.size() < config.connectionsPerUnit && !isBackingOff;
+    if (waiting.size() >= config.waitingPerUnit || isBackingOff && connections.isEmpty()) {
+      listener.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
       return;
     }
     waiting.add(exchange);
-    exchange.waiting =
-        owner.at(
-            now.plus(config.connectTimeout),
+    exchange.connectTimer =
+        listener.schedule(
+            now.plus(config.connectWithin),
             () -> {
               if (waiting.remove(exchange)) {
-                owner.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, new byte[0]);
+                listener.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, NO_BODY);
               }
             });
-    if (more && connecting * config.attemptsPerConnection < waiting.size()) {
+    if (mayOpen && connecting * config.picksEach < waiting.size()) {
       open(now);
     }
   }
 
-  private EndpointConnection open(Timestamp now) {
+  /** Begins a connection beside those that there are. */
+  EndpointConnection open(Timestamp now) {
     EndpointConnection connection = new EndpointConnection(this, now);
     connections.add(connection);
-    owner.open(connection, address, name);
+    listener.openConnection(connection, address, tlsName);
     return connection;
   }
 
-  /**
-   * What proves this relay and its units has changed: connections are replaced by new ones within a
-   * time, one after another, each old one only once the new one is there, and from a moment that is
-   * drawn, so that units see no storm.
-   */
-  void move(TimeSpan within) {
-    if (left) {
+  /** Replaces all connections within a time, as credentials have changed. */
+  void replaceConnections(TimeSpan within) {
+    if (isClosing) {
       return;
     }
-    Timestamp now = owner.now();
-    movedBy = now.plus(within);
-    old.clear();
-    for (EndpointConnection connection : connections) {
-      if (connection.greeted && !connection.retired) {
-        old.add(connection);
-      }
+    if (replacement == null) {
+      replacement = new RollingReplacement(this, listener, random, config.pauseMost);
     }
-    replacement = null;
-    owner.at(now.plus(within.times(0.5 * chance.next())), this::moveNext);
+    replacement.begin(connections, within);
   }
 
-  private void moveNext() {
-    old.removeIf(connection -> connection.retired || !connections.contains(connection));
-    if (left || old.isEmpty() || replacement != null) {
-      return;
-    }
-    if (!movedBy.after(owner.now())) {
-      // the new one can't be had, and what the old one was proven by counts no
-      // more
-      while (!old.isEmpty()) {
-        old.poll().drain();
-      }
-      return;
-    }
-    replacement = open(owner.now());
+  boolean contains(EndpointConnection connection) {
+    return connections.contains(connection);
   }
 
-  private void moved(EndpointConnection connection) {
-    if (connection != replacement) {
-      return;
-    }
-    replacement = null;
-    EndpointConnection gone = old.poll();
-    if (gone != null) {
-      gone.drain();
-    }
-    moveNext();
+  boolean isClosing() {
+    return isClosing;
   }
 
-  private void notMoved(EndpointConnection connection) {
-    if (connection != replacement) {
-      return;
+  /** A connection's endpoint has greeted: what waits for one is sent on it. */
+  void connectionReady(EndpointConnection connection) {
+    backoff = config.pauseFirst;
+    retryAt = null;
+    sendWaiting(connection);
+    if (replacement != null) {
+      replacement.connectionReady(connection);
     }
-    replacement = null;
-    owner.at(owner.now().plus(config.maxBackoff), this::moveNext);
-  }
-
-  void up(EndpointConnection connection) {
-    pause = config.firstBackoff;
-    notBefore = null;
-    drain(connection);
-    moved(connection);
-    owner.at(owner.now().plus(config.idleTimeout), () -> closeIdle(connection));
+    listener.schedule(listener.now().plus(config.idle), () -> closeIdle(connection));
   }
 
-  private void drain(EndpointConnection connection) {
+  private void sendWaiting(EndpointConnection connection) {
     while (!waiting.isEmpty()
-        && !connection.retired
-        && connection.greeted
-        && connection.load() < config.attemptsPerConnection) {
+        && !connection.isRetired
+        && connection.isReady
+        && connection.load() < config.picksEach) {
       FrameExchange next = waiting.poll();
-      next.waiting.cancel();
-      if (!next.mayStart(owner.now())) {
-        owner.attemptEndsAfterTurn(next, AttemptOutcome.MOOT);
+      next.connectTimer.cancel();
+      if (!next.mayStart(listener.now())) {
+        listener.attemptEndsAfterTurn(next, AttemptOutcome.MOOT);
       } else {
-        connection.send(next, owner.now());
+        connection.send(next, listener.now());
       }
     }
   }
@@ -225,100 +197,102 @@
     if (!connections.contains(connection)) {
       return;
     }
-    TimeSpan unused = owner.now().since(connection.usedLast);
-    if (connection.idle() && !config.idleTimeout.over(unused)) {
+    TimeSpan unused = listener.now().since(connection.lastUsed);
+    if (connection.isIdle() && !config.idle.over(unused)) {
       connection.retire();
     } else {
-      owner.at(owner.now().plus(config.idleTimeout), () -> closeIdle(connection));
+      listener.schedule(listener.now().plus(config.idle), () -> closeIdle(connection));
     }
   }
 
-  /** A pick on it ended: there is room, or a unit that leaves is done with. */
-  void emptied(EndpointConnection connection) {
-    // a unit that answers nothing fills its connection with picks that nobody waits for: another is
-    // made
-    boolean stuck = connection.idle() && 2 * connection.load() >= config.attemptsPerConnection;
-    if ((left || connection.retired) && connection.idle() || stuck) {
+  /** An attempt on the connection ended: others may be sent, or it is done with and closes. */
+  void capacityFreed(EndpointConnection connection) {
+    // an endpoint that answers nothing fills its connection with attempts that nobody waits for:
+    // another is made
+    boolean isStuck = connection.isIdle() && 2 * connection.load() >= config.picksEach;
+    if ((isClosing || connection.isRetired) && connection.isIdle() || isStuck) {
       connection.retire();
     }
-    drain(connection);
+    sendWaiting(connection);
   }
 
-  void down(EndpointConnection connection, String why) {
+  /** A connection failed, was refused, or closed in good order. */
+  void connectionClosed(EndpointConnection connection, String why) {
     connections.remove(connection);
-    if (left) {
+    if (isClosing) {
       return;
     }
-    notMoved(connection);
+    if (replacement != null) {
+      replacement.connectionClosed(connection);
+    }
     if (why.startsWith("TLS: ")) {
-      owner.refused(endpoint, why);
-    } else if (!connection.greeted || !connection.idle()) {
-      owner.lost(endpoint, why);
+      listener.endpointRefused(endpoint, why);
+    } else if (!connection.isReady || !connection.isIdle()) {
+      listener.endpointLost(endpoint, why);
     }
-    if (connection.greeted && connection.idle()) {
-      // closed in good order
+    if (connection.isReady && connection.isIdle()) { // closed in good order
       if (!waiting.isEmpty() && connections.isEmpty()) {
-        open(owner.now());
+        open(listener.now());
       }
       return;
     }
-    Timestamp now = owner.now();
-    notBefore = now.plus(pause.times(0.5 + 0.5 * chance.next()));
-    pause = pause.times(2).atMost(config.maxBackoff);
-    boolean hope = connections.stream().anyMatch(other -> !other.retired);
-    while (!hope && !waiting.isEmpty()) {
+    Timestamp now = listener.now();
+    retryAt = now.plus(backoff.times(0.5 + 0.5 * random.next()));
+    backoff = backoff.times(2).atMost(config.pauseMost);
+    boolean hasOthers = connections.stream().anyMatch(other -> !other.isRetired);
+    while (!hasOthers && !waiting.isEmpty()) {
       FrameExchange next = waiting.poll();
-      next.waiting.cancel();
-      owner.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
+      next.connectTimer.cancel();
+      listener.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
     }
   }
 
-  void misnamed(Hello other) {
-    owner.misnamed(endpoint, other);
+  void wrongEndpoint(Hello other) {
+    listener.wrongEndpoint(endpoint, other);
   }
 
-  void written(FrameExchange exchange) {
-    owner.attemptWritten(exchange);
+  void attemptWritten(FrameExchange exchange) {
+    listener.attemptWritten(exchange);
   }
 
-  void late(AttemptOutcome outcome) {
-    owner.late(outcome);
+  void lateResult(AttemptOutcome outcome) {
+    listener.lateResult(outcome);
   }
 
-  void ended(FrameExchange exchange, AttemptOutcome outcome, byte[] body) {
-    owner.attemptEnded(exchange, outcome, body);
+  void attemptEnded(FrameExchange exchange, AttemptOutcome outcome, byte[] body) {
+    listener.attemptEnded(exchange, outcome, body);
   }
 
   /**
-   * Called off, or out of time: whoever called says with which outcome it ends. True where it was
-   * never sent.
+   * Stops waiting for an attempt; the caller says with which outcome it ends.
+   *
+   * @return true where it was never sent
    */
-  boolean giveUp(FrameExchange exchange, boolean tellUnit) {
+  boolean abandon(FrameExchange exchange, boolean notifyEndpoint) {
     if (exchange.connection != null) {
-      exchange.connection.forsake(exchange, tellUnit);
+      exchange.connection.abandon(exchange, notifyEndpoint);
       return false;
     }
     waiting.remove(exchange);
-    if (exchange.waiting != null) {
-      exchange.waiting.cancel();
+    if (exchange.connectTimer != null) {
+      exchange.connectTimer.cancel();
     }
     return true;
   }
 
   /**
-   * The unit drains, is gone or became another: what is out ends as it may, then the connections
-   * close.
+   * The endpoint drains, is gone or was restarted: what waits is not sent any more, what is in
+   * flight ends as it may, then the connections close.
    */
-  void leave() {
-    left = true;
+  void close() {
+    isClosing = true;
     while (!waiting.isEmpty()) {
-      // not sent yet, so not to be sent any more
       FrameExchange next = waiting.poll();
-      next.waiting.cancel();
-      owner.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
+      next.connectTimer.cancel();
+      listener.attemptEndsAfterTurn(next, AttemptOutcome.NOT_CONNECTED);
     }
     for (EndpointConnection connection : new ArrayList<>(connections)) {
-      if (connection.idle()) {
+      if (connection.isIdle()) {
         connection.retire();
       }
     }
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -3,14 +3,14 @@
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
 import sprucerock.hardware.Cell;
-import sprucerock.hardware.HardwareModel;
 import sprucerock.hardware.LeastSquaresFit;
+import sprucerock.hardware.Model;
 import sprucerock.hardware.Observation;
-import sprucerock.hardware.RunningMoments;
 import sprucerock.hardware.SampleSums;
-import sprucerock.lease.FencingTokenRegistry;
+import sprucerock.hardware.Sums;
+import sprucerock.lease.FencingToken;
 import sprucerock.lease.LeaseCheck;
-import sprucerock.lease.LeaseManager;
+import sprucerock.lease.Leases;
 import sprucerock.model.Attempt;
 import sprucerock.relay.engine.EventLog;
 import sprucerock.time.TimeSpan;
@@ -28,39 +28,39 @@
  * under the lease's number. A holder that is replaced has done nothing that the next one needs:
  * relays tell it what they see from then on.
  */
-final class HardwareReporter implements LeaseManager.Listener {
+final class HardwareReporter implements Leases.Task {
   static final String LEASE = "fit";
 
   /** What it needs of the relay. */
-  interface Owner {
+  interface ReportTransport {
     /** To all other relays. */
-    void tellFitter(Fitter fitter);
+    void announceFitter(Fitter fitter);
 
-    void tellTally(int relay, Tallied tally);
+    void sendSamples(int relay, Tallied tally);
 
     /** To all other relays and the controller. */
-    void tellWorth(Worth worth);
+    void publishModel(Worth worth);
   }
 
-  private static final TimeSpan AGAIN =
+  private static final TimeSpan ANNOUNCE_INTERVAL =
       TimeSpan.ofMs(5000); // a relay that started meanwhile is told who fits
 
   private final Net net;
-  private final int me;
+  private final int relayIndex;
   private final TimeSpan window;
   private final LongSupplier wallMs;
-  private final IntPredicate settled;
+  private final IntPredicate isSettledBuild;
   private final EventLog events;
-  private final Owner owner;
-  private final FencingTokenRegistry fence = new FencingTokenRegistry();
-  private Aside aside;
-  private SampleSums tally;
+  private final ReportTransport transport;
+  private final FencingToken fence = new FencingToken();
+  private Aside worker;
+  private SampleSums samples;
   private int fitter = -1;
-  private LeaseCheck guard;
-  private Observation seen;
-  private boolean fits;
-  private Timestamp told;
-  private HardwareModel newest;
+  private LeaseCheck leaseCheck;
+  private Observation observation;
+  private boolean isFitting;
+  private Timestamp announcedAt;
+  private Model newestModel;
   private boolean stopped;
 
   /** {@code settled}: builds that are no part of a trial. */
@@ -71,21 +71,21 @@
       LongSupplier wallMs,
       IntPredicate settled,
       EventLog events,
-      Owner owner) {
+      ReportTransport owner) {
     this.net = net;
-    this.me = me;
+    this.relayIndex = me;
     this.window = window;
     this.wallMs = wallMs;
-    this.settled = settled;
+    this.isSettledBuild = settled;
     this.events = events;
-    this.owner = owner;
+    this.transport = owner;
   }
 
   /** {@code on}: where a fit is done, which may take a second with many families and methods. */
   void start(Aside on) {
-    aside = on;
-    tally = new SampleSums(me, number());
-    turn();
+    worker = on;
+    samples = new SampleSums(relayIndex, windowNumber());
+    tick();
   }
 
   void stop() {
@@ -96,41 +96,43 @@
    * Windows are the same at all relays, as far as their wall clocks are; a pick that falls into the
    * next one does no harm.
    */
-  private long number() {
+  private long windowNumber() {
     return (long) (wallMs.getAsLong() / window.ms());
   }
 
   /** A pick ended ok, on a unit that held so many others of this relay's when it was sent. */
-  void ended(Attempt attempt, int others) {
-    tally.add(
+  void attemptSucceeded(Attempt attempt, int concurrentAttempts) {
+    samples.ended(
         attempt.rpc.method.index,
         attempt.endpoint.kind,
         attempt.endpoint.build.number,
-        others,
-        attempt.latency().ms());
+        concurrentAttempts,
+        attempt.took().ms());
   }
 
-  private void turn() {
+  private void tick() {
     if (stopped) {
       return;
     }
-    if (number() != tally.window()) {
-      tell(tally);
-      tally = new SampleSums(me, number());
+    if (windowNumber() != samples.window()) {
+      report(samples);
+      samples = new SampleSums(relayIndex, windowNumber());
     }
-    if (guard != null && (told == null || net.now().since(told).over(AGAIN))) {
-      told = net.now();
-      guard.runIfHeld(number -> owner.tellFitter(Fitter.newBuilder().setNumber(number).build()));
+    if (leaseCheck != null
+        && (announcedAt == null || net.now().since(announcedAt).over(ANNOUNCE_INTERVAL))) {
+      announcedAt = net.now();
+      leaseCheck.act(
+          number -> transport.announceFitter(Fitter.newBuilder().setNumber(number).build()));
     }
-    if (guard != null && guard.isHeld()) {
-      fit();
+    if (leaseCheck != null && leaseCheck.held()) {
+      startFit();
     }
-    net.at(net.now().plus(window.times(0.25)), this::turn);
+    net.at(net.now().plus(window.times(0.25)), this::tick);
   }
 
-  private void tell(SampleSums of) {
-    if (guard != null) {
-      seen.add(of);
+  private void report(SampleSums of) {
+    if (leaseCheck != null) {
+      observation.told(of);
       return;
     }
     if (fitter < 0 || of.cells().isEmpty()) {
@@ -149,45 +151,45 @@
                         .setCount(sums.count())
                         .setMean(sums.mean())
                         .setSquares(sums.squares())));
-    owner.tellTally(fitter, said.build());
+    transport.sendSamples(fitter, said.build());
   }
 
   // While it holds the lease.
 
   @Override
-  public void acquired(LeaseCheck by) {
-    guard = by;
-    seen = new Observation();
-    told = null;
+  public void begun(LeaseCheck by) {
+    leaseCheck = by;
+    observation = new Observation();
+    announcedAt = null;
   }
 
   @Override
-  public void lost(String why) {
-    guard = null;
-    seen = null;
+  public void ended(String why) {
+    leaseCheck = null;
+    observation = null;
   }
 
-  private void fit() {
-    if (fits
-        || seen.newestWindow() == 0
-        || newest != null && newest.window() >= seen.newestWindow()) {
+  private void startFit() {
+    if (isFitting
+        || observation.newest() == 0
+        || newestModel != null && newestModel.window() >= observation.newest()) {
       return;
     }
-    LeaseCheck by = guard;
-    Observation copy = seen.copy();
-    HardwareModel[] model = new HardwareModel[1];
-    fits =
-        aside.run(
-            () -> model[0] = LeastSquaresFit.fit(copy, 0, settled, 0),
-            () -> fitted(by, model[0])); // where too much waits, a quarter of a window later
+    LeaseCheck by = leaseCheck;
+    Observation copy = observation.copy();
+    Model[] model = new Model[1];
+    isFitting =
+        worker.run(
+            () -> model[0] = LeastSquaresFit.of(copy, 0, isSettledBuild, 0),
+            () -> fitCompleted(by, model[0])); // where too much waits, a quarter of a window later
   }
 
-  private void fitted(LeaseCheck by, HardwareModel model) {
-    fits = false;
-    if (model == null || guard != by) {
+  private void fitCompleted(LeaseCheck by, Model model) {
+    isFitting = false;
+    if (model == null || leaseCheck != by) {
       return;
     }
-    by.runIfHeld(
+    by.act(
         number -> {
           Worth.Builder worth =
               Worth.newBuilder()
@@ -195,28 +197,28 @@
                   .setWindow(model.window())
                   .addAllFamilies(model.families())
                   .addAllMethods(model.methods())
-                  .setFree(model.degreesOfFreedom());
+                  .setFree(model.free());
           model.times(time -> worth.addLogs(time.log()).addErrors(time.error()));
           for (int a : model.families()) {
-            worth.addCores(model.concurrency(a).log()).addCoresErrors(model.concurrency(a).error());
+            worth.addCores(model.cores(a).log()).addCoresErrors(model.cores(a).error());
           }
           Worth done = worth.build();
-          worth(done);
-          owner.tellWorth(done);
+          modelReceived(done);
+          transport.publishModel(done);
         });
   }
 
   // What other relays tell.
 
   /** Who fits from now on. */
-  void fitter(int relay, Fitter said) {
+  void fitterAnnounced(int relay, Fitter said) {
     if (fence.admits(LEASE, said.getNumber())) {
       fitter = relay;
     }
   }
 
-  void tallied(int relay, Tallied said) {
-    if (guard == null || said.getCellsCount() > SampleSums.MAX_CELLS) {
+  void samplesReceived(int relay, Tallied said) {
+    if (leaseCheck == null || said.getCellsCount() > SampleSums.MOST_CELLS) {
       return;
     }
     SampleSums of = new SampleSums(relay, said.getWindow());
@@ -229,14 +231,14 @@
       if (can) {
         of.put(
             new Cell(one.getMethod(), one.getFamily(), one.getBuild(), one.getDepth()),
-            new RunningMoments(one.getCount(), one.getMean(), one.getSquares()));
+            new Sums(one.getCount(), one.getMean(), one.getSquares()));
       }
     }
-    seen.add(of);
+    observation.told(of);
   }
 
   /** A model was published; one of a holder that was replaced is refused, and said. */
-  void worth(Worth said) {
+  void modelReceived(Worth said) {
     if (!fence.admits(LEASE, said.getNumber())) {
       events.warn(
           EventLog.Event.LEASE,
@@ -247,26 +249,26 @@
               + " was heard");
       return;
     }
-    HardwareModel model = read(said);
-    if (model != null && model.isNewerThan(newest)) {
-      newest = model;
+    Model model = decode(said);
+    if (model != null && model.newerThan(newestModel)) {
+      newestModel = model;
     }
   }
 
   /** The last model that was heard of; null: none. */
-  HardwareModel newest() {
-    return newest;
+  Model newestModel() {
+    return newestModel;
   }
 
   /** Null where it can't be one. */
-  static HardwareModel read(Worth said) {
+  static Model decode(Worth said) {
     int families = said.getFamiliesCount();
     int methods = said.getMethodsCount();
     int pairs = (methods + 1) * families * families;
     boolean can =
         families > 0
-            && families <= LeastSquaresFit.MAX_FAMILIES
-            && methods <= LeastSquaresFit.MAX_METHODS
+            && families <= LeastSquaresFit.MOST_FAMILIES
+            && methods <= LeastSquaresFit.MOST_METHODS
             && said.getLogsCount() == pairs
             && said.getErrorsCount() == pairs
             && said.getCoresCount() == families
@@ -275,7 +277,7 @@
     if (!can) {
       return null;
     }
-    return HardwareModel.of(
+    return Model.of(
         said.getNumber(),
         said.getWindow(),
         said.getFamiliesList(),
