--- a/src/test/java/sprucerock/SimhostTest.java
+++ b/src/test/java/sprucerock/SimulationHostTest.java
@@ -15,8 +15,8 @@
 import sprucerock.simulation.FrameException;
 import sprucerock.simulation.SimulationHost;
 
-/** Frames in and out of the adapter. */
-public class SimhostTest {
+/** Frames read and written by the adapter to the simulator. */
+public class SimulationHostTest {
   private static final String CLOCK = "00000000206ec040";
   private static final String CENSUS =
       "8c3a000000000002000000074a1203000000000000002442010000803f0000000000000000"
@@ -71,7 +71,7 @@
   }
 
   @Test
-  public void rpcIsSentToAUnitOfTheList() throws IOException {
+  public void rpcIsSentToAnEndpointOfTheList() throws IOException {
     byte[] reply =
         play(
             batch(
@@ -91,14 +91,14 @@
   }
 
   @Test
-  public void missingSettingIsABailOutThatNamesIt() throws IOException {
+  public void missingSettingStopsTheRelayAndIsNamed() throws IOException {
     byte[] reply = play(batch(1, CLOCK, init(FakeHost.SETTINGS.replace("tick=5.0", ""))));
     assertEquals(reply[12], (byte) 100);
     assertTrue(new String(reply, StandardCharsets.UTF_8).contains("setting tick is missing"));
   }
 
   @Test
-  public void cutOrInconsistentFramesAreNamed() {
+  public void malformedFramesAreNamed() {
     byte[] whole = batch(12, CLOCK, init(FakeHost.SETTINGS), hex(ORDER));
     byte[] cut = java.util.Arrays.copyOf(whole, whole.length - 3);
     assertEquals(
@@ -115,7 +115,7 @@
   }
 
   @Test
-  public void mootEventsAreIgnored() throws IOException {
+  public void eventsAboutUnknownRpcsAreIgnored() throws IOException {
     byte[] gone = hex("3c0800000003000000192b6f0e");
     byte[] ring = hex("4608000000030000004d000000");
     byte[] destroy = hex("640400000003000000");
--- a/src/test/java/sprucerock/accounting/MethodAccountsTest.java
+++ b/src/test/java/sprucerock/accounting/MethodAccountsTest.java
@@ -7,9 +7,9 @@
 import org.testng.annotations.Test;
 import sprucerock.time.TimeSpan;
 
-/** That the check can fail: an error planted in any account is found and named. */
+/** The audit can fail: an error planted in any account is found and named. */
 public class MethodAccountsTest {
-  private static MethodAccounts some() {
+  private static MethodAccounts sample() {
     MethodAccounts accounts =
         new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(2, 2, 2));
     accounts.row(accounts.endpoints, "u1");
@@ -22,30 +22,30 @@
   }
 
   @Test
-  public void anErrorInAnyAccountIsFoundAndNamed() {
-    for (int index = 0; index < some().size(); index++) {
+  public void errorInAnyAccountIsFoundAndNamed() {
+    for (int index = 0; index < sample().size(); index++) {
       for (long by : new long[] {1, -1, 1L << 55}) {
-        MethodAccounts accounts = some();
+        MethodAccounts accounts = sample();
         assertEquals(accounts.check(), List.of());
         accounts.corrupt(index, by);
-        List<MethodAccounts.Imbalance> drifts = accounts.check();
-        assertTrue(!drifts.isEmpty(), "account " + index);
-        MethodMetrics sheet = null;
+        List<MethodAccounts.Imbalance> imbalances = accounts.check();
+        assertTrue(!imbalances.isEmpty(), "account " + index);
+        MethodMetrics table = null;
         for (MethodMetrics one : accounts.tables()) {
           if (index >= one.base) {
-            sheet = one;
+            table = one;
           }
         }
         assertTrue(
-            drifts.get(0).equation().startsWith(sheet.name() + "{"),
-            drifts + " for " + sheet.name());
+            imbalances.get(0).equation().startsWith(table.name() + "{"),
+            imbalances + " for " + table.name());
       }
     }
   }
 
   @Test
-  public void aDriftNamesTheLastPostingsThere() {
-    MethodAccounts accounts = some();
+  public void imbalanceNamesTheLastPostingsThere() {
+    MethodAccounts accounts = sample();
     accounts.corrupt(accounts.rpcs.index(1, 2), 1);
     assertEquals(
         accounts.check().get(0).toString(),
@@ -54,8 +54,8 @@
   }
 
   @Test
-  public void postingsThatDifferBetweenSheetsAreFound() {
-    MethodAccounts accounts = some();
+  public void postingsThatDifferBetweenTablesAreFound() {
+    MethodAccounts accounts = sample();
     accounts.postNew(accounts.attempts, 0, 1);
     assertEquals(accounts.check().get(0).equation(), "picks sent = build_picks sent");
     accounts.postNew(accounts.builds, 0, 2);
@@ -70,8 +70,8 @@
   }
 
   @Test
-  public void aLatencyWithoutItsAnswerAndACopyThatIsNoPickAreFound() {
-    MethodAccounts accounts = some();
+  public void latencyWithoutAnswerAndShadowWithoutAttemptAreFound() {
+    MethodAccounts accounts = sample();
     accounts.postNew(accounts.latency, 0, 1 + HistogramBuckets.bucket(TimeSpan.ofMs(7)));
     accounts.postNew(accounts.shadowAttempts, 0, 2);
     assertEquals(
@@ -83,8 +83,8 @@
   }
 
   @Test
-  public void namesBeyondTheRoomCountAsOther() {
-    MethodAccounts accounts = some();
+  public void namesBeyondTheCapacityCountAsOther() {
+    MethodAccounts accounts = sample();
     assertEquals(accounts.row(accounts.endpoints, "u1"), 0);
     assertEquals(accounts.row(accounts.endpoints, "u2"), 1);
     assertEquals(accounts.row(accounts.endpoints, "u3"), 2);
@@ -93,8 +93,8 @@
   }
 
   @Test
-  public void countersGoOnPastTheNumbersThatFloatingPointHolds() {
-    MethodAccounts accounts = some();
+  public void countersAreExactBeyondTheRangeOfDoubles() {
+    MethodAccounts accounts = sample();
     accounts.carryOver(accounts.messages, MethodMetrics.ALL, 0, 1L << 54);
     accounts.carryOver(accounts.messages, MethodMetrics.ALL, 1, 1L << 54);
     accounts.postNew(accounts.messages, 0, 1);
--- a/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -37,9 +37,9 @@
   private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
   /**
-   * Something that happens: what, to which RPC, pick or unit of those there are, after how long.
+   * Something that happens: its kind, the RPC, attempt or endpoint it is about, and after how long.
    */
-  record Event(int what, int whom, int how, double afterMs) {}
+  record Event(int kind, int subject, int variant, double afterMs) {}
 
   @Provide
   Arbitrary<Event> events() {
@@ -51,18 +51,18 @@
         .as(Event::new);
   }
 
-  /** One life of a relay, of which the test drives only the ledger. */
-  private static final class Life {
+  /** One incarnation of a relay, of which the test drives only the tracker. */
+  private static final class Incarnation {
     final MethodAccounts accounts =
         new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(2, 3, 2));
-    final RequestTracker ledger;
+    final RequestTracker tracker;
     final List<Method> methods = new ArrayList<>();
     final List<Rpc> rpcs = new ArrayList<>();
     final List<Attempt> attempts = new ArrayList<>();
     Timestamp now = Timestamp.ofMs(1000);
-    long last;
+    long lastId;
 
-    Life() {
+    Incarnation() {
       Settings.Draft draft = new Settings.Draft();
       for (int i = 0; i < 2; i++) {
         methods.add(
@@ -76,90 +76,90 @@
                 false));
         draft.methods.add(methods.get(i));
       }
-      ledger = new RequestTracker(new Settings(draft), accounts);
-      ledger.setListener(new Told());
+      tracker = new RequestTracker(new Settings(draft), accounts);
+      tracker.setListener(new Told());
       listed(0);
     }
 
     private Endpoint listed(int id) {
-      return ledger.endpointListed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
+      return tracker.endpointListed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
     }
 
-    void happens(Event event) {
+    void apply(Event event) {
       now = now.plus(TimeSpan.ofMs(event.afterMs));
-      Rpc rpc = rpcs.isEmpty() ? null : rpcs.get(event.whom % rpcs.size());
-      Attempt attempt = attempts.isEmpty() ? null : attempts.get(event.whom % attempts.size());
-      switch (event.what) {
+      Rpc rpc = rpcs.isEmpty() ? null : rpcs.get(event.subject % rpcs.size());
+      Attempt attempt = attempts.isEmpty() ? null : attempts.get(event.subject % attempts.size());
+      switch (event.kind) {
         case 0, 1 ->
             rpcs.add(
-                ledger.rpcArrived(
-                    ++last,
-                    methods.get(event.how % 2),
-                    event.whom % 5,
+                tracker.rpcArrived(
+                    ++lastId,
+                    methods.get(event.variant % 2),
+                    event.subject % 5,
                     0,
                     now,
                     now.plus(TimeSpan.ofMs(300)),
                     null,
                     null));
-        case 2 -> listed(event.how % 6);
-        case 3 -> ledger.endpointRemoved(event.how % 6);
+        case 2 -> listed(event.variant % 6);
+        case 3 -> tracker.endpointRemoved(event.variant % 6);
         case 4 -> {
           if (rpc != null) {
-            ledger.rejected(rpc);
+            tracker.rejected(rpc);
           }
         }
         case 5 -> {
           if (rpc != null) {
-            ledger.aborted(rpc);
+            tracker.aborted(rpc);
           }
         }
         case 6 -> {
           if (rpc != null) {
-            ledger.clientLeft(rpc);
+            tracker.clientLeft(rpc);
           }
         }
         case 7 -> {
-          Endpoint endpoint = ledger.endpoint(event.how % 6);
+          Endpoint endpoint = tracker.endpoint(event.variant % 6);
           if (rpc == null || rpc.ended() || endpoint == null) {
             break;
           }
           Attempt made = new Attempt(rpc, endpoint, now, null);
-          made.shadow = event.how % 3 == 0;
+          made.shadow = event.variant % 3 == 0;
           attempts.add(made);
-          ledger.attemptSent(made);
+          tracker.attemptSent(made);
         }
         default -> { // late ones, and the same again, among them
           if (attempt == null) {
             break;
           }
-          AttemptOutcome how = OUTCOMES[event.how % OUTCOMES.length];
-          ledger.attemptEnded(
+          AttemptOutcome outcome = OUTCOMES[event.variant % OUTCOMES.length];
+          tracker.attemptEnded(
               attempt,
-              how,
+              outcome,
               now.since(attempt.sent),
-              attempt.rpc.ended() || how == AttemptOutcome.OK);
+              attempt.rpc.ended() || outcome == AttemptOutcome.OK);
         }
       }
     }
 
-    void holds() {
+    void assertSumsHold() {
       assertEquals(accounts.check(), List.of());
-      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), ledger.openRpcs());
-      long out = attempts.stream().filter(attempt -> attempt.outcome() == null).count();
-      assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), out);
-      long copies =
+      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), tracker.openRpcs());
+      long inFlight = attempts.stream().filter(attempt -> attempt.outcome() == null).count();
+      assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), inFlight);
+      long shadows =
           attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.shadow).count();
       assertEquals(
-          accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pending()), copies);
+          accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pending()), shadows);
     }
   }
 
   @Property(seed = "20261201", tries = 400, shrinking = ShrinkingMode.BOUNDED)
   void sumsHoldAfterEachStep(@ForAll("events200") List<Event> events) {
-    Life life = new Life();
+    Incarnation incarnation = new Incarnation();
     for (Event event : events) {
-      life.happens(event);
-      life.holds();
+      incarnation.apply(event);
+      incarnation.assertSumsHold();
     }
   }
 
@@ -169,7 +169,8 @@
   }
 
   /**
-   * Each life ends in the middle of a turn; the next goes on from what its last whole turn said.
+   * Each incarnation ends in the middle of a turn; the next goes on from what its last whole turn
+   * said.
    */
   @Property(seed = "20261202", tries = 60, shrinking = ShrinkingMode.BOUNDED)
   void sumsHoldThroughOneCrashAfterAnother(
@@ -180,24 +181,28 @@
     long taken = 0;
     long lost = 0;
     long open = 0;
-    for (int lives = 0; lives <= crashes.size(); lives++) {
-      Life life = new Life();
+    for (int incarnations = 0; incarnations <= crashes.size(); incarnations++) {
+      Incarnation incarnation = new Incarnation();
       MetricsFileWriter.open(
           file,
-          life.accounts,
+          incarnation.accounts,
           () -> {},
           line -> {
             throw new AssertionError(line);
           });
-      assertEquals(life.accounts.sum(life.accounts.rpcs, 0), taken);
+      assertEquals(incarnation.accounts.sum(incarnation.accounts.rpcs, 0), taken);
       lost += open;
-      assertEquals(life.accounts.sum(life.accounts.rpcs, life.accounts.rpcs.lost()), lost);
+      assertEquals(
+          incarnation.accounts.sum(incarnation.accounts.rpcs, incarnation.accounts.rpcs.lost()),
+          lost);
       int until =
-          lives < crashes.size() ? (int) (crashes.get(lives) * events.size()) : events.size();
+          incarnations < crashes.size()
+              ? (int) (crashes.get(incarnations) * events.size())
+              : events.size();
       for (int i = 0; i < until; i++) {
-        life.happens(events.get(i));
+        incarnation.apply(events.get(i));
         if (i % 7 == 6) {
-          life.accounts.commit();
+          incarnation.accounts.commit();
         }
       }
       MetricsSnapshot snapshot = MetricsSnapshot.read(file);
--- a/src/test/java/sprucerock/accounting/RequestTrackerTest.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerTest.java
@@ -24,9 +24,9 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** The life of RPCs, picks and units as the module is told it. */
+/** RPCs, attempts and endpoints as the routing policy is notified of them. */
 public class RequestTrackerTest {
-  private static final Timestamp T = Timestamp.ofMs(1000);
+  private static final Timestamp NOW = Timestamp.ofMs(1000);
   private final Method method =
       new Method(
           0,
@@ -36,119 +36,119 @@
           TimeSpan.ZERO,
           1,
           false);
-  private Told told;
-  private RequestTracker ledger;
+  private Told listener;
+  private RequestTracker tracker;
   private Endpoint endpoint;
 
   @BeforeMethod
-  public void begin() {
+  public void setUp() {
     Settings.Draft draft = new Settings.Draft();
     draft.methods.add(method);
-    ledger = new RequestTracker(new Settings(draft));
-    told = new Told();
-    ledger.setListener(told);
-    endpoint = ledger.endpointListed(1, 0, 0, 0, 1, null, 1, true);
-    told.calls.clear();
+    tracker = new RequestTracker(new Settings(draft));
+    listener = new Told();
+    tracker.setListener(listener);
+    endpoint = tracker.endpointListed(1, 0, 0, 0, 1, null, 1, true);
+    listener.calls.clear();
   }
 
-  private List<Long> figures() {
+  private List<Long> rpcCounters() {
     List<Long> found = new ArrayList<>();
     for (int i = 0; i < 7; i++) {
-      found.add(ledger.accounts().value(ledger.accounts().rpcs, 0, i));
+      found.add(tracker.accounts().value(tracker.accounts().rpcs, 0, i));
     }
     return found;
   }
 
-  private Rpc arrives(long id) {
-    return ledger.rpcArrived(id, method, 0, 0, T, T.plus(TimeSpan.ofMs(1000)), null, null);
+  private Rpc arrive(long id) {
+    return tracker.rpcArrived(id, method, 0, 0, NOW, NOW.plus(TimeSpan.ofMs(1000)), null, null);
   }
 
-  private Attempt sends(Rpc rpc) {
-    Attempt attempt = new Attempt(rpc, endpoint, T, null);
-    ledger.attemptSent(attempt);
+  private Attempt send(Rpc rpc) {
+    Attempt attempt = new Attempt(rpc, endpoint, NOW, null);
+    tracker.attemptSent(attempt);
     return attempt;
   }
 
   @Test
-  public void firstOkAnswersAndTheOtherPickIsStillSeen() {
-    Rpc rpc = arrives(5);
-    Attempt first = sends(rpc);
-    Attempt second = sends(rpc);
-    ledger.attemptEnded(second, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
+  public void firstOkAnswersAndTheOtherAttemptIsStillReported() {
+    Rpc rpc = arrive(5);
+    Attempt first = send(rpc);
+    Attempt second = send(rpc);
+    tracker.attemptEnded(second, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
     assertTrue(rpc.ended());
-    assertSame(ledger.rpc(5), rpc);
-    ledger.attemptEnded(first, AttemptOutcome.OK, TimeSpan.ofMs(4), true);
-    assertNull(ledger.rpc(5));
-    ledger.attemptEnded(first, AttemptOutcome.ERROR, TimeSpan.ofMs(9), true);
-    assertEquals(told.calls, List.of("arrived 5", "ended 5.1 OK answers", "ended 5.0 OK"));
-    assertEquals(figures(), List.of(1L, 1L, 0L, 0L, 0L, 0L, 0L));
+    assertSame(tracker.rpc(5), rpc);
+    tracker.attemptEnded(first, AttemptOutcome.OK, TimeSpan.ofMs(4), true);
+    assertNull(tracker.rpc(5));
+    tracker.attemptEnded(first, AttemptOutcome.ERROR, TimeSpan.ofMs(9), true);
+    assertEquals(listener.calls, List.of("arrived 5", "ended 5.1 OK answers", "ended 5.0 OK"));
+    assertEquals(rpcCounters(), List.of(1L, 1L, 0L, 0L, 0L, 0L, 0L));
     assertEquals(first.outcome(), AttemptOutcome.OK);
   }
 
   @Test
-  public void anOkAfterTheFinalAnswerChangesNothing() {
-    Rpc rpc = arrives(6);
-    Attempt attempt = sends(rpc);
-    ledger.rejected(rpc);
-    ledger.aborted(rpc);
-    ledger.clientLeft(rpc);
-    ledger.attemptEnded(attempt, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
-    assertEquals(told.calls, List.of("arrived 6", "ended 6.0 OK"));
-    assertEquals(figures(), List.of(1L, 0L, 1L, 0L, 0L, 0L, 0L));
+  public void okAfterTheFinalAnswerChangesNothing() {
+    Rpc rpc = arrive(6);
+    Attempt attempt = send(rpc);
+    tracker.rejected(rpc);
+    tracker.aborted(rpc);
+    tracker.clientLeft(rpc);
+    tracker.attemptEnded(attempt, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
+    assertEquals(listener.calls, List.of("arrived 6", "ended 6.0 OK"));
+    assertEquals(rpcCounters(), List.of(1L, 0L, 1L, 0L, 0L, 0L, 0L));
   }
 
   @Test
-  public void anIdThatComesBackIsAnotherRpc() {
-    Rpc first = arrives(7);
-    Attempt late = sends(first);
-    ledger.rejected(first);
-    Rpc again = arrives(7);
-    ledger.attemptEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
-    assertSame(ledger.rpc(7), again);
+  public void reusedIdIsAnotherRpc() {
+    Rpc first = arrive(7);
+    Attempt late = send(first);
+    tracker.rejected(first);
+    Rpc again = arrive(7);
+    tracker.attemptEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
+    assertSame(tracker.rpc(7), again);
     assertFalse(again.ended());
   }
 
   @Test
-  public void anotherRunIsAnotherUnitAndADrainingOneIsNotReady() {
-    assertSame(ledger.endpointListed(1, 0, 0, 0, 1, null, 2, true), endpoint);
+  public void restartIsAnotherEndpointAndADrainingOneIsNotReady() {
+    assertSame(tracker.endpointListed(1, 0, 0, 0, 1, null, 2, true), endpoint);
     assertEquals(endpoint.weight(), 2.0);
-    Endpoint next = ledger.endpointListed(1, 0, 0, 0, 1, T, 1, true);
+    Endpoint next = tracker.endpointListed(1, 0, 0, 0, 1, NOW, 1, true);
     assertNotSame(next, endpoint);
     assertFalse(endpoint.ready());
-    ledger.endpointListed(1, 0, 0, 0, 1, T, 1, false);
+    tracker.endpointListed(1, 0, 0, 0, 1, NOW, 1, false);
     assertFalse(next.ready());
     assertTrue(next.build.endpoints.isEmpty());
-    ledger.retainEndpoints(Set.of());
-    assertNull(ledger.endpoint(1));
-    assertEquals(told.calls, List.of("leaving 1", "ready 1", "leaving 1", "leaving 1"));
+    tracker.retainEndpoints(Set.of());
+    assertNull(tracker.endpoint(1));
+    assertEquals(listener.calls, List.of("leaving 1", "ready 1", "leaving 1", "leaving 1"));
   }
 
   @Test
-  public void countsOfUnknownBuildsTellNothing() {
-    ledger.counted(9, 0, 10, 1, TimeSpan.ZERO);
-    assertTrue(told.calls.isEmpty());
-    ledger.rolloutChanged(9, 0, RolloutState.ON_TRIAL, 0.1, T);
-    ledger.counted(9, 0, 10, 1, TimeSpan.ZERO);
-    assertEquals(told.calls, List.of("news 9 0 ON_TRIAL 0.1", "counted 9"));
+  public void countsOfUnknownBuildsAreDropped() {
+    tracker.counted(9, 0, 10, 1, TimeSpan.ZERO);
+    assertTrue(listener.calls.isEmpty());
+    tracker.rolloutChanged(9, 0, RolloutState.ON_TRIAL, 0.1, NOW);
+    tracker.counted(9, 0, 10, 1, TimeSpan.ZERO);
+    assertEquals(listener.calls, List.of("news 9 0 ON_TRIAL 0.1", "counted 9"));
   }
 
   @Test
-  public void takenIsAlwaysTheSumOfWhatBecameOfIt() {
+  public void takenRpcsAreAlwaysTheSumOfTheirOutcomes() {
     SplittableRandom random = new SplittableRandom(8);
     List<Rpc> rpcs = new ArrayList<>();
     for (int i = 0; i < 20_000; i++) {
       Rpc rpc =
           rpcs.isEmpty() || random.nextInt(4) == 0
-              ? arrives(i)
+              ? arrive(i)
               : rpcs.get(random.nextInt(rpcs.size()));
       if (!rpcs.contains(rpc)) {
         rpcs.add(rpc);
       }
       switch (random.nextInt(6)) {
-        case 0 -> ledger.rejected(rpc);
-        case 1 -> ledger.aborted(rpc);
-        case 2 -> ledger.clientLeft(rpc);
-        case 3 -> sends(rpc);
+        case 0 -> tracker.rejected(rpc);
+        case 1 -> tracker.aborted(rpc);
+        case 2 -> tracker.clientLeft(rpc);
+        case 3 -> send(rpc);
         default -> {
           if (rpc.attempts.isEmpty()) {
             break;
@@ -156,7 +156,7 @@
           AttemptOutcome outcome =
               AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
           boolean closes = rpc.ended() || outcome == AttemptOutcome.OK;
-          ledger.attemptEnded(
+          tracker.attemptEnded(
               rpc.attempts.get(random.nextInt(rpc.attempts.size())),
               outcome,
               TimeSpan.ofMs(1),
@@ -166,10 +166,12 @@
       if (rpcs.size() > 30) {
         rpcs.remove(0);
       }
-      assertEquals(ledger.accounts().check(), List.of());
-      assertEquals((long) figures().get(6), ledger.openRpcs());
+      assertEquals(tracker.accounts().check(), List.of());
+      assertEquals((long) rpcCounters().get(6), tracker.openRpcs());
       assertEquals(
-          ledger.accounts().sum(ledger.accounts().attempts, ledger.accounts().attempts.pending()),
+          tracker
+              .accounts()
+              .sum(tracker.accounts().attempts, tracker.accounts().attempts.pending()),
           endpoint.inFlight());
     }
   }
--- a/src/test/java/sprucerock/simulation/BothHostsTest.java
+++ b/src/test/java/sprucerock/simulation/BothHostsTest.java
@@ -44,7 +44,7 @@
 import sprucerock.transport.wire.v1.Work;
 
 /**
- * One stretch of events, given to the bench's adapter and to the relay: the module is told the
+ * One stretch of events, given to the simulator's adapter and to the relay: the policy is told the
  * same, in the same order.
  */
 public class BothHostsTest {
@@ -94,8 +94,8 @@
         """;
 
   /**
-   * How and when a unit ends a pick: the same at both hosts, by the pick alone. Every 20th is never
-   * answered.
+   * How and when an endpoint ends an attempt: the same at both hosts, by the attempt alone. Every
+   * 20th is never answered.
    */
   private static int latency(long rpc, int number) {
     return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
@@ -252,8 +252,8 @@
           }
           case 40 -> {
             long id = frame.getInt();
-            int shot = frame.get();
-            cancels.add(() -> returned(id, shot, 6));
+            int attempt = frame.get();
+            cancels.add(() -> returned(id, attempt, 6));
           }
           case 50 -> {
             int token = frame.getInt();
@@ -269,27 +269,27 @@
       cancels.forEach(Runnable::run);
     }
 
-    private void sent(long id, long endpoint, double patience) {
+    private void sent(long id, long endpoint, double timeoutMs) {
       List<Long> endpoints = attempts.computeIfAbsent(id, key -> new ArrayList<>());
-      int shot = endpoints.size();
+      int attempt = endpoints.size();
       endpoints.add(endpoint);
-      sentAt.put(id * 100 + shot, now);
-      double until = Math.min(deadlines.get(id), patience > 0 ? now + patience : 1e12);
-      timers.add(new Due(until, order++, () -> returned(id, shot, 3)));
-      int how = outcome(id, shot, endpoint);
+      sentAt.put(id * 100 + attempt, now);
+      double until = Math.min(deadlines.get(id), timeoutMs > 0 ? now + timeoutMs : 1e12);
+      timers.add(new Due(until, order++, () -> returned(id, attempt, 3)));
+      int how = outcome(id, attempt, endpoint);
       if (how >= 0) {
         answers
-            .computeIfAbsent(now + latency(id, shot), key -> new TreeMap<>())
-            .put(id * 100 + shot, () -> returned(id, shot, how));
+            .computeIfAbsent(now + latency(id, attempt), key -> new TreeMap<>())
+            .put(id * 100 + attempt, () -> returned(id, attempt, how));
       }
     }
 
-    private void returned(long id, int shot, int how) {
-      Long endpoint = attempts.get(id).get(shot);
+    private void returned(long id, int attempt, int how) {
+      Long endpoint = attempts.get(id).get(attempt);
       if (endpoint < 0) {
         return; // ended already
       }
-      attempts.get(id).set(shot, -1L);
+      attempts.get(id).set(attempt, -1L);
       boolean closes = !open.containsKey(id) || how == 1;
       if (open.containsKey(id) && how == 1) {
         open.remove(id);
@@ -299,8 +299,8 @@
           50,
           fields(30)
               .putInt((int) id)
-              .put((byte) shot)
-              .putDouble(now - sentAt.get(id * 100 + shot))
+              .put((byte) attempt)
+              .putDouble(now - sentAt.get(id * 100 + attempt))
               .put((byte) (closes ? 1 : 0))
               .putInt((int) (long) endpoint)
               .put((byte) how)
@@ -494,16 +494,16 @@
     }
 
     private void work(long endpoint, Person connection, Work work, long rpc) {
-      int shot = shots.merge(rpc, 1, Integer::sum) - 1;
-      int how = outcome(rpc, shot, endpoint);
+      int attempt = shots.merge(rpc, 1, Integer::sum) - 1;
+      int how = outcome(rpc, attempt, endpoint);
       if (how < 0) {
         return;
       }
       Result result = how == 1 ? Result.DONE : how == 2 ? Result.FULL : Result.ERROR;
       answers
-          .computeIfAbsent(net.now().ms() + latency(rpc, shot), key -> new TreeMap<>())
+          .computeIfAbsent(net.now().ms() + latency(rpc, attempt), key -> new TreeMap<>())
           .put(
-              rpc * 100 + shot,
+              rpc * 100 + attempt,
               () ->
                   turn(
                       () ->
@@ -642,7 +642,7 @@
   }
 
   @Test
-  public void theSameEventsEndInTheSameCallsOfTheModule() throws Exception {
+  public void sameEventsCauseTheSamePolicyCallsInBothHosts() throws Exception {
     Bench bench = new Bench();
     Linked connected = new Linked();
     play(bench);
@@ -656,7 +656,7 @@
     }
     assertEquals(connected.told.calls.size(), bench.told.calls.size());
     assertEquals(connected.ends(), bench.ends);
-    // the stretch is worth the comparing: everything the module can be told was among it
+    // the comparison covers everything the policy can be notified of
     String all = String.join("\n", bench.told.calls);
     for (String part :
         new String[] {
