--- /dev/null
+++ b/src/main/java/sprucerock/policy/ArrivalRate.java
@@ -0,0 +1,47 @@
+package sprucerock.policy;
+
+import sprucerock.model.Settings;
+import sprucerock.stats.DecayingSum;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/** How many requests arrive at this relay, and whether that is enough to judge a fleet by. */
+final class ArrivalRate {
+  private static final double QUIET_PER_SECOND = 10;
+
+  private final RelayActions actions;
+  private final Settings settings;
+  private final DecayingSum arrivals = new DecayingSum(TimeSpan.ofMs(5000));
+
+  ArrivalRate(RelayActions actions, Settings settings) {
+    this.actions = actions;
+    this.settings = settings;
+  }
+
+  void requestArrived(Timestamp now) {
+    arrivals.add(now, 1);
+  }
+
+  /** The decaying count of arrivals. */
+  double recent() {
+    return arrivals.at(actions.now());
+  }
+
+  double perSecond(Timestamp now) {
+    return arrivals.perSecond(now);
+  }
+
+  boolean isLow(Timestamp now) {
+    return arrivals.perSecond(now) < QUIET_PER_SECOND;
+  }
+
+  /** Sees too few requests to judge a fleet by itself within some seconds, and gets counts. */
+  boolean isQuiet() {
+    return settings.countsEvery.over(TimeSpan.ZERO) && isLow(actions.now());
+  }
+
+  /** How late counts tell of a change, in ms: a period to fill, one to come. */
+  double countsLagMs() {
+    return isQuiet() ? 2 * settings.countsEvery.ms() : 0;
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
@@ -0,0 +1,126 @@
+package sprucerock.policy;
+
+import sprucerock.model.Method;
+import sprucerock.model.RolloutState;
+import sprucerock.model.Settings;
+import sprucerock.policy.evidence.CanaryTrial;
+import sprucerock.stats.Pace;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/**
+ * Whether the baseline got slower since the canary was offered, and whether that follows the
+ * exposure.
+ *
+ * <p>A build may slow old and new endpoints alike, and then every pair matches. So where the
+ * baseline runs slower than before the offer, shadow requests stop for a while: if the pace comes
+ * back, and goes again as they do, it follows exposure and the build is to blame; else the build is
+ * excused until the pace is good. All relays see the same, so they stop together. Harms where an
+ * outside slowdown comes in step.
+ */
+final class BaselinePaceMonitor {
+  /** Sources of {@link #observe}. */
+  static final int OWN_ATTEMPTS = 0;
+
+  static final int FLEET_COUNTS = 1;
+
+  private static final int SOURCES = 2;
+  private static final double WAKE_UP_MS = 2000; // a fleet that just woke has no queues yet
+  private static final double WATCH_AFTER_RELEASE_MS = 15000;
+  private static final double DRAIN_MS = 5000; // twice what a queue needs to drain
+
+  private final RelayActions actions;
+  private final CanaryStatus canary;
+  private final ArrivalRate arrivals;
+  private final Timestamp started;
+  private final Pace pace;
+
+  BaselinePaceMonitor(
+      RelayActions actions,
+      Settings settings,
+      CanaryStatus canary,
+      ArrivalRate arrivals,
+      Timestamp started) {
+    this.actions = actions;
+    this.canary = canary;
+    this.arrivals = arrivals;
+    this.started = started;
+    pace = new Pace(settings.methods.size(), SOURCES, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
+  }
+
+  void observe(int source, Method method, double ms, double weight) {
+    Timestamp now = actions.now();
+    if (!TimeChecks.longerThan(WAKE_UP_MS, started, now)) {
+      return;
+    }
+    boolean before =
+        !isWatched(now) || canary.trial().stage == 0; // its few attempts slow nothing much
+    if (before) {
+      pace.seeBefore(source, method.index, ms, weight, now);
+    } else {
+      pace.see(source, method.index, ms, weight, now);
+    }
+  }
+
+  /** The canary is on trial, or released so lately that all traffic shows what it is like. */
+  boolean isWatched(Timestamp now) {
+    boolean released = canary.isReleased() && canary.trial().seenOnTrial;
+    return canary.state() == RolloutState.ON_TRIAL
+        || released
+            && !TimeChecks.longerThan(
+                WATCH_AFTER_RELEASE_MS + arrivals.countsLagMs(), canary.trial().since, now);
+  }
+
+  /** How much slower than before the offer, in logarithms. */
+  double mean(Timestamp now) {
+    return pace.mean(now);
+  }
+
+  /** By half and thrice what chance gives; logarithms stray by 0.9. */
+  boolean isSlowed(Timestamp now) {
+    double count = pace.weight(now);
+    return count >= 2 && pace.mean(now) > Math.max(0.4, 2.7 / Math.sqrt(count));
+  }
+
+  /** Stops and resumes shadow requests, and counts how often the pace followed them. */
+  void watch(Timestamp now) {
+    CanaryTrial trial = canary.trial();
+    if (pace.mean(now) < 0.2) {
+      trial.slowSince = null;
+      trial.slowdownExcused = false;
+      if (trial.pausedAt != null && now.since(trial.pausedAt).over(TimeSpan.ofMs(500))) {
+        trial.pausedAt = null;
+        trial.resumedAt = now;
+      }
+    } else if (trial.slowSince == null && isSlowed(now)) {
+      trial.slowSince = now;
+    }
+    if (trial.pausedAt == null
+        && !trial.slowdownExcused
+        && TimeChecks.longerThan(700, trial.slowSince, now)) {
+      if (trial.resumedAt != null
+          && !TimeChecks.longerThan(DRAIN_MS + arrivals.countsLagMs(), trial.resumedAt, now)) {
+        trial.slowdownsBlamed++;
+      }
+      trial.pausedAt = now;
+    }
+    if (TimeChecks.longerThan(DRAIN_MS + arrivals.countsLagMs(), trial.pausedAt, now)) {
+      trial.pausedAt = null;
+      trial.slowdownExcused = true;
+    }
+  }
+
+  /** Whether a slowdown is being looked into, so that no stage may move on. */
+  boolean isInDoubt(Timestamp now) {
+    CanaryTrial trial = canary.trial();
+    return trial.pausedAt != null
+        || trial.slowSince != null && !trial.slowdownExcused
+        || trial.resumedAt != null
+            && !TimeChecks.longerThan(3000 + arrivals.countsLagMs(), trial.resumedAt, now);
+  }
+
+  /** The pace followed the exposure: once by the fleet's counts, which stray less, else twice. */
+  boolean isCanaryBlamed() {
+    return canary.trial().slowdownsBlamed > (arrivals.isQuiet() ? 0 : 1);
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/policy/EndpointListSubscription.java
@@ -0,0 +1,43 @@
+package sprucerock.policy;
+
+import sprucerock.model.Settings;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/** Decides when discovery is asked for the endpoint list. */
+final class EndpointListSubscription {
+  private final RelayActions actions;
+  private final Settings settings;
+  private final DeterministicRandom random;
+  private Timestamp lastAsked;
+
+  EndpointListSubscription(RelayActions actions, Settings settings, DeterministicRandom random) {
+    this.actions = actions;
+    this.settings = settings;
+    this.random = random;
+  }
+
+  void start() {
+    if (settings.ask) {
+      subscribe();
+    }
+  }
+
+  /** Asks again after a pause of 0.5 to 1 s, so that a busy discovery recovers. */
+  void listFailed() {
+    actions.schedule(actions.now().plus(TimeSpan.ofMs(500 + 500 * random.next())), this::subscribe);
+  }
+
+  /** Where lists must be asked for, does so at half the time within which that is due. */
+  void pollIfDue(Timestamp now) {
+    if (settings.ask && now.since(lastAsked).over(settings.askWithin.times(0.5))) {
+      subscribe();
+    }
+  }
+
+  private void subscribe() {
+    lastAsked = actions.now();
+    actions.subscribe();
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -0,0 +1,103 @@
+package sprucerock.policy;
+
+import java.util.TreeMap;
+import sprucerock.model.Attempt;
+import sprucerock.model.Endpoint;
+import sprucerock.model.Method;
+import sprucerock.model.Rpc;
+import sprucerock.model.Settings;
+import sprucerock.stats.DecayingMean;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/** How long methods usually take, and how slow endpoints and zones are beside that. */
+final class LatencyTracker {
+  private static final double OVERDUE_TIMES = 3;
+  private static final double MAX_TIMES = 8;
+  private static final TimeSpan COLD_AGE = TimeSpan.ofMs(5000); // younger ones look slow
+
+  private final RelayActions actions;
+  private final Settings settings;
+  private final CanaryStatus canary;
+  private final BaselinePaceMonitor baselinePace;
+  private final TreeMap<Integer, DecayingMean> zonePaces = new TreeMap<>();
+
+  LatencyTracker(
+      RelayActions actions,
+      Settings settings,
+      CanaryStatus canary,
+      BaselinePaceMonitor baselinePace) {
+    this.actions = actions;
+    this.settings = settings;
+    this.canary = canary;
+    this.baselinePace = baselinePace;
+    for (Method method : settings.methods) {
+      method.took = new DecayingMean(TimeSpan.ofMs(10000));
+      method.logNow = new DecayingMean(TimeSpan.ofMs(20000));
+    }
+  }
+
+  void endpointReady(Endpoint endpoint) {
+    if (endpoint.pace == null) {
+      endpoint.pace = new DecayingMean(TimeSpan.ofMs(4000));
+    }
+    endpoint.zonePace =
+        zonePaces.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
+  }
+
+  /** The method's mean time of late, in ms; a guess until answers come. */
+  double usualMs(Method method) {
+    return method.took.at(actions.now(), method.latencyObjective.ms() / 6, 1);
+  }
+
+  /** How long an attempt took, or has taken, beside what was expected of it. */
+  double relativeTime(Attempt attempt, Timestamp now) {
+    return attempt.took(now).ms()
+        / (attempt.rpc.hint != null ? attempt.rpc.hint.ms() : usualMs(attempt.rpc.method));
+  }
+
+  /**
+   * When silence is too long: at thrice the method's mean, which grows as all slows; at 0.45 of the
+   * latency objective another attempt can still be in time.
+   */
+  TimeSpan overdueAfter(Rpc rpc) {
+    TimeSpan usual =
+        TimeSpan.ofMs(OVERDUE_TIMES * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
+    return rpc.method.latencyObjective.times(0.45).atLeast(usual);
+  }
+
+  void attemptOverdue(Endpoint endpoint) {
+    endpoint.pace.add(actions.now(), OVERDUE_TIMES);
+    endpoint.zonePace.add(actions.now(), OVERDUE_TIMES);
+  }
+
+  /** Takes in the time of an attempt that was answered, or timed out. */
+  void learn(Attempt attempt) {
+    Timestamp now = actions.now();
+    Method method = attempt.rpc.method;
+    double ms = Math.max(attempt.took().ms(), 1);
+    double times = Math.min(ms / usualMs(method), MAX_TIMES);
+    attempt.endpoint.pace.add(now, times);
+    attempt.endpoint.zonePace.add(now, times);
+    double log = Math.log(ms / Math.max(attempt.rpc.hinted().ms(), 1));
+    if (canary.isOnTrial(attempt.endpoint.build)) {
+      if (!canary.isCanary(attempt.endpoint.build) || !attempt.endpoint.olderThan(COLD_AGE, now)) {
+        return;
+      }
+      canary.trial().logExcess.add(now, log - method.logNow.at(now, log, 1e-9));
+      return;
+    }
+    method.took.add(now, ms);
+    method.logNow.add(now, log);
+    baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(log), 1);
+  }
+
+  /** Behind a slow or lossy link: about twice the own zone's times. */
+  boolean isFar(Endpoint endpoint) {
+    if (endpoint.zone == settings.zone || !zonePaces.containsKey(settings.zone)) {
+      return false;
+    }
+    Timestamp now = actions.now();
+    return endpoint.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/policy/LoadGossip.java
@@ -0,0 +1,126 @@
+package sprucerock.policy;
+
+import sprucerock.model.Endpoint;
+import sprucerock.model.Settings;
+import sprucerock.policy.evidence.LoadReports;
+import sprucerock.stats.DecayingSum;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/**
+ * What relays tell each other of the endpoints' loads. Quiet relays see no queue of an endpoint. So
+ * each tells one relay, the aggregator, of its attempts as they start and end, and that one tells
+ * all, four times a second, which endpoints hold two or more, and the fleet's wait. Where it is
+ * silent the next one is told; the lowest is believed. With all messages lost, own attempts must
+ * do.
+ */
+final class LoadGossip {
+  private static final double AGGREGATOR_SILENT_MS = 2000;
+  private static final double LOADS_FRESH_MS = 1000;
+  private static final TimeSpan LOADS_INTERVAL = TimeSpan.ofMs(250);
+  private static final int MIN_REPORTED_LOAD = 2;
+
+  private final RelayActions actions;
+  private final Settings settings;
+  private final Timestamp started;
+  private final LoadReports reports;
+  private final DecayingSum endedAnywhere = new DecayingSum(TimeSpan.ofMs(2000));
+  private int aggregator;
+  private Timestamp aggregatorSince;
+  private Timestamp loadsAt;
+  private boolean loadsDue;
+  private double fleetWaitMs;
+
+  LoadGossip(RelayActions actions, Settings settings, Timestamp started) {
+    this.actions = actions;
+    this.settings = settings;
+    this.started = started;
+    reports = new LoadReports(TimeSpan.ofMs(4 * settings.meanSoftMs));
+  }
+
+  void endpointReady(Endpoint endpoint) {
+    reports.addEndpoint(endpoint);
+  }
+
+  void endpointDraining(Endpoint endpoint) {
+    reports.removeEndpoint(endpoint);
+  }
+
+  void attemptStarted(Endpoint endpoint) {
+    report(endpoint, null);
+  }
+
+  void attemptEnded(Endpoint endpoint, TimeSpan age) {
+    report(endpoint, age);
+  }
+
+  private void report(Endpoint endpoint, TimeSpan endedAt) {
+    if (!settings.peers) {
+      return;
+    }
+    Timestamp now = actions.now();
+    if (aggregatorSince == null) {
+      aggregatorSince = now;
+    }
+    if (TimeChecks.longerThan(AGGREGATOR_SILENT_MS, aggregatorSince, now)) {
+      aggregatorSince = now;
+      aggregator = (aggregator + 1) % settings.relays;
+    }
+    byte[] message = reports.encodeAttempt(endpoint, endedAt);
+    if (aggregator == settings.index) {
+      attemptReported(message);
+    } else {
+      actions.sendToPeer(aggregator, message);
+    }
+  }
+
+  /** A relay told this one of an attempt, as the aggregator. */
+  void attemptReported(byte[] message) {
+    Timestamp now = actions.now();
+    if (reports.applyAttempt(message, now)) {
+      endedAnywhere.add(now, 1);
+    }
+    if (loadsDue) {
+      return;
+    }
+    loadsDue = true;
+    actions.schedule(now.plus(LOADS_INTERVAL), this::sendLoads);
+  }
+
+  private void sendLoads() {
+    loadsDue = false;
+    Timestamp now = actions.now();
+    double waitMs =
+        1000 * reports.outstanding(now) / Math.max(endedAnywhere.perSecond(started, now), 1);
+    byte[] loads = reports.encodeLoads(MIN_REPORTED_LOAD, waitMs / settings.meanSoftMs, now);
+    actions.sendToPeers(loads);
+    loadsReceived(settings.index, loads);
+  }
+
+  /** An aggregator told of the loads. */
+  void loadsReceived(int sender, byte[] message) {
+    if (sender > aggregator && areLoadsFresh()) {
+      return;
+    }
+    aggregator = sender;
+    aggregatorSince = actions.now();
+    loadsAt = aggregatorSince;
+    fleetWaitMs = reports.applyLoads(message, loadsAt) * settings.meanSoftMs;
+  }
+
+  boolean areLoadsFresh() {
+    return loadsAt != null && !TimeChecks.longerThan(LOADS_FRESH_MS, loadsAt, actions.now());
+  }
+
+  /** How long a request waits in the whole fleet, in ms; holds while the loads are fresh. */
+  double fleetWaitMs() {
+    return fleetWaitMs;
+  }
+
+  /** Attempts that are out at it: this relay's, or all relays' where that was told. */
+  int outstanding(Endpoint endpoint) {
+    return endpoint.toldAt == loadsAt && areLoadsFresh()
+        ? Math.max(endpoint.out(), endpoint.told)
+        : endpoint.out();
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/policy/RetryBudget.java
@@ -0,0 +1,30 @@
+package sprucerock.policy;
+
+import sprucerock.stats.DecayingSum;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/**
+ * Bounds retries, hedged requests and attempts at outliers to one in twenty of the requests: enough
+ * to find a lost endpoint, no retry storm.
+ */
+final class RetryBudget {
+  private static final double RETRIES_PER_REQUEST = 0.05;
+
+  private final RelayActions actions;
+  private final ArrivalRate arrivals;
+  private final DecayingSum retries = new DecayingSum(TimeSpan.ofMs(5000));
+
+  RetryBudget(RelayActions actions, ArrivalRate arrivals) {
+    this.actions = actions;
+    this.arrivals = arrivals;
+  }
+
+  boolean hasCapacity() {
+    return retries.at(actions.now()) < 1 + RETRIES_PER_REQUEST * arrivals.recent();
+  }
+
+  void spend(Timestamp now) {
+    retries.add(now, 1);
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -0,0 +1,140 @@
+package sprucerock.policy;
+
+import sprucerock.model.Attempt;
+import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
+import sprucerock.model.Rpc;
+import sprucerock.model.Settings;
+import sprucerock.model.ShadowPair;
+import sprucerock.policy.evidence.StageEvidence;
+import sprucerock.stats.DeterministicRandom;
+
+/**
+ * Shadow traffic: decides which requests go to the canary, beside the baseline or alone, and pairs
+ * the attempts.
+ */
+final class ShadowTraffic {
+  private static final int MAX_OUTSTANDING = 8;
+  private static final double MAX_ALONE = 10;
+  private static final double MAX_ALONE_FLEET = 40; // by all relays: each harms
+
+  private final Settings settings;
+  private final DeterministicRandom random;
+  private final CanaryStatus canary;
+  private final ExposureLimiter exposure;
+  private final KeyAffinity keys;
+  private final RetryBudget budget;
+  private final EndpointSelector selector;
+  private final AttemptSender sender;
+  private int outstanding;
+  private int maxAlone;
+
+  ShadowTraffic(
+      Settings settings,
+      DeterministicRandom random,
+      CanaryStatus canary,
+      ExposureLimiter exposure,
+      KeyAffinity keys,
+      RetryBudget budget,
+      EndpointSelector selector,
+      AttemptSender sender) {
+    this.settings = settings;
+    this.random = random;
+    this.canary = canary;
+    this.exposure = exposure;
+    this.keys = keys;
+    this.budget = budget;
+    this.selector = selector;
+    this.sender = sender;
+  }
+
+  void stageEntered() {
+    maxAlone = (int) (Math.min(MAX_ALONE, MAX_ALONE_FLEET / settings.relays) + random.next());
+  }
+
+  void attemptEnded(Attempt attempt) {
+    if (attempt.copy) {
+      outstanding--;
+    }
+  }
+
+  /**
+   * Sends the request to the canary alone, in place of a shadow request: where second copies are
+   * barred, and a few requests with an effect. Says whether it did.
+   */
+  boolean sendAlone(Rpc rpc) {
+    Build build = canary.judgedBuild();
+    Endpoint endpoint = build != null && maySendAlone(rpc, build) ? selectFor(rpc, build) : null;
+    if (endpoint == null) {
+      return false;
+    }
+    ShadowPair pair = new ShadowPair();
+    sendShadow(rpc, endpoint, pair);
+    StageEvidence evidence = canary.trial().evidence;
+    evidence.awaitingBaseline.get(rpc.method.index).add(pair);
+    evidence.sentAlone[rpc.method.index]++;
+    return true;
+  }
+
+  /**
+   * Pairs an attempt at the baseline: with a shadow request of its own, or with one that was sent
+   * alone earlier. Says whether it is part of a pair now.
+   */
+  boolean pair(Rpc rpc, Attempt baseline, Build judged) {
+    Endpoint endpoint = mayShadow(rpc, judged) ? selectFor(rpc, judged) : null;
+    baseline.pair =
+        endpoint != null
+            ? new ShadowPair()
+            : canary.trial().evidence.awaitingBaseline.get(rpc.method.index).poll();
+    if (baseline.pair == null) {
+      return false;
+    }
+    baseline.pair.earlier = baseline;
+    if (endpoint != null) {
+      sendShadow(rpc, endpoint, baseline.pair);
+    }
+    return true;
+  }
+
+  private void sendShadow(Rpc rpc, Endpoint endpoint, ShadowPair pair) {
+    pair.fresh = sender.send(rpc, endpoint, true);
+    pair.fresh.pair = pair;
+    outstanding++;
+  }
+
+  /** The design's circuit breaker, and while a slowdown is looked into. */
+  private boolean isBreakerOpen() {
+    return outstanding >= MAX_OUTSTANDING || canary.trial().pausedAt != null;
+  }
+
+  /** Where keys are sticky, one token stays for a sticky key's request. */
+  private boolean mayShadow(Rpc rpc, Build build) {
+    double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
+    return rpc.method.idempotent()
+        && settings.secondCopies
+        && !isBreakerOpen()
+        && budget.hasCapacity()
+        && rpc.attempts.size() < settings.maxAttempts
+        && exposure.allows(build, rpc.method, tokens);
+  }
+
+  private boolean maySendAlone(Rpc rpc, Build build) {
+    if (isBreakerOpen() || !exposure.allows(build, rpc.method, 1) || keys.isSticky(rpc)) {
+      return false;
+    }
+    StageEvidence seen = canary.trial().evidence;
+    // every other one of a method at most: each has its like at the baseline
+    if (rpc.method.idempotent()) {
+      return !settings.secondCopies && seen.isBalanced(rpc.method);
+    }
+    // A build bad for one method with effects shows in no shadow request: a few such requests go
+    // there alone.
+    return canary.trial().stage > 0 && seen.sentAlone[rpc.method.index] < maxAlone;
+  }
+
+  /** An ok answer binds its key to the canary, so the key's share must fit. */
+  private Endpoint selectFor(Rpc rpc, Build build) {
+    Endpoint endpoint = selector.selectIn(rpc, build);
+    return endpoint != null && keys.reserve(rpc) ? endpoint : null;
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -0,0 +1,75 @@
+package sprucerock.policy;
+
+import sprucerock.model.Build;
+import sprucerock.model.Endpoint;
+import sprucerock.model.Settings;
+import sprucerock.stats.DecayingSum;
+import sprucerock.stats.DeterministicRandom;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/**
+ * Limits what an endpoint gets while it warms up (rule 4), by a token bucket of its own.
+ *
+ * <p>A cold endpoint gets of this relay what a warm one of its size gets, times the share that it
+ * surely has by now, times 0.8 so that no queue builds up. Warm endpoints carry what they can, so
+ * the sum over relays is within the budget, however uneven they are. On trial it holds for warm
+ * ones too: like loads.
+ */
+final class SlowStartLimiter {
+  private static final double MAX_LOAD_SHARE = 0.8;
+  private static final TimeSpan WEIGHTS_KEPT = TimeSpan.ofMs(500); // no scan for each attempt
+
+  private final RelayActions actions;
+  private final Settings settings;
+  private final DeterministicRandom random;
+  private final CanaryStatus canary;
+  private final DecayingSum baselineSends = new DecayingSum(TimeSpan.ofMs(3000));
+
+  SlowStartLimiter(
+      RelayActions actions, Settings settings, DeterministicRandom random, CanaryStatus canary) {
+    this.actions = actions;
+    this.settings = settings;
+    this.random = random;
+    this.canary = canary;
+  }
+
+  /** Relays learn of an endpoint together: their first tokens come one by one. */
+  void endpointReady(Endpoint endpoint) {
+    endpoint.coldTokens = random.next();
+    endpoint.coldAsOf = actions.now();
+  }
+
+  /** An attempt was sent to it. */
+  void attemptSent(Endpoint endpoint, boolean onTrial, Timestamp now) {
+    baselineSends.add(now, onTrial ? 0 : 1);
+    endpoint.coldTokens--;
+  }
+
+  /** Whether it may get one attempt more now; refills its bucket. */
+  boolean hasCapacity(Endpoint endpoint, Timestamp now) {
+    if (!canary.isOnTrial(endpoint.build) && endpoint.olderThan(settings.cold, now)) {
+      return true;
+    }
+    double all = 0;
+    double warm = 0;
+    for (Build build : canary.ascending()) {
+      build.weigh(settings.cold, WEIGHTS_KEPT, now);
+      all += build.weight;
+      if (!canary.isOnTrial(build)) {
+        warm += build.weightOfOlder;
+      }
+    }
+    double carried =
+        baselineSends.perSecond(now) * endpoint.weight() / Math.max(warm > 0 ? warm : all, 0.1);
+    double age =
+        endpoint.started == null ? 1 : Math.max(0, now.since(endpoint.started).per(settings.cold));
+    double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
+    double perSecond = Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * share * carried;
+    double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
+    endpoint.coldTokens =
+        Math.min(endpoint.coldTokens + perSecond * now.since(endpoint.coldAsOf).ms() / 1000, most);
+    endpoint.coldAsOf = now;
+    return endpoint.coldTokens >= 1;
+  }
+}
--- a/src/main/java/sprucerock/policy/evidence/StageEvidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -26,7 +26,7 @@
   public boolean worseByCounts;
 
   /** Picks ended at the build since its release, and those that failed. */
-  public int attemptEnded;
+  public int attemptsAfterRelease;
 
   public int errorsAfterRelease;
 
@@ -46,7 +46,7 @@
 
   /** Notes a pick that ended at the build after its release. */
   public void attemptEnded(Attempt attempt) {
-    attemptEnded++;
+    attemptsAfterRelease++;
     if (!attempt.erred()) {
       return;
     }
