--- a/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
+++ b/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
@@ -3,7 +3,7 @@
 import sprucerock.model.Method;
 import sprucerock.model.RolloutState;
 import sprucerock.model.Settings;
-import sprucerock.policy.evidence.CanaryTrial;
+import sprucerock.policy.evidence.Slowdown;
 import sprucerock.stats.Pace;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
@@ -27,6 +27,10 @@
   private static final int SOURCES = 2;
   private static final double WAKE_UP_MS = 2000; // a fleet that just woke has no queues yet
   private static final double WATCH_AFTER_RELEASE_MS = 15000;
+  private static final double GOOD_PACE = 0.2; // in logarithms
+  private static final TimeSpan MIN_PAUSE = TimeSpan.ofMs(500);
+  private static final double PAUSE_AFTER_MS = 700;
+  private static final double DOUBT_AFTER_RESUMING_MS = 3000;
   private static final double DRAIN_MS = 5000; // twice what a queue needs to drain
 
   private final RelayActions actions;
@@ -54,7 +58,7 @@
       return;
     }
     boolean before =
-        !isWatched(now) || canary.trial().stage == 0; // its few attempts slow nothing much
+        !isWatched(now) || canary.trial().stage() == 0; // its few attempts slow nothing much
     if (before) {
       pace.seeBefore(source, method.index, ms, weight, now);
     } else {
@@ -64,11 +68,11 @@
 
   /** The canary is on trial, or released so lately that all traffic shows what it is like. */
   boolean isWatched(Timestamp now) {
-    boolean released = canary.isReleased() && canary.trial().seenOnTrial;
+    boolean released = canary.isReleased() && canary.trial().isSeenOnTrial();
     return canary.state() == RolloutState.ON_TRIAL
         || released
             && !TimeChecks.longerThan(
-                WATCH_AFTER_RELEASE_MS + arrivals.countsLagMs(), canary.trial().since, now);
+                WATCH_AFTER_RELEASE_MS + arrivals.countsLagMs(), canary.trial().since(), now);
   }
 
   /** How much slower than before the offer, in logarithms. */
@@ -84,43 +88,41 @@
 
   /** Stops and resumes shadow requests, and counts how often the pace followed them. */
   void watch(Timestamp now) {
-    CanaryTrial trial = canary.trial();
-    if (pace.mean(now) < 0.2) {
-      trial.slowSince = null;
-      trial.slowdownExcused = false;
-      if (trial.pausedAt != null && now.since(trial.pausedAt).over(TimeSpan.ofMs(500))) {
-        trial.pausedAt = null;
-        trial.resumedAt = now;
+    Slowdown slowdown = canary.trial().slowdown;
+    if (pace.mean(now) < GOOD_PACE) {
+      slowdown.end();
+      if (slowdown.pausedAt() != null && now.since(slowdown.pausedAt()).over(MIN_PAUSE)) {
+        slowdown.resume(now);
       }
-    } else if (trial.slowSince == null && isSlowed(now)) {
-      trial.slowSince = now;
+    } else if (slowdown.slowSince() == null && isSlowed(now)) {
+      slowdown.begin(now);
     }
-    if (trial.pausedAt == null
-        && !trial.slowdownExcused
-        && TimeChecks.longerThan(700, trial.slowSince, now)) {
-      if (trial.resumedAt != null
-          && !TimeChecks.longerThan(DRAIN_MS + arrivals.countsLagMs(), trial.resumedAt, now)) {
-        trial.slowdownsBlamed++;
+    if (slowdown.pausedAt() == null
+        && !slowdown.isExcused()
+        && TimeChecks.longerThan(PAUSE_AFTER_MS, slowdown.slowSince(), now)) {
+      if (slowdown.resumedAt() != null
+          && !TimeChecks.longerThan(DRAIN_MS + arrivals.countsLagMs(), slowdown.resumedAt(), now)) {
+        slowdown.blame();
       }
-      trial.pausedAt = now;
+      slowdown.pause(now);
     }
-    if (TimeChecks.longerThan(DRAIN_MS + arrivals.countsLagMs(), trial.pausedAt, now)) {
-      trial.pausedAt = null;
-      trial.slowdownExcused = true;
+    if (TimeChecks.longerThan(DRAIN_MS + arrivals.countsLagMs(), slowdown.pausedAt(), now)) {
+      slowdown.excuse();
     }
   }
 
   /** Whether a slowdown is being looked into, so that no stage may move on. */
   boolean isInDoubt(Timestamp now) {
-    CanaryTrial trial = canary.trial();
-    return trial.pausedAt != null
-        || trial.slowSince != null && !trial.slowdownExcused
-        || trial.resumedAt != null
-            && !TimeChecks.longerThan(3000 + arrivals.countsLagMs(), trial.resumedAt, now);
+    Slowdown slowdown = canary.trial().slowdown;
+    return slowdown.pausedAt() != null
+        || slowdown.slowSince() != null && !slowdown.isExcused()
+        || slowdown.resumedAt() != null
+            && !TimeChecks.longerThan(
+                DOUBT_AFTER_RESUMING_MS + arrivals.countsLagMs(), slowdown.resumedAt(), now);
   }
 
   /** The pace followed the exposure: once by the fleet's counts, which stray less, else twice. */
   boolean isCanaryBlamed() {
-    return canary.trial().slowdownsBlamed > (arrivals.isQuiet() ? 0 : 1);
+    return canary.trial().slowdown.blames() > (arrivals.isQuiet() ? 0 : 1);
   }
 }
--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -41,7 +41,7 @@
   }
 
   void stageEntered() {
-    lastVote.verdict = Verdict.NONE;
+    lastVote.reset();
   }
 
   void voteAnswered(VoteReply reply) {
@@ -57,12 +57,11 @@
   /** Peers tell each other their pairs, twice a second at most, and add them up. */
   void reportToPeers(Timestamp now) {
     CanaryTrial trial = canary.trial();
-    boolean news = settings.peers && canary.judgedBuild() != null && !trial.evidence.isReported();
+    boolean news = settings.peers && canary.judgedBuild() != null && !trial.evidence().isReported();
     if (news
-        && (trial.reportSentAt == null
-            || TimeChecks.longerThan(REPORT_INTERVAL_MS, trial.reportSentAt, now))) {
-      trial.reportSentAt = now;
-      actions.sendToPeers(trial.evidence.encodeReport(trial.build.number, trial.stage));
+        && (trial.reportSentAt() == null
+            || TimeChecks.longerThan(REPORT_INTERVAL_MS, trial.reportSentAt(), now))) {
+      actions.sendToPeers(trial.encodeReport(now));
     }
   }
 
@@ -78,20 +77,20 @@
     if (!released) {
       baselinePace.watch(now);
     }
-    StageEvidence seen = canary.trial().evidence;
+    StageEvidence seen = canary.trial().evidence();
     boolean blamed = baselinePace.isCanaryBlamed();
     boolean proven =
         failing
             || blamed
-            || seen.slowerByTimes
-            || seen.worseByCounts
+            || seen.isSlowerByTimes()
+            || seen.isWorseByCounts()
             || alone && isCanarySlower(now);
     if (proven || released && failsAfterRelease(now)) {
       vote(Verdict.BACK);
     } else if (!released && settings.control == Settings.Control.CLOCKED) {
       if (lead > 0 || baselinePace.isInDoubt(now)) {
         vote(Verdict.HOLD);
-      } else if (lastVote.verdict != Verdict.NONE) {
+      } else if (lastVote.verdict() != Verdict.NONE) {
         vote(Verdict.NONE);
       }
     } else if (!released && !baselinePace.isInDoubt(now) && mayMoveOn(now)) {
@@ -102,15 +101,17 @@
   /** Three to none is enough, ten to three is not; one sick endpoint of several is no bad build. */
   private boolean isFailing() {
     CanaryTrial trial = canary.trial();
-    int[] pooled = trial.pooledCounts();
     int lead = trial.failureLead();
     boolean spread = trial.failingEndpoints() >= Math.min(2, trial.build.endpoints.size());
     double few = alone ? deviations / 2 : 1.5;
-    return spread && lead >= 3 && lead > 0.01 * pooled[0] && lead > few * trial.leadDeviation()
+    return spread
+            && lead >= 3
+            && lead > 0.01 * trial.pooledPairs()
+            && lead > few * trial.leadDeviation()
         || spread
             && lead > 0
-            && lead + trial.carriedLead
-                >= Math.max(5, few * (trial.leadDeviation() + trial.carriedDeviation));
+            && lead + trial.carriedLead()
+                >= Math.max(5, few * (trial.leadDeviation() + trial.carriedDeviation()));
   }
 
   /** By its pace, against the baseline by method. */
@@ -124,24 +125,20 @@
   /** Failures on many endpoints, or a pace that is gone for longer than most bursts last. */
   private boolean failsAfterRelease(Timestamp now) {
     CanaryTrial trial = canary.trial();
-    StageEvidence seen = trial.evidence;
-    if (baselinePace.mean(now) < 0.6 || !baselinePace.isSlowed(now)) {
-      trial.lostPaceSeconds = 0;
-    } else if (trial.lostPaceAsOf != null) {
-      trial.lostPaceSeconds += baselinePace.mean(now) * now.since(trial.lostPaceAsOf).ms() / 1000;
-    }
-    trial.lostPaceAsOf = now;
+    StageEvidence seen = trial.evidence();
+    boolean lost = !(baselinePace.mean(now) < 0.6 || !baselinePace.isSlowed(now));
+    trial.lostPace.update(lost, baselinePace.mean(now), now);
     // more than a fifth of the endpoints that fail for other reasons; or a few errors on most
     boolean share =
         alone
-            && seen.failingAfterRelease >= 3
-            && seen.errorsAfterRelease > Math.max(3, 0.25 * seen.attemptsAfterRelease);
+            && seen.failingAfterRelease() >= 3
+            && seen.errorsAfterRelease() > Math.max(3, 0.25 * seen.attemptsAfterRelease());
     boolean many =
-        seen.failingAfterRelease >= Math.max(3, 0.6 * trial.build.endpoints.size())
-            && seen.errorsAfterRelease >= 5;
+        seen.failingAfterRelease() >= Math.max(3, 0.6 * trial.build.endpoints.size())
+            && seen.errorsAfterRelease() >= 5;
     return share
-        || many && seen.errorsAfterRelease > 0.02 * seen.attemptsAfterRelease
-        || trial.lostPaceSeconds > (arrivals.isQuiet() ? 4 : 6);
+        || many && seen.errorsAfterRelease() > 0.02 * seen.attemptsAfterRelease()
+        || trial.lostPace.seconds() > (arrivals.isQuiet() ? 4 : 6);
   }
 
   // After 20 pairs or at the fallback age. Where one vote moves the stage, relays that saw little
@@ -150,19 +147,20 @@
   private boolean mayMoveOn(Timestamp now) {
     CanaryTrial trial = canary.trial();
     boolean single = settings.control == Settings.Control.SINGLE;
-    int pairs = trial.pooledCounts()[0];
-    boolean last = trial.stage == settings.caps.size() - 1;
-    boolean untested = single && last && trial.evidence.timedPairs < ENOUGH_PAIRS && pairs < 100;
+    int pairs = trial.pooledPairs();
+    boolean last = trial.stage() == settings.caps.size() - 1;
+    boolean untested =
+        single && last && trial.evidence().timedPairs() < ENOUGH_PAIRS && pairs < 100;
     double fallbackMs = untested ? 6000 : single && pairs < 5 ? 5000 : 3000;
     // alone, the busiest of many relays must see enough first
     if (single && alone) {
       fallbackMs *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
     }
     // by the start times in the list; while a stage's new endpoints aren't listed, none up to 8 s
-    TimeSpan known = now.since(trial.since);
+    TimeSpan known = now.since(trial.since());
     Timestamp newest = trial.build.newest();
     boolean missing =
-        newest == null || trial.since.after(newest) && MISSING_ENDPOINTS_TIMEOUT.over(known);
+        newest == null || trial.since().after(newest) && MISSING_ENDPOINTS_TIMEOUT.over(known);
     boolean old = !missing && now.since(newest).atMost(known).over(TimeSpan.ofMs(fallbackMs));
     return pairs >= ENOUGH_PAIRS && !untested || old;
   }
@@ -173,7 +171,7 @@
    */
   private void vote(Verdict verdict) {
     Timestamp now = actions.now();
-    boolean anew = verdict != lastVote.verdict;
+    boolean anew = verdict != lastVote.verdict();
     TimeSpan renew = settings.voteLife.times(0.5);
     if (!anew && !lastVote.isDue(renew, settings.callTimeout, RECAST_INTERVAL, now)) {
       return;
@@ -184,6 +182,6 @@
       actions.log("vote " + verdict + " on " + trial + ", pace " + baselinePace.mean(now));
     }
     lastVote.recordCast(verdict, now);
-    actions.vote(trial.build, trial.stage, verdict);
+    actions.vote(trial.build, trial.stage(), verdict);
   }
 }
--- a/src/main/java/sprucerock/policy/CanaryStatus.java
+++ b/src/main/java/sprucerock/policy/CanaryStatus.java
@@ -68,14 +68,15 @@
       noteWithdrawn();
       trial = new CanaryTrial(build, methods);
     }
-    boolean enters = trial.evidence == null || stage != trial.stage || newState != state;
+    boolean enters = trial.evidence() == null || stage != trial.stage() || newState != state;
     if (enters) {
       trial.enterStage(stage, since, newState == RolloutState.RELEASED);
     }
     state = newState;
-    trial.seenOnTrial |= state == RolloutState.ON_TRIAL;
     cap = newCap;
-    if (state != RolloutState.ON_TRIAL) {
+    if (state == RolloutState.ON_TRIAL) {
+      trial.noteOnTrial();
+    } else {
       trial.stickyKeys.clear();
     }
     return enters;
@@ -115,10 +116,7 @@
 
   /** Notes an attempt that ended at the canary. */
   void attemptEnded(Attempt attempt) {
-    trial.errorSeen |= attempt.erred();
-    if (isReleased()) {
-      trial.evidence.attemptEnded(attempt);
-    }
+    trial.attemptEnded(attempt, isReleased());
   }
 
   /** The build that pairs can judge now; null where there is none. */
--- a/src/main/java/sprucerock/policy/ExposureLimiter.java
+++ b/src/main/java/sprucerock/policy/ExposureLimiter.java
@@ -29,7 +29,7 @@
       return false;
     }
     double most = canary.isCanary(build) ? canary.cap() : settings.caps.get(0);
-    int stage = canary.isCanary(build) ? canary.trial().stage : 0;
+    int stage = canary.isCanary(build) ? canary.trial().stage() : 0;
     return most > 0
         && (settings.perMethod ? method.trialTokens : sharedTokens) >= tokens
         && (method.idempotent() || stage >= settings.guardedStages);
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -3,6 +3,7 @@
 import sprucerock.model.Build;
 import sprucerock.model.Method;
 import sprucerock.model.Settings;
+import sprucerock.policy.evidence.AttemptCounts;
 import sprucerock.policy.evidence.CanaryTrial;
 import sprucerock.stats.Shares;
 import sprucerock.time.TimeSpan;
@@ -47,26 +48,32 @@
     if (trial == null || build.number > trial.build.number) {
       return;
     }
-    double[] fresh = trial.canaryCounts[method.index];
-    double[] earlier = trial.baselineCounts[method.index];
-    double[] counts = canary.isCanary(build) ? fresh : earlier;
-    counts[0] += attempts;
-    counts[1] += failed;
-    if (fresh[0] < MIN_ATTEMPTS || fresh[1] < MIN_FAILURES || !isBorneOut()) {
+    AttemptCounts atCanary = trial.canaryCounts(method.index);
+    AttemptCounts atBaseline = trial.baselineCounts(method.index);
+    AttemptCounts counts = canary.isCanary(build) ? atCanary : atBaseline;
+    counts.add(attempts, failed);
+    if (atCanary.attempts() < MIN_ATTEMPTS || atCanary.failures() < MIN_FAILURES || !isBorneOut()) {
       return;
     }
-    double mark = STANDARD_ERRORS * Shares.error(fresh[1], fresh[0], earlier[1], earlier[0]);
-    double excess = fresh[1] / fresh[0] - earlier[1] / Math.max(earlier[0], 1);
+    double error =
+        Shares.error(
+            atCanary.failures(), atCanary.attempts(), atBaseline.failures(), atBaseline.attempts());
+    double mark = STANDARD_ERRORS * error;
+    double excess =
+        atCanary.failures() / atCanary.attempts()
+            - atBaseline.failures() / Math.max(atBaseline.attempts(), 1);
     double least = canary.isReleased() ? MIN_EXCESS_RELEASED : MIN_EXCESS;
-    trial.evidence.worseByCounts |= excess > Math.max(least, mark);
+    if (excess > Math.max(least, mark)) {
+      trial.evidence().markWorseByCounts();
+    }
     canaryJudge.consider();
   }
 
   private boolean isBorneOut() {
     CanaryTrial trial = canary.trial();
     if (canary.isReleased()) {
-      return trial.evidence.errorsAfterRelease > 2;
+      return trial.evidence().errorsAfterRelease() > 2;
     }
-    return settings.peers ? trial.failureLead() > 0.01 * trial.pooledCounts()[0] : trial.errorSeen;
+    return settings.peers ? trial.failureLead() > 0.01 * trial.pooledPairs() : trial.isErrorSeen();
   }
 }
--- a/src/main/java/sprucerock/policy/KeyAffinity.java
+++ b/src/main/java/sprucerock/policy/KeyAffinity.java
@@ -38,7 +38,7 @@
   }
 
   boolean isSticky(Rpc rpc) {
-    return canary.trial().stickyKeys.containsKey(rpc.key);
+    return canary.trial().stickyKeys.contains(rpc.key);
   }
 
   /** The build under which the request's key must not go; null where any will do. */
@@ -50,7 +50,7 @@
     // once released, a build has every key: earlier endpoints may be listed before news that it
     // goes back
     CanaryTrial trial = canary.trial();
-    return canary.isReleased() ? trial.build : trial.stickyKeys.get(rpc.key);
+    return canary.isReleased() || trial.stickyKeys.contains(rpc.key) ? trial.build : null;
   }
 
   /** Takes in the share of the traffic that the key brings if it sticks; false if too large. */
@@ -60,10 +60,10 @@
     }
     Timestamp now = actions.now();
     double share = keyArrivals.perSecond(rpc.key, now) / Math.max(arrivals.perSecond(now), 1e-9);
-    if (canary.trial().stickyShare + share > 0.5 * canary.cap()) {
+    if (canary.trial().stickyKeys.share() + share > 0.5 * canary.cap()) {
       return false;
     }
-    canary.trial().stickyShare += share;
+    canary.trial().stickyKeys.reserve(share);
     return true;
   }
 
@@ -71,7 +71,7 @@
   void canaryAnswered(Attempt attempt) {
     Rpc rpc = attempt.rpc;
     if (canary.state() == RolloutState.ON_TRIAL && settings.oneWayKeys && rpc.key != 0) {
-      canary.trial().stickyKeys.put(rpc.key, canary.trial().build);
+      canary.trial().stickyKeys.add(rpc.key);
     }
   }
 }
--- a/src/main/java/sprucerock/policy/RelayActions.java
+++ b/src/main/java/sprucerock/policy/RelayActions.java
@@ -8,15 +8,17 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What the module can do; whoever runs it, a bench adapter or a relay, carries it out at once and
- * in order.
+ * What the policy can do; whoever runs it, a relay or the simulator's adapter, carries it out at
+ * once and in order.
  */
 public interface RelayActions {
+  /** The time of the event that is being handled; it never goes back. */
   Timestamp now();
 
-  /** Sends the pick to its unit. The first ok answers the client by itself. */
+  /** Sends the attempt to its endpoint. The first ok answers the client by itself. */
   void send(Attempt attempt);
 
+  /** Cancels an attempt that is out; its end is told like any other. */
   void cancel(Attempt attempt);
 
   /** Final: the client may safely try again, best after {@code wait} (zero: no advice). */
@@ -28,7 +30,9 @@
   /** Runs {@code what} in the first round at or after {@code when}. */
   void schedule(Timestamp when, Runnable what);
 
-  /** The same, unless the RPC has ended by then: a host need not keep hold of what is over. */
+  /**
+   * The same, unless the RPC has ended by then: whoever runs it need not keep hold of what is over.
+   */
   default void schedule(Rpc rpc, Timestamp when, Runnable what) {
     schedule(
         when,
@@ -39,7 +43,7 @@
         });
   }
 
-  /** The same, unless the pick has ended by then. */
+  /** The same, unless the attempt has ended by then. */
   default void schedule(Attempt attempt, Timestamp when, Runnable what) {
     schedule(
         when,
@@ -50,6 +54,9 @@
         });
   }
 
+  /**
+   * Votes on the canary in one of its stages; {@link RelayEvents#voteAnswered} follows, or never.
+   */
   void vote(Build build, int stage, Verdict verdict);
 
   /** A short message to every other relay; it may come late or never. */
@@ -58,7 +65,9 @@
   /** The same to one relay, by its number. */
   void sendToPeer(int relay, byte[] contents);
 
+  /** Asks discovery for the endpoint list, and news of it where it sends such. */
   void subscribe();
 
+  /** Writes a line to the relay's log. */
   void log(String line);
 }
--- a/src/main/java/sprucerock/policy/RoutingPolicy.java
+++ b/src/main/java/sprucerock/policy/RoutingPolicy.java
@@ -54,7 +54,7 @@
     this.actions = actions;
     this.settings = settings;
     DeterministicRandom random = new DeterministicRandom(seed);
-    Timestamp started = actions.now();
+    final Timestamp started = actions.now();
     canary = new CanaryStatus(settings.methods.size());
     arrivals = new ArrivalRate(actions, settings);
     subscription = new EndpointListSubscription(actions, settings, random);
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -30,60 +30,64 @@
 
   /** Judges the pair once, as soon as both sides are known. */
   void judge(ShadowPair pair) {
-    Attempt fresh = pair.fresh;
-    Attempt earlier = pair.earlier;
-    if (pair.judged || earlier == null || !isDecided(fresh, earlier)) {
+    Attempt shadow = pair.fresh;
+    Attempt baseline = pair.earlier;
+    if (pair.judged || baseline == null || !isDecided(shadow, baseline)) {
       return;
     }
     pair.judged = true;
     // Full, out of reach, cancelled or cut off says nothing of a build; time-outs are slowness, for
     // KS.
-    if (canary.judgedBuild() != fresh.endpoint.build || fresh.voidsPair() || earlier.voidsPair()) {
+    if (canary.judgedBuild() != shadow.endpoint.build
+        || shadow.voidsPair()
+        || baseline.voidsPair()) {
       return;
     }
-    noteFailures(fresh, earlier);
-    noteTimes(fresh, earlier);
+    noteFailures(shadow, baseline);
+    noteTimes(shadow, baseline);
     canaryJudge.consider();
   }
 
   /** An overdue attempt beside one that is done would be seen too late: it counts as that slow. */
-  private static boolean isDecided(Attempt fresh, Attempt earlier) {
-    if (fresh.outcome() == null && (!fresh.overdue || earlier.outcome() == null)) {
+  private static boolean isDecided(Attempt shadow, Attempt baseline) {
+    if (shadow.outcome() == null && (!shadow.overdue || baseline.outcome() == null)) {
       return false;
     }
-    return earlier.outcome() != null || earlier.overdue;
+    return baseline.outcome() != null || baseline.overdue;
   }
 
-  private void noteFailures(Attempt fresh, Attempt earlier) {
-    StageEvidence seen = canary.trial().evidence;
+  private void noteFailures(Attempt shadow, Attempt baseline) {
+    StageEvidence seen = canary.trial().evidence();
     seen.pairs++;
     boolean few =
-        fresh.endpoint.build.endpoints.size()
+        shadow.endpoint.build.endpoints.size()
             < FEW_ENDPOINTS; // else one endpoint gives two mismatches at most
-    boolean freshOnly = fresh.erred() && !earlier.erred();
-    if (freshOnly && (++fresh.endpoint.excess <= MAX_MISMATCHES || few)) {
-      seen.canaryFailed(fresh.endpoint);
+    boolean shadowOnly = shadow.erred() && !baseline.erred();
+    if (shadowOnly && (++shadow.endpoint.excess <= MAX_MISMATCHES || few)) {
+      seen.canaryFailed(shadow.endpoint);
     }
-    if (earlier.erred() && !fresh.erred()) {
+    if (baseline.erred() && !shadow.erred()) {
       seen.baselineFailures++;
     }
   }
 
-  private void noteTimes(Attempt fresh, Attempt earlier) {
-    StageEvidence seen = canary.trial().evidence;
+  private void noteTimes(Attempt shadow, Attempt baseline) {
+    StageEvidence seen = canary.trial().evidence();
     Timestamp now = actions.now();
     boolean alike =
-        fresh.endpoint.kind == earlier.endpoint.kind
-            && !fresh.erred()
-            && !earlier.erred()
-            && fresh.endpoint.olderThan(WARM_AGE, now)
-            && earlier.endpoint.olderThan(WARM_AGE, now);
+        shadow.endpoint.kind == baseline.endpoint.kind
+            && !shadow.erred()
+            && !baseline.erred()
+            && shadow.endpoint.olderThan(WARM_AGE, now)
+            && baseline.endpoint.olderThan(WARM_AGE, now);
     int n =
         alike
-            ? seen.addTimes(latency.relativeTime(fresh, now), latency.relativeTime(earlier, now))
+            ? seen.addTimes(latency.relativeTime(shadow, now), latency.relativeTime(baseline, now))
             : 0;
     boolean test = n == 20 || n == 40 || n == 80;
-    seen.slowerByTimes |= test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n));
+    if (test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n))) {
+      seen.markSlowerByTimes();
+    }
   }
 
   /** A wrong answer that a client reported stands as a mismatch of its side. */
@@ -92,9 +96,9 @@
       return;
     }
     if (canary.isCanary(endpoint.build)) {
-      canary.trial().evidence.canaryFailed(endpoint);
+      canary.trial().evidence().canaryFailed(endpoint);
     } else {
-      canary.trial().evidence.baselineFailures++;
+      canary.trial().evidence().baselineFailures++;
     }
     canaryJudge.consider();
   }
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -70,9 +70,7 @@
     }
     ShadowPair pair = new ShadowPair();
     sendShadow(rpc, endpoint, pair);
-    StageEvidence evidence = canary.trial().evidence;
-    evidence.awaitingBaseline.get(rpc.method.index).add(pair);
-    evidence.sentAlone[rpc.method.index]++;
+    canary.trial().evidence().sentAlone(rpc.method, pair);
     return true;
   }
 
@@ -85,7 +83,7 @@
     baseline.pair =
         endpoint != null
             ? new ShadowPair()
-            : canary.trial().evidence.awaitingBaseline.get(rpc.method.index).poll();
+            : canary.trial().evidence().pollAwaitingBaseline(rpc.method);
     if (baseline.pair == null) {
       return false;
     }
@@ -104,7 +102,7 @@
 
   /** The design's circuit breaker, and while a slowdown is looked into. */
   private boolean isBreakerOpen() {
-    return outstanding >= MAX_OUTSTANDING || canary.trial().pausedAt != null;
+    return outstanding >= MAX_OUTSTANDING || canary.trial().slowdown.pausedAt() != null;
   }
 
   /** Where keys are sticky, one token stays for a sticky key's request. */
@@ -122,14 +120,14 @@
     if (isBreakerOpen() || !exposure.allows(build, rpc.method, 1) || keys.isSticky(rpc)) {
       return false;
     }
-    StageEvidence seen = canary.trial().evidence;
+    StageEvidence seen = canary.trial().evidence();
     // every other one of a method at most: each has its like at the baseline
     if (rpc.method.idempotent()) {
       return !settings.secondCopies && seen.isBalanced(rpc.method);
     }
     // A build bad for one method with effects shows in no shadow request: a few such requests go
     // there alone.
-    return canary.trial().stage > 0 && seen.sentAlone[rpc.method.index] < maxAlone;
+    return canary.trial().stage() > 0 && seen.sentAlone(rpc.method) < maxAlone;
   }
 
   /** An ok answer binds its key to the canary, so the key's share must fit. */
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -1,99 +1,161 @@
 package sprucerock.policy.evidence;
 
-import java.util.HashMap;
+import java.util.Arrays;
 import java.util.Map;
 import java.util.TreeMap;
+import sprucerock.model.Attempt;
 import sprucerock.model.Build;
 import sprucerock.model.Endpoint;
 import sprucerock.stats.DecayingMean;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** What one relay knows of the build that the release desk offered last. */
+/** What one relay knows of the build that the controller offered last. */
 public final class CanaryTrial {
-  public final Build build;
-  public int stage;
-  public Timestamp since;
+  private static final int MAX_TIMED_PAIRS = 80;
+  private static final int COUNTS = 3;
 
-  /** Seen on trial by this relay, not only after its release. */
-  public boolean seenOnTrial;
+  // a report: [3, build, stage, pairs, canary's failures, baseline's, failed at, 2 bytes]
+  private static final int BUILD_BYTE = 1;
+  private static final int STAGE_BYTE = 2;
+  private static final int COUNTS_BYTE = 3;
+  private static final int FAILED_AT_BYTE = 6;
 
-  /** What this relay saw in the present stage. */
-  public StageEvidence evidence;
+  public final Build build;
 
-  /** An error came back from the build. */
-  public boolean errorSeen;
+  /** How a slowdown of the baseline is looked into. */
+  public final Slowdown slowdown = new Slowdown();
 
-  /**
-   * What the release desk counted, by method: picks and failures at this build, and at earlier
-   * ones.
-   */
-  public final double[][] canaryCounts;
+  /** Keys that stay with this build. */
+  public final StickyKeys stickyKeys = new StickyKeys();
 
-  public final double[][] baselineCounts;
+  /** How much slower its attempts are than the baseline's, in logarithms. */
+  public final DecayingMean logExcess = new DecayingMean(TimeSpan.ofMs(20000));
 
-  /** What peers said of their pairs, each its latest. */
-  public final Map<Integer, byte[]> peerReports = new TreeMap<>();
+  /** Pace lost since the release. */
+  public final LostPace lostPace = new LostPace();
 
-  public Timestamp reportSentAt;
+  private final AttemptCounts[] canaryCounts;
+  private final AttemptCounts[] baselineCounts;
+  private final Map<Integer, byte[]> peerReports = new TreeMap<>(); // by relay, each its latest
+  private final int[] peerCounts = new int[COUNTS]; // as in pooledCounts, of this stage
+  private int peerFailedAt;
+  private Timestamp reportSentAt;
+  private int stage;
+  private Timestamp since;
+  private StageEvidence evidence;
+  private boolean seenOnTrial;
+  private boolean errorSeen;
+  private int carriedLead;
+  private double carriedDeviation;
+
+  /** Of this build, where relays serve so many methods. */
+  public CanaryTrial(Build build, int methods) {
+    this.build = build;
+    canaryCounts = newCounts(methods);
+    baselineCounts = newCounts(methods);
+  }
 
-  /**
-   * Since when the units off trial are slow; when the copies stopped for it, and when they went on.
-   */
-  public Timestamp slowSince;
+  private static AttemptCounts[] newCounts(int methods) {
+    AttemptCounts[] counts = new AttemptCounts[methods];
+    Arrays.setAll(counts, method -> new AttemptCounts());
+    return counts;
+  }
 
-  public Timestamp pausedAt;
-  public Timestamp resumedAt;
-  public boolean slowdownExcused;
+  /** The stage's number, from 0. */
+  public int stage() {
+    return stage;
+  }
 
-  /** How often the units off trial were slow again soon after the copies went on. */
-  public int slowdownsBlamed;
+  /** When the stage, or the time after the release, began. */
+  public Timestamp since() {
+    return since;
+  }
 
-  /** How much slower than the earlier build's its picks are, in logarithms. */
-  public final DecayingMean logExcess = new DecayingMean(TimeSpan.ofMs(20000));
+  /** What this relay saw in the present stage; null before the first. */
+  public StageEvidence evidence() {
+    return evidence;
+  }
 
-  /** Lost pace since the release, times the seconds that it lasted. */
-  public double lostPaceSeconds;
+  /** Seen on trial by this relay, not only after its release. */
+  public boolean isSeenOnTrial() {
+    return seenOnTrial;
+  }
 
-  public Timestamp lostPaceAsOf;
+  /** Notes that the news named it as on trial. */
+  public void noteOnTrial() {
+    seenOnTrial = true;
+  }
 
-  /** By how many failures this build led in its earlier stages. */
-  public int carriedLead;
+  /** Whether an error came back from the build. */
+  public boolean isErrorSeen() {
+    return errorSeen;
+  }
 
-  /** How far that may stray where both builds failed. */
-  public double carriedDeviation;
+  /** Notes an attempt that ended at the build, before or after its release. */
+  public void attemptEnded(Attempt attempt, boolean released) {
+    errorSeen |= attempt.erred();
+    if (released) {
+      evidence.attemptEnded(attempt);
+    }
+  }
 
-  /**
-   * Keys that the build has answered here, and the share of the traffic that these were seen to
-   * have.
-   */
-  public final Map<Long, Build> stickyKeys = new HashMap<>();
+  /** What the controller counted at this build; since the release, once there was one. */
+  public AttemptCounts canaryCounts(int method) {
+    return canaryCounts[method];
+  }
+
+  /** What the controller counted at earlier builds. */
+  public AttemptCounts baselineCounts(int method) {
+    return baselineCounts[method];
+  }
 
-  public double stickyShare;
+  /** When peers were told of the pairs last; null before the first time. */
+  public Timestamp reportSentAt() {
+    return reportSentAt;
+  }
 
-  /** Pairs, failures at this build and failures at the earlier one, as peers told of this stage. */
-  private final int[] peerCounts = new int[3];
+  /** Encodes the counts of this stage's pairs, to be sent to peers now. */
+  public byte[] encodeReport(Timestamp now) {
+    reportSentAt = now;
+    return evidence.encodeReport(build.number, stage);
+  }
 
-  /** The same, own and told by peers. */
+  /** Pairs, failures at this build and failures at the baseline, own and reported by peers. */
   public int[] pooledCounts() {
     return new int[] {
       evidence.pairs + peerCounts[0],
-      evidence.canaryFailures + peerCounts[1],
+      evidence.canaryFailures() + peerCounts[1],
       evidence.baselineFailures + peerCounts[2]
     };
   }
 
-  /** How many more failures this build showed than the earlier one, in this stage. */
+  /** The pairs of this stage, own and reported by peers. */
+  public int pooledPairs() {
+    return pooledCounts()[0];
+  }
+
+  /** How many more failures this build showed than the baseline, in this stage. */
   public int failureLead() {
     return pooledCounts()[1] - pooledCounts()[2];
   }
 
-  /** A standard error of the lead, the larger the more the earlier build fails too. */
+  /** A standard error of the lead, the larger the more the baseline fails too. */
   public double leadDeviation() {
     int[] sum = pooledCounts();
     return Math.sqrt(sum[1] + sum[2]) + Math.sqrt(2 * sum[2]);
   }
 
+  /** By how many failures this build led in its earlier stages. */
+  public int carriedLead() {
+    return carriedLead;
+  }
+
+  /** How far that may stray where both builds failed. */
+  public double carriedDeviation() {
+    return carriedDeviation;
+  }
+
   /**
    * Begins a stage, or the time after the release, with evidence of its own; adds the one that ends
    * to those before.
@@ -105,26 +167,24 @@
     }
     stage = newStage;
     since = from;
-    slowSince = null;
-    evidence = new StageEvidence(canaryCounts.length, 80);
+    slowdown.enterStage();
+    evidence = new StageEvidence(canaryCounts.length, MAX_TIMED_PAIRS);
     peerFailedAt = 0;
-    java.util.Arrays.fill(peerCounts, 0);
+    Arrays.fill(peerCounts, 0);
     for (byte[] report : peerReports.values()) {
       count(report, 1);
     }
-    for (int i = 0; released && i < canaryCounts.length; i++) {
-      canaryCounts[i] = new double[2];
+    if (released) {
+      Arrays.setAll(canaryCounts, method -> new AttemptCounts());
     }
     for (Endpoint endpoint : build.endpoints) {
       endpoint.excess = 0;
     }
   }
 
-  private int peerFailedAt;
-
-  /** How many units of this build failed copies in this stage, a few perhaps counted as one. */
+  /** How many endpoints failed shadow requests in this stage, a few perhaps counted as one. */
   public int failingEndpoints() {
-    return Integer.bitCount(evidence.failedAt | peerFailedAt);
+    return Integer.bitCount(evidence.failedAt() | peerFailedAt);
   }
 
   /** A peer's latest report takes the place of its last one. */
@@ -134,21 +194,19 @@
   }
 
   private void count(byte[] report, int times) {
-    boolean same = report != null && report[1] == (byte) build.number && report[2] == (byte) stage;
-    if (same) {
-      peerFailedAt |= report[6] & 0xff | (report[7] & 0xff) << 8;
+    boolean same =
+        report != null
+            && report[BUILD_BYTE] == (byte) build.number
+            && report[STAGE_BYTE] == (byte) stage;
+    if (!same) {
+      return;
     }
-    for (int i = 0; same && i < 3; i++) {
-      peerCounts[i] += times * (report[3 + i] & 0xff);
+    peerFailedAt |= report[FAILED_AT_BYTE] & 0xff | (report[FAILED_AT_BYTE + 1] & 0xff) << 8;
+    for (int i = 0; i < COUNTS; i++) {
+      peerCounts[i] += times * (report[COUNTS_BYTE + i] & 0xff);
     }
   }
 
-  public CanaryTrial(Build build, int methods) {
-    this.build = build;
-    canaryCounts = new double[methods][2];
-    baselineCounts = new double[methods][2];
-  }
-
   /** For the log. */
   @Override
   public String toString() {
@@ -156,16 +214,16 @@
         + " at stage "
         + stage
         + ": pairs "
-        + java.util.Arrays.toString(pooledCounts())
+        + Arrays.toString(pooledCounts())
         + ", carried "
         + carriedLead
         + ", slower "
-        + evidence.slowerByTimes
+        + evidence.isSlowerByTimes()
         + ", counted "
-        + evidence.worseByCounts
+        + evidence.isWorseByCounts()
         + ", blames "
-        + slowdownsBlamed
+        + slowdown.blames()
         + ", errors "
-        + evidence.errorsAfterRelease;
+        + evidence.errorsAfterRelease();
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/LastVote.java
+++ b/src/main/java/sprucerock/policy/evidence/LastVote.java
@@ -5,20 +5,32 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** The vote that this relay cast last, and how the release desk took it. */
+/** The vote that this relay cast last, and how the controller took it. */
 public final class LastVote {
-  public Verdict verdict = Verdict.NONE;
+  private Verdict verdict = Verdict.NONE;
   private Timestamp castAt;
   private boolean counts;
   private boolean replyPending;
 
-  public void recordCast(Verdict what, Timestamp now) {
-    verdict = what;
+  /** What was voted in this stage; NONE before the first vote. */
+  public Verdict verdict() {
+    return verdict;
+  }
+
+  /** A new stage begins, in which nothing was voted yet. */
+  public void reset() {
+    verdict = Verdict.NONE;
+  }
+
+  /** Notes that a vote was sent. */
+  public void recordCast(Verdict cast, Timestamp now) {
+    verdict = cast;
     castAt = now;
     replyPending = true;
     counts = false;
   }
 
+  /** Notes the controller's reply to it. */
   public void recordReply(VoteReply reply) {
     replyPending = false;
     counts = reply == VoteReply.COUNTS;
@@ -26,7 +38,7 @@
 
   /**
    * Whether it is due again: after {@code renew} if it counts, {@code wait} unanswered, else {@code
-   * retry}.
+   * retry}. Only to be asked once a vote was cast.
    */
   public boolean isDue(TimeSpan renew, TimeSpan wait, TimeSpan retry, Timestamp now) {
     return now.since(castAt).over(counts ? renew : replyPending ? wait : retry);
--- a/src/main/java/sprucerock/policy/evidence/LoadReports.java
+++ b/src/main/java/sprucerock/policy/evidence/LoadReports.java
@@ -8,21 +8,33 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** What relays tell each other of picks that are out, as messages, and their sums by unit. */
+/**
+ * What relays tell each other of attempts that are out, as messages, and their sums by endpoint.
+ * Messages may be lost, and come from relays of other versions; the recorded peer messages of the
+ * compatibility corpus hold their bytes.
+ */
 public final class LoadReports {
+  /** The first byte of a message that an attempt started or ended. */
   public static final byte ATTEMPT = 1;
+
+  /** The first byte of a message of all loads. */
   public static final byte LOADS = 2;
+
   private static final int AGE_STEPS = 126;
+  private static final int FIGURE_SCALE = 64;
   private static final int MAX_ENDPOINTS = 84;
 
   private final TreeMap<Integer, Endpoint> byShortId = new TreeMap<>();
   private final TimeSpan life;
 
-  /** A pick counts less as it ages, so that a lost message is forgotten after some {@code life}. */
+  /**
+   * An attempt counts less as it ages, so that a lost message is forgotten after some {@code life}.
+   */
   public LoadReports(TimeSpan life) {
     this.life = life;
   }
 
+  /** It may get new work, so reports on it are summed from now on. */
   public void addEndpoint(Endpoint endpoint) {
     byShortId.put(shortId(endpoint), endpoint);
     if (endpoint.attemptsByAll == null) {
@@ -30,16 +42,17 @@
     }
   }
 
+  /** Forgets it, unless another endpoint took its short id. */
   public void removeEndpoint(Endpoint endpoint) {
     byShortId.remove(shortId(endpoint), endpoint);
   }
 
-  /** A short name that all relays share; two units of a large fleet seldom have the same. */
+  /** 16 bits that all relays share; two endpoints of a large fleet seldom have the same. */
   private static int shortId(Endpoint endpoint) {
     return (int) (endpoint.id * 0x9E3779B1L >>> 16) & 0xffff;
   }
 
-  /** Says that a pick started, or that one of some age ended. */
+  /** Encodes that an attempt started (null), or that one of some age ended. */
   public byte[] encodeAttempt(Endpoint endpoint, TimeSpan endedAt) {
     int age = endedAt == null ? 0 : 1 + (int) Math.min(endedAt.per(life) * AGE_STEPS, AGE_STEPS);
     return new byte[] {
@@ -47,20 +60,21 @@
     };
   }
 
-  /** Adds such a message; its end takes off what is left of a pick. True where a pick ended. */
-  public boolean applyAttempt(byte[] told, Timestamp now) {
-    Endpoint endpoint = endpointAt(told, 1);
+  /** Adds such a message; an end takes off what is left of its attempt. True where one ended. */
+  public boolean applyAttempt(byte[] message, Timestamp now) {
+    Endpoint endpoint = endpointAt(message, 1);
     if (endpoint != null) {
-      endpoint.attemptsByAll.add(now, told[3] == 0 ? 1 : -Math.exp((1.0 - told[3]) / AGE_STEPS));
+      endpoint.attemptsByAll.add(
+          now, message[3] == 0 ? 1 : -Math.exp((1.0 - message[3]) / AGE_STEPS));
     }
-    return told[3] != 0;
+    return message[3] != 0;
   }
 
-  private Endpoint endpointAt(byte[] told, int at) {
-    return byShortId.get(told[at] & 0xff | (told[at + 1] & 0xff) << 8);
+  private Endpoint endpointAt(byte[] message, int at) {
+    return byShortId.get(message[at] & 0xff | (message[at + 1] & 0xff) << 8);
   }
 
-  /** All picks that are out. */
+  /** All attempts that are out, as far as reports tell. */
   public double outstanding(Timestamp now) {
     double sum = 0;
     for (Endpoint endpoint : byShortId.values()) {
@@ -69,8 +83,11 @@
     return sum;
   }
 
-  /** Says which units hold so many picks or more, the fullest first, and one figure beside. */
-  public byte[] encodeLoads(int least, double figure, Timestamp now) {
+  /**
+   * Encodes which endpoints hold so many attempts or more, the fullest first, and one figure, 0 to
+   * under 2, beside.
+   */
+  public byte[] encodeLoads(int least, double waitShare, Timestamp now) {
     List<Endpoint> loaded = new ArrayList<>();
     for (Endpoint endpoint : byShortId.values()) {
       endpoint.told = (int) Math.round(endpoint.attemptsByAll.at(now));
@@ -80,27 +97,27 @@
     }
     loaded.sort((a, b) -> b.told - a.told);
     int size = Math.min(loaded.size(), MAX_ENDPOINTS);
-    byte[] told = new byte[2 + 3 * size];
-    told[0] = LOADS;
-    told[1] = (byte) Math.min(64 * figure, 127);
+    byte[] message = new byte[2 + 3 * size];
+    message[0] = LOADS;
+    message[1] = (byte) Math.min(FIGURE_SCALE * waitShare, 127);
     for (int i = 0; i < size; i++) {
-      told[2 + 3 * i] = (byte) shortId(loaded.get(i));
-      told[3 + 3 * i] = (byte) (shortId(loaded.get(i)) >> 8);
-      told[4 + 3 * i] = (byte) Math.min(loaded.get(i).told, 127);
+      message[2 + 3 * i] = (byte) shortId(loaded.get(i));
+      message[3 + 3 * i] = (byte) (shortId(loaded.get(i)) >> 8);
+      message[4 + 3 * i] = (byte) Math.min(loaded.get(i).told, 127);
     }
-    return told;
+    return message;
   }
 
-  /** Notes such loads at the units, and returns the figure. */
-  public double applyLoads(byte[] told, Timestamp now) {
-    for (int i = 2; i + 2 < told.length; i += 3) {
-      Endpoint endpoint = endpointAt(told, i);
+  /** Notes such loads at the endpoints, and returns the figure. */
+  public double applyLoads(byte[] message, Timestamp now) {
+    for (int i = 2; i + 2 < message.length; i += 3) {
+      Endpoint endpoint = endpointAt(message, i);
       if (endpoint == null) {
         continue;
       }
-      endpoint.told = told[i + 2];
+      endpoint.told = message[i + 2];
       endpoint.toldAt = now;
     }
-    return told[1] / 64.0;
+    return message[1] / (double) FIGURE_SCALE;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
+++ b/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
@@ -7,30 +7,33 @@
 import sprucerock.model.Build;
 import sprucerock.model.Endpoint;
 
-/** The units that answered this relay last. */
+/** The endpoints that answered this relay last, so that connections to them are likely open. */
 public final class RecentEndpoints {
   private final LinkedHashSet<Endpoint> endpoints = new LinkedHashSet<>();
   private final int maxEndpoints;
 
-  public RecentEndpoints(int most) {
-    this.maxEndpoints = most;
+  /** Remembers so many at most; the one that was added first goes first. */
+  public RecentEndpoints(int maxEndpoints) {
+    this.maxEndpoints = maxEndpoints;
   }
 
+  /** It answered; one that is known already keeps its place in the order. */
   public void add(Endpoint endpoint) {
     if (endpoints.add(endpoint) && endpoints.size() > maxEndpoints) {
       endpoints.remove(endpoints.iterator().next());
     }
   }
 
+  /** Its connection broke, or could not be made. */
   public void remove(Endpoint endpoint) {
     endpoints.remove(endpoint);
   }
 
-  /** Those of a build that may get new work, from one by the dice (0 to under 1) on. */
-  public List<Endpoint> ofBuild(Build build, double dice) {
+  /** Those of a build that may get new work, beginning at one by {@code random}, 0 to under 1. */
+  public List<Endpoint> ofBuild(Build build, double random) {
     List<Endpoint> found = new ArrayList<>(endpoints);
     found.removeIf(endpoint -> endpoint.build != build || !endpoint.ready());
-    Collections.rotate(found, (int) (dice * found.size()));
+    Collections.rotate(found, (int) (random * found.size()));
     return found;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/StageEvidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -11,40 +11,101 @@
 import sprucerock.model.ShadowPair;
 import sprucerock.stats.Ks;
 
-/** What one relay saw of the offered build in its present stage. */
+/** What one relay saw of the canary in its present stage. */
 public final class StageEvidence {
+  /** The first byte of a report to peers. */
+  public static final byte REPORT = 3;
+
+  private static final int MAX_REPORTED = 255;
+
+  /** Pairs judged, and pairs of which only the baseline's attempt failed. */
   public int pairs;
-  public int canaryFailures;
-  public int baselineFailures;
 
-  /** Pairs of which both times are known, and those times. */
-  public int timedPairs;
+  public int baselineFailures;
 
   private final double[] canaryTook;
   private final double[] baselineTook;
-  public boolean slowerByTimes;
-  public boolean worseByCounts;
+  private final int[] sentAlone;
+  private final List<Deque<ShadowPair>> awaitingBaseline = new ArrayList<>();
+  private int timedPairs;
+  private int canaryFailures;
+  private int failedAt;
+  private boolean slowerByTimes;
+  private boolean worseByCounts;
+  private int attemptsAfterRelease;
+  private int errorsAfterRelease;
+  private int failingAfterRelease;
+  private int reportedPairs;
+  private int reportedFailures;
 
-  /** Picks ended at the build since its release, and those that failed. */
-  public int attemptsAfterRelease;
+  /** For so many methods; keeps the times of {@code maxTimedPairs} pairs. */
+  public StageEvidence(int methods, int maxTimedPairs) {
+    canaryTook = new double[maxTimedPairs];
+    baselineTook = new double[maxTimedPairs];
+    sentAlone = new int[methods];
+    for (int i = 0; i < methods; i++) {
+      awaitingBaseline.add(new ArrayDeque<>());
+    }
+  }
 
-  public int errorsAfterRelease;
+  /** Shadow requests that failed beside a served attempt at the baseline. */
+  public int canaryFailures() {
+    return canaryFailures;
+  }
 
-  /** Units of the build that failed a pick since its release. */
-  public int failingAfterRelease;
+  /** A shadow request failed at this endpoint beside a served attempt at the baseline. */
+  public void canaryFailed(Endpoint endpoint) {
+    canaryFailures++;
+    failedAt |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
+  }
 
-  private int reportedPairs;
-  private int reportedFailures;
+  /** Endpoints that failed such a request, as 16 bits that several may share. */
+  int failedAt() {
+    return failedAt;
+  }
+
+  /** How many pairs have both their times known; at most as many as are kept. */
+  public int timedPairs() {
+    return timedPairs;
+  }
 
-  /**
-   * RPCs sent to the build alone, by method, and those whose like has not been sent to the earlier
-   * build yet.
-   */
-  public final int[] sentAlone;
+  /** Notes the times of a pair; returns how many are known, 0 where no more are kept. */
+  public int addTimes(double canary, double baseline) {
+    if (timedPairs == canaryTook.length) {
+      return 0;
+    }
+    canaryTook[timedPairs] = canary;
+    baselineTook[timedPairs] = baseline;
+    return ++timedPairs;
+  }
 
-  public final List<Deque<ShadowPair>> awaitingBaseline = new ArrayList<>();
+  /** One-sided Kolmogorov-Smirnov distance of the times so far, 0 to 1. */
+  public double slowerSide() {
+    return Ks.slowerSide(
+        Arrays.copyOf(canaryTook, timedPairs), Arrays.copyOf(baselineTook, timedPairs));
+  }
+
+  /** Whether the pairs' times showed the canary to be slower. */
+  public boolean isSlowerByTimes() {
+    return slowerByTimes;
+  }
+
+  /** Notes that the times of the pairs showed it. */
+  public void markSlowerByTimes() {
+    slowerByTimes = true;
+  }
 
-  /** Notes a pick that ended at the build after its release. */
+  /** Whether the controller's counts showed the canary to fail more. */
+  public boolean isWorseByCounts() {
+    return worseByCounts;
+  }
+
+  /** Notes that the counts showed it. */
+  public void markWorseByCounts() {
+    worseByCounts = true;
+  }
+
+  /** Notes an attempt that ended at the build after its release. */
   public void attemptEnded(Attempt attempt) {
     attemptsAfterRelease++;
     if (!attempt.erred()) {
@@ -56,16 +117,38 @@
     }
   }
 
-  /** Units that failed such a copy, as bits that several may share. */
-  int failedAt;
+  /** Attempts that ended at the build since its release. */
+  public int attemptsAfterRelease() {
+    return attemptsAfterRelease;
+  }
 
-  /** A copy failed beside a served primary. */
-  public void canaryFailed(Endpoint endpoint) {
-    canaryFailures++;
-    failedAt |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
+  /** Those of them that were answered with an error. */
+  public int errorsAfterRelease() {
+    return errorsAfterRelease;
   }
 
-  /** Each of a method's RPCs sent alone has its like at the earlier build. */
+  /** Endpoints of the build that answered with an error since its release. */
+  public int failingAfterRelease() {
+    return failingAfterRelease;
+  }
+
+  /** A request of the method was sent to the canary alone; its like at the baseline is due. */
+  public void sentAlone(Method method, ShadowPair pair) {
+    awaitingBaseline.get(method.index).add(pair);
+    sentAlone[method.index]++;
+  }
+
+  /** How many requests of the method were sent to the canary alone. */
+  public int sentAlone(Method method) {
+    return sentAlone[method.index];
+  }
+
+  /** Takes the oldest pair that awaits its attempt at the baseline; null where none does. */
+  public ShadowPair pollAwaitingBaseline(Method method) {
+    return awaitingBaseline.get(method.index).poll();
+  }
+
+  /** Each of a method's requests sent alone has its like at the baseline. */
   public boolean isBalanced(Method method) {
     return awaitingBaseline.get(method.index).isEmpty();
   }
@@ -75,44 +158,19 @@
     return reportedPairs == pairs && reportedFailures == canaryFailures + baselineFailures;
   }
 
-  /** Notes the times of a pair; returns how many are known, 0 where no more are kept. */
-  public int addTimes(double fresh, double earlier) {
-    if (timedPairs == canaryTook.length) {
-      return 0;
-    }
-    canaryTook[timedPairs] = fresh;
-    baselineTook[timedPairs] = earlier;
-    return ++timedPairs;
-  }
-
-  /** One-sided KS of the times so far. */
-  public double slowerSide() {
-    return Ks.slowerSide(
-        Arrays.copyOf(canaryTook, timedPairs), Arrays.copyOf(baselineTook, timedPairs));
-  }
-
   /** The counts of the pairs, to be told to peers. */
   public byte[] encodeReport(int build, int stage) {
     reportedPairs = pairs;
     reportedFailures = canaryFailures + baselineFailures;
     return new byte[] {
-      3,
+      REPORT,
       (byte) build,
       (byte) stage,
-      (byte) Math.min(pairs, 255),
-      (byte) Math.min(canaryFailures, 255),
-      (byte) Math.min(baselineFailures, 255),
+      (byte) Math.min(pairs, MAX_REPORTED),
+      (byte) Math.min(canaryFailures, MAX_REPORTED),
+      (byte) Math.min(baselineFailures, MAX_REPORTED),
       (byte) failedAt,
       (byte) (failedAt >> 8)
     };
   }
-
-  public StageEvidence(int methods, int most) {
-    canaryTook = new double[most];
-    baselineTook = new double[most];
-    sentAlone = new int[methods];
-    for (int i = 0; i < methods; i++) {
-      awaitingBaseline.add(new ArrayDeque<>());
-    }
-  }
 }
--- a/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
+++ b/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
@@ -5,21 +5,26 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** What each customer sends of late, beside its share. */
+/** What each tenant sends of late, beside its quota. */
 public final class TenantArrivals {
-  private final List<Double> shares;
+  private final List<Double> quotas;
   private final DecayingSum[] sent;
   private final DecayingSum all;
 
-  public TenantArrivals(List<Double> shares, TimeSpan life) {
-    this.shares = shares;
-    sent = new DecayingSum[shares.size()];
+  /**
+   * Quotas are shares of all requests, 0 to 1, by tenant; arrivals count less as they age, over
+   * some {@code life}.
+   */
+  public TenantArrivals(List<Double> quotas, TimeSpan life) {
+    this.quotas = quotas;
+    sent = new DecayingSum[quotas.size()];
     for (int i = 0; i < sent.length; i++) {
       sent[i] = new DecayingSum(life);
     }
     all = new DecayingSum(life);
   }
 
+  /** A request of the tenant arrived; unknown tenants count as others. */
   public void add(int tenant, Timestamp now) {
     all.add(now, 1);
     if (tenant < sent.length) {
@@ -28,15 +33,14 @@
   }
 
   /**
-   * How many times its share a customer sends, beside what the others send; 0 where there are no
-   * shares.
+   * How many times its quota a tenant sends, beside what the others send; 0 where it has no quota.
    */
   public double timesShare(int tenant, Timestamp now) {
     if (tenant >= sent.length) {
       return 0;
     }
     double own = sent[tenant].at(now);
-    double share = shares.get(tenant);
-    return own / Math.max((all.at(now) - own) * share / Math.max(1 - share, 0.01), 1e-9);
+    double quota = quotas.get(tenant);
+    return own / Math.max((all.at(now) - own) * quota / Math.max(1 - quota, 0.01), 1e-9);
   }
 }
--- a/src/test/java/sprucerock/policy/CanaryVoteTest.java
+++ b/src/test/java/sprucerock/policy/CanaryVoteTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.Test;
 import sprucerock.model.Verdict;
 
-/** Stories of what a vote on a stage may go by: whose pairs, of which units. */
+/** What a vote on a stage may go by: whose pairs, of which endpoints. */
 public class CanaryVoteTest {
   /** Peers tell of so many pairs in this stage, all alike. */
   private static void peersReport(FakeRelayActions relay, int stage, int pairs) {
@@ -17,7 +17,7 @@
   }
 
   @Test
-  public void aStageMovesOnWithItsUnitsListed() {
+  public void stageMovesOnWithItsEndpointsListed() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
     relay.advance(1500);
     peersReport(relay, 2, 200);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  public void aStageWhoseUnitsAreNeverListedMovesOnWithinEightSeconds() {
+  public void stageWhoseEndpointsAreNeverListedMovesOnWithinEightSeconds() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
     peersReport(relay, 2, 200);
     relay.advance(8150);
@@ -36,17 +36,17 @@
   }
 
   @Test
-  public void theFirstStagesPairsAreOfItsOwnUnits() {
+  public void firstStageCountsPairsOfItsOwnEndpoints() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(3, 0, 0.1);
     peersReport(relay, 0, 40);
     assertTrue(relay.votes.contains(Verdict.ON));
   }
 
   @Test
-  public void aGoodBuildOnSoundMachinesIsNeverTakenBackAndABadOneNearlyAlways() {
+  public void goodBuildOnSoundMachinesIsNeverTakenBackAndABadOneNearlyAlways() {
     assertEquals(VoteStudy.takenBack(100, 0, 0, 11), 0.0);
     assertTrue(VoteStudy.takenBack(100, 0.1, 0, 11) >= 0.98);
     assertTrue(
-        VoteStudy.takenBack(100, 0.2, 0.05, 11) >= 0.95, "few ill machines hide a bad build");
+        VoteStudy.takenBack(100, 0.2, 0.05, 11) >= 0.95, "few faulty machines hide a bad build");
   }
 }
--- a/src/test/java/sprucerock/policy/FakeRelayActions.java
+++ b/src/test/java/sprucerock/policy/FakeRelayActions.java
@@ -16,7 +16,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One relay's world for a story: a clock, timers, and a record of what the module did. */
+/** One relay's surroundings in a test: a clock, timers, and a record of what the policy did. */
 public final class FakeRelayActions implements RelayActions {
   private record Timer(Timestamp when, int order, Runnable what) {}
 
@@ -85,7 +85,7 @@
   private Timestamp now = Timestamp.ofMs(100_000);
   private int nextId;
 
-  /** A host whose settings differ from the usual ones as the lines say. */
+  /** Settings that differ from the usual ones as the lines say. */
   FakeRelayActions(String... lines) {
     settings = SettingsText.read(SETTINGS + String.join("\n", lines));
     tracker = new RequestTracker(settings);
@@ -95,7 +95,7 @@
     tracker.tell(policy);
   }
 
-  /** Warm units of the earlier build, and news that it is the released one. */
+  /** Warm endpoints of the baseline, and news that it is the released build. */
   FakeRelayActions withBaseline(int endpoints) {
     for (int i = 0; i < endpoints; i++) {
       endpoint(baseline, null);
@@ -104,7 +104,7 @@
     return this;
   }
 
-  /** So many warm units of the build on trial, and news that puts it there. */
+  /** So many warm endpoints of the canary, and news that puts it on trial. */
   FakeRelayActions withCanary(int endpoints, int stage, double cap) {
     for (int i = 0; i < endpoints; i++) {
       endpoint(canary, now.minus(TimeSpan.ofMs(20_000)));
@@ -133,7 +133,10 @@
         null);
   }
 
-  /** The first idempotent RPC of the key that gets a copy; those before it are answered ok. */
+  /**
+   * The first idempotent RPC of the key that gets a shadow request; those before it are answered
+   * ok.
+   */
   Rpc firstShadowed(long key) {
     for (int i = 0; i < 100; i++) {
       Rpc rpc = rpc(0, key, 4000);
@@ -143,7 +146,7 @@
       advance(50);
       endAll(AttemptOutcome.OK, AttemptOutcome.OK);
     }
-    throw new AssertionError("no RPC got a copy");
+    throw new AssertionError("no RPC got a shadow request");
   }
 
   void end(Attempt attempt, AttemptOutcome outcome) {
@@ -152,13 +155,12 @@
   }
 
   /**
-   * Ends all picks that are out, those at the fresh build with one outcome, the others with
-   * another.
+   * Ends all attempts that are out, those at the canary with one outcome, the others with another.
    */
-  void endAll(AttemptOutcome atFresh, AttemptOutcome atOld) {
+  void endAll(AttemptOutcome atCanary, AttemptOutcome atBaseline) {
     for (Attempt attempt : List.copyOf(sent)) {
       if (attempt.outcome() == null) {
-        end(attempt, attempt.endpoint.build == canary ? atFresh : atOld);
+        end(attempt, attempt.endpoint.build == canary ? atCanary : atBaseline);
       }
     }
   }
--- a/src/test/java/sprucerock/policy/RoutingPolicyTest.java
+++ b/src/test/java/sprucerock/policy/RoutingPolicyTest.java
@@ -18,7 +18,7 @@
 import sprucerock.stats.Ks;
 import sprucerock.time.TimeSpan;
 
-/** Stories of one relay, each of a rule's edge or of a failure met. */
+/** One relay's decisions, each at a rule's edge or in a failure that was met. */
 public class RoutingPolicyTest {
   private static final String ALONE = "permissions.second_copies=false";
   private static final String ONE_WAY = "specifics.keys_stay=true";
@@ -38,7 +38,7 @@
   }
 
   @Test
-  public void nonIdempotentGoesAgainOnlyIfItProvablyNeverRan() {
+  public void nonIdempotentRequestIsRetriedOnlyIfItProvablyNeverRan() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
     relay.rpc(2);
     relay.end(relay.sent.get(0), AttemptOutcome.FULL);
@@ -50,7 +50,7 @@
   }
 
   @Test
-  public void tokenedIsRepeatedOnlyInsideItsWindow() {
+  public void keyedRequestIsRetriedOnlyInsideItsWindow() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
     relay.rpc(1);
     relay.end(relay.sent.get(0), AttemptOutcome.ERROR);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  public void tokenedStaysInItsGroupOnceItMayHaveRun() {
+  public void keyedRequestStaysInItsGroupOnceItMayHaveRun() {
     FakeRelayActions relay = new FakeRelayActions("classes.1.group=zone").withBaseline(1);
     Endpoint far = relay.tracker.listed(90, 1, 0, 0, 1, null, 1, true);
     Rpc order = relay.rpc(1);
@@ -77,7 +77,7 @@
   }
 
   @Test
-  public void neverTwoPicksOutWhereSecondCopiesAreBarred() {
+  public void neverTwoAttemptsOutWhereHedgingIsBarred() {
     FakeRelayActions relay = new FakeRelayActions(ALONE).withBaseline(4).withCanary(2, 1, 0.4);
     for (int i = 0; i < 20; i++) {
       Rpc rpc = relay.rpc(i % 3);
@@ -91,7 +91,7 @@
   }
 
   @Test
-  public void drainingUnitGetsNothingNew() {
+  public void drainingEndpointGetsNothingNew() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
     Endpoint left = relay.baseline.endpoints.get(0);
     relay.tracker.removed(left.id);
@@ -102,7 +102,7 @@
   }
 
   @Test
-  public void coldUnitGetsLessThanAWarmOne() {
+  public void coldEndpointGetsLessThanAWarmOne() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
     relay.traffic(40, 50);
     Endpoint cold = relay.endpoint(relay.baseline, relay.now());
@@ -114,11 +114,11 @@
   }
 
   @Test
-  public void picksAtABuildOnTrialStayUnderTheCap() {
+  public void attemptsAtTheCanaryStayUnderTheCap() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 0.1);
     relay.traffic(100, 50);
     long copies = relay.sentTo(relay.canary);
-    assertTrue(copies > 3 && copies <= 3 + 0.1 * 100, "copies " + copies);
+    assertTrue(copies > 3 && copies <= 3 + 0.1 * 100, "shadow requests " + copies);
   }
 
   @Test
@@ -133,7 +133,7 @@
   }
 
   @Test
-  public void effectsAreNeverCopiedAndStayOutOfTheFirstStage() {
+  public void requestsWithEffectsAreNeverShadowedAndStayOutOfTheFirstStage() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 1.0);
     for (int i = 0; i < 20; i++) {
       Rpc rpc = relay.rpc(1 + i % 2);
@@ -145,7 +145,7 @@
   }
 
   @Test
-  public void copyGoesBesideThePrimaryAndTheFirstOkAnswers() {
+  public void shadowRequestGoesBesideTheBaselineAndTheFirstOkAnswers() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
     relay.traffic(40, 50);
     relay.withCanary(3, 1, 1.0);
@@ -158,7 +158,7 @@
   }
 
   @Test
-  public void keyThatTheNewBuildAnsweredNeverGoesBackToTheEarlier() {
+  public void keyThatTheCanaryAnsweredNeverGoesBackToTheBaseline() {
     FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(4);
     for (long key = 100; key < 140; key++) {
       relay.rpc(0, key, 4000);
@@ -181,7 +181,7 @@
   }
 
   @Test
-  public void earlierUnitsThatComeBackBeforeTheNewsGetNoKey() {
+  public void baselineEndpointsThatComeBackBeforeTheNewsGetNoKey() {
     FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(2).withCanary(4, 2, 1.0);
     relay.tracker.news(2, 2, RolloutState.RELEASED, 1, relay.now());
     for (Endpoint endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
@@ -199,7 +199,7 @@
   }
 
   @Test
-  public void popularKeyIsNotPinned() {
+  public void popularKeyIsNotMadeSticky() {
     FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(4);
     for (int i = 0; i < 40; i++) {
       relay.rpc(0, 7, 4000);
@@ -212,7 +212,7 @@
   }
 
   @Test
-  public void failedCopiesBesideServedPrimariesSendTheBuildBack() {
+  public void failedShadowRequestsBesideServedOnesSendTheBuildBack() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
     relay.traffic(40, 50);
     relay.withCanary(3, 1, 1.0);
@@ -225,7 +225,7 @@
   }
 
   @Test
-  public void timeOutsAndFullUnitsAreNoFailures() {
+  public void timeOutsAndFullEndpointsAreNoFailures() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
     relay.traffic(40, 50);
     relay.withCanary(3, 1, 1.0);
@@ -247,7 +247,7 @@
   }
 
   @Test
-  public void goodBuildIsVotedOnRenewedAndCastAgainWhenLost() {
+  public void voteForAGoodBuildIsRenewedAndCastAgainWhenLost() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
     relay.traffic(40, 50);
     relay.withCanary(3, 0, 0.4);
@@ -277,7 +277,7 @@
   }
 
   @Test
-  public void silentUnitIsPassedByWithAFurtherPick() {
+  public void silentEndpointIsPassedByWithAFurtherAttempt() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
     relay.traffic(20, 50);
     Rpc rpc = relay.rpc(0);
@@ -287,7 +287,7 @@
   }
 
   @Test
-  public void unitThatFailsFastIsLeftAlone() {
+  public void endpointThatFailsFastIsLeftAlone() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
     Endpoint bad = relay.baseline.endpoints.get(0);
     for (int i = 0; i < 60; i++) {
@@ -304,7 +304,7 @@
   }
 
   @Test
-  public void overloadIsPushedBackAtOnce() {
+  public void overloadIsRejectedAtOnce() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
     for (int i = 0; i < 60; i++) {
       relay.rpc(0);
@@ -328,11 +328,11 @@
             .forEach(attempt -> relay.end(attempt, AttemptOutcome.OK));
       }
     }
-    assertTrue(relay.rejected.isEmpty(), relay.rejected.size() + " pushed back");
+    assertTrue(relay.rejected.isEmpty(), relay.rejected.size() + " rejected");
   }
 
   @Test
-  public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheCopies() {
+  public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheShadowRequests() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(8);
     relay.advance(2500);
     relay.traffic(80, 50);
@@ -390,7 +390,7 @@
   }
 
   @Test
-  public void brokenSubscriptionIsAskedForAgain() {
+  public void brokenSubscriptionIsRenewed() {
     FakeRelayActions relay = new FakeRelayActions("membership_mode=ask").withBaseline(2);
     assertEquals(relay.subscriptions, 1);
     relay.policy.endpointListFailed();
@@ -399,25 +399,25 @@
   }
 
   @Test
-  public void loadsToldByPeersSteerTheTwoChoices() {
+  public void loadsReportedByPeersSteerTheTwoChoices() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(2);
     Endpoint full = relay.baseline.endpoints.get(0);
-    LoadReports board = new LoadReports(TimeSpan.ofMs(6000));
+    LoadReports reports = new LoadReports(TimeSpan.ofMs(6000));
     for (Endpoint endpoint : relay.baseline.endpoints) {
-      board.addEndpoint(endpoint);
+      reports.addEndpoint(endpoint);
     }
     for (int i = 0; i < 5; i++) {
-      board.applyAttempt(board.encodeAttempt(full, null), relay.now());
+      reports.applyAttempt(reports.encodeAttempt(full, null), relay.now());
     }
     for (int i = 0; i < 4; i++) {
-      relay.policy.peerMessageReceived(0, board.encodeLoads(2, 0, relay.now()));
+      relay.policy.peerMessageReceived(0, reports.encodeLoads(2, 0, relay.now()));
       assertNotSame(relay.rpc(0).attempts.get(0).endpoint, full);
     }
     assertEquals(relay.recipients, java.util.List.of(0, 0, 0, 0));
   }
 
   @Test
-  public void nextRelayIsToldWhereTheOneThatAddsUpIsSilent() {
+  public void nextRelayBecomesAggregatorWhereTheLastIsSilent() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
     relay.traffic(80, 50);
     assertTrue(relay.recipients.contains(0) && relay.recipients.contains(1));
@@ -425,7 +425,7 @@
   }
 
   @Test
-  public void quietRelayPushesBackByTheFleetsWait() {
+  public void quietRelayRejectsByTheFleetsWait() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
     relay.policy.peerMessageReceived(0, new byte[] {LoadReports.LOADS, 60});
     assertTrue(relay.rpc(0).attempts.isEmpty());
@@ -434,7 +434,7 @@
   }
 
   @Test
-  public void unitsBehindASlowLinkComeLast() {
+  public void endpointsBehindASlowNetworkComeLast() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
     Endpoint far = relay.tracker.listed(90, 1, 0, 0, 1, null, 1, true);
     for (int i = 0; i < 60; i++) {
@@ -446,11 +446,11 @@
   }
 
   @Test
-  public void quietRelayStaysWithUnitsThatItHasConnectionsTo() {
+  public void quietRelayStaysWithEndpointsThatItHasConnectionsTo() {
     FakeRelayActions relay = new FakeRelayActions("permissions.keepalive=20000").withBaseline(60);
     relay.traffic(200, 400);
     long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
-    assertTrue(met <= 20, met + " units met");
+    assertTrue(met <= 20, met + " endpoints met");
   }
 
   @Test
@@ -461,7 +461,7 @@
       relay.traffic(1, 400);
     }
     long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
-    assertTrue(met >= 10, met + " units met");
+    assertTrue(met >= 10, met + " endpoints met");
   }
 
   @Test
--- a/src/test/java/sprucerock/policy/VoteStudy.java
+++ b/src/test/java/sprucerock/policy/VoteStudy.java
@@ -5,10 +5,10 @@
 import sprucerock.model.Verdict;
 
 /**
- * The vote BACK by itself: how often the module takes back a good build, and a bad one, when relays
- * add up their pairs and look after each. Sixty places; some machines are ill and fail part of what
- * they get, under the new build as under the earlier one, all through the trial (the bench's last 5
- * to 30 s, so that its good builds fare better). A bad build fails a share of all RPCs besides.
+ * The vote BACK by itself: how often the policy takes back a good build, and a bad one, when relays
+ * add up their pairs and look after each. Sixty places; some machines are faulty and fail part of
+ * what they get, under the new build as under the baseline, all through the trial (the bench's last
+ * 5 to 30 s, so that its good builds fare better). A bad build fails a share of all RPCs besides.
  * Pairs a stage are those of a herd day.
  */
 final class VoteStudy {
@@ -49,7 +49,7 @@
         boolean illFails = ill[endpoint] && random.nextDouble() < ILL_FAILS;
         boolean fresh = illFails || random.nextDouble() < badShare;
         boolean earlier = random.nextDouble() < illShare && random.nextDouble() < ILL_FAILS;
-        byte[] report = told[pair % SENDERS].clone(); // the module keeps what it was told last
+        byte[] report = told[pair % SENDERS].clone(); // the policy keeps the last report
         report[3]++;
         if (fresh && !earlier) {
           report[4]++;
--- a/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
+++ b/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
@@ -8,15 +8,15 @@
 import sprucerock.model.Build;
 import sprucerock.model.RolloutState;
 
-/** Stories of relays that nobody tells what others saw, while builds come and go. */
+/** What relays that nobody tells what others saw send to builds that come and go. */
 public class WithdrawnBuildTest {
   private static final String[] ALONE = {
     "permissions.peers=false", "permissions.second_copies=false", "balancers=110"
   };
 
   /**
-   * Four units of the released build 1 and two of build 2, which was on trial and then stood as
-   * told.
+   * Four endpoints of the released build 1 and two of build 2, which was on trial and then in the
+   * states told.
    */
   private static FakeRelayActions after(RolloutState... told) {
     FakeRelayActions relay = new FakeRelayActions(ALONE).withBaseline(4).withCanary(2, 0, 0.1);
@@ -33,12 +33,13 @@
     return relay;
   }
 
-  /** RPCs with effects, one every 50 ms, that are answered ok or refused as full after 40 ms. */
-  private static void effects(FakeRelayActions relay, int rpcs, AttemptOutcome atFresh) {
+  /** RPCs with effects, one every 50 ms, that are answered ok or rejected as full after 40 ms. */
+  private static void requestsWithEffects(
+      FakeRelayActions relay, int rpcs, AttemptOutcome atCanary) {
     for (int i = 0; i < rpcs; i++) {
       relay.rpc(2);
       relay.advance(40);
-      relay.endAll(atFresh, AttemptOutcome.OK);
+      relay.endAll(atCanary, AttemptOutcome.OK);
       relay.advance(10);
     }
   }
@@ -46,54 +47,54 @@
   @Test
   public void withdrawnBuildStillListedGetsNothingOnceTheNextIsOffered() {
     FakeRelayActions relay = thenOffered(after(RolloutState.GOING_BACK, RolloutState.WITHDRAWN));
-    effects(relay, 40, AttemptOutcome.FULL);
+    requestsWithEffects(relay, 40, AttemptOutcome.FULL);
     assertEquals(relay.sentTo(relay.canary), 0);
     assertEquals(relay.sentTo(relay.baseline), 40);
     assertTrue(relay.rejected.isEmpty() && relay.failed.isEmpty());
   }
 
   @Test
-  public void soDoesOneOfWhichOnlyItsGoingBackWasTold() {
+  public void buildOfWhichOnlyItsGoingBackWasToldGetsNothing() {
     FakeRelayActions relay = thenOffered(after(RolloutState.GOING_BACK));
-    effects(relay, 40, AttemptOutcome.NOT_CONNECTED);
+    requestsWithEffects(relay, 40, AttemptOutcome.NOT_CONNECTED);
     assertEquals(relay.sentTo(relay.canary), 0);
     assertTrue(relay.rejected.isEmpty() && relay.failed.isEmpty());
   }
 
   @Test
-  public void unitsOfItListedLateGetNothingEither() {
+  public void endpointsOfAWithdrawnBuildListedLateGetNothing() {
     FakeRelayActions relay = thenOffered(after(RolloutState.WITHDRAWN));
     relay.endpoint(relay.canary, relay.now());
-    effects(relay, 40, AttemptOutcome.OK);
+    requestsWithEffects(relay, 40, AttemptOutcome.OK);
     assertEquals(relay.sentTo(relay.canary), 0);
   }
 
   @Test
-  public void oneWithdrawnBeforeTheLastGetsNothingToo() {
+  public void buildWithdrawnBeforeTheLastGetsNothing() {
     FakeRelayActions relay = thenOffered(after(RolloutState.WITHDRAWN));
     Build second = relay.tracker.build(3);
     relay.endpoint(second, null);
     relay.tracker.news(3, 0, RolloutState.WITHDRAWN, 0, relay.now());
     relay.advance(500);
     relay.tracker.news(4, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
-    effects(relay, 40, AttemptOutcome.OK);
+    requestsWithEffects(relay, 40, AttemptOutcome.OK);
     assertEquals(relay.sentTo(relay.canary) + relay.sentTo(second), 0);
   }
 
   @Test
-  public void whereNothingElseIsListedItServes() {
+  public void withdrawnBuildServesWhereNothingElseIsListed() {
     FakeRelayActions relay = thenOffered(after(RolloutState.WITHDRAWN));
     for (var endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
       relay.tracker.removed(endpoint.id);
     }
-    effects(relay, 20, AttemptOutcome.OK);
+    requestsWithEffects(relay, 20, AttemptOutcome.OK);
     assertEquals(relay.sentTo(relay.canary), 20);
   }
 
   @Test
   public void releasedBuildKeepsTheTrafficWhileTheNextIsOnTrial() {
     FakeRelayActions relay = thenOffered(after(RolloutState.RELEASED));
-    effects(relay, 20, AttemptOutcome.OK);
+    requestsWithEffects(relay, 20, AttemptOutcome.OK);
     assertEquals(relay.sentTo(relay.canary), 20);
   }
 }
