--- a/src/main/java/sprucerock/transport/net/Connection.java
+++ b/src/main/java/sprucerock/transport/net/Connection.java
@@ -3,41 +3,53 @@
 import java.nio.ByteBuffer;
 
 /**
- * A connection. What is written in a turn goes out together at its end, in order. A peer that does
- * not read is cut off as soon as more than the stated bytes wait for it: nothing else is held up.
+ * A byte stream to a peer. What is written in a turn goes out together at its end, in order. A peer
+ * that doesn't read is cut off as soon as more than the limit given at {@link Net#connect} or
+ * {@link Net#bind} waits for it, so that it holds up nobody else.
+ *
+ * <p>Confined to the loop thread.
  */
 public interface Connection {
   /**
-   * Room for the next so many bytes, which the caller fills before its turn ends. Takes no large
-   * pieces: see below.
+   * Reserves space for the next bytes of the stream.
+   *
+   * @param bytes how many
+   * @return a buffer with just that much space, which the caller fills before its turn ends
    */
   ByteBuffer reserve(int bytes);
 
   /**
-   * The same for bytes that are there already; they are not copied and must not change any more.
+   * Writes bytes without copying them.
+   *
+   * @param bytes must not change any more
    */
   void append(byte[] bytes);
 
-  /** How many bytes were written to it so far. */
+  /** The number of bytes written so far. */
   long bytesWritten();
 
   /**
-   * How many of those may have left this process; none after them can have been read by anybody.
+   * The number of written bytes that were handed to the system and may have left this process. No
+   * peer can have read a byte beyond these.
    */
   long bytesHandedOver();
 
-  /** Closes once all that was written has gone out, or its limit of time is over. */
+  /** Closes once all that was written has gone out, or its time limit has passed. */
   void finish();
 
   /**
-   * The same for a connection on which nothing is being asked: what is read before it is closed is
-   * told to the user as ever and takes the closing back. Guards against a close that crosses a
-   * request: what was read can't be asked for elsewhere.
+   * The same as {@link #finish} for a connection without a pending request, but bytes that arrive
+   * before it is closed are passed on as ever and cancel the closing. Guards against a close that
+   * crosses a request: a request that was read can't be repeated elsewhere.
    */
   default void finishUnlessReceived() {
     finish();
   }
 
-  /** Closes at once; the user is told, in a later turn, for this reason. */
+  /**
+   * Closes at once, dropping what has not gone out. The listener is notified in a later turn.
+   *
+   * @param why the reason, passed to {@link ConnectionListener#closed}
+   */
   void cut(String why);
 }
--- a/src/main/java/sprucerock/transport/net/ConnectionListener.java
+++ b/src/main/java/sprucerock/transport/net/ConnectionListener.java
@@ -2,14 +2,23 @@
 
 import java.nio.ByteBuffer;
 
-/** Who uses a link. */
+/** Receives the events of one {@link Connection}, on its loop thread. */
 public interface ConnectionListener {
-  /** It can be written and will be read from now on. */
+  /** The connection can be written and will be read from now on. */
   void connected(Connection connection);
 
-  /** Bytes came, in order, in pieces of any size; they are only there during the call. */
+  /**
+   * Bytes have arrived, in order and in pieces of any size.
+   *
+   * @param bytes valid during the call only
+   */
   void received(ByteBuffer bytes);
 
-  /** It is closed, or never came up. Told once, after which nothing more is told. */
+  /**
+   * The connection is closed, or was never established. Called exactly once, and nothing is called
+   * after it.
+   *
+   * @param why the reason, for a log
+   */
   void closed(String why);
 }
--- a/src/main/java/sprucerock/transport/net/Datagrams.java
+++ b/src/main/java/sprucerock/transport/net/Datagrams.java
@@ -2,15 +2,29 @@
 
 import java.net.InetSocketAddress;
 
-/** A socket for datagrams. What can't be sent now is dropped, as the way may drop it anyway. */
+/**
+ * A socket for datagrams. What can't be sent now is dropped, as the network may drop it anyway.
+ *
+ * <p>Confined to the loop thread.
+ */
 public interface Datagrams {
-  /** Who is told of datagrams that came; the bytes are the user's to keep. */
+  /** Receives datagrams, on the loop thread. */
   interface Receiver {
+    /**
+     * A datagram has arrived.
+     *
+     * @param bytes its payload; the receiver may keep it
+     */
     void received(InetSocketAddress from, byte[] bytes);
   }
 
-  /** Sends one; false where the system did not take it. */
+  /**
+   * Sends a datagram.
+   *
+   * @return false if the system did not take it; it is lost then
+   */
   boolean send(InetSocketAddress to, byte[] bytes);
 
+  /** Closes the socket; nothing more is received. */
   void close();
 }
--- a/src/main/java/sprucerock/transport/net/ExponentialBackoff.java
+++ b/src/main/java/sprucerock/transport/net/ExponentialBackoff.java
@@ -4,34 +4,44 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * How long to wait before a connection that was lost is made again: longer each time, and drawn.
+ * How long to wait before a lost connection is made again: the upper bound doubles each time up to
+ * a limit, and the pause is drawn from its upper half. Not thread-safe.
  */
 public final class ExponentialBackoff {
-  private final TimeSpan first;
-  private final TimeSpan most;
-  private final DoubleSupplier dice;
-  private TimeSpan pause;
+  private static final double MIN_SHARE = 0.5;
+  private static final double GROWTH = 2;
 
-  /** {@code dice} gives numbers from 0 to under 1. */
-  public ExponentialBackoff(TimeSpan first, TimeSpan most, DoubleSupplier dice) {
-    this.first = first;
-    this.most = most;
-    this.dice = dice;
-    pause = first;
+  private final TimeSpan initial;
+  private final TimeSpan max;
+  private final DoubleSupplier random;
+  private TimeSpan bound;
+
+  /**
+   * A backoff that begins at its initial bound.
+   *
+   * @param initial the bound of the first pause
+   * @param max the bound that no pause exceeds after the first
+   * @param random gives numbers from 0 to under 1
+   */
+  public ExponentialBackoff(TimeSpan initial, TimeSpan max, DoubleSupplier random) {
+    this.initial = initial;
+    this.max = max;
+    this.random = random;
+    bound = initial;
   }
 
   /**
-   * The next pause; from half to all of it, so that hundreds that lost the same one don't come back
-   * together.
+   * The next pause: from half its bound to all of it, so that hundreds that lost the same peer
+   * don't come back together.
    */
   public TimeSpan nextPause() {
-    TimeSpan now = pause.times(0.5 + 0.5 * dice.getAsDouble());
-    pause = pause.times(2).atMost(most);
-    return now;
+    TimeSpan pause = bound.times(MIN_SHARE + (1 - MIN_SHARE) * random.getAsDouble());
+    bound = bound.times(GROWTH).atMost(max);
+    return pause;
   }
 
-  /** It is there again: the next pause is the first. */
+  /** The connection is established: the next pause is the first again. */
   public void reset() {
-    pause = first;
+    bound = initial;
   }
 }
--- a/src/main/java/sprucerock/transport/net/Net.java
+++ b/src/main/java/sprucerock/transport/net/Net.java
@@ -5,55 +5,77 @@
 import java.util.function.Supplier;
 import sprucerock.time.TimeSpan;
 
-/** Where links come from. Everything is called, and calls back, on the loop's one thread. */
+/**
+ * Makes and accepts connections. Everything is called, and calls back, on the loop's one thread.
+ */
 public interface Net extends Timers {
-  /** The same as {@link #bind}, and takes connections at once. */
+  /**
+   * The same as {@link #bind}, and accepts connections at once.
+   *
+   * @throws IOException if the address can't be bound
+   */
   default Listener listen(
-      InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users)
+      InetSocketAddress address,
+      int maxConnections,
+      long maxUnsentBytes,
+      Supplier<ConnectionListener> listeners)
       throws IOException {
-    Listener listener = bind(at, most, mostUnsent, users);
+    Listener listener = bind(address, maxConnections, maxUnsentBytes, listeners);
     listener.startAccepting();
     return listener;
   }
 
   /**
-   * Has an address, and takes connections there once it is told to; each gets a user of its own.
-   * Beyond {@code most} open at a time, one is closed as soon as it is accepted.
+   * Binds an address; connections are accepted from {@link Listener#startAccepting} on.
    *
-   * @throws IOException if the address can't be had
+   * @param address port 0 for any free port
+   * @param maxConnections open at a time; one beyond them is closed as soon as it is accepted
+   * @param maxUnsentBytes of a connection that may wait for a peer that doesn't read
+   * @param listeners gives each accepted connection a listener of its own
+   * @throws IOException if the address can't be bound
    */
-  Listener bind(InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users)
+  Listener bind(
+      InetSocketAddress address,
+      int maxConnections,
+      long maxUnsentBytes,
+      Supplier<ConnectionListener> listeners)
       throws IOException;
 
   /**
-   * Begins to connect. The user is told that it is up, or that it is closed: at once refused, or at
-   * the latest when {@code within} is over. {@code mostUnsent}: bytes that may wait for a peer that
-   * does not read.
+   * Begins to connect. The listener is notified that the connection is up, or that it is closed: at
+   * the latest when the timeout is over.
+   *
+   * @param timeout how long connecting may take
+   * @param maxUnsentBytes that may wait for a peer that doesn't read
    */
   Connection connect(
-      InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user);
+      InetSocketAddress to, TimeSpan timeout, long maxUnsentBytes, ConnectionListener listener);
 
   /**
-   * A socket for datagrams at an address. What comes and finds too many waiting for the loop is
-   * dropped.
+   * Opens a socket for datagrams. Those that arrive while too many wait for the loop are dropped.
    *
-   * @throws IOException if the address can't be had
+   * @throws IOException if the address can't be bound
    */
-  Datagrams datagrams(InetSocketAddress at, Datagrams.Receiver user) throws IOException;
+  Datagrams datagrams(InetSocketAddress address, Datagrams.Receiver receiver) throws IOException;
 
-  /** A listening address. */
+  /** A bound address. */
   interface Listener {
+    /** The address, with the port that was chosen. */
     InetSocketAddress address();
 
-    /** Takes connections from now on; those that came before have waited in the system's queue. */
+    /**
+     * Accepts connections from now on; those that came before have waited in the system's queue.
+     */
     void startAccepting();
 
-    /** Is run for each connection that was closed as it came, since too many were open. */
-    default void onRejected(Runnable what) {}
+    /**
+     * Sets what is run for each connection that was closed on arrival because too many were open.
+     */
+    default void onRejected(Runnable action) {}
 
     /**
-     * Takes no more connections once those that had come by now are taken; those that are open
-     * stay.
+     * Accepts no more connections once those that have arrived by now are accepted. Open
+     * connections stay open.
      */
     void close();
   }
--- a/src/main/java/sprucerock/transport/net/SimulatedNet.java
+++ b/src/main/java/sprucerock/transport/net/SimulatedNet.java
@@ -1,5 +1,6 @@
 package sprucerock.transport.net;
 
+import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -11,11 +12,18 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Links and timers in memory, in steps of a fixed length: due timers first, then all that moves
- * until nothing does. Tests run on it, and what a relay does before it opens a socket.
+ * Connections and timers in memory, on a simulated clock that advances in fixed steps. In each step
+ * due timers run first, then all events until none are left. Tests run on it, and so does what a
+ * relay does before it opens a socket.
+ *
+ * <p>Not thread-safe: the thread that advances the clock is the loop thread.
  */
 public class SimulatedNet implements Net {
-  private record Due(double whenMs, long order, Runnable[] what) {}
+  private static final double ROUNDING_MS = 1e-9;
+  private static final int FIRST_FREE_PORT = 40_000;
+
+  /** A timer; its action is null once cancelled. */
+  private record Due(double whenMs, long order, Runnable[] action) {}
 
   private final PriorityQueue<Due> timers =
       new PriorityQueue<>(
@@ -24,58 +32,66 @@
                   ? Double.compare(a.whenMs, b.whenMs)
                   : Long.compare(a.order, b.order));
   private final ArrayDeque<Runnable> events = new ArrayDeque<>();
-  private final ArrayDeque<Runnable> putOff = new ArrayDeque<>();
-  private final Map<Integer, Door> doors = new HashMap<>();
+  private final ArrayDeque<Runnable> turnEnd = new ArrayDeque<>();
+  private final Map<Integer, SimulatedListener> listenersByPort = new HashMap<>();
+  private final Map<InetSocketAddress, Datagrams.Receiver> datagramReceivers = new HashMap<>();
+  private final ArrayDeque<Runnable> unreadFlushes = new ArrayDeque<>();
   private final double stepMs;
   private double nowMs;
-  private long made;
-  private boolean setConnectsHang;
-  private boolean setNobodyReads;
-  private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
+  private long timerCount;
+  private boolean connectsHang;
+  private boolean nobodyReads;
   private int connectCount;
 
+  /**
+   * A network without connections.
+   *
+   * @param startMs what the clock shows first, in milliseconds
+   * @param stepMs the length of a step, in milliseconds
+   */
   public SimulatedNet(double startMs, double stepMs) {
     nowMs = startMs;
     this.stepMs = stepMs;
   }
 
-  /** Whether connections that are begun stay in the making. */
-  public void setConnectsHang(boolean all) {
-    setConnectsHang = all;
+  /** Sets whether connections begun from now on are neither established nor refused. */
+  public void setConnectsHang(boolean hang) {
+    connectsHang = hang;
   }
 
-  /** Whether what is written stays unsent, as where nobody reads. */
-  public void setNobodyReads(boolean all) {
-    setNobodyReads = all;
-    while (!all && !unread.isEmpty()) {
-      turn(unread.poll());
+  /** Sets whether what is written stays unsent, as if no peer read; false sends what waits. */
+  public void setNobodyReads(boolean unread) {
+    nobodyReads = unread;
+    while (!unread && !unreadFlushes.isEmpty()) {
+      turn(unreadFlushes.poll());
     }
   }
 
-  /** How many connections were begun. */
+  /** The number of connections begun so far. */
   public int connectCount() {
     return connectCount;
   }
 
-  /** Lets that time pass, in whole steps. */
+  /** Lets a time in milliseconds pass, in whole steps. */
   public void pass(double ms) {
     settle();
-    for (double until = nowMs + ms; nowMs < until - 1e-9; ) {
+    for (double until = nowMs + ms; nowMs < until - ROUNDING_MS; ) {
       nowMs += stepMs;
       settle();
     }
   }
 
-  /** Time passes, and nothing is done: as where the loop's thread got no processor. */
+  /** Lets a time in milliseconds pass in which nothing runs, as if the loop got no processor. */
   public void stall(double ms) {
     nowMs += ms;
   }
 
+  /** Runs due timers, then events until none are left, each in a turn of its own. */
   public void settle() {
-    while (!timers.isEmpty() && timers.peek().whenMs <= nowMs + 1e-9) {
-      Runnable what = timers.poll().what[0];
-      if (what != null) {
-        turn(what);
+    while (!timers.isEmpty() && timers.peek().whenMs <= nowMs + ROUNDING_MS) {
+      Runnable action = timers.poll().action[0];
+      if (action != null) {
+        turn(action);
       }
     }
     while (!events.isEmpty()) {
@@ -83,11 +99,11 @@
     }
   }
 
-  /** Does it as an event of its own, with its turn's end. */
-  public void turn(Runnable what) {
-    what.run();
-    while (!putOff.isEmpty()) {
-      putOff.poll().run();
+  /** Runs an action as a turn of its own, with what is deferred to the turn's end. */
+  public void turn(Runnable action) {
+    action.run();
+    while (!turnEnd.isEmpty()) {
+      turnEnd.poll().run();
     }
   }
 
@@ -97,128 +113,135 @@
   }
 
   @Override
-  public Timer at(Timestamp when, Runnable what) {
-    Runnable[] slot = {what};
-    timers.add(new Due(when.ms(), made++, slot));
+  public Timer at(Timestamp when, Runnable action) {
+    Runnable[] slot = {action};
+    timers.add(new Due(when.ms(), timerCount++, slot));
     return () -> slot[0] = null;
   }
 
   @Override
-  public void atTurnsEnd(Runnable what) {
-    putOff.add(what);
+  public void atTurnsEnd(Runnable action) {
+    turnEnd.add(action);
   }
 
-  private final class Door implements Listener {
-    private final InetSocketAddress at;
-    private final Supplier<ConnectionListener> users;
-    private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
-    private boolean taking;
+  private final class SimulatedListener implements Listener {
+    private final InetSocketAddress address;
+    private final Supplier<ConnectionListener> listeners;
+    private final ArrayDeque<Runnable> backlog = new ArrayDeque<>();
+    private boolean accepting;
 
-    Door(InetSocketAddress at, Supplier<ConnectionListener> users) {
-      this.at = at;
-      this.users = users;
+    SimulatedListener(InetSocketAddress address, Supplier<ConnectionListener> listeners) {
+      this.address = address;
+      this.listeners = listeners;
     }
 
     @Override
     public InetSocketAddress address() {
-      return at;
+      return address;
     }
 
     @Override
     public void startAccepting() {
-      taking = true;
-      while (!queue.isEmpty()) {
-        queue.poll().run();
+      accepting = true;
+      while (!backlog.isEmpty()) {
+        backlog.poll().run();
       }
     }
 
     @Override
     public void close() {
-      doors.remove(at.getPort(), this);
+      listenersByPort.remove(address.getPort(), this);
+    }
+
+    private void accept(End near) {
+      if (accepting) {
+        join(near);
+      } else {
+        backlog.add(() -> join(near));
+      }
+    }
+
+    private void join(End near) {
+      End far = new End(listeners.get());
+      near.peer = far;
+      far.peer = near;
+      events.add(() -> near.listener.connected(near));
+      events.add(() -> far.listener.connected(far));
     }
   }
 
   @Override
   public Listener bind(
-      InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users) {
-    InetSocketAddress there =
-        at.getPort() > 0 ? at : new InetSocketAddress(at.getAddress(), 40_000 + doors.size());
-    Door door = new Door(there, users);
-    doors.put(there.getPort(), door);
-    return door;
+      InetSocketAddress address,
+      int maxConnections,
+      long maxUnsentBytes,
+      Supplier<ConnectionListener> listeners) {
+    InetSocketAddress bound =
+        address.getPort() > 0
+            ? address
+            : new InetSocketAddress(address.getAddress(), FIRST_FREE_PORT + listenersByPort.size());
+    SimulatedListener listener = new SimulatedListener(bound, listeners);
+    listenersByPort.put(bound.getPort(), listener);
+    return listener;
   }
 
   @Override
   public Connection connect(
-      InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user) {
+      InetSocketAddress to, TimeSpan timeout, long maxUnsentBytes, ConnectionListener listener) {
     connectCount++;
-    End near = new End(user);
-    Door door = doors.get(to.getPort());
-    if (setConnectsHang) {
-      at(now().plus(within), () -> near.cut("no connection in time"));
-    } else if (door == null) {
+    End near = new End(listener);
+    SimulatedListener server = listenersByPort.get(to.getPort());
+    if (connectsHang) {
+      at(now().plus(timeout), () -> near.cut("no connection in time"));
+    } else if (server == null) {
       near.cut("no connection: refused");
     } else {
-      if (door.taking) {
-        join(near, door);
-      } else {
-        door.queue.add(() -> join(near, door));
-      }
+      server.accept(near);
     }
     return near;
   }
 
-  private final Map<InetSocketAddress, Datagrams.Receiver> datagrams = new HashMap<>();
-
   @Override
-  public Datagrams datagrams(InetSocketAddress at, Datagrams.Receiver user) {
-    datagrams.put(at, user);
+  public Datagrams datagrams(InetSocketAddress address, Datagrams.Receiver receiver) {
+    datagramReceivers.put(address, receiver);
     return new Datagrams() {
       @Override
       public boolean send(InetSocketAddress to, byte[] bytes) {
-        Datagrams.Receiver other = datagrams.get(to);
-        if (other != null) {
-          events.add(() -> other.received(at, bytes));
+        Datagrams.Receiver peer = datagramReceivers.get(to);
+        if (peer != null) {
+          events.add(() -> peer.received(address, bytes));
         }
-        return other != null;
+        return peer != null;
       }
 
       @Override
       public void close() {
-        datagrams.remove(at, user);
+        datagramReceivers.remove(address, receiver);
       }
     };
   }
 
-  private void join(End near, Door door) {
-    End far = new End(door.users.get());
-    near.other = far;
-    far.other = near;
-    events.add(() -> near.user.connected(near));
-    events.add(() -> far.user.connected(far));
-  }
-
   /** One side of a connection. */
   public final class End implements Connection {
-    private final ConnectionListener user;
-    private End other;
-    private final java.io.ByteArrayOutputStream out = new java.io.ByteArrayOutputStream();
-    private final ArrayDeque<ByteBuffer> claimed = new ArrayDeque<>();
-    private long written;
-    private long handed;
+    private final ConnectionListener listener;
+    private final ByteArrayOutputStream out = new ByteArrayOutputStream();
+    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+    private End peer; // null until the server accepts
+    private long bytesWritten;
+    private long bytesHandedOver;
     private boolean closed;
-    private boolean marked;
+    private boolean flushScheduled;
     private boolean finishing;
 
-    End(ConnectionListener user) {
-      this.user = user;
+    End(ConnectionListener listener) {
+      this.listener = listener;
     }
 
     @Override
     public ByteBuffer reserve(int bytes) {
-      ByteBuffer room = ByteBuffer.allocate(bytes);
-      add(room);
-      return room.slice();
+      ByteBuffer piece = ByteBuffer.allocate(bytes);
+      add(piece);
+      return piece.slice();
     }
 
     @Override
@@ -227,60 +250,61 @@
     }
 
     private void add(ByteBuffer piece) {
-      claimed.add(piece);
-      written += piece.capacity();
-      mark();
+      unsent.add(piece);
+      bytesWritten += piece.capacity();
+      scheduleFlush();
     }
 
-    private void mark() {
-      if (!marked) {
-        putOff.add(this::flush);
+    private void scheduleFlush() {
+      if (!flushScheduled) {
+        turnEnd.add(this::flush);
       }
-      marked = true;
+      flushScheduled = true;
     }
 
     private void flush() {
-      marked = false;
+      flushScheduled = false;
       if (closed) {
         return;
       }
-      if (setNobodyReads) {
-        unread.add(this::flush);
+      if (nobodyReads) {
+        unreadFlushes.add(this::flush);
         return;
       }
       out.reset();
-      while (!claimed.isEmpty()) {
-        out.writeBytes(claimed.poll().array());
+      while (!unsent.isEmpty()) {
+        out.writeBytes(unsent.poll().array());
       }
-      handed = written;
+      bytesHandedOver = bytesWritten;
       byte[] bytes = out.toByteArray();
       if (bytes.length > 0) {
-        events.add(
-            () -> {
-              if (other != null && !other.closed) {
-                other.user.received(ByteBuffer.wrap(bytes));
-              }
-            });
+        events.add(() -> deliver(bytes));
       }
       if (finishing) {
         cut("done");
       }
     }
 
+    private void deliver(byte[] bytes) {
+      if (peer != null && !peer.closed) {
+        peer.listener.received(ByteBuffer.wrap(bytes));
+      }
+    }
+
     @Override
     public long bytesWritten() {
-      return written;
+      return bytesWritten;
     }
 
     @Override
     public long bytesHandedOver() {
-      return handed;
+      return bytesHandedOver;
     }
 
     @Override
     public void finish() {
       finishing = true;
-      mark();
+      scheduleFlush();
     }
 
     @Override
@@ -289,9 +313,9 @@
         return;
       }
       closed = true;
-      events.add(() -> user.closed(why));
-      if (other != null) {
-        events.add(() -> other.cut("closed by the other side"));
+      events.add(() -> listener.closed(why));
+      if (peer != null) {
+        events.add(() -> peer.cut("closed by the other side"));
       }
     }
   }
--- a/src/main/java/sprucerock/transport/net/Timers.java
+++ b/src/main/java/sprucerock/transport/net/Timers.java
@@ -3,60 +3,63 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/**
- * One thread's clock and what it is to do later. All that a loop runs, it runs on that one thread.
- */
+/** A loop's clock, and what it is to do later; all of it runs on the loop's one thread. */
 public interface Timers {
-  /** Stands still within a turn, and never goes back: no clock on the wall can move it. */
+  /** A loop that runs is a millisecond or two late; one later than this stood still. */
+  TimeSpan STALL_THRESHOLD = TimeSpan.ofMs(5);
+
+  /** The time at which this turn began. It never goes back, whatever becomes of the wall clock. */
   Timestamp now();
 
-  /** The same clock read anew: for what must not be earlier than it was. From the loop's thread. */
+  /**
+   * The same clock read anew, for what must not be stamped earlier than it happened. On the loop's
+   * thread.
+   */
   default Timestamp readClock() {
     return now();
   }
 
   /**
-   * What comes in this turn came after that moment: when the turn before this one began. Earlier by
-   * as long as the loop stood still.
+   * When the previous turn began: what arrives in this turn arrived after that. Earlier than {@link
+   * #now} by as long as the loop stood still.
    */
   default Timestamp previousTurnStart() {
     return now();
   }
 
   /**
-   * Runs {@code what} in the first turn at or after {@code when}; those of one moment in the order
-   * of the calls.
+   * Runs an action in the first turn at or after a time; those of one time in the order of the
+   * calls.
    */
-  Timer at(Timestamp when, Runnable what);
+  Timer at(Timestamp when, Runnable action);
 
-  /** Runs {@code what} once this turn's events are done, before anything is written. */
-  void atTurnsEnd(Runnable what);
+  /** Runs an action once this turn's events are done, before anything is written. */
+  void atTurnsEnd(Runnable action);
 
   /**
-   * Runs {@code what} once others were waited for so long. Where this loop itself stood still, they
-   * are given the same time again: what they sent meanwhile is not heard yet, and their silence is
-   * not theirs.
+   * Runs an action once peers were given a time to respond. If this loop itself stood still, they
+   * are given the same time again: what they sent meanwhile is not read yet, and the silence is not
+   * theirs.
    */
-  default Timer stallTolerantTimeout(TimeSpan time, Runnable what) {
-    TimeSpan late = TimeSpan.ofMs(5); // a loop that runs is a millisecond or two late
+  default Timer stallTolerantTimeout(TimeSpan time, Runnable action) {
     Timer[] current = new Timer[1];
     Timestamp due = now().plus(time);
     current[0] =
         at(
             due,
             () -> {
-              if (now().since(due).over(late)) {
-                current[0] = stallTolerantTimeout(time, what);
+              if (now().since(due).over(STALL_THRESHOLD)) {
+                current[0] = stallTolerantTimeout(time, action);
               } else {
-                what.run();
+                action.run();
               }
             });
     return () -> current[0].cancel();
   }
 
-  /** Something that is still to be done. */
+  /** An action that is still to be run. */
   interface Timer {
-    /** Too late or twice does nothing. */
+    /** Drops the action; does nothing once it has run or was cancelled. */
     void cancel();
   }
 }
