--- a/src/main/java/sprucerock/transport/net/nio/NioConnection.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioConnection.java
@@ -14,58 +14,68 @@
 import sprucerock.transport.net.Timers.Timer;
 
 /**
- * A connection over an asynchronous socket channel: one read and one gathered write out at a time.
+ * A connection over an asynchronous socket channel, with at most one read and one gathered write in
+ * flight. Written bytes collect in buffers of the loop's pool and are flushed at the turn's end.
+ *
+ * <p>Confined to the loop thread; the channels' thread touches only buffers of operations in
+ * flight.
  */
 final class NioConnection implements Connection {
-  private static final int READ = 16 * 1024;
-  private static final int GATHERED = 16;
-  private static final TimeSpan FINISH =
-      TimeSpan.ofMs(2000); // a peer that reads takes some bytes in far less; others are cut
-  private static final int FINISHES =
-      5; // times that long for one that takes a few bytes now and then
+  private static final int READ_BUFFER_BYTES = 16 * 1024;
+  private static final int MAX_GATHERED_BUFFERS = 16;
+
+  /** A peer that reads takes some bytes in far less; others are cut. */
+  private static final TimeSpan FINISH_PERIOD = TimeSpan.ofMs(2000);
+
+  /** Periods for a peer that takes a few bytes in each. */
+  private static final int MAX_FINISH_PERIODS = 5;
 
   private final NioLoop loop;
   private final AsynchronousSocketChannel channel;
-  private final long mostUnsent;
-  private final ConnectionListener user;
+  private final long maxUnsentBytes;
+  private final ConnectionListener listener;
 
-  /**
-   * Pieces still to be handed to the system, each written up to its position; and those handed, in
-   * part gone.
-   */
+  /** Buffers still to be handed to the system, each filled up to its position. */
   private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
 
-  private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>();
-  private ByteBuffer tail;
-  private ByteBuffer in;
-  private long written;
-  private long handed;
-  private long gone;
-  private boolean up;
+  /** Buffers handed to the system, each sent up to its position. */
+  private final ArrayDeque<ByteBuffer> inFlight = new ArrayDeque<>();
+
+  private ByteBuffer tail; // the last unsent buffer, if more may be put into it
+  private ByteBuffer readBuffer;
+  private long bytesWritten;
+  private long bytesHandedOver;
+  private long bytesSent;
+  private boolean connected;
   private boolean writing;
-  private boolean marked;
+  private boolean flushScheduled;
   private boolean reading;
   private boolean finishing;
-  private boolean unlessRead;
-  private Timer finishBy;
+  private boolean unlessReceived;
+  private Timer finishTimer;
   private boolean closed;
-  private Runnable onceClosed = () -> {};
-  private Timer connecting;
+  private Runnable onClosed = () -> {};
+  private Timer connectTimer;
 
   NioConnection(
-      NioLoop loop, AsynchronousSocketChannel channel, long mostUnsent, ConnectionListener user) {
+      NioLoop loop,
+      AsynchronousSocketChannel channel,
+      long maxUnsentBytes,
+      ConnectionListener listener) {
     this.loop = loop;
     this.channel = channel;
-    this.mostUnsent = mostUnsent;
-    this.user = user;
+    this.maxUnsentBytes = maxUnsentBytes;
+    this.listener = listener;
   }
 
-  void onceClosed(Runnable what) {
-    onceClosed = what;
+  /** Sets what is run when the connection has closed, before its listener is notified. */
+  void onClosed(Runnable action) {
+    onClosed = action;
   }
 
-  void connect(InetSocketAddress to, TimeSpan within) {
-    connecting = loop.stallTolerantTimeout(within, () -> cut("no connection in time"));
+  /** Begins to connect; closes the connection if that fails or the timeout passes. */
+  void connect(InetSocketAddress to, TimeSpan timeout) {
+    connectTimer = loop.stallTolerantTimeout(timeout, () -> cut("no connection in time"));
     try {
       channel.connect(
           to,
@@ -83,14 +93,16 @@
               cut("no connection: " + why.getMessage());
             }
           });
-    } catch (RuntimeException e) { // a name that is not known, an address of another family
+    } catch (RuntimeException e) {
+      // a name that is not known, an address of another family
       cut("no connection: " + e);
     }
   }
 
+  /** Begins to read: the channel is connected. */
   void begin() {
-    if (connecting != null) {
-      connecting.cancel();
+    if (connectTimer != null) {
+      connectTimer.cancel();
     }
     try {
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -98,40 +110,40 @@
       cut("socket refused an option: " + e.getMessage());
       return;
     }
-    up = true;
-    in = loop.chunk(READ);
-    user.connected(this);
+    connected = true;
+    readBuffer = loop.borrowBuffer(READ_BUFFER_BYTES);
+    listener.connected(this);
     if (!closed) {
       read();
     } else {
-      keepNoRoom();
+      releaseReadBuffer();
     }
-    mark();
+    scheduleFlush();
   }
 
-  private final CompletionHandler<Integer, Void> reads =
+  private final CompletionHandler<Integer, Void> readHandler =
       new CompletionHandler<>() {
         @Override
         public void completed(Integer count, Void none) {
           reading = false;
           if (closed) {
-            keepNoRoom();
+            releaseReadBuffer();
             return;
           }
           if (count < 0) {
             cut("closed by the other side");
             return;
           }
-          if (unlessRead) {
-            stay();
+          if (unlessReceived) {
+            cancelFinish();
           }
-          in.flip();
-          user.received(in);
-          in.clear();
+          readBuffer.flip();
+          listener.received(readBuffer);
+          readBuffer.clear();
           if (!closed) {
             read();
           } else {
-            keepNoRoom();
+            releaseReadBuffer();
           }
         }
 
@@ -139,150 +151,150 @@
         public void failed(Throwable why, Void none) {
           reading = false;
           cut("broken: " + why.getMessage());
-          keepNoRoom();
+          releaseReadBuffer();
         }
       };
 
   /**
-   * The room for reads goes back once no read is out: thousands of short connections must not each
-   * wait for a collection.
+   * Returns the read buffer once no read is in flight: thousands of short connections must not each
+   * wait for the garbage collector.
    */
-  private void keepNoRoom() {
-    if (in == null || reading || !closed) {
+  private void releaseReadBuffer() {
+    if (readBuffer == null || reading || !closed) {
       return;
     }
-    loop.giveBack(in);
-    in = null;
+    loop.returnBuffer(readBuffer);
+    readBuffer = null;
   }
 
   private void read() {
     reading = true;
-    channel.read(in, null, reads);
+    channel.read(readBuffer, null, readHandler);
   }
 
   @Override
   public ByteBuffer reserve(int bytes) {
     if (tail == null || tail.remaining() < bytes) {
-      tail = loop.chunk(bytes);
+      tail = loop.borrowBuffer(bytes);
       unsent.add(tail);
     }
-    ByteBuffer room = tail.slice(tail.position(), bytes);
+    ByteBuffer reserved = tail.slice(tail.position(), bytes);
     tail.position(tail.position() + bytes);
-    queued(bytes);
-    return room;
+    countWritten(bytes);
+    return reserved;
   }
 
   @Override
   public void append(byte[] bytes) {
     tail = null;
-    ByteBuffer whole = ByteBuffer.wrap(bytes);
-    whole.position(bytes.length); // like a chunk that is full
-    unsent.add(whole);
-    queued(bytes.length);
+    ByteBuffer piece = ByteBuffer.wrap(bytes);
+    piece.position(bytes.length); // filled up to its position, as those reserved
+    unsent.add(piece);
+    countWritten(bytes.length);
   }
 
-  private void queued(int bytes) {
+  private void countWritten(int bytes) {
     if (closed) {
       return;
     }
-    written += bytes;
-    if (written - gone > mostUnsent) {
-      cut("does not read: more than " + mostUnsent + " bytes wait for it");
+    bytesWritten += bytes;
+    if (bytesWritten - bytesSent > maxUnsentBytes) {
+      cut("does not read: more than " + maxUnsentBytes + " bytes wait for it");
     }
-    mark();
+    scheduleFlush();
   }
 
-  private void mark() {
-    if (marked || closed) {
+  private void scheduleFlush() {
+    if (flushScheduled || closed) {
       return;
     }
-    marked = true;
-    loop.dirty(this);
+    flushScheduled = true;
+    loop.scheduleFlush(this);
   }
 
-  /** Hands all that waits to the system, unless an earlier write is still out. */
+  /** Hands what waits to the system, unless an earlier write is still in flight. */
   void flush() {
-    marked = false;
-    if (writing || closed || !up) {
+    flushScheduled = false;
+    if (writing || closed || !connected) {
       return;
     }
-    if (unsent.isEmpty() && out.isEmpty()) {
-      if (finishing && unlessRead) {
-        loop.whenQuiet(this::closeUnread);
+    if (unsent.isEmpty() && inFlight.isEmpty()) {
+      if (finishing && unlessReceived) {
+        loop.whenQuiet(this::closeUnlessReceived);
       } else if (finishing) {
         cut("done");
       }
       return;
     }
     tail = null;
-    while (out.size() < GATHERED && !unsent.isEmpty()) {
+    while (inFlight.size() < MAX_GATHERED_BUFFERS && !unsent.isEmpty()) {
       ByteBuffer piece = unsent.poll().flip();
-      handed += piece.remaining();
-      out.add(piece);
+      bytesHandedOver += piece.remaining();
+      inFlight.add(piece);
     }
     writing = true;
-    if (out.size() == 1) {
-      channel.write(out.peek(), null, single);
+    if (inFlight.size() == 1) {
+      channel.write(inFlight.peek(), null, singleWriteHandler);
     } else {
-      ByteBuffer[] pieces = out.toArray(new ByteBuffer[0]);
-      channel.write(pieces, 0, pieces.length, 0, TimeUnit.MILLISECONDS, null, writes);
+      ByteBuffer[] pieces = inFlight.toArray(new ByteBuffer[0]);
+      channel.write(pieces, 0, pieces.length, 0, TimeUnit.MILLISECONDS, null, gatheredWriteHandler);
     }
   }
 
-  private void wrote(long count) {
+  private void writeCompleted(long count) {
     writing = false;
     if (closed) {
       return;
     }
-    gone += count;
-    while (!out.isEmpty() && !out.peek().hasRemaining()) {
-      loop.giveBack(out.poll());
+    bytesSent += count;
+    while (!inFlight.isEmpty() && !inFlight.peek().hasRemaining()) {
+      loop.returnBuffer(inFlight.poll());
     }
-    if (!out.isEmpty() || !unsent.isEmpty() || finishing) {
-      mark();
+    if (!inFlight.isEmpty() || !unsent.isEmpty() || finishing) {
+      scheduleFlush();
     }
   }
 
-  private void notWritten(Throwable why) {
+  private void writeFailed(Throwable why) {
     writing = false;
     cut("broken: " + why.getMessage());
   }
 
-  private final CompletionHandler<Long, Void> writes =
+  private final CompletionHandler<Long, Void> gatheredWriteHandler =
       new CompletionHandler<>() {
         @Override
         public void completed(Long count, Void none) {
-          wrote(count);
+          writeCompleted(count);
         }
 
         @Override
         public void failed(Throwable why, Void none) {
-          notWritten(why);
+          writeFailed(why);
         }
       };
 
-  /** The same for one piece, which the system takes without a gathering call. */
-  private final CompletionHandler<Integer, Void> single =
+  /** The same for one buffer, which the system takes without a gathering call. */
+  private final CompletionHandler<Integer, Void> singleWriteHandler =
       new CompletionHandler<>() {
         @Override
         public void completed(Integer count, Void none) {
-          wrote((long) count);
+          writeCompleted((long) count);
         }
 
         @Override
         public void failed(Throwable why, Void none) {
-          notWritten(why);
+          writeFailed(why);
         }
       };
 
   @Override
   public long bytesWritten() {
-    return written;
+    return bytesWritten;
   }
 
   @Override
   public long bytesHandedOver() {
-    return handed;
+    return bytesHandedOver;
   }
 
   @Override
@@ -291,19 +303,20 @@
       return;
     }
     finishing = true;
-    finishBy(gone, FINISHES);
-    mark();
+    scheduleFinish(bytesSent, MAX_FINISH_PERIODS);
+    scheduleFlush();
   }
 
-  private void finishBy(long goneBefore, int times) {
-    finishBy =
+  /** Cuts the connection after a period in which nothing was sent, or after the last one. */
+  private void scheduleFinish(long sentBefore, int periodsLeft) {
+    finishTimer =
         loop.at(
-            loop.now().plus(FINISH),
+            loop.now().plus(FINISH_PERIOD),
             () -> {
-              if (gone == goneBefore || times == 1) {
+              if (bytesSent == sentBefore || periodsLeft == 1) {
                 cut("not read to the end");
               } else {
-                finishBy(gone, times - 1);
+                scheduleFinish(bytesSent, periodsLeft - 1);
               }
             });
   }
@@ -313,22 +326,22 @@
     if (closed || finishing) {
       return;
     }
-    unlessRead = true;
+    unlessReceived = true;
     finish();
   }
 
-  private void stay() {
-    unlessRead = false;
+  private void cancelFinish() {
+    unlessReceived = false;
     finishing = false;
-    finishBy.cancel();
+    finishTimer.cancel();
   }
 
   /**
-   * All that was read has been told by now, but for what the channels' thread reads in this very
-   * moment.
+   * Closes unless bytes arrived since. All that was read has been passed on by now, but for what
+   * the channels' thread reads in this very moment.
    */
-  private void closeUnread() {
-    if (finishing && unlessRead && unsent.isEmpty() && out.isEmpty()) {
+  private void closeUnlessReceived() {
+    if (finishing && unlessReceived && unsent.isEmpty() && inFlight.isEmpty()) {
       cut("done");
     }
   }
@@ -339,29 +352,29 @@
       return;
     }
     closed = true;
-    if (connecting != null) {
-      connecting.cancel();
+    if (connectTimer != null) {
+      connectTimer.cancel();
     }
-    if (finishBy != null) {
-      finishBy.cancel();
+    if (finishTimer != null) {
+      finishTimer.cancel();
     }
     try {
       if (channel != null) {
         channel.close();
       }
     } catch (IOException e) {
-      // the socket is gone either way, and the user is told below
+      // the socket is gone either way, and the listener is notified below
       why = why + " (" + e.getMessage() + ")";
     }
     unsent.clear();
-    out.clear();
+    inFlight.clear();
     tail = null;
-    String told = why;
+    String reason = why;
     loop.post(
-        () -> { // in a later turn, so that no caller is told while it acts
-          onceClosed.run();
-          keepNoRoom();
-          user.closed(told);
+        () -> { // in a later turn, so that no caller is notified while it acts
+          onClosed.run();
+          releaseReadBuffer();
+          listener.closed(reason);
         });
   }
 }
--- a/src/main/java/sprucerock/transport/net/nio/NioDatagrams.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioDatagrams.java
@@ -9,47 +9,48 @@
 import sprucerock.transport.net.Datagrams;
 
 /**
- * NIO.2 has no asynchronous datagrams: a thread of its own waits for them and hands each to the
- * loop, which alone sends. The count of those that wait for the loop is all that both threads
- * touch.
+ * A datagram socket. NIO.2 has no asynchronous datagrams: a thread of its own waits for them and
+ * posts each to the loop, which alone sends. Both threads share only the channel and the count of
+ * datagrams that wait for the loop.
  */
 final class NioDatagrams implements Datagrams {
-  private static final int WAITING =
-      1024; // some hundred a second come; more than this means that the loop stands still
-  private static final int MOST =
-      2048; // bytes of one; longer ones are cut, and no message here is so long
+  /** Some hundred a second arrive; more than this waiting means that the loop stands still. */
+  private static final int MAX_WAITING = 1024;
+
+  /** Longer datagrams are truncated; no message here is so long. */
+  private static final int MAX_DATAGRAM_BYTES = 2048;
 
   private final NioLoop loop;
   private final DatagramChannel channel;
   private final Receiver user;
   private final AtomicInteger waiting = new AtomicInteger();
 
-  NioDatagrams(NioLoop loop, InetSocketAddress at, Receiver user) throws IOException {
+  NioDatagrams(NioLoop loop, InetSocketAddress address, Receiver user) throws IOException {
     this.loop = loop;
     this.user = user;
     channel = DatagramChannel.open();
     try {
-      channel.bind(at);
+      channel.bind(address);
     } catch (IOException | RuntimeException e) {
       channel.close();
       throw e;
     }
-    Thread reader = new Thread(this::read, "datagrams");
+    Thread reader = new Thread(this::receiveAll, "datagrams");
     reader.setDaemon(true);
     reader.start();
   }
 
-  private void read() {
-    ByteBuffer room = ByteBuffer.allocateDirect(MOST);
+  private void receiveAll() {
+    ByteBuffer buffer = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES);
     while (channel.isOpen()) {
       try {
-        room.clear();
-        InetSocketAddress from = (InetSocketAddress) channel.receive(room);
-        if (waiting.get() >= WAITING) {
+        buffer.clear();
+        InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
+        if (waiting.get() >= MAX_WAITING) {
           continue;
         }
-        byte[] bytes = new byte[room.flip().remaining()];
-        room.get(bytes);
+        byte[] bytes = new byte[buffer.flip().remaining()];
+        buffer.get(bytes);
         waiting.incrementAndGet();
         loop.post(
             () -> {
@@ -58,9 +59,9 @@
             });
       } catch (ClosedChannelException e) {
         return;
-      } catch (
-          IOException e) { // a refusal of one sent before, say: those that come are still wanted
-        loop.post(() -> loop.broken(e));
+      } catch (IOException e) {
+        // the refusal of one sent before, say: others are still wanted
+        loop.post(() -> loop.reportError(e));
       }
     }
   }
@@ -69,8 +70,8 @@
   public boolean send(InetSocketAddress to, byte[] bytes) {
     try {
       return channel.send(ByteBuffer.wrap(bytes), to) == bytes.length;
-    } catch (
-        IOException e) { // no way there now: it is lost, as any may be, and the caller counts it
+    } catch (IOException e) {
+      // no route now: it is lost, as any datagram may be, and the caller counts it
       return false;
     }
   }
@@ -80,7 +81,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      loop.broken(e);
+      loop.reportError(e);
     }
   }
 }
--- a/src/main/java/sprucerock/transport/net/nio/NioLoop.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioLoop.java
@@ -1,13 +1,11 @@
 package sprucerock.transport.net.nio;
 
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.AsynchronousChannelGroup;
 import java.nio.channels.AsynchronousServerSocketChannel;
 import java.nio.channels.AsynchronousSocketChannel;
-import java.nio.channels.CompletionHandler;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,47 +24,61 @@
 import sprucerock.transport.net.Net;
 
 /**
- * One thread that runs everything of a relay, over NIO.2's asynchronous channels. The channels' own
- * thread waits for the system and reads; it hands each completion to this loop's queue, the only
- * thing that crosses threads here.
+ * An event loop: one thread that runs everything of a process, over NIO.2's asynchronous channels.
+ * The channel group's own thread waits for the system; it hands each completion to this loop's
+ * queue, the only thing that crosses threads here.
  *
- * <p>A turn: due timers, the completions there were at its start, what was put off to its end, then
- * one gathered write a link. The queue holds no more than the completions that are out, two a link,
- * and what {@link #post} brings.
+ * <p>A turn: due timers, completions (at most {@link #MAX_TASKS_PER_TURN}), what was deferred to
+ * the turn's end, then one gathered write a connection. The queue is bounded by the operations in
+ * flight, two a connection, and what {@link #post} adds.
  */
 public final class NioLoop implements Net, AutoCloseable {
-  private static final int CHUNK = 16 * 1024;
-  private static final int KEPT_CHUNKS = 1024;
-  private static final TimeSpan QUIET_WITHIN =
-      TimeSpan.ofMs(100); // a loop that is never idle closes what is to be closed all the same
+  private static final int BUFFER_BYTES = 16 * 1024;
+  private static final int MAX_POOLED_BUFFERS = 1024;
+  private static final int ACCEPT_BACKLOG = 1024;
+  private static final double MAX_SLEEP_MS = 1000;
+  private static final double NANOS_PER_MS = 1e6;
+  private static final long NANOS_PER_MICRO = 1000;
+
+  /** Not more than a turn's worth: timers and writes must get their turn under any load. */
+  private static final int MAX_TASKS_PER_TURN = 512;
+
+  /** A loop that is never idle closes what is to be closed all the same. */
+  private static final TimeSpan MAX_QUIET_WAIT = TimeSpan.ofMs(100);
 
   private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private final AtomicBoolean sleeping = new AtomicBoolean();
   private final TimerWheel timers = new TimerWheel();
-  private final ArrayDeque<Runnable> putOff = new ArrayDeque<>();
-  private final List<NioConnection> dirty = new ArrayList<>();
+  private final ArrayDeque<Runnable> turnEnd = new ArrayDeque<>();
+  private final List<NioConnection> toFlush = new ArrayList<>();
   private final List<Runnable> whenQuiet = new ArrayList<>();
-  private Timestamp quietBy;
-  private final ArrayDeque<ByteBuffer> chunks = new ArrayDeque<>();
+  private Timestamp quietDeadline;
+  private final ArrayDeque<ByteBuffer> bufferPool = new ArrayDeque<>();
   private final AsynchronousChannelGroup group;
   private final Thread thread;
-  private final Consumer<Throwable> broken;
-  private final long origin = System.nanoTime();
+  private final Consumer<Throwable> errorHandler;
+  private final long originNanos = System.nanoTime();
   private volatile boolean stopped;
   private Timestamp now = Timestamp.ofMs(0);
-  private Timestamp before = now;
+  private Timestamp previousTurnStart = now;
 
-  /** Starts a loop; what throws in it ends up with {@code broken}, and the loop goes on. */
-  public NioLoop(String name, Consumer<Throwable> broken) throws IOException {
-    this.broken = broken;
-    group = AsynchronousChannelGroup.withThreadPool(new Completions());
+  /**
+   * Starts a loop.
+   *
+   * @param name of its thread
+   * @param errorHandler gets what an action threw, on the loop's thread; the loop goes on
+   * @throws IOException if the system gives no channel group
+   */
+  public NioLoop(String name, Consumer<Throwable> errorHandler) throws IOException {
+    this.errorHandler = errorHandler;
+    group = AsynchronousChannelGroup.withThreadPool(new CompletionExecutor());
     thread = new Thread(this::run, name);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** What the channels' thread calls to have a completion handled. */
-  private final class Completions extends AbstractExecutorService {
+  /** The channel group's executor: posts each completion to the loop. */
+  private final class CompletionExecutor extends AbstractExecutorService {
     private volatile boolean shut;
 
     @Override
@@ -96,12 +108,12 @@
     }
 
     @Override
-    public boolean awaitTermination(long timeout, TimeUnit endpoint) {
+    public boolean awaitTermination(long timeout, TimeUnit unit) {
       return shut;
     }
   }
 
-  /** From any thread: runs {@code task} on the loop's. */
+  /** Runs a task on the loop's thread. May be called from any thread. */
   public void post(Runnable task) {
     tasks.add(task);
     if (sleeping.get() && sleeping.compareAndSet(true, false)) {
@@ -111,26 +123,19 @@
 
   private void run() {
     while (!stopped) {
-      before = now;
+      previousTurnStart = now;
       now = readClock();
       timers.run(now.ms(), this::guarded);
-      // not more than a turn's worth: timers and writes must get their turn under any load
-      for (int i = 0; i < 512; i++) {
-        Runnable task = tasks.poll();
-        if (task == null) {
-          break;
-        }
-        guarded(task);
-      }
-      while (!putOff.isEmpty()) {
-        guarded(putOff.poll());
+      runTasks();
+      while (!turnEnd.isEmpty()) {
+        guarded(turnEnd.poll());
       }
-      for (int i = 0; i < dirty.size(); i++) {
-        guarded(dirty.get(i)::flush);
+      for (int i = 0; i < toFlush.size(); i++) {
+        guarded(toFlush.get(i)::flush);
       }
-      dirty.clear();
-      if (!whenQuiet.isEmpty() && (tasks.isEmpty() || now.after(quietBy))) {
-        quiet();
+      toFlush.clear();
+      if (!whenQuiet.isEmpty() && (tasks.isEmpty() || now.after(quietDeadline))) {
+        runWhenQuiet();
       }
       if (tasks.isEmpty()) {
         sleep();
@@ -138,51 +143,61 @@
     }
   }
 
-  private void quiet() {
+  private void runTasks() {
+    for (int i = 0; i < MAX_TASKS_PER_TURN; i++) {
+      Runnable task = tasks.poll();
+      if (task == null) {
+        return;
+      }
+      guarded(task);
+    }
+  }
+
+  private void runWhenQuiet() {
     List<Runnable> due = new ArrayList<>(whenQuiet);
     whenQuiet.clear();
     due.forEach(this::guarded);
   }
 
   /**
-   * Runs it at the end of a turn behind which no completion waits; at the latest some turns after
-   * {@link #QUIET_WITHIN}.
+   * Runs an action at the end of a turn after which no completion waits; at the latest some turns
+   * after {@link #MAX_QUIET_WAIT}.
    */
-  void whenQuiet(Runnable what) {
+  void whenQuiet(Runnable action) {
     if (whenQuiet.isEmpty()) {
-      quietBy = now.plus(QUIET_WITHIN);
+      quietDeadline = now.plus(MAX_QUIET_WAIT);
     }
-    whenQuiet.add(what);
+    whenQuiet.add(action);
   }
 
   private void sleep() {
-    double ms = timers.next() - readClock().ms();
+    double ms = timers.nextDueMs() - readClock().ms();
     if (ms <= 0) {
       return;
     }
     sleeping.set(true);
     if (tasks.isEmpty() && !stopped) {
-      LockSupport.parkNanos(this, (long) (Math.min(ms, 1000) * 1e6));
+      LockSupport.parkNanos(this, (long) (Math.min(ms, MAX_SLEEP_MS) * NANOS_PER_MS));
     }
     sleeping.set(false);
   }
 
-  /** From any thread. */
+  /** May be called from any thread. */
   @Override
   public Timestamp readClock() {
-    return Timestamp.ofMs((System.nanoTime() - origin) / 1e6);
+    return Timestamp.ofMs((System.nanoTime() - originNanos) / NANOS_PER_MS);
   }
 
-  /** Microseconds on the machine's monotonic clock, which its processes share: for traces. */
+  /** The machine's monotonic clock in microseconds, which its processes share: for traces. */
   public static long monotonicMicros() {
-    return System.nanoTime() / 1000;
+    return System.nanoTime() / NANOS_PER_MICRO;
   }
 
-  private void guarded(Runnable what) {
+  private void guarded(Runnable action) {
     try {
-      what.run();
+      action.run();
     } catch (RuntimeException | Error e) {
-      broken.accept(e);
+      errorHandler.accept(e);
     }
   }
 
@@ -193,168 +208,90 @@
 
   @Override
   public Timestamp previousTurnStart() {
-    return before;
+    return previousTurnStart;
   }
 
   @Override
-  public Timer at(Timestamp when, Runnable what) {
-    return timers.add(when.ms(), what);
+  public Timer at(Timestamp when, Runnable action) {
+    return timers.add(when.ms(), action);
   }
 
   @Override
-  public void atTurnsEnd(Runnable what) {
-    putOff.add(what);
+  public void atTurnsEnd(Runnable action) {
+    turnEnd.add(action);
   }
 
-  void dirty(NioConnection connection) {
-    dirty.add(connection);
+  /** Has a connection flushed at the end of this turn. */
+  void scheduleFlush(NioConnection connection) {
+    toFlush.add(connection);
   }
 
-  ByteBuffer chunk(int bytes) {
-    if (bytes > CHUNK) {
+  /** A buffer of at least so many bytes, from the pool if it may be. */
+  ByteBuffer borrowBuffer(int bytes) {
+    if (bytes > BUFFER_BYTES) {
       return ByteBuffer.allocate(bytes);
     }
-    ByteBuffer kept = chunks.poll();
-    return kept != null ? kept : ByteBuffer.allocateDirect(CHUNK);
+    ByteBuffer pooled = bufferPool.poll();
+    return pooled != null ? pooled : ByteBuffer.allocateDirect(BUFFER_BYTES);
   }
 
-  void giveBack(ByteBuffer chunk) {
-    if (chunk.capacity() != CHUNK || !chunk.isDirect() || chunks.size() >= KEPT_CHUNKS) {
+  /**
+   * Returns a buffer that nobody uses any more; those not from the pool are left to the collector.
+   */
+  void returnBuffer(ByteBuffer buffer) {
+    if (buffer.capacity() != BUFFER_BYTES
+        || !buffer.isDirect()
+        || bufferPool.size() >= MAX_POOLED_BUFFERS) {
       return;
     }
-    chunks.add(chunk.clear());
+    bufferPool.add(buffer.clear());
   }
 
   @Override
   public Connection connect(
-      InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user) {
+      InetSocketAddress to, TimeSpan timeout, long maxUnsentBytes, ConnectionListener listener) {
     NioConnection connection;
     try {
-      connection = new NioConnection(this, AsynchronousSocketChannel.open(group), mostUnsent, user);
+      connection =
+          new NioConnection(this, AsynchronousSocketChannel.open(group), maxUnsentBytes, listener);
     } catch (IOException e) {
-      NioConnection none = new NioConnection(this, null, mostUnsent, user);
-      none.cut("no socket: " + e.getMessage());
-      return none;
+      NioConnection failed = new NioConnection(this, null, maxUnsentBytes, listener);
+      failed.cut("no socket: " + e.getMessage());
+      return failed;
     }
-    connection.connect(to, within);
+    connection.connect(to, timeout);
     return connection;
   }
 
   @Override
   public Listener bind(
-      InetSocketAddress at, int most, long mostUnsent, Supplier<ConnectionListener> users)
+      InetSocketAddress address,
+      int maxConnections,
+      long maxUnsentBytes,
+      Supplier<ConnectionListener> listeners)
       throws IOException {
     AsynchronousServerSocketChannel server = AsynchronousServerSocketChannel.open(group);
     try {
-      server.bind(at, 1024);
+      server.bind(address, ACCEPT_BACKLOG);
     } catch (IOException | RuntimeException e) {
       server.close();
       throw e;
     }
-    return new Door(server, most, mostUnsent, users);
+    return new NioListener(this, server, maxConnections, maxUnsentBytes, listeners);
   }
 
   @Override
-  public Datagrams datagrams(InetSocketAddress at, Datagrams.Receiver user) throws IOException {
-    return new NioDatagrams(this, at, user);
-  }
-
-  void broken(Throwable why) {
-    broken.accept(why);
+  public Datagrams datagrams(InetSocketAddress address, Datagrams.Receiver receiver)
+      throws IOException {
+    return new NioDatagrams(this, address, receiver);
   }
 
-  private final class Door implements Listener, CompletionHandler<AsynchronousSocketChannel, Void> {
-    private final AsynchronousServerSocketChannel server;
-    private final int most;
-    private final long mostUnsent;
-    private final Supplier<ConnectionListener> users;
-    private int open;
-    private Runnable turnedAway = () -> {};
-
-    Door(
-        AsynchronousServerSocketChannel server,
-        int most,
-        long mostUnsent,
-        Supplier<ConnectionListener> users) {
-      this.server = server;
-      this.most = most;
-      this.mostUnsent = mostUnsent;
-      this.users = users;
-    }
-
-    @Override
-    public void completed(AsynchronousSocketChannel channel, Void none) {
-      if (server.isOpen()) {
-        server.accept(null, this);
-      }
-      if (open >= most) {
-        try {
-          channel.close();
-        } catch (IOException e) {
-          broken.accept(e);
-        }
-        turnedAway.run();
-        return;
-      }
-      open++;
-      NioConnection connection = new NioConnection(NioLoop.this, channel, mostUnsent, users.get());
-      connection.onceClosed(() -> open--);
-      connection.begin();
-    }
-
-    @Override
-    public void failed(Throwable why, Void none) {
-      if (!server.isOpen()) {
-        return;
-      }
-      broken.accept(
-          why); // out of file descriptors, say: tried again soon, so that it recovers by itself
-      at(
-          now.plus(TimeSpan.ofMs(100)),
-          () -> {
-            if (server.isOpen()) {
-              server.accept(null, this);
-            }
-          });
-    }
-
-    @Override
-    public void startAccepting() {
-      server.accept(null, this);
-    }
-
-    @Override
-    public InetSocketAddress address() {
-      try {
-        return (InetSocketAddress) server.getLocalAddress();
-      } catch (IOException e) {
-        throw new UncheckedIOException(e);
-      }
-    }
-
-    @Override
-    public void onRejected(Runnable what) {
-      turnedAway = what;
-    }
-
-    /**
-     * Not before those are taken that had come: guards against a loop that stood still, and would
-     * reset them unheard.
-     */
-    @Override
-    public void close() {
-      whenQuiet(
-          () -> {
-            try {
-              server.close();
-            } catch (IOException e) {
-              broken.accept(e);
-            }
-          });
-    }
+  /** Passes an error on to the loop's handler; on the loop's thread. */
+  void reportError(Throwable why) {
+    errorHandler.accept(why);
   }
 
-  /** Ends the loop and all its links, from any thread. */
+  /** Ends the loop and closes all its connections. May be called from any thread. */
   @Override
   public void close() {
     stopped = true;
@@ -362,7 +299,7 @@
     try {
       group.shutdownNow();
     } catch (IOException e) {
-      broken.accept(e);
+      errorHandler.accept(e);
     }
   }
 }
--- a/src/main/java/sprucerock/transport/net/nio/TimerWheel.java
+++ b/src/main/java/sprucerock/transport/net/nio/TimerWheel.java
@@ -6,70 +6,83 @@
 import sprucerock.transport.net.Timers.Timer;
 
 /**
- * What is to be done later, in slots of an eighth of a millisecond. A relay keeps several timers an
- * RPC for seconds, and nearly all are moot when they come due: in a heap each would cost its depth
- * twice, here it is put in and taken out once. Nothing runs early, and nothing more than a slot
- * late on its account.
+ * A hashed timer wheel with slots of an eighth of a millisecond. A relay keeps several timers an
+ * RPC for seconds, and nearly all are cancelled before they are due: in a heap each would cost its
+ * depth twice, here it is inserted and removed once. No timer runs early, and none is more than a
+ * slot late on the wheel's account. Confined to the loop thread.
  */
 final class TimerWheel {
-  private static final int PER_MS = 8;
-  private static final int SLOTS =
-      1 << 16; // eight seconds, beyond most deadlines; later ones wait in a heap
+  private static final int SLOTS_PER_MS = 8;
 
-  /** One thing to be done. */
+  /** Eight seconds, beyond most deadlines; later timers wait in a heap. */
+  private static final int SLOTS = 1 << 16;
+
+  private static final int NO_SLOT = -1;
+  private static final int INITIAL_SLOT_CAPACITY = 4;
+
+  /** A timer. */
   private final class Entry implements Timer {
     private final double whenMs;
     private final long order;
-    private Runnable what;
-    private int slot = -1; // none while it waits in the heap
+    private Runnable action;
+    private int slot = NO_SLOT; // while it waits in the heap
 
-    Entry(double whenMs, long order, Runnable what) {
+    Entry(double whenMs, long order, Runnable action) {
       this.whenMs = whenMs;
       this.order = order;
-      this.what = what;
+      this.action = action;
     }
 
     @Override
     public void cancel() {
-      if (what == null) {
+      if (action == null) {
         return;
       }
-      what = null; // its place goes when its time comes; what it held goes now
-      // a slot in which nothing is left to do must not wake the loop: most timers are cancelled
-      if (slot >= 0 && --live[slot] == 0) {
-        empty(slot);
+      action = null; // frees action the action holds now; the entry is removed when due
+      // a slot without live timers must not wake the loop: most timers are cancelled
+      if (slot >= 0 && --liveCount[slot] == 0) {
+        clear(slot);
       }
     }
   }
 
-  private final Comparator<Entry> inTime =
+  private final Comparator<Entry> byDueTime =
       (a, b) -> {
-        int byTime = Double.compare(a.whenMs, b.whenMs);
-        return byTime != 0 ? byTime : Long.compare(a.order, b.order);
+        int comparison = Double.compare(a.whenMs, b.whenMs);
+        return comparison != 0 ? comparison : Long.compare(a.order, b.order);
       };
 
-  /** Runs one thing that is due. */
+  /** Runs the action of a timer that is due. */
   interface Runner {
-    void run(Runnable what);
+    /** Must not throw: timers of the same slot would be lost. */
+    void run(Runnable action);
   }
 
-  @SuppressWarnings("unchecked")
+  @SuppressWarnings({"unchecked", "rawtypes"}) // Java has no arrays of a generic type
   private final ArrayList<Entry>[] slots = new ArrayList[SLOTS];
 
-  private final long[] filled = new long[SLOTS / 64];
-  private final int[] live = new int[SLOTS];
-  private final PriorityQueue<Entry> later = new PriorityQueue<>(inTime);
-  private long reached; // all slots before this one are empty
-  private long made;
+  /** A bit for each slot with live timers. */
+  private final long[] occupied = new long[SLOTS / 64];
+
+  private final int[] liveCount = new int[SLOTS];
+  private final PriorityQueue<Entry> beyondWheel = new PriorityQueue<>(byDueTime);
+  private long reached; // no slot before this one has a timer
+  private long timerCount;
 
+  /** The first slot that begins at or after a time. */
   private static long slot(double ms) {
-    return (long) Math.ceil(ms * PER_MS);
+    return (long) Math.ceil(ms * SLOTS_PER_MS);
   }
 
-  Timer add(double whenMs, Runnable what) {
-    Entry entry = new Entry(whenMs, made++, what);
+  /**
+   * Adds a timer.
+   *
+   * @param whenMs when it is due, in milliseconds of the clock that {@link #run} is given
+   */
+  Timer add(double whenMs, Runnable action) {
+    Entry entry = new Entry(whenMs, timerCount++, action);
     if (slot(whenMs) - reached >= SLOTS) {
-      later.add(entry);
+      beyondWheel.add(entry);
     } else {
       put(entry);
     }
@@ -78,35 +91,34 @@
 
   private void put(Entry entry) {
     int at = (int) Math.max(slot(entry.whenMs), reached) & SLOTS - 1;
-    if (entry.what == null) {
+    if (entry.action == null) {
       return; // cancelled in the heap
     }
     if (slots[at] == null) {
-      slots[at] = new ArrayList<>(4);
+      slots[at] = new ArrayList<>(INITIAL_SLOT_CAPACITY);
     }
     slots[at].add(entry);
     entry.slot = at;
-    live[at]++;
-    filled[at >> 6] |= 1L << at;
+    liveCount[at]++;
+    occupied[at >> 6] |= 1L << at;
   }
 
-  private void empty(int at) {
+  private void clear(int at) {
     slots[at] = null;
-    live[at] = 0;
-    filled[at >> 6] &= ~(1L << at);
+    liveCount[at] = 0;
+    occupied[at >> 6] &= ~(1L << at);
   }
 
   /**
-   * Runs all that is due, in the order of their times; what is added meanwhile for now or before
-   * waits for the next turn.
+   * Runs all timers that are due, in the order of their times. Those that are added meanwhile for
+   * now or before wait for the next turn.
    */
   void run(double nowMs, Runner runner) {
-    long last = (long) Math.floor(nowMs * PER_MS);
-    while (reached
-        <= last) { // a clock that jumps far goes round in steps, so that no slot is met a turn too
-      // early
-      while (!later.isEmpty() && slot(later.peek().whenMs) - reached < SLOTS) {
-        put(later.poll());
+    long last = (long) Math.floor(nowMs * SLOTS_PER_MS);
+    // a clock that jumps far advances in steps, so that no slot is met a round too early
+    while (reached <= last) {
+      while (!beyondWheel.isEmpty() && slot(beyondWheel.peek().whenMs) - reached < SLOTS) {
+        put(beyondWheel.poll());
       }
       runTo(Math.min(last, reached + SLOTS / 2), runner);
     }
@@ -115,43 +127,44 @@
   private void runTo(long upTo, Runner runner) {
     while (reached <= upTo) {
       int at = (int) reached & SLOTS - 1;
-      if ((filled[at >> 6] & 1L << at) == 0) {
-        // skips the rest of a word that is empty
+      if ((occupied[at >> 6] & 1L << at) == 0) {
+        // skips the rest of a word without timers
         reached =
-            filled[at >> 6] >>> at == 0 ? Math.min((reached | 63) + 1, upTo + 1) : reached + 1;
+            occupied[at >> 6] >>> at == 0 ? Math.min((reached | 63) + 1, upTo + 1) : reached + 1;
         continue;
       }
       ArrayList<Entry> due = slots[at];
-      empty(at);
+      clear(at);
       reached++;
       if (due.size() > 1) {
-        due.sort(inTime);
+        due.sort(byDueTime);
       }
       for (int i = 0; i < due.size(); i++) {
-        due.get(i).slot = -1;
+        due.get(i).slot = NO_SLOT;
       }
       for (int i = 0; i < due.size(); i++) {
-        Runnable what = due.get(i).what;
-        due.get(i).what = null;
-        if (what != null) {
-          runner.run(what);
+        Runnable action = due.get(i).action;
+        due.get(i).action = null;
+        if (action != null) {
+          runner.run(action);
         }
       }
     }
   }
 
-  /** When the next thing is due, at the earliest; infinity where there is none. */
-  double next() {
-    double beyond = later.isEmpty() ? Double.POSITIVE_INFINITY : later.peek().whenMs;
+  /** A time in milliseconds before which no timer is due; infinity if there is none. */
+  double nextDueMs() {
+    double beyondMs = beyondWheel.isEmpty() ? Double.POSITIVE_INFINITY : beyondWheel.peek().whenMs;
     for (long word = reached >> 6; word <= reached + SLOTS - 1 >> 6; word++) {
-      long bits = filled[(int) word & filled.length - 1];
+      long bits = occupied[(int) word & occupied.length - 1];
       if (word == reached >> 6) {
         bits &= -1L << reached;
       }
       if (bits != 0) {
-        return Math.min(beyond, (double) ((word << 6) + Long.numberOfTrailingZeros(bits)) / PER_MS);
+        return Math.min(
+            beyondMs, (double) ((word << 6) + Long.numberOfTrailingZeros(bits)) / SLOTS_PER_MS);
       }
     }
-    return beyond;
+    return beyondMs;
   }
 }
--- a/src/test/java/sprucerock/transport/net/TimersTest.java
+++ b/src/test/java/sprucerock/transport/net/TimersTest.java
@@ -5,14 +5,14 @@
 import org.testng.annotations.Test;
 import sprucerock.time.TimeSpan;
 
-/** Waiting for others, by a loop that may stand still itself. */
+/** Timeouts for peers, set by a loop that may stall itself. */
 public class TimersTest {
   /**
-   * Guards against a relay that starts cold, stands still, and takes all connections in the making
-   * for failed.
+   * Guards against a relay that stalls at its cold start and takes all connections being made for
+   * failed.
    */
   @Test
-  public void standingStillIsNotTheOthersSilence() {
+  public void timeoutStartsAnewIfTheLoopStalled() {
     SimulatedNet net = new SimulatedNet(0, 1);
     int[] ran = {0};
     net.stallTolerantTimeout(TimeSpan.ofMs(100), () -> ran[0]++);
@@ -26,7 +26,7 @@
   }
 
   @Test
-  public void aLoopThatRunsWaitsOnce() {
+  public void timeoutFiresOnceIfTheLoopRuns() {
     SimulatedNet net = new SimulatedNet(0, 1);
     int[] ran = {0};
     net.stallTolerantTimeout(TimeSpan.ofMs(100), () -> ran[0]++);
--- a/src/test/java/sprucerock/transport/net/nio/TimerWheelTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/TimerWheelTest.java
@@ -8,25 +8,24 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
+import sprucerock.transport.net.Timers.Timer;
 
-/** The wheel beside a plain heap. */
+/** The timer wheel compared with a plain heap. */
 public class TimerWheelTest {
   private record Due(double when, int id) {}
 
-  /**
-   * Guards against a loop that wakes for what was cancelled: a relay cancels nearly all its timers.
-   */
+  /** Guards against a loop that wakes for cancelled timers: a relay cancels nearly all of them. */
   @Test
-  public void whatWasCancelledWakesNobody() {
+  public void cancelledTimersDoNotWakeTheLoop() {
     TimerWheel wheel = new TimerWheel();
-    sprucerock.transport.net.Timers.Timer gone = wheel.add(10, () -> {});
-    sprucerock.transport.net.Timers.Timer kept = wheel.add(20, () -> {});
+    Timer cancelled = wheel.add(10, () -> {});
+    Timer live = wheel.add(20, () -> {});
     wheel.add(20, () -> {}).cancel();
-    gone.cancel();
-    gone.cancel();
-    assertEquals(wheel.next(), 20.0);
-    kept.cancel();
-    assertEquals(wheel.next(), Double.POSITIVE_INFINITY);
+    cancelled.cancel();
+    cancelled.cancel();
+    assertEquals(wheel.nextDueMs(), 20.0);
+    live.cancel();
+    assertEquals(wheel.nextDueMs(), Double.POSITIVE_INFINITY);
     int[] ran = {0};
     wheel.add(20, () -> ran[0]++);
     wheel.run(30, Runnable::run);
@@ -34,7 +33,7 @@
   }
 
   @Test
-  public void runsWhatAHeapWouldRunInItsOrderNeverEarlyAndAtMostASlotLate() {
+  public void runsTimersInTheOrderOfAHeapNeverEarlyAndAtMostOneSlotLate() {
     for (int seed = 0; seed < 30; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       TimerWheel wheel = new TimerWheel();
@@ -62,7 +61,8 @@
           continue;
         }
         assertTrue(
-            heap.isEmpty() || wheel.next() <= heap.peek().when + 0.125, "sleeps past what is due");
+            heap.isEmpty() || wheel.nextDueMs() <= heap.peek().when + 0.125,
+            "sleeps past what is due");
         now += random.nextInt(10) == 0 ? random.nextDouble() * 20_000 : random.nextDouble() * 20;
         int before = ran.size();
         wheel.run(now, Runnable::run);
