--- a/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
+++ b/src/test/java/sprucerock/transport/net/nio/NioLoopTest.java
@@ -6,6 +6,8 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -13,6 +15,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Supplier;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -21,35 +24,35 @@
 import sprucerock.transport.net.ConnectionListener;
 import sprucerock.transport.net.Net;
 
-/** The loop over real loopback sockets. Waits are for what must come, however long it takes. */
+/** The loop over loopback sockets. Each wait is for an event that must come, however late. */
 public class NioLoopTest {
-  private static final TimeSpan LONG = TimeSpan.ofMs(20_000);
+  private static final TimeSpan TIMEOUT = TimeSpan.ofMs(20_000);
 
   private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-  private final List<Throwable> broken = new ArrayList<>();
+  private final List<Throwable> errors = new ArrayList<>();
   private NioLoop loop;
   private Net.Listener listener;
 
   @BeforeMethod
   public void begin() throws IOException {
     events.clear();
-    broken.clear();
-    loop = new NioLoop("test", broken::add);
+    errors.clear();
+    loop = new NioLoop("test", errors::add);
   }
 
   @AfterMethod
   public void end() {
     loop.close();
-    assertEquals(broken, List.of());
+    assertEquals(errors, List.of());
   }
 
-  private String next() throws InterruptedException {
+  private String nextEvent() throws InterruptedException {
     String event = events.poll(30, TimeUnit.SECONDS);
     return event == null ? "nothing came" : event;
   }
 
-  /** Sends back what comes, or says what it is. */
-  private class Echo implements ConnectionListener {
+  /** Sends back what it receives, and records why it was closed. */
+  private class EchoServer implements ConnectionListener {
     Connection connection;
 
     @Override
@@ -71,7 +74,7 @@
   }
 
   private InetSocketAddress listen(
-      int most, long unsent, java.util.function.Supplier<ConnectionListener> users)
+      int maxConnections, long maxUnsentBytes, Supplier<ConnectionListener> listeners)
       throws Exception {
     loop.post(
         () -> {
@@ -79,35 +82,35 @@
             listener =
                 loop.listen(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                    most,
-                    unsent,
-                    users);
+                    maxConnections,
+                    maxUnsentBytes,
+                    listeners);
             events.add("listens");
           } catch (IOException e) {
             events.add(e.toString());
           }
         });
-    assertEquals(next(), "listens");
+    assertEquals(nextEvent(), "listens");
     return listener.address();
   }
 
   @Test
-  public void aMegabyteComesBackAsItWasAndFinishSendsAllOfIt() throws Exception {
-    InetSocketAddress at = listen(10, 8 << 20, Echo::new);
+  public void echoesAMegabyteUnchangedAndFinishSendsAllOfIt() throws Exception {
+    InetSocketAddress server = listen(10, 8 << 20, EchoServer::new);
     byte[] sent = new byte[1 << 20];
     for (int i = 0; i < sent.length; i++) {
       sent[i] = (byte) (i * 31 >> 3);
     }
-    byte[] came = new byte[sent.length];
+    byte[] echoed = new byte[sent.length];
     loop.post(
         () ->
             loop.connect(
-                at,
-                LONG,
+                server,
+                TIMEOUT,
                 8 << 20,
                 new ConnectionListener() {
                   private Connection connection;
-                  private int have;
+                  private int receivedBytes;
 
                   @Override
                   public void connected(Connection made) {
@@ -121,9 +124,9 @@
                   @Override
                   public void received(ByteBuffer bytes) {
                     int count = bytes.remaining();
-                    bytes.get(came, have, count);
-                    have += count;
-                    if (have < came.length) {
+                    bytes.get(echoed, receivedBytes, count);
+                    receivedBytes += count;
+                    if (receivedBytes < echoed.length) {
                       return;
                     }
                     events.add("all");
@@ -135,21 +138,21 @@
                     events.add("client: " + why);
                   }
                 }));
-    assertEquals(next(), "all");
-    assertEquals(came, sent);
+    assertEquals(nextEvent(), "all");
+    assertEquals(echoed, sent);
     assertEquals(
-        List.of(next(), next()).stream().sorted().toList(),
+        List.of(nextEvent(), nextEvent()).stream().sorted().toList(),
         List.of("client: done", "server: closed by the other side"));
   }
 
   @Test
-  public void aPeerThatDoesNotReadIsCutAtItsBoundAndHoldsNobodyUp() throws Exception {
-    InetSocketAddress at =
+  public void peerThatDoesNotReadIsCutAtItsLimitAndDelaysNoOther() throws Exception {
+    InetSocketAddress server =
         listen(
             10,
             1 << 16,
             () ->
-                new Echo() {
+                new EchoServer() {
                   @Override
                   public void received(ByteBuffer bytes) {
                     // as fast as it can, far more than a socket's own buffers hold
@@ -158,20 +161,20 @@
                     }
                   }
                 });
-    InetSocketAddress other = listen(10, 1 << 16, Echo::new);
-    java.net.Socket deaf = new java.net.Socket(at.getAddress(), at.getPort());
-    deaf.getOutputStream().write(1);
-    assertEquals(next(), "server: does not read: more than 65536 bytes wait for it");
-    try (java.net.Socket well = new java.net.Socket(other.getAddress(), other.getPort())) {
-      well.getOutputStream().write(7);
-      assertEquals(well.getInputStream().read(), 7);
+    InetSocketAddress other = listen(10, 1 << 16, EchoServer::new);
+    Socket unresponsive = new Socket(server.getAddress(), server.getPort());
+    unresponsive.getOutputStream().write(1);
+    assertEquals(nextEvent(), "server: does not read: more than 65536 bytes wait for it");
+    try (Socket responsive = new Socket(other.getAddress(), other.getPort())) {
+      responsive.getOutputStream().write(7);
+      assertEquals(responsive.getInputStream().read(), 7);
     }
-    deaf.close();
-    assertEquals(next(), "server: closed by the other side");
+    unresponsive.close();
+    assertEquals(nextEvent(), "server: closed by the other side");
   }
 
   @Test
-  public void timersRunInOrderAndTheClockStandsStillWithinATurn() throws Exception {
+  public void timersRunInOrderAndNowIsConstantWithinATurn() throws Exception {
     loop.post(
         () -> {
           var now = loop.now();
@@ -187,32 +190,31 @@
           events.add("still " + (loop.now() == now));
           loop.atTurnsEnd(() -> events.add("end"));
         });
-    List<String> seen = new ArrayList<>();
+    List<String> recorded = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      seen.add(next());
+      recorded.add(nextEvent());
     }
     assertEquals(
-        seen,
+        recorded,
         List.of("still true", "end", "t0", "t0", "t1", "t1", "t2", "t2", "t3", "t3", "t4", "t4"));
   }
 
   @Test
-  public void refusedAndSurplusConnectionsAreToldOnce() throws Exception {
-    InetSocketAddress at = listen(1, 1000, Echo::new);
-    InetSocketAddress nobody;
-    try (java.net.ServerSocket probe =
-        new java.net.ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      nobody = (InetSocketAddress) probe.getLocalSocketAddress();
+  public void refusedAndSurplusConnectionsAreClosedOnce() throws Exception {
+    InetSocketAddress server = listen(1, 1000, EchoServer::new);
+    InetSocketAddress unboundAddress;
+    try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      unboundAddress = (InetSocketAddress) probe.getLocalSocketAddress();
     }
-    loop.post(() -> loop.connect(nobody, LONG, 1000, new Echo()));
-    assertTrue(next().startsWith("server: no connection"));
-    try (java.net.Socket first = new java.net.Socket(at.getAddress(), at.getPort())) {
+    loop.post(() -> loop.connect(unboundAddress, TIMEOUT, 1000, new EchoServer()));
+    assertTrue(nextEvent().startsWith("server: no connection"));
+    try (Socket first = new Socket(server.getAddress(), server.getPort())) {
       first.getOutputStream().write(1);
       assertEquals(first.getInputStream().read(), 1);
-      try (java.net.Socket second = new java.net.Socket(at.getAddress(), at.getPort())) {
+      try (Socket second = new Socket(server.getAddress(), server.getPort())) {
         assertEquals(second.getInputStream().read(), -1);
       }
     }
-    assertEquals(next(), "server: closed by the other side");
+    assertEquals(nextEvent(), "server: closed by the other side");
   }
 }
