--- a/src/main/java/sprucerock/rehearsal/recovery/Peaks.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/Peaks.java
@@ -7,61 +7,71 @@
 import java.util.TreeMap;
 
 /**
- * How many of each thing came to each place, and the most of them in any tenth of a second. Times
- * are microseconds on one clock.
+ * The times of each activity at each place, and the most of them in any tenth of a second. Times
+ * are microseconds on one clock. Not thread-safe.
  */
 public final class Peaks {
-  /** The fullest tenth of a second of a thing, where it was and how many came. */
+  /**
+   * The fullest tenth of a second of an activity.
+   *
+   * @param activity what was counted
+   * @param place where it was fullest
+   * @param count how many there were, above 0
+   */
   public record Peak(String activity, String place, int count) {}
 
-  private static final long WINDOW_US = 100_000;
+  private static final long WINDOW_MICROS = 100_000;
 
-  private final Map<String, Map<String, List<Long>>> times = new TreeMap<>();
+  private final Map<String, Map<String, List<Long>>> timesByActivityAndPlace = new TreeMap<>();
 
-  public void record(String thing, String place, long us) {
-    times
-        .computeIfAbsent(thing, key -> new TreeMap<>())
+  /** Adds one occurrence; they may come in any order. */
+  public void record(String activity, String place, long micros) {
+    timesByActivityAndPlace
+        .computeIfAbsent(activity, key -> new TreeMap<>())
         .computeIfAbsent(place, key -> new ArrayList<>())
-        .add(us);
+        .add(micros);
   }
 
   /**
-   * Of each thing the place that was fullest from one time to another; nothing of what did not
-   * come.
+   * The peak of each activity that occurred in a period, at the place where it was highest; the
+   * first place by name if several are equal.
+   *
+   * @param fromMicros the period's beginning
+   * @param toMicros the period's end, exclusive
    */
-  public List<Peak> between(long fromUs, long toUs) {
-    List<Peak> found = new ArrayList<>();
-    times.forEach(
-        (thing, places) -> {
-          Peak most = null;
+  public List<Peak> between(long fromMicros, long toMicros) {
+    List<Peak> peaks = new ArrayList<>();
+    timesByActivityAndPlace.forEach(
+        (activity, places) -> {
+          Peak highest = null;
           for (Map.Entry<String, List<Long>> place : places.entrySet()) {
-            int many = most(place.getValue(), fromUs, toUs);
-            if (many > 0 && (most == null || many > most.count)) {
-              most = new Peak(thing, place.getKey(), many);
+            int count = maxInWindow(place.getValue(), fromMicros, toMicros);
+            if (count > 0 && (highest == null || count > highest.count)) {
+              highest = new Peak(activity, place.getKey(), count);
             }
           }
-          if (most != null) {
-            found.add(most);
+          if (highest != null) {
+            peaks.add(highest);
           }
         });
-    return found;
+    return peaks;
   }
 
-  private static int most(List<Long> all, long fromUs, long toUs) {
-    List<Long> in = new ArrayList<>();
-    for (long one : all) {
-      if (one >= fromUs && one < toUs) {
-        in.add(one);
+  private static int maxInWindow(List<Long> times, long fromMicros, long toMicros) {
+    List<Long> inPeriod = new ArrayList<>();
+    for (long time : times) {
+      if (time >= fromMicros && time < toMicros) {
+        inPeriod.add(time);
       }
     }
-    Collections.sort(in); // several files tell of one place
-    int most = 0;
-    for (int first = 0, last = 0; last < in.size(); last++) {
-      while (in.get(last) - in.get(first) >= WINDOW_US) {
+    Collections.sort(inPeriod); // several files record one place
+    int max = 0;
+    for (int first = 0, last = 0; last < inPeriod.size(); last++) {
+      while (inPeriod.get(last) - inPeriod.get(first) >= WINDOW_MICROS) {
         first++;
       }
-      most = Math.max(most, last - first + 1);
+      max = Math.max(max, last - first + 1);
     }
-    return most;
+    return max;
   }
 }
--- a/src/main/java/sprucerock/rehearsal/recovery/RecoveryMeter.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/RecoveryMeter.java
@@ -14,18 +14,19 @@
 import sprucerock.transport.wire.v1.Ending;
 
 /**
- * Reads from a day's traces how it came back after each thing that befell it: when all was served
- * again, what was lost, what came to whom at once. It asks no process how it fared, and knows
- * neither relays' insides nor the rules of the judge.
+ * Reads from a day's traces how service recovered after each fault: when it was full again, what
+ * was lost, which activity peaked where. Not thread-safe.
  */
 public final class RecoveryMeter {
-  /** A method's soft deadline and utility, in the order of the relays' list. */
+  /** A method's latency objective in milliseconds and its priority weight. */
   public record Method(double latencyObjectiveMs, double weight) {}
 
   /**
-   * How the day came back from an event.
+   * How service recovered from a fault.
    *
-   * @param fullS seconds to full service; empty where it did not come
+   * @param eventMicros when the fault began
+   * @param description the faults of that time, as the day script names them
+   * @param fullS seconds to full service; empty if it did not return
    * @param lostS worth not served in the ten seconds from the event, in seconds of the level before
    * @param calls sent in those ten seconds, {@code again} of them for an RPC that had been sent
    *     before
@@ -68,29 +69,37 @@
     }
   }
 
-  private static final long LOOK_US =
-      10_000_000; // as long as the slowest start of a relay, and what it brings with it
+  private static final long WINDOW_MICROS =
+      10_000_000; // as long as the slowest start of a relay, and what follows from it
 
-  private record Sent(int method, long firstUs) {}
+  private record OpenCall(int method, long firstMicros) {}
 
-  private record Called(long us, boolean again) {}
+  private record SentCall(long micros, boolean retry) {}
+
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final double MICROS_PER_MS = 1000;
 
   private final List<Method> methods;
   private final ServedWeight service = new ServedWeight();
   private final Peaks peaks = new Peaks();
-  private final Map<String, Sent> open = new HashMap<>();
+  private final Map<String, OpenCall> openCalls = new HashMap<>();
   private final Map<String, Long> firstSent = new HashMap<>();
-  private final List<Called> calls = new ArrayList<>();
-  private final TreeMap<Long, String> events = new TreeMap<>();
+  private final List<SentCall> calls = new ArrayList<>();
+  private final TreeMap<Long, String> faults = new TreeMap<>();
 
+  /**
+   * A meter that has read nothing.
+   *
+   * @param methods in the order of their numbers in the traces
+   */
   public RecoveryMeter(List<Method> methods) {
     this.methods = List.copyOf(methods);
   }
 
-  /** The next line of a trace; lines of one place come in their order, places in any. */
+  /** Reads the next line of a trace; lines of one place come in order, places in any. */
   public void accept(Line line) {
-    if (line.isNote("TROUBLE") && befallsProcesses(line.text())) {
-      events.merge(line.us(), line.text(), (a, b) -> a + "; " + b);
+    if (line.isNote("TROUBLE") && concernsProcesses(line.text())) {
+      faults.merge(line.us(), line.text(), (a, b) -> a + "; " + b);
     }
     String place = line.place();
     if (place.startsWith("client-")) {
@@ -114,11 +123,8 @@
     }
   }
 
-  /**
-   * Whether a day's line ends processes or stops them: what else befalls a day has a report of its
-   * own.
-   */
-  private static boolean befallsProcesses(String words) {
+  /** Whether a fault ends processes or stops them: other faults are reported elsewhere. */
+  private static boolean concernsProcesses(String words) {
     boolean process =
         words.startsWith("relay")
             || words.startsWith("controller")
@@ -130,40 +136,43 @@
   private void sent(Line line) {
     Call call = line.head(Call.getDefaultInstance());
     String rpc = line.place() + " " + call.getToken(); // the same in each of its calls
-    boolean again = firstSent.putIfAbsent(rpc, line.us()) != null;
-    calls.add(new Called(line.us(), again));
-    open.put(line.place() + " " + call.getId(), new Sent(call.getMethod(), firstSent.get(rpc)));
+    boolean retry = firstSent.putIfAbsent(rpc, line.us()) != null;
+    calls.add(new SentCall(line.us(), retry));
+    openCalls.put(
+        line.place() + " " + call.getId(), new OpenCall(call.getMethod(), firstSent.get(rpc)));
   }
 
   private void answered(Line line) {
     Answer answer = line.head(Answer.getDefaultInstance());
-    Sent sent = open.remove(line.place() + " " + answer.getId());
-    if (sent == null || answer.getEnding() != Ending.OK) {
+    OpenCall call = openCalls.remove(line.place() + " " + answer.getId());
+    if (call == null || answer.getEnding() != Ending.OK) {
       return;
     }
-    Method method = methods.get(sent.method());
-    if (line.us() - sent.firstUs() <= method.latencyObjectiveMs() * 1000) {
+    Method method = methods.get(call.method());
+    if (line.us() - call.firstMicros() <= method.latencyObjectiveMs() * MICROS_PER_MS) {
       service.record(line.us(), method.weight());
     }
   }
 
-  /** One for each time at which something befell processes, in the day's order. */
+  /** One recovery for each time at which processes had a fault, in order of time. */
   public List<Recovery> recoveries() {
-    List<Recovery> found = new ArrayList<>();
-    events.forEach(
-        (us, words) -> {
-          List<Called> meanwhile =
-              calls.stream().filter(one -> one.us() >= us && one.us() < us + LOOK_US).toList();
-          found.add(
+    List<Recovery> recoveries = new ArrayList<>();
+    faults.forEach(
+        (micros, description) -> {
+          List<SentCall> callsInWindow =
+              calls.stream()
+                  .filter(call -> call.micros() >= micros && call.micros() < micros + WINDOW_MICROS)
+                  .toList();
+          recoveries.add(
               new Recovery(
-                  us,
-                  words,
-                  service.secondsToFullService(us),
-                  service.lostSeconds(us, LOOK_US / 1e6),
-                  meanwhile.size(),
-                  (int) meanwhile.stream().filter(Called::again).count(),
-                  peaks.between(us, us + LOOK_US)));
+                  micros,
+                  description,
+                  service.secondsToFullService(micros),
+                  service.lostSeconds(micros, WINDOW_MICROS / MICROS_PER_SECOND),
+                  callsInWindow.size(),
+                  (int) callsInWindow.stream().filter(SentCall::retry).count(),
+                  peaks.between(micros, micros + WINDOW_MICROS)));
         });
-    return found;
+    return recoveries;
   }
 }
