--- a/src/main/java/sprucerock/rehearsal/trace/Line.java
+++ b/src/main/java/sprucerock/rehearsal/trace/Line.java
@@ -69,10 +69,12 @@
     return found;
   }
 
+  /** Whether it is a frame of a kind that went one way: &gt; out, &lt; in. */
   public boolean is(char whichWay, Kind which) {
     return way == whichWay && kind.equals(which.name());
   }
 
+  /** Whether it is a note of a name. */
   public boolean isNote(String name) {
     return way == '!' && kind.equals(name);
   }
--- a/src/main/java/sprucerock/transport/http/ResponseParser.java
+++ b/src/main/java/sprucerock/transport/http/ResponseParser.java
@@ -109,7 +109,7 @@
           end(listener);
         }
       }
-      case LENGTH_BODY, CHUNK -> throw new AssertionError("bodies have no lines");
+      default -> throw new AssertionError("bodies have no lines");
     }
   }
 
--- a/src/main/java/sprucerock/transport/net/nio/NioDatagrams.java
+++ b/src/main/java/sprucerock/transport/net/nio/NioDatagrams.java
@@ -45,7 +45,7 @@
     while (channel.isOpen()) {
       try {
         buffer.clear();
-        InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
+        final InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
         if (waiting.get() >= MAX_WAITING) {
           continue;
         }
