--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -57,8 +57,8 @@
    * @param holder names this process among all that may lead; without spaces
    * @throws IOException if the folder can't be opened
    */
-  public static FileLeadership in(
-      Path folder, Engine.Clock clock, TimeSpan duration, String holder) throws IOException {
+  public static FileLeadership in(Path folder, Engine.Clock clock, TimeSpan duration, String holder)
+      throws IOException {
     return new FileLeadership(new FileStorage(folder), clock, duration, holder);
   }
 
--- a/src/main/java/sprucerock/controller/Leadership.java
+++ b/src/main/java/sprucerock/controller/Leadership.java
@@ -21,8 +21,8 @@
   /**
    * Renews it; false once it is lost, for good.
    *
-   * @throws IOException if what it is kept by can't be read or written; it is held as long as {@link
-   *     #isHeld} says
+   * @throws IOException if what it is kept by can't be read or written; it is held as long as
+   *     {@link #isHeld} says
    */
   boolean renew() throws IOException;
 
--- a/src/main/java/sprucerock/controller/MaintenanceCodec.java
+++ b/src/main/java/sprucerock/controller/MaintenanceCodec.java
@@ -1,36 +1,29 @@
 package sprucerock.controller;
 
+import java.util.TreeSet;
+import sprucerock.controller.maintenance.AnnounceResult;
+import sprucerock.controller.maintenance.MaintenanceRequest;
 import sprucerock.controller.maintenance.MaintenanceState;
 import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.v1.FamiliesWorth;
 import sprucerock.controller.v1.FreezeMemory;
+import sprucerock.controller.v1.FreezeWanted;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.OfFreeze;
 import sprucerock.hardware.HardwareModel;
 import sprucerock.hardware.LeastSquaresFit;
 
-/** Between freezes and what is kept of them on disk. */
+/** Between maintenance windows and their records in the log and its snapshots ("freezes" there). */
 final class MaintenanceCodec {
   private MaintenanceCodec() {}
 
-  /** What an input came to: numbers of freezes, an operator's refusal, or null. */
+  /** Applies a log entry: numbers of windows, why an operator's command was rejected, or null. */
   static Object apply(MaintenanceWindows core, Input input) {
     long now = core.advanceClock(input.getWallMs());
     switch (input.getWhatCase()) {
       case FREEZE -> {
-        var wanted = input.getFreeze();
-        return core.announce(
-            new java.util.TreeSet<>(wanted.getRacksList()),
-            wanted.getFromMs(),
-            wanted.getLastsMs(),
-            wanted.getSlackMs(),
-            wanted.getRule(),
-            wanted.getZone(),
-            wanted.getEmergency(),
-            wanted.getWho(),
-            wanted.getReason(),
-            now);
+        return announce(core, input.getFreeze(), now);
       }
       case FREEZE_WORD -> {
         var word = input.getFreezeWord();
@@ -57,6 +50,24 @@
     return null;
   }
 
+  private static Object announce(MaintenanceWindows core, FreezeWanted wanted, long now) {
+    MaintenanceRequest request =
+        new MaintenanceRequest(
+            new TreeSet<>(wanted.getRacksList()),
+            wanted.getFromMs(),
+            wanted.getLastsMs(),
+            wanted.getSlackMs(),
+            wanted.getRule(),
+            wanted.getZone(),
+            wanted.getEmergency(),
+            wanted.getWho(),
+            wanted.getReason());
+    AnnounceResult result = core.announce(request, now);
+    return result instanceof AnnounceResult.Announced announced
+        ? announced.numbers()
+        : ((AnnounceResult.Rejected) result).reason();
+  }
+
   /** Null where it can't be one. */
   private static HardwareModel model(FamiliesWorth said) {
     int families = said.getFamiliesCount();
--- /dev/null
+++ b/src/main/java/sprucerock/controller/maintenance/AnnounceResult.java
@@ -0,0 +1,17 @@
+package sprucerock.controller.maintenance;
+
+import java.util.List;
+
+/** What became of a {@link MaintenanceRequest}. */
+public sealed interface AnnounceResult {
+  /** It was taken in, under these numbers; whether each window fits, its state says. */
+  record Announced(List<Long> numbers) implements AnnounceResult {
+    /** Keeps a copy. */
+    public Announced {
+      numbers = List.copyOf(numbers);
+    }
+  }
+
+  /** It makes no sense or there are too many; nothing was changed. One line says why. */
+  record Rejected(String reason) implements AnnounceResult {}
+}
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -7,12 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import sprucerock.hardware.CapacityTranslator;
 
 /**
- * Whether what is left bears the load, zone by zone and hour by hour: racks that are up and not
- * frozen, counted in units of one family at the lower bound of what they surely stand for, against
- * the forecast with its reserve.
+ * Whether what is available bears the load, zone by zone and hour by hour: racks that are up and
+ * not in maintenance, counted in units of one family at the lower bound of what they surely stand
+ * for, against the forecast with its reserve.
  */
 public final class CapacityCheck {
   /**
@@ -24,13 +25,16 @@
    */
   public record Forecast(int family, int method, double[] byHour) {}
 
-  private static final long HOUR = 3_600_000;
+  private static final long HOUR_MS = 3_600_000;
+
+  /** What sums of units may be off by. */
+  private static final double ROUNDING = 1e-9;
 
   private final Map<String, Rack> racks = new TreeMap<>();
   private final Map<Integer, Forecast> byZone;
   private final double reserve;
   private CapacityTranslator translation; // null: only units of the forecast's own family count
-  private final Set<String> down = new java.util.TreeSet<>();
+  private final Set<String> down = new TreeSet<>();
   private double canaryShare;
 
   /** {@code reserve}: how much more than the forecast is to be there, as a share of it. */
@@ -42,11 +46,12 @@
     this.reserve = reserve;
   }
 
+  /** All racks, by name. */
   public Map<String, Rack> racks() {
     return racks;
   }
 
-  /** A newer model of what families are worth. */
+  /** A newer model of what families are equivalentUnits. */
   void translation(CapacityTranslator newer) {
     translation = newer;
   }
@@ -61,8 +66,8 @@
   }
 
   /**
-   * This share of all units serves a build on trial or is being moved by a change: it is not
-   * counted on.
+   * This share of all units serves a canary or is being moved by a deployment: it is not counted
+   * on.
    */
   void canaryShare(double share) {
     canaryShare = share;
@@ -73,44 +78,31 @@
   }
 
   /**
-   * What is short in some hour between two moments, in one line; null where nothing is. {@code
-   * away}: racks that are frozen meanwhile.
+   * What is short in some hour between two moments, in one line; null where nothing is.
+   *
+   * @param away racks that are in maintenance meanwhile
+   * @param from in milliseconds of the wall clock, as is {@code to}
    */
   String shortage(Set<String> away, long from, long to) {
     for (Map.Entry<Integer, Forecast> one : byZone.entrySet()) {
       Forecast needs = one.getValue();
-      double left = 0;
       List<String> unknown = new ArrayList<>();
-      for (Rack rack : racks.values()) {
-        if (rack.zone() != one.getKey()
-            || away.contains(rack.name())
-            || down.contains(rack.name())) {
-          continue;
-        }
-        for (Map.Entry<Integer, Double> endpoints : rack.endpoints().entrySet()) {
-          double worth = worth(needs, endpoints.getKey(), endpoints.getValue());
-          if (Double.isNaN(worth)) {
-            unknown.add(rack.name());
-          } else {
-            left += worth;
-          }
-        }
-      }
-      left *= 1 - canaryShare;
-      for (long hour = from - Math.floorMod(from, HOUR); hour < to; hour += HOUR) {
-        double wanted = needs.byHour()[(int) Math.floorMod(hour / HOUR, 24L)] * (1 + reserve);
-        if (left + 1e-9 < wanted) {
+      double available = available(one.getKey(), needs, away, unknown);
+      for (long hour = from - Math.floorMod(from, HOUR_MS); hour < to; hour += HOUR_MS) {
+        int hourOfDay = (int) Math.floorMod(hour / HOUR_MS, 24L);
+        double required = needs.byHour()[hourOfDay] * (1 + reserve);
+        if (available + ROUNDING < required) {
           return String.format(
               Locale.ROOT,
               "zone %d at %02d:00 UTC needs %.1f units of family %d with its reserve, %.1f would be left%s",
               one.getKey(),
-              Math.floorMod(hour / HOUR, 24L),
-              wanted,
+              hourOfDay,
+              required,
               needs.family(),
-              left,
+              available,
               unknown.isEmpty() ? "" : "; not counted as not known well enough: " + unknown);
         }
-        if (hour - from > 24 * HOUR) {
+        if (hour - from > 24 * HOUR_MS) {
           break; // each hour of the day was looked at
         }
       }
@@ -118,7 +110,31 @@
     return null;
   }
 
-  private double worth(Forecast needs, int family, double endpoints) {
+  /**
+   * Units of the forecast's family that a zone's racks stand for without those that are away or
+   * down.
+   *
+   * @param unknown gets the racks with units that are not known well enough to be counted
+   */
+  private double available(int zone, Forecast needs, Set<String> away, List<String> unknown) {
+    double available = 0;
+    for (Rack rack : racks.values()) {
+      if (rack.zone() != zone || away.contains(rack.name()) || down.contains(rack.name())) {
+        continue;
+      }
+      for (Map.Entry<Integer, Double> endpoints : rack.endpoints().entrySet()) {
+        double units = equivalentUnits(needs, endpoints.getKey(), endpoints.getValue());
+        if (Double.isNaN(units)) {
+          unknown.add(rack.name());
+        } else {
+          available += units;
+        }
+      }
+    }
+    return available * (1 - canaryShare);
+  }
+
+  private double equivalentUnits(Forecast needs, int family, double endpoints) {
     if (family == needs.family()) {
       return endpoints;
     }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
@@ -2,7 +2,16 @@
 
 import java.util.List;
 
-/** All that freezes are, for whoever keeps it: out of them, and into empty ones. */
+/**
+ * All that is stored of maintenance windows, for whoever writes it: captured from them, and
+ * restored into ones without windows.
+ *
+ * @param sequence the last step's
+ * @param numbers the last window's number
+ * @param down racks that are down
+ * @param onTrial the share of units that serve a canary
+ * @param nowMs the latest time that was seen, in milliseconds of the wall clock
+ */
 public record MaintenanceState(
     long sequence,
     long numbers,
@@ -10,7 +19,7 @@
     double onTrial,
     long nowMs,
     List<Window> windows) {
-  /** A freeze. */
+  /** One window, as {@link MaintenanceWindow} has it. */
   public record Window(
       long number,
       List<String> racks,
@@ -24,61 +33,32 @@
       MaintenanceWindow.State state,
       long boundSince,
       List<String> forcedBy,
-      List<MaintenanceWindow.Step> steps) {}
+      List<MaintenanceWindow.Step> steps) {
+    static Window of(MaintenanceWindow window) {
+      return new Window(
+          window.number,
+          List.copyOf(window.racks),
+          window.from(),
+          window.to(),
+          window.slackMs,
+          window.emergency,
+          window.series,
+          window.operator,
+          window.reason,
+          window.state(),
+          window.boundSince(),
+          List.copyOf(window.forcedBy()),
+          List.copyOf(window.steps()));
+    }
+  }
 
-  public static MaintenanceState capture(MaintenanceWindows core) {
-    return new MaintenanceState(
-        core.sequence,
-        core.numbers,
-        List.copyOf(core.capacity().down()),
-        core.capacity().canaryShare(),
-        core.nowMs,
-        core.windows.values().stream()
-            .map(
-                one ->
-                    new Window(
-                        one.number,
-                        List.copyOf(one.racks),
-                        one.from,
-                        one.to,
-                        one.slackMs,
-                        one.emergency,
-                        one.series,
-                        one.operator,
-                        one.reason,
-                        one.state,
-                        one.boundSince,
-                        List.copyOf(one.forcedBy),
-                        List.copyOf(one.steps())))
-            .toList());
+  /** The state as it is now. */
+  public static MaintenanceState capture(MaintenanceWindows windows) {
+    return windows.capture();
   }
 
-  /** Racks that the configuration no longer has stay in their freezes, and bind nobody. */
-  public void restore(MaintenanceWindows core) {
-    core.sequence = sequence;
-    core.numbers = numbers;
-    core.nowMs = nowMs;
-    core.capacity().canaryShare(onTrial);
-    for (String rack : down) {
-      core.capacity().down(rack, true);
-    }
-    for (Window one : windows) {
-      MaintenanceWindow freeze =
-          new MaintenanceWindow(
-              one.number,
-              new java.util.TreeSet<>(one.racks),
-              one.from,
-              one.to,
-              one.slackMs,
-              one.emergency,
-              one.series,
-              one.who,
-              one.why);
-      freeze.state = one.state;
-      freeze.boundSince = one.boundSince;
-      freeze.forcedBy.addAll(one.forcedBy);
-      one.steps.forEach(freeze::add);
-      core.known(freeze);
-    }
+  /** Restores it. Racks that the configuration no longer has stay in their windows. */
+  public void restore(MaintenanceWindows windows) {
+    windows.restore(this);
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -7,21 +7,22 @@
 import java.util.TreeSet;
 
 /**
- * One window in which nothing may be placed on some racks, with every step and its cause. Times are
- * the wall's, in milliseconds.
+ * One window in which nothing may be placed on some racks, with its steps and their causes. Times
+ * are the wall clock's, in milliseconds. Changed by {@link MaintenanceWindows} alone, which takes
+ * it out of its {@link WindowIndex} meanwhile.
  */
 public final class MaintenanceWindow {
-  /** Where a freeze stands. */
+  /** Where a window stands. The names are stored and shown. */
   public enum State {
     ANNOUNCED,
-    /** There is room without its racks; relays learn of it with their next promise. */
+    /** There is capacity without its racks; relays learn of it with their next grant. */
     ACCEPTED,
     /**
-     * It was accepted, and there is no room any more: not begun until there is, or two operators
-     * force it.
+     * It was accepted, and there is no capacity any more: not begun until there is, or two
+     * operators force it.
      */
     HELD,
-    /** Its time has come; some relay may still hold a promise that its racks are free. */
+    /** Its time has come; some relay may still hold a grant to place on its racks. */
     DRAINING,
     /** No relay may place anything there. */
     IN_FORCE,
@@ -36,23 +37,24 @@
       return this != ENDED && this != REFUSED && this != CALLED_OFF;
     }
 
-    /** Its racks are promised to nobody beyond its beginning. */
+    /** Its racks are granted to nobody beyond its beginning. */
     public boolean isBinding() {
       return this == ACCEPTED || this == DRAINING || this == IN_FORCE;
     }
   }
 
-  /** A transition, or a word. */
+  /** A transition, or an operator's command, with its cause. */
   public record Step(long sequence, long wallMs, State state, String cause) {}
 
-  static final int MOST_STEPS = 100;
+  /** Steps that are kept of a window. */
+  static final int MAX_STEPS = 100;
 
   public final long number;
   public final Set<String> racks;
   public final String operator;
   public final String reason;
 
-  /** It does not wait for room, and begins at once. */
+  /** It does not wait for capacity, and begins at once. */
   public final boolean emergency;
 
   /** How much later than wanted it may begin. */
@@ -61,30 +63,14 @@
   /** From which it came, where windows come again; 0: from none. */
   public final long series;
 
-  long from;
-  long to;
-  State state = State.ANNOUNCED;
-
-  /** Since when no new promise reaches into it: those given before run out by themselves. */
-  long boundSince;
-
-  /**
-   * The step by which it last bound: who holds a promise of an earlier state may hold one into it.
-   */
-  long boundBy;
-
-  /**
-   * When time alone makes its next step; kept by {@link MaintenanceWindows}, which finds it by
-   * that.
-   */
-  long dueMs = Long.MAX_VALUE;
-
-  /** The longest of its racks', once it was asked for; below 0: not yet. */
-  long noticeMs = -1;
-
-  /** Who has said that it is to begin although there is no room. */
-  final TreeSet<String> forcedBy = new TreeSet<>();
-
+  private long from;
+  private long to;
+  private State state = State.ANNOUNCED;
+  private long boundSince;
+  private long boundBy;
+  private long nextTransitionMs = Long.MAX_VALUE;
+  private long noticeMs;
+  private final TreeSet<String> forcedBy = new TreeSet<>();
   private final List<Step> steps = new ArrayList<>();
 
   MaintenanceWindow(
@@ -108,39 +94,117 @@
     this.reason = why;
   }
 
+  /** One that is known from a former incarnation of the controller, with all its steps. */
+  static MaintenanceWindow restored(MaintenanceState.Window stored) {
+    MaintenanceWindow window =
+        new MaintenanceWindow(
+            stored.number(),
+            new TreeSet<>(stored.racks()),
+            stored.from(),
+            stored.to(),
+            stored.slackMs(),
+            stored.emergency(),
+            stored.series(),
+            stored.who(),
+            stored.why());
+    window.state = stored.state();
+    window.boundSince = stored.boundSince();
+    window.forcedBy.addAll(stored.forcedBy());
+    stored.steps().forEach(window::add);
+    return window;
+  }
+
   void add(Step step) {
     if (step.state() == State.ACCEPTED) {
-      boundBy =
-          step.sequence(); // kept apart: that step may be dropped below, and the freeze would bind
-      // nobody
+      // kept apart: that step may be dropped below, and the window would bind nobody
+      boundBy = step.sequence();
     }
-    if (steps.size() >= MOST_STEPS) {
+    if (steps.size() >= MAX_STEPS) {
       steps.remove(1); // the first one says who wanted it
     }
     steps.add(step);
   }
 
+  /** From now on no new grant reaches into it. */
+  void bind(long nowMs) {
+    boundSince = nowMs;
+  }
+
+  void state(State next) {
+    state = next;
+  }
+
+  /** Begins and ends so much later. */
+  void delay(long byMs) {
+    from += byMs;
+    to += byMs;
+  }
+
+  void endAt(long toMs) {
+    to = toMs;
+  }
+
+  /** An operator said that it is to begin although there is no capacity; how many have by now. */
+  int approve(String who) {
+    forcedBy.add(who);
+    return forcedBy.size();
+  }
+
+  void nextTransitionMs(long dueMs) {
+    nextTransitionMs = dueMs;
+  }
+
+  void noticeMs(long longestMs) {
+    noticeMs = longestMs;
+  }
+
+  /** When it begins, in milliseconds of the wall clock. */
   public long from() {
     return from;
   }
 
+  /** When it ends, in milliseconds of the wall clock. */
   public long to() {
     return to;
   }
 
+  /** Where it stands. */
   public State state() {
     return state;
   }
 
+  /** The last steps, the oldest first; the very first one is always among them. */
   public List<Step> steps() {
     return Collections.unmodifiableList(steps);
   }
 
+  /** Operators who said that it is to begin although there is no capacity. */
   public Set<String> forcedBy() {
     return Collections.unmodifiableSet(forcedBy);
   }
 
-  boolean overlaps(long start, long end) {
-    return from < end && start < to;
+  /** Since when no new grant reaches into it: those given before expire by themselves. */
+  long boundSince() {
+    return boundSince;
+  }
+
+  /** The step by which it last bound: a grant of an earlier state may reach into it. */
+  long boundBy() {
+    return boundBy;
+  }
+
+  /** When time alone makes its next transition; kept by {@link WindowIndex}, which finds it so. */
+  long nextTransitionMs() {
+    return nextTransitionMs;
+  }
+
+  /** The longest notice of its racks. */
+  long noticeMs() {
+    return noticeMs;
+  }
+
+  /** From when on no grant that was ever given can reach into it. */
+  long grantsEndMs() {
+    return Math.max(from, boundSince + noticeMs);
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
+++ b/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
@@ -11,100 +11,104 @@
 import java.util.TreeSet;
 
 /**
- * What one controller's life has promised to which relay, and which relays still hold a promise
- * into a freeze. Not kept on disk: what a former life promised runs out within a notice, and until
- * then nobody is said to have given everything back.
+ * What one incarnation of the controller has granted to which relay, and which relays still hold a
+ * grant into a window. Not kept on disk: what a former incarnation granted expires within a notice,
+ * and until then nobody is said to have given everything back. Not thread-safe.
  *
- * <p>An ask is what comes most often, so it looks at no other relay: who asked last stands last in
- * one line, from whose front those go whose promises have run out, and those of one state stand
- * together, the last one to ask first. There are as many states as there were steps within a
+ * <p>A request is what comes most often, so it looks at no other relay: grants stand in the order
+ * of their requests, from whose front those go that have expired, and those of one sequence stand
+ * together, the last one to ask first. There are as many sequences as there were steps within a
  * notice.
  */
 public final class PlacementGrants {
-  private record Held(int relay, long sequence, long since) {}
+  private record Grant(int relay, long sequence, long grantedMs) {}
 
-  private static final Comparator<Held> BY_TIME =
-      Comparator.comparingLong(Held::since).thenComparingInt(Held::relay);
+  private static final Comparator<Grant> BY_TIME =
+      Comparator.comparingLong(Grant::grantedMs).thenComparingInt(Grant::relay);
 
-  /** In the order of their asks. A relay is forgotten once all that it was promised has run out. */
-  private final LinkedHashMap<Integer, Held> held = new LinkedHashMap<>();
+  /**
+   * In the order of their requests. A relay is forgotten once all that it was granted has expired.
+   */
+  private final LinkedHashMap<Integer, Grant> grants = new LinkedHashMap<>();
 
-  private final TreeMap<Long, TreeSet<Held>> byState = new TreeMap<>();
+  private final TreeMap<Long, TreeSet<Grant>> bySequence = new TreeMap<>();
   private final MaintenanceWindows windows;
   private final long startedMs;
   private long entriesExamined;
 
-  /** {@code nowMs}: when this life began to promise. */
-  public PlacementGrants(MaintenanceWindows freezes, long nowMs) {
-    this.windows = freezes;
+  /** {@code nowMs}: when this incarnation began to grant. */
+  public PlacementGrants(MaintenanceWindows windows, long nowMs) {
+    this.windows = windows;
     startedMs = nowMs;
   }
 
   /**
-   * A relay asks, and is promised anew: what it holds is of that state, or of none (0), and of no
+   * A relay asks, and is granted anew: what it holds is of that sequence, or of none (0), and of no
    * earlier one. {@code nowMs} never goes back.
    */
-  public void request(int relay, long holds, long nowMs) {
-    Held before = held.remove(relay);
+  public void request(int relay, long heldSequence, long nowMs) {
+    Grant before = grants.remove(relay);
     if (before != null) {
-      leave(before);
+      removeFromSequence(before);
     }
-    // an ask that was long on its way does not take back what a later one said; what it will be
+    // a request that was long on its way does not take back what a later one said; what it will be
     // told now, it may never hear
-    Held now = new Held(relay, before == null ? holds : Math.max(holds, before.sequence), nowMs);
-    held.put(relay, now);
-    byState.computeIfAbsent(now.sequence, any -> new TreeSet<>(BY_TIME)).add(now);
-    for (Iterator<Held> oldest = held.values().iterator(); oldest.hasNext(); ) {
+    Grant now =
+        new Grant(
+            relay, before == null ? heldSequence : Math.max(heldSequence, before.sequence), nowMs);
+    grants.put(relay, now);
+    bySequence.computeIfAbsent(now.sequence, any -> new TreeSet<>(BY_TIME)).add(now);
+    for (Iterator<Grant> oldest = grants.values().iterator(); oldest.hasNext(); ) {
       entriesExamined++;
-      Held one = oldest.next();
-      if (nowMs - one.since <= windows.longestMs()) {
+      Grant one = oldest.next();
+      if (nowMs - one.grantedMs <= windows.index().longestNoticeMs()) {
         break;
       }
       oldest.remove();
-      leave(one);
+      removeFromSequence(one);
     }
   }
 
-  private void leave(Held one) {
-    TreeSet<Held> same = byState.get(one.sequence);
+  private void removeFromSequence(Grant one) {
+    TreeSet<Grant> same = bySequence.get(one.sequence);
     same.remove(one);
     if (same.isEmpty()) {
-      byState.remove(one.sequence);
+      bySequence.remove(one.sequence);
     }
   }
 
   /**
-   * For how long from now on nothing will be frozen on a rack, in milliseconds; 0: it is frozen or
-   * draining.
+   * For how long from now on a relay may place work on a rack, in milliseconds; 0: it is in a
+   * window, or draining for one.
    */
   public long grantedForMs(String rack, long nowMs) {
-    return windows.freeForMs(rack, nowMs);
+    return windows.index().freeForMs(rack, nowMs);
   }
 
   /**
-   * The racks that are promised for less than their notice, by their names, in milliseconds: all
+   * The racks that are granted for less than their notice, by their names, in milliseconds; all
    * others are for just that.
    */
   public Map<String, Long> shortened(long nowMs) {
-    return windows.freeForLessThanNotice(nowMs);
+    return windows.index().freeForLessThanNotice(nowMs);
   }
 
   /**
-   * Relays that may still hold a promise into it, by their numbers; -1: such as are not known,
-   * because this life began since.
+   * Relays that may still hold a grant into it, by their numbers; -1: such as are not known,
+   * because this incarnation began since.
    */
-  public Set<Integer> outstanding(MaintenanceWindow freeze, long nowMs) {
+  public Set<Integer> outstanding(MaintenanceWindow window, long nowMs) {
     Set<Integer> out = new TreeSet<>();
-    if (nowMs >= windows.grantsEndMs(freeze)) {
+    if (nowMs >= window.grantsEndMs()) {
       return out;
     }
-    if (nowMs < startedMs + windows.noticeMs(freeze)) {
+    if (nowMs < startedMs + window.noticeMs()) {
       out.add(-1);
     }
-    for (TreeSet<Held> same : byState.headMap(freeze.boundBy).values()) {
-      for (Held one : same.descendingSet()) {
+    for (TreeSet<Grant> same : bySequence.headMap(window.boundBy()).values()) {
+      for (Grant one : same.descendingSet()) {
         entriesExamined++;
-        if (nowMs >= one.since + windows.noticeMs(freeze)) {
+        if (nowMs >= one.grantedMs + window.noticeMs()) {
           break;
         }
         out.add(one.relay);
@@ -113,17 +117,17 @@
     return out;
   }
 
-  /** The same as whether {@link #out} finds none, by the last of each state. */
-  private boolean nobodyOut(MaintenanceWindow freeze, long nowMs) {
-    if (nowMs >= windows.grantsEndMs(freeze)) {
+  /** The same as whether {@link #outstanding} finds none, by the last of each state. */
+  private boolean allReturned(MaintenanceWindow window, long nowMs) {
+    if (nowMs >= window.grantsEndMs()) {
       return true;
     }
-    if (nowMs < startedMs + windows.noticeMs(freeze)) {
+    if (nowMs < startedMs + window.noticeMs()) {
       return false;
     }
-    for (Map.Entry<Long, TreeSet<Held>> same : byState.headMap(freeze.boundBy).entrySet()) {
+    for (Map.Entry<Long, TreeSet<Grant>> same : bySequence.headMap(window.boundBy()).entrySet()) {
       entriesExamined++;
-      if (nowMs < same.getValue().last().since + windows.noticeMs(freeze)) {
+      if (nowMs < same.getValue().last().grantedMs + window.noticeMs()) {
         return false;
       }
     }
@@ -131,21 +135,21 @@
   }
 
   /**
-   * Freezes whose time has come and into which nobody holds a promise any more: to be recorded as
-   * {@link MaintenanceWindows#cleared}.
+   * Windows whose time has come and into which nobody holds a grant any more: to be recorded as
+   * {@link MaintenanceWindows#grantsReturned}.
    */
   public List<Long> returned(long nowMs) {
     List<Long> found = new ArrayList<>();
-    for (MaintenanceWindow one : windows.draining()) {
+    for (MaintenanceWindow one : windows.index().draining()) {
       entriesExamined++;
-      if (nobodyOut(one, nowMs)) {
+      if (allReturned(one, nowMs)) {
         found.add(one.number);
       }
     }
     return found;
   }
 
-  /** Entries that were looked at so far: what tests of its growth count. */
+  /** Entries that were examined so far: what tests of its growth count. */
   public long entriesExamined() {
     return entriesExamined;
   }
--- a/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
+++ b/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
@@ -17,15 +17,20 @@
  * begins when clocks have gone forward.
  */
 public final class RecurrenceExpander {
-  /** As far as they are looked ahead, and how many at most. */
+  /** How far ahead windows are expanded. */
   public static final long HORIZON_MS = 14L * 24 * 3_600_000;
 
+  /** Occurrences that are expanded at most. */
   public static final int MAX_OCCURRENCES = 50;
 
   private RecurrenceExpander() {}
 
   /**
-   * Beginnings from one moment on, within the horizon; {@code first} is the first of all.
+   * The starts of all occurrences from now on, within the horizon, in milliseconds of the wall clock.
+   *
+   * @param firstMs the start of the first of all, which may be past
+   * @param rule of RFC 5545; empty: it occurs once
+   * @param zone the time zone in which the rule counts
    *
    * @throws IllegalArgumentException if the rule or the zone is none; the message says what is
    *     allowed
@@ -39,8 +44,8 @@
       return found;
     }
     try {
-      TimeZone named =
-          TimeZone.getTimeZone(ZoneId.of(zone)); // which refuses what TimeZone takes for UTC
+      // ZoneId rejects names that TimeZone takes for UTC
+      TimeZone named = TimeZone.getTimeZone(ZoneId.of(zone));
       RecurrenceRuleIterator each = new RecurrenceRule(rule).iterator(new DateTime(named, firstMs));
       each.fastForward(nowMs);
       while (each.hasNext() && found.size() < MAX_OCCURRENCES) {
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 
 /**
- * In simulated time: racks are frozen while relays are cut off from the controller for seconds to
- * many minutes and it is restarted. Promises beside two ways without them. {@code MaintenanceStudy
- * [freezes a size]}. A relay places one job a second on each of ten racks.
+ * In simulated time: racks are inMaintenance while relays are cut off from the controller for
+ * seconds to many minutes and it is restarted. Promises beside two ways without them. {@code
+ * MaintenanceStudy [windows a size]}. A relay places one job a playSecond on each of ten racks.
  */
 public final class MaintenanceStudy {
   private static final long SECOND = 1000;
@@ -20,23 +20,23 @@
   private static final long LONGEST_JOB = 5 * SECOND;
   private static final int RACKS = 10;
 
-  private enum Way {
+  private enum Strategy {
     PROMISES,
     NO_LOOK_AHEAD,
     BROADCAST,
     STOP_AT_DOUBT
   }
 
-  /** One relay, as each way would have it. */
+  /** One relay, as each strategy would have it. */
   private static final class Relay {
-    private long cutUntil;
+    private long disconnectedUntilMs;
     private long holds;
-    private long heardAt;
+    private long heardMs;
     private final long[] until = new long[RACKS];
-    private final boolean[] toldFrozen = new boolean[RACKS];
+    private final boolean[] notifiedOfWindow = new boolean[RACKS];
   }
 
-  private static final class Tally {
+  private static final class Outcome {
     private double onFrozen;
     private double ranInto;
     private double lost;
@@ -44,12 +44,12 @@
 
   private final SplittableRandom random;
   private final Relay[] relays;
-  private final MaintenanceWindows freezes;
-  private PlacementGrants promises;
-  private final Map<Way, Tally> tallies = new java.util.EnumMap<>(Way.class);
-  private final List<Double> shortNotice = new ArrayList<>();
-  private final List<Double> late = new ArrayList<>();
-  private long asks;
+  private final MaintenanceWindows windows;
+  private PlacementGrants grants;
+  private final Map<Strategy, Outcome> outcomes = new java.util.EnumMap<>(Strategy.class);
+  private final List<Double> delaysAfterAnnouncement = new ArrayList<>();
+  private final List<Double> delaysAfterStart = new ArrayList<>();
+  private long requests;
   private double relaySeconds;
 
   private MaintenanceStudy(int size, long seed) {
@@ -62,24 +62,24 @@
     for (int i = 0; i < RACKS; i++) {
       racks.add(new Rack("r" + i, 1, i, Map.of(0, 10.0), NOTICE));
     }
-    freezes =
+    windows =
         new MaintenanceWindows(
             new MaintenanceWindows.Rules(0, MINUTE, 0.95),
             new CapacityCheck(racks, Map.of(), 0),
             new MaintenanceWindows.Listener() {
               @Override
-              public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
+              public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {
                 // read below
               }
 
               @Override
               public void grantsChanged() {
-                // relays ask within a second anyway
+                // relays ask within a playSecond anyway
               }
             });
-    promises = new PlacementGrants(freezes, -NOTICE);
-    for (Way way : Way.values()) {
-      tallies.put(way, new Tally());
+    grants = new PlacementGrants(windows, -NOTICE);
+    for (Strategy strategy : Strategy.values()) {
+      outcomes.put(strategy, new Outcome());
     }
   }
 
@@ -89,58 +89,61 @@
       String rack = "r" + random.nextInt(RACKS);
       long ahead = random.nextInt(3) == 0 ? 30 * SECOND : 15 * MINUTE;
       long announced = now;
-      Object made =
-          freezes.announce(
-              Set.of(rack), now + ahead, 5 * MINUTE, 0, "", "UTC", false, "ann", "x", now);
-      MaintenanceWindow freeze = freezes.find((Long) ((List<?>) made).get(0));
+      AnnounceResult made =
+          windows.announce(
+              new MaintenanceRequest(
+                  Set.of(rack), now + ahead, 5 * MINUTE, 0, "", "UTC", false, "ann", "x"),
+              now);
+      MaintenanceWindow window = windows.find(((AnnounceResult.Announced) made).numbers().get(0));
       long inForce = -1;
-      for (long end = freeze.to() + MINUTE; now < end; now += SECOND) {
-        second(now);
-        if (inForce < 0 && freeze.state() == MaintenanceWindow.State.IN_FORCE) {
+      for (long end = window.to() + MINUTE; now < end; now += SECOND) {
+        playSecond(now);
+        if (inForce < 0 && window.state() == MaintenanceWindow.State.IN_FORCE) {
           inForce = now;
           if (ahead < NOTICE) {
-            shortNotice.add((now - announced) / 1000.0);
+            delaysAfterAnnouncement.add((now - announced) / 1000.0);
           } else {
-            late.add((now - freeze.from()) / 1000.0);
+            delaysAfterStart.add((now - window.from()) / 1000.0);
           }
         }
       }
     }
   }
 
-  private void second(long now) {
+  private void playSecond(long now) {
     if (random.nextInt(1800) == 0) {
-      promises = new PlacementGrants(freezes, now);
+      grants = new PlacementGrants(windows, now);
     }
     for (int i = 0; i < relays.length; i++) {
       Relay relay = relays[i];
       // each relay is cut off once in two hours, for two seconds to half an hour
-      if (relay.cutUntil <= now && random.nextInt(7200) == 0) {
-        relay.cutUntil = now + (long) (2 * SECOND * Math.exp(random.nextDouble() * Math.log(900)));
+      if (relay.disconnectedUntilMs <= now && random.nextInt(7200) == 0) {
+        relay.disconnectedUntilMs =
+            now + (long) (2 * SECOND * Math.exp(random.nextDouble() * Math.log(900)));
       }
-      if (relay.cutUntil > now) {
+      if (relay.disconnectedUntilMs > now) {
         continue;
       }
-      promises.request(i, relay.holds, now);
-      asks++;
-      relay.holds = freezes.sequence();
-      relay.heardAt = now;
+      grants.request(i, relay.holds, now);
+      requests++;
+      relay.holds = windows.sequence();
+      relay.heardMs = now;
       for (int r = 0; r < RACKS; r++) {
-        relay.until[r] = now + (long) (promises.grantedForMs("r" + r, now) * 0.98);
-        relay.toldFrozen[r] = frozen("r" + r, now + SECOND);
+        relay.until[r] = now + (long) (grants.grantedForMs("r" + r, now) * 0.98);
+        relay.notifiedOfWindow[r] = inMaintenance("r" + r, now + SECOND);
       }
     }
-    for (long number : promises.returned(now)) {
-      freezes.grantsReturned(number, now);
+    for (long number : grants.returned(now)) {
+      windows.grantsReturned(number, now);
     }
-    freezes.tick(now);
+    windows.tick(now);
     for (Relay relay : relays) {
       relaySeconds++;
       for (int r = 0; r < RACKS; r++) {
         boolean inForce = false;
         boolean wanted = false;
         long from = Long.MAX_VALUE;
-        for (MaintenanceWindow one : freezes.all()) {
+        for (MaintenanceWindow one : windows.all()) {
           if (!one.racks.contains("r" + r)) {
             continue;
           }
@@ -150,13 +153,23 @@
             from = Math.min(from, one.from());
           }
         }
-        place(Way.PROMISES, now + LONGEST_JOB <= relay.until[r], inForce, wanted, false);
-        place(Way.NO_LOOK_AHEAD, now < relay.until[r], inForce, wanted, from - now < LONGEST_JOB);
+        place(Strategy.PROMISES, now + LONGEST_JOB <= relay.until[r], inForce, wanted, false);
+        place(
+            Strategy.NO_LOOK_AHEAD,
+            now < relay.until[r],
+            inForce,
+            wanted,
+            from - now < LONGEST_JOB);
         // the fleet takes the rack at its time, whoever was told
-        place(Way.BROADCAST, !relay.toldFrozen[r], wanted, wanted, from - now < LONGEST_JOB);
         place(
-            Way.STOP_AT_DOUBT,
-            !relay.toldFrozen[r] && now - relay.heardAt < 3 * SECOND,
+            Strategy.BROADCAST,
+            !relay.notifiedOfWindow[r],
+            wanted,
+            wanted,
+            from - now < LONGEST_JOB);
+        place(
+            Strategy.STOP_AT_DOUBT,
+            !relay.notifiedOfWindow[r] && now - relay.heardMs < 3 * SECOND,
             wanted,
             wanted,
             from - now < LONGEST_JOB);
@@ -164,21 +177,22 @@
     }
   }
 
-  private boolean frozen(String rack, long now) {
-    return freezes.all().stream()
+  private boolean inMaintenance(String rack, long now) {
+    return windows.all().stream()
         .anyMatch(one -> one.racks.contains(rack) && now >= one.from() && now < one.to());
   }
 
-  private void place(Way way, boolean places, boolean frozen, boolean wanted, boolean runsInto) {
-    Tally tally = tallies.get(way);
-    if (places && frozen) {
-      tally.onFrozen++;
+  private void place(
+      Strategy strategy, boolean places, boolean inMaintenance, boolean wanted, boolean runsInto) {
+    Outcome outcome = outcomes.get(strategy);
+    if (places && inMaintenance) {
+      outcome.onFrozen++;
     }
     if (places && runsInto) {
-      tally.ranInto += 0.5; // a job of half the longest, in the mean
+      outcome.ranInto += 0.5; // a job of half the longest, in the mean
     }
     if (!places && !wanted) {
-      tally.lost++;
+      outcome.lost++;
     }
   }
 
@@ -195,20 +209,20 @@
                   Locale.ROOT,
                   "%5d relays, %d freezes: in force after its time (announced 15 min ahead) %s; after the announcement (30 s ahead) %s; %.2f asks a relay and second",
                   size,
-                  study.freezes.all().size(),
-                  spread(study.late),
-                  spread(study.shortNotice),
-                  study.asks / study.relaySeconds));
+                  study.windows.all().size(),
+                  spread(study.delaysAfterStart),
+                  spread(study.delaysAfterAnnouncement),
+                  study.requests / study.relaySeconds));
       System.out.println(line);
-      study.tallies.forEach(
-          (way, tally) ->
+      study.outcomes.forEach(
+          (strategy, outcome) ->
               System.out.printf(
                   Locale.ROOT,
                   "    %-14s jobs on frozen racks %.0f, running into a window %.0f, not placed where they might be %.3f%%%n",
-                  way.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                  tally.onFrozen,
-                  tally.ranInto,
-                  100 * tally.lost / study.relaySeconds / RACKS));
+                  strategy.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                  outcome.onFrozen,
+                  outcome.ranInto,
+                  100 * outcome.lost / study.relaySeconds / RACKS));
     }
   }
 
--- a/src/test/java/sprucerock/scale/FreezeScaleTest.java
+++ b/src/test/java/sprucerock/scale/FreezeScaleTest.java
@@ -8,7 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.testng.annotations.Test;
+import sprucerock.controller.maintenance.AnnounceResult;
 import sprucerock.controller.maintenance.CapacityCheck;
+import sprucerock.controller.maintenance.MaintenanceRequest;
 import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.maintenance.PlacementGrants;
@@ -64,9 +66,12 @@
   }
 
   private MaintenanceWindow announce(String rack, long from, long now) {
-    Object made =
-        freezes.announce(Set.of(rack), from, MIN, 0, "", "UTC", false, "ann", "new switch", now);
-    return freezes.find((Long) ((List<?>) made).get(0));
+    AnnounceResult made =
+        freezes.announce(
+            new MaintenanceRequest(
+                Set.of(rack), from, MIN, 0, "", "UTC", false, "ann", "new switch"),
+            now);
+    return freezes.find(((AnnounceResult.Announced) made).numbers().get(0));
   }
 
   private long looked() {
