--- a/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
+++ b/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
@@ -26,12 +26,12 @@
   private RecurrenceExpander() {}
 
   /**
-   * The starts of all occurrences from now on, within the horizon, in milliseconds of the wall clock.
+   * The starts of all occurrences from now on, within the horizon, in milliseconds of the wall
+   * clock.
    *
    * @param firstMs the start of the first of all, which may be past
    * @param rule of RFC 5545; empty: it occurs once
    * @param zone the time zone in which the rule counts
-   *
    * @throws IllegalArgumentException if the rule or the zone is none; the message says what is
    *     allowed
    */
--- a/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
+++ b/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
@@ -9,113 +9,128 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Which unit is to be looked at next by the one relay that looks for the whole fleet, and what
- * changed by it. A look asks a unit's process for a sign and runs no work, so that it costs a cold
- * unit nothing of its budget. What a unit that is called by somebody is worth, its callers know
- * better; it is looked at seldom. Nothing here outlives its holder: the next one begins anew, at
- * chance places.
+ * Which endpoint the one relay that checks for the whole fleet checks next, and what changed by it.
+ * A check asks an endpoint's process for a sign of life and runs no work, so that it costs an
+ * endpoint that is warming up nothing. The health of an endpoint that gets requests its callers
+ * know better; it is checked seldom. The schedule is lost with its holder: the next one begins
+ * anew, at random places. Not thread-safe.
  */
 public final class HealthCheckScheduler {
-  private static final TimeSpan BUSY =
-      TimeSpan.ofMs(2000); // called within this: those who call see for themselves
-  private static final TimeSpan SELDOM = TimeSpan.ofMs(10_000);
-  private static final TimeSpan QUIET =
-      TimeSpan.ofMs(2000); // about as long as silence of a link takes to be noticed
-  private static final TimeSpan AGAIN =
-      TimeSpan.ofMs(1000); // the module gives a sick unit one look a second by itself
-
-  private static final class Known {
+  /** Called within this: those who call see for themselves. */
+  private static final TimeSpan BUSY_IF_CALLED_WITHIN = TimeSpan.ofMs(2000);
+
+  private static final TimeSpan BUSY_INTERVAL = TimeSpan.ofMs(10_000);
+
+  /** About as long as the silence of a connection takes to be noticed. */
+  private static final TimeSpan IDLE_INTERVAL = TimeSpan.ofMs(2000);
+
+  /** The routing policy gives a failing endpoint one check a second by itself. */
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(1000);
+
+  /** Intervals are drawn from 0.75 to under 1.25 of themselves. */
+  private static final double JITTER_FLOOR = 0.75;
+
+  private static final double JITTER_WIDTH = 0.5;
+
+  private static final class Entry {
     private final long endpoint;
-    private Timestamp due; // changed by due(...) alone, as the order hangs on it
-    private Boolean answered; // null: not looked at yet
+    private Timestamp due; // changed by schedule(...) alone, as the order depends on it
+    private Boolean answered; // null: not checked yet
 
-    Known(long endpoint) {
+    Entry(long endpoint) {
       this.endpoint = endpoint;
     }
   }
 
   /**
-   * Whose turn comes first, first; of those due at one moment the one of the highest number, so
-   * that the order is one of all.
+   * The earliest first; of those due at one time the highest number, so that the order is total.
    */
-  private static final Comparator<Known> BY_TURN =
-      Comparator.<Known, Timestamp>comparing(known -> known.due)
-          .thenComparing(known -> known.endpoint, Comparator.reverseOrder());
+  private static final Comparator<Entry> BY_DUE_TIME =
+      Comparator.<Entry, Timestamp>comparing(entry -> entry.due)
+          .thenComparing(entry -> entry.endpoint, Comparator.reverseOrder());
 
-  private final DoubleSupplier chance;
-  private final Map<Long, Known> endpoints = new HashMap<>();
+  private final DoubleSupplier random;
+  private final Map<Long, Entry> entries = new HashMap<>();
 
-  /** The same units, by turn: a look asks for the first one, and walks none. */
-  private final TreeSet<Known> byTurn = new TreeSet<>(BY_TURN);
+  /** The same entries: a check asks for the first one, and walks none. */
+  private final TreeSet<Entry> byDueTime = new TreeSet<>(BY_DUE_TIME);
 
-  /** {@code chance} gives numbers from 0 to under 1. */
-  public HealthCheckScheduler(DoubleSupplier chance) {
-    this.chance = chance;
+  /** An empty one; {@code random} gives numbers from 0 to under 1. */
+  public HealthCheckScheduler(DoubleSupplier random) {
+    this.random = random;
   }
 
-  /** It is listed, and may get work. */
+  /** The endpoint is listed, and may get requests; without effect if it is known. */
   public void add(long endpoint, Timestamp now) {
-    if (endpoints.containsKey(endpoint)) {
+    if (entries.containsKey(endpoint)) {
       return;
     }
-    Known known = new Known(endpoint);
-    endpoints.put(endpoint, known);
-    due(known, now.plus(QUIET.times(chance.getAsDouble())));
+    Entry entry = new Entry(endpoint);
+    entries.put(endpoint, entry);
+    schedule(entry, now.plus(IDLE_INTERVAL.times(random.getAsDouble())));
   }
 
-  private void due(Known known, Timestamp when) {
-    if (known.due != null) {
-      byTurn.remove(known);
+  private void schedule(Entry entry, Timestamp due) {
+    if (entry.due != null) {
+      byDueTime.remove(entry);
     }
-    known.due = when;
-    byTurn.add(known);
+    entry.due = due;
+    byDueTime.add(entry);
+  }
+
+  private TimeSpan jittered(TimeSpan interval) {
+    return interval.times(JITTER_FLOOR + JITTER_WIDTH * random.getAsDouble());
   }
 
-  /** It is not any more. */
+  /** The endpoint is listed no more; without effect if it isn't known. */
   public void remove(long endpoint) {
-    Known known = endpoints.remove(endpoint);
-    if (known != null) {
-      byTurn.remove(known);
+    Entry entry = entries.remove(endpoint);
+    if (entry != null) {
+      byDueTime.remove(entry);
     }
   }
 
-  /** Whose turn it is; -1: nobody's yet. It counts as looked at from now on. */
+  /** The endpoint to check now; -1: none is due. It counts as checked from now on. */
   public long next(Timestamp now) {
-    if (byTurn.isEmpty() || byTurn.first().due.after(now)) {
+    if (byDueTime.isEmpty() || byDueTime.first().due.after(now)) {
       return -1;
     }
-    Known first = byTurn.first();
-    due(first, now.plus(SELDOM));
+    Entry first = byDueTime.first();
+    schedule(first, now.plus(BUSY_INTERVAL));
     return first.endpoint;
   }
 
-  /** It gave a sign, and said how long nobody called it; true where others should be told. */
+  /**
+   * An endpoint answered its check.
+   *
+   * @param idle for how long nobody has called it, as it says
+   * @return true where others should be notified: it had not answered the last one
+   */
   public boolean answered(long endpoint, TimeSpan idle, Timestamp now) {
-    Known known = endpoints.get(endpoint);
-    if (known == null) {
+    Entry entry = entries.get(endpoint);
+    if (entry == null) {
       return false;
     }
-    due(
-        known,
-        now.plus((BUSY.over(idle) ? SELDOM : QUIET).times(0.75 + 0.5 * chance.getAsDouble())));
-    boolean news = Boolean.FALSE.equals(known.answered);
-    known.answered = true;
-    return news;
+    TimeSpan interval = BUSY_IF_CALLED_WITHIN.over(idle) ? BUSY_INTERVAL : IDLE_INTERVAL;
+    schedule(entry, now.plus(jittered(interval)));
+    boolean recovered = Boolean.FALSE.equals(entry.answered);
+    entry.answered = true;
+    return recovered;
   }
 
-  /** It gave none in time; others should be told. */
+  /** An endpoint didn't answer its check in time; true where others should be notified. */
   public boolean timedOut(long endpoint, Timestamp now) {
-    Known known = endpoints.get(endpoint);
-    if (known == null) {
+    Entry entry = entries.get(endpoint);
+    if (entry == null) {
       return false;
     }
-    due(known, now.plus(AGAIN.times(0.75 + 0.5 * chance.getAsDouble())));
-    known.answered = false;
+    schedule(entry, now.plus(jittered(RETRY_INTERVAL)));
+    entry.answered = false;
     return true;
   }
 
-  /** Units that are known. */
+  /** Endpoints that are known. */
   public int size() {
-    return endpoints.size();
+    return entries.size();
   }
 }
--- a/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
@@ -1,51 +1,52 @@
 package sprucerock.relay.snapshot;
 
+import java.util.Arrays;
 import java.util.Map;
 import sprucerock.time.Timestamp;
 
 /**
- * Until when work may be placed on each rack, for every thread that places some: one immutable
- * object, read without a lock and without making anything. A rack that is not in it is never
- * frozen. Times are of this process's steady clock, told by durations; no wall's clock has a part
- * in it.
+ * Until when work may be placed on each rack, for every thread that places some: immutable, read
+ * without a lock and without allocating. A rack that is not in it never has a maintenance window.
+ * Times are of this process's steady clock, reckoned from durations; no wall clock has a part in
+ * it.
  */
 public final class RackSnapshot {
-  /** Of a process that was told nothing: no rack can be frozen. */
+  /** Of a process that was granted nothing: no rack can have a maintenance window. */
   public static final RackSnapshot NOTHING = new RackSnapshot(0, Map.of());
 
   private final long sequence;
-  // Open addressing in one array of keys, at most half full: a miss ends at the first empty place.
+  // Open addressing in one array of keys, at most half full: a miss ends at the first empty slot.
   private final int[] keys;
   private final double[] untilMs;
   private final int mask;
   private final int size;
 
-  /** {@code until}: by {@link #key}. */
+  /** One of a sequence; {@code until} has the racks' times by {@link #key}. */
   public RackSnapshot(long sequence, Map<Integer, Timestamp> until) {
     this.sequence = sequence;
     size = until.size();
-    int room = Integer.highestOneBit(Math.max(4, 4 * size));
-    mask = room - 1;
-    keys = new int[room];
-    java.util.Arrays.fill(keys, -1);
-    untilMs = new double[room];
+    int slots = Integer.highestOneBit(Math.max(4, 4 * size));
+    mask = slots - 1;
+    keys = new int[slots];
+    Arrays.fill(keys, -1);
+    untilMs = new double[slots];
     until.forEach(
-        (key, moment) -> {
-          int at = place(key);
+        (key, time) -> {
+          int at = slot(key);
           while (keys[at] != -1) {
             at = at + 1 & mask;
           }
           keys[at] = key;
-          untilMs[at] = moment.ms();
+          untilMs[at] = time.ms();
         });
   }
 
-  /** Of a rack: its zone and its cell, each under 32,768 and 65,536. */
+  /** A rack's key: its zone, 0 to 32,767, and its cell, 0 to 65,535. */
   public static int key(int zone, int cell) {
     return (zone & 0x7fff) << 16 | cell & 0xffff;
   }
 
-  private int place(int key) {
+  private int slot(int key) {
     int mixed = key * 0x9E3779B1;
     return (mixed ^ mixed >>> 15) & mask;
   }
@@ -55,7 +56,7 @@
    * milliseconds of the steady clock.
    */
   public boolean mayPlace(int key, double nowMs, double takesMs) {
-    for (int at = place(key); keys[at] != -1; at = at + 1 & mask) {
+    for (int at = slot(key); keys[at] != -1; at = at + 1 & mask) {
       if (keys[at] == key) {
         return nowMs + takesMs <= untilMs[at];
       }
@@ -63,9 +64,9 @@
     return true;
   }
 
-  /** Until when a rack is free for certain; null: it is never frozen. */
+  /** Until when a rack is free for certain; null: it never has a maintenance window. */
   public Timestamp freeUntil(int key) {
-    for (int at = place(key); keys[at] != -1; at = at + 1 & mask) {
+    for (int at = slot(key); keys[at] != -1; at = at + 1 & mask) {
       if (keys[at] == key) {
         return Timestamp.ofMs(untilMs[at]);
       }
@@ -73,11 +74,12 @@
     return null;
   }
 
-  /** Of the state that it was told by. */
+  /** The controller's sequence that it was made from. */
   public long sequence() {
     return sequence;
   }
 
+  /** Racks that are in it. */
   public int size() {
     return size;
   }
--- a/src/test/java/sprucerock/relay/healthcheck/HealthCheckSchedulerTest.java
+++ b/src/test/java/sprucerock/relay/healthcheck/HealthCheckSchedulerTest.java
@@ -10,14 +10,13 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Whose turn it is, held against a walk over all units that knows only when each was said to be
- * due.
+ * Which endpoint is next, compared with a scan of all endpoints that knows only when each is due.
  */
 public class HealthCheckSchedulerTest {
-  private double draw;
+  private double randomDraw;
 
-  /** What a walk finds: of those due, the one due longest, of these the highest number. */
-  private static long walked(Map<Long, Double> due, double nowMs) {
+  /** What a full scan finds: of those due, the one due longest, of these the highest number. */
+  private static long firstByFullScan(Map<Long, Double> due, double nowMs) {
     long found = -1;
     double first = nowMs;
     for (Map.Entry<Long, Double> one : due.entrySet()) {
@@ -31,57 +30,58 @@
   }
 
   @Test
-  public void turnsAreThoseThatAWalkOverAllUnitsFinds() {
+  public void nextIsWhatAFullScanFinds() {
     for (int seed = 1; seed <= 20; seed++) {
       Random random = new Random(seed);
-      HealthCheckScheduler lookout = new HealthCheckScheduler(() -> draw);
+      HealthCheckScheduler scheduler = new HealthCheckScheduler(() -> randomDraw);
       Map<Long, Double> due = new TreeMap<>();
       double nowMs = 0;
-      int turns = 0;
+      int checks = 0;
       for (int i = 0; i < 5000; i++) {
         nowMs += random.nextInt(4) * 25;
-        draw = random.nextInt(8) / 8.0; // few draws, so that many units are due at one moment
+        randomDraw =
+            random.nextInt(8) / 8.0; // few draws, so that many endpoints are due at one time
         long endpoint = random.nextInt(50);
         Timestamp now = Timestamp.ofMs(nowMs);
         switch (random.nextInt(6)) {
           case 0 -> {
-            lookout.add(endpoint, now);
-            due.putIfAbsent(endpoint, nowMs + 2000 * draw);
+            scheduler.add(endpoint, now);
+            due.putIfAbsent(endpoint, nowMs + 2000 * randomDraw);
           }
           case 1 -> {
             if (random.nextInt(4) > 0) {
               continue;
             }
-            lookout.remove(endpoint);
+            scheduler.remove(endpoint);
             due.remove(endpoint);
           }
           case 2 -> {
             boolean busy = random.nextBoolean();
-            lookout.answered(endpoint, TimeSpan.ofMs(busy ? 100 : 5000), now);
+            scheduler.answered(endpoint, TimeSpan.ofMs(busy ? 100 : 5000), now);
             if (due.containsKey(endpoint)) {
-              due.put(endpoint, nowMs + (busy ? 10_000 : 2000) * (0.75 + 0.5 * draw));
+              due.put(endpoint, nowMs + (busy ? 10_000 : 2000) * (0.75 + 0.5 * randomDraw));
             }
           }
           case 3 -> {
-            lookout.timedOut(endpoint, now);
+            scheduler.timedOut(endpoint, now);
             if (due.containsKey(endpoint)) {
-              due.put(endpoint, nowMs + 1000 * (0.75 + 0.5 * draw));
+              due.put(endpoint, nowMs + 1000 * (0.75 + 0.5 * randomDraw));
             }
           }
           default -> {
-            long next = walked(due, nowMs);
-            assertEquals(lookout.next(now), next, "seed " + seed + ", step " + i);
+            long next = firstByFullScan(due, nowMs);
+            assertEquals(scheduler.next(now), next, "seed " + seed + ", step " + i);
             if (next >= 0) {
               due.put(next, nowMs + 10_000);
             }
             if (next >= 0) {
-              turns++;
+              checks++;
             }
           }
         }
-        assertEquals(lookout.size(), due.size());
+        assertEquals(scheduler.size(), due.size());
       }
-      assertEquals(turns > 100, true, "turns " + turns);
+      assertEquals(checks > 100, true, "turns " + checks);
     }
   }
 }
--- a/src/test/java/sprucerock/relay/snapshot/RackSnapshotBenchmark.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotBenchmark.java
@@ -18,8 +18,7 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What one look costs at 300 racks (windows are one moment a rack by then), by itself and while the
- * picture is swapped 1,000 times a second.
+ * What one lookup costs at 300 racks, by itself and while 1,000 snapshots a second are published.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -29,13 +28,13 @@
 @Fork(1)
 public class RackSnapshotBenchmark {
   @Param({"0", "1000"})
-  public int swapsASecond;
+  public int publishesPerSecond;
 
   private final SharedSnapshot shared = new SharedSnapshot();
-  private volatile boolean over;
+  private volatile boolean stopped;
   private int at;
 
-  private static RackSnapshot picture(long number) {
+  private static RackSnapshot snapshot(long number) {
     Map<Integer, Timestamp> until = new HashMap<>();
     for (int rack = 0; rack < 300; rack++) {
       until.put(RackSnapshot.key(rack / 20, rack % 20), Timestamp.ofMs(1e12 + number));
@@ -44,17 +43,18 @@
   }
 
   @Setup
-  public void begin() {
-    shared.publish(picture(1));
-    if (swapsASecond == 0) {
+  public void startPublisher() {
+    shared.publish(snapshot(1));
+    if (publishesPerSecond == 0) {
       return;
     }
     Thread writer =
         new Thread(
             () -> {
-              for (long n = 2; !over; n++) {
-                shared.publish(picture(n));
-                java.util.concurrent.locks.LockSupport.parkNanos(1_000_000_000L / swapsASecond);
+              for (long n = 2; !stopped; n++) {
+                shared.publish(snapshot(n));
+                java.util.concurrent.locks.LockSupport.parkNanos(
+                    1_000_000_000L / publishesPerSecond);
               }
             });
     writer.setDaemon(true);
@@ -62,17 +62,17 @@
   }
 
   @TearDown
-  public void end() {
-    over = true;
+  public void stopPublisher() {
+    stopped = true;
   }
 
   @Benchmark
-  public boolean look() {
+  public boolean mayPlace() {
     at = at + 7 & 0xff;
     return shared.current().mayPlace(RackSnapshot.key(at >> 4, at & 15), 1e9, 100);
   }
 
   public static void main(String[] args) throws Exception {
-    org.openjdk.jmh.Main.main(new String[] {"PictureBenchmark"});
+    org.openjdk.jmh.Main.main(new String[] {"RackSnapshotBenchmark"});
   }
 }
--- a/src/test/java/sprucerock/relay/snapshot/RackSnapshotTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotTest.java
@@ -11,11 +11,11 @@
 import org.testng.annotations.Test;
 import sprucerock.time.Timestamp;
 
-/** The picture on a request's path. */
+/** A snapshot of the racks, and the shared reference to the latest one. */
 public class RackSnapshotTest {
   @Test
-  public void workIsPlacedWhereItEndsInTime() {
-    RackSnapshot picture =
+  public void placesWorkThatEndsInTime() {
+    RackSnapshot snapshot =
         new RackSnapshot(
             1,
             Map.of(
@@ -23,29 +23,29 @@
                 Timestamp.ofMs(1000),
                 RackSnapshot.key(2, 7),
                 Timestamp.ofMs(-5)));
-    assertTrue(picture.mayPlace(RackSnapshot.key(1, 7), 900, 100));
-    assertFalse(picture.mayPlace(RackSnapshot.key(1, 7), 900, 101));
-    assertFalse(picture.mayPlace(RackSnapshot.key(2, 7), 0, 0));
-    assertTrue(picture.mayPlace(RackSnapshot.key(3, 7), 1e9, 1e9));
-    assertNull(picture.freeUntil(RackSnapshot.key(1, 8)));
-    assertEquals(picture.freeUntil(RackSnapshot.key(1, 7)), Timestamp.ofMs(1000));
+    assertTrue(snapshot.mayPlace(RackSnapshot.key(1, 7), 900, 100));
+    assertFalse(snapshot.mayPlace(RackSnapshot.key(1, 7), 900, 101));
+    assertFalse(snapshot.mayPlace(RackSnapshot.key(2, 7), 0, 0));
+    assertTrue(snapshot.mayPlace(RackSnapshot.key(3, 7), 1e9, 1e9));
+    assertNull(snapshot.freeUntil(RackSnapshot.key(1, 8)));
+    assertEquals(snapshot.freeUntil(RackSnapshot.key(1, 7)), Timestamp.ofMs(1000));
   }
 
   @Test
-  public void everyRackIsFoundAmongMany() {
+  public void findsEveryRackAmongMany() {
     Map<Integer, Timestamp> until = new HashMap<>();
     for (int zone = 0; zone < 30; zone++) {
       for (int cell = 0; cell < 40; cell++) {
         until.put(RackSnapshot.key(zone, cell * 256), Timestamp.ofMs(zone * 1000 + cell));
       }
     }
-    RackSnapshot picture = new RackSnapshot(1, until);
-    until.forEach((key, moment) -> assertEquals(picture.freeUntil(key), moment));
-    assertEquals(picture.size(), 1200);
+    RackSnapshot snapshot = new RackSnapshot(1, until);
+    until.forEach((key, time) -> assertEquals(snapshot.freeUntil(key), time));
+    assertEquals(snapshot.size(), 1200);
   }
 
   @Test
-  public void anOlderStateTakesNoNewerOnesPlace() {
+  public void publishRejectsAnOlderSequence() {
     SharedSnapshot shared = new SharedSnapshot();
     assertTrue(shared.publish(new RackSnapshot(5, Map.of())));
     assertFalse(shared.publish(new RackSnapshot(4, Map.of())));
@@ -53,29 +53,29 @@
   }
 
   /**
-   * In every picture all racks have the same moment, that of its number: a reader that saw parts of
+   * In every snapshot all racks have the same time, that of its number: a reader that saw parts of
    * two would see two.
    */
   @Test
-  public void readersSeeOnePictureWholeWhileItIsSwapped() throws Exception {
+  public void readersSeeConsistentSnapshotsWhilePublishing() throws Exception {
     SharedSnapshot shared = new SharedSnapshot();
-    AtomicReference<String> wrong = new AtomicReference<>();
+    AtomicReference<String> violation = new AtomicReference<>();
     Thread[] readers = new Thread[4];
     for (int i = 0; i < readers.length; i++) {
       readers[i] =
           new Thread(
               () -> {
                 long before = 0;
-                while (before < 20_000 && wrong.get() == null) {
-                  RackSnapshot picture = shared.current();
-                  if (picture.sequence() < before) {
-                    wrong.set("went back from " + before + " to " + picture.sequence());
+                while (before < 20_000 && violation.get() == null) {
+                  RackSnapshot snapshot = shared.current();
+                  if (snapshot.sequence() < before) {
+                    violation.set("went back from " + before + " to " + snapshot.sequence());
                   }
-                  before = picture.sequence();
+                  before = snapshot.sequence();
                   for (int cell = 0; cell < 50 && before > 0; cell++) {
-                    Timestamp until = picture.freeUntil(RackSnapshot.key(1, cell));
+                    Timestamp until = snapshot.freeUntil(RackSnapshot.key(1, cell));
                     if (until == null || until.ms() != before) {
-                      wrong.set("in " + before + " a rack has " + until);
+                      violation.set("in " + before + " a rack has " + until);
                     }
                   }
                 }
@@ -92,6 +92,6 @@
     for (Thread one : readers) {
       one.join(60_000);
     }
-    assertNull(wrong.get());
+    assertNull(violation.get());
   }
 }
