--- a/src/main/java/sprucerock/hardware/CapacityTranslator.java
+++ b/src/main/java/sprucerock/hardware/CapacityTranslator.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * Requests that are written for one family, met by another. Room that is promised is reckoned at
- * the upper bound of what is needed, room that is counted at the lower bound of what is there; so
- * there and back never yields more than was asked.
+ * Translates capacity of one family into another's. Capacity that is granted is reckoned at the
+ * upper bound of what is needed, capacity that is counted at the lower bound of what is there; so
+ * there and back never yields more than was asked. Immutable.
  */
 public final class CapacityTranslator {
   /** What an amount is limited by. */
@@ -21,87 +21,106 @@
   }
 
   /**
-   * Units of another family, in parts of a unit; and by what they are limited.
+   * Endpoints of another family, in parts of one; and by what they are limited.
    *
-   * @param units NaN where the limit is TIME (no number of them helps) or NOT_KNOWN
+   * @param endpoints NaN where the limit is TIME (no number of them helps) or NOT_KNOWN
    */
   public record Answer(double endpoints, Limit limit, String why) {
+    /** Whether there is a number. */
     public boolean known() {
       return !Double.isNaN(endpoints);
     }
   }
 
-  // Beyond this a bound at 95% lies a factor of about two off: to promise by it would idle half of
-  // a rack, and to count by it would be
-  // worth nothing. Then it is said that it is not known.
-  private static final double MOST_ERROR = 0.4;
+  /** What is granted needs the most of all, what is counted is worth the least of all. */
+  private enum Bound {
+    UPPER(1),
+    LOWER(-1);
+
+    private final int sign;
+
+    Bound(int sign) {
+      this.sign = sign;
+    }
+
+    /** Whether what both declare makes a bound that is beyond the factor; 0: not declared. */
+    private boolean isExceeded(double from, double to, double factor) {
+      return from > 0 && to > 0 && sign * (from / to - factor) > 0;
+    }
+  }
+
+  // Beyond this a bound at 95% lies a factor of about two off: to grant by it would idle half of
+  // a rack, and to count by it would be worth nothing. Then it is said that it is not known.
+  private static final double MAX_ERROR = 0.4;
 
   private final HardwareModel model;
   private final Map<Integer, Family> families = new TreeMap<>();
-  private final double errors;
+  private final double standardErrors;
   private final double confidence;
 
-  /** {@code confidence}: with which each single bound holds, from over 0.5 to under 1. */
+  /**
+   * From a model and what families are declared to have.
+   *
+   * @param confidence with which each single bound holds, over 0.5 and under 1
+   * @throws IllegalArgumentException if the confidence is out of bounds
+   */
   public CapacityTranslator(HardwareModel model, Iterable<Family> declared, double confidence) {
     if (!(confidence > 0.5 && confidence < 1)) {
       throw new IllegalArgumentException("a confidence is over 0.5 and under 1, not " + confidence);
     }
     this.model = model;
     this.confidence = confidence;
-    for (Family one : declared) {
-      families.put(one.kind(), one);
+    for (Family family : declared) {
+      families.put(family.kind(), family);
     }
-    errors = model.standardErrors(confidence);
+    standardErrors = model.standardErrors(confidence);
   }
 
   /**
-   * How many units of {@code to} bear for certain what so many of {@code from} bear, with {@code
-   * method} in most of the work.
+   * How many endpoints of {@code to} serve for certain what so many of {@code from} serve, with
+   * {@code method} in most of the work.
    */
   public Answer needed(int method, double endpoints, int from, int to) {
-    return translated(method, endpoints, from, to, 1);
+    return translated(method, endpoints, from, to, Bound.UPPER);
   }
 
-  /** How many units of {@code to} so many of {@code from} surely stand for. */
+  /** How many endpoints of {@code to} so many of {@code from} surely stand for. */
   public Answer counted(int method, double endpoints, int from, int to) {
-    return translated(method, endpoints, from, to, -1);
+    return translated(method, endpoints, from, to, Bound.LOWER);
   }
 
-  private Answer translated(int method, double endpoints, int from, int to, int side) {
+  private Answer translated(int method, double endpoints, int from, int to, Bound bound) {
     if (from == to) {
       return new Answer(endpoints, Limit.NOTHING, "");
     }
-    HardwareModel.Estimate capacity = model.capacityRatio(method, from, to);
-    if (capacity == null) {
+    HardwareModel.Estimate ratio = model.capacityRatio(method, from, to);
+    if (ratio == null) {
       return unknown(model.families().contains(from) ? to : from, "was not seen");
     }
-    if (capacity.error() > MOST_ERROR) {
+    if (ratio.error() > MAX_ERROR) {
       return unknown(
           to,
           String.format(
               Locale.ROOT,
               "beside %d is known to a factor of %.1f only",
               from,
-              Math.exp(errors * capacity.error())));
+              Math.exp(standardErrors * ratio.error())));
     }
-    double most = Math.exp(capacity.log() + side * errors * capacity.error());
+    double factor = Math.exp(ratio.log() + bound.sign * standardErrors * ratio.error());
     Limit limit = Limit.CORES;
-    Family one = families.get(from);
-    Family other = families.get(to);
-    if (one != null && other != null) {
-      // what is promised needs the most of all, what is counted is worth the least of all
-      if (one.memoryMb() > 0
-          && other.memoryMb() > 0
-          && side * (one.memoryMb() / other.memoryMb() - most) > 0) {
-        most = one.memoryMb() / other.memoryMb();
+    Family fromFamily = families.get(from);
+    Family toFamily = families.get(to);
+    if (fromFamily != null && toFamily != null) {
+      if (bound.isExceeded(fromFamily.memoryMb(), toFamily.memoryMb(), factor)) {
+        factor = fromFamily.memoryMb() / toFamily.memoryMb();
         limit = Limit.MEMORY;
       }
-      if (one.slots() > 0 && other.slots() > 0 && side * (one.slots() / other.slots() - most) > 0) {
-        most = one.slots() / other.slots();
+      if (bound.isExceeded(fromFamily.slots(), toFamily.slots(), factor)) {
+        factor = fromFamily.slots() / toFamily.slots();
         limit = Limit.SLOTS;
       }
     }
-    return new Answer(endpoints * most, limit, "");
+    return new Answer(endpoints * factor, limit, "");
   }
 
   private static Answer unknown(int family, String why) {
@@ -117,14 +136,14 @@
       return ms;
     }
     HardwareModel.Estimate time = model.timeRatio(method, to, from);
-    return time == null || time.error() > MOST_ERROR
+    return time == null || time.error() > MAX_ERROR
         ? Double.NaN
-        : ms * Math.exp(time.log() + errors * time.error());
+        : ms * Math.exp(time.log() + standardErrors * time.error());
   }
 
   /**
-   * The same as {@link #needed}, for work that has to be done within a time: slower units may be no
-   * good in any number.
+   * The same as {@link #needed}, for work that has to be done within a time: slower endpoints may
+   * be of no use in any number.
    */
   public Answer needed(int method, double endpoints, int from, int to, double ms, double withinMs) {
     double longest = atMost(method, ms, from, to);
@@ -146,6 +165,7 @@
     return needed(method, endpoints, from, to);
   }
 
+  /** With which each single bound holds. */
   public double confidence() {
     return confidence;
   }
--- a/src/main/java/sprucerock/hardware/ConcurrencyEstimator.java
+++ b/src/main/java/sprucerock/hardware/ConcurrencyEstimator.java
@@ -64,10 +64,7 @@
       }
       double residual = one.slower() - Math.max(0, Math.log(one.depth()) - logCores);
       sum -=
-          0.5
-              * residual
-              * residual
-              / (one.variance() + extraVariance + DEPTH_ERROR * DEPTH_ERROR);
+          0.5 * residual * residual / (one.variance() + extraVariance + DEPTH_ERROR * DEPTH_ERROR);
     }
     return sum;
   }
--- a/src/main/java/sprucerock/hardware/Family.java
+++ b/src/main/java/sprucerock/hardware/Family.java
@@ -1,10 +1,10 @@
 package sprucerock.hardware;
 
 /**
- * Units of one kind, as their operators declare them.
+ * Endpoints of one kind of hardware, as their operators declare them.
  *
- * @param kind the roster's number for it
- * @param slots picks that a unit takes at a time; 0: not declared
- * @param memoryMb of a unit; 0: not declared
+ * @param kind discovery's number for it
+ * @param slots attempts that an endpoint takes at a time; 0: not declared
+ * @param memoryMb of an endpoint, in MiB or MB as they declare it; 0: not declared
  */
 public record Family(int kind, double slots, double memoryMb) {}
--- a/src/main/java/sprucerock/hardware/FitData.java
+++ b/src/main/java/sprucerock/hardware/FitData.java
@@ -117,8 +117,7 @@
   private void addDepthPoints(Map<Cell, RunningMoments> window) {
     window.forEach(
         (cell, samples) -> {
-          RunningMoments idle =
-              window.get(new Cell(cell.method(), cell.family(), cell.build(), 0));
+          RunningMoments idle = window.get(new Cell(cell.method(), cell.family(), cell.build(), 0));
           if (cell.depth() == 0
               || idle == null
               || !counts(cell, samples)
--- a/src/main/java/sprucerock/hardware/HardwareModel.java
+++ b/src/main/java/sprucerock/hardware/HardwareModel.java
@@ -1,6 +1,7 @@
 package sprucerock.hardware;
 
 import java.util.List;
+import java.util.function.Consumer;
 import org.hipparchus.distribution.continuous.TDistribution;
 
 /**
@@ -8,7 +9,7 @@
  * one takes its place by {@link #newerThan}.
  */
 public final class HardwareModel {
-  /** A logarithm and its standard error. */
+  /** The logarithm of a factor, and its standard error. */
   public record Estimate(double log, double error) {
     Estimate minus(Estimate other) {
       return new Estimate(log - other.log, Math.hypot(error, other.error));
@@ -28,7 +29,7 @@
    * @param window the newest that it was fitted to
    * @param times by method (last: for all), family and other family: how many times as long, at low
    *     load
-   * @param cores by family: how many picks side by side
+   * @param cores by family: how many attempts side by side
    * @param free degrees of freedom behind the errors, 1 at least
    */
   public HardwareModel(
@@ -51,7 +52,7 @@
     this.degreesOfFreedom = free;
   }
 
-  /** From its figures in a row: times by method (last: for all), family, other family. */
+  /** From its numbers in a row: times by method (last: for all), family, other family. */
   public static HardwareModel of(
       long number,
       long window,
@@ -79,7 +80,7 @@
   }
 
   /** All times, in the order of {@link #of}. */
-  public void times(java.util.function.Consumer<Estimate> each) {
+  public void times(Consumer<Estimate> each) {
     for (Estimate[][] method : times) {
       for (Estimate[] family : method) {
         for (Estimate one : family) {
@@ -89,10 +90,12 @@
     }
   }
 
+  /** Of the lease under which it was fitted. */
   public long number() {
     return number;
   }
 
+  /** The newest window that it was fitted to. */
   public long window() {
     return window;
   }
@@ -104,14 +107,17 @@
         || number == other.number && window > other.window;
   }
 
+  /** Families that were seen, in the order of {@link #of}. */
   public List<Integer> families() {
     return families;
   }
 
+  /** Methods that were seen, in the order of {@link #of}. */
   public List<Integer> methods() {
     return methods;
   }
 
+  /** Degrees of freedom behind the errors, 1 at least. */
   public int degreesOfFreedom() {
     return degreesOfFreedom;
   }
@@ -128,8 +134,8 @@
   }
 
   /**
-   * How many times as many picks of a method a second a unit of one family bears as one of another;
-   * null as above.
+   * How many times as many attempts of a method a second an endpoint of one family serves as one of
+   * another; null as above.
    */
   public Estimate capacityRatio(int method, int of, int than) {
     Estimate time = timeRatio(method, of, than);
@@ -142,7 +148,10 @@
     return concurrency(of).minus(concurrency(than)).minus(time);
   }
 
-  /** How many picks side by side a unit of a family bears before they slow each other. */
+  /**
+   * How many attempts side by side an endpoint of a family serves before they slow each other;
+   * null: it was never seen.
+   */
   public Estimate concurrency(int family) {
     int f = families.indexOf(family);
     return f < 0 ? null : concurrency[f];
--- a/src/main/java/sprucerock/hardware/LeastSquaresFit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -198,8 +198,7 @@
     int freedom = freedom();
     if (freedom > 0) {
       omegaSquared =
-          Math.max(
-              MIN_OMEGA_SQUARED, (beyond * points.size() / freedom - points.size()) / share);
+          Math.max(MIN_OMEGA_SQUARED, (beyond * points.size() / freedom - points.size()) / share);
     }
   }
 
@@ -233,8 +232,7 @@
         }
       }
     }
-    ConcurrencyEstimator concurrency =
-        new ConcurrencyEstimator(data.depthPoints(), omegaSquared);
+    ConcurrencyEstimator concurrency = new ConcurrencyEstimator(data.depthPoints(), omegaSquared);
     HardwareModel.Estimate[] cores = new HardwareModel.Estimate[familyCount];
     Arrays.setAll(cores, concurrency::estimate);
     return new HardwareModel(
--- a/src/main/java/sprucerock/hardware/Observation.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -4,42 +4,45 @@
 import java.util.TreeMap;
 
 /**
- * All tallies of the last windows, of all relays, as whoever fits was told them. Bounded by
- * windows, relays and cells.
+ * The samples of the last windows of all relays, as the process that fits received them. Bounded by
+ * windows, relays and cells. Not thread-safe; {@link #copy} may go to another thread.
  */
 public final class Observation {
   /**
-   * Windows that are kept: at ten seconds each ten minutes, in which hardware does not change but
+   * Windows that are kept: ten minutes at ten seconds each, in which hardware does not change but
    * for what is to be noticed.
    */
   public static final int WINDOWS = 60;
 
-  public static final int MOST_RELAYS = 2000;
+  /** Relays that are kept of a window. */
+  public static final int MAX_RELAYS = 2000;
 
   private final TreeMap<Long, TreeMap<Integer, SampleSums>> windows = new TreeMap<>();
 
   /**
-   * True where it says something new; one that holds less than what is known of its relay and
-   * window came late or twice.
+   * Adds a relay's sums.
+   *
+   * @return true where they say something new; sums that hold less than what is known of their
+   *     relay and window came late or twice
    */
-  public boolean add(SampleSums tally) {
-    if (!windows.isEmpty() && tally.window() <= windows.lastKey() - WINDOWS) {
+  public boolean add(SampleSums sample) {
+    if (!windows.isEmpty() && sample.window() <= windows.lastKey() - WINDOWS) {
       return false;
     }
     Map<Integer, SampleSums> window =
-        windows.computeIfAbsent(tally.window(), any -> new TreeMap<>());
-    SampleSums before = window.get(tally.relay());
-    if (before != null ? before.count() >= tally.count() : window.size() >= MOST_RELAYS) {
+        windows.computeIfAbsent(sample.window(), any -> new TreeMap<>());
+    SampleSums before = window.get(sample.relay());
+    if (before != null ? before.count() >= sample.count() : window.size() >= MAX_RELAYS) {
       return false;
     }
-    window.put(tally.relay(), tally);
+    window.put(sample.relay(), sample);
     while (windows.firstKey() <= windows.lastKey() - WINDOWS) {
       windows.pollFirstEntry();
     }
     return true;
   }
 
-  /** The same at this moment; a tally that was told is never changed. */
+  /** The same at this moment; sums that were received are never changed. */
   public Observation copy() {
     Observation made = new Observation();
     windows.forEach((window, relays) -> made.windows.put(window, new TreeMap<>(relays)));
@@ -54,8 +57,8 @@
         .forEach(
             (window, relays) -> {
               Map<Cell, RunningMoments> sums = new TreeMap<>();
-              for (SampleSums tally : relays.values()) {
-                tally.cells().forEach((cell, one) -> sums.merge(cell, one, RunningMoments::plus));
+              for (SampleSums sample : relays.values()) {
+                sample.cells().forEach((cell, one) -> sums.merge(cell, one, RunningMoments::plus));
               }
               all.put(window, sums);
             });
--- a/src/main/java/sprucerock/hardware/OutlierScore.java
+++ b/src/main/java/sprucerock/hardware/OutlierScore.java
@@ -5,29 +5,35 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import java.util.function.IntPredicate;
 
 /**
- * Whose fault it is where times change on one family: the family's, if settled builds have changed
- * there too; the build's, if only it is slow there beside the settled ones of the same windows.
- * Told apart before a model is fitted, and from the same sums.
+ * Scores which family or build is an outlier where times change on one family: the family's, if
+ * settled builds have changed there too; the build's, if only it is slow there beside the settled
+ * ones of the same windows. Told apart before a model is fitted, and from the same sums.
  */
 public final class OutlierScore {
   /**
-   * What seems to be the matter. {@code build} 0: the family itself. {@code slower}: by how much,
-   * as a logarithm.
+   * A family that is slow.
+   *
+   * @param build that is slow there; 0: the family itself
+   * @param slower by how much, as a logarithm
+   * @param errors the same in standard errors
    */
   public record Finding(int family, int build, double slower, double errors) {}
 
-  // One look a window, some families and builds each: at 4 standard errors one false alarm in
-  // 15,000 looks at one of them. What is under
-  // a tenth is of no use to anybody.
-  private static final double ERRORS = 4;
-  private static final double LEAST = 0.1;
-  private static final double LEAST_PICKS = 3;
+  // One check a window, some families and builds each: at 4 standard errors one false alarm in
+  // 15,000 checks of one of them. What is under a tenth is of no use to anybody.
+  private static final double MIN_STANDARD_ERRORS = 4;
+  private static final double MIN_SLOWDOWN = 0.1;
+  private static final double MIN_SAMPLES = 3;
+
+  /** What two means differ by in any case, as a logarithm. */
+  private static final double LEAST_ERROR = 0.02;
 
   private OutlierScore() {}
 
-  private static final class Mean {
+  private static final class WeightedMean {
     private double weights;
     private double sum;
 
@@ -49,47 +55,60 @@
    * Families on which a build runs slower beside the settled ones than it does on other families.
    */
   public static List<Finding> slowBuilds(
-      Observation seen, long firstWindow, int build, java.util.function.IntPredicate settled) {
-    Map<Integer, Mean> byFamily = new TreeMap<>();
+      Observation seen, long firstWindow, int build, IntPredicate settled) {
+    Map<Integer, WeightedMean> byFamily = new TreeMap<>();
     for (Map<Cell, RunningMoments> window : seen.since(firstWindow).values()) {
       window.forEach(
           (cell, own) -> {
-            if (cell.build() != build || cell.depth() > 0 || own.count() < LEAST_PICKS) {
+            if (cell.build() != build || cell.depth() > 0 || own.count() < MIN_SAMPLES) {
               return;
             }
-            RunningMoments usual = RunningMoments.NONE;
-            for (Map.Entry<Cell, RunningMoments> other : window.entrySet()) {
-              Cell beside = other.getKey();
-              boolean like =
-                  beside.method() == cell.method()
-                      && beside.family() == cell.family()
-                      && beside.depth() == 0;
-              if (like && beside.build() != build && settled.test(beside.build())) {
-                usual = usual.plus(other.getValue());
-              }
-            }
-            if (usual.count() < LEAST_PICKS) {
-              return;
+            RunningMoments usual = usual(window, cell, settled);
+            if (usual.count() >= MIN_SAMPLES) {
+              addDifference(byFamily, cell.family(), own, usual);
             }
-            byFamily
-                .computeIfAbsent(cell.family(), any -> new Mean())
-                .add(
-                    own.mean() - usual.mean(),
-                    own.squares() / (own.count() - 1) / own.count()
-                        + usual.squares() / (usual.count() - 1) / usual.count()
-                        + 0.02 * 0.02);
           });
     }
     return besideOthers(byFamily, build);
   }
 
+  /** What settled builds take in the same window for the same method on the same family. */
+  private static RunningMoments usual(
+      Map<Cell, RunningMoments> window, Cell cell, IntPredicate settled) {
+    RunningMoments usual = RunningMoments.NONE;
+    for (Map.Entry<Cell, RunningMoments> other : window.entrySet()) {
+      Cell beside = other.getKey();
+      boolean alike =
+          beside.method() == cell.method()
+              && beside.family() == cell.family()
+              && beside.depth() == 0;
+      if (alike && beside.build() != cell.build() && settled.test(beside.build())) {
+        usual = usual.plus(other.getValue());
+      }
+    }
+    return usual;
+  }
+
+  private static void addDifference(
+      Map<Integer, WeightedMean> byFamily, int family, RunningMoments own, RunningMoments usual) {
+    byFamily
+        .computeIfAbsent(family, any -> new WeightedMean())
+        .add(
+            own.mean() - usual.mean(),
+            varianceOfMean(own) + varianceOfMean(usual) + LEAST_ERROR * LEAST_ERROR);
+  }
+
+  private static double varianceOfMean(RunningMoments samples) {
+    return samples.squares() / (samples.count() - 1) / samples.count();
+  }
+
   /**
    * Families on which settled builds run slower in the windows from one on than before it, beside
    * other families.
    */
   public static List<Finding> slowFamilies(
-      Observation seen, long firstWindow, long from, java.util.function.IntPredicate settled) {
-    Map<Integer, Mean> byFamily = new TreeMap<>();
+      Observation seen, long firstWindow, long from, IntPredicate settled) {
+    Map<Integer, WeightedMean> byFamily = new TreeMap<>();
     Map<Cell, RunningMoments> before = new TreeMap<>();
     Map<Cell, RunningMoments> since = new TreeMap<>();
     seen.since(firstWindow)
@@ -106,16 +125,10 @@
     for (Cell cell : both) {
       RunningMoments old = before.get(cell);
       RunningMoments now = since.get(cell);
-      if (old.count() < LEAST_PICKS || now.count() < LEAST_PICKS) {
+      if (old.count() < MIN_SAMPLES || now.count() < MIN_SAMPLES) {
         continue;
       }
-      byFamily
-          .computeIfAbsent(cell.family(), any -> new Mean())
-          .add(
-              now.mean() - old.mean(),
-              old.squares() / (old.count() - 1) / old.count()
-                  + now.squares() / (now.count() - 1) / now.count()
-                  + 0.02 * 0.02);
+      addDifference(byFamily, cell.family(), now, old);
     }
     return besideOthers(byFamily, 0);
   }
@@ -124,21 +137,21 @@
    * What all families have in common is a load, a method or a build that is slow everywhere, and no
    * family's.
    */
-  private static List<Finding> besideOthers(Map<Integer, Mean> byFamily, int build) {
+  private static List<Finding> besideOthers(Map<Integer, WeightedMean> byFamily, int build) {
     List<Finding> found = new ArrayList<>();
     byFamily.forEach(
         (family, own) -> {
-          List<Mean> others = new ArrayList<>(byFamily.values());
+          List<WeightedMean> others = new ArrayList<>(byFamily.values());
           others.remove(own);
           if (others.isEmpty()) {
             return;
           }
           others.sort((a, b) -> Double.compare(a.mean(), b.mean()));
-          Mean usual =
-              others.get((others.size() - 1) / 2); // the middle one: another family may be ill too
+          // the middle one: another family may be slow too
+          WeightedMean usual = others.get((others.size() - 1) / 2);
           double slower = own.mean() - usual.mean();
           double errors = slower / Math.sqrt(own.variance() + usual.variance());
-          if (slower > LEAST && errors > ERRORS) {
+          if (slower > MIN_SLOWDOWN && errors > MIN_STANDARD_ERRORS) {
             found.add(new Finding(family, build, slower, errors));
           }
         });
--- a/src/main/java/sprucerock/hardware/RunningMoments.java
+++ b/src/main/java/sprucerock/hardware/RunningMoments.java
@@ -15,6 +15,7 @@
     return new RunningMoments(count + 1, now, squares + off * (log - now));
   }
 
+  /** With all of another one. */
   public RunningMoments plus(RunningMoments other) {
     if (count == 0) {
       return other;
--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -9,7 +9,7 @@
 /**
  * By amount of traffic: how far translated time and capacity lie from the truth, and how often a
  * bound of 95% holds, beside three ways without a model: none, one factor for all methods, and
- * plain ratios of means. {@code HardwareStudy [truths]}.
+ * plain ratios of means. {@code HardwareStudy [fleets]}.
  */
 public final class HardwareStudy {
   private HardwareStudy() {}
@@ -20,23 +20,24 @@
   }
 
   public static void main(String[] args) {
-    int truths = args.length > 0 ? Integer.parseInt(args[0]) : 200;
+    int fleets = args.length > 0 ? Integer.parseInt(args[0]) : 200;
     System.out.println(
         "four families, three methods, 12 windows; median error of a factor in percent; share of bounds of 95% that hold");
     for (int attempts : new int[] {100, 300, 1000, 3000, 10_000}) {
-      Map<String, List<Double>> off = new TreeMap<>();
+      Map<String, List<Double>> errorsByName = new TreeMap<>();
       int all = 0;
-      int times = 0;
-      int capacities = 0;
+      int timeBoundsHeld = 0;
+      int capacityBoundsHeld = 0;
       int known = 0;
-      for (int seed = 0; seed < truths; seed++) {
-        SimulatedHardware truth = new SimulatedHardware(1000 + seed, 4);
-        Observation seen = truth.seen(12, attempts, 3);
-        HardwareModel model = LeastSquaresFit.fit(seen, 0, build -> true, 1);
+      for (int seed = 0; seed < fleets; seed++) {
+        SimulatedHardware hardware = new SimulatedHardware(1000 + seed, 4);
+        Observation observation = hardware.observe(12, attempts, 3);
+        HardwareModel model = LeastSquaresFit.fit(observation, 0, build -> true, 1);
         double errors = model.standardErrors(0.95);
         double[][] sums = new double[4][3];
         double[][] counts = new double[4][3];
-        seen.since(0)
+        observation
+            .since(0)
             .values()
             .forEach(
                 window ->
@@ -48,8 +49,8 @@
         for (int a = 0; a < 4; a++) {
           for (int b = 0; b < 4; b++) {
             for (int m = 0; m < 3 && a != b; m++) {
-              double time = Math.log(truth.time(a, m) / truth.time(b, m));
-              double capacity = Math.log(truth.capacity(a, m) / truth.capacity(b, m));
+              double time = Math.log(hardware.time(a, m) / hardware.time(b, m));
+              double capacity = Math.log(hardware.capacity(a, m) / hardware.capacity(b, m));
               HardwareModel.Estimate ofTime = model.timeRatio(m, a, b);
               HardwareModel.Estimate ofCapacity = model.capacityRatio(m, a, b);
               if (ofTime == null) {
@@ -57,10 +58,10 @@
               }
               all++;
               if (time < ofTime.log() + errors * ofTime.error()) {
-                times++;
+                timeBoundsHeld++;
               }
               if (capacity < ofCapacity.log() + errors * ofCapacity.error()) {
-                capacities++;
+                capacityBoundsHeld++;
               }
               if (ofCapacity.error() < 0.4) {
                 known++;
@@ -70,20 +71,20 @@
               for (int n = 0; n < 3; n++) {
                 global += Math.log(sums[a][n] / counts[a][n] / (sums[b][n] / counts[b][n])) / 3;
               }
-              add(off, "1 time, model", ofTime.log() - time);
-              add(off, "2 time, none", time);
-              add(off, "3 time, one factor", global - time);
-              add(off, "4 time, raw ratio", raw - time);
-              add(off, "5 capacity, model", ofCapacity.log() - capacity);
-              add(off, "6 capacity, none", capacity);
-              add(off, "7 capacity, raw ratio of times", -raw - capacity);
+              add(errorsByName, "1 time, model", ofTime.log() - time);
+              add(errorsByName, "2 time, none", time);
+              add(errorsByName, "3 time, one factor", global - time);
+              add(errorsByName, "4 time, raw ratio", raw - time);
+              add(errorsByName, "5 capacity, model", ofCapacity.log() - capacity);
+              add(errorsByName, "6 capacity, none", capacity);
+              add(errorsByName, "7 capacity, raw ratio of times", -raw - capacity);
             }
           }
         }
       }
       StringBuilder line =
           new StringBuilder(String.format(Locale.ROOT, "%6d picks a window:", attempts));
-      off.forEach(
+      errorsByName.forEach(
           (name, one) ->
               line.append(
                   String.format(
@@ -95,14 +96,14 @@
           String.format(
               Locale.ROOT,
               "; bounds hold: time %.3f, capacity %.3f; capacity known %.2f",
-              (double) times / all,
-              (double) capacities / all,
+              (double) timeBoundsHeld / all,
+              (double) capacityBoundsHeld / all,
               (double) known / all));
       System.out.println(line);
     }
   }
 
-  private static void add(Map<String, List<Double>> off, String name, double by) {
-    off.computeIfAbsent(name, any -> new ArrayList<>()).add(Math.abs(by));
+  private static void add(Map<String, List<Double>> errorsByName, String name, double by) {
+    errorsByName.computeIfAbsent(name, any -> new ArrayList<>()).add(Math.abs(by));
   }
 }
--- a/src/test/java/sprucerock/hardware/SimulatedHardware.java
+++ b/src/test/java/sprucerock/hardware/SimulatedHardware.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Families as they truly are, and what relays see of them: work of an exponential length, cores
- * that it shares, units that differ a little.
+ * Families whose true speed and cores are known, and what relays observe of them: work of
+ * exponential length, cores that it shares, endpoints that differ a little.
  */
 final class SimulatedHardware {
   static final double[] WORK_MS = {8, 20, 3};
@@ -13,32 +13,32 @@
   final double[] cores;
 
   /** By family and method: what a method makes of a family beyond its speed. */
-  final double[][] bent;
+  final double[][] methodFactors;
 
   private final SplittableRandom random;
-  private final double[] level = new double[WORK_MS.length];
+  private final double[] methodLevels = new double[WORK_MS.length];
 
   SimulatedHardware(long seed, int families) {
     random = new SplittableRandom(seed);
     speed = new double[families];
     cores = new double[families];
-    bent = new double[families][WORK_MS.length];
+    methodFactors = new double[families][WORK_MS.length];
     for (int f = 0; f < families; f++) {
-      speed[f] = Math.exp(0.5 * gauss());
+      speed[f] = Math.exp(0.5 * gaussian());
       cores[f] = 1 << random.nextInt(5);
       for (int m = 0; m < WORK_MS.length; m++) {
-        bent[f][m] = Math.exp(0.08 * gauss());
+        methodFactors[f][m] = Math.exp(0.08 * gaussian());
       }
     }
   }
 
-  double gauss() {
+  double gaussian() {
     return Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
         * Math.cos(2 * Math.PI * random.nextDouble());
   }
 
   double time(int family, int method) {
-    return bent[family][method] / speed[family];
+    return methodFactors[family][method] / speed[family];
   }
 
   double capacity(int family, int method) {
@@ -46,45 +46,46 @@
   }
 
   /** A window begins: each method's requests are of another mix now. */
-  void window() {
-    for (int m = 0; m < level.length; m++) {
-      level[m] = 0.3 * gauss();
+  void beginWindow() {
+    for (int m = 0; m < methodLevels.length; m++) {
+      methodLevels[m] = 0.3 * gaussian();
     }
   }
 
-  /** One pick of a method on a family that held so many others. */
+  /** The time of one attempt of a method on a family that had so many others in flight. */
   double ms(int family, int method, int others, double slower) {
-    double work = -Math.log(1 - random.nextDouble()) * WORK_MS[method] * Math.exp(level[method]);
+    double work =
+        -Math.log(1 - random.nextDouble()) * WORK_MS[method] * Math.exp(methodLevels[method]);
     return Math.max(work, 0.01)
         * time(family, method)
         * Math.max(1, (others + 1) / cores[family])
         * slower
-        * Math.exp(0.03 * gauss());
+        * Math.exp(0.03 * gaussian());
   }
 
-  int draw(int most) {
-    return random.nextInt(most);
+  int draw(int bound) {
+    return random.nextInt(bound);
   }
 
-  /** So many windows of so many picks each, over all families and methods, by some relays. */
-  Observation seen(int windows, int attempts, int relays) {
-    Observation seen = new Observation();
+  /** So many windows of so many attempts each, over all families and methods, by some relays. */
+  Observation observe(int windows, int attempts, int relays) {
+    Observation observation = new Observation();
     for (int w = 1; w <= windows; w++) {
-      window();
-      SampleSums[] tallies = new SampleSums[relays];
+      beginWindow();
+      SampleSums[] sums = new SampleSums[relays];
       for (int r = 0; r < relays; r++) {
-        tallies[r] = new SampleSums(r, w);
+        sums[r] = new SampleSums(r, w);
       }
       for (int i = 0; i < attempts; i++) {
         int family = draw(speed.length);
         int method = draw(WORK_MS.length);
         int others = random.nextInt(3) == 0 ? draw(64) : 0;
-        tallies[draw(relays)].add(method, family, 1, others, ms(family, method, others, 1));
+        sums[draw(relays)].add(method, family, 1, others, ms(family, method, others, 1));
       }
-      for (SampleSums one : tallies) {
-        seen.add(one);
+      for (SampleSums one : sums) {
+        observation.add(one);
       }
     }
-    return seen;
+    return observation;
   }
 }
