--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -19,7 +19,7 @@
   /**
    * What a zone needs.
    *
-   * @param family in whose units it is told
+   * @param family in whose units it is stated
    * @param byHour 24 of them, by the hour of the day in UTC
    * @param method whose work is most of the load, by which families are compared
    */
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -344,12 +344,12 @@
     return true;
   }
 
-  /** The last model; null: none was told. */
+  /** The last model; null: there is none yet. */
   public HardwareModel model() {
     return model;
   }
 
-  /** Restores the last model, without a review; null: none was told. */
+  /** Restores the last model, without a review; null: there is none yet. */
   public void model(HardwareModel known) {
     model = known;
     capacity.translation(
--- a/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
@@ -117,8 +117,8 @@
   }
 
   /** Racks that are free for less than their notice, by name, in milliseconds. */
-  TreeMap<String, Long> freeForLessThanNotice(long nowMs) {
-    TreeMap<String, Long> found = new TreeMap<>();
+  Map<String, Long> freeForLessThanNotice(long nowMs) {
+    Map<String, Long> found = new TreeMap<>();
     for (MaintenanceWindow one : binding) {
       entriesExamined++;
       if (one.from() >= nowMs + longestNoticeMs) {
--- a/src/main/java/sprucerock/hardware/HardwareModel.java
+++ b/src/main/java/sprucerock/hardware/HardwareModel.java
@@ -6,7 +6,7 @@
 
 /**
  * What families are worth beside each other, with how well that is known. Never changed; a later
- * one takes its place by {@link #newerThan}.
+ * one takes its place by {@link #isNewerThan}.
  */
 public final class HardwareModel {
   /** The logarithm of a factor, and its standard error. */
@@ -104,7 +104,7 @@
   public boolean isNewerThan(HardwareModel other) {
     return other == null
         || number > other.number
-        || number == other.number && window > other.window;
+        || (number == other.number && window > other.window);
   }
 
   /** Families that were seen, in the order of {@link #of}. */
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -287,7 +287,7 @@
     }
     return terms
         .usableTerm()
-        .times(ROUND_TIMEOUT_SHARE * (1 << failures - 1) * (0.5 + random.getAsDouble()));
+        .times(ROUND_TIMEOUT_SHARE * (1 << (failures - 1)) * (0.5 + random.getAsDouble()));
   }
 
   /** When {@link #tick} is to be called next; null: not before something else happens. */
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -41,7 +41,7 @@
         TimeSpan left,
         Rejection why);
 
-    /** It may be had now; told to one that waits. */
+    /** It may be had now; sent to one client that waits. */
     void available(int client, String name);
   }
 
--- a/src/main/java/sprucerock/lease/LeaseRound.java
+++ b/src/main/java/sprucerock/lease/LeaseRound.java
@@ -69,12 +69,12 @@
   }
 
   boolean rejectedBy(int grantor) {
-    return (rejections >> grantor & 1) != 0;
+    return ((rejections >> grantor) & 1) != 0;
   }
 
   /** Bit 0: the grantor granted it in this round; bit 1: it rejected it. */
   int voteOf(int grantor) {
-    return (int) (grants >> grantor & 1 | (rejections >> grantor & 1) << 1);
+    return (int) (((grants >> grantor) & 1) | (((rejections >> grantor) & 1) << 1));
   }
 
   /** How long another client holds it at least; null: nobody is known to. */
--- a/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
@@ -34,7 +34,7 @@
         (key, time) -> {
           int at = slot(key);
           while (keys[at] != -1) {
-            at = at + 1 & mask;
+            at = (at + 1) & mask;
           }
           keys[at] = key;
           untilMs[at] = time.ms();
@@ -43,12 +43,12 @@
 
   /** A rack's key: its zone, 0 to 32,767, and its cell, 0 to 65,535. */
   public static int key(int zone, int cell) {
-    return (zone & 0x7fff) << 16 | cell & 0xffff;
+    return ((zone & 0x7fff) << 16) | (cell & 0xffff);
   }
 
   private int slot(int key) {
     int mixed = key * 0x9E3779B1;
-    return (mixed ^ mixed >>> 15) & mask;
+    return (mixed ^ (mixed >>> 15)) & mask;
   }
 
   /**
@@ -56,7 +56,7 @@
    * milliseconds of the steady clock.
    */
   public boolean mayPlace(int key, double nowMs, double takesMs) {
-    for (int at = slot(key); keys[at] != -1; at = at + 1 & mask) {
+    for (int at = slot(key); keys[at] != -1; at = (at + 1) & mask) {
       if (keys[at] == key) {
         return nowMs + takesMs <= untilMs[at];
       }
@@ -66,7 +66,7 @@
 
   /** Until when a rack is free for certain; null: it never has a maintenance window. */
   public Timestamp freeUntil(int key) {
-    for (int at = slot(key); keys[at] != -1; at = at + 1 & mask) {
+    for (int at = slot(key); keys[at] != -1; at = (at + 1) & mask) {
       if (keys[at] == key) {
         return Timestamp.ofMs(untilMs[at]);
       }
