--- a/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
+++ b/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
@@ -6,7 +6,10 @@
 import java.nio.ByteOrder;
 import java.nio.LongBuffer;
 
-/** A buffer, mapped or not. The kernel writes a mapped one back whatever becomes of the process. */
+/**
+ * Metrics memory in a byte buffer. The kernel writes a mapped one back whatever becomes of the
+ * process.
+ */
 final class BufferMetricsMemory implements MetricsMemory {
   private static final VarHandle LONGS =
       MethodHandles.byteBufferViewVarHandle(long[].class, ByteOrder.LITTLE_ENDIAN);
@@ -20,28 +23,29 @@
   }
 
   @Override
-  public long get(int at) {
-    return (long) LONGS.getAcquire(buffer, at);
+  public long get(int offset) {
+    return (long) LONGS.getAcquire(buffer, offset);
   }
 
   @Override
-  public void get(int at, long[] into, int from, int count) {
-    longs.get(at / 8, into, from, count);
-    VarHandle.acquireFence(); // what is read after this is newer
+  public void get(int offset, long[] into, int from, int count) {
+    longs.get(offset / Long.BYTES, into, from, count);
+    VarHandle.acquireFence(); // what is read after this is as new or newer
   }
 
   @Override
-  public void put(int at, long value) {
-    longs.put(at / 8, value); // in any order among themselves: putLast comes after all of them
+  public void put(int offset, long value) {
+    longs.put(
+        offset / Long.BYTES,
+        value); // in any order among themselves: putLast comes after all of them
   }
 
   @Override
-  public void putLast(int at, long value) {
+  public void putLast(int offset, long value) {
     VarHandle.releaseFence(); // nothing that was put before may come after it
-    LONGS.setVolatile(buffer, at, value);
-    VarHandle
-        .fullFence(); // nor what is put from now on before it: a reader may still be at the other
-    // copy
+    LONGS.setVolatile(buffer, offset, value);
+    // nor may what is put from now on come before it: a reader may still be at the other copy
+    VarHandle.fullFence();
   }
 
   @Override
--- a/src/main/java/sprucerock/metrics/MappedMetricsFile.java
+++ b/src/main/java/sprucerock/metrics/MappedMetricsFile.java
@@ -6,54 +6,62 @@
 import sprucerock.accounting.MetricsStore;
 
 /**
- * Figures in a file: a head, the layout, the rows' names, and two copies of all values, each with
- * its turn's number and a checksum. A turn is written into the copy that does not count; then one
- * long says that this one counts now. A kill between any two writes leaves the state before or
- * after a turn, never half of one, and a reader elsewhere needs no lock.
+ * Writes metrics into a file that survives a kill of the process: a header, the layout, the rows'
+ * names, and two copies of all values, each with its sequence number and a checksum.
+ *
+ * <p>A commit writes the copy that does not count; then one long says that this one counts now. A
+ * kill between any two writes leaves the state before or after a commit, never half of one, and a
+ * reader elsewhere needs no lock. All offsets and sizes are in bytes; the form is stored data and
+ * stays.
  */
 final class MappedMetricsFile implements MetricsStore {
-  static final long MAGIC = 0x3130474946525053L; // "SPRFIG01"
-  static final int NAME = 80; // its length, and 72 bytes: a build and the longest method
-  static final int GENERATION = 8;
-  static final int SEQUENCE = 16;
-  static final int CLOSED = 24;
-  static final int VALUES = 32;
-  static final int ROWS = 40;
-  static final int LAYOUT_BYTES = 48;
-  static final int LAYOUT_CRC = 56;
-  static final int HEAD = 64;
-
-  private final int namesAt;
-  private final int valuesAt;
+  /** The text SPRFIG01, little-endian. */
+  static final long MAGIC = 0x3130474946525053L;
+
+  /** Bytes of a row's name: its length, and 72 for a build and the longest method. */
+  static final int NAME_BYTES = 80;
+
+  static final int GENERATION_OFFSET = 8;
+  static final int SEQUENCE_OFFSET = 16;
+  static final int CLOSED_OFFSET = 24;
+  static final int VALUE_COUNT_OFFSET = 32;
+  static final int ROW_COUNT_OFFSET = 40;
+  static final int LAYOUT_SIZE_OFFSET = 48;
+  static final int LAYOUT_CRC_OFFSET = 56;
+  static final int HEADER_BYTES = 64;
+
+  private final int namesOffset;
+  private final int valuesOffset;
   private final long[] values;
-  private final int[] now;
-  private final int[] before;
-  private final boolean[] isNow;
-  private int nowCount;
-  private int beforeCount;
-  private long check;
+  private final int[] changed;
+  private final int[] changedByLast;
+  private final boolean[] isChanged;
+  private int changedCount;
+  private int changedByLastCount;
+  private long weightedSum;
   private long sequence;
   private volatile MetricsMemory memory; // written by the relay, read by whoever scrapes
 
-  /** A fresh file in memory that is all zero. */
+  /** Begins a file in a memory that is all zero. */
   MappedMetricsFile(MetricsMemory memory, String layout, int values, int rows, long generation) {
     this.memory = memory;
     byte[] text = layout.getBytes(StandardCharsets.UTF_8);
     this.values = new long[values];
-    now = new int[values];
-    before = new int[values];
-    isNow = new boolean[values];
-    namesAt = HEAD + padded(text.length);
-    valuesAt = namesAt + rows * NAME;
-    putBytes(HEAD, text);
-    memory.put(GENERATION, generation);
-    memory.put(VALUES, values);
-    memory.put(ROWS, rows);
-    memory.put(LAYOUT_BYTES, text.length);
-    memory.put(LAYOUT_CRC, crc(text));
+    changed = new int[values];
+    changedByLast = new int[values];
+    isChanged = new boolean[values];
+    namesOffset = HEADER_BYTES + padded(text.length);
+    valuesOffset = namesOffset + rows * NAME_BYTES;
+    putBytes(HEADER_BYTES, text);
+    memory.put(GENERATION_OFFSET, generation);
+    memory.put(VALUE_COUNT_OFFSET, values);
+    memory.put(ROW_COUNT_OFFSET, rows);
+    memory.put(LAYOUT_SIZE_OFFSET, text.length);
+    memory.put(LAYOUT_CRC_OFFSET, crc(text));
     memory.putLast(0, MAGIC);
   }
 
+  /** Rounds up to a multiple of eight. */
   static int padded(int bytes) {
     return bytes + 7 & ~7;
   }
@@ -64,14 +72,15 @@
     return crc.getValue();
   }
 
+  /** The size of a whole file. */
   static int size(String layout, int values, int rows) {
-    return HEAD
+    return HEADER_BYTES
         + padded(layout.getBytes(StandardCharsets.UTF_8).length)
-        + rows * NAME
-        + 2 * (values + 2) * 8;
+        + rows * NAME_BYTES
+        + 2 * copyBytes(values);
   }
 
-  /** Goes on elsewhere, where the same bytes stand. */
+  /** Goes on in another memory that has the same bytes. */
   void moveTo(MetricsMemory other) {
     memory = other;
   }
@@ -82,75 +91,79 @@
 
   private void putBytes(int at, byte[] bytes) {
     for (int i = 0; i < bytes.length; i += 8) {
-      long piece = 0;
+      long packed = 0;
       for (int j = 0; j < 8 && i + j < bytes.length; j++) {
-        piece |= (bytes[i + j] & 0xffL) << 8 * j;
+        packed |= (bytes[i + j] & 0xffL) << 8 * j;
       }
-      memory.put(at + i, piece);
+      memory.put(at + i, packed);
     }
   }
 
   @Override
   public void name(int row, String label) {
     byte[] bytes = label.getBytes(StandardCharsets.UTF_8);
-    byte[] cut = Arrays.copyOf(bytes, Math.min(bytes.length, NAME - 8));
-    int at = namesAt + row * NAME;
+    byte[] cut = Arrays.copyOf(bytes, Math.min(bytes.length, NAME_BYTES - 8));
+    int at = namesOffset + row * NAME_BYTES;
     putBytes(at + 8, cut);
     memory.putLast(at, cut.length); // until here the row has no name
   }
 
-  /**
-   * How much a value weighs in the checksum: odd, so that each bit counts, and another for each
-   * place.
-   */
+  /** A value's factor in the checksum: odd, so that each bit counts, and another for each index. */
   static long weight(int index) {
     return (index + 1) * 0x9E3779B97F4A7C15L | 1;
   }
 
   @Override
-  public void put(int account, long value) {
-    check += (value - values[account]) * weight(account);
-    values[account] = value;
-    if (isNow[account]) {
+  public void put(int index, long value) {
+    weightedSum += (value - values[index]) * weight(index);
+    values[index] = value;
+    if (isChanged[index]) {
       return;
     }
-    isNow[account] = true;
-    now[nowCount++] = account;
+    isChanged[index] = true;
+    changed[changedCount++] = index;
   }
 
   @Override
   public void commit() {
     long next = sequence + 1;
-    int at = copyAt(valuesAt, values.length, next);
-    // this copy lacks the last turn too, which went to the other one
-    for (int i = 0; i < beforeCount; i++) {
-      memory.put(at + before[i] * 8, values[before[i]]);
+    int at = copyOffset(valuesOffset, values.length, next);
+    // this copy lacks the last commit too, which went to the other one
+    for (int i = 0; i < changedByLastCount; i++) {
+      memory.put(at + changedByLast[i] * 8, values[changedByLast[i]]);
     }
-    for (int i = 0; i < nowCount; i++) {
-      memory.put(at + now[i] * 8, values[now[i]]);
+    for (int i = 0; i < changedCount; i++) {
+      memory.put(at + changed[i] * 8, values[changed[i]]);
     }
     memory.put(at + values.length * 8, next);
-    memory.put(at + values.length * 8 + 8, checksum(check, next));
-    memory.putLast(SEQUENCE, next);
+    memory.put(at + values.length * 8 + 8, checksum(weightedSum, next));
+    memory.putLast(SEQUENCE_OFFSET, next);
     sequence = next;
-    System.arraycopy(now, 0, before, 0, nowCount);
-    beforeCount = nowCount;
-    for (int i = 0; i < nowCount; i++) {
-      isNow[now[i]] = false;
+    System.arraycopy(changed, 0, changedByLast, 0, changedCount);
+    changedByLastCount = changedCount;
+    for (int i = 0; i < changedCount; i++) {
+      isChanged[changed[i]] = false;
     }
-    nowCount = 0;
+    changedCount = 0;
   }
 
-  static int copyAt(int valuesAt, int values, long sequence) {
-    return valuesAt + (int) (sequence & 1) * (values + 2) * 8;
+  /** Of one copy: the values, its sequence number and its checksum. */
+  static int copyBytes(int values) {
+    return (values + 2) * Long.BYTES;
   }
 
-  static long checksum(long check, long sequence) {
-    return check ^ sequence * 0xD6E8FEB86659FD93L;
+  /** Where the copy begins that commits of this sequence number go to. */
+  static int copyOffset(int valuesOffset, int values, long sequence) {
+    return valuesOffset + (int) (sequence & 1) * copyBytes(values);
   }
 
-  /** The relay ended in good order. */
+  /** A copy's checksum: of its values, each by its {@link #weight}, and its sequence number. */
+  static long checksum(long weightedSum, long sequence) {
+    return weightedSum ^ sequence * 0xD6E8FEB86659FD93L;
+  }
+
+  /** Notes that the relay shut down cleanly. */
   void close() {
-    memory.putLast(CLOSED, 1);
+    memory.putLast(CLOSED_OFFSET, 1);
   }
 }
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -12,79 +12,98 @@
 import sprucerock.accounting.MethodMetrics;
 
 /**
- * Keeps a relay's accounts in a file through its lives: each start is a generation that goes on
- * from the last one's figures, with what was pending in a life that was cut off booked as lost with
- * the relay. The next generation's file is written whole beside the old one and takes its place by
- * one renaming, so that a crash at any moment, or two in a row, leaves one or the other.
+ * Keeps a relay's accounts in a file across restarts. Each start is a generation that goes on from
+ * the last one's values; what was pending in a process that was killed is booked as lost with it.
+ *
+ * <p>The next generation's file is written completely beside the old one and takes its place by one
+ * renaming, so that a crash at any moment, or two in a row, leaves one or the other. Written by the
+ * relay's thread; {@link #snapshot} is for any thread.
  */
 public final class MetricsFileWriter {
-  private static final int FRESH = 1;
-  private static final int CARRIED = 2;
-  private static final int SET_ASIDE = 3;
-  private static final int UNREAD = 5;
-  private static final int RUNNING = 3;
-  private static final int ENDED = 1;
+  /** The numbers of columns in the accounts: how a generation found its file. */
+  private static final int FOUND_NONE = 1;
+
+  private static final int FOUND_CARRIED = 2;
+  private static final int FOUND_SET_ASIDE = 3;
+  private static final int FOUND_UNREADABLE = 5;
+
+  /** The numbers of columns in the accounts: what became of a start. */
+  private static final int START_ENDED = 1;
+
+  private static final int START_RUNNING = 3;
+
+  private static final int MAX_FILES_SET_ASIDE = 999;
 
   private final MethodAccounts accounts;
-  private final MappedMetricsFile pages;
-  private final boolean isPersistent;
+  private final MappedMetricsFile file;
+  private final boolean persistent;
 
-  private MetricsFileWriter(MethodAccounts accounts, MappedMetricsFile pages, boolean kept) {
-    this.isPersistent = kept;
+  private MetricsFileWriter(MethodAccounts accounts, MappedMetricsFile file, boolean persistent) {
     this.accounts = accounts;
-    this.pages = pages;
+    this.file = file;
+    this.persistent = persistent;
   }
 
   /**
-   * Goes on from a file, or begins one. Nothing that is wrong with it stops the relay: what can't
-   * be read is kept aside, a disk that takes nothing leaves the figures in memory; {@code say} is
-   * told in one line. Without a file, null, they are in memory from the first.
+   * Goes on from a file, or begins one. Nothing that is wrong with it stops the relay: a file that
+   * is damaged is set aside, and where the disk takes nothing the metrics stay in memory.
+   *
+   * @param path null: the metrics are kept in memory only
+   * @param onFirstPostingOfATurn runs at the first change after each commit
+   * @param log gets one line for each thing that is wrong
    */
   public static MetricsFileWriter open(
-      Path file, MethodAccounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> say) {
-    long generation = 1;
-    int found = FRESH;
-    try {
-      if (file != null && Files.exists(file)) {
-        MetricsSnapshot last = MetricsSnapshot.read(file);
-        carry(last, accounts);
-        generation = last.generation + 1;
-        found = CARRIED;
-      }
-    } catch (MetricsSnapshot.InvalidFileException e) {
-      found = SET_ASIDE;
-      say.accept(e.getMessage() + "; " + setAside(file));
-    } catch (IOException e) {
-      found = UNREAD;
-      say.accept(file + ": can't be read: " + e.getMessage() + "; figures begin anew");
-    }
-    accounts.begin(accounts.files, 0, found);
-    accounts.begin(accounts.starts, 0, RUNNING);
+      Path path, MethodAccounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> log) {
+    long generation = carryOver(path, accounts, log) + 1;
+    accounts.begin(accounts.starts, 0, START_RUNNING);
     String layout = accounts.layout();
     ByteBuffer bytes =
         ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rows()));
-    MappedMetricsFile pages =
+    MappedMetricsFile file =
         new MappedMetricsFile(
             new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
-    accounts.keepIn(pages, onFirstPostingOfATurn);
-    boolean kept = false;
+    accounts.keepIn(file, onFirstPostingOfATurn);
+    boolean persistent = false;
     try {
-      if (file != null) {
-        pages.moveTo(new BufferMetricsMemory(place(file, bytes)));
+      if (path != null) {
+        file.moveTo(new BufferMetricsMemory(publish(path, bytes)));
+        persistent = true;
       }
-      kept = file != null;
     } catch (IOException e) {
-      say.accept(
-          file
+      log.accept(
+          path
               + ": can't be written: "
               + e.getMessage()
               + "; figures stay in memory until the next start");
     }
-    return new MetricsFileWriter(accounts, pages, kept);
+    return new MetricsFileWriter(accounts, file, persistent);
   }
 
+  /** Takes over the last generation's values; returns its number, 0 where there is none. */
+  private static long carryOver(Path path, MethodAccounts accounts, Consumer<String> log) {
+    long lastGeneration = 0;
+    int found = FOUND_NONE;
+    try {
+      if (path != null && Files.exists(path)) {
+        MetricsSnapshot last = MetricsSnapshot.read(path);
+        carry(last, accounts);
+        lastGeneration = last.generation;
+        found = FOUND_CARRIED;
+      }
+    } catch (MetricsSnapshot.InvalidFileException e) {
+      found = FOUND_SET_ASIDE;
+      log.accept(e.getMessage() + "; " + setAside(path));
+    } catch (IOException e) {
+      found = FOUND_UNREADABLE;
+      log.accept(path + ": can't be read: " + e.getMessage() + "; figures begin anew");
+    }
+    accounts.begin(accounts.files, 0, found);
+    return lastGeneration;
+  }
+
+  /** Renames a damaged file for later study; returns what became of it, for the log. */
   private static String setAside(Path file) {
-    for (int i = 1; i < 1000; i++) {
+    for (int i = 1; i <= MAX_FILES_SET_ASIDE; i++) {
       Path aside = file.resolveSibling(file.getFileName() + ".aside-" + i);
       if (Files.exists(aside)) {
         continue;
@@ -99,8 +118,11 @@
     return "a thousand such files are there already, and figures begin anew";
   }
 
-  /** Written out in full first: a mapped file that finds no room later would end the process. */
-  private static ByteBuffer place(Path file, ByteBuffer bytes) throws IOException {
+  /**
+   * Writes and maps a file. It is written out in full first: a mapped file that finds no disk space
+   * later would end the process.
+   */
+  private static ByteBuffer publish(Path file, ByteBuffer bytes) throws IOException {
     Path next = file.resolveSibling(file.getFileName() + ".next");
     ByteBuffer mapped;
     try (FileChannel channel =
@@ -110,9 +132,9 @@
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE)) {
-      ByteBuffer all = bytes.duplicate().clear();
-      while (all.hasRemaining()) {
-        channel.write(all);
+      ByteBuffer content = bytes.duplicate().clear();
+      while (content.hasRemaining()) {
+        channel.write(content);
       }
       channel.force(false);
       mapped = channel.map(FileChannel.MapMode.READ_WRITE, 0, bytes.capacity());
@@ -123,38 +145,38 @@
 
   private static void carry(MetricsSnapshot last, MethodAccounts accounts)
       throws MetricsSnapshot.InvalidFileException {
-    MethodAccounts old = last.accounts();
-    for (MethodMetrics from : old.sheets()) {
-      MethodMetrics to = accounts.sheets().get(old.sheets().indexOf(from));
+    MethodAccounts lastAccounts = last.accounts();
+    for (MethodMetrics from : lastAccounts.sheets()) {
+      MethodMetrics to = accounts.sheets().get(lastAccounts.sheets().indexOf(from));
       for (int row = 0; row < from.rows(); row++) {
         for (int column = 0; column < from.columns().size(); column++) {
           long value = last.values[from.index(row, column)];
           if (value != 0) {
-            accounts.carry(to, old.name(from, row), column, value);
+            accounts.carry(to, lastAccounts.name(from, row), column, value);
           }
         }
       }
     }
   }
 
-  /** Whether they outlive a kill: there is a file, and it could be written. */
+  /** Whether the metrics outlive a kill: there is a file, and it could be written. */
   public boolean isPersistent() {
-    return isPersistent;
+    return persistent;
   }
 
-  /** All figures at the end of a turn; from any thread, without holding the relay up. */
+  /** All metrics as last committed; from any thread, without holding the relay up. */
   public MetricsSnapshot snapshot() {
     try {
-      return MetricsSnapshot.read(pages.memory(), "this relay");
+      return MetricsSnapshot.read(file.memory(), "this relay");
     } catch (MetricsSnapshot.InvalidFileException e) {
-      throw new IllegalStateException(e.getMessage());
+      throw new IllegalStateException("the metrics in memory can't be read", e);
     }
   }
 
-  /** The relay ends in good order. */
+  /** Notes that the relay shuts down cleanly, and commits what is posted. */
   public void close() {
-    accounts.move(accounts.starts, 0, RUNNING, ENDED);
+    accounts.move(accounts.starts, 0, START_RUNNING, START_ENDED);
     accounts.commit();
-    pages.close();
+    file.close();
   }
 }
--- a/src/main/java/sprucerock/metrics/MetricsMemory.java
+++ b/src/main/java/sprucerock/metrics/MetricsMemory.java
@@ -1,19 +1,22 @@
 package sprucerock.metrics;
 
 /**
- * Bytes that outlive a kill of the process. Longs stand at multiples of eight, and are written
+ * The bytes of a metrics file. Longs stand at offsets that are multiples of eight, and are written
  * whole.
  */
 interface MetricsMemory {
-  long get(int at);
+  /** Reads a long, and sees all that was written before a {@link #putLast} of it. */
+  long get(int offset);
 
-  /** Many at once, in no order: for what a checksum is held against. */
-  void get(int at, long[] into, int from, int count);
+  /** Reads {@code count} longs, in any order: a checksum tells whether they belong together. */
+  void get(int offset, long[] into, int from, int count);
 
-  void put(int at, long value);
+  /** Writes a long, in any order among other such writes. */
+  void put(int offset, long value);
 
-  /** Written after all that was put before. */
-  void putLast(int at, long value);
+  /** Writes a long after all that was put before, and before all that is put later. */
+  void putLast(int offset, long value);
 
+  /** In bytes. */
   int size();
 }
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -11,11 +11,11 @@
 import sprucerock.accounting.MethodMetrics;
 
 /**
- * All figures of one relay at the end of one turn, read from its file; the relay may run, be ended
- * or be dead.
+ * All metrics of one relay at the end of one commit, read from its file or its memory; the relay
+ * may run, have ended, or have been killed.
  */
 public final class MetricsSnapshot {
-  /** A file that can't be used; the message says why in one line. */
+  /** A metrics file that can't be used; the message says why in one line. */
   public static final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -24,13 +24,23 @@
     }
   }
 
-  private static final int TRIES = 10_000;
-  private static final int MOST_VALUES = 10_000_000;
+  private static final int MAX_ATTEMPTS = 10_000;
+  private static final int MAX_VALUES = 10_000_000;
+  private static final int MAX_LAYOUT_BYTES = 1 << 20;
 
+  /** How often a relay was started with this file; 1 for the first time. */
   public final long generation;
+
+  /** Whether the relay shut down cleanly; else it runs, or was killed. */
   public final boolean cleanShutdown;
+
+  /** A line for each family of metrics: name, key, rows, columns. */
   public final String layout;
+
+  /** The names of all rows, null for one that is not in use. */
   public final String[] rowNames;
+
+  /** All values, row by row. */
   public final long[] values;
 
   private MetricsSnapshot(
@@ -46,12 +56,12 @@
    * Reads a file.
    *
    * @throws IOException if it can't be read at all
-   * @throws BadFileException if what it holds are no figures, or not whole
+   * @throws InvalidFileException if it is no metrics file, or is damaged
    */
   public static MetricsSnapshot read(Path file) throws IOException, InvalidFileException {
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
       long size = channel.size();
-      if (size < MappedMetricsFile.HEAD || size > Integer.MAX_VALUE) {
+      if (size < MappedMetricsFile.HEADER_BYTES || size > Integer.MAX_VALUE) {
         throw new InvalidFileException(file + ": " + size + " bytes are no figures");
       }
       return read(
@@ -60,148 +70,95 @@
     }
   }
 
-  static MetricsSnapshot read(MetricsMemory memory, String file) throws InvalidFileException {
-    if (memory.get(0) != MappedMetricsFile.MAGIC) {
-      throw new InvalidFileException(file + ": no figures, or those of another version");
-    }
-    long count = memory.get(MappedMetricsFile.VALUES);
-    long rows = memory.get(MappedMetricsFile.ROWS);
-    long layoutBytes = memory.get(MappedMetricsFile.LAYOUT_BYTES);
-    boolean fits =
-        count >= 0
-            && count <= MOST_VALUES
-            && rows >= 0
-            && rows <= count
-            && layoutBytes >= 0
-            && layoutBytes < 1 << 20
-            && MappedMetricsFile.HEAD
-                    + MappedMetricsFile.padded((int) layoutBytes)
-                    + rows * MappedMetricsFile.NAME
-                    + 2 * (count + 2) * 8
-                == memory.size();
-    if (!fits) {
-      throw new InvalidFileException(file + ": cut short, or its head is damaged");
-    }
-    byte[] layout = bytes(memory, MappedMetricsFile.HEAD, (int) layoutBytes);
-    if (MappedMetricsFile.crc(layout) != memory.get(MappedMetricsFile.LAYOUT_CRC)) {
-      throw new InvalidFileException(file + ": its layout is damaged");
-    }
-    Copies copies =
-        new Copies(
-            memory,
-            MappedMetricsFile.HEAD + MappedMetricsFile.padded(layout.length),
-            (int) rows,
-            (int) count,
-            new String(layout, StandardCharsets.UTF_8),
-            file);
-    for (int i = 0; i < TRIES; i++) {
-      long sequence = memory.get(MappedMetricsFile.SEQUENCE);
-      // a relay that goes on may begin to write where we read: then the checksum is wrong and the
-      // number moves on
-      boolean read = copies.read(sequence) == sequence;
-      if (!read && memory.get(MappedMetricsFile.SEQUENCE) == sequence) {
-        // nobody writes: it was cut off just there. The other copy, or this one without its number,
-        // is whole
-        long even = copies.read(0);
-        long odd = copies.read(1);
-        read = Math.max(even, odd) >= 0 && copies.read(Math.max(even, odd)) >= 0;
-        if (!read) {
-          throw new InvalidFileException(file + ": its checksums are wrong");
-        }
-      }
-      if (read) {
+  /** Reads a memory; {@code source} names it in errors. */
+  static MetricsSnapshot read(MetricsMemory memory, String source) throws InvalidFileException {
+    Header header = Header.read(memory, source);
+    MetricsCopies copies =
+        new MetricsCopies(memory, header.rows(), header.values(), header.layout(), source);
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+      if (readCurrentCopy(memory, copies, source)) {
         return new MetricsSnapshot(
-            memory.get(MappedMetricsFile.GENERATION),
-            memory.get(MappedMetricsFile.CLOSED) == 1,
-            new String(layout, StandardCharsets.UTF_8),
-            copies.names,
+            memory.get(MappedMetricsFile.GENERATION_OFFSET),
+            memory.get(MappedMetricsFile.CLOSED_OFFSET) == 1,
+            header.layout(),
+            copies.rowNames,
             copies.values);
       }
       Thread.onSpinWait();
     }
-    throw new InvalidFileException(file + ": changed at each of " + TRIES + " looks");
+    throw new InvalidFileException(source + ": changed at each of " + MAX_ATTEMPTS + " looks");
   }
 
-  /**
-   * The copies of the values, of which rows without a name are not looked at: these are zero, and
-   * weigh nothing. A look has to be over before a relay under load has ended two turns, and most
-   * rows are never used.
-   */
-  private static final class Copies {
-    private final MetricsMemory memory;
-    private final String file;
-    private final int namesAt;
-    private final int valuesAt;
-    private final int[] firsts;
-    final String[] names;
-    final long[] values;
-
-    Copies(MetricsMemory memory, int namesAt, int rows, int count, String layout, String file)
-        throws InvalidFileException {
-      this.memory = memory;
-      this.file = file;
-      this.namesAt = namesAt;
-      valuesAt = namesAt + rows * MappedMetricsFile.NAME;
-      names = new String[rows];
-      values = new long[count];
-      firsts = new int[rows + 1];
-      int row = 0;
-      for (String line : layout.split("\n")) {
-        String[] parts = line.split(" ");
-        int columns = parts[3].split(",").length;
-        for (int i = Integer.parseInt(parts[2]); i > 0 && row < rows; i--, row++) {
-          firsts[row + 1] = firsts[row] + columns;
-        }
+  /** False where a relay that runs has written meanwhile, and another attempt is needed. */
+  private static boolean readCurrentCopy(MetricsMemory memory, MetricsCopies copies, String source)
+      throws InvalidFileException {
+    long sequence = memory.get(MappedMetricsFile.SEQUENCE_OFFSET);
+    if (copies.read(sequence) == sequence) {
+      return true;
+    }
+    if (memory.get(MappedMetricsFile.SEQUENCE_OFFSET) != sequence) {
+      return false;
+    }
+    // Nobody writes: the relay was killed just here. The other copy, or this one before its
+    // sequence number counts, is intact.
+    long newest = Math.max(copies.read(0), copies.read(1));
+    if (newest >= 0 && copies.read(newest) >= 0) {
+      return true;
+    }
+    throw new InvalidFileException(source + ": its checksums are wrong");
+  }
+
+  /** A file's header and layout, checked. */
+  private record Header(int values, int rows, String layout) {
+    static Header read(MetricsMemory memory, String source) throws InvalidFileException {
+      if (memory.get(0) != MappedMetricsFile.MAGIC) {
+        throw new InvalidFileException(source + ": no figures, or those of another version");
       }
-      if (row != rows || firsts[rows] != count) {
-        throw new InvalidFileException(file + ": its layout does not fit its head");
+      long values = memory.get(MappedMetricsFile.VALUE_COUNT_OFFSET);
+      long rows = memory.get(MappedMetricsFile.ROW_COUNT_OFFSET);
+      long layoutBytes = memory.get(MappedMetricsFile.LAYOUT_SIZE_OFFSET);
+      boolean inBounds =
+          values >= 0
+              && values <= MAX_VALUES
+              && rows >= 0
+              && rows <= values
+              && layoutBytes >= 0
+              && layoutBytes < MAX_LAYOUT_BYTES;
+      if (!inBounds || size(values, rows, layoutBytes) != memory.size()) {
+        throw new InvalidFileException(source + ": cut short, or its head is damaged");
       }
+      byte[] layout = bytes(memory, MappedMetricsFile.HEADER_BYTES, (int) layoutBytes);
+      if (MappedMetricsFile.crc(layout) != memory.get(MappedMetricsFile.LAYOUT_CRC_OFFSET)) {
+        throw new InvalidFileException(source + ": its layout is damaged");
+      }
+      return new Header((int) values, (int) rows, new String(layout, StandardCharsets.UTF_8));
     }
 
-    /**
-     * Reads the copy that a turn's number falls to; returns the number that stands in it, -1 where
-     * it is not whole.
-     */
-    long read(long sequence) throws InvalidFileException {
-      int at = MappedMetricsFile.copyAt(valuesAt, values.length, sequence);
-      long check = 0;
-      for (int row = 0; row < names.length; row++) {
-        int nameAt = namesAt + row * MappedMetricsFile.NAME;
-        long length = memory.get(nameAt);
-        if (length < 0 || length > MappedMetricsFile.NAME - 8) {
-          throw new InvalidFileException(file + ": a name is damaged");
-        }
-        if (length == 0) {
-          continue;
-        }
-        if (names[row] == null) {
-          names[row] = new String(bytes(memory, nameAt + 8, (int) length), StandardCharsets.UTF_8);
-        }
-        memory.get(at + firsts[row] * 8, values, firsts[row], firsts[row + 1] - firsts[row]);
-        for (int i = firsts[row]; i < firsts[row + 1]; i++) {
-          check += values[i] * MappedMetricsFile.weight(i);
-        }
-      }
-      long own = memory.get(at + values.length * 8);
-      boolean whole =
-          memory.get(at + values.length * 8 + 8) == MappedMetricsFile.checksum(check, own)
-              && (own & 1) == (sequence & 1);
-      return whole ? own : -1;
+    private static long size(long values, long rows, long layoutBytes) {
+      return MappedMetricsFile.HEADER_BYTES
+          + MappedMetricsFile.padded((int) layoutBytes)
+          + rows * MappedMetricsFile.NAME_BYTES
+          + 2 * (values + 2) * Long.BYTES;
     }
   }
 
-  private static byte[] bytes(MetricsMemory memory, int at, int count) {
+  /** Bytes that stand in longs, from an offset that is a multiple of eight. */
+  static byte[] bytes(MetricsMemory memory, int offset, int count) {
     byte[] bytes = new byte[count];
     for (int i = 0; i < count; i++) {
-      bytes[i] = (byte) (memory.get(at + (i & ~7)) >>> 8 * (i & 7));
+      bytes[i] = (byte) (memory.get(offset + (i & ~7)) >>> 8 * (i & 7));
     }
     return bytes;
   }
 
-  /** Accounts of the same layout and names, to check and name these values by. */
+  /**
+   * Accounts of the same layout and row names, to check and name these values by.
+   *
+   * @throws InvalidFileException if the file is of another version
+   */
   public MethodAccounts accounts() throws InvalidFileException {
     List<String> methods = new ArrayList<>();
-    int[] rooms = new int[3];
+    int[] capacities = new int[3];
     int row = 0;
     for (String line : layout.split("\n")) {
       String[] parts = line.split(" ");
@@ -210,29 +167,30 @@
         methods.add(rowNames[row + i]);
       }
       if (parts[0].equals("build_picks")) {
-        rooms[0] = rows - 1;
+        capacities[0] = rows - 1;
       }
       if (parts[0].equals("unit_picks")) {
-        rooms[1] = rows - 1;
+        capacities[1] = rows - 1;
       }
       if (parts[0].equals("customer_rpcs")) {
-        rooms[2] = rows - 1;
+        capacities[2] = rows - 1;
       }
       row += rows;
     }
-    MethodAccounts made =
-        new MethodAccounts(methods, new MethodAccounts.Room(rooms[0], rooms[1], rooms[2]));
-    if (!made.layout().equals(layout)) {
+    MethodAccounts accounts =
+        new MethodAccounts(
+            methods, new MethodAccounts.Room(capacities[0], capacities[1], capacities[2]));
+    if (!accounts.layout().equals(layout)) {
       throw new InvalidFileException("figures of another version");
     }
-    int at = 0;
-    for (MethodMetrics sheet : made.sheets()) {
-      for (int i = 0; i < sheet.rows(); i++, at++) {
-        if (rowNames[at] != null) {
-          made.named(sheet, i, rowNames[at]);
+    int next = 0;
+    for (MethodMetrics family : accounts.sheets()) {
+      for (int i = 0; i < family.rows(); i++, next++) {
+        if (rowNames[next] != null) {
+          accounts.named(family, i, rowNames[next]);
         }
       }
     }
-    return made;
+    return accounts;
   }
 }
--- a/src/main/java/sprucerock/metrics/MetricsTable.java
+++ b/src/main/java/sprucerock/metrics/MetricsTable.java
@@ -7,12 +7,17 @@
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.MethodMetrics;
 
-/** Figures as a table for a terminal: rows in use, columns that are not all zero. */
+/** Formats metrics as a table for a terminal: rows in use, columns that are not all zero. */
 public final class MetricsTable {
   private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
   private MetricsTable() {}
 
+  /**
+   * Formats a snapshot; latencies are in milliseconds.
+   *
+   * @throws MetricsSnapshot.InvalidFileException if the snapshot is of another layout
+   */
   public static String format(MetricsSnapshot snapshot)
       throws MetricsSnapshot.InvalidFileException {
     MethodAccounts accounts = snapshot.accounts();
@@ -23,55 +28,55 @@
                 + ", "
                 + (snapshot.cleanShutdown ? "ended in good order" : "running, or cut off")
                 + "\n");
-    for (MethodMetrics sheet : accounts.sheets()) {
-      if (sheet.scaled()) {
-        scaled(text, sheet, accounts, snapshot.values);
+    for (MethodMetrics family : accounts.sheets()) {
+      if (family.scaled()) {
+        appendPercentiles(text, family, accounts, snapshot.values);
       } else {
-        sheet(text, sheet, accounts, snapshot.values);
+        appendCounters(text, family, accounts, snapshot.values);
       }
     }
     return text.toString();
   }
 
-  private static void sheet(
-      StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
-    int columns = sheet.columns().size();
+  private static void appendCounters(
+      StringBuilder text, MethodMetrics family, MethodAccounts accounts, long[] values) {
+    int columns = family.columns().size();
     boolean[] used = new boolean[columns];
-    for (int row = 0; row < sheet.rows(); row++) {
+    for (int row = 0; row < family.rows(); row++) {
       for (int column = 0; column < columns; column++) {
-        used[column] |= column == 0 || values[sheet.index(row, column)] != 0;
+        used[column] |= column == 0 || values[family.index(row, column)] != 0;
       }
     }
-    text.append(String.format(Locale.ROOT, "%-14s %-14s", sheet.name(), sheet.by()));
+    text.append(String.format(Locale.ROOT, "%-14s %-14s", family.name(), family.by()));
     for (int column = 0; column < columns; column++) {
       if (used[column]) {
-        text.append(String.format(Locale.ROOT, " %13s", sheet.columns().get(column)));
+        text.append(String.format(Locale.ROOT, " %13s", family.columns().get(column)));
       }
     }
     text.append('\n');
-    for (int row = 0; row < sheet.rows(); row++) {
-      if (values[sheet.index(row, 0)] == 0) {
+    for (int row = 0; row < family.rows(); row++) {
+      if (values[family.index(row, 0)] == 0) {
         continue;
       }
-      text.append(String.format(Locale.ROOT, "%-14s %-14s", "", accounts.name(sheet, row)));
+      text.append(String.format(Locale.ROOT, "%-14s %-14s", "", accounts.name(family, row)));
       for (int column = 0; column < columns; column++) {
         if (used[column]) {
-          text.append(String.format(Locale.ROOT, " %13d", values[sheet.index(row, column)]));
+          text.append(String.format(Locale.ROOT, " %13d", values[family.index(row, column)]));
         }
       }
       text.append('\n');
     }
   }
 
-  private static void scaled(
-      StringBuilder text, MethodMetrics sheet, MethodAccounts accounts, long[] values) {
+  private static void appendPercentiles(
+      StringBuilder text, MethodMetrics family, MethodAccounts accounts, long[] values) {
     text.append(
         String.format(
             Locale.ROOT,
             "%-14s %-14s %13s",
-            sheet.name() + ", ms",
-            sheet.by(),
-            sheet.columns().get(0)));
+            family.name() + ", ms",
+            family.by(),
+            family.columns().get(0)));
     for (double percentile : PERCENTILES) {
       text.append(
           String.format(
@@ -80,21 +85,22 @@
               "p" + BigDecimal.valueOf(percentile).stripTrailingZeros().toPlainString()));
     }
     text.append('\n');
-    for (int row = 0; row < sheet.rows(); row++) {
-      if (values[sheet.index(row, 0)] == 0) {
+    for (int row = 0; row < family.rows(); row++) {
+      if (values[family.index(row, 0)] == 0) {
         continue;
       }
-      Histogram times = HistogramBuckets.histogram(sheet, row, values);
+      Histogram latencies = HistogramBuckets.histogram(family, row, values);
       text.append(
           String.format(
               Locale.ROOT,
               "%-14s %-14s %13d",
               "",
-              accounts.name(sheet, row),
-              times.getTotalCount()));
+              accounts.name(family, row),
+              latencies.getTotalCount()));
       for (double percentile : PERCENTILES) {
         text.append(
-            String.format(Locale.ROOT, " %13.3f", times.getValueAtPercentile(percentile) / 1000.0));
+            String.format(
+                Locale.ROOT, " %13.3f", latencies.getValueAtPercentile(percentile) / 1000.0));
       }
       text.append('\n');
     }
--- a/src/test/java/sprucerock/compat/FiguresCompatTest.java
+++ b/src/test/java/sprucerock/compat/FiguresCompatTest.java
@@ -92,7 +92,7 @@
   }
 
   @Test
-  public void aRecordedFileGivesTheSameListing() throws Exception {
+  public void printsRecordedFileAsRecorded() throws Exception {
     for (String name : List.of(CUT_OFF, ENDED)) {
       assertEquals(
           listing(CorpusFiles.path(FOLDER + name)),
@@ -102,7 +102,7 @@
   }
 
   @Test
-  public void theSamePostingsGiveTheSameFile() throws Exception {
+  public void samePostingsMakeTheRecordedFile() throws Exception {
     Path folder = Files.createTempDirectory("compat");
     try {
       for (String name : List.of(CUT_OFF, ENDED)) {
@@ -118,7 +118,7 @@
   }
 
   @Test
-  public void aRelayGoesOnFromARecordedFile() throws Exception {
+  public void relayGoesOnFromRecordedFile() throws Exception {
     Path folder = Files.createTempDirectory("compat");
     try {
       Path file = folder.resolve(CUT_OFF);
--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -112,13 +112,13 @@
   }
 
   @Test(dataProvider = "forms")
-  public void aScrapeNamesTheSameMetrics(String name, String accept) throws Exception {
+  public void scrapeIsAsRecorded(String name, String accept) throws Exception {
     Corpus.holdsSorted(
         METRICS + name + ".txt", scraped(keeper(false), "/metrics", accept).lines().toList());
   }
 
   @Test
-  public void theNamesOfMetricsAreTheSame() throws Exception {
+  public void metricNamesAreAsRecorded() throws Exception {
     TreeSet<String> names = new TreeSet<>();
     for (String line : scraped(keeper(false), "/metrics", "text/plain").lines().toList()) {
       if (line.startsWith("# TYPE ")) {
@@ -129,7 +129,7 @@
   }
 
   @Test
-  public void theTableForPeopleIsTheSame() throws Exception {
+  public void tableIsAsRecorded() throws Exception {
     Corpus.holds(METRICS + "table.txt", scraped(keeper(true), "/figures", "text/plain"));
     assertEquals(
         "content-type text/plain; charset=utf-8\n" + MetricsTable.format(keeper(true).snapshot()),
@@ -137,7 +137,7 @@
   }
 
   @Test
-  public void theLayoutOfFiguresIsTheSame() throws Exception {
+  public void layoutIsAsRecorded() throws Exception {
     Corpus.holds(METRICS + "layout.txt", keeper(true).snapshot().layout);
   }
 
@@ -146,7 +146,7 @@
    * that do not hold.
    */
   @Test
-  public void theCommandShowsAFileAsBefore() throws Exception {
+  public void commandPrintsFileAsRecorded() throws Exception {
     Path folder = Files.createTempDirectory("figures");
     Path file = folder.resolve("relay-0.figures");
     MethodAccounts accounts = accounts();
--- a/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
+++ b/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
@@ -17,54 +17,54 @@
 import sprucerock.accounting.MethodMetrics;
 import sprucerock.time.TimeSpan;
 
-/** Figures through kills at every write, damage of every kind, and one life after another. */
+/** Metrics files through kills at every write, damage of every kind, and restarts. */
 public class MappedMetricsFileTest {
   private static final List<String> METHODS = List.of("read", "pay");
-  private static final MethodAccounts.Room ROOM = new MethodAccounts.Room(2, 3, 2);
+  private static final MethodAccounts.Room CAPACITY = new MethodAccounts.Room(2, 3, 2);
 
-  /** Memory of a process that is killed at its n-th write, which gets so many of its bytes down. */
-  private static final class Mortal implements MetricsMemory {
+  /** Memory of a process that is killed at its n-th write, of which some bytes are written. */
+  private static final class KilledMemory implements MetricsMemory {
     private static final class Killed extends RuntimeException {
       private static final long serialVersionUID = 1L;
     }
 
     private final ByteBuffer bytes;
     private final BufferMetricsMemory memory;
-    private long left;
+    private long writesLeft;
     private final int torn;
 
-    Mortal(int size, long writes, int torn) {
+    KilledMemory(int size, long writes, int torn) {
       bytes = ByteBuffer.allocate(size);
       memory = new BufferMetricsMemory(bytes);
-      left = writes;
+      writesLeft = writes;
       this.torn = torn;
     }
 
     @Override
-    public long get(int at) {
-      return memory.get(at);
+    public long get(int offset) {
+      return memory.get(offset);
     }
 
     @Override
-    public void get(int at, long[] into, int from, int count) {
-      memory.get(at, into, from, count);
+    public void get(int offset, long[] into, int from, int count) {
+      memory.get(offset, into, from, count);
     }
 
     @Override
-    public void put(int at, long value) {
-      if (left-- > 0) {
-        memory.put(at, value);
+    public void put(int offset, long value) {
+      if (writesLeft-- > 0) {
+        memory.put(offset, value);
         return;
       }
       for (int i = 0; i < torn; i++) {
-        bytes.put(at + i, (byte) (value >>> 8 * i));
+        bytes.put(offset + i, (byte) (value >>> 8 * i));
       }
       throw new Killed();
     }
 
     @Override
-    public void putLast(int at, long value) {
-      put(at, value);
+    public void putLast(int offset, long value) {
+      put(offset, value);
     }
 
     @Override
@@ -73,7 +73,7 @@
     }
   }
 
-  private static void someTurn(MethodAccounts accounts, SplittableRandom random) {
+  private static void postSome(MethodAccounts accounts, SplittableRandom random) {
     for (int i = random.nextInt(4); i >= 0; i--) {
       int method = random.nextInt(2);
       int build = accounts.row(accounts.builds, "" + random.nextInt(4));
@@ -87,28 +87,28 @@
     }
   }
 
-  private static MappedMetricsFile pages(MetricsMemory memory, MethodAccounts accounts) {
+  private static MappedMetricsFile file(MetricsMemory memory, MethodAccounts accounts) {
     return new MappedMetricsFile(memory, accounts.layout(), accounts.size(), accounts.rows(), 1);
   }
 
   private static int size() {
-    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     return MappedMetricsFile.size(accounts.layout(), accounts.size(), accounts.rows());
   }
 
-  /** Turns of a relay until it is killed; the values after each turn go into {@code states}. */
-  private static void live(Mortal memory, List<long[]> states) {
-    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+  /** Commits until the process is killed; the values of each commit go into {@code states}. */
+  private static void commitUntilKilled(KilledMemory memory, List<long[]> states) {
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     SplittableRandom random = new SplittableRandom(4);
-    MappedMetricsFile pages = pages(memory, accounts);
-    accounts.keepIn(pages, () -> {});
+    MappedMetricsFile file = file(memory, accounts);
+    accounts.keepIn(file, () -> {});
     for (int i = 0; i < 120; i++) {
-      someTurn(accounts, random);
+      postSome(accounts, random);
       long[] after = new long[accounts.size()];
-      for (MethodMetrics sheet : accounts.sheets()) {
-        for (int row = 0; row < sheet.rows(); row++) {
-          for (int column = 0; column < sheet.columns().size(); column++) {
-            after[sheet.index(row, column)] = accounts.value(sheet, row, column);
+      for (MethodMetrics family : accounts.sheets()) {
+        for (int row = 0; row < family.rows(); row++) {
+          for (int column = 0; column < family.columns().size(); column++) {
+            after[family.index(row, column)] = accounts.value(family, row, column);
           }
         }
       }
@@ -118,17 +118,17 @@
   }
 
   @Test
-  public void aKillAtAnyWriteLeavesTheFiguresOfATurnsEndAndEverySumHolds() throws Exception {
+  public void killAtAnyWriteLeavesTheValuesOfACommit() throws Exception {
     int kills = 0;
-    int whole = 0;
+    int checked = 0;
     for (int torn = 0; torn < 8; torn += torn == 0 ? 1 : 3) {
       for (long writes = 0; ; writes++) {
-        Mortal memory = new Mortal(size(), writes, torn);
+        KilledMemory memory = new KilledMemory(size(), writes, torn);
         List<long[]> states = new ArrayList<>();
         boolean killed = false;
         try {
-          live(memory, states);
-        } catch (Mortal.Killed e) {
+          commitUntilKilled(memory, states);
+        } catch (KilledMemory.Killed e) {
           killed = true;
         }
         if (states.size() > 1) { // before, the file is not in its place yet
@@ -139,7 +139,7 @@
               Arrays.equals(snapshot.values, last) || Arrays.equals(snapshot.values, before),
               "killed at write " + writes + ", torn at " + torn);
           assertEquals(snapshot.accounts().check(snapshot.values), List.of());
-          whole++;
+          checked++;
         }
         if (!killed) {
           break;
@@ -147,38 +147,40 @@
         kills++;
       }
     }
-    assertTrue(kills > 5000 && whole > 4000, kills + " kills, " + whole + " in turns");
+    assertTrue(kills > 5000 && checked > 4000, kills + " kills, " + checked + " in turns");
   }
 
   private static Path folder() throws Exception {
     return Files.createTempDirectory("figures");
   }
 
-  private static MethodAccounts life(Path file, List<String> said, boolean ends, int turns) {
-    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
-    MetricsFileWriter keeper = MetricsFileWriter.open(file, accounts, () -> {}, said::add);
-    SplittableRandom random = new SplittableRandom(turns);
-    for (int i = 0; i < turns; i++) {
-      someTurn(accounts, random);
+  private static MethodAccounts runRelay(
+      Path file, List<String> logged, boolean closes, int commits) {
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
+    MetricsFileWriter writer = MetricsFileWriter.open(file, accounts, () -> {}, logged::add);
+    SplittableRandom random = new SplittableRandom(commits);
+    for (int i = 0; i < commits; i++) {
+      postSome(accounts, random);
       accounts.commit();
     }
-    if (ends) {
-      keeper.close();
+    if (closes) {
+      writer.close();
     }
     return accounts;
   }
 
   @Test
-  public void eachLifeGoesOnFromTheLastAndWhatWasOutIsLostWithTheRelay() throws Exception {
+  public void nextGenerationCarriesValuesAndBooksPendingAsLost() throws Exception {
     Path file = folder().resolve("r.figures");
-    List<String> said = new ArrayList<>();
-    MethodAccounts first = life(file, said, false, 50);
+    List<String> logged = new ArrayList<>();
+    MethodAccounts first = runRelay(file, logged, false, 50);
     long sent = first.sum(first.attempts, 0);
     long out = first.sum(first.attempts, first.attempts.pending());
     assertTrue(out > 0);
-    MethodAccounts second = life(file, said, false, 0); // killed again before anything happened
+    MethodAccounts second =
+        runRelay(file, logged, false, 0); // killed again before anything happened
     assertEquals(second.sum(second.attempts, second.attempts.lost()), out);
-    MethodAccounts third = life(file, said, true, 20);
+    MethodAccounts third = runRelay(file, logged, true, 20);
     assertTrue(third.sum(third.attempts, 0) > sent);
     assertEquals(third.sum(third.attempts, third.attempts.lost()), out);
     MetricsSnapshot snapshot = MetricsSnapshot.read(file);
@@ -187,20 +189,20 @@
     assertEquals(snapshot.accounts().check(snapshot.values), List.of());
     assertEquals(third.value(third.starts, 0, 0), 3);
     assertEquals(third.value(third.starts, 0, third.starts.lost()), 2);
-    assertEquals(said, List.of());
+    assertEquals(logged, List.of());
   }
 
   @Test
-  public void rowsAreCarriedByNameWhateverTheSettingsAreNow() throws Exception {
+  public void carriesRowsByNameAcrossChangedSettings() throws Exception {
     Path file = folder().resolve("r.figures");
-    life(file, new ArrayList<>(), true, 30);
+    runRelay(file, new ArrayList<>(), true, 30);
     long[] before = MetricsSnapshot.read(file).values;
     MethodAccounts now =
         new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Room(1, 1, 1));
-    List<String> said = new ArrayList<>();
-    MetricsFileWriter.open(file, now, () -> {}, said::add);
-    assertEquals(said, List.of());
-    MethodAccounts old = new MethodAccounts(METHODS, ROOM);
+    List<String> logged = new ArrayList<>();
+    MetricsFileWriter.open(file, now, () -> {}, logged::add);
+    assertEquals(logged, List.of());
+    MethodAccounts old = new MethodAccounts(METHODS, CAPACITY);
     assertEquals(now.value(now.attempts, 2, 0), before[old.attempts.index(0, 0)]);
     assertEquals(now.value(now.attempts, 0, 1), before[old.attempts.index(1, 1)]);
     assertEquals(now.check(), List.of());
@@ -208,10 +210,10 @@
   }
 
   @Test
-  public void aFileThatIsCutForeignOrDamagedIsKeptAsideWithOneLine() throws Exception {
+  public void setsAsideDamagedFilesWithOneLogLine() throws Exception {
     Path folder = folder();
     Path file = folder.resolve("r.figures");
-    life(file, new ArrayList<>(), true, 30);
+    runRelay(file, new ArrayList<>(), true, 30);
     byte[] good = Files.readAllBytes(file);
     List<byte[]> bad = new ArrayList<>();
     for (int length : new int[] {0, 1, 63, 64, 200, good.length / 2, good.length - 1}) {
@@ -222,20 +224,21 @@
     newer[7]++;
     bad.add(newer);
     byte[] bothCopies = good.clone();
-    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     int copy = (accounts.size() + 2) * 8;
     bothCopies[good.length - 24] ^= 1;
     bothCopies[good.length - copy - 24] ^= 1;
     bad.add(bothCopies);
-    for (byte[] one : bad) {
-      Files.write(file, one);
-      List<String> said = new ArrayList<>();
-      MethodAccounts life = life(file, said, true, 3);
-      assertEquals(said.size(), 1, said.toString());
+    for (byte[] damaged : bad) {
+      Files.write(file, damaged);
+      List<String> logged = new ArrayList<>();
+      MethodAccounts restarted = runRelay(file, logged, true, 3);
+      assertEquals(logged.size(), 1, logged.toString());
       assertTrue(
-          said.get(0).startsWith(file + ": ") && said.get(0).contains("kept as r.figures.aside-"),
-          said.get(0));
-      assertEquals(life.value(life.files, 0, 3), 1);
+          logged.get(0).startsWith(file + ": ")
+              && logged.get(0).contains("kept as r.figures.aside-"),
+          logged.get(0));
+      assertEquals(restarted.value(restarted.files, 0, 3), 1);
       assertTrue(MetricsSnapshot.read(file).cleanShutdown);
     }
     try (var files = Files.list(folder)) {
@@ -244,12 +247,12 @@
   }
 
   @Test
-  public void oneDamagedCopyIsNotMissedAsTheOtherIsATurnOld() throws Exception {
+  public void readsOtherCopyWhereOneIsDamaged() throws Exception {
     Path file = folder().resolve("r.figures");
-    life(file, new ArrayList<>(), false, 30);
+    runRelay(file, new ArrayList<>(), false, 30);
     byte[] bytes = Files.readAllBytes(file);
     MetricsSnapshot good = MetricsSnapshot.read(file);
-    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     for (int copy = 0; copy < 2; copy++) {
       byte[] damaged = bytes.clone();
       damaged[bytes.length - 24 - copy * (accounts.size() + 2) * 8] ^= 4;
@@ -262,16 +265,16 @@
   }
 
   @Test
-  public void aFolderThatCantBeWrittenStopsNothing() throws Exception {
+  public void keepsMetricsInMemoryWhereTheFolderCannotBeWritten() throws Exception {
     Path folder = folder();
     Path file = folder.resolve("none").resolve("r.figures");
-    List<String> said = new ArrayList<>();
-    MethodAccounts accounts = life(file, said, true, 5);
+    List<String> logged = new ArrayList<>();
+    MethodAccounts accounts = runRelay(file, logged, true, 5);
     assertTrue(accounts.sum(accounts.attempts, 0) > 0);
-    assertEquals(said.size(), 1);
-    assertTrue(said.get(0).contains("figures stay in memory"), said.get(0));
+    assertEquals(logged.size(), 1);
+    assertTrue(logged.get(0).contains("figures stay in memory"), logged.get(0));
     assertTrue(
-        !MetricsFileWriter.open(file, new MethodAccounts(METHODS, ROOM), () -> {}, said::add)
+        !MetricsFileWriter.open(file, new MethodAccounts(METHODS, CAPACITY), () -> {}, logged::add)
             .isPersistent());
     assertTrue(
         PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)).startsWith("rwx"));
@@ -280,9 +283,9 @@
 
   /** A reader beside a writer that never rests: what it reads is always whole. */
   @Test
-  public void aReaderBesideTheRelayNeverSeesHalfATurn() throws Exception {
+  public void readerBesideWriterNeverSeesHalfACommit() throws Exception {
     Path file = folder().resolve("r.figures");
-    MethodAccounts accounts = new MethodAccounts(METHODS, ROOM);
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     MetricsFileWriter.open(file, accounts, () -> {}, line -> {});
     boolean[] over = new boolean[1];
     Thread writer =
@@ -290,7 +293,7 @@
             () -> {
               SplittableRandom random = new SplittableRandom(1);
               for (int i = 0; i < 200_000; i++) {
-                someTurn(accounts, random);
+                postSome(accounts, random);
                 accounts.commit();
               }
               synchronized (over) {
--- a/src/test/java/sprucerock/metrics/MetricsExporterTest.java
+++ b/src/test/java/sprucerock/metrics/MetricsExporterTest.java
@@ -28,29 +28,29 @@
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/metrics"))
             .header("Accept", accept)
             .build();
-    HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
-    assertEquals(answer.statusCode(), 200, answer.body());
-    Map<String, Double> found = new HashMap<>();
-    for (String line : answer.body().split("\n")) {
+    HttpResponse<String> response = http.send(request, HttpResponse.BodyHandlers.ofString());
+    assertEquals(response.statusCode(), 200, response.body());
+    Map<String, Double> metrics = new HashMap<>();
+    for (String line : response.body().split("\n")) {
       if (!line.startsWith("#")) {
-        found.put(
+        metrics.put(
             line.substring(0, line.lastIndexOf(' ')),
             Double.parseDouble(line.substring(line.lastIndexOf(' '))));
       }
     }
-    return found;
+    return metrics;
   }
 
   @Test
-  public void everyScrapeBalancesBesideARelayThatNeverRests() throws Exception {
+  public void sumsHoldInEveryScrapeOfABusyRelay() throws Exception {
     MethodAccounts accounts = new MethodAccounts(List.of("read", "pay"), MethodAccounts.Room.NONE);
-    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
+    MetricsFileWriter writer = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     AtomicBoolean drift = new AtomicBoolean();
-    AtomicBoolean over = new AtomicBoolean();
+    AtomicBoolean stopped = new AtomicBoolean();
     Thread relay =
         new Thread(
             () -> {
-              for (int i = 0; !over.get(); i++) {
+              for (int i = 0; !stopped.get(); i++) {
                 int method = i & 1;
                 accounts.rpcArrived(method, 0);
                 if (i % 3 == 1) {
@@ -65,32 +65,32 @@
                 }
               }
             });
-    try (MetricsExporter export =
+    try (MetricsExporter exporter =
         new MetricsExporter(
-            keeper::snapshot,
+            writer::snapshot,
             drift::get,
-            keeper::isPersistent,
+            writer::isPersistent,
             Map::of,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
       relay.start();
       HttpClient http = HttpClient.newHttpClient();
       double last = 0;
       for (int i = 0; i < 100; i++) {
-        Map<String, Double> found =
+        Map<String, Double> metrics =
             scrape(
                 http,
-                export.port(),
+                exporter.port(),
                 i % 2 == 0 ? "text/plain" : "application/openmetrics-text; version=1.0.0");
         double taken = 0;
         for (String method : new String[] {"read", "pay"}) {
-          Double total = found.get("sprucerock_rpcs_taken_total{method=\"" + method + "\"}");
+          Double total = metrics.get("sprucerock_rpcs_taken_total{method=\"" + method + "\"}");
           if (total == null) {
             continue;
           }
-          double parts = found.get("sprucerock_rpcs_open{method=\"" + method + "\"}");
+          double parts = metrics.get("sprucerock_rpcs_open{method=\"" + method + "\"}");
           for (String how : new String[] {"ok", "pushed_back", "aborted", "left", "lost"}) {
             parts +=
-                found.get(
+                metrics.get(
                     "sprucerock_rpcs_ended_total{how=\"" + how + "\",method=\"" + method + "\"}");
           }
           assertEquals(parts, total);
@@ -98,22 +98,23 @@
         }
         assertTrue(taken >= last);
         last = taken;
-        assertEquals(found.get("sprucerock_figures_drift"), 0.0);
+        assertEquals(metrics.get("sprucerock_figures_drift"), 0.0);
       }
       assertTrue(last > 0);
       drift.set(true);
-      assertEquals(scrape(http, export.port(), "text/plain").get("sprucerock_figures_drift"), 1.0);
+      assertEquals(
+          scrape(http, exporter.port(), "text/plain").get("sprucerock_figures_drift"), 1.0);
     } finally {
-      over.set(true);
+      stopped.set(true);
       relay.join();
     }
   }
 
-  private static MetricsExporter some(MetricsFileWriter keeper) throws Exception {
+  private static MetricsExporter exporter(MetricsFileWriter writer) throws Exception {
     return new MetricsExporter(
-        keeper::snapshot,
+        writer::snapshot,
         () -> false,
-        keeper::isPersistent,
+        writer::isPersistent,
         Map::of,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
@@ -126,17 +127,17 @@
   }
 
   /**
-   * Sockets that say half a request, or nothing, take every thread there is; two seconds later they
-   * are cut off.
+   * Sockets that send half a request, or nothing, take every thread there is; two seconds later
+   * they are cut off.
    */
   @Test
-  public void stalledScrapesHoldUpOthersOnlyForAWhileAndTheRelayNever() throws Exception {
+  public void stalledScrapesAreCutOffAndNeverBlockTheRelay() throws Exception {
     MethodAccounts accounts = accounts();
-    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
+    MetricsFileWriter writer = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     List<Socket> stalled = new ArrayList<>();
-    try (MetricsExporter export = some(keeper)) {
+    try (MetricsExporter exporter = exporter(writer)) {
       for (int i = 0; i < 60; i++) {
-        Socket socket = new Socket(InetAddress.getLoopbackAddress(), export.port());
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), exporter.port());
         stalled.add(socket);
         if (i % 2 == 0) {
           socket.getOutputStream().write("GET /metrics HTTP/1.1\r\nHost:".getBytes());
@@ -151,10 +152,10 @@
       for (int i = 0; taken == null && i < 600; i++) {
         try {
           taken =
-              scrape(http, export.port(), "text/plain")
+              scrape(http, exporter.port(), "text/plain")
                   .get("sprucerock_rpcs_taken_total{method=\"read\"}");
         } catch (IOException e) {
-          Thread.sleep(50); // turned away while all is taken
+          Thread.sleep(50); // rejected while all workers and the queue are taken
         }
       }
       assertEquals(taken, 1000.0);
@@ -166,41 +167,42 @@
   }
 
   @Test
-  public void aScrapeWhileTheRelayEndsHasItsLastFigures() throws Exception {
+  public void scrapeAfterCloseHasTheLastValues() throws Exception {
     MethodAccounts accounts = accounts();
-    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
+    MetricsFileWriter writer = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     accounts.rpcArrived(1, 0);
-    try (MetricsExporter export = some(keeper)) {
-      keeper.close();
-      Map<String, Double> found = scrape(HttpClient.newHttpClient(), export.port(), "text/plain");
-      assertEquals(found.get("sprucerock_rpcs_open{method=\"pay\"}"), 1.0);
-      assertEquals(found.get("sprucerock_starts_running"), 0.0);
-      assertEquals(found.get("sprucerock_figures_kept"), 0.0);
+    try (MetricsExporter exporter = exporter(writer)) {
+      writer.close();
+      Map<String, Double> metrics =
+          scrape(HttpClient.newHttpClient(), exporter.port(), "text/plain");
+      assertEquals(metrics.get("sprucerock_rpcs_open{method=\"pay\"}"), 1.0);
+      assertEquals(metrics.get("sprucerock_starts_running"), 0.0);
+      assertEquals(metrics.get("sprucerock_figures_kept"), 0.0);
     }
   }
 
   @Test
-  public void latenciesAreServedInOctavesAndTheTableIsForPeople() throws Exception {
+  public void servesLatenciesInOctavesAndATable() throws Exception {
     MethodAccounts accounts = accounts();
-    MetricsFileWriter keeper = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
+    MetricsFileWriter writer = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
     for (double ms : new double[] {0.1, 0.9, 1.0, 1.1, 200, 80_000}) {
       accounts.rpcArrived(0, 0);
       accounts.rpcAnswered(0, 0, TimeSpan.ofMs(ms), ms < 100, ms < 1000);
     }
     accounts.commit();
-    try (MetricsExporter export = some(keeper)) {
+    try (MetricsExporter exporter = exporter(writer)) {
       HttpClient http = HttpClient.newHttpClient();
-      Map<String, Double> found = scrape(http, export.port(), "text/plain");
+      Map<String, Double> metrics = scrape(http, exporter.port(), "text/plain");
       assertEquals(
-          found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"1.28E-4\"}"), 1.0);
+          metrics.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"1.28E-4\"}"), 1.0);
       assertEquals(
-          found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"0.001024\"}"), 3.0);
+          metrics.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"0.001024\"}"), 3.0);
       assertEquals(
-          found.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"+Inf\"}"), 6.0);
+          metrics.get("sprucerock_latency_seconds_bucket{method=\"read\",le=\"+Inf\"}"), 6.0);
       assertEquals(
-          found.get("sprucerock_answers_ended_total{how=\"too_late\",method=\"read\"}"), 1.0);
+          metrics.get("sprucerock_answers_ended_total{how=\"too_late\",method=\"read\"}"), 1.0);
       HttpRequest request =
-          HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + export.port() + "/figures"))
+          HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + exporter.port() + "/figures"))
               .build();
       HttpResponse<String> table = http.send(request, HttpResponse.BodyHandlers.ofString());
       assertEquals(table.statusCode(), 200);
