--- a/src/main/java/sprucerock/agent/AgentConfig.java
+++ b/src/main/java/sprucerock/agent/AgentConfig.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.XmlElement;
 import sprucerock.time.TimeSpan;
@@ -70,12 +69,7 @@
     folder = Path.of(root.text("folder"));
     List<InetSocketAddress> addresses = new ArrayList<>();
     for (XmlElement controller : root.children("controller")) {
-      InetSocketAddress address = Address.of(controller.text("host"), controller.count("port"));
-      if (address == null) {
-        throw controller.invalid(
-            "host \"" + controller.text("host") + "\" is no IPv4 or IPv6 address in numbers");
-      }
-      addresses.add(address);
+      addresses.add(controller.address());
     }
     controllers = List.copyOf(addresses);
     XmlElement relay = root.child("relay");
--- a/src/main/java/sprucerock/config/LeaseConfig.java
+++ b/src/main/java/sprucerock/config/LeaseConfig.java
@@ -6,19 +6,20 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Leases, as a process's configuration has them; lease.xsd has the values used where one is left
- * out.
+ * The leases that a process takes part in; lease.xsd has the defaults.
  *
- * @param me this process's number among all that stand for leases, 0 to 65535
- * @param granter which of the granters this process is; -1: none
- * @param listen where it listens as a granter; null: at the address that the list has
- * @param granters all of them, by their numbers
- * @param longest see lease.Terms
- * @param most links that a granter takes
- * @param fitsEvery the windows in which hardware is compared, at all relays alike; null: this
- *     process takes no part in that
- * @param looksEvery how often units are looked at, should this process hold the lease for that;
- *     null: it does not stand for it
+ * @param memberNumber this process's number among all that take leases, 0 to 65535
+ * @param grantorNumber which of the grantors this process is; -1: none
+ * @param listen where it listens as a grantor; null: at its address in {@code grantors}
+ * @param grantors the addresses of all grantors, by their numbers; 3 or 5
+ * @param term how long a lease is granted for
+ * @param maxTerm the longest term of all processes; see lease.Terms
+ * @param drift the share by which a clock may run fast or slow, under 0.2
+ * @param maxConnections that a grantor takes
+ * @param healthCheckInterval between health checks of an endpoint, where this process holds the
+ *     lease for that; null: it does not try to
+ * @param hardwareFitInterval the windows in which hardware is compared, the same at all relays;
+ *     null: this process takes no part
  */
 public record LeaseConfig(
     int memberNumber,
@@ -32,82 +33,98 @@
     TimeSpan healthCheckInterval,
     TimeSpan hardwareFitInterval) {
 
+  /** A clock that is off by this share of itself, or more, is not allowed for. */
+  static final double MAX_CLOCK_DRIFT = 0.2;
+
+  private static final TimeSpan MIN_TERM = TimeSpan.ofMs(100);
+  private static final TimeSpan DEFAULT_HEALTH_CHECK_INTERVAL = TimeSpan.ofMs(100);
+  private static final TimeSpan MIN_HEALTH_CHECK_INTERVAL = TimeSpan.ofMs(10);
+  private static final TimeSpan DEFAULT_FIT_INTERVAL = TimeSpan.ofMs(10_000);
+  private static final TimeSpan MIN_FIT_INTERVAL = TimeSpan.ofMs(500);
+
   /**
-   * Of an element {@code leases}; null where there is none. {@code me}: used where the element
-   * names none.
+   * Reads and checks an element {@code leases}.
+   *
+   * @param leases null: there is none, and no configuration of leases either
+   * @param defaultMemberNumber used where the element names none
+   * @throws ConfigException at the first thing that is wrong
    */
-  public static LeaseConfig of(XmlElement node, int me) throws ConfigException {
-    if (node == null) {
+  public static LeaseConfig of(XmlElement leases, int defaultMemberNumber) throws ConfigException {
+    if (leases == null) {
       return null;
     }
-    List<InetSocketAddress> granters = new ArrayList<>();
-    for (XmlElement one : node.children("granter")) {
-      InetSocketAddress address = Address.of(one.text("host"), one.count("port"));
-      if (address == null) {
-        throw one.invalid(
-            "host \"" + one.text("host") + "\" is no IPv4 or IPv6 address in numbers");
-      }
-      if (granters.contains(address)) {
-        throw one.invalid("two granters have one address, and would be one");
-      }
-      granters.add(address);
-    }
-    if (granters.size() != 3 && granters.size() != 5) {
-      throw node.invalid(
-          granters.size() + " granters: 3 or 5 are needed, of which 2 or 3 have to be there");
-    }
-    TimeSpan term = node.span("term");
-    TimeSpan longest = node.has("longest") ? node.span("longest") : term;
-    if (TimeSpan.ofMs(100).over(term)) {
-      throw node.invalid("term is 100ms at least, far over what a process may be held up");
+    List<InetSocketAddress> grantors = grantors(leases);
+    TimeSpan term = leases.span("term");
+    TimeSpan maxTerm = leases.has("longest") ? leases.span("longest") : term;
+    if (MIN_TERM.over(term)) {
+      throw leases.invalid("term is 100ms at least, far over what a process may be held up");
     }
-    if (term.over(longest)) {
-      throw node.invalid("longest is not under term, " + node.text("term"));
+    if (term.over(maxTerm)) {
+      throw leases.invalid("longest is not under term, " + leases.text("term"));
     }
-    double drift = node.number("drift");
-    if (!(drift >= 0 && drift < 0.2)) {
-      throw node.invalid("drift is 0 to under 0.2: a share by which a clock may run fast or slow");
+    double drift = leases.number("drift");
+    if (!(drift >= 0 && drift < MAX_CLOCK_DRIFT)) {
+      throw leases.invalid(
+          "drift is 0 to under 0.2: a share by which a clock may run fast or slow");
     }
-    int granter = node.has("grants") ? node.count("grants") : -1;
-    if (granter >= granters.size()) {
-      throw node.invalid(
-          "grants=\"" + granter + "\": the granters are 0 to " + (granters.size() - 1));
+    int grantorNumber = leases.has("grants") ? leases.count("grants") : -1;
+    if (grantorNumber >= grantors.size()) {
+      throw leases.invalid(
+          "grants=\"" + grantorNumber + "\": the granters are 0 to " + (grantors.size() - 1));
     }
     InetSocketAddress listen =
-        node.has("listen-port")
-            ? Address.of(node.text("listen-host"), node.count("listen-port"))
+        leases.has("listen-port")
+            ? Address.of(leases.text("listen-host"), leases.count("listen-port"))
             : null;
-    TimeSpan looks = every(node, "looks", TimeSpan.ofMs(100), TimeSpan.ofMs(10));
-    TimeSpan fits = every(node, "fit", TimeSpan.ofMs(10_000), TimeSpan.ofMs(500));
+    TimeSpan healthCheckInterval =
+        interval(leases, "looks", DEFAULT_HEALTH_CHECK_INTERVAL, MIN_HEALTH_CHECK_INTERVAL);
+    TimeSpan hardwareFitInterval = interval(leases, "fit", DEFAULT_FIT_INTERVAL, MIN_FIT_INTERVAL);
     return new LeaseConfig(
-        node.has("me") ? node.count("me") : me,
-        granter,
+        leases.has("me") ? leases.count("me") : defaultMemberNumber,
+        grantorNumber,
         listen,
-        List.copyOf(granters),
+        grantors,
         term,
-        longest,
+        maxTerm,
         drift,
-        node.count("most"),
-        looks,
-        fits);
+        leases.count("most"),
+        healthCheckInterval,
+        hardwareFitInterval);
+  }
+
+  private static List<InetSocketAddress> grantors(XmlElement leases) throws ConfigException {
+    List<InetSocketAddress> grantors = new ArrayList<>();
+    for (XmlElement grantor : leases.children("granter")) {
+      InetSocketAddress address = grantor.address();
+      if (grantors.contains(address)) {
+        throw grantor.invalid("two granters have one address, and would be one");
+      }
+      grantors.add(address);
+    }
+    if (grantors.size() != 3 && grantors.size() != 5) {
+      throw leases.invalid(
+          grantors.size() + " granters: 3 or 5 are needed, of which 2 or 3 have to be there");
+    }
+    return List.copyOf(grantors);
   }
 
-  /** Null where this process does not stand for it. */
-  private static TimeSpan every(XmlElement node, String task, TimeSpan usual, TimeSpan least)
+  /** How often this process does a task whose lease it holds; null where it does not try to. */
+  private static TimeSpan interval(
+      XmlElement leases, String task, TimeSpan defaultInterval, TimeSpan min)
       throws ConfigException {
-    TimeSpan found = null;
-    for (XmlElement one : node.children("stand")) {
-      if (!one.text("for").equals(task)) {
+    TimeSpan interval = null;
+    for (XmlElement stand : leases.children("stand")) {
+      if (!stand.text("for").equals(task)) {
         continue;
       }
-      if (found != null) {
-        throw one.invalid(task + " is named twice");
+      if (interval != null) {
+        throw stand.invalid(task + " is named twice");
       }
-      found = one.has("every") ? one.span("every") : usual;
-      if (least.over(found)) {
-        throw one.invalid("every is " + Math.round(least.ms()) + "ms at least for " + task);
+      interval = stand.has("every") ? stand.span("every") : defaultInterval;
+      if (min.over(interval)) {
+        throw stand.invalid("every is " + Math.round(min.ms()) + "ms at least for " + task);
       }
     }
-    return found;
+    return interval;
   }
 }
--- a/src/main/java/sprucerock/config/LiveSettings.java
+++ b/src/main/java/sprucerock/config/LiveSettings.java
@@ -19,30 +19,30 @@
 import org.xml.sax.SAXException;
 
 /**
- * Which settings a running relay can take over: those whose attribute the schema marks with an
- * {@code appinfo} of "live". The schema is the only list there is; relay, agent and controller ask
- * here.
+ * Which settings a running relay can take over without a restart: the attributes that the schema
+ * marks with an {@code appinfo} of "live". The schema is the only list; relay, agent and controller
+ * ask here.
  */
 public final class LiveSettings {
   private static final String SCHEMA = "/sprucerock/relay.xsd";
-  private static final Set<String> LIVE = live();
+  private static final Set<String> LIVE_PATHS = readLivePaths();
 
   private LiveSettings() {}
 
   /**
-   * Where two settings differ and a restart is needed, by paths such as relay/limits/frame; empty
-   * where a signal will do.
+   * Where two settings differ and a restart is needed.
    *
-   * @throws ConfigException if either is no XML
+   * @return paths such as relay/limits/frame; empty where a reload suffices
+   * @throws ConfigException if either text is no XML
    */
   public static List<String> pathsThatNeedRestart(String from, String to) throws ConfigException {
-    List<String> found = new ArrayList<>();
-    differences(parse(from), parse(to), "", found);
-    found.removeIf(LIVE::contains);
-    return found;
+    List<String> differing = new ArrayList<>();
+    addDifferences(parse(from), parse(to), "", differing);
+    differing.removeIf(LIVE_PATHS::contains);
+    return differing;
   }
 
-  private static void differences(Element from, Element to, String above, List<String> found) {
+  private static void addDifferences(Element from, Element to, String above, List<String> found) {
     String path = above + from.getLocalName();
     if (!from.getLocalName().equals(to.getLocalName())) {
       found.add(path);
@@ -65,20 +65,20 @@
         found.add(path + "/" + name);
       }
     }
-    List<Element> ones = children(from);
-    List<Element> others = children(to);
-    if (ones.size() != others.size()) {
+    List<Element> fromChildren = children(from);
+    List<Element> toChildren = children(to);
+    if (fromChildren.size() != toChildren.size()) {
       found.add(path);
       return;
     }
-    for (int i = 0; i < ones.size(); i++) {
-      differences(ones.get(i), others.get(i), path + "/", found);
+    for (int i = 0; i < fromChildren.size(); i++) {
+      addDifferences(fromChildren.get(i), toChildren.get(i), path + "/", found);
     }
   }
 
-  private static List<Element> children(Element of) {
+  private static List<Element> children(Element parent) {
     List<Element> found = new ArrayList<>();
-    NodeList all = of.getChildNodes();
+    NodeList all = parent.getChildNodes();
     for (int i = 0; i < all.getLength(); i++) {
       if (all.item(i) instanceof Element element) {
         found.add(element);
@@ -100,16 +100,16 @@
       DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
       factory.setNamespaceAware(true);
       factory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
-      DocumentBuilder made = factory.newDocumentBuilder();
-      made.setErrorHandler(null); // it throws, and says nothing
-      return made;
+      DocumentBuilder builder = factory.newDocumentBuilder();
+      builder.setErrorHandler(null); // errors are thrown, and not printed besides
+      return builder;
     } catch (ParserConfigurationException e) {
       throw new IllegalStateException(e); // the JDK's own parser has it
     }
   }
 
   /** From the schema: the chain of elements around each attribute that is marked. */
-  private static Set<String> live() {
+  private static Set<String> readLivePaths() {
     Set<String> found = new TreeSet<>();
     try (InputStream in = LiveSettings.class.getResourceAsStream(SCHEMA)) {
       NodeList marks =
@@ -135,8 +135,8 @@
     }
   }
 
-  /** All of them. */
+  /** The paths of all settings that need no restart, such as relay/limits/open. */
   public static Set<String> paths() {
-    return LIVE;
+    return LIVE_PATHS;
   }
 }
--- /dev/null
+++ b/src/main/java/sprucerock/config/SiteSettingsReader.java
@@ -0,0 +1,139 @@
+package sprucerock.config;
+
+import java.util.Locale;
+import sprucerock.model.Method;
+import sprucerock.model.Settings;
+import sprucerock.time.TimeSpan;
+
+/** Reads the element {@code site}: what the decisions of a relay are made by. */
+final class SiteSettingsReader {
+  private static final int MAX_METHODS = 256;
+  private static final int MAX_TENANTS = 10_000;
+  private static final int MAX_STAGES = 100;
+  private static final TimeSpan MIN_TICK = TimeSpan.ofMs(0.1);
+  private static final TimeSpan MIN_LATENCY_OBJECTIVE = TimeSpan.ofMs(1);
+
+  private SiteSettingsReader() {}
+
+  /**
+   * Reads and checks the settings of a site.
+   *
+   * @param relayNumber of the relay that reads them, 0 for the first
+   */
+  static Settings.Draft read(XmlElement site, int relayNumber) throws ConfigException {
+    Settings.Draft draft = new Settings.Draft();
+    requireAtMost(site, "method", MAX_METHODS);
+    requireAtMost(site, "customer", MAX_TENANTS);
+    requireAtMost(site, "stage", MAX_STAGES);
+    for (XmlElement method : site.children("method")) {
+      draft.methods.add(method(method, draft.methods.size()));
+    }
+    for (XmlElement tenant : site.children("customer")) {
+      draft.tenantShares.add(tenant.number("share"));
+    }
+    for (XmlElement stage : site.children("stage")) {
+      draft.caps.add(stage.number("cap"));
+    }
+    draft.zone = site.count("zone");
+    if (site.has("over-share-worth")) {
+      draft.overShareWorth = site.number("over-share-worth");
+    }
+    draft.tick = site.span("tick");
+    site.requireAtLeast("tick", MIN_TICK);
+    draft.ask = site.flag("ask");
+    draft.askWithin = site.span("ask-within");
+    readRules(site.child("rules"), draft);
+    readAllowed(site.child("allowed"), draft);
+    readVotes(site.child("votes"), draft);
+    draft.index = relayNumber;
+    draft.relays = site.count("relays");
+    return draft;
+  }
+
+  private static void readRules(XmlElement rules, Settings.Draft draft) throws ConfigException {
+    draft.cold = rules.span("cold");
+    draft.startShare = rules.number("start-capacity");
+    draft.tipAfter = rules.span("tip-after");
+    draft.tipMultiple = rules.number("tip-multiple");
+    draft.perMethod = rules.flag("cap-by-method");
+    draft.free = rules.number("free-picks");
+    if (!(draft.free >= 0) || !(draft.tipMultiple > 0)) {
+      throw rules.invalid("free-picks: 0 or more; tip-multiple: above 0");
+    }
+    if (rules.has("guarded-stages")) {
+      draft.guardedStages = rules.count("guarded-stages");
+    }
+    if (rules.has("one-way-keys")) {
+      draft.oneWayKeys = rules.flag("one-way-keys");
+    }
+  }
+
+  private static void readAllowed(XmlElement allowed, Settings.Draft draft) {
+    draft.maxAttempts = allowed.count("picks");
+    draft.secondCopies = allowed.flag("second-copies");
+    draft.cancel = allowed.flag("cancel");
+    draft.peers = allowed.flag("peers");
+    draft.retryAfter = allowed.flag("retry-after");
+    draft.maxRetryAfter = allowed.span("most-retry-after");
+  }
+
+  private static void readVotes(XmlElement votes, Settings.Draft draft) {
+    draft.control = Settings.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT));
+    draft.voteLife = votes.span("life");
+    draft.callTimeout = votes.span("answer-within");
+    if (votes.has("counts-every")) {
+      draft.countsEvery = votes.span("counts-every");
+    }
+  }
+
+  private static void requireAtMost(XmlElement element, String child, int max)
+      throws ConfigException {
+    int count = element.children(child).size();
+    if (count > max) {
+      throw element.invalid(count + " of " + child + ", allowed are " + max);
+    }
+  }
+
+  private static Method method(XmlElement method, int index) throws ConfigException {
+    Method.Effect effect = effect(method);
+    boolean keyed = effect == Method.Effect.TOKENED;
+    if (keyed != method.has("window") || !keyed && method.has("group")) {
+      throw method.invalid("window is for tokened methods, which need it; group for them alone");
+    }
+    TimeSpan latencyObjective = method.span("soft-deadline");
+    if (latencyObjective.over(method.span("deadline"))) {
+      throw method.invalid("soft-deadline is at most the deadline, " + method.text("deadline"));
+    }
+    method.requireAtLeast("soft-deadline", MIN_LATENCY_OBJECTIVE);
+    if (!(method.number("utility") > 0)) {
+      throw method.invalid("utility is above 0, not " + method.text("utility"));
+    }
+    return new Method(
+        index,
+        effect,
+        group(method),
+        latencyObjective,
+        keyed ? method.span("window") : TimeSpan.ZERO,
+        method.number("utility"),
+        false);
+  }
+
+  private static Method.Effect effect(XmlElement method) {
+    return switch (method.text("effect")) {
+      case "idempotent" -> Method.Effect.IDEMPOTENT;
+      case "tokened" -> Method.Effect.TOKENED;
+      default -> Method.Effect.NON_IDEMPOTENT;
+    };
+  }
+
+  private static Method.Group group(XmlElement method) {
+    if (!method.has("group")) {
+      return Method.Group.ALL;
+    }
+    return switch (method.text("group")) {
+      case "zone" -> Method.Group.ZONE;
+      case "cell" -> Method.Group.CELL;
+      default -> Method.Group.ALL;
+    };
+  }
+}
--- a/src/main/java/sprucerock/config/XmlElement.java
+++ b/src/main/java/sprucerock/config/XmlElement.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetSocketAddress;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -21,7 +23,7 @@
 import org.xml.sax.helpers.DefaultHandler;
 import sprucerock.time.TimeSpan;
 
-/** An element of a checked XML file, with its line; spans and sizes are read with their units. */
+/** An element of an XML file that a schema has checked, with its line for errors. */
 public final class XmlElement {
   private final String file;
   private final int line;
@@ -35,14 +37,16 @@
     this.name = name;
   }
 
-  /** Reads a file against a schema in the jar; the first thing that is wrong ends it. */
+  /**
+   * Reads a file against a schema in the jar.
+   *
+   * @throws ConfigException at the first thing that is wrong
+   */
   public static XmlElement read(Path path, String schema) throws ConfigException {
     String file = path.toString();
     Reader reader = new Reader(file);
-    String where =
-        XmlElement.class
-            .getResource(schema)
-            .toExternalForm(); // so that it can include others beside it
+    // with its place, the schema can include others beside it
+    String schemaPlace = XmlElement.class.getResource(schema).toExternalForm();
     try (InputStream xsd = XmlElement.class.getResourceAsStream(schema);
         InputStream in = Files.newInputStream(path)) {
       SAXParserFactory factory = SAXParserFactory.newInstance();
@@ -50,12 +54,12 @@
       factory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
       factory.setSchema(
           SchemaFactory.newInstance(XMLConstants.W3C_XML_SCHEMA_NS_URI)
-              .newSchema(new StreamSource(xsd, where)));
+              .newSchema(new StreamSource(xsd, schemaPlace)));
       factory.newSAXParser().parse(new InputSource(in), reader);
     } catch (SAXParseException e) {
-      String what = e.getMessage().replaceFirst("^cvc-[^:]*: ", "").replaceAll("\\s+", " ");
-      throw new ConfigException(file + ":" + e.getLineNumber() + ": " + what);
-    } catch (java.nio.file.NoSuchFileException e) {
+      String problem = e.getMessage().replaceFirst("^cvc-[^:]*: ", "").replaceAll("\\s+", " ");
+      throw new ConfigException(file + ":" + e.getLineNumber() + ": " + problem);
+    } catch (NoSuchFileException e) {
       throw new ConfigException(file + ": there is no such file");
     } catch (IOException | SAXException e) {
       throw new ConfigException(file + ": can't be read: " + e.getMessage());
@@ -76,22 +80,22 @@
     }
 
     @Override
-    public void setDocumentLocator(Locator where) {
-      locator = where;
+    public void setDocumentLocator(Locator given) {
+      locator = given;
     }
 
     @Override
     public void startElement(String space, String local, String qualified, Attributes attributes) {
-      XmlElement node = new XmlElement(file, locator.getLineNumber(), local);
+      XmlElement element = new XmlElement(file, locator.getLineNumber(), local);
       for (int i = 0; i < attributes.getLength(); i++) {
-        node.values.put(attributes.getLocalName(i), attributes.getValue(i));
+        element.values.put(attributes.getLocalName(i), attributes.getValue(i));
       }
       if (open.isEmpty()) {
-        root = node;
+        root = element;
       } else {
-        open.get(open.size() - 1).children.add(node);
+        open.get(open.size() - 1).children.add(element);
       }
-      open.add(node);
+      open.add(element);
     }
 
     @Override
@@ -105,56 +109,81 @@
     }
   }
 
-  /** One that says what is wrong here, and what is allowed. */
-  public ConfigException invalid(String what) {
-    return new ConfigException(file + ":" + line + ": " + name + ": " + what);
+  /** An error at this element's line; {@code problem} says what is wrong and what is allowed. */
+  public ConfigException invalid(String problem) {
+    return new ConfigException(file + ":" + line + ": " + name + ": " + problem);
   }
 
+  /** All children of a name, in their order. */
   public List<XmlElement> children(String child) {
-    return children.stream().filter(node -> node.name.equals(child)).toList();
+    return children.stream().filter(element -> element.name.equals(child)).toList();
   }
 
-  /** The child of a name; null where there is none. */
+  /** The first child of a name; null where there is none. */
   public XmlElement child(String child) {
-    return children.stream().filter(node -> node.name.equals(child)).findFirst().orElse(null);
+    return children.stream().filter(element -> element.name.equals(child)).findFirst().orElse(null);
   }
 
+  /** Whether an attribute is there, by itself or as the schema's default. */
   public boolean has(String key) {
     return values.containsKey(key);
   }
 
+  /** An attribute's text; null where there is none. */
   public String text(String key) {
     return values.get(key);
   }
 
+  /** An attribute that the schema lets only booleans through for. */
   public boolean flag(String key) {
     return text(key).equals("true") || text(key).equals("1");
   }
 
+  /** An attribute that the schema lets only whole numbers through for. */
   public int count(String key) {
     return Integer.parseInt(text(key).trim());
   }
 
+  /** An attribute that the schema lets only whole numbers through for. */
   public long longNumber(String key) {
     return Long.parseLong(text(key).trim());
   }
 
+  /** An attribute that the schema lets only numbers through for. */
   public double number(String key) {
     return Double.parseDouble(text(key).trim());
   }
 
-  /** The schema lets only numbers with us, ms, s or min through. */
+  /** A duration; the schema lets only numbers with us, ms, s or min through. */
   public TimeSpan span(String key) {
     return TimeSpan.parse(text(key).trim());
   }
 
-  /** The schema lets only whole numbers with B, KiB or MiB through. */
+  /** A duration with a lower bound. */
+  TimeSpan requireAtLeast(String key, TimeSpan min) throws ConfigException {
+    TimeSpan span = span(key);
+    if (min.over(span)) {
+      throw invalid(key + " may be " + min.ms() + "ms at least, not " + text(key));
+    }
+    return span;
+  }
+
+  /** The address in the attributes {@code host} and {@code port}. */
+  public InetSocketAddress address() throws ConfigException {
+    InetSocketAddress address = Address.of(text("host"), count("port"));
+    if (address == null) {
+      throw invalid("host \"" + text("host") + "\" is no IPv4 or IPv6 address in numbers");
+    }
+    return address;
+  }
+
+  /** A size in bytes; the schema lets only whole numbers with B, KiB or MiB through. */
   public long bytes(String key) {
     String text = text(key).trim();
-    String endpoint = text.replaceFirst("^[0-9]+", "");
-    long value = Long.parseLong(text.substring(0, text.length() - endpoint.length()));
+    String unit = text.replaceFirst("^[0-9]+", "");
+    long value = Long.parseLong(text.substring(0, text.length() - unit.length()));
     return value
-        * switch (endpoint) {
+        * switch (unit) {
           case "B" -> 1;
           case "KiB" -> 1 << 10;
           default -> 1 << 20;
--- a/src/test/java/sprucerock/compat/ProcessCompatTest.java
+++ b/src/test/java/sprucerock/compat/ProcessCompatTest.java
@@ -96,7 +96,7 @@
 
   /** Those that do not go through the command line, and one that does. */
   @Test
-  public void processesThatEndAtOnceEndAsBefore() throws Exception {
+  public void processesThatEndAtOnceEndAsRecorded() throws Exception {
     StringBuilder text = new StringBuilder();
     start(List.of(), null);
     text.append("> (nothing)\n").append(ending());
@@ -120,7 +120,7 @@
    * order, and the line of its figures.
    */
   @Test
-  public void aRelaysOwnGaugesAndLogAreTheSame() throws Exception {
+  public void relayGaugesAndLogAreAsRecorded() throws Exception {
     assertEquals(
         Commands.run("tls", "make-test-ca", "--into", folder + "/ca", "relay-0.example"),
         Commands.DONE);
--- a/src/test/java/sprucerock/compat/SettingsCompatTest.java
+++ b/src/test/java/sprucerock/compat/SettingsCompatTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test(dataProvider = "schemas")
-  public void aSchemaDeclaresTheSame(String name) throws Exception {
+  public void schemaDeclaresWhatIsRecorded(String name) throws Exception {
     Corpus.holdsSorted(
         SETTINGS + name + "-schema.txt", Schemas.declarations(Schemas.schema(name + ".xsd")));
   }
@@ -46,8 +46,8 @@
 
   /** So that no element and no attribute of a schema is left out of the recorded values. */
   @Test(dataProvider = "complete")
-  public void documentsUseAllThatTheirSchemaHas(
-      String schema, Set<String> documents, boolean leases) throws Exception {
+  public void documentsUseAllOfTheirSchema(String schema, Set<String> documents, boolean leases)
+      throws Exception {
     Set<String> missing = new TreeSet<>(Schemas.allowed(Schemas.schema(schema + ".xsd")));
     if (leases) {
       missing.addAll(Schemas.allowed(leasesWithin(schema)));
@@ -74,7 +74,7 @@
   }
 
   @Test(dataProvider = "relays")
-  public void aRelaysSettingsAreReadAsBefore(String name) throws Exception {
+  public void readsRelaySettingsAsRecorded(String name) throws Exception {
     Path file = Files.createTempFile("relay", ".xml");
     Files.writeString(file, Corpus.input(SETTINGS + name + ".xml"));
     Corpus.holds(SETTINGS + name + ".txt", relay(RelayConfig.read(file)));
@@ -82,7 +82,7 @@
   }
 
   @Test
-  public void theExampleOfARelayIsReadAsBefore() throws Exception {
+  public void readsRelayExampleAsRecorded() throws Exception {
     Corpus.holds(
         SETTINGS + "relay-example.txt", relay(RelayConfig.read(Path.of("deploy", "relay.xml"))));
   }
@@ -168,7 +168,7 @@
   }
 
   @Test(dataProvider = "agents")
-  public void anAgentsSettingsAreReadAsBefore(String name) throws Exception {
+  public void readsAgentSettingsAsRecorded(String name) throws Exception {
     Path file = Files.createTempFile("agent", ".xml");
     Files.writeString(file, Corpus.input(SETTINGS + name + ".xml"));
     Corpus.holds(SETTINGS + name + ".txt", agent(AgentConfig.read(file)));
@@ -206,12 +206,12 @@
 
   /** Each line of the input is a part of the complete document and what stands there instead. */
   @Test
-  public void wrongSettingsOfARelayHaveTheSameErrors() throws Exception {
+  public void invalidRelaySettingsHaveRecordedErrors() throws Exception {
     Corpus.holds(SETTINGS + "relay-wrong-errors.txt", errors("relay", RelayConfig::read));
   }
 
   @Test
-  public void wrongSettingsOfAnAgentHaveTheSameErrors() throws Exception {
+  public void invalidAgentSettingsHaveRecordedErrors() throws Exception {
     Corpus.holds(SETTINGS + "agent-wrong-errors.txt", errors("agent", AgentConfig::read));
   }
 
@@ -235,12 +235,12 @@
   }
 
   @Test
-  public void theSameSettingsNeedNoRestart() throws Exception {
+  public void livePathsAreAsRecorded() throws Exception {
     Corpus.holdsSorted(SETTINGS + "relay-live.txt", LiveSettings.paths());
   }
 
   @Test
-  public void whatNeedsARestartIsNamedTheSame() throws Exception {
+  public void pathsThatNeedRestartAreAsRecorded() throws Exception {
     String least = Corpus.input(SETTINGS + "relay-least.xml");
     String plain = Corpus.input(SETTINGS + "relay-plain-clients.xml");
     Corpus.holds(
--- a/src/test/java/sprucerock/config/RelayConfigTest.java
+++ b/src/test/java/sprucerock/config/RelayConfigTest.java
@@ -12,13 +12,13 @@
 import sprucerock.model.Method;
 import sprucerock.model.Settings;
 
-/** Each wrong configuration is one line with file, line, and what is allowed. */
+/** The error of an invalid configuration is one line with file, line, and what is allowed. */
 public class RelayConfigTest {
-  private static final Path GOOD = Path.of("deploy", "relay.xml");
+  private static final Path EXAMPLE = Path.of("deploy", "relay.xml");
 
   @Test
-  public void theExampleIsInOrder() throws Exception {
-    RelayConfig config = RelayConfig.read(GOOD);
+  public void readsTheExample() throws Exception {
+    RelayConfig config = RelayConfig.read(EXAMPLE);
     Settings settings = config.settings;
     assertEquals(settings.methods.get(1).effect, Method.Effect.TOKENED);
     assertEquals(settings.methods.get(1).window.ms(), 4000.0);
@@ -29,7 +29,7 @@
   }
 
   @DataProvider
-  public Object[][] wrong() {
+  public Object[][] invalid() {
     return new Object[][] {
       {"tick=\"5ms\"", "tick=\"5\"", "'5' is not facet-valid with respect to pattern"},
       {"control=\"single\"", "control=\"often\"", "[single, majority, clocked]"},
@@ -52,20 +52,20 @@
     };
   }
 
-  @Test(dataProvider = "wrong")
-  public void aWrongOneNamesItsLineAndWhatIsAllowed(String part, String instead, String says)
+  @Test(dataProvider = "invalid")
+  public void errorNamesLineAndWhatIsAllowed(String part, String replacement, String problem)
       throws Exception {
-    String text = Files.readString(GOOD);
+    String text = Files.readString(EXAMPLE);
     assertTrue(text.contains(part), part);
     Path file = Files.createTempFile("wrong", ".xml");
     Files.writeString(
         file,
         text.replaceFirst(
             java.util.regex.Pattern.quote(part),
-            java.util.regex.Matcher.quoteReplacement(instead)));
+            java.util.regex.Matcher.quoteReplacement(replacement)));
     String message = expectThrows(ConfigException.class, () -> RelayConfig.read(file)).getMessage();
     assertTrue(
-        message.startsWith(file + ":") && message.contains(says) && !message.contains("\n"),
+        message.startsWith(file + ":") && message.contains(problem) && !message.contains("\n"),
         message);
     int line = text.substring(0, text.indexOf(part)).split("\n", -1).length;
     assertTrue(
@@ -74,7 +74,7 @@
   }
 
   @Test
-  public void aMissingFileIsNamed() {
+  public void errorNamesMissingFile() {
     assertEquals(
         expectThrows(ConfigException.class, () -> RelayConfig.read(Path.of("none.xml")))
             .getMessage(),
