--- a/src/main/java/sprucerock/agent/AgentState.java
+++ b/src/main/java/sprucerock/agent/AgentState.java
@@ -35,7 +35,7 @@
   }
 
   DesiredStateChange compare(long newEpoch, int newGeneration, Version version) {
-    if (newEpoch < epoch || newEpoch == epoch && newGeneration < generation) {
+    if (newEpoch < epoch || (newEpoch == epoch && newGeneration < generation)) {
       return DesiredStateChange.STALE;
     }
     if (newGeneration == generation && version.equals(desired)) {
--- a/src/main/java/sprucerock/agent/MetricsSummary.java
+++ b/src/main/java/sprucerock/agent/MetricsSummary.java
@@ -82,8 +82,8 @@
                 / 1000.0;
       }
     }
-    weightedRequests +=
-        rejectedUnread; // of what was turned away nobody knows the method: weighed as the least
+    // the methods of requests that were rejected unread are not known: each weighs 1
+    weightedRequests += rejectedUnread;
     sums.setRpcs(requests)
         .setWorth(weightedRequests)
         .setInTime(weightedInTime)
--- a/src/main/java/sprucerock/agent/artifact/ArtifactStore.java
+++ b/src/main/java/sprucerock/agent/artifact/ArtifactStore.java
@@ -44,9 +44,9 @@
    * @param maxBytes a larger file is rejected
    * @throws IOException if the folder can't be made or read
    */
-  public ArtifactStore(Path folder, long most) throws IOException {
+  public ArtifactStore(Path folder, long maxBytes) throws IOException {
     this.folder = Files.createDirectories(folder);
-    this.maxBytes = most;
+    this.maxBytes = maxBytes;
     try (Stream<Path> found = Files.list(folder)) {
       for (Path one : found.toList()) {
         if (one.toString().endsWith(PARTIAL_SUFFIX)) {
--- a/src/main/java/sprucerock/config/SiteSettingsReader.java
+++ b/src/main/java/sprucerock/config/SiteSettingsReader.java
@@ -97,7 +97,7 @@
   private static Method method(XmlElement method, int index) throws ConfigException {
     Method.Effect effect = effect(method);
     boolean keyed = effect == Method.Effect.TOKENED;
-    if (keyed != method.has("window") || !keyed && method.has("group")) {
+    if (keyed != method.has("window") || (!keyed && method.has("group"))) {
       throw method.invalid("window is for tokened methods, which need it; group for them alone");
     }
     TimeSpan latencyObjective = method.span("soft-deadline");
--- a/src/main/java/sprucerock/metrics/MappedMetricsFile.java
+++ b/src/main/java/sprucerock/metrics/MappedMetricsFile.java
@@ -110,7 +110,7 @@
 
   /** A value's factor in the checksum: odd, so that each bit counts, and another for each index. */
   static long weight(int index) {
-    return (index + 1) * 0x9E3779B97F4A7C15L | 1;
+    return ((index + 1) * 0x9E3779B97F4A7C15L) | 1;
   }
 
   @Override
--- a/src/test/java/sprucerock/metrics/MetricsExporterTest.java
+++ b/src/test/java/sprucerock/metrics/MetricsExporterTest.java
@@ -11,6 +11,7 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -140,7 +141,9 @@
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), exporter.port());
         stalled.add(socket);
         if (i % 2 == 0) {
-          socket.getOutputStream().write("GET /metrics HTTP/1.1\r\nHost:".getBytes());
+          socket
+              .getOutputStream()
+              .write("GET /metrics HTTP/1.1\r\nHost:".getBytes(StandardCharsets.US_ASCII));
         }
       }
       for (int i = 0; i < 1000; i++) { // the relay's own thread
