--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -17,23 +17,27 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The releases, and the changes of what relays run, with their memory: what comes in a turn goes to
- * the disk together, and only then happens and is answered. So nothing is ever told that a crash
- * could take back. One thread, which waits for the disk.
+ * The controller's replicated state: a write-ahead log with group commit, and the state machine
+ * that is replayed from it. The entries of a turn of the loop are synced together, and only then
+ * applied and answered, so that nothing is ever told that a crash could take back. It belongs to
+ * one thread, which waits for the storage.
  */
 public final class Engine {
-  /** Clocks: the wall's for people and for how long it was down; the other one never goes back. */
+  /** The machine's clocks, in milliseconds. */
   public interface Clock {
+    /** Since 1970, for people and for how long the controller was down; it may jump. */
     long wallMs();
 
+    /** Since any moment; it never goes back. */
     long steadyMs();
   }
 
-  private record Waiting(Input.Builder input, Consumer<AppendResult> done) {}
+  private record PendingEntry(Input.Builder entry, Consumer<AppendResult> done) {}
 
-  private static final int SNAPSHOT_EVERY_ENTRIES =
-      10_000; // some hundred milliseconds to read back
-  private static final int MAX_PENDING = 20_000;
+  private static final int SNAPSHOT_EVERY_ENTRIES = 10_000; // some hundred milliseconds to replay
+  private static final int MAX_PENDING = 20_000; // entries between two flushes
+  private static final double MAX_SLEW = 0.005; // of the time that passes
+  private static final long MAX_DOWNTIME_MS = 24 * 3_600_000L; // what the clock may have jumped
 
   private final WriteAheadLog log;
   private final Clock clock;
@@ -42,7 +46,7 @@
   private final DeploymentManager deployments;
   private final MaintenanceWindows maintenanceWindows;
   private final StateMachine stateMachine;
-  private final List<Waiting> pending = new ArrayList<>();
+  private final List<PendingEntry> pending = new ArrayList<>();
   private boolean replaying = true;
   private long lastTimeMs;
   private long lastWallMs;
@@ -54,61 +58,63 @@
   private double smoothedWallMs;
   private long smoothedAtSteadyMs = -1;
 
-  /** One of a fleet without racks. */
+  /** An engine of a fleet without racks, thus without maintenance windows. */
   Engine(
-      Storage disk,
+      Storage storage,
       int snapshotEvery,
       RolloutRules rules,
-      int places,
+      int fleetSize,
       int first,
       DeploymentPlan plan,
       Clock clock,
-      RolloutManager.Listener host,
-      DeploymentManager.Listener ofChanges,
-      Consumer<String> say) {
+      RolloutManager.Listener rolloutListener,
+      DeploymentManager.Listener deploymentListener,
+      Consumer<String> statusLine) {
     this(
-        disk,
+        storage,
         snapshotEvery,
         rules,
-        places,
+        fleetSize,
         first,
         plan,
         clock,
-        host,
-        ofChanges,
+        rolloutListener,
+        deploymentListener,
         MaintenanceWindows.none(),
-        say);
+        statusLine);
   }
 
   /**
-   * {@code say} is told in one line what is the matter with the disk. {@code freezes}: empty ones,
-   * told nothing yet.
+   * An engine that has not started.
+   *
+   * @param statusLine is given one line on each failure of the storage
+   * @param maintenanceWindows that have seen nothing yet
    */
   Engine(
-      Storage disk,
+      Storage storage,
       int snapshotEvery,
       RolloutRules rules,
-      int places,
+      int fleetSize,
       int first,
       DeploymentPlan plan,
       Clock clock,
-      RolloutManager.Listener host,
-      DeploymentManager.Listener ofChanges,
-      MaintenanceWindows freezes,
-      Consumer<String> say) {
-    this.maintenanceWindows = freezes;
-    log = new WriteAheadLog(disk, snapshotEvery);
+      RolloutManager.Listener rolloutListener,
+      DeploymentManager.Listener deploymentListener,
+      MaintenanceWindows maintenanceWindows,
+      Consumer<String> statusLine) {
+    this.maintenanceWindows = maintenanceWindows;
+    log = new WriteAheadLog(storage, snapshotEvery);
     this.clock = clock;
-    this.statusLine = say;
+    this.statusLine = statusLine;
     rollouts =
         new RolloutManager(
             rules,
-            places,
+            fleetSize,
             first,
             Timestamp.ofMs(0),
-            (release, step) -> {
+            (rollout, transition) -> {
               if (!replaying) {
-                host.transitioned(release, step);
+                rolloutListener.transitioned(rollout, transition);
               }
             });
     deployments =
@@ -116,61 +122,61 @@
             plan,
             new DeploymentManager.Listener() {
               @Override
-              public void transitioned(Deployment change, Deployment.Transition step) {
+              public void transitioned(Deployment deployment, Deployment.Transition transition) {
                 if (!replaying) {
-                  ofChanges.transitioned(change, step);
+                  deploymentListener.transitioned(deployment, transition);
                 }
               }
 
               @Override
               public void desiredStateChanged(ManagedRelay relay) {
                 if (!replaying) {
-                  ofChanges.desiredStateChanged(relay);
+                  deploymentListener.desiredStateChanged(relay);
                 }
               }
             });
     stateMachine = new StateMachine(rollouts, deployments, maintenanceWindows);
   }
 
-  /** One that keeps its files in a folder of the machine's. */
+  /** An engine that keeps its log and snapshots in a folder. */
   public static Engine open(
       java.nio.file.Path folder,
       RolloutRules rules,
-      int places,
+      int fleetSize,
       int first,
       DeploymentPlan plan,
       Clock clock,
-      RolloutManager.Listener host,
-      DeploymentManager.Listener ofChanges,
-      MaintenanceWindows freezes,
-      Consumer<String> say)
+      RolloutManager.Listener rolloutListener,
+      DeploymentManager.Listener deploymentListener,
+      MaintenanceWindows maintenanceWindows,
+      Consumer<String> statusLine)
       throws IOException {
     return new Engine(
         new FileStorage(folder),
         SNAPSHOT_EVERY_ENTRIES,
         rules,
-        places,
+        fleetSize,
         first,
         plan,
         clock,
-        host,
-        ofChanges,
-        freezes,
-        say);
+        rolloutListener,
+        deploymentListener,
+        maintenanceWindows,
+        statusLine);
   }
 
   /**
-   * Comes back to where the last life was, and begins another one.
+   * Replays the last incarnation's state, and begins another one.
    *
-   * @throws Store.DamagedException if the files are damaged other than at their end
+   * @throws WriteAheadLog.DamagedException if the files are damaged other than at their end
    */
   public void start() throws IOException, WriteAheadLog.DamagedException {
     start(() -> {});
   }
 
-  /** The same; {@code back} is run once it is where it was, before anything new happens. */
-  public void start(Runnable back) throws IOException, WriteAheadLog.DamagedException {
-    boolean[] before = new boolean[1];
+  /** The same; {@code restored} is run once the state is back, before anything new is applied. */
+  public void start(Runnable restored) throws IOException, WriteAheadLog.DamagedException {
+    boolean[] found = new boolean[1];
     log.replay(
         new WriteAheadLog.Reader() {
           @Override
@@ -178,7 +184,7 @@
             SnapshotCodec.readSnapshot(state, rollouts, deployments, maintenanceWindows);
             lastTimeMs = state.getAtMs();
             lastWallMs = state.getWallMs();
-            before[0] = true;
+            found[0] = true;
           }
 
           @Override
@@ -186,13 +192,13 @@
             lastTimeMs = input.getAtMs();
             lastWallMs = input.getWallMs();
             stateMachine.apply(input);
-            before[0] = true;
+            found[0] = true;
           }
         },
         statusLine);
-    // files of its own from here on: what a controller that was replaced still writes into the old
-    // ones is never read
-    if (before[0]) {
+    // new files from here on: what a controller that was replaced still writes into the old ones is
+    // never read
+    if (found[0]) {
       log.snapshot(
           SnapshotCodec.writeSnapshot(rollouts, deployments, maintenanceWindows, lastTimeMs)
               .toBuilder()
@@ -200,31 +206,33 @@
               .build());
     }
     long wall = clock.wallMs();
-    long down = before[0] ? wall - lastWallMs : 0;
-    timeAtStart = lastTimeMs + Math.max(0, Math.min(down, 24 * 3_600_000L));
+    long down = found[0] ? wall - lastWallMs : 0;
+    timeAtStart = lastTimeMs + Math.max(0, Math.min(down, MAX_DOWNTIME_MS));
     steadyAtStart = clock.steadyMs();
     Input.Builder restarted =
         Input.newBuilder().setRestarted(Restarted.newBuilder().setDownMs(down));
-    Input stamped = timestamped(restarted);
-    log.append(stamped);
+    Input entry = timestamped(restarted);
+    log.append(entry);
     log.fsync();
-    back.run();
-    replaying = false; // what this leads to is news
-    stateMachine.apply(stamped);
+    restored.run();
+    replaying = false; // listeners hear of what follows from here on
+    stateMachine.apply(entry);
   }
 
+  /** The maintenance windows; to be changed by entries alone. */
   public MaintenanceWindows maintenanceWindows() {
     return maintenanceWindows;
   }
 
-  /** Whether what is done now, after a restart, is news; before, it happened in a former life. */
+  /** Whether the entries being applied are those of an earlier incarnation. */
   public boolean replaying() {
     return replaying;
   }
 
   /**
-   * The wall's clock as freezes go by it: with this life's steady clock, and by half a hundredth of
-   * it towards the machine's, which may jump.
+   * The wall clock that maintenance windows go by, in milliseconds: it runs with the steady clock,
+   * and by half a hundredth of the time that passes towards the machine's wall clock, which may
+   * jump.
    */
   public long wallMs() {
     long steady = clock.steadyMs();
@@ -234,16 +242,19 @@
       double passed = steady - smoothedAtSteadyMs;
       smoothedWallMs += passed;
       smoothedWallMs +=
-          Math.max(-0.005 * passed, Math.min(0.005 * passed, clock.wallMs() - smoothedWallMs));
+          Math.max(
+              -MAX_SLEW * passed, Math.min(MAX_SLEW * passed, clock.wallMs() - smoothedWallMs));
     }
     smoothedAtSteadyMs = steady;
     return Math.round(smoothedWallMs);
   }
 
+  /** The deployments; to be changed by entries alone. */
   public DeploymentManager deployments() {
     return deployments;
   }
 
+  /** The rollouts; to be changed by entries alone. */
   public RolloutManager rollouts() {
     return rollouts;
   }
@@ -257,92 +268,105 @@
     return Math.max(lastTimeMs, timeAtStart + clock.steadyMs() - steadyAtStart);
   }
 
-  private Input timestamped(Input.Builder input) {
+  private Input timestamped(Input.Builder entry) {
     lastTimeMs = atMs();
     lastWallMs = wallMs();
-    return input.setAtMs(lastTimeMs).setWallMs(lastWallMs).build();
+    return entry.setAtMs(lastTimeMs).setWallMs(lastWallMs).build();
   }
 
-  /** What it is that the disk does not take; null while all is well. */
+  /** What is the matter with the storage, in one line; null while all is well. */
   public String storageFailure() {
     return failure == null ? null : failure.text();
   }
 
   /**
-   * Something came in; {@code done} is told once it has happened, or was refused. It waits for the
-   * turn's end.
+   * Gives an entry to the next {@link #flush}; {@code done} is told, on this thread, once it was
+   * applied or rejected.
    */
-  public void append(Input.Builder input, Consumer<AppendResult> done) {
+  public void append(Input.Builder entry, Consumer<AppendResult> done) {
     if (pending.size() >= MAX_PENDING) {
       done.accept(
           new AppendResult.Rejected(AppendResult.Reason.QUEUE_FULL, "so much waits already"));
     } else {
-      pending.add(new Waiting(input, done));
+      pending.add(new PendingEntry(entry, done));
     }
   }
 
-  /** Asked before anything is kept, and again before it happens. */
-  public void setLeadershipCheck(BooleanSupplier holds) {
-    leadershipCheck = holds;
+  /** Asked before entries are written, and again before they are applied. */
+  public void setLeadershipCheck(BooleanSupplier check) {
+    leadershipCheck = check;
   }
 
-  /** At a turn's end: what came is kept, then happens. */
+  /**
+   * Group commit, at the end of a turn of the loop: all pending entries are written and synced
+   * together; then each is applied and answered, in the order in which they were appended.
+   */
   public void flush() {
     if (!leadershipCheck.getAsBoolean()) {
-      for (Waiting one : List.copyOf(pending)) {
-        one.done.accept(
-            new AppendResult.Rejected(
-                AppendResult.Reason.NOT_LEADER, "another controller may act by now"));
-      }
-      pending.clear();
+      rejectPending();
       return;
     }
-    if ((rollouts.transitionDue(now())
+    boolean tickDue =
+        rollouts.transitionDue(now())
             || deployments.transitionDue(now())
-            || maintenanceWindows.due(wallMs()))
-        && pending.isEmpty()) {
-      append(Input.newBuilder().setTick(Tick.getDefaultInstance()), outcome -> {});
+            || maintenanceWindows.due(wallMs());
+    if (tickDue && pending.isEmpty()) {
+      append(Input.newBuilder().setTick(Tick.getDefaultInstance()), result -> {});
     }
     if (pending.isEmpty()) {
       return;
     }
-    List<Waiting> turn = List.copyOf(pending);
+    List<PendingEntry> batch = List.copyOf(pending);
+    pending.clear();
+    int durable = makeDurable(batch);
+    if (durable == batch.size()) {
+      failure = null;
+    }
+    for (int i = 0; i < batch.size(); i++) {
+      PendingEntry one = batch.get(i);
+      one.done.accept(
+          i < durable ? new AppendResult.Accepted(stateMachine.apply(one.entry.build())) : failure);
+    }
+    if (durable > 0 && log.snapshotDue()) {
+      snapshot();
+    }
+  }
+
+  private void rejectPending() {
+    for (PendingEntry one : List.copyOf(pending)) {
+      one.done.accept(
+          new AppendResult.Rejected(
+              AppendResult.Reason.NOT_LEADER, "another controller may act by now"));
+    }
     pending.clear();
-    int kept = 0;
+  }
+
+  /** How many entries of a batch, from its beginning, are durable and may be applied. */
+  private int makeDurable(List<PendingEntry> batch) {
+    int written = 0;
     try {
-      for (Waiting one : turn) {
-        log.append(timestamped(one.input));
-        kept++;
+      for (PendingEntry one : batch) {
+        log.append(timestamped(one.entry));
+        written++;
       }
     } catch (IOException e) {
       reportFailure(AppendResult.Reason.STORAGE_FAILED, "it takes no more: " + e.getMessage());
     }
-    if (kept > 0 && !fsync()) {
-      kept = 0;
+    if (written > 0 && !fsync()) {
+      written = 0;
     }
-    if (!leadershipCheck
-        .getAsBoolean()) { // held up meanwhile: what was kept is in files that the other one does
-      // not read
+    if (!leadershipCheck.getAsBoolean()) {
+      // the sync took long: what was written is in files that the other controller does not read
       reportFailure(AppendResult.Reason.NOT_LEADER, "another controller may act by now");
-      kept = 0;
+      written = 0;
       storageLost = true;
     }
-    if (kept == turn.size()) {
-      failure = null;
-    }
-    for (int i = 0; i < turn.size(); i++) {
-      Waiting one = turn.get(i);
-      one.done.accept(
-          i < kept ? new AppendResult.Accepted(stateMachine.apply(one.input.build())) : failure);
-    }
-    if (kept > 0 && log.snapshotDue()) {
-      snapshot();
-    }
+    return written;
   }
 
   /**
-   * A disk that did not force may have lost what it took: nothing more can be promised in this
-   * life.
+   * Storage that did not sync may have lost what it took: nothing more can be promised in this
+   * incarnation.
    */
   private boolean fsync() {
     if (storageLost) {
@@ -380,15 +404,16 @@
       reportFailure(
           AppendResult.Reason.STORAGE_FAILED,
           "no snapshot: "
-              + e.getMessage()); // the inputs are there: it is tried again with the next
+              + e.getMessage()); // the entries are in the log: it is tried again with the next
     }
   }
 
-  /** Inputs kept so far, over all lives. */
+  /** Entries logged so far, over all incarnations. */
   public long entryCount() {
     return log.lastIndex();
   }
 
+  /** Closes the log's file; what is pending is dropped unanswered. */
   public void close() throws IOException {
     log.close();
   }
--- a/src/main/java/sprucerock/controller/FileStorage.java
+++ b/src/main/java/sprucerock/controller/FileStorage.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the machine's. */
+/** Storage in a folder of the file system. */
 final class FileStorage implements Storage {
   private final Path folder;
 
--- /dev/null
+++ b/src/main/java/sprucerock/controller/RolloutCommands.java
@@ -0,0 +1,81 @@
+package sprucerock.controller;
+
+import java.util.Locale;
+import sprucerock.controller.Rollout.State;
+import sprucerock.time.Timestamp;
+
+/** What operators command about rollouts. */
+final class RolloutCommands {
+  private final RolloutManager manager;
+
+  RolloutCommands(RolloutManager manager) {
+    this.manager = manager;
+  }
+
+  /** Why a command has no effect; null where it has one. */
+  String carryOut(RolloutManager.OperatorCommand command, int build, String cause, Timestamp now) {
+    Rollout rollout = manager.rollout(build);
+    if (rollout == null) {
+      return "no build " + build + " is known";
+    }
+    return switch (command) {
+      case HOLD -> hold(rollout, cause, now);
+      case RESUME -> resume(rollout, cause, now);
+      case WITHDRAW -> withdraw(rollout, cause, now);
+    };
+  }
+
+  private String hold(Rollout rollout, String cause, Timestamp now) {
+    if (!running(rollout)) {
+      return "build " + rollout.build + " is " + text(rollout.state) + ": there is nothing to hold";
+    }
+    if (rollout.held) {
+      return "build " + rollout.build + " is held already";
+    }
+    rollout.held = true;
+    rollout.heldSince = now;
+    manager.transition(rollout, rollout.state, rollout.stage, "held by " + cause, now);
+    return null;
+  }
+
+  private String resume(Rollout rollout, String cause, Timestamp now) {
+    if (!rollout.held) {
+      return "build " + rollout.build + " is not held";
+    }
+    rollout.held = false;
+    if (rollout.clockStart != null) {
+      Timestamp from = rollout.heldSince.later(rollout.clockStart);
+      rollout.pausedTime = rollout.pausedTime.plus(now.since(from));
+    }
+    manager.transition(rollout, rollout.state, rollout.stage, "resumed by " + cause, now);
+    manager.reconcile(now);
+    return null;
+  }
+
+  private String withdraw(Rollout rollout, String cause, Timestamp now) {
+    boolean lastReleased =
+        rollout == manager.current
+            && rollout.state == State.RELEASED
+            && manager.previousBuild != rollout.build;
+    if (!running(rollout) && !lastReleased) {
+      return "build " + rollout.build + " is " + text(rollout.state) + ": it can't be withdrawn";
+    }
+    rollout.held = false;
+    if (rollout.state == State.ANNOUNCED) {
+      manager.transition(rollout, State.WITHDRAWN, 0, "withdrawn by " + cause, now);
+    } else {
+      manager.rollBack(rollout, "withdrawn by " + cause, now);
+    }
+    return null;
+  }
+
+  private static boolean running(Rollout rollout) {
+    return rollout.state == State.STARTING
+        || rollout.state == State.ON_TRIAL
+        || rollout.state == State.ANNOUNCED;
+  }
+
+  private static String text(State state) {
+    return state.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+  }
+}
--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -10,14 +10,15 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The releases of one fleet: what announcements, votes, operators and the time that passes make of
- * them. It does no I/O and reads no clock; the same inputs at the same times give the same state,
- * which is how it comes back after a crash. Whether a build is good is the relays' to judge: here
- * votes are only counted.
+ * The rollouts of builds to one fleet of endpoints: what announcements, votes, operators and the
+ * time that passes make of them. It does no I/O and reads no clock; the same inputs at the same
+ * times give the same state, which is how it comes back after a crash. Whether a build is good is
+ * the relays' to judge: here votes are only counted.
  */
 public final class RolloutManager {
-  /** What an announcement came to. */
+  /** What an announcement came to. The names are stored. */
   public enum AnnouncementResult {
+    /** It is new, and a rollout was begun. */
     TAKEN,
     /** The same delivery was taken before, with this answer then or another. */
     AGAIN,
@@ -34,30 +35,41 @@
   /** What a vote came to. */
   public enum VoteResult {
     COUNTS,
+    /** It is on another build or stage, or of a kind that does not count now. */
     MOOT,
+    /** Too many of this relay in a second, or of too many relays. */
     TOO_MANY
   }
 
+  /** What a relay votes for. The names are stored. */
   public enum Vote {
+    /** It takes its vote back. */
     NOTHING,
+    /** To advance to the next stage. */
     ON,
+    /** To pause the stage, under the clock. */
     HOLD,
+    /** To roll back. */
     BACK
   }
 
+  /** What an operator may command about a rollout. The names are stored. */
   public enum OperatorCommand {
     HOLD,
     RESUME,
     WITHDRAW
   }
 
-  /** Who acts on transitions: tells relays and others, has units started and taken away. */
+  /** Acts on transitions: tells relays and others, has endpoints started and taken away. */
   public interface Listener {
-    /** Told in the order in which they happen, each once by each life that makes it. */
-    void transitioned(Rollout release, Transition step);
+    /** A transition was recorded; told in the order of their sequence, once an incarnation. */
+    void transitioned(Rollout rollout, Transition transition);
   }
 
+  /** Rollouts that may wait to start; further announcements are refused. */
   static final int MAX_ANNOUNCED = 20;
+
+  /** Rollouts that are kept; older ones are dropped once they have ended. */
   static final int MAX_ROLLOUTS = 100;
 
   private final RolloutRules rules;
@@ -65,6 +77,7 @@
   private final Listener listener;
   final TreeMap<Integer, Rollout> rolloutsByBuild = new TreeMap<>();
   final BallotBox ballots = new BallotBox();
+  private final StageClock clock;
   final DeliveryLog deliveries = new DeliveryLog();
   long sequence;
   long webhooksDeliveredUpTo;
@@ -73,11 +86,13 @@
   int previousBuild;
   private long wallMs;
 
-  /** {@code places} units make up the fleet; {@code first} serves from the start. */
-  public RolloutManager(RolloutRules rules, int places, int first, Timestamp now, Listener host) {
+  /** {@code fleetSize} endpoints make up the fleet; build {@code first} serves from the start. */
+  public RolloutManager(
+      RolloutRules rules, int fleetSize, int first, Timestamp now, Listener listener) {
     this.rules = rules;
-    this.fleetSize = places;
-    this.listener = host;
+    clock = new StageClock(rules, ballots);
+    this.fleetSize = fleetSize;
+    this.listener = listener;
     current = new Rollout(first, "", now);
     current.state = State.RELEASED;
     current.stage = rules.stages().size() - 1;
@@ -85,9 +100,9 @@
     previousBuild = first;
   }
 
-  // What is asked.
+  // Queries.
 
-  /** The release that relays are told of: on trial, going back, released or withdrawn last. */
+  /** The rollout that relays are told of: on trial, going back, released or withdrawn last. */
   public Rollout current() {
     return current;
   }
@@ -97,10 +112,12 @@
     return previousBuild;
   }
 
+  /** All rollouts that are kept, the oldest build first. */
   public Collection<Rollout> rollouts() {
     return Collections.unmodifiableCollection(rolloutsByBuild.values());
   }
 
+  /** The rollout of a build; null where none is kept. */
   public Rollout rollout(int build) {
     return rolloutsByBuild.get(build);
   }
@@ -115,18 +132,18 @@
     return epoch;
   }
 
-  /** Up to which transition outgoing webhooks were taken, or given up. */
+  /** The sequence up to which outgoing webhooks were taken, or given up. */
   public long webhooksDeliveredUpTo() {
     return webhooksDeliveredUpTo;
   }
 
-  /** What relays are to know: of which build, how it stands, and the cap on its exposure. */
+  /** What relays are to know: a build, where its rollout stands, and the cap on its exposure. */
   public record RolloutStatus(
       int build, int stage, State state, double exposureCap, Timestamp since) {}
 
   /**
-   * The news as it is now. A build whose units only start is none yet: until then what was before
-   * it is told.
+   * What relays are to know now. A build whose endpoints only start is not told yet: until then
+   * what was before it is.
    */
   public RolloutStatus currentStatus() {
     return switch (current.state) {
@@ -154,21 +171,21 @@
     };
   }
 
-  /** How many units of a build there should be now. */
-  public int desiredEndpoints(Rollout release) {
-    return switch (release.state) {
-      case STARTING, ON_TRIAL -> desiredEndpoints(release.stage);
+  /** How many endpoints of a build there should be now. */
+  public int desiredEndpoints(Rollout rollout) {
+    return switch (rollout.state) {
+      case STARTING, ON_TRIAL -> desiredEndpoints(rollout.stage);
       case RELEASED ->
-          release == current || release.build == previousBuild && current.state != State.RELEASED
+          rollout == current || rollout.build == previousBuild && current.state != State.RELEASED
               ? fleetSize
               : 0;
       default -> 0;
     };
   }
 
-  /** Of all units, that a release takes while it is decided. */
-  double fleetShare(Rollout release) {
-    return rules.stages().get(release.stage).share();
+  /** The share of all endpoints that a rollout takes in its stage. */
+  double fleetShare(Rollout rollout) {
+    return rules.stages().get(rollout.stage).share();
   }
 
   /** How many endpoints of a build a stage has. */
@@ -176,15 +193,11 @@
     return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
 
-  /** Relays whose votes of a kind stand for the present build and stage. */
+  /** Relays whose votes of a kind stand for the current build and stage. */
   public List<Integer> relaysVoting(Vote vote, Timestamp now) {
     return ballots.relays(vote, now);
   }
 
-  private int count(Vote vote, Timestamp now) {
-    return ballots.count(vote, now);
-  }
-
   /** The votes of an earlier incarnation are there, and the rollout that they are on. */
   void restoreVotes() {
     ballots.restored(current.build, current.stage);
@@ -210,12 +223,12 @@
     return null;
   }
 
-  // What happens. Each with the time, and the wall's clock for people.
+  // Inputs. Each with the controller's time, and the wall clock in milliseconds for people.
 
   /** A build was announced; a delivery that was answered before has that answer again. */
   public AnnouncementResult announceDelivery(
-      String delivery, int build, String artifact, String source, Timestamp now, long wall) {
-    wallMs = wall;
+      String delivery, int build, String artifact, String source, Timestamp now, long wallMs) {
+    this.wallMs = wallMs;
     return deliveries.answer(
         delivery, build + " " + artifact, now, () -> announce(build, artifact, source, now));
   }
@@ -273,114 +286,60 @@
     transition(next, State.STARTING, 0, "nothing is in its way", now);
   }
 
-  /** A relay votes. Only votes on the present build and its stage count. */
-  public VoteResult castVote(int relay, int build, int stage, Vote say, Timestamp now, long wall) {
-    wallMs = wall;
+  /** A relay votes. Only votes on the current build and its stage count. */
+  public VoteResult castVote(
+      int relay, int build, int stage, Vote vote, Timestamp now, long wallMs) {
+    this.wallMs = wallMs;
     BallotBox.Ballot ballot = ballots.admit(relay, rules.maxVotesPerSecond(), now);
     if (ballot == null) {
       return VoteResult.TOO_MANY;
     }
-    boolean trial = current.state == State.ON_TRIAL;
+    boolean onTrial = current.state == State.ON_TRIAL;
     boolean clocked = rules.control() == RolloutRules.Control.CLOCKED;
-    boolean fits =
+    boolean counts =
         build == current.build
-            && switch (say) {
-              case ON -> trial && !clocked && stage == current.stage;
-              case HOLD -> trial && clocked && stage == current.stage;
-              case BACK -> trial || underObservation(now);
+            && switch (vote) {
+              case ON -> onTrial && !clocked && stage == current.stage;
+              case HOLD -> onTrial && clocked && stage == current.stage;
+              case BACK -> onTrial || clock.underObservation(current, previousBuild, now);
               case NOTHING -> true;
             };
-    if (!fits) {
+    if (!counts) {
       return VoteResult.MOOT;
     }
-    if (clocked && trial) {
-      addPausedTime(now);
+    if (clocked && onTrial) {
+      clock.addPausedTime(current, now);
     }
-    ballots.cast(ballot, build, stage, say, rules.voteValidity(), now);
+    ballots.cast(ballot, build, stage, vote, rules.voteValidity(), now);
     reconcile(now);
     return VoteResult.COUNTS;
   }
 
-  /** A released build is watched for a time, if there is one to go back to. */
-  private boolean underObservation(Timestamp now) {
-    return current.state == State.RELEASED
-        && previousBuild != current.build
-        && !now.since(current.since).over(rules.observationTime());
-  }
-
-  /** An operator's word, which is stronger than votes; says why it has no effect, or null. */
+  /**
+   * Carries out an operator's command, which is stronger than votes.
+   *
+   * @return why it has no effect, or null
+   */
   public String command(
-      OperatorCommand action, int build, String who, String reason, Timestamp now, long wall) {
-    wallMs = wall;
-    Rollout release = rolloutsByBuild.get(build);
-    if (release == null) {
-      return "no build " + build + " is known";
-    }
-    String cause = who + ": " + reason;
-    boolean running =
-        release.state == State.STARTING
-            || release.state == State.ON_TRIAL
-            || release.state == State.ANNOUNCED;
-    switch (action) {
-      case HOLD -> {
-        if (!running) {
-          return "build " + build + " is " + stateText(release) + ": there is nothing to hold";
-        }
-        if (release.held) {
-          return "build " + build + " is held already";
-        }
-        release.held = true;
-        release.heldSince = now;
-        transition(release, release.state, release.stage, "held by " + cause, now);
-      }
-      case RESUME -> {
-        if (!release.held) {
-          return "build " + build + " is not held";
-        }
-        release.held = false;
-        if (release.clockStart != null) {
-          release.pausedTime =
-              release.pausedTime.plus(now.since(release.heldSince.later(release.clockStart)));
-        }
-        transition(release, release.state, release.stage, "resumed by " + cause, now);
-        reconcile(now);
-      }
-      case WITHDRAW -> {
-        boolean last =
-            release == current && release.state == State.RELEASED && previousBuild != release.build;
-        if (!running && !last) {
-          return "build " + build + " is " + stateText(release) + ": it can't be withdrawn";
-        }
-        release.held = false;
-        if (release.state == State.ANNOUNCED) {
-          transition(release, State.WITHDRAWN, 0, "withdrawn by " + cause, now);
-        } else {
-          rollBack(release, "withdrawn by " + cause, now);
-        }
-      }
-      default -> throw new IllegalArgumentException("no such action");
-    }
-    return null;
-  }
-
-  private static String stateText(Rollout release) {
-    return release.state.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
+      OperatorCommand command, int build, String who, String reason, Timestamp now, long wallMs) {
+    this.wallMs = wallMs;
+    return new RolloutCommands(this).carryOut(command, build, who + ": " + reason, now);
   }
 
-  /** So many units of a build are there. */
-  public void reportEndpoints(int build, int endpoints, Timestamp now, long wall) {
-    wallMs = wall;
-    Rollout release = rolloutsByBuild.get(build);
-    if (release == null) {
+  /** So many endpoints of a build are ready. */
+  public void reportEndpoints(int build, int endpoints, Timestamp now, long wallMs) {
+    this.wallMs = wallMs;
+    Rollout rollout = rolloutsByBuild.get(build);
+    if (rollout == null) {
       return;
     }
-    release.readyEndpoints = endpoints;
+    rollout.readyEndpoints = endpoints;
     reconcile(now);
   }
 
   /** Time has passed. */
-  public void tick(Timestamp now, long wall) {
-    wallMs = wall;
+  public void tick(Timestamp now, long wallMs) {
+    this.wallMs = wallMs;
     reconcile(now);
   }
 
@@ -388,8 +347,8 @@
    * The controller was down for so long by the wall's clock; below zero: that was set back, and
    * nobody knows how old votes are. The time does not count for a stage.
    */
-  public void restarted(long downMs, Timestamp now, long wall) {
-    wallMs = wall;
+  public void restarted(long downMs, Timestamp now, long wallMs) {
+    this.wallMs = wallMs;
     epoch++;
     if (downMs < 0) {
       ballots.clear();
@@ -412,51 +371,25 @@
   public boolean transitionDue(Timestamp now) {
     return switch (current.state) {
       case STARTING ->
-          startTimedOut(now) || !current.held && current.readyEndpoints >= desiredEndpoints(0);
-      case GOING_BACK -> now.since(current.since).over(rules.rollbackTime());
+          clock.startTimedOut(current, now)
+              || !current.held && current.readyEndpoints >= desiredEndpoints(0);
+      case GOING_BACK -> clock.rollbackOver(current, now);
       case ON_TRIAL ->
-          startTimedOut(now)
-              || count(Vote.BACK, now) >= rules.votesToRollBack()
-              || mayAdvance(now)
-              || clockRunning(now) != current.clockRunning;
-      case RELEASED -> underObservation(now) && count(Vote.BACK, now) >= rules.votesToRollBack();
+          clock.startTimedOut(current, now)
+              || clock.mustRollBack(now)
+              || clock.mayAdvance(current, now)
+              || clock.running(now) != current.clockRunning;
+      case RELEASED ->
+          clock.underObservation(current, previousBuild, now) && clock.mustRollBack(now);
       default -> false;
     };
   }
 
-  private boolean startTimedOut(Timestamp now) {
-    return current.clockStart == null
-        && !current.held
-        && now.since(current.since).over(rules.startTimeout());
-  }
-
-  private boolean clockRunning(Timestamp now) {
-    return count(Vote.HOLD, now) < rules.votesToPause();
-  }
-
-  private void addPausedTime(Timestamp now) {
-    if (!current.clockRunning && current.clockUpdatedAt != null && current.clockStart != null) {
-      current.pausedTime = current.pausedTime.plus(now.since(current.clockUpdatedAt));
-    }
-    current.clockUpdatedAt = now;
-  }
-
-  private boolean mayAdvance(Timestamp now) {
-    if (current.clockStart == null || current.held) {
-      return false;
-    }
-    TimeSpan so = now.since(current.clockStart).minus(current.pausedTime);
-    if (rules.control() != RolloutRules.Control.CLOCKED) {
-      return so.over(rules.minStageTime()) && count(Vote.ON, now) >= rules.votesToAdvance();
-    }
-    return clockRunning(now) && current.clockRunning && so.over(rules.clockedStageTime());
-  }
-
-  /** Does all that is due now. */
-  private void reconcile(Timestamp now) {
+  /** Makes the transitions that are due now. */
+  void reconcile(Timestamp now) {
     if (rules.control() == RolloutRules.Control.CLOCKED && current.state == State.ON_TRIAL) {
-      addPausedTime(now);
-      current.clockRunning = clockRunning(now);
+      clock.addPausedTime(current, now);
+      current.clockRunning = clock.running(now);
     }
     if (current.state == State.STARTING
         && !current.held
@@ -470,7 +403,7 @@
       current.clockStart = now;
     }
     if ((current.state == State.STARTING || current.state == State.ON_TRIAL)
-        && startTimedOut(now)) {
+        && clock.startTimedOut(current, now)) {
       rollBack(
           current,
           "its units did not start: "
@@ -478,20 +411,18 @@
               + " of "
               + desiredEndpoints(current.stage),
           now);
-    } else if (current.state == State.ON_TRIAL
-        && count(Vote.BACK, now) >= rules.votesToRollBack()) {
+    } else if (current.state == State.ON_TRIAL && clock.mustRollBack(now)) {
       rollBack(current, "votes to go back of relays " + relaysVoting(Vote.BACK, now), now);
     } else if (current.state == State.RELEASED
-        && underObservation(now)
-        && count(Vote.BACK, now) >= rules.votesToRollBack()) {
+        && clock.underObservation(current, previousBuild, now)
+        && clock.mustRollBack(now)) {
       rollBack(
           current,
           "votes to go back of relays " + relaysVoting(Vote.BACK, now) + " after its release",
           now);
-    } else if (current.state == State.ON_TRIAL && mayAdvance(now)) {
+    } else if (current.state == State.ON_TRIAL && clock.mayAdvance(current, now)) {
       advance(now);
-    } else if (current.state == State.GOING_BACK
-        && now.since(current.since).over(rules.rollbackTime())) {
+    } else if (current.state == State.GOING_BACK && clock.rollbackOver(current, now)) {
       transition(current, State.WITHDRAWN, current.stage, "it has gone back", now);
       startNext(now);
     }
@@ -512,26 +443,28 @@
         !last && current.readyEndpoints >= desiredEndpoints(current.stage) ? now : null;
   }
 
-  private void rollBack(Rollout release, String cause, Timestamp now) {
-    transition(release, State.GOING_BACK, release.stage, cause, now);
+  /** A rollout goes back to the build before it. */
+  void rollBack(Rollout rollout, String cause, Timestamp now) {
+    transition(rollout, State.GOING_BACK, rollout.stage, cause, now);
   }
 
-  private void transition(Rollout release, State to, int stage, String cause, Timestamp now) {
-    boolean moves = release.state != to || release.stage != stage;
-    release.state = to;
-    release.stage = stage;
-    if (moves || release.transitions().isEmpty()) {
-      release.since = now;
-      release.clockStart = null;
-      release.pausedTime = TimeSpan.ZERO;
-      release.clockUpdatedAt = now;
-      release.clockRunning = true;
-      if (release == current) {
+  /** A rollout goes to a state and a stage, or is held or resumed where it is. */
+  void transition(Rollout rollout, State to, int stage, String cause, Timestamp now) {
+    boolean moves = rollout.state != to || rollout.stage != stage;
+    rollout.state = to;
+    rollout.stage = stage;
+    if (moves || rollout.transitions().isEmpty()) {
+      rollout.since = now;
+      rollout.clockStart = null;
+      rollout.pausedTime = TimeSpan.ZERO;
+      rollout.clockUpdatedAt = now;
+      rollout.clockRunning = true;
+      if (rollout == current) {
         ballots.clear();
       }
     }
-    Transition step = new Transition(++sequence, now, wallMs, to, stage, cause);
-    release.add(step);
-    listener.transitioned(release, step);
+    Transition made = new Transition(++sequence, now, wallMs, to, stage, cause);
+    rollout.add(made);
+    listener.transitioned(rollout, made);
   }
 }
--- a/src/main/java/sprucerock/controller/WriteAheadLog.java
+++ b/src/main/java/sprucerock/controller/WriteAheadLog.java
@@ -11,13 +11,14 @@
 import sprucerock.controller.v1.State;
 
 /**
- * The controller's inputs on disk, one after another, each with its number and a checksum; now and
- * then a snapshot of all that they came to, after which the older ones go. What is added counts
- * once {@link #force} has returned. A record is: length, checksum of what follows, number, the
- * input. A torn tail is cut off, as it was never told; damage before the tail stops the start.
+ * The controller's log entries in storage, each with its index and a checksum; now and then a
+ * snapshot of the state that they led to, after which older files are deleted. What is appended is
+ * durable once {@link #fsync} has returned. A record is: length and CRC-32C of what follows (4
+ * bytes each), index (8 bytes), the entry. A torn tail is cut off, as it was never answered; damage
+ * before the tail stops the start.
  */
 final class WriteAheadLog {
-  /** The files can't be gone on from; the message says which, why, and how to go on. */
+  /** The files can't be replayed; the message says which, why, and what to do. */
   static final class DamagedException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -26,11 +27,13 @@
     }
   }
 
-  /** What a start finds, in order: a state, perhaps none, then inputs. */
+  /** What a replay finds, in order: a snapshot, perhaps none, then entries. */
   interface Reader {
+    /** The newest snapshot. */
     void snapshot(State state);
 
-    void entry(Input input);
+    /** The next entry after it. */
+    void entry(Input entry);
   }
 
   private static final int HEADER_BYTES = 4 + 4 + 8;
@@ -47,9 +50,9 @@
   private long lastIndex;
   private int entriesSinceSnapshot;
 
-  /** {@code snapshotEvery} inputs, which bounds the files and the time to come back. */
-  WriteAheadLog(Storage disk, int snapshotEvery) {
-    this.storage = disk;
+  /** A snapshot is due each so many entries, which bounds the files and the time of a replay. */
+  WriteAheadLog(Storage storage, int snapshotEvery) {
+    this.storage = storage;
     this.snapshotEveryEntries = snapshotEvery;
   }
 
@@ -57,21 +60,21 @@
     return String.format("%s%016d", kind, number);
   }
 
-  private static long lastIndex(String name) {
+  private static long index(String name) {
     return Long.parseLong(name.substring(name.lastIndexOf('-') + 1));
   }
 
   /**
-   * Reads all there is, and is ready to be added to. {@code say} is told in one line of a tail that
-   * was cut off.
+   * Reads all there is, and is ready for appending. {@code statusLine} is given a line on a tail
+   * that was cut off.
    *
    * @throws DamagedException if a record before the last one is damaged or missing
    */
-  void replay(Reader reader, Consumer<String> say) throws IOException, DamagedException {
+  void replay(Reader reader, Consumer<String> statusLine) throws IOException, DamagedException {
     List<String> names = storage.list();
-    for (String one : names) {
-      if (one.endsWith(".new")) {
-        storage.delete(one); // never came into its place
+    for (String name : names) {
+      if (name.endsWith(".new")) {
+        storage.delete(name); // a crash came before its rename
       }
     }
     String snapshot =
@@ -80,16 +83,16 @@
             .reduce((a, b) -> b)
             .orElse(null);
     if (snapshot != null) {
-      lastIndex = lastIndex(snapshot);
+      lastIndex = index(snapshot);
       reader.snapshot(readSnapshot(snapshot));
     }
     List<String> logs = names.stream().filter(one -> one.startsWith(LOG_PREFIX)).toList();
     for (int i = 0; i < logs.size(); i++) {
       boolean last = i == logs.size() - 1;
-      boolean older =
-          !last && lastIndex(logs.get(i + 1)) <= lastIndex; // all of it is in the snapshot
-      if (!older) {
-        replayEntries(logs.get(i), last, reader, say);
+      boolean superseded =
+          !last && index(logs.get(i + 1)) <= lastIndex; // all of it is in the snapshot
+      if (!superseded) {
+        replayEntries(logs.get(i), last, reader, statusLine);
       }
     }
     fileName = logs.isEmpty() ? name(LOG_PREFIX, lastIndex) : logs.get(logs.size() - 1);
@@ -130,26 +133,26 @@
     return (int) sum.getValue();
   }
 
-  private void replayEntries(String name, boolean last, Reader reader, Consumer<String> say)
+  private void replayEntries(String name, boolean last, Reader reader, Consumer<String> statusLine)
       throws IOException, DamagedException {
     byte[] bytes = storage.read(name);
-    int at = 0;
-    while (at < bytes.length) {
-      int length = recordLength(bytes, at);
+    int offset = 0;
+    while (offset < bytes.length) {
+      int length = recordLength(bytes, offset);
       if (length < 0) {
         // nothing that is whole may follow a torn tail: else it is a hole
-        if (!last || validRecordAfter(bytes, at)) {
-          throw damagedException(name, "is damaged at byte " + at + " of " + bytes.length);
+        if (!last || validRecordAfter(bytes, offset)) {
+          throw damagedException(name, "is damaged at byte " + offset + " of " + bytes.length);
         }
-        say.accept(
+        statusLine.accept(
             name
                 + ": "
-                + (bytes.length - at)
+                + (bytes.length - offset)
                 + " bytes of a record that was not finished are cut off; it was never told");
-        storage.truncate(name, at);
+        storage.truncate(name, offset);
         return;
       }
-      long found = ByteBuffer.wrap(bytes, at + 8, 8).getLong();
+      long found = ByteBuffer.wrap(bytes, offset + 8, 8).getLong();
       if (found > lastIndex + 1) {
         throw damagedException(name, "goes on with input " + found + " after " + lastIndex);
       }
@@ -157,29 +160,29 @@
         lastIndex = found;
         entriesSinceSnapshot++;
         try {
-          reader.entry(Input.parser().parseFrom(bytes, at + HEADER_BYTES, length - 8));
+          reader.entry(Input.parser().parseFrom(bytes, offset + HEADER_BYTES, length - 8));
         } catch (InvalidProtocolBufferException e) {
-          throw damagedException(name, "has an input at byte " + at + " that can't be read");
+          throw damagedException(name, "has an input at byte " + offset + " that can't be read");
         }
       }
-      at += 8 + length;
+      offset += 8 + length;
     }
   }
 
-  /** The length after the checksum of a whole record that begins there; -1 where there is none. */
-  private static int recordLength(byte[] bytes, int at) {
-    if (bytes.length - at < HEADER_BYTES) {
+  /** The length after the checksum of a valid record that begins there; -1 where there is none. */
+  private static int recordLength(byte[] bytes, int offset) {
+    if (bytes.length - offset < HEADER_BYTES) {
       return -1;
     }
-    ByteBuffer head = ByteBuffer.wrap(bytes, at, HEADER_BYTES);
+    ByteBuffer head = ByteBuffer.wrap(bytes, offset, HEADER_BYTES);
     int length = head.getInt();
     int sum = head.getInt();
-    boolean fits = length >= 8 && length <= MAX_RECORD_BYTES && at + 8 + length <= bytes.length;
-    return fits && sum == checksum(bytes, at + 8, length) ? length : -1;
+    boolean fits = length >= 8 && length <= MAX_RECORD_BYTES && offset + 8 + length <= bytes.length;
+    return fits && sum == checksum(bytes, offset + 8, length) ? length : -1;
   }
 
-  private static boolean validRecordAfter(byte[] bytes, int at) {
-    for (int i = at + 1; i + HEADER_BYTES <= bytes.length; i++) {
+  private static boolean validRecordAfter(byte[] bytes, int offset) {
+    for (int i = offset + 1; i + HEADER_BYTES <= bytes.length; i++) {
       if (recordLength(bytes, i) >= 0) {
         return true;
       }
@@ -188,16 +191,16 @@
   }
 
   /**
-   * Adds an input, which counts once it is forced.
+   * Appends an entry, which is durable after the next {@link #fsync}.
    *
-   * @throws IOException if the disk takes it not; it can be tried again, and nothing of it stays
+   * @throws IOException if the storage does not take it; it can be tried again, and nothing stays
    */
-  void append(Input input) throws IOException {
+  void append(Input entry) throws IOException {
     if (tailTorn) {
       storage.truncate(fileName, fileLength);
       tailTorn = false;
     }
-    byte[] body = input.toByteArray();
+    byte[] body = entry.toByteArray();
     ByteArrayOutputStream record = new ByteArrayOutputStream(HEADER_BYTES + body.length);
     ByteBuffer rest = ByteBuffer.allocate(8 + body.length).putLong(lastIndex + 1).put(body);
     record.writeBytes(
@@ -214,7 +217,7 @@
     entriesSinceSnapshot++;
   }
 
-  /** All that was added counts from now on. */
+  /** All that was appended is durable from now on. */
   void fsync() throws IOException {
     file.fsync();
   }
@@ -225,7 +228,8 @@
   }
 
   /**
-   * Keeps the state that all inputs so far came to; older files but for one snapshot's worth go.
+   * Stores the state that all entries so far led to, and deletes the files before the last snapshot
+   * but one.
    */
   void snapshot(State state) throws IOException {
     file.fsync();
@@ -247,16 +251,15 @@
     if (snapshots.size() <= 2) {
       return;
     }
-    long keep = lastIndex(snapshots.get(snapshots.size() - 2));
-    for (String one : storage.list()) {
-      if ((one.startsWith(SNAPSHOT_PREFIX) || one.startsWith(LOG_PREFIX))
-          && lastIndex(one) < keep) {
-        storage.delete(one);
+    long keep = index(snapshots.get(snapshots.size() - 2));
+    for (String name : storage.list()) {
+      if ((name.startsWith(SNAPSHOT_PREFIX) || name.startsWith(LOG_PREFIX)) && index(name) < keep) {
+        storage.delete(name);
       }
     }
   }
 
-  /** Inputs so far, over all lives. */
+  /** The index of the last entry, over all incarnations; 0 before the first. */
   long lastIndex() {
     return lastIndex;
   }
