--- a/src/main/java/sprucerock/controller/DeploymentMonitor.java
+++ b/src/main/java/sprucerock/controller/DeploymentMonitor.java
@@ -17,14 +17,15 @@
 import sprucerock.controller.deployment.Verdict;
 
 /**
- * Holds relays that were moved beside those restarted with them, by the sums that their agents
- * tell. Windows are cut by the controller's clock alone, so a machine's own may be wrong. Nothing
- * here is kept: after a restart of the controller a stage is looked at anew, and what was said of
- * it before still stands in the changes' own record.
+ * Compares updated relays with their controls, by the totals that agents report. Windows are closed
+ * by the controller's clock alone, so a machine's own may be wrong. Nothing here is stored: after a
+ * restart of the controller a stage is compared anew, and the verdict on it so far stands in the
+ * deployment's record.
  */
 public final class DeploymentMonitor {
-  /** What it finds, told on change only. */
+  /** Hears what the monitor finds, on change only. */
   public interface Listener {
+    /** The comparison of a deployment's stage has another verdict. */
     void verdictChanged(Deployment change, Verdict verdict, String reason);
 
     /**
@@ -37,11 +38,10 @@
     void busyChanged(int relay, boolean is);
   }
 
-  private static final int HISTORY_WINDOWS =
-      30; // windows of a relay's past: a minute where each is 2 s
+  private static final int HISTORY_WINDOWS = 30; // a minute where each is 2 s
   private static final int BASELINE_WINDOWS = 15;
   private static final double FALSE_ALARM =
-      0.02; // of a whole change: one good one in fifty is stopped, at most
+      0.02; // one good deployment in fifty is stopped, at most
 
   private static final class RelayWindows {
     private long incarnation;
@@ -49,7 +49,7 @@
     private Window totalAtClose;
     private long incarnationAtClose;
 
-    /** The window just cut; null where the relay was away or began anew in it. */
+    /** The window just closed; null where the relay was away or restarted in it. */
     private Window window;
 
     private double cores = 1;
@@ -72,99 +72,99 @@
   private Map<Integer, Integer> reportTotals = Map.of();
   private String blockedReason = "";
 
-  public DeploymentMonitor(DeploymentManager changes, Listener host) {
-    this.deployments = changes;
-    this.listener = host;
+  public DeploymentMonitor(DeploymentManager deployments, Listener listener) {
+    this.deployments = deployments;
+    this.listener = listener;
   }
 
   /**
-   * A relay's sums so far in this life of it; another life has sums of its own. {@code cores}:
+   * A relay's totals so far in an incarnation of it, which has totals of its own. {@code cores}:
    * processors that it may use.
    */
-  public void reportTotals(int number, long life, double cores, Window total) {
+  public void reportTotals(int number, long incarnation, double cores, Window total) {
     if (deployments.relay(number) == null) {
       return; // as bounded as these are
     }
-    RelayWindows seen = relays.computeIfAbsent(number, any -> new RelayWindows());
-    seen.incarnation = life;
-    seen.cores = Math.max(cores, 0.01);
-    seen.total = total;
+    RelayWindows windows = relays.computeIfAbsent(number, any -> new RelayWindows());
+    windows.incarnation = incarnation;
+    windows.cores = Math.max(cores, 0.01);
+    windows.total = total;
   }
 
-  /** A window of that many milliseconds is over; each two seconds or so. */
+  /** A window of that many milliseconds is over; called each two seconds or so. */
   public void closeWindow(double ms) {
-    for (RelayWindows seen : relays.values()) {
+    for (RelayWindows windows : relays.values()) {
       boolean whole =
-          seen.totalAtClose != null
-              && seen.incarnation == seen.incarnationAtClose
-              && seen.total != seen.totalAtClose;
-      seen.window = whole ? seen.total.minus(seen.totalAtClose) : null;
-      seen.totalAtClose = seen.total;
-      seen.incarnationAtClose = seen.incarnation;
+          windows.totalAtClose != null
+              && windows.incarnation == windows.incarnationAtClose
+              && windows.total != windows.totalAtClose;
+      windows.window = whole ? windows.total.minus(windows.totalAtClose) : null;
+      windows.totalAtClose = windows.total;
+      windows.incarnationAtClose = windows.incarnation;
     }
-    Deployment under = deployments.active();
-    if (under != active || under != null && under.stage() != stage) {
-      startStage(under);
+    Deployment current = deployments.active();
+    if (current != active || current != null && current.stage() != stage) {
+      startStage(current);
     }
-    if (under != null) {
-      matchPairs(under);
+    if (current != null) {
+      matchPairs(current);
     }
     compare();
     updateCapacity(ms);
-    if (under == null) {
+    if (current == null) {
       updateBusy();
     }
     for (Map.Entry<Integer, RelayWindows> one : relays.entrySet()) {
-      RelayWindows seen = one.getValue();
-      if (seen.window == null || pairs.containsKey(one.getKey())) {
+      RelayWindows windows = one.getValue();
+      if (windows.window == null || pairs.containsKey(one.getKey())) {
         continue;
       }
-      seen.history.addLast(seen.window);
-      if (seen.history.size() > HISTORY_WINDOWS) {
-        seen.history.removeFirst();
+      windows.history.addLast(windows.window);
+      if (windows.history.size() > HISTORY_WINDOWS) {
+        windows.history.removeFirst();
       }
     }
   }
 
-  private void startStage(Deployment under) {
-    if (under != active) {
+  private void startStage(Deployment current) {
+    if (current != active) {
       pairs.clear();
       DeploymentPlan plan = deployments.plan();
       comparison =
-          under == null
+          current == null
               ? null
               : new Comparison(
                   FALSE_ALARM,
                   plan.stages().stream().mapToDouble(DeploymentPlan.Stage::maxLoss).toArray());
-      if (under == null) {
+      if (current == null) {
         baseline.reset();
       }
     }
-    if (under != null) {
+    if (current != null) {
       baseline.stageStarted();
     }
-    active = under;
-    stage = under == null ? 0 : under.stage();
+    active = current;
+    stage = current == null ? 0 : current.stage();
     lastVerdict = Verdict.NOT_SURE;
   }
 
-  /** Pairs that are new have their past told first; those that are none any more end. */
-  private void matchPairs(Deployment under) {
+  /** New pairs begin with their history; those that are none any more end. */
+  private void matchPairs(Deployment current) {
     for (Iterator<Pair> each = pairs.values().iterator(); each.hasNext(); ) {
-      Pair held = each.next();
-      Integer control = under.controls().get(held.updated);
-      if (control == null || control != held.control) {
+      Pair pair = each.next();
+      Integer control = current.controls().get(pair.updated);
+      if (control == null || control != pair.control) {
         each.remove();
       }
     }
-    under
+    current
         .controls()
         .forEach(
             (moved, control) -> {
               if (pairs.containsKey(moved)) {
                 return;
               }
-              MatchedWindows couple = comparison.newPair();
+              MatchedWindows pairWindows = comparison.newPair();
               RelayWindows one = relays.get(moved);
               RelayWindows other = relays.get(control);
               if (one != null && other != null) {
@@ -172,23 +172,23 @@
                     other.history.descendingIterator(); // both end now, whichever is longer
                 for (Iterator<Window> changing = one.history.descendingIterator();
                     changing.hasNext() && stays.hasNext(); ) {
-                  couple.recordBefore(changing.next(), stays.next());
+                  pairWindows.recordBefore(changing.next(), stays.next());
                 }
               }
-              pairs.put(moved, new Pair(moved, control, couple));
+              pairs.put(moved, new Pair(moved, control, pairWindows));
             });
   }
 
   private void compare() {
-    for (Pair held : pairs.values()) {
-      if (!runsVersion(held.updated, active.toVersion)
-          || !runsVersion(held.control, active.fromVersion)) {
+    for (Pair pair : pairs.values()) {
+      if (!runsVersion(pair.updated, active.toVersion)
+          || !runsVersion(pair.control, active.fromVersion)) {
         continue;
       }
-      Window moved = relays.get(held.updated).window;
-      Window control = relays.get(held.control).window;
+      Window moved = relays.get(pair.updated).window;
+      Window control = relays.get(pair.control).window;
       if (moved != null && control != null) {
-        held.windows.recordAfter(moved, control);
+        pair.windows.recordAfter(moved, control);
       }
     }
     boolean looks =
@@ -220,8 +220,8 @@
   }
 
   /**
-   * Those that did not change, held against themselves before the stage; and what the fleet can
-   * spare.
+   * Compares the relays that were not updated with themselves before the stage, and reckons what
+   * the fleet can spare.
    */
   private void updateCapacity(double ms) {
     Window all = Window.NONE;
@@ -230,17 +230,17 @@
           active != null
               && (active.updated().contains(one.getKey())
                   || active.controls().containsValue(one.getKey()));
-      RelayWindows seen = one.getValue();
-      if (seen.window == null) {
+      RelayWindows windows = one.getValue();
+      if (windows.window == null) {
         continue;
       }
       if (!changed) {
-        all = all.plus(seen.window);
+        all = all.plus(windows.window);
       }
       capacity.record(
           deployments.relay(one.getKey()).zone(),
-          seen.window.workMs() / ms / seen.cores,
-          seen.window.rpcs());
+          windows.window.workMs() / ms / windows.cores,
+          windows.window.rpcs());
     }
     baseline.record(all);
     Map<Integer, Integer> byZone = capacity.closeWindow();
@@ -262,15 +262,15 @@
     listener.restartBudgetChanged(byZone, why);
   }
 
-  /** Busy are those well over the median; nobody changes sides for what is chance. */
+  /** Busy relays are those well over the median; a gap keeps chance from changing sides. */
   private void updateBusy() {
     double[] rates = new double[relays.size()];
     int count = 0;
-    for (RelayWindows seen : relays.values()) {
-      if (seen.window != null) {
-        seen.smoothedRpcs += 0.1 * (seen.window.rpcs() - seen.smoothedRpcs);
+    for (RelayWindows windows : relays.values()) {
+      if (windows.window != null) {
+        windows.smoothedRpcs += 0.1 * (windows.window.rpcs() - windows.smoothedRpcs);
       }
-      rates[count++] = seen.smoothedRpcs;
+      rates[count++] = windows.smoothedRpcs;
     }
     Arrays.sort(rates);
     double median = count == 0 ? 0 : rates[count / 2];
--- a/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
+++ b/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * Holds those that did not change against themselves before a stage began: harm that the changed
- * ones do to others (connections, votes, messages, cold units) is in no couple. What hits everybody
- * looks the same here, whatever its cause; so the answer is not who is to blame but whether it is a
- * time to go on. Only a loss that comes with the stage, and stays, counts.
+ * Compares the relays that were not updated with themselves before a stage began: harm that the
+ * updated ones do to others (connections, votes, messages, cold endpoints) is in no pair. What hits
+ * everybody looks the same here, whatever its cause; so the answer is not who is to blame but
+ * whether it is a time to go on. Only a loss that comes with the stage, and stays, counts.
  */
 public final class BaselineLevel {
   // what a burst or a bad build of the units takes off for a while; a stage may wait that long, and
@@ -20,12 +20,12 @@
   private double latest = Double.NaN;
   private int windowsLow;
 
-  /** {@code windows}: how many make up the level before. */
+  /** The baseline is the median of the last so many windows. */
   public BaselineLevel(int windows) {
     before = new double[windows];
   }
 
-  /** A window of all that did not change, together. */
+  /** A window of all relays that were not updated, together. */
   public void record(Window all) {
     if (all.weight() <= 0) {
       return;
@@ -38,7 +38,7 @@
     }
   }
 
-  /** A stage begins: from here on it is held against what was. */
+  /** A stage begins: later windows are compared with the baseline before the first one. */
   public void stageStarted() {
     int size = Math.min(windowsRecorded, before.length);
     if (size == 0) {
@@ -52,7 +52,7 @@
     windowsLow = 0;
   }
 
-  /** Nothing is under way any more. */
+  /** No deployment is active any more. */
   public void reset() {
     baseline = Double.NaN;
     windowsRecorded = 0;
@@ -60,14 +60,13 @@
   }
 
   /**
-   * So many windows in a row lie well below the level before; none is a reason to wait while there
-   * are few.
+   * How many windows in a row lie well below the baseline; 0 while there are too few to wait for.
    */
   public int windowsBelowBaseline() {
     return windowsLow < MIN_LOW_WINDOWS ? 0 : windowsLow;
   }
 
-  /** For people. */
+  /** The last window and the baseline in one line, for people. */
   public String explanation() {
     return String.format(
         java.util.Locale.ROOT,
--- a/src/main/java/sprucerock/controller/comparison/BettingTest.java
+++ b/src/main/java/sprucerock/controller/comparison/BettingTest.java
@@ -1,12 +1,12 @@
 package sprucerock.controller.comparison;
 
 /**
- * Evidence that may be looked at all the time: the wealth of somebody who bets, again and again,
- * that values are above zero in the mean. If each value's expectation, given all before it, is zero
- * at most, the wealth passes 1/a at any time with a chance of a at most, however often one looks
- * (Ville 1939; testing by betting: Waudby-Smith and Ramdas, "Estimating means of bounded random
- * variables by betting", 2024). The stakes need not be tuned: the wealth is shared out among a few
- * of them and the best one soon holds nearly all of it.
+ * A sequential test by betting: the wealth of a bettor who bets, again and again, that values are
+ * above zero in the mean. If each value's expectation, given all before it, is zero at most, the
+ * wealth passes 1/a at any time with a chance of a at most, however often one looks (Ville 1939;
+ * testing by betting: Waudby-Smith and Ramdas, "Estimating means of bounded random variables by
+ * betting", 2024). The stakes need not be tuned: the wealth is shared out among a few of them and
+ * the best one soon holds nearly all of it.
  */
 final class BettingTest {
   // halves from what loses nothing on noise to what a value of -1 just does not ruin
@@ -15,7 +15,7 @@
   private final double[] logWealthByStake = new double[STAKES.length];
   private double maxLogWealth;
 
-  /** One more value, from -1 to 1; what lies beyond counts as these. */
+  /** Bets on one more value, from -1 to 1; what lies beyond counts as these. */
   void add(double value) {
     double bounded = Math.max(-1, Math.min(1, value));
     for (int i = 0; i < STAKES.length; i++) {
--- a/src/main/java/sprucerock/controller/comparison/Comparison.java
+++ b/src/main/java/sprucerock/controller/comparison/Comparison.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /**
- * Old and new side by side, answered as data come and looked at as often as one likes. Each look at
- * a {@link MatchedWindows} is one bet a measure that what has changed is worse by more than the
- * margin; beside it run bets that it is not worse by a stated harm. It knows neither relays nor
- * versions by name, and no clock. What it can't see: harm that both sides suffer alike, which is
- * the {@link BaselineLevel}'s to find.
+ * Compares a new version with the old one as data come; its result may be read as often as one
+ * likes. Each sample of a {@link MatchedWindows} is a bet a measure that the updated relay is worse
+ * by more than the margin; beside it run bets that it is not worse by a stated harm. What it can't
+ * see is harm that both sides suffer alike, which is the {@link BaselineLevel}'s to find.
  */
 public final class Comparison {
+  /** What the evidence so far says of the new version. */
   public enum Result {
     WORSE,
     NO_WORSE,
@@ -17,10 +17,9 @@
   }
 
   private static final Measure[] MEASURES = Measure.values();
-  private static final double MISSED_HARM =
-      0.05; // the chance to take harm for none; the one stated error on that side
-  // two standard errors of what couples differ by anyhow, over all of them: else one pair that is
-  // unlike would look guilty in time
+  private static final double MISSED_HARM = 0.05; // the chance to take harm for none
+  // of what pairs differ by anyhow, over all of them: else one unlike pair would look guilty in
+  // time
   private static final double MARGIN_STANDARD_ERRORS = 2;
 
   private final double falseAlarm;
@@ -49,7 +48,7 @@
     Arrays.setAll(noWorse, i -> new BettingTest());
   }
 
-  /** Two more that are compared. */
+  /** Another pair of relays to be compared. */
   public MatchedWindows newPair() {
     return new MatchedWindows(this);
   }
@@ -74,8 +73,9 @@
   }
 
   /**
-   * What can be said now; {@code harm}: the place of one of the harms, which no more than that is
-   * to be ruled out.
+   * What can be said now.
+   *
+   * @param harm the index of the harm that is to be ruled out
    */
   public Result result(int harm) {
     if (worst() != null) {
@@ -97,7 +97,7 @@
     return found;
   }
 
-  /** For people: the answer's reason, in one line. */
+  /** The reason of the result in one line, for people. */
   public String explanation() {
     Measure worst = worst();
     Measure told = worst == null ? Measure.UNSERVED : worst;
--- a/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
+++ b/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
@@ -33,7 +33,7 @@
     this.comparison = all;
   }
 
-  /** A window before the change: what they differ in by themselves is not blamed on it. */
+  /** A window before the update: what the two differ in by themselves is not blamed on it. */
   public void recordBefore(Window changes, Window stays) {
     if (!accumulate(changes, stays)) {
       return;
@@ -51,7 +51,7 @@
     control = Window.NONE;
   }
 
-  /** A window after it. */
+  /** A window after the update. */
   public void recordAfter(Window changed, Window stayed) {
     if (firstChanged == null) {
       startComparing();
--- a/src/main/java/sprucerock/controller/comparison/Measure.java
+++ b/src/main/java/sprucerock/controller/comparison/Measure.java
@@ -1,15 +1,16 @@
 package sprucerock.controller.comparison;
 
 /**
- * What is compared, so that more is always worse. Shares are of RPCs or of their worth; all else
- * counts by the logarithm of how many times as much it is.
+ * What is compared, so that more is always worse. The names stand in causes, which are stored.
+ * Shares are of RPCs or of their worth; all else counts by the logarithm of how many times as much
+ * it is.
  *
  * <p>The margin is what nobody would stop a change for; the reach is the largest difference that is
  * told from a larger one, some four standard deviations of a pair of windows of {@link
- * Couple#ENOUGH} RPCs each, so that what is cut off is as rare above as below.
+ * MatchedWindows#MIN_RPCS} RPCs each, so that what is cut off is as rare above as below.
  */
 enum Measure {
-  /** Worth that was not served in time, of the worth asked for. */
+  /** Weight that was not served in time, of the weight asked for. */
   UNSERVED(0.002, 0.25),
   REFUSED(0.005, 0.25),
   ABORTED(0.002, 0.2),
--- a/src/main/java/sprucerock/controller/comparison/Window.java
+++ b/src/main/java/sprucerock/controller/comparison/Window.java
@@ -1,15 +1,15 @@
 package sprucerock.controller.comparison;
 
 /**
- * What one relay did in one stretch of time, the same for all that are compared.
+ * What one relay did in one stretch of time, which is the same for all that are compared.
  *
  * @param rpcs that came
- * @param worth that these asked for; {@code inTime}: of it, served within the soft deadline
- * @param refused RPCs pushed back; {@code aborted}, {@code lost} alike
- * @param answeredMs the sum of the answered ones' times; {@code answered}: how many
+ * @param weight of these; {@code weightInTime}: of it, served within the latency objective
+ * @param rejected RPCs; {@code aborted}, {@code lost} alike
+ * @param answeredMs the sum of the answered ones' latencies; {@code answered}: how many
  * @param workMs processor time
  * @param memoryMb held at its end; {@code connections} alike
- * @param messages sent to peers and to the desk
+ * @param messages sent to peers and to the controller
  */
 public record Window(
     double rpcs,
@@ -24,6 +24,7 @@
     double memoryMb,
     double connections,
     double messages) {
+  /** A window in which nothing came. */
   public static final Window NONE = new Window(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
   /** Both together; what is held is what the later one holds. */
@@ -63,7 +64,7 @@
         messages - earlier.messages);
   }
 
-  /** One figure; NaN where there is none. {@code first}: the window after the start. */
+  /** A measure's value; NaN where there is none. {@code first}: the window after the start. */
   double value(Measure measure, Window first) {
     return switch (measure) {
       case UNSERVED -> 1 - weightInTime / weight;
