--- a/src/main/java/sprucerock/controller/DeploymentMonitor.java
+++ b/src/main/java/sprucerock/controller/DeploymentMonitor.java
@@ -26,7 +26,7 @@
   /** Hears what the monitor finds, on change only. */
   public interface Listener {
     /** The comparison of a deployment's stage has another verdict. */
-    void verdictChanged(Deployment change, Verdict verdict, String reason);
+    void verdictChanged(Deployment deployment, Verdict verdict, String reason);
 
     /**
      * How many of each zone may be out, and why none should be; empty where nothing speaks against
--- a/src/main/java/sprucerock/controller/SnapshotCodec.java
+++ b/src/main/java/sprucerock/controller/SnapshotCodec.java
@@ -17,7 +17,7 @@
   private SnapshotCodec() {}
 
   static State writeSnapshot(
-      RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes, long atMs) {
+      RolloutManager core, DeploymentManager deployments, MaintenanceWindows freezes, long atMs) {
     State.Builder state =
         State.newBuilder()
             .setAtMs(atMs)
@@ -26,7 +26,7 @@
             .setPresent(core.current.build)
             .setEarlier(core.previousBuild)
             .setEpoch(core.epoch)
-            .setChanges(DeploymentCodec.write(changes))
+            .setChanges(DeploymentCodec.write(deployments))
             .setFreezes(FreezeCodec.write(freezes));
     for (Rollout one : core.rolloutsByBuild.values()) {
       sprucerock.controller.v1.Release.Builder release =
@@ -94,9 +94,9 @@
   }
 
   static void readSnapshot(
-      State state, RolloutManager core, DeploymentManager changes, MaintenanceWindows freezes) {
+      State state, RolloutManager core, DeploymentManager deployments, MaintenanceWindows freezes) {
     FreezeCodec.read(state.getFreezes(), freezes);
-    DeploymentCodec.read(state.getChanges(), changes);
+    DeploymentCodec.read(state.getChanges(), deployments);
     core.rolloutsByBuild.clear();
     core.sequence = state.getSequence();
     core.webhooksDeliveredUpTo = state.getDelivered();
--- a/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
@@ -132,7 +132,7 @@
       manager.fleet.relays.put(one.number, relay);
     }
     for (DeploymentRecord one : deployments) {
-      Deployment change =
+      Deployment deployment =
           new Deployment(
               one.number,
               one.proposedBy,
@@ -141,17 +141,17 @@
               one.toVersion,
               one.hotReload,
               one.stateSince);
-      change.state = one.state;
-      change.stage = one.stage;
-      change.lastProgress = one.lastProgress;
-      change.held = one.held;
-      change.validated.addAll(one.validated);
-      change.rejections.putAll(one.rejections);
-      change.updated.addAll(one.updated);
-      change.controls.putAll(one.controls);
-      change.verdict = one.verdict;
-      one.transitions.forEach(change::add);
-      manager.fleet.deployments.put(one.number, change);
+      deployment.state = one.state;
+      deployment.stage = one.stage;
+      deployment.lastProgress = one.lastProgress;
+      deployment.held = one.held;
+      deployment.validated.addAll(one.validated);
+      deployment.rejections.putAll(one.rejections);
+      deployment.updated.addAll(one.updated);
+      deployment.controls.putAll(one.controls);
+      deployment.verdict = one.verdict;
+      one.transitions.forEach(deployment::add);
+      manager.fleet.deployments.put(one.number, deployment);
     }
     manager.restored();
   }
--- a/src/test/java/sprucerock/controller/ChangeStudy.java
+++ b/src/test/java/sprucerock/controller/ChangeStudy.java
@@ -187,8 +187,8 @@
   /** Changes and watcher as they are. */
   private static final class Ours
       implements Way, DeploymentManager.Listener, DeploymentMonitor.Listener {
-    private final DeploymentManager changes = new DeploymentManager(PLAN, this);
-    private final DeploymentMonitor watcher = new DeploymentMonitor(changes, this);
+    private final DeploymentManager deployments = new DeploymentManager(PLAN, this);
+    private final DeploymentMonitor watcher = new DeploymentMonitor(deployments, this);
     private final Map<Integer, Integer> lives = new TreeMap<>();
     private final List<ManagedRelay> wants = new ArrayList<>();
     private double now;
@@ -198,11 +198,11 @@
     public boolean tick(Fleet fleet, double nowMs) {
       now = nowMs;
       for (int i = 0; i < fleet.size; i++) {
-        ManagedRelay relay = changes.relay(i);
+        ManagedRelay relay = deployments.relay(i);
         Version runs = fleet.fresh[i] ? NEW : OLD;
         boolean ready = fleet.ready(i);
         if (relay == null || relay.ready() != ready || !relay.observedVersion().equals(runs)) {
-          changes.reportStatus(
+          deployments.reportStatus(
               i,
               i % 3,
               relay != null && relay.busy(),
@@ -218,19 +218,19 @@
       }
       watcher.closeWindow(TICK_MS);
       if (warm-- == 0) {
-        changes.propose("study", "", NEW, false, at(), 0);
+        deployments.propose("study", "", NEW, false, at(), 0);
         for (int i = 0; i < fleet.size; i++) {
-          changes.reportValidation(i, 1, "", at(), 0);
+          deployments.reportValidation(i, 1, "", at(), 0);
         }
       }
-      changes.tick(at(), 0);
+      deployments.tick(at(), 0);
       for (ManagedRelay one : wants) {
         if (one.generation() == 0) {
           continue;
         }
         fleet.restart(one.number, one.desiredVersion().equals(NEW));
         lives.merge(one.number, 1, Integer::sum);
-        changes.reportStatus(
+        deployments.reportStatus(
             one.number,
             one.zone(),
             one.busy(),
@@ -241,8 +241,8 @@
             0);
       }
       wants.clear();
-      Deployment change = changes.deployment(1);
-      return change != null && !change.state().open();
+      Deployment deployment = deployments.deployment(1);
+      return deployment != null && !deployment.state().open();
     }
 
     private Timestamp at() {
@@ -251,11 +251,11 @@
 
     @Override
     public boolean stopped() {
-      return changes.deployment(1).state() == Deployment.State.GIVEN_UP;
+      return deployments.deployment(1).state() == Deployment.State.GIVEN_UP;
     }
 
     @Override
-    public void transitioned(Deployment change, Deployment.Transition step) {}
+    public void transitioned(Deployment deployment, Deployment.Transition step) {}
 
     @Override
     public void desiredStateChanged(ManagedRelay relay) {
@@ -263,19 +263,19 @@
     }
 
     @Override
-    public void verdictChanged(Deployment change, Verdict verdict, String reason) {
-      changes.reportVerdict(change.number, change.stage(), verdict, reason, at(), 0);
+    public void verdictChanged(Deployment deployment, Verdict verdict, String reason) {
+      deployments.reportVerdict(deployment.number, deployment.stage(), verdict, reason, at(), 0);
     }
 
     @Override
     public void restartBudgetChanged(Map<Integer, Integer> byZone, String why) {
-      changes.setRestartBudget(byZone, why, at(), 0);
+      deployments.setRestartBudget(byZone, why, at(), 0);
     }
 
     @Override
     public void busyChanged(int number, boolean is) {
-      ManagedRelay relay = changes.relay(number);
-      changes.reportStatus(
+      ManagedRelay relay = deployments.relay(number);
+      deployments.reportStatus(
           number,
           relay.zone(),
           is,
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -145,7 +145,7 @@
     DeploymentManager.Listener nobody =
         new DeploymentManager.Listener() {
           @Override
-          public void transitioned(Deployment change, Deployment.Transition step) {}
+          public void transitioned(Deployment deployment, Deployment.Transition step) {}
 
           @Override
           public void desiredStateChanged(ManagedRelay relay) {}
@@ -567,17 +567,17 @@
                       .append(step.cause())
                       .append('\n'));
     }
-    for (Deployment change : engine.deployments().deployments()) {
+    for (Deployment deployment : engine.deployments().deployments()) {
       text.append("change ")
-          .append(change.number)
+          .append(deployment.number)
           .append(" by ")
-          .append(change.proposedBy)
+          .append(deployment.proposedBy)
           .append(": ")
-          .append(change.reason)
+          .append(deployment.reason)
           .append(", to ")
-          .append(change.toVersion)
+          .append(deployment.toVersion)
           .append('\n');
-      change
+      deployment
           .transitions()
           .forEach(
               step ->
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -38,7 +38,7 @@
   }
 
   /** A disk that crashes at its n-th step; of what was not forced a part stays, drawn. */
-  private static final class SimDisk implements Storage {
+  private static final class SimulatedStorage implements Storage {
     private final TreeMap<String, byte[]> forced = new TreeMap<>();
     private final TreeMap<String, ByteArrayOutputStream> now = new TreeMap<>();
     private long steps;
@@ -147,8 +147,8 @@
           return steady;
         }
       };
-  private final List<String> told = new ArrayList<>();
-  private final List<String> said = new ArrayList<>();
+  private final List<String> notified = new ArrayList<>();
+  private final List<String> statusLines = new ArrayList<>();
 
   private static final DeploymentPlan PLAN =
       new DeploymentPlan(
@@ -175,22 +175,22 @@
     return new Engine(
         disk,
         snapshotEvery,
-        ReleasesProperties.RULES,
+        RolloutManagerProperties.RULES,
         10,
         1,
         PLAN,
         clock,
         (release, step) ->
-            told.add(
+            notified.add(
                 step.sequence() + ": " + release.build + " " + step.state() + " " + step.stage()),
         new DeploymentManager.Listener() {
           @Override
-          public void transitioned(Deployment change, Deployment.Transition step) {
-            told.add(
+          public void transitioned(Deployment deployment, Deployment.Transition step) {
+            notified.add(
                 "change "
                     + step.sequence()
                     + ": "
-                    + change.number
+                    + deployment.number
                     + " "
                     + step.state()
                     + " "
@@ -216,10 +216,10 @@
             }
           }
         },
-        said::add);
+        statusLines::add);
   }
 
-  private static Input.Builder says(int relay, Version runs, boolean ready, int done) {
+  private static Input.Builder report(int relay, Version runs, boolean ready, int done) {
     return Input.newBuilder()
         .setAgent(
             AgentSays.newBuilder()
@@ -231,11 +231,11 @@
   }
 
   /** Something befalls what relays run. */
-  private static Input.Builder ofChange(Engine engine, SplittableRandom random) {
-    DeploymentManager changes = engine.deployments();
+  private static Input.Builder randomDeploymentEntry(Engine engine, SplittableRandom random) {
+    DeploymentManager deployments = engine.deployments();
     int number = random.nextInt(6);
-    ManagedRelay relay = changes.relay(number);
-    Deployment any = changes.active() != null ? changes.active() : changes.pending();
+    ManagedRelay relay = deployments.relay(number);
+    Deployment any = deployments.active() != null ? deployments.active() : deployments.pending();
     boolean begun = relay != null && relay.desiredVersion() != null;
     return switch (random.nextInt(8)) {
       case 0 ->
@@ -250,7 +250,7 @@
                           .setVersion(DeploymentCodec.version(VERSIONS[random.nextInt(2)])));
       case 1 ->
           any == null
-              ? says(number, VERSIONS[0], true, 0)
+              ? report(number, VERSIONS[0], true, 0)
               : Input.newBuilder()
                   .setJudged(
                       Judged.newBuilder()
@@ -259,7 +259,7 @@
                           .setVerdict(random.nextInt(8) == 0 ? "WORSE" : "NO_WORSE"));
       case 2 ->
           any == null || random.nextInt(6) > 0
-              ? says(
+              ? report(
                   number,
                   begun ? relay.desiredVersion() : VERSIONS[0],
                   true,
@@ -271,7 +271,7 @@
                           .setVersion(DeploymentCodec.version(any.toVersion))
                           .setHow("ended"));
       default ->
-          says(
+          report(
               number,
               begun ? relay.desiredVersion() : VERSIONS[0],
               random.nextInt(5) > 0,
@@ -304,7 +304,7 @@
   }
 
   /** Some inputs as a day brings them, and what each was answered. */
-  private void live(Engine engine, SplittableRandom random, List<Integer> taken, int turns) {
+  private void run(Engine engine, SplittableRandom random, List<Integer> taken, int turns) {
     for (int i = 0; i < turns; i++) {
       pass(random.nextInt(400));
       int build = engine.rollouts().current().build;
@@ -312,7 +312,7 @@
       for (int j = random.nextInt(3); j >= 0; j--) {
         int next = build + 1 + random.nextInt(2);
         switch (random.nextInt(10)) {
-          case 6, 7, 8, 9 -> engine.append(ofChange(engine, random), outcome -> {});
+          case 6, 7, 8, 9 -> engine.append(randomDeploymentEntry(engine, random), outcome -> {});
           case 0 ->
               engine.append(
                   announce("d" + next, next),
@@ -343,26 +343,26 @@
   }
 
   @Test
-  public void aCrashAtAnyStepTakesBackNothingThatWasTold() throws Exception {
+  public void aCrashAtAnyStepLosesNothingThatWasAnswered() throws Exception {
     int crashes = 0;
     for (int every : new int[] {7, 1000}) {
       for (long most = 0; ; most++) {
-        SimDisk disk = new SimDisk();
+        SimulatedStorage disk = new SimulatedStorage();
         disk.most = most;
-        told.clear();
+        notified.clear();
         wanted.clear();
         List<Integer> taken = new ArrayList<>();
         Engine engine = engine(disk, every);
         boolean crashed = false;
         try {
           engine.start();
-          live(engine, new SplittableRandom(most % 11), taken, 60);
+          run(engine, new SplittableRandom(most % 11), taken, 60);
         } catch (Crash e) {
           crashed = true;
         }
-        List<String> before = List.copyOf(told);
+        List<String> before = List.copyOf(notified);
         disk.restart(Long.MAX_VALUE);
-        told.clear();
+        notified.clear();
         pass(100);
         Engine next = engine(disk, every);
         next.start();
@@ -386,8 +386,8 @@
         next.deployments()
             .deployments()
             .forEach(
-                change ->
-                    change
+                deployment ->
+                    deployment
                         .transitions()
                         .forEach(
                             step ->
@@ -395,7 +395,7 @@
                                     "change "
                                         + step.sequence()
                                         + ": "
-                                        + change.number
+                                        + deployment.number
                                         + " "
                                         + step.state()
                                         + " "
@@ -419,7 +419,7 @@
         }
         assertTrue(
             next.rollouts().epoch() > engine.rollouts().epoch(), "what it tells now is not newer");
-        live(next, new SplittableRandom(1), taken, 5); // and it goes on
+        run(next, new SplittableRandom(1), taken, 5); // and it goes on
         assertEquals(contradictions, List.of());
         if (!crashed) {
           break;
@@ -431,12 +431,12 @@
   }
 
   @Test
-  public void theStateAfterARestartIsThatBefore() throws Exception {
+  public void replayRestoresTheState() throws Exception {
     for (int every : new int[] {5, 100_000}) {
-      SimDisk disk = new SimDisk();
+      SimulatedStorage disk = new SimulatedStorage();
       Engine engine = engine(disk, every);
       engine.start();
-      live(engine, new SplittableRandom(3), new ArrayList<>(), 300);
+      run(engine, new SplittableRandom(3), new ArrayList<>(), 300);
       while (engine.rollouts().transitionDue(engine.now())
           || engine.deployments().transitionDue(engine.now())) {
         engine.flush(); // what a restart would do at once
@@ -472,8 +472,8 @@
   }
 
   @Test
-  public void theSameWebhookAfterARestartHasOneEffect() throws Exception {
-    SimDisk disk = new SimDisk();
+  public void aRepeatedDeliveryAfterARestartHasOneEffect() throws Exception {
+    SimulatedStorage disk = new SimulatedStorage();
     List<Object> answers = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       Engine engine = engine(disk, 2);
@@ -491,24 +491,24 @@
   }
 
   @Test
-  public void aFullDiskRefusesAndToldStaysTrueUntilThereIsRoom() throws Exception {
-    said.clear();
-    told.clear();
-    SimDisk disk = new SimDisk();
+  public void fullStorageRejectsEntriesUntilThereIsSpace() throws Exception {
+    statusLines.clear();
+    notified.clear();
+    SimulatedStorage disk = new SimulatedStorage();
     Engine engine = engine(disk, 1000);
     engine.start();
     engine.append(announce("d", 2), outcome -> {});
     engine.flush();
     disk.full = true;
-    int before = told.size();
+    int before = notified.size();
     List<String> refused = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       engine.append(
           announce("e", 3), outcome -> refused.add(((AppendResult.Rejected) outcome).text()));
       engine.flush();
     }
-    assertEquals(told.size(), before);
-    assertEquals(said, List.of("the store: it takes no more: No space left on device"));
+    assertEquals(notified.size(), before);
+    assertEquals(statusLines, List.of("the store: it takes no more: No space left on device"));
     assertEquals(
         refused, java.util.Collections.nCopies(3, "it takes no more: No space left on device"));
     disk.full = false;
@@ -522,7 +522,7 @@
   }
 
   @Test
-  public void aTornTailIsCutOffWithALineAndAHoleStopsTheStart() throws Exception {
+  public void aTornTailIsTruncatedAndAHoleStopsTheStart() throws Exception {
     Path folder = Files.createTempDirectory("store");
     Engine engine = engine(new FileStorage(folder), 1000);
     engine.start();
@@ -533,15 +533,16 @@
     engine.close();
     Path log = folder.resolve("inputs-0000000000000000");
     byte[] good = Files.readAllBytes(log);
-    said.clear();
+    statusLines.clear();
     Engine cut = engine(new FileStorage(only(Arrays.copyOf(good, good.length - 3))), 1000);
     cut.start();
     cut.close();
-    assertEquals(said.size(), 1);
+    assertEquals(statusLines.size(), 1);
     assertTrue(
-        said.get(0)
+        statusLines
+            .get(0)
             .contains("bytes of a record that was not finished are cut off; it was never told"),
-        said.get(0));
+        statusLines.get(0));
     assertEquals(cut.rollouts().current().build, 10);
     byte[] hole = good.clone();
     hole[good.length / 2] ^= 1;
@@ -572,7 +573,7 @@
   }
 
   @Test
-  public void whatAReplacedControllerStillWritesIsNeverRead() throws Exception {
+  public void entriesOfAReplacedLeaderAreNeverReplayed() throws Exception {
     Path folder = Files.createTempDirectory("store");
     Engine old = engine(new FileStorage(folder), 1000);
     old.start();
@@ -596,8 +597,8 @@
   }
 
   @Test
-  public void timeGoesOnThroughRestartsWhateverTheWallDoes() throws Exception {
-    SimDisk disk = new SimDisk();
+  public void timeNeverGoesBackThroughRestarts() throws Exception {
+    SimulatedStorage disk = new SimulatedStorage();
     Engine engine = engine(disk, 1000);
     engine.start();
     pass(5000);
--- a/src/test/java/sprucerock/controller/PlainReleases.java
+++ b/src/test/java/sprucerock/controller/ReferenceRolloutManager.java
@@ -14,7 +14,7 @@
  * each question is answered by going through all of them. For a count of relays, no clock. Times in
  * milliseconds.
  */
-final class PlainReleases {
+final class ReferenceRolloutManager {
   record CastVote(double at, int relay, int build, int stage, Vote say) {}
 
   record Change(double at, int build, int stage, State to) {}
@@ -34,7 +34,7 @@
   private int present;
   private int earlier;
 
-  PlainReleases(RolloutRules rules, int places, int first) {
+  ReferenceRolloutManager(RolloutRules rules, int places, int first) {
     this.rules = rules;
     this.places = places;
     present = first;
--- a/src/test/java/sprucerock/controller/ReleasesProperties.java
+++ b/src/test/java/sprucerock/controller/RolloutManagerProperties.java
@@ -21,7 +21,7 @@
  * The core beside the plain model under any inputs, lost, doubled and out of order; and what may
  * never be.
  */
-class ReleasesProperties {
+class RolloutManagerProperties {
   static final RolloutRules RULES =
       new RolloutRules(
           List.of(
@@ -56,8 +56,8 @@
   }
 
   @Property(seed = "20261206", tries = 600, shrinking = ShrinkingMode.BOUNDED)
-  void theSameInputsGiveWhatThePlainModelGives(@ForAll("days") List<Event> day) {
-    List<PlainReleases.Change> told = new ArrayList<>();
+  void theManagerAgreesWithTheReferenceModel(@ForAll("days") List<Event> day) {
+    List<ReferenceRolloutManager.Change> told = new ArrayList<>();
     RolloutManager core =
         new RolloutManager(
             RULES,
@@ -74,11 +74,11 @@
                           .orElse(true);
               if (moved) {
                 told.add(
-                    new PlainReleases.Change(
+                    new ReferenceRolloutManager.Change(
                         step.at().ms(), release.build, step.stage(), step.state()));
               }
             });
-    PlainReleases plain = new PlainReleases(RULES, 10, 1);
+    ReferenceRolloutManager plain = new ReferenceRolloutManager(RULES, 10, 1);
     double at = 0;
     int newest = 1;
     int steps = 0;
@@ -148,13 +148,13 @@
       assertEquals(core.current().build, plain.present());
       assertEquals(core.current().state(), plain.last(plain.present()).to());
       assertEquals(told, plain.changes.subList(1, plain.changes.size()));
-      never(core);
+      assertInvariants(core);
       assertTrue(core.sequence() >= steps);
       steps = (int) core.sequence();
     }
   }
 
-  private static void never(RolloutManager core) {
+  private static void assertInvariants(RolloutManager core) {
     assertTrue(
         core.rollouts().stream()
                 .filter(one -> one.state() == State.ON_TRIAL || one.state() == State.STARTING)
--- a/src/test/java/sprucerock/controller/ReleasesTest.java
+++ b/src/test/java/sprucerock/controller/RolloutManagerTest.java
@@ -17,20 +17,20 @@
 import sprucerock.time.Timestamp;
 
 /** Stories of releases, from the announcement to the end. */
-public class ReleasesTest {
+public class RolloutManagerTest {
   private final List<String> steps = new ArrayList<>();
-  private RolloutManager core;
+  private RolloutManager newManager;
   private Timestamp now;
 
   @BeforeMethod
   public void begin() {
-    core(ReleasesProperties.RULES);
+    newManager(RolloutManagerProperties.RULES);
   }
 
-  private void core(RolloutRules rules) {
+  private void newManager(RolloutRules rules) {
     steps.clear();
     now = Timestamp.ofMs(0);
-    core =
+    newManager =
         new RolloutManager(
             rules,
             10,
@@ -44,23 +44,23 @@
   private void pass(double ms) {
     for (double until = now.ms() + ms; now.ms() < until; ) {
       now = now.plus(TimeSpan.ofMs(Math.min(50, until - now.ms())));
-      if (core.transitionDue(now)) {
-        core.tick(now, 0);
+      if (newManager.transitionDue(now)) {
+        newManager.tick(now, 0);
       }
     }
   }
 
   private AnnouncementResult announce(String delivery, int build) {
-    return core.announceDelivery(delivery, build, "a" + build, "ci", now, 0);
+    return newManager.announceDelivery(delivery, build, "a" + build, "ci", now, 0);
   }
 
   private VoteResult cast(int relay, int build, int stage, Vote say) {
-    return core.castVote(relay, build, stage, say, now, 0);
+    return newManager.castVote(relay, build, stage, say, now, 0);
   }
 
   private void onTrial(int build) {
     announce("d" + build, build);
-    core.reportEndpoints(build, 10, now, 0);
+    newManager.reportEndpoints(build, 10, now, 0);
   }
 
   private void released(int build) {
@@ -73,22 +73,22 @@
   }
 
   @Test
-  public void aBuildGoesThroughItsStagesByVotes() {
+  public void votesAdvanceABuildThroughItsStages() {
     announce("d", 2);
     assertEquals(
-        core.currentStatus().build(), 1); // nothing of it is told before its units are there
-    core.reportEndpoints(2, 1, now, 0);
+        newManager.currentStatus().build(), 1); // nothing of it is told before its units are there
+    newManager.reportEndpoints(2, 1, now, 0);
     assertEquals(
-        core.currentStatus(),
+        newManager.currentStatus(),
         new RolloutManager.RolloutStatus(2, 0, Rollout.State.ON_TRIAL, 0.12, now));
     assertEquals(cast(0, 2, 0, Vote.ON), VoteResult.COUNTS);
     assertEquals(cast(1, 2, 0, Vote.ON), VoteResult.COUNTS);
     assertEquals(
-        core.blockers(now),
+        newManager.blockers(now),
         List.of(
             "its least time: 0 of 500 ms", "votes to go on: 2 of 2", "votes to go back: 0 of 1"));
     pass(600);
-    core.reportEndpoints(2, 10, now, 0);
+    newManager.reportEndpoints(2, 10, now, 0);
     pass(600);
     cast(0, 2, 1, Vote.ON);
     cast(2, 2, 1, Vote.ON);
@@ -104,17 +104,19 @@
             "2 ON_TRIAL 1: votes to go on of relays [0, 1]",
             "2 ON_TRIAL 2: votes to go on of relays [0, 2]",
             "2 RELEASED 2: votes to go on of relays [0, 1]"));
-    assertEquals(core.rollout(2).transitions().size(), 6);
+    assertEquals(newManager.rollout(2).transitions().size(), 6);
   }
 
   @Test
-  public void theSameDeliveryHasOneEffectAndAContradictionNone() {
+  public void aRepeatedDeliveryHasOneEffectAndAContradictionNone() {
     assertEquals(announce("d", 2), AnnouncementResult.TAKEN);
     assertEquals(announce("d", 2), AnnouncementResult.AGAIN);
     assertEquals(announce("e", 2), AnnouncementResult.KNOWN);
-    assertEquals(core.announceDelivery("d", 3, "a3", "ci", now, 0), AnnouncementResult.CONTRADICTS);
     assertEquals(
-        core.announceDelivery("f", 2, "another", "ci", now, 0), AnnouncementResult.CONTRADICTS);
+        newManager.announceDelivery("d", 3, "a3", "ci", now, 0), AnnouncementResult.CONTRADICTS);
+    assertEquals(
+        newManager.announceDelivery("f", 2, "another", "ci", now, 0),
+        AnnouncementResult.CONTRADICTS);
     assertEquals(announce("g", 5), AnnouncementResult.TAKEN);
     assertEquals(announce("h", 4), AnnouncementResult.TOO_OLD);
     assertEquals(
@@ -123,25 +125,25 @@
   }
 
   @Test
-  public void theNextOfferEndsATrialAndOneThatGoesBackIsWaitedFor() {
+  public void aLaterAnnouncementSupersedesATrialAndWaitsForARollback() {
     onTrial(2);
     announce("x", 3);
-    assertEquals(core.rollout(2).state(), Rollout.State.SUPERSEDED);
+    assertEquals(newManager.rollout(2).state(), Rollout.State.SUPERSEDED);
     assertEquals(
-        core.currentStatus().state(),
+        newManager.currentStatus().state(),
         Rollout.State.WITHDRAWN); // of build 2, until the units of 3 are there
-    core.reportEndpoints(3, 10, now, 0);
+    newManager.reportEndpoints(3, 10, now, 0);
     cast(0, 3, 0, Vote.BACK);
     announce("y", 4);
-    assertEquals(core.current().build, 3);
-    assertEquals(core.blockers(now), List.of("build 3 to have gone back"));
+    assertEquals(newManager.current().build, 3);
+    assertEquals(newManager.blockers(now), List.of("build 3 to have gone back"));
     pass(1000);
-    assertEquals(core.current().build, 4);
-    assertEquals(core.previousBuild(), 1);
+    assertEquals(newManager.current().build, 4);
+    assertEquals(newManager.previousBuild(), 1);
   }
 
   @Test
-  public void votesThatAreLateOldOrOfAnotherStageDoNotCount() {
+  public void expiredVotesAndVotesOnAnotherStageDoNotCount() {
     onTrial(2);
     assertEquals(cast(0, 1, 0, Vote.ON), VoteResult.MOOT);
     assertEquals(cast(0, 2, 1, Vote.ON), VoteResult.MOOT);
@@ -149,31 +151,31 @@
     cast(0, 2, 0, Vote.ON);
     pass(4100);
     cast(1, 2, 0, Vote.ON); // the first one's life is over
-    assertEquals(core.current().stage(), 0);
+    assertEquals(newManager.current().stage(), 0);
     cast(0, 2, 0, Vote.ON);
-    assertEquals(core.current().stage(), 1);
+    assertEquals(newManager.current().stage(), 1);
     assertEquals(cast(2, 2, 0, Vote.ON), VoteResult.MOOT); // late for its stage
     cast(2, 2, 1, Vote.ON);
     cast(2, 2, 1, Vote.NOTHING); // taken back
-    assertEquals(core.relaysVoting(Vote.ON, now), List.of());
+    assertEquals(newManager.relaysVoting(Vote.ON, now), List.of());
   }
 
   @Test
-  public void oneRelayHasOneVoteAlsoWhenItStartedAnew() {
+  public void aRelayHasOneVoteAlsoAfterItsRestart() {
     onTrial(2);
     pass(600);
     for (int i = 0; i < 5; i++) {
       cast(0, 2, 0, Vote.ON);
     }
-    assertEquals(core.current().stage(), 0);
+    assertEquals(newManager.current().stage(), 0);
     cast(0, 2, 0, Vote.BACK); // the last word of that number
-    assertEquals(core.current().state(), Rollout.State.GOING_BACK);
+    assertEquals(newManager.current().state(), Rollout.State.GOING_BACK);
   }
 
   @Test
-  public void moreVotesASecondThanAllowedAreTooMany() {
-    RolloutRules r = ReleasesProperties.RULES;
-    core(
+  public void votesOverTheRateLimitAreRejected() {
+    RolloutRules r = RolloutManagerProperties.RULES;
+    newManager(
         new RolloutRules(
             r.stages(),
             r.control(),
@@ -198,20 +200,20 @@
   }
 
   @Test
-  public void aBackVoteInTheMomentOfTheReleaseStillSendsItBackAndLaterNot() {
+  public void aReleasedBuildIsRolledBackWithinTheObservationTimeOnly() {
     released(2);
-    assertEquals(core.current().state(), Rollout.State.RELEASED);
+    assertEquals(newManager.current().state(), Rollout.State.RELEASED);
     assertEquals(cast(3, 2, 2, Vote.BACK), VoteResult.COUNTS);
-    assertEquals(core.current().state(), Rollout.State.GOING_BACK);
+    assertEquals(newManager.current().state(), Rollout.State.GOING_BACK);
     pass(1000);
-    assertEquals(core.currentStatus().state(), Rollout.State.WITHDRAWN);
+    assertEquals(newManager.currentStatus().state(), Rollout.State.WITHDRAWN);
     released(3);
     pass(3100); // the watch is over
     assertEquals(cast(3, 3, 2, Vote.BACK), VoteResult.MOOT);
   }
 
   @Test
-  public void unitsThatDoNotComeSendItBack() {
+  public void endpointsThatAreNotReadyInTimeRollTheBuildBack() {
     announce("d", 2);
     pass(5100);
     assertTrue(
@@ -219,43 +221,45 @@
         steps.toString());
     announce("e", 3);
     pass(900);
-    core.reportEndpoints(3, 1, now, 0);
+    newManager.reportEndpoints(3, 1, now, 0);
     pass(600);
     cast(0, 3, 0, Vote.ON);
     cast(1, 3, 0, Vote.ON);
-    assertEquals(core.current().stage(), 1);
+    assertEquals(newManager.current().stage(), 1);
     pass(5100);
-    assertEquals(core.current().state(), Rollout.State.GOING_BACK); // 1 of 4
+    assertEquals(newManager.current().state(), Rollout.State.GOING_BACK); // 1 of 4
   }
 
   @Test
-  public void anOperatorHoldsResumesAndWithdrawsWithAReason() {
+  public void operatorCommandsAreRecordedWithTheirReason() {
     onTrial(2);
-    assertNull(core.command(OperatorCommand.HOLD, 2, "ann", "we look at it", now, 0));
+    assertNull(newManager.command(OperatorCommand.HOLD, 2, "ann", "we look at it", now, 0));
     assertEquals(
-        core.command(OperatorCommand.HOLD, 2, "bob", "me too", now, 0), "build 2 is held already");
+        newManager.command(OperatorCommand.HOLD, 2, "bob", "me too", now, 0),
+        "build 2 is held already");
     pass(600);
     cast(0, 2, 0, Vote.ON);
     cast(1, 2, 0, Vote.ON);
     pass(600);
-    assertEquals(core.current().stage(), 0);
-    assertTrue(core.blockers(now).contains("an operator holds it"));
-    assertNull(core.command(OperatorCommand.RESUME, 2, "ann", "it is well", now, 0));
-    assertEquals(core.current().stage(), 0); // held time does not count
+    assertEquals(newManager.current().stage(), 0);
+    assertTrue(newManager.blockers(now).contains("an operator holds it"));
+    assertNull(newManager.command(OperatorCommand.RESUME, 2, "ann", "it is well", now, 0));
+    assertEquals(newManager.current().stage(), 0); // held time does not count
     pass(600);
-    assertEquals(core.current().stage(), 1);
-    assertNull(core.command(OperatorCommand.WITHDRAW, 2, "ann", "not today", now, 0));
-    assertEquals(core.current().state(), Rollout.State.GOING_BACK);
+    assertEquals(newManager.current().stage(), 1);
+    assertNull(newManager.command(OperatorCommand.WITHDRAW, 2, "ann", "not today", now, 0));
+    assertEquals(newManager.current().state(), Rollout.State.GOING_BACK);
     assertEquals(
-        core.command(OperatorCommand.WITHDRAW, 1, "ann", "the only one", now, 0),
+        newManager.command(OperatorCommand.WITHDRAW, 1, "ann", "the only one", now, 0),
         "build 1 is released: it can't be withdrawn");
-    assertEquals(core.command(OperatorCommand.HOLD, 9, "ann", "?", now, 0), "no build 9 is known");
+    assertEquals(
+        newManager.command(OperatorCommand.HOLD, 9, "ann", "?", now, 0), "no build 9 is known");
   }
 
   @Test
-  public void underTheClockRelaysHoldIt() {
-    RolloutRules r = ReleasesProperties.RULES;
-    core(
+  public void votesToHoldPauseTheStageClock() {
+    RolloutRules r = RolloutManagerProperties.RULES;
+    newManager(
         new RolloutRules(
             r.stages(),
             RolloutRules.Control.CLOCKED,
@@ -273,27 +277,27 @@
     pass(900);
     assertEquals(cast(0, 2, 0, Vote.HOLD), VoteResult.COUNTS);
     pass(3000);
-    assertEquals(core.current().stage(), 0);
+    assertEquals(newManager.current().stage(), 0);
     pass(1200); // its life is over, and the clock went on from where it stood
-    assertEquals(core.current().stage(), 1);
+    assertEquals(newManager.current().stage(), 1);
     assertEquals(cast(0, 2, 1, Vote.ON), VoteResult.MOOT);
     cast(0, 2, 1, Vote.BACK);
-    assertEquals(core.current().state(), Rollout.State.ON_TRIAL);
+    assertEquals(newManager.current().state(), Rollout.State.ON_TRIAL);
     cast(1, 2, 1, Vote.BACK);
-    assertEquals(core.current().state(), Rollout.State.GOING_BACK);
+    assertEquals(newManager.current().state(), Rollout.State.GOING_BACK);
   }
 
   @Test
-  public void timeThatItWasDownDoesNotCountForAStageAndAClockSetBackEndsVotes() {
+  public void downtimeDoesNotCountForAStageAndAClockSetBackClearsVotes() {
     onTrial(2);
     cast(0, 2, 0, Vote.ON);
     cast(1, 2, 0, Vote.ON);
     now = now.plus(TimeSpan.ofMs(3000));
-    core.restarted(3000, now, 0);
-    assertEquals(core.current().stage(), 0);
-    core.restarted(-5, now, 0);
+    newManager.restarted(3000, now, 0);
+    assertEquals(newManager.current().stage(), 0);
+    newManager.restarted(-5, now, 0);
     pass(700);
-    assertEquals(core.current().stage(), 0);
-    assertFalse(core.transitionDue(now));
+    assertEquals(newManager.current().stage(), 0);
+    assertFalse(newManager.transitionDue(now));
   }
 }
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -145,7 +145,7 @@
             (release, step) -> {},
             new DeploymentManager.Listener() {
               @Override
-              public void transitioned(Deployment change, Deployment.Transition step) {
+              public void transitioned(Deployment deployment, Deployment.Transition step) {
                 // not counted
               }
 
@@ -159,7 +159,7 @@
             });
   }
 
-  private void says(int relay, int done) {
+  private void report(int relay, int done) {
     engine.append(
         Input.newBuilder()
             .setAgent(
@@ -185,7 +185,7 @@
 
   /** A burst is one force of the disk, whatever its size; each message is a record of its own. */
   @Test
-  public void allThatComesInATurnIsForcedOnce() throws Exception {
+  public void entriesOfATurnShareOneFsync() throws Exception {
     for (int burst : new int[] {10, 100, 1000}) {
       StoreScaleTest one = new StoreScaleTest();
       one.engine.start();
@@ -209,14 +209,14 @@
    * record. The door compares; here is what a first word costs.
    */
   @Test
-  public void whatIsKeptGrowsAsTheRelaysDo() throws Exception {
+  public void storedBytesGrowWithTheRelays() throws Exception {
     double[] each = new double[2];
     int[] sizes = {100, 400};
     for (int i = 0; i < 2; i++) {
       StoreScaleTest one = new StoreScaleTest(2 * sizes[i]);
       one.engine.start();
       for (int relay = 0; relay < sizes[i]; relay++) {
-        one.says(relay, 0);
+        one.report(relay, 0);
       }
       for (int relay = 0; relay < sizes[i]; relay++) {
         one.votes(relay);
--- a/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
+++ b/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
@@ -38,7 +38,7 @@
         rpcs);
   }
 
-  private Comparison play(int couples, int windows, double old, double fresh, double freshMs) {
+  private Comparison compare(int couples, int windows, double old, double fresh, double freshMs) {
     Comparison comparison = new Comparison(0.02, 0.1, 0.05, 0.02, 0.01);
     MatchedWindows[] all = new MatchedWindows[couples];
     for (int i = 0; i < couples; i++) {
@@ -57,11 +57,11 @@
   }
 
   @Test
-  public void aGoodVersionIsNoWorseAndIsNotStopped() {
+  public void aGoodVersionIsFoundNoWorse() {
     int stopped = 0;
     int known = 0;
     for (int i = 0; i < 200; i++) {
-      Result answer = play(5, 60, 0.02, 0.02, 60).result(1);
+      Result answer = compare(5, 60, 0.02, 0.02, 60).result(1);
       if (answer == Result.WORSE) {
         stopped++;
       }
@@ -74,10 +74,10 @@
   }
 
   @Test
-  public void aVersionThatLosesOneInTwentyIsFoundByFewRelays() {
+  public void aLossOfOneInTwentyIsFoundByFewRelays() {
     int found = 0;
     for (int i = 0; i < 50; i++) {
-      if (play(5, 60, 0.02, 0.07, 60).result(0) == Result.WORSE) {
+      if (compare(5, 60, 0.02, 0.07, 60).result(0) == Result.WORSE) {
         found++;
       }
     }
@@ -85,15 +85,15 @@
   }
 
   @Test
-  public void slownessAloneIsFoundThoughAllIsServed() {
-    assertEquals(play(5, 60, 0.02, 0.02, 90).result(0), Result.WORSE);
+  public void higherLatencyAloneIsFoundWorse() {
+    assertEquals(compare(5, 60, 0.02, 0.02, 90).result(0), Result.WORSE);
     assertTrue(
-        play(5, 60, 0.02, 0.02, 90).explanation().startsWith("latency"),
-        play(5, 60, 0.02, 0.02, 90).explanation());
+        compare(5, 60, 0.02, 0.02, 90).explanation().startsWith("latency"),
+        compare(5, 60, 0.02, 0.02, 90).explanation());
   }
 
   @Test
-  public void nothingIsSaidOfWhatWasNotSeen() {
+  public void withoutDataTheResultIsNotSure() {
     Comparison comparison = new Comparison(0.02, 0.1);
     assertEquals(comparison.result(0), Result.NOT_SURE);
     comparison
@@ -104,7 +104,7 @@
   }
 
   @Test
-  public void whatARelayDiffersInByItselfIsNotBlamedOnItsChange() {
+  public void aDifferenceBeforeTheUpdateIsNotBlamedOnIt() {
     Comparison comparison = new Comparison(0.02, 0.1);
     MatchedWindows couple = comparison.newPair();
     for (int w = 0; w < 30; w++) {
@@ -117,7 +117,7 @@
   }
 
   @Test
-  public void harmToThoseThatDidNotChangeIsSeenAndEnds() {
+  public void harmToRelaysThatWereNotUpdatedIsSeenAndEnds() {
     BaselineLevel level = new BaselineLevel(15);
     for (int w = 0; w < 15; w++) {
       level.record(window(1000, 0.02, 60));
@@ -132,7 +132,7 @@
   }
 
   @Test
-  public void aWagerOnNothingSeldomGetsRich() {
+  public void aBettingTestOnNoiseKeepsItsFalseAlarmRate() {
     int rich = 0;
     for (int i = 0; i < 1000; i++) {
       BettingTest wager = new BettingTest();
--- a/src/test/java/sprucerock/controller/deployment/ChangesProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/DeploymentManagerProperties.java
@@ -17,12 +17,12 @@
  * words, surges. Held against the plainest account there is: what each relay was told, and who is
  * away.
  */
-class ChangesProperties {
+class DeploymentManagerProperties {
   private static final int ZONES = 3;
 
   private static final class Wild implements DeploymentManager.Listener {
     final SplittableRandom random;
-    final DeploymentManager changes = new DeploymentManager(ChangesTest.PLAN, this);
+    final DeploymentManager deployments = new DeploymentManager(DeploymentManagerTest.PLAN, this);
     final Map<Integer, Integer> turns = new HashMap<>();
     final int relays;
     double now = 1000;
@@ -33,8 +33,8 @@
       random = new SplittableRandom(seed);
       this.relays = relays;
       for (int i = 0; i < relays; i++) {
-        changes.reportStatus(
-            i, i % ZONES, random.nextInt(3) == 0, ChangesTest.OLD, true, 0, at(), 0);
+        deployments.reportStatus(
+            i, i % ZONES, random.nextInt(3) == 0, DeploymentManagerTest.OLD, true, 0, at(), 0);
       }
     }
 
@@ -52,7 +52,7 @@
 
     int away(int zone) {
       int count = 0;
-      for (ManagedRelay relay : changes.relays()) {
+      for (ManagedRelay relay : deployments.relays()) {
         if (relay.zone() == zone && away(relay)) {
           count++;
         }
@@ -68,7 +68,7 @@
         return;
       }
       int size = (relays + ZONES - 1 - relay.zone()) / ZONES;
-      Deployment under = changes.active();
+      Deployment under = deployments.active();
       boolean back =
           under == null || under.state() == State.GOING_BACK || under.state() == State.DONE;
       int most = Math.min(Math.max(1, (int) (0.2 * size)), back ? Math.max(1, room) : room);
@@ -88,13 +88,13 @@
     }
 
     @Override
-    public void transitioned(Deployment change, Deployment.Transition step) {
+    public void transitioned(Deployment deployment, Deployment.Transition step) {
       if (step.state() == State.MOVING
           && step.stage() > 0
           && !step.cause().startsWith("held")
           && !step.cause().startsWith("resumed")
           && !step.cause().startsWith("relays are")
-          && !change.controls().isEmpty()) {
+          && !deployment.controls().isEmpty()) {
         assertTrue(verdict, "stage " + step.stage() + " began without evidence");
       }
       if (step.state() != State.PROPOSED) {
@@ -106,12 +106,12 @@
     void step() {
       now += random.nextInt(1500);
       int number = random.nextInt(relays);
-      ManagedRelay relay = changes.relay(number);
-      Deployment under = changes.active();
+      ManagedRelay relay = deployments.relay(number);
+      Deployment under = deployments.active();
       switch (random.nextInt(14)) {
-        case 0 -> changes.reportUnreachable(number, at(), 0);
+        case 0 -> deployments.reportUnreachable(number, at(), 0);
         case 1 ->
-            changes.reportStatus(
+            deployments.reportStatus(
                 number,
                 relay.zone(),
                 relay.busy(),
@@ -124,7 +124,7 @@
           if (under == null || random.nextInt(4) > 0) {
             return;
           }
-          changes.reportFailure(
+          deployments.reportFailure(
               number,
               random.nextBoolean() ? under.toVersion : under.fromVersion,
               0,
@@ -140,7 +140,7 @@
           verdict =
               is == Verdict.NO_WORSE
                   && (under.state() == State.MOVING || under.state() == State.WATCHED);
-          changes.reportVerdict(under.number, under.stage(), is, "", at(), 0);
+          deployments.reportVerdict(under.number, under.stage(), is, "", at(), 0);
         }
         case 4 -> {
           room = random.nextInt(4);
@@ -148,18 +148,24 @@
           for (int zone = 0; zone < ZONES; zone++) {
             byZone.put(zone, room);
           }
-          changes.setRestartBudget(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
+          deployments.setRestartBudget(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
         }
-        case 5 -> changes.rolloutInProgress(random.nextInt(4) == 0, at(), 0);
+        case 5 -> deployments.rolloutInProgress(random.nextInt(4) == 0, at(), 0);
         case 6 -> {
-          if (changes.pending() == null && under == null) {
-            boolean old = changes.baselineVersion().equals(ChangesTest.OLD);
-            changes.propose("any", "one", old ? ChangesTest.NEW : ChangesTest.OLD, false, at(), 0);
+          if (deployments.pending() == null && under == null) {
+            boolean old = deployments.baselineVersion().equals(DeploymentManagerTest.OLD);
+            deployments.propose(
+                "any",
+                "one",
+                old ? DeploymentManagerTest.NEW : DeploymentManagerTest.OLD,
+                false,
+                at(),
+                0);
           }
         }
         case 7 -> {
           if (under != null && random.nextInt(10) == 0) {
-            changes.command(
+            deployments.command(
                 DeploymentManager.OperatorCommand.values()[random.nextInt(3)],
                 under.number,
                 "any",
@@ -169,13 +175,13 @@
           }
         }
         case 8, 9 -> {
-          Deployment waits = changes.pending();
+          Deployment waits = deployments.pending();
           if (waits != null) {
-            changes.reportValidation(
+            deployments.reportValidation(
                 number, waits.number, random.nextInt(60) == 0 ? "no" : "", at(), 0);
           }
         }
-        case 10 -> changes.tick(at(), 0);
+        case 10 -> deployments.tick(at(), 0);
         default -> obey(relay);
       }
     }
@@ -183,7 +189,7 @@
     void obey(ManagedRelay relay) {
       Version runs =
           relay.desiredVersion() == null ? relay.observedVersion() : relay.desiredVersion();
-      changes.reportStatus(
+      deployments.reportStatus(
           relay.number, relay.zone(), relay.busy(), runs, true, relay.generation(), at(), 0);
     }
   }
@@ -203,17 +209,17 @@
     for (int i = 0; i < 300; i++) {
       wild.step();
     }
-    wild.changes.rolloutInProgress(false, wild.at(), 0);
+    wild.deployments.rolloutInProgress(false, wild.at(), 0);
     wild.room = 99;
-    wild.changes.setRestartBudget(Map.of(), "", wild.at(), 0);
+    wild.deployments.setRestartBudget(Map.of(), "", wild.at(), 0);
     for (int i = 0; i < 400; i++) { // agents obey, nobody speaks, time passes
       wild.now += 5000;
-      for (ManagedRelay relay : java.util.List.copyOf(wild.changes.relays())) {
+      for (ManagedRelay relay : java.util.List.copyOf(wild.deployments.relays())) {
         wild.obey(relay);
       }
-      wild.changes.tick(wild.at(), 0);
+      wild.deployments.tick(wild.at(), 0);
     }
-    for (Deployment one : wild.changes.deployments()) {
+    for (Deployment one : wild.deployments.deployments()) {
       assertTrue(
           !one.state().open(),
           "change "
@@ -221,15 +227,15 @@
               + " is "
               + one.state()
               + " still: "
-              + wild.changes.blockers(one, wild.at()));
+              + wild.deployments.blockers(one, wild.at()));
     }
-    for (ManagedRelay relay : wild.changes.relays()) {
+    for (ManagedRelay relay : wild.deployments.relays()) {
       boolean refused =
-          wild.changes.deployments().stream()
+          wild.deployments.deployments().stream()
               .anyMatch(one -> one.rejections().containsKey(relay.number));
-      if (wild.changes.deployments().stream().anyMatch(one -> one.state() == State.DONE)
+      if (wild.deployments.deployments().stream().anyMatch(one -> one.state() == State.DONE)
           && !refused) {
-        assertEquals(relay.observedVersion(), wild.changes.currentVersion());
+        assertEquals(relay.observedVersion(), wild.deployments.currentVersion());
       }
     }
   }
@@ -245,18 +251,18 @@
       }
       DeploymentManager back =
           new DeploymentManager(
-              ChangesTest.PLAN,
+              DeploymentManagerTest.PLAN,
               new DeploymentManager.Listener() {
                 @Override
-                public void transitioned(Deployment change, Deployment.Transition step) {}
+                public void transitioned(Deployment deployment, Deployment.Transition step) {}
 
                 @Override
                 public void desiredStateChanged(ManagedRelay relay) {}
               });
-      DeploymentSnapshot before = DeploymentSnapshot.of(wild.changes);
+      DeploymentSnapshot before = DeploymentSnapshot.of(wild.deployments);
       before.restore(back);
       assertEquals(DeploymentSnapshot.of(back), before);
-      assertEquals(back.transitionDue(wild.at()), wild.changes.transitionDue(wild.at()));
+      assertEquals(back.transitionDue(wild.at()), wild.deployments.transitionDue(wild.at()));
     }
   }
 }
--- a/src/test/java/sprucerock/scale/ControllerScaleTest.java
+++ b/src/test/java/sprucerock/scale/ControllerScaleTest.java
@@ -57,7 +57,7 @@
    * wanted.
    */
   private static final class Fleet implements DeploymentManager.Listener {
-    private final DeploymentManager changes = new DeploymentManager(PLAN, this);
+    private final DeploymentManager deployments = new DeploymentManager(PLAN, this);
     private final ArrayDeque<ManagedRelay> wants = new ArrayDeque<>();
     private double now = 1000;
     private long words;
@@ -74,17 +74,17 @@
 
     void says(int number, Version runs, boolean ready, int done) {
       words++;
-      changes.reportStatus(number, number % 3, number % 5 == 0, runs, ready, done, at(), 0);
+      deployments.reportStatus(number, number % 3, number % 5 == 0, runs, ready, done, at(), 0);
     }
 
     Deployment propose() {
-      assertNull(changes.propose("eve", "a faster reader", NEW, false, at(), 0));
-      return changes.pending();
+      assertNull(deployments.propose("eve", "a faster reader", NEW, false, at(), 0));
+      return deployments.pending();
     }
 
-    void read(Deployment change) {
-      for (int i = 0; i < changes.relays().size(); i++) {
-        changes.reportValidation(i, change.number, "", at(), 0);
+    void read(Deployment deployment) {
+      for (int i = 0; i < deployments.relays().size(); i++) {
+        deployments.reportValidation(i, deployment.number, "", at(), 0);
       }
     }
 
@@ -98,7 +98,7 @@
     }
 
     @Override
-    public void transitioned(Deployment change, Deployment.Transition step) {
+    public void transitioned(Deployment deployment, Deployment.Transition step) {
       // not counted
     }
 
@@ -109,16 +109,16 @@
   }
 
   @Test
-  public void aWordOfAnAgentLooksAtNoOtherRelay() {
+  public void aStatusReportExaminesNoOtherRelay() {
     Counted.at(
             "an agent's word, nothing under way",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              long before = fleet.changes.entriesExamined();
+              long before = fleet.deployments.entriesExamined();
               for (int i = 0; i < relays; i++) {
                 fleet.says(i, OLD, i % 2 == 0, 0);
               }
-              return (fleet.changes.entriesExamined() - before) / (double) relays;
+              return (fleet.deployments.entriesExamined() - before) / (double) relays;
             },
             100,
             200,
@@ -128,16 +128,16 @@
 
   /** Each 50 ms. */
   @Test
-  public void timeThatPassesLooksAtNoRelay() {
+  public void aTickExaminesNoRelay() {
     Counted.at(
             "a look whether a change is due",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              long before = fleet.changes.entriesExamined();
+              long before = fleet.deployments.entriesExamined();
               for (int i = 0; i < 20; i++) {
-                fleet.changes.transitionDue(Timestamp.ofMs(2000 + i * 50));
+                fleet.deployments.transitionDue(Timestamp.ofMs(2000 + i * 50));
               }
-              return (fleet.changes.entriesExamined() - before) / 20.0;
+              return (fleet.deployments.entriesExamined() - before) / 20.0;
             },
             100,
             200,
@@ -146,18 +146,18 @@
   }
 
   @Test
-  public void thatAnAgentHasReadAVersionLooksAtNoOtherRelay() {
+  public void aValidationExaminesNoOtherRelay() {
     Counted.at(
             "an agent that has read it",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              Deployment change = fleet.propose();
-              long before = fleet.changes.entriesExamined();
+              Deployment deployment = fleet.propose();
+              long before = fleet.deployments.entriesExamined();
               for (int i = 0; i < relays - 1; i++) {
-                fleet.changes.reportValidation(i, change.number, "", fleet.at(), 0);
+                fleet.deployments.reportValidation(i, deployment.number, "", fleet.at(), 0);
               }
-              assertEquals(change.state(), Deployment.State.PROPOSED);
-              return (fleet.changes.entriesExamined() - before) / (double) relays;
+              assertEquals(deployment.state(), Deployment.State.PROPOSED);
+              return (fleet.deployments.entriesExamined() - before) / (double) relays;
             },
             100,
             200,
@@ -171,24 +171,30 @@
    * holds to its slope.
    */
   @Test
-  public void aWordWhileAChangeIsOnItsWayGrowsNoFasterThanTheFleet() {
+  public void aReportDuringADeploymentGrowsNoFasterThanTheFleet() {
     Counted.at(
             "an agent's word while a change moves",
             relays -> {
               Fleet fleet = new Fleet(relays);
-              Deployment change = fleet.propose();
-              long before = fleet.changes.entriesExamined();
+              Deployment deployment = fleet.propose();
+              long before = fleet.deployments.entriesExamined();
               long words = fleet.words;
-              fleet.read(change);
-              for (int i = 0; i < 20 && change.state() != Deployment.State.DONE; i++) {
+              fleet.read(deployment);
+              for (int i = 0; i < 20 && deployment.state() != Deployment.State.DONE; i++) {
                 fleet.obey();
-                fleet.changes.reportVerdict(
-                    change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+                fleet.deployments.reportVerdict(
+                    deployment.number,
+                    deployment.stage(),
+                    Verdict.NO_WORSE,
+                    "alike",
+                    fleet.at(),
+                    0);
                 fleet.now += 11_000;
-                fleet.changes.tick(fleet.at(), 0);
+                fleet.deployments.tick(fleet.at(), 0);
               }
-              assertEquals(change.state(), Deployment.State.DONE);
-              return (fleet.changes.entriesExamined() - before) / (double) (fleet.words - words);
+              assertEquals(deployment.state(), Deployment.State.DONE);
+              return (fleet.deployments.entriesExamined() - before)
+                  / (double) (fleet.words - words);
             },
             100,
             200,
@@ -197,7 +203,7 @@
   }
 
   @Test
-  public void aVoteLooksAtNoOtherRelaysVote() {
+  public void aVoteExaminesNoOtherVote() {
     Counted.at(
             "a vote",
             relays -> {
@@ -248,22 +254,22 @@
    * bounds how many are out at once.
    */
   @Test
-  public void changesOfADayAreBoundedByTheirWatch() {
+  public void deploymentsOfADayAreBoundedByTheObservationTime() {
     double[] each = new double[2];
     int[] sizes = {100, 400};
     for (int i = 0; i < 2; i++) {
       Fleet fleet = new Fleet(sizes[i]);
-      Deployment change = fleet.propose();
-      fleet.read(change);
+      Deployment deployment = fleet.propose();
+      fleet.read(deployment);
       double from = fleet.now;
-      while (change.state() != Deployment.State.DONE) {
+      while (deployment.state() != Deployment.State.DONE) {
         double before = fleet.now;
         fleet.obey();
         fleet.now = before; // as if nobody took any time
-        fleet.changes.reportVerdict(
-            change.number, change.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+        fleet.deployments.reportVerdict(
+            deployment.number, deployment.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
         fleet.now += 1000;
-        fleet.changes.tick(fleet.at(), 0);
+        fleet.deployments.tick(fleet.at(), 0);
       }
       each[i] = 86_400_000 / (fleet.now - from);
       System.out.printf(
@@ -281,7 +287,7 @@
    * relays.
    */
   @Test
-  public void whatOneRelayOrAgentIsToldIsSmall() {
+  public void messagesToOneRelayOrAgentAreSmall() {
     String digest = "a".repeat(64);
     told(
         "news",
