--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -40,8 +40,8 @@
 public final class ControllerConnection implements FrameListener {
   private final Net net;
   private final RelayConfig config;
-  private final RequestTracker ledger;
-  private final EventLog events;
+  private final RequestTracker requestTracker;
+  private final EventLog eventLog;
   private final Consumer<VoteReply> onVoteReply;
   private final ReconnectingConnection connection;
   private final Map<Long, Timer> pendingVotes = new HashMap<>();
@@ -63,11 +63,11 @@
   public ControllerConnection(
       Net net,
       RelayConfig config,
-      Hello mine,
+      Hello localHello,
       FrameTap tap,
-      RequestTracker ledger,
-      EventLog events,
-      DeterministicRandom chance,
+      RequestTracker requestTracker,
+      EventLog eventLog,
+      DeterministicRandom random,
       Consumer<VoteReply> onVoteReply,
       Consumer<Promised> onPromise,
       Runnable onNews) {
@@ -75,11 +75,12 @@
     this.onNews = onNews;
     this.net = net;
     this.config = config;
-    this.ledger = ledger;
-    this.events = events;
+    this.requestTracker = requestTracker;
+    this.eventLog = eventLog;
     this.onVoteReply = onVoteReply;
     connection =
-        new ReconnectingConnection(net, config.desk, mine, config.connection, tap, chance, this);
+        new ReconnectingConnection(
+            net, config.desk, localHello, config.connection, tap, random, this);
   }
 
   /** Connects, and again whenever the connection is lost. */
@@ -113,7 +114,7 @@
    */
   public void vote(Build build, int stage, Verdict verdict) {
     long id = ++lastVote;
-    MethodAccounts accounts = ledger.accounts();
+    MethodAccounts accounts = requestTracker.accounts();
     accounts.begin(accounts.votes, 0, accounts.votes.pending());
     Say say =
         switch (verdict) {
@@ -133,7 +134,7 @@
             net.now().plus(config.settings.callTimeout),
             () -> {
               pendingVotes.remove(id);
-              events.warn(
+              eventLog.warn(
                   EventLog.Event.VOTE_UNANSWERED,
                   "vote "
                       + verdict
@@ -153,7 +154,7 @@
       connection.cut("no release desk answers there");
       return;
     }
-    events.info(EventLog.Event.DESK_BACK, "linked to the release desk at " + config.desk);
+    eventLog.info(EventLog.Event.DESK_BACK, "linked to the release desk at " + config.desk);
   }
 
   @Override
@@ -188,7 +189,7 @@
             && news.getStage() >= 0
             && news.getStage() <= config.settings.caps.size();
     if (!isValid) {
-      events.warn(
+      eventLog.warn(
           EventLog.Event.NEWS_REFUSED,
           "build "
               + news.getBuild()
@@ -204,7 +205,7 @@
     boolean isStale =
         news.getEpoch() < epoch || news.getEpoch() == epoch && news.getSequence() < sequence;
     if (isStale) {
-      events.warn(
+      eventLog.warn(
           EventLog.Event.NEWS_REFUSED,
           "epoch "
               + news.getEpoch()
@@ -219,7 +220,8 @@
     epoch = news.getEpoch();
     sequence = news.getSequence();
     TimeSpan inState = TimeSpan.ofMs(Math.max(0, news.getLastedUs()) / 1000.0);
-    ledger.news(news.getBuild(), news.getStage(), state, news.getCap(), net.now().minus(inState));
+    requestTracker.news(
+        news.getBuild(), news.getStage(), state, news.getCap(), net.now().minus(inState));
     hasNews = true;
     onNews.run();
   }
@@ -230,7 +232,7 @@
         || method >= config.settings.methods.size()
         || counts.getFailed() > counts.getPicks()
         || counts.getFailed() < 0) {
-      events.warn(
+      eventLog.warn(
           EventLog.Event.NEWS_REFUSED,
           "counts of method "
               + method
@@ -241,7 +243,7 @@
               + " failed can't be; they are left out");
       return;
     }
-    ledger.counted(
+    requestTracker.counted(
         counts.getBuild(),
         method,
         counts.getPicks(),
@@ -267,14 +269,14 @@
   }
 
   private void countVote(int column) {
-    MethodAccounts accounts = ledger.accounts();
+    MethodAccounts accounts = requestTracker.accounts();
     accounts.move(accounts.votes, 0, accounts.votes.pending(), column);
   }
 
   @Override
   public void closed(String why) {
     if (!stopping) {
-      events.warn(EventLog.Event.DESK_LOST, why + "; what it said last holds");
+      eventLog.warn(EventLog.Event.DESK_LOST, why + "; what it said last holds");
     }
   }
 }
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -43,8 +43,8 @@
 
   private final Net net;
   private final RelayConfig config;
-  private final RequestTracker ledger;
-  private final EventLog events;
+  private final RequestTracker requestTracker;
+  private final EventLog eventLog;
   private final EndpointConnectionPool.PoolListener poolListener;
   private final DeterministicRandom random;
   private final Runnable onListFailed;
@@ -63,11 +63,11 @@
   DiscoveryConnection(
       Net net,
       RelayConfig config,
-      Hello mine,
+      Hello localHello,
       FrameTap tap,
-      RequestTracker ledger,
-      EventLog events,
-      DeterministicRandom chance,
+      RequestTracker requestTracker,
+      EventLog eventLog,
+      DeterministicRandom random,
       EndpointConnectionPool.PoolListener owner,
       RackPermits racks,
       Runnable listFailed,
@@ -78,13 +78,14 @@
     this.onList = learnt;
     this.net = net;
     this.config = config;
-    this.ledger = ledger;
-    this.events = events;
+    this.requestTracker = requestTracker;
+    this.eventLog = eventLog;
     this.poolListener = owner;
-    this.random = chance;
+    this.random = random;
     this.onListFailed = listFailed;
     connection =
-        new ReconnectingConnection(net, config.roster, mine, config.connection, tap, chance, this);
+        new ReconnectingConnection(
+            net, config.roster, localHello, config.connection, tap, random, this);
   }
 
   void start() {
@@ -117,7 +118,7 @@
       connection.cut("no roster answers there");
       return;
     }
-    events.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.roster);
+    eventLog.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.roster);
     if (!config.settings.ask) {
       connection.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
@@ -135,7 +136,7 @@
       return;
     }
     if (listing.getForm() != Form.WHOLE && listing.getForm() != Form.CHANGES) {
-      events.warn(
+      eventLog.warn(
           EventLog.Event.LISTING_REFUSED,
           "a listing that is neither whole nor changes; the old one holds");
       return;
@@ -147,7 +148,7 @@
       apply(entry);
     }
     if (listing.getForm() == Form.WHOLE) {
-      for (Endpoint endpoint : ledger.units()) {
+      for (Endpoint endpoint : requestTracker.units()) {
         if (!named.contains(endpoint.id)) {
           remove(endpoint);
         }
@@ -166,7 +167,7 @@
   }
 
   private void apply(Entry entry) {
-    Endpoint known = ledger.unit(entry.getUnit());
+    Endpoint known = requestTracker.unit(entry.getUnit());
     if (entry.getHealth() == Health.GONE) {
       if (known != null) {
         remove(known);
@@ -176,7 +177,7 @@
     InetSocketAddress address = Address.of(entry.getHost(), entry.getPort());
     String problem = problemOf(entry, known, address);
     if (problem != null) {
-      events.warn(
+      eventLog.warn(
           EventLog.Event.LISTING_REFUSED,
           "unit "
               + Long.toUnsignedString(entry.getUnit())
@@ -195,7 +196,7 @@
       closePool(known);
     }
     if (moved) {
-      ledger.removed(known.id);
+      requestTracker.removed(known.id);
     }
     list(entry, known, address, run.started);
   }
@@ -203,7 +204,7 @@
   private void list(Entry entry, Endpoint known, InetSocketAddress address, Timestamp started) {
     boolean mayPlace = permits.mayPlace(entry.getZone(), entry.getCell());
     Endpoint endpoint =
-        ledger.listed(
+        requestTracker.listed(
             entry.getUnit(),
             entry.getZone(),
             entry.getKind(),
@@ -277,7 +278,7 @@
     for (RackIndex.RackEndpoints rack : rackIndex.update(permits)) {
       boolean mayPlace = rack.mayPlace();
       for (Entry entry : rack.entries()) {
-        if (ledger.unit(entry.getUnit()).ready() != mayPlace) {
+        if (requestTracker.unit(entry.getUnit()).ready() != mayPlace) {
           apply(entry);
         }
       }
@@ -287,7 +288,7 @@
   private void remove(Endpoint endpoint) {
     runs.remove(endpoint.id);
     rackIndex.remove(endpoint);
-    ledger.removed(endpoint.id);
+    requestTracker.removed(endpoint.id);
     closePool(endpoint);
     onEndpointChanged.accept(endpoint);
   }
@@ -301,7 +302,7 @@
   @Override
   public void closed(String why) {
     if (!stopping) {
-      events.warn(EventLog.Event.ROSTER_LOST, why + "; the units listed last hold");
+      eventLog.warn(EventLog.Event.ROSTER_LOST, why + "; the units listed last hold");
     }
     listFailed();
   }
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -75,13 +75,13 @@
       InetSocketAddress address,
       String name,
       RelayConfig config,
-      DeterministicRandom chance,
+      DeterministicRandom random,
       PoolListener owner) {
     this.endpoint = endpoint;
     this.address = address;
     this.tlsName = name;
     this.config = config;
-    this.random = chance;
+    this.random = random;
     this.listener = owner;
     backoff = config.pauseFirst;
   }
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -23,34 +23,36 @@
 import sprucerock.transport.wire.v1.Worth;
 
 /**
- * What this relay saw of hardware, told to the one relay that fits for all; and, while this one
- * holds that lease, the fitting, on a thread of its own that reads a copy, and its publication
- * under the lease's number. A holder that is replaced has done nothing that the next one needs:
- * relays tell it what they see from then on.
+ * Reports what this relay saw of the endpoints' hardware to the one relay that fits the model for
+ * all. While this relay holds that lease, it fits, on a worker's thread from a copy, and publishes
+ * the model under the lease's fencing number. A holder that is replaced leaves nothing behind that
+ * the next one needs: relays report to the new one from then on. For the event loop's thread.
  */
 final class HardwareReporter implements Leases.Task {
+  /** The name of the lease, as on the wire. */
   static final String LEASE = "fit";
 
-  /** What it needs of the relay. */
+  /** What the reporter sends, by way of the relay. */
   interface ReportTransport {
-    /** To all other relays. */
+    /** Tells all other relays that this one fits. */
     void announceFitter(Fitter fitter);
 
+    /** Sends a window's samples to the relay that fits. */
     void sendSamples(int relay, Tallied tally);
 
-    /** To all other relays and the controller. */
+    /** Sends a model to all other relays and the controller. */
     void publishModel(Worth worth);
   }
 
-  private static final TimeSpan ANNOUNCE_INTERVAL =
-      TimeSpan.ofMs(5000); // a relay that started meanwhile is told who fits
+  /** A relay that started meanwhile learns within this who fits. */
+  private static final TimeSpan ANNOUNCE_INTERVAL = TimeSpan.ofMs(5000);
 
   private final Net net;
   private final int relayIndex;
   private final TimeSpan window;
   private final LongSupplier wallMs;
   private final IntPredicate isSettledBuild;
-  private final EventLog events;
+  private final EventLog eventLog;
   private final ReportTransport transport;
   private final FencingToken fence = new FencingToken();
   private Aside worker;
@@ -70,14 +72,14 @@
       TimeSpan window,
       LongSupplier wallMs,
       IntPredicate settled,
-      EventLog events,
+      EventLog eventLog,
       ReportTransport owner) {
     this.net = net;
     this.relayIndex = me;
     this.window = window;
     this.wallMs = wallMs;
     this.isSettledBuild = settled;
-    this.events = events;
+    this.eventLog = eventLog;
     this.transport = owner;
   }
 
@@ -93,14 +95,14 @@
   }
 
   /**
-   * Windows are the same at all relays, as far as their wall clocks are; a pick that falls into the
-   * next one does no harm.
+   * Windows are the same at all relays, as far as their wall clocks are; an attempt that falls into
+   * the next one does no harm.
    */
   private long windowNumber() {
     return (long) (wallMs.getAsLong() / window.ms());
   }
 
-  /** A pick ended ok, on a unit that held so many others of this relay's when it was sent. */
+  /** An attempt succeeded, beside so many others of this relay on its endpoint. */
   void attemptSucceeded(Attempt attempt, int concurrentAttempts) {
     samples.ended(
         attempt.rpc.method.index,
@@ -138,11 +140,11 @@
     if (fitter < 0 || of.cells().isEmpty()) {
       return;
     }
-    Tallied.Builder said = Tallied.newBuilder().setWindow(of.window());
+    Tallied.Builder report = Tallied.newBuilder().setWindow(of.window());
     of.cells()
         .forEach(
             (cell, sums) ->
-                said.addCells(
+                report.addCells(
                     TallyCell.newBuilder()
                         .setMethod(cell.method())
                         .setFamily(cell.family())
@@ -151,7 +153,7 @@
                         .setCount(sums.count())
                         .setMean(sums.mean())
                         .setSquares(sums.squares())));
-    transport.sendSamples(fitter, said.build());
+    transport.sendSamples(fitter, report.build());
   }
 
   // While it holds the lease.
@@ -211,18 +213,18 @@
   // What other relays tell.
 
   /** Who fits from now on. */
-  void fitterAnnounced(int relay, Fitter said) {
-    if (fence.admits(LEASE, said.getNumber())) {
+  void fitterAnnounced(int relay, Fitter received) {
+    if (fence.admits(LEASE, received.getNumber())) {
       fitter = relay;
     }
   }
 
-  void samplesReceived(int relay, Tallied said) {
-    if (leaseCheck == null || said.getCellsCount() > SampleSums.MOST_CELLS) {
+  void samplesReceived(int relay, Tallied received) {
+    if (leaseCheck == null || received.getCellsCount() > SampleSums.MOST_CELLS) {
       return;
     }
-    SampleSums of = new SampleSums(relay, said.getWindow());
-    for (TallyCell one : said.getCellsList()) {
+    SampleSums of = new SampleSums(relay, received.getWindow());
+    for (TallyCell one : received.getCellsList()) {
       boolean can =
           one.getCount() >= 1
               && Double.isFinite(one.getMean())
@@ -237,19 +239,19 @@
     observation.told(of);
   }
 
-  /** A model was published; one of a holder that was replaced is refused, and said. */
-  void modelReceived(Worth said) {
-    if (!fence.admits(LEASE, said.getNumber())) {
-      events.warn(
+  /** A model was published; one of a holder that was replaced is refused, and logged. */
+  void modelReceived(Worth received) {
+    if (!fence.admits(LEASE, received.getNumber())) {
+      eventLog.warn(
           EventLog.Event.LEASE,
           "a model under "
-              + said.getNumber()
+              + received.getNumber()
               + " was refused, "
               + fence.highest(LEASE)
               + " was heard");
       return;
     }
-    Model model = decode(said);
+    Model model = decode(received);
     if (model != null && model.newerThan(newestModel)) {
       newestModel = model;
     }
@@ -261,31 +263,31 @@
   }
 
   /** Null where it can't be one. */
-  static Model decode(Worth said) {
-    int families = said.getFamiliesCount();
-    int methods = said.getMethodsCount();
+  static Model decode(Worth received) {
+    int families = received.getFamiliesCount();
+    int methods = received.getMethodsCount();
     int pairs = (methods + 1) * families * families;
     boolean can =
         families > 0
             && families <= LeastSquaresFit.MOST_FAMILIES
             && methods <= LeastSquaresFit.MOST_METHODS
-            && said.getLogsCount() == pairs
-            && said.getErrorsCount() == pairs
-            && said.getCoresCount() == families
-            && said.getCoresErrorsCount() == families
-            && said.getFree() > 0;
+            && received.getLogsCount() == pairs
+            && received.getErrorsCount() == pairs
+            && received.getCoresCount() == families
+            && received.getCoresErrorsCount() == families
+            && received.getFree() > 0;
     if (!can) {
       return null;
     }
     return Model.of(
-        said.getNumber(),
-        said.getWindow(),
-        said.getFamiliesList(),
-        said.getMethodsList(),
-        said.getLogsList(),
-        said.getErrorsList(),
-        said.getCoresList(),
-        said.getCoresErrorsList(),
-        said.getFree());
+        received.getNumber(),
+        received.getWindow(),
+        received.getFamiliesList(),
+        received.getMethodsList(),
+        received.getLogsList(),
+        received.getErrorsList(),
+        received.getCoresList(),
+        received.getCoresErrorsList(),
+        received.getFree());
   }
 }
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -20,35 +20,36 @@
 import sprucerock.transport.wire.v1.Role;
 
 /**
- * Looks at units for the whole fleet while this relay holds that lease: a connection of its own,
- * one question under the lease's number, one answer. What it finds is told to the other relays and
- * to this one's module, which says what it is worth.
+ * Health-checks endpoints for the whole fleet while this relay holds that lease: a connection of
+ * its own, one question under the lease's fencing number, one answer. Results go to the other
+ * relays and to this one's policy, which decides what they count for. For the event loop's thread.
  */
 final class HealthChecker implements Leases.Task {
+  /** The name of the lease, as on the wire. */
   static final String LEASE = "looks";
-  private static final TimeSpan PROBE_TIMEOUT =
-      TimeSpan.ofMs(
-          500); // a unit that is there answers within some milliseconds; a paused one may take
-  // longer
+
+  /** An endpoint that is up answers within some milliseconds; a paused one may take longer. */
+  private static final TimeSpan PROBE_TIMEOUT = TimeSpan.ofMs(500);
+
   private static final int MAX_CONCURRENT_PROBES = 16;
 
-  /** What it needs of the relay. */
+  /** What health checks need of the relay. */
   interface ProbeTransport {
-    /** A connection to a unit, as any pick's. */
-    void openProbeConnection(Endpoint endpoint, FrameListener user, ConnectionTaker taker);
+    /** Begins a connection to an endpoint, as for any attempt. */
+    void openProbeConnection(Endpoint endpoint, FrameListener listener, ConnectionTaker taker);
 
-    /** What was found, for this relay's module and the others'. */
+    /** A result, for this relay's policy and the others'. */
     void probeCompleted(long endpoint, boolean answered, long number);
   }
 
-  /** Gets the link that was begun. */
+  /** Gets the connection that was begun, before anything happens on it. */
   interface ConnectionTaker {
     void take(FrameConnection connection);
   }
 
   private final Net net;
-  private final RequestTracker ledger;
-  private final EventLog events;
+  private final RequestTracker requestTracker;
+  private final EventLog eventLog;
   private final TimeSpan interval;
   private final DeterministicRandom random;
   private final ProbeTransport transport;
@@ -58,16 +59,16 @@
 
   HealthChecker(
       Net net,
-      RequestTracker ledger,
-      EventLog events,
+      RequestTracker requestTracker,
+      EventLog eventLog,
       TimeSpan every,
-      DeterministicRandom chance,
+      DeterministicRandom random,
       ProbeTransport owner) {
     this.net = net;
-    this.ledger = ledger;
-    this.events = events;
+    this.requestTracker = requestTracker;
+    this.eventLog = eventLog;
     this.interval = every;
-    this.random = chance;
+    this.random = random;
     this.transport = owner;
   }
 
@@ -75,14 +76,14 @@
   public void begun(LeaseCheck by) {
     leaseCheck = by;
     scheduler = new HealthCheckScheduler(random::next);
-    for (Endpoint endpoint : ledger.units()) {
+    for (Endpoint endpoint : requestTracker.units()) {
       endpointChanged(endpoint);
     }
     probeNext(by);
   }
 
   /**
-   * A unit may get work or may not, as it stands now; told as it changes, so that a turn walks no
+   * Follows an endpoint as it becomes ready or stops being so, so that no check walks the whole
    * list.
    */
   void endpointChanged(Endpoint endpoint) {
@@ -107,7 +108,7 @@
     }
     if (openProbes < MAX_CONCURRENT_PROBES) {
       long next = scheduler.next(net.now());
-      Endpoint endpoint = next < 0 ? null : ledger.unit(next);
+      Endpoint endpoint = next < 0 ? null : requestTracker.unit(next);
       if (endpoint == null || !endpoint.ready()) {
         scheduler.left(next);
       } else {
@@ -136,11 +137,10 @@
       transport.openProbeConnection(endpoint, this, made -> connection = made);
       timeout =
           net.patiently(
-              PROBE_TIMEOUT,
-              () -> finish(null)); // this relay's own standing still is not the unit's
+              PROBE_TIMEOUT, () -> finish(null)); // a pause of this relay is not the endpoint's
     }
 
-    /** {@code looked}: null where it gave no sign. */
+    /** Ends the probe by its answer; null: there was none. */
     private void finish(Looked looked) {
       if (done) {
         return;
@@ -150,7 +150,7 @@
       timeout.cancel();
       connection.cut("looked at");
       if (looked != null && !looked.getTaken()) {
-        events.warn(
+        eventLog.warn(
             EventLog.Event.LEASE,
             "a look under "
                 + fencingNumber
--- a/src/main/java/sprucerock/relay/frames/PeerConnections.java
+++ b/src/main/java/sprucerock/relay/frames/PeerConnections.java
@@ -26,9 +26,9 @@
 final class PeerConnections {
   private final Net net;
   private final RelayConfig config;
-  private final Hello mine;
+  private final Hello localHello;
   private final FrameTap tap;
-  private final EventLog events;
+  private final EventLog eventLog;
   private final DeterministicRandom random;
   private final Map<Integer, ReconnectingConnection> connections = new TreeMap<>();
   private final MethodAccounts accounts;
@@ -38,25 +38,25 @@
   PeerConnections(
       Net net,
       RelayConfig config,
-      Hello mine,
+      Hello localHello,
       FrameTap tap,
-      EventLog events,
-      DeterministicRandom chance,
+      EventLog eventLog,
+      DeterministicRandom random,
       MethodAccounts accounts,
-      TlsConnections secured) {
+      TlsConnections tlsConnections) {
     this.accounts = accounts;
-    this.tlsConnections = secured;
+    this.tlsConnections = tlsConnections;
     this.net = net;
     this.config = config;
-    this.mine = mine;
+    this.localHello = localHello;
     this.tap = tap;
-    this.events = events;
-    this.random = chance;
+    this.eventLog = eventLog;
+    this.random = random;
   }
 
   /** Sends the policy's message to one relay, or drops it; either is counted. */
   void send(int number, byte[] contents) {
-    count(send(number, FrameKind.TOLD, Told.getDefaultInstance(), contents));
+    countMessage(send(number, FrameKind.TOLD, Told.getDefaultInstance(), contents));
   }
 
   private boolean send(int number, FrameKind kind, MessageLite head, byte[] contents) {
@@ -71,7 +71,7 @@
               net,
               tlsConnections.peerConnector(number),
               address,
-              mine,
+              localHello,
               config.connection,
               tap,
               random,
@@ -102,7 +102,7 @@
     sendToAll(FrameKind.SEEN, seen);
   }
 
-  private void count(boolean sent) {
+  private void countMessage(boolean sent) {
     accounts.begin(accounts.messages, 0, sent ? 1 : 2);
   }
 
@@ -142,7 +142,7 @@
     @Override
     public void closed(String why) {
       if (!isStopping) {
-        events.warn(
+        eventLog.warn(
             EventLog.Event.PEER_LOST,
             "relay " + number + ": " + why + "; messages to it are dropped");
       }
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -47,7 +47,7 @@
 
   private final Net net;
   private final RelayConfig config;
-  private final EventLog events;
+  private final EventLog eventLog;
   private final DeterministicRandom random;
   private final PermitListener listener;
   private final SharedSnapshot snapshots = new SharedSnapshot();
@@ -68,12 +68,12 @@
   public RackPermits(
       Net net,
       RelayConfig config,
-      EventLog events,
+      EventLog eventLog,
       DeterministicRandom random,
       PermitListener listener) {
     this.net = net;
     this.config = config;
-    this.events = events;
+    this.eventLog = eventLog;
     this.random = random;
     this.listener = listener;
   }
@@ -132,14 +132,14 @@
       return;
     }
     if (promised.getEpoch() < epoch) {
-      events.warn(
+      eventLog.warn(
           EventLog.Event.NEWS_REFUSED,
           "a promise of epoch " + promised.getEpoch() + ", " + epoch + " was heard");
       return;
     }
     if (promised.getRest()
         && promised.getList() != listId) { // never asked for: what it leaves out can't be known
-      events.warn(EventLog.Event.NEWS_REFUSED, "a promise by a list of racks that was not told");
+      eventLog.warn(EventLog.Event.NEWS_REFUSED, "a promise by a list of racks that was not told");
       listId = NO_LIST;
       return;
     }
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -31,15 +31,15 @@
 
   private final RelayConfig config;
   private final Net net;
-  private final EventLog events;
+  private final EventLog eventLog;
   private final MethodAccounts accounts;
   private ConnectionReplacer replacer;
   private Tls tls;
 
-  TlsConnections(RelayConfig config, Net net, EventLog events, MethodAccounts accounts) {
+  TlsConnections(RelayConfig config, Net net, EventLog eventLog, MethodAccounts accounts) {
     this.config = config;
     this.net = net;
-    this.events = events;
+    this.eventLog = eventLog;
     this.accounts = accounts;
   }
 
@@ -134,11 +134,11 @@
   public void loaded(String wrong) {
     accounts.begin(accounts.tlsFiles, 0, wrong == null ? 1 : 2);
     if (wrong == null) {
-      events.info(
+      eventLog.info(
           EventLog.Event.TLS_FILES,
           "new key and trust are in use; the certificate has " + tls.daysLeft() + " days left");
     } else {
-      events.error(EventLog.Event.TLS_FILES, wrong + "; key and trust stay as they were");
+      eventLog.error(EventLog.Event.TLS_FILES, wrong + "; key and trust stay as they were");
     }
   }
 
--- a/src/main/java/sprucerock/transport/wire/FrameConnection.java
+++ b/src/main/java/sprucerock/transport/wire/FrameConnection.java
@@ -13,50 +13,64 @@
 import sprucerock.transport.wire.v1.Hello;
 
 /**
- * One connection in this protocol: frames in and out, the greeting, and beats that keep it and show
- * that it lives. Whatever is not the protocol cuts it with a reason.
+ * One connection in this protocol: frames in both directions, the greeting, and heartbeats that
+ * show that the other side lives. Whatever breaks the protocol closes it with a reason. For the
+ * event loop's thread.
  */
 public final class FrameConnection implements ConnectionListener {
-  /** Of this protocol; the oldest that is still understood. */
+  /** The protocol's version that is spoken here. */
   public static final int VERSION = 1;
 
-  private static final int OLDEST = 1;
-  private static final int COPIED_BODY =
-      4096; // up to here one copy is cheaper than one more piece to be written
+  /** The oldest version that is still understood. */
+  private static final int OLDEST_VERSION = 1;
+
+  /** Up to this size one copy is cheaper than one more piece to be written. */
+  private static final int MAX_COPIED_BODY_BYTES = 4096;
+
+  // in heartbeat intervals, a little less than three and one, as timers may be late
+  private static final double SILENCE_LIMIT = 2.9;
+  private static final double QUIET_LIMIT = 0.9;
 
   private final Timers timers;
-  private final Hello mine;
+  private final Hello localHello;
   private final FrameLimits limits;
   private final FrameTap tap;
-  private final FrameListener user;
+  private final FrameListener listener;
   private final FrameReader reader;
   private Connection connection;
   private Hello remoteHello;
-  private Timestamp heard;
-  private boolean closed;
-  private String whyCut;
+  private Timestamp lastReceived;
+  private boolean isClosed;
+  private String cutReason;
 
+  /**
+   * A connection that greets once it is up.
+   *
+   * @param localHello the greeting that is sent
+   * @param tap sees every frame
+   * @param listener gets the frames, greeting and heartbeats apart
+   */
   public FrameConnection(
-      Timers timers, Hello mine, FrameLimits limits, FrameTap tap, FrameListener user) {
+      Timers timers, Hello localHello, FrameLimits limits, FrameTap tap, FrameListener listener) {
     this.timers = timers;
-    this.mine = mine;
+    this.localHello = localHello;
     this.limits = limits;
     this.tap = tap;
-    this.user = user;
+    this.listener = listener;
     reader = new FrameReader(limits.maxFrameBytes());
   }
 
-  /** What the other side said it is; null before it did. */
+  /** The other side's greeting; null before it came. */
   public Hello remoteHello() {
     return remoteHello;
   }
 
-  /** Both sides have greeted, and it is not closed. */
+  /** Whether both sides have greeted and the connection is open. */
   public boolean isReady() {
-    return remoteHello != null && !closed;
+    return remoteHello != null && !isClosed;
   }
 
-  /** Bytes that wait for the other side to read, or for the connection to come up. */
+  /** Bytes written that the system has not taken yet, as the other side does not read them. */
   public long unsentBytes() {
     return connection == null ? 0 : connection.written() - connection.handed();
   }
@@ -64,55 +78,64 @@
   @Override
   public void up(Connection made) {
     connection = made;
-    heard = timers.now();
-    if (closed) { // cut while it came up
-      connection.cut(whyCut);
+    lastReceived = timers.now();
+    if (isClosed) { // cut while it came up
+      connection.cut(cutReason);
       return;
     }
-    send(FrameKind.HELLO, mine, FrameReader.NO_BODY);
-    timers.at(heard.plus(limits.heartbeat()), this::beat);
+    send(FrameKind.HELLO, localHello, FrameReader.NO_BODY);
+    timers.at(lastReceived.plus(limits.heartbeat()), this::checkHeartbeat);
   }
 
-  private void beat() {
-    if (closed) {
+  private void checkHeartbeat() {
+    if (isClosed) {
       return;
     }
     Timestamp now = timers.now();
-    if (now.since(heard).over(limits.heartbeat().times(2.9))) {
+    if (now.since(lastReceived).over(limits.heartbeat().times(SILENCE_LIMIT))) {
       cut(remoteHello == null ? "did not greet" : "silent");
       return;
     }
-    if (remoteHello != null && now.since(heard).over(limits.heartbeat().times(0.9))) {
+    if (remoteHello != null
+        && now.since(lastReceived).over(limits.heartbeat().times(QUIET_LIMIT))) {
       send(FrameKind.BEAT, Beat.getDefaultInstance(), FrameReader.NO_BODY);
     }
-    timers.at(now.plus(limits.heartbeat()), this::beat);
+    timers.at(now.plus(limits.heartbeat()), this::checkHeartbeat);
   }
 
-  /** Bytes of a frame on the wire. */
+  /** The size of a frame on the wire, in bytes. */
   public static int wireSize(MessageLite head, byte[] body) {
-    return FrameReader.START + head.getSerializedSize() + body.length;
+    return FrameReader.PREFIX_BYTES + head.getSerializedSize() + body.length;
   }
 
-  /** Sends a frame; returns a mark for {@link #mayHaveLeft}. On a closed link nothing happens. */
+  /**
+   * Sends a frame; nothing happens on a closed connection.
+   *
+   * @return a mark for {@link #mayHaveBeenSent}
+   */
   public long send(FrameKind kind, MessageLite head, byte[] body) {
-    if (closed || connection == null) {
+    if (isClosed || connection == null) {
       return Long.MAX_VALUE;
     }
     tap.frame(this, true, kind, head, body);
     long mark = connection.written();
     int size = head.getSerializedSize();
-    boolean copied = body.length <= COPIED_BODY;
-    ByteBuffer room = connection.claim(FrameReader.START + size + (copied ? body.length : 0));
-    room.putInt(FrameReader.START - 4 + size + body.length).putInt(kind.code << 24 | size);
+    boolean isCopied = body.length <= MAX_COPIED_BODY_BYTES;
+    ByteBuffer buffer =
+        connection.claim(FrameReader.PREFIX_BYTES + size + (isCopied ? body.length : 0));
+    buffer
+        .putInt(FrameReader.PREFIX_BYTES - FrameReader.LENGTH_BYTES + size + body.length)
+        .putInt(kind.code << FrameReader.KIND_SHIFT | size);
     try {
-      CodedOutputStream out = CodedOutputStream.newInstance(room.slice(FrameReader.START, size));
+      CodedOutputStream out =
+          CodedOutputStream.newInstance(buffer.slice(FrameReader.PREFIX_BYTES, size));
       head.writeTo(out);
       out.flush();
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // the room has the size that the head told
+      throw new UncheckedIOException(e); // cannot be: the buffer has the size that the head stated
     }
-    if (copied) {
-      room.put(FrameReader.START + size, body);
+    if (isCopied) {
+      buffer.put(FrameReader.PREFIX_BYTES + size, body);
     } else {
       connection.append(body);
     }
@@ -120,8 +143,8 @@
   }
 
   /**
-   * False only where not one byte of that frame has left this process, so that nobody can have read
-   * it.
+   * Whether the other side may have read the frame of a mark: false only where not one byte of it
+   * has left this process.
    */
   public boolean mayHaveBeenSent(long mark) {
     return connection != null && connection.handed() > mark;
@@ -129,7 +152,7 @@
 
   @Override
   public void received(ByteBuffer bytes) {
-    heard = timers.now();
+    lastReceived = timers.now();
     try {
       reader.feed(bytes, this::frame);
     } catch (MalformedFrameException e) {
@@ -138,7 +161,7 @@
   }
 
   private void frame(FrameKind kind, MessageLite head, byte[] body) {
-    if (closed) {
+    if (isClosed) {
       return;
     }
     tap.frame(this, false, kind, head, body);
@@ -146,11 +169,11 @@
       Hello hello = (Hello) head;
       if (remoteHello != null) {
         cut("greeted twice");
-      } else if (tooFar(hello) != null) {
-        cut(tooFar(hello));
+      } else if (versionMismatch(hello) != null) {
+        cut(versionMismatch(hello));
       } else {
         remoteHello = hello;
-        user.helloReceived(this, hello);
+        listener.helloReceived(this, hello);
       }
     } else if (remoteHello == null) {
       cut("sent " + kind + " before its greeting");
@@ -159,17 +182,17 @@
         send(FrameKind.BEAT, Beat.newBuilder().setAnswer(true).build(), FrameReader.NO_BODY);
       }
     } else {
-      user.frameReceived(kind, head, body);
+      listener.frameReceived(kind, head, body);
     }
   }
 
   /**
-   * Null where both sides have a version in common: the lower of their newest is spoken. Else why
-   * not.
+   * Why the other side's versions do not overlap with those spoken here; null where they do: then
+   * the lower of the two newest is spoken.
    */
-  static String tooFar(Hello hello) {
+  static String versionMismatch(Hello hello) {
     int oldest = hello.getOldest() == 0 ? hello.getVersion() : hello.getOldest();
-    if (hello.getVersion() >= OLDEST && oldest <= VERSION) {
+    if (hello.getVersion() >= OLDEST_VERSION && oldest <= VERSION) {
       return null;
     }
     return "speaks versions "
@@ -177,19 +200,19 @@
         + " to "
         + hello.getVersion()
         + ", here "
-        + OLDEST
+        + OLDEST_VERSION
         + " to "
         + VERSION
         + " are spoken";
   }
 
-  /** Closes at once; the user is told later, like for any other end. */
+  /** Closes at once; the listener is told later, as of any other end. */
   public void cut(String why) {
-    if (closed) {
+    if (isClosed) {
       return;
     }
-    closed = true;
-    whyCut = why;
+    isClosed = true;
+    cutReason = why;
     if (connection != null) {
       connection.cut(why);
     }
@@ -206,9 +229,9 @@
 
   @Override
   public void closed(String why) {
-    closed = true;
-    String told = reader.hasPartialFrame() && whyCut == null ? why + ", within a frame" : why;
-    tap.closed(this, told);
-    user.closed(told);
+    isClosed = true;
+    String reason = reader.hasPartialFrame() && cutReason == null ? why + ", within a frame" : why;
+    tap.closed(this, reason);
+    listener.closed(reason);
   }
 }
--- a/src/main/java/sprucerock/transport/wire/FrameKind.java
+++ b/src/main/java/sprucerock/transport/wire/FrameKind.java
@@ -37,7 +37,10 @@
 import sprucerock.transport.wire.v1.Work;
 import sprucerock.transport.wire.v1.Worth;
 
-/** What a frame is, by the number that stands in it. */
+/**
+ * The kinds of frames, with their numbers on the wire and their heads' messages. Numbers are never
+ * reused; names appear in logs and in the reasons for which connections are cut.
+ */
 public enum FrameKind {
   HELLO(1, Hello.parser(), false),
   CALL(2, Call.parser(), true),
@@ -74,7 +77,8 @@
   TALLIED(33, Tallied.parser(), false),
   WORTH(34, Worth.parser(), false);
 
-  private static final FrameKind[] BY_CODE = new FrameKind[35];
+  private static final int MAX_CODE = 34;
+  private static final FrameKind[] BY_CODE = new FrameKind[MAX_CODE + 1];
 
   static {
     for (FrameKind kind : values()) {
@@ -92,11 +96,12 @@
     this.hasBody = hasBody;
   }
 
-  /** The kind of a number; null where there is none. */
+  /** The kind with that number; null where there is none. */
   static FrameKind of(int code) {
     return code < BY_CODE.length ? BY_CODE[code] : null;
   }
 
+  /** Decodes the head of such a frame. */
   public Parser<? extends MessageLite> parser() {
     return parser;
   }
--- a/src/main/java/sprucerock/transport/wire/FrameLimits.java
+++ b/src/main/java/sprucerock/transport/wire/FrameLimits.java
@@ -3,8 +3,11 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * What a link may take: a frame's bytes after its length, bytes that wait for a peer that does not
- * read, and how long silence may last: after one {@code beat} it is asked for a sign, after three
- * it is cut; a greeting has three too.
+ * What a connection may take.
+ *
+ * @param maxFrameBytes of a frame, after its length
+ * @param maxUnsentBytes that wait for a peer which does not read; beyond, the connection is cut
+ * @param heartbeat after which a silent peer is asked for a sign; after three it is cut, and so is
+ *     one that does not greet
  */
 public record FrameLimits(int maxFrameBytes, long maxUnsentBytes, TimeSpan heartbeat) {}
--- a/src/main/java/sprucerock/transport/wire/FrameListener.java
+++ b/src/main/java/sprucerock/transport/wire/FrameListener.java
@@ -3,17 +3,19 @@
 import com.google.protobuf.MessageLite;
 import sprucerock.transport.wire.v1.Hello;
 
-/** Who talks over a {@link FrameConnection}. */
+/** Gets what happens on a {@link FrameConnection}, on the event loop's thread. */
 public interface FrameListener {
   /**
-   * The other side said who it is, in this protocol's version; frames may be sent. A cut refuses
-   * it.
+   * The other side has greeted, in a version that is understood: frames may be sent from now on.
+   * Whoever does not want it cuts the connection.
    */
   void helloReceived(FrameConnection connection, Hello other);
 
-  /** A frame other than greetings and beats. One that has no place here is answered with a cut. */
+  /**
+   * A frame came, greeting and heartbeats apart. One that has no place here is answered by a cut.
+   */
   void frameReceived(FrameKind kind, MessageLite head, byte[] body);
 
-  /** The link is gone, or never came up; told once. */
+  /** The connection is gone, or never came up; called once. */
   void closed(String why);
 }
--- a/src/main/java/sprucerock/transport/wire/FrameReader.java
+++ b/src/main/java/sprucerock/transport/wire/FrameReader.java
@@ -6,98 +6,115 @@
 import java.util.Arrays;
 
 /**
- * Makes frames of bytes that come in pieces of any size. A frame is a length of four bytes (of all
- * that follows it), a kind of one, the head's length of three, the head, and the body; numbers are
- * big-endian. Holds one frame at most.
+ * Decodes frames from bytes that come in pieces of any size. A frame is a length of four bytes (of
+ * all that follows it), a kind of one, the head's length of three, the head, and the body; numbers
+ * are big-endian. Holds one incomplete frame at most. Not thread-safe.
  */
 public final class FrameReader {
-  /** Where frames go. */
+  /** Gets the decoded frames. */
   public interface Sink {
-    /** The body is the frame's own copy, or the empty array. */
+    /** A frame; its body is a copy that belongs to it, or the empty array. */
     void frame(FrameKind kind, MessageLite head, byte[] body);
   }
 
-  static final int START = 8;
-  // kinds that a later version within reach may have; what lies beyond is noise
+  /** The length, the kind and the head's length. */
+  static final int PREFIX_BYTES = 8;
+
+  static final int LENGTH_BYTES = 4; // not counted in the length itself
+  static final int KIND_SHIFT = 24;
+  private static final int HEAD_LENGTH_MASK = 0xffffff;
+  private static final int INITIAL_BYTES = 256;
+  private static final int MAX_KEPT_BYTES = 1 << 16; // a large frame's buffer is not kept
+
+  // kinds that a newer version may have and that are skipped; what lies beyond is no frame
   private static final int FIRST_UNKNOWN = 17;
   private static final int LAST_UNKNOWN = 127;
   static final byte[] NO_BODY = {};
 
-  private final int mostBytes;
-  private byte[] partial = new byte[256];
-  private int have;
+  private final int maxFrameBytes;
+  private byte[] partial = new byte[INITIAL_BYTES];
+  private int partialBytes;
 
-  /** Takes frames of at most so many bytes after their length. */
-  public FrameReader(int mostBytes) {
-    this.mostBytes = mostBytes;
+  /** Reads frames of at most {@code maxFrameBytes} after their length. */
+  public FrameReader(int maxFrameBytes) {
+    this.maxFrameBytes = maxFrameBytes;
   }
 
-  /** Whether bytes of a frame are there whose rest is missing. */
+  /** Whether a frame has begun whose rest is missing. */
   public boolean hasPartialFrame() {
-    return have > 0;
+    return partialBytes > 0;
   }
 
-  /** Takes all bytes there are. After an exception the rest means nothing any more. */
+  /**
+   * Consumes all bytes and hands on the frames that are complete.
+   *
+   * @throws MalformedFrameException if they are not this protocol; the reader can't be used then
+   */
   public void feed(ByteBuffer bytes, Sink sink) throws MalformedFrameException {
     while (bytes.hasRemaining()) {
-      if (have == 0 && bytes.remaining() >= START) {
-        int size = 4 + length(bytes.getInt(bytes.position()));
+      if (partialBytes == 0 && bytes.remaining() >= PREFIX_BYTES) {
+        int size = LENGTH_BYTES + checkedLength(bytes.getInt(bytes.position()));
         if (bytes.remaining() >= size) {
-          ByteBuffer whole = bytes.slice(bytes.position(), size);
+          ByteBuffer frame = bytes.slice(bytes.position(), size);
           bytes.position(bytes.position() + size);
-          one(whole, sink);
+          decode(frame, sink);
           continue;
         }
       }
-      if (!more(bytes, START)) {
+      if (!fillPartial(bytes, PREFIX_BYTES)) {
         return;
       }
-      int size = 4 + length(ByteBuffer.wrap(partial).getInt(0));
-      if (!more(bytes, size)) {
+      int size = LENGTH_BYTES + checkedLength(ByteBuffer.wrap(partial).getInt(0));
+      if (!fillPartial(bytes, size)) {
         return;
       }
-      ByteBuffer whole = ByteBuffer.wrap(partial, 0, size).slice();
-      have = 0;
-      one(whole, sink);
-      if (partial.length > 1 << 16) {
-        partial = new byte[256]; // a large frame's room is not kept
+      ByteBuffer frame = ByteBuffer.wrap(partial, 0, size).slice();
+      partialBytes = 0;
+      decode(frame, sink);
+      if (partial.length > MAX_KEPT_BYTES) {
+        partial = new byte[INITIAL_BYTES];
       }
     }
   }
 
-  private boolean more(ByteBuffer bytes, int wanted) {
+  private boolean fillPartial(ByteBuffer bytes, int wanted) {
     // grown by what came, not by what a length promises: a bad one cannot ask for memory
-    int take = Math.min(bytes.remaining(), wanted - have);
-    if (have + take > partial.length) {
-      partial = Arrays.copyOf(partial, Math.min(wanted, Math.max(have + take, 2 * partial.length)));
+    int take = Math.min(bytes.remaining(), wanted - partialBytes);
+    if (partialBytes + take > partial.length) {
+      partial =
+          Arrays.copyOf(
+              partial, Math.min(wanted, Math.max(partialBytes + take, 2 * partial.length)));
     }
     if (take > 0) {
-      bytes.get(partial, have, take);
-      have += take;
+      bytes.get(partial, partialBytes, take);
+      partialBytes += take;
     }
-    return have >= wanted;
+    return partialBytes >= wanted;
   }
 
-  private int length(int told) throws MalformedFrameException {
-    if (told < START - 4) {
-      throw new MalformedFrameException("a frame of " + told + " bytes can't be");
+  private int checkedLength(int stated) throws MalformedFrameException {
+    if (stated < PREFIX_BYTES - LENGTH_BYTES) {
+      throw new MalformedFrameException("a frame of " + stated + " bytes can't be");
     }
-    if (told > mostBytes) {
-      throw new MalformedFrameException("a frame of " + told + " bytes, " + mostBytes + " at most");
+    if (stated > maxFrameBytes) {
+      throw new MalformedFrameException(
+          "a frame of " + stated + " bytes, " + maxFrameBytes + " at most");
     }
-    return told;
+    return stated;
   }
 
-  private static void one(ByteBuffer frame, Sink sink) throws MalformedFrameException {
-    int start = frame.getInt(4);
-    FrameKind kind = FrameKind.of(start >>> 24);
-    if (kind == null && start >>> 24 >= FIRST_UNKNOWN && start >>> 24 <= LAST_UNKNOWN) {
-      return; // of a newer program: read past
+  private static void decode(ByteBuffer frame, Sink sink) throws MalformedFrameException {
+    int start = frame.getInt(LENGTH_BYTES);
+    FrameKind kind = FrameKind.of(start >>> KIND_SHIFT);
+    if (kind == null
+        && start >>> KIND_SHIFT >= FIRST_UNKNOWN
+        && start >>> KIND_SHIFT <= LAST_UNKNOWN) {
+      return; // of a newer program: skipped
     }
-    int head = start & 0xffffff;
-    int body = frame.capacity() - START - head;
+    int head = start & HEAD_LENGTH_MASK;
+    int body = frame.capacity() - PREFIX_BYTES - head;
     if (kind == null) {
-      throw new MalformedFrameException("no kind of frame is " + (start >>> 24));
+      throw new MalformedFrameException("no kind of frame is " + (start >>> KIND_SHIFT));
     }
     if (body < 0) {
       throw new MalformedFrameException(kind + ": the head is longer than the frame");
@@ -108,11 +125,11 @@
     byte[] bytes = NO_BODY;
     if (body > 0) {
       bytes = new byte[body];
-      frame.get(START + head, bytes);
+      frame.get(PREFIX_BYTES + head, bytes);
     }
     MessageLite message;
     try {
-      message = kind.parser().parseFrom(frame.slice(START, head));
+      message = kind.parser().parseFrom(frame.slice(PREFIX_BYTES, head));
     } catch (InvalidProtocolBufferException e) {
       throw new MalformedFrameException(kind + ": the head can't be read: " + e.getMessage());
     }
--- a/src/main/java/sprucerock/transport/wire/MalformedFrameException.java
+++ b/src/main/java/sprucerock/transport/wire/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package sprucerock.transport.wire;
 
-/** Bytes that are not this protocol; the message says what is wrong with them. */
+/** Thrown for bytes that are not this protocol; the message says what is wrong with them. */
 public final class MalformedFrameException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
+++ b/src/main/java/sprucerock/transport/wire/ReconnectingConnection.java
@@ -10,79 +10,88 @@
 import sprucerock.transport.wire.v1.Hello;
 
 /**
- * Keeps a link to one address: whenever it is gone, another is made, after a pause that grows and
- * is drawn.
+ * Keeps a connection to one address: whenever it is lost, another is made, after an exponential
+ * backoff with jitter. For the event loop's thread.
  */
 public final class ReconnectingConnection implements FrameListener {
-  private static final TimeSpan FIRST =
-      TimeSpan.ofMs(50); // a restart on the same machine takes about a second
-  private static final TimeSpan MOST =
-      TimeSpan.ofMs(2000); // what comes back is known again within this
-  private static final TimeSpan CONNECT = TimeSpan.ofMs(1000);
+  /** A restart on the same machine takes about a second. */
+  private static final TimeSpan FIRST_BACKOFF = TimeSpan.ofMs(50);
 
-  /** How connections are made: by default as they are, or by TLS. */
+  /** Whoever comes back is connected to again within this. */
+  private static final TimeSpan MAX_BACKOFF = TimeSpan.ofMs(2000);
+
+  private static final TimeSpan CONNECT_TIMEOUT = TimeSpan.ofMs(1000);
+
+  /** Makes the connections: plain ones, or by TLS. */
   public interface Connector {
-    void connect(InetSocketAddress to, TimeSpan within, long mostUnsent, ConnectionListener user);
+    /** Begins a connection; {@code listener} is told when it is up, or why it failed. */
+    void connect(
+        InetSocketAddress to, TimeSpan timeout, long maxUnsentBytes, ConnectionListener listener);
   }
 
   private final Net net;
   private final Connector connector;
   private final InetSocketAddress to;
-  private final Hello mine;
+  private final Hello localHello;
   private final FrameLimits limits;
   private final FrameTap tap;
-  private final ExponentialBackoff pauses;
-  private final FrameListener user;
+  private final ExponentialBackoff backoff;
+  private final FrameListener listener;
   private FrameConnection connection;
-  private boolean stopped;
+  private boolean isStopped;
 
+  /** Keeps plain connections; nothing is opened before {@link #connect}. */
   public ReconnectingConnection(
       Net net,
       InetSocketAddress to,
-      Hello mine,
+      Hello localHello,
       FrameLimits limits,
       FrameTap tap,
-      DeterministicRandom chance,
-      FrameListener user) {
-    this(net, net::connect, to, mine, limits, tap, chance, user);
+      DeterministicRandom random,
+      FrameListener listener) {
+    this(net, net::connect, to, localHello, limits, tap, random, listener);
   }
 
+  /** Keeps connections that {@code connector} makes. */
   public ReconnectingConnection(
       Net net,
       Connector connector,
       InetSocketAddress to,
-      Hello mine,
+      Hello localHello,
       FrameLimits limits,
       FrameTap tap,
-      DeterministicRandom chance,
-      FrameListener user) {
+      DeterministicRandom random,
+      FrameListener listener) {
     this.net = net;
     this.connector = connector;
     this.to = to;
-    this.mine = mine;
+    this.localHello = localHello;
     this.limits = limits;
     this.tap = tap;
-    pauses = new ExponentialBackoff(FIRST, MOST, chance::next);
-    this.user = user;
+    backoff = new ExponentialBackoff(FIRST_BACKOFF, MAX_BACKOFF, random::next);
+    this.listener = listener;
   }
 
+  /** Connects, and from now on whenever the connection is lost. */
   public void connect() {
-    if (stopped) {
+    if (isStopped) {
       return;
     }
-    connection = new FrameConnection(net, mine, limits, tap, this);
-    connector.connect(to, CONNECT, limits.maxUnsentBytes(), connection);
+    connection = new FrameConnection(net, localHello, limits, tap, this);
+    connector.connect(to, CONNECT_TIMEOUT, limits.maxUnsentBytes(), connection);
   }
 
+  /** Whether there is a connection on which both sides have greeted. */
   public boolean isReady() {
     return connection != null && connection.isReady();
   }
 
+  /** Bytes that the other side has not read yet. */
   public long unsentBytes() {
     return connection.unsentBytes();
   }
 
-  /** Sends if the link is there; false where it is not. */
+  /** Sends a frame if the connection is ready; false where it is not. */
   public boolean send(FrameKind kind, MessageLite head, byte[] body) {
     if (!isReady()) {
       return false;
@@ -91,35 +100,36 @@
     return true;
   }
 
-  /** Closes, and stays closed. */
+  /** Closes once all has been sent, and stays closed. */
   public void stop() {
-    stopped = true;
+    isStopped = true;
     if (connection != null) {
       connection.finish();
     }
   }
 
+  /** Closes the present connection at once; another is made. */
   public void cut(String why) {
     connection.cut(why);
   }
 
   @Override
   public void helloReceived(FrameConnection made, Hello other) {
-    pauses.over();
-    user.helloReceived(made, other);
+    backoff.over();
+    listener.helloReceived(made, other);
   }
 
   @Override
   public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
-    user.frameReceived(kind, head, body);
+    listener.frameReceived(kind, head, body);
   }
 
   @Override
   public void closed(String why) {
-    user.closed(why);
-    if (stopped) {
+    listener.closed(why);
+    if (isStopped) {
       return;
     }
-    net.at(net.now().plus(pauses.next()), this::connect);
+    net.at(net.now().plus(backoff.next()), this::connect);
   }
 }
--- a/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
@@ -72,7 +72,7 @@
    * Sends each RPC to the first unit that is ready, and pushes back what ends otherwise than ok.
    */
   private final class Simple extends RecordingRelayEvents {
-    private RelayActions host;
+    private RelayActions actions;
     private final List<Endpoint> ready = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
     private boolean waits;
@@ -99,19 +99,19 @@
       if (!ready.isEmpty()) {
         send(rpc, null);
       }
-      host.wake(
+      actions.wake(
           rpc.deadline.minus(TimeSpan.ofMs(10)),
           () -> {
             if (!rpc.ended()) {
-              host.abort(rpc);
+              actions.abort(rpc);
             }
           });
     }
 
     Attempt send(Rpc rpc, TimeSpan patience) {
-      Attempt attempt = new Attempt(rpc, ready.get(0), host.now(), patience);
+      Attempt attempt = new Attempt(rpc, ready.get(0), actions.now(), patience);
       attempts.add(attempt);
-      host.send(attempt);
+      actions.send(attempt);
       return attempt;
     }
 
@@ -119,7 +119,7 @@
     public void attemptEnded(Attempt attempt, boolean answers) {
       super.attemptEnded(attempt, answers);
       if (!attempt.rpc.ended() && attempt.rpc.out() == 0 && !waits) {
-        host.pushBack(attempt.rpc, TimeSpan.ofMs(20));
+        actions.pushBack(attempt.rpc, TimeSpan.ofMs(20));
       }
     }
   }
@@ -148,7 +148,7 @@
     relay = new FrameRelay(config(CONFIG), net, FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
-          module.host = host;
+          module.actions = host;
           return module;
         });
     client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
@@ -461,7 +461,7 @@
     answers(2, Result.DONE);
     net.settle();
     assertTrue(client.received.isEmpty());
-    net.turn(() -> module.host.cancel(module.attempts.get(0)));
+    net.turn(() -> module.actions.cancel(module.attempts.get(0)));
     net.settle();
     assertEquals(last(endpoints).<Stop>heads(FrameKind.STOP).get(0).getId(), 1);
     assertEquals(module.attempts.get(0).outcome().name(), "CANCELLED");
@@ -491,7 +491,7 @@
               FrameTap.NONE)
           .start(
               (host, settings, seed) -> {
-                module.host = host;
+                module.actions = host;
                 return module;
               });
       client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
@@ -550,7 +550,7 @@
             FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
-          module.host = host;
+          module.actions = host;
           return module;
         });
     client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
@@ -641,7 +641,7 @@
   @Test
   public void votesAreAnsweredOnceOrUnansweredInTime() {
     Build build = module.ready.get(0).build;
-    net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
+    net.turn(() -> module.actions.vote(build, 1, Verdict.BACK));
     net.settle();
     Vote vote = desks.get(0).<Vote>heads(FrameKind.VOTE).get(0);
     net.turn(
@@ -651,7 +651,7 @@
                 .send(
                     FrameKind.VOTED,
                     Voted.newBuilder().setId(vote.getId()).setTaken(Taken.MOOT).build()));
-    net.turn(() -> module.host.vote(build, 1, Verdict.BACK));
+    net.turn(() -> module.actions.vote(build, 1, Verdict.BACK));
     net.pass(1100);
     net.turn(
         () ->
@@ -686,10 +686,10 @@
 
   @Test
   public void peersAreToldOverLinksOfTheirOwnAndLossesAreBorne() throws IOException {
-    net.turn(() -> module.host.tellPeers(new byte[] {1}));
+    net.turn(() -> module.actions.tellPeers(new byte[] {1}));
     List<RecordingPeer> peers = RecordingPeer.listen(net, Role.RELAY, 1, 1003);
     net.pass(300);
-    net.turn(() -> module.host.tellPeer(1, new byte[] {2}));
+    net.turn(() -> module.actions.tellPeer(1, new byte[] {2}));
     net.settle();
     assertEquals(last(peers).received.get(0).body(), new byte[] {2});
     RecordingPeer peer = RecordingPeer.connect(net, Role.RELAY, 1, 1000);
--- a/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
@@ -146,15 +146,16 @@
   @Test
   public void versionsWithinReachUnderstandEachOther() {
     assertEquals(
-        FrameConnection.tooFar(Hello.newBuilder().setVersion(1).build()),
+        FrameConnection.versionMismatch(Hello.newBuilder().setVersion(1).build()),
         null); // as the last program greeted
     assertEquals(
-        FrameConnection.tooFar(Hello.newBuilder().setVersion(3).setOldest(1).build()), null);
+        FrameConnection.versionMismatch(Hello.newBuilder().setVersion(3).setOldest(1).build()),
+        null);
     assertEquals(
-        FrameConnection.tooFar(Hello.newBuilder().setVersion(3).setOldest(2).build()),
+        FrameConnection.versionMismatch(Hello.newBuilder().setVersion(3).setOldest(2).build()),
         "speaks versions 2 to 3, here 1 to 1 are spoken");
     assertEquals(
-        FrameConnection.tooFar(Hello.newBuilder().setVersion(9).build()),
+        FrameConnection.versionMismatch(Hello.newBuilder().setVersion(9).build()),
         "speaks versions 9 to 9, here 1 to 1 are spoken");
   }
 
