--- a/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
@@ -46,7 +46,7 @@
 import sprucerock.transport.wire.v1.Voted;
 import sprucerock.transport.wire.v1.Work;
 
-/** The relay between scripted people, with a module that does as each story says. */
+/** The relay between scripted peers, with a policy that each test directs. */
 public class FrameRelayTest {
   static final String CONFIG =
       """
@@ -68,10 +68,8 @@
         </relay>
         """;
 
-  /**
-   * Sends each RPC to the first unit that is ready, and pushes back what ends otherwise than ok.
-   */
-  private final class Simple extends RecordingRelayEvents {
+  /** Sends each request to the first ready endpoint, and rejects it unless the attempt succeeds. */
+  private final class FirstReadyEndpointPolicy extends RecordingRelayEvents {
     private RelayActions actions;
     private final List<Endpoint> ready = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
@@ -126,9 +124,9 @@
 
   private SimulatedNet net;
   private FrameRelay relay;
-  private Simple module;
-  private List<RecordingPeer> rosters;
-  private List<RecordingPeer> desks;
+  private FirstReadyEndpointPolicy policy;
+  private List<RecordingPeer> discoveries;
+  private List<RecordingPeer> controllers;
   private List<RecordingPeer> endpoints;
   private RecordingPeer client;
 
@@ -141,20 +139,20 @@
   @BeforeMethod
   public void begin() throws Exception {
     net = new SimulatedNet(1000, 5);
-    module = new Simple();
-    rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
-    desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
+    policy = new FirstReadyEndpointPolicy();
+    discoveries = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    controllers = RecordingPeer.listen(net, Role.DESK, 0, 1002);
     endpoints = RecordingPeer.listen(net, Role.UNIT, 7, 2007);
     relay = new FrameRelay(config(CONFIG), net, FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
-          module.actions = host;
-          return module;
+          policy.actions = host;
+          return policy;
         });
     client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
     net.pass(10);
-    lists(Form.WHOLE, entry(7, 1, Health.READY));
-    module.calls.clear();
+    sendListing(Form.WHOLE, entry(7, 1, Health.READY));
+    policy.calls.clear();
   }
 
   private static Entry.Builder entry(long endpoint, long run, Health health) {
@@ -168,12 +166,12 @@
         .setWeight(1);
   }
 
-  private void lists(Form form, Entry.Builder... entries) {
+  private void sendListing(Form form, Entry.Builder... entries) {
     Listing.Builder listing = Listing.newBuilder().setForm(form);
     for (Entry.Builder one : entries) {
       listing.addEntries(one);
     }
-    net.turn(() -> last(rosters).send(FrameKind.LISTING, listing.build()));
+    net.turn(() -> last(discoveries).send(FrameKind.LISTING, listing.build()));
     net.settle();
   }
 
@@ -181,11 +179,11 @@
     return people.get(people.size() - 1);
   }
 
-  private void calls(long id) {
-    calls(client, id, 0);
+  private void sendRequest(long id) {
+    sendRequest(client, id, 0);
   }
 
-  private void calls(RecordingPeer who, long id, int method) {
+  private void sendRequest(RecordingPeer who, long id, int method) {
     net.turn(
         () ->
             who.send(
@@ -196,7 +194,7 @@
     net.settle();
   }
 
-  private void answers(long workId, Result result) {
+  private void endpointAnswers(long workId, Result result) {
     net.turn(
         () ->
             last(endpoints)
@@ -206,31 +204,31 @@
                     (byte) 99));
   }
 
-  private List<String> answered(RecordingPeer who) {
+  private List<String> answersTo(RecordingPeer who) {
     return who.<Answer>heads(FrameKind.ANSWER).stream()
         .map(one -> one.getId() + " " + one.getEnding())
         .toList();
   }
 
   @Test
-  public void anRpcGoesToItsUnitAndTheAnswerBack() {
-    calls(1);
+  public void requestReachesItsEndpointAndItsAnswerTheClient() {
+    sendRequest(1);
     RecordingPeer endpoint = endpoints.get(0);
     assertEquals(endpoint.received.get(0).body(), new byte[] {1, 42});
     Work work = (Work) endpoint.received.get(0).head();
     assertTrue(
         work.getLeftUs() > 980_000 && work.getLeftUs() <= 1_000_000, "left " + work.getLeftUs());
     net.pass(20);
-    answers(work.getId(), Result.DONE);
+    endpointAnswers(work.getId(), Result.DONE);
     net.settle();
-    assertEquals(answered(client), List.of("1 OK"));
+    assertEquals(answersTo(client), List.of("1 OK"));
     assertEquals(client.received.get(0).body(), new byte[] {99});
-    assertEquals(module.calls, List.of("arrived 1", "ended 1.0 OK answers"));
+    assertEquals(policy.calls, List.of("arrived 1", "ended 1.0 OK answers"));
   }
 
   @Test
-  public void anAnswerInTheTurnOfTheClientsLeavingIsNotPassedOn() {
-    calls(1);
+  public void answerInTheTurnOfTheWithdrawalIsNotForwarded() {
+    sendRequest(1);
     net.turn(
         () -> {
           client.send(FrameKind.LEAVE, Leave.newBuilder().setId(1).build());
@@ -239,31 +237,31 @@
         });
     net.settle();
     assertTrue(client.received.isEmpty());
-    assertEquals(module.calls, List.of("arrived 1", "left 1", "ended 1.0 OK"));
+    assertEquals(policy.calls, List.of("arrived 1", "left 1", "ended 1.0 OK"));
   }
 
   @Test
-  public void anOkAfterTheFinalAnswerIsNotPassedOn() {
-    calls(1);
+  public void okAfterTheFinalAnswerIsNotForwarded() {
+    sendRequest(1);
     net.pass(995);
-    answers(1, Result.DONE);
+    endpointAnswers(1, Result.DONE);
     net.pass(50);
-    assertEquals(answered(client), List.of("1 ABORTED"));
+    assertEquals(answersTo(client), List.of("1 ABORTED"));
     assertEquals(relay.requestTracker().known(), 0);
   }
 
   @Test
-  public void aCutAfterTheRequestWasWrittenMayHaveRunAndOneBeforeDidNot() {
-    calls(1);
+  public void attemptIsBrokenIfCutAfterItsFrameLeftAndNotConnectedBefore() {
+    sendRequest(1);
     endpoints.get(0).connection.cut("crash");
     net.settle();
-    assertEquals(module.calls.get(1), "ended 1.0 BROKEN");
-    module.calls.clear();
+    assertEquals(policy.calls.get(1), "ended 1.0 BROKEN");
+    policy.calls.clear();
     net.pass(2000);
-    calls(2); // a connection again
-    answers(1, Result.DONE);
+    sendRequest(2); // a connection again
+    endpointAnswers(1, Result.DONE);
     net.settle();
-    module.calls.clear();
+    policy.calls.clear();
     net.turn(
         () -> { // in one turn: the frame is written to the link, which is cut before anything went
           // out
@@ -273,14 +271,14 @@
     assertEquals(unsent.outcome().name(), "NOT_CONNECTED");
   }
 
-  /** A pick written in a turn in which its link is cut too. */
+  /** An attempt written in a turn in which its connection is cut too. */
   private Attempt sendThenCut() {
     net.settle();
     Attempt[] made = new Attempt[1];
     net.turn(
         () -> {
-          Rpc rpc = module.attempts.get(module.attempts.size() - 1).rpc;
-          made[0] = module.send(rpc, null);
+          Rpc rpc = policy.attempts.get(policy.attempts.size() - 1).rpc;
+          made[0] = policy.send(rpc, null);
           ((FrameExchange) made[0].door).connection.connection.cut("a turn that went wrong");
         });
     net.settle();
@@ -288,23 +286,23 @@
   }
 
   @Test
-  public void anIdMayComeBackOnceItsRpcIsAnsweredAndNotBefore() {
-    calls(1);
-    answers(1, Result.DONE);
+  public void requestIdMayBeReusedOnlyOnceAnswered() {
+    sendRequest(1);
+    endpointAnswers(1, Result.DONE);
     net.settle();
-    calls(1);
-    answers(2, Result.DONE);
+    sendRequest(1);
+    endpointAnswers(2, Result.DONE);
     net.settle();
-    assertEquals(answered(client), List.of("1 OK", "1 OK"));
-    calls(4);
-    calls(4);
+    assertEquals(answersTo(client), List.of("1 OK", "1 OK"));
+    sendRequest(4);
+    sendRequest(4);
     net.settle();
     assertEquals(client.closeReason, "closed by the other side");
-    assertTrue(module.calls.contains("left 3"), module.calls.toString());
+    assertTrue(policy.calls.contains("left 3"), policy.calls.toString());
   }
 
   @Test
-  public void rubbishHalfAHeaderOrNothingCutsOnlyItsOwnLink() {
+  public void malformedOrSilentConnectionIsClosedAndOthersStay() {
     List<String> ends = new ArrayList<>();
     byte[][] talks = {
       {0, 0, 0, 9, 99, 0, 0, 0, 1, 2, 3, 4, 5}, {0, 0, 0}, {}, {-1, -1, -1, -1, 0, 0, 0, 0}
@@ -333,14 +331,14 @@
     }
     net.pass(7000);
     assertEquals(ends.size(), 4);
-    calls(1);
-    answers(1, Result.DONE);
+    sendRequest(1);
+    endpointAnswers(1, Result.DONE);
     net.settle();
-    assertEquals(answered(client), List.of("1 OK"));
+    assertEquals(answersTo(client), List.of("1 OK"));
   }
 
   @Test
-  public void anotherUnitBehindTheAddressIsNeverSentAnything() throws IOException {
+  public void wrongEndpointBehindTheAddressIsSentNothing() throws IOException {
     List<RecordingPeer> others = new ArrayList<>();
     net.listen(
         new java.net.InetSocketAddress("127.0.0.1", 2008),
@@ -351,157 +349,157 @@
           others.add(other);
           return other.connection;
         });
-    lists(Form.WHOLE, entry(8, 1, Health.READY));
-    calls(1);
-    assertEquals(module.calls.get(3), "ended 1.0 NOT_CONNECTED");
+    sendListing(Form.WHOLE, entry(8, 1, Health.READY));
+    sendRequest(1);
+    assertEquals(policy.calls.get(3), "ended 1.0 NOT_CONNECTED");
     assertTrue(others.get(0).received.isEmpty());
-    assertEquals(answered(client), List.of("1 PUSHED_BACK"));
+    assertEquals(answersTo(client), List.of("1 PUSHED_BACK"));
   }
 
   @Test
-  public void picksWaitForRoomInBoundsAndNoneIsSentOnceTheUnitLeaves() {
-    module.waits = true;
+  public void attemptsWaitInBoundsAndNoneIsSentOnceTheEndpointDrains() {
+    policy.waits = true;
     for (int i = 1; i <= 12; i++) {
-      calls(i);
+      sendRequest(i);
     }
     assertEquals(endpoints.size(), 2);
     assertEquals(endpoints.get(0).received.size() + endpoints.get(1).received.size(), 6);
-    assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 2);
-    lists(Form.CHANGES, entry(7, 1, Health.DRAINING));
-    assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 6);
-    answers(1, Result.DONE);
+    assertEquals(policy.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 2);
+    sendListing(Form.CHANGES, entry(7, 1, Health.DRAINING));
+    assertEquals(policy.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 6);
+    endpointAnswers(1, Result.DONE);
     net.pass(300);
     assertEquals(endpoints.get(0).received.size() + endpoints.get(1).received.size(), 6);
   }
 
   @Test
-  public void aPickThatWaitsIsNotSentOnceItsRpcHasEnded() {
-    module.waits = true;
+  public void waitingAttemptIsNotSentOnceItsRequestHasEnded() {
+    policy.waits = true;
     for (int i = 1; i <= 7; i++) {
-      calls(i);
+      sendRequest(i);
     }
     net.turn(() -> client.send(FrameKind.LEAVE, Leave.newBuilder().setId(7).build()));
     net.settle();
-    answers(1, Result.DONE); // room for the one that waited
+    endpointAnswers(1, Result.DONE); // room for the one that waited
     net.settle();
-    assertEquals(module.attempts.get(6).outcome().name(), "MOOT");
+    assertEquals(policy.attempts.get(6).outcome().name(), "MOOT");
     assertEquals(endpoints.get(0).received.size() + endpoints.get(1).received.size(), 6);
   }
 
   @Test
-  public void aConnectionThatDoesNotComeUpInTimeEndsItsPicksAsNeverSent() {
+  public void connectTimeoutEndsWaitingAttemptsAsNotConnected() {
     net.connectsHang(true);
-    calls(1);
+    sendRequest(1);
     net.pass(195);
-    assertEquals(module.calls.size(), 1);
+    assertEquals(policy.calls.size(), 1);
     net.pass(10);
-    assertEquals(module.calls.get(1), "ended 1.0 NOT_CONNECTED");
+    assertEquals(policy.calls.get(1), "ended 1.0 NOT_CONNECTED");
   }
 
   @Test
-  public void afterAFailedConnectionNoneIsTriedForAPauseThatGrows() throws IOException {
-    lists(Form.WHOLE, entry(8, 1, Health.READY)); // nobody listens there
-    module.calls.clear();
+  public void failedConnectionsAreRetriedWithBackoff() throws IOException {
+    sendListing(Form.WHOLE, entry(8, 1, Health.READY)); // nobody listens there
+    policy.calls.clear();
     for (int i = 1; i <= 400; i++) {
-      calls(i);
+      sendRequest(i);
       net.pass(5);
     }
-    assertEquals(module.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 400);
+    assertEquals(policy.calls.stream().filter(call -> call.endsWith("NOT_CONNECTED")).count(), 400);
     assertTrue(
         net.connects() <= 11,
         "seven in two seconds at most, beside three links: " + net.connects());
     endpoints = RecordingPeer.listen(net, Role.UNIT, 8, 2008);
     net.pass(1000);
-    calls(500);
+    sendRequest(500);
     assertEquals(endpoints.size(), 1);
   }
 
   @Test
-  public void aConnectionThatClosesForBeingIdleGetsNoPickAnyMore() {
-    calls(1);
-    answers(1, Result.DONE);
+  public void idleConnectionIsSentNothingOnceItCloses() {
+    sendRequest(1);
+    endpointAnswers(1, Result.DONE);
     net.pass(4990);
     for (int i = 0; i < 6; i++) { // around the moment at which it is closed
-      calls(10 + i);
-      answers(2 + i, Result.DONE);
+      sendRequest(10 + i);
+      endpointAnswers(2 + i, Result.DONE);
       net.settle();
       net.pass(5);
     }
     net.pass(11_000);
     assertEquals(endpoints.get(0).closeReason, "closed by the other side");
-    calls(30);
+    sendRequest(30);
     assertEquals(endpoints.size(), 2);
     assertTrue(
-        module.calls.stream().noneMatch(call -> call.endsWith("BROKEN")), module.calls.toString());
+        policy.calls.stream().noneMatch(call -> call.endsWith("BROKEN")), policy.calls.toString());
   }
 
   @Test
-  public void numbersThatAreUnsignedOnTheWireReachTheModuleSo() {
+  public void unsignedNumbersOfTheWireReachThePolicyAsSuch() {
     net.turn(
         () ->
             client.send(
                 FrameKind.CALL,
                 Call.newBuilder().setId(-1).setCustomer(-1).setLeftUs(-1).setHintUs(-1).build()));
     net.settle();
-    Rpc rpc = module.attempts.get(0).rpc;
+    Rpc rpc = policy.attempts.get(0).rpc;
     assertTrue(
         rpc.tenant > 0 && rpc.deadline.since(net.now()).ms() == 86_400_000 && rpc.hint == null);
-    answers(1, Result.DONE);
+    endpointAnswers(1, Result.DONE);
     net.settle();
     assertEquals(client.<Answer>heads(FrameKind.ANSWER).get(0).getId(), -1);
   }
 
   @Test
-  public void aPickPastItsPatienceIsTimedOutAndItsLateAnswerDropped() {
-    module.waits = true;
-    calls(1);
-    Attempt second = module.send(module.attempts.get(0).rpc, TimeSpan.ofMs(50));
+  public void attemptPastItsTimeoutIsTimedOutAndItsLateAnswerDropped() {
+    policy.waits = true;
+    sendRequest(1);
+    Attempt second = policy.send(policy.attempts.get(0).rpc, TimeSpan.ofMs(50));
     net.pass(60);
     assertEquals(second.outcome().name(), "TIMED_OUT");
-    answers(2, Result.DONE);
+    endpointAnswers(2, Result.DONE);
     net.settle();
     assertTrue(client.received.isEmpty());
-    net.turn(() -> module.actions.cancel(module.attempts.get(0)));
+    net.turn(() -> policy.actions.cancel(policy.attempts.get(0)));
     net.settle();
     assertEquals(last(endpoints).<Stop>heads(FrameKind.STOP).get(0).getId(), 1);
-    assertEquals(module.attempts.get(0).outcome().name(), "CANCELLED");
+    assertEquals(policy.attempts.get(0).outcome().name(), "CANCELLED");
   }
 
   @Test
-  public void aUnitThatNeverAnswersDoesNotKeepItsConnectionFull() {
-    module.waits = true;
+  public void unresponsiveEndpointDoesNotKeepItsConnectionFull() {
+    policy.waits = true;
     for (int i = 1; i <= 6; i++) {
-      calls(i);
+      sendRequest(i);
     }
     net.pass(1100);
     assertEquals(endpoints.get(0).closeReason, "closed by the other side");
-    calls(9);
+    sendRequest(9);
     assertEquals(last(endpoints).<Work>heads(FrameKind.WORK).size(), 1);
   }
 
   @Test
-  public void clientsWaitUntilListAndNewsAreThereOrTheWaitIsOver() throws Exception {
+  public void clientsAreAcceptedOnceListAndNewsAreThereOrTheWaitIsOver() throws Exception {
     for (boolean comes : new boolean[] {true, false}) {
       net = new SimulatedNet(1000, 5);
-      rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
-      desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
+      discoveries = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+      controllers = RecordingPeer.listen(net, Role.DESK, 0, 1002);
       new FrameRelay(
               config(CONFIG.replace("wait-for-list=\"0ms\"", "wait-for-list=\"1s\"")),
               net,
               FrameTap.NONE)
           .start(
               (host, settings, seed) -> {
-                module.actions = host;
-                return module;
+                policy.actions = host;
+                return policy;
               });
       client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
       net.pass(300);
-      lists(Form.WHOLE, entry(7, 1, Health.READY));
+      sendListing(Form.WHOLE, entry(7, 1, Health.READY));
       assertNull(client.connection.remoteHello(), "no news yet");
       if (comes) {
         net.turn(
             () ->
-                desks
+                controllers
                     .get(0)
                     .send(
                         FrameKind.NEWS,
@@ -520,25 +518,25 @@
   }
 
   @Test
-  public void beyondALimitAnRpcIsTurnedAwayUnseen() {
-    module.waits = true;
+  public void requestBeyondALimitIsRejectedUnseenByThePolicy() {
+    policy.waits = true;
     for (int i = 1; i <= 41; i++) {
-      calls(i);
+      sendRequest(i);
     }
-    assertEquals(answered(client), List.of("41 PUSHED_BACK"));
+    assertEquals(answersTo(client), List.of("41 PUSHED_BACK"));
     RecordingPeer other = RecordingPeer.connect(net, Role.CLIENT, 4, 1000);
     net.settle();
     for (int i = 1; i <= 11; i++) {
-      calls(other, i, 0);
+      sendRequest(other, i, 0);
     }
-    assertEquals(answered(other), List.of("11 PUSHED_BACK"));
-    calls(other, 12, 77);
-    assertEquals(answered(other).get(1), "12 ABORTED");
-    assertEquals(module.calls.stream().filter(call -> call.startsWith("arrived")).count(), 50);
+    assertEquals(answersTo(other), List.of("11 PUSHED_BACK"));
+    sendRequest(other, 12, 77);
+    assertEquals(answersTo(other).get(1), "12 ABORTED");
+    assertEquals(policy.calls.stream().filter(call -> call.startsWith("arrived")).count(), 50);
   }
 
   @Test
-  public void thousandsOfRpcsThatEndAtOneDeadlineGetOneAnswerEach() throws Exception {
+  public void thousandsOfRequestsWithOneDeadlineGetOneAnswerEach() throws Exception {
     net = new SimulatedNet(1000, 5);
     relay =
         new FrameRelay(
@@ -550,12 +548,12 @@
             FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
-          module.actions = host;
-          return module;
+          policy.actions = host;
+          return policy;
         });
     client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
     net.pass(10);
-    module.ready.clear();
+    policy.ready.clear();
     net.turn(
         () -> {
           for (int i = 1; i <= 5000; i++) {
@@ -565,14 +563,14 @@
     net.pass(480);
     assertTrue(client.received.isEmpty());
     net.pass(100);
-    assertEquals(answered(client).stream().distinct().count(), 5000);
+    assertEquals(answersTo(client).stream().distinct().count(), 5000);
     assertEquals(client.received.size(), 5000);
     assertEquals(relay.requestTracker().open(), 0);
   }
 
   @Test
-  public void anRpcThatAFaultyModuleForgetsIsAbortedAtItsDeadline() {
-    module.faulty = true;
+  public void requestForgottenByAFaultyPolicyIsAbortedAtItsDeadline() {
+    policy.faulty = true;
     net.turn(
         () -> client.send(FrameKind.CALL, Call.newBuilder().setId(1).setLeftUs(300_000).build()));
     try {
@@ -583,89 +581,89 @@
     net.pass(295);
     assertTrue(client.received.isEmpty());
     net.pass(10);
-    assertEquals(answered(client), List.of("1 ABORTED"));
+    assertEquals(answersTo(client), List.of("1 ABORTED"));
     assertEquals(relay.requestTracker().open(), 0);
   }
 
   @Test
-  public void finishingAnswersAllThatIsOpenAndTakesNothingNew() {
+  public void shutdownAnswersOpenRequestsAndRejectsNewOnes() {
     boolean[] done = new boolean[1];
-    calls(1);
-    calls(2);
+    sendRequest(1);
+    sendRequest(2);
     net.turn(() -> relay.shutdown(() -> done[0] = true));
-    calls(3);
-    assertEquals(answered(client), List.of("3 PUSHED_BACK"));
-    answers(1, Result.DONE);
+    sendRequest(3);
+    assertEquals(answersTo(client), List.of("3 PUSHED_BACK"));
+    endpointAnswers(1, Result.DONE);
     net.pass(100);
     assertTrue(!done[0]);
     net.pass(1200);
-    assertEquals(answered(client), List.of("3 PUSHED_BACK", "1 OK", "2 ABORTED"));
+    assertEquals(answersTo(client), List.of("3 PUSHED_BACK", "1 OK", "2 ABORTED"));
     assertTrue(done[0]);
     assertEquals(client.closeReason, "closed by the other side");
   }
 
   @Test
-  public void aRestartOfAUnitIsAnotherUnitWhatAgeItMayTell() {
-    lists(Form.CHANGES, entry(7, 1, Health.READY).setAgeUs(5));
-    assertTrue(module.calls.isEmpty(), "an age told late is no restart: " + module.calls);
-    lists(Form.CHANGES, entry(7, 2, Health.READY).setAgeUs(300_000));
-    assertEquals(module.calls, List.of("leaving 7", "ready 7"));
-    assertEquals(module.ready.get(0).started.ms(), 1010 - 300, 1.0);
+  public void restartedEndpointIsAnotherEndpointWhateverItsAge() {
+    sendListing(Form.CHANGES, entry(7, 1, Health.READY).setAgeUs(5));
+    assertTrue(policy.calls.isEmpty(), "an age told late is no restart: " + policy.calls);
+    sendListing(Form.CHANGES, entry(7, 2, Health.READY).setAgeUs(300_000));
+    assertEquals(policy.calls, List.of("leaving 7", "ready 7"));
+    assertEquals(policy.ready.get(0).started.ms(), 1010 - 300, 1.0);
   }
 
   @Test
-  public void whatTheListHasWrongIsLeftOutAndTheRestStands() {
-    lists(
+  public void invalidEntriesOfAListingAreSkippedAndTheRestApplied() {
+    sendListing(
         Form.CHANGES,
         entry(8, 1, Health.READY).setPort(0),
         entry(9, 1, Health.READY).setHost("unit.example"),
         entry(10, 1, Health.HEALTH_UNKNOWN),
         entry(11, 1, Health.READY).setWeight(Double.NaN),
         entry(12, 1, Health.READY));
-    assertEquals(module.calls, List.of("ready 12"));
-    lists(Form.FORM_UNKNOWN);
-    assertEquals(module.ready.size(), 2);
+    assertEquals(policy.calls, List.of("ready 12"));
+    sendListing(Form.FORM_UNKNOWN);
+    assertEquals(policy.ready.size(), 2);
   }
 
   @Test
-  public void theRosterAndDeskComeBackByThemselves() {
-    rosters.get(0).connection.cut("restart");
-    desks.get(0).connection.cut("restart");
+  public void discoveryAndControllerAreReconnectedTo() {
+    discoveries.get(0).connection.cut("restart");
+    controllers.get(0).connection.cut("restart");
     net.pass(300);
-    assertEquals(rosters.size(), 2);
-    assertEquals(desks.size(), 2);
-    assertEquals(last(rosters).received.get(0).kind(), FrameKind.WATCH);
-    assertEquals(module.ready.size(), 1, "what was listed holds");
+    assertEquals(discoveries.size(), 2);
+    assertEquals(controllers.size(), 2);
+    assertEquals(last(discoveries).received.get(0).kind(), FrameKind.WATCH);
+    assertEquals(policy.ready.size(), 1, "what was listed holds");
   }
 
   @Test
-  public void votesAreAnsweredOnceOrUnansweredInTime() {
-    Build build = module.ready.get(0).build;
-    net.turn(() -> module.actions.vote(build, 1, Verdict.BACK));
+  public void voteGetsOneReplyOrIsUnansweredAfterTheTimeout() {
+    Build build = policy.ready.get(0).build;
+    net.turn(() -> policy.actions.vote(build, 1, Verdict.BACK));
     net.settle();
-    Vote vote = desks.get(0).<Vote>heads(FrameKind.VOTE).get(0);
+    Vote vote = controllers.get(0).<Vote>heads(FrameKind.VOTE).get(0);
     net.turn(
         () ->
-            desks
+            controllers
                 .get(0)
                 .send(
                     FrameKind.VOTED,
                     Voted.newBuilder().setId(vote.getId()).setTaken(Taken.MOOT).build()));
-    net.turn(() -> module.actions.vote(build, 1, Verdict.BACK));
+    net.turn(() -> policy.actions.vote(build, 1, Verdict.BACK));
     net.pass(1100);
     net.turn(
         () ->
-            desks
+            controllers
                 .get(0)
                 .send(
                     FrameKind.VOTED,
                     Voted.newBuilder().setId(vote.getId() + 1).setTaken(Taken.COUNTS).build()));
     net.settle();
-    assertEquals(module.calls, List.of("vote MOOT", "vote UNANSWERED"));
+    assertEquals(policy.calls, List.of("vote MOOT", "vote UNANSWERED"));
   }
 
   @Test
-  public void newsThatCantBeIsRefused() {
+  public void invalidNewsIsRefused() {
     News.Builder good =
         News.newBuilder().setBuild(2).setStage(1).setStanding(Stand.ON_TRIAL).setCap(0.5);
     net.turn(
@@ -676,20 +674,20 @@
                   good.clone().setCap(Double.NaN).build(),
                   good.clone().setStage(9).build(),
                   good.clone().setStanding(Stand.STAND_UNKNOWN).build())) {
-            desks.get(0).send(FrameKind.NEWS, news);
+            controllers.get(0).send(FrameKind.NEWS, news);
           }
         });
     net.settle();
-    assertEquals(module.calls, List.of("news 2 1 ON_TRIAL 0.5"));
-    assertNull(desks.get(0).closeReason);
+    assertEquals(policy.calls, List.of("news 2 1 ON_TRIAL 0.5"));
+    assertNull(controllers.get(0).closeReason);
   }
 
   @Test
-  public void peersAreToldOverLinksOfTheirOwnAndLossesAreBorne() throws IOException {
-    net.turn(() -> module.actions.tellPeers(new byte[] {1}));
+  public void peerMessagesGoOverConnectionsOfTheirOwnAndMayBeLost() throws IOException {
+    net.turn(() -> policy.actions.tellPeers(new byte[] {1}));
     List<RecordingPeer> peers = RecordingPeer.listen(net, Role.RELAY, 1, 1003);
     net.pass(300);
-    net.turn(() -> module.actions.tellPeer(1, new byte[] {2}));
+    net.turn(() -> policy.actions.tellPeer(1, new byte[] {2}));
     net.settle();
     assertEquals(last(peers).received.get(0).body(), new byte[] {2});
     RecordingPeer peer = RecordingPeer.connect(net, Role.RELAY, 1, 1000);
@@ -703,6 +701,6 @@
                 (byte) 6));
     net.turn(() -> client.send(FrameKind.FLAG, Flag.newBuilder().setUnit(7).setAgoUs(1).build()));
     net.settle();
-    assertEquals(module.calls, List.of("peer 1 2", "flagged 7"));
+    assertEquals(policy.calls, List.of("peer 1 2", "flagged 7"));
   }
 }
--- a/src/test/java/sprucerock/relay/frames/RackPermitsTest.java
+++ b/src/test/java/sprucerock/relay/frames/RackPermitsTest.java
@@ -23,7 +23,7 @@
   private static final long NOTICE = 60_000;
   private static final long LIST = 0xabcdef;
   private SimulatedNet net;
-  private RackPermits racks;
+  private RackPermits rackPermits;
   private List<PromiseAsk> asks;
 
   @BeforeMethod
@@ -32,7 +32,7 @@
     asks = new ArrayList<>();
     String xml =
         FrameRelayTest.CONFIG.replace("<site ", "<racks ask-every=\"1s\" drift=\"0\"/><site ");
-    racks =
+    rackPermits =
         new RackPermits(
             net,
             FrameRelayTest.config(xml),
@@ -54,7 +54,7 @@
                 // asked for by mayPlace()
               }
             });
-    racks.start();
+    rackPermits.start();
   }
 
   private static RackFree rack(int cell, long leftMs, long noticeMs) {
@@ -66,7 +66,7 @@
         .build();
   }
 
-  private PromiseAsk asked() {
+  private PromiseAsk nextRequest() {
     int before = asks.size();
     net.pass(2000);
     assertTrue(asks.size() > before);
@@ -74,10 +74,10 @@
   }
 
   /** All there is, by a controller of that epoch that numbers lists. */
-  private void whole(long epoch, long list, RackFree... all) {
-    racks.promiseReceived(
+  private void promiseAll(long epoch, long list, RackFree... all) {
+    rackPermits.promiseReceived(
         Promised.newBuilder()
-            .setId(asked().getId())
+            .setId(nextRequest().getId())
             .setEpoch(epoch)
             .setSequence(5)
             .setList(list)
@@ -85,10 +85,10 @@
             .build());
   }
 
-  private void rest(long epoch, long list, RackFree... some) {
-    racks.promiseReceived(
+  private void promiseRest(long epoch, long list, RackFree... some) {
+    rackPermits.promiseReceived(
         Promised.newBuilder()
-            .setId(asked().getId())
+            .setId(nextRequest().getId())
             .setEpoch(epoch)
             .setSequence(6)
             .setList(list)
@@ -98,29 +98,29 @@
   }
 
   @Test
-  public void whatAnAnswerLeavesOutIsFreeForItsNoticeAndWhatItNamesIsNot() {
+  public void omittedRackIsPermittedForItsNoticeAndNamedOneAsNamed() {
     assertEquals(asks.get(0).getList(), 1); // none yet
-    whole(1, LIST, rack(1, NOTICE, NOTICE), rack(2, 30_000, NOTICE), rack(3, 4000, 4000));
-    assertEquals(asked().getList(), LIST);
-    rest(1, LIST, rack(1, 0, 0));
-    assertFalse(racks.mayPlace(1, 1)); // frozen
-    assertTrue(racks.mayPlace(1, 2)); // free again
-    assertTrue(racks.mayPlace(1, 3));
+    promiseAll(1, LIST, rack(1, NOTICE, NOTICE), rack(2, 30_000, NOTICE), rack(3, 4000, 4000));
+    assertEquals(nextRequest().getList(), LIST);
+    promiseRest(1, LIST, rack(1, 0, 0));
+    assertFalse(rackPermits.mayPlace(1, 1)); // frozen
+    assertTrue(rackPermits.mayPlace(1, 2)); // free again
+    assertTrue(rackPermits.mayPlace(1, 3));
     net.pass(4000); // nothing more is heard: each rack's own notice, less the longest deadline
-    assertFalse(racks.mayPlace(1, 3));
-    assertTrue(racks.mayPlace(1, 2));
+    assertFalse(rackPermits.mayPlace(1, 3));
+    assertTrue(rackPermits.mayPlace(1, 2));
     net.pass(NOTICE);
-    assertFalse(racks.mayPlace(1, 2));
-    assertTrue(racks.mayPlace(1, 9)); // no rack
+    assertFalse(rackPermits.mayPlace(1, 2));
+    assertTrue(rackPermits.mayPlace(1, 9)); // no rack
   }
 
   /** It counts from before the ask, also for what the answer leaves out. */
   @Test
-  public void anAnswerThatWasLongOnItsWayPromisesLess() {
-    whole(1, LIST, rack(1, NOTICE, NOTICE), rack(3, 2500, 2500));
-    PromiseAsk ask = asked();
+  public void delayedPromisePermitsLess() {
+    promiseAll(1, LIST, rack(1, NOTICE, NOTICE), rack(3, 2500, 2500));
+    PromiseAsk ask = nextRequest();
     net.standStill(1600);
-    racks.promiseReceived(
+    rackPermits.promiseReceived(
         Promised.newBuilder()
             .setId(ask.getId())
             .setEpoch(1)
@@ -129,20 +129,21 @@
             .setRest(true)
             .build());
     assertFalse(
-        racks.mayPlace(1, 3)); // 1.6 of 2.5 s are over, and what is placed may run for a second
-    assertTrue(racks.mayPlace(1, 1));
+        rackPermits.mayPlace(
+            1, 3)); // 1.6 of 2.5 s are over, and what is placed may run for a second
+    assertTrue(rackPermits.mayPlace(1, 1));
   }
 
   /** An older controller names all each time and no list, before and after a newer one. */
   @Test
-  public void anOlderControllerTellsAllAndNothingIsFilledIn() {
-    whole(1, LIST, rack(1, NOTICE, NOTICE), rack(2, NOTICE, NOTICE));
-    whole(2, 0, rack(1, 0, 0), rack(4, NOTICE, 0));
-    assertFalse(racks.mayPlace(1, 1));
-    assertTrue(racks.mayPlace(1, 4));
-    assertEquals(asked().getList(), 1); // what the newer one told is over
-    whole(3, LIST, rack(1, NOTICE, NOTICE));
-    assertEquals(asked().getList(), LIST);
+  public void olderControllerWithoutListsNamesAllRacks() {
+    promiseAll(1, LIST, rack(1, NOTICE, NOTICE), rack(2, NOTICE, NOTICE));
+    promiseAll(2, 0, rack(1, 0, 0), rack(4, NOTICE, 0));
+    assertFalse(rackPermits.mayPlace(1, 1));
+    assertTrue(rackPermits.mayPlace(1, 4));
+    assertEquals(nextRequest().getList(), 1); // what the newer one told is over
+    promiseAll(3, LIST, rack(1, NOTICE, NOTICE));
+    assertEquals(nextRequest().getList(), LIST);
   }
 
   /**
@@ -150,13 +151,13 @@
    * goes on until it ends.
    */
   @Test
-  public void anAnswerByAnotherListCountsNothing() {
-    whole(1, LIST, rack(1, NOTICE, NOTICE), rack(2, 0, NOTICE));
-    rest(1, LIST + 1);
-    assertFalse(racks.mayPlace(1, 2));
-    assertTrue(racks.mayPlace(1, 1));
-    assertEquals(asked().getList(), 1); // so that it is told anew
+  public void promiseByAnUnknownListIsIgnored() {
+    promiseAll(1, LIST, rack(1, NOTICE, NOTICE), rack(2, 0, NOTICE));
+    promiseRest(1, LIST + 1);
+    assertFalse(rackPermits.mayPlace(1, 2));
+    assertTrue(rackPermits.mayPlace(1, 1));
+    assertEquals(nextRequest().getList(), 1); // so that it is told anew
     net.pass(NOTICE);
-    assertFalse(racks.mayPlace(1, 1));
+    assertFalse(rackPermits.mayPlace(1, 1));
   }
 }
--- a/src/test/java/sprucerock/relay/frames/RecordingRelayEvents.java
+++ b/src/test/java/sprucerock/relay/frames/RecordingRelayEvents.java
@@ -14,15 +14,15 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** A module that writes down what it is told, and hands it on where there is another behind it. */
+/** A policy that records its events, and hands them on to a delegate where there is one. */
 public class RecordingRelayEvents implements RelayEvents {
   public final List<String> calls = new ArrayList<>();
   public RelayEvents delegate;
 
-  /** Where set, each call is noted with its time. */
+  /** Where set, each event is recorded with its time. */
   public RelayActions clock;
 
-  private void say(String call, java.util.function.Consumer<RelayEvents> next) {
+  private void record(String call, java.util.function.Consumer<RelayEvents> next) {
     calls.add(clock == null ? call : call + " @" + clock.now().ms());
     if (delegate != null) {
       next.accept(delegate);
@@ -31,40 +31,40 @@
 
   @Override
   public void endpointReady(Endpoint endpoint) {
-    say("ready " + endpoint.id, m -> m.endpointReady(endpoint));
+    record("ready " + endpoint.id, m -> m.endpointReady(endpoint));
   }
 
   @Override
   public void endpointDraining(Endpoint endpoint) {
-    say("leaving " + endpoint.id, m -> m.endpointDraining(endpoint));
+    record("leaving " + endpoint.id, m -> m.endpointDraining(endpoint));
   }
 
   @Override
   public void listFailed() {
-    say("list failed", RelayEvents::listFailed);
+    record("list failed", RelayEvents::listFailed);
   }
 
   @Override
   public void newsOfBuild(
       Build build, int stage, RolloutState standing, double cap, Timestamp since) {
-    say(
+    record(
         "news " + build.number + " " + stage + " " + standing + " " + (float) cap,
         m -> m.newsOfBuild(build, stage, standing, cap, since));
   }
 
   @Override
   public void rpcArrived(Rpc rpc) {
-    say("arrived " + rpc.id, m -> m.rpcArrived(rpc));
+    record("arrived " + rpc.id, m -> m.rpcArrived(rpc));
   }
 
   @Override
   public void streamStarted(Attempt attempt) {
-    say("stream " + attempt.rpc.id, m -> m.streamStarted(attempt));
+    record("stream " + attempt.rpc.id, m -> m.streamStarted(attempt));
   }
 
   @Override
   public void attemptEnded(Attempt attempt, boolean answers) {
-    say(
+    record(
         "ended "
             + attempt.rpc.id
             + "."
@@ -77,31 +77,31 @@
 
   @Override
   public void clientLeft(Rpc rpc) {
-    say("left " + rpc.id, m -> m.clientLeft(rpc));
+    record("left " + rpc.id, m -> m.clientLeft(rpc));
   }
 
   @Override
   public void counted(Build build, Method method, double attempts, double failed, TimeSpan mean) {
-    say("counted " + build.number, m -> m.counted(build, method, attempts, failed, mean));
+    record("counted " + build.number, m -> m.counted(build, method, attempts, failed, mean));
   }
 
   @Override
   public void looked(Endpoint endpoint, boolean answered) {
-    say("looked " + endpoint.id + " " + answered, m -> m.looked(endpoint, answered));
+    record("looked " + endpoint.id + " " + answered, m -> m.looked(endpoint, answered));
   }
 
   @Override
   public void flagged(Endpoint endpoint) {
-    say("flagged " + endpoint.id, m -> m.flagged(endpoint));
+    record("flagged " + endpoint.id, m -> m.flagged(endpoint));
   }
 
   @Override
   public void peerTold(int sender, byte[] contents) {
-    say("peer " + sender + " " + contents.length, m -> m.peerTold(sender, contents));
+    record("peer " + sender + " " + contents.length, m -> m.peerTold(sender, contents));
   }
 
   @Override
   public void voteAnswered(VoteReply reply) {
-    say("vote " + reply, m -> m.voteAnswered(reply));
+    record("vote " + reply, m -> m.voteAnswered(reply));
   }
 }
--- a/src/test/java/sprucerock/relay/frames/TlsConnectionsTest.java
+++ b/src/test/java/sprucerock/relay/frames/TlsConnectionsTest.java
@@ -46,12 +46,13 @@
 import sprucerock.transport.wire.v1.Told;
 import sprucerock.transport.wire.v1.Work;
 
-/** A relay whose connections are by TLS, between scripted people with certificates of their own. */
+/** A relay whose connections use TLS, between scripted peers with certificates of their own. */
 public class TlsConnectionsTest {
   private static final TestCa CA = TestCa.root("root");
 
-  /** Sends each RPC to the one unit, and notes how picks end. */
-  private static final class Simple extends sprucerock.relay.frames.RecordingRelayEvents {
+  /** Sends each request to the one endpoint, and records the outcomes of attempts. */
+  private static final class SingleEndpointPolicy
+      extends sprucerock.relay.frames.RecordingRelayEvents {
     private RelayActions host;
     private Endpoint endpoint;
     private final List<AttemptOutcome> ends = new ArrayList<>();
@@ -78,9 +79,9 @@
   private SimulatedNet net;
   private Aside aside;
   private FrameRelay relay;
-  private Simple module;
+  private SingleEndpointPolicy policy;
   private Path folder;
-  private List<RecordingPeer> rosters;
+  private List<RecordingPeer> discoveries;
   private List<RecordingPeer> endpoints;
   private Credentials shown;
   private RecordingPeer client;
@@ -116,7 +117,7 @@
     folder = Files.createTempDirectory("secured");
     Files.writeString(folder.resolve("trust.pem"), TestCa.pem(CA.certificate()));
     TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
-    rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    discoveries = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
     RecordingPeer.listen(net, Role.DESK, 0, 1002);
     shown = credentials(CA, TestCa.leaf("unit-7.example"));
     endpoints = new ArrayList<>();
@@ -129,11 +130,11 @@
           endpoints.add(person);
           return TlsConnection.server(place(), shown, true, person.connection);
         });
-    module = new Simple();
+    policy = new SingleEndpointPolicy();
     lastCall = 0;
   }
 
-  private void starts(String clients, String attributes) throws Exception {
+  private void startRelay(String clients, String attributes) throws Exception {
     String xml =
         FrameRelayTest.CONFIG
             .replace("number=\"1\"/>", "number=\"1\" name=\"relay-1.example\"/>")
@@ -153,12 +154,12 @@
     relay = new FrameRelay(FrameRelayTest.config(xml), net, FrameTap.NONE);
     relay.start(
         (host, settings, seed) -> {
-          module.host = host;
-          return module;
+          policy.host = host;
+          return policy;
         },
         aside);
     net.pass(20);
-    lists("unit-7.example", 1);
+    sendListing("unit-7.example", 1);
     client =
         clients.equals("plain")
             ? RecordingPeer.connect(net, Role.CLIENT, 3, 1000)
@@ -166,7 +167,7 @@
     net.pass(20);
   }
 
-  private void lists(String name, long run) {
+  private void sendListing(String name, long run) {
     Entry entry =
         Entry.newBuilder()
             .setUnit(7)
@@ -180,8 +181,8 @@
             .build();
     net.turn(
         () ->
-            rosters
-                .get(rosters.size() - 1)
+            discoveries
+                .get(discoveries.size() - 1)
                 .send(
                     FrameKind.LISTING,
                     Listing.newBuilder().setForm(Form.WHOLE).addEntries(entry).build()));
@@ -198,7 +199,7 @@
     return person;
   }
 
-  private void calls() {
+  private void sendRequest() {
     long id = ++lastCall;
     net.turn(
         () ->
@@ -209,11 +210,11 @@
     net.pass(150);
   }
 
-  private int works() {
+  private int workFrames() {
     return endpoints.stream().mapToInt(one -> one.heads(FrameKind.WORK).size()).sum();
   }
 
-  private void answers(RecordingPeer endpoint, long id) {
+  private void endpointAnswers(RecordingPeer endpoint, long id) {
     net.turn(
         () ->
             endpoint.send(
@@ -223,54 +224,55 @@
     net.pass(10);
   }
 
-  private long handshakes(String how) {
+  private long handshakeCount(String how) {
     MethodAccounts accounts = relay.requestTracker().accounts();
     return accounts.value(accounts.handshakes, 0, accounts.handshakes.columns().indexOf(how));
   }
 
   @Test
-  public void aProvenUnitGetsRpcsAndAnswersThem() throws Exception {
-    starts("plain", "");
-    calls();
-    assertEquals(works(), 1);
-    answers(endpoints.get(0), ((Work) endpoints.get(0).heads(FrameKind.WORK).get(0)).getId());
-    assertEquals(module.ends, List.of(AttemptOutcome.OK));
+  public void provenEndpointIsSentRequestsAndAnswersThem() throws Exception {
+    startRelay("plain", "");
+    sendRequest();
+    assertEquals(workFrames(), 1);
+    endpointAnswers(
+        endpoints.get(0), ((Work) endpoints.get(0).heads(FrameKind.WORK).get(0)).getId());
+    assertEquals(policy.ends, List.of(AttemptOutcome.OK));
     assertEquals(client.heads(FrameKind.ANSWER).size(), 1);
-    assertEquals(handshakes("full"), 1);
+    assertEquals(handshakeCount("full"), 1);
     assertEquals(relay.requestTracker().accounts().check(), List.of());
   }
 
   @Test
-  public void aMisnamedUnitIsNeverSentAnRpcAndThePickNeverConnected() throws Exception {
+  public void misnamedEndpointIsSentNothingAndTheAttemptIsNotConnected() throws Exception {
     shown = credentials(CA, TestCa.leaf("unit-8.example"));
-    starts("plain", "");
-    calls();
-    assertEquals(works(), 0);
-    assertEquals(module.ends, List.of(AttemptOutcome.NOT_CONNECTED));
-    assertEquals(handshakes("wrong_name"), 1);
+    startRelay("plain", "");
+    sendRequest();
+    assertEquals(workFrames(), 0);
+    assertEquals(policy.ends, List.of(AttemptOutcome.NOT_CONNECTED));
+    assertEquals(handshakeCount("wrong_name"), 1);
     shown = credentials(CA, TestCa.leaf("unit-7.example"));
     net.pass(2000);
-    calls();
-    assertEquals(works(), 1);
+    sendRequest();
+    assertEquals(workFrames(), 1);
   }
 
   @Test
-  public void aUnitReplacedUnderItsIdByAnotherNameIsReachedByThatName() throws Exception {
-    starts("plain", "");
-    calls();
-    lists("unit-7b.example", 2); // the machine that listens there is still the old one
-    calls();
-    assertEquals(works(), 1);
-    assertEquals(module.ends.get(module.ends.size() - 1), AttemptOutcome.NOT_CONNECTED);
+  public void endpointRelistedByAnotherNameIsConnectedToByThatName() throws Exception {
+    startRelay("plain", "");
+    sendRequest();
+    sendListing("unit-7b.example", 2); // the machine that listens there is still the old one
+    sendRequest();
+    assertEquals(workFrames(), 1);
+    assertEquals(policy.ends.get(policy.ends.size() - 1), AttemptOutcome.NOT_CONNECTED);
     shown = credentials(CA, TestCa.leaf("unit-7b.example"));
     net.pass(2000);
-    calls();
-    assertEquals(works(), 2);
+    sendRequest();
+    assertEquals(workFrames(), 2);
   }
 
   @Test
-  public void aUnitWithoutANameIsNotListed() throws Exception {
-    starts("plain", "");
+  public void endpointWithoutANameIsNotListed() throws Exception {
+    startRelay("plain", "");
     Entry entry =
         Entry.newBuilder()
             .setUnit(8)
@@ -283,7 +285,7 @@
             .build();
     net.turn(
         () ->
-            rosters
+            discoveries
                 .get(0)
                 .send(
                     FrameKind.LISTING,
@@ -293,7 +295,7 @@
   }
 
   @Test
-  public void aHandshakeThatNeverEndsHoldsNoPickLongerThanAConnectionMayTake() throws Exception {
+  public void unfinishedHandshakeHoldsNoAttemptBeyondTheConnectTimeout() throws Exception {
     net.listen(
         new InetSocketAddress("127.0.0.1", 2007),
         100,
@@ -309,43 +311,43 @@
               @Override
               public void closed(String why) {}
             });
-    starts("plain", "handshake-within=\"3s\"");
-    calls();
-    assertEquals(module.ends, List.of());
+    startRelay("plain", "handshake-within=\"3s\"");
+    sendRequest();
+    assertEquals(policy.ends, List.of());
     net.pass(100); // connect-within
-    assertEquals(module.ends, List.of(AttemptOutcome.NOT_CONNECTED));
+    assertEquals(policy.ends, List.of(AttemptOutcome.NOT_CONNECTED));
     net.pass(3000);
-    assertEquals(handshakes("timed_out"), 1);
+    assertEquals(handshakeCount("timed_out"), 1);
   }
 
   @Test
-  public void newFilesMoveConnectionsOverOneAfterAnotherWithoutABrokenPick() throws Exception {
-    starts("plain", "");
-    calls();
+  public void newCredentialsReplaceConnectionsOneByOneWithoutABrokenAttempt() throws Exception {
+    startRelay("plain", "");
+    sendRequest();
     RecordingPeer old = endpoints.get(0);
     TestCa.write(folder.resolve("key.pem"), CA.make(TestCa.leaf("relay-0.example")));
     net.pass(2000);
     assertEquals(endpoints.size(), 2);
     assertNull(old.closeReason); // a pick is out on it
-    calls();
+    sendRequest();
     assertEquals(endpoints.get(1).heads(FrameKind.WORK).size(), 1); // what is new goes the new way
-    answers(old, ((Work) old.heads(FrameKind.WORK).get(0)).getId());
-    assertEquals(module.ends, List.of(AttemptOutcome.OK));
+    endpointAnswers(old, ((Work) old.heads(FrameKind.WORK).get(0)).getId());
+    assertEquals(policy.ends, List.of(AttemptOutcome.OK));
     net.pass(100);
     assertTrue(old.closeReason != null, "still open");
-    assertEquals(handshakes("resumed"), 0); // never across a change
+    assertEquals(handshakeCount("resumed"), 0); // never across a change
   }
 
   @Test
-  public void aRelaysFilesThatAreWrongStopItAtTheStartAndLaterChangeNothing() throws Exception {
-    starts("plain", "");
+  public void invalidCredentialsStopTheStartAndLaterChangeNothing() throws Exception {
+    startRelay("plain", "");
     Files.writeString(folder.resolve("key.pem"), "gone wrong");
     net.pass(1000);
     assertTrue(
         relay.requestTracker().accounts().value(relay.requestTracker().accounts().tlsFiles, 0, 2)
             == 1);
-    calls();
-    assertEquals(works(), 1);
+    sendRequest();
+    assertEquals(workFrames(), 1);
     FrameRelay other =
         new FrameRelay(
             FrameRelayTest.config(
@@ -359,16 +361,16 @@
     String message =
         expectThrows(
                 Material.BadMaterialException.class,
-                () -> other.start((host, settings, seed) -> module, aside))
+                () -> other.start((host, settings, seed) -> policy, aside))
             .getMessage();
     assertEquals(message, folder.resolve("none.pem") + ": can't be read: NoSuchFileException");
   }
 
   @Test
-  public void provenClientsAreTakenAndOthersAreNot() throws Exception {
-    starts("proven", "");
-    calls();
-    assertEquals(works(), 1);
+  public void onlyProvenClientsAreAccepted() throws Exception {
+    startRelay("proven", "");
+    sendRequest();
+    assertEquals(workFrames(), 1);
     RecordingPeer stranger =
         caller(Role.CLIENT, 4, credentials(TestCa.root("other"), TestCa.leaf("app")));
     RecordingPeer unitsKey =
@@ -379,15 +381,15 @@
         stranger.closeReason != null && unitsKey.closeReason != null && plain.closeReason != null,
         stranger.closeReason + ", " + unitsKey.closeReason + ", " + plain.closeReason);
     assertEquals(
-        handshakes("no_certificate") + handshakes("wrong_use") + handshakes("not_tls"),
+        handshakeCount("no_certificate") + handshakeCount("wrong_use") + handshakeCount("not_tls"),
         3,
-        "" + handshakes("ended"));
+        "" + handshakeCount("ended"));
     assertNull(client.closeReason);
   }
 
   @Test
-  public void aRelayIsTakenByItsNameOnly() throws Exception {
-    starts("proven", "");
+  public void peerIsAcceptedOnlyByItsName() throws Exception {
+    startRelay("proven", "");
     RecordingPeer real = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("relay-1.example")));
     RecordingPeer pretends = caller(Role.RELAY, 1, credentials(CA, TestCa.leaf("app")));
     net.pass(50);
@@ -398,13 +400,13 @@
     assertNull(real.closeReason);
     assertTrue(pretends.closeReason != null, "it was taken for relay 1");
     assertEquals(
-        module.calls.stream().filter(call -> call.startsWith("peer 1 ")).count(),
+        policy.calls.stream().filter(call -> call.startsWith("peer 1 ")).count(),
         1,
-        module.calls.toString());
+        policy.calls.toString());
   }
 
   @Test
-  public void configurationsThatMakeNoSenseAreRefused() {
+  public void inconsistentConfigurationsAreRefused() {
     for (String[] one :
         new String[][] {
           {"clients=\"tls\"", "clients need a key"}, {"peers=\"true\"", "a name is needed"}
--- a/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
+++ b/src/test/java/sprucerock/transport/wire/FrameReaderTest.java
@@ -34,12 +34,12 @@
           + "180c"
           + "68656c6c6f";
 
-  private static byte[] hex(String text) {
+  private static byte[] bytesOf(String text) {
     return HexFormat.of().parseHex(text);
   }
 
   private static byte[] stream() {
-    byte[] hello = hex(HELLO);
+    byte[] hello = bytesOf(HELLO);
     byte[] call =
         frame(
             2,
@@ -74,12 +74,12 @@
   }
 
   @Test
-  public void workedBytesOfTheProtocolPageAreRead() throws MalformedFrameException {
+  public void examplesOfTheProtocolPageAreRead() throws MalformedFrameException {
     assertEquals(
-        read(new FrameReader(1000), hex(HELLO)),
+        read(new FrameReader(1000), bytesOf(HELLO)),
         List.of("HELLO version: 1 role: CLIENT number: 3 name: \"till-3\" "));
     assertEquals(
-        read(new FrameReader(1000), hex(CALL)),
+        read(new FrameReader(1000), bytesOf(CALL)),
         List.of("CALL id: 7 method: 2 customer: 12 key: 11 left_us: 600000 hello"));
     Hello hello =
         Hello.newBuilder()
@@ -88,11 +88,11 @@
             .setNumber(3)
             .setName("till-3")
             .build();
-    assertEquals(frame(1, hello.toByteArray(), new byte[0]), hex(HELLO));
+    assertEquals(frame(1, hello.toByteArray(), new byte[0]), bytesOf(HELLO));
   }
 
   @Test
-  public void everySplitGivesTheSameFrames() throws MalformedFrameException {
+  public void everySplitOfTheBytesGivesTheSameFrames() throws MalformedFrameException {
     byte[] all = stream();
     List<String> whole = read(new FrameReader(1000), all);
     assertEquals(whole.size(), 3);
@@ -109,8 +109,8 @@
   }
 
   @Test
-  public void everyTruncationIsKnownToBeOne() throws MalformedFrameException {
-    byte[] hello = hex(HELLO);
+  public void everyTruncationLeavesAPartialFrame() throws MalformedFrameException {
+    byte[] hello = bytesOf(HELLO);
     for (int i = 1; i < hello.length; i++) {
       FrameReader reader = new FrameReader(1000);
       assertTrue(read(reader, Arrays.copyOf(hello, i)).isEmpty());
@@ -119,32 +119,33 @@
   }
 
   @Test
-  public void whatIsNoFrameIsNamed() {
-    assertEquals(wrong("00000003010000"), "a frame of 3 bytes can't be");
-    assertEquals(wrong("000003e901000000"), "a frame of 1001 bytes, 1000 at most");
-    assertEquals(wrong("ffffffff01000000"), "a frame of -1 bytes can't be");
-    assertEquals(wrong("00000004c8000000"), "no kind of frame is 200");
-    assertEquals(wrong("0000000400000000"), "no kind of frame is 0");
-    assertEquals(wrong("0000000401000001"), "HELLO: the head is longer than the frame");
-    assertEquals(wrong("000000050400000042"), "LEAVE: has a body of 1 bytes");
+  public void malformedFramesAreNamedInTheError() {
+    assertEquals(errorOf("00000003010000"), "a frame of 3 bytes can't be");
+    assertEquals(errorOf("000003e901000000"), "a frame of 1001 bytes, 1000 at most");
+    assertEquals(errorOf("ffffffff01000000"), "a frame of -1 bytes can't be");
+    assertEquals(errorOf("00000004c8000000"), "no kind of frame is 200");
+    assertEquals(errorOf("0000000400000000"), "no kind of frame is 0");
+    assertEquals(errorOf("0000000401000001"), "HELLO: the head is longer than the frame");
+    assertEquals(errorOf("000000050400000042"), "LEAVE: has a body of 1 bytes");
     assertTrue(
-        wrong("000000060100000208ff").startsWith("HELLO: the head can't be read"),
-        wrong("000000060100000208ff"));
+        errorOf("000000060100000208ff").startsWith("HELLO: the head can't be read"),
+        errorOf("000000060100000208ff"));
   }
 
   @Test
-  public void kindsAndFieldsOfANewerProgramAreReadPast() throws MalformedFrameException {
-    byte[] unknown = hex("00000007" + "63" + "000002" + "0801" + "42");
-    byte[] both = Arrays.copyOf(unknown, unknown.length + hex(CALL).length);
-    System.arraycopy(hex(CALL), 0, both, unknown.length, hex(CALL).length);
+  public void kindsAndFieldsOfANewerProgramAreSkipped() throws MalformedFrameException {
+    byte[] unknown = bytesOf("00000007" + "63" + "000002" + "0801" + "42");
+    byte[] both = Arrays.copyOf(unknown, unknown.length + bytesOf(CALL).length);
+    System.arraycopy(bytesOf(CALL), 0, both, unknown.length, bytesOf(CALL).length);
     assertEquals(read(new FrameReader(1000), both).size(), 1);
     String newer =
         "00000016" + "02" + "00000d" + "0807" + "1002" + "210b00000000000000" + "68656c6c6f";
-    assertTrue(read(new FrameReader(1000), hex(newer)).get(0).startsWith("CALL id: 7 method: 2"));
+    assertTrue(
+        read(new FrameReader(1000), bytesOf(newer)).get(0).startsWith("CALL id: 7 method: 2"));
   }
 
   @Test
-  public void versionsWithinReachUnderstandEachOther() {
+  public void overlappingVersionsAreAccepted() {
     assertEquals(
         FrameConnection.versionMismatch(Hello.newBuilder().setVersion(1).build()),
         null); // as the last program greeted
@@ -159,14 +160,14 @@
         "speaks versions 9 to 9, here 1 to 1 are spoken");
   }
 
-  private static String wrong(String bytes) {
-    byte[] all = Arrays.copyOf(hex(bytes), Math.max(8, bytes.length() / 2));
+  private static String errorOf(String bytes) {
+    byte[] all = Arrays.copyOf(bytesOf(bytes), Math.max(8, bytes.length() / 2));
     return expectThrows(MalformedFrameException.class, () -> read(new FrameReader(1000), all))
         .getMessage();
   }
 
   @Test
-  public void randomBytesNeverDoMoreThanEndTheReading() {
+  public void randomBytesAtMostEndTheReading() {
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 20_000; i++) {
       byte[] bytes = stream();
@@ -182,7 +183,7 @@
   }
 
   @Test
-  public void aLinkIsCutForAnotherVersionAndForSilence() throws java.io.IOException {
+  public void connectionIsCutForAnotherVersionAndKeptByHeartbeats() throws java.io.IOException {
     SimulatedNet net = new SimulatedNet(0, 1);
     List<RecordingPeer> there = RecordingPeer.listen(net, Role.UNIT, 1, 7000);
     FrameConnection old =
--- a/src/test/java/sprucerock/transport/wire/RecordingPeer.java
+++ b/src/test/java/sprucerock/transport/wire/RecordingPeer.java
@@ -9,7 +9,7 @@
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.Role;
 
-/** Somebody at a link's other end who writes down what comes. */
+/** A peer at the other end of a connection, which records the frames that come. */
 public final class RecordingPeer implements FrameListener {
   public static final FrameLimits LIMITS = new FrameLimits(1 << 16, 1 << 20, TimeSpan.ofMs(1000));
 
