--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -42,8 +42,8 @@
 public final class ControllerConnection implements FrameListener {
 private final Net net ;
 private final RelayConfig config ;
-private final RequestTracker ledger ;
-private final EventLog events ;
+private final RequestTracker requestTracker ;
+private final EventLog eventLog ;
 private final Consumer < VoteReply > onVoteReply ;
 private final ReconnectingConnection connection ;
 private final Map < Long , Timer > pendingVotes = new HashMap < > ( ) ;
@@ -63,15 +63,15 @@
 * @param onPromise gets what the controller promises of racks 
 * @param onNews is run after each news that was taken over 
 */ 
-public ControllerConnection ( Net net , RelayConfig config , Hello mine , FrameTap tap , RequestTracker ledger , EventLog events , DeterministicRandom chance , Consumer < VoteReply > onVoteReply , Consumer < Promised > onPromise , Runnable onNews ) {
+public ControllerConnection ( Net net , RelayConfig config , Hello localHello , FrameTap tap , RequestTracker requestTracker , EventLog eventLog , DeterministicRandom random , Consumer < VoteReply > onVoteReply , Consumer < Promised > onPromise , Runnable onNews ) {
 this.onPromise = onPromise ;
 this.onNews = onNews ;
 this.net = net ;
 this.config = config ;
-this.ledger = ledger ;
-this.events = events ;
+this.requestTracker = requestTracker ;
+this.eventLog = eventLog ;
 this.onVoteReply = onVoteReply ;
-connection = new ReconnectingConnection ( net , config.controller , mine , config.connectionLimits , tap , chance , this ) ;
+connection = new ReconnectingConnection ( net , config.controller , localHello , config.connectionLimits , tap , random , this ) ;
 }
 
 
@@ -111,7 +111,7 @@
 */ 
 public void vote ( Build build , int stage , Verdict verdict ) {
 long id = ++ lastVote ;
-MethodAccounts accounts = ledger.accounts ( ) ;
+MethodAccounts accounts = requestTracker.accounts ( ) ;
 accounts.postNew ( accounts.votes , 0 , accounts.votes.pending ( ) ) ;
 Say say = switch ( verdict ) {
 case NONE -> Say.NOTHING ;
@@ -124,7 +124,7 @@
 // one that could not be sent is not answered either: to the policy it is the same
 pendingVotes.put ( id , net.at ( net.now ( ).plus ( config.settings.callTimeout ) , ( ) -> {
 pendingVotes.remove ( id ) ;
-events.warn ( EventLog.Event.VOTE_UNANSWERED , "vote " + verdict + " on build " + build.number + " within " + config.settings.callTimeout.ms ( ) + " ms; it may count" ) ;
+eventLog.warn ( EventLog.Event.VOTE_UNANSWERED , "vote " + verdict + " on build " + build.number + " within " + config.settings.callTimeout.ms ( ) + " ms; it may count" ) ;
 countVote ( 5 ) ;
 onVoteReply.accept ( VoteReply.UNANSWERED ) ;
 }
@@ -137,7 +137,7 @@
 connection.cut ( "no release desk answers there" ) ;
 return ;
 }
-events.info ( EventLog.Event.DESK_BACK , "linked to the release desk at " + config.controller ) ;
+eventLog.info ( EventLog.Event.DESK_BACK , "linked to the release desk at " + config.controller ) ;
 }
 
 
@@ -171,20 +171,20 @@
 ;
 boolean isValid = state != null && news.getCap ( ) >= 0 && news.getCap ( ) <= 1 && news.getBuild ( ) >>> 16 == 0 && news.getStage ( ) >= 0 && news.getStage ( ) <= config.settings.caps.size ( ) ;
 if ( ! isValid ) {
-events.warn ( EventLog.Event.NEWS_REFUSED , "build " + news.getBuild ( ) + ", stage " + news.getStage ( ) + ", cap " + news.getCap ( ) + ": no such standing, stage or cap; what was known holds" ) ;
+eventLog.warn ( EventLog.Event.NEWS_REFUSED , "build " + news.getBuild ( ) + ", stage " + news.getStage ( ) + ", cap " + news.getCap ( ) + ": no such standing, stage or cap; what was known holds" ) ;
 return ;
 }
 // guards against a controller that was replaced and does not know it, and against news that was
 // long on its way
 boolean isStale = news.getEpoch ( ) < epoch || news.getEpoch ( ) == epoch && news.getSequence ( ) < sequence ;
 if ( isStale ) {
-events.warn ( EventLog.Event.NEWS_REFUSED , "epoch " + news.getEpoch ( ) + ", sequence " + news.getSequence ( ) + " is older than " + epoch + ", " + sequence ) ;
+eventLog.warn ( EventLog.Event.NEWS_REFUSED , "epoch " + news.getEpoch ( ) + ", sequence " + news.getSequence ( ) + " is older than " + epoch + ", " + sequence ) ;
 return ;
 }
 epoch = news.getEpoch ( ) ;
 sequence = news.getSequence ( ) ;
 TimeSpan inState = TimeSpan.ofMs ( Math.max ( 0 , news.getLastedUs ( ) ) / 1000.0 ) ;
-ledger.rolloutChanged ( news.getBuild ( ) , news.getStage ( ) , state , news.getCap ( ) , net.now ( ).minus ( inState ) ) ;
+requestTracker.rolloutChanged ( news.getBuild ( ) , news.getStage ( ) , state , news.getCap ( ) , net.now ( ).minus ( inState ) ) ;
 hasNews = true ;
 onNews.run ( ) ;
 }
@@ -193,10 +193,10 @@
 private void applyCounts ( Counts counts ) {
 int method = counts.getMethod ( ) ;
 if ( method < 0 || method >= config.settings.methods.size ( ) || counts.getFailed ( ) > counts.getPicks ( ) || counts.getFailed ( ) < 0 ) {
-events.warn ( EventLog.Event.NEWS_REFUSED , "counts of method " + method + ": " + counts.getFailed ( ) + " of " + counts.getPicks ( ) + " failed can't be; they are left out" ) ;
+eventLog.warn ( EventLog.Event.NEWS_REFUSED , "counts of method " + method + ": " + counts.getFailed ( ) + " of " + counts.getPicks ( ) + " failed can't be; they are left out" ) ;
 return ;
 }
-ledger.counted ( counts.getBuild ( ) , method , counts.getPicks ( ) , counts.getFailed ( ) , TimeSpan.ofMs ( counts.getMeanUs ( ) / 1000.0 ) ) ;
+requestTracker.counted ( counts.getBuild ( ) , method , counts.getPicks ( ) , counts.getFailed ( ) , TimeSpan.ofMs ( counts.getMeanUs ( ) / 1000.0 ) ) ;
 }
 
 
@@ -220,14 +220,14 @@
 
 
 private void countVote ( int column ) {
-MethodAccounts accounts = ledger.accounts ( ) ;
+MethodAccounts accounts = requestTracker.accounts ( ) ;
 accounts.postTransfer ( accounts.votes , 0 , accounts.votes.pending ( ) , column ) ;
 }
 
 
 @Override public void closed ( String why ) {
 if ( ! stopping ) {
-events.warn ( EventLog.Event.DESK_LOST , why + "; what it said last holds" ) ;
+eventLog.warn ( EventLog.Event.DESK_LOST , why + "; what it said last holds" ) ;
 }
 }
 }
--- a/src/main/java/sprucerock/relay/frames/PeerConnections.java
+++ b/src/main/java/sprucerock/relay/frames/PeerConnections.java
@@ -28,9 +28,9 @@
 final class PeerConnections {
 private final Net net ;
 private final RelayConfig config ;
-private final Hello mine ;
+private final Hello localHello ;
 private final FrameTap tap ;
-private final EventLog events ;
+private final EventLog eventLog ;
 private final DeterministicRandom random ;
 private final Map < Integer , ReconnectingConnection > connections = new TreeMap < > ( ) ;
 private final MethodAccounts accounts ;
@@ -38,21 +38,21 @@
 private boolean isStopping ;
 
 
-PeerConnections ( Net net , RelayConfig config , Hello mine , FrameTap tap , EventLog events , DeterministicRandom chance , MethodAccounts accounts , TlsConnections secured ) {
+PeerConnections ( Net net , RelayConfig config , Hello localHello , FrameTap tap , EventLog eventLog , DeterministicRandom random , MethodAccounts accounts , TlsConnections tlsConnections ) {
 this.accounts = accounts ;
-this.tlsConnections = secured ;
+this.tlsConnections = tlsConnections ;
 this.net = net ;
 this.config = config ;
-this.mine = mine ;
+this.localHello = localHello ;
 this.tap = tap ;
-this.events = events ;
-this.random = chance ;
+this.eventLog = eventLog ;
+this.random = random ;
 }
 
 
 /** Sends the policy's message to one relay, or drops it; either is counted. */ 
 void send ( int number , byte [ ] contents ) {
-count ( send ( number , FrameKind.TOLD , Told.getDefaultInstance ( ) , contents ) ) ;
+countMessage ( send ( number , FrameKind.TOLD , Told.getDefaultInstance ( ) , contents ) ) ;
 }
 
 
@@ -63,7 +63,7 @@
 }
 ReconnectingConnection connection = connections.get ( number ) ;
 if ( connection == null ) {
-connection = new ReconnectingConnection ( net , tlsConnections.peerConnector ( number ) , address , mine , config.connectionLimits , tap , random , new PeerListener ( number ) ) ;
+connection = new ReconnectingConnection ( net , tlsConnections.peerConnector ( number ) , address , localHello , config.connectionLimits , tap , random , new PeerListener ( number ) ) ;
 connections.put ( number , connection ) ;
 connection.connect ( ) ;
 }
@@ -93,7 +93,7 @@
 }
 
 
-private void count ( boolean sent ) {
+private void countMessage ( boolean sent ) {
 accounts.postNew ( accounts.messages , 0 , sent ? 1 : 2 ) ;
 }
 
@@ -137,7 +137,7 @@
 
 @Override public void closed ( String why ) {
 if ( ! isStopping ) {
-events.warn ( EventLog.Event.PEER_LOST , "relay " + number + ": " + why + "; messages to it are dropped" ) ;
+eventLog.warn ( EventLog.Event.PEER_LOST , "relay " + number + ": " + why + "; messages to it are dropped" ) ;
 }
 }
 }
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -55,7 +55,7 @@
 
 private final Net net ;
 private final RelayConfig config ;
-private final EventLog events ;
+private final EventLog eventLog ;
 private final DeterministicRandom random ;
 private final PermitListener listener ;
 private final SharedSnapshot snapshots = new SharedSnapshot ( ) ;
@@ -74,10 +74,10 @@
 
 
 /** Requests nothing yet, see {@link #start}. */ 
-public RackPermits ( Net net , RelayConfig config , EventLog events , DeterministicRandom random , PermitListener listener ) {
+public RackPermits ( Net net , RelayConfig config , EventLog eventLog , DeterministicRandom random , PermitListener listener ) {
 this.net = net ;
 this.config = config ;
-this.events = events ;
+this.eventLog = eventLog ;
 this.random = random ;
 this.listener = listener ;
 }
@@ -132,12 +132,12 @@
 return ;
 }
 if ( promised.getEpoch ( ) < epoch ) {
-events.warn ( EventLog.Event.NEWS_REFUSED , "a promise of epoch " + promised.getEpoch ( ) + ", " + epoch + " was heard" ) ;
+eventLog.warn ( EventLog.Event.NEWS_REFUSED , "a promise of epoch " + promised.getEpoch ( ) + ", " + epoch + " was heard" ) ;
 return ;
 }
 if ( promised.getRest ( ) && promised.getList ( ) != listId ) {
 // never asked for: what it leaves out can't be known
-events.warn ( EventLog.Event.NEWS_REFUSED , "a promise by a list of racks that was not told" ) ;
+eventLog.warn ( EventLog.Event.NEWS_REFUSED , "a promise by a list of racks that was not told" ) ;
 listId = NO_LIST ;
 return ;
 }
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -34,16 +34,16 @@
 
 private final RelayConfig config ;
 private final Net net ;
-private final EventLog events ;
+private final EventLog eventLog ;
 private final MethodAccounts accounts ;
 private ConnectionReplacer replacer ;
 private Tls tls ;
 
 
-TlsConnections ( RelayConfig config , Net net , EventLog events , MethodAccounts accounts ) {
+TlsConnections ( RelayConfig config , Net net , EventLog eventLog , MethodAccounts accounts ) {
 this.config = config ;
 this.net = net ;
-this.events = events ;
+this.eventLog = eventLog ;
 this.accounts = accounts ;
 }
 
@@ -141,10 +141,10 @@
 @Override public void loaded ( String wrong ) {
 accounts.postNew ( accounts.tlsFiles , 0 , wrong == null ? 1 : 2 ) ;
 if ( wrong == null ) {
-events.info ( EventLog.Event.TLS_FILES , "new key and trust are in use; the certificate has " + tls.daysLeft ( ) + " days left" ) ;
+eventLog.info ( EventLog.Event.TLS_FILES , "new key and trust are in use; the certificate has " + tls.daysLeft ( ) + " days left" ) ;
 }
 else {
-events.error ( EventLog.Event.TLS_FILES , wrong + "; key and trust stay as they were" ) ;
+eventLog.error ( EventLog.Event.TLS_FILES , wrong + "; key and trust stay as they were" ) ;
 }
 }
 
