--- a/src/main/java/sprucerock/cli/ControllerCommand.java
+++ b/src/main/java/sprucerock/cli/ControllerCommand.java
@@ -45,9 +45,9 @@
               + ": controller "
               + config.name
               + ", "
-              + config.rules.stages().size()
+              + config.rolloutRules.stages().size()
               + " stages, "
-              + config.sources.size()
+              + config.webhookSources.size()
               + " sources: in order");
       return Commands.DONE;
     }
--- a/src/main/java/sprucerock/cli/OperatorApi.java
+++ b/src/main/java/sprucerock/cli/OperatorApi.java
@@ -18,7 +18,7 @@
   record Answer(int status, JsonNode body) {}
 
   static final JsonMapper JSON = JsonMapper.builder().build();
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   private final String at;
   private final String token;
@@ -35,7 +35,7 @@
   Answer ask(String path, ObjectNode body) throws IOException, InterruptedException {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create(at).resolve(path))
-            .timeout(PATIENCE)
+            .timeout(TIMEOUT)
             .header("Authorization", "Bearer " + token);
     if (body == null) {
       request.GET();
@@ -45,7 +45,7 @@
     try {
       HttpResponse<String> answer =
           HttpClient.newBuilder()
-              .connectTimeout(PATIENCE)
+              .connectTimeout(TIMEOUT)
               .build()
               .send(request.build(), HttpResponse.BodyHandlers.ofString());
       return new Answer(answer.statusCode(), JSON.readTree(answer.body()));
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -48,52 +48,53 @@
  */
 final class AgentListener implements Watcher.Host {
   private static final byte[] NO_BODY = {};
-  private static final int PIECE = 128 * 1024;
-  private static final int MOST_WAITING = 20_000; // fetches; an agent has one or two
-  private static final TimeSpan WINDOW = TimeSpan.ofMs(2000); // two words of an agent at least
-  private static final TimeSpan LOOK = TimeSpan.ofMs(500);
-  private static final TimeSpan PUMP = TimeSpan.ofMs(10);
+  private static final int PIECE_BYTES = 128 * 1024;
+  private static final int MAX_PENDING_FETCHES = 20_000; // fetches; an agent has one or two
+  private static final TimeSpan WINDOW_LENGTH =
+      TimeSpan.ofMs(2000); // two words of an agent at least
+  private static final TimeSpan ABSENCE_CHECK_INTERVAL = TimeSpan.ofMs(500);
+  private static final TimeSpan PIECE_INTERVAL = TimeSpan.ofMs(10);
 
-  private record Waiting(Session session, Fetch fetch) {}
+  private record PendingFetch(Session session, Fetch fetch) {}
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final Net net;
   private final ControllerConfig config;
   private final Limits limits;
   private final Tap tap;
-  private final ControllerServer desk;
-  private final ArtifactStore vault;
-  private final Watcher watch;
+  private final ControllerServer controller;
+  private final ArtifactStore artifacts;
+  private final Watcher watcher;
   private final TreeMap<Integer, Session> sessions = new TreeMap<>();
-  private final DisconnectedAgents absent = new DisconnectedAgents();
-  private final Deque<Waiting> fetches = new ArrayDeque<>();
+  private final DisconnectedAgents disconnected = new DisconnectedAgents();
+  private final Deque<PendingFetch> fetches = new ArrayDeque<>();
   private Net.Listener listener;
 
   AgentListener(
-      Net net, ControllerConfig config, Tap tap, ControllerServer desk, ArtifactStore vault) {
+      Net net, ControllerConfig config, Tap tap, ControllerServer controller, ArtifactStore vault) {
     this.net = net;
     this.config = config;
     this.tap = tap;
-    this.desk = desk;
-    this.vault = vault;
+    this.controller = controller;
+    this.artifacts = vault;
     limits = new Limits(1 << 20, 4L << 20, TimeSpan.ofMs(1000));
-    watch = new Watcher(changes(), this);
-    for (ManagedRelay relay : changes().relays()) {
-      absent.left(
+    watcher = new Watcher(deployments(), this);
+    for (ManagedRelay relay : deployments().relays()) {
+      disconnected.disconnected(
           relay.number,
           net.now()); // a start: they have as long to come as if they had just been heard
     }
   }
 
-  private DeploymentManager changes() {
-    return desk.engine().changes();
+  private DeploymentManager deployments() {
+    return controller.engine().changes();
   }
 
   InetSocketAddress start() throws IOException {
     listener =
         net.listen(
-            config.agents,
-            config.mostAgents,
+            config.agentAddress,
+            config.maxAgents,
             limits.unsent(),
             () -> {
               Session session = new Session();
@@ -110,9 +111,9 @@
                       session);
               return session.connection;
             });
-    look();
-    net.at(net.now().plus(WINDOW), this::window);
-    pump();
+    reportAbsentAgents();
+    net.at(net.now().plus(WINDOW_LENGTH), this::cutWindows);
+    sendPieces();
     return listener.address();
   }
 
@@ -123,59 +124,59 @@
     }
   }
 
-  private void window() {
-    watch.cut(WINDOW.ms());
-    net.at(net.now().plus(WINDOW), this::window);
+  private void cutWindows() {
+    watcher.cut(WINDOW_LENGTH.ms());
+    net.at(net.now().plus(WINDOW_LENGTH), this::cutWindows);
   }
 
   /** Who is not heard any more; and, after a start of the controller, who was not heard at all. */
-  private void look() {
-    for (int number : absent.longer(config.plan.silent(), net.now())) {
-      ManagedRelay relay = changes().relay(number);
+  private void reportAbsentAgents() {
+    for (int number : disconnected.unheardLongerThan(config.deploymentPlan.silent(), net.now())) {
+      ManagedRelay relay = deployments().relay(number);
       if (relay == null || relay.silent()) {
-        absent.back(number);
+        disconnected.remove(number);
       } else {
-        desk.submit(
+        controller.submit(
             Input.newBuilder().setSilent(Silent.newBuilder().setRelay(number)),
             outcome -> {}); // refused: again with the next look
       }
     }
-    net.at(net.now().plus(LOOK), this::look);
+    net.at(net.now().plus(ABSENCE_CHECK_INTERVAL), this::reportAbsentAgents);
   }
 
   /** What is wanted of a relay has changed. */
-  void wants(ManagedRelay relay) {
+  void desiredStateChanged(ManagedRelay relay) {
     Session session = sessions.get(relay.number);
     if (session != null) {
-      session.tell(relay);
+      session.sendDesiredState(relay);
     }
   }
 
   /** A change made a step: one that was just proposed is to be read through by all. */
-  void changed(Deployment change) {
+  void deploymentChanged(Deployment change) {
     if (change.state() == Deployment.State.PROPOSED) {
       for (Session session : sessions.values()) {
-        session.tell(changes().relay(session.number));
+        session.sendDesiredState(deployments().relay(session.number));
       }
     }
   }
 
   /** So many pieces in each turn of the pump, each to another agent. */
-  private void pump() {
-    int most = (int) Math.max(1, config.piecesASecond * PUMP.ms() / 1000);
+  private void sendPieces() {
+    int most = (int) Math.max(1, config.maxPiecesPerSecond * PIECE_INTERVAL.ms() / 1000);
     for (int i = fetches.size(); i > 0 && most > 0; i--) {
-      Waiting next = fetches.pollFirst();
+      PendingFetch next = fetches.pollFirst();
       if (!next.session.connection.usable()) {
         continue;
       }
-      if (next.session.connection.unsent() > PIECE) {
+      if (next.session.connection.unsent() > PIECE_BYTES) {
         fetches.addLast(next); // it has not read the last one
         continue;
       }
-      next.session.piece(next.fetch);
+      next.session.sendPiece(next.fetch);
       most--;
     }
-    net.at(net.now().plus(PUMP), this::pump);
+    net.at(net.now().plus(PIECE_INTERVAL), this::sendPieces);
   }
 
   // What the comparison finds.
@@ -184,7 +185,7 @@
   public void judged(Deployment change, Verdict verdict, String reason) {
     log.info(
         "JUDGED change {} in stage {}: {}: {}", change.number, change.stage(), verdict, reason);
-    desk.submit(
+    controller.submit(
         Input.newBuilder()
             .setJudged(
                 Judged.newBuilder()
@@ -197,7 +198,7 @@
 
   @Override
   public void room(java.util.Map<Integer, Integer> byZone, String why) {
-    desk.submit(
+    controller.submit(
         Input.newBuilder().setRoom(Room.newBuilder().putAllByZone(byZone).setWhy(why)),
         outcome -> {});
   }
@@ -205,7 +206,7 @@
   @Override
   public void busy(int number, boolean is) {
     Session session = sessions.get(number);
-    if (session != null && session.last != null) {
+    if (session != null && session.lastStatus != null) {
       session.record(is);
     }
   }
@@ -213,8 +214,8 @@
   private final class Session implements FrameListener {
     private FrameConnection connection;
     private int number;
-    private Timestamp heard;
-    private AgentSays last;
+    private Timestamp lastHeard;
+    private AgentSays lastStatus;
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
@@ -227,19 +228,19 @@
       if (before != null) {
         before.connection.cut("another agent came under number " + number);
       }
-      heard = net.now();
-      absent.back(number);
+      lastHeard = net.now();
+      disconnected.remove(number);
     }
 
-    void tell(ManagedRelay relay) {
-      Wants.Builder wants = Wants.newBuilder().setEpoch(desk.engine().releases().epoch());
+    void sendDesiredState(ManagedRelay relay) {
+      Wants.Builder wants = Wants.newBuilder().setEpoch(controller.engine().releases().epoch());
       if (relay != null && relay.wanted() != null && !relay.wanted().equals(Version.NONE)) {
         wants
             .setTurn(relay.turn())
             .setProgram(relay.wanted().program())
             .setSettings(relay.wanted().settings());
       }
-      Deployment waits = changes().waiting();
+      Deployment waits = deployments().waiting();
       if (waits != null && waits.state() == Deployment.State.PROPOSED) {
         wants
             .setChange(waits.number)
@@ -251,23 +252,23 @@
 
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
-      heard = net.now();
+      lastHeard = net.now();
       if (kind == Kind.AGENT) {
-        says((AgentSays) head);
+        statusReceived((AgentSays) head);
       } else if (kind == Kind.FETCH) {
-        if (fetches.size() < MOST_WAITING) {
-          fetches.addLast(new Waiting(this, (Fetch) head)); // else it asks again
+        if (fetches.size() < MAX_PENDING_FETCHES) {
+          fetches.addLast(new PendingFetch(this, (Fetch) head)); // else it asks again
         }
       } else {
         connection.cut("a controller takes no " + kind + " of an agent");
       }
     }
 
-    private void says(AgentSays says) {
-      boolean first = last == null;
-      last = says;
+    private void statusReceived(AgentSays says) {
+      boolean first = lastStatus == null;
+      lastStatus = says;
       try {
-        ManagedRelay known = changes().relay(number);
+        ManagedRelay known = deployments().relay(number);
         Version runs = new Version(says.getProgram(), says.getSettings());
         boolean news =
             known == null
@@ -282,18 +283,18 @@
         for (Failure one : says.getFailuresList()) {
           log.warn("FAILED relay {} {}", number, one.getHow());
           Version version = new Version(one.getProgram(), one.getSettings());
-          desk.submit(
+          controller.submit(
               Input.newBuilder()
                   .setFailed(
                       Failed.newBuilder()
                           .setRelay(number)
-                          .setVersion(version(version))
+                          .setVersion(toMessage(version))
                           .setHow(one.getHow())
                           .setTurn(one.getTurn())),
               outcome -> {});
         }
         for (Readable one : says.getReadablesList()) {
-          desk.submit(
+          controller.submit(
               Input.newBuilder()
                   .setChecked(
                       Checked.newBuilder()
@@ -306,43 +307,44 @@
         connection.cut(e.getMessage());
         return;
       }
-      if (says.getEpoch() > desk.engine().releases().epoch()) {
+      if (says.getEpoch() > controller.engine().releases().epoch()) {
         log.error(
             "BEHIND relay {}'s agent was told by epoch {}, this is {}: the store may be an old one",
             number,
             says.getEpoch(),
-            desk.engine().releases().epoch());
+            controller.engine().releases().epoch());
       }
       if (says.hasSums()) {
-        watch.told(number, says.getLife(), says.getCores(), sums(says.getSums()));
+        watcher.told(number, says.getLife(), says.getCores(), toWindow(says.getSums()));
       }
       if (first) {
-        tell(changes().relay(number));
+        sendDesiredState(deployments().relay(number));
       }
     }
 
     void record(boolean busy) {
-      desk.submit(
+      controller.submit(
           Input.newBuilder()
               .setAgent(
                   sprucerock.controller.v1.AgentSays.newBuilder()
                       .setRelay(number)
-                      .setZone(last.getZone())
+                      .setZone(lastStatus.getZone())
                       .setBusy(busy)
-                      .setRuns(version(new Version(last.getProgram(), last.getSettings())))
-                      .setReady(last.getReady())
-                      .setDone(last.getDone())),
+                      .setRuns(
+                          toMessage(new Version(lastStatus.getProgram(), lastStatus.getSettings())))
+                      .setReady(lastStatus.getReady())
+                      .setDone(lastStatus.getDone())),
           outcome -> {});
     }
 
-    void piece(Fetch fetch) {
+    void sendPiece(Fetch fetch) {
       Piece.Builder piece =
           Piece.newBuilder().setDigest(fetch.getDigest()).setFrom(fetch.getFrom());
       byte[] body = NO_BODY;
       try {
-        if (Version.digest(fetch.getDigest()) && vault.has(fetch.getDigest())) {
-          piece.setSize(vault.size(fetch.getDigest()));
-          body = vault.piece(fetch.getDigest(), fetch.getFrom(), PIECE);
+        if (Version.digest(fetch.getDigest()) && artifacts.has(fetch.getDigest())) {
+          piece.setSize(artifacts.size(fetch.getDigest()));
+          body = artifacts.piece(fetch.getDigest(), fetch.getFrom(), PIECE_BYTES);
         }
       } catch (IOException e) {
         log.error("VERSIONS {} can't be read: {}", fetch.getDigest(), e.getMessage());
@@ -353,19 +355,19 @@
     @Override
     public void closed(String why) {
       if (sessions.remove(number, this)) {
-        absent.left(number, heard);
+        disconnected.disconnected(number, lastHeard);
       }
     }
   }
 
-  private static sprucerock.controller.v1.Version version(Version version) {
+  private static sprucerock.controller.v1.Version toMessage(Version version) {
     return sprucerock.controller.v1.Version.newBuilder()
         .setProgram(version.program())
         .setSettings(version.settings())
         .build();
   }
 
-  private static Window sums(RelaySums told) {
+  private static Window toWindow(RelaySums told) {
     return new Window(
         told.getRpcs(),
         told.getWorth(),
--- a/src/main/java/sprucerock/controller/server/Announcements.java
+++ b/src/main/java/sprucerock/controller/server/Announcements.java
@@ -16,13 +16,13 @@
 /** Announcements as their JSON schema has them. */
 final class Announcements {
   /** What is announced. */
-  record Announcement(int build, String artifact) {}
+  record BuildAnnouncement(int build, String artifact) {}
 
   /** A body that announces nothing; the message says why, fit to be told to its sender. */
-  static final class BadBodyException extends Exception {
+  static final class MalformedAnnouncementException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    BadBodyException(String message) {
+    MalformedAnnouncementException(String message) {
       super(message);
     }
   }
@@ -42,22 +42,22 @@
     }
   }
 
-  Announcement read(byte[] body) throws BadBodyException {
+  BuildAnnouncement read(byte[] body) throws MalformedAnnouncementException {
     JsonNode node;
     try {
       node = JSON.readTree(body);
     } catch (JsonProcessingException e) {
-      throw new BadBodyException("it is no JSON: " + e.getOriginalMessage());
+      throw new MalformedAnnouncementException("it is no JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadBodyException("it can't be read");
+      throw new MalformedAnnouncementException("it can't be read");
     }
     if (node == null || node.isMissingNode()) {
-      throw new BadBodyException("it is empty");
+      throw new MalformedAnnouncementException("it is empty");
     }
     List<Error> wrong = schema.validate(node);
     if (!wrong.isEmpty()) {
-      throw new BadBodyException(wrong.get(0).toString());
+      throw new MalformedAnnouncementException(wrong.get(0).toString());
     }
-    return new Announcement(node.get("build").intValue(), node.get("artifact").textValue());
+    return new BuildAnnouncement(node.get("build").intValue(), node.get("artifact").textValue());
   }
 }
--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -30,61 +30,62 @@
  */
 public final class ControllerConfig {
   /** Who may announce, and how it signs. */
-  public record Source(String name, Signatures.Form form, List<byte[]> secrets, int aSecond) {}
+  public record WebhookSource(
+      String name, Signatures.SignatureScheme scheme, List<byte[]> secrets, int maxPerSecond) {}
 
   public final String name;
-  public final Path folder;
+  public final Path storeFolder;
   public final int firstBuild;
 
   /** Units that the fleet has. */
-  public final int places;
+  public final int endpointCount;
 
-  public final InetSocketAddress relays;
-  public final int mostRelays;
-  public final long unsent;
-  public final TimeSpan tellEvery;
-  public final InetSocketAddress hooks;
-  public final int body;
-  public final TimeSpan window;
-  public final int atOnce;
-  public final TimeSpan readWithin;
-  public final Map<String, Source> sources;
-  public final InetSocketAddress api;
-  public final String token;
-  public final List<WebhookOutbox.Target> tells;
+  public final InetSocketAddress relayAddress;
+  public final int maxRelays;
+  public final long maxUnsentBytes;
+  public final TimeSpan newsInterval;
+  public final InetSocketAddress webhookAddress;
+  public final int maxWebhookBodyBytes;
+  public final TimeSpan signatureTimeTolerance;
+  public final int maxConcurrentWebhooks;
+  public final TimeSpan webhookReadTimeout;
+  public final Map<String, WebhookSource> webhookSources;
+  public final InetSocketAddress apiAddress;
+  public final String apiToken;
+  public final List<WebhookOutbox.Target> outboxTargets;
 
   /** How long an active controller may be silent before another one takes its place. */
-  public final TimeSpan lease;
+  public final TimeSpan leaseDuration;
 
-  public final RolloutRules rules;
+  public final RolloutRules rolloutRules;
 
   /** Racks that can be frozen, and the room that has to be left; null: none. */
-  public final CapacityCheck room;
+  public final CapacityCheck capacityCheck;
 
-  public final MaintenanceWindows.Rules freezes;
+  public final MaintenanceWindows.Rules maintenanceRules;
 
   /** Granters of leases, by which the seat is had; null: the store's folder gives it. */
-  public final LeaseConfig leases;
+  public final LeaseConfig leaseConfig;
 
   /** Where agents come; null: what relays run is not this controller's to change. */
-  public final InetSocketAddress agents;
+  public final InetSocketAddress agentAddress;
 
-  public final int mostAgents;
-  public final int piecesASecond;
+  public final int maxAgents;
+  public final int maxPiecesPerSecond;
 
   /** Where files of new versions are put for it; null as above. */
-  public final Path incoming;
+  public final Path incomingFolder;
 
   /** Bytes of one file of a version. */
-  public final long mostBytes;
+  public final long maxArtifactBytes;
 
-  public final DeploymentPlan plan;
+  public final DeploymentPlan deploymentPlan;
 
   // What a relay is told once, 14 bytes each, fits the frames and the bytes unsent that links have
   // unless they are set lower; a
   // fleet of 120,000 units has some 3,000.
-  private static final int MOST_RACKS = 10_000;
-  private static final int CANDIDATE =
+  private static final int MAX_RACKS = 10_000;
+  private static final int LEASE_CANDIDATE =
       65_000; // among those who stand for leases; far over relays' numbers
 
   /** Reads and checks a file; the first thing that is wrong ends it. */
@@ -94,29 +95,30 @@
 
   private ControllerConfig(Node root) throws ConfigException {
     name = root.text("name");
-    folder = Path.of(root.text("folder"));
+    storeFolder = Path.of(root.text("folder"));
     firstBuild = root.count("first-build");
-    places = root.count("places");
+    endpointCount = root.count("places");
     if (firstBuild > 65_535) {
       throw root.wrong("first-build is 65535 at most");
     }
     Node relayNode = root.child("relays");
-    relays = address(relayNode);
-    mostRelays = relayNode.count("most");
-    unsent = relayNode.bytes("unsent");
-    tellEvery = relayNode.span("tell-every");
+    relayAddress = address(relayNode);
+    maxRelays = relayNode.count("most");
+    maxUnsentBytes = relayNode.bytes("unsent");
+    newsInterval = relayNode.span("tell-every");
     Node hookNode = root.child("hooks");
-    hooks = address(hookNode);
-    body = (int) Math.min(hookNode.bytes("body"), 16 << 20);
-    window = hookNode.span("window");
-    atOnce = hookNode.count("at-once");
-    readWithin = hookNode.span("read-within");
-    Map<String, Source> found = new TreeMap<>();
+    webhookAddress = address(hookNode);
+    maxWebhookBodyBytes = (int) Math.min(hookNode.bytes("body"), 16 << 20);
+    signatureTimeTolerance = hookNode.span("window");
+    maxConcurrentWebhooks = hookNode.count("at-once");
+    webhookReadTimeout = hookNode.span("read-within");
+    Map<String, WebhookSource> found = new TreeMap<>();
     for (Node node : hookNode.all("source")) {
-      Signatures.Form form = Signatures.Form.valueOf(node.text("form").toUpperCase(Locale.ROOT));
+      Signatures.SignatureScheme form =
+          Signatures.SignatureScheme.valueOf(node.text("form").toUpperCase(Locale.ROOT));
       List<byte[]> secrets;
       try {
-        secrets = Signatures.secrets(secret(node, "secrets"), form);
+        secrets = Signatures.parseSecrets(secret(node, "secrets"), form);
       } catch (IllegalArgumentException e) {
         throw node.wrong("secrets: a line of " + node.text("secrets") + " is no base64");
       }
@@ -125,16 +127,16 @@
       }
       if (found.put(
               node.text("name"),
-              new Source(node.text("name"), form, secrets, node.count("a-second")))
+              new WebhookSource(node.text("name"), form, secrets, node.count("a-second")))
           != null) {
         throw node.wrong("named twice");
       }
     }
-    sources = found;
+    webhookSources = found;
     Node apiNode = root.child("api");
-    api = address(apiNode);
-    token = secret(apiNode, "token").strip();
-    if (token.length() < 16) {
+    apiAddress = address(apiNode);
+    apiToken = secret(apiNode, "token").strip();
+    if (apiToken.length() < 16) {
       throw apiNode.wrong("token: " + apiNode.text("token") + " holds fewer than 16 characters");
     }
     List<WebhookOutbox.Target> targets = new ArrayList<>();
@@ -153,34 +155,35 @@
             new WebhookOutbox.Target(
                 node.text("name"),
                 url,
-                Signatures.secrets(secret(node, "secret"), Signatures.Form.STANDARD).get(0),
+                Signatures.parseSecrets(secret(node, "secret"), Signatures.SignatureScheme.STANDARD)
+                    .get(0),
                 Duration.ofMillis((long) node.span("give-up").ms())));
       } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
         throw node.wrong("secret: " + node.text("secret") + " holds no base64");
       }
     }
-    tells = List.copyOf(targets);
-    lease = root.span("lease");
-    if (TimeSpan.ofMs(500).over(lease)) {
+    outboxTargets = List.copyOf(targets);
+    leaseDuration = root.span("lease");
+    if (TimeSpan.ofMs(500).over(leaseDuration)) {
       throw root.wrong("lease is 500ms at least");
     }
-    leases = LeaseConfig.of(root.child("leases"), CANDIDATE);
+    leaseConfig = LeaseConfig.of(root.child("leases"), LEASE_CANDIDATE);
     Node racks = root.child("racks");
-    room = racks == null ? null : room(racks);
-    freezes = racks == null ? null : freezes(racks);
+    capacityCheck = racks == null ? null : capacityCheck(racks);
+    maintenanceRules = racks == null ? null : maintenanceRules(racks);
     Node agentsNode = root.child("agents");
-    agents = agentsNode == null ? null : address(agentsNode);
-    mostAgents = agentsNode == null ? 1 : agentsNode.count("most");
-    piecesASecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
-    mostBytes = agentsNode == null ? 0 : agentsNode.bytes("most-bytes");
-    incoming = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
-    plan = plan(agentsNode);
+    agentAddress = agentsNode == null ? null : address(agentsNode);
+    maxAgents = agentsNode == null ? 1 : agentsNode.count("most");
+    maxPiecesPerSecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
+    maxArtifactBytes = agentsNode == null ? 0 : agentsNode.bytes("most-bytes");
+    incomingFolder = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
+    deploymentPlan = deploymentPlan(agentsNode);
     List<RolloutRules.Stage> stages =
         root.all("stage").stream()
             .map(stage -> new RolloutRules.Stage(stage.number("share"), stage.number("cap")))
             .toList();
     Node votes = root.child("votes");
-    rules =
+    rolloutRules =
         new RolloutRules(
             stages,
             RolloutRules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)),
@@ -197,7 +200,7 @@
   }
 
   /** Without agents there is a plan too, which nobody goes by. */
-  private static DeploymentPlan plan(Node node) throws ConfigException {
+  private static DeploymentPlan deploymentPlan(Node node) throws ConfigException {
     if (node == null) {
       return new DeploymentPlan(
           List.of(new DeploymentPlan.Stage(1, 0.1)),
@@ -226,7 +229,7 @@
     }
   }
 
-  private static CapacityCheck room(Node node) throws ConfigException {
+  private static CapacityCheck capacityCheck(Node node) throws ConfigException {
     Map<String, Rack> racks = new TreeMap<>();
     Set<Integer> places = new java.util.HashSet<>();
     for (Node one : node.all("rack")) {
@@ -255,8 +258,8 @@
       if (!places.add(rack.zone() << 16 | rack.cell())) {
         throw one.wrong("two racks have one zone and cell");
       }
-      if (racks.size() > MOST_RACKS) {
-        throw one.wrong("more than " + MOST_RACKS + " racks");
+      if (racks.size() > MAX_RACKS) {
+        throw one.wrong("more than " + MAX_RACKS + " racks");
       }
     }
     Map<Integer, CapacityCheck.Forecast> forecasts = new TreeMap<>();
@@ -280,7 +283,7 @@
     return new CapacityCheck(racks.values(), forecasts, node.number("reserve"));
   }
 
-  private static MaintenanceWindows.Rules freezes(Node node) throws ConfigException {
+  private static MaintenanceWindows.Rules maintenanceRules(Node node) throws ConfigException {
     try {
       return new MaintenanceWindows.Rules(
           (long) node.span("warm").ms(), (long) node.span("step").ms(), node.number("confidence"));
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -39,30 +39,31 @@
  * for the disk.
  */
 public final class ControllerServer implements AutoCloseable {
-  private static final TimeSpan LOOK = TimeSpan.ofMs(50); // whether time alone has changed anything
+  private static final TimeSpan TIMER_INTERVAL =
+      TimeSpan.ofMs(50); // whether time alone has changed anything
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final ControllerConfig config;
   private final NioLoop loop;
   private final Engine engine;
-  private final PlacementGrants promises;
-  private final RelayListener relays;
+  private final PlacementGrants grants;
+  private final RelayListener relayListener;
   private final HttpServer http;
-  private final ArtifactStore vault;
-  private AgentListener agents;
-  private InetSocketAddress agentsAt;
-  private final Leadership seat;
+  private final ArtifactStore artifacts;
+  private AgentListener agentListener;
+  private InetSocketAddress agentAddress;
+  private final Leadership leadership;
   private Leases leases;
-  private GrantorListener granter;
+  private GrantorListener grantorListener;
   private final List<WebhookOutbox> outboxes = new ArrayList<>();
-  private final Map<String, Long> delivered = new ConcurrentHashMap<>();
-  private final Runnable replaced;
-  private final InetSocketAddress relaysAt;
-  private final AtomicBoolean promisesTold =
+  private final Map<String, Long> deliveredByTarget = new ConcurrentHashMap<>();
+  private final Runnable onLeadershipLost;
+  private final InetSocketAddress relayAddress;
+  private final AtomicBoolean grantsAnnounced =
       new AtomicBoolean(true); // false: relays are about to be; also set by the thread that starts
-  private boolean marked;
+  private boolean commitScheduled;
   private volatile boolean stopped;
-  private volatile boolean lost;
+  private volatile boolean leadershipLost;
 
   /**
    * Opens the files and all doors.
@@ -71,7 +72,7 @@
    */
   public ControllerServer(ControllerConfig config, Engine.Clock clock, Tap tap, Runnable replaced)
       throws Exception {
-    this.replaced = replaced;
+    this.onLeadershipLost = replaced;
     this.config = config;
     String holder =
         config.name
@@ -79,28 +80,29 @@
             + ProcessHandle.current().pid()
             + "-"
             + Long.toHexString(System.nanoTime());
-    loop = new NioLoop("controller", this::broken);
-    seat = seat(holder, tap, clock);
+    loop = new NioLoop("controller", this::reportFault);
+    leadership = leadership(holder, tap, clock);
     boolean told = false;
-    while (!seat.take()) {
+    while (!leadership.take()) {
       if (!told) {
-        log.info("STANDBY {} waits for the seat at {}", holder, config.folder);
+        log.info("STANDBY {} waits for the seat at {}", holder, config.storeFolder);
       }
       told = true;
       Thread.sleep(50);
     }
-    loop.post(this::renew); // from now on: to come back may take longer than the lease
+    loop.post(this::renewLeadership); // from now on: to come back may take longer than the lease
     MaintenanceWindows freezes =
-        config.room == null
+        config.capacityCheck == null
             ? MaintenanceWindows.none()
-            : new MaintenanceWindows(config.freezes, config.room, ofFreezes());
+            : new MaintenanceWindows(
+                config.maintenanceRules, config.capacityCheck, maintenanceHost());
     engine =
         Engine.in(
-            config.folder,
-            config.rules,
-            config.places,
+            config.storeFolder,
+            config.rolloutRules,
+            config.endpointCount,
             config.firstBuild,
-            config.plan,
+            config.deploymentPlan,
             clock,
             (release, step) -> {
               log.info(
@@ -112,30 +114,30 @@
                   step.cause());
               outboxes.forEach(outbox -> outbox.add(release, step));
             },
-            ofChanges(),
+            deploymentHost(),
             freezes,
             what ->
                 log.error(
                     "STORE {}", what)); // relays are told at the turn's end, after all its steps
-    for (WebhookOutbox.Target target : config.tells) {
+    for (WebhookOutbox.Target target : config.outboxTargets) {
       outboxes.add(
           new WebhookOutbox(
               target,
-              config.folder.resolveSibling(
-                  config.folder.getFileName() + "-" + target.name() + ".dead"),
-              upTo -> loop.post(() -> delivered(target.name(), upTo)),
+              config.storeFolder.resolveSibling(
+                  config.storeFolder.getFileName() + "-" + target.name() + ".dead"),
+              upTo -> loop.post(() -> deliveredByTarget(target.name(), upTo)),
               what -> log.error("OUTBOX {}", what)));
     }
-    engine.onlyWhile(seat::holds);
-    engine.start(this::tellAgain);
-    promises = new PlacementGrants(freezes, freezes.later(engine.wallMs()));
-    relays = new RelayListener(loop, config, tap, this);
-    vault =
-        config.agents == null
+    engine.onlyWhile(leadership::holds);
+    engine.start(this::requeueUndeliveredSteps);
+    grants = new PlacementGrants(freezes, freezes.later(engine.wallMs()));
+    relayListener = new RelayListener(loop, config, tap, this);
+    artifacts =
+        config.agentAddress == null
             ? null
             : new ArtifactStore(
-                config.folder.resolveSibling(config.folder.getFileName() + "-versions"),
-                config.mostBytes);
+                config.storeFolder.resolveSibling(config.storeFolder.getFileName() + "-versions"),
+                config.maxArtifactBytes);
     http = new HttpServer(config, this);
     Exception[] wrong = new Exception[1];
     CountDownLatch done = new CountDownLatch(1);
@@ -143,15 +145,15 @@
     loop.post(
         () -> {
           try {
-            at[0] = relays.start();
-            if (config.agents != null) {
-              agents = new AgentListener(loop, config, tap, this, vault);
-              agentsAt = agents.start();
+            at[0] = relayListener.start();
+            if (config.agentAddress != null) {
+              agentListener = new AgentListener(loop, config, tap, this, artifacts);
+              agentAddress = agentListener.start();
             }
           } catch (IOException e) {
             wrong[0] =
                 new IOException(
-                    (at[0] == null ? config.relays : config.agents)
+                    (at[0] == null ? config.relayAddress : config.agentAddress)
                         + " can't be listened at: "
                         + e.getMessage());
           } finally {
@@ -166,11 +168,15 @@
       http.start();
     } catch (RuntimeException e) {
       throw new IOException(
-          config.hooks + " or " + config.api + " can't be listened at: " + e.getMessage());
+          config.webhookAddress
+              + " or "
+              + config.apiAddress
+              + " can't be listened at: "
+              + e.getMessage());
     }
     outboxes.forEach(WebhookOutbox::start);
-    loop.post(this::look);
-    relaysAt = at[0];
+    loop.post(this::checkTimers);
+    relayAddress = at[0];
     log.info(
         "STARTED controller {}, epoch {}, {} inputs; relays at {}, webhooks at {}, operators at {}",
         config.name,
@@ -185,9 +191,9 @@
    * By the store's folder, or by a lease where granters are configured; this process may be one of
    * them.
    */
-  private Leadership seat(String holder, Tap tap, Engine.Clock clock) throws Exception {
-    if (config.leases == null) {
-      return FileLeadership.in(config.folder, clock, config.lease, holder);
+  private Leadership leadership(String holder, Tap tap, Engine.Clock clock) throws Exception {
+    if (config.leaseConfig == null) {
+      return FileLeadership.in(config.storeFolder, clock, config.leaseDuration, holder);
     }
     Leases.Log say =
         new Leases.Log() {
@@ -202,22 +208,24 @@
           }
         };
     leases =
-        new Leases(loop, config.leases, config.name, Leases.newLife(), tap, clock::wallMs, say);
-    LeadershipMark mark = LeadershipMark.in(config.folder);
+        new Leases(
+            loop, config.leaseConfig, config.name, Leases.newLife(), tap, clock::wallMs, say);
+    LeadershipMark mark = LeadershipMark.in(config.storeFolder);
     Exception[] wrong = new Exception[1];
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
           try {
-            if (config.leases.granter() >= 0) {
-              granter = new GrantorListener(loop, config.leases, config.name, tap, say);
-              granter.start();
+            if (config.leaseConfig.granter() >= 0) {
+              grantorListener =
+                  new GrantorListener(loop, config.leaseConfig, config.name, tap, say);
+              grantorListener.start();
             }
             leases.start();
           } catch (IOException e) {
             wrong[0] =
                 new IOException(
-                    "granter " + config.leases.granter() + " can't listen: " + e.getMessage());
+                    "granter " + config.leaseConfig.granter() + " can't listen: " + e.getMessage());
           } finally {
             done.countDown();
           }
@@ -236,33 +244,33 @@
 
   /** Another controller has taken its place. */
   public boolean isReplaced() {
-    return lost;
+    return leadershipLost;
   }
 
-  public InetSocketAddress relaysAt() {
-    return relaysAt;
+  public InetSocketAddress relayAddress() {
+    return relayAddress;
   }
 
-  public InetSocketAddress agentsAt() {
-    return agentsAt;
+  public InetSocketAddress agentAddress() {
+    return agentAddress;
   }
 
-  public InetSocketAddress hooksAt() {
+  public InetSocketAddress webhookAddress() {
     return http.hooksAt();
   }
 
-  public InetSocketAddress apiAt() {
+  public InetSocketAddress apiAddress() {
     return http.apiAt();
   }
 
   /**
    * Programs and settings that agents can be told to run; null where this controller has no agents.
    */
-  ArtifactStore vault() {
-    return vault;
+  ArtifactStore artifacts() {
+    return artifacts;
   }
 
-  private DeploymentManager.Host ofChanges() {
+  private DeploymentManager.Host deploymentHost() {
     return new DeploymentManager.Host() {
       @Override
       public void changed(Deployment change, Deployment.Step step) {
@@ -273,21 +281,21 @@
             step.state(),
             step.stage(),
             step.cause());
-        if (agents != null) {
-          agents.changed(change);
+        if (agentListener != null) {
+          agentListener.deploymentChanged(change);
         }
       }
 
       @Override
       public void wants(ManagedRelay relay) {
-        if (agents != null) {
-          agents.wants(relay);
+        if (agentListener != null) {
+          agentListener.desiredStateChanged(relay);
         }
       }
     };
   }
 
-  private MaintenanceWindows.Host ofFreezes() {
+  private MaintenanceWindows.Host maintenanceHost() {
     return new MaintenanceWindows.Host() {
       @Override
       public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
@@ -305,33 +313,33 @@
       @Override
       public void promisesChanged() {
         // a start happens on another thread; a turn that moves many freezes is told once
-        if (!engine().replaying() && promisesTold.getAndSet(false)) {
-          loop.post(ControllerServer.this::tellPromises);
+        if (!engine().replaying() && grantsAnnounced.getAndSet(false)) {
+          loop.post(ControllerServer.this::announceGrants);
         }
       }
     };
   }
 
-  private void tellPromises() {
-    promisesTold.set(true);
-    if (relays != null) {
-      relays.promisesChanged(); // else nobody is linked yet
+  private void announceGrants() {
+    grantsAnnounced.set(true);
+    if (relayListener != null) {
+      relayListener.notifyGrantsChanged(); // else nobody is linked yet
     }
   }
 
   /** What relays are promised; on the loop. */
-  PlacementGrants promises() {
-    return promises;
+  PlacementGrants grants() {
+    return grants;
   }
 
   /** Whether this controller acts, asked at the last instant before it promises anything. */
-  boolean holdsSeat() {
-    return seat.holds();
+  boolean isLeader() {
+    return leadership.holds();
   }
 
   /** A relay has asked: some freeze may be in force by that. */
-  void lookAtFreezes() {
-    for (long number : promises.cleared(engine.freezes().later(engine.wallMs()))) {
+  void submitClearedWindows() {
+    for (long number : grants.cleared(engine.freezes().later(engine.wallMs()))) {
       submit(
           Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
           outcome -> {});
@@ -342,40 +350,40 @@
     return engine;
   }
 
-  Set<Integer> relays() {
-    return relays.relays();
+  Set<Integer> relayListener() {
+    return relayListener.connectedRelays();
   }
 
-  void broken(Throwable why) {
+  void reportFault(Throwable why) {
     log.error("BROKEN {}", why.toString(), why);
   }
 
   /** On the loop, from any thread. */
-  void post(Runnable what) {
+  void runOnLoop(Runnable what) {
     loop.post(what);
   }
 
   /** On the loop: kept at the turn's end, then it happens and is answered. */
   void submit(Input.Builder input, Consumer<Engine.Outcome> done) {
     engine.submit(input, done);
-    if (marked) {
+    if (commitScheduled) {
       return;
     }
-    marked = true;
+    commitScheduled = true;
     loop.atTurnsEnd(this::commit);
   }
 
   private void commit() {
-    marked = false;
+    commitScheduled = false;
     long before = engine.releases().sequence();
     engine.commit();
     if (engine.releases().sequence() != before) {
-      relays.tellAll();
+      relayListener.sendNewsToAll();
     }
   }
 
   /** Steps of earlier lives that not every listener has taken yet. */
-  private void tellAgain() {
+  private void requeueUndeliveredSteps() {
     List<Map.Entry<Rollout, Rollout.Step>> again = new ArrayList<>();
     for (Rollout release : engine.releases().all()) {
       for (Rollout.Step step : release.steps()) {
@@ -389,40 +397,40 @@
   }
 
   /** Steps are done with once every listener has them, or they were given up. */
-  private void delivered(String target, long upTo) {
-    delivered.put(target, upTo);
-    if (delivered.size() < outboxes.size()) {
+  private void deliveredByTarget(String target, long upTo) {
+    deliveredByTarget.put(target, upTo);
+    if (deliveredByTarget.size() < outboxes.size()) {
       return;
     }
-    long all = delivered.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    long all = deliveredByTarget.values().stream().mapToLong(Long::longValue).min().orElse(0);
     if (all > engine.releases().delivered()) {
       submit(
           Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(all)), outcome -> {});
     }
   }
 
-  private void renew() {
+  private void renewLeadership() {
     if (stopped) {
       return;
     }
     boolean holds;
     try {
-      holds = seat.renew();
+      holds = leadership.renew();
     } catch (IOException e) {
       log.error("LEASE can't be renewed: {}", e.getMessage());
-      holds = seat.holds(); // as long as its time is not over
+      holds = leadership.holds(); // as long as its time is not over
     }
     if (!holds) {
       log.error("LEASE lost: another controller acts, this one ends");
       stopped = true;
-      lost = true;
-      replaced.run();
+      leadershipLost = true;
+      onLeadershipLost.run();
       return;
     }
-    loop.at(loop.now().plus(Leadership.RENEW), this::renew);
+    loop.at(loop.now().plus(Leadership.RENEW), this::renewLeadership);
   }
 
-  private void look() {
+  private void checkTimers() {
     if (stopped) {
       return;
     }
@@ -431,8 +439,8 @@
         || engine.freezes().due(engine.wallMs())) {
       commit();
     }
-    lookAtFreezes();
-    loop.at(loop.now().plus(LOOK), this::look);
+    submitClearedWindows();
+    loop.at(loop.now().plus(TIMER_INTERVAL), this::checkTimers);
   }
 
   /** Answers what is under way, and ends. */
@@ -443,9 +451,9 @@
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
-          relays.stop();
-          if (agents != null) {
-            agents.stop();
+          relayListener.stop();
+          if (agentListener != null) {
+            agentListener.stop();
           }
           loop.at(loop.now().plus(TimeSpan.ofMs(100)), done::countDown);
         });
@@ -456,12 +464,12 @@
     }
     outboxes.forEach(WebhookOutbox::close);
     engine.close();
-    seat.release();
+    leadership.release();
     CountDownLatch gone = new CountDownLatch(1);
     loop.post(
         () -> {
-          if (granter != null) {
-            granter.stop();
+          if (grantorListener != null) {
+            grantorListener.stop();
           }
           loop.at(
               loop.now().plus(TimeSpan.ofMs(100)), gone::countDown); // what was given back goes out
--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -15,35 +15,36 @@
  * were ever linked, each of which is known to the changes.
  */
 final class DisconnectedAgents {
-  private record One(int relay, Timestamp heard) {}
+  private record Absence(int relay, Timestamp heard) {}
 
-  private final Map<Integer, One> known = new HashMap<>();
-  private final TreeSet<One> line =
+  private final Map<Integer, Absence> byRelay = new HashMap<>();
+  private final TreeSet<Absence> byLastHeard =
       new TreeSet<>(
-          Comparator.<One>comparingDouble(one -> one.heard.ms()).thenComparingInt(One::relay));
-  private long looked;
+          Comparator.<Absence>comparingDouble(one -> one.heard.ms())
+              .thenComparingInt(Absence::relay));
+  private long entriesExamined;
 
   /** Its link is gone; {@code heard}: when it said something last. */
-  void left(int relay, Timestamp heard) {
-    back(relay);
-    One one = new One(relay, heard);
-    known.put(relay, one);
-    line.add(one);
+  void disconnected(int relay, Timestamp heard) {
+    remove(relay);
+    Absence one = new Absence(relay, heard);
+    byRelay.put(relay, one);
+    byLastHeard.add(one);
   }
 
   /** It is linked, or its absence is noted and needs no more looks. */
-  void back(int relay) {
-    One before = known.remove(relay);
+  void remove(int relay) {
+    Absence before = byRelay.remove(relay);
     if (before != null) {
-      line.remove(before);
+      byLastHeard.remove(before);
     }
   }
 
   /** Who was not heard for longer; they stay until {@link #back}. */
-  List<Integer> longer(TimeSpan than, Timestamp now) {
+  List<Integer> unheardLongerThan(TimeSpan than, Timestamp now) {
     List<Integer> found = new ArrayList<>();
-    for (One one : line) {
-      looked++;
+    for (Absence one : byLastHeard) {
+      entriesExamined++;
       if (!now.since(one.heard).over(than)) {
         break;
       }
@@ -53,7 +54,7 @@
   }
 
   /** Entries looked at so far: what tests of its growth count. */
-  long looked() {
-    return looked;
+  long entriesExamined() {
+    return entriesExamined;
   }
 }
--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -71,18 +71,19 @@
     this.config = config;
     this.desk = desk;
     announcements = new Announcements();
-    for (ControllerConfig.Source source : config.sources.values()) {
-      rates.put(source.name(), new RateLimiter(source.aSecond(), System.currentTimeMillis()));
+    for (ControllerConfig.WebhookSource source : config.webhookSources.values()) {
+      rates.put(source.name(), new RateLimiter(source.maxPerSecond(), System.currentTimeMillis()));
     }
   }
 
   void start() {
     hooks =
         server(
-            config.hooks,
-            (int) config.readWithin.ms(),
-            new RequestLimitingHandler(config.atOnce, config.atOnce, this::hook));
-    api = server(config.api, SLOW_MS, new RequestLimitingHandler(50, 50, this::operator));
+            config.webhookAddress,
+            (int) config.webhookReadTimeout.ms(),
+            new RequestLimitingHandler(
+                config.maxConcurrentWebhooks, config.maxConcurrentWebhooks, this::hook));
+    api = server(config.apiAddress, SLOW_MS, new RequestLimitingHandler(50, 50, this::operator));
     hooks.start();
     api.start();
   }
@@ -157,12 +158,12 @@
     exchange.dispatch(
         SameThreadExecutor.INSTANCE,
         () ->
-            desk.post(
+            desk.runOnLoop(
                 () -> {
                   try {
                     what.run();
                   } catch (RuntimeException e) {
-                    desk.broken(e);
+                    desk.reportFault(e);
                     answer(exchange, 500, "fault", null);
                   }
                 }));
@@ -172,8 +173,8 @@
 
   private void hook(HttpServerExchange exchange) {
     String path = exchange.getRequestPath();
-    ControllerConfig.Source source =
-        path.startsWith("/hooks/") ? config.sources.get(path.substring(7)) : null;
+    ControllerConfig.WebhookSource source =
+        path.startsWith("/hooks/") ? config.webhookSources.get(path.substring(7)) : null;
     if (source == null) {
       answer(exchange, 404, "no_such_source", null);
       return;
@@ -182,36 +183,37 @@
       answer(exchange, 405, "post_only", null);
       return;
     }
-    if (!rates.get(source.name()).take(System.currentTimeMillis())) {
-      answer(exchange, 429, "too_often", "more than " + source.aSecond() + " a second");
+    if (!rates.get(source.name()).tryAcquire(System.currentTimeMillis())) {
+      answer(exchange, 429, "too_often", "more than " + source.maxPerSecond() + " a second");
       return;
     }
-    body(exchange, config.body, bytes -> signed(exchange, source, bytes));
+    body(exchange, config.maxWebhookBodyBytes, bytes -> signed(exchange, source, bytes));
   }
 
-  private void signed(HttpServerExchange exchange, ControllerConfig.Source source, byte[] bytes) {
-    List<String> names = Signatures.headers(source.form());
+  private void signed(
+      HttpServerExchange exchange, ControllerConfig.WebhookSource source, byte[] bytes) {
+    List<String> names = Signatures.headerNames(source.scheme());
     Signatures.Headers headers =
         new Signatures.Headers(
             header(exchange, names.get(0)),
             header(exchange, names.get(1)),
             header(exchange, names.get(2)));
     Signatures.Verdict verdict =
-        Signatures.check(
-            source.form(),
+        Signatures.verify(
+            source.scheme(),
             headers,
             bytes,
             source.secrets(),
             System.currentTimeMillis() / 1000,
-            config.window);
+            config.signatureTimeTolerance);
     if (verdict.refused() != null) {
       answer(exchange, 401, "not_signed", verdict.refused());
       return;
     }
-    Announcements.Announcement announced;
+    Announcements.BuildAnnouncement announced;
     try {
       announced = announcements.read(bytes);
-    } catch (Announcements.BadBodyException e) {
+    } catch (Announcements.MalformedAnnouncementException e) {
       answer(exchange, 400, "no_announcement", e.getMessage());
       return;
     }
@@ -265,7 +267,7 @@
         given != null
             && MessageDigest.isEqual(
                 given.getBytes(StandardCharsets.UTF_8),
-                ("Bearer " + config.token).getBytes(StandardCharsets.UTF_8));
+                ("Bearer " + config.apiToken).getBytes(StandardCharsets.UTF_8));
     if (!known) {
       answer(exchange, 401, "no_token", "Authorization: Bearer and the token are needed");
       return;
@@ -432,7 +434,7 @@
   private void propose(HttpServerExchange exchange, JsonNode body) {
     String who = body.path("who").asText("");
     String reason = body.path("reason").asText("");
-    if (config.agents == null) {
+    if (config.agentAddress == null) {
       answer(exchange, 409, "no_agents", "this controller's configuration has no agents");
       return;
     }
@@ -489,10 +491,10 @@
   /** Whether a signal will do from one settings to others, as far as it can be told here. */
   private boolean needsNoRestart(String from, String to) {
     try {
-      return desk.vault().has(from)
+      return desk.artifacts().has(from)
           && Live.needRestart(
-                  Files.readString(desk.vault().path(from)),
-                  Files.readString(desk.vault().path(to)))
+                  Files.readString(desk.artifacts().path(from)),
+                  Files.readString(desk.artifacts().path(to)))
               .isEmpty();
     } catch (IOException | ConfigException e) {
       return false; // agents read it through, and say what is wrong
@@ -501,7 +503,7 @@
 
   /** A file of the incoming folder, and of no other. */
   private String taken(String name) throws IOException {
-    Path file = config.incoming.resolve(name);
+    Path file = config.incomingFolder.resolve(name);
     boolean inside =
         name.matches("[A-Za-z0-9_.+-]{1,200}")
             && !name.startsWith(".")
@@ -510,7 +512,7 @@
       throw new IllegalArgumentException(
           "no file " + name + " is in the controller's incoming folder");
     }
-    return desk.vault().put(file);
+    return desk.artifacts().put(file);
   }
 
   private static ObjectNode brief(Deployment change) {
@@ -569,13 +571,13 @@
   private ObjectNode leases(Map<Integer, LeaseListed> known) {
     ObjectNode all = Announcements.JSON.createObjectNode();
     ArrayNode granters = all.putArray("granters");
-    for (int i = 0; i < config.leases.granters().size(); i++) {
+    for (int i = 0; i < config.leaseConfig.granters().size(); i++) {
       LeaseListed one = known.get(i);
       ObjectNode node =
           granters
               .addObject()
               .put("granter", i)
-              .put("at", config.leases.granters().get(i).toString().replaceFirst("^/", ""))
+              .put("at", config.leaseConfig.granters().get(i).toString().replaceFirst("^/", ""))
               .put("heard", one != null);
       if (one != null) {
         node.put("grants_in_ms", one.getOpensUs() / 1000).put("refused", one.getRefused());
@@ -610,13 +612,13 @@
         });
     ArrayNode list = all.putArray("leases");
     byName.values().forEach(list::add);
-    return all.put("majority", config.leases.granters().size() / 2 + 1);
+    return all.put("majority", config.leaseConfig.granters().size() / 2 + 1);
   }
 
   private void freeze(HttpServerExchange exchange, JsonNode body) {
     String who = body.path("who").asText("");
     String reason = body.path("reason").asText("");
-    if (config.room == null) {
+    if (config.capacityCheck == null) {
       answer(exchange, 409, "no_racks", "this controller's configuration has no racks");
       return;
     }
@@ -710,7 +712,7 @@
     }
     ArrayNode out = node.putArray("out");
     if (freeze.state().binds()) {
-      desk.promises()
+      desk.grants()
           .out(freeze, desk.engine().freezes().later(desk.engine().wallMs()))
           .forEach(
               relay ->
@@ -842,7 +844,7 @@
         releases.standing(say, now).forEach(relays::add);
       }
       ArrayNode silent = node.putArray("silent");
-      for (int relay : desk.relays()) {
+      for (int relay : desk.relayListener()) {
         boolean voted = false;
         for (RolloutManager.Say say : RolloutManager.Say.values()) {
           voted |= say != RolloutManager.Say.NOTHING && releases.standing(say, now).contains(relay);
--- a/src/main/java/sprucerock/controller/server/RackList.java
+++ b/src/main/java/sprucerock/controller/server/RackList.java
@@ -20,21 +20,21 @@
  */
 final class RackList {
   /** Asked with: no list yet, but one is welcome. */
-  private static final long NONE_YET = 1;
+  private static final long NO_LIST_YET = 1;
 
-  private final Map<String, Rack> named;
+  private final Map<String, Rack> byName;
   private final List<Rack> racks;
-  private final long number;
+  private final long listId;
 
   /** {@code all}: those of the configuration, by their names. */
   RackList(Map<String, Rack> all) {
-    named = all;
+    byName = all;
     racks = new ArrayList<>(all.values());
     racks.sort(Comparator.comparingInt(Rack::zone).thenComparingInt(Rack::cell));
-    number = number(racks);
+    listId = listId(racks);
   }
 
-  private static long number(List<Rack> racks) {
+  private static long listId(List<Rack> racks) {
     ByteBuffer all = ByteBuffer.allocate(racks.size() * 16);
     for (Rack one : racks) {
       all.putInt(one.zone()).putInt(one.cell()).putLong(one.noticeMs());
@@ -42,7 +42,7 @@
     try {
       long found =
           ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(all.array())).getLong();
-      return found == 0 || found == NONE_YET ? 2 : found;
+      return found == 0 || found == NO_LIST_YET ? 2 : found;
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java platform has SHA-256", e);
     }
@@ -52,20 +52,20 @@
    * {@code asks}: the list that the relay says it has; {@code shorter}: in milliseconds, those that
    * are free for less than their notice.
    */
-  void into(Promised.Builder promised, long asks, Map<String, Long> shorter) {
-    if (asks == number) {
-      promised.setList(number).setRest(true);
+  void writeTo(Promised.Builder promised, long asks, Map<String, Long> shorter) {
+    if (asks == listId) {
+      promised.setList(listId).setRest(true);
       shorter.forEach(
           (name, left) ->
               promised.addRacks(
                   RackFree.newBuilder()
-                      .setZone(named.get(name).zone())
-                      .setCell(named.get(name).cell())
+                      .setZone(byName.get(name).zone())
+                      .setCell(byName.get(name).cell())
                       .setLeftMs(left)));
       return;
     }
     if (asks != 0) {
-      promised.setList(number);
+      promised.setList(listId);
     }
     for (Rack one : racks) {
       RackFree.Builder rack =
--- a/src/main/java/sprucerock/controller/server/RateLimiter.java
+++ b/src/main/java/sprucerock/controller/server/RateLimiter.java
@@ -6,17 +6,17 @@
 final class RateLimiter {
   private final double perSecond;
   private double tokens;
-  private long lastMs;
+  private long lastRefillMs;
 
   RateLimiter(int perSecond, long nowMs) {
     this.perSecond = perSecond;
     tokens = perSecond;
-    lastMs = nowMs;
+    lastRefillMs = nowMs;
   }
 
-  synchronized boolean take(long nowMs) {
-    tokens = Math.min(perSecond, tokens + perSecond * Math.max(0, nowMs - lastMs) / 1000);
-    lastMs = Math.max(lastMs, nowMs);
+  synchronized boolean tryAcquire(long nowMs) {
+    tokens = Math.min(perSecond, tokens + perSecond * Math.max(0, nowMs - lastRefillMs) / 1000);
+    lastRefillMs = Math.max(lastRefillMs, nowMs);
     if (tokens < 1) {
       return false;
     }
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -40,25 +40,25 @@
   private final ControllerConfig config;
   private final Limits limits;
   private final Tap tap;
-  private final ControllerServer desk;
+  private final ControllerServer controller;
   private final Set<Session> sessions = new LinkedHashSet<>();
-  private final RackList racks;
+  private final RackList rackList;
   private Net.Listener listener;
 
-  RelayListener(Net net, ControllerConfig config, Tap tap, ControllerServer desk) {
+  RelayListener(Net net, ControllerConfig config, Tap tap, ControllerServer controller) {
     this.net = net;
     this.config = config;
     this.tap = tap;
-    this.desk = desk;
-    racks = new RackList(desk.engine().freezes().room().racks());
-    limits = new Limits(64 * 1024, Math.max(config.unsent, 64 * 1024), TimeSpan.ofMs(2000));
+    this.controller = controller;
+    rackList = new RackList(controller.engine().freezes().room().racks());
+    limits = new Limits(64 * 1024, Math.max(config.maxUnsentBytes, 64 * 1024), TimeSpan.ofMs(2000));
   }
 
   InetSocketAddress start() throws IOException {
     listener =
         net.listen(
-            config.relays,
-            config.mostRelays,
+            config.relayAddress,
+            config.maxRelays,
             limits.unsent(),
             () -> {
               Session session = new Session();
@@ -75,7 +75,7 @@
                       session);
               return session.connection;
             });
-    push();
+    sendPeriodically();
     return listener.address();
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Relays that are linked, by their numbers. */
-  Set<Integer> relays() {
+  Set<Integer> connectedRelays() {
     Set<Integer> found = new java.util.TreeSet<>();
     for (Session session : sessions) {
       found.add(session.connection.other().getNumber());
@@ -95,14 +95,14 @@
     return found;
   }
 
-  private void push() {
-    tellAll();
-    net.at(net.now().plus(config.tellEvery), this::push);
+  private void sendPeriodically() {
+    sendNewsToAll();
+    net.at(net.now().plus(config.newsInterval), this::sendPeriodically);
   }
 
-  void tellAll() {
+  void sendNewsToAll() {
     for (Session session : sessions) {
-      session.tell();
+      session.sendNews();
     }
   }
 
@@ -110,14 +110,14 @@
    * A freeze was accepted, called off or has begun: whoever asks now is told so. Each asks a moment
    * later, by chance of its own.
    */
-  void promisesChanged() {
+  void notifyGrantsChanged() {
     for (Session session : sessions) {
       session.connection.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
     }
   }
 
   private News news() {
-    RolloutManager.News news = desk.engine().releases().news();
+    RolloutManager.News news = controller.engine().releases().news();
     Stand stand =
         switch (news.standing()) {
           case ON_TRIAL -> Stand.ON_TRIAL;
@@ -130,15 +130,16 @@
         .setStage(news.stage())
         .setStanding(stand)
         .setCap(news.cap())
-        .setLastedUs(Math.max(0, (long) (desk.engine().now().since(news.since()).ms() * 1000)))
-        .setEpoch(desk.engine().releases().epoch())
-        .setSequence(desk.engine().releases().sequence())
+        .setLastedUs(
+            Math.max(0, (long) (controller.engine().now().since(news.since()).ms() * 1000)))
+        .setEpoch(controller.engine().releases().epoch())
+        .setSequence(controller.engine().releases().sequence())
         .build();
   }
 
   private final class Session implements FrameListener {
     private FrameConnection connection;
-    private Timers.Timer behind;
+    private Timers.Timer retryTimer;
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
@@ -147,22 +148,22 @@
         return;
       }
       sessions.add(this);
-      tell();
+      sendNews();
     }
 
-    void tell() {
-      if (behind != null) {
+    void sendNews() {
+      if (retryTimer != null) {
         return;
       }
       if (connection.unsent()
-          > config.unsent / 2) { // it does not read: the newest is told when it does
-        behind =
+          > config.maxUnsentBytes / 2) { // it does not read: the newest is told when it does
+        retryTimer =
             net.at(
                 net.now().plus(TimeSpan.ofMs(100)),
                 () -> {
-                  behind = null;
+                  retryTimer = null;
                   if (sessions.contains(this)) {
-                    tell();
+                    sendNews();
                   }
                 });
         return;
@@ -173,11 +174,11 @@
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
       if (kind == Kind.PROMISE_ASK) {
-        promise((PromiseAsk) head);
+        answerGrantRequest((PromiseAsk) head);
         return;
       }
       if (kind == Kind.WORTH) {
-        worth((Worth) head);
+        recordHardwareValue((Worth) head);
         return;
       }
       if (kind != Kind.VOTE) {
@@ -194,10 +195,10 @@
             default -> null;
           };
       if (say == null || connection.other().getNumber() < 0) {
-        answer(vote, Taken.FAILED_TO_TAKE);
+        answerVote(vote, Taken.FAILED_TO_TAKE);
         return;
       }
-      desk.submit(
+      controller.submit(
           Input.newBuilder()
               .setCast(
                   Cast.newBuilder()
@@ -206,7 +207,7 @@
                       .setStage(vote.getStage())
                       .setSay(say.name())),
           outcome ->
-              answer(
+              answerVote(
                   vote,
                   outcome.refused() != null
                       ? Taken.FAILED_TO_TAKE
@@ -221,9 +222,9 @@
      * Field by field as it is recorded; one of a relay that was replaced is refused by its number,
      * by the core.
      */
-    private void worth(Worth told) {
+    private void recordHardwareValue(Worth told) {
       try {
-        desk.submit(
+        controller.submit(
             Input.newBuilder().setWorth(FamiliesWorth.parseFrom(told.toByteArray())),
             outcome -> {});
       } catch (com.google.protobuf.InvalidProtocolBufferException e) {
@@ -235,22 +236,22 @@
      * What a former holder of the seat would promise, nobody waits for to run out: so it is asked
      * last, and says nothing.
      */
-    private void promise(PromiseAsk ask) {
-      long now = desk.engine().freezes().later(desk.engine().wallMs());
-      desk.promises().asked(connection.other().getNumber(), ask.getHolds(), now);
+    private void answerGrantRequest(PromiseAsk ask) {
+      long now = controller.engine().freezes().later(controller.engine().wallMs());
+      controller.grants().asked(connection.other().getNumber(), ask.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(ask.getId())
-              .setEpoch(desk.engine().releases().epoch())
-              .setSequence(desk.engine().freezes().sequence());
-      racks.into(promised, ask.getList(), desk.promises().shorter(now));
-      desk.lookAtFreezes();
-      if (ask.getId() > 0 && desk.holdsSeat()) {
+              .setEpoch(controller.engine().releases().epoch())
+              .setSequence(controller.engine().freezes().sequence());
+      rackList.writeTo(promised, ask.getList(), controller.grants().shorter(now));
+      controller.submitClearedWindows();
+      if (ask.getId() > 0 && controller.isLeader()) {
         connection.send(Kind.PROMISED, promised.build(), NO_BODY);
       }
     }
 
-    private void answer(Vote vote, Taken taken) {
+    private void answerVote(Vote vote, Taken taken) {
       connection.send(
           Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
     }
@@ -258,8 +259,8 @@
     @Override
     public void closed(String why) {
       sessions.remove(this);
-      if (behind != null) {
-        behind.cancel();
+      if (retryTimer != null) {
+        retryTimer.cancel();
       }
     }
   }
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -18,7 +18,7 @@
  * against replay). No I/O.
  */
 public final class Signatures {
-  public enum Form {
+  public enum SignatureScheme {
     STANDARD,
     GITHUB
   }
@@ -29,26 +29,26 @@
   /** An id where it is right; else why it is not, fit to be told to a stranger. */
   public record Verdict(String id, String refused) {}
 
-  private static final int MOST_SIGNATURES = 10;
-  private static final int MOST_ID = 200;
+  private static final int MAX_SIGNATURES = 10;
+  private static final int MAX_ID_LENGTH = 200;
 
   private Signatures() {}
 
   /** The names of the headers of a form, in the order of {@link Headers}. */
-  public static List<String> headers(Form form) {
-    return form == Form.STANDARD
+  public static List<String> headerNames(SignatureScheme form) {
+    return form == SignatureScheme.STANDARD
         ? List.of("webhook-id", "webhook-timestamp", "webhook-signature")
         : List.of("X-GitHub-Delivery", "Date", "X-Hub-Signature-256");
   }
 
   /** The secrets in a file's text, one a line; whsec_ and base64, or for GitHub as they are. */
-  public static List<byte[]> secrets(String text, Form form) {
+  public static List<byte[]> parseSecrets(String text, SignatureScheme form) {
     return text.lines()
         .map(String::strip)
         .filter(line -> !line.isEmpty() && !line.startsWith("#"))
         .map(
             line ->
-                form == Form.STANDARD
+                form == SignatureScheme.STANDARD
                     ? Base64.getDecoder()
                         .decode(line.startsWith("whsec_") ? line.substring(6) : line)
                     : line.getBytes(StandardCharsets.UTF_8))
@@ -56,8 +56,8 @@
   }
 
   /** {@code window}: by how much a sender's clock may differ. */
-  public static Verdict check(
-      Form form,
+  public static Verdict verify(
+      SignatureScheme form,
       Headers headers,
       byte[] body,
       List<byte[]> secrets,
@@ -66,13 +66,13 @@
     boolean named =
         headers.id != null
             && !headers.id.isEmpty()
-            && headers.id.length() <= MOST_ID
+            && headers.id.length() <= MAX_ID_LENGTH
             && headers.id.chars().allMatch(c -> c > 32 && c < 127);
     if (!named || headers.signature == null) {
-      return new Verdict(null, "the headers " + headers(form) + " are needed");
+      return new Verdict(null, "the headers " + headerNames(form) + " are needed");
     }
     byte[] signed = body;
-    if (form == Form.STANDARD) {
+    if (form == SignatureScheme.STANDARD) {
       long time;
       try {
         time = Long.parseLong(String.valueOf(headers.time));
@@ -91,17 +91,17 @@
     boolean right = false;
     for (byte[] secret : secrets) {
       byte[] wanted = hmac(secret, signed);
-      String[] given = headers.signature.split(" ", MOST_SIGNATURES + 1);
-      for (int i = 0; i < Math.min(given.length, MOST_SIGNATURES); i++) {
-        right |= MessageDigest.isEqual(wanted, bytes(form, given[i]));
+      String[] given = headers.signature.split(" ", MAX_SIGNATURES + 1);
+      for (int i = 0; i < Math.min(given.length, MAX_SIGNATURES); i++) {
+        right |= MessageDigest.isEqual(wanted, decode(form, given[i]));
       }
     }
     return right ? new Verdict(headers.id, null) : new Verdict(null, "no signature of it is right");
   }
 
-  private static byte[] bytes(Form form, String signature) {
+  private static byte[] decode(SignatureScheme form, String signature) {
     try {
-      if (form == Form.STANDARD) {
+      if (form == SignatureScheme.STANDARD) {
         return signature.startsWith("v1,")
             ? Base64.getDecoder().decode(signature.substring(3))
             : new byte[0];
@@ -125,8 +125,9 @@
   }
 
   /** As a sender signs: the header's text. */
-  public static String sign(Form form, String id, long time, byte[] body, byte[] secret) {
-    if (form == Form.GITHUB) {
+  public static String sign(
+      SignatureScheme form, String id, long time, byte[] body, byte[] secret) {
+    if (form == SignatureScheme.GITHUB) {
       return "sha256=" + HexFormat.of().formatHex(hmac(secret, body));
     }
     byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -25,34 +25,34 @@
  */
 final class WebhookOutbox implements AutoCloseable {
   /** Where to, signed with what; {@code giveUp}: how long one is tried. */
-  record Target(String name, URI url, byte[] secret, Duration giveUp) {}
+  record Target(String name, URI url, byte[] secret, Duration retryTimeout) {}
 
-  private record Letter(long sequence, String body) {}
+  private record Message(long sequence, String body) {}
 
-  private static final int MOST = 10_000;
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
-  private static final long FIRST_PAUSE_MS = 200;
-  private static final long MOST_PAUSE_MS = 60_000;
+  private static final int MAX_QUEUED = 10_000;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+  private static final long INITIAL_BACKOFF_MS = 200;
+  private static final long MAX_BACKOFF_MS = 60_000;
 
   private final Target target;
   private final Path deadLetters;
-  private final LongConsumer done;
-  private final Consumer<String> say;
+  private final LongConsumer onDelivered;
+  private final Consumer<String> onError;
   private final HttpClient http =
       HttpClient.newBuilder()
-          .connectTimeout(PATIENCE)
+          .connectTimeout(REQUEST_TIMEOUT)
           .followRedirects(HttpClient.Redirect.NEVER)
           .build();
-  private final ArrayDeque<Letter> queue = new ArrayDeque<>();
+  private final ArrayDeque<Message> queue = new ArrayDeque<>();
   private final Thread thread;
-  private volatile boolean over;
+  private volatile boolean closed;
 
   /** {@code done} is told, on this one's thread, of each step that need not be told again. */
   WebhookOutbox(Target target, Path deadLetters, LongConsumer done, Consumer<String> say) {
     this.target = target;
     this.deadLetters = deadLetters;
-    this.done = done;
-    this.say = say;
+    this.onDelivered = done;
+    this.onError = say;
     thread = new Thread(this::run, "outbox-" + target.name);
     thread.setDaemon(true);
   }
@@ -76,16 +76,16 @@
             .put("stage", step.stage())
             .put("cause", step.cause())
             .put("at", Instant.ofEpochMilli(step.wallMs()).toString());
-    Letter lost = null;
+    Message lost = null;
     synchronized (queue) {
-      if (queue.size() >= MOST) {
+      if (queue.size() >= MAX_QUEUED) {
         lost = queue.poll();
       }
-      queue.add(new Letter(step.sequence(), body.toString()));
+      queue.add(new Message(step.sequence(), body.toString()));
       queue.notifyAll();
     }
     if (lost != null) {
-      bury(lost, "too many wait");
+      writeDeadLetter(lost, "too many wait");
     }
   }
 
@@ -98,8 +98,8 @@
 
   private void run() {
     try {
-      while (!over) {
-        Letter next;
+      while (!closed) {
+        Message next;
         synchronized (queue) {
           while (queue.isEmpty()) {
             queue.wait();
@@ -110,40 +110,40 @@
         synchronized (queue) {
           queue.remove(next);
         }
-        done.accept(next.sequence);
+        onDelivered.accept(next.sequence);
       }
     } catch (InterruptedException e) {
       // the controller ends: what waits is told after the next start
     }
   }
 
-  private void deliver(Letter letter) throws InterruptedException {
-    long until = System.nanoTime() + target.giveUp.toNanos();
-    long pause = FIRST_PAUSE_MS;
+  private void deliver(Message letter) throws InterruptedException {
+    long until = System.nanoTime() + target.retryTimeout.toNanos();
+    long pause = INITIAL_BACKOFF_MS;
     for (String why = send(letter); why != null; why = send(letter)) {
       if (System.nanoTime() - until > 0) {
-        bury(letter, why);
+        writeDeadLetter(letter, why);
         return;
       }
       Thread.sleep(pause);
-      pause = Math.min(MOST_PAUSE_MS, 2 * pause);
+      pause = Math.min(MAX_BACKOFF_MS, 2 * pause);
     }
   }
 
   /** Null once it is taken; else why not. */
-  private String send(Letter letter) throws InterruptedException {
+  private String send(Message letter) throws InterruptedException {
     String id = "step-" + letter.sequence;
     long now = System.currentTimeMillis() / 1000;
     byte[] body = letter.body.getBytes(StandardCharsets.UTF_8);
     HttpRequest request =
         HttpRequest.newBuilder(target.url)
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .header("Content-Type", "application/json")
             .header("webhook-id", id)
             .header("webhook-timestamp", "" + now)
             .header(
                 "webhook-signature",
-                Signatures.sign(Signatures.Form.STANDARD, id, now, body, target.secret))
+                Signatures.sign(Signatures.SignatureScheme.STANDARD, id, now, body, target.secret))
             .POST(HttpRequest.BodyPublishers.ofByteArray(body))
             .build();
     try {
@@ -154,11 +154,11 @@
     }
   }
 
-  private void bury(Letter letter, String why) {
+  private void writeDeadLetter(Message letter, String why) {
     try {
       Files.writeString(
           deadLetters, letter.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-      say.accept(
+      onError.accept(
           "step "
               + letter.sequence
               + " was not taken by "
@@ -168,7 +168,7 @@
               + "); it is in "
               + deadLetters);
     } catch (IOException e) {
-      say.accept(
+      onError.accept(
           "step "
               + letter.sequence
               + " was not taken by "
@@ -186,7 +186,7 @@
 
   @Override
   public void close() {
-    over = true;
+    closed = true;
     thread.interrupt();
   }
 }
--- a/src/main/java/sprucerock/rehearsal/scenario/RealController.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/RealController.java
@@ -297,7 +297,8 @@
             .header("webhook-timestamp", "" + now)
             .header(
                 "webhook-signature",
-                Signatures.sign(Signatures.Form.STANDARD, delivery.id, now, body, SECRET))
+                Signatures.sign(
+                    Signatures.SignatureScheme.STANDARD, delivery.id, now, body, SECRET))
             .POST(HttpRequest.BodyPublishers.ofByteArray(body))
             .build();
     String answer;
--- a/src/test/java/sprucerock/controller/server/AgentsDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentListenerTest.java
@@ -23,31 +23,31 @@
 import sprucerock.transport.wire.v1.Role;
 
 /** Agents that come, go and stay away, over links; nothing hangs on how fast. */
-public class AgentsDoorTest {
+public class AgentListenerTest {
   private Path folder;
   private NioLoop loop;
-  private ControllerServer desk;
+  private ControllerServer controller;
 
   @BeforeMethod
-  public void begin() throws Exception {
+  public void setUp() throws Exception {
     folder = Files.createTempDirectory("agents");
     loop = new NioLoop("relays", Throwable::printStackTrace);
   }
 
   @AfterMethod
-  public void end() throws Exception {
-    desk.close();
+  public void tearDown() throws Exception {
+    controller.close();
     loop.close();
   }
 
-  private Path secret(String name, String text) throws Exception {
+  private Path writeSecret(String name, String text) throws Exception {
     Path file = folder.resolve(name);
     Files.writeString(file, text);
     Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
     return file;
   }
 
-  private void starts() throws Exception {
+  private void start() throws Exception {
     Path file = folder.resolve("controller.xml");
     Files.writeString(
         file,
@@ -67,9 +67,9 @@
             .formatted(
                 folder.resolve("store"),
                 folder,
-                secret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
-                secret("token", "0123456789abcdef0123")));
-    desk =
+                writeSecret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
+                writeSecret("token", "0123456789abcdef0123")));
+    controller =
         new ControllerServer(
             ControllerConfig.read(file),
             new Engine.Clock() {
@@ -87,32 +87,32 @@
             () -> {});
   }
 
-  private static void until(String what, BooleanSupplier holds) throws InterruptedException {
+  private static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
     for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
     assertTrue(holds.getAsBoolean(), what);
   }
 
-  private <T> T on(Supplier<T> what) {
+  private <T> T getOnLoop(Supplier<T> what) {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.post(() -> result.complete(what.get()));
     return result.join();
   }
 
-  private Person agent(int number) throws Exception {
+  private Person connectAgent(int number) throws Exception {
     Person agent =
-        on(
+        getOnLoop(
             () -> {
               Person person = new Person(loop, Role.AGENT, number);
               loop.connect(
-                  new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
+                  new InetSocketAddress("127.0.0.1", controller.agentAddress().getPort()),
                   TimeSpan.ofMs(5000),
                   1 << 20,
                   person.connection);
               return person;
             });
-    until("it is linked", () -> on(agent.connection::usable));
+    waitUntil("it is linked", () -> getOnLoop(agent.connection::usable));
     loop.post(
         () ->
             agent.send(
@@ -126,57 +126,57 @@
   }
 
   /** On the controller's own loop. */
-  private boolean known(int number, boolean silent) {
+  private boolean isKnown(int number, boolean silent) {
     CompletableFuture<Boolean> is = new CompletableFuture<>();
-    desk.post(
+    controller.runOnLoop(
         () -> {
-          ManagedRelay relay = desk.engine().changes().relay(number);
+          ManagedRelay relay = controller.engine().changes().relay(number);
           is.complete(relay != null && relay.silent() == silent);
         });
     return is.join();
   }
 
   @Test
-  public void whoGoesIsSilentAfterAWhileAndHeardAgainWhenItIsBack() throws Exception {
-    starts();
-    Person stays = agent(1);
-    Person goes = agent(2);
-    until("both are heard", () -> known(1, false) && known(2, false));
+  public void disconnectedAgentBecomesSilentUntilItReconnects() throws Exception {
+    start();
+    Person stays = connectAgent(1);
+    Person goes = connectAgent(2);
+    waitUntil("both are heard", () -> isKnown(1, false) && isKnown(2, false));
     loop.post(() -> goes.connection.cut("it goes"));
-    until("it is silent", () -> known(2, true));
-    assertTrue(known(1, false), "one that is linked is not silent, though it says nothing");
-    agent(2);
-    until("it is heard again", () -> known(2, false));
-    assertTrue(on(stays.connection::usable));
+    waitUntil("it is silent", () -> isKnown(2, true));
+    assertTrue(isKnown(1, false), "one that is linked is not silent, though it says nothing");
+    connectAgent(2);
+    waitUntil("it is heard again", () -> isKnown(2, false));
+    assertTrue(getOnLoop(stays.connection::usable));
   }
 
   /** A link that takes the place of another one is no absence when the old one closes. */
   @Test
-  public void whoComesUnderItsNumberAgainIsNotAway() throws Exception {
-    starts();
-    Person first = agent(2);
-    until("it is heard", () -> known(2, false));
-    agent(2);
-    until("the old link is cut", () -> on(() -> first.gone != null));
-    Person other = agent(3); // whose silence shows that time enough has passed
-    until("the other is heard", () -> known(3, false));
+  public void replacedConnectionDoesNotMakeAgentSilent() throws Exception {
+    start();
+    Person first = connectAgent(2);
+    waitUntil("it is heard", () -> isKnown(2, false));
+    connectAgent(2);
+    waitUntil("the old link is cut", () -> getOnLoop(() -> first.gone != null));
+    Person other = connectAgent(3); // whose silence shows that time enough has passed
+    waitUntil("the other is heard", () -> isKnown(3, false));
     loop.post(() -> other.connection.cut("it goes"));
-    until("the other is silent", () -> known(3, true));
-    assertTrue(known(2, false));
+    waitUntil("the other is silent", () -> isKnown(3, true));
+    assertTrue(isKnown(2, false));
   }
 
   /**
    * What a controller that starts knows from before has as long to come as one that has just gone.
    */
   @Test
-  public void whoDoesNotComeBackAfterAStartIsSilentToo() throws Exception {
-    starts();
-    agent(2);
-    until("it is heard", () -> known(2, false));
-    desk.close();
-    starts();
-    until("it is silent", () -> known(2, true));
-    agent(2);
-    until("it is heard again", () -> known(2, false));
+  public void agentMissingAfterRestartBecomesSilent() throws Exception {
+    start();
+    connectAgent(2);
+    waitUntil("it is heard", () -> isKnown(2, false));
+    controller.close();
+    start();
+    waitUntil("it is silent", () -> isKnown(2, true));
+    connectAgent(2);
+    waitUntil("it is heard again", () -> isKnown(2, false));
   }
 }
--- a/src/test/java/sprucerock/controller/server/DeskTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerServerTest.java
@@ -42,25 +42,25 @@
  * The controller between a pipeline, an operator and relays, over sockets on loopback; nothing
  * hangs on how fast.
  */
-public class DeskTest {
+public class ControllerServerTest {
   private static final byte[] SECRET = "a secret for the test".getBytes(StandardCharsets.UTF_8);
   private static final String TOKEN = "0123456789abcdef0123";
 
   private Path folder;
-  private ControllerServer desk;
-  private String tells = "";
+  private ControllerServer controller;
+  private String outboxElements = "";
   private final String lease = "30s"; // no machine is that slow
   private NioLoop loop;
   private final HttpClient http = HttpClient.newHttpClient();
 
-  private Path secret(String name, String text) throws IOException {
+  private Path writeSecret(String name, String text) throws IOException {
     Path file = folder.resolve(name);
     Files.writeString(file, text);
     Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
     return file;
   }
 
-  private Path config(String rate) throws IOException {
+  private Path writeConfig(String rate) throws IOException {
     Path file = folder.resolve("controller.xml");
     Files.writeString(
         file,
@@ -81,25 +81,25 @@
             .formatted(
                 lease,
                 folder.resolve("store"),
-                secret("ci", "whsec_" + Base64.getEncoder().encodeToString(SECRET)),
+                writeSecret("ci", "whsec_" + Base64.getEncoder().encodeToString(SECRET)),
                 rate,
-                secret("hub", new String(SECRET, StandardCharsets.UTF_8)),
-                secret("token", TOKEN),
-                tells.formatted(folder.resolve("ci"))));
+                writeSecret("hub", new String(SECRET, StandardCharsets.UTF_8)),
+                writeSecret("token", TOKEN),
+                outboxElements.formatted(folder.resolve("ci"))));
     return file;
   }
 
   @BeforeMethod
-  public void begin() throws Exception {
-    folder = Files.createTempDirectory("desk");
+  public void setUp() throws Exception {
+    folder = Files.createTempDirectory("controller");
     loop = new NioLoop("relays", Throwable::printStackTrace);
-    starts("1000");
+    start("1000");
   }
 
-  private void starts(String rate) throws Exception {
-    desk =
+  private void start(String rate) throws Exception {
+    controller =
         new ControllerServer(
-            ControllerConfig.read(config(rate)),
+            ControllerConfig.read(writeConfig(rate)),
             new Engine.Clock() {
               @Override
               public long wallMs() {
@@ -116,60 +116,61 @@
   }
 
   @AfterMethod
-  public void end() throws Exception {
-    desk.close();
+  public void tearDown() throws Exception {
+    controller.close();
     loop.close();
   }
 
-  private static String body(int build) {
+  private static String announcement(int build) {
     return "{\"type\":\"build.announced\",\"build\":" + build + ",\"artifact\":\"a" + build + "\"}";
   }
 
-  private HttpRequest hook(String id, String body) {
+  private HttpRequest webhook(String id, String body) {
     long now = System.currentTimeMillis() / 1000;
     return HttpRequest.newBuilder(
-            URI.create("http://127.0.0.1:" + desk.hooksAt().getPort() + "/hooks/ci"))
+            URI.create("http://127.0.0.1:" + controller.webhookAddress().getPort() + "/hooks/ci"))
         .header("webhook-id", id)
         .header("webhook-timestamp", "" + now)
         .header(
             "webhook-signature",
-            Signatures.sign(Signatures.Form.STANDARD, id, now, body.getBytes(), SECRET))
+            Signatures.sign(Signatures.SignatureScheme.STANDARD, id, now, body.getBytes(), SECRET))
         .POST(HttpRequest.BodyPublishers.ofString(body))
         .build();
   }
 
-  private String sends(HttpRequest request) throws Exception {
+  private String send(HttpRequest request) throws Exception {
     HttpResponse<String> answer = http.send(request, HttpResponse.BodyHandlers.ofString());
     return answer.statusCode() + " " + answer.body().strip();
   }
 
-  private void answers(HttpRequest request, String begins) throws Exception {
-    String answer = sends(request);
+  private void assertResponseStartsWith(HttpRequest request, String begins) throws Exception {
+    String answer = send(request);
     assertTrue(answer.startsWith(begins), answer);
   }
 
   private String api(String method, String path, String body) throws Exception {
-    return sends(
-        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + desk.apiAt().getPort() + path))
+    return send(
+        HttpRequest.newBuilder(
+                URI.create("http://127.0.0.1:" + controller.apiAddress().getPort() + path))
             .header("Authorization", "Bearer " + TOKEN)
             .method(method, HttpRequest.BodyPublishers.ofString(body))
             .build());
   }
 
-  private static void until(String what, BooleanSupplier holds) throws InterruptedException {
+  private static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
     for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
     assertTrue(holds.getAsBoolean(), what);
   }
 
-  private Person relay(int number) {
+  private Person connectRelay(int number) {
     CompletableFuture<Person> made = new CompletableFuture<>();
     loop.post(
         () -> {
           Person person = new Person(loop, Role.RELAY, number);
           loop.connect(
-              new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
+              new InetSocketAddress("127.0.0.1", controller.relayAddress().getPort()),
               TimeSpan.ofMs(5000),
               1 << 20,
               person.connection);
@@ -178,27 +179,29 @@
     return made.join();
   }
 
-  private <T> T on(java.util.function.Supplier<T> what) {
+  private <T> T getOnLoop(java.util.function.Supplier<T> what) {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.post(() -> result.complete(what.get()));
     return result.join();
   }
 
-  private News last(Person relay) {
-    List<News> all = on(() -> new ArrayList<>(relay.<News>all(Kind.NEWS)));
+  private News lastNews(Person relay) {
+    List<News> all = getOnLoop(() -> new ArrayList<>(relay.<News>all(Kind.NEWS)));
     return all.isEmpty() ? News.getDefaultInstance() : all.get(all.size() - 1);
   }
 
-  private Taken votes(Person relay, int id, int build, int stage, Say say) throws Exception {
+  private Taken vote(Person relay, int id, int build, int stage, Say say) throws Exception {
     loop.post(
         () ->
             relay.send(
                 Kind.VOTE,
                 Vote.newBuilder().setId(id).setBuild(build).setStage(stage).setSay(say).build()));
-    until(
+    waitUntil(
         "vote " + id + " is answered",
-        () -> on(() -> relay.<Voted>all(Kind.VOTED).stream().anyMatch(one -> one.getId() == id)));
-    return on(
+        () ->
+            getOnLoop(
+                () -> relay.<Voted>all(Kind.VOTED).stream().anyMatch(one -> one.getId() == id)));
+    return getOnLoop(
         () ->
             relay.<Voted>all(Kind.VOTED).stream()
                 .filter(one -> one.getId() == id)
@@ -208,24 +211,24 @@
   }
 
   @Test
-  public void aSignedAnnouncementGoesThroughItsStagesToTheRelease() throws Exception {
-    Person relay = relay(0);
-    until("it is told at once", () -> last(relay).getStanding() == Stand.RELEASED);
-    assertEquals(sends(hook("m1", body(2))), "202 {\"answer\":\"taken\"}");
-    assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
-    assertEquals(last(relay).getBuild(), 1);
+  public void signedAnnouncementIsRolledOutStageByStage() throws Exception {
+    Person relay = connectRelay(0);
+    waitUntil("it is told at once", () -> lastNews(relay).getStanding() == Stand.RELEASED);
+    assertEquals(send(webhook("m1", announcement(2))), "202 {\"answer\":\"taken\"}");
+    assertEquals(send(webhook("m1", announcement(2))), "200 {\"answer\":\"again\"}");
+    assertEquals(lastNews(relay).getBuild(), 1);
     assertEquals(api("PUT", "/fleet/2", "{\"units\":10}"), "200 {\"answer\":\"done\"}");
-    until("the trial is told", () -> last(relay).getStanding() == Stand.ON_TRIAL);
-    assertEquals(last(relay).getCap(), 0.12);
+    waitUntil("the trial is told", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
+    assertEquals(lastNews(relay).getCap(), 0.12);
     Thread.sleep(5); // its least time
-    assertEquals(votes(relay, 1, 2, 1, Say.ON), Taken.MOOT);
-    assertEquals(votes(relay, 2, 2, 0, Say.ON), Taken.COUNTS);
-    until("the next stage is told", () -> last(relay).getStage() == 1);
+    assertEquals(vote(relay, 1, 2, 1, Say.ON), Taken.MOOT);
+    assertEquals(vote(relay, 2, 2, 0, Say.ON), Taken.COUNTS);
+    waitUntil("the next stage is told", () -> lastNews(relay).getStage() == 1);
     Thread.sleep(5);
-    assertEquals(votes(relay, 3, 2, 1, Say.ON), Taken.COUNTS);
-    until(
+    assertEquals(vote(relay, 3, 2, 1, Say.ON), Taken.COUNTS);
+    waitUntil(
         "the release is told",
-        () -> last(relay).getStanding() == Stand.RELEASED && last(relay).getBuild() == 2);
+        () -> lastNews(relay).getStanding() == Stand.RELEASED && lastNews(relay).getBuild() == 2);
     String shown = api("GET", "/releases/2", "");
     assertTrue(
         shown.contains("\"cause\":\"announced by ci\"")
@@ -234,29 +237,29 @@
   }
 
   @Test
-  public void afterARestartItIsWhereItWasAndItsNewsIsNewer() throws Exception {
-    Person relay = relay(0);
-    sends(hook("m1", body(2)));
+  public void restartKeepsRolloutStateAndRaisesEpoch() throws Exception {
+    Person relay = connectRelay(0);
+    send(webhook("m1", announcement(2)));
     api("PUT", "/fleet/2", "{\"units\":1}");
-    until("the trial is told", () -> last(relay).getStanding() == Stand.ON_TRIAL);
-    News before = last(relay);
-    desk.close();
-    starts("1000");
-    Person again = relay(0);
-    until("it is told", () -> last(again).getBuild() == 2);
-    News after = last(again);
+    waitUntil("the trial is told", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
+    News before = lastNews(relay);
+    controller.close();
+    start("1000");
+    Person again = connectRelay(0);
+    waitUntil("it is told", () -> lastNews(again).getBuild() == 2);
+    News after = lastNews(again);
     assertEquals(after.getStanding(), Stand.ON_TRIAL);
     assertTrue(
         after.getEpoch() > before.getEpoch() && after.getSequence() == before.getSequence(),
         before + " " + after);
-    assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
+    assertEquals(send(webhook("m1", announcement(2))), "200 {\"answer\":\"again\"}");
   }
 
   @Test
-  public void copiesThatComeAtOnceHaveOneEffect() throws Exception {
+  public void concurrentDuplicateDeliveriesTakeEffectOnce() throws Exception {
     List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
-      all.add(http.sendAsync(hook("m1", body(2)), HttpResponse.BodyHandlers.ofString()));
+      all.add(http.sendAsync(webhook("m1", announcement(2)), HttpResponse.BodyHandlers.ofString()));
     }
     List<Integer> statuses = all.stream().map(one -> one.join().statusCode()).sorted().toList();
     assertEquals(statuses.stream().filter(one -> one == 202).count(), 1, statuses.toString());
@@ -264,8 +267,8 @@
   }
 
   @Test
-  public void whatIsWrongHasItsAnswerAndNoEffect() throws Exception {
-    HttpRequest good = hook("m1", body(2));
+  public void invalidWebhooksAreRejectedWithoutEffect() throws Exception {
+    HttpRequest good = webhook("m1", announcement(2));
     HttpRequest changed =
         HttpRequest.newBuilder(good.uri())
             .headers(
@@ -275,74 +278,81 @@
                 good.headers().firstValue("webhook-timestamp").get(),
                 "webhook-signature",
                 good.headers().firstValue("webhook-signature").get())
-            .POST(HttpRequest.BodyPublishers.ofString(body(3)))
+            .POST(HttpRequest.BodyPublishers.ofString(announcement(3)))
             .build();
-    assertTrue(sends(changed).startsWith("401 "), sends(changed));
-    answers(
-        hook("m2", "not json"), "400 {\"answer\":\"no_announcement\",\"detail\":\"it is no JSON");
-    answers(hook("m3", "{\"type\":\"build.announced\",\"build\":0,\"artifact\":\"a\"}"), "400 ");
-    answers(
-        hook("m4", "{\"type\":\"build.announced\",\"build\":2,\"build\":3,\"artifact\":\"a\"}"),
+    assertTrue(send(changed).startsWith("401 "), send(changed));
+    assertResponseStartsWith(
+        webhook("m2", "not json"),
+        "400 {\"answer\":\"no_announcement\",\"detail\":\"it is no JSON");
+    assertResponseStartsWith(
+        webhook("m3", "{\"type\":\"build.announced\",\"build\":0,\"artifact\":\"a\"}"), "400 ");
+    assertResponseStartsWith(
+        webhook("m4", "{\"type\":\"build.announced\",\"build\":2,\"build\":3,\"artifact\":\"a\"}"),
         "400 ");
-    answers(hook("m5", ""), "400 {");
-    answers(hook("m6", " ".repeat(5000)), "413 ");
+    assertResponseStartsWith(webhook("m5", ""), "400 {");
+    assertResponseStartsWith(webhook("m6", " ".repeat(5000)), "413 ");
     assertTrue(
-        sends(
-                HttpRequest.newBuilder(URI.create(good.uri().toString().replace("/ci", "/nobody")))
-                    .POST(HttpRequest.BodyPublishers.noBody())
-                    .build())
+        send(HttpRequest.newBuilder(URI.create(good.uri().toString().replace("/ci", "/nobody")))
+                .POST(HttpRequest.BodyPublishers.noBody())
+                .build())
             .startsWith("404 "));
-    assertTrue(sends(HttpRequest.newBuilder(good.uri()).GET().build()).startsWith("405 "));
+    assertTrue(send(HttpRequest.newBuilder(good.uri()).GET().build()).startsWith("405 "));
     assertTrue(
-        sends(
-                HttpRequest.newBuilder(
-                        URI.create("http://127.0.0.1:" + desk.apiAt().getPort() + "/releases"))
-                    .GET()
-                    .build())
+        send(HttpRequest.newBuilder(
+                    URI.create(
+                        "http://127.0.0.1:" + controller.apiAddress().getPort() + "/releases"))
+                .GET()
+                .build())
             .startsWith("401 "));
-    assertEquals(sends(hook("m7", body(5))).substring(0, 3), "202");
-    assertEquals(sends(hook("m8", body(4))), "409 {\"answer\":\"too_old\"}");
-    assertEquals(sends(hook("m7", body(6))), "409 {\"answer\":\"contradicts\"}");
+    assertEquals(send(webhook("m7", announcement(5))).substring(0, 3), "202");
+    assertEquals(send(webhook("m8", announcement(4))), "409 {\"answer\":\"too_old\"}");
+    assertEquals(send(webhook("m7", announcement(6))), "409 {\"answer\":\"contradicts\"}");
     assertTrue(!api("GET", "/releases", "").contains("\"build\":2"));
   }
 
   @Test
-  public void gitHubsFormIsTakenToo() throws Exception {
+  public void gitHubSignatureIsAccepted() throws Exception {
     HttpRequest request =
         HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + desk.hooksAt().getPort() + "/hooks/hub"))
+                URI.create(
+                    "http://127.0.0.1:" + controller.webhookAddress().getPort() + "/hooks/hub"))
             .header("X-GitHub-Delivery", "g-1")
             .header(
                 "X-Hub-Signature-256",
-                Signatures.sign(Signatures.Form.GITHUB, "g-1", 0, body(2).getBytes(), SECRET))
-            .POST(HttpRequest.BodyPublishers.ofString(body(2)))
+                Signatures.sign(
+                    Signatures.SignatureScheme.GITHUB,
+                    "g-1",
+                    0,
+                    announcement(2).getBytes(),
+                    SECRET))
+            .POST(HttpRequest.BodyPublishers.ofString(announcement(2)))
             .build();
-    assertEquals(sends(request), "202 {\"answer\":\"taken\"}");
-    assertEquals(sends(request), "200 {\"answer\":\"again\"}");
+    assertEquals(send(request), "202 {\"answer\":\"taken\"}");
+    assertEquals(send(request), "200 {\"answer\":\"again\"}");
   }
 
   @Test
-  public void whoComesTooOftenIsToldSo() throws Exception {
-    desk.close();
-    starts("1"); // a dozen in a dozen seconds would be slow beyond any machine
+  public void senderOverItsRateLimitGets429() throws Exception {
+    controller.close();
+    start("1"); // a dozen in a dozen seconds would be slow beyond any machine
     List<String> answers = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      answers.add(sends(hook("m1", body(2))).substring(0, 3));
+      answers.add(send(webhook("m1", announcement(2))).substring(0, 3));
     }
     assertTrue(answers.contains("429") && answers.get(0).equals("202"), answers.toString());
   }
 
   @Test
-  public void aSlowSenderIsCutOffAndHoldsUpNobody() throws Exception {
+  public void slowSenderIsDisconnectedWithoutDelayingOthers() throws Exception {
     List<Socket> slow = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Socket socket = new Socket("127.0.0.1", desk.hooksAt().getPort());
+      Socket socket = new Socket("127.0.0.1", controller.webhookAddress().getPort());
       socket
           .getOutputStream()
           .write("POST /hooks/ci HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{".getBytes());
       slow.add(socket);
     }
-    assertEquals(sends(hook("m1", body(2))).substring(0, 3), "202");
+    assertEquals(send(webhook("m1", announcement(2))).substring(0, 3), "202");
     for (Socket socket : slow) {
       socket.setSoTimeout(20_000);
       while (socket.getInputStream().read() >= 0) {
@@ -353,8 +363,8 @@
   }
 
   @Test
-  public void anOperatorsWordNeedsANameAndAReason() throws Exception {
-    sends(hook("m1", body(2)));
+  public void operatorCommandRequiresNameAndReason() throws Exception {
+    send(webhook("m1", announcement(2)));
     assertTrue(api("POST", "/releases/2/hold", "{\"who\":\"ann\"}").startsWith("400 "));
     assertEquals(
         api("POST", "/releases/2/hold", "{\"who\":\"ann\",\"reason\":\"a look\"}"),
@@ -380,15 +390,15 @@
 
   /** A second one waits, takes over once the first is gone, and goes on where that was. */
   @Test
-  public void aStandbyTakesOver() throws Exception {
-    sends(hook("m1", body(2)));
-    ControllerServer first = desk;
+  public void standbyTakesOverAfterLeaderCloses() throws Exception {
+    send(webhook("m1", announcement(2)));
+    ControllerServer first = controller;
     CompletableFuture<ControllerServer> second =
         CompletableFuture.supplyAsync(
             () -> {
               try {
-                starts("1000");
-                return desk;
+                start("1000");
+                return controller;
               } catch (Exception e) {
                 throw new IllegalStateException(e);
               }
@@ -396,14 +406,14 @@
     Thread.sleep(1500); // thrice the time that a free lease takes to get
     assertTrue(!second.isDone(), "two at a time");
     first.close();
-    desk = second.join();
-    assertEquals(sends(hook("m1", body(2))), "200 {\"answer\":\"again\"}");
+    controller = second.join();
+    assertEquals(send(webhook("m1", announcement(2))), "200 {\"answer\":\"again\"}");
     assertTrue(api("GET", "/releases", "").contains("\"epoch\":2"));
   }
 
   /** A listener that fails at first has each step once, in order, and those of before a restart. */
   @Test
-  public void stepsAreToldInOrderUntilTheyAreTaken() throws Exception {
+  public void outboxRetriesStepsInOrderAcrossRestart() throws Exception {
     List<String> heard = java.util.Collections.synchronizedList(new ArrayList<>());
     java.util.concurrent.atomic.AtomicInteger asked =
         new java.util.concurrent.atomic.AtomicInteger();
@@ -420,8 +430,8 @@
                   exchange.getRequestHeaders().getFirst("webhook-timestamp"),
                   exchange.getRequestHeaders().getFirst("webhook-signature"));
           boolean signed =
-              Signatures.check(
-                          Signatures.Form.STANDARD,
+              Signatures.verify(
+                          Signatures.SignatureScheme.STANDARD,
                           headers,
                           got,
                           List.of(SECRET),
@@ -440,15 +450,15 @@
         });
     listener.start();
     try {
-      tells =
+      outboxElements =
           "<tell name=\"chat\" url=\"http://127.0.0.1:"
               + listener.getAddress().getPort()
               + "/\" secret=\"%s\"/>";
-      desk.close();
-      starts("1000");
-      sends(hook("m1", body(2)));
-      until("both steps are told", () -> heard.size() >= 2);
-      until(
+      controller.close();
+      start("1000");
+      send(webhook("m1", announcement(2)));
+      waitUntil("both steps are told", () -> heard.size() >= 2);
+      waitUntil(
           "and noted",
           () -> {
             try {
@@ -457,20 +467,20 @@
               throw new IllegalStateException(e);
             }
           });
-      desk.close();
-      starts("1000");
-      sends(hook("m2", body(3)));
-      until("the next ones, too", () -> heard.size() >= 5);
+      controller.close();
+      start("1000");
+      send(webhook("m2", announcement(3)));
+      waitUntil("the next ones, too", () -> heard.size() >= 5);
       assertEquals(
           heard, List.of("1 announced", "2 starting", "3 announced", "4 superseded", "5 starting"));
     } finally {
       listener.stop(0);
-      tells = "";
+      outboxElements = "";
     }
   }
 
   @Test
-  public void theExampleIsInOrder() throws Exception {
+  public void exampleConfigurationIsValid() throws Exception {
     Path file = folder.resolve("example.xml");
     Files.writeString(
         file,
@@ -478,14 +488,14 @@
             .replace("ci.secret", folder.resolve("ci").toString())
             .replace("api.token", folder.resolve("token").toString()));
     ControllerConfig config = ControllerConfig.read(file);
-    assertEquals(config.rules.stages().size(), 3);
-    assertEquals(config.rules.least(), TimeSpan.ofMs(10_000));
-    assertEquals(config.sources.get("ci").form(), Signatures.Form.STANDARD);
+    assertEquals(config.rolloutRules.stages().size(), 3);
+    assertEquals(config.rolloutRules.least(), TimeSpan.ofMs(10_000));
+    assertEquals(config.webhookSources.get("ci").scheme(), Signatures.SignatureScheme.STANDARD);
   }
 
   @Test
-  public void secretsThatOthersCanReadAreRefused() throws Exception {
-    Path file = config("5");
+  public void secretsReadableByOthersAreRejected() throws Exception {
+    Path file = writeConfig("5");
     Files.setPosixFilePermissions(
         folder.resolve("token"), PosixFilePermissions.fromString("rw-r--r--"));
     String message =
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -73,26 +73,26 @@
   private static String rendered(ControllerConfig config) {
     Rendering text = new Rendering();
     text.put("name", config.name)
-        .put("folder", config.folder)
+        .put("folder", config.storeFolder)
         .put("first-build", config.firstBuild)
-        .put("places", config.places)
-        .put("lease", config.lease);
-    text.put("relays.at", config.relays)
-        .put("relays.most", config.mostRelays)
-        .put("relays.unsent", config.unsent)
-        .put("relays.tell-every", config.tellEvery);
+        .put("places", config.endpointCount)
+        .put("lease", config.leaseDuration);
+    text.put("relays.at", config.relayAddress)
+        .put("relays.most", config.maxRelays)
+        .put("relays.unsent", config.maxUnsentBytes)
+        .put("relays.tell-every", config.newsInterval);
     hooks(text, config);
-    text.put("api.at", config.api)
-        .put("api.token", config.token)
-        .putLeases("leases", config.leases);
-    for (int i = 0; i < config.tells.size(); i++) {
-      WebhookOutbox.Target tell = config.tells.get(i);
+    text.put("api.at", config.apiAddress)
+        .put("api.token", config.apiToken)
+        .putLeases("leases", config.leaseConfig);
+    for (int i = 0; i < config.outboxTargets.size(); i++) {
+      WebhookOutbox.Target tell = config.outboxTargets.get(i);
       text.put("tell." + tell.name() + ".url", tell.url())
           .put("tell." + tell.name() + ".secret", hex(tell.secret()));
-      text.put("tell." + tell.name() + ".give-up", tell.giveUp().toMillis());
+      text.put("tell." + tell.name() + ".give-up", tell.retryTimeout().toMillis());
     }
     agents(text, config);
-    rules(text, config.rules);
+    rules(text, config.rolloutRules);
     racks(text, config);
     return text.toString();
   }
@@ -102,23 +102,23 @@
   }
 
   private static void hooks(Rendering text, ControllerConfig config) {
-    text.put("hooks.at", config.hooks)
-        .put("hooks.body", config.body)
-        .put("hooks.window", config.window)
-        .put("hooks.at-once", config.atOnce);
-    text.put("hooks.read-within", config.readWithin);
-    config.sources.forEach(
+    text.put("hooks.at", config.webhookAddress)
+        .put("hooks.body", config.maxWebhookBodyBytes)
+        .put("hooks.window", config.signatureTimeTolerance)
+        .put("hooks.at-once", config.maxConcurrentWebhooks);
+    text.put("hooks.read-within", config.webhookReadTimeout);
+    config.webhookSources.forEach(
         (name, source) -> {
           text.put("source." + name + ".name", source.name())
-              .put("source." + name + ".form", form(source.form()))
-              .put("source." + name + ".a-second", source.aSecond());
+              .put("source." + name + ".form", form(source.scheme()))
+              .put("source." + name + ".a-second", source.maxPerSecond());
           text.put(
               "source." + name + ".secrets",
               source.secrets().stream().map(ControllerSettingsCompatTest::hex).toList());
         });
   }
 
-  private static String form(Signatures.Form form) {
+  private static String form(Signatures.SignatureScheme form) {
     return switch (form) {
       case STANDARD -> "standard";
       case GITHUB -> "github";
@@ -126,20 +126,21 @@
   }
 
   private static void agents(Rendering text, ControllerConfig config) {
-    text.put("agents.at", config.agents)
-        .put("agents.most", config.mostAgents)
-        .put("agents.pieces-a-second", config.piecesASecond);
-    text.put("agents.incoming", config.incoming).put("agents.most-bytes", config.mostBytes);
-    for (int i = 0; i < config.plan.stages().size(); i++) {
-      text.put("change-stage." + i + ".share", config.plan.stages().get(i).share())
-          .put("change-stage." + i + ".harm", config.plan.stages().get(i).harm());
+    text.put("agents.at", config.agentAddress)
+        .put("agents.most", config.maxAgents)
+        .put("agents.pieces-a-second", config.maxPiecesPerSecond);
+    text.put("agents.incoming", config.incomingFolder)
+        .put("agents.most-bytes", config.maxArtifactBytes);
+    for (int i = 0; i < config.deploymentPlan.stages().size(); i++) {
+      text.put("change-stage." + i + ".share", config.deploymentPlan.stages().get(i).share())
+          .put("change-stage." + i + ".harm", config.deploymentPlan.stages().get(i).harm());
     }
-    text.put("agents.watch", config.plan.watch())
-        .put("agents.patience", config.plan.patience())
-        .put("agents.ready-within", config.plan.readyWithin());
-    text.put("agents.out", config.plan.out())
-        .put("agents.refused", config.plan.refused())
-        .put("agents.silent", config.plan.silent());
+    text.put("agents.watch", config.deploymentPlan.watch())
+        .put("agents.patience", config.deploymentPlan.patience())
+        .put("agents.ready-within", config.deploymentPlan.readyWithin());
+    text.put("agents.out", config.deploymentPlan.out())
+        .put("agents.refused", config.deploymentPlan.refused())
+        .put("agents.silent", config.deploymentPlan.silent());
   }
 
   private static void rules(Rendering text, RolloutRules rules) {
@@ -169,12 +170,12 @@
   }
 
   private static void racks(Rendering text, ControllerConfig config) {
-    if (config.room == null) {
+    if (config.capacityCheck == null) {
       text.put("racks", (Object) null);
       return;
     }
     config
-        .room
+        .capacityCheck
         .racks()
         .forEach(
             (name, rack) -> {
@@ -183,9 +184,9 @@
                   .put("rack." + name + ".units", rack.endpoints());
               text.put("rack." + name + ".notice", rack.noticeMs());
             });
-    text.put("racks.warm", config.freezes.warmMs())
-        .put("racks.step", config.freezes.stepMs())
-        .put("racks.confidence", config.freezes.confidence());
+    text.put("racks.warm", config.maintenanceRules.warmMs())
+        .put("racks.step", config.maintenanceRules.stepMs())
+        .put("racks.confidence", config.maintenanceRules.confidence());
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -56,7 +56,7 @@
   private static final int AGENTS = 3;
 
   private Path folder;
-  private ControllerServer desk;
+  private ControllerServer controller;
   private NioLoop loop;
 
   @BeforeMethod
@@ -67,7 +67,7 @@
 
   @AfterMethod
   public void end() throws Exception {
-    desk.close();
+    controller.close();
     loop.close();
     try (var files = Files.walk(folder)) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
@@ -89,7 +89,7 @@
         Files.writeString(
             folder.resolve("controller.xml"),
             Corpus.input(HTTP + name + ".xml").replace("FOLDER", folder.toString()));
-    desk =
+    controller =
         new ControllerServer(
             ControllerConfig.read(file),
             new Engine.Clock() {
@@ -151,7 +151,7 @@
         () -> {
           Person person = new Person(loop, Role.AGENT, number);
           loop.connect(
-              new InetSocketAddress("127.0.0.1", desk.agentsAt().getPort()),
+              new InetSocketAddress("127.0.0.1", controller.agentAddress().getPort()),
               TimeSpan.ofMs(5000),
               1 << 20,
               person.connection);
@@ -239,7 +239,7 @@
 
   private int port(String how) {
     boolean operators = List.of("api", "stranger", "nobody").contains(how);
-    return (operators ? desk.apiAt() : desk.hooksAt()).getPort();
+    return (operators ? controller.apiAddress() : controller.webhookAddress()).getPort();
   }
 
   private static void standard(HttpRequest.Builder request, String id, String body) {
@@ -250,7 +250,11 @@
         .header(
             "webhook-signature",
             Signatures.sign(
-                Signatures.Form.STANDARD, id, now, body.getBytes(StandardCharsets.UTF_8), SECRET));
+                Signatures.SignatureScheme.STANDARD,
+                id,
+                now,
+                body.getBytes(StandardCharsets.UTF_8),
+                SECRET));
   }
 
   private static void github(HttpRequest.Builder request, String id, String body) {
@@ -259,7 +263,11 @@
         .header(
             "X-Hub-Signature-256",
             Signatures.sign(
-                Signatures.Form.GITHUB, id, 0, body.getBytes(StandardCharsets.UTF_8), SECRET));
+                Signatures.SignatureScheme.GITHUB,
+                id,
+                0,
+                body.getBytes(StandardCharsets.UTF_8),
+                SECRET));
   }
 
   /** So that each kind of thing that can be asked for is in a stretch. */
--- a/src/test/java/sprucerock/controller/server/PromisesDoorTest.java
+++ b/src/test/java/sprucerock/controller/server/RelayListenerTest.java
@@ -33,26 +33,26 @@
  * What relays of older and newer programs are promised over a link, in bytes, against the number of
  * racks; nothing hangs on how fast.
  */
-public class PromisesDoorTest {
-  private static final long MIN = 60_000;
+public class RelayListenerTest {
+  private static final long MINUTE_MS = 60_000;
   private Path folder;
   private NioLoop loop;
-  private ControllerServer desk;
-  private long lastAsk;
+  private ControllerServer controller;
+  private long lastRequestId;
 
   @BeforeMethod
-  public void begin() throws Exception {
+  public void setUp() throws Exception {
     folder = Files.createTempDirectory("promises");
     loop = new NioLoop("relays", Throwable::printStackTrace);
   }
 
   @AfterMethod
-  public void end() throws Exception {
-    desk.close();
+  public void tearDown() throws Exception {
+    controller.close();
     loop.close();
   }
 
-  private Path secret(String name, String text) throws Exception {
+  private Path writeSecret(String name, String text) throws Exception {
     Path file = folder.resolve(name);
     Files.writeString(file, text);
     Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
@@ -60,7 +60,7 @@
   }
 
   /** So many racks, of which the first has a notice of a day. */
-  private void starts(int racks) throws Exception {
+  private void start(int racks) throws Exception {
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < racks; i++) {
       all.append(
@@ -85,10 +85,10 @@
             """
             .formatted(
                 folder.resolve("store"),
-                secret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
-                secret("token", "0123456789abcdef0123"),
+                writeSecret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
+                writeSecret("token", "0123456789abcdef0123"),
                 all));
-    desk =
+    controller =
         new ControllerServer(
             ControllerConfig.read(file),
             new Engine.Clock() {
@@ -106,25 +106,25 @@
             () -> {});
   }
 
-  private static void until(String what, BooleanSupplier holds) throws InterruptedException {
+  private static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
     for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
     assertTrue(holds.getAsBoolean(), what);
   }
 
-  private <T> T on(Supplier<T> what) {
+  private <T> T getOnLoop(Supplier<T> what) {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.post(() -> result.complete(what.get()));
     return result.join();
   }
 
-  private Person relay(int number) {
-    return on(
+  private Person connectRelay(int number) {
+    return getOnLoop(
         () -> {
           Person person = new Person(loop, Role.RELAY, number);
           loop.connect(
-              new InetSocketAddress("127.0.0.1", desk.relaysAt().getPort()),
+              new InetSocketAddress("127.0.0.1", controller.relayAddress().getPort()),
               TimeSpan.ofMs(5000),
               1 << 20,
               person.connection);
@@ -132,20 +132,20 @@
         });
   }
 
-  private Promised asks(Person relay, long list) throws Exception {
-    until("it is linked", () -> on(relay.connection::usable));
-    long id = ++lastAsk;
+  private Promised requestGrants(Person relay, long list) throws Exception {
+    waitUntil("it is linked", () -> getOnLoop(relay.connection::usable));
+    long id = ++lastRequestId;
     loop.post(
         () ->
             relay.send(Kind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
-    until(
+    waitUntil(
         "ask " + id + " is answered",
         () ->
-            on(
+            getOnLoop(
                 () ->
                     relay.<Promised>all(Kind.PROMISED).stream()
                         .anyMatch(one -> one.getId() == id)));
-    return on(
+    return getOnLoop(
         () ->
             relay.<Promised>all(Kind.PROMISED).stream()
                 .filter(one -> one.getId() == id)
@@ -153,18 +153,18 @@
                 .get());
   }
 
-  private void freeze(String rack, long fromNow, int times) throws Exception {
+  private void announceWindows(String rack, long fromNow, int times) throws Exception {
     CompletableFuture<Object> done = new CompletableFuture<>();
-    desk.post(
+    controller.runOnLoop(
         () -> {
           for (int i = 0; i < times; i++) {
-            desk.submit(
+            controller.submit(
                 Input.newBuilder()
                     .setFreeze(
                         FreezeWanted.newBuilder()
                             .addRacks(rack)
-                            .setFromMs(System.currentTimeMillis() + fromNow + i * MIN)
-                            .setLastsMs(MIN)
+                            .setFromMs(System.currentTimeMillis() + fromNow + i * MINUTE_MS)
+                            .setLastsMs(MINUTE_MS)
                             .setZone("UTC")
                             .setWho("ann")
                             .setReason("new switch")),
@@ -176,11 +176,11 @@
 
   /** As before there were lists: all racks, and nothing that it does not know. */
   @Test
-  public void anOlderRelayIsToldAllEachTime() throws Exception {
-    starts(5);
-    Person relay = relay(0);
+  public void relayWithoutListSupportGetsAllRacksEachTime() throws Exception {
+    start(5);
+    Person relay = connectRelay(0);
     for (int i = 0; i < 2; i++) {
-      Promised all = asks(relay, 0);
+      Promised all = requestGrants(relay, 0);
       assertEquals(all.getRacksCount(), 5);
       assertTrue(
           all.getList() == 0
@@ -190,19 +190,20 @@
   }
 
   @Test
-  public void aRelayThatWasToldAllIsToldWhatIsShorterThanItsNotice() throws Exception {
-    starts(5);
-    Person relay = relay(0);
-    Promised all = asks(relay, 1);
+  public void relayWithListGetsOnlyRacksBelowTheirNotice() throws Exception {
+    start(5);
+    Person relay = connectRelay(0);
+    Promised all = requestGrants(relay, 1);
     assertTrue(!all.getRest() && all.getList() != 0);
     assertEquals(
         all.getRacksList().stream().map(RackFree::getNoticeMs).sorted().toList(),
-        List.of(10 * MIN, 10 * MIN, 10 * MIN, 10 * MIN, 24 * 60 * MIN));
-    assertEquals(asks(relay, all.getList()).getRacksCount(), 0);
-    freeze("r0", 20 * 60 * MIN, 1); // within its own notice
-    freeze("r1", 20 * 60 * MIN, 1); // long before its notice
-    freeze("r4", 5 * MIN, 1);
-    Promised some = asks(relay, all.getList());
+        List.of(
+            10 * MINUTE_MS, 10 * MINUTE_MS, 10 * MINUTE_MS, 10 * MINUTE_MS, 24 * 60 * MINUTE_MS));
+    assertEquals(requestGrants(relay, all.getList()).getRacksCount(), 0);
+    announceWindows("r0", 20 * 60 * MINUTE_MS, 1); // within its own notice
+    announceWindows("r1", 20 * 60 * MINUTE_MS, 1); // long before its notice
+    announceWindows("r4", 5 * MINUTE_MS, 1);
+    Promised some = requestGrants(relay, all.getList());
     assertTrue(
         some.getRest()
             && some.getList() == all.getList()
@@ -213,19 +214,20 @@
           one.getZone()
               + "/"
               + one.getCell()
-              + (one.getLeftMs() <= 5 * MIN
+              + (one.getLeftMs() <= 5 * MINUTE_MS
                   ? " within 5 min"
-                  : one.getLeftMs() <= 20 * 60 * MIN ? " within 20 h" : ""));
+                  : one.getLeftMs() <= 20 * 60 * MINUTE_MS ? " within 20 h" : ""));
     }
     assertEquals(named, List.of("1/0 within 20 h", "2/1 within 5 min"));
     // whoever asks by what this controller never told is told all, with the same promises
-    Promised again = asks(relay(1), all.getList() + 1);
+    Promised again = requestGrants(connectRelay(1), all.getList() + 1);
     assertTrue(!again.getRest() && again.getList() == all.getList());
     assertEquals(
         again.getRacksList().stream().filter(one -> one.getLeftMs() < one.getNoticeMs()).count(),
         2);
-    Promised old = asks(relay(2), 0);
-    assertEquals(old.getRacksList().stream().filter(one -> one.getLeftMs() <= 5 * MIN).count(), 1);
+    Promised old = requestGrants(connectRelay(2), 0);
+    assertEquals(
+        old.getRacksList().stream().filter(one -> one.getLeftMs() <= 5 * MINUTE_MS).count(), 1);
   }
 
   /**
@@ -233,39 +235,39 @@
    * it.
    */
   @Test
-  public void theListOutlivesTheControllerAndChangesWithItsRacks() throws Exception {
-    starts(5);
-    long list = asks(relay(0), 1).getList();
-    desk.close();
-    starts(5);
-    assertTrue(asks(relay(0), list).getRest());
-    desk.close();
-    starts(6);
-    Promised other = asks(relay(0), list);
+  public void rackListIdSurvivesRestartAndChangesWithRacks() throws Exception {
+    start(5);
+    long list = requestGrants(connectRelay(0), 1).getList();
+    controller.close();
+    start(5);
+    assertTrue(requestGrants(connectRelay(0), list).getRest());
+    controller.close();
+    start(6);
+    Promised other = requestGrants(connectRelay(0), list);
     assertTrue(!other.getRest() && other.getList() != list && other.getRacksCount() == 6);
   }
 
   @Test
-  public void anAnswerDoesNotGrowWithTheRacks() throws Exception {
+  public void answerSizeIsIndependentOfRackCount() throws Exception {
     int[] sizes = {50, 3000}; // the second is a fleet of 120,000 units
     int[] bytes = new int[2];
     for (int i = 0; i < 2; i++) {
-      starts(sizes[i]);
-      Person relay = relay(0);
-      Promised whole = asks(relay, 1);
-      freeze("r4", MIN, 1);
-      bytes[i] = asks(relay, whole.getList()).getSerializedSize();
+      start(sizes[i]);
+      Person relay = connectRelay(0);
+      Promised whole = requestGrants(relay, 1);
+      announceWindows("r4", MINUTE_MS, 1);
+      bytes[i] = requestGrants(relay, whole.getList()).getSerializedSize();
       System.out.printf(
           Locale.ROOT,
           "counted: bytes of an answer about racks, one of them frozen soon: at %d %d; told whole %d; to an older relay %d%n",
           sizes[i],
           bytes[i],
           whole.getSerializedSize(),
-          asks(relay, 0).getSerializedSize());
+          requestGrants(relay, 0).getSerializedSize());
       if (i > 0) {
         continue;
       }
-      desk.close();
+      controller.close();
       folder = Files.createTempDirectory("promises");
     }
     assertTrue(
@@ -276,14 +278,14 @@
    * Each relay is told once that something has changed, and asks once, however many freezes moved.
    */
   @Test
-  public void manyFreezesOfOneTurnAreToldOnce() throws Exception {
-    starts(5);
-    Person relay = relay(0);
-    asks(relay, 0);
-    freeze("r1", 30 * MIN, 20);
-    asks(relay, 0);
+  public void windowsOfOneCommitAreNotifiedOnce() throws Exception {
+    start(5);
+    Person relay = connectRelay(0);
+    requestGrants(relay, 0);
+    announceWindows("r1", 30 * MINUTE_MS, 20);
+    requestGrants(relay, 0);
     long told =
-        on(
+        getOnLoop(
             () ->
                 relay.<Promised>all(Kind.PROMISED).stream()
                     .filter(one -> one.getId() == 0)
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -105,7 +105,7 @@
   /** What is announced by a body, and why two that are damaged are refused. */
   private static List<String> read(byte[] body) throws Exception {
     Announcements announcements = new Announcements();
-    Announcements.Announcement read = announcements.read(body);
+    Announcements.BuildAnnouncement read = announcements.read(body);
     List<String> lines =
         new ArrayList<>(List.of("build " + read.build() + ", artifact " + read.artifact()));
     String text = new String(body, StandardCharsets.UTF_8);
@@ -114,7 +114,7 @@
       try {
         announcements.read(damaged.getBytes(StandardCharsets.UTF_8));
         lines.add("taken");
-      } catch (Announcements.BadBodyException e) {
+      } catch (Announcements.MalformedAnnouncementException e) {
         lines.add(e.getMessage());
       }
     }
@@ -124,8 +124,9 @@
   /** A body signed with each secret in both forms. */
   private static List<String> signatures(byte[] body, String secrets) {
     List<String> lines = new ArrayList<>();
-    for (Signatures.Form form : List.of(Signatures.Form.STANDARD, Signatures.Form.GITHUB)) {
-      lines.add(String.join(" ", Signatures.headers(form)));
+    for (Signatures.SignatureScheme form :
+        List.of(Signatures.SignatureScheme.STANDARD, Signatures.SignatureScheme.GITHUB)) {
+      lines.add(String.join(" ", Signatures.headerNames(form)));
       List<byte[]> known = secrets(secrets, form);
       for (byte[] secret : known) {
         lines.add(Signatures.sign(form, DELIVERY, SECONDS, body, secret));
@@ -134,8 +135,8 @@
     return lines;
   }
 
-  private static List<byte[]> secrets(String text, Signatures.Form form) {
-    return Signatures.secrets(text, form);
+  private static List<byte[]> secrets(String text, Signatures.SignatureScheme form) {
+    return Signatures.parseSecrets(text, form);
   }
 
   /** The steps that an announced build takes at once. */
@@ -223,7 +224,7 @@
     URI url = URI.create("http://127.0.0.1:" + server.getAddress().getPort() + "/hook");
     return new WebhookOutbox(
         new WebhookOutbox.Target(
-            "listener", url, secrets(secrets, Signatures.Form.STANDARD).get(0), giveUp),
+            "listener", url, secrets(secrets, Signatures.SignatureScheme.STANDARD).get(0), giveUp),
         deadLetters,
         done::add,
         said -> {});
@@ -268,14 +269,15 @@
     byte[] body = Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT));
     List<String> signatures = CorpusFiles.lines(SIGNATURES);
     int line = 0;
-    for (Signatures.Form form : List.of(Signatures.Form.STANDARD, Signatures.Form.GITHUB)) {
+    for (Signatures.SignatureScheme form :
+        List.of(Signatures.SignatureScheme.STANDARD, Signatures.SignatureScheme.GITHUB)) {
       List<byte[]> secrets = secrets(CorpusFiles.text(SECRETS), form);
       line++; // the names of the headers
       for (int i = 0; i < secrets.size(); i++) {
         Signatures.Headers headers =
             new Signatures.Headers(DELIVERY, Long.toString(SECONDS), signatures.get(line++));
         assertEquals(
-            Signatures.check(form, headers, body, secrets, SECONDS, WINDOW),
+            Signatures.verify(form, headers, body, secrets, SECONDS, WINDOW),
             new Signatures.Verdict(DELIVERY, null));
       }
     }
@@ -294,11 +296,11 @@
       Signatures.Headers headers =
           new Signatures.Headers(one.headers.get(1), one.headers.get(2), one.headers.get(3));
       Signatures.Verdict verdict =
-          Signatures.check(
-              Signatures.Form.STANDARD,
+          Signatures.verify(
+              Signatures.SignatureScheme.STANDARD,
               headers,
               one.body,
-              secrets(secrets, Signatures.Form.STANDARD),
+              secrets(secrets, Signatures.SignatureScheme.STANDARD),
               Long.parseLong(one.headers.get(2)),
               WINDOW);
       assertEquals(verdict, new Signatures.Verdict(one.headers.get(1), null));
