--- a/src/main/java/sprucerock/controller/server/Announcements.java
+++ b/src/main/java/sprucerock/controller/server/AnnouncementParser.java
@@ -1,10 +1,7 @@
 package sprucerock.controller.server;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.StreamReadFeature;
-import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.networknt.schema.Error;
 import com.networknt.schema.Schema;
 import com.networknt.schema.SchemaRegistry;
@@ -13,12 +10,17 @@
 import java.io.InputStream;
 import java.util.List;
 
-/** Announcements as their JSON schema has them. */
-final class Announcements {
-  /** What is announced. */
+/** AnnouncementParser as their JSON schema has them. */
+final class AnnouncementParser {
+  /**
+   * A build that a pipeline offers.
+   *
+   * @param build its number, 1 to 65535
+   * @param artifact what is to be run
+   */
   record BuildAnnouncement(int build, String artifact) {}
 
-  /** A body that announces nothing; the message says why, fit to be told to its sender. */
+  /** A body is no valid announcement; the message says why, and may be sent to its sender. */
   static final class MalformedAnnouncementException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -27,25 +29,29 @@
     }
   }
 
-  static final JsonMapper JSON =
-      JsonMapper.builder()
-          .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-          .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-          .build();
-
   private final Schema schema;
 
-  Announcements() throws IOException {
+  /**
+   * Loads the schema.
+   *
+   * @throws IOException if the schema can't be read from the program
+   */
+  AnnouncementParser() throws IOException {
     try (InputStream in =
-        Announcements.class.getResourceAsStream("/sprucerock/announcement.json")) {
+        AnnouncementParser.class.getResourceAsStream("/sprucerock/announcement.json")) {
       schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(in);
     }
   }
 
-  BuildAnnouncement read(byte[] body) throws MalformedAnnouncementException {
+  /**
+   * Parses a whole body.
+   *
+   * @throws MalformedAnnouncementException if it is no JSON, or not as the schema has it
+   */
+  BuildAnnouncement parse(byte[] body) throws MalformedAnnouncementException {
     JsonNode node;
     try {
-      node = JSON.readTree(body);
+      node = Json.MAPPER.readTree(body);
     } catch (JsonProcessingException e) {
       throw new MalformedAnnouncementException("it is no JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -183,8 +183,8 @@
         engine.releases().epoch(),
         engine.inputs(),
         at[0],
-        http.hooksAt(),
-        http.apiAt());
+        http.webhookAddress(),
+        http.apiAddress());
   }
 
   /**
@@ -256,11 +256,11 @@
   }
 
   public InetSocketAddress webhookAddress() {
-    return http.hooksAt();
+    return http.webhookAddress();
   }
 
   public InetSocketAddress apiAddress() {
-    return http.apiAt();
+    return http.apiAddress();
   }
 
   /**
@@ -350,7 +350,8 @@
     return engine;
   }
 
-  Set<Integer> relayListener() {
+  /** Numbers of the relays that are connected. */
+  Set<Integer> connectedRelays() {
     return relayListener.connectedRelays();
   }
 
--- /dev/null
+++ b/src/main/java/sprucerock/controller/server/DeploymentHandler.java
@@ -0,0 +1,237 @@
+package sprucerock.controller.server;
+
+import static sprucerock.controller.server.HttpExchanges.respond;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.undertow.server.HttpServerExchange;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Locale;
+import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.config.ConfigException;
+import sprucerock.config.Live;
+import sprucerock.controller.deployment.Deployment;
+import sprucerock.controller.deployment.DeploymentManager;
+import sprucerock.controller.deployment.ManagedRelay;
+import sprucerock.controller.deployment.Version;
+import sprucerock.controller.v1.ChangeWord;
+import sprucerock.controller.v1.Input;
+import sprucerock.controller.v1.Proposed;
+
+/** {@code /changes} and {@code /agents}: what relays run, and deployments that change it. */
+final class DeploymentHandler {
+  private static final String FILE_NAME = "[A-Za-z0-9_.+-]{1,200}";
+
+  private final ControllerConfig config;
+  private final ControllerServer controller;
+  private final LoopDispatcher dispatcher;
+
+  DeploymentHandler(
+      ControllerConfig config, ControllerServer controller, LoopDispatcher dispatcher) {
+    this.config = config;
+    this.controller = controller;
+    this.dispatcher = dispatcher;
+  }
+
+  /**
+   * Proposes a deployment of a program, settings or both, from files of the incoming folder; what
+   * is left out stays as it is. The files are read on a worker thread, since that may wait.
+   */
+  void propose(HttpServerExchange exchange, JsonNode body) {
+    CommandOrigin origin = CommandOrigin.of(body);
+    if (config.agentAddress == null) {
+      respond(exchange, 409, "no_agents", "this controller's configuration has no agents");
+      return;
+    }
+    if (!origin.isComplete() || !body.has("program") && !body.has("settings")) {
+      respond(
+          exchange,
+          400,
+          "no_change",
+          "{\"who\": ..., \"reason\": ..., \"program\": file, \"settings\": file} are needed, one of the last two at least");
+      return;
+    }
+    exchange.dispatch(
+        () -> {
+          try {
+            String program = body.has("program") ? store(body.get("program").asText()) : null;
+            String settings = body.has("settings") ? store(body.get("settings").asText()) : null;
+            dispatcher.dispatch(
+                exchange, () -> submitProposal(exchange, origin, program, settings));
+          } catch (IOException | IllegalArgumentException e) {
+            respond(exchange, 400, "no_file", e.getMessage());
+          }
+        });
+  }
+
+  /** Copies a file of the incoming folder, and of no other, to the artifacts; its digest. */
+  private String store(String name) throws IOException {
+    Path file = config.incomingFolder.resolve(name);
+    boolean inside = name.matches(FILE_NAME) && !name.startsWith(".") && Files.isRegularFile(file);
+    if (!inside) {
+      throw new IllegalArgumentException(
+          "no file " + name + " is in the controller's incoming folder");
+    }
+    return artifacts().put(file);
+  }
+
+  /** On the loop; {@code program}, {@code settings}: digests, null where they stay. */
+  private void submitProposal(
+      HttpServerExchange exchange, CommandOrigin origin, String program, String settings) {
+    Version base = deployments().under() != null ? deployments().under().to : deployments().usual();
+    if (base.equals(Version.NONE) && (program == null || settings == null)) {
+      respond(
+          exchange,
+          409,
+          "no_effect",
+          "no relay runs anything that is known, so both files are needed");
+      return;
+    }
+    boolean live =
+        (program == null || program.equals(base.program()))
+            && settings != null
+            && needsNoRestart(base.settings(), settings);
+    dispatcher.submitCommandOnLoop(
+        exchange,
+        Input.newBuilder()
+            .setProposed(
+                Proposed.newBuilder()
+                    .setWho(origin.who())
+                    .setWhy(origin.reason())
+                    .setLive(live)
+                    .setVersion(
+                        sprucerock.controller.v1.Version.newBuilder()
+                            .setProgram(program == null ? base.program() : program)
+                            .setSettings(settings == null ? base.settings() : settings))));
+  }
+
+  /**
+   * Whether a running relay can take new settings without a restart. False where this cannot be
+   * told here: agents validate the files themselves and report what is wrong with them.
+   */
+  private boolean needsNoRestart(String from, String to) {
+    try {
+      return artifacts().has(from)
+          && Live.needRestart(
+                  Files.readString(artifacts().path(from)), Files.readString(artifacts().path(to)))
+              .isEmpty();
+    } catch (IOException | ConfigException e) {
+      return false;
+    }
+  }
+
+  /** Holds, resumes or withdraws a deployment. */
+  void command(HttpServerExchange exchange, int number, String command, JsonNode body) {
+    CommandOrigin origin = CommandOrigin.of(body);
+    if (!origin.isComplete()) {
+      respond(exchange, 400, "no_reason", "{\"who\": ..., \"reason\": ...} are needed");
+      return;
+    }
+    dispatcher.submitCommand(
+        exchange,
+        Input.newBuilder()
+            .setChangeWord(
+                ChangeWord.newBuilder()
+                    .setWord(command.toUpperCase(Locale.ROOT))
+                    .setChange(number)
+                    .setWho(origin.who())
+                    .setReason(origin.reason())));
+  }
+
+  /** All deployments that are known, and the version that most relays run. */
+  void list(HttpServerExchange exchange) {
+    dispatcher.dispatch(exchange, () -> respond(exchange, 200, describeAll()));
+  }
+
+  private ObjectNode describeAll() {
+    ObjectNode all = Json.object();
+    ArrayNode list = all.putArray("changes");
+    for (Deployment deployment : deployments().all()) {
+      list.add(summarize(deployment));
+    }
+    return all.put("epoch", dispatcher.engine().releases().epoch())
+        .put("runs", deployments().usual().toString());
+  }
+
+  /** One deployment with its steps, control group, refusals and what it waits for. */
+  void show(HttpServerExchange exchange, int number) {
+    dispatcher.dispatch(
+        exchange,
+        () -> {
+          Deployment deployment = deployments().of(number);
+          if (deployment == null) {
+            respond(exchange, 404, "no_such_change", null);
+          } else {
+            respond(exchange, 200, describe(deployment));
+          }
+        });
+  }
+
+  private ObjectNode describe(Deployment deployment) {
+    ObjectNode node = summarize(deployment);
+    ArrayNode steps = node.putArray("steps");
+    for (Deployment.Step step : deployment.steps()) {
+      Json.addStep(steps, step.sequence(), step.wallMs())
+          .put("state", Json.lowerCaseName(step.state()))
+          .put("stage", step.stage())
+          .put("cause", step.cause());
+    }
+    ArrayNode waits = node.putArray("waits_for");
+    deployments().waitsFor(deployment, dispatcher.engine().now()).forEach(waits::add);
+    ObjectNode beside = node.putObject("beside");
+    deployment.beside().forEach((moved, control) -> beside.put(Integer.toString(moved), control));
+    ObjectNode refused = node.putObject("refused");
+    deployment.refused().forEach((relay, why) -> refused.put(Integer.toString(relay), why));
+    return node;
+  }
+
+  private static ObjectNode summarize(Deployment deployment) {
+    return Json.object()
+        .put("change", deployment.number)
+        .put("state", Json.lowerCaseName(deployment.state()))
+        .put("stage", deployment.stage())
+        .put("held", deployment.held())
+        .put("moved", deployment.moved().size())
+        .put("who", deployment.who)
+        .put("why", deployment.why)
+        .put("from", deployment.from.toString())
+        .put("to", deployment.to.toString())
+        .put("program", deployment.to.program())
+        .put("settings", deployment.to.settings());
+  }
+
+  /** All relays with an agent: what each runs, and what it is to run. */
+  void listAgents(HttpServerExchange exchange) {
+    dispatcher.dispatch(exchange, () -> respond(exchange, 200, describeAgents()));
+  }
+
+  private ObjectNode describeAgents() {
+    ObjectNode all = Json.object();
+    ArrayNode list = all.putArray("agents");
+    for (ManagedRelay relay : deployments().relays()) {
+      list.addObject()
+          .put("relay", relay.number)
+          .put("zone", relay.zone())
+          .put("heard", !relay.silent())
+          .put("runs", relay.runs().toString())
+          .put("wanted", relay.wanted() == null ? "" : relay.wanted().toString())
+          .put("ready", relay.ready())
+          .put("done", relay.done())
+          .put("turn", relay.turn())
+          .put("busy", relay.busy())
+          .put("program", relay.runs().program());
+    }
+    return all;
+  }
+
+  private DeploymentManager deployments() {
+    return dispatcher.engine().changes();
+  }
+
+  private ArtifactStore artifacts() {
+    return controller.artifacts();
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/controller/server/LoopDispatcher.java
@@ -0,0 +1,77 @@
+package sprucerock.controller.server;
+
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.SameThreadExecutor;
+import java.util.function.Consumer;
+import sprucerock.controller.Engine;
+import sprucerock.controller.v1.Input;
+
+/**
+ * Takes HTTP exchanges from the server's I/O threads to the controller's loop, the only thread that
+ * may read or change the engine, and turns the engine's outcomes into responses.
+ */
+final class LoopDispatcher {
+  private final ControllerServer controller;
+
+  LoopDispatcher(ControllerServer controller) {
+    this.controller = controller;
+  }
+
+  /**
+   * Runs a task on the controller's loop. The exchange stays open until something responds; a task
+   * that throws is logged and gets 500.
+   */
+  void dispatch(HttpServerExchange exchange, Runnable task) {
+    exchange.dispatch(
+        SameThreadExecutor.INSTANCE, () -> controller.runOnLoop(() -> run(exchange, task)));
+  }
+
+  private void run(HttpServerExchange exchange, Runnable task) {
+    try {
+      task.run();
+    } catch (RuntimeException e) {
+      controller.reportFault(e);
+      HttpExchanges.respond(exchange, 500, "fault", null);
+    }
+  }
+
+  /**
+   * Submits an input and goes on with the engine's answer once the input is on disk; one that was
+   * not kept gets 503. On the loop only.
+   */
+  void submit(HttpServerExchange exchange, Input.Builder input, Consumer<Object> onAnswer) {
+    controller.submit(
+        input,
+        outcome -> {
+          if (outcome.refused() != null) {
+            HttpExchanges.respond(exchange, 503, "not_kept", outcome.refused());
+          } else {
+            onAnswer.accept(outcome.answer());
+          }
+        });
+  }
+
+  /** Takes an operator's command to the loop and submits it; one without effect gets 409. */
+  void submitCommand(HttpServerExchange exchange, Input.Builder input) {
+    dispatch(exchange, () -> submitCommandOnLoop(exchange, input));
+  }
+
+  /** As {@link #submitCommand}, for a caller that is on the loop already. */
+  void submitCommandOnLoop(HttpServerExchange exchange, Input.Builder input) {
+    submit(
+        exchange,
+        input,
+        reason -> {
+          if (reason != null) {
+            HttpExchanges.respond(exchange, 409, "no_effect", (String) reason);
+          } else {
+            HttpExchanges.respond(exchange, 200, "done", null);
+          }
+        });
+  }
+
+  /** The engine; to be used on the loop only. */
+  Engine engine() {
+    return controller.engine();
+  }
+}
--- /dev/null
+++ b/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
@@ -0,0 +1,199 @@
+package sprucerock.controller.server;
+
+import static sprucerock.controller.server.HttpExchanges.respond;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.undertow.server.HttpServerExchange;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import sprucerock.controller.maintenance.MaintenanceWindow;
+import sprucerock.controller.maintenance.MaintenanceWindows;
+import sprucerock.controller.v1.FreezeWanted;
+import sprucerock.controller.v1.FreezeWord;
+import sprucerock.controller.v1.Input;
+import sprucerock.controller.v1.RackSays;
+
+/** {@code /freezes} and {@code /racks}: maintenance windows, and racks that are down. */
+final class MaintenanceHandler {
+  private final ControllerConfig config;
+  private final ControllerServer controller;
+  private final LoopDispatcher dispatcher;
+
+  MaintenanceHandler(
+      ControllerConfig config, ControllerServer controller, LoopDispatcher dispatcher) {
+    this.config = config;
+    this.controller = controller;
+    this.dispatcher = dispatcher;
+  }
+
+  /** Announces a window, or a series of them by a recurrence rule. */
+  void announce(HttpServerExchange exchange, JsonNode body) {
+    CommandOrigin origin = CommandOrigin.of(body);
+    if (config.capacityCheck == null) {
+      respond(exchange, 409, "no_racks", "this controller's configuration has no racks");
+      return;
+    }
+    List<String> racks = new ArrayList<>();
+    body.path("racks").forEach(rack -> racks.add(rack.asText()));
+    boolean emergency = body.path("emergency").asBoolean(false);
+    if (!origin.isComplete()
+        || racks.isEmpty()
+        || body.path("lasts_ms").asLong(0) <= 0
+        || !emergency && body.path("from_ms").asLong(0) <= 0) {
+      respond(
+          exchange,
+          400,
+          "no_freeze",
+          "{\"who\": ..., \"reason\": ..., \"racks\": [...], \"from_ms\": ..., \"lasts_ms\": ...} are needed; slack_ms, rule, zone and emergency may be");
+      return;
+    }
+    FreezeWanted.Builder wanted =
+        FreezeWanted.newBuilder()
+            .addAllRacks(racks)
+            .setFromMs(body.path("from_ms").asLong(0))
+            .setLastsMs(body.path("lasts_ms").asLong())
+            .setSlackMs(Math.max(0, body.path("slack_ms").asLong(0)))
+            .setRule(body.path("rule").asText(""))
+            .setZone(body.path("zone").asText("UTC"))
+            .setEmergency(emergency)
+            .setWho(origin.who())
+            .setReason(origin.reason());
+    dispatcher.dispatch(
+        exchange,
+        () ->
+            dispatcher.submit(
+                exchange,
+                Input.newBuilder().setFreeze(wanted),
+                answer -> respondToAnnouncement(exchange, answer)));
+  }
+
+  private void respondToAnnouncement(HttpServerExchange exchange, Object answer) {
+    if (answer instanceof String reason) {
+      respond(exchange, 409, "no_effect", reason);
+      return;
+    }
+    ObjectNode all = Json.object();
+    ArrayNode list = all.putArray("freezes");
+    for (Object number : (List<?>) answer) {
+      list.add(summarize(windows().of((Long) number)));
+    }
+    respond(exchange, 200, all);
+  }
+
+  /** Calls a window off, extends it or forces it. */
+  void command(HttpServerExchange exchange, int number, String command, JsonNode body) {
+    CommandOrigin origin = CommandOrigin.of(body);
+    long toMs = body.path("to_ms").asLong(0);
+    if (!origin.isComplete() || command.equals("extend") && toMs <= 0) {
+      respond(
+          exchange,
+          400,
+          "no_reason",
+          "{\"who\": ..., \"reason\": ...} are needed, for extend \"to_ms\" too");
+      return;
+    }
+    dispatcher.submitCommand(
+        exchange,
+        Input.newBuilder()
+            .setFreezeWord(
+                FreezeWord.newBuilder()
+                    .setWord(command.toUpperCase(Locale.ROOT).replace('-', '_'))
+                    .setFreeze(number)
+                    .setToMs(toMs)
+                    .setWho(origin.who())
+                    .setReason(origin.reason())));
+  }
+
+  /** Notes that a rack is down, or up again. */
+  void setRackDown(HttpServerExchange exchange, String rack, JsonNode body) {
+    boolean known = windows().room().racks().containsKey(rack) && body.path("down").isBoolean();
+    if (!known) {
+      respond(
+          exchange,
+          400,
+          "no_rack",
+          "the name of a rack of the configuration and {\"down\": true or false} are needed");
+      return;
+    }
+    dispatcher.submitCommand(
+        exchange,
+        Input.newBuilder()
+            .setRack(RackSays.newBuilder().setRack(rack).setDown(body.get("down").asBoolean())));
+  }
+
+  /** All windows that are known. */
+  void list(HttpServerExchange exchange) {
+    dispatcher.dispatch(exchange, () -> respond(exchange, 200, describeAll()));
+  }
+
+  private ObjectNode describeAll() {
+    ObjectNode all = Json.object();
+    ArrayNode list = all.putArray("freezes");
+    for (MaintenanceWindow window : windows().all()) {
+      list.add(summarize(window));
+    }
+    return all;
+  }
+
+  /** One window with its steps, and who may still place work there, until when at most. */
+  void show(HttpServerExchange exchange, int number) {
+    dispatcher.dispatch(
+        exchange,
+        () -> {
+          MaintenanceWindow window = windows().of(number);
+          if (window == null) {
+            respond(exchange, 404, "no_such_freeze", null);
+          } else {
+            respond(exchange, 200, describe(window));
+          }
+        });
+  }
+
+  private ObjectNode describe(MaintenanceWindow window) {
+    ObjectNode node = summarize(window);
+    ArrayNode steps = node.putArray("steps");
+    for (MaintenanceWindow.Step step : window.steps()) {
+      Json.addStep(steps, step.sequence(), step.wallMs())
+          .put("state", Json.lowerCaseName(step.state()))
+          .put("cause", step.cause());
+    }
+    ArrayNode outstanding = node.putArray("out");
+    if (window.state().binds()) {
+      controller
+          .grants()
+          .out(window, windows().later(dispatcher.engine().wallMs()))
+          .forEach(
+              relay ->
+                  outstanding.add(
+                      relay < 0
+                          ? "relays not heard since this controller started"
+                          : "relay " + relay));
+      node.put("at_most_until", Json.time(windows().promisesEnd(window)));
+    }
+    ArrayNode forced = node.putArray("forced_by");
+    window.forcedBy().forEach(forced::add);
+    return node;
+  }
+
+  private static ObjectNode summarize(MaintenanceWindow window) {
+    ObjectNode node =
+        Json.object()
+            .put("freeze", window.number)
+            .put("state", Json.lowerCaseName(window.state()).replace('_', ' '))
+            .put("from", Json.time(window.from()))
+            .put("to", Json.time(window.to()))
+            .put("who", window.who)
+            .put("why", window.why)
+            .put("emergency", window.emergency);
+    ArrayNode racks = node.putArray("racks");
+    window.racks.forEach(racks::add);
+    return node.put("cause", window.steps().get(window.steps().size() - 1).cause());
+  }
+
+  private MaintenanceWindows windows() {
+    return dispatcher.engine().freezes();
+  }
+}
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -66,8 +66,7 @@
    */
   void add(Rollout release, Rollout.Step step) {
     ObjectNode body =
-        Announcements.JSON
-            .createObjectNode()
+        Json.object()
             .put("type", "release.changed")
             .put("sequence", step.sequence())
             .put("build", release.build)
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -104,17 +104,17 @@
 
   /** What is announced by a body, and why two that are damaged are refused. */
   private static List<String> read(byte[] body) throws Exception {
-    Announcements announcements = new Announcements();
-    Announcements.BuildAnnouncement read = announcements.read(body);
+    AnnouncementParser parser = new AnnouncementParser();
+    AnnouncementParser.BuildAnnouncement read = parser.parse(body);
     List<String> lines =
         new ArrayList<>(List.of("build " + read.build() + ", artifact " + read.artifact()));
     String text = new String(body, StandardCharsets.UTF_8);
     for (String damaged :
         List.of(text.replace("4711,", "0,"), text.replace("artifact", "artefact"))) {
       try {
-        announcements.read(damaged.getBytes(StandardCharsets.UTF_8));
+        parser.parse(damaged.getBytes(StandardCharsets.UTF_8));
         lines.add("taken");
-      } catch (Announcements.MalformedAnnouncementException e) {
+      } catch (AnnouncementParser.MalformedAnnouncementException e) {
         lines.add(e.getMessage());
       }
     }
