--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.artifact.ArtifactStore;
-import sprucerock.controller.Watcher;
+import sprucerock.controller.DeploymentMonitor;
 import sprucerock.controller.comparison.Window;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
@@ -46,7 +46,7 @@
  * agent after another, so that a thousand that fetch at once neither fill memory nor hold up what
  * is said.
  */
-final class AgentListener implements Watcher.Host {
+final class AgentListener implements DeploymentMonitor.Listener {
   private static final byte[] NO_BODY = {};
   private static final int PIECE_BYTES = 128 * 1024;
   private static final int MAX_PENDING_FETCHES = 20_000; // fetches; an agent has one or two
@@ -64,7 +64,7 @@
   private final Tap tap;
   private final ControllerServer controller;
   private final ArtifactStore artifacts;
-  private final Watcher watcher;
+  private final DeploymentMonitor watcher;
   private final TreeMap<Integer, Session> sessions = new TreeMap<>();
   private final DisconnectedAgents disconnected = new DisconnectedAgents();
   private final Deque<PendingFetch> fetches = new ArrayDeque<>();
@@ -78,7 +78,7 @@
     this.controller = controller;
     this.artifacts = vault;
     limits = new Limits(1 << 20, 4L << 20, TimeSpan.ofMs(1000));
-    watcher = new Watcher(deployments(), this);
+    watcher = new DeploymentMonitor(deployments(), this);
     for (ManagedRelay relay : deployments().relays()) {
       disconnected.disconnected(
           relay.number,
@@ -87,7 +87,7 @@
   }
 
   private DeploymentManager deployments() {
-    return controller.engine().changes();
+    return controller.engine().deployments();
   }
 
   InetSocketAddress start() throws IOException {
@@ -125,15 +125,16 @@
   }
 
   private void cutWindows() {
-    watcher.cut(WINDOW_LENGTH.ms());
+    watcher.closeWindow(WINDOW_LENGTH.ms());
     net.at(net.now().plus(WINDOW_LENGTH), this::cutWindows);
   }
 
   /** Who is not heard any more; and, after a start of the controller, who was not heard at all. */
   private void reportAbsentAgents() {
-    for (int number : disconnected.unheardLongerThan(config.deploymentPlan.silent(), net.now())) {
+    for (int number :
+        disconnected.unheardLongerThan(config.deploymentPlan.unreachableAfter(), net.now())) {
       ManagedRelay relay = deployments().relay(number);
-      if (relay == null || relay.silent()) {
+      if (relay == null || relay.unreachable()) {
         disconnected.remove(number);
       } else {
         controller.submit(
@@ -182,7 +183,7 @@
   // What the comparison finds.
 
   @Override
-  public void judged(Deployment change, Verdict verdict, String reason) {
+  public void verdictChanged(Deployment change, Verdict verdict, String reason) {
     log.info(
         "JUDGED change {} in stage {}: {}: {}", change.number, change.stage(), verdict, reason);
     controller.submit(
@@ -197,14 +198,14 @@
   }
 
   @Override
-  public void room(java.util.Map<Integer, Integer> byZone, String why) {
+  public void restartBudgetChanged(java.util.Map<Integer, Integer> byZone, String why) {
     controller.submit(
         Input.newBuilder().setRoom(Room.newBuilder().putAllByZone(byZone).setWhy(why)),
         outcome -> {});
   }
 
   @Override
-  public void busy(int number, boolean is) {
+  public void busyChanged(int number, boolean is) {
     Session session = sessions.get(number);
     if (session != null && session.lastStatus != null) {
       session.record(is);
@@ -233,19 +234,21 @@
     }
 
     void sendDesiredState(ManagedRelay relay) {
-      Wants.Builder wants = Wants.newBuilder().setEpoch(controller.engine().releases().epoch());
-      if (relay != null && relay.wanted() != null && !relay.wanted().equals(Version.NONE)) {
+      Wants.Builder wants = Wants.newBuilder().setEpoch(controller.engine().rollouts().epoch());
+      if (relay != null
+          && relay.desiredVersion() != null
+          && !relay.desiredVersion().equals(Version.NONE)) {
         wants
-            .setTurn(relay.turn())
-            .setProgram(relay.wanted().program())
-            .setSettings(relay.wanted().settings());
+            .setTurn(relay.generation())
+            .setProgram(relay.desiredVersion().program())
+            .setSettings(relay.desiredVersion().settings());
       }
-      Deployment waits = deployments().waiting();
+      Deployment waits = deployments().pending();
       if (waits != null && waits.state() == Deployment.State.PROPOSED) {
         wants
             .setChange(waits.number)
-            .setCheckProgram(waits.to.program())
-            .setCheckSettings(waits.to.settings());
+            .setCheckProgram(waits.toVersion.program())
+            .setCheckSettings(waits.toVersion.settings());
       }
       connection.send(Kind.WANTS, wants.build(), NO_BODY);
     }
@@ -272,11 +275,11 @@
         Version runs = new Version(says.getProgram(), says.getSettings());
         boolean news =
             known == null
-                || known.silent()
+                || known.unreachable()
                 || known.zone() != says.getZone()
-                || !known.runs().equals(runs)
+                || !known.observedVersion().equals(runs)
                 || known.ready() != says.getReady()
-                || known.done() != says.getDone();
+                || known.observedGeneration() != says.getDone();
         if (news) {
           record(known != null && known.busy());
         }
@@ -307,15 +310,15 @@
         connection.cut(e.getMessage());
         return;
       }
-      if (says.getEpoch() > controller.engine().releases().epoch()) {
+      if (says.getEpoch() > controller.engine().rollouts().epoch()) {
         log.error(
             "BEHIND relay {}'s agent was told by epoch {}, this is {}: the store may be an old one",
             number,
             says.getEpoch(),
-            controller.engine().releases().epoch());
+            controller.engine().rollouts().epoch());
       }
       if (says.hasSums()) {
-        watcher.told(number, says.getLife(), says.getCores(), toWindow(says.getSums()));
+        watcher.reportTotals(number, says.getLife(), says.getCores(), toWindow(says.getSums()));
       }
       if (first) {
         sendDesiredState(deployments().relay(number));
@@ -342,7 +345,7 @@
           Piece.newBuilder().setDigest(fetch.getDigest()).setFrom(fetch.getFrom());
       byte[] body = NO_BODY;
       try {
-        if (Version.digest(fetch.getDigest()) && artifacts.has(fetch.getDigest())) {
+        if (Version.isDigest(fetch.getDigest()) && artifacts.has(fetch.getDigest())) {
           piece.setSize(artifacts.size(fetch.getDigest()));
           body = artifacts.piece(fetch.getDigest(), fetch.getFrom(), PIECE_BYTES);
         }
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -14,6 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.Engine;
 import sprucerock.controller.FileLeadership;
 import sprucerock.controller.Leadership;
@@ -97,7 +98,7 @@
             : new MaintenanceWindows(
                 config.maintenanceRules, config.capacityCheck, maintenanceHost());
     engine =
-        Engine.in(
+        Engine.open(
             config.storeFolder,
             config.rolloutRules,
             config.endpointCount,
@@ -109,7 +110,7 @@
                   "STEP {} build {} {} stage {}: {}",
                   step.sequence(),
                   release.build,
-                  step.standing(),
+                  step.state(),
                   step.stage(),
                   step.cause());
               outboxes.forEach(outbox -> outbox.add(release, step));
@@ -128,7 +129,7 @@
               upTo -> loop.post(() -> deliveredByTarget(target.name(), upTo)),
               what -> log.error("OUTBOX {}", what)));
     }
-    engine.onlyWhile(leadership::holds);
+    engine.setLeadershipCheck(leadership::holds);
     engine.start(this::requeueUndeliveredSteps);
     grants = new PlacementGrants(freezes, freezes.later(engine.wallMs()));
     relayListener = new RelayListener(loop, config, tap, this);
@@ -180,8 +181,8 @@
     log.info(
         "STARTED controller {}, epoch {}, {} inputs; relays at {}, webhooks at {}, operators at {}",
         config.name,
-        engine.releases().epoch(),
-        engine.inputs(),
+        engine.rollouts().epoch(),
+        engine.entryCount(),
         at[0],
         http.webhookAddress(),
         http.apiAddress());
@@ -270,10 +271,10 @@
     return artifacts;
   }
 
-  private DeploymentManager.Host deploymentHost() {
-    return new DeploymentManager.Host() {
+  private DeploymentManager.Listener deploymentHost() {
+    return new DeploymentManager.Listener() {
       @Override
-      public void changed(Deployment change, Deployment.Step step) {
+      public void transitioned(Deployment change, Deployment.Transition step) {
         log.info(
             "CHANGE {} step {}: {}, stage {}: {}",
             change.number,
@@ -287,7 +288,7 @@
       }
 
       @Override
-      public void wants(ManagedRelay relay) {
+      public void desiredStateChanged(ManagedRelay relay) {
         if (agentListener != null) {
           agentListener.desiredStateChanged(relay);
         }
@@ -339,7 +340,7 @@
 
   /** A relay has asked: some freeze may be in force by that. */
   void submitClearedWindows() {
-    for (long number : grants.cleared(engine.freezes().later(engine.wallMs()))) {
+    for (long number : grants.cleared(engine.maintenanceWindows().later(engine.wallMs()))) {
       submit(
           Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
           outcome -> {});
@@ -365,8 +366,8 @@
   }
 
   /** On the loop: kept at the turn's end, then it happens and is answered. */
-  void submit(Input.Builder input, Consumer<Engine.Outcome> done) {
-    engine.submit(input, done);
+  void submit(Input.Builder input, Consumer<AppendResult> done) {
+    engine.append(input, done);
     if (commitScheduled) {
       return;
     }
@@ -376,19 +377,19 @@
 
   private void commit() {
     commitScheduled = false;
-    long before = engine.releases().sequence();
-    engine.commit();
-    if (engine.releases().sequence() != before) {
+    long before = engine.rollouts().sequence();
+    engine.flush();
+    if (engine.rollouts().sequence() != before) {
       relayListener.sendNewsToAll();
     }
   }
 
   /** Steps of earlier lives that not every listener has taken yet. */
   private void requeueUndeliveredSteps() {
-    List<Map.Entry<Rollout, Rollout.Step>> again = new ArrayList<>();
-    for (Rollout release : engine.releases().all()) {
-      for (Rollout.Step step : release.steps()) {
-        if (step.sequence() > engine.releases().delivered()) {
+    List<Map.Entry<Rollout, Rollout.Transition>> again = new ArrayList<>();
+    for (Rollout release : engine.rollouts().rollouts()) {
+      for (Rollout.Transition step : release.transitions()) {
+        if (step.sequence() > engine.rollouts().webhooksDeliveredUpTo()) {
           again.add(Map.entry(release, step));
         }
       }
@@ -404,7 +405,7 @@
       return;
     }
     long all = deliveredByTarget.values().stream().mapToLong(Long::longValue).min().orElse(0);
-    if (all > engine.releases().delivered()) {
+    if (all > engine.rollouts().webhooksDeliveredUpTo()) {
       submit(
           Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(all)), outcome -> {});
     }
@@ -435,9 +436,9 @@
     if (stopped) {
       return;
     }
-    if (engine.releases().due(engine.now())
-        || engine.changes().due(engine.now())
-        || engine.freezes().due(engine.wallMs())) {
+    if (engine.rollouts().transitionDue(engine.now())
+        || engine.deployments().transitionDue(engine.now())
+        || engine.maintenanceWindows().due(engine.wallMs())) {
       commit();
     }
     submitClearedWindows();
--- a/src/main/java/sprucerock/controller/server/DeploymentHandler.java
+++ b/src/main/java/sprucerock/controller/server/DeploymentHandler.java
@@ -81,7 +81,10 @@
   /** On the loop; {@code program}, {@code settings}: digests, null where they stay. */
   private void submitProposal(
       HttpServerExchange exchange, CommandOrigin origin, String program, String settings) {
-    Version base = deployments().under() != null ? deployments().under().to : deployments().usual();
+    Version base =
+        deployments().active() != null
+            ? deployments().active().toVersion
+            : deployments().baselineVersion();
     if (base.equals(Version.NONE) && (program == null || settings == null)) {
       respond(
           exchange,
@@ -149,11 +152,11 @@
   private ObjectNode describeAll() {
     ObjectNode all = Json.object();
     ArrayNode list = all.putArray("changes");
-    for (Deployment deployment : deployments().all()) {
+    for (Deployment deployment : deployments().deployments()) {
       list.add(summarize(deployment));
     }
-    return all.put("epoch", dispatcher.engine().releases().epoch())
-        .put("runs", deployments().usual().toString());
+    return all.put("epoch", dispatcher.engine().rollouts().epoch())
+        .put("runs", deployments().baselineVersion().toString());
   }
 
   /** One deployment with its steps, control group, refusals and what it waits for. */
@@ -161,7 +164,7 @@
     dispatcher.dispatch(
         exchange,
         () -> {
-          Deployment deployment = deployments().of(number);
+          Deployment deployment = deployments().deployment(number);
           if (deployment == null) {
             respond(exchange, 404, "no_such_change", null);
           } else {
@@ -173,18 +176,20 @@
   private ObjectNode describe(Deployment deployment) {
     ObjectNode node = summarize(deployment);
     ArrayNode steps = node.putArray("steps");
-    for (Deployment.Step step : deployment.steps()) {
+    for (Deployment.Transition step : deployment.transitions()) {
       Json.addStep(steps, step.sequence(), step.wallMs())
           .put("state", Json.lowerCaseName(step.state()))
           .put("stage", step.stage())
           .put("cause", step.cause());
     }
     ArrayNode waits = node.putArray("waits_for");
-    deployments().waitsFor(deployment, dispatcher.engine().now()).forEach(waits::add);
-    ObjectNode beside = node.putObject("beside");
-    deployment.beside().forEach((moved, control) -> beside.put(Integer.toString(moved), control));
+    deployments().blockers(deployment, dispatcher.engine().now()).forEach(waits::add);
+    ObjectNode controls = node.putObject("beside");
+    deployment
+        .controls()
+        .forEach((moved, control) -> controls.put(Integer.toString(moved), control));
     ObjectNode refused = node.putObject("refused");
-    deployment.refused().forEach((relay, why) -> refused.put(Integer.toString(relay), why));
+    deployment.rejections().forEach((relay, why) -> refused.put(Integer.toString(relay), why));
     return node;
   }
 
@@ -194,13 +199,13 @@
         .put("state", Json.lowerCaseName(deployment.state()))
         .put("stage", deployment.stage())
         .put("held", deployment.held())
-        .put("moved", deployment.moved().size())
-        .put("who", deployment.who)
-        .put("why", deployment.why)
-        .put("from", deployment.from.toString())
-        .put("to", deployment.to.toString())
-        .put("program", deployment.to.program())
-        .put("settings", deployment.to.settings());
+        .put("moved", deployment.updated().size())
+        .put("who", deployment.proposedBy)
+        .put("why", deployment.reason)
+        .put("from", deployment.fromVersion.toString())
+        .put("to", deployment.toVersion.toString())
+        .put("program", deployment.toVersion.program())
+        .put("settings", deployment.toVersion.settings());
   }
 
   /** All relays with an agent: what each runs, and what it is to run. */
@@ -215,20 +220,20 @@
       list.addObject()
           .put("relay", relay.number)
           .put("zone", relay.zone())
-          .put("heard", !relay.silent())
-          .put("runs", relay.runs().toString())
-          .put("wanted", relay.wanted() == null ? "" : relay.wanted().toString())
+          .put("heard", !relay.unreachable())
+          .put("runs", relay.observedVersion().toString())
+          .put("wanted", relay.desiredVersion() == null ? "" : relay.desiredVersion().toString())
           .put("ready", relay.ready())
-          .put("done", relay.done())
-          .put("turn", relay.turn())
+          .put("done", relay.observedGeneration())
+          .put("turn", relay.generation())
           .put("busy", relay.busy())
-          .put("program", relay.runs().program());
+          .put("program", relay.observedVersion().program());
     }
     return all;
   }
 
   private DeploymentManager deployments() {
-    return dispatcher.engine().changes();
+    return dispatcher.engine().deployments();
   }
 
   private ArtifactStore artifacts() {
--- a/src/main/java/sprucerock/controller/server/LoopDispatcher.java
+++ b/src/main/java/sprucerock/controller/server/LoopDispatcher.java
@@ -3,6 +3,7 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.SameThreadExecutor;
 import java.util.function.Consumer;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.Engine;
 import sprucerock.controller.v1.Input;
 
@@ -36,17 +37,18 @@
   }
 
   /**
-   * Submits an input and goes on with the engine's answer once the input is on disk; one that was
-   * not kept gets 503. On the loop only.
+   * Submits an input and goes on with its result once the input is on disk; one that was not kept
+   * gets 503. On the loop only.
    */
-  void submit(HttpServerExchange exchange, Input.Builder input, Consumer<Object> onAnswer) {
+  void submit(
+      HttpServerExchange exchange, Input.Builder input, Consumer<AppendResult.Value> onApplied) {
     controller.submit(
         input,
-        outcome -> {
-          if (outcome.refused() != null) {
-            HttpExchanges.respond(exchange, 503, "not_kept", outcome.refused());
-          } else {
-            onAnswer.accept(outcome.answer());
+        result -> {
+          if (result instanceof AppendResult.Rejected rejected) {
+            HttpExchanges.respond(exchange, 503, "not_kept", rejected.text());
+          } else if (result instanceof AppendResult.Accepted accepted) {
+            onApplied.accept(accepted.value());
           }
         });
   }
@@ -58,16 +60,16 @@
 
   /** As {@link #submitCommand}, for a caller that is on the loop already. */
   void submitCommandOnLoop(HttpServerExchange exchange, Input.Builder input) {
-    submit(
-        exchange,
-        input,
-        reason -> {
-          if (reason != null) {
-            HttpExchanges.respond(exchange, 409, "no_effect", (String) reason);
-          } else {
-            HttpExchanges.respond(exchange, 200, "done", null);
-          }
-        });
+    submit(exchange, input, value -> respondToCommand(exchange, value));
+  }
+
+  /** Responds by what a command came to: 409 if it had no effect, with the reason. */
+  static void respondToCommand(HttpServerExchange exchange, AppendResult.Value value) {
+    if (value instanceof AppendResult.NoEffect noEffect) {
+      HttpExchanges.respond(exchange, 409, "no_effect", noEffect.reason());
+    } else {
+      HttpExchanges.respond(exchange, 200, "done", null);
+    }
   }
 
   /** The engine; to be used on the loop only. */
--- a/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
+++ b/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.maintenance.MaintenanceWindow;
 import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.v1.FreezeWanted;
@@ -67,18 +68,18 @@
             dispatcher.submit(
                 exchange,
                 Input.newBuilder().setFreeze(wanted),
-                answer -> respondToAnnouncement(exchange, answer)));
+                value -> respondToAnnouncement(exchange, value)));
   }
 
-  private void respondToAnnouncement(HttpServerExchange exchange, Object answer) {
-    if (answer instanceof String reason) {
-      respond(exchange, 409, "no_effect", reason);
+  private void respondToAnnouncement(HttpServerExchange exchange, AppendResult.Value value) {
+    if (!(value instanceof AppendResult.WindowsOpened opened)) {
+      LoopDispatcher.respondToCommand(exchange, value);
       return;
     }
     ObjectNode all = Json.object();
     ArrayNode list = all.putArray("freezes");
-    for (Object number : (List<?>) answer) {
-      list.add(summarize(windows().of((Long) number)));
+    for (long number : opened.numbers()) {
+      list.add(summarize(windows().of(number)));
     }
     respond(exchange, 200, all);
   }
@@ -194,6 +195,6 @@
   }
 
   private MaintenanceWindows windows() {
-    return dispatcher.engine().freezes();
+    return dispatcher.engine().maintenanceWindows();
   }
 }
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -5,6 +5,7 @@
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.RolloutManager;
 import sprucerock.controller.v1.Cast;
 import sprucerock.controller.v1.FamiliesWorth;
@@ -50,7 +51,7 @@
     this.config = config;
     this.tap = tap;
     this.controller = controller;
-    rackList = new RackList(controller.engine().freezes().room().racks());
+    rackList = new RackList(controller.engine().maintenanceWindows().room().racks());
     limits = new Limits(64 * 1024, Math.max(config.maxUnsentBytes, 64 * 1024), TimeSpan.ofMs(2000));
   }
 
@@ -117,9 +118,9 @@
   }
 
   private News news() {
-    RolloutManager.News news = controller.engine().releases().news();
+    RolloutManager.RolloutStatus news = controller.engine().rollouts().currentStatus();
     Stand stand =
-        switch (news.standing()) {
+        switch (news.state()) {
           case ON_TRIAL -> Stand.ON_TRIAL;
           case GOING_BACK -> Stand.GOING_BACK;
           case RELEASED -> Stand.RELEASED;
@@ -129,11 +130,11 @@
         .setBuild(news.build())
         .setStage(news.stage())
         .setStanding(stand)
-        .setCap(news.cap())
+        .setCap(news.exposureCap())
         .setLastedUs(
             Math.max(0, (long) (controller.engine().now().since(news.since()).ms() * 1000)))
-        .setEpoch(controller.engine().releases().epoch())
-        .setSequence(controller.engine().releases().sequence())
+        .setEpoch(controller.engine().rollouts().epoch())
+        .setSequence(controller.engine().rollouts().sequence())
         .build();
   }
 
@@ -186,12 +187,12 @@
         return;
       }
       Vote vote = (Vote) head;
-      RolloutManager.Say say =
+      RolloutManager.Vote say =
           switch (vote.getSay()) {
-            case NOTHING -> RolloutManager.Say.NOTHING;
-            case ON -> RolloutManager.Say.ON;
-            case HOLD -> RolloutManager.Say.HOLD;
-            case BACK -> RolloutManager.Say.BACK;
+            case NOTHING -> RolloutManager.Vote.NOTHING;
+            case ON -> RolloutManager.Vote.ON;
+            case HOLD -> RolloutManager.Vote.HOLD;
+            case BACK -> RolloutManager.Vote.BACK;
             default -> null;
           };
       if (say == null || connection.other().getNumber() < 0) {
@@ -209,13 +210,14 @@
           outcome ->
               answerVote(
                   vote,
-                  outcome.refused() != null
-                      ? Taken.FAILED_TO_TAKE
-                      : switch ((RolloutManager.Taken) outcome.answer()) {
+                  outcome instanceof AppendResult.Accepted accepted
+                          && accepted.value() instanceof AppendResult.Voted voted
+                      ? switch (voted.result()) {
                         case COUNTS -> Taken.COUNTS;
                         case MOOT -> Taken.MOOT;
                         case TOO_MANY -> Taken.TOO_MANY;
-                      }));
+                      }
+                      : Taken.FAILED_TO_TAKE));
     }
 
     /**
@@ -237,13 +239,13 @@
      * last, and says nothing.
      */
     private void answerGrantRequest(PromiseAsk ask) {
-      long now = controller.engine().freezes().later(controller.engine().wallMs());
+      long now = controller.engine().maintenanceWindows().later(controller.engine().wallMs());
       controller.grants().asked(connection.other().getNumber(), ask.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(ask.getId())
-              .setEpoch(controller.engine().releases().epoch())
-              .setSequence(controller.engine().freezes().sequence());
+              .setEpoch(controller.engine().rollouts().epoch())
+              .setSequence(controller.engine().maintenanceWindows().sequence());
       rackList.writeTo(promised, ask.getList(), controller.grants().shorter(now));
       controller.submitClearedWindows();
       if (ask.getId() > 0 && controller.isLeader()) {
--- a/src/main/java/sprucerock/controller/server/ReleaseHandler.java
+++ b/src/main/java/sprucerock/controller/server/ReleaseHandler.java
@@ -9,6 +9,7 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.Supplier;
+import sprucerock.controller.AppendResult;
 import sprucerock.controller.Rollout;
 import sprucerock.controller.RolloutManager;
 import sprucerock.controller.v1.Announced;
@@ -50,16 +51,16 @@
     dispatcher.submit(
         exchange,
         Input.newBuilder().setAnnounced(announced),
-        result -> {
-          RolloutManager.Answer answer = (RolloutManager.Answer) result;
+        value -> {
+          RolloutManager.AnnouncementResult result = ((AppendResult.Announced) value).result();
           int status =
-              switch (answer) {
+              switch (result) {
                 case TAKEN -> 202;
                 case AGAIN, KNOWN -> 200;
                 case CONTRADICTS, TOO_OLD -> 409;
                 case TOO_MANY -> 503;
               };
-          respond(exchange, status, Json.lowerCaseName(answer), null);
+          respond(exchange, status, Json.lowerCaseName(result), null);
         });
   }
 
@@ -126,12 +127,12 @@
   private ObjectNode describeAll() {
     ObjectNode all = Json.object();
     ArrayNode list = all.putArray("releases");
-    for (Rollout rollout : releases().all()) {
+    for (Rollout rollout : rollouts().rollouts()) {
       list.add(summarize(rollout));
     }
-    all.put("epoch", releases().epoch()).put("inputs", dispatcher.engine().inputs());
-    if (dispatcher.engine().failed() != null) {
-      all.put("store", dispatcher.engine().failed());
+    all.put("epoch", rollouts().epoch()).put("inputs", dispatcher.engine().entryCount());
+    if (dispatcher.engine().storageFailure() != null) {
+      all.put("store", dispatcher.engine().storageFailure());
     }
     return all;
   }
@@ -141,7 +142,7 @@
     dispatcher.dispatch(
         exchange,
         () -> {
-          Rollout rollout = releases().of(build);
+          Rollout rollout = rollouts().rollout(build);
           if (rollout == null) {
             respond(exchange, 404, "no_such_build", null);
           } else {
@@ -153,13 +154,13 @@
   private ObjectNode describe(Rollout rollout) {
     ObjectNode node = summarize(rollout);
     ArrayNode steps = node.putArray("steps");
-    for (Rollout.Step step : rollout.steps()) {
+    for (Rollout.Transition step : rollout.transitions()) {
       Json.addStep(steps, step.sequence(), step.wallMs())
-          .put("standing", Json.lowerCaseName(step.standing()))
+          .put("standing", Json.lowerCaseName(step.state()))
           .put("stage", step.stage())
           .put("cause", step.cause());
     }
-    if (rollout == releases().present()) {
+    if (rollout == rollouts().current()) {
       addVotes(node, dispatcher.engine().now());
     }
     return node;
@@ -167,12 +168,12 @@
 
   private void addVotes(ObjectNode node, Timestamp now) {
     ArrayNode waits = node.putArray("waits_for");
-    releases().waitsFor(now).forEach(waits::add);
+    rollouts().blockers(now).forEach(waits::add);
     ObjectNode votes = node.putObject("votes");
-    for (RolloutManager.Say vote : RolloutManager.Say.values()) {
-      if (vote != RolloutManager.Say.NOTHING) {
+    for (RolloutManager.Vote vote : RolloutManager.Vote.values()) {
+      if (vote != RolloutManager.Vote.NOTHING) {
         ArrayNode relays = votes.putArray(Json.lowerCaseName(vote));
-        releases().standing(vote, now).forEach(relays::add);
+        rollouts().relaysVoting(vote, now).forEach(relays::add);
       }
     }
     ArrayNode silent = node.putArray("silent");
@@ -184,8 +185,9 @@
   }
 
   private boolean hasVoted(int relay, Timestamp now) {
-    for (RolloutManager.Say vote : RolloutManager.Say.values()) {
-      if (vote != RolloutManager.Say.NOTHING && releases().standing(vote, now).contains(relay)) {
+    for (RolloutManager.Vote vote : RolloutManager.Vote.values()) {
+      if (vote != RolloutManager.Vote.NOTHING
+          && rollouts().relaysVoting(vote, now).contains(relay)) {
         return true;
       }
     }
@@ -197,21 +199,21 @@
         Json.object()
             .put("build", rollout.build)
             .put("artifact", rollout.artifact)
-            .put("standing", Json.lowerCaseName(rollout.standing()))
+            .put("standing", Json.lowerCaseName(rollout.state()))
             .put("stage", rollout.stage())
             .put("held", rollout.held())
-            .put("units", rollout.units())
-            .put("units_wanted", releases().wanted(rollout));
-    if (rollout == releases().present()) {
+            .put("units", rollout.readyEndpoints())
+            .put("units_wanted", rollouts().desiredEndpoints(rollout));
+    if (rollout == rollouts().current()) {
       node.put("present", true);
     }
-    if (rollout.build == releases().earlier()) {
+    if (rollout.build == rollouts().previousBuild()) {
       node.put("serves", true);
     }
     return node;
   }
 
-  private RolloutManager releases() {
-    return dispatcher.engine().releases();
+  private RolloutManager rollouts() {
+    return dispatcher.engine().rollouts();
   }
 }
