--- a/src/main/java/sprucerock/cli/ChangeCommand.java
+++ b/src/main/java/sprucerock/cli/ChangeCommand.java
@@ -2,13 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
 
+/** {@code change}: proposes, shows and steers deployments of what relays run. */
 @Command(
     name = "change",
     mixinStandardHelpOptions = true,
@@ -28,19 +29,7 @@
       description = "the change's number")
   private Long number;
 
-  @Option(
-      names = "--at",
-      paramLabel = "URL",
-      defaultValue = "http://127.0.0.1:7700",
-      description = "the controller's api, ${DEFAULT-VALUE} unless given")
-  private String at;
-
-  @Option(
-      names = "--token",
-      required = true,
-      paramLabel = "FILE",
-      description = "holds the api's token")
-  private Path token;
+  @Mixin private ControllerOptions controller;
 
   @Option(
       names = "--program",
@@ -55,12 +44,7 @@
           "a file in the controller's incoming folder; left out: the settings that are in force")
   private String settings;
 
-  @Option(
-      names = "--who",
-      paramLabel = "NAME",
-      defaultValue = "${sys:user.name}",
-      description = "who says so")
-  private String who;
+  @Mixin private OperatorOptions operator;
 
   @Option(
       names = "--reason",
@@ -93,7 +77,7 @@
       path += "/" + action;
     }
     if (action.matches("propose|hold|resume|withdraw")) {
-      body = OperatorApi.JSON.createObjectNode().put("who", who).put("reason", reason);
+      body = operator.body().put("reason", reason);
     }
     if (action.equals("propose") && program != null) {
       body.put("program", program);
@@ -101,9 +85,9 @@
     if (action.equals("propose") && settings != null) {
       body.put("settings", settings);
     }
-    OperatorApi.Answer answer = new OperatorApi(at, token).ask(path, body);
-    print(answer.body());
-    return answer.status() < 300 ? Commands.DONE : Commands.WANTING;
+    OperatorApi.Response response = controller.send(path, body);
+    print(response.body());
+    return response.exitCode();
   }
 
   private static void print(JsonNode node) {
--- a/src/main/java/sprucerock/cli/FreezeCommand.java
+++ b/src/main/java/sprucerock/cli/FreezeCommand.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.nio.file.Path;
 import java.time.DateTimeException;
 import java.time.Instant;
 import java.time.LocalDateTime;
@@ -11,11 +10,13 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
 import sprucerock.time.TimeSpan;
 
+/** {@code freeze}: announces, shows and steers maintenance windows of racks. */
 @Command(
     name = "freeze",
     mixinStandardHelpOptions = true,
@@ -33,21 +34,9 @@
       arity = "0..1",
       paramLabel = "FREEZE",
       description = "its number; for rack-down and rack-up the rack's name")
-  private String which;
+  private String target;
 
-  @Option(
-      names = "--at",
-      paramLabel = "URL",
-      defaultValue = "http://127.0.0.1:7700",
-      description = "the controller's api, ${DEFAULT-VALUE} unless given")
-  private String at;
-
-  @Option(
-      names = "--token",
-      required = true,
-      paramLabel = "FILE",
-      description = "holds the api's token")
-  private Path token;
+  @Mixin private ControllerOptions controller;
 
   @Option(
       names = "--rack",
@@ -92,12 +81,7 @@
   @Option(names = "--emergency", description = "at once, whether there is room or not")
   private boolean emergency;
 
-  @Option(
-      names = "--who",
-      paramLabel = "NAME",
-      defaultValue = "${sys:user.name}",
-      description = "who says so")
-  private String who;
+  @Mixin private OperatorOptions operator;
 
   @Option(
       names = "--reason",
@@ -114,36 +98,33 @@
     }
     boolean rack = action.startsWith("rack");
     boolean one = action.matches("show|call-off|extend|force");
-    if ((one || rack) && which == null) {
+    if ((one || rack) && target == null) {
       throw new ConfigException(
           action + " needs " + (rack ? "a rack's name" : "a freeze's number"));
     }
     if (!action.matches("list|show|rack-.*") && reason == null) {
       throw new ConfigException(action + " needs --reason");
     }
-    ObjectNode body =
-        action.matches("list|show")
-            ? null
-            : OperatorApi.JSON.createObjectNode().put("who", who).put("reason", reason);
+    ObjectNode body = action.matches("list|show") ? null : operator.body().put("reason", reason);
     if (action.equals("announce")) {
-      announcement(body);
+      addWindow(body);
     }
     if (action.equals("extend")) {
-      body.put("to_ms", time("--to", to));
+      body.put("to_ms", parseTime("--to", to));
     }
     if (rack) {
       body.put("down", action.equals("rack-down"));
     }
-    String path = rack ? "/racks/" + which : one ? "/freezes/" + which : "/freezes";
+    String path = rack ? "/racks/" + target : one ? "/freezes/" + target : "/freezes";
     if (action.matches("call-off|extend|force")) {
       path += "/" + action;
     }
-    OperatorApi.Answer answer = new OperatorApi(at, token).ask(path, body);
-    boolean refused = print(answer.body()) && action.equals("announce");
-    return answer.status() < 300 && !refused ? Commands.DONE : Commands.WANTING;
+    OperatorApi.Response response = controller.send(path, body);
+    boolean refused = print(response.body()) && action.equals("announce");
+    return response.succeeded() && !refused ? Commands.DONE : Commands.WANTING;
   }
 
-  private void announcement(ObjectNode body) throws ConfigException {
+  private void addWindow(ObjectNode body) throws ConfigException {
     if (racks.isEmpty() || lasts == null || from == null && !emergency) {
       throw new ConfigException(
           "announce needs --rack, --lasts and --from, or --emergency in its place");
@@ -151,16 +132,16 @@
     ArrayNode named = body.putArray("racks");
     racks.forEach(named::add);
     if (!emergency) {
-      body.put("from_ms", time("--from", from));
+      body.put("from_ms", parseTime("--from", from));
     }
-    body.put("lasts_ms", span("--lasts", lasts))
-        .put("slack_ms", span("--slack", slack))
+    body.put("lasts_ms", parseSpan("--lasts", lasts))
+        .put("slack_ms", parseSpan("--slack", slack))
         .put("rule", rule)
         .put("zone", zone)
         .put("emergency", emergency);
   }
 
-  private long time(String option, String text) throws ConfigException {
+  private long parseTime(String option, String text) throws ConfigException {
     try {
       return LocalDateTime.parse(text == null ? "" : text)
           .atZone(ZoneId.of(zone))
@@ -174,7 +155,7 @@
     }
   }
 
-  private static long span(String option, String text) throws ConfigException {
+  private static long parseSpan(String option, String text) throws ConfigException {
     try {
       return (long) TimeSpan.parse(text).ms();
     } catch (IllegalArgumentException e) {
@@ -182,7 +163,7 @@
     }
   }
 
-  /** True where one of them was refused. */
+  /** Prints a response; true where it holds a window that was refused. */
   private static boolean print(JsonNode node) {
     if (!node.has("freezes")) {
       System.out.println(node.toPrettyString());
--- a/src/main/java/sprucerock/cli/LeaseCommand.java
+++ b/src/main/java/sprucerock/cli/LeaseCommand.java
@@ -1,15 +1,15 @@
 package sprucerock.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
 
+/** {@code lease}: lists what the grantors of leases know. */
 @Command(
     name = "lease",
     mixinStandardHelpOptions = true,
@@ -19,36 +19,24 @@
   @Parameters(index = "0", paramLabel = "ACTION", description = "list")
   private String action;
 
-  @Option(
-      names = "--at",
-      paramLabel = "URL",
-      defaultValue = "http://127.0.0.1:7700",
-      description = "the controller's api, ${DEFAULT-VALUE} unless given")
-  private String at;
-
-  @Option(
-      names = "--token",
-      required = true,
-      paramLabel = "FILE",
-      description = "holds the api's token")
-  private Path token;
+  @Mixin private ControllerOptions controller;
 
   @Override
   public Integer call() throws Exception {
     if (!action.equals("list")) {
       throw new ConfigException("an action is list, not " + action);
     }
-    OperatorApi.Answer answer = new OperatorApi(at, token).ask("/leases", null);
-    if (answer.status() >= 300) {
-      System.out.println(answer.body().toPrettyString());
+    OperatorApi.Response response = controller.send("/leases", null);
+    if (!response.succeeded()) {
+      System.out.println(response.body().toPrettyString());
       return Commands.WANTING;
     }
-    int grant = 0;
-    for (JsonNode one : answer.body().get("granters")) {
+    int granting = 0;
+    for (JsonNode one : response.body().get("granters")) {
       boolean heard = one.get("heard").asBoolean();
-      long sitsOut = heard ? one.get("grants_in_ms").asLong() : 0;
-      if (heard && sitsOut == 0) {
-        grant++;
+      long waitMs = heard ? one.get("grants_in_ms").asLong() : 0;
+      if (heard && waitMs == 0) {
+        granting++;
       }
       System.out.printf(
           "granter %d at %s: %s%n",
@@ -56,26 +44,26 @@
           one.get("at").asText(),
           !heard
               ? "NOT HEARD"
-              : sitsOut > 0
-                  ? "has started anew, grants in " + sitsOut + " ms"
+              : waitMs > 0
+                  ? "has started anew, grants in " + waitMs + " ms"
                   : "grants; " + one.get("refused").asLong() + " asks refused");
     }
-    int majority = answer.body().get("majority").asInt();
+    int majority = response.body().get("majority").asInt();
     System.out.printf(
         "%-24s %8s %20s %8s %8s %s%n",
         "lease", "holder", "number", "left ms", "waiting", "granted by");
-    for (JsonNode one : answer.body().get("leases")) {
-      List<String> by = new ArrayList<>();
-      one.get("granted_by").forEach(granter -> by.add(granter.asText()));
+    for (JsonNode one : response.body().get("leases")) {
+      List<String> grantors = new ArrayList<>();
+      one.get("granted_by").forEach(granter -> grantors.add(granter.asText()));
       System.out.printf(
           "%-24s %8s %20d %8d %8d %s%n",
           one.get("name").asText(),
-          by.size() >= majority ? one.get("holder").asText() : "nobody",
+          grantors.size() >= majority ? one.get("holder").asText() : "nobody",
           one.get("number").asLong(),
           one.get("left_ms").asLong(),
           one.get("waiting").asInt(),
-          String.join(", ", by));
+          String.join(", ", grantors));
     }
-    return grant >= majority ? Commands.DONE : Commands.WANTING;
+    return granting >= majority ? Commands.DONE : Commands.WANTING;
   }
 }
--- a/src/main/java/sprucerock/cli/OperatorApi.java
+++ b/src/main/java/sprucerock/cli/OperatorApi.java
@@ -12,29 +12,49 @@
 import java.nio.file.Path;
 import java.time.Duration;
 
-/** A running controller's API, asked once. */
+/** A client of a running controller's API. */
 final class OperatorApi {
-  /** What it said. */
-  record Answer(int status, JsonNode body) {}
+  /**
+   * What the controller answered.
+   *
+   * @param status of HTTP
+   */
+  record Response(int status, JsonNode body) {
+    /** Whether the request was taken and had its effect. */
+    boolean succeeded() {
+      return status < 300;
+    }
+
+    /** The exit code of a command that ends with this response. */
+    int exitCode() {
+      return succeeded() ? Commands.DONE : Commands.WANTING;
+    }
+  }
 
   static final JsonMapper JSON = JsonMapper.builder().build();
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-  private final String at;
+  private final String url;
   private final String token;
 
   /**
+   * Reads the token.
+   *
    * @throws IOException if the token can't be read
    */
-  OperatorApi(String at, Path token) throws IOException {
-    this.at = at;
-    this.token = Files.readString(token).strip();
+  OperatorApi(String url, Path tokenFile) throws IOException {
+    this.url = url;
+    this.token = Files.readString(tokenFile).strip();
   }
 
-  /** Posts a body, or gets where it is null. @throws IOException if nobody answers */
-  Answer ask(String path, ObjectNode body) throws IOException, InterruptedException {
+  /**
+   * Posts a body, or gets a path where the body is null.
+   *
+   * @throws IOException if nobody answers
+   */
+  Response send(String path, ObjectNode body) throws IOException, InterruptedException {
     HttpRequest.Builder request =
-        HttpRequest.newBuilder(URI.create(at).resolve(path))
+        HttpRequest.newBuilder(URI.create(url).resolve(path))
             .timeout(TIMEOUT)
             .header("Authorization", "Bearer " + token);
     if (body == null) {
@@ -43,14 +63,14 @@
       request.POST(HttpRequest.BodyPublishers.ofString(body.toString()));
     }
     try {
-      HttpResponse<String> answer =
+      HttpResponse<String> response =
           HttpClient.newBuilder()
               .connectTimeout(TIMEOUT)
               .build()
               .send(request.build(), HttpResponse.BodyHandlers.ofString());
-      return new Answer(answer.statusCode(), JSON.readTree(answer.body()));
+      return new Response(response.statusCode(), JSON.readTree(response.body()));
     } catch (IOException e) {
-      throw new IOException(at + ": no controller answers there: " + e);
+      throw new IOException(url + ": no controller answers there: " + e);
     }
   }
 }
--- a/src/main/java/sprucerock/cli/ReleaseCommand.java
+++ b/src/main/java/sprucerock/cli/ReleaseCommand.java
@@ -2,13 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sprucerock.config.ConfigException;
 
+/** {@code release}: lists and shows builds, and gives an operator's commands about them. */
 @Command(
     name = "release",
     mixinStandardHelpOptions = true,
@@ -24,19 +25,7 @@
   @Parameters(index = "1", arity = "0..1", paramLabel = "BUILD", description = "the build's number")
   private Integer build;
 
-  @Option(
-      names = "--at",
-      paramLabel = "URL",
-      defaultValue = "http://127.0.0.1:7700",
-      description = "the controller's api, ${DEFAULT-VALUE} unless given")
-  private String at;
-
-  @Option(
-      names = "--token",
-      required = true,
-      paramLabel = "FILE",
-      description = "holds the api's token")
-  private Path token;
+  @Mixin private ControllerOptions controller;
 
   @Option(
       names = "--artifact",
@@ -44,12 +33,7 @@
       description = "what is to be run, for announce")
   private String artifact;
 
-  @Option(
-      names = "--who",
-      paramLabel = "NAME",
-      defaultValue = "${sys:user.name}",
-      description = "who says so")
-  private String who;
+  @Mixin private OperatorOptions operator;
 
   @Option(
       names = "--reason",
@@ -73,20 +57,25 @@
     if (action.matches("hold|resume|withdraw") && reason == null) {
       throw new ConfigException(action + " needs --reason");
     }
-    ObjectNode body = OperatorApi.JSON.createObjectNode();
+    ObjectNode body;
     if (action.equals("announce")) {
-      body.put("build", build).put("artifact", artifact).put("who", who);
+      body =
+          OperatorApi.JSON
+              .createObjectNode()
+              .put("build", build)
+              .put("artifact", artifact)
+              .put("who", operator.who());
     } else {
-      body.put("who", who).put("reason", reason);
+      body = operator.body().put("reason", reason);
     }
     String path =
         list || action.equals("announce")
             ? "/releases"
             : action.equals("show") ? "/releases/" + build : "/releases/" + build + "/" + action;
-    OperatorApi.Answer answer =
-        new OperatorApi(at, token).ask(path, list || action.equals("show") ? null : body);
-    print(answer.body());
-    return answer.status() < 300 ? Commands.DONE : Commands.WANTING;
+    OperatorApi.Response response =
+        controller.send(path, list || action.equals("show") ? null : body);
+    print(response.body());
+    return response.exitCode();
   }
 
   private void print(JsonNode node) {
