--- a/src/main/java/sprucerock/cli/ChangeCommand.java
+++ b/src/main/java/sprucerock/cli/ChangeCommand.java
@@ -14,7 +14,8 @@
     name = "change",
     mixinStandardHelpOptions = true,
     description =
-        "Changes what relays run, through a running controller. Exit code 1: it has no effect; 3: nobody answers.")
+        "Changes what relays run, through a running controller. Exit code 1:"
+            + " it has no effect; 3: nobody answers.")
 final class ChangeCommand implements Callable<Integer> {
   @Parameters(
       index = "0",
--- a/src/main/java/sprucerock/cli/FreezeCommand.java
+++ b/src/main/java/sprucerock/cli/FreezeCommand.java
@@ -21,7 +21,8 @@
     name = "freeze",
     mixinStandardHelpOptions = true,
     description =
-        "Freezes racks for maintenance, through a running controller. Exit code 1: it has no effect, or was refused; 3: nobody answers.")
+        "Freezes racks for maintenance, through a running controller. Exit code 1: it has no"
+            + " effect, or was refused; 3: nobody answers.")
 final class FreezeCommand implements Callable<Integer> {
   @Parameters(
       index = "0",
--- a/src/main/java/sprucerock/cli/LeaseCommand.java
+++ b/src/main/java/sprucerock/cli/LeaseCommand.java
@@ -14,7 +14,8 @@
     name = "lease",
     mixinStandardHelpOptions = true,
     description =
-        "Asks a running controller what the granters of leases know. Exit code 1: fewer than a majority of them are heard and grant; 3: nobody answers.")
+        "Asks a running controller what the granters of leases know. Exit code 1: fewer"
+            + " than a majority of them are heard and grant; 3: nobody answers.")
 final class LeaseCommand implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "ACTION", description = "list")
   private String action;
--- a/src/main/java/sprucerock/cli/ReleaseCommand.java
+++ b/src/main/java/sprucerock/cli/ReleaseCommand.java
@@ -14,7 +14,8 @@
     name = "release",
     mixinStandardHelpOptions = true,
     description =
-        "Asks a running controller, or tells it an operator's word. Exit code 1: it has no effect; 3: nobody answers.")
+        "Asks a running controller, or tells it an operator's word. Exit code 1:"
+            + " it has no effect; 3: nobody answers.")
 final class ReleaseCommand implements Callable<Integer> {
   @Parameters(
       index = "0",
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -3,21 +3,17 @@
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.Deque;
+import java.util.List;
+import java.util.Map;
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.controller.DeploymentMonitor;
-import sprucerock.controller.comparison.Window;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
 import sprucerock.controller.deployment.Verdict;
-import sprucerock.controller.deployment.Version;
-import sprucerock.controller.v1.Checked;
-import sprucerock.controller.v1.Failed;
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.Judged;
 import sprucerock.controller.v1.Room;
@@ -34,28 +30,25 @@
 import sprucerock.transport.wire.v1.Failure;
 import sprucerock.transport.wire.v1.Fetch;
 import sprucerock.transport.wire.v1.Hello;
-import sprucerock.transport.wire.v1.Piece;
 import sprucerock.transport.wire.v1.Readable;
-import sprucerock.transport.wire.v1.RelaySums;
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Wants;
 
 /**
- * The agents' links. What an agent says is recorded where it says something new; what is wanted of
- * it is told when it comes, and at each change. Pieces of versions go out at a bounded pace, to one
- * agent after another, so that a thousand that fetch at once neither fill memory nor hold up what
- * is said.
+ * The agents' listener. An agent's status is recorded where it differs from what is known; the
+ * desired state is sent when an agent connects, and at each change. On the loop only.
  */
 final class AgentListener implements DeploymentMonitor.Listener {
   private static final byte[] NO_BODY = {};
-  private static final int PIECE_BYTES = 128 * 1024;
-  private static final int MAX_PENDING_FETCHES = 20_000; // fetches; an agent has one or two
-  private static final TimeSpan WINDOW_LENGTH =
-      TimeSpan.ofMs(2000); // two words of an agent at least
-  private static final TimeSpan ABSENCE_CHECK_INTERVAL = TimeSpan.ofMs(500);
-  private static final TimeSpan PIECE_INTERVAL = TimeSpan.ofMs(10);
+  private static final int MAX_AGENT_NUMBER = 65_534;
+  private static final int MAX_FRAME_BYTES = 1 << 20;
+  private static final long MAX_UNSENT_BYTES = 4L << 20;
+  private static final TimeSpan KEEPALIVE = TimeSpan.ofMs(1000);
+
+  /** Of the comparison; at least two statuses of each agent fall into one. */
+  private static final TimeSpan WINDOW_LENGTH = TimeSpan.ofMs(2000);
 
-  private record PendingFetch(Session session, Fetch fetch) {}
+  private static final TimeSpan ABSENCE_CHECK_INTERVAL = TimeSpan.ofMs(500);
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final Net net;
@@ -63,26 +56,28 @@
   private final Limits limits;
   private final Tap tap;
   private final ControllerServer controller;
-  private final ArtifactStore artifacts;
-  private final DeploymentMonitor watcher;
+  private final ArtifactSender artifactSender;
+  private final DeploymentMonitor monitor;
   private final TreeMap<Integer, Session> sessions = new TreeMap<>();
   private final DisconnectedAgents disconnected = new DisconnectedAgents();
-  private final Deque<PendingFetch> fetches = new ArrayDeque<>();
   private Net.Listener listener;
 
   AgentListener(
-      Net net, ControllerConfig config, Tap tap, ControllerServer controller, ArtifactStore vault) {
+      Net net,
+      ControllerConfig config,
+      Tap tap,
+      ControllerServer controller,
+      ArtifactStore artifacts) {
     this.net = net;
     this.config = config;
     this.tap = tap;
     this.controller = controller;
-    this.artifacts = vault;
-    limits = new Limits(1 << 20, 4L << 20, TimeSpan.ofMs(1000));
-    watcher = new DeploymentMonitor(deployments(), this);
+    artifactSender = new ArtifactSender(net, artifacts, config.maxPiecesPerSecond);
+    limits = new Limits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, KEEPALIVE);
+    monitor = new DeploymentMonitor(deployments(), this);
     for (ManagedRelay relay : deployments().relays()) {
-      disconnected.disconnected(
-          relay.number,
-          net.now()); // a start: they have as long to come as if they had just been heard
+      // they have as long to connect as if they had just been heard
+      disconnected.disconnected(relay.number, net.now());
     }
   }
 
@@ -90,46 +85,35 @@
     return controller.engine().deployments();
   }
 
+  /**
+   * Opens the listener.
+   *
+   * @throws IOException if the address can't be had
+   */
   InetSocketAddress start() throws IOException {
     listener =
         net.listen(
-            config.agentAddress,
-            config.maxAgents,
-            limits.unsent(),
-            () -> {
-              Session session = new Session();
-              session.connection =
-                  new FrameConnection(
-                      net,
-                      Hello.newBuilder()
-                          .setVersion(FrameConnection.VERSION)
-                          .setRole(Role.DESK)
-                          .setName(config.name)
-                          .build(),
-                      limits,
-                      tap,
-                      session);
-              return session.connection;
-            });
+            config.agentAddress, config.maxAgents, limits.unsent(), () -> new Session().connection);
     reportAbsentAgents();
-    net.at(net.now().plus(WINDOW_LENGTH), this::cutWindows);
-    sendPieces();
+    net.at(net.now().plus(WINDOW_LENGTH), this::closeWindow);
+    artifactSender.start();
     return listener.address();
   }
 
+  /** Closes the listener, and all connections once what is unsent is sent. */
   void stop() {
     listener.close();
-    for (Session session : java.util.List.copyOf(sessions.values())) {
+    for (Session session : List.copyOf(sessions.values())) {
       session.connection.finish();
     }
   }
 
-  private void cutWindows() {
-    watcher.closeWindow(WINDOW_LENGTH.ms());
-    net.at(net.now().plus(WINDOW_LENGTH), this::cutWindows);
+  private void closeWindow() {
+    monitor.closeWindow(WINDOW_LENGTH.ms());
+    net.at(net.now().plus(WINDOW_LENGTH), this::closeWindow);
   }
 
-  /** Who is not heard any more; and, after a start of the controller, who was not heard at all. */
+  /** Those not heard for too long; after a start also those that have not connected since. */
   private void reportAbsentAgents() {
     for (int number :
         disconnected.unheardLongerThan(config.deploymentPlan.unreachableAfter(), net.now())) {
@@ -139,13 +123,13 @@
       } else {
         controller.submit(
             Input.newBuilder().setSilent(Silent.newBuilder().setRelay(number)),
-            outcome -> {}); // refused: again with the next look
+            result -> {}); // if rejected: again with the next check
       }
     }
     net.at(net.now().plus(ABSENCE_CHECK_INTERVAL), this::reportAbsentAgents);
   }
 
-  /** What is wanted of a relay has changed. */
+  /** A relay's desired state has changed. */
   void desiredStateChanged(ManagedRelay relay) {
     Session session = sessions.get(relay.number);
     if (session != null) {
@@ -153,74 +137,72 @@
     }
   }
 
-  /** A change made a step: one that was just proposed is to be read through by all. */
-  void deploymentChanged(Deployment change) {
-    if (change.state() == Deployment.State.PROPOSED) {
+  /**
+   * A deployment made a transition: one that was just proposed is to be validated by all agents.
+   */
+  void deploymentChanged(Deployment deployment) {
+    if (deployment.state() == Deployment.State.PROPOSED) {
       for (Session session : sessions.values()) {
         session.sendDesiredState(deployments().relay(session.number));
       }
     }
   }
 
-  /** So many pieces in each turn of the pump, each to another agent. */
-  private void sendPieces() {
-    int most = (int) Math.max(1, config.maxPiecesPerSecond * PIECE_INTERVAL.ms() / 1000);
-    for (int i = fetches.size(); i > 0 && most > 0; i--) {
-      PendingFetch next = fetches.pollFirst();
-      if (!next.session.connection.usable()) {
-        continue;
-      }
-      if (next.session.connection.unsent() > PIECE_BYTES) {
-        fetches.addLast(next); // it has not read the last one
-        continue;
-      }
-      next.session.sendPiece(next.fetch);
-      most--;
-    }
-    net.at(net.now().plus(PIECE_INTERVAL), this::sendPieces);
-  }
-
-  // What the comparison finds.
-
   @Override
-  public void verdictChanged(Deployment change, Verdict verdict, String reason) {
+  public void verdictChanged(Deployment deployment, Verdict verdict, String reason) {
     log.info(
-        "JUDGED change {} in stage {}: {}: {}", change.number, change.stage(), verdict, reason);
+        "JUDGED change {} in stage {}: {}: {}",
+        deployment.number,
+        deployment.stage(),
+        verdict,
+        reason);
     controller.submit(
         Input.newBuilder()
             .setJudged(
                 Judged.newBuilder()
-                    .setChange(change.number)
-                    .setStage(change.stage())
+                    .setChange(deployment.number)
+                    .setStage(deployment.stage())
                     .setVerdict(verdict.name())
                     .setReason(reason)),
-        outcome -> {});
+        result -> {});
   }
 
   @Override
-  public void restartBudgetChanged(java.util.Map<Integer, Integer> byZone, String why) {
+  public void restartBudgetChanged(Map<Integer, Integer> byZone, String reason) {
     controller.submit(
-        Input.newBuilder().setRoom(Room.newBuilder().putAllByZone(byZone).setWhy(why)),
-        outcome -> {});
+        Input.newBuilder().setRoom(Room.newBuilder().putAllByZone(byZone).setWhy(reason)),
+        result -> {});
   }
 
   @Override
-  public void busyChanged(int number, boolean is) {
+  public void busyChanged(int number, boolean busy) {
     Session session = sessions.get(number);
     if (session != null && session.lastStatus != null) {
-      session.record(is);
+      session.recordStatus(busy);
     }
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection connection;
+    private final FrameConnection connection =
+        new FrameConnection(
+            net,
+            Hello.newBuilder()
+                .setVersion(FrameConnection.VERSION)
+                .setRole(Role.DESK)
+                .setName(config.name)
+                .build(),
+            limits,
+            tap,
+            this);
     private int number;
     private Timestamp lastHeard;
     private AgentSays lastStatus;
 
     @Override
     public void greeted(FrameConnection made, Hello other) {
-      if (other.getRole() != Role.AGENT || other.getNumber() < 0 || other.getNumber() > 65_534) {
+      if (other.getRole() != Role.AGENT
+          || other.getNumber() < 0
+          || other.getNumber() > MAX_AGENT_NUMBER) {
         made.cut("only agents are taken here");
         return;
       }
@@ -234,23 +216,10 @@
     }
 
     void sendDesiredState(ManagedRelay relay) {
-      Wants.Builder wants = Wants.newBuilder().setEpoch(controller.engine().rollouts().epoch());
-      if (relay != null
-          && relay.desiredVersion() != null
-          && !relay.desiredVersion().equals(Version.NONE)) {
-        wants
-            .setTurn(relay.generation())
-            .setProgram(relay.desiredVersion().program())
-            .setSettings(relay.desiredVersion().settings());
-      }
-      Deployment waits = deployments().pending();
-      if (waits != null && waits.state() == Deployment.State.PROPOSED) {
-        wants
-            .setChange(waits.number)
-            .setCheckProgram(waits.toVersion.program())
-            .setCheckSettings(waits.toVersion.settings());
-      }
-      connection.send(Kind.WANTS, wants.build(), NO_BODY);
+      Wants wants =
+          AgentMessages.desiredState(
+              controller.engine().rollouts().epoch(), relay, deployments().pending());
+      connection.send(Kind.WANTS, wants, NO_BODY);
     }
 
     @Override
@@ -259,100 +228,54 @@
       if (kind == Kind.AGENT) {
         statusReceived((AgentSays) head);
       } else if (kind == Kind.FETCH) {
-        if (fetches.size() < MAX_PENDING_FETCHES) {
-          fetches.addLast(new PendingFetch(this, (Fetch) head)); // else it asks again
-        }
+        artifactSender.add(connection, (Fetch) head);
       } else {
         connection.cut("a controller takes no " + kind + " of an agent");
       }
     }
 
-    private void statusReceived(AgentSays says) {
-      boolean first = lastStatus == null;
-      lastStatus = says;
+    private void statusReceived(AgentSays status) {
+      final boolean first = lastStatus == null;
+      lastStatus = status;
       try {
-        ManagedRelay known = deployments().relay(number);
-        Version runs = new Version(says.getProgram(), says.getSettings());
-        boolean news =
-            known == null
-                || known.unreachable()
-                || known.zone() != says.getZone()
-                || !known.observedVersion().equals(runs)
-                || known.ready() != says.getReady()
-                || known.observedGeneration() != says.getDone();
-        if (news) {
-          record(known != null && known.busy());
-        }
-        for (Failure one : says.getFailuresList()) {
-          log.warn("FAILED relay {} {}", number, one.getHow());
-          Version version = new Version(one.getProgram(), one.getSettings());
-          controller.submit(
-              Input.newBuilder()
-                  .setFailed(
-                      Failed.newBuilder()
-                          .setRelay(number)
-                          .setVersion(toMessage(version))
-                          .setHow(one.getHow())
-                          .setTurn(one.getTurn())),
-              outcome -> {});
-        }
-        for (Readable one : says.getReadablesList()) {
-          controller.submit(
-              Input.newBuilder()
-                  .setChecked(
-                      Checked.newBuilder()
-                          .setRelay(number)
-                          .setChange(one.getChange())
-                          .setRefusal(one.getRefusal())),
-              outcome -> {});
-        }
+        submitStatus(status);
       } catch (IllegalArgumentException e) {
         connection.cut(e.getMessage());
         return;
       }
-      if (says.getEpoch() > controller.engine().rollouts().epoch()) {
+      long epoch = controller.engine().rollouts().epoch();
+      if (status.getEpoch() > epoch) {
         log.error(
             "BEHIND relay {}'s agent was told by epoch {}, this is {}: the store may be an old one",
             number,
-            says.getEpoch(),
-            controller.engine().rollouts().epoch());
+            status.getEpoch(),
+            epoch);
       }
-      if (says.hasSums()) {
-        watcher.reportTotals(number, says.getLife(), says.getCores(), toWindow(says.getSums()));
+      if (status.hasSums()) {
+        monitor.reportTotals(
+            number, status.getLife(), status.getCores(), AgentMessages.totals(status.getSums()));
       }
       if (first) {
         sendDesiredState(deployments().relay(number));
       }
     }
 
-    void record(boolean busy) {
-      controller.submit(
-          Input.newBuilder()
-              .setAgent(
-                  sprucerock.controller.v1.AgentSays.newBuilder()
-                      .setRelay(number)
-                      .setZone(lastStatus.getZone())
-                      .setBusy(busy)
-                      .setRuns(
-                          toMessage(new Version(lastStatus.getProgram(), lastStatus.getSettings())))
-                      .setReady(lastStatus.getReady())
-                      .setDone(lastStatus.getDone())),
-          outcome -> {});
+    private void submitStatus(AgentSays status) {
+      ManagedRelay known = deployments().relay(number);
+      if (AgentMessages.isNews(status, known)) {
+        recordStatus(known != null && known.busy());
+      }
+      for (Failure failure : status.getFailuresList()) {
+        log.warn("FAILED relay {} {}", number, failure.getHow());
+        controller.submit(AgentMessages.failureEntry(number, failure), result -> {});
+      }
+      for (Readable validation : status.getReadablesList()) {
+        controller.submit(AgentMessages.validationEntry(number, validation), result -> {});
+      }
     }
 
-    void sendPiece(Fetch fetch) {
-      Piece.Builder piece =
-          Piece.newBuilder().setDigest(fetch.getDigest()).setFrom(fetch.getFrom());
-      byte[] body = NO_BODY;
-      try {
-        if (Version.isDigest(fetch.getDigest()) && artifacts.has(fetch.getDigest())) {
-          piece.setSize(artifacts.size(fetch.getDigest()));
-          body = artifacts.piece(fetch.getDigest(), fetch.getFrom(), PIECE_BYTES);
-        }
-      } catch (IOException e) {
-        log.error("VERSIONS {} can't be read: {}", fetch.getDigest(), e.getMessage());
-      }
-      connection.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
+    void recordStatus(boolean busy) {
+      controller.submit(AgentMessages.statusEntry(number, lastStatus, busy), result -> {});
     }
 
     @Override
@@ -362,27 +285,4 @@
       }
     }
   }
-
-  private static sprucerock.controller.v1.Version toMessage(Version version) {
-    return sprucerock.controller.v1.Version.newBuilder()
-        .setProgram(version.program())
-        .setSettings(version.settings())
-        .build();
-  }
-
-  private static Window toWindow(RelaySums told) {
-    return new Window(
-        told.getRpcs(),
-        told.getWorth(),
-        told.getInTime(),
-        told.getRefused(),
-        told.getAborted(),
-        told.getLost(),
-        told.getAnswered(),
-        told.getAnsweredMs(),
-        told.getWorkMs(),
-        told.getMemoryMb(),
-        told.getConnections(),
-        told.getMessages());
-  }
 }
--- /dev/null
+++ b/src/main/java/sprucerock/controller/server/ArtifactSender.java
@@ -0,0 +1,86 @@
+package sprucerock.controller.server;
+
+import java.io.IOException;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sprucerock.agent.artifact.ArtifactStore;
+import sprucerock.controller.deployment.Version;
+import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.Net;
+import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.v1.Fetch;
+import sprucerock.transport.wire.v1.Piece;
+
+/**
+ * Sends pieces of artifacts at a bounded rate, to one agent after another, so that a thousand that
+ * fetch at once neither fill memory nor delay other messages. On the loop only.
+ */
+final class ArtifactSender {
+  private static final byte[] NO_BODY = {};
+  private static final int PIECE_BYTES = 128 * 1024;
+  private static final int MAX_PENDING_FETCHES = 20_000; // an agent has one or two
+  private static final TimeSpan INTERVAL = TimeSpan.ofMs(10);
+
+  private record PendingFetch(FrameConnection connection, Fetch fetch) {}
+
+  private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
+  private final Net net;
+  private final ArtifactStore artifacts;
+  private final int maxPerInterval;
+  private final Deque<PendingFetch> pending = new ArrayDeque<>();
+
+  /** {@code maxPiecesPerSecond}: to all agents together. */
+  ArtifactSender(Net net, ArtifactStore artifacts, int maxPiecesPerSecond) {
+    this.net = net;
+    this.artifacts = artifacts;
+    maxPerInterval = (int) Math.max(1, maxPiecesPerSecond * INTERVAL.ms() / 1000);
+  }
+
+  /** Begins to send, and goes on as long as the loop runs. */
+  void start() {
+    sendPieces();
+  }
+
+  /** Queues a fetch; it is dropped where too many are queued, and the agent asks again. */
+  void add(FrameConnection connection, Fetch fetch) {
+    if (pending.size() < MAX_PENDING_FETCHES) {
+      pending.addLast(new PendingFetch(connection, fetch));
+    }
+  }
+
+  /** Looks at each queued fetch once at most, and sends no more pieces than the rate allows. */
+  private void sendPieces() {
+    int allowed = maxPerInterval;
+    for (int i = pending.size(); i > 0 && allowed > 0; i--) {
+      PendingFetch next = pending.pollFirst();
+      if (!next.connection.usable()) {
+        continue;
+      }
+      if (next.connection.unsent() > PIECE_BYTES) {
+        pending.addLast(next); // it has not read the last one
+        continue;
+      }
+      sendPiece(next);
+      allowed--;
+    }
+    net.at(net.now().plus(INTERVAL), this::sendPieces);
+  }
+
+  private void sendPiece(PendingFetch next) {
+    String digest = next.fetch.getDigest();
+    Piece.Builder piece = Piece.newBuilder().setDigest(digest).setFrom(next.fetch.getFrom());
+    byte[] body = NO_BODY;
+    try {
+      if (Version.isDigest(digest) && artifacts.has(digest)) {
+        piece.setSize(artifacts.size(digest));
+        body = artifacts.piece(digest, next.fetch.getFrom(), PIECE_BYTES);
+      }
+    } catch (IOException e) {
+      log.error("VERSIONS {} can't be read: {}", digest, e.getMessage());
+    }
+    next.connection.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
+  }
+}
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -2,13 +2,7 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -16,9 +10,7 @@
 import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.controller.AppendResult;
 import sprucerock.controller.Engine;
-import sprucerock.controller.FileLeadership;
 import sprucerock.controller.Leadership;
-import sprucerock.controller.LeadershipMark;
 import sprucerock.controller.Rollout;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
@@ -29,261 +21,200 @@
 import sprucerock.controller.v1.Delivered;
 import sprucerock.controller.v1.FreezeCleared;
 import sprucerock.controller.v1.Input;
-import sprucerock.lease.GrantorListener;
 import sprucerock.lease.Leases;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Tap;
 
 /**
- * The controller: its engine between relays, pipelines and operators, on one loop that also waits
- * for the disk.
+ * A controller as a process has it: the engine between relays, agents, pipelines and operators. The
+ * engine and all connections belong to one loop, whose thread also waits for the disk.
  */
 public final class ControllerServer implements AutoCloseable {
-  private static final TimeSpan TIMER_INTERVAL =
-      TimeSpan.ofMs(50); // whether time alone has changed anything
+  /** How often is looked whether time alone has changed anything. */
+  private static final TimeSpan TIMER_INTERVAL = TimeSpan.ofMs(50);
+
+  /** How long connections stay open at the end, so that the last messages go out. */
+  private static final TimeSpan LINGER = TimeSpan.ofMs(100);
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final ControllerConfig config;
+  private final Tap tap;
   private final NioLoop loop;
+  private final LeadershipProvider leadershipProvider;
+  private final Leadership leadership;
+  private final Runnable onLeadershipLost;
+  private final WebhookOutboxes outboxes;
   private final Engine engine;
   private final PlacementGrants grants;
+  private final ArtifactStore artifacts;
   private final RelayListener relayListener;
   private final HttpServer http;
-  private final ArtifactStore artifacts;
+  private InetSocketAddress relayAddress;
   private AgentListener agentListener;
   private InetSocketAddress agentAddress;
-  private final Leadership leadership;
-  private Leases leases;
-  private GrantorListener grantorListener;
-  private final List<WebhookOutbox> outboxes = new ArrayList<>();
-  private final Map<String, Long> deliveredByTarget = new ConcurrentHashMap<>();
-  private final Runnable onLeadershipLost;
-  private final InetSocketAddress relayAddress;
-  private final AtomicBoolean grantsAnnounced =
-      new AtomicBoolean(true); // false: relays are about to be; also set by the thread that starts
+
+  /** False: a notification of relays is due. Also set by the thread that starts the controller. */
+  private final AtomicBoolean grantsAnnounced = new AtomicBoolean(true);
+
   private boolean commitScheduled;
   private volatile boolean stopped;
   private volatile boolean leadershipLost;
 
   /**
-   * Opens the files and all doors.
+   * Waits until this controller is the leader, replays the store and opens all listeners.
    *
+   * @param onLeadershipLost is run on the loop once another controller acts
    * @throws Exception if a file is damaged or an address can't be had; the message says which
    */
-  public ControllerServer(ControllerConfig config, Engine.Clock clock, Tap tap, Runnable replaced)
+  public ControllerServer(
+      ControllerConfig config, Engine.Clock clock, Tap tap, Runnable onLeadershipLost)
       throws Exception {
-    this.onLeadershipLost = replaced;
     this.config = config;
-    String holder =
-        config.name
-            + "-"
-            + ProcessHandle.current().pid()
-            + "-"
-            + Long.toHexString(System.nanoTime());
+    this.tap = tap;
+    this.onLeadershipLost = onLeadershipLost;
     loop = new NioLoop("controller", this::reportFault);
-    leadership = leadership(holder, tap, clock);
-    boolean told = false;
-    while (!leadership.take()) {
-      if (!told) {
-        log.info("STANDBY {} waits for the seat at {}", holder, config.storeFolder);
-      }
-      told = true;
-      Thread.sleep(50);
-    }
-    loop.post(this::renewLeadership); // from now on: to come back may take longer than the lease
-    MaintenanceWindows freezes =
+    leadershipProvider = new LeadershipProvider(loop, config, tap, clock);
+    leadership = leadershipProvider.acquire();
+    loop.post(this::renewLeadership); // from now on: the replay may take longer than the lease
+    MaintenanceWindows windows =
         config.capacityCheck == null
             ? MaintenanceWindows.none()
             : new MaintenanceWindows(
                 config.maintenanceRules, config.capacityCheck, maintenanceHost());
-    engine =
-        Engine.open(
-            config.storeFolder,
-            config.rolloutRules,
-            config.endpointCount,
-            config.firstBuild,
-            config.deploymentPlan,
-            clock,
-            (release, step) -> {
-              log.info(
-                  "STEP {} build {} {} stage {}: {}",
-                  step.sequence(),
-                  release.build,
-                  step.state(),
-                  step.stage(),
-                  step.cause());
-              outboxes.forEach(outbox -> outbox.add(release, step));
-            },
-            deploymentHost(),
-            freezes,
-            what ->
-                log.error(
-                    "STORE {}", what)); // relays are told at the turn's end, after all its steps
-    for (WebhookOutbox.Target target : config.outboxTargets) {
-      outboxes.add(
-          new WebhookOutbox(
-              target,
-              config.storeFolder.resolveSibling(
-                  config.storeFolder.getFileName() + "-" + target.name() + ".dead"),
-              upTo -> loop.post(() -> deliveredByTarget(target.name(), upTo)),
-              what -> log.error("OUTBOX {}", what)));
-    }
+    outboxes = new WebhookOutboxes(loop, this::stepsDelivered);
+    engine = openEngine(clock, windows);
+    outboxes.addTargets(config);
     engine.setLeadershipCheck(leadership::holds);
-    engine.start(this::requeueUndeliveredSteps);
-    grants = new PlacementGrants(freezes, freezes.later(engine.wallMs()));
+    engine.start(() -> outboxes.requeueUndelivered(engine().rollouts()));
+    grants = new PlacementGrants(windows, windows.later(engine.wallMs()));
     relayListener = new RelayListener(loop, config, tap, this);
-    artifacts =
-        config.agentAddress == null
-            ? null
-            : new ArtifactStore(
-                config.storeFolder.resolveSibling(config.storeFolder.getFileName() + "-versions"),
-                config.maxArtifactBytes);
+    artifacts = openArtifacts(config);
     http = new HttpServer(config, this);
-    Exception[] wrong = new Exception[1];
-    CountDownLatch done = new CountDownLatch(1);
-    InetSocketAddress[] at = new InetSocketAddress[1];
-    loop.post(
-        () -> {
-          try {
-            at[0] = relayListener.start();
-            if (config.agentAddress != null) {
-              agentListener = new AgentListener(loop, config, tap, this, artifacts);
-              agentAddress = agentListener.start();
-            }
-          } catch (IOException e) {
-            wrong[0] =
-                new IOException(
-                    (at[0] == null ? config.relayAddress : config.agentAddress)
-                        + " can't be listened at: "
-                        + e.getMessage());
-          } finally {
-            done.countDown();
-          }
-        });
-    done.await();
-    if (wrong[0] != null) {
-      throw wrong[0];
-    }
-    try {
-      http.start();
-    } catch (RuntimeException e) {
-      throw new IOException(
-          config.webhookAddress
-              + " or "
-              + config.apiAddress
-              + " can't be listened at: "
-              + e.getMessage());
-    }
-    outboxes.forEach(WebhookOutbox::start);
+    LoopTasks.runAndWait(loop, this::startListeners);
+    startHttp();
+    outboxes.start();
     loop.post(this::checkTimers);
-    relayAddress = at[0];
     log.info(
         "STARTED controller {}, epoch {}, {} inputs; relays at {}, webhooks at {}, operators at {}",
         config.name,
         engine.rollouts().epoch(),
         engine.entryCount(),
-        at[0],
+        relayAddress,
         http.webhookAddress(),
         http.apiAddress());
   }
 
-  /**
-   * By the store's folder, or by a lease where granters are configured; this process may be one of
-   * them.
-   */
-  private Leadership leadership(String holder, Tap tap, Engine.Clock clock) throws Exception {
-    if (config.leaseConfig == null) {
-      return FileLeadership.in(config.storeFolder, clock, config.leaseDuration, holder);
+  private Engine openEngine(Engine.Clock clock, MaintenanceWindows windows) throws IOException {
+    return Engine.open(
+        config.storeFolder,
+        config.rolloutRules,
+        config.endpointCount,
+        config.firstBuild,
+        config.deploymentPlan,
+        clock,
+        this::rolloutTransitioned,
+        deploymentListener(),
+        windows,
+        failure -> log.error("STORE {}", failure));
+  }
+
+  private static ArtifactStore openArtifacts(ControllerConfig config) throws IOException {
+    return config.agentAddress == null
+        ? null
+        : new ArtifactStore(
+            config.storeFolder.resolveSibling(config.storeFolder.getFileName() + "-versions"),
+            config.maxArtifactBytes);
+  }
+
+  private void startListeners() throws IOException {
+    try {
+      relayAddress = relayListener.start();
+    } catch (IOException e) {
+      throw cannotListen(config.relayAddress, e);
     }
-    Leases.Log say =
-        new Leases.Log() {
-          @Override
-          public void info(String what) {
-            log.info("LEASE {}", what);
-          }
-
-          @Override
-          public void warn(String what) {
-            log.warn("LEASE {}", what);
-          }
-        };
-    leases =
-        new Leases(
-            loop, config.leaseConfig, config.name, Leases.newLife(), tap, clock::wallMs, say);
-    LeadershipMark mark = LeadershipMark.in(config.storeFolder);
-    Exception[] wrong = new Exception[1];
-    CountDownLatch done = new CountDownLatch(1);
-    loop.post(
-        () -> {
-          try {
-            if (config.leaseConfig.granter() >= 0) {
-              grantorListener =
-                  new GrantorListener(loop, config.leaseConfig, config.name, tap, say);
-              grantorListener.start();
-            }
-            leases.start();
-          } catch (IOException e) {
-            wrong[0] =
-                new IOException(
-                    "granter " + config.leaseConfig.granter() + " can't listen: " + e.getMessage());
-          } finally {
-            done.countDown();
-          }
-        });
-    done.await();
-    if (wrong[0] != null) {
-      throw wrong[0];
+    if (config.agentAddress != null) {
+      agentListener = new AgentListener(loop, config, tap, this, artifacts);
+      try {
+        agentAddress = agentListener.start();
+      } catch (IOException e) {
+        throw cannotListen(config.agentAddress, e);
+      }
+    }
+  }
+
+  private void startHttp() throws IOException {
+    try {
+      http.start();
+    } catch (RuntimeException e) {
+      throw cannotListen(config.webhookAddress + " or " + config.apiAddress, e);
     }
-    return new LeaseLeadership(loop, leases, mark, "controller");
   }
 
-  /** What the granters know; null: none are configured. */
+  private static IOException cannotListen(Object address, Exception cause) {
+    return new IOException(address + " can't be listened at: " + cause.getMessage(), cause);
+  }
+
+  /** What the grantors of leases know; null: none are configured. */
   Leases leases() {
-    return leases;
+    return leadershipProvider.leases();
   }
 
-  /** Another controller has taken its place. */
+  /** Whether another controller has become the leader, so that this one has ended. */
   public boolean isReplaced() {
     return leadershipLost;
   }
 
+  /** Where relays connect, with the port that was given. */
   public InetSocketAddress relayAddress() {
     return relayAddress;
   }
 
+  /** Where agents connect, with the port that was given; null: there are none. */
   public InetSocketAddress agentAddress() {
     return agentAddress;
   }
 
+  /** Where webhooks are taken, with the port that was given. */
   public InetSocketAddress webhookAddress() {
     return http.webhookAddress();
   }
 
+  /** Where operators are answered, with the port that was given. */
   public InetSocketAddress apiAddress() {
     return http.apiAddress();
   }
 
-  /**
-   * Programs and settings that agents can be told to run; null where this controller has no agents.
-   */
+  /** Programs and settings that relays can be told to run; null: there are no agents. */
   ArtifactStore artifacts() {
     return artifacts;
   }
 
-  private DeploymentManager.Listener deploymentHost() {
+  /** Relays are notified at the turn's end, after all its steps. */
+  private void rolloutTransitioned(Rollout rollout, Rollout.Transition step) {
+    log.info(
+        "STEP {} build {} {} stage {}: {}",
+        step.sequence(),
+        rollout.build,
+        step.state(),
+        step.stage(),
+        step.cause());
+    outboxes.add(rollout, step);
+  }
+
+  private DeploymentManager.Listener deploymentListener() {
     return new DeploymentManager.Listener() {
       @Override
-      public void transitioned(Deployment change, Deployment.Transition step) {
+      public void transitioned(Deployment deployment, Deployment.Transition step) {
         log.info(
             "CHANGE {} step {}: {}, stage {}: {}",
-            change.number,
+            deployment.number,
             step.sequence(),
             step.state(),
             step.stage(),
             step.cause());
         if (agentListener != null) {
-          agentListener.deploymentChanged(change);
+          agentListener.deploymentChanged(deployment);
         }
       }
 
@@ -299,12 +230,12 @@
   private MaintenanceWindows.Host maintenanceHost() {
     return new MaintenanceWindows.Host() {
       @Override
-      public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
+      public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {
         if (!engine().replaying()) {
           log.info(
               "FREEZE {} of {} step {}: {}: {}",
-              freeze.number,
-              freeze.racks,
+              window.number,
+              window.racks,
               step.sequence(),
               step.state(),
               step.cause());
@@ -313,7 +244,7 @@
 
       @Override
       public void promisesChanged() {
-        // a start happens on another thread; a turn that moves many freezes is told once
+        // a start happens on another thread; a turn that moves many windows is announced once
         if (!engine().replaying() && grantsAnnounced.getAndSet(false)) {
           loop.post(ControllerServer.this::announceGrants);
         }
@@ -323,56 +254,60 @@
 
   private void announceGrants() {
     grantsAnnounced.set(true);
-    if (relayListener != null) {
-      relayListener.notifyGrantsChanged(); // else nobody is linked yet
+    if (relayListener != null) { // else no relay is connected yet
+      relayListener.notifyGrantsChanged();
     }
   }
 
-  /** What relays are promised; on the loop. */
+  /** Until when relays may place work on racks. On the loop only. */
   PlacementGrants grants() {
     return grants;
   }
 
-  /** Whether this controller acts, asked at the last instant before it promises anything. */
+  /** Whether this controller is the leader: to be asked at the last instant before it grants. */
   boolean isLeader() {
     return leadership.holds();
   }
 
-  /** A relay has asked: some freeze may be in force by that. */
+  /** Records the windows whose racks no relay may place work on any more. On the loop only. */
   void submitClearedWindows() {
     for (long number : grants.cleared(engine.maintenanceWindows().later(engine.wallMs()))) {
       submit(
           Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
-          outcome -> {});
+          result -> {});
     }
   }
 
+  /** To be used on the loop only. */
   Engine engine() {
     return engine;
   }
 
-  /** Numbers of the relays that are connected. */
+  /** Numbers of the relays that are connected. On the loop only. */
   Set<Integer> connectedRelays() {
     return relayListener.connectedRelays();
   }
 
-  void reportFault(Throwable why) {
-    log.error("BROKEN {}", why.toString(), why);
+  /** Logs what should not happen; the controller goes on. */
+  void reportFault(Throwable fault) {
+    log.error("BROKEN {}", fault.toString(), fault);
   }
 
-  /** On the loop, from any thread. */
-  void runOnLoop(Runnable what) {
-    loop.post(what);
+  /** Runs a task on the loop; from any thread. */
+  void runOnLoop(Runnable task) {
+    loop.post(task);
   }
 
-  /** On the loop: kept at the turn's end, then it happens and is answered. */
-  void submit(Input.Builder input, Consumer<AppendResult> done) {
-    engine.append(input, done);
-    if (commitScheduled) {
-      return;
+  /**
+   * Appends an input, which is made durable with all others of the turn and then applied. On the
+   * loop only.
+   */
+  void submit(Input.Builder input, Consumer<AppendResult> onResult) {
+    engine.append(input, onResult);
+    if (!commitScheduled) {
+      commitScheduled = true;
+      loop.atTurnsEnd(this::commit);
     }
-    commitScheduled = true;
-    loop.atTurnsEnd(this::commit);
   }
 
   private void commit() {
@@ -384,30 +319,11 @@
     }
   }
 
-  /** Steps of earlier lives that not every listener has taken yet. */
-  private void requeueUndeliveredSteps() {
-    List<Map.Entry<Rollout, Rollout.Transition>> again = new ArrayList<>();
-    for (Rollout release : engine.rollouts().rollouts()) {
-      for (Rollout.Transition step : release.transitions()) {
-        if (step.sequence() > engine.rollouts().webhooksDeliveredUpTo()) {
-          again.add(Map.entry(release, step));
-        }
-      }
-    }
-    again.sort(Comparator.comparingLong(one -> one.getValue().sequence()));
-    again.forEach(one -> outboxes.forEach(outbox -> outbox.add(one.getKey(), one.getValue())));
-  }
-
-  /** Steps are done with once every listener has them, or they were given up. */
-  private void deliveredByTarget(String target, long upTo) {
-    deliveredByTarget.put(target, upTo);
-    if (deliveredByTarget.size() < outboxes.size()) {
-      return;
-    }
-    long all = deliveredByTarget.values().stream().mapToLong(Long::longValue).min().orElse(0);
-    if (all > engine.rollouts().webhooksDeliveredUpTo()) {
+  private void stepsDelivered(long sequence) {
+    if (sequence > engine.rollouts().webhooksDeliveredUpTo()) {
       submit(
-          Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(all)), outcome -> {});
+          Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(sequence)),
+          result -> {});
     }
   }
 
@@ -445,43 +361,24 @@
     loop.at(loop.now().plus(TIMER_INTERVAL), this::checkTimers);
   }
 
-  /** Answers what is under way, and ends. */
+  /** Finishes the requests in progress, gives leadership back and ends. */
   @Override
   public void close() throws IOException {
     http.stop();
     stopped = true;
-    CountDownLatch done = new CountDownLatch(1);
-    loop.post(
-        () -> {
-          relayListener.stop();
-          if (agentListener != null) {
-            agentListener.stop();
-          }
-          loop.at(loop.now().plus(TimeSpan.ofMs(100)), done::countDown);
-        });
-    try {
-      done.await();
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
-    outboxes.forEach(WebhookOutbox::close);
+    LoopTasks.runAndLinger(loop, this::stopListeners, LINGER);
+    outboxes.close();
     engine.close();
     leadership.release();
-    CountDownLatch gone = new CountDownLatch(1);
-    loop.post(
-        () -> {
-          if (grantorListener != null) {
-            grantorListener.stop();
-          }
-          loop.at(
-              loop.now().plus(TimeSpan.ofMs(100)), gone::countDown); // what was given back goes out
-        });
-    try {
-      gone.await();
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
+    LoopTasks.runAndLinger(loop, leadershipProvider::stopGrantor, LINGER);
     loop.close();
     log.info("FINISHED");
   }
+
+  private void stopListeners() {
+    relayListener.stop();
+    if (agentListener != null) {
+      agentListener.stop();
+    }
+  }
 }
--- a/src/main/java/sprucerock/controller/server/DeploymentHandler.java
+++ b/src/main/java/sprucerock/controller/server/DeploymentHandler.java
@@ -51,7 +51,8 @@
           exchange,
           400,
           "no_change",
-          "{\"who\": ..., \"reason\": ..., \"program\": file, \"settings\": file} are needed, one of the last two at least");
+          "{\"who\": ..., \"reason\": ..., \"program\": file, \"settings\": file} are needed, one"
+              + " of the last two at least");
       return;
     }
     exchange.dispatch(
--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -10,29 +10,29 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Agents that are not linked, those first that were heard longest ago: who has been away for too
- * long is found at the front, whatever the number of agents. As large as the number of agents that
- * were ever linked, each of which is known to the changes.
+ * Agents without a connection, ordered by when they were last heard, so that those overdue are
+ * found at the front, whatever the number of agents. Bounded by the number of agents that were ever
+ * connected, each of which is known to the engine. On the loop only.
  */
 final class DisconnectedAgents {
-  private record Absence(int relay, Timestamp heard) {}
+  private record Absence(int relay, Timestamp lastHeard) {}
 
   private final Map<Integer, Absence> byRelay = new HashMap<>();
   private final TreeSet<Absence> byLastHeard =
       new TreeSet<>(
-          Comparator.<Absence>comparingDouble(one -> one.heard.ms())
+          Comparator.<Absence>comparingDouble(absence -> absence.lastHeard.ms())
               .thenComparingInt(Absence::relay));
   private long entriesExamined;
 
-  /** Its link is gone; {@code heard}: when it said something last. */
-  void disconnected(int relay, Timestamp heard) {
+  /** An agent's connection is gone; {@code lastHeard}: when its last message came. */
+  void disconnected(int relay, Timestamp lastHeard) {
     remove(relay);
-    Absence one = new Absence(relay, heard);
-    byRelay.put(relay, one);
-    byLastHeard.add(one);
+    Absence absence = new Absence(relay, lastHeard);
+    byRelay.put(relay, absence);
+    byLastHeard.add(absence);
   }
 
-  /** It is linked, or its absence is noted and needs no more looks. */
+  /** An agent is connected again, or its absence is recorded. */
   void remove(int relay) {
     Absence before = byRelay.remove(relay);
     if (before != null) {
@@ -40,20 +40,23 @@
     }
   }
 
-  /** Who was not heard for longer; they stay until {@link #back}. */
-  List<Integer> unheardLongerThan(TimeSpan than, Timestamp now) {
-    List<Integer> found = new ArrayList<>();
-    for (Absence one : byLastHeard) {
+  /**
+   * Relays whose agents were not heard for longer than a time, the longest first; they stay until
+   * {@link #remove}.
+   */
+  List<Integer> unheardLongerThan(TimeSpan timeout, Timestamp now) {
+    List<Integer> overdue = new ArrayList<>();
+    for (Absence absence : byLastHeard) {
       entriesExamined++;
-      if (!now.since(one.heard).over(than)) {
+      if (!now.since(absence.lastHeard).over(timeout)) {
         break;
       }
-      found.add(one.relay);
+      overdue.add(absence.relay);
     }
-    return found;
+    return overdue;
   }
 
-  /** Entries looked at so far: what tests of its growth count. */
+  /** Entries examined so far, by which tests count the cost. */
   long entriesExamined() {
     return entriesExamined;
   }
--- /dev/null
+++ b/src/main/java/sprucerock/controller/server/LeadershipProvider.java
@@ -0,0 +1,115 @@
+package sprucerock.controller.server;
+
+import java.io.IOException;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import sprucerock.controller.Engine;
+import sprucerock.controller.FileLeadership;
+import sprucerock.controller.Leadership;
+import sprucerock.controller.LeadershipMark;
+import sprucerock.lease.GrantorListener;
+import sprucerock.lease.Leases;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.transport.wire.Tap;
+
+/**
+ * Chooses how this controller becomes the leader: by a file in the store's folder, or by a lease
+ * where grantors are configured. Owns the client of the leases and, where this process is one of
+ * the grantors, its listener.
+ */
+final class LeadershipProvider {
+  private static final String LEASE_NAME = "controller";
+  private static final long RETRY_INTERVAL_MS = 50;
+
+  private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
+  private final NioLoop loop;
+  private final ControllerConfig config;
+  private final Tap tap;
+  private final Engine.Clock clock;
+  private final String holder;
+  private Leases leases;
+  private GrantorListener grantor;
+
+  LeadershipProvider(NioLoop loop, ControllerConfig config, Tap tap, Engine.Clock clock) {
+    this.loop = loop;
+    this.config = config;
+    this.tap = tap;
+    this.clock = clock;
+    holder =
+        config.name
+            + "-"
+            + ProcessHandle.current().pid()
+            + "-"
+            + Long.toHexString(System.nanoTime());
+  }
+
+  /**
+   * Returns once this controller is the leader; until then it is a standby.
+   *
+   * @throws IOException if the store's folder can't be used, or the grantor's address can't be had
+   */
+  Leadership acquire() throws Exception {
+    Leadership leadership = create();
+    boolean logged = false;
+    while (!leadership.take()) {
+      if (!logged) {
+        log.info("STANDBY {} waits for the seat at {}", holder, config.storeFolder);
+      }
+      logged = true;
+      Thread.sleep(RETRY_INTERVAL_MS);
+    }
+    return leadership;
+  }
+
+  private Leadership create() throws Exception {
+    if (config.leaseConfig == null) {
+      return FileLeadership.in(config.storeFolder, clock, config.leaseDuration, holder);
+    }
+    Leases.Log leaseLog = leaseLog();
+    leases =
+        new Leases(
+            loop, config.leaseConfig, config.name, Leases.newLife(), tap, clock::wallMs, leaseLog);
+    LeadershipMark mark = LeadershipMark.in(config.storeFolder);
+    LoopTasks.runAndWait(loop, () -> startLeases(leaseLog));
+    return new LeaseLeadership(loop, leases, mark, LEASE_NAME);
+  }
+
+  private void startLeases(Leases.Log leaseLog) throws IOException {
+    int number = config.leaseConfig.granter();
+    try {
+      if (number >= 0) {
+        grantor = new GrantorListener(loop, config.leaseConfig, config.name, tap, leaseLog);
+        grantor.start();
+      }
+      leases.start();
+    } catch (IOException e) {
+      throw new IOException("granter " + number + " can't listen: " + e.getMessage());
+    }
+  }
+
+  private Leases.Log leaseLog() {
+    return new Leases.Log() {
+      @Override
+      public void info(String text) {
+        log.info("LEASE {}", text);
+      }
+
+      @Override
+      public void warn(String text) {
+        log.warn("LEASE {}", text);
+      }
+    };
+  }
+
+  /** What the grantors know; null: none are configured. */
+  Leases leases() {
+    return leases;
+  }
+
+  /** Ends this process's grantor, if it is one. On the loop. */
+  void stopGrantor() {
+    if (grantor != null) {
+      grantor.stop();
+    }
+  }
+}
--- a/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
+++ b/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
@@ -48,7 +48,8 @@
           exchange,
           400,
           "no_freeze",
-          "{\"who\": ..., \"reason\": ..., \"racks\": [...], \"from_ms\": ..., \"lasts_ms\": ...} are needed; slack_ms, rule, zone and emergency may be");
+          "{\"who\": ..., \"reason\": ..., \"racks\": [...], \"from_ms\": ..., \"lasts_ms\": ...}"
+              + " are needed; slack_ms, rule, zone and emergency may be");
       return;
     }
     FreezeWanted.Builder wanted =
--- a/src/main/java/sprucerock/controller/server/RackList.java
+++ b/src/main/java/sprucerock/controller/server/RackList.java
@@ -12,21 +12,23 @@
 import sprucerock.transport.wire.v1.RackFree;
 
 /**
- * Which racks there are, told to each relay once and named by a number ever after: an answer that
- * names every rack is relays times racks in bytes, each second. The number comes from what is in
- * the list, so that another controller of the same configuration, or this one's next life, goes on
- * with it, and one whose racks differ tells all anew. A relay that knows of no lists is told all
- * each time, as before there were any.
+ * The list of all racks, sent to each relay once and referred to by its id from then on: answers
+ * that name every rack would take relays times racks in bytes, each second. The id is a hash of the
+ * list, so that another controller of the same configuration, or this one after a restart, goes on
+ * with it, and one whose racks differ sends the whole list. A relay of a program without lists gets
+ * all racks each time.
  */
 final class RackList {
-  /** Asked with: no list yet, but one is welcome. */
+  /** The id in a request of a relay that has no list yet, but can keep one. */
   private static final long NO_LIST_YET = 1;
 
+  private static final int BYTES_PER_RACK = 16;
+
   private final Map<String, Rack> byName;
   private final List<Rack> racks;
   private final long listId;
 
-  /** {@code all}: those of the configuration, by their names. */
+  /** {@code all}: the racks of the configuration, by their names. */
   RackList(Map<String, Rack> all) {
     byName = all;
     racks = new ArrayList<>(all.values());
@@ -35,27 +37,30 @@
   }
 
   private static long listId(List<Rack> racks) {
-    ByteBuffer all = ByteBuffer.allocate(racks.size() * 16);
-    for (Rack one : racks) {
-      all.putInt(one.zone()).putInt(one.cell()).putLong(one.noticeMs());
+    ByteBuffer bytes = ByteBuffer.allocate(racks.size() * BYTES_PER_RACK);
+    for (Rack rack : racks) {
+      bytes.putInt(rack.zone()).putInt(rack.cell()).putLong(rack.noticeMs());
     }
     try {
-      long found =
-          ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(all.array())).getLong();
-      return found == 0 || found == NO_LIST_YET ? 2 : found;
+      long hash =
+          ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes.array())).getLong();
+      return hash == 0 || hash == NO_LIST_YET ? NO_LIST_YET + 1 : hash;
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java platform has SHA-256", e);
     }
   }
 
   /**
-   * {@code asks}: the list that the relay says it has; {@code shorter}: in milliseconds, those that
-   * are free for less than their notice.
+   * Writes the racks into an answer: all of them, or only the shortened ones to a relay that has
+   * this list.
+   *
+   * @param known the id of the list that the relay has; 0: its program has no lists
+   * @param shortened racks that are free for less than their notice, in milliseconds
    */
-  void writeTo(Promised.Builder promised, long asks, Map<String, Long> shorter) {
-    if (asks == listId) {
+  void writeTo(Promised.Builder promised, long known, Map<String, Long> shortened) {
+    if (known == listId) {
       promised.setList(listId).setRest(true);
-      shorter.forEach(
+      shortened.forEach(
           (name, left) ->
               promised.addRacks(
                   RackFree.newBuilder()
@@ -64,19 +69,19 @@
                       .setLeftMs(left)));
       return;
     }
-    if (asks != 0) {
+    if (known != 0) {
       promised.setList(listId);
     }
-    for (Rack one : racks) {
-      RackFree.Builder rack =
+    for (Rack rack : racks) {
+      RackFree.Builder entry =
           RackFree.newBuilder()
-              .setZone(one.zone())
-              .setCell(one.cell())
-              .setLeftMs(shorter.getOrDefault(one.name(), one.noticeMs()));
-      if (asks != 0) {
-        rack.setNoticeMs(one.noticeMs());
+              .setZone(rack.zone())
+              .setCell(rack.cell())
+              .setLeftMs(shortened.getOrDefault(rack.name(), rack.noticeMs()));
+      if (known != 0) {
+        entry.setNoticeMs(rack.noticeMs());
       }
-      promised.addRacks(rack);
+      promised.addRacks(entry);
     }
   }
 }
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -1,10 +1,12 @@
 package sprucerock.controller.server;
 
+import com.google.protobuf.InvalidProtocolBufferException;
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import java.util.TreeSet;
 import sprucerock.controller.AppendResult;
 import sprucerock.controller.RolloutManager;
 import sprucerock.controller.v1.Cast;
@@ -30,12 +32,16 @@
 import sprucerock.transport.wire.v1.Worth;
 
 /**
- * The relays' links: each is told the news as it stands when it comes, at each change and now and
- * then; of a relay that does not read nothing is kept but that it is behind, and the newest state
- * is told once it reads. Votes are recorded before they are answered.
+ * The relays' listener. Each relay gets the rollout's status when it connects, at each change and
+ * periodically; for one that does not read nothing is queued, and it gets the newest status once it
+ * reads. Votes are recorded before they are answered. On the loop only.
  */
 final class RelayListener {
   private static final byte[] NO_BODY = {};
+  private static final int MAX_FRAME_BYTES = 64 * 1024;
+  private static final TimeSpan KEEPALIVE = TimeSpan.ofMs(2000);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(100);
+  private static final int US_PER_MS = 1000;
 
   private final Net net;
   private final ControllerConfig config;
@@ -52,34 +58,24 @@
     this.tap = tap;
     this.controller = controller;
     rackList = new RackList(controller.engine().maintenanceWindows().room().racks());
-    limits = new Limits(64 * 1024, Math.max(config.maxUnsentBytes, 64 * 1024), TimeSpan.ofMs(2000));
+    limits =
+        new Limits(MAX_FRAME_BYTES, Math.max(config.maxUnsentBytes, MAX_FRAME_BYTES), KEEPALIVE);
   }
 
+  /**
+   * Opens the listener.
+   *
+   * @throws IOException if the address can't be had
+   */
   InetSocketAddress start() throws IOException {
     listener =
         net.listen(
-            config.relayAddress,
-            config.maxRelays,
-            limits.unsent(),
-            () -> {
-              Session session = new Session();
-              session.connection =
-                  new FrameConnection(
-                      net,
-                      Hello.newBuilder()
-                          .setVersion(FrameConnection.VERSION)
-                          .setRole(Role.DESK)
-                          .setName(config.name)
-                          .build(),
-                      limits,
-                      tap,
-                      session);
-              return session.connection;
-            });
+            config.relayAddress, config.maxRelays, limits.unsent(), () -> new Session().connection);
     sendPeriodically();
     return listener.address();
   }
 
+  /** Closes the listener, and all connections once what is unsent is sent. */
   void stop() {
     listener.close();
     for (Session session : Set.copyOf(sessions)) {
@@ -87,9 +83,9 @@
     }
   }
 
-  /** Relays that are linked, by their numbers. */
+  /** Numbers of the relays that are connected. */
   Set<Integer> connectedRelays() {
-    Set<Integer> found = new java.util.TreeSet<>();
+    Set<Integer> found = new TreeSet<>();
     for (Session session : sessions) {
       found.add(session.connection.other().getNumber());
     }
@@ -101,6 +97,7 @@
     net.at(net.now().plus(config.newsInterval), this::sendPeriodically);
   }
 
+  /** Sends the rollout's status to all relays. */
   void sendNewsToAll() {
     for (Session session : sessions) {
       session.sendNews();
@@ -108,8 +105,8 @@
   }
 
   /**
-   * A freeze was accepted, called off or has begun: whoever asks now is told so. Each asks a moment
-   * later, by chance of its own.
+   * A maintenance window was accepted, called off or has begun: an empty answer makes each relay
+   * ask anew, after a random delay of its own.
    */
   void notifyGrantsChanged() {
     for (Session session : sessions) {
@@ -118,28 +115,38 @@
   }
 
   private News news() {
-    RolloutManager.RolloutStatus news = controller.engine().rollouts().currentStatus();
-    Stand stand =
-        switch (news.state()) {
-          case ON_TRIAL -> Stand.ON_TRIAL;
-          case GOING_BACK -> Stand.GOING_BACK;
-          case RELEASED -> Stand.RELEASED;
-          default -> Stand.WITHDRAWN;
-        };
+    RolloutManager rollouts = controller.engine().rollouts();
+    RolloutManager.RolloutStatus status = rollouts.currentStatus();
+    double lastedMs = controller.engine().now().since(status.since()).ms();
     return News.newBuilder()
-        .setBuild(news.build())
-        .setStage(news.stage())
-        .setStanding(stand)
-        .setCap(news.exposureCap())
-        .setLastedUs(
-            Math.max(0, (long) (controller.engine().now().since(news.since()).ms() * 1000)))
-        .setEpoch(controller.engine().rollouts().epoch())
-        .setSequence(controller.engine().rollouts().sequence())
+        .setBuild(status.build())
+        .setStage(status.stage())
+        .setStanding(
+            switch (status.state()) {
+              case ON_TRIAL -> Stand.ON_TRIAL;
+              case GOING_BACK -> Stand.GOING_BACK;
+              case RELEASED -> Stand.RELEASED;
+              default -> Stand.WITHDRAWN;
+            })
+        .setCap(status.exposureCap())
+        .setLastedUs(Math.max(0, (long) (lastedMs * US_PER_MS)))
+        .setEpoch(rollouts.epoch())
+        .setSequence(rollouts.sequence())
         .build();
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection connection;
+    private final FrameConnection connection =
+        new FrameConnection(
+            net,
+            Hello.newBuilder()
+                .setVersion(FrameConnection.VERSION)
+                .setRole(Role.DESK)
+                .setName(config.name)
+                .build(),
+            limits,
+            tap,
+            this);
     private Timers.Timer retryTimer;
 
     @Override
@@ -152,15 +159,15 @@
       sendNews();
     }
 
+    /** Sends the status, or tries again later where the relay does not read. */
     void sendNews() {
       if (retryTimer != null) {
         return;
       }
-      if (connection.unsent()
-          > config.maxUnsentBytes / 2) { // it does not read: the newest is told when it does
+      if (connection.unsent() > config.maxUnsentBytes / 2) {
         retryTimer =
             net.at(
-                net.now().plus(TimeSpan.ofMs(100)),
+                net.now().plus(RETRY_INTERVAL),
                 () -> {
                   retryTimer = null;
                   if (sessions.contains(this)) {
@@ -174,29 +181,25 @@
 
     @Override
     public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind == Kind.PROMISE_ASK) {
-        answerGrantRequest((PromiseAsk) head);
-        return;
+      switch (kind) {
+        case VOTE -> recordVote((Vote) head);
+        case PROMISE_ASK -> answerGrantRequest((PromiseAsk) head);
+        case WORTH -> recordHardwareValue((Worth) head);
+        default -> connection.cut("a controller takes no " + kind);
       }
-      if (kind == Kind.WORTH) {
-        recordHardwareValue((Worth) head);
-        return;
-      }
-      if (kind != Kind.VOTE) {
-        connection.cut("a controller takes no " + kind);
-        return;
-      }
-      Vote vote = (Vote) head;
-      RolloutManager.Vote say =
-          switch (vote.getSay()) {
+    }
+
+    private void recordVote(Vote message) {
+      RolloutManager.Vote vote =
+          switch (message.getSay()) {
             case NOTHING -> RolloutManager.Vote.NOTHING;
             case ON -> RolloutManager.Vote.ON;
             case HOLD -> RolloutManager.Vote.HOLD;
             case BACK -> RolloutManager.Vote.BACK;
             default -> null;
           };
-      if (say == null || connection.other().getNumber() < 0) {
-        answerVote(vote, Taken.FAILED_TO_TAKE);
+      if (vote == null || connection.other().getNumber() < 0) {
+        answerVote(message, Taken.FAILED_TO_TAKE);
         return;
       }
       controller.submit(
@@ -204,58 +207,59 @@
               .setCast(
                   Cast.newBuilder()
                       .setRelay(connection.other().getNumber())
-                      .setBuild(vote.getBuild())
-                      .setStage(vote.getStage())
-                      .setSay(say.name())),
-          outcome ->
-              answerVote(
-                  vote,
-                  outcome instanceof AppendResult.Accepted accepted
-                          && accepted.value() instanceof AppendResult.Voted voted
-                      ? switch (voted.result()) {
-                        case COUNTS -> Taken.COUNTS;
-                        case MOOT -> Taken.MOOT;
-                        case TOO_MANY -> Taken.TOO_MANY;
-                      }
-                      : Taken.FAILED_TO_TAKE));
+                      .setBuild(message.getBuild())
+                      .setStage(message.getStage())
+                      .setSay(vote.name())),
+          result -> answerVote(message, answerTo(result)));
+    }
+
+    private static Taken answerTo(AppendResult result) {
+      return result instanceof AppendResult.Accepted accepted
+              && accepted.value() instanceof AppendResult.Voted voted
+          ? switch (voted.result()) {
+            case COUNTS -> Taken.COUNTS;
+            case MOOT -> Taken.MOOT;
+            case TOO_MANY -> Taken.TOO_MANY;
+          }
+          : Taken.FAILED_TO_TAKE;
     }
 
     /**
-     * Field by field as it is recorded; one of a relay that was replaced is refused by its number,
-     * by the core.
+     * Records how much each hardware family is worth, field by field; the engine rejects what comes
+     * from a relay that was replaced, by its number.
      */
-    private void recordHardwareValue(Worth told) {
+    private void recordHardwareValue(Worth message) {
       try {
         controller.submit(
-            Input.newBuilder().setWorth(FamiliesWorth.parseFrom(told.toByteArray())),
-            outcome -> {});
-      } catch (com.google.protobuf.InvalidProtocolBufferException e) {
+            Input.newBuilder().setWorth(FamiliesWorth.parseFrom(message.toByteArray())),
+            result -> {});
+      } catch (InvalidProtocolBufferException e) {
         connection.cut("what hardware is worth can't be read");
       }
     }
 
     /**
-     * What a former holder of the seat would promise, nobody waits for to run out: so it is asked
-     * last, and says nothing.
+     * Nobody waits for the grants of a former leader to expire: so leadership is checked last, and
+     * without it there is no answer.
      */
-    private void answerGrantRequest(PromiseAsk ask) {
+    private void answerGrantRequest(PromiseAsk request) {
       long now = controller.engine().maintenanceWindows().later(controller.engine().wallMs());
-      controller.grants().asked(connection.other().getNumber(), ask.getHolds(), now);
+      controller.grants().asked(connection.other().getNumber(), request.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
-              .setId(ask.getId())
+              .setId(request.getId())
               .setEpoch(controller.engine().rollouts().epoch())
               .setSequence(controller.engine().maintenanceWindows().sequence());
-      rackList.writeTo(promised, ask.getList(), controller.grants().shorter(now));
+      rackList.writeTo(promised, request.getList(), controller.grants().shorter(now));
       controller.submitClearedWindows();
-      if (ask.getId() > 0 && controller.isLeader()) {
+      if (request.getId() > 0 && controller.isLeader()) {
         connection.send(Kind.PROMISED, promised.build(), NO_BODY);
       }
     }
 
-    private void answerVote(Vote vote, Taken taken) {
+    private void answerVote(Vote message, Taken answer) {
       connection.send(
-          Kind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
+          Kind.VOTED, Voted.newBuilder().setId(message.getId()).setTaken(answer).build(), NO_BODY);
     }
 
     @Override
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.security.GeneralSecurityException;
 import java.security.MessageDigest;
+import java.util.Arrays;
 import java.util.Base64;
 import java.util.HexFormat;
 import java.util.List;
@@ -12,21 +13,27 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Whether a webhook was signed by who knows a secret: the form of Standard Webhooks
+ * Signs webhooks and verifies their signatures, by the scheme of Standard Webhooks
  * (standardwebhooks.com: id, time and body under HMAC-SHA256, several signatures while secrets
- * rotate) and GitHub's (the body under HMAC-SHA256; no time, so the delivery's id alone guards
- * against replay). No I/O.
+ * rotate) or GitHub's (the body under HMAC-SHA256; no time, so the delivery's id alone guards
+ * against replay). No I/O, no state.
  */
 public final class Signatures {
+  /** What is signed, and which headers carry it. */
   public enum SignatureScheme {
     STANDARD,
     GITHUB
   }
 
-  /** Headers as they came; null where there was none. */
+  /** A request's headers; null where one was not sent. */
   public record Headers(String id, String time, String signature) {}
 
-  /** An id where it is right; else why it is not, fit to be told to a stranger. */
+  /**
+   * The outcome of a verification.
+   *
+   * @param id the delivery's; null: the signature is not right
+   * @param refused why it is not, in words that may be sent to anybody; null: it is right
+   */
   public record Verdict(String id, String refused) {}
 
   private static final int MAX_SIGNATURES = 10;
@@ -34,74 +41,83 @@
 
   private Signatures() {}
 
-  /** The names of the headers of a form, in the order of {@link Headers}. */
-  public static List<String> headerNames(SignatureScheme form) {
-    return form == SignatureScheme.STANDARD
+  /** The names of a scheme's headers, in the order of {@link Headers}. */
+  public static List<String> headerNames(SignatureScheme scheme) {
+    return scheme == SignatureScheme.STANDARD
         ? List.of("webhook-id", "webhook-timestamp", "webhook-signature")
         : List.of("X-GitHub-Delivery", "Date", "X-Hub-Signature-256");
   }
 
-  /** The secrets in a file's text, one a line; whsec_ and base64, or for GitHub as they are. */
-  public static List<byte[]> parseSecrets(String text, SignatureScheme form) {
+  /**
+   * The secrets in a file's text, one a line; whsec_ and base64, or for GitHub as they are. Empty
+   * lines and those that begin with # are left out.
+   *
+   * @throws IllegalArgumentException if a line is no base64
+   */
+  public static List<byte[]> parseSecrets(String text, SignatureScheme scheme) {
     return text.lines()
         .map(String::strip)
         .filter(line -> !line.isEmpty() && !line.startsWith("#"))
         .map(
             line ->
-                form == SignatureScheme.STANDARD
+                scheme == SignatureScheme.STANDARD
                     ? Base64.getDecoder()
                         .decode(line.startsWith("whsec_") ? line.substring(6) : line)
                     : line.getBytes(StandardCharsets.UTF_8))
         .toList();
   }
 
-  /** {@code window}: by how much a sender's clock may differ. */
+  /**
+   * Whether one of the signatures of a delivery is right by one of the secrets, in constant time.
+   *
+   * @param nowSeconds since the epoch
+   * @param tolerance by how much a sender's clock may differ
+   */
   public static Verdict verify(
-      SignatureScheme form,
+      SignatureScheme scheme,
       Headers headers,
       byte[] body,
       List<byte[]> secrets,
       long nowSeconds,
-      TimeSpan window) {
-    boolean named =
+      TimeSpan tolerance) {
+    boolean hasId =
         headers.id != null
             && !headers.id.isEmpty()
             && headers.id.length() <= MAX_ID_LENGTH
             && headers.id.chars().allMatch(c -> c > 32 && c < 127);
-    if (!named || headers.signature == null) {
-      return new Verdict(null, "the headers " + headerNames(form) + " are needed");
+    if (!hasId || headers.signature == null) {
+      return new Verdict(null, "the headers " + headerNames(scheme) + " are needed");
     }
     byte[] signed = body;
-    if (form == SignatureScheme.STANDARD) {
+    if (scheme == SignatureScheme.STANDARD) {
       long time;
       try {
         time = Long.parseLong(String.valueOf(headers.time));
       } catch (NumberFormatException e) {
         return new Verdict(null, "its time is no number of seconds");
       }
-      if (Math.abs(nowSeconds - time) * 1000.0 > window.ms()) {
+      if (Math.abs(nowSeconds - time) * 1000.0 > tolerance.ms()) {
         return new Verdict(
-            null, "its time is more than " + Math.round(window.ms() / 1000) + " s from ours");
+            null, "its time is more than " + Math.round(tolerance.ms() / 1000) + " s from ours");
       }
-      byte[] head = (headers.id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
-      signed = new byte[head.length + body.length];
-      System.arraycopy(head, 0, signed, 0, head.length);
-      System.arraycopy(body, 0, signed, head.length, body.length);
+      signed = standardContent(headers.id, time, body);
     }
-    boolean right = false;
+    boolean matches = false;
     for (byte[] secret : secrets) {
-      byte[] wanted = hmac(secret, signed);
+      byte[] expected = hmac(secret, signed);
       String[] given = headers.signature.split(" ", MAX_SIGNATURES + 1);
       for (int i = 0; i < Math.min(given.length, MAX_SIGNATURES); i++) {
-        right |= MessageDigest.isEqual(wanted, decode(form, given[i]));
+        matches |= MessageDigest.isEqual(expected, decode(scheme, given[i]));
       }
     }
-    return right ? new Verdict(headers.id, null) : new Verdict(null, "no signature of it is right");
+    return matches
+        ? new Verdict(headers.id, null)
+        : new Verdict(null, "no signature of it is right");
   }
 
-  private static byte[] decode(SignatureScheme form, String signature) {
+  private static byte[] decode(SignatureScheme scheme, String signature) {
     try {
-      if (form == SignatureScheme.STANDARD) {
+      if (scheme == SignatureScheme.STANDARD) {
         return signature.startsWith("v1,")
             ? Base64.getDecoder().decode(signature.substring(3))
             : new byte[0];
@@ -120,20 +136,27 @@
       mac.init(new SecretKeySpec(secret, "HmacSHA256"));
       return mac.doFinal(signed);
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException(e); // every Java has it
+      throw new IllegalStateException("every Java platform has HmacSHA256", e);
     }
   }
 
-  /** As a sender signs: the header's text. */
+  /**
+   * Signs a delivery: the text of the signature's header. {@code time}: seconds since the epoch.
+   */
   public static String sign(
-      SignatureScheme form, String id, long time, byte[] body, byte[] secret) {
-    if (form == SignatureScheme.GITHUB) {
+      SignatureScheme scheme, String id, long time, byte[] body, byte[] secret) {
+    if (scheme == SignatureScheme.GITHUB) {
       return "sha256=" + HexFormat.of().formatHex(hmac(secret, body));
     }
+    return "v1,"
+        + Base64.getEncoder().encodeToString(hmac(secret, standardContent(id, time, body)));
+  }
+
+  /** What Standard Webhooks sign. */
+  private static byte[] standardContent(String id, long time, byte[] body) {
     byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
-    byte[] signed = new byte[head.length + body.length];
-    System.arraycopy(head, 0, signed, 0, head.length);
-    System.arraycopy(body, 0, signed, head.length, body.length);
-    return "v1," + Base64.getEncoder().encodeToString(hmac(secret, signed));
+    byte[] content = Arrays.copyOf(head, head.length + body.length);
+    System.arraycopy(body, 0, content, head.length, body.length);
+    return content;
   }
 }
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -19,12 +19,17 @@
 import sprucerock.controller.Rollout;
 
 /**
- * Tells one listener of each step by a signed webhook, in their order, at least once each: the next
- * one goes out once the one before was taken, or was given up and written into a file of dead
- * letters. It has a thread and a bounded queue of its own and never holds the controller up.
+ * Sends each step to one target by a signed webhook, in order and at least once: the next one goes
+ * out once the one before was taken, or was given up and written to a file of dead letters. Has a
+ * thread and a bounded queue of its own and never delays the controller.
  */
 final class WebhookOutbox implements AutoCloseable {
-  /** Where to, signed with what; {@code giveUp}: how long one is tried. */
+  /**
+   * Where steps are sent.
+   *
+   * @param secret by which they are signed
+   * @param retryTimeout how long one is retried before it is given up
+   */
   record Target(String name, URI url, byte[] secret, Duration retryTimeout) {}
 
   private record Message(long sequence, String body) {}
@@ -47,49 +52,57 @@
   private final Thread thread;
   private volatile boolean closed;
 
-  /** {@code done} is told, on this one's thread, of each step that need not be told again. */
-  WebhookOutbox(Target target, Path deadLetters, LongConsumer done, Consumer<String> say) {
+  /**
+   * Begins with {@link #start}.
+   *
+   * @param onDelivered gets, on the outbox's thread, the sequence number of each step that need not
+   *     be sent again
+   * @param onError gets, for the log, each step that was given up
+   */
+  WebhookOutbox(
+      Target target, Path deadLetters, LongConsumer onDelivered, Consumer<String> onError) {
     this.target = target;
     this.deadLetters = deadLetters;
-    this.onDelivered = done;
-    this.onError = say;
+    this.onDelivered = onDelivered;
+    this.onError = onError;
     thread = new Thread(this::run, "outbox-" + target.name);
     thread.setDaemon(true);
   }
 
+  /** Begins to send. */
   void start() {
     thread.start();
   }
 
   /**
-   * A step to be told. From any thread; where too many wait, the oldest one becomes a dead letter.
+   * Queues a step; from any thread. Where too many are queued, the oldest becomes a dead letter.
    */
-  void add(Rollout release, Rollout.Transition step) {
+  void add(Rollout rollout, Rollout.Transition step) {
     ObjectNode body =
         Json.object()
             .put("type", "release.changed")
             .put("sequence", step.sequence())
-            .put("build", release.build)
-            .put("artifact", release.artifact)
+            .put("build", rollout.build)
+            .put("artifact", rollout.artifact)
             .put("standing", step.state().name().toLowerCase(Locale.ROOT))
             .put("stage", step.stage())
             .put("cause", step.cause())
             .put("at", Instant.ofEpochMilli(step.wallMs()).toString());
-    Message lost = null;
+    Message dropped = null;
     synchronized (queue) {
       if (queue.size() >= MAX_QUEUED) {
-        lost = queue.poll();
+        dropped = queue.poll();
       }
       queue.add(new Message(step.sequence(), body.toString()));
       queue.notifyAll();
     }
-    if (lost != null) {
-      writeDeadLetter(lost, "too many wait");
+    if (dropped != null) {
+      writeDeadLetter(dropped, "too many wait");
     }
   }
 
-  /** How many wait. */
-  int waiting() {
+  /** How many steps are queued. */
+  int size() {
     synchronized (queue) {
       return queue.size();
     }
@@ -116,24 +129,24 @@
     }
   }
 
-  private void deliver(Message letter) throws InterruptedException {
-    long until = System.nanoTime() + target.retryTimeout.toNanos();
-    long pause = INITIAL_BACKOFF_MS;
-    for (String why = send(letter); why != null; why = send(letter)) {
-      if (System.nanoTime() - until > 0) {
-        writeDeadLetter(letter, why);
+  private void deliver(Message message) throws InterruptedException {
+    long deadline = System.nanoTime() + target.retryTimeout.toNanos();
+    long backoffMs = INITIAL_BACKOFF_MS;
+    for (String reason = send(message); reason != null; reason = send(message)) {
+      if (System.nanoTime() - deadline > 0) {
+        writeDeadLetter(message, reason);
         return;
       }
-      Thread.sleep(pause);
-      pause = Math.min(MAX_BACKOFF_MS, 2 * pause);
+      Thread.sleep(backoffMs);
+      backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
     }
   }
 
-  /** Null once it is taken; else why not. */
-  private String send(Message letter) throws InterruptedException {
-    String id = "step-" + letter.sequence;
+  /** Sends a message once; null if it was taken, else why it was not. */
+  private String send(Message message) throws InterruptedException {
+    String id = "step-" + message.sequence;
     long now = System.currentTimeMillis() / 1000;
-    byte[] body = letter.body.getBytes(StandardCharsets.UTF_8);
+    byte[] body = message.body.getBytes(StandardCharsets.UTF_8);
     HttpRequest request =
         HttpRequest.newBuilder(target.url)
             .timeout(REQUEST_TIMEOUT)
@@ -153,36 +166,20 @@
     }
   }
 
-  private void writeDeadLetter(Message letter, String why) {
+  private void writeDeadLetter(Message message, String reason) {
+    String what =
+        "step " + message.sequence + " was not taken by " + target.name + " (" + reason + ")";
     try {
       Files.writeString(
-          deadLetters, letter.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-      onError.accept(
-          "step "
-              + letter.sequence
-              + " was not taken by "
-              + target.name
-              + " ("
-              + why
-              + "); it is in "
-              + deadLetters);
+          deadLetters, message.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+      onError.accept(what + "; it is in " + deadLetters);
     } catch (IOException e) {
       onError.accept(
-          "step "
-              + letter.sequence
-              + " was not taken by "
-              + target.name
-              + " ("
-              + why
-              + "), nor by "
-              + deadLetters
-              + " ("
-              + e.getMessage()
-              + "): "
-              + letter.body);
+          what + ", nor by " + deadLetters + " (" + e.getMessage() + "): " + message.body);
     }
   }
 
+  /** Ends the thread; what is queued is sent after the next start. */
   @Override
   public void close() {
     closed = true;
--- a/src/test/java/sprucerock/controller/server/AgentListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentListenerTest.java
@@ -2,50 +2,18 @@
 
 import static org.testng.Assert.assertTrue;
 
-import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.attribute.PosixFilePermissions;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import java.util.function.Supplier;
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucerock.controller.Engine;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.time.TimeSpan;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Role;
 
-/** Agents that come, go and stay away, over links; nothing hangs on how fast. */
-public class AgentListenerTest {
-  private Path folder;
-  private NioLoop loop;
-  private ControllerServer controller;
-
-  @BeforeMethod
-  public void setUp() throws Exception {
-    folder = Files.createTempDirectory("agents");
-    loop = new NioLoop("relays", Throwable::printStackTrace);
-  }
-
-  @AfterMethod
-  public void tearDown() throws Exception {
-    controller.close();
-    loop.close();
-  }
-
-  private Path writeSecret(String name, String text) throws Exception {
-    Path file = folder.resolve(name);
-    Files.writeString(file, text);
-    Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-    return file;
-  }
+/** Agents that connect, disconnect and stay away; no assertion depends on speed. */
+public class AgentListenerTest extends ControllerTestSupport {
 
   private void start() throws Exception {
     Path file = folder.resolve("controller.xml");
@@ -69,50 +37,12 @@
                 folder,
                 writeSecret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
                 writeSecret("token", "0123456789abcdef0123")));
-    controller =
-        new ControllerServer(
-            ControllerConfig.read(file),
-            new Engine.Clock() {
-              @Override
-              public long wallMs() {
-                return System.currentTimeMillis();
-              }
-
-              @Override
-              public long steadyMs() {
-                return System.nanoTime() / 1_000_000;
-              }
-            },
-            Tap.NONE,
-            () -> {});
-  }
-
-  private static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
-    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
-      Thread.sleep(10);
-    }
-    assertTrue(holds.getAsBoolean(), what);
-  }
-
-  private <T> T getOnLoop(Supplier<T> what) {
-    CompletableFuture<T> result = new CompletableFuture<>();
-    loop.post(() -> result.complete(what.get()));
-    return result.join();
+    start(file);
   }
 
   private Person connectAgent(int number) throws Exception {
-    Person agent =
-        getOnLoop(
-            () -> {
-              Person person = new Person(loop, Role.AGENT, number);
-              loop.connect(
-                  new InetSocketAddress("127.0.0.1", controller.agentAddress().getPort()),
-                  TimeSpan.ofMs(5000),
-                  1 << 20,
-                  person.connection);
-              return person;
-            });
-    waitUntil("it is linked", () -> getOnLoop(agent.connection::usable));
+    Person agent = connect(Role.AGENT, number, controller.agentAddress());
+    waitUntil("it is connected", () -> getOnLoop(agent.connection::usable));
     loop.post(
         () ->
             agent.send(
@@ -144,20 +74,20 @@
     waitUntil("both are heard", () -> isKnown(1, false) && isKnown(2, false));
     loop.post(() -> goes.connection.cut("it goes"));
     waitUntil("it is silent", () -> isKnown(2, true));
-    assertTrue(isKnown(1, false), "one that is linked is not silent, though it says nothing");
+    assertTrue(isKnown(1, false), "one that is connected is not silent, though it sends nothing");
     connectAgent(2);
     waitUntil("it is heard again", () -> isKnown(2, false));
     assertTrue(getOnLoop(stays.connection::usable));
   }
 
-  /** A link that takes the place of another one is no absence when the old one closes. */
+  /** A connection that replaces another one is no absence when the old one closes. */
   @Test
   public void replacedConnectionDoesNotMakeAgentSilent() throws Exception {
     start();
     Person first = connectAgent(2);
     waitUntil("it is heard", () -> isKnown(2, false));
     connectAgent(2);
-    waitUntil("the old link is cut", () -> getOnLoop(() -> first.gone != null));
+    waitUntil("the old connection is cut", () -> getOnLoop(() -> first.gone != null));
     Person other = connectAgent(3); // whose silence shows that time enough has passed
     waitUntil("the other is heard", () -> isKnown(3, false));
     loop.post(() -> other.connection.cut("it goes"));
@@ -166,7 +96,7 @@
   }
 
   /**
-   * What a controller that starts knows from before has as long to come as one that has just gone.
+   * An agent known from before a restart has as long to connect as one that has just disconnected.
    */
   @Test
   public void agentMissingAfterRestartBecomesSilent() throws Exception {
--- a/src/test/java/sprucerock/controller/server/ControllerServerTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerServerTest.java
@@ -19,17 +19,12 @@
 import java.util.Base64;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
-import sprucerock.controller.Engine;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Say;
@@ -39,27 +34,17 @@
 import sprucerock.transport.wire.v1.Voted;
 
 /**
- * The controller between a pipeline, an operator and relays, over sockets on loopback; nothing
- * hangs on how fast.
+ * The controller between a pipeline, an operator and relays, over sockets on loopback; no assertion
+ * depends on speed.
  */
-public class ControllerServerTest {
+public class ControllerServerTest extends ControllerTestSupport {
   private static final byte[] SECRET = "a secret for the test".getBytes(StandardCharsets.UTF_8);
   private static final String TOKEN = "0123456789abcdef0123";
 
-  private Path folder;
-  private ControllerServer controller;
   private String outboxElements = "";
   private final String lease = "30s"; // no machine is that slow
-  private NioLoop loop;
   private final HttpClient http = HttpClient.newHttpClient();
 
-  private Path writeSecret(String name, String text) throws IOException {
-    Path file = folder.resolve(name);
-    Files.writeString(file, text);
-    Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-    return file;
-  }
-
   private Path writeConfig(String rate) throws IOException {
     Path file = folder.resolve("controller.xml");
     Files.writeString(
@@ -90,35 +75,12 @@
   }
 
   @BeforeMethod
-  public void setUp() throws Exception {
-    folder = Files.createTempDirectory("controller");
-    loop = new NioLoop("relays", Throwable::printStackTrace);
+  public void startController() throws Exception {
     start("1000");
   }
 
   private void start(String rate) throws Exception {
-    controller =
-        new ControllerServer(
-            ControllerConfig.read(writeConfig(rate)),
-            new Engine.Clock() {
-              @Override
-              public long wallMs() {
-                return System.currentTimeMillis();
-              }
-
-              @Override
-              public long steadyMs() {
-                return System.nanoTime() / 1_000_000;
-              }
-            },
-            Tap.NONE,
-            () -> {});
-  }
-
-  @AfterMethod
-  public void tearDown() throws Exception {
-    controller.close();
-    loop.close();
+    start(writeConfig(rate));
   }
 
   private static String announcement(int build) {
@@ -157,32 +119,8 @@
             .build());
   }
 
-  private static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
-    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
-      Thread.sleep(10);
-    }
-    assertTrue(holds.getAsBoolean(), what);
-  }
-
   private Person connectRelay(int number) {
-    CompletableFuture<Person> made = new CompletableFuture<>();
-    loop.post(
-        () -> {
-          Person person = new Person(loop, Role.RELAY, number);
-          loop.connect(
-              new InetSocketAddress("127.0.0.1", controller.relayAddress().getPort()),
-              TimeSpan.ofMs(5000),
-              1 << 20,
-              person.connection);
-          made.complete(person);
-        });
-    return made.join();
-  }
-
-  private <T> T getOnLoop(java.util.function.Supplier<T> what) {
-    CompletableFuture<T> result = new CompletableFuture<>();
-    loop.post(() -> result.complete(what.get()));
-    return result.join();
+    return connect(Role.RELAY, number, controller.relayAddress());
   }
 
   private News lastNews(Person relay) {
@@ -213,21 +151,21 @@
   @Test
   public void signedAnnouncementIsRolledOutStageByStage() throws Exception {
     Person relay = connectRelay(0);
-    waitUntil("it is told at once", () -> lastNews(relay).getStanding() == Stand.RELEASED);
+    waitUntil("it gets the status at once", () -> lastNews(relay).getStanding() == Stand.RELEASED);
     assertEquals(send(webhook("m1", announcement(2))), "202 {\"answer\":\"taken\"}");
     assertEquals(send(webhook("m1", announcement(2))), "200 {\"answer\":\"again\"}");
     assertEquals(lastNews(relay).getBuild(), 1);
     assertEquals(api("PUT", "/fleet/2", "{\"units\":10}"), "200 {\"answer\":\"done\"}");
-    waitUntil("the trial is told", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
+    waitUntil("it gets the trial", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
     assertEquals(lastNews(relay).getCap(), 0.12);
     Thread.sleep(5); // its least time
     assertEquals(vote(relay, 1, 2, 1, Say.ON), Taken.MOOT);
     assertEquals(vote(relay, 2, 2, 0, Say.ON), Taken.COUNTS);
-    waitUntil("the next stage is told", () -> lastNews(relay).getStage() == 1);
+    waitUntil("it gets the next stage", () -> lastNews(relay).getStage() == 1);
     Thread.sleep(5);
     assertEquals(vote(relay, 3, 2, 1, Say.ON), Taken.COUNTS);
     waitUntil(
-        "the release is told",
+        "it gets the release",
         () -> lastNews(relay).getStanding() == Stand.RELEASED && lastNews(relay).getBuild() == 2);
     String shown = api("GET", "/releases/2", "");
     assertTrue(
@@ -241,12 +179,12 @@
     Person relay = connectRelay(0);
     send(webhook("m1", announcement(2)));
     api("PUT", "/fleet/2", "{\"units\":1}");
-    waitUntil("the trial is told", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
+    waitUntil("it gets the trial", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
     News before = lastNews(relay);
     controller.close();
     start("1000");
     Person again = connectRelay(0);
-    waitUntil("it is told", () -> lastNews(again).getBuild() == 2);
+    waitUntil("it gets the status", () -> lastNews(again).getBuild() == 2);
     News after = lastNews(again);
     assertEquals(after.getStanding(), Stand.ON_TRIAL);
     assertTrue(
@@ -388,7 +326,7 @@
     assertTrue(api("GET", "/releases/9", "").startsWith("404 "));
   }
 
-  /** A second one waits, takes over once the first is gone, and goes on where that was. */
+  /** A second controller waits, takes over once the first is gone, and goes on where that was. */
   @Test
   public void standbyTakesOverAfterLeaderCloses() throws Exception {
     send(webhook("m1", announcement(2)));
@@ -411,7 +349,9 @@
     assertTrue(api("GET", "/releases", "").contains("\"epoch\":2"));
   }
 
-  /** A listener that fails at first has each step once, in order, and those of before a restart. */
+  /**
+   * A target that fails at first gets each step once, in order, and those from before a restart.
+   */
   @Test
   public void outboxRetriesStepsInOrderAcrossRestart() throws Exception {
     List<String> heard = java.util.Collections.synchronizedList(new ArrayList<>());
@@ -457,7 +397,7 @@
       controller.close();
       start("1000");
       send(webhook("m1", announcement(2)));
-      waitUntil("both steps are told", () -> heard.size() >= 2);
+      waitUntil("both steps are delivered", () -> heard.size() >= 2);
       waitUntil(
           "and noted",
           () -> {
--- /dev/null
+++ b/src/test/java/sprucerock/controller/server/ControllerTestSupport.java
@@ -0,0 +1,95 @@
+package sprucerock.controller.server;
+
+import static org.testng.Assert.assertTrue;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.PosixFilePermissions;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BooleanSupplier;
+import java.util.function.Supplier;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import sprucerock.controller.Engine;
+import sprucerock.time.TimeSpan;
+import sprucerock.transport.net.nio.NioLoop;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.v1.Role;
+
+/** What tests of a whole controller share: its folder, the peers' loop, and how they wait. */
+abstract class ControllerTestSupport {
+  /** By the clocks of this machine. */
+  static final Engine.Clock CLOCK =
+      new Engine.Clock() {
+        @Override
+        public long wallMs() {
+          return System.currentTimeMillis();
+        }
+
+        @Override
+        public long steadyMs() {
+          return System.nanoTime() / 1_000_000;
+        }
+      };
+
+  Path folder;
+  NioLoop loop;
+  ControllerServer controller;
+
+  @BeforeMethod
+  public void openFolder() throws IOException {
+    folder = Files.createTempDirectory("controller");
+    loop = new NioLoop("relays", Throwable::printStackTrace);
+  }
+
+  @AfterMethod
+  public void close() throws Exception {
+    controller.close();
+    loop.close();
+  }
+
+  /** Writes a file that its owner alone can read. */
+  Path writeSecret(String name, String text) throws IOException {
+    Path file = folder.resolve(name);
+    Files.writeString(file, text);
+    Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
+    return file;
+  }
+
+  /** Starts the controller of a configuration file. */
+  void start(Path file) throws Exception {
+    controller = new ControllerServer(ControllerConfig.read(file), CLOCK, Tap.NONE, () -> {});
+  }
+
+  /** Waits for a condition, by far longer than any machine needs. */
+  static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
+    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
+      Thread.sleep(10);
+    }
+    assertTrue(holds.getAsBoolean(), what);
+  }
+
+  /** A value that belongs to the peers' loop. */
+  <T> T getOnLoop(Supplier<T> value) {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    loop.post(() -> result.complete(value.get()));
+    return result.join();
+  }
+
+  /** A relay or an agent that connects to the controller. */
+  Person connect(Role role, int number, InetSocketAddress address) {
+    return getOnLoop(
+        () -> {
+          Person peer = new Person(loop, role, number);
+          loop.connect(
+              new InetSocketAddress("127.0.0.1", address.getPort()),
+              TimeSpan.ofMs(5000),
+              1 << 20,
+              peer.connection);
+          return peer;
+        });
+  }
+}
--- a/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
+++ b/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
@@ -8,7 +8,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Which agents are away for too long, and that finding them costs those alone. */
+/** Which agents are overdue, and that finding them costs no more than their number. */
 public class DisconnectedAgentsTest {
   private static final TimeSpan TIMEOUT = TimeSpan.ofMs(5000);
 
@@ -18,40 +18,40 @@
 
   @Test
   public void longestUnheardAgentComesFirstUntilRemoved() {
-    DisconnectedAgents absent = new DisconnectedAgents();
-    absent.disconnected(1, at(2000));
-    absent.disconnected(2, at(1000)); // its link broke later, but it had said nothing for longer
-    absent.disconnected(3, at(3000));
-    assertEquals(absent.unheardLongerThan(TIMEOUT, at(6000)), List.of());
-    assertEquals(absent.unheardLongerThan(TIMEOUT, at(7001)), List.of(2, 1));
-    assertEquals(absent.unheardLongerThan(TIMEOUT, at(7002)), List.of(2, 1)); // nobody noted it
-    absent.remove(2);
-    assertEquals(absent.unheardLongerThan(TIMEOUT, at(9000)), List.of(1, 3));
-    absent.disconnected(1, at(9000)); // was here again
-    assertEquals(absent.unheardLongerThan(TIMEOUT, at(9001)), List.of(3));
-    absent.remove(7);
+    DisconnectedAgents agents = new DisconnectedAgents();
+    agents.disconnected(1, at(2000));
+    agents.disconnected(2, at(1000)); // disconnected later, but heard last before the first
+    agents.disconnected(3, at(3000));
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(6000)), List.of());
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(7001)), List.of(2, 1));
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(7002)), List.of(2, 1)); // nobody removed them
+    agents.remove(2);
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(9000)), List.of(1, 3));
+    agents.disconnected(1, at(9000)); // was connected again
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(9001)), List.of(3));
+    agents.remove(7);
   }
 
   @Test
   public void queryExaminesOnlyOverdueAgents() {
-    for (int agents : new int[] {100, 400, 1600}) {
-      DisconnectedAgents absent = new DisconnectedAgents();
-      for (int i = 0; i < agents; i++) {
-        absent.disconnected(i, at(i < 3 ? 0 : 4000));
+    for (int count : new int[] {100, 400, 1600}) {
+      DisconnectedAgents agents = new DisconnectedAgents();
+      for (int i = 0; i < count; i++) {
+        agents.disconnected(i, at(i < 3 ? 0 : 4000));
       }
-      for (int i = 0; i < agents; i++) {
+      for (int i = 0; i < count; i++) {
         if (i % 2 == 1 && i > 3) {
-          absent.remove(i);
+          agents.remove(i);
         }
       }
-      long before = absent.entriesExamined();
-      assertEquals(absent.unheardLongerThan(TIMEOUT, at(5500)).size(), 3);
+      long before = agents.entriesExamined();
+      assertEquals(agents.unheardLongerThan(TIMEOUT, at(5500)).size(), 3);
       System.out.println(
           "counted: a look for silent agents, 3 of them: at "
-              + agents
+              + count
               + " "
-              + (absent.entriesExamined() - before));
-      assertTrue(absent.entriesExamined() - before <= 4);
+              + (agents.entriesExamined() - before));
+      assertTrue(agents.entriesExamined() - before <= 4);
     }
   }
 }
--- a/src/test/java/sprucerock/controller/server/RelayListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/RelayListenerTest.java
@@ -3,64 +3,32 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.attribute.PosixFilePermissions;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.BooleanSupplier;
-import java.util.function.Supplier;
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import sprucerock.controller.AppendResult;
-import sprucerock.controller.Engine;
 import sprucerock.controller.v1.FreezeWanted;
 import sprucerock.controller.v1.Input;
-import sprucerock.time.TimeSpan;
-import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.Kind;
 import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.PromiseAsk;
 import sprucerock.transport.wire.v1.Promised;
 import sprucerock.transport.wire.v1.RackFree;
 import sprucerock.transport.wire.v1.Role;
 
 /**
- * What relays of older and newer programs are promised over a link, in bytes, against the number of
- * racks; nothing hangs on how fast.
+ * Placement grants that relays of older and newer programs get, and their bytes against the number
+ * of racks; no assertion depends on speed.
  */
-public class RelayListenerTest {
+public class RelayListenerTest extends ControllerTestSupport {
   private static final long MINUTE_MS = 60_000;
-  private Path folder;
-  private NioLoop loop;
-  private ControllerServer controller;
   private long lastRequestId;
 
-  @BeforeMethod
-  public void setUp() throws Exception {
-    folder = Files.createTempDirectory("promises");
-    loop = new NioLoop("relays", Throwable::printStackTrace);
-  }
-
-  @AfterMethod
-  public void tearDown() throws Exception {
-    controller.close();
-    loop.close();
-  }
-
-  private Path writeSecret(String name, String text) throws Exception {
-    Path file = folder.resolve(name);
-    Files.writeString(file, text);
-    Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-------"));
-    return file;
-  }
-
-  /** So many racks, of which the first has a notice of a day. */
+  /** Starts with so many racks, of which the first has a notice of a day. */
   private void start(int racks) throws Exception {
     StringBuilder all = new StringBuilder();
     for (int i = 0; i < racks; i++) {
@@ -89,52 +57,15 @@
                 writeSecret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
                 writeSecret("token", "0123456789abcdef0123"),
                 all));
-    controller =
-        new ControllerServer(
-            ControllerConfig.read(file),
-            new Engine.Clock() {
-              @Override
-              public long wallMs() {
-                return System.currentTimeMillis();
-              }
-
-              @Override
-              public long steadyMs() {
-                return System.nanoTime() / 1_000_000;
-              }
-            },
-            Tap.NONE,
-            () -> {});
-  }
-
-  private static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
-    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
-      Thread.sleep(10);
-    }
-    assertTrue(holds.getAsBoolean(), what);
-  }
-
-  private <T> T getOnLoop(Supplier<T> what) {
-    CompletableFuture<T> result = new CompletableFuture<>();
-    loop.post(() -> result.complete(what.get()));
-    return result.join();
+    start(file);
   }
 
   private Person connectRelay(int number) {
-    return getOnLoop(
-        () -> {
-          Person person = new Person(loop, Role.RELAY, number);
-          loop.connect(
-              new InetSocketAddress("127.0.0.1", controller.relayAddress().getPort()),
-              TimeSpan.ofMs(5000),
-              1 << 20,
-              person.connection);
-          return person;
-        });
+    return connect(Role.RELAY, number, controller.relayAddress());
   }
 
   private Promised requestGrants(Person relay, long list) throws Exception {
-    waitUntil("it is linked", () -> getOnLoop(relay.connection::usable));
+    waitUntil("it is connected", () -> getOnLoop(relay.connection::usable));
     long id = ++lastRequestId;
     loop.post(
         () ->
@@ -175,7 +106,7 @@
     assertTrue(done.get() instanceof AppendResult.WindowsOpened, "" + done.get());
   }
 
-  /** As before there were lists: all racks, and nothing that it does not know. */
+  /** All racks, and no field that an older program does not know. */
   @Test
   public void relayWithoutListSupportGetsAllRacksEachTime() throws Exception {
     start(5);
@@ -220,7 +151,7 @@
                   : one.getLeftMs() <= 20 * 60 * MINUTE_MS ? " within 20 h" : ""));
     }
     assertEquals(named, List.of("1/0 within 20 h", "2/1 within 5 min"));
-    // whoever asks by what this controller never told is told all, with the same promises
+    // a relay with a list that this controller never sent gets all racks, with the same grants
     Promised again = requestGrants(connectRelay(1), all.getList() + 1);
     assertTrue(!again.getRest() && again.getList() == all.getList());
     assertEquals(
@@ -232,8 +163,7 @@
   }
 
   /**
-   * The number comes from the racks: a controller that starts again, or its standby, goes on with
-   * it.
+   * The id is a hash of the racks: a controller that starts again, or its standby, goes on with it.
    */
   @Test
   public void rackListIdSurvivesRestartAndChangesWithRacks() throws Exception {
@@ -276,9 +206,7 @@
         bytes[1] <= bytes[0] + 8, bytes[1] + " after " + bytes[0]); // but for what a number takes
   }
 
-  /**
-   * Each relay is told once that something has changed, and asks once, however many freezes moved.
-   */
+  /** Each relay is notified once that something has changed, however many windows moved. */
   @Test
   public void windowsOfOneCommitAreNotifiedOnce() throws Exception {
     start(5);
@@ -286,13 +214,13 @@
     requestGrants(relay, 0);
     announceWindows("r1", 30 * MINUTE_MS, 20);
     requestGrants(relay, 0);
-    long told =
+    long notifications =
         getOnLoop(
             () ->
                 relay.<Promised>all(Kind.PROMISED).stream()
                     .filter(one -> one.getId() == 0)
                     .count());
-    System.out.println("counted: nudges for 20 freezes of one turn: " + told);
-    assertEquals(told, 1);
+    System.out.println("counted: nudges for 20 freezes of one turn: " + notifications);
+    assertEquals(notifications, 1);
   }
 }
