--- a/src/main/java/sprucerock/cli/LeaseCommand.java
+++ b/src/main/java/sprucerock/cli/LeaseCommand.java
@@ -32,8 +32,16 @@
       System.out.println(response.body().toPrettyString());
       return Commands.WANTING;
     }
+    int majority = response.body().get("majority").asInt();
+    int granting = printGrantors(response.body().get("granters"));
+    printLeases(response.body().get("leases"), majority);
+    return granting >= majority ? Commands.DONE : Commands.WANTING;
+  }
+
+  /** Prints each grantor's status; the number of those that grant. */
+  private static int printGrantors(JsonNode grantors) {
     int granting = 0;
-    for (JsonNode one : response.body().get("granters")) {
+    for (JsonNode one : grantors) {
       boolean heard = one.get("heard").asBoolean();
       long waitMs = heard ? one.get("grants_in_ms").asLong() : 0;
       if (heard && waitMs == 0) {
@@ -49,11 +57,15 @@
                   ? "has started anew, grants in " + waitMs + " ms"
                   : "grants; " + one.get("refused").asLong() + " asks refused");
     }
-    int majority = response.body().get("majority").asInt();
+    return granting;
+  }
+
+  /** Prints each lease, with its holder if a majority has granted it. */
+  private static void printLeases(JsonNode leases, int majority) {
     System.out.printf(
         "%-24s %8s %20s %8s %8s %s%n",
         "lease", "holder", "number", "left ms", "waiting", "granted by");
-    for (JsonNode one : response.body().get("leases")) {
+    for (JsonNode one : leases) {
       List<String> grantors = new ArrayList<>();
       one.get("granted_by").forEach(granter -> grantors.add(granter.asText()));
       System.out.printf(
@@ -65,6 +77,5 @@
           one.get("waiting").asInt(),
           String.join(", ", grantors));
     }
-    return granting >= majority ? Commands.DONE : Commands.WANTING;
   }
 }
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -102,17 +102,23 @@
       }
       signed = standardContent(headers.id, time, body);
     }
+    return matches(scheme, headers.signature, signed, secrets)
+        ? new Verdict(headers.id, null)
+        : new Verdict(null, "no signature of it is right");
+  }
+
+  /** Tries all pairs of a signature and a secret, so that the time taken tells nothing. */
+  private static boolean matches(
+      SignatureScheme scheme, String signatures, byte[] signed, List<byte[]> secrets) {
     boolean matches = false;
     for (byte[] secret : secrets) {
       byte[] expected = hmac(secret, signed);
-      String[] given = headers.signature.split(" ", MAX_SIGNATURES + 1);
+      String[] given = signatures.split(" ", MAX_SIGNATURES + 1);
       for (int i = 0; i < Math.min(given.length, MAX_SIGNATURES); i++) {
         matches |= MessageDigest.isEqual(expected, decode(scheme, given[i]));
       }
     }
-    return matches
-        ? new Verdict(headers.id, null)
-        : new Verdict(null, "no signature of it is right");
+    return matches;
   }
 
   private static byte[] decode(SignatureScheme scheme, String signature) {
