--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -1,203 +1,260 @@
 package sprucerock.controller.server;
 
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.URI;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.attribute.PosixFilePermission;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.LeaseConfig;
-import sprucerock.config.XmlElement;
+import sprucerock.config.Node;
 import sprucerock.controller.RolloutRules;
 import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.maintenance.CapacityCheck;
 import sprucerock.controller.maintenance.MaintenanceWindows;
-import sprucerock.controller.maintenance.Rack;
 import sprucerock.time.TimeSpan;
 
 /**
- * The configuration of a controller, checked; controller.xsd names the units and the values used
- * where one is left out.
+ * The configuration of a controller, validated. controller.xsd states the units of what is written
+ * there, and the values used where one is left out. Immutable.
  */
 public final class ControllerConfig {
-  /** Who may announce, and how it signs. */
-  public record Source(String name, Signatures.Form form, List<byte[]> secrets, int aSecond) {}
+  /**
+   * A build pipeline that may announce builds.
+   *
+   * @param scheme how it signs
+   * @param secrets any of which counts, so that they can be rotated
+   * @param maxPerSecond deliveries that are taken, with bursts of as many
+   */
+  public record WebhookSource(
+      String name, Signatures.SignatureScheme scheme, List<byte[]> secrets, int maxPerSecond) {}
 
+  /** The controller's name, in logs and in greetings to relays and agents. */
   public final String name;
-  public final Path folder;
+
+  /** Where the engine's log and snapshots are kept. */
+  public final Path storeFolder;
+
+  /** The build that a new fleet runs, 1 to 65535. */
   public final int firstBuild;
 
-  /** Units that the fleet has. */
-  public final int places;
+  /** Endpoints that the fleet has. */
+  public final int endpointCount;
+
+  /** Where relays connect. */
+  public final InetSocketAddress relayAddress;
+
+  /** Connections of relays at a time. */
+  public final int maxRelays;
+
+  /** Bytes that may wait for one relay to read them. */
+  public final long maxUnsentBytes;
+
+  /** How often all relays get the rollout's status though nothing has changed. */
+  public final TimeSpan newsInterval;
+
+  /** Where webhooks are taken. */
+  public final InetSocketAddress webhookAddress;
+
+  /** Bytes of a webhook's body, 16 MiB at most. */
+  public final int maxWebhookBodyBytes;
+
+  /** By how much a sender's clock may differ from this one's. */
+  public final TimeSpan signatureTimeTolerance;
+
+  /** Webhooks that are read at a time; others wait in as long a queue. */
+  public final int maxConcurrentWebhooks;
+
+  /** How long a sender may take between two reads. */
+  public final TimeSpan webhookReadTimeout;
+
+  /** Pipelines by their names. */
+  public final Map<String, WebhookSource> webhookSources;
+
+  /** Where operators are answered. */
+  public final InetSocketAddress apiAddress;
 
-  public final InetSocketAddress relays;
-  public final int mostRelays;
-  public final long unsent;
-  public final TimeSpan tellEvery;
-  public final InetSocketAddress hooks;
-  public final int body;
-  public final TimeSpan window;
-  public final int atOnce;
-  public final TimeSpan readWithin;
-  public final Map<String, Source> sources;
-  public final InetSocketAddress api;
-  public final String token;
-  public final List<WebhookOutbox.Target> tells;
+  /** The bearer token that operators need, 16 characters at least. */
+  public final String apiToken;
 
-  /** How long an active controller may be silent before another one takes its place. */
-  public final TimeSpan lease;
+  /** Who is notified of each step of a rollout. */
+  public final List<WebhookOutbox.Target> outboxTargets;
 
-  public final RolloutRules rules;
+  /** How long a leader may go without renewing before another controller takes its place. */
+  public final TimeSpan leaseDuration;
 
-  /** Racks that can be frozen, and the room that has to be left; null: none. */
-  public final CapacityCheck room;
+  /** By which rules a build is rolled out. */
+  public final RolloutRules rolloutRules;
 
-  public final MaintenanceWindows.Rules freezes;
+  /** Racks that can be put under maintenance, and the capacity that has to be left; null: none. */
+  public final CapacityCheck capacityCheck;
 
-  /** Granters of leases, by which the seat is had; null: the store's folder gives it. */
-  public final LeaseConfig leases;
+  /** By which rules maintenance windows are accepted; null: there are no racks. */
+  public final MaintenanceWindows.Rules maintenanceRules;
 
-  /** Where agents come; null: what relays run is not this controller's to change. */
-  public final InetSocketAddress agents;
+  /** Grantors of leases, by which leadership is had; null: the store's folder gives it. */
+  public final LeaseConfig leaseConfig;
 
-  public final int mostAgents;
-  public final int piecesASecond;
+  /** Where agents connect; null: this controller doesn't change what relays run. */
+  public final InetSocketAddress agentAddress;
 
-  /** Where files of new versions are put for it; null as above. */
-  public final Path incoming;
+  /** Connections of agents at a time. */
+  public final int maxAgents;
 
-  /** Bytes of one file of a version. */
-  public final long mostBytes;
+  /** Pieces of artifacts that are sent to all agents together, each second. */
+  public final int maxPiecesPerSecond;
 
-  public final DeploymentPlan plan;
+  /** Where operators put files of new versions; null as above. */
+  public final Path incomingFolder;
 
-  // What a relay is told once, 14 bytes each, fits the frames and the bytes unsent that links have
-  // unless they are set lower; a
-  // fleet of 120,000 units has some 3,000.
-  private static final int MOST_RACKS = 10_000;
-  private static final int CANDIDATE =
-      65_000; // among those who stand for leases; far over relays' numbers
+  /** Bytes of one artifact. */
+  public final long maxArtifactBytes;
 
-  /** Reads and checks a file; the first thing that is wrong ends it. */
+  /** By which stages and limits deployments are rolled out. */
+  public final DeploymentPlan deploymentPlan;
+
+  /** The controller's number among the candidates for leases; far above those of relays. */
+  private static final int LEASE_CANDIDATE = 65_000;
+
+  private static final int MAX_BUILD = 65_535;
+  private static final int MAX_WEBHOOK_BODY_BYTES = 16 << 20;
+  private static final int MIN_TOKEN_LENGTH = 16;
+  private static final TimeSpan MIN_LEASE = TimeSpan.ofMs(500);
+
+  /**
+   * Reads and validates a file.
+   *
+   * @throws ConfigException with the first error, its element and its place in the file
+   */
   public static ControllerConfig read(Path file) throws ConfigException {
-    return new ControllerConfig(XmlElement.read(file, "/sprucerock/controller.xsd"));
+    return new ControllerConfig(Node.read(file, "/sprucerock/controller.xsd"));
   }
 
-  private ControllerConfig(XmlElement root) throws ConfigException {
+  private ControllerConfig(Node root) throws ConfigException {
     name = root.text("name");
-    folder = Path.of(root.text("folder"));
+    storeFolder = Path.of(root.text("folder"));
     firstBuild = root.count("first-build");
-    places = root.count("places");
-    if (firstBuild > 65_535) {
-      throw root.invalid("first-build is 65535 at most");
+    endpointCount = root.count("places");
+    if (firstBuild > MAX_BUILD) {
+      throw root.wrong("first-build is 65535 at most");
     }
-    XmlElement relayNode = root.child("relays");
-    relays = address(relayNode);
-    mostRelays = relayNode.count("most");
-    unsent = relayNode.bytes("unsent");
-    tellEvery = relayNode.span("tell-every");
-    XmlElement hookNode = root.child("hooks");
-    hooks = address(hookNode);
-    body = (int) Math.min(hookNode.bytes("body"), 16 << 20);
-    window = hookNode.span("window");
-    atOnce = hookNode.count("at-once");
-    readWithin = hookNode.span("read-within");
-    Map<String, Source> found = new TreeMap<>();
-    for (XmlElement node : hookNode.children("source")) {
-      Signatures.Form form = Signatures.Form.valueOf(node.text("form").toUpperCase(Locale.ROOT));
+    Node relayNode = root.child("relays");
+    relayAddress = address(relayNode);
+    maxRelays = relayNode.count("most");
+    maxUnsentBytes = relayNode.bytes("unsent");
+    newsInterval = relayNode.span("tell-every");
+    Node hookNode = root.child("hooks");
+    webhookAddress = address(hookNode);
+    maxWebhookBodyBytes = (int) Math.min(hookNode.bytes("body"), MAX_WEBHOOK_BODY_BYTES);
+    signatureTimeTolerance = hookNode.span("window");
+    maxConcurrentWebhooks = hookNode.count("at-once");
+    webhookReadTimeout = hookNode.span("read-within");
+    webhookSources = webhookSources(hookNode);
+    Node apiNode = root.child("api");
+    apiAddress = address(apiNode);
+    apiToken = SecretFile.read(apiNode, "token").strip();
+    if (apiToken.length() < MIN_TOKEN_LENGTH) {
+      throw apiNode.wrong("token: " + apiNode.text("token") + " holds fewer than 16 characters");
+    }
+    outboxTargets = outboxTargets(root);
+    leaseDuration = root.span("lease");
+    if (MIN_LEASE.over(leaseDuration)) {
+      throw root.wrong("lease is 500ms at least");
+    }
+    leaseConfig = LeaseConfig.of(root.child("leases"), LEASE_CANDIDATE);
+    Node racks = root.child("racks");
+    capacityCheck = racks == null ? null : RackConfig.capacityCheck(racks);
+    maintenanceRules = racks == null ? null : RackConfig.maintenanceRules(racks);
+    Node agentsNode = root.child("agents");
+    agentAddress = agentsNode == null ? null : address(agentsNode);
+    maxAgents = agentsNode == null ? 1 : agentsNode.count("most");
+    maxPiecesPerSecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
+    maxArtifactBytes = agentsNode == null ? 0 : agentsNode.bytes("most-bytes");
+    incomingFolder = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
+    deploymentPlan = deploymentPlan(agentsNode);
+    rolloutRules = rolloutRules(root);
+  }
+
+  private static Map<String, WebhookSource> webhookSources(Node hookNode) throws ConfigException {
+    Map<String, WebhookSource> sources = new TreeMap<>();
+    for (Node node : hookNode.all("source")) {
+      Signatures.SignatureScheme scheme =
+          Signatures.SignatureScheme.valueOf(node.text("form").toUpperCase(Locale.ROOT));
       List<byte[]> secrets;
       try {
-        secrets = Signatures.secrets(secret(node, "secrets"), form);
+        secrets = Signatures.parseSecrets(SecretFile.read(node, "secrets"), scheme);
       } catch (IllegalArgumentException e) {
-        throw node.invalid("secrets: a line of " + node.text("secrets") + " is no base64");
+        throw node.wrong("secrets: a line of " + node.text("secrets") + " is no base64");
       }
       if (secrets.isEmpty()) {
-        throw node.invalid("secrets: " + node.text("secrets") + " holds none");
+        throw node.wrong("secrets: " + node.text("secrets") + " holds none");
       }
-      if (found.put(
+      if (sources.put(
               node.text("name"),
-              new Source(node.text("name"), form, secrets, node.count("a-second")))
+              new WebhookSource(node.text("name"), scheme, secrets, node.count("a-second")))
           != null) {
-        throw node.invalid("named twice");
+        throw node.wrong("named twice");
       }
     }
-    sources = found;
-    XmlElement apiNode = root.child("api");
-    api = address(apiNode);
-    token = secret(apiNode, "token").strip();
-    if (token.length() < 16) {
-      throw apiNode.invalid("token: " + apiNode.text("token") + " holds fewer than 16 characters");
-    }
+    return sources;
+  }
+
+  private static List<WebhookOutbox.Target> outboxTargets(Node root) throws ConfigException {
     List<WebhookOutbox.Target> targets = new ArrayList<>();
-    for (XmlElement node : root.children("tell")) {
+    for (Node node : root.all("tell")) {
       URI url;
       try {
         url = URI.create(node.text("url"));
       } catch (IllegalArgumentException e) {
-        throw node.invalid("url is none: " + e.getMessage());
+        throw node.wrong("url is none: " + e.getMessage());
       }
       if (!"http".equals(url.getScheme()) && !"https".equals(url.getScheme())) {
-        throw node.invalid("url begins with http:// or https://");
+        throw node.wrong("url begins with http:// or https://");
       }
       try {
         targets.add(
             new WebhookOutbox.Target(
                 node.text("name"),
                 url,
-                Signatures.secrets(secret(node, "secret"), Signatures.Form.STANDARD).get(0),
+                Signatures.parseSecrets(
+                        SecretFile.read(node, "secret"), Signatures.SignatureScheme.STANDARD)
+                    .get(0),
                 Duration.ofMillis((long) node.span("give-up").ms())));
       } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-        throw node.invalid("secret: " + node.text("secret") + " holds no base64");
+        throw node.wrong("secret: " + node.text("secret") + " holds no base64");
       }
     }
-    tells = List.copyOf(targets);
-    lease = root.span("lease");
-    if (TimeSpan.ofMs(500).over(lease)) {
-      throw root.invalid("lease is 500ms at least");
-    }
-    leases = LeaseConfig.of(root.child("leases"), CANDIDATE);
-    XmlElement racks = root.child("racks");
-    room = racks == null ? null : room(racks);
-    freezes = racks == null ? null : freezes(racks);
-    XmlElement agentsNode = root.child("agents");
-    agents = agentsNode == null ? null : address(agentsNode);
-    mostAgents = agentsNode == null ? 1 : agentsNode.count("most");
-    piecesASecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
-    mostBytes = agentsNode == null ? 0 : agentsNode.bytes("most-bytes");
-    incoming = agentsNode == null ? null : Path.of(agentsNode.text("incoming"));
-    plan = plan(agentsNode);
+    return List.copyOf(targets);
+  }
+
+  private static RolloutRules rolloutRules(Node root) throws ConfigException {
     List<RolloutRules.Stage> stages =
-        root.children("stage").stream()
+        root.all("stage").stream()
             .map(stage -> new RolloutRules.Stage(stage.number("share"), stage.number("cap")))
             .toList();
-    XmlElement votes = root.child("votes");
-    rules =
-        new RolloutRules(
-            stages,
-            RolloutRules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)),
-            votes.count("on"),
-            votes.count("hold"),
-            votes.count("back"),
-            votes.span("life"),
-            votes.span("least"),
-            votes.span("step"),
-            votes.span("start-within"),
-            votes.span("going-back"),
-            votes.span("watch"),
-            votes.count("a-second"));
+    Node votes = root.child("votes");
+    return new RolloutRules(
+        stages,
+        RolloutRules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)),
+        votes.count("on"),
+        votes.count("hold"),
+        votes.count("back"),
+        votes.span("life"),
+        votes.span("least"),
+        votes.span("step"),
+        votes.span("start-within"),
+        votes.span("going-back"),
+        votes.span("watch"),
+        votes.count("a-second"));
   }
 
-  /** Without agents there is a plan too, which nobody goes by. */
-  private static DeploymentPlan plan(XmlElement node) throws ConfigException {
+  /** Without agents the engine needs a plan too, which is never used. */
+  private static DeploymentPlan deploymentPlan(Node node) throws ConfigException {
     if (node == null) {
       return new DeploymentPlan(
           List.of(new DeploymentPlan.Stage(1, 0.1)),
@@ -209,7 +266,7 @@
           TimeSpan.ofMs(1));
     }
     List<DeploymentPlan.Stage> stages = new ArrayList<>();
-    for (XmlElement stage : node.children("change-stage")) {
+    for (Node stage : node.all("change-stage")) {
       stages.add(new DeploymentPlan.Stage(stage.number("share"), stage.number("harm")));
     }
     try {
@@ -222,98 +279,15 @@
           node.number("refused"),
           node.span("silent"));
     } catch (IllegalArgumentException e) {
-      throw node.invalid(e.getMessage());
+      throw node.wrong(e.getMessage());
     }
   }
 
-  private static CapacityCheck room(XmlElement node) throws ConfigException {
-    Map<String, Rack> racks = new TreeMap<>();
-    Set<Integer> places = new java.util.HashSet<>();
-    for (XmlElement one : node.children("rack")) {
-      Map<Integer, Double> endpoints = new TreeMap<>();
-      for (XmlElement some : one.children("units")) {
-        if (endpoints.put(some.count("kind"), (double) some.count("count")) != null) {
-          throw some.invalid("kind " + some.text("kind") + " is named twice");
-        }
-      }
-      Rack rack =
-          new Rack(
-              one.text("name"),
-              one.count("zone"),
-              one.count("cell"),
-              endpoints,
-              (long) (one.has("notice") ? one : node).span("notice").ms());
-      if (racks.put(rack.name(), rack) != null) {
-        throw one.invalid("two racks have one name");
-      }
-      if (rack.noticeMs() <= 0) {
-        throw one.invalid("notice is over 0");
-      }
-      if (rack.zone() > 32_767) {
-        throw one.invalid("a zone is 0 to 32767");
-      }
-      if (!places.add(rack.zone() << 16 | rack.cell())) {
-        throw one.invalid("two racks have one zone and cell");
-      }
-      if (racks.size() > MOST_RACKS) {
-        throw one.invalid("more than " + MOST_RACKS + " racks");
-      }
-    }
-    Map<Integer, CapacityCheck.Forecast> forecasts = new TreeMap<>();
-    for (XmlElement one : node.children("forecast")) {
-      String[] words = one.text("by-hour").trim().split("\\s+");
-      if (words.length != 24) {
-        throw one.invalid(
-            "by-hour has a number for each of the 24 hours of the day in UTC, not " + words.length);
-      }
-      double[] byHour = new double[24];
-      for (int i = 0; i < 24; i++) {
-        byHour[i] = Double.parseDouble(words[i]);
-      }
-      if (forecasts.put(
-              one.count("zone"),
-              new CapacityCheck.Forecast(one.count("kind"), one.count("method"), byHour))
-          != null) {
-        throw one.invalid("a zone has two forecasts");
-      }
-    }
-    return new CapacityCheck(racks.values(), forecasts, node.number("reserve"));
-  }
-
-  private static MaintenanceWindows.Rules freezes(XmlElement node) throws ConfigException {
-    try {
-      return new MaintenanceWindows.Rules(
-          (long) node.span("warm").ms(), (long) node.span("step").ms(), node.number("confidence"));
-    } catch (IllegalArgumentException e) {
-      throw node.invalid(e.getMessage());
-    }
-  }
-
-  private static InetSocketAddress address(XmlElement node) throws ConfigException {
+  private static InetSocketAddress address(Node node) throws ConfigException {
     InetSocketAddress address = Address.of(node.text("host"), node.count("port"));
     if (address == null) {
-      throw node.invalid(
-          "host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+      throw node.wrong("host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
     }
     return address;
   }
-
-  /** A secret that others may read is none. */
-  private static String secret(XmlElement node, String key) throws ConfigException {
-    Path file = Path.of(node.text(key));
-    try {
-      Set<PosixFilePermission> open = Files.getPosixFilePermissions(file);
-      open.removeAll(
-          Set.of(
-              PosixFilePermission.OWNER_READ,
-              PosixFilePermission.OWNER_WRITE,
-              PosixFilePermission.OWNER_EXECUTE));
-      if (!open.isEmpty()) {
-        throw node.invalid(key + ": " + file + " is open to others than its owner; chmod 600 it");
-      }
-      return Files.readString(file);
-    } catch (IOException e) {
-      throw node.invalid(key + ": " + file + " can't be read: " + e.getClass().getSimpleName());
-    }
-  }
 }
--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -10,50 +10,54 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Agents that are not linked, those first that were heard longest ago: who has been away for too
- * long is found at the front, whatever the number of agents. As large as the number of agents that
- * were ever linked, each of which is known to the changes.
+ * Agents without a connection, ordered by when they were last heard, so that those overdue are
+ * found at the front, whatever the number of agents. Bounded by the number of agents that were ever
+ * connected, each of which is known to the engine. On the loop only.
  */
 final class DisconnectedAgents {
-  private record One(int relay, Timestamp heard) {}
+  private record Absence(int relay, Timestamp lastHeard) {}
 
-  private final Map<Integer, One> known = new HashMap<>();
-  private final TreeSet<One> line =
+  private final Map<Integer, Absence> byRelay = new HashMap<>();
+  private final TreeSet<Absence> byLastHeard =
       new TreeSet<>(
-          Comparator.<One>comparingDouble(one -> one.heard.ms()).thenComparingInt(One::relay));
-  private long looked;
+          Comparator.<Absence>comparingDouble(absence -> absence.lastHeard.ms())
+              .thenComparingInt(Absence::relay));
+  private long entriesExamined;
 
-  /** Its link is gone; {@code heard}: when it said something last. */
-  void left(int relay, Timestamp heard) {
-    back(relay);
-    One one = new One(relay, heard);
-    known.put(relay, one);
-    line.add(one);
+  /** An agent's connection is gone; {@code lastHeard}: when its last message came. */
+  void disconnected(int relay, Timestamp lastHeard) {
+    remove(relay);
+    Absence absence = new Absence(relay, lastHeard);
+    byRelay.put(relay, absence);
+    byLastHeard.add(absence);
   }
 
-  /** It is linked, or its absence is noted and needs no more looks. */
-  void back(int relay) {
-    One before = known.remove(relay);
+  /** An agent is connected again, or its absence is recorded. */
+  void remove(int relay) {
+    Absence before = byRelay.remove(relay);
     if (before != null) {
-      line.remove(before);
+      byLastHeard.remove(before);
     }
   }
 
-  /** Who was not heard for longer; they stay until {@link #back}. */
-  List<Integer> longer(TimeSpan than, Timestamp now) {
-    List<Integer> found = new ArrayList<>();
-    for (One one : line) {
-      looked++;
-      if (!now.since(one.heard).over(than)) {
+  /**
+   * Relays whose agents were not heard for longer than a time, the longest first; they stay until
+   * {@link #remove}.
+   */
+  List<Integer> unheardLongerThan(TimeSpan timeout, Timestamp now) {
+    List<Integer> overdue = new ArrayList<>();
+    for (Absence absence : byLastHeard) {
+      entriesExamined++;
+      if (!now.since(absence.lastHeard).over(timeout)) {
         break;
       }
-      found.add(one.relay);
+      overdue.add(absence.relay);
     }
-    return found;
+    return overdue;
   }
 
-  /** Entries looked at so far: what tests of its growth count. */
-  long looked() {
-    return looked;
+  /** Entries examined so far, by which tests count the cost. */
+  long entriesExamined() {
+    return entriesExamined;
   }
 }
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -1,10 +1,12 @@
 package sprucerock.controller.server;
 
+import com.google.protobuf.InvalidProtocolBufferException;
 import com.google.protobuf.MessageLite;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import java.util.TreeSet;
 import sprucerock.controller.AppendResult;
 import sprucerock.controller.RolloutManager;
 import sprucerock.controller.v1.Cast;
@@ -14,10 +16,10 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.FrameKind;
-import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.PromiseAsk;
@@ -30,56 +32,50 @@
 import sprucerock.transport.wire.v1.Worth;
 
 /**
- * The relays' links: each is told the news as it stands when it comes, at each change and now and
- * then; of a relay that does not read nothing is kept but that it is behind, and the newest state
- * is told once it reads. Votes are recorded before they are answered.
+ * The relays' listener. Each relay gets the rollout's status when it connects, at each change and
+ * periodically; for one that does not read nothing is queued, and it gets the newest status once it
+ * reads. Votes are recorded before they are answered. On the loop only.
  */
 final class RelayListener {
   private static final byte[] NO_BODY = {};
+  private static final int MAX_FRAME_BYTES = 64 * 1024;
+  private static final TimeSpan KEEPALIVE = TimeSpan.ofMs(2000);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(100);
+  private static final int US_PER_MS = 1000;
 
   private final Net net;
   private final ControllerConfig config;
-  private final FrameLimits limits;
-  private final FrameTap tap;
-  private final ControllerServer desk;
+  private final Limits limits;
+  private final Tap tap;
+  private final ControllerServer controller;
   private final Set<Session> sessions = new LinkedHashSet<>();
-  private final RackList racks;
+  private final RackList rackList;
   private Net.Listener listener;
 
-  RelayListener(Net net, ControllerConfig config, FrameTap tap, ControllerServer desk) {
+  RelayListener(Net net, ControllerConfig config, Tap tap, ControllerServer controller) {
     this.net = net;
     this.config = config;
     this.tap = tap;
-    this.desk = desk;
-    racks = new RackList(desk.engine().maintenanceWindows().capacity().racks());
-    limits = new FrameLimits(64 * 1024, Math.max(config.unsent, 64 * 1024), TimeSpan.ofMs(2000));
+    this.controller = controller;
+    rackList = new RackList(controller.engine().maintenanceWindows().room().racks());
+    limits =
+        new Limits(MAX_FRAME_BYTES, Math.max(config.maxUnsentBytes, MAX_FRAME_BYTES), KEEPALIVE);
   }
 
+  /**
+   * Opens the listener.
+   *
+   * @throws IOException if the address can't be had
+   */
   InetSocketAddress start() throws IOException {
     listener =
         net.listen(
-            config.relays,
-            config.mostRelays,
-            limits.maxUnsentBytes(),
-            () -> {
-              Session session = new Session();
-              session.connection =
-                  new FrameConnection(
-                      net,
-                      Hello.newBuilder()
-                          .setVersion(FrameConnection.VERSION)
-                          .setRole(Role.DESK)
-                          .setName(config.name)
-                          .build(),
-                      limits,
-                      tap,
-                      session);
-              return session.connection;
-            });
-    push();
+            config.relayAddress, config.maxRelays, limits.unsent(), () -> new Session().connection);
+    sendPeriodically();
     return listener.address();
   }
 
+  /** Closes the listener, and all connections once what is unsent is sent. */
   void stop() {
     listener.close();
     for (Session session : Set.copyOf(sessions)) {
@@ -87,181 +83,190 @@
     }
   }
 
-  /** Relays that are linked, by their numbers. */
-  Set<Integer> relays() {
-    Set<Integer> found = new java.util.TreeSet<>();
+  /** Numbers of the relays that are connected. */
+  Set<Integer> connectedRelays() {
+    Set<Integer> found = new TreeSet<>();
     for (Session session : sessions) {
-      found.add(session.connection.remoteHello().getNumber());
+      found.add(session.connection.other().getNumber());
     }
     return found;
   }
 
-  private void push() {
-    tellAll();
-    net.at(net.now().plus(config.tellEvery), this::push);
+  private void sendPeriodically() {
+    sendNewsToAll();
+    net.at(net.now().plus(config.newsInterval), this::sendPeriodically);
   }
 
-  void tellAll() {
+  /** Sends the rollout's status to all relays. */
+  void sendNewsToAll() {
     for (Session session : sessions) {
-      session.tell();
+      session.sendNews();
     }
   }
 
   /**
-   * A freeze was accepted, called off or has begun: whoever asks now is told so. Each asks a moment
-   * later, by chance of its own.
+   * A maintenance window was accepted, called off or has begun: an empty answer makes each relay
+   * ask anew, after a random delay of its own.
    */
-  void promisesChanged() {
+  void notifyGrantsChanged() {
     for (Session session : sessions) {
-      session.connection.send(FrameKind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
+      session.connection.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
     }
   }
 
   private News news() {
-    RolloutManager.RolloutStatus news = desk.engine().rollouts().currentStatus();
-    Stand stand =
-        switch (news.state()) {
-          case ON_TRIAL -> Stand.ON_TRIAL;
-          case GOING_BACK -> Stand.GOING_BACK;
-          case RELEASED -> Stand.RELEASED;
-          default -> Stand.WITHDRAWN;
-        };
+    RolloutManager rollouts = controller.engine().rollouts();
+    RolloutManager.RolloutStatus status = rollouts.currentStatus();
+    double lastedMs = controller.engine().now().since(status.since()).ms();
     return News.newBuilder()
-        .setBuild(news.build())
-        .setStage(news.stage())
-        .setStanding(stand)
-        .setCap(news.exposureCap())
-        .setLastedUs(Math.max(0, (long) (desk.engine().now().since(news.since()).ms() * 1000)))
-        .setEpoch(desk.engine().rollouts().epoch())
-        .setSequence(desk.engine().rollouts().sequence())
+        .setBuild(status.build())
+        .setStage(status.stage())
+        .setStanding(
+            switch (status.state()) {
+              case ON_TRIAL -> Stand.ON_TRIAL;
+              case GOING_BACK -> Stand.GOING_BACK;
+              case RELEASED -> Stand.RELEASED;
+              default -> Stand.WITHDRAWN;
+            })
+        .setCap(status.exposureCap())
+        .setLastedUs(Math.max(0, (long) (lastedMs * US_PER_MS)))
+        .setEpoch(rollouts.epoch())
+        .setSequence(rollouts.sequence())
         .build();
   }
 
   private final class Session implements FrameListener {
-    private FrameConnection connection;
-    private Timers.Timer behind;
+    private final FrameConnection connection =
+        new FrameConnection(
+            net,
+            Hello.newBuilder()
+                .setVersion(FrameConnection.VERSION)
+                .setRole(Role.DESK)
+                .setName(config.name)
+                .build(),
+            limits,
+            tap,
+            this);
+    private Timers.Timer retryTimer;
 
     @Override
-    public void helloReceived(FrameConnection made, Hello other) {
+    public void greeted(FrameConnection made, Hello other) {
       if (other.getRole() != Role.RELAY) {
         made.cut("only relays are taken here");
         return;
       }
       sessions.add(this);
-      tell();
+      sendNews();
     }
 
-    void tell() {
-      if (behind != null) {
+    /** Sends the status, or tries again later where the relay does not read. */
+    void sendNews() {
+      if (retryTimer != null) {
         return;
       }
-      if (connection.unsentBytes() > config.unsent / 2) {
-        // it does not read: the newest is told when it does
-        behind =
+      if (connection.unsent() > config.maxUnsentBytes / 2) {
+        retryTimer =
             net.at(
-                net.now().plus(TimeSpan.ofMs(100)),
+                net.now().plus(RETRY_INTERVAL),
                 () -> {
-                  behind = null;
+                  retryTimer = null;
                   if (sessions.contains(this)) {
-                    tell();
+                    sendNews();
                   }
                 });
         return;
       }
-      connection.send(FrameKind.NEWS, news(), NO_BODY);
+      connection.send(Kind.NEWS, news(), NO_BODY);
     }
 
     @Override
-    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
-      if (kind == FrameKind.PROMISE_ASK) {
-        promise((PromiseAsk) head);
-        return;
+    public void frame(Kind kind, MessageLite head, byte[] body) {
+      switch (kind) {
+        case VOTE -> recordVote((Vote) head);
+        case PROMISE_ASK -> answerGrantRequest((PromiseAsk) head);
+        case WORTH -> recordHardwareValue((Worth) head);
+        default -> connection.cut("a controller takes no " + kind);
       }
-      if (kind == FrameKind.WORTH) {
-        worth((Worth) head);
-        return;
-      }
-      if (kind != FrameKind.VOTE) {
-        connection.cut("a controller takes no " + kind);
-        return;
-      }
-      Vote vote = (Vote) head;
-      RolloutManager.Vote say =
-          switch (vote.getSay()) {
+    }
+
+    private void recordVote(Vote message) {
+      RolloutManager.Vote vote =
+          switch (message.getSay()) {
             case NOTHING -> RolloutManager.Vote.NOTHING;
             case ON -> RolloutManager.Vote.ON;
             case HOLD -> RolloutManager.Vote.HOLD;
             case BACK -> RolloutManager.Vote.BACK;
             default -> null;
           };
-      if (say == null || connection.remoteHello().getNumber() < 0) {
-        answer(vote, Taken.FAILED_TO_TAKE);
+      if (vote == null || connection.other().getNumber() < 0) {
+        answerVote(message, Taken.FAILED_TO_TAKE);
         return;
       }
-      desk.submit(
+      controller.submit(
           Input.newBuilder()
               .setCast(
                   Cast.newBuilder()
-                      .setRelay(connection.remoteHello().getNumber())
-                      .setBuild(vote.getBuild())
-                      .setStage(vote.getStage())
-                      .setSay(say.name())),
-          outcome ->
-              answer(
-                  vote,
-                  outcome instanceof AppendResult.Accepted accepted
-                          && accepted.value() instanceof AppendResult.Voted voted
-                      ? switch (voted.result()) {
-                        case COUNTS -> Taken.COUNTS;
-                        case MOOT -> Taken.MOOT;
-                        case TOO_MANY -> Taken.TOO_MANY;
-                      }
-                      : Taken.FAILED_TO_TAKE));
+                      .setRelay(connection.other().getNumber())
+                      .setBuild(message.getBuild())
+                      .setStage(message.getStage())
+                      .setSay(vote.name())),
+          result -> answerVote(message, answerTo(result)));
+    }
+
+    private static Taken answerTo(AppendResult result) {
+      return result instanceof AppendResult.Accepted accepted
+              && accepted.value() instanceof AppendResult.Voted voted
+          ? switch (voted.result()) {
+            case COUNTS -> Taken.COUNTS;
+            case MOOT -> Taken.MOOT;
+            case TOO_MANY -> Taken.TOO_MANY;
+          }
+          : Taken.FAILED_TO_TAKE;
     }
 
     /**
-     * Field by field as it is recorded; one of a relay that was replaced is refused by its number,
-     * by the core.
+     * Records how much each hardware family is worth, field by field; the engine rejects what comes
+     * from a relay that was replaced, by its number.
      */
-    private void worth(Worth told) {
+    private void recordHardwareValue(Worth message) {
       try {
-        desk.submit(
-            Input.newBuilder().setWorth(FamiliesWorth.parseFrom(told.toByteArray())),
-            outcome -> {});
-      } catch (com.google.protobuf.InvalidProtocolBufferException e) {
+        controller.submit(
+            Input.newBuilder().setWorth(FamiliesWorth.parseFrom(message.toByteArray())),
+            result -> {});
+      } catch (InvalidProtocolBufferException e) {
         connection.cut("what hardware is worth can't be read");
       }
     }
 
     /**
-     * What a former holder of the seat would promise, nobody waits for to run out: so it is asked
-     * last, and says nothing.
+     * Nobody waits for the grants of a former leader to expire: so leadership is checked last, and
+     * without it there is no answer.
      */
-    private void promise(PromiseAsk ask) {
-      long now = desk.engine().maintenanceWindows().advanceClock(desk.engine().wallMs());
-      desk.promises().request(connection.remoteHello().getNumber(), ask.getHolds(), now);
+    private void answerGrantRequest(PromiseAsk request) {
+      long now = controller.engine().maintenanceWindows().later(controller.engine().wallMs());
+      controller.grants().asked(connection.other().getNumber(), request.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
-              .setId(ask.getId())
-              .setEpoch(desk.engine().rollouts().epoch())
-              .setSequence(desk.engine().maintenanceWindows().sequence());
-      racks.into(promised, ask.getList(), desk.promises().shortened(now));
-      desk.lookAtFreezes();
-      if (ask.getId() > 0 && desk.holdsSeat()) {
-        connection.send(FrameKind.PROMISED, promised.build(), NO_BODY);
+              .setId(request.getId())
+              .setEpoch(controller.engine().rollouts().epoch())
+              .setSequence(controller.engine().maintenanceWindows().sequence());
+      rackList.writeTo(promised, request.getList(), controller.grants().shorter(now));
+      controller.submitClearedWindows();
+      if (request.getId() > 0 && controller.isLeader()) {
+        connection.send(Kind.PROMISED, promised.build(), NO_BODY);
       }
     }
 
-    private void answer(Vote vote, Taken taken) {
+    private void answerVote(Vote message, Taken answer) {
       connection.send(
-          FrameKind.VOTED, Voted.newBuilder().setId(vote.getId()).setTaken(taken).build(), NO_BODY);
+          Kind.VOTED, Voted.newBuilder().setId(message.getId()).setTaken(answer).build(), NO_BODY);
     }
 
     @Override
     public void closed(String why) {
       sessions.remove(this);
-      if (behind != null) {
-        behind.cancel();
+      if (retryTimer != null) {
+        retryTimer.cancel();
       }
     }
   }
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -19,78 +19,90 @@
 import sprucerock.controller.Rollout;
 
 /**
- * Tells one listener of each step by a signed webhook, in their order, at least once each: the next
- * one goes out once the one before was taken, or was given up and written into a file of dead
- * letters. It has a thread and a bounded queue of its own and never holds the controller up.
+ * Sends each step to one target by a signed webhook, in order and at least once: the next one goes
+ * out once the one before was taken, or was given up and written to a file of dead letters. Has a
+ * thread and a bounded queue of its own and never delays the controller.
  */
 final class WebhookOutbox implements AutoCloseable {
-  /** Where to, signed with what; {@code giveUp}: how long one is tried. */
-  record Target(String name, URI url, byte[] secret, Duration giveUp) {}
+  /**
+   * Where steps are sent.
+   *
+   * @param secret by which they are signed
+   * @param retryTimeout how long one is retried before it is given up
+   */
+  record Target(String name, URI url, byte[] secret, Duration retryTimeout) {}
 
-  private record Letter(long sequence, String body) {}
+  private record Message(long sequence, String body) {}
 
-  private static final int MOST = 10_000;
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
-  private static final long FIRST_PAUSE_MS = 200;
-  private static final long MOST_PAUSE_MS = 60_000;
+  private static final int MAX_QUEUED = 10_000;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+  private static final long INITIAL_BACKOFF_MS = 200;
+  private static final long MAX_BACKOFF_MS = 60_000;
 
   private final Target target;
   private final Path deadLetters;
-  private final LongConsumer done;
-  private final Consumer<String> say;
+  private final LongConsumer onDelivered;
+  private final Consumer<String> onError;
   private final HttpClient http =
       HttpClient.newBuilder()
-          .connectTimeout(PATIENCE)
+          .connectTimeout(REQUEST_TIMEOUT)
           .followRedirects(HttpClient.Redirect.NEVER)
           .build();
-  private final ArrayDeque<Letter> queue = new ArrayDeque<>();
+  private final ArrayDeque<Message> queue = new ArrayDeque<>();
   private final Thread thread;
-  private volatile boolean over;
+  private volatile boolean closed;
 
-  /** {@code done} is told, on this one's thread, of each step that need not be told again. */
-  WebhookOutbox(Target target, Path deadLetters, LongConsumer done, Consumer<String> say) {
+  /**
+   * Begins with {@link #start}.
+   *
+   * @param onDelivered gets, on the outbox's thread, the sequence number of each step that need not
+   *     be sent again
+   * @param onError gets, for the log, each step that was given up
+   */
+  WebhookOutbox(
+      Target target, Path deadLetters, LongConsumer onDelivered, Consumer<String> onError) {
     this.target = target;
     this.deadLetters = deadLetters;
-    this.done = done;
-    this.say = say;
+    this.onDelivered = onDelivered;
+    this.onError = onError;
     thread = new Thread(this::run, "outbox-" + target.name);
     thread.setDaemon(true);
   }
 
+  /** Begins to send. */
   void start() {
     thread.start();
   }
 
   /**
-   * A step to be told. From any thread; where too many wait, the oldest one becomes a dead letter.
+   * Queues a step; from any thread. Where too many are queued, the oldest becomes a dead letter.
    */
-  void add(Rollout release, Rollout.Transition step) {
+  void add(Rollout rollout, Rollout.Transition step) {
     ObjectNode body =
-        Announcements.JSON
-            .createObjectNode()
+        Json.object()
             .put("type", "release.changed")
             .put("sequence", step.sequence())
-            .put("build", release.build)
-            .put("artifact", release.artifact)
+            .put("build", rollout.build)
+            .put("artifact", rollout.artifact)
             .put("standing", step.state().name().toLowerCase(Locale.ROOT))
             .put("stage", step.stage())
             .put("cause", step.cause())
             .put("at", Instant.ofEpochMilli(step.wallMs()).toString());
-    Letter lost = null;
+    Message dropped = null;
     synchronized (queue) {
-      if (queue.size() >= MOST) {
-        lost = queue.poll();
+      if (queue.size() >= MAX_QUEUED) {
+        dropped = queue.poll();
       }
-      queue.add(new Letter(step.sequence(), body.toString()));
+      queue.add(new Message(step.sequence(), body.toString()));
       queue.notifyAll();
     }
-    if (lost != null) {
-      bury(lost, "too many wait");
+    if (dropped != null) {
+      writeDeadLetter(dropped, "too many wait");
     }
   }
 
-  /** How many wait. */
-  int waiting() {
+  /** How many steps are queued. */
+  int size() {
     synchronized (queue) {
       return queue.size();
     }
@@ -98,8 +110,8 @@
 
   private void run() {
     try {
-      while (!over) {
-        Letter next;
+      while (!closed) {
+        Message next;
         synchronized (queue) {
           while (queue.isEmpty()) {
             queue.wait();
@@ -110,40 +122,40 @@
         synchronized (queue) {
           queue.remove(next);
         }
-        done.accept(next.sequence);
+        onDelivered.accept(next.sequence);
       }
     } catch (InterruptedException e) {
       // the controller ends: what waits is told after the next start
     }
   }
 
-  private void deliver(Letter letter) throws InterruptedException {
-    long until = System.nanoTime() + target.giveUp.toNanos();
-    long pause = FIRST_PAUSE_MS;
-    for (String why = send(letter); why != null; why = send(letter)) {
-      if (System.nanoTime() - until > 0) {
-        bury(letter, why);
+  private void deliver(Message message) throws InterruptedException {
+    long deadline = System.nanoTime() + target.retryTimeout.toNanos();
+    long backoffMs = INITIAL_BACKOFF_MS;
+    for (String reason = send(message); reason != null; reason = send(message)) {
+      if (System.nanoTime() - deadline > 0) {
+        writeDeadLetter(message, reason);
         return;
       }
-      Thread.sleep(pause);
-      pause = Math.min(MOST_PAUSE_MS, 2 * pause);
+      Thread.sleep(backoffMs);
+      backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
     }
   }
 
-  /** Null once it is taken; else why not. */
-  private String send(Letter letter) throws InterruptedException {
-    String id = "step-" + letter.sequence;
+  /** Sends a message once; null if it was taken, else why it was not. */
+  private String send(Message message) throws InterruptedException {
+    String id = "step-" + message.sequence;
     long now = System.currentTimeMillis() / 1000;
-    byte[] body = letter.body.getBytes(StandardCharsets.UTF_8);
+    byte[] body = message.body.getBytes(StandardCharsets.UTF_8);
     HttpRequest request =
         HttpRequest.newBuilder(target.url)
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .header("Content-Type", "application/json")
             .header("webhook-id", id)
             .header("webhook-timestamp", "" + now)
             .header(
                 "webhook-signature",
-                Signatures.sign(Signatures.Form.STANDARD, id, now, body, target.secret))
+                Signatures.sign(Signatures.SignatureScheme.STANDARD, id, now, body, target.secret))
             .POST(HttpRequest.BodyPublishers.ofByteArray(body))
             .build();
     try {
@@ -154,39 +166,23 @@
     }
   }
 
-  private void bury(Letter letter, String why) {
+  private void writeDeadLetter(Message message, String reason) {
+    String what =
+        "step " + message.sequence + " was not taken by " + target.name + " (" + reason + ")";
     try {
       Files.writeString(
-          deadLetters, letter.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-      say.accept(
-          "step "
-              + letter.sequence
-              + " was not taken by "
-              + target.name
-              + " ("
-              + why
-              + "); it is in "
-              + deadLetters);
+          deadLetters, message.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+      onError.accept(what + "; it is in " + deadLetters);
     } catch (IOException e) {
-      say.accept(
-          "step "
-              + letter.sequence
-              + " was not taken by "
-              + target.name
-              + " ("
-              + why
-              + "), nor by "
-              + deadLetters
-              + " ("
-              + e.getMessage()
-              + "): "
-              + letter.body);
+      onError.accept(
+          what + ", nor by " + deadLetters + " (" + e.getMessage() + "): " + message.body);
     }
   }
 
+  /** Ends the thread; what is queued is sent after the next start. */
   @Override
   public void close() {
-    over = true;
+    closed = true;
     thread.interrupt();
   }
 }
--- /dev/null
+++ b/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
@@ -0,0 +1,57 @@
+package sprucerock.controller.server;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.util.List;
+import org.testng.annotations.Test;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/** Which agents are overdue, and that finding them costs no more than their number. */
+public class DisconnectedAgentsTest {
+  private static final TimeSpan TIMEOUT = TimeSpan.ofMs(5000);
+
+  private static Timestamp at(double ms) {
+    return Timestamp.ofMs(ms);
+  }
+
+  @Test
+  public void longestUnheardAgentComesFirstUntilRemoved() {
+    DisconnectedAgents agents = new DisconnectedAgents();
+    agents.disconnected(1, at(2000));
+    agents.disconnected(2, at(1000)); // disconnected later, but heard last before the first
+    agents.disconnected(3, at(3000));
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(6000)), List.of());
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(7001)), List.of(2, 1));
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(7002)), List.of(2, 1)); // nobody removed them
+    agents.remove(2);
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(9000)), List.of(1, 3));
+    agents.disconnected(1, at(9000)); // was connected again
+    assertEquals(agents.unheardLongerThan(TIMEOUT, at(9001)), List.of(3));
+    agents.remove(7);
+  }
+
+  @Test
+  public void queryExaminesOnlyOverdueAgents() {
+    for (int count : new int[] {100, 400, 1600}) {
+      DisconnectedAgents agents = new DisconnectedAgents();
+      for (int i = 0; i < count; i++) {
+        agents.disconnected(i, at(i < 3 ? 0 : 4000));
+      }
+      for (int i = 0; i < count; i++) {
+        if (i % 2 == 1 && i > 3) {
+          agents.remove(i);
+        }
+      }
+      long before = agents.entriesExamined();
+      assertEquals(agents.unheardLongerThan(TIMEOUT, at(5500)).size(), 3);
+      System.out.println(
+          "counted: a look for silent agents, 3 of them: at "
+              + count
+              + " "
+              + (agents.entriesExamined() - before));
+      assertTrue(agents.entriesExamined() - before <= 4);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/sprucerock/controller/server/RelayListenerTest.java
@@ -0,0 +1,226 @@
+package sprucerock.controller.server;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.CompletableFuture;
+import org.testng.annotations.Test;
+import sprucerock.controller.AppendResult;
+import sprucerock.controller.v1.FreezeWanted;
+import sprucerock.controller.v1.Input;
+import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.v1.PromiseAsk;
+import sprucerock.transport.wire.v1.Promised;
+import sprucerock.transport.wire.v1.RackFree;
+import sprucerock.transport.wire.v1.Role;
+
+/**
+ * Placement grants that relays of older and newer programs get, and their bytes against the number
+ * of racks; no assertion depends on speed.
+ */
+public class RelayListenerTest extends ControllerTestSupport {
+  private static final long MINUTE_MS = 60_000;
+  private long lastRequestId;
+
+  /** Starts with so many racks, of which the first has a notice of a day. */
+  private void start(int racks) throws Exception {
+    StringBuilder all = new StringBuilder();
+    for (int i = 0; i < racks; i++) {
+      all.append(
+          "<rack name=\"r%d\" zone=\"%d\" cell=\"%d\"%s><units kind=\"1\" count=\"40\"/></rack>"
+              .formatted(i, 1 + i % 3, i / 3, i == 0 ? " notice=\"1440min\"" : ""));
+    }
+    Path file = folder.resolve("controller.xml");
+    Files.writeString(
+        file,
+        """
+<controller xmlns="urn:sprucerock:controller:1" name="desk" lease="30s" folder="%s" first-build="1" places="10">
+  <relays host="127.0.0.1" port="0" tell-every="10min"/>
+  <hooks host="127.0.0.1" port="0" body="4KiB" read-within="1s">
+    <source name="ci" form="standard" secrets="%s" a-second="10"/>
+  </hooks>
+  <api host="127.0.0.1" port="0" token="%s"/>
+  <racks notice="10min">%s</racks>
+  <stage share="0.1" cap="0.12"/>
+  <stage share="1" cap="1"/>
+  <votes control="single" life="60s" least="1ms" going-back="1ms"/>
+</controller>
+"""
+            .formatted(
+                folder.resolve("store"),
+                writeSecret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
+                writeSecret("token", "0123456789abcdef0123"),
+                all));
+    start(file);
+  }
+
+  private Person connectRelay(int number) {
+    return connect(Role.RELAY, number, controller.relayAddress());
+  }
+
+  private Promised requestGrants(Person relay, long list) throws Exception {
+    waitUntil("it is connected", () -> getOnLoop(relay.connection::usable));
+    long id = ++lastRequestId;
+    loop.post(
+        () ->
+            relay.send(Kind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
+    waitUntil(
+        "ask " + id + " is answered",
+        () ->
+            getOnLoop(
+                () ->
+                    relay.<Promised>all(Kind.PROMISED).stream()
+                        .anyMatch(one -> one.getId() == id)));
+    return getOnLoop(
+        () ->
+            relay.<Promised>all(Kind.PROMISED).stream()
+                .filter(one -> one.getId() == id)
+                .findFirst()
+                .get());
+  }
+
+  private void announceWindows(String rack, long fromNow, int times) throws Exception {
+    CompletableFuture<Object> done = new CompletableFuture<>();
+    controller.runOnLoop(
+        () -> {
+          for (int i = 0; i < times; i++) {
+            controller.submit(
+                Input.newBuilder()
+                    .setFreeze(
+                        FreezeWanted.newBuilder()
+                            .addRacks(rack)
+                            .setFromMs(System.currentTimeMillis() + fromNow + i * MINUTE_MS)
+                            .setLastsMs(MINUTE_MS)
+                            .setZone("UTC")
+                            .setWho("ann")
+                            .setReason("new switch")),
+                outcome -> done.complete(((AppendResult.Accepted) outcome).value()));
+          }
+        });
+    assertTrue(done.get() instanceof AppendResult.WindowsOpened, "" + done.get());
+  }
+
+  /** All racks, and no field that an older program does not know. */
+  @Test
+  public void relayWithoutListSupportGetsAllRacksEachTime() throws Exception {
+    start(5);
+    Person relay = connectRelay(0);
+    for (int i = 0; i < 2; i++) {
+      Promised all = requestGrants(relay, 0);
+      assertEquals(all.getRacksCount(), 5);
+      assertTrue(
+          all.getList() == 0
+              && !all.getRest()
+              && all.getRacksList().stream().allMatch(one -> one.getNoticeMs() == 0));
+    }
+  }
+
+  @Test
+  public void relayWithListGetsOnlyRacksBelowTheirNotice() throws Exception {
+    start(5);
+    Person relay = connectRelay(0);
+    Promised all = requestGrants(relay, 1);
+    assertTrue(!all.getRest() && all.getList() != 0);
+    assertEquals(
+        all.getRacksList().stream().map(RackFree::getNoticeMs).sorted().toList(),
+        List.of(
+            10 * MINUTE_MS, 10 * MINUTE_MS, 10 * MINUTE_MS, 10 * MINUTE_MS, 24 * 60 * MINUTE_MS));
+    assertEquals(requestGrants(relay, all.getList()).getRacksCount(), 0);
+    announceWindows("r0", 20 * 60 * MINUTE_MS, 1); // within its own notice
+    announceWindows("r1", 20 * 60 * MINUTE_MS, 1); // long before its notice
+    announceWindows("r4", 5 * MINUTE_MS, 1);
+    Promised some = requestGrants(relay, all.getList());
+    assertTrue(
+        some.getRest()
+            && some.getList() == all.getList()
+            && some.getSequence() > all.getSequence());
+    List<String> named = new ArrayList<>();
+    for (RackFree one : some.getRacksList()) {
+      named.add(
+          one.getZone()
+              + "/"
+              + one.getCell()
+              + (one.getLeftMs() <= 5 * MINUTE_MS
+                  ? " within 5 min"
+                  : one.getLeftMs() <= 20 * 60 * MINUTE_MS ? " within 20 h" : ""));
+    }
+    assertEquals(named, List.of("1/0 within 20 h", "2/1 within 5 min"));
+    // a relay with a list that this controller never sent gets all racks, with the same grants
+    Promised again = requestGrants(connectRelay(1), all.getList() + 1);
+    assertTrue(!again.getRest() && again.getList() == all.getList());
+    assertEquals(
+        again.getRacksList().stream().filter(one -> one.getLeftMs() < one.getNoticeMs()).count(),
+        2);
+    Promised old = requestGrants(connectRelay(2), 0);
+    assertEquals(
+        old.getRacksList().stream().filter(one -> one.getLeftMs() <= 5 * MINUTE_MS).count(), 1);
+  }
+
+  /**
+   * The id is a hash of the racks: a controller that starts again, or its standby, goes on with it.
+   */
+  @Test
+  public void rackListIdSurvivesRestartAndChangesWithRacks() throws Exception {
+    start(5);
+    long list = requestGrants(connectRelay(0), 1).getList();
+    controller.close();
+    start(5);
+    assertTrue(requestGrants(connectRelay(0), list).getRest());
+    controller.close();
+    start(6);
+    Promised other = requestGrants(connectRelay(0), list);
+    assertTrue(!other.getRest() && other.getList() != list && other.getRacksCount() == 6);
+  }
+
+  @Test
+  public void answerSizeIsIndependentOfRackCount() throws Exception {
+    int[] sizes = {50, 3000}; // the second is a fleet of 120,000 units
+    int[] bytes = new int[2];
+    for (int i = 0; i < 2; i++) {
+      start(sizes[i]);
+      Person relay = connectRelay(0);
+      Promised whole = requestGrants(relay, 1);
+      announceWindows("r4", MINUTE_MS, 1);
+      bytes[i] = requestGrants(relay, whole.getList()).getSerializedSize();
+      System.out.printf(
+          Locale.ROOT,
+          "counted: bytes of an answer about racks, one of them frozen soon: at %d %d; told whole"
+              + " %d; to an older relay %d%n",
+          sizes[i],
+          bytes[i],
+          whole.getSerializedSize(),
+          requestGrants(relay, 0).getSerializedSize());
+      if (i > 0) {
+        continue;
+      }
+      controller.close();
+      folder = Files.createTempDirectory("promises");
+    }
+    assertTrue(
+        bytes[1] <= bytes[0] + 8, bytes[1] + " after " + bytes[0]); // but for what a number takes
+  }
+
+  /** Each relay is notified once that something has changed, however many windows moved. */
+  @Test
+  public void windowsOfOneCommitAreNotifiedOnce() throws Exception {
+    start(5);
+    Person relay = connectRelay(0);
+    requestGrants(relay, 0);
+    announceWindows("r1", 30 * MINUTE_MS, 20);
+    requestGrants(relay, 0);
+    long notifications =
+        getOnLoop(
+            () ->
+                relay.<Promised>all(Kind.PROMISED).stream()
+                    .filter(one -> one.getId() == 0)
+                    .count());
+    System.out.println("counted: nudges for 20 freezes of one turn: " + notifications);
+    assertEquals(notifications, 1);
+  }
+}
