--- a/src/main/java/sprucerock/agent/ControllerClient.java
+++ b/src/main/java/sprucerock/agent/ControllerClient.java
@@ -18,11 +18,11 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.nio.NioLoop;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Failure;
 import sprucerock.transport.wire.v1.Fetch;
@@ -40,7 +40,7 @@
  * next one that connects.
  */
 public final class ControllerClient {
-  private static final Limits LIMITS = new Limits(1 << 20, 4 << 20, TimeSpan.ofMs(1000));
+  private static final FrameLimits LIMITS = new FrameLimits(1 << 20, 4 << 20, TimeSpan.ofMs(1000));
   private static final TimeSpan STOP_POLL_INTERVAL = TimeSpan.ofMs(20);
   private static final byte[] NO_BODY = {};
 
@@ -50,7 +50,7 @@
   private final int number;
   private final int zone;
   private final String name;
-  private final Tap tap;
+  private final FrameTap tap;
   private final ArtifactStore artifacts;
   private final RelaySupervisor supervisor;
   private final Agent agent;
@@ -81,7 +81,7 @@
         config.zone,
         loop,
         artifacts,
-        Tap.NONE,
+        FrameTap.NONE,
         (onStateChange, onFailedRun, listener) ->
             new LocalRelaySupervisor(
                 config, loop, artifacts, onStateChange, onFailedRun, listener));
@@ -98,7 +98,7 @@
       int zone,
       Net loop,
       ArtifactStore artifacts,
-      Tap tap,
+      FrameTap tap,
       RelaySupervisor.Factory supervisors) {
     this.config = config;
     this.name = name;
@@ -160,7 +160,7 @@
         supervisor.log("what it is to begin with can't be read: " + e.getMessage());
       }
     }
-    connections.forEach(ReconnectingConnection::dial);
+    connections.forEach(ReconnectingConnection::connect);
     // drawn from the number, so that agents that were started together do not report together
     loop.at(loop.now().plus(config.reportInterval.times(random.next())), this::reportRegularly);
   }
@@ -198,7 +198,7 @@
   private void sendReport() {
     // read also where nobody listens: it ends a relay that is over its limits
     RelaySums sums = supervisor.readSums();
-    if (connections.stream().noneMatch(ReconnectingConnection::usable)) {
+    if (connections.stream().noneMatch(ReconnectingConnection::isReady)) {
       return;
     }
     AgentSays.Builder report =
@@ -216,12 +216,12 @@
     if (sums != null) {
       report.setSums(sums);
     }
-    sendToControllers(Kind.AGENT, report.build());
+    sendToControllers(FrameKind.AGENT, report.build());
   }
 
-  private void sendToControllers(Kind kind, MessageLite head) {
+  private void sendToControllers(FrameKind kind, MessageLite head) {
     for (ReconnectingConnection connection : connections) {
-      if (connection.usable()) {
+      if (connection.isReady()) {
         connection.send(kind, head, NO_BODY);
       }
     }
@@ -230,7 +230,7 @@
   private final class DownloadCallbacks implements VersionDownloader.Callbacks {
     @Override
     public void request(Fetch fetch) {
-      sendToControllers(Kind.FETCH, fetch);
+      sendToControllers(FrameKind.FETCH, fetch);
     }
 
     @Override
@@ -308,7 +308,7 @@
     }
 
     @Override
-    public void greeted(FrameConnection greeted, Hello other) {
+    public void helloReceived(FrameConnection greeted, Hello other) {
       if (other.getRole() != Role.DESK) {
         greeted.cut("no controller");
         return;
@@ -323,10 +323,10 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
-      if (kind == Kind.PIECE) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
+      if (kind == FrameKind.PIECE) {
         downloader.chunkReceived((Piece) head, body);
-      } else if (kind == Kind.WANTS) {
+      } else if (kind == FrameKind.WANTS) {
         desiredStateReceived((Wants) head);
       } else {
         connection.cut("an agent takes no " + kind);
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -10,7 +10,7 @@
 import sprucerock.model.Settings;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.tls.Tls;
-import sprucerock.transport.wire.Limits;
+import sprucerock.transport.wire.FrameLimits;
 
 /**
  * The configuration of one relay, checked; the schema relay.xsd names the units and the defaults.
@@ -44,7 +44,7 @@
   public final int maxEndpoints;
 
   /** Limits of each connection that carries frames. */
-  public final Limits connectionLimits;
+  public final FrameLimits connectionLimits;
 
   /** Bytes that may wait for a peer; a message that would come on top is dropped. */
   public final long maxPeerUnsentBytes;
@@ -193,7 +193,7 @@
     }
   }
 
-  private static Limits connectionLimits(XmlElement limits) throws ConfigException {
+  private static FrameLimits connectionLimits(XmlElement limits) throws ConfigException {
     long frameBytes = limits.bytes("frame");
     if (frameBytes < MIN_FRAME_BYTES || frameBytes > MAX_FRAME_BYTES) {
       throw limits.invalid("frame may be 1KiB to 1024MiB, not " + limits.text("frame"));
@@ -202,7 +202,8 @@
     if (unsentBytes < frameBytes) {
       throw limits.invalid("unsent must hold one frame, " + limits.text("frame"));
     }
-    return new Limits((int) frameBytes, unsentBytes, limits.requireAtLeast("beat", MIN_INTERVAL));
+    return new FrameLimits(
+        (int) frameBytes, unsentBytes, limits.requireAtLeast("beat", MIN_INTERVAL));
   }
 
   private static double rackClockDrift(XmlElement racks) throws ConfigException {
@@ -223,7 +224,7 @@
 
   private Settings settings(XmlElement site, int number) throws ConfigException {
     Settings.Draft draft = SiteSettingsReader.read(site, number);
-    draft.idle = idleTimeout;
+    draft.idleTimeout = idleTimeout;
     return new Settings(draft);
   }
 
--- a/src/main/java/sprucerock/config/SiteSettingsReader.java
+++ b/src/main/java/sprucerock/config/SiteSettingsReader.java
@@ -36,12 +36,12 @@
     }
     draft.zone = site.count("zone");
     if (site.has("over-share-worth")) {
-      draft.overShareWorth = site.number("over-share-worth");
+      draft.overQuotaWeight = site.number("over-share-worth");
     }
     draft.tick = site.span("tick");
     site.requireAtLeast("tick", MIN_TICK);
-    draft.ask = site.flag("ask");
-    draft.askWithin = site.span("ask-within");
+    draft.pollsEndpointList = site.flag("ask");
+    draft.pollWithin = site.span("ask-within");
     readRules(site.child("rules"), draft);
     readAllowed(site.child("allowed"), draft);
     readVotes(site.child("votes"), draft);
@@ -51,7 +51,7 @@
   }
 
   private static void readRules(XmlElement rules, Settings.Draft draft) throws ConfigException {
-    draft.cold = rules.span("cold");
+    draft.warmUp = rules.span("cold");
     draft.startShare = rules.number("start-capacity");
     draft.tipAfter = rules.span("tip-after");
     draft.tipMultiple = rules.number("tip-multiple");
@@ -70,16 +70,16 @@
 
   private static void readAllowed(XmlElement allowed, Settings.Draft draft) {
     draft.maxAttempts = allowed.count("picks");
-    draft.secondCopies = allowed.flag("second-copies");
-    draft.cancel = allowed.flag("cancel");
-    draft.peers = allowed.flag("peers");
+    draft.hedging = allowed.flag("second-copies");
+    draft.cancellation = allowed.flag("cancel");
+    draft.gossip = allowed.flag("peers");
     draft.retryAfter = allowed.flag("retry-after");
     draft.maxRetryAfter = allowed.span("most-retry-after");
   }
 
   private static void readVotes(XmlElement votes, Settings.Draft draft) {
     draft.control = Settings.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT));
-    draft.voteLife = votes.span("life");
+    draft.voteLifetime = votes.span("life");
     draft.callTimeout = votes.span("answer-within");
     if (votes.has("counts-every")) {
       draft.countsEvery = votes.span("counts-every");
@@ -95,8 +95,8 @@
   }
 
   private static Method method(XmlElement method, int index) throws ConfigException {
-    Method.Effect effect = effect(method);
-    boolean keyed = effect == Method.Effect.TOKENED;
+    Method.Idempotency effect = effect(method);
+    boolean keyed = effect == Method.Idempotency.KEYED;
     if (keyed != method.has("window") || (!keyed && method.has("group"))) {
       throw method.invalid("window is for tokened methods, which need it; group for them alone");
     }
@@ -118,22 +118,22 @@
         false);
   }
 
-  private static Method.Effect effect(XmlElement method) {
+  private static Method.Idempotency effect(XmlElement method) {
     return switch (method.text("effect")) {
-      case "idempotent" -> Method.Effect.IDEMPOTENT;
-      case "tokened" -> Method.Effect.TOKENED;
-      default -> Method.Effect.NON_IDEMPOTENT;
+      case "idempotent" -> Method.Idempotency.IDEMPOTENT;
+      case "tokened" -> Method.Idempotency.KEYED;
+      default -> Method.Idempotency.NONE;
     };
   }
 
-  private static Method.Group group(XmlElement method) {
+  private static Method.KeyScope group(XmlElement method) {
     if (!method.has("group")) {
-      return Method.Group.ALL;
+      return Method.KeyScope.ALL;
     }
     return switch (method.text("group")) {
-      case "zone" -> Method.Group.ZONE;
-      case "cell" -> Method.Group.CELL;
-      default -> Method.Group.ALL;
+      case "zone" -> Method.KeyScope.ZONE;
+      case "cell" -> Method.KeyScope.CELL;
+      default -> Method.KeyScope.ALL;
     };
   }
 }
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -69,7 +69,7 @@
   }
 
   private void write(String lease) throws IOException {
-    storage.put(LEASE_FILE, lease.getBytes(StandardCharsets.UTF_8));
+    storage.replaceAtomically(LEASE_FILE, lease.getBytes(StandardCharsets.UTF_8));
   }
 
   private static long term(String lease) {
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -22,10 +22,10 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Failure;
 import sprucerock.transport.wire.v1.Fetch;
@@ -53,8 +53,8 @@
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final Net net;
   private final ControllerConfig config;
-  private final Limits limits;
-  private final Tap tap;
+  private final FrameLimits limits;
+  private final FrameTap tap;
   private final ControllerServer controller;
   private final ArtifactSender artifactSender;
   private final DeploymentMonitor monitor;
@@ -65,7 +65,7 @@
   AgentListener(
       Net net,
       ControllerConfig config,
-      Tap tap,
+      FrameTap tap,
       ControllerServer controller,
       ArtifactStore artifacts) {
     this.net = net;
@@ -73,7 +73,7 @@
     this.tap = tap;
     this.controller = controller;
     artifactSender = new ArtifactSender(net, artifacts, config.maxPiecesPerSecond);
-    limits = new Limits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, KEEPALIVE);
+    limits = new FrameLimits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, KEEPALIVE);
     monitor = new DeploymentMonitor(deployments(), this);
     for (ManagedRelay relay : deployments().relays()) {
       // they have as long to connect as if they had just been heard
@@ -93,7 +93,10 @@
   InetSocketAddress start() throws IOException {
     listener =
         net.listen(
-            config.agentAddress, config.maxAgents, limits.unsent(), () -> new Session().connection);
+            config.agentAddress,
+            config.maxAgents,
+            limits.maxUnsentBytes(),
+            () -> new Session().connection);
     reportAbsentAgents();
     net.at(net.now().plus(WINDOW_LENGTH), this::closeWindow);
     artifactSender.start();
@@ -199,7 +202,7 @@
     private AgentSays lastStatus;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getRole() != Role.AGENT
           || other.getNumber() < 0
           || other.getNumber() > MAX_AGENT_NUMBER) {
@@ -219,15 +222,15 @@
       Wants wants =
           AgentMessages.desiredState(
               controller.engine().rollouts().epoch(), relay, deployments().pending());
-      connection.send(Kind.WANTS, wants, NO_BODY);
+      connection.send(FrameKind.WANTS, wants, NO_BODY);
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       lastHeard = net.now();
-      if (kind == Kind.AGENT) {
+      if (kind == FrameKind.AGENT) {
         statusReceived((AgentSays) head);
-      } else if (kind == Kind.FETCH) {
+      } else if (kind == FrameKind.FETCH) {
         artifactSender.add(connection, (Fetch) head);
       } else {
         connection.cut("a controller takes no " + kind + " of an agent");
--- a/src/main/java/sprucerock/controller/server/ArtifactSender.java
+++ b/src/main/java/sprucerock/controller/server/ArtifactSender.java
@@ -10,7 +10,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Fetch;
 import sprucerock.transport.wire.v1.Piece;
 
@@ -56,10 +56,10 @@
     int allowed = maxPerInterval;
     for (int i = pending.size(); i > 0 && allowed > 0; i--) {
       PendingFetch next = pending.pollFirst();
-      if (!next.connection.usable()) {
+      if (!next.connection.isReady()) {
         continue;
       }
-      if (next.connection.unsent() > PIECE_BYTES) {
+      if (next.connection.unsentBytes() > PIECE_BYTES) {
         pending.addLast(next); // it has not read the last one
         continue;
       }
@@ -76,11 +76,11 @@
     try {
       if (Version.isDigest(digest) && artifacts.has(digest)) {
         piece.setSize(artifacts.size(digest));
-        body = artifacts.piece(digest, next.fetch.getFrom(), PIECE_BYTES);
+        body = artifacts.readChunk(digest, next.fetch.getFrom(), PIECE_BYTES);
       }
     } catch (IOException e) {
       log.error("VERSIONS {} can't be read: {}", digest, e.getMessage());
     }
-    next.connection.send(Kind.PIECE, piece.setMissing(body.length == 0).build(), body);
+    next.connection.send(FrameKind.PIECE, piece.setMissing(body.length == 0).build(), body);
   }
 }
--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -12,7 +12,7 @@
 import sprucerock.config.Address;
 import sprucerock.config.ConfigException;
 import sprucerock.config.LeaseConfig;
-import sprucerock.config.Node;
+import sprucerock.config.XmlElement;
 import sprucerock.controller.RolloutRules;
 import sprucerock.controller.deployment.DeploymentPlan;
 import sprucerock.controller.maintenance.CapacityCheck;
@@ -132,45 +132,45 @@
    * @throws ConfigException with the first error, its element and its place in the file
    */
   public static ControllerConfig read(Path file) throws ConfigException {
-    return new ControllerConfig(Node.read(file, "/sprucerock/controller.xsd"));
+    return new ControllerConfig(XmlElement.read(file, "/sprucerock/controller.xsd"));
   }
 
-  private ControllerConfig(Node root) throws ConfigException {
+  private ControllerConfig(XmlElement root) throws ConfigException {
     name = root.text("name");
     storeFolder = Path.of(root.text("folder"));
     firstBuild = root.count("first-build");
     endpointCount = root.count("places");
     if (firstBuild > MAX_BUILD) {
-      throw root.wrong("first-build is 65535 at most");
+      throw root.invalid("first-build is 65535 at most");
     }
-    Node relayNode = root.child("relays");
+    XmlElement relayNode = root.child("relays");
     relayAddress = address(relayNode);
     maxRelays = relayNode.count("most");
     maxUnsentBytes = relayNode.bytes("unsent");
     newsInterval = relayNode.span("tell-every");
-    Node hookNode = root.child("hooks");
+    XmlElement hookNode = root.child("hooks");
     webhookAddress = address(hookNode);
     maxWebhookBodyBytes = (int) Math.min(hookNode.bytes("body"), MAX_WEBHOOK_BODY_BYTES);
     signatureTimeTolerance = hookNode.span("window");
     maxConcurrentWebhooks = hookNode.count("at-once");
     webhookReadTimeout = hookNode.span("read-within");
     webhookSources = webhookSources(hookNode);
-    Node apiNode = root.child("api");
+    XmlElement apiNode = root.child("api");
     apiAddress = address(apiNode);
     apiToken = SecretFile.read(apiNode, "token").strip();
     if (apiToken.length() < MIN_TOKEN_LENGTH) {
-      throw apiNode.wrong("token: " + apiNode.text("token") + " holds fewer than 16 characters");
+      throw apiNode.invalid("token: " + apiNode.text("token") + " holds fewer than 16 characters");
     }
     outboxTargets = outboxTargets(root);
     leaseDuration = root.span("lease");
     if (MIN_LEASE.over(leaseDuration)) {
-      throw root.wrong("lease is 500ms at least");
+      throw root.invalid("lease is 500ms at least");
     }
     leaseConfig = LeaseConfig.of(root.child("leases"), LEASE_CANDIDATE);
-    Node racks = root.child("racks");
+    XmlElement racks = root.child("racks");
     capacityCheck = racks == null ? null : RackConfig.capacityCheck(racks);
     maintenanceRules = racks == null ? null : RackConfig.maintenanceRules(racks);
-    Node agentsNode = root.child("agents");
+    XmlElement agentsNode = root.child("agents");
     agentAddress = agentsNode == null ? null : address(agentsNode);
     maxAgents = agentsNode == null ? 1 : agentsNode.count("most");
     maxPiecesPerSecond = agentsNode == null ? 1 : agentsNode.count("pieces-a-second");
@@ -180,41 +180,42 @@
     rolloutRules = rolloutRules(root);
   }
 
-  private static Map<String, WebhookSource> webhookSources(Node hookNode) throws ConfigException {
+  private static Map<String, WebhookSource> webhookSources(XmlElement hookNode)
+      throws ConfigException {
     Map<String, WebhookSource> sources = new TreeMap<>();
-    for (Node node : hookNode.all("source")) {
+    for (XmlElement node : hookNode.children("source")) {
       Signatures.SignatureScheme scheme =
           Signatures.SignatureScheme.valueOf(node.text("form").toUpperCase(Locale.ROOT));
       List<byte[]> secrets;
       try {
         secrets = Signatures.parseSecrets(SecretFile.read(node, "secrets"), scheme);
       } catch (IllegalArgumentException e) {
-        throw node.wrong("secrets: a line of " + node.text("secrets") + " is no base64");
+        throw node.invalid("secrets: a line of " + node.text("secrets") + " is no base64");
       }
       if (secrets.isEmpty()) {
-        throw node.wrong("secrets: " + node.text("secrets") + " holds none");
+        throw node.invalid("secrets: " + node.text("secrets") + " holds none");
       }
       if (sources.put(
               node.text("name"),
               new WebhookSource(node.text("name"), scheme, secrets, node.count("a-second")))
           != null) {
-        throw node.wrong("named twice");
+        throw node.invalid("named twice");
       }
     }
     return sources;
   }
 
-  private static List<WebhookOutbox.Target> outboxTargets(Node root) throws ConfigException {
+  private static List<WebhookOutbox.Target> outboxTargets(XmlElement root) throws ConfigException {
     List<WebhookOutbox.Target> targets = new ArrayList<>();
-    for (Node node : root.all("tell")) {
+    for (XmlElement node : root.children("tell")) {
       URI url;
       try {
         url = URI.create(node.text("url"));
       } catch (IllegalArgumentException e) {
-        throw node.wrong("url is none: " + e.getMessage());
+        throw node.invalid("url is none: " + e.getMessage());
       }
       if (!"http".equals(url.getScheme()) && !"https".equals(url.getScheme())) {
-        throw node.wrong("url begins with http:// or https://");
+        throw node.invalid("url begins with http:// or https://");
       }
       try {
         targets.add(
@@ -226,18 +227,18 @@
                     .get(0),
                 Duration.ofMillis((long) node.span("give-up").ms())));
       } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-        throw node.wrong("secret: " + node.text("secret") + " holds no base64");
+        throw node.invalid("secret: " + node.text("secret") + " holds no base64");
       }
     }
     return List.copyOf(targets);
   }
 
-  private static RolloutRules rolloutRules(Node root) throws ConfigException {
+  private static RolloutRules rolloutRules(XmlElement root) throws ConfigException {
     List<RolloutRules.Stage> stages =
-        root.all("stage").stream()
+        root.children("stage").stream()
             .map(stage -> new RolloutRules.Stage(stage.number("share"), stage.number("cap")))
             .toList();
-    Node votes = root.child("votes");
+    XmlElement votes = root.child("votes");
     return new RolloutRules(
         stages,
         RolloutRules.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT)),
@@ -254,7 +255,7 @@
   }
 
   /** Without agents the engine needs a plan too, which is never used. */
-  private static DeploymentPlan deploymentPlan(Node node) throws ConfigException {
+  private static DeploymentPlan deploymentPlan(XmlElement node) throws ConfigException {
     if (node == null) {
       return new DeploymentPlan(
           List.of(new DeploymentPlan.Stage(1, 0.1)),
@@ -266,7 +267,7 @@
           TimeSpan.ofMs(1));
     }
     List<DeploymentPlan.Stage> stages = new ArrayList<>();
-    for (Node stage : node.all("change-stage")) {
+    for (XmlElement stage : node.children("change-stage")) {
       stages.add(new DeploymentPlan.Stage(stage.number("share"), stage.number("harm")));
     }
     try {
@@ -279,14 +280,15 @@
           node.number("refused"),
           node.span("silent"));
     } catch (IllegalArgumentException e) {
-      throw node.wrong(e.getMessage());
+      throw node.invalid(e.getMessage());
     }
   }
 
-  private static InetSocketAddress address(Node node) throws ConfigException {
+  private static InetSocketAddress address(XmlElement node) throws ConfigException {
     InetSocketAddress address = Address.of(node.text("host"), node.count("port"));
     if (address == null) {
-      throw node.wrong("host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+      throw node.invalid(
+          "host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
     }
     return address;
   }
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -21,10 +21,10 @@
 import sprucerock.controller.v1.Delivered;
 import sprucerock.controller.v1.FreezeCleared;
 import sprucerock.controller.v1.Input;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 
 /**
  * A controller as a process has it: the engine between relays, agents, pipelines and operators. The
@@ -39,7 +39,7 @@
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final ControllerConfig config;
-  private final Tap tap;
+  private final FrameTap tap;
   private final NioLoop loop;
   private final LeadershipProvider leadershipProvider;
   private final Leadership leadership;
@@ -68,7 +68,7 @@
    * @throws Exception if a file is damaged or an address can't be had; the message says which
    */
   public ControllerServer(
-      ControllerConfig config, Engine.Clock clock, Tap tap, Runnable onLeadershipLost)
+      ControllerConfig config, Engine.Clock clock, FrameTap tap, Runnable onLeadershipLost)
       throws Exception {
     this.config = config;
     this.tap = tap;
@@ -85,9 +85,9 @@
     outboxes = new WebhookOutboxes(loop, this::stepsDelivered);
     engine = openEngine(clock, windows);
     outboxes.addTargets(config);
-    engine.setLeadershipCheck(leadership::holds);
+    engine.setLeadershipCheck(leadership::isHeld);
     engine.start(() -> outboxes.requeueUndelivered(engine().rollouts()));
-    grants = new PlacementGrants(windows, windows.later(engine.wallMs()));
+    grants = new PlacementGrants(windows, windows.advanceClock(engine.wallMs()));
     relayListener = new RelayListener(loop, config, tap, this);
     artifacts = openArtifacts(config);
     http = new HttpServer(config, this);
@@ -156,7 +156,7 @@
   }
 
   /** What the grantors of leases know; null: none are configured. */
-  Leases leases() {
+  LeaseManager leases() {
     return leadershipProvider.leases();
   }
 
@@ -227,8 +227,8 @@
     };
   }
 
-  private MaintenanceWindows.Host maintenanceHost() {
-    return new MaintenanceWindows.Host() {
+  private MaintenanceWindows.Listener maintenanceHost() {
+    return new MaintenanceWindows.Listener() {
       @Override
       public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {
         if (!engine().replaying()) {
@@ -243,7 +243,7 @@
       }
 
       @Override
-      public void promisesChanged() {
+      public void grantsChanged() {
         // a start happens on another thread; a turn that moves many windows is announced once
         if (!engine().replaying() && grantsAnnounced.getAndSet(false)) {
           loop.post(ControllerServer.this::announceGrants);
@@ -266,12 +266,12 @@
 
   /** Whether this controller is the leader: to be asked at the last instant before it grants. */
   boolean isLeader() {
-    return leadership.holds();
+    return leadership.isHeld();
   }
 
   /** Records the windows whose racks no relay may place work on any more. On the loop only. */
   void submitClearedWindows() {
-    for (long number : grants.cleared(engine.maintenanceWindows().later(engine.wallMs()))) {
+    for (long number : grants.returned(engine.maintenanceWindows().advanceClock(engine.wallMs()))) {
       submit(
           Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
           result -> {});
@@ -336,7 +336,7 @@
       holds = leadership.renew();
     } catch (IOException e) {
       log.error("LEASE can't be renewed: {}", e.getMessage());
-      holds = leadership.holds(); // as long as its time is not over
+      holds = leadership.isHeld(); // as long as its time is not over
     }
     if (!holds) {
       log.error("LEASE lost: another controller acts, this one ends");
@@ -345,7 +345,7 @@
       onLeadershipLost.run();
       return;
     }
-    loop.at(loop.now().plus(Leadership.RENEW), this::renewLeadership);
+    loop.at(loop.now().plus(Leadership.RENEW_INTERVAL), this::renewLeadership);
   }
 
   private void checkTimers() {
@@ -354,7 +354,7 @@
     }
     if (engine.rollouts().transitionDue(engine.now())
         || engine.deployments().transitionDue(engine.now())
-        || engine.maintenanceWindows().due(engine.wallMs())) {
+        || engine.maintenanceWindows().isDue(engine.wallMs())) {
       commit();
     }
     submitClearedWindows();
--- a/src/main/java/sprucerock/controller/server/DeploymentHandler.java
+++ b/src/main/java/sprucerock/controller/server/DeploymentHandler.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import sprucerock.agent.artifact.ArtifactStore;
 import sprucerock.config.ConfigException;
-import sprucerock.config.Live;
+import sprucerock.config.LiveSettings;
 import sprucerock.controller.deployment.Deployment;
 import sprucerock.controller.deployment.DeploymentManager;
 import sprucerock.controller.deployment.ManagedRelay;
@@ -76,7 +76,7 @@
       throw new IllegalArgumentException(
           "no file " + name + " is in the controller's incoming folder");
     }
-    return artifacts().put(file);
+    return artifacts().store(file);
   }
 
   /** On the loop; {@code program}, {@code settings}: digests, null where they stay. */
@@ -119,7 +119,7 @@
   private boolean needsNoRestart(String from, String to) {
     try {
       return artifacts().has(from)
-          && Live.needRestart(
+          && LiveSettings.pathsThatNeedRestart(
                   Files.readString(artifacts().path(from)), Files.readString(artifacts().path(to)))
               .isEmpty();
     } catch (IOException | ConfigException e) {
--- a/src/main/java/sprucerock/controller/server/LeadershipProvider.java
+++ b/src/main/java/sprucerock/controller/server/LeadershipProvider.java
@@ -8,9 +8,9 @@
 import sprucerock.controller.Leadership;
 import sprucerock.controller.LeadershipMark;
 import sprucerock.lease.GrantorListener;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 
 /**
  * Chooses how this controller becomes the leader: by a file in the store's folder, or by a lease
@@ -24,13 +24,13 @@
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final NioLoop loop;
   private final ControllerConfig config;
-  private final Tap tap;
+  private final FrameTap tap;
   private final Engine.Clock clock;
   private final String holder;
-  private Leases leases;
+  private LeaseManager leases;
   private GrantorListener grantor;
 
-  LeadershipProvider(NioLoop loop, ControllerConfig config, Tap tap, Engine.Clock clock) {
+  LeadershipProvider(NioLoop loop, ControllerConfig config, FrameTap tap, Engine.Clock clock) {
     this.loop = loop;
     this.config = config;
     this.tap = tap;
@@ -51,7 +51,7 @@
   Leadership acquire() throws Exception {
     Leadership leadership = create();
     boolean logged = false;
-    while (!leadership.take()) {
+    while (!leadership.tryAcquire()) {
       if (!logged) {
         log.info("STANDBY {} waits for the seat at {}", holder, config.storeFolder);
       }
@@ -65,17 +65,23 @@
     if (config.leaseConfig == null) {
       return FileLeadership.in(config.storeFolder, clock, config.leaseDuration, holder);
     }
-    Leases.Log leaseLog = leaseLog();
+    LeaseManager.Log leaseLog = leaseLog();
     leases =
-        new Leases(
-            loop, config.leaseConfig, config.name, Leases.newLife(), tap, clock::wallMs, leaseLog);
+        new LeaseManager(
+            loop,
+            config.leaseConfig,
+            config.name,
+            LeaseManager.newIncarnation(),
+            tap,
+            clock::wallMs,
+            leaseLog);
     LeadershipMark mark = LeadershipMark.in(config.storeFolder);
     LoopTasks.runAndWait(loop, () -> startLeases(leaseLog));
     return new LeaseLeadership(loop, leases, mark, LEASE_NAME);
   }
 
-  private void startLeases(Leases.Log leaseLog) throws IOException {
-    int number = config.leaseConfig.granter();
+  private void startLeases(LeaseManager.Log leaseLog) throws IOException {
+    int number = config.leaseConfig.grantorNumber();
     try {
       if (number >= 0) {
         grantor = new GrantorListener(loop, config.leaseConfig, config.name, tap, leaseLog);
@@ -87,8 +93,8 @@
     }
   }
 
-  private Leases.Log leaseLog() {
-    return new Leases.Log() {
+  private LeaseManager.Log leaseLog() {
+    return new LeaseManager.Log() {
       @Override
       public void info(String text) {
         log.info("LEASE {}", text);
@@ -102,7 +108,7 @@
   }
 
   /** What the grantors know; null: none are configured. */
-  Leases leases() {
+  LeaseManager leases() {
     return leases;
   }
 
--- a/src/main/java/sprucerock/controller/server/LeaseHandler.java
+++ b/src/main/java/sprucerock/controller/server/LeaseHandler.java
@@ -32,20 +32,23 @@
     }
     dispatcher.dispatch(
         exchange,
-        () -> controller.leases().list(answers -> respond(exchange, 200, describe(answers))));
+        () ->
+            controller
+                .leases()
+                .queryGrantors(answers -> respond(exchange, 200, describe(answers))));
   }
 
   /** Each grantor's status, and of each lease the highest number with those who granted it. */
   private ObjectNode describe(Map<Integer, LeaseListed> answers) {
     ObjectNode all = Json.object();
     ArrayNode grantors = all.putArray("granters");
-    for (int i = 0; i < config.leaseConfig.granters().size(); i++) {
+    for (int i = 0; i < config.leaseConfig.grantors().size(); i++) {
       LeaseListed answer = answers.get(i);
       ObjectNode node =
           grantors
               .addObject()
               .put("granter", i)
-              .put("at", config.leaseConfig.granters().get(i).toString().replaceFirst("^/", ""))
+              .put("at", config.leaseConfig.grantors().get(i).toString().replaceFirst("^/", ""))
               .put("heard", answer != null);
       if (answer != null) {
         node.put("grants_in_ms", answer.getOpensUs() / US_PER_MS)
@@ -58,7 +61,7 @@
             answer.getEntriesList().forEach(entry -> merge(byName, grantor, entry)));
     ArrayNode leases = all.putArray("leases");
     byName.values().forEach(leases::add);
-    return all.put("majority", config.leaseConfig.granters().size() / 2 + 1);
+    return all.put("majority", config.leaseConfig.grantors().size() / 2 + 1);
   }
 
   private static void merge(Map<String, ObjectNode> byName, int grantor, LeaseEntry entry) {
--- a/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
+++ b/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
@@ -80,7 +80,7 @@
     ObjectNode all = Json.object();
     ArrayNode list = all.putArray("freezes");
     for (long number : opened.numbers()) {
-      list.add(summarize(windows().of(number)));
+      list.add(summarize(windows().find(number)));
     }
     respond(exchange, 200, all);
   }
@@ -111,7 +111,7 @@
 
   /** Notes that a rack is down, or up again. */
   void setRackDown(HttpServerExchange exchange, String rack, JsonNode body) {
-    boolean known = windows().room().racks().containsKey(rack) && body.path("down").isBoolean();
+    boolean known = windows().capacity().racks().containsKey(rack) && body.path("down").isBoolean();
     if (!known) {
       respond(
           exchange,
@@ -145,7 +145,7 @@
     dispatcher.dispatch(
         exchange,
         () -> {
-          MaintenanceWindow window = windows().of(number);
+          MaintenanceWindow window = windows().find(number);
           if (window == null) {
             respond(exchange, 404, "no_such_freeze", null);
           } else {
@@ -163,17 +163,17 @@
           .put("cause", step.cause());
     }
     ArrayNode outstanding = node.putArray("out");
-    if (window.state().binds()) {
+    if (window.state().isBinding()) {
       controller
           .grants()
-          .out(window, windows().later(dispatcher.engine().wallMs()))
+          .outstanding(window, windows().advanceClock(dispatcher.engine().wallMs()))
           .forEach(
               relay ->
                   outstanding.add(
                       relay < 0
                           ? "relays not heard since this controller started"
                           : "relay " + relay));
-      node.put("at_most_until", Json.time(windows().promisesEnd(window)));
+      node.put("at_most_until", Json.time(windows().grantsEndMs(window)));
     }
     ArrayNode forced = node.putArray("forced_by");
     window.forcedBy().forEach(forced::add);
@@ -187,8 +187,8 @@
             .put("state", Json.lowerCaseName(window.state()).replace('_', ' '))
             .put("from", Json.time(window.from()))
             .put("to", Json.time(window.to()))
-            .put("who", window.who)
-            .put("why", window.why)
+            .put("who", window.operator)
+            .put("why", window.reason)
             .put("emergency", window.emergency);
     ArrayNode racks = node.putArray("racks");
     window.racks.forEach(racks::add);
--- a/src/main/java/sprucerock/controller/server/RackConfig.java
+++ b/src/main/java/sprucerock/controller/server/RackConfig.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import sprucerock.config.ConfigException;
-import sprucerock.config.Node;
+import sprucerock.config.XmlElement;
 import sprucerock.controller.maintenance.CapacityCheck;
 import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.maintenance.Rack;
@@ -22,39 +22,39 @@
   private RackConfig() {}
 
   /** The racks with their endpoints, the zones' forecasts and the reserve. */
-  static CapacityCheck capacityCheck(Node node) throws ConfigException {
+  static CapacityCheck capacityCheck(XmlElement node) throws ConfigException {
     return new CapacityCheck(racks(node).values(), forecasts(node), node.number("reserve"));
   }
 
-  private static Map<String, Rack> racks(Node node) throws ConfigException {
+  private static Map<String, Rack> racks(XmlElement node) throws ConfigException {
     Map<String, Rack> racks = new TreeMap<>();
     Set<Integer> locations = new HashSet<>();
-    for (Node rackNode : node.all("rack")) {
+    for (XmlElement rackNode : node.children("rack")) {
       Rack rack = rack(rackNode, node);
       if (racks.put(rack.name(), rack) != null) {
-        throw rackNode.wrong("two racks have one name");
+        throw rackNode.invalid("two racks have one name");
       }
       if (rack.noticeMs() <= 0) {
-        throw rackNode.wrong("notice is over 0");
+        throw rackNode.invalid("notice is over 0");
       }
       if (rack.zone() > MAX_ZONE) {
-        throw rackNode.wrong("a zone is 0 to 32767");
+        throw rackNode.invalid("a zone is 0 to 32767");
       }
       if (!locations.add(rack.zone() << 16 | rack.cell())) {
-        throw rackNode.wrong("two racks have one zone and cell");
+        throw rackNode.invalid("two racks have one zone and cell");
       }
       if (racks.size() > MAX_RACKS) {
-        throw rackNode.wrong("more than " + MAX_RACKS + " racks");
+        throw rackNode.invalid("more than " + MAX_RACKS + " racks");
       }
     }
     return racks;
   }
 
-  private static Rack rack(Node node, Node parent) throws ConfigException {
+  private static Rack rack(XmlElement node, XmlElement parent) throws ConfigException {
     Map<Integer, Double> endpoints = new TreeMap<>();
-    for (Node group : node.all("units")) {
+    for (XmlElement group : node.children("units")) {
       if (endpoints.put(group.count("kind"), (double) group.count("count")) != null) {
-        throw group.wrong("kind " + group.text("kind") + " is named twice");
+        throw group.invalid("kind " + group.text("kind") + " is named twice");
       }
     }
     return new Rack(
@@ -65,12 +65,13 @@
         (long) (node.has("notice") ? node : parent).span("notice").ms());
   }
 
-  private static Map<Integer, CapacityCheck.Forecast> forecasts(Node node) throws ConfigException {
+  private static Map<Integer, CapacityCheck.Forecast> forecasts(XmlElement node)
+      throws ConfigException {
     Map<Integer, CapacityCheck.Forecast> forecasts = new TreeMap<>();
-    for (Node forecast : node.all("forecast")) {
+    for (XmlElement forecast : node.children("forecast")) {
       String[] words = forecast.text("by-hour").trim().split("\\s+");
       if (words.length != HOURS_A_DAY) {
-        throw forecast.wrong(
+        throw forecast.invalid(
             "by-hour has a number for each of the 24 hours of the day in UTC, not " + words.length);
       }
       double[] byHour = new double[HOURS_A_DAY];
@@ -81,19 +82,19 @@
               forecast.count("zone"),
               new CapacityCheck.Forecast(forecast.count("kind"), forecast.count("method"), byHour))
           != null) {
-        throw forecast.wrong("a zone has two forecasts");
+        throw forecast.invalid("a zone has two forecasts");
       }
     }
     return forecasts;
   }
 
   /** The rules by which windows are accepted. */
-  static MaintenanceWindows.Rules maintenanceRules(Node node) throws ConfigException {
+  static MaintenanceWindows.Rules maintenanceRules(XmlElement node) throws ConfigException {
     try {
       return new MaintenanceWindows.Rules(
           (long) node.span("warm").ms(), (long) node.span("step").ms(), node.number("confidence"));
     } catch (IllegalArgumentException e) {
-      throw node.wrong(e.getMessage());
+      throw node.invalid(e.getMessage());
     }
   }
 }
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -16,10 +16,10 @@
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameLimits;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.PromiseAsk;
@@ -45,21 +45,22 @@
 
   private final Net net;
   private final ControllerConfig config;
-  private final Limits limits;
-  private final Tap tap;
+  private final FrameLimits limits;
+  private final FrameTap tap;
   private final ControllerServer controller;
   private final Set<Session> sessions = new LinkedHashSet<>();
   private final RackList rackList;
   private Net.Listener listener;
 
-  RelayListener(Net net, ControllerConfig config, Tap tap, ControllerServer controller) {
+  RelayListener(Net net, ControllerConfig config, FrameTap tap, ControllerServer controller) {
     this.net = net;
     this.config = config;
     this.tap = tap;
     this.controller = controller;
-    rackList = new RackList(controller.engine().maintenanceWindows().room().racks());
+    rackList = new RackList(controller.engine().maintenanceWindows().capacity().racks());
     limits =
-        new Limits(MAX_FRAME_BYTES, Math.max(config.maxUnsentBytes, MAX_FRAME_BYTES), KEEPALIVE);
+        new FrameLimits(
+            MAX_FRAME_BYTES, Math.max(config.maxUnsentBytes, MAX_FRAME_BYTES), KEEPALIVE);
   }
 
   /**
@@ -70,7 +71,10 @@
   InetSocketAddress start() throws IOException {
     listener =
         net.listen(
-            config.relayAddress, config.maxRelays, limits.unsent(), () -> new Session().connection);
+            config.relayAddress,
+            config.maxRelays,
+            limits.maxUnsentBytes(),
+            () -> new Session().connection);
     sendPeriodically();
     return listener.address();
   }
@@ -87,7 +91,7 @@
   Set<Integer> connectedRelays() {
     Set<Integer> found = new TreeSet<>();
     for (Session session : sessions) {
-      found.add(session.connection.other().getNumber());
+      found.add(session.connection.remoteHello().getNumber());
     }
     return found;
   }
@@ -110,7 +114,7 @@
    */
   void notifyGrantsChanged() {
     for (Session session : sessions) {
-      session.connection.send(Kind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
+      session.connection.send(FrameKind.PROMISED, Promised.getDefaultInstance(), NO_BODY);
     }
   }
 
@@ -150,7 +154,7 @@
     private Timers.Timer retryTimer;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getRole() != Role.RELAY) {
         made.cut("only relays are taken here");
         return;
@@ -164,7 +168,7 @@
       if (retryTimer != null) {
         return;
       }
-      if (connection.unsent() > config.maxUnsentBytes / 2) {
+      if (connection.unsentBytes() > config.maxUnsentBytes / 2) {
         retryTimer =
             net.at(
                 net.now().plus(RETRY_INTERVAL),
@@ -176,11 +180,11 @@
                 });
         return;
       }
-      connection.send(Kind.NEWS, news(), NO_BODY);
+      connection.send(FrameKind.NEWS, news(), NO_BODY);
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       switch (kind) {
         case VOTE -> recordVote((Vote) head);
         case PROMISE_ASK -> answerGrantRequest((PromiseAsk) head);
@@ -198,7 +202,7 @@
             case BACK -> RolloutManager.Vote.BACK;
             default -> null;
           };
-      if (vote == null || connection.other().getNumber() < 0) {
+      if (vote == null || connection.remoteHello().getNumber() < 0) {
         answerVote(message, Taken.FAILED_TO_TAKE);
         return;
       }
@@ -206,7 +210,7 @@
           Input.newBuilder()
               .setCast(
                   Cast.newBuilder()
-                      .setRelay(connection.other().getNumber())
+                      .setRelay(connection.remoteHello().getNumber())
                       .setBuild(message.getBuild())
                       .setStage(message.getStage())
                       .setSay(vote.name())),
@@ -243,23 +247,26 @@
      * without it there is no answer.
      */
     private void answerGrantRequest(PromiseAsk request) {
-      long now = controller.engine().maintenanceWindows().later(controller.engine().wallMs());
-      controller.grants().asked(connection.other().getNumber(), request.getHolds(), now);
+      long now =
+          controller.engine().maintenanceWindows().advanceClock(controller.engine().wallMs());
+      controller.grants().request(connection.remoteHello().getNumber(), request.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(request.getId())
               .setEpoch(controller.engine().rollouts().epoch())
               .setSequence(controller.engine().maintenanceWindows().sequence());
-      rackList.writeTo(promised, request.getList(), controller.grants().shorter(now));
+      rackList.writeTo(promised, request.getList(), controller.grants().shortened(now));
       controller.submitClearedWindows();
       if (request.getId() > 0 && controller.isLeader()) {
-        connection.send(Kind.PROMISED, promised.build(), NO_BODY);
+        connection.send(FrameKind.PROMISED, promised.build(), NO_BODY);
       }
     }
 
     private void answerVote(Vote message, Taken answer) {
       connection.send(
-          Kind.VOTED, Voted.newBuilder().setId(message.getId()).setTaken(answer).build(), NO_BODY);
+          FrameKind.VOTED,
+          Voted.newBuilder().setId(message.getId()).setTaken(answer).build(),
+          NO_BODY);
     }
 
     @Override
--- a/src/main/java/sprucerock/controller/server/SecretFile.java
+++ b/src/main/java/sprucerock/controller/server/SecretFile.java
@@ -6,7 +6,7 @@
 import java.nio.file.attribute.PosixFilePermission;
 import java.util.Set;
 import sprucerock.config.ConfigException;
-import sprucerock.config.Node;
+import sprucerock.config.XmlElement;
 
 /** Reads files of secrets; one that others can read is rejected. */
 final class SecretFile {
@@ -17,7 +17,7 @@
    *
    * @throws ConfigException if it can't be read, or others than its owner have any right to it
    */
-  static String read(Node node, String key) throws ConfigException {
+  static String read(XmlElement node, String key) throws ConfigException {
     Path file = Path.of(node.text(key));
     try {
       Set<PosixFilePermission> open = Files.getPosixFilePermissions(file);
@@ -27,11 +27,11 @@
               PosixFilePermission.OWNER_WRITE,
               PosixFilePermission.OWNER_EXECUTE));
       if (!open.isEmpty()) {
-        throw node.wrong(key + ": " + file + " is open to others than its owner; chmod 600 it");
+        throw node.invalid(key + ": " + file + " is open to others than its owner; chmod 600 it");
       }
       return Files.readString(file);
     } catch (IOException e) {
-      throw node.wrong(key + ": " + file + " can't be read: " + e.getClass().getSimpleName());
+      throw node.invalid(key + ": " + file + " can't be read: " + e.getClass().getSimpleName());
     }
   }
 }
--- a/src/main/java/sprucerock/lease/GrantorConnections.java
+++ b/src/main/java/sprucerock/lease/GrantorConnections.java
@@ -8,10 +8,10 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.ReconnectingConnection;
-import sprucerock.transport.wire.Tap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.LeaseAsk;
 import sprucerock.transport.wire.v1.LeaseBack;
@@ -47,7 +47,7 @@
   private final LeaseConfig config;
   private final Hello hello;
   private final long incarnation;
-  private final Tap tap;
+  private final FrameTap tap;
   private final LeaseManager.Log log;
   private final Listener listener;
   private final List<ReconnectingConnection> connections = new ArrayList<>();
@@ -59,7 +59,7 @@
       LeaseConfig config,
       String name,
       long incarnation,
-      Tap tap,
+      FrameTap tap,
       LeaseManager.Log log,
       Listener listener) {
     this.net = net;
@@ -94,7 +94,7 @@
           net.now().plus(usableTerm.times(DIAL_SPREAD * random.next())),
           () -> {
             if (!stopping) {
-              connection.dial();
+              connection.connect();
             }
           });
     }
@@ -119,7 +119,7 @@
     connections
         .get(grantor)
         .send(
-            Kind.LEASE_ASK,
+            FrameKind.LEASE_ASK,
             LeaseAsk.newBuilder()
                 .setName(name)
                 .setNumber(token)
@@ -135,7 +135,7 @@
     connections
         .get(grantor)
         .send(
-            Kind.LEASE_BACK,
+            FrameKind.LEASE_BACK,
             LeaseBack.newBuilder()
                 .setName(name)
                 .setNumber(token)
@@ -149,7 +149,7 @@
   /** Asks all grantors what they know. */
   void query() {
     for (ReconnectingConnection one : connections) {
-      one.send(Kind.LEASE_LIST, LeaseList.getDefaultInstance(), NO_BODY);
+      one.send(FrameKind.LEASE_LIST, LeaseList.getDefaultInstance(), NO_BODY);
     }
   }
 
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void greeted(FrameConnection connection, Hello other) {
+    public void helloReceived(FrameConnection connection, Hello other) {
       if (other.getRole() != Role.GRANTER || other.getNumber() != grantor) {
         connection.cut("granter " + grantor + " is not who answers there");
         return;
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       switch (kind) {
         case LEASE_SAID -> listener.voted(grantor, (LeaseSaid) head);
         case LEASE_FREE -> listener.available(((LeaseFree) head).getName());
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -11,9 +11,9 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.wire.FrameConnection;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.FrameListener;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.Hello;
 import sprucerock.transport.wire.v1.LeaseAsk;
 import sprucerock.transport.wire.v1.LeaseBack;
@@ -38,7 +38,7 @@
 
   private final Net net;
   private final LeaseConfig config;
-  private final Tap tap;
+  private final FrameTap tap;
   private final LeaseManager.Log log;
   private final Hello hello;
   private final Map<Integer, Session> sessions = new TreeMap<>();
@@ -48,7 +48,8 @@
   private long droppedRequests;
 
   /** The grantor that the configuration says this process is. */
-  public GrantorListener(Net net, LeaseConfig config, String name, Tap tap, LeaseManager.Log log) {
+  public GrantorListener(
+      Net net, LeaseConfig config, String name, FrameTap tap, LeaseManager.Log log) {
     this.net = net;
     this.config = config;
     this.tap = tap;
@@ -57,10 +58,10 @@
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
             .setRole(Role.GRANTER)
-            .setNumber(config.granter())
+            .setNumber(config.grantorNumber())
             .setName(name)
             .build();
-    grantor = new LeaseGrantor(LeaseManager.terms(config), new Answers(), net.clock());
+    grantor = new LeaseGrantor(LeaseManager.terms(config), new Answers(), net.readClock());
   }
 
   /**
@@ -69,12 +70,12 @@
    * @throws IOException if its address can't be had
    */
   public InetSocketAddress start() throws IOException {
-    InetSocketAddress at = config.grantors().get(config.granter());
+    InetSocketAddress at = config.grantors().get(config.grantorNumber());
     listener =
         net.listen(
             config.listen() == null ? at : config.listen(),
-            config.most(),
-            LeaseManager.LIMITS.unsent(),
+            config.maxConnections(),
+            LeaseManager.LIMITS.maxUnsentBytes(),
             () -> {
               Session session = new Session();
               session.connection =
@@ -83,7 +84,7 @@
             });
     log.info(
         "granter "
-            + config.granter()
+            + config.grantorNumber()
             + " listens at "
             + listener.address()
             + " and grants after "
@@ -137,7 +138,7 @@
     }
 
     private void answer(LeaseSaid.Builder answer) {
-      requester.connection.send(Kind.LEASE_SAID, answer.build(), NO_BODY);
+      requester.connection.send(FrameKind.LEASE_SAID, answer.build(), NO_BODY);
     }
 
     @Override
@@ -145,7 +146,7 @@
       Session session = sessions.get(client);
       if (session != null) {
         session.connection.send(
-            Kind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
+            FrameKind.LEASE_FREE, LeaseFree.newBuilder().setName(name).build(), NO_BODY);
       }
     }
   }
@@ -161,7 +162,7 @@
     private int requestsInSecond;
 
     @Override
-    public void greeted(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection made, Hello other) {
       if (other.getNumber() < 0 || other.getNumber() > 65_535) {
         made.cut("a candidate's number is 0 to 65535");
         return;
@@ -173,7 +174,7 @@
     }
 
     @Override
-    public void frame(Kind kind, MessageLite head, byte[] body) {
+    public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       switch (kind) {
         case LEASE_ASK -> request((LeaseAsk) head);
         case LEASE_BACK -> {
@@ -184,15 +185,15 @@
               back.getName(),
               back.getNumber(),
               back.getHanded() ? back.getHeir() : -1,
-              net.clock());
+              net.readClock());
         }
-        case LEASE_LIST -> connection.send(Kind.LEASE_LISTED, listed(), NO_BODY);
+        case LEASE_LIST -> connection.send(FrameKind.LEASE_LISTED, listed(), NO_BODY);
         default -> connection.cut("a granter takes no " + kind);
       }
     }
 
     private void request(LeaseAsk request) {
-      Timestamp now = net.clock();
+      Timestamp now = net.readClock();
       if (isOverRate(now)) {
         droppedRequests++;
         return;
@@ -239,10 +240,10 @@
   }
 
   private LeaseListed listed() {
-    Timestamp now = net.clock();
+    Timestamp now = net.readClock();
     LeaseListed.Builder all =
         LeaseListed.newBuilder()
-            .setGranter(config.granter())
+            .setGranter(config.grantorNumber())
             .setRefused(grantor.rejectedCount())
             .setOpensUs(notNegativeUs(grantor.grantsFrom().since(now)));
     grantor.grants().forEach((name, grant) -> all.addEntries(entry(name, grant, now)));
--- a/src/main/java/sprucerock/lease/LeaseManager.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -12,8 +12,8 @@
 import sprucerock.time.Timestamp;
 import sprucerock.transport.net.Net;
 import sprucerock.transport.net.Timers.Timer;
-import sprucerock.transport.wire.Limits;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameLimits;
+import sprucerock.transport.wire.FrameTap;
 import sprucerock.transport.wire.v1.LeaseListed;
 import sprucerock.transport.wire.v1.LeaseSaid;
 
@@ -45,7 +45,7 @@
   /** Leases that a process campaigns for at most. */
   public static final int MAX_LEASES = 64;
 
-  static final Limits LIMITS = new Limits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
+  static final FrameLimits LIMITS = new FrameLimits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
 
   private static final TimeSpan QUERY_TIMEOUT = TimeSpan.ofMs(1000);
 
@@ -73,7 +73,7 @@
       LeaseConfig config,
       String name,
       long incarnation,
-      Tap tap,
+      FrameTap tap,
       LongSupplier wallMs,
       Log log) {
     this.net = net;
@@ -180,7 +180,7 @@
     Campaign(String name, Listener listener) {
       this.listener = listener;
       client = new LeaseClient(name, terms, this, random::next, config.memberNumber(), incarnation);
-      check = new LeaseCheck(client, net::clock);
+      check = new LeaseCheck(client, net::readClock);
     }
 
     /** Runs one step of the client, then sets the timer for its next one. */
@@ -193,7 +193,7 @@
       timer =
           next == null
               ? null
-              : net.at(next, () -> step(() -> client.tick(net.clock(), wallMs.getAsLong())));
+              : net.at(next, () -> step(() -> client.tick(net.readClock(), wallMs.getAsLong())));
     }
 
     @Override
@@ -234,7 +234,7 @@
 
     private void count(int grantor, LeaseSaid vote, LeaseClient client) {
       if (vote.getGranted()) {
-        client.granted(grantor, vote.getNumber(), vote.getRound(), net.clock());
+        client.granted(grantor, vote.getNumber(), vote.getRound(), net.readClock());
         return;
       }
       client.rejected(
@@ -244,7 +244,7 @@
           vote.getHighest(),
           TimeSpan.ofMs(vote.getLeftUs() / 1000.0),
           vote.getHeld(),
-          net.clock());
+          net.readClock());
     }
 
     @Override
--- a/src/main/java/sprucerock/metrics/MetricsExporter.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -95,7 +95,7 @@
     try {
       MetricsSnapshot snapshot = snapshots.get();
       text.append(MetricsTable.format(snapshot));
-      for (MethodAccounts.Drift drift : snapshot.accounts().check(snapshot.values)) {
+      for (MethodAccounts.Imbalance drift : snapshot.accounts().check(snapshot.values)) {
         text.append("DRIFT ").append(drift).append('\n');
         status = 500;
       }
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -55,14 +55,14 @@
   public static MetricsFileWriter open(
       Path path, MethodAccounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> log) {
     long generation = carryOver(path, accounts, log) + 1;
-    accounts.begin(accounts.starts, 0, START_RUNNING);
+    accounts.postNew(accounts.starts, 0, START_RUNNING);
     String layout = accounts.layout();
     ByteBuffer bytes =
         ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rows()));
     MappedMetricsFile file =
         new MappedMetricsFile(
             new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
-    accounts.keepIn(file, onFirstPostingOfATurn);
+    accounts.persistTo(file, onFirstPostingOfATurn);
     boolean persistent = false;
     try {
       if (path != null) {
@@ -97,7 +97,7 @@
       found = FOUND_UNREADABLE;
       log.accept(path + ": can't be read: " + e.getMessage() + "; figures begin anew");
     }
-    accounts.begin(accounts.files, 0, found);
+    accounts.postNew(accounts.files, 0, found);
     return lastGeneration;
   }
 
@@ -146,13 +146,13 @@
   private static void carry(MetricsSnapshot last, MethodAccounts accounts)
       throws MetricsSnapshot.InvalidFileException {
     MethodAccounts lastAccounts = last.accounts();
-    for (MethodMetrics from : lastAccounts.sheets()) {
-      MethodMetrics to = accounts.sheets().get(lastAccounts.sheets().indexOf(from));
+    for (MethodMetrics from : lastAccounts.tables()) {
+      MethodMetrics to = accounts.tables().get(lastAccounts.tables().indexOf(from));
       for (int row = 0; row < from.rows(); row++) {
         for (int column = 0; column < from.columns().size(); column++) {
           long value = last.values[from.index(row, column)];
           if (value != 0) {
-            accounts.carry(to, lastAccounts.name(from, row), column, value);
+            accounts.carryOver(to, lastAccounts.name(from, row), column, value);
           }
         }
       }
@@ -175,7 +175,7 @@
 
   /** Notes that the relay shuts down cleanly, and commits what is posted. */
   public void close() {
-    accounts.move(accounts.starts, 0, START_RUNNING, START_ENDED);
+    accounts.postTransfer(accounts.starts, 0, START_RUNNING, START_ENDED);
     accounts.commit();
     file.close();
   }
--- a/src/main/java/sprucerock/metrics/PrometheusCollector.java
+++ b/src/main/java/sprucerock/metrics/PrometheusCollector.java
@@ -49,8 +49,8 @@
       throw new IllegalStateException(e.getMessage(), e);
     }
     MetricSnapshots.Builder metrics = MetricSnapshots.builder();
-    for (MethodMetrics family : accounts.sheets()) {
-      if (family.scaled()) {
+    for (MethodMetrics family : accounts.tables()) {
+      if (family.isHistogram()) {
         addHistogram(metrics, family, accounts, snapshot.values);
       } else {
         addCounters(metrics, family, accounts, snapshot.values);
@@ -90,7 +90,7 @@
       MethodAccounts accounts,
       long[] values) {
     String total = family.columns().get(0);
-    String pending = family.settles() ? family.columns().get(family.pending()) : "";
+    String pending = family.hasPending() ? family.columns().get(family.pending()) : "";
     CounterSnapshot.Builder totals =
         CounterSnapshot.builder()
             .name(PREFIX + family.name() + "_" + total)
@@ -98,7 +98,7 @@
                 "All "
                     + family.name()
                     + "; the sum of ended"
-                    + (family.settles() ? " and " + pending : "")
+                    + (family.hasPending() ? " and " + pending : "")
                     + ".");
     CounterSnapshot.Builder ended =
         CounterSnapshot.builder()
@@ -121,7 +121,7 @@
                 labels.add("how", family.columns().get(column)),
                 values[family.index(row, column)]));
       }
-      if (!family.settles()) {
+      if (!family.hasPending()) {
         continue;
       }
       pendingGauge.dataPoint(
@@ -131,7 +131,7 @@
               .build());
     }
     metrics.metricSnapshot(totals.build()).metricSnapshot(ended.build());
-    if (family.settles()) {
+    if (family.hasPending()) {
       metrics.metricSnapshot(pendingGauge.build());
     }
   }
@@ -162,7 +162,7 @@
           continue;
         }
         buckets.bucket(
-            last ? Double.POSITIVE_INFINITY : HistogramBuckets.fromUs(i + 1) / 1e6, count);
+            last ? Double.POSITIVE_INFINITY : HistogramBuckets.lowerBoundUs(i + 1) / 1e6, count);
         count = 0;
       }
       Labels labels = labels(family, accounts.name(family, row));
--- a/src/main/java/sprucerock/policy/AdmissionController.java
+++ b/src/main/java/sprucerock/policy/AdmissionController.java
@@ -77,16 +77,17 @@
     double weight = priorityWeight(rpc, now);
     // what is left must hold the long tail; the fleet's wait holds the work itself
     return byFleet
-        ? random.next() > 0.05 && gossip.fleetWaitMs() > settings.meanSoftMs * (0.4 + 0.3 * weight)
-        : waitMs > settings.meanSoftMs * (0.25 + 0.3 * weight);
+        ? random.next() > 0.05
+            && gossip.fleetWaitMs() > settings.meanLatencyObjectiveMs * (0.4 + 0.3 * weight)
+        : waitMs > settings.meanLatencyObjectiveMs * (0.25 + 0.3 * weight);
   }
 
   private double priorityWeight(Rpc rpc, Timestamp now) {
-    double weight = rpc.method.utility / settings.mostUtility;
+    double weight = rpc.method.priorityWeight / settings.maxPriorityWeight;
     double over = tenants.timesShare(rpc.tenant, now);
     // of a tenant at thrice its quota, two requests in three are over it
     if (over > OVER_QUOTA && random.next() > 1 / over) {
-      weight *= settings.overShareWorth;
+      weight *= settings.overQuotaWeight;
     }
     return weight;
   }
--- a/src/main/java/sprucerock/policy/AttemptSender.java
+++ b/src/main/java/sprucerock/policy/AttemptSender.java
@@ -49,8 +49,8 @@
     slowStart.attemptSent(endpoint, onTrial, now);
     TimeSpan overdue = latency.overdueAfter(rpc);
     Attempt attempt = new Attempt(rpc, endpoint, now, timeout(rpc, overdue, now));
-    attempt.copy = shadow;
-    attempt.startBy = startBy(rpc);
+    attempt.shadow = shadow;
+    attempt.writeBy = startBy(rpc);
     actions.send(attempt);
     gossip.attemptStarted(endpoint);
     actions.schedule(attempt, now.plus(overdue), () -> whenOverdue.accept(attempt));
@@ -62,8 +62,8 @@
   private TimeSpan timeout(Rpc rpc, TimeSpan overdue, Timestamp now) {
     TimeSpan lost = overdue.times(2);
     boolean cut =
-        !settings.secondCopies
-            && !rpc.method.streamOrOnce()
+        !settings.hedging
+            && !rpc.method.mustNotBeCutShort()
             && rpc.attempts.size() + 1 < settings.maxAttempts
             && rpc.deadline.since(now).over(lost.times(1.5));
     return cut ? lost : null;
@@ -72,7 +72,7 @@
   // rule 2: a retry that waits for a connection must not come up after its window
   private Timestamp startBy(Rpc rpc) {
     Attempt first = rpc.firstThatMayHaveRun();
-    boolean binds = first != null && rpc.method.effect == Method.Effect.TOKENED;
-    return binds ? first.sent.plus(rpc.method.window).minus(settings.tick) : null;
+    boolean binds = first != null && rpc.method.idempotency == Method.Idempotency.KEYED;
+    return binds ? first.sent.plus(rpc.method.keyLifetime).minus(settings.tick) : null;
   }
 }
--- a/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
+++ b/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
@@ -4,7 +4,7 @@
 import sprucerock.model.RolloutState;
 import sprucerock.model.Settings;
 import sprucerock.policy.evidence.Slowdown;
-import sprucerock.stats.Pace;
+import sprucerock.stats.RelativeSlowness;
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
@@ -37,7 +37,7 @@
   private final CanaryStatus canary;
   private final ArrivalRate arrivals;
   private final Timestamp started;
-  private final Pace pace;
+  private final RelativeSlowness pace;
 
   BaselinePaceMonitor(
       RelayActions actions,
@@ -49,7 +49,9 @@
     this.canary = canary;
     this.arrivals = arrivals;
     this.started = started;
-    pace = new Pace(settings.methods.size(), SOURCES, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
+    pace =
+        new RelativeSlowness(
+            settings.methods.size(), SOURCES, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
   }
 
   void observe(int source, Method method, double ms, double weight) {
@@ -60,9 +62,9 @@
     boolean before =
         !isWatched(now) || canary.trial().stage() == 0; // its few attempts slow nothing much
     if (before) {
-      pace.seeBefore(source, method.index, ms, weight, now);
+      pace.addBaseline(source, method.index, ms, weight, now);
     } else {
-      pace.see(source, method.index, ms, weight, now);
+      pace.add(source, method.index, ms, weight, now);
     }
   }
 
--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -36,7 +36,7 @@
     this.canary = canary;
     this.arrivals = arrivals;
     this.baselinePace = baselinePace;
-    alone = !settings.peers && !settings.countsEvery.over(TimeSpan.ZERO);
+    alone = !settings.gossip && !settings.countsEvery.over(TimeSpan.ZERO);
     deviations = Math.sqrt(2 * Math.log(20 * settings.relays));
   }
 
@@ -57,7 +57,8 @@
   /** Peers tell each other their pairs, twice a second at most, and add them up. */
   void reportToPeers(Timestamp now) {
     CanaryTrial trial = canary.trial();
-    boolean news = settings.peers && canary.judgedBuild() != null && !trial.evidence().isReported();
+    boolean news =
+        settings.gossip && canary.judgedBuild() != null && !trial.evidence().isReported();
     if (news
         && (trial.reportSentAt() == null
             || TimeChecks.longerThan(REPORT_INTERVAL_MS, trial.reportSentAt(), now))) {
@@ -158,7 +159,7 @@
     }
     // by the start times in the list; while a stage's new endpoints aren't listed, none up to 8 s
     TimeSpan known = now.since(trial.since());
-    Timestamp newest = trial.build.newest();
+    Timestamp newest = trial.build.newestStart();
     boolean missing =
         newest == null || trial.since().after(newest) && MISSING_ENDPOINTS_TIMEOUT.over(known);
     boolean old = !missing && now.since(newest).atMost(known).over(TimeSpan.ofMs(fallbackMs));
@@ -172,7 +173,7 @@
   private void vote(Verdict verdict) {
     Timestamp now = actions.now();
     boolean anew = verdict != lastVote.verdict();
-    TimeSpan renew = settings.voteLife.times(0.5);
+    TimeSpan renew = settings.voteLifetime.times(0.5);
     if (!anew && !lastVote.isDue(renew, settings.callTimeout, RECAST_INTERVAL, now)) {
       return;
     }
--- a/src/main/java/sprucerock/policy/EndpointListSubscription.java
+++ b/src/main/java/sprucerock/policy/EndpointListSubscription.java
@@ -19,7 +19,7 @@
   }
 
   void start() {
-    if (settings.ask) {
+    if (settings.pollsEndpointList) {
       subscribe();
     }
   }
@@ -31,7 +31,7 @@
 
   /** Where lists must be asked for, does so at half the time within which that is due. */
   void pollIfDue(Timestamp now) {
-    if (settings.ask && now.since(lastAsked).over(settings.askWithin.times(0.5))) {
+    if (settings.pollsEndpointList && now.since(lastAsked).over(settings.pollWithin.times(0.5))) {
       subscribe();
     }
   }
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -160,8 +160,8 @@
 
   /** By half the idle time neither end has closed the connection. */
   private boolean isConnected(Endpoint endpoint, Timestamp now) {
-    return endpoint.lastAnswer != null
-        && settings.idle.times(0.5).over(now.since(endpoint.lastAnswer));
+    return endpoint.lastAnsweredAt != null
+        && settings.idleTimeout.times(0.5).over(now.since(endpoint.lastAnsweredAt));
   }
 
   /** Load, times pace, times failures; a tie goes to the relay's own zone. */
@@ -170,8 +170,8 @@
     int out = gossip.outstanding(endpoint);
     double load = 1 + out / Math.max(endpoint.weight(), 0.1);
     return load
-        * endpoint.pace.at(actions.now(), 1, 2)
-        * (1 + endpoint.failed(OutlierDetector.OUTCOMES))
+        * endpoint.relativeLatency.at(actions.now(), 1, 2)
+        * (1 + endpoint.failedResults(OutlierDetector.OUTCOMES))
         * far;
   }
 }
--- a/src/main/java/sprucerock/policy/ExposureLimiter.java
+++ b/src/main/java/sprucerock/policy/ExposureLimiter.java
@@ -16,7 +16,7 @@
     this.canary = canary;
     sharedTokens = settings.free;
     for (Method method : settings.methods) {
-      method.trialTokens = settings.free;
+      method.canaryTokens = settings.free;
     }
   }
 
@@ -31,7 +31,7 @@
     double most = canary.isCanary(build) ? canary.cap() : settings.caps.get(0);
     int stage = canary.isCanary(build) ? canary.trial().stage() : 0;
     return most > 0
-        && (settings.perMethod ? method.trialTokens : sharedTokens) >= tokens
+        && (settings.perMethod ? method.canaryTokens : sharedTokens) >= tokens
         && (method.idempotent() || stage >= settings.guardedStages);
   }
 
@@ -44,12 +44,12 @@
     boolean ended = state == RolloutState.RELEASED || state == RolloutState.WITHDRAWN;
     double share = (ended ? settings.caps.get(0) : canary.cap()) * (1 - 1e-6);
     sharedTokens = Math.min(settings.free, sharedTokens + share);
-    method.trialTokens = Math.min(settings.free, method.trialTokens + share);
+    method.canaryTokens = Math.min(settings.free, method.canaryTokens + share);
   }
 
   /** An attempt goes to a build on trial. */
   void spend(Method method) {
     sharedTokens -= 1;
-    method.trialTokens -= 1;
+    method.canaryTokens -= 1;
   }
 }
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -5,7 +5,7 @@
 import sprucerock.model.Settings;
 import sprucerock.policy.evidence.AttemptCounts;
 import sprucerock.policy.evidence.CanaryTrial;
-import sprucerock.stats.Shares;
+import sprucerock.stats.Proportions;
 import sprucerock.time.TimeSpan;
 
 /**
@@ -56,7 +56,7 @@
       return;
     }
     double error =
-        Shares.error(
+        Proportions.error(
             atCanary.failures(), atCanary.attempts(), atBaseline.failures(), atBaseline.attempts());
     double mark = STANDARD_ERRORS * error;
     double excess =
@@ -74,6 +74,6 @@
     if (canary.isReleased()) {
       return trial.evidence().errorsAfterRelease() > 2;
     }
-    return settings.peers ? trial.failureLead() > 0.01 * trial.pooledPairs() : trial.isErrorSeen();
+    return settings.gossip ? trial.failureLead() > 0.01 * trial.pooledPairs() : trial.isErrorSeen();
   }
 }
--- a/src/main/java/sprucerock/policy/LatencyTracker.java
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -32,28 +32,28 @@
     this.canary = canary;
     this.baselinePace = baselinePace;
     for (Method method : settings.methods) {
-      method.took = new DecayingMean(TimeSpan.ofMs(10000));
-      method.logNow = new DecayingMean(TimeSpan.ofMs(20000));
+      method.recentLatency = new DecayingMean(TimeSpan.ofMs(10000));
+      method.recentLogLatency = new DecayingMean(TimeSpan.ofMs(20000));
     }
   }
 
   void endpointReady(Endpoint endpoint) {
-    if (endpoint.pace == null) {
-      endpoint.pace = new DecayingMean(TimeSpan.ofMs(4000));
+    if (endpoint.relativeLatency == null) {
+      endpoint.relativeLatency = new DecayingMean(TimeSpan.ofMs(4000));
     }
-    endpoint.zonePace =
+    endpoint.zoneRelativeLatency =
         zonePaces.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
   }
 
   /** The method's mean time of late, in ms; a guess until answers come. */
   double usualMs(Method method) {
-    return method.took.at(actions.now(), method.latencyObjective.ms() / 6, 1);
+    return method.recentLatency.at(actions.now(), method.latencyObjective.ms() / 6, 1);
   }
 
   /** How long an attempt took, or has taken, beside what was expected of it. */
   double relativeTime(Attempt attempt, Timestamp now) {
-    return attempt.took(now).ms()
-        / (attempt.rpc.hint != null ? attempt.rpc.hint.ms() : usualMs(attempt.rpc.method));
+    return attempt.latency(now).ms()
+        / (attempt.rpc.workHint != null ? attempt.rpc.workHint.ms() : usualMs(attempt.rpc.method));
   }
 
   /**
@@ -62,33 +62,33 @@
    */
   TimeSpan overdueAfter(Rpc rpc) {
     TimeSpan usual =
-        TimeSpan.ofMs(OVERDUE_TIMES * usualMs(rpc.method)).atLeast(rpc.hinted().times(3));
+        TimeSpan.ofMs(OVERDUE_TIMES * usualMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
     return rpc.method.latencyObjective.times(0.45).atLeast(usual);
   }
 
   void attemptOverdue(Endpoint endpoint) {
-    endpoint.pace.add(actions.now(), OVERDUE_TIMES);
-    endpoint.zonePace.add(actions.now(), OVERDUE_TIMES);
+    endpoint.relativeLatency.add(actions.now(), OVERDUE_TIMES);
+    endpoint.zoneRelativeLatency.add(actions.now(), OVERDUE_TIMES);
   }
 
   /** Takes in the time of an attempt that was answered, or timed out. */
   void learn(Attempt attempt) {
     Timestamp now = actions.now();
     Method method = attempt.rpc.method;
-    double ms = Math.max(attempt.took().ms(), 1);
+    double ms = Math.max(attempt.latency().ms(), 1);
     double times = Math.min(ms / usualMs(method), MAX_TIMES);
-    attempt.endpoint.pace.add(now, times);
-    attempt.endpoint.zonePace.add(now, times);
-    double log = Math.log(ms / Math.max(attempt.rpc.hinted().ms(), 1));
+    attempt.endpoint.relativeLatency.add(now, times);
+    attempt.endpoint.zoneRelativeLatency.add(now, times);
+    double log = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
     if (canary.isOnTrial(attempt.endpoint.build)) {
       if (!canary.isCanary(attempt.endpoint.build) || !attempt.endpoint.olderThan(COLD_AGE, now)) {
         return;
       }
-      canary.trial().logExcess.add(now, log - method.logNow.at(now, log, 1e-9));
+      canary.trial().logExcess.add(now, log - method.recentLogLatency.at(now, log, 1e-9));
       return;
     }
-    method.took.add(now, ms);
-    method.logNow.add(now, log);
+    method.recentLatency.add(now, ms);
+    method.recentLogLatency.add(now, log);
     baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(log), 1);
   }
 
@@ -98,6 +98,7 @@
       return false;
     }
     Timestamp now = actions.now();
-    return endpoint.zonePace.at(now, 1, 1) > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
+    return endpoint.zoneRelativeLatency.at(now, 1, 1)
+        > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
   }
 }
--- a/src/main/java/sprucerock/policy/LoadGossip.java
+++ b/src/main/java/sprucerock/policy/LoadGossip.java
@@ -35,7 +35,7 @@
     this.actions = actions;
     this.settings = settings;
     this.started = started;
-    reports = new LoadReports(TimeSpan.ofMs(4 * settings.meanSoftMs));
+    reports = new LoadReports(TimeSpan.ofMs(4 * settings.meanLatencyObjectiveMs));
   }
 
   void endpointReady(Endpoint endpoint) {
@@ -55,7 +55,7 @@
   }
 
   private void report(Endpoint endpoint, TimeSpan endedAt) {
-    if (!settings.peers) {
+    if (!settings.gossip) {
       return;
     }
     Timestamp now = actions.now();
@@ -92,7 +92,8 @@
     Timestamp now = actions.now();
     double waitMs =
         1000 * reports.outstanding(now) / Math.max(endedAnywhere.perSecond(started, now), 1);
-    byte[] loads = reports.encodeLoads(MIN_REPORTED_LOAD, waitMs / settings.meanSoftMs, now);
+    byte[] loads =
+        reports.encodeLoads(MIN_REPORTED_LOAD, waitMs / settings.meanLatencyObjectiveMs, now);
     actions.sendToPeers(loads);
     loadsReceived(settings.index, loads);
   }
@@ -105,7 +106,7 @@
     aggregator = sender;
     aggregatorSince = actions.now();
     loadsAt = aggregatorSince;
-    fleetWaitMs = reports.applyLoads(message, loadsAt) * settings.meanSoftMs;
+    fleetWaitMs = reports.applyLoads(message, loadsAt) * settings.meanLatencyObjectiveMs;
   }
 
   boolean areLoadsFresh() {
@@ -119,8 +120,8 @@
 
   /** Attempts that are out at it: this relay's, or all relays' where that was told. */
   int outstanding(Endpoint endpoint) {
-    return endpoint.toldAt == loadsAt && areLoadsFresh()
-        ? Math.max(endpoint.out(), endpoint.told)
-        : endpoint.out();
+    return endpoint.reportedAt == loadsAt && areLoadsFresh()
+        ? Math.max(endpoint.inFlight(), endpoint.reportedInFlight)
+        : endpoint.inFlight();
   }
 }
--- a/src/main/java/sprucerock/policy/OutlierDetector.java
+++ b/src/main/java/sprucerock/policy/OutlierDetector.java
@@ -23,13 +23,13 @@
 
   /** Under half successes among its last outcomes, of at least three: it is left alone. */
   boolean isOutlier(Endpoint endpoint) {
-    return endpoint.known(OUTCOMES) >= MIN_OUTCOMES
-        && 2 * endpoint.failed(OUTCOMES) > endpoint.known(OUTCOMES);
+    return endpoint.knownResults(OUTCOMES) >= MIN_OUTCOMES
+        && 2 * endpoint.failedResults(OUTCOMES) > endpoint.knownResults(OUTCOMES);
   }
 
   void recordOutcome(Endpoint endpoint, boolean ok) {
     boolean before = isOutlier(endpoint);
-    endpoint.note(ok);
+    endpoint.recordResult(ok);
     if (!before && isOutlier(endpoint)) {
       endpoint.retryAt = actions.now().plus(RETRY_INTERVAL);
     }
@@ -43,8 +43,8 @@
     if (tells && (ok || !attempt.overdue)) {
       recordOutcome(attempt.endpoint, ok);
     }
-    if (ok || attempt.erred()) {
-      attempt.endpoint.lastAnswer = actions.now();
+    if (ok || attempt.answeredWithError()) {
+      attempt.endpoint.lastAnsweredAt = actions.now();
     }
   }
 
--- a/src/main/java/sprucerock/policy/RequestCompletion.java
+++ b/src/main/java/sprucerock/policy/RequestCompletion.java
@@ -23,7 +23,7 @@
    */
   void endUnanswered(Rpc rpc) {
     admission.settle(rpc);
-    if (rpc.firstThatMayHaveRun() == null || rpc.method.harmlessAnywhere()) {
+    if (rpc.firstThatMayHaveRun() == null || rpc.method.repeatableAnywhere()) {
       // half a latency objective: about what a queue that long needs to drain
       TimeSpan wait = rpc.method.latencyObjective.times(0.5).atMost(settings.maxRetryAfter);
       actions.reject(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
@@ -39,11 +39,11 @@
   }
 
   private void cancelOutstanding(Rpc rpc) {
-    if (!settings.cancel) {
+    if (!settings.cancellation) {
       return;
     }
     for (Attempt attempt : rpc.attempts) {
-      if (attempt.outcome() == null && attempt.pair == null) {
+      if (attempt.outcome() == null && attempt.shadowPair == null) {
         actions.cancel(attempt);
       }
     }
--- a/src/main/java/sprucerock/policy/RetryPolicy.java
+++ b/src/main/java/sprucerock/policy/RetryPolicy.java
@@ -44,7 +44,7 @@
 
   private boolean mayRepeat(Rpc rpc) {
     boolean barred =
-        !settings.secondCopies && rpc.out() > 0 || rpc.attempts.size() >= settings.maxAttempts;
+        !settings.hedging && rpc.inFlight() > 0 || rpc.attempts.size() >= settings.maxAttempts;
     if (rpc.ended() || rpc.streaming() || barred) {
       return false;
     }
@@ -52,7 +52,7 @@
     if (first == null || rpc.method.idempotent()) {
       return true;
     }
-    return rpc.method.effect == Method.Effect.TOKENED
-        && rpc.method.window.minus(settings.tick).over(actions.now().since(first.sent));
+    return rpc.method.idempotency == Method.Idempotency.KEYED
+        && rpc.method.keyLifetime.minus(settings.tick).over(actions.now().since(first.sent));
   }
 }
--- a/src/main/java/sprucerock/policy/RoutingPolicy.java
+++ b/src/main/java/sprucerock/policy/RoutingPolicy.java
@@ -150,7 +150,7 @@
     }
     Attempt attempt = sender.send(rpc, endpoint, false);
     if (judged != null && endpoint.build != judged && shadows.pair(rpc, attempt, judged)) {
-      pairJudge.judge(attempt.pair);
+      pairJudge.judge(attempt.shadowPair);
     }
   }
 
@@ -175,15 +175,15 @@
   private void attemptOverdue(Attempt attempt) {
     attempt.overdue = true;
     Endpoint endpoint = attempt.endpoint;
-    boolean silent = endpoint.lastAnswer == null || attempt.sent.after(endpoint.lastAnswer);
+    boolean silent = endpoint.lastAnsweredAt == null || attempt.sent.after(endpoint.lastAnsweredAt);
     if (silent) {
       outliers.recordOutcome(endpoint, false);
     }
     latency.attemptOverdue(endpoint);
-    if (attempt.pair != null) {
-      pairJudge.judge(attempt.pair);
+    if (attempt.shadowPair != null) {
+      pairJudge.judge(attempt.shadowPair);
     }
-    if (silent && settings.secondCopies && attempt.rpc.out() == 1) {
+    if (silent && settings.hedging && attempt.rpc.inFlight() == 1) {
       retries.tryAgain(attempt.rpc);
     }
   }
@@ -217,10 +217,10 @@
     if (ok && canary.isCanary(attempt.endpoint.build)) {
       keys.canaryAnswered(attempt);
     }
-    if (attempt.pair != null) {
-      pairJudge.judge(attempt.pair);
+    if (attempt.shadowPair != null) {
+      pairJudge.judge(attempt.shadowPair);
     }
-    if (!rpc.ended() && !rpc.streaming() && rpc.out() == 0 && !retries.tryAgain(rpc)) {
+    if (!rpc.ended() && !rpc.streaming() && rpc.inFlight() == 0 && !retries.tryAgain(rpc)) {
       completion.endUnanswered(rpc);
     }
   }
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -30,8 +30,8 @@
 
   /** Judges the pair once, as soon as both sides are known. */
   void judge(ShadowPair pair) {
-    Attempt shadow = pair.fresh;
-    Attempt baseline = pair.earlier;
+    Attempt shadow = pair.canary;
+    Attempt baseline = pair.baseline;
     if (pair.judged || baseline == null || !isDecided(shadow, baseline)) {
       return;
     }
@@ -62,11 +62,11 @@
     boolean few =
         shadow.endpoint.build.endpoints.size()
             < FEW_ENDPOINTS; // else one endpoint gives two mismatches at most
-    boolean shadowOnly = shadow.erred() && !baseline.erred();
+    boolean shadowOnly = shadow.answeredWithError() && !baseline.answeredWithError();
     if (shadowOnly && (++shadow.endpoint.excess <= MAX_MISMATCHES || few)) {
       seen.canaryFailed(shadow.endpoint);
     }
-    if (baseline.erred() && !shadow.erred()) {
+    if (baseline.answeredWithError() && !shadow.answeredWithError()) {
       seen.baselineFailures++;
     }
   }
@@ -76,8 +76,8 @@
     Timestamp now = actions.now();
     boolean alike =
         shadow.endpoint.kind == baseline.endpoint.kind
-            && !shadow.erred()
-            && !baseline.erred()
+            && !shadow.answeredWithError()
+            && !baseline.answeredWithError()
             && shadow.endpoint.olderThan(WARM_AGE, now)
             && baseline.endpoint.olderThan(WARM_AGE, now);
     int n =
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -53,7 +53,7 @@
   }
 
   void attemptEnded(Attempt attempt) {
-    if (attempt.copy) {
+    if (attempt.shadow) {
       outstanding--;
     }
   }
@@ -80,23 +80,23 @@
    */
   boolean pair(Rpc rpc, Attempt baseline, Build judged) {
     Endpoint endpoint = mayShadow(rpc, judged) ? selectFor(rpc, judged) : null;
-    baseline.pair =
+    baseline.shadowPair =
         endpoint != null
             ? new ShadowPair()
             : canary.trial().evidence().pollAwaitingBaseline(rpc.method);
-    if (baseline.pair == null) {
+    if (baseline.shadowPair == null) {
       return false;
     }
-    baseline.pair.earlier = baseline;
+    baseline.shadowPair.baseline = baseline;
     if (endpoint != null) {
-      sendShadow(rpc, endpoint, baseline.pair);
+      sendShadow(rpc, endpoint, baseline.shadowPair);
     }
     return true;
   }
 
   private void sendShadow(Rpc rpc, Endpoint endpoint, ShadowPair pair) {
-    pair.fresh = sender.send(rpc, endpoint, true);
-    pair.fresh.pair = pair;
+    pair.canary = sender.send(rpc, endpoint, true);
+    pair.canary.shadowPair = pair;
     outstanding++;
   }
 
@@ -109,7 +109,7 @@
   private boolean mayShadow(Rpc rpc, Build build) {
     double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
     return rpc.method.idempotent()
-        && settings.secondCopies
+        && settings.hedging
         && !isBreakerOpen()
         && budget.hasCapacity()
         && rpc.attempts.size() < settings.maxAttempts
@@ -123,7 +123,7 @@
     StageEvidence seen = canary.trial().evidence();
     // every other one of a method at most: each has its like at the baseline
     if (rpc.method.idempotent()) {
-      return !settings.secondCopies && seen.isBalanced(rpc.method);
+      return !settings.hedging && seen.isBalanced(rpc.method);
     }
     // A build bad for one method with effects shows in no shadow request: a few such requests go
     // there alone.
--- a/src/main/java/sprucerock/policy/SlowStartLimiter.java
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -36,25 +36,25 @@
 
   /** Relays learn of an endpoint together: their first tokens come one by one. */
   void endpointReady(Endpoint endpoint) {
-    endpoint.coldTokens = random.next();
-    endpoint.coldAsOf = actions.now();
+    endpoint.warmUpTokens = random.next();
+    endpoint.warmUpTokensAt = actions.now();
   }
 
   /** An attempt was sent to it. */
   void attemptSent(Endpoint endpoint, boolean onTrial, Timestamp now) {
     baselineSends.add(now, onTrial ? 0 : 1);
-    endpoint.coldTokens--;
+    endpoint.warmUpTokens--;
   }
 
   /** Whether it may get one attempt more now; refills its bucket. */
   boolean hasCapacity(Endpoint endpoint, Timestamp now) {
-    if (!canary.isOnTrial(endpoint.build) && endpoint.olderThan(settings.cold, now)) {
+    if (!canary.isOnTrial(endpoint.build) && endpoint.olderThan(settings.warmUp, now)) {
       return true;
     }
     double all = 0;
     double warm = 0;
     for (Build build : canary.ascending()) {
-      build.weigh(settings.cold, WEIGHTS_KEPT, now);
+      build.refreshWeights(settings.warmUp, WEIGHTS_KEPT, now);
       all += build.weight;
       if (!canary.isOnTrial(build)) {
         warm += build.weightOfOlder;
@@ -63,13 +63,17 @@
     double carried =
         baselineSends.perSecond(now) * endpoint.weight() / Math.max(warm > 0 ? warm : all, 0.1);
     double age =
-        endpoint.started == null ? 1 : Math.max(0, now.since(endpoint.started).per(settings.cold));
+        endpoint.started == null
+            ? 1
+            : Math.max(0, now.since(endpoint.started).per(settings.warmUp));
     double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
     double perSecond = Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * share * carried;
     double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
-    endpoint.coldTokens =
-        Math.min(endpoint.coldTokens + perSecond * now.since(endpoint.coldAsOf).ms() / 1000, most);
-    endpoint.coldAsOf = now;
-    return endpoint.coldTokens >= 1;
+    endpoint.warmUpTokens =
+        Math.min(
+            endpoint.warmUpTokens + perSecond * now.since(endpoint.warmUpTokensAt).ms() / 1000,
+            most);
+    endpoint.warmUpTokensAt = now;
+    return endpoint.warmUpTokens >= 1;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -94,7 +94,7 @@
 
   /** Notes an attempt that ended at the build, before or after its release. */
   public void attemptEnded(Attempt attempt, boolean released) {
-    errorSeen |= attempt.erred();
+    errorSeen |= attempt.answeredWithError();
     if (released) {
       evidence.attemptEnded(attempt);
     }
--- a/src/main/java/sprucerock/policy/evidence/StageEvidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -9,7 +9,7 @@
 import sprucerock.model.Endpoint;
 import sprucerock.model.Method;
 import sprucerock.model.ShadowPair;
-import sprucerock.stats.Ks;
+import sprucerock.stats.KolmogorovSmirnov;
 
 /** What one relay saw of the canary in its present stage. */
 public final class StageEvidence {
@@ -81,7 +81,7 @@
 
   /** One-sided Kolmogorov-Smirnov distance of the times so far, 0 to 1. */
   public double slowerSide() {
-    return Ks.slowerSide(
+    return KolmogorovSmirnov.slowerSide(
         Arrays.copyOf(canaryTook, timedPairs), Arrays.copyOf(baselineTook, timedPairs));
   }
 
@@ -108,7 +108,7 @@
   /** Notes an attempt that ended at the build after its release. */
   public void attemptEnded(Attempt attempt) {
     attemptsAfterRelease++;
-    if (!attempt.erred()) {
+    if (!attempt.answeredWithError()) {
       return;
     }
     errorsAfterRelease++;
--- a/src/main/java/sprucerock/rehearsal/recovery/RecoveryMeter.java
+++ b/src/main/java/sprucerock/rehearsal/recovery/RecoveryMeter.java
@@ -8,7 +8,7 @@
 import java.util.OptionalDouble;
 import java.util.TreeMap;
 import sprucerock.rehearsal.trace.Line;
-import sprucerock.transport.wire.Kind;
+import sprucerock.transport.wire.FrameKind;
 import sprucerock.transport.wire.v1.Answer;
 import sprucerock.transport.wire.v1.Call;
 import sprucerock.transport.wire.v1.Ending;
@@ -103,22 +103,22 @@
     }
     String place = line.place();
     if (place.startsWith("client-")) {
-      if (line.is('>', Kind.CALL)) {
+      if (line.is('>', FrameKind.CALL)) {
         sent(line);
-      } else if (line.is('<', Kind.ANSWER)) {
+      } else if (line.is('<', FrameKind.ANSWER)) {
         answered(line);
       }
       return;
     }
-    if (line.is('<', Kind.HELLO)) {
+    if (line.is('<', FrameKind.HELLO)) {
       peaks.record("new connections", place, line.us());
-    } else if (line.is('<', Kind.WATCH)) {
+    } else if (line.is('<', FrameKind.WATCH)) {
       peaks.record("lists asked for", place, line.us());
-    } else if (line.is('<', Kind.WORK)) {
+    } else if (line.is('<', FrameKind.WORK)) {
       peaks.record("picks", place, line.us());
-    } else if (line.is('>', Kind.VOTE)) {
+    } else if (line.is('>', FrameKind.VOTE)) {
       peaks.record("votes sent", place, line.us());
-    } else if (line.is('<', Kind.TOLD)) {
+    } else if (line.is('<', FrameKind.TOLD)) {
       peaks.record("messages", place, line.us());
     }
   }
--- a/src/main/java/sprucerock/relay/frames/ClientConnections.java
+++ b/src/main/java/sprucerock/relay/frames/ClientConnections.java
@@ -79,13 +79,14 @@
     listener =
         net.bind(
             config.listen,
-            config.clients,
-            config.connection.maxUnsentBytes(),
+            config.maxClientConnections,
+            config.connectionLimits.maxUnsentBytes(),
             () -> {
               FrameClientConnection client = new FrameClientConnection(this);
               connections.add(client);
               return tlsConnections.accepted(
-                  client, new FrameConnection(net, localHello, config.connection, tap, client));
+                  client,
+                  new FrameConnection(net, localHello, config.connectionLimits, tap, client));
             });
   }
 
@@ -101,7 +102,7 @@
       return;
     }
     isAccepting = true;
-    listener.take();
+    listener.startAccepting();
     eventLog.info(
         EventLog.Event.STARTED,
         "relay "
@@ -151,7 +152,7 @@
    */
   void requestReceived(FrameRequest request, Call call) {
     if (call.getMethod() < 0 || call.getMethod() >= config.settings.methods.size()) {
-      accounts.begin(accounts.calls, 0, 3);
+      accounts.postNew(accounts.calls, 0, 3);
       request.client.answer(request, Ending.ABORTED, 0, 0, FrameClientConnection.NO_BODY);
       eventLog.warn(
           EventLog.Event.CLIENT_REFUSED,
@@ -164,7 +165,7 @@
     }
     String limit = limitReached(request.client);
     if (limit != null) {
-      accounts.begin(accounts.calls, 0, 2);
+      accounts.postNew(accounts.calls, 0, 2);
       request.client.answer(request, Ending.PUSHED_BACK, 0, 0, FrameClientConnection.NO_BODY);
       eventLog.warn(EventLog.Event.TURNED_AWAY, limit);
       return;
@@ -174,16 +175,18 @@
 
   /** For the log, why a request can't be admitted; null where it can. */
   private String limitReached(FrameClientConnection client) {
-    if (config.strict && metricsMonitor.hasDrift()) {
+    if (config.rejectsOnMetricsDrift && metricsMonitor.hasDrift()) {
       return "figures drift, and figures/strict is set";
     }
     if (isShuttingDown.getAsBoolean()) {
       return "the relay is finishing";
     }
-    if (requestTracker.open() >= live.open) {
+    if (requestTracker.openRpcs() >= live.maxOpenRequests) {
       return "limits/open is reached";
     }
-    return client.openRequests() > live.openPerClient ? "limits/open-per-client is reached" : null;
+    return client.openRequests() > live.maxOpenRequestsPerClient
+        ? "limits/open-per-client is reached"
+        : null;
   }
 
   void clientLeft(FrameRequest request) {
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -85,7 +85,7 @@
     this.onListFailed = listFailed;
     connection =
         new ReconnectingConnection(
-            net, config.roster, localHello, config.connection, tap, random, this);
+            net, config.discovery, localHello, config.connectionLimits, tap, random, this);
   }
 
   void start() {
@@ -118,8 +118,8 @@
       connection.cut("no roster answers there");
       return;
     }
-    eventLog.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.roster);
-    if (!config.settings.ask) {
+    eventLog.info(EventLog.Event.ROSTER_BACK, "linked to the roster at " + config.discovery);
+    if (!config.settings.pollsEndpointList) {
       connection.send(FrameKind.WATCH, Watch.getDefaultInstance(), FrameClientConnection.NO_BODY);
     }
   }
@@ -148,7 +148,7 @@
       apply(entry);
     }
     if (listing.getForm() == Form.WHOLE) {
-      for (Endpoint endpoint : requestTracker.units()) {
+      for (Endpoint endpoint : requestTracker.endpoints()) {
         if (!named.contains(endpoint.id)) {
           remove(endpoint);
         }
@@ -167,7 +167,7 @@
   }
 
   private void apply(Entry entry) {
-    Endpoint known = requestTracker.unit(entry.getUnit());
+    Endpoint known = requestTracker.endpoint(entry.getUnit());
     if (entry.getHealth() == Health.GONE) {
       if (known != null) {
         remove(known);
@@ -190,13 +190,13 @@
     boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
     boolean moved =
         sameRun
-            && known.door != null
-            && !((EndpointConnectionPool) known.door).isFor(address, entry.getName());
+            && known.attachment != null
+            && !((EndpointConnectionPool) known.attachment).isFor(address, entry.getName());
     if (known != null && (!sameRun || moved)) {
       closePool(known);
     }
     if (moved) {
-      requestTracker.removed(known.id);
+      requestTracker.endpointRemoved(known.id);
     }
     list(entry, known, address, run.started);
   }
@@ -204,7 +204,7 @@
   private void list(Entry entry, Endpoint known, InetSocketAddress address, Timestamp started) {
     boolean mayPlace = permits.mayPlace(entry.getZone(), entry.getCell());
     Endpoint endpoint =
-        requestTracker.listed(
+        requestTracker.endpointListed(
             entry.getUnit(),
             entry.getZone(),
             entry.getKind(),
@@ -221,8 +221,8 @@
     } else {
       rackIndex.remove(endpoint);
     }
-    if (endpoint.door == null) {
-      endpoint.door =
+    if (endpoint.attachment == null) {
+      endpoint.attachment =
           new EndpointConnectionPool(
               endpoint, address, entry.getName(), config, random, poolListener);
     }
@@ -246,13 +246,13 @@
     if (!(entry.getWeight() > 0) || entry.getWeight() > MAX_WEIGHT) {
       return "a weight that is not above 0";
     }
-    if (known == null && runs.size() >= config.endpoints) {
+    if (known == null && runs.size() >= config.maxEndpoints) {
       return "more units than limits/units allows";
     }
     if (entry.getUnit() >>> 32 != 0) {
       return "an id of 2^32 or more";
     }
-    return config.tls != null && config.tlsUnits && entry.getName().isEmpty()
+    return config.tlsSetup != null && config.tlsToEndpoints && entry.getName().isEmpty()
         ? "no name, by which it could be proven"
         : null;
   }
@@ -278,7 +278,7 @@
     for (RackIndex.RackEndpoints rack : rackIndex.update(permits)) {
       boolean mayPlace = rack.mayPlace();
       for (Entry entry : rack.entries()) {
-        if (requestTracker.unit(entry.getUnit()).ready() != mayPlace) {
+        if (requestTracker.endpoint(entry.getUnit()).ready() != mayPlace) {
           apply(entry);
         }
       }
@@ -288,14 +288,14 @@
   private void remove(Endpoint endpoint) {
     runs.remove(endpoint.id);
     rackIndex.remove(endpoint);
-    requestTracker.removed(endpoint.id);
+    requestTracker.endpointRemoved(endpoint.id);
     closePool(endpoint);
     onEndpointChanged.accept(endpoint);
   }
 
   private static void closePool(Endpoint endpoint) {
-    if (endpoint.door != null) {
-      ((EndpointConnectionPool) endpoint.door).close();
+    if (endpoint.attachment != null) {
+      ((EndpointConnectionPool) endpoint.attachment).close();
     }
   }
 
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -83,7 +83,7 @@
     this.config = config;
     this.random = random;
     this.listener = owner;
-    backoff = config.pauseFirst;
+    backoff = config.firstBackoff;
   }
 
   /** Whether these are the address and name that the connections go to. */
@@ -110,7 +110,7 @@
       }
       if (!connection.isReady) {
         connecting++;
-      } else if (connection.load() < config.picksEach
+      } else if (connection.load() < config.attemptsPerConnection
           && (best == null || connection.load() < best.load())) {
         best = connection;
       }
@@ -121,21 +121,21 @@
     }
     Timestamp now = listener.now();
     boolean isBackingOff = retryAt != null && retryAt.after(now);
-    boolean mayOpen = connections.size() < config.connectionsPerUnit && !isBackingOff;
-    if (waiting.size() >= config.waitingPerUnit || isBackingOff && connections.isEmpty()) {
+    boolean mayOpen = connections.size() < config.connectionsPerEndpoint && !isBackingOff;
+    if (waiting.size() >= config.waitingPerEndpoint || isBackingOff && connections.isEmpty()) {
       listener.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
       return;
     }
     waiting.add(exchange);
     exchange.connectTimer =
         listener.schedule(
-            now.plus(config.connectWithin),
+            now.plus(config.connectTimeout),
             () -> {
               if (waiting.remove(exchange)) {
                 listener.attemptEnded(exchange, AttemptOutcome.NOT_CONNECTED, NO_BODY);
               }
             });
-    if (mayOpen && connecting * config.picksEach < waiting.size()) {
+    if (mayOpen && connecting * config.attemptsPerConnection < waiting.size()) {
       open(now);
     }
   }
@@ -154,7 +154,7 @@
       return;
     }
     if (replacement == null) {
-      replacement = new RollingReplacement(this, listener, random, config.pauseMost);
+      replacement = new RollingReplacement(this, listener, random, config.maxBackoff);
     }
     replacement.begin(connections, within);
   }
@@ -169,20 +169,20 @@
 
   /** A connection's endpoint has greeted: what waits for one is sent on it. */
   void connectionReady(EndpointConnection connection) {
-    backoff = config.pauseFirst;
+    backoff = config.firstBackoff;
     retryAt = null;
     sendWaiting(connection);
     if (replacement != null) {
       replacement.connectionReady(connection);
     }
-    listener.schedule(listener.now().plus(config.idle), () -> closeIdle(connection));
+    listener.schedule(listener.now().plus(config.idleTimeout), () -> closeIdle(connection));
   }
 
   private void sendWaiting(EndpointConnection connection) {
     while (!waiting.isEmpty()
         && !connection.isRetired
         && connection.isReady
-        && connection.load() < config.picksEach) {
+        && connection.load() < config.attemptsPerConnection) {
       FrameExchange next = waiting.poll();
       next.connectTimer.cancel();
       if (!next.mayStart(listener.now())) {
@@ -198,10 +198,10 @@
       return;
     }
     TimeSpan unused = listener.now().since(connection.lastUsed);
-    if (connection.isIdle() && !config.idle.over(unused)) {
+    if (connection.isIdle() && !config.idleTimeout.over(unused)) {
       connection.retire();
     } else {
-      listener.schedule(listener.now().plus(config.idle), () -> closeIdle(connection));
+      listener.schedule(listener.now().plus(config.idleTimeout), () -> closeIdle(connection));
     }
   }
 
@@ -209,7 +209,7 @@
   void capacityFreed(EndpointConnection connection) {
     // an endpoint that answers nothing fills its connection with attempts that nobody waits for:
     // another is made
-    boolean isStuck = connection.isIdle() && 2 * connection.load() >= config.picksEach;
+    boolean isStuck = connection.isIdle() && 2 * connection.load() >= config.attemptsPerConnection;
     if ((isClosing || connection.isRetired) && connection.isIdle() || isStuck) {
       connection.retire();
     }
@@ -238,7 +238,7 @@
     }
     Timestamp now = listener.now();
     retryAt = now.plus(backoff.times(0.5 + 0.5 * random.next()));
-    backoff = backoff.times(2).atMost(config.pauseMost);
+    backoff = backoff.times(2).atMost(config.maxBackoff);
     boolean hasOthers = connections.stream().anyMatch(other -> !other.isRetired);
     while (!hasOthers && !waiting.isEmpty()) {
       FrameExchange next = waiting.poll();
--- a/src/main/java/sprucerock/relay/frames/EndpointConnections.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnections.java
@@ -52,14 +52,14 @@
 
   /** The pool of the endpoint that an attempt goes to. */
   static EndpointConnectionPool poolOf(AttemptExchange exchange) {
-    return (EndpointConnectionPool) exchange.attempt().endpoint.door;
+    return (EndpointConnectionPool) exchange.attempt().endpoint.attachment;
   }
 
   /** Replaces all connections within a time, as credentials have changed. */
   void replaceConnections(TimeSpan within) {
-    for (Endpoint endpoint : requestTracker.units()) {
-      if (endpoint.door != null) {
-        ((EndpointConnectionPool) endpoint.door).replaceConnections(within);
+    for (Endpoint endpoint : requestTracker.endpoints()) {
+      if (endpoint.attachment != null) {
+        ((EndpointConnectionPool) endpoint.attachment).replaceConnections(within);
       }
     }
   }
@@ -68,16 +68,16 @@
   void openProbeConnection(
       Endpoint endpoint, FrameListener listener, HealthChecker.ConnectionTaker taker) {
     FrameConnection connection =
-        new FrameConnection(net, localHello, config.connection, tap, listener);
+        new FrameConnection(net, localHello, config.connectionLimits, tap, listener);
     taker.take(connection);
-    EndpointConnectionPool pool = (EndpointConnectionPool) endpoint.door;
+    EndpointConnectionPool pool = (EndpointConnectionPool) endpoint.attachment;
     tlsConnections.connectToEndpoint(endpoint.id, pool.address(), pool.tlsName(), connection);
   }
 
   @Override
   public void openConnection(EndpointConnection connection, InetSocketAddress to, String name) {
     connection.connection =
-        new FrameConnection(net, localHello, config.connection, tap, connection);
+        new FrameConnection(net, localHello, config.connectionLimits, tap, connection);
     tlsConnections.connectToEndpoint(connection.endpoint().id, to, name, connection.connection);
   }
 
--- a/src/main/java/sprucerock/relay/frames/FleetTasks.java
+++ b/src/main/java/sprucerock/relay/frames/FleetTasks.java
@@ -4,9 +4,9 @@
 import java.io.IOException;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.FencingToken;
+import sprucerock.lease.FencingTokenRegistry;
 import sprucerock.lease.GrantorListener;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.model.Attempt;
 import sprucerock.model.Endpoint;
 import sprucerock.relay.engine.EventLog;
@@ -35,8 +35,8 @@
   private final PeerConnections peers;
   private final ControllerConnection controller;
   private final EndpointConnections endpoints;
-  private final FencingToken fence = new FencingToken();
-  private final Leases leases; // null: none are configured
+  private final FencingTokenRegistry fence = new FencingTokenRegistry();
+  private final LeaseManager leases; // null: none are configured
   private final HardwareReporter hardwareReporter; // null: it takes no part in that
   private GrantorListener grantor; // null: this relay grants no leases
   private HealthChecker healthChecker; // null: it does not stand for that lease
@@ -59,37 +59,37 @@
     this.peers = peers;
     this.controller = controller;
     this.endpoints = endpoints;
-    Leases.Log leaseLog = leaseLog(eventLog);
+    LeaseManager.Log leaseLog = leaseLog(eventLog);
     leases =
         config.leases == null
             ? null
-            : new Leases(
+            : new LeaseManager(
                 net,
                 config.leases,
                 config.name,
-                Leases.newLife(),
+                LeaseManager.newIncarnation(),
                 tap,
                 System::currentTimeMillis,
                 leaseLog);
-    boolean reportsHardware = config.leases != null && config.leases.fitsEvery() != null;
+    boolean reportsHardware = config.leases != null && config.leases.hardwareFitInterval() != null;
     hardwareReporter =
         !reportsHardware
             ? null
             : new HardwareReporter(
                 net,
                 config.settings.index,
-                config.leases.fitsEvery(),
+                config.leases.hardwareFitInterval(),
                 System::currentTimeMillis,
-                build -> build < requestTracker.newestTried(),
+                build -> build < requestTracker.newestRolloutBuild(),
                 eventLog,
                 this);
-    if (config.leases != null && config.leases.granter() >= 0) {
+    if (config.leases != null && config.leases.grantorNumber() >= 0) {
       grantor = new GrantorListener(net, config.leases, config.name, tap, leaseLog);
     }
   }
 
-  private static Leases.Log leaseLog(EventLog eventLog) {
-    return new Leases.Log() {
+  private static LeaseManager.Log leaseLog(EventLog eventLog) {
+    return new LeaseManager.Log() {
       @Override
       public void info(String what) {
         eventLog.info(EventLog.Event.LEASE, what);
@@ -118,13 +118,13 @@
     leases.start();
     if (hardwareReporter != null) {
       hardwareReporter.start(worker);
-      leases.stand(HardwareReporter.LEASE, hardwareReporter);
+      leases.campaign(HardwareReporter.LEASE, hardwareReporter);
     }
-    if (config.leases.looksEvery() != null) {
+    if (config.leases.healthCheckInterval() != null) {
       healthChecker =
           new HealthChecker(
-              net, requestTracker, eventLog, config.leases.looksEvery(), random, this);
-      leases.stand(HealthChecker.LEASE, healthChecker);
+              net, requestTracker, eventLog, config.leases.healthCheckInterval(), random, this);
+      leases.campaign(HealthChecker.LEASE, healthChecker);
     }
   }
 
@@ -148,8 +148,8 @@
   }
 
   /** Counts of leases since the start; null where none are configured. From any thread. */
-  Leases.Figures leaseMetrics() {
-    return leases == null ? null : leases.figures();
+  LeaseManager.Counts leaseMetrics() {
+    return leases == null ? null : leases.counts();
   }
 
   /** An endpoint was listed, changed or removed. */
@@ -169,7 +169,7 @@
   /** A health check's result; one under an older lease than was heard of is dropped. */
   void probeResult(Seen seen) {
     if (fence.admits(HealthChecker.LEASE, seen.getNumber())) {
-      requestTracker.looked(seen.getUnit(), seen.getAnswered());
+      requestTracker.healthChecked(seen.getUnit(), seen.getAnswered());
     }
   }
 
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -5,7 +5,7 @@
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.RequestTracker;
 import sprucerock.config.RelayConfig;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.model.Attempt;
 import sprucerock.model.AttemptOutcome;
 import sprucerock.model.Build;
@@ -102,7 +102,7 @@
             random,
             endpoints,
             rackPermits,
-            () -> policy.listFailed(),
+            () -> policy.endpointListFailed(),
             this::stateReceived,
             fleetTasks::endpointChanged);
     shutdown = new GracefulShutdown(net, requestTracker, eventLog, new ShutdownTarget());
@@ -124,9 +124,9 @@
   }
 
   private static RequestTracker tracker(RelayConfig config) {
-    MethodAccounts.Room rows =
-        new MethodAccounts.Room(
-            MAX_BUILD_ROWS, Math.min(config.endpoints, MAX_ENDPOINT_ROWS), MAX_TENANT_ROWS);
+    MethodAccounts.Capacity rows =
+        new MethodAccounts.Capacity(
+            MAX_BUILD_ROWS, Math.min(config.maxEndpoints, MAX_ENDPOINT_ROWS), MAX_TENANT_ROWS);
     return new RequestTracker(config.settings, new MethodAccounts(config.methodNames, rows));
   }
 
@@ -169,7 +169,7 @@
     rackPermits.start();
     fleetTasks.start(worker);
     net.at(
-        net.now().plus(config.waitForList),
+        net.now().plus(config.discoveryTimeout),
         () -> clients.accept("without list or news, which did not come in time"));
     metricsMonitor.start();
   }
@@ -207,7 +207,7 @@
   }
 
   /** Counts of leases since the start; null where none are configured. From any thread. */
-  public Leases.Figures leases() {
+  public LeaseManager.Counts leases() {
     return fleetTasks.leaseMetrics();
   }
 
@@ -226,7 +226,7 @@
    * time is over. Then {@code done} runs.
    */
   public void shutdown(Runnable done) {
-    shutdown.begin(live.finishWithin, done);
+    shutdown.begin(live.shutdownTimeout, done);
   }
 
   /** Takes over settings that were read anew, of which only those differ that may be live. */
@@ -236,11 +236,11 @@
     eventLog.info(
         EventLog.Event.SETTINGS,
         "taken over: limits/open "
-            + reread.open
+            + reread.maxOpenRequests
             + ", limits/open-per-client "
-            + reread.openPerClient
+            + reread.maxOpenRequestsPerClient
             + ", limits/finish-within "
-            + reread.finishWithin.ms()
+            + reread.shutdownTimeout.ms()
             + "ms");
   }
 
@@ -274,7 +274,7 @@
 
   void peerMessage(int sender, byte[] contents) {
     if (sender >= 0 && sender < config.settings.relays) {
-      policy.peerTold(sender, contents);
+      policy.peerMessageReceived(sender, contents);
     }
   }
 
@@ -350,12 +350,12 @@
   }
 
   @Override
-  public void tellPeers(byte[] contents) {
+  public void sendToPeers(byte[] contents) {
     peers.sendToAll(contents);
   }
 
   @Override
-  public void tellPeer(int relay, byte[] contents) {
+  public void sendToPeer(int relay, byte[] contents) {
     peers.send(relay, contents);
   }
 
--- a/src/main/java/sprucerock/relay/frames/GracefulShutdown.java
+++ b/src/main/java/sprucerock/relay/frames/GracefulShutdown.java
@@ -53,7 +53,7 @@
     hasBegun = true;
     whenDone = done;
     target.stopAccepting();
-    eventLog.info(EventLog.Event.FINISHING, requestTracker.open() + " RPCs are open");
+    eventLog.info(EventLog.Event.FINISHING, requestTracker.openRpcs() + " RPCs are open");
     net.at(net.now().plus(timeout), this::timedOut);
     endIfDone();
   }
@@ -65,7 +65,7 @@
   }
 
   private void endIfDone() {
-    if (requestTracker.open() == 0) {
+    if (requestTracker.openRpcs() == 0) {
       end();
     } else {
       net.at(net.now().plus(POLL_INTERVAL), this::endIfDone);
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -3,14 +3,14 @@
 import java.util.function.IntPredicate;
 import java.util.function.LongSupplier;
 import sprucerock.hardware.Cell;
+import sprucerock.hardware.HardwareModel;
 import sprucerock.hardware.LeastSquaresFit;
-import sprucerock.hardware.Model;
 import sprucerock.hardware.Observation;
+import sprucerock.hardware.RunningMoments;
 import sprucerock.hardware.SampleSums;
-import sprucerock.hardware.Sums;
-import sprucerock.lease.FencingToken;
+import sprucerock.lease.FencingTokenRegistry;
 import sprucerock.lease.LeaseCheck;
-import sprucerock.lease.Leases;
+import sprucerock.lease.LeaseManager;
 import sprucerock.model.Attempt;
 import sprucerock.relay.engine.EventLog;
 import sprucerock.time.TimeSpan;
@@ -28,7 +28,7 @@
  * the model under the lease's fencing number. A holder that is replaced leaves nothing behind that
  * the next one needs: relays report to the new one from then on. For the event loop's thread.
  */
-final class HardwareReporter implements Leases.Task {
+final class HardwareReporter implements LeaseManager.Listener {
   /** The name of the lease, as on the wire. */
   static final String LEASE = "fit";
 
@@ -54,7 +54,7 @@
   private final IntPredicate isSettledBuild;
   private final EventLog eventLog;
   private final ReportTransport transport;
-  private final FencingToken fence = new FencingToken();
+  private final FencingTokenRegistry fence = new FencingTokenRegistry();
   private Aside worker;
   private SampleSums samples;
   private int fitter = -1;
@@ -62,7 +62,7 @@
   private Observation observation;
   private boolean isFitting;
   private Timestamp announcedAt;
-  private Model newestModel;
+  private HardwareModel newestModel;
   private boolean stopped;
 
   /** {@code settled}: builds that are no part of a trial. */
@@ -104,12 +104,12 @@
 
   /** An attempt succeeded, beside so many others of this relay on its endpoint. */
   void attemptSucceeded(Attempt attempt, int concurrentAttempts) {
-    samples.ended(
+    samples.add(
         attempt.rpc.method.index,
         attempt.endpoint.kind,
         attempt.endpoint.build.number,
         concurrentAttempts,
-        attempt.took().ms());
+        attempt.latency().ms());
   }
 
   private void tick() {
@@ -123,10 +123,10 @@
     if (leaseCheck != null
         && (announcedAt == null || net.now().since(announcedAt).over(ANNOUNCE_INTERVAL))) {
       announcedAt = net.now();
-      leaseCheck.act(
+      leaseCheck.runIfHeld(
           number -> transport.announceFitter(Fitter.newBuilder().setNumber(number).build()));
     }
-    if (leaseCheck != null && leaseCheck.held()) {
+    if (leaseCheck != null && leaseCheck.isHeld()) {
       startFit();
     }
     net.at(net.now().plus(window.times(0.25)), this::tick);
@@ -134,7 +134,7 @@
 
   private void report(SampleSums of) {
     if (leaseCheck != null) {
-      observation.told(of);
+      observation.add(of);
       return;
     }
     if (fitter < 0 || of.cells().isEmpty()) {
@@ -159,39 +159,39 @@
   // While it holds the lease.
 
   @Override
-  public void begun(LeaseCheck by) {
+  public void acquired(LeaseCheck by) {
     leaseCheck = by;
     observation = new Observation();
     announcedAt = null;
   }
 
   @Override
-  public void ended(String why) {
+  public void lost(String why) {
     leaseCheck = null;
     observation = null;
   }
 
   private void startFit() {
     if (isFitting
-        || observation.newest() == 0
-        || newestModel != null && newestModel.window() >= observation.newest()) {
+        || observation.newestWindow() == 0
+        || newestModel != null && newestModel.window() >= observation.newestWindow()) {
       return;
     }
     LeaseCheck by = leaseCheck;
     Observation copy = observation.copy();
-    Model[] model = new Model[1];
+    HardwareModel[] model = new HardwareModel[1];
     isFitting =
         worker.run(
-            () -> model[0] = LeastSquaresFit.of(copy, 0, isSettledBuild, 0),
+            () -> model[0] = LeastSquaresFit.fit(copy, 0, isSettledBuild, 0),
             () -> fitCompleted(by, model[0])); // where too much waits, a quarter of a window later
   }
 
-  private void fitCompleted(LeaseCheck by, Model model) {
+  private void fitCompleted(LeaseCheck by, HardwareModel model) {
     isFitting = false;
     if (model == null || leaseCheck != by) {
       return;
     }
-    by.act(
+    by.runIfHeld(
         number -> {
           Worth.Builder worth =
               Worth.newBuilder()
@@ -199,10 +199,10 @@
                   .setWindow(model.window())
                   .addAllFamilies(model.families())
                   .addAllMethods(model.methods())
-                  .setFree(model.free());
+                  .setFree(model.degreesOfFreedom());
           model.times(time -> worth.addLogs(time.log()).addErrors(time.error()));
           for (int a : model.families()) {
-            worth.addCores(model.cores(a).log()).addCoresErrors(model.cores(a).error());
+            worth.addCores(model.concurrency(a).log()).addCoresErrors(model.concurrency(a).error());
           }
           Worth done = worth.build();
           modelReceived(done);
@@ -220,7 +220,7 @@
   }
 
   void samplesReceived(int relay, Tallied received) {
-    if (leaseCheck == null || received.getCellsCount() > SampleSums.MOST_CELLS) {
+    if (leaseCheck == null || received.getCellsCount() > SampleSums.MAX_CELLS) {
       return;
     }
     SampleSums of = new SampleSums(relay, received.getWindow());
@@ -233,10 +233,10 @@
       if (can) {
         of.put(
             new Cell(one.getMethod(), one.getFamily(), one.getBuild(), one.getDepth()),
-            new Sums(one.getCount(), one.getMean(), one.getSquares()));
+            new RunningMoments(one.getCount(), one.getMean(), one.getSquares()));
       }
     }
-    observation.told(of);
+    observation.add(of);
   }
 
   /** A model was published; one of a holder that was replaced is refused, and logged. */
@@ -251,26 +251,26 @@
               + " was heard");
       return;
     }
-    Model model = decode(received);
-    if (model != null && model.newerThan(newestModel)) {
+    HardwareModel model = decode(received);
+    if (model != null && model.isNewerThan(newestModel)) {
       newestModel = model;
     }
   }
 
   /** The last model that was heard of; null: none. */
-  Model newestModel() {
+  HardwareModel newestModel() {
     return newestModel;
   }
 
   /** Null where it can't be one. */
-  static Model decode(Worth received) {
+  static HardwareModel decode(Worth received) {
     int families = received.getFamiliesCount();
     int methods = received.getMethodsCount();
     int pairs = (methods + 1) * families * families;
     boolean can =
         families > 0
-            && families <= LeastSquaresFit.MOST_FAMILIES
-            && methods <= LeastSquaresFit.MOST_METHODS
+            && families <= LeastSquaresFit.MAX_FAMILIES
+            && methods <= LeastSquaresFit.MAX_METHODS
             && received.getLogsCount() == pairs
             && received.getErrorsCount() == pairs
             && received.getCoresCount() == families
@@ -279,7 +279,7 @@
     if (!can) {
       return null;
     }
-    return Model.of(
+    return HardwareModel.of(
         received.getNumber(),
         received.getWindow(),
         received.getFamiliesList(),
--- a/src/main/java/sprucerock/relay/frames/MetricsMonitor.java
+++ b/src/main/java/sprucerock/relay/frames/MetricsMonitor.java
@@ -72,16 +72,16 @@
       tlsDaysLeft = tlsConnections.tls().daysLeft();
       isTlsBroken = tlsConnections.tls().broken();
     }
-    if (accounts.muted()) {
+    if (accounts.postingsDisabled()) {
       return;
     }
-    List<MethodAccounts.Drift> drifts = accounts.check();
+    List<MethodAccounts.Imbalance> drifts = accounts.check();
     long open = accounts.sum(accounts.rpcs, accounts.rpcs.pending());
-    hasDrift |= !drifts.isEmpty() || open != requestTracker.open();
-    if (open != requestTracker.open()) {
+    hasDrift |= !drifts.isEmpty() || open != requestTracker.openRpcs();
+    if (open != requestTracker.openRpcs()) {
       eventLog.error(
           EventLog.Event.DRIFT,
-          "rpcs open: " + open + " by the accounts, " + requestTracker.open() + " by count");
+          "rpcs open: " + open + " by the accounts, " + requestTracker.openRpcs() + " by count");
     }
     if (!drifts.isEmpty()) {
       eventLog.error(
@@ -112,7 +112,7 @@
             + " messages-dropped "
             + accounts.value(accounts.messages, 0, 2)
             + " units "
-            + requestTracker.units().size()
+            + requestTracker.endpoints().size()
             + " clients "
             + clientCount.getAsInt());
     if (!isShuttingDown.getAsBoolean()) {
--- a/src/main/java/sprucerock/simulation/EventDecoder.java
+++ b/src/main/java/sprucerock/simulation/EventDecoder.java
@@ -121,7 +121,7 @@
     int sender = f.getInt();
     byte[] contents = new byte[SimulationHost.count(f, f.getShort() & 0xffff, 1)];
     f.get(contents);
-    return () -> relay.policy().peerTold(sender, contents);
+    return () -> relay.policy().peerMessageReceived(sender, contents);
   }
 
   private Runnable rolloutChanged(ByteBuffer f) {
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -69,7 +69,7 @@
     guarded(
         () -> {
           if (form == WireCodes.LIST_FAILED) {
-            policy.listFailed();
+            policy.endpointListFailed();
             return;
           }
           Set<Long> listed = new HashSet<>();
@@ -165,19 +165,19 @@
   }
 
   @Override
-  public void pushBack(Rpc rpc, TimeSpan wait) {
+  public void reject(Rpc rpc, TimeSpan wait) {
     open(WireCodes.REJECT).u32(rpc.id).f64(wait.ms()).close();
     tracker.rejected(rpc);
   }
 
   @Override
-  public void abort(Rpc rpc) {
+  public void fail(Rpc rpc) {
     open(WireCodes.ABORT).u32(rpc.id).close();
     tracker.aborted(rpc);
   }
 
   @Override
-  public void wake(Timestamp when, Runnable what) {
+  public void schedule(Timestamp when, Runnable what) {
     long token = timerCount++ & TOKEN_MASK;
     timers.put(token, what);
     open(WireCodes.SET_TIMER).u32(token).f64(when.ms()).close();
@@ -189,12 +189,12 @@
   }
 
   @Override
-  public void tellPeers(byte[] contents) {
+  public void sendToPeers(byte[] contents) {
     open(WireCodes.TELL_PEER).u16(WireCodes.ALL_PEERS).bytes(contents).close();
   }
 
   @Override
-  public void tellPeer(int relay, byte[] contents) {
+  public void sendToPeer(int relay, byte[] contents) {
     open(WireCodes.TELL_PEER).u16(relay).bytes(contents).close();
   }
 
--- a/src/test/java/sprucerock/ArchitectureTest.java
+++ b/src/test/java/sprucerock/ArchitectureTest.java
@@ -169,17 +169,24 @@
           "lease.LeaseGrantor",
           "lease.LeaseClient",
           "lease.LeaseCheck",
-          "lease.FencingToken",
-          "lease.Terms",
+          "lease.FencingTokenRegistry",
+          "lease.LeaseTerms",
           "lease.Grant",
           "relay.healthcheck.HealthCheckScheduler",
           "hardware.LeastSquaresFit",
           "hardware.Observation",
           "hardware.SampleSums",
-          "hardware.Translation",
+          "hardware.CapacityTranslator",
           "controller.maintenance.MaintenanceWindows",
           "controller.maintenance.MaintenanceWindow",
-          "controller.maintenance.CapacityCheck"
+          "controller.maintenance.CapacityCheck",
+          "lease.LeaseRound",
+          "hardware.FitData",
+          "hardware.ConcurrencyEstimator",
+          "hardware.RunningMoments",
+          "controller.maintenance.WindowIndex",
+          "controller.maintenance.WindowLifecycle",
+          "controller.maintenance.CapacityPlanner"
         }) {
       noClasses()
           .that()
--- a/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -1,217 +1,242 @@
-package sprucerock.accounting ;
-
-
-import static org.testng.Assert.assertEquals ;
-import static org.testng.Assert.assertTrue ;
-
-
-import java.nio.file.Files ;
-import java.nio.file.Path ;
-import java.util.ArrayList ;
-import java.util.List ;
-import net.jqwik.api.Arbitraries ;
-import net.jqwik.api.Arbitrary ;
-import net.jqwik.api.Combinators ;
-import net.jqwik.api.ForAll ;
-import net.jqwik.api.Property ;
-import net.jqwik.api.Provide ;
-import net.jqwik.api.ShrinkingMode ;
-import net.jqwik.api.constraints.DoubleRange ;
-import net.jqwik.api.constraints.Size ;
-import org.HdrHistogram.Histogram ;
-import sprucerock.metrics.MetricsFileWriter ;
-import sprucerock.metrics.MetricsSnapshot ;
-import sprucerock.model.Attempt ;
-import sprucerock.model.AttemptOutcome ;
-import sprucerock.model.Endpoint ;
-import sprucerock.model.Method ;
-import sprucerock.model.Rpc ;
-import sprucerock.model.Settings ;
-import sprucerock.relay.frames.RecordingRelayEvents ;
-import sprucerock.time.TimeSpan ;
-import sprucerock.time.Timestamp ;
-
-
-/** 
-* Sums hold after each step, in whatever order things happen, stale, doubled or never, and through 
-* crashes. 
-*/ 
+package sprucerock.accounting;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import net.jqwik.api.Arbitraries;
+import net.jqwik.api.Arbitrary;
+import net.jqwik.api.Combinators;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.Provide;
+import net.jqwik.api.ShrinkingMode;
+import net.jqwik.api.constraints.DoubleRange;
+import net.jqwik.api.constraints.Size;
+import org.HdrHistogram.Histogram;
+import sprucerock.metrics.MetricsFileWriter;
+import sprucerock.metrics.MetricsSnapshot;
+import sprucerock.model.Attempt;
+import sprucerock.model.AttemptOutcome;
+import sprucerock.model.Endpoint;
+import sprucerock.model.Method;
+import sprucerock.model.Rpc;
+import sprucerock.model.Settings;
+import sprucerock.relay.frames.RecordingRelayEvents;
+import sprucerock.time.TimeSpan;
+import sprucerock.time.Timestamp;
+
+/**
+ * Sums hold after each step, in whatever order things happen, stale, doubled or never, and through
+ * crashes.
+ */
 class RequestTrackerProperties {
-private static final AttemptOutcome [ ] OUTCOMES = AttemptOutcome.values ( ) ;
-
-
-/** 
-* Something that happens: its kind, the RPC, attempt or endpoint it is about, and after how long. 
-*/ 
-record Event ( int kind , int subject , int variant , double afterMs ) {
-}
-
-
-@Provide Arbitrary < Event > events ( ) {
-return Combinators.combine ( Arbitraries.integers ( ).between ( 0 , 9 ) , Arbitraries.integers ( ).between ( 0 , 1000 ) , Arbitraries.integers ( ).between ( 0 , 40 ) , Arbitraries.doubles ( ).between ( 0 , 400 ) ).as ( Event :: new ) ;
-}
-
-
-/** One incarnation of a relay, of which the test drives only the tracker. */ 
-private static final class Incarnation {
-final MethodAccounts accounts = new MethodAccounts ( List.of ( "read" , "pay" ) , new MethodAccounts.Capacity ( 2 , 3 , 2 ) ) ;
-final RequestTracker tracker ;
-final List < Method > methods = new ArrayList < > ( ) ;
-final List < Rpc > rpcs = new ArrayList < > ( ) ;
-final List < Attempt > attempts = new ArrayList < > ( ) ;
-Timestamp now = Timestamp.ofMs ( 1000 ) ;
-long lastId ;
-
-
-Incarnation ( ) {
-Settings.Draft draft = new Settings.Draft ( ) ;
-for ( int i = 0 ;
-i < 2 ;
-i ++ ) {
-methods.add ( new Method ( i , Method.Idempotency.IDEMPOTENT , Method.KeyScope.ALL , TimeSpan.ofMs ( 100 ) , TimeSpan.ZERO , 1 , false ) ) ;
-draft.methods.add ( methods.get ( i ) ) ;
-}
-tracker = new RequestTracker ( new Settings ( draft ) , accounts ) ;
-tracker.setListener ( new RecordingRelayEvents ( ) ) ;
-listed ( 0 ) ;
-}
-
-
-private Endpoint listed ( int id ) {
-return tracker.endpointListed ( id , 0 , 0 , 0 , 1 + id % 4 , null , 1 , true ) ;
-}
-
-
-void apply ( Event event ) {
-now = now.plus ( TimeSpan.ofMs ( event.afterMs ) ) ;
-Rpc rpc = rpcs.isEmpty ( ) ? null : rpcs.get ( event.subject % rpcs.size ( ) ) ;
-Attempt attempt = attempts.isEmpty ( ) ? null : attempts.get ( event.subject % attempts.size ( ) ) ;
-switch ( event.kind ) {
-case 0 , 1 -> rpcs.add ( tracker.rpcArrived ( ++ lastId , methods.get ( event.variant % 2 ) , event.subject % 5 , 0 , now , now.plus ( TimeSpan.ofMs ( 300 ) ) , null , null ) ) ;
-case 2 -> listed ( event.variant % 6 ) ;
-case 3 -> tracker.endpointRemoved ( event.variant % 6 ) ;
-case 4 -> {
-if ( rpc != null ) {
-tracker.rejected ( rpc ) ;
-}
-}
-case 5 -> {
-if ( rpc != null ) {
-tracker.aborted ( rpc ) ;
-}
-}
-case 6 -> {
-if ( rpc != null ) {
-tracker.clientLeft ( rpc ) ;
-}
-}
-case 7 -> {
-Endpoint endpoint = tracker.endpoint ( event.variant % 6 ) ;
-if ( rpc == null || rpc.ended ( ) || endpoint == null ) {
-break ;
-}
-Attempt made = new Attempt ( rpc , endpoint , now , null ) ;
-made.shadow = event.variant % 3 == 0 ;
-attempts.add ( made ) ;
-tracker.attemptSent ( made ) ;
-}
-default -> {
-// late ones, and the same again, among them
-if ( attempt == null ) {
-break ;
-}
-AttemptOutcome outcome = OUTCOMES [ event.variant % OUTCOMES.length ] ;
-tracker.attemptEnded ( attempt , outcome , now.since ( attempt.sent ) , attempt.rpc.ended ( ) || outcome == AttemptOutcome.OK ) ;
-}
-}
-}
-
-
-void assertSumsHold ( ) {
-assertEquals ( accounts.check ( ) , List.of ( ) ) ;
-assertEquals ( accounts.sum ( accounts.rpcs , accounts.rpcs.pending ( ) ) , tracker.openRpcs ( ) ) ;
-long inFlight = attempts.stream ( ).filter ( attempt -> attempt.outcome ( ) == null ).count ( ) ;
-assertEquals ( accounts.sum ( accounts.attempts , accounts.attempts.pending ( ) ) , inFlight ) ;
-long shadows = attempts.stream ( ).filter ( attempt -> attempt.outcome ( ) == null && attempt.shadow ).count ( ) ;
-assertEquals ( accounts.sum ( accounts.shadowAttempts , accounts.shadowAttempts.pending ( ) ) , shadows ) ;
-}
-}
-
-
-@Property ( seed = "20261201" , tries = 400 , shrinking = ShrinkingMode.BOUNDED ) void sumsHoldAfterEachStep ( @ForAll ( "events200" ) List < Event > events ) {
-Incarnation incarnation = new Incarnation ( ) ;
-for ( Event event : events ) {
-incarnation.apply ( event ) ;
-incarnation.assertSumsHold ( ) ;
-}
-}
-
-
-@Provide Arbitrary < List < Event >> events200 ( ) {
-return events ( ).list ( ).ofMinSize ( 1 ).ofMaxSize ( 200 ) ;
-}
-
-
-/** 
-* Each incarnation ends in the middle of a turn; the next goes on from what its last whole turn 
-* said. 
-*/ 
-@Property ( seed = "20261202" , tries = 60 , shrinking = ShrinkingMode.BOUNDED ) void sumsHoldThroughOneCrashAfterAnother ( @ForAll ( "events200" ) List < Event > events , @ForAll @Size ( max = 12 ) List < @DoubleRange ( min = 0 , max = 1 ) Double > crashes ) throws Exception {
-Path file = Files.createTempDirectory ( "lives" ).resolve ( "r.figures" ) ;
-long taken = 0 ;
-long lost = 0 ;
-long open = 0 ;
-for ( int incarnations = 0 ;
-incarnations <= crashes.size ( ) ;
-incarnations ++ ) {
-Incarnation incarnation = new Incarnation ( ) ;
-MetricsFileWriter.open ( file , incarnation.accounts , ( ) -> {
-}
-, line -> {
-throw new AssertionError ( line ) ;
-}
-) ;
-assertEquals ( incarnation.accounts.sum ( incarnation.accounts.rpcs , 0 ) , taken ) ;
-lost += open ;
-assertEquals ( incarnation.accounts.sum ( incarnation.accounts.rpcs , incarnation.accounts.rpcs.lost ( ) ) , lost ) ;
-int until = incarnations < crashes.size ( ) ? ( int ) ( crashes.get ( incarnations ) * events.size ( ) ) : events.size ( ) ;
-for ( int i = 0 ;
-i < until ;
-i ++ ) {
-incarnation.apply ( events.get ( i ) ) ;
-if ( i % 7 == 6 ) {
-incarnation.accounts.commit ( ) ;
-}
-}
-MetricsSnapshot snapshot = MetricsSnapshot.read ( file ) ;
-MethodAccounts read = snapshot.accounts ( ) ;
-assertEquals ( read.check ( snapshot.values ) , List.of ( ) ) ;
-taken = 0 ;
-open = 0 ;
-for ( int row = 0 ;
-row < read.rpcs.rows ( ) ;
-row ++ ) {
-taken += snapshot.values [ read.rpcs.index ( row , 0 ) ] ;
-open += snapshot.values [ read.rpcs.index ( row , read.rpcs.pending ( ) ) ] ;
-}
-}
-Files.delete ( file ) ;
-Files.delete ( file.getParent ( ) ) ;
-}
-
-
-/** The buckets are those of HdrHistogram: what falls into one is equivalent there, too. */ 
-@Property ( seed = "20261203" , tries = 5000 ) void bucketsAreThoseOfHdrHistogram ( @ForAll @DoubleRange ( min = 0 , max = 67_000 ) double ms ) {
-Histogram same = HistogramBuckets.histogram ( ) ;
-long us = ( long ) ( ms * 1000 ) ;
-int bucket = HistogramBuckets.bucket ( TimeSpan.ofMs ( us / 1000.0 ) ) ;
-assertEquals ( HistogramBuckets.lowerBoundUs ( bucket ) , same.lowestEquivalentValue ( HistogramBuckets.lowerBoundUs ( bucket ) ) ) ;
-long slack = 1 ;
-// a microsecond is lost where milliseconds are cut to whole ones
-assertTrue ( us + slack >= HistogramBuckets.lowerBoundUs ( bucket ) , us + " in " + bucket ) ;
-assertTrue ( bucket == HistogramBuckets.BUCKETS - 1 || us - slack < HistogramBuckets.lowerBoundUs ( bucket + 1 ) , us + " in " + bucket ) ;
-same.recordValue ( us ) ;
-assertTrue ( same.getMaxValue ( ) - us <= Math.max ( 16 , us / 16 ) , "6% at most" ) ;
-}
+  private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
+
+  /**
+   * Something that happens: its kind, the RPC, attempt or endpoint it is about, and after how long.
+   */
+  record Event(int kind, int subject, int variant, double afterMs) {}
+
+  @Provide
+  Arbitrary<Event> events() {
+    return Combinators.combine(
+            Arbitraries.integers().between(0, 9),
+            Arbitraries.integers().between(0, 1000),
+            Arbitraries.integers().between(0, 40),
+            Arbitraries.doubles().between(0, 400))
+        .as(Event::new);
+  }
+
+  /** One incarnation of a relay, of which the test drives only the tracker. */
+  private static final class Incarnation {
+    final MethodAccounts accounts =
+        new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(2, 3, 2));
+    final RequestTracker tracker;
+    final List<Method> methods = new ArrayList<>();
+    final List<Rpc> rpcs = new ArrayList<>();
+    final List<Attempt> attempts = new ArrayList<>();
+    Timestamp now = Timestamp.ofMs(1000);
+    long lastId;
+
+    Incarnation() {
+      Settings.Draft draft = new Settings.Draft();
+      for (int i = 0; i < 2; i++) {
+        methods.add(
+            new Method(
+                i,
+                Method.Idempotency.IDEMPOTENT,
+                Method.KeyScope.ALL,
+                TimeSpan.ofMs(100),
+                TimeSpan.ZERO,
+                1,
+                false));
+        draft.methods.add(methods.get(i));
+      }
+      tracker = new RequestTracker(new Settings(draft), accounts);
+      tracker.setListener(new RecordingRelayEvents());
+      listed(0);
+    }
+
+    private Endpoint listed(int id) {
+      return tracker.endpointListed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
+    }
+
+    void apply(Event event) {
+      now = now.plus(TimeSpan.ofMs(event.afterMs));
+      Rpc rpc = rpcs.isEmpty() ? null : rpcs.get(event.subject % rpcs.size());
+      Attempt attempt = attempts.isEmpty() ? null : attempts.get(event.subject % attempts.size());
+      switch (event.kind) {
+        case 0, 1 ->
+            rpcs.add(
+                tracker.rpcArrived(
+                    ++lastId,
+                    methods.get(event.variant % 2),
+                    event.subject % 5,
+                    0,
+                    now,
+                    now.plus(TimeSpan.ofMs(300)),
+                    null,
+                    null));
+        case 2 -> listed(event.variant % 6);
+        case 3 -> tracker.endpointRemoved(event.variant % 6);
+        case 4 -> {
+          if (rpc != null) {
+            tracker.rejected(rpc);
+          }
+        }
+        case 5 -> {
+          if (rpc != null) {
+            tracker.aborted(rpc);
+          }
+        }
+        case 6 -> {
+          if (rpc != null) {
+            tracker.clientLeft(rpc);
+          }
+        }
+        case 7 -> {
+          Endpoint endpoint = tracker.endpoint(event.variant % 6);
+          if (rpc == null || rpc.ended() || endpoint == null) {
+            break;
+          }
+          Attempt made = new Attempt(rpc, endpoint, now, null);
+          made.shadow = event.variant % 3 == 0;
+          attempts.add(made);
+          tracker.attemptSent(made);
+        }
+        default -> {
+          // late ones, and the same again, among them
+          if (attempt == null) {
+            break;
+          }
+          AttemptOutcome outcome = OUTCOMES[event.variant % OUTCOMES.length];
+          tracker.attemptEnded(
+              attempt,
+              outcome,
+              now.since(attempt.sent),
+              attempt.rpc.ended() || outcome == AttemptOutcome.OK);
+        }
+      }
+    }
+
+    void assertSumsHold() {
+      assertEquals(accounts.check(), List.of());
+      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), tracker.openRpcs());
+      long inFlight = attempts.stream().filter(attempt -> attempt.outcome() == null).count();
+      assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), inFlight);
+      long shadows =
+          attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.shadow).count();
+      assertEquals(
+          accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pending()), shadows);
+    }
+  }
+
+  @Property(seed = "20261201", tries = 400, shrinking = ShrinkingMode.BOUNDED)
+  void sumsHoldAfterEachStep(@ForAll("events200") List<Event> events) {
+    Incarnation incarnation = new Incarnation();
+    for (Event event : events) {
+      incarnation.apply(event);
+      incarnation.assertSumsHold();
+    }
+  }
+
+  @Provide
+  Arbitrary<List<Event>> events200() {
+    return events().list().ofMinSize(1).ofMaxSize(200);
+  }
+
+  /**
+   * Each incarnation ends in the middle of a turn; the next goes on from what its last whole turn
+   * said.
+   */
+  @Property(seed = "20261202", tries = 60, shrinking = ShrinkingMode.BOUNDED)
+  void sumsHoldThroughOneCrashAfterAnother(
+      @ForAll("events200") List<Event> events,
+      @ForAll @Size(max = 12) List<@DoubleRange(min = 0, max = 1) Double> crashes)
+      throws Exception {
+    Path file = Files.createTempDirectory("lives").resolve("r.figures");
+    long taken = 0;
+    long lost = 0;
+    long open = 0;
+    for (int incarnations = 0; incarnations <= crashes.size(); incarnations++) {
+      Incarnation incarnation = new Incarnation();
+      MetricsFileWriter.open(
+          file,
+          incarnation.accounts,
+          () -> {},
+          line -> {
+            throw new AssertionError(line);
+          });
+      assertEquals(incarnation.accounts.sum(incarnation.accounts.rpcs, 0), taken);
+      lost += open;
+      assertEquals(
+          incarnation.accounts.sum(incarnation.accounts.rpcs, incarnation.accounts.rpcs.lost()),
+          lost);
+      int until =
+          incarnations < crashes.size()
+              ? (int) (crashes.get(incarnations) * events.size())
+              : events.size();
+      for (int i = 0; i < until; i++) {
+        incarnation.apply(events.get(i));
+        if (i % 7 == 6) {
+          incarnation.accounts.commit();
+        }
+      }
+      MetricsSnapshot snapshot = MetricsSnapshot.read(file);
+      MethodAccounts read = snapshot.accounts();
+      assertEquals(read.check(snapshot.values), List.of());
+      taken = 0;
+      open = 0;
+      for (int row = 0; row < read.rpcs.rows(); row++) {
+        taken += snapshot.values[read.rpcs.index(row, 0)];
+        open += snapshot.values[read.rpcs.index(row, read.rpcs.pending())];
+      }
+    }
+    Files.delete(file);
+    Files.delete(file.getParent());
+  }
+
+  /** The buckets are those of HdrHistogram: what falls into one is equivalent there, too. */
+  @Property(seed = "20261203", tries = 5000)
+  void bucketsAreThoseOfHdrHistogram(@ForAll @DoubleRange(min = 0, max = 67_000) double ms) {
+    Histogram same = HistogramBuckets.histogram();
+    long us = (long) (ms * 1000);
+    int bucket = HistogramBuckets.bucket(TimeSpan.ofMs(us / 1000.0));
+    assertEquals(
+        HistogramBuckets.lowerBoundUs(bucket),
+        same.lowestEquivalentValue(HistogramBuckets.lowerBoundUs(bucket)));
+    long slack = 1;
+    // a microsecond is lost where milliseconds are cut to whole ones
+    assertTrue(us + slack >= HistogramBuckets.lowerBoundUs(bucket), us + " in " + bucket);
+    assertTrue(
+        bucket == HistogramBuckets.BUCKETS - 1
+            || us - slack < HistogramBuckets.lowerBoundUs(bucket + 1),
+        us + " in " + bucket);
+    same.recordValue(us);
+    assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
+  }
 }
- 
--- a/src/test/java/sprucerock/controller/server/AgentListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentListenerTest.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
 import sprucerock.controller.deployment.ManagedRelay;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Role;
 
@@ -40,13 +40,13 @@
     start(file);
   }
 
-  private Person connectAgent(int number) throws Exception {
-    Person agent = connect(Role.AGENT, number, controller.agentAddress());
-    waitUntil("it is connected", () -> getOnLoop(agent.connection::usable));
+  private RecordingPeer connectAgent(int number) throws Exception {
+    RecordingPeer agent = connect(Role.AGENT, number, controller.agentAddress());
+    waitUntil("it is connected", () -> getOnLoop(agent.connection::isReady));
     loop.post(
         () ->
             agent.send(
-                Kind.AGENT,
+                FrameKind.AGENT,
                 AgentSays.newBuilder()
                     .setProgram("a".repeat(64))
                     .setSettings("b".repeat(64))
@@ -69,26 +69,26 @@
   @Test
   public void disconnectedAgentBecomesSilentUntilItReconnects() throws Exception {
     start();
-    Person stays = connectAgent(1);
-    Person goes = connectAgent(2);
+    RecordingPeer stays = connectAgent(1);
+    RecordingPeer goes = connectAgent(2);
     waitUntil("both are heard", () -> isKnown(1, false) && isKnown(2, false));
     loop.post(() -> goes.connection.cut("it goes"));
     waitUntil("it is silent", () -> isKnown(2, true));
     assertTrue(isKnown(1, false), "one that is connected is not silent, though it sends nothing");
     connectAgent(2);
     waitUntil("it is heard again", () -> isKnown(2, false));
-    assertTrue(getOnLoop(stays.connection::usable));
+    assertTrue(getOnLoop(stays.connection::isReady));
   }
 
   /** A connection that replaces another one is no absence when the old one closes. */
   @Test
   public void replacedConnectionDoesNotMakeAgentSilent() throws Exception {
     start();
-    Person first = connectAgent(2);
+    RecordingPeer first = connectAgent(2);
     waitUntil("it is heard", () -> isKnown(2, false));
     connectAgent(2);
-    waitUntil("the old connection is cut", () -> getOnLoop(() -> first.gone != null));
-    Person other = connectAgent(3); // whose silence shows that time enough has passed
+    waitUntil("the old connection is cut", () -> getOnLoop(() -> first.closeReason != null));
+    RecordingPeer other = connectAgent(3); // whose silence shows that time enough has passed
     waitUntil("the other is heard", () -> isKnown(3, false));
     loop.post(() -> other.connection.cut("it goes"));
     waitUntil("the other is silent", () -> isKnown(3, true));
--- a/src/test/java/sprucerock/controller/server/ControllerServerTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerServerTest.java
@@ -23,8 +23,8 @@
 import org.testng.annotations.Test;
 import sprucerock.config.ConfigException;
 import sprucerock.time.TimeSpan;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.News;
 import sprucerock.transport.wire.v1.Role;
 import sprucerock.transport.wire.v1.Say;
@@ -119,29 +119,31 @@
             .build());
   }
 
-  private Person connectRelay(int number) {
+  private RecordingPeer connectRelay(int number) {
     return connect(Role.RELAY, number, controller.relayAddress());
   }
 
-  private News lastNews(Person relay) {
-    List<News> all = getOnLoop(() -> new ArrayList<>(relay.<News>all(Kind.NEWS)));
+  private News lastNews(RecordingPeer relay) {
+    List<News> all = getOnLoop(() -> new ArrayList<>(relay.<News>heads(FrameKind.NEWS)));
     return all.isEmpty() ? News.getDefaultInstance() : all.get(all.size() - 1);
   }
 
-  private Taken vote(Person relay, int id, int build, int stage, Say say) throws Exception {
+  private Taken vote(RecordingPeer relay, int id, int build, int stage, Say say) throws Exception {
     loop.post(
         () ->
             relay.send(
-                Kind.VOTE,
+                FrameKind.VOTE,
                 Vote.newBuilder().setId(id).setBuild(build).setStage(stage).setSay(say).build()));
     waitUntil(
         "vote " + id + " is answered",
         () ->
             getOnLoop(
-                () -> relay.<Voted>all(Kind.VOTED).stream().anyMatch(one -> one.getId() == id)));
+                () ->
+                    relay.<Voted>heads(FrameKind.VOTED).stream()
+                        .anyMatch(one -> one.getId() == id)));
     return getOnLoop(
         () ->
-            relay.<Voted>all(Kind.VOTED).stream()
+            relay.<Voted>heads(FrameKind.VOTED).stream()
                 .filter(one -> one.getId() == id)
                 .findFirst()
                 .get()
@@ -150,7 +152,7 @@
 
   @Test
   public void signedAnnouncementIsRolledOutStageByStage() throws Exception {
-    Person relay = connectRelay(0);
+    RecordingPeer relay = connectRelay(0);
     waitUntil("it gets the status at once", () -> lastNews(relay).getStanding() == Stand.RELEASED);
     assertEquals(send(webhook("m1", announcement(2))), "202 {\"answer\":\"taken\"}");
     assertEquals(send(webhook("m1", announcement(2))), "200 {\"answer\":\"again\"}");
@@ -176,14 +178,14 @@
 
   @Test
   public void restartKeepsRolloutStateAndRaisesEpoch() throws Exception {
-    Person relay = connectRelay(0);
+    RecordingPeer relay = connectRelay(0);
     send(webhook("m1", announcement(2)));
     api("PUT", "/fleet/2", "{\"units\":1}");
     waitUntil("it gets the trial", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
     News before = lastNews(relay);
     controller.close();
     start("1000");
-    Person again = connectRelay(0);
+    RecordingPeer again = connectRelay(0);
     waitUntil("it gets the status", () -> lastNews(again).getBuild() == 2);
     News after = lastNews(again);
     assertEquals(after.getStanding(), Stand.ON_TRIAL);
--- a/src/test/java/sprucerock/controller/server/ControllerTestSupport.java
+++ b/src/test/java/sprucerock/controller/server/ControllerTestSupport.java
@@ -15,8 +15,8 @@
 import sprucerock.controller.Engine;
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
-import sprucerock.transport.wire.Person;
-import sprucerock.transport.wire.Tap;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Role;
 
 /** What tests of a whole controller share: its folder, the peers' loop, and how they wait. */
@@ -61,7 +61,7 @@
 
   /** Starts the controller of a configuration file. */
   void start(Path file) throws Exception {
-    controller = new ControllerServer(ControllerConfig.read(file), CLOCK, Tap.NONE, () -> {});
+    controller = new ControllerServer(ControllerConfig.read(file), CLOCK, FrameTap.NONE, () -> {});
   }
 
   /** Waits for a condition, by far longer than any machine needs. */
@@ -80,10 +80,10 @@
   }
 
   /** A relay or an agent that connects to the controller. */
-  Person connect(Role role, int number, InetSocketAddress address) {
+  RecordingPeer connect(Role role, int number, InetSocketAddress address) {
     return getOnLoop(
         () -> {
-          Person peer = new Person(loop, role, number);
+          RecordingPeer peer = new RecordingPeer(loop, role, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", address.getPort()),
               TimeSpan.ofMs(5000),
--- a/src/test/java/sprucerock/controller/server/RelayListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/RelayListenerTest.java
@@ -13,8 +13,8 @@
 import sprucerock.controller.AppendResult;
 import sprucerock.controller.v1.FreezeWanted;
 import sprucerock.controller.v1.Input;
-import sprucerock.transport.wire.Kind;
-import sprucerock.transport.wire.Person;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.PromiseAsk;
 import sprucerock.transport.wire.v1.Promised;
 import sprucerock.transport.wire.v1.RackFree;
@@ -60,26 +60,27 @@
     start(file);
   }
 
-  private Person connectRelay(int number) {
+  private RecordingPeer connectRelay(int number) {
     return connect(Role.RELAY, number, controller.relayAddress());
   }
 
-  private Promised requestGrants(Person relay, long list) throws Exception {
-    waitUntil("it is connected", () -> getOnLoop(relay.connection::usable));
+  private Promised requestGrants(RecordingPeer relay, long list) throws Exception {
+    waitUntil("it is connected", () -> getOnLoop(relay.connection::isReady));
     long id = ++lastRequestId;
     loop.post(
         () ->
-            relay.send(Kind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
+            relay.send(
+                FrameKind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
     waitUntil(
         "ask " + id + " is answered",
         () ->
             getOnLoop(
                 () ->
-                    relay.<Promised>all(Kind.PROMISED).stream()
+                    relay.<Promised>heads(FrameKind.PROMISED).stream()
                         .anyMatch(one -> one.getId() == id)));
     return getOnLoop(
         () ->
-            relay.<Promised>all(Kind.PROMISED).stream()
+            relay.<Promised>heads(FrameKind.PROMISED).stream()
                 .filter(one -> one.getId() == id)
                 .findFirst()
                 .get());
@@ -110,7 +111,7 @@
   @Test
   public void relayWithoutListSupportGetsAllRacksEachTime() throws Exception {
     start(5);
-    Person relay = connectRelay(0);
+    RecordingPeer relay = connectRelay(0);
     for (int i = 0; i < 2; i++) {
       Promised all = requestGrants(relay, 0);
       assertEquals(all.getRacksCount(), 5);
@@ -124,7 +125,7 @@
   @Test
   public void relayWithListGetsOnlyRacksBelowTheirNotice() throws Exception {
     start(5);
-    Person relay = connectRelay(0);
+    RecordingPeer relay = connectRelay(0);
     Promised all = requestGrants(relay, 1);
     assertTrue(!all.getRest() && all.getList() != 0);
     assertEquals(
@@ -184,7 +185,7 @@
     int[] bytes = new int[2];
     for (int i = 0; i < 2; i++) {
       start(sizes[i]);
-      Person relay = connectRelay(0);
+      RecordingPeer relay = connectRelay(0);
       Promised whole = requestGrants(relay, 1);
       announceWindows("r4", MINUTE_MS, 1);
       bytes[i] = requestGrants(relay, whole.getList()).getSerializedSize();
@@ -210,14 +211,14 @@
   @Test
   public void windowsOfOneCommitAreNotifiedOnce() throws Exception {
     start(5);
-    Person relay = connectRelay(0);
+    RecordingPeer relay = connectRelay(0);
     requestGrants(relay, 0);
     announceWindows("r1", 30 * MINUTE_MS, 20);
     requestGrants(relay, 0);
     long notifications =
         getOnLoop(
             () ->
-                relay.<Promised>all(Kind.PROMISED).stream()
+                relay.<Promised>heads(FrameKind.PROMISED).stream()
                     .filter(one -> one.getId() == 0)
                     .count());
     System.out.println("counted: nudges for 20 freezes of one turn: " + notifications);
--- a/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
+++ b/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
@@ -1,354 +1,316 @@
-package sprucerock.metrics ;
-
-
-import static org.testng.Assert.assertEquals ;
-import static org.testng.Assert.assertTrue ;
-import static org.testng.Assert.expectThrows ;
-
-
-import java.nio.ByteBuffer ;
-import java.nio.file.Files ;
-import java.nio.file.Path ;
-import java.nio.file.attribute.PosixFilePermissions ;
-import java.util.ArrayList ;
-import java.util.Arrays ;
-import java.util.List ;
-import java.util.SplittableRandom ;
-import org.testng.annotations.Test ;
-import sprucerock.accounting.MethodAccounts ;
-import sprucerock.accounting.MethodMetrics ;
-import sprucerock.time.TimeSpan ;
-
-
-/** Metrics files through kills at every write, damage of every kind, and restarts. */ 
+package sprucerock.metrics;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+import static org.testng.Assert.expectThrows;
+
+import java.nio.ByteBuffer;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.PosixFilePermissions;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.testng.annotations.Test;
+import sprucerock.accounting.MethodAccounts;
+import sprucerock.accounting.MethodMetrics;
+import sprucerock.time.TimeSpan;
+
+/** Metrics files through kills at every write, damage of every kind, and restarts. */
 public class MappedMetricsFileTest {
-private static final List < String > METHODS = List.of ( "read" , "pay" ) ;
-private static final MethodAccounts . 
-Capacity CAPACITY
-= new MethodAccounts.Capacity ( 2 , 3 , 2 ) ;
-
-
-/** Memory of a process that is killed at its n-th write, of which some bytes are written. */ 
-private static final class KilledMemory implements MetricsMemory {
-private static final class Killed extends RuntimeException {
-private static final long serialVersionUID = 1L ;
-}
-
-
-private final ByteBuffer bytes ;
-private final BufferMetricsMemory memory ;
-private long writesLeft ;
-private final int torn ;
-
-
-KilledMemory ( int size , long writes , int torn ) {
-bytes = ByteBuffer.allocate ( size ) ;
-memory = new BufferMetricsMemory ( bytes ) ;
-writesLeft = writes ;
-this.torn = torn ;
-}
-
-
-@Override public long get ( int offset ) {
-return memory.get ( offset ) ;
-}
-
-
-@Override public void get ( int offset , long [ ] into , int from , int count ) {
-memory.get ( offset , into , from , count ) ;
-}
-
-
-@Override public void put ( int offset , long value ) {
-if ( writesLeft -- > 0 ) {
-memory.put ( offset , value ) ;
-return ;
-}
-for ( int i = 0 ;
-i < torn ;
-i ++ ) {
-bytes.put ( offset + i , ( byte ) ( value >>> 8 * i ) ) ;
-}
-throw new Killed ( ) ;
-}
-
-
-@Override public void putLast ( int offset , long value ) {
-put ( offset , value ) ;
-}
-
-
-@Override public int size ( ) {
-return bytes.capacity ( ) ;
-}
-}
-
-
-private static void postSome ( MethodAccounts accounts , SplittableRandom random ) {
-for ( int i = random.nextInt ( 4 ) ;
-i >= 0 ;
-i -- ) {
-int method = random.nextInt ( 2 ) ;
-int build = accounts.row ( accounts.builds , "" + random.nextInt ( 4 ) ) ;
-int endpoint = accounts.row ( accounts.endpoints , "u" + random.nextInt ( 5 ) ) ;
-accounts.attemptSent ( method , build , endpoint , false ) ;
-accounts.attemptWritten ( ) ;
-if ( random.nextBoolean ( ) ) {
-accounts.attemptEnded ( method , build , endpoint , false , true , 1 , TimeSpan.ofMs ( random.nextDouble ( 20 ) ) ) ;
-}
-}
-}
-
-
-private static MappedMetricsFile file ( MetricsMemory memory , MethodAccounts accounts ) {
-return new MappedMetricsFile ( memory , accounts.layout ( ) , accounts.size ( ) , accounts.rows ( ) , 1 ) ;
-}
-
-
-private static int size ( ) {
-MethodAccounts accounts = new MethodAccounts ( METHODS , CAPACITY ) ;
-return MappedMetricsFile.size ( accounts.layout ( ) , accounts.size ( ) , accounts.rows ( ) ) ;
-}
-
-
-/** Commits until the process is killed; the values of each commit go into {@code states}. */ 
-private static void commitUntilKilled ( KilledMemory memory , List < long [ ] > states ) {
-MethodAccounts accounts = new MethodAccounts ( METHODS , CAPACITY ) ;
-SplittableRandom random = new SplittableRandom ( 4 ) ;
-MappedMetricsFile file = file ( memory , accounts ) ;
-accounts.persistTo ( file , ( ) -> {
-}
-) ;
-for ( int i = 0 ;
-i < 120 ;
-i ++ ) {
-postSome ( accounts , random ) ;
-long [ ] after = new long [ accounts.size ( ) ] ;
-for ( MethodMetrics family : accounts.tables ( ) ) {
-for ( int row = 0 ;
-row < family.rows ( ) ;
-row ++ ) {
-for ( int column = 0 ;
-column < family.columns ( ).size ( ) ;
-column ++ ) {
-after [ family.index ( row , column ) ] = accounts.value ( family , row , column ) ;
-}
-}
-}
-states.add ( after ) ;
-accounts.commit ( ) ;
-}
-}
-
-
-@Test public void killAtAnyWriteLeavesTheValuesOfACommit ( ) throws Exception {
-int kills = 0 ;
-int checked = 0 ;
-for ( int torn = 0 ;
-torn < 8 ;
-torn += torn == 0 ? 1 : 3 ) {
-for ( long writes = 0 ;
-;
-writes ++ ) {
-KilledMemory memory = new KilledMemory ( size ( ) , writes , torn ) ;
-List < long [ ] > states = new ArrayList < > ( ) ;
-boolean killed = false ;
-try {
-commitUntilKilled ( memory , states ) ;
-}
-catch ( KilledMemory.Killed e ) {
-killed = true ;
-}
-if ( states.size ( ) > 1 ) {
-// before, the file is not in its place yet
-MetricsSnapshot snapshot = MetricsSnapshot.read ( memory , "f" ) ;
-long [ ] last = states.get ( states.size ( ) - 1 ) ;
-long [ ] before = states.get ( states.size ( ) - 2 ) ;
-assertTrue ( Arrays.equals ( snapshot.values , last ) || Arrays.equals ( snapshot.values , before ) , "killed at write " + writes + ", torn at " + torn ) ;
-assertEquals ( snapshot.accounts ( ).check ( snapshot.values ) , List.of ( ) ) ;
-checked ++ ;
-}
-if ( ! killed ) {
-break ;
-}
-kills ++ ;
-}
-}
-assertTrue ( kills > 5000 && checked > 4000 , kills + " kills, " + checked + " in turns" ) ;
-}
-
-
-private static Path folder ( ) throws Exception {
-return Files.createTempDirectory ( "figures" ) ;
-}
-
-
-private static MethodAccounts runRelay ( Path file , List < String > logged , boolean closes , int commits ) {
-MethodAccounts accounts = new MethodAccounts ( METHODS , CAPACITY ) ;
-MetricsFileWriter writer = MetricsFileWriter.open ( file , accounts , ( ) -> {
-}
-, logged :: add ) ;
-SplittableRandom random = new SplittableRandom ( commits ) ;
-for ( int i = 0 ;
-i < commits ;
-i ++ ) {
-postSome ( accounts , random ) ;
-accounts.commit ( ) ;
-}
-if ( closes ) {
-writer.close ( ) ;
-}
-return accounts ;
-}
-
-
-@Test public void nextGenerationCarriesValuesAndBooksPendingAsLost ( ) throws Exception {
-Path file = folder ( ).resolve ( "r.figures" ) ;
-List < String > logged = new ArrayList < > ( ) ;
-MethodAccounts first = runRelay ( file , logged , false , 50 ) ;
-long sent = first.sum ( first.attempts , 0 ) ;
-long out = first.sum ( first.attempts , first.attempts.pending ( ) ) ;
-assertTrue ( out > 0 ) ;
-MethodAccounts second = runRelay ( file , logged , false , 0 ) ;
-// killed again before anything happened
-assertEquals ( second.sum ( second.attempts , second.attempts.lost ( ) ) , out ) ;
-MethodAccounts third = runRelay ( file , logged , true , 20 ) ;
-assertTrue ( third.sum ( third.attempts , 0 ) > sent ) ;
-assertEquals ( third.sum ( third.attempts , third.attempts.lost ( ) ) , out ) ;
-MetricsSnapshot snapshot = MetricsSnapshot.read ( file ) ;
-assertEquals ( snapshot.generation , 3 ) ;
-assertTrue ( snapshot.cleanShutdown ) ;
-assertEquals ( snapshot.accounts ( ).check ( snapshot.values ) , List.of ( ) ) ;
-assertEquals ( third.value ( third.starts , 0 , 0 ) , 3 ) ;
-assertEquals ( third.value ( third.starts , 0 , third.starts.lost ( ) ) , 2 ) ;
-assertEquals ( logged , List.of ( ) ) ;
-}
-
-
-@Test public void carriesRowsByNameAcrossChangedSettings ( ) throws Exception {
-Path file = folder ( ).resolve ( "r.figures" ) ;
-runRelay ( file , new ArrayList < > ( ) , true , 30 ) ;
-long [ ] before = MetricsSnapshot.read ( file ).values ;
-MethodAccounts now = new MethodAccounts ( List.of ( "pay" , "extra" , "read" ) , new MethodAccounts.Capacity ( 1 , 1 , 1 ) ) ;
-List < String > logged = new ArrayList < > ( ) ;
-MetricsFileWriter.open ( file , now , ( ) -> {
-}
-, logged :: add ) ;
-assertEquals ( logged , List.of ( ) ) ;
-MethodAccounts old = new MethodAccounts ( METHODS , CAPACITY ) ;
-assertEquals ( now.value ( now.attempts , 2 , 0 ) , before [ old.attempts.index ( 0 , 0 ) ] ) ;
-assertEquals ( now.value ( now.attempts , 0 , 1 ) , before [ old.attempts.index ( 1 , 1 ) ] ) ;
-assertEquals ( now.check ( ) , List.of ( ) ) ;
-assertEquals ( MetricsSnapshot.read ( file ).rowNames [ 0 ] , "all" ) ;
-}
-
-
-@Test public void setsAsideDamagedFilesWithOneLogLine ( ) throws Exception {
-Path folder = folder ( ) ;
-Path file = folder.resolve ( "r.figures" ) ;
-runRelay ( file , new ArrayList < > ( ) , true , 30 ) ;
-byte [ ] good = Files.readAllBytes ( file ) ;
-List < byte [ ] > bad = new ArrayList < > ( ) ;
-for ( int length : new int [ ] {
-0 , 1 , 63 , 64 , 200 , good.length / 2 , good.length - 1 }
-) {
-bad.add ( Arrays.copyOf ( good , length ) ) ;
-}
-bad.add ( "something else entirely, and long enough to be looked into" . repeat ( 9 ).getBytes ( ) ) ;
-byte [ ] newer = good.clone ( ) ;
-newer [ 7 ] ++ ;
-bad.add ( newer ) ;
-byte [ ] bothCopies = good.clone ( ) ;
-MethodAccounts accounts = new MethodAccounts ( METHODS , CAPACITY ) ;
-int copy = ( accounts.size ( ) + 2 ) * 8 ;
-bothCopies [ good.length - 24 ] ^= 1 ;
-bothCopies [ good.length - copy - 24 ] ^= 1 ;
-bad.add ( bothCopies ) ;
-for ( byte [ ] damaged : bad ) {
-Files.write ( file , damaged ) ;
-List < String > logged = new ArrayList < > ( ) ;
-MethodAccounts restarted = runRelay ( file , logged , true , 3 ) ;
-assertEquals ( logged.size ( ) , 1 , logged.toString ( ) ) ;
-assertTrue ( logged.get ( 0 ).startsWith ( file + ": " ) && logged.get ( 0 ).contains ( "kept as r.figures.aside-" ) , logged.get ( 0 ) ) ;
-assertEquals ( restarted.value ( restarted.files , 0 , 3 ) , 1 ) ;
-assertTrue ( MetricsSnapshot.read ( file ).cleanShutdown ) ;
-}
-try ( var files = Files.list ( folder ) ) {
-assertEquals ( files.filter ( path -> path.toString ( ).contains ( ".aside-" ) ).count ( ) , bad.size ( ) ) ;
-}
-}
-
-
-@Test public void readsOtherCopyWhereOneIsDamaged ( ) throws Exception {
-Path file = folder ( ).resolve ( "r.figures" ) ;
-runRelay ( file , new ArrayList < > ( ) , false , 30 ) ;
-byte [ ] bytes = Files.readAllBytes ( file ) ;
-MetricsSnapshot good = MetricsSnapshot.read ( file ) ;
-MethodAccounts accounts = new MethodAccounts ( METHODS , CAPACITY ) ;
-for ( int copy = 0 ;
-copy < 2 ;
-copy ++ ) {
-byte [ ] damaged = bytes.clone ( ) ;
-damaged [ bytes.length - 24 - copy * ( accounts.size ( ) + 2 ) * 8 ] ^= 4 ;
-MetricsSnapshot read = MetricsSnapshot.read ( new BufferMetricsMemory ( ByteBuffer.wrap ( damaged ) ) , "f" ) ;
-assertEquals ( read.accounts ( ).check ( read.values ) , List.of ( ) ) ;
-assertTrue ( read.values [ accounts.attempts.index ( 0 , 0 ) ] <= good.values [ accounts.attempts.index ( 0 , 0 ) ] ) ;
-}
-}
-
-
-@Test public void keepsMetricsInMemoryWhereTheFolderCannotBeWritten ( ) throws Exception {
-Path folder = folder ( ) ;
-Path file = folder.resolve ( "none" ).resolve ( "r.figures" ) ;
-List < String > logged = new ArrayList < > ( ) ;
-MethodAccounts accounts = runRelay ( file , logged , true , 5 ) ;
-assertTrue ( accounts.sum ( accounts.attempts , 0 ) > 0 ) ;
-assertEquals ( logged.size ( ) , 1 ) ;
-assertTrue ( logged.get ( 0 ).contains ( "figures stay in memory" ) , logged.get ( 0 ) ) ;
-assertTrue ( ! MetricsFileWriter.open ( file , new MethodAccounts ( METHODS , CAPACITY ) , ( ) -> {
-}
-, logged :: add ).isPersistent ( ) ) ;
-assertTrue ( PosixFilePermissions.toString ( Files.getPosixFilePermissions ( folder ) ).startsWith ( "rwx" ) ) ;
-expectThrows ( java.io.IOException.class , ( ) -> MetricsSnapshot.read ( file ) ) ;
-}
-
-
-/** A reader beside a writer that never rests: what it reads is always whole. */ 
-@Test public void readerBesideWriterNeverSeesHalfACommit ( ) throws Exception {
-Path file = folder ( ).resolve ( "r.figures" ) ;
-MethodAccounts accounts = new MethodAccounts ( METHODS , CAPACITY ) ;
-MetricsFileWriter.open ( file , accounts , ( ) -> {
-}
-, line -> {
-}
-) ;
-boolean [ ] over = new boolean [ 1 ] ;
-Thread writer = new Thread ( ( ) -> {
-SplittableRandom random = new SplittableRandom ( 1 ) ;
-for ( int i = 0 ;
-i < 200_000 ;
-i ++ ) {
-postSome ( accounts , random ) ;
-accounts.commit ( ) ;
-}
-synchronized ( over ) {
-over [ 0 ] = true ;
-}
-}
-) ;
-writer.start ( ) ;
-int reads = 0 ;
-for ( boolean last = false ;
-! last ;
-reads ++ ) {
-synchronized ( over ) {
-last = over [ 0 ] ;
-}
-MetricsSnapshot snapshot = MetricsSnapshot.read ( file ) ;
-assertEquals ( snapshot.accounts ( ).check ( snapshot.values ) , List.of ( ) ) ;
-}
-writer.join ( ) ;
-assertTrue ( reads > 1 ) ;
-}
+  private static final List<String> METHODS = List.of("read", "pay");
+  private static final MethodAccounts.Capacity CAPACITY = new MethodAccounts.Capacity(2, 3, 2);
+
+  /** Memory of a process that is killed at its n-th write, of which some bytes are written. */
+  private static final class KilledMemory implements MetricsMemory {
+    private static final class Killed extends RuntimeException {
+      private static final long serialVersionUID = 1L;
+    }
+
+    private final ByteBuffer bytes;
+    private final BufferMetricsMemory memory;
+    private long writesLeft;
+    private final int torn;
+
+    KilledMemory(int size, long writes, int torn) {
+      bytes = ByteBuffer.allocate(size);
+      memory = new BufferMetricsMemory(bytes);
+      writesLeft = writes;
+      this.torn = torn;
+    }
+
+    @Override
+    public long get(int offset) {
+      return memory.get(offset);
+    }
+
+    @Override
+    public void get(int offset, long[] into, int from, int count) {
+      memory.get(offset, into, from, count);
+    }
+
+    @Override
+    public void put(int offset, long value) {
+      if (writesLeft-- > 0) {
+        memory.put(offset, value);
+        return;
+      }
+      for (int i = 0; i < torn; i++) {
+        bytes.put(offset + i, (byte) (value >>> 8 * i));
+      }
+      throw new Killed();
+    }
+
+    @Override
+    public void putLast(int offset, long value) {
+      put(offset, value);
+    }
+
+    @Override
+    public int size() {
+      return bytes.capacity();
+    }
+  }
+
+  private static void postSome(MethodAccounts accounts, SplittableRandom random) {
+    for (int i = random.nextInt(4); i >= 0; i--) {
+      int method = random.nextInt(2);
+      int build = accounts.row(accounts.builds, "" + random.nextInt(4));
+      int endpoint = accounts.row(accounts.endpoints, "u" + random.nextInt(5));
+      accounts.attemptSent(method, build, endpoint, false);
+      accounts.attemptWritten();
+      if (random.nextBoolean()) {
+        accounts.attemptEnded(
+            method, build, endpoint, false, true, 1, TimeSpan.ofMs(random.nextDouble(20)));
+      }
+    }
+  }
+
+  private static MappedMetricsFile file(MetricsMemory memory, MethodAccounts accounts) {
+    return new MappedMetricsFile(memory, accounts.layout(), accounts.size(), accounts.rows(), 1);
+  }
+
+  private static int size() {
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
+    return MappedMetricsFile.size(accounts.layout(), accounts.size(), accounts.rows());
+  }
+
+  /** Commits until the process is killed; the values of each commit go into {@code states}. */
+  private static void commitUntilKilled(KilledMemory memory, List<long[]> states) {
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
+    SplittableRandom random = new SplittableRandom(4);
+    MappedMetricsFile file = file(memory, accounts);
+    accounts.persistTo(file, () -> {});
+    for (int i = 0; i < 120; i++) {
+      postSome(accounts, random);
+      long[] after = new long[accounts.size()];
+      for (MethodMetrics family : accounts.tables()) {
+        for (int row = 0; row < family.rows(); row++) {
+          for (int column = 0; column < family.columns().size(); column++) {
+            after[family.index(row, column)] = accounts.value(family, row, column);
+          }
+        }
+      }
+      states.add(after);
+      accounts.commit();
+    }
+  }
+
+  @Test
+  public void killAtAnyWriteLeavesTheValuesOfACommit() throws Exception {
+    int kills = 0;
+    int checked = 0;
+    for (int torn = 0; torn < 8; torn += torn == 0 ? 1 : 3) {
+      for (long writes = 0; ; writes++) {
+        KilledMemory memory = new KilledMemory(size(), writes, torn);
+        List<long[]> states = new ArrayList<>();
+        boolean killed = false;
+        try {
+          commitUntilKilled(memory, states);
+        } catch (KilledMemory.Killed e) {
+          killed = true;
+        }
+        if (states.size() > 1) {
+          // before, the file is not in its place yet
+          MetricsSnapshot snapshot = MetricsSnapshot.read(memory, "f");
+          long[] last = states.get(states.size() - 1);
+          long[] before = states.get(states.size() - 2);
+          assertTrue(
+              Arrays.equals(snapshot.values, last) || Arrays.equals(snapshot.values, before),
+              "killed at write " + writes + ", torn at " + torn);
+          assertEquals(snapshot.accounts().check(snapshot.values), List.of());
+          checked++;
+        }
+        if (!killed) {
+          break;
+        }
+        kills++;
+      }
+    }
+    assertTrue(kills > 5000 && checked > 4000, kills + " kills, " + checked + " in turns");
+  }
+
+  private static Path folder() throws Exception {
+    return Files.createTempDirectory("figures");
+  }
+
+  private static MethodAccounts runRelay(
+      Path file, List<String> logged, boolean closes, int commits) {
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
+    MetricsFileWriter writer = MetricsFileWriter.open(file, accounts, () -> {}, logged::add);
+    SplittableRandom random = new SplittableRandom(commits);
+    for (int i = 0; i < commits; i++) {
+      postSome(accounts, random);
+      accounts.commit();
+    }
+    if (closes) {
+      writer.close();
+    }
+    return accounts;
+  }
+
+  @Test
+  public void nextGenerationCarriesValuesAndBooksPendingAsLost() throws Exception {
+    Path file = folder().resolve("r.figures");
+    List<String> logged = new ArrayList<>();
+    MethodAccounts first = runRelay(file, logged, false, 50);
+    long sent = first.sum(first.attempts, 0);
+    long out = first.sum(first.attempts, first.attempts.pending());
+    assertTrue(out > 0);
+    MethodAccounts second = runRelay(file, logged, false, 0);
+    // killed again before anything happened
+    assertEquals(second.sum(second.attempts, second.attempts.lost()), out);
+    MethodAccounts third = runRelay(file, logged, true, 20);
+    assertTrue(third.sum(third.attempts, 0) > sent);
+    assertEquals(third.sum(third.attempts, third.attempts.lost()), out);
+    MetricsSnapshot snapshot = MetricsSnapshot.read(file);
+    assertEquals(snapshot.generation, 3);
+    assertTrue(snapshot.cleanShutdown);
+    assertEquals(snapshot.accounts().check(snapshot.values), List.of());
+    assertEquals(third.value(third.starts, 0, 0), 3);
+    assertEquals(third.value(third.starts, 0, third.starts.lost()), 2);
+    assertEquals(logged, List.of());
+  }
+
+  @Test
+  public void carriesRowsByNameAcrossChangedSettings() throws Exception {
+    Path file = folder().resolve("r.figures");
+    runRelay(file, new ArrayList<>(), true, 30);
+    long[] before = MetricsSnapshot.read(file).values;
+    MethodAccounts now =
+        new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Capacity(1, 1, 1));
+    List<String> logged = new ArrayList<>();
+    MetricsFileWriter.open(file, now, () -> {}, logged::add);
+    assertEquals(logged, List.of());
+    MethodAccounts old = new MethodAccounts(METHODS, CAPACITY);
+    assertEquals(now.value(now.attempts, 2, 0), before[old.attempts.index(0, 0)]);
+    assertEquals(now.value(now.attempts, 0, 1), before[old.attempts.index(1, 1)]);
+    assertEquals(now.check(), List.of());
+    assertEquals(MetricsSnapshot.read(file).rowNames[0], "all");
+  }
+
+  @Test
+  public void setsAsideDamagedFilesWithOneLogLine() throws Exception {
+    Path folder = folder();
+    Path file = folder.resolve("r.figures");
+    runRelay(file, new ArrayList<>(), true, 30);
+    byte[] good = Files.readAllBytes(file);
+    List<byte[]> bad = new ArrayList<>();
+    for (int length : new int[] {0, 1, 63, 64, 200, good.length / 2, good.length - 1}) {
+      bad.add(Arrays.copyOf(good, length));
+    }
+    bad.add("something else entirely, and long enough to be looked into".repeat(9).getBytes());
+    byte[] newer = good.clone();
+    newer[7]++;
+    bad.add(newer);
+    byte[] bothCopies = good.clone();
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
+    int copy = (accounts.size() + 2) * 8;
+    bothCopies[good.length - 24] ^= 1;
+    bothCopies[good.length - copy - 24] ^= 1;
+    bad.add(bothCopies);
+    for (byte[] damaged : bad) {
+      Files.write(file, damaged);
+      List<String> logged = new ArrayList<>();
+      MethodAccounts restarted = runRelay(file, logged, true, 3);
+      assertEquals(logged.size(), 1, logged.toString());
+      assertTrue(
+          logged.get(0).startsWith(file + ": ")
+              && logged.get(0).contains("kept as r.figures.aside-"),
+          logged.get(0));
+      assertEquals(restarted.value(restarted.files, 0, 3), 1);
+      assertTrue(MetricsSnapshot.read(file).cleanShutdown);
+    }
+    try (var files = Files.list(folder)) {
+      assertEquals(files.filter(path -> path.toString().contains(".aside-")).count(), bad.size());
+    }
+  }
+
+  @Test
+  public void readsOtherCopyWhereOneIsDamaged() throws Exception {
+    Path file = folder().resolve("r.figures");
+    runRelay(file, new ArrayList<>(), false, 30);
+    byte[] bytes = Files.readAllBytes(file);
+    MetricsSnapshot good = MetricsSnapshot.read(file);
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
+    for (int copy = 0; copy < 2; copy++) {
+      byte[] damaged = bytes.clone();
+      damaged[bytes.length - 24 - copy * (accounts.size() + 2) * 8] ^= 4;
+      MetricsSnapshot read =
+          MetricsSnapshot.read(new BufferMetricsMemory(ByteBuffer.wrap(damaged)), "f");
+      assertEquals(read.accounts().check(read.values), List.of());
+      assertTrue(
+          read.values[accounts.attempts.index(0, 0)] <= good.values[accounts.attempts.index(0, 0)]);
+    }
+  }
+
+  @Test
+  public void keepsMetricsInMemoryWhereTheFolderCannotBeWritten() throws Exception {
+    Path folder = folder();
+    Path file = folder.resolve("none").resolve("r.figures");
+    List<String> logged = new ArrayList<>();
+    MethodAccounts accounts = runRelay(file, logged, true, 5);
+    assertTrue(accounts.sum(accounts.attempts, 0) > 0);
+    assertEquals(logged.size(), 1);
+    assertTrue(logged.get(0).contains("figures stay in memory"), logged.get(0));
+    assertTrue(
+        !MetricsFileWriter.open(file, new MethodAccounts(METHODS, CAPACITY), () -> {}, logged::add)
+            .isPersistent());
+    assertTrue(
+        PosixFilePermissions.toString(Files.getPosixFilePermissions(folder)).startsWith("rwx"));
+    expectThrows(java.io.IOException.class, () -> MetricsSnapshot.read(file));
+  }
+
+  /** A reader beside a writer that never rests: what it reads is always whole. */
+  @Test
+  public void readerBesideWriterNeverSeesHalfACommit() throws Exception {
+    Path file = folder().resolve("r.figures");
+    MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
+    MetricsFileWriter.open(file, accounts, () -> {}, line -> {});
+    boolean[] over = new boolean[1];
+    Thread writer =
+        new Thread(
+            () -> {
+              SplittableRandom random = new SplittableRandom(1);
+              for (int i = 0; i < 200_000; i++) {
+                postSome(accounts, random);
+                accounts.commit();
+              }
+              synchronized (over) {
+                over[0] = true;
+              }
+            });
+    writer.start();
+    int reads = 0;
+    for (boolean last = false; !last; reads++) {
+      synchronized (over) {
+        last = over[0];
+      }
+      MetricsSnapshot snapshot = MetricsSnapshot.read(file);
+      assertEquals(snapshot.accounts().check(snapshot.values), List.of());
+    }
+    writer.join();
+    assertTrue(reads > 1);
+  }
 }
- 
