--- a/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
+++ b/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
@@ -1,66 +1,61 @@
-package sprucerock.simulation ;
-
-
-import static org.testng.Assert.assertEquals ;
-import static org.testng.Assert.assertTrue ;
-
-
-import java.nio.ByteBuffer ;
-import java.nio.ByteOrder ;
-import java.nio.charset.StandardCharsets ;
-import java.nio.file.Files ;
-import java.nio.file.Path ;
-import java.util.ArrayList ;
-import java.util.HashMap ;
-import java.util.List ;
-import java.util.Map ;
-import java.util.PriorityQueue ;
-import java.util.SplittableRandom ;
-import java.util.TreeMap ;
-import org.testng.annotations.Test ;
-import sprucerock.config.RelayConfig ;
-import sprucerock.policy.RoutingPolicy ;
-import sprucerock.relay.frames.RecordingRelayEvents ;
-import sprucerock.time.Timestamp ;
-import sprucerock.transport.net.SimulatedNet ;
-import sprucerock.transport.wire.FrameKind ;
-import sprucerock.transport.wire.FrameTap ;
-import sprucerock.transport.wire.RecordingPeer ;
-import sprucerock.transport.wire.v1.Answer ;
-import sprucerock.transport.wire.v1.Call ;
-import sprucerock.transport.wire.v1.Counts ;
-import sprucerock.transport.wire.v1.Done ;
-import sprucerock.transport.wire.v1.Entry ;
-import sprucerock.transport.wire.v1.Flag ;
-import sprucerock.transport.wire.v1.Form ;
-import sprucerock.transport.wire.v1.Health ;
-import sprucerock.transport.wire.v1.Leave ;
-import sprucerock.transport.wire.v1.Listing ;
-import sprucerock.transport.wire.v1.News ;
-import sprucerock.transport.wire.v1.Result ;
-import sprucerock.transport.wire.v1.Role ;
-import sprucerock.transport.wire.v1.Stand ;
-import sprucerock.transport.wire.v1.Taken ;
-import sprucerock.transport.wire.v1.Vote ;
-import sprucerock.transport.wire.v1.Voted ;
-import sprucerock.transport.wire.v1.Work ;
-
-
-/** 
-* One stretch of events, given to the simulator's adapter and to the relay: the policy is told the 
-* same, in the same order. 
-*/ 
+package sprucerock.simulation;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import org.testng.annotations.Test;
+import sprucerock.config.RelayConfig;
+import sprucerock.policy.RoutingPolicy;
+import sprucerock.relay.frames.RecordingRelayEvents;
+import sprucerock.time.Timestamp;
+import sprucerock.transport.net.SimulatedNet;
+import sprucerock.transport.wire.FrameKind;
+import sprucerock.transport.wire.FrameTap;
+import sprucerock.transport.wire.RecordingPeer;
+import sprucerock.transport.wire.v1.Answer;
+import sprucerock.transport.wire.v1.Call;
+import sprucerock.transport.wire.v1.Counts;
+import sprucerock.transport.wire.v1.Done;
+import sprucerock.transport.wire.v1.Entry;
+import sprucerock.transport.wire.v1.Flag;
+import sprucerock.transport.wire.v1.Form;
+import sprucerock.transport.wire.v1.Health;
+import sprucerock.transport.wire.v1.Leave;
+import sprucerock.transport.wire.v1.Listing;
+import sprucerock.transport.wire.v1.News;
+import sprucerock.transport.wire.v1.Result;
+import sprucerock.transport.wire.v1.Role;
+import sprucerock.transport.wire.v1.Stand;
+import sprucerock.transport.wire.v1.Taken;
+import sprucerock.transport.wire.v1.Vote;
+import sprucerock.transport.wire.v1.Voted;
+import sprucerock.transport.wire.v1.Work;
+
+/**
+ * One stretch of events, given to the simulator's adapter and to the relay: the policy is told the
+ * same, in the same order.
+ */
 public class RelayAndSimulatorParityTest {
-private static final double START = 1000 ;
-private static final double STEP = 5 ;
-private static final int STEPS = 2600 ;
-private static final int [ ] DEADLINES = {
-1502 , 2002 , 903 }
-;
-// by method; between the steps, like real ones
-
-
-private static final String TEXT = """
+  private static final double START = 1000;
+  private static final double STEP = 5;
+  private static final int STEPS = 2600;
+  private static final int[] DEADLINES = {1502, 2002, 903};
+  // by method; between the steps, like real ones
+
+  private static final String TEXT =
+      """
         balancers=3
         classes.count=3
         classes.0.effect=read_like
@@ -95,328 +90,356 @@
         specifics.uncounted=3.0
         specifics.vote_mode=single
         tick=5.0
-        """ ;
-
-
-/** 
-* How and when an endpoint ends an attempt: the same at both hosts, by the attempt alone. Every 
-* 20th is never answered. 
-*/ 
-private static int latency ( long rpc , int number ) {
-return 5 * ( 2 + new SplittableRandom ( rpc * 31 + number ).nextInt ( 12 ) ) ;
-}
-
-
-private static int outcome ( long rpc , int number , long endpoint ) {
-// 1 ok, 0 error, 2 full, -1 silence
-int dice = new SplittableRandom ( rpc * 17 + number + 5 ).nextInt ( 100 ) ;
-if ( endpoint >= 100 && dice < 30 ) {
-return 0 ;
-}
-return dice < 5 ? - 1 : dice < 8 ? 0 : dice < 11 ? 2 : 1 ;
-}
-
-
-/** What the stretch gives to a host; a listing's age is in milliseconds, 0 long ago. */ 
-private interface Side {
-void step ( ) ;
-
-
-void rpc ( long id , int method , long key ) ;
-
-
-void leave ( long id ) ;
-
-
-void list ( long endpoint , int build , int health , double age ) ;
-
-
-void news ( int build , int stage , int standing , float cap , double lasted ) ;
-
-
-void counts ( int build , int method , int attempts , int failed , double mean ) ;
-
-
-void peer ( int sender , byte [ ] contents ) ;
-
-
-void flag ( long endpoint , double ago ) ;
-}
-
-
-private static void play ( Side side ) {
-SplittableRandom random = new SplittableRandom ( 7 ) ;
-for ( int endpoint = 1 ;
-endpoint <= 5 ;
-endpoint ++ ) {
-side.list ( endpoint , 1 , 1 , 0 ) ;
-}
-side.news ( 1 , 2 , 2 , 1 , 60_000 ) ;
-long lastRpc = 0 ;
-for ( int i = 0 ;
-i < STEPS ;
-i ++ ) {
-side.step ( ) ;
-if ( i == 300 ) {
-side.list ( 2 , 1 , 2 , 0 ) ;
-}
-if ( i == 340 ) {
-side.list ( 2 , 1 , 0 , 0 ) ;
-}
-if ( i == 400 ) {
-for ( int endpoint = 100 ;
-endpoint < 103 ;
-endpoint ++ ) {
-side.list ( endpoint , 2 , 1 , 50 ) ;
-}
-side.news ( 2 , 0 , 0 , 0.125f , 10 ) ;
-}
-if ( i == 1500 ) {
-side.news ( 2 , 1 , 0 , 0.5f , 20 ) ;
-}
-if ( i == 2200 ) {
-side.news ( 2 , 1 , 1 , 0 , 15 ) ;
-}
-if ( i == 2250 ) {
-for ( int endpoint = 100 ;
-endpoint < 103 ;
-endpoint ++ ) {
-side.list ( endpoint , 2 , 2 , 0 ) ;
-}
-}
-if ( i == 900 ) {
-side.list ( 3 , 1 , 1 , 40 ) ;
-// as another run
-}
-if ( i % 400 == 399 ) {
-for ( int method = 0 ;
-method < 3 ;
-method ++ ) {
-side.counts ( 1 , method , 40 , 2 , 60 ) ;
-}
-}
-if ( i == 1700 ) {
-side.peer ( 1 , new byte [ ] {
-3 , 2 , 1 , 4 , 1 , 0 , 1 , 0 }
-) ;
-}
-if ( i == 1710 ) {
-side.peer ( 2 , new byte [ ] {
-1 , 9 , 9 , 0 }
-) ;
-}
-if ( i == 1800 ) {
-side.flag ( 101 , 300 ) ;
-}
-if ( random.nextInt ( 100 ) < 35 ) {
-side.rpc ( ++ lastRpc , random.nextInt ( 3 ) , random.nextInt ( 50 ) ) ;
-}
-if ( lastRpc > 0 && random.nextInt ( 100 ) < 2 ) {
-side.leave ( lastRpc ) ;
-}
-}
-}
-
-
-/** The bench's world around its adapter, as far as the stretch needs it. */ 
-private static final class Bench implements Side {
-private record Due ( double when , long order , Runnable what ) {
-}
-
-
-private final RecordingRelayEvents told = new RecordingRelayEvents ( ) ;
-private final ReplyWriter replies = new ReplyWriter ( ) ;
-private final SimulatedRelay relay = new SimulatedRelay ( 3 , replies , ( host , settings , seed ) -> {
-told.clock = host ;
-told.delegate = new RoutingPolicy ( host , settings , seed ) ;
-return told ;
-}
-) ;
-private final PriorityQueue < Due > timers = new PriorityQueue < > ( ( a , b ) -> a.when != b.when ? Double.compare ( a.when , b.when ) : Long.compare ( a.order , b.order ) ) ;
-private final TreeMap < Double , TreeMap < Long , Runnable >> answers = new TreeMap < > ( ) ;
-private final Map < Long , List < Long >> attempts = new HashMap < > ( ) ;
-private final Map < Long , Double > since = new HashMap < > ( ) ;
-private final Map < Long , Double > sentAt = new HashMap < > ( ) ;
-private final Map < Long , Double > deadlines = new HashMap < > ( ) ;
-private final Map < Long , double [ ] > open = new HashMap < > ( ) ;
-private final List < String > ends = new ArrayList < > ( ) ;
-private final List < Runnable > votes = new ArrayList < > ( ) ;
-private double now = START ;
-private long order ;
-private News lastNews ;
-
-
-Bench ( ) {
-relay.start ( Timestamp.ofMs ( now ) , 1 , TEXT ) ;
-act ( ) ;
-}
-
-
-private ByteBuffer fields ( int bytes ) {
-return ByteBuffer.allocate ( bytes ).order ( ByteOrder.LITTLE_ENDIAN ) ;
-}
-
-
-private void take ( int code , ByteBuffer fields ) {
-assertTrue ( relay.take ( code , fields.flip ( ) , Timestamp.ofMs ( now ) ) ) ;
-act ( ) ;
-}
-
-
-private void act ( ) {
-ByteBuffer frame = ByteBuffer.wrap ( replies.frame ( 1 ) ).order ( ByteOrder.LITTLE_ENDIAN ).position ( 12 ) ;
-List < Runnable > cancels = new ArrayList < > ( ) ;
-while ( frame.hasRemaining ( ) ) {
-int code = frame.get ( ) & 0xff ;
-int end = frame.getInt ( ) + frame.position ( ) ;
-frame.getInt ( ) ;
-switch ( code ) {
-case 10 -> sent ( frame.getInt ( ) , frame.getInt ( ) , frame.getDouble ( ) ) ;
-case 20 , 30 -> {
-long id = frame.getInt ( ) ;
-if ( ! open.containsKey ( id ) ) {
-break ;
-}
-open.remove ( id ) ;
-ends.add ( id + ( code == 20 ? " PUSHED_BACK" : " ABORTED" ) ) ;
-}
-case 40 -> {
-long id = frame.getInt ( ) ;
-int attempt = frame.get ( ) ;
-cancels.add ( ( ) -> returned ( id , attempt , 6 ) ) ;
-}
-case 50 -> {
-int token = frame.getInt ( ) ;
-timers.add ( new Due ( frame.getDouble ( ) , order ++ , ( ) -> take ( 70 , fields ( 4 ).putInt ( token ) ) ) ) ;
-}
-case 100 -> throw new AssertionError ( new String ( frame.array ( ) , StandardCharsets.UTF_8 ) ) ;
-case 130 -> votes.add ( ( ) -> answerVote ( ) ) ;
-default -> {
-}
-}
-frame.position ( end ) ;
-}
-cancels.forEach ( Runnable :: run ) ;
-}
-
-
-private void sent ( long id , long endpoint , double timeoutMs ) {
-List < Long > endpoints = attempts.computeIfAbsent ( id , key -> new ArrayList < > ( ) ) ;
-int attempt = endpoints.size ( ) ;
-endpoints.add ( endpoint ) ;
-sentAt.put ( id * 100 + attempt , now ) ;
-double until = Math.min ( deadlines.get ( id ) , timeoutMs > 0 ? now + timeoutMs : 1e12 ) ;
-timers.add ( new Due ( until , order ++ , ( ) -> returned ( id , attempt , 3 ) ) ) ;
-int how = outcome ( id , attempt , endpoint ) ;
-if ( how >= 0 ) {
-answers.computeIfAbsent ( now + latency ( id , attempt ) , key -> new TreeMap < > ( ) ).put ( id * 100 + attempt , ( ) -> returned ( id , attempt , how ) ) ;
-}
-}
-
-
-private void returned ( long id , int attempt , int how ) {
-Long endpoint = attempts.get ( id ).get ( attempt ) ;
-if ( endpoint < 0 ) {
-return ;
-// ended already
-}
-attempts.get ( id ).set ( attempt , - 1L ) ;
-boolean closes = ! open.containsKey ( id ) || how == 1 ;
-if ( open.containsKey ( id ) && how == 1 ) {
-open.remove ( id ) ;
-ends.add ( id + " OK" ) ;
-}
-take ( 50 , fields ( 30 ).putInt ( ( int ) id ).put ( ( byte ) attempt ).putDouble ( now - sentAt.get ( id * 100 + attempt ) ).put ( ( byte ) ( closes ? 1 : 0 ) ).putInt ( ( int ) ( long ) endpoint ).put ( ( byte ) how ).put ( ( byte ) 0 ) ) ;
-}
-
-
-@Override public void step ( ) {
-now += STEP ;
-while ( ! timers.isEmpty ( ) && timers.peek ( ).when <= now + 1e-9 ) {
-timers.poll ( ).what.run ( ) ;
-}
-for ( Runnable vote : List.copyOf ( votes ) ) {
-vote.run ( ) ;
-}
-votes.subList ( 0 , votes.size ( ) ).clear ( ) ;
-while ( ! answers.isEmpty ( ) && answers.firstKey ( ) <= now + 1e-9 ) {
-answers.pollFirstEntry ( ).getValue ( ).values ( ).forEach ( Runnable :: run ) ;
-}
-}
-
-
-private void answerVote ( ) {
-News news = lastNews ;
-take ( 110 , fields ( 30 ).putShort ( ( short ) news.getBuild ( ) ).put ( ( byte ) news.getStage ( ) ).put ( ( byte ) ( news.getStanding ( ).getNumber ( ) - 1 ) ).put ( ( byte ) 1 ).put ( ( byte ) 1 ).putFloat ( ( float ) news.getCap ( ) ).putDouble ( 100 ) ) ;
-}
-
-
-@Override public void rpc ( long id , int method , long key ) {
-deadlines.put ( id , now + DEADLINES [ method ] ) ;
-open.put ( id , new double [ 0 ] ) ;
-take ( 30 , fields ( 50 ).putInt ( ( int ) id ).putShort ( ( short ) method ).putInt ( 0 ).putLong ( key ).putDouble ( now + DEADLINES [ method ] ).putDouble ( 0 ).put ( ( byte ) 0 ) ) ;
-}
-
-
-@Override public void leave ( long id ) {
-if ( open.remove ( id ) != null ) {
-take ( 60 , fields ( 4 ).putInt ( ( int ) id ) ) ;
-}
-}
-
-
-@Override public void list ( long endpoint , int build , int health , double age ) {
-if ( age > 0 ) {
-since.put ( endpoint , now - age ) ;
-}
-relay.listed ( Timestamp.ofMs ( now ) , 0 , new SimulationHost.Entry [ ] {
-new SimulationHost.Entry ( endpoint , 0 , 0 , 0 , build , health , 1 , since.getOrDefault ( endpoint , 0.0 ) ) }
-) ;
-act ( ) ;
-}
-
-
-@Override public void news ( int build , int stage , int standing , float cap , double lasted ) {
-lastNews = News.newBuilder ( ).setBuild ( build ).setStage ( stage ).setStandingValue ( standing + 1 ).setCap ( cap ).build ( ) ;
-take ( 110 , fields ( 30 ).putShort ( ( short ) build ).put ( ( byte ) stage ).put ( ( byte ) standing ).put ( ( byte ) 0 ).put ( ( byte ) 1 ).putFloat ( cap ).putDouble ( lasted ) ) ;
-}
-
-
-@Override public void counts ( int build , int method , int seen , int failed , double mean ) {
-take ( 120 , fields ( 40 ).putShort ( ( short ) build ).putShort ( ( short ) method ).putInt ( seen ).putInt ( failed ).putDouble ( mean ).putDouble ( 0 ) ) ;
-}
-
-
-@Override public void peer ( int sender , byte [ ] contents ) {
-take ( 90 , fields ( 20 ).putInt ( sender ).putShort ( ( short ) contents.length ).put ( contents ) ) ;
-}
-
-
-@Override public void flag ( long endpoint , double ago ) {
-take ( 130 , fields ( 20 ).putInt ( ( int ) endpoint ).putShort ( ( short ) 0 ).putDouble ( ago ) ) ;
-}
-}
-
-
-/** The same stretch over the relay's links. */ 
-private static final class Linked implements Side {
-private final RecordingRelayEvents told = new RecordingRelayEvents ( ) ;
-private final SimulatedNet net = new SimulatedNet ( START , STEP ) ;
-private final List < RecordingPeer > rosters = RecordingPeer.listen ( net , Role.ROSTER , 0 , 1001 ) ;
-private final List < RecordingPeer > desks = RecordingPeer.listen ( net , Role.DESK , 0 , 1002 ) ;
-private final Map < Long , List < RecordingPeer >> endpoints = new TreeMap < > ( ) ;
-private final Map < RecordingPeer , Integer > seen = new HashMap < > ( ) ;
-private final Map < Long , Integer > shots = new HashMap < > ( ) ;
-private final TreeMap < Double , TreeMap < Long , Runnable >> answers = new TreeMap < > ( ) ;
-private final RecordingPeer client ;
-private final Map < Integer , RecordingPeer > peers = new TreeMap < > ( ) ;
-private int votesSeen ;
-private News lastNews ;
-
-
-Linked ( ) throws Exception {
-Path file = Files.createTempFile ( "both" , ".xml" ) ;
-Files.writeString ( file , """
+        """;
+
+  /**
+   * How and when an endpoint ends an attempt: the same at both hosts, by the attempt alone. Every
+   * 20th is never answered.
+   */
+  private static int latency(long rpc, int number) {
+    return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
+  }
+
+  private static int outcome(long rpc, int number, long endpoint) {
+    // 1 ok, 0 error, 2 full, -1 silence
+    int dice = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
+    if (endpoint >= 100 && dice < 30) {
+      return 0;
+    }
+    return dice < 5 ? -1 : dice < 8 ? 0 : dice < 11 ? 2 : 1;
+  }
+
+  /** What the stretch gives to a host; a listing's age is in milliseconds, 0 long ago. */
+  private interface Side {
+    void step();
+
+    void rpc(long id, int method, long key);
+
+    void leave(long id);
+
+    void list(long endpoint, int build, int health, double age);
+
+    void news(int build, int stage, int standing, float cap, double lasted);
+
+    void counts(int build, int method, int attempts, int failed, double mean);
+
+    void peer(int sender, byte[] contents);
+
+    void flag(long endpoint, double ago);
+  }
+
+  private static void play(Side side) {
+    SplittableRandom random = new SplittableRandom(7);
+    for (int endpoint = 1; endpoint <= 5; endpoint++) {
+      side.list(endpoint, 1, 1, 0);
+    }
+    side.news(1, 2, 2, 1, 60_000);
+    long lastRpc = 0;
+    for (int i = 0; i < STEPS; i++) {
+      side.step();
+      if (i == 300) {
+        side.list(2, 1, 2, 0);
+      }
+      if (i == 340) {
+        side.list(2, 1, 0, 0);
+      }
+      if (i == 400) {
+        for (int endpoint = 100; endpoint < 103; endpoint++) {
+          side.list(endpoint, 2, 1, 50);
+        }
+        side.news(2, 0, 0, 0.125f, 10);
+      }
+      if (i == 1500) {
+        side.news(2, 1, 0, 0.5f, 20);
+      }
+      if (i == 2200) {
+        side.news(2, 1, 1, 0, 15);
+      }
+      if (i == 2250) {
+        for (int endpoint = 100; endpoint < 103; endpoint++) {
+          side.list(endpoint, 2, 2, 0);
+        }
+      }
+      if (i == 900) {
+        side.list(3, 1, 1, 40);
+        // as another run
+      }
+      if (i % 400 == 399) {
+        for (int method = 0; method < 3; method++) {
+          side.counts(1, method, 40, 2, 60);
+        }
+      }
+      if (i == 1700) {
+        side.peer(1, new byte[] {3, 2, 1, 4, 1, 0, 1, 0});
+      }
+      if (i == 1710) {
+        side.peer(2, new byte[] {1, 9, 9, 0});
+      }
+      if (i == 1800) {
+        side.flag(101, 300);
+      }
+      if (random.nextInt(100) < 35) {
+        side.rpc(++lastRpc, random.nextInt(3), random.nextInt(50));
+      }
+      if (lastRpc > 0 && random.nextInt(100) < 2) {
+        side.leave(lastRpc);
+      }
+    }
+  }
+
+  /** The bench's world around its adapter, as far as the stretch needs it. */
+  private static final class Bench implements Side {
+    private record Due(double when, long order, Runnable what) {}
+
+    private final RecordingRelayEvents told = new RecordingRelayEvents();
+    private final ReplyWriter replies = new ReplyWriter();
+    private final SimulatedRelay relay =
+        new SimulatedRelay(
+            3,
+            replies,
+            (host, settings, seed) -> {
+              told.clock = host;
+              told.delegate = new RoutingPolicy(host, settings, seed);
+              return told;
+            });
+    private final PriorityQueue<Due> timers =
+        new PriorityQueue<>(
+            (a, b) ->
+                a.when != b.when ? Double.compare(a.when, b.when) : Long.compare(a.order, b.order));
+    private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
+    private final Map<Long, List<Long>> attempts = new HashMap<>();
+    private final Map<Long, Double> since = new HashMap<>();
+    private final Map<Long, Double> sentAt = new HashMap<>();
+    private final Map<Long, Double> deadlines = new HashMap<>();
+    private final Map<Long, double[]> open = new HashMap<>();
+    private final List<String> ends = new ArrayList<>();
+    private final List<Runnable> votes = new ArrayList<>();
+    private double now = START;
+    private long order;
+    private News lastNews;
+
+    Bench() {
+      relay.start(Timestamp.ofMs(now), 1, TEXT);
+      act();
+    }
+
+    private ByteBuffer fields(int bytes) {
+      return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
+    }
+
+    private void take(int code, ByteBuffer fields) {
+      assertTrue(relay.take(code, fields.flip(), Timestamp.ofMs(now)));
+      act();
+    }
+
+    private void act() {
+      ByteBuffer frame =
+          ByteBuffer.wrap(replies.frame(1)).order(ByteOrder.LITTLE_ENDIAN).position(12);
+      List<Runnable> cancels = new ArrayList<>();
+      while (frame.hasRemaining()) {
+        int code = frame.get() & 0xff;
+        int end = frame.getInt() + frame.position();
+        frame.getInt();
+        switch (code) {
+          case 10 -> sent(frame.getInt(), frame.getInt(), frame.getDouble());
+          case 20, 30 -> {
+            long id = frame.getInt();
+            if (!open.containsKey(id)) {
+              break;
+            }
+            open.remove(id);
+            ends.add(id + (code == 20 ? " PUSHED_BACK" : " ABORTED"));
+          }
+          case 40 -> {
+            long id = frame.getInt();
+            int attempt = frame.get();
+            cancels.add(() -> returned(id, attempt, 6));
+          }
+          case 50 -> {
+            int token = frame.getInt();
+            timers.add(
+                new Due(frame.getDouble(), order++, () -> take(70, fields(4).putInt(token))));
+          }
+          case 100 -> throw new AssertionError(new String(frame.array(), StandardCharsets.UTF_8));
+          case 130 -> votes.add(() -> answerVote());
+          default -> {}
+        }
+        frame.position(end);
+      }
+      cancels.forEach(Runnable::run);
+    }
+
+    private void sent(long id, long endpoint, double timeoutMs) {
+      List<Long> endpoints = attempts.computeIfAbsent(id, key -> new ArrayList<>());
+      int attempt = endpoints.size();
+      endpoints.add(endpoint);
+      sentAt.put(id * 100 + attempt, now);
+      double until = Math.min(deadlines.get(id), timeoutMs > 0 ? now + timeoutMs : 1e12);
+      timers.add(new Due(until, order++, () -> returned(id, attempt, 3)));
+      int how = outcome(id, attempt, endpoint);
+      if (how >= 0) {
+        answers
+            .computeIfAbsent(now + latency(id, attempt), key -> new TreeMap<>())
+            .put(id * 100 + attempt, () -> returned(id, attempt, how));
+      }
+    }
+
+    private void returned(long id, int attempt, int how) {
+      Long endpoint = attempts.get(id).get(attempt);
+      if (endpoint < 0) {
+        return;
+        // ended already
+      }
+      attempts.get(id).set(attempt, -1L);
+      boolean closes = !open.containsKey(id) || how == 1;
+      if (open.containsKey(id) && how == 1) {
+        open.remove(id);
+        ends.add(id + " OK");
+      }
+      take(
+          50,
+          fields(30)
+              .putInt((int) id)
+              .put((byte) attempt)
+              .putDouble(now - sentAt.get(id * 100 + attempt))
+              .put((byte) (closes ? 1 : 0))
+              .putInt((int) (long) endpoint)
+              .put((byte) how)
+              .put((byte) 0));
+    }
+
+    @Override
+    public void step() {
+      now += STEP;
+      while (!timers.isEmpty() && timers.peek().when <= now + 1e-9) {
+        timers.poll().what.run();
+      }
+      for (Runnable vote : List.copyOf(votes)) {
+        vote.run();
+      }
+      votes.subList(0, votes.size()).clear();
+      while (!answers.isEmpty() && answers.firstKey() <= now + 1e-9) {
+        answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
+      }
+    }
+
+    private void answerVote() {
+      News news = lastNews;
+      take(
+          110,
+          fields(30)
+              .putShort((short) news.getBuild())
+              .put((byte) news.getStage())
+              .put((byte) (news.getStanding().getNumber() - 1))
+              .put((byte) 1)
+              .put((byte) 1)
+              .putFloat((float) news.getCap())
+              .putDouble(100));
+    }
+
+    @Override
+    public void rpc(long id, int method, long key) {
+      deadlines.put(id, now + DEADLINES[method]);
+      open.put(id, new double[0]);
+      take(
+          30,
+          fields(50)
+              .putInt((int) id)
+              .putShort((short) method)
+              .putInt(0)
+              .putLong(key)
+              .putDouble(now + DEADLINES[method])
+              .putDouble(0)
+              .put((byte) 0));
+    }
+
+    @Override
+    public void leave(long id) {
+      if (open.remove(id) != null) {
+        take(60, fields(4).putInt((int) id));
+      }
+    }
+
+    @Override
+    public void list(long endpoint, int build, int health, double age) {
+      if (age > 0) {
+        since.put(endpoint, now - age);
+      }
+      relay.listed(
+          Timestamp.ofMs(now),
+          0,
+          new SimulationHost.Entry[] {
+            new SimulationHost.Entry(
+                endpoint, 0, 0, 0, build, health, 1, since.getOrDefault(endpoint, 0.0))
+          });
+      act();
+    }
+
+    @Override
+    public void news(int build, int stage, int standing, float cap, double lasted) {
+      lastNews =
+          News.newBuilder()
+              .setBuild(build)
+              .setStage(stage)
+              .setStandingValue(standing + 1)
+              .setCap(cap)
+              .build();
+      take(
+          110,
+          fields(30)
+              .putShort((short) build)
+              .put((byte) stage)
+              .put((byte) standing)
+              .put((byte) 0)
+              .put((byte) 1)
+              .putFloat(cap)
+              .putDouble(lasted));
+    }
+
+    @Override
+    public void counts(int build, int method, int seen, int failed, double mean) {
+      take(
+          120,
+          fields(40)
+              .putShort((short) build)
+              .putShort((short) method)
+              .putInt(seen)
+              .putInt(failed)
+              .putDouble(mean)
+              .putDouble(0));
+    }
+
+    @Override
+    public void peer(int sender, byte[] contents) {
+      take(90, fields(20).putInt(sender).putShort((short) contents.length).put(contents));
+    }
+
+    @Override
+    public void flag(long endpoint, double ago) {
+      take(130, fields(20).putInt((int) endpoint).putShort((short) 0).putDouble(ago));
+    }
+  }
+
+  /** The same stretch over the relay's links. */
+  private static final class Linked implements Side {
+    private final RecordingRelayEvents told = new RecordingRelayEvents();
+    private final SimulatedNet net = new SimulatedNet(START, STEP);
+    private final List<RecordingPeer> rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    private final List<RecordingPeer> desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
+    private final Map<Long, List<RecordingPeer>> endpoints = new TreeMap<>();
+    private final Map<RecordingPeer, Integer> seen = new HashMap<>();
+    private final Map<Long, Integer> shots = new HashMap<>();
+    private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
+    private final RecordingPeer client;
+    private final Map<Integer, RecordingPeer> peers = new TreeMap<>();
+    private int votesSeen;
+    private News lastNews;
+
+    Linked() throws Exception {
+      Path file = Files.createTempFile("both", ".xml");
+      Files.writeString(
+          file,
+          """
                 <relay xmlns="urn:sprucerock:relay:1" name="r0" number="0" seed="1">
                   <listen host="127.0.0.1" port="1000"/><roster host="127.0.0.1" port="1001"/><desk host="127.0.0.1" port="1002"/>
                   <limits wait-for-list="0ms"/><connections picks-each="1000"/>
@@ -430,152 +453,237 @@
                     <votes control="single" life="4s" answer-within="1s" counts-every="2s"/>
                   </site>
                 </relay>
-                """ ) ;
-sprucerock.relay.frames.FrameRelay relay = new sprucerock.relay.frames.FrameRelay ( RelayConfig.read ( file ) , net , FrameTap.NONE ) ;
-Files.delete ( file ) ;
-relay.start ( ( host , settings , seed ) -> {
-told.clock = host ;
-told.delegate = new RoutingPolicy ( host , settings , seed ) ;
-return told ;
-}
-) ;
-client = RecordingPeer.connect ( net , Role.CLIENT , 3 , 1000 ) ;
-for ( int i = 1 ;
-i < 3 ;
-i ++ ) {
-peers.put ( i , RecordingPeer.connect ( net , Role.RELAY , i , 1000 ) ) ;
-}
-net.settle ( ) ;
-}
-
-
-private void turn ( Runnable what ) {
-net.turn ( what ) ;
-net.settle ( ) ;
-works ( ) ;
-}
-
-
-private void works ( ) {
-for ( Map.Entry < Long , List < RecordingPeer >> endpoint : endpoints.entrySet ( ) ) {
-for ( RecordingPeer connection : endpoint.getValue ( ) ) {
-List < RecordingPeer.ReceivedFrame > got = connection.received ;
-for ( int i = seen.merge ( connection , 0 , Integer :: sum ) ;
-i < got.size ( ) ;
-i ++ ) {
-if ( got.get ( i ).kind ( ) == FrameKind.WORK ) {
-work ( endpoint.getKey ( ) , connection , ( Work ) got.get ( i ).head ( ) , ByteBuffer.wrap ( got.get ( i ).body ( ) ).getLong ( ) ) ;
-}
-}
-seen.put ( connection , got.size ( ) ) ;
-}
-}
-}
-
-
-private void work ( long endpoint , RecordingPeer connection , Work work , long rpc ) {
-int attempt = shots.merge ( rpc , 1 , Integer :: sum ) - 1 ;
-int how = outcome ( rpc , attempt , endpoint ) ;
-if ( how < 0 ) {
-return ;
-}
-Result result = how == 1 ? Result.DONE : how == 2 ? Result.FULL : Result.ERROR ;
-answers.computeIfAbsent ( net.now ( ).ms ( ) + latency ( rpc , attempt ) , key -> new TreeMap < > ( ) ).put ( rpc * 100 + attempt , ( ) -> turn ( ( ) -> connection.send ( FrameKind.DONE , Done.newBuilder ( ).setId ( work.getId ( ) ).setResult ( result ).build ( ) ) ) ) ;
-}
-
-
-@Override public void step ( ) {
-net.pass ( STEP ) ;
-works ( ) ;
-List < Vote > votes = desks.get ( 0 ).heads ( FrameKind.VOTE ) ;
-for ( int many = votes.size ( ) ;
-votesSeen < many ;
-votesSeen ++ ) {
-long id = votes.get ( votesSeen ).getId ( ) ;
-turn ( ( ) -> desks.get ( 0 ).send ( FrameKind.VOTED , Voted.newBuilder ( ).setId ( id ).setTaken ( Taken.COUNTS ).build ( ) ) ) ;
-turn ( ( ) -> desks.get ( 0 ).send ( FrameKind.NEWS , lastNews.toBuilder ( ).setLastedUs ( 100_000 ).build ( ) ) ) ;
-}
-while ( ! answers.isEmpty ( ) && answers.firstKey ( ) <= net.now ( ).ms ( ) + 1e-9 ) {
-answers.pollFirstEntry ( ).getValue ( ).values ( ).forEach ( Runnable :: run ) ;
-}
-}
-
-
-@Override public void rpc ( long id , int method , long key ) {
-byte [ ] body = ByteBuffer.allocate ( 8 ).putLong ( id ).array ( ) ;
-turn ( ( ) -> client.send ( FrameKind.CALL , Call.newBuilder ( ).setId ( id ).setMethod ( method ).setKey ( key ).setLeftUs ( DEADLINES [ method ] * 1000L ).build ( ) , body ) ) ;
-}
-
-
-@Override public void leave ( long id ) {
-turn ( ( ) -> client.send ( FrameKind.LEAVE , Leave.newBuilder ( ).setId ( id ).build ( ) ) ) ;
-}
-
-
-@Override public void list ( long endpoint , int build , int health , double age ) {
-int port = 2000 + ( int ) endpoint ;
-if ( ! endpoints.containsKey ( endpoint ) ) {
-try {
-endpoints.put ( endpoint , RecordingPeer.listen ( net , Role.UNIT , ( int ) endpoint , port ) ) ;
-}
-catch ( java.io.IOException e ) {
-throw new AssertionError ( e ) ;
-}
-}
-Health said = health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE ;
-int run = endpoint == 3 && age > 0 ? 2 : 1 ;
-turn ( ( ) -> rosters.get ( 0 ).send ( FrameKind.LISTING , Listing.newBuilder ( ).setForm ( Form.CHANGES ).addEntries ( Entry.newBuilder ( ).setUnit ( endpoint ).setRun ( run ).setHost ( "127.0.0.1" ).setPort ( port ).setBuild ( build ).setHealth ( said ).setWeight ( 1 ).setAgeUs ( ( long ) ( age * 1000 ) ) ).build ( ) ) ) ;
-}
-
-
-@Override public void news ( int build , int stage , int standing , float cap , double lasted ) {
-lastNews = News.newBuilder ( ).setBuild ( build ).setStage ( stage ).setStanding ( Stand.forNumber ( standing + 1 ) ).setCap ( cap ).setLastedUs ( ( long ) ( lasted * 1000 ) ).build ( ) ;
-turn ( ( ) -> desks.get ( 0 ).send ( FrameKind.NEWS , lastNews ) ) ;
-}
-
-
-@Override public void counts ( int build , int method , int attempts , int failed , double mean ) {
-turn ( ( ) -> desks.get ( 0 ).send ( FrameKind.COUNTS , Counts.newBuilder ( ).setBuild ( build ).setMethod ( method ).setPicks ( attempts ).setFailed ( failed ).setMeanUs ( ( long ) ( mean * 1000 ) ).build ( ) ) ) ;
-}
-
-
-@Override public void peer ( int sender , byte [ ] contents ) {
-turn ( ( ) -> peers.get ( sender ).send ( FrameKind.TOLD , sprucerock.transport.wire.v1.Told.getDefaultInstance ( ) , contents ) ) ;
-}
-
-
-@Override public void flag ( long endpoint , double ago ) {
-turn ( ( ) -> client.send ( FrameKind.FLAG , Flag.newBuilder ( ).setUnit ( endpoint ).setAgoUs ( ( long ) ( ago * 1000 ) ).build ( ) ) ) ;
-}
-
-
-List < String > ends ( ) {
-return client.< Answer > heads ( FrameKind.ANSWER ).stream ( ).map ( one -> one.getId ( ) + " " + one.getEnding ( ) ).toList ( ) ;
-}
-}
-
-
-@Test public void sameEventsCauseTheSamePolicyCallsInBothHosts ( ) throws Exception {
-Bench bench = new Bench ( ) ;
-Linked connected = new Linked ( ) ;
-play ( bench ) ;
-play ( connected ) ;
-for ( int i = 0 ;
-i < Math.min ( bench.told.calls.size ( ) , connected.told.calls.size ( ) ) ;
-i ++ ) {
-int at = i ;
-assertEquals ( connected.told.calls.get ( i ) , bench.told.calls.get ( i ) , "call " + i + " after " + bench.told.calls.subList ( Math.max ( 0 , at - 5 ) , at ) ) ;
-}
-assertEquals ( connected.told.calls.size ( ) , bench.told.calls.size ( ) ) ;
-assertEquals ( connected.ends ( ) , bench.ends ) ;
-// the comparison covers everything the policy can be notified of
-String all = String.join ( "\n" , bench.told.calls ) ;
-for ( String part : new String [ ] {
-" OK answers" , " ERROR" , " FULL" , " TIMED_OUT" , " CANCELLED" , "left " , "leaving " , "vote COUNTS" , "counted " , "flagged " , "peer " , "news 2 1 GOING_BACK" }
-) {
-assertTrue ( all.contains ( part ) , "no " + part ) ;
-}
-assertTrue ( bench.told.calls.size ( ) > 2000 , "only " + bench.told.calls.size ( ) ) ;
-}
+                """);
+      sprucerock.relay.frames.FrameRelay relay =
+          new sprucerock.relay.frames.FrameRelay(RelayConfig.read(file), net, FrameTap.NONE);
+      Files.delete(file);
+      relay.start(
+          (host, settings, seed) -> {
+            told.clock = host;
+            told.delegate = new RoutingPolicy(host, settings, seed);
+            return told;
+          });
+      client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
+      for (int i = 1; i < 3; i++) {
+        peers.put(i, RecordingPeer.connect(net, Role.RELAY, i, 1000));
+      }
+      net.settle();
+    }
+
+    private void turn(Runnable what) {
+      net.turn(what);
+      net.settle();
+      works();
+    }
+
+    private void works() {
+      for (Map.Entry<Long, List<RecordingPeer>> endpoint : endpoints.entrySet()) {
+        for (RecordingPeer connection : endpoint.getValue()) {
+          List<RecordingPeer.ReceivedFrame> got = connection.received;
+          for (int i = seen.merge(connection, 0, Integer::sum); i < got.size(); i++) {
+            if (got.get(i).kind() == FrameKind.WORK) {
+              work(
+                  endpoint.getKey(),
+                  connection,
+                  (Work) got.get(i).head(),
+                  ByteBuffer.wrap(got.get(i).body()).getLong());
+            }
+          }
+          seen.put(connection, got.size());
+        }
+      }
+    }
+
+    private void work(long endpoint, RecordingPeer connection, Work work, long rpc) {
+      int attempt = shots.merge(rpc, 1, Integer::sum) - 1;
+      int how = outcome(rpc, attempt, endpoint);
+      if (how < 0) {
+        return;
+      }
+      Result result = how == 1 ? Result.DONE : how == 2 ? Result.FULL : Result.ERROR;
+      answers
+          .computeIfAbsent(net.now().ms() + latency(rpc, attempt), key -> new TreeMap<>())
+          .put(
+              rpc * 100 + attempt,
+              () ->
+                  turn(
+                      () ->
+                          connection.send(
+                              FrameKind.DONE,
+                              Done.newBuilder().setId(work.getId()).setResult(result).build())));
+    }
+
+    @Override
+    public void step() {
+      net.pass(STEP);
+      works();
+      List<Vote> votes = desks.get(0).heads(FrameKind.VOTE);
+      for (int many = votes.size(); votesSeen < many; votesSeen++) {
+        long id = votes.get(votesSeen).getId();
+        turn(
+            () ->
+                desks
+                    .get(0)
+                    .send(
+                        FrameKind.VOTED,
+                        Voted.newBuilder().setId(id).setTaken(Taken.COUNTS).build()));
+        turn(
+            () ->
+                desks
+                    .get(0)
+                    .send(FrameKind.NEWS, lastNews.toBuilder().setLastedUs(100_000).build()));
+      }
+      while (!answers.isEmpty() && answers.firstKey() <= net.now().ms() + 1e-9) {
+        answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
+      }
+    }
+
+    @Override
+    public void rpc(long id, int method, long key) {
+      byte[] body = ByteBuffer.allocate(8).putLong(id).array();
+      turn(
+          () ->
+              client.send(
+                  FrameKind.CALL,
+                  Call.newBuilder()
+                      .setId(id)
+                      .setMethod(method)
+                      .setKey(key)
+                      .setLeftUs(DEADLINES[method] * 1000L)
+                      .build(),
+                  body));
+    }
+
+    @Override
+    public void leave(long id) {
+      turn(() -> client.send(FrameKind.LEAVE, Leave.newBuilder().setId(id).build()));
+    }
+
+    @Override
+    public void list(long endpoint, int build, int health, double age) {
+      int port = 2000 + (int) endpoint;
+      if (!endpoints.containsKey(endpoint)) {
+        try {
+          endpoints.put(endpoint, RecordingPeer.listen(net, Role.UNIT, (int) endpoint, port));
+        } catch (java.io.IOException e) {
+          throw new AssertionError(e);
+        }
+      }
+      Health said = health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE;
+      int run = endpoint == 3 && age > 0 ? 2 : 1;
+      turn(
+          () ->
+              rosters
+                  .get(0)
+                  .send(
+                      FrameKind.LISTING,
+                      Listing.newBuilder()
+                          .setForm(Form.CHANGES)
+                          .addEntries(
+                              Entry.newBuilder()
+                                  .setUnit(endpoint)
+                                  .setRun(run)
+                                  .setHost("127.0.0.1")
+                                  .setPort(port)
+                                  .setBuild(build)
+                                  .setHealth(said)
+                                  .setWeight(1)
+                                  .setAgeUs((long) (age * 1000)))
+                          .build()));
+    }
+
+    @Override
+    public void news(int build, int stage, int standing, float cap, double lasted) {
+      lastNews =
+          News.newBuilder()
+              .setBuild(build)
+              .setStage(stage)
+              .setStanding(Stand.forNumber(standing + 1))
+              .setCap(cap)
+              .setLastedUs((long) (lasted * 1000))
+              .build();
+      turn(() -> desks.get(0).send(FrameKind.NEWS, lastNews));
+    }
+
+    @Override
+    public void counts(int build, int method, int attempts, int failed, double mean) {
+      turn(
+          () ->
+              desks
+                  .get(0)
+                  .send(
+                      FrameKind.COUNTS,
+                      Counts.newBuilder()
+                          .setBuild(build)
+                          .setMethod(method)
+                          .setPicks(attempts)
+                          .setFailed(failed)
+                          .setMeanUs((long) (mean * 1000))
+                          .build()));
+    }
+
+    @Override
+    public void peer(int sender, byte[] contents) {
+      turn(
+          () ->
+              peers
+                  .get(sender)
+                  .send(
+                      FrameKind.TOLD,
+                      sprucerock.transport.wire.v1.Told.getDefaultInstance(),
+                      contents));
+    }
+
+    @Override
+    public void flag(long endpoint, double ago) {
+      turn(
+          () ->
+              client.send(
+                  FrameKind.FLAG,
+                  Flag.newBuilder().setUnit(endpoint).setAgoUs((long) (ago * 1000)).build()));
+    }
+
+    List<String> ends() {
+      return client.<Answer>heads(FrameKind.ANSWER).stream()
+          .map(one -> one.getId() + " " + one.getEnding())
+          .toList();
+    }
+  }
+
+  @Test
+  public void sameEventsCauseTheSamePolicyCallsInBothHosts() throws Exception {
+    Bench bench = new Bench();
+    Linked connected = new Linked();
+    play(bench);
+    play(connected);
+    for (int i = 0; i < Math.min(bench.told.calls.size(), connected.told.calls.size()); i++) {
+      int at = i;
+      assertEquals(
+          connected.told.calls.get(i),
+          bench.told.calls.get(i),
+          "call " + i + " after " + bench.told.calls.subList(Math.max(0, at - 5), at));
+    }
+    assertEquals(connected.told.calls.size(), bench.told.calls.size());
+    assertEquals(connected.ends(), bench.ends);
+    // the comparison covers everything the policy can be notified of
+    String all = String.join("\n", bench.told.calls);
+    for (String part :
+        new String[] {
+          " OK answers",
+          " ERROR",
+          " FULL",
+          " TIMED_OUT",
+          " CANCELLED",
+          "left ",
+          "leaving ",
+          "vote COUNTS",
+          "counted ",
+          "flagged ",
+          "peer ",
+          "news 2 1 GOING_BACK"
+        }) {
+      assertTrue(all.contains(part), "no " + part);
+    }
+    assertTrue(bench.told.calls.size() > 2000, "only " + bench.told.calls.size());
+  }
 }
- 
