--- a/src/main/java/sprucerock/Main.java
+++ b/src/main/java/sprucerock/Main.java
@@ -10,6 +10,11 @@
 public final class Main {
   private Main() {}
 
+  /**
+   * Runs one command and ends the process with its exit code.
+   *
+   * @param args the command line; see {@link Commands}
+   */
   public static void main(String[] args) throws IOException, InterruptedException {
     if (args.length == 1 && args[0].equals("simhost")) {
       simhost(); // apart, as the bench pays for each start
--- a/src/main/java/sprucerock/accounting/AccountAudit.java
+++ b/src/main/java/sprucerock/accounting/AccountAudit.java
@@ -71,8 +71,8 @@
   private void checkTotals() {
     MethodMetrics rpcs = accounts.rpcs;
     MethodMetrics tenants = accounts.tenants;
-    MethodMetrics attempts = accounts.attempts;
-    MethodMetrics endpoints = accounts.endpoints;
+    final MethodMetrics attempts = accounts.attempts;
+    final MethodMetrics endpoints = accounts.endpoints;
     checkSums(rpcs, TOTAL, tenants, TOTAL);
     checkSums(rpcs, rpcs.pending(), tenants, tenants.pending());
     checkSums(rpcs, rpcs.lost(), tenants, tenants.lost());
--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -122,10 +122,10 @@
    */
   public MethodAccounts(List<String> methods, Capacity capacity) {
     int byMethod = methods.size() + 1;
-    int byBuild = capacity.builds + 1;
-    List<String> ends = TableColumns.ATTEMPTS;
-    List<String> answered = HistogramBuckets.columns("answered");
-    List<String> ok = HistogramBuckets.columns("ok");
+    final int byBuild = capacity.builds + 1;
+    final List<String> ends = TableColumns.ATTEMPTS;
+    final List<String> answered = HistogramBuckets.columns("answered");
+    final List<String> ok = HistogramBuckets.columns("ok");
     calls = settling("calls", "relay", 1, TableColumns.CALLS);
     rpcs = settling("rpcs", "method", byMethod, TableColumns.RPCS);
     tenants = settling("customer_rpcs", "customer", capacity.tenants + 1, TableColumns.TENANTS);
--- a/src/main/java/sprucerock/agent/Agent.java
+++ b/src/main/java/sprucerock/agent/Agent.java
@@ -347,7 +347,7 @@
   }
 
   private void terminate(String why) {
-    int scheduledRun = runNumber;
+    final int scheduledRun = runNumber;
     launcher.log(runningVersion + " is ended: " + why);
     enter(Phase.STOPPING);
     launcher.terminate();
@@ -377,7 +377,7 @@
     if (finishedRuns.size() > MAX_FINISHED_RUNS) {
       finishedRuns.removeFirst();
     }
-    Version exited = runningVersion;
+    final Version exited = runningVersion;
     forcedStopReason = null;
     enter(Phase.OFF);
     if (stopped) {
--- a/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
+++ b/src/main/java/sprucerock/agent/LocalRelaySupervisor.java
@@ -134,7 +134,7 @@
       Path filled = AtomicFiles.replace(config.folder.resolve(SETTINGS), filled(version));
       settings = RelayConfig.read(filled);
       relayLog.rotate();
-      long offset = relayLog.size();
+      final long offset = relayLog.size();
       List<String> command = command(version, true, "relay", "--config", filled.toString());
       for (String argument : config.relayArguments) {
         command.add(argument.replace("${run}", Integer.toString(agent.starts())));
@@ -282,7 +282,7 @@
       if (!LiveSettings.pathsThatNeedRestart(Files.readString(inForce), newSettings).isEmpty()) {
         return false;
       }
-      long offset = Files.size(relayLog.file());
+      final long offset = Files.size(relayLog.file());
       AtomicFiles.replace(inForce, newSettings);
       record.write(reloading, to, agent.state().generation());
       new ProcessBuilder("kill", "-HUP", Long.toString(reloading.pid())).start();
--- a/src/main/java/sprucerock/config/LeaseConfig.java
+++ b/src/main/java/sprucerock/config/LeaseConfig.java
@@ -53,7 +53,7 @@
     if (leases == null) {
       return null;
     }
-    List<InetSocketAddress> grantors = grantors(leases);
+    final List<InetSocketAddress> grantors = grantors(leases);
     TimeSpan term = leases.span("term");
     TimeSpan maxTerm = leases.has("longest") ? leases.span("longest") : term;
     if (MIN_TERM.over(term)) {
--- a/src/main/java/sprucerock/config/SiteSettingsReader.java
+++ b/src/main/java/sprucerock/config/SiteSettingsReader.java
@@ -21,7 +21,7 @@
    * @param relayNumber of the relay that reads them, 0 for the first
    */
   static Settings.Draft read(XmlElement site, int relayNumber) throws ConfigException {
-    Settings.Draft draft = new Settings.Draft();
+    final Settings.Draft draft = new Settings.Draft();
     requireAtMost(site, "method", MAX_METHODS);
     requireAtMost(site, "customer", MAX_TENANTS);
     requireAtMost(site, "stage", MAX_STAGES);
--- a/src/main/java/sprucerock/config/TlsSettingsReader.java
+++ b/src/main/java/sprucerock/config/TlsSettingsReader.java
@@ -22,7 +22,7 @@
    * @throws ConfigException where an interval is shorter than 10 ms
    */
   static Tls.Setup read(XmlElement tls) throws ConfigException {
-    Material.Sources files =
+    final Material.Sources files =
         new Material.Sources(
             path(tls, "trust"),
             path(tls, "key"),
@@ -31,7 +31,7 @@
             path(tls, "crl"));
     List<String> versions =
         Arrays.stream(tls.text("versions").split(" ")).map(version -> "TLSv" + version).toList();
-    Credentials.Policy policy =
+    final Credentials.Policy policy =
         new Credentials.Policy(
             versions,
             duration(tls.span("skew")),
--- a/src/main/java/sprucerock/controller/DeploymentMonitor.java
+++ b/src/main/java/sprucerock/controller/DeploymentMonitor.java
@@ -72,6 +72,7 @@
   private Map<Integer, Integer> reportTotals = Map.of();
   private String blockedReason = "";
 
+  /** Watches the deployments of one manager; the listener is called on the engine's thread. */
   public DeploymentMonitor(DeploymentManager deployments, Listener listener) {
     this.deployments = deployments;
     this.listener = listener;
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -84,7 +84,8 @@
   public synchronized boolean tryAcquire() throws IOException {
     if (storage.list().contains(TOKEN_FILE)) {
       throw new IOException(
-          "the seat of this folder is granted by a majority: leases are to be configured, or the file "
+          "the seat of this folder is granted by a majority: leases are to be configured, "
+              + "or the file "
               + TOKEN_FILE
               + " taken away");
     }
--- a/src/main/java/sprucerock/controller/Rollout.java
+++ b/src/main/java/sprucerock/controller/Rollout.java
@@ -69,18 +69,22 @@
     since = now;
   }
 
+  /** Where the rollout stands. */
   public State state() {
     return state;
   }
 
+  /** The stage, from 0. */
   public int stage() {
     return stage;
   }
 
+  /** When the present stage began, by the controller's clock. */
   public Timestamp since() {
     return since;
   }
 
+  /** Whether an operator holds it. */
   public boolean held() {
     return held;
   }
--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -137,6 +137,11 @@
     return webhooksDeliveredUpTo;
   }
 
+  /** Outgoing webhooks up to a transition are done with. */
+  public void webhooksDeliveredUpTo(long upTo) {
+    webhooksDeliveredUpTo = Math.max(webhooksDeliveredUpTo, Math.min(upTo, sequence));
+  }
+
   /** What relays are to know: a build, where its rollout stands, and the cap on its exposure. */
   public record RolloutStatus(
       int build, int stage, State state, double exposureCap, Timestamp since) {}
@@ -183,16 +188,16 @@
     };
   }
 
-  /** The share of all endpoints that a rollout takes in its stage. */
-  double fleetShare(Rollout rollout) {
-    return rules.stages().get(rollout.stage).share();
-  }
-
   /** How many endpoints of a build a stage has. */
   int desiredEndpoints(int stage) {
     return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
 
+  /** The share of all endpoints that a rollout takes in its stage. */
+  double fleetShare(Rollout rollout) {
+    return rules.stages().get(rollout.stage).share();
+  }
+
   /** Relays whose votes of a kind stand for the current build and stage. */
   public List<Integer> relaysVoting(Vote vote, Timestamp now) {
     return ballots.relays(vote, now);
@@ -362,11 +367,6 @@
     reconcile(now);
   }
 
-  /** Outgoing webhooks up to a transition are done with. */
-  public void webhooksDeliveredUpTo(long upTo) {
-    webhooksDeliveredUpTo = Math.max(webhooksDeliveredUpTo, Math.min(upTo, sequence));
-  }
-
   /** Whether a tick now would change anything: only then is it worth recording. */
   public boolean transitionDue(Timestamp now) {
     return switch (current.state) {
--- a/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
@@ -120,6 +120,13 @@
     return fleet.rolloutInProgress;
   }
 
+  /** A build of the endpoints is on trial or going back, or none is any more. */
+  public void rolloutInProgress(boolean is, Timestamp now, long wallMs) {
+    reconciler.wallMs(wallMs);
+    fleet.rolloutInProgress = is;
+    reconciler.reconcile(now);
+  }
+
   /** What a deployment waits for, a line each; empty for one that has ended. */
   public List<String> blockers(Deployment deployment, Timestamp now) {
     return blockers.of(deployment, now);
@@ -291,13 +298,6 @@
     reconciler.reconcile(now);
   }
 
-  /** A build of the endpoints is on trial or going back, or none is any more. */
-  public void rolloutInProgress(boolean is, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
-    fleet.rolloutInProgress = is;
-    reconciler.reconcile(now);
-  }
-
   /**
    * Carries out an operator's command, which is stronger than verdicts but for a worse one.
    *
--- a/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
@@ -36,6 +36,8 @@
   public record Stage(double share, double maxLoss) {}
 
   /**
+   * Checks the stages.
+   *
    * @throws IllegalArgumentException if the stages do not grow to 1
    */
   public DeploymentPlan {
--- a/src/main/java/sprucerock/controller/deployment/FleetStatus.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetStatus.java
@@ -52,6 +52,11 @@
     return !relay.serving() || relay.desiredVersion != null && !relay.reconciled();
   }
 
+  /** How many relays of a zone are out. */
+  int unavailable(int zone) {
+    return zones.containsKey(zone) ? zones.get(zone).unavailable : 0;
+  }
+
   /** How many relays' agents are heard. */
   int reachable() {
     return reachable;
@@ -62,11 +67,6 @@
     return zones.containsKey(zone) ? zones.get(zone).size : 0;
   }
 
-  /** How many relays of a zone are out. */
-  int unavailable(int zone) {
-    return zones.containsKey(zone) ? zones.get(zone).unavailable : 0;
-  }
-
   /** The first reconciled relay whose readiness has not been noted; -1 where there is none. */
   int firstReconciled() {
     return newlyReconciled.isEmpty() ? -1 : newlyReconciled.first();
--- a/src/main/java/sprucerock/controller/deployment/Reconciler.java
+++ b/src/main/java/sprucerock/controller/deployment/Reconciler.java
@@ -104,7 +104,7 @@
 
   /** A deployment goes to a state and a stage, or is held or resumed where it is. */
   void transition(Deployment deployment, State to, int stage, String cause, Timestamp now) {
-    boolean moves =
+    final boolean moves =
         deployment.state != to || deployment.stage != stage || deployment.transitions().isEmpty();
     if (deployment.stage != stage) {
       deployment.verdict = Verdict.NOT_SURE;
--- a/src/main/java/sprucerock/controller/deployment/Version.java
+++ b/src/main/java/sprucerock/controller/deployment/Version.java
@@ -9,6 +9,8 @@
   public static final Version NONE = new Version("", "");
 
   /**
+   * Checks the digests.
+   *
    * @throws IllegalArgumentException if either is no such digest, but for {@link #NONE}
    */
   public Version {
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -94,7 +94,8 @@
         if (available + ROUNDING < required) {
           return String.format(
               Locale.ROOT,
-              "zone %d at %02d:00 UTC needs %.1f units of family %d with its reserve, %.1f would be left%s",
+              "zone %d at %02d:00 UTC needs %.1f units of family %d with its reserve, "
+                  + "%.1f would be left%s",
               one.getKey(),
               hourOfDay,
               required,
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -134,6 +134,16 @@
     state = next;
   }
 
+  /** Where it stands. */
+  public State state() {
+    return state;
+  }
+
+  /** When it begins, in milliseconds of the wall clock. */
+  public long from() {
+    return from;
+  }
+
   /** Begins and ends so much later. */
   void delay(long byMs) {
     from += byMs;
@@ -154,13 +164,23 @@
     nextTransitionMs = dueMs;
   }
 
+  /** When time alone makes its next transition; kept by {@link WindowIndex}, which finds it so. */
+  long nextTransitionMs() {
+    return nextTransitionMs;
+  }
+
+  /** The step by which it last bound: a grant of an earlier state may reach into it. */
+  long boundBy() {
+    return boundBy;
+  }
+
   void noticeMs(long longestMs) {
     noticeMs = longestMs;
   }
 
-  /** When it begins, in milliseconds of the wall clock. */
-  public long from() {
-    return from;
+  /** The longest notice of its racks. */
+  long noticeMs() {
+    return noticeMs;
   }
 
   /** When it ends, in milliseconds of the wall clock. */
@@ -168,11 +188,6 @@
     return to;
   }
 
-  /** Where it stands. */
-  public State state() {
-    return state;
-  }
-
   /** The last steps, the oldest first; the very first one is always among them. */
   public List<Step> steps() {
     return Collections.unmodifiableList(steps);
@@ -188,21 +203,6 @@
     return boundSince;
   }
 
-  /** The step by which it last bound: a grant of an earlier state may reach into it. */
-  long boundBy() {
-    return boundBy;
-  }
-
-  /** When time alone makes its next transition; kept by {@link WindowIndex}, which finds it so. */
-  long nextTransitionMs() {
-    return nextTransitionMs;
-  }
-
-  /** The longest notice of its racks. */
-  long noticeMs() {
-    return noticeMs;
-  }
-
   /** From when on no grant that was ever given can reach into it. */
   long grantsEndMs() {
     return Math.max(from, boundSince + noticeMs);
--- a/src/main/java/sprucerock/hardware/CapacityTranslator.java
+++ b/src/main/java/sprucerock/hardware/CapacityTranslator.java
@@ -84,6 +84,30 @@
     return translated(method, endpoints, from, to, Bound.UPPER);
   }
 
+  /**
+   * The same as {@link #needed}, for work that has to be done within a time: slower endpoints may
+   * be of no use in any number.
+   */
+  public Answer needed(int method, double endpoints, int from, int to, double ms, double withinMs) {
+    double longest = atMost(method, ms, from, to);
+    if (Double.isNaN(longest)) {
+      return unknown(to, "is not known well enough beside " + from);
+    }
+    if (longest > withinMs) {
+      return new Answer(
+          Double.NaN,
+          Limit.TIME,
+          String.format(
+              Locale.ROOT,
+              "work of %.0f ms may take %.0f on family %d, %.0f are allowed",
+              ms,
+              longest,
+              to,
+              withinMs));
+    }
+    return needed(method, endpoints, from, to);
+  }
+
   /** How many endpoints of {@code to} so many of {@code from} surely stand for. */
   public Answer counted(int method, double endpoints, int from, int to) {
     return translated(method, endpoints, from, to, Bound.LOWER);
@@ -141,30 +165,6 @@
         : ms * Math.exp(time.log() + standardErrors * time.error());
   }
 
-  /**
-   * The same as {@link #needed}, for work that has to be done within a time: slower endpoints may
-   * be of no use in any number.
-   */
-  public Answer needed(int method, double endpoints, int from, int to, double ms, double withinMs) {
-    double longest = atMost(method, ms, from, to);
-    if (Double.isNaN(longest)) {
-      return unknown(to, "is not known well enough beside " + from);
-    }
-    if (longest > withinMs) {
-      return new Answer(
-          Double.NaN,
-          Limit.TIME,
-          String.format(
-              Locale.ROOT,
-              "work of %.0f ms may take %.0f on family %d, %.0f are allowed",
-              ms,
-              longest,
-              to,
-              withinMs));
-    }
-    return needed(method, endpoints, from, to);
-  }
-
   /** With which each single bound holds. */
   public double confidence() {
     return confidence;
--- a/src/main/java/sprucerock/hardware/HardwareModel.java
+++ b/src/main/java/sprucerock/hardware/HardwareModel.java
@@ -25,6 +25,8 @@
   private final int degreesOfFreedom;
 
   /**
+   * Takes a fit as it was made; the arrays are not copied.
+   *
    * @param number of the lease under which it was fitted
    * @param window the newest that it was fitted to
    * @param times by method (last: for all), family and other family: how many times as long, at low
--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -35,16 +35,16 @@
     return true;
   }
 
-  boolean isHeldFor(TimeSpan needs) {
-    Timestamp now = clock.get();
-    return client.isHeldAt(now) && !needs.over(client.remaining(now));
-  }
-
   /** The same for an act that takes no time worth the name. */
   public boolean runIfHeld(LongConsumer act) {
     return runIfHeld(TimeSpan.ZERO, act);
   }
 
+  boolean isHeldFor(TimeSpan needs) {
+    Timestamp now = clock.get();
+    return client.isHeldAt(now) && !needs.over(client.remaining(now));
+  }
+
   /**
    * Whether it is held now. What is done on this answer alone, without {@link
    * #runIfHeld(LongConsumer)}, is not safe.
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -193,7 +193,7 @@
     if (!end.after(now)) {
       return; // so late that the term is over; the round ends by its timeout
     }
-    boolean first = heldUntil == null;
+    final boolean first = heldUntil == null;
     heldUntil = end;
     failures = 0;
     double renewAfter = RENEW_SHARE + JITTER_SHARE * random.getAsDouble();
@@ -326,7 +326,7 @@
       return;
     }
     long given = token;
-    boolean held = heldUntil != null;
+    final boolean held = heldUntil != null;
     token = 0;
     heldUntil = null;
     for (int each = 0; each < terms.grantors(); each++) {
--- a/src/main/java/sprucerock/lease/LeaseManager.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -34,8 +34,10 @@
 
   /** Where lines for operators go. */
   public interface Log {
+    /** An event of the normal course. */
     void info(String what);
 
+    /** An event that operators should look at. */
     void warn(String what);
   }
 
--- a/src/main/java/sprucerock/lease/LeaseTerms.java
+++ b/src/main/java/sprucerock/lease/LeaseTerms.java
@@ -13,6 +13,8 @@
  */
 public record LeaseTerms(int grantors, TimeSpan term, TimeSpan longestTerm, double drift) {
   /**
+   * Checks the terms.
+   *
    * @throws IllegalArgumentException if they make no sense together; the message says which
    */
   public LeaseTerms {
--- a/src/main/java/sprucerock/metrics/MappedMetricsFile.java
+++ b/src/main/java/sprucerock/metrics/MappedMetricsFile.java
@@ -45,7 +45,7 @@
   /** Begins a file in a memory that is all zero. */
   MappedMetricsFile(MetricsMemory memory, String layout, int values, int rows, long generation) {
     this.memory = memory;
-    byte[] text = layout.getBytes(StandardCharsets.UTF_8);
+    final byte[] text = layout.getBytes(StandardCharsets.UTF_8);
     this.values = new long[values];
     changed = new int[values];
     changedByLast = new int[values];
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -49,11 +49,11 @@
    * is damaged is set aside, and where the disk takes nothing the metrics stay in memory.
    *
    * @param path null: the metrics are kept in memory only
-   * @param onFirstPostingOfATurn runs at the first change after each commit
+   * @param onFirstPostingOfTurn runs at the first change after each commit
    * @param log gets one line for each thing that is wrong
    */
   public static MetricsFileWriter open(
-      Path path, MethodAccounts accounts, Runnable onFirstPostingOfATurn, Consumer<String> log) {
+      Path path, MethodAccounts accounts, Runnable onFirstPostingOfTurn, Consumer<String> log) {
     long generation = carryOver(path, accounts, log) + 1;
     accounts.postNew(accounts.starts, 0, START_RUNNING);
     String layout = accounts.layout();
@@ -62,7 +62,7 @@
     MappedMetricsFile file =
         new MappedMetricsFile(
             new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
-    accounts.persistTo(file, onFirstPostingOfATurn);
+    accounts.persistTo(file, onFirstPostingOfTurn);
     boolean persistent = false;
     try {
       if (path != null) {
--- a/src/main/java/sprucerock/model/Attempt.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -61,6 +61,11 @@
     return latency;
   }
 
+  /** How long it took, or has taken until {@code now}. */
+  public TimeSpan latency(Timestamp now) {
+    return latency != null ? latency : now.since(sent);
+  }
+
   /** Ends it. */
   @WrittenByRequestTracker
   public void recordOutcome(AttemptOutcome how, TimeSpan after) {
@@ -79,11 +84,6 @@
     written = true;
   }
 
-  /** How long it took, or has taken until {@code now}. */
-  public TimeSpan latency(Timestamp now) {
-    return latency != null ? latency : now.since(sent);
-  }
-
   /** Whether the endpoint may have run it, in whole or in part. */
   public boolean mayHaveRun() {
     return outcome == null || !outcome.neverRan;
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -19,6 +19,7 @@
   private Timestamp newestStart;
   private int row;
 
+  /** A build without endpoints; builds are compared by number, the newest is the highest. */
   public Build(int number) {
     this.number = number;
   }
--- a/src/main/java/sprucerock/model/Endpoint.java
+++ b/src/main/java/sprucerock/model/Endpoint.java
@@ -98,6 +98,12 @@
     return ready;
   }
 
+  /** Sets whether it may get new work. */
+  @WrittenByRequestTracker
+  public void ready(boolean mayGetWork) {
+    ready = mayGetWork;
+  }
+
   /** How many attempts of this relay are in flight at it. */
   public int inFlight() {
     return inFlight;
@@ -120,12 +126,6 @@
     weight = newWeight;
   }
 
-  /** Sets whether it may get new work. */
-  @WrittenByRequestTracker
-  public void ready(boolean mayGetWork) {
-    ready = mayGetWork;
-  }
-
   /** One more attempt is in flight. */
   @WrittenByRequestTracker
   public void attemptStarted() {
--- a/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnectionPool.java
@@ -121,7 +121,7 @@
     }
     Timestamp now = listener.now();
     boolean isBackingOff = retryAt != null && retryAt.after(now);
-    boolean mayOpen = connections.size() < config.connectionsPerEndpoint && !isBackingOff;
+    final boolean mayOpen = connections.size() < config.connectionsPerEndpoint && !isBackingOff;
     if (waiting.size() >= config.waitingPerEndpoint || isBackingOff && connections.isEmpty()) {
       listener.attemptEndsAfterTurn(exchange, AttemptOutcome.NOT_CONNECTED);
       return;
--- a/src/main/java/sprucerock/relay/frames/GracefulShutdown.java
+++ b/src/main/java/sprucerock/relay/frames/GracefulShutdown.java
@@ -76,7 +76,7 @@
     if (whenDone == null) {
       return;
     }
-    Runnable done = whenDone;
+    final Runnable done = whenDone;
     whenDone = null;
     target.closeAll();
     eventLog.info(EventLog.Event.FINISHED, "every RPC taken has its answer");
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -173,12 +173,11 @@
 
     @Override
     public void helloReceived(FrameConnection made, Hello other) {
+      // the lease is asked again: to connect took time, in which this process may have stood still
       if (other.getRole() != Role.UNIT
           || Integer.toUnsignedLong(other.getNumber()) != endpoint.id) {
         finish(null);
-      }
-      // to connect took time, in which this process may have stood still
-      else if (!leaseAtStart.runIfHeld(
+      } else if (!leaseAtStart.runIfHeld(
           now ->
               made.send(
                   FrameKind.LOOK,
--- a/src/main/java/sprucerock/relay/frames/PeerConnections.java
+++ b/src/main/java/sprucerock/relay/frames/PeerConnections.java
@@ -86,6 +86,18 @@
     return hasCapacity && connection.send(kind, head, contents);
   }
 
+  /** Sends a frame to one relay, or drops it. */
+  void send(int number, FrameKind kind, MessageLite head) {
+    send(number, kind, head, FrameClientConnection.NO_BODY);
+  }
+
+  /** Sends the policy's message to all relays. */
+  void sendToAll(byte[] contents) {
+    for (int number : config.peers.keySet()) {
+      send(number, contents);
+    }
+  }
+
   /** Sends a frame to all relays, or drops it. */
   void sendToAll(FrameKind kind, MessageLite head) {
     for (int number : config.peers.keySet()) {
@@ -93,11 +105,6 @@
     }
   }
 
-  /** Sends a frame to one relay, or drops it. */
-  void send(int number, FrameKind kind, MessageLite head) {
-    send(number, kind, head, FrameClientConnection.NO_BODY);
-  }
-
   /** Sends a health check's result to all relays. */
   void sendProbeResult(Seen seen) {
     sendToAll(FrameKind.SEEN, seen);
@@ -107,13 +114,6 @@
     accounts.postNew(accounts.messages, 0, sent ? 1 : 2);
   }
 
-  /** Sends the policy's message to all relays. */
-  void sendToAll(byte[] contents) {
-    for (int number : config.peers.keySet()) {
-      send(number, contents);
-    }
-  }
-
   void stop() {
     isStopping = true;
     for (ReconnectingConnection connection : connections.values()) {
--- a/src/main/java/sprucerock/relay/frames/RackPermits.java
+++ b/src/main/java/sprucerock/relay/frames/RackPermits.java
@@ -202,6 +202,11 @@
     return mayPlace(zone, cell, net.now(), config.longestDeadline);
   }
 
+  private boolean mayPlace(int zone, int cell, Timestamp now, TimeSpan takes) {
+    return mayHavePermits()
+        && snapshots.current().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
+  }
+
   /**
    * The same just before an attempt is sent, without time to run: the process may have stood still
    * since the policy decided.
@@ -214,9 +219,4 @@
   public boolean mayHavePermits() {
     return promiseReceived || config.rackPermitInterval == null;
   }
-
-  private boolean mayPlace(int zone, int cell, Timestamp now, TimeSpan takes) {
-    return mayHavePermits()
-        && snapshots.current().mayPlace(RackSnapshot.key(zone, cell), now.ms(), takes.ms());
-  }
 }
--- a/src/main/java/sprucerock/transport/wire/FrameConnection.java
+++ b/src/main/java/sprucerock/transport/wire/FrameConnection.java
@@ -119,7 +119,7 @@
       return Long.MAX_VALUE;
     }
     tap.frame(this, true, kind, head, body);
-    long mark = connection.bytesWritten();
+    final long mark = connection.bytesWritten();
     int size = head.getSerializedSize();
     boolean isCopied = body.length <= MAX_COPIED_BODY_BYTES;
     ByteBuffer buffer =
