--- a/src/test/java/sprucerock/ArchitectureTest.java
+++ b/src/test/java/sprucerock/ArchitectureTest.java
@@ -152,9 +152,8 @@
     }
     noClasses()
         .that()
-        .haveFullyQualifiedName("sprucerock.controller.RolloutManager")
-        .or()
-        .haveFullyQualifiedName("sprucerock.controller.Rollout")
+        .haveNameMatching(
+            "sprucerock\\.controller\\.(Rollout|RolloutManager|RolloutCommands|RolloutBlockers|BallotBox|DeliveryLog|StageClock|StateMachine)")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
