--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -146,7 +146,7 @@
   static byte[] bytes(MetricsMemory memory, int offset, int count) {
     byte[] bytes = new byte[count];
     for (int i = 0; i < count; i++) {
-      bytes[i] = (byte) (memory.get(offset + (i & 7)) >>> 8 * (i & 7));
+      bytes[i] = (byte) (memory.get(offset + (i & ~7)) >>> 8 * (i & 7));
     }
     return bytes;
   }
