--- a/src/main/java/sprucerock/accounting/AccountAudit.java
+++ b/src/main/java/sprucerock/accounting/AccountAudit.java
@@ -29,29 +29,29 @@
 
   /** The equations that don't hold, in a fixed order. */
   List<MethodAccounts.Imbalance> run() {
-    for (MethodMetrics table : accounts.tables()) {
-      for (int row = 0; row < table.rows(); row++) {
+    for (MetricsSheet table : accounts.sheets()) {
+      for (int row = 0; row < table.rowCount(); row++) {
         checkRow(table, row);
       }
     }
     checkTotals();
-    for (int row = 0; row < accounts.rpcs.rows(); row++) {
-      MethodMetrics rpcs = accounts.rpcs;
-      MethodMetrics answers = accounts.answers;
+    for (int row = 0; row < accounts.rpcs.rowCount(); row++) {
+      MetricsSheet rpcs = accounts.rpcs;
+      MetricsSheet answers = accounts.answers;
       checkEqual(cell(rpcs, row, OK), value(rpcs, row, OK), answers, row, TOTAL);
       checkEqual(
           cell(answers, row, TOTAL), value(answers, row, TOTAL), accounts.latency, row, TOTAL);
     }
-    for (int build = 0; build < accounts.builds.rows(); build++) {
+    for (int build = 0; build < accounts.builds.rowCount(); build++) {
       checkBuild(build);
     }
-    for (int method = 0; method < accounts.attempts.rows(); method++) {
+    for (int method = 0; method < accounts.attempts.rowCount(); method++) {
       checkMethod(method);
     }
     return found;
   }
 
-  private void checkRow(MethodMetrics table, int row) {
+  private void checkRow(MetricsSheet table, int row) {
     int columns = table.columns().size();
     long parts = 0;
     for (int column = 1; column < columns; column++) {
@@ -61,42 +61,42 @@
     if (total != parts) {
       found.add(imbalance(equation(table, row), total, parts, table.index(row, TOTAL), columns));
     }
-    long pending = table.hasPending() ? value(table, row, table.pending()) : 0;
+    long pending = table.hasPending() ? value(table, row, table.pendingColumn()) : 0;
     if (pending < 0) {
-      String equation = cell(table, row, table.pending()) + " >= 0";
+      String equation = cell(table, row, table.pendingColumn()) + " >= 0";
       found.add(imbalance(equation, pending, 0, table.index(row, TOTAL), columns));
     }
   }
 
   private void checkTotals() {
-    MethodMetrics rpcs = accounts.rpcs;
-    MethodMetrics tenants = accounts.tenants;
-    final MethodMetrics attempts = accounts.attempts;
-    final MethodMetrics endpoints = accounts.endpoints;
+    MetricsSheet rpcs = accounts.rpcs;
+    MetricsSheet tenants = accounts.tenants;
+    final MetricsSheet attempts = accounts.attempts;
+    final MetricsSheet endpoints = accounts.endpoints;
     checkSums(rpcs, TOTAL, tenants, TOTAL);
-    checkSums(rpcs, rpcs.pending(), tenants, tenants.pending());
-    checkSums(rpcs, rpcs.lost(), tenants, tenants.lost());
+    checkSums(rpcs, rpcs.pendingColumn(), tenants, tenants.pendingColumn());
+    checkSums(rpcs, rpcs.lostColumn(), tenants, tenants.lostColumn());
     checkSums(accounts.calls, 1, rpcs, TOTAL);
-    for (int column = 0; column < TableColumns.ATTEMPTS.size(); column++) {
+    for (int column = 0; column < SheetColumns.ATTEMPTS.size(); column++) {
       checkSums(attempts, column, accounts.builds, column);
     }
     checkSums(attempts, TOTAL, endpoints, TOTAL);
     checkSums(attempts, OK, endpoints, OK);
-    checkSums(attempts, attempts.pending(), endpoints, endpoints.pending());
-    checkSums(attempts, attempts.lost(), endpoints, endpoints.lost());
+    checkSums(attempts, attempts.pendingColumn(), endpoints, endpoints.pendingColumn());
+    checkSums(attempts, attempts.lostColumn(), endpoints, endpoints.lostColumn());
     checkSums(attempts, TOTAL, accounts.frames, TOTAL);
   }
 
   private void checkBuild(int build) {
-    MethodMetrics builds = accounts.builds;
-    MethodMetrics shadows = accounts.shadowAttempts;
+    MetricsSheet builds = accounts.builds;
+    MetricsSheet shadows = accounts.shadowAttempts;
     long sum = 0;
-    for (int method = 0; method < accounts.attempts.rows(); method++) {
+    for (int method = 0; method < accounts.attempts.rowCount(); method++) {
       sum += latencies(build, method);
     }
     String equation = "pick_latency ok of build " + accounts.name(builds, build);
     checkEqual(equation, sum, builds, build, OK);
-    int columns = TableColumns.ATTEMPTS.size();
+    int columns = SheetColumns.ATTEMPTS.size();
     for (int column = 0; column < columns; column++) {
       long some = value(shadows, build, column);
       long all = value(builds, build, column);
@@ -109,7 +109,7 @@
 
   private void checkMethod(int method) {
     long sum = 0;
-    for (int build = 0; build < accounts.builds.rows(); build++) {
+    for (int build = 0; build < accounts.builds.rowCount(); build++) {
       sum += latencies(build, method);
     }
     String equation = "pick_latency ok of method " + accounts.name(accounts.attempts, method);
@@ -117,10 +117,10 @@
   }
 
   private long latencies(int build, int method) {
-    return value(accounts.attemptLatency, build * accounts.attempts.rows() + method, TOTAL);
+    return value(accounts.attemptLatency, build * accounts.attempts.rowCount() + method, TOTAL);
   }
 
-  private void checkEqual(String what, long left, MethodMetrics table, int row, int column) {
+  private void checkEqual(String what, long left, MetricsSheet table, int row, int column) {
     long right = value(table, row, column);
     if (left != right) {
       String equation = what + " = " + cell(table, row, column);
@@ -129,7 +129,7 @@
     }
   }
 
-  private void checkSums(MethodMetrics one, int column, MethodMetrics other, int otherColumn) {
+  private void checkSums(MetricsSheet one, int column, MetricsSheet other, int otherColumn) {
     long left = sum(values, one, column);
     long right = sum(values, other, otherColumn);
     if (left == right) {
@@ -143,18 +143,18 @@
             + other.name()
             + " "
             + other.columns().get(otherColumn);
-    found.add(imbalance(equation, left, right, one.base, one.size()));
+    found.add(imbalance(equation, left, right, one.firstAccount, one.size()));
   }
 
-  static long sum(long[] values, MethodMetrics table, int column) {
+  static long sum(long[] values, MetricsSheet table, int column) {
     long sum = 0;
-    for (int row = 0; row < table.rows(); row++) {
+    for (int row = 0; row < table.rowCount(); row++) {
       sum += values[table.index(row, column)];
     }
     return sum;
   }
 
-  private long value(MethodMetrics table, int row, int column) {
+  private long value(MetricsSheet table, int row, int column) {
     return values[table.index(row, column)];
   }
 
@@ -165,8 +165,8 @@
   }
 
   private String cell(int index) {
-    for (MethodMetrics table : accounts.tables()) {
-      int offset = index - table.base;
+    for (MetricsSheet table : accounts.sheets()) {
+      int offset = index - table.firstAccount;
       if (offset < table.size()) {
         int columns = table.columns().size();
         return cell(table, offset / columns, offset % columns);
@@ -175,17 +175,17 @@
     throw new IllegalArgumentException("no account " + index);
   }
 
-  private String cell(MethodMetrics table, int row, int column) {
+  private String cell(MetricsSheet table, int row, int column) {
     return table.name()
         + "{"
-        + table.by()
+        + table.rowKey()
         + "="
         + accounts.name(table, row)
         + "} "
         + table.columns().get(column);
   }
 
-  private String equation(MethodMetrics table, int row) {
+  private String equation(MetricsSheet table, int row) {
     if (table.isHistogram()) {
       return cell(table, row, TOTAL) + " = the sum of its buckets";
     }
--- a/src/main/java/sprucerock/accounting/EndpointRegistry.java
+++ b/src/main/java/sprucerock/accounting/EndpointRegistry.java
@@ -52,20 +52,20 @@
       double weight,
       boolean ready) {
     Endpoint known = endpoints.get(id);
-    if (known != null && !known.sameRun(build, started)) {
+    if (known != null && !known.isSameProcess(build, started)) {
       removed(id);
       known = null;
     }
     if (known == null) {
       known = new Endpoint(id, zone, kind, cell, build(build), started, weight);
-      known.row(accounts.row(accounts.endpoints, "" + id));
+      known.setRow(accounts.row(accounts.endpoints, "" + id));
       endpoints.put(id, known);
     }
     known.setWeight(weight);
     if (!ready) {
       drain(known);
     } else if (!known.ready()) {
-      known.ready(true);
+      known.setReady(true);
       known.build.add(known);
       listener.endpointReady(known);
     }
@@ -93,7 +93,7 @@
     if (endpoint.ready()) {
       endpoint.build.remove(endpoint);
     }
-    endpoint.ready(false);
+    endpoint.setReady(false);
     listener.endpointDraining(endpoint);
   }
 
@@ -103,7 +103,7 @@
         number,
         key -> {
           Build made = new Build(key);
-          made.row(accounts.row(accounts.builds, "" + key));
+          made.setRow(accounts.row(accounts.builds, "" + key));
           return made;
         });
   }
--- a/src/main/java/sprucerock/accounting/HistogramBuckets.java
+++ b/src/main/java/sprucerock/accounting/HistogramBuckets.java
@@ -13,7 +13,7 @@
  */
 public final class HistogramBuckets {
   /** How many buckets there are. */
-  public static final int BUCKETS = 304;
+  public static final int BUCKET_COUNT = 304;
 
   private static final int BUCKET_US = 16; // a loopback round trip takes ten
   private static final int BUCKETS_PER_OCTAVE = 16;
@@ -25,7 +25,7 @@
   public static int bucket(TimeSpan latency) {
     double us = Math.max(0, latency.ms() * 1000);
     if (us >= MAX_US) {
-      return BUCKETS - 1;
+      return BUCKET_COUNT - 1;
     }
     long fine = (long) us / BUCKET_US;
     if (fine < 2 * BUCKETS_PER_OCTAVE) {
@@ -55,9 +55,9 @@
    *
    * @param values by account
    */
-  public static Histogram histogram(MethodMetrics table, int row, long[] values) {
+  public static Histogram histogram(MetricsSheet table, int row, long[] values) {
     Histogram made = histogram();
-    for (int i = 0; i < BUCKETS; i++) {
+    for (int i = 0; i < BUCKET_COUNT; i++) {
       long count = values[table.index(row, 1 + i)];
       if (count > 0) {
         made.recordValueWithCount(lowerBoundUs(i), count);
@@ -69,7 +69,7 @@
   static List<String> columns(String total) {
     List<String> columns = new ArrayList<>();
     columns.add(total);
-    for (int i = 0; i < BUCKETS; i++) {
+    for (int i = 0; i < BUCKET_COUNT; i++) {
       columns.add("us" + lowerBoundUs(i));
     }
     return List.copyOf(columns);
--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -54,60 +54,60 @@
   }
 
   /** Requests as they reach the relay, before it decides whether to take them. */
-  public final MethodMetrics calls;
+  public final MetricsSheet calls;
 
   /** RPCs taken, by method, and how they ended. */
-  public final MethodMetrics rpcs;
+  public final MetricsSheet rpcs;
 
   /** RPCs taken, by tenant. */
-  public final MethodMetrics tenants;
+  public final MetricsSheet tenants;
 
   /** Attempts, by method, and how they ended. */
-  public final MethodMetrics attempts;
+  public final MetricsSheet attempts;
 
   /** Attempts, by build. */
-  public final MethodMetrics builds;
+  public final MetricsSheet builds;
 
   /** Attempts, by endpoint. */
-  public final MethodMetrics endpoints;
+  public final MetricsSheet endpoints;
 
   /** Shadow requests to a canary, by build; each is among the attempts, too. */
-  public final MethodMetrics shadowAttempts;
+  public final MetricsSheet shadowAttempts;
 
   /** RPCs that ended ok, by the deadlines they were in time for. */
-  public final MethodMetrics answers;
+  public final MetricsSheet answers;
 
   /** How long these took, from their arrival here. */
-  public final MethodMetrics latency;
+  public final MetricsSheet latency;
 
   /** How long attempts took that ended ok, by build and method; see {@link #attemptLatencyRow}. */
-  public final MethodMetrics attemptLatency;
+  public final MetricsSheet attemptLatency;
 
   /** Attempts on their way to a connection: written as a frame, or ended before. */
-  public final MethodMetrics frames;
+  public final MetricsSheet frames;
 
   /** Results of attempts that had ended before, such as one that timed out. */
-  public final MethodMetrics lateResults;
+  public final MetricsSheet lateResults;
 
   /** TLS handshakes, begun or accepted here, by how they ended. */
-  public final MethodMetrics handshakes;
+  public final MetricsSheet handshakes;
 
   /** Changes of the TLS files, taken or refused. */
-  public final MethodMetrics tlsFiles;
+  public final MetricsSheet tlsFiles;
 
   /** Votes cast on a canary, by the controller's reply. */
-  public final MethodMetrics votes;
+  public final MetricsSheet votes;
 
   /** Gossip messages to other relays. */
-  public final MethodMetrics messages;
+  public final MetricsSheet messages;
 
   /** The relay's own starts: how each ended. */
-  public final MethodMetrics starts;
+  public final MetricsSheet starts;
 
   /** What each start found of the metrics kept before. */
-  public final MethodMetrics files;
+  public final MetricsSheet metricsFiles;
 
-  private final List<MethodMetrics> tables = new ArrayList<>();
+  private final List<MetricsSheet> sheets = new ArrayList<>();
   private final RowNames names;
   private final CounterValues values;
   private final PostingHistory history = new PostingHistory();
@@ -123,75 +123,75 @@
   public MethodAccounts(List<String> methods, Capacity capacity) {
     int byMethod = methods.size() + 1;
     final int byBuild = capacity.builds + 1;
-    final List<String> ends = TableColumns.ATTEMPTS;
+    final List<String> ends = SheetColumns.ATTEMPTS;
     final List<String> answered = HistogramBuckets.columns("answered");
     final List<String> ok = HistogramBuckets.columns("ok");
-    calls = settling("calls", "relay", 1, TableColumns.CALLS);
-    rpcs = settling("rpcs", "method", byMethod, TableColumns.RPCS);
-    tenants = settling("customer_rpcs", "customer", capacity.tenants + 1, TableColumns.TENANTS);
+    calls = settling("calls", "relay", 1, SheetColumns.CALLS);
+    rpcs = settling("rpcs", "method", byMethod, SheetColumns.RPCS);
+    tenants = settling("customer_rpcs", "customer", capacity.tenants + 1, SheetColumns.TENANTS);
     attempts = settling("picks", "method", byMethod, ends);
     builds = settling("build_picks", "build", byBuild, ends);
-    endpoints = settling("unit_picks", "unit", capacity.endpoints + 1, TableColumns.ENDPOINTS);
+    endpoints = settling("unit_picks", "unit", capacity.endpoints + 1, SheetColumns.ENDPOINTS);
     shadowAttempts = settling("copies", "build", byBuild, ends);
-    answers = immediate("answers", "method", byMethod, TableColumns.ANSWERS);
+    answers = immediate("answers", "method", byMethod, SheetColumns.ANSWERS);
     latency = immediate("latency", "method", byMethod, answered);
     attemptLatency = immediate("pick_latency", "build_and_method", byBuild * byMethod, ok);
-    frames = settling("pick_frames", "relay", 1, TableColumns.FRAMES);
-    lateResults = immediate("late_results", "relay", 1, TableColumns.LATE_RESULTS);
-    handshakes = settling("handshakes", "relay", 1, TableColumns.HANDSHAKES);
-    tlsFiles = immediate("tls_files", "relay", 1, TableColumns.TLS_FILES);
-    votes = settling("votes", "relay", 1, TableColumns.VOTES);
-    messages = settling("messages", "relay", 1, TableColumns.MESSAGES);
-    starts = settling("starts", "relay", 1, TableColumns.STARTS);
-    files = settling("files", "relay", 1, TableColumns.FILES);
-    names = new RowNames(tables);
+    frames = settling("pick_frames", "relay", 1, SheetColumns.FRAMES);
+    lateResults = immediate("late_results", "relay", 1, SheetColumns.LATE_RESULTS);
+    handshakes = settling("handshakes", "relay", 1, SheetColumns.HANDSHAKES);
+    tlsFiles = immediate("tls_files", "relay", 1, SheetColumns.TLS_FILES);
+    votes = settling("votes", "relay", 1, SheetColumns.VOTES);
+    messages = settling("messages", "relay", 1, SheetColumns.MESSAGES);
+    starts = settling("starts", "relay", 1, SheetColumns.STARTS);
+    metricsFiles = settling("files", "relay", 1, SheetColumns.FILES);
+    names = new RowNames(sheets);
     values = new CounterValues(endOfTables());
     nameFixedRows(methods);
   }
 
   /** Adds a table whose postings are pending at first. */
-  private MethodMetrics settling(String name, String by, int rows, List<String> columns) {
+  private MetricsSheet settling(String name, String by, int rows, List<String> columns) {
     return table(name, by, rows, columns, true);
   }
 
   /** Adds a table whose postings are final at once. */
-  private MethodMetrics immediate(String name, String by, int rows, List<String> columns) {
+  private MetricsSheet immediate(String name, String by, int rows, List<String> columns) {
     return table(name, by, rows, columns, false);
   }
 
-  private MethodMetrics table(
+  private MetricsSheet table(
       String name, String by, int rows, List<String> columns, boolean hasPending) {
-    MethodMetrics made =
-        new MethodMetrics(name, by, rows, endOfTables(), tables.size(), columns, hasPending);
-    tables.add(made);
+    MetricsSheet made =
+        new MetricsSheet(name, by, rows, endOfTables(), sheets.size(), columns, hasPending);
+    sheets.add(made);
     return made;
   }
 
   private int endOfTables() {
-    if (tables.isEmpty()) {
+    if (sheets.isEmpty()) {
       return 0;
     }
-    MethodMetrics last = tables.get(tables.size() - 1);
-    return last.base + last.size();
+    MetricsSheet last = sheets.get(sheets.size() - 1);
+    return last.firstAccount + last.size();
   }
 
   private void nameFixedRows(List<String> methods) {
-    for (MethodMetrics table : tables) {
+    for (MetricsSheet table : sheets) {
       if (table != attemptLatency) {
-        String name = table.rows() == 1 ? MethodMetrics.ALL : MethodMetrics.OTHER;
-        nameRow(table, table.rows() - 1, name);
+        String name = table.rowCount() == 1 ? MetricsSheet.ALL : MetricsSheet.OTHER;
+        nameRow(table, table.rowCount() - 1, name);
       }
     }
     for (String method : methods) {
-      for (MethodMetrics table : List.of(rpcs, attempts, answers, latency)) {
+      for (MetricsSheet table : List.of(rpcs, attempts, answers, latency)) {
         row(table, method);
       }
     }
   }
 
   /** All tables, in the order in which they are stored. */
-  public List<MethodMetrics> tables() {
-    return Collections.unmodifiableList(tables);
+  public List<MetricsSheet> sheets() {
+    return Collections.unmodifiableList(sheets);
   }
 
   /** How many accounts there are: cells of all tables. */
@@ -200,12 +200,12 @@
   }
 
   /** How many rows all tables have. */
-  public int rows() {
+  public int rowCount() {
     return names.count();
   }
 
   /** A row's name; null where it isn't in use. */
-  public String name(MethodMetrics table, int row) {
+  public String name(MetricsSheet table, int row) {
     return names.name(table, row);
   }
 
@@ -215,12 +215,12 @@
    */
   public String layout() {
     StringBuilder text = new StringBuilder();
-    for (MethodMetrics table : tables) {
+    for (MetricsSheet table : sheets) {
       text.append(table.name())
           .append(' ')
-          .append(table.by())
+          .append(table.rowKey())
           .append(' ')
-          .append(table.rows())
+          .append(table.rowCount())
           .append(' ')
           .append(String.join(",", table.columns()))
           .append('\n');
@@ -232,14 +232,14 @@
    * The row of a name, assigned if there is one left; else the row for all others. Shadow requests
    * have the rows of builds.
    */
-  public int row(MethodMetrics table, String name) {
+  public int row(MetricsSheet table, String name) {
     Integer row = names.find(table, name);
     if (row != null) {
       return row;
     }
     int used = names.used(table);
-    if (used >= table.rows()) {
-      return table.rows() - 1;
+    if (used >= table.rowCount()) {
+      return table.rowCount() - 1;
     }
     int assigned = used - 1;
     nameRow(table, assigned, name);
@@ -256,7 +256,7 @@
    * @param method row in {@link #attempts}
    */
   public int attemptLatencyRow(int build, int method) {
-    int row = build * attempts.rows() + method;
+    int row = build * attempts.rowCount() + method;
     if (names.name(attemptLatency, row) == null) {
       nameRow(attemptLatency, row, name(builds, build) + "/" + name(attempts, method));
     }
@@ -264,9 +264,9 @@
   }
 
   /** Names a row, as a file of another relay has it. */
-  public void nameRow(MethodMetrics table, int row, String name) {
+  public void nameRow(MetricsSheet table, int row, String name) {
     int rowOfAll = names.assign(table, row, name);
-    store.name(rowOfAll, name);
+    store.nameRow(rowOfAll, name);
   }
 
   /**
@@ -279,7 +279,7 @@
     store = newStore;
     for (int row = 0; row < names.count(); row++) {
       if (names.name(row) != null) {
-        store.name(row, names.name(row));
+        store.nameRow(row, names.name(row));
       }
     }
     values.persistTo(newStore, onFirstPostingOfTurn);
@@ -290,7 +290,7 @@
    *
    * @param name the row's name there
    */
-  public void carryOver(MethodMetrics table, String name, int column, long value) {
+  public void carryOver(MetricsSheet table, String name, int column, long value) {
     int row;
     if (table == attemptLatency) {
       int slash = name.indexOf('/');
@@ -299,7 +299,8 @@
     } else {
       row = row(table == shadowAttempts ? builds : table, name);
     }
-    values.add(table.index(row, column == table.pending() ? table.lost() : column), value);
+    values.add(
+        table.index(row, column == table.pendingColumn() ? table.lostColumn() : column), value);
   }
 
   /**
@@ -315,12 +316,12 @@
   }
 
   /** Counts something new, in a column. */
-  public void postNew(MethodMetrics table, int row, int column) {
+  public void postNew(MetricsSheet table, int row, int column) {
     post(table.index(row, TOTAL), 1, table.index(row, column));
   }
 
   /** Moves one from a column to another. */
-  public void postTransfer(MethodMetrics table, int row, int from, int to) {
+  public void postTransfer(MetricsSheet table, int row, int from, int to) {
     post(table.index(row, from), -1, table.index(row, to));
   }
 
@@ -339,14 +340,14 @@
   /** An RPC was taken. */
   public void rpcArrived(int method, int tenant) {
     postNew(calls, 0, CALLS_TAKEN);
-    postNew(rpcs, method, rpcs.pending());
-    postNew(tenants, tenant, tenants.pending());
+    postNew(rpcs, method, rpcs.pendingColumn());
+    postNew(tenants, tenant, tenants.pendingColumn());
   }
 
   /** An RPC ended; {@code how} is a column of the RPCs' table. */
   public void rpcEnded(int method, int tenant, int how) {
-    postTransfer(rpcs, method, rpcs.pending(), how);
-    postTransfer(tenants, tenant, tenants.pending(), TENANT_ENDED);
+    postTransfer(rpcs, method, rpcs.pendingColumn(), how);
+    postTransfer(tenants, tenant, tenants.pendingColumn(), TENANT_ENDED);
   }
 
   /**
@@ -366,18 +367,18 @@
 
   /** An attempt was started. */
   public void attemptSent(int method, int build, int endpoint, boolean shadow) {
-    postNew(attempts, method, attempts.pending());
-    postNew(builds, build, builds.pending());
-    postNew(endpoints, endpoint, endpoints.pending());
-    postNew(frames, 0, frames.pending());
+    postNew(attempts, method, attempts.pendingColumn());
+    postNew(builds, build, builds.pendingColumn());
+    postNew(endpoints, endpoint, endpoints.pendingColumn());
+    postNew(frames, 0, frames.pendingColumn());
     if (shadow) {
-      postNew(shadowAttempts, build, shadowAttempts.pending());
+      postNew(shadowAttempts, build, shadowAttempts.pendingColumn());
     }
   }
 
   /** An attempt was put on a connection. */
   public void attemptWritten() {
-    postTransfer(frames, 0, frames.pending(), FRAME_WRITTEN);
+    postTransfer(frames, 0, frames.pendingColumn(), FRAME_WRITTEN);
   }
 
   /** An attempt ended; {@code how} is a column of the attempts' table, of which the first is ok. */
@@ -390,13 +391,13 @@
       int how,
       TimeSpan after) {
     if (!written) {
-      postTransfer(frames, 0, frames.pending(), FRAME_UNWRITTEN);
+      postTransfer(frames, 0, frames.pendingColumn(), FRAME_UNWRITTEN);
     }
-    postTransfer(attempts, method, attempts.pending(), how);
-    postTransfer(builds, build, builds.pending(), how);
-    postTransfer(endpoints, endpoint, endpoints.pending(), how == OK ? OK : ENDPOINT_NOT_OK);
+    postTransfer(attempts, method, attempts.pendingColumn(), how);
+    postTransfer(builds, build, builds.pendingColumn(), how);
+    postTransfer(endpoints, endpoint, endpoints.pendingColumn(), how == OK ? OK : ENDPOINT_NOT_OK);
     if (shadow) {
-      postTransfer(shadowAttempts, build, shadowAttempts.pending(), how);
+      postTransfer(shadowAttempts, build, shadowAttempts.pendingColumn(), how);
     }
     if (how == OK) {
       int row = attemptLatencyRow(build, method);
@@ -410,12 +411,12 @@
   }
 
   /** An account's value. */
-  public long value(MethodMetrics table, int row, int column) {
+  public long value(MetricsSheet table, int row, int column) {
     return values.get(table.index(row, column));
   }
 
   /** A column's sum over all rows. */
-  public long sum(MethodMetrics table, int column) {
+  public long sum(MetricsSheet table, int column) {
     return AccountAudit.sum(values.all(), table, column);
   }
 
--- a/src/main/java/sprucerock/accounting/MethodMetrics.java
+++ b/src/main/java/sprucerock/accounting/MetricsSheet.java
@@ -8,7 +8,7 @@
  * total and to one of them, or moves from one to another. The last row stands for all keys that
  * found no row of their own. The values are in {@link MethodAccounts}.
  */
-public final class MethodMetrics {
+public final class MetricsSheet {
   /** The name of the row for keys beyond the capacity. */
   public static final String OTHER = "other";
 
@@ -16,15 +16,15 @@
   public static final String ALL = "all";
 
   private final String name;
-  private final String by;
+  private final String rowKey;
   private final List<String> columns;
-  private final int rows;
-  private final int pending;
+  private final int rowCount;
+  private final int pendingColumn;
   private final int width;
-  final int base;
+  final int firstAccount;
 
   /** Its place among all tables. */
-  final int position;
+  final int sheetIndex;
 
   /**
    * The shape of a table.
@@ -33,7 +33,7 @@
    * @param hasPending whether its last two columns are what a crash ended and what isn't over yet;
    *     else each posting is final at once
    */
-  MethodMetrics(
+  MetricsSheet(
       String name,
       String by,
       int rows,
@@ -42,28 +42,28 @@
       List<String> columns,
       boolean hasPending) {
     this.name = name;
-    this.by = by;
-    this.rows = rows;
-    this.base = base;
-    this.position = place;
+    this.rowKey = by;
+    this.rowCount = rows;
+    this.firstAccount = base;
+    this.sheetIndex = place;
     this.columns = columns;
     width = columns.size();
-    pending = hasPending ? columns.size() - 1 : -1;
+    pendingColumn = hasPending ? columns.size() - 1 : -1;
   }
 
   /** Whether its postings are pending at first; else it has neither pending nor lost. */
   public boolean hasPending() {
-    return pending > 0;
+    return pendingColumn > 0;
   }
 
   /** Whether its columns are the buckets of a {@link HistogramBuckets}. */
   public boolean isHistogram() {
-    return columns.size() == 1 + HistogramBuckets.BUCKETS;
+    return columns.size() == 1 + HistogramBuckets.BUCKET_COUNT;
   }
 
   /** The first column after those of how something ended. */
-  public int endsBefore() {
-    return hasPending() ? pending : columns.size();
+  public int endOfOutcomeColumns() {
+    return hasPending() ? pendingColumn : columns.size();
   }
 
   /** The table's name, as stored and exported. */
@@ -72,8 +72,8 @@
   }
 
   /** The key that tells rows apart, such as method. */
-  public String by() {
-    return by;
+  public String rowKey() {
+    return rowKey;
   }
 
   /** Their names, the total first; with {@link #hasPending}, the last two are lost and pending. */
@@ -82,26 +82,26 @@
   }
 
   /** How many rows it has, the one for all others among them. */
-  public int rows() {
-    return rows;
+  public int rowCount() {
+    return rowCount;
   }
 
   /** Where an account stands among all. */
   public int index(int row, int column) {
-    return base + row * width + column;
+    return firstAccount + row * width + column;
   }
 
   int size() {
-    return rows * columns.size();
+    return rowCount * columns.size();
   }
 
   /** The column of what isn't over yet; -1 where there is none. */
-  public int pending() {
-    return pending;
+  public int pendingColumn() {
+    return pendingColumn;
   }
 
   /** The column of what a crash of the relay ended; -1 where there is none. */
-  public int lost() {
-    return hasPending() ? pending - 1 : -1;
+  public int lostColumn() {
+    return hasPending() ? pendingColumn - 1 : -1;
   }
 }
--- a/src/main/java/sprucerock/accounting/MetricsStore.java
+++ b/src/main/java/sprucerock/accounting/MetricsStore.java
@@ -9,7 +9,7 @@
   MetricsStore NONE =
       new MetricsStore() {
         @Override
-        public void name(int row, String label) {}
+        public void nameRow(int row, String label) {}
 
         @Override
         public void put(int account, long value) {}
@@ -19,7 +19,7 @@
       };
 
   /** From now on, a row has this name; rows are counted through all tables. */
-  void name(int row, String label);
+  void nameRow(int row, String label);
 
   /** An account's new value; accounts are counted through all tables. */
   void put(int account, long value);
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -59,7 +59,7 @@
     this.settings = settings;
     this.accounts = accounts;
     endpoints = new EndpointRegistry(accounts);
-    tenantRows = new int[accounts.tenants.rows()];
+    tenantRows = new int[accounts.tenants.rowCount()];
     Arrays.fill(tenantRows, UNASSIGNED);
   }
 
@@ -171,7 +171,7 @@
         latency);
     boolean answers = closes && !rpc.ended();
     if (answers && outcome == AttemptOutcome.OK) {
-      answered(rpc, attempt.sent.plus(latency));
+      answered(rpc, attempt.sentAt.plus(latency));
     } else if (answers) {
       close(rpc, ABORTED);
       // a stream that broke
@@ -181,7 +181,7 @@
   }
 
   private void answered(Rpc rpc, Timestamp now) {
-    TimeSpan after = now.since(rpc.arrived);
+    TimeSpan after = now.since(rpc.arrivedAt);
     end(rpc);
     accounts.rpcAnswered(
         rpc.method.index,
@@ -192,7 +192,7 @@
   }
 
   /** The client of an RPC went away; it needs no answer any more. */
-  public void clientLeft(Rpc rpc) {
+  public void clientDisconnected(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
@@ -238,7 +238,8 @@
   }
 
   /** Counts of attempts at a build, of all relays; dropped where the build is unknown here. */
-  public void counted(int build, int method, double attempts, double failed, TimeSpan mean) {
+  public void fleetCountsReceived(
+      int build, int method, double attempts, double failed, TimeSpan mean) {
     Build known = endpoints.knownBuild(build);
     if (known != null) {
       listener.fleetCountsReceived(known, settings.methods.get(method), attempts, failed, mean);
@@ -249,7 +250,7 @@
    * A client found wrong what an endpoint answered to an attempt sent so long ago. Dropped where
    * the endpoint's process started since: only the one that gave the answer is meant.
    */
-  public void flagged(long endpoint, TimeSpan sentAgo, Timestamp now) {
+  public void answerReportedWrong(long endpoint, TimeSpan sentAgo, Timestamp now) {
     Endpoint known = endpoints.get(endpoint);
     if (known != null && known.olderThan(sentAgo, now)) {
       listener.answerReportedWrong(known);
@@ -299,7 +300,7 @@
   /**
    * The result came of an attempt that had ended before; it is counted and changes nothing else.
    */
-  public void lateResult(AttemptOutcome outcome) {
+  public void lateResultReceived(AttemptOutcome outcome) {
     int column =
         switch (outcome) {
           case OK -> LATE_OK;
@@ -310,7 +311,7 @@
   }
 
   /** An RPC was rejected: the client may safely try again. */
-  public void rejected(Rpc rpc) {
+  public void rpcRejected(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
@@ -319,7 +320,7 @@
   }
 
   /** An RPC was aborted, with no promise about what happened. */
-  public void aborted(Rpc rpc) {
+  public void rpcAborted(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
--- a/src/main/java/sprucerock/accounting/RowNames.java
+++ b/src/main/java/sprucerock/accounting/RowNames.java
@@ -11,12 +11,12 @@
   private final int[] firstRow;
   private final List<Map<String, Integer>> rowsByName = new ArrayList<>();
 
-  RowNames(List<MethodMetrics> tables) {
+  RowNames(List<MetricsSheet> tables) {
     firstRow = new int[tables.size()];
     int rows = 0;
     for (int i = 0; i < tables.size(); i++) {
       firstRow[i] = rows;
-      rows += tables.get(i).rows();
+      rows += tables.get(i).rowCount();
       rowsByName.add(new HashMap<>());
     }
     names = new String[rows];
@@ -33,25 +33,25 @@
   }
 
   /** A row's name; null where it isn't in use. */
-  String name(MethodMetrics table, int row) {
-    return names[firstRow[table.position] + row];
+  String name(MetricsSheet table, int row) {
+    return names[firstRow[table.sheetIndex] + row];
   }
 
   /** Names a row, and returns its number through all tables. */
-  int assign(MethodMetrics table, int row, String name) {
-    rowsByName.get(table.position).put(name, row);
-    int rowOfAll = firstRow[table.position] + row;
+  int assign(MetricsSheet table, int row, String name) {
+    rowsByName.get(table.sheetIndex).put(name, row);
+    int rowOfAll = firstRow[table.sheetIndex] + row;
     names[rowOfAll] = name;
     return rowOfAll;
   }
 
   /** The row of a name; null where it has none. */
-  Integer find(MethodMetrics table, String name) {
-    return rowsByName.get(table.position).get(name);
+  Integer find(MetricsSheet table, String name) {
+    return rowsByName.get(table.sheetIndex).get(name);
   }
 
   /** How many names a table has, that of its last row among them. */
-  int used(MethodMetrics table) {
-    return rowsByName.get(table.position).size();
+  int used(MetricsSheet table) {
+    return rowsByName.get(table.sheetIndex).size();
   }
 }
--- a/src/main/java/sprucerock/accounting/TableColumns.java
+++ b/src/main/java/sprucerock/accounting/SheetColumns.java
@@ -6,7 +6,7 @@
  * The columns of each table: the total first, then what it is the sum of. They are stored and
  * exported under these names and in this order.
  */
-final class TableColumns {
+final class SheetColumns {
   static final List<String> CALLS =
       List.of("received", "taken", "turned_away", "refused", "lost", "at_door");
   static final List<String> RPCS =
@@ -64,5 +64,5 @@
   static final List<String> FILES =
       List.of("opened", "fresh", "carried", "set_aside", "lost", "unread");
 
-  private TableColumns() {}
+  private SheetColumns() {}
 }
--- a/src/main/java/sprucerock/agent/MetricsSummary.java
+++ b/src/main/java/sprucerock/agent/MetricsSummary.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import sprucerock.accounting.HistogramBuckets;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.transport.wire.v1.RelaySums;
 
@@ -61,7 +61,7 @@
     long lost = 0;
     long answered = 0;
     double answeredMs = 0;
-    for (int row = 0; row < accounts.rpcs.rows(); row++) {
+    for (int row = 0; row < accounts.rpcs.rowCount(); row++) {
       String method = accounts.name(accounts.rpcs, row);
       if (method == null) {
         continue;
@@ -75,7 +75,7 @@
       aborted += value(snapshot, accounts.rpcs, row, "aborted");
       lost += value(snapshot, accounts.rpcs, row, "lost");
       answered += value(snapshot, accounts.latency, row, "answered");
-      for (int i = 0; i < HistogramBuckets.BUCKETS; i++) {
+      for (int i = 0; i < HistogramBuckets.BUCKET_COUNT; i++) {
         answeredMs +=
             snapshot.values[accounts.latency.index(row, 1 + i)]
                 * HistogramBuckets.lowerBoundUs(i)
@@ -97,7 +97,7 @@
                 + value(snapshot, accounts.votes, 0, "cast"));
   }
 
-  private static long value(MetricsSnapshot snapshot, MethodMetrics table, int row, String column) {
+  private static long value(MetricsSnapshot snapshot, MetricsSheet table, int row, String column) {
     return snapshot.values[table.index(row, table.columns().indexOf(column))];
   }
 
--- a/src/main/java/sprucerock/cli/CheckConfigCommand.java
+++ b/src/main/java/sprucerock/cli/CheckConfigCommand.java
@@ -31,9 +31,9 @@
             + ": relay "
             + config.name
             + ", number "
-            + config.settings.index
+            + config.settings.relayIndex
             + " of "
-            + config.settings.relays
+            + config.settings.relayCount
             + ", "
             + config.settings.methods.size()
             + " methods, "
--- a/src/main/java/sprucerock/cli/RelayCommand.java
+++ b/src/main/java/sprucerock/cli/RelayCommand.java
@@ -100,7 +100,7 @@
     AtomicReference<String> wrong = new AtomicReference<>();
     NioLoop loop =
         new NioLoop(
-            "relay-" + config.settings.index,
+            "relay-" + config.settings.relayIndex,
             e -> {
               if (relay.get() != null) {
                 relay.get().internalError(e);
@@ -114,7 +114,7 @@
         () -> {
           try {
             if (trace != null) {
-              tracing.set(new TraceWriter(loop, trace, "relay-" + config.settings.index));
+              tracing.set(new TraceWriter(loop, trace, "relay-" + config.settings.relayIndex));
               tracing.get().watchStalls();
             }
             relay.set(new FrameRelay(config, loop, trace == null ? FrameTap.NONE : tracing.get()));
--- a/src/main/java/sprucerock/config/RelayConfig.java
+++ b/src/main/java/sprucerock/config/RelayConfig.java
@@ -170,9 +170,14 @@
     int number = root.count("number");
     leases = LeaseConfig.of(root.child("leases"), number);
     settings = settings(site, number);
-    if (number >= settings.relays) {
+    if (number >= settings.relayCount) {
       throw root.invalid(
-          "number " + number + " of " + settings.relays + " relays: 0 to " + (settings.relays - 1));
+          "number "
+              + number
+              + " of "
+              + settings.relayCount
+              + " relays: 0 to "
+              + (settings.relayCount - 1));
     }
     methodNames = methodNames(site);
     peers = peers(root, number);
@@ -242,8 +247,8 @@
     TreeMap<Integer, InetSocketAddress> addresses = new TreeMap<>();
     for (XmlElement peer : root.children("peer")) {
       int number = peer.count("number");
-      if (number >= settings.relays) {
-        throw peer.invalid("number " + number + ": allowed are 0 to " + (settings.relays - 1));
+      if (number >= settings.relayCount) {
+        throw peer.invalid("number " + number + ": allowed are 0 to " + (settings.relayCount - 1));
       }
       if (number == ownNumber) {
         continue; // one list can serve a whole fleet
--- a/src/main/java/sprucerock/config/SiteSettingsReader.java
+++ b/src/main/java/sprucerock/config/SiteSettingsReader.java
@@ -32,32 +32,32 @@
       draft.tenantShares.add(tenant.number("share"));
     }
     for (XmlElement stage : site.children("stage")) {
-      draft.caps.add(stage.number("cap"));
+      draft.exposureCaps.add(stage.number("cap"));
     }
     draft.zone = site.count("zone");
     if (site.has("over-share-worth")) {
       draft.overQuotaWeight = site.number("over-share-worth");
     }
-    draft.tick = site.span("tick");
+    draft.maxTimerDelay = site.span("tick");
     site.requireAtLeast("tick", MIN_TICK);
     draft.pollsEndpointList = site.flag("ask");
-    draft.pollWithin = site.span("ask-within");
+    draft.maxEndpointListAge = site.span("ask-within");
     readRules(site.child("rules"), draft);
     readAllowed(site.child("allowed"), draft);
     readVotes(site.child("votes"), draft);
-    draft.index = relayNumber;
-    draft.relays = site.count("relays");
+    draft.relayIndex = relayNumber;
+    draft.relayCount = site.count("relays");
     return draft;
   }
 
   private static void readRules(XmlElement rules, Settings.Draft draft) throws ConfigException {
     draft.warmUp = rules.span("cold");
-    draft.startShare = rules.number("start-capacity");
-    draft.tipAfter = rules.span("tip-after");
-    draft.tipMultiple = rules.number("tip-multiple");
-    draft.perMethod = rules.flag("cap-by-method");
-    draft.free = rules.number("free-picks");
-    if (!(draft.free >= 0) || !(draft.tipMultiple > 0)) {
+    draft.initialCapacityShare = rules.number("start-capacity");
+    draft.warmUpOverloadTolerance = rules.span("tip-after");
+    draft.warmUpOverloadMultiple = rules.number("tip-multiple");
+    draft.capsPerMethod = rules.flag("cap-by-method");
+    draft.uncappedCanaryAttempts = rules.number("free-picks");
+    if (!(draft.uncappedCanaryAttempts >= 0) || !(draft.warmUpOverloadMultiple > 0)) {
       throw rules.invalid("free-picks: 0 or more; tip-multiple: above 0");
     }
     if (rules.has("guarded-stages")) {
@@ -70,19 +70,19 @@
 
   private static void readAllowed(XmlElement allowed, Settings.Draft draft) {
     draft.maxAttempts = allowed.count("picks");
-    draft.hedging = allowed.flag("second-copies");
-    draft.cancellation = allowed.flag("cancel");
-    draft.gossip = allowed.flag("peers");
-    draft.retryAfter = allowed.flag("retry-after");
+    draft.hedgingAllowed = allowed.flag("second-copies");
+    draft.cancellationAllowed = allowed.flag("cancel");
+    draft.gossipAllowed = allowed.flag("peers");
+    draft.retryAfterAllowed = allowed.flag("retry-after");
     draft.maxRetryAfter = allowed.span("most-retry-after");
   }
 
   private static void readVotes(XmlElement votes, Settings.Draft draft) {
     draft.control = Settings.Control.valueOf(votes.text("control").toUpperCase(Locale.ROOT));
     draft.voteLifetime = votes.span("life");
-    draft.callTimeout = votes.span("answer-within");
+    draft.controllerCallTimeout = votes.span("answer-within");
     if (votes.has("counts-every")) {
-      draft.countsEvery = votes.span("counts-every");
+      draft.fleetCountsPeriod = votes.span("counts-every");
     }
   }
 
--- a/src/main/java/sprucerock/config/settings/SettingsText.java
+++ b/src/main/java/sprucerock/config/settings/SettingsText.java
@@ -48,18 +48,18 @@
     addMethods(draft);
     addShares(draft);
     draft.overQuotaWeight = optional("over_share_worth", draft.overQuotaWeight);
-    draft.tick = span("tick");
+    draft.maxTimerDelay = span("tick");
     draft.pollsEndpointList = text("membership_mode").equals("ask");
-    draft.pollWithin = span("obligations.ask_within");
+    draft.maxEndpointListAge = span("obligations.ask_within");
     draft.warmUp = span("obligations.cold");
-    draft.startShare = number("obligations.start_capacity");
-    draft.tipAfter = span("obligations.tip_after");
-    draft.tipMultiple = number("obligations.tip_multiple");
+    draft.initialCapacityShare = number("obligations.start_capacity");
+    draft.warmUpOverloadTolerance = span("obligations.tip_after");
+    draft.warmUpOverloadMultiple = number("obligations.tip_multiple");
     draft.maxAttempts = (int) number("permissions.send_cap");
-    draft.hedging = text("permissions.second_copies").equals("true");
-    draft.cancellation = text("permissions.cancel").equals("true");
-    draft.gossip = text("permissions.peers").equals("true");
-    draft.retryAfter = text("permissions.retry_after").equals("true");
+    draft.hedgingAllowed = text("permissions.second_copies").equals("true");
+    draft.cancellationAllowed = text("permissions.cancel").equals("true");
+    draft.gossipAllowed = text("permissions.peers").equals("true");
+    draft.retryAfterAllowed = text("permissions.retry_after").equals("true");
     draft.maxRetryAfter = span("permissions.max_retry_after");
     draft.control =
         switch (text("specifics.vote_mode")) {
@@ -71,18 +71,19 @@
                   "setting specifics.vote_mode is not known: " + text("specifics.vote_mode"));
         };
     for (String cap : text("specifics.caps").split(",")) {
-      draft.caps.add(Double.parseDouble(cap));
+      draft.exposureCaps.add(Double.parseDouble(cap));
     }
-    draft.perMethod = text("specifics.per").equals("per_lane");
-    draft.free = number("specifics.uncounted");
+    draft.capsPerMethod = text("specifics.per").equals("per_lane");
+    draft.uncappedCanaryAttempts = number("specifics.uncounted");
     draft.guardedStages = (int) optional("specifics.safe_only_stages", draft.guardedStages);
     draft.oneWayKeys =
         optionalText("specifics.keys_stay", Boolean.toString(draft.oneWayKeys)).equals("true");
     draft.voteLifetime = span("specifics.ballot_ttl");
-    draft.callTimeout = span("specifics.call_timeout");
-    draft.index = (int) number("index");
-    draft.relays = (int) number("balancers");
-    draft.countsEvery = TimeSpan.ofMs(optional("specifics.sums_every", draft.countsEvery.ms()));
+    draft.controllerCallTimeout = span("specifics.call_timeout");
+    draft.relayIndex = (int) number("index");
+    draft.relayCount = (int) number("balancers");
+    draft.fleetCountsPeriod =
+        TimeSpan.ofMs(optional("specifics.sums_every", draft.fleetCountsPeriod.ms()));
     draft.idleTimeout = TimeSpan.ofMs(optional("permissions.keepalive", draft.idleTimeout.ms()));
     return draft;
   }
--- a/src/main/java/sprucerock/metrics/MappedMetricsFile.java
+++ b/src/main/java/sprucerock/metrics/MappedMetricsFile.java
@@ -100,7 +100,7 @@
   }
 
   @Override
-  public void name(int row, String label) {
+  public void nameRow(int row, String label) {
     byte[] bytes = label.getBytes(StandardCharsets.UTF_8);
     byte[] cut = Arrays.copyOf(bytes, Math.min(bytes.length, NAME_BYTES - 8));
     int at = namesOffset + row * NAME_BYTES;
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -9,7 +9,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.function.Consumer;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 
 /**
  * Keeps a relay's accounts in a file across restarts. Each start is a generation that goes on from
@@ -58,10 +58,14 @@
     accounts.postNew(accounts.starts, 0, START_RUNNING);
     String layout = accounts.layout();
     ByteBuffer bytes =
-        ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rows()));
+        ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rowCount()));
     MappedMetricsFile file =
         new MappedMetricsFile(
-            new BufferMetricsMemory(bytes), layout, accounts.size(), accounts.rows(), generation);
+            new BufferMetricsMemory(bytes),
+            layout,
+            accounts.size(),
+            accounts.rowCount(),
+            generation);
     accounts.persistTo(file, onFirstPostingOfTurn);
     boolean persistent = false;
     try {
@@ -97,7 +101,7 @@
       found = FOUND_UNREADABLE;
       log.accept(path + ": can't be read: " + e.getMessage() + "; figures begin anew");
     }
-    accounts.postNew(accounts.files, 0, found);
+    accounts.postNew(accounts.metricsFiles, 0, found);
     return lastGeneration;
   }
 
@@ -146,9 +150,9 @@
   private static void carry(MetricsSnapshot last, MethodAccounts accounts)
       throws MetricsSnapshot.InvalidFileException {
     MethodAccounts lastAccounts = last.accounts();
-    for (MethodMetrics from : lastAccounts.tables()) {
-      MethodMetrics to = accounts.tables().get(lastAccounts.tables().indexOf(from));
-      for (int row = 0; row < from.rows(); row++) {
+    for (MetricsSheet from : lastAccounts.sheets()) {
+      MetricsSheet to = accounts.sheets().get(lastAccounts.sheets().indexOf(from));
+      for (int row = 0; row < from.rowCount(); row++) {
         for (int column = 0; column < from.columns().size(); column++) {
           long value = last.values[from.index(row, column)];
           if (value != 0) {
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 
 /**
  * All metrics of one relay at the end of one commit, read from its file or its memory; the relay
@@ -184,8 +184,8 @@
       throw new InvalidFileException("figures of another version");
     }
     int next = 0;
-    for (MethodMetrics family : accounts.tables()) {
-      for (int i = 0; i < family.rows(); i++, next++) {
+    for (MetricsSheet family : accounts.sheets()) {
+      for (int i = 0; i < family.rowCount(); i++, next++) {
         if (rowNames[next] != null) {
           accounts.nameRow(family, i, rowNames[next]);
         }
--- a/src/main/java/sprucerock/metrics/MetricsTable.java
+++ b/src/main/java/sprucerock/metrics/MetricsTable.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 import sprucerock.accounting.HistogramBuckets;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 
 /** Formats metrics as a table for a terminal: rows in use, columns that are not all zero. */
 public final class MetricsTable {
@@ -28,7 +28,7 @@
                 + ", "
                 + (snapshot.cleanShutdown ? "ended in good order" : "running, or cut off")
                 + "\n");
-    for (MethodMetrics family : accounts.tables()) {
+    for (MetricsSheet family : accounts.sheets()) {
       if (family.isHistogram()) {
         appendPercentiles(text, family, accounts, snapshot.values);
       } else {
@@ -39,22 +39,22 @@
   }
 
   private static void appendCounters(
-      StringBuilder text, MethodMetrics family, MethodAccounts accounts, long[] values) {
+      StringBuilder text, MetricsSheet family, MethodAccounts accounts, long[] values) {
     int columns = family.columns().size();
     boolean[] used = new boolean[columns];
-    for (int row = 0; row < family.rows(); row++) {
+    for (int row = 0; row < family.rowCount(); row++) {
       for (int column = 0; column < columns; column++) {
         used[column] |= column == 0 || values[family.index(row, column)] != 0;
       }
     }
-    text.append(String.format(Locale.ROOT, "%-14s %-14s", family.name(), family.by()));
+    text.append(String.format(Locale.ROOT, "%-14s %-14s", family.name(), family.rowKey()));
     for (int column = 0; column < columns; column++) {
       if (used[column]) {
         text.append(String.format(Locale.ROOT, " %13s", family.columns().get(column)));
       }
     }
     text.append('\n');
-    for (int row = 0; row < family.rows(); row++) {
+    for (int row = 0; row < family.rowCount(); row++) {
       if (values[family.index(row, 0)] == 0) {
         continue;
       }
@@ -69,13 +69,13 @@
   }
 
   private static void appendPercentiles(
-      StringBuilder text, MethodMetrics family, MethodAccounts accounts, long[] values) {
+      StringBuilder text, MetricsSheet family, MethodAccounts accounts, long[] values) {
     text.append(
         String.format(
             Locale.ROOT,
             "%-14s %-14s %13s",
             family.name() + ", ms",
-            family.by(),
+            family.rowKey(),
             family.columns().get(0)));
     for (double percentile : PERCENTILES) {
       text.append(
@@ -85,7 +85,7 @@
               "p" + BigDecimal.valueOf(percentile).stripTrailingZeros().toPlainString()));
     }
     text.append('\n');
-    for (int row = 0; row < family.rows(); row++) {
+    for (int row = 0; row < family.rowCount(); row++) {
       if (values[family.index(row, 0)] == 0) {
         continue;
       }
--- a/src/main/java/sprucerock/metrics/PrometheusCollector.java
+++ b/src/main/java/sprucerock/metrics/PrometheusCollector.java
@@ -13,7 +13,7 @@
 import java.util.function.Supplier;
 import sprucerock.accounting.HistogramBuckets;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 
 /**
  * Makes Prometheus metrics of one snapshot for each scrape, so that sums hold within it. Names,
@@ -49,7 +49,7 @@
       throw new IllegalStateException(e.getMessage(), e);
     }
     MetricSnapshots.Builder metrics = MetricSnapshots.builder();
-    for (MethodMetrics family : accounts.tables()) {
+    for (MetricsSheet family : accounts.sheets()) {
       if (family.isHistogram()) {
         addHistogram(metrics, family, accounts, snapshot.values);
       } else {
@@ -86,11 +86,11 @@
 
   private static void addCounters(
       MetricSnapshots.Builder metrics,
-      MethodMetrics family,
+      MetricsSheet family,
       MethodAccounts accounts,
       long[] values) {
     String total = family.columns().get(0);
-    String pending = family.hasPending() ? family.columns().get(family.pending()) : "";
+    String pending = family.hasPending() ? family.columns().get(family.pendingColumn()) : "";
     CounterSnapshot.Builder totals =
         CounterSnapshot.builder()
             .name(PREFIX + family.name() + "_" + total)
@@ -108,14 +108,16 @@
         GaugeSnapshot.builder()
             .name(PREFIX + family.name() + "_" + pending)
             .help("Of these, not over yet.");
-    for (int row = 0; row < family.rows(); row++) {
+    for (int row = 0; row < family.rowCount(); row++) {
       if (values[family.index(row, 0)] == 0) {
         continue;
       }
       Labels labels =
-          family.rows() == 1 ? Labels.EMPTY : Labels.of(family.by(), accounts.name(family, row));
+          family.rowCount() == 1
+              ? Labels.EMPTY
+              : Labels.of(family.rowKey(), accounts.name(family, row));
       totals.dataPoint(counter(labels, values[family.index(row, 0)]));
-      for (int column = 1; column < family.endsBefore(); column++) {
+      for (int column = 1; column < family.endOfOutcomeColumns(); column++) {
         ended.dataPoint(
             counter(
                 labels.add("how", family.columns().get(column)),
@@ -127,7 +129,7 @@
       pendingGauge.dataPoint(
           GaugeSnapshot.GaugeDataPointSnapshot.builder()
               .labels(labels)
-              .value(values[family.index(row, family.pending())])
+              .value(values[family.index(row, family.pendingColumn())])
               .build());
     }
     metrics.metricSnapshot(totals.build()).metricSnapshot(ended.build());
@@ -142,22 +144,22 @@
    */
   private static void addHistogram(
       MetricSnapshots.Builder metrics,
-      MethodMetrics family,
+      MetricsSheet family,
       MethodAccounts accounts,
       long[] values) {
     HistogramSnapshot.Builder histogram =
         HistogramSnapshot.builder()
             .name(PREFIX + family.name() + "_seconds")
             .help("Latency; counts are those of the accounts.");
-    for (int row = 0; row < family.rows(); row++) {
+    for (int row = 0; row < family.rowCount(); row++) {
       if (values[family.index(row, 0)] == 0) {
         continue;
       }
       ClassicHistogramBuckets.Builder buckets = ClassicHistogramBuckets.builder();
       long count = 0;
-      for (int i = 0; i < HistogramBuckets.BUCKETS; i++) {
+      for (int i = 0; i < HistogramBuckets.BUCKET_COUNT; i++) {
         count += values[family.index(row, 1 + i)];
-        boolean last = i == HistogramBuckets.BUCKETS - 1;
+        boolean last = i == HistogramBuckets.BUCKET_COUNT - 1;
         if (!last && !endsOctave(i)) {
           continue;
         }
@@ -182,9 +184,9 @@
     return fullOctave || bucket == 7 || bucket == 15;
   }
 
-  private static Labels labels(MethodMetrics family, String name) {
+  private static Labels labels(MetricsSheet family, String name) {
     int cut = name.indexOf('/');
-    return family.by().equals("method")
+    return family.rowKey().equals("method")
         ? Labels.of("method", name)
         : Labels.of("build", name.substring(0, cut), "method", name.substring(cut + 1));
   }
--- a/src/main/java/sprucerock/model/Attempt.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -18,7 +18,7 @@
   public final int number;
 
   /** When it was handed over for sending. */
-  public final Timestamp sent;
+  public final Timestamp sentAt;
 
   /** How long to wait for its answer; null: as long as the client does. */
   public final TimeSpan timeout;
@@ -47,7 +47,7 @@
     this.rpc = rpc;
     this.endpoint = endpoint;
     this.number = rpc.attempts.size();
-    this.sent = sent;
+    this.sentAt = sent;
     this.timeout = timeout;
   }
 
@@ -63,7 +63,7 @@
 
   /** How long it took, or has taken until {@code now}. */
   public TimeSpan latency(Timestamp now) {
-    return latency != null ? latency : now.since(sent);
+    return latency != null ? latency : now.since(sentAt);
   }
 
   /** Ends it. */
@@ -90,7 +90,7 @@
   }
 
   /** Whether it ended in a way that says nothing about a build: never run, cancelled or cut off. */
-  public boolean voidsPair() {
+  public boolean voidsShadowPair() {
     return outcome != null && outcome.neverRan
         || outcome == AttemptOutcome.CANCELLED
         || outcome == AttemptOutcome.BROKEN;
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -16,7 +16,7 @@
   /** Those that may get new work, in an order that draws change; each knows its position. */
   public final List<Endpoint> endpoints = Collections.unmodifiableList(listed);
 
-  private Timestamp newestStart;
+  private Timestamp latestStart;
   private int row;
 
   /** A build without endpoints; builds are compared by number, the newest is the highest. */
@@ -28,8 +28,8 @@
    * The latest start of an endpoint's process, of all that were ready so far; null where all
    * started long ago.
    */
-  public Timestamp newestStart() {
-    return newestStart;
+  public Timestamp latestStart() {
+    return latestStart;
   }
 
   private Timestamp weighedAt;
@@ -38,13 +38,13 @@
   public double weight;
 
   /** The weight of those that had run for long enough, when it was added up last. */
-  public double weightOfOlder;
+  public double warmWeight;
 
   /**
    * Adds the weights up, if that was longer ago than {@code maxAge} or endpoints came or went
    * since.
    *
-   * @param olderThan an endpoint that has run for longer counts in {@link #weightOfOlder}
+   * @param olderThan an endpoint that has run for longer counts in {@link #warmWeight}
    */
   public void refreshWeights(TimeSpan olderThan, TimeSpan maxAge, Timestamp now) {
     if (weighedAt != null && !now.since(weighedAt).over(maxAge)) {
@@ -52,11 +52,11 @@
     }
     weighedAt = now;
     weight = 0;
-    weightOfOlder = 0;
+    warmWeight = 0;
     for (Endpoint endpoint : endpoints) {
       weight += endpoint.weight();
       if (endpoint.olderThan(olderThan, now)) {
-        weightOfOlder += endpoint.weight();
+        warmWeight += endpoint.weight();
       }
     }
   }
@@ -68,7 +68,7 @@
 
   /** Sets its row in the accounts. */
   @WrittenByRequestTracker
-  public void row(int inAccounts) {
+  public void setRow(int inAccounts) {
     row = inAccounts;
   }
 
@@ -76,10 +76,11 @@
   @WrittenByRequestTracker
   public void add(Endpoint endpoint) {
     weighedAt = null;
-    endpoint.position = listed.size();
+    endpoint.positionInBuild = listed.size();
     listed.add(endpoint);
-    if (endpoint.started != null && (newestStart == null || endpoint.started.after(newestStart))) {
-      newestStart = endpoint.started;
+    if (endpoint.startedAt != null
+        && (latestStart == null || endpoint.startedAt.after(latestStart))) {
+      latestStart = endpoint.startedAt;
     }
   }
 
@@ -87,7 +88,7 @@
   @WrittenByRequestTracker
   public void remove(Endpoint endpoint) {
     weighedAt = null;
-    swap(endpoint.position, listed.size() - 1);
+    swap(endpoint.positionInBuild, listed.size() - 1);
     listed.remove(listed.size() - 1);
   }
 
@@ -107,7 +108,7 @@
     Endpoint second = listed.get(two);
     listed.set(one, second);
     listed.set(two, first);
-    second.position = one;
-    first.position = two;
+    second.positionInBuild = one;
+    first.positionInBuild = two;
   }
 }
--- a/src/main/java/sprucerock/model/Endpoint.java
+++ b/src/main/java/sprucerock/model/Endpoint.java
@@ -19,7 +19,7 @@
   public final int zone;
 
   /** Its kind of hardware. */
-  public final int kind;
+  public final int hardwareFamily;
 
   /** Endpoints of one cell share what they know of idempotency keys. */
   public final int cell;
@@ -28,7 +28,7 @@
   public final Build build;
 
   /** When the process started; null where that was long ago. */
-  public final Timestamp started;
+  public final Timestamp startedAt;
 
   /** What the relay's connection pool keeps with it; no other code reads it. */
   public Object attachment;
@@ -39,7 +39,7 @@
   private int row;
 
   /** Its place in its build's list. */
-  int position;
+  int positionInBuild;
 
   /** The last results, the newest in the lowest bit; 1: ok. */
   private int results;
@@ -47,7 +47,7 @@
   private int resultCount;
 
   /** While it is ejected, no attempt tests it before then. */
-  public Timestamp retryAt;
+  public Timestamp nextProbeAt;
 
   /** When it answered last; null: never. */
   public Timestamp lastAnsweredAt;
@@ -62,10 +62,10 @@
   public double warmUpTokens;
 
   /** When these were refilled last. */
-  public Timestamp warmUpTokensAt;
+  public Timestamp warmUpTokensRefilledAt;
 
   /** Failures counted against it in the present canary trial. */
-  public int excess;
+  public int trialFailures;
 
   /** Attempts of all relays in flight at it, where this relay adds them up. */
   public DecayingSum fleetInFlight;
@@ -81,10 +81,10 @@
       long id, int zone, int kind, int cell, Build build, Timestamp started, double weight) {
     this.id = id;
     this.zone = zone;
-    this.kind = kind;
+    this.hardwareFamily = kind;
     this.cell = cell;
     this.build = build;
-    this.started = started;
+    this.startedAt = started;
     this.weight = weight;
   }
 
@@ -100,7 +100,7 @@
 
   /** Sets whether it may get new work. */
   @WrittenByRequestTracker
-  public void ready(boolean mayGetWork) {
+  public void setReady(boolean mayGetWork) {
     ready = mayGetWork;
   }
 
@@ -116,7 +116,7 @@
 
   /** Sets its row in the accounts. */
   @WrittenByRequestTracker
-  public void row(int inAccounts) {
+  public void setRow(int inAccounts) {
     row = inAccounts;
   }
 
@@ -156,12 +156,12 @@
   }
 
   /** Whether it is the process that started then with that build. */
-  public boolean sameRun(int build, Timestamp started) {
-    return this.build.number == build && Objects.equals(this.started, started);
+  public boolean isSameProcess(int build, Timestamp started) {
+    return this.build.number == build && Objects.equals(this.startedAt, started);
   }
 
   /** Whether its process has run for longer than {@code age}. */
   public boolean olderThan(TimeSpan age, Timestamp now) {
-    return started == null || now.since(started).over(age);
+    return startedAt == null || now.since(startedAt).over(age);
   }
 }
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -54,7 +54,7 @@
   public final boolean stream;
 
   /** How long attempts took of late, in milliseconds. */
-  public DecayingMean recentLatency;
+  public DecayingMean recentLatencyMs;
 
   /** The logarithms of the latencies of late. */
   public DecayingMean recentLogLatency;
--- a/src/main/java/sprucerock/model/Rpc.java
+++ b/src/main/java/sprucerock/model/Rpc.java
@@ -24,7 +24,7 @@
   public final long key;
 
   /** When it arrived here. */
-  public final Timestamp arrived;
+  public final Timestamp arrivedAt;
 
   /** When the client stops waiting. */
   public final Timestamp deadline;
@@ -45,7 +45,7 @@
   private int inFlight;
 
   /** Written by the routing policy: no longer part of the queue that a new RPC faces. */
-  public boolean settled;
+  public boolean leftQueue;
 
   /** An RPC that has just arrived. */
   public Rpc(
@@ -61,7 +61,7 @@
     this.method = method;
     this.tenant = tenant;
     this.key = key;
-    this.arrived = arrived;
+    this.arrivedAt = arrived;
     this.deadline = deadline;
     this.workHint = workHint;
     this.attachment = attachment;
@@ -123,7 +123,7 @@
   }
 
   /** Whether an attempt was made at the endpoint. */
-  public boolean triedAt(Endpoint endpoint) {
+  public boolean hasAttemptAt(Endpoint endpoint) {
     for (Attempt attempt : attempts) {
       if (attempt.endpoint == endpoint) {
         return true;
--- a/src/main/java/sprucerock/model/Settings.java
+++ b/src/main/java/sprucerock/model/Settings.java
@@ -33,40 +33,40 @@
   public final double overQuotaWeight;
 
   /** How late a timer may come. */
-  public final TimeSpan tick;
+  public final TimeSpan maxTimerDelay;
 
   /** Whether the endpoint list has to be asked for; else it is pushed. */
   public final boolean pollsEndpointList;
 
   /** How old a polled endpoint list may become. */
-  public final TimeSpan pollWithin;
+  public final TimeSpan maxEndpointListAge;
 
   /** How long an endpoint is warming up after its start. */
   public final TimeSpan warmUp;
 
   /** Share of its capacity that an endpoint has at its start, from 0 to 1. */
-  public final double startShare;
+  public final double initialCapacityShare;
 
   /** Over how long an endpoint that is warming up may be overloaded before it tips over. */
-  public final TimeSpan tipAfter;
+  public final TimeSpan warmUpOverloadTolerance;
 
   /** Load, as a multiple of its capacity, at which an endpoint that is warming up tips over. */
-  public final double tipMultiple;
+  public final double warmUpOverloadMultiple;
 
   /** How many attempts an RPC may have. */
   public final int maxAttempts;
 
   /** Whether hedged requests are allowed. */
-  public final boolean hedging;
+  public final boolean hedgingAllowed;
 
   /** Whether attempts may be cancelled. */
-  public final boolean cancellation;
+  public final boolean cancellationAllowed;
 
   /** Whether relays may send each other messages. */
-  public final boolean gossip;
+  public final boolean gossipAllowed;
 
   /** Whether a rejection may say when to retry. */
-  public final boolean retryAfter;
+  public final boolean retryAfterAllowed;
 
   /** The longest advice for a retry. */
   public final TimeSpan maxRetryAfter;
@@ -75,13 +75,13 @@
   public final Control control;
 
   /** A canary's greatest share of traffic in each stage, from 0 to 1. */
-  public final List<Double> caps;
+  public final List<Double> exposureCaps;
 
   /** Whether caps hold for each method by itself. */
-  public final boolean perMethod;
+  public final boolean capsPerMethod;
 
   /** Attempts at a canary that no cap counts. */
-  public final double free;
+  public final double uncappedCanaryAttempts;
 
   /** Stages in which a canary gets idempotent methods only. */
   public final int guardedStages;
@@ -93,10 +93,10 @@
   public final TimeSpan voteLifetime;
 
   /** How long the answer to a call of the controller may take. */
-  public final TimeSpan callTimeout;
+  public final TimeSpan controllerCallTimeout;
 
   /** How many relays there are. */
-  public final int relays;
+  public final int relayCount;
 
   /** The greatest priority weight of all methods; 1 without methods. */
   public final double maxPriorityWeight;
@@ -105,10 +105,10 @@
   public final double meanLatencyObjectiveMs;
 
   /** The relay's own number, from 0. */
-  public final int index;
+  public final int relayIndex;
 
   /** The period of the controller's counts; zero: there are none. */
-  public final TimeSpan countsEvery;
+  public final TimeSpan fleetCountsPeriod;
 
   /** A connection that carries nothing for this long is closed, at either end. */
   public final TimeSpan idleTimeout;
@@ -122,30 +122,30 @@
     public List<Method> methods = new ArrayList<>();
     public List<Double> tenantShares = new ArrayList<>();
     public double overQuotaWeight = 1;
-    public TimeSpan tick;
+    public TimeSpan maxTimerDelay;
     public boolean pollsEndpointList;
-    public TimeSpan pollWithin;
+    public TimeSpan maxEndpointListAge;
     public TimeSpan warmUp;
-    public double startShare;
-    public TimeSpan tipAfter;
-    public double tipMultiple;
+    public double initialCapacityShare;
+    public TimeSpan warmUpOverloadTolerance;
+    public double warmUpOverloadMultiple;
     public int maxAttempts;
-    public boolean hedging;
-    public boolean cancellation;
-    public boolean gossip;
-    public boolean retryAfter;
+    public boolean hedgingAllowed;
+    public boolean cancellationAllowed;
+    public boolean gossipAllowed;
+    public boolean retryAfterAllowed;
     public TimeSpan maxRetryAfter;
     public Control control;
-    public List<Double> caps = new ArrayList<>();
-    public boolean perMethod;
-    public double free;
+    public List<Double> exposureCaps = new ArrayList<>();
+    public boolean capsPerMethod;
+    public double uncappedCanaryAttempts;
     public int guardedStages;
     public boolean oneWayKeys;
     public TimeSpan voteLifetime;
-    public TimeSpan callTimeout;
-    public int relays;
-    public int index;
-    public TimeSpan countsEvery = TimeSpan.ZERO;
+    public TimeSpan controllerCallTimeout;
+    public int relayCount;
+    public int relayIndex;
+    public TimeSpan fleetCountsPeriod = TimeSpan.ZERO;
     public TimeSpan idleTimeout = TimeSpan.ofMs(30_000);
   }
 
@@ -159,30 +159,30 @@
     methods = Collections.unmodifiableList(new ArrayList<>(draft.methods));
     tenantShares = Collections.unmodifiableList(new ArrayList<>(draft.tenantShares));
     overQuotaWeight = draft.overQuotaWeight;
-    tick = draft.tick;
+    maxTimerDelay = draft.maxTimerDelay;
     pollsEndpointList = draft.pollsEndpointList;
-    pollWithin = draft.pollWithin;
+    maxEndpointListAge = draft.maxEndpointListAge;
     warmUp = draft.warmUp;
-    startShare = draft.startShare;
-    tipAfter = draft.tipAfter;
-    tipMultiple = draft.tipMultiple;
+    initialCapacityShare = draft.initialCapacityShare;
+    warmUpOverloadTolerance = draft.warmUpOverloadTolerance;
+    warmUpOverloadMultiple = draft.warmUpOverloadMultiple;
     maxAttempts = draft.maxAttempts;
-    hedging = draft.hedging;
-    cancellation = draft.cancellation;
-    gossip = draft.gossip;
-    retryAfter = draft.retryAfter;
+    hedgingAllowed = draft.hedgingAllowed;
+    cancellationAllowed = draft.cancellationAllowed;
+    gossipAllowed = draft.gossipAllowed;
+    retryAfterAllowed = draft.retryAfterAllowed;
     maxRetryAfter = draft.maxRetryAfter;
     control = draft.control;
-    caps = Collections.unmodifiableList(new ArrayList<>(draft.caps));
-    perMethod = draft.perMethod;
-    free = draft.free;
+    exposureCaps = Collections.unmodifiableList(new ArrayList<>(draft.exposureCaps));
+    capsPerMethod = draft.capsPerMethod;
+    uncappedCanaryAttempts = draft.uncappedCanaryAttempts;
     guardedStages = draft.guardedStages;
     oneWayKeys = draft.oneWayKeys;
     voteLifetime = draft.voteLifetime;
-    callTimeout = draft.callTimeout;
-    relays = draft.relays;
-    index = draft.index;
-    countsEvery = draft.countsEvery;
+    controllerCallTimeout = draft.controllerCallTimeout;
+    relayCount = draft.relayCount;
+    relayIndex = draft.relayIndex;
+    fleetCountsPeriod = draft.fleetCountsPeriod;
     idleTimeout = draft.idleTimeout;
     maxPriorityWeight =
         methods.stream().mapToDouble(method -> method.priorityWeight).max().orElse(1);
--- a/src/main/java/sprucerock/policy/AdmissionController.java
+++ b/src/main/java/sprucerock/policy/AdmissionController.java
@@ -57,11 +57,11 @@
 
   /** No longer in the queue: answered, or past its latency objective. */
   void settle(Rpc rpc) {
-    if (!rpc.settled) {
+    if (!rpc.leftQueue) {
       queued--;
-      queuedSinceMs -= rpc.arrived.ms();
+      queuedSinceMs -= rpc.arrivedAt.ms();
     }
-    rpc.settled = true;
+    rpc.leftQueue = true;
   }
 
   /** Whether the request, which has just arrived, must be rejected. */
--- a/src/main/java/sprucerock/policy/ArrivalRate.java
+++ b/src/main/java/sprucerock/policy/ArrivalRate.java
@@ -37,11 +37,11 @@
 
   /** Sees too few requests to judge a fleet by itself within some seconds, and gets counts. */
   boolean isQuiet() {
-    return settings.countsEvery.over(TimeSpan.ZERO) && isLow(actions.now());
+    return settings.fleetCountsPeriod.over(TimeSpan.ZERO) && isLow(actions.now());
   }
 
   /** How late counts tell of a change, in ms: a period to fill, one to come. */
   double countsLagMs() {
-    return isQuiet() ? 2 * settings.countsEvery.ms() : 0;
+    return isQuiet() ? 2 * settings.fleetCountsPeriod.ms() : 0;
   }
 }
--- a/src/main/java/sprucerock/policy/AttemptSender.java
+++ b/src/main/java/sprucerock/policy/AttemptSender.java
@@ -62,7 +62,7 @@
   private TimeSpan timeout(Rpc rpc, TimeSpan overdue, Timestamp now) {
     TimeSpan lost = overdue.times(2);
     boolean cut =
-        !settings.hedging
+        !settings.hedgingAllowed
             && !rpc.method.mustNotBeCutShort()
             && rpc.attempts.size() + 1 < settings.maxAttempts
             && rpc.deadline.since(now).over(lost.times(1.5));
@@ -73,6 +73,6 @@
   private Timestamp startBy(Rpc rpc) {
     Attempt first = rpc.firstThatMayHaveRun();
     boolean binds = first != null && rpc.method.idempotency == Method.Idempotency.KEYED;
-    return binds ? first.sent.plus(rpc.method.keyLifetime).minus(settings.tick) : null;
+    return binds ? first.sentAt.plus(rpc.method.keyLifetime).minus(settings.maxTimerDelay) : null;
   }
 }
--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -36,8 +36,8 @@
     this.canary = canary;
     this.arrivals = arrivals;
     this.baselinePace = baselinePace;
-    alone = !settings.gossip && !settings.countsEvery.over(TimeSpan.ZERO);
-    deviations = Math.sqrt(2 * Math.log(20 * settings.relays));
+    alone = !settings.gossipAllowed && !settings.fleetCountsPeriod.over(TimeSpan.ZERO);
+    deviations = Math.sqrt(2 * Math.log(20 * settings.relayCount));
   }
 
   void stageEntered() {
@@ -58,7 +58,7 @@
   void reportToPeers(Timestamp now) {
     CanaryTrial trial = canary.trial();
     boolean news =
-        settings.gossip && canary.judgedBuild() != null && !trial.evidence().isReported();
+        settings.gossipAllowed && canary.judgedBuild() != null && !trial.evidence().isReported();
     if (news
         && (trial.reportSentAt() == null
             || TimeChecks.longerThan(REPORT_INTERVAL_MS, trial.reportSentAt(), now))) {
@@ -149,17 +149,17 @@
     CanaryTrial trial = canary.trial();
     boolean single = settings.control == Settings.Control.SINGLE;
     int pairs = trial.pooledPairs();
-    boolean last = trial.stage() == settings.caps.size() - 1;
+    boolean last = trial.stage() == settings.exposureCaps.size() - 1;
     boolean untested =
         single && last && trial.evidence().timedPairs() < ENOUGH_PAIRS && pairs < 100;
     double fallbackMs = untested ? 6000 : single && pairs < 5 ? 5000 : 3000;
     // alone, the busiest of many relays must see enough first
     if (single && alone) {
-      fallbackMs *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
+      fallbackMs *= Math.max(1, Math.min(3, Math.log(settings.relayCount) / Math.log(16)));
     }
     // by the start times in the list; while a stage's new endpoints aren't listed, none up to 8 s
     TimeSpan known = now.since(trial.since());
-    Timestamp newest = trial.build.newestStart();
+    Timestamp newest = trial.build.latestStart();
     boolean missing =
         newest == null || trial.since().after(newest) && MISSING_ENDPOINTS_TIMEOUT.over(known);
     boolean old = !missing && now.since(newest).atMost(known).over(TimeSpan.ofMs(fallbackMs));
@@ -174,11 +174,11 @@
     Timestamp now = actions.now();
     boolean anew = verdict != lastVote.verdict();
     TimeSpan renew = settings.voteLifetime.times(0.5);
-    if (!anew && !lastVote.isDue(renew, settings.callTimeout, RECAST_INTERVAL, now)) {
+    if (!anew && !lastVote.isDue(renew, settings.controllerCallTimeout, RECAST_INTERVAL, now)) {
       return;
     }
     CanaryTrial trial = canary.trial();
-    boolean logged = anew && (verdict != Verdict.ON || settings.index == 0); // hundreds say it
+    boolean logged = anew && (verdict != Verdict.ON || settings.relayIndex == 0); // hundreds say it
     if (logged) {
       actions.log("vote " + verdict + " on " + trial + ", pace " + baselinePace.mean(now));
     }
--- a/src/main/java/sprucerock/policy/EndpointListSubscription.java
+++ b/src/main/java/sprucerock/policy/EndpointListSubscription.java
@@ -31,7 +31,8 @@
 
   /** Where lists must be asked for, does so at half the time within which that is due. */
   void pollIfDue(Timestamp now) {
-    if (settings.pollsEndpointList && now.since(lastAsked).over(settings.pollWithin.times(0.5))) {
+    if (settings.pollsEndpointList
+        && now.since(lastAsked).over(settings.maxEndpointListAge.times(0.5))) {
       subscribe();
     }
   }
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -117,8 +117,8 @@
         continue;
       }
       boolean outlier = outliers.isOutlier(endpoint);
-      if (outlier && mayProbe && now.after(endpoint.retryAt) && budget.hasCapacity()) {
-        endpoint.retryAt = now.plus(OutlierDetector.RETRY_INTERVAL);
+      if (outlier && mayProbe && now.after(endpoint.nextProbeAt) && budget.hasCapacity()) {
+        endpoint.nextProbeAt = now.plus(OutlierDetector.RETRY_INTERVAL);
         budget.spend(now);
         return endpoint;
       }
@@ -138,7 +138,7 @@
     if (first != null && !rpc.method.dropsRepeats(first.endpoint, endpoint)) {
       return false;
     }
-    return !rpc.triedAt(endpoint) && slowStart.hasCapacity(endpoint, now);
+    return !rpc.hasAttemptAt(endpoint) && slowStart.hasCapacity(endpoint, now);
   }
 
   // A new connection costs its endpoint a handshake. Where hundreds of relays see little each, most
--- a/src/main/java/sprucerock/policy/ExposureLimiter.java
+++ b/src/main/java/sprucerock/policy/ExposureLimiter.java
@@ -14,9 +14,9 @@
   ExposureLimiter(Settings settings, CanaryStatus canary) {
     this.settings = settings;
     this.canary = canary;
-    sharedTokens = settings.free;
+    sharedTokens = settings.uncappedCanaryAttempts;
     for (Method method : settings.methods) {
-      method.canaryTokens = settings.free;
+      method.canaryTokens = settings.uncappedCanaryAttempts;
     }
   }
 
@@ -28,10 +28,10 @@
     if (canary.trial() == null) {
       return false;
     }
-    double most = canary.isCanary(build) ? canary.cap() : settings.caps.get(0);
+    double most = canary.isCanary(build) ? canary.cap() : settings.exposureCaps.get(0);
     int stage = canary.isCanary(build) ? canary.trial().stage() : 0;
     return most > 0
-        && (settings.perMethod ? method.canaryTokens : sharedTokens) >= tokens
+        && (settings.capsPerMethod ? method.canaryTokens : sharedTokens) >= tokens
         && (method.idempotent() || stage >= settings.guardedStages);
   }
 
@@ -42,9 +42,9 @@
     }
     RolloutState state = canary.state();
     boolean ended = state == RolloutState.RELEASED || state == RolloutState.WITHDRAWN;
-    double share = (ended ? settings.caps.get(0) : canary.cap()) * (1 - 1e-6);
-    sharedTokens = Math.min(settings.free, sharedTokens + share);
-    method.canaryTokens = Math.min(settings.free, method.canaryTokens + share);
+    double share = (ended ? settings.exposureCaps.get(0) : canary.cap()) * (1 - 1e-6);
+    sharedTokens = Math.min(settings.uncappedCanaryAttempts, sharedTokens + share);
+    method.canaryTokens = Math.min(settings.uncappedCanaryAttempts, method.canaryTokens + share);
   }
 
   /** An attempt goes to a build on trial. */
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -74,6 +74,8 @@
     if (canary.isReleased()) {
       return trial.evidence().errorsAfterRelease() > 2;
     }
-    return settings.gossip ? trial.failureLead() > 0.01 * trial.pooledPairs() : trial.isErrorSeen();
+    return settings.gossipAllowed
+        ? trial.failureLead() > 0.01 * trial.pooledPairs()
+        : trial.isErrorSeen();
   }
 }
--- a/src/main/java/sprucerock/policy/LatencyTracker.java
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -32,7 +32,7 @@
     this.canary = canary;
     this.baselinePace = baselinePace;
     for (Method method : settings.methods) {
-      method.recentLatency = new DecayingMean(TimeSpan.ofMs(10000));
+      method.recentLatencyMs = new DecayingMean(TimeSpan.ofMs(10000));
       method.recentLogLatency = new DecayingMean(TimeSpan.ofMs(20000));
     }
   }
@@ -47,7 +47,7 @@
 
   /** The method's mean time of late, in ms; a guess until answers come. */
   double usualMs(Method method) {
-    return method.recentLatency.at(actions.now(), method.latencyObjective.ms() / 6, 1);
+    return method.recentLatencyMs.at(actions.now(), method.latencyObjective.ms() / 6, 1);
   }
 
   /** How long an attempt took, or has taken, beside what was expected of it. */
@@ -87,7 +87,7 @@
       canary.trial().logExcess.add(now, log - method.recentLogLatency.at(now, log, 1e-9));
       return;
     }
-    method.recentLatency.add(now, ms);
+    method.recentLatencyMs.add(now, ms);
     method.recentLogLatency.add(now, log);
     baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(log), 1);
   }
--- a/src/main/java/sprucerock/policy/LoadGossip.java
+++ b/src/main/java/sprucerock/policy/LoadGossip.java
@@ -55,7 +55,7 @@
   }
 
   private void report(Endpoint endpoint, TimeSpan endedAt) {
-    if (!settings.gossip) {
+    if (!settings.gossipAllowed) {
       return;
     }
     Timestamp now = actions.now();
@@ -64,10 +64,10 @@
     }
     if (TimeChecks.longerThan(AGGREGATOR_SILENT_MS, aggregatorSince, now)) {
       aggregatorSince = now;
-      aggregator = (aggregator + 1) % settings.relays;
+      aggregator = (aggregator + 1) % settings.relayCount;
     }
     byte[] message = reports.encodeAttempt(endpoint, endedAt);
-    if (aggregator == settings.index) {
+    if (aggregator == settings.relayIndex) {
       attemptReported(message);
     } else {
       actions.sendToPeer(aggregator, message);
@@ -95,7 +95,7 @@
     byte[] loads =
         reports.encodeLoads(MIN_REPORTED_LOAD, waitMs / settings.meanLatencyObjectiveMs, now);
     actions.sendToPeers(loads);
-    loadsReceived(settings.index, loads);
+    loadsReceived(settings.relayIndex, loads);
   }
 
   /** An aggregator told of the loads. */
--- a/src/main/java/sprucerock/policy/OutlierDetector.java
+++ b/src/main/java/sprucerock/policy/OutlierDetector.java
@@ -31,7 +31,7 @@
     boolean before = isOutlier(endpoint);
     endpoint.recordResult(ok);
     if (!before && isOutlier(endpoint)) {
-      endpoint.retryAt = actions.now().plus(RETRY_INTERVAL);
+      endpoint.nextProbeAt = actions.now().plus(RETRY_INTERVAL);
     }
   }
 
@@ -56,7 +56,7 @@
     if (!answered) {
       recordOutcome(endpoint, false);
     } else if (isOutlier(endpoint)) {
-      endpoint.retryAt = actions.now();
+      endpoint.nextProbeAt = actions.now();
     }
   }
 }
--- a/src/main/java/sprucerock/policy/RequestCompletion.java
+++ b/src/main/java/sprucerock/policy/RequestCompletion.java
@@ -26,7 +26,7 @@
     if (rpc.firstThatMayHaveRun() == null || rpc.method.repeatableAnywhere()) {
       // half a latency objective: about what a queue that long needs to drain
       TimeSpan wait = rpc.method.latencyObjective.times(0.5).atMost(settings.maxRetryAfter);
-      actions.reject(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
+      actions.reject(rpc, settings.retryAfterAllowed ? wait : TimeSpan.ZERO);
     } else {
       actions.fail(rpc);
     }
@@ -39,7 +39,7 @@
   }
 
   private void cancelOutstanding(Rpc rpc) {
-    if (!settings.cancellation) {
+    if (!settings.cancellationAllowed) {
       return;
     }
     for (Attempt attempt : rpc.attempts) {
--- a/src/main/java/sprucerock/policy/RetryPolicy.java
+++ b/src/main/java/sprucerock/policy/RetryPolicy.java
@@ -29,7 +29,7 @@
 
   /** Sends a further attempt, if that is allowed, in time and within the budget; says if it did. */
   boolean tryAgain(Rpc rpc) {
-    boolean late = settings.tick.times(4).over(rpc.deadline.since(actions.now()));
+    boolean late = settings.maxTimerDelay.times(4).over(rpc.deadline.since(actions.now()));
     if (late || !mayRepeat(rpc) || !budget.hasCapacity()) {
       return false;
     }
@@ -44,7 +44,8 @@
 
   private boolean mayRepeat(Rpc rpc) {
     boolean barred =
-        !settings.hedging && rpc.inFlight() > 0 || rpc.attempts.size() >= settings.maxAttempts;
+        !settings.hedgingAllowed && rpc.inFlight() > 0
+            || rpc.attempts.size() >= settings.maxAttempts;
     if (rpc.ended() || rpc.streaming() || barred) {
       return false;
     }
@@ -53,6 +54,9 @@
       return true;
     }
     return rpc.method.idempotency == Method.Idempotency.KEYED
-        && rpc.method.keyLifetime.minus(settings.tick).over(actions.now().since(first.sent));
+        && rpc.method
+            .keyLifetime
+            .minus(settings.maxTimerDelay)
+            .over(actions.now().since(first.sentAt));
   }
 }
--- a/src/main/java/sprucerock/policy/RoutingPolicy.java
+++ b/src/main/java/sprucerock/policy/RoutingPolicy.java
@@ -160,7 +160,7 @@
     // Rule 1: two rounds before the client's own deadline, since a timer may come a round late.
     actions.schedule(
         rpc,
-        rpc.deadline.minus(settings.tick.times(2)),
+        rpc.deadline.minus(settings.maxTimerDelay.times(2)),
         () -> {
           if (!rpc.streaming()) {
             completion.endUnanswered(rpc);
@@ -175,7 +175,8 @@
   private void attemptOverdue(Attempt attempt) {
     attempt.overdue = true;
     Endpoint endpoint = attempt.endpoint;
-    boolean silent = endpoint.lastAnsweredAt == null || attempt.sent.after(endpoint.lastAnsweredAt);
+    boolean silent =
+        endpoint.lastAnsweredAt == null || attempt.sentAt.after(endpoint.lastAnsweredAt);
     if (silent) {
       outliers.recordOutcome(endpoint, false);
     }
@@ -183,7 +184,7 @@
     if (attempt.shadowPair != null) {
       pairJudge.judge(attempt.shadowPair);
     }
-    if (silent && settings.hedging && attempt.rpc.inFlight() == 1) {
+    if (silent && settings.hedgingAllowed && attempt.rpc.inFlight() == 1) {
       retries.tryAgain(attempt.rpc);
     }
   }
@@ -205,7 +206,7 @@
       admission.answered(now);
     }
     shadows.attemptEnded(attempt);
-    gossip.attemptEnded(attempt.endpoint, now.since(attempt.sent));
+    gossip.attemptEnded(attempt.endpoint, now.since(attempt.sentAt));
     outliers.attemptEnded(attempt);
     selector.attemptEnded(attempt, now);
     if (ok || attempt.outcome() == AttemptOutcome.TIMED_OUT) {
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -39,8 +39,8 @@
     // Full, out of reach, cancelled or cut off says nothing of a build; time-outs are slowness, for
     // KS.
     if (canary.judgedBuild() != shadow.endpoint.build
-        || shadow.voidsPair()
-        || baseline.voidsPair()) {
+        || shadow.voidsShadowPair()
+        || baseline.voidsShadowPair()) {
       return;
     }
     noteFailures(shadow, baseline);
@@ -63,7 +63,7 @@
         shadow.endpoint.build.endpoints.size()
             < FEW_ENDPOINTS; // else one endpoint gives two mismatches at most
     boolean shadowOnly = shadow.answeredWithError() && !baseline.answeredWithError();
-    if (shadowOnly && (++shadow.endpoint.excess <= MAX_MISMATCHES || few)) {
+    if (shadowOnly && (++shadow.endpoint.trialFailures <= MAX_MISMATCHES || few)) {
       seen.canaryFailed(shadow.endpoint);
     }
     if (baseline.answeredWithError() && !shadow.answeredWithError()) {
@@ -75,7 +75,7 @@
     StageEvidence seen = canary.trial().evidence();
     Timestamp now = actions.now();
     boolean alike =
-        shadow.endpoint.kind == baseline.endpoint.kind
+        shadow.endpoint.hardwareFamily == baseline.endpoint.hardwareFamily
             && !shadow.answeredWithError()
             && !baseline.answeredWithError()
             && shadow.endpoint.olderThan(WARM_AGE, now)
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -49,7 +49,7 @@
   }
 
   void stageEntered() {
-    maxAlone = (int) (Math.min(MAX_ALONE, MAX_ALONE_FLEET / settings.relays) + random.next());
+    maxAlone = (int) (Math.min(MAX_ALONE, MAX_ALONE_FLEET / settings.relayCount) + random.next());
   }
 
   void attemptEnded(Attempt attempt) {
@@ -107,9 +107,9 @@
 
   /** Where keys are sticky, one token stays for a sticky key's request. */
   private boolean mayShadow(Rpc rpc, Build build) {
-    double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
+    double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.uncappedCanaryAttempts);
     return rpc.method.idempotent()
-        && settings.hedging
+        && settings.hedgingAllowed
         && !isBreakerOpen()
         && budget.hasCapacity()
         && rpc.attempts.size() < settings.maxAttempts
@@ -123,7 +123,7 @@
     StageEvidence seen = canary.trial().evidence();
     // every other one of a method at most: each has its like at the baseline
     if (rpc.method.idempotent()) {
-      return !settings.hedging && seen.isBalanced(rpc.method);
+      return !settings.hedgingAllowed && seen.isBalanced(rpc.method);
     }
     // A build bad for one method with effects shows in no shadow request: a few such requests go
     // there alone.
--- a/src/main/java/sprucerock/policy/SlowStartLimiter.java
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -37,7 +37,7 @@
   /** Relays learn of an endpoint together: their first tokens come one by one. */
   void endpointReady(Endpoint endpoint) {
     endpoint.warmUpTokens = random.next();
-    endpoint.warmUpTokensAt = actions.now();
+    endpoint.warmUpTokensRefilledAt = actions.now();
   }
 
   /** An attempt was sent to it. */
@@ -57,23 +57,26 @@
       build.refreshWeights(settings.warmUp, WEIGHTS_KEPT, now);
       all += build.weight;
       if (!canary.isOnTrial(build)) {
-        warm += build.weightOfOlder;
+        warm += build.warmWeight;
       }
     }
     double carried =
         baselineSends.perSecond(now) * endpoint.weight() / Math.max(warm > 0 ? warm : all, 0.1);
     double age =
-        endpoint.started == null
+        endpoint.startedAt == null
             ? 1
-            : Math.max(0, now.since(endpoint.started).per(settings.warmUp));
-    double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
-    double perSecond = Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * share * carried;
-    double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
+            : Math.max(0, now.since(endpoint.startedAt).per(settings.warmUp));
+    double share =
+        settings.initialCapacityShare + (1 - settings.initialCapacityShare) * Math.min(1, age);
+    double perSecond =
+        Math.min(0.5 * settings.warmUpOverloadMultiple, MAX_LOAD_SHARE) * share * carried;
+    double most = Math.max(1, 0.5 * perSecond * settings.warmUpOverloadTolerance.ms() / 1000);
     endpoint.warmUpTokens =
         Math.min(
-            endpoint.warmUpTokens + perSecond * now.since(endpoint.warmUpTokensAt).ms() / 1000,
+            endpoint.warmUpTokens
+                + perSecond * now.since(endpoint.warmUpTokensRefilledAt).ms() / 1000,
             most);
-    endpoint.warmUpTokensAt = now;
+    endpoint.warmUpTokensRefilledAt = now;
     return endpoint.warmUpTokens >= 1;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -178,7 +178,7 @@
       Arrays.setAll(canaryCounts, method -> new AttemptCounts());
     }
     for (Endpoint endpoint : build.endpoints) {
-      endpoint.excess = 0;
+      endpoint.trialFailures = 0;
     }
   }
 
--- a/src/main/java/sprucerock/policy/evidence/StageEvidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -112,7 +112,7 @@
       return;
     }
     errorsAfterRelease++;
-    if (++attempt.endpoint.excess == 1) {
+    if (++attempt.endpoint.trialFailures == 1) {
       failingAfterRelease++;
     }
   }
--- a/src/main/java/sprucerock/rehearsal/scenario/FleetMetricsAudit.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/FleetMetricsAudit.java
@@ -12,7 +12,7 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.rehearsal.fake.Counts;
 import sprucerock.rehearsal.trace.Line;
@@ -201,7 +201,7 @@
 
   // What is held against what.
 
-  private long figures(Function<MethodAccounts, MethodMetrics> sheet, int column) {
+  private long figures(Function<MethodAccounts, MetricsSheet> sheet, int column) {
     long sum = 0;
     for (int i = 0; i < relays.size(); i++) {
       sum += TraceMetricsAudit.sum(sheet.apply(accounts.get(i)), relays.get(i).values, column);
@@ -296,8 +296,8 @@
         "traces: RPCs open when a relay was cut off",
         fates(fate -> fate.received && !fate.answered && !fate.left),
         "relays: lost or open",
-        figures(one -> one.rpcs, accounts.get(0).rpcs.lost())
-            + figures(one -> one.rpcs, accounts.get(0).rpcs.pending()),
+        figures(one -> one.rpcs, accounts.get(0).rpcs.lostColumn())
+            + figures(one -> one.rpcs, accounts.get(0).rpcs.pendingColumn()),
         "whose last turn a kill cut off",
         cutOff(TraceMetricsAudit.CALLS)
             - cutOff(TraceMetricsAudit.OK)
@@ -315,9 +315,9 @@
         "ended before there was a connection",
         figures(one -> one.frames, 2),
         "lost with a relay while waiting for one",
-        figures(one -> one.frames, accounts.get(0).frames.lost()),
+        figures(one -> one.frames, accounts.get(0).frames.lostColumn()),
         "waiting for one",
-        figures(one -> one.frames, accounts.get(0).frames.pending()));
+        figures(one -> one.frames, accounts.get(0).frames.pendingColumn()));
     entry(
         "relays: picks written to a connection",
         figures(one -> one.frames, 1),
--- a/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
+++ b/src/main/java/sprucerock/rehearsal/scenario/TraceMetricsAudit.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 import sprucerock.metrics.MetricsSnapshot;
 import sprucerock.rehearsal.trace.Line;
 import sprucerock.transport.wire.FrameKind;
@@ -144,7 +144,7 @@
             results.get(Result.FULL)));
     long cast = v[accounts.votes.index(0, 0)];
     long unanswered =
-        v[accounts.votes.index(0, 5)] + v[accounts.votes.index(0, accounts.votes.lost())];
+        v[accounts.votes.index(0, 5)] + v[accounts.votes.index(0, accounts.votes.lostColumn())];
     found.add(
         new Entry(
             "votes cast, " + unanswered + " of them unanswered",
@@ -165,9 +165,9 @@
   }
 
   /** A column over all rows. */
-  static long sum(MethodMetrics sheet, long[] values, int column) {
+  static long sum(MetricsSheet sheet, long[] values, int column) {
     long sum = 0;
-    for (int row = 0; row < sheet.rows(); row++) {
+    for (int row = 0; row < sheet.rowCount(); row++) {
       sum += values[sheet.index(row, column)];
     }
     return sum;
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -130,7 +130,7 @@
   /** The client left or withdrew the request: nobody waits for the answer. */
   public void clientLeft(Request request) {
     request.complete();
-    requestTracker.clientLeft(requestTracker.rpc(request.requestId()));
+    requestTracker.clientDisconnected(requestTracker.rpc(request.requestId()));
   }
 
   /**
@@ -155,7 +155,7 @@
           body);
     }
     requestTracker.attemptEnded(
-        attempt, outcome, net.now().since(attempt.sent), answers || attempt.rpc.ended());
+        attempt, outcome, net.now().since(attempt.sentAt), answers || attempt.rpc.ended());
   }
 
   /** Ends an attempt at the end of this turn of the loop, so that the policy is not re-entered. */
@@ -219,13 +219,13 @@
   @Override
   public void reject(Rpc rpc, TimeSpan wait) {
     answer((Request) rpc.attachment, RequestOutcome.REJECTED, wait, 0, NO_BODY);
-    requestTracker.rejected(rpc);
+    requestTracker.rpcRejected(rpc);
   }
 
   @Override
   public void fail(Rpc rpc) {
     answer((Request) rpc.attachment, RequestOutcome.ABORTED, TimeSpan.ZERO, 0, NO_BODY);
-    requestTracker.aborted(rpc);
+    requestTracker.rpcAborted(rpc);
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/ClientConnections.java
+++ b/src/main/java/sprucerock/relay/frames/ClientConnections.java
@@ -108,9 +108,9 @@
         "relay "
             + config.name
             + ", number "
-            + config.settings.index
+            + config.settings.relayIndex
             + " of "
-            + config.settings.relays
+            + config.settings.relayCount
             + ", listens at "
             + listener.address()
             + ", "
--- a/src/main/java/sprucerock/relay/frames/ControllerConnection.java
+++ b/src/main/java/sprucerock/relay/frames/ControllerConnection.java
@@ -115,7 +115,7 @@
   public void vote(Build build, int stage, Verdict verdict) {
     long id = ++lastVote;
     MethodAccounts accounts = requestTracker.accounts();
-    accounts.postNew(accounts.votes, 0, accounts.votes.pending());
+    accounts.postNew(accounts.votes, 0, accounts.votes.pendingColumn());
     Say say =
         switch (verdict) {
           case NONE -> Say.NOTHING;
@@ -131,7 +131,7 @@
     pendingVotes.put(
         id,
         net.at(
-            net.now().plus(config.settings.callTimeout),
+            net.now().plus(config.settings.controllerCallTimeout),
             () -> {
               pendingVotes.remove(id);
               eventLog.warn(
@@ -141,7 +141,7 @@
                       + " on build "
                       + build.number
                       + " within "
-                      + config.settings.callTimeout.ms()
+                      + config.settings.controllerCallTimeout.ms()
                       + " ms; it may count");
               countVote(5);
               onVoteReply.accept(VoteReply.UNANSWERED);
@@ -187,7 +187,7 @@
             && news.getCap() <= 1
             && news.getBuild() >>> 16 == 0
             && news.getStage() >= 0
-            && news.getStage() <= config.settings.caps.size();
+            && news.getStage() <= config.settings.exposureCaps.size();
     if (!isValid) {
       eventLog.warn(
           EventLog.Event.NEWS_REFUSED,
@@ -243,7 +243,7 @@
               + " failed can't be; they are left out");
       return;
     }
-    requestTracker.counted(
+    requestTracker.fleetCountsReceived(
         counts.getBuild(),
         method,
         counts.getPicks(),
@@ -271,7 +271,7 @@
 
   private void countVote(int column) {
     MethodAccounts accounts = requestTracker.accounts();
-    accounts.postTransfer(accounts.votes, 0, accounts.votes.pending(), column);
+    accounts.postTransfer(accounts.votes, 0, accounts.votes.pendingColumn(), column);
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
+++ b/src/main/java/sprucerock/relay/frames/DiscoveryConnection.java
@@ -187,7 +187,7 @@
       return;
     }
     ProcessRun run = runOf(entry);
-    boolean sameRun = known != null && known.sameRun(entry.getBuild(), run.started);
+    boolean sameRun = known != null && known.isSameProcess(entry.getBuild(), run.started);
     boolean moved =
         sameRun
             && known.attachment != null
--- a/src/main/java/sprucerock/relay/frames/EndpointConnections.java
+++ b/src/main/java/sprucerock/relay/frames/EndpointConnections.java
@@ -98,7 +98,7 @@
 
   @Override
   public void lateResult(AttemptOutcome outcome) {
-    requestTracker.lateResult(outcome);
+    requestTracker.lateResultReceived(outcome);
   }
 
   @Override
--- a/src/main/java/sprucerock/relay/frames/FleetTasks.java
+++ b/src/main/java/sprucerock/relay/frames/FleetTasks.java
@@ -77,7 +77,7 @@
             ? null
             : new HardwareReporter(
                 net,
-                config.settings.index,
+                config.settings.relayIndex,
                 config.leases.hardwareFitInterval(),
                 System::currentTimeMillis,
                 build -> build < requestTracker.newestRolloutBuild(),
--- a/src/main/java/sprucerock/relay/frames/FrameRelay.java
+++ b/src/main/java/sprucerock/relay/frames/FrameRelay.java
@@ -134,7 +134,7 @@
     return Hello.newBuilder()
         .setVersion(FrameConnection.VERSION)
         .setRole(Role.RELAY)
-        .setNumber(config.settings.index)
+        .setNumber(config.settings.relayIndex)
         .setName(config.name)
         .build();
   }
@@ -269,11 +269,12 @@
   }
 
   void endpointFlagged(long endpoint, long agoUs) {
-    requestTracker.flagged(endpoint, TimeSpan.ofMs(Math.max(0, agoUs) / 1000.0), net.now());
+    requestTracker.answerReportedWrong(
+        endpoint, TimeSpan.ofMs(Math.max(0, agoUs) / 1000.0), net.now());
   }
 
   void peerMessage(int sender, byte[] contents) {
-    if (sender >= 0 && sender < config.settings.relays) {
+    if (sender >= 0 && sender < config.settings.relayCount) {
       policy.peerMessageReceived(sender, contents);
     }
   }
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -106,7 +106,7 @@
   void attemptSucceeded(Attempt attempt, int concurrentAttempts) {
     samples.add(
         attempt.rpc.method.index,
-        attempt.endpoint.kind,
+        attempt.endpoint.hardwareFamily,
         attempt.endpoint.build.number,
         concurrentAttempts,
         attempt.latency().ms());
--- a/src/main/java/sprucerock/relay/frames/MetricsMonitor.java
+++ b/src/main/java/sprucerock/relay/frames/MetricsMonitor.java
@@ -76,7 +76,7 @@
       return;
     }
     List<MethodAccounts.Imbalance> drifts = accounts.check();
-    long open = accounts.sum(accounts.rpcs, accounts.rpcs.pending());
+    long open = accounts.sum(accounts.rpcs, accounts.rpcs.pendingColumn());
     hasDrift |= !drifts.isEmpty() || open != requestTracker.openRpcs();
     if (open != requestTracker.openRpcs()) {
       eventLog.error(
--- a/src/main/java/sprucerock/relay/frames/TlsConnections.java
+++ b/src/main/java/sprucerock/relay/frames/TlsConnections.java
@@ -118,12 +118,13 @@
 
   @Override
   public void handshakeBegun() {
-    accounts.postNew(accounts.handshakes, 0, accounts.handshakes.pending());
+    accounts.postNew(accounts.handshakes, 0, accounts.handshakes.pendingColumn());
   }
 
   @Override
   public void handshakeDone(boolean resumed) {
-    accounts.postTransfer(accounts.handshakes, 0, accounts.handshakes.pending(), resumed ? 2 : 1);
+    accounts.postTransfer(
+        accounts.handshakes, 0, accounts.handshakes.pendingColumn(), resumed ? 2 : 1);
   }
 
   @Override
@@ -131,7 +132,7 @@
     accounts.postTransfer(
         accounts.handshakes,
         0,
-        accounts.handshakes.pending(),
+        accounts.handshakes.pendingColumn(),
         accounts.handshakes.columns().indexOf(why.name().toLowerCase(Locale.ROOT)));
   }
 
--- a/src/main/java/sprucerock/relay/platform/Discovery.java
+++ b/src/main/java/sprucerock/relay/platform/Discovery.java
@@ -254,14 +254,14 @@
       Endpoint known = unit(entry.path("id").asText(""));
       if (known != null
           && known.ready()
-          && known.sameRun(entry.path("image_id").asInt(-1), started(entry))) {
+          && known.isSameProcess(entry.path("image_id").asInt(-1), started(entry))) {
         ledger.endpointListed(
             known.id,
             known.zone,
-            known.kind,
+            known.hardwareFamily,
             known.cell,
             known.build.number,
-            known.started,
+            known.startedAt,
             known.weight(),
             false);
         leave(known);
@@ -368,7 +368,7 @@
     names.put(id, name);
     Timestamp started = started(entry);
     Endpoint known = ledger.endpoint(id);
-    boolean sameRun = known != null && known.sameRun(build, started);
+    boolean sameRun = known != null && known.isSameProcess(build, started);
     boolean moved =
         sameRun
             && known.attachment != null
--- a/src/main/java/sprucerock/relay/platform/PlatformRelay.java
+++ b/src/main/java/sprucerock/relay/platform/PlatformRelay.java
@@ -133,7 +133,7 @@
   public void start(PolicyFactory maker) throws IOException {
     createPolicy(maker, config.seed);
     clients.start(config.listen);
-    if (settings.gossip && config.peerListen != null) {
+    if (settings.gossipAllowed && config.peerListen != null) {
       datagrams = net.datagrams(config.peerListen, this::told);
     }
     endpoints.start();
@@ -195,9 +195,9 @@
         "relay "
             + config.name
             + ", number "
-            + settings.index
+            + settings.relayIndex
             + " of "
-            + settings.relays
+            + settings.relayCount
             + ", listens at "
             + config.listen
             + ", "
@@ -346,7 +346,7 @@
 
   private void told(InetSocketAddress from, byte[] contents) {
     Integer number = peers.get(from);
-    if (number != null && number != settings.index) {
+    if (number != null && number != settings.relayIndex) {
       policy.peerMessageReceived(number, contents);
     }
   }
--- a/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
+++ b/src/main/java/sprucerock/relay/platform/ReleaseApiClient.java
@@ -176,11 +176,11 @@
       this.connection = connection;
       timer =
           net.at(
-              net.now().plus(settings.callTimeout),
+              net.now().plus(settings.controllerCallTimeout),
               () -> {
                 events.warn(
                     EventLog.Event.VOTE_UNANSWERED,
-                    "within " + settings.callTimeout.ms() + " ms; it may count");
+                    "within " + settings.controllerCallTimeout.ms() + " ms; it may count");
                 over(VoteReply.UNANSWERED);
                 connection.cut("no answer in time");
               });
@@ -290,7 +290,7 @@
       case "counts" -> {
         int attempts = form.whole("count", Integer.MAX_VALUE);
         int failed = form.whole("failed", attempts);
-        ledger.counted(
+        ledger.fleetCountsReceived(
             form.whole("build", 65535),
             method(form),
             attempts,
@@ -301,7 +301,8 @@
         method(form);
         Endpoint endpoint = endpoints.apply(form.text("server"));
         if (endpoint != null) {
-          ledger.flagged(endpoint.id, TimeSpan.ofMs(form.number("age_ms", 1e9)), net.now());
+          ledger.answerReportedWrong(
+              endpoint.id, TimeSpan.ofMs(form.number("age_ms", 1e9)), net.now());
         }
       }
       default -> throw new HttpException("no event has the name " + name);
@@ -331,7 +332,7 @@
    * withdrawn.
    */
   private int rank(RolloutState standing, int stage) {
-    int stages = settings.caps.size() + 1;
+    int stages = settings.exposureCaps.size() + 1;
     return switch (standing) {
       case ON_TRIAL -> stage;
       case RELEASED -> stages;
@@ -342,7 +343,7 @@
 
   private void check(RequestCodec form) throws HttpException {
     form.whole("build", 65535);
-    form.whole("stage", settings.caps.size());
+    form.whole("stage", settings.exposureCaps.size());
     standing(form);
     form.number("cap", 1);
     form.number("age_ms", 1e12);
@@ -352,7 +353,7 @@
     check(form);
     int number = form.whole("build", 65535);
     Timestamp began = net.now().minus(TimeSpan.ofMs(form.number("age_ms", 1e12)));
-    int stage = form.whole("stage", settings.caps.size());
+    int stage = form.whole("stage", settings.exposureCaps.size());
     RolloutState standing = standing(form);
     int rank = rank(standing, stage);
     // guards against what was long on its way, as two connections tell news. Ages can't tell: what
--- a/src/main/java/sprucerock/simulation/EventDecoder.java
+++ b/src/main/java/sprucerock/simulation/EventDecoder.java
@@ -99,7 +99,7 @@
     return () -> {
       Rpc rpc = relay.tracker().rpc(id);
       if (rpc != null) {
-        relay.tracker().clientLeft(rpc);
+        relay.tracker().clientDisconnected(rpc);
       }
     };
   }
@@ -152,14 +152,14 @@
     long failed = u32(f);
     TimeSpan mean = TimeSpan.ofMs(f.getDouble());
     f.getDouble();
-    return () -> relay.tracker().counted(number, method, attempts, failed, mean);
+    return () -> relay.tracker().fleetCountsReceived(number, method, attempts, failed, mean);
   }
 
   private Runnable answerFlagged(ByteBuffer f) {
     long endpoint = u32(f);
     f.getShort();
     TimeSpan sentAgo = TimeSpan.ofMs(f.getDouble());
-    return () -> relay.tracker().flagged(endpoint, sentAgo, relay.now());
+    return () -> relay.tracker().answerReportedWrong(endpoint, sentAgo, relay.now());
   }
 
   private static long u32(ByteBuffer f) {
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -167,13 +167,13 @@
   @Override
   public void reject(Rpc rpc, TimeSpan wait) {
     open(WireCodes.REJECT).u32(rpc.id).f64(wait.ms()).close();
-    tracker.rejected(rpc);
+    tracker.rpcRejected(rpc);
   }
 
   @Override
   public void fail(Rpc rpc) {
     open(WireCodes.ABORT).u32(rpc.id).close();
-    tracker.aborted(rpc);
+    tracker.rpcAborted(rpc);
   }
 
   @Override
--- a/src/test/java/sprucerock/accounting/MethodAccountsTest.java
+++ b/src/test/java/sprucerock/accounting/MethodAccountsTest.java
@@ -30,9 +30,9 @@
         accounts.corrupt(index, by);
         List<MethodAccounts.Imbalance> imbalances = accounts.check();
         assertTrue(!imbalances.isEmpty(), "account " + index);
-        MethodMetrics table = null;
-        for (MethodMetrics one : accounts.tables()) {
-          if (index >= one.base) {
+        MetricsSheet table = null;
+        for (MetricsSheet one : accounts.sheets()) {
+          if (index >= one.firstAccount) {
             table = one;
           }
         }
@@ -88,15 +88,15 @@
     assertEquals(accounts.row(accounts.endpoints, "u1"), 0);
     assertEquals(accounts.row(accounts.endpoints, "u2"), 1);
     assertEquals(accounts.row(accounts.endpoints, "u3"), 2);
-    assertEquals(accounts.name(accounts.endpoints, 2), MethodMetrics.OTHER);
+    assertEquals(accounts.name(accounts.endpoints, 2), MetricsSheet.OTHER);
     assertEquals(accounts.row(accounts.endpoints, "u2"), 1);
   }
 
   @Test
   public void countersAreExactBeyondTheRangeOfDoubles() {
     MethodAccounts accounts = sample();
-    accounts.carryOver(accounts.messages, MethodMetrics.ALL, 0, 1L << 54);
-    accounts.carryOver(accounts.messages, MethodMetrics.ALL, 1, 1L << 54);
+    accounts.carryOver(accounts.messages, MetricsSheet.ALL, 0, 1L << 54);
+    accounts.carryOver(accounts.messages, MetricsSheet.ALL, 1, 1L << 54);
     accounts.postNew(accounts.messages, 0, 1);
     assertEquals(accounts.value(accounts.messages, 0, 0), (1L << 54) + 1);
     assertEquals(accounts.check(), List.of());
--- a/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -105,17 +105,17 @@
         case 3 -> tracker.endpointRemoved(event.variant % 6);
         case 4 -> {
           if (rpc != null) {
-            tracker.rejected(rpc);
+            tracker.rpcRejected(rpc);
           }
         }
         case 5 -> {
           if (rpc != null) {
-            tracker.aborted(rpc);
+            tracker.rpcAborted(rpc);
           }
         }
         case 6 -> {
           if (rpc != null) {
-            tracker.clientLeft(rpc);
+            tracker.clientDisconnected(rpc);
           }
         }
         case 7 -> {
@@ -137,7 +137,7 @@
           tracker.attemptEnded(
               attempt,
               outcome,
-              now.since(attempt.sent),
+              now.since(attempt.sentAt),
               attempt.rpc.ended() || outcome == AttemptOutcome.OK);
         }
       }
@@ -145,13 +145,13 @@
 
     void assertSumsHold() {
       assertEquals(accounts.check(), List.of());
-      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pending()), tracker.openRpcs());
+      assertEquals(accounts.sum(accounts.rpcs, accounts.rpcs.pendingColumn()), tracker.openRpcs());
       long inFlight = attempts.stream().filter(attempt -> attempt.outcome() == null).count();
-      assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pending()), inFlight);
+      assertEquals(accounts.sum(accounts.attempts, accounts.attempts.pendingColumn()), inFlight);
       long shadows =
           attempts.stream().filter(attempt -> attempt.outcome() == null && attempt.shadow).count();
       assertEquals(
-          accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pending()), shadows);
+          accounts.sum(accounts.shadowAttempts, accounts.shadowAttempts.pendingColumn()), shadows);
     }
   }
 
@@ -194,7 +194,8 @@
       assertEquals(incarnation.accounts.sum(incarnation.accounts.rpcs, 0), taken);
       lost += open;
       assertEquals(
-          incarnation.accounts.sum(incarnation.accounts.rpcs, incarnation.accounts.rpcs.lost()),
+          incarnation.accounts.sum(
+              incarnation.accounts.rpcs, incarnation.accounts.rpcs.lostColumn()),
           lost);
       int until =
           incarnations < crashes.size()
@@ -211,9 +212,9 @@
       assertEquals(read.check(snapshot.values), List.of());
       taken = 0;
       open = 0;
-      for (int row = 0; row < read.rpcs.rows(); row++) {
+      for (int row = 0; row < read.rpcs.rowCount(); row++) {
         taken += snapshot.values[read.rpcs.index(row, 0)];
-        open += snapshot.values[read.rpcs.index(row, read.rpcs.pending())];
+        open += snapshot.values[read.rpcs.index(row, read.rpcs.pendingColumn())];
       }
     }
     Files.delete(file);
@@ -233,7 +234,7 @@
     // a microsecond is lost where milliseconds are cut to whole ones
     assertTrue(us + slack >= HistogramBuckets.lowerBoundUs(bucket), us + " in " + bucket);
     assertTrue(
-        bucket == HistogramBuckets.BUCKETS - 1
+        bucket == HistogramBuckets.BUCKET_COUNT - 1
             || us - slack < HistogramBuckets.lowerBoundUs(bucket + 1),
         us + " in " + bucket);
     same.recordValue(us);
--- a/src/test/java/sprucerock/accounting/RequestTrackerTest.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerTest.java
@@ -89,9 +89,9 @@
   public void okAfterTheFinalAnswerChangesNothing() {
     Rpc rpc = arrive(6);
     Attempt attempt = send(rpc);
-    tracker.rejected(rpc);
-    tracker.aborted(rpc);
-    tracker.clientLeft(rpc);
+    tracker.rpcRejected(rpc);
+    tracker.rpcAborted(rpc);
+    tracker.clientDisconnected(rpc);
     tracker.attemptEnded(attempt, AttemptOutcome.OK, TimeSpan.ofMs(3), true);
     assertEquals(listener.calls, List.of("arrived 6", "ended 6.0 OK"));
     assertEquals(rpcCounters(), List.of(1L, 0L, 1L, 0L, 0L, 0L, 0L));
@@ -101,7 +101,7 @@
   public void reusedIdIsAnotherRpc() {
     Rpc first = arrive(7);
     Attempt late = send(first);
-    tracker.rejected(first);
+    tracker.rpcRejected(first);
     Rpc again = arrive(7);
     tracker.attemptEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
     assertSame(tracker.rpc(7), again);
@@ -125,10 +125,10 @@
 
   @Test
   public void countsOfUnknownBuildsAreDropped() {
-    tracker.counted(9, 0, 10, 1, TimeSpan.ZERO);
+    tracker.fleetCountsReceived(9, 0, 10, 1, TimeSpan.ZERO);
     assertTrue(listener.calls.isEmpty());
     tracker.rolloutChanged(9, 0, RolloutState.ON_TRIAL, 0.1, NOW);
-    tracker.counted(9, 0, 10, 1, TimeSpan.ZERO);
+    tracker.fleetCountsReceived(9, 0, 10, 1, TimeSpan.ZERO);
     assertEquals(listener.calls, List.of("news 9 0 ON_TRIAL 0.1", "counted 9"));
   }
 
@@ -145,9 +145,9 @@
         rpcs.add(rpc);
       }
       switch (random.nextInt(6)) {
-        case 0 -> tracker.rejected(rpc);
-        case 1 -> tracker.aborted(rpc);
-        case 2 -> tracker.clientLeft(rpc);
+        case 0 -> tracker.rpcRejected(rpc);
+        case 1 -> tracker.rpcAborted(rpc);
+        case 2 -> tracker.clientDisconnected(rpc);
         case 3 -> send(rpc);
         default -> {
           if (rpc.attempts.isEmpty()) {
@@ -171,7 +171,7 @@
       assertEquals(
           tracker
               .accounts()
-              .sum(tracker.accounts().attempts, tracker.accounts().attempts.pending()),
+              .sum(tracker.accounts().attempts, tracker.accounts().attempts.pendingColumn()),
           endpoint.inFlight());
     }
   }
--- a/src/test/java/sprucerock/compat/MetricsCompatTest.java
+++ b/src/test/java/sprucerock/compat/MetricsCompatTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 import sprucerock.cli.Commands;
 import sprucerock.metrics.MetricsExporter;
 import sprucerock.metrics.MetricsFileWriter;
@@ -46,12 +46,12 @@
 
   /** One of each kind at once: no sum holds, and nothing is missing. */
   private static void fill(MethodAccounts accounts) {
-    for (MethodMetrics sheet : accounts.tables()) {
-      if (sheet.isHistogram() || sheet == accounts.starts || sheet == accounts.files) {
+    for (MetricsSheet sheet : accounts.sheets()) {
+      if (sheet.isHistogram() || sheet == accounts.starts || sheet == accounts.metricsFiles) {
         continue;
       }
       for (int column = 1; column < sheet.columns().size(); column++) {
-        for (int row = 0; row < sheet.rows(); row++) {
+        for (int row = 0; row < sheet.rowCount(); row++) {
           accounts.postNew(sheet, row, column);
         }
       }
--- a/src/test/java/sprucerock/compat/Rendering.java
+++ b/src/test/java/sprucerock/compat/Rendering.java
@@ -39,32 +39,32 @@
       putMethod(key + "method." + method.index + ".", method);
     }
     put(key + "customer-shares", settings.tenantShares)
-        .put(key + "caps", settings.caps)
+        .put(key + "caps", settings.exposureCaps)
         .put(key + "over-share-worth", settings.overQuotaWeight);
-    put(key + "relays", settings.relays)
-        .put(key + "index", settings.index)
+    put(key + "relays", settings.relayCount)
+        .put(key + "index", settings.relayIndex)
         .put(key + "zone", settings.zone)
-        .put(key + "tick", settings.tick);
+        .put(key + "tick", settings.maxTimerDelay);
     put(key + "ask", settings.pollsEndpointList)
-        .put(key + "ask-within", settings.pollWithin)
+        .put(key + "ask-within", settings.maxEndpointListAge)
         .put(key + "cold", settings.warmUp);
-    put(key + "start-capacity", settings.startShare)
-        .put(key + "tip-multiple", settings.tipMultiple)
-        .put(key + "tip-after", settings.tipAfter);
-    put(key + "free-picks", settings.free)
-        .put(key + "cap-by-method", settings.perMethod)
+    put(key + "start-capacity", settings.initialCapacityShare)
+        .put(key + "tip-multiple", settings.warmUpOverloadMultiple)
+        .put(key + "tip-after", settings.warmUpOverloadTolerance);
+    put(key + "free-picks", settings.uncappedCanaryAttempts)
+        .put(key + "cap-by-method", settings.capsPerMethod)
         .put(key + "guarded-stages", settings.guardedStages);
     put(key + "one-way-keys", settings.oneWayKeys)
         .put(key + "picks", settings.maxAttempts)
-        .put(key + "second-copies", settings.hedging);
-    put(key + "cancel", settings.cancellation)
-        .put(key + "peers", settings.gossip)
-        .put(key + "retry-after", settings.retryAfter);
+        .put(key + "second-copies", settings.hedgingAllowed);
+    put(key + "cancel", settings.cancellationAllowed)
+        .put(key + "peers", settings.gossipAllowed)
+        .put(key + "retry-after", settings.retryAfterAllowed);
     put(key + "most-retry-after", settings.maxRetryAfter)
         .put(key + "control", control(settings.control))
         .put(key + "vote-life", settings.voteLifetime);
-    put(key + "answer-within", settings.callTimeout)
-        .put(key + "counts-every", settings.countsEvery)
+    put(key + "answer-within", settings.controllerCallTimeout)
+        .put(key + "counts-every", settings.fleetCountsPeriod)
         .put(key + "idle", settings.idleTimeout);
     return put(key + "most-utility", settings.maxPriorityWeight)
         .put(key + "mean-soft-ms", settings.meanLatencyObjectiveMs);
--- a/src/test/java/sprucerock/config/RelayConfigTest.java
+++ b/src/test/java/sprucerock/config/RelayConfigTest.java
@@ -22,7 +22,7 @@
     Settings settings = config.settings;
     assertEquals(settings.methods.get(1).idempotency, Method.Idempotency.KEYED);
     assertEquals(settings.methods.get(1).keyLifetime.ms(), 4000.0);
-    assertEquals(settings.caps.size(), 3);
+    assertEquals(settings.exposureCaps.size(), 3);
     assertEquals(config.connectionLimits.maxFrameBytes(), 1 << 20);
     assertEquals(config.connectTimeout.ms(), 250.0);
     assertFalse(settings.oneWayKeys);
--- a/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
+++ b/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 import sprucerock.accounting.MethodAccounts;
-import sprucerock.accounting.MethodMetrics;
+import sprucerock.accounting.MetricsSheet;
 import sprucerock.time.TimeSpan;
 
 /** Metrics files through kills at every write, damage of every kind, and restarts. */
@@ -88,12 +88,13 @@
   }
 
   private static MappedMetricsFile file(MetricsMemory memory, MethodAccounts accounts) {
-    return new MappedMetricsFile(memory, accounts.layout(), accounts.size(), accounts.rows(), 1);
+    return new MappedMetricsFile(
+        memory, accounts.layout(), accounts.size(), accounts.rowCount(), 1);
   }
 
   private static int size() {
     MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
-    return MappedMetricsFile.size(accounts.layout(), accounts.size(), accounts.rows());
+    return MappedMetricsFile.size(accounts.layout(), accounts.size(), accounts.rowCount());
   }
 
   /** Commits until the process is killed; the values of each commit go into {@code states}. */
@@ -105,8 +106,8 @@
     for (int i = 0; i < 120; i++) {
       postSome(accounts, random);
       long[] after = new long[accounts.size()];
-      for (MethodMetrics family : accounts.tables()) {
-        for (int row = 0; row < family.rows(); row++) {
+      for (MetricsSheet family : accounts.sheets()) {
+        for (int row = 0; row < family.rowCount(); row++) {
           for (int column = 0; column < family.columns().size(); column++) {
             after[family.index(row, column)] = accounts.value(family, row, column);
           }
@@ -176,20 +177,20 @@
     List<String> logged = new ArrayList<>();
     MethodAccounts first = runRelay(file, logged, false, 50);
     long sent = first.sum(first.attempts, 0);
-    long out = first.sum(first.attempts, first.attempts.pending());
+    long out = first.sum(first.attempts, first.attempts.pendingColumn());
     assertTrue(out > 0);
     MethodAccounts second = runRelay(file, logged, false, 0);
     // killed again before anything happened
-    assertEquals(second.sum(second.attempts, second.attempts.lost()), out);
+    assertEquals(second.sum(second.attempts, second.attempts.lostColumn()), out);
     MethodAccounts third = runRelay(file, logged, true, 20);
     assertTrue(third.sum(third.attempts, 0) > sent);
-    assertEquals(third.sum(third.attempts, third.attempts.lost()), out);
+    assertEquals(third.sum(third.attempts, third.attempts.lostColumn()), out);
     MetricsSnapshot snapshot = MetricsSnapshot.read(file);
     assertEquals(snapshot.generation, 3);
     assertTrue(snapshot.cleanShutdown);
     assertEquals(snapshot.accounts().check(snapshot.values), List.of());
     assertEquals(third.value(third.starts, 0, 0), 3);
-    assertEquals(third.value(third.starts, 0, third.starts.lost()), 2);
+    assertEquals(third.value(third.starts, 0, third.starts.lostColumn()), 2);
     assertEquals(logged, List.of());
   }
 
@@ -239,7 +240,7 @@
           logged.get(0).startsWith(file + ": ")
               && logged.get(0).contains("kept as r.figures.aside-"),
           logged.get(0));
-      assertEquals(restarted.value(restarted.files, 0, 3), 1);
+      assertEquals(restarted.value(restarted.metricsFiles, 0, 3), 1);
       assertTrue(MetricsSnapshot.read(file).cleanShutdown);
     }
     try (var files = Files.list(folder)) {
--- a/src/test/java/sprucerock/policy/FakeRelayActions.java
+++ b/src/test/java/sprucerock/policy/FakeRelayActions.java
@@ -151,7 +151,7 @@
 
   void end(Attempt attempt, AttemptOutcome outcome) {
     boolean closes = outcome == AttemptOutcome.OK || attempt.rpc.ended();
-    tracker.attemptEnded(attempt, outcome, now.since(attempt.sent), closes);
+    tracker.attemptEnded(attempt, outcome, now.since(attempt.sentAt), closes);
   }
 
   /**
@@ -207,13 +207,13 @@
 
   @Override
   public void reject(Rpc rpc, TimeSpan wait) {
-    tracker.rejected(rpc);
+    tracker.rpcRejected(rpc);
     rejected.add(rpc);
   }
 
   @Override
   public void fail(Rpc rpc) {
-    tracker.aborted(rpc);
+    tracker.rpcAborted(rpc);
     failed.add(rpc);
   }
 
--- a/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
+++ b/src/test/java/sprucerock/relay/frames/FrameRelayTest.java
@@ -614,7 +614,7 @@
     assertTrue(policy.calls.isEmpty(), "an age told late is no restart: " + policy.calls);
     sendListing(Form.CHANGES, entry(7, 2, Health.READY).setAgeUs(300_000));
     assertEquals(policy.calls, List.of("leaving 7", "ready 7"));
-    assertEquals(policy.ready.get(0).started.ms(), 1010 - 300, 1.0);
+    assertEquals(policy.ready.get(0).startedAt.ms(), 1010 - 300, 1.0);
   }
 
   @Test
--- a/src/test/java/sprucerock/scale/Cluster.java
+++ b/src/test/java/sprucerock/scale/Cluster.java
@@ -120,7 +120,7 @@
           now.plus(TimeSpan.ofMs(ANSWER_MS)),
           () -> {
             if (attempt.outcome() == null) {
-              ledger.attemptEnded(attempt, AttemptOutcome.OK, now.since(attempt.sent), true);
+              ledger.attemptEnded(attempt, AttemptOutcome.OK, now.since(attempt.sentAt), true);
             }
           });
     }
@@ -130,12 +130,12 @@
 
     @Override
     public void reject(Rpc rpc, TimeSpan wait) {
-      ledger.rejected(rpc);
+      ledger.rpcRejected(rpc);
     }
 
     @Override
     public void fail(Rpc rpc) {
-      ledger.aborted(rpc);
+      ledger.rpcAborted(rpc);
     }
 
     @Override
