--- a/src/main/java/sprucerock/controller/RolloutCommands.java
+++ b/src/main/java/sprucerock/controller/RolloutCommands.java
@@ -44,7 +44,7 @@
     }
     rollout.held = false;
     if (rollout.clockStart != null) {
-      Timestamp from = rollout.heldSince.later(rollout.clockStart);
+      Timestamp from = rollout.heldSince.laterOf(rollout.clockStart);
       rollout.pausedTime = rollout.pausedTime.plus(now.since(from));
     }
     manager.transition(rollout, rollout.state, rollout.stage, "resumed by " + cause, now);
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -197,7 +197,7 @@
     heldUntil = end;
     failures = 0;
     double renewAfter = RENEW_SHARE + JITTER_SHARE * random.getAsDouble();
-    nextTick = round.requestedAt().plus(terms.usableTerm().times(renewAfter)).later(now);
+    nextTick = round.requestedAt().plus(terms.usableTerm().times(renewAfter)).laterOf(now);
     if (first) {
       transport.acquired(name, token);
     }
@@ -317,7 +317,7 @@
       nextTick = null;
     }
     if (heldUntil != null) {
-      nextTick = nextTick.earlier(heldUntil);
+      nextTick = nextTick.earlierOf(heldUntil);
     }
   }
 
--- a/src/main/java/sprucerock/policy/AdmissionController.java
+++ b/src/main/java/sprucerock/policy/AdmissionController.java
@@ -15,19 +15,19 @@
  * out. A relay that sees too little goes by the fleet's wait, if told.
  */
 final class AdmissionController {
-  private static final double CHANCE_QUEUE = 3; // three more in the queue is chance
-  private static final double OVER_QUOTA = 1.2;
+  private static final double QUEUE_TOLERANCE_REQUESTS = 3; // three more in the queue is chance
+  private static final double OVER_QUOTA_MULTIPLE = 1.2;
 
   private final RelayActions actions;
   private final Settings settings;
   private final DeterministicRandom random;
   private final ArrivalRate arrivals;
   private final LoadGossip gossip;
-  private final Timestamp started;
-  private final TenantArrivals tenants;
+  private final Timestamp startedAt;
+  private final TenantArrivals tenantArrivals;
   private final DecayingSum answered = new DecayingSum(TimeSpan.ofMs(2000));
   private int queued;
-  private double queuedSinceMs; // the sum of their arrivals
+  private double queuedArrivalSumMs; // the sum of their arrivals
 
   AdmissionController(
       RelayActions actions,
@@ -41,14 +41,14 @@
     this.random = random;
     this.arrivals = arrivals;
     this.gossip = gossip;
-    this.started = started;
-    tenants = new TenantArrivals(settings.tenantShares, TimeSpan.ofMs(5000));
+    this.startedAt = started;
+    tenantArrivals = new TenantArrivals(settings.tenantShares, TimeSpan.ofMs(5000));
   }
 
   void requestArrived(Rpc rpc, Timestamp now) {
-    tenants.add(rpc.tenant, now);
+    tenantArrivals.add(rpc.tenant, now);
     queued++;
-    queuedSinceMs += now.ms();
+    queuedArrivalSumMs += now.ms();
   }
 
   void answered(Timestamp now) {
@@ -59,20 +59,20 @@
   void settle(Rpc rpc) {
     if (!rpc.settled) {
       queued--;
-      queuedSinceMs -= rpc.arrived.ms();
+      queuedArrivalSumMs -= rpc.arrived.ms();
     }
     rpc.settled = true;
   }
 
   /** Whether the request, which has just arrived, must be rejected. */
-  boolean isOverloadedFor(Rpc rpc) {
+  boolean shouldReject(Rpc rpc) {
     Timestamp now = actions.now();
-    double queue = queued - CHANCE_QUEUE;
-    double waitMs = 1000 * queue / Math.max(answered.perSecond(started, now), 0.5);
+    double queue = queued - QUEUE_TOLERANCE_REQUESTS;
+    double waitMs = 1000 * queue / Math.max(answered.perSecond(startedAt, now), 0.5);
     // Answers lag behind traffic that has just come; but who waits long is also old: in a queue of
     // W the requests are W/2 old. Guards against rejections by a relay that starts, or whose
     // traffic comes back.
-    waitMs = Math.min(waitMs, 2 * (now.ms() - queuedSinceMs / Math.max(queued, 1)));
+    waitMs = Math.min(waitMs, 2 * (now.ms() - queuedArrivalSumMs / Math.max(queued, 1)));
     boolean byFleet = gossip.areLoadsFresh() && arrivals.isLow(now);
     double weight = priorityWeight(rpc, now);
     // what is left must hold the long tail; the fleet's wait holds the work itself
@@ -84,9 +84,9 @@
 
   private double priorityWeight(Rpc rpc, Timestamp now) {
     double weight = rpc.method.priorityWeight / settings.maxPriorityWeight;
-    double over = tenants.timesShare(rpc.tenant, now);
+    double over = tenantArrivals.quotaMultiple(rpc.tenant, now);
     // of a tenant at thrice its quota, two requests in three are over it
-    if (over > OVER_QUOTA && random.next() > 1 / over) {
+    if (over > OVER_QUOTA_MULTIPLE && random.next() > 1 / over) {
       weight *= settings.overQuotaWeight;
     }
     return weight;
--- a/src/main/java/sprucerock/policy/ArrivalRate.java
+++ b/src/main/java/sprucerock/policy/ArrivalRate.java
@@ -7,7 +7,7 @@
 
 /** How many requests arrive at this relay, and whether that is enough to judge a fleet by. */
 final class ArrivalRate {
-  private static final double QUIET_PER_SECOND = 10;
+  private static final double LOW_REQUESTS_PER_SECOND = 10;
 
   private final RelayActions actions;
   private final Settings settings;
@@ -23,7 +23,7 @@
   }
 
   /** The decaying count of arrivals. */
-  double recent() {
+  double decayingCount() {
     return arrivals.at(actions.now());
   }
 
@@ -32,16 +32,16 @@
   }
 
   boolean isLow(Timestamp now) {
-    return arrivals.perSecond(now) < QUIET_PER_SECOND;
+    return arrivals.perSecond(now) < LOW_REQUESTS_PER_SECOND;
   }
 
   /** Sees too few requests to judge a fleet by itself within some seconds, and gets counts. */
-  boolean isQuiet() {
+  boolean reliesOnFleetCounts() {
     return settings.countsEvery.over(TimeSpan.ZERO) && isLow(actions.now());
   }
 
   /** How late counts tell of a change, in ms: a period to fill, one to come. */
-  double countsLagMs() {
-    return isQuiet() ? 2 * settings.countsEvery.ms() : 0;
+  double fleetCountsLagMs() {
+    return reliesOnFleetCounts() ? 2 * settings.countsEvery.ms() : 0;
   }
 }
--- a/src/main/java/sprucerock/policy/AttemptSender.java
+++ b/src/main/java/sprucerock/policy/AttemptSender.java
@@ -18,7 +18,7 @@
   private final SlowStartLimiter slowStart;
   private final LatencyTracker latency;
   private final LoadGossip gossip;
-  private final Consumer<Attempt> whenOverdue;
+  private final Consumer<Attempt> overdueListener;
 
   /** {@code whenOverdue} is told of each attempt from which nothing came within the usual time. */
   AttemptSender(
@@ -37,23 +37,23 @@
     this.slowStart = slowStart;
     this.latency = latency;
     this.gossip = gossip;
-    this.whenOverdue = whenOverdue;
+    this.overdueListener = whenOverdue;
   }
 
   Attempt send(Rpc rpc, Endpoint endpoint, boolean shadow) {
     Timestamp now = actions.now();
     boolean onTrial = canary.isOnTrial(endpoint.build);
     if (onTrial) {
-      exposure.spend(rpc.method);
+      exposure.spendToken(rpc.method);
     }
     slowStart.attemptSent(endpoint, onTrial, now);
     TimeSpan overdue = latency.overdueAfter(rpc);
     Attempt attempt = new Attempt(rpc, endpoint, now, timeout(rpc, overdue, now));
     attempt.shadow = shadow;
-    attempt.writeBy = startBy(rpc);
+    attempt.writeBy = writeDeadline(rpc);
     actions.send(attempt);
     gossip.attemptStarted(endpoint);
-    actions.schedule(attempt, now.plus(overdue), () -> whenOverdue.accept(attempt));
+    actions.schedule(attempt, now.plus(overdue), () -> overdueListener.accept(attempt));
     return attempt;
   }
 
@@ -70,7 +70,7 @@
   }
 
   // rule 2: a retry that waits for a connection must not come up after its window
-  private Timestamp startBy(Rpc rpc) {
+  private Timestamp writeDeadline(Rpc rpc) {
     Attempt first = rpc.firstThatMayHaveRun();
     boolean binds = first != null && rpc.method.idempotency == Method.Idempotency.KEYED;
     return binds ? first.sent.plus(rpc.method.keyLifetime).minus(settings.tick) : null;
--- a/src/main/java/sprucerock/policy/CanaryStatus.java
+++ b/src/main/java/sprucerock/policy/CanaryStatus.java
@@ -16,16 +16,16 @@
  * {@link RoutingPolicy} changes it; all other types of this package read it.
  */
 final class CanaryStatus {
-  private final int methods;
+  private final int methodCount;
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
-  private final Set<Integer> withdrawn = new TreeSet<>(); // that discovery may list on
+  private final Set<Integer> withdrawnBuilds = new TreeSet<>(); // that discovery may list on
   private CanaryTrial trial;
   private RolloutState state;
   private double cap;
 
   /** For so many methods. */
   CanaryStatus(int methods) {
-    this.methods = methods;
+    this.methodCount = methods;
   }
 
   /** The build offered last and what is known of it; null before the first news. */
@@ -43,12 +43,12 @@
   }
 
   /** Listed builds in ascending order of their numbers. */
-  Collection<Build> ascending() {
+  Collection<Build> buildsAscending() {
     return builds.values();
   }
 
   /** Listed builds, the newest first. */
-  Collection<Build> descending() {
+  Collection<Build> buildsDescending() {
     return builds.descendingMap().values();
   }
 
@@ -65,8 +65,8 @@
   /** Takes in news of a rollout; returns whether a new stage, or state, begins with it. */
   boolean update(Build build, int stage, RolloutState newState, double newCap, Timestamp since) {
     if (!isCanary(build)) {
-      noteWithdrawn();
-      trial = new CanaryTrial(build, methods);
+      rememberWithdrawn();
+      trial = new CanaryTrial(build, methodCount);
     }
     boolean enters = trial.evidence() == null || stage != trial.stage() || newState != state;
     if (enters) {
@@ -75,7 +75,7 @@
     state = newState;
     cap = newCap;
     if (state == RolloutState.ON_TRIAL) {
-      trial.noteOnTrial();
+      trial.markSeenOnTrial();
     } else {
       trial.stickyKeys.clear();
     }
@@ -85,16 +85,16 @@
   // A build that goes back is off trial once the next is offered, and newer than the one that
   // serves. While discovery is silent its endpoints stay listed, but they drain and stop: all
   // traffic would go there.
-  private void noteWithdrawn() {
-    withdrawn.retainAll(builds.keySet()); // no more of them than builds are listed, and one
+  private void rememberWithdrawn() {
+    withdrawnBuilds.retainAll(builds.keySet()); // no more of them than builds are listed, and one
     boolean goesBack = state == RolloutState.GOING_BACK || state == RolloutState.WITHDRAWN;
     if (goesBack) {
-      withdrawn.add(trial.build.number);
+      withdrawnBuilds.add(trial.build.number);
     }
   }
 
   boolean isWithdrawn(Build build) {
-    return withdrawn.contains(build.number);
+    return withdrawnBuilds.contains(build.number);
   }
 
   /** Whether it is the build that was offered last, whatever became of it. */
--- a/src/main/java/sprucerock/policy/EndpointListSubscription.java
+++ b/src/main/java/sprucerock/policy/EndpointListSubscription.java
@@ -10,7 +10,7 @@
   private final RelayActions actions;
   private final Settings settings;
   private final DeterministicRandom random;
-  private Timestamp lastAsked;
+  private Timestamp subscribedAt;
 
   EndpointListSubscription(RelayActions actions, Settings settings, DeterministicRandom random) {
     this.actions = actions;
@@ -31,13 +31,14 @@
 
   /** Where lists must be asked for, does so at half the time within which that is due. */
   void pollIfDue(Timestamp now) {
-    if (settings.pollsEndpointList && now.since(lastAsked).over(settings.pollWithin.times(0.5))) {
+    if (settings.pollsEndpointList
+        && now.since(subscribedAt).over(settings.pollWithin.times(0.5))) {
       subscribe();
     }
   }
 
   private void subscribe() {
-    lastAsked = actions.now();
+    subscribedAt = actions.now();
     actions.subscribe();
   }
 }
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -17,8 +17,8 @@
 final class EndpointSelector {
   // no scan of a large fleet: 24 draws miss the usable third of a build once in 17,000 times
   private static final int MAX_DRAWS = 24;
-  private static final int MAX_RECENT = 8;
-  private static final double FAILING_CONNECTIONS = 0.15;
+  private static final int MAX_RECENT_ENDPOINTS = 8;
+  private static final double CONNECT_FAILURE_THRESHOLD = 0.15;
 
   private final RelayActions actions;
   private final Settings settings;
@@ -31,8 +31,8 @@
   private final LatencyTracker latency;
   private final LoadGossip gossip;
   private final RetryBudget budget;
-  private final RecentEndpoints recent = new RecentEndpoints(MAX_RECENT);
-  private final DecayingMean noConnection = new DecayingMean(TimeSpan.ofMs(5000));
+  private final RecentEndpoints recentEndpoints = new RecentEndpoints(MAX_RECENT_ENDPOINTS);
+  private final DecayingMean connectFailures = new DecayingMean(TimeSpan.ofMs(5000));
 
   EndpointSelector(
       RelayActions actions,
@@ -61,12 +61,12 @@
 
   void attemptEnded(Attempt attempt, Timestamp now) {
     AttemptOutcome outcome = attempt.outcome();
-    noConnection.add(now, outcome == AttemptOutcome.NOT_CONNECTED ? 1 : 0);
+    connectFailures.add(now, outcome == AttemptOutcome.NOT_CONNECTED ? 1 : 0);
     if (outcome == AttemptOutcome.OK) {
-      recent.add(attempt.endpoint);
+      recentEndpoints.add(attempt.endpoint);
     }
     if (outcome == AttemptOutcome.NOT_CONNECTED || outcome == AttemptOutcome.BROKEN) {
-      recent.remove(attempt.endpoint);
+      recentEndpoints.remove(attempt.endpoint);
     }
   }
 
@@ -82,7 +82,7 @@
   private Endpoint select(Rpc rpc, boolean trialToo) {
     Build sticky = keys.minimumBuild(rpc);
     Endpoint endpoint = null;
-    for (Build build : canary.descending()) {
+    for (Build build : canary.buildsDescending()) {
       if (endpoint != null || sticky != null && build.number < sticky.number) {
         break;
       }
@@ -107,13 +107,13 @@
     Endpoint rest = null;
     // Where connections fail, endpoints that answered lately come first: theirs are open.
     List<Endpoint> open =
-        noConnection.at(now, 0, 2) > FAILING_CONNECTIONS
-            ? recent.ofBuild(build, random.next())
+        connectFailures.at(now, 0, 2) > CONNECT_FAILURE_THRESHOLD
+            ? recentEndpoints.readyOfBuild(build, random.next())
             : List.of();
     for (int i = 0; i < open.size() + Math.min(build.endpoints.size(), MAX_DRAWS); i++) {
       Endpoint endpoint =
           i < open.size() ? open.get(i) : build.draw(i - open.size(), random.next());
-      if (!mayTake(rpc, first, endpoint, now)) {
+      if (!isEligible(rpc, first, endpoint, now)) {
         continue;
       }
       boolean outlier = outliers.isOutlier(endpoint);
@@ -122,7 +122,7 @@
         budget.spend(now);
         return endpoint;
       }
-      if (outlier || latency.isFar(endpoint)) {
+      if (outlier || latency.isInSlowZone(endpoint)) {
         rest = endpoint;
       } else if (one == null) {
         one = endpoint;
@@ -134,7 +134,7 @@
     return one != null ? one : rest;
   }
 
-  private boolean mayTake(Rpc rpc, Attempt first, Endpoint endpoint, Timestamp now) {
+  private boolean isEligible(Rpc rpc, Attempt first, Endpoint endpoint, Timestamp now) {
     if (first != null && !rpc.method.dropsRepeats(first.endpoint, endpoint)) {
       return false;
     }
@@ -148,10 +148,12 @@
     if (isConnected(drawn, now) || canary.isOnTrial(drawn.build)) {
       return drawn;
     }
-    for (Endpoint endpoint : recent.ofBuild(drawn.build, random.next())) {
+    for (Endpoint endpoint : recentEndpoints.readyOfBuild(drawn.build, random.next())) {
       boolean well =
-          isConnected(endpoint, now) && !outliers.isOutlier(endpoint) && !latency.isFar(endpoint);
-      if (well && mayTake(rpc, first, endpoint, now) && cost(endpoint) <= cost(drawn)) {
+          isConnected(endpoint, now)
+              && !outliers.isOutlier(endpoint)
+              && !latency.isInSlowZone(endpoint);
+      if (well && isEligible(rpc, first, endpoint, now) && cost(endpoint) <= cost(drawn)) {
         return endpoint;
       }
     }
@@ -167,11 +169,11 @@
   /** Load, times pace, times failures; a tie goes to the relay's own zone. */
   private double cost(Endpoint endpoint) {
     double far = endpoint.zone == settings.zone ? 1 : 1.1;
-    int out = gossip.outstanding(endpoint);
+    int out = gossip.inFlight(endpoint);
     double load = 1 + out / Math.max(endpoint.weight(), 0.1);
     return load
         * endpoint.relativeLatency.at(actions.now(), 1, 2)
-        * (1 + endpoint.failedResults(OutlierDetector.OUTCOMES))
+        * (1 + endpoint.failedResults(OutlierDetector.COUNTED_OUTCOMES))
         * far;
   }
 }
--- a/src/main/java/sprucerock/policy/ExposureLimiter.java
+++ b/src/main/java/sprucerock/policy/ExposureLimiter.java
@@ -48,7 +48,7 @@
   }
 
   /** An attempt goes to a build on trial. */
-  void spend(Method method) {
+  void spendToken(Method method) {
     sharedTokens -= 1;
     method.canaryTokens -= 1;
   }
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -40,8 +40,8 @@
   }
 
   /** Attempts and failures of one method at one build in one period, and the mean time. */
-  void received(Build build, Method method, double attempts, double failed, TimeSpan mean) {
-    if (!canary.isOnTrial(build) && arrivals.isQuiet() && attempts > failed) {
+  void countsReceived(Build build, Method method, double attempts, double failed, TimeSpan mean) {
+    if (!canary.isOnTrial(build) && arrivals.reliesOnFleetCounts() && attempts > failed) {
       baselinePace.observe(BaselinePaceMonitor.FLEET_COUNTS, method, mean.ms(), attempts - failed);
     }
     CanaryTrial trial = canary.trial();
@@ -52,11 +52,13 @@
     AttemptCounts atBaseline = trial.baselineCounts(method.index);
     AttemptCounts counts = canary.isCanary(build) ? atCanary : atBaseline;
     counts.add(attempts, failed);
-    if (atCanary.attempts() < MIN_ATTEMPTS || atCanary.failures() < MIN_FAILURES || !isBorneOut()) {
+    if (atCanary.attempts() < MIN_ATTEMPTS
+        || atCanary.failures() < MIN_FAILURES
+        || !isBorneOutByErrors()) {
       return;
     }
     double error =
-        Proportions.error(
+        Proportions.standardErrorOfDifference(
             atCanary.failures(), atCanary.attempts(), atBaseline.failures(), atBaseline.attempts());
     double mark = STANDARD_ERRORS * error;
     double excess =
@@ -66,10 +68,10 @@
     if (excess > Math.max(least, mark)) {
       trial.evidence().markWorseByCounts();
     }
-    canaryJudge.consider();
+    canaryJudge.evaluate();
   }
 
-  private boolean isBorneOut() {
+  private boolean isBorneOutByErrors() {
     CanaryTrial trial = canary.trial();
     if (canary.isReleased()) {
       return trial.evidence().errorsAfterRelease() > 2;
--- a/src/main/java/sprucerock/policy/KeyAffinity.java
+++ b/src/main/java/sprucerock/policy/KeyAffinity.java
@@ -54,7 +54,7 @@
   }
 
   /** Takes in the share of the traffic that the key brings if it sticks; false if too large. */
-  boolean reserve(Rpc rpc) {
+  boolean reserveShare(Rpc rpc) {
     if (!settings.oneWayKeys || rpc.key == 0) {
       return true;
     }
--- a/src/main/java/sprucerock/policy/LatencyTracker.java
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -12,15 +12,15 @@
 
 /** How long methods usually take, and how slow endpoints and zones are beside that. */
 final class LatencyTracker {
-  private static final double OVERDUE_TIMES = 3;
-  private static final double MAX_TIMES = 8;
+  private static final double OVERDUE_MULTIPLE = 3;
+  private static final double MAX_RELATIVE_LATENCY = 8;
   private static final TimeSpan COLD_AGE = TimeSpan.ofMs(5000); // younger ones look slow
 
   private final RelayActions actions;
   private final Settings settings;
   private final CanaryStatus canary;
   private final BaselinePaceMonitor baselinePace;
-  private final TreeMap<Integer, DecayingMean> zonePaces = new TreeMap<>();
+  private final TreeMap<Integer, DecayingMean> zoneLatencies = new TreeMap<>();
 
   LatencyTracker(
       RelayActions actions,
@@ -42,18 +42,20 @@
       endpoint.relativeLatency = new DecayingMean(TimeSpan.ofMs(4000));
     }
     endpoint.zoneRelativeLatency =
-        zonePaces.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
+        zoneLatencies.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
   }
 
   /** The method's mean time of late, in ms; a guess until answers come. */
-  double usualMs(Method method) {
+  double expectedMs(Method method) {
     return method.recentLatency.at(actions.now(), method.latencyObjective.ms() / 6, 1);
   }
 
   /** How long an attempt took, or has taken, beside what was expected of it. */
-  double relativeTime(Attempt attempt, Timestamp now) {
+  double relativeLatency(Attempt attempt, Timestamp now) {
     return attempt.latency(now).ms()
-        / (attempt.rpc.workHint != null ? attempt.rpc.workHint.ms() : usualMs(attempt.rpc.method));
+        / (attempt.rpc.workHint != null
+            ? attempt.rpc.workHint.ms()
+            : expectedMs(attempt.rpc.method));
   }
 
   /**
@@ -62,21 +64,21 @@
    */
   TimeSpan overdueAfter(Rpc rpc) {
     TimeSpan usual =
-        TimeSpan.ofMs(OVERDUE_TIMES * usualMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
+        TimeSpan.ofMs(OVERDUE_MULTIPLE * expectedMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
     return rpc.method.latencyObjective.times(0.45).atLeast(usual);
   }
 
   void attemptOverdue(Endpoint endpoint) {
-    endpoint.relativeLatency.add(actions.now(), OVERDUE_TIMES);
-    endpoint.zoneRelativeLatency.add(actions.now(), OVERDUE_TIMES);
+    endpoint.relativeLatency.add(actions.now(), OVERDUE_MULTIPLE);
+    endpoint.zoneRelativeLatency.add(actions.now(), OVERDUE_MULTIPLE);
   }
 
   /** Takes in the time of an attempt that was answered, or timed out. */
-  void learn(Attempt attempt) {
+  void recordLatency(Attempt attempt) {
     Timestamp now = actions.now();
     Method method = attempt.rpc.method;
     double ms = Math.max(attempt.latency().ms(), 1);
-    double times = Math.min(ms / usualMs(method), MAX_TIMES);
+    double times = Math.min(ms / expectedMs(method), MAX_RELATIVE_LATENCY);
     attempt.endpoint.relativeLatency.add(now, times);
     attempt.endpoint.zoneRelativeLatency.add(now, times);
     double log = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
@@ -84,7 +86,7 @@
       if (!canary.isCanary(attempt.endpoint.build) || !attempt.endpoint.olderThan(COLD_AGE, now)) {
         return;
       }
-      canary.trial().logExcess.add(now, log - method.recentLogLatency.at(now, log, 1e-9));
+      canary.trial().logLatencyExcess.add(now, log - method.recentLogLatency.at(now, log, 1e-9));
       return;
     }
     method.recentLatency.add(now, ms);
@@ -93,12 +95,12 @@
   }
 
   /** Behind a slow or lossy link: about twice the own zone's times. */
-  boolean isFar(Endpoint endpoint) {
-    if (endpoint.zone == settings.zone || !zonePaces.containsKey(settings.zone)) {
+  boolean isInSlowZone(Endpoint endpoint) {
+    if (endpoint.zone == settings.zone || !zoneLatencies.containsKey(settings.zone)) {
       return false;
     }
     Timestamp now = actions.now();
     return endpoint.zoneRelativeLatency.at(now, 1, 1)
-        > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
+        > 1.8 * zoneLatencies.get(settings.zone).at(now, 1, 1);
   }
 }
--- a/src/main/java/sprucerock/policy/LoadGossip.java
+++ b/src/main/java/sprucerock/policy/LoadGossip.java
@@ -15,26 +15,26 @@
  * do.
  */
 final class LoadGossip {
-  private static final double AGGREGATOR_SILENT_MS = 2000;
-  private static final double LOADS_FRESH_MS = 1000;
+  private static final double AGGREGATOR_TIMEOUT_MS = 2000;
+  private static final double LOADS_MAX_AGE_MS = 1000;
   private static final TimeSpan LOADS_INTERVAL = TimeSpan.ofMs(250);
   private static final int MIN_REPORTED_LOAD = 2;
 
   private final RelayActions actions;
   private final Settings settings;
-  private final Timestamp started;
+  private final Timestamp startedAt;
   private final LoadReports reports;
-  private final DecayingSum endedAnywhere = new DecayingSum(TimeSpan.ofMs(2000));
+  private final DecayingSum fleetEndedAttempts = new DecayingSum(TimeSpan.ofMs(2000));
   private int aggregator;
-  private Timestamp aggregatorSince;
-  private Timestamp loadsAt;
-  private boolean loadsDue;
+  private Timestamp aggregatorHeardAt;
+  private Timestamp loadsReceivedAt;
+  private boolean loadsScheduled;
   private double fleetWaitMs;
 
   LoadGossip(RelayActions actions, Settings settings, Timestamp started) {
     this.actions = actions;
     this.settings = settings;
-    this.started = started;
+    this.startedAt = started;
     reports = new LoadReports(TimeSpan.ofMs(4 * settings.meanLatencyObjectiveMs));
   }
 
@@ -47,23 +47,23 @@
   }
 
   void attemptStarted(Endpoint endpoint) {
-    report(endpoint, null);
+    reportAttempt(endpoint, null);
   }
 
   void attemptEnded(Endpoint endpoint, TimeSpan age) {
-    report(endpoint, age);
+    reportAttempt(endpoint, age);
   }
 
-  private void report(Endpoint endpoint, TimeSpan endedAt) {
+  private void reportAttempt(Endpoint endpoint, TimeSpan endedAt) {
     if (!settings.gossip) {
       return;
     }
     Timestamp now = actions.now();
-    if (aggregatorSince == null) {
-      aggregatorSince = now;
+    if (aggregatorHeardAt == null) {
+      aggregatorHeardAt = now;
     }
-    if (TimeChecks.longerThan(AGGREGATOR_SILENT_MS, aggregatorSince, now)) {
-      aggregatorSince = now;
+    if (TimeChecks.longerThan(AGGREGATOR_TIMEOUT_MS, aggregatorHeardAt, now)) {
+      aggregatorHeardAt = now;
       aggregator = (aggregator + 1) % settings.relays;
     }
     byte[] message = reports.encodeAttempt(endpoint, endedAt);
@@ -78,20 +78,20 @@
   void attemptReported(byte[] message) {
     Timestamp now = actions.now();
     if (reports.applyAttempt(message, now)) {
-      endedAnywhere.add(now, 1);
+      fleetEndedAttempts.add(now, 1);
     }
-    if (loadsDue) {
+    if (loadsScheduled) {
       return;
     }
-    loadsDue = true;
+    loadsScheduled = true;
     actions.schedule(now.plus(LOADS_INTERVAL), this::sendLoads);
   }
 
   private void sendLoads() {
-    loadsDue = false;
+    loadsScheduled = false;
     Timestamp now = actions.now();
     double waitMs =
-        1000 * reports.outstanding(now) / Math.max(endedAnywhere.perSecond(started, now), 1);
+        1000 * reports.inFlight(now) / Math.max(fleetEndedAttempts.perSecond(startedAt, now), 1);
     byte[] loads =
         reports.encodeLoads(MIN_REPORTED_LOAD, waitMs / settings.meanLatencyObjectiveMs, now);
     actions.sendToPeers(loads);
@@ -104,13 +104,14 @@
       return;
     }
     aggregator = sender;
-    aggregatorSince = actions.now();
-    loadsAt = aggregatorSince;
-    fleetWaitMs = reports.applyLoads(message, loadsAt) * settings.meanLatencyObjectiveMs;
+    aggregatorHeardAt = actions.now();
+    loadsReceivedAt = aggregatorHeardAt;
+    fleetWaitMs = reports.applyLoads(message, loadsReceivedAt) * settings.meanLatencyObjectiveMs;
   }
 
   boolean areLoadsFresh() {
-    return loadsAt != null && !TimeChecks.longerThan(LOADS_FRESH_MS, loadsAt, actions.now());
+    return loadsReceivedAt != null
+        && !TimeChecks.longerThan(LOADS_MAX_AGE_MS, loadsReceivedAt, actions.now());
   }
 
   /** How long a request waits in the whole fleet, in ms; holds while the loads are fresh. */
@@ -119,8 +120,8 @@
   }
 
   /** Attempts that are out at it: this relay's, or all relays' where that was told. */
-  int outstanding(Endpoint endpoint) {
-    return endpoint.reportedAt == loadsAt && areLoadsFresh()
+  int inFlight(Endpoint endpoint) {
+    return endpoint.reportedAt == loadsReceivedAt && areLoadsFresh()
         ? Math.max(endpoint.inFlight(), endpoint.reportedInFlight)
         : endpoint.inFlight();
   }
--- a/src/main/java/sprucerock/policy/OutlierDetector.java
+++ b/src/main/java/sprucerock/policy/OutlierDetector.java
@@ -11,7 +11,7 @@
   static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(1000);
 
   /** How many of an endpoint's last outcomes count. */
-  static final int OUTCOMES = 6;
+  static final int COUNTED_OUTCOMES = 6;
 
   private static final int MIN_OUTCOMES = 3;
 
@@ -23,8 +23,8 @@
 
   /** Under half successes among its last outcomes, of at least three: it is left alone. */
   boolean isOutlier(Endpoint endpoint) {
-    return endpoint.knownResults(OUTCOMES) >= MIN_OUTCOMES
-        && 2 * endpoint.failedResults(OUTCOMES) > endpoint.knownResults(OUTCOMES);
+    return endpoint.knownResults(COUNTED_OUTCOMES) >= MIN_OUTCOMES
+        && 2 * endpoint.failedResults(COUNTED_OUTCOMES) > endpoint.knownResults(COUNTED_OUTCOMES);
   }
 
   void recordOutcome(Endpoint endpoint, boolean ok) {
--- a/src/main/java/sprucerock/policy/RequestCompletion.java
+++ b/src/main/java/sprucerock/policy/RequestCompletion.java
@@ -30,15 +30,15 @@
     } else {
       actions.fail(rpc);
     }
-    cancelOutstanding(rpc);
+    cancelInFlight(rpc);
   }
 
   void clientDisconnected(Rpc rpc) {
     admission.settle(rpc);
-    cancelOutstanding(rpc);
+    cancelInFlight(rpc);
   }
 
-  private void cancelOutstanding(Rpc rpc) {
+  private void cancelInFlight(Rpc rpc) {
     if (!settings.cancellation) {
       return;
     }
--- a/src/main/java/sprucerock/policy/RetryBudget.java
+++ b/src/main/java/sprucerock/policy/RetryBudget.java
@@ -21,7 +21,7 @@
   }
 
   boolean hasCapacity() {
-    return retries.at(actions.now()) < 1 + RETRIES_PER_REQUEST * arrivals.recent();
+    return retries.at(actions.now()) < 1 + RETRIES_PER_REQUEST * arrivals.decayingCount();
   }
 
   void spend(Timestamp now) {
--- a/src/main/java/sprucerock/policy/RetryPolicy.java
+++ b/src/main/java/sprucerock/policy/RetryPolicy.java
@@ -28,9 +28,9 @@
   }
 
   /** Sends a further attempt, if that is allowed, in time and within the budget; says if it did. */
-  boolean tryAgain(Rpc rpc) {
+  boolean retryIfAllowed(Rpc rpc) {
     boolean late = settings.tick.times(4).over(rpc.deadline.since(actions.now()));
-    if (late || !mayRepeat(rpc) || !budget.hasCapacity()) {
+    if (late || !mayRetry(rpc) || !budget.hasCapacity()) {
       return false;
     }
     Endpoint endpoint = selector.select(rpc);
@@ -42,7 +42,7 @@
     return true;
   }
 
-  private boolean mayRepeat(Rpc rpc) {
+  private boolean mayRetry(Rpc rpc) {
     boolean barred =
         !settings.hedging && rpc.inFlight() > 0 || rpc.attempts.size() >= settings.maxAttempts;
     if (rpc.ended() || rpc.streaming() || barred) {
--- a/src/main/java/sprucerock/policy/RoutingPolicy.java
+++ b/src/main/java/sprucerock/policy/RoutingPolicy.java
@@ -24,7 +24,8 @@
  * them of events, in a fixed order, and holds none itself. Not safe for use by several threads.
  */
 public final class RoutingPolicy implements RelayEvents {
-  private static final TimeSpan TICK = TimeSpan.ofMs(100); // well under a stage's shortest time
+  private static final TimeSpan TICK_INTERVAL =
+      TimeSpan.ofMs(100); // well under a stage's shortest time
   private static final int ATTEMPT_MESSAGE_BYTES = 4;
   private static final int REPORT_MESSAGE_BYTES = 8;
 
@@ -88,9 +89,9 @@
   private void tick() {
     Timestamp now = actions.now();
     subscription.pollIfDue(now);
-    canaryJudge.consider();
+    canaryJudge.evaluate();
     canaryJudge.reportToPeers(now);
-    actions.schedule(now.plus(TICK), this::tick);
+    actions.schedule(now.plus(TICK_INTERVAL), this::tick);
   }
 
   @Override
@@ -120,7 +121,7 @@
       shadows.stageEntered();
       canaryJudge.stageEntered();
     }
-    canaryJudge.consider();
+    canaryJudge.evaluate();
   }
 
   @Override
@@ -130,7 +131,7 @@
     keys.requestArrived(rpc, now);
     exposure.requestArrived(rpc.method);
     admission.requestArrived(rpc, now);
-    if (admission.isOverloadedFor(rpc)) {
+    if (admission.shouldReject(rpc)) {
       completion.endUnanswered(rpc);
     } else {
       route(rpc);
@@ -140,7 +141,7 @@
   private void route(Rpc rpc) {
     scheduleDeadlines(rpc);
     Build judged = canary.judgedBuild();
-    if (shadows.sendAlone(rpc)) {
+    if (shadows.sendToCanaryOnly(rpc)) {
       return;
     }
     Endpoint endpoint = selector.select(rpc);
@@ -184,7 +185,7 @@
       pairJudge.judge(attempt.shadowPair);
     }
     if (silent && settings.hedging && attempt.rpc.inFlight() == 1) {
-      retries.tryAgain(attempt.rpc);
+      retries.retryIfAllowed(attempt.rpc);
     }
   }
 
@@ -209,7 +210,7 @@
     outliers.attemptEnded(attempt);
     selector.attemptEnded(attempt, now);
     if (ok || attempt.outcome() == AttemptOutcome.TIMED_OUT) {
-      latency.learn(attempt);
+      latency.recordLatency(attempt);
     }
     if (canary.isCanary(attempt.endpoint.build)) {
       canary.attemptEnded(attempt);
@@ -220,7 +221,7 @@
     if (attempt.shadowPair != null) {
       pairJudge.judge(attempt.shadowPair);
     }
-    if (!rpc.ended() && !rpc.streaming() && rpc.inFlight() == 0 && !retries.tryAgain(rpc)) {
+    if (!rpc.ended() && !rpc.streaming() && rpc.inFlight() == 0 && !retries.retryIfAllowed(rpc)) {
       completion.endUnanswered(rpc);
     }
   }
@@ -233,7 +234,7 @@
   @Override
   public void fleetCountsReceived(
       Build build, Method method, double attempts, double failed, TimeSpan mean) {
-    fleetCounts.received(build, method, attempts, failed, mean);
+    fleetCounts.countsReceived(build, method, attempts, failed, mean);
   }
 
   @Override
@@ -251,9 +252,9 @@
     if (contents.length < 2) {
       return;
     }
-    if (contents[0] == LoadReports.ATTEMPT && contents.length == ATTEMPT_MESSAGE_BYTES) {
+    if (contents[0] == LoadReports.ATTEMPT_MESSAGE && contents.length == ATTEMPT_MESSAGE_BYTES) {
       gossip.attemptReported(contents);
-    } else if (contents[0] == LoadReports.LOADS) {
+    } else if (contents[0] == LoadReports.LOADS_MESSAGE) {
       gossip.loadsReceived(sender, contents);
     } else if (canary.trial() != null && contents.length == REPORT_MESSAGE_BYTES) {
       canaryJudge.reportReceived(sender, contents);
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -13,7 +13,7 @@
   private static final int MAX_MISMATCHES = 2;
 
   /** The design's age, under which shadow requests look slow as their endpoint is cold. */
-  private static final TimeSpan WARM_AGE = TimeSpan.ofMs(5000);
+  private static final TimeSpan MIN_ENDPOINT_AGE = TimeSpan.ofMs(5000);
 
   private final RelayActions actions;
   private final CanaryStatus canary;
@@ -43,9 +43,9 @@
         || baseline.voidsPair()) {
       return;
     }
-    noteFailures(shadow, baseline);
-    noteTimes(shadow, baseline);
-    canaryJudge.consider();
+    recordFailures(shadow, baseline);
+    recordLatencies(shadow, baseline);
+    canaryJudge.evaluate();
   }
 
   /** An overdue attempt beside one that is done would be seen too late: it counts as that slow. */
@@ -56,7 +56,7 @@
     return baseline.outcome() != null || baseline.overdue;
   }
 
-  private void noteFailures(Attempt shadow, Attempt baseline) {
+  private void recordFailures(Attempt shadow, Attempt baseline) {
     StageEvidence seen = canary.trial().evidence();
     seen.pairs++;
     boolean few =
@@ -64,29 +64,30 @@
             < FEW_ENDPOINTS; // else one endpoint gives two mismatches at most
     boolean shadowOnly = shadow.answeredWithError() && !baseline.answeredWithError();
     if (shadowOnly && (++shadow.endpoint.excess <= MAX_MISMATCHES || few)) {
-      seen.canaryFailed(shadow.endpoint);
+      seen.recordCanaryFailure(shadow.endpoint);
     }
     if (baseline.answeredWithError() && !shadow.answeredWithError()) {
       seen.baselineFailures++;
     }
   }
 
-  private void noteTimes(Attempt shadow, Attempt baseline) {
+  private void recordLatencies(Attempt shadow, Attempt baseline) {
     StageEvidence seen = canary.trial().evidence();
     Timestamp now = actions.now();
     boolean alike =
         shadow.endpoint.kind == baseline.endpoint.kind
             && !shadow.answeredWithError()
             && !baseline.answeredWithError()
-            && shadow.endpoint.olderThan(WARM_AGE, now)
-            && baseline.endpoint.olderThan(WARM_AGE, now);
+            && shadow.endpoint.olderThan(MIN_ENDPOINT_AGE, now)
+            && baseline.endpoint.olderThan(MIN_ENDPOINT_AGE, now);
     int n =
         alike
-            ? seen.addTimes(latency.relativeTime(shadow, now), latency.relativeTime(baseline, now))
+            ? seen.addLatencies(
+                latency.relativeLatency(shadow, now), latency.relativeLatency(baseline, now))
             : 0;
     boolean test = n == 20 || n == 40 || n == 80;
-    if (test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n))) {
-      seen.markSlowerByTimes();
+    if (test && seen.slownessDistance() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n))) {
+      seen.markSlowerByLatency();
     }
   }
 
@@ -96,10 +97,10 @@
       return;
     }
     if (canary.isCanary(endpoint.build)) {
-      canary.trial().evidence().canaryFailed(endpoint);
+      canary.trial().evidence().recordCanaryFailure(endpoint);
     } else {
       canary.trial().evidence().baselineFailures++;
     }
-    canaryJudge.consider();
+    canaryJudge.evaluate();
   }
 }
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -14,9 +14,9 @@
  * the attempts.
  */
 final class ShadowTraffic {
-  private static final int MAX_OUTSTANDING = 8;
-  private static final double MAX_ALONE = 10;
-  private static final double MAX_ALONE_FLEET = 40; // by all relays: each harms
+  private static final int MAX_IN_FLIGHT = 8;
+  private static final double MAX_CANARY_ONLY = 10;
+  private static final double MAX_CANARY_ONLY_FLEET = 40; // by all relays: each harms
 
   private final Settings settings;
   private final DeterministicRandom random;
@@ -26,8 +26,8 @@
   private final RetryBudget budget;
   private final EndpointSelector selector;
   private final AttemptSender sender;
-  private int outstanding;
-  private int maxAlone;
+  private int shadowsInFlight;
+  private int maxCanaryOnly;
 
   ShadowTraffic(
       Settings settings,
@@ -49,12 +49,13 @@
   }
 
   void stageEntered() {
-    maxAlone = (int) (Math.min(MAX_ALONE, MAX_ALONE_FLEET / settings.relays) + random.next());
+    maxCanaryOnly =
+        (int) (Math.min(MAX_CANARY_ONLY, MAX_CANARY_ONLY_FLEET / settings.relays) + random.next());
   }
 
   void attemptEnded(Attempt attempt) {
     if (attempt.shadow) {
-      outstanding--;
+      shadowsInFlight--;
     }
   }
 
@@ -62,9 +63,10 @@
    * Sends the request to the canary alone, in place of a shadow request: where second copies are
    * barred, and a few requests with an effect. Says whether it did.
    */
-  boolean sendAlone(Rpc rpc) {
+  boolean sendToCanaryOnly(Rpc rpc) {
     Build build = canary.judgedBuild();
-    Endpoint endpoint = build != null && maySendAlone(rpc, build) ? selectFor(rpc, build) : null;
+    Endpoint endpoint =
+        build != null && maySendToCanaryOnly(rpc, build) ? selectAndReserve(rpc, build) : null;
     if (endpoint == null) {
       return false;
     }
@@ -79,7 +81,7 @@
    * alone earlier. Says whether it is part of a pair now.
    */
   boolean pair(Rpc rpc, Attempt baseline, Build judged) {
-    Endpoint endpoint = mayShadow(rpc, judged) ? selectFor(rpc, judged) : null;
+    Endpoint endpoint = mayShadow(rpc, judged) ? selectAndReserve(rpc, judged) : null;
     baseline.shadowPair =
         endpoint != null
             ? new ShadowPair()
@@ -97,12 +99,12 @@
   private void sendShadow(Rpc rpc, Endpoint endpoint, ShadowPair pair) {
     pair.canary = sender.send(rpc, endpoint, true);
     pair.canary.shadowPair = pair;
-    outstanding++;
+    shadowsInFlight++;
   }
 
   /** The design's circuit breaker, and while a slowdown is looked into. */
   private boolean isBreakerOpen() {
-    return outstanding >= MAX_OUTSTANDING || canary.trial().slowdown.pausedAt() != null;
+    return shadowsInFlight >= MAX_IN_FLIGHT || canary.trial().slowdown.pausedAt() != null;
   }
 
   /** Where keys are sticky, one token stays for a sticky key's request. */
@@ -116,23 +118,23 @@
         && exposure.allows(build, rpc.method, tokens);
   }
 
-  private boolean maySendAlone(Rpc rpc, Build build) {
+  private boolean maySendToCanaryOnly(Rpc rpc, Build build) {
     if (isBreakerOpen() || !exposure.allows(build, rpc.method, 1) || keys.isSticky(rpc)) {
       return false;
     }
     StageEvidence seen = canary.trial().evidence();
     // every other one of a method at most: each has its like at the baseline
     if (rpc.method.idempotent()) {
-      return !settings.hedging && seen.isBalanced(rpc.method);
+      return !settings.hedging && seen.hasBaselineForEach(rpc.method);
     }
     // A build bad for one method with effects shows in no shadow request: a few such requests go
     // there alone.
-    return canary.trial().stage() > 0 && seen.sentAlone(rpc.method) < maxAlone;
+    return canary.trial().stage() > 0 && seen.sentAlone(rpc.method) < maxCanaryOnly;
   }
 
   /** An ok answer binds its key to the canary, so the key's share must fit. */
-  private Endpoint selectFor(Rpc rpc, Build build) {
+  private Endpoint selectAndReserve(Rpc rpc, Build build) {
     Endpoint endpoint = selector.selectIn(rpc, build);
-    return endpoint != null && keys.reserve(rpc) ? endpoint : null;
+    return endpoint != null && keys.reserveShare(rpc) ? endpoint : null;
   }
 }
--- a/src/main/java/sprucerock/policy/SlowStartLimiter.java
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -18,7 +18,7 @@
  */
 final class SlowStartLimiter {
   private static final double MAX_LOAD_SHARE = 0.8;
-  private static final TimeSpan WEIGHTS_KEPT = TimeSpan.ofMs(500); // no scan for each attempt
+  private static final TimeSpan WEIGHTS_MAX_AGE = TimeSpan.ofMs(500); // no scan for each attempt
 
   private final RelayActions actions;
   private final Settings settings;
@@ -53,8 +53,8 @@
     }
     double all = 0;
     double warm = 0;
-    for (Build build : canary.ascending()) {
-      build.refreshWeights(settings.warmUp, WEIGHTS_KEPT, now);
+    for (Build build : canary.buildsAscending()) {
+      build.refreshWeights(settings.warmUp, WEIGHTS_MAX_AGE, now);
       all += build.weight;
       if (!canary.isOnTrial(build)) {
         warm += build.weightOfOlder;
@@ -65,7 +65,7 @@
     double age =
         endpoint.started == null
             ? 1
-            : Math.max(0, now.since(endpoint.started).per(settings.warmUp));
+            : Math.max(0, now.since(endpoint.started).dividedBy(settings.warmUp));
     double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
     double perSecond = Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * share * carried;
     double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -13,13 +13,13 @@
 /** What one relay knows of the build that the controller offered last. */
 public final class CanaryTrial {
   private static final int MAX_TIMED_PAIRS = 80;
-  private static final int COUNTS = 3;
+  private static final int REPORT_COUNTS = 3;
 
   // a report: [3, build, stage, pairs, canary's failures, baseline's, failed at, 2 bytes]
   private static final int BUILD_BYTE = 1;
   private static final int STAGE_BYTE = 2;
   private static final int COUNTS_BYTE = 3;
-  private static final int FAILED_AT_BYTE = 6;
+  private static final int FAILING_ENDPOINTS_BYTE = 6;
 
   public final Build build;
 
@@ -30,7 +30,7 @@
   public final StickyKeys stickyKeys = new StickyKeys();
 
   /** How much slower its attempts are than the baseline's, in logarithms. */
-  public final DecayingMean logExcess = new DecayingMean(TimeSpan.ofMs(20000));
+  public final DecayingMean logLatencyExcess = new DecayingMean(TimeSpan.ofMs(20000));
 
   /** Pace lost since the release. */
   public final LostPace lostPace = new LostPace();
@@ -38,16 +38,16 @@
   private final AttemptCounts[] canaryCounts;
   private final AttemptCounts[] baselineCounts;
   private final Map<Integer, byte[]> peerReports = new TreeMap<>(); // by relay, each its latest
-  private final int[] peerCounts = new int[COUNTS]; // as in pooledCounts, of this stage
-  private int peerFailedAt;
-  private Timestamp reportSentAt;
+  private final int[] peerCounts = new int[REPORT_COUNTS]; // as in pooledCounts, of this stage
+  private int peerFailingEndpointBits;
+  private Timestamp lastReportSentAt;
   private int stage;
-  private Timestamp since;
+  private Timestamp stageStartedAt;
   private StageEvidence evidence;
   private boolean seenOnTrial;
   private boolean errorSeen;
-  private int carriedLead;
-  private double carriedDeviation;
+  private int earlierStagesLead;
+  private double earlierStagesDeviation;
 
   /** Of this build, where relays serve so many methods. */
   public CanaryTrial(Build build, int methods) {
@@ -68,8 +68,8 @@
   }
 
   /** When the stage, or the time after the release, began. */
-  public Timestamp since() {
-    return since;
+  public Timestamp stageStartedAt() {
+    return stageStartedAt;
   }
 
   /** What this relay saw in the present stage; null before the first. */
@@ -83,7 +83,7 @@
   }
 
   /** Notes that the news named it as on trial. */
-  public void noteOnTrial() {
+  public void markSeenOnTrial() {
     seenOnTrial = true;
   }
 
@@ -96,7 +96,7 @@
   public void attemptEnded(Attempt attempt, boolean released) {
     errorSeen |= attempt.answeredWithError();
     if (released) {
-      evidence.attemptEnded(attempt);
+      evidence.recordAttemptAfterRelease(attempt);
     }
   }
 
@@ -111,13 +111,13 @@
   }
 
   /** When peers were told of the pairs last; null before the first time. */
-  public Timestamp reportSentAt() {
-    return reportSentAt;
+  public Timestamp lastReportSentAt() {
+    return lastReportSentAt;
   }
 
   /** Encodes the counts of this stage's pairs, to be sent to peers now. */
   public byte[] encodeReport(Timestamp now) {
-    reportSentAt = now;
+    lastReportSentAt = now;
     return evidence.encodeReport(build.number, stage);
   }
 
@@ -147,13 +147,13 @@
   }
 
   /** By how many failures this build led in its earlier stages. */
-  public int carriedLead() {
-    return carriedLead;
+  public int earlierStagesLead() {
+    return earlierStagesLead;
   }
 
   /** How far that may stray where both builds failed. */
-  public double carriedDeviation() {
-    return carriedDeviation;
+  public double earlierStagesDeviation() {
+    return earlierStagesDeviation;
   }
 
   /**
@@ -162,17 +162,17 @@
    */
   public void enterStage(int newStage, Timestamp from, boolean released) {
     if (evidence != null) {
-      carriedLead += failureLead();
-      carriedDeviation += Math.sqrt(4 * pooledCounts()[2]);
+      earlierStagesLead += failureLead();
+      earlierStagesDeviation += Math.sqrt(4 * pooledCounts()[2]);
     }
     stage = newStage;
-    since = from;
+    stageStartedAt = from;
     slowdown.enterStage();
     evidence = new StageEvidence(canaryCounts.length, MAX_TIMED_PAIRS);
-    peerFailedAt = 0;
+    peerFailingEndpointBits = 0;
     Arrays.fill(peerCounts, 0);
     for (byte[] report : peerReports.values()) {
-      count(report, 1);
+      addPeerCounts(report, 1);
     }
     if (released) {
       Arrays.setAll(canaryCounts, method -> new AttemptCounts());
@@ -184,16 +184,16 @@
 
   /** How many endpoints failed shadow requests in this stage, a few perhaps counted as one. */
   public int failingEndpoints() {
-    return Integer.bitCount(evidence.failedAt() | peerFailedAt);
+    return Integer.bitCount(evidence.failingEndpointBits() | peerFailingEndpointBits);
   }
 
   /** A peer's latest report takes the place of its last one. */
   public void receiveReport(int sender, byte[] report) {
-    count(peerReports.put(sender, report), -1);
-    count(report, 1);
+    addPeerCounts(peerReports.put(sender, report), -1);
+    addPeerCounts(report, 1);
   }
 
-  private void count(byte[] report, int times) {
+  private void addPeerCounts(byte[] report, int times) {
     boolean same =
         report != null
             && report[BUILD_BYTE] == (byte) build.number
@@ -201,8 +201,9 @@
     if (!same) {
       return;
     }
-    peerFailedAt |= report[FAILED_AT_BYTE] & 0xff | (report[FAILED_AT_BYTE + 1] & 0xff) << 8;
-    for (int i = 0; i < COUNTS; i++) {
+    peerFailingEndpointBits |=
+        report[FAILING_ENDPOINTS_BYTE] & 0xff | (report[FAILING_ENDPOINTS_BYTE + 1] & 0xff) << 8;
+    for (int i = 0; i < REPORT_COUNTS; i++) {
       peerCounts[i] += times * (report[COUNTS_BYTE + i] & 0xff);
     }
   }
@@ -216,13 +217,13 @@
         + ": pairs "
         + Arrays.toString(pooledCounts())
         + ", carried "
-        + carriedLead
+        + earlierStagesLead
         + ", slower "
-        + evidence.isSlowerByTimes()
+        + evidence.isSlowerByLatency()
         + ", counted "
         + evidence.isWorseByCounts()
         + ", blames "
-        + slowdown.blames()
+        + slowdown.blameCount()
         + ", errors "
         + evidence.errorsAfterRelease();
   }
--- a/src/main/java/sprucerock/policy/evidence/LastVote.java
+++ b/src/main/java/sprucerock/policy/evidence/LastVote.java
@@ -9,7 +9,7 @@
 public final class LastVote {
   private Verdict verdict = Verdict.NONE;
   private Timestamp castAt;
-  private boolean counts;
+  private boolean counted;
   private boolean replyPending;
 
   /** What was voted in this stage; NONE before the first vote. */
@@ -27,13 +27,13 @@
     verdict = cast;
     castAt = now;
     replyPending = true;
-    counts = false;
+    counted = false;
   }
 
   /** Notes the controller's reply to it. */
   public void recordReply(VoteReply reply) {
     replyPending = false;
-    counts = reply == VoteReply.COUNTS;
+    counted = reply == VoteReply.COUNTS;
   }
 
   /**
@@ -41,6 +41,6 @@
    * retry}. Only to be asked once a vote was cast.
    */
   public boolean isDue(TimeSpan renew, TimeSpan wait, TimeSpan retry, Timestamp now) {
-    return now.since(castAt).over(counts ? renew : replyPending ? wait : retry);
+    return now.since(castAt).over(counted ? renew : replyPending ? wait : retry);
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/LoadReports.java
+++ b/src/main/java/sprucerock/policy/evidence/LoadReports.java
@@ -15,30 +15,30 @@
  */
 public final class LoadReports {
   /** The first byte of a message that an attempt started or ended. */
-  public static final byte ATTEMPT = 1;
+  public static final byte ATTEMPT_MESSAGE = 1;
 
   /** The first byte of a message of all loads. */
-  public static final byte LOADS = 2;
+  public static final byte LOADS_MESSAGE = 2;
 
   private static final int AGE_STEPS = 126;
-  private static final int FIGURE_SCALE = 64;
-  private static final int MAX_ENDPOINTS = 84;
+  private static final int WAIT_SHARE_SCALE = 64;
+  private static final int MAX_LOADS_ENDPOINTS = 84;
 
   private final TreeMap<Integer, Endpoint> byShortId = new TreeMap<>();
-  private final TimeSpan life;
+  private final TimeSpan decayTime;
 
   /**
    * An attempt counts less as it ages, so that a lost message is forgotten after some {@code life}.
    */
   public LoadReports(TimeSpan life) {
-    this.life = life;
+    this.decayTime = life;
   }
 
   /** It may get new work, so reports on it are summed from now on. */
   public void addEndpoint(Endpoint endpoint) {
     byShortId.put(shortId(endpoint), endpoint);
     if (endpoint.fleetInFlight == null) {
-      endpoint.fleetInFlight = new DecayingSum(life);
+      endpoint.fleetInFlight = new DecayingSum(decayTime);
     }
   }
 
@@ -54,9 +54,12 @@
 
   /** Encodes that an attempt started (null), or that one of some age ended. */
   public byte[] encodeAttempt(Endpoint endpoint, TimeSpan endedAt) {
-    int age = endedAt == null ? 0 : 1 + (int) Math.min(endedAt.per(life) * AGE_STEPS, AGE_STEPS);
+    int age =
+        endedAt == null
+            ? 0
+            : 1 + (int) Math.min(endedAt.dividedBy(decayTime) * AGE_STEPS, AGE_STEPS);
     return new byte[] {
-      ATTEMPT, (byte) shortId(endpoint), (byte) (shortId(endpoint) >> 8), (byte) age
+      ATTEMPT_MESSAGE, (byte) shortId(endpoint), (byte) (shortId(endpoint) >> 8), (byte) age
     };
   }
 
@@ -75,7 +78,7 @@
   }
 
   /** All attempts that are out, as far as reports tell. */
-  public double outstanding(Timestamp now) {
+  public double inFlight(Timestamp now) {
     double sum = 0;
     for (Endpoint endpoint : byShortId.values()) {
       sum += Math.max(0, endpoint.fleetInFlight.at(now));
@@ -96,10 +99,10 @@
       }
     }
     loaded.sort((a, b) -> b.reportedInFlight - a.reportedInFlight);
-    int size = Math.min(loaded.size(), MAX_ENDPOINTS);
+    int size = Math.min(loaded.size(), MAX_LOADS_ENDPOINTS);
     byte[] message = new byte[2 + 3 * size];
-    message[0] = LOADS;
-    message[1] = (byte) Math.min(FIGURE_SCALE * waitShare, 127);
+    message[0] = LOADS_MESSAGE;
+    message[1] = (byte) Math.min(WAIT_SHARE_SCALE * waitShare, 127);
     for (int i = 0; i < size; i++) {
       message[2 + 3 * i] = (byte) shortId(loaded.get(i));
       message[3 + 3 * i] = (byte) (shortId(loaded.get(i)) >> 8);
@@ -118,6 +121,6 @@
       endpoint.reportedInFlight = message[i + 2];
       endpoint.reportedAt = now;
     }
-    return message[1] / (double) FIGURE_SCALE;
+    return message[1] / (double) WAIT_SHARE_SCALE;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/LostPace.java
+++ b/src/main/java/sprucerock/policy/evidence/LostPace.java
@@ -4,21 +4,21 @@
 
 /** Pace that the fleet lost since a release: how much slower, times the seconds that it lasted. */
 public final class LostPace {
-  private double seconds;
-  private Timestamp asOf;
+  private double lostLogSeconds;
+  private Timestamp updatedAt;
 
   /** Adds the time since the last update while the pace is lost; starts afresh where it isn't. */
   public void update(boolean lost, double pace, Timestamp now) {
     if (!lost) {
-      seconds = 0;
-    } else if (asOf != null) {
-      seconds += pace * now.since(asOf).ms() / 1000;
+      lostLogSeconds = 0;
+    } else if (updatedAt != null) {
+      lostLogSeconds += pace * now.since(updatedAt).ms() / 1000;
     }
-    asOf = now;
+    updatedAt = now;
   }
 
   /** The logarithm of the slowdown, times seconds. */
-  public double seconds() {
-    return seconds;
+  public double lostLogSeconds() {
+    return lostLogSeconds;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
+++ b/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
@@ -30,7 +30,7 @@
   }
 
   /** Those of a build that may get new work, beginning at one by {@code random}, 0 to under 1. */
-  public List<Endpoint> ofBuild(Build build, double random) {
+  public List<Endpoint> readyOfBuild(Build build, double random) {
     List<Endpoint> found = new ArrayList<>(endpoints);
     found.removeIf(endpoint -> endpoint.build != build || !endpoint.ready());
     Collections.rotate(found, (int) (random * found.size()));
--- a/src/main/java/sprucerock/policy/evidence/Slowdown.java
+++ b/src/main/java/sprucerock/policy/evidence/Slowdown.java
@@ -10,8 +10,8 @@
   private Timestamp slowSince;
   private Timestamp pausedAt;
   private Timestamp resumedAt;
-  private boolean excused;
-  private int blames;
+  private boolean canaryCleared;
+  private int blameCount;
 
   /** Since when the baseline is slow; null where it isn't. */
   public Timestamp slowSince() {
@@ -29,13 +29,13 @@
   }
 
   /** The pace stayed bad without shadow requests, so the canary isn't to blame. */
-  public boolean isExcused() {
-    return excused;
+  public boolean isCanaryCleared() {
+    return canaryCleared;
   }
 
   /** How often the baseline was slow again soon after shadow requests went on. */
-  public int blames() {
-    return blames;
+  public int blameCount() {
+    return blameCount;
   }
 
   /** The baseline got slow. */
@@ -46,7 +46,7 @@
   /** The pace is good, so that the next slowdown counts afresh. */
   public void end() {
     slowSince = null;
-    excused = false;
+    canaryCleared = false;
   }
 
   /** A new stage begins; whether it is paused or excused holds on. */
@@ -66,13 +66,13 @@
   }
 
   /** The pace did not come back in time: shadow requests go on, and the canary is excused. */
-  public void excuse() {
+  public void clearCanary() {
     pausedAt = null;
-    excused = true;
+    canaryCleared = true;
   }
 
   /** The baseline got slow again soon after shadow requests went on. */
-  public void blame() {
-    blames++;
+  public void blameCanary() {
+    blameCount++;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/StageEvidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -14,34 +14,34 @@
 /** What one relay saw of the canary in its present stage. */
 public final class StageEvidence {
   /** The first byte of a report to peers. */
-  public static final byte REPORT = 3;
+  public static final byte REPORT_MESSAGE = 3;
 
-  private static final int MAX_REPORTED = 255;
+  private static final int MAX_REPORTED_COUNT = 255;
 
   /** Pairs judged, and pairs of which only the baseline's attempt failed. */
   public int pairs;
 
   public int baselineFailures;
 
-  private final double[] canaryTook;
-  private final double[] baselineTook;
+  private final double[] canaryLatencies;
+  private final double[] baselineLatencies;
   private final int[] sentAlone;
   private final List<Deque<ShadowPair>> awaitingBaseline = new ArrayList<>();
   private int timedPairs;
   private int canaryFailures;
-  private int failedAt;
-  private boolean slowerByTimes;
+  private int failingEndpointBits;
+  private boolean slowerByLatency;
   private boolean worseByCounts;
   private int attemptsAfterRelease;
   private int errorsAfterRelease;
-  private int failingAfterRelease;
+  private int failingEndpointsAfterRelease;
   private int reportedPairs;
   private int reportedFailures;
 
   /** For so many methods; keeps the times of {@code maxTimedPairs} pairs. */
   public StageEvidence(int methods, int maxTimedPairs) {
-    canaryTook = new double[maxTimedPairs];
-    baselineTook = new double[maxTimedPairs];
+    canaryLatencies = new double[maxTimedPairs];
+    baselineLatencies = new double[maxTimedPairs];
     sentAlone = new int[methods];
     for (int i = 0; i < methods; i++) {
       awaitingBaseline.add(new ArrayDeque<>());
@@ -54,14 +54,14 @@
   }
 
   /** A shadow request failed at this endpoint beside a served attempt at the baseline. */
-  public void canaryFailed(Endpoint endpoint) {
+  public void recordCanaryFailure(Endpoint endpoint) {
     canaryFailures++;
-    failedAt |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
+    failingEndpointBits |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
   }
 
   /** Endpoints that failed such a request, as 16 bits that several may share. */
-  int failedAt() {
-    return failedAt;
+  int failingEndpointBits() {
+    return failingEndpointBits;
   }
 
   /** How many pairs have both their times known; at most as many as are kept. */
@@ -70,29 +70,29 @@
   }
 
   /** Notes the times of a pair; returns how many are known, 0 where no more are kept. */
-  public int addTimes(double canary, double baseline) {
-    if (timedPairs == canaryTook.length) {
+  public int addLatencies(double canary, double baseline) {
+    if (timedPairs == canaryLatencies.length) {
       return 0;
     }
-    canaryTook[timedPairs] = canary;
-    baselineTook[timedPairs] = baseline;
+    canaryLatencies[timedPairs] = canary;
+    baselineLatencies[timedPairs] = baseline;
     return ++timedPairs;
   }
 
   /** One-sided Kolmogorov-Smirnov distance of the times so far, 0 to 1. */
-  public double slowerSide() {
-    return KolmogorovSmirnov.slowerSide(
-        Arrays.copyOf(canaryTook, timedPairs), Arrays.copyOf(baselineTook, timedPairs));
+  public double slownessDistance() {
+    return KolmogorovSmirnov.oneSidedDistance(
+        Arrays.copyOf(canaryLatencies, timedPairs), Arrays.copyOf(baselineLatencies, timedPairs));
   }
 
   /** Whether the pairs' times showed the canary to be slower. */
-  public boolean isSlowerByTimes() {
-    return slowerByTimes;
+  public boolean isSlowerByLatency() {
+    return slowerByLatency;
   }
 
   /** Notes that the times of the pairs showed it. */
-  public void markSlowerByTimes() {
-    slowerByTimes = true;
+  public void markSlowerByLatency() {
+    slowerByLatency = true;
   }
 
   /** Whether the controller's counts showed the canary to fail more. */
@@ -106,14 +106,14 @@
   }
 
   /** Notes an attempt that ended at the build after its release. */
-  public void attemptEnded(Attempt attempt) {
+  public void recordAttemptAfterRelease(Attempt attempt) {
     attemptsAfterRelease++;
     if (!attempt.answeredWithError()) {
       return;
     }
     errorsAfterRelease++;
     if (++attempt.endpoint.excess == 1) {
-      failingAfterRelease++;
+      failingEndpointsAfterRelease++;
     }
   }
 
@@ -128,8 +128,8 @@
   }
 
   /** Endpoints of the build that answered with an error since its release. */
-  public int failingAfterRelease() {
-    return failingAfterRelease;
+  public int failingEndpointsAfterRelease() {
+    return failingEndpointsAfterRelease;
   }
 
   /** A request of the method was sent to the canary alone; its like at the baseline is due. */
@@ -149,12 +149,12 @@
   }
 
   /** Each of a method's requests sent alone has its like at the baseline. */
-  public boolean isBalanced(Method method) {
+  public boolean hasBaselineForEach(Method method) {
     return awaitingBaseline.get(method.index).isEmpty();
   }
 
   /** Whether the peers know all of this. */
-  public boolean isReported() {
+  public boolean isReportedToPeers() {
     return reportedPairs == pairs && reportedFailures == canaryFailures + baselineFailures;
   }
 
@@ -163,14 +163,14 @@
     reportedPairs = pairs;
     reportedFailures = canaryFailures + baselineFailures;
     return new byte[] {
-      REPORT,
+      REPORT_MESSAGE,
       (byte) build,
       (byte) stage,
-      (byte) Math.min(pairs, MAX_REPORTED),
-      (byte) Math.min(canaryFailures, MAX_REPORTED),
-      (byte) Math.min(baselineFailures, MAX_REPORTED),
-      (byte) failedAt,
-      (byte) (failedAt >> 8)
+      (byte) Math.min(pairs, MAX_REPORTED_COUNT),
+      (byte) Math.min(canaryFailures, MAX_REPORTED_COUNT),
+      (byte) Math.min(baselineFailures, MAX_REPORTED_COUNT),
+      (byte) failingEndpointBits,
+      (byte) (failingEndpointBits >> 8)
     };
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
+++ b/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
@@ -8,7 +8,7 @@
 /** What each tenant sends of late, beside its quota. */
 public final class TenantArrivals {
   private final List<Double> quotas;
-  private final DecayingSum[] sent;
+  private final DecayingSum[] byTenant;
   private final DecayingSum all;
 
   /**
@@ -17,9 +17,9 @@
    */
   public TenantArrivals(List<Double> quotas, TimeSpan life) {
     this.quotas = quotas;
-    sent = new DecayingSum[quotas.size()];
-    for (int i = 0; i < sent.length; i++) {
-      sent[i] = new DecayingSum(life);
+    byTenant = new DecayingSum[quotas.size()];
+    for (int i = 0; i < byTenant.length; i++) {
+      byTenant[i] = new DecayingSum(life);
     }
     all = new DecayingSum(life);
   }
@@ -27,19 +27,19 @@
   /** A request of the tenant arrived; unknown tenants count as others. */
   public void add(int tenant, Timestamp now) {
     all.add(now, 1);
-    if (tenant < sent.length) {
-      sent[tenant].add(now, 1);
+    if (tenant < byTenant.length) {
+      byTenant[tenant].add(now, 1);
     }
   }
 
   /**
    * How many times its quota a tenant sends, beside what the others send; 0 where it has no quota.
    */
-  public double timesShare(int tenant, Timestamp now) {
-    if (tenant >= sent.length) {
+  public double quotaMultiple(int tenant, Timestamp now) {
+    if (tenant >= byTenant.length) {
       return 0;
     }
-    double own = sent[tenant].at(now);
+    double own = byTenant[tenant].at(now);
     double quota = quotas.get(tenant);
     return own / Math.max((all.at(now) - own) * quota / Math.max(1 - quota, 0.01), 1e-9);
   }
--- a/src/main/java/sprucerock/rehearsal/fake/FakeDiscovery.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeDiscovery.java
@@ -91,7 +91,7 @@
 
   /** A unit's state changed, now; a null start: its process runs since long ago. */
   public void changed(Entry entry, Timestamp started) {
-    Timestamp known = net.now().plus(notice).plus(late).later(lastKnown); // never out of order
+    Timestamp known = net.now().plus(notice).plus(late).laterOf(lastKnown); // never out of order
     lastKnown = known;
     net.at(
         known,
--- a/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
@@ -492,7 +492,7 @@
     if (!bornCold) {
       return 1;
     }
-    double age = net.now().since(started).per(site.cold().lasts());
+    double age = net.now().since(started).dividedBy(site.cold().lasts());
     return Math.min(1, site.cold().from() + (1 - site.cold().from()) * age);
   }
 
--- a/src/main/java/sprucerock/rehearsal/fake/FaultProxy.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FaultProxy.java
@@ -177,7 +177,7 @@
     private void add(byte[] bytes) {
       Timestamp due =
           net.now().plus(late).plus(chance.nextDouble() < loses ? AGAIN : TimeSpan.ZERO);
-      last = last == null ? due : due.later(last);
+      last = last == null ? due : due.laterOf(last);
       waiting.add(new Piece(last, bytes));
       if (last.after(net.now())) {
         net.at(last, pass::go);
--- a/src/main/java/sprucerock/relay/engine/RelayEngine.java
+++ b/src/main/java/sprucerock/relay/engine/RelayEngine.java
@@ -191,7 +191,7 @@
     Timestamp deadline =
         attempt.timeout == null
             ? attempt.rpc.deadline
-            : attempt.rpc.deadline.earlier(now.plus(attempt.timeout));
+            : attempt.rpc.deadline.earlierOf(now.plus(attempt.timeout));
     AttemptExchange exchange = newExchange(attempt, deadline);
     attempt.attachment = exchange;
     exchange.setTimeoutTimer(net.at(deadline, () -> timedOut(exchange)));
--- a/src/main/java/sprucerock/relay/platform/ReconnectingWatch.java
+++ b/src/main/java/sprucerock/relay/platform/ReconnectingWatch.java
@@ -275,7 +275,7 @@
   /** How long nothing has come; for as long as there is no watch, since the last one went. */
   TimeSpan silent() {
     if (heard != null) {
-      lastHeard = heard.connection.lastReceivedAt().later(lastHeard);
+      lastHeard = heard.connection.lastReceivedAt().laterOf(lastHeard);
     }
     return net.now().since(lastHeard);
   }
--- a/src/main/java/sprucerock/simulation/EventDecoder.java
+++ b/src/main/java/sprucerock/simulation/EventDecoder.java
@@ -12,8 +12,8 @@
  * failed; what is returned then acts on the relay.
  */
 final class EventDecoder {
-  private static final int KNOWN = 1; // the controller knows the build
-  private static final Runnable NOTHING = () -> {};
+  private static final int STATUS_KNOWN_BUILD = 1; // the controller knows the build
+  private static final Runnable NO_ACTION = () -> {};
 
   private final SimulatedRelay relay;
 
@@ -37,13 +37,13 @@
       case WireCodes.PEER_MESSAGE -> peerMessage(f);
       case WireCodes.ROLLOUT_CHANGED -> rolloutChanged(f);
       case WireCodes.BUILD_COUNTS -> buildCounts(f);
-      case WireCodes.ANSWER_FLAGGED -> answerFlagged(f);
+      case WireCodes.ANSWER_REPORTED_WRONG -> answerReportedWrong(f);
       default -> null;
     };
   }
 
   private Runnable rpcArrived(ByteBuffer f) {
-    long id = u32(f);
+    long id = unsignedInt(f);
     int method = f.getShort() & 0xffff;
     int tenant = f.getInt();
     long key = f.getLong();
@@ -66,7 +66,7 @@
   }
 
   private Runnable streamStarted(ByteBuffer f) {
-    long id = u32(f);
+    long id = unsignedInt(f);
     f.getInt();
     int attempt = f.get() & 0xff;
     f.getDouble();
@@ -79,7 +79,7 @@
   }
 
   private Runnable attemptEnded(ByteBuffer f) {
-    long id = u32(f);
+    long id = unsignedInt(f);
     int attempt = f.get() & 0xff;
     TimeSpan latency = TimeSpan.ofMs(f.getDouble());
     boolean closed = f.get() != 0;
@@ -95,7 +95,7 @@
   }
 
   private Runnable clientLeft(ByteBuffer f) {
-    long id = u32(f);
+    long id = unsignedInt(f);
     return () -> {
       Rpc rpc = relay.tracker().rpc(id);
       if (rpc != null) {
@@ -105,8 +105,8 @@
   }
 
   private Runnable timerFired(ByteBuffer f) {
-    Runnable due = relay.takeTimer(u32(f));
-    return due == null ? NOTHING : due;
+    Runnable due = relay.takeTimer(unsignedInt(f));
+    return due == null ? NO_ACTION : due;
   }
 
   private Runnable healthChecked(ByteBuffer f) {
@@ -114,12 +114,12 @@
     f.get();
     f.getInt();
     skipLoadReport(f);
-    return NOTHING;
+    return NO_ACTION;
   }
 
   private Runnable peerMessage(ByteBuffer f) {
     int sender = f.getInt();
-    byte[] contents = new byte[SimulationHost.count(f, f.getShort() & 0xffff, 1)];
+    byte[] contents = new byte[SimulationHost.checkedCount(f, f.getShort() & 0xffff, 1)];
     f.get(contents);
     return () -> relay.policy().peerMessageReceived(sender, contents);
   }
@@ -136,7 +136,7 @@
       if (isVoteReply) {
         relay.policy().voteAnswered(WireCodes.voteReply(status));
       }
-      if (status == KNOWN && state < RolloutState.values().length) {
+      if (status == STATUS_KNOWN_BUILD && state < RolloutState.values().length) {
         relay
             .tracker()
             .rolloutChanged(
@@ -148,27 +148,27 @@
   private Runnable buildCounts(ByteBuffer f) {
     int number = f.getShort() & 0xffff;
     int method = f.getShort() & 0xffff;
-    long attempts = u32(f);
-    long failed = u32(f);
+    long attempts = unsignedInt(f);
+    long failed = unsignedInt(f);
     TimeSpan mean = TimeSpan.ofMs(f.getDouble());
     f.getDouble();
     return () -> relay.tracker().counted(number, method, attempts, failed, mean);
   }
 
-  private Runnable answerFlagged(ByteBuffer f) {
-    long endpoint = u32(f);
+  private Runnable answerReportedWrong(ByteBuffer f) {
+    long endpoint = unsignedInt(f);
     f.getShort();
     TimeSpan sentAgo = TimeSpan.ofMs(f.getDouble());
     return () -> relay.tracker().flagged(endpoint, sentAgo, relay.now());
   }
 
-  private static long u32(ByteBuffer f) {
+  private static long unsignedInt(ByteBuffer f) {
     return Integer.toUnsignedLong(f.getInt());
   }
 
   /** Load reports are read past: the policy doesn't use them. */
   private static void skipLoadReport(ByteBuffer f) {
-    int values = SimulationHost.count(f, f.get() & 0xff, Float.BYTES);
+    int values = SimulationHost.checkedCount(f, f.get() & 0xff, Float.BYTES);
     f.position(f.position() + Float.BYTES * values);
   }
 }
--- a/src/main/java/sprucerock/simulation/ReplyWriter.java
+++ b/src/main/java/sprucerock/simulation/ReplyWriter.java
@@ -14,39 +14,39 @@
   private static final int FRAME_HEADER_BYTES = 12;
 
   private ByteBuffer body = ByteBuffer.allocate(INITIAL_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-  private int count;
-  private int lengthAt;
+  private int recordCount;
+  private int lengthPosition;
 
   /** Begins a record of a relay; {@link #close} ends it. */
-  ReplyWriter open(int code, long relay) {
-    reserve(RECORD_HEADER_BYTES);
+  ReplyWriter openRecord(int code, long relay) {
+    ensureCapacity(RECORD_HEADER_BYTES);
     body.put((byte) code);
-    lengthAt = body.position();
+    lengthPosition = body.position();
     body.putInt(0).putInt((int) relay);
-    count++;
+    recordCount++;
     return this;
   }
 
   ReplyWriter u8(int value) {
-    reserve(1);
+    ensureCapacity(1);
     body.put((byte) value);
     return this;
   }
 
   ReplyWriter u16(int value) {
-    reserve(2);
+    ensureCapacity(2);
     body.putShort((short) value);
     return this;
   }
 
   ReplyWriter u32(long value) {
-    reserve(4);
+    ensureCapacity(4);
     body.putInt((int) value);
     return this;
   }
 
   ReplyWriter f64(double value) {
-    reserve(8);
+    ensureCapacity(8);
     body.putDouble(value);
     return this;
   }
@@ -55,27 +55,31 @@
   ReplyWriter bytes(byte[] value) {
     int length = Math.min(value.length, MAX_FIELD_BYTES);
     u16(length);
-    reserve(length);
+    ensureCapacity(length);
     body.put(value, 0, length);
     return this;
   }
 
   /** Ends the record. */
-  void close() {
-    body.putInt(lengthAt, body.position() - lengthAt - Integer.BYTES);
+  void closeRecord() {
+    body.putInt(lengthPosition, body.position() - lengthPosition - Integer.BYTES);
   }
 
   /** The whole reply to a batch; the writer is empty afterwards. */
-  byte[] frame(int batch) {
+  byte[] takeFrame(int batch) {
     ByteBuffer whole =
         ByteBuffer.allocate(FRAME_HEADER_BYTES + body.position()).order(ByteOrder.LITTLE_ENDIAN);
-    whole.putInt(batch).putInt(body.position()).putInt(count).put(body.array(), 0, body.position());
+    whole
+        .putInt(batch)
+        .putInt(body.position())
+        .putInt(recordCount)
+        .put(body.array(), 0, body.position());
     body.clear();
-    count = 0;
+    recordCount = 0;
     return whole.array();
   }
 
-  private void reserve(int bytes) {
+  private void ensureCapacity(int bytes) {
     if (body.remaining() >= bytes) {
       return;
     }
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -26,54 +26,54 @@
 final class SimulatedRelay implements RelayActions {
   /** Makes the routing policy of a relay. */
   interface PolicyFactory {
-    RelayEvents make(RelayActions actions, Settings settings, long seed);
+    RelayEvents create(RelayActions actions, Settings settings, long seed);
   }
 
   private static final long TOKEN_MASK = 0xffffffffL; // timers have 32 bits on the wire
 
   private final long id;
   private final ReplyWriter replies;
-  private final PolicyFactory policies;
+  private final PolicyFactory policyFactory;
   private final Map<Long, Runnable> timers = new HashMap<>();
   private long timerCount;
   private Settings settings;
   private RequestTracker tracker;
   private RelayEvents policy;
   private Timestamp now;
-  private final EventDecoder events = new EventDecoder(this);
+  private final EventDecoder eventDecoder = new EventDecoder(this);
 
   SimulatedRelay(long id, ReplyWriter replies, PolicyFactory policies) {
     this.id = id;
     this.replies = replies;
-    this.policies = policies;
+    this.policyFactory = policies;
   }
 
   /** Starts it with settings as the operators write them. */
   void start(Timestamp at, long seed, String text) {
     now = at;
-    guarded(
+    runOrFail(
         () -> {
           settings = SettingsText.read(text);
           tracker = new RequestTracker(settings);
-          policy = policies.make(this, settings, seed);
+          policy = policyFactory.create(this, settings, seed);
           tracker.setListener(policy);
         });
   }
 
   /** A list of endpoints came, partial or complete, or failed to. */
-  void listed(Timestamp at, int form, SimulationHost.Entry[] entries) {
+  void endpointListReceived(Timestamp at, int form, SimulationHost.ListedEndpoint[] entries) {
     now = at;
     if (policy == null) {
       return;
     }
-    guarded(
+    runOrFail(
         () -> {
           if (form == WireCodes.LIST_FAILED) {
             policy.endpointListFailed();
             return;
           }
           Set<Long> listed = new HashSet<>();
-          for (SimulationHost.Entry entry : entries) {
+          for (SimulationHost.ListedEndpoint entry : entries) {
             listed.add(entry.endpoint());
             applyEntry(entry);
           }
@@ -83,7 +83,7 @@
         });
   }
 
-  private void applyEntry(SimulationHost.Entry entry) {
+  private void applyEntry(SimulationHost.ListedEndpoint entry) {
     if (entry.health() != WireCodes.READY && entry.health() != WireCodes.DRAINING) {
       tracker.endpointRemoved(entry.endpoint());
       return;
@@ -101,14 +101,14 @@
   }
 
   /** Takes an event that is no list; false where the code is unknown. */
-  boolean take(int code, ByteBuffer f, Timestamp at) {
+  boolean handleEvent(int code, ByteBuffer f, Timestamp at) {
     now = at;
-    Runnable call = events.decode(code, f);
+    Runnable call = eventDecoder.decode(code, f);
     if (call == null) {
       return false;
     }
     if (policy != null) {
-      guarded(call);
+      runOrFail(call);
     }
     return true;
   }
@@ -131,19 +131,19 @@
   }
 
   /** Runs a call; a simulated relay that fails must not end the others. */
-  private void guarded(Runnable call) {
+  private void runOrFail(Runnable call) {
     try {
       call.run();
     } catch (RuntimeException e) {
       policy = null;
       StackTraceElement[] trace = e.getStackTrace();
       String text = "relay " + id + ": " + e + (trace.length > 0 ? " at " + trace[0] : "");
-      open(WireCodes.RELAY_FAILED).bytes(text.getBytes(StandardCharsets.UTF_8)).close();
+      open(WireCodes.RELAY_FAILED).bytes(text.getBytes(StandardCharsets.UTF_8)).closeRecord();
     }
   }
 
   private ReplyWriter open(int code) {
-    return replies.open(code, id);
+    return replies.openRecord(code, id);
   }
 
   @Override
@@ -156,23 +156,23 @@
     tracker.attemptSent(attempt);
     tracker.attemptWritten(attempt);
     double timeoutMs = attempt.timeout == null ? 0 : attempt.timeout.ms();
-    open(WireCodes.SEND).u32(attempt.rpc.id).u32(attempt.endpoint.id).f64(timeoutMs).close();
+    open(WireCodes.SEND).u32(attempt.rpc.id).u32(attempt.endpoint.id).f64(timeoutMs).closeRecord();
   }
 
   @Override
   public void cancel(Attempt attempt) {
-    open(WireCodes.CANCEL).u32(attempt.rpc.id).u8(attempt.number).close();
+    open(WireCodes.CANCEL).u32(attempt.rpc.id).u8(attempt.number).closeRecord();
   }
 
   @Override
   public void reject(Rpc rpc, TimeSpan wait) {
-    open(WireCodes.REJECT).u32(rpc.id).f64(wait.ms()).close();
+    open(WireCodes.REJECT).u32(rpc.id).f64(wait.ms()).closeRecord();
     tracker.rejected(rpc);
   }
 
   @Override
   public void fail(Rpc rpc) {
-    open(WireCodes.ABORT).u32(rpc.id).close();
+    open(WireCodes.ABORT).u32(rpc.id).closeRecord();
     tracker.aborted(rpc);
   }
 
@@ -180,31 +180,31 @@
   public void schedule(Timestamp when, Runnable what) {
     long token = timerCount++ & TOKEN_MASK;
     timers.put(token, what);
-    open(WireCodes.SET_TIMER).u32(token).f64(when.ms()).close();
+    open(WireCodes.SET_TIMER).u32(token).f64(when.ms()).closeRecord();
   }
 
   @Override
   public void vote(Build build, int stage, Verdict verdict) {
-    open(WireCodes.VOTE).u16(build.number).u8(stage).u8(WireCodes.verdict(verdict)).close();
+    open(WireCodes.VOTE).u16(build.number).u8(stage).u8(WireCodes.verdict(verdict)).closeRecord();
   }
 
   @Override
   public void sendToPeers(byte[] contents) {
-    open(WireCodes.TELL_PEER).u16(WireCodes.ALL_PEERS).bytes(contents).close();
+    open(WireCodes.SEND_TO_PEER).u16(WireCodes.ALL_PEERS).bytes(contents).closeRecord();
   }
 
   @Override
   public void sendToPeer(int relay, byte[] contents) {
-    open(WireCodes.TELL_PEER).u16(relay).bytes(contents).close();
+    open(WireCodes.SEND_TO_PEER).u16(relay).bytes(contents).closeRecord();
   }
 
   @Override
   public void subscribe() {
-    open(WireCodes.SUBSCRIBE).u8(1).close();
+    open(WireCodes.SUBSCRIBE).u8(1).closeRecord();
   }
 
   @Override
   public void log(String line) {
-    open(WireCodes.LOG).bytes(line.getBytes(StandardCharsets.UTF_8)).close();
+    open(WireCodes.LOG).bytes(line.getBytes(StandardCharsets.UTF_8)).closeRecord();
   }
 }
--- a/src/main/java/sprucerock/simulation/SimulationHost.java
+++ b/src/main/java/sprucerock/simulation/SimulationHost.java
@@ -21,16 +21,16 @@
  * record.
  */
 public final class SimulationHost {
-  private static final int HEADER_BYTES = 20;
+  private static final int BATCH_HEADER_BYTES = 20;
   private static final int RECORD_HEADER_BYTES = 5;
   private static final int ENTRY_BYTES = 26;
   private static final int INPUT_BUFFER_BYTES = 1 << 16;
   private static final int MAX_LISTS = 16;
   private static final int MAX_HEALTH = 2;
-  private static final int MAX_FORM = 3;
+  private static final int MAX_LIST_FORM = 3;
 
   /** One line of a list of endpoints, as the wire has it. */
-  record Entry(
+  record ListedEndpoint(
       long endpoint,
       int zone,
       int kind,
@@ -40,11 +40,11 @@
       double weight,
       double since) {}
 
-  private final SimulatedRelay.PolicyFactory policies;
+  private final SimulatedRelay.PolicyFactory policyFactory;
   private final DataInputStream in;
   private final OutputStream out;
   private final Map<Long, SimulatedRelay> relays = new HashMap<>();
-  private final Entry[][] lists = new Entry[MAX_LISTS][];
+  private final ListedEndpoint[][] lists = new ListedEndpoint[MAX_LISTS][];
   private final ReplyWriter replies = new ReplyWriter();
 
   /** A host whose relays have the program's own routing policy. */
@@ -53,7 +53,7 @@
   }
 
   SimulationHost(InputStream in, OutputStream out, SimulatedRelay.PolicyFactory policies) {
-    this.policies = policies;
+    this.policyFactory = policies;
     this.in = new DataInputStream(new BufferedInputStream(in, INPUT_BUFFER_BYTES));
     this.out = out;
   }
@@ -65,14 +65,18 @@
    * @throws IOException if a stream fails
    */
   public void run() throws IOException {
-    byte[] head = new byte[HEADER_BYTES];
+    byte[] head = new byte[BATCH_HEADER_BYTES];
     for (long seen = 0; ; seen++) {
       int first = in.read();
       if (first < 0) {
         return;
       }
       head[0] = (byte) first;
-      fill(head, 1, HEADER_BYTES - 1, "batch after " + seen + " whole ones: header is cut short");
+      readFully(
+          head,
+          1,
+          BATCH_HEADER_BYTES - 1,
+          "batch after " + seen + " whole ones: header is cut short");
       ByteBuffer header = wrap(head);
       int batch = header.getInt();
       int length = header.getInt();
@@ -87,7 +91,7 @@
         throw new FrameException(where + ": body is cut short");
       }
       process(wrap(body), records, now, where);
-      out.write(replies.frame(batch));
+      out.write(replies.takeFrame(batch));
       out.flush();
     }
   }
@@ -127,9 +131,9 @@
     long id = Integer.toUnsignedLong(f.getInt());
     if (code == WireCodes.START_RELAY) {
       long seed = f.getLong();
-      byte[] settings = new byte[count(f, Integer.toUnsignedLong(f.getInt()), 1)];
+      byte[] settings = new byte[checkedCount(f, Integer.toUnsignedLong(f.getInt()), 1)];
       f.get(settings);
-      SimulatedRelay relay = new SimulatedRelay(id, replies, policies);
+      SimulatedRelay relay = new SimulatedRelay(id, replies, policyFactory);
       relays.put(id, relay);
       relay.start(now, seed, new String(settings, StandardCharsets.UTF_8));
       return;
@@ -144,15 +148,15 @@
       int list = f.getShort() & 0xffff;
       f.getLong();
       int form = f.get() & 0xff;
-      if (form > MAX_FORM) {
+      if (form > MAX_LIST_FORM) {
         throw new FrameException(record + ": unknown form of list " + form);
       }
-      Entry[] entries = list < lists.length ? lists[list] : null;
+      ListedEndpoint[] entries = list < lists.length ? lists[list] : null;
       if (form != WireCodes.LIST_FAILED && entries == null) {
         throw new FrameException(record + ": list " + list + " was never sent");
       }
-      relay.listed(now, form, entries);
-    } else if (!relay.take(code, f, now)) {
+      relay.endpointListReceived(now, form, entries);
+    } else if (!relay.handleEvent(code, f, now)) {
       throw new FrameException(record + ": unknown code " + code);
     }
   }
@@ -162,7 +166,8 @@
     if (list >= lists.length) {
       throw new FrameException(record + ": list number " + list + " is out of range");
     }
-    Entry[] entries = new Entry[count(f, Integer.toUnsignedLong(f.getInt()), ENTRY_BYTES)];
+    ListedEndpoint[] entries =
+        new ListedEndpoint[checkedCount(f, Integer.toUnsignedLong(f.getInt()), ENTRY_BYTES)];
     for (int i = 0; i < entries.length; i++) {
       long endpoint = Integer.toUnsignedLong(f.getInt());
       int zone = f.getShort() & 0xffff;
@@ -171,7 +176,8 @@
       int build = Math.round(f.getFloat());
       int health = f.get() & 0xff;
       entries[i] =
-          new Entry(endpoint, zone, kind, cell, build, health, f.getFloat(), f.getDouble());
+          new ListedEndpoint(
+              endpoint, zone, kind, cell, build, health, f.getFloat(), f.getDouble());
       if (health > MAX_HEALTH) {
         throw new FrameException(record + ": unknown health " + health);
       }
@@ -184,14 +190,14 @@
    *
    * @throws BufferUnderflowException if the content is too short for it
    */
-  static int count(ByteBuffer f, long count, int size) {
+  static int checkedCount(ByteBuffer f, long count, int size) {
     if (count * size > f.remaining()) {
       throw new BufferUnderflowException();
     }
     return (int) count;
   }
 
-  private void fill(byte[] into, int from, int length, String message) throws IOException {
+  private void readFully(byte[] into, int from, int length, String message) throws IOException {
     try {
       in.readFully(into, from, length);
     } catch (EOFException e) {
--- a/src/main/java/sprucerock/simulation/WireCodes.java
+++ b/src/main/java/sprucerock/simulation/WireCodes.java
@@ -19,7 +19,7 @@
   static final int STOP_RELAY = 100;
   static final int ROLLOUT_CHANGED = 110;
   static final int BUILD_COUNTS = 120;
-  static final int ANSWER_FLAGGED = 130;
+  static final int ANSWER_REPORTED_WRONG = 130;
   static final int DEFINE_LIST = 140;
 
   // records that go out
@@ -28,7 +28,7 @@
   static final int ABORT = 30;
   static final int CANCEL = 40;
   static final int SET_TIMER = 50;
-  static final int TELL_PEER = 80;
+  static final int SEND_TO_PEER = 80;
   static final int LOG = 90;
   static final int RELAY_FAILED = 100;
   static final int SUBSCRIBE = 110;
--- a/src/main/java/sprucerock/stats/DecayingSum.java
+++ b/src/main/java/sprucerock/stats/DecayingSum.java
@@ -5,9 +5,9 @@
 
 /** A sum whose terms lose weight exponentially with age; brought up to date when read. */
 public final class DecayingSum {
-  private final double lifeMs;
+  private final double decayTimeMs;
   private double sum;
-  private Timestamp asOf;
+  private Timestamp updatedAt;
 
   /**
    * An empty sum.
@@ -15,28 +15,28 @@
    * @param life the time in which a term's weight falls to 1/e
    */
   public DecayingSum(TimeSpan life) {
-    lifeMs = life.ms();
+    decayTimeMs = life.ms();
   }
 
   /** Adds a term; {@code now} is no earlier than in the calls before. */
   public void add(Timestamp now, double amount) {
     sum = at(now) + amount;
-    asOf = now;
+    updatedAt = now;
   }
 
   /** The sum as it stands at {@code now}. */
   public double at(Timestamp now) {
-    return asOf == null ? 0 : sum * Math.exp(-now.since(asOf).ms() / lifeMs);
+    return updatedAt == null ? 0 : sum * Math.exp(-now.since(updatedAt).ms() / decayTimeMs);
   }
 
   /** The rate a second at which a steady flow would hold the sum where it is. */
   public double perSecond(Timestamp now) {
-    return at(now) * 1000 / lifeMs;
+    return at(now) * 1000 / decayTimeMs;
   }
 
   /** The same, corrected for a sum whose terms go back no further than {@code began}. */
   public double perSecond(Timestamp began, Timestamp now) {
     return perSecond(now)
-        / (1 - Math.exp(-Math.max(now.since(began).ms(), 0.05 * lifeMs) / lifeMs));
+        / (1 - Math.exp(-Math.max(now.since(began).ms(), 0.05 * decayTimeMs) / decayTimeMs));
   }
 }
--- a/src/main/java/sprucerock/stats/KeyedSums.java
+++ b/src/main/java/sprucerock/stats/KeyedSums.java
@@ -7,7 +7,7 @@
 
 /** A decaying sum for each of the most recently used keys, bounded in number. */
 public final class KeyedSums {
-  private final TimeSpan life;
+  private final TimeSpan decayTime;
   private final LinkedHashMap<Long, DecayingSum> sums;
 
   /**
@@ -17,7 +17,7 @@
    * @param maxKeys how many keys are held; the least recently used one goes first
    */
   public KeyedSums(TimeSpan life, int maxKeys) {
-    this.life = life;
+    this.decayTime = life;
     sums =
         new LinkedHashMap<>(64, 0.75f, true) {
           private static final long serialVersionUID = 1L;
@@ -31,7 +31,7 @@
 
   /** Adds a term to the key's sum. */
   public void add(long key, Timestamp now, double amount) {
-    sums.computeIfAbsent(key, k -> new DecayingSum(life)).add(now, amount);
+    sums.computeIfAbsent(key, k -> new DecayingSum(decayTime)).add(now, amount);
   }
 
   /** The key's rate a second; 0 where it isn't held. */
--- a/src/main/java/sprucerock/stats/KolmogorovSmirnov.java
+++ b/src/main/java/sprucerock/stats/KolmogorovSmirnov.java
@@ -10,7 +10,7 @@
    * The one-sided distance: the largest excess, over all values, of the share of {@code slow} above
    * the value beyond the share of {@code fast} above it; 0 to 1.
    */
-  public static double slowerSide(double[] slow, double[] fast) {
+  public static double oneSidedDistance(double[] slow, double[] fast) {
     double[] s = slow.clone();
     double[] f = fast.clone();
     Arrays.sort(s);
--- a/src/main/java/sprucerock/stats/Proportions.java
+++ b/src/main/java/sprucerock/stats/Proportions.java
@@ -8,7 +8,8 @@
    * The standard error of the difference of two proportions under the hypothesis that both samples
    * came from one population; pooled, with one success and one failure added.
    */
-  public static double error(double hits, double size, double otherHits, double otherSize) {
+  public static double standardErrorOfDifference(
+      double hits, double size, double otherHits, double otherSize) {
     double pooled = (hits + otherHits + 1) / (size + otherSize + 2);
     return Math.sqrt(pooled * (1 - pooled) * (1 / size + 1 / Math.max(otherSize, 1)));
   }
--- a/src/main/java/sprucerock/stats/RelativeSlowness.java
+++ b/src/main/java/sprucerock/stats/RelativeSlowness.java
@@ -34,7 +34,7 @@
 
   /** Adds a latency of the baseline period, in milliseconds. */
   public void addBaseline(int source, int kind, double ms, double weight, Timestamp now) {
-    baselines[source][kind].add(now, logOf(ms), weight);
+    baselines[source][kind].add(now, logMs(ms), weight);
   }
 
   /** Adds a present latency, in milliseconds; dropped while the baseline has under two values. */
@@ -43,7 +43,7 @@
     if (baseline.count(now) < 2) {
       return;
     }
-    slowness[kind].add(now, logOf(ms) - baseline.at(now, 0, 1e-9), weight);
+    slowness[kind].add(now, logMs(ms) - baseline.at(now, 0, 1e-9), weight);
   }
 
   /**
@@ -60,7 +60,7 @@
     return sums(now)[1];
   }
 
-  private static double logOf(double ms) {
+  private static double logMs(double ms) {
     return Math.log(Math.max(ms, MIN_MS));
   }
 
--- a/src/main/java/sprucerock/time/TimeSpan.java
+++ b/src/main/java/sprucerock/time/TimeSpan.java
@@ -51,7 +51,7 @@
   }
 
   /** How many times the other span fits into this one. */
-  public double per(TimeSpan other) {
+  public double dividedBy(TimeSpan other) {
     return ms / other.ms;
   }
 
--- a/src/main/java/sprucerock/time/Timestamp.java
+++ b/src/main/java/sprucerock/time/Timestamp.java
@@ -32,12 +32,12 @@
   }
 
   /** The earlier one of both. */
-  public Timestamp earlier(Timestamp other) {
+  public Timestamp earlierOf(Timestamp other) {
     return ms <= other.ms ? this : other;
   }
 
   /** The later one of both. */
-  public Timestamp later(Timestamp other) {
+  public Timestamp laterOf(Timestamp other) {
     return ms >= other.ms ? this : other;
   }
 
--- a/src/test/java/sprucerock/agent/AgentTest.java
+++ b/src/test/java/sprucerock/agent/AgentTest.java
@@ -41,7 +41,7 @@
       Timestamp until = now.plus(TimeSpan.ofMs(ms));
       while (!timers.isEmpty() && !timers.peek().when.after(until)) {
         Timer next = timers.poll();
-        now = now.later(next.when);
+        now = now.laterOf(next.when);
         next.task.run();
       }
       now = until;
--- a/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
+++ b/src/test/java/sprucerock/compat/PeerMessagesCompatTest.java
@@ -77,8 +77,8 @@
   private static StageEvidence evidence(Relay relay) {
     StageEvidence evidence = new StageEvidence(2, 80);
     evidence.pairs = 260; // told as 255
-    evidence.canaryFailed(relay.first);
-    evidence.canaryFailed(relay.second);
+    evidence.recordCanaryFailure(relay.first);
+    evidence.recordCanaryFailure(relay.second);
     evidence.baselineFailures = 1;
     return evidence;
   }
--- a/src/test/java/sprucerock/policy/CanaryVoteTest.java
+++ b/src/test/java/sprucerock/policy/CanaryVoteTest.java
@@ -9,7 +9,7 @@
 /** What a vote on a stage may go by: whose pairs, of which endpoints. */
 public class CanaryVoteTest {
   /** Peers tell of so many pairs in this stage, all alike. */
-  private static void peersReport(FakeRelayActions relay, int stage, int pairs) {
+  private static void reportPeerPairs(FakeRelayActions relay, int stage, int pairs) {
     for (int sender = 1; sender <= 2; sender++) {
       relay.policy.peerMessageReceived(
           sender, new byte[] {3, 2, (byte) stage, (byte) (pairs / 2), 0, 0, 0, 0});
@@ -20,9 +20,9 @@
   public void stageMovesOnWithItsEndpointsListed() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
     relay.advance(1500);
-    peersReport(relay, 2, 200);
+    reportPeerPairs(relay, 2, 200);
     relay.advance(500);
-    relay.endpoint(relay.canary, relay.now().minus(sprucerock.time.TimeSpan.ofMs(500)));
+    relay.listEndpoint(relay.canary, relay.now().minus(sprucerock.time.TimeSpan.ofMs(500)));
     relay.advance(150);
     assertEquals(relay.votes, java.util.List.of(Verdict.ON));
   }
@@ -30,7 +30,7 @@
   @Test
   public void stageWhoseEndpointsAreNeverListedMovesOnWithinEightSeconds() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
-    peersReport(relay, 2, 200);
+    reportPeerPairs(relay, 2, 200);
     relay.advance(8150);
     assertTrue(relay.votes.contains(Verdict.ON));
   }
@@ -38,15 +38,16 @@
   @Test
   public void firstStageCountsPairsOfItsOwnEndpoints() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(3, 0, 0.1);
-    peersReport(relay, 0, 40);
+    reportPeerPairs(relay, 0, 40);
     assertTrue(relay.votes.contains(Verdict.ON));
   }
 
   @Test
   public void goodBuildOnSoundMachinesIsNeverTakenBackAndABadOneNearlyAlways() {
-    assertEquals(VoteStudy.takenBack(100, 0, 0, 11), 0.0);
-    assertTrue(VoteStudy.takenBack(100, 0.1, 0, 11) >= 0.98);
+    assertEquals(VoteStudy.shareRolledBack(100, 0, 0, 11), 0.0);
+    assertTrue(VoteStudy.shareRolledBack(100, 0.1, 0, 11) >= 0.98);
     assertTrue(
-        VoteStudy.takenBack(100, 0.2, 0.05, 11) >= 0.95, "few faulty machines hide a bad build");
+        VoteStudy.shareRolledBack(100, 0.2, 0.05, 11) >= 0.95,
+        "few faulty machines hide a bad build");
   }
 }
--- a/src/test/java/sprucerock/policy/FakeRelayActions.java
+++ b/src/test/java/sprucerock/policy/FakeRelayActions.java
@@ -98,7 +98,7 @@
   /** Warm endpoints of the baseline, and news that it is the released build. */
   FakeRelayActions withBaseline(int endpoints) {
     for (int i = 0; i < endpoints; i++) {
-      endpoint(baseline, null);
+      listEndpoint(baseline, null);
     }
     tracker.rolloutChanged(1, 2, RolloutState.RELEASED, 1, now.minus(TimeSpan.ofMs(60_000)));
     return this;
@@ -107,21 +107,21 @@
   /** So many warm endpoints of the canary, and news that puts it on trial. */
   FakeRelayActions withCanary(int endpoints, int stage, double cap) {
     for (int i = 0; i < endpoints; i++) {
-      endpoint(canary, now.minus(TimeSpan.ofMs(20_000)));
+      listEndpoint(canary, now.minus(TimeSpan.ofMs(20_000)));
     }
     tracker.rolloutChanged(2, stage, RolloutState.ON_TRIAL, cap, now);
     return this;
   }
 
-  Endpoint endpoint(Build build, Timestamp started) {
+  Endpoint listEndpoint(Build build, Timestamp started) {
     return tracker.endpointListed(nextId++, 0, 0, 0, build.number, started, 1, true);
   }
 
-  Rpc rpc(int method) {
-    return rpc(method, 0, 4000);
+  Rpc arriveRpc(int method) {
+    return arriveRpc(method, 0, 4000);
   }
 
-  Rpc rpc(int method, long key, double leftMs) {
+  Rpc arriveRpc(int method, long key, double leftMs) {
     return tracker.rpcArrived(
         nextId++,
         settings.methods.get(method),
@@ -137,19 +137,19 @@
    * The first idempotent RPC of the key that gets a shadow request; those before it are answered
    * ok.
    */
-  Rpc firstShadowed(long key) {
+  Rpc arriveUntilShadowed(long key) {
     for (int i = 0; i < 100; i++) {
-      Rpc rpc = rpc(0, key, 4000);
+      Rpc rpc = arriveRpc(0, key, 4000);
       if (rpc.attempts.size() == 2) {
         return rpc;
       }
       advance(50);
-      endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     throw new AssertionError("no RPC got a shadow request");
   }
 
-  void end(Attempt attempt, AttemptOutcome outcome) {
+  void endAttempt(Attempt attempt, AttemptOutcome outcome) {
     boolean closes = outcome == AttemptOutcome.OK || attempt.rpc.ended();
     tracker.attemptEnded(attempt, outcome, now.since(attempt.sent), closes);
   }
@@ -157,10 +157,10 @@
   /**
    * Ends all attempts that are out, those at the canary with one outcome, the others with another.
    */
-  void endAll(AttemptOutcome atCanary, AttemptOutcome atBaseline) {
+  void endAllInFlight(AttemptOutcome atCanary, AttemptOutcome atBaseline) {
     for (Attempt attempt : List.copyOf(sent)) {
       if (attempt.outcome() == null) {
-        end(attempt, attempt.endpoint.build == canary ? atCanary : atBaseline);
+        endAttempt(attempt, attempt.endpoint.build == canary ? atCanary : atBaseline);
       }
     }
   }
@@ -170,11 +170,11 @@
   }
 
   /** Idempotent RPCs, one every so many milliseconds, all answered ok after 40 ms. */
-  void traffic(int rpcs, double gapMs) {
+  void runTraffic(int rpcs, double gapMs) {
     for (int i = 0; i < rpcs; i++) {
-      rpc(0);
+      arriveRpc(0);
       advance(40);
-      endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
       advance(gapMs - 40);
     }
   }
@@ -183,7 +183,7 @@
     Timestamp until = now.plus(TimeSpan.ofMs(ms));
     while (!timers.isEmpty() && !timers.peek().when.after(until)) {
       Timer timer = timers.poll();
-      now = now.later(timer.when);
+      now = now.laterOf(timer.when);
       timer.what.run();
     }
     now = until;
--- a/src/test/java/sprucerock/policy/RoutingPolicyTest.java
+++ b/src/test/java/sprucerock/policy/RoutingPolicyTest.java
@@ -20,18 +20,18 @@
 
 /** One relay's decisions, each at a rule's edge or in a failure that was met. */
 public class RoutingPolicyTest {
-  private static final String ALONE = "permissions.second_copies=false";
-  private static final String ONE_WAY = "specifics.keys_stay=true";
+  private static final String NO_HEDGING = "permissions.second_copies=false";
+  private static final String ONE_WAY_KEYS = "specifics.keys_stay=true";
 
   @Test
   public void everyRpcIsAnsweredBeforeItsClientLeaves() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
-    Rpc order = relay.rpc(2, 0, 1000);
+    Rpc order = relay.arriveRpc(2, 0, 1000);
     relay.advance(985);
     assertTrue(relay.failed.isEmpty());
     relay.advance(10);
     assertSame(relay.failed.get(0), order);
-    relay.end(relay.sent.get(0), AttemptOutcome.ERROR);
+    relay.endAttempt(relay.sent.get(0), AttemptOutcome.ERROR);
     relay.advance(5000);
     assertEquals(relay.sent.size(), 1);
     assertEquals(relay.failed.size() + relay.rejected.size(), 1);
@@ -40,10 +40,10 @@
   @Test
   public void nonIdempotentRequestIsRetriedOnlyIfItProvablyNeverRan() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
-    relay.rpc(2);
-    relay.end(relay.sent.get(0), AttemptOutcome.FULL);
+    relay.arriveRpc(2);
+    relay.endAttempt(relay.sent.get(0), AttemptOutcome.FULL);
     assertEquals(relay.sent.size(), 2);
-    relay.end(relay.sent.get(1), AttemptOutcome.BROKEN);
+    relay.endAttempt(relay.sent.get(1), AttemptOutcome.BROKEN);
     assertEquals(relay.sent.size(), 2);
     assertEquals(relay.failed.size(), 1);
     assertTrue(relay.rejected.isEmpty());
@@ -52,14 +52,14 @@
   @Test
   public void keyedRequestIsRetriedOnlyInsideItsWindow() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
-    relay.rpc(1);
-    relay.end(relay.sent.get(0), AttemptOutcome.ERROR);
+    relay.arriveRpc(1);
+    relay.endAttempt(relay.sent.get(0), AttemptOutcome.ERROR);
     assertEquals(relay.sent.size(), 2);
     relay.advance(1999);
     int sent = relay.sent.size();
     for (Attempt attempt : relay.sent) {
       if (attempt.outcome() == null) {
-        relay.end(attempt, AttemptOutcome.ERROR);
+        relay.endAttempt(attempt, AttemptOutcome.ERROR);
       }
     }
     assertEquals(relay.sent.size(), sent);
@@ -70,22 +70,22 @@
   public void keyedRequestStaysInItsGroupOnceItMayHaveRun() {
     FakeRelayActions relay = new FakeRelayActions("classes.1.group=zone").withBaseline(1);
     Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
-    Rpc order = relay.rpc(1);
-    relay.end(order.attempts.get(0), AttemptOutcome.ERROR);
+    Rpc order = relay.arriveRpc(1);
+    relay.endAttempt(order.attempts.get(0), AttemptOutcome.ERROR);
     assertEquals(order.attempts.size(), 1);
     assertSame(relay.failed.get(0), order);
   }
 
   @Test
   public void neverTwoAttemptsOutWhereHedgingIsBarred() {
-    FakeRelayActions relay = new FakeRelayActions(ALONE).withBaseline(4).withCanary(2, 1, 0.4);
+    FakeRelayActions relay = new FakeRelayActions(NO_HEDGING).withBaseline(4).withCanary(2, 1, 0.4);
     for (int i = 0; i < 20; i++) {
-      Rpc rpc = relay.rpc(i % 3);
+      Rpc rpc = relay.arriveRpc(i % 3);
       relay.advance(60);
       assertTrue(rpc.inFlight() <= 1);
-      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     }
-    Rpc slow = relay.rpc(0);
+    Rpc slow = relay.arriveRpc(0);
     relay.advance(1400);
     assertEquals(slow.attempts.size(), 1);
   }
@@ -96,7 +96,7 @@
     Endpoint left = relay.baseline.endpoints.get(0);
     relay.tracker.endpointRemoved(left.id);
     for (int i = 0; i < 20; i++) {
-      relay.rpc(0);
+      relay.arriveRpc(0);
     }
     assertTrue(relay.sent.stream().noneMatch(attempt -> attempt.endpoint == left));
   }
@@ -104,10 +104,10 @@
   @Test
   public void coldEndpointGetsLessThanAWarmOne() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
-    relay.traffic(40, 50);
-    Endpoint cold = relay.endpoint(relay.baseline, relay.now());
+    relay.runTraffic(40, 50);
+    Endpoint cold = relay.listEndpoint(relay.baseline, relay.now());
     int before = relay.sent.size();
-    relay.traffic(20, 50);
+    relay.runTraffic(20, 50);
     long atCold =
         relay.sent.stream().skip(before).filter(attempt -> attempt.endpoint == cold).count();
     assertTrue(atCold <= 3, "sent " + atCold);
@@ -116,7 +116,7 @@
   @Test
   public void attemptsAtTheCanaryStayUnderTheCap() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 0.1);
-    relay.traffic(100, 50);
+    relay.runTraffic(100, 50);
     long copies = relay.sentTo(relay.canary);
     assertTrue(copies > 3 && copies <= 3 + 0.1 * 100, "shadow requests " + copies);
   }
@@ -124,11 +124,11 @@
   @Test
   public void unannouncedOrWithdrawnBuildGetsNothing() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
-    relay.endpoint(relay.canary, relay.now().minus(TimeSpan.ofMs(9000)));
-    relay.traffic(10, 50);
+    relay.listEndpoint(relay.canary, relay.now().minus(TimeSpan.ofMs(9000)));
+    relay.runTraffic(10, 50);
     assertEquals(relay.sentTo(relay.canary), 0);
     relay.tracker.rolloutChanged(2, 0, RolloutState.GOING_BACK, 0, relay.now());
-    relay.traffic(10, 50);
+    relay.runTraffic(10, 50);
     assertEquals(relay.sentTo(relay.canary), 0);
   }
 
@@ -136,10 +136,10 @@
   public void requestsWithEffectsAreNeverShadowedAndStayOutOfTheFirstStage() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 1.0);
     for (int i = 0; i < 20; i++) {
-      Rpc rpc = relay.rpc(1 + i % 2);
+      Rpc rpc = relay.arriveRpc(1 + i % 2);
       relay.advance(50);
       assertEquals(rpc.attempts.size(), 1);
-      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     assertEquals(relay.sentTo(relay.canary), 0);
   }
@@ -147,79 +147,80 @@
   @Test
   public void shadowRequestGoesBesideTheBaselineAndTheFirstOkAnswers() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
-    relay.traffic(40, 50);
+    relay.runTraffic(40, 50);
     relay.withCanary(3, 1, 1.0);
-    Rpc rpc = relay.firstShadowed(0);
+    Rpc rpc = relay.arriveUntilShadowed(0);
     assertSame(rpc.attempts.get(0).endpoint.build, relay.baseline);
     assertSame(rpc.attempts.get(1).endpoint.build, relay.canary);
-    relay.end(rpc.attempts.get(1), AttemptOutcome.OK);
+    relay.endAttempt(rpc.attempts.get(1), AttemptOutcome.OK);
     assertTrue(rpc.ended());
     assertTrue(relay.cancelled.isEmpty());
   }
 
   @Test
   public void keyThatTheCanaryAnsweredNeverGoesBackToTheBaseline() {
-    FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(4);
+    FakeRelayActions relay = new FakeRelayActions(ONE_WAY_KEYS).withBaseline(4);
     for (long key = 100; key < 140; key++) {
-      relay.rpc(0, key, 4000);
+      relay.arriveRpc(0, key, 4000);
       relay.advance(50);
-      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     relay.withCanary(3, 1, 1.0);
-    relay.firstShadowed(7);
-    relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    relay.arriveUntilShadowed(7);
+    relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     relay.advance(500);
     int pushed = relay.rejected.size();
-    Rpc second = relay.rpc(2, 7, 4000);
+    Rpc second = relay.arriveRpc(2, 7, 4000);
     for (Attempt attempt : second.attempts) {
       assertSame(attempt.endpoint.build, relay.canary);
     }
     assertEquals(relay.rejected.size() - pushed + second.attempts.size(), 1);
     relay.tracker.rolloutChanged(2, 1, RolloutState.GOING_BACK, 0, relay.now());
-    Rpc third = relay.rpc(2, 7, 4000);
+    Rpc third = relay.arriveRpc(2, 7, 4000);
     assertSame(third.attempts.get(0).endpoint.build, relay.baseline);
   }
 
   @Test
   public void baselineEndpointsThatComeBackBeforeTheNewsGetNoKey() {
-    FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(2).withCanary(4, 2, 1.0);
+    FakeRelayActions relay =
+        new FakeRelayActions(ONE_WAY_KEYS).withBaseline(2).withCanary(4, 2, 1.0);
     relay.tracker.rolloutChanged(2, 2, RolloutState.RELEASED, 1, relay.now());
     for (Endpoint endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
       relay.tracker.endpointRemoved(endpoint.id);
     }
-    relay.rpc(0, 7, 4000);
+    relay.arriveRpc(0, 7, 4000);
     relay.advance(50);
-    relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+    relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     for (Endpoint endpoint : java.util.List.copyOf(relay.canary.endpoints)) {
       relay.tracker.endpointRemoved(endpoint.id);
     }
-    relay.endpoint(relay.baseline, relay.now().minus(TimeSpan.ofMs(9000)));
-    relay.rpc(0, 7, 4000);
+    relay.listEndpoint(relay.baseline, relay.now().minus(TimeSpan.ofMs(9000)));
+    relay.arriveRpc(0, 7, 4000);
     assertEquals(relay.sentTo(relay.baseline), 0);
   }
 
   @Test
   public void popularKeyIsNotMadeSticky() {
-    FakeRelayActions relay = new FakeRelayActions(ONE_WAY).withBaseline(4);
+    FakeRelayActions relay = new FakeRelayActions(ONE_WAY_KEYS).withBaseline(4);
     for (int i = 0; i < 40; i++) {
-      relay.rpc(0, 7, 4000);
+      relay.arriveRpc(0, 7, 4000);
       relay.advance(50);
-      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     relay.withCanary(3, 0, 0.1);
     relay.advance(2000);
-    assertEquals(relay.rpc(0, 7, 4000).attempts.size(), 1);
+    assertEquals(relay.arriveRpc(0, 7, 4000).attempts.size(), 1);
   }
 
   @Test
   public void failedShadowRequestsBesideServedOnesSendTheBuildBack() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
-    relay.traffic(40, 50);
+    relay.runTraffic(40, 50);
     relay.withCanary(3, 1, 1.0);
     for (int i = 0; i < 40 && !relay.votes.contains(Verdict.BACK); i++) {
-      relay.rpc(0);
+      relay.arriveRpc(0);
       relay.advance(50);
-      relay.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.ERROR, AttemptOutcome.OK);
     }
     assertTrue(relay.votes.contains(Verdict.BACK));
   }
@@ -227,12 +228,13 @@
   @Test
   public void timeOutsAndFullEndpointsAreNoFailures() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
-    relay.traffic(40, 50);
+    relay.runTraffic(40, 50);
     relay.withCanary(3, 1, 1.0);
     for (int i = 0; i < 60; i++) {
-      relay.rpc(0);
+      relay.arriveRpc(0);
       relay.advance(50);
-      relay.endAll(i % 2 == 0 ? AttemptOutcome.FULL : AttemptOutcome.TIMED_OUT, AttemptOutcome.OK);
+      relay.endAllInFlight(
+          i % 2 == 0 ? AttemptOutcome.FULL : AttemptOutcome.TIMED_OUT, AttemptOutcome.OK);
     }
     assertFalse(relay.votes.contains(Verdict.BACK));
   }
@@ -241,17 +243,17 @@
   public void oneSidedKsSeesOnlyTheSlowerSide() {
     double[] fast = {1, 2, 3, 4};
     double[] slow = {5, 6, 7, 8};
-    assertEquals(KolmogorovSmirnov.slowerSide(slow, fast), 1.0);
-    assertEquals(KolmogorovSmirnov.slowerSide(fast, slow), 0.0);
-    assertEquals(KolmogorovSmirnov.slowerSide(fast, fast), 0.0);
+    assertEquals(KolmogorovSmirnov.oneSidedDistance(slow, fast), 1.0);
+    assertEquals(KolmogorovSmirnov.oneSidedDistance(fast, slow), 0.0);
+    assertEquals(KolmogorovSmirnov.oneSidedDistance(fast, fast), 0.0);
   }
 
   @Test
   public void voteForAGoodBuildIsRenewedAndCastAgainWhenLost() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
-    relay.traffic(40, 50);
+    relay.runTraffic(40, 50);
     relay.withCanary(3, 0, 0.4);
-    relay.traffic(120, 50);
+    relay.runTraffic(120, 50);
     assertTrue(relay.votes.contains(Verdict.ON));
     relay.policy.voteAnswered(VoteReply.TOO_MANY);
     int cast = relay.votes.size();
@@ -269,7 +271,7 @@
     FakeRelayActions relay = new FakeRelayActions("specifics.vote_mode=majority").withBaseline(2);
     relay.tracker.rolloutChanged(2, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
     relay.advance(1000);
-    relay.endpoint(relay.canary, relay.now());
+    relay.listEndpoint(relay.canary, relay.now());
     relay.advance(2900);
     assertTrue(relay.votes.isEmpty());
     relay.advance(300);
@@ -279,8 +281,8 @@
   @Test
   public void silentEndpointIsPassedByWithAFurtherAttempt() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
-    relay.traffic(20, 50);
-    Rpc rpc = relay.rpc(0);
+    relay.runTraffic(20, 50);
+    Rpc rpc = relay.arriveRpc(0);
     relay.advance(700);
     assertEquals(rpc.attempts.size(), 2);
     assertNotSame(rpc.attempts.get(0).endpoint, rpc.attempts.get(1).endpoint);
@@ -291,11 +293,12 @@
     FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
     Endpoint bad = relay.baseline.endpoints.get(0);
     for (int i = 0; i < 60; i++) {
-      relay.rpc(0);
+      relay.arriveRpc(0);
       relay.advance(30);
       for (Attempt attempt : java.util.List.copyOf(relay.sent)) {
         if (attempt.outcome() == null) {
-          relay.end(attempt, attempt.endpoint == bad ? AttemptOutcome.ERROR : AttemptOutcome.OK);
+          relay.endAttempt(
+              attempt, attempt.endpoint == bad ? AttemptOutcome.ERROR : AttemptOutcome.OK);
         }
       }
     }
@@ -307,7 +310,7 @@
   public void overloadIsRejectedAtOnce() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
     for (int i = 0; i < 60; i++) {
-      relay.rpc(0);
+      relay.arriveRpc(0);
       relay.advance(10);
     }
     assertFalse(relay.rejected.isEmpty());
@@ -319,14 +322,14 @@
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
     for (int i = 0; i < 200; i++) {
       // 100 a second from nothing, each answered after 100 ms
-      relay.rpc(0);
+      relay.arriveRpc(0);
       relay.advance(10);
       if (i >= 9) {
         relay.sent.stream()
             .filter(attempt -> attempt.outcome() == null)
             .limit(1)
             .toList()
-            .forEach(attempt -> relay.end(attempt, AttemptOutcome.OK));
+            .forEach(attempt -> relay.endAttempt(attempt, AttemptOutcome.OK));
       }
     }
     assertTrue(relay.rejected.isEmpty(), relay.rejected.size() + " rejected");
@@ -336,15 +339,15 @@
   public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheShadowRequests() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(8);
     relay.advance(2500);
-    relay.traffic(80, 50);
+    relay.runTraffic(80, 50);
     relay.withCanary(3, 1, 0.4);
     int copied = 0;
     for (int i = 0; i < 900 && !relay.votes.contains(Verdict.BACK); i++) {
-      if (relay.rpc(0).attempts.size() > 1) {
+      if (relay.arriveRpc(0).attempts.size() > 1) {
         copied = i;
       }
       relay.advance(i - copied < 12 ? 200 : 40);
-      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
       relay.advance(10);
     }
     assertTrue(relay.votes.contains(Verdict.BACK));
@@ -359,9 +362,9 @@
     }
     relay.advance(16_000);
     for (int i = 0; i < 40; i++) {
-      relay.rpc(2);
+      relay.arriveRpc(2);
       relay.advance(50);
-      relay.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.ERROR, AttemptOutcome.OK);
     }
     assertFalse(relay.votes.contains(Verdict.BACK));
   }
@@ -374,9 +377,9 @@
       relay.tracker.endpointRemoved(endpoint.id);
     }
     for (int i = 0; i < 40; i++) {
-      relay.rpc(2);
+      relay.arriveRpc(2);
       relay.advance(50);
-      relay.endAll(AttemptOutcome.ERROR, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.ERROR, AttemptOutcome.OK);
     }
     assertTrue(relay.votes.contains(Verdict.BACK));
   }
@@ -412,7 +415,7 @@
     }
     for (int i = 0; i < 4; i++) {
       relay.policy.peerMessageReceived(0, reports.encodeLoads(2, 0, relay.now()));
-      assertNotSame(relay.rpc(0).attempts.get(0).endpoint, full);
+      assertNotSame(relay.arriveRpc(0).attempts.get(0).endpoint, full);
     }
     assertEquals(relay.recipients, java.util.List.of(0, 0, 0, 0));
   }
@@ -420,7 +423,7 @@
   @Test
   public void nextRelayBecomesAggregatorWhereTheLastIsSilent() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
-    relay.traffic(80, 50);
+    relay.runTraffic(80, 50);
     assertTrue(relay.recipients.contains(0) && relay.recipients.contains(1));
     assertFalse(relay.recipients.contains(4));
   }
@@ -428,10 +431,10 @@
   @Test
   public void quietRelayRejectsByTheFleetsWait() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
-    relay.policy.peerMessageReceived(0, new byte[] {LoadReports.LOADS, 60});
-    assertTrue(relay.rpc(0).attempts.isEmpty());
+    relay.policy.peerMessageReceived(0, new byte[] {LoadReports.LOADS_MESSAGE, 60});
+    assertTrue(relay.arriveRpc(0).attempts.isEmpty());
     relay.advance(1500);
-    assertEquals(relay.rpc(0).attempts.size(), 1);
+    assertEquals(relay.arriveRpc(0).attempts.size(), 1);
   }
 
   @Test
@@ -439,9 +442,9 @@
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
     Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
     for (int i = 0; i < 60; i++) {
-      Attempt attempt = relay.rpc(0).attempts.get(0);
+      Attempt attempt = relay.arriveRpc(0).attempts.get(0);
       relay.advance(attempt.endpoint == far ? 600 : 50);
-      relay.endAll(AttemptOutcome.OK, AttemptOutcome.OK);
+      relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     }
     assertTrue(relay.sent.stream().skip(20).noneMatch(attempt -> attempt.endpoint == far));
   }
@@ -449,7 +452,7 @@
   @Test
   public void quietRelayStaysWithEndpointsThatItHasConnectionsTo() {
     FakeRelayActions relay = new FakeRelayActions("permissions.keepalive=20000").withBaseline(60);
-    relay.traffic(200, 400);
+    relay.runTraffic(200, 400);
     long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
     assertTrue(met <= 20, met + " endpoints met");
   }
@@ -459,7 +462,7 @@
     FakeRelayActions relay = new FakeRelayActions("permissions.keepalive=20000").withBaseline(60);
     for (int i = 0; i < 12; i++) {
       relay.advance(15_000);
-      relay.traffic(1, 400);
+      relay.runTraffic(1, 400);
     }
     long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
     assertTrue(met >= 10, met + " endpoints met");
--- a/src/test/java/sprucerock/policy/VoteStudy.java
+++ b/src/test/java/sprucerock/policy/VoteStudy.java
@@ -12,33 +12,33 @@
  * Pairs a stage are those of a herd day.
  */
 final class VoteStudy {
-  private static final int[] UNITS = {5, 30, 60};
-  private static final int[] PAIRS = {45, 60, 200};
+  private static final int[] ENDPOINTS_BY_STAGE = {5, 30, 60};
+  private static final int[] PAIRS_BY_STAGE = {45, 60, 200};
   private static final int SENDERS = 4;
-  private static final double ILL_FAILS = 0.65;
+  private static final double FAULTY_ENDPOINT_FAILURE_SHARE = 0.65;
 
   // the middle of the bench's 0.3 to 1
 
   private VoteStudy() {}
 
   /** Of so many trials the share taken back in some stage. */
-  static double takenBack(int trials, double badShare, double illShare, long seed) {
+  static double shareRolledBack(int trials, double badShare, double illShare, long seed) {
     Random random = new Random(seed);
     int back = 0;
     for (int i = 0; i < trials; i++) {
-      back += trial(random, badShare, illShare) ? 1 : 0;
+      back += isRolledBack(random, badShare, illShare) ? 1 : 0;
     }
     return (double) back / trials;
   }
 
-  private static boolean trial(Random random, double badShare, double illShare) {
+  private static boolean isRolledBack(Random random, double badShare, double illShare) {
     FakeRelayActions relay =
         new FakeRelayActions("balancers=" + (SENDERS + 1)).withBaseline(4).withCanary(5, 0, 0.1);
-    for (int stage = 0; stage < PAIRS.length; stage++) {
+    for (int stage = 0; stage < PAIRS_BY_STAGE.length; stage++) {
       if (stage > 0) {
         relay.tracker.rolloutChanged(2, stage, RolloutState.ON_TRIAL, 0.4, relay.now());
       }
-      boolean[] ill = new boolean[UNITS[stage]];
+      boolean[] ill = new boolean[ENDPOINTS_BY_STAGE[stage]];
       for (int i = 0; i < ill.length; i++) {
         ill[i] = random.nextDouble() < illShare;
       }
@@ -46,11 +46,12 @@
       for (int i = 0; i < SENDERS; i++) {
         told[i] = new byte[] {3, 2, (byte) stage, 0, 0, 0, 0, 0};
       }
-      for (int pair = 0; pair < PAIRS[stage]; pair++) {
+      for (int pair = 0; pair < PAIRS_BY_STAGE[stage]; pair++) {
         int endpoint = random.nextInt(ill.length);
-        boolean illFails = ill[endpoint] && random.nextDouble() < ILL_FAILS;
+        boolean illFails = ill[endpoint] && random.nextDouble() < FAULTY_ENDPOINT_FAILURE_SHARE;
         boolean fresh = illFails || random.nextDouble() < badShare;
-        boolean earlier = random.nextDouble() < illShare && random.nextDouble() < ILL_FAILS;
+        boolean earlier =
+            random.nextDouble() < illShare && random.nextDouble() < FAULTY_ENDPOINT_FAILURE_SHARE;
         byte[] report = told[pair % SENDERS].clone();
         // the policy keeps the last report
         report[3]++;
@@ -78,7 +79,7 @@
     for (double ill : new double[] {0, 0.05, 0.12, 0.2}) {
       StringBuilder row = new StringBuilder("| " + Math.round(100 * ill) + "% |");
       for (double bad : new double[] {0, 0.03, 0.06, 0.1, 0.2}) {
-        row.append(" ").append(takenBack(1000, bad, ill, 20261202)).append(" |");
+        row.append(" ").append(shareRolledBack(1000, bad, ill, 20261202)).append(" |");
       }
       System.out.println(row);
     }
--- a/src/test/java/sprucerock/scale/Cluster.java
+++ b/src/test/java/sprucerock/scale/Cluster.java
@@ -221,7 +221,7 @@
     Timestamp until = now.plus(TimeSpan.ofMs(ms));
     while (!timers.isEmpty() && !timers.peek().when.after(until)) {
       Timer timer = timers.poll();
-      now = now.later(timer.when);
+      now = now.laterOf(timer.when);
       timer.what.run();
     }
     now = until;
--- a/src/test/java/sprucerock/scale/ListsCount.java
+++ b/src/test/java/sprucerock/scale/ListsCount.java
@@ -151,7 +151,7 @@
       }
       long after = heap();
       System.out.printf("%d %d%n", n, after - before);
-      if (tenants.timesShare(0, sprucerock.time.Timestamp.ofMs(0)) < 0) {
+      if (tenants.quotaMultiple(0, sprucerock.time.Timestamp.ofMs(0)) < 0) {
         throw new IllegalStateException();
       }
     }
--- a/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
+++ b/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
@@ -48,13 +48,13 @@
  * same, in the same order.
  */
 public class RelayAndSimulatorParityTest {
-  private static final double START = 1000;
-  private static final double STEP = 5;
-  private static final int STEPS = 2600;
-  private static final int[] DEADLINES = {1502, 2002, 903};
+  private static final double START_MS = 1000;
+  private static final double STEP_MS = 5;
+  private static final int STEP_COUNT = 2600;
+  private static final int[] DEADLINES_MS = {1502, 2002, 903};
   // by method; between the steps, like real ones
 
-  private static final String TEXT =
+  private static final String SETTINGS =
       """
         balancers=3
         classes.count=3
@@ -96,11 +96,11 @@
    * How and when an endpoint ends an attempt: the same at both hosts, by the attempt alone. Every
    * 20th is never answered.
    */
-  private static int latency(long rpc, int number) {
+  private static int latencyMs(long rpc, int number) {
     return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
   }
 
-  private static int outcome(long rpc, int number, long endpoint) {
+  private static int outcomeCode(long rpc, int number, long endpoint) {
     // 1 ok, 0 error, 2 full, -1 silence
     int dice = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
     if (endpoint >= 100 && dice < 30) {
@@ -110,158 +110,159 @@
   }
 
   /** What the stretch gives to a host; a listing's age is in milliseconds, 0 long ago. */
-  private interface Side {
+  private interface PolicyDriver {
     void step();
 
-    void rpc(long id, int method, long key);
+    void arriveRpc(long id, int method, long key);
 
-    void leave(long id);
+    void disconnectClient(long id);
 
-    void list(long endpoint, int build, int health, double age);
+    void listEndpoint(long endpoint, int build, int health, double age);
 
-    void news(int build, int stage, int standing, float cap, double lasted);
+    void changeRollout(int build, int stage, int standing, float cap, double lasted);
 
-    void counts(int build, int method, int attempts, int failed, double mean);
+    void sendCounts(int build, int method, int attempts, int failed, double mean);
 
-    void peer(int sender, byte[] contents);
+    void sendPeerMessage(int sender, byte[] contents);
 
-    void flag(long endpoint, double ago);
+    void reportWrongAnswer(long endpoint, double ago);
   }
 
-  private static void play(Side side) {
+  private static void playEvents(PolicyDriver side) {
     SplittableRandom random = new SplittableRandom(7);
     for (int endpoint = 1; endpoint <= 5; endpoint++) {
-      side.list(endpoint, 1, 1, 0);
+      side.listEndpoint(endpoint, 1, 1, 0);
     }
-    side.news(1, 2, 2, 1, 60_000);
+    side.changeRollout(1, 2, 2, 1, 60_000);
     long lastRpc = 0;
-    for (int i = 0; i < STEPS; i++) {
+    for (int i = 0; i < STEP_COUNT; i++) {
       side.step();
       if (i == 300) {
-        side.list(2, 1, 2, 0);
+        side.listEndpoint(2, 1, 2, 0);
       }
       if (i == 340) {
-        side.list(2, 1, 0, 0);
+        side.listEndpoint(2, 1, 0, 0);
       }
       if (i == 400) {
         for (int endpoint = 100; endpoint < 103; endpoint++) {
-          side.list(endpoint, 2, 1, 50);
+          side.listEndpoint(endpoint, 2, 1, 50);
         }
-        side.news(2, 0, 0, 0.125f, 10);
+        side.changeRollout(2, 0, 0, 0.125f, 10);
       }
       if (i == 1500) {
-        side.news(2, 1, 0, 0.5f, 20);
+        side.changeRollout(2, 1, 0, 0.5f, 20);
       }
       if (i == 2200) {
-        side.news(2, 1, 1, 0, 15);
+        side.changeRollout(2, 1, 1, 0, 15);
       }
       if (i == 2250) {
         for (int endpoint = 100; endpoint < 103; endpoint++) {
-          side.list(endpoint, 2, 2, 0);
+          side.listEndpoint(endpoint, 2, 2, 0);
         }
       }
       if (i == 900) {
-        side.list(3, 1, 1, 40);
+        side.listEndpoint(3, 1, 1, 40);
         // as another run
       }
       if (i % 400 == 399) {
         for (int method = 0; method < 3; method++) {
-          side.counts(1, method, 40, 2, 60);
+          side.sendCounts(1, method, 40, 2, 60);
         }
       }
       if (i == 1700) {
-        side.peer(1, new byte[] {3, 2, 1, 4, 1, 0, 1, 0});
+        side.sendPeerMessage(1, new byte[] {3, 2, 1, 4, 1, 0, 1, 0});
       }
       if (i == 1710) {
-        side.peer(2, new byte[] {1, 9, 9, 0});
+        side.sendPeerMessage(2, new byte[] {1, 9, 9, 0});
       }
       if (i == 1800) {
-        side.flag(101, 300);
+        side.reportWrongAnswer(101, 300);
       }
       if (random.nextInt(100) < 35) {
-        side.rpc(++lastRpc, random.nextInt(3), random.nextInt(50));
+        side.arriveRpc(++lastRpc, random.nextInt(3), random.nextInt(50));
       }
       if (lastRpc > 0 && random.nextInt(100) < 2) {
-        side.leave(lastRpc);
+        side.disconnectClient(lastRpc);
       }
     }
   }
 
   /** The bench's world around its adapter, as far as the stretch needs it. */
-  private static final class Bench implements Side {
-    private record Due(double when, long order, Runnable what) {}
+  private static final class SimulatorDriver implements PolicyDriver {
+    private record Timer(double when, long order, Runnable what) {}
 
-    private final RecordingRelayEvents told = new RecordingRelayEvents();
+    private final RecordingRelayEvents recorder = new RecordingRelayEvents();
     private final ReplyWriter replies = new ReplyWriter();
     private final SimulatedRelay relay =
         new SimulatedRelay(
             3,
             replies,
             (host, settings, seed) -> {
-              told.clock = host;
-              told.delegate = new RoutingPolicy(host, settings, seed);
-              return told;
+              recorder.clock = host;
+              recorder.delegate = new RoutingPolicy(host, settings, seed);
+              return recorder;
             });
-    private final PriorityQueue<Due> timers =
+    private final PriorityQueue<Timer> timers =
         new PriorityQueue<>(
             (a, b) ->
                 a.when != b.when ? Double.compare(a.when, b.when) : Long.compare(a.order, b.order));
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
     private final Map<Long, List<Long>> attempts = new HashMap<>();
-    private final Map<Long, Double> since = new HashMap<>();
+    private final Map<Long, Double> startedAt = new HashMap<>();
     private final Map<Long, Double> sentAt = new HashMap<>();
     private final Map<Long, Double> deadlines = new HashMap<>();
-    private final Map<Long, double[]> open = new HashMap<>();
-    private final List<String> ends = new ArrayList<>();
-    private final List<Runnable> votes = new ArrayList<>();
-    private double now = START;
+    private final Map<Long, double[]> openRpcs = new HashMap<>();
+    private final List<String> endedRpcs = new ArrayList<>();
+    private final List<Runnable> pendingVotes = new ArrayList<>();
+    private double now = START_MS;
     private long order;
     private News lastNews;
 
-    Bench() {
-      relay.start(Timestamp.ofMs(now), 1, TEXT);
-      act();
+    SimulatorDriver() {
+      relay.start(Timestamp.ofMs(now), 1, SETTINGS);
+      applyReplies();
     }
 
     private ByteBuffer fields(int bytes) {
       return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    private void take(int code, ByteBuffer fields) {
-      assertTrue(relay.take(code, fields.flip(), Timestamp.ofMs(now)));
-      act();
+    private void handleEvent(int code, ByteBuffer fields) {
+      assertTrue(relay.handleEvent(code, fields.flip(), Timestamp.ofMs(now)));
+      applyReplies();
     }
 
-    private void act() {
+    private void applyReplies() {
       ByteBuffer frame =
-          ByteBuffer.wrap(replies.frame(1)).order(ByteOrder.LITTLE_ENDIAN).position(12);
+          ByteBuffer.wrap(replies.takeFrame(1)).order(ByteOrder.LITTLE_ENDIAN).position(12);
       List<Runnable> cancels = new ArrayList<>();
       while (frame.hasRemaining()) {
         int code = frame.get() & 0xff;
         int end = frame.getInt() + frame.position();
         frame.getInt();
         switch (code) {
-          case 10 -> sent(frame.getInt(), frame.getInt(), frame.getDouble());
+          case 10 -> attemptSent(frame.getInt(), frame.getInt(), frame.getDouble());
           case 20, 30 -> {
             long id = frame.getInt();
-            if (!open.containsKey(id)) {
+            if (!openRpcs.containsKey(id)) {
               break;
             }
-            open.remove(id);
-            ends.add(id + (code == 20 ? " PUSHED_BACK" : " ABORTED"));
+            openRpcs.remove(id);
+            endedRpcs.add(id + (code == 20 ? " PUSHED_BACK" : " ABORTED"));
           }
           case 40 -> {
             long id = frame.getInt();
             int attempt = frame.get();
-            cancels.add(() -> returned(id, attempt, 6));
+            cancels.add(() -> attemptEnded(id, attempt, 6));
           }
           case 50 -> {
             int token = frame.getInt();
             timers.add(
-                new Due(frame.getDouble(), order++, () -> take(70, fields(4).putInt(token))));
+                new Timer(
+                    frame.getDouble(), order++, () -> handleEvent(70, fields(4).putInt(token))));
           }
           case 100 -> throw new AssertionError(new String(frame.array(), StandardCharsets.UTF_8));
-          case 130 -> votes.add(() -> answerVote());
+          case 130 -> pendingVotes.add(() -> answerVote());
           default -> {}
         }
         frame.position(end);
@@ -269,34 +270,34 @@
       cancels.forEach(Runnable::run);
     }
 
-    private void sent(long id, long endpoint, double timeoutMs) {
+    private void attemptSent(long id, long endpoint, double timeoutMs) {
       List<Long> endpoints = attempts.computeIfAbsent(id, key -> new ArrayList<>());
       int attempt = endpoints.size();
       endpoints.add(endpoint);
       sentAt.put(id * 100 + attempt, now);
       double until = Math.min(deadlines.get(id), timeoutMs > 0 ? now + timeoutMs : 1e12);
-      timers.add(new Due(until, order++, () -> returned(id, attempt, 3)));
-      int how = outcome(id, attempt, endpoint);
+      timers.add(new Timer(until, order++, () -> attemptEnded(id, attempt, 3)));
+      int how = outcomeCode(id, attempt, endpoint);
       if (how >= 0) {
         answers
-            .computeIfAbsent(now + latency(id, attempt), key -> new TreeMap<>())
-            .put(id * 100 + attempt, () -> returned(id, attempt, how));
+            .computeIfAbsent(now + latencyMs(id, attempt), key -> new TreeMap<>())
+            .put(id * 100 + attempt, () -> attemptEnded(id, attempt, how));
       }
     }
 
-    private void returned(long id, int attempt, int how) {
+    private void attemptEnded(long id, int attempt, int how) {
       Long endpoint = attempts.get(id).get(attempt);
       if (endpoint < 0) {
         return;
         // ended already
       }
       attempts.get(id).set(attempt, -1L);
-      boolean closes = !open.containsKey(id) || how == 1;
-      if (open.containsKey(id) && how == 1) {
-        open.remove(id);
-        ends.add(id + " OK");
+      boolean closes = !openRpcs.containsKey(id) || how == 1;
+      if (openRpcs.containsKey(id) && how == 1) {
+        openRpcs.remove(id);
+        endedRpcs.add(id + " OK");
       }
-      take(
+      handleEvent(
           50,
           fields(30)
               .putInt((int) id)
@@ -310,14 +311,14 @@
 
     @Override
     public void step() {
-      now += STEP;
+      now += STEP_MS;
       while (!timers.isEmpty() && timers.peek().when <= now + 1e-9) {
         timers.poll().what.run();
       }
-      for (Runnable vote : List.copyOf(votes)) {
+      for (Runnable vote : List.copyOf(pendingVotes)) {
         vote.run();
       }
-      votes.subList(0, votes.size()).clear();
+      pendingVotes.subList(0, pendingVotes.size()).clear();
       while (!answers.isEmpty() && answers.firstKey() <= now + 1e-9) {
         answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
       }
@@ -325,7 +326,7 @@
 
     private void answerVote() {
       News news = lastNews;
-      take(
+      handleEvent(
           110,
           fields(30)
               .putShort((short) news.getBuild())
@@ -338,45 +339,45 @@
     }
 
     @Override
-    public void rpc(long id, int method, long key) {
-      deadlines.put(id, now + DEADLINES[method]);
-      open.put(id, new double[0]);
-      take(
+    public void arriveRpc(long id, int method, long key) {
+      deadlines.put(id, now + DEADLINES_MS[method]);
+      openRpcs.put(id, new double[0]);
+      handleEvent(
           30,
           fields(50)
               .putInt((int) id)
               .putShort((short) method)
               .putInt(0)
               .putLong(key)
-              .putDouble(now + DEADLINES[method])
+              .putDouble(now + DEADLINES_MS[method])
               .putDouble(0)
               .put((byte) 0));
     }
 
     @Override
-    public void leave(long id) {
-      if (open.remove(id) != null) {
-        take(60, fields(4).putInt((int) id));
+    public void disconnectClient(long id) {
+      if (openRpcs.remove(id) != null) {
+        handleEvent(60, fields(4).putInt((int) id));
       }
     }
 
     @Override
-    public void list(long endpoint, int build, int health, double age) {
+    public void listEndpoint(long endpoint, int build, int health, double age) {
       if (age > 0) {
-        since.put(endpoint, now - age);
+        startedAt.put(endpoint, now - age);
       }
-      relay.listed(
+      relay.endpointListReceived(
           Timestamp.ofMs(now),
           0,
-          new SimulationHost.Entry[] {
-            new SimulationHost.Entry(
-                endpoint, 0, 0, 0, build, health, 1, since.getOrDefault(endpoint, 0.0))
+          new SimulationHost.ListedEndpoint[] {
+            new SimulationHost.ListedEndpoint(
+                endpoint, 0, 0, 0, build, health, 1, startedAt.getOrDefault(endpoint, 0.0))
           });
-      act();
+      applyReplies();
     }
 
     @Override
-    public void news(int build, int stage, int standing, float cap, double lasted) {
+    public void changeRollout(int build, int stage, int standing, float cap, double lasted) {
       lastNews =
           News.newBuilder()
               .setBuild(build)
@@ -384,7 +385,7 @@
               .setStandingValue(standing + 1)
               .setCap(cap)
               .build();
-      take(
+      handleEvent(
           110,
           fields(30)
               .putShort((short) build)
@@ -397,8 +398,8 @@
     }
 
     @Override
-    public void counts(int build, int method, int seen, int failed, double mean) {
-      take(
+    public void sendCounts(int build, int method, int seen, int failed, double mean) {
+      handleEvent(
           120,
           fields(40)
               .putShort((short) build)
@@ -410,32 +411,32 @@
     }
 
     @Override
-    public void peer(int sender, byte[] contents) {
-      take(90, fields(20).putInt(sender).putShort((short) contents.length).put(contents));
+    public void sendPeerMessage(int sender, byte[] contents) {
+      handleEvent(90, fields(20).putInt(sender).putShort((short) contents.length).put(contents));
     }
 
     @Override
-    public void flag(long endpoint, double ago) {
-      take(130, fields(20).putInt((int) endpoint).putShort((short) 0).putDouble(ago));
+    public void reportWrongAnswer(long endpoint, double ago) {
+      handleEvent(130, fields(20).putInt((int) endpoint).putShort((short) 0).putDouble(ago));
     }
   }
 
   /** The same stretch over the relay's links. */
-  private static final class Linked implements Side {
-    private final RecordingRelayEvents told = new RecordingRelayEvents();
-    private final SimulatedNet net = new SimulatedNet(START, STEP);
-    private final List<RecordingPeer> rosters = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
-    private final List<RecordingPeer> desks = RecordingPeer.listen(net, Role.DESK, 0, 1002);
-    private final Map<Long, List<RecordingPeer>> endpoints = new TreeMap<>();
-    private final Map<RecordingPeer, Integer> seen = new HashMap<>();
-    private final Map<Long, Integer> shots = new HashMap<>();
+  private static final class RelayDriver implements PolicyDriver {
+    private final RecordingRelayEvents recorder = new RecordingRelayEvents();
+    private final SimulatedNet net = new SimulatedNet(START_MS, STEP_MS);
+    private final List<RecordingPeer> discoveries = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
+    private final List<RecordingPeer> controllers = RecordingPeer.listen(net, Role.DESK, 0, 1002);
+    private final Map<Long, List<RecordingPeer>> endpointPeers = new TreeMap<>();
+    private final Map<RecordingPeer, Integer> readFrames = new HashMap<>();
+    private final Map<Long, Integer> attemptsByRpc = new HashMap<>();
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
     private final RecordingPeer client;
     private final Map<Integer, RecordingPeer> peers = new TreeMap<>();
     private int votesSeen;
     private News lastNews;
 
-    Linked() throws Exception {
+    RelayDriver() throws Exception {
       Path file = Files.createTempFile("both", ".xml");
       Files.writeString(
           file,
@@ -459,9 +460,9 @@
       Files.delete(file);
       relay.start(
           (host, settings, seed) -> {
-            told.clock = host;
-            told.delegate = new RoutingPolicy(host, settings, seed);
-            return told;
+            recorder.clock = host;
+            recorder.delegate = new RoutingPolicy(host, settings, seed);
+            return recorder;
           });
       client = RecordingPeer.connect(net, Role.CLIENT, 3, 1000);
       for (int i = 1; i < 3; i++) {
@@ -470,43 +471,43 @@
       net.settle();
     }
 
-    private void turn(Runnable what) {
+    private void runAndSettle(Runnable what) {
       net.turn(what);
       net.settle();
-      works();
+      answerNewWork();
     }
 
-    private void works() {
-      for (Map.Entry<Long, List<RecordingPeer>> endpoint : endpoints.entrySet()) {
+    private void answerNewWork() {
+      for (Map.Entry<Long, List<RecordingPeer>> endpoint : endpointPeers.entrySet()) {
         for (RecordingPeer connection : endpoint.getValue()) {
           List<RecordingPeer.ReceivedFrame> got = connection.received;
-          for (int i = seen.merge(connection, 0, Integer::sum); i < got.size(); i++) {
+          for (int i = readFrames.merge(connection, 0, Integer::sum); i < got.size(); i++) {
             if (got.get(i).kind() == FrameKind.WORK) {
-              work(
+              scheduleAnswer(
                   endpoint.getKey(),
                   connection,
                   (Work) got.get(i).head(),
                   ByteBuffer.wrap(got.get(i).body()).getLong());
             }
           }
-          seen.put(connection, got.size());
+          readFrames.put(connection, got.size());
         }
       }
     }
 
-    private void work(long endpoint, RecordingPeer connection, Work work, long rpc) {
-      int attempt = shots.merge(rpc, 1, Integer::sum) - 1;
-      int how = outcome(rpc, attempt, endpoint);
+    private void scheduleAnswer(long endpoint, RecordingPeer connection, Work work, long rpc) {
+      int attempt = attemptsByRpc.merge(rpc, 1, Integer::sum) - 1;
+      int how = outcomeCode(rpc, attempt, endpoint);
       if (how < 0) {
         return;
       }
       Result result = how == 1 ? Result.DONE : how == 2 ? Result.FULL : Result.ERROR;
       answers
-          .computeIfAbsent(net.now().ms() + latency(rpc, attempt), key -> new TreeMap<>())
+          .computeIfAbsent(net.now().ms() + latencyMs(rpc, attempt), key -> new TreeMap<>())
           .put(
               rpc * 100 + attempt,
               () ->
-                  turn(
+                  runAndSettle(
                       () ->
                           connection.send(
                               FrameKind.DONE,
@@ -515,21 +516,21 @@
 
     @Override
     public void step() {
-      net.pass(STEP);
-      works();
-      List<Vote> votes = desks.get(0).heads(FrameKind.VOTE);
+      net.pass(STEP_MS);
+      answerNewWork();
+      List<Vote> votes = controllers.get(0).heads(FrameKind.VOTE);
       for (int many = votes.size(); votesSeen < many; votesSeen++) {
         long id = votes.get(votesSeen).getId();
-        turn(
+        runAndSettle(
             () ->
-                desks
+                controllers
                     .get(0)
                     .send(
                         FrameKind.VOTED,
                         Voted.newBuilder().setId(id).setTaken(Taken.COUNTS).build()));
-        turn(
+        runAndSettle(
             () ->
-                desks
+                controllers
                     .get(0)
                     .send(FrameKind.NEWS, lastNews.toBuilder().setLastedUs(100_000).build()));
       }
@@ -539,9 +540,9 @@
     }
 
     @Override
-    public void rpc(long id, int method, long key) {
+    public void arriveRpc(long id, int method, long key) {
       byte[] body = ByteBuffer.allocate(8).putLong(id).array();
-      turn(
+      runAndSettle(
           () ->
               client.send(
                   FrameKind.CALL,
@@ -549,31 +550,31 @@
                       .setId(id)
                       .setMethod(method)
                       .setKey(key)
-                      .setLeftUs(DEADLINES[method] * 1000L)
+                      .setLeftUs(DEADLINES_MS[method] * 1000L)
                       .build(),
                   body));
     }
 
     @Override
-    public void leave(long id) {
-      turn(() -> client.send(FrameKind.LEAVE, Leave.newBuilder().setId(id).build()));
+    public void disconnectClient(long id) {
+      runAndSettle(() -> client.send(FrameKind.LEAVE, Leave.newBuilder().setId(id).build()));
     }
 
     @Override
-    public void list(long endpoint, int build, int health, double age) {
+    public void listEndpoint(long endpoint, int build, int health, double age) {
       int port = 2000 + (int) endpoint;
-      if (!endpoints.containsKey(endpoint)) {
+      if (!endpointPeers.containsKey(endpoint)) {
         try {
-          endpoints.put(endpoint, RecordingPeer.listen(net, Role.UNIT, (int) endpoint, port));
+          endpointPeers.put(endpoint, RecordingPeer.listen(net, Role.UNIT, (int) endpoint, port));
         } catch (java.io.IOException e) {
           throw new AssertionError(e);
         }
       }
       Health said = health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE;
       int run = endpoint == 3 && age > 0 ? 2 : 1;
-      turn(
+      runAndSettle(
           () ->
-              rosters
+              discoveries
                   .get(0)
                   .send(
                       FrameKind.LISTING,
@@ -593,7 +594,7 @@
     }
 
     @Override
-    public void news(int build, int stage, int standing, float cap, double lasted) {
+    public void changeRollout(int build, int stage, int standing, float cap, double lasted) {
       lastNews =
           News.newBuilder()
               .setBuild(build)
@@ -602,14 +603,14 @@
               .setCap(cap)
               .setLastedUs((long) (lasted * 1000))
               .build();
-      turn(() -> desks.get(0).send(FrameKind.NEWS, lastNews));
+      runAndSettle(() -> controllers.get(0).send(FrameKind.NEWS, lastNews));
     }
 
     @Override
-    public void counts(int build, int method, int attempts, int failed, double mean) {
-      turn(
+    public void sendCounts(int build, int method, int attempts, int failed, double mean) {
+      runAndSettle(
           () ->
-              desks
+              controllers
                   .get(0)
                   .send(
                       FrameKind.COUNTS,
@@ -623,8 +624,8 @@
     }
 
     @Override
-    public void peer(int sender, byte[] contents) {
-      turn(
+    public void sendPeerMessage(int sender, byte[] contents) {
+      runAndSettle(
           () ->
               peers
                   .get(sender)
@@ -635,15 +636,15 @@
     }
 
     @Override
-    public void flag(long endpoint, double ago) {
-      turn(
+    public void reportWrongAnswer(long endpoint, double ago) {
+      runAndSettle(
           () ->
               client.send(
                   FrameKind.FLAG,
                   Flag.newBuilder().setUnit(endpoint).setAgoUs((long) (ago * 1000)).build()));
     }
 
-    List<String> ends() {
+    List<String> endedRpcs() {
       return client.<Answer>heads(FrameKind.ANSWER).stream()
           .map(one -> one.getId() + " " + one.getEnding())
           .toList();
@@ -652,21 +653,23 @@
 
   @Test
   public void sameEventsCauseTheSamePolicyCallsInBothHosts() throws Exception {
-    Bench bench = new Bench();
-    Linked connected = new Linked();
-    play(bench);
-    play(connected);
-    for (int i = 0; i < Math.min(bench.told.calls.size(), connected.told.calls.size()); i++) {
+    SimulatorDriver bench = new SimulatorDriver();
+    RelayDriver connected = new RelayDriver();
+    playEvents(bench);
+    playEvents(connected);
+    for (int i = 0;
+        i < Math.min(bench.recorder.calls.size(), connected.recorder.calls.size());
+        i++) {
       int at = i;
       assertEquals(
-          connected.told.calls.get(i),
-          bench.told.calls.get(i),
-          "call " + i + " after " + bench.told.calls.subList(Math.max(0, at - 5), at));
+          connected.recorder.calls.get(i),
+          bench.recorder.calls.get(i),
+          "call " + i + " after " + bench.recorder.calls.subList(Math.max(0, at - 5), at));
     }
-    assertEquals(connected.told.calls.size(), bench.told.calls.size());
-    assertEquals(connected.ends(), bench.ends);
+    assertEquals(connected.recorder.calls.size(), bench.recorder.calls.size());
+    assertEquals(connected.endedRpcs(), bench.endedRpcs);
     // the comparison covers everything the policy can be notified of
-    String all = String.join("\n", bench.told.calls);
+    String all = String.join("\n", bench.recorder.calls);
     for (String part :
         new String[] {
           " OK answers",
@@ -684,6 +687,6 @@
         }) {
       assertTrue(all.contains(part), "no " + part);
     }
-    assertTrue(bench.told.calls.size() > 2000, "only " + bench.told.calls.size());
+    assertTrue(bench.recorder.calls.size() > 2000, "only " + bench.recorder.calls.size());
   }
 }
