--- a/src/main/java/sprucerock/policy/AttemptSender.java
+++ b/src/main/java/sprucerock/policy/AttemptSender.java
@@ -9,7 +9,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Sends attempts, with their time-outs, and tells all that keep count of them. */
+/** Sends attempts, sets their timeouts and updates the types that count attempts. */
 final class AttemptSender {
   private final RelayActions actions;
   private final Settings settings;
@@ -20,7 +20,7 @@
   private final LoadGossip gossip;
   private final Consumer<Attempt> overdueListener;
 
-  /** {@code whenOverdue} is told of each attempt from which nothing came within the usual time. */
+  /** Notifies {@code overdueListener} of each attempt without an answer in the expected time. */
   AttemptSender(
       RelayActions actions,
       Settings settings,
@@ -29,7 +29,7 @@
       SlowStartLimiter slowStart,
       LatencyTracker latency,
       LoadGossip gossip,
-      Consumer<Attempt> whenOverdue) {
+      Consumer<Attempt> overdueListener) {
     this.actions = actions;
     this.settings = settings;
     this.canary = canary;
@@ -37,7 +37,7 @@
     this.slowStart = slowStart;
     this.latency = latency;
     this.gossip = gossip;
-    this.overdueListener = whenOverdue;
+    this.overdueListener = overdueListener;
   }
 
   Attempt send(Rpc rpc, Endpoint endpoint, boolean shadow) {
@@ -47,32 +47,33 @@
       exposure.spendToken(rpc.method);
     }
     slowStart.attemptSent(endpoint, onTrial, now);
-    TimeSpan overdue = latency.overdueAfter(rpc);
-    Attempt attempt = new Attempt(rpc, endpoint, now, timeout(rpc, overdue, now));
+    TimeSpan overdueAfter = latency.overdueAfter(rpc);
+    Attempt attempt = new Attempt(rpc, endpoint, now, timeout(rpc, overdueAfter, now));
     attempt.shadow = shadow;
     attempt.writeBy = writeDeadline(rpc);
     actions.send(attempt);
     gossip.attemptStarted(endpoint);
-    actions.schedule(attempt, now.plus(overdue), () -> overdueListener.accept(attempt));
+    actions.schedule(attempt, now.plus(overdueAfter), () -> overdueListener.accept(attempt));
     return attempt;
   }
 
-  // Where one attempt must end before the next, it is cut only when lost: its work so far is thrown
-  // away.
-  private TimeSpan timeout(Rpc rpc, TimeSpan overdue, Timestamp now) {
-    TimeSpan lost = overdue.times(2);
-    boolean cut =
+  // Without hedging, an attempt must end before the next one starts. A timeout then discards the
+  // work done so far, so it is set only where the attempt can be taken for lost.
+  private TimeSpan timeout(Rpc rpc, TimeSpan overdueAfter, Timestamp now) {
+    TimeSpan lostAfter = overdueAfter.times(2);
+    boolean mayTimeOut =
         !settings.hedging
             && !rpc.method.mustNotBeCutShort()
             && rpc.attempts.size() + 1 < settings.maxAttempts
-            && rpc.deadline.since(now).over(lost.times(1.5));
-    return cut ? lost : null;
+            && rpc.deadline.since(now).over(lostAfter.times(1.5));
+    return mayTimeOut ? lostAfter : null;
   }
 
-  // rule 2: a retry that waits for a connection must not come up after its window
+  // Rule 2: a retry that waits for a connection must not be written after the lifetime of its
+  // idempotency key.
   private Timestamp writeDeadline(Rpc rpc) {
-    Attempt first = rpc.firstThatMayHaveRun();
-    boolean binds = first != null && rpc.method.idempotency == Method.Idempotency.KEYED;
-    return binds ? first.sent.plus(rpc.method.keyLifetime).minus(settings.tick) : null;
+    Attempt mayHaveRun = rpc.firstThatMayHaveRun();
+    boolean keyExpires = mayHaveRun != null && rpc.method.idempotency == Method.Idempotency.KEYED;
+    return keyExpires ? mayHaveRun.sent.plus(rpc.method.keyLifetime).minus(settings.tick) : null;
   }
 }
--- a/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
+++ b/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
@@ -9,30 +9,32 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Whether the baseline got slower since the canary was offered, and whether that follows the
- * exposure.
+ * Detects whether the baseline got slower since the canary trial began, and whether the slowdown
+ * follows the canary's exposure.
  *
- * <p>A build may slow old and new endpoints alike, and then every pair matches. So where the
- * baseline runs slower than before the offer, shadow requests stop for a while: if the pace comes
- * back, and goes again as they do, it follows exposure and the build is to blame; else the build is
- * excused until the pace is good. All relays see the same, so they stop together. Harms where an
- * outside slowdown comes in step.
+ * <p>A build may slow down old and new endpoints alike, so that the latencies of every shadow pair
+ * match. When the baseline is slower than before the trial, shadow requests are therefore paused.
+ * If latencies recover during the pause and get worse again after it, the slowdown follows exposure
+ * and the build is to blame. If they do not recover, the build is cleared until they do. All relays
+ * see the same slowdown, so they pause together. A slowdown from another cause that happens to
+ * coincide with the pauses is wrongly blamed on the build.
  */
 final class BaselinePaceMonitor {
-  /** Sources of {@link #observe}. */
+  /** Source of latencies for {@link #observe}: this relay's attempts. */
   static final int OWN_ATTEMPTS = 0;
 
+  /** Source of latencies for {@link #observe}: the controller's counts. */
   static final int FLEET_COUNTS = 1;
 
   private static final int SOURCES = 2;
   private static final double IGNORED_AFTER_START_MS =
-      2000; // a fleet that just woke has no queues yet
+      2000; // just after a start there are no queues
   private static final double WATCH_AFTER_RELEASE_MS = 15000;
-  private static final double GOOD_LOG_SLOWDOWN = 0.2; // in logarithms
+  private static final double GOOD_LOG_SLOWDOWN = 0.2;
   private static final TimeSpan MIN_PAUSE_LENGTH = TimeSpan.ofMs(500);
   private static final double PAUSE_AFTER_SLOW_MS = 700;
   private static final double DOUBT_AFTER_RESUMING_MS = 3000;
-  private static final double QUEUE_DRAIN_MS = 5000; // twice what a queue needs to drain
+  private static final double QUEUE_DRAIN_MS = 5000; // twice the time in which a queue drains
 
   private final RelayActions actions;
   private final CanaryStatus canary;
@@ -60,38 +62,44 @@
     if (!TimeChecks.longerThan(IGNORED_AFTER_START_MS, startedAt, now)) {
       return;
     }
-    boolean before =
-        !isActive(now) || canary.trial().stage() == 0; // its few attempts slow nothing much
-    if (before) {
+    boolean isBaselinePeriod =
+        !isActive(now) || canary.trial().stage() == 0; // too few canary attempts to slow it
+    if (isBaselinePeriod) {
       slowness.addBaseline(source, method.index, ms, weight, now);
     } else {
       slowness.add(source, method.index, ms, weight, now);
     }
   }
 
-  /** The canary is on trial, or released so lately that all traffic shows what it is like. */
+  /**
+   * Whether to compare latencies: while the canary is on trial, and shortly after its release, when
+   * all traffic shows how it performs.
+   */
   boolean isActive(Timestamp now) {
-    boolean released = canary.isReleased() && canary.trial().isSeenOnTrial();
+    boolean recentlyReleased = canary.isReleased() && canary.trial().isSeenOnTrial();
     return canary.state() == RolloutState.ON_TRIAL
-        || released
+        || recentlyReleased
             && !TimeChecks.longerThan(
                 WATCH_AFTER_RELEASE_MS + arrivals.fleetCountsLagMs(),
                 canary.trial().stageStartedAt(),
                 now);
   }
 
-  /** How much slower than before the offer, in logarithms. */
+  /** Mean logarithm of the slowdown since the trial began. */
   double meanLogSlowdown(Timestamp now) {
     return slowness.mean(now);
   }
 
-  /** By half and thrice what chance gives; logarithms stray by 0.9. */
+  /**
+   * Whether the baseline is slower by about half (0.4 as a logarithm) and by three standard errors;
+   * the standard deviation of the logarithms is 0.9.
+   */
   boolean isSlowed(Timestamp now) {
     double count = slowness.weight(now);
     return count >= 2 && slowness.mean(now) > Math.max(0.4, 2.7 / Math.sqrt(count));
   }
 
-  /** Stops and resumes shadow requests, and counts how often the pace followed them. */
+  /** Pauses and resumes shadow requests, and counts how often the slowdown followed them. */
   void updateShadowPause(Timestamp now) {
     Slowdown slowdown = canary.trial().slowdown;
     if (slowness.mean(now) < GOOD_LOG_SLOWDOWN) {
@@ -118,7 +126,7 @@
     }
   }
 
-  /** Whether a slowdown is being looked into, so that no stage may move on. */
+  /** Whether a slowdown is being investigated; the stage must not advance meanwhile. */
   boolean isInvestigating(Timestamp now) {
     Slowdown slowdown = canary.trial().slowdown;
     return slowdown.pausedAt() != null
@@ -128,7 +136,10 @@
                 DOUBT_AFTER_RESUMING_MS + arrivals.fleetCountsLagMs(), slowdown.resumedAt(), now);
   }
 
-  /** The pace followed the exposure: once by the fleet's counts, which stray less, else twice. */
+  /**
+   * Whether the slowdown followed the canary's exposure: once if measured by fleet counts, which
+   * vary less, otherwise twice.
+   */
   boolean isCanaryBlamed() {
     return canary.trial().slowdown.blameCount() > (arrivals.reliesOnFleetCounts() ? 0 : 1);
   }
--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -9,7 +9,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Weighs all evidence on the canary, votes on it, and tells peers of the pairs seen here. */
+/** Evaluates all evidence on the canary, votes on it and reports this relay's pairs to peers. */
 final class CanaryJudge {
   private static final double REPORT_INTERVAL_MS = 500;
   private static final TimeSpan RECAST_INTERVAL = TimeSpan.ofMs(300);
@@ -24,7 +24,9 @@
   private final LastVote lastVote = new LastVote();
   private final boolean
       withoutFleetEvidence; // neither peers nor the controller's counts add up what relays see
-  private final double detectionDeviations; // marks for one unlucky relay among all in twenty days
+
+  // Standard deviations that by chance one relay of all exceeds in twenty days.
+  private final double detectionDeviations;
 
   CanaryJudge(
       RelayActions actions,
@@ -49,138 +51,154 @@
     lastVote.recordReply(reply);
   }
 
-  /** A peer's latest report of its pairs. */
+  /** Takes in a peer's latest report of its shadow pairs. */
   void reportReceived(int sender, byte[] report) {
     canary.trial().receiveReport(sender, report);
     evaluate();
   }
 
-  /** Peers tell each other their pairs, twice a second at most, and add them up. */
+  /** Reports new pair counts to peers, twice a second at most; each relay adds them up. */
   void reportToPeers(Timestamp now) {
     CanaryTrial trial = canary.trial();
-    boolean news =
+    boolean unreported =
         settings.gossip && canary.judgedBuild() != null && !trial.evidence().isReportedToPeers();
-    if (news
+    if (unreported
         && (trial.lastReportSentAt() == null
             || TimeChecks.longerThan(REPORT_INTERVAL_MS, trial.lastReportSentAt(), now))) {
       actions.sendToPeers(trial.encodeReport(now));
     }
   }
 
-  /** Votes, where the evidence as it stands now says so. */
+  /** Votes if the present evidence calls for it. */
   void evaluate() {
     Timestamp now = actions.now();
     if (!baselinePace.isActive(now)) {
       return;
     }
-    boolean released = canary.isReleased();
-    int lead = canary.trial().failureLead();
+    boolean isReleased = canary.isReleased();
+    int failureLead = canary.trial().failureLead();
     boolean failing = isFailing();
-    if (!released) {
+    if (!isReleased) {
       baselinePace.updateShadowPause(now);
     }
-    StageEvidence seen = canary.trial().evidence();
-    boolean blamed = baselinePace.isCanaryBlamed();
-    boolean proven =
+    StageEvidence evidence = canary.trial().evidence();
+    boolean isBlamed = baselinePace.isCanaryBlamed();
+    boolean provenWorse =
         failing
-            || blamed
-            || seen.isSlowerByLatency()
-            || seen.isWorseByCounts()
+            || isBlamed
+            || evidence.isSlowerByLatency()
+            || evidence.isWorseByCounts()
             || withoutFleetEvidence && isCanarySlower(now);
-    if (proven || released && failsAfterRelease(now)) {
+    if (provenWorse || isReleased && failsAfterRelease(now)) {
       castVote(Verdict.BACK);
-    } else if (!released && settings.control == Settings.Control.CLOCKED) {
-      if (lead > 0 || baselinePace.isInvestigating(now)) {
+    } else if (!isReleased && settings.control == Settings.Control.CLOCKED) {
+      if (failureLead > 0 || baselinePace.isInvestigating(now)) {
         castVote(Verdict.HOLD);
       } else if (lastVote.verdict() != Verdict.NONE) {
         castVote(Verdict.NONE);
       }
-    } else if (!released && !baselinePace.isInvestigating(now) && mayAdvance(now)) {
+    } else if (!isReleased && !baselinePace.isInvestigating(now) && mayAdvance(now)) {
       castVote(Verdict.ON);
     }
   }
 
-  /** Three to none is enough, ten to three is not; one sick endpoint of several is no bad build. */
+  /**
+   * Whether shadow requests show that the canary fails more than the baseline. Three failures to
+   * none suffice, ten to three do not. A single failing endpoint of several does not condemn the
+   * build.
+   */
   private boolean isFailing() {
     CanaryTrial trial = canary.trial();
-    int lead = trial.failureLead();
-    boolean spread = trial.failingEndpoints() >= Math.min(2, trial.build.endpoints.size());
-    double few = withoutFleetEvidence ? detectionDeviations / 2 : 1.5;
-    return spread
-            && lead >= 3
-            && lead > 0.01 * trial.pooledPairs()
-            && lead > few * trial.leadDeviation()
-        || spread
-            && lead > 0
-            && lead + trial.earlierStagesLead()
-                >= Math.max(5, few * (trial.leadDeviation() + trial.earlierStagesDeviation()));
+    int failureLead = trial.failureLead();
+    boolean onSeveralEndpoints =
+        trial.failingEndpoints() >= Math.min(2, trial.build.endpoints.size());
+    double minDeviations = withoutFleetEvidence ? detectionDeviations / 2 : 1.5;
+    return onSeveralEndpoints
+            && failureLead >= 3
+            && failureLead > 0.01 * trial.pooledPairs()
+            && failureLead > minDeviations * trial.leadDeviation()
+        || onSeveralEndpoints
+            && failureLead > 0
+            && failureLead + trial.earlierStagesLead()
+                >= Math.max(
+                    5, minDeviations * (trial.leadDeviation() + trial.earlierStagesDeviation()));
   }
 
-  /** By its pace, against the baseline by method. */
+  /** Whether the canary's latencies exceed the baseline's, compared method by method. */
   private boolean isCanarySlower(Timestamp now) {
     CanaryTrial trial = canary.trial();
     double count = trial.logLatencyExcess.count(now);
-    double mark = Math.max(0.5, detectionDeviations * 0.9 / Math.sqrt(count));
-    return count >= 4 && trial.logLatencyExcess.at(now, 0, 1e-9) > mark;
+    double threshold = Math.max(0.5, detectionDeviations * 0.9 / Math.sqrt(count));
+    return count >= 4 && trial.logLatencyExcess.at(now, 0, 1e-9) > threshold;
   }
 
-  /** Failures on many endpoints, or a pace that is gone for longer than most bursts last. */
+  /** Whether many endpoints fail, or a slowdown lasts for longer than most bursts do. */
   private boolean failsAfterRelease(Timestamp now) {
     CanaryTrial trial = canary.trial();
-    StageEvidence seen = trial.evidence();
-    boolean lost = !(baselinePace.meanLogSlowdown(now) < 0.6 || !baselinePace.isSlowed(now));
-    trial.lostPace.update(lost, baselinePace.meanLogSlowdown(now), now);
-    // more than a fifth of the endpoints that fail for other reasons; or a few errors on most
-    boolean share =
+    StageEvidence evidence = trial.evidence();
+    boolean paceLost = !(baselinePace.meanLogSlowdown(now) < 0.6 || !baselinePace.isSlowed(now));
+    trial.lostPace.update(paceLost, baselinePace.meanLogSlowdown(now), now);
+    // Errors count if they are more than a fifth of endpoints, failing for other reasons, can
+    // cause,
+    // or if most endpoints have a few.
+    boolean highErrorRate =
         withoutFleetEvidence
-            && seen.failingEndpointsAfterRelease() >= 3
-            && seen.errorsAfterRelease() > Math.max(3, 0.25 * seen.attemptsAfterRelease());
-    boolean many =
-        seen.failingEndpointsAfterRelease() >= Math.max(3, 0.6 * trial.build.endpoints.size())
-            && seen.errorsAfterRelease() >= 5;
-    return share
-        || many && seen.errorsAfterRelease() > 0.02 * seen.attemptsAfterRelease()
+            && evidence.failingEndpointsAfterRelease() >= 3
+            && evidence.errorsAfterRelease() > Math.max(3, 0.25 * evidence.attemptsAfterRelease());
+    boolean manyEndpoints =
+        evidence.failingEndpointsAfterRelease() >= Math.max(3, 0.6 * trial.build.endpoints.size())
+            && evidence.errorsAfterRelease() >= 5;
+    return highErrorRate
+        || manyEndpoints && evidence.errorsAfterRelease() > 0.02 * evidence.attemptsAfterRelease()
         || trial.lostPace.lostLogSeconds() > (arrivals.reliesOnFleetCounts() ? 4 : 6);
   }
 
-  // After 20 pairs or at the fallback age. Where one vote moves the stage, relays that saw little
-  // leave it to others for two seconds more; the last stage waits for a KS test or many pairs, or
-  // three seconds more.
+  // Advances after 20 pairs or at a fallback age. Where a single vote advances the stage, relays
+  // with
+  // few pairs leave the vote to others for two more seconds. The last stage waits for a KS test,
+  // for
+  // many pairs or for three more seconds.
   private boolean mayAdvance(Timestamp now) {
     CanaryTrial trial = canary.trial();
-    boolean single = settings.control == Settings.Control.SINGLE;
-    int pairs = trial.pooledPairs();
-    boolean last = trial.stage() == settings.caps.size() - 1;
-    boolean untested =
-        single && last && trial.evidence().timedPairs() < PAIRS_TO_ADVANCE && pairs < 100;
-    double fallbackMs = untested ? 6000 : single && pairs < 5 ? 5000 : 3000;
-    // alone, the busiest of many relays must see enough first
-    if (single && withoutFleetEvidence) {
+    boolean singleVote = settings.control == Settings.Control.SINGLE;
+    int pooledPairs = trial.pooledPairs();
+    boolean lastStage = trial.stage() == settings.caps.size() - 1;
+    boolean latencyUntested =
+        singleVote
+            && lastStage
+            && trial.evidence().timedPairs() < PAIRS_TO_ADVANCE
+            && pooledPairs < 100;
+    double fallbackMs = latencyUntested ? 6000 : singleVote && pooledPairs < 5 ? 5000 : 3000;
+    // Without fleet evidence, the busiest of many relays must get the time to see enough.
+    if (singleVote && withoutFleetEvidence) {
       fallbackMs *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
     }
-    // by the start times in the list; while a stage's new endpoints aren't listed, none up to 8 s
-    TimeSpan known = now.since(trial.stageStartedAt());
+    // The age counts from the newest start time in the endpoint list. While the list lacks the
+    // stage's new endpoints, the age does not count, for up to 8 s.
+    TimeSpan stageAge = now.since(trial.stageStartedAt());
     Timestamp newest = trial.build.newestStart();
-    boolean missing =
+    boolean endpointsMissing =
         newest == null
-            || trial.stageStartedAt().after(newest) && MISSING_ENDPOINTS_TIMEOUT.over(known);
-    boolean old = !missing && now.since(newest).atMost(known).over(TimeSpan.ofMs(fallbackMs));
-    return pairs >= PAIRS_TO_ADVANCE && !untested || old;
+            || trial.stageStartedAt().after(newest) && MISSING_ENDPOINTS_TIMEOUT.over(stageAge);
+    boolean fallbackAgeReached =
+        !endpointsMissing && now.since(newest).atMost(stageAge).over(TimeSpan.ofMs(fallbackMs));
+    return pooledPairs >= PAIRS_TO_ADVANCE && !latencyUntested || fallbackAgeReached;
   }
 
   /**
-   * Votes expire, get lost or come early: cast anew at half their life, soon where one did not
-   * count.
+   * Casts a vote, or casts it again: votes expire, get lost or arrive too early. A vote that counts
+   * is renewed at half its lifetime; one that does not count is repeated soon.
    */
   private void castVote(Verdict verdict) {
     Timestamp now = actions.now();
-    boolean anew = verdict != lastVote.verdict();
-    TimeSpan renew = settings.voteLifetime.times(0.5);
-    if (!anew && !lastVote.isDue(renew, settings.callTimeout, RECAST_INTERVAL, now)) {
+    boolean isNewVerdict = verdict != lastVote.verdict();
+    TimeSpan renewAfter = settings.voteLifetime.times(0.5);
+    if (!isNewVerdict && !lastVote.isDue(renewAfter, settings.callTimeout, RECAST_INTERVAL, now)) {
       return;
     }
     CanaryTrial trial = canary.trial();
-    boolean logged = anew && (verdict != Verdict.ON || settings.index == 0); // hundreds say it
+    // Hundreds of relays cast the same vote ON; only the first relay logs it.
+    boolean logged = isNewVerdict && (verdict != Verdict.ON || settings.index == 0);
     if (logged) {
       actions.log(
           "vote " + verdict + " on " + trial + ", pace " + baselinePace.meanLogSlowdown(now));
--- a/src/main/java/sprucerock/policy/CanaryStatus.java
+++ b/src/main/java/sprucerock/policy/CanaryStatus.java
@@ -12,23 +12,23 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The one owner of what this relay knows of the listed builds and of the canary's rollout. Only
- * {@link RoutingPolicy} changes it; all other types of this package read it.
+ * Holds this relay's knowledge of the listed builds and of the canary's rollout. Only {@link
+ * RoutingPolicy} changes it; all other types of this package only read it.
  */
 final class CanaryStatus {
   private final int methodCount;
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
-  private final Set<Integer> withdrawnBuilds = new TreeSet<>(); // that discovery may list on
+  private final Set<Integer> withdrawnBuilds = new TreeSet<>(); // perhaps still listed
   private CanaryTrial trial;
   private RolloutState state;
   private double cap;
 
-  /** For so many methods. */
-  CanaryStatus(int methods) {
-    this.methodCount = methods;
+  /** Creates a status without builds, for {@code methodCount} methods. */
+  CanaryStatus(int methodCount) {
+    this.methodCount = methodCount;
   }
 
-  /** The build offered last and what is known of it; null before the first news. */
+  /** The trial of the build announced last; null before the first rollout update. */
   CanaryTrial trial() {
     return trial;
   }
@@ -37,17 +37,17 @@
     return state;
   }
 
-  /** The greatest share of requests, 0 to 1, that the canary may get. */
+  /** The largest share of requests, from 0 to 1, that the canary may get. */
   double cap() {
     return cap;
   }
 
-  /** Listed builds in ascending order of their numbers. */
+  /** The listed builds, the oldest first. */
   Collection<Build> buildsAscending() {
     return builds.values();
   }
 
-  /** Listed builds, the newest first. */
+  /** The listed builds, the newest first. */
   Collection<Build> buildsDescending() {
     return builds.descendingMap().values();
   }
@@ -62,14 +62,14 @@
     }
   }
 
-  /** Takes in news of a rollout; returns whether a new stage, or state, begins with it. */
+  /** Applies a rollout update; returns whether it begins a new stage or state. */
   boolean update(Build build, int stage, RolloutState newState, double newCap, Timestamp since) {
     if (!isCanary(build)) {
       rememberWithdrawn();
       trial = new CanaryTrial(build, methodCount);
     }
-    boolean enters = trial.evidence() == null || stage != trial.stage() || newState != state;
-    if (enters) {
+    boolean begins = trial.evidence() == null || stage != trial.stage() || newState != state;
+    if (begins) {
       trial.enterStage(stage, since, newState == RolloutState.RELEASED);
     }
     state = newState;
@@ -79,16 +79,16 @@
     } else {
       trial.stickyKeys.clear();
     }
-    return enters;
+    return begins;
   }
 
-  // A build that goes back is off trial once the next is offered, and newer than the one that
-  // serves. While discovery is silent its endpoints stay listed, but they drain and stop: all
-  // traffic would go there.
+  // Once the next build is announced, a withdrawn build no longer counts as on trial, yet is newer
+  // than the serving one. Its endpoints drain and stop, but stay listed while discovery is silent.
+  // If it were not remembered as withdrawn, all traffic would go there.
   private void rememberWithdrawn() {
-    withdrawnBuilds.retainAll(builds.keySet()); // no more of them than builds are listed, and one
-    boolean goesBack = state == RolloutState.GOING_BACK || state == RolloutState.WITHDRAWN;
-    if (goesBack) {
+    withdrawnBuilds.retainAll(builds.keySet()); // bounds the set: listed builds and one
+    boolean isWithdrawn = state == RolloutState.GOING_BACK || state == RolloutState.WITHDRAWN;
+    if (isWithdrawn) {
       withdrawnBuilds.add(trial.build.number);
     }
   }
@@ -97,12 +97,12 @@
     return withdrawnBuilds.contains(build.number);
   }
 
-  /** Whether it is the build that was offered last, whatever became of it. */
+  /** Whether the build is the one announced last, in any state. */
   boolean isCanary(Build build) {
     return trial != null && build.number == trial.build.number;
   }
 
-  /** Whether a build's share is limited: newer than the baseline and not released. */
+  /** Whether the build's share is limited: it is newer than the baseline and not released. */
   boolean isOnTrial(Build build) {
     if (trial == null) {
       return !builds.isEmpty() && build.number > builds.firstKey();
@@ -114,15 +114,15 @@
     return state == RolloutState.RELEASED;
   }
 
-  /** Notes an attempt that ended at the canary. */
+  /** Records an attempt that ended at the canary. */
   void attemptEnded(Attempt attempt) {
     trial.attemptEnded(attempt, isReleased());
   }
 
-  /** The build that pairs can judge now; null where there is none. */
+  /** The build on trial, if it has endpoints for shadow pairs; otherwise null. */
   Build judgedBuild() {
-    boolean judged =
+    boolean hasJudgedBuild =
         trial != null && state == RolloutState.ON_TRIAL && !trial.build.endpoints.isEmpty();
-    return judged ? trial.build : null;
+    return hasJudgedBuild ? trial.build : null;
   }
 }
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -13,9 +13,12 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Chooses the endpoint of an attempt: first the build, then the cheaper one of two drawn. */
+/**
+ * Selects the endpoint of an attempt: first the build, then the cheaper of two random endpoints.
+ */
 final class EndpointSelector {
-  // no scan of a large fleet: 24 draws miss the usable third of a build once in 17,000 times
+  // Bounds the work in a large fleet: if a third of a build is usable, 24 draws miss it once in
+  // 17,000 times.
   private static final int MAX_DRAWS = 24;
   private static final int MAX_RECENT_ENDPOINTS = 8;
   private static final double CONNECT_FAILURE_THRESHOLD = 0.15;
@@ -71,26 +74,29 @@
   }
 
   /**
-   * Of the newest build not on trial, else of an earlier one, else of one on trial or withdrawn;
-   * null where none may be used.
+   * Selects an endpoint of the newest build that is not on trial, else of an earlier build, else of
+   * a build that is on trial or withdrawn.
+   *
+   * @return null if no endpoint may be used
    */
   Endpoint select(Rpc rpc) {
     Endpoint endpoint = select(rpc, false);
     return endpoint != null ? endpoint : select(rpc, true);
   }
 
-  private Endpoint select(Rpc rpc, boolean trialToo) {
-    Build sticky = keys.minimumBuild(rpc);
+  private Endpoint select(Rpc rpc, boolean allowTrial) {
+    Build minimumBuild = keys.minimumBuild(rpc);
     Endpoint endpoint = null;
     for (Build build : canary.buildsDescending()) {
-      if (endpoint != null || sticky != null && build.number < sticky.number) {
+      if (endpoint != null || minimumBuild != null && build.number < minimumBuild.number) {
         break;
       }
-      boolean mayUse = trialToo || sticky != null && build.number == sticky.number;
+      boolean trialAllowed =
+          allowTrial || minimumBuild != null && build.number == minimumBuild.number;
       boolean mayServe =
           canary.isOnTrial(build)
-              ? mayUse && exposure.allows(build, rpc.method, 1)
-              : trialToo || !canary.isWithdrawn(build);
+              ? trialAllowed && exposure.allows(build, rpc.method, 1)
+              : allowTrial || !canary.isWithdrawn(build);
       if (mayServe) {
         endpoint = selectIn(rpc, build);
       }
@@ -98,22 +104,23 @@
     return endpoint;
   }
 
-  /** One of the build's endpoints that the request may go to; null where there is none. */
+  /** Selects an endpoint of the build for the request; returns null if none may be used. */
   Endpoint selectIn(Rpc rpc, Build build) {
     Timestamp now = actions.now();
-    Attempt first = rpc.firstThatMayHaveRun();
+    Attempt mayHaveRun = rpc.firstThatMayHaveRun();
     boolean mayProbe = rpc.method.idempotent() && rpc.attempts.isEmpty();
-    Endpoint one = null;
-    Endpoint rest = null;
-    // Where connections fail, endpoints that answered lately come first: theirs are open.
-    List<Endpoint> open =
+    Endpoint candidate = null;
+    Endpoint fallback = null;
+    // While connects fail, endpoints that answered recently are tried first: their connections are
+    // open.
+    List<Endpoint> connected =
         connectFailures.at(now, 0, 2) > CONNECT_FAILURE_THRESHOLD
             ? recentEndpoints.readyOfBuild(build, random.next())
             : List.of();
-    for (int i = 0; i < open.size() + Math.min(build.endpoints.size(), MAX_DRAWS); i++) {
+    for (int i = 0; i < connected.size() + Math.min(build.endpoints.size(), MAX_DRAWS); i++) {
       Endpoint endpoint =
-          i < open.size() ? open.get(i) : build.draw(i - open.size(), random.next());
-      if (!isEligible(rpc, first, endpoint, now)) {
+          i < connected.size() ? connected.get(i) : build.draw(i - connected.size(), random.next());
+      if (!isEligible(rpc, mayHaveRun, endpoint, now)) {
         continue;
       }
       boolean outlier = outliers.isOutlier(endpoint);
@@ -123,57 +130,61 @@
         return endpoint;
       }
       if (outlier || latency.isInSlowZone(endpoint)) {
-        rest = endpoint;
-      } else if (one == null) {
-        one = endpoint;
+        fallback = endpoint;
+      } else if (candidate == null) {
+        candidate = endpoint;
       } else {
-        Endpoint cheaper = cost(one) <= cost(endpoint) ? one : endpoint; // two choices
-        return preferConnected(rpc, first, cheaper, now);
+        Endpoint cheaper = cost(candidate) <= cost(endpoint) ? candidate : endpoint;
+        return preferConnected(rpc, mayHaveRun, cheaper, now);
       }
     }
-    return one != null ? one : rest;
+    return candidate != null ? candidate : fallback;
   }
 
-  private boolean isEligible(Rpc rpc, Attempt first, Endpoint endpoint, Timestamp now) {
-    if (first != null && !rpc.method.dropsRepeats(first.endpoint, endpoint)) {
+  private boolean isEligible(Rpc rpc, Attempt mayHaveRun, Endpoint endpoint, Timestamp now) {
+    if (mayHaveRun != null && !rpc.method.dropsRepeats(mayHaveRun.endpoint, endpoint)) {
       return false;
     }
     return !rpc.triedAt(endpoint) && slowStart.hasCapacity(endpoint, now);
   }
 
-  // A new connection costs its endpoint a handshake. Where hundreds of relays see little each, most
-  // endpoints drawn are ones that this relay has no connection to: one that answered lately and is
-  // no dearer stands in for it. Not on trial, where pairs shall meet many endpoints.
-  private Endpoint preferConnected(Rpc rpc, Attempt first, Endpoint drawn, Timestamp now) {
+  // A new connection costs its endpoint a handshake. Where hundreds of relays get little traffic
+  // each, a relay has no connection to most endpoints that it draws. An endpoint that answered
+  // recently and costs no more replaces the drawn one. Builds on trial are exempt, so that shadow
+  // pairs cover many endpoints.
+  private Endpoint preferConnected(Rpc rpc, Attempt mayHaveRun, Endpoint drawn, Timestamp now) {
     if (isConnected(drawn, now) || canary.isOnTrial(drawn.build)) {
       return drawn;
     }
     for (Endpoint endpoint : recentEndpoints.readyOfBuild(drawn.build, random.next())) {
-      boolean well =
+      boolean healthy =
           isConnected(endpoint, now)
               && !outliers.isOutlier(endpoint)
               && !latency.isInSlowZone(endpoint);
-      if (well && isEligible(rpc, first, endpoint, now) && cost(endpoint) <= cost(drawn)) {
+      if (healthy && isEligible(rpc, mayHaveRun, endpoint, now) && cost(endpoint) <= cost(drawn)) {
         return endpoint;
       }
     }
     return drawn;
   }
 
-  /** By half the idle time neither end has closed the connection. */
+  /** Assumes an open connection until half the idle timeout; neither end closes it before. */
   private boolean isConnected(Endpoint endpoint, Timestamp now) {
     return endpoint.lastAnsweredAt != null
         && settings.idleTimeout.times(0.5).over(now.since(endpoint.lastAnsweredAt));
   }
 
-  /** Load, times pace, times failures; a tie goes to the relay's own zone. */
+  /**
+   * Multiplies load, relative latency and recent failures; another zone costs 1.1 times as much, so
+   * that a tie goes to the relay's own zone.
+   */
   private double cost(Endpoint endpoint) {
-    double far = endpoint.zone == settings.zone ? 1 : 1.1;
-    int out = gossip.inFlight(endpoint);
-    double load = 1 + out / Math.max(endpoint.weight(), 0.1);
+    double zoneFactor = endpoint.zone == settings.zone ? 1 : 1.1;
+    int inFlight = gossip.inFlight(endpoint);
+    double load = 1 + inFlight / Math.max(endpoint.weight(), 0.1);
     return load
         * endpoint.relativeLatency.at(actions.now(), 1, 2)
         * (1 + endpoint.failedResults(OutlierDetector.COUNTED_OUTCOMES))
-        * far;
+        * zoneFactor;
   }
 }
--- a/src/main/java/sprucerock/policy/KeyAffinity.java
+++ b/src/main/java/sprucerock/policy/KeyAffinity.java
@@ -11,8 +11,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Keeps a key at the build that answered it, where data of one build can't be read by an earlier
- * one, and keeps popular keys off the canary: half the cap must carry what sticky keys bring.
+ * Keeps a key at the build that answered it, for services where an earlier build cannot read a
+ * later build's data. Keeps popular keys off the canary: the traffic of all sticky keys must fit
+ * into half the exposure cap.
  */
 final class KeyAffinity {
   private static final int MAX_KEYS = 4096;
@@ -22,7 +23,7 @@
   private final CanaryStatus canary;
   private final ArrivalRate arrivals;
   private final KeyedSums keyArrivals =
-      new KeyedSums(TimeSpan.ofMs(20000), MAX_KEYS); // of popular keys
+      new KeyedSums(TimeSpan.ofMs(20000), MAX_KEYS); // popular keys
 
   KeyAffinity(RelayActions actions, Settings settings, CanaryStatus canary, ArrivalRate arrivals) {
     this.actions = actions;
@@ -41,19 +42,23 @@
     return canary.trial().stickyKeys.contains(rpc.key);
   }
 
-  /** The build under which the request's key must not go; null where any will do. */
+  /** The earliest build that may get the request's key; null if any build may. */
   Build minimumBuild(Rpc rpc) {
-    boolean keyed = canary.trial() != null && settings.oneWayKeys && rpc.key != 0;
-    if (!keyed) {
+    boolean hasKey = canary.trial() != null && settings.oneWayKeys && rpc.key != 0;
+    if (!hasKey) {
       return null;
     }
-    // once released, a build has every key: earlier endpoints may be listed before news that it
-    // goes back
+    // A released build owns every key. During a rollback, discovery may list endpoints of the
+    // earlier
+    // build before the controller's update on the rollback arrives.
     CanaryTrial trial = canary.trial();
     return canary.isReleased() || trial.stickyKeys.contains(rpc.key) ? trial.build : null;
   }
 
-  /** Takes in the share of the traffic that the key brings if it sticks; false if too large. */
+  /**
+   * Reserves the share of traffic that the key brings if it becomes sticky; returns false if the
+   * share does not fit.
+   */
   boolean reserveShare(Rpc rpc) {
     if (!settings.oneWayKeys || rpc.key == 0) {
       return true;
@@ -67,7 +72,7 @@
     return true;
   }
 
-  /** The canary answered: from now on its key stays there. */
+  /** Makes the key of a request that the canary answered sticky. */
   void canaryAnswered(Attempt attempt) {
     Rpc rpc = attempt.rpc;
     if (canary.state() == RolloutState.ON_TRIAL && settings.oneWayKeys && rpc.key != 0) {
--- a/src/main/java/sprucerock/policy/LatencyTracker.java
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -10,11 +10,11 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** How long methods usually take, and how slow endpoints and zones are beside that. */
+/** Tracks the usual latency of methods, and the relative latency of endpoints and zones. */
 final class LatencyTracker {
   private static final double OVERDUE_MULTIPLE = 3;
   private static final double MAX_RELATIVE_LATENCY = 8;
-  private static final TimeSpan COLD_AGE = TimeSpan.ofMs(5000); // younger ones look slow
+  private static final TimeSpan COLD_AGE = TimeSpan.ofMs(5000); // younger endpoints look slow
 
   private final RelayActions actions;
   private final Settings settings;
@@ -45,12 +45,12 @@
         zoneLatencies.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
   }
 
-  /** The method's mean time of late, in ms; a guess until answers come. */
+  /** The method's recent mean latency; an estimate until answers arrive. */
   double expectedMs(Method method) {
     return method.recentLatency.at(actions.now(), method.latencyObjective.ms() / 6, 1);
   }
 
-  /** How long an attempt took, or has taken, beside what was expected of it. */
+  /** Latency of an attempt, so far or in total, as a multiple of the expected latency. */
   double relativeLatency(Attempt attempt, Timestamp now) {
     return attempt.latency(now).ms()
         / (attempt.rpc.workHint != null
@@ -59,13 +59,14 @@
   }
 
   /**
-   * When silence is too long: at thrice the method's mean, which grows as all slows; at 0.45 of the
-   * latency objective another attempt can still be in time.
+   * The time after which an attempt without an answer is overdue: three times the method's mean,
+   * which grows when all endpoints slow down, or 0.45 of the latency objective if that is longer.
+   * At 0.45 of the objective another attempt can still be on time.
    */
   TimeSpan overdueAfter(Rpc rpc) {
-    TimeSpan usual =
+    TimeSpan threeTimesExpected =
         TimeSpan.ofMs(OVERDUE_MULTIPLE * expectedMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
-    return rpc.method.latencyObjective.times(0.45).atLeast(usual);
+    return rpc.method.latencyObjective.times(0.45).atLeast(threeTimesExpected);
   }
 
   void attemptOverdue(Endpoint endpoint) {
@@ -73,28 +74,34 @@
     endpoint.zoneRelativeLatency.add(actions.now(), OVERDUE_MULTIPLE);
   }
 
-  /** Takes in the time of an attempt that was answered, or timed out. */
+  /** Records the latency of an attempt that was answered or timed out. */
   void recordLatency(Attempt attempt) {
     Timestamp now = actions.now();
     Method method = attempt.rpc.method;
     double ms = Math.max(attempt.latency().ms(), 1);
-    double times = Math.min(ms / expectedMs(method), MAX_RELATIVE_LATENCY);
-    attempt.endpoint.relativeLatency.add(now, times);
-    attempt.endpoint.zoneRelativeLatency.add(now, times);
-    double log = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
+    double relativeLatency = Math.min(ms / expectedMs(method), MAX_RELATIVE_LATENCY);
+    attempt.endpoint.relativeLatency.add(now, relativeLatency);
+    attempt.endpoint.zoneRelativeLatency.add(now, relativeLatency);
+    double logMs = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
     if (canary.isOnTrial(attempt.endpoint.build)) {
       if (!canary.isCanary(attempt.endpoint.build) || !attempt.endpoint.olderThan(COLD_AGE, now)) {
         return;
       }
-      canary.trial().logLatencyExcess.add(now, log - method.recentLogLatency.at(now, log, 1e-9));
+      canary
+          .trial()
+          .logLatencyExcess
+          .add(now, logMs - method.recentLogLatency.at(now, logMs, 1e-9));
       return;
     }
     method.recentLatency.add(now, ms);
-    method.recentLogLatency.add(now, log);
-    baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(log), 1);
+    method.recentLogLatency.add(now, logMs);
+    baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(logMs), 1);
   }
 
-  /** Behind a slow or lossy link: about twice the own zone's times. */
+  /**
+   * Whether the endpoint's zone is behind a slow or lossy link: its latencies are about twice those
+   * of this relay's zone.
+   */
   boolean isInSlowZone(Endpoint endpoint) {
     if (endpoint.zone == settings.zone || !zoneLatencies.containsKey(settings.zone)) {
       return false;
--- a/src/main/java/sprucerock/policy/RetryPolicy.java
+++ b/src/main/java/sprucerock/policy/RetryPolicy.java
@@ -6,7 +6,7 @@
 import sprucerock.model.Rpc;
 import sprucerock.model.Settings;
 
-/** Decides whether a request gets a further attempt (rule 2), and sends it. */
+/** Decides whether a request gets another attempt (rule 2), and sends it. */
 final class RetryPolicy {
   private final RelayActions actions;
   private final Settings settings;
@@ -27,10 +27,13 @@
     this.sender = sender;
   }
 
-  /** Sends a further attempt, if that is allowed, in time and within the budget; says if it did. */
+  /**
+   * Sends another attempt if retry rules, the time left and the retry budget permit; returns
+   * whether it was sent.
+   */
   boolean retryIfAllowed(Rpc rpc) {
-    boolean late = settings.tick.times(4).over(rpc.deadline.since(actions.now()));
-    if (late || !mayRetry(rpc) || !budget.hasCapacity()) {
+    boolean tooLate = settings.tick.times(4).over(rpc.deadline.since(actions.now()));
+    if (tooLate || !mayRetry(rpc) || !budget.hasCapacity()) {
       return false;
     }
     Endpoint endpoint = selector.select(rpc);
@@ -43,16 +46,16 @@
   }
 
   private boolean mayRetry(Rpc rpc) {
-    boolean barred =
+    boolean noMoreAttempts =
         !settings.hedging && rpc.inFlight() > 0 || rpc.attempts.size() >= settings.maxAttempts;
-    if (rpc.ended() || rpc.streaming() || barred) {
+    if (rpc.ended() || rpc.streaming() || noMoreAttempts) {
       return false;
     }
-    Attempt first = rpc.firstThatMayHaveRun();
-    if (first == null || rpc.method.idempotent()) {
+    Attempt mayHaveRun = rpc.firstThatMayHaveRun();
+    if (mayHaveRun == null || rpc.method.idempotent()) {
       return true;
     }
     return rpc.method.idempotency == Method.Idempotency.KEYED
-        && rpc.method.keyLifetime.minus(settings.tick).over(actions.now().since(first.sent));
+        && rpc.method.keyLifetime.minus(settings.tick).over(actions.now().since(mayHaveRun.sent));
   }
 }
--- a/src/main/java/sprucerock/policy/RoutingPolicy.java
+++ b/src/main/java/sprucerock/policy/RoutingPolicy.java
@@ -15,17 +15,19 @@
 import sprucerock.time.Timestamp;
 
 /**
- * All decisions of one relay. The relay (or the simulator's adapter) makes one at start and calls
- * one method for each thing that happens; it acts at once through {@link RelayActions}.
+ * Makes all routing decisions of one relay. The relay, or the simulator's adapter, creates one
+ * instance at start and calls one method per event; the policy acts at once through {@link
+ * RelayActions}.
  *
- * <p>The ordinary path is the design, "Shadow traffic": an idempotent request goes to the baseline
- * with a shadow request to the canary; pairs are judged by failure match and one-sided KS, stage by
- * stage, and voted on. Each further decision is held by one type of this package; this one tells
- * them of events, in a fixed order, and holds none itself. Not safe for use by several threads.
+ * <p>The usual path is the design's "Shadow traffic": an idempotent request goes to the baseline,
+ * with a shadow request to the canary. Each stage's shadow pairs are compared by their failures and
+ * by a one-sided Kolmogorov-Smirnov (KS) test of their latencies, and the relay votes on the
+ * result. Each other decision belongs to one type of this package. This class decides nothing
+ * itself: it passes events to those types in a fixed order. Not thread-safe.
  */
 public final class RoutingPolicy implements RelayEvents {
-  private static final TimeSpan TICK_INTERVAL =
-      TimeSpan.ofMs(100); // well under a stage's shortest time
+  // Well under the shortest duration of a stage.
+  private static final TimeSpan TICK_INTERVAL = TimeSpan.ofMs(100);
   private static final int ATTEMPT_MESSAGE_BYTES = 4;
   private static final int REPORT_MESSAGE_BYTES = 8;
 
@@ -50,7 +52,7 @@
   private final ShadowPairJudge pairJudge;
   private final FleetCounts fleetCounts;
 
-  /** Starts at once: subscribes to the endpoint list where that is asked for. */
+  /** Starts at once: subscribes to the endpoint list if the settings say that relays poll it. */
   public RoutingPolicy(RelayActions actions, Settings settings, long seed) {
     this.actions = actions;
     this.settings = settings;
@@ -102,7 +104,7 @@
     slowStart.endpointReady(endpoint);
   }
 
-  /** It gets nothing new at once (rule 3); no grace is used. */
+  /** Stops sending attempts to the endpoint at once, without a grace period (rule 3). */
   @Override
   public void endpointDraining(Endpoint endpoint) {
     gossip.endpointDraining(endpoint);
@@ -140,7 +142,7 @@
 
   private void route(Rpc rpc) {
     scheduleDeadlines(rpc);
-    Build judged = canary.judgedBuild();
+    Build judgedBuild = canary.judgedBuild();
     if (shadows.sendToCanaryOnly(rpc)) {
       return;
     }
@@ -150,7 +152,9 @@
       return;
     }
     Attempt attempt = sender.send(rpc, endpoint, false);
-    if (judged != null && endpoint.build != judged && shadows.pair(rpc, attempt, judged)) {
+    if (judgedBuild != null
+        && endpoint.build != judgedBuild
+        && shadows.pair(rpc, attempt, judgedBuild)) {
       pairJudge.judge(attempt.shadowPair);
     }
   }
@@ -158,7 +162,7 @@
   private void scheduleDeadlines(Rpc rpc) {
     actions.schedule(
         rpc, actions.now().plus(rpc.method.latencyObjective), () -> admission.settle(rpc));
-    // Rule 1: two rounds before the client's own deadline, since a timer may come a round late.
+    // Rule 1: ends two loop ticks before the client's deadline, as a timer may fire a tick late.
     actions.schedule(
         rpc,
         rpc.deadline.minus(settings.tick.times(2)),
@@ -170,8 +174,9 @@
   }
 
   /**
-   * Nothing came within the usual time. Where the endpoint answered nothing since, that counts as a
-   * failure and, where second copies may run, another attempt is made.
+   * Handles an attempt without an answer within the expected time. If the endpoint has answered
+   * nothing at all since the attempt was sent, this counts as a failure of the endpoint, and a
+   * hedged request is sent where hedging is allowed.
    */
   private void attemptOverdue(Attempt attempt) {
     attempt.overdue = true;
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -7,12 +7,12 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Compares the two attempts of a pair, and notes failures and times as evidence. */
+/** Compares the two attempts of a shadow pair and records failures and latencies as evidence. */
 final class ShadowPairJudge {
   private static final int FEW_ENDPOINTS = 3;
   private static final int MAX_MISMATCHES = 2;
 
-  /** The design's age, under which shadow requests look slow as their endpoint is cold. */
+  /** Below this age, set by the design, an endpoint is cold and its answers look slow. */
   private static final TimeSpan MIN_ENDPOINT_AGE = TimeSpan.ofMs(5000);
 
   private final RelayActions actions;
@@ -28,7 +28,7 @@
     this.canaryJudge = canaryJudge;
   }
 
-  /** Judges the pair once, as soon as both sides are known. */
+  /** Judges the pair once, as soon as the results of both attempts are known. */
   void judge(ShadowPair pair) {
     Attempt shadow = pair.canary;
     Attempt baseline = pair.baseline;
@@ -36,8 +36,9 @@
       return;
     }
     pair.judged = true;
-    // Full, out of reach, cancelled or cut off says nothing of a build; time-outs are slowness, for
-    // KS.
+    // An attempt that was rejected as full, not connected, cancelled or cut off says nothing about
+    // a
+    // build. Timeouts count as slowness, for the KS test.
     if (canary.judgedBuild() != shadow.endpoint.build
         || shadow.voidsPair()
         || baseline.voidsPair()) {
@@ -48,7 +49,10 @@
     canaryJudge.evaluate();
   }
 
-  /** An overdue attempt beside one that is done would be seen too late: it counts as that slow. */
+  /**
+   * Whether both results are known. An overdue attempt counts with its age so far if the other
+   * attempt has ended, since its end would come too late for the trial.
+   */
   private static boolean isDecided(Attempt shadow, Attempt baseline) {
     if (shadow.outcome() == null && (!shadow.overdue || baseline.outcome() == null)) {
       return false;
@@ -57,41 +61,41 @@
   }
 
   private void recordFailures(Attempt shadow, Attempt baseline) {
-    StageEvidence seen = canary.trial().evidence();
-    seen.pairs++;
-    boolean few =
-        shadow.endpoint.build.endpoints.size()
-            < FEW_ENDPOINTS; // else one endpoint gives two mismatches at most
-    boolean shadowOnly = shadow.answeredWithError() && !baseline.answeredWithError();
-    if (shadowOnly && (++shadow.endpoint.excess <= MAX_MISMATCHES || few)) {
-      seen.recordCanaryFailure(shadow.endpoint);
+    StageEvidence evidence = canary.trial().evidence();
+    evidence.pairs++;
+    // In a build with more endpoints, a single endpoint contributes two mismatches at most.
+    boolean fewEndpoints = shadow.endpoint.build.endpoints.size() < FEW_ENDPOINTS;
+    boolean onlyShadowFailed = shadow.answeredWithError() && !baseline.answeredWithError();
+    if (onlyShadowFailed && (++shadow.endpoint.excess <= MAX_MISMATCHES || fewEndpoints)) {
+      evidence.recordCanaryFailure(shadow.endpoint);
     }
     if (baseline.answeredWithError() && !shadow.answeredWithError()) {
-      seen.baselineFailures++;
+      evidence.baselineFailures++;
     }
   }
 
   private void recordLatencies(Attempt shadow, Attempt baseline) {
-    StageEvidence seen = canary.trial().evidence();
+    StageEvidence evidence = canary.trial().evidence();
     Timestamp now = actions.now();
-    boolean alike =
+    boolean comparable =
         shadow.endpoint.kind == baseline.endpoint.kind
             && !shadow.answeredWithError()
             && !baseline.answeredWithError()
             && shadow.endpoint.olderThan(MIN_ENDPOINT_AGE, now)
             && baseline.endpoint.olderThan(MIN_ENDPOINT_AGE, now);
-    int n =
-        alike
-            ? seen.addLatencies(
+    int timedPairs =
+        comparable
+            ? evidence.addLatencies(
                 latency.relativeLatency(shadow, now), latency.relativeLatency(baseline, now))
             : 0;
-    boolean test = n == 20 || n == 40 || n == 80;
-    if (test && seen.slownessDistance() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n))) {
-      seen.markSlowerByLatency();
+    boolean isTestDue = timedPairs == 20 || timedPairs == 40 || timedPairs == 80;
+    if (isTestDue
+        && evidence.slownessDistance() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / timedPairs))) {
+      evidence.markSlowerByLatency();
     }
   }
 
-  /** A wrong answer that a client reported stands as a mismatch of its side. */
+  /** Counts a wrong answer that a client reported as a mismatch against the endpoint's build. */
   void answerReportedWrong(Endpoint endpoint) {
     if (canary.trial() == null) {
       return;
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -10,13 +10,15 @@
 import sprucerock.stats.DeterministicRandom;
 
 /**
- * Shadow traffic: decides which requests go to the canary, beside the baseline or alone, and pairs
- * the attempts.
+ * Decides which requests go to the canary, either as a shadow request next to an attempt at the
+ * baseline or to the canary only, and pairs the attempts.
  */
 final class ShadowTraffic {
   private static final int MAX_IN_FLIGHT = 8;
   private static final double MAX_CANARY_ONLY = 10;
-  private static final double MAX_CANARY_ONLY_FLEET = 40; // by all relays: each harms
+
+  // Limits the sum over all relays, since each such request may do harm.
+  private static final double MAX_CANARY_ONLY_FLEET = 40;
 
   private final Settings settings;
   private final DeterministicRandom random;
@@ -60,8 +62,10 @@
   }
 
   /**
-   * Sends the request to the canary alone, in place of a shadow request: where second copies are
-   * barred, and a few requests with an effect. Says whether it did.
+   * Sends the request to the canary only, instead of a shadow request: idempotent requests where
+   * hedging is not allowed, and a few requests that are not idempotent.
+   *
+   * @return whether the request was sent
    */
   boolean sendToCanaryOnly(Rpc rpc) {
     Build build = canary.judgedBuild();
@@ -77,11 +81,13 @@
   }
 
   /**
-   * Pairs an attempt at the baseline: with a shadow request of its own, or with one that was sent
-   * alone earlier. Says whether it is part of a pair now.
+   * Pairs an attempt at the baseline with a new shadow request, or with an earlier request that
+   * went to the canary only.
+   *
+   * @return whether the attempt is part of a pair now
    */
-  boolean pair(Rpc rpc, Attempt baseline, Build judged) {
-    Endpoint endpoint = mayShadow(rpc, judged) ? selectAndReserve(rpc, judged) : null;
+  boolean pair(Rpc rpc, Attempt baseline, Build judgedBuild) {
+    Endpoint endpoint = mayShadow(rpc, judgedBuild) ? selectAndReserve(rpc, judgedBuild) : null;
     baseline.shadowPair =
         endpoint != null
             ? new ShadowPair()
@@ -102,12 +108,12 @@
     shadowsInFlight++;
   }
 
-  /** The design's circuit breaker, and while a slowdown is looked into. */
+  /** Stops shadow requests at the design's limit, and while a slowdown is investigated. */
   private boolean isBreakerOpen() {
     return shadowsInFlight >= MAX_IN_FLIGHT || canary.trial().slowdown.pausedAt() != null;
   }
 
-  /** Where keys are sticky, one token stays for a sticky key's request. */
+  /** With sticky keys, one exposure token stays reserved for a request with a sticky key. */
   private boolean mayShadow(Rpc rpc, Build build) {
     double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
     return rpc.method.idempotent()
@@ -122,17 +128,19 @@
     if (isBreakerOpen() || !exposure.allows(build, rpc.method, 1) || keys.isSticky(rpc)) {
       return false;
     }
-    StageEvidence seen = canary.trial().evidence();
-    // every other one of a method at most: each has its like at the baseline
+    StageEvidence evidence = canary.trial().evidence();
+    // At most every other request of a method: each needs a counterpart at the baseline.
     if (rpc.method.idempotent()) {
-      return !settings.hedging && seen.hasBaselineForEach(rpc.method);
+      return !settings.hedging && evidence.hasBaselineForEach(rpc.method);
     }
-    // A build bad for one method with effects shows in no shadow request: a few such requests go
-    // there alone.
-    return canary.trial().stage() > 0 && seen.sentAlone(rpc.method) < maxCanaryOnly;
+    // Shadow requests cannot show that a build is bad for a method that is not idempotent, so a few
+    // requests of such methods go to the canary only.
+    return canary.trial().stage() > 0 && evidence.sentAlone(rpc.method) < maxCanaryOnly;
   }
 
-  /** An ok answer binds its key to the canary, so the key's share must fit. */
+  /**
+   * An OK answer binds the key to the canary, so the key's traffic share must fit under the cap.
+   */
   private Endpoint selectAndReserve(Rpc rpc, Build build) {
     Endpoint endpoint = selector.selectIn(rpc, build);
     return endpoint != null && keys.reserveShare(rpc) ? endpoint : null;
