--- a/src/main/java/sprucerock/policy/AttemptSender.java
+++ b/src/main/java/sprucerock/policy/AttemptSender.java
@@ -9,7 +9,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Sends attempts, with their time-outs, and tells all that keep count of them. */
+/** Sends attempts, sets their timeouts and updates the types that count attempts. */
 final class AttemptSender {
   private final RelayActions actions;
   private final Settings settings;
@@ -18,9 +18,9 @@
   private final SlowStartLimiter slowStart;
   private final LatencyTracker latency;
   private final LoadGossip gossip;
-  private final Consumer<Attempt> whenOverdue;
+  private final Consumer<Attempt> overdueListener;
 
-  /** {@code whenOverdue} is told of each attempt from which nothing came within the usual time. */
+  /** Notifies {@code overdueListener} of each attempt without an answer in the expected time. */
   AttemptSender(
       RelayActions actions,
       Settings settings,
@@ -29,7 +29,7 @@
       SlowStartLimiter slowStart,
       LatencyTracker latency,
       LoadGossip gossip,
-      Consumer<Attempt> whenOverdue) {
+      Consumer<Attempt> overdueListener) {
     this.actions = actions;
     this.settings = settings;
     this.canary = canary;
@@ -37,42 +37,45 @@
     this.slowStart = slowStart;
     this.latency = latency;
     this.gossip = gossip;
-    this.whenOverdue = whenOverdue;
+    this.overdueListener = overdueListener;
   }
 
   Attempt send(Rpc rpc, Endpoint endpoint, boolean shadow) {
     Timestamp now = actions.now();
     boolean onTrial = canary.isOnTrial(endpoint.build);
     if (onTrial) {
-      exposure.spend(rpc.method);
+      exposure.spendToken(rpc.method);
     }
     slowStart.attemptSent(endpoint, onTrial, now);
-    TimeSpan overdue = latency.overdueAfter(rpc);
-    Attempt attempt = new Attempt(rpc, endpoint, now, timeout(rpc, overdue, now));
+    TimeSpan overdueAfter = latency.overdueAfter(rpc);
+    Attempt attempt = new Attempt(rpc, endpoint, now, timeout(rpc, overdueAfter, now));
     attempt.shadow = shadow;
-    attempt.writeBy = startBy(rpc);
+    attempt.writeBy = writeDeadline(rpc);
     actions.send(attempt);
     gossip.attemptStarted(endpoint);
-    actions.schedule(attempt, now.plus(overdue), () -> whenOverdue.accept(attempt));
+    actions.schedule(attempt, now.plus(overdueAfter), () -> overdueListener.accept(attempt));
     return attempt;
   }
 
-  // Where one attempt must end before the next, it is cut only when lost: its work so far is thrown
-  // away.
-  private TimeSpan timeout(Rpc rpc, TimeSpan overdue, Timestamp now) {
-    TimeSpan lost = overdue.times(2);
-    boolean cut =
+  // Without hedging, an attempt must end before the next one starts. A timeout then discards the
+  // work done so far, so it is set only where the attempt can be taken for lost.
+  private TimeSpan timeout(Rpc rpc, TimeSpan overdueAfter, Timestamp now) {
+    TimeSpan lostAfter = overdueAfter.times(2);
+    boolean mayTimeOut =
         !settings.hedgingAllowed
             && !rpc.method.mustNotBeCutShort()
             && rpc.attempts.size() + 1 < settings.maxAttempts
-            && rpc.deadline.since(now).over(lost.times(1.5));
-    return cut ? lost : null;
+            && rpc.deadline.since(now).over(lostAfter.times(1.5));
+    return mayTimeOut ? lostAfter : null;
   }
 
-  // rule 2: a retry that waits for a connection must not come up after its window
-  private Timestamp startBy(Rpc rpc) {
-    Attempt first = rpc.firstThatMayHaveRun();
-    boolean binds = first != null && rpc.method.idempotency == Method.Idempotency.KEYED;
-    return binds ? first.sentAt.plus(rpc.method.keyLifetime).minus(settings.maxTimerDelay) : null;
+  // Rule 2: a retry that waits for a connection must not be written after the lifetime of its
+  // idempotency key.
+  private Timestamp writeDeadline(Rpc rpc) {
+    Attempt mayHaveRun = rpc.firstThatMayHaveRun();
+    boolean keyExpires = mayHaveRun != null && rpc.method.idempotency == Method.Idempotency.KEYED;
+    return keyExpires
+        ? mayHaveRun.sentAt.plus(rpc.method.keyLifetime).minus(settings.maxTimerDelay)
+        : null;
   }
 }
--- a/src/main/java/sprucerock/policy/LatencyTracker.java
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -10,17 +10,17 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** How long methods usually take, and how slow endpoints and zones are beside that. */
+/** Tracks the usual latency of methods, and the relative latency of endpoints and zones. */
 final class LatencyTracker {
-  private static final double OVERDUE_TIMES = 3;
-  private static final double MAX_TIMES = 8;
-  private static final TimeSpan COLD_AGE = TimeSpan.ofMs(5000); // younger ones look slow
+  private static final double OVERDUE_MULTIPLE = 3;
+  private static final double MAX_RELATIVE_LATENCY = 8;
+  private static final TimeSpan COLD_AGE = TimeSpan.ofMs(5000); // younger endpoints look slow
 
   private final RelayActions actions;
   private final Settings settings;
   private final CanaryStatus canary;
   private final BaselinePaceMonitor baselinePace;
-  private final TreeMap<Integer, DecayingMean> zonePaces = new TreeMap<>();
+  private final TreeMap<Integer, DecayingMean> zoneLatencies = new TreeMap<>();
 
   LatencyTracker(
       RelayActions actions,
@@ -42,63 +42,72 @@
       endpoint.relativeLatency = new DecayingMean(TimeSpan.ofMs(4000));
     }
     endpoint.zoneRelativeLatency =
-        zonePaces.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
+        zoneLatencies.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
   }
 
-  /** The method's mean time of late, in ms; a guess until answers come. */
-  double usualMs(Method method) {
+  /** The method's recent mean latency; an estimate until answers arrive. */
+  double expectedMs(Method method) {
     return method.recentLatencyMs.at(actions.now(), method.latencyObjective.ms() / 6, 1);
   }
 
-  /** How long an attempt took, or has taken, beside what was expected of it. */
-  double relativeTime(Attempt attempt, Timestamp now) {
+  /** Latency of an attempt, so far or in total, as a multiple of the expected latency. */
+  double relativeLatency(Attempt attempt, Timestamp now) {
     return attempt.latency(now).ms()
-        / (attempt.rpc.workHint != null ? attempt.rpc.workHint.ms() : usualMs(attempt.rpc.method));
+        / (attempt.rpc.workHint != null
+            ? attempt.rpc.workHint.ms()
+            : expectedMs(attempt.rpc.method));
   }
 
   /**
-   * When silence is too long: at thrice the method's mean, which grows as all slows; at 0.45 of the
-   * latency objective another attempt can still be in time.
+   * The time after which an attempt without an answer is overdue: three times the method's mean,
+   * which grows when all endpoints slow down, or 0.45 of the latency objective if that is longer.
+   * At 0.45 of the objective another attempt can still be on time.
    */
   TimeSpan overdueAfter(Rpc rpc) {
-    TimeSpan usual =
-        TimeSpan.ofMs(OVERDUE_TIMES * usualMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
-    return rpc.method.latencyObjective.times(0.45).atLeast(usual);
+    TimeSpan threeTimesExpected =
+        TimeSpan.ofMs(OVERDUE_MULTIPLE * expectedMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
+    return rpc.method.latencyObjective.times(0.45).atLeast(threeTimesExpected);
   }
 
   void attemptOverdue(Endpoint endpoint) {
-    endpoint.relativeLatency.add(actions.now(), OVERDUE_TIMES);
-    endpoint.zoneRelativeLatency.add(actions.now(), OVERDUE_TIMES);
+    endpoint.relativeLatency.add(actions.now(), OVERDUE_MULTIPLE);
+    endpoint.zoneRelativeLatency.add(actions.now(), OVERDUE_MULTIPLE);
   }
 
-  /** Takes in the time of an attempt that was answered, or timed out. */
-  void learn(Attempt attempt) {
+  /** Records the latency of an attempt that was answered or timed out. */
+  void recordLatency(Attempt attempt) {
     Timestamp now = actions.now();
     Method method = attempt.rpc.method;
     double ms = Math.max(attempt.latency().ms(), 1);
-    double times = Math.min(ms / usualMs(method), MAX_TIMES);
-    attempt.endpoint.relativeLatency.add(now, times);
-    attempt.endpoint.zoneRelativeLatency.add(now, times);
-    double log = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
+    double relativeLatency = Math.min(ms / expectedMs(method), MAX_RELATIVE_LATENCY);
+    attempt.endpoint.relativeLatency.add(now, relativeLatency);
+    attempt.endpoint.zoneRelativeLatency.add(now, relativeLatency);
+    double logMs = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
     if (canary.isOnTrial(attempt.endpoint.build)) {
       if (!canary.isCanary(attempt.endpoint.build) || !attempt.endpoint.olderThan(COLD_AGE, now)) {
         return;
       }
-      canary.trial().logExcess.add(now, log - method.recentLogLatency.at(now, log, 1e-9));
+      canary
+          .trial()
+          .logLatencyExcess
+          .add(now, logMs - method.recentLogLatency.at(now, logMs, 1e-9));
       return;
     }
     method.recentLatencyMs.add(now, ms);
-    method.recentLogLatency.add(now, log);
-    baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(log), 1);
+    method.recentLogLatency.add(now, logMs);
+    baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(logMs), 1);
   }
 
-  /** Behind a slow or lossy link: about twice the own zone's times. */
-  boolean isFar(Endpoint endpoint) {
-    if (endpoint.zone == settings.zone || !zonePaces.containsKey(settings.zone)) {
+  /**
+   * Whether the endpoint's zone is behind a slow or lossy link: its latencies are about twice those
+   * of this relay's zone.
+   */
+  boolean isInSlowZone(Endpoint endpoint) {
+    if (endpoint.zone == settings.zone || !zoneLatencies.containsKey(settings.zone)) {
       return false;
     }
     Timestamp now = actions.now();
     return endpoint.zoneRelativeLatency.at(now, 1, 1)
-        > 1.8 * zonePaces.get(settings.zone).at(now, 1, 1);
+        > 1.8 * zoneLatencies.get(settings.zone).at(now, 1, 1);
   }
 }
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -7,13 +7,13 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Compares the two attempts of a pair, and notes failures and times as evidence. */
+/** Compares the two attempts of a shadow pair and records failures and latencies as evidence. */
 final class ShadowPairJudge {
   private static final int FEW_ENDPOINTS = 3;
   private static final int MAX_MISMATCHES = 2;
 
-  /** The design's age, under which shadow requests look slow as their endpoint is cold. */
-  private static final TimeSpan WARM_AGE = TimeSpan.ofMs(5000);
+  /** Below this age, set by the design, an endpoint is cold and its answers look slow. */
+  private static final TimeSpan MIN_ENDPOINT_AGE = TimeSpan.ofMs(5000);
 
   private final RelayActions actions;
   private final CanaryStatus canary;
@@ -28,7 +28,7 @@
     this.canaryJudge = canaryJudge;
   }
 
-  /** Judges the pair once, as soon as both sides are known. */
+  /** Judges the pair once, as soon as the results of both attempts are known. */
   void judge(ShadowPair pair) {
     Attempt shadow = pair.canary;
     Attempt baseline = pair.baseline;
@@ -36,19 +36,23 @@
       return;
     }
     pair.judged = true;
-    // Full, out of reach, cancelled or cut off says nothing of a build; time-outs are slowness, for
-    // KS.
+    // An attempt that was rejected as full, not connected, cancelled or cut off says nothing about
+    // a
+    // build. Timeouts count as slowness, for the KS test.
     if (canary.judgedBuild() != shadow.endpoint.build
         || shadow.voidsShadowPair()
         || baseline.voidsShadowPair()) {
       return;
     }
-    noteFailures(shadow, baseline);
-    noteTimes(shadow, baseline);
-    canaryJudge.consider();
+    recordFailures(shadow, baseline);
+    recordLatencies(shadow, baseline);
+    canaryJudge.evaluate();
   }
 
-  /** An overdue attempt beside one that is done would be seen too late: it counts as that slow. */
+  /**
+   * Whether both results are known. An overdue attempt counts with its age so far if the other
+   * attempt has ended, since its end would come too late for the trial.
+   */
   private static boolean isDecided(Attempt shadow, Attempt baseline) {
     if (shadow.outcome() == null && (!shadow.overdue || baseline.outcome() == null)) {
       return false;
@@ -56,50 +60,51 @@
     return baseline.outcome() != null || baseline.overdue;
   }
 
-  private void noteFailures(Attempt shadow, Attempt baseline) {
-    StageEvidence seen = canary.trial().evidence();
-    seen.pairs++;
-    boolean few =
-        shadow.endpoint.build.endpoints.size()
-            < FEW_ENDPOINTS; // else one endpoint gives two mismatches at most
-    boolean shadowOnly = shadow.answeredWithError() && !baseline.answeredWithError();
-    if (shadowOnly && (++shadow.endpoint.trialFailures <= MAX_MISMATCHES || few)) {
-      seen.canaryFailed(shadow.endpoint);
+  private void recordFailures(Attempt shadow, Attempt baseline) {
+    StageEvidence evidence = canary.trial().evidence();
+    evidence.pairs++;
+    // In a build with more endpoints, a single endpoint contributes two mismatches at most.
+    boolean fewEndpoints = shadow.endpoint.build.endpoints.size() < FEW_ENDPOINTS;
+    boolean onlyShadowFailed = shadow.answeredWithError() && !baseline.answeredWithError();
+    if (onlyShadowFailed && (++shadow.endpoint.trialFailures <= MAX_MISMATCHES || fewEndpoints)) {
+      evidence.recordCanaryFailure(shadow.endpoint);
     }
     if (baseline.answeredWithError() && !shadow.answeredWithError()) {
-      seen.baselineFailures++;
+      evidence.baselineFailures++;
     }
   }
 
-  private void noteTimes(Attempt shadow, Attempt baseline) {
-    StageEvidence seen = canary.trial().evidence();
+  private void recordLatencies(Attempt shadow, Attempt baseline) {
+    StageEvidence evidence = canary.trial().evidence();
     Timestamp now = actions.now();
-    boolean alike =
+    boolean comparable =
         shadow.endpoint.hardwareFamily == baseline.endpoint.hardwareFamily
             && !shadow.answeredWithError()
             && !baseline.answeredWithError()
-            && shadow.endpoint.olderThan(WARM_AGE, now)
-            && baseline.endpoint.olderThan(WARM_AGE, now);
-    int n =
-        alike
-            ? seen.addTimes(latency.relativeTime(shadow, now), latency.relativeTime(baseline, now))
+            && shadow.endpoint.olderThan(MIN_ENDPOINT_AGE, now)
+            && baseline.endpoint.olderThan(MIN_ENDPOINT_AGE, now);
+    int timedPairs =
+        comparable
+            ? evidence.addLatencies(
+                latency.relativeLatency(shadow, now), latency.relativeLatency(baseline, now))
             : 0;
-    boolean test = n == 20 || n == 40 || n == 80;
-    if (test && seen.slowerSide() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / n))) {
-      seen.markSlowerByTimes();
+    boolean isTestDue = timedPairs == 20 || timedPairs == 40 || timedPairs == 80;
+    if (isTestDue
+        && evidence.slownessDistance() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / timedPairs))) {
+      evidence.markSlowerByLatency();
     }
   }
 
-  /** A wrong answer that a client reported stands as a mismatch of its side. */
+  /** Counts a wrong answer that a client reported as a mismatch against the endpoint's build. */
   void answerReportedWrong(Endpoint endpoint) {
     if (canary.trial() == null) {
       return;
     }
     if (canary.isCanary(endpoint.build)) {
-      canary.trial().evidence().canaryFailed(endpoint);
+      canary.trial().evidence().recordCanaryFailure(endpoint);
     } else {
       canary.trial().evidence().baselineFailures++;
     }
-    canaryJudge.consider();
+    canaryJudge.evaluate();
   }
 }
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -10,13 +10,15 @@
 import sprucerock.stats.DeterministicRandom;
 
 /**
- * Shadow traffic: decides which requests go to the canary, beside the baseline or alone, and pairs
- * the attempts.
+ * Decides which requests go to the canary, either as a shadow request next to an attempt at the
+ * baseline or to the canary only, and pairs the attempts.
  */
 final class ShadowTraffic {
-  private static final int MAX_OUTSTANDING = 8;
-  private static final double MAX_ALONE = 10;
-  private static final double MAX_ALONE_FLEET = 40; // by all relays: each harms
+  private static final int MAX_IN_FLIGHT = 8;
+  private static final double MAX_CANARY_ONLY = 10;
+
+  // Limits the sum over all relays, since each such request may do harm.
+  private static final double MAX_CANARY_ONLY_FLEET = 40;
 
   private final Settings settings;
   private final DeterministicRandom random;
@@ -26,8 +28,8 @@
   private final RetryBudget budget;
   private final EndpointSelector selector;
   private final AttemptSender sender;
-  private int outstanding;
-  private int maxAlone;
+  private int shadowsInFlight;
+  private int maxCanaryOnly;
 
   ShadowTraffic(
       Settings settings,
@@ -49,22 +51,28 @@
   }
 
   void stageEntered() {
-    maxAlone = (int) (Math.min(MAX_ALONE, MAX_ALONE_FLEET / settings.relayCount) + random.next());
+    maxCanaryOnly =
+        (int)
+            (Math.min(MAX_CANARY_ONLY, MAX_CANARY_ONLY_FLEET / settings.relayCount)
+                + random.next());
   }
 
   void attemptEnded(Attempt attempt) {
     if (attempt.shadow) {
-      outstanding--;
+      shadowsInFlight--;
     }
   }
 
   /**
-   * Sends the request to the canary alone, in place of a shadow request: where second copies are
-   * barred, and a few requests with an effect. Says whether it did.
+   * Sends the request to the canary only, instead of a shadow request: idempotent requests where
+   * hedging is not allowed, and a few requests that are not idempotent.
+   *
+   * @return whether the request was sent
    */
-  boolean sendAlone(Rpc rpc) {
+  boolean sendToCanaryOnly(Rpc rpc) {
     Build build = canary.judgedBuild();
-    Endpoint endpoint = build != null && maySendAlone(rpc, build) ? selectFor(rpc, build) : null;
+    Endpoint endpoint =
+        build != null && maySendToCanaryOnly(rpc, build) ? selectAndReserve(rpc, build) : null;
     if (endpoint == null) {
       return false;
     }
@@ -75,11 +83,13 @@
   }
 
   /**
-   * Pairs an attempt at the baseline: with a shadow request of its own, or with one that was sent
-   * alone earlier. Says whether it is part of a pair now.
+   * Pairs an attempt at the baseline with a new shadow request, or with an earlier request that
+   * went to the canary only.
+   *
+   * @return whether the attempt is part of a pair now
    */
-  boolean pair(Rpc rpc, Attempt baseline, Build judged) {
-    Endpoint endpoint = mayShadow(rpc, judged) ? selectFor(rpc, judged) : null;
+  boolean pair(Rpc rpc, Attempt baseline, Build judgedBuild) {
+    Endpoint endpoint = mayShadow(rpc, judgedBuild) ? selectAndReserve(rpc, judgedBuild) : null;
     baseline.shadowPair =
         endpoint != null
             ? new ShadowPair()
@@ -97,15 +107,15 @@
   private void sendShadow(Rpc rpc, Endpoint endpoint, ShadowPair pair) {
     pair.canary = sender.send(rpc, endpoint, true);
     pair.canary.shadowPair = pair;
-    outstanding++;
+    shadowsInFlight++;
   }
 
-  /** The design's circuit breaker, and while a slowdown is looked into. */
+  /** Stops shadow requests at the design's limit, and while a slowdown is investigated. */
   private boolean isBreakerOpen() {
-    return outstanding >= MAX_OUTSTANDING || canary.trial().slowdown.pausedAt() != null;
+    return shadowsInFlight >= MAX_IN_FLIGHT || canary.trial().slowdown.pausedAt() != null;
   }
 
-  /** Where keys are sticky, one token stays for a sticky key's request. */
+  /** With sticky keys, one exposure token stays reserved for a request with a sticky key. */
   private boolean mayShadow(Rpc rpc, Build build) {
     double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.uncappedCanaryAttempts);
     return rpc.method.idempotent()
@@ -116,23 +126,25 @@
         && exposure.allows(build, rpc.method, tokens);
   }
 
-  private boolean maySendAlone(Rpc rpc, Build build) {
+  private boolean maySendToCanaryOnly(Rpc rpc, Build build) {
     if (isBreakerOpen() || !exposure.allows(build, rpc.method, 1) || keys.isSticky(rpc)) {
       return false;
     }
-    StageEvidence seen = canary.trial().evidence();
-    // every other one of a method at most: each has its like at the baseline
+    StageEvidence evidence = canary.trial().evidence();
+    // At most every other request of a method: each needs a counterpart at the baseline.
     if (rpc.method.idempotent()) {
-      return !settings.hedgingAllowed && seen.isBalanced(rpc.method);
+      return !settings.hedgingAllowed && evidence.hasBaselineForEach(rpc.method);
     }
-    // A build bad for one method with effects shows in no shadow request: a few such requests go
-    // there alone.
-    return canary.trial().stage() > 0 && seen.sentAlone(rpc.method) < maxAlone;
+    // Shadow requests cannot show that a build is bad for a method that is not idempotent, so a few
+    // requests of such methods go to the canary only.
+    return canary.trial().stage() > 0 && evidence.sentAlone(rpc.method) < maxCanaryOnly;
   }
 
-  /** An ok answer binds its key to the canary, so the key's share must fit. */
-  private Endpoint selectFor(Rpc rpc, Build build) {
+  /**
+   * An OK answer binds the key to the canary, so the key's traffic share must fit under the cap.
+   */
+  private Endpoint selectAndReserve(Rpc rpc, Build build) {
     Endpoint endpoint = selector.selectIn(rpc, build);
-    return endpoint != null && keys.reserve(rpc) ? endpoint : null;
+    return endpoint != null && keys.reserveShare(rpc) ? endpoint : null;
   }
 }
