--- a/src/main/java/sprucerock/controller/AppendResult.java
+++ b/src/main/java/sprucerock/controller/AppendResult.java
@@ -26,7 +26,7 @@
    *
    * @param text the reason in one line, for people
    */
-  record Rejected(Reason reason, String text) implements AppendResult {}
+  record Rejected(Reason reason, String message) implements AppendResult {}
 
   /** What applying an entry came to. */
   sealed interface Value permits Announced, Voted, WindowsOpened, NoEffect, Done {}
--- a/src/main/java/sprucerock/controller/BallotBox.java
+++ b/src/main/java/sprucerock/controller/BallotBox.java
@@ -43,12 +43,12 @@
   // Votes that stand for the current build and stage, the first to expire first: all others are
   // taken out as they are cast anew, as the rollout advances and as time passes, so that a vote,
   // and a count each 50 ms, walk no other vote.
-  private final Map<Vote, TreeSet<Ballot>> standing = new EnumMap<>(Vote.class);
+  private final Map<Vote, TreeSet<Ballot>> countedVotes = new EnumMap<>(Vote.class);
   private long votesExamined;
 
   BallotBox() {
     for (Vote vote : Vote.values()) {
-      standing.put(
+      countedVotes.put(
           vote,
           new TreeSet<>(
               Comparator.<Ballot>comparingDouble(ballot -> ballot.expiresAt.ms())
@@ -80,14 +80,14 @@
   /** A vote on the current build takes the place of the relay's last one. */
   void cast(Ballot ballot, int build, int stage, Vote vote, TimeSpan validity, Timestamp now) {
     if (ballot.expiresAt != null) {
-      standing.get(ballot.vote).remove(ballot);
+      countedVotes.get(ballot.vote).remove(ballot);
     }
     ballot.build = build;
     ballot.stage = stage;
     ballot.vote = vote;
     ballot.expiresAt = now.plus(validity);
     if (vote != Vote.NOTHING) {
-      standing.get(vote).add(ballot);
+      countedVotes.get(vote).add(ballot);
     }
   }
 
@@ -107,7 +107,7 @@
 
   /** Drops the votes that have expired; time never goes back. */
   private TreeSet<Ballot> unexpired(Vote vote, Timestamp now) {
-    TreeSet<Ballot> all = standing.get(vote);
+    TreeSet<Ballot> all = countedVotes.get(vote);
     while (!all.isEmpty()) {
       votesExamined++;
       if (all.first().expiresAt.after(now)) {
@@ -119,15 +119,15 @@
   }
 
   /** The votes of an earlier incarnation are there; those on the build and stage stand. */
-  void restored(int build, int stage) {
-    standing.values().forEach(TreeSet::clear);
+  void rebuildCountedVotes(int build, int stage) {
+    countedVotes.values().forEach(TreeSet::clear);
     for (Ballot ballot : ballots.values()) {
       boolean stands =
           ballot.vote != Vote.NOTHING
               && ballot.build == build
               && (ballot.vote == Vote.BACK || ballot.stage == stage);
       if (stands) {
-        standing.get(ballot.vote).add(ballot);
+        countedVotes.get(ballot.vote).add(ballot);
       }
     }
   }
@@ -135,7 +135,7 @@
   /** Another build or stage is current: no vote stands. */
   void clear() {
     ballots.values().forEach(ballot -> ballot.vote = Vote.NOTHING);
-    standing.values().forEach(TreeSet::clear);
+    countedVotes.values().forEach(TreeSet::clear);
   }
 
   /** Votes looked at so far to count them: what the scale tests bound. */
--- a/src/main/java/sprucerock/controller/DeliveryLog.java
+++ b/src/main/java/sprucerock/controller/DeliveryLog.java
@@ -15,13 +15,13 @@
   static final int MAX_DELIVERIES = 50_000;
 
   /** One delivery, with the answer that it had. */
-  record Delivery(String id, Timestamp at, AnnouncementResult answer, String content) {}
+  record Delivery(String id, Timestamp receivedAt, AnnouncementResult result, String content) {}
 
   /** By id, the oldest first. */
   final LinkedHashMap<String, Delivery> deliveries = new LinkedHashMap<>();
 
   /** The answer to a delivery: for the first of an id, what {@code apply} answers. */
-  AnnouncementResult answer(
+  AnnouncementResult applyOnce(
       String id, String content, Timestamp now, Supplier<AnnouncementResult> apply) {
     dropOld(now);
     Delivery earlier = deliveries.get(id);
@@ -38,7 +38,7 @@
   private void dropOld(Timestamp now) {
     Iterator<Delivery> oldest = deliveries.values().iterator();
     while (oldest.hasNext()) {
-      boolean old = now.since(oldest.next().at).over(RETENTION);
+      boolean old = now.since(oldest.next().receivedAt).over(RETENTION);
       if (!old && deliveries.size() < MAX_DELIVERIES) {
         return;
       }
--- a/src/main/java/sprucerock/controller/DeploymentCodec.java
+++ b/src/main/java/sprucerock/controller/DeploymentCodec.java
@@ -103,7 +103,7 @@
     return moment == null ? -1 : moment.ms(); // the controller's time begins at 0
   }
 
-  private static Timestamp moment(double ms) {
+  private static Timestamp timestamp(double ms) {
     return ms < 0 ? null : Timestamp.ofMs(ms);
   }
 
@@ -170,7 +170,7 @@
     return written.build();
   }
 
-  static void read(ChangeMemory written, DeploymentManager core) {
+  static void restore(ChangeMemory written, DeploymentManager core) {
     List<DeploymentSnapshot.RelayRecord> relays =
         written.getRelaysList().stream()
             .map(
@@ -181,12 +181,12 @@
                         one.getBusy(),
                         version(one.getRuns()),
                         one.getReady(),
-                        moment(one.getSilentSinceMs()),
+                        timestamp(one.getSilentSinceMs()),
                         one.hasWanted() ? version(one.getWanted()) : null,
                         one.getTurn(),
                         one.getDone(),
-                        moment(one.getToldAtMs()),
-                        moment(one.getReadyAtMs())))
+                        timestamp(one.getToldAtMs()),
+                        timestamp(one.getReadyAtMs())))
             .toList();
     List<DeploymentSnapshot.DeploymentRecord> changes =
         written.getChangesList().stream()
@@ -201,13 +201,13 @@
                         one.getLive(),
                         Deployment.State.valueOf(one.getState()),
                         one.getStage(),
-                        moment(one.getSinceMs()),
-                        moment(one.getProgressMs()),
+                        timestamp(one.getSinceMs()),
+                        timestamp(one.getProgressMs()),
                         one.getHeld(),
                         one.getCheckedList(),
                         sorted(one.getRefusedMap()),
                         one.getMovedList(),
-                        ordered(one.getBesideMap(), one.getMovedList()),
+                        inUpdateOrder(one.getBesideMap(), one.getMovedList()),
                         Verdict.valueOf(one.getVerdict()),
                         one.getStepsList().stream()
                             .map(
@@ -239,7 +239,8 @@
   }
 
   /** In the order in which they were moved: a map's own is nobody's. */
-  private static Map<Integer, Integer> ordered(Map<Integer, Integer> beside, List<Integer> moved) {
+  private static Map<Integer, Integer> inUpdateOrder(
+      Map<Integer, Integer> beside, List<Integer> moved) {
     Map<Integer, Integer> found = new LinkedHashMap<>();
     for (int number : moved) {
       if (beside.containsKey(number)) {
--- a/src/main/java/sprucerock/controller/DeploymentMonitor.java
+++ b/src/main/java/sprucerock/controller/DeploymentMonitor.java
@@ -40,7 +40,7 @@
 
   private static final int HISTORY_WINDOWS = 30; // a minute where each is 2 s
   private static final int BASELINE_WINDOWS = 15;
-  private static final double FALSE_ALARM =
+  private static final double FALSE_ALARM_PROBABILITY =
       0.02; // one good deployment in fifty is stopped, at most
 
   private static final class RelayWindows {
@@ -65,7 +65,7 @@
   private final Map<Integer, Pair> pairs = new LinkedHashMap<>();
   private Comparison comparison;
   private final BaselineLevel baseline = new BaselineLevel(BASELINE_WINDOWS);
-  private Deployment active;
+  private Deployment activeDeployment;
   private int stage;
   private Verdict lastVerdict = Verdict.NOT_SURE;
   private final RestartCapacity capacity = new RestartCapacity();
@@ -104,7 +104,7 @@
       windows.incarnationAtClose = windows.incarnation;
     }
     Deployment current = deployments.active();
-    if (current != active || current != null && current.stage() != stage) {
+    if (current != activeDeployment || current != null && current.stage() != stage) {
       startStage(current);
     }
     if (current != null) {
@@ -128,14 +128,14 @@
   }
 
   private void startStage(Deployment current) {
-    if (current != active) {
+    if (current != activeDeployment) {
       pairs.clear();
       DeploymentPlan plan = deployments.plan();
       comparison =
           current == null
               ? null
               : new Comparison(
-                  FALSE_ALARM,
+                  FALSE_ALARM_PROBABILITY,
                   plan.stages().stream().mapToDouble(DeploymentPlan.Stage::maxLoss).toArray());
       if (current == null) {
         baseline.reset();
@@ -144,7 +144,7 @@
     if (current != null) {
       baseline.stageStarted();
     }
-    active = current;
+    activeDeployment = current;
     stage = current == null ? 0 : current.stage();
     lastVerdict = Verdict.NOT_SURE;
   }
@@ -182,8 +182,8 @@
 
   private void compare() {
     for (Pair pair : pairs.values()) {
-      if (!runsVersion(pair.updated, active.toVersion)
-          || !runsVersion(pair.control, active.fromVersion)) {
+      if (!runsVersion(pair.updated, activeDeployment.toVersion)
+          || !runsVersion(pair.control, activeDeployment.fromVersion)) {
         continue;
       }
       Window moved = relays.get(pair.updated).window;
@@ -193,9 +193,9 @@
       }
     }
     boolean looks =
-        active != null
-            && (active.state() == Deployment.State.MOVING
-                || active.state() == Deployment.State.WATCHED);
+        activeDeployment != null
+            && (activeDeployment.state() == Deployment.State.MOVING
+                || activeDeployment.state() == Deployment.State.WATCHED);
     if (!looks) {
       return;
     }
@@ -209,7 +209,7 @@
       return;
     }
     lastVerdict = now;
-    listener.verdictChanged(active, now, comparison.explanation());
+    listener.verdictChanged(activeDeployment, now, comparison.explanation());
   }
 
   private boolean runsVersion(int number, sprucerock.controller.deployment.Version version) {
@@ -228,9 +228,9 @@
     Window all = Window.NONE;
     for (Map.Entry<Integer, RelayWindows> one : relays.entrySet()) {
       boolean changed =
-          active != null
-              && (active.updated().contains(one.getKey())
-                  || active.controls().containsValue(one.getKey()));
+          activeDeployment != null
+              && (activeDeployment.updated().contains(one.getKey())
+                  || activeDeployment.controls().containsValue(one.getKey()));
       RelayWindows windows = one.getValue();
       if (windows.window == null) {
         continue;
@@ -246,10 +246,10 @@
     baseline.record(all);
     Map<Integer, Integer> byZone = capacity.closeWindow();
     String why =
-        active != null && baseline.windowsBelowBaseline() > 0
+        activeDeployment != null && baseline.windowsBelowBaseline() > 0
             ? baseline.explanation()
             : capacity.blockedReason();
-    boolean open = active != null || deployments.pending() != null;
+    boolean open = activeDeployment != null || deployments.pending() != null;
     boolean same =
         byZone.equals(reportTotals)
             && why.isEmpty()
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -32,7 +32,7 @@
     long steadyMs();
   }
 
-  private record PendingEntry(Input.Builder entry, Consumer<AppendResult> done) {}
+  private record PendingEntry(Input.Builder entry, Consumer<AppendResult> onResult) {}
 
   private static final int SNAPSHOT_EVERY_ENTRIES = 10_000;
   // some hundred milliseconds to replay
@@ -60,7 +60,7 @@
   private AppendResult.Rejected failure;
   private boolean storageLost;
   private double smoothedWallMs;
-  private long smoothedAtSteadyMs = -1;
+  private long smoothingSteadyMs = -1;
 
   /** An engine of a fleet without racks, thus without maintenance windows. */
   Engine(
@@ -185,7 +185,7 @@
         new WriteAheadLog.Reader() {
           @Override
           public void snapshot(State state) {
-            SnapshotCodec.readSnapshot(state, rollouts, deployments, maintenanceWindows);
+            SnapshotCodec.restoreSnapshot(state, rollouts, deployments, maintenanceWindows);
             lastTimeMs = state.getAtMs();
             lastWallMs = state.getWallMs();
             found[0] = true;
@@ -241,16 +241,16 @@
    */
   public long wallMs() {
     long steady = clock.steadyMs();
-    if (smoothedAtSteadyMs < 0) {
+    if (smoothingSteadyMs < 0) {
       smoothedWallMs = clock.wallMs();
     } else {
-      double passed = steady - smoothedAtSteadyMs;
+      double passed = steady - smoothingSteadyMs;
       smoothedWallMs += passed;
       smoothedWallMs +=
           Math.max(
               -MAX_SLEW * passed, Math.min(MAX_SLEW * passed, clock.wallMs() - smoothedWallMs));
     }
-    smoothedAtSteadyMs = steady;
+    smoothingSteadyMs = steady;
     return Math.round(smoothedWallMs);
   }
 
@@ -266,22 +266,22 @@
 
   /** The controller's time: goes on through restarts, and never back. */
   public Timestamp now() {
-    return Timestamp.ofMs(atMs());
+    return Timestamp.ofMs(timeMs());
   }
 
-  private long atMs() {
+  private long timeMs() {
     return Math.max(lastTimeMs, timeAtStart + clock.steadyMs() - steadyAtStart);
   }
 
   private Input timestamped(Input.Builder entry) {
-    lastTimeMs = atMs();
+    lastTimeMs = timeMs();
     lastWallMs = wallMs();
     return entry.setAtMs(lastTimeMs).setWallMs(lastWallMs).build();
   }
 
   /** What is the matter with the storage, in one line; null while all is well. */
   public String storageFailure() {
-    return failure == null ? null : failure.text();
+    return failure == null ? null : failure.message();
   }
 
   /**
@@ -329,7 +329,7 @@
     }
     for (int i = 0; i < batch.size(); i++) {
       PendingEntry one = batch.get(i);
-      one.done.accept(
+      one.onResult.accept(
           i < durable ? new AppendResult.Accepted(stateMachine.apply(one.entry.build())) : failure);
     }
     if (durable > 0 && log.snapshotDue()) {
@@ -339,7 +339,7 @@
 
   private void rejectPending() {
     for (PendingEntry one : List.copyOf(pending)) {
-      one.done.accept(
+      one.onResult.accept(
           new AppendResult.Rejected(
               AppendResult.Reason.NOT_LEADER, "another controller may act by now"));
     }
@@ -392,7 +392,7 @@
   }
 
   private void reportFailure(AppendResult.Reason reason, String what) {
-    if (failure == null || !what.equals(failure.text())) {
+    if (failure == null || !what.equals(failure.message())) {
       statusLine.accept("the store: " + what);
     }
     failure = new AppendResult.Rejected(reason, what);
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -95,7 +95,7 @@
       return confirmClaim(current, nowMs);
     }
     if (!current.equals(lastSeen)) {
-      changed(current, nowMs);
+      recordChange(current, nowMs);
       return false;
     }
     boolean running =
@@ -112,7 +112,7 @@
   private boolean confirmClaim(String current, long nowMs) throws IOException {
     if (!current.equals(claim)) { // another controller was quicker
       claim = null;
-      changed(current, nowMs);
+      recordChange(current, nowMs);
       return false;
     }
     if (nowMs - claimedMs < CLAIM_DELAY.atMost(duration.times(0.5)).ms()) {
@@ -124,7 +124,7 @@
     return renew();
   }
 
-  private void changed(String current, long nowMs) {
+  private void recordChange(String current, long nowMs) {
     lastSeen = current;
     lastChangedMs = nowMs;
   }
--- a/src/main/java/sprucerock/controller/MaintenanceCodec.java
+++ b/src/main/java/sprucerock/controller/MaintenanceCodec.java
@@ -39,7 +39,7 @@
       }
       case FREEZE_CLEARED -> core.grantsReturned(input.getFreezeCleared().getFreeze(), now);
       case WORTH -> {
-        HardwareModel model = model(input.getWorth());
+        HardwareModel model = readModel(input.getWorth());
         return model == null || !core.updateModel(model, now)
             ? "it is none, or an older one"
             : null;
@@ -69,7 +69,7 @@
   }
 
   /** Null where it can't be one. */
-  private static HardwareModel model(FamiliesWorth said) {
+  private static HardwareModel readModel(FamiliesWorth said) {
     int families = said.getFamiliesCount();
     int methods = said.getMethodsCount();
     int pairs = (methods + 1) * families * families;
@@ -97,7 +97,7 @@
         said.getFree());
   }
 
-  private static FamiliesWorth worth(HardwareModel model) {
+  private static FamiliesWorth writeModel(HardwareModel model) {
     FamiliesWorth.Builder said =
         FamiliesWorth.newBuilder()
             .setNumber(model.number())
@@ -123,7 +123,7 @@
             .setOnTrial(notes.onTrial())
             .setNowMs(notes.nowMs());
     if (core.model() != null) {
-      written.setWorth(worth(core.model()));
+      written.setWorth(writeModel(core.model()));
     }
     for (MaintenanceState.Window one : notes.windows()) {
       OfFreeze.Builder freeze =
@@ -153,9 +153,9 @@
     return written.build();
   }
 
-  static void read(FreezeMemory written, MaintenanceWindows core) {
+  static void restore(FreezeMemory written, MaintenanceWindows core) {
     if (written.hasWorth()) {
-      core.model(model(written.getWorth()));
+      core.model(readModel(written.getWorth()));
     }
     new MaintenanceState(
             written.getSequence(),
--- a/src/main/java/sprucerock/controller/Rollout.java
+++ b/src/main/java/sprucerock/controller/Rollout.java
@@ -34,7 +34,7 @@
    * @param wallMs the machine's clock then, for people
    */
   public record Transition(
-      long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
+      long sequence, Timestamp time, long wallMs, State state, int stage, String cause) {}
 
   private static final int MAX_TRANSITIONS =
       200; // a release has some ten; a flapping hand should not fill the disk
@@ -52,7 +52,7 @@
   TimeSpan pausedTime = TimeSpan.ZERO;
 
   /** An operator holds it, and since when. */
-  boolean held;
+  boolean heldByOperator;
 
   Timestamp heldSince;
 
@@ -85,8 +85,8 @@
   }
 
   /** Whether an operator holds it. */
-  public boolean held() {
-    return held;
+  public boolean heldByOperator() {
+    return heldByOperator;
   }
 
   /** Units of it that were told to be there. */
@@ -99,7 +99,7 @@
     return Collections.unmodifiableList(transitions);
   }
 
-  void add(Transition step) {
+  void addTransition(Transition step) {
     if (transitions.size() >= MAX_TRANSITIONS) {
       transitions.remove(MAX_TRANSITIONS / 2);
     }
--- a/src/main/java/sprucerock/controller/RolloutBlockers.java
+++ b/src/main/java/sprucerock/controller/RolloutBlockers.java
@@ -26,7 +26,7 @@
     if (open == null) {
       return found;
     }
-    if (open.held) {
+    if (open.heldByOperator) {
       found.add("an operator holds it");
     }
     if (open.state == State.ANNOUNCED) {
--- a/src/main/java/sprucerock/controller/RolloutCommands.java
+++ b/src/main/java/sprucerock/controller/RolloutCommands.java
@@ -29,20 +29,20 @@
     if (!running(rollout)) {
       return "build " + rollout.build + " is " + text(rollout.state) + ": there is nothing to hold";
     }
-    if (rollout.held) {
+    if (rollout.heldByOperator) {
       return "build " + rollout.build + " is held already";
     }
-    rollout.held = true;
+    rollout.heldByOperator = true;
     rollout.heldSince = now;
     manager.transition(rollout, rollout.state, rollout.stage, "held by " + cause, now);
     return null;
   }
 
   private String resume(Rollout rollout, String cause, Timestamp now) {
-    if (!rollout.held) {
+    if (!rollout.heldByOperator) {
       return "build " + rollout.build + " is not held";
     }
-    rollout.held = false;
+    rollout.heldByOperator = false;
     if (rollout.clockStart != null) {
       Timestamp from = rollout.heldSince.later(rollout.clockStart);
       rollout.pausedTime = rollout.pausedTime.plus(now.since(from));
@@ -60,7 +60,7 @@
     if (!running(rollout) && !lastReleased) {
       return "build " + rollout.build + " is " + text(rollout.state) + ": it can't be withdrawn";
     }
-    rollout.held = false;
+    rollout.heldByOperator = false;
     if (rollout.state == State.ANNOUNCED) {
       manager.transition(rollout, State.WITHDRAWN, 0, "withdrawn by " + cause, now);
     } else {
--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -205,7 +205,7 @@
 
   /** The votes of an earlier incarnation are there, and the rollout that they are on. */
   void restoreVotes() {
-    ballots.restored(current.build, current.stage);
+    ballots.rebuildCountedVotes(current.build, current.stage);
   }
 
   /** Votes looked at so far to count them: what the scale tests bound. */
@@ -234,7 +234,7 @@
   public AnnouncementResult announceDelivery(
       String delivery, int build, String artifact, String source, Timestamp now, long wallMs) {
     this.wallMs = wallMs;
-    return deliveries.answer(
+    return deliveries.applyOnce(
         delivery, build + " " + artifact, now, () -> announce(build, artifact, source, now));
   }
 
@@ -372,7 +372,7 @@
     return switch (current.state) {
       case STARTING ->
           clock.startTimedOut(current, now)
-              || !current.held && current.readyEndpoints >= desiredEndpoints(0);
+              || !current.heldByOperator && current.readyEndpoints >= desiredEndpoints(0);
       case GOING_BACK -> clock.rollbackOver(current, now);
       case ON_TRIAL ->
           clock.startTimedOut(current, now)
@@ -392,7 +392,7 @@
       current.clockRunning = clock.running(now);
     }
     if (current.state == State.STARTING
-        && !current.held
+        && !current.heldByOperator
         && current.readyEndpoints >= desiredEndpoints(0)) {
       transition(current, State.ON_TRIAL, 0, current.readyEndpoints + " units are there", now);
       current.clockStart = now;
@@ -464,7 +464,7 @@
       }
     }
     Transition made = new Transition(++sequence, now, wallMs, to, stage, cause);
-    rollout.add(made);
+    rollout.addTransition(made);
     listener.transitioned(rollout, made);
   }
 }
--- a/src/main/java/sprucerock/controller/SnapshotCodec.java
+++ b/src/main/java/sprucerock/controller/SnapshotCodec.java
@@ -37,13 +37,13 @@
               .setStage(one.stage)
               .setSinceMs(ms(one.since))
               .setHeldMs((long) one.pausedTime.ms())
-              .setHeld(one.held)
+              .setHeld(one.heldByOperator)
               .setUnits(one.readyEndpoints)
               .setClockRan(one.clockRunning);
       if (one.clockStart != null) {
         release.setStageClockMs(ms(one.clockStart)).setHasClock(true);
       }
-      if (one.held) {
+      if (one.heldByOperator) {
         release.setHeldSinceMs(ms(one.heldSince));
       }
       if (one.clockUpdatedAt != null) {
@@ -53,7 +53,7 @@
         release.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
                 .setSequence(step.sequence())
-                .setAtMs(ms(step.at()))
+                .setAtMs(ms(step.time()))
                 .setWallMs(step.wallMs())
                 .setStanding(step.state().name())
                 .setStage(step.stage())
@@ -82,8 +82,8 @@
       state.addDeliveries(
           Delivery.newBuilder()
               .setId(one.id())
-              .setAtMs(ms(one.at()))
-              .setAnswer(one.answer().name())
+              .setAtMs(ms(one.receivedAt()))
+              .setAnswer(one.result().name())
               .setContent(one.content()));
     }
     return state.build();
@@ -93,10 +93,10 @@
     return Math.round(moment.ms());
   }
 
-  static void readSnapshot(
+  static void restoreSnapshot(
       State state, RolloutManager core, DeploymentManager deployments, MaintenanceWindows freezes) {
-    MaintenanceCodec.read(state.getFreezes(), freezes);
-    DeploymentCodec.read(state.getChanges(), deployments);
+    MaintenanceCodec.restore(state.getFreezes(), freezes);
+    DeploymentCodec.restore(state.getChanges(), deployments);
     core.rolloutsByBuild.clear();
     core.sequence = state.getSequence();
     core.webhooksDeliveredUpTo = state.getDelivered();
@@ -108,7 +108,7 @@
       release.state = Rollout.State.valueOf(one.getStanding().toUpperCase(Locale.ROOT));
       release.stage = one.getStage();
       release.pausedTime = TimeSpan.ofMs(one.getHeldMs());
-      release.held = one.getHeld();
+      release.heldByOperator = one.getHeld();
       release.readyEndpoints = one.getUnits();
       release.clockRunning = one.getClockRan();
       if (one.getHasClock()) {
@@ -121,7 +121,7 @@
         release.clockUpdatedAt = Timestamp.ofMs(one.getClockStoppedMs());
       }
       for (sprucerock.controller.v1.Step step : one.getStepsList()) {
-        release.add(
+        release.addTransition(
             new Rollout.Transition(
                 step.getSequence(),
                 Timestamp.ofMs(step.getAtMs()),
--- a/src/main/java/sprucerock/controller/StageClock.java
+++ b/src/main/java/sprucerock/controller/StageClock.java
@@ -18,7 +18,7 @@
   /** Its endpoints were not there in time. */
   boolean startTimedOut(Rollout rollout, Timestamp now) {
     return rollout.clockStart == null
-        && !rollout.held
+        && !rollout.heldByOperator
         && now.since(rollout.since).over(rules.startTimeout());
   }
 
@@ -37,7 +37,7 @@
 
   /** Its stage has lasted long enough, and by votes or the clock the next may begin. */
   boolean mayAdvance(Rollout rollout, Timestamp now) {
-    if (rollout.clockStart == null || rollout.held) {
+    if (rollout.clockStart == null || rollout.heldByOperator) {
       return false;
     }
     TimeSpan elapsed = now.since(rollout.clockStart).minus(rollout.pausedTime);
--- a/src/main/java/sprucerock/controller/WriteAheadLog.java
+++ b/src/main/java/sprucerock/controller/WriteAheadLog.java
@@ -56,11 +56,11 @@
     this.snapshotEveryEntries = snapshotEvery;
   }
 
-  private static String name(String kind, long number) {
+  private static String numberedName(String kind, long number) {
     return String.format("%s%016d", kind, number);
   }
 
-  private static long index(String name) {
+  private static long indexInName(String name) {
     return Long.parseLong(name.substring(name.lastIndexOf('-') + 1));
   }
 
@@ -83,19 +83,19 @@
             .reduce((a, b) -> b)
             .orElse(null);
     if (snapshot != null) {
-      lastIndex = index(snapshot);
+      lastIndex = indexInName(snapshot);
       reader.snapshot(readSnapshot(snapshot));
     }
     List<String> logs = names.stream().filter(one -> one.startsWith(LOG_PREFIX)).toList();
     for (int i = 0; i < logs.size(); i++) {
       boolean last = i == logs.size() - 1;
       boolean superseded =
-          !last && index(logs.get(i + 1)) <= lastIndex; // all of it is in the snapshot
+          !last && indexInName(logs.get(i + 1)) <= lastIndex; // all of it is in the snapshot
       if (!superseded) {
         replayEntries(logs.get(i), last, reader, statusLine);
       }
     }
-    fileName = logs.isEmpty() ? name(LOG_PREFIX, lastIndex) : logs.get(logs.size() - 1);
+    fileName = logs.isEmpty() ? numberedName(LOG_PREFIX, lastIndex) : logs.get(logs.size() - 1);
     file = storage.openForAppend(fileName);
     fileLength = storage.read(fileName).length;
   }
@@ -239,11 +239,11 @@
             .putInt(checksum(body, 0, body.length))
             .putInt(body.length)
             .put(body);
-    storage.replaceAtomically(name(SNAPSHOT_PREFIX, lastIndex), all.array());
-    Storage.AppendFile next = storage.openForAppend(name(LOG_PREFIX, lastIndex));
+    storage.replaceAtomically(numberedName(SNAPSHOT_PREFIX, lastIndex), all.array());
+    Storage.AppendFile next = storage.openForAppend(numberedName(LOG_PREFIX, lastIndex));
     file.close();
     file = next;
-    fileName = name(LOG_PREFIX, lastIndex);
+    fileName = numberedName(LOG_PREFIX, lastIndex);
     fileLength = 0;
     entriesSinceSnapshot = 0;
     List<String> snapshots =
@@ -251,9 +251,10 @@
     if (snapshots.size() <= 2) {
       return;
     }
-    long keep = index(snapshots.get(snapshots.size() - 2));
+    long keep = indexInName(snapshots.get(snapshots.size() - 2));
     for (String name : storage.list()) {
-      if ((name.startsWith(SNAPSHOT_PREFIX) || name.startsWith(LOG_PREFIX)) && index(name) < keep) {
+      if ((name.startsWith(SNAPSHOT_PREFIX) || name.startsWith(LOG_PREFIX))
+          && indexInName(name) < keep) {
         storage.delete(name);
       }
     }
--- a/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
+++ b/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
@@ -14,7 +14,7 @@
   private static final double MIN_LOSS = 0.03;
   private static final int MIN_LOW_WINDOWS = 5;
 
-  private final double[] before;
+  private final double[] baselineSamples;
   private int windowsRecorded;
   private double baseline = Double.NaN;
   private double latest = Double.NaN;
@@ -22,7 +22,7 @@
 
   /** The baseline is the median of the last so many windows. */
   public BaselineLevel(int windows) {
-    before = new double[windows];
+    baselineSamples = new double[windows];
   }
 
   /** A window of all relays that were not updated, together. */
@@ -32,7 +32,7 @@
     }
     latest = all.weightInTime() / all.weight();
     if (Double.isNaN(baseline)) {
-      before[windowsRecorded++ % before.length] = latest;
+      baselineSamples[windowsRecorded++ % baselineSamples.length] = latest;
     } else {
       windowsLow = latest < baseline - MIN_LOSS ? windowsLow + 1 : 0;
     }
@@ -40,11 +40,11 @@
 
   /** A stage begins: later windows are compared with the baseline before the first one. */
   public void stageStarted() {
-    int size = Math.min(windowsRecorded, before.length);
+    int size = Math.min(windowsRecorded, baselineSamples.length);
     if (size == 0) {
       return;
     }
-    double[] sorted = Arrays.copyOf(before, size);
+    double[] sorted = Arrays.copyOf(baselineSamples, size);
     Arrays.sort(sorted);
     if (Double.isNaN(baseline)) {
       baseline = sorted[size / 2];
--- a/src/main/java/sprucerock/controller/comparison/Comparison.java
+++ b/src/main/java/sprucerock/controller/comparison/Comparison.java
@@ -17,15 +17,15 @@
   }
 
   private static final Measure[] MEASURES = Measure.values();
-  private static final double MISSED_HARM = 0.05; // the chance to take harm for none
+  private static final double MISSED_HARM_PROBABILITY = 0.05; // the chance to take harm for none
   // of what pairs differ by anyhow, over all of them: else one unlike pair would look guilty in
   // time
   private static final double MARGIN_STANDARD_ERRORS = 2;
 
-  private final double falseAlarm;
-  private final double[] harms;
-  private final BettingTest[] worse = new BettingTest[MEASURES.length];
-  private final BettingTest[] noWorse;
+  private final double falseAlarmProbability;
+  private final double[] maxLosses;
+  private final BettingTest[] worseTests = new BettingTest[MEASURES.length];
+  private final BettingTest[] noWorseTests;
   private final double[] differences = new double[MEASURES.length];
   private final double[] squaredErrors = new double[MEASURES.length];
   private final int[] samples = new int[MEASURES.length];
@@ -41,11 +41,11 @@
       throw new IllegalArgumentException(
           "a chance of a false alarm lies between 0 and 1, not at " + falseAlarm);
     }
-    this.falseAlarm = falseAlarm;
-    this.harms = harms.clone();
-    Arrays.setAll(worse, i -> new BettingTest());
-    noWorse = new BettingTest[harms.length];
-    Arrays.setAll(noWorse, i -> new BettingTest());
+    this.falseAlarmProbability = falseAlarm;
+    this.maxLosses = harms.clone();
+    Arrays.setAll(worseTests, i -> new BettingTest());
+    noWorseTests = new BettingTest[harms.length];
+    Arrays.setAll(noWorseTests, i -> new BettingTest());
   }
 
   /** Another pair of relays to be compared. */
@@ -66,9 +66,9 @@
         measure.margin
             + MARGIN_STANDARD_ERRORS
                 * Math.sqrt(squaredErrors[i] / samples[i] / Math.max(pairs, 1));
-    worse[i].add((difference - margin) / measure.maxDifference);
-    for (int h = 0; measure == Measure.UNSERVED && h < harms.length; h++) {
-      noWorse[h].add((harms[h] - difference) / measure.maxDifference);
+    worseTests[i].add((difference - margin) / measure.maxDifference);
+    for (int h = 0; measure == Measure.UNSERVED && h < maxLosses.length; h++) {
+      noWorseTests[h].add((maxLosses[h] - difference) / measure.maxDifference);
     }
   }
 
@@ -78,19 +78,23 @@
    * @param harm the index of the harm that is to be ruled out
    */
   public Result result(int harm) {
-    if (worst() != null) {
+    if (worstMeasure() != null) {
       return Result.WORSE;
     }
-    return noWorse[harm].everExceeded(MISSED_HARM) ? Result.NO_WORSE : Result.NOT_SURE;
+    return noWorseTests[harm].everExceeded(MISSED_HARM_PROBABILITY)
+        ? Result.NO_WORSE
+        : Result.NOT_SURE;
   }
 
-  private Measure worst() {
+  private Measure worstMeasure() {
     Measure found = null;
     for (Measure kind : MEASURES) {
-      boolean sure = worse[kind.ordinal()].everExceeded(falseAlarm / MEASURES.length);
+      boolean sure =
+          worseTests[kind.ordinal()].everExceeded(falseAlarmProbability / MEASURES.length);
       if (sure
           && (found == null
-              || worse[kind.ordinal()].logWealth() > worse[found.ordinal()].logWealth())) {
+              || worseTests[kind.ordinal()].logWealth()
+                  > worseTests[found.ordinal()].logWealth())) {
         found = kind;
       }
     }
@@ -99,7 +103,7 @@
 
   /** The reason of the result in one line, for people. */
   public String explanation() {
-    Measure worst = worst();
+    Measure worst = worstMeasure();
     Measure told = worst == null ? Measure.UNSERVED : worst;
     int i = told.ordinal();
     if (samples[i] == 0) {
--- a/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
+++ b/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
@@ -13,20 +13,20 @@
    */
   static final int MIN_RPCS = 25;
 
-  private static final int KINDS = Measure.values().length;
+  private static final int MEASURE_COUNT = Measure.values().length;
 
   private final Comparison comparison;
 
   /**
    * By how much the one that changes was worse already before it did: sums, their squares, looks.
    */
-  private final double[] differencesBefore = new double[KINDS];
+  private final double[] differencesBefore = new double[MEASURE_COUNT];
 
-  private final double[] squaresBefore = new double[KINDS];
-  private final int[] samplesBefore = new int[KINDS];
-  private Window changed = Window.NONE;
-  private Window control = Window.NONE;
-  private Window firstChanged;
+  private final double[] squaresBefore = new double[MEASURE_COUNT];
+  private final int[] samplesBefore = new int[MEASURE_COUNT];
+  private Window updatedSum = Window.NONE;
+  private Window controlSum = Window.NONE;
+  private Window firstUpdated;
   private Window firstControl;
 
   MatchedWindows(Comparison all) {
@@ -39,7 +39,7 @@
       return;
     }
     for (Measure measure : Measure.values()) {
-      double worse = changed.value(measure, changed) - control.value(measure, control);
+      double worse = updatedSum.value(measure, updatedSum) - controlSum.value(measure, controlSum);
       if (!Double.isFinite(worse) || measure == Measure.GROWTH) {
         continue;
       }
@@ -47,43 +47,43 @@
       squaresBefore[measure.ordinal()] += worse * worse;
       samplesBefore[measure.ordinal()]++;
     }
-    changed = Window.NONE;
-    control = Window.NONE;
+    updatedSum = Window.NONE;
+    controlSum = Window.NONE;
   }
 
   /** A window after the update. */
   public void recordAfter(Window changed, Window stayed) {
-    if (firstChanged == null) {
+    if (firstUpdated == null) {
       startComparing();
     }
     if (!accumulate(changed, stayed)) {
       return;
     }
-    if (firstChanged == Window.NONE) {
-      firstChanged = changed;
-      firstControl = control;
+    if (firstUpdated == Window.NONE) {
+      firstUpdated = changed;
+      firstControl = controlSum;
     }
     for (Measure measure : Measure.values()) {
-      double worse = changed.value(measure, firstChanged) - control.value(measure, firstControl);
+      double worse = changed.value(measure, firstUpdated) - controlSum.value(measure, firstControl);
       if (Double.isFinite(worse)) {
         comparison.record(measure, worse - usualDifference(measure), standardError(measure));
       }
     }
     changed = Window.NONE;
-    control = Window.NONE;
+    controlSum = Window.NONE;
   }
 
   private void startComparing() { // nothing of before counts as after
-    changed = Window.NONE;
-    control = Window.NONE;
-    firstChanged = Window.NONE;
+    updatedSum = Window.NONE;
+    controlSum = Window.NONE;
+    firstUpdated = Window.NONE;
     comparison.pairStarted();
   }
 
   private boolean accumulate(Window one, Window other) {
-    changed = changed.plus(one);
-    control = control.plus(other);
-    return changed.rpcs() >= MIN_RPCS && control.rpcs() >= MIN_RPCS;
+    updatedSum = updatedSum.plus(one);
+    controlSum = controlSum.plus(other);
+    return updatedSum.rpcs() >= MIN_RPCS && controlSum.rpcs() >= MIN_RPCS;
   }
 
   /** Drawn towards no difference by four looks: what few looks show is mostly chance. */
--- a/src/main/java/sprucerock/controller/server/LoopDispatcher.java
+++ b/src/main/java/sprucerock/controller/server/LoopDispatcher.java
@@ -46,7 +46,7 @@
         input,
         result -> {
           if (result instanceof AppendResult.Rejected rejected) {
-            HttpExchanges.respond(exchange, 503, "not_kept", rejected.text());
+            HttpExchanges.respond(exchange, 503, "not_kept", rejected.message());
           } else if (result instanceof AppendResult.Accepted accepted) {
             onApplied.accept(accepted.value());
           }
--- a/src/main/java/sprucerock/controller/server/ReleaseHandler.java
+++ b/src/main/java/sprucerock/controller/server/ReleaseHandler.java
@@ -201,7 +201,7 @@
             .put("artifact", rollout.artifact)
             .put("standing", Json.lowerCaseName(rollout.state()))
             .put("stage", rollout.stage())
-            .put("held", rollout.held())
+            .put("held", rollout.heldByOperator())
             .put("units", rollout.readyEndpoints())
             .put("units_wanted", rollouts().desiredEndpoints(rollout));
     if (rollout == rollouts().current()) {
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -55,25 +55,25 @@
   private static final String FOLDER = "controller/";
   private static final String LOG = "log";
   private static final String SNAPSHOTS = "snapshots";
-  private static final String UNDER_CHANGE = "under-change";
+  private static final String UNDER_DEPLOYMENT = "under-change";
 
   /**
    * A folder that has the log alone, one with snapshots too, and one of a life that ended while a
    * change was carried out.
    */
-  private static final List<String> FOLDERS = List.of(LOG, SNAPSHOTS, UNDER_CHANGE);
+  private static final List<String> FOLDERS = List.of(LOG, SNAPSHOTS, UNDER_DEPLOYMENT);
 
   private static final String RESTARTED = "-restarted";
   private static final String LISTING = "-restarted.txt";
   private static final String NEVER_SET = FOLDER + "never-set.txt";
-  private static final String SEATS = FOLDER + "seats.txt";
-  private static final int NEVER = 1_000_000;
-  private static final int SNAPSHOT_EVERY = 25;
+  private static final String LEADERSHIP_FILES = FOLDER + "seats.txt";
+  private static final int NO_SNAPSHOT = 1_000_000;
+  private static final int SNAPSHOT_EVERY_ENTRIES = 25;
   private static final long START_WALL_MS = 1_700_000_000_000L;
-  private static final long DOWN_MS = 700;
-  private static final long MINUTE = 60_000;
-  private static final long HOUR = 60 * MINUTE;
-  private static final int PLACES = 10;
+  private static final long DOWNTIME_MS = 700;
+  private static final long MINUTE_MS = 60_000;
+  private static final long HOUR_MS = 60 * MINUTE_MS;
+  private static final int FLEET_SIZE = 10;
   private static final int RELAYS = 6;
   private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   private static final Version NEW = new Version("b".repeat(64), "1".repeat(64));
@@ -117,19 +117,19 @@
     }
   }
 
-  private static MaintenanceWindows freezes() {
+  private static MaintenanceWindows maintenanceWindows() {
     double[] needs = new double[24];
     Arrays.fill(needs, 10);
     List<Rack> racks =
         List.of(
-            new Rack("a1", 1, 1, Map.of(2, 10.0), 5 * MINUTE),
-            new Rack("a2", 1, 2, Map.of(2, 10.0), 5 * MINUTE),
-            new Rack("a3", 1, 3, Map.of(3, 8.0), 5 * MINUTE),
-            new Rack("b1", 2, 1, Map.of(2, 10.0), 5 * MINUTE));
+            new Rack("a1", 1, 1, Map.of(2, 10.0), 5 * MINUTE_MS),
+            new Rack("a2", 1, 2, Map.of(2, 10.0), 5 * MINUTE_MS),
+            new Rack("a3", 1, 3, Map.of(3, 8.0), 5 * MINUTE_MS),
+            new Rack("b1", 2, 1, Map.of(2, 10.0), 5 * MINUTE_MS));
     CapacityCheck room =
         new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
     return new MaintenanceWindows(
-        new MaintenanceWindows.Rules(MINUTE, 15 * MINUTE, 0.95),
+        new MaintenanceWindows.Rules(MINUTE_MS, 15 * MINUTE_MS, 0.95),
         room,
         new MaintenanceWindows.Listener() {
           @Override
@@ -154,13 +154,13 @@
         new FileStorage(folder),
         snapshotEvery,
         RULES,
-        PLACES,
+        FLEET_SIZE,
         1,
         PLAN,
         clock,
         (release, step) -> {},
         nobody,
-        freezes(),
+        maintenanceWindows(),
         said -> {
           throw new AssertionError(said);
         });
@@ -178,37 +178,37 @@
     }
 
     void play(String name) throws IOException {
-      release();
-      beginChange();
-      if (!name.equals(UNDER_CHANGE)) {
-        goOn();
+      firstRollout();
+      beginDeployment();
+      if (!name.equals(UNDER_DEPLOYMENT)) {
+        playAfterDeploymentBegan();
       }
       engine.close();
     }
 
-    private void goOn() {
-      secondStage();
-      failure();
-      freeze();
-      secondRelease();
-      secondChange();
-      heldFreeze();
-      thirdRelease();
+    private void playAfterDeploymentBegan() {
+      secondDeploymentStage();
+      relayFailure();
+      openWindows();
+      secondRollout();
+      secondDeployment();
+      forceHeldWindow();
+      thirdRollout();
     }
 
-    private void pass(long ms) {
+    private void advanceTime(long ms) {
       clock.passedMs += ms;
       engine.flush();
     }
 
-    private void take(Input.Builder input) {
+    private void append(Input.Builder input) {
       clock.passedMs += 10;
       engine.append(input, outcome -> {});
       engine.flush();
     }
 
-    private void announced(String delivery, int build) {
-      take(
+    private void announce(String delivery, int build) {
+      append(
           Input.newBuilder()
               .setAnnounced(
                   Announced.newBuilder()
@@ -218,19 +218,19 @@
                       .setSource("ci")));
     }
 
-    private void ready(int build, int endpoints) {
-      take(Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints)));
+    private void reportEndpoints(int build, int endpoints) {
+      append(Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints)));
     }
 
-    private void cast(int relay, int build, int stage, String say) {
-      take(
+    private void castVote(int relay, int build, int stage, String say) {
+      append(
           Input.newBuilder()
               .setCast(
                   Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(say)));
     }
 
-    private void word(String action, int build) {
-      take(
+    private void commandRollout(String action, int build) {
+      append(
           Input.newBuilder()
               .setWord(
                   Word.newBuilder()
@@ -241,27 +241,27 @@
     }
 
     /** A build goes through both stages, held for a while, and is released. */
-    private void release() {
-      announced("delivery-2", 2);
-      announced("delivery-2", 2);
-      ready(2, 1);
-      cast(1, 2, 0, "ON");
-      word("HOLD", 2);
-      pass(300);
-      word("RESUME", 2);
-      cast(2, 2, 0, "ON");
-      pass(600);
-      ready(2, 10);
-      cast(1, 2, 1, "ON");
-      cast(2, 2, 1, "ON");
-      cast(3, 2, 1, "NOTHING");
-      pass(600);
-      pass(4000);
-      take(Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(2)));
-    }
-
-    private void agent(int relay, Version runs, boolean ready, int done) {
-      take(
+    private void firstRollout() {
+      announce("delivery-2", 2);
+      announce("delivery-2", 2);
+      reportEndpoints(2, 1);
+      castVote(1, 2, 0, "ON");
+      commandRollout("HOLD", 2);
+      advanceTime(300);
+      commandRollout("RESUME", 2);
+      castVote(2, 2, 0, "ON");
+      advanceTime(600);
+      reportEndpoints(2, 10);
+      castVote(1, 2, 1, "ON");
+      castVote(2, 2, 1, "ON");
+      castVote(3, 2, 1, "NOTHING");
+      advanceTime(600);
+      advanceTime(4000);
+      append(Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(2)));
+    }
+
+    private void reportAgentStatus(int relay, Version runs, boolean ready, int done) {
+      append(
           Input.newBuilder()
               .setAgent(
                   AgentSays.newBuilder()
@@ -274,9 +274,9 @@
     }
 
     /** Each agent says that its relay runs what it was told. */
-    private void agentsObey() {
+    private void reportDesiredVersions() {
       for (ManagedRelay relay : List.copyOf(engine.deployments().relays())) {
-        agent(
+        reportAgentStatus(
             relay.number,
             relay.desiredVersion() == null ? OLD : relay.desiredVersion(),
             true,
@@ -284,8 +284,8 @@
       }
     }
 
-    private void proposed(Version version, boolean live) {
-      take(
+    private void propose(Version version, boolean live) {
+      append(
           Input.newBuilder()
               .setProposed(
                   Proposed.newBuilder()
@@ -295,15 +295,15 @@
                       .setLive(live)));
     }
 
-    private void checked(int relay, long change, String refusal) {
-      take(
+    private void reportValidation(int relay, long change, String refusal) {
+      append(
           Input.newBuilder()
               .setChecked(
                   Checked.newBuilder().setRelay(relay).setChange(change).setRefusal(refusal)));
     }
 
-    private void changeWord(String word, long change) {
-      take(
+    private void commandDeployment(String word, long change) {
+      append(
           Input.newBuilder()
               .setChangeWord(
                   ChangeWord.newBuilder()
@@ -317,12 +317,12 @@
      * Of one zone alone: a snapshot has several in the order of a hash, which differs from one
      * process to the next.
      */
-    private void room(int relays, String why) {
-      take(Input.newBuilder().setRoom(Room.newBuilder().putByZone(1, relays).setWhy(why)));
+    private void setRestartBudget(int relays, String why) {
+      append(Input.newBuilder().setRoom(Room.newBuilder().putByZone(1, relays).setWhy(why)));
     }
 
-    private void judged(long change, int stage, String verdict) {
-      take(
+    private void reportVerdict(long change, int stage, String verdict) {
+      append(
           Input.newBuilder()
               .setJudged(
                   Judged.newBuilder()
@@ -333,43 +333,43 @@
     }
 
     /** The first relay of a change is told, and one beside it waits to be restarted too. */
-    private void beginChange() {
+    private void beginDeployment() {
       for (int relay = 1; relay <= RELAYS; relay++) {
-        agent(relay, OLD, true, 0);
+        reportAgentStatus(relay, OLD, true, 0);
       }
-      room(1, "");
-      proposed(NEW, false);
+      setRestartBudget(1, "");
+      propose(NEW, false);
       for (int relay = 1; relay < RELAYS; relay++) {
-        checked(relay, 1, "");
+        reportValidation(relay, 1, "");
       }
-      checked(RELAYS, 1, "no room on its disk");
-      changeWord("HOLD", 1);
-      pass(200);
-      changeWord("RESUME", 1);
+      reportValidation(RELAYS, 1, "no room on its disk");
+      commandDeployment("HOLD", 1);
+      advanceTime(200);
+      commandDeployment("RESUME", 1);
     }
 
     /** The change reaches its second stage, whose relays are compared. */
-    private void secondStage() {
+    private void secondDeploymentStage() {
       for (int i = 0; i < 4; i++) {
-        pass(300);
-        agentsObey();
+        advanceTime(300);
+        reportDesiredVersions();
       }
-      judged(1, 0, "NO_WORSE");
-      pass(600);
-      agentsObey();
-      judged(1, 1, "NOT_SURE");
+      reportVerdict(1, 0, "NO_WORSE");
+      advanceTime(600);
+      reportDesiredVersions();
+      reportVerdict(1, 1, "NOT_SURE");
     }
 
     /** A relay fails under the change, which goes back. */
-    private void failure() {
-      take(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(4)));
+    private void relayFailure() {
+      append(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(4)));
       int moved =
           engine.deployments().relays().stream()
               .filter(relay -> NEW.equals(relay.desiredVersion()))
               .findFirst()
               .orElseThrow()
               .number;
-      take(
+      append(
           Input.newBuilder()
               .setFailed(
                   Failed.newBuilder()
@@ -379,7 +379,7 @@
                       .setTurn(1)));
     }
 
-    private FreezeWanted.Builder wanted(String rack, long fromMs, long lastsMs) {
+    private FreezeWanted.Builder windowRequest(String rack, long fromMs, long lastsMs) {
       return FreezeWanted.newBuilder()
           .addRacks(rack)
           .setFromMs(fromMs)
@@ -389,8 +389,8 @@
           .setReason("new switch");
     }
 
-    private void freezeWord(String word, long freeze, String who, long toMs) {
-      take(
+    private void commandWindow(String word, long freeze, String who, long toMs) {
+      append(
           Input.newBuilder()
               .setFreezeWord(
                   FreezeWord.newBuilder()
@@ -401,12 +401,12 @@
                       .setReason("why " + word)));
     }
 
-    private void rack(String rack, boolean down) {
-      take(Input.newBuilder().setRack(RackSays.newBuilder().setRack(rack).setDown(down)));
+    private void reportRack(String rack, boolean down) {
+      append(Input.newBuilder().setRack(RackSays.newBuilder().setRack(rack).setDown(down)));
     }
 
-    private void worth(long number) {
-      take(
+    private void reportHardwareModel(long number) {
+      append(
           Input.newBuilder()
               .setWorth(
                   FamiliesWorth.newBuilder()
@@ -425,88 +425,95 @@
      * Freezes once, again and again, at once; one is extended, one called off, one cleared by all
      * relays.
      */
-    private void freeze() {
-      worth(3);
+    private void openWindows() {
+      reportHardwareModel(3);
       long now = clock.wallMs();
-      take(
+      append(
           Input.newBuilder()
-              .setFreeze(wanted("b1", now + HOUR, 10 * MINUTE).setSlackMs(30 * MINUTE)));
-      take(
+              .setFreeze(
+                  windowRequest("b1", now + HOUR_MS, 10 * MINUTE_MS).setSlackMs(30 * MINUTE_MS)));
+      append(
+          Input.newBuilder()
+              .setFreeze(
+                  windowRequest("a1", now + 2 * HOUR_MS, 20 * MINUTE_MS)
+                      .setRule("FREQ=WEEKLY;COUNT=2")));
+      append(
           Input.newBuilder()
-              .setFreeze(wanted("a1", now + 2 * HOUR, 20 * MINUTE).setRule("FREQ=WEEKLY;COUNT=2")));
-      take(Input.newBuilder().setFreeze(wanted("a2", now, 30 * MINUTE).setEmergency(true)));
-      take(
+              .setFreeze(windowRequest("a2", now, 30 * MINUTE_MS).setEmergency(true)));
+      append(
           Input.newBuilder()
               .setFreeze(
-                  wanted("a1", now + 90 * MINUTE, 10 * MINUTE).addRacks("a2").addRacks("a3")));
-      freezeWord("EXTEND", 1, "ben", now + HOUR + 20 * MINUTE);
-      freezeWord("CALL_OFF", 3, "ben", 0);
-      take(Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(4)));
+                  windowRequest("a1", now + 90 * MINUTE_MS, 10 * MINUTE_MS)
+                      .addRacks("a2")
+                      .addRacks("a3")));
+      commandWindow("EXTEND", 1, "ben", now + HOUR_MS + 20 * MINUTE_MS);
+      commandWindow("CALL_OFF", 3, "ben", 0);
+      append(Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(4)));
     }
 
     /** A build that a relay votes back. */
-    private void secondRelease() {
-      announced("delivery-3", 3);
-      ready(3, 1);
-      cast(2, 3, 0, "HOLD");
-      cast(3, 3, 0, "BACK");
-      pass(1000);
-      pass(1000);
+    private void secondRollout() {
+      announce("delivery-3", 3);
+      reportEndpoints(3, 1);
+      castVote(2, 3, 0, "HOLD");
+      castVote(3, 3, 0, "BACK");
+      advanceTime(1000);
+      advanceTime(1000);
     }
 
     /**
      * A change without restarts that waits for some to read it through, and one that takes its
      * place.
      */
-    private void secondChange() {
-      agentsObey();
-      pass(500);
-      proposed(NEWER, true);
-      proposed(new Version(OLD.program(), NEWER.settings()), true);
+    private void secondDeployment() {
+      reportDesiredVersions();
+      advanceTime(500);
+      propose(NEWER, true);
+      propose(new Version(OLD.program(), NEWER.settings()), true);
       for (int relay = 1; relay < RELAYS; relay++) {
-        checked(relay, 3, "");
+        reportValidation(relay, 3, "");
       }
-      checked(RELAYS, 3, "a setting is unknown");
-      pass(300);
-      agentsObey();
-      take(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(5)));
-      room(0, "more comes than usual");
-      changeWord("HOLD", 3);
+      reportValidation(RELAYS, 3, "a setting is unknown");
+      advanceTime(300);
+      reportDesiredVersions();
+      append(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(5)));
+      setRestartBudget(0, "more comes than usual");
+      commandDeployment("HOLD", 3);
     }
 
     /** Racks die, so that a freeze is held; one operator of two forces it. */
-    private void heldFreeze() {
-      rack("a3", true);
-      rack("a2", true);
-      freezeWord("FORCE", 2, "ann", 0);
+    private void forceHeldWindow() {
+      reportRack("a3", true);
+      reportRack("a2", true);
+      commandWindow("FORCE", 2, "ann", 0);
     }
 
     /** The life ends with a build on trial that is held, and votes about it. */
-    private void thirdRelease() {
-      announced("delivery-4", 4);
-      ready(4, 1);
-      cast(1, 4, 0, "ON");
-      cast(2, 4, 0, "HOLD");
-      word("HOLD", 4);
-      pass(400);
-      word("RESUME", 4);
-      pass(100);
-      word("HOLD", 4);
+    private void thirdRollout() {
+      announce("delivery-4", 4);
+      reportEndpoints(4, 1);
+      castVote(1, 4, 0, "ON");
+      castVote(2, 4, 0, "HOLD");
+      commandRollout("HOLD", 4);
+      advanceTime(400);
+      commandRollout("RESUME", 4);
+      advanceTime(100);
+      commandRollout("HOLD", 4);
     }
   }
 
   /** A controller starts on a folder, and ends at once; returns what it knows then. */
   private static String restart(Path folder) throws Exception {
     ManualClock clock = new ManualClock();
-    clock.passedMs = lastWall(folder) - START_WALL_MS + DOWN_MS;
-    Engine engine = engine(folder, NEVER, clock);
+    clock.passedMs = lastWallMs(folder) - START_WALL_MS + DOWNTIME_MS;
+    Engine engine = engine(folder, NO_SNAPSHOT, clock);
     engine.start();
     String listing = listing(engine);
     engine.close();
     return listing;
   }
 
-  private static long lastWall(Path folder) throws Exception {
+  private static long lastWallMs(Path folder) throws Exception {
     long[] last = new long[1];
     read(folder, new ArrayList<>(), new ArrayList<>(), last);
     return last[0];
@@ -515,7 +522,7 @@
   /** Reads a folder's snapshot and the inputs after it. */
   private static void read(Path folder, List<State> states, List<Input> inputs, long[] lastWallMs)
       throws Exception {
-    WriteAheadLog store = new WriteAheadLog(new FileStorage(folder), NEVER);
+    WriteAheadLog store = new WriteAheadLog(new FileStorage(folder), NO_SNAPSHOT);
     store.replay(
         new WriteAheadLog.Reader() {
           @Override
@@ -556,7 +563,7 @@
                   text.append("  ")
                       .append(step.sequence())
                       .append(' ')
-                      .append(step.at().ms())
+                      .append(step.time().ms())
                       .append(' ')
                       .append(step.wallMs())
                       .append(' ')
@@ -639,7 +646,7 @@
     }
     for (String name : FOLDERS) {
       Path folder = Files.createDirectories(all.resolve(name));
-      new Scenario(folder, every(name)).play(name);
+      new Scenario(folder, snapshotEvery(name)).play(name);
       Path restarted = Files.createDirectories(all.resolve(name + RESTARTED));
       for (String file : CorpusFiles.contents(folder).keySet()) {
         Files.copy(folder.resolve(file), restarted.resolve(file));
@@ -651,11 +658,12 @@
       folders.addAll(List.of(all.resolve(name), all.resolve(name + RESTARTED)));
     }
     Files.writeString(corpus.resolve(NEVER_SET), String.join("\n", neverSet(folders)) + "\n");
-    Files.writeString(corpus.resolve(SEATS), String.join("\n", seats()) + "\n");
+    Files.writeString(
+        corpus.resolve(LEADERSHIP_FILES), String.join("\n", leadershipFiles()) + "\n");
   }
 
-  private static int every(String name) {
-    return name.equals(SNAPSHOTS) ? SNAPSHOT_EVERY : NEVER;
+  private static int snapshotEvery(String name) {
+    return name.equals(SNAPSHOTS) ? SNAPSHOT_EVERY_ENTRIES : NO_SNAPSHOT;
   }
 
   /** Fields of inputs and of the state that no recorded file has a value in. */
@@ -674,7 +682,7 @@
   }
 
   /** The files by which two controllers tell who acts. */
-  private static List<String> seats() throws Exception {
+  private static List<String> leadershipFiles() throws Exception {
     Path folder = Files.createTempDirectory("compat");
     try {
       ManualClock clock = new ManualClock();
@@ -714,7 +722,7 @@
   }
 
   @Test(dataProvider = "folders")
-  public void aRestartOnARecordedFolderWritesTheSameBytesAndKnowsTheSame(String name)
+  public void aRestartOnARecordedFolderWritesTheSameBytesAndRestoresTheSameState(String name)
       throws Exception {
     Path folder = CorpusFiles.copy(FOLDER + name);
     try {
@@ -728,10 +736,10 @@
   }
 
   @Test(dataProvider = "folders")
-  public void theSameInputsAreKeptAsTheSameBytes(String name) throws Exception {
+  public void theSameEntriesAreStoredAsTheSameBytes(String name) throws Exception {
     Path folder = Files.createTempDirectory("compat");
     try {
-      new Scenario(folder, every(name)).play(name);
+      new Scenario(folder, snapshotEvery(name)).play(name);
       assertEquals(
           CorpusFiles.contents(folder), CorpusFiles.contents(CorpusFiles.path(FOLDER + name)));
     } finally {
@@ -740,7 +748,7 @@
   }
 
   @Test
-  public void everyKindOfInputIsRecorded() throws Exception {
+  public void everyKindOfLogEntryIsRecorded() throws Exception {
     List<Input> inputs = new ArrayList<>();
     Path folder = CorpusFiles.copy(FOLDER + LOG);
     try {
@@ -760,7 +768,7 @@
   }
 
   @Test
-  public void noFieldIsLeftOutButThoseKnown() throws Exception {
+  public void onlyTheListedFieldsAreNeverSet() throws Exception {
     List<Path> copies = new ArrayList<>();
     try {
       for (String name : FOLDERS) {
@@ -777,13 +785,13 @@
   }
 
   @Test
-  public void theFilesOfTheSeatAreTheSame() throws Exception {
-    assertEquals(seats(), CorpusFiles.lines(SEATS));
+  public void theLeadershipFilesAreUnchanged() throws Exception {
+    assertEquals(leadershipFiles(), CorpusFiles.lines(LEADERSHIP_FILES));
   }
 
   @Test
-  public void aRecordedMarkOfTheSeatIsRead() throws Exception {
-    String last = CorpusFiles.lines(SEATS).get(3);
+  public void aRecordedFencingTokenIsRead() throws Exception {
+    String last = CorpusFiles.lines(LEADERSHIP_FILES).get(3);
     Path folder = Files.createTempDirectory("compat");
     try {
       for (String file : last.split(" (?=[a-z]+=)")) {
--- a/src/test/java/sprucerock/controller/ChangeStudy.java
+++ b/src/test/java/sprucerock/controller/DeploymentStudy.java
@@ -24,7 +24,7 @@
  * prints the table of docs/change.md; arguments are how many good and how many bad changes, and the
  * most and the fewest relays.
  */
-final class ChangeStudy {
+final class DeploymentStudy {
   private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   private static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
   private static final double TICK_MS = 2000;
@@ -44,10 +44,11 @@
           TimeSpan.ofMs(5000));
 
   /** What became of one change. */
-  private record Fate(boolean stopped, boolean done, double seconds, double lost) {}
+  private record SimulationResult(
+      boolean stopped, boolean done, double seconds, double lostSeconds) {}
 
   /** How relays are moved and judged. */
-  private interface Way {
+  private interface Strategy {
     /** A window is over; returns true once the change is over. */
     boolean tick(Fleet fleet, double nowMs);
 
@@ -59,41 +60,41 @@
     final SplittableRandom random;
     final int size;
     final double harm;
-    final double[] rate;
+    final double[] rpcsPerSecond;
     final double[] unserved;
-    final double[] latency;
-    final double[] work;
-    final double[] memory;
-    final boolean[] fresh;
-    final int[] startsIn;
-    final double[] age;
+    final double[] latencyMs;
+    final double[] workMs;
+    final double[] memoryMb;
+    final boolean[] onNewVersion;
+    final int[] startTicksLeft;
+    final double[] ageMs;
     final Window[] total;
-    final Window[] last;
-    double lost;
-    private final double[] zoneTrouble = new double[4]; // the fourth is everybody's
-    private final int[] zoneTicks = new int[4];
+    final Window[] lastWindow;
+    double lostSeconds;
+    private final double[] zoneDisturbance = new double[4]; // the fourth is everybody's
+    private final int[] zoneDisturbanceTicks = new int[4];
 
     Fleet(long seed, int size, double harm) {
       random = new SplittableRandom(seed);
       this.size = size;
       this.harm = harm;
-      rate = new double[size];
+      rpcsPerSecond = new double[size];
       unserved = new double[size];
-      latency = new double[size];
-      work = new double[size];
-      memory = new double[size];
-      fresh = new boolean[size];
-      startsIn = new int[size];
-      age = new double[size];
+      latencyMs = new double[size];
+      workMs = new double[size];
+      memoryMb = new double[size];
+      onNewVersion = new boolean[size];
+      startTicksLeft = new int[size];
+      ageMs = new double[size];
       total = new Window[size];
-      last = new Window[size];
+      lastWindow = new Window[size];
       for (int i = 0; i < size; i++) {
-        rate[i] = 30 * Math.exp(0.7 * normal());
+        rpcsPerSecond[i] = 30 * Math.exp(0.7 * normal());
         unserved[i] = 0.01 * Math.exp(0.5 * normal());
-        latency[i] = 60 * Math.exp(0.15 * normal());
-        work[i] = 1.5 * Math.exp(0.1 * normal());
-        memory[i] = 60 * Math.exp(0.05 * normal());
-        age[i] = 1e6;
+        latencyMs[i] = 60 * Math.exp(0.15 * normal());
+        workMs[i] = 1.5 * Math.exp(0.1 * normal());
+        memoryMb[i] = 60 * Math.exp(0.05 * normal());
+        ageMs[i] = 1e6;
         total[i] = Window.NONE;
       }
     }
@@ -118,50 +119,50 @@
     }
 
     void restart(int i, boolean onNew) {
-      fresh[i] = onNew;
-      startsIn[i] = START_TICKS;
+      onNewVersion[i] = onNew;
+      startTicksLeft[i] = START_TICKS;
     }
 
     boolean ready(int i) {
-      return startsIn[i] == 0;
+      return startTicksLeft[i] == 0;
     }
 
     void tick() {
       for (int z = 0; z < 4; z++) {
-        if (zoneTicks[z] > 0) {
-          zoneTicks[z]--;
+        if (zoneDisturbanceTicks[z] > 0) {
+          zoneDisturbanceTicks[z]--;
         } else if (random.nextDouble() < 0.01) {
-          zoneTicks[z] = 3 + random.nextInt(12);
-          zoneTrouble[z] = 0.2 * random.nextDouble();
+          zoneDisturbanceTicks[z] = 3 + random.nextInt(12);
+          zoneDisturbance[z] = 0.2 * random.nextDouble();
         }
       }
       double worth = 0;
       for (int i = 0; i < size; i++) {
-        worth += rate[i];
+        worth += rpcsPerSecond[i];
       }
       for (int i = 0; i < size; i++) {
-        last[i] = null;
-        if (startsIn[i] > 0) {
-          if (--startsIn[i] == 0) {
-            age[i] = 0;
+        lastWindow[i] = null;
+        if (startTicksLeft[i] > 0) {
+          if (--startTicksLeft[i] == 0) {
+            ageMs[i] = 0;
             total[i] = Window.NONE;
           }
           continue;
         }
-        double cold = Math.exp(-age[i] / 6000);
+        double cold = Math.exp(-ageMs[i] / 6000);
         double trouble =
-            (zoneTicks[i % 3] > 0 ? zoneTrouble[i % 3] : 0)
-                + (zoneTicks[3] > 0 ? zoneTrouble[3] : 0);
-        double p = Math.min(0.9, unserved[i] + 0.1 * cold + trouble + (fresh[i] ? harm : 0));
-        double n = count(rate[i] * TICK_MS / 1000);
+            (zoneDisturbanceTicks[i % 3] > 0 ? zoneDisturbance[i % 3] : 0)
+                + (zoneDisturbanceTicks[3] > 0 ? zoneDisturbance[3] : 0);
+        double p = Math.min(0.9, unserved[i] + 0.1 * cold + trouble + (onNewVersion[i] ? harm : 0));
+        double n = count(rpcsPerSecond[i] * TICK_MS / 1000);
         double missed = Math.min(n, count(n * p));
         double answered = n - missed;
         double ms =
             answered
-                * latency[i]
+                * latencyMs[i]
                 * (1 + 4 * trouble + cold)
                 * (1 + 0.8 / Math.sqrt(Math.max(answered, 1)) * normal());
-        last[i] =
+        lastWindow[i] =
             new Window(
                 n,
                 n,
@@ -171,35 +172,35 @@
                 0,
                 answered,
                 Math.max(answered, ms),
-                n * work[i] * (1 + cold) * (1 + 0.02 * normal()) + 10,
-                memory[i] * (0.8 + 0.2 * (1 - cold)) * (1 + 0.01 * normal()),
-                20 + Math.sqrt(rate[i]) * 5,
+                n * workMs[i] * (1 + cold) * (1 + 0.02 * normal()) + 10,
+                memoryMb[i] * (0.8 + 0.2 * (1 - cold)) * (1 + 0.01 * normal()),
+                20 + Math.sqrt(rpcsPerSecond[i]) * 5,
                 n * 0.3 + 2);
-        total[i] = total[i].plus(last[i]);
-        age[i] += TICK_MS;
-        if (fresh[i]) {
-          lost += harm * rate[i] / worth * TICK_MS / 1000;
+        total[i] = total[i].plus(lastWindow[i]);
+        ageMs[i] += TICK_MS;
+        if (onNewVersion[i]) {
+          lostSeconds += harm * rpcsPerSecond[i] / worth * TICK_MS / 1000;
         }
       }
     }
   }
 
   /** Changes and watcher as they are. */
-  private static final class Ours
-      implements Way, DeploymentManager.Listener, DeploymentMonitor.Listener {
+  private static final class PairedComparison
+      implements Strategy, DeploymentManager.Listener, DeploymentMonitor.Listener {
     private final DeploymentManager deployments = new DeploymentManager(PLAN, this);
-    private final DeploymentMonitor watcher = new DeploymentMonitor(deployments, this);
-    private final Map<Integer, Integer> lives = new TreeMap<>();
-    private final List<ManagedRelay> wants = new ArrayList<>();
-    private double now;
-    private int warm = 40;
+    private final DeploymentMonitor monitor = new DeploymentMonitor(deployments, this);
+    private final Map<Integer, Integer> incarnations = new TreeMap<>();
+    private final List<ManagedRelay> restartRequests = new ArrayList<>();
+    private double nowMs;
+    private int warmUpTicks = 40;
 
     @Override
     public boolean tick(Fleet fleet, double nowMs) {
-      now = nowMs;
+      this.nowMs = nowMs;
       for (int i = 0; i < fleet.size; i++) {
         ManagedRelay relay = deployments.relay(i);
-        Version runs = fleet.fresh[i] ? NEW : OLD;
+        Version runs = fleet.onNewVersion[i] ? NEW : OLD;
         boolean ready = fleet.ready(i);
         if (relay == null || relay.ready() != ready || !relay.observedVersion().equals(runs)) {
           deployments.reportStatus(
@@ -209,27 +210,27 @@
               runs,
               ready,
               relay == null ? 0 : relay.generation(),
-              at(),
+              timestamp(),
               0);
         }
         if (ready) {
-          watcher.reportTotals(i, lives.getOrDefault(i, 0), 1, fleet.total[i]);
+          monitor.reportTotals(i, incarnations.getOrDefault(i, 0), 1, fleet.total[i]);
         }
       }
-      watcher.closeWindow(TICK_MS);
-      if (warm-- == 0) {
-        deployments.propose("study", "", NEW, false, at(), 0);
+      monitor.closeWindow(TICK_MS);
+      if (warmUpTicks-- == 0) {
+        deployments.propose("study", "", NEW, false, timestamp(), 0);
         for (int i = 0; i < fleet.size; i++) {
-          deployments.reportValidation(i, 1, "", at(), 0);
+          deployments.reportValidation(i, 1, "", timestamp(), 0);
         }
       }
-      deployments.tick(at(), 0);
-      for (ManagedRelay one : wants) {
+      deployments.tick(timestamp(), 0);
+      for (ManagedRelay one : restartRequests) {
         if (one.generation() == 0) {
           continue;
         }
         fleet.restart(one.number, one.desiredVersion().equals(NEW));
-        lives.merge(one.number, 1, Integer::sum);
+        incarnations.merge(one.number, 1, Integer::sum);
         deployments.reportStatus(
             one.number,
             one.zone(),
@@ -237,16 +238,16 @@
             one.desiredVersion(),
             false,
             one.generation(),
-            at(),
+            timestamp(),
             0);
       }
-      wants.clear();
+      restartRequests.clear();
       Deployment deployment = deployments.deployment(1);
       return deployment != null && !deployment.state().open();
     }
 
-    private Timestamp at() {
-      return Timestamp.ofMs(now);
+    private Timestamp timestamp() {
+      return Timestamp.ofMs(nowMs);
     }
 
     @Override
@@ -259,17 +260,18 @@
 
     @Override
     public void desiredStateChanged(ManagedRelay relay) {
-      wants.add(relay);
+      restartRequests.add(relay);
     }
 
     @Override
     public void verdictChanged(Deployment deployment, Verdict verdict, String reason) {
-      deployments.reportVerdict(deployment.number, deployment.stage(), verdict, reason, at(), 0);
+      deployments.reportVerdict(
+          deployment.number, deployment.stage(), verdict, reason, timestamp(), 0);
     }
 
     @Override
     public void restartBudgetChanged(Map<Integer, Integer> byZone, String why) {
-      deployments.setRestartBudget(byZone, why, at(), 0);
+      deployments.setRestartBudget(byZone, why, timestamp(), 0);
     }
 
     @Override
@@ -282,7 +284,7 @@
           relay.observedVersion(),
           relay.ready(),
           relay.observedGeneration(),
-          at(),
+          timestamp(),
           0);
     }
   }
@@ -291,7 +293,7 @@
    * Stages of a fixed length; {@code shares} of one: all at once. Judged by averages against a
    * threshold, or not at all.
    */
-  private static final class Simple implements Way {
+  private static final class FixedStages implements Strategy {
     private static final int STAGE_TICKS = 30;
     private final double[] shares;
     private final double threshold;
@@ -300,7 +302,7 @@
     private int ticks = STAGE_TICKS + 40;
     private boolean stopped;
 
-    Simple(double threshold, double... shares) {
+    FixedStages(double threshold, double... shares) {
       this.shares = shares;
       this.threshold = threshold;
     }
@@ -308,11 +310,11 @@
     @Override
     public boolean tick(Fleet fleet, double nowMs) {
       for (int i = 0; i < fleet.size; i++) {
-        if (fleet.last[i] == null || stage < 0) {
+        if (fleet.lastWindow[i] == null || stage < 0) {
           continue;
         }
-        sums[fleet.fresh[i] ? 0 : 2] += fleet.last[i].weight();
-        sums[fleet.fresh[i] ? 1 : 3] += fleet.last[i].weightInTime();
+        sums[fleet.onNewVersion[i] ? 0 : 2] += fleet.lastWindow[i].weight();
+        sums[fleet.onNewVersion[i] ? 1 : 3] += fleet.lastWindow[i].weightInTime();
       }
       if (--ticks > 0) {
         return false;
@@ -328,7 +330,7 @@
         return true;
       }
       for (int i = 0; i < Math.max(1, shares[stage] * fleet.size); i++) {
-        if (!fleet.fresh[i]) {
+        if (!fleet.onNewVersion[i]) {
           fleet.restart(i, true);
         }
       }
@@ -341,23 +343,24 @@
     }
   }
 
-  private static Fate play(long seed, int size, double harm, Way way) {
+  private static SimulationResult simulate(long seed, int size, double harm, Strategy way) {
     Fleet fleet = new Fleet(seed, size, harm);
     for (int tick = 1; tick < 20_000; tick++) {
       fleet.tick();
       if (way.tick(fleet, tick * TICK_MS)) {
-        return new Fate(way.stopped(), !way.stopped(), (tick - 40) * TICK_MS / 1000, fleet.lost);
+        return new SimulationResult(
+            way.stopped(), !way.stopped(), (tick - 40) * TICK_MS / 1000, fleet.lostSeconds);
       }
     }
-    return new Fate(false, false, 40_000, fleet.lost);
+    return new SimulationResult(false, false, 40_000, fleet.lostSeconds);
   }
 
-  private static Way way(int which) {
+  private static Strategy newStrategy(int which) {
     return switch (which) {
-      case 0 -> new Ours();
-      case 1 -> new Simple(Double.MAX_VALUE, 1);
-      case 2 -> new Simple(Double.MAX_VALUE, 0.02, 0.15, 0.5, 1);
-      default -> new Simple(0.01, 0.02, 0.15, 0.5, 1);
+      case 0 -> new PairedComparison();
+      case 1 -> new FixedStages(Double.MAX_VALUE, 1);
+      case 2 -> new FixedStages(Double.MAX_VALUE, 0.02, 0.15, 0.5, 1);
+      default -> new FixedStages(0.01, 0.02, 0.15, 0.5, 1);
     };
   }
 
@@ -380,22 +383,23 @@
         int plays = harm == 0 ? good : bad;
         for (int which = 0; which < names.length; which++) {
           int of = which;
-          List<Fate> fates =
+          List<SimulationResult> fates =
               IntStream.range(0, plays)
                   .parallel()
-                  .mapToObj(seed -> play(1000L * size + seed, size, harm, way(of)))
+                  .mapToObj(seed -> simulate(1000L * size + seed, size, harm, newStrategy(of)))
                   .toList();
-          double[] seconds = fates.stream().mapToDouble(Fate::seconds).sorted().toArray();
+          double[] seconds =
+              fates.stream().mapToDouble(SimulationResult::seconds).sorted().toArray();
           System.out.printf(
               Locale.ROOT,
               "%-24s %6d %6.2f %7.1f%% %7.1f%% %10.0f %12.2f%n",
               names[which],
               size,
               harm,
-              100.0 * fates.stream().filter(Fate::stopped).count() / plays,
-              100.0 * fates.stream().filter(Fate::done).count() / plays,
+              100.0 * fates.stream().filter(SimulationResult::stopped).count() / plays,
+              100.0 * fates.stream().filter(SimulationResult::done).count() / plays,
               seconds[plays / 2],
-              fates.stream().mapToDouble(Fate::lost).average().orElse(0));
+              fates.stream().mapToDouble(SimulationResult::lostSeconds).average().orElse(0));
         }
       }
     }
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -33,58 +33,61 @@
 
 /** The controller's memory through crashes at every write, full disks and damage of every kind. */
 public class EngineTest {
-  private static final class Crash extends RuntimeException {
+  private static final class SimulatedCrash extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
 
   /** A disk that crashes at its n-th step; of what was not forced a part stays, drawn. */
   private static final class SimulatedStorage implements Storage {
-    private final TreeMap<String, byte[]> forced = new TreeMap<>();
-    private final TreeMap<String, ByteArrayOutputStream> now = new TreeMap<>();
+    private final TreeMap<String, byte[]> durableFiles = new TreeMap<>();
+    private final TreeMap<String, ByteArrayOutputStream> currentFiles = new TreeMap<>();
     private long steps;
-    private long most = Long.MAX_VALUE;
+    private long crashAtStep = Long.MAX_VALUE;
     private boolean full;
     private final SplittableRandom random = new SplittableRandom(5);
 
     /** After a crash: what was forced, and a part of what was added since. */
     void restart(long mostSteps) {
-      for (String name : List.copyOf(now.keySet())) {
-        byte[] was = forced.getOrDefault(name, new byte[0]);
-        byte[] is = now.get(name).toByteArray();
+      for (String name : List.copyOf(currentFiles.keySet())) {
+        byte[] was = durableFiles.getOrDefault(name, new byte[0]);
+        byte[] is = currentFiles.get(name).toByteArray();
         if (is.length > was.length) {
-          forced.put(
+          durableFiles.put(
               name, Arrays.copyOf(is, was.length + random.nextInt(is.length - was.length + 1)));
         }
       }
-      now.clear();
-      forced.forEach(
+      currentFiles.clear();
+      durableFiles.forEach(
           (name, bytes) ->
-              now.computeIfAbsent(name, key -> new ByteArrayOutputStream()).writeBytes(bytes));
+              currentFiles
+                  .computeIfAbsent(name, key -> new ByteArrayOutputStream())
+                  .writeBytes(bytes));
       steps = 0;
-      most = mostSteps;
+      crashAtStep = mostSteps;
     }
 
     private void step() {
-      if (steps++ >= most) {
-        throw new Crash();
+      if (steps++ >= crashAtStep) {
+        throw new SimulatedCrash();
       }
     }
 
     @Override
     public List<String> list() {
-      return new ArrayList<>(now.keySet());
+      return new ArrayList<>(currentFiles.keySet());
     }
 
     @Override
     public byte[] read(String name) {
-      return now.containsKey(name) ? now.get(name).toByteArray() : new byte[0];
+      return currentFiles.containsKey(name) ? currentFiles.get(name).toByteArray() : new byte[0];
     }
 
     @Override
     public AppendFile openForAppend(String name) {
       step();
-      ByteArrayOutputStream file = now.computeIfAbsent(name, key -> new ByteArrayOutputStream());
-      forced.putIfAbsent(name, new byte[0]);
+      ByteArrayOutputStream file =
+          currentFiles.computeIfAbsent(name, key -> new ByteArrayOutputStream());
+      durableFiles.putIfAbsent(name, new byte[0]);
       return new AppendFile() {
         @Override
         public void append(byte[] bytes) throws IOException {
@@ -99,7 +102,7 @@
         @Override
         public void fsync() {
           step();
-          forced.put(name, file.toByteArray());
+          durableFiles.put(name, file.toByteArray());
         }
 
         @Override
@@ -112,39 +115,39 @@
       step();
       ByteArrayOutputStream file = new ByteArrayOutputStream();
       file.writeBytes(bytes);
-      now.put(name, file);
-      forced.put(name, bytes);
+      currentFiles.put(name, file);
+      durableFiles.put(name, bytes);
     }
 
     @Override
     public void delete(String name) {
       step();
-      now.remove(name);
-      forced.remove(name);
+      currentFiles.remove(name);
+      durableFiles.remove(name);
     }
 
     @Override
     public void truncate(String name, long length) {
       step();
       byte[] cut = Arrays.copyOf(read(name), (int) length);
-      now.get(name).reset();
-      now.get(name).writeBytes(cut);
-      forced.put(name, cut);
+      currentFiles.get(name).reset();
+      currentFiles.get(name).writeBytes(cut);
+      durableFiles.put(name, cut);
     }
   }
 
-  private long wall = 1_000_000;
-  private long steady;
+  private long wallMs = 1_000_000;
+  private long steadyMs;
   private final Engine.Clock clock =
       new Engine.Clock() {
         @Override
         public long wallMs() {
-          return wall;
+          return wallMs;
         }
 
         @Override
         public long steadyMs() {
-          return steady;
+          return steadyMs;
         }
       };
   private final List<String> notified = new ArrayList<>();
@@ -167,7 +170,7 @@
    * What each relay was told to run, by its turn, in all lives; and a word that contradicts an
    * earlier one.
    */
-  private final TreeMap<Integer, TreeMap<Integer, Version>> wanted = new TreeMap<>();
+  private final TreeMap<Integer, TreeMap<Integer, Version>> desiredVersions = new TreeMap<>();
 
   private final List<String> contradictions = new ArrayList<>();
 
@@ -200,7 +203,7 @@
           @Override
           public void desiredStateChanged(ManagedRelay relay) {
             Version before =
-                wanted
+                desiredVersions
                     .computeIfAbsent(relay.number, any -> new TreeMap<>())
                     .putIfAbsent(relay.generation(), relay.desiredVersion());
             if (before != null && !before.equals(relay.desiredVersion())) {
@@ -219,7 +222,7 @@
         statusLines::add);
   }
 
-  private static Input.Builder report(int relay, Version runs, boolean ready, int done) {
+  private static Input.Builder statusReport(int relay, Version runs, boolean ready, int done) {
     return Input.newBuilder()
         .setAgent(
             AgentSays.newBuilder()
@@ -250,7 +253,7 @@
                           .setVersion(DeploymentCodec.version(VERSIONS[random.nextInt(2)])));
       case 1 ->
           any == null
-              ? report(number, VERSIONS[0], true, 0)
+              ? statusReport(number, VERSIONS[0], true, 0)
               : Input.newBuilder()
                   .setJudged(
                       Judged.newBuilder()
@@ -259,7 +262,7 @@
                           .setVerdict(random.nextInt(8) == 0 ? "WORSE" : "NO_WORSE"));
       case 2 ->
           any == null || random.nextInt(6) > 0
-              ? report(
+              ? statusReport(
                   number,
                   begun ? relay.desiredVersion() : VERSIONS[0],
                   true,
@@ -271,7 +274,7 @@
                           .setVersion(DeploymentCodec.version(any.toVersion))
                           .setHow("ended"));
       default ->
-          report(
+          statusReport(
               number,
               begun ? relay.desiredVersion() : VERSIONS[0],
               random.nextInt(5) > 0,
@@ -279,9 +282,9 @@
     };
   }
 
-  private void pass(long ms) {
-    steady += ms;
-    wall += ms;
+  private void advanceTime(long ms) {
+    steadyMs += ms;
+    wallMs += ms;
   }
 
   private static Input.Builder announce(String delivery, int build) {
@@ -299,14 +302,15 @@
         .setCast(Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(say));
   }
 
-  private static Input.Builder ready(int build, int endpoints) {
+  private static Input.Builder endpointsReady(int build, int endpoints) {
     return Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints));
   }
 
   /** Some inputs as a day brings them, and what each was answered. */
-  private void run(Engine engine, SplittableRandom random, List<Integer> taken, int turns) {
+  private void appendRandomEntries(
+      Engine engine, SplittableRandom random, List<Integer> taken, int turns) {
     for (int i = 0; i < turns; i++) {
-      pass(random.nextInt(400));
+      advanceTime(random.nextInt(400));
       int build = engine.rollouts().current().build;
       int stage = engine.rollouts().current().stage();
       for (int j = random.nextInt(3); j >= 0; j--) {
@@ -321,7 +325,7 @@
                       taken.add(next);
                     }
                   });
-          case 1 -> engine.append(ready(build, 10), outcome -> {});
+          case 1 -> engine.append(endpointsReady(build, 10), outcome -> {});
           case 2 ->
               engine.append(
                   Input.newBuilder()
@@ -348,22 +352,22 @@
     for (int every : new int[] {7, 1000}) {
       for (long most = 0; ; most++) {
         SimulatedStorage disk = new SimulatedStorage();
-        disk.most = most;
+        disk.crashAtStep = most;
         notified.clear();
-        wanted.clear();
+        desiredVersions.clear();
         List<Integer> taken = new ArrayList<>();
         Engine engine = engine(disk, every);
         boolean crashed = false;
         try {
           engine.start();
-          run(engine, new SplittableRandom(most % 11), taken, 60);
-        } catch (Crash e) {
+          appendRandomEntries(engine, new SplittableRandom(most % 11), taken, 60);
+        } catch (SimulatedCrash e) {
           crashed = true;
         }
         List<String> before = List.copyOf(notified);
         disk.restart(Long.MAX_VALUE);
         notified.clear();
-        pass(100);
+        advanceTime(100);
         Engine next = engine(disk, every);
         next.start();
         List<String> steps = new ArrayList<>();
@@ -401,15 +405,15 @@
                                         + " "
                                         + step.stage())));
         for (ManagedRelay relay : next.deployments().relays()) {
-          if (wanted.get(relay.number) == null) {
+          if (desiredVersions.get(relay.number) == null) {
             continue;
           }
           assertTrue(
-              relay.generation() >= wanted.get(relay.number).lastKey(),
+              relay.generation() >= desiredVersions.get(relay.number).lastKey(),
               "a turn that was told is forgotten, crash at " + most);
         }
         assertTrue(
-            next.deployments().relays().size() >= wanted.size(),
+            next.deployments().relays().size() >= desiredVersions.size(),
             "a relay that was told something is forgotten");
         assertTrue(
             steps.containsAll(before),
@@ -419,7 +423,7 @@
         }
         assertTrue(
             next.rollouts().epoch() > engine.rollouts().epoch(), "what it tells now is not newer");
-        run(next, new SplittableRandom(1), taken, 5); // and it goes on
+        appendRandomEntries(next, new SplittableRandom(1), taken, 5); // and it goes on
         assertEquals(contradictions, List.of());
         if (!crashed) {
           break;
@@ -436,7 +440,7 @@
       SimulatedStorage disk = new SimulatedStorage();
       Engine engine = engine(disk, every);
       engine.start();
-      run(engine, new SplittableRandom(3), new ArrayList<>(), 300);
+      appendRandomEntries(engine, new SplittableRandom(3), new ArrayList<>(), 300);
       while (engine.rollouts().transitionDue(engine.now())
           || engine.deployments().transitionDue(engine.now())) {
         engine.flush(); // what a restart would do at once
@@ -461,14 +465,14 @@
     }
   }
 
-  private static RolloutManager.AnnouncementResult announced(AppendResult result) {
+  private static RolloutManager.AnnouncementResult announcementResult(AppendResult result) {
     AppendResult.Value value = ((AppendResult.Accepted) result).value();
     return ((AppendResult.Announced) value).result();
   }
 
   private static boolean isTaken(AppendResult result) {
     return result instanceof AppendResult.Accepted
-        && announced(result) == RolloutManager.AnnouncementResult.TAKEN;
+        && announcementResult(result) == RolloutManager.AnnouncementResult.TAKEN;
   }
 
   @Test
@@ -478,8 +482,8 @@
     for (int i = 0; i < 3; i++) {
       Engine engine = engine(disk, 2);
       engine.start();
-      engine.append(announce("d", 2), outcome -> answers.add(announced(outcome)));
-      engine.append(announce("d", 2), outcome -> answers.add(announced(outcome)));
+      engine.append(announce("d", 2), outcome -> answers.add(announcementResult(outcome)));
+      engine.append(announce("d", 2), outcome -> answers.add(announcementResult(outcome)));
       engine.flush();
       disk.restart(Long.MAX_VALUE);
     }
@@ -504,7 +508,7 @@
     List<String> refused = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       engine.append(
-          announce("e", 3), outcome -> refused.add(((AppendResult.Rejected) outcome).text()));
+          announce("e", 3), outcome -> refused.add(((AppendResult.Rejected) outcome).message()));
       engine.flush();
     }
     assertEquals(notified.size(), before);
@@ -534,7 +538,7 @@
     Path log = folder.resolve("inputs-0000000000000000");
     byte[] good = Files.readAllBytes(log);
     statusLines.clear();
-    Engine cut = engine(new FileStorage(only(Arrays.copyOf(good, good.length - 3))), 1000);
+    Engine cut = engine(new FileStorage(folderWithLog(Arrays.copyOf(good, good.length - 3))), 1000);
     cut.start();
     cut.close();
     assertEquals(statusLines.size(), 1);
@@ -546,7 +550,7 @@
     assertEquals(cut.rollouts().current().build, 10);
     byte[] hole = good.clone();
     hole[good.length / 2] ^= 1;
-    Path holed = only(hole);
+    Path holed = folderWithLog(hole);
     String message =
         expectThrows(
                 WriteAheadLog.DamagedException.class,
@@ -560,13 +564,13 @@
     byte[] gap = new byte[good.length - 60];
     System.arraycopy(good, 0, gap, 0, 30);
     System.arraycopy(good, 90, gap, 30, good.length - 90);
-    Path gapped = only(gap);
+    Path gapped = folderWithLog(gap);
     expectThrows(
         WriteAheadLog.DamagedException.class, () -> engine(new FileStorage(gapped), 1000).start());
   }
 
   /** A folder with one log in it. */
-  private static Path only(byte[] log) throws Exception {
+  private static Path folderWithLog(byte[] log) throws Exception {
     Path folder = Files.createTempDirectory("store");
     Files.write(folder.resolve("inputs-0000000000000000"), log);
     return folder;
@@ -591,7 +595,8 @@
     assertEquals(third.rollouts().rollout(9), null);
     old.setLeadershipCheck(() -> false); // once it has looked at its lease
     List<String> refused = new ArrayList<>();
-    old.append(announce("d", 10), outcome -> refused.add(((AppendResult.Rejected) outcome).text()));
+    old.append(
+        announce("d", 10), outcome -> refused.add(((AppendResult.Rejected) outcome).message()));
     old.flush();
     assertEquals(refused, List.of("another controller may act by now"));
   }
@@ -601,18 +606,18 @@
     SimulatedStorage disk = new SimulatedStorage();
     Engine engine = engine(disk, 1000);
     engine.start();
-    pass(5000);
+    advanceTime(5000);
     engine.append(announce("d", 2), outcome -> {});
     engine.flush();
     double last = engine.now().ms();
-    wall -= 3_600_000; // set back
-    steady = 7; // another process
+    wallMs -= 3_600_000; // set back
+    steadyMs = 7; // another process
     disk.restart(Long.MAX_VALUE);
     Engine back = engine(disk, 1000);
     back.start();
     assertTrue(back.now().ms() >= last);
     double then = back.now().ms();
-    wall += 100L * 24 * 3_600_000; // set forward by months
+    wallMs += 100L * 24 * 3_600_000; // set forward by months
     disk.restart(Long.MAX_VALUE);
     Engine forward = engine(disk, 1000);
     forward.start();
--- a/src/test/java/sprucerock/controller/FileLeadershipTest.java
+++ b/src/test/java/sprucerock/controller/FileLeadershipTest.java
@@ -51,7 +51,7 @@
     }
   }
 
-  private long now;
+  private long nowMs;
   private Storage storage;
   private final Engine.Clock clock =
       new Engine.Clock() {
@@ -62,13 +62,13 @@
 
         @Override
         public long steadyMs() {
-          return now;
+          return nowMs;
         }
       };
 
   @BeforeMethod
   public void createStorage() throws Exception {
-    now = 0;
+    nowMs = 0;
     storage = new InMemoryStorage();
   }
 
@@ -77,14 +77,14 @@
   }
 
   private long acquireWithin(FileLeadership leadership, long timeoutMs) throws Exception {
-    long from = now;
+    long from = nowMs;
     while (!leadership.tryAcquire()) {
-      now += 100;
-      if (now - from > timeoutMs) {
+      nowMs += 100;
+      if (nowMs - from > timeoutMs) {
         return -1;
       }
     }
-    return now - from;
+    return nowMs - from;
   }
 
   @Test
@@ -93,7 +93,7 @@
     FileLeadership b = leadership("b");
     assertTrue(acquireWithin(a, 5000) >= 0);
     for (int i = 0; i < 50; i++) {
-      now += 200;
+      nowMs += 200;
       assertTrue(a.renew() && a.isHeld());
       assertFalse(b.tryAcquire());
     }
@@ -115,7 +115,7 @@
   }
 
   @Test
-  public void stalledLeaderHasLostIt() throws Exception {
+  public void stalledLeaderHasLostLeadership() throws Exception {
     FileLeadership a = leadership("a");
     acquireWithin(a, 5000);
     FileLeadership b = leadership("b");
@@ -127,7 +127,7 @@
   }
 
   @Test
-  public void atMostOneOfManyHoldsIt() throws Exception {
+  public void atMostOneOfManyHoldsLeadership() throws Exception {
     for (int seed = 0; seed < 60; seed++) {
       storage = new InMemoryStorage();
       SplittableRandom random = new SplittableRandom(seed);
@@ -138,11 +138,11 @@
       boolean[] has = new boolean[4];
       int maxHolders = 0;
       for (int step = 0; step < 400; step++) {
-        now += random.nextInt(120);
+        nowMs += random.nextInt(120);
         int who = random.nextInt(4);
         boolean stalls = random.nextInt(25) == 0; // one stands still for longer than the time
         if (stalls) {
-          now += 1500;
+          nowMs += 1500;
         }
         FileLeadership leadership = all.get(who);
         has[who] = has[who] ? leadership.renew() : leadership.tryAcquire();
--- a/src/test/java/sprucerock/controller/ReferenceRolloutManager.java
+++ b/src/test/java/sprucerock/controller/ReferenceRolloutManager.java
@@ -15,37 +15,37 @@
  * milliseconds.
  */
 final class ReferenceRolloutManager {
-  record CastVote(double at, int relay, int build, int stage, Vote say) {}
+  record CastVote(double atMs, int relay, int build, int stage, Vote vote) {}
 
-  record Change(double at, int build, int stage, State to) {}
+  record RecordedTransition(double atMs, int build, int stage, State state) {}
 
   private final RolloutRules rules;
-  private final int places;
+  private final int fleetSize;
   private final List<CastVote> votes = new ArrayList<>();
-  final List<Change> changes = new ArrayList<>();
+  final List<RecordedTransition> transitions = new ArrayList<>();
   private final Map<String, String> deliveries = new HashMap<>();
   private final Map<Integer, String> artifacts = new HashMap<>();
-  private final Map<Integer, Integer> endpoints = new HashMap<>();
-  private final Map<Integer, Double> unitsSince = new HashMap<>();
-  private final Set<Integer> held = new HashSet<>();
+  private final Map<Integer, Integer> readyEndpoints = new HashMap<>();
+  private final Map<Integer, Double> endpointsSince = new HashMap<>();
+  private final Set<Integer> heldBuilds = new HashSet<>();
   private double heldMs;
-  private double heldAt;
-  private double clockAt = -1;
-  private int present;
-  private int earlier;
+  private double heldSinceMs;
+  private double clockStartMs = -1;
+  private int currentBuild;
+  private int previousBuild;
 
   ReferenceRolloutManager(RolloutRules rules, int places, int first) {
     this.rules = rules;
-    this.places = places;
-    present = first;
-    earlier = first;
+    this.fleetSize = places;
+    currentBuild = first;
+    previousBuild = first;
     artifacts.put(first, "");
-    changes.add(new Change(0, first, rules.stages().size() - 1, State.RELEASED));
+    transitions.add(new RecordedTransition(0, first, rules.stages().size() - 1, State.RELEASED));
   }
 
-  Change last(int build) {
-    Change found = null;
-    for (Change one : changes) {
+  RecordedTransition lastTransition(int build) {
+    RecordedTransition found = null;
+    for (RecordedTransition one : transitions) {
       if (one.build == build) {
         found = one;
       }
@@ -53,46 +53,46 @@
     return found;
   }
 
-  int present() {
-    return present;
+  int currentBuild() {
+    return currentBuild;
   }
 
-  private int wanted(int stage) {
-    return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * places - 1e-9));
+  private int desiredEndpoints(int stage) {
+    return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
 
-  private boolean is(State standing) {
-    return last(present).to == standing;
+  private boolean currentStateIs(State standing) {
+    return lastTransition(currentBuild).state == standing;
   }
 
   /** Relays whose last fitting vote since the last change is that one, and not too old. */
   private int count(Vote say, double now) {
     Map<Integer, CastVote> newest = new HashMap<>();
     for (CastVote one : votes) {
-      if (one.at >= last(present).at && one.build == present) {
+      if (one.atMs >= lastTransition(currentBuild).atMs && one.build == currentBuild) {
         newest.put(one.relay, one);
       }
     }
     int count = 0;
     for (CastVote one : newest.values()) {
-      if (one.say == say && now < one.at + rules.voteValidity().ms()) {
+      if (one.vote == say && now < one.atMs + rules.voteValidity().ms()) {
         count++;
       }
     }
     return count;
   }
 
-  private void change(double now, int build, int stage, State to) {
-    changes.add(new Change(now, build, stage, to));
-    if (build != present) {
+  private void transition(double now, int build, int stage, State to) {
+    transitions.add(new RecordedTransition(now, build, stage, to));
+    if (build != currentBuild) {
       return;
     }
     votes.clear();
-    clockAt = -1;
+    clockStartMs = -1;
     heldMs = 0;
   }
 
-  RolloutManager.AnnouncementResult announced(
+  RolloutManager.AnnouncementResult announce(
       String delivery, int build, String artifact, double now) {
     String content = build + " " + artifact;
     if (deliveries.containsKey(delivery)) {
@@ -110,127 +110,134 @@
       return RolloutManager.AnnouncementResult.TOO_OLD;
     }
     artifacts.put(build, artifact);
-    changes.add(new Change(now, build, 0, State.ANNOUNCED));
+    transitions.add(new RecordedTransition(now, build, 0, State.ANNOUNCED));
     for (int other : new java.util.TreeSet<>(artifacts.keySet())) {
       if (other == build) {
         continue;
       }
-      Change at = last(other);
-      if (at.to == State.ON_TRIAL || at.to == State.STARTING || at.to == State.ANNOUNCED) {
-        change(now, other, at.stage, State.SUPERSEDED);
+      RecordedTransition at = lastTransition(other);
+      if (at.state == State.ON_TRIAL || at.state == State.STARTING || at.state == State.ANNOUNCED) {
+        transition(now, other, at.stage, State.SUPERSEDED);
       }
     }
-    begin(now);
+    startNext(now);
     return RolloutManager.AnnouncementResult.TAKEN;
   }
 
-  private void begin(double now) {
-    if (is(State.GOING_BACK)) {
+  private void startNext(double now) {
+    if (currentStateIs(State.GOING_BACK)) {
       return;
     }
     for (int build : artifacts.keySet()) {
-      if (last(build).to != State.ANNOUNCED) {
+      if (lastTransition(build).state != State.ANNOUNCED) {
         continue;
       }
-      if (is(State.RELEASED)) {
-        earlier = present;
+      if (currentStateIs(State.RELEASED)) {
+        previousBuild = currentBuild;
       }
-      present = build;
-      change(now, build, 0, State.STARTING);
+      currentBuild = build;
+      transition(now, build, 0, State.STARTING);
       return;
     }
   }
 
-  boolean cast(int relay, int build, int stage, Vote say, double now) {
-    boolean trial = is(State.ON_TRIAL);
+  boolean castVote(int relay, int build, int stage, Vote say, double now) {
+    boolean trial = currentStateIs(State.ON_TRIAL);
     boolean fits =
-        build == present
+        build == currentBuild
             && (say == Vote.NOTHING
-                || say == Vote.ON && trial && stage == last(present).stage
-                || say == Vote.BACK && (trial || watched(now)));
+                || say == Vote.ON && trial && stage == lastTransition(currentBuild).stage
+                || say == Vote.BACK && (trial || underObservation(now)));
     if (!fits) {
       return false;
     }
     votes.add(new CastVote(now, relay, build, stage, say));
-    settle(now);
+    reconcile(now);
     return true;
   }
 
-  private boolean watched(double now) {
-    return is(State.RELEASED)
-        && earlier != present
-        && now - last(present).at <= rules.observationTime().ms();
+  private boolean underObservation(double now) {
+    return currentStateIs(State.RELEASED)
+        && previousBuild != currentBuild
+        && now - lastTransition(currentBuild).atMs <= rules.observationTime().ms();
   }
 
   void hold(int build, boolean on, double now) {
-    Change at = last(build);
+    RecordedTransition at = lastTransition(build);
     if (at == null) {
       return;
     }
     boolean running =
-        at.to == State.STARTING || at.to == State.ON_TRIAL || at.to == State.ANNOUNCED;
-    if (on && running && held.add(build)) {
-      heldAt = now;
-    } else if (!on && held.remove(build)) {
-      if (build == present && clockAt >= 0) {
-        heldMs += now - Math.max(heldAt, clockAt);
+        at.state == State.STARTING || at.state == State.ON_TRIAL || at.state == State.ANNOUNCED;
+    if (on && running && heldBuilds.add(build)) {
+      heldSinceMs = now;
+    } else if (!on && heldBuilds.remove(build)) {
+      if (build == currentBuild && clockStartMs >= 0) {
+        heldMs += now - Math.max(heldSinceMs, clockStartMs);
       }
-      settle(now);
+      reconcile(now);
     }
   }
 
   void withdraw(int build, double now) {
-    Change at = last(build);
+    RecordedTransition at = lastTransition(build);
     if (at == null) {
       return;
     }
     boolean running =
-        at.to == State.STARTING || at.to == State.ON_TRIAL || at.to == State.ANNOUNCED;
-    boolean last = build == present && at.to == State.RELEASED && earlier != build;
+        at.state == State.STARTING || at.state == State.ON_TRIAL || at.state == State.ANNOUNCED;
+    boolean last = build == currentBuild && at.state == State.RELEASED && previousBuild != build;
     if (!running && !last) {
       return;
     }
-    held.remove(build);
-    change(now, build, at.stage, at.to == State.ANNOUNCED ? State.WITHDRAWN : State.GOING_BACK);
+    heldBuilds.remove(build);
+    transition(
+        now, build, at.stage, at.state == State.ANNOUNCED ? State.WITHDRAWN : State.GOING_BACK);
   }
 
-  void ready(int build, int many, double now) {
+  void reportEndpoints(int build, int many, double now) {
     if (!artifacts.containsKey(build)) {
       return;
     }
-    endpoints.put(build, many);
-    settle(now);
+    readyEndpoints.put(build, many);
+    reconcile(now);
   }
 
-  void settle(double now) {
-    boolean isHeld = held.contains(present);
-    int there = endpoints.getOrDefault(present, 0);
-    if (is(State.STARTING) && !isHeld && there >= wanted(0)) {
-      change(now, present, 0, State.ON_TRIAL);
-      clockAt = now;
-    }
-    if (is(State.ON_TRIAL) && clockAt < 0 && there >= wanted(last(present).stage)) {
-      clockAt = now;
-    }
-    boolean trial = is(State.ON_TRIAL);
-    boolean late = clockAt < 0 && !isHeld && now - last(present).at > rules.startTimeout().ms();
-    if ((trial || is(State.STARTING)) && late
-        || (trial || watched(now)) && count(Vote.BACK, now) >= rules.votesToRollBack()) {
-      change(now, present, last(present).stage, State.GOING_BACK);
+  void reconcile(double now) {
+    boolean isHeld = heldBuilds.contains(currentBuild);
+    int there = readyEndpoints.getOrDefault(currentBuild, 0);
+    if (currentStateIs(State.STARTING) && !isHeld && there >= desiredEndpoints(0)) {
+      transition(now, currentBuild, 0, State.ON_TRIAL);
+      clockStartMs = now;
+    }
+    if (currentStateIs(State.ON_TRIAL)
+        && clockStartMs < 0
+        && there >= desiredEndpoints(lastTransition(currentBuild).stage)) {
+      clockStartMs = now;
+    }
+    boolean trial = currentStateIs(State.ON_TRIAL);
+    boolean late =
+        clockStartMs < 0
+            && !isHeld
+            && now - lastTransition(currentBuild).atMs > rules.startTimeout().ms();
+    if ((trial || currentStateIs(State.STARTING)) && late
+        || (trial || underObservation(now)) && count(Vote.BACK, now) >= rules.votesToRollBack()) {
+      transition(now, currentBuild, lastTransition(currentBuild).stage, State.GOING_BACK);
     } else if (trial
-        && clockAt >= 0
+        && clockStartMs >= 0
         && !isHeld
-        && now - clockAt - heldMs > rules.minStageTime().ms()
+        && now - clockStartMs - heldMs > rules.minStageTime().ms()
         && count(Vote.ON, now) >= rules.votesToAdvance()) {
-      int stage = last(present).stage;
+      int stage = lastTransition(currentBuild).stage;
       boolean end = stage + 1 >= rules.stages().size();
-      change(now, present, end ? stage : stage + 1, end ? State.RELEASED : State.ON_TRIAL);
-      if (!end && there >= wanted(stage + 1)) {
-        clockAt = now;
+      transition(now, currentBuild, end ? stage : stage + 1, end ? State.RELEASED : State.ON_TRIAL);
+      if (!end && there >= desiredEndpoints(stage + 1)) {
+        clockStartMs = now;
       }
-    } else if (is(State.GOING_BACK) && now - last(present).at > rules.rollbackTime().ms()) {
-      change(now, present, last(present).stage, State.WITHDRAWN);
-      begin(now);
+    } else if (currentStateIs(State.GOING_BACK)
+        && now - lastTransition(currentBuild).atMs > rules.rollbackTime().ms()) {
+      transition(now, currentBuild, lastTransition(currentBuild).stage, State.WITHDRAWN);
+      startNext(now);
     }
   }
 }
--- a/src/test/java/sprucerock/controller/RolloutManagerProperties.java
+++ b/src/test/java/sprucerock/controller/RolloutManagerProperties.java
@@ -40,10 +40,10 @@
           TimeSpan.ofMs(3000),
           1000);
 
-  record Event(int what, int which, int other, double afterMs) {}
+  record Event(int kind, int firstDraw, int secondDraw, double delayMs) {}
 
   @Provide
-  Arbitrary<List<Event>> days() {
+  Arbitrary<List<Event>> eventSequences() {
     return Combinators.combine(
             Arbitraries.integers().between(0, 19),
             Arbitraries.integers().between(0, 60),
@@ -56,8 +56,8 @@
   }
 
   @Property(seed = "20261206", tries = 600, shrinking = ShrinkingMode.BOUNDED)
-  void theManagerAgreesWithTheReferenceModel(@ForAll("days") List<Event> day) {
-    List<ReferenceRolloutManager.Change> told = new ArrayList<>();
+  void theManagerAgreesWithTheReferenceModel(@ForAll("eventSequences") List<Event> day) {
+    List<ReferenceRolloutManager.RecordedTransition> told = new ArrayList<>();
     RolloutManager core =
         new RolloutManager(
             RULES,
@@ -70,12 +70,12 @@
                       || told.stream()
                           .filter(one -> one.build() == release.build)
                           .reduce((a, b) -> b)
-                          .map(one -> one.to() != step.state() || one.stage() != step.stage())
+                          .map(one -> one.state() != step.state() || one.stage() != step.stage())
                           .orElse(true);
               if (moved) {
                 told.add(
-                    new ReferenceRolloutManager.Change(
-                        step.at().ms(), release.build, step.stage(), step.state()));
+                    new ReferenceRolloutManager.RecordedTransition(
+                        step.time().ms(), release.build, step.stage(), step.state()));
               }
             });
     ReferenceRolloutManager plain = new ReferenceRolloutManager(RULES, 10, 1);
@@ -83,21 +83,21 @@
     int newest = 1;
     int steps = 0;
     for (Event event : day) {
-      at += event.afterMs;
+      at += event.delayMs;
       Timestamp now = Timestamp.ofMs(at);
-      int build = Math.max(1, core.current().build - 1 + event.other % 3);
-      int stage = event.other % 7 == 0 ? event.other % 3 : core.current().stage();
-      switch (event.what) {
+      int build = Math.max(1, core.current().build - 1 + event.secondDraw % 3);
+      int stage = event.secondDraw % 7 == 0 ? event.secondDraw % 3 : core.current().stage();
+      switch (event.kind) {
         case 0, 1 -> {
-          int offered = event.which % 4 == 0 ? 1 + event.which % newest : ++newest;
-          String delivery = "d" + (event.which % 5 == 0 ? event.other % 6 : 1000 + newest);
-          String artifact = "a" + event.other % 2;
+          int offered = event.firstDraw % 4 == 0 ? 1 + event.firstDraw % newest : ++newest;
+          String delivery = "d" + (event.firstDraw % 5 == 0 ? event.secondDraw % 6 : 1000 + newest);
+          String artifact = "a" + event.secondDraw % 2;
           assertEquals(
               core.announceDelivery(delivery, offered, artifact, "ci", now, 0),
-              plain.announced(delivery, offered, artifact, at));
+              plain.announce(delivery, offered, artifact, at));
         }
         case 2 -> {
-          boolean on = event.which % 2 == 0;
+          boolean on = event.firstDraw % 2 == 0;
           core.command(
               on ? RolloutManager.OperatorCommand.HOLD : RolloutManager.OperatorCommand.RESUME,
               build,
@@ -108,33 +108,33 @@
           plain.hold(build, on, at);
         }
         case 3 -> {
-          if (event.which % 4 > 0) {
+          if (event.firstDraw % 4 > 0) {
             break;
           }
           core.command(RolloutManager.OperatorCommand.WITHDRAW, build, "ann", "why", now, 0);
           plain.withdraw(build, at);
         }
         case 4, 5, 6, 7, 8 -> {
-          int endpoints = event.which % 12;
+          int endpoints = event.firstDraw % 12;
           core.reportEndpoints(core.current().build, endpoints, now, 0);
-          plain.ready(plain.present(), endpoints, at);
+          plain.reportEndpoints(plain.currentBuild(), endpoints, at);
         }
         case 9, 10, 11 -> {
           if (core.transitionDue(now)) {
             core.tick(now, 0);
           }
-          plain.settle(at);
+          plain.reconcile(at);
         }
         default -> {
           Vote say =
-              event.what == 12 && event.which % 3 == 0
+              event.kind == 12 && event.firstDraw % 3 == 0
                   ? Vote.BACK
-                  : event.what == 13 ? Vote.NOTHING : Vote.ON;
-          int relay = event.which % 5;
+                  : event.kind == 13 ? Vote.NOTHING : Vote.ON;
+          int relay = event.firstDraw % 5;
           boolean counts =
               core.castVote(
                       relay,
-                      core.current().build - (event.other % 9 == 0 ? 1 : 0),
+                      core.current().build - (event.secondDraw % 9 == 0 ? 1 : 0),
                       stage,
                       say,
                       now,
@@ -142,12 +142,17 @@
                   == RolloutManager.VoteResult.COUNTS;
           assertEquals(
               counts,
-              plain.cast(relay, plain.present() - (event.other % 9 == 0 ? 1 : 0), stage, say, at));
+              plain.castVote(
+                  relay,
+                  plain.currentBuild() - (event.secondDraw % 9 == 0 ? 1 : 0),
+                  stage,
+                  say,
+                  at));
         }
       }
-      assertEquals(core.current().build, plain.present());
-      assertEquals(core.current().state(), plain.last(plain.present()).to());
-      assertEquals(told, plain.changes.subList(1, plain.changes.size()));
+      assertEquals(core.current().build, plain.currentBuild());
+      assertEquals(core.current().state(), plain.lastTransition(plain.currentBuild()).state());
+      assertEquals(told, plain.transitions.subList(1, plain.transitions.size()));
       assertInvariants(core);
       assertTrue(core.sequence() >= steps);
       steps = (int) core.sequence();
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -32,18 +32,18 @@
           0.2,
           0.1,
           TimeSpan.ofMs(5000));
-  private static final sprucerock.controller.v1.Version RUNS =
+  private static final sprucerock.controller.v1.Version OBSERVED_VERSION =
       sprucerock.controller.v1.Version.newBuilder()
           .setProgram("a".repeat(64))
           .setSettings("0".repeat(64))
           .build();
 
   /** Counts what it is asked. */
-  private static final class Counting implements Storage {
+  private static final class CountingStorage implements Storage {
     private final TreeMap<String, ByteArrayOutputStream> files = new TreeMap<>();
-    private long adds;
-    private long bytes;
-    private long forces;
+    private long appends;
+    private long appendedBytes;
+    private long fsyncs;
     private long snapshots;
     private long snapshotBytes;
 
@@ -63,14 +63,14 @@
       return new AppendFile() {
         @Override
         public void append(byte[] more) {
-          adds++;
-          bytes += more.length;
+          appends++;
+          appendedBytes += more.length;
           file.writeBytes(more);
         }
 
         @Override
         public void fsync() {
-          forces++;
+          fsyncs++;
         }
 
         @Override
@@ -100,8 +100,8 @@
     }
   }
 
-  private final Counting disk = new Counting();
-  private long ms = 1000;
+  private final CountingStorage storage = new CountingStorage();
+  private long nowMs = 1000;
   private Engine engine;
 
   public StoreScaleTest() {
@@ -125,7 +125,7 @@
             10);
     engine =
         new Engine(
-            disk,
+            storage,
             snapshotEvery,
             rules,
             10,
@@ -134,12 +134,12 @@
             new Engine.Clock() {
               @Override
               public long wallMs() {
-                return ms;
+                return nowMs;
               }
 
               @Override
               public long steadyMs() {
-                return ms;
+                return nowMs;
               }
             },
             (release, step) -> {},
@@ -159,20 +159,20 @@
             });
   }
 
-  private void report(int relay, int done) {
+  private void reportStatus(int relay, int done) {
     engine.append(
         Input.newBuilder()
             .setAgent(
                 AgentSays.newBuilder()
                     .setRelay(relay)
                     .setZone(relay % 3)
-                    .setRuns(RUNS)
+                    .setRuns(OBSERVED_VERSION)
                     .setReady(true)
                     .setDone(done)),
         outcome -> assertTrue(outcome instanceof AppendResult.Accepted));
   }
 
-  private void votes(int relay) {
+  private void castVote(int relay) {
     engine.append(
         Input.newBuilder()
             .setCast(Cast.newBuilder().setRelay(relay).setBuild(1).setStage(1).setSay("NOTHING")),
@@ -185,22 +185,23 @@
 
   /** A burst is one force of the disk, whatever its size; each message is a record of its own. */
   @Test
-  public void entriesOfATurnShareOneFsync() throws Exception {
+  public void entriesOfOneLoopIterationShareOneFsync() throws Exception {
     for (int burst : new int[] {10, 100, 1000}) {
       StoreScaleTest one = new StoreScaleTest();
       one.engine.start();
-      long forces = one.disk.forces;
-      long adds = one.disk.adds;
-      long bytes = one.disk.bytes;
+      long forces = one.storage.fsyncs;
+      long adds = one.storage.appends;
+      long bytes = one.storage.appendedBytes;
       for (int i = 0; i < burst; i++) {
-        one.votes(i);
+        one.castVote(i);
       }
       one.engine.flush();
-      print("records for the votes of one turn", burst, one.disk.adds - adds);
-      print("bytes of a vote on disk", burst, (one.disk.bytes - bytes) / (double) burst);
-      assertEquals(one.disk.forces - forces, 1, "forces for " + burst + " votes");
+      print("records for the votes of one turn", burst, one.storage.appends - adds);
+      print("bytes of a vote on disk", burst, (one.storage.appendedBytes - bytes) / (double) burst);
+      assertEquals(one.storage.fsyncs - forces, 1, "forces for " + burst + " votes");
       assertEquals(one.engine.entryCount(), burst + 1, "each is there");
-      assertEquals(one.disk.adds - adds, burst, "records for " + burst + " votes of one turn");
+      assertEquals(
+          one.storage.appends - adds, burst, "records for " + burst + " votes of one turn");
     }
   }
 
@@ -216,19 +217,19 @@
       StoreScaleTest one = new StoreScaleTest(2 * sizes[i]);
       one.engine.start();
       for (int relay = 0; relay < sizes[i]; relay++) {
-        one.report(relay, 0);
+        one.reportStatus(relay, 0);
       }
       for (int relay = 0; relay < sizes[i]; relay++) {
-        one.votes(relay);
+        one.castVote(relay);
       }
-      long bytes = one.disk.bytes;
+      long bytes = one.storage.appendedBytes;
       one.engine.flush();
       print(
           "bytes of an agent's word and a vote on disk",
           sizes[i],
-          (one.disk.bytes - bytes) / (double) sizes[i]);
-      assertEquals(one.disk.snapshots, 1);
-      each[i] = one.disk.snapshotBytes / (double) sizes[i];
+          (one.storage.appendedBytes - bytes) / (double) sizes[i]);
+      assertEquals(one.storage.snapshots, 1);
+      each[i] = one.storage.snapshotBytes / (double) sizes[i];
       print("bytes of a relay in a snapshot", sizes[i], each[i]);
     }
     assertTrue(each[1] <= 1.1 * each[0], each[1] + " after " + each[0]);
