--- a/src/main/java/sprucerock/controller/AppendResult.java
+++ b/src/main/java/sprucerock/controller/AppendResult.java
@@ -2,67 +2,67 @@
 
 import java.util.List;
 
-/** What became of an entry that was given to {@link Engine#append}. */
+/** The result of {@link Engine#append}. */
 public sealed interface AppendResult permits AppendResult.Accepted, AppendResult.Rejected {
-  /** Why an entry was not taken. */
+  /** Why an entry was rejected. */
   enum Reason {
     /** Too many entries wait for the next flush. */
     QUEUE_FULL,
-    /** This controller may not be the leader any more. */
+    /** This controller may have lost leadership. */
     NOT_LEADER,
-    /** The storage did not take the entry, or may have lost it. */
+    /** The storage did not accept the entry, or may have lost it. */
     STORAGE_FAILED
   }
 
   /**
    * The entry is durable and was applied.
    *
-   * @param value what applying it came to
+   * @param value the result of applying the entry
    */
   record Accepted(Value value) implements AppendResult {}
 
   /**
-   * The entry was neither kept nor applied.
+   * The entry was neither stored nor applied.
    *
-   * @param text the reason in one line, for people
+   * @param message the reason in one line, for people
    */
   record Rejected(Reason reason, String message) implements AppendResult {}
 
-  /** What applying an entry came to. */
+  /** The result of applying an entry. */
   sealed interface Value permits Announced, Voted, WindowsOpened, NoEffect, Done {}
 
-  /** An announcement of a build. */
+  /** The entry announced a build. */
   record Announced(RolloutManager.AnnouncementResult result) implements Value {}
 
-  /** A relay's vote. */
+  /** The entry was a relay's vote. */
   record Voted(RolloutManager.VoteResult result) implements Value {}
 
   /**
-   * Maintenance windows were opened.
+   * The entry opened maintenance windows.
    *
-   * @param numbers of the new windows
+   * @param numbers the numbers of the new windows
    */
   record WindowsOpened(List<Long> numbers) implements Value {
-    /** Keeps a copy of the list. */
+    /** Copies the list. */
     public WindowsOpened {
       numbers = List.copyOf(numbers);
     }
   }
 
   /**
-   * A command that changed nothing.
+   * The entry was a command that changed nothing.
    *
-   * @param reason in one line, for people
+   * @param reason the reason in one line, for people
    */
   record NoEffect(String reason) implements Value {}
 
-  /** There is nothing more to say than that it was applied. */
+  /** The entry was applied and has no further result. */
   record Done() implements Value {
     static final Done INSTANCE = new Done();
 
-    /** The value of a command that says why it had no effect, or null. */
-    static Value unless(String refusal) {
-      return refusal == null ? INSTANCE : new NoEffect(refusal);
+    /** Returns {@link NoEffect} for a reason why a command had no effect; null if it had one. */
+    static Value unless(String reason) {
+      return reason == null ? INSTANCE : new NoEffect(reason);
     }
   }
 }
--- a/src/main/java/sprucerock/controller/BallotBox.java
+++ b/src/main/java/sprucerock/controller/BallotBox.java
@@ -10,14 +10,14 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** The relays' votes on the current build and stage: one vote a relay, each for a limited time. */
+/** The votes on the current build and stage: one per relay, each valid for a limited time. */
 final class BallotBox {
-  /** Relays whose votes are kept; votes of further ones are refused. */
+  /** The most relays whose votes are kept; votes of further relays are rejected. */
   static final int MAX_RELAYS = 10_000;
 
   private static final double RATE_WINDOW_MS = 1000;
 
-  /** A relay's last vote, and how many it cast in the current second. */
+  /** A relay's last vote, and how many votes it cast in the current second. */
   static final class Ballot {
     int build;
     int stage;
@@ -37,12 +37,12 @@
     }
   }
 
-  /** By relay. */
+  /** Ballots by relay number. */
   final TreeMap<Integer, Ballot> ballots = new TreeMap<>();
 
-  // Votes that stand for the current build and stage, the first to expire first: all others are
-  // taken out as they are cast anew, as the rollout advances and as time passes, so that a vote,
-  // and a count each 50 ms, walk no other vote.
+  // Votes that count for the current build and stage, the first to expire first. A vote is removed
+  // when its relay votes again, when the rollout advances and when it expires. So neither casting a
+  // vote nor counting the votes, each 50 ms, has to visit votes that don't count.
   private final Map<Vote, TreeSet<Ballot>> countedVotes = new EnumMap<>(Vote.class);
   private long votesExamined;
 
@@ -57,8 +57,8 @@
   }
 
   /**
-   * The ballot of a relay that is about to vote; null where there are too many relays, or it voted
-   * more often than {@code maxVotesPerSecond} in the current second.
+   * Returns the ballot of a relay that is about to vote; null if there are too many relays, or if
+   * the relay voted more often than {@code maxVotesPerSecond} in the current second.
    */
   Ballot admit(int relay, int maxVotesPerSecond, Timestamp now) {
     Ballot ballot = ballots.get(relay);
@@ -77,7 +77,7 @@
     return ++ballot.votesInWindow > maxVotesPerSecond ? null : ballot;
   }
 
-  /** A vote on the current build takes the place of the relay's last one. */
+  /** Replaces a relay's last vote with one on the current build. */
   void cast(Ballot ballot, int build, int stage, Vote vote, TimeSpan validity, Timestamp now) {
     if (ballot.expiresAt != null) {
       countedVotes.get(ballot.vote).remove(ballot);
@@ -91,54 +91,57 @@
     }
   }
 
-  /** How many relays' votes of a kind stand. */
+  /** Counts the relays whose votes of a kind count. */
   int count(Vote vote, Timestamp now) {
     return unexpired(vote, now).size();
   }
 
-  /** The relays whose votes of a kind stand, in the order of their numbers. */
+  /** Returns the relays whose votes of a kind count, in the order of their numbers. */
   List<Integer> relays(Vote vote, Timestamp now) {
-    TreeSet<Integer> found = new TreeSet<>();
+    TreeSet<Integer> relays = new TreeSet<>();
     for (Ballot ballot : unexpired(vote, now)) {
-      found.add(ballot.relay);
+      relays.add(ballot.relay);
     }
-    return List.copyOf(found);
+    return List.copyOf(relays);
   }
 
-  /** Drops the votes that have expired; time never goes back. */
+  /** Returns the counted votes of a kind after dropping expired ones; time never goes back. */
   private TreeSet<Ballot> unexpired(Vote vote, Timestamp now) {
-    TreeSet<Ballot> all = countedVotes.get(vote);
-    while (!all.isEmpty()) {
+    TreeSet<Ballot> counted = countedVotes.get(vote);
+    while (!counted.isEmpty()) {
       votesExamined++;
-      if (all.first().expiresAt.after(now)) {
+      if (counted.first().expiresAt.after(now)) {
         break;
       }
-      all.pollFirst();
+      counted.pollFirst();
     }
-    return all;
+    return counted;
   }
 
-  /** The votes of an earlier incarnation are there; those on the build and stage stand. */
+  /**
+   * Rebuilds the index of counted votes after the ballots were restored from a snapshot: votes on
+   * this build and stage count, and votes to roll back count in any stage.
+   */
   void rebuildCountedVotes(int build, int stage) {
     countedVotes.values().forEach(TreeSet::clear);
     for (Ballot ballot : ballots.values()) {
-      boolean stands =
+      boolean counts =
           ballot.vote != Vote.NOTHING
               && ballot.build == build
               && (ballot.vote == Vote.BACK || ballot.stage == stage);
-      if (stands) {
+      if (counts) {
         countedVotes.get(ballot.vote).add(ballot);
       }
     }
   }
 
-  /** Another build or stage is current: no vote stands. */
+  /** Drops all votes, as another build or stage has become current. */
   void clear() {
     ballots.values().forEach(ballot -> ballot.vote = Vote.NOTHING);
     countedVotes.values().forEach(TreeSet::clear);
   }
 
-  /** Votes looked at so far to count them: what the scale tests bound. */
+  /** Returns how many votes were examined for counting so far, which the scale tests bound. */
   long votesExamined() {
     return votesExamined;
   }
--- a/src/main/java/sprucerock/controller/DeliveryLog.java
+++ b/src/main/java/sprucerock/controller/DeliveryLog.java
@@ -7,39 +7,39 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Announcements that were answered, so that a copy of a delivery has no second effect. */
+/** The deliveries that were answered, so that a repeated delivery has no second effect. */
 final class DeliveryLog {
-  /** Longer than senders retry, which is a day or three. */
+  /** Longer than senders retry, which is one to three days. */
   static final TimeSpan RETENTION = TimeSpan.ofMs(7 * 24 * 3_600_000.0);
 
   static final int MAX_DELIVERIES = 50_000;
 
-  /** One delivery, with the answer that it had. */
+  /** A delivery and the result of applying it. */
   record Delivery(String id, Timestamp receivedAt, AnnouncementResult result, String content) {}
 
-  /** By id, the oldest first. */
+  /** Deliveries by id, the oldest first. */
   final LinkedHashMap<String, Delivery> deliveries = new LinkedHashMap<>();
 
-  /** The answer to a delivery: for the first of an id, what {@code apply} answers. */
+  /** Applies a delivery unless its id was applied before, and returns the result. */
   AnnouncementResult applyOnce(
       String id, String content, Timestamp now, Supplier<AnnouncementResult> apply) {
-    dropOld(now);
+    dropExpired(now);
     Delivery earlier = deliveries.get(id);
     if (earlier != null) {
       return earlier.content.equals(content)
           ? AnnouncementResult.AGAIN
           : AnnouncementResult.CONTRADICTS;
     }
-    AnnouncementResult answer = apply.get();
-    deliveries.put(id, new Delivery(id, now, answer, content));
-    return answer;
+    AnnouncementResult result = apply.get();
+    deliveries.put(id, new Delivery(id, now, result, content));
+    return result;
   }
 
-  private void dropOld(Timestamp now) {
+  private void dropExpired(Timestamp now) {
     Iterator<Delivery> oldest = deliveries.values().iterator();
     while (oldest.hasNext()) {
-      boolean old = now.since(oldest.next().receivedAt).over(RETENTION);
-      if (!old && deliveries.size() < MAX_DELIVERIES) {
+      boolean expired = now.since(oldest.next().receivedAt).over(RETENTION);
+      if (!expired && deliveries.size() < MAX_DELIVERIES) {
         return;
       }
       oldest.remove();
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -17,31 +17,33 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The controller's replicated state: a write-ahead log with group commit, and the state machine
- * that is replayed from it. The entries of a turn of the loop are synced together, and only then
- * applied and answered, so that nothing is ever told that a crash could take back. It belongs to
- * one thread, which waits for the storage.
+ * The controller's durable state: a write-ahead log with group commit, and the state machine that
+ * is replayed from it. The entries of one loop iteration are synced together, and only then applied
+ * and answered, so that a crash never takes back what was sent to a relay or an operator. An engine
+ * belongs to one thread, which blocks while the storage writes.
  */
 public final class Engine {
   /** The machine's clocks, in milliseconds. */
   public interface Clock {
-    /** Since 1970, for people and for how long the controller was down; it may jump. */
+    /** Time since 1970, for people and for measuring downtime; the clock may jump. */
     long wallMs();
 
-    /** Since any moment; it never goes back. */
+    /** Time since an arbitrary moment; it never goes back. */
     long steadyMs();
   }
 
   private record PendingEntry(Input.Builder entry, Consumer<AppendResult> onResult) {}
 
+  /** So many entries take some hundred milliseconds to replay. */
   private static final int SNAPSHOT_EVERY_ENTRIES = 10_000;
-  // some hundred milliseconds to replay
-  private static final int MAX_PENDING = 20_000;
-  // entries between two flushes
+
+  private static final int MAX_PENDING_ENTRIES = 20_000;
+
+  /** The fraction of the elapsed time by which the smoothed wall clock may be corrected. */
   private static final double MAX_SLEW = 0.005;
-  // of the time that passes
+
+  /** A longer downtime is taken for a jump of the wall clock. */
   private static final long MAX_DOWNTIME_MS = 24 * 3_600_000L;
-  // what the clock may have jumped
 
   private final WriteAheadLog log;
   private final Clock clock;
@@ -62,13 +64,13 @@
   private double smoothedWallMs;
   private long smoothingSteadyMs = -1;
 
-  /** An engine of a fleet without racks, thus without maintenance windows. */
+  /** Creates an engine for a fleet without racks, and so without maintenance windows. */
   Engine(
       Storage storage,
-      int snapshotEvery,
+      int snapshotEveryEntries,
       RolloutRules rules,
       int fleetSize,
-      int first,
+      int firstBuild,
       DeploymentPlan plan,
       Clock clock,
       RolloutManager.Listener rolloutListener,
@@ -76,10 +78,10 @@
       Consumer<String> statusLine) {
     this(
         storage,
-        snapshotEvery,
+        snapshotEveryEntries,
         rules,
         fleetSize,
-        first,
+        firstBuild,
         plan,
         clock,
         rolloutListener,
@@ -89,17 +91,19 @@
   }
 
   /**
-   * An engine that has not started.
+   * Creates an engine that has not started.
    *
-   * @param statusLine is given one line on each failure of the storage
-   * @param maintenanceWindows that have seen nothing yet
+   * @param snapshotEveryEntries the number of log entries between two snapshots
+   * @param firstBuild the build that serves before the first rollout
+   * @param maintenanceWindows maintenance windows without any entries applied
+   * @param statusLine receives one line for each new failure of the storage
    */
   Engine(
       Storage storage,
-      int snapshotEvery,
+      int snapshotEveryEntries,
       RolloutRules rules,
       int fleetSize,
-      int first,
+      int firstBuild,
       DeploymentPlan plan,
       Clock clock,
       RolloutManager.Listener rolloutListener,
@@ -107,14 +111,14 @@
       MaintenanceWindows maintenanceWindows,
       Consumer<String> statusLine) {
     this.maintenanceWindows = maintenanceWindows;
-    log = new WriteAheadLog(storage, snapshotEvery);
+    log = new WriteAheadLog(storage, snapshotEveryEntries);
     this.clock = clock;
     this.statusLine = statusLine;
     rollouts =
         new RolloutManager(
             rules,
             fleetSize,
-            first,
+            firstBuild,
             Timestamp.ofMs(0),
             (rollout, transition) -> {
               if (!replaying) {
@@ -142,12 +146,12 @@
     stateMachine = new StateMachine(rollouts, deployments, maintenanceWindows);
   }
 
-  /** An engine that keeps its log and snapshots in a folder. */
+  /** Creates an engine that keeps its log and snapshots in a folder. */
   public static Engine open(
       java.nio.file.Path folder,
       RolloutRules rules,
       int fleetSize,
-      int first,
+      int firstBuild,
       DeploymentPlan plan,
       Clock clock,
       RolloutManager.Listener rolloutListener,
@@ -160,7 +164,7 @@
         SNAPSHOT_EVERY_ENTRIES,
         rules,
         fleetSize,
-        first,
+        firstBuild,
         plan,
         clock,
         rolloutListener,
@@ -170,17 +174,22 @@
   }
 
   /**
-   * Replays the last incarnation's state, and begins another one.
+   * Replays the state of earlier incarnations and begins a new one.
    *
-   * @throws WriteAheadLog.DamagedException if the files are damaged other than at their end
+   * @throws WriteAheadLog.DamagedException if the files are damaged anywhere but at their end
    */
   public void start() throws IOException, WriteAheadLog.DamagedException {
     start(() -> {});
   }
 
-  /** The same; {@code restored} is run once the state is back, before anything new is applied. */
-  public void start(Runnable restored) throws IOException, WriteAheadLog.DamagedException {
-    boolean[] found = new boolean[1];
+  /**
+   * Replays the state of earlier incarnations and begins a new one.
+   *
+   * @param onReplayed runs once the state is restored, before any new entry is applied
+   * @throws WriteAheadLog.DamagedException if the files are damaged anywhere but at their end
+   */
+  public void start(Runnable onReplayed) throws IOException, WriteAheadLog.DamagedException {
+    boolean[] stateFound = new boolean[1];
     log.replay(
         new WriteAheadLog.Reader() {
           @Override
@@ -188,7 +197,7 @@
             SnapshotCodec.restoreSnapshot(state, rollouts, deployments, maintenanceWindows);
             lastTimeMs = state.getAtMs();
             lastWallMs = state.getWallMs();
-            found[0] = true;
+            stateFound[0] = true;
           }
 
           @Override
@@ -196,75 +205,75 @@
             lastTimeMs = input.getAtMs();
             lastWallMs = input.getWallMs();
             stateMachine.apply(input);
-            found[0] = true;
+            stateFound[0] = true;
           }
         },
         statusLine);
-    // new files from here on: what a controller that was replaced still writes into the old ones is
-    // never read
-    if (found[0]) {
+    // Begins new files: entries that a replaced leader still writes into the old files are never
+    // read.
+    if (stateFound[0]) {
       log.snapshot(
           SnapshotCodec.writeSnapshot(rollouts, deployments, maintenanceWindows, lastTimeMs)
               .toBuilder()
               .setWallMs(lastWallMs)
               .build());
     }
-    long wall = clock.wallMs();
-    long down = found[0] ? wall - lastWallMs : 0;
-    timeAtStart = lastTimeMs + Math.max(0, Math.min(down, MAX_DOWNTIME_MS));
+    long wallMs = clock.wallMs();
+    long downMs = stateFound[0] ? wallMs - lastWallMs : 0;
+    timeAtStart = lastTimeMs + Math.max(0, Math.min(downMs, MAX_DOWNTIME_MS));
     steadyAtStart = clock.steadyMs();
     Input.Builder restarted =
-        Input.newBuilder().setRestarted(Restarted.newBuilder().setDownMs(down));
+        Input.newBuilder().setRestarted(Restarted.newBuilder().setDownMs(downMs));
     Input entry = timestamped(restarted);
     log.append(entry);
     log.fsync();
-    restored.run();
+    onReplayed.run();
     replaying = false;
-    // listeners hear of what follows from here on
+    // Listeners are notified from here on.
     stateMachine.apply(entry);
   }
 
-  /** The maintenance windows; to be changed by entries alone. */
+  /** Returns the maintenance windows; only log entries may change them. */
   public MaintenanceWindows maintenanceWindows() {
     return maintenanceWindows;
   }
 
-  /** Whether the entries being applied are those of an earlier incarnation. */
+  /** Whether the engine is applying the entries of earlier incarnations. */
   public boolean replaying() {
     return replaying;
   }
 
   /**
-   * The wall clock that maintenance windows go by, in milliseconds: it runs with the steady clock,
-   * and by half a hundredth of the time that passes towards the machine's wall clock, which may
-   * jump.
+   * Returns the smoothed wall clock in milliseconds, which maintenance windows use. It advances
+   * with the steady clock, and is corrected towards the machine's wall clock, which may jump, by at
+   * most 0.5% of the time that has passed.
    */
   public long wallMs() {
-    long steady = clock.steadyMs();
+    long steadyNowMs = clock.steadyMs();
     if (smoothingSteadyMs < 0) {
       smoothedWallMs = clock.wallMs();
     } else {
-      double passed = steady - smoothingSteadyMs;
-      smoothedWallMs += passed;
+      double passedMs = steadyNowMs - smoothingSteadyMs;
+      smoothedWallMs += passedMs;
       smoothedWallMs +=
           Math.max(
-              -MAX_SLEW * passed, Math.min(MAX_SLEW * passed, clock.wallMs() - smoothedWallMs));
+              -MAX_SLEW * passedMs, Math.min(MAX_SLEW * passedMs, clock.wallMs() - smoothedWallMs));
     }
-    smoothingSteadyMs = steady;
+    smoothingSteadyMs = steadyNowMs;
     return Math.round(smoothedWallMs);
   }
 
-  /** The deployments; to be changed by entries alone. */
+  /** Returns the deployments; only log entries may change them. */
   public DeploymentManager deployments() {
     return deployments;
   }
 
-  /** The rollouts; to be changed by entries alone. */
+  /** Returns the rollouts; only log entries may change them. */
   public RolloutManager rollouts() {
     return rollouts;
   }
 
-  /** The controller's time: goes on through restarts, and never back. */
+  /** Returns the controller's time, which continues over restarts and never goes back. */
   public Timestamp now() {
     return Timestamp.ofMs(timeMs());
   }
@@ -279,32 +288,36 @@
     return entry.setAtMs(lastTimeMs).setWallMs(lastWallMs).build();
   }
 
-  /** What is the matter with the storage, in one line; null while all is well. */
+  /** Describes the current failure of the storage in one line; null while there is none. */
   public String storageFailure() {
     return failure == null ? null : failure.message();
   }
 
   /**
-   * Gives an entry to the next {@link #flush}; {@code done} is told, on this thread, once it was
-   * applied or rejected.
+   * Queues an entry for the next {@link #flush}. {@code onResult} is called on this thread once the
+   * entry was applied or rejected.
    */
-  public void append(Input.Builder entry, Consumer<AppendResult> done) {
-    if (pending.size() >= MAX_PENDING) {
-      done.accept(
-          new AppendResult.Rejected(AppendResult.Reason.QUEUE_FULL, "so much waits already"));
+  public void append(Input.Builder entry, Consumer<AppendResult> onResult) {
+    if (pending.size() >= MAX_PENDING_ENTRIES) {
+      onResult.accept(
+          new AppendResult.Rejected(
+              AppendResult.Reason.QUEUE_FULL,
+              "too many entries wait to be written: at most "
+                  + MAX_PENDING_ENTRIES
+                  + " may; try again later"));
     } else {
-      pending.add(new PendingEntry(entry, done));
+      pending.add(new PendingEntry(entry, onResult));
     }
   }
 
-  /** Asked before entries are written, and again before they are applied. */
+  /** Sets the check that is made before entries are written and again before they are applied. */
   public void setLeadershipCheck(BooleanSupplier check) {
     leadershipCheck = check;
   }
 
   /**
-   * Group commit, at the end of a turn of the loop: all pending entries are written and synced
-   * together; then each is applied and answered, in the order in which they were appended.
+   * Commits all pending entries as a group at the end of a loop iteration: the entries are written
+   * and synced together, then each is applied and answered in the order in which it was appended.
    */
   public void flush() {
     if (!leadershipCheck.getAsBoolean()) {
@@ -328,9 +341,11 @@
       failure = null;
     }
     for (int i = 0; i < batch.size(); i++) {
-      PendingEntry one = batch.get(i);
-      one.onResult.accept(
-          i < durable ? new AppendResult.Accepted(stateMachine.apply(one.entry.build())) : failure);
+      PendingEntry entry = batch.get(i);
+      entry.onResult.accept(
+          i < durable
+              ? new AppendResult.Accepted(stateMachine.apply(entry.entry.build()))
+              : failure);
     }
     if (durable > 0 && log.snapshotDue()) {
       snapshot();
@@ -338,31 +353,35 @@
   }
 
   private void rejectPending() {
-    for (PendingEntry one : List.copyOf(pending)) {
-      one.onResult.accept(
+    for (PendingEntry entry : List.copyOf(pending)) {
+      entry.onResult.accept(
           new AppendResult.Rejected(
-              AppendResult.Reason.NOT_LEADER, "another controller may act by now"));
+              AppendResult.Reason.NOT_LEADER,
+              "this controller may not be the leader any more; send the request to the leader"));
     }
     pending.clear();
   }
 
-  /** How many entries of a batch, from its beginning, are durable and may be applied. */
+  /** Returns how many entries from the beginning of a batch are durable and may be applied. */
   private int makeDurable(List<PendingEntry> batch) {
     int written = 0;
     try {
-      for (PendingEntry one : batch) {
-        log.append(timestamped(one.entry));
+      for (PendingEntry entry : batch) {
+        log.append(timestamped(entry.entry));
         written++;
       }
     } catch (IOException e) {
-      reportFailure(AppendResult.Reason.STORAGE_FAILED, "it takes no more: " + e.getMessage());
+      reportFailure(AppendResult.Reason.STORAGE_FAILED, "write failed: " + e.getMessage());
     }
     if (written > 0 && !fsync()) {
       written = 0;
     }
     if (!leadershipCheck.getAsBoolean()) {
-      // the sync took long: what was written is in files that the other controller does not read
-      reportFailure(AppendResult.Reason.NOT_LEADER, "another controller may act by now");
+      // Leadership was lost during a long sync. The entries are in files that the new leader does
+      // not read.
+      reportFailure(
+          AppendResult.Reason.NOT_LEADER,
+          "this controller may not be the leader any more; send the request to the leader");
       written = 0;
       storageLost = true;
     }
@@ -370,8 +389,8 @@
   }
 
   /**
-   * Storage that did not sync may have lost what it took: nothing more can be promised in this
-   * incarnation.
+   * Syncs the log. A storage whose sync failed may have lost entries that it had accepted, so no
+   * further entry is accepted in this incarnation.
    */
   private boolean fsync() {
     if (storageLost) {
@@ -384,18 +403,18 @@
       storageLost = true;
       reportFailure(
           AppendResult.Reason.STORAGE_FAILED,
-          "what was written may be lost: "
+          "sync failed, written entries may be lost: "
               + e.getMessage()
-              + "; nothing more is taken until the controller is restarted");
+              + "; all entries are rejected until the controller is restarted");
       return false;
     }
   }
 
-  private void reportFailure(AppendResult.Reason reason, String what) {
-    if (failure == null || !what.equals(failure.message())) {
-      statusLine.accept("the store: " + what);
+  private void reportFailure(AppendResult.Reason reason, String message) {
+    if (failure == null || !message.equals(failure.message())) {
+      statusLine.accept("storage: " + message);
     }
-    failure = new AppendResult.Rejected(reason, what);
+    failure = new AppendResult.Rejected(reason, message);
   }
 
   private void snapshot() {
@@ -406,17 +425,17 @@
               .setWallMs(lastWallMs)
               .build());
     } catch (IOException e) {
-      reportFailure(AppendResult.Reason.STORAGE_FAILED, "no snapshot: " + e.getMessage());
-      // the entries are in the log: it is tried again with the next
+      // The entries are in the log. The snapshot is tried again after the next flush.
+      reportFailure(AppendResult.Reason.STORAGE_FAILED, "snapshot failed: " + e.getMessage());
     }
   }
 
-  /** Entries logged so far, over all incarnations. */
+  /** Returns the number of entries logged so far by all incarnations. */
   public long entryCount() {
     return log.lastIndex();
   }
 
-  /** Closes the log's file; what is pending is dropped unanswered. */
+  /** Closes the log file; pending entries are dropped without an answer. */
   public void close() throws IOException {
     log.close();
   }
--- a/src/main/java/sprucerock/controller/Rollout.java
+++ b/src/main/java/sprucerock/controller/Rollout.java
@@ -6,38 +6,39 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One build on its way through the stages, with every step and its cause. */
+/** The rollout of one build through the stages, with each transition and its cause. */
 public final class Rollout {
-  /** Where a release stands. */
+  /** The state of a rollout. */
   public enum State {
-    /** Waits until the one before it has gone back. */
+    /** Waits until the rollout before it has rolled back. */
     ANNOUNCED,
-    /** Its first units are being started. */
+    /** The endpoints of the first stage are being started. */
     STARTING,
     ON_TRIAL,
     GOING_BACK,
     RELEASED,
     WITHDRAWN,
-    /** Its trial ended as a later build was announced. */
+    /** The trial ended because a later build was announced. */
     SUPERSEDED;
 
-    /** It may still become something else by itself. */
+    /** Whether the state may still change without a new command or announcement. */
     public boolean open() {
       return this == ANNOUNCED || this == STARTING || this == ON_TRIAL || this == GOING_BACK;
     }
   }
 
   /**
-   * A transition.
+   * A recorded transition.
    *
-   * @param sequence of all transitions of all releases, from 1
-   * @param wallMs the machine's clock then, for people
+   * @param sequence the sequence number over all rollouts, from 1
+   * @param time the controller's time
+   * @param wallMs the machine's wall clock, for people
    */
   public record Transition(
       long sequence, Timestamp time, long wallMs, State state, int stage, String cause) {}
 
-  private static final int MAX_TRANSITIONS =
-      200; // a release has some ten; a flapping hand should not fill the disk
+  /** A rollout has some ten transitions; repeated hold and resume must not fill the disk. */
+  private static final int MAX_TRANSITIONS = 200;
 
   public final int build;
   public final String artifact;
@@ -45,21 +46,25 @@
   int stage;
   Timestamp since;
 
-  /** From when the stage's least time counts; null while its units are not there. */
+  /** When the stage's time began to count; null until its endpoints are ready. */
   Timestamp clockStart;
 
-  /** Time that did not count: held by relays under the clock, or by an operator. */
+  /**
+   * Time that does not count for the stage: paused by relays under the clock, or by an operator.
+   */
   TimeSpan pausedTime = TimeSpan.ZERO;
 
-  /** An operator holds it, and since when. */
   boolean heldByOperator;
 
+  /** When the operator's hold began; null before the first hold. */
   Timestamp heldSince;
 
-  /** Under the clock: whether that ran, and since when it did or did not. */
+  /** Under {@link RolloutRules.Control#CLOCKED}: whether the clock ran at the last update. */
   boolean clockRunning = true;
 
+  /** When {@link #clockRunning} was last updated. */
   Timestamp clockUpdatedAt;
+
   int readyEndpoints;
   private final List<Transition> transitions = new ArrayList<>();
 
@@ -69,40 +74,40 @@
     since = now;
   }
 
-  /** Where the rollout stands. */
+  /** Returns the state of the rollout. */
   public State state() {
     return state;
   }
 
-  /** The stage, from 0. */
+  /** Returns the stage, from 0. */
   public int stage() {
     return stage;
   }
 
-  /** When the present stage began, by the controller's clock. */
+  /** Returns when the current state and stage began, in the controller's time. */
   public Timestamp since() {
     return since;
   }
 
-  /** Whether an operator holds it. */
+  /** Whether an operator holds the rollout. */
   public boolean heldByOperator() {
     return heldByOperator;
   }
 
-  /** Units of it that were told to be there. */
+  /** Returns how many endpoints of the build were reported as ready. */
   public int readyEndpoints() {
     return readyEndpoints;
   }
 
-  /** The transitions so far; of very many the first and the last ones. */
+  /** Returns the transitions so far; beyond a limit only the first and the last ones. */
   public List<Transition> transitions() {
     return Collections.unmodifiableList(transitions);
   }
 
-  void addTransition(Transition step) {
+  void addTransition(Transition transition) {
     if (transitions.size() >= MAX_TRANSITIONS) {
       transitions.remove(MAX_TRANSITIONS / 2);
     }
-    transitions.add(step);
+    transitions.add(transition);
   }
 }
--- a/src/main/java/sprucerock/controller/RolloutBlockers.java
+++ b/src/main/java/sprucerock/controller/RolloutBlockers.java
@@ -7,7 +7,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Says for people what the current rollout waits for. */
+/** Describes for people what the current rollout waits for. */
 final class RolloutBlockers {
   private final RolloutManager manager;
   private final RolloutRules rules;
@@ -19,25 +19,25 @@
     this.ballots = ballots;
   }
 
-  /** A line for each thing that is waited for; empty where no rollout is open. */
+  /** Returns a line for each thing that is waited for; empty if no rollout is open. */
   List<String> lines(Timestamp now) {
-    List<String> found = new ArrayList<>();
+    List<String> lines = new ArrayList<>();
     Rollout open = manager.openRollout();
     if (open == null) {
-      return found;
+      return lines;
     }
     if (open.heldByOperator) {
-      found.add("an operator holds it");
+      lines.add("an operator holds it");
     }
     if (open.state == State.ANNOUNCED) {
-      found.add("build " + manager.current.build + " to have gone back");
+      lines.add("the rollback of build " + manager.current.build + " to end");
     }
     if (open.state == State.GOING_BACK) {
-      found.add("its time of going back to be over");
+      lines.add("the rollback time to end");
     }
     boolean running = open.state == State.STARTING || open.state == State.ON_TRIAL;
     if (running && open.readyEndpoints < manager.desiredEndpoints(open.stage)) {
-      found.add(
+      lines.add(
           "units: "
               + open.readyEndpoints
               + " of "
@@ -45,37 +45,37 @@
               + " are there");
     }
     if (open.state != State.ON_TRIAL || open.clockStart == null) {
-      return found;
+      return lines;
     }
-    addVotes(open, found, now);
-    return found;
+    addVotes(open, lines, now);
+    return lines;
   }
 
-  private void addVotes(Rollout open, List<String> found, Timestamp now) {
+  private void addVotes(Rollout open, List<String> lines, Timestamp now) {
     TimeSpan elapsed = now.since(open.clockStart).minus(open.pausedTime);
     if (rules.control() == RolloutRules.Control.CLOCKED) {
-      found.add(
-          "the clock: "
+      lines.add(
+          "the clocked stage time: "
               + Math.round(elapsed.ms())
               + " of "
               + Math.round(rules.clockedStageTime().ms())
               + " ms; "
               + ballots.count(Vote.HOLD, now)
-              + " relays hold it, "
+              + " relays vote to hold, "
               + rules.votesToPause()
-              + " stop it");
+              + " pause the clock");
     } else {
       if (!elapsed.over(rules.minStageTime())) {
-        found.add(
+        lines.add(
             "its least time: "
                 + Math.round(elapsed.ms())
                 + " of "
                 + Math.round(rules.minStageTime().ms())
                 + " ms");
       }
-      found.add("votes to go on: " + ballots.count(Vote.ON, now) + " of " + rules.votesToAdvance());
+      lines.add("votes to go on: " + ballots.count(Vote.ON, now) + " of " + rules.votesToAdvance());
     }
-    found.add(
+    lines.add(
         "votes to go back: " + ballots.count(Vote.BACK, now) + " of " + rules.votesToRollBack());
   }
 }
--- a/src/main/java/sprucerock/controller/RolloutCommands.java
+++ b/src/main/java/sprucerock/controller/RolloutCommands.java
@@ -4,7 +4,7 @@
 import sprucerock.controller.Rollout.State;
 import sprucerock.time.Timestamp;
 
-/** What operators command about rollouts. */
+/** Carries out operators' commands on rollouts. */
 final class RolloutCommands {
   private final RolloutManager manager;
 
@@ -12,7 +12,7 @@
     this.manager = manager;
   }
 
-  /** Why a command has no effect; null where it has one. */
+  /** Returns the reason why a command has no effect, or null if it has one. */
   String carryOut(RolloutManager.OperatorCommand command, int build, String cause, Timestamp now) {
     Rollout rollout = manager.rollout(build);
     if (rollout == null) {
@@ -26,8 +26,12 @@
   }
 
   private String hold(Rollout rollout, String cause, Timestamp now) {
-    if (!running(rollout)) {
-      return "build " + rollout.build + " is " + text(rollout.state) + ": there is nothing to hold";
+    if (!inProgress(rollout)) {
+      return "build "
+          + rollout.build
+          + " is "
+          + describe(rollout.state)
+          + ": only an announced, starting or on-trial build can be held";
     }
     if (rollout.heldByOperator) {
       return "build " + rollout.build + " is held already";
@@ -44,8 +48,8 @@
     }
     rollout.heldByOperator = false;
     if (rollout.clockStart != null) {
-      Timestamp from = rollout.heldSince.later(rollout.clockStart);
-      rollout.pausedTime = rollout.pausedTime.plus(now.since(from));
+      Timestamp pausedFrom = rollout.heldSince.later(rollout.clockStart);
+      rollout.pausedTime = rollout.pausedTime.plus(now.since(pausedFrom));
     }
     manager.transition(rollout, rollout.state, rollout.stage, "resumed by " + cause, now);
     manager.reconcile(now);
@@ -57,8 +61,12 @@
         rollout == manager.current
             && rollout.state == State.RELEASED
             && manager.previousBuild != rollout.build;
-    if (!running(rollout) && !lastReleased) {
-      return "build " + rollout.build + " is " + text(rollout.state) + ": it can't be withdrawn";
+    if (!inProgress(rollout) && !lastReleased) {
+      return "build "
+          + rollout.build
+          + " is "
+          + describe(rollout.state)
+          + ": it can't be withdrawn";
     }
     rollout.heldByOperator = false;
     if (rollout.state == State.ANNOUNCED) {
@@ -69,13 +77,13 @@
     return null;
   }
 
-  private static boolean running(Rollout rollout) {
+  private static boolean inProgress(Rollout rollout) {
     return rollout.state == State.STARTING
         || rollout.state == State.ON_TRIAL
         || rollout.state == State.ANNOUNCED;
   }
 
-  private static String text(State state) {
+  private static String describe(State state) {
     return state.name().toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 }
--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -10,66 +10,68 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The rollouts of builds to one fleet of endpoints: what announcements, votes, operators and the
- * time that passes make of them. It does no I/O and reads no clock; the same inputs at the same
- * times give the same state, which is how it comes back after a crash. Whether a build is good is
- * the relays' to judge: here votes are only counted.
+ * Manages the rollouts of builds to one fleet of endpoints, driven by announcements, votes,
+ * operator commands and time. It does no I/O and reads no clock: the same inputs at the same times
+ * give the same state, so replaying the log restores it after a crash. Relays judge whether a build
+ * is good; this class only counts their votes.
  */
 public final class RolloutManager {
-  /** What an announcement came to. The names are stored. */
+  /** The result of an announcement. The names of the constants are stored. */
   public enum AnnouncementResult {
-    /** It is new, and a rollout was begun. */
+    /** The build is new, and its rollout was announced. */
     TAKEN,
-    /** The same delivery was taken before, with this answer then or another. */
+    /** The same delivery was processed before, with whatever result. */
     AGAIN,
-    /** That build was announced before, just so. */
+    /** The build was announced before with the same artifact. */
     KNOWN,
-    /** That build was announced before as something else. */
+    /**
+     * The build was announced before with another artifact, or the delivery with another content.
+     */
     CONTRADICTS,
-    /** A later build was announced before. */
+    /** A build with a higher number was announced before. */
     TOO_OLD,
-    /** So many wait already. */
+    /** Too many rollouts wait to start. */
     TOO_MANY
   }
 
-  /** What a vote came to. */
+  /** The result of a vote. */
   public enum VoteResult {
     COUNTS,
-    /** It is on another build or stage, or of a kind that does not count now. */
+    /** The vote is on another build or stage, or of a kind that does not count now. */
     MOOT,
-    /** Too many of this relay in a second, or of too many relays. */
+    /** The relay voted too often within a second, or too many relays vote. */
     TOO_MANY
   }
 
-  /** What a relay votes for. The names are stored. */
+  /** What a relay votes for. The names of the constants are stored. */
   public enum Vote {
-    /** It takes its vote back. */
+    /** Withdraws the relay's last vote. */
     NOTHING,
-    /** To advance to the next stage. */
+    /** Advance to the next stage. */
     ON,
-    /** To pause the stage, under the clock. */
+    /** Pause the stage; only under {@link RolloutRules.Control#CLOCKED}. */
     HOLD,
-    /** To roll back. */
+    /** Roll back. */
     BACK
   }
 
-  /** What an operator may command about a rollout. The names are stored. */
+  /** An operator's command on a rollout. The names of the constants are stored. */
   public enum OperatorCommand {
     HOLD,
     RESUME,
     WITHDRAW
   }
 
-  /** Acts on transitions: tells relays and others, has endpoints started and taken away. */
+  /** Reacts to transitions: notifies relays and webhooks, and has endpoints started and stopped. */
   public interface Listener {
-    /** A transition was recorded; told in the order of their sequence, once an incarnation. */
+    /** Called for each transition, in the order of sequence numbers, once per incarnation. */
     void transitioned(Rollout rollout, Transition transition);
   }
 
-  /** Rollouts that may wait to start; further announcements are refused. */
+  /** The most rollouts that may wait to start; further announcements are rejected. */
   static final int MAX_ANNOUNCED = 20;
 
-  /** Rollouts that are kept; older ones are dropped once they have ended. */
+  /** The most rollouts that are kept; older ones are dropped once they have ended. */
   static final int MAX_ROLLOUTS = 100;
 
   private final RolloutRules rules;
@@ -86,69 +88,80 @@
   int previousBuild;
   private long wallMs;
 
-  /** {@code fleetSize} endpoints make up the fleet; build {@code first} serves from the start. */
+  /**
+   * Creates a manager whose only rollout is the released one of the first build.
+   *
+   * @param fleetSize the number of endpoints in the fleet
+   * @param firstBuild the build that serves from the start
+   */
   public RolloutManager(
-      RolloutRules rules, int fleetSize, int first, Timestamp now, Listener listener) {
+      RolloutRules rules, int fleetSize, int firstBuild, Timestamp now, Listener listener) {
     this.rules = rules;
     clock = new StageClock(rules, ballots);
     this.fleetSize = fleetSize;
     this.listener = listener;
-    current = new Rollout(first, "", now);
+    current = new Rollout(firstBuild, "", now);
     current.state = State.RELEASED;
     current.stage = rules.stages().size() - 1;
-    rolloutsByBuild.put(first, current);
-    previousBuild = first;
+    rolloutsByBuild.put(firstBuild, current);
+    previousBuild = firstBuild;
   }
 
   // Queries.
 
-  /** The rollout that relays are told of: on trial, going back, released or withdrawn last. */
+  /**
+   * Returns the rollout that is starting, on trial or going back, or else the one that was released
+   * or withdrawn last.
+   */
   public Rollout current() {
     return current;
   }
 
-  /** The build that serves beside the one on trial, or alone. */
+  /** Returns the baseline: the build that serves next to the canary, or alone. */
   public int previousBuild() {
     return previousBuild;
   }
 
-  /** All rollouts that are kept, the oldest build first. */
+  /** Returns all rollouts that are kept, the oldest build first. */
   public Collection<Rollout> rollouts() {
     return Collections.unmodifiableCollection(rolloutsByBuild.values());
   }
 
-  /** The rollout of a build; null where none is kept. */
+  /** Returns the rollout of a build, or null if none is kept. */
   public Rollout rollout(int build) {
     return rolloutsByBuild.get(build);
   }
 
-  /** Transitions so far. */
+  /** Returns the sequence number of the last transition. */
   public long sequence() {
     return sequence;
   }
 
-  /** How often the controller started on this state: what it tells in a later start is newer. */
+  /**
+   * Returns how often a controller started on this state. Relays accept what a later start sends as
+   * newer.
+   */
   public long epoch() {
     return epoch;
   }
 
-  /** The sequence up to which outgoing webhooks were taken, or given up. */
+  /** Returns the sequence number up to which outgoing webhooks were delivered or given up. */
   public long webhooksDeliveredUpTo() {
     return webhooksDeliveredUpTo;
   }
 
-  /** Outgoing webhooks up to a transition are done with. */
-  public void webhooksDeliveredUpTo(long upTo) {
+  /** Records that outgoing webhooks up to a sequence number were delivered or given up. */
+  public void markWebhooksDelivered(long upTo) {
     webhooksDeliveredUpTo = Math.max(webhooksDeliveredUpTo, Math.min(upTo, sequence));
   }
 
-  /** What relays are to know: a build, where its rollout stands, and the cap on its exposure. */
+  /** What relays are notified of: a build, the state of its rollout, and the exposure cap. */
   public record RolloutStatus(
       int build, int stage, State state, double exposureCap, Timestamp since) {}
 
   /**
-   * What relays are to know now. A build whose endpoints only start is not told yet: until then
-   * what was before it is.
+   * Returns what relays are to be notified of now. A build whose endpoints are still starting is
+   * not announced to relays yet; the status of the build before it is returned instead.
    */
   public RolloutStatus currentStatus() {
     return switch (current.state) {
@@ -176,7 +189,7 @@
     };
   }
 
-  /** How many endpoints of a build there should be now. */
+  /** Returns how many endpoints of a build there should be now. */
   public int desiredEndpoints(Rollout rollout) {
     return switch (rollout.state) {
       case STARTING, ON_TRIAL -> desiredEndpoints(rollout.stage);
@@ -188,49 +201,49 @@
     };
   }
 
-  /** How many endpoints of a build a stage has. */
+  /** Returns how many endpoints of a build a stage has. */
   int desiredEndpoints(int stage) {
     return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
 
-  /** The share of all endpoints that a rollout takes in its stage. */
+  /** Returns the share of the fleet's endpoints that a rollout gets in its stage. */
   double fleetShare(Rollout rollout) {
     return rules.stages().get(rollout.stage).share();
   }
 
-  /** Relays whose votes of a kind stand for the current build and stage. */
+  /** Returns the relays whose votes of a kind count for the current build and stage. */
   public List<Integer> relaysVoting(Vote vote, Timestamp now) {
     return ballots.relays(vote, now);
   }
 
-  /** The votes of an earlier incarnation are there, and the rollout that they are on. */
+  /** Rebuilds the counted votes after the ballots and the current rollout were restored. */
   void restoreVotes() {
     ballots.rebuildCountedVotes(current.build, current.stage);
   }
 
-  /** Votes looked at so far to count them: what the scale tests bound. */
+  /** Returns how many votes were examined for counting so far, which the scale tests bound. */
   public long votesExamined() {
     return ballots.votesExamined();
   }
 
-  /** What the rollout that is not ended waits for, a line each; empty where there is none. */
+  /** Returns what the open rollout waits for, a line each; empty if no rollout is open. */
   public List<String> blockers(Timestamp now) {
     return new RolloutBlockers(this, rules, ballots).lines(now);
   }
 
-  /** The newest rollout that has not ended; null where there is none. */
+  /** Returns the newest rollout that has not ended, or null if all have. */
   Rollout openRollout() {
-    for (Rollout one : rolloutsByBuild.descendingMap().values()) {
-      if (one.state.open()) {
-        return one;
+    for (Rollout rollout : rolloutsByBuild.descendingMap().values()) {
+      if (rollout.state.open()) {
+        return rollout;
       }
     }
     return null;
   }
 
-  // Inputs. Each with the controller's time, and the wall clock in milliseconds for people.
+  // Inputs. Each has the controller's time, and the wall clock in milliseconds for people.
 
-  /** A build was announced; a delivery that was answered before has that answer again. */
+  /** Announces a build. A delivery that was processed before has no second effect. */
   public AnnouncementResult announceDelivery(
       String delivery, int build, String artifact, String source, Timestamp now, long wallMs) {
     this.wallMs = wallMs;
@@ -239,9 +252,9 @@
   }
 
   private AnnouncementResult announce(int build, String artifact, String source, Timestamp now) {
-    Rollout known = rolloutsByBuild.get(build);
-    if (known != null) {
-      return known.artifact.equals(artifact)
+    Rollout announced = rolloutsByBuild.get(build);
+    if (announced != null) {
+      return announced.artifact.equals(artifact)
           ? AnnouncementResult.KNOWN
           : AnnouncementResult.CONTRADICTS;
     }
@@ -249,19 +262,22 @@
       return AnnouncementResult.TOO_OLD;
     }
     long waiting =
-        rolloutsByBuild.values().stream().filter(one -> one.state == State.ANNOUNCED).count();
+        rolloutsByBuild.values().stream()
+            .filter(rollout -> rollout.state == State.ANNOUNCED)
+            .count();
     if (waiting >= MAX_ANNOUNCED) {
       return AnnouncementResult.TOO_MANY;
     }
-    Rollout made = new Rollout(build, artifact, now);
-    rolloutsByBuild.put(build, made);
-    transition(made, State.ANNOUNCED, 0, "announced by " + source, now);
-    for (Rollout one : List.copyOf(rolloutsByBuild.values())) {
-      if (one != made
-          && (one.state == State.ON_TRIAL
-              || one.state == State.STARTING
-              || one.state == State.ANNOUNCED)) {
-        transition(one, State.SUPERSEDED, one.stage, "build " + build + " was announced", now);
+    Rollout added = new Rollout(build, artifact, now);
+    rolloutsByBuild.put(build, added);
+    transition(added, State.ANNOUNCED, 0, "announced by " + source, now);
+    for (Rollout rollout : List.copyOf(rolloutsByBuild.values())) {
+      if (rollout != added
+          && (rollout.state == State.ON_TRIAL
+              || rollout.state == State.STARTING
+              || rollout.state == State.ANNOUNCED)) {
+        transition(
+            rollout, State.SUPERSEDED, rollout.stage, "build " + build + " was announced", now);
       }
     }
     startNext(now);
@@ -274,7 +290,7 @@
     return AnnouncementResult.TAKEN;
   }
 
-  /** The one that waits begins once none is in its way: never are two on trial. */
+  /** Starts the waiting rollout unless another one is rolling back: two are never on trial. */
   private void startNext(Timestamp now) {
     if (current.state == State.GOING_BACK) {
       return;
@@ -291,7 +307,7 @@
     transition(next, State.STARTING, 0, "nothing is in its way", now);
   }
 
-  /** A relay votes. Only votes on the current build and its stage count. */
+  /** Casts a relay's vote. Only votes on the current build and its stage count. */
   public VoteResult castVote(
       int relay, int build, int stage, Vote vote, Timestamp now, long wallMs) {
     this.wallMs = wallMs;
@@ -321,9 +337,9 @@
   }
 
   /**
-   * Carries out an operator's command, which is stronger than votes.
+   * Carries out an operator's command, which takes precedence over votes.
    *
-   * @return why it has no effect, or null
+   * @return the reason why the command has no effect, or null if it has one
    */
   public String command(
       OperatorCommand command, int build, String who, String reason, Timestamp now, long wallMs) {
@@ -331,7 +347,7 @@
     return new RolloutCommands(this).carryOut(command, build, who + ": " + reason, now);
   }
 
-  /** So many endpoints of a build are ready. */
+  /** Records how many endpoints of a build are ready. */
   public void reportEndpoints(int build, int endpoints, Timestamp now, long wallMs) {
     this.wallMs = wallMs;
     Rollout rollout = rolloutsByBuild.get(build);
@@ -342,15 +358,17 @@
     reconcile(now);
   }
 
-  /** Time has passed. */
+  /** Makes the transitions that are due. */
   public void tick(Timestamp now, long wallMs) {
     this.wallMs = wallMs;
     reconcile(now);
   }
 
   /**
-   * The controller was down for so long by the wall's clock; below zero: that was set back, and
-   * nobody knows how old votes are. The time does not count for a stage.
+   * Records a restart of the controller. Downtime does not count towards the time of a stage.
+   *
+   * @param downMs the downtime by the wall clock. A negative value means that the clock was set
+   *     back; votes are then dropped, as their age is unknown.
    */
   public void restarted(long downMs, Timestamp now, long wallMs) {
     this.wallMs = wallMs;
@@ -367,7 +385,7 @@
     reconcile(now);
   }
 
-  /** Whether a tick now would change anything: only then is it worth recording. */
+  /** Whether a tick now would change the state; other ticks need no log entry. */
   public boolean transitionDue(Timestamp now) {
     return switch (current.state) {
       case STARTING ->
@@ -406,7 +424,7 @@
         && clock.startTimedOut(current, now)) {
       rollBack(
           current,
-          "its units did not start: "
+          "its endpoints were not ready in time: "
               + current.readyEndpoints
               + " of "
               + desiredEndpoints(current.stage),
@@ -431,29 +449,29 @@
   private void advance(Timestamp now) {
     String cause =
         rules.control() == RolloutRules.Control.CLOCKED
-            ? "its time is over"
+            ? "the clocked stage time is over"
             : "votes to go on of relays " + relaysVoting(Vote.ON, now);
-    boolean last = current.stage + 1 >= rules.stages().size();
-    if (last) {
+    boolean lastStage = current.stage + 1 >= rules.stages().size();
+    if (lastStage) {
       transition(current, State.RELEASED, current.stage, cause, now);
     } else {
       transition(current, State.ON_TRIAL, current.stage + 1, cause, now);
     }
     current.clockStart =
-        !last && current.readyEndpoints >= desiredEndpoints(current.stage) ? now : null;
+        !lastStage && current.readyEndpoints >= desiredEndpoints(current.stage) ? now : null;
   }
 
-  /** A rollout goes back to the build before it. */
+  /** Rolls a rollout back to the previous build. */
   void rollBack(Rollout rollout, String cause, Timestamp now) {
     transition(rollout, State.GOING_BACK, rollout.stage, cause, now);
   }
 
-  /** A rollout goes to a state and a stage, or is held or resumed where it is. */
-  void transition(Rollout rollout, State to, int stage, String cause, Timestamp now) {
-    boolean moves = rollout.state != to || rollout.stage != stage;
-    rollout.state = to;
+  /** Moves a rollout to a state and a stage, or records that it was held or resumed in place. */
+  void transition(Rollout rollout, State newState, int stage, String cause, Timestamp now) {
+    boolean moved = rollout.state != newState || rollout.stage != stage;
+    rollout.state = newState;
     rollout.stage = stage;
-    if (moves || rollout.transitions().isEmpty()) {
+    if (moved || rollout.transitions().isEmpty()) {
       rollout.since = now;
       rollout.clockStart = null;
       rollout.pausedTime = TimeSpan.ZERO;
@@ -463,8 +481,8 @@
         ballots.clear();
       }
     }
-    Transition made = new Transition(++sequence, now, wallMs, to, stage, cause);
-    rollout.addTransition(made);
-    listener.transitioned(rollout, made);
+    Transition transition = new Transition(++sequence, now, wallMs, newState, stage, cause);
+    rollout.addTransition(transition);
+    listener.transitioned(rollout, transition);
   }
 }
--- a/src/main/java/sprucerock/controller/RolloutRules.java
+++ b/src/main/java/sprucerock/controller/RolloutRules.java
@@ -4,16 +4,18 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * What a deployment's configuration says of its releases.
+ * The configured rules of rollouts.
  *
- * @param on relays that must stand for going on; {@code hold}: that stop the clock; {@code back}:
- *     that send a build back
- * @param least a stage lasts at least so long once its units are there
- * @param step how long a stage lasts under the clock
- * @param startWithin after which a build whose units are not there goes back
- * @param goingBack how long a build that goes back is told as such before it is withdrawn
- * @param watch how long votes still send a released build back
- * @param votesASecond of one relay; further ones are too many
+ * @param votesToAdvance the number of relays whose votes advance a stage
+ * @param votesToPause the number of relays whose votes pause the clock
+ * @param votesToRollBack the number of relays whose votes roll a build back
+ * @param voteValidity how long a vote counts
+ * @param minStageTime the least time of a stage once its endpoints are ready
+ * @param clockedStageTime the time of a stage under the clock
+ * @param startTimeout the time after which a build whose endpoints are not ready is rolled back
+ * @param rollbackTime how long relays are notified of a rollback before the build is withdrawn
+ * @param observationTime how long votes can still roll back a released build
+ * @param maxVotesPerSecond the limit for one relay; further votes are rejected
  */
 public record RolloutRules(
     List<Stage> stages,
@@ -28,12 +30,12 @@
     TimeSpan rollbackTime,
     TimeSpan observationTime,
     int maxVotesPerSecond) {
-  /** The share of the fleet's places that get the build, and the cap on its exposure. */
+  /** The share of the fleet's endpoints that run the build, and the exposure cap. */
   public record Stage(double share, double exposureCap) {}
 
   /**
-   * Whose votes let a build go on: a stated number of relays, more than half of those that stand,
-   * or the clock's.
+   * What lets a build advance: the votes of a configured number of relays, the votes of more than
+   * half of the relays, or the clock.
    */
   public enum Control {
     SINGLE,
--- a/src/main/java/sprucerock/controller/StageClock.java
+++ b/src/main/java/sprucerock/controller/StageClock.java
@@ -5,7 +5,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** What the time that has passed, and the votes that stand, allow of a rollout. */
+/** Decides from the elapsed time and the counted votes which transitions a rollout may make. */
 final class StageClock {
   private final RolloutRules rules;
   private final BallotBox ballots;
@@ -15,19 +15,22 @@
     this.ballots = ballots;
   }
 
-  /** Its endpoints were not there in time. */
+  /** Whether the stage's endpoints were not ready in time. */
   boolean startTimedOut(Rollout rollout, Timestamp now) {
     return rollout.clockStart == null
         && !rollout.heldByOperator
         && now.since(rollout.since).over(rules.startTimeout());
   }
 
-  /** Under the clock: whether so few relays hold the stage that its time counts. */
+  /** Under the clock: whether too few relays vote to hold for the clock to pause. */
   boolean running(Timestamp now) {
     return ballots.count(Vote.HOLD, now) < rules.votesToPause();
   }
 
-  /** Under the clock: the time since the last update does not count if the clock stood then. */
+  /**
+   * Under the clock: adds the time since the last update to the paused time if the clock was
+   * paused.
+   */
   void addPausedTime(Rollout rollout, Timestamp now) {
     if (!rollout.clockRunning && rollout.clockUpdatedAt != null && rollout.clockStart != null) {
       rollout.pausedTime = rollout.pausedTime.plus(now.since(rollout.clockUpdatedAt));
@@ -35,7 +38,7 @@
     rollout.clockUpdatedAt = now;
   }
 
-  /** Its stage has lasted long enough, and by votes or the clock the next may begin. */
+  /** Whether the stage has lasted long enough, and the votes or the clock allow the next one. */
   boolean mayAdvance(Rollout rollout, Timestamp now) {
     if (rollout.clockStart == null || rollout.heldByOperator) {
       return false;
@@ -48,19 +51,22 @@
     return running(now) && rollout.clockRunning && elapsed.over(rules.clockedStageTime());
   }
 
-  /** Enough relays vote to go back. */
+  /** Whether enough relays vote to roll back. */
   boolean mustRollBack(Timestamp now) {
     return ballots.count(Vote.BACK, now) >= rules.votesToRollBack();
   }
 
-  /** A released build can still be sent back for a time, if there is one to go back to. */
+  /**
+   * Whether a released build can still be rolled back: for a time, and if there is a previous
+   * build.
+   */
   boolean underObservation(Rollout rollout, int previousBuild, Timestamp now) {
     return rollout.state == State.RELEASED
         && previousBuild != rollout.build
         && !now.since(rollout.since).over(rules.observationTime());
   }
 
-  /** It was told as going back for so long that it is withdrawn. */
+  /** Whether relays have been notified of the rollback for long enough to withdraw the build. */
   boolean rollbackOver(Rollout rollout, Timestamp now) {
     return now.since(rollout.since).over(rules.rollbackTime());
   }
--- a/src/main/java/sprucerock/controller/StateMachine.java
+++ b/src/main/java/sprucerock/controller/StateMachine.java
@@ -15,7 +15,8 @@
 
 /**
  * Applies log entries to the controller's state. It is deterministic: the same entries in the same
- * order give the same state, in the incarnation that appended them and in each that replays them.
+ * order give the same state, both in the incarnation that appended them and in every incarnation
+ * that replays them.
  */
 final class StateMachine {
   private final RolloutManager rollouts;
@@ -32,9 +33,9 @@
   }
 
   /**
-   * Applies one entry, at the times that it bears.
+   * Applies one entry at the timestamps that the entry carries.
    *
-   * @throws IllegalArgumentException if a newer controller wrote it, and its kind is not known here
+   * @throws IllegalArgumentException if a newer controller wrote an entry of an unknown kind
    */
   Value apply(Input entry) {
     Timestamp now = Timestamp.ofMs(entry.getAtMs());
@@ -100,29 +101,32 @@
       case READY ->
           rollouts.reportEndpoints(
               entry.getReady().getBuild(), entry.getReady().getUnits(), now, wallMs);
-      default -> rollouts.webhooksDeliveredUpTo(entry.getDelivered().getSequence());
+      default -> rollouts.markWebhooksDelivered(entry.getDelivered().getSequence());
     }
     return Done.INSTANCE;
   }
 
-  /** Deployments and maintenance windows depend on whether a build is being decided on. */
+  /** Tells deployments and maintenance windows whether a rollout is in progress. */
   private void shareRolloutState(Timestamp now, long wallMs) {
     Rollout.State state = rollouts.current.state;
     boolean inProgress =
         state == Rollout.State.STARTING
             || state == Rollout.State.ON_TRIAL
             || state == Rollout.State.GOING_BACK;
-    // relays that judge a build are not restarted meanwhile
+    // Relays that judge a build are not restarted while its rollout is in progress.
     if (inProgress != deployments.rolloutInProgress()) {
       deployments.rolloutInProgress(inProgress, now, wallMs);
     }
-    // nor are the build's endpoints counted on where racks are to be spared
+    // Capacity checks don't count on the canary's endpoints when racks are to be taken down.
     maintenanceWindows.setCanaryShare(
         inProgress ? rollouts.fleetShare(rollouts.current) : 0,
         maintenanceWindows.advanceClock(wallMs));
   }
 
-  /** The numbers of new windows, why a command had no effect, or null. */
+  /**
+   * Converts the answer of the maintenance codec: numbers of new windows, the reason why a command
+   * had no effect, or null.
+   */
   private static Value valueOf(Object answer) {
     if (answer instanceof List<?> numbers) {
       return new WindowsOpened(numbers.stream().map(Long.class::cast).toList());
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -512,9 +512,9 @@
       engine.flush();
     }
     assertEquals(notified.size(), before);
-    assertEquals(statusLines, List.of("the store: it takes no more: No space left on device"));
+    assertEquals(statusLines, List.of("storage: write failed: No space left on device"));
     assertEquals(
-        refused, java.util.Collections.nCopies(3, "it takes no more: No space left on device"));
+        refused, java.util.Collections.nCopies(3, "write failed: No space left on device"));
     disk.full = false;
     engine.append(announce("e", 3), outcome -> assertTrue(isTaken(outcome)));
     engine.flush();
@@ -598,7 +598,9 @@
     old.append(
         announce("d", 10), outcome -> refused.add(((AppendResult.Rejected) outcome).message()));
     old.flush();
-    assertEquals(refused, List.of("another controller may act by now"));
+    assertEquals(
+        refused,
+        List.of("this controller may not be the leader any more; send the request to the leader"));
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/RolloutManagerTest.java
+++ b/src/test/java/sprucerock/controller/RolloutManagerTest.java
@@ -135,7 +135,7 @@
     castVote(0, 3, 0, Vote.BACK);
     announce("y", 4);
     assertEquals(manager.current().build, 3);
-    assertEquals(manager.blockers(now), List.of("build 3 to have gone back"));
+    assertEquals(manager.blockers(now), List.of("the rollback of build 3 to end"));
     advanceTime(1000);
     assertEquals(manager.current().build, 4);
     assertEquals(manager.previousBuild(), 1);
@@ -216,7 +216,9 @@
     announce("d", 2);
     advanceTime(5100);
     assertTrue(
-        transitions.get(2).startsWith("2 GOING_BACK 0: its units did not start: 0 of 1"),
+        transitions
+            .get(2)
+            .startsWith("2 GOING_BACK 0: its endpoints were not ready in time: 0 of 1"),
         transitions.toString());
     announce("e", 3);
     advanceTime(900);
