--- a/src/main/java/sprucerock/controller/DeploymentCodec.java
+++ b/src/main/java/sprucerock/controller/DeploymentCodec.java
@@ -113,7 +113,7 @@
         ChangeMemory.newBuilder()
             .setCurrent(version(memory.currentVersion()))
             .setSequence(memory.sequence())
-            .setNumbers(memory.lastNumber())
+            .setNumbers(memory.lastDeploymentNumber())
             .setWeather(memory.blockedReason())
             .setReleasing(memory.rolloutInProgress())
             .putAllRooms(memory.restartBudgetByZone())
@@ -159,7 +159,7 @@
         change.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
                 .setSequence(step.sequence())
-                .setAtMs(Math.round(step.at().ms()))
+                .setAtMs(Math.round(step.timestamp().ms()))
                 .setWallMs(step.wallMs())
                 .setStanding(step.state().name())
                 .setStage(step.stage())
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -84,7 +84,7 @@
         clock,
         rolloutListener,
         deploymentListener,
-        MaintenanceWindows.none(),
+        MaintenanceWindows.withoutRacks(),
         statusLine);
   }
 
--- a/src/main/java/sprucerock/controller/MaintenanceCodec.java
+++ b/src/main/java/sprucerock/controller/MaintenanceCodec.java
@@ -37,7 +37,7 @@
                   "a word about freezes of an unknown kind, written by a newer controller");
         };
       }
-      case FREEZE_CLEARED -> core.grantsReturned(input.getFreezeCleared().getFreeze(), now);
+      case FREEZE_CLEARED -> core.permitsReturned(input.getFreezeCleared().getFreeze(), now);
       case WORTH -> {
         HardwareModel model = model(input.getWorth());
         return model == null || !core.updateModel(model, now)
@@ -64,7 +64,7 @@
             wanted.getReason());
     AnnounceResult result = core.announce(request, now);
     return result instanceof AnnounceResult.Announced announced
-        ? announced.numbers()
+        ? announced.windowNumbers()
         : ((AnnounceResult.Rejected) result).reason();
   }
 
@@ -118,9 +118,9 @@
     FreezeMemory.Builder written =
         FreezeMemory.newBuilder()
             .setSequence(notes.sequence())
-            .setNumbers(notes.numbers())
-            .addAllDown(notes.down())
-            .setOnTrial(notes.onTrial())
+            .setNumbers(notes.lastWindowNumber())
+            .addAllDown(notes.downRacks())
+            .setOnTrial(notes.canaryShare())
             .setNowMs(notes.nowMs());
     if (core.model() != null) {
       written.setWorth(worth(core.model()));
@@ -130,15 +130,15 @@
           OfFreeze.newBuilder()
               .setNumber(one.number())
               .addAllRacks(one.racks())
-              .setFromMs(one.from())
-              .setToMs(one.to())
+              .setFromMs(one.startMs())
+              .setToMs(one.endMs())
               .setSlackMs(one.slackMs())
               .setEmergency(one.emergency())
               .setSeries(one.series())
-              .setWho(one.who())
-              .setWhy(one.why())
+              .setWho(one.operator())
+              .setWhy(one.reason())
               .setState(one.state().name())
-              .setBoundSinceMs(one.boundSince())
+              .setBoundSinceMs(one.bindingSinceMs())
               .addAllForcedBy(one.forcedBy());
       for (MaintenanceWindow.Step step : one.steps()) {
         freeze.addSteps(
@@ -155,7 +155,7 @@
 
   static void read(FreezeMemory written, MaintenanceWindows core) {
     if (written.hasWorth()) {
-      core.model(model(written.getWorth()));
+      core.restoreModel(model(written.getWorth()));
     }
     new MaintenanceState(
             written.getSequence(),
--- a/src/main/java/sprucerock/controller/StateMachine.java
+++ b/src/main/java/sprucerock/controller/StateMachine.java
@@ -51,7 +51,7 @@
           case RESTARTED -> {
             long downMs = entry.getRestarted().getDownMs();
             rollouts.restarted(downMs, now, wallMs);
-            deployments.restarted(TimeSpan.ofMs(Math.max(0, downMs)), now, wallMs);
+            deployments.controllerRestarted(TimeSpan.ofMs(Math.max(0, downMs)), now, wallMs);
             yield Done.INSTANCE;
           }
           case FREEZE, FREEZE_WORD, FREEZE_CLEARED, RACK, WORTH ->
@@ -114,7 +114,7 @@
             || state == Rollout.State.GOING_BACK;
     // relays that judge a build are not restarted meanwhile
     if (inProgress != deployments.rolloutInProgress()) {
-      deployments.rolloutInProgress(inProgress, now, wallMs);
+      deployments.setRolloutInProgress(inProgress, now, wallMs);
     }
     // nor are the build's endpoints counted on where racks are to be spared
     maintenanceWindows.setCanaryShare(
--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -31,12 +31,12 @@
     GIVEN_UP;
 
     /** It has not ended. */
-    public boolean open() {
+    public boolean isOpen() {
       return this != DONE && this != GIVEN_UP;
     }
 
     /** Relays run the new version. */
-    public boolean active() {
+    public boolean isActive() {
       return this == MOVING || this == WATCHED || this == GOING_BACK;
     }
   }
@@ -48,7 +48,7 @@
    * @param wallMs the wall clock then, for people
    */
   public record Transition(
-      long sequence, Timestamp at, long wallMs, State state, int stage, String cause) {}
+      long sequence, Timestamp timestamp, long wallMs, State state, int stage, String cause) {}
 
   static final int MAX_TRANSITIONS =
       100; // a deployment has a dozen; an operator's script should not fill the disk
--- a/src/main/java/sprucerock/controller/deployment/DeploymentBlockers.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentBlockers.java
@@ -21,7 +21,7 @@
   /** What a deployment waits for, a line each; empty for one that has ended. */
   List<String> of(Deployment deployment, Timestamp now) {
     List<String> found = new ArrayList<>();
-    if (!deployment.state.open()) {
+    if (!deployment.state.isOpen()) {
       return found;
     }
     if (deployment.held) {
--- a/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
@@ -121,8 +121,8 @@
   }
 
   /** A build of the endpoints is on trial or going back, or none is any more. */
-  public void rolloutInProgress(boolean is, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+  public void setRolloutInProgress(boolean is, Timestamp now, long wallMs) {
+    reconciler.setWallMs(wallMs);
     fleet.rolloutInProgress = is;
     reconciler.reconcile(now);
   }
@@ -164,7 +164,7 @@
       int observedGeneration,
       Timestamp now,
       long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     ManagedRelay relay = fleet.relays.get(number);
     if (relay == null) {
       if (fleet.relays.size() >= MAX_RELAYS) {
@@ -191,7 +191,7 @@
 
   /** An agent is not heard any more; its relay counts as out until the next report. */
   public void reportUnreachable(int number, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     ManagedRelay relay = fleet.relays.get(number);
     if (relay == null || relay.unreachableSince != null) {
       return;
@@ -214,7 +214,7 @@
    */
   public void reportFailure(
       int number, Version version, int generation, String how, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     Deployment active = fleet.active();
     boolean ours =
         active != null
@@ -237,7 +237,7 @@
    */
   public String propose(
       String who, String why, Version to, boolean hotReload, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     return commands.propose(who, why, to, hotReload, baselineVersion(), now);
   }
 
@@ -248,7 +248,7 @@
    */
   public void reportValidation(
       int number, long deployment, String refusal, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     Deployment proposed = fleet.deployments.get(deployment);
     if (proposed == null || proposed.state != State.PROPOSED || !fleet.relays.containsKey(number)) {
       return;
@@ -267,7 +267,7 @@
   /** The comparison of a deployment in a stage has another verdict; a worse one rolls it back. */
   public void reportVerdict(
       long deployment, int stage, Verdict verdict, String reason, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     Deployment active = fleet.deployments.get(deployment);
     boolean fits =
         active != null
@@ -291,7 +291,7 @@
    */
   public void setRestartBudget(
       Map<Integer, Integer> byZone, String why, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     fleet.restartBudgetByZone.clear();
     fleet.restartBudgetByZone.putAll(byZone);
     fleet.blockedReason = why;
@@ -305,19 +305,19 @@
    */
   public String command(
       OperatorCommand command, long number, String who, String reason, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     return commands.carryOut(command, number, who + ": " + reason, now);
   }
 
   /** Time has passed. */
   public void tick(Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+    reconciler.setWallMs(wallMs);
     reconciler.reconcile(now);
   }
 
   /** The controller was down for so long: that time counts for no deadline. */
-  public void restarted(TimeSpan down, Timestamp now, long wallMs) {
-    reconciler.wallMs(wallMs);
+  public void controllerRestarted(TimeSpan down, Timestamp now, long wallMs) {
+    reconciler.setWallMs(wallMs);
     for (Deployment deployment : fleet.deployments.values()) {
       deployment.stateSince = deployment.stateSince.plus(down);
       deployment.lastProgress = deployment.lastProgress.plus(down);
--- a/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
@@ -12,7 +12,7 @@
 public record DeploymentSnapshot(
     Version currentVersion,
     long sequence,
-    long lastNumber,
+    long lastDeploymentNumber,
     String blockedReason,
     boolean rolloutInProgress,
     Map<Integer, Integer> restartBudgetByZone,
@@ -63,7 +63,7 @@
     return new DeploymentSnapshot(
         manager.fleet.currentVersion,
         manager.fleet.sequence,
-        manager.fleet.lastNumber,
+        manager.fleet.lastDeploymentNumber,
         manager.fleet.blockedReason,
         manager.fleet.rolloutInProgress,
         Map.copyOf(manager.fleet.restartBudgetByZone),
@@ -112,7 +112,7 @@
   public void restore(DeploymentManager manager) {
     manager.fleet.currentVersion = currentVersion;
     manager.fleet.sequence = sequence;
-    manager.fleet.lastNumber = lastNumber;
+    manager.fleet.lastDeploymentNumber = lastDeploymentNumber;
     manager.fleet.blockedReason = blockedReason;
     manager.fleet.rolloutInProgress = rolloutInProgress;
     manager.fleet.restartBudgetByZone.putAll(restartBudgetByZone);
--- a/src/main/java/sprucerock/controller/deployment/FleetState.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetState.java
@@ -36,7 +36,7 @@
   long sequence;
 
   /** Of the last deployment; 0 before the first. */
-  long lastNumber;
+  long lastDeploymentNumber;
 
   /** Why no relay is updated now, whatever the budget; empty where nothing is in the way. */
   String blockedReason = "";
@@ -54,7 +54,7 @@
   /** The deployment that relays are moved by now; null where there is none. */
   Deployment active() {
     for (Deployment one : deployments.values()) {
-      if (one.state.active()) {
+      if (one.state.isActive()) {
         return one;
       }
     }
--- a/src/main/java/sprucerock/controller/deployment/NextTransition.java
+++ b/src/main/java/sprucerock/controller/deployment/NextTransition.java
@@ -8,7 +8,7 @@
  */
 sealed interface NextTransition {
   /** A relay runs what it is to run: the time is noted. */
-  record NoteReady(ManagedRelay relay) implements NextTransition {}
+  record MarkReady(ManagedRelay relay) implements NextTransition {}
 
   /** A deployment goes to a state and a stage. */
   record ChangeState(Deployment deployment, State state, int stage, String cause)
--- a/src/main/java/sprucerock/controller/deployment/OperatorCommands.java
+++ b/src/main/java/sprucerock/controller/deployment/OperatorCommands.java
@@ -39,10 +39,11 @@
           pending,
           State.GIVEN_UP,
           pending.stage,
-          "change " + (fleet.lastNumber + 1) + " by " + who + " takes its place",
+          "change " + (fleet.lastDeploymentNumber + 1) + " by " + who + " takes its place",
           now);
     }
-    Deployment made = new Deployment(++fleet.lastNumber, who, why, from, to, hotReload, now);
+    Deployment made =
+        new Deployment(++fleet.lastDeploymentNumber, who, why, from, to, hotReload, now);
     fleet.deployments.put(made.number, made);
     validation.rebuild();
     reconciler.transition(made, State.PROPOSED, 0, "proposed by " + who + ": " + why, now);
@@ -63,7 +64,7 @@
 
   private void dropOldest() {
     while (fleet.deployments.size() > MAX_DEPLOYMENTS
-        && !fleet.deployments.firstEntry().getValue().state.open()) {
+        && !fleet.deployments.firstEntry().getValue().state.isOpen()) {
       fleet.deployments.pollFirstEntry();
     }
   }
@@ -75,7 +76,7 @@
     if (deployment == null) {
       return "no change " + number + " is known";
     }
-    if (!deployment.state.open() || deployment.state == State.GOING_BACK) {
+    if (!deployment.state.isOpen() || deployment.state == State.GOING_BACK) {
       return "change "
           + number
           + " is "
@@ -117,7 +118,7 @@
   }
 
   private String withdraw(Deployment deployment, String cause, Timestamp now) {
-    if (deployment.state.active()) {
+    if (deployment.state.isActive()) {
       reconciler.rollBack(deployment, "withdrawn by " + cause, now);
     } else {
       reconciler.transition(
--- a/src/main/java/sprucerock/controller/deployment/Reconciler.java
+++ b/src/main/java/sprucerock/controller/deployment/Reconciler.java
@@ -24,7 +24,7 @@
   }
 
   /** The wall clock that transitions are recorded with from now on, in milliseconds. */
-  void wallMs(long now) {
+  void setWallMs(long now) {
     wallMs = now;
   }
 
@@ -36,7 +36,7 @@
   }
 
   private void apply(NextTransition next, Timestamp now) {
-    if (next instanceof NextTransition.NoteReady ready) {
+    if (next instanceof NextTransition.MarkReady ready) {
       fleet.status.remove(ready.relay());
       ready.relay().readyAt = now;
       fleet.status.add(ready.relay());
@@ -115,7 +115,7 @@
       deployment.stateSince = now;
       deployment.lastProgress = now;
     }
-    if (moves && !to.open()) {
+    if (moves && !to.isOpen()) {
       deployment.held = false;
     }
     Transition made = new Transition(++fleet.sequence, now, wallMs, to, stage, cause);
--- a/src/main/java/sprucerock/controller/deployment/TransitionPlanner.java
+++ b/src/main/java/sprucerock/controller/deployment/TransitionPlanner.java
@@ -36,7 +36,7 @@
   NextTransition next(Timestamp now) {
     int reconciled = fleet.status.firstReconciled();
     if (reconciled >= 0) {
-      return new NextTransition.NoteReady(fleet.relays.get(reconciled));
+      return new NextTransition.MarkReady(fleet.relays.get(reconciled));
     }
     Deployment active = fleet.active();
     Deployment pending = fleet.pending();
@@ -116,7 +116,7 @@
             : deployment.state == State.WATCHED
                 ? "it is not known to be no worse after " + deadline
                 : "it came no further for " + deadline;
-    return deployment.state.active()
+    return deployment.state.isActive()
         ? new NextTransition.RollBack(deployment, cause)
         : new NextTransition.ChangeState(deployment, State.GIVEN_UP, deployment.stage, cause);
   }
--- a/src/main/java/sprucerock/controller/maintenance/AnnounceResult.java
+++ b/src/main/java/sprucerock/controller/maintenance/AnnounceResult.java
@@ -5,10 +5,10 @@
 /** What became of a {@link MaintenanceRequest}. */
 public sealed interface AnnounceResult {
   /** It was taken in, under these numbers; whether each window fits, its state says. */
-  record Announced(List<Long> numbers) implements AnnounceResult {
+  record Announced(List<Long> windowNumbers) implements AnnounceResult {
     /** Keeps a copy. */
     public Announced {
-      numbers = List.copyOf(numbers);
+      windowNumbers = List.copyOf(windowNumbers);
     }
   }
 
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -20,10 +20,10 @@
    * What a zone needs.
    *
    * @param family in whose units it is stated
-   * @param byHour 24 of them, by the hour of the day in UTC
+   * @param requiredByHour 24 of them, by the hour of the day in UTC
    * @param method whose work is most of the load, by which families are compared
    */
-  public record Forecast(int family, int method, double[] byHour) {}
+  public record Forecast(int family, int method, double[] requiredByHour) {}
 
   private static final long HOUR_MS = 3_600_000;
 
@@ -31,10 +31,10 @@
   private static final double ROUNDING = 1e-9;
 
   private final Map<String, Rack> racks = new TreeMap<>();
-  private final Map<Integer, Forecast> byZone;
+  private final Map<Integer, Forecast> forecastByZone;
   private final double reserve;
-  private CapacityTranslator translation; // null: only units of the forecast's own family count
-  private final Set<String> down = new TreeSet<>();
+  private CapacityTranslator translator; // null: only units of the forecast's own family count
+  private final Set<String> downRacks = new TreeSet<>();
   private double canaryShare;
 
   /** {@code reserve}: how much more than the forecast is to be there, as a share of it. */
@@ -42,7 +42,7 @@
     for (Rack one : racks) {
       this.racks.put(one.name(), one);
     }
-    this.byZone = new TreeMap<>(byZone);
+    this.forecastByZone = new TreeMap<>(byZone);
     this.reserve = reserve;
   }
 
@@ -52,24 +52,24 @@
   }
 
   /** A newer model of what families are equivalentUnits. */
-  void translation(CapacityTranslator newer) {
-    translation = newer;
+  void setTranslator(CapacityTranslator newer) {
+    translator = newer;
   }
 
   /** A rack died, or is back. */
-  boolean down(String rack, boolean is) {
-    return is ? down.add(rack) : down.remove(rack);
+  boolean setDown(String rack, boolean is) {
+    return is ? downRacks.add(rack) : downRacks.remove(rack);
   }
 
-  Set<String> down() {
-    return down;
+  Set<String> downRacks() {
+    return downRacks;
   }
 
   /**
    * This share of all units serves a canary or is being moved by a deployment: it is not counted
    * on.
    */
-  void canaryShare(double share) {
+  void setCanaryShare(double share) {
     canaryShare = share;
   }
 
@@ -84,13 +84,13 @@
    * @param from in milliseconds of the wall clock, as is {@code to}
    */
   String shortage(Set<String> away, long from, long to) {
-    for (Map.Entry<Integer, Forecast> one : byZone.entrySet()) {
+    for (Map.Entry<Integer, Forecast> one : forecastByZone.entrySet()) {
       Forecast needs = one.getValue();
       List<String> unknown = new ArrayList<>();
       double available = available(one.getKey(), needs, away, unknown);
       for (long hour = from - Math.floorMod(from, HOUR_MS); hour < to; hour += HOUR_MS) {
         int hourOfDay = (int) Math.floorMod(hour / HOUR_MS, 24L);
-        double required = needs.byHour()[hourOfDay] * (1 + reserve);
+        double required = needs.requiredByHour()[hourOfDay] * (1 + reserve);
         if (available + ROUNDING < required) {
           return String.format(
               Locale.ROOT,
@@ -120,10 +120,10 @@
   private double available(int zone, Forecast needs, Set<String> away, List<String> unknown) {
     double available = 0;
     for (Rack rack : racks.values()) {
-      if (rack.zone() != zone || away.contains(rack.name()) || down.contains(rack.name())) {
+      if (rack.zone() != zone || away.contains(rack.name()) || downRacks.contains(rack.name())) {
         continue;
       }
-      for (Map.Entry<Integer, Double> endpoints : rack.endpoints().entrySet()) {
+      for (Map.Entry<Integer, Double> endpoints : rack.endpointsByFamily().entrySet()) {
         double units = equivalentUnits(needs, endpoints.getKey(), endpoints.getValue());
         if (Double.isNaN(units)) {
           unknown.add(rack.name());
@@ -139,8 +139,8 @@
     if (family == needs.family()) {
       return endpoints;
     }
-    return translation == null
+    return translator == null
         ? Double.NaN
-        : translation.counted(needs.method(), endpoints, family, needs.family()).endpoints();
+        : translator.counted(needs.method(), endpoints, family, needs.family()).endpoints();
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityPlanner.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityPlanner.java
@@ -38,7 +38,7 @@
   Slot firstSlot(MaintenanceWindow window) {
     String first = null;
     for (long delayMs = 0; delayMs <= window.slackMs; delayMs += delayStepMs) {
-      String shortage = shortage(window, window.from() + delayMs, window.to() + delayMs);
+      String shortage = shortage(window, window.startMs() + delayMs, window.endMs() + delayMs);
       if (first == null) {
         first = shortage;
       }
@@ -59,14 +59,14 @@
         continue;
       }
       others.add(one);
-      if (one.from() > fromMs) {
-        starts.add(one.from());
+      if (one.startMs() > fromMs) {
+        starts.add(one.startMs());
       }
     }
     for (long startMs : starts) { // capacity is lowest where some window begins
       Set<String> away = new TreeSet<>(window.racks);
       for (MaintenanceWindow one : others) {
-        if (one.from() <= startMs && startMs < one.to() + warmUpMs) {
+        if (one.startMs() <= startMs && startMs < one.endMs() + warmUpMs) {
           away.addAll(one.racks);
         }
       }
@@ -83,6 +83,6 @@
   }
 
   private boolean overlaps(MaintenanceWindow one, long fromMs, long warmMs) {
-    return one.from() < warmMs && fromMs < one.to() + warmUpMs;
+    return one.startMs() < warmMs && fromMs < one.endMs() + warmUpMs;
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceRequest.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceRequest.java
@@ -19,11 +19,11 @@
  */
 public record MaintenanceRequest(
     Set<String> racks,
-    long fromMs,
-    long lastsMs,
+    long startMs,
+    long durationMs,
     long slackMs,
-    String rule,
-    String zone,
+    String recurrenceRule,
+    String timeZone,
     boolean emergency,
     String operator,
     String reason) {
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
@@ -14,39 +14,39 @@
  */
 public record MaintenanceState(
     long sequence,
-    long numbers,
-    List<String> down,
-    double onTrial,
+    long lastWindowNumber,
+    List<String> downRacks,
+    double canaryShare,
     long nowMs,
     List<Window> windows) {
   /** One window, as {@link MaintenanceWindow} has it. */
   public record Window(
       long number,
       List<String> racks,
-      long from,
-      long to,
+      long startMs,
+      long endMs,
       long slackMs,
       boolean emergency,
       long series,
-      String who,
-      String why,
+      String operator,
+      String reason,
       MaintenanceWindow.State state,
-      long boundSince,
+      long bindingSinceMs,
       List<String> forcedBy,
       List<MaintenanceWindow.Step> steps) {
     static Window of(MaintenanceWindow window) {
       return new Window(
           window.number,
           List.copyOf(window.racks),
-          window.from(),
-          window.to(),
+          window.startMs(),
+          window.endMs(),
           window.slackMs,
           window.emergency,
           window.series,
           window.operator,
           window.reason,
           window.state(),
-          window.boundSince(),
+          window.bindingSinceMs(),
           List.copyOf(window.forcedBy()),
           List.copyOf(window.steps()));
     }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -63,11 +63,11 @@
   /** From which it came, where windows come again; 0: from none. */
   public final long series;
 
-  private long from;
-  private long to;
+  private long startMs;
+  private long endMs;
   private State state = State.ANNOUNCED;
-  private long boundSince;
-  private long boundBy;
+  private long bindingSinceMs;
+  private long bindingSequence;
   private long nextTransitionMs = Long.MAX_VALUE;
   private long noticeMs;
   private final TreeSet<String> forcedBy = new TreeSet<>();
@@ -85,8 +85,8 @@
       String why) {
     this.number = number;
     this.racks = Collections.unmodifiableSet(new TreeSet<>(racks));
-    this.from = from;
-    this.to = to;
+    this.startMs = from;
+    this.endMs = to;
     this.slackMs = slackMs;
     this.emergency = emergency;
     this.series = series;
@@ -100,15 +100,15 @@
         new MaintenanceWindow(
             stored.number(),
             new TreeSet<>(stored.racks()),
-            stored.from(),
-            stored.to(),
+            stored.startMs(),
+            stored.endMs(),
             stored.slackMs(),
             stored.emergency(),
             stored.series(),
-            stored.who(),
-            stored.why());
+            stored.operator(),
+            stored.reason());
     window.state = stored.state();
-    window.boundSince = stored.boundSince();
+    window.bindingSinceMs = stored.bindingSinceMs();
     window.forcedBy.addAll(stored.forcedBy());
     stored.steps().forEach(window::add);
     return window;
@@ -117,7 +117,7 @@
   void add(Step step) {
     if (step.state() == State.ACCEPTED) {
       // kept apart: that step may be dropped below, and the window would bind nobody
-      boundBy = step.sequence();
+      bindingSequence = step.sequence();
     }
     if (steps.size() >= MAX_STEPS) {
       steps.remove(1); // the first one says who wanted it
@@ -126,11 +126,11 @@
   }
 
   /** From now on no new grant reaches into it. */
-  void bind(long nowMs) {
-    boundSince = nowMs;
+  void setBindingSince(long nowMs) {
+    bindingSinceMs = nowMs;
   }
 
-  void state(State next) {
+  void setState(State next) {
     state = next;
   }
 
@@ -140,18 +140,18 @@
   }
 
   /** When it begins, in milliseconds of the wall clock. */
-  public long from() {
-    return from;
+  public long startMs() {
+    return startMs;
   }
 
   /** Begins and ends so much later. */
   void delay(long byMs) {
-    from += byMs;
-    to += byMs;
+    startMs += byMs;
+    endMs += byMs;
   }
 
-  void endAt(long toMs) {
-    to = toMs;
+  void setEndMs(long toMs) {
+    endMs = toMs;
   }
 
   /** An operator said that it is to begin although there is no capacity; how many have by now. */
@@ -160,7 +160,7 @@
     return forcedBy.size();
   }
 
-  void nextTransitionMs(long dueMs) {
+  void setNextTransitionMs(long dueMs) {
     nextTransitionMs = dueMs;
   }
 
@@ -170,11 +170,11 @@
   }
 
   /** The step by which it last bound: a grant of an earlier state may reach into it. */
-  long boundBy() {
-    return boundBy;
+  long bindingSequence() {
+    return bindingSequence;
   }
 
-  void noticeMs(long longestMs) {
+  void setNoticeMs(long longestMs) {
     noticeMs = longestMs;
   }
 
@@ -184,8 +184,8 @@
   }
 
   /** When it ends, in milliseconds of the wall clock. */
-  public long to() {
-    return to;
+  public long endMs() {
+    return endMs;
   }
 
   /** The last steps, the oldest first; the very first one is always among them. */
@@ -199,12 +199,12 @@
   }
 
   /** Since when no new grant reaches into it: those given before expire by themselves. */
-  long boundSince() {
-    return boundSince;
+  long bindingSinceMs() {
+    return bindingSinceMs;
   }
 
   /** From when on no grant that was ever given can reach into it. */
-  long grantsEndMs() {
-    return Math.max(from, boundSince + noticeMs);
+  long permitExpiryMs() {
+    return Math.max(startMs, bindingSinceMs + noticeMs);
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -28,10 +28,10 @@
   /** Is notified of changes, from within the call that made them. */
   public interface Listener {
     /** A window made a step; its state is the new one. */
-    void changed(MaintenanceWindow window, MaintenanceWindow.Step step);
+    void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step);
 
     /** Relays should learn of new grants now. */
-    void grantsChanged();
+    void permitsChanged();
   }
 
   /**
@@ -67,7 +67,7 @@
   private static final int FORCE_APPROVALS = 2;
 
   private final Rules rules;
-  private final CapacityCheck capacity;
+  private final CapacityCheck capacityCheck;
   private final Listener listener;
   private final WindowLifecycle lifecycle;
   private final WindowIndex index;
@@ -80,7 +80,7 @@
   /** One without windows, over the racks of {@code capacity}. */
   public MaintenanceWindows(Rules rules, CapacityCheck capacity, Listener listener) {
     this.rules = rules;
-    this.capacity = capacity;
+    this.capacityCheck = capacity;
     this.listener = listener;
     lifecycle = new WindowLifecycle(rules.warmUpMs());
     index = new WindowIndex(lifecycle, capacity.racks());
@@ -88,18 +88,18 @@
   }
 
   /** One without racks, for a controller whose configuration has none. */
-  public static MaintenanceWindows none() {
+  public static MaintenanceWindows withoutRacks() {
     return new MaintenanceWindows(
         new Rules(0, 1, 0.9),
         new CapacityCheck(List.of(), Map.of(), 0),
         new Listener() {
           @Override
-          public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {
+          public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
             // there is none
           }
 
           @Override
-          public void grantsChanged() {
+          public void permitsChanged() {
             // nobody holds one
           }
         });
@@ -127,13 +127,13 @@
   }
 
   /** What is needed for the load, and the racks. */
-  public CapacityCheck capacity() {
-    return capacity;
+  public CapacityCheck capacityCheck() {
+    return capacityCheck;
   }
 
   /** A window is wanted, or one that recurs: of that, each of the next two weeks. */
   public AnnounceResult announce(MaintenanceRequest request, long nowMs) {
-    String wrong = wrongWith(request);
+    String wrong = validationError(request);
     if (wrong != null) {
       return new Rejected(wrong);
     }
@@ -143,7 +143,8 @@
       starts =
           request.emergency()
               ? List.of(nowMs)
-              : RecurrenceExpander.expand(nowMs, request.fromMs(), request.rule(), request.zone());
+              : RecurrenceExpander.expand(
+                  nowMs, request.startMs(), request.recurrenceRule(), request.timeZone());
     } catch (IllegalArgumentException e) {
       return new Rejected(e.getMessage());
     }
@@ -159,24 +160,24 @@
       numbers.add(add(request, startMs, series, nowMs));
     }
     index.dropOldest(MAX_KEPT);
-    settle(nowMs);
+    applyDueTransitions(nowMs);
     return new Announced(numbers);
   }
 
   /** Null: nothing. */
-  private String wrongWith(MaintenanceRequest request) {
+  private String validationError(MaintenanceRequest request) {
     Set<String> unknown = new TreeSet<>(request.racks());
-    unknown.removeAll(capacity.racks().keySet());
+    unknown.removeAll(capacityCheck.racks().keySet());
     if (request.racks().isEmpty()) {
       return "a freeze is of one rack at least";
     }
     if (!unknown.isEmpty()) {
-      return "no rack is called " + unknown + "; there are " + capacity.racks().keySet();
+      return "no rack is called " + unknown + "; there are " + capacityCheck.racks().keySet();
     }
-    if (request.lastsMs() <= 0) {
+    if (request.durationMs() <= 0) {
       return "a window lasts longer than no time";
     }
-    if (request.emergency() && !request.rule().isEmpty()) {
+    if (request.emergency() && !request.recurrenceRule().isEmpty()) {
       return "what comes again is no emergency";
     }
     return null;
@@ -188,14 +189,14 @@
             ++lastNumber,
             request.racks(),
             startMs,
-            startMs + request.lastsMs(),
+            startMs + request.durationMs(),
             request.emergency() ? 0 : request.slackMs(),
             request.emergency(),
             series,
             request.operator(),
             request.reason());
     index.add(window);
-    step(
+    transition(
         window,
         State.ANNOUNCED,
         "announced by " + request.operator() + ": " + request.reason(),
@@ -212,7 +213,7 @@
   private void acceptWhereItFits(MaintenanceWindow window, long nowMs) {
     CapacityPlanner.Slot slot = planner.firstSlot(window);
     if (!slot.found()) {
-      step(window, State.REFUSED, slot.shortage(), nowMs);
+      transition(window, State.REFUSED, slot.shortage(), nowMs);
       return;
     }
     window.delay(slot.delayMs());
@@ -224,9 +225,9 @@
   }
 
   private void accept(MaintenanceWindow window, String cause, long nowMs) {
-    window.bind(nowMs);
-    step(window, State.ACCEPTED, cause, nowMs);
-    listener.grantsChanged();
+    window.setBindingSince(nowMs);
+    transition(window, State.ACCEPTED, cause, nowMs);
+    listener.permitsChanged();
   }
 
   /**
@@ -244,15 +245,15 @@
     }
     boolean began = window.state() == State.IN_FORCE || window.state() == State.DRAINING;
     if (began) {
-      window.endAt(Math.min(window.to(), nowMs));
+      window.setEndMs(Math.min(window.endMs(), nowMs));
     }
-    step(
+    transition(
         window,
         began ? State.ENDING : State.CALLED_OFF,
         "called off by " + operator + ": " + reason,
         nowMs);
-    listener.grantsChanged();
-    settle(nowMs);
+    listener.permitsChanged();
+    applyDueTransitions(nowMs);
     return null;
   }
 
@@ -269,17 +270,17 @@
     if (!window.state().isBinding() && window.state() != State.HELD) {
       return "freeze " + number + " can't be extended: " + window.state();
     }
-    if (toMs <= window.to()) {
+    if (toMs <= window.endMs()) {
       return "it lasts until then already";
     }
     String shortage =
-        window.emergency ? null : planner.shortage(window, Math.max(window.to(), nowMs), toMs);
+        window.emergency ? null : planner.shortage(window, Math.max(window.endMs(), nowMs), toMs);
     if (shortage != null) {
       return "there is no room for that: " + shortage;
     }
-    window.endAt(toMs);
-    step(window, window.state(), "extended by " + operator + ": " + reason, nowMs);
-    listener.grantsChanged();
+    window.setEndMs(toMs);
+    transition(window, window.state(), "extended by " + operator + ": " + reason, nowMs);
+    listener.permitsChanged();
     return null;
   }
 
@@ -298,7 +299,7 @@
       return "freeze " + number + " is not held: " + window.state();
     }
     if (window.approve(operator) < FORCE_APPROVALS) {
-      step(
+      transition(
           window,
           State.HELD,
           "forced by " + operator + ": " + reason + "; another operator has to say so too",
@@ -306,7 +307,7 @@
     } else {
       accept(window, "forced by " + window.forcedBy() + ": " + reason, nowMs);
     }
-    settle(nowMs);
+    applyDueTransitions(nowMs);
     return null;
   }
 
@@ -316,17 +317,17 @@
 
   /** A rack died or is back: what was accepted may not fit any more. */
   public void setRackDown(String rack, boolean down, long nowMs) {
-    if (capacity.racks().containsKey(rack) && capacity.down(rack, down)) {
+    if (capacityCheck.racks().containsKey(rack) && capacityCheck.setDown(rack, down)) {
       review(nowMs);
     }
   }
 
   /** This share of all units serves a canary: what was accepted may not fit any more. */
   public void setCanaryShare(double share, long nowMs) {
-    if (share == capacity.canaryShare()) {
+    if (share == capacityCheck.canaryShare()) {
       return;
     }
-    capacity.canaryShare(share);
+    capacityCheck.setCanaryShare(share);
     review(nowMs);
   }
 
@@ -339,7 +340,7 @@
     if (!newer.isNewerThan(model)) {
       return false;
     }
-    model(newer);
+    restoreModel(newer);
     review(nowMs);
     return true;
   }
@@ -350,9 +351,9 @@
   }
 
   /** Restores the last model, without a review; null: there is none yet. */
-  public void model(HardwareModel known) {
+  public void restoreModel(HardwareModel known) {
     model = known;
-    capacity.translation(
+    capacityCheck.setTranslator(
         known == null ? null : new CapacityTranslator(known, List.of(), rules.confidence()));
   }
 
@@ -363,30 +364,33 @@
       if (!waits || one.emergency || one.forcedBy().size() >= FORCE_APPROVALS) {
         continue;
       }
-      String shortage = planner.shortage(one, Math.max(one.from(), nowMs), one.to());
+      String shortage = planner.shortage(one, Math.max(one.startMs(), nowMs), one.endMs());
       if (one.state() == State.ACCEPTED && shortage != null) {
-        step(one, State.HELD, shortage, nowMs);
-        listener.grantsChanged();
+        transition(one, State.HELD, shortage, nowMs);
+        listener.permitsChanged();
       } else if (one.state() == State.HELD && shortage == null) {
         accept(one, "there is room again", nowMs);
       }
     }
-    settle(nowMs);
+    applyDueTransitions(nowMs);
   }
 
-  /** No relay holds a grant into it any more, as {@link PlacementGrants#returned} found. */
-  public void grantsReturned(long number, long nowMs) {
+  /**
+   * No relay holds a grant into it any more, as {@link PlacementGrants#windowsWithPermitsReturned}
+   * found.
+   */
+  public void permitsReturned(long number, long nowMs) {
     MaintenanceWindow window = index.find(number);
     if (window != null && window.state() == State.DRAINING) {
-      step(window, State.IN_FORCE, "every relay has given its promise back", nowMs);
-      listener.grantsChanged();
+      transition(window, State.IN_FORCE, "every relay has given its promise back", nowMs);
+      listener.permitsChanged();
     }
-    settle(nowMs);
+    applyDueTransitions(nowMs);
   }
 
   /** Makes all transitions that are due by time. */
   public void tick(long nowMs) {
-    settle(nowMs);
+    applyDueTransitions(nowMs);
   }
 
   /** Whether a tick would change anything. */
@@ -394,29 +398,29 @@
     return index.isDue(Math.max(nowMs, wallMs));
   }
 
-  private void settle(long nowMs) {
+  private void applyDueTransitions(long nowMs) {
     for (MaintenanceWindow one : index.due(nowMs)) {
       State next = lifecycle.nextState(one, nowMs);
       while (next != null) {
-        step(one, next, WindowLifecycle.cause(one.state(), next), nowMs);
-        listener.grantsChanged();
+        transition(one, next, WindowLifecycle.cause(one.state(), next), nowMs);
+        listener.permitsChanged();
         next = lifecycle.nextState(one, nowMs);
       }
     }
   }
 
-  private void step(MaintenanceWindow window, State to, String cause, long nowMs) {
+  private void transition(MaintenanceWindow window, State to, String cause, long nowMs) {
     index.leave(window);
-    window.state(to);
+    window.setState(to);
     index.enter(window);
     MaintenanceWindow.Step step = new MaintenanceWindow.Step(++sequence, nowMs, to, cause);
     window.add(step);
-    listener.changed(window, step);
+    listener.transitioned(window, step);
   }
 
   /** From when on no grant that was ever given can reach into it, in ms of the wall clock. */
-  public long grantsEndMs(MaintenanceWindow window) {
-    return window.grantsEndMs();
+  public long permitExpiryMs(MaintenanceWindow window) {
+    return window.permitExpiryMs();
   }
 
   /** Entries that were examined so far to answer relays and to see what time changes. */
@@ -433,8 +437,8 @@
     return new MaintenanceState(
         sequence,
         lastNumber,
-        List.copyOf(capacity.down()),
-        capacity.canaryShare(),
+        List.copyOf(capacityCheck.downRacks()),
+        capacityCheck.canaryShare(),
         nowMs,
         index.all().stream().map(MaintenanceState.Window::of).toList());
   }
@@ -442,11 +446,11 @@
   /** Into one without windows; racks that the configuration no longer has bind nobody. */
   void restore(MaintenanceState stored) {
     sequence = stored.sequence();
-    lastNumber = stored.numbers();
+    lastNumber = stored.lastWindowNumber();
     nowMs = stored.nowMs();
-    capacity.canaryShare(stored.onTrial());
-    for (String rack : stored.down()) {
-      capacity.down(rack, true);
+    capacityCheck.setCanaryShare(stored.canaryShare());
+    for (String rack : stored.downRacks()) {
+      capacityCheck.setDown(rack, true);
     }
     for (MaintenanceState.Window one : stored.windows()) {
       index.add(MaintenanceWindow.restored(one));
--- a/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
+++ b/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
@@ -46,7 +46,7 @@
    * A relay asks, and is granted anew: what it holds is of that sequence, or of none (0), and of no
    * earlier one. {@code nowMs} never goes back.
    */
-  public void request(int relay, long heldSequence, long nowMs) {
+  public void recordRequest(int relay, long heldSequence, long nowMs) {
     Grant before = grants.remove(relay);
     if (before != null) {
       removeFromSequence(before);
@@ -81,7 +81,7 @@
    * For how long from now on a relay may place work on a rack, in milliseconds; 0: it is in a
    * window, or draining for one.
    */
-  public long grantedForMs(String rack, long nowMs) {
+  public long permitDurationMs(String rack, long nowMs) {
     return windows.index().freeForMs(rack, nowMs);
   }
 
@@ -89,7 +89,7 @@
    * The racks that are granted for less than their notice, by their names, in milliseconds; all
    * others are for just that.
    */
-  public Map<String, Long> shortened(long nowMs) {
+  public Map<String, Long> shortenedPermits(long nowMs) {
     return windows.index().freeForLessThanNotice(nowMs);
   }
 
@@ -97,15 +97,15 @@
    * Relays that may still hold a grant into it, by their numbers; -1: such as are not known,
    * because this incarnation began since.
    */
-  public Set<Integer> outstanding(MaintenanceWindow window, long nowMs) {
+  public Set<Integer> outstandingRelays(MaintenanceWindow window, long nowMs) {
     Set<Integer> out = new TreeSet<>();
-    if (nowMs >= window.grantsEndMs()) {
+    if (nowMs >= window.permitExpiryMs()) {
       return out;
     }
     if (nowMs < startedMs + window.noticeMs()) {
       out.add(-1);
     }
-    for (TreeSet<Grant> same : bySequence.headMap(window.boundBy()).values()) {
+    for (TreeSet<Grant> same : bySequence.headMap(window.bindingSequence()).values()) {
       for (Grant one : same.descendingSet()) {
         entriesExamined++;
         if (nowMs >= one.grantedMs + window.noticeMs()) {
@@ -117,15 +117,16 @@
     return out;
   }
 
-  /** The same as whether {@link #outstanding} finds none, by the last of each state. */
-  private boolean allReturned(MaintenanceWindow window, long nowMs) {
-    if (nowMs >= window.grantsEndMs()) {
+  /** The same as whether {@link #outstandingRelays} finds none, by the last of each state. */
+  private boolean allPermitsReturned(MaintenanceWindow window, long nowMs) {
+    if (nowMs >= window.permitExpiryMs()) {
       return true;
     }
     if (nowMs < startedMs + window.noticeMs()) {
       return false;
     }
-    for (Map.Entry<Long, TreeSet<Grant>> same : bySequence.headMap(window.boundBy()).entrySet()) {
+    for (Map.Entry<Long, TreeSet<Grant>> same :
+        bySequence.headMap(window.bindingSequence()).entrySet()) {
       entriesExamined++;
       if (nowMs < same.getValue().last().grantedMs + window.noticeMs()) {
         return false;
@@ -136,13 +137,13 @@
 
   /**
    * Windows whose time has come and into which nobody holds a grant any more: to be recorded as
-   * {@link MaintenanceWindows#grantsReturned}.
+   * {@link MaintenanceWindows#permitsReturned}.
    */
-  public List<Long> returned(long nowMs) {
+  public List<Long> windowsWithPermitsReturned(long nowMs) {
     List<Long> found = new ArrayList<>();
     for (MaintenanceWindow one : windows.index().draining()) {
       entriesExamined++;
-      if (allReturned(one, nowMs)) {
+      if (allPermitsReturned(one, nowMs)) {
         found.add(one.number);
       }
     }
--- a/src/main/java/sprucerock/controller/maintenance/Rack.java
+++ b/src/main/java/sprucerock/controller/maintenance/Rack.java
@@ -12,4 +12,4 @@
  *     hears nothing for so long stops placing there
  */
 public record Rack(
-    String name, int zone, int cell, Map<Integer, Double> endpoints, long noticeMs) {}
+    String name, int zone, int cell, Map<Integer, Double> endpointsByFamily, long noticeMs) {}
--- a/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
@@ -18,7 +18,7 @@
  */
 final class WindowIndex {
   private static final Comparator<MaintenanceWindow> BY_START =
-      Comparator.<MaintenanceWindow>comparingLong(one -> one.from())
+      Comparator.<MaintenanceWindow>comparingLong(one -> one.startMs())
           .thenComparingLong(one -> one.number);
 
   private final WindowLifecycle lifecycle;
@@ -50,7 +50,7 @@
         longestMs = Math.max(longestMs, rack.noticeMs());
       }
     }
-    window.noticeMs(longestMs);
+    window.setNoticeMs(longestMs);
     byNumber.put(window.number, window);
     enter(window);
   }
@@ -109,8 +109,8 @@
     }
     for (MaintenanceWindow one : known) {
       entriesExamined++;
-      if (nowMs < one.to()) {
-        return Math.min(noticeMs, Math.max(0, one.from() - nowMs)); // the others begin later
+      if (nowMs < one.endMs()) {
+        return Math.min(noticeMs, Math.max(0, one.startMs() - nowMs)); // the others begin later
       }
     }
     return noticeMs;
@@ -121,13 +121,13 @@
     Map<String, Long> found = new TreeMap<>();
     for (MaintenanceWindow one : binding) {
       entriesExamined++;
-      if (one.from() >= nowMs + longestNoticeMs) {
+      if (one.startMs() >= nowMs + longestNoticeMs) {
         break;
       }
-      if (nowMs >= one.to()) {
+      if (nowMs >= one.endMs()) {
         continue;
       }
-      long freeMs = Math.max(0, one.from() - nowMs);
+      long freeMs = Math.max(0, one.startMs() - nowMs);
       for (String name : one.racks) {
         entriesExamined++;
         Rack rack = racks.get(name);
@@ -163,7 +163,7 @@
 
   /** Once all of it has changed. */
   void enter(MaintenanceWindow window) {
-    window.nextTransitionMs(lifecycle.nextTransitionMs(window));
+    window.setNextTransitionMs(lifecycle.nextTransitionMs(window));
     if (window.nextTransitionMs() < WindowLifecycle.NEVER_MS) {
       byTransition.add(window);
     }
--- a/src/main/java/sprucerock/controller/maintenance/WindowLifecycle.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowLifecycle.java
@@ -20,10 +20,10 @@
   /** When the window's next transition by time is due, or {@link #NEVER_MS}. */
   long nextTransitionMs(MaintenanceWindow window) {
     return switch (window.state()) {
-      case ACCEPTED -> window.from();
-      case DRAINING -> Math.min(window.grantsEndMs(), window.to());
-      case HELD, IN_FORCE -> window.to();
-      case ENDING -> window.to() + warmUpMs;
+      case ACCEPTED -> window.startMs();
+      case DRAINING -> Math.min(window.permitExpiryMs(), window.endMs());
+      case HELD, IN_FORCE -> window.endMs();
+      case ENDING -> window.endMs() + warmUpMs;
       default -> NEVER_MS;
     };
   }
@@ -31,16 +31,16 @@
   /** The state that follows at that time; null: it stays as it is. */
   State nextState(MaintenanceWindow window, long nowMs) {
     return switch (window.state()) {
-      case ACCEPTED -> nowMs >= window.from() ? State.DRAINING : null;
-      case HELD -> nowMs >= window.to() ? State.REFUSED : null;
+      case ACCEPTED -> nowMs >= window.startMs() ? State.DRAINING : null;
+      case HELD -> nowMs >= window.endMs() ? State.REFUSED : null;
       case DRAINING -> {
-        if (nowMs >= window.grantsEndMs()) {
+        if (nowMs >= window.permitExpiryMs()) {
           yield State.IN_FORCE;
         }
-        yield nowMs >= window.to() ? State.ENDING : null;
+        yield nowMs >= window.endMs() ? State.ENDING : null;
       }
-      case IN_FORCE -> nowMs >= window.to() ? State.ENDING : null;
-      case ENDING -> nowMs >= window.to() + warmUpMs ? State.ENDED : null;
+      case IN_FORCE -> nowMs >= window.endMs() ? State.ENDING : null;
+      case ENDING -> nowMs >= window.endMs() + warmUpMs ? State.ENDED : null;
       default -> null;
     };
   }
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -79,7 +79,7 @@
     loop.post(this::renewLeadership); // from now on: the replay may take longer than the lease
     MaintenanceWindows windows =
         config.capacityCheck == null
-            ? MaintenanceWindows.none()
+            ? MaintenanceWindows.withoutRacks()
             : new MaintenanceWindows(
                 config.maintenanceRules, config.capacityCheck, maintenanceHost());
     outboxes = new WebhookOutboxes(loop, this::stepsDelivered);
@@ -230,7 +230,7 @@
   private MaintenanceWindows.Listener maintenanceHost() {
     return new MaintenanceWindows.Listener() {
       @Override
-      public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {
+      public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
         if (!engine().replaying()) {
           log.info(
               "FREEZE {} of {} step {}: {}: {}",
@@ -243,7 +243,7 @@
       }
 
       @Override
-      public void grantsChanged() {
+      public void permitsChanged() {
         // a start happens on another thread; a turn that moves many windows is announced once
         if (!engine().replaying() && grantsAnnounced.getAndSet(false)) {
           loop.post(ControllerServer.this::announceGrants);
@@ -271,7 +271,9 @@
 
   /** Records the windows whose racks no relay may place work on any more. On the loop only. */
   void submitClearedWindows() {
-    for (long number : grants.returned(engine.maintenanceWindows().advanceClock(engine.wallMs()))) {
+    for (long number :
+        grants.windowsWithPermitsReturned(
+            engine.maintenanceWindows().advanceClock(engine.wallMs()))) {
       submit(
           Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(number)),
           result -> {});
--- a/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
+++ b/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
@@ -111,7 +111,8 @@
 
   /** Notes that a rack is down, or up again. */
   void setRackDown(HttpServerExchange exchange, String rack, JsonNode body) {
-    boolean known = windows().capacity().racks().containsKey(rack) && body.path("down").isBoolean();
+    boolean known =
+        windows().capacityCheck().racks().containsKey(rack) && body.path("down").isBoolean();
     if (!known) {
       respond(
           exchange,
@@ -166,14 +167,14 @@
     if (window.state().isBinding()) {
       controller
           .grants()
-          .outstanding(window, windows().advanceClock(dispatcher.engine().wallMs()))
+          .outstandingRelays(window, windows().advanceClock(dispatcher.engine().wallMs()))
           .forEach(
               relay ->
                   outstanding.add(
                       relay < 0
                           ? "relays not heard since this controller started"
                           : "relay " + relay));
-      node.put("at_most_until", Json.time(windows().grantsEndMs(window)));
+      node.put("at_most_until", Json.time(windows().permitExpiryMs(window)));
     }
     ArrayNode forced = node.putArray("forced_by");
     window.forcedBy().forEach(forced::add);
@@ -185,8 +186,8 @@
         Json.object()
             .put("freeze", window.number)
             .put("state", Json.lowerCaseName(window.state()).replace('_', ' '))
-            .put("from", Json.time(window.from()))
-            .put("to", Json.time(window.to()))
+            .put("from", Json.time(window.startMs()))
+            .put("to", Json.time(window.endMs()))
             .put("who", window.operator)
             .put("why", window.reason)
             .put("emergency", window.emergency);
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -57,7 +57,7 @@
     this.config = config;
     this.tap = tap;
     this.controller = controller;
-    rackList = new RackList(controller.engine().maintenanceWindows().capacity().racks());
+    rackList = new RackList(controller.engine().maintenanceWindows().capacityCheck().racks());
     limits =
         new FrameLimits(
             MAX_FRAME_BYTES, Math.max(config.maxUnsentBytes, MAX_FRAME_BYTES), KEEPALIVE);
@@ -249,13 +249,15 @@
     private void answerGrantRequest(PromiseAsk request) {
       long now =
           controller.engine().maintenanceWindows().advanceClock(controller.engine().wallMs());
-      controller.grants().request(connection.remoteHello().getNumber(), request.getHolds(), now);
+      controller
+          .grants()
+          .recordRequest(connection.remoteHello().getNumber(), request.getHolds(), now);
       Promised.Builder promised =
           Promised.newBuilder()
               .setId(request.getId())
               .setEpoch(controller.engine().rollouts().epoch())
               .setSequence(controller.engine().maintenanceWindows().sequence());
-      rackList.writeTo(promised, request.getList(), controller.grants().shortened(now));
+      rackList.writeTo(promised, request.getList(), controller.grants().shortenedPermits(now));
       controller.submitClearedWindows();
       if (request.getId() > 0 && controller.isLeader()) {
         connection.send(FrameKind.PROMISED, promised.build(), NO_BODY);
--- a/src/test/java/sprucerock/controller/ChangeStudy.java
+++ b/src/test/java/sprucerock/controller/ChangeStudy.java
@@ -242,7 +242,7 @@
       }
       wants.clear();
       Deployment deployment = deployments.deployment(1);
-      return deployment != null && !deployment.state().open();
+      return deployment != null && !deployment.state().isOpen();
     }
 
     private Timestamp at() {
--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -133,10 +133,10 @@
         room,
         new MaintenanceWindows.Listener() {
           @Override
-          public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {}
+          public void transitioned(MaintenanceWindow freeze, MaintenanceWindow.Step step) {}
 
           @Override
-          public void grantsChanged() {}
+          public void permitsChanged() {}
         });
   }
 
@@ -584,7 +584,7 @@
                   text.append("  ")
                       .append(step.sequence())
                       .append(' ')
-                      .append(step.at().ms())
+                      .append(step.timestamp().ms())
                       .append(' ')
                       .append(step.wallMs())
                       .append(' ')
--- a/src/test/java/sprucerock/controller/deployment/DeploymentManagerProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/DeploymentManagerProperties.java
@@ -150,7 +150,7 @@
           }
           deployments.setRestartBudget(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
         }
-        case 5 -> deployments.rolloutInProgress(random.nextInt(4) == 0, at(), 0);
+        case 5 -> deployments.setRolloutInProgress(random.nextInt(4) == 0, at(), 0);
         case 6 -> {
           if (deployments.pending() == null && under == null) {
             boolean old = deployments.baselineVersion().equals(DeploymentManagerTest.OLD);
@@ -209,7 +209,7 @@
     for (int i = 0; i < 300; i++) {
       wild.step();
     }
-    wild.deployments.rolloutInProgress(false, wild.at(), 0);
+    wild.deployments.setRolloutInProgress(false, wild.at(), 0);
     wild.room = 99;
     wild.deployments.setRestartBudget(Map.of(), "", wild.at(), 0);
     for (int i = 0; i < 400; i++) { // agents obey, nobody speaks, time passes
@@ -221,7 +221,7 @@
     }
     for (Deployment one : wild.deployments.deployments()) {
       assertTrue(
-          !one.state().open(),
+          !one.state().isOpen(),
           "change "
               + one.number
               + " is "
--- a/src/test/java/sprucerock/controller/deployment/DeploymentManagerTest.java
+++ b/src/test/java/sprucerock/controller/deployment/DeploymentManagerTest.java
@@ -311,7 +311,7 @@
   @Test
   public void noRelayIsUpdatedDuringARolloutOrASurge() {
     Fleet fleet = new Fleet(20);
-    fleet.deployments.rolloutInProgress(true, fleet.at(), 0);
+    fleet.deployments.setRolloutInProgress(true, fleet.at(), 0);
     Deployment deployment = fleet.propose();
     assertEquals(deployment.state(), State.CHECKED);
     assertTrue(
@@ -319,7 +319,7 @@
             .deployments
             .blockers(deployment, fleet.at())
             .contains("a build of the units to be off trial"));
-    fleet.deployments.rolloutInProgress(false, fleet.at(), 0);
+    fleet.deployments.setRolloutInProgress(false, fleet.at(), 0);
     fleet.carryOut();
     fleet.deployments.setRestartBudget(
         Map.of(), "those that did not change serve 0.8", fleet.at(), 0);
@@ -388,7 +388,7 @@
     assertEquals(
         fleet.deployments.propose("bob", "again", NEW, false, fleet.at(), 0),
         "that is what relays run once change 1 is done");
-    assertFalse(fleet.deployments.pending().state().active());
+    assertFalse(fleet.deployments.pending().state().isActive());
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
@@ -68,12 +68,12 @@
             new CapacityCheck(racks, Map.of(), 0),
             new MaintenanceWindows.Listener() {
               @Override
-              public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {
+              public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
                 // read below
               }
 
               @Override
-              public void grantsChanged() {
+              public void permitsChanged() {
                 // relays ask within a playSecond anyway
               }
             });
@@ -94,16 +94,17 @@
               new MaintenanceRequest(
                   Set.of(rack), now + ahead, 5 * MINUTE, 0, "", "UTC", false, "ann", "x"),
               now);
-      MaintenanceWindow window = windows.find(((AnnounceResult.Announced) made).numbers().get(0));
+      MaintenanceWindow window =
+          windows.find(((AnnounceResult.Announced) made).windowNumbers().get(0));
       long inForce = -1;
-      for (long end = window.to() + MINUTE; now < end; now += SECOND) {
+      for (long end = window.endMs() + MINUTE; now < end; now += SECOND) {
         playSecond(now);
         if (inForce < 0 && window.state() == MaintenanceWindow.State.IN_FORCE) {
           inForce = now;
           if (ahead < NOTICE) {
             delaysAfterAnnouncement.add((now - announced) / 1000.0);
           } else {
-            delaysAfterStart.add((now - window.from()) / 1000.0);
+            delaysAfterStart.add((now - window.startMs()) / 1000.0);
           }
         }
       }
@@ -124,17 +125,17 @@
       if (relay.disconnectedUntilMs > now) {
         continue;
       }
-      grants.request(i, relay.holds, now);
+      grants.recordRequest(i, relay.holds, now);
       requests++;
       relay.holds = windows.sequence();
       relay.heardMs = now;
       for (int r = 0; r < RACKS; r++) {
-        relay.until[r] = now + (long) (grants.grantedForMs("r" + r, now) * 0.98);
+        relay.until[r] = now + (long) (grants.permitDurationMs("r" + r, now) * 0.98);
         relay.notifiedOfWindow[r] = inMaintenance("r" + r, now + SECOND);
       }
     }
-    for (long number : grants.returned(now)) {
-      windows.grantsReturned(number, now);
+    for (long number : grants.windowsWithPermitsReturned(now)) {
+      windows.permitsReturned(number, now);
     }
     windows.tick(now);
     for (Relay relay : relays) {
@@ -148,9 +149,9 @@
             continue;
           }
           inForce |= one.state() == MaintenanceWindow.State.IN_FORCE;
-          wanted |= now >= one.from() && now < one.to();
-          if (one.state().isOpen() && one.from() > now) {
-            from = Math.min(from, one.from());
+          wanted |= now >= one.startMs() && now < one.endMs();
+          if (one.state().isOpen() && one.startMs() > now) {
+            from = Math.min(from, one.startMs());
           }
         }
         place(Strategy.PROMISES, now + LONGEST_JOB <= relay.until[r], inForce, wanted, false);
@@ -179,7 +180,7 @@
 
   private boolean inMaintenance(String rack, long now) {
     return windows.all().stream()
-        .anyMatch(one -> one.racks.contains(rack) && now >= one.from() && now < one.to());
+        .anyMatch(one -> one.racks.contains(rack) && now >= one.startMs() && now < one.endMs());
   }
 
   private void place(
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceWindowsTest.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceWindowsTest.java
@@ -40,8 +40,8 @@
    * then is noted, as the door does.
    */
   private void request(int relay, long heldSequence, long now) {
-    grants.request(relay, heldSequence, now);
-    grants.returned(now).forEach(number -> windows.grantsReturned(number, now));
+    grants.recordRequest(relay, heldSequence, now);
+    grants.windowsWithPermitsReturned(now).forEach(number -> windows.permitsReturned(number, now));
   }
 
   private MaintenanceWindows newWindows() {
@@ -61,12 +61,12 @@
         room,
         new MaintenanceWindows.Listener() {
           @Override
-          public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {
+          public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
             steps.add(window.number + " " + step.state());
           }
 
           @Override
-          public void grantsChanged() {
+          public void permitsChanged() {
             // told by the sequence
           }
         });
@@ -78,7 +78,7 @@
             new MaintenanceRequest(
                 Set.of(rack), from, lasts, slack, "", "UTC", false, "ann", "new switch"),
             now);
-    return windows.find(((AnnounceResult.Announced) result).numbers().get(0));
+    return windows.find(((AnnounceResult.Announced) result).windowNumbers().get(0));
   }
 
   private static String rejection(AnnounceResult result) {
@@ -94,15 +94,15 @@
   public void announcedInTimeIsInForceAtItsStartWithDisconnectedRelays() {
     announce("a1", HOUR, HOUR, 0, 0);
     request(7, 0, 1000); // heldSequence an old promise, and is never assertSteps again
-    assertEquals(grants.grantedForMs("a1", HOUR - MINUTE), MINUTE);
-    assertEquals(grants.grantedForMs("a2", HOUR - MINUTE), NOTICE);
+    assertEquals(grants.permitDurationMs("a1", HOUR - MINUTE), MINUTE);
+    assertEquals(grants.permitDurationMs("a2", HOUR - MINUTE), NOTICE);
     windows.tick(HOUR - 1);
     assertSteps("1 ANNOUNCED", "1 ACCEPTED");
     windows.tick(HOUR);
     windows.tick(2 * HOUR);
     windows.tick(2 * HOUR + 5 * MINUTE);
     assertSteps("1 DRAINING", "1 IN_FORCE", "1 ENDING", "1 ENDED");
-    assertEquals(grants.grantedForMs("a1", 3 * HOUR), NOTICE);
+    assertEquals(grants.permitDurationMs("a1", 3 * HOUR), NOTICE);
   }
 
   @Test
@@ -112,7 +112,7 @@
     request(8, 0, 0);
     MaintenanceWindow window = announce("a1", MINUTE, HOUR, 0, 0);
     windows.tick(2 * MINUTE);
-    assertEquals(grants.outstanding(window, 2 * MINUTE), Set.of(7, 8));
+    assertEquals(grants.outstandingRelays(window, 2 * MINUTE), Set.of(7, 8));
     assertSteps("1 ANNOUNCED", "1 ACCEPTED", "1 DRAINING");
     request(7, windows.sequence(), 3 * MINUTE);
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
@@ -127,7 +127,7 @@
     request(7, windows.sequence(), MINUTE);
     windows.tick(NOTICE - 1);
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
-    assertEquals(grants.outstanding(window, NOTICE - 1), Set.of(-1));
+    assertEquals(grants.outstandingRelays(window, NOTICE - 1), Set.of(-1));
     windows.tick(NOTICE);
     assertEquals(window.state(), MaintenanceWindow.State.IN_FORCE);
   }
@@ -140,7 +140,7 @@
         new MaintenanceRequest(
             Set.of("a1", "a2", "a3"), 0, HOUR, 0, "", "UTC", true, "ann", "smoke"),
         1000);
-    assertEquals(grants.grantedForMs("a1", 1000), 0);
+    assertEquals(grants.permitDurationMs("a1", 1000), 0);
     request(7, windows.sequence(), 2000);
     assertSteps("1 ANNOUNCED", "1 ACCEPTED", "1 DRAINING", "1 IN_FORCE");
   }
@@ -150,7 +150,7 @@
     announce("a1", 11 * HOUR + 30 * MINUTE, 10 * MINUTE, 0, 0); // 15 of 12 are left
     assertSteps("1 ANNOUNCED", "1 ACCEPTED");
     MaintenanceWindow late = announce("a1", 12 * HOUR + 10 * MINUTE, 10 * MINUTE, 2 * HOUR, 0);
-    assertEquals(late.from(), 13 * HOUR + 10 * MINUTE);
+    assertEquals(late.startMs(), 13 * HOUR + 10 * MINUTE);
     assertTrue(
         late.steps().get(1).cause().startsWith("delayed by 60 min: zone 1 at 12:00 UTC needs 24.0"),
         late.steps().get(1).cause());
@@ -168,7 +168,7 @@
         MaintenanceWindow.State.ACCEPTED); // of another zone
     // the first one's units come back cold at two: the second fits five minutes later
     assertEquals(
-        announce("a2", 2 * HOUR, 30 * MINUTE, 30 * MINUTE, 0).from(), 2 * HOUR + 15 * MINUTE);
+        announce("a2", 2 * HOUR, 30 * MINUTE, 30 * MINUTE, 0).startMs(), 2 * HOUR + 15 * MINUTE);
   }
 
   @Test
@@ -176,7 +176,7 @@
     MaintenanceWindow window = announce("a1", HOUR, HOUR, 0, 0);
     windows.setRackDown("a2", true, 30 * MINUTE);
     assertEquals(window.state(), MaintenanceWindow.State.HELD);
-    assertEquals(grants.grantedForMs("a1", HOUR - MINUTE), NOTICE);
+    assertEquals(grants.permitDurationMs("a1", HOUR - MINUTE), NOTICE);
     windows.tick(HOUR);
     assertEquals(window.state(), MaintenanceWindow.State.HELD);
     assertNull(windows.force(1, "ann", "must be", HOUR));
@@ -215,13 +215,13 @@
             .startsWith("there is no room for that: zone 1 at 12:00"));
     assertNull(windows.cancel(2, "ann", "done", 2 * HOUR));
     assertEquals(second.state(), MaintenanceWindow.State.ENDING);
-    assertEquals(grants.grantedForMs("a1", 2 * HOUR), NOTICE);
+    assertEquals(grants.permitDurationMs("a1", 2 * HOUR), NOTICE);
   }
 
   /** A relay that hears nothing goes on with what was promised for longer. */
   @Test
   public void usesTheLongerNoticeOfARack() {
-    assertEquals(grants.grantedForMs("b1", 0), 24 * HOUR);
+    assertEquals(grants.permitDurationMs("b1", 0), 24 * HOUR);
     MaintenanceWindow window = announce("b1", HOUR, 30 * HOUR, 0, 0);
     windows.tick(24 * HOUR - 1);
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
@@ -325,7 +325,7 @@
             continue;
           }
           request(relay, heldSequence.getOrDefault(relay, 0L), now);
-          long left = grants.grantedForMs("a1", now);
+          long left = grants.permitDurationMs("a1", now);
           if (random.nextInt(5) == 0) {
             continue; // the answer is lost
           }
@@ -366,7 +366,7 @@
     }
     assertEquals(window.steps().size(), MaintenanceWindow.MAX_STEPS);
     request(8, windows.sequence(), 3 * MINUTE);
-    assertEquals(grants.outstanding(window, 3 * MINUTE), Set.of(7));
+    assertEquals(grants.outstandingRelays(window, 3 * MINUTE), Set.of(7));
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
   }
 
@@ -404,7 +404,11 @@
           windows.cancel(some, "ann", "x", now);
         } else if (choice == 2 && windows.find(some) != null) {
           windows.extend(
-              some, windows.find(some).to() + random.nextInt((int) (30 * MINUTE)), "ann", "x", now);
+              some,
+              windows.find(some).endMs() + random.nextInt((int) (30 * MINUTE)),
+              "ann",
+              "x",
+              now);
         } else if (choice == 3) {
           windows.setRackDown(rack, random.nextBoolean(), now);
         } else if (choice == 4) {
@@ -414,7 +418,7 @@
         } else {
           int relay = random.nextInt(8);
           long heldSequence = Math.max(0, windows.sequence() - random.nextInt(6));
-          grants.request(relay, heldSequence, now);
+          grants.recordRequest(relay, heldSequence, now);
           long before =
               heldByRelay.containsKey(relay) && now - heldByRelay.get(relay)[1] <= 24 * HOUR
                   ? heldByRelay.get(relay)[0]
@@ -423,8 +427,8 @@
         }
         assertMatchesFullScan(heldByRelay, now, "seed " + seed + ", step " + i);
         if (random.nextInt(3) == 0) {
-          for (long number : grants.returned(now)) {
-            windows.grantsReturned(number, now);
+          for (long number : grants.windowsWithPermitsReturned(now)) {
+            windows.permitsReturned(number, now);
           }
         }
       }
@@ -439,20 +443,20 @@
     for (MaintenanceWindow one : windows.all()) {
       due |=
           switch (one.state()) {
-            case ACCEPTED -> now >= one.from();
-            case HELD, IN_FORCE -> now >= one.to();
-            case DRAINING -> now >= one.to() || now >= windows.grantsEndMs(one);
-            case ENDING -> now >= one.to() + 5 * MINUTE;
+            case ACCEPTED -> now >= one.startMs();
+            case HELD, IN_FORCE -> now >= one.endMs();
+            case DRAINING -> now >= one.endMs() || now >= windows.permitExpiryMs(one);
+            case ENDING -> now >= one.endMs() + 5 * MINUTE;
             default -> false;
           };
-      if (one.state().isBinding() && now < one.to()) {
+      if (one.state().isBinding() && now < one.endMs()) {
         for (String rack : one.racks) {
-          free.merge(rack, Math.max(0, one.from() - now), Math::min);
+          free.merge(rack, Math.max(0, one.startMs() - now), Math::min);
         }
       }
       Set<Integer> out = new java.util.TreeSet<>();
       long notice = one.racks.contains("b1") ? 24 * HOUR : NOTICE;
-      if (now < windows.grantsEndMs(one)) {
+      if (now < windows.permitExpiryMs(one)) {
         if (now < -NOTICE + notice) {
           out.add(-1);
         }
@@ -469,17 +473,17 @@
               }
             });
       }
-      assertEquals(grants.outstanding(one, now), out, where + ", freeze " + one.number);
+      assertEquals(grants.outstandingRelays(one, now), out, where + ", freeze " + one.number);
       if (one.state() == MaintenanceWindow.State.DRAINING && out.isEmpty()) {
         cleared.add(one.number);
       }
     }
     assertEquals(windows.isDue(now), due, where);
-    assertEquals(grants.returned(now), cleared, where);
-    Map<String, Long> shorter = grants.shortened(now);
+    assertEquals(grants.windowsWithPermitsReturned(now), cleared, where);
+    Map<String, Long> shorter = grants.shortenedPermits(now);
     free.forEach(
         (rack, left) -> {
-          assertEquals(grants.grantedForMs(rack, now), (long) left, where + ", rack " + rack);
+          assertEquals(grants.permitDurationMs(rack, now), (long) left, where + ", rack " + rack);
           assertEquals(
               shorter.getOrDefault(rack, rack.equals("b1") ? 24 * HOUR : NOTICE),
               left,
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -181,7 +181,7 @@
             (name, rack) -> {
               text.put("rack." + name + ".zone", rack.zone())
                   .put("rack." + name + ".cell", rack.cell())
-                  .put("rack." + name + ".units", rack.endpoints());
+                  .put("rack." + name + ".units", rack.endpointsByFamily());
               text.put("rack." + name + ".notice", rack.noticeMs());
             });
     text.put("racks.warm", config.maintenanceRules.warmUpMs())
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -174,7 +174,7 @@
             clock,
             (release, step) -> told.add(new Told(release, step)),
             nobody,
-            MaintenanceWindows.none(),
+            MaintenanceWindows.withoutRacks(),
             said -> {});
     engine.start();
     engine.append(
--- a/src/test/java/sprucerock/scale/FreezeScaleTest.java
+++ b/src/test/java/sprucerock/scale/FreezeScaleTest.java
@@ -26,12 +26,12 @@
   private static final MaintenanceWindows.Listener NOBODY =
       new MaintenanceWindows.Listener() {
         @Override
-        public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
+        public void transitioned(MaintenanceWindow freeze, MaintenanceWindow.Step step) {
           // not counted
         }
 
         @Override
-        public void grantsChanged() {
+        public void permitsChanged() {
           // not counted here
         }
       };
@@ -71,7 +71,7 @@
             new MaintenanceRequest(
                 Set.of(rack), from, MIN, 0, "", "UTC", false, "ann", "new switch"),
             now);
-    return freezes.find(((AnnounceResult.Announced) made).numbers().get(0));
+    return freezes.find(((AnnounceResult.Announced) made).windowNumbers().get(0));
   }
 
   private long looked() {
@@ -80,8 +80,10 @@
 
   /** As the door does with each ask. */
   private void asks(int relay, long holds, long now) {
-    promises.request(relay, holds, now);
-    promises.returned(now).forEach(number -> freezes.grantsReturned(number, now));
+    promises.recordRequest(relay, holds, now);
+    promises
+        .windowsWithPermitsReturned(now)
+        .forEach(number -> freezes.permitsReturned(number, now));
   }
 
   /** The second round of asks of so many relays, each once, within a second. */
@@ -142,7 +144,7 @@
               FreezeScaleTest one = new FreezeScaleTest(windows, windows);
               long before = one.looked();
               for (int i = 0; i < one.racks; i++) {
-                one.promises.grantedForMs("r" + i, 1000);
+                one.promises.permitDurationMs("r" + i, 1000);
               }
               return (one.looked() - before) / (double) one.racks;
             },
