--- a/src/main/java/sprucerock/controller/StateMachine.java
+++ b/src/main/java/sprucerock/controller/StateMachine.java
@@ -52,7 +52,7 @@
           case RESTARTED -> {
             long downMs = entry.getRestarted().getDownMs();
             rollouts.restarted(downMs, now, wallMs);
-            deployments.restarted(TimeSpan.ofMs(Math.max(0, downMs)), now, wallMs);
+            deployments.controllerRestarted(TimeSpan.ofMs(Math.max(0, downMs)), now, wallMs);
             yield Done.INSTANCE;
           }
           case FREEZE, FREEZE_WORD, FREEZE_CLEARED, RACK, WORTH ->
@@ -115,7 +115,7 @@
             || state == Rollout.State.GOING_BACK;
     // Relays that judge a build are not restarted while its rollout is in progress.
     if (inProgress != deployments.rolloutInProgress()) {
-      deployments.rolloutInProgress(inProgress, now, wallMs);
+      deployments.setRolloutInProgress(inProgress, now, wallMs);
     }
     // Capacity checks don't count on the canary's endpoints when racks are to be taken down.
     maintenanceWindows.setCanaryShare(
--- a/src/test/java/sprucerock/controller/DeploymentStudy.java
+++ b/src/test/java/sprucerock/controller/DeploymentStudy.java
@@ -243,7 +243,7 @@
       }
       restartRequests.clear();
       Deployment deployment = deployments.deployment(1);
-      return deployment != null && !deployment.state().open();
+      return deployment != null && !deployment.state().isOpen();
     }
 
     private Timestamp timestamp() {
