--- a/src/main/java/sprucerock/controller/MaintenanceCodec.java
+++ b/src/main/java/sprucerock/controller/MaintenanceCodec.java
@@ -100,15 +100,15 @@
   private static FamiliesWorth worth(HardwareModel model) {
     FamiliesWorth.Builder said =
         FamiliesWorth.newBuilder()
-            .setNumber(model.number())
-            .setWindow(model.window())
+            .setNumber(model.fencingToken())
+            .setWindow(model.newestWindow())
             .addAllFamilies(model.families())
             .addAllMethods(model.methods())
             .setFree(model.degreesOfFreedom());
-    model.times(time -> said.addLogs(time.log()).addErrors(time.error()));
+    model.forEachTimeRatio(time -> said.addLogs(time.logValue()).addErrors(time.standardError()));
     for (int family : model.families()) {
-      said.addCores(model.concurrency(family).log())
-          .addCoresErrors(model.concurrency(family).error());
+      said.addCores(model.concurrency(family).logValue())
+          .addCoresErrors(model.concurrency(family).standardError());
     }
     return said.build();
   }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -141,6 +141,8 @@
     }
     return translation == null
         ? Double.NaN
-        : translation.counted(needs.method(), endpoints, family, needs.family()).endpoints();
+        : translation
+            .guaranteedEndpoints(needs.method(), endpoints, family, needs.family())
+            .endpoints();
   }
 }
--- a/src/main/java/sprucerock/hardware/CapacityTranslator.java
+++ b/src/main/java/sprucerock/hardware/CapacityTranslator.java
@@ -25,9 +25,9 @@
    *
    * @param endpoints NaN where the limit is TIME (no number of them helps) or NOT_KNOWN
    */
-  public record Answer(double endpoints, Limit limit, String why) {
+  public record Answer(double endpoints, Limit limit, String reason) {
     /** Whether there is a number. */
-    public boolean known() {
+    public boolean isKnown() {
       return !Double.isNaN(endpoints);
     }
   }
@@ -80,16 +80,17 @@
    * How many endpoints of {@code to} serve for certain what so many of {@code from} serve, with
    * {@code method} in most of the work.
    */
-  public Answer needed(int method, double endpoints, int from, int to) {
-    return translated(method, endpoints, from, to, Bound.UPPER);
+  public Answer requiredEndpoints(int method, double endpoints, int from, int to) {
+    return translate(method, endpoints, from, to, Bound.UPPER);
   }
 
   /**
    * The same as {@link #needed}, for work that has to be done within a time: slower endpoints may
    * be of no use in any number.
    */
-  public Answer needed(int method, double endpoints, int from, int to, double ms, double withinMs) {
-    double longest = atMost(method, ms, from, to);
+  public Answer requiredEndpoints(
+      int method, double endpoints, int from, int to, double ms, double withinMs) {
+    double longest = maxTimeMs(method, ms, from, to);
     if (Double.isNaN(longest)) {
       return unknown(to, "is not known well enough beside " + from);
     }
@@ -105,15 +106,15 @@
               to,
               withinMs));
     }
-    return needed(method, endpoints, from, to);
+    return requiredEndpoints(method, endpoints, from, to);
   }
 
   /** How many endpoints of {@code to} so many of {@code from} surely stand for. */
-  public Answer counted(int method, double endpoints, int from, int to) {
-    return translated(method, endpoints, from, to, Bound.LOWER);
+  public Answer guaranteedEndpoints(int method, double endpoints, int from, int to) {
+    return translate(method, endpoints, from, to, Bound.LOWER);
   }
 
-  private Answer translated(int method, double endpoints, int from, int to, Bound bound) {
+  private Answer translate(int method, double endpoints, int from, int to, Bound bound) {
     if (from == to) {
       return new Answer(endpoints, Limit.NOTHING, "");
     }
@@ -121,16 +122,17 @@
     if (ratio == null) {
       return unknown(model.families().contains(from) ? to : from, "was not seen");
     }
-    if (ratio.error() > MAX_ERROR) {
+    if (ratio.standardError() > MAX_ERROR) {
       return unknown(
           to,
           String.format(
               Locale.ROOT,
               "beside %d is known to a factor of %.1f only",
               from,
-              Math.exp(standardErrors * ratio.error())));
+              Math.exp(standardErrors * ratio.standardError())));
     }
-    double factor = Math.exp(ratio.log() + bound.sign * standardErrors * ratio.error());
+    double factor =
+        Math.exp(ratio.logValue() + bound.sign * standardErrors * ratio.standardError());
     Limit limit = Limit.CORES;
     Family fromFamily = families.get(from);
     Family toFamily = families.get(to);
@@ -155,14 +157,14 @@
    * Work of so many milliseconds on {@code from}: how long it takes on {@code to} at most, with the
    * stated confidence; NaN: not known.
    */
-  public double atMost(int method, double ms, int from, int to) {
+  public double maxTimeMs(int method, double ms, int from, int to) {
     if (from == to) {
       return ms;
     }
     HardwareModel.Estimate time = model.timeRatio(method, to, from);
-    return time == null || time.error() > MAX_ERROR
+    return time == null || time.standardError() > MAX_ERROR
         ? Double.NaN
-        : ms * Math.exp(time.log() + standardErrors * time.error());
+        : ms * Math.exp(time.logValue() + standardErrors * time.standardError());
   }
 
   /** With which each single bound holds. */
--- a/src/main/java/sprucerock/hardware/Cell.java
+++ b/src/main/java/sprucerock/hardware/Cell.java
@@ -23,7 +23,7 @@
   }
 
   /** About how many others the endpoint had: the middle of what falls into this depth. */
-  static double others(int depth) {
+  static double estimatedInFlight(int depth) {
     return depth == 0 ? 0 : 1.5 * (1 << (depth - 1)) - 0.5;
   }
 
--- a/src/main/java/sprucerock/hardware/ConcurrencyEstimator.java
+++ b/src/main/java/sprucerock/hardware/ConcurrencyEstimator.java
@@ -9,19 +9,19 @@
  */
 final class ConcurrencyEstimator {
   /** Logarithms, from half a core to 128, by a twentieth of a doubling. */
-  private static final double[] GRID = new double[161];
+  private static final double[] LOG_CORES_GRID = new double[161];
 
   /** Before anything is seen four cores, give or take a factor of four; as a logarithm. */
-  private static final double PRIOR = Math.log(4);
+  private static final double PRIOR_LOG_CORES = Math.log(4);
 
   /** Depths are known to a factor of 1.1 or so. */
-  private static final double DEPTH_ERROR = 0.1;
+  private static final double DEPTH_LOG_ERROR = 0.1;
 
   private static final double MIN_VARIANCE = 1e-6;
 
   static {
-    for (int i = 0; i < GRID.length; i++) {
-      GRID[i] = Math.log(0.5) + i * Math.log(2) / 20;
+    for (int i = 0; i < LOG_CORES_GRID.length; i++) {
+      LOG_CORES_GRID[i] = Math.log(0.5) + i * Math.log(2) / 20;
     }
   }
 
@@ -36,20 +36,20 @@
 
   /** The logarithm of a family's concurrency, and its standard error. */
   HardwareModel.Estimate estimate(int family) {
-    double[] logLikelihoods = new double[GRID.length];
+    double[] logLikelihoods = new double[LOG_CORES_GRID.length];
     double best = Double.NEGATIVE_INFINITY;
-    for (int i = 0; i < GRID.length; i++) {
-      logLikelihoods[i] = logLikelihood(family, GRID[i]);
+    for (int i = 0; i < LOG_CORES_GRID.length; i++) {
+      logLikelihoods[i] = logLikelihood(family, LOG_CORES_GRID[i]);
       best = Math.max(best, logLikelihoods[i]);
     }
     double all = 0;
     double mean = 0;
     double square = 0;
-    for (int i = 0; i < GRID.length; i++) {
+    for (int i = 0; i < LOG_CORES_GRID.length; i++) {
       double weight = Math.exp(logLikelihoods[i] - best);
       all += weight;
-      mean += weight * GRID[i];
-      square += weight * GRID[i] * GRID[i];
+      mean += weight * LOG_CORES_GRID[i];
+      square += weight * LOG_CORES_GRID[i] * LOG_CORES_GRID[i];
     }
     mean /= all;
     return new HardwareModel.Estimate(
@@ -57,14 +57,18 @@
   }
 
   private double logLikelihood(int family, double logCores) {
-    double sum = -0.5 * Math.pow((logCores - PRIOR) / Math.log(4), 2);
+    double sum = -0.5 * Math.pow((logCores - PRIOR_LOG_CORES) / Math.log(4), 2);
     for (FitData.DepthPoint one : points) {
-      if (one.family() != family) {
+      if (one.familyIndex() != family) {
         continue;
       }
-      double residual = one.slower() - Math.max(0, Math.log(one.depth()) - logCores);
+      double residual =
+          one.logSlowdown() - Math.max(0, Math.log(one.concurrentAttempts()) - logCores);
       sum -=
-          0.5 * residual * residual / (one.variance() + extraVariance + DEPTH_ERROR * DEPTH_ERROR);
+          0.5
+              * residual
+              * residual
+              / (one.variance() + extraVariance + DEPTH_LOG_ERROR * DEPTH_LOG_ERROR);
     }
     return sum;
   }
--- a/src/main/java/sprucerock/hardware/FitData.java
+++ b/src/main/java/sprucerock/hardware/FitData.java
@@ -24,7 +24,7 @@
    * @param group cells of one window, method and build, which are compared with each other
    * @param variance of the mean
    */
-  record Point(int group, int method, int family, double mean, double variance) {}
+  record Point(int group, int methodIndex, int familyIndex, double mean, double variance) {}
 
   /**
    * A cell at some depth, beside the one at no depth.
@@ -33,15 +33,16 @@
    * @param slower by how much, as a logarithm
    * @param variance of {@code slower}
    */
-  record DepthPoint(int family, double depth, double slower, double variance) {}
+  record DepthPoint(
+      int familyIndex, double concurrentAttempts, double logSlowdown, double variance) {}
 
   private final IntPredicate settled;
   private final List<Integer> families;
   private final List<Integer> methods;
   private final List<Point> points = new ArrayList<>();
   private final List<DepthPoint> depthPoints = new ArrayList<>();
-  private final Map<Integer, RunningMoments> pooled = new TreeMap<>(); // see pool()
-  private int groups;
+  private final Map<Integer, RunningMoments> pooledByMethod = new TreeMap<>(); // see pool()
+  private int groupCount;
 
   /** Of each window's cells; {@code settled} says which builds count. */
   FitData(Collection<Map<Cell, RunningMoments>> windows, IntPredicate settled) {
@@ -65,7 +66,7 @@
     }
   }
 
-  private boolean counts(Cell cell, RunningMoments samples) {
+  private boolean isIncluded(Cell cell, RunningMoments samples) {
     return families.contains(cell.family())
         && methods.contains(cell.method())
         && samples.count() >= MIN_SAMPLES
@@ -76,33 +77,34 @@
   private void pool(Map<Cell, RunningMoments> window) {
     window.forEach(
         (cell, samples) -> {
-          if (counts(cell, samples)) {
-            RunningMoments before = pooled.getOrDefault(cell.method(), RunningMoments.NONE);
-            pooled.put(
+          if (isIncluded(cell, samples)) {
+            RunningMoments before =
+                pooledByMethod.getOrDefault(cell.method(), RunningMoments.EMPTY);
+            pooledByMethod.put(
                 cell.method(),
                 new RunningMoments(
                     before.count() + (samples.count() - 1),
                     0,
-                    before.squares() + samples.squares()));
+                    before.squaredDeviations() + samples.squaredDeviations()));
           }
         });
   }
 
   /** Of one sample of a method. */
   private double variance(int method) {
-    RunningMoments all = pooled.get(method);
-    return all.squares() / all.count();
+    RunningMoments all = pooledByMethod.get(method);
+    return all.squaredDeviations() / all.count();
   }
 
   private void addPoints(Map<Cell, RunningMoments> window) {
     Map<List<Integer>, Integer> groupOf = new HashMap<>();
     window.forEach(
         (cell, samples) -> {
-          if (!counts(cell, samples) || cell.depth() != 0) {
+          if (!isIncluded(cell, samples) || cell.depth() != 0) {
             return;
           }
           int group =
-              groupOf.computeIfAbsent(List.of(cell.method(), cell.build()), any -> groups++);
+              groupOf.computeIfAbsent(List.of(cell.method(), cell.build()), any -> groupCount++);
           points.add(
               new Point(
                   group,
@@ -120,14 +122,14 @@
           RunningMoments idle = window.get(new Cell(cell.method(), cell.family(), cell.build(), 0));
           if (cell.depth() == 0
               || idle == null
-              || !counts(cell, samples)
+              || !isIncluded(cell, samples)
               || idle.count() < MIN_SAMPLES) {
             return;
           }
           depthPoints.add(
               new DepthPoint(
                   families.indexOf(cell.family()),
-                  Cell.others(cell.depth()) + 1,
+                  Cell.estimatedInFlight(cell.depth()) + 1,
                   samples.mean() - idle.mean(),
                   variance(cell.method()) * (1 / idle.count() + 1 / samples.count())));
         });
@@ -152,7 +154,7 @@
   }
 
   /** Groups of points, numbered from 0. */
-  int groups() {
-    return groups;
+  int groupCount() {
+    return groupCount;
   }
 }
--- a/src/main/java/sprucerock/hardware/HardwareModel.java
+++ b/src/main/java/sprucerock/hardware/HardwareModel.java
@@ -10,17 +10,18 @@
  */
 public final class HardwareModel {
   /** The logarithm of a factor, and its standard error. */
-  public record Estimate(double log, double error) {
+  public record Estimate(double logValue, double standardError) {
     Estimate minus(Estimate other) {
-      return new Estimate(log - other.log, Math.hypot(error, other.error));
+      return new Estimate(
+          logValue - other.logValue, Math.hypot(standardError, other.standardError));
     }
   }
 
-  private final long number;
-  private final long window;
+  private final long fencingToken;
+  private final long newestWindow;
   private final List<Integer> families;
   private final List<Integer> methods;
-  private final Estimate[][][] times;
+  private final Estimate[][][] timeRatios;
   private final Estimate[] concurrency;
   private final int degreesOfFreedom;
 
@@ -45,11 +46,11 @@
     if (times.length != methods.size() + 1 || cores.length != families.size() || free < 1) {
       throw new IllegalArgumentException("a model of other size than its families and methods");
     }
-    this.number = number;
-    this.window = window;
+    this.fencingToken = number;
+    this.newestWindow = window;
     this.families = List.copyOf(families);
     this.methods = List.copyOf(methods);
-    this.times = times;
+    this.timeRatios = times;
     this.concurrency = cores;
     this.degreesOfFreedom = free;
   }
@@ -82,8 +83,8 @@
   }
 
   /** All times, in the order of {@link #of}. */
-  public void times(Consumer<Estimate> each) {
-    for (Estimate[][] method : times) {
+  public void forEachTimeRatio(Consumer<Estimate> each) {
+    for (Estimate[][] method : timeRatios) {
       for (Estimate[] family : method) {
         for (Estimate one : family) {
           each.accept(one);
@@ -93,20 +94,20 @@
   }
 
   /** Of the lease under which it was fitted. */
-  public long number() {
-    return number;
+  public long fencingToken() {
+    return fencingToken;
   }
 
   /** The newest window that it was fitted to. */
-  public long window() {
-    return window;
+  public long newestWindow() {
+    return newestWindow;
   }
 
   /** Of a later holder, or of the same one and later windows. */
   public boolean isNewerThan(HardwareModel other) {
     return other == null
-        || number > other.number
-        || (number == other.number && window > other.window);
+        || fencingToken > other.fencingToken
+        || (fencingToken == other.fencingToken && newestWindow > other.newestWindow);
   }
 
   /** Families that were seen, in the order of {@link #of}. */
@@ -132,7 +133,7 @@
     int a = families.indexOf(on);
     int b = families.indexOf(than);
     int m = methods.indexOf(method);
-    return a < 0 || b < 0 ? null : times[m < 0 ? methods.size() : m][a][b];
+    return a < 0 || b < 0 ? null : timeRatios[m < 0 ? methods.size() : m][a][b];
   }
 
   /**
--- a/src/main/java/sprucerock/hardware/LeastSquaresFit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -31,23 +31,23 @@
 
   // Before anything is seen: a family may be twenty times as fast as another or as slow (three
   // sigma of 1), for one method up to half as much beside the others.
-  private static final double PRIOR = 1;
+  private static final double PRIOR_SIGMA = 1;
   private static final double MIN_TAU = 0.01;
   private static final double MAX_TAU = 0.5;
-  private static final double FIRST_TAU = 0.1;
-  private static final double FIRST_OMEGA = 0.05;
+  private static final double INITIAL_TAU = 0.1;
+  private static final double INITIAL_OMEGA = 0.05;
   private static final double MIN_OMEGA_SQUARED = 1e-6;
 
   /** Errors, weights and values settle within three in all that was tried. */
-  private static final int ROUNDS = 4;
+  private static final int ITERATIONS = 4;
 
   /** In standard errors. */
-  private static final double HUBER = 2;
+  private static final double HUBER_STANDARD_ERRORS = 2;
 
   /** Squared residuals count as at most so many squared standard errors in omega. */
   private static final double MAX_SQUARED_ERRORS = 9;
 
-  private static final int MIN_FREEDOM = 3;
+  private static final int MIN_DEGREES_OF_FREEDOM = 3;
   private static final double SYMMETRY_THRESHOLD = 1e-9;
   private static final double POSITIVITY_THRESHOLD = 1e-12;
 
@@ -57,11 +57,11 @@
   private final int methodCount;
   private final Map<Integer, List<Integer>> groups = new TreeMap<>(); // indexes of points
   private final double[] weights;
-  private double[] values; // families, then families by method
-  private double[] levels; // by group
+  private double[] effects; // families, then families by method
+  private double[] groupLevels; // by group
   private RealMatrix covariance;
-  private double omegaSquared = FIRST_OMEGA * FIRST_OMEGA;
-  private double tauSquared = FIRST_TAU * FIRST_TAU;
+  private double omegaSquared = INITIAL_OMEGA * INITIAL_OMEGA;
+  private double tauSquared = INITIAL_TAU * INITIAL_TAU;
 
   private LeastSquaresFit(FitData data) {
     this.data = data;
@@ -89,7 +89,7 @@
       return null;
     }
     LeastSquaresFit fit = new LeastSquaresFit(data);
-    for (int round = 0; round < ROUNDS; round++) {
+    for (int round = 0; round < ITERATIONS; round++) {
       fit.solve();
       fit.updateOmegaAndWeights();
       fit.updateTau();
@@ -98,12 +98,12 @@
   }
 
   /** The place of a family's value for one method. */
-  private int valueOf(int family, int method) {
+  private int effectIndex(int family, int method) {
     return familyCount + family * methodCount + method;
   }
 
-  private int valueOf(FitData.Point point) {
-    return valueOf(point.family(), point.method());
+  private int effectIndex(FitData.Point point) {
+    return effectIndex(point.familyIndex(), point.methodIndex());
   }
 
   private double weight(int i) {
@@ -122,18 +122,18 @@
                 MatrixUtils.createRealMatrix(precision), SYMMETRY_THRESHOLD, POSITIVITY_THRESHOLD)
             .getSolver()
             .getInverse();
-    values = covariance.operate(right);
-    levels = new double[groups.size()];
-    groups.forEach((number, group) -> levels[number] = level(group));
+    effects = covariance.operate(right);
+    groupLevels = new double[groups.size()];
+    groups.forEach((number, group) -> groupLevels[number] = groupLevel(group));
   }
 
   private double[][] priorPrecision() {
     int size = familyCount * (1 + methodCount);
     double[][] precision = new double[size][size];
     for (int f = 0; f < familyCount; f++) {
-      precision[f][f] += 1 / (PRIOR * PRIOR);
+      precision[f][f] += 1 / (PRIOR_SIGMA * PRIOR_SIGMA);
       for (int m = 0; m < methodCount; m++) {
-        connect(precision, f, valueOf(f, m), 1 / tauSquared);
+        connect(precision, f, effectIndex(f, m), 1 / tauSquared);
       }
     }
     return precision;
@@ -157,28 +157,28 @@
     }
     mean /= all;
     for (int i : group) {
-      int at = valueOf(points.get(i));
+      int at = effectIndex(points.get(i));
       double own = weight(i);
       right[at] += own * (points.get(i).mean() - mean);
       precision[at][at] += own;
       for (int j : group) {
-        precision[at][valueOf(points.get(j))] -= own * weight(j) / all;
+        precision[at][effectIndex(points.get(j))] -= own * weight(j) / all;
       }
     }
   }
 
-  private double level(List<Integer> group) {
+  private double groupLevel(List<Integer> group) {
     double all = 0;
     double sum = 0;
     for (int i : group) {
       all += weight(i);
-      sum += weight(i) * (points.get(i).mean() - values[valueOf(points.get(i))]);
+      sum += weight(i) * (points.get(i).mean() - effects[effectIndex(points.get(i))]);
     }
     return sum / all;
   }
 
   /** Observations beyond one in each group. */
-  private int freedom() {
+  private int degreesOfFreedom() {
     return points.size() - groups.size();
   }
 
@@ -188,14 +188,14 @@
     double share = 0;
     for (int i = 0; i < points.size(); i++) {
       FitData.Point one = points.get(i);
-      double residual = one.mean() - levels[one.group()] - values[valueOf(one)];
+      double residual = one.mean() - groupLevels[one.group()] - effects[effectIndex(one)];
       double error = Math.sqrt(one.variance() + omegaSquared);
-      weights[i] = Math.min(1, HUBER * error / Math.max(Math.abs(residual), 1e-9));
+      weights[i] = Math.min(1, HUBER_STANDARD_ERRORS * error / Math.max(Math.abs(residual), 1e-9));
       double clipped = Math.min(residual * residual, MAX_SQUARED_ERRORS * error * error);
       beyond += clipped / one.variance();
       share += 1 / one.variance();
     }
-    int freedom = freedom();
+    int freedom = degreesOfFreedom();
     if (freedom > 0) {
       omegaSquared =
           Math.max(MIN_OMEGA_SQUARED, (beyond * points.size() / freedom - points.size()) / share);
@@ -208,8 +208,8 @@
     int count = 0;
     for (int f = 0; f < familyCount; f++) {
       for (int m = 0; m < methodCount; m++) {
-        int at = valueOf(f, m);
-        double off = values[at] - values[f];
+        int at = effectIndex(f, m);
+        double off = effects[at] - effects[f];
         sum +=
             off * off
                 + covariance.getEntry(at, at)
@@ -228,7 +228,9 @@
       for (int a = 0; a < familyCount; a++) {
         for (int b = 0; b < familyCount; b++) {
           times[m][a][b] =
-              m == methodCount ? difference(a, b) : difference(valueOf(a, m), valueOf(b, m));
+              m == methodCount
+                  ? difference(a, b)
+                  : difference(effectIndex(a, m), effectIndex(b, m));
         }
       }
     }
@@ -242,7 +244,7 @@
         data.methods(),
         times,
         cores,
-        Math.max(MIN_FREEDOM, freedom() - familyCount));
+        Math.max(MIN_DEGREES_OF_FREEDOM, degreesOfFreedom() - familyCount));
   }
 
   private HardwareModel.Estimate difference(int one, int other) {
@@ -251,6 +253,6 @@
             + covariance.getEntry(other, other)
             - 2 * covariance.getEntry(one, other);
     return new HardwareModel.Estimate(
-        values[one] - values[other], Math.sqrt(Math.max(0, variance)));
+        effects[one] - effects[other], Math.sqrt(Math.max(0, variance)));
   }
 }
--- a/src/main/java/sprucerock/hardware/Observation.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -12,7 +12,7 @@
    * Windows that are kept: ten minutes at ten seconds each, in which hardware does not change but
    * for what is to be noticed.
    */
-  public static final int WINDOWS = 60;
+  public static final int MAX_WINDOWS = 60;
 
   /** Relays that are kept of a window. */
   public static final int MAX_RELAYS = 2000;
@@ -26,7 +26,7 @@
    *     relay and window came late or twice
    */
   public boolean add(SampleSums sample) {
-    if (!windows.isEmpty() && sample.window() <= windows.lastKey() - WINDOWS) {
+    if (!windows.isEmpty() && sample.window() <= windows.lastKey() - MAX_WINDOWS) {
       return false;
     }
     Map<Integer, SampleSums> window =
@@ -36,7 +36,7 @@
       return false;
     }
     window.put(sample.relay(), sample);
-    while (windows.firstKey() <= windows.lastKey() - WINDOWS) {
+    while (windows.firstKey() <= windows.lastKey() - MAX_WINDOWS) {
       windows.pollFirstEntry();
     }
     return true;
--- a/src/main/java/sprucerock/hardware/OutlierScore.java
+++ b/src/main/java/sprucerock/hardware/OutlierScore.java
@@ -20,7 +20,7 @@
    * @param slower by how much, as a logarithm
    * @param errors the same in standard errors
    */
-  public record Finding(int family, int build, double slower, double errors) {}
+  public record Finding(int family, int build, double logSlowdown, double standardErrors) {}
 
   // One check a window, some families and builds each: at 4 standard errors one false alarm in
   // 15,000 checks of one of them. What is under a tenth is of no use to anybody.
@@ -29,7 +29,7 @@
   private static final double MIN_SAMPLES = 3;
 
   /** What two means differ by in any case, as a logarithm. */
-  private static final double LEAST_ERROR = 0.02;
+  private static final double MIN_LOG_ERROR = 0.02;
 
   private OutlierScore() {}
 
@@ -63,19 +63,19 @@
             if (cell.build() != build || cell.depth() > 0 || own.count() < MIN_SAMPLES) {
               return;
             }
-            RunningMoments usual = usual(window, cell, settled);
+            RunningMoments usual = baseline(window, cell, settled);
             if (usual.count() >= MIN_SAMPLES) {
               addDifference(byFamily, cell.family(), own, usual);
             }
           });
     }
-    return besideOthers(byFamily, build);
+    return outliersAmong(byFamily, build);
   }
 
   /** What settled builds take in the same window for the same method on the same family. */
-  private static RunningMoments usual(
+  private static RunningMoments baseline(
       Map<Cell, RunningMoments> window, Cell cell, IntPredicate settled) {
-    RunningMoments usual = RunningMoments.NONE;
+    RunningMoments usual = RunningMoments.EMPTY;
     for (Map.Entry<Cell, RunningMoments> other : window.entrySet()) {
       Cell beside = other.getKey();
       boolean alike =
@@ -95,11 +95,11 @@
         .computeIfAbsent(family, any -> new WeightedMean())
         .add(
             own.mean() - usual.mean(),
-            varianceOfMean(own) + varianceOfMean(usual) + LEAST_ERROR * LEAST_ERROR);
+            varianceOfMean(own) + varianceOfMean(usual) + MIN_LOG_ERROR * MIN_LOG_ERROR);
   }
 
   private static double varianceOfMean(RunningMoments samples) {
-    return samples.squares() / (samples.count() - 1) / samples.count();
+    return samples.squaredDeviations() / (samples.count() - 1) / samples.count();
   }
 
   /**
@@ -130,14 +130,14 @@
       }
       addDifference(byFamily, cell.family(), now, old);
     }
-    return besideOthers(byFamily, 0);
+    return outliersAmong(byFamily, 0);
   }
 
   /**
    * What all families have in common is a load, a method or a build that is slow everywhere, and no
    * family's.
    */
-  private static List<Finding> besideOthers(Map<Integer, WeightedMean> byFamily, int build) {
+  private static List<Finding> outliersAmong(Map<Integer, WeightedMean> byFamily, int build) {
     List<Finding> found = new ArrayList<>();
     byFamily.forEach(
         (family, own) -> {
--- a/src/main/java/sprucerock/hardware/SampleSums.java
+++ b/src/main/java/sprucerock/hardware/SampleSums.java
@@ -35,7 +35,7 @@
     if (cells.size() >= MAX_CELLS && !cells.containsKey(cell)) {
       droppedSamples++;
     } else {
-      cells.merge(cell, RunningMoments.NONE.plus(ms), RunningMoments::plus);
+      cells.merge(cell, RunningMoments.EMPTY.plus(ms), RunningMoments::plus);
     }
   }
 
--- a/src/main/java/sprucerock/lease/FencingTokenRegistry.java
+++ b/src/main/java/sprucerock/lease/FencingTokenRegistry.java
@@ -13,19 +13,19 @@
   /** Leases that are remembered; beyond, the one that acted longest ago is forgotten. */
   public static final int MAX_LEASES = 1024;
 
-  private final Map<String, Long> highest = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<String, Long> highestTokens = new LinkedHashMap<>(16, 0.75f, true);
   private long rejectedCount;
 
   /** Whether an act under that token may be done; it is then the highest. */
   public boolean admits(String name, long token) {
-    Long known = highest.get(name);
+    Long known = highestTokens.get(name);
     if (known != null && token < known) {
       rejectedCount++;
       return false;
     }
-    highest.put(name, token);
-    if (highest.size() > MAX_LEASES) {
-      Iterator<String> oldest = highest.keySet().iterator();
+    highestTokens.put(name, token);
+    if (highestTokens.size() > MAX_LEASES) {
+      Iterator<String> oldest = highestTokens.keySet().iterator();
       oldest.next();
       oldest.remove();
     }
@@ -33,8 +33,8 @@
   }
 
   /** The highest token that acted; 0: none is known. */
-  public long highest(String name) {
-    return highest.getOrDefault(name, 0L);
+  public long highestToken(String name) {
+    return highestTokens.getOrDefault(name, 0L);
   }
 
   /** Acts that were rejected so far. */
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -15,7 +15,12 @@
  *     nobody
  */
 record Grant(
-    long token, int holder, long incarnation, Timestamp expiresAt, boolean open, int successor) {
+    long token,
+    int holder,
+    long incarnation,
+    Timestamp expiresAt,
+    boolean outstanding,
+    int successor) {
   static final Grant NONE =
       new Grant(0, -1, 0, Timestamp.ofMs(Double.NEGATIVE_INFINITY), false, -1);
 }
--- a/src/main/java/sprucerock/lease/GrantorConnections.java
+++ b/src/main/java/sprucerock/lease/GrantorConnections.java
@@ -29,13 +29,13 @@
   /** What grantors send. On the loop's thread. */
   interface Listener {
     /** A grantor answered a request: granted or rejected. */
-    void voted(int grantor, LeaseSaid vote);
+    void replied(int grantor, LeaseSaid vote);
 
     /** A grantor says that a lease may be had. */
     void available(String name);
 
     /** A grantor answered a query with all that it knows. */
-    void listed(int grantor, LeaseListed known);
+    void queryAnswered(int grantor, LeaseListed known);
   }
 
   private static final byte[] NO_BODY = {};
@@ -155,7 +155,7 @@
 
   private final class Session implements FrameListener {
     private final int grantor;
-    private boolean up;
+    private boolean established;
 
     Session(int grantor) {
       this.grantor = grantor;
@@ -167,26 +167,26 @@
         connection.cut("granter " + grantor + " is not who answers there");
         return;
       }
-      up = true;
+      established = true;
     }
 
     @Override
     public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       switch (kind) {
-        case LEASE_SAID -> listener.voted(grantor, (LeaseSaid) head);
+        case LEASE_SAID -> listener.replied(grantor, (LeaseSaid) head);
         case LEASE_FREE -> listener.available(((LeaseFree) head).getName());
-        case LEASE_LISTED -> listener.listed(grantor, (LeaseListed) head);
+        case LEASE_LISTED -> listener.queryAnswered(grantor, (LeaseListed) head);
         default -> connections.get(grantor).cut("a granter sends no " + kind);
       }
     }
 
     @Override
     public void closed(String why) {
-      if (up && !stopping) {
+      if (established && !stopping) {
         log.warn(
             "granter " + grantor + " at " + config.grantors().get(grantor) + " is lost: " + why);
       }
-      up = false;
+      established = false;
     }
   }
 }
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -112,13 +112,13 @@
   /** Answers go to whoever asked last, notifications to the client that waits. */
   private final class Answers implements LeaseGrantor.Replies {
     @Override
-    public void granted(int client, String name, long token, long round) {
+    public void sendGranted(int client, String name, long token, long round) {
       answer(
           LeaseSaid.newBuilder().setName(name).setNumber(token).setRound(round).setGranted(true));
     }
 
     @Override
-    public void rejected(
+    public void sendRejected(
         int client,
         String name,
         long token,
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public void available(int client, String name) {
+    public void sendAvailable(int client, String name) {
       Session session = sessions.get(client);
       if (session != null) {
         session.connection.send(
@@ -157,8 +157,8 @@
 
   private final class Session implements FrameListener {
     private FrameConnection connection;
-    private int number = -1; // the client's, once it has greeted
-    private Timestamp secondBegan;
+    private int clientNumber = -1; // the client's, once it has greeted
+    private Timestamp secondStartedAt;
     private int requestsInSecond;
 
     @Override
@@ -167,10 +167,10 @@
         made.cut("a candidate's number is 0 to 65535");
         return;
       }
-      number = other.getNumber();
+      clientNumber = other.getNumber();
       // an older connection under this number still gets its answers, but is notified of nothing
       // that becomes available
-      sessions.put(number, this);
+      sessions.put(clientNumber, this);
     }
 
     @Override
@@ -180,7 +180,7 @@
         case LEASE_BACK -> {
           LeaseBack back = (LeaseBack) head;
           grantor.release(
-              number,
+              clientNumber,
               back.getLife(),
               back.getName(),
               back.getNumber(),
@@ -214,7 +214,7 @@
       } else {
         requester = this;
         grantor.request(
-            number,
+            clientNumber,
             request.getLife(),
             request.getName(),
             request.getNumber(),
@@ -224,8 +224,8 @@
     }
 
     private boolean isOverRate(Timestamp now) {
-      if (secondBegan == null || now.since(secondBegan).ms() >= 1000) {
-        secondBegan = now;
+      if (secondStartedAt == null || now.since(secondStartedAt).ms() >= 1000) {
+        secondStartedAt = now;
         requestsInSecond = 0;
       }
       return ++requestsInSecond > MAX_REQUESTS_PER_SECOND;
@@ -233,8 +233,8 @@
 
     @Override
     public void closed(String why) {
-      if (sessions.remove(number, this)) {
-        grantor.disconnected(number);
+      if (sessions.remove(clientNumber, this)) {
+        grantor.disconnected(clientNumber);
       }
     }
   }
@@ -255,7 +255,7 @@
         .setName(name)
         .setNumber(grant.token())
         .setHolder(grant.holder())
-        .setLeftUs(grant.open() ? notNegativeUs(grant.expiresAt().since(now)) : 0)
+        .setLeftUs(grant.outstanding() ? notNegativeUs(grant.expiresAt().since(now)) : 0)
         .setWaiting(grantor.waiters(name).size())
         .build();
   }
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -50,7 +50,7 @@
   private final long incarnation;
 
   private final LeaseRound round = new LeaseRound();
-  private boolean wanted;
+  private boolean campaigning;
   private long token; // 0: none is requested
   private Timestamp heldUntil; // null: not held
   private Timestamp nextTick; // null: nothing is to be done by time
@@ -86,7 +86,7 @@
   /** Takes over all that the other one knows, so that a search can branch from one state. */
   void copyStateFrom(LeaseClient other) {
     round.copyFrom(other.round);
-    wanted = other.wanted;
+    campaigning = other.campaigning;
     token = other.token;
     heldUntil = other.heldUntil;
     nextTick = other.nextTick;
@@ -99,7 +99,7 @@
     return name
         + " by "
         + client
-        + (wanted ? "" : ", not wanted")
+        + (campaigning ? "" : ", not wanted")
         + ", token "
         + token
         + ", round "
@@ -129,11 +129,11 @@
 
   /** It is to be had from now on. {@code floorMs}: see {@link #nextToken}. */
   void acquire(Timestamp now, long floorMs) {
-    if (wanted) {
+    if (campaigning) {
       return;
     }
-    wanted = true;
-    requestAnew(now, floorMs);
+    campaigning = true;
+    requestWithNewToken(now, floorMs);
   }
 
   /**
@@ -142,13 +142,13 @@
    * @param successor who is to have it next; -1: anybody
    */
   void release(int successor) {
-    wanted = false;
+    campaigning = false;
     nextTick = null;
-    drop("left", successor);
+    relinquish("left", successor);
   }
 
-  boolean wanted() {
-    return wanted;
+  boolean campaigning() {
+    return campaigning;
   }
 
   /**
@@ -161,7 +161,7 @@
     return Math.max((highestSeen >>> CLIENT_BITS) + 1, floorMs) << CLIENT_BITS | client;
   }
 
-  private void requestAnew(Timestamp now, long floorMs) {
+  private void requestWithNewToken(Timestamp now, long floorMs) {
     token = nextToken(floorMs);
     highestSeen = token;
     beginRound(now);
@@ -170,13 +170,13 @@
   private void beginRound(Timestamp now) {
     round.begin(now);
     nextTick = now.plus(terms.usableTerm().times(ROUND_TIMEOUT_SHARE));
-    for (int each = 0; each < terms.grantors(); each++) {
+    for (int each = 0; each < terms.grantorCount(); each++) {
       transport.request(each, name, token, round.number());
     }
   }
 
   /** A grantor granted it. */
-  void granted(int grantor, long ofToken, long ofRound, Timestamp now) {
+  void handleGrant(int grantor, long ofToken, long ofRound, Timestamp now) {
     if (ofToken != token) {
       // of a token that was given up; the release that told the grantor so may have been lost
       transport.release(grantor, name, ofToken, -1);
@@ -210,7 +210,7 @@
    * @param wait asking again before that is of no use
    * @param held whether another client holds it
    */
-  void rejected(
+  void handleRejection(
       int grantor,
       long ofToken,
       long ofRound,
@@ -223,7 +223,7 @@
       return;
     }
     round.addRejection(grantor, wait, held);
-    if (heldUntil == null && round.rejectionCount() > terms.grantors() - terms.quorum()) {
+    if (heldUntil == null && round.rejectionCount() > terms.grantorCount() - terms.quorum()) {
       failRound(now);
     }
   }
@@ -253,9 +253,9 @@
   }
 
   /** A grantor has said that it may be had. */
-  void available(Timestamp now, long floorMs) {
-    if (wanted && heldUntil == null && token == 0) {
-      requestAnew(now, floorMs);
+  void handleAvailable(Timestamp now, long floorMs) {
+    if (campaigning && heldUntil == null && token == 0) {
+      requestWithNewToken(now, floorMs);
     }
   }
 
@@ -266,7 +266,7 @@
   private void failRound(Timestamp now) {
     long given = token;
     token = 0;
-    for (int each = 0; each < terms.grantors(); each++) {
+    for (int each = 0; each < terms.grantorCount(); each++) {
       if (!round.rejectedBy(each)) {
         transport.release(each, name, given, -1);
       }
@@ -298,9 +298,9 @@
   /** Does what is due by then: renews, requests again, or notices that the term ran out. */
   void tick(Timestamp now, long floorMs) {
     if (heldUntil != null && !isHeldAt(now)) {
-      drop("it ran out, not renewed in time", -1);
-      if (wanted) {
-        requestAnew(now, floorMs);
+      relinquish("it ran out, not renewed in time", -1);
+      if (campaigning) {
+        requestWithNewToken(now, floorMs);
       }
       return;
     }
@@ -311,8 +311,8 @@
       beginRound(now); // to renew it; until then it is held as before
     } else if (token != 0) {
       failRound(now);
-    } else if (wanted) {
-      requestAnew(now, floorMs);
+    } else if (campaigning) {
+      requestWithNewToken(now, floorMs);
     } else {
       nextTick = null;
     }
@@ -321,7 +321,7 @@
     }
   }
 
-  private void drop(String why, int successor) {
+  private void relinquish(String why, int successor) {
     if (token == 0) {
       return;
     }
@@ -329,7 +329,7 @@
     final boolean held = heldUntil != null;
     token = 0;
     heldUntil = null;
-    for (int each = 0; each < terms.grantors(); each++) {
+    for (int each = 0; each < terms.grantorCount(); each++) {
       transport.release(each, name, given, successor);
     }
     if (held) {
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -26,13 +26,13 @@
 class LeaseGrantor {
   /** Answers to clients; they may get lost. */
   interface Replies {
-    void granted(int client, String name, long token, long round);
+    void sendGranted(int client, String name, long token, long round);
 
     /**
      * {@code highest}: the token to be exceeded; {@code left}: not worth asking before that; zero:
      * at once.
      */
-    void rejected(
+    void sendRejected(
         int client,
         String name,
         long token,
@@ -42,7 +42,7 @@
         Rejection why);
 
     /** It may be had now; sent to one client that waits. */
-    void available(int client, String name);
+    void sendAvailable(int client, String name);
   }
 
   /** Why it was not granted; the names are sent to clients. */
@@ -80,7 +80,7 @@
 
   /** A grantor that has just started: it grants nothing for the longest term. */
   LeaseGrantor(LeaseTerms terms, Replies replies, Timestamp now) {
-    this(terms, replies, now.plus(terms.longestTerm()), Map.of());
+    this(terms, replies, now.plus(terms.maxTerm()), Map.of());
   }
 
   /** One that continues from known grants. */
@@ -101,7 +101,7 @@
       if (queue != null) {
         queue.remove(client);
       }
-      replies.granted(client, name, token, round);
+      replies.sendGranted(client, name, token, round);
       return;
     }
     rejectedCount++;
@@ -110,13 +110,13 @@
         switch (why) {
           case STARTING -> grantsFrom.since(now);
           case HELD, KEPT -> grant.expiresAt().since(now);
-          case TOO_MANY -> terms.longestTerm();
+          case TOO_MANY -> terms.maxTerm();
           case LOWER, RETURNED -> TimeSpan.ZERO;
         };
     if (why == Rejection.HELD && !mine && !enqueue(client, name)) {
       left = left.plus(terms.term().times(QUEUE_FULL_TERMS));
     }
-    replies.rejected(client, name, token, round, grant.token(), left, why);
+    replies.sendRejected(client, name, token, round, grant.token(), left, why);
   }
 
   private Rejection rejectionOf(
@@ -160,11 +160,11 @@
    * blocked for a term.
    */
   boolean isOutstanding(Grant grant) {
-    return grant.open();
+    return grant.outstanding();
   }
 
   boolean isRunning(Grant grant, Timestamp now) {
-    return grant.open() && grant.expiresAt().after(now);
+    return grant.outstanding() && grant.expiresAt().after(now);
   }
 
   boolean exceedsToken(long token, Grant grant) {
@@ -179,7 +179,7 @@
     // full only where somebody uses names without end: the search is then the price
     while (each.hasNext()) {
       Grant grant = each.next().getValue();
-      if (!now.since(grant.expiresAt()).over(terms.longestTerm())) {
+      if (!now.since(grant.expiresAt()).over(terms.maxTerm())) {
         continue;
       }
       each.remove();
@@ -207,13 +207,13 @@
   void release(
       int client, long incarnation, String name, long token, int successor, Timestamp now) {
     Grant grant = grants.get(name);
-    if (grant == null || !isHolder(grant, client, incarnation, token) || !grant.open()) {
+    if (grant == null || !isHolder(grant, client, incarnation, token) || !grant.outstanding()) {
       return;
     }
     Timestamp keptUntil = successor >= 0 ? now.plus(terms.term().times(SUCCESSOR_TERMS)) : now;
     grants.put(name, new Grant(token, client, incarnation, keptUntil, false, successor));
     if (successor >= 0) {
-      replies.available(successor, name);
+      replies.sendAvailable(successor, name);
     } else {
       notifyNext(name);
     }
@@ -229,7 +229,7 @@
     if (first.hasNext()) {
       int next = first.next();
       first.remove();
-      replies.available(next, name);
+      replies.sendAvailable(next, name);
     }
     if (queue.isEmpty()) {
       waiters.remove(name);
--- a/src/main/java/sprucerock/lease/LeaseManager.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -60,8 +60,8 @@
   private final Log log;
   private final GrantorConnections grantors;
   private final Map<String, Campaign> campaigns = new TreeMap<>();
-  private final Map<Integer, LeaseListed> listed = new TreeMap<>();
-  private Runnable endQuery; // null: no query is under way
+  private final Map<Integer, LeaseListed> queryAnswers = new TreeMap<>();
+  private Runnable finishQuery; // null: no query is under way
   private volatile Counts counts = new Counts(0, 0, 0);
 
   /**
@@ -153,22 +153,22 @@
    * answered, or after a second, and at once if another query begins before.
    */
   public void queryGrantors(Consumer<Map<Integer, LeaseListed>> done) {
-    listed.clear();
+    queryAnswers.clear();
     Runnable[] end = new Runnable[1];
     Timer timeout = net.at(net.now().plus(QUERY_TIMEOUT), () -> end[0].run());
     end[0] =
         () -> {
           timeout.cancel();
-          if (endQuery != end[0]) {
+          if (finishQuery != end[0]) {
             return;
           }
-          endQuery = null;
-          done.accept(Map.copyOf(listed));
+          finishQuery = null;
+          done.accept(Map.copyOf(queryAnswers));
         };
-    if (endQuery != null) {
-      endQuery.run(); // who asked before gets what is there by now
+    if (finishQuery != null) {
+      finishQuery.run(); // who asked before gets what is there by now
     }
-    endQuery = end[0];
+    finishQuery = end[0];
     grantors.query();
   }
 
@@ -225,21 +225,21 @@
 
   private final class GrantorAnswers implements GrantorConnections.Listener {
     @Override
-    public void voted(int grantor, LeaseSaid vote) {
+    public void replied(int grantor, LeaseSaid vote) {
       Campaign campaign = campaigns.get(vote.getName());
       if (campaign != null) {
-        campaign.step(() -> count(grantor, vote, campaign.client));
+        campaign.step(() -> applyReply(grantor, vote, campaign.client));
       } else if (vote.getGranted()) { // withdrawn meanwhile: what was granted since is of no use
         grantors.release(grantor, vote.getName(), vote.getNumber(), -1);
       }
     }
 
-    private void count(int grantor, LeaseSaid vote, LeaseClient client) {
+    private void applyReply(int grantor, LeaseSaid vote, LeaseClient client) {
       if (vote.getGranted()) {
-        client.granted(grantor, vote.getNumber(), vote.getRound(), net.readClock());
+        client.handleGrant(grantor, vote.getNumber(), vote.getRound(), net.readClock());
         return;
       }
-      client.rejected(
+      client.handleRejection(
           grantor,
           vote.getNumber(),
           vote.getRound(),
@@ -253,15 +253,15 @@
     public void available(String name) {
       Campaign campaign = campaigns.get(name);
       if (campaign != null) {
-        campaign.step(() -> campaign.client.available(net.now(), wallMs.getAsLong()));
+        campaign.step(() -> campaign.client.handleAvailable(net.now(), wallMs.getAsLong()));
       }
     }
 
     @Override
-    public void listed(int grantor, LeaseListed known) {
-      listed.put(grantor, known);
-      if (endQuery != null && listed.size() == grantors.size()) {
-        endQuery.run();
+    public void queryAnswered(int grantor, LeaseListed known) {
+      queryAnswers.put(grantor, known);
+      if (finishQuery != null && queryAnswers.size() == grantors.size()) {
+        finishQuery.run();
       }
     }
   }
--- a/src/main/java/sprucerock/lease/LeaseRound.java
+++ b/src/main/java/sprucerock/lease/LeaseRound.java
@@ -12,8 +12,8 @@
   private long number;
 
   private Timestamp requestedAt;
-  private long grants;
-  private long rejections;
+  private long grantBits;
+  private long rejectionBits;
   private TimeSpan shortestWait; // null: no grantor rejected it in this round
   private boolean heldByOther;
 
@@ -21,8 +21,8 @@
   void begin(Timestamp now) {
     number++;
     requestedAt = now;
-    grants = 0;
-    rejections = 0;
+    grantBits = 0;
+    rejectionBits = 0;
     shortestWait = null;
     heldByOther = false;
   }
@@ -30,14 +30,14 @@
   void copyFrom(LeaseRound other) {
     number = other.number;
     requestedAt = other.requestedAt;
-    grants = other.grants;
-    rejections = other.rejections;
+    grantBits = other.grantBits;
+    rejectionBits = other.rejectionBits;
     shortestWait = other.shortestWait;
     heldByOther = other.heldByOther;
   }
 
   void addGrant(int grantor) {
-    grants |= 1L << grantor;
+    grantBits |= 1L << grantor;
   }
 
   /**
@@ -47,7 +47,7 @@
    * @param held whether another client holds the lease there
    */
   void addRejection(int grantor, TimeSpan wait, boolean held) {
-    rejections |= 1L << grantor;
+    rejectionBits |= 1L << grantor;
     shortestWait = shortestWait == null ? wait : shortestWait.atMost(wait);
     heldByOther |= held;
   }
@@ -61,20 +61,20 @@
   }
 
   int grantCount() {
-    return Long.bitCount(grants);
+    return Long.bitCount(grantBits);
   }
 
   int rejectionCount() {
-    return Long.bitCount(rejections);
+    return Long.bitCount(rejectionBits);
   }
 
   boolean rejectedBy(int grantor) {
-    return ((rejections >> grantor) & 1) != 0;
+    return ((rejectionBits >> grantor) & 1) != 0;
   }
 
   /** Bit 0: the grantor granted it in this round; bit 1: it rejected it. */
   int voteOf(int grantor) {
-    return (int) (((grants >> grantor) & 1) | (((rejections >> grantor) & 1) << 1));
+    return (int) (((grantBits >> grantor) & 1) | (((rejectionBits >> grantor) & 1) << 1));
   }
 
   /** How long another client holds it at least; null: nobody is known to. */
--- a/src/main/java/sprucerock/lease/LeaseTerms.java
+++ b/src/main/java/sprucerock/lease/LeaseTerms.java
@@ -11,17 +11,17 @@
  *     their last incarnations, ran
  * @param drift how far any clock's pace may be from the true one, as a share; 0 to under 0.2
  */
-public record LeaseTerms(int grantors, TimeSpan term, TimeSpan longestTerm, double drift) {
+public record LeaseTerms(int grantorCount, TimeSpan term, TimeSpan maxTerm, double drift) {
   /**
    * Checks the terms.
    *
    * @throws IllegalArgumentException if they make no sense together; the message says which
    */
   public LeaseTerms {
-    if (grantors != 3 && grantors != 5) {
-      throw new IllegalArgumentException("3 or 5 granters, not " + grantors);
+    if (grantorCount != 3 && grantorCount != 5) {
+      throw new IllegalArgumentException("3 or 5 granters, not " + grantorCount);
     }
-    if (term.over(longestTerm)) {
+    if (term.over(maxTerm)) {
       throw new IllegalArgumentException("longest may not be shorter than term");
     }
     if (!(drift >= 0 && drift < 0.2)) {
@@ -30,7 +30,7 @@
   }
 
   int quorum() {
-    return grantors / 2 + 1;
+    return grantorCount / 2 + 1;
   }
 
   /**
--- a/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
+++ b/src/main/java/sprucerock/rehearsal/fake/FakeEndpoint.java
@@ -420,7 +420,7 @@
           FrameKind.LOOKED,
           Looked.newBuilder()
               .setTaken(taken)
-              .setHighest(fence.highest(look.getLease()))
+              .setHighest(fence.highestToken(look.getLease()))
               .setIdleUs(
                   called == null ? Long.MAX_VALUE : (long) (net.now().since(called).ms() * 1000))
               .build(),
--- a/src/main/java/sprucerock/relay/frames/HardwareReporter.java
+++ b/src/main/java/sprucerock/relay/frames/HardwareReporter.java
@@ -152,7 +152,7 @@
                         .setDepth(cell.depth())
                         .setCount(sums.count())
                         .setMean(sums.mean())
-                        .setSquares(sums.squares())));
+                        .setSquares(sums.squaredDeviations())));
     transport.sendSamples(fitter, report.build());
   }
 
@@ -174,7 +174,7 @@
   private void startFit() {
     if (isFitting
         || observation.newestWindow() == 0
-        || newestModel != null && newestModel.window() >= observation.newestWindow()) {
+        || newestModel != null && newestModel.newestWindow() >= observation.newestWindow()) {
       return;
     }
     LeaseCheck by = leaseCheck;
@@ -196,13 +196,16 @@
           Worth.Builder worth =
               Worth.newBuilder()
                   .setNumber(number)
-                  .setWindow(model.window())
+                  .setWindow(model.newestWindow())
                   .addAllFamilies(model.families())
                   .addAllMethods(model.methods())
                   .setFree(model.degreesOfFreedom());
-          model.times(time -> worth.addLogs(time.log()).addErrors(time.error()));
+          model.forEachTimeRatio(
+              time -> worth.addLogs(time.logValue()).addErrors(time.standardError()));
           for (int a : model.families()) {
-            worth.addCores(model.concurrency(a).log()).addCoresErrors(model.concurrency(a).error());
+            worth
+                .addCores(model.concurrency(a).logValue())
+                .addCoresErrors(model.concurrency(a).standardError());
           }
           Worth done = worth.build();
           modelReceived(done);
@@ -247,7 +250,7 @@
           "a model under "
               + received.getNumber()
               + " was refused, "
-              + fence.highest(LEASE)
+              + fence.highestToken(LEASE)
               + " was heard");
       return;
     }
--- a/src/main/java/sprucerock/relay/frames/HealthChecker.java
+++ b/src/main/java/sprucerock/relay/frames/HealthChecker.java
@@ -108,7 +108,7 @@
       return;
     }
     if (openProbes < MAX_CONCURRENT_PROBES) {
-      long next = scheduler.next(net.now());
+      long next = scheduler.takeNext(net.now());
       Endpoint endpoint = next < 0 ? null : requestTracker.endpoint(next);
       if (endpoint == null || !endpoint.ready()) {
         scheduler.remove(next);
@@ -162,9 +162,9 @@
       } else if (leaseCheck == leaseAtStart && leaseAtStart.isHeld()) {
         boolean tell =
             looked != null
-                ? scheduler.answered(
+                ? scheduler.recordAnswer(
                     endpoint.id, TimeSpan.ofMs(looked.getIdleUs() / 1000.0), net.now())
-                : scheduler.timedOut(endpoint.id, net.now());
+                : scheduler.recordTimeout(endpoint.id, net.now());
         if (tell) {
           transport.probeCompleted(endpoint.id, looked != null, fencingNumber);
         }
--- a/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
+++ b/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
@@ -91,7 +91,7 @@
   }
 
   /** The endpoint to check now; -1: none is due. It counts as checked from now on. */
-  public long next(Timestamp now) {
+  public long takeNext(Timestamp now) {
     if (byDueTime.isEmpty() || byDueTime.first().due.after(now)) {
       return -1;
     }
@@ -106,7 +106,7 @@
    * @param idle for how long nobody has called it, as it says
    * @return true where others should be notified: it had not answered the last one
    */
-  public boolean answered(long endpoint, TimeSpan idle, Timestamp now) {
+  public boolean recordAnswer(long endpoint, TimeSpan idle, Timestamp now) {
     Entry entry = entries.get(endpoint);
     if (entry == null) {
       return false;
@@ -119,7 +119,7 @@
   }
 
   /** An endpoint didn't answer its check in time; true where others should be notified. */
-  public boolean timedOut(long endpoint, Timestamp now) {
+  public boolean recordTimeout(long endpoint, Timestamp now) {
     Entry entry = entries.get(endpoint);
     if (entry == null) {
       return false;
--- a/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
@@ -12,7 +12,7 @@
  */
 public final class RackSnapshot {
   /** Of a process that was granted nothing: no rack can have a maintenance window. */
-  public static final RackSnapshot NOTHING = new RackSnapshot(0, Map.of());
+  public static final RackSnapshot EMPTY = new RackSnapshot(0, Map.of());
 
   private final long sequence;
   // Open addressing in one array of keys, at most half full: a miss ends at the first empty slot.
--- a/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
@@ -8,7 +8,7 @@
  * one state.
  */
 public final class SharedSnapshot {
-  private final AtomicReference<RackSnapshot> current = new AtomicReference<>(RackSnapshot.NOTHING);
+  private final AtomicReference<RackSnapshot> current = new AtomicReference<>(RackSnapshot.EMPTY);
 
   /** The latest snapshot; consistent in itself, however old the reader's other knowledge is. */
   public RackSnapshot current() {
--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -57,13 +57,13 @@
                 continue;
               }
               all++;
-              if (time < ofTime.log() + errors * ofTime.error()) {
+              if (time < ofTime.logValue() + errors * ofTime.standardError()) {
                 timeBoundsHeld++;
               }
-              if (capacity < ofCapacity.log() + errors * ofCapacity.error()) {
+              if (capacity < ofCapacity.logValue() + errors * ofCapacity.standardError()) {
                 capacityBoundsHeld++;
               }
-              if (ofCapacity.error() < 0.4) {
+              if (ofCapacity.standardError() < 0.4) {
                 known++;
               }
               double raw = Math.log(sums[a][m] / counts[a][m] / (sums[b][m] / counts[b][m]));
@@ -71,11 +71,11 @@
               for (int n = 0; n < 3; n++) {
                 global += Math.log(sums[a][n] / counts[a][n] / (sums[b][n] / counts[b][n])) / 3;
               }
-              add(errorsByName, "1 time, model", ofTime.log() - time);
+              add(errorsByName, "1 time, model", ofTime.logValue() - time);
               add(errorsByName, "2 time, none", time);
               add(errorsByName, "3 time, one factor", global - time);
               add(errorsByName, "4 time, raw ratio", raw - time);
-              add(errorsByName, "5 capacity, model", ofCapacity.log() - capacity);
+              add(errorsByName, "5 capacity, model", ofCapacity.logValue() - capacity);
               add(errorsByName, "6 capacity, none", capacity);
               add(errorsByName, "7 capacity, raw ratio of times", -raw - capacity);
             }
--- a/src/test/java/sprucerock/hardware/LeastSquaresFitTest.java
+++ b/src/test/java/sprucerock/hardware/LeastSquaresFitTest.java
@@ -39,15 +39,15 @@
             bounds++;
             HardwareModel.Estimate time = model.timeRatio(m, a, b);
             if (Math.log(hardware.time(a, m) / hardware.time(b, m))
-                < time.log() + errors * time.error()) {
+                < time.logValue() + errors * time.standardError()) {
               timeBoundsHeld++;
             }
             HardwareModel.Estimate capacity = model.capacityRatio(m, a, b);
             if (Math.log(hardware.capacity(a, m) / hardware.capacity(b, m))
-                < capacity.log() + errors * capacity.error()) {
+                < capacity.logValue() + errors * capacity.standardError()) {
               capacityBoundsHeld++;
             }
-            widestError = Math.max(widestError, time.error());
+            widestError = Math.max(widestError, time.standardError());
           }
         }
       }
@@ -76,19 +76,21 @@
     HardwareModel model = LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1);
     HardwareModel.Estimate connected = model.timeRatio(0, 0, 2);
     assertEquals(
-        connected.log(),
+        connected.logValue(),
         Math.log(hardware.time(0, 0) / hardware.time(2, 0)),
-        4 * connected.error());
+        4 * connected.standardError());
     assertTrue(
-        connected.error() > model.timeRatio(0, 0, 1).error() && connected.error() < 0.2,
+        connected.standardError() > model.timeRatio(0, 0, 1).standardError()
+            && connected.standardError() < 0.2,
         "" + connected);
     CapacityTranslator translator = new CapacityTranslator(model, List.of(), 0.95);
     assertTrue(
-        translator.needed(0, 10, 0, 1).limit() == CapacityTranslator.Limit.NOT_KNOWN,
+        translator.requiredEndpoints(0, 10, 0, 1).limit() == CapacityTranslator.Limit.NOT_KNOWN,
         "no attempt ever met a busy unit, so cores are not known");
-    assertTrue(translator.atMost(0, 100, 0, 2) > 0);
-    assertTrue(Double.isNaN(translator.atMost(0, 100, 0, 3)));
-    assertEquals(translator.needed(0, 10, 0, 9).limit(), CapacityTranslator.Limit.NOT_KNOWN);
+    assertTrue(translator.maxTimeMs(0, 100, 0, 2) > 0);
+    assertTrue(Double.isNaN(translator.maxTimeMs(0, 100, 0, 3)));
+    assertEquals(
+        translator.requiredEndpoints(0, 10, 0, 9).limit(), CapacityTranslator.Limit.NOT_KNOWN);
   }
 
   @Test
@@ -99,7 +101,7 @@
     SampleSums part = new SampleSums(0, 10); // an earlier state of that relay's last window
     part.add(0, 0, 1, 0, 5);
     assertFalse(once.add(part));
-    assertFalse(once.add(new SampleSums(7, 10 - Observation.WINDOWS)));
+    assertFalse(once.add(new SampleSums(7, 10 - Observation.MAX_WINDOWS)));
     assertEquals(
         LeastSquaresFit.fit(once, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1), model.timeRatio(0, 0, 1));
   }
@@ -119,15 +121,16 @@
               LeastSquaresFit.fit(hardware.observe(10, 2000, 2), 0, ALL_BUILDS, 1), declared, 0.9);
       for (int a = 0; a < 4; a++) {
         for (int b = 0; b < 4; b++) {
-          CapacityTranslator.Answer there = translator.needed(1, 40, a, b);
-          if (!there.known()) {
+          CapacityTranslator.Answer there = translator.requiredEndpoints(1, 40, a, b);
+          if (!there.isKnown()) {
             continue;
           }
-          CapacityTranslator.Answer back = translator.counted(1, there.endpoints(), b, a);
+          CapacityTranslator.Answer back =
+              translator.guaranteedEndpoints(1, there.endpoints(), b, a);
           assertTrue(back.endpoints() <= 40 * (1 + 1e-9), a + " to " + b + " and back: " + back);
           assertEquals(
-              translator.needed(1, 15, a, b).endpoints()
-                  + translator.needed(1, 25, a, b).endpoints(),
+              translator.requiredEndpoints(1, 15, a, b).endpoints()
+                  + translator.requiredEndpoints(1, 25, a, b).endpoints(),
               there.endpoints(),
               1e-9);
         }
@@ -146,12 +149,15 @@
     CapacityTranslator translator =
         new CapacityTranslator(
             model, List.of(new Family(0, 0, 8000), new Family(1, 0, 1000)), 0.95);
-    assertEquals(translator.needed(0, 10, 0, 1).limit(), CapacityTranslator.Limit.MEMORY);
-    assertEquals(translator.needed(0, 10, 0, 1).endpoints(), 80, 1e-9);
-    assertEquals(translator.needed(0, 10, 0, 1, 100, 150).limit(), CapacityTranslator.Limit.TIME);
     assertEquals(
-        translator.needed(0, 10, 0, 1, 100, 5000).limit(), CapacityTranslator.Limit.MEMORY);
-    assertEquals(translator.needed(0, 10, 1, 0).limit(), CapacityTranslator.Limit.CORES);
+        translator.requiredEndpoints(0, 10, 0, 1).limit(), CapacityTranslator.Limit.MEMORY);
+    assertEquals(translator.requiredEndpoints(0, 10, 0, 1).endpoints(), 80, 1e-9);
+    assertEquals(
+        translator.requiredEndpoints(0, 10, 0, 1, 100, 150).limit(), CapacityTranslator.Limit.TIME);
+    assertEquals(
+        translator.requiredEndpoints(0, 10, 0, 1, 100, 5000).limit(),
+        CapacityTranslator.Limit.MEMORY);
+    assertEquals(translator.requiredEndpoints(0, 10, 1, 0).limit(), CapacityTranslator.Limit.CORES);
   }
 
   /** Five families; from window 11 on one is slower, or a new build is on that one. */
@@ -197,9 +203,11 @@
   @Test
   public void canaryDoesNotChangeAFamilysTimes() {
     double with =
-        LeastSquaresFit.fit(observeSlowdown(3, true), 0, SETTLED, 1).timeRatio(0, 3, 1).log();
+        LeastSquaresFit.fit(observeSlowdown(3, true), 0, SETTLED, 1).timeRatio(0, 3, 1).logValue();
     double without =
-        LeastSquaresFit.fit(observeSlowdown(-1, false), 0, SETTLED, 1).timeRatio(0, 3, 1).log();
+        LeastSquaresFit.fit(observeSlowdown(-1, false), 0, SETTLED, 1)
+            .timeRatio(0, 3, 1)
+            .logValue();
     assertEquals(with, without, 0.08);
   }
 
@@ -207,7 +215,8 @@
   public void oneOddWindowChangesLittle() {
     SimulatedHardware hardware = new SimulatedHardware(12, 3);
     Observation observation = hardware.observe(20, 1500, 1);
-    double before = LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1).log();
+    double before =
+        LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1).logValue();
     SampleSums odd = new SampleSums(0, 21);
     for (int i = 0; i < 300; i++) {
       odd.add(0, 0, 1, 0, hardware.ms(0, 0, 0, 20));
@@ -215,7 +224,9 @@
     }
     observation.add(odd);
     assertEquals(
-        LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1).log(), before, 0.15);
+        LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1).logValue(),
+        before,
+        0.15);
   }
 
   @Test
--- a/src/test/java/sprucerock/lease/FencingTokenRegistryTest.java
+++ b/src/test/java/sprucerock/lease/FencingTokenRegistryTest.java
@@ -16,11 +16,11 @@
     assertTrue(registry.admits("other", 1));
     assertTrue(registry.admits("seat", 9));
     assertFalse(registry.admits("seat", 8));
-    assertEquals(registry.highest("seat"), 9);
+    assertEquals(registry.highestToken("seat"), 9);
     assertEquals(registry.rejectedCount(), 1);
     for (int i = 0; i < FencingTokenRegistry.MAX_LEASES; i++) {
       registry.admits("name" + i, 1);
     }
-    assertEquals(registry.highest("seat"), 0);
+    assertEquals(registry.highestToken("seat"), 0);
   }
 }
--- a/src/test/java/sprucerock/lease/LeaseClientTest.java
+++ b/src/test/java/sprucerock/lease/LeaseClientTest.java
@@ -65,12 +65,12 @@
   @Test
   public void quorumInOneRoundHoldsItFromBeforeTheRequest() {
     client.acquire(at(0), 40);
-    client.granted(0, TOKEN, 1, at(100));
+    client.handleGrant(0, TOKEN, 1, at(100));
     assertFalse(client.isHeldAt(at(100)));
-    client.granted(0, TOKEN, 1, at(100)); // twice is once
-    client.granted(2, TOKEN, 9, at(100)); // of no round of ours
+    client.handleGrant(0, TOKEN, 1, at(100)); // twice is once
+    client.handleGrant(2, TOKEN, 9, at(100)); // of no round of ours
     assertFalse(client.isHeldAt(at(100)));
-    client.granted(2, TOKEN, 1, at(100));
+    client.handleGrant(2, TOKEN, 1, at(100));
     assertEvents("request 40 round 1", "acquired");
     double until = 1000 * 0.99 / 1.01;
     assertTrue(client.isHeldAt(at(until - 1)));
@@ -81,13 +81,13 @@
   public void renewsInTimeAndHoldsItUntilTheTermRunsOut() {
     client.acquire(at(0), 40);
     for (int grantor = 0; grantor < 3; grantor++) {
-      client.granted(grantor, TOKEN, 1, at(1));
+      client.handleGrant(grantor, TOKEN, 1, at(1));
     }
     double renewal = client.nextTick().ms();
     assertTrue(renewal > 320 && renewal < 500, "" + renewal);
     client.tick(at(renewal), 40);
-    client.granted(0, TOKEN, 2, at(renewal + 1));
-    client.granted(1, TOKEN, 1, at(renewal + 1)); // from the first round, late
+    client.handleGrant(0, TOKEN, 2, at(renewal + 1));
+    client.handleGrant(1, TOKEN, 1, at(renewal + 1)); // from the first round, late
     client.tick(at(985), 40);
     assertEvents(
         "request 40 round 1",
@@ -103,9 +103,9 @@
   @Test
   public void withoutAQuorumItReleasesAndBacksOff() {
     client.acquire(at(0), 40);
-    client.granted(0, TOKEN, 1, at(1));
-    client.rejected(1, TOKEN, 1, 90L << 16, TimeSpan.ZERO, false, at(1));
-    client.rejected(2, TOKEN, 1, 0, TimeSpan.ZERO, false, at(1));
+    client.handleGrant(0, TOKEN, 1, at(1));
+    client.handleRejection(1, TOKEN, 1, 90L << 16, TimeSpan.ZERO, false, at(1));
+    client.handleRejection(2, TOKEN, 1, 0, TimeSpan.ZERO, false, at(1));
     assertEvents("request 40 round 1", "release to 0");
     double first = client.nextTick().ms();
     client.tick(at(first), 40);
@@ -119,7 +119,7 @@
     client.acquire(at(0), 40);
     client.release(-1);
     events.clear();
-    client.granted(1, TOKEN, 1, at(5));
+    client.handleGrant(1, TOKEN, 1, at(5));
     assertEvents("release to 1");
     assertFalse(client.isHeldAt(at(5)));
   }
@@ -128,7 +128,7 @@
   public void checkReadsTheClockAndPassesTheToken() {
     client.acquire(at(0), 40);
     for (int grantor = 0; grantor < 3; grantor++) {
-      client.granted(grantor, TOKEN, 1, at(1));
+      client.handleGrant(grantor, TOKEN, 1, at(1));
     }
     double[] clockMs = {0};
     LeaseCheck check = new LeaseCheck(client, () -> at(clockMs[0]));
--- a/src/test/java/sprucerock/lease/LeaseGrantorTest.java
+++ b/src/test/java/sprucerock/lease/LeaseGrantorTest.java
@@ -20,12 +20,12 @@
   private final LeaseGrantor.Replies recorder =
       new LeaseGrantor.Replies() {
         @Override
-        public void granted(int client, String name, long token, long round) {
+        public void sendGranted(int client, String name, long token, long round) {
           answers.add(client + " granted " + token);
         }
 
         @Override
-        public void rejected(
+        public void sendRejected(
             int client,
             String name,
             long token,
@@ -37,7 +37,7 @@
         }
 
         @Override
-        public void available(int client, String name) {
+        public void sendAvailable(int client, String name) {
           answers.add(client + " available");
         }
       };
--- a/src/test/java/sprucerock/lease/LeaseProcessCluster.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessCluster.java
@@ -186,7 +186,7 @@
         connection.send(
             FrameKind.TOLD,
             Told.getDefaultInstance(),
-            (words[0] + " " + registry.highest(words[0])).getBytes(StandardCharsets.UTF_8));
+            (words[0] + " " + registry.highestToken(words[0])).getBytes(StandardCharsets.UTF_8));
       }
       Long before = highest.get(words[0]);
       if (before == null || token > before) {
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -89,12 +89,12 @@
           TERMS,
           new LeaseGrantor.Replies() {
             @Override
-            public void granted(int client, String name, long token, long round) {
-              messages.add(() -> clients[client].granted(which, token, round, now));
+            public void sendGranted(int client, String name, long token, long round) {
+              messages.add(() -> clients[client].handleGrant(which, token, round, now));
             }
 
             @Override
-            public void rejected(
+            public void sendRejected(
                 int client,
                 String name,
                 long token,
@@ -104,7 +104,7 @@
                 LeaseGrantor.Rejection why) {
               messages.add(
                   () ->
-                      clients[client].rejected(
+                      clients[client].handleRejection(
                           which,
                           token,
                           round,
@@ -115,7 +115,7 @@
             }
 
             @Override
-            public void available(int client, String name) {
+            public void sendAvailable(int client, String name) {
               notifications++;
             }
           },
@@ -124,7 +124,7 @@
 
     void runUntil(double untilMs) {
       for (int i = 0; i < clients.length; i++) {
-        if (!clients[i].wanted()) {
+        if (!clients[i].campaigning()) {
           clients[i].acquire(now, 1);
           deliverAll();
           schedule(i);
--- a/src/test/java/sprucerock/lease/LeaseSimulation.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -45,7 +45,7 @@
 
     /** How long a grantor that begins anew grants nothing. */
     default TimeSpan startupDelay(LeaseTerms terms) {
-      return terms.longestTerm();
+      return terms.maxTerm();
     }
   }
 
@@ -163,8 +163,8 @@
     landed = other.landed;
     withoutRejections = other.withoutRejections;
     lastTaken = other.lastTaken;
-    if (other.registry.highest(NAME) > 0) {
-      registry.admits(NAME, other.registry.highest(NAME));
+    if (other.registry.highestToken(NAME) > 0) {
+      registry.admits(NAME, other.registry.highestToken(NAME));
     }
     for (int i = 0; i < clients.length; i++) {
       clients[i] = made(i);
@@ -403,9 +403,9 @@
         return false;
       }
       if (message.kind == Kind.GRANTED) {
-        clients[who].granted(message.grantor, message.token, message.round, clock(who));
+        clients[who].handleGrant(message.grantor, message.token, message.round, clock(who));
       } else {
-        clients[who].rejected(
+        clients[who].handleRejection(
             message.grantor,
             message.token,
             message.round,
@@ -422,7 +422,7 @@
             terms,
             new LeaseGrantor.Replies() {
               @Override
-              public void granted(int client, String name, long token, long round) {
+              public void sendGranted(int client, String name, long token, long round) {
                 send(
                     new Message(
                         Kind.GRANTED,
@@ -437,7 +437,7 @@
               }
 
               @Override
-              public void rejected(
+              public void sendRejected(
                   int client,
                   String name,
                   long token,
@@ -461,7 +461,7 @@
               }
 
               @Override
-              public void available(int client, String name) {
+              public void sendAvailable(int client, String name) {
                 // only makes it quicker
               }
             },
--- a/src/test/java/sprucerock/lease/LeaseStudy.java
+++ b/src/test/java/sprucerock/lease/LeaseStudy.java
@@ -56,18 +56,21 @@
               terms,
               new LeaseGrantor.Replies() {
                 @Override
-                public void granted(int who, String name, long number, long round) {
+                public void sendGranted(int who, String name, long number, long round) {
                   deliver(
                       () ->
                           members
                               .get(who)
                               .heard(
                                   () ->
-                                      members.get(who).client.granted(at, number, round, time())));
+                                      members
+                                          .get(who)
+                                          .client
+                                          .handleGrant(at, number, round, time())));
                 }
 
                 @Override
-                public void rejected(
+                public void sendRejected(
                     int who,
                     String name,
                     long number,
@@ -84,7 +87,7 @@
                                       members
                                           .get(who)
                                           .client
-                                          .rejected(
+                                          .handleRejection(
                                               at,
                                               number,
                                               round,
@@ -95,12 +98,12 @@
                 }
 
                 @Override
-                public void available(int who, String name) {
+                public void sendAvailable(int who, String name) {
                   deliver(
                       () ->
                           members
                               .get(who)
-                              .heard(() -> members.get(who).client.available(time(), 0)));
+                              .heard(() -> members.get(who).client.handleAvailable(time(), 0)));
                 }
               },
               Timestamp.ofMs(-1),
--- a/src/test/java/sprucerock/relay/healthcheck/HealthCheckSchedulerTest.java
+++ b/src/test/java/sprucerock/relay/healthcheck/HealthCheckSchedulerTest.java
@@ -57,20 +57,20 @@
           }
           case 2 -> {
             boolean busy = random.nextBoolean();
-            scheduler.answered(endpoint, TimeSpan.ofMs(busy ? 100 : 5000), now);
+            scheduler.recordAnswer(endpoint, TimeSpan.ofMs(busy ? 100 : 5000), now);
             if (due.containsKey(endpoint)) {
               due.put(endpoint, nowMs + (busy ? 10_000 : 2000) * (0.75 + 0.5 * randomDraw));
             }
           }
           case 3 -> {
-            scheduler.timedOut(endpoint, now);
+            scheduler.recordTimeout(endpoint, now);
             if (due.containsKey(endpoint)) {
               due.put(endpoint, nowMs + 1000 * (0.75 + 0.5 * randomDraw));
             }
           }
           default -> {
             long next = firstByFullScan(due, nowMs);
-            assertEquals(scheduler.next(now), next, "seed " + seed + ", step " + i);
+            assertEquals(scheduler.takeNext(now), next, "seed " + seed + ", step " + i);
             if (next >= 0) {
               due.put(next, nowMs + 10_000);
             }
