--- a/src/main/java/sprucerock/lease/FencingTokenRegistry.java
+++ b/src/main/java/sprucerock/lease/FencingTokenRegistry.java
@@ -5,21 +5,22 @@
 import java.util.Map;
 
 /**
- * At the place where acts land: the highest fencing token of each lease that acted there, below
- * which none acts any more. It holds whatever clocks do, and never asks the grantors. It is lost
- * with its process; then time alone guards, for one term. Not thread-safe.
+ * The highest fencing token of each lease, kept by a process that receives acts of lease holders.
+ * It rejects acts under lower tokens, whatever clocks do, and never asks the grantors. It is lost
+ * with its process; for one term after that only the holders' clocks prevent acts of former
+ * holders. Not thread-safe.
  */
 public final class FencingTokenRegistry {
-  /** Leases that are remembered; beyond, the one that acted longest ago is forgotten. */
+  /** The largest number of leases. Beyond it the least recently used lease is forgotten. */
   public static final int MAX_LEASES = 1024;
 
   private final Map<String, Long> highestTokens = new LinkedHashMap<>(16, 0.75f, true);
   private long rejectedCount;
 
-  /** Whether an act under that token may be done; it is then the highest. */
+  /** Returns whether an act under a token may be done, and then records the token as highest. */
   public boolean admits(String name, long token) {
-    Long known = highestTokens.get(name);
-    if (known != null && token < known) {
+    Long highestSeen = highestTokens.get(name);
+    if (highestSeen != null && token < highestSeen) {
       rejectedCount++;
       return false;
     }
@@ -32,12 +33,12 @@
     return true;
   }
 
-  /** The highest token that acted; 0: none is known. */
+  /** Returns the highest token that acted under a lease; 0: none is known. */
   public long highestToken(String name) {
     return highestTokens.getOrDefault(name, 0L);
   }
 
-  /** Acts that were rejected so far. */
+  /** Returns the number of acts rejected so far. */
   public long rejectedCount() {
     return rejectedCount;
   }
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -3,16 +3,16 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What a grantor knows of one name. Never changed, only replaced.
+ * The latest grant of one lease at a grantor. Immutable.
  *
- * @param token the highest that was granted under this name
- * @param holder by its number in the fleet
- * @param incarnation of the holder's process: another one with each start, so that two under one
- *     number are told apart
- * @param expiresAt by the grantor's clock
- * @param open it was not given back
- * @param successor to whom it was handed over, and is kept for until {@code expiresAt}; -1: to
- *     nobody
+ * @param token the highest token that was granted for this lease
+ * @param holder the holder's client number
+ * @param incarnation the incarnation of the holder's process; it differs with each start, so it
+ *     distinguishes two processes that have one client number
+ * @param expiresAt the end of the grant, or of the time for which it is kept for the successor, by
+ *     the grantor's clock
+ * @param outstanding whether the holder has not released the lease
+ * @param successor the client that the lease is kept for until {@code expiresAt}; -1: none
  */
 record Grant(
     long token,
--- a/src/main/java/sprucerock/lease/GrantorConnections.java
+++ b/src/main/java/sprucerock/lease/GrantorConnections.java
@@ -23,25 +23,28 @@
 
 /**
  * A process's connections to all grantors, and the lease messages in both directions. Messages to a
- * grantor that is not connected are lost. On the loop's thread alone.
+ * grantor that is not connected are lost. Runs only on the loop's thread.
  */
 final class GrantorConnections {
-  /** What grantors send. On the loop's thread. */
+  /** Receives the messages of the grantors, on the loop's thread. */
   interface Listener {
-    /** A grantor answered a request: granted or rejected. */
-    void replied(int grantor, LeaseSaid vote);
+    /** A grantor granted or rejected a request. */
+    void replied(int grantor, LeaseSaid reply);
 
-    /** A grantor says that a lease may be had. */
+    /** A grantor reported that a lease is available. */
     void available(String name);
 
-    /** A grantor answered a query with all that it knows. */
-    void queryAnswered(int grantor, LeaseListed known);
+    /** A grantor answered a query with all its grants. */
+    void queryAnswered(int grantor, LeaseListed answer);
   }
 
   private static final byte[] NO_BODY = {};
 
-  /** A fleet that starts together does not dial its grantors in one instant. */
-  private static final double DIAL_SPREAD = 0.1;
+  /**
+   * The share of the usable term over which the connection attempts of a fleet that starts at the
+   * same time are spread.
+   */
+  private static final double DIAL_SPREAD_SHARE = 0.1;
 
   private final Net net;
   private final LeaseConfig config;
@@ -53,7 +56,7 @@
   private final List<ReconnectingConnection> connections = new ArrayList<>();
   private boolean stopping;
 
-  /** Connects to nobody before {@link #start}. */
+  /** Creates the connections, which are opened by {@link #start}. */
   GrantorConnections(
       Net net,
       LeaseConfig config,
@@ -77,21 +80,21 @@
             .build();
   }
 
-  /** Dials all grantors, spread over a tenth of the usable term. */
+  /** Connects to all grantors, spread over a tenth of the usable term. */
   void start(TimeSpan usableTerm, DeterministicRandom random) {
-    for (int i = 0; i < config.grantors().size(); i++) {
+    for (int grantor = 0; grantor < config.grantors().size(); grantor++) {
       ReconnectingConnection connection =
           new ReconnectingConnection(
               net,
-              config.grantors().get(i),
+              config.grantors().get(grantor),
               hello,
               LeaseManager.LIMITS,
               tap,
               random,
-              new Session(i));
+              new Session(grantor));
       connections.add(connection);
       net.at(
-          net.now().plus(usableTerm.times(DIAL_SPREAD * random.next())),
+          net.now().plus(usableTerm.times(DIAL_SPREAD_SHARE * random.next())),
           () -> {
             if (!stopping) {
               connection.connect();
@@ -100,12 +103,12 @@
     }
   }
 
-  /** From now on a connection that is lost is no news. */
+  /** Stops the logging of lost connections. */
   void expectClose() {
     stopping = true;
   }
 
-  /** Closes all, once what was sent has gone out. */
+  /** Closes all connections after the sent messages have gone out. */
   void stop() {
     expectClose();
     connections.forEach(ReconnectingConnection::stop);
@@ -130,7 +133,11 @@
             NO_BODY);
   }
 
-  /** {@code successor}: the client that should have it next; -1: anybody. */
+  /**
+   * Releases a grant.
+   *
+   * @param successor the client that gets the lease next; -1: any client
+   */
   void release(int grantor, String name, long token, int successor) {
     connections
         .get(grantor)
@@ -146,10 +153,10 @@
             NO_BODY);
   }
 
-  /** Asks all grantors what they know. */
+  /** Queries all grantors for their grants. */
   void query() {
-    for (ReconnectingConnection one : connections) {
-      one.send(FrameKind.LEASE_LIST, LeaseList.getDefaultInstance(), NO_BODY);
+    for (ReconnectingConnection connection : connections) {
+      connection.send(FrameKind.LEASE_LIST, LeaseList.getDefaultInstance(), NO_BODY);
     }
   }
 
@@ -164,7 +171,13 @@
     @Override
     public void helloReceived(FrameConnection connection, Hello other) {
       if (other.getRole() != Role.GRANTER || other.getNumber() != grantor) {
-        connection.cut("granter " + grantor + " is not who answers there");
+        connection.cut(
+            "expected lease grantor "
+                + grantor
+                + ", but the peer is "
+                + other.getRole()
+                + " "
+                + other.getNumber());
         return;
       }
       established = true;
@@ -176,15 +189,20 @@
         case LEASE_SAID -> listener.replied(grantor, (LeaseSaid) head);
         case LEASE_FREE -> listener.available(((LeaseFree) head).getName());
         case LEASE_LISTED -> listener.queryAnswered(grantor, (LeaseListed) head);
-        default -> connections.get(grantor).cut("a granter sends no " + kind);
+        default -> connections.get(grantor).cut("unexpected frame from a lease grantor: " + kind);
       }
     }
 
     @Override
-    public void closed(String why) {
+    public void closed(String reason) {
       if (established && !stopping) {
         log.warn(
-            "granter " + grantor + " at " + config.grantors().get(grantor) + " is lost: " + why);
+            "lost the connection to lease grantor "
+                + grantor
+                + " at "
+                + config.grantors().get(grantor)
+                + ": "
+                + reason);
       }
       established = false;
     }
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -24,16 +24,16 @@
 import sprucerock.transport.wire.v1.Role;
 
 /**
- * The grantor's side on the network: takes connections from lease clients and passes their requests
- * to a {@link LeaseGrantor}. It reads the steady clock anew with each request: a loop's time stands
- * still within a turn, and a grant that began before its request was sent would end before its
- * holder expects it. On one loop's thread.
+ * The network side of a grantor. It accepts connections from lease clients and passes their
+ * requests to a {@link LeaseGrantor}. It reads the monotonic clock again for each request: the
+ * loop's time does not advance within a loop iteration, and a grant that began before its request
+ * was sent would end before its holder expects. Runs on one loop's thread.
  */
 public final class GrantorListener {
   private static final byte[] NO_BODY = {};
   private static final int MAX_NAME_LENGTH = 64;
-  // Of one connection: a client for 64 leases that renews each at its quickest sends a tenth of
-  // that. What is more gets no answer, and a client waits for answers no longer than its timeout.
+  // The limit of one connection. A client with 64 leases that renews each as fast as it can sends a
+  // tenth of that. Requests beyond the limit get no answer, and the client's rounds time out.
   private static final int MAX_REQUESTS_PER_SECOND = 2000;
 
   private final Net net;
@@ -47,7 +47,7 @@
   private Net.Listener listener;
   private long droppedRequests;
 
-  /** The grantor that the configuration says this process is. */
+  /** Creates the grantor that the configuration assigns to this process. */
   public GrantorListener(
       Net net, LeaseConfig config, String name, FrameTap tap, LeaseManager.Log log) {
     this.net = net;
@@ -65,15 +65,16 @@
   }
 
   /**
-   * Listens for lease clients; says at which address.
+   * Listens for lease clients.
    *
-   * @throws IOException if its address can't be had
+   * @return the address that it listens at
+   * @throws IOException if it can't listen at its address
    */
   public InetSocketAddress start() throws IOException {
-    InetSocketAddress at = config.grantors().get(config.grantorNumber());
+    InetSocketAddress ownAddress = config.grantors().get(config.grantorNumber());
     listener =
         net.listen(
-            config.listen() == null ? at : config.listen(),
+            config.listen() == null ? ownAddress : config.listen(),
             config.maxConnections(),
             LeaseManager.LIMITS.maxUnsentBytes(),
             () -> {
@@ -83,19 +84,19 @@
               return session.connection;
             });
     log.info(
-        "granter "
+        "lease grantor "
             + config.grantorNumber()
             + " listens at "
             + listener.address()
-            + " and grants after "
+            + "; it grants leases after "
             + Math.round(config.maxTerm().ms())
-            + " ms, when all that its last life granted is over");
+            + " ms, when all grants of its previous incarnation have expired");
     return listener.address();
   }
 
   /**
-   * Closes all connections. What is granted runs on; clients find other grantors, or this one's
-   * next incarnation.
+   * Closes all connections. Grants remain valid. Clients use the other grantors, or the next
+   * incarnation of this one.
    */
   public void stop() {
     listener.close();
@@ -104,12 +105,12 @@
     }
   }
 
-  /** Requests beyond what one connection may send, which got no answer. */
+  /** Returns the number of requests that were dropped because a connection sent too many. */
   public long droppedRequests() {
     return droppedRequests;
   }
 
-  /** Answers go to whoever asked last, notifications to the client that waits. */
+  /** Sends answers to the latest requester, and notifications to the client that waits. */
   private final class Answers implements LeaseGrantor.Replies {
     @Override
     public void sendGranted(int client, String name, long token, long round) {
@@ -124,17 +125,17 @@
         long token,
         long round,
         long highest,
-        TimeSpan left,
-        LeaseGrantor.Rejection why) {
+        TimeSpan minWait,
+        LeaseGrantor.Rejection reason) {
       answer(
           LeaseSaid.newBuilder()
               .setName(name)
               .setNumber(token)
               .setRound(round)
               .setHighest(highest)
-              .setLeftUs(notNegativeUs(left))
-              .setHeld(why == LeaseGrantor.Rejection.HELD)
-              .setWhy(why.name()));
+              .setLeftUs(notNegativeUs(minWait))
+              .setHeld(reason == LeaseGrantor.Rejection.HELD)
+              .setWhy(reason.name()));
     }
 
     private void answer(LeaseSaid.Builder answer) {
@@ -157,19 +158,22 @@
 
   private final class Session implements FrameListener {
     private FrameConnection connection;
-    private int clientNumber = -1; // the client's, once it has greeted
+
+    /** The client's number; -1: its hello has not been received. */
+    private int clientNumber = -1;
+
     private Timestamp secondStartedAt;
     private int requestsInSecond;
 
     @Override
-    public void helloReceived(FrameConnection made, Hello other) {
+    public void helloReceived(FrameConnection helloConnection, Hello other) {
       if (other.getNumber() < 0 || other.getNumber() > 65_535) {
-        made.cut("a candidate's number is 0 to 65535");
+        helloConnection.cut("lease client number must be 0 to 65535, not " + other.getNumber());
         return;
       }
       clientNumber = other.getNumber();
-      // an older connection under this number still gets its answers, but is notified of nothing
-      // that becomes available
+      // An older connection of this client still gets answers, but no notifications of available
+      // leases.
       sessions.put(clientNumber, this);
     }
 
@@ -188,7 +192,7 @@
               net.readClock());
         }
         case LEASE_LIST -> connection.send(FrameKind.LEASE_LISTED, listed(), NO_BODY);
-        default -> connection.cut("a granter takes no " + kind);
+        default -> connection.cut("unexpected frame to a lease grantor: " + kind);
       }
     }
 
@@ -198,19 +202,24 @@
         droppedRequests++;
         return;
       }
-      // a client that counts other terms would trust in what nobody granted
+      // A client with a longer term would act after its grants have expired.
       if (request.getTermUs() != (long) (config.term().ms() * 1000)) {
         connection.cut(
-            "terms differ: leases/term is "
+            "the lease terms of client and grantor must be equal: leases/term is "
                 + Math.round(config.term().ms())
-                + " ms here and "
+                + " ms at this grantor and "
                 + request.getTermUs() / 1000
-                + " ms there");
+                + " ms at the client");
       } else if (request.getName().isEmpty()
           || request.getName().length() > MAX_NAME_LENGTH
           || request.getNumber() <= 0) {
         connection.cut(
-            "a lease has a name of 1 to " + MAX_NAME_LENGTH + " characters and a number above 0");
+            "a lease request must have a name of 1 to "
+                + MAX_NAME_LENGTH
+                + " characters and a fencing token above 0, not a name of "
+                + request.getName().length()
+                + " characters and token "
+                + request.getNumber());
       } else {
         requester = this;
         grantor.request(
@@ -232,7 +241,7 @@
     }
 
     @Override
-    public void closed(String why) {
+    public void closed(String reason) {
       if (sessions.remove(clientNumber, this)) {
         grantor.disconnected(clientNumber);
       }
@@ -241,13 +250,13 @@
 
   private LeaseListed listed() {
     Timestamp now = net.readClock();
-    LeaseListed.Builder all =
+    LeaseListed.Builder list =
         LeaseListed.newBuilder()
             .setGranter(config.grantorNumber())
             .setRefused(grantor.rejectedCount())
             .setOpensUs(notNegativeUs(grantor.grantsFrom().since(now)));
-    grantor.grants().forEach((name, grant) -> all.addEntries(entry(name, grant, now)));
-    return all.build();
+    grantor.grants().forEach((name, grant) -> list.addEntries(entry(name, grant, now)));
+    return list.build();
   }
 
   private LeaseEntry entry(String name, Grant grant, Timestamp now) {
--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -6,54 +6,60 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The one way to act under a lease. Time is looked at when the act begins, not when its turn of the
- * loop began; and as a process may stand still right after that look, the act bears the lease's
- * fencing token, which the place where it lands compares with the highest that it saw ({@link
- * FencingToken}). (Burrows, "The Chubby lock service", 2006, calls such a token a sequencer.)
+ * The only way to act under a lease. The clock is read when the act begins, not when the loop
+ * iteration began. A process may stall right after the clock was read, so the act carries the
+ * lease's fencing token, and the process that receives the act compares it with the highest token
+ * that it saw ({@link FencingTokenRegistry}). Burrows, "The Chubby lock service", 2006, calls such
+ * a token a sequencer.
  */
 public class LeaseCheck {
   private final LeaseClient client;
   private final Supplier<Timestamp> clock;
 
-  /** {@code clock}: this process's steady clock, read anew with each call. */
+  /**
+   * Creates a check.
+   *
+   * @param clock this process's monotonic clock, read again with each call
+   */
   LeaseCheck(LeaseClient client, Supplier<Timestamp> clock) {
     this.client = client;
     this.clock = clock;
   }
 
   /**
-   * Runs an act with the fencing token if the lease is held for certain for that long yet.
+   * Runs an act, with the fencing token, if the lease is certainly held for the duration of the
+   * act.
    *
-   * @param needs how long the act takes at most
-   * @return false if nothing was done
+   * @param maxDuration how long the act takes at most
+   * @return false if the act was not run
    */
-  public boolean runIfHeld(TimeSpan needs, LongConsumer act) {
-    if (!isHeldFor(needs)) {
+  public boolean runIfHeld(TimeSpan maxDuration, LongConsumer act) {
+    if (!isHeldFor(maxDuration)) {
       return false;
     }
     act.accept(client.token());
     return true;
   }
 
-  /** The same for an act that takes no time worth the name. */
+  /** Runs an act of negligible duration, with the fencing token, if the lease is held. */
   public boolean runIfHeld(LongConsumer act) {
     return runIfHeld(TimeSpan.ZERO, act);
   }
 
-  boolean isHeldFor(TimeSpan needs) {
+  boolean isHeldFor(TimeSpan maxDuration) {
     Timestamp now = clock.get();
-    return client.isHeldAt(now) && !needs.over(client.remaining(now));
+    return client.isHeldAt(now) && !maxDuration.over(client.remaining(now));
   }
 
   /**
-   * Whether it is held now. What is done on this answer alone, without {@link
+   * Returns whether the lease is held now. An act that relies only on this answer, without {@link
    * #runIfHeld(LongConsumer)}, is not safe.
    */
   public boolean isHeld() {
     return isHeldFor(TimeSpan.ZERO);
   }
 
-  /** An act was rejected where it landed, as that had seen a higher token. */
+  /** Records the higher token by which the receiver of an act rejected it. */
   public void tokenRejected(long higherToken) {
     client.observeToken(higherToken);
   }
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -5,38 +5,38 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One process's side of one lease: requests it from all grantors, holds it while a quorum granted
- * it in one round, renews it in time, and releases it. The term counts from before the request was
- * sent, by this process's own clock, shortened by the allowed clock drift; so the client stops
- * before any grantor can grant the lease to another. Whether it is held is asked at the last
- * instant, through {@link LeaseCheck}.
+ * One process's side of one lease. It requests the lease from all grantors, holds it once a quorum
+ * has granted it in one round, renews it in time, and releases it. The term counts from before the
+ * request was sent, by this process's own clock, and is shortened by the allowed clock drift. So
+ * the client stops before any grantor can grant the lease to another client. Callers ask through
+ * {@link LeaseCheck}, immediately before they act, whether the lease is held.
  *
- * <p>A pure state machine: it reads no clock, starts no timer and sends through its {@link
- * Transport} alone. Not thread-safe.
+ * <p>A pure state machine: it reads no clock, starts no timer and sends only through its {@link
+ * Transport}. Not thread-safe.
  */
 class LeaseClient {
-  /** Sends requests and is notified of changes; messages may get lost. */
+  /** Sends messages, which may get lost, and is notified when the lease is acquired or lost. */
   interface Transport {
     void request(int grantor, String name, long token, long round);
 
     /**
-     * Gives a grant back.
+     * Releases a grant.
      *
-     * @param successor the client that should have it next; -1: anybody
+     * @param successor the client that gets the lease next; -1: any client
      */
     void release(int grantor, String name, long token, int successor);
 
     void acquired(String name, long token);
 
-    void lost(String name, long token, String why);
+    void lost(String name, long token, String reason);
   }
 
-  /** The low bits of a token say which client chose it; the rest counts up. */
+  /** The number of low bits of a token that name the client that chose it. The rest counts up. */
   private static final int CLIENT_BITS = 16;
 
-  // Shares of the usable term. Renewed after a third, with up to a sixth of jitter, so that a
-  // fleet's renewals spread and two lost rounds still leave a third one. An answer is waited for a
-  // sixth, far over a round trip wherever a term makes sense.
+  // Shares of the usable term. A lease is renewed after a third, with up to a sixth of jitter, so
+  // that the renewals of a fleet spread out and a third round is possible after two lost ones. The
+  // timeout of a round is a sixth, far more than a round trip with any sensible term.
   private static final double RENEW_SHARE = 1.0 / 3;
   private static final double JITTER_SHARE = 1.0 / 6;
   private static final double ROUND_TIMEOUT_SHARE = 1.0 / 6;
@@ -51,18 +51,25 @@
 
   private final LeaseRound round = new LeaseRound();
   private boolean campaigning;
-  private long token; // 0: none is requested
-  private Timestamp heldUntil; // null: not held
-  private Timestamp nextTick; // null: nothing is to be done by time
+
+  /** The token of the present request or lease; 0: none. */
+  private long token;
+
+  /** The end of the usable term; null: the lease is not held. */
+  private Timestamp heldUntil;
+
+  /** The time of the next action; null: no action is due by time. */
+  private Timestamp nextTick;
+
   private long highestSeen;
   private int failures;
 
   /**
-   * A client that wants nothing yet.
+   * Creates a client that does not campaign yet.
    *
-   * @param random numbers from 0 to under 1
+   * @param random returns numbers from 0 to under 1
    * @param client this process's number in the fleet, 0 to 65535
-   * @param incarnation another one with each start of the process
+   * @param incarnation a number that differs with each start of the process
    * @throws IllegalArgumentException if {@code client} is out of range
    */
   LeaseClient(
@@ -73,7 +80,7 @@
       int client,
       long incarnation) {
     if (client < 0 || client >= 1 << CLIENT_BITS) {
-      throw new IllegalArgumentException("a candidate's number is 0 to 65535, not " + client);
+      throw new IllegalArgumentException("lease client number must be 0 to 65535, not " + client);
     }
     this.name = name;
     this.terms = terms;
@@ -83,7 +90,7 @@
     this.incarnation = incarnation;
   }
 
-  /** Takes over all that the other one knows, so that a search can branch from one state. */
+  /** Copies the state of another client, so that a state-space search can branch. */
   void copyStateFrom(LeaseClient other) {
     round.copyFrom(other.round);
     campaigning = other.campaigning;
@@ -94,12 +101,12 @@
     failures = other.failures;
   }
 
-  /** All that it knows but for each grantor's vote, which {@link #voteOf} says. */
+  /** Returns the whole state as text, except the grantors' votes: see {@link #voteOf}. */
   String stateWithoutVotes() {
     return name
         + " by "
         + client
-        + (campaigning ? "" : ", not wanted")
+        + (campaigning ? "" : ", not campaigning")
         + ", token "
         + token
         + ", round "
@@ -114,7 +121,7 @@
         + failures;
   }
 
-  /** What a grantor said in this round: 1 that it is granted, 2 that it isn't, 0 nothing. */
+  /** Returns a grantor's answers in this round; bit 0: it granted, bit 1: it rejected. */
   int voteOf(int grantor) {
     return round.voteOf(grantor);
   }
@@ -127,7 +134,11 @@
     return incarnation;
   }
 
-  /** It is to be had from now on. {@code floorMs}: see {@link #nextToken}. */
+  /**
+   * Starts to campaign for the lease. Without effect while this client campaigns.
+   *
+   * @param floorMs see {@link #nextToken}
+   */
   void acquire(Timestamp now, long floorMs) {
     if (campaigning) {
       return;
@@ -137,14 +148,14 @@
   }
 
   /**
-   * Gives it back, if it is held, and requests it no more.
+   * Releases the lease and stops campaigning for it.
    *
-   * @param successor who is to have it next; -1: anybody
+   * @param successor the client that gets the lease next; -1: any client
    */
   void release(int successor) {
     campaigning = false;
     nextTick = null;
-    relinquish("left", successor);
+    relinquish("released by this process", successor);
   }
 
   boolean campaigning() {
@@ -152,10 +163,12 @@
   }
 
   /**
-   * A token higher than all that were seen, ending in whose it is, so that no two clients can
-   * request under one. Grantors forget tokens when they restart; so it is not below the wall clock
-   * either, which {@code floorMs} tells in milliseconds. A wall clock that is wrong costs nothing
-   * but tokens: nobody's safety depends on it while one grantor of a quorum remembers.
+   * Returns a token that is higher than all tokens seen. Its low bits are the client's number, so
+   * that no two clients request under one token. Grantors forget tokens when they restart, so the
+   * token is also not below the wall clock. A wrong wall clock only skips tokens: safety does not
+   * depend on it while one grantor of a quorum remembers the highest token.
+   *
+   * @param floorMs the wall clock in milliseconds
    */
   private long nextToken(long floorMs) {
     return Math.max((highestSeen >>> CLIENT_BITS) + 1, floorMs) << CLIENT_BITS | client;
@@ -170,19 +183,19 @@
   private void beginRound(Timestamp now) {
     round.begin(now);
     nextTick = now.plus(terms.usableTerm().times(ROUND_TIMEOUT_SHARE));
-    for (int each = 0; each < terms.grantorCount(); each++) {
-      transport.request(each, name, token, round.number());
+    for (int grantor = 0; grantor < terms.grantorCount(); grantor++) {
+      transport.request(grantor, name, token, round.number());
     }
   }
 
-  /** A grantor granted it. */
-  void handleGrant(int grantor, long ofToken, long ofRound, Timestamp now) {
-    if (ofToken != token) {
-      // of a token that was given up; the release that told the grantor so may have been lost
-      transport.release(grantor, name, ofToken, -1);
+  /** Counts a grant. A quorum of grants in the current round acquires or renews the lease. */
+  void handleGrant(int grantor, long answeredToken, long answeredRound, Timestamp now) {
+    if (answeredToken != token) {
+      // The token was given up, and the release that said so may have been lost.
+      transport.release(grantor, name, answeredToken, -1);
       return;
     }
-    if (!isCurrentRound(ofRound)) {
+    if (!isCurrentRound(answeredRound)) {
       return;
     }
     round.addGrant(grantor);
@@ -191,49 +204,53 @@
     }
     Timestamp end = termStart(now).plus(usableTerm());
     if (!end.after(now)) {
-      return; // so late that the term is over; the round ends by its timeout
+      // The grants arrived after the end of the term. The round ends by its timeout.
+      return;
     }
-    final boolean first = heldUntil == null;
+    final boolean newlyAcquired = heldUntil == null;
     heldUntil = end;
     failures = 0;
     double renewAfter = RENEW_SHARE + JITTER_SHARE * random.getAsDouble();
     nextTick = round.requestedAt().plus(terms.usableTerm().times(renewAfter)).later(now);
-    if (first) {
+    if (newlyAcquired) {
       transport.acquired(name, token);
     }
   }
 
   /**
-   * A grantor rejected the request.
+   * Counts a rejection. The round fails if too few grantors are left for a quorum.
    *
-   * @param highest the token that the next one has to exceed
-   * @param wait asking again before that is of no use
-   * @param held whether another client holds it
+   * @param highest the token that the next request has to exceed
+   * @param minWait a request before this time span has passed is rejected too
+   * @param held whether another client holds the lease
    */
   void handleRejection(
       int grantor,
-      long ofToken,
-      long ofRound,
+      long answeredToken,
+      long answeredRound,
       long highest,
-      TimeSpan wait,
+      TimeSpan minWait,
       boolean held,
       Timestamp now) {
     observeToken(highest);
-    if (ofToken != token || ofRound != round.number()) {
+    if (answeredToken != token || answeredRound != round.number()) {
       return;
     }
-    round.addRejection(grantor, wait, held);
+    round.addRejection(grantor, minWait, held);
     if (heldUntil == null && round.rejectionCount() > terms.grantorCount() - terms.quorum()) {
       failRound(now);
     }
   }
 
-  // Each rule that keeps two clients from holding it stands alone, so that tests can take it out
-  // and show that their checker finds it missing.
+  // Each rule that keeps two clients from holding a lease at once is a method of its own, so that
+  // tests can remove it and show that their checker finds it missing.
 
-  /** An answer to an earlier round says nothing of when this one began. */
-  boolean isCurrentRound(long ofRound) {
-    return ofRound == round.number();
+  /**
+   * Returns whether an answer belongs to the current round. The term counts from the start of the
+   * round, and a grantor that answered an earlier round may have begun its grant before that.
+   */
+  boolean isCurrentRound(long answeredRound) {
+    return answeredRound == round.number();
   }
 
   int requiredGrants() {
@@ -241,8 +258,8 @@
   }
 
   /**
-   * The moment from which the term counts: nobody knows when a grantor began to count, but not
-   * before it was asked.
+   * Returns the time from which the term counts. It is not known when a grantor began to count, but
+   * it was not before the request.
    */
   Timestamp termStart(Timestamp now) {
     return round.requestedAt();
@@ -252,7 +269,7 @@
     return terms.usableTerm();
   }
 
-  /** A grantor has said that it may be had. */
+  /** Requests the lease, which a grantor has reported as available. */
   void handleAvailable(Timestamp now, long floorMs) {
     if (campaigning && heldUntil == null && token == 0) {
       requestWithNewToken(now, floorMs);
@@ -260,15 +277,15 @@
   }
 
   /**
-   * No quorum: what was granted is given back at once, so that two who were granted a part do not
-   * block each other.
+   * Ends a round without a quorum. Releases the grants at once, so that two clients that each have
+   * some grants do not block each other.
    */
   private void failRound(Timestamp now) {
-    long given = token;
+    long releasedToken = token;
     token = 0;
-    for (int each = 0; each < terms.grantorCount(); each++) {
-      if (!round.rejectedBy(each)) {
-        transport.release(each, name, given, -1);
+    for (int grantor = 0; grantor < terms.grantorCount(); grantor++) {
+      if (!round.rejectedBy(grantor)) {
+        transport.release(grantor, name, releasedToken, -1);
       }
     }
     failures = Math.min(failures + 1, MAX_BACKOFF_DOUBLINGS);
@@ -276,9 +293,10 @@
   }
 
   /**
-   * Where another client holds it, until its term may have ended. Else two requested it at once, or
-   * grantors are away: a backoff that doubles. Each has jitter, so that those who requested
-   * together do not request together again.
+   * Returns the time span until the next request. While another client holds the lease, it lasts
+   * until that client's term may have ended. Otherwise clients requested at the same time or
+   * grantors are unreachable, and the backoff doubles with each failure. Both have jitter, so that
+   * clients that requested together do not request together again.
    */
   private TimeSpan backoff() {
     TimeSpan heldFor = round.heldByOtherFor();
@@ -290,15 +308,15 @@
         .times(ROUND_TIMEOUT_SHARE * (1 << (failures - 1)) * (0.5 + random.getAsDouble()));
   }
 
-  /** When {@link #tick} is to be called next; null: not before something else happens. */
+  /** Returns when to call {@link #tick} next; null: only after another event. */
   Timestamp nextTick() {
     return nextTick;
   }
 
-  /** Does what is due by then: renews, requests again, or notices that the term ran out. */
+  /** Renews the lease, requests it again or gives up an expired lease, whichever is due. */
   void tick(Timestamp now, long floorMs) {
     if (heldUntil != null && !isHeldAt(now)) {
-      relinquish("it ran out, not renewed in time", -1);
+      relinquish("the term ended before a quorum renewed it", -1);
       if (campaigning) {
         requestWithNewToken(now, floorMs);
       }
@@ -308,7 +326,8 @@
       return;
     }
     if (heldUntil != null) {
-      beginRound(now); // to renew it; until then it is held as before
+      // This renews the lease, which is held as before until then.
+      beginRound(now);
     } else if (token != 0) {
       failRound(now);
     } else if (campaigning) {
@@ -321,38 +340,39 @@
     }
   }
 
-  private void relinquish(String why, int successor) {
+  /** Releases all grants, and reports the lease as lost if it was held. */
+  private void relinquish(String reason, int successor) {
     if (token == 0) {
       return;
     }
-    long given = token;
+    long releasedToken = token;
     final boolean held = heldUntil != null;
     token = 0;
     heldUntil = null;
-    for (int each = 0; each < terms.grantorCount(); each++) {
-      transport.release(each, name, given, successor);
+    for (int grantor = 0; grantor < terms.grantorCount(); grantor++) {
+      transport.release(grantor, name, releasedToken, successor);
     }
     if (held) {
-      transport.lost(name, given, why);
+      transport.lost(name, releasedToken, reason);
     }
   }
 
-  /** Whether it is held for certain at that moment of this process's clock. */
+  /** Returns whether the lease is certainly held at a time of this process's clock. */
   boolean isHeldAt(Timestamp at) {
     return heldUntil != null && heldUntil.after(at);
   }
 
-  /** How long it is held for certain from then on; zero where it isn't. */
+  /** Returns how long the lease is certainly held from that time on; zero if it is not held. */
   TimeSpan remaining(Timestamp at) {
     return isHeldAt(at) ? heldUntil.since(at) : TimeSpan.ZERO;
   }
 
-  /** The fencing token that stamps acts under it; 0 where it is not held. */
+  /** Returns the fencing token for acts under the lease; 0 if it is not held. */
   long token() {
     return heldUntil == null ? 0 : token;
   }
 
-  /** Somebody acted or asked under this token; the next one of ours is higher. */
+  /** Records a token that a client acted or requested under. The next own token is higher. */
   void observeToken(long seen) {
     highestSeen = Math.max(highestSeen, seen);
   }
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -13,24 +13,28 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One grantor (an acceptor in the terms of Paxos): for each lease at most one grant at a time, each
- * under a higher token than any before. It needs no disk: once started it grants nothing for the
- * longest term that its last incarnation may have granted, and of tokens it forgot it is told by
- * whoever asks with a higher one. Messages may come late, twice, never and in any order. A pure
- * state machine: it reads no clock and opens no connection. Not thread-safe.
+ * One grantor, an acceptor in the terms of Paxos. It has at most one running grant for each lease,
+ * and grants each under a higher token than any before. It needs no disk: after its start it grants
+ * nothing for the longest term that its previous incarnation may have granted, and it learns the
+ * tokens that it forgot from clients, which request with higher ones. Messages may arrive late,
+ * twice, never and in any order. A pure state machine: it reads no clock and opens no connection.
+ * Not thread-safe.
  *
- * <p>The ground is Gray and Cheriton's lease (1989): a promise that ends by itself; granted here by
- * a quorum, as in PaxosLease (Trencseni and others, 2009), whose two rounds are one here, since a
- * client brings a token of its own that nobody else can bring.
+ * <p>The design follows Gray and Cheriton's lease (1989), a grant that expires by itself. A quorum
+ * grants it, as in PaxosLease (Trencseni and others, 2009). The two rounds of PaxosLease are one
+ * here, because each client brings a token that no other client can choose.
  */
 class LeaseGrantor {
-  /** Answers to clients; they may get lost. */
+  /** Sends answers and notifications to clients. They may get lost. */
   interface Replies {
     void sendGranted(int client, String name, long token, long round);
 
     /**
-     * {@code highest}: the token to be exceeded; {@code left}: not worth asking before that; zero:
-     * at once.
+     * Rejects a request.
+     *
+     * @param highest the token that the next request has to exceed
+     * @param minWait a request before this time span has passed is rejected too; zero: the client
+     *     may request again at once
      */
     void sendRejected(
         int client,
@@ -38,14 +42,14 @@
         long token,
         long round,
         long highest,
-        TimeSpan left,
-        Rejection why);
+        TimeSpan minWait,
+        Rejection reason);
 
-    /** It may be had now; sent to one client that waits. */
+    /** Notifies one waiting client that the lease is available now. */
     void sendAvailable(int client, String name);
   }
 
-  /** Why it was not granted; the names are sent to clients. */
+  /** The reason for a rejection. The names are sent to clients. */
   enum Rejection {
     HELD,
     LOWER,
@@ -55,20 +59,21 @@
     TOO_MANY
   }
 
-  /** Leases at most; a grant that ended long ago gives way to a new name. */
+  /** The largest number of leases. A new name replaces a grant that ended long ago. */
   static final int MAX_LEASES = 1024;
 
-  /** Clients that are notified when a lease becomes available; others ask again by themselves. */
+  /**
+   * The largest length of a lease's queue of clients that are notified when it becomes available.
+   * Other clients request again without a notification.
+   */
   static final int MAX_WAITERS = 16;
 
-  // Whoever finds the queue full asks again after so many terms: with a thousand clients and
-  // terms of three seconds a grantor
-  // has some forty requests a second to reject, which is little beside the holder's renewals being
-  // sure
-  // to be heard.
+  // A client that finds the queue full requests again after this many terms. With a thousand
+  // clients and terms of three seconds a grantor rejects some forty requests a second, few enough
+  // that the holder's renewals are always received.
   private static final double QUEUE_FULL_TERMS = 8;
 
-  /** A successor that is alive asks within a round trip. */
+  /** How long the lease is kept for a successor. One that is alive requests within a round trip. */
   private static final double SUCCESSOR_TERMS = 0.5;
 
   private final LeaseTerms terms;
@@ -78,12 +83,12 @@
   private final Map<String, Set<Integer>> waiters = new TreeMap<>();
   private long rejectedCount;
 
-  /** A grantor that has just started: it grants nothing for the longest term. */
+  /** Creates a grantor that has just started. It grants nothing for the longest term. */
   LeaseGrantor(LeaseTerms terms, Replies replies, Timestamp now) {
     this(terms, replies, now.plus(terms.maxTerm()), Map.of());
   }
 
-  /** One that continues from known grants. */
+  /** Creates a grantor that continues from known grants. */
   LeaseGrantor(LeaseTerms terms, Replies replies, Timestamp grantsFrom, Map<String, Grant> grants) {
     this.terms = terms;
     this.replies = replies;
@@ -91,11 +96,14 @@
     this.grants.putAll(grants);
   }
 
-  /** A client asks, for the first time or to hold on to it: {@code token} says which. */
+  /**
+   * Handles a client's request. A request under the token of the client's own grant renews it, a
+   * request under another token asks for a new grant.
+   */
   void request(int client, long incarnation, String name, long token, long round, Timestamp now) {
     Grant grant = grants.getOrDefault(name, Grant.NONE);
-    Rejection why = rejectionOf(client, incarnation, name, token, grant, now);
-    if (why == null) {
+    Rejection reason = rejectionOf(client, incarnation, name, token, grant, now);
+    if (reason == null) {
       grants.put(name, new Grant(token, client, incarnation, now.plus(terms.term()), true, -1));
       Set<Integer> queue = waiters.get(name);
       if (queue != null) {
@@ -105,18 +113,18 @@
       return;
     }
     rejectedCount++;
-    boolean mine = grant.token() == token && grant.incarnation() == incarnation;
-    TimeSpan left =
-        switch (why) {
+    boolean isOwnGrant = grant.token() == token && grant.incarnation() == incarnation;
+    TimeSpan minWait =
+        switch (reason) {
           case STARTING -> grantsFrom.since(now);
           case HELD, KEPT -> grant.expiresAt().since(now);
           case TOO_MANY -> terms.maxTerm();
           case LOWER, RETURNED -> TimeSpan.ZERO;
         };
-    if (why == Rejection.HELD && !mine && !enqueue(client, name)) {
-      left = left.plus(terms.term().times(QUEUE_FULL_TERMS));
+    if (reason == Rejection.HELD && !isOwnGrant && !enqueue(client, name)) {
+      minWait = minWait.plus(terms.term().times(QUEUE_FULL_TERMS));
     }
-    replies.sendRejected(client, name, token, round, grant.token(), left, why);
+    replies.sendRejected(client, name, token, round, grant.token(), minWait, reason);
   }
 
   private Rejection rejectionOf(
@@ -139,25 +147,22 @@
     return grants.containsKey(name) || hasCapacity(now) ? null : Rejection.TOO_MANY;
   }
 
-  // Each rule that keeps two clients from holding it stands alone, so that tests can take it out
-  // and show that their checker finds it missing.
+  // Each rule that keeps two clients from holding a lease at once is a method of its own, so that
+  // tests can remove it and show that their checker finds it missing.
 
-  /** What its last incarnation granted may still run. */
+  /** Returns whether grants of the previous incarnation may still run. */
   boolean isStarting(Timestamp now) {
     return grantsFrom.after(now);
   }
 
-  /**
-   * Whoever asks under the token that is outstanding is its holder, if it is that same incarnation
-   * of it.
-   */
+  /** Returns whether this incarnation of the client holds the grant under this token. */
   boolean isHolder(Grant grant, int client, long incarnation, long token) {
     return grant.token() == token && grant.holder() == client && grant.incarnation() == incarnation;
   }
 
   /**
-   * A grant that was given back is not revived by a request that was long on its way, and the name
-   * blocked for a term.
+   * Returns whether the grant was not released. A delayed request of the former holder must not
+   * renew a released grant: that would block the lease for a term.
    */
   boolean isOutstanding(Grant grant) {
     return grant.outstanding();
@@ -175,14 +180,14 @@
     if (grants.size() < MAX_LEASES) {
       return true;
     }
-    Iterator<Map.Entry<String, Grant>> each = grants.entrySet().iterator();
-    // full only where somebody uses names without end: the search is then the price
-    while (each.hasNext()) {
-      Grant grant = each.next().getValue();
+    Iterator<Map.Entry<String, Grant>> entries = grants.entrySet().iterator();
+    // The map is full only if clients use an unbounded number of names. Only then this scan runs.
+    while (entries.hasNext()) {
+      Grant grant = entries.next().getValue();
       if (!now.since(grant.expiresAt()).over(terms.maxTerm())) {
         continue;
       }
-      each.remove();
+      entries.remove();
       return true;
     }
     return false;
@@ -192,7 +197,7 @@
     if (waiters.size() >= MAX_LEASES && !waiters.containsKey(name)) {
       return false;
     }
-    Set<Integer> queue = waiters.computeIfAbsent(name, any -> new LinkedHashSet<>());
+    Set<Integer> queue = waiters.computeIfAbsent(name, absent -> new LinkedHashSet<>());
     if (queue.size() >= MAX_WAITERS && !queue.contains(client)) {
       return false;
     }
@@ -201,8 +206,10 @@
   }
 
   /**
-   * The holder gives it back, or a client what was no quorum; {@code successor}: who is to have it
-   * next, -1: anybody.
+   * Releases a grant. The holder releases its lease, and a client without a quorum the grants that
+   * it got.
+   *
+   * @param successor the client that gets the lease next; -1: any client
    */
   void release(
       int client, long incarnation, String name, long token, int successor, Timestamp now) {
@@ -219,16 +226,19 @@
     }
   }
 
-  /** Who has waited longest here; it may be gone, and then the next one asks by itself. */
+  /**
+   * Notifies the client that has waited longest. If it is gone, another client requests the lease
+   * without a notification.
+   */
   private void notifyNext(String name) {
     Set<Integer> queue = waiters.get(name);
     if (queue == null) {
       return;
     }
-    Iterator<Integer> first = queue.iterator();
-    if (first.hasNext()) {
-      int next = first.next();
-      first.remove();
+    Iterator<Integer> clients = queue.iterator();
+    if (clients.hasNext()) {
+      int next = clients.next();
+      clients.remove();
       replies.sendAvailable(next, name);
     }
     if (queue.isEmpty()) {
@@ -236,7 +246,7 @@
     }
   }
 
-  /** A client is disconnected; what it holds runs out by itself. */
+  /** Removes a disconnected client from all queues. Its grants expire by themselves. */
   void disconnected(int client) {
     waiters
         .values()
@@ -247,22 +257,22 @@
             });
   }
 
-  /** What is known, by name; for operators and tests. */
+  /** Returns all known grants by lease name, for operators and tests. */
   Map<String, Grant> grants() {
     return new LinkedHashMap<>(grants);
   }
 
-  /** The moment from which it grants. */
+  /** Returns the time from which this grantor grants leases. */
   Timestamp grantsFrom() {
     return grantsFrom;
   }
 
-  /** Asks that were rejected so far. */
+  /** Returns the number of requests rejected so far. */
   long rejectedCount() {
     return rejectedCount;
   }
 
-  /** Which clients wait for a lease, the longest first. */
+  /** Returns the clients that wait for a lease, the longest first. */
   List<Integer> waiters(String name) {
     return new ArrayList<>(waiters.getOrDefault(name, new TreeSet<>()));
   }
--- a/src/main/java/sprucerock/lease/LeaseManager.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -18,33 +18,33 @@
 import sprucerock.transport.wire.v1.LeaseSaid;
 
 /**
- * All leases that one process campaigns for: a {@link LeaseClient} each, its timer, and the
- * connections to the grantors that they share. On one loop's thread; only a {@link LeaseCheck}
- * reads the clock anew, and {@link #counts} may be read from any thread.
+ * All leases that one process campaigns for: a {@link LeaseClient} with its timer for each, and the
+ * connections to the grantors that they share. Runs on one loop's thread. {@link #counts} may be
+ * called from any thread.
  */
 public final class LeaseManager {
-  /** A task that one process of the fleet does. Notified on the loop's thread. */
+  /** A task that only the lease holder does. Notified on the loop's thread. */
   public interface Listener {
-    /** The lease is held from now on; what was begun under former ones may be half done. */
+    /** The lease is held from now on. Work of former holders may be half done. */
     void acquired(LeaseCheck check);
 
-    /** It is held no more; nothing may be done on it. */
-    void lost(String why);
+    /** The lease is lost. Nothing may be done under it any more. */
+    void lost(String reason);
   }
 
-  /** Where lines for operators go. */
+  /** The log for operators. */
   public interface Log {
-    /** An event of the normal course. */
-    void info(String what);
+    /** Logs an event of normal operation. */
+    void info(String message);
 
-    /** An event that operators should look at. */
-    void warn(String what);
+    /** Logs an event that operators should look into. */
+    void warn(String message);
   }
 
-  /** Leases that were acquired and lost since this start, and that are held now. */
+  /** The numbers of leases acquired and lost since the start of the process, and held now. */
   public record Counts(long acquired, long lost, long held) {}
 
-  /** Leases that a process campaigns for at most. */
+  /** The largest number of leases that a process campaigns for. */
   public static final int MAX_LEASES = 64;
 
   static final FrameLimits LIMITS = new FrameLimits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
@@ -61,14 +61,18 @@
   private final GrantorConnections grantors;
   private final Map<String, Campaign> campaigns = new TreeMap<>();
   private final Map<Integer, LeaseListed> queryAnswers = new TreeMap<>();
-  private Runnable finishQuery; // null: no query is under way
+
+  /** Ends the present query of the grantors; null: no query is in flight. */
+  private Runnable finishQuery;
+
   private volatile Counts counts = new Counts(0, 0, 0);
 
   /**
-   * One that campaigns for nothing yet.
+   * Creates a manager that does not campaign yet.
    *
-   * @param incarnation another one with each start of this process: {@link #newIncarnation}
-   * @param wallMs the wall clock in milliseconds, below which no token is chosen
+   * @param incarnation a number that differs with each start of the process: {@link
+   *     #newIncarnation}
+   * @param wallMs the wall clock in milliseconds, a lower bound of new tokens
    */
   public LeaseManager(
       Net net,
@@ -94,38 +98,44 @@
         config.grantors().size(), config.term(), config.maxTerm(), config.drift());
   }
 
-  /** Another number for each start of a process. */
+  /** Returns a random number for one start of a process. */
   public static long newIncarnation() {
     return UUID.randomUUID().getMostSignificantBits();
   }
 
-  /** Connects to the grantors. On the loop's thread. */
+  /** Connects to the grantors. Called on the loop's thread. */
   public void start() {
     grantors.start(terms.usableTerm(), random);
   }
 
   /**
-   * Campaigns for a lease from now on, until {@link #withdraw}; the listener is notified when it is
-   * held and when no more.
+   * Campaigns for a lease until {@link #withdraw}. The listener is notified when the lease is
+   * acquired and when it is lost.
    *
-   * @throws IllegalStateException if it campaigns for too many, or for this one already
+   * @throws IllegalStateException if this process campaigns for too many leases, or already for
+   *     this one
    */
   public LeaseCheck campaign(String name, Listener listener) {
     if (campaigns.size() >= MAX_LEASES) {
-      throw new IllegalStateException("a process stands for " + MAX_LEASES + " leases at most");
+      throw new IllegalStateException(
+          "cannot campaign for lease "
+              + name
+              + ": this process campaigns for "
+              + MAX_LEASES
+              + " leases already, the maximum");
     }
     Campaign campaign = new Campaign(name, listener);
     if (campaigns.put(name, campaign) != null) {
-      throw new IllegalStateException("it stands for " + name + " already");
+      throw new IllegalStateException("this process campaigns for lease " + name + " already");
     }
     campaign.step(() -> campaign.client.acquire(net.now(), wallMs.getAsLong()));
     return campaign.check;
   }
 
   /**
-   * Gives it back, and campaigns for it no more.
+   * Releases a lease and stops campaigning for it.
    *
-   * @param successor who is to have it next, by its number; -1: anybody
+   * @param successor the number of the client that gets the lease next; -1: any client
    */
   public void withdraw(String name, int successor) {
     Campaign campaign = campaigns.remove(name);
@@ -134,7 +144,7 @@
     }
   }
 
-  /** Gives all back, and closes once that has gone out. */
+  /** Releases all leases, and closes the connections after the releases are sent. */
   public void stop() {
     grantors.expectClose();
     for (String name : List.copyOf(campaigns.keySet())) {
@@ -143,36 +153,39 @@
     grantors.stop();
   }
 
-  /** From any thread, as it was last. */
+  /** Returns the latest counts. Callable from any thread. */
   public Counts counts() {
     return counts;
   }
 
   /**
-   * Asks the grantors what they know; {@code done} gets the answers by grantor once all have
-   * answered, or after a second, and at once if another query begins before.
+   * Queries all grantors for their grants.
+   *
+   * @param done receives the answers by grantor once all have answered, after a second at the
+   *     latest, or at once if another query begins before
    */
   public void queryGrantors(Consumer<Map<Integer, LeaseListed>> done) {
     queryAnswers.clear();
-    Runnable[] end = new Runnable[1];
-    Timer timeout = net.at(net.now().plus(QUERY_TIMEOUT), () -> end[0].run());
-    end[0] =
+    Runnable[] finish = new Runnable[1];
+    Timer timeout = net.at(net.now().plus(QUERY_TIMEOUT), () -> finish[0].run());
+    finish[0] =
         () -> {
           timeout.cancel();
-          if (finishQuery != end[0]) {
+          if (finishQuery != finish[0]) {
             return;
           }
           finishQuery = null;
           done.accept(Map.copyOf(queryAnswers));
         };
     if (finishQuery != null) {
-      finishQuery.run(); // who asked before gets what is there by now
+      // The previous query gets the answers that have arrived.
+      finishQuery.run();
     }
-    finishQuery = end[0];
+    finishQuery = finish[0];
     grantors.query();
   }
 
-  /** One lease, and this process's side of it. */
+  /** One lease and this process's side of it. */
   private final class Campaign implements LeaseClient.Transport {
     private final LeaseClient client;
     private final LeaseCheck check;
@@ -185,9 +198,9 @@
       check = new LeaseCheck(client, net::readClock);
     }
 
-    /** Runs one step of the client, then sets the timer for its next one. */
-    void step(Runnable what) {
-      what.run();
+    /** Runs one step of the client, then sets the timer for its next step. */
+    void step(Runnable action) {
+      action.run();
       if (timer != null) {
         timer.cancel();
       }
@@ -211,41 +224,42 @@
     @Override
     public void acquired(String name, long token) {
       counts = new Counts(counts.acquired + 1, counts.lost, counts.held + 1);
-      log.info(name + " is held under " + token);
+      log.info(name + " is held under fencing token " + token);
       listener.acquired(check);
     }
 
     @Override
-    public void lost(String name, long token, String why) {
+    public void lost(String name, long token, String reason) {
       counts = new Counts(counts.acquired, counts.lost + 1, counts.held - 1);
-      log.info(name + " under " + token + " is held no more: " + why);
-      listener.lost(why);
+      log.info(name + " under fencing token " + token + " is lost: " + reason);
+      listener.lost(reason);
     }
   }
 
   private final class GrantorAnswers implements GrantorConnections.Listener {
     @Override
-    public void replied(int grantor, LeaseSaid vote) {
-      Campaign campaign = campaigns.get(vote.getName());
+    public void replied(int grantor, LeaseSaid reply) {
+      Campaign campaign = campaigns.get(reply.getName());
       if (campaign != null) {
-        campaign.step(() -> applyReply(grantor, vote, campaign.client));
-      } else if (vote.getGranted()) { // withdrawn meanwhile: what was granted since is of no use
-        grantors.release(grantor, vote.getName(), vote.getNumber(), -1);
+        campaign.step(() -> applyReply(grantor, reply, campaign.client));
+      } else if (reply.getGranted()) {
+        // This process has withdrawn from the lease since its request.
+        grantors.release(grantor, reply.getName(), reply.getNumber(), -1);
       }
     }
 
-    private void applyReply(int grantor, LeaseSaid vote, LeaseClient client) {
-      if (vote.getGranted()) {
-        client.handleGrant(grantor, vote.getNumber(), vote.getRound(), net.readClock());
+    private void applyReply(int grantor, LeaseSaid reply, LeaseClient client) {
+      if (reply.getGranted()) {
+        client.handleGrant(grantor, reply.getNumber(), reply.getRound(), net.readClock());
         return;
       }
       client.handleRejection(
           grantor,
-          vote.getNumber(),
-          vote.getRound(),
-          vote.getHighest(),
-          TimeSpan.ofMs(vote.getLeftUs() / 1000.0),
-          vote.getHeld(),
+          reply.getNumber(),
+          reply.getRound(),
+          reply.getHighest(),
+          TimeSpan.ofMs(reply.getLeftUs() / 1000.0),
+          reply.getHeld(),
           net.readClock());
     }
 
@@ -258,8 +272,8 @@
     }
 
     @Override
-    public void queryAnswered(int grantor, LeaseListed known) {
-      queryAnswers.put(grantor, known);
+    public void queryAnswered(int grantor, LeaseListed answer) {
+      queryAnswers.put(grantor, answer);
       if (finishQuery != null && queryAnswers.size() == grantors.size()) {
         finishQuery.run();
       }
--- a/src/main/java/sprucerock/lease/LeaseRound.java
+++ b/src/main/java/sprucerock/lease/LeaseRound.java
@@ -4,20 +4,23 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One round of requests to all grantors, with the votes that came in for it. Votes are kept as one
- * bit a grantor, so a vote that arrives twice counts once.
+ * One round of requests to all grantors, with the votes received for it. There is one bit for each
+ * grantor, so a vote that arrives twice counts once.
  */
 final class LeaseRound {
-  /** Counts up by one with each round of a client; 0: none was begun. */
+  /** Increases by one with each round of a client; 0: no round has begun. */
   private long number;
 
   private Timestamp requestedAt;
   private long grantBits;
   private long rejectionBits;
-  private TimeSpan shortestWait; // null: no grantor rejected it in this round
+
+  /** The shortest wait that a grantor stated; null: none rejected the request in this round. */
+  private TimeSpan shortestWait;
+
   private boolean heldByOther;
 
-  /** Begins the next round at that time, without votes. */
+  /** Begins the next round, without votes. */
   void begin(Timestamp now) {
     number++;
     requestedAt = now;
@@ -43,12 +46,12 @@
   /**
    * Counts a rejection.
    *
-   * @param wait how long the grantor says that asking again is of no use
-   * @param held whether another client holds the lease there
+   * @param minWait the time span in which the grantor would reject another request too
+   * @param held whether the grantor has granted the lease to another client
    */
-  void addRejection(int grantor, TimeSpan wait, boolean held) {
+  void addRejection(int grantor, TimeSpan minWait, boolean held) {
     rejectionBits |= 1L << grantor;
-    shortestWait = shortestWait == null ? wait : shortestWait.atMost(wait);
+    shortestWait = shortestWait == null ? minWait : shortestWait.atMost(minWait);
     heldByOther |= held;
   }
 
@@ -72,17 +75,17 @@
     return ((rejectionBits >> grantor) & 1) != 0;
   }
 
-  /** Bit 0: the grantor granted it in this round; bit 1: it rejected it. */
+  /** Returns a grantor's votes in this round; bit 0: it granted, bit 1: it rejected. */
   int voteOf(int grantor) {
     return (int) (((grantBits >> grantor) & 1) | (((rejectionBits >> grantor) & 1) << 1));
   }
 
-  /** How long another client holds it at least; null: nobody is known to. */
+  /** Returns how long another client holds the lease at least; null: none is known to hold it. */
   TimeSpan heldByOtherFor() {
     return heldByOther ? shortestWait : null;
   }
 
-  /** Everything but the single votes, as text; two rounds of one text differ by votes alone. */
+  /** Returns the state without the votes as text. Rounds with equal texts differ only in votes. */
   String stateWithoutVotes() {
     return number + " of " + requestedAt + ", " + shortestWait + (heldByOther ? " held" : "");
   }
--- a/src/main/java/sprucerock/lease/LeaseTerms.java
+++ b/src/main/java/sprucerock/lease/LeaseTerms.java
@@ -3,29 +3,35 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * What all sides of leases agree on; the same in every process's configuration.
+ * The lease parameters, which must be the same in the configuration of every process.
  *
- * @param grantors how many there are: 3 or 5, of which a quorum (majority) grants
+ * @param grantorCount the number of grantors, 3 or 5; a quorum (majority) of them grants a lease
  * @param term how long a grant lasts by the grantor's clock
- * @param longestTerm no term was ever longer than this while any of the processes that run now, or
- *     their last incarnations, ran
- * @param drift how far any clock's pace may be from the true one, as a share; 0 to under 0.2
+ * @param maxTerm the longest term that was ever configured while any of the processes that run now,
+ *     or their previous incarnations, ran
+ * @param drift the largest relative error of the rate of any clock, from 0 to under 0.2
  */
 public record LeaseTerms(int grantorCount, TimeSpan term, TimeSpan maxTerm, double drift) {
   /**
-   * Checks the terms.
+   * Validates the parameters.
    *
-   * @throws IllegalArgumentException if they make no sense together; the message says which
+   * @throws IllegalArgumentException if a parameter is out of range; the message names it
    */
   public LeaseTerms {
     if (grantorCount != 3 && grantorCount != 5) {
-      throw new IllegalArgumentException("3 or 5 granters, not " + grantorCount);
+      throw new IllegalArgumentException(
+          "the number of lease grantors must be 3 or 5, not " + grantorCount);
     }
     if (term.over(maxTerm)) {
-      throw new IllegalArgumentException("longest may not be shorter than term");
+      throw new IllegalArgumentException(
+          "leases/longest must not be shorter than leases/term, but "
+              + maxTerm.ms()
+              + " ms is shorter than "
+              + term.ms()
+              + " ms");
     }
     if (!(drift >= 0 && drift < 0.2)) {
-      throw new IllegalArgumentException("drift may be 0 to under 0.2");
+      throw new IllegalArgumentException("leases/drift must be from 0 to under 0.2, not " + drift);
     }
   }
 
@@ -34,9 +40,9 @@
   }
 
   /**
-   * How long a holder may act, by its own clock, from before it asked. The grantor's clock may be
-   * the fastest that is allowed and so end the grant after term / (1 + drift); the holder's may be
-   * the slowest and take its own count for less than it is.
+   * Returns how long a holder may act, by its own clock, counted from before its request. The
+   * grantor's clock may be the fastest that is allowed and end the grant after term / (1 + drift).
+   * The holder's clock may be the slowest that is allowed and show less time than has passed.
    */
   TimeSpan usableTerm() {
     return term.times((1 - drift) / (1 + drift));
--- a/src/test/java/sprucerock/lease/LeaseClientTest.java
+++ b/src/test/java/sprucerock/lease/LeaseClientTest.java
@@ -96,7 +96,7 @@
         "release to 0",
         "release to 1",
         "release to 2",
-        "lost: it ran out, not renewed in time",
+        "lost: the term ended before a quorum renewed it",
         "request 41 round 3");
   }
 
