--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -141,6 +141,8 @@
     }
     return translator == null
         ? Double.NaN
-        : translator.counted(needs.method(), endpoints, family, needs.family()).endpoints();
+        : translator
+            .guaranteedEndpoints(needs.method(), endpoints, family, needs.family())
+            .endpoints();
   }
 }
