--- a/src/main/java/sprucerock/accounting/AccountAudit.java
+++ b/src/main/java/sprucerock/accounting/AccountAudit.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Verifies the equations between accounts: each row's total is the sum of its parts, nothing
- * pending is negative, and tables that count the same things by different keys agree.
+ * Verifies the equations between accounts: each row's total is the sum of its parts, no pending
+ * value is negative, and sheets that count the same events by different keys agree.
  */
 final class AccountAudit {
   private static final int TOTAL = 0;
@@ -14,12 +14,12 @@
   private final MethodAccounts accounts;
   private final long[] values;
   private final PostingHistory history;
-  private final List<MethodAccounts.Imbalance> found = new ArrayList<>();
+  private final List<MethodAccounts.Imbalance> imbalances = new ArrayList<>();
 
   /**
-   * An audit of one set of values.
+   * Creates an audit of one set of values.
    *
-   * @param values by account, live ones or read from elsewhere
+   * @param values the values by account, either the live ones or from another source
    */
   AccountAudit(MethodAccounts accounts, long[] values, PostingHistory history) {
     this.accounts = accounts;
@@ -27,20 +27,24 @@
     this.history = history;
   }
 
-  /** The equations that don't hold, in a fixed order. */
+  /** Returns the equations that do not hold, in a fixed order. */
   List<MethodAccounts.Imbalance> run() {
-    for (MetricsSheet table : accounts.sheets()) {
-      for (int row = 0; row < table.rowCount(); row++) {
-        checkRow(table, row);
+    for (MetricsSheet sheet : accounts.sheets()) {
+      for (int row = 0; row < sheet.rowCount(); row++) {
+        checkRow(sheet, row);
       }
     }
     checkTotals();
     for (int row = 0; row < accounts.rpcs.rowCount(); row++) {
       MetricsSheet rpcs = accounts.rpcs;
       MetricsSheet answers = accounts.answers;
-      checkEqual(cell(rpcs, row, OK), value(rpcs, row, OK), answers, row, TOTAL);
+      checkEqual(accountName(rpcs, row, OK), value(rpcs, row, OK), answers, row, TOTAL);
       checkEqual(
-          cell(answers, row, TOTAL), value(answers, row, TOTAL), accounts.latency, row, TOTAL);
+          accountName(answers, row, TOTAL),
+          value(answers, row, TOTAL),
+          accounts.latency,
+          row,
+          TOTAL);
     }
     for (int build = 0; build < accounts.builds.rowCount(); build++) {
       checkBuild(build);
@@ -48,23 +52,24 @@
     for (int method = 0; method < accounts.attempts.rowCount(); method++) {
       checkMethod(method);
     }
-    return found;
+    return imbalances;
   }
 
-  private void checkRow(MetricsSheet table, int row) {
-    int columns = table.columns().size();
+  private void checkRow(MetricsSheet sheet, int row) {
+    int columns = sheet.columns().size();
     long parts = 0;
     for (int column = 1; column < columns; column++) {
-      parts += value(table, row, column);
+      parts += value(sheet, row, column);
     }
-    long total = value(table, row, TOTAL);
+    long total = value(sheet, row, TOTAL);
     if (total != parts) {
-      found.add(imbalance(equation(table, row), total, parts, table.index(row, TOTAL), columns));
+      imbalances.add(
+          imbalance(equation(sheet, row), total, parts, sheet.index(row, TOTAL), columns));
     }
-    long pending = table.hasPending() ? value(table, row, table.pendingColumn()) : 0;
+    long pending = sheet.hasPending() ? value(sheet, row, sheet.pendingColumn()) : 0;
     if (pending < 0) {
-      String equation = cell(table, row, table.pendingColumn()) + " >= 0";
-      found.add(imbalance(equation, pending, 0, table.index(row, TOTAL), columns));
+      String equation = accountName(sheet, row, sheet.pendingColumn()) + " >= 0";
+      imbalances.add(imbalance(equation, pending, 0, sheet.index(row, TOTAL), columns));
     }
   }
 
@@ -73,36 +78,39 @@
     MetricsSheet tenants = accounts.tenants;
     final MetricsSheet attempts = accounts.attempts;
     final MetricsSheet endpoints = accounts.endpoints;
-    checkSums(rpcs, TOTAL, tenants, TOTAL);
-    checkSums(rpcs, rpcs.pendingColumn(), tenants, tenants.pendingColumn());
-    checkSums(rpcs, rpcs.lostColumn(), tenants, tenants.lostColumn());
-    checkSums(accounts.calls, 1, rpcs, TOTAL);
+    checkColumnSums(rpcs, TOTAL, tenants, TOTAL);
+    checkColumnSums(rpcs, rpcs.pendingColumn(), tenants, tenants.pendingColumn());
+    checkColumnSums(rpcs, rpcs.lostColumn(), tenants, tenants.lostColumn());
+    checkColumnSums(accounts.calls, 1, rpcs, TOTAL);
     for (int column = 0; column < SheetColumns.ATTEMPTS.size(); column++) {
-      checkSums(attempts, column, accounts.builds, column);
+      checkColumnSums(attempts, column, accounts.builds, column);
     }
-    checkSums(attempts, TOTAL, endpoints, TOTAL);
-    checkSums(attempts, OK, endpoints, OK);
-    checkSums(attempts, attempts.pendingColumn(), endpoints, endpoints.pendingColumn());
-    checkSums(attempts, attempts.lostColumn(), endpoints, endpoints.lostColumn());
-    checkSums(attempts, TOTAL, accounts.frames, TOTAL);
+    checkColumnSums(attempts, TOTAL, endpoints, TOTAL);
+    checkColumnSums(attempts, OK, endpoints, OK);
+    checkColumnSums(attempts, attempts.pendingColumn(), endpoints, endpoints.pendingColumn());
+    checkColumnSums(attempts, attempts.lostColumn(), endpoints, endpoints.lostColumn());
+    checkColumnSums(attempts, TOTAL, accounts.frames, TOTAL);
   }
 
   private void checkBuild(int build) {
     MetricsSheet builds = accounts.builds;
-    MetricsSheet shadows = accounts.shadowAttempts;
+    MetricsSheet shadowAttempts = accounts.shadowAttempts;
     long sum = 0;
     for (int method = 0; method < accounts.attempts.rowCount(); method++) {
-      sum += latencies(build, method);
+      sum += attemptLatencyCount(build, method);
     }
     String equation = "pick_latency ok of build " + accounts.name(builds, build);
     checkEqual(equation, sum, builds, build, OK);
     int columns = SheetColumns.ATTEMPTS.size();
     for (int column = 0; column < columns; column++) {
-      long some = value(shadows, build, column);
+      long shadows = value(shadowAttempts, build, column);
       long all = value(builds, build, column);
-      if (some > all) {
-        String bound = cell(shadows, build, column) + " <= " + cell(builds, build, column);
-        found.add(imbalance(bound, some, all, shadows.index(build, TOTAL), columns));
+      if (shadows > all) {
+        String bound =
+            accountName(shadowAttempts, build, column)
+                + " <= "
+                + accountName(builds, build, column);
+        imbalances.add(imbalance(bound, shadows, all, shadowAttempts.index(build, TOTAL), columns));
       }
     }
   }
@@ -110,87 +118,92 @@
   private void checkMethod(int method) {
     long sum = 0;
     for (int build = 0; build < accounts.builds.rowCount(); build++) {
-      sum += latencies(build, method);
+      sum += attemptLatencyCount(build, method);
     }
     String equation = "pick_latency ok of method " + accounts.name(accounts.attempts, method);
     checkEqual(equation, sum, accounts.attempts, method, OK);
   }
 
-  private long latencies(int build, int method) {
+  private long attemptLatencyCount(int build, int method) {
     return value(accounts.attemptLatency, build * accounts.attempts.rowCount() + method, TOTAL);
   }
 
-  private void checkEqual(String what, long left, MetricsSheet table, int row, int column) {
-    long right = value(table, row, column);
+  private void checkEqual(String leftName, long left, MetricsSheet sheet, int row, int column) {
+    long right = value(sheet, row, column);
     if (left != right) {
-      String equation = what + " = " + cell(table, row, column);
-      int columns = table.columns().size();
-      found.add(imbalance(equation, left, right, table.index(row, TOTAL), columns));
+      String equation = leftName + " = " + accountName(sheet, row, column);
+      int columns = sheet.columns().size();
+      imbalances.add(imbalance(equation, left, right, sheet.index(row, TOTAL), columns));
     }
   }
 
-  private void checkSums(MetricsSheet one, int column, MetricsSheet other, int otherColumn) {
-    long left = sum(values, one, column);
-    long right = sum(values, other, otherColumn);
+  private void checkColumnSums(
+      MetricsSheet leftSheet, int leftColumn, MetricsSheet rightSheet, int rightColumn) {
+    long left = columnSum(values, leftSheet, leftColumn);
+    long right = columnSum(values, rightSheet, rightColumn);
     if (left == right) {
       return;
     }
     String equation =
-        one.name()
+        leftSheet.name()
             + " "
-            + one.columns().get(column)
+            + leftSheet.columns().get(leftColumn)
             + " = "
-            + other.name()
+            + rightSheet.name()
             + " "
-            + other.columns().get(otherColumn);
-    found.add(imbalance(equation, left, right, one.firstAccount, one.size()));
+            + rightSheet.columns().get(rightColumn);
+    imbalances.add(imbalance(equation, left, right, leftSheet.firstAccount, leftSheet.size()));
   }
 
-  static long sum(long[] values, MetricsSheet table, int column) {
+  static long columnSum(long[] values, MetricsSheet sheet, int column) {
     long sum = 0;
-    for (int row = 0; row < table.rowCount(); row++) {
-      sum += values[table.index(row, column)];
+    for (int row = 0; row < sheet.rowCount(); row++) {
+      sum += values[sheet.index(row, column)];
     }
     return sum;
   }
 
-  private long value(MetricsSheet table, int row, int column) {
-    return values[table.index(row, column)];
+  private long value(MetricsSheet sheet, int row, int column) {
+    return values[sheet.index(row, column)];
   }
 
   private MethodAccounts.Imbalance imbalance(
       String equation, long left, long right, int firstAccount, int count) {
     return new MethodAccounts.Imbalance(
-        equation, left, right, history.latest(firstAccount, firstAccount + count, this::cell));
+        equation,
+        left,
+        right,
+        history.latestTouching(firstAccount, firstAccount + count, this::accountName));
   }
 
-  private String cell(int index) {
-    for (MetricsSheet table : accounts.sheets()) {
-      int offset = index - table.firstAccount;
-      if (offset < table.size()) {
-        int columns = table.columns().size();
-        return cell(table, offset / columns, offset % columns);
+  private String accountName(int index) {
+    for (MetricsSheet sheet : accounts.sheets()) {
+      int offset = index - sheet.firstAccount;
+      if (offset < sheet.size()) {
+        int columns = sheet.columns().size();
+        return accountName(sheet, offset / columns, offset % columns);
       }
     }
-    throw new IllegalArgumentException("no account " + index);
+    throw new IllegalArgumentException(
+        "no account with index " + index + "; allowed are 0 to " + (accounts.size() - 1));
   }
 
-  private String cell(MetricsSheet table, int row, int column) {
-    return table.name()
+  private String accountName(MetricsSheet sheet, int row, int column) {
+    return sheet.name()
         + "{"
-        + table.rowKey()
+        + sheet.rowKey()
         + "="
-        + accounts.name(table, row)
+        + accounts.name(sheet, row)
         + "} "
-        + table.columns().get(column);
+        + sheet.columns().get(column);
   }
 
-  private String equation(MetricsSheet table, int row) {
-    if (table.isHistogram()) {
-      return cell(table, row, TOTAL) + " = the sum of its buckets";
+  private String equation(MetricsSheet sheet, int row) {
+    if (sheet.isHistogram()) {
+      return accountName(sheet, row, TOTAL) + " = the sum of its buckets";
     }
-    return cell(table, row, TOTAL)
+    return accountName(sheet, row, TOTAL)
         + " = "
-        + String.join(" + ", table.columns().subList(1, table.columns().size()));
+        + String.join(" + ", sheet.columns().subList(1, sheet.columns().size()));
   }
 }
--- a/src/main/java/sprucerock/accounting/CounterValues.java
+++ b/src/main/java/sprucerock/accounting/CounterValues.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /**
- * The value of each account, and which of them changed in the current turn. Changes reach the store
- * together, at the turn's end.
+ * The value of each account, and which accounts changed in the current loop iteration. All changes
+ * of an iteration reach the store together, at its end.
  */
 final class CounterValues {
   private final long[] values;
-  private final int[] changed;
+  private final int[] changedAccounts;
   private final boolean[] isChanged;
   private int changedCount;
   private MetricsStore store = MetricsStore.NONE;
@@ -16,7 +16,7 @@
 
   CounterValues(int size) {
     values = new long[size];
-    changed = new int[size];
+    changedAccounts = new int[size];
     isChanged = new boolean[size];
   }
 
@@ -28,8 +28,8 @@
     return values[index];
   }
 
-  /** The live array, for reading. */
-  long[] all() {
+  /** Returns the live array; callers must not write to it. */
+  long[] liveValues() {
     return values;
   }
 
@@ -38,14 +38,14 @@
     markChanged(index);
   }
 
-  /** Changes a value past the store, so that a test can show that the audit finds it. */
+  /** Changes a value without telling the store, so that a test can show that the audit finds it. */
   void corrupt(int index, long by) {
     values[index] += by;
   }
 
-  /** Writes all non-zero values to the store, and from now on what changes. */
-  void persistTo(MetricsStore newStore, Runnable onFirstChangeOfTurn) {
-    onFirstChange = onFirstChangeOfTurn;
+  /** Writes all non-zero values to the store, and from now on every change. */
+  void persistTo(MetricsStore newStore, Runnable onFirstChangeOfIteration) {
+    onFirstChange = onFirstChangeOfIteration;
     store = newStore;
     for (int i = 0; i < values.length; i++) {
       if (values[i] != 0) {
@@ -63,7 +63,7 @@
     if (changedCount == 0) {
       onFirstChange.run();
     }
-    changed[changedCount++] = index;
+    changedAccounts[changedCount++] = index;
   }
 
   void commit() {
@@ -71,8 +71,8 @@
       return;
     }
     for (int i = 0; i < changedCount; i++) {
-      isChanged[changed[i]] = false;
-      store.put(changed[i], values[changed[i]]);
+      isChanged[changedAccounts[i]] = false;
+      store.put(changedAccounts[i], values[changedAccounts[i]]);
     }
     changedCount = 0;
     store.commit();
--- a/src/main/java/sprucerock/accounting/EndpointRegistry.java
+++ b/src/main/java/sprucerock/accounting/EndpointRegistry.java
@@ -10,8 +10,8 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The endpoints that are listed now, and the builds that they run. Part of {@link RequestTracker},
- * and with it the only writer of their facts.
+ * The currently listed endpoints and the known builds. A part of {@link RequestTracker}: only these
+ * two classes write the state of endpoints and builds.
  */
 final class EndpointRegistry {
   private final TreeMap<Long, Endpoint> endpoints = new TreeMap<>();
@@ -28,63 +28,63 @@
     listener = policy;
   }
 
-  /** The endpoint listed under an id; null where there is none. */
+  /** Returns the endpoint listed under an id; null if there is none. */
   Endpoint get(long id) {
     return endpoints.get(id);
   }
 
-  /** A copy of the list, by id. */
-  List<Endpoint> all() {
+  /** Returns a copy of the list of endpoints, ordered by id. */
+  List<Endpoint> copyOfEndpoints() {
     return new ArrayList<>(endpoints.values());
   }
 
   /**
-   * An endpoint as a list or a change has it. Another build or start time under a known id is a new
-   * process, and so another endpoint.
+   * Adds or updates an endpoint from an endpoint list or a watch event. A different build or start
+   * time under a known id is a new process, and therefore another endpoint.
    */
-  Endpoint listed(
+  Endpoint addOrUpdate(
       long id,
       int zone,
-      int kind,
+      int hardwareFamily,
       int cell,
       int build,
-      Timestamp started,
+      Timestamp startedAt,
       double weight,
       boolean ready) {
-    Endpoint known = endpoints.get(id);
-    if (known != null && !known.isSameProcess(build, started)) {
-      removed(id);
-      known = null;
+    Endpoint endpoint = endpoints.get(id);
+    if (endpoint != null && !endpoint.isSameProcess(build, startedAt)) {
+      remove(id);
+      endpoint = null;
     }
-    if (known == null) {
-      known = new Endpoint(id, zone, kind, cell, build(build), started, weight);
-      known.setRow(accounts.row(accounts.endpoints, "" + id));
-      endpoints.put(id, known);
+    if (endpoint == null) {
+      endpoint = new Endpoint(id, zone, hardwareFamily, cell, build(build), startedAt, weight);
+      endpoint.setRow(accounts.row(accounts.endpoints, "" + id));
+      endpoints.put(id, endpoint);
     }
-    known.setWeight(weight);
+    endpoint.setWeight(weight);
     if (!ready) {
-      drain(known);
-    } else if (!known.ready()) {
-      known.setReady(true);
-      known.build.add(known);
-      listener.endpointReady(known);
+      drain(endpoint);
+    } else if (!endpoint.ready()) {
+      endpoint.setReady(true);
+      endpoint.build.add(endpoint);
+      listener.endpointReady(endpoint);
     }
-    return known;
+    return endpoint;
   }
 
-  /** An endpoint is gone; nothing happens where none has the id. */
-  void removed(long id) {
+  /** Removes the endpoint with an id; does nothing if there is none. */
+  void remove(long id) {
     Endpoint endpoint = endpoints.remove(id);
     if (endpoint != null) {
       drain(endpoint);
     }
   }
 
-  /** All endpoints but the given ones are gone. */
-  void retain(Set<Long> listed) {
-    for (Endpoint endpoint : all()) {
-      if (!listed.contains(endpoint.id)) {
-        removed(endpoint.id);
+  /** Removes all endpoints except those with the given ids. */
+  void retainOnly(Set<Long> listedIds) {
+    for (Endpoint endpoint : copyOfEndpoints()) {
+      if (!listedIds.contains(endpoint.id)) {
+        remove(endpoint.id);
       }
     }
   }
@@ -97,23 +97,23 @@
     listener.endpointDraining(endpoint);
   }
 
-  /** The build of a number, known from now on. */
+  /** Returns the build with a number; adds the build if it is not known. */
   Build build(int number) {
     return builds.computeIfAbsent(
         number,
-        key -> {
-          Build made = new Build(key);
-          made.setRow(accounts.row(accounts.builds, "" + key));
-          return made;
+        buildNumber -> {
+          Build build = new Build(buildNumber);
+          build.setRow(accounts.row(accounts.builds, "" + buildNumber));
+          return build;
         });
   }
 
-  /** The build of a number; null where it is unknown. */
+  /** Returns the build with a number; null if it is not known. */
   Build knownBuild(int number) {
     return builds.get(number);
   }
 
-  /** A build was announced; once it is released, it is no part of a trial any more. */
+  /** Records an announced build; a released build is not on trial any more. */
   void recordRollout(int build, boolean released) {
     newestRolloutBuild = released ? build + 1 : build;
   }
@@ -122,7 +122,7 @@
     return newestRolloutBuild;
   }
 
-  /** Drops the builds below a number that no ready endpoint runs. */
+  /** Forgets builds below a number that no ready endpoint runs. */
   void forgetBuildsBefore(int number) {
     builds.values().removeIf(build -> build.endpoints.isEmpty() && build.number < number);
   }
--- a/src/main/java/sprucerock/accounting/HistogramBuckets.java
+++ b/src/main/java/sprucerock/accounting/HistogramBuckets.java
@@ -6,64 +6,66 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The buckets of latency histograms: those that HdrHistogram has for one significant digit, 16 us
- * wide up to half a millisecond and a sixteenth of their octave further up, so that a percentile is
- * at most 6% off. What took longer than 67 s counts in the last one. Buckets are accounts like all
- * others, so that a latency's count is a posting that can't be lost by itself.
+ * The buckets of latency histograms. They equal the buckets of HdrHistogram for one significant
+ * digit: 16 us wide up to half a millisecond, and a sixteenth of their octave wide above, so that a
+ * percentile is at most 6% off. Latencies above 67 s count in the last bucket. Buckets are accounts
+ * like all others, so that a latency is counted by a posting and can't be lost on its own.
  */
 public final class HistogramBuckets {
-  /** How many buckets there are. */
+  /** The number of buckets. */
   public static final int BUCKET_COUNT = 304;
 
-  private static final int BUCKET_US = 16; // a loopback round trip takes ten
+  // A loopback round trip takes 10 us.
+  private static final int MIN_BUCKET_WIDTH_US = 16;
   private static final int BUCKETS_PER_OCTAVE = 16;
-  private static final long MAX_US = (long) BUCKET_US << 22;
+  private static final long MAX_LATENCY_US = (long) MIN_BUCKET_WIDTH_US << 22;
 
   private HistogramBuckets() {}
 
-  /** The bucket that a latency falls into. */
+  /** Returns the bucket of a latency. */
   public static int bucket(TimeSpan latency) {
     double us = Math.max(0, latency.ms() * 1000);
-    if (us >= MAX_US) {
+    if (us >= MAX_LATENCY_US) {
       return BUCKET_COUNT - 1;
     }
-    long fine = (long) us / BUCKET_US;
-    if (fine < 2 * BUCKETS_PER_OCTAVE) {
-      return (int) fine;
+    long widths = (long) us / MIN_BUCKET_WIDTH_US;
+    if (widths < 2 * BUCKETS_PER_OCTAVE) {
+      return (int) widths;
     }
-    int shift = 59 - Long.numberOfLeadingZeros(fine); // leaves five bits, the first of them set
-    return shift * BUCKETS_PER_OCTAVE + (int) (fine >> shift);
+    // The shift leaves five bits, of which the highest is set.
+    int shift = 59 - Long.numberOfLeadingZeros(widths);
+    return shift * BUCKETS_PER_OCTAVE + (int) (widths >> shift);
   }
 
-  /** The shortest latency that falls into a bucket, in microseconds. */
+  /** Returns the shortest latency of a bucket, in microseconds. */
   public static long lowerBoundUs(int bucket) {
     if (bucket < 2 * BUCKETS_PER_OCTAVE) {
-      return (long) bucket * BUCKET_US;
+      return (long) bucket * MIN_BUCKET_WIDTH_US;
     }
     return (long) (BUCKETS_PER_OCTAVE + bucket % BUCKETS_PER_OCTAVE)
         << bucket / BUCKETS_PER_OCTAVE - 1
         << 4;
   }
 
-  /** An empty histogram of values in microseconds that has these buckets. */
+  /** Returns an empty histogram with these buckets, for values in microseconds. */
   public static Histogram histogram() {
-    return new Histogram(BUCKET_US, 2 * MAX_US, 1);
+    return new Histogram(MIN_BUCKET_WIDTH_US, 2 * MAX_LATENCY_US, 1);
   }
 
   /**
-   * The histogram of a table's row.
+   * Returns the histogram of a sheet's row.
    *
-   * @param values by account
+   * @param values the values by account
    */
-  public static Histogram histogram(MetricsSheet table, int row, long[] values) {
-    Histogram made = histogram();
+  public static Histogram histogram(MetricsSheet sheet, int row, long[] values) {
+    Histogram histogram = histogram();
     for (int i = 0; i < BUCKET_COUNT; i++) {
-      long count = values[table.index(row, 1 + i)];
+      long count = values[sheet.index(row, 1 + i)];
       if (count > 0) {
-        made.recordValueWithCount(lowerBoundUs(i), count);
+        histogram.recordValueWithCount(lowerBoundUs(i), count);
       }
     }
-    return made;
+    return histogram;
   }
 
   static List<String> columns(String total) {
--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -6,45 +6,46 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The double-entry accounts of one relay: tables of counters, and one method for each thing that is
- * counted. A posting adds to a row's total and to one of its parts, or moves from one part to
- * another, so that each row's sum holds at all times.
+ * The double-entry accounts of one relay: sheets of counters, and one method for each kind of event
+ * that is counted. A posting adds to a row's total and to one of its parts, or moves an amount from
+ * one part to another, so that each row's total is the sum of its parts at all times.
  *
- * <p>One thread posts; a posting is a few additions. What was posted in a turn reaches the {@link
- * MetricsStore} together at {@link #commit}, so that no reader, nor a crash, ever sees half of one.
+ * <p>A single thread posts; a posting is a few additions. All postings of one loop iteration reach
+ * the {@link MetricsStore} together at {@link #commit}, so that neither a reader nor a restart
+ * after a crash sees a part of them.
  */
 public final class MethodAccounts {
   private static final int TOTAL = 0;
 
-  // columns of the calls' table
+  // Columns of the sheet of calls.
   private static final int CALLS_TAKEN = 1;
 
-  // columns that several tables have in common
+  // Columns that several sheets have in common.
   private static final int OK = 1;
   private static final int ENDPOINT_NOT_OK = 2;
   private static final int TENANT_ENDED = 1;
 
-  // columns of the answers' table
+  // Columns of the sheet of answers.
   private static final int ANSWER_IN_TIME = 1;
   private static final int ANSWER_LATE = 2;
   private static final int ANSWER_TOO_LATE = 3;
 
-  // columns of the frames' table
+  // Columns of the sheet of frames.
   private static final int FRAME_WRITTEN = 1;
   private static final int FRAME_UNWRITTEN = 2;
 
   /**
-   * How many named rows the tables have; names beyond these count in the row {@link
-   * MethodMetrics#OTHER}.
+   * How many named rows the sheets by build, endpoint and tenant have. Further names count in the
+   * row {@link MetricsSheet#OTHER}.
    */
   public record Capacity(int builds, int endpoints, int tenants) {
-    /** No named rows, for hosts whose counters nobody reads by these. */
+    /** No named rows, for hosts whose counters nobody reads by build, endpoint or tenant. */
     public static final Capacity NONE = new Capacity(0, 0, 0);
   }
 
   /**
-   * An equation that doesn't hold: its text, its two sides, and the last postings to the accounts
-   * in it.
+   * An equation between accounts that does not hold, with the values of its two sides and the last
+   * postings to its accounts.
    */
   public record Imbalance(String equation, long left, long right, List<String> lastPostings) {
     @Override
@@ -53,121 +54,128 @@
     }
   }
 
-  /** Requests as they reach the relay, before it decides whether to take them. */
+  /** Requests that reached the relay, before it decides whether to admit them. */
   public final MetricsSheet calls;
 
-  /** RPCs taken, by method, and how they ended. */
+  /** Admitted RPCs by method, and how they ended. */
   public final MetricsSheet rpcs;
 
-  /** RPCs taken, by tenant. */
+  /** Admitted RPCs by tenant. */
   public final MetricsSheet tenants;
 
-  /** Attempts, by method, and how they ended. */
+  /** Attempts by method, and how they ended. */
   public final MetricsSheet attempts;
 
-  /** Attempts, by build. */
+  /** Attempts by build, and how they ended. */
   public final MetricsSheet builds;
 
-  /** Attempts, by endpoint. */
+  /** Attempts by endpoint, and whether they ended ok. */
   public final MetricsSheet endpoints;
 
-  /** Shadow requests to a canary, by build; each is among the attempts, too. */
+  /** Shadow requests to a canary by build; each is also counted as an attempt. */
   public final MetricsSheet shadowAttempts;
 
-  /** RPCs that ended ok, by the deadlines they were in time for. */
+  /** RPCs that ended ok, by whether they met the latency objective and the deadline. */
   public final MetricsSheet answers;
 
-  /** How long these took, from their arrival here. */
+  /** Latency of RPCs that ended ok, from their arrival at this relay. */
   public final MetricsSheet latency;
 
-  /** How long attempts took that ended ok, by build and method; see {@link #attemptLatencyRow}. */
+  /** Latency of attempts that ended ok, by build and method; see {@link #attemptLatencyRow}. */
   public final MetricsSheet attemptLatency;
 
-  /** Attempts on their way to a connection: written as a frame, or ended before. */
+  /** Frames of attempts: written to a connection, or not written because the attempt ended. */
   public final MetricsSheet frames;
 
-  /** Results of attempts that had ended before, such as one that timed out. */
+  /** Results that arrived after their attempt had ended, for example by a timeout. */
   public final MetricsSheet lateResults;
 
-  /** TLS handshakes, begun or accepted here, by how they ended. */
+  /** TLS handshakes that this relay began or accepted, by how they ended. */
   public final MetricsSheet handshakes;
 
-  /** Changes of the TLS files, taken or refused. */
+  /** Changes of the TLS files, by whether they were applied or rejected. */
   public final MetricsSheet tlsFiles;
 
-  /** Votes cast on a canary, by the controller's reply. */
+  /** Votes on a canary, by the controller's reply. */
   public final MetricsSheet votes;
 
   /** Gossip messages to other relays. */
   public final MetricsSheet messages;
 
-  /** The relay's own starts: how each ended. */
+  /** Starts of this relay, by how each run ended. */
   public final MetricsSheet starts;
 
-  /** What each start found of the metrics kept before. */
+  /** The state in which each start found the metrics file. */
   public final MetricsSheet metricsFiles;
 
   private final List<MetricsSheet> sheets = new ArrayList<>();
-  private final RowNames names;
+  private final RowNames rowNames;
   private final CounterValues values;
   private final PostingHistory history = new PostingHistory();
   private MetricsStore store = MetricsStore.NONE;
-  private boolean disabled;
+  private boolean postingsDisabled;
 
   /**
-   * Accounts that are all zero.
+   * Creates accounts that are all zero.
    *
-   * @param methods the methods' names, in the order of their numbers
-   * @param capacity how many named rows other tables have
+   * @param methods the names of the methods by their index
+   * @param capacity how many named rows the sheets by build, endpoint and tenant have
    */
   public MethodAccounts(List<String> methods, Capacity capacity) {
-    int byMethod = methods.size() + 1;
-    final int byBuild = capacity.builds + 1;
-    final List<String> ends = SheetColumns.ATTEMPTS;
-    final List<String> answered = HistogramBuckets.columns("answered");
-    final List<String> ok = HistogramBuckets.columns("ok");
-    calls = settling("calls", "relay", 1, SheetColumns.CALLS);
-    rpcs = settling("rpcs", "method", byMethod, SheetColumns.RPCS);
-    tenants = settling("customer_rpcs", "customer", capacity.tenants + 1, SheetColumns.TENANTS);
-    attempts = settling("picks", "method", byMethod, ends);
-    builds = settling("build_picks", "build", byBuild, ends);
-    endpoints = settling("unit_picks", "unit", capacity.endpoints + 1, SheetColumns.ENDPOINTS);
-    shadowAttempts = settling("copies", "build", byBuild, ends);
-    answers = immediate("answers", "method", byMethod, SheetColumns.ANSWERS);
-    latency = immediate("latency", "method", byMethod, answered);
-    attemptLatency = immediate("pick_latency", "build_and_method", byBuild * byMethod, ok);
-    frames = settling("pick_frames", "relay", 1, SheetColumns.FRAMES);
-    lateResults = immediate("late_results", "relay", 1, SheetColumns.LATE_RESULTS);
-    handshakes = settling("handshakes", "relay", 1, SheetColumns.HANDSHAKES);
-    tlsFiles = immediate("tls_files", "relay", 1, SheetColumns.TLS_FILES);
-    votes = settling("votes", "relay", 1, SheetColumns.VOTES);
-    messages = settling("messages", "relay", 1, SheetColumns.MESSAGES);
-    starts = settling("starts", "relay", 1, SheetColumns.STARTS);
-    metricsFiles = settling("files", "relay", 1, SheetColumns.FILES);
-    names = new RowNames(sheets);
-    values = new CounterValues(endOfTables());
+    int methodRows = methods.size() + 1;
+    final int buildRows = capacity.builds + 1;
+    final List<String> attemptColumns = SheetColumns.ATTEMPTS;
+    final List<String> latencyColumns = HistogramBuckets.columns("answered");
+    final List<String> attemptLatencyColumns = HistogramBuckets.columns("ok");
+    calls = addSheetWithPending("calls", "relay", 1, SheetColumns.CALLS);
+    rpcs = addSheetWithPending("rpcs", "method", methodRows, SheetColumns.RPCS);
+    tenants =
+        addSheetWithPending(
+            "customer_rpcs", "customer", capacity.tenants + 1, SheetColumns.TENANTS);
+    attempts = addSheetWithPending("picks", "method", methodRows, attemptColumns);
+    builds = addSheetWithPending("build_picks", "build", buildRows, attemptColumns);
+    endpoints =
+        addSheetWithPending("unit_picks", "unit", capacity.endpoints + 1, SheetColumns.ENDPOINTS);
+    shadowAttempts = addSheetWithPending("copies", "build", buildRows, attemptColumns);
+    answers = addSheetWithoutPending("answers", "method", methodRows, SheetColumns.ANSWERS);
+    latency = addSheetWithoutPending("latency", "method", methodRows, latencyColumns);
+    attemptLatency =
+        addSheetWithoutPending(
+            "pick_latency", "build_and_method", buildRows * methodRows, attemptLatencyColumns);
+    frames = addSheetWithPending("pick_frames", "relay", 1, SheetColumns.FRAMES);
+    lateResults = addSheetWithoutPending("late_results", "relay", 1, SheetColumns.LATE_RESULTS);
+    handshakes = addSheetWithPending("handshakes", "relay", 1, SheetColumns.HANDSHAKES);
+    tlsFiles = addSheetWithoutPending("tls_files", "relay", 1, SheetColumns.TLS_FILES);
+    votes = addSheetWithPending("votes", "relay", 1, SheetColumns.VOTES);
+    messages = addSheetWithPending("messages", "relay", 1, SheetColumns.MESSAGES);
+    starts = addSheetWithPending("starts", "relay", 1, SheetColumns.STARTS);
+    metricsFiles = addSheetWithPending("files", "relay", 1, SheetColumns.FILES);
+    rowNames = new RowNames(sheets);
+    values = new CounterValues(endOfSheets());
     nameFixedRows(methods);
   }
 
-  /** Adds a table whose postings are pending at first. */
-  private MetricsSheet settling(String name, String by, int rows, List<String> columns) {
-    return table(name, by, rows, columns, true);
+  /** Adds a sheet whose postings are pending until the counted event has ended. */
+  private MetricsSheet addSheetWithPending(
+      String name, String rowKey, int rows, List<String> columns) {
+    return addSheet(name, rowKey, rows, columns, true);
   }
 
-  /** Adds a table whose postings are final at once. */
-  private MetricsSheet immediate(String name, String by, int rows, List<String> columns) {
-    return table(name, by, rows, columns, false);
+  /** Adds a sheet whose postings are final immediately. */
+  private MetricsSheet addSheetWithoutPending(
+      String name, String rowKey, int rows, List<String> columns) {
+    return addSheet(name, rowKey, rows, columns, false);
   }
 
-  private MetricsSheet table(
-      String name, String by, int rows, List<String> columns, boolean hasPending) {
-    MetricsSheet made =
-        new MetricsSheet(name, by, rows, endOfTables(), sheets.size(), columns, hasPending);
-    sheets.add(made);
-    return made;
+  private MetricsSheet addSheet(
+      String name, String rowKey, int rows, List<String> columns, boolean hasPending) {
+    MetricsSheet sheet =
+        new MetricsSheet(name, rowKey, rows, endOfSheets(), sheets.size(), columns, hasPending);
+    sheets.add(sheet);
+    return sheet;
   }
 
-  private int endOfTables() {
+  private int endOfSheets() {
     if (sheets.isEmpty()) {
       return 0;
     }
@@ -176,157 +184,159 @@
   }
 
   private void nameFixedRows(List<String> methods) {
-    for (MetricsSheet table : sheets) {
-      if (table != attemptLatency) {
-        String name = table.rowCount() == 1 ? MetricsSheet.ALL : MetricsSheet.OTHER;
-        nameRow(table, table.rowCount() - 1, name);
+    for (MetricsSheet sheet : sheets) {
+      if (sheet != attemptLatency) {
+        String name = sheet.rowCount() == 1 ? MetricsSheet.ALL : MetricsSheet.OTHER;
+        nameRow(sheet, sheet.rowCount() - 1, name);
       }
     }
     for (String method : methods) {
-      for (MetricsSheet table : List.of(rpcs, attempts, answers, latency)) {
-        row(table, method);
+      for (MetricsSheet sheet : List.of(rpcs, attempts, answers, latency)) {
+        row(sheet, method);
       }
     }
   }
 
-  /** All tables, in the order in which they are stored. */
+  /** Returns all sheets, in the order in which they are stored. */
   public List<MetricsSheet> sheets() {
     return Collections.unmodifiableList(sheets);
   }
 
-  /** How many accounts there are: cells of all tables. */
+  /** Returns the number of accounts, which is the number of cells of all sheets. */
   public int size() {
     return values.size();
   }
 
-  /** How many rows all tables have. */
+  /** Returns the number of rows of all sheets. */
   public int rowCount() {
-    return names.count();
+    return rowNames.rowCount();
   }
 
-  /** A row's name; null where it isn't in use. */
-  public String name(MetricsSheet table, int row) {
-    return names.name(table, row);
+  /** Returns a row's name; null if the row is not in use. */
+  public String name(MetricsSheet sheet, int row) {
+    return rowNames.name(sheet, row);
   }
 
   /**
-   * One line a table: its name, its key, how many rows, the columns. Where this text is the same,
-   * so are the places of all accounts.
+   * Returns one line for each sheet: its name, its row key, its number of rows and its columns. Two
+   * sets of accounts with the same layout have all accounts at the same index.
    */
   public String layout() {
     StringBuilder text = new StringBuilder();
-    for (MetricsSheet table : sheets) {
-      text.append(table.name())
+    for (MetricsSheet sheet : sheets) {
+      text.append(sheet.name())
           .append(' ')
-          .append(table.rowKey())
+          .append(sheet.rowKey())
           .append(' ')
-          .append(table.rowCount())
+          .append(sheet.rowCount())
           .append(' ')
-          .append(String.join(",", table.columns()))
+          .append(String.join(",", sheet.columns()))
           .append('\n');
     }
     return text.toString();
   }
 
   /**
-   * The row of a name, assigned if there is one left; else the row for all others. Shadow requests
-   * have the rows of builds.
+   * Returns the row with a name. Assigns a free row to a new name; without a free row, returns the
+   * row for all other names. The sheet of shadow requests uses the same rows as the sheet of
+   * builds.
    */
-  public int row(MetricsSheet table, String name) {
-    Integer row = names.find(table, name);
+  public int row(MetricsSheet sheet, String name) {
+    Integer row = rowNames.findRow(sheet, name);
     if (row != null) {
       return row;
     }
-    int used = names.used(table);
-    if (used >= table.rowCount()) {
-      return table.rowCount() - 1;
+    int usedRows = rowNames.usedRowCount(sheet);
+    if (usedRows >= sheet.rowCount()) {
+      return sheet.rowCount() - 1;
     }
-    int assigned = used - 1;
-    nameRow(table, assigned, name);
-    if (table == builds) {
+    int assigned = usedRows - 1;
+    nameRow(sheet, assigned, name);
+    if (sheet == builds) {
       nameRow(shadowAttempts, assigned, name);
     }
     return assigned;
   }
 
   /**
-   * The row of a build's attempt latencies for a method, named at its first use.
+   * Returns the row of a build's attempt latencies for a method, which is named at its first use.
    *
    * @param build row in {@link #builds}
    * @param method row in {@link #attempts}
    */
   public int attemptLatencyRow(int build, int method) {
     int row = build * attempts.rowCount() + method;
-    if (names.name(attemptLatency, row) == null) {
+    if (rowNames.name(attemptLatency, row) == null) {
       nameRow(attemptLatency, row, name(builds, build) + "/" + name(attempts, method));
     }
     return row;
   }
 
-  /** Names a row, as a file of another relay has it. */
-  public void nameRow(MetricsSheet table, int row, String name) {
-    int rowOfAll = names.assign(table, row, name);
-    store.nameRow(rowOfAll, name);
+  /** Names a row, for accounts that get the rows of a metrics file. */
+  public void nameRow(MetricsSheet sheet, int row, String name) {
+    int globalRow = rowNames.nameRow(sheet, row, name);
+    store.nameRow(globalRow, name);
   }
 
   /**
-   * Keeps everything in a store from now on; what was posted so far goes there first.
+   * Writes all present names and values to a store, and from now on every change.
    *
-   * @param onFirstPostingOfTurn run at the first posting of each turn; whoever runs the turns then
-   *     has to {@link #commit} at the turn's end
+   * @param onFirstPostingOfIteration runs at the first posting of each loop iteration; the host
+   *     must then call {@link #commit} at the end of the iteration
    */
-  public void persistTo(MetricsStore newStore, Runnable onFirstPostingOfTurn) {
+  public void persistTo(MetricsStore newStore, Runnable onFirstPostingOfIteration) {
     store = newStore;
-    for (int row = 0; row < names.count(); row++) {
-      if (names.name(row) != null) {
-        store.nameRow(row, names.name(row));
+    for (int row = 0; row < rowNames.rowCount(); row++) {
+      if (rowNames.name(row) != null) {
+        store.nameRow(row, rowNames.name(row));
       }
     }
-    values.persistTo(newStore, onFirstPostingOfTurn);
+    values.persistTo(newStore, onFirstPostingOfIteration);
   }
 
   /**
-   * Adds what an earlier incarnation of the relay counted; what was pending then counts as lost.
+   * Adds a value that an earlier incarnation of the relay counted. A value that was pending then is
+   * counted as lost.
    *
-   * @param name the row's name there
+   * @param name the row's name in the earlier incarnation
    */
-  public void carryOver(MetricsSheet table, String name, int column, long value) {
+  public void carryOver(MetricsSheet sheet, String name, int column, long value) {
     int row;
-    if (table == attemptLatency) {
+    if (sheet == attemptLatency) {
       int slash = name.indexOf('/');
       int build = row(builds, name.substring(0, slash));
       row = attemptLatencyRow(build, row(attempts, name.substring(slash + 1)));
     } else {
-      row = row(table == shadowAttempts ? builds : table, name);
+      row = row(sheet == shadowAttempts ? builds : sheet, name);
     }
     values.add(
-        table.index(row, column == table.pendingColumn() ? table.lostColumn() : column), value);
+        sheet.index(row, column == sheet.pendingColumn() ? sheet.lostColumn() : column), value);
   }
 
   /**
-   * From now on nothing is posted, to measure what postings cost. Called before the first of them.
+   * Disables all postings, to measure the cost of postings. Must be called before the first one.
    */
   public void disablePostings() {
-    disabled = true;
+    postingsDisabled = true;
   }
 
-  /** Whether postings are disabled. */
+  /** Returns whether postings are disabled. */
   public boolean postingsDisabled() {
-    return disabled;
+    return postingsDisabled;
   }
 
-  /** Counts something new, in a column. */
-  public void postNew(MetricsSheet table, int row, int column) {
-    post(table.index(row, TOTAL), 1, table.index(row, column));
+  /** Counts a new event in a row's total and in one of its columns. */
+  public void postNew(MetricsSheet sheet, int row, int column) {
+    post(sheet.index(row, TOTAL), 1, sheet.index(row, column));
   }
 
-  /** Moves one from a column to another. */
-  public void postTransfer(MetricsSheet table, int row, int from, int to) {
-    post(table.index(row, from), -1, table.index(row, to));
+  /** Moves one event from a column to another. */
+  public void postTransfer(MetricsSheet sheet, int row, int from, int to) {
+    post(sheet.index(row, from), -1, sheet.index(row, to));
   }
 
   private void post(int from, long amount, int to) {
-    if (disabled) {
+    if (postingsDisabled) {
       return;
     }
     values.add(from, amount);
@@ -334,38 +344,38 @@
     history.record(from, to);
   }
 
-  // What happens to RPCs and attempts, each one posting over all tables that it touches. Methods,
-  // tenants, builds and endpoints are given by their rows.
+  // Events of RPCs and attempts, each posted to all sheets that it concerns. The parameters
+  // method, tenant, build and endpoint are rows.
 
-  /** An RPC was taken. */
+  /** Counts an admitted RPC. */
   public void rpcArrived(int method, int tenant) {
     postNew(calls, 0, CALLS_TAKEN);
     postNew(rpcs, method, rpcs.pendingColumn());
     postNew(tenants, tenant, tenants.pendingColumn());
   }
 
-  /** An RPC ended; {@code how} is a column of the RPCs' table. */
-  public void rpcEnded(int method, int tenant, int how) {
-    postTransfer(rpcs, method, rpcs.pendingColumn(), how);
+  /** Counts the end of an RPC; {@code column} is the outcome's column of {@link #rpcs}. */
+  public void rpcEnded(int method, int tenant, int column) {
+    postTransfer(rpcs, method, rpcs.pendingColumn(), column);
     postTransfer(tenants, tenant, tenants.pendingColumn(), TENANT_ENDED);
   }
 
   /**
-   * An RPC ended ok.
+   * Counts an RPC that ended ok.
    *
-   * @param after since its arrival
-   * @param inTime whether it met its latency objective
-   * @param byDeadline whether it met its deadline
+   * @param sinceArrival the time since the RPC arrived
+   * @param metObjective whether the answer met the latency objective
+   * @param metDeadline whether the answer met the deadline
    */
   public void rpcAnswered(
-      int method, int tenant, TimeSpan after, boolean inTime, boolean byDeadline) {
-    int column = inTime ? ANSWER_IN_TIME : byDeadline ? ANSWER_LATE : ANSWER_TOO_LATE;
+      int method, int tenant, TimeSpan sinceArrival, boolean metObjective, boolean metDeadline) {
+    int column = metObjective ? ANSWER_IN_TIME : metDeadline ? ANSWER_LATE : ANSWER_TOO_LATE;
     postNew(answers, method, column);
-    postNew(latency, method, 1 + HistogramBuckets.bucket(after));
+    postNew(latency, method, 1 + HistogramBuckets.bucket(sinceArrival));
     rpcEnded(method, tenant, OK);
   }
 
-  /** An attempt was started. */
+  /** Counts a started attempt. */
   public void attemptSent(int method, int build, int endpoint, boolean shadow) {
     postNew(attempts, method, attempts.pendingColumn());
     postNew(builds, build, builds.pendingColumn());
@@ -376,61 +386,68 @@
     }
   }
 
-  /** An attempt was put on a connection. */
+  /** Counts an attempt that was written to a connection. */
   public void attemptWritten() {
     postTransfer(frames, 0, frames.pendingColumn(), FRAME_WRITTEN);
   }
 
-  /** An attempt ended; {@code how} is a column of the attempts' table, of which the first is ok. */
+  /**
+   * Counts the end of an attempt.
+   *
+   * @param written whether the attempt was written to a connection
+   * @param column the outcome's column of {@link #attempts}; the first after the total is ok
+   * @param sinceSent the time since the attempt was sent
+   */
   public void attemptEnded(
       int method,
       int build,
       int endpoint,
       boolean shadow,
       boolean written,
-      int how,
-      TimeSpan after) {
+      int column,
+      TimeSpan sinceSent) {
     if (!written) {
       postTransfer(frames, 0, frames.pendingColumn(), FRAME_UNWRITTEN);
     }
-    postTransfer(attempts, method, attempts.pendingColumn(), how);
-    postTransfer(builds, build, builds.pendingColumn(), how);
-    postTransfer(endpoints, endpoint, endpoints.pendingColumn(), how == OK ? OK : ENDPOINT_NOT_OK);
+    postTransfer(attempts, method, attempts.pendingColumn(), column);
+    postTransfer(builds, build, builds.pendingColumn(), column);
+    postTransfer(
+        endpoints, endpoint, endpoints.pendingColumn(), column == OK ? OK : ENDPOINT_NOT_OK);
     if (shadow) {
-      postTransfer(shadowAttempts, build, shadowAttempts.pendingColumn(), how);
+      postTransfer(shadowAttempts, build, shadowAttempts.pendingColumn(), column);
     }
-    if (how == OK) {
+    if (column == OK) {
       int row = attemptLatencyRow(build, method);
-      postNew(attemptLatency, row, 1 + HistogramBuckets.bucket(after));
+      postNew(attemptLatency, row, 1 + HistogramBuckets.bucket(sinceSent));
     }
   }
 
-  /** At a turn's end: what was posted in it counts. */
+  /** Writes all postings since the last commit to the store; called once per loop iteration. */
   public void commit() {
     values.commit();
   }
 
-  /** An account's value. */
-  public long value(MetricsSheet table, int row, int column) {
-    return values.get(table.index(row, column));
+  /** Returns an account's value. */
+  public long value(MetricsSheet sheet, int row, int column) {
+    return values.get(sheet.index(row, column));
   }
 
-  /** A column's sum over all rows. */
-  public long sum(MetricsSheet table, int column) {
-    return AccountAudit.sum(values.all(), table, column);
+  /** Returns a column's sum over all rows. */
+  public long sum(MetricsSheet sheet, int column) {
+    return AccountAudit.columnSum(values.liveValues(), sheet, column);
   }
 
-  /** The equations that don't hold for the present values. Empty: all hold. */
+  /** Returns the equations that do not hold for the present values; empty if all hold. */
   public List<Imbalance> check() {
-    return check(values.all());
+    return check(values.liveValues());
   }
 
-  /** The same for values read elsewhere, such as from a file. */
-  public List<Imbalance> check(long[] other) {
-    return new AccountAudit(this, other, history).run();
+  /** Returns the equations that do not hold for other values, such as those of a file. */
+  public List<Imbalance> check(long[] otherValues) {
+    return new AccountAudit(this, otherValues, history).run();
   }
 
-  /** Corrupts one account, so that tests can show that it is found. */
+  /** Corrupts one account, so that a test can show that {@link #check} finds it. */
   void corrupt(int index, long by) {
     values.corrupt(index, by);
   }
--- a/src/main/java/sprucerock/accounting/MetricsSheet.java
+++ b/src/main/java/sprucerock/accounting/MetricsSheet.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * The shape of one table of accounts, with a row for each method, endpoint or other key. In every
- * row the first column, the total, is the sum of the others at all times: a posting adds to the
- * total and to one of them, or moves from one to another. The last row stands for all keys that
- * found no row of their own. The values are in {@link MethodAccounts}.
+ * The shape of one sheet of accounts, with a row for each method, endpoint or other key. In every
+ * row the first column, the total, is the sum of the other columns at all times: a posting adds to
+ * the total and to one other column, or moves an amount between two other columns. The last row
+ * counts all keys that have no row of their own. {@link MethodAccounts} has the values.
  */
 public final class MetricsSheet {
   /** The name of the row for keys beyond the capacity. */
   public static final String OTHER = "other";
 
-  /** The name of a table's only row. */
+  /** The name of the row of a sheet that has only one row. */
   public static final String ALL = "all";
 
   private final String name;
@@ -20,87 +20,91 @@
   private final List<String> columns;
   private final int rowCount;
   private final int pendingColumn;
-  private final int width;
+  private final int columnCount;
   final int firstAccount;
 
-  /** Its place among all tables. */
+  /** The position of this sheet among all sheets. */
   final int sheetIndex;
 
   /**
-   * The shape of a table.
+   * Creates the shape of a sheet.
    *
-   * @param base the place of its first account among all
-   * @param hasPending whether its last two columns are what a crash ended and what isn't over yet;
-   *     else each posting is final at once
+   * @param rowKey what the rows stand for, such as method
+   * @param firstAccount the index of the sheet's first account among all accounts
+   * @param hasPending whether the last two columns count events that a crash ended and events that
+   *     have not ended; if false, each posting is final immediately
    */
   MetricsSheet(
       String name,
-      String by,
-      int rows,
-      int base,
-      int place,
+      String rowKey,
+      int rowCount,
+      int firstAccount,
+      int sheetIndex,
       List<String> columns,
       boolean hasPending) {
     this.name = name;
-    this.rowKey = by;
-    this.rowCount = rows;
-    this.firstAccount = base;
-    this.sheetIndex = place;
+    this.rowKey = rowKey;
+    this.rowCount = rowCount;
+    this.firstAccount = firstAccount;
+    this.sheetIndex = sheetIndex;
     this.columns = columns;
-    width = columns.size();
+    columnCount = columns.size();
     pendingColumn = hasPending ? columns.size() - 1 : -1;
   }
 
-  /** Whether its postings are pending at first; else it has neither pending nor lost. */
+  /** Returns whether the sheet has a pending and a lost column. */
   public boolean hasPending() {
     return pendingColumn > 0;
   }
 
-  /** Whether its columns are the buckets of a {@link HistogramBuckets}. */
+  /** Returns whether the columns after the total are {@link HistogramBuckets}. */
   public boolean isHistogram() {
     return columns.size() == 1 + HistogramBuckets.BUCKET_COUNT;
   }
 
-  /** The first column after those of how something ended. */
+  /** Returns the first column after the columns of outcomes. */
   public int endOfOutcomeColumns() {
     return hasPending() ? pendingColumn : columns.size();
   }
 
-  /** The table's name, as stored and exported. */
+  /** Returns the name under which the sheet is stored and exported. */
   public String name() {
     return name;
   }
 
-  /** The key that tells rows apart, such as method. */
+  /** Returns what the rows stand for, such as method. */
   public String rowKey() {
     return rowKey;
   }
 
-  /** Their names, the total first; with {@link #hasPending}, the last two are lost and pending. */
+  /**
+   * Returns the names of the columns. The total is first; with {@link #hasPending}, the last two
+   * are lost and pending.
+   */
   public List<String> columns() {
     return columns;
   }
 
-  /** How many rows it has, the one for all others among them. */
+  /** Returns the number of rows, including the row for all other keys. */
   public int rowCount() {
     return rowCount;
   }
 
-  /** Where an account stands among all. */
+  /** Returns the index of an account among all accounts. */
   public int index(int row, int column) {
-    return firstAccount + row * width + column;
+    return firstAccount + row * columnCount + column;
   }
 
   int size() {
     return rowCount * columns.size();
   }
 
-  /** The column of what isn't over yet; -1 where there is none. */
+  /** Returns the column of events that have not ended; -1 if there is none. */
   public int pendingColumn() {
     return pendingColumn;
   }
 
-  /** The column of what a crash of the relay ended; -1 where there is none. */
+  /** Returns the column of events that a crash of the relay ended; -1 if there is none. */
   public int lostColumn() {
     return hasPending() ? pendingColumn - 1 : -1;
   }
--- a/src/main/java/sprucerock/accounting/MetricsStore.java
+++ b/src/main/java/sprucerock/accounting/MetricsStore.java
@@ -1,11 +1,11 @@
 package sprucerock.accounting;
 
 /**
- * Where accounts are kept beyond the relay's life. What was put counts from {@link #commit} on, all
- * of it or none.
+ * Stores the accounts beyond the relay's lifetime. Written values take effect together at {@link
+ * #commit}.
  */
 public interface MetricsStore {
-  /** Keeps nothing. */
+  /** A store that discards everything. */
   MetricsStore NONE =
       new MetricsStore() {
         @Override
@@ -18,12 +18,12 @@
         public void commit() {}
       };
 
-  /** From now on, a row has this name; rows are counted through all tables. */
+  /** Sets the name of a row; rows are numbered through all sheets. */
   void nameRow(int row, String label);
 
-  /** An account's new value; accounts are counted through all tables. */
+  /** Writes the new value of an account; accounts are numbered through all sheets. */
   void put(int account, long value);
 
-  /** Makes all that was put since the last commit count at once. */
+  /** Makes all values written since the last commit take effect together. */
   void commit();
 }
--- a/src/main/java/sprucerock/accounting/PostingHistory.java
+++ b/src/main/java/sprucerock/accounting/PostingHistory.java
@@ -4,32 +4,36 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** The latest postings, to be named where an equation doesn't hold. */
+/** The latest postings, which are reported for an equation that does not hold. */
 final class PostingHistory {
-  private static final int CAPACITY = 64; // postings, some turns' worth; a power of two
-  private static final int MAX_SHOWN = 5; // postings
+  // Holds the postings of some loop iterations. Must be a power of two.
+  private static final int CAPACITY_POSTINGS = 64;
+  private static final int MAX_SHOWN_POSTINGS = 5;
 
-  private final int[] from = new int[CAPACITY];
-  private final int[] to = new int[CAPACITY];
+  private final int[] fromAccounts = new int[CAPACITY_POSTINGS];
+  private final int[] toAccounts = new int[CAPACITY_POSTINGS];
   private long count;
 
   void record(int fromAccount, int toAccount) {
-    int slot = (int) (count & CAPACITY - 1);
-    from[slot] = fromAccount;
-    to[slot] = toAccount;
+    int slot = (int) (count & CAPACITY_POSTINGS - 1);
+    fromAccounts[slot] = fromAccount;
+    toAccounts[slot] = toAccount;
     count++;
   }
 
-  /** The last ones that touched an account from {@code first} to before {@code end}. */
-  List<String> latest(int first, int end, IntFunction<String> accountName) {
+  /**
+   * Returns the last postings that touched an account from {@code firstAccount} (inclusive) to
+   * {@code endAccount} (exclusive).
+   */
+  List<String> latestTouching(int firstAccount, int endAccount, IntFunction<String> accountName) {
     List<String> found = new ArrayList<>();
-    for (long i = Math.max(0, count - CAPACITY); i < count; i++) {
-      int one = from[(int) (i & CAPACITY - 1)];
-      int other = to[(int) (i & CAPACITY - 1)];
-      if (one >= first && one < end || other >= first && other < end) {
-        found.add(accountName.apply(one) + " to " + accountName.apply(other));
+    for (long i = Math.max(0, count - CAPACITY_POSTINGS); i < count; i++) {
+      int from = fromAccounts[(int) (i & CAPACITY_POSTINGS - 1)];
+      int to = toAccounts[(int) (i & CAPACITY_POSTINGS - 1)];
+      if (from >= firstAccount && from < endAccount || to >= firstAccount && to < endAccount) {
+        found.add(accountName.apply(from) + " to " + accountName.apply(to));
       }
     }
-    return found.subList(Math.max(0, found.size() - MAX_SHOWN), found.size());
+    return found.subList(Math.max(0, found.size() - MAX_SHOWN_POSTINGS), found.size());
   }
 }
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -18,24 +18,26 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The state of each RPC, attempt, endpoint and build of one relay, the same under every host of the
- * routing policy. It is the only writer of their facts, counts them in {@link MethodAccounts}, and
- * then notifies the policy. The host reports what came in, and what the policy had it do.
+ * Tracks the state of each RPC, attempt, endpoint and build of one relay, independent of the host
+ * that runs the routing policy. It is the only writer of this state, counts each change in {@link
+ * MethodAccounts}, and then notifies the policy. The host reports events from outside and the
+ * actions that it took for the policy.
  *
- * <p>One thread. Calls about what has ended already change nothing.
+ * <p>Not thread-safe: a single thread makes all calls. A call about an RPC or attempt that has
+ * already ended changes nothing.
  */
 public final class RequestTracker {
-  // columns of the RPCs' accounts
+  // Columns of the sheet of RPCs.
   private static final int REJECTED = 2;
   private static final int ABORTED = 3;
   private static final int CLIENT_LEFT = 4;
 
-  // columns of the late results' accounts
+  // Columns of the sheet of late results.
   private static final int LATE_OK = 1;
   private static final int LATE_ERROR = 2;
   private static final int LATE_FULL = 3;
 
-  private static final int UNASSIGNED = -1;
+  private static final int UNASSIGNED_ROW = -1;
 
   private final Settings settings;
   private final Map<Long, Rpc> rpcs = new HashMap<>();
@@ -45,7 +47,7 @@
   private RelayEvents listener;
   private int openRpcs;
 
-  /** A tracker whose counters are told apart by method only, named by their numbers. */
+  /** Creates a tracker with counters by method only; the rows are named by method number. */
   public RequestTracker(Settings settings) {
     this(
         settings,
@@ -54,73 +56,73 @@
             MethodAccounts.Capacity.NONE));
   }
 
-  /** A tracker that counts in the given accounts, which nobody else posts RPCs and attempts to. */
+  /** Creates a tracker that is the only one to post RPCs and attempts to the given accounts. */
   public RequestTracker(Settings settings, MethodAccounts accounts) {
     this.settings = settings;
     this.accounts = accounts;
     endpoints = new EndpointRegistry(accounts);
     tenantRows = new int[accounts.tenants.rowCount()];
-    Arrays.fill(tenantRows, UNASSIGNED);
+    Arrays.fill(tenantRows, UNASSIGNED_ROW);
   }
 
-  /** Where it counts. */
+  /** Returns the accounts that this tracker posts to. */
   public MethodAccounts accounts() {
     return accounts;
   }
 
   private int tenantRow(int tenant) {
-    int other = tenantRows.length - 1;
-    if (tenant < 0 || tenant >= other) {
-      return other;
+    int rowOfOtherTenants = tenantRows.length - 1;
+    if (tenant < 0 || tenant >= rowOfOtherTenants) {
+      return rowOfOtherTenants;
     }
-    if (tenantRows[tenant] == UNASSIGNED) {
+    if (tenantRows[tenant] == UNASSIGNED_ROW) {
       tenantRows[tenant] = accounts.row(accounts.tenants, "" + tenant);
     }
     return tenantRows[tenant];
   }
 
   /**
-   * Sets the policy to be notified; once, before anything else. It isn't an argument of the
-   * constructor because a policy needs its host first.
+   * Sets the policy to notify. Must be called once, before any other method. The policy is not a
+   * constructor argument because a policy needs its host first.
    */
   public void setListener(RelayEvents policy) {
     listener = policy;
     endpoints.setListener(policy);
   }
 
-  /** How many RPCs have no final answer yet. */
+  /** Returns how many RPCs have no final answer yet. */
   public int openRpcs() {
     return openRpcs;
   }
 
-  /** How many RPCs are open or have attempts in flight. */
+  /** Returns how many RPCs are open or have attempts in flight. */
   public int trackedRpcs() {
     return rpcs.size();
   }
 
-  /** The RPC that arrived under an id; null once it is over and forgotten. */
+  /** Returns the RPC with an id; null once it is over and no longer tracked. */
   public Rpc rpc(long id) {
     return rpcs.get(id);
   }
 
-  /** The endpoint listed under an id; null where there is none. */
+  /** Returns the endpoint listed under an id; null if there is none. */
   public Endpoint endpoint(long id) {
     return endpoints.get(id);
   }
 
-  /** A copy of the list of endpoints, by id. */
+  /** Returns a copy of the list of endpoints, ordered by id. */
   public List<Endpoint> endpoints() {
-    return endpoints.all();
+    return endpoints.copyOfEndpoints();
   }
 
-  // What comes in.
+  // Events from outside.
 
   /**
-   * An RPC arrived.
+   * Records that an RPC arrived.
    *
-   * @param id one that no RPC tracked here has
+   * @param id an id that no tracked RPC has
    * @param workHint the work that the client expects; null without a hint
-   * @param attachment what the listener that took it keeps with it; may be null
+   * @param attachment data of the listener that received the RPC; may be null
    */
   public Rpc rpcArrived(
       long id,
@@ -139,17 +141,17 @@
     return rpc;
   }
 
-  /** An attempt's answer has begun to reach the client. */
+  /** Records that the streamed answer of an attempt has begun to reach the client. */
   public void streamStarted(Attempt attempt) {
     attempt.rpc.markStreaming();
     listener.streamStarted(attempt);
   }
 
   /**
-   * An attempt ended; only the first call for it counts.
+   * Records that an attempt ended. Only the first call for an attempt has an effect.
    *
-   * @param closes whether its RPC is over, by this or before; an ok that closes one which was open
-   *     is its answer
+   * @param closes whether the RPC is over, because of this outcome or from before. If the RPC was
+   *     open, an attempt that ended ok and closes it is its answer.
    */
   public void attemptEnded(
       Attempt attempt, AttemptOutcome outcome, TimeSpan latency, boolean closes) {
@@ -160,7 +162,7 @@
     attempt.recordOutcome(outcome, latency);
     attempt.endpoint.attemptEnded();
     rpc.attemptEnded();
-    // the columns have the order of the outcomes
+    // The columns after the total have the order of the outcomes.
     accounts.attemptEnded(
         rpc.method.index,
         attempt.endpoint.build.row(),
@@ -169,65 +171,68 @@
         attempt.written(),
         1 + outcome.ordinal(),
         latency);
-    boolean answers = closes && !rpc.ended();
-    if (answers && outcome == AttemptOutcome.OK) {
-      answered(rpc, attempt.sentAt.plus(latency));
-    } else if (answers) {
-      close(rpc, ABORTED);
-      // a stream that broke
+    boolean endsRpc = closes && !rpc.ended();
+    if (endsRpc && outcome == AttemptOutcome.OK) {
+      recordAnswer(rpc, attempt.sentAt.plus(latency));
+    } else if (endsRpc) {
+      // The answer was a stream that broke.
+      closeRpc(rpc, ABORTED);
     }
-    listener.attemptEnded(attempt, answers);
-    forget(rpc);
+    listener.attemptEnded(attempt, endsRpc);
+    forgetIfOver(rpc);
   }
 
-  private void answered(Rpc rpc, Timestamp now) {
-    TimeSpan after = now.since(rpc.arrivedAt);
-    end(rpc);
+  private void recordAnswer(Rpc rpc, Timestamp now) {
+    TimeSpan rpcLatency = now.since(rpc.arrivedAt);
+    markEnded(rpc);
     accounts.rpcAnswered(
         rpc.method.index,
         tenantRow(rpc.tenant),
-        after,
-        !after.over(rpc.method.latencyObjective),
+        rpcLatency,
+        !rpcLatency.over(rpc.method.latencyObjective),
         !now.after(rpc.deadline));
   }
 
-  /** The client of an RPC went away; it needs no answer any more. */
+  /** Records that the client of an RPC disconnected and needs no answer any more. */
   public void clientDisconnected(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
-    close(rpc, CLIENT_LEFT);
+    closeRpc(rpc, CLIENT_LEFT);
     listener.clientDisconnected(rpc);
-    forget(rpc);
+    forgetIfOver(rpc);
   }
 
-  /** An endpoint as a list or a change has it. See {@link EndpointRegistry}. */
+  /**
+   * Adds or updates an endpoint from an endpoint list or a watch event. A different build or start
+   * time under a known id is a new process, and therefore another endpoint.
+   */
   public Endpoint endpointListed(
       long id,
       int zone,
-      int kind,
+      int hardwareFamily,
       int cell,
       int build,
-      Timestamp started,
+      Timestamp startedAt,
       double weight,
       boolean ready) {
-    return endpoints.listed(id, zone, kind, cell, build, started, weight, ready);
+    return endpoints.addOrUpdate(id, zone, hardwareFamily, cell, build, startedAt, weight, ready);
   }
 
-  /** An endpoint is gone; nothing happens where none has the id. */
+  /** Removes the endpoint with an id; does nothing if there is none. */
   public void endpointRemoved(long id) {
-    endpoints.removed(id);
+    endpoints.remove(id);
   }
 
-  /** A complete list came: all endpoints that it doesn't name are gone. */
-  public void retainEndpoints(Set<Long> listed) {
-    endpoints.retain(listed);
+  /** Removes all endpoints whose id is not in a complete endpoint list. */
+  public void retainEndpoints(Set<Long> listedIds) {
+    endpoints.retainOnly(listedIds);
   }
 
   /**
-   * The controller announced where a build stands.
+   * Records the state of a build's rollout that the controller announced.
    *
-   * @param cap greatest share of traffic for the build, from 0 to 1
+   * @param cap the exposure cap: the largest share of traffic for the build, from 0 to 1
    * @param since when the stage began
    */
   public void rolloutChanged(
@@ -237,7 +242,10 @@
     endpoints.forgetBuildsBefore(build - 1);
   }
 
-  /** Counts of attempts at a build, of all relays; dropped where the build is unknown here. */
+  /**
+   * Passes on the counts of all relays' attempts at a build. Counts of a build that this relay does
+   * not know are dropped.
+   */
   public void fleetCountsReceived(
       int build, int method, double attempts, double failed, TimeSpan mean) {
     Build known = endpoints.knownBuild(build);
@@ -247,40 +255,43 @@
   }
 
   /**
-   * A client found wrong what an endpoint answered to an attempt sent so long ago. Dropped where
-   * the endpoint's process started since: only the one that gave the answer is meant.
+   * Passes on a client's report that an endpoint's answer was wrong. The report is dropped if the
+   * process now listed under the id started after the attempt was sent, because the report is about
+   * the process that answered.
+   *
+   * @param sentAgo how long ago the attempt was sent
    */
-  public void answerReportedWrong(long endpoint, TimeSpan sentAgo, Timestamp now) {
-    Endpoint known = endpoints.get(endpoint);
+  public void answerReportedWrong(long endpointId, TimeSpan sentAgo, Timestamp now) {
+    Endpoint known = endpoints.get(endpointId);
     if (known != null && known.olderThan(sentAgo, now)) {
       listener.answerReportedWrong(known);
     }
   }
 
   /**
-   * The number of the newest build that was announced; builds below it are no part of a trial. 0:
-   * none was announced.
+   * Returns a build number below which no build is on trial: the build announced last, or the
+   * number after it if it was released. 0 if no build was announced.
    */
   public int newestRolloutBuild() {
     return endpoints.newestRolloutBuild();
   }
 
-  /** A health check of an endpoint was answered, or wasn't. */
-  public void healthChecked(long endpoint, boolean answered) {
-    Endpoint known = endpoints.get(endpoint);
+  /** Passes on whether an endpoint answered a health check; dropped if it is not ready. */
+  public void healthChecked(long endpointId, boolean answered) {
+    Endpoint known = endpoints.get(endpointId);
     if (known != null && known.ready()) {
       listener.healthChecked(known, answered);
     }
   }
 
-  /** The build of a number, known from now on. */
+  /** Returns the build with a number; adds the build if it is not known. */
   public Build build(int number) {
     return endpoints.build(number);
   }
 
-  // What the policy had its host do.
+  // Actions that the host took for the policy.
 
-  /** An attempt was started. */
+  /** Records that an attempt was started. */
   public void attemptSent(Attempt attempt) {
     attempt.rpc.add(attempt);
     attempt.endpoint.attemptStarted();
@@ -291,15 +302,13 @@
         attempt.shadow);
   }
 
-  /** An attempt was put on a connection to its endpoint. */
+  /** Records that an attempt was written to a connection. */
   public void attemptWritten(Attempt attempt) {
     attempt.markWritten();
     accounts.attemptWritten();
   }
 
-  /**
-   * The result came of an attempt that had ended before; it is counted and changes nothing else.
-   */
+  /** Counts a result that arrived after its attempt had ended; changes nothing else. */
   public void lateResultReceived(AttemptOutcome outcome) {
     int column =
         switch (outcome) {
@@ -310,35 +319,35 @@
     accounts.postNew(accounts.lateResults, 0, column);
   }
 
-  /** An RPC was rejected: the client may safely try again. */
+  /** Records that an RPC was rejected: the client may safely retry. */
   public void rpcRejected(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
-    close(rpc, REJECTED);
-    forget(rpc);
+    closeRpc(rpc, REJECTED);
+    forgetIfOver(rpc);
   }
 
-  /** An RPC was aborted, with no promise about what happened. */
+  /** Records that an RPC was aborted: endpoints may have run it or not. */
   public void rpcAborted(Rpc rpc) {
     if (rpc.ended()) {
       return;
     }
-    close(rpc, ABORTED);
-    forget(rpc);
+    closeRpc(rpc, ABORTED);
+    forgetIfOver(rpc);
   }
 
-  private void close(Rpc rpc, int how) {
-    end(rpc);
-    accounts.rpcEnded(rpc.method.index, tenantRow(rpc.tenant), how);
+  private void closeRpc(Rpc rpc, int outcomeColumn) {
+    markEnded(rpc);
+    accounts.rpcEnded(rpc.method.index, tenantRow(rpc.tenant), outcomeColumn);
   }
 
-  private void end(Rpc rpc) {
+  private void markEnded(Rpc rpc) {
     rpc.markEnded();
     openRpcs--;
   }
 
-  private void forget(Rpc rpc) {
+  private void forgetIfOver(Rpc rpc) {
     if (rpc.ended() && rpc.inFlight() == 0) {
       rpcs.remove(rpc.id, rpc);
     }
--- a/src/main/java/sprucerock/accounting/RowNames.java
+++ b/src/main/java/sprucerock/accounting/RowNames.java
@@ -5,53 +5,56 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which name each row of each table has. */
+/**
+ * The names of the rows of all sheets. Rows also have a number through all sheets, in the order of
+ * the sheets.
+ */
 final class RowNames {
   private final String[] names;
-  private final int[] firstRow;
+  private final int[] firstRowOfSheet;
   private final List<Map<String, Integer>> rowsByName = new ArrayList<>();
 
-  RowNames(List<MetricsSheet> tables) {
-    firstRow = new int[tables.size()];
+  RowNames(List<MetricsSheet> sheets) {
+    firstRowOfSheet = new int[sheets.size()];
     int rows = 0;
-    for (int i = 0; i < tables.size(); i++) {
-      firstRow[i] = rows;
-      rows += tables.get(i).rowCount();
+    for (int i = 0; i < sheets.size(); i++) {
+      firstRowOfSheet[i] = rows;
+      rows += sheets.get(i).rowCount();
       rowsByName.add(new HashMap<>());
     }
     names = new String[rows];
   }
 
-  /** How many rows all tables have. */
-  int count() {
+  /** Returns how many rows all sheets have. */
+  int rowCount() {
     return names.length;
   }
 
-  /** A row's name by its number through all tables; null where it isn't in use. */
-  String name(int rowOfAll) {
-    return names[rowOfAll];
+  /** Returns a row's name by its number through all sheets; null if the row is not in use. */
+  String name(int globalRow) {
+    return names[globalRow];
   }
 
-  /** A row's name; null where it isn't in use. */
-  String name(MetricsSheet table, int row) {
-    return names[firstRow[table.sheetIndex] + row];
+  /** Returns a row's name; null if the row is not in use. */
+  String name(MetricsSheet sheet, int row) {
+    return names[firstRowOfSheet[sheet.sheetIndex] + row];
   }
 
-  /** Names a row, and returns its number through all tables. */
-  int assign(MetricsSheet table, int row, String name) {
-    rowsByName.get(table.sheetIndex).put(name, row);
-    int rowOfAll = firstRow[table.sheetIndex] + row;
-    names[rowOfAll] = name;
-    return rowOfAll;
+  /** Names a row and returns its number through all sheets. */
+  int nameRow(MetricsSheet sheet, int row, String name) {
+    rowsByName.get(sheet.sheetIndex).put(name, row);
+    int globalRow = firstRowOfSheet[sheet.sheetIndex] + row;
+    names[globalRow] = name;
+    return globalRow;
   }
 
-  /** The row of a name; null where it has none. */
-  Integer find(MetricsSheet table, String name) {
-    return rowsByName.get(table.sheetIndex).get(name);
+  /** Returns the row with a name; null if there is none. */
+  Integer findRow(MetricsSheet sheet, String name) {
+    return rowsByName.get(sheet.sheetIndex).get(name);
   }
 
-  /** How many names a table has, that of its last row among them. */
-  int used(MetricsSheet table) {
-    return rowsByName.get(table.sheetIndex).size();
+  /** Returns how many rows of a sheet have a name, including the last row. */
+  int usedRowCount(MetricsSheet sheet) {
+    return rowsByName.get(sheet.sheetIndex).size();
   }
 }
--- a/src/main/java/sprucerock/accounting/package-info.java
+++ b/src/main/java/sprucerock/accounting/package-info.java
@@ -1,13 +1,13 @@
 /**
- * Facts and counters of one relay.
+ * Request tracking and counters of one relay.
  *
- * <p>{@link sprucerock.accounting.RequestTracker} owns which RPCs, endpoints and builds there are;
- * it is the only writer of their facts and notifies the routing policy after each. {@link
- * sprucerock.accounting.MethodAccounts} owns the counters, kept as double-entry accounts whose sums
- * {@link sprucerock.accounting.AccountAudit} can verify at any time.
+ * <p>{@link sprucerock.accounting.RequestTracker} owns the set of RPCs, endpoints and builds. It is
+ * the only writer of their state and notifies the routing policy after each change. {@link
+ * sprucerock.accounting.MethodAccounts} owns the counters, which are double-entry accounts whose
+ * sums {@link sprucerock.accounting.AccountAudit} can verify at any time.
  *
- * <p>One thread, no input or output: counters reach a file only through a {@link
- * sprucerock.accounting.MetricsStore} that the program hands in. Names of tables, columns and rows
- * are stored and exported; they don't change.
+ * <p>The package is single-threaded and does no input or output: counters reach a file only through
+ * a {@link sprucerock.accounting.MetricsStore} that the program passes in. The names of sheets,
+ * columns and rows are stored and exported and must not change.
  */
 package sprucerock.accounting;
--- a/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
+++ b/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public void putLast(int offset, long value) {
+  public void putOrdered(int offset, long value) {
     VarHandle.releaseFence(); // nothing that was put before may come after it
     LONGS.setVolatile(buffer, offset, value);
     // nor may what is put from now on come before it: a reader may still be at the other copy
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public int size() {
+  public int sizeBytes() {
     return buffer.capacity();
   }
 }
--- a/src/main/java/sprucerock/metrics/MappedMetricsFile.java
+++ b/src/main/java/sprucerock/metrics/MappedMetricsFile.java
@@ -34,10 +34,10 @@
   private final int valuesOffset;
   private final long[] values;
   private final int[] changed;
-  private final int[] changedByLast;
+  private final int[] changedInLastCommit;
   private final boolean[] isChanged;
   private int changedCount;
-  private int changedByLastCount;
+  private int changedInLastCommitCount;
   private long weightedSum;
   private long sequence;
   private volatile MetricsMemory memory; // written by the relay, read by whoever scrapes
@@ -48,9 +48,9 @@
     final byte[] text = layout.getBytes(StandardCharsets.UTF_8);
     this.values = new long[values];
     changed = new int[values];
-    changedByLast = new int[values];
+    changedInLastCommit = new int[values];
     isChanged = new boolean[values];
-    namesOffset = HEADER_BYTES + padded(text.length);
+    namesOffset = HEADER_BYTES + roundUpToLongs(text.length);
     valuesOffset = namesOffset + rows * NAME_BYTES;
     putBytes(HEADER_BYTES, text);
     memory.put(GENERATION_OFFSET, generation);
@@ -58,11 +58,11 @@
     memory.put(ROW_COUNT_OFFSET, rows);
     memory.put(LAYOUT_SIZE_OFFSET, text.length);
     memory.put(LAYOUT_CRC_OFFSET, crc(text));
-    memory.putLast(0, MAGIC);
+    memory.putOrdered(0, MAGIC);
   }
 
   /** Rounds up to a multiple of eight. */
-  static int padded(int bytes) {
+  static int roundUpToLongs(int bytes) {
     return bytes + 7 & ~7;
   }
 
@@ -73,15 +73,15 @@
   }
 
   /** The size of a whole file. */
-  static int size(String layout, int values, int rows) {
+  static int fileSizeBytes(String layout, int values, int rows) {
     return HEADER_BYTES
-        + padded(layout.getBytes(StandardCharsets.UTF_8).length)
+        + roundUpToLongs(layout.getBytes(StandardCharsets.UTF_8).length)
         + rows * NAME_BYTES
-        + 2 * copyBytes(values);
+        + 2 * copySizeBytes(values);
   }
 
   /** Goes on in another memory that has the same bytes. */
-  void moveTo(MetricsMemory other) {
+  void switchMemory(MetricsMemory other) {
     memory = other;
   }
 
@@ -105,17 +105,17 @@
     byte[] cut = Arrays.copyOf(bytes, Math.min(bytes.length, NAME_BYTES - 8));
     int at = namesOffset + row * NAME_BYTES;
     putBytes(at + 8, cut);
-    memory.putLast(at, cut.length); // until here the row has no name
+    memory.putOrdered(at, cut.length); // until here the row has no name
   }
 
   /** A value's factor in the checksum: odd, so that each bit counts, and another for each index. */
-  static long weight(int index) {
+  static long checksumWeight(int index) {
     return ((index + 1) * 0x9E3779B97F4A7C15L) | 1;
   }
 
   @Override
   public void put(int index, long value) {
-    weightedSum += (value - values[index]) * weight(index);
+    weightedSum += (value - values[index]) * checksumWeight(index);
     values[index] = value;
     if (isChanged[index]) {
       return;
@@ -129,18 +129,18 @@
     long next = sequence + 1;
     int at = copyOffset(valuesOffset, values.length, next);
     // this copy lacks the last commit too, which went to the other one
-    for (int i = 0; i < changedByLastCount; i++) {
-      memory.put(at + changedByLast[i] * 8, values[changedByLast[i]]);
+    for (int i = 0; i < changedInLastCommitCount; i++) {
+      memory.put(at + changedInLastCommit[i] * 8, values[changedInLastCommit[i]]);
     }
     for (int i = 0; i < changedCount; i++) {
       memory.put(at + changed[i] * 8, values[changed[i]]);
     }
     memory.put(at + values.length * 8, next);
     memory.put(at + values.length * 8 + 8, checksum(weightedSum, next));
-    memory.putLast(SEQUENCE_OFFSET, next);
+    memory.putOrdered(SEQUENCE_OFFSET, next);
     sequence = next;
-    System.arraycopy(changed, 0, changedByLast, 0, changedCount);
-    changedByLastCount = changedCount;
+    System.arraycopy(changed, 0, changedInLastCommit, 0, changedCount);
+    changedInLastCommitCount = changedCount;
     for (int i = 0; i < changedCount; i++) {
       isChanged[changed[i]] = false;
     }
@@ -148,13 +148,13 @@
   }
 
   /** Of one copy: the values, its sequence number and its checksum. */
-  static int copyBytes(int values) {
+  static int copySizeBytes(int values) {
     return (values + 2) * Long.BYTES;
   }
 
   /** Where the copy begins that commits of this sequence number go to. */
   static int copyOffset(int valuesOffset, int values, long sequence) {
-    return valuesOffset + (int) (sequence & 1) * copyBytes(values);
+    return valuesOffset + (int) (sequence & 1) * copySizeBytes(values);
   }
 
   /** A copy's checksum: of its values, each by its {@link #weight}, and its sequence number. */
@@ -164,6 +164,6 @@
 
   /** Notes that the relay shut down cleanly. */
   void close() {
-    memory.putLast(CLOSED_OFFSET, 1);
+    memory.putOrdered(CLOSED_OFFSET, 1);
   }
 }
--- a/src/main/java/sprucerock/metrics/MetricsCopies.java
+++ b/src/main/java/sprucerock/metrics/MetricsCopies.java
@@ -20,7 +20,7 @@
   private final int valuesOffset;
 
   /** The index of each row's first value, and the number of all values behind the last. */
-  private final int[] firstValue;
+  private final int[] firstValueOfRow;
 
   /**
    * Prepares reading.
@@ -32,20 +32,20 @@
     this.memory = memory;
     this.source = source;
     int layoutBytes = (int) memory.get(MappedMetricsFile.LAYOUT_SIZE_OFFSET);
-    namesOffset = MappedMetricsFile.HEADER_BYTES + MappedMetricsFile.padded(layoutBytes);
+    namesOffset = MappedMetricsFile.HEADER_BYTES + MappedMetricsFile.roundUpToLongs(layoutBytes);
     valuesOffset = namesOffset + rows * MappedMetricsFile.NAME_BYTES;
     rowNames = new String[rows];
     values = new long[valueCount];
-    firstValue = new int[rows + 1];
+    firstValueOfRow = new int[rows + 1];
     int row = 0;
     for (String line : layout.split("\n")) {
       String[] parts = line.split(" ");
       int columns = parts[3].split(",").length;
       for (int i = Integer.parseInt(parts[2]); i > 0 && row < rows; i--, row++) {
-        firstValue[row + 1] = firstValue[row] + columns;
+        firstValueOfRow[row + 1] = firstValueOfRow[row] + columns;
       }
     }
-    if (row != rows || firstValue[rows] != valueCount) {
+    if (row != rows || firstValueOfRow[rows] != valueCount) {
       throw new MetricsSnapshot.InvalidFileException(source + ": its layout does not fit its head");
     }
   }
@@ -56,18 +56,18 @@
    * @return the sequence number that stands in it, or -1 where its checksum is wrong
    * @throws MetricsSnapshot.InvalidFileException if a row's name is damaged
    */
-  long read(long sequence) throws MetricsSnapshot.InvalidFileException {
+  long readCopy(long sequence) throws MetricsSnapshot.InvalidFileException {
     int offset = MappedMetricsFile.copyOffset(valuesOffset, values.length, sequence);
     long weightedSum = 0;
     for (int row = 0; row < rowNames.length; row++) {
       if (!readName(row)) {
         continue;
       }
-      int first = firstValue[row];
-      int end = firstValue[row + 1];
+      int first = firstValueOfRow[row];
+      int end = firstValueOfRow[row + 1];
       memory.get(offset + first * Long.BYTES, values, first, end - first);
       for (int i = first; i < end; i++) {
-        weightedSum += values[i] * MappedMetricsFile.weight(i);
+        weightedSum += values[i] * MappedMetricsFile.checksumWeight(i);
       }
     }
     int sequenceOffset = offset + values.length * Long.BYTES;
@@ -89,7 +89,7 @@
       return false;
     }
     if (rowNames[row] == null) {
-      byte[] name = MetricsSnapshot.bytes(memory, offset + Long.BYTES, (int) length);
+      byte[] name = MetricsSnapshot.readBytes(memory, offset + Long.BYTES, (int) length);
       rowNames[row] = new String(name, StandardCharsets.UTF_8);
     }
     return true;
--- a/src/main/java/sprucerock/metrics/MetricsExporter.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -24,10 +24,10 @@
   private static final String STALL_TIMEOUT_SECONDS = "2";
 
   /** Scrapes at a time; each costs a core while it reads. */
-  private static final int WORKERS = 4;
+  private static final int WORKER_COUNT = 4;
 
   /** Connections that wait for a worker; beyond these the server closes them. */
-  private static final int QUEUE_CAPACITY = 32;
+  private static final int QUEUE_CAPACITY_CONNECTIONS = 32;
 
   private static final int WORKER_IDLE_SECONDS = 10;
 
@@ -74,11 +74,11 @@
   private static ThreadPoolExecutor startWorkers() {
     ThreadPoolExecutor executor =
         new ThreadPoolExecutor(
-            WORKERS,
-            WORKERS,
+            WORKER_COUNT,
+            WORKER_COUNT,
             WORKER_IDLE_SECONDS,
             TimeUnit.SECONDS,
-            new ArrayBlockingQueue<>(QUEUE_CAPACITY),
+            new ArrayBlockingQueue<>(QUEUE_CAPACITY_CONNECTIONS),
             task -> {
               Thread thread = new Thread(task, "scrape");
               thread.setDaemon(true);
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -54,11 +54,12 @@
    */
   public static MetricsFileWriter open(
       Path path, MethodAccounts accounts, Runnable onFirstPostingOfTurn, Consumer<String> log) {
-    long generation = carryOver(path, accounts, log) + 1;
+    long generation = carryOverLastGeneration(path, accounts, log) + 1;
     accounts.postNew(accounts.starts, 0, START_RUNNING);
     String layout = accounts.layout();
     ByteBuffer bytes =
-        ByteBuffer.allocate(MappedMetricsFile.size(layout, accounts.size(), accounts.rowCount()));
+        ByteBuffer.allocate(
+            MappedMetricsFile.fileSizeBytes(layout, accounts.size(), accounts.rowCount()));
     MappedMetricsFile file =
         new MappedMetricsFile(
             new BufferMetricsMemory(bytes),
@@ -70,7 +71,7 @@
     boolean persistent = false;
     try {
       if (path != null) {
-        file.moveTo(new BufferMetricsMemory(publish(path, bytes)));
+        file.switchMemory(new BufferMetricsMemory(publish(path, bytes)));
         persistent = true;
       }
     } catch (IOException e) {
@@ -84,13 +85,14 @@
   }
 
   /** Takes over the last generation's values; returns its number, 0 where there is none. */
-  private static long carryOver(Path path, MethodAccounts accounts, Consumer<String> log) {
+  private static long carryOverLastGeneration(
+      Path path, MethodAccounts accounts, Consumer<String> log) {
     long lastGeneration = 0;
     int found = FOUND_NONE;
     try {
       if (path != null && Files.exists(path)) {
         MetricsSnapshot last = MetricsSnapshot.read(path);
-        carry(last, accounts);
+        carryOverValues(last, accounts);
         lastGeneration = last.generation;
         found = FOUND_CARRIED;
       }
@@ -147,7 +149,7 @@
     return mapped;
   }
 
-  private static void carry(MetricsSnapshot last, MethodAccounts accounts)
+  private static void carryOverValues(MetricsSnapshot last, MethodAccounts accounts)
       throws MetricsSnapshot.InvalidFileException {
     MethodAccounts lastAccounts = last.accounts();
     for (MetricsSheet from : lastAccounts.sheets()) {
--- a/src/main/java/sprucerock/metrics/MetricsMemory.java
+++ b/src/main/java/sprucerock/metrics/MetricsMemory.java
@@ -15,8 +15,8 @@
   void put(int offset, long value);
 
   /** Writes a long after all that was put before, and before all that is put later. */
-  void putLast(int offset, long value);
+  void putOrdered(int offset, long value);
 
   /** In bytes. */
-  int size();
+  int sizeBytes();
 }
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -24,7 +24,7 @@
     }
   }
 
-  private static final int MAX_ATTEMPTS = 10_000;
+  private static final int MAX_READ_ATTEMPTS = 10_000;
   private static final int MAX_VALUES = 10_000_000;
   private static final int MAX_LAYOUT_BYTES = 1 << 20;
 
@@ -75,7 +75,7 @@
     Header header = Header.read(memory, source);
     MetricsCopies copies =
         new MetricsCopies(memory, header.rows(), header.values(), header.layout(), source);
-    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+    for (int i = 0; i < MAX_READ_ATTEMPTS; i++) {
       if (readCurrentCopy(memory, copies, source)) {
         return new MetricsSnapshot(
             memory.get(MappedMetricsFile.GENERATION_OFFSET),
@@ -86,14 +86,14 @@
       }
       Thread.onSpinWait();
     }
-    throw new InvalidFileException(source + ": changed at each of " + MAX_ATTEMPTS + " looks");
+    throw new InvalidFileException(source + ": changed at each of " + MAX_READ_ATTEMPTS + " looks");
   }
 
   /** False where a relay that runs has written meanwhile, and another attempt is needed. */
   private static boolean readCurrentCopy(MetricsMemory memory, MetricsCopies copies, String source)
       throws InvalidFileException {
     long sequence = memory.get(MappedMetricsFile.SEQUENCE_OFFSET);
-    if (copies.read(sequence) == sequence) {
+    if (copies.readCopy(sequence) == sequence) {
       return true;
     }
     if (memory.get(MappedMetricsFile.SEQUENCE_OFFSET) != sequence) {
@@ -101,8 +101,8 @@
     }
     // Nobody writes: the relay was killed just here. The other copy, or this one before its
     // sequence number counts, is intact.
-    long newest = Math.max(copies.read(0), copies.read(1));
-    if (newest >= 0 && copies.read(newest) >= 0) {
+    long newest = Math.max(copies.readCopy(0), copies.readCopy(1));
+    if (newest >= 0 && copies.readCopy(newest) >= 0) {
       return true;
     }
     throw new InvalidFileException(source + ": its checksums are wrong");
@@ -124,10 +124,10 @@
               && rows <= values
               && layoutBytes >= 0
               && layoutBytes < MAX_LAYOUT_BYTES;
-      if (!inBounds || size(values, rows, layoutBytes) != memory.size()) {
+      if (!inBounds || size(values, rows, layoutBytes) != memory.sizeBytes()) {
         throw new InvalidFileException(source + ": cut short, or its head is damaged");
       }
-      byte[] layout = bytes(memory, MappedMetricsFile.HEADER_BYTES, (int) layoutBytes);
+      byte[] layout = readBytes(memory, MappedMetricsFile.HEADER_BYTES, (int) layoutBytes);
       if (MappedMetricsFile.crc(layout) != memory.get(MappedMetricsFile.LAYOUT_CRC_OFFSET)) {
         throw new InvalidFileException(source + ": its layout is damaged");
       }
@@ -136,14 +136,14 @@
 
     private static long size(long values, long rows, long layoutBytes) {
       return MappedMetricsFile.HEADER_BYTES
-          + MappedMetricsFile.padded((int) layoutBytes)
+          + MappedMetricsFile.roundUpToLongs((int) layoutBytes)
           + rows * MappedMetricsFile.NAME_BYTES
           + 2 * (values + 2) * Long.BYTES;
     }
   }
 
   /** Bytes that stand in longs, from an offset that is a multiple of eight. */
-  static byte[] bytes(MetricsMemory memory, int offset, int count) {
+  static byte[] readBytes(MetricsMemory memory, int offset, int count) {
     byte[] bytes = new byte[count];
     for (int i = 0; i < count; i++) {
       bytes[i] = (byte) (memory.get(offset + (i & ~7)) >>> 8 * (i & 7));
--- a/src/main/java/sprucerock/model/Attempt.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -4,45 +4,46 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One sending of an RPC to an endpoint: the first, a retry, a hedged or a shadow request. Facts are
- * written by the request tracker, public fields that aren't final by the routing policy.
+ * One sending of an RPC to one endpoint: the first attempt, a retry, a hedged request or a shadow
+ * request. The request tracker writes the private fields; the routing policy writes the public
+ * fields that are not final, except {@link #attachment}.
  */
 public final class Attempt {
-  /** The RPC that it is made for. */
+  /** The RPC that this attempt sends. */
   public final Rpc rpc;
 
-  /** Where it is sent. */
+  /** The endpoint that this attempt is sent to. */
   public final Endpoint endpoint;
 
-  /** Its place among the RPC's attempts, from 0. */
+  /** The position of this attempt among the RPC's attempts, from 0. */
   public final int number;
 
-  /** When it was handed over for sending. */
+  /** When this attempt was handed over for sending. */
   public final Timestamp sentAt;
 
-  /** How long to wait for its answer; null: as long as the client does. */
+  /** How long to wait for the answer; null to wait until the client's deadline. */
   public final TimeSpan timeout;
 
-  /** From then on it may not be put on a connection any more; null: it always may. */
+  /** The latest time at which this attempt may be written to a connection; null for no limit. */
   public Timestamp writeBy;
 
   private AttemptOutcome outcome;
   private TimeSpan latency;
   private boolean written;
 
-  /** What the relay's connection pool keeps with it; no other code reads it. */
+  /** Data of the relay's connection pool about this attempt; no other code reads it. */
   public Object attachment;
 
-  /** No answer came within the usual time. */
+  /** Whether no answer came within the usual time. */
   public boolean overdue;
 
-  /** Whether it is a shadow request, whose answer no client gets. */
+  /** Whether this attempt is a shadow request, whose answer reaches no client. */
   public boolean shadow;
 
-  /** The comparison that it is part of; null where there is none. */
+  /** The shadow pair that this attempt belongs to; null if none. */
   public ShadowPair shadowPair;
 
-  /** An attempt that is about to be sent; it gets the RPC's next number. */
+  /** Creates an attempt that is about to be sent; it gets the RPC's next attempt number. */
   public Attempt(Rpc rpc, Endpoint endpoint, Timestamp sent, TimeSpan timeout) {
     this.rpc = rpc;
     this.endpoint = endpoint;
@@ -51,52 +52,55 @@
     this.timeout = timeout;
   }
 
-  /** How it ended; null while it is in flight. */
+  /** Returns how this attempt ended; null while it is in flight. */
   public AttemptOutcome outcome() {
     return outcome;
   }
 
-  /** The time from its sending to its end; null while it is in flight. */
+  /** Returns the time from sending to the end of this attempt; null while it is in flight. */
   public TimeSpan latency() {
     return latency;
   }
 
-  /** How long it took, or has taken until {@code now}. */
+  /** Returns how long this attempt took, or has taken until {@code now} if it is in flight. */
   public TimeSpan latency(Timestamp now) {
     return latency != null ? latency : now.since(sentAt);
   }
 
-  /** Ends it. */
+  /** Records how and after how long this attempt ended. */
   @WrittenByRequestTracker
-  public void recordOutcome(AttemptOutcome how, TimeSpan after) {
-    outcome = how;
-    latency = after;
+  public void recordOutcome(AttemptOutcome finalOutcome, TimeSpan finalLatency) {
+    outcome = finalOutcome;
+    latency = finalLatency;
   }
 
-  /** Whether it is, or was, on a connection. */
+  /** Returns whether this attempt has been written to a connection. */
   public boolean written() {
     return written;
   }
 
-  /** Notes that it was put on a connection. */
+  /** Records that this attempt was written to a connection. */
   @WrittenByRequestTracker
   public void markWritten() {
     written = true;
   }
 
-  /** Whether the endpoint may have run it, in whole or in part. */
+  /** Returns whether the endpoint may have run this attempt, in whole or in part. */
   public boolean mayHaveRun() {
     return outcome == null || !outcome.neverRan;
   }
 
-  /** Whether it ended in a way that says nothing about a build: never run, cancelled or cut off. */
+  /**
+   * Returns whether the outcome says nothing about the endpoint's build, so that a shadow pair with
+   * this attempt can't be compared: the attempt never ran, was cancelled or its connection broke.
+   */
   public boolean voidsShadowPair() {
     return outcome != null && outcome.neverRan
         || outcome == AttemptOutcome.CANCELLED
         || outcome == AttemptOutcome.BROKEN;
   }
 
-  /** Whether the endpoint itself answered with an error. */
+  /** Returns whether the endpoint itself answered with an error. */
   public boolean answeredWithError() {
     return outcome == AttemptOutcome.ERROR;
   }
--- a/src/main/java/sprucerock/model/AttemptOutcome.java
+++ b/src/main/java/sprucerock/model/AttemptOutcome.java
@@ -1,20 +1,20 @@
 package sprucerock.model;
 
 /**
- * How an attempt ended. The order of the constants is that of the columns in which attempts are
- * counted.
+ * How an attempt ended. The constants have the order of the columns in which the accounts count
+ * attempts.
  */
 public enum AttemptOutcome {
-  /** The endpoint answered ok. */
+  /** The endpoint answered without an error. */
   OK(false),
 
   /** The endpoint answered with an error. */
   ERROR(false),
 
-  /** The endpoint had no capacity and ran nothing. */
+  /** The endpoint rejected the attempt for lack of capacity and ran nothing. */
   FULL(true),
 
-  /** No answer within the attempt's timeout. */
+  /** No answer came within the attempt's timeout. */
   TIMED_OUT(false),
 
   /** There was no connection to the endpoint. */
@@ -23,13 +23,13 @@
   /** The connection broke before the answer was complete. */
   BROKEN(false),
 
-  /** The relay cancelled it. */
+  /** The relay cancelled the attempt. */
   CANCELLED(false),
 
-  /** Its RPC was over before it could be sent. */
+  /** The RPC ended before the attempt could be sent. */
   MOOT(true);
 
-  /** Whether it is certain that the endpoint ran nothing of it. */
+  /** Whether the endpoint certainly ran no part of the attempt. */
   public final boolean neverRan;
 
   AttemptOutcome(boolean neverRan) {
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -6,109 +6,118 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One version of the servers' software, with the endpoints that run it and may get new work. */
+/**
+ * One build of the servers' software, with the endpoints that run it and may get new attempts.
+ * Builds are ordered by number; the newest build has the highest number.
+ */
 public final class Build {
-  /** Its number; a later build has a higher one. */
+  /** The build number; a later build has a higher number. */
   public final int number;
 
-  private final List<Endpoint> listed = new ArrayList<>();
+  private final List<Endpoint> readyEndpoints = new ArrayList<>();
 
-  /** Those that may get new work, in an order that draws change; each knows its position. */
-  public final List<Endpoint> endpoints = Collections.unmodifiableList(listed);
+  /**
+   * The endpoints that may get new attempts; read-only. {@link #draw} changes their order, and each
+   * endpoint stores its position in this list.
+   */
+  public final List<Endpoint> endpoints = Collections.unmodifiableList(readyEndpoints);
 
   private Timestamp latestStart;
   private int row;
 
-  /** A build without endpoints; builds are compared by number, the newest is the highest. */
+  /** Creates a build without endpoints. */
   public Build(int number) {
     this.number = number;
   }
 
   /**
-   * The latest start of an endpoint's process, of all that were ready so far; null where all
-   * started long ago.
+   * Returns the latest start time of all endpoint processes that have been ready so far; null if no
+   * start time is known because all processes started long ago.
    */
   public Timestamp latestStart() {
     return latestStart;
   }
 
-  private Timestamp weighedAt;
+  private Timestamp weightsComputedAt;
 
-  /** The weight of all endpoints, when it was added up last. */
+  /** The sum of all endpoints' weights at the last {@link #refreshWeights}. */
   public double weight;
 
-  /** The weight of those that had run for long enough, when it was added up last. */
+  /**
+   * The sum of the weights of endpoints that had run for longer than the minimum age at the last
+   * {@link #refreshWeights}.
+   */
   public double warmWeight;
 
   /**
-   * Adds the weights up, if that was longer ago than {@code maxAge} or endpoints came or went
-   * since.
+   * Recomputes {@link #weight} and {@link #warmWeight} if they are older than {@code maxAge} or an
+   * endpoint was added or removed since.
    *
-   * @param olderThan an endpoint that has run for longer counts in {@link #warmWeight}
+   * @param minWarmAge endpoints that have run for longer count in {@link #warmWeight}
    */
-  public void refreshWeights(TimeSpan olderThan, TimeSpan maxAge, Timestamp now) {
-    if (weighedAt != null && !now.since(weighedAt).over(maxAge)) {
+  public void refreshWeights(TimeSpan minWarmAge, TimeSpan maxAge, Timestamp now) {
+    if (weightsComputedAt != null && !now.since(weightsComputedAt).over(maxAge)) {
       return;
     }
-    weighedAt = now;
+    weightsComputedAt = now;
     weight = 0;
     warmWeight = 0;
     for (Endpoint endpoint : endpoints) {
       weight += endpoint.weight();
-      if (endpoint.olderThan(olderThan, now)) {
+      if (endpoint.olderThan(minWarmAge, now)) {
         warmWeight += endpoint.weight();
       }
     }
   }
 
-  /** Its row in the accounts of builds. */
+  /** Returns this build's row in the accounts. */
   public int row() {
     return row;
   }
 
-  /** Sets its row in the accounts. */
+  /** Sets this build's row in the accounts. */
   @WrittenByRequestTracker
-  public void setRow(int inAccounts) {
-    row = inAccounts;
+  public void setRow(int accountRow) {
+    row = accountRow;
   }
 
-  /** An endpoint is ready for new work. */
+  /** Adds an endpoint that may get new attempts. */
   @WrittenByRequestTracker
   public void add(Endpoint endpoint) {
-    weighedAt = null;
-    endpoint.positionInBuild = listed.size();
-    listed.add(endpoint);
+    weightsComputedAt = null;
+    endpoint.positionInBuild = readyEndpoints.size();
+    readyEndpoints.add(endpoint);
     if (endpoint.startedAt != null
         && (latestStart == null || endpoint.startedAt.after(latestStart))) {
       latestStart = endpoint.startedAt;
     }
   }
 
-  /** An endpoint gets no new work any more. */
+  /** Removes an endpoint that gets no new attempts any more. */
   @WrittenByRequestTracker
   public void remove(Endpoint endpoint) {
-    weighedAt = null;
-    swap(endpoint.positionInBuild, listed.size() - 1);
-    listed.remove(listed.size() - 1);
+    weightsComputedAt = null;
+    swap(endpoint.positionInBuild, readyEndpoints.size() - 1);
+    readyEndpoints.remove(readyEndpoints.size() - 1);
   }
 
   /**
-   * Draws an endpoint without replacement.
+   * Draws a random endpoint without replacement.
    *
-   * @param done how many were drawn before; less than there are
-   * @param random uniform, from 0 to under 1
+   * @param drawnBefore how many endpoints were drawn before; less than the number of endpoints
+   * @param random uniformly distributed, from 0 (inclusive) to 1 (exclusive)
    */
-  public Endpoint draw(int done, double random) {
-    swap(done, done + (int) (random * (listed.size() - done)));
-    return listed.get(done);
+  public Endpoint draw(int drawnBefore, double random) {
+    swap(drawnBefore, drawnBefore + (int) (random * (readyEndpoints.size() - drawnBefore)));
+    return readyEndpoints.get(drawnBefore);
   }
 
-  private void swap(int one, int two) {
-    Endpoint first = listed.get(one);
-    Endpoint second = listed.get(two);
-    listed.set(one, second);
-    listed.set(two, first);
-    second.positionInBuild = one;
-    first.positionInBuild = two;
+  private void swap(int firstPosition, int secondPosition) {
+    Endpoint first = readyEndpoints.get(firstPosition);
+    Endpoint second = readyEndpoints.get(secondPosition);
+    readyEndpoints.set(firstPosition, second);
+    readyEndpoints.set(secondPosition, first);
+    second.positionInBuild = firstPosition;
+    first.positionInBuild = secondPosition;
   }
 }
--- a/src/main/java/sprucerock/model/Endpoint.java
+++ b/src/main/java/sprucerock/model/Endpoint.java
@@ -7,30 +7,31 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One process that serves requests: a restart, or another machine under the same id, is another
- * endpoint. Facts are written by the request tracker, public fields that aren't final by the
- * routing policy.
+ * One process that serves requests. A restarted process, or another machine under the same id, is
+ * another endpoint. The request tracker writes the private fields except the recent results; the
+ * routing policy writes the recent results and the public fields that are not final, except {@link
+ * #attachment}.
  */
 public final class Endpoint {
-  /** As discovery has it. */
+  /** The endpoint's id in discovery. */
   public final long id;
 
-  /** Where it stands. */
+  /** The zone that the endpoint runs in. */
   public final int zone;
 
-  /** Its kind of hardware. */
+  /** The hardware family that the endpoint runs on. */
   public final int hardwareFamily;
 
-  /** Endpoints of one cell share what they know of idempotency keys. */
+  /** The cell; endpoints of one cell share their store of idempotency keys. */
   public final int cell;
 
-  /** The software that it runs. */
+  /** The build that the endpoint runs. */
   public final Build build;
 
-  /** When the process started; null where that was long ago. */
+  /** When the process started; null if that was long ago. */
   public final Timestamp startedAt;
 
-  /** What the relay's connection pool keeps with it; no other code reads it. */
+  /** Data of the relay's connection pool about this endpoint; no other code reads it. */
   public Object attachment;
 
   private double weight;
@@ -38,129 +39,135 @@
   private int inFlight;
   private int row;
 
-  /** Its place in its build's list. */
+  /** The endpoint's position in {@link Build#endpoints}. */
   int positionInBuild;
 
-  /** The last results, the newest in the lowest bit; 1: ok. */
-  private int results;
+  /** The last results as bits, the newest in the lowest bit; a set bit is a success. */
+  private int recentResults;
 
   private int resultCount;
 
-  /** While it is ejected, no attempt tests it before then. */
+  /** The earliest time of the next test attempt while the endpoint is ejected. */
   public Timestamp nextProbeAt;
 
-  /** When it answered last; null: never. */
+  /** When the endpoint last answered; null if never. */
   public Timestamp lastAnsweredAt;
 
-  /** Its latencies as multiples of the methods' usual ones. */
+  /** The endpoint's latency as a multiple of each method's usual latency. */
   public DecayingMean relativeLatency;
 
-  /** The same, shared by all endpoints of its zone. */
+  /** The relative latency of the endpoint's zone; one object that all its endpoints share. */
   public DecayingMean zoneRelativeLatency;
 
-  /** Attempts that it may be sent now while it is warming up. */
+  /** How many attempts the endpoint may be sent now while slow start limits it. */
   public double warmUpTokens;
 
-  /** When these were refilled last. */
+  /** When {@link #warmUpTokens} was last refilled. */
   public Timestamp warmUpTokensRefilledAt;
 
-  /** Failures counted against it in the present canary trial. */
+  /** Failures counted against this endpoint in the current canary trial. */
   public int trialFailures;
 
-  /** Attempts of all relays in flight at it, where this relay adds them up. */
+  /** Attempts of all relays in flight at this endpoint, if this relay adds up load reports. */
   public DecayingSum fleetInFlight;
 
-  /** How many attempts it reported in flight. */
+  /** How many attempts in flight the endpoint last reported. */
   public int reportedInFlight;
 
-  /** When it reported them; null: never. */
+  /** When the endpoint last reported {@link #reportedInFlight}; null if never. */
   public Timestamp reportedAt;
 
-  /** An endpoint that is not ready yet. */
+  /** Creates an endpoint that is not ready yet. */
   public Endpoint(
-      long id, int zone, int kind, int cell, Build build, Timestamp started, double weight) {
+      long id,
+      int zone,
+      int hardwareFamily,
+      int cell,
+      Build build,
+      Timestamp startedAt,
+      double weight) {
     this.id = id;
     this.zone = zone;
-    this.hardwareFamily = kind;
+    this.hardwareFamily = hardwareFamily;
     this.cell = cell;
     this.build = build;
-    this.startedAt = started;
+    this.startedAt = startedAt;
     this.weight = weight;
   }
 
-  /** Its capacity relative to others'. */
+  /** Returns the endpoint's capacity relative to other endpoints. */
   public double weight() {
     return weight;
   }
 
-  /** Whether it may get new work. */
+  /** Returns whether the endpoint may get new attempts. */
   public boolean ready() {
     return ready;
   }
 
-  /** Sets whether it may get new work. */
+  /** Sets whether the endpoint may get new attempts. */
   @WrittenByRequestTracker
-  public void setReady(boolean mayGetWork) {
-    ready = mayGetWork;
+  public void setReady(boolean isReady) {
+    ready = isReady;
   }
 
-  /** How many attempts of this relay are in flight at it. */
+  /** Returns how many attempts of this relay are in flight at this endpoint. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Its row in the accounts of endpoints. */
+  /** Returns this endpoint's row in the accounts. */
   public int row() {
     return row;
   }
 
-  /** Sets its row in the accounts. */
+  /** Sets this endpoint's row in the accounts. */
   @WrittenByRequestTracker
-  public void setRow(int inAccounts) {
-    row = inAccounts;
+  public void setRow(int accountRow) {
+    row = accountRow;
   }
 
-  /** Sets its capacity relative to others'. */
+  /** Sets the endpoint's capacity relative to other endpoints. */
   @WrittenByRequestTracker
   public void setWeight(double newWeight) {
     weight = newWeight;
   }
 
-  /** One more attempt is in flight. */
+  /** Counts one more attempt in flight. */
   @WrittenByRequestTracker
   public void attemptStarted() {
     inFlight++;
   }
 
-  /** One attempt less is in flight. */
+  /** Counts one attempt in flight less. */
   @WrittenByRequestTracker
   public void attemptEnded() {
     inFlight--;
   }
 
-  /** Adds a result for {@link #failedResults}. Called by the routing policy. */
+  /** Adds a result to the recent results. Called by the routing policy. */
   public void recordResult(boolean ok) {
-    results = results << 1 | (ok ? 1 : 0);
+    recentResults = recentResults << 1 | (ok ? 1 : 0);
     resultCount++;
   }
 
-  /** How many of the last results are known, of {@code max} at most; that is up to 31. */
+  /** Returns how many recent results are known, at most {@code max}, which is at most 31. */
   public int knownResults(int max) {
     return Math.min(resultCount, max);
   }
 
-  /** How many of the last {@code max} results were no success; {@code max} is up to 31. */
+  /** Returns how many of the last {@code max} results were failures; {@code max} is up to 31. */
   public int failedResults(int max) {
     int known = knownResults(max);
-    return known - Integer.bitCount(results & (1 << known) - 1);
+    return known - Integer.bitCount(recentResults & (1 << known) - 1);
   }
 
-  /** Whether it is the process that started then with that build. */
-  public boolean isSameProcess(int build, Timestamp started) {
-    return this.build.number == build && Objects.equals(this.startedAt, started);
+  /** Returns whether this endpoint is the process with the given build and start time. */
+  public boolean isSameProcess(int buildNumber, Timestamp processStart) {
+    return this.build.number == buildNumber && Objects.equals(this.startedAt, processStart);
   }
 
-  /** Whether its process has run for longer than {@code age}. */
+  /** Returns whether the process has run for longer than {@code age}. */
   public boolean olderThan(TimeSpan age, Timestamp now) {
     return startedAt == null || now.since(startedAt).over(age);
   }
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -4,103 +4,113 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * A kind of RPC, as the start settings state it. Fields that aren't final are written by the
- * routing policy.
+ * A method of the service, as configured in the start settings. The routing policy writes the
+ * fields that are not final.
  */
 public final class Method {
-  /** Whether it may safely run more than once. */
+  /** Whether an RPC may safely run more than once. */
   public enum Idempotency {
     /** Safe to repeat anywhere. */
     IDEMPOTENT,
 
-    /** Safe to repeat where the idempotency key is known, see {@link KeyScope}. */
+    /** Safe to repeat at endpoints that know the idempotency key; see {@link KeyScope}. */
     KEYED,
 
     /** Never safe to repeat. */
     NONE
   }
 
-  /** Which endpoints share what they know of idempotency keys. */
+  /** Which endpoints share their store of idempotency keys. */
   public enum KeyScope {
-    /** All of them. */
+    /** All endpoints. */
     ALL,
 
-    /** Those of one zone. */
+    /** The endpoints of one zone. */
     ZONE,
 
-    /** Those of one cell. */
+    /** The endpoints of one cell. */
     CELL
   }
 
-  /** Its place in {@link Settings#methods}. */
+  /** The position in {@link Settings#methods}. */
   public final int index;
 
-  /** Whether it may safely run more than once. */
+  /** Whether an RPC of this method may safely run more than once. */
   public final Idempotency idempotency;
 
-  /** Which endpoints drop a repeat, where it is keyed. */
+  /** Which endpoints drop a repeat of the same key; only used for {@link Idempotency#KEYED}. */
   public final KeyScope keyScope;
 
-  /** The latency within which an answer is on time. */
+  /** The latency up to which an answer is on time. */
   public final TimeSpan latencyObjective;
 
-  /** How long endpoints know a key. */
+  /** How long endpoints remember an idempotency key. */
   public final TimeSpan keyLifetime;
 
-  /** What an answer is worth beside those of other methods. */
+  /** The priority of an answer relative to the answers of other methods. */
   public final double priorityWeight;
 
-  /** Whether its answer is a stream. */
+  /** Whether the answer is a stream. */
   public final boolean stream;
 
-  /** How long attempts took of late, in milliseconds. */
+  /** The mean latency of recent attempts, in milliseconds. */
   public DecayingMean recentLatencyMs;
 
-  /** The logarithms of the latencies of late. */
+  /** The mean of the logarithms of recent latencies. */
   public DecayingMean recentLogLatency;
 
-  /** Attempts that may still go to a canary. */
+  /** Tokens left for attempts of this method at a canary; one token is one attempt. */
   public double canaryTokens;
 
-  /** A method as the settings have it. */
+  /**
+   * Creates a method as configured.
+   *
+   * @param keyLifetime how long endpoints remember an idempotency key
+   */
   public Method(
       int index,
-      Idempotency effect,
-      KeyScope group,
+      Idempotency idempotency,
+      KeyScope keyScope,
       TimeSpan latencyObjective,
-      TimeSpan window,
-      double utility,
+      TimeSpan keyLifetime,
+      double priorityWeight,
       boolean stream) {
     this.index = index;
-    this.idempotency = effect;
-    this.keyScope = group;
+    this.idempotency = idempotency;
+    this.keyScope = keyScope;
     this.latencyObjective = latencyObjective;
-    this.keyLifetime = window;
-    this.priorityWeight = utility;
+    this.keyLifetime = keyLifetime;
+    this.priorityWeight = priorityWeight;
     this.stream = stream;
   }
 
-  /** Whether it is never cut short for another attempt: what mustn't run twice, and streams. */
+  /**
+   * Returns whether an attempt must not be cut short in favor of another attempt. This holds for
+   * methods that must not run twice and for streams.
+   */
   public boolean mustNotBeCutShort() {
     return idempotency == Idempotency.NONE || stream;
   }
 
-  /** Whether {@code endpoint} drops a repeat of what {@code before} may have run. */
-  public boolean dropsRepeats(Endpoint before, Endpoint endpoint) {
+  /**
+   * Returns false if the method needs an idempotency key that {@code endpoint} does not share with
+   * {@code previous}, an endpoint that may have run the RPC: {@code endpoint} would run it again.
+   */
+  public boolean dropsRepeats(Endpoint previous, Endpoint endpoint) {
     return idempotency != Idempotency.KEYED
         || switch (keyScope) {
           case ALL -> true;
-          case ZONE -> before.zone == endpoint.zone;
-          case CELL -> before.cell == endpoint.cell;
+          case ZONE -> previous.zone == endpoint.zone;
+          case CELL -> previous.cell == endpoint.cell;
         };
   }
 
-  /** Whether a repeat does no harm at any endpoint. */
+  /** Returns whether a repeat is safe at every endpoint. */
   public boolean repeatableAnywhere() {
     return idempotent() || idempotency == Idempotency.KEYED && keyScope == KeyScope.ALL;
   }
 
-  /** Whether it is idempotent without a key. */
+  /** Returns whether the method is idempotent without a key. */
   public boolean idempotent() {
     return idempotency == Idempotency.IDEMPOTENT;
   }
--- a/src/main/java/sprucerock/model/RolloutState.java
+++ b/src/main/java/sprucerock/model/RolloutState.java
@@ -1,8 +1,8 @@
 package sprucerock.model;
 
 /**
- * Where a build stands in its rollout, as the controller announces it. The simulator's wire has the
- * constants by their order.
+ * The state of a build's rollout, as the controller announces it. The simulator's protocol encodes
+ * the constants by their ordinals.
  */
 public enum RolloutState {
   ON_TRIAL,
--- a/src/main/java/sprucerock/model/Rpc.java
+++ b/src/main/java/sprucerock/model/Rpc.java
@@ -7,53 +7,56 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One RPC that a client handed to this relay, with the attempts made for it. Its facts are written
- * by the request tracker.
+ * One RPC that a client sent to this relay, with its attempts. The request tracker writes the
+ * private fields, the routing policy writes {@link #leftQueue}.
  */
 public final class Rpc {
   /** Unique among the RPCs that the relay tracks. */
   public final long id;
 
-  /** What is called. */
+  /** The method that is called. */
   public final Method method;
 
-  /** The number of the tenant that it belongs to. */
+  /** The number of the tenant that the RPC belongs to. */
   public final int tenant;
 
-  /** Hash of its affinity or idempotency key. */
+  /** The hash of the affinity key or idempotency key. */
   public final long key;
 
-  /** When it arrived here. */
+  /** When the RPC arrived at this relay. */
   public final Timestamp arrivedAt;
 
-  /** When the client stops waiting. */
+  /** When the client stops waiting for the answer. */
   public final Timestamp deadline;
 
-  /** Expected work as the client hinted it; null without a hint. */
+  /** The work that the client expects, from its hint; null without a hint. */
   public final TimeSpan workHint;
 
-  private final List<Attempt> made = new ArrayList<>(2);
+  private final List<Attempt> mutableAttempts = new ArrayList<>(2);
 
-  /** The attempts made for it, in their order; read-only. */
-  public final List<Attempt> attempts = Collections.unmodifiableList(made);
+  /** The attempts of this RPC by their numbers; read-only. */
+  public final List<Attempt> attempts = Collections.unmodifiableList(mutableAttempts);
 
-  /** What the listener that took it keeps with it; no other code reads it. */
+  /** Data of the listener that received this RPC; no other code reads it. */
   public final Object attachment;
 
   private boolean ended;
   private boolean streaming;
   private int inFlight;
 
-  /** Written by the routing policy: no longer part of the queue that a new RPC faces. */
+  /**
+   * Whether this RPC no longer counts as waiting ahead of new RPCs: it was answered or is past its
+   * latency objective. Written by the routing policy.
+   */
   public boolean leftQueue;
 
-  /** An RPC that has just arrived. */
+  /** Creates an RPC that has just arrived. */
   public Rpc(
       long id,
       Method method,
       int tenant,
       long key,
-      Timestamp arrived,
+      Timestamp arrivedAt,
       Timestamp deadline,
       TimeSpan workHint,
       Object attachment) {
@@ -61,58 +64,58 @@
     this.method = method;
     this.tenant = tenant;
     this.key = key;
-    this.arrivedAt = arrived;
+    this.arrivedAt = arrivedAt;
     this.deadline = deadline;
     this.workHint = workHint;
     this.attachment = attachment;
   }
 
-  /** Whether it has its final answer, or its client left. */
+  /** Returns whether the RPC has its final answer or its client disconnected. */
   public boolean ended() {
     return ended;
   }
 
-  /** Whether its answer has begun to reach the client. */
+  /** Returns whether a streamed answer has begun to reach the client. */
   public boolean streaming() {
     return streaming;
   }
 
-  /** How many of its attempts haven't ended. */
+  /** Returns how many attempts of this RPC are in flight. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** An attempt was started for it. */
+  /** Adds an attempt that is now in flight. */
   @WrittenByRequestTracker
   public void add(Attempt attempt) {
-    made.add(attempt);
+    mutableAttempts.add(attempt);
     inFlight++;
   }
 
-  /** One of its attempts ended. */
+  /** Counts one attempt in flight less. */
   @WrittenByRequestTracker
   public void attemptEnded() {
     inFlight--;
   }
 
-  /** It is over for the client. */
+  /** Records that the RPC is over for the client. */
   @WrittenByRequestTracker
   public void markEnded() {
     ended = true;
   }
 
-  /** Its answer has begun to reach the client. */
+  /** Records that a streamed answer has begun to reach the client. */
   @WrittenByRequestTracker
   public void markStreaming() {
     streaming = true;
   }
 
-  /** The hinted work; none without a hint. */
+  /** Returns the work that the client expects; zero without a hint. */
   public TimeSpan hintedWork() {
     return workHint == null ? TimeSpan.ZERO : workHint;
   }
 
-  /** The first attempt that may have taken effect; null where none may. */
+  /** Returns the first attempt that may have taken effect; null if none may have. */
   public Attempt firstThatMayHaveRun() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveRun()) {
@@ -122,7 +125,7 @@
     return null;
   }
 
-  /** Whether an attempt was made at the endpoint. */
+  /** Returns whether an attempt of this RPC was sent to the endpoint. */
   public boolean hasAttemptAt(Endpoint endpoint) {
     for (Attempt attempt : attempts) {
       if (attempt.endpoint == endpoint) {
--- a/src/main/java/sprucerock/model/Settings.java
+++ b/src/main/java/sprucerock/model/Settings.java
@@ -6,54 +6,57 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The start settings that the routing policy reads; immutable. Each form in which they are written
- * has a reader that fills {@link Draft}.
+ * The start settings of the routing policy; immutable. Each configuration format has a reader that
+ * fills a {@link Draft}.
  */
 public final class Settings {
-  /** How the controller counts votes on a canary. */
+  /** How the controller decides about a canary. */
   public enum Control {
-    /** One vote decides. */
+    /** A single vote decides. */
     SINGLE,
     /** A majority of the relays decides. */
     MAJORITY,
-    /** Time decides, unless votes are against it. */
+    /** Time decides, unless votes oppose it. */
     CLOCKED
   }
 
-  /** The relay's own zone. */
+  /** The zone of this relay. */
   public final int zone;
 
-  /** All methods, by their index. */
+  /** All methods, by {@link Method#index}. */
   public final List<Method> methods;
 
-  /** Each tenant's quota, as a share from 0 to 1. */
+  /** The quota of each tenant by its number, as a share from 0 to 1. */
   public final List<Double> tenantShares;
 
-  /** Factor on the weight of RPCs beyond their tenant's quota; 1: none. */
+  /** The factor on the priority weight of RPCs beyond their tenant's quota; 1 for no effect. */
   public final double overQuotaWeight;
 
-  /** How late a timer may come. */
+  /** How late a timer may fire. */
   public final TimeSpan maxTimerDelay;
 
-  /** Whether the endpoint list has to be asked for; else it is pushed. */
+  /** Whether the relay polls the endpoint list; if false, discovery pushes it. */
   public final boolean pollsEndpointList;
 
-  /** How old a polled endpoint list may become. */
+  /** The maximum age of a polled endpoint list. */
   public final TimeSpan maxEndpointListAge;
 
   /** How long an endpoint is warming up after its start. */
   public final TimeSpan warmUp;
 
-  /** Share of its capacity that an endpoint has at its start, from 0 to 1. */
+  /** The share of its full capacity that an endpoint has at its start, from 0 to 1. */
   public final double initialCapacityShare;
 
-  /** Over how long an endpoint that is warming up may be overloaded before it tips over. */
+  /** How long an endpoint that is warming up tolerates overload before it collapses. */
   public final TimeSpan warmUpOverloadTolerance;
 
-  /** Load, as a multiple of its capacity, at which an endpoint that is warming up tips over. */
+  /**
+   * The load, as a multiple of its current capacity, at which an endpoint that is warming up
+   * collapses.
+   */
   public final double warmUpOverloadMultiple;
 
-  /** How many attempts an RPC may have. */
+  /** The maximum number of attempts of an RPC. */
   public final int maxAttempts;
 
   /** Whether hedged requests are allowed. */
@@ -62,60 +65,60 @@
   /** Whether attempts may be cancelled. */
   public final boolean cancellationAllowed;
 
-  /** Whether relays may send each other messages. */
+  /** Whether relays may send each other gossip messages. */
   public final boolean gossipAllowed;
 
-  /** Whether a rejection may say when to retry. */
+  /** Whether a rejection may carry a Retry-After time. */
   public final boolean retryAfterAllowed;
 
-  /** The longest advice for a retry. */
+  /** The longest Retry-After time. */
   public final TimeSpan maxRetryAfter;
 
-  /** How the controller counts votes on a canary. */
+  /** How the controller decides about a canary. */
   public final Control control;
 
-  /** A canary's greatest share of traffic in each stage, from 0 to 1. */
+  /** The exposure cap of each stage: the largest share of traffic for a canary, from 0 to 1. */
   public final List<Double> exposureCaps;
 
-  /** Whether caps hold for each method by itself. */
+  /** Whether exposure caps apply to each method separately. */
   public final boolean capsPerMethod;
 
-  /** Attempts at a canary that no cap counts. */
+  /** How many attempts at a canary are exempt from the exposure cap. */
   public final double uncappedCanaryAttempts;
 
-  /** Stages in which a canary gets idempotent methods only. */
+  /** The number of first stages in which a canary gets only idempotent methods. */
   public final int guardedStages;
 
-  /** Whether a key that a canary served isn't served by the baseline again. */
+  /** Whether the baseline no longer serves a key that a canary has served. */
   public final boolean oneWayKeys;
 
   /** How long a vote counts. */
   public final TimeSpan voteLifetime;
 
-  /** How long the answer to a call of the controller may take. */
+  /** The timeout of a call to the controller. */
   public final TimeSpan controllerCallTimeout;
 
-  /** How many relays there are. */
+  /** The number of relays. */
   public final int relayCount;
 
-  /** The greatest priority weight of all methods; 1 without methods. */
+  /** The highest priority weight of all methods; 1 without methods. */
   public final double maxPriorityWeight;
 
   /** The mean latency objective of all methods, in milliseconds; 1000 without methods. */
   public final double meanLatencyObjectiveMs;
 
-  /** The relay's own number, from 0. */
+  /** The number of this relay, from 0. */
   public final int relayIndex;
 
-  /** The period of the controller's counts; zero: there are none. */
+  /** The period of the fleet counts that the controller sends; zero if it sends none. */
   public final TimeSpan fleetCountsPeriod;
 
-  /** A connection that carries nothing for this long is closed, at either end. */
+  /** How long a connection may carry nothing before either end closes it. */
   public final TimeSpan idleTimeout;
 
   /**
-   * What a reader fills in. What has a value here may be left out; the rest must be set. The fields
-   * are those of {@link Settings}.
+   * Settings under construction by a reader, with the fields of {@link Settings}. A reader may
+   * leave out fields that have an initial value here and must set all others.
    */
   public static final class Draft {
     public int zone;
@@ -150,7 +153,7 @@
   }
 
   /**
-   * A copy of the draft.
+   * Copies the draft.
    *
    * @throws NullPointerException if a list in it is null
    */
--- a/src/main/java/sprucerock/model/ShadowPair.java
+++ b/src/main/java/sprucerock/model/ShadowPair.java
@@ -1,16 +1,16 @@
 package sprucerock.model;
 
 /**
- * An attempt at the baseline and one at the canary, to be compared: of one RPC, or where that can't
- * be, of similar ones. Written by the routing policy.
+ * An attempt at the baseline and an attempt at the canary whose results are compared. Both belong
+ * to the same RPC or, where that is impossible, to similar RPCs. Written by the routing policy.
  */
 public final class ShadowPair {
-  /** The attempt at the baseline; null until there is one. */
+  /** The attempt at the baseline; null until it was sent. */
   public Attempt baseline;
 
-  /** The attempt at the canary; null until there is one. */
+  /** The attempt at the canary; null until it was sent. */
   public Attempt canary;
 
-  /** Whether the pair has been counted. */
+  /** Whether the result of this pair has been counted. */
   public boolean judged;
 }
--- a/src/main/java/sprucerock/model/Verdict.java
+++ b/src/main/java/sprucerock/model/Verdict.java
@@ -1,6 +1,9 @@
 package sprucerock.model;
 
-/** A relay's vote on a canary: none yet, go on, hold, or go back. */
+/**
+ * A relay's verdict on a canary, which it casts as its vote: none yet, continue, hold at the
+ * current stage, or roll back.
+ */
 public enum Verdict {
   NONE,
   ON,
--- a/src/main/java/sprucerock/model/VoteReply.java
+++ b/src/main/java/sprucerock/model/VoteReply.java
@@ -1,6 +1,6 @@
 package sprucerock.model;
 
-/** How the controller answered a vote; {@link #UNANSWERED} where it did not. */
+/** The controller's reply to a vote; {@link #UNANSWERED} if no reply came. */
 public enum VoteReply {
   COUNTS,
   MOOT,
--- a/src/main/java/sprucerock/model/WrittenByRequestTracker.java
+++ b/src/main/java/sprucerock/model/WrittenByRequestTracker.java
@@ -6,8 +6,9 @@
 import java.lang.annotation.Target;
 
 /**
- * Marks a method that writes a fact of an RPC, attempt, endpoint or build. Only the request tracker
- * calls it, so that each fact has one writer; a test of the architecture checks that.
+ * Marks a method that writes tracked state of an RPC, attempt, endpoint or build. Only the request
+ * tracker may call such a method, so that this state has a single writer; {@code ArchitectureTest}
+ * checks this.
  */
 @Retention(RetentionPolicy.CLASS)
 @Target(ElementType.METHOD)
--- a/src/main/java/sprucerock/model/package-info.java
+++ b/src/main/java/sprucerock/model/package-info.java
@@ -1,13 +1,13 @@
 /**
- * The data that the relay decides about: RPCs, their attempts, endpoints, builds, methods, and the
- * settings read at the start.
+ * The data that routing decisions are based on: RPCs, their attempts, endpoints, builds, methods,
+ * and the settings read at the start.
  *
- * <p>Facts (what was sent, what ended, which endpoint is ready) have a single writer: methods
- * marked {@link sprucerock.model.WrittenByRequestTracker} are called only by {@code
- * sprucerock.accounting.RequestTracker}. The remaining public fields are notes of the routing
- * policy, which it alone writes.
+ * <p>Tracked state (what was sent, what ended, which endpoint is ready) has a single writer: only
+ * {@code sprucerock.accounting.RequestTracker} calls the methods marked {@link
+ * sprucerock.model.WrittenByRequestTracker}. The other public fields that are not final are working
+ * data of the routing policy, which only the policy writes, and the attachments of the host.
  *
- * <p>Nothing here does input or output, reads a clock or starts a thread; all objects belong to the
- * relay's one thread.
+ * <p>This package does no input or output, reads no clock and starts no thread; all objects belong
+ * to the relay's single thread.
  */
 package sprucerock.model;
--- a/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
+++ b/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
@@ -63,12 +63,12 @@
     }
 
     @Override
-    public void putLast(int offset, long value) {
+    public void putOrdered(int offset, long value) {
       put(offset, value);
     }
 
     @Override
-    public int size() {
+    public int sizeBytes() {
       return bytes.capacity();
     }
   }
@@ -94,7 +94,7 @@
 
   private static int size() {
     MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
-    return MappedMetricsFile.size(accounts.layout(), accounts.size(), accounts.rowCount());
+    return MappedMetricsFile.fileSizeBytes(accounts.layout(), accounts.size(), accounts.rowCount());
   }
 
   /** Commits until the process is killed; the values of each commit go into {@code states}. */
