--- a/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
+++ b/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
@@ -7,8 +7,8 @@
 import java.nio.LongBuffer;
 
 /**
- * Metrics memory in a byte buffer. The kernel writes a mapped one back whatever becomes of the
- * process.
+ * Metrics memory in a byte buffer. If the buffer is a mapped file, the kernel writes it back even
+ * if the process is killed.
  */
 final class BufferMetricsMemory implements MetricsMemory {
   private static final VarHandle LONGS =
@@ -30,21 +30,22 @@
   @Override
   public void get(int offset, long[] into, int from, int count) {
     longs.get(offset / Long.BYTES, into, from, count);
-    VarHandle.acquireFence(); // what is read after this is as new or newer
+    // Later reads see values at least as new as those read here.
+    VarHandle.acquireFence();
   }
 
   @Override
   public void put(int offset, long value) {
-    longs.put(
-        offset / Long.BYTES,
-        value); // in any order among themselves: putLast comes after all of them
+    // These writes are not ordered among themselves; putOrdered comes after all of them.
+    longs.put(offset / Long.BYTES, value);
   }
 
   @Override
   public void putOrdered(int offset, long value) {
-    VarHandle.releaseFence(); // nothing that was put before may come after it
+    // No earlier write may move after this write.
+    VarHandle.releaseFence();
     LONGS.setVolatile(buffer, offset, value);
-    // nor may what is put from now on come before it: a reader may still be at the other copy
+    // No later write may move before this write: a reader may still read the other copy.
     VarHandle.fullFence();
   }
 
--- a/src/main/java/sprucerock/metrics/MetricsExporter.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -16,17 +16,17 @@
 import sprucerock.accounting.MethodAccounts;
 
 /**
- * Serves a relay's metrics over HTTP: in Prometheus text or OpenMetrics to a monitor, as a table to
- * people. Scrapes run on threads of their own and never hold the relay up.
+ * Serves a relay's metrics over HTTP: as Prometheus text or OpenMetrics to a monitor, and as a
+ * table to people. Scrapes run on separate threads and never block the relay.
  */
 public final class MetricsExporter implements AutoCloseable {
-  /** A scrape takes milliseconds, also over a slow network. */
+  /** A scrape takes milliseconds, even over a slow network. */
   private static final String STALL_TIMEOUT_SECONDS = "2";
 
-  /** Scrapes at a time; each costs a core while it reads. */
+  /** The number of concurrent scrapes; each occupies a core while it reads. */
   private static final int WORKER_COUNT = 4;
 
-  /** Connections that wait for a worker; beyond these the server closes them. */
+  /** How many connections may wait for a worker; the server closes further ones. */
   private static final int QUEUE_CAPACITY_CONNECTIONS = 32;
 
   private static final int WORKER_IDLE_SECONDS = 10;
@@ -36,19 +36,20 @@
   private final ThreadPoolExecutor workers;
 
   static {
-    // The JDK's server reads these once. A scrape whose request or reading stalls is cut off.
+    // The JDK's HTTP server reads these properties once. It closes the connection of a scrape that
+    // stalls while it sends the request or receives the response.
     System.setProperty("sun.net.httpserver.maxReqTime", STALL_TIMEOUT_SECONDS);
     System.setProperty("sun.net.httpserver.maxRspTime", STALL_TIMEOUT_SECONDS);
   }
 
   /**
-   * Serves from now on.
+   * Starts serving.
    *
-   * @param hasDrifted whether a sum of the accounts did not hold since the relay started
-   * @param isPersistent whether the metrics outlive a kill of the process
-   * @param gauges values at the time of a scrape, by name without prefix
-   * @param address where to listen; port 0 for any that is free
-   * @throws IOException if the address can't be had
+   * @param hasDrifted whether an equation of the accounts has failed since the relay started
+   * @param isPersistent whether the metrics survive a kill of the process
+   * @param gauges further values at the time of a scrape, by name without prefix
+   * @param address the address to listen on; port 0 for any free port
+   * @throws IOException if the server can't listen on the address
    */
   public MetricsExporter(
       Supplier<MetricsSnapshot> snapshots,
@@ -88,15 +89,18 @@
     return executor;
   }
 
-  /** Any path but the monitor's: the table, and the sums that do not hold, with status 500. */
+  /**
+   * Answers all paths that the monitor does not use: with the table, followed by the equations that
+   * do not hold. If there are any, the status is 500.
+   */
   private void handleTable(HttpExchange exchange) throws IOException {
     StringBuilder text = new StringBuilder();
     int status = 200;
     try {
       MetricsSnapshot snapshot = snapshots.get();
       text.append(MetricsTable.format(snapshot));
-      for (MethodAccounts.Imbalance drift : snapshot.accounts().check(snapshot.values)) {
-        text.append("DRIFT ").append(drift).append('\n');
+      for (MethodAccounts.Imbalance imbalance : snapshot.accounts().check(snapshot.values)) {
+        text.append("DRIFT ").append(imbalance).append('\n');
         status = 500;
       }
     } catch (MetricsSnapshot.InvalidFileException e) {
@@ -110,7 +114,7 @@
     }
   }
 
-  /** The port that it listens at. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return server.getPort();
   }
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -12,24 +12,24 @@
 import sprucerock.accounting.MetricsSheet;
 
 /**
- * Keeps a relay's accounts in a file across restarts. Each start is a generation that goes on from
- * the last one's values; what was pending in a process that was killed is booked as lost with it.
+ * Persists a relay's accounts in a file across restarts. Each start is a generation that continues
+ * from the values of the last generation. Values that were pending when a process was killed are
+ * counted as lost.
  *
- * <p>The next generation's file is written completely beside the old one and takes its place by one
- * renaming, so that a crash at any moment, or two in a row, leaves one or the other. Written by the
- * relay's thread; {@link #snapshot} is for any thread.
+ * <p>The next generation's file is written completely next to the old file and replaces it by a
+ * single rename, so that after one or several crashes at any moment either the old or the new file
+ * is in place. Only the relay's thread may call the methods, except {@link #snapshot}, which is
+ * thread-safe.
  */
 public final class MetricsFileWriter {
-  /** The numbers of columns in the accounts: how a generation found its file. */
-  private static final int FOUND_NONE = 1;
+  // Columns of the sheet of metrics files: the state in which a generation found its file.
+  private static final int FILE_FRESH = 1;
+  private static final int FILE_CARRIED = 2;
+  private static final int FILE_SET_ASIDE = 3;
+  private static final int FILE_UNREAD = 5;
 
-  private static final int FOUND_CARRIED = 2;
-  private static final int FOUND_SET_ASIDE = 3;
-  private static final int FOUND_UNREADABLE = 5;
-
-  /** The numbers of columns in the accounts: what became of a start. */
+  // Columns of the sheet of starts: how the run of a start ended.
   private static final int START_ENDED = 1;
-
   private static final int START_RUNNING = 3;
 
   private static final int MAX_FILES_SET_ASIDE = 999;
@@ -45,15 +45,18 @@
   }
 
   /**
-   * Goes on from a file, or begins one. Nothing that is wrong with it stops the relay: a file that
-   * is damaged is set aside, and where the disk takes nothing the metrics stay in memory.
+   * Continues from a metrics file, or starts a new one. No fault of the file stops the relay: a
+   * damaged file is set aside, and if the file can't be written the metrics stay in memory.
    *
-   * @param path null: the metrics are kept in memory only
-   * @param onFirstPostingOfTurn runs at the first change after each commit
-   * @param log gets one line for each thing that is wrong
+   * @param path the metrics file; null to keep the metrics in memory only
+   * @param onFirstPostingOfIteration runs at the first change after each commit
+   * @param log receives one line for each fault
    */
   public static MetricsFileWriter open(
-      Path path, MethodAccounts accounts, Runnable onFirstPostingOfTurn, Consumer<String> log) {
+      Path path,
+      MethodAccounts accounts,
+      Runnable onFirstPostingOfIteration,
+      Consumer<String> log) {
     long generation = carryOverLastGeneration(path, accounts, log) + 1;
     accounts.postNew(accounts.starts, 0, START_RUNNING);
     String layout = accounts.layout();
@@ -67,7 +70,7 @@
             accounts.size(),
             accounts.rowCount(),
             generation);
-    accounts.persistTo(file, onFirstPostingOfTurn);
+    accounts.persistTo(file, onFirstPostingOfIteration);
     boolean persistent = false;
     try {
       if (path != null) {
@@ -79,35 +82,35 @@
           path
               + ": can't be written: "
               + e.getMessage()
-              + "; figures stay in memory until the next start");
+              + "; metrics stay in memory until the next start");
     }
     return new MetricsFileWriter(accounts, file, persistent);
   }
 
-  /** Takes over the last generation's values; returns its number, 0 where there is none. */
+  /** Carries over the last generation's values; returns its number, 0 if there is none. */
   private static long carryOverLastGeneration(
       Path path, MethodAccounts accounts, Consumer<String> log) {
     long lastGeneration = 0;
-    int found = FOUND_NONE;
+    int fileState = FILE_FRESH;
     try {
       if (path != null && Files.exists(path)) {
         MetricsSnapshot last = MetricsSnapshot.read(path);
         carryOverValues(last, accounts);
         lastGeneration = last.generation;
-        found = FOUND_CARRIED;
+        fileState = FILE_CARRIED;
       }
     } catch (MetricsSnapshot.InvalidFileException e) {
-      found = FOUND_SET_ASIDE;
+      fileState = FILE_SET_ASIDE;
       log.accept(e.getMessage() + "; " + setAside(path));
     } catch (IOException e) {
-      found = FOUND_UNREADABLE;
-      log.accept(path + ": can't be read: " + e.getMessage() + "; figures begin anew");
+      fileState = FILE_UNREAD;
+      log.accept(path + ": can't be read: " + e.getMessage() + "; metrics start from zero");
     }
-    accounts.postNew(accounts.metricsFiles, 0, found);
+    accounts.postNew(accounts.metricsFiles, 0, fileState);
     return lastGeneration;
   }
 
-  /** Renames a damaged file for later study; returns what became of it, for the log. */
+  /** Renames a damaged file for later analysis; returns the result as text for the log. */
   private static String setAside(Path file) {
     for (int i = 1; i <= MAX_FILES_SET_ASIDE; i++) {
       Path aside = file.resolveSibling(file.getFileName() + ".aside-" + i);
@@ -116,24 +119,30 @@
       }
       try {
         Files.move(file, aside);
-        return "it is kept as " + aside.getFileName() + ", and figures begin anew";
+        return "the file is kept as " + aside.getFileName() + "; metrics start from zero";
       } catch (IOException e) {
-        return "it could not be kept aside (" + e.getMessage() + "), and figures begin anew";
+        return "the file can't be renamed to "
+            + aside.getFileName()
+            + ": "
+            + e.getMessage()
+            + "; metrics start from zero";
       }
     }
-    return "a thousand such files are there already, and figures begin anew";
+    return "the file is not kept because "
+        + MAX_FILES_SET_ASIDE
+        + " damaged files were set aside before; metrics start from zero";
   }
 
   /**
-   * Writes and maps a file. It is written out in full first: a mapped file that finds no disk space
-   * later would end the process.
+   * Writes a file, maps it and puts it in place. The file is written completely before it is
+   * mapped, because a mapped file that runs out of disk space later would end the process.
    */
   private static ByteBuffer publish(Path file, ByteBuffer bytes) throws IOException {
-    Path next = file.resolveSibling(file.getFileName() + ".next");
+    Path nextFile = file.resolveSibling(file.getFileName() + ".next");
     ByteBuffer mapped;
     try (FileChannel channel =
         FileChannel.open(
-            next,
+            nextFile,
             StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.READ,
@@ -145,7 +154,7 @@
       channel.force(false);
       mapped = channel.map(FileChannel.MapMode.READ_WRITE, 0, bytes.capacity());
     }
-    Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    Files.move(nextFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     return mapped;
   }
 
@@ -165,21 +174,21 @@
     }
   }
 
-  /** Whether the metrics outlive a kill: there is a file, and it could be written. */
+  /** Returns whether the metrics survive a kill: there is a file, and it could be written. */
   public boolean isPersistent() {
     return persistent;
   }
 
-  /** All metrics as last committed; from any thread, without holding the relay up. */
+  /** Returns all metrics as of the last commit. Thread-safe; never blocks the relay. */
   public MetricsSnapshot snapshot() {
     try {
       return MetricsSnapshot.read(file.memory(), "this relay");
     } catch (MetricsSnapshot.InvalidFileException e) {
-      throw new IllegalStateException("the metrics in memory can't be read", e);
+      throw new IllegalStateException("the relay's own metrics can't be read", e);
     }
   }
 
-  /** Notes that the relay shuts down cleanly, and commits what is posted. */
+  /** Records a clean shutdown and commits all postings. */
   public void close() {
     accounts.postTransfer(accounts.starts, 0, START_RUNNING, START_ENDED);
     accounts.commit();
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -11,11 +11,11 @@
 import sprucerock.accounting.MetricsSheet;
 
 /**
- * All metrics of one relay at the end of one commit, read from its file or its memory; the relay
- * may run, have ended, or have been killed.
+ * All metrics of one relay as of one commit, read from its file or its memory. The relay may be
+ * running, have shut down, or have been killed.
  */
 public final class MetricsSnapshot {
-  /** A metrics file that can't be used; the message says why in one line. */
+  /** Reports a metrics file that can't be used; the message gives the reason in one line. */
   public static final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -28,41 +28,48 @@
   private static final int MAX_VALUES = 10_000_000;
   private static final int MAX_LAYOUT_BYTES = 1 << 20;
 
-  /** How often a relay was started with this file; 1 for the first time. */
+  /** How many times a relay was started with this file; 1 after the first start. */
   public final long generation;
 
-  /** Whether the relay shut down cleanly; else it runs, or was killed. */
+  /** Whether the relay shut down cleanly; if false, it is running or was killed. */
   public final boolean cleanShutdown;
 
-  /** A line for each family of metrics: name, key, rows, columns. */
+  /** One line for each sheet: its name, row key, number of rows and columns. */
   public final String layout;
 
-  /** The names of all rows, null for one that is not in use. */
+  /** The names of all rows, null for a row that is not in use. */
   public final String[] rowNames;
 
-  /** All values, row by row. */
+  /** All values, by account. */
   public final long[] values;
 
   private MetricsSnapshot(
-      long generation, boolean closed, String layout, String[] names, long[] values) {
+      long generation, boolean cleanShutdown, String layout, String[] rowNames, long[] values) {
     this.generation = generation;
-    this.cleanShutdown = closed;
+    this.cleanShutdown = cleanShutdown;
     this.layout = layout;
-    this.rowNames = names;
+    this.rowNames = rowNames;
     this.values = values;
   }
 
   /**
-   * Reads a file.
+   * Reads a metrics file.
    *
-   * @throws IOException if it can't be read at all
-   * @throws InvalidFileException if it is no metrics file, or is damaged
+   * @throws IOException if the file can't be read
+   * @throws InvalidFileException if the file is not a metrics file or is damaged
    */
   public static MetricsSnapshot read(Path file) throws IOException, InvalidFileException {
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
       long size = channel.size();
       if (size < MappedMetricsFile.HEADER_BYTES || size > Integer.MAX_VALUE) {
-        throw new InvalidFileException(file + ": " + size + " bytes are no figures");
+        throw new InvalidFileException(
+            file
+                + ": "
+                + size
+                + " bytes can't be a metrics file; allowed are "
+                + MappedMetricsFile.HEADER_BYTES
+                + " to "
+                + Integer.MAX_VALUE);
       }
       return read(
           new BufferMetricsMemory(channel.map(FileChannel.MapMode.READ_ONLY, 0, size)),
@@ -70,11 +77,11 @@
     }
   }
 
-  /** Reads a memory; {@code source} names it in errors. */
+  /** Reads metrics from a memory; {@code source} names the memory in errors. */
   static MetricsSnapshot read(MetricsMemory memory, String source) throws InvalidFileException {
     Header header = Header.read(memory, source);
     MetricsCopies copies =
-        new MetricsCopies(memory, header.rows(), header.values(), header.layout(), source);
+        new MetricsCopies(memory, header.rowCount(), header.valueCount(), header.layout(), source);
     for (int i = 0; i < MAX_READ_ATTEMPTS; i++) {
       if (readCurrentCopy(memory, copies, source)) {
         return new MetricsSnapshot(
@@ -82,14 +89,18 @@
             memory.get(MappedMetricsFile.CLOSED_OFFSET) == 1,
             header.layout(),
             copies.rowNames,
-            copies.values);
+            copies.lastValues);
       }
       Thread.onSpinWait();
     }
-    throw new InvalidFileException(source + ": changed at each of " + MAX_READ_ATTEMPTS + " looks");
+    throw new InvalidFileException(
+        source + ": changed during each of " + MAX_READ_ATTEMPTS + " read attempts");
   }
 
-  /** False where a relay that runs has written meanwhile, and another attempt is needed. */
+  /**
+   * Reads the active copy. Returns false if a running relay committed meanwhile, so that another
+   * attempt is needed.
+   */
   private static boolean readCurrentCopy(MetricsMemory memory, MetricsCopies copies, String source)
       throws InvalidFileException {
     long sequence = memory.get(MappedMetricsFile.SEQUENCE_OFFSET);
@@ -99,50 +110,52 @@
     if (memory.get(MappedMetricsFile.SEQUENCE_OFFSET) != sequence) {
       return false;
     }
-    // Nobody writes: the relay was killed just here. The other copy, or this one before its
-    // sequence number counts, is intact.
+    // The relay was killed between two writes, so nobody writes any more. The other copy is intact,
+    // or this copy is intact but not yet active.
     long newest = Math.max(copies.readCopy(0), copies.readCopy(1));
     if (newest >= 0 && copies.readCopy(newest) >= 0) {
       return true;
     }
-    throw new InvalidFileException(source + ": its checksums are wrong");
+    throw new InvalidFileException(source + ": the checksums of both copies are wrong");
   }
 
-  /** A file's header and layout, checked. */
-  private record Header(int values, int rows, String layout) {
+  /** A file's header and layout, after validation. */
+  private record Header(int valueCount, int rowCount, String layout) {
     static Header read(MetricsMemory memory, String source) throws InvalidFileException {
       if (memory.get(0) != MappedMetricsFile.MAGIC) {
-        throw new InvalidFileException(source + ": no figures, or those of another version");
+        throw new InvalidFileException(
+            source + ": not a metrics file, or a metrics file of another version");
       }
-      long values = memory.get(MappedMetricsFile.VALUE_COUNT_OFFSET);
-      long rows = memory.get(MappedMetricsFile.ROW_COUNT_OFFSET);
+      long valueCount = memory.get(MappedMetricsFile.VALUE_COUNT_OFFSET);
+      long rowCount = memory.get(MappedMetricsFile.ROW_COUNT_OFFSET);
       long layoutBytes = memory.get(MappedMetricsFile.LAYOUT_SIZE_OFFSET);
       boolean inBounds =
-          values >= 0
-              && values <= MAX_VALUES
-              && rows >= 0
-              && rows <= values
+          valueCount >= 0
+              && valueCount <= MAX_VALUES
+              && rowCount >= 0
+              && rowCount <= valueCount
               && layoutBytes >= 0
               && layoutBytes < MAX_LAYOUT_BYTES;
-      if (!inBounds || size(values, rows, layoutBytes) != memory.sizeBytes()) {
-        throw new InvalidFileException(source + ": cut short, or its head is damaged");
+      if (!inBounds || fileSizeBytes(valueCount, rowCount, layoutBytes) != memory.sizeBytes()) {
+        throw new InvalidFileException(source + ": truncated, or the header is damaged");
       }
       byte[] layout = readBytes(memory, MappedMetricsFile.HEADER_BYTES, (int) layoutBytes);
-      if (MappedMetricsFile.crc(layout) != memory.get(MappedMetricsFile.LAYOUT_CRC_OFFSET)) {
-        throw new InvalidFileException(source + ": its layout is damaged");
+      if (MappedMetricsFile.crc32(layout) != memory.get(MappedMetricsFile.LAYOUT_CRC_OFFSET)) {
+        throw new InvalidFileException(source + ": the layout is damaged");
       }
-      return new Header((int) values, (int) rows, new String(layout, StandardCharsets.UTF_8));
+      return new Header(
+          (int) valueCount, (int) rowCount, new String(layout, StandardCharsets.UTF_8));
     }
 
-    private static long size(long values, long rows, long layoutBytes) {
+    private static long fileSizeBytes(long valueCount, long rowCount, long layoutBytes) {
       return MappedMetricsFile.HEADER_BYTES
           + MappedMetricsFile.roundUpToLongs((int) layoutBytes)
-          + rows * MappedMetricsFile.NAME_BYTES
-          + 2 * (values + 2) * Long.BYTES;
+          + rowCount * MappedMetricsFile.ROW_NAME_BYTES
+          + 2 * (valueCount + 2) * Long.BYTES;
     }
   }
 
-  /** Bytes that stand in longs, from an offset that is a multiple of eight. */
+  /** Reads bytes that are packed into longs, from an offset that is a multiple of eight. */
   static byte[] readBytes(MetricsMemory memory, int offset, int count) {
     byte[] bytes = new byte[count];
     for (int i = 0; i < count; i++) {
@@ -152,9 +165,10 @@
   }
 
   /**
-   * Accounts of the same layout and row names, to check and name these values by.
+   * Returns accounts with the layout and row names of this snapshot, to audit its values and to
+   * name them. The values of these accounts are zero.
    *
-   * @throws InvalidFileException if the file is of another version
+   * @throws InvalidFileException if the layout is that of another version
    */
   public MethodAccounts accounts() throws InvalidFileException {
     List<String> methods = new ArrayList<>();
@@ -181,13 +195,13 @@
         new MethodAccounts(
             methods, new MethodAccounts.Capacity(capacities[0], capacities[1], capacities[2]));
     if (!accounts.layout().equals(layout)) {
-      throw new InvalidFileException("figures of another version");
+      throw new InvalidFileException("the metrics have the layout of another version");
     }
-    int next = 0;
-    for (MetricsSheet family : accounts.sheets()) {
-      for (int i = 0; i < family.rowCount(); i++, next++) {
-        if (rowNames[next] != null) {
-          accounts.nameRow(family, i, rowNames[next]);
+    int globalRow = 0;
+    for (MetricsSheet sheet : accounts.sheets()) {
+      for (int i = 0; i < sheet.rowCount(); i++, globalRow++) {
+        if (rowNames[globalRow] != null) {
+          accounts.nameRow(sheet, i, rowNames[globalRow]);
         }
       }
     }
--- a/src/main/java/sprucerock/metrics/MetricsTable.java
+++ b/src/main/java/sprucerock/metrics/MetricsTable.java
@@ -7,16 +7,16 @@
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.accounting.MetricsSheet;
 
-/** Formats metrics as a table for a terminal: rows in use, columns that are not all zero. */
+/** Formats metrics as a table for a terminal, without unused rows and all-zero columns. */
 public final class MetricsTable {
   private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
   private MetricsTable() {}
 
   /**
-   * Formats a snapshot; latencies are in milliseconds.
+   * Formats a snapshot. Latencies are in milliseconds.
    *
-   * @throws MetricsSnapshot.InvalidFileException if the snapshot is of another layout
+   * @throws MetricsSnapshot.InvalidFileException if the snapshot has the layout of another version
    */
   public static String format(MetricsSnapshot snapshot)
       throws MetricsSnapshot.InvalidFileException {
@@ -28,40 +28,40 @@
                 + ", "
                 + (snapshot.cleanShutdown ? "ended in good order" : "running, or cut off")
                 + "\n");
-    for (MetricsSheet family : accounts.sheets()) {
-      if (family.isHistogram()) {
-        appendPercentiles(text, family, accounts, snapshot.values);
+    for (MetricsSheet sheet : accounts.sheets()) {
+      if (sheet.isHistogram()) {
+        appendPercentiles(text, sheet, accounts, snapshot.values);
       } else {
-        appendCounters(text, family, accounts, snapshot.values);
+        appendCounters(text, sheet, accounts, snapshot.values);
       }
     }
     return text.toString();
   }
 
   private static void appendCounters(
-      StringBuilder text, MetricsSheet family, MethodAccounts accounts, long[] values) {
-    int columns = family.columns().size();
+      StringBuilder text, MetricsSheet sheet, MethodAccounts accounts, long[] values) {
+    int columns = sheet.columns().size();
     boolean[] used = new boolean[columns];
-    for (int row = 0; row < family.rowCount(); row++) {
+    for (int row = 0; row < sheet.rowCount(); row++) {
       for (int column = 0; column < columns; column++) {
-        used[column] |= column == 0 || values[family.index(row, column)] != 0;
+        used[column] |= column == 0 || values[sheet.index(row, column)] != 0;
       }
     }
-    text.append(String.format(Locale.ROOT, "%-14s %-14s", family.name(), family.rowKey()));
+    text.append(String.format(Locale.ROOT, "%-14s %-14s", sheet.name(), sheet.rowKey()));
     for (int column = 0; column < columns; column++) {
       if (used[column]) {
-        text.append(String.format(Locale.ROOT, " %13s", family.columns().get(column)));
+        text.append(String.format(Locale.ROOT, " %13s", sheet.columns().get(column)));
       }
     }
     text.append('\n');
-    for (int row = 0; row < family.rowCount(); row++) {
-      if (values[family.index(row, 0)] == 0) {
+    for (int row = 0; row < sheet.rowCount(); row++) {
+      if (values[sheet.index(row, 0)] == 0) {
         continue;
       }
-      text.append(String.format(Locale.ROOT, "%-14s %-14s", "", accounts.name(family, row)));
+      text.append(String.format(Locale.ROOT, "%-14s %-14s", "", accounts.name(sheet, row)));
       for (int column = 0; column < columns; column++) {
         if (used[column]) {
-          text.append(String.format(Locale.ROOT, " %13d", values[family.index(row, column)]));
+          text.append(String.format(Locale.ROOT, " %13d", values[sheet.index(row, column)]));
         }
       }
       text.append('\n');
@@ -69,14 +69,14 @@
   }
 
   private static void appendPercentiles(
-      StringBuilder text, MetricsSheet family, MethodAccounts accounts, long[] values) {
+      StringBuilder text, MetricsSheet sheet, MethodAccounts accounts, long[] values) {
     text.append(
         String.format(
             Locale.ROOT,
             "%-14s %-14s %13s",
-            family.name() + ", ms",
-            family.rowKey(),
-            family.columns().get(0)));
+            sheet.name() + ", ms",
+            sheet.rowKey(),
+            sheet.columns().get(0)));
     for (double percentile : PERCENTILES) {
       text.append(
           String.format(
@@ -85,17 +85,17 @@
               "p" + BigDecimal.valueOf(percentile).stripTrailingZeros().toPlainString()));
     }
     text.append('\n');
-    for (int row = 0; row < family.rowCount(); row++) {
-      if (values[family.index(row, 0)] == 0) {
+    for (int row = 0; row < sheet.rowCount(); row++) {
+      if (values[sheet.index(row, 0)] == 0) {
         continue;
       }
-      Histogram latencies = HistogramBuckets.histogram(family, row, values);
+      Histogram latencies = HistogramBuckets.histogram(sheet, row, values);
       text.append(
           String.format(
               Locale.ROOT,
               "%-14s %-14s %13d",
               "",
-              accounts.name(family, row),
+              accounts.name(sheet, row),
               latencies.getTotalCount()));
       for (double percentile : PERCENTILES) {
         text.append(
--- a/src/main/java/sprucerock/metrics/PrometheusCollector.java
+++ b/src/main/java/sprucerock/metrics/PrometheusCollector.java
@@ -16,8 +16,8 @@
 import sprucerock.accounting.MetricsSheet;
 
 /**
- * Makes Prometheus metrics of one snapshot for each scrape, so that sums hold within it. Names,
- * labels and help texts are what monitors know: they stay.
+ * Converts one snapshot into Prometheus metrics for each scrape, so that the sums hold within a
+ * scrape. Monitors rely on the names, labels and help texts, which must not change.
  */
 final class PrometheusCollector implements MultiCollector {
   private static final String PREFIX = "sprucerock_";
@@ -49,11 +49,11 @@
       throw new IllegalStateException(e.getMessage(), e);
     }
     MetricSnapshots.Builder metrics = MetricSnapshots.builder();
-    for (MetricsSheet family : accounts.sheets()) {
-      if (family.isHistogram()) {
-        addHistogram(metrics, family, accounts, snapshot.values);
+    for (MetricsSheet sheet : accounts.sheets()) {
+      if (sheet.isHistogram()) {
+        addHistogram(metrics, sheet, accounts, snapshot.values);
       } else {
-        addCounters(metrics, family, accounts, snapshot.values);
+        addCounters(metrics, sheet, accounts, snapshot.values);
       }
     }
     metrics.metricSnapshot(
@@ -85,89 +85,82 @@
   }
 
   private static void addCounters(
-      MetricSnapshots.Builder metrics,
-      MetricsSheet family,
-      MethodAccounts accounts,
-      long[] values) {
-    String total = family.columns().get(0);
-    String pending = family.hasPending() ? family.columns().get(family.pendingColumn()) : "";
+      MetricSnapshots.Builder metrics, MetricsSheet sheet, MethodAccounts accounts, long[] values) {
+    String total = sheet.columns().get(0);
+    String pending = sheet.hasPending() ? sheet.columns().get(sheet.pendingColumn()) : "";
     CounterSnapshot.Builder totals =
         CounterSnapshot.builder()
-            .name(PREFIX + family.name() + "_" + total)
+            .name(PREFIX + sheet.name() + "_" + total)
             .help(
                 "All "
-                    + family.name()
+                    + sheet.name()
                     + "; the sum of ended"
-                    + (family.hasPending() ? " and " + pending : "")
+                    + (sheet.hasPending() ? " and " + pending : "")
                     + ".");
     CounterSnapshot.Builder ended =
         CounterSnapshot.builder()
-            .name(PREFIX + family.name() + "_ended")
+            .name(PREFIX + sheet.name() + "_ended")
             .help("Of these, ended, by how.");
     GaugeSnapshot.Builder pendingGauge =
         GaugeSnapshot.builder()
-            .name(PREFIX + family.name() + "_" + pending)
+            .name(PREFIX + sheet.name() + "_" + pending)
             .help("Of these, not over yet.");
-    for (int row = 0; row < family.rowCount(); row++) {
-      if (values[family.index(row, 0)] == 0) {
+    for (int row = 0; row < sheet.rowCount(); row++) {
+      if (values[sheet.index(row, 0)] == 0) {
         continue;
       }
       Labels labels =
-          family.rowCount() == 1
+          sheet.rowCount() == 1
               ? Labels.EMPTY
-              : Labels.of(family.rowKey(), accounts.name(family, row));
-      totals.dataPoint(counter(labels, values[family.index(row, 0)]));
-      for (int column = 1; column < family.endOfOutcomeColumns(); column++) {
+              : Labels.of(sheet.rowKey(), accounts.name(sheet, row));
+      totals.dataPoint(counter(labels, values[sheet.index(row, 0)]));
+      for (int column = 1; column < sheet.endOfOutcomeColumns(); column++) {
         ended.dataPoint(
             counter(
-                labels.add("how", family.columns().get(column)),
-                values[family.index(row, column)]));
+                labels.add("how", sheet.columns().get(column)), values[sheet.index(row, column)]));
       }
-      if (!family.hasPending()) {
+      if (!sheet.hasPending()) {
         continue;
       }
       pendingGauge.dataPoint(
           GaugeSnapshot.GaugeDataPointSnapshot.builder()
               .labels(labels)
-              .value(values[family.index(row, family.pendingColumn())])
+              .value(values[sheet.index(row, sheet.pendingColumn())])
               .build());
     }
     metrics.metricSnapshot(totals.build()).metricSnapshot(ended.build());
-    if (family.hasPending()) {
+    if (sheet.hasPending()) {
       metrics.metricSnapshot(pendingGauge.build());
     }
   }
 
   /**
-   * Adds a histogram whose bounds are octaves, of which the accounts have sixteen parts each: a
-   * monitor pays for each series.
+   * Adds a histogram with one bucket for each octave. The accounts have sixteen buckets for each
+   * octave, but every exported series costs the monitor resources.
    */
   private static void addHistogram(
-      MetricSnapshots.Builder metrics,
-      MetricsSheet family,
-      MethodAccounts accounts,
-      long[] values) {
+      MetricSnapshots.Builder metrics, MetricsSheet sheet, MethodAccounts accounts, long[] values) {
     HistogramSnapshot.Builder histogram =
         HistogramSnapshot.builder()
-            .name(PREFIX + family.name() + "_seconds")
+            .name(PREFIX + sheet.name() + "_seconds")
             .help("Latency; counts are those of the accounts.");
-    for (int row = 0; row < family.rowCount(); row++) {
-      if (values[family.index(row, 0)] == 0) {
+    for (int row = 0; row < sheet.rowCount(); row++) {
+      if (values[sheet.index(row, 0)] == 0) {
         continue;
       }
       ClassicHistogramBuckets.Builder buckets = ClassicHistogramBuckets.builder();
       long count = 0;
       for (int i = 0; i < HistogramBuckets.BUCKET_COUNT; i++) {
-        count += values[family.index(row, 1 + i)];
-        boolean last = i == HistogramBuckets.BUCKET_COUNT - 1;
-        if (!last && !endsOctave(i)) {
+        count += values[sheet.index(row, 1 + i)];
+        boolean isLast = i == HistogramBuckets.BUCKET_COUNT - 1;
+        if (!isLast && !endsOctave(i)) {
           continue;
         }
         buckets.bucket(
-            last ? Double.POSITIVE_INFINITY : HistogramBuckets.lowerBoundUs(i + 1) / 1e6, count);
+            isLast ? Double.POSITIVE_INFINITY : HistogramBuckets.lowerBoundUs(i + 1) / 1e6, count);
         count = 0;
       }
-      Labels labels = labels(family, accounts.name(family, row));
+      Labels labels = labels(sheet, accounts.name(sheet, row));
       histogram.dataPoint(
           HistogramSnapshot.HistogramDataPointSnapshot.builder()
               .classicHistogramBuckets(buckets.build())
@@ -184,11 +177,11 @@
     return fullOctave || bucket == 7 || bucket == 15;
   }
 
-  private static Labels labels(MetricsSheet family, String name) {
-    int cut = name.indexOf('/');
-    return family.rowKey().equals("method")
+  private static Labels labels(MetricsSheet sheet, String name) {
+    int slash = name.indexOf('/');
+    return sheet.rowKey().equals("method")
         ? Labels.of("method", name)
-        : Labels.of("build", name.substring(0, cut), "method", name.substring(cut + 1));
+        : Labels.of("build", name.substring(0, slash), "method", name.substring(slash + 1));
   }
 
   private static CounterSnapshot.CounterDataPointSnapshot counter(Labels labels, double value) {
--- a/src/main/java/sprucerock/metrics/package-info.java
+++ b/src/main/java/sprucerock/metrics/package-info.java
@@ -1,13 +1,13 @@
 /**
- * A relay's metrics outside its accounts: kept in a file across restarts and kills, read from there
- * by others, served to a monitor, and printed as a table.
+ * Storage and export of a relay's accounts: a file that survives restarts and kills, snapshots of
+ * that file for other processes, an HTTP server for a monitor, and a printed table.
  *
  * <p>{@link sprucerock.metrics.MetricsFileWriter} is the only writer of a relay's file; {@link
- * sprucerock.metrics.MetricsSnapshot} is a consistent read of it, from any process. The file's form
- * and the names that {@link sprucerock.metrics.MetricsExporter} serves are known to others and
- * stay.
+ * sprucerock.metrics.MetricsSnapshot} reads the file consistently, from any process. Other programs
+ * rely on the format of the file and on the names that {@link sprucerock.metrics.MetricsExporter}
+ * serves; both must not change.
  *
- * <p>The package counts nothing itself: what is counted, and which sums hold, is {@code
- * sprucerock.accounting}'s. Nothing that is wrong with a file or a monitor may stop a relay.
+ * <p>This package counts nothing itself: {@code sprucerock.accounting} defines what is counted and
+ * which sums hold. No fault of a file or a monitor may stop a relay.
  */
 package sprucerock.metrics;
--- a/src/test/java/sprucerock/accounting/MethodAccountsTest.java
+++ b/src/test/java/sprucerock/accounting/MethodAccountsTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 import sprucerock.time.TimeSpan;
 
-/** The audit can fail: an error planted in any account is found and named. */
+/** Tests that the audit finds and names an error in any account. */
 public class MethodAccountsTest {
   private static MethodAccounts sample() {
     MethodAccounts accounts =
@@ -30,21 +30,21 @@
         accounts.corrupt(index, by);
         List<MethodAccounts.Imbalance> imbalances = accounts.check();
         assertTrue(!imbalances.isEmpty(), "account " + index);
-        MetricsSheet table = null;
-        for (MetricsSheet one : accounts.sheets()) {
-          if (index >= one.firstAccount) {
-            table = one;
+        MetricsSheet corruptedSheet = null;
+        for (MetricsSheet sheet : accounts.sheets()) {
+          if (index >= sheet.firstAccount) {
+            corruptedSheet = sheet;
           }
         }
         assertTrue(
-            imbalances.get(0).equation().startsWith(table.name() + "{"),
-            imbalances + " for " + table.name());
+            imbalances.get(0).equation().startsWith(corruptedSheet.name() + "{"),
+            imbalances + " for " + corruptedSheet.name());
       }
     }
   }
 
   @Test
-  public void imbalanceNamesTheLastPostingsThere() {
+  public void imbalanceReportsTheLastPostingsToItsAccounts() {
     MethodAccounts accounts = sample();
     accounts.corrupt(accounts.rpcs.index(1, 2), 1);
     assertEquals(
@@ -54,7 +54,7 @@
   }
 
   @Test
-  public void postingsThatDifferBetweenTablesAreFound() {
+  public void postingsThatDifferBetweenSheetsAreFound() {
     MethodAccounts accounts = sample();
     accounts.postNew(accounts.attempts, 0, 1);
     assertEquals(accounts.check().get(0).equation(), "picks sent = build_picks sent");
--- a/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -30,14 +30,19 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Sums hold after each step, in whatever order things happen, stale, doubled or never, and through
- * crashes.
+ * Tests that the sums of the accounts hold after each event, whatever the order of events, with
+ * late, duplicate and missing events, and across crashes.
  */
 class RequestTrackerProperties {
   private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
   /**
-   * Something that happens: its kind, the RPC, attempt or endpoint it is about, and after how long.
+   * An event of the tracker.
+   *
+   * @param kind which method of the tracker is called
+   * @param subject selects the RPC or attempt
+   * @param variant selects the endpoint, method or outcome
+   * @param afterMs the time since the previous event
    */
   record Event(int kind, int subject, int variant, double afterMs) {}
 
@@ -51,7 +56,7 @@
         .as(Event::new);
   }
 
-  /** One incarnation of a relay, of which the test drives only the tracker. */
+  /** One incarnation of a relay, reduced to its tracker and accounts. */
   private static final class Incarnation {
     final MethodAccounts accounts =
         new MethodAccounts(List.of("read", "pay"), new MethodAccounts.Capacity(2, 3, 2));
@@ -78,10 +83,10 @@
       }
       tracker = new RequestTracker(new Settings(draft), accounts);
       tracker.setListener(new RecordingRelayEvents());
-      listed(0);
+      listEndpoint(0);
     }
 
-    private Endpoint listed(int id) {
+    private Endpoint listEndpoint(int id) {
       return tracker.endpointListed(id, 0, 0, 0, 1 + id % 4, null, 1, true);
     }
 
@@ -101,7 +106,7 @@
                     now.plus(TimeSpan.ofMs(300)),
                     null,
                     null));
-        case 2 -> listed(event.variant % 6);
+        case 2 -> listEndpoint(event.variant % 6);
         case 3 -> tracker.endpointRemoved(event.variant % 6);
         case 4 -> {
           if (rpc != null) {
@@ -123,13 +128,13 @@
           if (rpc == null || rpc.ended() || endpoint == null) {
             break;
           }
-          Attempt made = new Attempt(rpc, endpoint, now, null);
-          made.shadow = event.variant % 3 == 0;
-          attempts.add(made);
-          tracker.attemptSent(made);
+          Attempt sentAttempt = new Attempt(rpc, endpoint, now, null);
+          sentAttempt.shadow = event.variant % 3 == 0;
+          attempts.add(sentAttempt);
+          tracker.attemptSent(sentAttempt);
         }
         default -> {
-          // late ones, and the same again, among them
+          // The events include late ends and repeated ends of an attempt.
           if (attempt == null) {
             break;
           }
@@ -170,19 +175,19 @@
   }
 
   /**
-   * Each incarnation ends in the middle of a turn; the next goes on from what its last whole turn
-   * said.
+   * Each incarnation ends in the middle of a loop iteration; the next incarnation continues from
+   * the last commit.
    */
   @Property(seed = "20261202", tries = 60, shrinking = ShrinkingMode.BOUNDED)
-  void sumsHoldThroughOneCrashAfterAnother(
+  void sumsHoldThroughRepeatedCrashes(
       @ForAll("events200") List<Event> events,
       @ForAll @Size(max = 12) List<@DoubleRange(min = 0, max = 1) Double> crashes)
       throws Exception {
-    Path file = Files.createTempDirectory("lives").resolve("r.figures");
+    Path file = Files.createTempDirectory("incarnations").resolve("r.figures");
     long taken = 0;
     long lost = 0;
     long open = 0;
-    for (int incarnations = 0; incarnations <= crashes.size(); incarnations++) {
+    for (int number = 0; number <= crashes.size(); number++) {
       Incarnation incarnation = new Incarnation();
       MetricsFileWriter.open(
           file,
@@ -197,47 +202,47 @@
           incarnation.accounts.sum(
               incarnation.accounts.rpcs, incarnation.accounts.rpcs.lostColumn()),
           lost);
-      int until =
-          incarnations < crashes.size()
-              ? (int) (crashes.get(incarnations) * events.size())
-              : events.size();
-      for (int i = 0; i < until; i++) {
+      int eventCount =
+          number < crashes.size() ? (int) (crashes.get(number) * events.size()) : events.size();
+      for (int i = 0; i < eventCount; i++) {
         incarnation.apply(events.get(i));
         if (i % 7 == 6) {
           incarnation.accounts.commit();
         }
       }
       MetricsSnapshot snapshot = MetricsSnapshot.read(file);
-      MethodAccounts read = snapshot.accounts();
-      assertEquals(read.check(snapshot.values), List.of());
+      MethodAccounts snapshotAccounts = snapshot.accounts();
+      assertEquals(snapshotAccounts.check(snapshot.values), List.of());
       taken = 0;
       open = 0;
-      for (int row = 0; row < read.rpcs.rowCount(); row++) {
-        taken += snapshot.values[read.rpcs.index(row, 0)];
-        open += snapshot.values[read.rpcs.index(row, read.rpcs.pendingColumn())];
+      for (int row = 0; row < snapshotAccounts.rpcs.rowCount(); row++) {
+        taken += snapshot.values[snapshotAccounts.rpcs.index(row, 0)];
+        open +=
+            snapshot
+                .values[snapshotAccounts.rpcs.index(row, snapshotAccounts.rpcs.pendingColumn())];
       }
     }
     Files.delete(file);
     Files.delete(file.getParent());
   }
 
-  /** The buckets are those of HdrHistogram: what falls into one is equivalent there, too. */
+  /** Latencies of one bucket must be equivalent in HdrHistogram too. */
   @Property(seed = "20261203", tries = 5000)
   void bucketsAreThoseOfHdrHistogram(@ForAll @DoubleRange(min = 0, max = 67_000) double ms) {
-    Histogram same = HistogramBuckets.histogram();
+    Histogram hdrHistogram = HistogramBuckets.histogram();
     long us = (long) (ms * 1000);
     int bucket = HistogramBuckets.bucket(TimeSpan.ofMs(us / 1000.0));
     assertEquals(
         HistogramBuckets.lowerBoundUs(bucket),
-        same.lowestEquivalentValue(HistogramBuckets.lowerBoundUs(bucket)));
-    long slack = 1;
-    // a microsecond is lost where milliseconds are cut to whole ones
-    assertTrue(us + slack >= HistogramBuckets.lowerBoundUs(bucket), us + " in " + bucket);
+        hdrHistogram.lowestEquivalentValue(HistogramBuckets.lowerBoundUs(bucket)));
+    // The conversion from milliseconds to whole microseconds may lose 1 us.
+    long slackUs = 1;
+    assertTrue(us + slackUs >= HistogramBuckets.lowerBoundUs(bucket), us + " in " + bucket);
     assertTrue(
         bucket == HistogramBuckets.BUCKET_COUNT - 1
-            || us - slack < HistogramBuckets.lowerBoundUs(bucket + 1),
+            || us - slackUs < HistogramBuckets.lowerBoundUs(bucket + 1),
         us + " in " + bucket);
-    same.recordValue(us);
-    assertTrue(same.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
+    hdrHistogram.recordValue(us);
+    assertTrue(hdrHistogram.getMaxValue() - us <= Math.max(16, us / 16), "6% at most");
   }
 }
--- a/src/test/java/sprucerock/accounting/RequestTrackerTest.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerTest.java
@@ -24,7 +24,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** RPCs, attempts and endpoints as the routing policy is notified of them. */
+/** Tests the state of RPCs, attempts and endpoints and the notifications of the policy. */
 public class RequestTrackerTest {
   private static final Timestamp NOW = Timestamp.ofMs(1000);
   private final Method method =
@@ -52,11 +52,11 @@
   }
 
   private List<Long> rpcCounters() {
-    List<Long> found = new ArrayList<>();
+    List<Long> counters = new ArrayList<>();
     for (int i = 0; i < 7; i++) {
-      found.add(tracker.accounts().value(tracker.accounts().rpcs, 0, i));
+      counters.add(tracker.accounts().value(tracker.accounts().rpcs, 0, i));
     }
-    return found;
+    return counters;
   }
 
   private Rpc arrive(long id) {
@@ -99,25 +99,25 @@
 
   @Test
   public void reusedIdIsAnotherRpc() {
-    Rpc first = arrive(7);
-    Attempt late = send(first);
-    tracker.rpcRejected(first);
-    Rpc again = arrive(7);
-    tracker.attemptEnded(late, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
-    assertSame(tracker.rpc(7), again);
-    assertFalse(again.ended());
+    Rpc firstRpc = arrive(7);
+    Attempt lateAttempt = send(firstRpc);
+    tracker.rpcRejected(firstRpc);
+    Rpc secondRpc = arrive(7);
+    tracker.attemptEnded(lateAttempt, AttemptOutcome.ERROR, TimeSpan.ofMs(2), true);
+    assertSame(tracker.rpc(7), secondRpc);
+    assertFalse(secondRpc.ended());
   }
 
   @Test
-  public void restartIsAnotherEndpointAndADrainingOneIsNotReady() {
+  public void restartedProcessIsAnotherEndpointAndDrainingEndpointIsNotReady() {
     assertSame(tracker.endpointListed(1, 0, 0, 0, 1, null, 2, true), endpoint);
     assertEquals(endpoint.weight(), 2.0);
-    Endpoint next = tracker.endpointListed(1, 0, 0, 0, 1, NOW, 1, true);
-    assertNotSame(next, endpoint);
+    Endpoint restarted = tracker.endpointListed(1, 0, 0, 0, 1, NOW, 1, true);
+    assertNotSame(restarted, endpoint);
     assertFalse(endpoint.ready());
     tracker.endpointListed(1, 0, 0, 0, 1, NOW, 1, false);
-    assertFalse(next.ready());
-    assertTrue(next.build.endpoints.isEmpty());
+    assertFalse(restarted.ready());
+    assertTrue(restarted.build.endpoints.isEmpty());
     tracker.retainEndpoints(Set.of());
     assertNull(tracker.endpoint(1));
     assertEquals(listener.calls, List.of("leaving 1", "ready 1", "leaving 1", "leaving 1"));
--- a/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
+++ b/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
@@ -17,12 +17,15 @@
 import sprucerock.accounting.MetricsSheet;
 import sprucerock.time.TimeSpan;
 
-/** Metrics files through kills at every write, damage of every kind, and restarts. */
+/** Tests metrics files with kills at every write, damaged content, and restarts. */
 public class MappedMetricsFileTest {
   private static final List<String> METHODS = List.of("read", "pay");
   private static final MethodAccounts.Capacity CAPACITY = new MethodAccounts.Capacity(2, 3, 2);
 
-  /** Memory of a process that is killed at its n-th write, of which some bytes are written. */
+  /**
+   * The memory of a process that is killed after a number of complete writes. The first {@code
+   * tornBytes} bytes of the next write still reach the memory.
+   */
   private static final class KilledMemory implements MetricsMemory {
     private static final class Killed extends RuntimeException {
       private static final long serialVersionUID = 1L;
@@ -31,13 +34,13 @@
     private final ByteBuffer bytes;
     private final BufferMetricsMemory memory;
     private long writesLeft;
-    private final int torn;
+    private final int tornBytes;
 
-    KilledMemory(int size, long writes, int torn) {
+    KilledMemory(int size, long completeWrites, int tornBytes) {
       bytes = ByteBuffer.allocate(size);
       memory = new BufferMetricsMemory(bytes);
-      writesLeft = writes;
-      this.torn = torn;
+      writesLeft = completeWrites;
+      this.tornBytes = tornBytes;
     }
 
     @Override
@@ -56,7 +59,7 @@
         memory.put(offset, value);
         return;
       }
-      for (int i = 0; i < torn; i++) {
+      for (int i = 0; i < tornBytes; i++) {
         bytes.put(offset + i, (byte) (value >>> 8 * i));
       }
       throw new Killed();
@@ -92,12 +95,12 @@
         memory, accounts.layout(), accounts.size(), accounts.rowCount(), 1);
   }
 
-  private static int size() {
+  private static int fileSizeBytes() {
     MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     return MappedMetricsFile.fileSizeBytes(accounts.layout(), accounts.size(), accounts.rowCount());
   }
 
-  /** Commits until the process is killed; the values of each commit go into {@code states}. */
+  /** Commits until the process is killed; adds the values of each commit to {@code states}. */
   private static void commitUntilKilled(KilledMemory memory, List<long[]> states) {
     MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     SplittableRandom random = new SplittableRandom(4);
@@ -105,15 +108,15 @@
     accounts.persistTo(file, () -> {});
     for (int i = 0; i < 120; i++) {
       postSome(accounts, random);
-      long[] after = new long[accounts.size()];
-      for (MetricsSheet family : accounts.sheets()) {
-        for (int row = 0; row < family.rowCount(); row++) {
-          for (int column = 0; column < family.columns().size(); column++) {
-            after[family.index(row, column)] = accounts.value(family, row, column);
+      long[] values = new long[accounts.size()];
+      for (MetricsSheet sheet : accounts.sheets()) {
+        for (int row = 0; row < sheet.rowCount(); row++) {
+          for (int column = 0; column < sheet.columns().size(); column++) {
+            values[sheet.index(row, column)] = accounts.value(sheet, row, column);
           }
         }
       }
-      states.add(after);
+      states.add(values);
       accounts.commit();
     }
   }
@@ -122,9 +125,9 @@
   public void killAtAnyWriteLeavesTheValuesOfACommit() throws Exception {
     int kills = 0;
     int checked = 0;
-    for (int torn = 0; torn < 8; torn += torn == 0 ? 1 : 3) {
+    for (int tornBytes = 0; tornBytes < 8; tornBytes += tornBytes == 0 ? 1 : 3) {
       for (long writes = 0; ; writes++) {
-        KilledMemory memory = new KilledMemory(size(), writes, torn);
+        KilledMemory memory = new KilledMemory(fileSizeBytes(), writes, tornBytes);
         List<long[]> states = new ArrayList<>();
         boolean killed = false;
         try {
@@ -133,13 +136,13 @@
           killed = true;
         }
         if (states.size() > 1) {
-          // before, the file is not in its place yet
+          // With fewer states, a relay would not have put the file in place yet.
           MetricsSnapshot snapshot = MetricsSnapshot.read(memory, "f");
           long[] last = states.get(states.size() - 1);
-          long[] before = states.get(states.size() - 2);
+          long[] secondLast = states.get(states.size() - 2);
           assertTrue(
-              Arrays.equals(snapshot.values, last) || Arrays.equals(snapshot.values, before),
-              "killed at write " + writes + ", torn at " + torn);
+              Arrays.equals(snapshot.values, last) || Arrays.equals(snapshot.values, secondLast),
+              "killed at write " + writes + ", torn at " + tornBytes);
           assertEquals(snapshot.accounts().check(snapshot.values), List.of());
           checked++;
         }
@@ -149,7 +152,7 @@
         kills++;
       }
     }
-    assertTrue(kills > 5000 && checked > 4000, kills + " kills, " + checked + " in turns");
+    assertTrue(kills > 5000 && checked > 4000, kills + " kills, " + checked + " of them checked");
   }
 
   private static Path folder() throws Exception {
@@ -157,7 +160,7 @@
   }
 
   private static MethodAccounts runRelay(
-      Path file, List<String> logged, boolean closes, int commits) {
+      Path file, List<String> logged, boolean shutsDown, int commits) {
     MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     MetricsFileWriter writer = MetricsFileWriter.open(file, accounts, () -> {}, logged::add);
     SplittableRandom random = new SplittableRandom(commits);
@@ -165,7 +168,7 @@
       postSome(accounts, random);
       accounts.commit();
     }
-    if (closes) {
+    if (shutsDown) {
       writer.close();
     }
     return accounts;
@@ -179,8 +182,8 @@
     long sent = first.sum(first.attempts, 0);
     long out = first.sum(first.attempts, first.attempts.pendingColumn());
     assertTrue(out > 0);
+    // The second relay is killed before any posting.
     MethodAccounts second = runRelay(file, logged, false, 0);
-    // killed again before anything happened
     assertEquals(second.sum(second.attempts, second.attempts.lostColumn()), out);
     MethodAccounts third = runRelay(file, logged, true, 20);
     assertTrue(third.sum(third.attempts, 0) > sent);
@@ -198,16 +201,18 @@
   public void carriesRowsByNameAcrossChangedSettings() throws Exception {
     Path file = folder().resolve("r.figures");
     runRelay(file, new ArrayList<>(), true, 30);
-    long[] before = MetricsSnapshot.read(file).values;
-    MethodAccounts now =
+    long[] oldValues = MetricsSnapshot.read(file).values;
+    MethodAccounts newAccounts =
         new MethodAccounts(List.of("pay", "extra", "read"), new MethodAccounts.Capacity(1, 1, 1));
     List<String> logged = new ArrayList<>();
-    MetricsFileWriter.open(file, now, () -> {}, logged::add);
+    MetricsFileWriter.open(file, newAccounts, () -> {}, logged::add);
     assertEquals(logged, List.of());
-    MethodAccounts old = new MethodAccounts(METHODS, CAPACITY);
-    assertEquals(now.value(now.attempts, 2, 0), before[old.attempts.index(0, 0)]);
-    assertEquals(now.value(now.attempts, 0, 1), before[old.attempts.index(1, 1)]);
-    assertEquals(now.check(), List.of());
+    MethodAccounts oldAccounts = new MethodAccounts(METHODS, CAPACITY);
+    assertEquals(
+        newAccounts.value(newAccounts.attempts, 2, 0), oldValues[oldAccounts.attempts.index(0, 0)]);
+    assertEquals(
+        newAccounts.value(newAccounts.attempts, 0, 1), oldValues[oldAccounts.attempts.index(1, 1)]);
+    assertEquals(newAccounts.check(), List.of());
     assertEquals(MetricsSnapshot.read(file).rowNames[0], "all");
   }
 
@@ -222,14 +227,14 @@
       bad.add(Arrays.copyOf(good, length));
     }
     bad.add("something else entirely, and long enough to be looked into".repeat(9).getBytes());
-    byte[] newer = good.clone();
-    newer[7]++;
-    bad.add(newer);
+    byte[] newerVersion = good.clone();
+    newerVersion[7]++;
+    bad.add(newerVersion);
     byte[] bothCopies = good.clone();
     MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
-    int copy = (accounts.size() + 2) * 8;
+    int copySizeBytes = (accounts.size() + 2) * 8;
     bothCopies[good.length - 24] ^= 1;
-    bothCopies[good.length - copy - 24] ^= 1;
+    bothCopies[good.length - copySizeBytes - 24] ^= 1;
     bad.add(bothCopies);
     for (byte[] damaged : bad) {
       Files.write(file, damaged);
@@ -274,7 +279,7 @@
     MethodAccounts accounts = runRelay(file, logged, true, 5);
     assertTrue(accounts.sum(accounts.attempts, 0) > 0);
     assertEquals(logged.size(), 1);
-    assertTrue(logged.get(0).contains("figures stay in memory"), logged.get(0));
+    assertTrue(logged.get(0).contains("metrics stay in memory"), logged.get(0));
     assertTrue(
         !MetricsFileWriter.open(file, new MethodAccounts(METHODS, CAPACITY), () -> {}, logged::add)
             .isPersistent());
@@ -283,13 +288,13 @@
     expectThrows(java.io.IOException.class, () -> MetricsSnapshot.read(file));
   }
 
-  /** A reader beside a writer that never rests: what it reads is always whole. */
+  /** A reader that runs concurrently with a busy writer sees only complete commits. */
   @Test
-  public void readerBesideWriterNeverSeesHalfACommit() throws Exception {
+  public void concurrentReaderNeverSeesPartOfACommit() throws Exception {
     Path file = folder().resolve("r.figures");
     MethodAccounts accounts = new MethodAccounts(METHODS, CAPACITY);
     MetricsFileWriter.open(file, accounts, () -> {}, line -> {});
-    boolean[] over = new boolean[1];
+    boolean[] writerEnded = new boolean[1];
     Thread writer =
         new Thread(
             () -> {
@@ -298,15 +303,15 @@
                 postSome(accounts, random);
                 accounts.commit();
               }
-              synchronized (over) {
-                over[0] = true;
+              synchronized (writerEnded) {
+                writerEnded[0] = true;
               }
             });
     writer.start();
     int reads = 0;
     for (boolean last = false; !last; reads++) {
-      synchronized (over) {
-        last = over[0];
+      synchronized (writerEnded) {
+        last = writerEnded[0];
       }
       MetricsSnapshot snapshot = MetricsSnapshot.read(file);
       assertEquals(snapshot.accounts().check(snapshot.values), List.of());
--- a/src/test/java/sprucerock/metrics/MetricsExporterTest.java
+++ b/src/test/java/sprucerock/metrics/MetricsExporterTest.java
@@ -21,7 +21,7 @@
 import sprucerock.accounting.MethodAccounts;
 import sprucerock.time.TimeSpan;
 
-/** What a monitor reads: sums hold within each scrape, whatever the relay does meanwhile. */
+/** Tests that the sums hold within each scrape, whatever the relay does meanwhile. */
 public class MetricsExporterTest {
   private static Map<String, Double> scrape(HttpClient http, int port, String accept)
       throws Exception {
@@ -47,7 +47,7 @@
     MethodAccounts accounts =
         new MethodAccounts(List.of("read", "pay"), MethodAccounts.Capacity.NONE);
     MetricsFileWriter writer = MetricsFileWriter.open(null, accounts, () -> {}, line -> {});
-    AtomicBoolean drift = new AtomicBoolean();
+    AtomicBoolean hasDrifted = new AtomicBoolean();
     AtomicBoolean stopped = new AtomicBoolean();
     Thread relay =
         new Thread(
@@ -70,13 +70,13 @@
     try (MetricsExporter exporter =
         new MetricsExporter(
             writer::snapshot,
-            drift::get,
+            hasDrifted::get,
             writer::isPersistent,
             Map::of,
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
       relay.start();
       HttpClient http = HttpClient.newHttpClient();
-      double last = 0;
+      double lastTaken = 0;
       for (int i = 0; i < 100; i++) {
         Map<String, Double> metrics =
             scrape(
@@ -98,12 +98,12 @@
           assertEquals(parts, total);
           taken += total;
         }
-        assertTrue(taken >= last);
-        last = taken;
+        assertTrue(taken >= lastTaken);
+        lastTaken = taken;
         assertEquals(metrics.get("sprucerock_figures_drift"), 0.0);
       }
-      assertTrue(last > 0);
-      drift.set(true);
+      assertTrue(lastTaken > 0);
+      hasDrifted.set(true);
       assertEquals(
           scrape(http, exporter.port(), "text/plain").get("sprucerock_figures_drift"), 1.0);
     } finally {
@@ -129,8 +129,8 @@
   }
 
   /**
-   * Sockets that send half a request, or nothing, take every thread there is; two seconds later
-   * they are cut off.
+   * Connections that send a partial request or nothing occupy all workers; the exporter closes them
+   * after two seconds.
    */
   @Test
   public void stalledScrapesAreCutOffAndNeverBlockTheRelay() throws Exception {
@@ -148,7 +148,7 @@
         }
       }
       for (int i = 0; i < 1000; i++) {
-        // the relay's own thread
+        // This thread stands for the relay's thread.
         accounts.rpcArrived(0, 0);
         accounts.commit();
       }
@@ -160,8 +160,8 @@
               scrape(http, exporter.port(), "text/plain")
                   .get("sprucerock_rpcs_taken_total{method=\"read\"}");
         } catch (IOException e) {
+          // The server rejects the scrape while all workers and the queue are occupied.
           Thread.sleep(50);
-          // rejected while all workers and the queue are taken
         }
       }
       assertEquals(taken, 1000.0);
