--- a/src/main/java/sprucerock/metrics/PrometheusCollector.java
+++ b/src/main/java/sprucerock/metrics/PrometheusCollector.java
@@ -170,6 +170,10 @@
     metrics.metricSnapshot(histogram.build());
   }
 
+  /**
+   * Returns whether a bucket is the last of an exported octave. The first 32 buckets are 16 us
+   * wide, so that buckets 7, 15 and 31 end at 128, 256 and 512 us.
+   */
   private static boolean endsOctave(int bucket) {
     boolean fullOctave =
         bucket >= 2 * BUCKETS_PER_OCTAVE - 1
