--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -13,45 +13,45 @@
 
 /** One deployment of a version to the relays, with each of its transitions and their causes. */
 public final class Deployment {
-  /** Where a deployment stands. The names are stored and sent, so they stay. */
+  /** The state of a deployment. The names are stored and sent, so they must not change. */
   public enum State {
-    /** Every agent fetches the version and validates it. */
+    /** Every agent downloads the version and validates it. */
     PROPOSED,
-    /** Validated; it waits to begin, as one deployment is active at a time. */
+    /** Validated. Waits to begin, because only one deployment is active at a time. */
     CHECKED,
-    /** Rolling out: relays of its stage are being updated. */
+    /** Rolling out: relays of the current stage are being updated. */
     MOVING,
-    /** Observing: all relays of its stage run the version and are compared with the controls. */
+    /** Observed: all relays of the stage run the version and are compared with the controls. */
     WATCHED,
-    /** Rolling back: updated relays return to the old version. */
+    /** Rolling back: the updated relays return to the old version. */
     GOING_BACK,
-    /** The version is the fleet's. */
+    /** Complete: the new version is the fleet's version. */
     DONE,
-    /** Aborted: the old version is the fleet's. */
+    /** Aborted: the old version stays the fleet's version. */
     GIVEN_UP;
 
-    /** It has not ended. */
+    /** Returns whether the deployment has not ended. */
     public boolean isOpen() {
       return this != DONE && this != GIVEN_UP;
     }
 
-    /** Relays run the new version. */
+    /** Returns whether relays may run the new version. */
     public boolean isActive() {
       return this == MOVING || this == WATCHED || this == GOING_BACK;
     }
   }
 
   /**
-   * A transition, or a command that changed nothing but whether the deployment is held.
+   * A transition, or a command that only held or resumed the deployment.
    *
-   * @param sequence among the transitions of all deployments, from 1
-   * @param wallMs the wall clock then, for people
+   * @param sequence the sequence number among the transitions of all deployments, from 1
+   * @param wallMs the wall-clock time in milliseconds, shown to operators
    */
   public record Transition(
       long sequence, Timestamp timestamp, long wallMs, State state, int stage, String cause) {}
 
-  static final int MAX_TRANSITIONS =
-      100; // a deployment has a dozen; an operator's script should not fill the disk
+  /** A deployment has about a dozen; the bound keeps an operator's script from filling the disk. */
+  static final int MAX_TRANSITIONS = 100;
 
   public final long number;
   public final String proposedBy;
@@ -59,83 +59,91 @@
   public final Version fromVersion;
   public final Version toVersion;
 
-  /** Running relays take the version over: neither they nor their controls are restarted. */
+  /** Running relays load the version; neither they nor their controls are restarted. */
   public final boolean hotReload;
 
   State state = State.PROPOSED;
   int stage;
   Timestamp stateSince;
 
-  /** When a stage or a relay advanced last: from then on the progress deadline counts. */
+  /** When a stage or a relay last advanced. The progress deadline counts from this time. */
   Timestamp lastProgress;
 
   boolean held;
 
-  /** Relays whose agents can run the version. */
+  /** Relays whose agents have accepted the version. */
   final TreeSet<Integer> validated = new TreeSet<>();
 
-  /** Relays whose agents can't run it, with the reason. */
+  /** Relays whose agents have rejected the version, with the reason. */
   final Map<Integer, String> rejections = new TreeMap<>();
 
-  /** Relays that are to run the version, in the order in which they were told. */
+  /** Relays whose desired version is the new one, in the order in which they were updated. */
   final Set<Integer> updated = new LinkedHashSet<>();
 
-  /** The control of each updated relay: one that was restarted with it on the old version. */
+  /** The control of each updated relay: a relay restarted with it on the old version. */
   final Map<Integer, Integer> controls = new LinkedHashMap<>();
 
-  /** The comparison's last verdict in this stage. */
+  /** The last verdict of the comparison in the current stage. */
   Verdict verdict = Verdict.NOT_SURE;
 
   private final List<Transition> transitions = new ArrayList<>();
 
   Deployment(
-      long number, String who, String why, Version from, Version to, boolean live, Timestamp now) {
+      long number,
+      String proposedBy,
+      String reason,
+      Version fromVersion,
+      Version toVersion,
+      boolean hotReload,
+      Timestamp now) {
     this.number = number;
-    this.proposedBy = who;
-    this.reason = why;
-    this.fromVersion = from;
-    this.toVersion = to;
-    this.hotReload = live;
+    this.proposedBy = proposedBy;
+    this.reason = reason;
+    this.fromVersion = fromVersion;
+    this.toVersion = toVersion;
+    this.hotReload = hotReload;
     stateSince = now;
     lastProgress = now;
   }
 
-  /** Where it stands. */
   public State state() {
     return state;
   }
 
-  /** The index of its stage in the plan. */
+  /** Returns the index of the current stage in the plan. */
   public int stage() {
     return stage;
   }
 
-  /** Since when it has been in its state and stage; operators' resuming counts as a beginning. */
+  /** Returns when the current state and stage began. Resuming a held deployment restarts it. */
   public Timestamp stateSince() {
     return stateSince;
   }
 
-  /** An operator holds it. */
+  /** Returns whether an operator holds the deployment. */
   public boolean held() {
     return held;
   }
 
-  /** Relays that are to run the version, in the order in which they were told. */
+  /** Returns the relays that are to run the version, in the order in which they were updated. */
   public Set<Integer> updated() {
     return Collections.unmodifiableSet(updated);
   }
 
-  /** The control of each relay that was updated in a stage which leaves some for that. */
+  /** Returns the control of each updated relay, by relay; some relays have none. */
   public Map<Integer, Integer> controls() {
     return Collections.unmodifiableMap(controls);
   }
 
-  /** Relays whose agents can't run the version, with the reason. */
+  /** Returns the relays whose agents have rejected the version, with the reason. */
   public Map<Integer, String> rejections() {
     return Collections.unmodifiableMap(rejections);
   }
 
-  /** Its transitions, the oldest first; of very many, the first and the last ones. */
+  /**
+   * Returns the transitions, the oldest first. Beyond {@link #MAX_TRANSITIONS}, only the first and
+   * the last ones are kept.
+   */
   public List<Transition> transitions() {
     return Collections.unmodifiableList(transitions);
   }
--- a/src/main/java/sprucerock/controller/deployment/DeploymentBlockers.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentBlockers.java
@@ -6,7 +6,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Says for people what a deployment waits for. */
+/** Describes for operators what a deployment waits for. */
 final class DeploymentBlockers {
   private final FleetState fleet;
   private final RestartBudget budget;
@@ -18,47 +18,48 @@
     this.selector = selector;
   }
 
-  /** What a deployment waits for, a line each; empty for one that has ended. */
+  /** Lists what a deployment waits for, one line each; empty if the deployment has ended. */
   List<String> of(Deployment deployment, Timestamp now) {
-    List<String> found = new ArrayList<>();
+    List<String> blockers = new ArrayList<>();
     if (!deployment.state.isOpen()) {
-      return found;
+      return blockers;
     }
     if (deployment.held) {
-      TimeSpan left = fleet.plan.progressDeadline().minus(now.since(deployment.lastProgress));
-      found.add("an operator holds it, for " + seconds(left) + " at most");
+      TimeSpan remaining = fleet.plan.progressDeadline().minus(now.since(deployment.lastProgress));
+      blockers.add("an operator holds it, for " + seconds(remaining) + " at most");
     }
-    boolean updates = deployment.state == State.MOVING || deployment.state == State.CHECKED;
-    if (updates && fleet.rolloutInProgress) {
-      found.add("a build of the units to be off trial");
+    boolean restartsRelays = deployment.state == State.MOVING || deployment.state == State.CHECKED;
+    if (restartsRelays && fleet.rolloutInProgress) {
+      blockers.add("a build of the units to be off trial");
     }
-    if (updates && !fleet.blockedReason.isEmpty()) {
-      found.add(fleet.blockedReason);
+    if (restartsRelays && !fleet.blockedReason.isEmpty()) {
+      blockers.add(fleet.blockedReason);
     }
     switch (deployment.state) {
-      case PROPOSED -> found.add(validation(deployment));
+      case PROPOSED -> blockers.add(validationProgress(deployment));
       case CHECKED -> {
         if (fleet.active() != null) {
-          found.add("change " + fleet.active().number + " to end");
+          blockers.add("change " + fleet.active().number + " to end");
         }
       }
-      case MOVING -> found.add(updates(deployment));
+      case MOVING -> blockers.add(updateProgress(deployment));
       case WATCHED -> {
-        found.add(
-            "its time: "
+        blockers.add(
+            "its observation time: "
                 + seconds(now.since(deployment.stateSince))
                 + " of "
                 + seconds(fleet.plan.observationTime()));
         if (fleet.compared(deployment) && deployment.verdict != Verdict.NO_WORSE) {
-          found.add("the comparison, which is not sure");
+          blockers.add("the comparison to show that it is no worse");
         }
       }
-      default -> found.add("relays to be back: " + fleet.unreconciled(deployment));
+      default ->
+          blockers.add("relays to run the old version again: " + fleet.unreconciled(deployment));
     }
-    return found;
+    return blockers;
   }
 
-  private String validation(Deployment deployment) {
+  private String validationProgress(Deployment deployment) {
     return "agents to read it through: "
         + (deployment.validated.size() + deployment.rejections.size())
         + " of "
@@ -66,20 +67,20 @@
         + " have";
   }
 
-  private String updates(Deployment deployment) {
+  private String updateProgress(Deployment deployment) {
     return "relays of stage "
         + deployment.stage
         + ": "
         + deployment.updated.size()
         + " of "
         + selector.targetSize(deployment)
-        + " were told, "
+        + " were notified, "
         + fleet.unreconciled(deployment).size()
-        + " of them are not ready; room in zones "
+        + " of them are not ready; restart budget left by zone: "
         + budget.remainingText();
   }
 
-  /** A time in whole seconds, as it stands in causes and blockers. */
+  /** Formats a time span in whole seconds, for causes and blockers. */
   static String seconds(TimeSpan span) {
     return Math.round(span.ms() / 1000) + " s";
   }
--- a/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
@@ -10,31 +10,33 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Deployments of a fleet of relays: proposed, validated by every agent, rolled out stage by stage
- * beside a control group restarted on the old version, observed, and rolled back when the new
- * version does worse, fails to start or ends by itself. It does no I/O and reads no clock: the same
- * calls with the same times give the same state, which is how it comes back after a crash. What it
- * wants of a relay is a desired state (a version, and a generation that counts up), never an order
- * that could be lost or come twice.
+ * Manages the deployments of a fleet of relays. A deployment is proposed, validated by every agent,
+ * rolled out stage by stage and observed next to a control group that is restarted on the old
+ * version. It is rolled back when the new version does worse, fails to start or ends by itself.
+ *
+ * <p>The manager does no I/O and reads no clock: the same calls with the same times give the same
+ * state, so replaying the log restores the state after a crash. Agents receive a desired state (a
+ * version, and a generation that counts up) instead of orders, because an order could be lost or
+ * arrive twice.
  */
 public final class DeploymentManager {
-  /** What an operator may command about a deployment; the names are stored. */
+  /** The commands that an operator may give about a deployment. The names are stored. */
   public enum OperatorCommand {
     HOLD,
     RESUME,
     WITHDRAW
   }
 
-  /** Acts on transitions: tells agents and people. Called on the manager's thread. */
+  /** Notifies agents and operators of transitions. Called on the manager's thread. */
   public interface Listener {
-    /** A transition was recorded; told in the order of their sequence. */
+    /** Receives each recorded transition, in the order of the sequence numbers. */
     void transitioned(Deployment deployment, Transition transition);
 
-    /** The desired version or the generation of a relay has changed. */
+    /** Receives each relay whose desired version or generation has changed. */
     void desiredStateChanged(ManagedRelay relay);
   }
 
-  /** Relays that are known at most; reports of further ones are dropped. */
+  /** The maximum number of relays; reports of further relays are dropped. */
   public static final int MAX_RELAYS = 10_000;
 
   final FleetState fleet;
@@ -44,7 +46,7 @@
   private final OperatorCommands commands;
   private final DeploymentBlockers blockers;
 
-  /** A manager that knows no relay yet; {@code listener} is told on the caller's thread. */
+  /** Creates a manager without relays. {@code listener} is called on the caller's thread. */
   public DeploymentManager(DeploymentPlan plan, Listener listener) {
     fleet = new FleetState(plan);
     RestartBudget budget = new RestartBudget(fleet);
@@ -58,86 +60,92 @@
 
   // Queries.
 
-  /** The plan that deployments follow. */
+  /** Returns the plan that all deployments follow. */
   public DeploymentPlan plan() {
     return fleet.plan;
   }
 
-  /** All deployments that are kept, the oldest first. */
+  /** Returns all retained deployments, the oldest first. */
   public Collection<Deployment> deployments() {
     return Collections.unmodifiableCollection(fleet.deployments.values());
   }
 
-  /** The deployment of a number; null where none is kept. */
+  /** Returns the deployment with a number, or null if it is not retained. */
   public Deployment deployment(long number) {
     return fleet.deployments.get(number);
   }
 
-  /** The relay of a number; null where none is known. */
+  /** Returns the relay with a number, or null if no agent has reported it. */
   public ManagedRelay relay(int number) {
     return fleet.relays.get(number);
   }
 
-  /** All relays, by number. */
+  /** Returns all relays, ordered by number. */
   public Collection<ManagedRelay> relays() {
     return Collections.unmodifiableCollection(fleet.relays.values());
   }
 
-  /** The version of relays that no deployment moves; NONE before the first deployment. */
+  /**
+   * Returns the version of the relays that no deployment updates; {@link Version#NONE} before the
+   * first deployment.
+   */
   public Version currentVersion() {
     return fleet.currentVersion;
   }
 
-  /** The same; before the first deployment the version that most relays run. */
+  /**
+   * Returns the version that a new deployment starts from: the current version, or before the first
+   * deployment the version that most serving relays run.
+   */
   public Version baselineVersion() {
     return fleet.currentVersion.equals(Version.NONE)
         ? fleet.mostCommonVersion()
         : fleet.currentVersion;
   }
 
-  /** The deployment that relays are moved by now; null where there is none. */
+  /** Returns the deployment that is rolling out, observed or rolling back, or null. */
   public Deployment active() {
     return fleet.active();
   }
 
-  /** The deployment under validation, or that waits to begin; null where there is none. */
+  /** Returns the deployment that is under validation or waits to begin, or null. */
   public Deployment pending() {
     return fleet.pending();
   }
 
-  /** Of the last transition of any deployment; 0 before the first. */
+  /** Returns the sequence number of the last transition of any deployment; 0 before the first. */
   public long sequence() {
     return fleet.sequence;
   }
 
-  /** Relays looked at so far to find transitions: what the scale tests bound. */
+  /** Counts the relays examined so far to find transitions, for the scale tests. */
   public long entriesExamined() {
     return fleet.entriesExamined;
   }
 
-  /** Whether a build of the endpoints is on trial or going back. */
+  /** Returns whether a build of the endpoints is on trial or being rolled back. */
   public boolean rolloutInProgress() {
     return fleet.rolloutInProgress;
   }
 
-  /** A build of the endpoints is on trial or going back, or none is any more. */
-  public void setRolloutInProgress(boolean is, Timestamp now, long wallMs) {
+  /** Sets whether a build of the endpoints is on trial or being rolled back. */
+  public void setRolloutInProgress(boolean inProgress, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
-    fleet.rolloutInProgress = is;
+    fleet.rolloutInProgress = inProgress;
     reconciler.reconcile(now);
   }
 
-  /** What a deployment waits for, a line each; empty for one that has ended. */
+  /** Lists what a deployment waits for, one line each; empty if the deployment has ended. */
   public List<String> blockers(Deployment deployment, Timestamp now) {
     return blockers.of(deployment, now);
   }
 
-  /** Whether a tick now would change anything: only then is it worth recording. */
+  /** Returns whether a tick would cause a transition now; other ticks need no log entry. */
   public boolean transitionDue(Timestamp now) {
     return planner.next(now) != null;
   }
 
-  /** All relays and deployments of an earlier incarnation are there. */
+  /** Rebuilds the derived sums once all relays and deployments are restored from a snapshot. */
   void restored() {
     for (ManagedRelay relay : fleet.relays.values()) {
       fleet.status.add(relay);
@@ -145,15 +153,16 @@
     validation.rebuild();
   }
 
-  // Inputs. Each with the controller's time, and the wall clock in milliseconds for people.
+  // Inputs. Each takes the controller's time, and the wall-clock time in milliseconds that is shown
+  // to operators.
 
   /**
-   * An agent reports the observed state of its relay; it does so on change only.
+   * Records the observed state of a relay. Agents report only changes.
    *
-   * @param number of the relay; reports of more than {@link #MAX_RELAYS} relays are dropped
-   * @param busy it carries more than the median of the fleet
-   * @param observed the version that it runs
-   * @param observedGeneration the last generation that its agent has carried out
+   * @param number the relay's number; reports of more than {@link #MAX_RELAYS} relays are dropped
+   * @param busy whether the relay carries more load than the median of the fleet
+   * @param observed the version that the relay runs
+   * @param observedGeneration the last generation that the relay's agent has applied
    */
   public void reportStatus(
       int number,
@@ -189,7 +198,7 @@
     reconciler.reconcile(now);
   }
 
-  /** An agent is not heard any more; its relay counts as out until the next report. */
+  /** Marks a relay unreachable. It counts as unavailable until its agent's next report. */
   public void reportUnreachable(int number, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     ManagedRelay relay = fleet.relays.get(number);
@@ -204,76 +213,79 @@
   }
 
   /**
-   * A relay ended by itself, did not get ready or went over a limit. Agents tell a controller that
-   * starts what they told the last one: a failure from before this deployment is none of its own,
-   * though it may be of the same version, proposed again.
+   * Rolls the active deployment back because a relay ended by itself, did not become ready or
+   * exceeded a limit. Agents repeat their last failure to a controller that has just started, so a
+   * failure from before this deployment does not count against it, even if the same version was
+   * proposed again.
    *
-   * @param version that failed
-   * @param generation the last that its agent had been told by then; 0 where it does not know
-   * @param how in one line, for people
+   * @param version the version that failed
+   * @param generation the last generation that the agent had received when the relay failed; 0 if
+   *     the agent does not know it
+   * @param description a one-line description for operators
    */
   public void reportFailure(
-      int number, Version version, int generation, String how, Timestamp now, long wallMs) {
+      int number, Version version, int generation, String description, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     Deployment active = fleet.active();
-    boolean ours =
+    boolean causedByActive =
         active != null
             && active.state != State.GOING_BACK
             && version.equals(active.toVersion)
             && active.updated.contains(number)
             && (generation == 0 || generation >= fleet.relays.get(number).generation);
-    if (ours) {
-      reconciler.rollBack(active, "relay " + number + " " + how, now);
+    if (causedByActive) {
+      reconciler.rollBack(active, "relay " + number + " " + description, now);
     }
     reconciler.reconcile(now);
   }
 
   /**
-   * Proposes a version for the whole fleet. A proposal that waits already is given up for it.
+   * Proposes a version for the whole fleet. The new proposal replaces one that has not begun yet.
    *
-   * @param who proposes it, {@code why} in one line
-   * @param hotReload running relays take the version over without a restart
-   * @return why it is not taken, or null
+   * @param operator the operator who proposes the version
+   * @param reason the operator's reason in one line
+   * @param hotReload whether running relays load the version without a restart
+   * @return why the proposal is rejected, or null if it is accepted
    */
   public String propose(
-      String who, String why, Version to, boolean hotReload, Timestamp now, long wallMs) {
+      String operator, String reason, Version to, boolean hotReload, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
-    return commands.propose(who, why, to, hotReload, baselineVersion(), now);
+    return commands.propose(operator, reason, to, hotReload, baselineVersion(), now);
   }
 
   /**
-   * An agent has validated a proposed version.
+   * Records an agent's validation of a proposed version.
    *
-   * @param refusal why it can't be run there; empty where it can
+   * @param rejection why the agent's relay can't run the version; empty if it can
    */
   public void reportValidation(
-      int number, long deployment, String refusal, Timestamp now, long wallMs) {
+      int number, long deployment, String rejection, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     Deployment proposed = fleet.deployments.get(deployment);
     if (proposed == null || proposed.state != State.PROPOSED || !fleet.relays.containsKey(number)) {
       return;
     }
-    if (refusal.isEmpty()) {
+    if (rejection.isEmpty()) {
       proposed.validated.add(number);
       proposed.rejections.remove(number);
     } else {
-      proposed.rejections.put(number, refusal);
+      proposed.rejections.put(number, rejection);
       proposed.validated.remove(number);
     }
     validation.update(fleet.relays.get(number));
     reconciler.reconcile(now);
   }
 
-  /** The comparison of a deployment in a stage has another verdict; a worse one rolls it back. */
+  /** Records a new verdict on a deployment's stage. The verdict WORSE rolls the deployment back. */
   public void reportVerdict(
       long deployment, int stage, Verdict verdict, String reason, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     Deployment active = fleet.deployments.get(deployment);
-    boolean fits =
+    boolean concernsCurrentStage =
         active != null
             && active.stage == stage
             && (active.state == State.MOVING || active.state == State.WATCHED);
-    if (!fits) {
+    if (!concernsCurrentStage) {
       return;
     }
     active.verdict = verdict;
@@ -284,47 +296,53 @@
   }
 
   /**
-   * The fleet's load allows another restart budget.
+   * Sets the restart budget that the fleet's load allows.
    *
-   * @param byZone how many relays of a zone may be out at once
-   * @param why none should be; empty where nothing speaks against it
+   * @param byZone how many relays may be unavailable at once, by zone
+   * @param blockedReason why no relay may be restarted now; empty if restarts are allowed
    */
   public void setRestartBudget(
-      Map<Integer, Integer> byZone, String why, Timestamp now, long wallMs) {
+      Map<Integer, Integer> byZone, String blockedReason, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     fleet.restartBudgetByZone.clear();
     fleet.restartBudgetByZone.putAll(byZone);
-    fleet.blockedReason = why;
+    fleet.blockedReason = blockedReason;
     reconciler.reconcile(now);
   }
 
   /**
-   * Carries out an operator's command, which is stronger than verdicts but for a worse one.
+   * Applies an operator's command. It overrides all verdicts except WORSE.
    *
-   * @return why it has no effect, or null
+   * @param number the deployment's number
+   * @return why the command has no effect, or null if it has one
    */
   public String command(
-      OperatorCommand command, long number, String who, String reason, Timestamp now, long wallMs) {
+      OperatorCommand command,
+      long number,
+      String operator,
+      String reason,
+      Timestamp now,
+      long wallMs) {
     reconciler.setWallMs(wallMs);
-    return commands.carryOut(command, number, who + ": " + reason, now);
+    return commands.execute(command, number, operator + ": " + reason, now);
   }
 
-  /** Time has passed. */
+  /** Applies all transitions that are due by time. */
   public void tick(Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     reconciler.reconcile(now);
   }
 
-  /** The controller was down for so long: that time counts for no deadline. */
-  public void controllerRestarted(TimeSpan down, Timestamp now, long wallMs) {
+  /** Extends all deadlines by the time for which the controller was down. */
+  public void controllerRestarted(TimeSpan downtime, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     for (Deployment deployment : fleet.deployments.values()) {
-      deployment.stateSince = deployment.stateSince.plus(down);
-      deployment.lastProgress = deployment.lastProgress.plus(down);
+      deployment.stateSince = deployment.stateSince.plus(downtime);
+      deployment.lastProgress = deployment.lastProgress.plus(downtime);
     }
     for (ManagedRelay relay : fleet.relays.values()) {
       if (relay.notifiedAt != null) {
-        relay.notifiedAt = relay.notifiedAt.plus(down);
+        relay.notifiedAt = relay.notifiedAt.plus(downtime);
       }
     }
     reconciler.reconcile(now);
--- a/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentSnapshot.java
@@ -5,10 +5,7 @@
 import java.util.Map;
 import sprucerock.time.Timestamp;
 
-/**
- * The state of a {@link DeploymentManager} as plain values, to be stored and restored: what is not
- * in it is not needed to go on.
- */
+/** The complete state of a {@link DeploymentManager} as plain values, to be stored and restored. */
 public record DeploymentSnapshot(
     Version currentVersion,
     long sequence,
@@ -20,10 +17,12 @@
     List<RelayRecord> relays,
     List<DeploymentRecord> deployments) {
   /**
-   * One relay.
+   * The state of a {@link ManagedRelay}.
    *
-   * @param silentSince null while it is heard; {@code toldAt}, {@code readyAt}, {@code wanted}:
-   *     null where there is none
+   * @param unreachableSince null while the relay is reachable
+   * @param desiredVersion null before the first desired state
+   * @param notifiedAt null before the first desired state
+   * @param readyAt null until the relay is reconciled
    */
   public record RelayRecord(
       int number,
@@ -38,7 +37,7 @@
       Timestamp notifiedAt,
       Timestamp readyAt) {}
 
-  /** One deployment. */
+  /** The state of a {@link Deployment}. */
   public record DeploymentRecord(
       long number,
       String proposedBy,
@@ -58,7 +57,7 @@
       Verdict verdict,
       List<Deployment.Transition> transitions) {}
 
-  /** The state of a manager now. */
+  /** Captures the current state of a manager. */
   public static DeploymentSnapshot of(DeploymentManager manager) {
     return new DeploymentSnapshot(
         manager.fleet.currentVersion,
@@ -70,45 +69,45 @@
         List.copyOf(manager.fleet.pendingControlRestarts),
         manager.fleet.relays.values().stream()
             .map(
-                one ->
+                relay ->
                     new RelayRecord(
-                        one.number,
-                        one.zone,
-                        one.busy,
-                        one.observedVersion,
-                        one.ready,
-                        one.unreachableSince,
-                        one.desiredVersion,
-                        one.generation,
-                        one.observedGeneration,
-                        one.notifiedAt,
-                        one.readyAt))
+                        relay.number,
+                        relay.zone,
+                        relay.busy,
+                        relay.observedVersion,
+                        relay.ready,
+                        relay.unreachableSince,
+                        relay.desiredVersion,
+                        relay.generation,
+                        relay.observedGeneration,
+                        relay.notifiedAt,
+                        relay.readyAt))
             .toList(),
         manager.fleet.deployments.values().stream()
             .map(
-                one ->
+                deployment ->
                     new DeploymentRecord(
-                        one.number,
-                        one.proposedBy,
-                        one.reason,
-                        one.fromVersion,
-                        one.toVersion,
-                        one.hotReload,
-                        one.state,
-                        one.stage,
-                        one.stateSince,
-                        one.lastProgress,
-                        one.held,
-                        one.validated,
-                        one.rejections,
-                        one.updated,
-                        one.controls,
-                        one.verdict,
-                        one.transitions()))
+                        deployment.number,
+                        deployment.proposedBy,
+                        deployment.reason,
+                        deployment.fromVersion,
+                        deployment.toVersion,
+                        deployment.hotReload,
+                        deployment.state,
+                        deployment.stage,
+                        deployment.stateSince,
+                        deployment.lastProgress,
+                        deployment.held,
+                        deployment.validated,
+                        deployment.rejections,
+                        deployment.updated,
+                        deployment.controls,
+                        deployment.verdict,
+                        deployment.transitions()))
             .toList());
   }
 
-  /** Restores it into a manager that has seen nothing yet. */
+  /** Restores the state into a manager that has received no input yet. */
   public void restore(DeploymentManager manager) {
     manager.fleet.currentVersion = currentVersion;
     manager.fleet.sequence = sequence;
@@ -117,41 +116,41 @@
     manager.fleet.rolloutInProgress = rolloutInProgress;
     manager.fleet.restartBudgetByZone.putAll(restartBudgetByZone);
     manager.fleet.pendingControlRestarts.addAll(pendingControlRestarts);
-    for (RelayRecord one : relays) {
-      ManagedRelay relay = new ManagedRelay(one.number);
-      relay.zone = one.zone;
-      relay.busy = one.busy;
-      relay.observedVersion = one.observedVersion;
-      relay.ready = one.ready;
-      relay.unreachableSince = one.unreachableSince;
-      relay.desiredVersion = one.desiredVersion;
-      relay.generation = one.generation;
-      relay.observedGeneration = one.observedGeneration;
-      relay.notifiedAt = one.notifiedAt;
-      relay.readyAt = one.readyAt;
-      manager.fleet.relays.put(one.number, relay);
+    for (RelayRecord stored : relays) {
+      ManagedRelay relay = new ManagedRelay(stored.number);
+      relay.zone = stored.zone;
+      relay.busy = stored.busy;
+      relay.observedVersion = stored.observedVersion;
+      relay.ready = stored.ready;
+      relay.unreachableSince = stored.unreachableSince;
+      relay.desiredVersion = stored.desiredVersion;
+      relay.generation = stored.generation;
+      relay.observedGeneration = stored.observedGeneration;
+      relay.notifiedAt = stored.notifiedAt;
+      relay.readyAt = stored.readyAt;
+      manager.fleet.relays.put(stored.number, relay);
     }
-    for (DeploymentRecord one : deployments) {
+    for (DeploymentRecord stored : deployments) {
       Deployment deployment =
           new Deployment(
-              one.number,
-              one.proposedBy,
-              one.reason,
-              one.fromVersion,
-              one.toVersion,
-              one.hotReload,
-              one.stateSince);
-      deployment.state = one.state;
-      deployment.stage = one.stage;
-      deployment.lastProgress = one.lastProgress;
-      deployment.held = one.held;
-      deployment.validated.addAll(one.validated);
-      deployment.rejections.putAll(one.rejections);
-      deployment.updated.addAll(one.updated);
-      deployment.controls.putAll(one.controls);
-      deployment.verdict = one.verdict;
-      one.transitions.forEach(deployment::add);
-      manager.fleet.deployments.put(one.number, deployment);
+              stored.number,
+              stored.proposedBy,
+              stored.reason,
+              stored.fromVersion,
+              stored.toVersion,
+              stored.hotReload,
+              stored.stateSince);
+      deployment.state = stored.state;
+      deployment.stage = stored.stage;
+      deployment.lastProgress = stored.lastProgress;
+      deployment.held = stored.held;
+      deployment.validated.addAll(stored.validated);
+      deployment.rejections.putAll(stored.rejections);
+      deployment.updated.addAll(stored.updated);
+      deployment.controls.putAll(stored.controls);
+      deployment.verdict = stored.verdict;
+      stored.transitions.forEach(deployment::add);
+      manager.fleet.deployments.put(stored.number, deployment);
     }
     manager.restored();
   }
--- a/src/main/java/sprucerock/controller/deployment/FleetState.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetState.java
@@ -10,79 +10,82 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The state that {@link DeploymentManager} owns: the relays, the deployments, and what holds for
- * the fleet as a whole. The parts of the manager read it; only the manager changes it.
+ * The state that {@link DeploymentManager} owns: the relays, the deployments, and the state of the
+ * fleet as a whole. The parts of the manager read it; only the manager changes it.
  */
 final class FleetState {
   final DeploymentPlan plan;
   final TreeMap<Integer, ManagedRelay> relays = new TreeMap<>();
   final TreeMap<Long, Deployment> deployments = new TreeMap<>();
 
-  /** Relays of the control group that wait for restart budget to restart on the old version. */
+  /** Control relays that wait for restart budget before they restart on the old version. */
   final List<Integer> pendingControlRestarts = new ArrayList<>();
 
   /**
-   * How many relays of a zone may be out, as the fleet's load allows; a zone that is not in it is
-   * bounded by the plan alone.
+   * How many relays of a zone may be unavailable, by what the fleet's load allows. The plan alone
+   * limits zones without an entry.
    */
   final TreeMap<Integer, Integer> restartBudgetByZone = new TreeMap<>();
 
-  /** Sums over the relays; a relay is taken out of them before it changes, and put back after. */
+  /** Sums over the relays. A relay is removed before it changes and added again afterwards. */
   final FleetStatus status = new FleetStatus();
 
   Version currentVersion = Version.NONE;
 
-  /** Of the last transition of any deployment; 0 before the first. */
+  /** The sequence number of the last transition of any deployment; 0 before the first. */
   long sequence;
 
-  /** Of the last deployment; 0 before the first. */
+  /** 0 before the first deployment. */
   long lastDeploymentNumber;
 
-  /** Why no relay is updated now, whatever the budget; empty where nothing is in the way. */
+  /** Why no relay may be updated now, whatever the budget; empty if updates are allowed. */
   String blockedReason = "";
 
-  /** A build of the endpoints is on trial or going back: relays that judge it don't restart. */
+  /**
+   * A build of the endpoints is on trial or being rolled back. Relays don't restart meanwhile,
+   * because they judge the build.
+   */
   boolean rolloutInProgress;
 
-  /** Relays looked at so far to find transitions: what the scale tests bound. */
+  /** Relays examined so far to find transitions; bounded by the scale tests. */
   long entriesExamined;
 
   FleetState(DeploymentPlan plan) {
     this.plan = plan;
   }
 
-  /** The deployment that relays are moved by now; null where there is none. */
+  /** Returns the deployment that is rolling out, observed or rolling back, or null. */
   Deployment active() {
-    for (Deployment one : deployments.values()) {
-      if (one.state.isActive()) {
-        return one;
+    for (Deployment deployment : deployments.values()) {
+      if (deployment.state.isActive()) {
+        return deployment;
       }
     }
     return null;
   }
 
-  /** The deployment under validation, or that waits to begin; null where there is none. */
+  /** Returns the deployment that is under validation or waits to begin, or null. */
   Deployment pending() {
-    for (Deployment one : deployments.values()) {
-      if (one.state == State.PROPOSED || one.state == State.CHECKED) {
-        return one;
+    for (Deployment deployment : deployments.values()) {
+      if (deployment.state == State.PROPOSED || deployment.state == State.CHECKED) {
+        return deployment;
       }
     }
     return null;
   }
 
-  /** All relays, each counted as examined. */
+  /** Returns all relays and counts each as examined. */
   Collection<ManagedRelay> examineAll() {
     entriesExamined += relays.size();
     return relays.values();
   }
 
-  /** Neither restarts nor updates may begin now, whatever the budget. */
+  /** Returns whether no restart or update may begin now, whatever the budget. */
   boolean blocked() {
     return rolloutInProgress || !blockedReason.isEmpty();
   }
 
-  /** A relay is to run a version, from the generation after the last one. */
+  /** Sets a relay's desired version under a new generation; the first one has generation 0. */
   void setDesired(ManagedRelay relay, Version version, Timestamp now) {
     boolean first = relay.desiredVersion == null;
     status.remove(relay);
@@ -95,35 +98,35 @@
     status.add(relay);
   }
 
-  /** The updated relays of a deployment whose observed state is not the desired one. */
+  /** Returns the updated relays of a deployment whose observed state is not the desired state. */
   List<Integer> unreconciled(Deployment deployment) {
-    List<Integer> found = new ArrayList<>();
+    List<Integer> unreconciled = new ArrayList<>();
     for (int number : deployment.updated) {
       if (!relays.get(number).reconciled()) {
-        found.add(number);
+        unreconciled.add(number);
       }
     }
-    return found;
+    return unreconciled;
   }
 
-  /** Whether the comparison has a control group to compare the updated relays with. */
+  /** Returns whether the updated relays have a control group to be compared with. */
   boolean compared(Deployment deployment) {
     return deployment.stage < plan.stages().size() - 1 && !deployment.controls.isEmpty();
   }
 
-  /** The version that most serving relays run; {@link Version#NONE} where none is known. */
+  /** Returns the version that most serving relays run; {@link Version#NONE} if none is known. */
   Version mostCommonVersion() {
     Map<Version, Integer> counts = new HashMap<>();
-    Version found = Version.NONE;
+    Version mostCommon = Version.NONE;
     for (ManagedRelay relay : relays.values()) {
       if (!relay.serving() || relay.observedVersion.equals(Version.NONE)) {
         continue;
       }
       int count = counts.merge(relay.observedVersion, 1, Integer::sum);
-      if (count > counts.getOrDefault(found, 0)) {
-        found = relay.observedVersion;
+      if (count > counts.getOrDefault(mostCommon, 0)) {
+        mostCommon = relay.observedVersion;
       }
     }
-    return found;
+    return mostCommon;
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/FleetStatus.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetStatus.java
@@ -4,9 +4,9 @@
 import java.util.TreeSet;
 
 /**
- * Sums over all relays, kept as they change: how many are reachable, how many of each zone there
- * are and are out, and which ones were reconciled without that being noted yet. A relay is removed
- * before anything of it changes, and added again after.
+ * Sums over all relays, updated as relays change: how many are reachable, the size of each zone and
+ * how many of its relays are unavailable, and which relays were reconciled without a recorded time.
+ * A relay must be removed before any of its fields change, and added again afterwards.
  */
 final class FleetStatus {
   private static final class Zone {
@@ -19,7 +19,7 @@
   private int reachable;
 
   void add(ManagedRelay relay) {
-    Zone zone = zones.computeIfAbsent(relay.zone, any -> new Zone());
+    Zone zone = zones.computeIfAbsent(relay.zone, number -> new Zone());
     zone.size++;
     if (unavailable(relay)) {
       zone.unavailable++;
@@ -47,27 +47,27 @@
     newlyReconciled.remove(relay.number);
   }
 
-  /** It does not serve, or its observed state is not the desired one; a lost one is out too. */
+  /** Returns whether a relay is unreachable, does not serve or is not in its desired state. */
   private static boolean unavailable(ManagedRelay relay) {
     return !relay.serving() || relay.desiredVersion != null && !relay.reconciled();
   }
 
-  /** How many relays of a zone are out. */
+  /** Returns how many relays of a zone are unavailable. */
   int unavailable(int zone) {
     return zones.containsKey(zone) ? zones.get(zone).unavailable : 0;
   }
 
-  /** How many relays' agents are heard. */
+  /** Returns how many relays have a reachable agent. */
   int reachable() {
     return reachable;
   }
 
-  /** How many relays a zone has. */
+  /** Returns how many relays a zone has. */
   int size(int zone) {
     return zones.containsKey(zone) ? zones.get(zone).size : 0;
   }
 
-  /** The first reconciled relay whose readiness has not been noted; -1 where there is none. */
+  /** Returns the first reconciled relay whose time is not recorded yet; -1 if there is none. */
   int firstReconciled() {
     return newlyReconciled.isEmpty() ? -1 : newlyReconciled.first();
   }
--- a/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
+++ b/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
@@ -2,85 +2,87 @@
 
 import sprucerock.time.Timestamp;
 
-/** The desired state of one relay, and its observed state as its agent reported it last. */
+/** The desired state of a relay, and the observed state that its agent last reported. */
 public final class ManagedRelay {
   public final int number;
   int zone;
 
-  /** Carries more than the median of the fleet. */
+  /** Whether the relay carries more load than the median of the fleet. */
   boolean busy;
 
   Version observedVersion = Version.NONE;
   boolean ready;
 
-  /** Since when its agent is not heard; null while it is. */
+  /** When the agent became unreachable; null while it is reachable. */
   Timestamp unreachableSince;
 
-  /** The version that it is to run; null before anybody decided on one. */
+  /** The version that the relay should run; null before the first proposal. */
   Version desiredVersion;
 
-  /** Counts the desired states after the first; a restart on the same version is one more. */
+  /** Counts the desired states after the first. A restart on the same version is a new one. */
   int generation;
 
-  /** The last generation that its agent has carried out. */
+  /** The last generation that the agent has applied. */
   int observedGeneration;
 
-  /** When the desired state changed last; null before the first. */
+  /** When the desired state last changed; null before the first desired state. */
   Timestamp notifiedAt;
 
-  /** When it was reconciled with its generation; null while it has not been. */
+  /** When the relay was reconciled with its current generation; null until then. */
   Timestamp readyAt;
 
   ManagedRelay(int number) {
     this.number = number;
   }
 
-  /** The zone that its agent reports. */
+  /** Returns the zone that the agent reported. */
   public int zone() {
     return zone;
   }
 
-  /** It carries more than the median of the fleet. */
+  /** Returns whether the relay carries more load than the median of the fleet. */
   public boolean busy() {
     return busy;
   }
 
-  /** The version that it runs, by its agent's last report. */
+  /** Returns the version that the relay runs by its agent's last report. */
   public Version observedVersion() {
     return observedVersion;
   }
 
-  /** It serves, by its agent's last report. */
+  /** Returns whether the relay serves by its agent's last report. */
   public boolean ready() {
     return ready;
   }
 
-  /** Its agent is not heard. */
+  /** Returns whether the relay's agent has stopped reporting. */
   public boolean unreachable() {
     return unreachableSince != null;
   }
 
-  /** The version that it is to run; null before anybody decided on one. */
+  /** Returns the version that the relay should run; null before the first proposal. */
   public Version desiredVersion() {
     return desiredVersion;
   }
 
-  /** Of the desired state: 0 at first, one more each time it changes or a restart is due. */
+  /**
+   * Returns the generation of the desired state: 0 at first, plus 1 with each change or restart.
+   */
   public int generation() {
     return generation;
   }
 
-  /** The last generation that its agent has carried out. */
+  /** Returns the last generation that the agent has applied. */
   public int observedGeneration() {
     return observedGeneration;
   }
 
-  /** It serves, and its agent is heard. */
+  /** Returns whether the relay serves and its agent is reachable. */
   boolean serving() {
     return ready && unreachableSince == null;
   }
 
-  /** Its observed state is the desired one. */
+  /** Returns whether the observed state is the desired state. */
   boolean reconciled() {
     return serving() && observedGeneration == generation && observedVersion.equals(desiredVersion);
   }
--- a/src/main/java/sprucerock/controller/deployment/NextTransition.java
+++ b/src/main/java/sprucerock/controller/deployment/NextTransition.java
@@ -3,32 +3,33 @@
 import sprucerock.controller.deployment.Deployment.State;
 
 /**
- * The one thing that reconciling does next. {@link TransitionPlanner} chooses it, {@link
- * DeploymentManager} applies it; each takes its own reason away, so that reconciling ends.
+ * The transition that reconciling applies next. {@link TransitionPlanner} chooses it and {@link
+ * Reconciler} applies it. Each transition removes the condition that made it due, so reconciling
+ * terminates.
  */
 sealed interface NextTransition {
-  /** A relay runs what it is to run: the time is noted. */
+  /** Records when a relay reached its desired state. */
   record MarkReady(ManagedRelay relay) implements NextTransition {}
 
-  /** A deployment goes to a state and a stage. */
+  /** Moves a deployment to a state and a stage. */
   record ChangeState(Deployment deployment, State state, int stage, String cause)
       implements NextTransition {}
 
-  /** A deployment is taken back. */
+  /** Starts rolling a deployment back. */
   record RollBack(Deployment deployment, String cause) implements NextTransition {}
 
-  /** A relay of the control group restarts on the version that it runs. */
+  /** Restarts a relay of the control group on the version that it runs. */
   record RestartControl(ManagedRelay relay) implements NextTransition {}
 
-  /** A relay of the control group is unreachable, so its restart is not waited for. */
+  /** Cancels the pending restart of a relay of the control group, as it is unreachable. */
   record SkipControl(int number) implements NextTransition {}
 
-  /** A relay is to run the new version. */
+  /** Updates a relay to the new version. */
   record Update(Deployment deployment, ManagedRelay relay) implements NextTransition {}
 
-  /** A relay is to run the old version again. */
+  /** Returns a relay to the old version. */
   record Revert(Deployment deployment, ManagedRelay relay) implements NextTransition {}
 
-  /** The new version is the fleet's. */
+  /** Completes a deployment: its version becomes the fleet's version. */
   record Complete(Deployment deployment, String cause) implements NextTransition {}
 }
--- a/src/main/java/sprucerock/controller/deployment/OperatorCommands.java
+++ b/src/main/java/sprucerock/controller/deployment/OperatorCommands.java
@@ -4,9 +4,9 @@
 import sprucerock.controller.deployment.Deployment.State;
 import sprucerock.time.Timestamp;
 
-/** Proposals, and what operators command about the deployments that they led to. */
+/** Executes proposals, and operators' commands about deployments. */
 final class OperatorCommands {
-  /** Deployments that are kept; older ones are dropped once they have ended. */
+  /** The number of retained deployments; older ones are dropped once they have ended. */
   private static final int MAX_DEPLOYMENTS = 50;
 
   private final FleetState fleet;
@@ -19,9 +19,9 @@
     this.validation = validation;
   }
 
-  /** Why a proposal to go from the baseline version to another is not taken; null where it is. */
+  /** Proposes a version. Returns why the proposal is rejected, or null if it is accepted. */
   String propose(
-      String who, String why, Version to, boolean hotReload, Version from, Timestamp now) {
+      String operator, String reason, Version to, boolean hotReload, Version from, Timestamp now) {
     if (from.equals(Version.NONE)) {
       return "no relay runs anything that is known, so there is nothing to change from";
     }
@@ -39,20 +39,21 @@
           pending,
           State.GIVEN_UP,
           pending.stage,
-          "change " + (fleet.lastDeploymentNumber + 1) + " by " + who + " takes its place",
+          "change " + (fleet.lastDeploymentNumber + 1) + " by " + operator + " takes its place",
           now);
     }
-    Deployment made =
-        new Deployment(++fleet.lastDeploymentNumber, who, why, from, to, hotReload, now);
-    fleet.deployments.put(made.number, made);
+    Deployment deployment =
+        new Deployment(++fleet.lastDeploymentNumber, operator, reason, from, to, hotReload, now);
+    fleet.deployments.put(deployment.number, deployment);
     validation.rebuild();
-    reconciler.transition(made, State.PROPOSED, 0, "proposed by " + who + ": " + why, now);
+    reconciler.transition(
+        deployment, State.PROPOSED, 0, "proposed by " + operator + ": " + reason, now);
     dropOldest();
     reconciler.reconcile(now);
     return null;
   }
 
-  /** From the first proposal on, what relays run is also what they are to run. */
+  /** Makes the version that each relay runs its desired version, from the first proposal on. */
   private void adoptBaseline(Version baseline, Timestamp now) {
     fleet.currentVersion = baseline;
     for (ManagedRelay relay : fleet.relays.values()) {
@@ -69,8 +70,8 @@
     }
   }
 
-  /** Why a command has no effect; null where it has one. */
-  String carryOut(
+  /** Executes a command. Returns why it has no effect, or null if it has one. */
+  String execute(
       DeploymentManager.OperatorCommand command, long number, String cause, Timestamp now) {
     Deployment deployment = fleet.deployments.get(number);
     if (deployment == null) {
@@ -80,19 +81,19 @@
       return "change "
           + number
           + " is "
-          + text(deployment.state)
+          + stateName(deployment.state)
           + ": it can't be held, resumed or withdrawn";
     }
-    String refusal =
+    String rejection =
         switch (command) {
           case HOLD -> hold(deployment, cause, now);
           case RESUME -> resume(deployment, cause, now);
           case WITHDRAW -> withdraw(deployment, cause, now);
         };
-    if (refusal == null) {
+    if (rejection == null) {
       reconciler.reconcile(now);
     }
-    return refusal;
+    return rejection;
   }
 
   private String hold(Deployment deployment, String cause, Timestamp now) {
@@ -113,7 +114,8 @@
     reconciler.transition(
         deployment, deployment.state, deployment.stage, "resumed by " + cause, now);
     deployment.lastProgress = now;
-    deployment.stateSince = now; // it is observed anew
+    // Restarts the observation time.
+    deployment.stateSince = now;
     return null;
   }
 
@@ -127,7 +129,7 @@
     return null;
   }
 
-  private static String text(State state) {
+  private static String stateName(State state) {
     return state.name().toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/Reconciler.java
+++ b/src/main/java/sprucerock/controller/deployment/Reconciler.java
@@ -4,7 +4,7 @@
 import sprucerock.controller.deployment.Deployment.Transition;
 import sprucerock.time.Timestamp;
 
-/** Applies transitions to the fleet's state, records them, and tells the listener. */
+/** Applies transitions to the fleet's state, records them, and notifies the listener. */
 final class Reconciler {
   private final FleetState fleet;
   private final TransitionPlanner planner;
@@ -23,12 +23,12 @@
     this.listener = listener;
   }
 
-  /** The wall clock that transitions are recorded with from now on, in milliseconds. */
-  void setWallMs(long now) {
-    wallMs = now;
+  /** Sets the wall-clock time that later transitions are recorded with, in milliseconds. */
+  void setWallMs(long nowMs) {
+    wallMs = nowMs;
   }
 
-  /** Applies transitions until there is nothing to do but wait. */
+  /** Applies transitions until no transition is due. */
   void reconcile(Timestamp now) {
     for (NextTransition next = planner.next(now); next != null; next = planner.next(now)) {
       apply(next, now);
@@ -36,14 +36,19 @@
   }
 
   private void apply(NextTransition next, Timestamp now) {
-    if (next instanceof NextTransition.MarkReady ready) {
-      fleet.status.remove(ready.relay());
-      ready.relay().readyAt = now;
-      fleet.status.add(ready.relay());
-    } else if (next instanceof NextTransition.ChangeState change) {
-      transition(change.deployment(), change.state(), change.stage(), change.cause(), now);
-    } else if (next instanceof NextTransition.RollBack back) {
-      rollBack(back.deployment(), back.cause(), now);
+    if (next instanceof NextTransition.MarkReady markReady) {
+      fleet.status.remove(markReady.relay());
+      markReady.relay().readyAt = now;
+      fleet.status.add(markReady.relay());
+    } else if (next instanceof NextTransition.ChangeState changeState) {
+      transition(
+          changeState.deployment(),
+          changeState.state(),
+          changeState.stage(),
+          changeState.cause(),
+          now);
+    } else if (next instanceof NextTransition.RollBack rollBack) {
+      rollBack(rollBack.deployment(), rollBack.cause(), now);
     } else if (next instanceof NextTransition.RestartControl restart) {
       fleet.pendingControlRestarts.remove(Integer.valueOf(restart.relay().number));
       setDesired(restart.relay(), restart.relay().desiredVersion, now);
@@ -80,46 +85,50 @@
   private void complete(Deployment deployment, String cause, Timestamp now) {
     fleet.currentVersion = deployment.toVersion;
     for (ManagedRelay relay : fleet.relays.values()) {
-      boolean leftOut =
+      // Relays that were unreachable during the whole deployment.
+      boolean skipped =
           !deployment.updated.contains(relay.number)
               && !deployment.rejections.containsKey(relay.number);
-      if (leftOut) {
-        setDesired(relay, fleet.currentVersion, now); // those that were unreachable all through
+      if (skipped) {
+        setDesired(relay, fleet.currentVersion, now);
       }
     }
     transition(deployment, State.DONE, deployment.stage, cause, now);
   }
 
-  /** Takes a deployment back; its control group is not needed any more. */
+  /** Rolls a deployment back and cancels the pending restarts of its control group. */
   void rollBack(Deployment deployment, String cause, Timestamp now) {
     fleet.pendingControlRestarts.clear();
     transition(deployment, State.GOING_BACK, deployment.stage, cause, now);
   }
 
-  /** A relay is to run a version, from the generation after the last one. */
+  /** Sets a relay's desired version under a new generation and notifies the listener. */
   void setDesired(ManagedRelay relay, Version version, Timestamp now) {
     fleet.setDesired(relay, version, now);
     listener.desiredStateChanged(relay);
   }
 
-  /** A deployment goes to a state and a stage, or is held or resumed where it is. */
+  /**
+   * Moves a deployment to a state and a stage and records the transition. With the state and stage
+   * that the deployment already has, records only that it is held or resumed.
+   */
   void transition(Deployment deployment, State to, int stage, String cause, Timestamp now) {
-    final boolean moves =
+    final boolean stateChanges =
         deployment.state != to || deployment.stage != stage || deployment.transitions().isEmpty();
     if (deployment.stage != stage) {
       deployment.verdict = Verdict.NOT_SURE;
     }
     deployment.state = to;
     deployment.stage = stage;
-    if (moves) {
+    if (stateChanges) {
       deployment.stateSince = now;
       deployment.lastProgress = now;
     }
-    if (moves && !to.isOpen()) {
+    if (stateChanges && !to.isOpen()) {
       deployment.held = false;
     }
-    Transition made = new Transition(++fleet.sequence, now, wallMs, to, stage, cause);
-    deployment.add(made);
-    listener.transitioned(deployment, made);
+    Transition transition = new Transition(++fleet.sequence, now, wallMs, to, stage, cause);
+    deployment.add(transition);
+    listener.transitioned(deployment, transition);
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/RelaySelector.java
+++ b/src/main/java/sprucerock/controller/deployment/RelaySelector.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Chooses the relays of a stage: how many, which one is next, and which one is its control. */
+/** Chooses how many relays a stage updates, which relay is next, and which is its control. */
 final class RelaySelector {
-  /** Orders controls behind all relays that are none: above any sum of the other parts. */
+  /** Ranks controls after all other relays: exceeds any sum of the other rank terms. */
   private static final double CONTROL_PENALTY = 10;
 
-  /** Makes the share of busy and quiet relays decide only between zones that are equal. */
+  /** Lets the shares of busy and quiet relays decide only between zones with equal shares. */
   private static final double LOAD_CLASS_WEIGHT = 0.01;
 
-  /** Keeps a share of a number of relays from being rounded up by a floating-point error. */
+  /** Keeps floating-point errors from rounding a number of relays up. */
   private static final double ROUNDING_SLACK = 1e-9;
 
-  /** How many relays of a group there are, and how many of them were updated. */
+  /** Counts the relays of a group and how many of them were updated. */
   private static final class Group {
     private int size;
     private int updated;
@@ -35,22 +35,24 @@
     this.budget = budget;
   }
 
-  /** How many relays run the new version at the end of the deployment's stage. */
+  /** Returns how many relays run the new version at the end of the current stage. */
   int targetSize(Deployment deployment) {
-    int able = 0; // who does not serve is left out, and updated at the end
+    // Relays that don't serve are skipped and updated at the end.
+    int updatable = 0;
     for (ManagedRelay relay : fleet.examineAll()) {
       if (deployment.updated.contains(relay.number)
           || relay.serving() && !deployment.rejections.containsKey(relay.number)) {
-        able++;
+        updatable++;
       }
     }
     double share = fleet.plan.stages().get(deployment.stage).share();
-    return deployment.stage == 0 ? 1 : (int) Math.ceil(share * able - ROUNDING_SLACK);
+    return deployment.stage == 0 ? 1 : (int) Math.ceil(share * updatable - ROUNDING_SLACK);
   }
 
   /**
-   * The relay to be updated next; null where none may be. Zones, then busy and quiet relays, take
-   * turns by the share of them that was updated; controls come last.
+   * Returns the relay to update next, or null if none may be updated now. Zones with the smallest
+   * updated share come first, then busy or quiet relays with the smallest updated share. Controls
+   * come last.
    */
   ManagedRelay nextCandidate(Deployment deployment) {
     Map<Integer, Group> zones = new HashMap<>();
@@ -58,12 +60,12 @@
     for (ManagedRelay relay : fleet.examineAll()) {
       boolean updated = deployment.updated.contains(relay.number);
       zones.computeIfAbsent(relay.zone, zone -> new Group()).add(updated);
-      loadClasses.computeIfAbsent(loadClass(relay), any -> new Group()).add(updated);
+      loadClasses.computeIfAbsent(loadClass(relay), loadClass -> new Group()).add(updated);
     }
     Map<Integer, Boolean> budgetByZone = new HashMap<>();
     Set<Integer> controls = new HashSet<>(deployment.controls.values());
     ManagedRelay best = null;
-    double leastRank = 0;
+    double bestRank = 0;
     for (ManagedRelay relay : fleet.examineAll()) {
       boolean eligible =
           relay.serving()
@@ -79,9 +81,9 @@
               zones.get(relay.zone),
               loadClasses.get(loadClass(relay)),
               deployment.updated.isEmpty());
-      if (best == null || rank < leastRank) {
+      if (best == null || rank < bestRank) {
         best = relay;
-        leastRank = rank;
+        bestRank = rank;
       }
     }
     return best;
@@ -92,19 +94,19 @@
   }
 
   private static double rank(
-      ManagedRelay relay, boolean isControl, Group zone, Group loadClass, boolean first) {
-    // the very first is a quiet relay of the largest zone: it harms least, and others are there to
-    // compare it with
+      ManagedRelay relay, boolean isControl, Group zone, Group loadClass, boolean isFirst) {
+    // The first relay is a quiet one of the largest zone: a fault there does the least harm, and
+    // the zone has other relays to compare it with.
     return (isControl ? CONTROL_PENALTY : 0)
         + zone.updated / (double) zone.size
         + LOAD_CLASS_WEIGHT * loadClass.updated / loadClass.size
-        + (first ? (relay.busy ? 1 : 0) + 1.0 / zone.size : 0);
+        + (isFirst ? (relay.busy ? 1 : 0) + 1.0 / zone.size : 0);
   }
 
   /**
-   * The control for an updated relay: of those that serve on the old version and are neither
-   * updated nor a control already, the one most like it, by zone first and then by load; null where
-   * there is none.
+   * Returns the control for an updated relay, or null if there is none. Candidates serve on the old
+   * version and are neither updated nor a control already; the most similar one is chosen, first by
+   * zone, then by load.
    */
   ManagedRelay chooseControl(Deployment deployment, ManagedRelay updated) {
     Set<Integer> controls = new HashSet<>(deployment.controls.values());
--- a/src/main/java/sprucerock/controller/deployment/RestartBudget.java
+++ b/src/main/java/sprucerock/controller/deployment/RestartBudget.java
@@ -3,8 +3,8 @@
 import sprucerock.controller.deployment.Deployment.State;
 
 /**
- * How many relays of a zone may be out at once: no more than the plan allows, and no more than the
- * fleet's load does. A relay that is lost counts as out too.
+ * Limits how many relays of a zone may be unavailable at once, by the plan and by the fleet's load.
+ * An unreachable relay counts as unavailable.
  */
 final class RestartBudget {
   private final FleetState fleet;
@@ -13,7 +13,7 @@
     this.fleet = fleet;
   }
 
-  /** Whether one more relay of a zone may be out. */
+  /** Returns whether one more relay of a zone may become unavailable. */
   boolean available(int zone) {
     return fleet.status.unavailable(zone) < limit(zone);
   }
@@ -22,22 +22,22 @@
     int byPlan = Math.max(1, (int) (fleet.plan.maxUnavailableShare() * fleet.status.size(zone)));
     Deployment active = fleet.active();
     boolean rollingBack = active != null && active.state == State.GOING_BACK;
-    // what does worse is taken back even where the load leaves no budget, one relay at a time
+    // A rollback continues one relay at a time even if the load leaves no budget, because the new
+    // version does worse.
     int byLoad =
         Math.max(rollingBack ? 1 : 0, fleet.restartBudgetByZone.getOrDefault(zone, byPlan));
     return Math.min(byPlan, byLoad);
   }
 
-  /** What is left in each zone, for people. */
+  /** Describes the remaining budget of each zone, for operators. */
   String remainingText() {
-    StringBuilder found = new StringBuilder();
-    for (int zone : fleet.relays.values().stream().map(one -> one.zone).distinct().toList()) {
-      found
-          .append(found.length() == 0 ? "" : ", ")
+    StringBuilder text = new StringBuilder();
+    for (int zone : fleet.relays.values().stream().map(relay -> relay.zone).distinct().toList()) {
+      text.append(text.length() == 0 ? "" : ", ")
           .append(zone)
           .append(": ")
           .append(Math.max(0, limit(zone) - fleet.status.unavailable(zone)));
     }
-    return found.toString();
+    return text.toString();
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/TransitionPlanner.java
+++ b/src/main/java/sprucerock/controller/deployment/TransitionPlanner.java
@@ -9,9 +9,12 @@
 import sprucerock.controller.deployment.Deployment.State;
 import sprucerock.time.Timestamp;
 
-/** Chooses the next transition by the fleet's state and the time; it changes neither. */
+/** Chooses the next transition from the fleet's state and the time, without changing the state. */
 final class TransitionPlanner {
-  /** Updated relays that are lost so many times as often as others make a deployment fail. */
+  /**
+   * A deployment fails if its updated relays are lost more than this many times as often as the
+   * other relays.
+   */
   private static final double LOSS_FACTOR = 3;
 
   private final FleetState fleet;
@@ -32,7 +35,7 @@
     this.validation = validation;
   }
 
-  /** What is to be done next; null while there is nothing to do but wait. */
+  /** Returns the next transition that is due, or null if none is. */
   NextTransition next(Timestamp now) {
     int reconciled = fleet.status.firstReconciled();
     if (reconciled >= 0) {
@@ -40,7 +43,7 @@
     }
     Deployment active = fleet.active();
     Deployment pending = fleet.pending();
-    NextTransition found =
+    NextTransition transition =
         active == null
             ? null
             : switch (active.state) {
@@ -48,8 +51,8 @@
               case WATCHED -> observing(active, now);
               default -> rollingBack(active, now);
             };
-    if (found != null || pending == null) {
-      return found;
+    if (transition != null || pending == null) {
+      return transition;
     }
     return pending.state == State.PROPOSED
         ? validating(pending, now)
@@ -58,9 +61,9 @@
 
   private NextTransition validating(Deployment deployment, Timestamp now) {
     int reachable = fleet.status.reachable();
-    int mostRejections = (int) (plan.maxRejectedShare() * reachable);
+    int maxRejections = (int) (plan.maxRejectedShare() * reachable);
     int rejections = deployment.rejections.size();
-    if (rejections > mostRejections) {
+    if (rejections > maxRejections) {
       Map.Entry<Integer, String> first = deployment.rejections.entrySet().iterator().next();
       return changeState(
           deployment,
@@ -81,16 +84,16 @@
     if (!now.since(deployment.stateSince).over(plan.progressDeadline())) {
       return null;
     }
-    if (deployment.validated.isEmpty() || awaiting + rejections > mostRejections) {
+    if (deployment.validated.isEmpty() || awaiting + rejections > maxRejections) {
       return changeState(
           deployment,
           State.GIVEN_UP,
-          awaiting + " of " + reachable + " did not say in time whether they can run it");
+          awaiting + " of " + reachable + " agents did not validate it in time");
     }
     return changeState(deployment, State.CHECKED, validated + "; the others are left out");
   }
 
-  /** A deployment under validation is in stage 0, and so are those that follow from it. */
+  /** Changes the state in stage 0: a pending deployment is in stage 0 until it is rolling out. */
   private static NextTransition changeState(Deployment deployment, State state, String cause) {
     return new NextTransition.ChangeState(deployment, state, 0, cause);
   }
@@ -104,7 +107,10 @@
         : changeState(deployment, State.MOVING, "nothing is in its way");
   }
 
-  /** A deployment that makes no progress ends at the plan's deadline. */
+  /**
+   * Returns the transition that ends a deployment without progress at the plan's deadline; null
+   * before the deadline.
+   */
   private NextTransition afterDeadline(Deployment deployment, Timestamp now) {
     if (!now.since(deployment.lastProgress).over(plan.progressDeadline())) {
       return null;
@@ -114,8 +120,8 @@
         deployment.held
             ? "it was held for longer than " + deadline
             : deployment.state == State.WATCHED
-                ? "it is not known to be no worse after " + deadline
-                : "it came no further for " + deadline;
+                ? "it was not shown to be no worse within " + deadline
+                : "it made no progress for " + deadline;
     return deployment.state.isActive()
         ? new NextTransition.RollBack(deployment, cause)
         : new NextTransition.ChangeState(deployment, State.GIVEN_UP, deployment.stage, cause);
@@ -129,9 +135,9 @@
     if (deployment.held) {
       return afterDeadline(deployment, now);
     }
-    NextTransition control = nextControl();
-    if (control != null) {
-      return control;
+    NextTransition controlTransition = nextControlTransition();
+    if (controlTransition != null) {
+      return controlTransition;
     }
     ManagedRelay relay =
         fleet.blocked() || deployment.updated.size() >= selector.targetSize(deployment)
@@ -147,7 +153,7 @@
         deployment, State.WATCHED, deployment.stage, deployment.updated.size() + " relays run it");
   }
 
-  private NextTransition nextControl() {
+  private NextTransition nextControlTransition() {
     boolean blocked = fleet.blocked();
     for (int number : fleet.pendingControlRestarts) {
       fleet.entriesExamined++;
@@ -162,23 +168,26 @@
     return null;
   }
 
-  /** Whether all relays of a stage are updated, and they and their controls are ready or lost. */
+  /**
+   * Returns whether all relays of a stage are updated, and each updated relay and each control is
+   * reconciled or unreachable.
+   */
   private boolean allReady(Deployment deployment) {
-    boolean all =
+    boolean ready =
         !deployment.updated.isEmpty()
             && deployment.updated.size() >= selector.targetSize(deployment)
             && fleet.pendingControlRestarts.isEmpty();
     fleet.entriesExamined += deployment.updated.size() + deployment.controls.size();
     for (int number : deployment.updated) {
-      all &= fleet.relays.get(number).reconciled() || fleet.relays.get(number).unreachable();
+      ready &= fleet.relays.get(number).reconciled() || fleet.relays.get(number).unreachable();
     }
     for (int number : deployment.controls.values()) {
-      all &= fleet.relays.get(number).reconciled() || fleet.relays.get(number).unreachable();
+      ready &= fleet.relays.get(number).reconciled() || fleet.relays.get(number).unreachable();
     }
-    return all;
+    return ready;
   }
 
-  /** Why a deployment can't go on, by what its updated relays do; null where they do well. */
+  /** Returns why the state of the updated relays ends a deployment; null if it does not. */
   private String failure(Deployment deployment, Timestamp now) {
     int lost = 0;
     fleet.entriesExamined += deployment.updated.size();
@@ -198,13 +207,13 @@
     int updated = deployment.updated.size();
     long othersLost =
         fleet.examineAll().stream()
-            .filter(one -> one.unreachable() && !deployment.updated.contains(one.number))
+            .filter(relay -> relay.unreachable() && !deployment.updated.contains(relay.number))
             .count();
-    double usual = othersLost / (double) Math.max(1, fleet.relays.size() - updated);
-    // a machine may die by itself; that updated ones do so more often than others is the
-    // deployment's doing
-    if (deployment.stage == 0 || lost > 1 && lost > LOSS_FACTOR * usual * updated) {
-      return lost + " of the relays that were moved are not heard any more";
+    double usualLossRate = othersLost / (double) Math.max(1, fleet.relays.size() - updated);
+    // A single machine may die on its own. If updated relays are lost more often than the others,
+    // the deployment is the cause.
+    if (deployment.stage == 0 || lost > 1 && lost > LOSS_FACTOR * usualLossRate * updated) {
+      return lost + " of the updated relays are unreachable";
     }
     return null;
   }
@@ -217,47 +226,53 @@
     if (deployment.held) {
       return afterDeadline(deployment, now);
     }
-    boolean over = now.since(deployment.stateSince).over(plan.observationTime());
+    boolean observed = now.since(deployment.stateSince).over(plan.observationTime());
     boolean compared = fleet.compared(deployment);
-    boolean sure = !compared || deployment.verdict == Verdict.NO_WORSE;
-    if (!over || !sure || fleet.blocked()) {
-      return sure ? null : afterDeadline(deployment, now);
+    boolean acceptable = !compared || deployment.verdict == Verdict.NO_WORSE;
+    if (!observed || !acceptable || fleet.blocked()) {
+      return acceptable ? null : afterDeadline(deployment, now);
     }
-    String cause = compared ? "no worse than those beside it" : "nothing spoke against it";
+    String cause = compared ? "no worse than those beside it" : "it was observed without a failure";
     if (deployment.stage < plan.stages().size() - 1) {
       return new NextTransition.ChangeState(deployment, State.MOVING, deployment.stage + 1, cause);
     }
     if (deployment.updated.size() < selector.targetSize(deployment)) {
       return new NextTransition.ChangeState(
-          deployment, State.MOVING, deployment.stage, "relays are there that were not before");
+          deployment, State.MOVING, deployment.stage, "relays are available that were not before");
     }
     return new NextTransition.Complete(deployment, cause);
   }
 
-  /** The newest first; a relay that does not serve anyway needs no restart budget. */
+  /**
+   * Reverts the updated relays, the newest first. A relay that does not serve anyway needs no
+   * restart budget.
+   */
   private NextTransition rollingBack(Deployment deployment, Timestamp now) {
-    boolean all = true;
+    boolean allReverted = true;
     fleet.entriesExamined += deployment.updated.size();
     List<Integer> newestFirst = new ArrayList<>(deployment.updated);
     Collections.reverse(newestFirst);
     for (int number : newestFirst) {
       ManagedRelay relay = fleet.relays.get(number);
-      boolean told = relay.desiredVersion.equals(deployment.fromVersion);
-      // one that is not reconciled is out already, if only because it fell back to what ran well
-      // before
-      if (!told && (!relay.reconciled() || budget.available(relay.zone))) {
+      boolean notified = relay.desiredVersion.equals(deployment.fromVersion);
+      // A relay that is not reconciled already counts as unavailable, even if it serves because its
+      // agent has fallen back to the previous version.
+      if (!notified && (!relay.reconciled() || budget.available(relay.zone))) {
         return new NextTransition.Revert(deployment, relay);
       }
       boolean lost =
-          relay.unreachable() || told && now.since(relay.notifiedAt).over(plan.readyWithin());
-      all &= told && (relay.reconciled() || lost);
+          relay.unreachable() || notified && now.since(relay.notifiedAt).over(plan.readyWithin());
+      allReverted &= notified && (relay.reconciled() || lost);
     }
-    if (!all) {
+    if (!allReverted) {
       return null;
     }
-    List<Integer> lost = fleet.unreconciled(deployment);
-    String but = lost.isEmpty() ? "" : " but relays " + lost + ", which are not ready or not heard";
+    List<Integer> unreconciled = fleet.unreconciled(deployment);
+    String exceptions =
+        unreconciled.isEmpty()
+            ? ""
+            : " but relays " + unreconciled + ", which are not ready or unreachable";
     return new NextTransition.ChangeState(
-        deployment, State.GIVEN_UP, deployment.stage, "all are back" + but);
+        deployment, State.GIVEN_UP, deployment.stage, "all are back" + exceptions);
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/ValidationTracker.java
+++ b/src/main/java/sprucerock/controller/deployment/ValidationTracker.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import sprucerock.controller.deployment.Deployment.State;
 
-/** Which reachable relays have not validated the proposed version yet, kept as relays change. */
+/** Tracks which reachable relays have not validated the proposed version yet. */
 final class ValidationTracker {
   private final FleetState fleet;
   private final Set<Integer> awaiting = new HashSet<>();
@@ -13,7 +13,7 @@
     this.fleet = fleet;
   }
 
-  /** Begins anew, with another proposed version or another fleet. */
+  /** Recomputes the set after the proposed version or the whole fleet has changed. */
   void rebuild() {
     awaiting.clear();
     for (ManagedRelay relay : fleet.examineAll()) {
@@ -21,23 +21,23 @@
     }
   }
 
-  /** A relay, or what its agent said of the proposed version, has changed. */
+  /** Updates the entry of a relay after its state or its validation has changed. */
   void update(ManagedRelay relay) {
     Deployment proposed = fleet.pending();
-    boolean awaits =
+    boolean isAwaiting =
         proposed != null
             && proposed.state == State.PROPOSED
             && !relay.unreachable()
             && !proposed.validated.contains(relay.number)
             && !proposed.rejections.containsKey(relay.number);
-    if (awaits) {
+    if (isAwaiting) {
       awaiting.add(relay.number);
     } else {
       awaiting.remove(relay.number);
     }
   }
 
-  /** How many relays have yet to answer. */
+  /** Returns how many relays have yet to validate the version. */
   int awaiting() {
     return awaiting.size();
   }
--- a/src/main/java/sprucerock/controller/deployment/Verdict.java
+++ b/src/main/java/sprucerock/controller/deployment/Verdict.java
@@ -1,6 +1,6 @@
 package sprucerock.controller.deployment;
 
-/** What the comparison says of the new version in a stage. The names are stored. */
+/** The result of comparing the new version with the old one in a stage. The names are stored. */
 public enum Verdict {
   NOT_SURE,
   NO_WORSE,
--- a/src/main/java/sprucerock/controller/deployment/Version.java
+++ b/src/main/java/sprucerock/controller/deployment/Version.java
@@ -1,21 +1,21 @@
 package sprucerock.controller.deployment;
 
 /**
- * What a relay runs: a program and its settings, each by the SHA-256 of its bytes in lower-case
- * hexadecimal.
+ * What a relay runs: a program and its settings, each identified by the SHA-256 digest of its bytes
+ * in lower-case hexadecimal.
  */
 public record Version(String program, String settings) {
-  /** Nothing is known to run. */
+  /** Stands for an unknown version. */
   public static final Version NONE = new Version("", "");
 
   /**
    * Checks the digests.
    *
-   * @throws IllegalArgumentException if either is no such digest, but for {@link #NONE}
+   * @throws IllegalArgumentException if either is not such a digest, except for {@link #NONE}
    */
   public Version {
-    boolean none = program.isEmpty() && settings.isEmpty();
-    if (!none && !(isDigest(program) && isDigest(settings))) {
+    boolean isNone = program.isEmpty() && settings.isEmpty();
+    if (!isNone && !(isDigest(program) && isDigest(settings))) {
       throw new IllegalArgumentException(
           "a version is two SHA-256 digests of 64 hexadecimal digits, not \""
               + program
@@ -25,12 +25,12 @@
     }
   }
 
-  /** Whether a text is a SHA-256 digest in lower-case hexadecimal. */
+  /** Returns whether a text is a SHA-256 digest in lower-case hexadecimal. */
   public static boolean isDigest(String text) {
     return text.matches("[0-9a-f]{64}");
   }
 
-  /** For people: the beginnings of both. */
+  /** Returns the first eight digits of both digests, for operators. */
   @Override
   public String toString() {
     return this.equals(NONE) ? "nothing" : program.substring(0, 8) + "/" + settings.substring(0, 8);
