--- a/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
@@ -12,8 +12,8 @@
  * @param progressDeadline a stage that is not shown to be no worse within this time is rolled back;
  *     so is a stage that is held for this time
  * @param readyWithin an updated relay that is not ready within this time has failed
- * @param maxUnavailableShare the share of a zone's relays that may be unavailable at once; one
- *     relay always may
+ * @param maxUnavailableShare the share of a zone's relays that may be unavailable at once; the plan
+ *     always allows one relay
  * @param maxRejectedShare the share of relays that may reject a version before the deployment is
  *     given up; below it, only these relays are skipped
  * @param unreachableAfter an agent that has not reported for this time is unreachable
--- a/src/main/java/sprucerock/controller/maintenance/AnnounceResult.java
+++ b/src/main/java/sprucerock/controller/maintenance/AnnounceResult.java
@@ -2,16 +2,18 @@
 
 import java.util.List;
 
-/** What became of a {@link MaintenanceRequest}. */
+/** The result of a {@link MaintenanceRequest}. */
 public sealed interface AnnounceResult {
-  /** It was taken in, under these numbers; whether each window fits, its state says. */
+  /** The request was accepted under these numbers. A window's state shows whether it fits. */
   record Announced(List<Long> windowNumbers) implements AnnounceResult {
-    /** Keeps a copy. */
+    /** Copies the numbers. */
     public Announced {
       windowNumbers = List.copyOf(windowNumbers);
     }
   }
 
-  /** It makes no sense or there are too many; nothing was changed. One line says why. */
+  /**
+   * The request is invalid or there are too many windows; nothing changed. Has a one-line reason.
+   */
   record Rejected(String reason) implements AnnounceResult {}
 }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -11,54 +11,58 @@
 import sprucerock.hardware.CapacityTranslator;
 
 /**
- * Whether what is available bears the load, zone by zone and hour by hour: racks that are up and
- * not in maintenance, counted in units of one family at the lower bound of what they surely stand
- * for, against the forecast with its reserve.
+ * Checks whether the available endpoints can carry the forecast load with its reserve, zone by zone
+ * and hour by hour. Racks that are up and not in maintenance count as available. Their endpoints
+ * are converted to endpoints of the forecast's hardware family, at the lower confidence bound.
  */
 public final class CapacityCheck {
   /**
-   * What a zone needs.
+   * The endpoints that a zone needs.
    *
-   * @param family in whose units it is stated
-   * @param requiredByHour 24 of them, by the hour of the day in UTC
-   * @param method whose work is most of the load, by which families are compared
+   * @param family the hardware family in whose endpoints the need is stated
+   * @param method the method that makes up most of the load; families are compared by its work
+   * @param requiredByHour the needed endpoints for each of the 24 hours of the day in UTC
    */
   public record Forecast(int family, int method, double[] requiredByHour) {}
 
   private static final long HOUR_MS = 3_600_000;
 
-  /** What sums of units may be off by. */
-  private static final double ROUNDING = 1e-9;
+  /** The rounding error, in endpoints, that is tolerated in sums. */
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Map<String, Rack> racks = new TreeMap<>();
   private final Map<Integer, Forecast> forecastByZone;
   private final double reserve;
-  private CapacityTranslator translator; // null: only units of the forecast's own family count
+
+  /** Null until there is a hardware model; then only endpoints of the forecast's family count. */
+  private CapacityTranslator translator;
+
   private final Set<String> downRacks = new TreeSet<>();
   private double canaryShare;
 
-  /** {@code reserve}: how much more than the forecast is to be there, as a share of it. */
-  public CapacityCheck(Collection<Rack> racks, Map<Integer, Forecast> byZone, double reserve) {
-    for (Rack one : racks) {
-      this.racks.put(one.name(), one);
+  /** {@code reserve} is the capacity required beyond the forecast, as a share of the forecast. */
+  public CapacityCheck(
+      Collection<Rack> racks, Map<Integer, Forecast> forecastByZone, double reserve) {
+    for (Rack rack : racks) {
+      this.racks.put(rack.name(), rack);
     }
-    this.forecastByZone = new TreeMap<>(byZone);
+    this.forecastByZone = new TreeMap<>(forecastByZone);
     this.reserve = reserve;
   }
 
-  /** All racks, by name. */
+  /** Returns all racks, by name. */
   public Map<String, Rack> racks() {
     return racks;
   }
 
-  /** A newer model of what families are equivalentUnits. */
-  void setTranslator(CapacityTranslator newer) {
-    translator = newer;
+  /** Sets the conversion between hardware families; null if there is no model yet. */
+  void setTranslator(CapacityTranslator newTranslator) {
+    translator = newTranslator;
   }
 
-  /** A rack died, or is back. */
-  boolean setDown(String rack, boolean is) {
-    return is ? downRacks.add(rack) : downRacks.remove(rack);
+  /** Sets whether a rack is down. Returns whether this changed anything. */
+  boolean setDown(String rack, boolean down) {
+    return down ? downRacks.add(rack) : downRacks.remove(rack);
   }
 
   Set<String> downRacks() {
@@ -66,8 +70,8 @@
   }
 
   /**
-   * This share of all units serves a canary or is being moved by a deployment: it is not counted
-   * on.
+   * Sets the share of all endpoints that serve a canary or are being updated by a deployment. This
+   * share does not count as available.
    */
   void setCanaryShare(double share) {
     canaryShare = share;
@@ -78,33 +82,41 @@
   }
 
   /**
-   * What is short in some hour between two moments, in one line; null where nothing is.
+   * Describes in one line the first hour between two times in which a zone lacks capacity. Returns
+   * null if there is none.
    *
-   * @param away racks that are in maintenance meanwhile
-   * @param from in milliseconds of the wall clock, as is {@code to}
+   * @param racksAway the racks that are in maintenance meanwhile
+   * @param startMs the start in milliseconds of the wall clock
+   * @param endMs the end in milliseconds of the wall clock
    */
-  String shortage(Set<String> away, long from, long to) {
-    for (Map.Entry<Integer, Forecast> one : forecastByZone.entrySet()) {
-      Forecast needs = one.getValue();
-      List<String> unknown = new ArrayList<>();
-      double available = available(one.getKey(), needs, away, unknown);
-      for (long hour = from - Math.floorMod(from, HOUR_MS); hour < to; hour += HOUR_MS) {
-        int hourOfDay = (int) Math.floorMod(hour / HOUR_MS, 24L);
-        double required = needs.requiredByHour()[hourOfDay] * (1 + reserve);
-        if (available + ROUNDING < required) {
+  String shortage(Set<String> racksAway, long startMs, long endMs) {
+    for (Map.Entry<Integer, Forecast> zoneForecast : forecastByZone.entrySet()) {
+      Forecast forecast = zoneForecast.getValue();
+      List<String> uncountedRacks = new ArrayList<>();
+      double available = available(zoneForecast.getKey(), forecast, racksAway, uncountedRacks);
+      for (long hourMs = startMs - Math.floorMod(startMs, HOUR_MS);
+          hourMs < endMs;
+          hourMs += HOUR_MS) {
+        int hourOfDay = (int) Math.floorMod(hourMs / HOUR_MS, 24L);
+        double required = forecast.requiredByHour()[hourOfDay] * (1 + reserve);
+        if (available + ROUNDING_TOLERANCE < required) {
           return String.format(
               Locale.ROOT,
               "zone %d at %02d:00 UTC needs %.1f units of family %d with its reserve, "
                   + "%.1f would be left%s",
-              one.getKey(),
+              zoneForecast.getKey(),
               hourOfDay,
               required,
-              needs.family(),
+              forecast.family(),
               available,
-              unknown.isEmpty() ? "" : "; not counted as not known well enough: " + unknown);
+              uncountedRacks.isEmpty()
+                  ? ""
+                  : "; not counted, because the capacity of their hardware is not known well enough: "
+                      + uncountedRacks);
         }
-        if (hour - from > 24 * HOUR_MS) {
-          break; // each hour of the day was looked at
+        // Stops once each hour of the day has been checked.
+        if (hourMs - startMs > 24 * HOUR_MS) {
+          break;
         }
       }
     }
@@ -112,35 +124,40 @@
   }
 
   /**
-   * Units of the forecast's family that a zone's racks stand for without those that are away or
-   * down.
+   * Returns the available capacity of a zone, in endpoints of the forecast's family. Racks that are
+   * in maintenance or down don't count.
    *
-   * @param unknown gets the racks with units that are not known well enough to be counted
+   * @param uncountedRacks receives the racks with endpoints of a family whose capacity is not known
+   *     well enough to be counted
    */
-  private double available(int zone, Forecast needs, Set<String> away, List<String> unknown) {
+  private double available(
+      int zone, Forecast forecast, Set<String> racksAway, List<String> uncountedRacks) {
     double available = 0;
     for (Rack rack : racks.values()) {
-      if (rack.zone() != zone || away.contains(rack.name()) || downRacks.contains(rack.name())) {
+      if (rack.zone() != zone
+          || racksAway.contains(rack.name())
+          || downRacks.contains(rack.name())) {
         continue;
       }
       for (Map.Entry<Integer, Double> endpoints : rack.endpointsByFamily().entrySet()) {
-        double units = equivalentUnits(needs, endpoints.getKey(), endpoints.getValue());
-        if (Double.isNaN(units)) {
-          unknown.add(rack.name());
+        double equivalent = equivalentEndpoints(forecast, endpoints.getKey(), endpoints.getValue());
+        if (Double.isNaN(equivalent)) {
+          uncountedRacks.add(rack.name());
         } else {
-          available += units;
+          available += equivalent;
         }
       }
     }
     return available * (1 - canaryShare);
   }
 
-  private double equivalentUnits(Forecast needs, int family, double endpoints) {
-    if (family == needs.family()) {
+  /** Converts endpoints to the forecast's family; NaN if the capacity is not known well enough. */
+  private double equivalentEndpoints(Forecast forecast, int family, double endpoints) {
+    if (family == forecast.family()) {
       return endpoints;
     }
     return translator == null
         ? Double.NaN
-        : translator.counted(needs.method(), endpoints, family, needs.family()).endpoints();
+        : translator.counted(forecast.method(), endpoints, family, forecast.family()).endpoints();
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityPlanner.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityPlanner.java
@@ -6,27 +6,29 @@
 import java.util.TreeSet;
 
 /**
- * Where a window fits in time: whether the racks that stay bear the load while it and all others
- * that bind or end then are away. Units that come back count only once they are warm.
+ * Finds the times at which a window fits: the remaining racks must carry the load while the racks
+ * of this window and of all other binding or ending windows are away. Endpoints count again only
+ * once they are warm.
  */
 final class CapacityPlanner {
   private final WindowIndex index;
-  private final CapacityCheck capacity;
+  private final CapacityCheck capacityCheck;
   private final long warmUpMs;
   private final long delayStepMs;
 
-  CapacityPlanner(WindowIndex index, CapacityCheck capacity, MaintenanceWindows.Rules rules) {
+  CapacityPlanner(WindowIndex index, CapacityCheck capacityCheck, MaintenanceWindows.Rules rules) {
     this.index = index;
-    this.capacity = capacity;
+    this.capacityCheck = capacityCheck;
     warmUpMs = rules.warmUpMs();
     delayStepMs = rules.delayStepMs();
   }
 
   /**
-   * Where a window may begin.
+   * The start that a window may get.
    *
-   * @param delayMs after its wanted start; below 0: nowhere within its slack
-   * @param shortage what was short at the wanted start; null: nothing
+   * @param delayMs the delay after the requested start; negative if there is no start within the
+   *     slack
+   * @param shortage the shortage at the requested start; null if there was none
    */
   record Slot(long delayMs, String shortage) {
     boolean found() {
@@ -34,43 +36,44 @@
     }
   }
 
-  /** The first start that fits, from the wanted one on, in steps, within the window's slack. */
+  /** Returns the first start that fits, in steps from the requested start and within the slack. */
   Slot firstSlot(MaintenanceWindow window) {
-    String first = null;
+    String firstShortage = null;
     for (long delayMs = 0; delayMs <= window.slackMs; delayMs += delayStepMs) {
       String shortage = shortage(window, window.startMs() + delayMs, window.endMs() + delayMs);
-      if (first == null) {
-        first = shortage;
+      if (firstShortage == null) {
+        firstShortage = shortage;
       }
       if (shortage == null) {
-        return new Slot(delayMs, first);
+        return new Slot(delayMs, firstShortage);
       }
     }
-    return new Slot(-1, first);
+    return new Slot(-1, firstShortage);
   }
 
-  /** What is short if the window lasted from one time to another, in one line; null: nothing. */
+  /** Describes in one line what a window between two times lacks; null if it fits. */
   String shortage(MaintenanceWindow window, long fromMs, long toMs) {
     long warmMs = toMs + warmUpMs;
     TreeSet<Long> starts = new TreeSet<>(List.of(fromMs));
     List<MaintenanceWindow> others = new ArrayList<>();
-    for (MaintenanceWindow one : index.all()) {
-      if (one == window || !isAway(one) || !overlaps(one, fromMs, warmMs)) {
+    for (MaintenanceWindow other : index.all()) {
+      if (other == window || !isAway(other) || !overlaps(other, fromMs, warmMs)) {
         continue;
       }
-      others.add(one);
-      if (one.startMs() > fromMs) {
-        starts.add(one.startMs());
+      others.add(other);
+      if (other.startMs() > fromMs) {
+        starts.add(other.startMs());
       }
     }
-    for (long startMs : starts) { // capacity is lowest where some window begins
-      Set<String> away = new TreeSet<>(window.racks);
-      for (MaintenanceWindow one : others) {
-        if (one.startMs() <= startMs && startMs < one.endMs() + warmUpMs) {
-          away.addAll(one.racks);
+    // Only the starts of windows are checked, because capacity is lowest where a window begins.
+    for (long startMs : starts) {
+      Set<String> racksAway = new TreeSet<>(window.racks);
+      for (MaintenanceWindow other : others) {
+        if (other.startMs() <= startMs && startMs < other.endMs() + warmUpMs) {
+          racksAway.addAll(other.racks);
         }
       }
-      String shortage = capacity.shortage(away, startMs, warmMs);
+      String shortage = capacityCheck.shortage(racksAway, startMs, warmMs);
       if (shortage != null) {
         return shortage;
       }
@@ -78,11 +81,12 @@
     return null;
   }
 
-  private static boolean isAway(MaintenanceWindow one) {
-    return one.state().isBinding() || one.state() == MaintenanceWindow.State.ENDING;
+  /** Returns whether the racks of a window are unavailable during it. */
+  private static boolean isAway(MaintenanceWindow window) {
+    return window.state().isBinding() || window.state() == MaintenanceWindow.State.ENDING;
   }
 
-  private boolean overlaps(MaintenanceWindow one, long fromMs, long warmMs) {
-    return one.startMs() < warmMs && fromMs < one.endMs() + warmUpMs;
+  private boolean overlaps(MaintenanceWindow window, long fromMs, long warmMs) {
+    return window.startMs() < warmMs && fromMs < window.endMs() + warmUpMs;
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceRequest.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceRequest.java
@@ -4,18 +4,18 @@
 import java.util.TreeSet;
 
 /**
- * What an operator asks for: one window, or one that recurs. Times are the wall clock's, in
- * milliseconds since 1970.
+ * An operator's request for a single or a recurring maintenance window. Times are wall-clock times
+ * in milliseconds since 1970.
  *
- * @param racks names of the racks, one at least
- * @param fromMs when the first window should begin; an emergency begins at once instead
- * @param lastsMs how long each lasts, over 0
- * @param slackMs how much later than wanted each may begin
- * @param rule when it recurs, by RFC 5545; empty: once
- * @param zone the time zone in which the rule counts, such as Africa/Johannesburg
- * @param emergency it does not wait for capacity, and begins at once
- * @param operator who asks for it
- * @param reason what for, as it is shown
+ * @param racks the names of the racks, at least one
+ * @param startMs when the first window should begin; an emergency begins at once instead
+ * @param durationMs how long each window lasts, over 0
+ * @param slackMs how much later than requested each window may begin
+ * @param recurrenceRule the RFC 5545 recurrence rule; empty for a single window
+ * @param timeZone the time zone that the rule refers to, such as Africa/Johannesburg
+ * @param emergency whether the window begins at once without waiting for capacity
+ * @param operator the operator who requests the window
+ * @param reason the operator's reason, shown to other operators
  */
 public record MaintenanceRequest(
     Set<String> racks,
@@ -27,7 +27,7 @@
     boolean emergency,
     String operator,
     String reason) {
-  /** Keeps a copy of the racks, in the order of their names. */
+  /** Copies the racks, ordered by name. */
   public MaintenanceRequest {
     racks = new TreeSet<>(racks);
   }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * All that is stored of maintenance windows, for whoever writes it: captured from them, and
- * restored into ones without windows.
+ * The stored state of {@link MaintenanceWindows}, except the hardware model. It is captured from an
+ * instance and restored into one without windows.
  *
- * @param sequence the last step's
- * @param numbers the last window's number
- * @param down racks that are down
- * @param onTrial the share of units that serve a canary
- * @param nowMs the latest time that was seen, in milliseconds of the wall clock
+ * @param sequence the sequence number of the last step
+ * @param lastWindowNumber the number of the last window
+ * @param downRacks the racks that are down
+ * @param canaryShare the share of endpoints that serve a canary
+ * @param nowMs the latest known time, in milliseconds of the wall clock
  */
 public record MaintenanceState(
     long sequence,
@@ -19,7 +19,7 @@
     double canaryShare,
     long nowMs,
     List<Window> windows) {
-  /** One window, as {@link MaintenanceWindow} has it. */
+  /** The state of a {@link MaintenanceWindow}. */
   public record Window(
       long number,
       List<String> racks,
@@ -52,12 +52,12 @@
     }
   }
 
-  /** The state as it is now. */
+  /** Captures the current state. */
   public static MaintenanceState capture(MaintenanceWindows windows) {
     return windows.capture();
   }
 
-  /** Restores it. Racks that the configuration no longer has stay in their windows. */
+  /** Restores the state. Racks that the configuration no longer has stay in their windows. */
   public void restore(MaintenanceWindows windows) {
     windows.restore(this);
   }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -7,37 +7,37 @@
 import java.util.TreeSet;
 
 /**
- * One window in which nothing may be placed on some racks, with its steps and their causes. Times
- * are the wall clock's, in milliseconds. Changed by {@link MaintenanceWindows} alone, which takes
- * it out of its {@link WindowIndex} meanwhile.
+ * A period in which no relay may place work on some racks, with its transitions and their causes.
+ * Times are wall-clock times in milliseconds. Only {@link MaintenanceWindows} changes a window, and
+ * removes it from the {@link WindowIndex} meanwhile.
  */
 public final class MaintenanceWindow {
-  /** Where a window stands. The names are stored and shown. */
+  /** The state of a window. The names are stored and shown. */
   public enum State {
     ANNOUNCED,
-    /** There is capacity without its racks; relays learn of it with their next grant. */
+    /** There is capacity without its racks. Relays learn of it with their next rack permits. */
     ACCEPTED,
     /**
-     * It was accepted, and there is no capacity any more: not begun until there is, or two
+     * Accepted, but there is no longer capacity. It does not begin until there is, or until two
      * operators force it.
      */
     HELD,
-    /** Its time has come; some relay may still hold a grant to place on its racks. */
+    /** Its start has passed, but some relay may still hold a permit for its racks. */
     DRAINING,
-    /** No relay may place anything there. */
+    /** No relay may place work on its racks. */
     IN_FORCE,
-    /** Its units come back, cold. */
+    /** It is over, and the endpoints of its racks are still cold. */
     ENDING,
     ENDED,
     REFUSED,
     CALLED_OFF;
 
-    /** It is still to come, or is under way. */
+    /** Returns whether the window is still to come or has not ended yet. */
     public boolean isOpen() {
       return this != ENDED && this != REFUSED && this != CALLED_OFF;
     }
 
-    /** Its racks are granted to nobody beyond its beginning. */
+    /** Returns whether no permit may reach beyond the window's start. */
     public boolean isBinding() {
       return this == ACCEPTED || this == DRAINING || this == IN_FORCE;
     }
@@ -46,7 +46,7 @@
   /** A transition, or an operator's command, with its cause. */
   public record Step(long sequence, long wallMs, State state, String cause) {}
 
-  /** Steps that are kept of a window. */
+  /** The maximum number of retained steps of a window. */
   static final int MAX_STEPS = 100;
 
   public final long number;
@@ -54,13 +54,13 @@
   public final String operator;
   public final String reason;
 
-  /** It does not wait for capacity, and begins at once. */
+  /** Whether the window begins at once without waiting for capacity. */
   public final boolean emergency;
 
-  /** How much later than wanted it may begin. */
+  /** How much later than requested the window may begin. */
   public final long slackMs;
 
-  /** From which it came, where windows come again; 0: from none. */
+  /** The number of the first window of its series; 0 if the window does not recur. */
   public final long series;
 
   private long startMs;
@@ -76,25 +76,25 @@
   MaintenanceWindow(
       long number,
       Set<String> racks,
-      long from,
-      long to,
+      long startMs,
+      long endMs,
       long slackMs,
       boolean emergency,
       long series,
-      String who,
-      String why) {
+      String operator,
+      String reason) {
     this.number = number;
     this.racks = Collections.unmodifiableSet(new TreeSet<>(racks));
-    this.startMs = from;
-    this.endMs = to;
+    this.startMs = startMs;
+    this.endMs = endMs;
     this.slackMs = slackMs;
     this.emergency = emergency;
     this.series = series;
-    this.operator = who;
-    this.reason = why;
+    this.operator = operator;
+    this.reason = reason;
   }
 
-  /** One that is known from a former incarnation of the controller, with all its steps. */
+  /** Restores a window of an earlier incarnation of the controller, with all its steps. */
   static MaintenanceWindow restored(MaintenanceState.Window stored) {
     MaintenanceWindow window =
         new MaintenanceWindow(
@@ -116,16 +116,19 @@
 
   void add(Step step) {
     if (step.state() == State.ACCEPTED) {
-      // kept apart: that step may be dropped below, and the window would bind nobody
+      // Stored separately: the step may be dropped below, and without its sequence number the
+      // window
+      // would not wait for earlier permits.
       bindingSequence = step.sequence();
     }
     if (steps.size() >= MAX_STEPS) {
-      steps.remove(1); // the first one says who wanted it
+      // Keeps the first step, which names the operator and the reason.
+      steps.remove(1);
     }
     steps.add(step);
   }
 
-  /** From now on no new grant reaches into it. */
+  /** Sets the time from which no new permit reaches into the window. */
   void setBindingSince(long nowMs) {
     bindingSinceMs = nowMs;
   }
@@ -134,29 +137,28 @@
     state = next;
   }
 
-  /** Where it stands. */
   public State state() {
     return state;
   }
 
-  /** When it begins, in milliseconds of the wall clock. */
+  /** Returns the start in milliseconds of the wall clock. */
   public long startMs() {
     return startMs;
   }
 
-  /** Begins and ends so much later. */
+  /** Delays the start and the end. */
   void delay(long byMs) {
     startMs += byMs;
     endMs += byMs;
   }
 
-  void setEndMs(long toMs) {
-    endMs = toMs;
+  void setEndMs(long newEndMs) {
+    endMs = newEndMs;
   }
 
-  /** An operator said that it is to begin although there is no capacity; how many have by now. */
-  int approve(String who) {
-    forcedBy.add(who);
+  /** Adds an operator's approval to begin without capacity. Returns the number of approvals. */
+  int approve(String approver) {
+    forcedBy.add(approver);
     return forcedBy.size();
   }
 
@@ -164,12 +166,17 @@
     nextTransitionMs = dueMs;
   }
 
-  /** When time alone makes its next transition; kept by {@link WindowIndex}, which finds it so. */
+  /**
+   * Returns when the next transition by time is due; {@link WindowIndex} sets it and sorts by it.
+   */
   long nextTransitionMs() {
     return nextTransitionMs;
   }
 
-  /** The step by which it last bound: a grant of an earlier state may reach into it. */
+  /**
+   * Returns the sequence number of the last transition to ACCEPTED. Permits with a lower sequence
+   * number may reach into the window.
+   */
   long bindingSequence() {
     return bindingSequence;
   }
@@ -178,32 +185,32 @@
     noticeMs = longestMs;
   }
 
-  /** The longest notice of its racks. */
+  /** Returns the longest notice of the window's racks. */
   long noticeMs() {
     return noticeMs;
   }
 
-  /** When it ends, in milliseconds of the wall clock. */
+  /** Returns the end in milliseconds of the wall clock. */
   public long endMs() {
     return endMs;
   }
 
-  /** The last steps, the oldest first; the very first one is always among them. */
+  /** Returns the last steps, the oldest first. The very first step is always among them. */
   public List<Step> steps() {
     return Collections.unmodifiableList(steps);
   }
 
-  /** Operators who said that it is to begin although there is no capacity. */
+  /** Returns the operators who approved that the window begins without capacity. */
   public Set<String> forcedBy() {
     return Collections.unmodifiableSet(forcedBy);
   }
 
-  /** Since when no new grant reaches into it: those given before expire by themselves. */
+  /** Returns the time since which no new permit reaches into the window; older ones expire. */
   long bindingSinceMs() {
     return bindingSinceMs;
   }
 
-  /** From when on no grant that was ever given can reach into it. */
+  /** Returns the time from which no permit ever granted can reach into the window. */
   long permitExpiryMs() {
     return Math.max(startMs, bindingSinceMs + noticeMs);
   }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -13,39 +13,40 @@
 import sprucerock.hardware.HardwareModel;
 
 /**
- * All maintenance windows and their transitions: told what happened and that it is now so late by
- * the wall clock. A deterministic state machine: it reads no clock, writes nothing and notifies its
- * {@link Listener} alone. Not thread-safe.
+ * Owns all maintenance windows and makes their transitions. A deterministic state machine: events
+ * and the wall-clock time are passed in, it reads no clock, writes nothing and notifies only its
+ * {@link Listener}. Not thread-safe.
  *
- * <p>A grant to a relay says of each rack until when it may place work there. It reaches the rack's
- * notice ahead at most, and never into a window that is known. So a window that was accepted its
- * racks' notice before it begins is in force in that moment, whichever relay is disconnected
- * meanwhile; one that comes sooner is in force once each relay has said that it holds a grant
- * without it, or a notice after it was accepted, when all others have expired. No list of relays
- * has to outlive a crash for that.
+ * <p>A rack permit tells a relay until when it may place work on a rack. It lasts at most for the
+ * rack's notice and never reaches into a known window. So a window that was accepted at least its
+ * racks' notice before its start is in force at its start, even if relays are disconnected
+ * meanwhile. A window that starts sooner is in force once each relay has confirmed a permit that
+ * excludes it, or at the latest one notice after it was accepted, when all older permits have
+ * expired. No list of relays has to survive a crash for that.
  */
 public final class MaintenanceWindows {
-  /** Is notified of changes, from within the call that made them. */
+  /** Receives changes, within the call that made them. */
   public interface Listener {
-    /** A window made a step; its state is the new one. */
+    /** Receives a transition after it; the window has the new state. */
     void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step);
 
-    /** Relays should learn of new grants now. */
+    /** Asks to send relays new rack permits now. */
     void permitsChanged();
   }
 
   /**
-   * How windows are dealt with; the same at all controllers of a fleet.
+   * The rules for accepting and ending windows; the same at all controllers of a fleet.
    *
-   * @param warmUpMs how long units that come back count as cold, 0 at least
-   * @param delayStepMs by which a window is delayed until there is capacity, over 0
-   * @param confidence with which families are compared, over 0.5 and under 1
+   * @param warmUpMs how long endpoints count as cold after a window, at least 0
+   * @param delayStepMs the step by which a window is delayed until there is capacity, over 0
+   * @param confidence the confidence with which hardware families are compared, over 0.5 and under
+   *     1
    */
   public record Rules(long warmUpMs, long delayStepMs, double confidence) {
     /**
      * Checks the bounds.
      *
-     * @throws IllegalArgumentException if one is exceeded; the message says which
+     * @throws IllegalArgumentException if a value is out of bounds; the message names it
      */
     public Rules {
       if (warmUpMs < 0 || delayStepMs <= 0) {
@@ -57,13 +58,13 @@
     }
   }
 
-  /** Windows that may be open at a time. */
+  /** The maximum number of open windows. */
   public static final int MAX_OPEN = 1000;
 
-  /** Windows that are kept, with those that are over, of which the oldest go first. */
-  private static final int MAX_KEPT = 2000;
+  /** The maximum number of retained windows; the oldest ended windows are dropped first. */
+  private static final int MAX_RETAINED = 2000;
 
-  /** Operators that have to agree before a window begins without capacity. */
+  /** The number of operators who must agree before a window begins without capacity. */
   private static final int FORCE_APPROVALS = 2;
 
   private final Rules rules;
@@ -77,17 +78,17 @@
   private long nowMs;
   private HardwareModel model;
 
-  /** One without windows, over the racks of {@code capacity}. */
-  public MaintenanceWindows(Rules rules, CapacityCheck capacity, Listener listener) {
+  /** Creates an instance without windows, over the racks of {@code capacityCheck}. */
+  public MaintenanceWindows(Rules rules, CapacityCheck capacityCheck, Listener listener) {
     this.rules = rules;
-    this.capacityCheck = capacity;
+    this.capacityCheck = capacityCheck;
     this.listener = listener;
     lifecycle = new WindowLifecycle(rules.warmUpMs());
-    index = new WindowIndex(lifecycle, capacity.racks());
-    planner = new CapacityPlanner(index, capacity, rules);
+    index = new WindowIndex(lifecycle, capacityCheck.racks());
+    planner = new CapacityPlanner(index, capacityCheck, rules);
   }
 
-  /** One without racks, for a controller whose configuration has none. */
+  /** Creates an instance without racks, for a controller whose configuration has none. */
   public static MaintenanceWindows withoutRacks() {
     return new MaintenanceWindows(
         new Rules(0, 1, 0.9),
@@ -95,49 +96,49 @@
         new Listener() {
           @Override
           public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
-            // there is none
+            // Without racks no window is ever announced.
           }
 
           @Override
           public void permitsChanged() {
-            // nobody holds one
+            // Without racks no relay holds a permit.
           }
         });
   }
 
-  /** The time to go on with: a wall clock that was set back stands still until it is past. */
+  /** Returns the current time. It stands still while the wall clock is behind an earlier value. */
   public long advanceClock(long wallMs) {
     nowMs = Math.max(nowMs, wallMs);
     return nowMs;
   }
 
-  /** Windows that are kept, by their numbers. */
+  /** Returns all retained windows, ordered by number. */
   public Collection<MaintenanceWindow> all() {
     return index.all();
   }
 
-  /** Null: none has that number, or it was dropped long after its end. */
+  /** Returns the window with a number, or null if it is unknown or was dropped after its end. */
   public MaintenanceWindow find(long number) {
     return index.find(number);
   }
 
-  /** Counts up with each step, that is with all that relays should know. */
+  /** Returns the sequence number, which grows with each transition that relays need to know of. */
   public long sequence() {
     return sequence;
   }
 
-  /** What is needed for the load, and the racks. */
+  /** Returns the capacity check, which also knows the racks. */
   public CapacityCheck capacityCheck() {
     return capacityCheck;
   }
 
-  /** A window is wanted, or one that recurs: of that, each of the next two weeks. */
+  /** Announces a window, or each occurrence of a recurring window in the next two weeks. */
   public AnnounceResult announce(MaintenanceRequest request, long nowMs) {
-    String wrong = validationError(request);
-    if (wrong != null) {
-      return new Rejected(wrong);
+    String error = validationError(request);
+    if (error != null) {
+      return new Rejected(error);
     }
-    long open = index.all().stream().filter(one -> one.state().isOpen()).count();
+    long open = index.all().stream().filter(window -> window.state().isOpen()).count();
     List<Long> starts;
     try {
       starts =
@@ -149,27 +150,28 @@
       return new Rejected(e.getMessage());
     }
     if (starts.isEmpty()) {
-      return new Rejected("it would begin in the past, or not within two weeks");
+      return new Rejected(
+          "the start is in the past, or the rule has no occurrence within the next two weeks");
     }
     if (open + starts.size() > MAX_OPEN) {
-      return new Rejected(MAX_OPEN + " freezes are open already");
+      return new Rejected("no more than " + MAX_OPEN + " freezes may be open at a time");
     }
     List<Long> numbers = new ArrayList<>();
     long series = starts.size() > 1 ? lastNumber + 1 : 0;
     for (long startMs : starts) {
       numbers.add(add(request, startMs, series, nowMs));
     }
-    index.dropOldest(MAX_KEPT);
+    index.dropOldest(MAX_RETAINED);
     applyDueTransitions(nowMs);
     return new Announced(numbers);
   }
 
-  /** Null: nothing. */
+  /** Returns what is wrong with a request, or null if it is valid. */
   private String validationError(MaintenanceRequest request) {
     Set<String> unknown = new TreeSet<>(request.racks());
     unknown.removeAll(capacityCheck.racks().keySet());
     if (request.racks().isEmpty()) {
-      return "a freeze is of one rack at least";
+      return "a freeze needs at least one rack";
     }
     if (!unknown.isEmpty()) {
       return "no rack is called " + unknown + "; there are " + capacityCheck.racks().keySet();
@@ -178,7 +180,7 @@
       return "a window lasts longer than no time";
     }
     if (request.emergency() && !request.recurrenceRule().isEmpty()) {
-      return "what comes again is no emergency";
+      return "an emergency begins at once and can't recur; leave out the rule";
     }
     return null;
   }
@@ -204,13 +206,16 @@
     if (request.emergency()) {
       accept(window, "an emergency does not wait for room", nowMs);
     } else {
-      acceptWhereItFits(window, nowMs);
+      acceptOrRefuse(window, nowMs);
     }
     return window.number;
   }
 
-  /** As wanted, or as much later as its slack allows; else it is refused with what is short. */
-  private void acceptWhereItFits(MaintenanceWindow window, long nowMs) {
+  /**
+   * Accepts a window at the first start within its slack at which there is capacity. Refuses it,
+   * with the shortage as the cause, if there is none.
+   */
+  private void acceptOrRefuse(MaintenanceWindow window, long nowMs) {
     CapacityPlanner.Slot slot = planner.firstSlot(window);
     if (!slot.found()) {
       transition(window, State.REFUSED, slot.shortage(), nowMs);
@@ -231,14 +236,14 @@
   }
 
   /**
-   * Ends a window that is under way, or cancels one that is to come.
+   * Ends a window that has begun, or cancels one that has not.
    *
-   * @return null, or why it has no effect
+   * @return why the command has no effect, or null if it has one
    */
   public String cancel(long number, String operator, String reason, long nowMs) {
     MaintenanceWindow window = index.find(number);
     if (window == null) {
-      return unknown(number);
+      return unknownWindow(number);
     }
     if (!window.state().isOpen() || window.state() == State.ENDING) {
       return "freeze " + number + " is over or as good as over: " + window.state();
@@ -258,20 +263,20 @@
   }
 
   /**
-   * A window lasts until later; where there is no capacity for that, it ends as it would.
+   * Extends a window to a later end. The end stays as it is if there is no capacity for that.
    *
-   * @return null, or why it has no effect
+   * @return why the command has no effect, or null if it has one
    */
   public String extend(long number, long toMs, String operator, String reason, long nowMs) {
     MaintenanceWindow window = index.find(number);
     if (window == null) {
-      return unknown(number);
+      return unknownWindow(number);
     }
     if (!window.state().isBinding() && window.state() != State.HELD) {
-      return "freeze " + number + " can't be extended: " + window.state();
+      return "freeze " + number + " can't be extended in state " + window.state();
     }
     if (toMs <= window.endMs()) {
-      return "it lasts until then already";
+      return "it already lasts until that time or longer";
     }
     String shortage =
         window.emergency ? null : planner.shortage(window, Math.max(window.endMs(), nowMs), toMs);
@@ -285,15 +290,15 @@
   }
 
   /**
-   * A window that is held begins although there is no capacity, once two different operators said
-   * so.
+   * Approves that a held window begins without capacity. It is accepted once two different
+   * operators have approved it.
    *
-   * @return null, or why it has no effect
+   * @return why the command has no effect, or null if it has one
    */
   public String force(long number, String operator, String reason, long nowMs) {
     MaintenanceWindow window = index.find(number);
     if (window == null) {
-      return unknown(number);
+      return unknownWindow(number);
     }
     if (window.state() != State.HELD) {
       return "freeze " + number + " is not held: " + window.state();
@@ -311,18 +316,18 @@
     return null;
   }
 
-  private static String unknown(long number) {
+  private static String unknownWindow(long number) {
     return "no freeze " + number + " is known";
   }
 
-  /** A rack died or is back: what was accepted may not fit any more. */
+  /** Sets whether a rack is down, and reviews accepted windows against the new capacity. */
   public void setRackDown(String rack, boolean down, long nowMs) {
     if (capacityCheck.racks().containsKey(rack) && capacityCheck.setDown(rack, down)) {
       review(nowMs);
     }
   }
 
-  /** This share of all units serves a canary: what was accepted may not fit any more. */
+  /** Sets the share of endpoints that serve a canary, and reviews accepted windows. */
   public void setCanaryShare(double share, long nowMs) {
     if (share == capacityCheck.canaryShare()) {
       return;
@@ -332,9 +337,9 @@
   }
 
   /**
-   * What families of hardware are worth by now: what was accepted may not fit any more.
+   * Sets a newer model of the hardware families, and reviews accepted windows.
    *
-   * @return false where it is older than what is known
+   * @return false if the model is not newer than the current one
    */
   public boolean updateModel(HardwareModel newer, long nowMs) {
     if (!newer.isNewerThan(model)) {
@@ -345,39 +350,39 @@
     return true;
   }
 
-  /** The last model; null: there is none yet. */
+  /** Returns the last model, or null if there is none yet. */
   public HardwareModel model() {
     return model;
   }
 
-  /** Restores the last model, without a review; null: there is none yet. */
-  public void restoreModel(HardwareModel known) {
-    model = known;
+  /** Restores the last model without reviewing windows; null if there is none yet. */
+  public void restoreModel(HardwareModel restored) {
+    model = restored;
     capacityCheck.setTranslator(
-        known == null ? null : new CapacityTranslator(known, List.of(), rules.confidence()));
+        restored == null ? null : new CapacityTranslator(restored, List.of(), rules.confidence()));
   }
 
-  /** Holds windows that don't fit any more, and accepts those that do again. */
+  /** Holds accepted windows without capacity, and accepts held windows that have capacity again. */
   private void review(long nowMs) {
-    for (MaintenanceWindow one : List.copyOf(index.all())) {
-      boolean waits = one.state() == State.ACCEPTED || one.state() == State.HELD;
-      if (!waits || one.emergency || one.forcedBy().size() >= FORCE_APPROVALS) {
+    for (MaintenanceWindow window : List.copyOf(index.all())) {
+      boolean hasNotBegun = window.state() == State.ACCEPTED || window.state() == State.HELD;
+      if (!hasNotBegun || window.emergency || window.forcedBy().size() >= FORCE_APPROVALS) {
         continue;
       }
-      String shortage = planner.shortage(one, Math.max(one.startMs(), nowMs), one.endMs());
-      if (one.state() == State.ACCEPTED && shortage != null) {
-        transition(one, State.HELD, shortage, nowMs);
+      String shortage = planner.shortage(window, Math.max(window.startMs(), nowMs), window.endMs());
+      if (window.state() == State.ACCEPTED && shortage != null) {
+        transition(window, State.HELD, shortage, nowMs);
         listener.permitsChanged();
-      } else if (one.state() == State.HELD && shortage == null) {
-        accept(one, "there is room again", nowMs);
+      } else if (window.state() == State.HELD && shortage == null) {
+        accept(window, "there is capacity again", nowMs);
       }
     }
     applyDueTransitions(nowMs);
   }
 
   /**
-   * No relay holds a grant into it any more, as {@link PlacementGrants#windowsWithPermitsReturned}
-   * found.
+   * Puts a draining window in force after {@link PlacementGrants#windowsWithPermitsReturned} found
+   * that no relay holds a permit into it.
    */
   public void permitsReturned(long number, long nowMs) {
     MaintenanceWindow window = index.find(number);
@@ -393,18 +398,18 @@
     applyDueTransitions(nowMs);
   }
 
-  /** Whether a tick would change anything. */
+  /** Returns whether a tick would make a transition. */
   public boolean isDue(long wallMs) {
     return index.isDue(Math.max(nowMs, wallMs));
   }
 
   private void applyDueTransitions(long nowMs) {
-    for (MaintenanceWindow one : index.due(nowMs)) {
-      State next = lifecycle.nextState(one, nowMs);
+    for (MaintenanceWindow window : index.due(nowMs)) {
+      State next = lifecycle.nextState(window, nowMs);
       while (next != null) {
-        transition(one, next, WindowLifecycle.cause(one.state(), next), nowMs);
+        transition(window, next, WindowLifecycle.cause(window.state(), next), nowMs);
         listener.permitsChanged();
-        next = lifecycle.nextState(one, nowMs);
+        next = lifecycle.nextState(window, nowMs);
       }
     }
   }
@@ -418,12 +423,14 @@
     listener.transitioned(window, step);
   }
 
-  /** From when on no grant that was ever given can reach into it, in ms of the wall clock. */
+  /**
+   * Returns the wall-clock time in ms from which no permit ever granted can reach into a window.
+   */
   public long permitExpiryMs(MaintenanceWindow window) {
     return window.permitExpiryMs();
   }
 
-  /** Entries that were examined so far to answer relays and to see what time changes. */
+  /** Counts the entries examined so far to answer relays and to find due transitions. */
   public long entriesExamined() {
     return index.entriesExamined();
   }
@@ -432,7 +439,7 @@
     return index;
   }
 
-  /** All that is to be stored but for the model. */
+  /** Captures the whole state except the hardware model. */
   MaintenanceState capture() {
     return new MaintenanceState(
         sequence,
@@ -443,7 +450,10 @@
         index.all().stream().map(MaintenanceState.Window::of).toList());
   }
 
-  /** Into one without windows; racks that the configuration no longer has bind nobody. */
+  /**
+   * Restores the state into an instance without windows. A rack that the configuration no longer
+   * has restricts no relay.
+   */
   void restore(MaintenanceState stored) {
     sequence = stored.sequence();
     lastNumber = stored.lastWindowNumber();
@@ -452,8 +462,8 @@
     for (String rack : stored.downRacks()) {
       capacityCheck.setDown(rack, true);
     }
-    for (MaintenanceState.Window one : stored.windows()) {
-      index.add(MaintenanceWindow.restored(one));
+    for (MaintenanceState.Window window : stored.windows()) {
+      index.add(MaintenanceWindow.restored(window));
     }
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
+++ b/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
@@ -11,14 +11,15 @@
 import java.util.TreeSet;
 
 /**
- * What one incarnation of the controller has granted to which relay, and which relays still hold a
- * grant into a window. Not kept on disk: what a former incarnation granted expires within a notice,
- * and until then nobody is said to have given everything back. Not thread-safe.
+ * Tracks which rack permits one incarnation of the controller has granted to which relay, and which
+ * relays still hold a permit into a window. The grants are not stored on disk: the permits of an
+ * earlier incarnation expire within one notice, and until then no window counts as free of permits.
+ * Not thread-safe.
  *
- * <p>A request is what comes most often, so it looks at no other relay: grants stand in the order
- * of their requests, from whose front those go that have expired, and those of one sequence stand
- * together, the last one to ask first. There are as many sequences as there were steps within a
- * notice.
+ * <p>Requests are the most frequent call, so a request examines no other relay. Grants are kept in
+ * the order of their requests, and expired ones are removed from the front. They are also grouped
+ * by sequence number, the latest request first. There are as many groups as there were transitions
+ * within one notice.
  */
 public final class PlacementGrants {
   private record Grant(int relay, long sequence, long grantedMs) {}
@@ -27,7 +28,7 @@
       Comparator.comparingLong(Grant::grantedMs).thenComparingInt(Grant::relay);
 
   /**
-   * In the order of their requests. A relay is forgotten once all that it was granted has expired.
+   * By relay, in the order of the requests. A relay is removed once all its permits have expired.
    */
   private final LinkedHashMap<Integer, Grant> grants = new LinkedHashMap<>();
 
@@ -36,88 +37,96 @@
   private final long startedMs;
   private long entriesExamined;
 
-  /** {@code nowMs}: when this incarnation began to grant. */
-  public PlacementGrants(MaintenanceWindows windows, long nowMs) {
+  /** {@code startedMs} is when this incarnation began to grant permits. */
+  public PlacementGrants(MaintenanceWindows windows, long startedMs) {
     this.windows = windows;
-    startedMs = nowMs;
+    this.startedMs = startedMs;
   }
 
   /**
-   * A relay asks, and is granted anew: what it holds is of that sequence, or of none (0), and of no
-   * earlier one. {@code nowMs} never goes back.
+   * Records that a relay requests, and is granted, new permits.
+   *
+   * @param heldSequence the sequence number of the permits that the relay holds, 0 if it holds
+   *     none; it holds no older ones
+   * @param nowMs the wall-clock time in milliseconds; it never goes back
    */
   public void recordRequest(int relay, long heldSequence, long nowMs) {
-    Grant before = grants.remove(relay);
-    if (before != null) {
-      removeFromSequence(before);
+    Grant previous = grants.remove(relay);
+    if (previous != null) {
+      removeFromSequence(previous);
     }
-    // a request that was long on its way does not take back what a later one said; what it will be
-    // told now, it may never hear
-    Grant now =
+    // A delayed request does not lower the sequence number of a later one. The sequence number of
+    // the answer is not recorded, because the answer may be lost.
+    Grant current =
         new Grant(
-            relay, before == null ? heldSequence : Math.max(heldSequence, before.sequence), nowMs);
-    grants.put(relay, now);
-    bySequence.computeIfAbsent(now.sequence, any -> new TreeSet<>(BY_TIME)).add(now);
+            relay,
+            previous == null ? heldSequence : Math.max(heldSequence, previous.sequence),
+            nowMs);
+    grants.put(relay, current);
+    bySequence.computeIfAbsent(current.sequence, sequence -> new TreeSet<>(BY_TIME)).add(current);
     for (Iterator<Grant> oldest = grants.values().iterator(); oldest.hasNext(); ) {
       entriesExamined++;
-      Grant one = oldest.next();
-      if (nowMs - one.grantedMs <= windows.index().longestNoticeMs()) {
+      Grant grant = oldest.next();
+      if (nowMs - grant.grantedMs <= windows.index().longestNoticeMs()) {
         break;
       }
       oldest.remove();
-      removeFromSequence(one);
+      removeFromSequence(grant);
     }
   }
 
-  private void removeFromSequence(Grant one) {
-    TreeSet<Grant> same = bySequence.get(one.sequence);
-    same.remove(one);
-    if (same.isEmpty()) {
-      bySequence.remove(one.sequence);
+  private void removeFromSequence(Grant grant) {
+    TreeSet<Grant> sameSequence = bySequence.get(grant.sequence);
+    sameSequence.remove(grant);
+    if (sameSequence.isEmpty()) {
+      bySequence.remove(grant.sequence);
     }
   }
 
   /**
-   * For how long from now on a relay may place work on a rack, in milliseconds; 0: it is in a
-   * window, or draining for one.
+   * Returns for how many milliseconds from now a relay may place work on a rack; 0 if the rack is
+   * in a window or draining for one.
    */
   public long permitDurationMs(String rack, long nowMs) {
     return windows.index().freeForMs(rack, nowMs);
   }
 
   /**
-   * The racks that are granted for less than their notice, by their names, in milliseconds; all
-   * others are for just that.
+   * Returns the racks whose permit is shorter than their notice, with its length in milliseconds.
+   * The permits of all other racks last for their notice.
    */
   public Map<String, Long> shortenedPermits(long nowMs) {
     return windows.index().freeForLessThanNotice(nowMs);
   }
 
   /**
-   * Relays that may still hold a grant into it, by their numbers; -1: such as are not known,
-   * because this incarnation began since.
+   * Returns the numbers of the relays that may still hold a permit into a window. The number -1
+   * stands for unknown relays, whose permits an earlier incarnation may have granted.
    */
   public Set<Integer> outstandingRelays(MaintenanceWindow window, long nowMs) {
-    Set<Integer> out = new TreeSet<>();
+    Set<Integer> relays = new TreeSet<>();
     if (nowMs >= window.permitExpiryMs()) {
-      return out;
+      return relays;
     }
     if (nowMs < startedMs + window.noticeMs()) {
-      out.add(-1);
+      relays.add(-1);
     }
-    for (TreeSet<Grant> same : bySequence.headMap(window.bindingSequence()).values()) {
-      for (Grant one : same.descendingSet()) {
+    for (TreeSet<Grant> sameSequence : bySequence.headMap(window.bindingSequence()).values()) {
+      for (Grant grant : sameSequence.descendingSet()) {
         entriesExamined++;
-        if (nowMs >= one.grantedMs + window.noticeMs()) {
+        if (nowMs >= grant.grantedMs + window.noticeMs()) {
           break;
         }
-        out.add(one.relay);
+        relays.add(grant.relay);
       }
     }
-    return out;
+    return relays;
   }
 
-  /** The same as whether {@link #outstandingRelays} finds none, by the last of each state. */
+  /**
+   * Returns whether {@link #outstandingRelays} is empty. Examines only the latest grant of each
+   * sequence number.
+   */
   private boolean allPermitsReturned(MaintenanceWindow window, long nowMs) {
     if (nowMs >= window.permitExpiryMs()) {
       return true;
@@ -125,10 +134,10 @@
     if (nowMs < startedMs + window.noticeMs()) {
       return false;
     }
-    for (Map.Entry<Long, TreeSet<Grant>> same :
+    for (Map.Entry<Long, TreeSet<Grant>> sameSequence :
         bySequence.headMap(window.bindingSequence()).entrySet()) {
       entriesExamined++;
-      if (nowMs < same.getValue().last().grantedMs + window.noticeMs()) {
+      if (nowMs < sameSequence.getValue().last().grantedMs + window.noticeMs()) {
         return false;
       }
     }
@@ -136,21 +145,21 @@
   }
 
   /**
-   * Windows whose time has come and into which nobody holds a grant any more: to be recorded as
-   * {@link MaintenanceWindows#permitsReturned}.
+   * Returns the draining windows into which no relay holds a permit any more, for {@link
+   * MaintenanceWindows#permitsReturned}.
    */
   public List<Long> windowsWithPermitsReturned(long nowMs) {
-    List<Long> found = new ArrayList<>();
-    for (MaintenanceWindow one : windows.index().draining()) {
+    List<Long> numbers = new ArrayList<>();
+    for (MaintenanceWindow window : windows.index().draining()) {
       entriesExamined++;
-      if (allPermitsReturned(one, nowMs)) {
-        found.add(one.number);
+      if (allPermitsReturned(window, nowMs)) {
+        numbers.add(window.number);
       }
     }
-    return found;
+    return numbers;
   }
 
-  /** Entries that were examined so far: what tests of its growth count. */
+  /** Counts the entries examined so far, for the scale tests. */
   public long entriesExamined() {
     return entriesExamined;
   }
--- a/src/main/java/sprucerock/controller/maintenance/Rack.java
+++ b/src/main/java/sprucerock/controller/maintenance/Rack.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * A named set of units that are maintained together.
+ * A named set of endpoints that are maintained together.
  *
- * @param zone where it stands
- * @param cell discovery's number for it within its zone
- * @param endpoints how many units of each family
- * @param noticeMs how far ahead relays are granted that they may place work on it; a relay that
- *     hears nothing for so long stops placing there
+ * @param zone the zone of the rack
+ * @param cell discovery's number for the rack within its zone
+ * @param endpointsByFamily the number of endpoints of each hardware family
+ * @param noticeMs how far ahead rack permits reach; a relay without a new permit for this time
+ *     stops placing work on the rack
  */
 public record Rack(
     String name, int zone, int cell, Map<Integer, Double> endpointsByFamily, long noticeMs) {}
--- a/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
@@ -9,17 +9,17 @@
 import java.util.TreeSet;
 
 /**
- * All windows by number, and those that matter for a rack, for the clock and for relays. What is
- * asked often is kept as windows change, so that a relay's request and a look each 50 ms walk
+ * Finds windows by number, by rack, by the time of their next transition and by state. The indexes
+ * are updated as windows change, so that a relay's request and the check every 50 ms iterate over
  * neither racks nor windows.
  *
- * <p>A window must be taken out by {@link #leave} before its state or times change, and put back by
- * {@link #enter}.
+ * <p>A window must be removed by {@link #leave} before its state or times change, and added again
+ * by {@link #enter}.
  */
 final class WindowIndex {
   private static final Comparator<MaintenanceWindow> BY_START =
-      Comparator.<MaintenanceWindow>comparingLong(one -> one.startMs())
-          .thenComparingLong(one -> one.number);
+      Comparator.<MaintenanceWindow>comparingLong(window -> window.startMs())
+          .thenComparingLong(window -> window.number);
 
   private final WindowLifecycle lifecycle;
   private final Map<String, Rack> racks;
@@ -29,35 +29,35 @@
   private final TreeSet<MaintenanceWindow> binding = new TreeSet<>(BY_START);
   private final TreeSet<MaintenanceWindow> byTransition =
       new TreeSet<>(
-          Comparator.<MaintenanceWindow>comparingLong(one -> one.nextTransitionMs())
-              .thenComparingLong(one -> one.number));
+          Comparator.<MaintenanceWindow>comparingLong(window -> window.nextTransitionMs())
+              .thenComparingLong(window -> window.number));
   private final TreeMap<Long, MaintenanceWindow> draining = new TreeMap<>();
   private long entriesExamined;
 
-  /** An empty one; {@code racks} by name, as configured. */
+  /** Creates an empty index; {@code racks} are the configured racks by name. */
   WindowIndex(WindowLifecycle lifecycle, Map<String, Rack> racks) {
     this.lifecycle = lifecycle;
     this.racks = racks;
     longestNoticeMs = racks.values().stream().mapToLong(Rack::noticeMs).max().orElse(0);
   }
 
-  /** Adds a window that is not known yet, and tells it the longest notice of its racks. */
+  /** Adds a new window and sets its notice to the longest notice of its racks. */
   void add(MaintenanceWindow window) {
-    long longestMs = 0;
+    long noticeMs = 0;
     for (String name : window.racks) {
       Rack rack = racks.get(name);
       if (rack != null) {
-        longestMs = Math.max(longestMs, rack.noticeMs());
+        noticeMs = Math.max(noticeMs, rack.noticeMs());
       }
     }
-    window.setNoticeMs(longestMs);
+    window.setNoticeMs(noticeMs);
     byNumber.put(window.number, window);
     enter(window);
   }
 
-  /** Drops the oldest windows beyond so many, up to the first that is still open. */
-  void dropOldest(int maxKept) {
-    while (byNumber.size() > maxKept && !byNumber.firstEntry().getValue().state().isOpen()) {
+  /** Drops the oldest windows beyond a number, up to the first one that is still open. */
+  void dropOldest(int maxRetained) {
+    while (byNumber.size() > maxRetained && !byNumber.firstEntry().getValue().state().isOpen()) {
       byNumber.pollFirstEntry();
     }
   }
@@ -66,85 +66,87 @@
     return Collections.unmodifiableCollection(byNumber.values());
   }
 
-  /** Null: none has that number. */
+  /** Returns the window with a number, or null. */
   MaintenanceWindow find(long number) {
     return byNumber.get(number);
   }
 
-  /** The longest notice of all racks. */
+  /** Returns the longest notice of all racks. */
   long longestNoticeMs() {
     return longestNoticeMs;
   }
 
-  /** Whose time has come and which are not in force yet. */
+  /** Returns the windows whose start has passed and that are not in force yet. */
   Collection<MaintenanceWindow> draining() {
     return draining.values();
   }
 
-  /** Whether some window has a transition due by then. */
+  /** Returns whether any window has a transition due. */
   boolean isDue(long nowMs) {
     entriesExamined++;
     return !byTransition.isEmpty() && byTransition.first().nextTransitionMs() <= nowMs;
   }
 
-  /** Those with a transition due by then, in the order of their numbers, as steps are counted. */
+  /** Returns the windows with a transition due, ordered by number, as their steps are numbered. */
   Collection<MaintenanceWindow> due(long nowMs) {
     TreeMap<Long, MaintenanceWindow> due = new TreeMap<>();
-    for (MaintenanceWindow one : byTransition) {
+    for (MaintenanceWindow window : byTransition) {
       entriesExamined++;
-      if (one.nextTransitionMs() > nowMs) {
+      if (window.nextTransitionMs() > nowMs) {
         break;
       }
-      due.put(one.number, one);
+      due.put(window.number, window);
     }
     return due.values();
   }
 
-  /** For how long from now on a rack is free of windows, at most its notice, in milliseconds. */
+  /** Returns for how many milliseconds from now a rack is free of windows, at most its notice. */
   long freeForMs(String rack, long nowMs) {
     long noticeMs = racks.get(rack).noticeMs();
-    TreeSet<MaintenanceWindow> known = bindingByRack.get(rack);
-    if (known == null) {
+    TreeSet<MaintenanceWindow> rackWindows = bindingByRack.get(rack);
+    if (rackWindows == null) {
       return noticeMs;
     }
-    for (MaintenanceWindow one : known) {
+    for (MaintenanceWindow window : rackWindows) {
       entriesExamined++;
-      if (nowMs < one.endMs()) {
-        return Math.min(noticeMs, Math.max(0, one.startMs() - nowMs)); // the others begin later
+      // The other windows begin later.
+      if (nowMs < window.endMs()) {
+        return Math.min(noticeMs, Math.max(0, window.startMs() - nowMs));
       }
     }
     return noticeMs;
   }
 
-  /** Racks that are free for less than their notice, by name, in milliseconds. */
+  /** Returns the racks that are free for less than their notice, with the time in milliseconds. */
   Map<String, Long> freeForLessThanNotice(long nowMs) {
-    Map<String, Long> found = new TreeMap<>();
-    for (MaintenanceWindow one : binding) {
+    Map<String, Long> freeByRack = new TreeMap<>();
+    for (MaintenanceWindow window : binding) {
       entriesExamined++;
-      if (one.startMs() >= nowMs + longestNoticeMs) {
+      if (window.startMs() >= nowMs + longestNoticeMs) {
         break;
       }
-      if (nowMs >= one.endMs()) {
+      if (nowMs >= window.endMs()) {
         continue;
       }
-      long freeMs = Math.max(0, one.startMs() - nowMs);
-      for (String name : one.racks) {
+      long freeMs = Math.max(0, window.startMs() - nowMs);
+      for (String name : window.racks) {
         entriesExamined++;
         Rack rack = racks.get(name);
         if (rack != null && freeMs < rack.noticeMs()) {
-          found.putIfAbsent(name, freeMs); // the first begins first
+          // Windows are sorted by start, so the first one of a rack limits it.
+          freeByRack.putIfAbsent(name, freeMs);
         }
       }
     }
-    return found;
+    return freeByRack;
   }
 
-  /** Entries that were examined so far: what tests of its growth count. */
+  /** Counts the entries examined so far, for the scale tests. */
   long entriesExamined() {
     return entriesExamined;
   }
 
-  /** Before anything of it changes by which it is found. */
+  /** Removes a window from the indexes. Required before its state or times change. */
   void leave(MaintenanceWindow window) {
     byTransition.remove(window);
     draining.remove(window.number);
@@ -153,15 +155,15 @@
     }
     binding.remove(window);
     for (String rack : window.racks) {
-      TreeSet<MaintenanceWindow> same = bindingByRack.get(rack);
-      same.remove(window);
-      if (same.isEmpty()) {
+      TreeSet<MaintenanceWindow> rackWindows = bindingByRack.get(rack);
+      rackWindows.remove(window);
+      if (rackWindows.isEmpty()) {
         bindingByRack.remove(rack);
       }
     }
   }
 
-  /** Once all of it has changed. */
+  /** Adds a window to the indexes again after its state or times have changed. */
   void enter(MaintenanceWindow window) {
     window.setNextTransitionMs(lifecycle.nextTransitionMs(window));
     if (window.nextTransitionMs() < WindowLifecycle.NEVER_MS) {
@@ -175,7 +177,7 @@
     }
     binding.add(window);
     for (String rack : window.racks) {
-      bindingByRack.computeIfAbsent(rack, any -> new TreeSet<>(BY_START)).add(window);
+      bindingByRack.computeIfAbsent(rack, name -> new TreeSet<>(BY_START)).add(window);
     }
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/WindowLifecycle.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowLifecycle.java
@@ -3,21 +3,21 @@
 import sprucerock.controller.maintenance.MaintenanceWindow.State;
 
 /**
- * Which transition a window makes by time alone, and when. Pure functions of the window and of the
- * time, in milliseconds of the wall clock.
+ * Determines which transition a window makes by time alone, and when. Pure functions of the window
+ * and the wall-clock time in milliseconds.
  */
 final class WindowLifecycle {
-  /** No transition by time alone: only an operator, a relay or a change of capacity makes one. */
+  /** Stands for no transition by time; only an operator, a relay or the capacity causes one. */
   static final long NEVER_MS = Long.MAX_VALUE;
 
   private final long warmUpMs;
 
-  /** {@code warmUpMs}: how long units that come back count as cold. */
+  /** {@code warmUpMs} is how long endpoints count as cold after a window. */
   WindowLifecycle(long warmUpMs) {
     this.warmUpMs = warmUpMs;
   }
 
-  /** When the window's next transition by time is due, or {@link #NEVER_MS}. */
+  /** Returns when the window's next transition by time is due, or {@link #NEVER_MS}. */
   long nextTransitionMs(MaintenanceWindow window) {
     return switch (window.state()) {
       case ACCEPTED -> window.startMs();
@@ -28,7 +28,7 @@
     };
   }
 
-  /** The state that follows at that time; null: it stays as it is. */
+  /** Returns the next state of a window at a time, or null if no transition is due. */
   State nextState(MaintenanceWindow window, long nowMs) {
     return switch (window.state()) {
       case ACCEPTED -> nowMs >= window.startMs() ? State.DRAINING : null;
@@ -45,15 +45,15 @@
     };
   }
 
-  /** Why a window moves on by time, as its step says. */
+  /** Returns the recorded cause of a transition by time. */
   static String cause(State from, State to) {
     return switch (to) {
       case DRAINING -> "its time has come";
       case IN_FORCE -> "no promise reaches into it";
       case ENDING ->
-          from == State.DRAINING ? "its time is over before it was in force" : "its time is over";
-      case REFUSED -> "there was no room until its end";
-      default -> "its units are warm again";
+          from == State.DRAINING ? "its time was over before it was in force" : "its time is over";
+      case REFUSED -> "there was no capacity until its end";
+      default -> "its endpoints are warm again";
     };
   }
 }
