--- a/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
+++ b/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
@@ -18,8 +18,8 @@
  *
  * <p>Requests are the most frequent call, so a request examines no other relay. Grants are kept in
  * the order of their requests, and expired ones are removed from the front. They are also grouped
- * by sequence number, the latest request first. There are as many groups as there were transitions
- * within one notice.
+ * by sequence number, and each group is examined from the latest request on. There are as many
+ * groups as there were transitions within one notice.
  */
 public final class PlacementGrants {
   private record Grant(int relay, long sequence, long grantedMs) {}
--- a/src/test/java/sprucerock/controller/deployment/DeploymentManagerProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/DeploymentManagerProperties.java
@@ -13,36 +13,36 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Any fleet, any order of events: relays that die, agents that fall silent and come back, verdicts,
- * words, surges. Held against the plainest account there is: what each relay was told, and who is
- * away.
+ * Feeds random events to fleets of random size: relays that fail, agents that become unreachable
+ * and come back, verdicts, operators' commands, load surges. Checks the manager against a simple
+ * model: the generation that each relay was notified of, and which relays are unavailable.
  */
 class DeploymentManagerProperties {
   private static final int ZONES = 3;
 
-  private static final class Wild implements DeploymentManager.Listener {
+  private static final class RandomFleet implements DeploymentManager.Listener {
     final SplittableRandom random;
     final DeploymentManager deployments = new DeploymentManager(DeploymentManagerTest.PLAN, this);
-    final Map<Integer, Integer> turns = new HashMap<>();
-    final int relays;
-    double now = 1000;
-    int room = 99;
-    boolean verdict;
+    final Map<Integer, Integer> generations = new HashMap<>();
+    final int relayCount;
+    double nowMs = 1000;
+    int restartBudget = 99;
+    boolean hasNoWorseVerdict;
 
-    Wild(long seed, int relays) {
+    RandomFleet(long seed, int relays) {
       random = new SplittableRandom(seed);
-      this.relays = relays;
+      this.relayCount = relays;
       for (int i = 0; i < relays; i++) {
         deployments.reportStatus(
-            i, i % ZONES, random.nextInt(3) == 0, DeploymentManagerTest.OLD, true, 0, at(), 0);
+            i, i % ZONES, random.nextInt(3) == 0, DeploymentManagerTest.OLD, true, 0, now(), 0);
       }
     }
 
-    Timestamp at() {
-      return Timestamp.ofMs(now);
+    Timestamp now() {
+      return Timestamp.ofMs(nowMs);
     }
 
-    private boolean away(ManagedRelay relay) {
+    private boolean isUnavailable(ManagedRelay relay) {
       return !relay.ready()
           || relay.unreachable()
           || relay.desiredVersion() != null
@@ -50,10 +50,10 @@
                   || !relay.observedVersion().equals(relay.desiredVersion()));
     }
 
-    int away(int zone) {
+    int countUnavailable(int zone) {
       int count = 0;
       for (ManagedRelay relay : deployments.relays()) {
-        if (relay.zone() == zone && away(relay)) {
+        if (relay.zone() == zone && isUnavailable(relay)) {
           count++;
         }
       }
@@ -62,54 +62,60 @@
 
     @Override
     public void desiredStateChanged(ManagedRelay relay) {
-      assertTrue(relay.generation() >= turns.getOrDefault(relay.number, 0), "a turn went back");
-      turns.put(relay.number, relay.generation());
+      assertTrue(
+          relay.generation() >= generations.getOrDefault(relay.number, 0),
+          "a generation went back");
+      generations.put(relay.number, relay.generation());
       if (relay.generation() == 0) {
         return;
       }
-      int size = (relays + ZONES - 1 - relay.zone()) / ZONES;
-      Deployment under = deployments.active();
-      boolean back =
-          under == null || under.state() == State.GOING_BACK || under.state() == State.DONE;
-      int most = Math.min(Math.max(1, (int) (0.2 * size)), back ? Math.max(1, room) : room);
-      // it was told just now: it counts among those away, unless it was so before
-      if (relay.ready() && !relay.unreachable() && !back) {
+      int size = (relayCount + ZONES - 1 - relay.zone()) / ZONES;
+      Deployment active = deployments.active();
+      boolean reverting =
+          active == null || active.state() == State.GOING_BACK || active.state() == State.DONE;
+      int maxUnavailable =
+          Math.min(
+              Math.max(1, (int) (0.2 * size)),
+              reverting ? Math.max(1, restartBudget) : restartBudget);
+      // The relay was notified just now, so it counts as unavailable from now on at the latest.
+      if (relay.ready() && !relay.unreachable() && !reverting) {
         assertTrue(
-            away(relay.zone()) <= most,
+            countUnavailable(relay.zone()) <= maxUnavailable,
             "relay "
                 + relay.number
                 + " makes "
-                + away(relay.zone())
-                + " away in a zone of "
+                + countUnavailable(relay.zone())
+                + " unavailable in a zone of "
                 + size
-                + " with room for "
-                + most);
+                + " with a restart budget of "
+                + maxUnavailable);
       }
     }
 
     @Override
-    public void transitioned(Deployment deployment, Deployment.Transition step) {
-      if (step.state() == State.MOVING
-          && step.stage() > 0
-          && !step.cause().startsWith("held")
-          && !step.cause().startsWith("resumed")
-          && !step.cause().startsWith("relays are")
+    public void transitioned(Deployment deployment, Deployment.Transition transition) {
+      if (transition.state() == State.MOVING
+          && transition.stage() > 0
+          && !transition.cause().startsWith("held")
+          && !transition.cause().startsWith("resumed")
+          && !transition.cause().startsWith("relays are")
           && !deployment.controls().isEmpty()) {
-        assertTrue(verdict, "stage " + step.stage() + " began without evidence");
+        assertTrue(hasNoWorseVerdict, "stage " + transition.stage() + " began without a verdict");
       }
-      if (step.state() != State.PROPOSED) {
-        verdict &= step.state() == State.WATCHED; // a verdict is of one stage
+      if (transition.state() != State.PROPOSED) {
+        // A verdict holds for one stage.
+        hasNoWorseVerdict &= transition.state() == State.WATCHED;
       }
     }
 
-    /** Something happens. */
-    void step() {
-      now += random.nextInt(1500);
-      int number = random.nextInt(relays);
+    /** Lets some time pass and reports a random event. */
+    void performRandomEvent() {
+      nowMs += random.nextInt(1500);
+      int number = random.nextInt(relayCount);
       ManagedRelay relay = deployments.relay(number);
-      Deployment under = deployments.active();
+      Deployment active = deployments.active();
       switch (random.nextInt(14)) {
-        case 0 -> deployments.reportUnreachable(number, at(), 0);
+        case 0 -> deployments.reportUnreachable(number, now(), 0);
         case 1 ->
             deployments.reportStatus(
                 number,
@@ -118,151 +124,154 @@
                 relay.observedVersion(),
                 false,
                 relay.observedGeneration(),
-                at(),
+                now(),
                 0);
         case 2 -> {
-          if (under == null || random.nextInt(4) > 0) {
+          if (active == null || random.nextInt(4) > 0) {
             return;
           }
           deployments.reportFailure(
               number,
-              random.nextBoolean() ? under.toVersion : under.fromVersion,
+              random.nextBoolean() ? active.toVersion : active.fromVersion,
               0,
               "ended with code 1",
-              at(),
+              now(),
               0);
         }
         case 3 -> {
-          if (under == null) {
+          if (active == null) {
             return;
           }
-          Verdict is = Verdict.values()[random.nextInt(20) == 0 ? 2 : random.nextInt(2)];
-          verdict =
-              is == Verdict.NO_WORSE
-                  && (under.state() == State.MOVING || under.state() == State.WATCHED);
-          deployments.reportVerdict(under.number, under.stage(), is, "", at(), 0);
+          Verdict verdict = Verdict.values()[random.nextInt(20) == 0 ? 2 : random.nextInt(2)];
+          hasNoWorseVerdict =
+              verdict == Verdict.NO_WORSE
+                  && (active.state() == State.MOVING || active.state() == State.WATCHED);
+          deployments.reportVerdict(active.number, active.stage(), verdict, "", now(), 0);
         }
         case 4 -> {
-          room = random.nextInt(4);
+          restartBudget = random.nextInt(4);
           Map<Integer, Integer> byZone = new HashMap<>();
           for (int zone = 0; zone < ZONES; zone++) {
-            byZone.put(zone, room);
+            byZone.put(zone, restartBudget);
           }
-          deployments.setRestartBudget(byZone, random.nextInt(6) == 0 ? "a surge" : "", at(), 0);
+          deployments.setRestartBudget(byZone, random.nextInt(6) == 0 ? "a surge" : "", now(), 0);
         }
-        case 5 -> deployments.setRolloutInProgress(random.nextInt(4) == 0, at(), 0);
+        case 5 -> deployments.setRolloutInProgress(random.nextInt(4) == 0, now(), 0);
         case 6 -> {
-          if (deployments.pending() == null && under == null) {
-            boolean old = deployments.baselineVersion().equals(DeploymentManagerTest.OLD);
+          if (deployments.pending() == null && active == null) {
+            boolean runsOld = deployments.baselineVersion().equals(DeploymentManagerTest.OLD);
             deployments.propose(
                 "any",
                 "one",
-                old ? DeploymentManagerTest.NEW : DeploymentManagerTest.OLD,
+                runsOld ? DeploymentManagerTest.NEW : DeploymentManagerTest.OLD,
                 false,
-                at(),
+                now(),
                 0);
           }
         }
         case 7 -> {
-          if (under != null && random.nextInt(10) == 0) {
+          if (active != null && random.nextInt(10) == 0) {
             deployments.command(
                 DeploymentManager.OperatorCommand.values()[random.nextInt(3)],
-                under.number,
+                active.number,
                 "any",
                 "one",
-                at(),
+                now(),
                 0);
           }
         }
         case 8, 9 -> {
-          Deployment waits = deployments.pending();
-          if (waits != null) {
+          Deployment pending = deployments.pending();
+          if (pending != null) {
             deployments.reportValidation(
-                number, waits.number, random.nextInt(60) == 0 ? "no" : "", at(), 0);
+                number, pending.number, random.nextInt(60) == 0 ? "no" : "", now(), 0);
           }
         }
-        case 10 -> deployments.tick(at(), 0);
-        default -> obey(relay);
+        case 10 -> deployments.tick(now(), 0);
+        default -> applyDesiredState(relay);
       }
     }
 
-    void obey(ManagedRelay relay) {
-      Version runs =
+    void applyDesiredState(ManagedRelay relay) {
+      Version version =
           relay.desiredVersion() == null ? relay.observedVersion() : relay.desiredVersion();
       deployments.reportStatus(
-          relay.number, relay.zone(), relay.busy(), runs, true, relay.generation(), at(), 0);
+          relay.number, relay.zone(), relay.busy(), version, true, relay.generation(), now(), 0);
     }
   }
 
   @Property(tries = 300, seed = "11")
-  void neverMoreAwayThanTheRoomNorAStageAheadOfItsEvidence(
+  void neverExceedsTheRestartBudgetNorAdvancesWithoutAVerdict(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int relays) {
-    Wild wild = new Wild(seed, relays);
+    RandomFleet fleet = new RandomFleet(seed, relays);
     for (int i = 0; i < 600; i++) {
-      wild.step();
+      fleet.performRandomEvent();
     }
   }
 
   @Property(tries = 200, seed = "12")
-  void everyRunEnds(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int relays) {
-    Wild wild = new Wild(seed, relays);
+  void everyDeploymentEnds(@ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int relays) {
+    RandomFleet fleet = new RandomFleet(seed, relays);
     for (int i = 0; i < 300; i++) {
-      wild.step();
+      fleet.performRandomEvent();
     }
-    wild.deployments.setRolloutInProgress(false, wild.at(), 0);
-    wild.room = 99;
-    wild.deployments.setRestartBudget(Map.of(), "", wild.at(), 0);
-    for (int i = 0; i < 400; i++) { // agents obey, nobody speaks, time passes
-      wild.now += 5000;
-      for (ManagedRelay relay : java.util.List.copyOf(wild.deployments.relays())) {
-        wild.obey(relay);
+    fleet.deployments.setRolloutInProgress(false, fleet.now(), 0);
+    fleet.restartBudget = 99;
+    fleet.deployments.setRestartBudget(Map.of(), "", fleet.now(), 0);
+    // Agents apply their desired states, no other event happens, and time passes.
+    for (int i = 0; i < 400; i++) {
+      fleet.nowMs += 5000;
+      for (ManagedRelay relay : java.util.List.copyOf(fleet.deployments.relays())) {
+        fleet.applyDesiredState(relay);
       }
-      wild.deployments.tick(wild.at(), 0);
+      fleet.deployments.tick(fleet.now(), 0);
     }
-    for (Deployment one : wild.deployments.deployments()) {
+    for (Deployment deployment : fleet.deployments.deployments()) {
       assertTrue(
-          !one.state().isOpen(),
-          "change "
-              + one.number
-              + " is "
-              + one.state()
-              + " still: "
-              + wild.deployments.blockers(one, wild.at()));
+          !deployment.state().isOpen(),
+          "deployment "
+              + deployment.number
+              + " is still "
+              + deployment.state()
+              + ": "
+              + fleet.deployments.blockers(deployment, fleet.now()));
     }
-    for (ManagedRelay relay : wild.deployments.relays()) {
-      boolean refused =
-          wild.deployments.deployments().stream()
-              .anyMatch(one -> one.rejections().containsKey(relay.number));
-      if (wild.deployments.deployments().stream().anyMatch(one -> one.state() == State.DONE)
-          && !refused) {
-        assertEquals(relay.observedVersion(), wild.deployments.currentVersion());
+    for (ManagedRelay relay : fleet.deployments.relays()) {
+      boolean rejected =
+          fleet.deployments.deployments().stream()
+              .anyMatch(deployment -> deployment.rejections().containsKey(relay.number));
+      if (fleet.deployments.deployments().stream()
+              .anyMatch(deployment -> deployment.state() == State.DONE)
+          && !rejected) {
+        assertEquals(relay.observedVersion(), fleet.deployments.currentVersion());
       }
     }
   }
 
   @Property(tries = 200, seed = "13")
-  void whatIsKeptAndPutBackGoesOnAlike(
+  void aRestoredSnapshotEqualsTheOriginal(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 20) int relays) {
-    Wild wild = new Wild(seed, relays);
+    RandomFleet fleet = new RandomFleet(seed, relays);
     for (int i = 0; i < 300; i++) {
-      wild.step();
+      fleet.performRandomEvent();
       if (i % 50 != 0) {
         continue;
       }
-      DeploymentManager back =
+      DeploymentManager restored =
           new DeploymentManager(
               DeploymentManagerTest.PLAN,
               new DeploymentManager.Listener() {
                 @Override
-                public void transitioned(Deployment deployment, Deployment.Transition step) {}
+                public void transitioned(Deployment deployment, Deployment.Transition transition) {}
 
                 @Override
                 public void desiredStateChanged(ManagedRelay relay) {}
               });
-      DeploymentSnapshot before = DeploymentSnapshot.of(wild.deployments);
-      before.restore(back);
-      assertEquals(DeploymentSnapshot.of(back), before);
-      assertEquals(back.transitionDue(wild.at()), wild.deployments.transitionDue(wild.at()));
+      DeploymentSnapshot snapshot = DeploymentSnapshot.of(fleet.deployments);
+      snapshot.restore(restored);
+      assertEquals(DeploymentSnapshot.of(restored), snapshot);
+      assertEquals(
+          restored.transitionDue(fleet.now()), fleet.deployments.transitionDue(fleet.now()));
     }
   }
 }
--- a/src/test/java/sprucerock/controller/deployment/DeploymentManagerTest.java
+++ b/src/test/java/sprucerock/controller/deployment/DeploymentManagerTest.java
@@ -13,7 +13,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** A change on its way through a fleet, told as stories. */
+/** Deployments through a simulated fleet, from the proposal to their end. */
 public class DeploymentManagerTest {
   static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
   static final Version NEW = new Version("b".repeat(64), "0".repeat(64));
@@ -30,58 +30,55 @@
           0.1,
           TimeSpan.ofMs(5000));
 
-  /**
-   * So many relays in two zones, each third one busy, whose agents do at once what is wanted of
-   * them.
-   */
+  /** Relays in two zones, every third one busy, whose agents apply desired states at once. */
   static final class Fleet implements DeploymentManager.Listener {
     final DeploymentManager deployments;
-    final List<Deployment.Transition> steps = new ArrayList<>();
-    final List<ManagedRelay> wants = new ArrayList<>();
-    double now = 1000;
+    final List<Deployment.Transition> transitions = new ArrayList<>();
+    final List<ManagedRelay> pendingRelays = new ArrayList<>();
+    double nowMs = 1000;
 
     Fleet(int relays) {
       deployments = new DeploymentManager(PLAN, this);
       for (int i = 0; i < relays; i++) {
-        deployments.reportStatus(i, i % 2, i % 3 == 0, OLD, true, 0, at(), 0);
+        deployments.reportStatus(i, i % 2, i % 3 == 0, OLD, true, 0, now(), 0);
       }
     }
 
-    Timestamp at() {
-      return Timestamp.ofMs(now);
+    Timestamp now() {
+      return Timestamp.ofMs(nowMs);
     }
 
     void report(int number, Version runs, boolean ready) {
       ManagedRelay relay = deployments.relay(number);
       deployments.reportStatus(
-          number, relay.zone, relay.busy, runs, ready, relay.generation(), at(), 0);
+          number, relay.zone, relay.busy, runs, ready, relay.generation(), now(), 0);
     }
 
-    /** All that are to run something else do so, one after another, each for a moment away. */
-    void carryOut() {
-      while (!wants.isEmpty()) {
-        ManagedRelay next = wants.remove(0);
+    /** Applies all pending desired states one after another; each relay is down for 300 ms. */
+    void applyDesiredStates() {
+      while (!pendingRelays.isEmpty()) {
+        ManagedRelay next = pendingRelays.remove(0);
         if (next.unreachable()) {
           continue;
         }
         report(next.number, next.desiredVersion(), false);
-        now += 300;
+        nowMs += 300;
         report(next.number, next.desiredVersion(), true);
       }
     }
 
     Deployment propose() {
-      assertNull(deployments.propose("eve", "a faster reader", NEW, false, at(), 0));
+      assertNull(deployments.propose("eve", "a faster reader", NEW, false, now(), 0));
       Deployment deployment = deployments.pending();
       for (ManagedRelay relay : List.copyOf(deployments.relays())) {
-        deployments.reportValidation(relay.number, deployment.number, "", at(), 0);
+        deployments.reportValidation(relay.number, deployment.number, "", now(), 0);
       }
       return deployment;
     }
 
-    void pass(double ms) {
-      now += ms;
-      deployments.tick(at(), 0);
+    void advance(double ms) {
+      nowMs += ms;
+      deployments.tick(now(), 0);
     }
 
     int countRunning(Version version) {
@@ -96,45 +93,48 @@
 
     @Override
     public void transitioned(Deployment deployment, Deployment.Transition step) {
-      steps.add(step);
+      transitions.add(step);
     }
 
     @Override
     public void desiredStateChanged(ManagedRelay relay) {
-      wants.add(relay);
+      pendingRelays.add(relay);
     }
   }
 
-  private static void fine(Fleet fleet, Deployment deployment) {
+  private static void reportNoWorse(Fleet fleet, Deployment deployment) {
     fleet.deployments.reportVerdict(
-        deployment.number, deployment.stage(), Verdict.NO_WORSE, "alike", fleet.at(), 0);
+        deployment.number, deployment.stage(), Verdict.NO_WORSE, "alike", fleet.now(), 0);
   }
 
   @Test
-  public void aGoodDeploymentGoesFromOneRelayToAllBesideControls() {
+  public void aGoodDeploymentGoesFromOneRelayToAllNextToControls() {
     Fleet fleet = new Fleet(20);
     Deployment deployment = fleet.propose();
     assertEquals(deployment.state(), State.MOVING);
-    fleet.carryOut();
+    fleet.applyDesiredStates();
     assertEquals(fleet.countRunning(NEW), 1);
     assertEquals(deployment.controls().size(), 1);
     int control = deployment.controls().values().iterator().next();
     assertEquals(fleet.deployments.relay(control).observedVersion(), OLD);
-    assertEquals(fleet.deployments.relay(control).generation(), 1); // restarted with it
+    // The control was restarted with the updated relay.
+    assertEquals(fleet.deployments.relay(control).generation(), 1);
     assertEquals(deployment.state(), State.WATCHED);
-    fleet.pass(11_000);
-    assertEquals(deployment.stage(), 0); // time alone is no evidence
-    fine(fleet, deployment);
+    fleet.advance(11_000);
+    // Time alone does not complete a stage.
+    assertEquals(deployment.stage(), 0);
+    reportNoWorse(fleet, deployment);
     assertEquals(deployment.stage(), 1);
-    fleet.carryOut();
+    fleet.applyDesiredStates();
     assertEquals(fleet.countRunning(NEW), 5);
     assertEquals(deployment.controls().size(), 5);
-    fine(fleet, deployment);
-    assertEquals(deployment.stage(), 1); // evidence alone is too quick
-    fleet.pass(11_000);
-    fleet.carryOut();
+    reportNoWorse(fleet, deployment);
+    // A verdict alone does not complete a stage before the observation time is over.
+    assertEquals(deployment.stage(), 1);
+    fleet.advance(11_000);
+    fleet.applyDesiredStates();
     assertEquals(fleet.countRunning(NEW), 20);
-    fleet.pass(11_000);
+    fleet.advance(11_000);
     assertEquals(deployment.state(), State.DONE);
     assertEquals(fleet.deployments.currentVersion(), NEW);
   }
@@ -143,19 +143,20 @@
   public void aWorseVersionIsRolledBackNewestFirst() {
     Fleet fleet = new Fleet(20);
     Deployment deployment = fleet.propose();
-    fleet.carryOut();
-    fine(fleet, deployment);
-    fleet.pass(11_000);
-    fleet.carryOut();
-    List<Integer> moved = List.copyOf(deployment.updated());
+    fleet.applyDesiredStates();
+    reportNoWorse(fleet, deployment);
+    fleet.advance(11_000);
+    fleet.applyDesiredStates();
+    List<Integer> updated = List.copyOf(deployment.updated());
     fleet.deployments.reportVerdict(
-        deployment.number, 1, Verdict.WORSE, "unserved +0.05", fleet.at(), 0);
+        deployment.number, 1, Verdict.WORSE, "unserved +0.05", fleet.now(), 0);
     assertEquals(deployment.state(), State.GOING_BACK);
-    assertEquals(fleet.wants.get(0).number, (int) moved.get(moved.size() - 1));
-    fleet.carryOut();
+    assertEquals(fleet.pendingRelays.get(0).number, (int) updated.get(updated.size() - 1));
+    fleet.applyDesiredStates();
     assertEquals(fleet.countRunning(NEW), 0);
     assertEquals(deployment.state(), State.GIVEN_UP);
-    assertTrue(fleet.steps.stream().anyMatch(step -> step.cause().equals("worse: unserved +0.05")));
+    assertTrue(
+        fleet.transitions.stream().anyMatch(step -> step.cause().equals("worse: unserved +0.05")));
     assertEquals(fleet.deployments.currentVersion(), OLD);
   }
 
@@ -165,17 +166,12 @@
     Deployment deployment = fleet.propose();
     int first = deployment.updated().iterator().next();
     fleet.report(first, NEW, false);
-    fleet.deployments.reportFailure(first, NEW, 0, "ended with code 3", fleet.at(), 0);
+    fleet.deployments.reportFailure(first, NEW, 0, "ended with code 3", fleet.now(), 0);
     assertEquals(deployment.state(), State.GOING_BACK);
-    fleet.carryOut();
+    fleet.applyDesiredStates();
     assertEquals(deployment.state(), State.GIVEN_UP);
-    fleet.deployments.reportFailure(
-        5,
-        OLD,
-        0,
-        "was killed for memory",
-        fleet.at(),
-        0); // an old one's end is no fault of a change
+    // A failure of a relay on the old version does not count against the deployment.
+    fleet.deployments.reportFailure(5, OLD, 0, "was killed for memory", fleet.now(), 0);
   }
 
   @Test
@@ -183,19 +179,15 @@
     Fleet fleet = new Fleet(20);
     Deployment deployment = fleet.propose();
     int first = deployment.updated().iterator().next();
-    int turn = fleet.deployments.relay(first).generation();
-    fleet.deployments.reportFailure(first, NEW, turn, "the disk was full", fleet.at(), 0);
-    fleet.carryOut();
+    int generation = fleet.deployments.relay(first).generation();
+    fleet.deployments.reportFailure(first, NEW, generation, "the disk was full", fleet.now(), 0);
+    fleet.applyDesiredStates();
     assertEquals(deployment.state(), State.GIVEN_UP);
     Deployment again = fleet.propose();
-    assertTrue(again.updated().contains(first), "the story needs the same relay first");
-    fleet.deployments.reportFailure(
-        first,
-        NEW,
-        turn,
-        "the disk was full",
-        fleet.at(),
-        0); // a controller that started is told once more
+    assertTrue(
+        again.updated().contains(first), "the second deployment must begin with the same relay");
+    // The agent repeats the failure to a controller that has restarted.
+    fleet.deployments.reportFailure(first, NEW, generation, "the disk was full", fleet.now(), 0);
     assertTrue(
         again.state() == State.MOVING || again.state() == State.WATCHED, again.state().toString());
     fleet.deployments.reportFailure(
@@ -203,29 +195,36 @@
         NEW,
         fleet.deployments.relay(first).generation(),
         "ended with code 3",
-        fleet.at(),
+        fleet.now(),
         0);
     assertEquals(again.state(), State.GOING_BACK);
   }
 
   @Test
   public void aRelayThatIsNeverReadyOrBecomesUnreachableRollsBack() {
-    Fleet slow = new Fleet(20);
-    Deployment deployment = slow.propose();
-    slow.report(deployment.updated().iterator().next(), NEW, false);
-    slow.pass(21_000);
-    assertEquals(deployment.state(), State.GOING_BACK);
-    Fleet gone = new Fleet(20);
-    Deployment other = gone.propose();
-    gone.deployments.reportUnreachable(other.updated().iterator().next(), gone.at(), 0);
+    Fleet slowFleet = new Fleet(20);
+    Deployment slow = slowFleet.propose();
+    slowFleet.report(slow.updated().iterator().next(), NEW, false);
+    slowFleet.advance(21_000);
+    assertEquals(slow.state(), State.GOING_BACK);
+    Fleet unreachableFleet = new Fleet(20);
+    Deployment unreachable = unreachableFleet.propose();
+    unreachableFleet.deployments.reportUnreachable(
+        unreachable.updated().iterator().next(), unreachableFleet.now(), 0);
+    // The rollback does not wait for the unreachable relay. Its agent is notified once it is
+    // reachable again.
+    assertEquals(unreachable.state(), State.GIVEN_UP);
     assertEquals(
-        other.state(), State.GIVEN_UP); // nobody is there to go back: it is told once it is heard
-    assertEquals(gone.deployments.relay(other.updated().iterator().next()).desiredVersion(), OLD);
+        unreachableFleet
+            .deployments
+            .relay(unreachable.updated().iterator().next())
+            .desiredVersion(),
+        OLD);
   }
 
   /**
-   * Its agent took up again by itself what ran well: it counts as out, and no other has to be in
-   * for it to be told.
+   * The agent of the updated relay returned to the old version by itself. The relay already counts
+   * as unavailable, so its rollback needs no restart budget.
    */
   @Test
   public void aRelayThatFellBackByItselfDoesNotBlockTheRollback() {
@@ -241,43 +240,43 @@
         OLD,
         true,
         relay.observedGeneration() - 1,
-        fleet.at(),
+        fleet.now(),
         0);
-    fleet.wants.clear();
-    fleet.deployments.reportFailure(first, NEW, 0, "ended with code 3", fleet.at(), 0);
-    fleet.carryOut();
+    fleet.pendingRelays.clear();
+    fleet.deployments.reportFailure(first, NEW, 0, "ended with code 3", fleet.now(), 0);
+    fleet.applyDesiredStates();
     assertEquals(deployment.state(), State.GIVEN_UP);
   }
 
   @Test
   public void aVersionThatTooManyRejectIsAbortedBeforeAnyUpdate() {
     Fleet fleet = new Fleet(20);
-    assertNull(fleet.deployments.propose("eve", "new limits", NEW, false, fleet.at(), 0));
+    assertNull(fleet.deployments.propose("eve", "new limits", NEW, false, fleet.now(), 0));
     Deployment deployment = fleet.deployments.pending();
     for (int i = 0; i < 3; i++) {
       fleet.deployments.reportValidation(
-          i, deployment.number, "relay.xml:12: sockets is above 0", fleet.at(), 0);
+          i, deployment.number, "relay.xml:12: sockets is above 0", fleet.now(), 0);
     }
     assertEquals(deployment.state(), State.GIVEN_UP);
     assertTrue(
         deployment.transitions().get(1).cause().contains("relay.xml:12"),
         deployment.transitions().get(1).cause());
-    assertTrue(fleet.wants.stream().noneMatch(relay -> relay.generation() > 0));
+    assertTrue(fleet.pendingRelays.stream().noneMatch(relay -> relay.generation() > 0));
   }
 
   @Test
   public void aSingleRelayThatRejectsIsLeftOut() {
     Fleet fleet = new Fleet(20);
-    assertNull(fleet.deployments.propose("eve", "new limits", NEW, false, fleet.at(), 0));
+    assertNull(fleet.deployments.propose("eve", "new limits", NEW, false, fleet.now(), 0));
     Deployment deployment = fleet.deployments.pending();
     for (int i = 0; i < 20; i++) {
       fleet.deployments.reportValidation(
-          i, deployment.number, i == 4 ? "its disk is full" : "", fleet.at(), 0);
+          i, deployment.number, i == 4 ? "its disk is full" : "", fleet.now(), 0);
     }
     for (int stage = 0; stage < 3; stage++) {
-      fleet.carryOut();
-      fine(fleet, deployment);
-      fleet.pass(11_000);
+      fleet.applyDesiredStates();
+      reportNoWorse(fleet, deployment);
+      fleet.advance(11_000);
     }
     assertEquals(deployment.state(), State.DONE);
     assertEquals(fleet.countRunning(NEW), 19);
@@ -285,48 +284,49 @@
   }
 
   @Test
-  public void theRestartBudgetBoundsRelaysThatAreOut() {
+  public void theRestartBudgetLimitsUnavailableRelays() {
     Fleet fleet = new Fleet(20);
-    fleet.deployments.setRestartBudget(Map.of(0, 1, 1, 1), "", fleet.at(), 0);
+    fleet.deployments.setRestartBudget(Map.of(0, 1, 1, 1), "", fleet.now(), 0);
     Deployment deployment = fleet.propose();
-    fleet.carryOut();
-    fine(fleet, deployment);
-    fleet.wants.clear();
-    fleet.pass(11_000);
+    fleet.applyDesiredStates();
+    reportNoWorse(fleet, deployment);
+    fleet.pendingRelays.clear();
+    fleet.advance(11_000);
     assertTrue(
-        fleet.wants.size() <= 2,
-        fleet.wants.size() + " were told with room for one in each of two zones");
+        fleet.pendingRelays.size() <= 2,
+        fleet.pendingRelays.size() + " were notified with a budget of one in each of two zones");
+    // An unreachable relay uses up restart budget.
     fleet.deployments.reportUnreachable(
-        fleet.wants.get(0).number == 19 ? 18 : 19, fleet.at(), 0); // an outage takes up the room
+        fleet.pendingRelays.get(0).number == 19 ? 18 : 19, fleet.now(), 0);
     int before = deployment.updated().size();
-    fleet.carryOut();
+    fleet.applyDesiredStates();
     assertTrue(deployment.updated().size() >= before);
-    fleet.deployments.setRestartBudget(Map.of(0, 0, 1, 0), "", fleet.at(), 0);
+    fleet.deployments.setRestartBudget(Map.of(0, 0, 1, 0), "", fleet.now(), 0);
     before = deployment.updated().size();
-    fleet.carryOut();
-    fleet.pass(1000);
+    fleet.applyDesiredStates();
+    fleet.advance(1000);
     assertEquals(deployment.updated().size(), before);
   }
 
   @Test
   public void noRelayIsUpdatedDuringARolloutOrASurge() {
     Fleet fleet = new Fleet(20);
-    fleet.deployments.setRolloutInProgress(true, fleet.at(), 0);
+    fleet.deployments.setRolloutInProgress(true, fleet.now(), 0);
     Deployment deployment = fleet.propose();
     assertEquals(deployment.state(), State.CHECKED);
     assertTrue(
         fleet
             .deployments
-            .blockers(deployment, fleet.at())
+            .blockers(deployment, fleet.now())
             .contains("a build of the units to be off trial"));
-    fleet.deployments.setRolloutInProgress(false, fleet.at(), 0);
-    fleet.carryOut();
+    fleet.deployments.setRolloutInProgress(false, fleet.now(), 0);
+    fleet.applyDesiredStates();
     fleet.deployments.setRestartBudget(
-        Map.of(), "those that did not change serve 0.8", fleet.at(), 0);
-    fine(fleet, deployment);
-    fleet.pass(30_000);
+        Map.of(), "the relays that were not updated serve 0.8", fleet.now(), 0);
+    reportNoWorse(fleet, deployment);
+    fleet.advance(30_000);
     assertEquals(deployment.stage(), 0);
-    fleet.deployments.setRestartBudget(Map.of(), "", fleet.at(), 0);
+    fleet.deployments.setRestartBudget(Map.of(), "", fleet.now(), 0);
     assertEquals(deployment.stage(), 1);
   }
 
@@ -334,16 +334,17 @@
   public void aRollbackGoesOnWithoutBudgetOneRelayAtATime() {
     Fleet fleet = new Fleet(20);
     Deployment deployment = fleet.propose();
-    fleet.carryOut();
-    fine(fleet, deployment);
-    fleet.pass(11_000);
-    fleet.carryOut();
-    fleet.deployments.setRestartBudget(Map.of(0, 0, 1, 0), "a surge", fleet.at(), 0);
-    fleet.wants.clear();
+    fleet.applyDesiredStates();
+    reportNoWorse(fleet, deployment);
+    fleet.advance(11_000);
+    fleet.applyDesiredStates();
+    fleet.deployments.setRestartBudget(Map.of(0, 0, 1, 0), "a surge", fleet.now(), 0);
+    fleet.pendingRelays.clear();
     fleet.deployments.reportVerdict(
-        deployment.number, 1, Verdict.WORSE, "refused +0.2", fleet.at(), 0);
-    assertEquals(fleet.wants.size(), 2); // one of each zone
-    fleet.carryOut();
+        deployment.number, 1, Verdict.WORSE, "refused +0.2", fleet.now(), 0);
+    // One relay of each zone.
+    assertEquals(fleet.pendingRelays.size(), 2);
+    fleet.applyDesiredStates();
     assertEquals(deployment.state(), State.GIVEN_UP);
   }
 
@@ -351,20 +352,20 @@
   public void theProgressDeadlineEndsUnsureAndHeldDeployments() {
     Fleet fleet = new Fleet(20);
     Deployment deployment = fleet.propose();
-    fleet.carryOut();
-    fleet.pass(121_000);
+    fleet.applyDesiredStates();
+    fleet.advance(121_000);
     assertEquals(deployment.state(), State.GOING_BACK);
-    fleet.carryOut();
+    fleet.applyDesiredStates();
     assertEquals(deployment.state(), State.GIVEN_UP);
     Deployment next = fleet.propose();
-    fleet.carryOut();
+    fleet.applyDesiredStates();
     assertNull(
         fleet.deployments.command(
-            DeploymentManager.OperatorCommand.HOLD, next.number, "eve", "lunch", fleet.at(), 0));
-    fine(fleet, next);
-    fleet.pass(60_000);
+            DeploymentManager.OperatorCommand.HOLD, next.number, "eve", "lunch", fleet.now(), 0));
+    reportNoWorse(fleet, next);
+    fleet.advance(60_000);
     assertEquals(next.stage(), 0);
-    fleet.pass(61_000);
+    fleet.advance(61_000);
     assertEquals(next.state(), State.GOING_BACK);
     assertTrue(
         next.transitions()
@@ -378,15 +379,20 @@
     Fleet fleet = new Fleet(4);
     Deployment first = fleet.propose();
     Version third = new Version("c".repeat(64), "0".repeat(64));
-    assertNull(fleet.deployments.propose("bob", "more heap", third, false, fleet.at(), 0));
+    assertNull(fleet.deployments.propose("bob", "more heap", third, false, fleet.now(), 0));
     Deployment second = fleet.deployments.pending();
     assertNull(
         fleet.deployments.propose(
-            "bob", "less heap", new Version("d".repeat(64), "0".repeat(64)), false, fleet.at(), 0));
+            "bob",
+            "less heap",
+            new Version("d".repeat(64), "0".repeat(64)),
+            false,
+            fleet.now(),
+            0));
     assertEquals(second.state(), State.GIVEN_UP);
     assertEquals(first.state(), State.MOVING);
     assertEquals(
-        fleet.deployments.propose("bob", "again", NEW, false, fleet.at(), 0),
+        fleet.deployments.propose("bob", "again", NEW, false, fleet.now(), 0),
         "that is what relays run once change 1 is done");
     assertFalse(fleet.deployments.pending().state().isActive());
   }
@@ -396,8 +402,8 @@
     Fleet fleet = new Fleet(1);
     Deployment deployment = fleet.propose();
     for (int stage = 0; stage < 3; stage++) {
-      fleet.carryOut();
-      fleet.pass(11_000);
+      fleet.applyDesiredStates();
+      fleet.advance(11_000);
     }
     assertEquals(deployment.state(), State.DONE);
   }
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
@@ -9,16 +9,18 @@
 import java.util.SplittableRandom;
 
 /**
- * In simulated time: racks are inMaintenance while relays are cut off from the controller for
- * seconds to many minutes and it is restarted. Promises beside two ways without them. {@code
- * MaintenanceStudy [windows a size]}. A relay places one job a playSecond on each of ten racks.
+ * Simulates maintenance windows while relays are disconnected from the controller for seconds to
+ * many minutes and the controller restarts. Compares rack permits with strategies without permits
+ * or without looking ahead. Each relay places one job per second on each of ten racks. Usage:
+ * {@code MaintenanceStudy [WINDOWS]}, where WINDOWS is the number of windows for 100 relays or
+ * fewer.
  */
 public final class MaintenanceStudy {
-  private static final long SECOND = 1000;
-  private static final long MINUTE = 60 * SECOND;
-  private static final long NOTICE = 10 * MINUTE;
-  private static final long LONGEST_JOB = 5 * SECOND;
-  private static final int RACKS = 10;
+  private static final long SECOND_MS = 1000;
+  private static final long MINUTE_MS = 60 * SECOND_MS;
+  private static final long NOTICE_MS = 10 * MINUTE_MS;
+  private static final long LONGEST_JOB_MS = 5 * SECOND_MS;
+  private static final int RACK_COUNT = 10;
 
   private enum Strategy {
     PROMISES,
@@ -27,19 +29,19 @@
     STOP_AT_DOUBT
   }
 
-  /** One relay, as each strategy would have it. */
+  /** The state of a relay under all strategies. */
   private static final class Relay {
     private long disconnectedUntilMs;
-    private long holds;
-    private long heardMs;
-    private final long[] until = new long[RACKS];
-    private final boolean[] notifiedOfWindow = new boolean[RACKS];
+    private long heldSequence;
+    private long lastPermitMs;
+    private final long[] permittedUntilMs = new long[RACK_COUNT];
+    private final boolean[] notifiedOfWindow = new boolean[RACK_COUNT];
   }
 
   private static final class Outcome {
-    private double onFrozen;
-    private double ranInto;
-    private double lost;
+    private double jobsInWindow;
+    private double jobsRunningIntoWindow;
+    private double jobsNotPlaced;
   }
 
   private final SplittableRandom random;
@@ -47,91 +49,91 @@
   private final MaintenanceWindows windows;
   private PlacementGrants grants;
   private final Map<Strategy, Outcome> outcomes = new java.util.EnumMap<>(Strategy.class);
-  private final List<Double> delaysAfterAnnouncement = new ArrayList<>();
-  private final List<Double> delaysAfterStart = new ArrayList<>();
+  private final List<Double> delaysAfterAnnouncementS = new ArrayList<>();
+  private final List<Double> delaysAfterStartS = new ArrayList<>();
   private long requests;
   private double relaySeconds;
 
-  private MaintenanceStudy(int size, long seed) {
+  private MaintenanceStudy(int relayCount, long seed) {
     random = new SplittableRandom(seed);
-    relays = new Relay[size];
-    for (int i = 0; i < size; i++) {
+    relays = new Relay[relayCount];
+    for (int i = 0; i < relayCount; i++) {
       relays[i] = new Relay();
     }
     List<Rack> racks = new ArrayList<>();
-    for (int i = 0; i < RACKS; i++) {
-      racks.add(new Rack("r" + i, 1, i, Map.of(0, 10.0), NOTICE));
+    for (int i = 0; i < RACK_COUNT; i++) {
+      racks.add(new Rack("r" + i, 1, i, Map.of(0, 10.0), NOTICE_MS));
     }
     windows =
         new MaintenanceWindows(
-            new MaintenanceWindows.Rules(0, MINUTE, 0.95),
+            new MaintenanceWindows.Rules(0, MINUTE_MS, 0.95),
             new CapacityCheck(racks, Map.of(), 0),
             new MaintenanceWindows.Listener() {
               @Override
               public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
-                // read below
+                // The study reads the state of the window after each second.
               }
 
               @Override
               public void permitsChanged() {
-                // relays ask within a playSecond anyway
+                // Connected relays request permits every second anyway.
               }
             });
-    grants = new PlacementGrants(windows, -NOTICE);
+    grants = new PlacementGrants(windows, -NOTICE_MS);
     for (Strategy strategy : Strategy.values()) {
       outcomes.put(strategy, new Outcome());
     }
   }
 
-  private void run(int times) {
+  private void run(int windowCount) {
     long now = 0;
-    for (int i = 0; i < times; i++) {
-      String rack = "r" + random.nextInt(RACKS);
-      long ahead = random.nextInt(3) == 0 ? 30 * SECOND : 15 * MINUTE;
-      long announced = now;
-      AnnounceResult made =
+    for (int i = 0; i < windowCount; i++) {
+      String rack = "r" + random.nextInt(RACK_COUNT);
+      long aheadMs = random.nextInt(3) == 0 ? 30 * SECOND_MS : 15 * MINUTE_MS;
+      long announcedMs = now;
+      AnnounceResult result =
           windows.announce(
               new MaintenanceRequest(
-                  Set.of(rack), now + ahead, 5 * MINUTE, 0, "", "UTC", false, "ann", "x"),
+                  Set.of(rack), now + aheadMs, 5 * MINUTE_MS, 0, "", "UTC", false, "ann", "x"),
               now);
       MaintenanceWindow window =
-          windows.find(((AnnounceResult.Announced) made).windowNumbers().get(0));
-      long inForce = -1;
-      for (long end = window.endMs() + MINUTE; now < end; now += SECOND) {
-        playSecond(now);
-        if (inForce < 0 && window.state() == MaintenanceWindow.State.IN_FORCE) {
-          inForce = now;
-          if (ahead < NOTICE) {
-            delaysAfterAnnouncement.add((now - announced) / 1000.0);
+          windows.find(((AnnounceResult.Announced) result).windowNumbers().get(0));
+      long inForceMs = -1;
+      for (long end = window.endMs() + MINUTE_MS; now < end; now += SECOND_MS) {
+        simulateSecond(now);
+        if (inForceMs < 0 && window.state() == MaintenanceWindow.State.IN_FORCE) {
+          inForceMs = now;
+          if (aheadMs < NOTICE_MS) {
+            delaysAfterAnnouncementS.add((now - announcedMs) / 1000.0);
           } else {
-            delaysAfterStart.add((now - window.startMs()) / 1000.0);
+            delaysAfterStartS.add((now - window.startMs()) / 1000.0);
           }
         }
       }
     }
   }
 
-  private void playSecond(long now) {
+  private void simulateSecond(long now) {
     if (random.nextInt(1800) == 0) {
       grants = new PlacementGrants(windows, now);
     }
     for (int i = 0; i < relays.length; i++) {
       Relay relay = relays[i];
-      // each relay is cut off once in two hours, for two seconds to half an hour
+      // Each relay is disconnected once in two hours on average, for 2 s to 30 min.
       if (relay.disconnectedUntilMs <= now && random.nextInt(7200) == 0) {
         relay.disconnectedUntilMs =
-            now + (long) (2 * SECOND * Math.exp(random.nextDouble() * Math.log(900)));
+            now + (long) (2 * SECOND_MS * Math.exp(random.nextDouble() * Math.log(900)));
       }
       if (relay.disconnectedUntilMs > now) {
         continue;
       }
-      grants.recordRequest(i, relay.holds, now);
+      grants.recordRequest(i, relay.heldSequence, now);
       requests++;
-      relay.holds = windows.sequence();
-      relay.heardMs = now;
-      for (int r = 0; r < RACKS; r++) {
-        relay.until[r] = now + (long) (grants.permitDurationMs("r" + r, now) * 0.98);
-        relay.notifiedOfWindow[r] = inMaintenance("r" + r, now + SECOND);
+      relay.heldSequence = windows.sequence();
+      relay.lastPermitMs = now;
+      for (int r = 0; r < RACK_COUNT; r++) {
+        relay.permittedUntilMs[r] = now + (long) (grants.permitDurationMs("r" + r, now) * 0.98);
+        relay.notifiedOfWindow[r] = inMaintenance("r" + r, now + SECOND_MS);
       }
     }
     for (long number : grants.windowsWithPermitsReturned(now)) {
@@ -140,79 +142,91 @@
     windows.tick(now);
     for (Relay relay : relays) {
       relaySeconds++;
-      for (int r = 0; r < RACKS; r++) {
+      for (int r = 0; r < RACK_COUNT; r++) {
         boolean inForce = false;
-        boolean wanted = false;
-        long from = Long.MAX_VALUE;
-        for (MaintenanceWindow one : windows.all()) {
-          if (!one.racks.contains("r" + r)) {
+        boolean scheduled = false;
+        long nextStartMs = Long.MAX_VALUE;
+        for (MaintenanceWindow window : windows.all()) {
+          if (!window.racks.contains("r" + r)) {
             continue;
           }
-          inForce |= one.state() == MaintenanceWindow.State.IN_FORCE;
-          wanted |= now >= one.startMs() && now < one.endMs();
-          if (one.state().isOpen() && one.startMs() > now) {
-            from = Math.min(from, one.startMs());
+          inForce |= window.state() == MaintenanceWindow.State.IN_FORCE;
+          scheduled |= now >= window.startMs() && now < window.endMs();
+          if (window.state().isOpen() && window.startMs() > now) {
+            nextStartMs = Math.min(nextStartMs, window.startMs());
           }
         }
-        place(Strategy.PROMISES, now + LONGEST_JOB <= relay.until[r], inForce, wanted, false);
+        place(
+            Strategy.PROMISES,
+            now + LONGEST_JOB_MS <= relay.permittedUntilMs[r],
+            inForce,
+            scheduled,
+            false);
         place(
             Strategy.NO_LOOK_AHEAD,
-            now < relay.until[r],
+            now < relay.permittedUntilMs[r],
             inForce,
-            wanted,
-            from - now < LONGEST_JOB);
-        // the fleet takes the rack at its time, whoever was told
+            scheduled,
+            nextStartMs - now < LONGEST_JOB_MS);
+        // Maintenance begins at the scheduled start, even if some relays were not notified.
         place(
             Strategy.BROADCAST,
             !relay.notifiedOfWindow[r],
-            wanted,
-            wanted,
-            from - now < LONGEST_JOB);
+            scheduled,
+            scheduled,
+            nextStartMs - now < LONGEST_JOB_MS);
         place(
             Strategy.STOP_AT_DOUBT,
-            !relay.notifiedOfWindow[r] && now - relay.heardMs < 3 * SECOND,
-            wanted,
-            wanted,
-            from - now < LONGEST_JOB);
+            !relay.notifiedOfWindow[r] && now - relay.lastPermitMs < 3 * SECOND_MS,
+            scheduled,
+            scheduled,
+            nextStartMs - now < LONGEST_JOB_MS);
       }
     }
   }
 
   private boolean inMaintenance(String rack, long now) {
     return windows.all().stream()
-        .anyMatch(one -> one.racks.contains(rack) && now >= one.startMs() && now < one.endMs());
+        .anyMatch(
+            window ->
+                window.racks.contains(rack) && now >= window.startMs() && now < window.endMs());
   }
 
   private void place(
-      Strategy strategy, boolean places, boolean inMaintenance, boolean wanted, boolean runsInto) {
+      Strategy strategy,
+      boolean places,
+      boolean inMaintenance,
+      boolean scheduled,
+      boolean runsIntoWindow) {
     Outcome outcome = outcomes.get(strategy);
     if (places && inMaintenance) {
-      outcome.onFrozen++;
+      outcome.jobsInWindow++;
     }
-    if (places && runsInto) {
-      outcome.ranInto += 0.5; // a job of half the longest, in the mean
+    if (places && runsIntoWindow) {
+      // A job lasts half the longest duration on average.
+      outcome.jobsRunningIntoWindow += 0.5;
     }
-    if (!places && !wanted) {
-      outcome.lost++;
+    if (!places && !scheduled) {
+      outcome.jobsNotPlaced++;
     }
   }
 
   public static void main(String[] args) {
-    int times = args.length > 0 ? Integer.parseInt(args[0]) : 40;
+    int windowCount = args.length > 0 ? Integer.parseInt(args[0]) : 40;
     System.out.println(
         "ten racks, notice 10 min, each relay cut off once in two hours for 2 s to 30 min, the controller restarted once in half an hour; a job a relay, rack and second");
-    for (int size : new int[] {10, 100, 300, 1000}) {
-      MaintenanceStudy study = new MaintenanceStudy(size, 5);
-      study.run(Math.max(6, times * 100 / Math.max(100, size)));
+    for (int relayCount : new int[] {10, 100, 300, 1000}) {
+      MaintenanceStudy study = new MaintenanceStudy(relayCount, 5);
+      study.run(Math.max(6, windowCount * 100 / Math.max(100, relayCount)));
       StringBuilder line =
           new StringBuilder(
               String.format(
                   Locale.ROOT,
                   "%5d relays, %d freezes: in force after its time (announced 15 min ahead) %s; after the announcement (30 s ahead) %s; %.2f asks a relay and second",
-                  size,
+                  relayCount,
                   study.windows.all().size(),
-                  spread(study.delaysAfterStart),
-                  spread(study.delaysAfterAnnouncement),
+                  formatMedianAndWorst(study.delaysAfterStartS),
+                  formatMedianAndWorst(study.delaysAfterAnnouncementS),
                   study.requests / study.relaySeconds));
       System.out.println(line);
       study.outcomes.forEach(
@@ -221,14 +235,14 @@
                   Locale.ROOT,
                   "    %-14s jobs on frozen racks %.0f, running into a window %.0f, not placed where they might be %.3f%%%n",
                   strategy.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                  outcome.onFrozen,
-                  outcome.ranInto,
-                  100 * outcome.lost / study.relaySeconds / RACKS));
+                  outcome.jobsInWindow,
+                  outcome.jobsRunningIntoWindow,
+                  100 * outcome.jobsNotPlaced / study.relaySeconds / RACK_COUNT));
     }
   }
 
-  private static String spread(List<Double> all) {
-    double[] sorted = all.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+  private static String formatMedianAndWorst(List<Double> seconds) {
+    double[] sorted = seconds.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     return sorted.length == 0
         ? "-"
         : String.format(
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceWindowsTest.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceWindowsTest.java
@@ -17,13 +17,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Windows of four racks in two zones: what is accepted, delayed, refused, held; and that none is in
- * force while a relay holds a grant into it.
+ * Windows of four racks in two zones: which are accepted, delayed, refused and held, and that none
+ * is in force while a relay holds a rack permit into it.
  */
 public class MaintenanceWindowsTest {
-  private static final long MINUTE = 60_000;
-  private static final long HOUR = 60 * MINUTE;
-  private static final long NOTICE = 10 * MINUTE;
+  private static final long MINUTE_MS = 60_000;
+  private static final long HOUR_MS = 60 * MINUTE_MS;
+  private static final long NOTICE_MS = 10 * MINUTE_MS;
   private final List<String> steps = new ArrayList<>();
   private MaintenanceWindows windows;
   private PlacementGrants grants;
@@ -36,10 +36,10 @@
   }
 
   /**
-   * A relay request, holding what it was told by some state; whoever has given everything back by
-   * then is noted, as the door does.
+   * Requests permits for a relay that holds those of a sequence number. Then reports the windows
+   * whose permits are all returned, as the controller's server does.
    */
-  private void request(int relay, long heldSequence, long now) {
+  private void requestPermits(int relay, long heldSequence, long now) {
     grants.recordRequest(relay, heldSequence, now);
     grants.windowsWithPermitsReturned(now).forEach(number -> windows.permitsReturned(number, now));
   }
@@ -47,18 +47,19 @@
   private MaintenanceWindows newWindows() {
     List<Rack> racks =
         List.of(
-            new Rack("a1", 1, 1, Map.of(2, 10.0), NOTICE),
-            new Rack("a2", 1, 2, Map.of(2, 10.0), NOTICE),
-            new Rack("a3", 1, 3, Map.of(2, 5.0), NOTICE),
-            new Rack("b1", 2, 1, Map.of(2, 10.0), 24 * HOUR));
-    double[] needs = new double[24];
-    Arrays.fill(needs, 10);
-    needs[12] = 20; // noon
-    CapacityCheck room =
-        new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
+            new Rack("a1", 1, 1, Map.of(2, 10.0), NOTICE_MS),
+            new Rack("a2", 1, 2, Map.of(2, 10.0), NOTICE_MS),
+            new Rack("a3", 1, 3, Map.of(2, 5.0), NOTICE_MS),
+            new Rack("b1", 2, 1, Map.of(2, 10.0), 24 * HOUR_MS));
+    double[] requiredByHour = new double[24];
+    Arrays.fill(requiredByHour, 10);
+    // The load is highest at noon.
+    requiredByHour[12] = 20;
+    CapacityCheck capacityCheck =
+        new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, requiredByHour)), 0.2);
     return new MaintenanceWindows(
-        new MaintenanceWindows.Rules(5 * MINUTE, 15 * MINUTE, 0.95),
-        room,
+        new MaintenanceWindows.Rules(5 * MINUTE_MS, 15 * MINUTE_MS, 0.95),
+        capacityCheck,
         new MaintenanceWindows.Listener() {
           @Override
           public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
@@ -67,17 +68,18 @@
 
           @Override
           public void permitsChanged() {
-            // told by the sequence
+            // The tests read the sequence number instead.
           }
         });
   }
 
-  private MaintenanceWindow announce(String rack, long from, long lasts, long slack, long now) {
+  private MaintenanceWindow announce(
+      String rack, long startMs, long durationMs, long slackMs, long nowMs) {
     AnnounceResult result =
         windows.announce(
             new MaintenanceRequest(
-                Set.of(rack), from, lasts, slack, "", "UTC", false, "ann", "new switch"),
-            now);
+                Set.of(rack), startMs, durationMs, slackMs, "", "UTC", false, "ann", "new switch"),
+            nowMs);
     return windows.find(((AnnounceResult.Announced) result).windowNumbers().get(0));
   }
 
@@ -85,147 +87,152 @@
     return ((AnnounceResult.Rejected) result).reason();
   }
 
-  private void assertSteps(String... words) {
-    assertEquals(steps, List.of(words));
+  private void assertSteps(String... expected) {
+    assertEquals(steps, List.of(expected));
     steps.clear();
   }
 
   @Test
   public void announcedInTimeIsInForceAtItsStartWithDisconnectedRelays() {
-    announce("a1", HOUR, HOUR, 0, 0);
-    request(7, 0, 1000); // heldSequence an old promise, and is never assertSteps again
-    assertEquals(grants.permitDurationMs("a1", HOUR - MINUTE), MINUTE);
-    assertEquals(grants.permitDurationMs("a2", HOUR - MINUTE), NOTICE);
-    windows.tick(HOUR - 1);
+    announce("a1", HOUR_MS, HOUR_MS, 0, 0);
+    // Relay 7 holds permits from before the window and never requests again.
+    requestPermits(7, 0, 1000);
+    assertEquals(grants.permitDurationMs("a1", HOUR_MS - MINUTE_MS), MINUTE_MS);
+    assertEquals(grants.permitDurationMs("a2", HOUR_MS - MINUTE_MS), NOTICE_MS);
+    windows.tick(HOUR_MS - 1);
     assertSteps("1 ANNOUNCED", "1 ACCEPTED");
-    windows.tick(HOUR);
-    windows.tick(2 * HOUR);
-    windows.tick(2 * HOUR + 5 * MINUTE);
+    windows.tick(HOUR_MS);
+    windows.tick(2 * HOUR_MS);
+    windows.tick(2 * HOUR_MS + 5 * MINUTE_MS);
     assertSteps("1 DRAINING", "1 IN_FORCE", "1 ENDING", "1 ENDED");
-    assertEquals(grants.permitDurationMs("a1", 3 * HOUR), NOTICE);
+    assertEquals(grants.permitDurationMs("a1", 3 * HOUR_MS), NOTICE_MS);
   }
 
   @Test
-  public void atShortNoticeWaitsUntilEachGrantIsReturnedOrExpires() {
-    grants = new PlacementGrants(windows, -HOUR);
-    request(7, 0, 0);
-    request(8, 0, 0);
-    MaintenanceWindow window = announce("a1", MINUTE, HOUR, 0, 0);
-    windows.tick(2 * MINUTE);
-    assertEquals(grants.outstandingRelays(window, 2 * MINUTE), Set.of(7, 8));
+  public void atShortNoticeWaitsUntilEachPermitIsReturnedOrExpires() {
+    grants = new PlacementGrants(windows, -HOUR_MS);
+    requestPermits(7, 0, 0);
+    requestPermits(8, 0, 0);
+    MaintenanceWindow window = announce("a1", MINUTE_MS, HOUR_MS, 0, 0);
+    windows.tick(2 * MINUTE_MS);
+    assertEquals(grants.outstandingRelays(window, 2 * MINUTE_MS), Set.of(7, 8));
     assertSteps("1 ANNOUNCED", "1 ACCEPTED", "1 DRAINING");
-    request(7, windows.sequence(), 3 * MINUTE);
+    requestPermits(7, windows.sequence(), 3 * MINUTE_MS);
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
-    request(8, windows.sequence(), 4 * MINUTE);
+    requestPermits(8, windows.sequence(), 4 * MINUTE_MS);
     assertSteps("1 IN_FORCE");
   }
 
   @Test
-  public void afterARestartWaitsUntilUnknownGrantsExpire() {
-    MaintenanceWindow window = announce("a1", MINUTE, HOUR, 0, 0);
-    windows.tick(MINUTE);
-    request(7, windows.sequence(), MINUTE);
-    windows.tick(NOTICE - 1);
+  public void afterARestartWaitsUntilUnknownPermitsExpire() {
+    MaintenanceWindow window = announce("a1", MINUTE_MS, HOUR_MS, 0, 0);
+    windows.tick(MINUTE_MS);
+    requestPermits(7, windows.sequence(), MINUTE_MS);
+    windows.tick(NOTICE_MS - 1);
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
-    assertEquals(grants.outstandingRelays(window, NOTICE - 1), Set.of(-1));
-    windows.tick(NOTICE);
+    assertEquals(grants.outstandingRelays(window, NOTICE_MS - 1), Set.of(-1));
+    windows.tick(NOTICE_MS);
     assertEquals(window.state(), MaintenanceWindow.State.IN_FORCE);
   }
 
   @Test
   public void emergencyBeginsAtOnceAndIsInForceOnceAllRelaysKnow() {
-    grants = new PlacementGrants(windows, -HOUR);
-    request(7, 0, 0);
+    grants = new PlacementGrants(windows, -HOUR_MS);
+    requestPermits(7, 0, 0);
     windows.announce(
         new MaintenanceRequest(
-            Set.of("a1", "a2", "a3"), 0, HOUR, 0, "", "UTC", true, "ann", "smoke"),
+            Set.of("a1", "a2", "a3"), 0, HOUR_MS, 0, "", "UTC", true, "ann", "smoke"),
         1000);
     assertEquals(grants.permitDurationMs("a1", 1000), 0);
-    request(7, windows.sequence(), 2000);
+    requestPermits(7, windows.sequence(), 2000);
     assertSteps("1 ANNOUNCED", "1 ACCEPTED", "1 DRAINING", "1 IN_FORCE");
   }
 
   @Test
   public void withoutCapacityDelayedWithinItsSlackOrRefused() {
-    announce("a1", 11 * HOUR + 30 * MINUTE, 10 * MINUTE, 0, 0); // 15 of 12 are left
+    // 15 endpoints are left, and 12 are required.
+    announce("a1", 11 * HOUR_MS + 30 * MINUTE_MS, 10 * MINUTE_MS, 0, 0);
     assertSteps("1 ANNOUNCED", "1 ACCEPTED");
-    MaintenanceWindow late = announce("a1", 12 * HOUR + 10 * MINUTE, 10 * MINUTE, 2 * HOUR, 0);
-    assertEquals(late.startMs(), 13 * HOUR + 10 * MINUTE);
+    MaintenanceWindow late =
+        announce("a1", 12 * HOUR_MS + 10 * MINUTE_MS, 10 * MINUTE_MS, 2 * HOUR_MS, 0);
+    assertEquals(late.startMs(), 13 * HOUR_MS + 10 * MINUTE_MS);
     assertTrue(
         late.steps().get(1).cause().startsWith("delayed by 60 min: zone 1 at 12:00 UTC needs 24.0"),
         late.steps().get(1).cause());
-    MaintenanceWindow refused = announce("a2", 12 * HOUR, 10 * MINUTE, 0, 0);
+    MaintenanceWindow refused = announce("a2", 12 * HOUR_MS, 10 * MINUTE_MS, 0, 0);
     assertEquals(refused.state(), MaintenanceWindow.State.REFUSED);
   }
 
   @Test
   public void refusesTwoThatFitOnlySingly() {
-    announce("a1", HOUR, HOUR, 0, 0);
-    MaintenanceWindow second = announce("a2", HOUR + 30 * MINUTE, HOUR, 0, 0);
+    announce("a1", HOUR_MS, HOUR_MS, 0, 0);
+    MaintenanceWindow second = announce("a2", HOUR_MS + 30 * MINUTE_MS, HOUR_MS, 0, 0);
     assertEquals(second.state(), MaintenanceWindow.State.REFUSED);
     assertEquals(
-        announce("b1", HOUR, HOUR, 0, 0).state(),
+        announce("b1", HOUR_MS, HOUR_MS, 0, 0).state(),
         MaintenanceWindow.State.ACCEPTED); // of another zone
-    // the first one's units come back cold at two: the second fits five minutes later
+    // The endpoints of the first window's rack are cold until five minutes after two. The second
+    // window fits in the first step of 15 minutes after that.
     assertEquals(
-        announce("a2", 2 * HOUR, 30 * MINUTE, 30 * MINUTE, 0).startMs(), 2 * HOUR + 15 * MINUTE);
+        announce("a2", 2 * HOUR_MS, 30 * MINUTE_MS, 30 * MINUTE_MS, 0).startMs(),
+        2 * HOUR_MS + 15 * MINUTE_MS);
   }
 
   @Test
   public void heldWhenItNoLongerFitsAndForcedByTwoOperators() {
-    MaintenanceWindow window = announce("a1", HOUR, HOUR, 0, 0);
-    windows.setRackDown("a2", true, 30 * MINUTE);
+    MaintenanceWindow window = announce("a1", HOUR_MS, HOUR_MS, 0, 0);
+    windows.setRackDown("a2", true, 30 * MINUTE_MS);
     assertEquals(window.state(), MaintenanceWindow.State.HELD);
-    assertEquals(grants.permitDurationMs("a1", HOUR - MINUTE), NOTICE);
-    windows.tick(HOUR);
+    assertEquals(grants.permitDurationMs("a1", HOUR_MS - MINUTE_MS), NOTICE_MS);
+    windows.tick(HOUR_MS);
     assertEquals(window.state(), MaintenanceWindow.State.HELD);
-    assertNull(windows.force(1, "ann", "must be", HOUR));
-    assertNull(windows.force(1, "ann", "really", HOUR));
+    assertNull(windows.force(1, "ann", "must be", HOUR_MS));
+    assertNull(windows.force(1, "ann", "really", HOUR_MS));
     assertEquals(window.state(), MaintenanceWindow.State.HELD);
-    assertNull(windows.force(1, "bob", "agreed", HOUR + MINUTE));
+    assertNull(windows.force(1, "bob", "agreed", HOUR_MS + MINUTE_MS));
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
-    windows.tick(HOUR + MINUTE + NOTICE);
+    windows.tick(HOUR_MS + MINUTE_MS + NOTICE_MS);
     assertEquals(window.state(), MaintenanceWindow.State.IN_FORCE);
-    assertEquals(windows.force(1, "eve", "again", HOUR), "freeze 1 is not held: IN_FORCE");
+    assertEquals(windows.force(1, "eve", "again", HOUR_MS), "freeze 1 is not held: IN_FORCE");
   }
 
   @Test
   public void heldIsAcceptedOnceItFitsOrRefusedAtItsEnd() {
-    MaintenanceWindow window = announce("a1", HOUR, HOUR, 0, 0);
-    windows.setCanaryShare(0.5, MINUTE);
+    MaintenanceWindow window = announce("a1", HOUR_MS, HOUR_MS, 0, 0);
+    windows.setCanaryShare(0.5, MINUTE_MS);
     assertEquals(window.state(), MaintenanceWindow.State.HELD);
-    windows.setCanaryShare(0, 2 * MINUTE);
+    windows.setCanaryShare(0, 2 * MINUTE_MS);
     assertEquals(window.state(), MaintenanceWindow.State.ACCEPTED);
-    windows.setCanaryShare(0.5, 3 * MINUTE);
-    windows.tick(2 * HOUR);
+    windows.setCanaryShare(0.5, 3 * MINUTE_MS);
+    windows.tick(2 * HOUR_MS);
     assertEquals(window.state(), MaintenanceWindow.State.REFUSED);
   }
 
   @Test
   public void cancelAndExtend() {
-    MaintenanceWindow first = announce("a1", HOUR, HOUR, 0, 0);
-    assertNull(windows.cancel(1, "ann", "rain", MINUTE));
+    MaintenanceWindow first = announce("a1", HOUR_MS, HOUR_MS, 0, 0);
+    assertNull(windows.cancel(1, "ann", "rain", MINUTE_MS));
     assertEquals(first.state(), MaintenanceWindow.State.CALLED_OFF);
-    MaintenanceWindow second = announce("a1", HOUR, HOUR, 0, MINUTE);
-    windows.tick(HOUR);
-    assertNull(windows.extend(2, 3 * HOUR, "ann", "a screw", HOUR));
+    MaintenanceWindow second = announce("a1", HOUR_MS, HOUR_MS, 0, MINUTE_MS);
+    windows.tick(HOUR_MS);
+    assertNull(windows.extend(2, 3 * HOUR_MS, "ann", "a screw", HOUR_MS));
     assertTrue(
         windows
-            .extend(2, 13 * HOUR, "ann", "lost it", HOUR)
+            .extend(2, 13 * HOUR_MS, "ann", "lost it", HOUR_MS)
             .startsWith("there is no room for that: zone 1 at 12:00"));
-    assertNull(windows.cancel(2, "ann", "done", 2 * HOUR));
+    assertNull(windows.cancel(2, "ann", "done", 2 * HOUR_MS));
     assertEquals(second.state(), MaintenanceWindow.State.ENDING);
-    assertEquals(grants.permitDurationMs("a1", 2 * HOUR), NOTICE);
+    assertEquals(grants.permitDurationMs("a1", 2 * HOUR_MS), NOTICE_MS);
   }
 
-  /** A relay that hears nothing goes on with what was promised for longer. */
+  /** A disconnected relay keeps using its permit for a rack until the rack's longer notice ends. */
   @Test
   public void usesTheLongerNoticeOfARack() {
-    assertEquals(grants.permitDurationMs("b1", 0), 24 * HOUR);
-    MaintenanceWindow window = announce("b1", HOUR, 30 * HOUR, 0, 0);
-    windows.tick(24 * HOUR - 1);
+    assertEquals(grants.permitDurationMs("b1", 0), 24 * HOUR_MS);
+    MaintenanceWindow window = announce("b1", HOUR_MS, 30 * HOUR_MS, 0, 0);
+    windows.tick(24 * HOUR_MS - 1);
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
-    windows.tick(24 * HOUR);
+    windows.tick(24 * HOUR_MS);
     assertEquals(window.state(), MaintenanceWindow.State.IN_FORCE);
   }
 
@@ -233,21 +240,21 @@
   public void recurringWindowsKeepTheirTimeOfDayWhenClocksChange() {
     ZoneId zone = ZoneId.of("Europe/Berlin");
     long first = LocalDateTime.of(2027, 3, 26, 2, 30).atZone(zone).toInstant().toEpochMilli();
-    List<Long> begins =
+    List<Long> starts =
         RecurrenceExpander.expand(first, first, "FREQ=DAILY;COUNT=5", "Europe/Berlin");
-    List<String> local =
-        begins.stream()
+    List<String> localTimes =
+        starts.stream()
             .map(ms -> java.time.Instant.ofEpochMilli(ms).atZone(zone).toLocalDateTime().toString())
             .toList();
     assertEquals(
-        local,
+        localTimes,
         List.of(
             "2027-03-26T02:30",
             "2027-03-27T02:30",
             "2027-03-28T03:30",
             "2027-03-29T02:30",
             "2027-03-30T02:30"));
-    assertEquals(begins.get(3) - begins.get(2), 23 * HOUR);
+    assertEquals(starts.get(3) - starts.get(2), 23 * HOUR_MS);
   }
 
   @Test
@@ -256,46 +263,57 @@
         rejection(
                 windows.announce(
                     new MaintenanceRequest(
-                        Set.of("zz"), HOUR, HOUR, 0, "", "UTC", false, "ann", "x"),
+                        Set.of("zz"), HOUR_MS, HOUR_MS, 0, "", "UTC", false, "ann", "x"),
                     0))
             .startsWith("no rack is called [zz]; there are [a1"));
     assertTrue(
         rejection(
                 windows.announce(
                     new MaintenanceRequest(
-                        Set.of("a1"), HOUR, HOUR, 0, "FREQ=OFTEN", "UTC", false, "ann", "x"),
+                        Set.of("a1"), HOUR_MS, HOUR_MS, 0, "FREQ=OFTEN", "UTC", false, "ann", "x"),
                     0))
             .startsWith("\"FREQ=OFTEN\" is no rule"));
     assertTrue(
         rejection(
                 windows.announce(
                     new MaintenanceRequest(
-                        Set.of("a1"), HOUR, HOUR, 0, "FREQ=DAILY", "Mars/North", false, "ann", "x"),
+                        Set.of("a1"),
+                        HOUR_MS,
+                        HOUR_MS,
+                        0,
+                        "FREQ=DAILY",
+                        "Mars/North",
+                        false,
+                        "ann",
+                        "x"),
                     0))
             .startsWith("\"Mars/North\" is no time zone"));
     assertEquals(
         rejection(
             windows.announce(
-                new MaintenanceRequest(Set.of("a1"), HOUR, 0, 0, "", "UTC", false, "ann", "x"), 0)),
+                new MaintenanceRequest(Set.of("a1"), HOUR_MS, 0, 0, "", "UTC", false, "ann", "x"),
+                0)),
         "a window lasts longer than no time");
     assertEquals(windows.cancel(9, "ann", "x", 0), "no freeze 9 is known");
   }
 
   /**
-   * Relays that hear seldom, late or not, over starts of the controller: each counts what it was
-   * promised from before it asked; none ever heldSequence a promise for a rack that is in force.
+   * Relays request permits seldom, lose answers or are disconnected, and the controller restarts.
+   * Each relay counts its permit from its request. No relay ever holds a permit for a rack whose
+   * window is in force.
    */
   @Test
-  public void noRelayHoldsAGrantIntoAWindowInForce() {
+  public void noRelayHoldsAPermitIntoAWindowInForce() {
     int inForce = 0;
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
       windows = newWindows();
       grants = new PlacementGrants(windows, 0);
-      Map<Integer, Long> until = new TreeMap<>(); // by relay, for rack a1
-      Map<Integer, Long> heldSequence = new TreeMap<>();
-      for (long now = 0; now < 3 * HOUR; now += MINUTE / 2) {
-        long at = now;
+      // By relay, the end of the permit for rack a1.
+      Map<Integer, Long> permittedUntilMs = new TreeMap<>();
+      Map<Integer, Long> heldSequences = new TreeMap<>();
+      for (long now = 0; now < 3 * HOUR_MS; now += MINUTE_MS / 2) {
+        long nowMs = now;
         if (random.nextInt(120) == 0) {
           grants = new PlacementGrants(windows, now);
         }
@@ -303,8 +321,8 @@
           windows.announce(
               new MaintenanceRequest(
                   Set.of("a1"),
-                  now + random.nextInt(30) * MINUTE,
-                  (1 + random.nextInt(40)) * MINUTE,
+                  now + random.nextInt(30) * MINUTE_MS,
+                  (1 + random.nextInt(40)) * MINUTE_MS,
                   0,
                   "",
                   "UTC",
@@ -320,79 +338,81 @@
           windows.setRackDown("a2", random.nextBoolean(), now);
         }
         for (int relay = 0; relay < 4; relay++) {
-          boolean cut = random.nextInt(4) > 0 || relay == 3 && now > HOUR && now < 2 * HOUR;
-          if (cut) {
+          boolean disconnected =
+              random.nextInt(4) > 0 || relay == 3 && now > HOUR_MS && now < 2 * HOUR_MS;
+          if (disconnected) {
             continue;
           }
-          request(relay, heldSequence.getOrDefault(relay, 0L), now);
-          long left = grants.permitDurationMs("a1", now);
+          requestPermits(relay, heldSequences.getOrDefault(relay, 0L), now);
+          long permitMs = grants.permitDurationMs("a1", now);
+          // The answer is lost.
           if (random.nextInt(5) == 0) {
-            continue; // the answer is lost
+            continue;
           }
-          until.put(relay, now + left);
-          heldSequence.put(relay, windows.sequence());
+          permittedUntilMs.put(relay, now + permitMs);
+          heldSequences.put(relay, windows.sequence());
         }
         windows.tick(now);
-        boolean frozen =
-            windows.all().stream().anyMatch(one -> one.state() == MaintenanceWindow.State.IN_FORCE);
-        if (frozen) {
+        boolean anyInForce =
+            windows.all().stream()
+                .anyMatch(window -> window.state() == MaintenanceWindow.State.IN_FORCE);
+        if (anyInForce) {
           inForce++;
         }
-        if (frozen) {
-          until.forEach(
+        if (anyInForce) {
+          permittedUntilMs.forEach(
               (relay, end) ->
                   assertTrue(
-                      end <= at, "relay " + relay + " may place until " + end + " at " + at));
+                      end <= nowMs, "relay " + relay + " may place until " + end + " at " + nowMs));
         }
       }
     }
-    assertTrue(inForce > 5000, "hardly ever in force: " + inForce);
+    assertTrue(inForce > 5000, "a window was in force in only " + inForce + " steps");
   }
 
   /**
-   * Of so many words only the last steps are kept; by which step it binds is not forgotten with
-   * them.
+   * A window with many commands keeps only its last steps. It must not forget the sequence number
+   * of its acceptance when that step is dropped.
    */
   @Test
-  public void extendedOftenStillWaitsForEarlierGrants() {
-    grants = new PlacementGrants(windows, -HOUR);
-    request(7, 0, 0);
-    MaintenanceWindow window = announce("a1", MINUTE, HOUR, 0, 0);
-    windows.tick(2 * MINUTE);
+  public void extendedOftenStillWaitsForEarlierPermits() {
+    grants = new PlacementGrants(windows, -HOUR_MS);
+    requestPermits(7, 0, 0);
+    MaintenanceWindow window = announce("a1", MINUTE_MS, HOUR_MS, 0, 0);
+    windows.tick(2 * MINUTE_MS);
     for (int i = 1; i <= 2 * MaintenanceWindow.MAX_STEPS; i++) {
       assertNull(
           windows.extend(
-              window.number, MINUTE + HOUR + i * 1000, "ann", "not done yet", 2 * MINUTE));
+              window.number, MINUTE_MS + HOUR_MS + i * 1000, "ann", "not done yet", 2 * MINUTE_MS));
     }
     assertEquals(window.steps().size(), MaintenanceWindow.MAX_STEPS);
-    request(8, windows.sequence(), 3 * MINUTE);
-    assertEquals(grants.outstandingRelays(window, 3 * MINUTE), Set.of(7));
+    requestPermits(8, windows.sequence(), 3 * MINUTE_MS);
+    assertEquals(grants.outstandingRelays(window, 3 * MINUTE_MS), Set.of(7));
     assertEquals(window.state(), MaintenanceWindow.State.DRAINING);
   }
 
-  /**
-   * Whatever happens in whatever order: what is kept as it changes is what a assertMatchesFullScan
-   * through everything finds.
-   */
+  /** After random events in random order, the indexes give the same results as a full scan. */
   @Test
   public void indexMatchesAFullScan() {
     for (int seed = 0; seed < 40; seed++) {
       create();
       Random random = new Random(seed);
-      Map<Integer, long[]> heldByRelay = new TreeMap<>(); // state, since
+      // By relay, the sequence number of the permits that it holds and the time of its request.
+      Map<Integer, long[]> heldByRelay = new TreeMap<>();
       long now = 0;
-      grants = new PlacementGrants(windows, -NOTICE);
+      grants = new PlacementGrants(windows, -NOTICE_MS);
       for (int i = 0; i < 400; i++) {
-        now += random.nextInt(4) == 0 ? random.nextInt((int) (20 * MINUTE)) : random.nextInt(5000);
-        int choice = random.nextInt(20);
+        now +=
+            random.nextInt(4) == 0 ? random.nextInt((int) (20 * MINUTE_MS)) : random.nextInt(5000);
+        int event = random.nextInt(20);
         String rack = new String[] {"a1", "a2", "a3", "b1"}[random.nextInt(4)];
-        long some = 1 + random.nextInt(Math.max(1, windows.all().size()));
-        if (choice == 0) {
+        long windowNumber = 1 + random.nextInt(Math.max(1, windows.all().size()));
+        if (event == 0) {
           windows.announce(
               new MaintenanceRequest(
                   Set.of(rack),
-                  now + random.nextInt((int) HOUR),
-                  MINUTE + random.nextInt((int) HOUR),
+                  now + random.nextInt((int) HOUR_MS),
+                  MINUTE_MS + random.nextInt((int) HOUR_MS),
                   0,
                   "",
                   "UTC",
@@ -400,30 +420,30 @@
                   "ann",
                   "x"),
               now);
-        } else if (choice == 1) {
-          windows.cancel(some, "ann", "x", now);
-        } else if (choice == 2 && windows.find(some) != null) {
+        } else if (event == 1) {
+          windows.cancel(windowNumber, "ann", "x", now);
+        } else if (event == 2 && windows.find(windowNumber) != null) {
           windows.extend(
-              some,
-              windows.find(some).endMs() + random.nextInt((int) (30 * MINUTE)),
+              windowNumber,
+              windows.find(windowNumber).endMs() + random.nextInt((int) (30 * MINUTE_MS)),
               "ann",
               "x",
               now);
-        } else if (choice == 3) {
+        } else if (event == 3) {
           windows.setRackDown(rack, random.nextBoolean(), now);
-        } else if (choice == 4) {
-          windows.force(some, random.nextBoolean() ? "ann" : "bob", "x", now);
-        } else if (choice == 5) {
+        } else if (event == 4) {
+          windows.force(windowNumber, random.nextBoolean() ? "ann" : "bob", "x", now);
+        } else if (event == 5) {
           windows.tick(now);
         } else {
           int relay = random.nextInt(8);
           long heldSequence = Math.max(0, windows.sequence() - random.nextInt(6));
           grants.recordRequest(relay, heldSequence, now);
-          long before =
-              heldByRelay.containsKey(relay) && now - heldByRelay.get(relay)[1] <= 24 * HOUR
+          long previousSequence =
+              heldByRelay.containsKey(relay) && now - heldByRelay.get(relay)[1] <= 24 * HOUR_MS
                   ? heldByRelay.get(relay)[0]
                   : 0;
-          heldByRelay.put(relay, new long[] {Math.max(heldSequence, before), now});
+          heldByRelay.put(relay, new long[] {Math.max(heldSequence, previousSequence), now});
         }
         assertMatchesFullScan(heldByRelay, now, "seed " + seed + ", step " + i);
         if (random.nextInt(3) == 0) {
@@ -437,61 +457,64 @@
 
   private void assertMatchesFullScan(Map<Integer, long[]> heldByRelay, long now, String where) {
     boolean due = false;
-    List<Long> cleared = new ArrayList<>();
-    Map<String, Long> free =
-        new TreeMap<>(Map.of("a1", NOTICE, "a2", NOTICE, "a3", NOTICE, "b1", 24 * HOUR));
-    for (MaintenanceWindow one : windows.all()) {
+    List<Long> withPermitsReturned = new ArrayList<>();
+    Map<String, Long> permitMsByRack =
+        new TreeMap<>(
+            Map.of("a1", NOTICE_MS, "a2", NOTICE_MS, "a3", NOTICE_MS, "b1", 24 * HOUR_MS));
+    for (MaintenanceWindow window : windows.all()) {
       due |=
-          switch (one.state()) {
-            case ACCEPTED -> now >= one.startMs();
-            case HELD, IN_FORCE -> now >= one.endMs();
-            case DRAINING -> now >= one.endMs() || now >= windows.permitExpiryMs(one);
-            case ENDING -> now >= one.endMs() + 5 * MINUTE;
+          switch (window.state()) {
+            case ACCEPTED -> now >= window.startMs();
+            case HELD, IN_FORCE -> now >= window.endMs();
+            case DRAINING -> now >= window.endMs() || now >= windows.permitExpiryMs(window);
+            case ENDING -> now >= window.endMs() + 5 * MINUTE_MS;
             default -> false;
           };
-      if (one.state().isBinding() && now < one.endMs()) {
-        for (String rack : one.racks) {
-          free.merge(rack, Math.max(0, one.startMs() - now), Math::min);
+      if (window.state().isBinding() && now < window.endMs()) {
+        for (String rack : window.racks) {
+          permitMsByRack.merge(rack, Math.max(0, window.startMs() - now), Math::min);
         }
       }
-      Set<Integer> out = new java.util.TreeSet<>();
-      long notice = one.racks.contains("b1") ? 24 * HOUR : NOTICE;
-      if (now < windows.permitExpiryMs(one)) {
-        if (now < -NOTICE + notice) {
-          out.add(-1);
+      Set<Integer> outstanding = new java.util.TreeSet<>();
+      long noticeMs = window.racks.contains("b1") ? 24 * HOUR_MS : NOTICE_MS;
+      if (now < windows.permitExpiryMs(window)) {
+        if (now < -NOTICE_MS + noticeMs) {
+          outstanding.add(-1);
         }
-        long bound =
-            one.steps().stream()
+        long bindingSequence =
+            window.steps().stream()
                 .filter(step -> step.state() == MaintenanceWindow.State.ACCEPTED)
                 .mapToLong(MaintenanceWindow.Step::sequence)
                 .max()
                 .orElse(0);
         heldByRelay.forEach(
-            (relay, said) -> {
-              if (said[0] < bound && now < said[1] + notice) {
-                out.add(relay);
+            (relay, held) -> {
+              if (held[0] < bindingSequence && now < held[1] + noticeMs) {
+                outstanding.add(relay);
               }
             });
       }
-      assertEquals(grants.outstandingRelays(one, now), out, where + ", freeze " + one.number);
-      if (one.state() == MaintenanceWindow.State.DRAINING && out.isEmpty()) {
-        cleared.add(one.number);
+      assertEquals(
+          grants.outstandingRelays(window, now), outstanding, where + ", window " + window.number);
+      if (window.state() == MaintenanceWindow.State.DRAINING && outstanding.isEmpty()) {
+        withPermitsReturned.add(window.number);
       }
     }
     assertEquals(windows.isDue(now), due, where);
-    assertEquals(grants.windowsWithPermitsReturned(now), cleared, where);
-    Map<String, Long> shorter = grants.shortenedPermits(now);
-    free.forEach(
-        (rack, left) -> {
-          assertEquals(grants.permitDurationMs(rack, now), (long) left, where + ", rack " + rack);
+    assertEquals(grants.windowsWithPermitsReturned(now), withPermitsReturned, where);
+    Map<String, Long> shortened = grants.shortenedPermits(now);
+    permitMsByRack.forEach(
+        (rack, permitMs) -> {
+          assertEquals(
+              grants.permitDurationMs(rack, now), (long) permitMs, where + ", rack " + rack);
           assertEquals(
-              shorter.getOrDefault(rack, rack.equals("b1") ? 24 * HOUR : NOTICE),
-              left,
+              shortened.getOrDefault(rack, rack.equals("b1") ? 24 * HOUR_MS : NOTICE_MS),
+              permitMs,
               where + ", rack " + rack);
           assertEquals(
-              shorter.containsKey(rack),
-              left < (rack.equals("b1") ? 24 * HOUR : NOTICE),
-              where + ", rack " + rack + " is named");
+              shortened.containsKey(rack),
+              permitMs < (rack.equals("b1") ? 24 * HOUR_MS : NOTICE_MS),
+              where + ", rack " + rack + " is listed as shortened");
         });
   }
 }
