--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -130,7 +130,10 @@
     return Collections.unmodifiableSet(updated);
   }
 
-  /** Returns the control of each updated relay, by relay; some relays have none. */
+  /**
+   * Returns the controls by updated relay. Relays updated in the last stage, or while no relay
+   * could become a control, have none.
+   */
   public Map<Integer, Integer> controls() {
     return Collections.unmodifiableMap(controls);
   }
--- a/src/main/java/sprucerock/controller/deployment/Reconciler.java
+++ b/src/main/java/sprucerock/controller/deployment/Reconciler.java
@@ -85,7 +85,7 @@
   private void complete(Deployment deployment, String cause, Timestamp now) {
     fleet.currentVersion = deployment.toVersion;
     for (ManagedRelay relay : fleet.relays.values()) {
-      // Relays that were unreachable during the whole deployment.
+      // Relays that were unreachable during the whole deployment get the version now.
       boolean skipped =
           !deployment.updated.contains(relay.number)
               && !deployment.rejections.containsKey(relay.number);
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -116,9 +116,8 @@
 
   void add(Step step) {
     if (step.state() == State.ACCEPTED) {
-      // Stored separately: the step may be dropped below, and without its sequence number the
-      // window
-      // would not wait for earlier permits.
+      // Stored separately, because the step may be dropped below. Without its sequence number the
+      // window would not wait for earlier permits.
       bindingSequence = step.sequence();
     }
     if (steps.size() >= MAX_STEPS) {
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -27,7 +27,7 @@
 public final class MaintenanceWindows {
   /** Receives changes, within the call that made them. */
   public interface Listener {
-    /** Receives a transition after it; the window has the new state. */
+    /** Receives each transition once the window has its new state. */
     void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step);
 
     /** Asks to send relays new rack permits now. */
@@ -106,7 +106,10 @@
         });
   }
 
-  /** Returns the current time. It stands still while the wall clock is behind an earlier value. */
+  /**
+   * Advances the clock to the wall-clock time and returns it. If the wall clock was set back, the
+   * clock stands still until the wall clock has passed it.
+   */
   public long advanceClock(long wallMs) {
     nowMs = Math.max(nowMs, wallMs);
     return nowMs;
--- a/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
@@ -109,7 +109,7 @@
     }
     for (MaintenanceWindow window : rackWindows) {
       entriesExamined++;
-      // The other windows begin later.
+      // The first window that has not ended limits the permit; the others begin later.
       if (nowMs < window.endMs()) {
         return Math.min(noticeMs, Math.max(0, window.startMs() - nowMs));
       }
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
@@ -12,8 +12,8 @@
  * Simulates maintenance windows while relays are disconnected from the controller for seconds to
  * many minutes and the controller restarts. Compares rack permits with strategies without permits
  * or without looking ahead. Each relay places one job per second on each of ten racks. Usage:
- * {@code MaintenanceStudy [WINDOWS]}, where WINDOWS is the number of windows for 100 relays or
- * fewer.
+ * {@code MaintenanceStudy [WINDOWS]}, where WINDOWS (40 by default) is the number of windows for
+ * 100 relays or fewer; larger fleets get fewer windows.
  */
 public final class MaintenanceStudy {
   private static final long SECOND_MS = 1000;
