--- a/src/main/java/sprucerock/policy/AdmissionController.java
+++ b/src/main/java/sprucerock/policy/AdmissionController.java
@@ -9,13 +9,17 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Sheds load before it is sent anywhere. Little's law: requests out and not yet late, over answers
- * a second, is the wait that a new one faces; past its mark it is rejected unseen. Guards against
- * bursts, slow dependencies and lost endpoints alike; a few stuck requests cannot keep all others
- * out. A relay that sees too little goes by the fleet's wait, if told.
+ * Rejects requests before any attempt is made, to shed load.
+ *
+ * <p>By Little's law, a new request will wait for about the number of requests that are unanswered
+ * and not yet late, divided by the answers per second. A request whose wait exceeds its threshold
+ * is rejected. This covers bursts, slow dependencies and lost endpoints alike. Requests that are
+ * past their latency objective do not count, so a few stuck requests cannot block all others. A
+ * relay with too little traffic uses the wait of the whole fleet, if peers report it.
  */
 final class AdmissionController {
-  private static final double QUEUE_TOLERANCE_REQUESTS = 3; // three more in the queue is chance
+  // Three more requests in the queue may be chance.
+  private static final double QUEUE_TOLERANCE_REQUESTS = 3;
   private static final double OVER_QUOTA_MULTIPLE = 1.2;
 
   private final RelayActions actions;
@@ -27,7 +31,7 @@
   private final TenantArrivals tenantArrivals;
   private final DecayingSum answered = new DecayingSum(TimeSpan.ofMs(2000));
   private int queued;
-  private double queuedArrivalSumMs; // the sum of their arrivals
+  private double queuedArrivalSumMs; // sum of the arrival times
 
   AdmissionController(
       RelayActions actions,
@@ -35,13 +39,13 @@
       DeterministicRandom random,
       ArrivalRate arrivals,
       LoadGossip gossip,
-      Timestamp started) {
+      Timestamp startedAt) {
     this.actions = actions;
     this.settings = settings;
     this.random = random;
     this.arrivals = arrivals;
     this.gossip = gossip;
-    this.startedAt = started;
+    this.startedAt = startedAt;
     tenantArrivals = new TenantArrivals(settings.tenantShares, TimeSpan.ofMs(5000));
   }
 
@@ -55,7 +59,7 @@
     answered.add(now, 1);
   }
 
-  /** No longer in the queue: answered, or past its latency objective. */
+  /** Removes from the queue a request that was answered or is past its latency objective. */
   void settle(Rpc rpc) {
     if (!rpc.settled) {
       queued--;
@@ -64,19 +68,21 @@
     rpc.settled = true;
   }
 
-  /** Whether the request, which has just arrived, must be rejected. */
+  /** Whether a request that has just arrived must be rejected. */
   boolean shouldReject(Rpc rpc) {
     Timestamp now = actions.now();
-    double queue = queued - QUEUE_TOLERANCE_REQUESTS;
-    double waitMs = 1000 * queue / Math.max(answered.perSecond(startedAt, now), 0.5);
-    // Answers lag behind traffic that has just come; but who waits long is also old: in a queue of
-    // W the requests are W/2 old. Guards against rejections by a relay that starts, or whose
-    // traffic comes back.
+    double excessQueue = queued - QUEUE_TOLERANCE_REQUESTS;
+    double waitMs = 1000 * excessQueue / Math.max(answered.perSecond(startedAt, now), 0.5);
+    // Answers lag behind traffic that has just begun, so the rate alone overstates the wait. With a
+    // real wait of W, the queued requests are W/2 old on average, which bounds the estimate.
+    // Without
+    // the bound, a relay that starts, or whose traffic returns, would reject requests.
     waitMs = Math.min(waitMs, 2 * (now.ms() - queuedArrivalSumMs / Math.max(queued, 1)));
-    boolean byFleet = gossip.areLoadsFresh() && arrivals.isLow(now);
+    boolean useFleetWait = gossip.areLoadsFresh() && arrivals.isLow(now);
     double weight = priorityWeight(rpc, now);
-    // what is left must hold the long tail; the fleet's wait holds the work itself
-    return byFleet
+    // The rest of the latency objective must cover the long tail of latencies. The fleet's wait
+    // includes the work itself, so its threshold is higher.
+    return useFleetWait
         ? random.next() > 0.05
             && gossip.fleetWaitMs() > settings.meanLatencyObjectiveMs * (0.4 + 0.3 * weight)
         : waitMs > settings.meanLatencyObjectiveMs * (0.25 + 0.3 * weight);
@@ -84,9 +90,9 @@
 
   private double priorityWeight(Rpc rpc, Timestamp now) {
     double weight = rpc.method.priorityWeight / settings.maxPriorityWeight;
-    double over = tenantArrivals.quotaMultiple(rpc.tenant, now);
-    // of a tenant at thrice its quota, two requests in three are over it
-    if (over > OVER_QUOTA_MULTIPLE && random.next() > 1 / over) {
+    double quotaMultiple = tenantArrivals.quotaMultiple(rpc.tenant, now);
+    // Of a tenant at three times its quota, two requests in three exceed the quota.
+    if (quotaMultiple > OVER_QUOTA_MULTIPLE && random.next() > 1 / quotaMultiple) {
       weight *= settings.overQuotaWeight;
     }
     return weight;
--- a/src/main/java/sprucerock/policy/ArrivalRate.java
+++ b/src/main/java/sprucerock/policy/ArrivalRate.java
@@ -5,7 +5,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** How many requests arrive at this relay, and whether that is enough to judge a fleet by. */
+/** Measures the request rate of this relay, and whether it is enough to judge the fleet by. */
 final class ArrivalRate {
   private static final double LOW_REQUESTS_PER_SECOND = 10;
 
@@ -22,7 +22,7 @@
     arrivals.add(now, 1);
   }
 
-  /** The decaying count of arrivals. */
+  /** The count of arrivals, decaying with age. */
   double decayingCount() {
     return arrivals.at(actions.now());
   }
@@ -35,12 +35,15 @@
     return arrivals.perSecond(now) < LOW_REQUESTS_PER_SECOND;
   }
 
-  /** Sees too few requests to judge a fleet by itself within some seconds, and gets counts. */
+  /**
+   * Whether this relay has too few requests to judge the fleet by itself within some seconds, and
+   * the controller sends it fleet counts.
+   */
   boolean reliesOnFleetCounts() {
     return settings.countsEvery.over(TimeSpan.ZERO) && isLow(actions.now());
   }
 
-  /** How late counts tell of a change, in ms: a period to fill, one to come. */
+  /** How late fleet counts show a change: one period to collect them, one until they arrive. */
   double fleetCountsLagMs() {
     return reliesOnFleetCounts() ? 2 * settings.countsEvery.ms() : 0;
   }
--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -22,8 +22,9 @@
   private final ArrivalRate arrivals;
   private final BaselinePaceMonitor baselinePace;
   private final LastVote lastVote = new LastVote();
-  private final boolean
-      withoutFleetEvidence; // neither peers nor the controller's counts add up what relays see
+
+  // Whether neither gossip nor the controller's counts add up what all relays see.
+  private final boolean withoutFleetEvidence;
 
   // Standard deviations that by chance one relay of all exceeds in twenty days.
   private final double detectionDeviations;
--- a/src/main/java/sprucerock/policy/EndpointListSubscription.java
+++ b/src/main/java/sprucerock/policy/EndpointListSubscription.java
@@ -5,7 +5,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Decides when discovery is asked for the endpoint list. */
+/** Decides when to ask discovery for the endpoint list. */
 final class EndpointListSubscription {
   private final RelayActions actions;
   private final Settings settings;
@@ -24,12 +24,12 @@
     }
   }
 
-  /** Asks again after a pause of 0.5 to 1 s, so that a busy discovery recovers. */
+  /** Subscribes again after a pause of 0.5 to 1 s, so that an overloaded discovery recovers. */
   void listFailed() {
     actions.schedule(actions.now().plus(TimeSpan.ofMs(500 + 500 * random.next())), this::subscribe);
   }
 
-  /** Where lists must be asked for, does so at half the time within which that is due. */
+  /** If relays poll the endpoint list, subscribes again at half the maximum age of the list. */
   void pollIfDue(Timestamp now) {
     if (settings.pollsEndpointList
         && now.since(subscribedAt).over(settings.pollWithin.times(0.5))) {
--- a/src/main/java/sprucerock/policy/ExposureLimiter.java
+++ b/src/main/java/sprucerock/policy/ExposureLimiter.java
@@ -5,7 +5,7 @@
 import sprucerock.model.RolloutState;
 import sprucerock.model.Settings;
 
-/** Keeps the canary's share of attempts under its cap, by token buckets (rule 5). */
+/** Keeps the canary's share of attempts under its exposure cap with token buckets (rule 5). */
 final class ExposureLimiter {
   private final Settings settings;
   private final CanaryStatus canary;
@@ -21,21 +21,24 @@
   }
 
   /**
-   * Whether a build on trial may get an attempt while so many tokens are left. A build not yet
-   * named in the news counts as in the first stage.
+   * Whether a build on trial may get an attempt, which takes at least {@code tokens} in the bucket.
+   * A build that the controller has not announced yet counts as in the first stage.
    */
   boolean allows(Build build, Method method, double tokens) {
     if (canary.trial() == null) {
       return false;
     }
-    double most = canary.isCanary(build) ? canary.cap() : settings.caps.get(0);
+    double cap = canary.isCanary(build) ? canary.cap() : settings.caps.get(0);
     int stage = canary.isCanary(build) ? canary.trial().stage() : 0;
-    return most > 0
+    return cap > 0
         && (settings.perMethod ? method.canaryTokens : sharedTokens) >= tokens
         && (method.idempotent() || stage >= settings.guardedStages);
   }
 
-  /** Each request brings the cap's share of a token; buckets are as deep as the free attempts. */
+  /**
+   * Adds the cap's share of a token for each request. The bucket size is the number of attempts
+   * that no cap counts.
+   */
   void requestArrived(Method method) {
     if (canary.trial() == null) {
       return;
@@ -47,7 +50,7 @@
     method.canaryTokens = Math.min(settings.free, method.canaryTokens + share);
   }
 
-  /** An attempt goes to a build on trial. */
+  /** Takes a token for an attempt at a build on trial. */
   void spendToken(Method method) {
     sharedTokens -= 1;
     method.canaryTokens -= 1;
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -9,16 +9,20 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Judges the canary by what the controller counted in a sample of all relays' attempts. These show
- * builds bad for methods that are never shadowed, and give quiet relays the pace of the baseline.
- * They hold time-outs too: errors that attempts or pairs showed must bear them out.
+ * Judges the canary by the controller's counts of a sample of all relays' attempts.
+ *
+ * <p>The counts reveal builds that are bad for methods without shadow requests, and give relays
+ * with little traffic the baseline's latency. Their failures include timeouts, so they count
+ * against the canary only if attempts or shadow pairs of this relay showed errors too.
  */
 final class FleetCounts {
   private static final double MIN_ATTEMPTS = 12;
   private static final double MIN_FAILURES = 3;
-  private static final double STANDARD_ERRORS = 3.5; // one look in 4,000 by chance
+  private static final double STANDARD_ERRORS = 3.5; // by chance one evaluation in 4,000
   private static final double MIN_EXCESS = 0.05;
-  private static final double MIN_EXCESS_RELEASED = 0.25; // a fifth of endpoints may fail anyway
+
+  // A fifth of the endpoints may fail for other reasons.
+  private static final double MIN_EXCESS_RELEASED = 0.25;
 
   private final Settings settings;
   private final CanaryStatus canary;
@@ -39,7 +43,11 @@
     this.canaryJudge = canaryJudge;
   }
 
-  /** Attempts and failures of one method at one build in one period, and the mean time. */
+  /**
+   * Adds one period's attempts and failures of one method at one build.
+   *
+   * @param mean the mean latency of the attempts that did not fail
+   */
   void countsReceived(Build build, Method method, double attempts, double failed, TimeSpan mean) {
     if (!canary.isOnTrial(build) && arrivals.reliesOnFleetCounts() && attempts > failed) {
       baselinePace.observe(BaselinePaceMonitor.FLEET_COUNTS, method, mean.ms(), attempts - failed);
@@ -57,15 +65,15 @@
         || !isBorneOutByErrors()) {
       return;
     }
-    double error =
+    double standardError =
         Proportions.standardErrorOfDifference(
             atCanary.failures(), atCanary.attempts(), atBaseline.failures(), atBaseline.attempts());
-    double mark = STANDARD_ERRORS * error;
+    double minByChance = STANDARD_ERRORS * standardError;
     double excess =
         atCanary.failures() / atCanary.attempts()
             - atBaseline.failures() / Math.max(atBaseline.attempts(), 1);
-    double least = canary.isReleased() ? MIN_EXCESS_RELEASED : MIN_EXCESS;
-    if (excess > Math.max(least, mark)) {
+    double minExcess = canary.isReleased() ? MIN_EXCESS_RELEASED : MIN_EXCESS;
+    if (excess > Math.max(minExcess, minByChance)) {
       trial.evidence().markWorseByCounts();
     }
     canaryJudge.evaluate();
--- a/src/main/java/sprucerock/policy/LoadGossip.java
+++ b/src/main/java/sprucerock/policy/LoadGossip.java
@@ -8,11 +8,14 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What relays tell each other of the endpoints' loads. Quiet relays see no queue of an endpoint. So
- * each tells one relay, the aggregator, of its attempts as they start and end, and that one tells
- * all, four times a second, which endpoints hold two or more, and the fleet's wait. Where it is
- * silent the next one is told; the lowest is believed. With all messages lost, own attempts must
- * do.
+ * Exchanges endpoint loads between relays, since a relay with little traffic sees no queue build up
+ * at an endpoint.
+ *
+ * <p>Each relay reports the start and end of its attempts to one relay, the aggregator. The
+ * aggregator sends all relays, four times a second, the endpoints with two or more attempts in
+ * flight and the fleet's wait. If the aggregator is silent, a relay reports to the next one. Of
+ * several aggregators, the one with the lowest number counts. If all messages are lost, a relay
+ * uses its own attempts only.
  */
 final class LoadGossip {
   private static final double AGGREGATOR_TIMEOUT_MS = 2000;
@@ -26,15 +29,15 @@
   private final LoadReports reports;
   private final DecayingSum fleetEndedAttempts = new DecayingSum(TimeSpan.ofMs(2000));
   private int aggregator;
-  private Timestamp aggregatorHeardAt;
+  private Timestamp aggregatorSeenAt;
   private Timestamp loadsReceivedAt;
   private boolean loadsScheduled;
   private double fleetWaitMs;
 
-  LoadGossip(RelayActions actions, Settings settings, Timestamp started) {
+  LoadGossip(RelayActions actions, Settings settings, Timestamp startedAt) {
     this.actions = actions;
     this.settings = settings;
-    this.startedAt = started;
+    this.startedAt = startedAt;
     reports = new LoadReports(TimeSpan.ofMs(4 * settings.meanLatencyObjectiveMs));
   }
 
@@ -50,23 +53,23 @@
     reportAttempt(endpoint, null);
   }
 
-  void attemptEnded(Endpoint endpoint, TimeSpan age) {
-    reportAttempt(endpoint, age);
+  void attemptEnded(Endpoint endpoint, TimeSpan ageAtEnd) {
+    reportAttempt(endpoint, ageAtEnd);
   }
 
-  private void reportAttempt(Endpoint endpoint, TimeSpan endedAt) {
+  private void reportAttempt(Endpoint endpoint, TimeSpan ageAtEnd) {
     if (!settings.gossip) {
       return;
     }
     Timestamp now = actions.now();
-    if (aggregatorHeardAt == null) {
-      aggregatorHeardAt = now;
+    if (aggregatorSeenAt == null) {
+      aggregatorSeenAt = now;
     }
-    if (TimeChecks.longerThan(AGGREGATOR_TIMEOUT_MS, aggregatorHeardAt, now)) {
-      aggregatorHeardAt = now;
+    if (TimeChecks.longerThan(AGGREGATOR_TIMEOUT_MS, aggregatorSeenAt, now)) {
+      aggregatorSeenAt = now;
       aggregator = (aggregator + 1) % settings.relays;
     }
-    byte[] message = reports.encodeAttempt(endpoint, endedAt);
+    byte[] message = reports.encodeAttempt(endpoint, ageAtEnd);
     if (aggregator == settings.index) {
       attemptReported(message);
     } else {
@@ -74,7 +77,7 @@
     }
   }
 
-  /** A relay told this one of an attempt, as the aggregator. */
+  /** Handles a relay's report of an attempt, as the aggregator. */
   void attemptReported(byte[] message) {
     Timestamp now = actions.now();
     if (reports.applyAttempt(message, now)) {
@@ -98,14 +101,14 @@
     loadsReceived(settings.index, loads);
   }
 
-  /** An aggregator told of the loads. */
+  /** Handles the loads that an aggregator sent. */
   void loadsReceived(int sender, byte[] message) {
     if (sender > aggregator && areLoadsFresh()) {
       return;
     }
     aggregator = sender;
-    aggregatorHeardAt = actions.now();
-    loadsReceivedAt = aggregatorHeardAt;
+    aggregatorSeenAt = actions.now();
+    loadsReceivedAt = aggregatorSeenAt;
     fleetWaitMs = reports.applyLoads(message, loadsReceivedAt) * settings.meanLatencyObjectiveMs;
   }
 
@@ -114,12 +117,12 @@
         && !TimeChecks.longerThan(LOADS_MAX_AGE_MS, loadsReceivedAt, actions.now());
   }
 
-  /** How long a request waits in the whole fleet, in ms; holds while the loads are fresh. */
+  /** The mean wait of requests in the whole fleet; valid while the loads are fresh. */
   double fleetWaitMs() {
     return fleetWaitMs;
   }
 
-  /** Attempts that are out at it: this relay's, or all relays' where that was told. */
+  /** Attempts in flight at the endpoint: of all relays if reported, otherwise of this relay. */
   int inFlight(Endpoint endpoint) {
     return endpoint.reportedAt == loadsReceivedAt && areLoadsFresh()
         ? Math.max(endpoint.inFlight(), endpoint.reportedInFlight)
--- a/src/main/java/sprucerock/policy/OutlierDetector.java
+++ b/src/main/java/sprucerock/policy/OutlierDetector.java
@@ -5,12 +5,12 @@
 import sprucerock.model.Endpoint;
 import sprucerock.time.TimeSpan;
 
-/** Tells which endpoints fail more than half of what they get, and when to look at them again. */
+/** Detects endpoints that fail more than half of their attempts, and when to try them again. */
 final class OutlierDetector {
-  /** An attempt a second at an outlier shows its recovery at little cost. */
+  /** Interval of attempts at an outlier, which show its recovery at little cost. */
   static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(1000);
 
-  /** How many of an endpoint's last outcomes count. */
+  /** How many of an endpoint's last outcomes are considered. */
   static final int COUNTED_OUTCOMES = 6;
 
   private static final int MIN_OUTCOMES = 3;
@@ -21,26 +21,29 @@
     this.actions = actions;
   }
 
-  /** Under half successes among its last outcomes, of at least three: it is left alone. */
+  /** Whether more than half of the endpoint's last outcomes, of at least three, are failures. */
   boolean isOutlier(Endpoint endpoint) {
     return endpoint.knownResults(COUNTED_OUTCOMES) >= MIN_OUTCOMES
         && 2 * endpoint.failedResults(COUNTED_OUTCOMES) > endpoint.knownResults(COUNTED_OUTCOMES);
   }
 
   void recordOutcome(Endpoint endpoint, boolean ok) {
-    boolean before = isOutlier(endpoint);
+    boolean wasOutlier = isOutlier(endpoint);
     endpoint.recordResult(ok);
-    if (!before && isOutlier(endpoint)) {
+    if (!wasOutlier && isOutlier(endpoint)) {
       endpoint.retryAt = actions.now().plus(RETRY_INTERVAL);
     }
   }
 
-  /** Silence counts when the attempt is overdue, so it doesn't count again at the attempt's end. */
+  /**
+   * Records the outcome of an attempt. An overdue attempt was already counted as a failure, so it
+   * does not count again when it ends.
+   */
   void attemptEnded(Attempt attempt) {
     boolean ok = attempt.outcome() == AttemptOutcome.OK;
-    boolean tells =
+    boolean conclusive =
         attempt.outcome() != AttemptOutcome.CANCELLED && attempt.outcome() != AttemptOutcome.MOOT;
-    if (tells && (ok || !attempt.overdue)) {
+    if (conclusive && (ok || !attempt.overdue)) {
       recordOutcome(attempt.endpoint, ok);
     }
     if (ok || attempt.answeredWithError()) {
@@ -49,8 +52,8 @@
   }
 
   /**
-   * A health check that was answered makes an outlier worth an attempt at once; silence counts like
-   * that of an attempt, so three in a row leave it alone.
+   * Records a health check. After an answered check an outlier may get an attempt at once. An
+   * unanswered check counts like an unanswered attempt, so three in a row make an outlier.
    */
   void healthChecked(Endpoint endpoint, boolean answered) {
     if (!answered) {
--- a/src/main/java/sprucerock/policy/RelayActions.java
+++ b/src/main/java/sprucerock/policy/RelayActions.java
@@ -8,64 +8,73 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What the policy can do; whoever runs it, a relay or the simulator's adapter, carries it out at
- * once and in order.
+ * Actions that the policy can take. The host, a relay or the simulator's adapter, carries them out
+ * at once and in order.
  */
 public interface RelayActions {
-  /** The time of the event that is being handled; it never goes back. */
+  /** The time of the event that is being handled; never decreases. */
   Timestamp now();
 
-  /** Sends the attempt to its endpoint. The first ok answers the client by itself. */
+  /** Sends the attempt to its endpoint. The host passes the first OK answer to the client. */
   void send(Attempt attempt);
 
-  /** Cancels an attempt that is out; its end is told like any other. */
+  /** Cancels an attempt in flight; {@link RelayEvents#attemptEnded} follows as for any other. */
   void cancel(Attempt attempt);
 
-  /** Final: the client may safely try again, best after {@code wait} (zero: no advice). */
+  /**
+   * Ends the RPC with a rejection: the client may safely retry.
+   *
+   * @param wait the advised time until the retry; zero gives no advice
+   */
   void reject(Rpc rpc, TimeSpan wait);
 
-  /** Final: no promise about what happened. */
+  /** Ends the RPC with a failure: the request may or may not have run. */
   void fail(Rpc rpc);
 
-  /** Runs {@code what} in the first round at or after {@code when}. */
-  void schedule(Timestamp when, Runnable what);
+  /** Runs {@code task} in the first loop iteration at or after {@code when}. */
+  void schedule(Timestamp when, Runnable task);
 
   /**
-   * The same, unless the RPC has ended by then: whoever runs it need not keep hold of what is over.
+   * Runs {@code task} in the first loop iteration at or after {@code when}, unless the RPC has
+   * ended by then. A host may override this to release the task of an ended RPC early.
    */
-  default void schedule(Rpc rpc, Timestamp when, Runnable what) {
+  default void schedule(Rpc rpc, Timestamp when, Runnable task) {
     schedule(
         when,
         () -> {
           if (!rpc.ended()) {
-            what.run();
+            task.run();
           }
         });
   }
 
-  /** The same, unless the attempt has ended by then. */
-  default void schedule(Attempt attempt, Timestamp when, Runnable what) {
+  /**
+   * Runs {@code task} in the first loop iteration at or after {@code when}, unless the attempt has
+   * ended by then.
+   */
+  default void schedule(Attempt attempt, Timestamp when, Runnable task) {
     schedule(
         when,
         () -> {
           if (attempt.outcome() == null) {
-            what.run();
+            task.run();
           }
         });
   }
 
   /**
-   * Votes on the canary in one of its stages; {@link RelayEvents#voteAnswered} follows, or never.
+   * Votes on the canary in one of its stages. {@link RelayEvents#voteAnswered} follows, unless the
+   * vote or its answer is lost.
    */
   void vote(Build build, int stage, Verdict verdict);
 
-  /** A short message to every other relay; it may come late or never. */
+  /** Sends a short message to every other relay; it may arrive late or never. */
   void sendToPeers(byte[] contents);
 
-  /** The same to one relay, by its number. */
+  /** Sends a short message to the relay with this number; it may arrive late or never. */
   void sendToPeer(int relay, byte[] contents);
 
-  /** Asks discovery for the endpoint list, and news of it where it sends such. */
+  /** Asks discovery for the endpoint list, and for updates of it where discovery sends them. */
   void subscribe();
 
   /** Writes a line to the relay's log. */
--- a/src/main/java/sprucerock/policy/RelayEvents.java
+++ b/src/main/java/sprucerock/policy/RelayEvents.java
@@ -11,53 +11,65 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What the policy is told, one method for each thing that can happen. The facts in {@code
- * sprucerock.model} hold already when it is told.
+ * Events that the host reports to the policy, one method for each. The state in {@code
+ * sprucerock.model} is updated before the call.
  */
 public interface RelayEvents {
-  /** It may get new work from now on. */
+  /** The endpoint may get new work from now on. */
   void endpointReady(Endpoint endpoint);
 
-  /** It drains, is gone, or came back as another incarnation: nothing new goes there. */
+  /**
+   * The endpoint must get no new work: it is draining, is gone, or was replaced by another
+   * incarnation.
+   */
   void endpointDraining(Endpoint endpoint);
 
-  /** An endpoint list that was asked for did not come, or the subscription broke. */
+  /** A requested endpoint list did not arrive, or the subscription broke. */
   void endpointListFailed();
 
   /**
-   * The controller's news of the canary: {@code cap} is the greatest share of requests, 0 to 1,
-   * that it may get, and {@code since} when the stage began.
+   * The controller sent the state of a rollout.
+   *
+   * @param cap the largest share of requests, from 0 to 1, that the build may get
+   * @param since when the stage began
    */
   void rolloutChanged(Build build, int stage, RolloutState state, double cap, Timestamp since);
 
-  /** A client sent it; it gets its final answer in time, whatever happens. */
+  /** A client sent an RPC. The policy must end it before its deadline, whatever happens. */
   void rpcArrived(Rpc rpc);
 
-  /** The first part of a streamed answer came, and goes to the client. */
+  /** The first part of a streamed answer arrived and goes to the client. */
   void streamStarted(Attempt attempt);
 
-  /** An attempt ended; {@code answers} says that it ended its RPC too. */
+  /**
+   * An attempt ended.
+   *
+   * @param answers whether the attempt ended its RPC too
+   */
   void attemptEnded(Attempt attempt, boolean answers);
 
-  /** Its client is gone before the answer. */
+  /** The client of an RPC disconnected before the answer. */
   void clientDisconnected(Rpc rpc);
 
-  /** What the controller counted in a sample of all relays' attempts, in one period. */
+  /** The controller sent its counts of a sample of all relays' attempts in one period. */
   void fleetCountsReceived(
       Build build, Method method, double attempts, double failed, TimeSpan mean);
 
-  /** A client found wrong what this endpoint answered. */
+  /** A client reported that an answer of this endpoint was wrong. */
   void answerReportedWrong(Endpoint endpoint);
 
   /**
-   * The one relay that checks endpoints for all asked it for a sign, and got it or not; no work was
-   * run for it.
+   * A health check of the endpoint ended. One relay checks endpoints on behalf of all; a check runs
+   * no work at the endpoint.
    */
   void healthChecked(Endpoint endpoint, boolean answered);
 
-  /** A message from another relay, as {@link RelayActions#sendToPeers} sent it. */
+  /**
+   * A message from another relay arrived, sent by {@link RelayActions#sendToPeers} or {@link
+   * RelayActions#sendToPeer}.
+   */
   void peerMessageReceived(int sender, byte[] contents);
 
-  /** The controller's reply to the last vote. */
+  /** The controller answered the last vote. */
   void voteAnswered(VoteReply reply);
 }
--- a/src/main/java/sprucerock/policy/RequestCompletion.java
+++ b/src/main/java/sprucerock/policy/RequestCompletion.java
@@ -5,7 +5,7 @@
 import sprucerock.model.Settings;
 import sprucerock.time.TimeSpan;
 
-/** Ends requests that no endpoint answered, and cancels what is still out for them. */
+/** Ends requests that no endpoint answered, and cancels their attempts in flight. */
 final class RequestCompletion {
   private final RelayActions actions;
   private final Settings settings;
@@ -18,13 +18,14 @@
   }
 
   /**
-   * The final answer once nothing more can be done; at once, so that the client can use its time. A
-   * rejection says that the client may safely try again; else the request fails.
+   * Ends a request for which nothing more can be done, at once, so that the client can use the time
+   * left. A rejection tells the client that it may safely retry. If a retry is not safe, the
+   * request fails.
    */
   void endUnanswered(Rpc rpc) {
     admission.settle(rpc);
     if (rpc.firstThatMayHaveRun() == null || rpc.method.repeatableAnywhere()) {
-      // half a latency objective: about what a queue that long needs to drain
+      // A queue of the tolerated length drains in about half a latency objective.
       TimeSpan wait = rpc.method.latencyObjective.times(0.5).atMost(settings.maxRetryAfter);
       actions.reject(rpc, settings.retryAfter ? wait : TimeSpan.ZERO);
     } else {
--- a/src/main/java/sprucerock/policy/RetryBudget.java
+++ b/src/main/java/sprucerock/policy/RetryBudget.java
@@ -5,8 +5,8 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Bounds retries, hedged requests and attempts at outliers to one in twenty of the requests: enough
- * to find a lost endpoint, no retry storm.
+ * Limits retries, hedged requests and attempts at outliers to one for twenty requests. This is
+ * enough to get around a lost endpoint, and too little for a retry storm.
  */
 final class RetryBudget {
   private static final double RETRIES_PER_REQUEST = 0.05;
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -76,7 +76,7 @@
     }
     ShadowPair pair = new ShadowPair();
     sendShadow(rpc, endpoint, pair);
-    canary.trial().evidence().sentAlone(rpc.method, pair);
+    canary.trial().evidence().recordCanaryOnly(rpc.method, pair);
     return true;
   }
 
@@ -135,7 +135,7 @@
     }
     // Shadow requests cannot show that a build is bad for a method that is not idempotent, so a few
     // requests of such methods go to the canary only.
-    return canary.trial().stage() > 0 && evidence.sentAlone(rpc.method) < maxCanaryOnly;
+    return canary.trial().stage() > 0 && evidence.canaryOnlyCount(rpc.method) < maxCanaryOnly;
   }
 
   /**
--- a/src/main/java/sprucerock/policy/SlowStartLimiter.java
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -9,16 +9,18 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Limits what an endpoint gets while it warms up (rule 4), by a token bucket of its own.
+ * Limits the attempts at an endpoint that is warming up (rule 4), with one token bucket per
+ * endpoint.
  *
- * <p>A cold endpoint gets of this relay what a warm one of its size gets, times the share that it
- * surely has by now, times 0.8 so that no queue builds up. Warm endpoints carry what they can, so
- * the sum over relays is within the budget, however uneven they are. On trial it holds for warm
- * ones too: like loads.
+ * <p>The limit is the rate that this relay sends to a warm endpoint of the same weight, times the
+ * share of its capacity that the endpoint is sure to have by now, times 0.8 so that no queue builds
+ * up. Warm endpoints carry no more than their capacity, so the sum over all relays stays within the
+ * capacity of the cold endpoint, however unevenly traffic is spread over relays. Builds on trial
+ * are limited even when warm, so that canary and baseline endpoints have similar loads.
  */
 final class SlowStartLimiter {
   private static final double MAX_LOAD_SHARE = 0.8;
-  private static final TimeSpan WEIGHTS_MAX_AGE = TimeSpan.ofMs(500); // no scan for each attempt
+  private static final TimeSpan WEIGHTS_MAX_AGE = TimeSpan.ofMs(500); // avoids a scan per attempt
 
   private final RelayActions actions;
   private final Settings settings;
@@ -34,45 +36,53 @@
     this.canary = canary;
   }
 
-  /** Relays learn of an endpoint together: their first tokens come one by one. */
+  /**
+   * Gives the endpoint a random part of a token. All relays learn of it at the same time, and this
+   * spreads out their first attempts.
+   */
   void endpointReady(Endpoint endpoint) {
     endpoint.warmUpTokens = random.next();
     endpoint.warmUpTokensAt = actions.now();
   }
 
-  /** An attempt was sent to it. */
+  /** Counts an attempt that was sent to the endpoint. */
   void attemptSent(Endpoint endpoint, boolean onTrial, Timestamp now) {
     baselineSends.add(now, onTrial ? 0 : 1);
     endpoint.warmUpTokens--;
   }
 
-  /** Whether it may get one attempt more now; refills its bucket. */
+  /** Refills the endpoint's bucket, and returns whether it may get one more attempt now. */
   boolean hasCapacity(Endpoint endpoint, Timestamp now) {
     if (!canary.isOnTrial(endpoint.build) && endpoint.olderThan(settings.warmUp, now)) {
       return true;
     }
-    double all = 0;
-    double warm = 0;
+    double totalWeight = 0;
+    double warmWeight = 0;
     for (Build build : canary.buildsAscending()) {
       build.refreshWeights(settings.warmUp, WEIGHTS_MAX_AGE, now);
-      all += build.weight;
+      totalWeight += build.weight;
       if (!canary.isOnTrial(build)) {
-        warm += build.weightOfOlder;
+        warmWeight += build.weightOfOlder;
       }
     }
-    double carried =
-        baselineSends.perSecond(now) * endpoint.weight() / Math.max(warm > 0 ? warm : all, 0.1);
-    double age =
+    double warmPerSecond =
+        baselineSends.perSecond(now)
+            * endpoint.weight()
+            / Math.max(warmWeight > 0 ? warmWeight : totalWeight, 0.1);
+    double warmUpProgress =
         endpoint.started == null
             ? 1
             : Math.max(0, now.since(endpoint.started).dividedBy(settings.warmUp));
-    double share = settings.startShare + (1 - settings.startShare) * Math.min(1, age);
-    double perSecond = Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * share * carried;
-    double most = Math.max(1, 0.5 * perSecond * settings.tipAfter.ms() / 1000);
+    double capacityShare =
+        settings.startShare + (1 - settings.startShare) * Math.min(1, warmUpProgress);
+    double tokensPerSecond =
+        Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * capacityShare * warmPerSecond;
+    double maxTokens = Math.max(1, 0.5 * tokensPerSecond * settings.tipAfter.ms() / 1000);
     endpoint.warmUpTokens =
         Math.min(
-            endpoint.warmUpTokens + perSecond * now.since(endpoint.warmUpTokensAt).ms() / 1000,
-            most);
+            endpoint.warmUpTokens
+                + tokensPerSecond * now.since(endpoint.warmUpTokensAt).ms() / 1000,
+            maxTokens);
     endpoint.warmUpTokensAt = now;
     return endpoint.warmUpTokens >= 1;
   }
--- a/src/main/java/sprucerock/policy/TimeChecks.java
+++ b/src/main/java/sprucerock/policy/TimeChecks.java
@@ -3,11 +3,11 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Comparisons of times that may be unknown. */
+/** Comparisons of timestamps that may be null. */
 final class TimeChecks {
   private TimeChecks() {}
 
-  /** Whether more than so many ms have passed; false where the start is null. */
+  /** Whether more than {@code ms} have passed since a timestamp; false if that is null. */
   static boolean longerThan(double ms, Timestamp since, Timestamp now) {
     return since != null && now.since(since).over(TimeSpan.ofMs(ms));
   }
--- a/src/main/java/sprucerock/policy/evidence/AttemptCounts.java
+++ b/src/main/java/sprucerock/policy/evidence/AttemptCounts.java
@@ -1,22 +1,22 @@
 package sprucerock.policy.evidence;
 
-/** Attempts and failures of one method, as the controller counted them in samples. */
+/** Attempts and failures of one method, from the controller's counts of samples. */
 public final class AttemptCounts {
   private double attempts;
   private double failures;
 
-  /** Adds one period's counts; fractions are possible, since samples are scaled up. */
+  /** Adds the counts of one period, which may be fractions, as samples are scaled up. */
   public void add(double moreAttempts, double moreFailures) {
     attempts += moreAttempts;
     failures += moreFailures;
   }
 
-  /** All attempts that were counted. */
+  /** The number of attempts. */
   public double attempts() {
     return attempts;
   }
 
-  /** Those of them that failed, timed out ones too. */
+  /** The number of failed attempts, including timeouts. */
   public double failures() {
     return failures;
   }
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -10,12 +10,13 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** What one relay knows of the build that the controller offered last. */
+/** The trial of the build that the controller announced last, as one relay sees it. */
 public final class CanaryTrial {
   private static final int MAX_TIMED_PAIRS = 80;
   private static final int REPORT_COUNTS = 3;
 
-  // a report: [3, build, stage, pairs, canary's failures, baseline's, failed at, 2 bytes]
+  // Layout of a report: message type (3), build, stage, pairs, canary failures, baseline failures,
+  // and two bytes of failing endpoint bits.
   private static final int BUILD_BYTE = 1;
   private static final int STAGE_BYTE = 2;
   private static final int COUNTS_BYTE = 3;
@@ -23,22 +24,22 @@
 
   public final Build build;
 
-  /** How a slowdown of the baseline is looked into. */
+  /** State of the investigation of a baseline slowdown. */
   public final Slowdown slowdown = new Slowdown();
 
   /** Keys that stay with this build. */
   public final StickyKeys stickyKeys = new StickyKeys();
 
-  /** How much slower its attempts are than the baseline's, in logarithms. */
+  /** Difference between the logarithms of the latencies of canary and baseline. */
   public final DecayingMean logLatencyExcess = new DecayingMean(TimeSpan.ofMs(20000));
 
-  /** Pace lost since the release. */
+  /** Slowdown of the fleet since the release. */
   public final LostPace lostPace = new LostPace();
 
   private final AttemptCounts[] canaryCounts;
   private final AttemptCounts[] baselineCounts;
-  private final Map<Integer, byte[]> peerReports = new TreeMap<>(); // by relay, each its latest
-  private final int[] peerCounts = new int[REPORT_COUNTS]; // as in pooledCounts, of this stage
+  private final Map<Integer, byte[]> peerReports = new TreeMap<>(); // the latest of each relay
+  private final int[] peerCounts = new int[REPORT_COUNTS]; // for this stage, in pooledCounts order
   private int peerFailingEndpointBits;
   private Timestamp lastReportSentAt;
   private int stage;
@@ -49,7 +50,7 @@
   private int earlierStagesLead;
   private double earlierStagesDeviation;
 
-  /** Of this build, where relays serve so many methods. */
+  /** Creates a trial of the build, for {@code methods} methods. */
   public CanaryTrial(Build build, int methods) {
     this.build = build;
     canaryCounts = newCounts(methods);
@@ -77,22 +78,22 @@
     return evidence;
   }
 
-  /** Seen on trial by this relay, not only after its release. */
+  /** Whether this relay saw the build on trial, not only after its release. */
   public boolean isSeenOnTrial() {
     return seenOnTrial;
   }
 
-  /** Notes that the news named it as on trial. */
+  /** Records that the controller reported the build as on trial. */
   public void markSeenOnTrial() {
     seenOnTrial = true;
   }
 
-  /** Whether an error came back from the build. */
+  /** Whether an endpoint of the build answered with an error. */
   public boolean isErrorSeen() {
     return errorSeen;
   }
 
-  /** Notes an attempt that ended at the build, before or after its release. */
+  /** Records an attempt that ended at the build. */
   public void attemptEnded(Attempt attempt, boolean released) {
     errorSeen |= attempt.answeredWithError();
     if (released) {
@@ -100,28 +101,31 @@
     }
   }
 
-  /** What the controller counted at this build; since the release, once there was one. */
+  /** The controller's counts for this build; reset at the build's release. */
   public AttemptCounts canaryCounts(int method) {
     return canaryCounts[method];
   }
 
-  /** What the controller counted at earlier builds. */
+  /** The controller's counts for earlier builds. */
   public AttemptCounts baselineCounts(int method) {
     return baselineCounts[method];
   }
 
-  /** When peers were told of the pairs last; null before the first time. */
+  /** When this relay last reported its pairs to peers; null before the first report. */
   public Timestamp lastReportSentAt() {
     return lastReportSentAt;
   }
 
-  /** Encodes the counts of this stage's pairs, to be sent to peers now. */
+  /** Encodes the pair counts of this stage as a report, and records {@code now} as sent. */
   public byte[] encodeReport(Timestamp now) {
     lastReportSentAt = now;
     return evidence.encodeReport(build.number, stage);
   }
 
-  /** Pairs, failures at this build and failures at the baseline, own and reported by peers. */
+  /**
+   * Sums of this relay's counts and those reported by peers: pairs, failures of this build only and
+   * failures of the baseline only.
+   */
   public int[] pooledCounts() {
     return new int[] {
       evidence.pairs + peerCounts[0],
@@ -130,43 +134,43 @@
     };
   }
 
-  /** The pairs of this stage, own and reported by peers. */
+  /** The pairs of this stage, counted by this relay and its peers. */
   public int pooledPairs() {
     return pooledCounts()[0];
   }
 
-  /** How many more failures this build showed than the baseline, in this stage. */
+  /** Failures of this build minus failures of the baseline in this stage. */
   public int failureLead() {
     return pooledCounts()[1] - pooledCounts()[2];
   }
 
-  /** A standard error of the lead, the larger the more the baseline fails too. */
+  /** A standard error of the failure lead; it grows with the failures of the baseline. */
   public double leadDeviation() {
-    int[] sum = pooledCounts();
-    return Math.sqrt(sum[1] + sum[2]) + Math.sqrt(2 * sum[2]);
+    int[] pooled = pooledCounts();
+    return Math.sqrt(pooled[1] + pooled[2]) + Math.sqrt(2 * pooled[2]);
   }
 
-  /** By how many failures this build led in its earlier stages. */
+  /** The sum of the failure leads of earlier stages. */
   public int earlierStagesLead() {
     return earlierStagesLead;
   }
 
-  /** How far that may stray where both builds failed. */
+  /** The deviation of the earlier stages' lead, from failures of the baseline. */
   public double earlierStagesDeviation() {
     return earlierStagesDeviation;
   }
 
   /**
-   * Begins a stage, or the time after the release, with evidence of its own; adds the one that ends
-   * to those before.
+   * Begins a stage, or the time after the release, with new evidence. Adds the failure lead of the
+   * ending stage to that of earlier stages.
    */
-  public void enterStage(int newStage, Timestamp from, boolean released) {
+  public void enterStage(int newStage, Timestamp startedAt, boolean released) {
     if (evidence != null) {
       earlierStagesLead += failureLead();
       earlierStagesDeviation += Math.sqrt(4 * pooledCounts()[2]);
     }
     stage = newStage;
-    stageStartedAt = from;
+    stageStartedAt = startedAt;
     slowdown.enterStage();
     evidence = new StageEvidence(canaryCounts.length, MAX_TIMED_PAIRS);
     peerFailingEndpointBits = 0;
@@ -182,33 +186,35 @@
     }
   }
 
-  /** How many endpoints failed shadow requests in this stage, a few perhaps counted as one. */
+  /**
+   * How many endpoints failed shadow requests in this stage. Endpoints that share a bit count as
+   * one.
+   */
   public int failingEndpoints() {
     return Integer.bitCount(evidence.failingEndpointBits() | peerFailingEndpointBits);
   }
 
-  /** A peer's latest report takes the place of its last one. */
+  /** Replaces a peer's earlier report. */
   public void receiveReport(int sender, byte[] report) {
     addPeerCounts(peerReports.put(sender, report), -1);
     addPeerCounts(report, 1);
   }
 
-  private void addPeerCounts(byte[] report, int times) {
-    boolean same =
+  private void addPeerCounts(byte[] report, int sign) {
+    boolean isThisStage =
         report != null
             && report[BUILD_BYTE] == (byte) build.number
             && report[STAGE_BYTE] == (byte) stage;
-    if (!same) {
+    if (!isThisStage) {
       return;
     }
     peerFailingEndpointBits |=
         report[FAILING_ENDPOINTS_BYTE] & 0xff | (report[FAILING_ENDPOINTS_BYTE + 1] & 0xff) << 8;
     for (int i = 0; i < REPORT_COUNTS; i++) {
-      peerCounts[i] += times * (report[COUNTS_BYTE + i] & 0xff);
+      peerCounts[i] += sign * (report[COUNTS_BYTE + i] & 0xff);
     }
   }
 
-  /** For the log. */
   @Override
   public String toString() {
     return build.number
--- a/src/main/java/sprucerock/policy/evidence/LastVote.java
+++ b/src/main/java/sprucerock/policy/evidence/LastVote.java
@@ -5,24 +5,24 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** The vote that this relay cast last, and how the controller took it. */
+/** The last vote of this relay, and the controller's answer to it. */
 public final class LastVote {
   private Verdict verdict = Verdict.NONE;
   private Timestamp castAt;
   private boolean counted;
   private boolean replyPending;
 
-  /** What was voted in this stage; NONE before the first vote. */
+  /** The verdict voted for in this stage; NONE before the first vote. */
   public Verdict verdict() {
     return verdict;
   }
 
-  /** A new stage begins, in which nothing was voted yet. */
+  /** Forgets the verdict, as a new stage begins. */
   public void reset() {
     verdict = Verdict.NONE;
   }
 
-  /** Notes that a vote was sent. */
+  /** Records that a vote was sent. */
   public void recordCast(Verdict cast, Timestamp now) {
     verdict = cast;
     castAt = now;
@@ -30,17 +30,21 @@
     counted = false;
   }
 
-  /** Notes the controller's reply to it. */
+  /** Records the controller's answer to the last vote. */
   public void recordReply(VoteReply reply) {
     replyPending = false;
     counted = reply == VoteReply.COUNTS;
   }
 
   /**
-   * Whether it is due again: after {@code renew} if it counts, {@code wait} unanswered, else {@code
-   * retry}. Only to be asked once a vote was cast.
+   * Whether to cast the last vote again. Must not be called before a vote was cast.
+   *
+   * @param renewAfter time after which a vote that counts is renewed
+   * @param answerTimeout time to wait for the controller's answer
+   * @param retryAfter time after which a vote that does not count is repeated
    */
-  public boolean isDue(TimeSpan renew, TimeSpan wait, TimeSpan retry, Timestamp now) {
-    return now.since(castAt).over(counted ? renew : replyPending ? wait : retry);
+  public boolean isDue(
+      TimeSpan renewAfter, TimeSpan answerTimeout, TimeSpan retryAfter, Timestamp now) {
+    return now.since(castAt).over(counted ? renewAfter : replyPending ? answerTimeout : retryAfter);
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/LoadReports.java
+++ b/src/main/java/sprucerock/policy/evidence/LoadReports.java
@@ -9,15 +9,15 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What relays tell each other of attempts that are out, as messages, and their sums by endpoint.
- * Messages may be lost, and come from relays of other versions; the recorded peer messages of the
- * compatibility corpus hold their bytes.
+ * Encodes and decodes the messages in which relays report attempts in flight, and sums them by
+ * endpoint. Messages may be lost, and may come from relays of other versions. The recorded peer
+ * messages of the compatibility corpus pin their bytes.
  */
 public final class LoadReports {
-  /** The first byte of a message that an attempt started or ended. */
+  /** The first byte of a message on the start or end of an attempt. */
   public static final byte ATTEMPT_MESSAGE = 1;
 
-  /** The first byte of a message of all loads. */
+  /** The first byte of a message with the loads of all endpoints. */
   public static final byte LOADS_MESSAGE = 2;
 
   private static final int AGE_STEPS = 126;
@@ -28,13 +28,16 @@
   private final TimeSpan decayTime;
 
   /**
-   * An attempt counts less as it ages, so that a lost message is forgotten after some {@code life}.
+   * Creates empty reports.
+   *
+   * @param decayTime the time in which the weight of an attempt falls to 1/e, so that an attempt
+   *     whose end was lost is forgotten
    */
-  public LoadReports(TimeSpan life) {
-    this.decayTime = life;
+  public LoadReports(TimeSpan decayTime) {
+    this.decayTime = decayTime;
   }
 
-  /** It may get new work, so reports on it are summed from now on. */
+  /** Starts to sum up reports on an endpoint that may get new work. */
   public void addEndpoint(Endpoint endpoint) {
     byShortId.put(shortId(endpoint), endpoint);
     if (endpoint.fleetInFlight == null) {
@@ -42,28 +45,37 @@
     }
   }
 
-  /** Forgets it, unless another endpoint took its short id. */
+  /** Forgets an endpoint, unless another endpoint has taken over its short id. */
   public void removeEndpoint(Endpoint endpoint) {
     byShortId.remove(shortId(endpoint), endpoint);
   }
 
-  /** 16 bits that all relays share; two endpoints of a large fleet seldom have the same. */
+  /** A 16-bit id on which all relays agree; in a large fleet two endpoints rarely share it. */
   private static int shortId(Endpoint endpoint) {
     return (int) (endpoint.id * 0x9E3779B1L >>> 16) & 0xffff;
   }
 
-  /** Encodes that an attempt started (null), or that one of some age ended. */
-  public byte[] encodeAttempt(Endpoint endpoint, TimeSpan endedAt) {
-    int age =
-        endedAt == null
+  /**
+   * Encodes the start or the end of an attempt.
+   *
+   * @param ageAtEnd age of an attempt that ended; null for the start of an attempt
+   */
+  public byte[] encodeAttempt(Endpoint endpoint, TimeSpan ageAtEnd) {
+    int encodedAge =
+        ageAtEnd == null
             ? 0
-            : 1 + (int) Math.min(endedAt.dividedBy(decayTime) * AGE_STEPS, AGE_STEPS);
+            : 1 + (int) Math.min(ageAtEnd.dividedBy(decayTime) * AGE_STEPS, AGE_STEPS);
     return new byte[] {
-      ATTEMPT_MESSAGE, (byte) shortId(endpoint), (byte) (shortId(endpoint) >> 8), (byte) age
+      ATTEMPT_MESSAGE, (byte) shortId(endpoint), (byte) (shortId(endpoint) >> 8), (byte) encodedAge
     };
   }
 
-  /** Adds such a message; an end takes off what is left of its attempt. True where one ended. */
+  /**
+   * Applies a message on the start or end of an attempt. An end subtracts the weight that the
+   * attempt has left.
+   *
+   * @return whether the message reports an end
+   */
   public boolean applyAttempt(byte[] message, Timestamp now) {
     Endpoint endpoint = endpointAt(message, 1);
     if (endpoint != null) {
@@ -73,11 +85,11 @@
     return message[3] != 0;
   }
 
-  private Endpoint endpointAt(byte[] message, int at) {
-    return byShortId.get(message[at] & 0xff | (message[at + 1] & 0xff) << 8);
+  private Endpoint endpointAt(byte[] message, int position) {
+    return byShortId.get(message[position] & 0xff | (message[position + 1] & 0xff) << 8);
   }
 
-  /** All attempts that are out, as far as reports tell. */
+  /** The attempts in flight at all endpoints, according to reports. */
   public double inFlight(Timestamp now) {
     double sum = 0;
     for (Endpoint endpoint : byShortId.values()) {
@@ -87,23 +99,25 @@
   }
 
   /**
-   * Encodes which endpoints hold so many attempts or more, the fullest first, and one figure, 0 to
-   * under 2, beside.
+   * Encodes the loads of endpoints, the highest first.
+   *
+   * @param minInFlight the smallest load to include
+   * @param waitShare the fleet's wait as a share of the mean latency objective; 0 to under 2
    */
-  public byte[] encodeLoads(int least, double waitShare, Timestamp now) {
+  public byte[] encodeLoads(int minInFlight, double waitShare, Timestamp now) {
     List<Endpoint> loaded = new ArrayList<>();
     for (Endpoint endpoint : byShortId.values()) {
       endpoint.reportedInFlight = (int) Math.round(endpoint.fleetInFlight.at(now));
-      if (endpoint.reportedInFlight >= least) {
+      if (endpoint.reportedInFlight >= minInFlight) {
         loaded.add(endpoint);
       }
     }
     loaded.sort((a, b) -> b.reportedInFlight - a.reportedInFlight);
-    int size = Math.min(loaded.size(), MAX_LOADS_ENDPOINTS);
-    byte[] message = new byte[2 + 3 * size];
+    int count = Math.min(loaded.size(), MAX_LOADS_ENDPOINTS);
+    byte[] message = new byte[2 + 3 * count];
     message[0] = LOADS_MESSAGE;
     message[1] = (byte) Math.min(WAIT_SHARE_SCALE * waitShare, 127);
-    for (int i = 0; i < size; i++) {
+    for (int i = 0; i < count; i++) {
       message[2 + 3 * i] = (byte) shortId(loaded.get(i));
       message[3 + 3 * i] = (byte) (shortId(loaded.get(i)) >> 8);
       message[4 + 3 * i] = (byte) Math.min(loaded.get(i).reportedInFlight, 127);
@@ -111,7 +125,7 @@
     return message;
   }
 
-  /** Notes such loads at the endpoints, and returns the figure. */
+  /** Records the loads of a message at the endpoints, and returns its wait share. */
   public double applyLoads(byte[] message, Timestamp now) {
     for (int i = 2; i + 2 < message.length; i += 3) {
       Endpoint endpoint = endpointAt(message, i);
--- a/src/main/java/sprucerock/policy/evidence/LostPace.java
+++ b/src/main/java/sprucerock/policy/evidence/LostPace.java
@@ -2,22 +2,30 @@
 
 import sprucerock.time.Timestamp;
 
-/** Pace that the fleet lost since a release: how much slower, times the seconds that it lasted. */
+/**
+ * The slowdown of the fleet since a release: the logarithm of the slowdown, integrated over
+ * seconds.
+ */
 public final class LostPace {
   private double lostLogSeconds;
   private Timestamp updatedAt;
 
-  /** Adds the time since the last update while the pace is lost; starts afresh where it isn't. */
-  public void update(boolean lost, double pace, Timestamp now) {
-    if (!lost) {
+  /**
+   * Adds the time since the last update.
+   *
+   * @param slowed whether the fleet is slower than before; resets the sum if it is not
+   * @param logSlowdown the logarithm of the slowdown
+   */
+  public void update(boolean slowed, double logSlowdown, Timestamp now) {
+    if (!slowed) {
       lostLogSeconds = 0;
     } else if (updatedAt != null) {
-      lostLogSeconds += pace * now.since(updatedAt).ms() / 1000;
+      lostLogSeconds += logSlowdown * now.since(updatedAt).ms() / 1000;
     }
     updatedAt = now;
   }
 
-  /** The logarithm of the slowdown, times seconds. */
+  /** The sum of the logarithm of the slowdown times its duration in seconds. */
   public double lostLogSeconds() {
     return lostLogSeconds;
   }
--- a/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
+++ b/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
@@ -7,33 +7,37 @@
 import sprucerock.model.Build;
 import sprucerock.model.Endpoint;
 
-/** The endpoints that answered this relay last, so that connections to them are likely open. */
+/** The endpoints that answered this relay last; connections to them are probably open. */
 public final class RecentEndpoints {
   private final LinkedHashSet<Endpoint> endpoints = new LinkedHashSet<>();
   private final int maxEndpoints;
 
-  /** Remembers so many at most; the one that was added first goes first. */
+  /** Keeps at most {@code maxEndpoints}; the one added first is removed first. */
   public RecentEndpoints(int maxEndpoints) {
     this.maxEndpoints = maxEndpoints;
   }
 
-  /** It answered; one that is known already keeps its place in the order. */
+  /** Adds an endpoint that answered. An endpoint already present keeps its place. */
   public void add(Endpoint endpoint) {
     if (endpoints.add(endpoint) && endpoints.size() > maxEndpoints) {
       endpoints.remove(endpoints.iterator().next());
     }
   }
 
-  /** Its connection broke, or could not be made. */
+  /** Removes an endpoint whose connection broke or could not be opened. */
   public void remove(Endpoint endpoint) {
     endpoints.remove(endpoint);
   }
 
-  /** Those of a build that may get new work, beginning at one by {@code random}, 0 to under 1. */
+  /**
+   * Lists the endpoints of a build that may get new work, in their order, rotated by chance.
+   *
+   * @param random uniform, from 0 to under 1
+   */
   public List<Endpoint> readyOfBuild(Build build, double random) {
-    List<Endpoint> found = new ArrayList<>(endpoints);
-    found.removeIf(endpoint -> endpoint.build != build || !endpoint.ready());
-    Collections.rotate(found, (int) (random * found.size()));
-    return found;
+    List<Endpoint> ready = new ArrayList<>(endpoints);
+    ready.removeIf(endpoint -> endpoint.build != build || !endpoint.ready());
+    Collections.rotate(ready, (int) (random * ready.size()));
+    return ready;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/Slowdown.java
+++ b/src/main/java/sprucerock/policy/evidence/Slowdown.java
@@ -3,8 +3,8 @@
 import sprucerock.time.Timestamp;
 
 /**
- * How far a slowdown of the baseline has been looked into while one canary is on trial. It holds
- * the facts; the policy decides when one state follows another.
+ * The state of the investigation of a baseline slowdown during one canary trial. It only holds the
+ * state; the policy decides on transitions.
  */
 public final class Slowdown {
   private Timestamp slowSince;
@@ -13,65 +13,67 @@
   private boolean canaryCleared;
   private int blameCount;
 
-  /** Since when the baseline is slow; null where it isn't. */
+  /** When the baseline became slow; null while it is not. */
   public Timestamp slowSince() {
     return slowSince;
   }
 
-  /** When shadow requests were stopped for it; null while they go on. */
+  /** When shadow requests were paused; null while they are not. */
   public Timestamp pausedAt() {
     return pausedAt;
   }
 
-  /** When they went on last, as the pace came back; null before the first time. */
+  /**
+   * When shadow requests last resumed because the baseline had recovered; null if they never did.
+   */
   public Timestamp resumedAt() {
     return resumedAt;
   }
 
-  /** The pace stayed bad without shadow requests, so the canary isn't to blame. */
+  /** Whether the baseline stayed slow without shadow requests, so the canary is not to blame. */
   public boolean isCanaryCleared() {
     return canaryCleared;
   }
 
-  /** How often the baseline was slow again soon after shadow requests went on. */
+  /** How often the baseline became slow again soon after shadow requests resumed. */
   public int blameCount() {
     return blameCount;
   }
 
-  /** The baseline got slow. */
+  /** Records that the baseline became slow. */
   public void begin(Timestamp now) {
     slowSince = now;
   }
 
-  /** The pace is good, so that the next slowdown counts afresh. */
+  /** Ends the slowdown; the next one is investigated anew. */
   public void end() {
     slowSince = null;
     canaryCleared = false;
   }
 
-  /** A new stage begins; whether it is paused or excused holds on. */
+  /** Begins a new stage, keeping a pause and whether the canary was cleared. */
   public void enterStage() {
     slowSince = null;
   }
 
-  /** Shadow requests stop, to see whether the pace comes back. */
+  /** Pauses shadow requests, to see whether the baseline recovers. */
   public void pause(Timestamp now) {
     pausedAt = now;
   }
 
-  /** The pace came back, so shadow requests go on. */
+  /** Resumes shadow requests after the baseline recovered. */
   public void resume(Timestamp now) {
     pausedAt = null;
     resumedAt = now;
   }
 
-  /** The pace did not come back in time: shadow requests go on, and the canary is excused. */
+  /** Resumes shadow requests and clears the canary, as the baseline did not recover in time. */
   public void clearCanary() {
     pausedAt = null;
     canaryCleared = true;
   }
 
-  /** The baseline got slow again soon after shadow requests went on. */
+  /** Counts that the baseline became slow again soon after shadow requests resumed. */
   public void blameCanary() {
     blameCount++;
   }
--- a/src/main/java/sprucerock/policy/evidence/StageEvidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -11,21 +11,24 @@
 import sprucerock.model.ShadowPair;
 import sprucerock.stats.KolmogorovSmirnov;
 
-/** What one relay saw of the canary in its present stage. */
+/** What one relay saw of the canary in the current stage. */
 public final class StageEvidence {
   /** The first byte of a report to peers. */
   public static final byte REPORT_MESSAGE = 3;
 
   private static final int MAX_REPORTED_COUNT = 255;
 
-  /** Pairs judged, and pairs of which only the baseline's attempt failed. */
+  /** How many pairs were judged. */
   public int pairs;
 
+  /**
+   * How many pairs failed at the baseline only, and wrong baseline answers that clients reported.
+   */
   public int baselineFailures;
 
   private final double[] canaryLatencies;
   private final double[] baselineLatencies;
-  private final int[] sentAlone;
+  private final int[] canaryOnlyCounts;
   private final List<Deque<ShadowPair>> awaitingBaseline = new ArrayList<>();
   private int timedPairs;
   private int canaryFailures;
@@ -38,38 +41,45 @@
   private int reportedPairs;
   private int reportedFailures;
 
-  /** For so many methods; keeps the times of {@code maxTimedPairs} pairs. */
+  /**
+   * Creates empty evidence for {@code methods} methods, with latencies of at most {@code
+   * maxTimedPairs}.
+   */
   public StageEvidence(int methods, int maxTimedPairs) {
     canaryLatencies = new double[maxTimedPairs];
     baselineLatencies = new double[maxTimedPairs];
-    sentAlone = new int[methods];
+    canaryOnlyCounts = new int[methods];
     for (int i = 0; i < methods; i++) {
       awaitingBaseline.add(new ArrayDeque<>());
     }
   }
 
-  /** Shadow requests that failed beside a served attempt at the baseline. */
+  /** How many pairs failed at the canary only, and wrong canary answers that clients reported. */
   public int canaryFailures() {
     return canaryFailures;
   }
 
-  /** A shadow request failed at this endpoint beside a served attempt at the baseline. */
+  /** Counts a shadow request that failed at the endpoint while the baseline served the request. */
   public void recordCanaryFailure(Endpoint endpoint) {
     canaryFailures++;
     failingEndpointBits |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
   }
 
-  /** Endpoints that failed such a request, as 16 bits that several may share. */
+  /** The endpoints that failed shadow requests, as 16 bits; several endpoints may share a bit. */
   int failingEndpointBits() {
     return failingEndpointBits;
   }
 
-  /** How many pairs have both their times known; at most as many as are kept. */
+  /** How many pairs have both latencies recorded. */
   public int timedPairs() {
     return timedPairs;
   }
 
-  /** Notes the times of a pair; returns how many are known, 0 where no more are kept. */
+  /**
+   * Records the latencies of a pair, relative to the expected ones.
+   *
+   * @return how many pairs have latencies now; 0 if there was no room for this one
+   */
   public int addLatencies(double canary, double baseline) {
     if (timedPairs == canaryLatencies.length) {
       return 0;
@@ -79,18 +89,18 @@
     return ++timedPairs;
   }
 
-  /** One-sided Kolmogorov-Smirnov distance of the times so far, 0 to 1. */
+  /** The one-sided Kolmogorov-Smirnov distance of the latencies so far, from 0 to 1. */
   public double slownessDistance() {
     return KolmogorovSmirnov.oneSidedDistance(
         Arrays.copyOf(canaryLatencies, timedPairs), Arrays.copyOf(baselineLatencies, timedPairs));
   }
 
-  /** Whether the pairs' times showed the canary to be slower. */
+  /** Whether the latencies of the pairs showed the canary to be slower. */
   public boolean isSlowerByLatency() {
     return slowerByLatency;
   }
 
-  /** Notes that the times of the pairs showed it. */
+  /** Records that the latencies of the pairs showed the canary to be slower. */
   public void markSlowerByLatency() {
     slowerByLatency = true;
   }
@@ -100,12 +110,12 @@
     return worseByCounts;
   }
 
-  /** Notes that the counts showed it. */
+  /** Records that the controller's counts showed the canary to fail more. */
   public void markWorseByCounts() {
     worseByCounts = true;
   }
 
-  /** Notes an attempt that ended at the build after its release. */
+  /** Records an attempt that ended at the build after its release. */
   public void recordAttemptAfterRelease(Attempt attempt) {
     attemptsAfterRelease++;
     if (!attempt.answeredWithError()) {
@@ -117,48 +127,48 @@
     }
   }
 
-  /** Attempts that ended at the build since its release. */
+  /** How many attempts ended at the build since its release. */
   public int attemptsAfterRelease() {
     return attemptsAfterRelease;
   }
 
-  /** Those of them that were answered with an error. */
+  /** How many attempts since the release were answered with an error. */
   public int errorsAfterRelease() {
     return errorsAfterRelease;
   }
 
-  /** Endpoints of the build that answered with an error since its release. */
+  /** How many endpoints of the build answered with an error since its release. */
   public int failingEndpointsAfterRelease() {
     return failingEndpointsAfterRelease;
   }
 
-  /** A request of the method was sent to the canary alone; its like at the baseline is due. */
-  public void sentAlone(Method method, ShadowPair pair) {
+  /** Counts a request that was sent to the canary only; its pair awaits a baseline attempt. */
+  public void recordCanaryOnly(Method method, ShadowPair pair) {
     awaitingBaseline.get(method.index).add(pair);
-    sentAlone[method.index]++;
+    canaryOnlyCounts[method.index]++;
   }
 
-  /** How many requests of the method were sent to the canary alone. */
-  public int sentAlone(Method method) {
-    return sentAlone[method.index];
+  /** How many requests of the method were sent to the canary only. */
+  public int canaryOnlyCount(Method method) {
+    return canaryOnlyCounts[method.index];
   }
 
-  /** Takes the oldest pair that awaits its attempt at the baseline; null where none does. */
+  /** Removes the oldest pair that awaits a baseline attempt; returns null if there is none. */
   public ShadowPair pollAwaitingBaseline(Method method) {
     return awaitingBaseline.get(method.index).poll();
   }
 
-  /** Each of a method's requests sent alone has its like at the baseline. */
+  /** Whether no pair of the method awaits a baseline attempt. */
   public boolean hasBaselineForEach(Method method) {
     return awaitingBaseline.get(method.index).isEmpty();
   }
 
-  /** Whether the peers know all of this. */
+  /** Whether the last report to peers contains all counts. */
   public boolean isReportedToPeers() {
     return reportedPairs == pairs && reportedFailures == canaryFailures + baselineFailures;
   }
 
-  /** The counts of the pairs, to be told to peers. */
+  /** Encodes the pair counts as a report to peers. */
   public byte[] encodeReport(int build, int stage) {
     reportedPairs = pairs;
     reportedFailures = canaryFailures + baselineFailures;
--- a/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
+++ b/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
@@ -5,35 +5,38 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** What each tenant sends of late, beside its quota. */
+/** The recent request rate of each tenant, compared with its quota. */
 public final class TenantArrivals {
   private final List<Double> quotas;
   private final DecayingSum[] byTenant;
-  private final DecayingSum all;
+  private final DecayingSum total;
 
   /**
-   * Quotas are shares of all requests, 0 to 1, by tenant; arrivals count less as they age, over
-   * some {@code life}.
+   * Creates arrivals without requests.
+   *
+   * @param quotas the share of all requests, from 0 to 1, of each tenant
+   * @param decayTime the time in which the weight of an arrival falls to 1/e
    */
-  public TenantArrivals(List<Double> quotas, TimeSpan life) {
+  public TenantArrivals(List<Double> quotas, TimeSpan decayTime) {
     this.quotas = quotas;
     byTenant = new DecayingSum[quotas.size()];
     for (int i = 0; i < byTenant.length; i++) {
-      byTenant[i] = new DecayingSum(life);
+      byTenant[i] = new DecayingSum(decayTime);
     }
-    all = new DecayingSum(life);
+    total = new DecayingSum(decayTime);
   }
 
-  /** A request of the tenant arrived; unknown tenants count as others. */
+  /** Counts a request of the tenant; a tenant without a quota counts in the total only. */
   public void add(int tenant, Timestamp now) {
-    all.add(now, 1);
+    total.add(now, 1);
     if (tenant < byTenant.length) {
       byTenant[tenant].add(now, 1);
     }
   }
 
   /**
-   * How many times its quota a tenant sends, beside what the others send; 0 where it has no quota.
+   * The tenant's rate as a multiple of its quota, which is measured against the traffic of all
+   * other tenants; 0 if the tenant has no quota.
    */
   public double quotaMultiple(int tenant, Timestamp now) {
     if (tenant >= byTenant.length) {
@@ -41,6 +44,6 @@
     }
     double own = byTenant[tenant].at(now);
     double quota = quotas.get(tenant);
-    return own / Math.max((all.at(now) - own) * quota / Math.max(1 - quota, 0.01), 1e-9);
+    return own / Math.max((total.at(now) - own) * quota / Math.max(1 - quota, 0.01), 1e-9);
   }
 }
--- a/src/main/java/sprucerock/simulation/EventDecoder.java
+++ b/src/main/java/sprucerock/simulation/EventDecoder.java
@@ -8,11 +8,12 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Decodes the records of one relay's events. All fields are read at once, also where the relay has
- * failed; what is returned then acts on the relay.
+ * Decodes the event records of one relay. All fields are read at once, even if the relay has
+ * failed; the returned task then applies the event to the relay.
  */
 final class EventDecoder {
-  private static final int STATUS_KNOWN_BUILD = 1; // the controller knows the build
+  // The controller knows the build.
+  private static final int STATUS_KNOWN_BUILD = 1;
   private static final Runnable NO_ACTION = () -> {};
 
   private final SimulatedRelay relay;
@@ -22,34 +23,34 @@
   }
 
   /**
-   * What an event does; null where the code is none of the wire's.
+   * Returns a task that applies the event, or null if the code is not on the simulator's wire.
    *
    * @throws java.nio.BufferUnderflowException if the record is too short
    */
-  Runnable decode(int code, ByteBuffer f) {
+  Runnable decode(int code, ByteBuffer fields) {
     return switch (code) {
-      case WireCodes.RPC_ARRIVED -> rpcArrived(f);
-      case WireCodes.STREAM_STARTED -> streamStarted(f);
-      case WireCodes.ATTEMPT_ENDED -> attemptEnded(f);
-      case WireCodes.CLIENT_LEFT -> clientLeft(f);
-      case WireCodes.TIMER_FIRED -> timerFired(f);
-      case WireCodes.HEALTH_CHECKED -> healthChecked(f);
-      case WireCodes.PEER_MESSAGE -> peerMessage(f);
-      case WireCodes.ROLLOUT_CHANGED -> rolloutChanged(f);
-      case WireCodes.BUILD_COUNTS -> buildCounts(f);
-      case WireCodes.ANSWER_REPORTED_WRONG -> answerReportedWrong(f);
+      case WireCodes.RPC_ARRIVED -> rpcArrived(fields);
+      case WireCodes.STREAM_STARTED -> streamStarted(fields);
+      case WireCodes.ATTEMPT_ENDED -> attemptEnded(fields);
+      case WireCodes.CLIENT_LEFT -> clientLeft(fields);
+      case WireCodes.TIMER_FIRED -> timerFired(fields);
+      case WireCodes.HEALTH_CHECKED -> healthChecked(fields);
+      case WireCodes.PEER_MESSAGE -> peerMessage(fields);
+      case WireCodes.ROLLOUT_CHANGED -> rolloutChanged(fields);
+      case WireCodes.BUILD_COUNTS -> buildCounts(fields);
+      case WireCodes.ANSWER_REPORTED_WRONG -> answerReportedWrong(fields);
       default -> null;
     };
   }
 
-  private Runnable rpcArrived(ByteBuffer f) {
-    long id = unsignedInt(f);
-    int method = f.getShort() & 0xffff;
-    int tenant = f.getInt();
-    long key = f.getLong();
-    Timestamp deadline = Timestamp.ofMs(f.getDouble());
-    double workHint = f.getDouble();
-    boolean hasHint = (f.get() & 1) != 0;
+  private Runnable rpcArrived(ByteBuffer fields) {
+    long id = unsignedInt(fields);
+    int method = fields.getShort() & 0xffff;
+    int tenant = fields.getInt();
+    long key = fields.getLong();
+    Timestamp deadline = Timestamp.ofMs(fields.getDouble());
+    double workHint = fields.getDouble();
+    boolean hasHint = (fields.get() & 1) != 0;
     return () -> {
       relay
           .tracker()
@@ -65,11 +66,11 @@
     };
   }
 
-  private Runnable streamStarted(ByteBuffer f) {
-    long id = unsignedInt(f);
-    f.getInt();
-    int attempt = f.get() & 0xff;
-    f.getDouble();
+  private Runnable streamStarted(ByteBuffer fields) {
+    long id = unsignedInt(fields);
+    fields.getInt();
+    int attempt = fields.get() & 0xff;
+    fields.getDouble();
     return () -> {
       Rpc rpc = relay.tracker().rpc(id);
       if (rpc != null && attempt < rpc.attempts.size()) {
@@ -78,14 +79,14 @@
     };
   }
 
-  private Runnable attemptEnded(ByteBuffer f) {
-    long id = unsignedInt(f);
-    int attempt = f.get() & 0xff;
-    TimeSpan latency = TimeSpan.ofMs(f.getDouble());
-    boolean closed = f.get() != 0;
-    f.getInt();
-    AttemptOutcome outcome = WireCodes.outcome(f.get() & 0xff);
-    skipLoadReport(f);
+  private Runnable attemptEnded(ByteBuffer fields) {
+    long id = unsignedInt(fields);
+    int attempt = fields.get() & 0xff;
+    TimeSpan latency = TimeSpan.ofMs(fields.getDouble());
+    boolean closed = fields.get() != 0;
+    fields.getInt();
+    AttemptOutcome outcome = WireCodes.outcome(fields.get() & 0xff);
+    skipLoadReport(fields);
     return () -> {
       Rpc rpc = relay.tracker().rpc(id);
       if (rpc != null && attempt < rpc.attempts.size()) {
@@ -94,8 +95,8 @@
     };
   }
 
-  private Runnable clientLeft(ByteBuffer f) {
-    long id = unsignedInt(f);
+  private Runnable clientLeft(ByteBuffer fields) {
+    long id = unsignedInt(fields);
     return () -> {
       Rpc rpc = relay.tracker().rpc(id);
       if (rpc != null) {
@@ -104,34 +105,34 @@
     };
   }
 
-  private Runnable timerFired(ByteBuffer f) {
-    Runnable due = relay.takeTimer(unsignedInt(f));
-    return due == null ? NO_ACTION : due;
+  private Runnable timerFired(ByteBuffer fields) {
+    Runnable task = relay.takeTimer(unsignedInt(fields));
+    return task == null ? NO_ACTION : task;
   }
 
-  private Runnable healthChecked(ByteBuffer f) {
-    f.getDouble();
-    f.get();
-    f.getInt();
-    skipLoadReport(f);
+  private Runnable healthChecked(ByteBuffer fields) {
+    fields.getDouble();
+    fields.get();
+    fields.getInt();
+    skipLoadReport(fields);
     return NO_ACTION;
   }
 
-  private Runnable peerMessage(ByteBuffer f) {
-    int sender = f.getInt();
-    byte[] contents = new byte[SimulationHost.checkedCount(f, f.getShort() & 0xffff, 1)];
-    f.get(contents);
+  private Runnable peerMessage(ByteBuffer fields) {
+    int sender = fields.getInt();
+    byte[] contents = new byte[SimulationHost.checkedCount(fields, fields.getShort() & 0xffff, 1)];
+    fields.get(contents);
     return () -> relay.policy().peerMessageReceived(sender, contents);
   }
 
-  private Runnable rolloutChanged(ByteBuffer f) {
-    int number = f.getShort() & 0xffff;
-    int stage = f.get() & 0xff;
-    int state = f.get() & 0xff;
-    boolean isVoteReply = f.get() == 1;
-    int status = f.get() & 0xff;
-    double cap = f.getFloat();
-    TimeSpan age = TimeSpan.ofMs(f.getDouble());
+  private Runnable rolloutChanged(ByteBuffer fields) {
+    int number = fields.getShort() & 0xffff;
+    int stage = fields.get() & 0xff;
+    int state = fields.get() & 0xff;
+    boolean isVoteReply = fields.get() == 1;
+    int status = fields.get() & 0xff;
+    double cap = fields.getFloat();
+    TimeSpan age = TimeSpan.ofMs(fields.getDouble());
     return () -> {
       if (isVoteReply) {
         relay.policy().voteAnswered(WireCodes.voteReply(status));
@@ -145,30 +146,30 @@
     };
   }
 
-  private Runnable buildCounts(ByteBuffer f) {
-    int number = f.getShort() & 0xffff;
-    int method = f.getShort() & 0xffff;
-    long attempts = unsignedInt(f);
-    long failed = unsignedInt(f);
-    TimeSpan mean = TimeSpan.ofMs(f.getDouble());
-    f.getDouble();
+  private Runnable buildCounts(ByteBuffer fields) {
+    int number = fields.getShort() & 0xffff;
+    int method = fields.getShort() & 0xffff;
+    long attempts = unsignedInt(fields);
+    long failed = unsignedInt(fields);
+    TimeSpan mean = TimeSpan.ofMs(fields.getDouble());
+    fields.getDouble();
     return () -> relay.tracker().counted(number, method, attempts, failed, mean);
   }
 
-  private Runnable answerReportedWrong(ByteBuffer f) {
-    long endpoint = unsignedInt(f);
-    f.getShort();
-    TimeSpan sentAgo = TimeSpan.ofMs(f.getDouble());
+  private Runnable answerReportedWrong(ByteBuffer fields) {
+    long endpoint = unsignedInt(fields);
+    fields.getShort();
+    TimeSpan sentAgo = TimeSpan.ofMs(fields.getDouble());
     return () -> relay.tracker().flagged(endpoint, sentAgo, relay.now());
   }
 
-  private static long unsignedInt(ByteBuffer f) {
-    return Integer.toUnsignedLong(f.getInt());
+  private static long unsignedInt(ByteBuffer fields) {
+    return Integer.toUnsignedLong(fields.getInt());
   }
 
-  /** Load reports are read past: the policy doesn't use them. */
-  private static void skipLoadReport(ByteBuffer f) {
-    int values = SimulationHost.checkedCount(f, f.get() & 0xff, Float.BYTES);
-    f.position(f.position() + Float.BYTES * values);
+  /** Skips a load report, which the policy does not use. */
+  private static void skipLoadReport(ByteBuffer fields) {
+    int values = SimulationHost.checkedCount(fields, fields.get() & 0xff, Float.BYTES);
+    fields.position(fields.position() + Float.BYTES * values);
   }
 }
--- a/src/main/java/sprucerock/simulation/FrameException.java
+++ b/src/main/java/sprucerock/simulation/FrameException.java
@@ -1,6 +1,9 @@
 package sprucerock.simulation;
 
-/** Input breaks the simulator's wire format; the message names batch, record and what is wrong. */
+/**
+ * The input violates the simulator's wire format. The message names the batch, the record and the
+ * violation.
+ */
 public final class FrameException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/sprucerock/simulation/ReplyWriter.java
+++ b/src/main/java/sprucerock/simulation/ReplyWriter.java
@@ -4,8 +4,8 @@
 import java.nio.ByteOrder;
 
 /**
- * Encodes the records of one reply frame, in the order in which they are written; little-endian.
- * One frame is filled at a time.
+ * Encodes the records of one reply frame, little-endian, in the order in which they are written. It
+ * fills one frame at a time.
  */
 final class ReplyWriter {
   private static final int INITIAL_BYTES = 1 << 16;
@@ -17,7 +17,7 @@
   private int recordCount;
   private int lengthPosition;
 
-  /** Begins a record of a relay; {@link #close} ends it. */
+  /** Begins a record of a relay; {@link #closeRecord} ends it. */
   ReplyWriter openRecord(int code, long relay) {
     ensureCapacity(RECORD_HEADER_BYTES);
     body.put((byte) code);
@@ -51,7 +51,7 @@
     return this;
   }
 
-  /** A length and the bytes; what is beyond 65,535 of them is cut off. */
+  /** Writes a length and the bytes; truncates them after 65,535. */
   ReplyWriter bytes(byte[] value) {
     int length = Math.min(value.length, MAX_FIELD_BYTES);
     u16(length);
@@ -65,26 +65,26 @@
     body.putInt(lengthPosition, body.position() - lengthPosition - Integer.BYTES);
   }
 
-  /** The whole reply to a batch; the writer is empty afterwards. */
+  /** Returns the reply frame to a batch and empties the writer. */
   byte[] takeFrame(int batch) {
-    ByteBuffer whole =
+    ByteBuffer frame =
         ByteBuffer.allocate(FRAME_HEADER_BYTES + body.position()).order(ByteOrder.LITTLE_ENDIAN);
-    whole
+    frame
         .putInt(batch)
         .putInt(body.position())
         .putInt(recordCount)
         .put(body.array(), 0, body.position());
     body.clear();
     recordCount = 0;
-    return whole.array();
+    return frame.array();
   }
 
   private void ensureCapacity(int bytes) {
     if (body.remaining() >= bytes) {
       return;
     }
-    ByteBuffer wider = ByteBuffer.allocate(Math.max(body.capacity() * 2, body.position() + bytes));
+    ByteBuffer larger = ByteBuffer.allocate(Math.max(body.capacity() * 2, body.position() + bytes));
     body.flip();
-    body = wider.order(ByteOrder.LITTLE_ENDIAN).put(body);
+    body = larger.order(ByteOrder.LITTLE_ENDIAN).put(body);
   }
 }
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -19,17 +19,16 @@
 import sprucerock.time.Timestamp;
 
 /**
- * One relay of the simulator: events come in as calls of the request tracker, and what the policy
- * does goes out as records. A relay whose policy throws reports that, and ignores events from then
- * on.
+ * One relay of the simulator. It passes events to the request tracker and encodes the actions of
+ * the policy as records. A relay whose policy throws reports that and ignores all further events.
  */
 final class SimulatedRelay implements RelayActions {
-  /** Makes the routing policy of a relay. */
+  /** Creates the routing policy of a relay. */
   interface PolicyFactory {
     RelayEvents create(RelayActions actions, Settings settings, long seed);
   }
 
-  private static final long TOKEN_MASK = 0xffffffffL; // timers have 32 bits on the wire
+  private static final long TOKEN_MASK = 0xffffffffL; // timer tokens have 32 bits on the wire
 
   private final long id;
   private final ReplyWriter replies;
@@ -42,15 +41,15 @@
   private Timestamp now;
   private final EventDecoder eventDecoder = new EventDecoder(this);
 
-  SimulatedRelay(long id, ReplyWriter replies, PolicyFactory policies) {
+  SimulatedRelay(long id, ReplyWriter replies, PolicyFactory policyFactory) {
     this.id = id;
     this.replies = replies;
-    this.policyFactory = policies;
+    this.policyFactory = policyFactory;
   }
 
-  /** Starts it with settings as the operators write them. */
-  void start(Timestamp at, long seed, String text) {
-    now = at;
+  /** Starts the relay with settings in the operators' text form. */
+  void start(Timestamp eventTime, long seed, String text) {
+    now = eventTime;
     runOrFail(
         () -> {
           settings = SettingsText.read(text);
@@ -60,9 +59,10 @@
         });
   }
 
-  /** A list of endpoints came, partial or complete, or failed to. */
-  void endpointListReceived(Timestamp at, int form, SimulationHost.ListedEndpoint[] entries) {
-    now = at;
+  /** Applies a partial or complete endpoint list, or the failure to get one. */
+  void endpointListReceived(
+      Timestamp eventTime, int form, SimulationHost.ListedEndpoint[] entries) {
+    now = eventTime;
     if (policy == null) {
       return;
     }
@@ -100,10 +100,10 @@
         entry.health() == WireCodes.READY);
   }
 
-  /** Takes an event that is no list; false where the code is unknown. */
-  boolean handleEvent(int code, ByteBuffer f, Timestamp at) {
-    now = at;
-    Runnable call = eventDecoder.decode(code, f);
+  /** Handles an event other than an endpoint list; returns false if the code is unknown. */
+  boolean handleEvent(int code, ByteBuffer fields, Timestamp eventTime) {
+    now = eventTime;
+    Runnable call = eventDecoder.decode(code, fields);
     if (call == null) {
       return false;
     }
@@ -125,12 +125,12 @@
     return policy;
   }
 
-  /** The timer of a token, once; null where there is none. */
+  /** Removes the timer of a token and returns its task; null if there is none. */
   Runnable takeTimer(long token) {
     return timers.remove(token);
   }
 
-  /** Runs a call; a simulated relay that fails must not end the others. */
+  /** Runs a call. If it throws, only this relay fails; the other simulated relays continue. */
   private void runOrFail(Runnable call) {
     try {
       call.run();
@@ -177,9 +177,9 @@
   }
 
   @Override
-  public void schedule(Timestamp when, Runnable what) {
+  public void schedule(Timestamp when, Runnable task) {
     long token = timerCount++ & TOKEN_MASK;
-    timers.put(token, what);
+    timers.put(token, task);
     open(WireCodes.SET_TIMER).u32(token).f64(when.ms()).closeRecord();
   }
 
--- a/src/main/java/sprucerock/simulation/SimulationHost.java
+++ b/src/main/java/sprucerock/simulation/SimulationHost.java
@@ -16,9 +16,8 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Reads batches of records, hands each to the relay that it is for, and writes one reply frame a
- * batch. It ends at the end of the input, or with a {@link FrameException} at the first malformed
- * record.
+ * Reads batches of records, passes each record to its relay and writes one reply frame per batch.
+ * It ends at the end of the input, or with a {@link FrameException} at the first malformed record.
  */
 public final class SimulationHost {
   private static final int BATCH_HEADER_BYTES = 20;
@@ -29,7 +28,7 @@
   private static final int MAX_HEALTH = 2;
   private static final int MAX_LIST_FORM = 3;
 
-  /** One line of a list of endpoints, as the wire has it. */
+  /** One entry of an endpoint list on the wire. */
   record ListedEndpoint(
       long endpoint,
       int zone,
@@ -47,13 +46,13 @@
   private final ListedEndpoint[][] lists = new ListedEndpoint[MAX_LISTS][];
   private final ReplyWriter replies = new ReplyWriter();
 
-  /** A host whose relays have the program's own routing policy. */
+  /** Creates a host whose relays run {@link RoutingPolicy}. */
   public SimulationHost(InputStream in, OutputStream out) {
     this(in, out, RoutingPolicy::new);
   }
 
-  SimulationHost(InputStream in, OutputStream out, SimulatedRelay.PolicyFactory policies) {
-    this.policyFactory = policies;
+  SimulationHost(InputStream in, OutputStream out, SimulatedRelay.PolicyFactory policyFactory) {
+    this.policyFactory = policyFactory;
     this.in = new DataInputStream(new BufferedInputStream(in, INPUT_BUFFER_BYTES));
     this.out = out;
   }
@@ -65,74 +64,76 @@
    * @throws IOException if a stream fails
    */
   public void run() throws IOException {
-    byte[] head = new byte[BATCH_HEADER_BYTES];
-    for (long seen = 0; ; seen++) {
+    byte[] headerBytes = new byte[BATCH_HEADER_BYTES];
+    for (long batchesRead = 0; ; batchesRead++) {
       int first = in.read();
       if (first < 0) {
         return;
       }
-      head[0] = (byte) first;
+      headerBytes[0] = (byte) first;
       readFully(
-          head,
+          headerBytes,
           1,
           BATCH_HEADER_BYTES - 1,
-          "batch after " + seen + " whole ones: header is cut short");
-      ByteBuffer header = wrap(head);
+          "batch after " + batchesRead + " complete batches: header is cut short");
+      ByteBuffer header = wrap(headerBytes);
       int batch = header.getInt();
       int length = header.getInt();
       int records = header.getInt();
       Timestamp now = Timestamp.ofMs(header.getDouble());
-      String where = "batch " + Integer.toUnsignedString(batch);
+      String batchName = "batch " + Integer.toUnsignedString(batch);
       if (length < 0) {
-        throw new FrameException(where + ": length is over 2 GiB");
+        throw new FrameException(batchName + ": length is over 2 GiB");
       }
       byte[] body = in.readNBytes(length);
       if (body.length < length) {
-        throw new FrameException(where + ": body is cut short");
+        throw new FrameException(batchName + ": body is cut short");
       }
-      process(wrap(body), records, now, where);
+      process(wrap(body), records, now, batchName);
       out.write(replies.takeFrame(batch));
       out.flush();
     }
   }
 
-  private void process(ByteBuffer body, int records, Timestamp now, String where) {
+  private void process(ByteBuffer body, int records, Timestamp now, String batchName) {
     for (int i = 0; i < records; i++) {
-      String record = where + ", record " + i;
+      String recordName = batchName + ", record " + i;
       if (body.remaining() < RECORD_HEADER_BYTES) {
-        throw new FrameException(record + ": head is cut short");
+        throw new FrameException(recordName + ": head is cut short");
       }
       int code = body.get() & 0xff;
       int length = body.getInt();
       if (length < 0 || length > body.remaining()) {
-        throw new FrameException(record + " (code " + code + "): length runs past the batch");
+        throw new FrameException(
+            recordName + " (code " + code + "): length exceeds the rest of the batch");
       }
       ByteBuffer fields = body.slice(body.position(), length).order(ByteOrder.LITTLE_ENDIAN);
       body.position(body.position() + length);
       try {
-        dispatch(code, fields, now, record);
+        dispatch(code, fields, now, recordName);
       } catch (BufferUnderflowException e) {
-        throw new FrameException(record + " (code " + code + "): fields are cut short");
+        throw new FrameException(recordName + " (code " + code + "): fields are cut short");
       }
       if (fields.hasRemaining()) {
-        throw new FrameException(record + " (code " + code + "): fields left over");
+        throw new FrameException(
+            recordName + " (code " + code + "): record is longer than its fields");
       }
     }
     if (body.hasRemaining()) {
-      throw new FrameException(where + ": bytes left after the last record");
+      throw new FrameException(batchName + ": body is longer than its records");
     }
   }
 
-  private void dispatch(int code, ByteBuffer f, Timestamp now, String record) {
+  private void dispatch(int code, ByteBuffer fields, Timestamp now, String recordName) {
     if (code == WireCodes.DEFINE_LIST) {
-      defineList(f, record);
+      defineList(fields, recordName);
       return;
     }
-    long id = Integer.toUnsignedLong(f.getInt());
+    long id = Integer.toUnsignedLong(fields.getInt());
     if (code == WireCodes.START_RELAY) {
-      long seed = f.getLong();
-      byte[] settings = new byte[checkedCount(f, Integer.toUnsignedLong(f.getInt()), 1)];
-      f.get(settings);
+      long seed = fields.getLong();
+      byte[] settings = new byte[checkedCount(fields, Integer.toUnsignedLong(fields.getInt()), 1)];
+      fields.get(settings);
       SimulatedRelay relay = new SimulatedRelay(id, replies, policyFactory);
       relays.put(id, relay);
       relay.start(now, seed, new String(settings, StandardCharsets.UTF_8));
@@ -140,58 +141,60 @@
     }
     SimulatedRelay relay = relays.get(id);
     if (relay == null) {
-      throw new FrameException(record + " (code " + code + "): relay " + id + " never started");
+      throw new FrameException(recordName + " (code " + code + "): relay " + id + " never started");
     }
     if (code == WireCodes.STOP_RELAY) {
       relays.remove(id);
     } else if (code == WireCodes.ENDPOINT_LIST) {
-      int list = f.getShort() & 0xffff;
-      f.getLong();
-      int form = f.get() & 0xff;
+      int listNumber = fields.getShort() & 0xffff;
+      fields.getLong();
+      int form = fields.get() & 0xff;
       if (form > MAX_LIST_FORM) {
-        throw new FrameException(record + ": unknown form of list " + form);
+        throw new FrameException(recordName + ": list form must be 0 to 3, got " + form);
       }
-      ListedEndpoint[] entries = list < lists.length ? lists[list] : null;
+      ListedEndpoint[] entries = listNumber < lists.length ? lists[listNumber] : null;
       if (form != WireCodes.LIST_FAILED && entries == null) {
-        throw new FrameException(record + ": list " + list + " was never sent");
+        throw new FrameException(recordName + ": list " + listNumber + " was never sent");
       }
       relay.endpointListReceived(now, form, entries);
-    } else if (!relay.handleEvent(code, f, now)) {
-      throw new FrameException(record + ": unknown code " + code);
+    } else if (!relay.handleEvent(code, fields, now)) {
+      throw new FrameException(recordName + ": unknown code " + code);
     }
   }
 
-  private void defineList(ByteBuffer f, String record) {
-    int list = f.getShort() & 0xffff;
-    if (list >= lists.length) {
-      throw new FrameException(record + ": list number " + list + " is out of range");
+  private void defineList(ByteBuffer fields, String recordName) {
+    int listNumber = fields.getShort() & 0xffff;
+    if (listNumber >= lists.length) {
+      throw new FrameException(
+          recordName + ": list number " + listNumber + " is out of range 0 to 15");
     }
     ListedEndpoint[] entries =
-        new ListedEndpoint[checkedCount(f, Integer.toUnsignedLong(f.getInt()), ENTRY_BYTES)];
+        new ListedEndpoint
+            [checkedCount(fields, Integer.toUnsignedLong(fields.getInt()), ENTRY_BYTES)];
     for (int i = 0; i < entries.length; i++) {
-      long endpoint = Integer.toUnsignedLong(f.getInt());
-      int zone = f.getShort() & 0xffff;
-      int kind = f.get() & 0xff;
-      int cell = f.getShort() & 0xffff;
-      int build = Math.round(f.getFloat());
-      int health = f.get() & 0xff;
+      long endpoint = Integer.toUnsignedLong(fields.getInt());
+      int zone = fields.getShort() & 0xffff;
+      int kind = fields.get() & 0xff;
+      int cell = fields.getShort() & 0xffff;
+      int build = Math.round(fields.getFloat());
+      int health = fields.get() & 0xff;
       entries[i] =
           new ListedEndpoint(
-              endpoint, zone, kind, cell, build, health, f.getFloat(), f.getDouble());
+              endpoint, zone, kind, cell, build, health, fields.getFloat(), fields.getDouble());
       if (health > MAX_HEALTH) {
-        throw new FrameException(record + ": unknown health " + health);
+        throw new FrameException(recordName + ": health must be 0 to 2, got " + health);
       }
     }
-    lists[list] = entries;
+    lists[listNumber] = entries;
   }
 
   /**
-   * Checks a count against the bytes that are left, so that a bad one can't ask for memory.
+   * Checks a count against the remaining bytes, so that an invalid count cannot allocate memory.
    *
-   * @throws BufferUnderflowException if the content is too short for it
+   * @throws BufferUnderflowException if fewer bytes remain than the count needs
    */
-  static int checkedCount(ByteBuffer f, long count, int size) {
-    if (count * size > f.remaining()) {
+  static int checkedCount(ByteBuffer fields, long count, int size) {
+    if (count * size > fields.remaining()) {
       throw new BufferUnderflowException();
     }
     return (int) count;
--- a/src/main/java/sprucerock/simulation/WireCodes.java
+++ b/src/main/java/sprucerock/simulation/WireCodes.java
@@ -4,9 +4,9 @@
 import sprucerock.model.Verdict;
 import sprucerock.model.VoteReply;
 
-/** The numbers of the simulator's wire, and what they mean here. */
+/** The codes of the simulator's wire, and their translation to model types. */
 final class WireCodes {
-  // records that come in
+  // Incoming records.
   static final int START_RELAY = 10;
   static final int ENDPOINT_LIST = 20;
   static final int RPC_ARRIVED = 30;
@@ -22,7 +22,7 @@
   static final int ANSWER_REPORTED_WRONG = 130;
   static final int DEFINE_LIST = 140;
 
-  // records that go out
+  // Outgoing records.
   static final int SEND = 10;
   static final int REJECT = 20;
   static final int ABORT = 30;
@@ -34,14 +34,14 @@
   static final int SUBSCRIBE = 110;
   static final int VOTE = 130;
 
-  /** The peer number that stands for all. */
+  /** The peer number that addresses all peers. */
   static final int ALL_PEERS = 0xffff;
 
-  // health of a listed endpoint; anything else is gone
+  // Health of a listed endpoint; any other value means that the endpoint is gone.
   static final int READY = 1;
   static final int DRAINING = 2;
 
-  // forms of a list that is announced
+  // Forms of an endpoint list.
   static final int PARTIAL_LIST = 0;
   static final int LIST_FAILED = 3;
 
--- a/src/main/java/sprucerock/simulation/package-info.java
+++ b/src/main/java/sprucerock/simulation/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Adapter between the operators' simulator and the routing policy: batches of binary records in,
- * one reply frame a batch out.
+ * Adapter between the operators' simulator and the routing policy. It reads batches of binary
+ * records and writes one reply frame per batch.
  *
- * <p>{@link sprucerock.simulation.SimulationHost} owns the streams and the simulated relays.
- * Nothing here decides anything, and no other package depends on it but the command that starts it.
+ * <p>{@link sprucerock.simulation.SimulationHost} owns the streams and the simulated relays. The
+ * package makes no decisions. Only the command that starts it depends on it.
  */
 package sprucerock.simulation;
--- a/src/main/java/sprucerock/stats/DecayingMean.java
+++ b/src/main/java/sprucerock/stats/DecayingMean.java
@@ -9,13 +9,13 @@
   private final DecayingSum count;
 
   /**
-   * An empty mean.
+   * Creates an empty mean.
    *
-   * @param life the time in which a value's weight falls to 1/e
+   * @param decayTime the time in which a value's weight falls to 1/e
    */
-  public DecayingMean(TimeSpan life) {
-    sum = new DecayingSum(life);
-    count = new DecayingSum(life);
+  public DecayingMean(TimeSpan decayTime) {
+    sum = new DecayingSum(decayTime);
+    count = new DecayingSum(decayTime);
   }
 
   /** Adds a value of weight 1. */
@@ -23,13 +23,13 @@
     add(now, value, 1);
   }
 
-  /** Adds a value; {@code now} is no earlier than in the calls before. */
+  /** Adds a value; {@code now} must not be earlier than in previous calls. */
   public void add(Timestamp now, double value, double weight) {
     sum.add(now, value * weight);
     count.add(now, weight);
   }
 
-  /** The weight that is left of all values, in values. */
+  /** The remaining weight of all values; a new value has weight 1. */
   public double count(Timestamp now) {
     return count.at(now);
   }
--- a/src/main/java/sprucerock/stats/DeterministicRandom.java
+++ b/src/main/java/sprucerock/stats/DeterministicRandom.java
@@ -2,7 +2,10 @@
 
 import java.util.zip.CRC32;
 
-/** A reproducible sequence of uniform numbers: CRC32 over a seed and a counter. Not for secrets. */
+/**
+ * A reproducible sequence of uniform random numbers: CRC32 over a seed and a counter. Not suitable
+ * for secrets.
+ */
 public final class DeterministicRandom {
   private static final double CRC_RANGE = 4294967296.0; // 2^32 values
 
@@ -10,14 +13,14 @@
   private final byte[] block = new byte[16];
   private long draws;
 
-  /** The sequence that belongs to {@code seed}. */
+  /** Creates the sequence of {@code seed}. */
   public DeterministicRandom(long seed) {
     for (int i = 0; i < 8; i++) {
       block[i] = (byte) (seed >>> 8 * i);
     }
   }
 
-  /** The next number, from 0 to under 1. */
+  /** Draws the next number, from 0 (inclusive) to 1 (exclusive). */
   public double next() {
     draws++;
     for (int i = 0; i < 8; i++) {
--- a/src/main/java/sprucerock/stats/KeyedSums.java
+++ b/src/main/java/sprucerock/stats/KeyedSums.java
@@ -11,13 +11,13 @@
   private final LinkedHashMap<Long, DecayingSum> sums;
 
   /**
-   * Holds no keys yet.
+   * Creates sums without keys.
    *
-   * @param life the time in which a term's weight falls to 1/e
-   * @param maxKeys how many keys are held; the least recently used one goes first
+   * @param decayTime the time in which a term's weight falls to 1/e
+   * @param maxKeys the maximum number of keys; the least recently used one is removed first
    */
-  public KeyedSums(TimeSpan life, int maxKeys) {
-    this.decayTime = life;
+  public KeyedSums(TimeSpan decayTime, int maxKeys) {
+    this.decayTime = decayTime;
     sums =
         new LinkedHashMap<>(64, 0.75f, true) {
           private static final long serialVersionUID = 1L;
@@ -34,7 +34,7 @@
     sums.computeIfAbsent(key, k -> new DecayingSum(decayTime)).add(now, amount);
   }
 
-  /** The key's rate a second; 0 where it isn't held. */
+  /** The key's rate per second; 0 if the key is unknown. */
   public double perSecond(long key, Timestamp now) {
     DecayingSum sum = sums.get(key);
     return sum == null ? 0 : sum.perSecond(now);
--- a/src/main/java/sprucerock/stats/KolmogorovSmirnov.java
+++ b/src/main/java/sprucerock/stats/KolmogorovSmirnov.java
@@ -7,21 +7,21 @@
   private KolmogorovSmirnov() {}
 
   /**
-   * The one-sided distance: the largest excess, over all values, of the share of {@code slow} above
-   * the value beyond the share of {@code fast} above it; 0 to 1.
+   * The one-sided distance, from 0 to 1: over all values v, the largest difference between the
+   * share of {@code slow} above v and the share of {@code fast} above v.
    */
   public static double oneSidedDistance(double[] slow, double[] fast) {
-    double[] s = slow.clone();
-    double[] f = fast.clone();
-    Arrays.sort(s);
-    Arrays.sort(f);
+    double[] sortedSlow = slow.clone();
+    double[] sortedFast = fast.clone();
+    Arrays.sort(sortedSlow);
+    Arrays.sort(sortedFast);
     double distance = 0;
     int i = 0;
-    for (int j = 0; j < f.length; j++) {
-      while (i < s.length && s[i] <= f[j]) {
+    for (int j = 0; j < sortedFast.length; j++) {
+      while (i < sortedSlow.length && sortedSlow[i] <= sortedFast[j]) {
         i++;
       }
-      distance = Math.max(distance, (j + 1.0) / f.length - (double) i / s.length);
+      distance = Math.max(distance, (j + 1.0) / sortedFast.length - (double) i / sortedSlow.length);
     }
     return distance;
   }
--- a/src/main/java/sprucerock/stats/Proportions.java
+++ b/src/main/java/sprucerock/stats/Proportions.java
@@ -5,8 +5,8 @@
   private Proportions() {}
 
   /**
-   * The standard error of the difference of two proportions under the hypothesis that both samples
-   * came from one population; pooled, with one success and one failure added.
+   * The standard error of the difference of two proportions, if both samples come from the same
+   * population. The proportion is pooled, with one success and one failure added.
    */
   public static double standardErrorOfDifference(
       double hits, double size, double otherHits, double otherSize) {
--- a/src/main/java/sprucerock/stats/RelativeSlowness.java
+++ b/src/main/java/sprucerock/stats/RelativeSlowness.java
@@ -16,20 +16,20 @@
   private final DecayingMean[] slowness;
 
   /**
-   * Has no values yet.
+   * Creates an object without values.
    *
    * @param kinds how many kinds of work there are
    * @param sources how many sources of latencies there are
-   * @param baselineLife decay time of the baselines
-   * @param life decay time of the differences
+   * @param baselineDecayTime decay time of the baselines
+   * @param decayTime decay time of the differences
    */
-  public RelativeSlowness(int kinds, int sources, TimeSpan baselineLife, TimeSpan life) {
+  public RelativeSlowness(int kinds, int sources, TimeSpan baselineDecayTime, TimeSpan decayTime) {
     baselines = new DecayingMean[sources][kinds];
     for (DecayingMean[] source : baselines) {
-      Arrays.setAll(source, i -> new DecayingMean(baselineLife));
+      Arrays.setAll(source, i -> new DecayingMean(baselineDecayTime));
     }
     slowness = new DecayingMean[kinds];
-    Arrays.setAll(slowness, i -> new DecayingMean(life));
+    Arrays.setAll(slowness, i -> new DecayingMean(decayTime));
   }
 
   /** Adds a latency of the baseline period, in milliseconds. */
@@ -37,7 +37,10 @@
     baselines[source][kind].add(now, logMs(ms), weight);
   }
 
-  /** Adds a present latency, in milliseconds; dropped while the baseline has under two values. */
+  /**
+   * Adds a latency to compare with the baseline, in milliseconds. The latency is dropped while the
+   * baseline has a weight of less than two values.
+   */
   public void add(int source, int kind, double ms, double weight, Timestamp now) {
     DecayingMean baseline = baselines[source][kind];
     if (baseline.count(now) < 2) {
@@ -47,15 +50,15 @@
   }
 
   /**
-   * The mean logarithm of the slowdown over all kinds; with over two active ones, without the
-   * slowest.
+   * The mean logarithm of the slowdown over all kinds; with more than two active kinds, the slowest
+   * one is left out.
    */
   public double mean(Timestamp now) {
     double[] sum = sums(now);
     return sum[0] / (sum[1] + 0.1);
   }
 
-  /** The weight of the values behind {@link #mean}, in values. */
+  /** The remaining weight of the values in {@link #mean}; a new value has weight 1. */
   public double weight(Timestamp now) {
     return sums(now)[1];
   }
@@ -64,20 +67,25 @@
     return Math.log(Math.max(ms, MIN_MS));
   }
 
-  /** Weighted sum and weight of the differences that count. */
+  /** The weighted sum and the total weight of the differences that {@link #mean} uses. */
   private double[] sums(Timestamp now) {
-    double[] all = new double[2];
+    double[] ofAllKinds = new double[2];
     double[] slowest = {0, 1e-9};
     int active = 0;
-    for (DecayingMean one : slowness) {
-      double[] own = {one.at(now, 0, 0.1) * one.count(now), Math.max(one.count(now), 1e-9)};
-      active += own[1] >= 1 ? 1 : 0;
-      all[0] += own[0];
-      all[1] += own[1];
-      if (own[0] / own[1] > slowest[0] / slowest[1] || one == slowness[0]) {
-        slowest = own;
+    for (DecayingMean kindSlowness : slowness) {
+      double[] ofKind = {
+        kindSlowness.at(now, 0, 0.1) * kindSlowness.count(now),
+        Math.max(kindSlowness.count(now), 1e-9)
+      };
+      active += ofKind[1] >= 1 ? 1 : 0;
+      ofAllKinds[0] += ofKind[0];
+      ofAllKinds[1] += ofKind[1];
+      if (ofKind[0] / ofKind[1] > slowest[0] / slowest[1] || kindSlowness == slowness[0]) {
+        slowest = ofKind;
       }
     }
-    return active > 2 ? new double[] {all[0] - slowest[0], all[1] - slowest[1]} : all;
+    return active > 2
+        ? new double[] {ofAllKinds[0] - slowest[0], ofAllKinds[1] - slowest[1]}
+        : ofAllKinds;
   }
 }
--- a/src/main/java/sprucerock/time/TimeSpan.java
+++ b/src/main/java/sprucerock/time/TimeSpan.java
@@ -6,18 +6,18 @@
  * @param ms milliseconds; may be negative, as a difference of two timestamps
  */
 public record TimeSpan(double ms) implements Comparable<TimeSpan> {
-  /** No time at all. */
+  /** A span of zero length. */
   public static final TimeSpan ZERO = new TimeSpan(0);
 
-  /** A span of so many milliseconds. */
+  /** Creates a span of {@code ms} milliseconds. */
   public static TimeSpan ofMs(double ms) {
     return new TimeSpan(ms);
   }
 
   /**
-   * Reads a number followed by its unit: us, ms, s or min.
+   * Parses a number followed by a unit: us, ms, s or min.
    *
-   * @throws IllegalArgumentException if it is not written so
+   * @throws IllegalArgumentException if the text has another form
    */
   public static TimeSpan parse(String text) {
     String unit = text.replaceFirst("^[0-9]+(\\.[0-9]+)?", "");
@@ -29,43 +29,45 @@
           case "min" -> 60_000;
           default ->
               throw new IllegalArgumentException(
-                  "\"" + text + "\" is no span such as 250ms, 1.5s or 2min");
+                  "\""
+                      + text
+                      + "\" is not a time span; write a number and us, ms, s or min, such as 1.5s");
         };
     return new TimeSpan(
         Double.parseDouble(text.substring(0, text.length() - unit.length())) * msPerUnit);
   }
 
-  /** This span, {@code factor} times as long. */
+  /** Returns this span multiplied by {@code factor}. */
   public TimeSpan times(double factor) {
     return new TimeSpan(ms * factor);
   }
 
-  /** Both spans added. */
+  /** Returns the sum of both spans. */
   public TimeSpan plus(TimeSpan other) {
     return new TimeSpan(ms + other.ms);
   }
 
-  /** This span less the other; negative where that is longer. */
+  /** Returns this span minus the other; negative if the other is longer. */
   public TimeSpan minus(TimeSpan other) {
     return new TimeSpan(ms - other.ms);
   }
 
-  /** How many times the other span fits into this one. */
+  /** Returns the ratio of this span to the other. */
   public double dividedBy(TimeSpan other) {
     return ms / other.ms;
   }
 
-  /** Whether this is strictly longer. */
+  /** Whether this span is strictly longer than the other. */
   public boolean over(TimeSpan other) {
     return ms > other.ms;
   }
 
-  /** This span, or the other if that is longer. */
+  /** Returns the longer of both spans. */
   public TimeSpan atLeast(TimeSpan other) {
     return ms >= other.ms ? this : other;
   }
 
-  /** This span, or the other if that is shorter. */
+  /** Returns the shorter of both spans. */
   public TimeSpan atMost(TimeSpan other) {
     return ms <= other.ms ? this : other;
   }
--- a/src/main/java/sprucerock/time/Timestamp.java
+++ b/src/main/java/sprucerock/time/Timestamp.java
@@ -3,40 +3,40 @@
 /**
  * A point in time on the host's clock.
  *
- * @param ms milliseconds from an origin that nobody may rely on; only differences mean something
+ * @param ms milliseconds from an unspecified origin; only differences are meaningful
  */
 public record Timestamp(double ms) implements Comparable<Timestamp> {
-  /** The point that many milliseconds after the clock's origin. */
+  /** Creates the timestamp {@code ms} milliseconds after the clock's origin. */
   public static Timestamp ofMs(double ms) {
     return new Timestamp(ms);
   }
 
-  /** The point that much later. */
+  /** Returns the timestamp later than this one by the span. */
   public Timestamp plus(TimeSpan span) {
     return new Timestamp(ms + span.ms());
   }
 
-  /** The point that much earlier. */
+  /** Returns the timestamp earlier than this one by the span. */
   public Timestamp minus(TimeSpan span) {
     return new Timestamp(ms - span.ms());
   }
 
-  /** The time passed since {@code earlier}; negative where that is later than this. */
+  /** Returns the time since {@code earlier}; negative if that is later than this timestamp. */
   public TimeSpan since(Timestamp earlier) {
     return TimeSpan.ofMs(ms - earlier.ms);
   }
 
-  /** Whether this is strictly later. */
+  /** Whether this timestamp is strictly later than the other. */
   public boolean after(Timestamp other) {
     return ms > other.ms;
   }
 
-  /** The earlier one of both. */
+  /** Returns the earlier of both timestamps. */
   public Timestamp earlierOf(Timestamp other) {
     return ms <= other.ms ? this : other;
   }
 
-  /** The later one of both. */
+  /** Returns the later of both timestamps. */
   public Timestamp laterOf(Timestamp other) {
     return ms >= other.ms ? this : other;
   }
--- a/src/main/java/sprucerock/time/package-info.java
+++ b/src/main/java/sprucerock/time/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Points in time and lengths of time, in milliseconds as {@code double}, as the simulator's wire
- * has them; decisions depend on their exact digits, so java.time isn't used.
+ * Timestamps and time spans in milliseconds as {@code double}, as on the simulator's wire.
+ * Decisions depend on their exact digits, so java.time is not used.
  *
- * <p>Both are immutable values. Nothing here reads a clock.
+ * <p>Both types are immutable. Neither reads a clock.
  */
 package sprucerock.time;
