--- a/src/test/java/sprucerock/policy/CanaryVoteTest.java
+++ b/src/test/java/sprucerock/policy/CanaryVoteTest.java
@@ -6,9 +6,9 @@
 import org.testng.annotations.Test;
 import sprucerock.model.Verdict;
 
-/** What a vote on a stage may go by: whose pairs, of which endpoints. */
+/** Tests which shadow pairs, of which relays and endpoints, justify a vote on a stage. */
 public class CanaryVoteTest {
-  /** Peers tell of so many pairs in this stage, all alike. */
+  /** Two peers report the pairs of this stage, half each, all without failures. */
   private static void reportPeerPairs(FakeRelayActions relay, int stage, int pairs) {
     for (int sender = 1; sender <= 2; sender++) {
       relay.policy.peerMessageReceived(
@@ -17,7 +17,7 @@
   }
 
   @Test
-  public void stageMovesOnWithItsEndpointsListed() {
+  public void stageAdvancesOnceItsEndpointsAreListed() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
     relay.advance(1500);
     reportPeerPairs(relay, 2, 200);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  public void stageWhoseEndpointsAreNeverListedMovesOnWithinEightSeconds() {
+  public void stageWhoseEndpointsAreNeverListedAdvancesWithinEightSeconds() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(12).withCanary(6, 2, 1.0);
     reportPeerPairs(relay, 2, 200);
     relay.advance(8150);
@@ -43,11 +43,11 @@
   }
 
   @Test
-  public void goodBuildOnSoundMachinesIsNeverTakenBackAndABadOneNearlyAlways() {
+  public void goodBuildOnHealthyMachinesIsNeverRolledBackAndABadOneNearlyAlways() {
     assertEquals(VoteStudy.shareRolledBack(100, 0, 0, 11), 0.0);
     assertTrue(VoteStudy.shareRolledBack(100, 0.1, 0, 11) >= 0.98);
     assertTrue(
         VoteStudy.shareRolledBack(100, 0.2, 0.05, 11) >= 0.95,
-        "few faulty machines hide a bad build");
+        "a bad build is rolled back despite a few faulty machines");
   }
 }
--- a/src/test/java/sprucerock/policy/FakeRelayActions.java
+++ b/src/test/java/sprucerock/policy/FakeRelayActions.java
@@ -16,9 +16,9 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One relay's surroundings in a test: a clock, timers, and a record of what the policy did. */
+/** A fake relay around the policy: a clock, timers and a record of the policy's actions. */
 public final class FakeRelayActions implements RelayActions {
-  private record Timer(Timestamp when, int order, Runnable what) {}
+  private record Timer(Timestamp when, int order, Runnable task) {}
 
   public static final String SETTINGS =
       """
@@ -85,9 +85,9 @@
   private Timestamp now = Timestamp.ofMs(100_000);
   private int nextId;
 
-  /** Settings that differ from the usual ones as the lines say. */
-  FakeRelayActions(String... lines) {
-    settings = SettingsText.read(SETTINGS + String.join("\n", lines));
+  /** Creates a relay with {@link #SETTINGS}, overridden by the given lines. */
+  FakeRelayActions(String... overrides) {
+    settings = SettingsText.read(SETTINGS + String.join("\n", overrides));
     tracker = new RequestTracker(settings);
     baseline = tracker.build(1);
     canary = tracker.build(2);
@@ -95,7 +95,7 @@
     tracker.setListener(policy);
   }
 
-  /** Warm endpoints of the baseline, and news that it is the released build. */
+  /** Lists warm endpoints of the baseline and reports it as the released build. */
   FakeRelayActions withBaseline(int endpoints) {
     for (int i = 0; i < endpoints; i++) {
       listEndpoint(baseline, null);
@@ -104,7 +104,7 @@
     return this;
   }
 
-  /** So many warm endpoints of the canary, and news that puts it on trial. */
+  /** Lists warm endpoints of the canary and puts it on trial. */
   FakeRelayActions withCanary(int endpoints, int stage, double cap) {
     for (int i = 0; i < endpoints; i++) {
       listEndpoint(canary, now.minus(TimeSpan.ofMs(20_000)));
@@ -121,21 +121,22 @@
     return arriveRpc(method, 0, 4000);
   }
 
-  Rpc arriveRpc(int method, long key, double leftMs) {
+  Rpc arriveRpc(int method, long key, double deadlineMs) {
     return tracker.rpcArrived(
         nextId++,
         settings.methods.get(method),
         0,
         key,
         now,
-        now.plus(TimeSpan.ofMs(leftMs)),
+        now.plus(TimeSpan.ofMs(deadlineMs)),
         null,
         null);
   }
 
   /**
-   * The first idempotent RPC of the key that gets a shadow request; those before it are answered
-   * ok.
+   * Sends idempotent RPCs with the key, answering them with OK, until one gets a shadow request.
+   *
+   * @return the RPC with the shadow request, whose attempts are in flight
    */
   Rpc arriveUntilShadowed(long key) {
     for (int i = 0; i < 100; i++) {
@@ -154,9 +155,7 @@
     tracker.attemptEnded(attempt, outcome, now.since(attempt.sent), closes);
   }
 
-  /**
-   * Ends all attempts that are out, those at the canary with one outcome, the others with another.
-   */
+  /** Ends all attempts in flight, with one outcome at the canary and another elsewhere. */
   void endAllInFlight(AttemptOutcome atCanary, AttemptOutcome atBaseline) {
     for (Attempt attempt : List.copyOf(sent)) {
       if (attempt.outcome() == null) {
@@ -169,7 +168,7 @@
     return sent.stream().filter(attempt -> attempt.endpoint.build == build).count();
   }
 
-  /** Idempotent RPCs, one every so many milliseconds, all answered ok after 40 ms. */
+  /** Sends idempotent RPCs every {@code gapMs}, all answered with OK after 40 ms. */
   void runTraffic(int rpcs, double gapMs) {
     for (int i = 0; i < rpcs; i++) {
       arriveRpc(0);
@@ -184,7 +183,7 @@
     while (!timers.isEmpty() && !timers.peek().when.after(until)) {
       Timer timer = timers.poll();
       now = now.laterOf(timer.when);
-      timer.what.run();
+      timer.task.run();
     }
     now = until;
   }
@@ -218,8 +217,8 @@
   }
 
   @Override
-  public void schedule(Timestamp when, Runnable what) {
-    timers.add(new Timer(when, nextId++, what));
+  public void schedule(Timestamp when, Runnable task) {
+    timers.add(new Timer(when, nextId++, task));
   }
 
   @Override
--- a/src/test/java/sprucerock/policy/RoutingPolicyTest.java
+++ b/src/test/java/sprucerock/policy/RoutingPolicyTest.java
@@ -18,19 +18,19 @@
 import sprucerock.stats.KolmogorovSmirnov;
 import sprucerock.time.TimeSpan;
 
-/** One relay's decisions, each at a rule's edge or in a failure that was met. */
+/** Tests the decisions of one relay at the limits of rules and in failures that have occurred. */
 public class RoutingPolicyTest {
   private static final String NO_HEDGING = "permissions.second_copies=false";
   private static final String ONE_WAY_KEYS = "specifics.keys_stay=true";
 
   @Test
-  public void everyRpcIsAnsweredBeforeItsClientLeaves() {
+  public void everyRpcIsAnsweredBeforeItsDeadline() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
-    Rpc order = relay.arriveRpc(2, 0, 1000);
+    Rpc rpc = relay.arriveRpc(2, 0, 1000);
     relay.advance(985);
     assertTrue(relay.failed.isEmpty());
     relay.advance(10);
-    assertSame(relay.failed.get(0), order);
+    assertSame(relay.failed.get(0), rpc);
     relay.endAttempt(relay.sent.get(0), AttemptOutcome.ERROR);
     relay.advance(5000);
     assertEquals(relay.sent.size(), 1);
@@ -50,34 +50,34 @@
   }
 
   @Test
-  public void keyedRequestIsRetriedOnlyInsideItsWindow() {
+  public void keyedRequestIsRetriedOnlyWithinItsKeyLifetime() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
     relay.arriveRpc(1);
     relay.endAttempt(relay.sent.get(0), AttemptOutcome.ERROR);
     assertEquals(relay.sent.size(), 2);
     relay.advance(1999);
-    int sent = relay.sent.size();
+    int sentBefore = relay.sent.size();
     for (Attempt attempt : relay.sent) {
       if (attempt.outcome() == null) {
         relay.endAttempt(attempt, AttemptOutcome.ERROR);
       }
     }
-    assertEquals(relay.sent.size(), sent);
+    assertEquals(relay.sent.size(), sentBefore);
     assertEquals(relay.rejected.size(), 1);
   }
 
   @Test
-  public void keyedRequestStaysInItsGroupOnceItMayHaveRun() {
+  public void keyedRequestStaysInItsKeyScopeOnceItMayHaveRun() {
     FakeRelayActions relay = new FakeRelayActions("classes.1.group=zone").withBaseline(1);
     Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
-    Rpc order = relay.arriveRpc(1);
-    relay.endAttempt(order.attempts.get(0), AttemptOutcome.ERROR);
-    assertEquals(order.attempts.size(), 1);
-    assertSame(relay.failed.get(0), order);
+    Rpc rpc = relay.arriveRpc(1);
+    relay.endAttempt(rpc.attempts.get(0), AttemptOutcome.ERROR);
+    assertEquals(rpc.attempts.size(), 1);
+    assertSame(relay.failed.get(0), rpc);
   }
 
   @Test
-  public void neverTwoAttemptsOutWhereHedgingIsBarred() {
+  public void neverTwoAttemptsInFlightWithoutHedging() {
     FakeRelayActions relay = new FakeRelayActions(NO_HEDGING).withBaseline(4).withCanary(2, 1, 0.4);
     for (int i = 0; i < 20; i++) {
       Rpc rpc = relay.arriveRpc(i % 3);
@@ -91,14 +91,14 @@
   }
 
   @Test
-  public void drainingEndpointGetsNothingNew() {
+  public void drainingEndpointGetsNoNewAttempts() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
-    Endpoint left = relay.baseline.endpoints.get(0);
-    relay.tracker.endpointRemoved(left.id);
+    Endpoint draining = relay.baseline.endpoints.get(0);
+    relay.tracker.endpointRemoved(draining.id);
     for (int i = 0; i < 20; i++) {
       relay.arriveRpc(0);
     }
-    assertTrue(relay.sent.stream().noneMatch(attempt -> attempt.endpoint == left));
+    assertTrue(relay.sent.stream().noneMatch(attempt -> attempt.endpoint == draining));
   }
 
   @Test
@@ -117,12 +117,13 @@
   public void attemptsAtTheCanaryStayUnderTheCap() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 0.1);
     relay.runTraffic(100, 50);
-    long copies = relay.sentTo(relay.canary);
-    assertTrue(copies > 3 && copies <= 3 + 0.1 * 100, "shadow requests " + copies);
+    long canaryAttempts = relay.sentTo(relay.canary);
+    assertTrue(
+        canaryAttempts > 3 && canaryAttempts <= 3 + 0.1 * 100, "shadow requests " + canaryAttempts);
   }
 
   @Test
-  public void unannouncedOrWithdrawnBuildGetsNothing() {
+  public void unannouncedOrWithdrawnBuildGetsNoAttempts() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
     relay.listEndpoint(relay.canary, relay.now().minus(TimeSpan.ofMs(9000)));
     relay.runTraffic(10, 50);
@@ -133,7 +134,7 @@
   }
 
   @Test
-  public void requestsWithEffectsAreNeverShadowedAndStayOutOfTheFirstStage() {
+  public void nonIdempotentRequestsAreNeverShadowedAndStayOutOfTheFirstStage() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 1.0);
     for (int i = 0; i < 20; i++) {
       Rpc rpc = relay.arriveRpc(1 + i % 2);
@@ -145,7 +146,7 @@
   }
 
   @Test
-  public void shadowRequestGoesBesideTheBaselineAndTheFirstOkAnswers() {
+  public void firstOkOfBaselineAndShadowRequestAnswersTheClient() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
     relay.runTraffic(40, 50);
     relay.withCanary(3, 1, 1.0);
@@ -169,19 +170,19 @@
     relay.arriveUntilShadowed(7);
     relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     relay.advance(500);
-    int pushed = relay.rejected.size();
-    Rpc second = relay.arriveRpc(2, 7, 4000);
-    for (Attempt attempt : second.attempts) {
+    int rejectedBefore = relay.rejected.size();
+    Rpc secondRpc = relay.arriveRpc(2, 7, 4000);
+    for (Attempt attempt : secondRpc.attempts) {
       assertSame(attempt.endpoint.build, relay.canary);
     }
-    assertEquals(relay.rejected.size() - pushed + second.attempts.size(), 1);
+    assertEquals(relay.rejected.size() - rejectedBefore + secondRpc.attempts.size(), 1);
     relay.tracker.rolloutChanged(2, 1, RolloutState.GOING_BACK, 0, relay.now());
-    Rpc third = relay.arriveRpc(2, 7, 4000);
-    assertSame(third.attempts.get(0).endpoint.build, relay.baseline);
+    Rpc thirdRpc = relay.arriveRpc(2, 7, 4000);
+    assertSame(thirdRpc.attempts.get(0).endpoint.build, relay.baseline);
   }
 
   @Test
-  public void baselineEndpointsThatComeBackBeforeTheNewsGetNoKey() {
+  public void baselineEndpointsListedBeforeTheRollbackUpdateGetNoKey() {
     FakeRelayActions relay =
         new FakeRelayActions(ONE_WAY_KEYS).withBaseline(2).withCanary(4, 2, 1.0);
     relay.tracker.rolloutChanged(2, 2, RolloutState.RELEASED, 1, relay.now());
@@ -200,7 +201,7 @@
   }
 
   @Test
-  public void popularKeyIsNotMadeSticky() {
+  public void popularKeyDoesNotBecomeSticky() {
     FakeRelayActions relay = new FakeRelayActions(ONE_WAY_KEYS).withBaseline(4);
     for (int i = 0; i < 40; i++) {
       relay.arriveRpc(0, 7, 4000);
@@ -213,7 +214,7 @@
   }
 
   @Test
-  public void failedShadowRequestsBesideServedOnesSendTheBuildBack() {
+  public void shadowRequestsThatFailAloneCauseAVoteBack() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
     relay.runTraffic(40, 50);
     relay.withCanary(3, 1, 1.0);
@@ -226,7 +227,7 @@
   }
 
   @Test
-  public void timeOutsAndFullEndpointsAreNoFailures() {
+  public void timeoutsAndFullEndpointsAreNotFailures() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6);
     relay.runTraffic(40, 50);
     relay.withCanary(3, 1, 1.0);
@@ -240,7 +241,7 @@
   }
 
   @Test
-  public void oneSidedKsSeesOnlyTheSlowerSide() {
+  public void oneSidedDistanceIsZeroForTheFasterSide() {
     double[] fast = {1, 2, 3, 4};
     double[] slow = {5, 6, 7, 8};
     assertEquals(KolmogorovSmirnov.oneSidedDistance(slow, fast), 1.0);
@@ -256,18 +257,18 @@
     relay.runTraffic(120, 50);
     assertTrue(relay.votes.contains(Verdict.ON));
     relay.policy.voteAnswered(VoteReply.TOO_MANY);
-    int cast = relay.votes.size();
+    int votesBefore = relay.votes.size();
     relay.advance(500);
-    assertEquals(relay.votes.size(), cast + 1);
+    assertEquals(relay.votes.size(), votesBefore + 1);
     relay.policy.voteAnswered(VoteReply.COUNTS);
     relay.advance(1500);
-    assertEquals(relay.votes.size(), cast + 1);
+    assertEquals(relay.votes.size(), votesBefore + 1);
     relay.advance(1000);
-    assertEquals(relay.votes.size(), cast + 2);
+    assertEquals(relay.votes.size(), votesBefore + 2);
   }
 
   @Test
-  public void quietRelayVotesOnAtTheFallbackAge() {
+  public void lowTrafficRelayVotesOnAtTheFallbackAge() {
     FakeRelayActions relay = new FakeRelayActions("specifics.vote_mode=majority").withBaseline(2);
     relay.tracker.rolloutChanged(2, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
     relay.advance(1000);
@@ -279,7 +280,7 @@
   }
 
   @Test
-  public void silentEndpointIsPassedByWithAFurtherAttempt() {
+  public void silentEndpointIsBypassedByAHedgedRequest() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
     relay.runTraffic(20, 50);
     Rpc rpc = relay.arriveRpc(0);
@@ -289,7 +290,7 @@
   }
 
   @Test
-  public void endpointThatFailsFastIsLeftAlone() {
+  public void endpointThatFailsFastIsEjected() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(5);
     Endpoint bad = relay.baseline.endpoints.get(0);
     for (int i = 0; i < 60; i++) {
@@ -318,10 +319,10 @@
   }
 
   @Test
-  public void trafficThatHasJustComeIsNoQueue() {
+  public void trafficThatHasJustBegunIsNotRejected() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4);
     for (int i = 0; i < 200; i++) {
-      // 100 a second from nothing, each answered after 100 ms
+      // Traffic rises from 0 to 100 RPCs per second; each RPC is answered after 100 ms.
       relay.arriveRpc(0);
       relay.advance(10);
       if (i >= 9) {
@@ -336,17 +337,17 @@
   }
 
   @Test
-  public void buildThatSlowsAllIsBlamedWhenThePaceFollowsTheShadowRequests() {
+  public void buildIsBlamedWhenTheBaselineSlowsDownWithShadowRequests() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(8);
     relay.advance(2500);
     relay.runTraffic(80, 50);
     relay.withCanary(3, 1, 0.4);
-    int copied = 0;
+    int lastShadowed = 0;
     for (int i = 0; i < 900 && !relay.votes.contains(Verdict.BACK); i++) {
       if (relay.arriveRpc(0).attempts.size() > 1) {
-        copied = i;
+        lastShadowed = i;
       }
-      relay.advance(i - copied < 12 ? 200 : 40);
+      relay.advance(i - lastShadowed < 12 ? 200 : 40);
       relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
       relay.advance(10);
     }
@@ -354,7 +355,7 @@
   }
 
   @Test
-  public void releasedBuildIsWatchedForAFixedTimeOnly() {
+  public void releasedBuildIsJudgedForAFixedTimeOnly() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6).withCanary(6, 2, 1.0);
     relay.tracker.rolloutChanged(2, 2, RolloutState.RELEASED, 1, relay.now());
     for (Endpoint endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
@@ -370,7 +371,7 @@
   }
 
   @Test
-  public void releasedBuildThatFailsEverywhereGoesBack() {
+  public void releasedBuildThatFailsEverywhereIsRolledBack() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6).withCanary(6, 2, 1.0);
     relay.tracker.rolloutChanged(2, 2, RolloutState.RELEASED, 1, relay.now());
     for (Endpoint endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
@@ -385,7 +386,7 @@
   }
 
   @Test
-  public void peersAddUpTheirPairs() {
+  public void pairsReportedByPeersAddUp() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6).withCanary(3, 1, 0.4);
     relay.policy.peerMessageReceived(1, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
     assertTrue(relay.votes.isEmpty());
@@ -403,25 +404,25 @@
   }
 
   @Test
-  public void loadsReportedByPeersSteerTheTwoChoices() {
+  public void loadsReportedByPeersGuideEndpointSelection() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(2);
-    Endpoint full = relay.baseline.endpoints.get(0);
+    Endpoint loaded = relay.baseline.endpoints.get(0);
     LoadReports reports = new LoadReports(TimeSpan.ofMs(6000));
     for (Endpoint endpoint : relay.baseline.endpoints) {
       reports.addEndpoint(endpoint);
     }
     for (int i = 0; i < 5; i++) {
-      reports.applyAttempt(reports.encodeAttempt(full, null), relay.now());
+      reports.applyAttempt(reports.encodeAttempt(loaded, null), relay.now());
     }
     for (int i = 0; i < 4; i++) {
       relay.policy.peerMessageReceived(0, reports.encodeLoads(2, 0, relay.now()));
-      assertNotSame(relay.arriveRpc(0).attempts.get(0).endpoint, full);
+      assertNotSame(relay.arriveRpc(0).attempts.get(0).endpoint, loaded);
     }
     assertEquals(relay.recipients, java.util.List.of(0, 0, 0, 0));
   }
 
   @Test
-  public void nextRelayBecomesAggregatorWhereTheLastIsSilent() {
+  public void nextRelayBecomesAggregatorIfTheLastIsSilent() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
     relay.runTraffic(80, 50);
     assertTrue(relay.recipients.contains(0) && relay.recipients.contains(1));
@@ -429,7 +430,7 @@
   }
 
   @Test
-  public void quietRelayRejectsByTheFleetsWait() {
+  public void lowTrafficRelayRejectsByTheFleetWait() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
     relay.policy.peerMessageReceived(0, new byte[] {LoadReports.LOADS_MESSAGE, 60});
     assertTrue(relay.arriveRpc(0).attempts.isEmpty());
@@ -438,7 +439,7 @@
   }
 
   @Test
-  public void endpointsBehindASlowNetworkComeLast() {
+  public void endpointsInASlowZoneAreUsedLast() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
     Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
     for (int i = 0; i < 60; i++) {
@@ -450,26 +451,26 @@
   }
 
   @Test
-  public void quietRelayStaysWithEndpointsThatItHasConnectionsTo() {
+  public void lowTrafficRelayPrefersConnectedEndpoints() {
     FakeRelayActions relay = new FakeRelayActions("permissions.keepalive=20000").withBaseline(60);
     relay.runTraffic(200, 400);
-    long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
-    assertTrue(met <= 20, met + " endpoints met");
+    long endpointsUsed = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
+    assertTrue(endpointsUsed <= 20, endpointsUsed + " endpoints used");
   }
 
   @Test
-  public void connectionsThatStoodIdleForLongDrawNobody() {
+  public void longIdleConnectionsAreNotPreferred() {
     FakeRelayActions relay = new FakeRelayActions("permissions.keepalive=20000").withBaseline(60);
     for (int i = 0; i < 12; i++) {
       relay.advance(15_000);
       relay.runTraffic(1, 400);
     }
-    long met = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
-    assertTrue(met >= 10, met + " endpoints met");
+    long endpointsUsed = relay.sent.stream().map(attempt -> attempt.endpoint).distinct().count();
+    assertTrue(endpointsUsed >= 10, endpointsUsed + " endpoints used");
   }
 
   @Test
-  public void leadsOfSeveralStagesAddUp() {
+  public void failureLeadsOfSeveralStagesAddUp() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(4).withCanary(3, 0, 0.1);
     for (int stage = 0; stage < 3; stage++) {
       relay.tracker.rolloutChanged(2, stage, RolloutState.ON_TRIAL, 0.4, relay.now());
--- a/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
+++ b/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
@@ -8,23 +8,26 @@
 import sprucerock.model.Build;
 import sprucerock.model.RolloutState;
 
-/** What relays that nobody tells what others saw send to builds that come and go. */
+/**
+ * Tests which builds get traffic as rollouts come and go, at relays without gossip. It guards
+ * against traffic to a withdrawn build whose draining endpoints are still listed.
+ */
 public class WithdrawnBuildTest {
   private static final String[] NO_GOSSIP_NO_HEDGING = {
     "permissions.peers=false", "permissions.second_copies=false", "balancers=110"
   };
 
   /**
-   * Four endpoints of the released build 1 and two of build 2, which was on trial and then in the
-   * states told.
+   * Creates a relay with four endpoints of the released build 1 and two of build 2, which was on
+   * trial and then in the given states.
    */
-  private static FakeRelayActions afterRolloutStates(RolloutState... told) {
+  private static FakeRelayActions afterRolloutStates(RolloutState... states) {
     FakeRelayActions relay =
         new FakeRelayActions(NO_GOSSIP_NO_HEDGING).withBaseline(4).withCanary(2, 0, 0.1);
-    for (RolloutState standing : told) {
+    for (RolloutState state : states) {
       relay.advance(500);
       relay.tracker.rolloutChanged(
-          2, 0, standing, standing == RolloutState.RELEASED ? 1 : 0, relay.now());
+          2, 0, state, state == RolloutState.RELEASED ? 1 : 0, relay.now());
     }
     return relay;
   }
@@ -35,7 +38,10 @@
     return relay;
   }
 
-  /** RPCs with effects, one every 50 ms, that are answered ok or rejected as full after 40 ms. */
+  /**
+   * Sends non-idempotent RPCs, one every 50 ms. After 40 ms, attempts at the canary end with the
+   * given outcome, all others with OK.
+   */
   private static void sendNonIdempotent(FakeRelayActions relay, int rpcs, AttemptOutcome atCanary) {
     for (int i = 0; i < rpcs; i++) {
       relay.arriveRpc(2);
@@ -46,7 +52,7 @@
   }
 
   @Test
-  public void withdrawnBuildStillListedGetsNothingOnceTheNextIsOffered() {
+  public void withdrawnBuildStillListedGetsNoAttemptsOnceTheNextIsOnTrial() {
     FakeRelayActions relay =
         offerNextBuild(afterRolloutStates(RolloutState.GOING_BACK, RolloutState.WITHDRAWN));
     sendNonIdempotent(relay, 40, AttemptOutcome.FULL);
@@ -56,7 +62,7 @@
   }
 
   @Test
-  public void buildOfWhichOnlyItsGoingBackWasToldGetsNothing() {
+  public void buildLastReportedAsGoingBackGetsNoAttempts() {
     FakeRelayActions relay = offerNextBuild(afterRolloutStates(RolloutState.GOING_BACK));
     sendNonIdempotent(relay, 40, AttemptOutcome.NOT_CONNECTED);
     assertEquals(relay.sentTo(relay.canary), 0);
@@ -64,7 +70,7 @@
   }
 
   @Test
-  public void endpointsOfAWithdrawnBuildListedLateGetNothing() {
+  public void lateListedEndpointsOfAWithdrawnBuildGetNoAttempts() {
     FakeRelayActions relay = offerNextBuild(afterRolloutStates(RolloutState.WITHDRAWN));
     relay.listEndpoint(relay.canary, relay.now());
     sendNonIdempotent(relay, 40, AttemptOutcome.OK);
@@ -72,7 +78,7 @@
   }
 
   @Test
-  public void buildWithdrawnBeforeTheLastGetsNothing() {
+  public void buildWithdrawnBeforeTheLastOneGetsNoAttempts() {
     FakeRelayActions relay = offerNextBuild(afterRolloutStates(RolloutState.WITHDRAWN));
     Build second = relay.tracker.build(3);
     relay.listEndpoint(second, null);
@@ -84,7 +90,7 @@
   }
 
   @Test
-  public void withdrawnBuildServesWhereNothingElseIsListed() {
+  public void withdrawnBuildServesIfNoOtherBuildIsListed() {
     FakeRelayActions relay = offerNextBuild(afterRolloutStates(RolloutState.WITHDRAWN));
     for (var endpoint : java.util.List.copyOf(relay.baseline.endpoints)) {
       relay.tracker.endpointRemoved(endpoint.id);
--- a/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
+++ b/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
@@ -44,15 +44,15 @@
 import sprucerock.transport.wire.v1.Work;
 
 /**
- * One stretch of events, given to the simulator's adapter and to the relay: the policy is told the
- * same, in the same order.
+ * Plays the same events through the simulator's adapter and through the relay, and checks that the
+ * policy gets the same calls in the same order.
  */
 public class RelayAndSimulatorParityTest {
   private static final double START_MS = 1000;
   private static final double STEP_MS = 5;
   private static final int STEP_COUNT = 2600;
+  // Deadlines by method. Like real ones, they fall between two steps.
   private static final int[] DEADLINES_MS = {1502, 2002, 903};
-  // by method; between the steps, like real ones
 
   private static final String SETTINGS =
       """
@@ -93,23 +93,26 @@
         """;
 
   /**
-   * How and when an endpoint ends an attempt: the same at both hosts, by the attempt alone. Every
-   * 20th is never answered.
+   * The time until an endpoint ends an attempt. It depends on the attempt only, so it is the same
+   * in both hosts.
    */
   private static int latencyMs(long rpc, int number) {
     return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
   }
 
+  /**
+   * The result of an attempt, the same in both hosts: 1 OK, 0 error, 2 full, -1 no answer. Every
+   * 20th attempt gets no answer.
+   */
   private static int outcomeCode(long rpc, int number, long endpoint) {
-    // 1 ok, 0 error, 2 full, -1 silence
-    int dice = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
-    if (endpoint >= 100 && dice < 30) {
+    int roll = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
+    if (endpoint >= 100 && roll < 30) {
       return 0;
     }
-    return dice < 5 ? -1 : dice < 8 ? 0 : dice < 11 ? 2 : 1;
+    return roll < 5 ? -1 : roll < 8 ? 0 : roll < 11 ? 2 : 1;
   }
 
-  /** What the stretch gives to a host; a listing's age is in milliseconds, 0 long ago. */
+  /** Passes events to a host. Ages are in milliseconds; age 0 of an endpoint: started long ago. */
   private interface PolicyDriver {
     void step();
 
@@ -117,79 +120,79 @@
 
     void disconnectClient(long id);
 
-    void listEndpoint(long endpoint, int build, int health, double age);
+    void listEndpoint(long endpoint, int build, int health, double ageMs);
 
-    void changeRollout(int build, int stage, int standing, float cap, double lasted);
+    void changeRollout(int build, int stage, int state, float cap, double lastedMs);
 
-    void sendCounts(int build, int method, int attempts, int failed, double mean);
+    void sendCounts(int build, int method, int attempts, int failed, double meanMs);
 
     void sendPeerMessage(int sender, byte[] contents);
 
-    void reportWrongAnswer(long endpoint, double ago);
+    void reportWrongAnswer(long endpoint, double agoMs);
   }
 
-  private static void playEvents(PolicyDriver side) {
+  private static void playEvents(PolicyDriver driver) {
     SplittableRandom random = new SplittableRandom(7);
     for (int endpoint = 1; endpoint <= 5; endpoint++) {
-      side.listEndpoint(endpoint, 1, 1, 0);
+      driver.listEndpoint(endpoint, 1, 1, 0);
     }
-    side.changeRollout(1, 2, 2, 1, 60_000);
+    driver.changeRollout(1, 2, 2, 1, 60_000);
     long lastRpc = 0;
     for (int i = 0; i < STEP_COUNT; i++) {
-      side.step();
+      driver.step();
       if (i == 300) {
-        side.listEndpoint(2, 1, 2, 0);
+        driver.listEndpoint(2, 1, 2, 0);
       }
       if (i == 340) {
-        side.listEndpoint(2, 1, 0, 0);
+        driver.listEndpoint(2, 1, 0, 0);
       }
       if (i == 400) {
         for (int endpoint = 100; endpoint < 103; endpoint++) {
-          side.listEndpoint(endpoint, 2, 1, 50);
+          driver.listEndpoint(endpoint, 2, 1, 50);
         }
-        side.changeRollout(2, 0, 0, 0.125f, 10);
+        driver.changeRollout(2, 0, 0, 0.125f, 10);
       }
       if (i == 1500) {
-        side.changeRollout(2, 1, 0, 0.5f, 20);
+        driver.changeRollout(2, 1, 0, 0.5f, 20);
       }
       if (i == 2200) {
-        side.changeRollout(2, 1, 1, 0, 15);
+        driver.changeRollout(2, 1, 1, 0, 15);
       }
       if (i == 2250) {
         for (int endpoint = 100; endpoint < 103; endpoint++) {
-          side.listEndpoint(endpoint, 2, 2, 0);
+          driver.listEndpoint(endpoint, 2, 2, 0);
         }
       }
       if (i == 900) {
-        side.listEndpoint(3, 1, 1, 40);
-        // as another run
+        // Another incarnation of the endpoint.
+        driver.listEndpoint(3, 1, 1, 40);
       }
       if (i % 400 == 399) {
         for (int method = 0; method < 3; method++) {
-          side.sendCounts(1, method, 40, 2, 60);
+          driver.sendCounts(1, method, 40, 2, 60);
         }
       }
       if (i == 1700) {
-        side.sendPeerMessage(1, new byte[] {3, 2, 1, 4, 1, 0, 1, 0});
+        driver.sendPeerMessage(1, new byte[] {3, 2, 1, 4, 1, 0, 1, 0});
       }
       if (i == 1710) {
-        side.sendPeerMessage(2, new byte[] {1, 9, 9, 0});
+        driver.sendPeerMessage(2, new byte[] {1, 9, 9, 0});
       }
       if (i == 1800) {
-        side.reportWrongAnswer(101, 300);
+        driver.reportWrongAnswer(101, 300);
       }
       if (random.nextInt(100) < 35) {
-        side.arriveRpc(++lastRpc, random.nextInt(3), random.nextInt(50));
+        driver.arriveRpc(++lastRpc, random.nextInt(3), random.nextInt(50));
       }
       if (lastRpc > 0 && random.nextInt(100) < 2) {
-        side.disconnectClient(lastRpc);
+        driver.disconnectClient(lastRpc);
       }
     }
   }
 
-  /** The bench's world around its adapter, as far as the stretch needs it. */
+  /** Imitates the simulator around its adapter, as far as the events need it. */
   private static final class SimulatorDriver implements PolicyDriver {
-    private record Timer(double when, long order, Runnable what) {}
+    private record Timer(double when, long order, Runnable task) {}
 
     private final RecordingRelayEvents recorder = new RecordingRelayEvents();
     private final ReplyWriter replies = new ReplyWriter();
@@ -207,7 +210,7 @@
             (a, b) ->
                 a.when != b.when ? Double.compare(a.when, b.when) : Long.compare(a.order, b.order));
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
-    private final Map<Long, List<Long>> attempts = new HashMap<>();
+    private final Map<Long, List<Long>> attemptEndpoints = new HashMap<>();
     private final Map<Long, Double> startedAt = new HashMap<>();
     private final Map<Long, Double> sentAt = new HashMap<>();
     private final Map<Long, Double> deadlines = new HashMap<>();
@@ -215,8 +218,8 @@
     private final List<String> endedRpcs = new ArrayList<>();
     private final List<Runnable> pendingVotes = new ArrayList<>();
     private double now = START_MS;
-    private long order;
-    private News lastNews;
+    private long nextTimerOrder;
+    private News lastRollout;
 
     SimulatorDriver() {
       relay.start(Timestamp.ofMs(now), 1, SETTINGS);
@@ -259,7 +262,9 @@
             int token = frame.getInt();
             timers.add(
                 new Timer(
-                    frame.getDouble(), order++, () -> handleEvent(70, fields(4).putInt(token))));
+                    frame.getDouble(),
+                    nextTimerOrder++,
+                    () -> handleEvent(70, fields(4).putInt(token))));
           }
           case 100 -> throw new AssertionError(new String(frame.array(), StandardCharsets.UTF_8));
           case 130 -> pendingVotes.add(() -> answerVote());
@@ -271,29 +276,28 @@
     }
 
     private void attemptSent(long id, long endpoint, double timeoutMs) {
-      List<Long> endpoints = attempts.computeIfAbsent(id, key -> new ArrayList<>());
+      List<Long> endpoints = attemptEndpoints.computeIfAbsent(id, key -> new ArrayList<>());
       int attempt = endpoints.size();
       endpoints.add(endpoint);
       sentAt.put(id * 100 + attempt, now);
       double until = Math.min(deadlines.get(id), timeoutMs > 0 ? now + timeoutMs : 1e12);
-      timers.add(new Timer(until, order++, () -> attemptEnded(id, attempt, 3)));
-      int how = outcomeCode(id, attempt, endpoint);
-      if (how >= 0) {
+      timers.add(new Timer(until, nextTimerOrder++, () -> attemptEnded(id, attempt, 3)));
+      int outcomeCode = outcomeCode(id, attempt, endpoint);
+      if (outcomeCode >= 0) {
         answers
             .computeIfAbsent(now + latencyMs(id, attempt), key -> new TreeMap<>())
-            .put(id * 100 + attempt, () -> attemptEnded(id, attempt, how));
+            .put(id * 100 + attempt, () -> attemptEnded(id, attempt, outcomeCode));
       }
     }
 
-    private void attemptEnded(long id, int attempt, int how) {
-      Long endpoint = attempts.get(id).get(attempt);
+    private void attemptEnded(long id, int attempt, int outcomeCode) {
+      Long endpoint = attemptEndpoints.get(id).get(attempt);
       if (endpoint < 0) {
-        return;
-        // ended already
+        return; // The attempt has ended already.
       }
-      attempts.get(id).set(attempt, -1L);
-      boolean closes = !openRpcs.containsKey(id) || how == 1;
-      if (openRpcs.containsKey(id) && how == 1) {
+      attemptEndpoints.get(id).set(attempt, -1L);
+      boolean closes = !openRpcs.containsKey(id) || outcomeCode == 1;
+      if (openRpcs.containsKey(id) && outcomeCode == 1) {
         openRpcs.remove(id);
         endedRpcs.add(id + " OK");
       }
@@ -305,7 +309,7 @@
               .putDouble(now - sentAt.get(id * 100 + attempt))
               .put((byte) (closes ? 1 : 0))
               .putInt((int) (long) endpoint)
-              .put((byte) how)
+              .put((byte) outcomeCode)
               .put((byte) 0));
     }
 
@@ -313,7 +317,7 @@
     public void step() {
       now += STEP_MS;
       while (!timers.isEmpty() && timers.peek().when <= now + 1e-9) {
-        timers.poll().what.run();
+        timers.poll().task.run();
       }
       for (Runnable vote : List.copyOf(pendingVotes)) {
         vote.run();
@@ -325,7 +329,7 @@
     }
 
     private void answerVote() {
-      News news = lastNews;
+      News news = lastRollout;
       handleEvent(
           110,
           fields(30)
@@ -362,9 +366,9 @@
     }
 
     @Override
-    public void listEndpoint(long endpoint, int build, int health, double age) {
-      if (age > 0) {
-        startedAt.put(endpoint, now - age);
+    public void listEndpoint(long endpoint, int build, int health, double ageMs) {
+      if (ageMs > 0) {
+        startedAt.put(endpoint, now - ageMs);
       }
       relay.endpointListReceived(
           Timestamp.ofMs(now),
@@ -377,12 +381,12 @@
     }
 
     @Override
-    public void changeRollout(int build, int stage, int standing, float cap, double lasted) {
-      lastNews =
+    public void changeRollout(int build, int stage, int state, float cap, double lastedMs) {
+      lastRollout =
           News.newBuilder()
               .setBuild(build)
               .setStage(stage)
-              .setStandingValue(standing + 1)
+              .setStandingValue(state + 1)
               .setCap(cap)
               .build();
       handleEvent(
@@ -390,15 +394,15 @@
           fields(30)
               .putShort((short) build)
               .put((byte) stage)
-              .put((byte) standing)
+              .put((byte) state)
               .put((byte) 0)
               .put((byte) 1)
               .putFloat(cap)
-              .putDouble(lasted));
+              .putDouble(lastedMs));
     }
 
     @Override
-    public void sendCounts(int build, int method, int seen, int failed, double mean) {
+    public void sendCounts(int build, int method, int seen, int failed, double meanMs) {
       handleEvent(
           120,
           fields(40)
@@ -406,7 +410,7 @@
               .putShort((short) method)
               .putInt(seen)
               .putInt(failed)
-              .putDouble(mean)
+              .putDouble(meanMs)
               .putDouble(0));
     }
 
@@ -416,12 +420,12 @@
     }
 
     @Override
-    public void reportWrongAnswer(long endpoint, double ago) {
-      handleEvent(130, fields(20).putInt((int) endpoint).putShort((short) 0).putDouble(ago));
+    public void reportWrongAnswer(long endpoint, double agoMs) {
+      handleEvent(130, fields(20).putInt((int) endpoint).putShort((short) 0).putDouble(agoMs));
     }
   }
 
-  /** The same stretch over the relay's links. */
+  /** Passes the events to a relay over its connections. */
   private static final class RelayDriver implements PolicyDriver {
     private final RecordingRelayEvents recorder = new RecordingRelayEvents();
     private final SimulatedNet net = new SimulatedNet(START_MS, STEP_MS);
@@ -433,8 +437,8 @@
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
     private final RecordingPeer client;
     private final Map<Integer, RecordingPeer> peers = new TreeMap<>();
-    private int votesSeen;
-    private News lastNews;
+    private int votesAnswered;
+    private News lastRollout;
 
     RelayDriver() throws Exception {
       Path file = Files.createTempFile("both", ".xml");
@@ -471,8 +475,8 @@
       net.settle();
     }
 
-    private void runAndSettle(Runnable what) {
-      net.turn(what);
+    private void runAndSettle(Runnable task) {
+      net.turn(task);
       net.settle();
       answerNewWork();
     }
@@ -480,28 +484,29 @@
     private void answerNewWork() {
       for (Map.Entry<Long, List<RecordingPeer>> endpoint : endpointPeers.entrySet()) {
         for (RecordingPeer connection : endpoint.getValue()) {
-          List<RecordingPeer.ReceivedFrame> got = connection.received;
-          for (int i = readFrames.merge(connection, 0, Integer::sum); i < got.size(); i++) {
-            if (got.get(i).kind() == FrameKind.WORK) {
+          List<RecordingPeer.ReceivedFrame> frames = connection.received;
+          for (int i = readFrames.merge(connection, 0, Integer::sum); i < frames.size(); i++) {
+            if (frames.get(i).kind() == FrameKind.WORK) {
               scheduleAnswer(
                   endpoint.getKey(),
                   connection,
-                  (Work) got.get(i).head(),
-                  ByteBuffer.wrap(got.get(i).body()).getLong());
+                  (Work) frames.get(i).head(),
+                  ByteBuffer.wrap(frames.get(i).body()).getLong());
             }
           }
-          readFrames.put(connection, got.size());
+          readFrames.put(connection, frames.size());
         }
       }
     }
 
     private void scheduleAnswer(long endpoint, RecordingPeer connection, Work work, long rpc) {
       int attempt = attemptsByRpc.merge(rpc, 1, Integer::sum) - 1;
-      int how = outcomeCode(rpc, attempt, endpoint);
-      if (how < 0) {
+      int outcomeCode = outcomeCode(rpc, attempt, endpoint);
+      if (outcomeCode < 0) {
         return;
       }
-      Result result = how == 1 ? Result.DONE : how == 2 ? Result.FULL : Result.ERROR;
+      Result result =
+          outcomeCode == 1 ? Result.DONE : outcomeCode == 2 ? Result.FULL : Result.ERROR;
       answers
           .computeIfAbsent(net.now().ms() + latencyMs(rpc, attempt), key -> new TreeMap<>())
           .put(
@@ -519,8 +524,8 @@
       net.pass(STEP_MS);
       answerNewWork();
       List<Vote> votes = controllers.get(0).heads(FrameKind.VOTE);
-      for (int many = votes.size(); votesSeen < many; votesSeen++) {
-        long id = votes.get(votesSeen).getId();
+      for (int voteCount = votes.size(); votesAnswered < voteCount; votesAnswered++) {
+        long id = votes.get(votesAnswered).getId();
         runAndSettle(
             () ->
                 controllers
@@ -532,7 +537,7 @@
             () ->
                 controllers
                     .get(0)
-                    .send(FrameKind.NEWS, lastNews.toBuilder().setLastedUs(100_000).build()));
+                    .send(FrameKind.NEWS, lastRollout.toBuilder().setLastedUs(100_000).build()));
       }
       while (!answers.isEmpty() && answers.firstKey() <= net.now().ms() + 1e-9) {
         answers.pollFirstEntry().getValue().values().forEach(Runnable::run);
@@ -561,7 +566,7 @@
     }
 
     @Override
-    public void listEndpoint(long endpoint, int build, int health, double age) {
+    public void listEndpoint(long endpoint, int build, int health, double ageMs) {
       int port = 2000 + (int) endpoint;
       if (!endpointPeers.containsKey(endpoint)) {
         try {
@@ -570,8 +575,9 @@
           throw new AssertionError(e);
         }
       }
-      Health said = health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE;
-      int run = endpoint == 3 && age > 0 ? 2 : 1;
+      Health listedHealth =
+          health == 1 ? Health.READY : health == 2 ? Health.DRAINING : Health.GONE;
+      int incarnation = endpoint == 3 && ageMs > 0 ? 2 : 1;
       runAndSettle(
           () ->
               discoveries
@@ -583,31 +589,31 @@
                           .addEntries(
                               Entry.newBuilder()
                                   .setUnit(endpoint)
-                                  .setRun(run)
+                                  .setRun(incarnation)
                                   .setHost("127.0.0.1")
                                   .setPort(port)
                                   .setBuild(build)
-                                  .setHealth(said)
+                                  .setHealth(listedHealth)
                                   .setWeight(1)
-                                  .setAgeUs((long) (age * 1000)))
+                                  .setAgeUs((long) (ageMs * 1000)))
                           .build()));
     }
 
     @Override
-    public void changeRollout(int build, int stage, int standing, float cap, double lasted) {
-      lastNews =
+    public void changeRollout(int build, int stage, int state, float cap, double lastedMs) {
+      lastRollout =
           News.newBuilder()
               .setBuild(build)
               .setStage(stage)
-              .setStanding(Stand.forNumber(standing + 1))
+              .setStanding(Stand.forNumber(state + 1))
               .setCap(cap)
-              .setLastedUs((long) (lasted * 1000))
+              .setLastedUs((long) (lastedMs * 1000))
               .build();
-      runAndSettle(() -> controllers.get(0).send(FrameKind.NEWS, lastNews));
+      runAndSettle(() -> controllers.get(0).send(FrameKind.NEWS, lastRollout));
     }
 
     @Override
-    public void sendCounts(int build, int method, int attempts, int failed, double mean) {
+    public void sendCounts(int build, int method, int attempts, int failed, double meanMs) {
       runAndSettle(
           () ->
               controllers
@@ -619,7 +625,7 @@
                           .setMethod(method)
                           .setPicks(attempts)
                           .setFailed(failed)
-                          .setMeanUs((long) (mean * 1000))
+                          .setMeanUs((long) (meanMs * 1000))
                           .build()));
     }
 
@@ -636,41 +642,44 @@
     }
 
     @Override
-    public void reportWrongAnswer(long endpoint, double ago) {
+    public void reportWrongAnswer(long endpoint, double agoMs) {
       runAndSettle(
           () ->
               client.send(
                   FrameKind.FLAG,
-                  Flag.newBuilder().setUnit(endpoint).setAgoUs((long) (ago * 1000)).build()));
+                  Flag.newBuilder().setUnit(endpoint).setAgoUs((long) (agoMs * 1000)).build()));
     }
 
     List<String> endedRpcs() {
       return client.<Answer>heads(FrameKind.ANSWER).stream()
-          .map(one -> one.getId() + " " + one.getEnding())
+          .map(answer -> answer.getId() + " " + answer.getEnding())
           .toList();
     }
   }
 
   @Test
   public void sameEventsCauseTheSamePolicyCallsInBothHosts() throws Exception {
-    SimulatorDriver bench = new SimulatorDriver();
-    RelayDriver connected = new RelayDriver();
-    playEvents(bench);
-    playEvents(connected);
+    SimulatorDriver simulator = new SimulatorDriver();
+    RelayDriver relay = new RelayDriver();
+    playEvents(simulator);
+    playEvents(relay);
     for (int i = 0;
-        i < Math.min(bench.recorder.calls.size(), connected.recorder.calls.size());
+        i < Math.min(simulator.recorder.calls.size(), relay.recorder.calls.size());
         i++) {
-      int at = i;
+      int index = i;
       assertEquals(
-          connected.recorder.calls.get(i),
-          bench.recorder.calls.get(i),
-          "call " + i + " after " + bench.recorder.calls.subList(Math.max(0, at - 5), at));
-    }
-    assertEquals(connected.recorder.calls.size(), bench.recorder.calls.size());
-    assertEquals(connected.endedRpcs(), bench.endedRpcs);
-    // the comparison covers everything the policy can be notified of
-    String all = String.join("\n", bench.recorder.calls);
-    for (String part :
+          relay.recorder.calls.get(i),
+          simulator.recorder.calls.get(i),
+          "call "
+              + i
+              + " after "
+              + simulator.recorder.calls.subList(Math.max(0, index - 5), index));
+    }
+    assertEquals(relay.recorder.calls.size(), simulator.recorder.calls.size());
+    assertEquals(relay.endedRpcs(), simulator.endedRpcs);
+    // The events must cover all kinds of calls to the policy.
+    String all = String.join("\n", simulator.recorder.calls);
+    for (String expected :
         new String[] {
           " OK answers",
           " ERROR",
@@ -685,8 +694,8 @@
           "peer ",
           "news 2 1 GOING_BACK"
         }) {
-      assertTrue(all.contains(part), "no " + part);
+      assertTrue(all.contains(expected), "no " + expected);
     }
-    assertTrue(bench.recorder.calls.size() > 2000, "only " + bench.recorder.calls.size());
+    assertTrue(simulator.recorder.calls.size() > 2000, "only " + simulator.recorder.calls.size());
   }
 }
