--- a/src/main/java/sprucerock/policy/AdmissionController.java
+++ b/src/main/java/sprucerock/policy/AdmissionController.java
@@ -74,9 +74,8 @@
     double excessQueue = queued - QUEUE_TOLERANCE_REQUESTS;
     double waitMs = 1000 * excessQueue / Math.max(answered.perSecond(startedAt, now), 0.5);
     // Answers lag behind traffic that has just begun, so the rate alone overstates the wait. With a
-    // real wait of W, the queued requests are W/2 old on average, which bounds the estimate.
-    // Without
-    // the bound, a relay that starts, or whose traffic returns, would reject requests.
+    // real wait of W, the queued requests are W/2 old on average, which bounds the estimate. A
+    // relay that starts, or whose traffic returns, would otherwise reject requests.
     waitMs = Math.min(waitMs, 2 * (now.ms() - queuedArrivalSumMs / Math.max(queued, 1)));
     boolean useFleetWait = gossip.areLoadsFresh() && arrivals.isLow(now);
     double weight = priorityWeight(rpc, now);
--- a/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
+++ b/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
@@ -26,15 +26,19 @@
   /** Source of latencies for {@link #observe}: the controller's counts. */
   static final int FLEET_COUNTS = 1;
 
-  private static final int SOURCES = 2;
-  private static final double IGNORED_AFTER_START_MS =
-      2000; // just after a start there are no queues
-  private static final double WATCH_AFTER_RELEASE_MS = 15000;
+  private static final int SOURCE_COUNT = 2;
+
+  // A fleet that has just started has no queues yet, so its latencies are not comparable.
+  private static final double IGNORED_AFTER_START_MS = 2000;
+
+  private static final double ACTIVE_AFTER_RELEASE_MS = 15000;
   private static final double GOOD_LOG_SLOWDOWN = 0.2;
   private static final TimeSpan MIN_PAUSE_LENGTH = TimeSpan.ofMs(500);
   private static final double PAUSE_AFTER_SLOW_MS = 700;
-  private static final double DOUBT_AFTER_RESUMING_MS = 3000;
-  private static final double QUEUE_DRAIN_MS = 5000; // twice the time in which a queue drains
+  private static final double INVESTIGATE_AFTER_RESUMING_MS = 3000;
+
+  // Twice the time in which a queue drains.
+  private static final double RECOVERY_WINDOW_MS = 5000;
 
   private final RelayActions actions;
   private final CanaryStatus canary;
@@ -47,14 +51,14 @@
       Settings settings,
       CanaryStatus canary,
       ArrivalRate arrivals,
-      Timestamp started) {
+      Timestamp startedAt) {
     this.actions = actions;
     this.canary = canary;
     this.arrivals = arrivals;
-    this.startedAt = started;
+    this.startedAt = startedAt;
     slowness =
         new RelativeSlowness(
-            settings.methods.size(), SOURCES, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
+            settings.methods.size(), SOURCE_COUNT, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
   }
 
   void observe(int source, Method method, double ms, double weight) {
@@ -62,8 +66,8 @@
     if (!TimeChecks.longerThan(IGNORED_AFTER_START_MS, startedAt, now)) {
       return;
     }
-    boolean isBaselinePeriod =
-        !isActive(now) || canary.trial().stage() == 0; // too few canary attempts to slow it
+    // The few canary attempts of the first stage slow down little, so it counts as baseline.
+    boolean isBaselinePeriod = !isActive(now) || canary.trial().stage() == 0;
     if (isBaselinePeriod) {
       slowness.addBaseline(source, method.index, ms, weight, now);
     } else {
@@ -80,7 +84,7 @@
     return canary.state() == RolloutState.ON_TRIAL
         || recentlyReleased
             && !TimeChecks.longerThan(
-                WATCH_AFTER_RELEASE_MS + arrivals.fleetCountsLagMs(),
+                ACTIVE_AFTER_RELEASE_MS + arrivals.fleetCountsLagMs(),
                 canary.trial().stageStartedAt(),
                 now);
   }
@@ -115,13 +119,13 @@
         && TimeChecks.longerThan(PAUSE_AFTER_SLOW_MS, slowdown.slowSince(), now)) {
       if (slowdown.resumedAt() != null
           && !TimeChecks.longerThan(
-              QUEUE_DRAIN_MS + arrivals.fleetCountsLagMs(), slowdown.resumedAt(), now)) {
+              RECOVERY_WINDOW_MS + arrivals.fleetCountsLagMs(), slowdown.resumedAt(), now)) {
         slowdown.blameCanary();
       }
       slowdown.pause(now);
     }
     if (TimeChecks.longerThan(
-        QUEUE_DRAIN_MS + arrivals.fleetCountsLagMs(), slowdown.pausedAt(), now)) {
+        RECOVERY_WINDOW_MS + arrivals.fleetCountsLagMs(), slowdown.pausedAt(), now)) {
       slowdown.clearCanary();
     }
   }
@@ -133,7 +137,9 @@
         || slowdown.slowSince() != null && !slowdown.isCanaryCleared()
         || slowdown.resumedAt() != null
             && !TimeChecks.longerThan(
-                DOUBT_AFTER_RESUMING_MS + arrivals.fleetCountsLagMs(), slowdown.resumedAt(), now);
+                INVESTIGATE_AFTER_RESUMING_MS + arrivals.fleetCountsLagMs(),
+                slowdown.resumedAt(),
+                now);
   }
 
   /**
--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -26,7 +26,7 @@
   // Whether neither gossip nor the controller's counts add up what all relays see.
   private final boolean withoutFleetEvidence;
 
-  // Standard deviations that by chance one relay of all exceeds in twenty days.
+  // Threshold in standard deviations: by chance, one relay of all exceeds it in twenty days.
   private final double detectionDeviations;
 
   CanaryJudge(
@@ -139,8 +139,7 @@
     StageEvidence evidence = trial.evidence();
     boolean paceLost = !(baselinePace.meanLogSlowdown(now) < 0.6 || !baselinePace.isSlowed(now));
     trial.lostPace.update(paceLost, baselinePace.meanLogSlowdown(now), now);
-    // Errors count if they are more than a fifth of endpoints, failing for other reasons, can
-    // cause,
+    // A fifth of the endpoints may fail for other reasons, so errors count only beyond their share,
     // or if most endpoints have a few.
     boolean highErrorRate =
         withoutFleetEvidence
@@ -155,10 +154,8 @@
   }
 
   // Advances after 20 pairs or at a fallback age. Where a single vote advances the stage, relays
-  // with
-  // few pairs leave the vote to others for two more seconds. The last stage waits for a KS test,
-  // for
-  // many pairs or for three more seconds.
+  // with few pairs leave the vote to others for two more seconds, and the last stage waits for a
+  // KS test, for many pairs or for three more seconds.
   private boolean mayAdvance(Timestamp now) {
     CanaryTrial trial = canary.trial();
     boolean singleVote = settings.control == Settings.Control.SINGLE;
--- a/src/main/java/sprucerock/policy/CanaryStatus.java
+++ b/src/main/java/sprucerock/policy/CanaryStatus.java
@@ -18,7 +18,10 @@
 final class CanaryStatus {
   private final int methodCount;
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
-  private final Set<Integer> withdrawnBuilds = new TreeSet<>(); // perhaps still listed
+
+  // Withdrawn builds that discovery may still list.
+  private final Set<Integer> withdrawnBuilds = new TreeSet<>();
+
   private CanaryTrial trial;
   private RolloutState state;
   private double cap;
@@ -86,7 +89,8 @@
   // than the serving one. Its endpoints drain and stop, but stay listed while discovery is silent.
   // If it were not remembered as withdrawn, all traffic would go there.
   private void rememberWithdrawn() {
-    withdrawnBuilds.retainAll(builds.keySet()); // bounds the set: listed builds and one
+    // Bounds the set to one build more than are listed.
+    withdrawnBuilds.retainAll(builds.keySet());
     boolean isWithdrawn = state == RolloutState.GOING_BACK || state == RolloutState.WITHDRAWN;
     if (isWithdrawn) {
       withdrawnBuilds.add(trial.build.number);
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -168,7 +168,10 @@
     return drawn;
   }
 
-  /** Assumes an open connection until half the idle timeout; neither end closes it before. */
+  /**
+   * Whether the connection to the endpoint is still open: neither end closes it within half the
+   * idle timeout of the last answer.
+   */
   private boolean isConnected(Endpoint endpoint, Timestamp now) {
     return endpoint.lastAnsweredAt != null
         && settings.idleTimeout.times(0.5).over(now.since(endpoint.lastAnsweredAt));
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -13,12 +13,15 @@
  *
  * <p>The counts reveal builds that are bad for methods without shadow requests, and give relays
  * with little traffic the baseline's latency. Their failures include timeouts, so they count
- * against the canary only if attempts or shadow pairs of this relay showed errors too.
+ * against the canary only if attempts or shadow pairs showed errors too.
  */
 final class FleetCounts {
   private static final double MIN_ATTEMPTS = 12;
   private static final double MIN_FAILURES = 3;
-  private static final double STANDARD_ERRORS = 3.5; // by chance one evaluation in 4,000
+
+  // By chance, one evaluation in 4,000 exceeds this.
+  private static final double STANDARD_ERRORS = 3.5;
+
   private static final double MIN_EXCESS = 0.05;
 
   // A fifth of the endpoints may fail for other reasons.
@@ -46,7 +49,7 @@
   /**
    * Adds one period's attempts and failures of one method at one build.
    *
-   * @param mean the mean latency of the attempts that did not fail
+   * @param mean the mean latency
    */
   void countsReceived(Build build, Method method, double attempts, double failed, TimeSpan mean) {
     if (!canary.isOnTrial(build) && arrivals.reliesOnFleetCounts() && attempts > failed) {
--- a/src/main/java/sprucerock/policy/KeyAffinity.java
+++ b/src/main/java/sprucerock/policy/KeyAffinity.java
@@ -22,8 +22,9 @@
   private final Settings settings;
   private final CanaryStatus canary;
   private final ArrivalRate arrivals;
-  private final KeyedSums keyArrivals =
-      new KeyedSums(TimeSpan.ofMs(20000), MAX_KEYS); // popular keys
+
+  // Holds the most recently used keys, so that popular ones stay.
+  private final KeyedSums keyArrivals = new KeyedSums(TimeSpan.ofMs(20000), MAX_KEYS);
 
   KeyAffinity(RelayActions actions, Settings settings, CanaryStatus canary, ArrivalRate arrivals) {
     this.actions = actions;
@@ -49,8 +50,7 @@
       return null;
     }
     // A released build owns every key. During a rollback, discovery may list endpoints of the
-    // earlier
-    // build before the controller's update on the rollback arrives.
+    // earlier build before the controller reports the rollback.
     CanaryTrial trial = canary.trial();
     return canary.isReleased() || trial.stickyKeys.contains(rpc.key) ? trial.build : null;
   }
--- a/src/main/java/sprucerock/policy/LatencyTracker.java
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -59,14 +59,15 @@
   }
 
   /**
-   * The time after which an attempt without an answer is overdue: three times the method's mean,
-   * which grows when all endpoints slow down, or 0.45 of the latency objective if that is longer.
-   * At 0.45 of the objective another attempt can still be on time.
+   * The time after which an attempt without an answer is overdue. It is three times the method's
+   * mean, which grows when all endpoints slow down, or three times the hinted work if that is
+   * longer. It is at least 0.45 of the latency objective, at which another attempt can still be on
+   * time.
    */
   TimeSpan overdueAfter(Rpc rpc) {
-    TimeSpan threeTimesExpected =
+    TimeSpan multipleOfExpected =
         TimeSpan.ofMs(OVERDUE_MULTIPLE * expectedMs(rpc.method)).atLeast(rpc.hintedWork().times(3));
-    return rpc.method.latencyObjective.times(0.45).atLeast(threeTimesExpected);
+    return rpc.method.latencyObjective.times(0.45).atLeast(multipleOfExpected);
   }
 
   void attemptOverdue(Endpoint endpoint) {
@@ -82,7 +83,7 @@
     double relativeLatency = Math.min(ms / expectedMs(method), MAX_RELATIVE_LATENCY);
     attempt.endpoint.relativeLatency.add(now, relativeLatency);
     attempt.endpoint.zoneRelativeLatency.add(now, relativeLatency);
-    double logMs = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
+    double logLatency = Math.log(ms / Math.max(attempt.rpc.hintedWork().ms(), 1));
     if (canary.isOnTrial(attempt.endpoint.build)) {
       if (!canary.isCanary(attempt.endpoint.build) || !attempt.endpoint.olderThan(COLD_AGE, now)) {
         return;
@@ -90,12 +91,12 @@
       canary
           .trial()
           .logLatencyExcess
-          .add(now, logMs - method.recentLogLatency.at(now, logMs, 1e-9));
+          .add(now, logLatency - method.recentLogLatency.at(now, logLatency, 1e-9));
       return;
     }
     method.recentLatency.add(now, ms);
-    method.recentLogLatency.add(now, logMs);
-    baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(logMs), 1);
+    method.recentLogLatency.add(now, logLatency);
+    baselinePace.observe(BaselinePaceMonitor.OWN_ATTEMPTS, method, Math.exp(logLatency), 1);
   }
 
   /**
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -37,8 +37,7 @@
     }
     pair.judged = true;
     // An attempt that was rejected as full, not connected, cancelled or cut off says nothing about
-    // a
-    // build. Timeouts count as slowness, for the KS test.
+    // the build. Timeouts count as slowness, for the KS test.
     if (canary.judgedBuild() != shadow.endpoint.build
         || shadow.voidsPair()
         || baseline.voidsPair()) {
@@ -63,7 +62,7 @@
   private void recordFailures(Attempt shadow, Attempt baseline) {
     StageEvidence evidence = canary.trial().evidence();
     evidence.pairs++;
-    // In a build with more endpoints, a single endpoint contributes two mismatches at most.
+    // In a build with three or more endpoints, each endpoint contributes two mismatches at most.
     boolean fewEndpoints = shadow.endpoint.build.endpoints.size() < FEW_ENDPOINTS;
     boolean onlyShadowFailed = shadow.answeredWithError() && !baseline.answeredWithError();
     if (onlyShadowFailed && (++shadow.endpoint.excess <= MAX_MISMATCHES || fewEndpoints)) {
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -108,7 +108,10 @@
     shadowsInFlight++;
   }
 
-  /** Stops shadow requests at the design's limit, and while a slowdown is investigated. */
+  /**
+   * Whether shadow requests are stopped: by the design's circuit breaker, or while a slowdown is
+   * investigated.
+   */
   private boolean isBreakerOpen() {
     return shadowsInFlight >= MAX_IN_FLIGHT || canary.trial().slowdown.pausedAt() != null;
   }
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -38,7 +38,7 @@
 
   private final AttemptCounts[] canaryCounts;
   private final AttemptCounts[] baselineCounts;
-  private final Map<Integer, byte[]> peerReports = new TreeMap<>(); // the latest of each relay
+  private final Map<Integer, byte[]> peerReports = new TreeMap<>(); // latest report by relay
   private final int[] peerCounts = new int[REPORT_COUNTS]; // for this stage, in pooledCounts order
   private int peerFailingEndpointBits;
   private Timestamp lastReportSentAt;
@@ -215,6 +215,7 @@
     }
   }
 
+  /** The text in the log line of a vote. */
   @Override
   public String toString() {
     return build.number
--- a/src/test/java/sprucerock/policy/VoteStudy.java
+++ b/src/test/java/sprucerock/policy/VoteStudy.java
@@ -16,6 +16,7 @@
   private static final int[] ENDPOINTS_BY_STAGE = {5, 30, 60};
   private static final int[] PAIRS_BY_STAGE = {45, 60, 200};
   private static final int SENDERS = 4;
+
   // The middle of the simulator's range of 0.3 to 1.
   private static final double FAULTY_ENDPOINT_FAILURE_SHARE = 0.65;
 
