--- a/src/main/java/sprucerock/simulation/SimulationHost.java
+++ b/src/main/java/sprucerock/simulation/SimulationHost.java
@@ -75,7 +75,7 @@
           headerBytes,
           1,
           BATCH_HEADER_BYTES - 1,
-          "batch after " + batchesRead + " complete batches: header is cut short");
+          "batch after " + batchesRead + " whole ones: header is cut short");
       ByteBuffer header = wrap(headerBytes);
       int batch = header.getInt();
       int length = header.getInt();
@@ -104,8 +104,7 @@
       int code = body.get() & 0xff;
       int length = body.getInt();
       if (length < 0 || length > body.remaining()) {
-        throw new FrameException(
-            recordName + " (code " + code + "): length exceeds the rest of the batch");
+        throw new FrameException(recordName + " (code " + code + "): length runs past the batch");
       }
       ByteBuffer fields = body.slice(body.position(), length).order(ByteOrder.LITTLE_ENDIAN);
       body.position(body.position() + length);
@@ -115,12 +114,11 @@
         throw new FrameException(recordName + " (code " + code + "): fields are cut short");
       }
       if (fields.hasRemaining()) {
-        throw new FrameException(
-            recordName + " (code " + code + "): record is longer than its fields");
+        throw new FrameException(recordName + " (code " + code + "): fields left over");
       }
     }
     if (body.hasRemaining()) {
-      throw new FrameException(batchName + ": body is longer than its records");
+      throw new FrameException(batchName + ": bytes left after the last record");
     }
   }
 
@@ -150,7 +148,7 @@
       fields.getLong();
       int form = fields.get() & 0xff;
       if (form > MAX_LIST_FORM) {
-        throw new FrameException(recordName + ": list form must be 0 to 3, got " + form);
+        throw new FrameException(recordName + ": unknown form of list " + form);
       }
       ListedEndpoint[] entries = listNumber < lists.length ? lists[listNumber] : null;
       if (form != WireCodes.LIST_FAILED && entries == null) {
@@ -165,8 +163,7 @@
   private void defineList(ByteBuffer fields, String recordName) {
     int listNumber = fields.getShort() & 0xffff;
     if (listNumber >= lists.length) {
-      throw new FrameException(
-          recordName + ": list number " + listNumber + " is out of range 0 to 15");
+      throw new FrameException(recordName + ": list number " + listNumber + " is out of range");
     }
     ListedEndpoint[] entries =
         new ListedEndpoint
@@ -182,7 +179,7 @@
           new ListedEndpoint(
               endpoint, zone, kind, cell, build, health, fields.getFloat(), fields.getDouble());
       if (health > MAX_HEALTH) {
-        throw new FrameException(recordName + ": health must be 0 to 2, got " + health);
+        throw new FrameException(recordName + ": unknown health " + health);
       }
     }
     lists[listNumber] = entries;
