--- a/src/main/java/sprucerock/policy/AdmissionController.java
+++ b/src/main/java/sprucerock/policy/AdmissionController.java
@@ -13,12 +13,13 @@
  *
  * <p>By Little's law, a new request will wait for about the number of requests that are unanswered
  * and not yet late, divided by the answers per second. A request whose wait exceeds its threshold
- * is rejected. This covers bursts, slow dependencies and lost endpoints alike. Requests that are
+ * is rejected. The same test covers bursts, slow dependencies and lost endpoints. Requests that are
  * past their latency objective do not count, so a few stuck requests cannot block all others. A
- * relay with too little traffic uses the wait of the whole fleet, if peers report it.
+ * relay with too little traffic for an estimate uses the wait of the whole fleet, if peers report
+ * it.
  */
 final class AdmissionController {
-  // Three more requests in the queue may be chance.
+  // A queue of this length may arise by chance.
   private static final double QUEUE_TOLERANCE_REQUESTS = 3;
   private static final double OVER_QUOTA_MULTIPLE = 1.2;
 
@@ -29,7 +30,7 @@
   private final LoadGossip gossip;
   private final Timestamp startedAt;
   private final TenantArrivals tenantArrivals;
-  private final DecayingSum answered = new DecayingSum(TimeSpan.ofMs(2000));
+  private final DecayingSum recentAnswers = new DecayingSum(TimeSpan.ofMs(2000));
   private int queued;
   private double queuedArrivalSumMs; // sum of the arrival times
 
@@ -55,11 +56,14 @@
     queuedArrivalSumMs += now.ms();
   }
 
-  void answered(Timestamp now) {
-    answered.add(now, 1);
+  void requestAnswered(Timestamp now) {
+    recentAnswers.add(now, 1);
   }
 
-  /** Removes from the queue a request that was answered or is past its latency objective. */
+  /**
+   * Removes from the queue a request that ended, began to be answered, or is past its latency
+   * objective. Further calls for the same request have no effect.
+   */
   void settle(Rpc rpc) {
     if (!rpc.settled) {
       queued--;
@@ -72,15 +76,16 @@
   boolean shouldReject(Rpc rpc) {
     Timestamp now = actions.now();
     double excessQueue = queued - QUEUE_TOLERANCE_REQUESTS;
-    double waitMs = 1000 * excessQueue / Math.max(answered.perSecond(startedAt, now), 0.5);
-    // Answers lag behind traffic that has just begun, so the rate alone overstates the wait. With a
-    // real wait of W, the queued requests are W/2 old on average, which bounds the estimate. A
-    // relay that starts, or whose traffic returns, would otherwise reject requests.
+    double waitMs = 1000 * excessQueue / Math.max(recentAnswers.perSecond(startedAt, now), 0.5);
+    // Answers lag behind traffic that has just begun, so their rate alone overstates the wait, and
+    // a relay that starts or whose traffic returns would reject requests. At a real wait of W,
+    // queued requests are W/2 old on average, so twice their mean age limits the estimate.
     waitMs = Math.min(waitMs, 2 * (now.ms() - queuedArrivalSumMs / Math.max(queued, 1)));
     boolean useFleetWait = gossip.areLoadsFresh() && arrivals.isLow(now);
     double weight = priorityWeight(rpc, now);
-    // The rest of the latency objective must cover the long tail of latencies. The fleet's wait
-    // includes the work itself, so its threshold is higher.
+    // The threshold is a share of the latency objective, since the remaining time must cover the
+    // long tail of latencies. The fleet's wait includes the time at the endpoint, so its threshold
+    // is higher. One request in twenty passes whatever the fleet's wait is.
     return useFleetWait
         ? random.next() > 0.05
             && gossip.fleetWaitMs() > settings.meanLatencyObjectiveMs * (0.4 + 0.3 * weight)
@@ -90,7 +95,8 @@
   private double priorityWeight(Rpc rpc, Timestamp now) {
     double weight = rpc.method.priorityWeight / settings.maxPriorityWeight;
     double quotaMultiple = tenantArrivals.quotaMultiple(rpc.tenant, now);
-    // Of a tenant at three times its quota, two requests in three exceed the quota.
+    // Lowers the weight of the share of requests that exceeds the quota: of a tenant at three times
+    // its quota, two requests in three.
     if (quotaMultiple > OVER_QUOTA_MULTIPLE && random.next() > 1 / quotaMultiple) {
       weight *= settings.overQuotaWeight;
     }
--- a/src/main/java/sprucerock/policy/ArrivalRate.java
+++ b/src/main/java/sprucerock/policy/ArrivalRate.java
@@ -5,7 +5,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Measures the request rate of this relay, and whether it is enough to judge the fleet by. */
+/** Measures this relay's request rate, and tells whether the rate suffices to judge the fleet. */
 final class ArrivalRate {
   private static final double LOW_REQUESTS_PER_SECOND = 10;
 
@@ -22,7 +22,7 @@
     arrivals.add(now, 1);
   }
 
-  /** The count of arrivals, decaying with age. */
+  /** The number of requests that arrived; each counts less with age. */
   double decayingCount() {
     return arrivals.at(actions.now());
   }
@@ -36,14 +36,17 @@
   }
 
   /**
-   * Whether this relay has too few requests to judge the fleet by itself within some seconds, and
-   * the controller sends it fleet counts.
+   * Whether the controller sends fleet counts, and this relay needs them, as it gets too few
+   * requests to judge the fleet within a few seconds.
    */
   boolean reliesOnFleetCounts() {
     return settings.countsEvery.over(TimeSpan.ZERO) && isLow(actions.now());
   }
 
-  /** How late fleet counts show a change: one period to collect them, one until they arrive. */
+  /**
+   * How late fleet counts show a change: they are collected for one period and arrive within
+   * another. Zero if this relay does not rely on them.
+   */
   double fleetCountsLagMs() {
     return reliesOnFleetCounts() ? 2 * settings.countsEvery.ms() : 0;
   }
--- a/src/main/java/sprucerock/policy/AttemptSender.java
+++ b/src/main/java/sprucerock/policy/AttemptSender.java
@@ -20,7 +20,7 @@
   private final LoadGossip gossip;
   private final Consumer<Attempt> overdueListener;
 
-  /** Notifies {@code overdueListener} of each attempt without an answer in the expected time. */
+  /** Creates a sender that passes each overdue attempt to {@code overdueListener}. */
   AttemptSender(
       RelayActions actions,
       Settings settings,
@@ -57,8 +57,9 @@
     return attempt;
   }
 
-  // Without hedging, an attempt must end before the next one starts. A timeout then discards the
-  // work done so far, so it is set only where the attempt can be taken for lost.
+  // Without hedging, an attempt must end before the next one is sent. A timeout discards the work
+  // that the endpoint has done so far. So the timeout is long enough to assume that the attempt is
+  // lost, and is set only if another attempt is permitted and has time to succeed.
   private TimeSpan timeout(Rpc rpc, TimeSpan overdueAfter, Timestamp now) {
     TimeSpan lostAfter = overdueAfter.times(2);
     boolean mayTimeOut =
--- a/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
+++ b/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
@@ -14,10 +14,11 @@
  *
  * <p>A build may slow down old and new endpoints alike, so that the latencies of every shadow pair
  * match. When the baseline is slower than before the trial, shadow requests are therefore paused.
- * If latencies recover during the pause and get worse again after it, the slowdown follows exposure
- * and the build is to blame. If they do not recover, the build is cleared until they do. All relays
- * see the same slowdown, so they pause together. A slowdown from another cause that happens to
- * coincide with the pauses is wrongly blamed on the build.
+ * If latencies recover during the pause and get worse again after it, the slowdown follows the
+ * canary's exposure, and the build is blamed. If latencies do not recover during the pause, the
+ * build is not blamed until they do. All relays see the same slowdown, so they pause at about the
+ * same time. If a slowdown with another cause coincides with the pauses, the build is blamed
+ * wrongly.
  */
 final class BaselinePaceMonitor {
   /** Source of latencies for {@link #observe}: this relay's attempts. */
@@ -32,7 +33,7 @@
   private static final double IGNORED_AFTER_START_MS = 2000;
 
   private static final double ACTIVE_AFTER_RELEASE_MS = 15000;
-  private static final double GOOD_LOG_SLOWDOWN = 0.2;
+  private static final double RECOVERED_LOG_SLOWDOWN = 0.2;
   private static final TimeSpan MIN_PAUSE_LENGTH = TimeSpan.ofMs(500);
   private static final double PAUSE_AFTER_SLOW_MS = 700;
   private static final double INVESTIGATE_AFTER_RESUMING_MS = 3000;
@@ -61,12 +62,14 @@
             settings.methods.size(), SOURCE_COUNT, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
   }
 
+  /** Adds a latency of a source, in milliseconds. */
   void observe(int source, Method method, double ms, double weight) {
     Timestamp now = actions.now();
     if (!TimeChecks.longerThan(IGNORED_AFTER_START_MS, startedAt, now)) {
       return;
     }
-    // The few canary attempts of the first stage slow down little, so it counts as baseline.
+    // The few canary attempts of the first stage hardly slow down the baseline, so that stage
+    // belongs to the baseline period.
     boolean isBaselinePeriod = !isActive(now) || canary.trial().stage() == 0;
     if (isBaselinePeriod) {
       slowness.addBaseline(source, method.index, ms, weight, now);
@@ -76,8 +79,8 @@
   }
 
   /**
-   * Whether to compare latencies: while the canary is on trial, and shortly after its release, when
-   * all traffic shows how it performs.
+   * Whether the canary is judged at present: while it is on trial, and, if this relay saw the
+   * trial, for some time after its release, when it serves all traffic.
    */
   boolean isActive(Timestamp now) {
     boolean recentlyReleased = canary.isReleased() && canary.trial().isSeenOnTrial();
@@ -95,18 +98,22 @@
   }
 
   /**
-   * Whether the baseline is slower by about half (0.4 as a logarithm) and by three standard errors;
-   * the standard deviation of the logarithms is 0.9.
+   * Whether the baseline is slower by more than about half (0.4 as a logarithm) and by more than
+   * three standard errors. One standard error is 0.9, the standard deviation of the logarithms,
+   * divided by the root of their weight; hence 2.7.
    */
   boolean isSlowed(Timestamp now) {
     double count = slowness.weight(now);
     return count >= 2 && slowness.mean(now) > Math.max(0.4, 2.7 / Math.sqrt(count));
   }
 
-  /** Pauses and resumes shadow requests, and counts how often the slowdown followed them. */
+  /**
+   * Pauses or resumes shadow requests as the baseline slows down or recovers, and counts the
+   * slowdowns that began soon after shadow requests resumed.
+   */
   void updateShadowPause(Timestamp now) {
     Slowdown slowdown = canary.trial().slowdown;
-    if (slowness.mean(now) < GOOD_LOG_SLOWDOWN) {
+    if (slowness.mean(now) < RECOVERED_LOG_SLOWDOWN) {
       slowdown.end();
       if (slowdown.pausedAt() != null && now.since(slowdown.pausedAt()).over(MIN_PAUSE_LENGTH)) {
         slowdown.resume(now);
--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -23,10 +23,12 @@
   private final BaselinePaceMonitor baselinePace;
   private final LastVote lastVote = new LastVote();
 
-  // Whether neither gossip nor the controller's counts add up what all relays see.
+  // Whether this relay can use its own observations only, as there are no reports of peers and no
+  // counts from the controller.
   private final boolean withoutFleetEvidence;
 
-  // Threshold in standard deviations: by chance, one relay of all exceeds it in twenty days.
+  // In standard deviations. By chance, one relay of the whole fleet exceeds this threshold in
+  // twenty days.
   private final double detectionDeviations;
 
   CanaryJudge(
@@ -52,13 +54,16 @@
     lastVote.recordReply(reply);
   }
 
-  /** Takes in a peer's latest report of its shadow pairs. */
+  /** Stores a peer's latest report of its shadow pairs and evaluates the canary again. */
   void reportReceived(int sender, byte[] report) {
     canary.trial().receiveReport(sender, report);
     evaluate();
   }
 
-  /** Reports new pair counts to peers, twice a second at most; each relay adds them up. */
+  /**
+   * Reports this relay's pair counts to all peers if they changed, at most twice a second. Each
+   * relay adds up the counts of all relays.
+   */
   void reportToPeers(Timestamp now) {
     CanaryTrial trial = canary.trial();
     boolean unreported =
@@ -70,7 +75,11 @@
     }
   }
 
-  /** Votes if the present evidence calls for it. */
+  /**
+   * Casts the vote that the present evidence calls for: BACK if the canary is worse, ON if the
+   * stage may advance. Where stages advance by the clock, HOLD to pause the stage, and NONE to
+   * withdraw a HOLD.
+   */
   void evaluate() {
     Timestamp now = actions.now();
     if (!baselinePace.isActive(now)) {
@@ -104,9 +113,9 @@
   }
 
   /**
-   * Whether shadow requests show that the canary fails more than the baseline. Three failures to
-   * none suffice, ten to three do not. A single failing endpoint of several does not condemn the
-   * build.
+   * Whether shadow pairs show that the canary fails more often than the baseline, either in this
+   * stage or in all stages together. Three failures of the canary and none of the baseline suffice;
+   * ten and three do not. If only one of several endpoints fails, the build is not failing.
    */
   private boolean isFailing() {
     CanaryTrial trial = canary.trial();
@@ -125,37 +134,46 @@
                     5, minDeviations * (trial.leadDeviation() + trial.earlierStagesDeviation()));
   }
 
-  /** Whether the canary's latencies exceed the baseline's, compared method by method. */
+  /**
+   * Whether the canary's latencies, as this relay measured them, exceed the baseline's by more than
+   * chance explains. Latencies are compared within each method.
+   */
   private boolean isCanarySlower(Timestamp now) {
     CanaryTrial trial = canary.trial();
     double count = trial.logLatencyExcess.count(now);
+    // The standard deviation of the logarithms of latencies is 0.9.
     double threshold = Math.max(0.5, detectionDeviations * 0.9 / Math.sqrt(count));
     return count >= 4 && trial.logLatencyExcess.at(now, 0, 1e-9) > threshold;
   }
 
-  /** Whether many endpoints fail, or a slowdown lasts for longer than most bursts do. */
+  /**
+   * Whether the released build must be rolled back: many of its endpoints answer with errors, or
+   * the fleet has been slower for longer than most bursts of traffic last.
+   */
   private boolean failsAfterRelease(Timestamp now) {
     CanaryTrial trial = canary.trial();
     StageEvidence evidence = trial.evidence();
-    boolean paceLost = !(baselinePace.meanLogSlowdown(now) < 0.6 || !baselinePace.isSlowed(now));
-    trial.lostPace.update(paceLost, baselinePace.meanLogSlowdown(now), now);
-    // A fifth of the endpoints may fail for other reasons, so errors count only beyond their share,
-    // or if most endpoints have a few.
+    boolean fleetSlowed = !(baselinePace.meanLogSlowdown(now) < 0.6 || !baselinePace.isSlowed(now));
+    trial.lostPace.update(fleetSlowed, baselinePace.meanLogSlowdown(now), now);
+    // A fifth of the endpoints may fail for reasons other than the build. So the errors must exceed
+    // the share that these endpoints explain, or come from most endpoints.
     boolean highErrorRate =
         withoutFleetEvidence
             && evidence.failingEndpointsAfterRelease() >= 3
             && evidence.errorsAfterRelease() > Math.max(3, 0.25 * evidence.attemptsAfterRelease());
-    boolean manyEndpoints =
+    boolean manyEndpointsFail =
         evidence.failingEndpointsAfterRelease() >= Math.max(3, 0.6 * trial.build.endpoints.size())
             && evidence.errorsAfterRelease() >= 5;
     return highErrorRate
-        || manyEndpoints && evidence.errorsAfterRelease() > 0.02 * evidence.attemptsAfterRelease()
-        || trial.lostPace.lostLogSeconds() > (arrivals.reliesOnFleetCounts() ? 4 : 6);
+        || manyEndpointsFail
+            && evidence.errorsAfterRelease() > 0.02 * evidence.attemptsAfterRelease()
+        || trial.lostPace.logSlowdownSeconds() > (arrivals.reliesOnFleetCounts() ? 4 : 6);
   }
 
-  // Advances after 20 pairs or at a fallback age. Where a single vote advances the stage, relays
-  // with few pairs leave the vote to others for two more seconds, and the last stage waits for a
-  // KS test, for many pairs or for three more seconds.
+  // Whether the stage may advance: after 20 pairs, or at a fallback age of 3 s. If a single vote
+  // advances the stage, two cases wait longer. A relay that knows of fewer than 5 pairs waits until
+  // 5 s, so that a relay with more evidence votes first. The last stage waits for the first KS test
+  // (20 pairs with latencies) or for 100 pairs, until 6 s at most.
   private boolean mayAdvance(Timestamp now) {
     CanaryTrial trial = canary.trial();
     boolean singleVote = settings.control == Settings.Control.SINGLE;
@@ -167,12 +185,14 @@
             && trial.evidence().timedPairs() < PAIRS_TO_ADVANCE
             && pooledPairs < 100;
     double fallbackMs = latencyUntested ? 6000 : singleVote && pooledPairs < 5 ? 5000 : 3000;
-    // Without fleet evidence, the busiest of many relays must get the time to see enough.
+    // Without fleet evidence, the votes of relays with little traffic must not come before the
+    // busiest relay has seen enough pairs. This takes longer in a larger fleet.
     if (singleVote && withoutFleetEvidence) {
       fallbackMs *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
     }
-    // The age counts from the newest start time in the endpoint list. While the list lacks the
-    // stage's new endpoints, the age does not count, for up to 8 s.
+    // The fallback age counts from the start of the stage or of the build's newest endpoint,
+    // whichever is later. It is not reached while the endpoint list lacks the endpoints that the
+    // stage added; this exception ends 8 s after the stage's start.
     TimeSpan stageAge = now.since(trial.stageStartedAt());
     Timestamp newest = trial.build.newestStart();
     boolean endpointsMissing =
@@ -184,8 +204,9 @@
   }
 
   /**
-   * Casts a vote, or casts it again: votes expire, get lost or arrive too early. A vote that counts
-   * is renewed at half its lifetime; one that does not count is repeated soon.
+   * Casts a new vote at once, and repeats an unchanged vote when it is due, because votes expire,
+   * get lost or arrive too early. A vote that counts is repeated after half its lifetime. A vote
+   * that does not count is repeated after 300 ms, an unanswered one after the call timeout.
    */
   private void castVote(Verdict verdict) {
     Timestamp now = actions.now();
--- a/src/main/java/sprucerock/policy/CanaryStatus.java
+++ b/src/main/java/sprucerock/policy/CanaryStatus.java
@@ -65,14 +65,15 @@
     }
   }
 
-  /** Applies a rollout update; returns whether it begins a new stage or state. */
+  /** Applies a rollout update; returns whether a new stage or state begins with the update. */
   boolean update(Build build, int stage, RolloutState newState, double newCap, Timestamp since) {
     if (!isCanary(build)) {
       rememberWithdrawn();
       trial = new CanaryTrial(build, methodCount);
     }
-    boolean begins = trial.evidence() == null || stage != trial.stage() || newState != state;
-    if (begins) {
+    boolean isNewStageOrState =
+        trial.evidence() == null || stage != trial.stage() || newState != state;
+    if (isNewStageOrState) {
       trial.enterStage(stage, since, newState == RolloutState.RELEASED);
     }
     state = newState;
@@ -82,14 +83,16 @@
     } else {
       trial.stickyKeys.clear();
     }
-    return begins;
+    return isNewStageOrState;
   }
 
-  // Once the next build is announced, a withdrawn build no longer counts as on trial, yet is newer
-  // than the serving one. Its endpoints drain and stop, but stay listed while discovery is silent.
-  // If it were not remembered as withdrawn, all traffic would go there.
+  // Once the next build is announced, a withdrawn build no longer counts as on trial, although it
+  // is
+  // newer than the serving build. Its endpoints drain and stop, but stay listed while discovery is
+  // silent. Unless the relay remembers that the build is withdrawn, all traffic goes to them.
   private void rememberWithdrawn() {
-    // Bounds the set to one build more than are listed.
+    // Forgets withdrawn builds that are no longer listed, which bounds the set to one build more
+    // than are listed.
     withdrawnBuilds.retainAll(builds.keySet());
     boolean isWithdrawn = state == RolloutState.GOING_BACK || state == RolloutState.WITHDRAWN;
     if (isWithdrawn) {
@@ -106,7 +109,10 @@
     return trial != null && build.number == trial.build.number;
   }
 
-  /** Whether the build's share is limited: it is newer than the baseline and not released. */
+  /**
+   * Whether the build's share of attempts is limited: the build is newer than the baseline and not
+   * released. Before the first rollout update, the oldest listed build counts as the baseline.
+   */
   boolean isOnTrial(Build build) {
     if (trial == null) {
       return !builds.isEmpty() && build.number > builds.firstKey();
@@ -123,7 +129,7 @@
     trial.attemptEnded(attempt, isReleased());
   }
 
-  /** The build on trial, if it has endpoints for shadow pairs; otherwise null. */
+  /** The canary, if it is on trial and has ready endpoints for shadow pairs; otherwise null. */
   Build judgedBuild() {
     boolean hasJudgedBuild =
         trial != null && state == RolloutState.ON_TRIAL && !trial.build.endpoints.isEmpty();
--- a/src/main/java/sprucerock/policy/EndpointListSubscription.java
+++ b/src/main/java/sprucerock/policy/EndpointListSubscription.java
@@ -24,12 +24,12 @@
     }
   }
 
-  /** Subscribes again after a pause of 0.5 to 1 s, so that an overloaded discovery recovers. */
+  /** Subscribes again after a random pause of 0.5 to 1 s, so that discovery is not overloaded. */
   void listFailed() {
     actions.schedule(actions.now().plus(TimeSpan.ofMs(500 + 500 * random.next())), this::subscribe);
   }
 
-  /** If relays poll the endpoint list, subscribes again at half the maximum age of the list. */
+  /** Polls the list again at half its maximum age, if the settings say that relays poll it. */
   void pollIfDue(Timestamp now) {
     if (settings.pollsEndpointList
         && now.since(subscribedAt).over(settings.pollWithin.times(0.5))) {
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -17,11 +17,13 @@
  * Selects the endpoint of an attempt: first the build, then the cheaper of two random endpoints.
  */
 final class EndpointSelector {
-  // Bounds the work in a large fleet: if a third of a build is usable, 24 draws miss it once in
-  // 17,000 times.
+  // Bounds the work in a large fleet. If a third of a build's endpoints are usable, 24 draws find
+  // none of them in one selection of 17,000.
   private static final int MAX_DRAWS = 24;
   private static final int MAX_RECENT_ENDPOINTS = 8;
-  private static final double CONNECT_FAILURE_THRESHOLD = 0.15;
+
+  // Of recent attempts.
+  private static final double MAX_CONNECT_FAILURE_SHARE = 0.15;
 
   private final RelayActions actions;
   private final Settings settings;
@@ -84,7 +86,8 @@
     return endpoint != null ? endpoint : select(rpc, true);
   }
 
-  private Endpoint select(Rpc rpc, boolean allowTrial) {
+  // As the last resort, builds that are on trial or withdrawn may serve too.
+  private Endpoint select(Rpc rpc, boolean lastResort) {
     Build minimumBuild = keys.minimumBuild(rpc);
     Endpoint endpoint = null;
     for (Build build : canary.buildsDescending()) {
@@ -92,11 +95,11 @@
         break;
       }
       boolean trialAllowed =
-          allowTrial || minimumBuild != null && build.number == minimumBuild.number;
+          lastResort || minimumBuild != null && build.number == minimumBuild.number;
       boolean mayServe =
           canary.isOnTrial(build)
               ? trialAllowed && exposure.allows(build, rpc.method, 1)
-              : allowTrial || !canary.isWithdrawn(build);
+              : lastResort || !canary.isWithdrawn(build);
       if (mayServe) {
         endpoint = selectIn(rpc, build);
       }
@@ -111,10 +114,10 @@
     boolean mayProbe = rpc.method.idempotent() && rpc.attempts.isEmpty();
     Endpoint candidate = null;
     Endpoint fallback = null;
-    // While connects fail, endpoints that answered recently are tried first: their connections are
-    // open.
+    // While many attempts fail to connect, endpoints that answered recently are tried first, since
+    // their connections are open.
     List<Endpoint> connected =
-        connectFailures.at(now, 0, 2) > CONNECT_FAILURE_THRESHOLD
+        connectFailures.at(now, 0, 2) > MAX_CONNECT_FAILURE_SHARE
             ? recentEndpoints.readyOfBuild(build, random.next())
             : List.of();
     for (int i = 0; i < connected.size() + Math.min(build.endpoints.size(), MAX_DRAWS); i++) {
@@ -124,6 +127,7 @@
         continue;
       }
       boolean outlier = outliers.isOutlier(endpoint);
+      // An idempotent request's first attempt may go to an outlier, to detect its recovery.
       if (outlier && mayProbe && now.after(endpoint.retryAt) && budget.hasCapacity()) {
         endpoint.retryAt = now.plus(OutlierDetector.RETRY_INTERVAL);
         budget.spend(now);
@@ -148,10 +152,10 @@
     return !rpc.triedAt(endpoint) && slowStart.hasCapacity(endpoint, now);
   }
 
-  // A new connection costs its endpoint a handshake. Where hundreds of relays get little traffic
-  // each, a relay has no connection to most endpoints that it draws. An endpoint that answered
-  // recently and costs no more replaces the drawn one. Builds on trial are exempt, so that shadow
-  // pairs cover many endpoints.
+  // Replaces a drawn endpoint without an open connection by a connected one that costs no more, if
+  // there is one. A new connection costs its endpoint a handshake, and where hundreds of relays get
+  // little traffic each, a relay has no connection to most endpoints that it draws. Builds on trial
+  // are exempt, so that shadow pairs cover many endpoints.
   private Endpoint preferConnected(Rpc rpc, Attempt mayHaveRun, Endpoint drawn, Timestamp now) {
     if (isConnected(drawn, now) || canary.isOnTrial(drawn.build)) {
       return drawn;
@@ -169,8 +173,8 @@
   }
 
   /**
-   * Whether the connection to the endpoint is still open: neither end closes it within half the
-   * idle timeout of the last answer.
+   * Whether the connection to the endpoint is known to be open: neither side closes a connection
+   * within half the idle timeout after its last answer.
    */
   private boolean isConnected(Endpoint endpoint, Timestamp now) {
     return endpoint.lastAnsweredAt != null
@@ -178,8 +182,9 @@
   }
 
   /**
-   * Multiplies load, relative latency and recent failures; another zone costs 1.1 times as much, so
-   * that a tie goes to the relay's own zone.
+   * The cost of sending an attempt to the endpoint: the product of its load, its relative latency
+   * and one plus its recent failures. An endpoint in another zone costs 1.1 times as much, so that
+   * a tie goes to the relay's own zone.
    */
   private double cost(Endpoint endpoint) {
     double zoneFactor = endpoint.zone == settings.zone ? 1 : 1.1;
--- a/src/main/java/sprucerock/policy/ExposureLimiter.java
+++ b/src/main/java/sprucerock/policy/ExposureLimiter.java
@@ -21,8 +21,9 @@
   }
 
   /**
-   * Whether a build on trial may get an attempt, which takes at least {@code tokens} in the bucket.
-   * A build that the controller has not announced yet counts as in the first stage.
+   * Whether a build on trial may get an attempt of the method. The bucket must hold at least {@code
+   * tokens}, and requests that are not idempotent are excluded from the first stages. A build that
+   * the controller has not announced yet is treated as in the first stage.
    */
   boolean allows(Build build, Method method, double tokens) {
     if (canary.trial() == null) {
@@ -36,14 +37,16 @@
   }
 
   /**
-   * Adds the cap's share of a token for each request. The bucket size is the number of attempts
-   * that no cap counts.
+   * Adds as much of a token as the exposure cap allows for one request. The bucket holds as many
+   * tokens as there are attempts exempt from the cap.
    */
   void requestArrived(Method method) {
     if (canary.trial() == null) {
       return;
     }
     RolloutState state = canary.state();
+    // After the trial, tokens are for the next build, which begins in the first stage. The last
+    // factor keeps rounding errors from exceeding the cap.
     boolean ended = state == RolloutState.RELEASED || state == RolloutState.WITHDRAWN;
     double share = (ended ? settings.caps.get(0) : canary.cap()) * (1 - 1e-6);
     sharedTokens = Math.min(settings.free, sharedTokens + share);
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -11,21 +11,22 @@
 /**
  * Judges the canary by the controller's counts of a sample of all relays' attempts.
  *
- * <p>The counts reveal builds that are bad for methods without shadow requests, and give relays
- * with little traffic the baseline's latency. Their failures include timeouts, so they count
- * against the canary only if attempts or shadow pairs showed errors too.
+ * <p>The counts reveal builds that are bad for methods without shadow requests, and tell relays
+ * with little traffic the baseline's latency. The counted failures include timeouts. So they are
+ * held against the canary only if this relay's attempts or the shadow pairs showed errors too.
  */
 final class FleetCounts {
   private static final double MIN_ATTEMPTS = 12;
   private static final double MIN_FAILURES = 3;
 
-  // By chance, one evaluation in 4,000 exceeds this.
-  private static final double STANDARD_ERRORS = 3.5;
+  // By chance, one evaluation in 4,000 exceeds so many standard errors.
+  private static final double MIN_STANDARD_ERRORS = 3.5;
 
-  private static final double MIN_EXCESS = 0.05;
+  // The canary's failure rate minus the baseline's.
+  private static final double MIN_EXCESS_RATE = 0.05;
 
-  // A fifth of the endpoints may fail for other reasons.
-  private static final double MIN_EXCESS_RELEASED = 0.25;
+  // Higher, as a fifth of the endpoints may fail for reasons other than the build.
+  private static final double MIN_EXCESS_RATE_RELEASED = 0.25;
 
   private final Settings settings;
   private final CanaryStatus canary;
@@ -65,24 +66,24 @@
     counts.add(attempts, failed);
     if (atCanary.attempts() < MIN_ATTEMPTS
         || atCanary.failures() < MIN_FAILURES
-        || !isBorneOutByErrors()) {
+        || !isConfirmedByErrors()) {
       return;
     }
     double standardError =
         Proportions.standardErrorOfDifference(
             atCanary.failures(), atCanary.attempts(), atBaseline.failures(), atBaseline.attempts());
-    double minByChance = STANDARD_ERRORS * standardError;
+    double excessByChance = MIN_STANDARD_ERRORS * standardError;
     double excess =
         atCanary.failures() / atCanary.attempts()
             - atBaseline.failures() / Math.max(atBaseline.attempts(), 1);
-    double minExcess = canary.isReleased() ? MIN_EXCESS_RELEASED : MIN_EXCESS;
-    if (excess > Math.max(minExcess, minByChance)) {
+    double minExcess = canary.isReleased() ? MIN_EXCESS_RATE_RELEASED : MIN_EXCESS_RATE;
+    if (excess > Math.max(minExcess, excessByChance)) {
       trial.evidence().markWorseByCounts();
     }
     canaryJudge.evaluate();
   }
 
-  private boolean isBorneOutByErrors() {
+  private boolean isConfirmedByErrors() {
     CanaryTrial trial = canary.trial();
     if (canary.isReleased()) {
       return trial.evidence().errorsAfterRelease() > 2;
--- a/src/main/java/sprucerock/policy/KeyAffinity.java
+++ b/src/main/java/sprucerock/policy/KeyAffinity.java
@@ -11,9 +11,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Keeps a key at the build that answered it, for services where an earlier build cannot read a
- * later build's data. Keeps popular keys off the canary: the traffic of all sticky keys must fit
- * into half the exposure cap.
+ * Keeps the requests of a key at the canary once the canary has answered one of them, for services
+ * where an earlier build cannot read a later build's data. Popular keys are kept off the canary:
+ * the traffic of all sticky keys must fit into half the exposure cap.
  */
 final class KeyAffinity {
   private static final int MAX_KEYS = 4096;
@@ -49,8 +49,9 @@
     if (!hasKey) {
       return null;
     }
-    // A released build owns every key. During a rollback, discovery may list endpoints of the
-    // earlier build before the controller reports the rollback.
+    // After its release, a build keeps all keys. Otherwise they would go to endpoints of the
+    // earlier
+    // build that discovery lists, during a rollback, before the controller reports the rollback.
     CanaryTrial trial = canary.trial();
     return canary.isReleased() || trial.stickyKeys.contains(rpc.key) ? trial.build : null;
   }
@@ -65,7 +66,7 @@
     }
     Timestamp now = actions.now();
     double share = keyArrivals.perSecond(rpc.key, now) / Math.max(arrivals.perSecond(now), 1e-9);
-    if (canary.trial().stickyKeys.share() + share > 0.5 * canary.cap()) {
+    if (canary.trial().stickyKeys.reservedShare() + share > 0.5 * canary.cap()) {
       return false;
     }
     canary.trial().stickyKeys.reserve(share);
--- a/src/main/java/sprucerock/policy/LatencyTracker.java
+++ b/src/main/java/sprucerock/policy/LatencyTracker.java
@@ -45,12 +45,15 @@
         zoneLatencies.computeIfAbsent(endpoint.zone, zone -> new DecayingMean(TimeSpan.ofMs(8000)));
   }
 
-  /** The method's recent mean latency; an estimate until answers arrive. */
+  /** The method's recent mean latency; a sixth of its latency objective before any answer. */
   double expectedMs(Method method) {
     return method.recentLatency.at(actions.now(), method.latencyObjective.ms() / 6, 1);
   }
 
-  /** Latency of an attempt, so far or in total, as a multiple of the expected latency. */
+  /**
+   * Latency of an attempt, so far if it is in flight, as a multiple of the work that the client
+   * hinted at, or else of the method's expected latency.
+   */
   double relativeLatency(Attempt attempt, Timestamp now) {
     return attempt.latency(now).ms()
         / (attempt.rpc.workHint != null
@@ -59,10 +62,10 @@
   }
 
   /**
-   * The time after which an attempt without an answer is overdue. It is three times the method's
-   * mean, which grows when all endpoints slow down, or three times the hinted work if that is
-   * longer. It is at least 0.45 of the latency objective, at which another attempt can still be on
-   * time.
+   * The time after which an attempt without an answer is overdue: three times the method's mean
+   * latency, which grows when all endpoints slow down, or three times the hinted work if that is
+   * longer. The time is at least 0.45 of the latency objective, after which another attempt can
+   * still meet the objective.
    */
   TimeSpan overdueAfter(Rpc rpc) {
     TimeSpan multipleOfExpected =
--- a/src/main/java/sprucerock/policy/LoadGossip.java
+++ b/src/main/java/sprucerock/policy/LoadGossip.java
@@ -12,10 +12,10 @@
  * at an endpoint.
  *
  * <p>Each relay reports the start and end of its attempts to one relay, the aggregator. The
- * aggregator sends all relays, four times a second, the endpoints with two or more attempts in
- * flight and the fleet's wait. If the aggregator is silent, a relay reports to the next one. Of
- * several aggregators, the one with the lowest number counts. If all messages are lost, a relay
- * uses its own attempts only.
+ * aggregator sends all relays, up to four times a second, the endpoints with two or more attempts
+ * in flight and the fleet's wait. If the aggregator is silent, a relay reports to the relay with
+ * the next number instead. If several relays act as aggregators, the messages of the one with the
+ * lowest number are used. If all messages are lost, a relay uses its own attempts only.
  */
 final class LoadGossip {
   private static final double AGGREGATOR_TIMEOUT_MS = 2000;
@@ -101,7 +101,10 @@
     loadsReceived(settings.index, loads);
   }
 
-  /** Handles the loads that an aggregator sent. */
+  /**
+   * Stores the loads that an aggregator sent. Ignores an aggregator with a higher number than the
+   * present one, while the present one's loads are fresh.
+   */
   void loadsReceived(int sender, byte[] message) {
     if (sender > aggregator && areLoadsFresh()) {
       return;
@@ -122,7 +125,10 @@
     return fleetWaitMs;
   }
 
-  /** Attempts in flight at the endpoint: of all relays if reported, otherwise of this relay. */
+  /**
+   * Attempts in flight at the endpoint: of all relays if the last message of loads names the
+   * endpoint, otherwise of this relay.
+   */
   int inFlight(Endpoint endpoint) {
     return endpoint.reportedAt == loadsReceivedAt && areLoadsFresh()
         ? Math.max(endpoint.inFlight(), endpoint.reportedInFlight)
--- a/src/main/java/sprucerock/policy/OutlierDetector.java
+++ b/src/main/java/sprucerock/policy/OutlierDetector.java
@@ -5,9 +5,9 @@
 import sprucerock.model.Endpoint;
 import sprucerock.time.TimeSpan;
 
-/** Detects endpoints that fail more than half of their attempts, and when to try them again. */
+/** Detects endpoints that fail more than half of their attempts, and schedules new tries. */
 final class OutlierDetector {
-  /** Interval of attempts at an outlier, which show its recovery at little cost. */
+  /** Interval between the attempts at an outlier that detect its recovery. */
   static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(1000);
 
   /** How many of an endpoint's last outcomes are considered. */
@@ -41,6 +41,7 @@
    */
   void attemptEnded(Attempt attempt) {
     boolean ok = attempt.outcome() == AttemptOutcome.OK;
+    // A cancelled or moot attempt shows nothing about its endpoint.
     boolean conclusive =
         attempt.outcome() != AttemptOutcome.CANCELLED && attempt.outcome() != AttemptOutcome.MOOT;
     if (conclusive && (ok || !attempt.overdue)) {
--- a/src/main/java/sprucerock/policy/RelayActions.java
+++ b/src/main/java/sprucerock/policy/RelayActions.java
@@ -18,7 +18,7 @@
   /** Sends the attempt to its endpoint. The host passes the first OK answer to the client. */
   void send(Attempt attempt);
 
-  /** Cancels an attempt in flight; {@link RelayEvents#attemptEnded} follows as for any other. */
+  /** Cancels an attempt in flight; {@link RelayEvents#attemptEnded} follows as always. */
   void cancel(Attempt attempt);
 
   /**
--- a/src/main/java/sprucerock/policy/RelayEvents.java
+++ b/src/main/java/sprucerock/policy/RelayEvents.java
@@ -35,7 +35,7 @@
    */
   void rolloutChanged(Build build, int stage, RolloutState state, double cap, Timestamp since);
 
-  /** A client sent an RPC. The policy must end it before its deadline, whatever happens. */
+  /** A client sent an RPC. The policy must end the RPC before its deadline in all cases. */
   void rpcArrived(Rpc rpc);
 
   /** The first part of a streamed answer arrived and goes to the client. */
@@ -44,9 +44,9 @@
   /**
    * An attempt ended.
    *
-   * @param answers whether the attempt ended its RPC too
+   * @param endsRpc whether the RPC ended with this attempt, by its answer or by a broken stream
    */
-  void attemptEnded(Attempt attempt, boolean answers);
+  void attemptEnded(Attempt attempt, boolean endsRpc);
 
   /** The client of an RPC disconnected before the answer. */
   void clientDisconnected(Rpc rpc);
@@ -59,8 +59,8 @@
   void answerReportedWrong(Endpoint endpoint);
 
   /**
-   * A health check of the endpoint ended. One relay checks endpoints on behalf of all; a check runs
-   * no work at the endpoint.
+   * A health check of the endpoint ended. One relay checks each endpoint on behalf of all relays. A
+   * check does not run a request at the endpoint.
    */
   void healthChecked(Endpoint endpoint, boolean answered);
 
--- a/src/main/java/sprucerock/policy/RequestCompletion.java
+++ b/src/main/java/sprucerock/policy/RequestCompletion.java
@@ -18,9 +18,9 @@
   }
 
   /**
-   * Ends a request for which nothing more can be done, at once, so that the client can use the time
-   * left. A rejection tells the client that it may safely retry. If a retry is not safe, the
-   * request fails.
+   * Ends a request that cannot be answered any more. The request ends at once, so that the client
+   * can use the remaining time. A rejection tells the client that a retry is safe; if it is not,
+   * the request fails.
    */
   void endUnanswered(Rpc rpc) {
     admission.settle(rpc);
@@ -43,6 +43,7 @@
     if (!settings.cancellation) {
       return;
     }
+    // Attempts of shadow pairs continue, as evidence on the canary.
     for (Attempt attempt : rpc.attempts) {
       if (attempt.outcome() == null && attempt.shadowPair == null) {
         actions.cancel(attempt);
--- a/src/main/java/sprucerock/policy/RetryBudget.java
+++ b/src/main/java/sprucerock/policy/RetryBudget.java
@@ -5,8 +5,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Limits retries, hedged requests and attempts at outliers to one for twenty requests. This is
- * enough to get around a lost endpoint, and too little for a retry storm.
+ * Limits retries, hedged requests and attempts at outliers to one per twenty requests. This is
+ * enough to bypass a lost endpoint, and too little for a retry storm. Shadow requests are held back
+ * while the budget is used up, but do not use it.
  */
 final class RetryBudget {
   private static final double RETRIES_PER_REQUEST = 0.05;
--- a/src/main/java/sprucerock/policy/RetryPolicy.java
+++ b/src/main/java/sprucerock/policy/RetryPolicy.java
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Sends another attempt if retry rules, the time left and the retry budget permit; returns
-   * whether it was sent.
+   * Sends another attempt if rule 2, the remaining time and the retry budget permit one. Returns
+   * whether an attempt was sent.
    */
   boolean retryIfAllowed(Rpc rpc) {
     boolean tooLate = settings.tick.times(4).over(rpc.deadline.since(actions.now()));
@@ -45,6 +45,8 @@
     return true;
   }
 
+  // Rule 2: a request that may have run is repeated only if its method is idempotent, or within the
+  // lifetime of its idempotency key.
   private boolean mayRetry(Rpc rpc) {
     boolean noMoreAttempts =
         !settings.hedging && rpc.inFlight() > 0 || rpc.attempts.size() >= settings.maxAttempts;
--- a/src/main/java/sprucerock/policy/RoutingPolicy.java
+++ b/src/main/java/sprucerock/policy/RoutingPolicy.java
@@ -15,15 +15,17 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Makes all routing decisions of one relay. The relay, or the simulator's adapter, creates one
- * instance at start and calls one method per event; the policy acts at once through {@link
+ * Entry point of all routing decisions of one relay. The relay, or the simulator's adapter, creates
+ * one instance at start and calls one method per event; the policy acts at once through {@link
  * RelayActions}.
  *
- * <p>The usual path is the design's "Shadow traffic": an idempotent request goes to the baseline,
- * with a shadow request to the canary. Each stage's shadow pairs are compared by their failures and
- * by a one-sided Kolmogorov-Smirnov (KS) test of their latencies, and the relay votes on the
- * result. Each other decision belongs to one type of this package. This class decides nothing
- * itself: it passes events to those types in a fixed order. Not thread-safe.
+ * <p>During a canary trial, an idempotent request goes to the baseline, and a shadow request of it
+ * goes to the canary. The relay compares the two attempts of each shadow pair by their failures,
+ * and the latencies of all pairs of a stage by a one-sided Kolmogorov-Smirnov (KS) test. It votes
+ * on the result.
+ *
+ * <p>Each kind of decision belongs to one type of this package. This class makes none itself: it
+ * passes events to those types in a fixed order. Not thread-safe.
  */
 public final class RoutingPolicy implements RelayEvents {
   // Well under the shortest duration of a stage.
@@ -52,7 +54,10 @@
   private final ShadowPairJudge pairJudge;
   private final FleetCounts fleetCounts;
 
-  /** Starts at once: subscribes to the endpoint list if the settings say that relays poll it. */
+  /**
+   * Creates the policy and starts its periodic tick. Subscribes to the endpoint list if relays poll
+   * it.
+   */
   public RoutingPolicy(RelayActions actions, Settings settings, long seed) {
     this.actions = actions;
     this.settings = settings;
@@ -162,7 +167,8 @@
   private void scheduleDeadlines(Rpc rpc) {
     actions.schedule(
         rpc, actions.now().plus(rpc.method.latencyObjective), () -> admission.settle(rpc));
-    // Rule 1: ends two loop ticks before the client's deadline, as a timer may fire a tick late.
+    // Rule 1: an RPC without an answer ends two loop ticks before its deadline, since a timer may
+    // fire one tick late.
     actions.schedule(
         rpc,
         rpc.deadline.minus(settings.tick.times(2)),
@@ -174,9 +180,9 @@
   }
 
   /**
-   * Handles an attempt without an answer within the expected time. If the endpoint has answered
-   * nothing at all since the attempt was sent, this counts as a failure of the endpoint, and a
-   * hedged request is sent where hedging is allowed.
+   * Handles an attempt that has had no answer within the expected time. If the endpoint has not
+   * answered any attempt since this one was sent, the endpoint is charged with a failure, and a
+   * hedged request is sent if hedging is allowed.
    */
   private void attemptOverdue(Attempt attempt) {
     attempt.overdue = true;
@@ -200,15 +206,15 @@
   }
 
   @Override
-  public void attemptEnded(Attempt attempt, boolean answers) {
+  public void attemptEnded(Attempt attempt, boolean endsRpc) {
     Timestamp now = actions.now();
     Rpc rpc = attempt.rpc;
     boolean ok = attempt.outcome() == AttemptOutcome.OK;
-    if (answers) {
+    if (endsRpc) {
       admission.settle(rpc);
     }
-    if (answers && ok) {
-      admission.answered(now);
+    if (endsRpc && ok) {
+      admission.requestAnswered(now);
     }
     shadows.attemptEnded(attempt);
     gossip.attemptEnded(attempt.endpoint, now.since(attempt.sent));
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -9,8 +9,11 @@
 
 /** Compares the two attempts of a shadow pair and records failures and latencies as evidence. */
 final class ShadowPairJudge {
-  private static final int FEW_ENDPOINTS = 3;
-  private static final int MAX_MISMATCHES = 2;
+
+  // Builds with fewer endpoints have no limit of mismatches per endpoint.
+  private static final int MIN_ENDPOINTS_FOR_LIMIT = 3;
+
+  private static final int MAX_MISMATCHES_PER_ENDPOINT = 2;
 
   /** Below this age, set by the design, an endpoint is cold and its answers look slow. */
   private static final TimeSpan MIN_ENDPOINT_AGE = TimeSpan.ofMs(5000);
@@ -49,8 +52,9 @@
   }
 
   /**
-   * Whether both results are known. An overdue attempt counts with its age so far if the other
-   * attempt has ended, since its end would come too late for the trial.
+   * Whether the results of both attempts are known. If one attempt has ended, the other one may be
+   * overdue instead, and its age so far counts as its latency: its end would come too late for the
+   * trial.
    */
   private static boolean isDecided(Attempt shadow, Attempt baseline) {
     if (shadow.outcome() == null && (!shadow.overdue || baseline.outcome() == null)) {
@@ -62,10 +66,11 @@
   private void recordFailures(Attempt shadow, Attempt baseline) {
     StageEvidence evidence = canary.trial().evidence();
     evidence.pairs++;
-    // In a build with three or more endpoints, each endpoint contributes two mismatches at most.
-    boolean fewEndpoints = shadow.endpoint.build.endpoints.size() < FEW_ENDPOINTS;
+    // One endpoint adds at most two mismatches, unless the build has too few endpoints.
+    boolean isUnlimited = shadow.endpoint.build.endpoints.size() < MIN_ENDPOINTS_FOR_LIMIT;
     boolean onlyShadowFailed = shadow.answeredWithError() && !baseline.answeredWithError();
-    if (onlyShadowFailed && (++shadow.endpoint.excess <= MAX_MISMATCHES || fewEndpoints)) {
+    if (onlyShadowFailed
+        && (++shadow.endpoint.excess <= MAX_MISMATCHES_PER_ENDPOINT || isUnlimited)) {
       evidence.recordCanaryFailure(shadow.endpoint);
     }
     if (baseline.answeredWithError() && !shadow.answeredWithError()) {
@@ -88,6 +93,7 @@
                 latency.relativeLatency(shadow, now), latency.relativeLatency(baseline, now))
             : 0;
     boolean isTestDue = timedPairs == 20 || timedPairs == 40 || timedPairs == 80;
+    // 1.63 gives the one-sided KS test a significance level of 0.5%.
     if (isTestDue
         && evidence.slownessDistance() > Math.max(0.25, 1.63 * Math.sqrt(2.0 / timedPairs))) {
       evidence.markSlowerByLatency();
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -14,10 +14,11 @@
  * baseline or to the canary only, and pairs the attempts.
  */
 final class ShadowTraffic {
-  private static final int MAX_IN_FLIGHT = 8;
-  private static final double MAX_CANARY_ONLY = 10;
+  private static final int MAX_SHADOWS_IN_FLIGHT = 8;
 
-  // Limits the sum over all relays, since each such request may do harm.
+  // The limits for canary-only requests hold for each stage and each method that is not idempotent.
+  // The limit for the fleet bounds the harm that a bad build may do with such requests.
+  private static final double MAX_CANARY_ONLY = 10;
   private static final double MAX_CANARY_ONLY_FLEET = 40;
 
   private final Settings settings;
@@ -51,6 +52,7 @@
   }
 
   void stageEntered() {
+    // Rounded up or down at random, so that the sum over all relays meets the limit on average.
     maxCanaryOnly =
         (int) (Math.min(MAX_CANARY_ONLY, MAX_CANARY_ONLY_FLEET / settings.relays) + random.next());
   }
@@ -62,8 +64,8 @@
   }
 
   /**
-   * Sends the request to the canary only, instead of a shadow request: idempotent requests where
-   * hedging is not allowed, and a few requests that are not idempotent.
+   * Sends the request to the canary only, if it is one of those that do so: some idempotent
+   * requests where hedging is not allowed, and a few requests that are not idempotent.
    *
    * @return whether the request was sent
    */
@@ -84,7 +86,7 @@
    * Pairs an attempt at the baseline with a new shadow request, or with an earlier request that
    * went to the canary only.
    *
-   * @return whether the attempt is part of a pair now
+   * @return whether the attempt now belongs to a pair
    */
   boolean pair(Rpc rpc, Attempt baseline, Build judgedBuild) {
     Endpoint endpoint = mayShadow(rpc, judgedBuild) ? selectAndReserve(rpc, judgedBuild) : null;
@@ -109,14 +111,17 @@
   }
 
   /**
-   * Whether shadow requests are stopped: by the design's circuit breaker, or while a slowdown is
-   * investigated.
+   * Whether no further shadow requests are sent at present, because too many are in flight or
+   * because they are paused to investigate a slowdown.
    */
   private boolean isBreakerOpen() {
-    return shadowsInFlight >= MAX_IN_FLIGHT || canary.trial().slowdown.pausedAt() != null;
+    return shadowsInFlight >= MAX_SHADOWS_IN_FLIGHT || canary.trial().slowdown.pausedAt() != null;
   }
 
-  /** With sticky keys, one exposure token stays reserved for a request with a sticky key. */
+  /**
+   * Whether the request may get a shadow request. With sticky keys, one exposure token is left for
+   * requests that must go to the canary.
+   */
   private boolean mayShadow(Rpc rpc, Build build) {
     double tokens = Math.min(settings.oneWayKeys ? 2 : 1, settings.free);
     return rpc.method.idempotent()
@@ -132,9 +137,11 @@
       return false;
     }
     StageEvidence evidence = canary.trial().evidence();
-    // At most every other request of a method: each needs a counterpart at the baseline.
+    // The next one waits until all earlier ones have a counterpart at the baseline, so at most
+    // every
+    // other request of a method goes to the canary only.
     if (rpc.method.idempotent()) {
-      return !settings.hedging && evidence.hasBaselineForEach(rpc.method);
+      return !settings.hedging && evidence.allHaveBaseline(rpc.method);
     }
     // Shadow requests cannot show that a build is bad for a method that is not idempotent, so a few
     // requests of such methods go to the canary only.
@@ -142,7 +149,9 @@
   }
 
   /**
-   * An OK answer binds the key to the canary, so the key's traffic share must fit under the cap.
+   * Selects an endpoint of the canary and reserves the traffic share of the request's key. Returns
+   * null if there is no endpoint, or if the share does not fit under the exposure cap: an OK answer
+   * would bind the key to the canary.
    */
   private Endpoint selectAndReserve(Rpc rpc, Build build) {
     Endpoint endpoint = selector.selectIn(rpc, build);
--- a/src/main/java/sprucerock/policy/SlowStartLimiter.java
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -12,15 +12,17 @@
  * Limits the attempts at an endpoint that is warming up (rule 4), with one token bucket per
  * endpoint.
  *
- * <p>The limit is the rate that this relay sends to a warm endpoint of the same weight, times the
- * share of its capacity that the endpoint is sure to have by now, times 0.8 so that no queue builds
- * up. Warm endpoints carry no more than their capacity, so the sum over all relays stays within the
- * capacity of the cold endpoint, however unevenly traffic is spread over relays. Builds on trial
- * are limited even when warm, so that canary and baseline endpoints have similar loads.
+ * <p>The limit is the product of three factors: the rate at which this relay sends attempts to a
+ * warm endpoint of the same weight, the share of its capacity that the endpoint certainly has by
+ * now, and 0.8, so that no queue builds up. Warm endpoints get no more than their capacity, so the
+ * sum over all relays stays within the capacity of the cold endpoint, however unevenly traffic is
+ * spread over relays. Endpoints of a build on trial are limited even when they are warm, so that
+ * canary and baseline endpoints have similar loads.
  */
 final class SlowStartLimiter {
   private static final double MAX_LOAD_SHARE = 0.8;
-  private static final TimeSpan WEIGHTS_MAX_AGE = TimeSpan.ofMs(500); // avoids a scan per attempt
+  private static final TimeSpan WEIGHTS_MAX_AGE =
+      TimeSpan.ofMs(500); // saves a sum over all endpoints
 
   private final RelayActions actions;
   private final Settings settings;
@@ -37,8 +39,8 @@
   }
 
   /**
-   * Gives the endpoint a random part of a token. All relays learn of it at the same time, and this
-   * spreads out their first attempts.
+   * Gives the endpoint a random part of a token. All relays learn of an endpoint at the same time,
+   * and the random part spreads out their first attempts.
    */
   void endpointReady(Endpoint endpoint) {
     endpoint.warmUpTokens = random.next();
@@ -75,6 +77,8 @@
             : Math.max(0, now.since(endpoint.started).dividedBy(settings.warmUp));
     double capacityShare =
         settings.startShare + (1 - settings.startShare) * Math.min(1, warmUpProgress);
+    // An endpoint tips over at tipMultiple times its capacity, so the rate stays under half of
+    // that.
     double tokensPerSecond =
         Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * capacityShare * warmPerSecond;
     double maxTokens = Math.max(1, 0.5 * tokensPerSecond * settings.tipAfter.ms() / 1000);
--- a/src/main/java/sprucerock/policy/TimeChecks.java
+++ b/src/main/java/sprucerock/policy/TimeChecks.java
@@ -7,7 +7,7 @@
 final class TimeChecks {
   private TimeChecks() {}
 
-  /** Whether more than {@code ms} have passed since a timestamp; false if that is null. */
+  /** Whether more than {@code ms} have passed from {@code since}; false if that is null. */
   static boolean longerThan(double ms, Timestamp since, Timestamp now) {
     return since != null && now.since(since).over(TimeSpan.ofMs(ms));
   }
--- a/src/main/java/sprucerock/policy/evidence/AttemptCounts.java
+++ b/src/main/java/sprucerock/policy/evidence/AttemptCounts.java
@@ -1,6 +1,6 @@
 package sprucerock.policy.evidence;
 
-/** Attempts and failures of one method, from the controller's counts of samples. */
+/** Attempts and failures of one method, as the controller counted them in samples. */
 public final class AttemptCounts {
   private double attempts;
   private double failures;
--- a/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
+++ b/src/main/java/sprucerock/policy/evidence/CanaryTrial.java
@@ -15,8 +15,8 @@
   private static final int MAX_TIMED_PAIRS = 80;
   private static final int REPORT_COUNTS = 3;
 
-  // Layout of a report: message type (3), build, stage, pairs, canary failures, baseline failures,
-  // and two bytes of failing endpoint bits.
+  // Layout of a report, one byte each: message type (3), build, stage, pairs, canary failures and
+  // baseline failures; then two bytes with the bits of failing endpoints.
   private static final int BUILD_BYTE = 1;
   private static final int STAGE_BYTE = 2;
   private static final int COUNTS_BYTE = 3;
@@ -30,10 +30,10 @@
   /** Keys that stay with this build. */
   public final StickyKeys stickyKeys = new StickyKeys();
 
-  /** Difference between the logarithms of the latencies of canary and baseline. */
+  /** Logarithm of the canary's latency minus the logarithm of the baseline's. */
   public final DecayingMean logLatencyExcess = new DecayingMean(TimeSpan.ofMs(20000));
 
-  /** Slowdown of the fleet since the release. */
+  /** Slowdown of the fleet since the release, added up over time. */
   public final LostPace lostPace = new LostPace();
 
   private final AttemptCounts[] canaryCounts;
@@ -88,7 +88,7 @@
     seenOnTrial = true;
   }
 
-  /** Whether an endpoint of the build answered with an error. */
+  /** Whether any endpoint of the build has answered this relay with an error. */
   public boolean isErrorSeen() {
     return errorSeen;
   }
@@ -144,7 +144,7 @@
     return pooledCounts()[1] - pooledCounts()[2];
   }
 
-  /** A standard error of the failure lead; it grows with the failures of the baseline. */
+  /** The standard error of the failure lead, increased for failures of the baseline. */
   public double leadDeviation() {
     int[] pooled = pooledCounts();
     return Math.sqrt(pooled[1] + pooled[2]) + Math.sqrt(2 * pooled[2]);
@@ -155,7 +155,7 @@
     return earlierStagesLead;
   }
 
-  /** The deviation of the earlier stages' lead, from failures of the baseline. */
+  /** What chance may add to the earlier stages' lead, estimated from the baseline's failures. */
   public double earlierStagesDeviation() {
     return earlierStagesDeviation;
   }
@@ -194,7 +194,7 @@
     return Integer.bitCount(evidence.failingEndpointBits() | peerFailingEndpointBits);
   }
 
-  /** Replaces a peer's earlier report. */
+  /** Stores a peer's report; its counts replace those of the peer's earlier report. */
   public void receiveReport(int sender, byte[] report) {
     addPeerCounts(peerReports.put(sender, report), -1);
     addPeerCounts(report, 1);
--- a/src/main/java/sprucerock/policy/evidence/LoadReports.java
+++ b/src/main/java/sprucerock/policy/evidence/LoadReports.java
@@ -9,9 +9,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Encodes and decodes the messages in which relays report attempts in flight, and sums them by
- * endpoint. Messages may be lost, and may come from relays of other versions. The recorded peer
- * messages of the compatibility corpus pin their bytes.
+ * Encodes and decodes the messages in which relays report attempts in flight, and adds up the
+ * attempts by endpoint. Messages may be lost, and may come from relays of other versions. The
+ * compatibility tests compare the bytes of messages with recorded ones.
  */
 public final class LoadReports {
   /** The first byte of a message on the start or end of an attempt. */
@@ -37,7 +37,7 @@
     this.decayTime = decayTime;
   }
 
-  /** Starts to sum up reports on an endpoint that may get new work. */
+  /** Begins to add up reports on an endpoint, which may get new work now. */
   public void addEndpoint(Endpoint endpoint) {
     byShortId.put(shortId(endpoint), endpoint);
     if (endpoint.fleetInFlight == null) {
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Applies a message on the start or end of an attempt. An end subtracts the weight that the
-   * attempt has left.
+   * Applies a message on the start or end of an attempt. At the end, the attempt's remaining weight
+   * is subtracted.
    *
    * @return whether the message reports an end
    */
--- a/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
+++ b/src/main/java/sprucerock/policy/evidence/RecentEndpoints.java
@@ -12,7 +12,7 @@
   private final LinkedHashSet<Endpoint> endpoints = new LinkedHashSet<>();
   private final int maxEndpoints;
 
-  /** Keeps at most {@code maxEndpoints}; the one added first is removed first. */
+  /** Creates an empty set; beyond {@code maxEndpoints}, the endpoint added first is removed. */
   public RecentEndpoints(int maxEndpoints) {
     this.maxEndpoints = maxEndpoints;
   }
@@ -30,9 +30,10 @@
   }
 
   /**
-   * Lists the endpoints of a build that may get new work, in their order, rotated by chance.
+   * Lists the endpoints of a build that may get new work, in the order in which they were added,
+   * rotated by a random offset.
    *
-   * @param random uniform, from 0 to under 1
+   * @param random a uniform random number, from 0 (inclusive) to 1 (exclusive)
    */
   public List<Endpoint> readyOfBuild(Build build, double random) {
     List<Endpoint> ready = new ArrayList<>(endpoints);
--- a/src/main/java/sprucerock/policy/evidence/Slowdown.java
+++ b/src/main/java/sprucerock/policy/evidence/Slowdown.java
@@ -51,7 +51,7 @@
     canaryCleared = false;
   }
 
-  /** Begins a new stage, keeping a pause and whether the canary was cleared. */
+  /** Begins a new stage. A pause, and whether the canary is cleared, carry over to the stage. */
   public void enterStage() {
     slowSince = null;
   }
--- a/src/main/java/sprucerock/policy/evidence/StageEvidence.java
+++ b/src/main/java/sprucerock/policy/evidence/StageEvidence.java
@@ -22,7 +22,8 @@
   public int pairs;
 
   /**
-   * How many pairs failed at the baseline only, and wrong baseline answers that clients reported.
+   * Number of pairs that failed at the baseline only, plus wrong baseline answers that clients
+   * reported.
    */
   public int baselineFailures;
 
@@ -54,12 +55,18 @@
     }
   }
 
-  /** How many pairs failed at the canary only, and wrong canary answers that clients reported. */
+  /**
+   * Number of pairs that failed at the canary only, plus wrong canary answers that clients
+   * reported.
+   */
   public int canaryFailures() {
     return canaryFailures;
   }
 
-  /** Counts a shadow request that failed at the endpoint while the baseline served the request. */
+  /**
+   * Counts a failure at an endpoint of the canary: a shadow request that failed while the baseline
+   * served the request, or a wrong answer that a client reported.
+   */
   public void recordCanaryFailure(Endpoint endpoint) {
     canaryFailures++;
     failingEndpointBits |= 1 << (int) ((endpoint.id * 0x9E3779B1L >>> 16) & 15);
@@ -76,9 +83,9 @@
   }
 
   /**
-   * Records the latencies of a pair, relative to the expected ones.
+   * Records the latencies of a pair, each as a multiple of the expected latency.
    *
-   * @return how many pairs have latencies now; 0 if there was no room for this one
+   * @return how many pairs have latencies now; 0 if no more are recorded
    */
   public int addLatencies(double canary, double baseline) {
     if (timedPairs == canaryLatencies.length) {
@@ -158,8 +165,8 @@
     return awaitingBaseline.get(method.index).poll();
   }
 
-  /** Whether no pair of the method awaits a baseline attempt. */
-  public boolean hasBaselineForEach(Method method) {
+  /** Whether all requests of the method that went to the canary only have a baseline attempt. */
+  public boolean allHaveBaseline(Method method) {
     return awaitingBaseline.get(method.index).isEmpty();
   }
 
--- a/src/main/java/sprucerock/policy/evidence/StickyKeys.java
+++ b/src/main/java/sprucerock/policy/evidence/StickyKeys.java
@@ -6,7 +6,7 @@
 /** The keys that the canary answered at this relay, and the traffic share reserved for them. */
 public final class StickyKeys {
   private final Set<Long> keys = new HashSet<>();
-  private double share;
+  private double reservedShare;
 
   /** Adds a key whose request the canary answered. */
   public void add(long key) {
@@ -23,13 +23,13 @@
     keys.clear();
   }
 
-  /** The share of all requests, from 0 to 1, reserved so far. */
-  public double share() {
-    return share;
+  /** The share of all requests, from 0 to 1, that is reserved for the keys of this trial. */
+  public double reservedShare() {
+    return reservedShare;
   }
 
   /** Adds the share of a key that may become sticky. */
   public void reserve(double moreShare) {
-    share += moreShare;
+    reservedShare += moreShare;
   }
 }
--- a/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
+++ b/src/main/java/sprucerock/policy/evidence/TenantArrivals.java
@@ -26,7 +26,7 @@
     total = new DecayingSum(decayTime);
   }
 
-  /** Counts a request of the tenant; a tenant without a quota counts in the total only. */
+  /** Counts a request of the tenant. Requests of a tenant without a quota add to the total only. */
   public void add(int tenant, Timestamp now) {
     total.add(now, 1);
     if (tenant < byTenant.length) {
@@ -35,8 +35,8 @@
   }
 
   /**
-   * The tenant's rate as a multiple of its quota, which is measured against the traffic of all
-   * other tenants; 0 if the tenant has no quota.
+   * The tenant's request rate as a multiple of the rate that its quota permits at the present
+   * traffic of all other tenants; 0 if the tenant has no quota.
    */
   public double quotaMultiple(int tenant, Timestamp now) {
     if (tenant >= byTenant.length) {
--- a/src/main/java/sprucerock/simulation/EventDecoder.java
+++ b/src/main/java/sprucerock/simulation/EventDecoder.java
@@ -8,8 +8,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Decodes the event records of one relay. All fields are read at once, even if the relay has
- * failed; the returned task then applies the event to the relay.
+ * Decodes the event records of one relay. All fields of a record are read before its event is
+ * applied, and even if the relay has failed, so that a malformed record is always detected. Fields
+ * that the relay does not use are read and dropped.
  */
 final class EventDecoder {
   // The controller knows the build.
@@ -83,14 +84,14 @@
     long id = unsignedInt(fields);
     int attempt = fields.get() & 0xff;
     TimeSpan latency = TimeSpan.ofMs(fields.getDouble());
-    boolean closed = fields.get() != 0;
+    boolean rpcEnded = fields.get() != 0;
     fields.getInt();
     AttemptOutcome outcome = WireCodes.outcome(fields.get() & 0xff);
     skipLoadReport(fields);
     return () -> {
       Rpc rpc = relay.tracker().rpc(id);
       if (rpc != null && attempt < rpc.attempts.size()) {
-        relay.tracker().attemptEnded(rpc.attempts.get(attempt), outcome, latency, closed);
+        relay.tracker().attemptEnded(rpc.attempts.get(attempt), outcome, latency, rpcEnded);
       }
     };
   }
--- a/src/main/java/sprucerock/simulation/ReplyWriter.java
+++ b/src/main/java/sprucerock/simulation/ReplyWriter.java
@@ -4,8 +4,8 @@
 import java.nio.ByteOrder;
 
 /**
- * Encodes the records of one reply frame, little-endian, in the order in which they are written. It
- * fills one frame at a time.
+ * Encodes reply frames, one after the other, in little-endian byte order. Records follow each other
+ * in the order in which they are written.
  */
 final class ReplyWriter {
   private static final int INITIAL_BYTES = 1 << 16;
@@ -51,7 +51,7 @@
     return this;
   }
 
-  /** Writes a length and the bytes; truncates them after 65,535. */
+  /** Writes a 16-bit length and the bytes; a value of more than 65,535 bytes is truncated. */
   ReplyWriter bytes(byte[] value) {
     int length = Math.min(value.length, MAX_FIELD_BYTES);
     u16(length);
--- a/src/main/java/sprucerock/simulation/SimulatedRelay.java
+++ b/src/main/java/sprucerock/simulation/SimulatedRelay.java
@@ -20,7 +20,8 @@
 
 /**
  * One relay of the simulator. It passes events to the request tracker and encodes the actions of
- * the policy as records. A relay whose policy throws reports that and ignores all further events.
+ * the policy as records. If the policy throws an exception, the relay reports the exception and
+ * ignores all further events.
  */
 final class SimulatedRelay implements RelayActions {
   /** Creates the routing policy of a relay. */
@@ -88,14 +89,14 @@
       tracker.endpointRemoved(entry.endpoint());
       return;
     }
-    Timestamp since = entry.since() == 0 ? null : Timestamp.ofMs(entry.since());
+    Timestamp started = entry.startedMs() == 0 ? null : Timestamp.ofMs(entry.startedMs());
     tracker.endpointListed(
         entry.endpoint(),
         entry.zone(),
         entry.kind(),
         entry.cell(),
         entry.build(),
-        since,
+        started,
         entry.weight(),
         entry.health() == WireCodes.READY);
   }
@@ -130,7 +131,7 @@
     return timers.remove(token);
   }
 
-  /** Runs a call. If it throws, only this relay fails; the other simulated relays continue. */
+  /** Runs a call. If the call throws, only this relay fails; the other relays continue. */
   private void runOrFail(Runnable call) {
     try {
       call.run();
--- a/src/main/java/sprucerock/simulation/SimulationHost.java
+++ b/src/main/java/sprucerock/simulation/SimulationHost.java
@@ -17,7 +17,8 @@
 
 /**
  * Reads batches of records, passes each record to its relay and writes one reply frame per batch.
- * It ends at the end of the input, or with a {@link FrameException} at the first malformed record.
+ * The host runs until the end of the input, or until the first malformed record, for which it
+ * throws a {@link FrameException}.
  */
 public final class SimulationHost {
   private static final int BATCH_HEADER_BYTES = 20;
@@ -28,7 +29,11 @@
   private static final int MAX_HEALTH = 2;
   private static final int MAX_LIST_FORM = 3;
 
-  /** One entry of an endpoint list on the wire. */
+  /**
+   * One entry of an endpoint list on the wire.
+   *
+   * @param startedMs when the endpoint started, in milliseconds; 0 if it started long ago
+   */
   record ListedEndpoint(
       long endpoint,
       int zone,
@@ -37,7 +42,7 @@
       int build,
       int health,
       double weight,
-      double since) {}
+      double startedMs) {}
 
   private final SimulatedRelay.PolicyFactory policyFactory;
   private final DataInputStream in;
@@ -60,7 +65,7 @@
   /**
    * Runs to the end of the input.
    *
-   * @throws FrameException if the input breaks the wire format
+   * @throws FrameException if the input violates the wire format
    * @throws IOException if a stream fails
    */
   public void run() throws IOException {
--- a/src/main/java/sprucerock/simulation/WireCodes.java
+++ b/src/main/java/sprucerock/simulation/WireCodes.java
@@ -37,18 +37,18 @@
   /** The peer number that addresses all peers. */
   static final int ALL_PEERS = 0xffff;
 
-  // Health of a listed endpoint; any other value means that the endpoint is gone.
+  // Health of a listed endpoint; 0 means that the endpoint is gone, other values are invalid.
   static final int READY = 1;
   static final int DRAINING = 2;
 
-  // Forms of an endpoint list.
+  // Forms of an endpoint list; the other valid forms, 1 and 2, are complete lists.
   static final int PARTIAL_LIST = 0;
   static final int LIST_FAILED = 3;
 
   private WireCodes() {}
 
-  static AttemptOutcome outcome(int reason) {
-    return switch (reason) {
+  static AttemptOutcome outcome(int code) {
+    return switch (code) {
       case 1 -> AttemptOutcome.OK;
       case 2 -> AttemptOutcome.FULL;
       case 3 -> AttemptOutcome.TIMED_OUT;
--- a/src/main/java/sprucerock/stats/DecayingSum.java
+++ b/src/main/java/sprucerock/stats/DecayingSum.java
@@ -35,8 +35,8 @@
   }
 
   /**
-   * The steady rate per second that would keep the sum at its present value, corrected for a sum
-   * without terms before {@code began}.
+   * The steady rate per second that would have brought a sum that was empty at {@code began} to its
+   * present value. For a sum younger than 5% of the decay time, that age is assumed.
    */
   public double perSecond(Timestamp began, Timestamp now) {
     return perSecond(now)
--- a/src/main/java/sprucerock/stats/Proportions.java
+++ b/src/main/java/sprucerock/stats/Proportions.java
@@ -6,7 +6,8 @@
 
   /**
    * The standard error of the difference of two proportions, if both samples come from the same
-   * population. The proportion is pooled, with one success and one failure added.
+   * population. The population's proportion is estimated from both samples together, with one hit
+   * and one miss added.
    */
   public static double standardErrorOfDifference(
       double hits, double size, double otherHits, double otherSize) {
--- a/src/main/java/sprucerock/stats/RelativeSlowness.java
+++ b/src/main/java/sprucerock/stats/RelativeSlowness.java
@@ -5,9 +5,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * How much slower several kinds of work have become than in a baseline period, as a mean difference
- * of the logarithms of their latencies, so that tails count little. Each source of latencies is
- * compared with its own baseline only.
+ * Measures how much slower several kinds of work have become since a baseline period, as the mean
+ * difference of the logarithms of their latencies. The logarithm limits the effect of very long
+ * latencies. Each source of latencies is compared with its own baseline only.
  */
 public final class RelativeSlowness {
   private static final double MIN_MS = 1e-3; // keeps the logarithm finite
@@ -50,8 +50,9 @@
   }
 
   /**
-   * The mean logarithm of the slowdown over all kinds; with more than two active kinds, the slowest
-   * one is left out.
+   * The mean logarithm of the slowdown over all kinds of work. A kind is active if its values have
+   * a remaining weight of at least 1; if more than two kinds are active, the slowest kind is left
+   * out.
    */
   public double mean(Timestamp now) {
     double[] sum = sums(now);
@@ -71,20 +72,20 @@
   private double[] sums(Timestamp now) {
     double[] ofAllKinds = new double[2];
     double[] slowest = {0, 1e-9};
-    int active = 0;
+    int activeKinds = 0;
     for (DecayingMean kindSlowness : slowness) {
       double[] ofKind = {
         kindSlowness.at(now, 0, 0.1) * kindSlowness.count(now),
         Math.max(kindSlowness.count(now), 1e-9)
       };
-      active += ofKind[1] >= 1 ? 1 : 0;
+      activeKinds += ofKind[1] >= 1 ? 1 : 0;
       ofAllKinds[0] += ofKind[0];
       ofAllKinds[1] += ofKind[1];
       if (ofKind[0] / ofKind[1] > slowest[0] / slowest[1] || kindSlowness == slowness[0]) {
         slowest = ofKind;
       }
     }
-    return active > 2
+    return activeKinds > 2
         ? new double[] {ofAllKinds[0] - slowest[0], ofAllKinds[1] - slowest[1]}
         : ofAllKinds;
   }
