--- a/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
+++ b/src/main/java/sprucerock/policy/BaselinePaceMonitor.java
@@ -62,7 +62,7 @@
             settings.methods.size(), SOURCE_COUNT, TimeSpan.ofMs(20000), TimeSpan.ofMs(3000));
   }
 
-  /** Adds a latency of a source, in milliseconds. */
+  /** Adds a latency in milliseconds, which stands for {@code weight} attempts. */
   void observe(int source, Method method, double ms, double weight) {
     Timestamp now = actions.now();
     if (!TimeChecks.longerThan(IGNORED_AFTER_START_MS, startedAt, now)) {
--- a/src/main/java/sprucerock/policy/CanaryStatus.java
+++ b/src/main/java/sprucerock/policy/CanaryStatus.java
@@ -87,9 +87,8 @@
   }
 
   // Once the next build is announced, a withdrawn build no longer counts as on trial, although it
-  // is
-  // newer than the serving build. Its endpoints drain and stop, but stay listed while discovery is
-  // silent. Unless the relay remembers that the build is withdrawn, all traffic goes to them.
+  // is newer than the serving build. Its endpoints drain and stop, but stay listed while discovery
+  // is silent. Unless the relay remembers that the build is withdrawn, all traffic goes to them.
   private void rememberWithdrawn() {
     // Forgets withdrawn builds that are no longer listed, which bounds the set to one build more
     // than are listed.
--- a/src/main/java/sprucerock/policy/EndpointListSubscription.java
+++ b/src/main/java/sprucerock/policy/EndpointListSubscription.java
@@ -24,7 +24,9 @@
     }
   }
 
-  /** Subscribes again after a random pause of 0.5 to 1 s, so that discovery is not overloaded. */
+  /**
+   * Subscribes again after a random pause of 0.5 to 1 s, so that an overloaded discovery recovers.
+   */
   void listFailed() {
     actions.schedule(actions.now().plus(TimeSpan.ofMs(500 + 500 * random.next())), this::subscribe);
   }
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -22,7 +22,7 @@
   private static final int MAX_DRAWS = 24;
   private static final int MAX_RECENT_ENDPOINTS = 8;
 
-  // Of recent attempts.
+  // Share of recent attempts; above it, endpoints with an open connection are tried first.
   private static final double MAX_CONNECT_FAILURE_SHARE = 0.15;
 
   private final RelayActions actions;
--- a/src/main/java/sprucerock/policy/KeyAffinity.java
+++ b/src/main/java/sprucerock/policy/KeyAffinity.java
@@ -49,9 +49,9 @@
     if (!hasKey) {
       return null;
     }
-    // After its release, a build keeps all keys. Otherwise they would go to endpoints of the
-    // earlier
-    // build that discovery lists, during a rollback, before the controller reports the rollback.
+    // After its release, a build keeps all keys. Otherwise they would go back during a rollback, to
+    // endpoints of the earlier build that discovery lists before the controller reports the
+    // rollback.
     CanaryTrial trial = canary.trial();
     return canary.isReleased() || trial.stickyKeys.contains(rpc.key) ? trial.build : null;
   }
--- a/src/main/java/sprucerock/policy/OutlierDetector.java
+++ b/src/main/java/sprucerock/policy/OutlierDetector.java
@@ -7,7 +7,7 @@
 
 /** Detects endpoints that fail more than half of their attempts, and schedules new tries. */
 final class OutlierDetector {
-  /** Interval between the attempts at an outlier that detect its recovery. */
+  /** Interval between attempts at an outlier; they detect its recovery at little cost. */
   static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(1000);
 
   /** How many of an endpoint's last outcomes are considered. */
--- a/src/main/java/sprucerock/policy/ShadowPairJudge.java
+++ b/src/main/java/sprucerock/policy/ShadowPairJudge.java
@@ -9,7 +9,6 @@
 
 /** Compares the two attempts of a shadow pair and records failures and latencies as evidence. */
 final class ShadowPairJudge {
-
   // Builds with fewer endpoints have no limit of mismatches per endpoint.
   private static final int MIN_ENDPOINTS_FOR_LIMIT = 3;
 
--- a/src/main/java/sprucerock/policy/ShadowTraffic.java
+++ b/src/main/java/sprucerock/policy/ShadowTraffic.java
@@ -111,8 +111,8 @@
   }
 
   /**
-   * Whether no further shadow requests are sent at present, because too many are in flight or
-   * because they are paused to investigate a slowdown.
+   * Whether no further requests are sent to the canary at present: too many are in flight (the
+   * design's circuit breaker), or a slowdown is investigated.
    */
   private boolean isBreakerOpen() {
     return shadowsInFlight >= MAX_SHADOWS_IN_FLIGHT || canary.trial().slowdown.pausedAt() != null;
@@ -137,9 +137,8 @@
       return false;
     }
     StageEvidence evidence = canary.trial().evidence();
-    // The next one waits until all earlier ones have a counterpart at the baseline, so at most
-    // every
-    // other request of a method goes to the canary only.
+    // A request goes to the canary only if all earlier ones have a counterpart at the baseline, so
+    // at most every other request of a method does.
     if (rpc.method.idempotent()) {
       return !settings.hedging && evidence.allHaveBaseline(rpc.method);
     }
--- a/src/main/java/sprucerock/policy/SlowStartLimiter.java
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -21,8 +21,9 @@
  */
 final class SlowStartLimiter {
   private static final double MAX_LOAD_SHARE = 0.8;
-  private static final TimeSpan WEIGHTS_MAX_AGE =
-      TimeSpan.ofMs(500); // saves a sum over all endpoints
+
+  // Avoids adding up the weights of all endpoints for each attempt.
+  private static final TimeSpan WEIGHTS_MAX_AGE = TimeSpan.ofMs(500);
 
   private final RelayActions actions;
   private final Settings settings;
@@ -77,8 +78,8 @@
             : Math.max(0, now.since(endpoint.started).dividedBy(settings.warmUp));
     double capacityShare =
         settings.startShare + (1 - settings.startShare) * Math.min(1, warmUpProgress);
-    // An endpoint tips over at tipMultiple times its capacity, so the rate stays under half of
-    // that.
+    // The rate stays under half the load at which an endpoint tips over: tipMultiple times its
+    // capacity.
     double tokensPerSecond =
         Math.min(0.5 * settings.tipMultiple, MAX_LOAD_SHARE) * capacityShare * warmPerSecond;
     double maxTokens = Math.max(1, 0.5 * tokensPerSecond * settings.tipAfter.ms() / 1000);
--- a/src/test/java/sprucerock/policy/CanaryVoteTest.java
+++ b/src/test/java/sprucerock/policy/CanaryVoteTest.java
@@ -6,9 +6,9 @@
 import org.testng.annotations.Test;
 import sprucerock.model.Verdict;
 
-/** Tests which shadow pairs, of which relays and endpoints, justify a vote on a stage. */
+/** Tests how much evidence from shadow pairs a relay needs before it votes on a stage. */
 public class CanaryVoteTest {
-  /** Two peers report the pairs of this stage, half each, all without failures. */
+  /** Delivers the reports of two peers, each with half of the stage's pairs and no failures. */
   private static void reportPeerPairs(FakeRelayActions relay, int stage, int pairs) {
     for (int sender = 1; sender <= 2; sender++) {
       relay.policy.peerMessageReceived(
--- a/src/test/java/sprucerock/policy/FakeRelayActions.java
+++ b/src/test/java/sprucerock/policy/FakeRelayActions.java
@@ -20,6 +20,9 @@
 public final class FakeRelayActions implements RelayActions {
   private record Timer(Timestamp when, int order, Runnable task) {}
 
+  /**
+   * Settings with three methods: 0 is idempotent, 1 has an idempotency key and 2 is not idempotent.
+   */
   public static final String SETTINGS =
       """
         balancers=3
--- a/src/test/java/sprucerock/policy/RoutingPolicyTest.java
+++ b/src/test/java/sprucerock/policy/RoutingPolicyTest.java
@@ -27,6 +27,7 @@
   public void everyRpcIsAnsweredBeforeItsDeadline() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(2);
     Rpc rpc = relay.arriveRpc(2, 0, 1000);
+    // The RPC ends two ticks of 5 ms before its deadline.
     relay.advance(985);
     assertTrue(relay.failed.isEmpty());
     relay.advance(10);
@@ -55,6 +56,7 @@
     relay.arriveRpc(1);
     relay.endAttempt(relay.sent.get(0), AttemptOutcome.ERROR);
     assertEquals(relay.sent.size(), 2);
+    // Less than a tick before the end of the key's lifetime of 2 s.
     relay.advance(1999);
     int sentBefore = relay.sent.size();
     for (Attempt attempt : relay.sent) {
@@ -69,7 +71,7 @@
   @Test
   public void keyedRequestStaysInItsKeyScopeOnceItMayHaveRun() {
     FakeRelayActions relay = new FakeRelayActions("classes.1.group=zone").withBaseline(1);
-    Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
+    Endpoint endpointInOtherZone = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
     Rpc rpc = relay.arriveRpc(1);
     relay.endAttempt(rpc.attempts.get(0), AttemptOutcome.ERROR);
     assertEquals(rpc.attempts.size(), 1);
@@ -273,6 +275,7 @@
     relay.tracker.rolloutChanged(2, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
     relay.advance(1000);
     relay.listEndpoint(relay.canary, relay.now());
+    // The fallback age of 3 s counts from the endpoint's start.
     relay.advance(2900);
     assertTrue(relay.votes.isEmpty());
     relay.advance(300);
@@ -347,6 +350,7 @@
       if (relay.arriveRpc(0).attempts.size() > 1) {
         lastShadowed = i;
       }
+      // The baseline is slow for twelve RPCs after each shadow request.
       relay.advance(i - lastShadowed < 12 ? 200 : 40);
       relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
       relay.advance(10);
@@ -388,6 +392,7 @@
   @Test
   public void pairsReportedByPeersAddUp() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(6).withCanary(3, 1, 0.4);
+    // Each report of build 2 in stage 1: nine pairs, two canary failures at different endpoints.
     relay.policy.peerMessageReceived(1, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
     assertTrue(relay.votes.isEmpty());
     relay.policy.peerMessageReceived(2, new byte[] {3, 2, 1, 9, 2, 0, 6, 0});
@@ -432,6 +437,7 @@
   @Test
   public void lowTrafficRelayRejectsByTheFleetWait() {
     FakeRelayActions relay = new FakeRelayActions("index=3", "balancers=9").withBaseline(4);
+    // A fleet wait of 60/64 of the mean latency objective.
     relay.policy.peerMessageReceived(0, new byte[] {LoadReports.LOADS_MESSAGE, 60});
     assertTrue(relay.arriveRpc(0).attempts.isEmpty());
     relay.advance(1500);
@@ -441,13 +447,14 @@
   @Test
   public void endpointsInASlowZoneAreUsedLast() {
     FakeRelayActions relay = new FakeRelayActions().withBaseline(3);
-    Endpoint far = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
+    Endpoint endpointInOtherZone = relay.tracker.endpointListed(90, 1, 0, 0, 1, null, 1, true);
     for (int i = 0; i < 60; i++) {
       Attempt attempt = relay.arriveRpc(0).attempts.get(0);
-      relay.advance(attempt.endpoint == far ? 600 : 50);
+      relay.advance(attempt.endpoint == endpointInOtherZone ? 600 : 50);
       relay.endAllInFlight(AttemptOutcome.OK, AttemptOutcome.OK);
     }
-    assertTrue(relay.sent.stream().skip(20).noneMatch(attempt -> attempt.endpoint == far));
+    assertTrue(
+        relay.sent.stream().skip(20).noneMatch(attempt -> attempt.endpoint == endpointInOtherZone));
   }
 
   @Test
@@ -475,6 +482,7 @@
     for (int stage = 0; stage < 3; stage++) {
       relay.tracker.rolloutChanged(2, stage, RolloutState.ON_TRIAL, 0.4, relay.now());
       assertFalse(relay.votes.contains(Verdict.BACK));
+      // 19 pairs with two canary failures: too few for a vote in one stage.
       relay.policy.peerMessageReceived(1, new byte[] {3, 2, (byte) stage, 19, 2, 0, 6, 0});
     }
     assertTrue(relay.votes.contains(Verdict.BACK));
--- a/src/test/java/sprucerock/policy/VoteStudy.java
+++ b/src/test/java/sprucerock/policy/VoteStudy.java
@@ -10,7 +10,7 @@
  * machines are faulty and fail part of their requests, with the new build as with the baseline,
  * during the whole trial. In the simulator, faults last 5 to 30 s, so good builds fare better
  * there. A bad build also fails a share of all RPCs. The pairs per stage are those of the
- * simulator's herd day.
+ * simulator's scenario "herd".
  */
 final class VoteStudy {
   private static final int[] ENDPOINTS_BY_STAGE = {5, 30, 60};
@@ -56,10 +56,12 @@
             random.nextDouble() < faultyShare
                 && random.nextDouble() < FAULTY_ENDPOINT_FAILURE_SHARE;
         // The policy keeps a reference to the last report, so each report is a new array.
+        // CanaryTrial documents the layout.
         byte[] report = lastReports[pair % SENDERS].clone();
         report[3]++;
         if (canaryFails && !baselineFails) {
           report[4]++;
+          // The same hash as in StageEvidence.
           int endpointBit = (int) (endpoint * 0x9E3779B1L >>> 16) & 15;
           report[6 + endpointBit / 8] |= (byte) (1 << endpointBit % 8);
         }
--- a/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
+++ b/src/test/java/sprucerock/policy/WithdrawnBuildTest.java
@@ -80,13 +80,13 @@
   @Test
   public void buildWithdrawnBeforeTheLastOneGetsNoAttempts() {
     FakeRelayActions relay = offerNextBuild(afterRolloutStates(RolloutState.WITHDRAWN));
-    Build second = relay.tracker.build(3);
-    relay.listEndpoint(second, null);
+    Build nextBuild = relay.tracker.build(3);
+    relay.listEndpoint(nextBuild, null);
     relay.tracker.rolloutChanged(3, 0, RolloutState.WITHDRAWN, 0, relay.now());
     relay.advance(500);
     relay.tracker.rolloutChanged(4, 0, RolloutState.ON_TRIAL, 0.1, relay.now());
     sendNonIdempotent(relay, 40, AttemptOutcome.OK);
-    assertEquals(relay.sentTo(relay.canary) + relay.sentTo(second), 0);
+    assertEquals(relay.sentTo(relay.canary) + relay.sentTo(nextBuild), 0);
   }
 
   @Test
--- a/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
+++ b/src/test/java/sprucerock/simulation/RelayAndSimulatorParityTest.java
@@ -93,16 +93,16 @@
         """;
 
   /**
-   * The time until an endpoint ends an attempt. It depends on the attempt only, so it is the same
-   * in both hosts.
+   * The time until an endpoint answers an attempt. The time depends on the attempt only, so it is
+   * the same in both hosts.
    */
   private static int latencyMs(long rpc, int number) {
     return 5 * (2 + new SplittableRandom(rpc * 31 + number).nextInt(12));
   }
 
   /**
-   * The result of an attempt, the same in both hosts: 1 OK, 0 error, 2 full, -1 no answer. Every
-   * 20th attempt gets no answer.
+   * The result of an attempt, the same in both hosts: 1 OK, 0 error, 2 full, -1 no answer. One
+   * attempt in 20 gets no answer. The canary's endpoints, from 100, answer 30% with an error.
    */
   private static int outcomeCode(long rpc, int number, long endpoint) {
     int roll = new SplittableRandom(rpc * 17 + number + 5).nextInt(100);
@@ -112,7 +112,10 @@
     return roll < 5 ? -1 : roll < 8 ? 0 : roll < 11 ? 2 : 1;
   }
 
-  /** Passes events to a host. Ages are in milliseconds; age 0 of an endpoint: started long ago. */
+  /**
+   * Passes events to a host. An endpoint's health is 0 (gone), 1 (ready) or 2 (draining); its age
+   * is 0 if it started long ago. The state of a rollout is the ordinal of a RolloutState.
+   */
   private interface PolicyDriver {
     void step();
 
@@ -238,6 +241,7 @@
     private void applyReplies() {
       ByteBuffer frame =
           ByteBuffer.wrap(replies.takeFrame(1)).order(ByteOrder.LITTLE_ENDIAN).position(12);
+      // The numbers are the outgoing codes of WireCodes.
       List<Runnable> cancels = new ArrayList<>();
       while (frame.hasRemaining()) {
         int code = frame.get() & 0xff;
@@ -402,13 +406,13 @@
     }
 
     @Override
-    public void sendCounts(int build, int method, int seen, int failed, double meanMs) {
+    public void sendCounts(int build, int method, int attempts, int failed, double meanMs) {
       handleEvent(
           120,
           fields(40)
               .putShort((short) build)
               .putShort((short) method)
-              .putInt(seen)
+              .putInt(attempts)
               .putInt(failed)
               .putDouble(meanMs)
               .putDouble(0));
@@ -432,7 +436,7 @@
     private final List<RecordingPeer> discoveries = RecordingPeer.listen(net, Role.ROSTER, 0, 1001);
     private final List<RecordingPeer> controllers = RecordingPeer.listen(net, Role.DESK, 0, 1002);
     private final Map<Long, List<RecordingPeer>> endpointPeers = new TreeMap<>();
-    private final Map<RecordingPeer, Integer> readFrames = new HashMap<>();
+    private final Map<RecordingPeer, Integer> readFrameCounts = new HashMap<>();
     private final Map<Long, Integer> attemptsByRpc = new HashMap<>();
     private final TreeMap<Double, TreeMap<Long, Runnable>> answers = new TreeMap<>();
     private final RecordingPeer client;
@@ -485,7 +489,7 @@
       for (Map.Entry<Long, List<RecordingPeer>> endpoint : endpointPeers.entrySet()) {
         for (RecordingPeer connection : endpoint.getValue()) {
           List<RecordingPeer.ReceivedFrame> frames = connection.received;
-          for (int i = readFrames.merge(connection, 0, Integer::sum); i < frames.size(); i++) {
+          for (int i = readFrameCounts.merge(connection, 0, Integer::sum); i < frames.size(); i++) {
             if (frames.get(i).kind() == FrameKind.WORK) {
               scheduleAnswer(
                   endpoint.getKey(),
@@ -494,7 +498,7 @@
                   ByteBuffer.wrap(frames.get(i).body()).getLong());
             }
           }
-          readFrames.put(connection, frames.size());
+          readFrameCounts.put(connection, frames.size());
         }
       }
     }
@@ -678,7 +682,7 @@
     assertEquals(relay.recorder.calls.size(), simulator.recorder.calls.size());
     assertEquals(relay.endedRpcs(), simulator.endedRpcs);
     // The events must cover all kinds of calls to the policy.
-    String all = String.join("\n", simulator.recorder.calls);
+    String allCalls = String.join("\n", simulator.recorder.calls);
     for (String expected :
         new String[] {
           " OK answers",
@@ -694,7 +698,7 @@
           "peer ",
           "news 2 1 GOING_BACK"
         }) {
-      assertTrue(all.contains(expected), "no " + expected);
+      assertTrue(allCalls.contains(expected), "no " + expected);
     }
     assertTrue(simulator.recorder.calls.size() > 2000, "only " + simulator.recorder.calls.size());
   }
