--- a/src/main/java/sprucerock/policy/CanaryJudge.java
+++ b/src/main/java/sprucerock/policy/CanaryJudge.java
@@ -173,7 +173,7 @@
   // Whether the stage may advance: after 20 pairs, or at a fallback age of 3 s. If a single vote
   // advances the stage, two cases wait longer. A relay that knows of fewer than 5 pairs waits until
   // 5 s, so that a relay with more evidence votes first. The last stage waits for the first KS test
-  // (20 pairs with latencies) or for 100 pairs, until 6 s at most.
+  // (20 pairs with latencies) or for 100 pairs, until 6 s.
   private boolean mayAdvance(Timestamp now) {
     CanaryTrial trial = canary.trial();
     boolean singleVote = settings.control == Settings.Control.SINGLE;
@@ -191,8 +191,9 @@
       fallbackMs *= Math.max(1, Math.min(3, Math.log(settings.relays) / Math.log(16)));
     }
     // The fallback age counts from the start of the stage or of the build's newest endpoint,
-    // whichever is later. It is not reached while the endpoint list lacks the endpoints that the
-    // stage added; this exception ends 8 s after the stage's start.
+    // whichever is later. The stage does not advance by age while the endpoint list lacks the
+    // endpoints that the stage added; this exception ends 8 s after the stage's start. Nor does it
+    // advance by age if no endpoint of the build has a known start.
     TimeSpan stageAge = now.since(trial.stageStartedAt());
     Timestamp newest = trial.build.newestStart();
     boolean endpointsMissing =
