--- a/src/main/java/sprucerock/policy/AdmissionController.java
+++ b/src/main/java/sprucerock/policy/AdmissionController.java
@@ -9,13 +9,18 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Sheds load before it is sent anywhere. Little's law: requests out and not yet late, over answers
- * a second, is the wait that a new one faces; past its mark it is rejected unseen. Guards against
- * bursts, slow dependencies and lost endpoints alike; a few stuck requests cannot keep all others
- * out. A relay that sees too little goes by the fleet's wait, if told.
+ * Rejects requests before any attempt is made, to shed load.
+ *
+ * <p>By Little's law, a new request will wait for about the number of requests that are unanswered
+ * and not yet late, divided by the answers per second. A request whose wait exceeds its threshold
+ * is rejected. The same test covers bursts, slow dependencies and lost endpoints. Requests that are
+ * past their latency objective do not count, so a few stuck requests cannot block all others. A
+ * relay with too little traffic for an estimate uses the wait of the whole fleet, if peers report
+ * it.
  */
 final class AdmissionController {
-  private static final double QUEUE_TOLERANCE_REQUESTS = 3; // three more in the queue is chance
+  // A queue of this length may arise by chance.
+  private static final double QUEUE_TOLERANCE_REQUESTS = 3;
   private static final double OVER_QUOTA_MULTIPLE = 1.2;
 
   private final RelayActions actions;
@@ -25,9 +30,9 @@
   private final LoadGossip gossip;
   private final Timestamp startedAt;
   private final TenantArrivals tenantArrivals;
-  private final DecayingSum answered = new DecayingSum(TimeSpan.ofMs(2000));
+  private final DecayingSum recentAnswers = new DecayingSum(TimeSpan.ofMs(2000));
   private int queued;
-  private double queuedArrivalSumMs; // the sum of their arrivals
+  private double queuedArrivalSumMs; // sum of the arrival times
 
   AdmissionController(
       RelayActions actions,
@@ -35,13 +40,13 @@
       DeterministicRandom random,
       ArrivalRate arrivals,
       LoadGossip gossip,
-      Timestamp started) {
+      Timestamp startedAt) {
     this.actions = actions;
     this.settings = settings;
     this.random = random;
     this.arrivals = arrivals;
     this.gossip = gossip;
-    this.startedAt = started;
+    this.startedAt = startedAt;
     tenantArrivals = new TenantArrivals(settings.tenantShares, TimeSpan.ofMs(5000));
   }
 
@@ -51,11 +56,14 @@
     queuedArrivalSumMs += now.ms();
   }
 
-  void answered(Timestamp now) {
-    answered.add(now, 1);
+  void requestAnswered(Timestamp now) {
+    recentAnswers.add(now, 1);
   }
 
-  /** No longer in the queue: answered, or past its latency objective. */
+  /**
+   * Removes from the queue a request that ended, began to be answered, or is past its latency
+   * objective. Further calls for the same request have no effect.
+   */
   void settle(Rpc rpc) {
     if (!rpc.leftQueue) {
       queued--;
@@ -64,19 +72,21 @@
     rpc.leftQueue = true;
   }
 
-  /** Whether the request, which has just arrived, must be rejected. */
+  /** Whether a request that has just arrived must be rejected. */
   boolean shouldReject(Rpc rpc) {
     Timestamp now = actions.now();
-    double queue = queued - QUEUE_TOLERANCE_REQUESTS;
-    double waitMs = 1000 * queue / Math.max(answered.perSecond(startedAt, now), 0.5);
-    // Answers lag behind traffic that has just come; but who waits long is also old: in a queue of
-    // W the requests are W/2 old. Guards against rejections by a relay that starts, or whose
-    // traffic comes back.
+    double excessQueue = queued - QUEUE_TOLERANCE_REQUESTS;
+    double waitMs = 1000 * excessQueue / Math.max(recentAnswers.perSecond(startedAt, now), 0.5);
+    // Answers lag behind traffic that has just begun, so their rate alone overstates the wait, and
+    // a relay that starts or whose traffic returns would reject requests. At a real wait of W,
+    // queued requests are W/2 old on average, so twice their mean age limits the estimate.
     waitMs = Math.min(waitMs, 2 * (now.ms() - queuedArrivalSumMs / Math.max(queued, 1)));
-    boolean byFleet = gossip.areLoadsFresh() && arrivals.isLow(now);
+    boolean useFleetWait = gossip.areLoadsFresh() && arrivals.isLow(now);
     double weight = priorityWeight(rpc, now);
-    // what is left must hold the long tail; the fleet's wait holds the work itself
-    return byFleet
+    // The threshold is a share of the latency objective, since the remaining time must cover the
+    // long tail of latencies. The fleet's wait includes the time at the endpoint, so its threshold
+    // is higher. One request in twenty passes whatever the fleet's wait is.
+    return useFleetWait
         ? random.next() > 0.05
             && gossip.fleetWaitMs() > settings.meanLatencyObjectiveMs * (0.4 + 0.3 * weight)
         : waitMs > settings.meanLatencyObjectiveMs * (0.25 + 0.3 * weight);
@@ -84,9 +94,10 @@
 
   private double priorityWeight(Rpc rpc, Timestamp now) {
     double weight = rpc.method.priorityWeight / settings.maxPriorityWeight;
-    double over = tenantArrivals.quotaMultiple(rpc.tenant, now);
-    // of a tenant at thrice its quota, two requests in three are over it
-    if (over > OVER_QUOTA_MULTIPLE && random.next() > 1 / over) {
+    double quotaMultiple = tenantArrivals.quotaMultiple(rpc.tenant, now);
+    // Lowers the weight of the share of requests that exceeds the quota: of a tenant at three times
+    // its quota, two requests in three.
+    if (quotaMultiple > OVER_QUOTA_MULTIPLE && random.next() > 1 / quotaMultiple) {
       weight *= settings.overQuotaWeight;
     }
     return weight;
--- a/src/main/java/sprucerock/policy/ArrivalRate.java
+++ b/src/main/java/sprucerock/policy/ArrivalRate.java
@@ -5,7 +5,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** How many requests arrive at this relay, and whether that is enough to judge a fleet by. */
+/** Measures this relay's request rate, and tells whether the rate suffices to judge the fleet. */
 final class ArrivalRate {
   private static final double LOW_REQUESTS_PER_SECOND = 10;
 
@@ -22,7 +22,7 @@
     arrivals.add(now, 1);
   }
 
-  /** The decaying count of arrivals. */
+  /** The number of requests that arrived; each counts less with age. */
   double decayingCount() {
     return arrivals.at(actions.now());
   }
@@ -35,12 +35,18 @@
     return arrivals.perSecond(now) < LOW_REQUESTS_PER_SECOND;
   }
 
-  /** Sees too few requests to judge a fleet by itself within some seconds, and gets counts. */
+  /**
+   * Whether the controller sends fleet counts, and this relay needs them, as it gets too few
+   * requests to judge the fleet within a few seconds.
+   */
   boolean reliesOnFleetCounts() {
     return settings.fleetCountsPeriod.over(TimeSpan.ZERO) && isLow(actions.now());
   }
 
-  /** How late counts tell of a change, in ms: a period to fill, one to come. */
+  /**
+   * How late fleet counts show a change: they are collected for one period and arrive within
+   * another. Zero if this relay does not rely on them.
+   */
   double fleetCountsLagMs() {
     return reliesOnFleetCounts() ? 2 * settings.fleetCountsPeriod.ms() : 0;
   }
--- a/src/main/java/sprucerock/policy/FleetCounts.java
+++ b/src/main/java/sprucerock/policy/FleetCounts.java
@@ -9,16 +9,24 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Judges the canary by what the controller counted in a sample of all relays' attempts. These show
- * builds bad for methods that are never shadowed, and give quiet relays the pace of the baseline.
- * They hold time-outs too: errors that attempts or pairs showed must bear them out.
+ * Judges the canary by the controller's counts of a sample of all relays' attempts.
+ *
+ * <p>The counts reveal builds that are bad for methods without shadow requests, and tell relays
+ * with little traffic the baseline's latency. The counted failures include timeouts. So they are
+ * held against the canary only if this relay's attempts or the shadow pairs showed errors too.
  */
 final class FleetCounts {
   private static final double MIN_ATTEMPTS = 12;
   private static final double MIN_FAILURES = 3;
-  private static final double STANDARD_ERRORS = 3.5; // one look in 4,000 by chance
-  private static final double MIN_EXCESS = 0.05;
-  private static final double MIN_EXCESS_RELEASED = 0.25; // a fifth of endpoints may fail anyway
+
+  // By chance, one evaluation in 4,000 exceeds so many standard errors.
+  private static final double MIN_STANDARD_ERRORS = 3.5;
+
+  // The canary's failure rate minus the baseline's.
+  private static final double MIN_EXCESS_RATE = 0.05;
+
+  // Higher, as a fifth of the endpoints may fail for reasons other than the build.
+  private static final double MIN_EXCESS_RATE_RELEASED = 0.25;
 
   private final Settings settings;
   private final CanaryStatus canary;
@@ -39,7 +47,11 @@
     this.canaryJudge = canaryJudge;
   }
 
-  /** Attempts and failures of one method at one build in one period, and the mean time. */
+  /**
+   * Adds one period's attempts and failures of one method at one build.
+   *
+   * @param mean the mean latency
+   */
   void countsReceived(Build build, Method method, double attempts, double failed, TimeSpan mean) {
     if (!canary.isOnTrial(build) && arrivals.reliesOnFleetCounts() && attempts > failed) {
       baselinePace.observe(BaselinePaceMonitor.FLEET_COUNTS, method, mean.ms(), attempts - failed);
@@ -54,24 +66,24 @@
     counts.add(attempts, failed);
     if (atCanary.attempts() < MIN_ATTEMPTS
         || atCanary.failures() < MIN_FAILURES
-        || !isBorneOutByErrors()) {
+        || !isConfirmedByErrors()) {
       return;
     }
-    double error =
+    double standardError =
         Proportions.standardErrorOfDifference(
             atCanary.failures(), atCanary.attempts(), atBaseline.failures(), atBaseline.attempts());
-    double mark = STANDARD_ERRORS * error;
+    double excessByChance = MIN_STANDARD_ERRORS * standardError;
     double excess =
         atCanary.failures() / atCanary.attempts()
             - atBaseline.failures() / Math.max(atBaseline.attempts(), 1);
-    double least = canary.isReleased() ? MIN_EXCESS_RELEASED : MIN_EXCESS;
-    if (excess > Math.max(least, mark)) {
+    double minExcess = canary.isReleased() ? MIN_EXCESS_RATE_RELEASED : MIN_EXCESS_RATE;
+    if (excess > Math.max(minExcess, excessByChance)) {
       trial.evidence().markWorseByCounts();
     }
     canaryJudge.evaluate();
   }
 
-  private boolean isBorneOutByErrors() {
+  private boolean isConfirmedByErrors() {
     CanaryTrial trial = canary.trial();
     if (canary.isReleased()) {
       return trial.evidence().errorsAfterRelease() > 2;
--- a/src/main/java/sprucerock/policy/SlowStartLimiter.java
+++ b/src/main/java/sprucerock/policy/SlowStartLimiter.java
@@ -9,16 +9,21 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Limits what an endpoint gets while it warms up (rule 4), by a token bucket of its own.
+ * Limits the attempts at an endpoint that is warming up (rule 4), with one token bucket per
+ * endpoint.
  *
- * <p>A cold endpoint gets of this relay what a warm one of its size gets, times the share that it
- * surely has by now, times 0.8 so that no queue builds up. Warm endpoints carry what they can, so
- * the sum over relays is within the budget, however uneven they are. On trial it holds for warm
- * ones too: like loads.
+ * <p>The limit is the product of three factors: the rate at which this relay sends attempts to a
+ * warm endpoint of the same weight, the share of its capacity that the endpoint certainly has by
+ * now, and 0.8, so that no queue builds up. Warm endpoints get no more than their capacity, so the
+ * sum over all relays stays within the capacity of the cold endpoint, however unevenly traffic is
+ * spread over relays. Endpoints of a build on trial are limited even when they are warm, so that
+ * canary and baseline endpoints have similar loads.
  */
 final class SlowStartLimiter {
   private static final double MAX_LOAD_SHARE = 0.8;
-  private static final TimeSpan WEIGHTS_MAX_AGE = TimeSpan.ofMs(500); // no scan for each attempt
+
+  // Avoids adding up the weights of all endpoints for each attempt.
+  private static final TimeSpan WEIGHTS_MAX_AGE = TimeSpan.ofMs(500);
 
   private final RelayActions actions;
   private final Settings settings;
@@ -34,48 +39,59 @@
     this.canary = canary;
   }
 
-  /** Relays learn of an endpoint together: their first tokens come one by one. */
+  /**
+   * Gives the endpoint a random part of a token. All relays learn of an endpoint at the same time,
+   * and the random part spreads out their first attempts.
+   */
   void endpointReady(Endpoint endpoint) {
     endpoint.warmUpTokens = random.next();
     endpoint.warmUpTokensRefilledAt = actions.now();
   }
 
-  /** An attempt was sent to it. */
+  /** Counts an attempt that was sent to the endpoint. */
   void attemptSent(Endpoint endpoint, boolean onTrial, Timestamp now) {
     baselineSends.add(now, onTrial ? 0 : 1);
     endpoint.warmUpTokens--;
   }
 
-  /** Whether it may get one attempt more now; refills its bucket. */
+  /** Refills the endpoint's bucket, and returns whether it may get one more attempt now. */
   boolean hasCapacity(Endpoint endpoint, Timestamp now) {
     if (!canary.isOnTrial(endpoint.build) && endpoint.olderThan(settings.warmUp, now)) {
       return true;
     }
-    double all = 0;
-    double warm = 0;
+    double totalWeight = 0;
+    double warmWeight = 0;
     for (Build build : canary.buildsAscending()) {
       build.refreshWeights(settings.warmUp, WEIGHTS_MAX_AGE, now);
-      all += build.weight;
+      totalWeight += build.weight;
       if (!canary.isOnTrial(build)) {
-        warm += build.warmWeight;
+        warmWeight += build.warmWeight;
       }
     }
-    double carried =
-        baselineSends.perSecond(now) * endpoint.weight() / Math.max(warm > 0 ? warm : all, 0.1);
-    double age =
+    double warmPerSecond =
+        baselineSends.perSecond(now)
+            * endpoint.weight()
+            / Math.max(warmWeight > 0 ? warmWeight : totalWeight, 0.1);
+    double warmUpProgress =
         endpoint.startedAt == null
             ? 1
             : Math.max(0, now.since(endpoint.startedAt).dividedBy(settings.warmUp));
-    double share =
-        settings.initialCapacityShare + (1 - settings.initialCapacityShare) * Math.min(1, age);
-    double perSecond =
-        Math.min(0.5 * settings.warmUpOverloadMultiple, MAX_LOAD_SHARE) * share * carried;
-    double most = Math.max(1, 0.5 * perSecond * settings.warmUpOverloadTolerance.ms() / 1000);
+    double capacityShare =
+        settings.initialCapacityShare
+            + (1 - settings.initialCapacityShare) * Math.min(1, warmUpProgress);
+    // The rate stays under half the load at which an endpoint tips over: tipMultiple times its
+    // capacity.
+    double tokensPerSecond =
+        Math.min(0.5 * settings.warmUpOverloadMultiple, MAX_LOAD_SHARE)
+            * capacityShare
+            * warmPerSecond;
+    double maxTokens =
+        Math.max(1, 0.5 * tokensPerSecond * settings.warmUpOverloadTolerance.ms() / 1000);
     endpoint.warmUpTokens =
         Math.min(
             endpoint.warmUpTokens
-                + perSecond * now.since(endpoint.warmUpTokensRefilledAt).ms() / 1000,
-            most);
+                + tokensPerSecond * now.since(endpoint.warmUpTokensRefilledAt).ms() / 1000,
+            maxTokens);
     endpoint.warmUpTokensRefilledAt = now;
     return endpoint.warmUpTokens >= 1;
   }
