--- a/src/main/java/sprucerock/controller/DeploymentCodec.java
+++ b/src/main/java/sprucerock/controller/DeploymentCodec.java
@@ -12,39 +12,40 @@
 import sprucerock.controller.v1.Input;
 import sprucerock.time.Timestamp;
 
-/** Between the fleet's changes and what is kept of them on disk. */
+/** Converts deployments to and from their stored form, where a deployment is a "change". */
 final class DeploymentCodec {
   private DeploymentCodec() {}
 
   /**
-   * Applies an entry about deployments; why it had no effect, or null.
+   * Applies a log entry about deployments.
    *
-   * @throws IllegalArgumentException if its kind is not known here
+   * @return the reason why the entry had no effect, or null if it had one
+   * @throws IllegalArgumentException if a newer controller wrote an entry of an unknown kind
    */
-  static String apply(DeploymentManager core, Input input) {
+  static String apply(DeploymentManager manager, Input input) {
     Timestamp now = Timestamp.ofMs(input.getAtMs());
-    long wall = input.getWallMs();
+    long wallMs = input.getWallMs();
     switch (input.getWhatCase()) {
       case PROPOSED -> {
-        return core.propose(
+        return manager.propose(
             input.getProposed().getWho(),
             input.getProposed().getWhy(),
             version(input.getProposed().getVersion()),
             input.getProposed().getLive(),
             now,
-            wall);
+            wallMs);
       }
       case CHANGE_WORD -> {
-        return core.command(
+        return manager.command(
             DeploymentManager.OperatorCommand.valueOf(input.getChangeWord().getWord()),
             input.getChangeWord().getChange(),
             input.getChangeWord().getWho(),
             input.getChangeWord().getReason(),
             now,
-            wall);
+            wallMs);
       }
       case AGENT ->
-          core.reportStatus(
+          manager.reportStatus(
               input.getAgent().getRelay(),
               input.getAgent().getZone(),
               input.getAgent().getBusy(),
@@ -52,38 +53,38 @@
               input.getAgent().getReady(),
               input.getAgent().getDone(),
               now,
-              wall);
-      case SILENT -> core.reportUnreachable(input.getSilent().getRelay(), now, wall);
+              wallMs);
+      case SILENT -> manager.reportUnreachable(input.getSilent().getRelay(), now, wallMs);
       case FAILED ->
-          core.reportFailure(
+          manager.reportFailure(
               input.getFailed().getRelay(),
               version(input.getFailed().getVersion()),
               input.getFailed().getTurn(),
               input.getFailed().getHow(),
               now,
-              wall);
+              wallMs);
       case CHECKED ->
-          core.reportValidation(
+          manager.reportValidation(
               input.getChecked().getRelay(),
               input.getChecked().getChange(),
               input.getChecked().getRefusal(),
               now,
-              wall);
+              wallMs);
       case JUDGED ->
-          core.reportVerdict(
+          manager.reportVerdict(
               input.getJudged().getChange(),
               input.getJudged().getStage(),
               Verdict.valueOf(input.getJudged().getVerdict()),
               input.getJudged().getReason(),
               now,
-              wall);
+              wallMs);
       case ROOM ->
-          core.setRestartBudget(
-              input.getRoom().getByZoneMap(), input.getRoom().getWhy(), now, wall);
-      case TICK -> core.tick(now, wall);
+          manager.setRestartBudget(
+              input.getRoom().getByZoneMap(), input.getRoom().getWhy(), now, wallMs);
+      case TICK -> manager.tick(now, wallMs);
       default ->
           throw new IllegalArgumentException(
-              "an input of an unknown kind, written by a newer controller");
+              "log entry of an unknown kind, written by a newer controller: start that version");
     }
     return null;
   }
@@ -99,126 +100,127 @@
         .build();
   }
 
-  private static double ms(Timestamp moment) {
-    return moment == null ? -1 : moment.ms(); // the controller's time begins at 0
+  /** Returns -1 for null, as the controller's time begins at 0. */
+  private static double ms(Timestamp timestamp) {
+    return timestamp == null ? -1 : timestamp.ms();
   }
 
   private static Timestamp timestamp(double ms) {
     return ms < 0 ? null : Timestamp.ofMs(ms);
   }
 
-  static ChangeMemory write(DeploymentManager core) {
-    DeploymentSnapshot memory = DeploymentSnapshot.of(core);
+  static ChangeMemory write(DeploymentManager manager) {
+    DeploymentSnapshot snapshot = DeploymentSnapshot.of(manager);
     ChangeMemory.Builder written =
         ChangeMemory.newBuilder()
-            .setCurrent(version(memory.currentVersion()))
-            .setSequence(memory.sequence())
-            .setNumbers(memory.lastNumber())
-            .setWeather(memory.blockedReason())
-            .setReleasing(memory.rolloutInProgress())
-            .putAllRooms(memory.restartBudgetByZone())
-            .addAllControls(memory.pendingControlRestarts());
-    for (DeploymentSnapshot.RelayRecord one : memory.relays()) {
-      sprucerock.controller.v1.OfRelay.Builder relay =
+            .setCurrent(version(snapshot.currentVersion()))
+            .setSequence(snapshot.sequence())
+            .setNumbers(snapshot.lastNumber())
+            .setWeather(snapshot.blockedReason())
+            .setReleasing(snapshot.rolloutInProgress())
+            .putAllRooms(snapshot.restartBudgetByZone())
+            .addAllControls(snapshot.pendingControlRestarts());
+    for (DeploymentSnapshot.RelayRecord relay : snapshot.relays()) {
+      sprucerock.controller.v1.OfRelay.Builder stored =
           sprucerock.controller.v1.OfRelay.newBuilder()
-              .setNumber(one.number())
-              .setZone(one.zone())
-              .setBusy(one.busy())
-              .setRuns(version(one.observedVersion()))
-              .setReady(one.ready())
-              .setSilentSinceMs(ms(one.unreachableSince()))
-              .setTurn(one.generation())
-              .setDone(one.observedGeneration())
-              .setToldAtMs(ms(one.notifiedAt()))
-              .setReadyAtMs(ms(one.readyAt()));
-      if (one.desiredVersion() != null) {
-        relay.setWanted(version(one.desiredVersion()));
+              .setNumber(relay.number())
+              .setZone(relay.zone())
+              .setBusy(relay.busy())
+              .setRuns(version(relay.observedVersion()))
+              .setReady(relay.ready())
+              .setSilentSinceMs(ms(relay.unreachableSince()))
+              .setTurn(relay.generation())
+              .setDone(relay.observedGeneration())
+              .setToldAtMs(ms(relay.notifiedAt()))
+              .setReadyAtMs(ms(relay.readyAt()));
+      if (relay.desiredVersion() != null) {
+        stored.setWanted(version(relay.desiredVersion()));
       }
-      written.addRelays(relay);
+      written.addRelays(stored);
     }
-    for (DeploymentSnapshot.DeploymentRecord one : memory.deployments()) {
-      sprucerock.controller.v1.OfChange.Builder change =
+    for (DeploymentSnapshot.DeploymentRecord deployment : snapshot.deployments()) {
+      sprucerock.controller.v1.OfChange.Builder stored =
           sprucerock.controller.v1.OfChange.newBuilder()
-              .setNumber(one.number())
-              .setWho(one.proposedBy())
-              .setWhy(one.reason())
-              .setFrom(version(one.fromVersion()))
-              .setTo(version(one.toVersion()))
-              .setState(one.state().name())
-              .setStage(one.stage())
-              .setSinceMs(ms(one.stateSince()))
-              .setProgressMs(ms(one.lastProgress()))
-              .setHeld(one.held())
-              .addAllChecked(one.validated())
-              .putAllRefused(one.rejections())
-              .addAllMoved(one.updated())
-              .putAllBeside(one.controls())
-              .setVerdict(one.verdict().name())
-              .setLive(one.hotReload());
-      for (Deployment.Transition step : one.transitions()) {
-        change.addSteps(
+              .setNumber(deployment.number())
+              .setWho(deployment.proposedBy())
+              .setWhy(deployment.reason())
+              .setFrom(version(deployment.fromVersion()))
+              .setTo(version(deployment.toVersion()))
+              .setState(deployment.state().name())
+              .setStage(deployment.stage())
+              .setSinceMs(ms(deployment.stateSince()))
+              .setProgressMs(ms(deployment.lastProgress()))
+              .setHeld(deployment.held())
+              .addAllChecked(deployment.validated())
+              .putAllRefused(deployment.rejections())
+              .addAllMoved(deployment.updated())
+              .putAllBeside(deployment.controls())
+              .setVerdict(deployment.verdict().name())
+              .setLive(deployment.hotReload());
+      for (Deployment.Transition transition : deployment.transitions()) {
+        stored.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
-                .setSequence(step.sequence())
-                .setAtMs(Math.round(step.at().ms()))
-                .setWallMs(step.wallMs())
-                .setStanding(step.state().name())
-                .setStage(step.stage())
-                .setCause(step.cause()));
+                .setSequence(transition.sequence())
+                .setAtMs(Math.round(transition.at().ms()))
+                .setWallMs(transition.wallMs())
+                .setStanding(transition.state().name())
+                .setStage(transition.stage())
+                .setCause(transition.cause()));
       }
-      written.addChanges(change);
+      written.addChanges(stored);
     }
     return written.build();
   }
 
-  static void restore(ChangeMemory written, DeploymentManager core) {
+  static void restore(ChangeMemory written, DeploymentManager manager) {
     List<DeploymentSnapshot.RelayRecord> relays =
         written.getRelaysList().stream()
             .map(
-                one ->
+                relay ->
                     new DeploymentSnapshot.RelayRecord(
-                        one.getNumber(),
-                        one.getZone(),
-                        one.getBusy(),
-                        version(one.getRuns()),
-                        one.getReady(),
-                        timestamp(one.getSilentSinceMs()),
-                        one.hasWanted() ? version(one.getWanted()) : null,
-                        one.getTurn(),
-                        one.getDone(),
-                        timestamp(one.getToldAtMs()),
-                        timestamp(one.getReadyAtMs())))
+                        relay.getNumber(),
+                        relay.getZone(),
+                        relay.getBusy(),
+                        version(relay.getRuns()),
+                        relay.getReady(),
+                        timestamp(relay.getSilentSinceMs()),
+                        relay.hasWanted() ? version(relay.getWanted()) : null,
+                        relay.getTurn(),
+                        relay.getDone(),
+                        timestamp(relay.getToldAtMs()),
+                        timestamp(relay.getReadyAtMs())))
             .toList();
-    List<DeploymentSnapshot.DeploymentRecord> changes =
+    List<DeploymentSnapshot.DeploymentRecord> deployments =
         written.getChangesList().stream()
             .map(
-                one ->
+                deployment ->
                     new DeploymentSnapshot.DeploymentRecord(
-                        one.getNumber(),
-                        one.getWho(),
-                        one.getWhy(),
-                        version(one.getFrom()),
-                        version(one.getTo()),
-                        one.getLive(),
-                        Deployment.State.valueOf(one.getState()),
-                        one.getStage(),
-                        timestamp(one.getSinceMs()),
-                        timestamp(one.getProgressMs()),
-                        one.getHeld(),
-                        one.getCheckedList(),
-                        sorted(one.getRefusedMap()),
-                        one.getMovedList(),
-                        inUpdateOrder(one.getBesideMap(), one.getMovedList()),
-                        Verdict.valueOf(one.getVerdict()),
-                        one.getStepsList().stream()
+                        deployment.getNumber(),
+                        deployment.getWho(),
+                        deployment.getWhy(),
+                        version(deployment.getFrom()),
+                        version(deployment.getTo()),
+                        deployment.getLive(),
+                        Deployment.State.valueOf(deployment.getState()),
+                        deployment.getStage(),
+                        timestamp(deployment.getSinceMs()),
+                        timestamp(deployment.getProgressMs()),
+                        deployment.getHeld(),
+                        deployment.getCheckedList(),
+                        sorted(deployment.getRefusedMap()),
+                        deployment.getMovedList(),
+                        inUpdateOrder(deployment.getBesideMap(), deployment.getMovedList()),
+                        Verdict.valueOf(deployment.getVerdict()),
+                        deployment.getStepsList().stream()
                             .map(
-                                step ->
+                                transition ->
                                     new Deployment.Transition(
-                                        step.getSequence(),
-                                        Timestamp.ofMs(step.getAtMs()),
-                                        step.getWallMs(),
-                                        Deployment.State.valueOf(step.getStanding()),
-                                        step.getStage(),
-                                        step.getCause()))
+                                        transition.getSequence(),
+                                        Timestamp.ofMs(transition.getAtMs()),
+                                        transition.getWallMs(),
+                                        Deployment.State.valueOf(transition.getStanding()),
+                                        transition.getStage(),
+                                        transition.getCause()))
                             .toList()))
             .toList();
     new DeploymentSnapshot(
@@ -230,23 +232,23 @@
             written.getRoomsMap(),
             written.getControlsList(),
             relays,
-            changes)
-        .restore(core);
+            deployments)
+        .restore(manager);
   }
 
-  private static <V> Map<Integer, V> sorted(Map<Integer, V> any) {
-    return new java.util.TreeMap<>(any);
+  private static <V> Map<Integer, V> sorted(Map<Integer, V> map) {
+    return new java.util.TreeMap<>(map);
   }
 
-  /** In the order in which they were moved: a map's own is nobody's. */
+  /** Orders controls as their relays were updated; a protobuf map has no order. */
   private static Map<Integer, Integer> inUpdateOrder(
-      Map<Integer, Integer> beside, List<Integer> moved) {
-    Map<Integer, Integer> found = new LinkedHashMap<>();
-    for (int number : moved) {
-      if (beside.containsKey(number)) {
-        found.put(number, beside.get(number));
+      Map<Integer, Integer> controls, List<Integer> updated) {
+    Map<Integer, Integer> ordered = new LinkedHashMap<>();
+    for (int relay : updated) {
+      if (controls.containsKey(relay)) {
+        ordered.put(relay, controls.get(relay));
       }
     }
-    return found;
+    return ordered;
   }
 }
--- a/src/main/java/sprucerock/controller/MaintenanceCodec.java
+++ b/src/main/java/sprucerock/controller/MaintenanceCodec.java
@@ -14,148 +14,162 @@
 import sprucerock.hardware.HardwareModel;
 import sprucerock.hardware.LeastSquaresFit;
 
-/** Between maintenance windows and their records in the log and its snapshots ("freezes" there). */
+/** Converts maintenance windows to and from their stored form, where a window is a "freeze". */
 final class MaintenanceCodec {
   private MaintenanceCodec() {}
 
-  /** Applies a log entry: numbers of windows, why an operator's command was rejected, or null. */
-  static Object apply(MaintenanceWindows core, Input input) {
-    long now = core.advanceClock(input.getWallMs());
+  /**
+   * Applies a log entry about maintenance windows.
+   *
+   * @return the numbers of new windows, the reason why a command had no effect, or null
+   * @throws IllegalArgumentException if a newer controller wrote an unknown command
+   */
+  static Object apply(MaintenanceWindows windows, Input input) {
+    long now = windows.advanceClock(input.getWallMs());
     switch (input.getWhatCase()) {
       case FREEZE -> {
-        return announce(core, input.getFreeze(), now);
+        return announce(windows, input.getFreeze(), now);
       }
       case FREEZE_WORD -> {
-        var word = input.getFreezeWord();
-        return switch (word.getWord()) {
-          case "CALL_OFF" -> core.cancel(word.getFreeze(), word.getWho(), word.getReason(), now);
+        var command = input.getFreezeWord();
+        return switch (command.getWord()) {
+          case "CALL_OFF" ->
+              windows.cancel(command.getFreeze(), command.getWho(), command.getReason(), now);
           case "EXTEND" ->
-              core.extend(word.getFreeze(), word.getToMs(), word.getWho(), word.getReason(), now);
-          case "FORCE" -> core.force(word.getFreeze(), word.getWho(), word.getReason(), now);
+              windows.extend(
+                  command.getFreeze(),
+                  command.getToMs(),
+                  command.getWho(),
+                  command.getReason(),
+                  now);
+          case "FORCE" ->
+              windows.force(command.getFreeze(), command.getWho(), command.getReason(), now);
           default ->
               throw new IllegalArgumentException(
-                  "a word about freezes of an unknown kind, written by a newer controller");
+                  "unknown command on maintenance windows, written by a newer controller:"
+                      + " start that version");
         };
       }
-      case FREEZE_CLEARED -> core.grantsReturned(input.getFreezeCleared().getFreeze(), now);
+      case FREEZE_CLEARED -> windows.grantsReturned(input.getFreezeCleared().getFreeze(), now);
       case WORTH -> {
         HardwareModel model = readModel(input.getWorth());
-        return model == null || !core.updateModel(model, now)
-            ? "it is none, or an older one"
+        return model == null || !windows.updateModel(model, now)
+            ? "the hardware model is malformed, or not newer than the current one"
             : null;
       }
-      case RACK -> core.setRackDown(input.getRack().getRack(), input.getRack().getDown(), now);
-      default -> core.tick(now);
+      case RACK -> windows.setRackDown(input.getRack().getRack(), input.getRack().getDown(), now);
+      default -> windows.tick(now);
     }
     return null;
   }
 
-  private static Object announce(MaintenanceWindows core, FreezeWanted wanted, long now) {
+  private static Object announce(MaintenanceWindows windows, FreezeWanted stored, long now) {
     MaintenanceRequest request =
         new MaintenanceRequest(
-            new TreeSet<>(wanted.getRacksList()),
-            wanted.getFromMs(),
-            wanted.getLastsMs(),
-            wanted.getSlackMs(),
-            wanted.getRule(),
-            wanted.getZone(),
-            wanted.getEmergency(),
-            wanted.getWho(),
-            wanted.getReason());
-    AnnounceResult result = core.announce(request, now);
+            new TreeSet<>(stored.getRacksList()),
+            stored.getFromMs(),
+            stored.getLastsMs(),
+            stored.getSlackMs(),
+            stored.getRule(),
+            stored.getZone(),
+            stored.getEmergency(),
+            stored.getWho(),
+            stored.getReason());
+    AnnounceResult result = windows.announce(request, now);
     return result instanceof AnnounceResult.Announced announced
         ? announced.numbers()
         : ((AnnounceResult.Rejected) result).reason();
   }
 
-  /** Null where it can't be one. */
-  private static HardwareModel readModel(FamiliesWorth said) {
-    int families = said.getFamiliesCount();
-    int methods = said.getMethodsCount();
-    int pairs = (methods + 1) * families * families;
-    boolean can =
+  /** Returns null if the stored model is malformed. */
+  private static HardwareModel readModel(FamiliesWorth stored) {
+    int families = stored.getFamiliesCount();
+    int methods = stored.getMethodsCount();
+    int expectedValues = (methods + 1) * families * families;
+    boolean wellFormed =
         families > 0
             && families <= LeastSquaresFit.MAX_FAMILIES
             && methods <= LeastSquaresFit.MAX_METHODS
-            && said.getLogsCount() == pairs
-            && said.getErrorsCount() == pairs
-            && said.getCoresCount() == families
-            && said.getCoresErrorsCount() == families
-            && said.getFree() > 0;
-    if (!can) {
+            && stored.getLogsCount() == expectedValues
+            && stored.getErrorsCount() == expectedValues
+            && stored.getCoresCount() == families
+            && stored.getCoresErrorsCount() == families
+            && stored.getFree() > 0;
+    if (!wellFormed) {
       return null;
     }
     return HardwareModel.of(
-        said.getNumber(),
-        said.getWindow(),
-        said.getFamiliesList(),
-        said.getMethodsList(),
-        said.getLogsList(),
-        said.getErrorsList(),
-        said.getCoresList(),
-        said.getCoresErrorsList(),
-        said.getFree());
+        stored.getNumber(),
+        stored.getWindow(),
+        stored.getFamiliesList(),
+        stored.getMethodsList(),
+        stored.getLogsList(),
+        stored.getErrorsList(),
+        stored.getCoresList(),
+        stored.getCoresErrorsList(),
+        stored.getFree());
   }
 
   private static FamiliesWorth writeModel(HardwareModel model) {
-    FamiliesWorth.Builder said =
+    FamiliesWorth.Builder stored =
         FamiliesWorth.newBuilder()
             .setNumber(model.number())
             .setWindow(model.window())
             .addAllFamilies(model.families())
             .addAllMethods(model.methods())
             .setFree(model.degreesOfFreedom());
-    model.times(time -> said.addLogs(time.log()).addErrors(time.error()));
+    model.times(time -> stored.addLogs(time.log()).addErrors(time.error()));
     for (int family : model.families()) {
-      said.addCores(model.concurrency(family).log())
+      stored
+          .addCores(model.concurrency(family).log())
           .addCoresErrors(model.concurrency(family).error());
     }
-    return said.build();
+    return stored.build();
   }
 
-  static FreezeMemory write(MaintenanceWindows core) {
-    MaintenanceState notes = MaintenanceState.capture(core);
+  static FreezeMemory write(MaintenanceWindows windows) {
+    MaintenanceState state = MaintenanceState.capture(windows);
     FreezeMemory.Builder written =
         FreezeMemory.newBuilder()
-            .setSequence(notes.sequence())
-            .setNumbers(notes.numbers())
-            .addAllDown(notes.down())
-            .setOnTrial(notes.onTrial())
-            .setNowMs(notes.nowMs());
-    if (core.model() != null) {
-      written.setWorth(writeModel(core.model()));
+            .setSequence(state.sequence())
+            .setNumbers(state.numbers())
+            .addAllDown(state.down())
+            .setOnTrial(state.onTrial())
+            .setNowMs(state.nowMs());
+    if (windows.model() != null) {
+      written.setWorth(writeModel(windows.model()));
     }
-    for (MaintenanceState.Window one : notes.windows()) {
-      OfFreeze.Builder freeze =
+    for (MaintenanceState.Window window : state.windows()) {
+      OfFreeze.Builder stored =
           OfFreeze.newBuilder()
-              .setNumber(one.number())
-              .addAllRacks(one.racks())
-              .setFromMs(one.from())
-              .setToMs(one.to())
-              .setSlackMs(one.slackMs())
-              .setEmergency(one.emergency())
-              .setSeries(one.series())
-              .setWho(one.who())
-              .setWhy(one.why())
-              .setState(one.state().name())
-              .setBoundSinceMs(one.boundSince())
-              .addAllForcedBy(one.forcedBy());
-      for (MaintenanceWindow.Step step : one.steps()) {
-        freeze.addSteps(
+              .setNumber(window.number())
+              .addAllRacks(window.racks())
+              .setFromMs(window.from())
+              .setToMs(window.to())
+              .setSlackMs(window.slackMs())
+              .setEmergency(window.emergency())
+              .setSeries(window.series())
+              .setWho(window.who())
+              .setWhy(window.why())
+              .setState(window.state().name())
+              .setBoundSinceMs(window.boundSince())
+              .addAllForcedBy(window.forcedBy());
+      for (MaintenanceWindow.Step step : window.steps()) {
+        stored.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
                 .setSequence(step.sequence())
                 .setWallMs(step.wallMs())
                 .setStanding(step.state().name())
                 .setCause(step.cause()));
       }
-      written.addFreezes(freeze);
+      written.addFreezes(stored);
     }
     return written.build();
   }
 
-  static void restore(FreezeMemory written, MaintenanceWindows core) {
+  static void restore(FreezeMemory written, MaintenanceWindows windows) {
     if (written.hasWorth()) {
-      core.model(readModel(written.getWorth()));
+      windows.model(readModel(written.getWorth()));
     }
     new MaintenanceState(
             written.getSequence(),
@@ -165,21 +179,21 @@
             written.getNowMs(),
             written.getFreezesList().stream()
                 .map(
-                    one ->
+                    window ->
                         new MaintenanceState.Window(
-                            one.getNumber(),
-                            one.getRacksList(),
-                            one.getFromMs(),
-                            one.getToMs(),
-                            one.getSlackMs(),
-                            one.getEmergency(),
-                            one.getSeries(),
-                            one.getWho(),
-                            one.getWhy(),
-                            MaintenanceWindow.State.valueOf(one.getState()),
-                            one.getBoundSinceMs(),
-                            one.getForcedByList(),
-                            one.getStepsList().stream()
+                            window.getNumber(),
+                            window.getRacksList(),
+                            window.getFromMs(),
+                            window.getToMs(),
+                            window.getSlackMs(),
+                            window.getEmergency(),
+                            window.getSeries(),
+                            window.getWho(),
+                            window.getWhy(),
+                            MaintenanceWindow.State.valueOf(window.getState()),
+                            window.getBoundSinceMs(),
+                            window.getForcedByList(),
+                            window.getStepsList().stream()
                                 .map(
                                     step ->
                                         new MaintenanceWindow.Step(
@@ -189,6 +203,6 @@
                                             step.getCause()))
                                 .toList()))
                 .toList())
-        .restore(core);
+        .restore(windows);
   }
 }
--- a/src/main/java/sprucerock/controller/SnapshotCodec.java
+++ b/src/main/java/sprucerock/controller/SnapshotCodec.java
@@ -9,149 +9,152 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/**
- * The state of rollouts, deployments and maintenance windows as it is written to a snapshot, and
- * back.
- */
+/** Converts rollouts, deployments and maintenance windows to and from a stored snapshot. */
 final class SnapshotCodec {
   private SnapshotCodec() {}
 
   static State writeSnapshot(
-      RolloutManager core, DeploymentManager deployments, MaintenanceWindows freezes, long atMs) {
+      RolloutManager rollouts,
+      DeploymentManager deployments,
+      MaintenanceWindows maintenanceWindows,
+      long atMs) {
     State.Builder state =
         State.newBuilder()
             .setAtMs(atMs)
-            .setSequence(core.sequence)
-            .setDelivered(core.webhooksDeliveredUpTo)
-            .setPresent(core.current.build)
-            .setEarlier(core.previousBuild)
-            .setEpoch(core.epoch)
+            .setSequence(rollouts.sequence)
+            .setDelivered(rollouts.webhooksDeliveredUpTo)
+            .setPresent(rollouts.current.build)
+            .setEarlier(rollouts.previousBuild)
+            .setEpoch(rollouts.epoch)
             .setChanges(DeploymentCodec.write(deployments))
-            .setFreezes(MaintenanceCodec.write(freezes));
-    for (Rollout one : core.rolloutsByBuild.values()) {
-      sprucerock.controller.v1.Release.Builder release =
+            .setFreezes(MaintenanceCodec.write(maintenanceWindows));
+    for (Rollout rollout : rollouts.rolloutsByBuild.values()) {
+      sprucerock.controller.v1.Release.Builder stored =
           sprucerock.controller.v1.Release.newBuilder()
-              .setBuild(one.build)
-              .setArtifact(one.artifact)
-              .setStanding(one.state.name())
-              .setStage(one.stage)
-              .setSinceMs(ms(one.since))
-              .setHeldMs((long) one.pausedTime.ms())
-              .setHeld(one.heldByOperator)
-              .setUnits(one.readyEndpoints)
-              .setClockRan(one.clockRunning);
-      if (one.clockStart != null) {
-        release.setStageClockMs(ms(one.clockStart)).setHasClock(true);
+              .setBuild(rollout.build)
+              .setArtifact(rollout.artifact)
+              .setStanding(rollout.state.name())
+              .setStage(rollout.stage)
+              .setSinceMs(ms(rollout.since))
+              .setHeldMs((long) rollout.pausedTime.ms())
+              .setHeld(rollout.heldByOperator)
+              .setUnits(rollout.readyEndpoints)
+              .setClockRan(rollout.clockRunning);
+      if (rollout.clockStart != null) {
+        stored.setStageClockMs(ms(rollout.clockStart)).setHasClock(true);
       }
-      if (one.heldByOperator) {
-        release.setHeldSinceMs(ms(one.heldSince));
+      if (rollout.heldByOperator) {
+        stored.setHeldSinceMs(ms(rollout.heldSince));
       }
-      if (one.clockUpdatedAt != null) {
-        release.setClockStoppedMs(ms(one.clockUpdatedAt)).setHasClockStopped(true);
+      if (rollout.clockUpdatedAt != null) {
+        stored.setClockStoppedMs(ms(rollout.clockUpdatedAt)).setHasClockStopped(true);
       }
-      for (Rollout.Transition step : one.transitions()) {
-        release.addSteps(
+      for (Rollout.Transition transition : rollout.transitions()) {
+        stored.addSteps(
             sprucerock.controller.v1.Step.newBuilder()
-                .setSequence(step.sequence())
-                .setAtMs(ms(step.time()))
-                .setWallMs(step.wallMs())
-                .setStanding(step.state().name())
-                .setStage(step.stage())
-                .setCause(step.cause()));
+                .setSequence(transition.sequence())
+                .setAtMs(ms(transition.time()))
+                .setWallMs(transition.wallMs())
+                .setStanding(transition.state().name())
+                .setStage(transition.stage())
+                .setCause(transition.cause()));
       }
-      state.addReleases(release);
+      state.addReleases(stored);
     }
-    core.ballots.ballots.forEach(
-        (relay, vote) -> {
-          Ballot.Builder ballot =
+    rollouts.ballots.ballots.forEach(
+        (relay, ballot) -> {
+          Ballot.Builder stored =
               Ballot.newBuilder()
                   .setRelay(relay)
-                  .setBuild(vote.build)
-                  .setStage(vote.stage)
-                  .setSay(vote.vote.name())
-                  .setInSecond(vote.votesInWindow);
-          if (vote.expiresAt != null) {
-            ballot.setUntilMs(ms(vote.expiresAt));
+                  .setBuild(ballot.build)
+                  .setStage(ballot.stage)
+                  .setSay(ballot.vote.name())
+                  .setInSecond(ballot.votesInWindow);
+          if (ballot.expiresAt != null) {
+            stored.setUntilMs(ms(ballot.expiresAt));
           }
-          if (vote.rateWindowStart != null) {
-            ballot.setSecondMs(ms(vote.rateWindowStart));
+          if (ballot.rateWindowStart != null) {
+            stored.setSecondMs(ms(ballot.rateWindowStart));
           }
-          state.addBallots(ballot);
+          state.addBallots(stored);
         });
-    for (DeliveryLog.Delivery one : core.deliveries.deliveries.values()) {
+    for (DeliveryLog.Delivery delivery : rollouts.deliveries.deliveries.values()) {
       state.addDeliveries(
           Delivery.newBuilder()
-              .setId(one.id())
-              .setAtMs(ms(one.receivedAt()))
-              .setAnswer(one.result().name())
-              .setContent(one.content()));
+              .setId(delivery.id())
+              .setAtMs(ms(delivery.receivedAt()))
+              .setAnswer(delivery.result().name())
+              .setContent(delivery.content()));
     }
     return state.build();
   }
 
-  private static long ms(Timestamp moment) {
-    return Math.round(moment.ms());
+  private static long ms(Timestamp timestamp) {
+    return Math.round(timestamp.ms());
   }
 
   static void restoreSnapshot(
-      State state, RolloutManager core, DeploymentManager deployments, MaintenanceWindows freezes) {
-    MaintenanceCodec.restore(state.getFreezes(), freezes);
+      State state,
+      RolloutManager rollouts,
+      DeploymentManager deployments,
+      MaintenanceWindows maintenanceWindows) {
+    MaintenanceCodec.restore(state.getFreezes(), maintenanceWindows);
     DeploymentCodec.restore(state.getChanges(), deployments);
-    core.rolloutsByBuild.clear();
-    core.sequence = state.getSequence();
-    core.webhooksDeliveredUpTo = state.getDelivered();
-    core.previousBuild = state.getEarlier();
-    core.epoch = state.getEpoch();
-    for (sprucerock.controller.v1.Release one : state.getReleasesList()) {
-      Rollout release =
-          new Rollout(one.getBuild(), one.getArtifact(), Timestamp.ofMs(one.getSinceMs()));
-      release.state = Rollout.State.valueOf(one.getStanding().toUpperCase(Locale.ROOT));
-      release.stage = one.getStage();
-      release.pausedTime = TimeSpan.ofMs(one.getHeldMs());
-      release.heldByOperator = one.getHeld();
-      release.readyEndpoints = one.getUnits();
-      release.clockRunning = one.getClockRan();
-      if (one.getHasClock()) {
-        release.clockStart = Timestamp.ofMs(one.getStageClockMs());
+    rollouts.rolloutsByBuild.clear();
+    rollouts.sequence = state.getSequence();
+    rollouts.webhooksDeliveredUpTo = state.getDelivered();
+    rollouts.previousBuild = state.getEarlier();
+    rollouts.epoch = state.getEpoch();
+    for (sprucerock.controller.v1.Release stored : state.getReleasesList()) {
+      Rollout rollout =
+          new Rollout(stored.getBuild(), stored.getArtifact(), Timestamp.ofMs(stored.getSinceMs()));
+      rollout.state = Rollout.State.valueOf(stored.getStanding().toUpperCase(Locale.ROOT));
+      rollout.stage = stored.getStage();
+      rollout.pausedTime = TimeSpan.ofMs(stored.getHeldMs());
+      rollout.heldByOperator = stored.getHeld();
+      rollout.readyEndpoints = stored.getUnits();
+      rollout.clockRunning = stored.getClockRan();
+      if (stored.getHasClock()) {
+        rollout.clockStart = Timestamp.ofMs(stored.getStageClockMs());
       }
-      if (one.getHeld()) {
-        release.heldSince = Timestamp.ofMs(one.getHeldSinceMs());
+      if (stored.getHeld()) {
+        rollout.heldSince = Timestamp.ofMs(stored.getHeldSinceMs());
       }
-      if (one.getHasClockStopped()) {
-        release.clockUpdatedAt = Timestamp.ofMs(one.getClockStoppedMs());
+      if (stored.getHasClockStopped()) {
+        rollout.clockUpdatedAt = Timestamp.ofMs(stored.getClockStoppedMs());
       }
-      for (sprucerock.controller.v1.Step step : one.getStepsList()) {
-        release.addTransition(
+      for (sprucerock.controller.v1.Step transition : stored.getStepsList()) {
+        rollout.addTransition(
             new Rollout.Transition(
-                step.getSequence(),
-                Timestamp.ofMs(step.getAtMs()),
-                step.getWallMs(),
-                Rollout.State.valueOf(step.getStanding()),
-                step.getStage(),
-                step.getCause()));
+                transition.getSequence(),
+                Timestamp.ofMs(transition.getAtMs()),
+                transition.getWallMs(),
+                Rollout.State.valueOf(transition.getStanding()),
+                transition.getStage(),
+                transition.getCause()));
       }
-      core.rolloutsByBuild.put(release.build, release);
+      rollouts.rolloutsByBuild.put(rollout.build, rollout);
     }
-    core.current = core.rolloutsByBuild.get(state.getPresent());
-    for (Ballot one : state.getBallotsList()) {
-      BallotBox.Ballot vote = new BallotBox.Ballot(one.getRelay());
-      vote.build = one.getBuild();
-      vote.stage = one.getStage();
-      vote.vote = RolloutManager.Vote.valueOf(one.getSay());
-      vote.expiresAt = Timestamp.ofMs(one.getUntilMs());
-      vote.rateWindowStart = Timestamp.ofMs(one.getSecondMs());
-      vote.votesInWindow = one.getInSecond();
-      core.ballots.ballots.put(one.getRelay(), vote);
+    rollouts.current = rollouts.rolloutsByBuild.get(state.getPresent());
+    for (Ballot stored : state.getBallotsList()) {
+      BallotBox.Ballot ballot = new BallotBox.Ballot(stored.getRelay());
+      ballot.build = stored.getBuild();
+      ballot.stage = stored.getStage();
+      ballot.vote = RolloutManager.Vote.valueOf(stored.getSay());
+      ballot.expiresAt = Timestamp.ofMs(stored.getUntilMs());
+      ballot.rateWindowStart = Timestamp.ofMs(stored.getSecondMs());
+      ballot.votesInWindow = stored.getInSecond();
+      rollouts.ballots.ballots.put(stored.getRelay(), ballot);
     }
-    core.restoreVotes();
-    for (Delivery one : state.getDeliveriesList()) {
-      core.deliveries.deliveries.put(
-          one.getId(),
+    rollouts.restoreVotes();
+    for (Delivery stored : state.getDeliveriesList()) {
+      rollouts.deliveries.deliveries.put(
+          stored.getId(),
           new DeliveryLog.Delivery(
-              one.getId(),
-              Timestamp.ofMs(one.getAtMs()),
-              RolloutManager.AnnouncementResult.valueOf(one.getAnswer()),
-              one.getContent()));
+              stored.getId(),
+              Timestamp.ofMs(stored.getAtMs()),
+              RolloutManager.AnnouncementResult.valueOf(stored.getAnswer()),
+              stored.getContent()));
     }
   }
 }
