--- a/src/main/java/sprucerock/controller/DeploymentMonitor.java
+++ b/src/main/java/sprucerock/controller/DeploymentMonitor.java
@@ -17,31 +17,36 @@
 import sprucerock.controller.deployment.Verdict;
 
 /**
- * Compares updated relays with their controls, by the totals that agents report. Windows are closed
- * by the controller's clock alone, so a machine's own may be wrong. Nothing here is stored: after a
- * restart of the controller a stage is compared anew, and the verdict on it so far stands in the
- * deployment's record.
+ * Compares updated relays with their control group by the totals that agents report. Windows are
+ * closed by the controller's clock alone, so the clocks of the relays' machines may be wrong.
+ * Nothing here is stored: after a restart of the controller the comparison of a stage starts again,
+ * while the last verdict on the stage is kept in the deployment's record.
  */
 public final class DeploymentMonitor {
-  /** Hears what the monitor finds, on change only. */
+  /** Is notified of the monitor's findings, only when they change. */
   public interface Listener {
-    /** The comparison of a deployment's stage has another verdict. */
+    /** Called when the verdict on a deployment's stage changes. */
     void verdictChanged(Deployment deployment, Verdict verdict, String reason);
 
     /**
-     * How many of each zone may be out, and why none should be; empty where nothing speaks against
-     * it.
+     * Called when the restart budget changes.
+     *
+     * @param byZone how many relays of each zone may be restarting at once
+     * @param blockedReason why no relay should be restarted; empty if restarts may go on
      */
-    void restartBudgetChanged(Map<Integer, Integer> byZone, String why);
+    void restartBudgetChanged(Map<Integer, Integer> byZone, String blockedReason);
 
-    /** A relay carries more than most of the fleet now, or does not any more. */
-    void busyChanged(int relay, boolean is);
+    /** Called when a relay starts or stops carrying well more traffic than the median relay. */
+    void busyChanged(int relay, boolean busy);
   }
 
-  private static final int HISTORY_WINDOWS = 30; // a minute where each is 2 s
+  /** One minute of windows of 2 s. */
+  private static final int HISTORY_WINDOWS = 30;
+
   private static final int BASELINE_WINDOWS = 15;
-  private static final double FALSE_ALARM_PROBABILITY =
-      0.02; // one good deployment in fifty is stopped, at most
+
+  /** At most one good deployment in fifty is stopped. */
+  private static final double FALSE_ALARM_PROBABILITY = 0.02;
 
   private static final class RelayWindows {
     private long incarnation;
@@ -49,7 +54,7 @@
     private Window totalAtClose;
     private long incarnationAtClose;
 
-    /** The window just closed; null where the relay was away or restarted in it. */
+    /** The window just closed; null if the relay was away or restarted during it. */
     private Window window;
 
     private double cores = 1;
@@ -69,37 +74,42 @@
   private int stage;
   private Verdict lastVerdict = Verdict.NOT_SURE;
   private final RestartCapacity capacity = new RestartCapacity();
-  private Map<Integer, Integer> reportTotals = Map.of();
+  private Map<Integer, Integer> restartBudgetByZone = Map.of();
   private String blockedReason = "";
 
-  /** Watches the deployments of one manager; the listener is called on the engine's thread. */
+  /**
+   * Creates a monitor of one manager's deployments; it calls the listener on the engine's thread.
+   */
   public DeploymentMonitor(DeploymentManager deployments, Listener listener) {
     this.deployments = deployments;
     this.listener = listener;
   }
 
   /**
-   * A relay's totals so far in an incarnation of it, which has totals of its own. {@code cores}:
-   * processors that it may use.
+   * Records a relay's totals since the start of its incarnation.
+   *
+   * @param incarnation the relay's incarnation, as totals start again with each
+   * @param cores the number of processors that the relay may use
    */
   public void reportTotals(int number, long incarnation, double cores, Window total) {
+    // Ignoring unknown relays bounds the map by the number of managed relays.
     if (deployments.relay(number) == null) {
-      return; // as bounded as these are
+      return;
     }
-    RelayWindows windows = relays.computeIfAbsent(number, any -> new RelayWindows());
+    RelayWindows windows = relays.computeIfAbsent(number, key -> new RelayWindows());
     windows.incarnation = incarnation;
     windows.cores = Math.max(cores, 0.01);
     windows.total = total;
   }
 
-  /** A window of that many milliseconds is over; called each two seconds or so. */
+  /** Closes a window that lasted so many milliseconds; to be called about every two seconds. */
   public void closeWindow(double ms) {
     for (RelayWindows windows : relays.values()) {
-      boolean whole =
+      boolean complete =
           windows.totalAtClose != null
               && windows.incarnation == windows.incarnationAtClose
               && windows.total != windows.totalAtClose;
-      windows.window = whole ? windows.total.minus(windows.totalAtClose) : null;
+      windows.window = complete ? windows.total.minus(windows.totalAtClose) : null;
       windows.totalAtClose = windows.total;
       windows.incarnationAtClose = windows.incarnation;
     }
@@ -115,9 +125,9 @@
     if (current == null) {
       updateBusy();
     }
-    for (Map.Entry<Integer, RelayWindows> one : relays.entrySet()) {
-      RelayWindows windows = one.getValue();
-      if (windows.window == null || pairs.containsKey(one.getKey())) {
+    for (Map.Entry<Integer, RelayWindows> entry : relays.entrySet()) {
+      RelayWindows windows = entry.getValue();
+      if (windows.window == null || pairs.containsKey(entry.getKey())) {
         continue;
       }
       windows.history.addLast(windows.window);
@@ -149,34 +159,34 @@
     lastVerdict = Verdict.NOT_SURE;
   }
 
-  /** New pairs begin with their history; those that are none any more end. */
+  /** Starts new pairs with their history, and removes pairs that the deployment no longer has. */
   private void matchPairs(Deployment current) {
-    for (Iterator<Pair> each = pairs.values().iterator(); each.hasNext(); ) {
-      Pair pair = each.next();
+    for (Iterator<Pair> iterator = pairs.values().iterator(); iterator.hasNext(); ) {
+      Pair pair = iterator.next();
       Integer control = current.controls().get(pair.updated);
       if (control == null || control != pair.control) {
-        each.remove();
+        iterator.remove();
       }
     }
     current
         .controls()
         .forEach(
-            (moved, control) -> {
-              if (pairs.containsKey(moved)) {
+            (updated, control) -> {
+              if (pairs.containsKey(updated)) {
                 return;
               }
               MatchedWindows pairWindows = comparison.newPair();
-              RelayWindows one = relays.get(moved);
-              RelayWindows other = relays.get(control);
-              if (one != null && other != null) {
-                Iterator<Window> stays =
-                    other.history.descendingIterator(); // both end now, whichever is longer
-                for (Iterator<Window> changing = one.history.descendingIterator();
-                    changing.hasNext() && stays.hasNext(); ) {
-                  pairWindows.recordBefore(changing.next(), stays.next());
+              RelayWindows updatedRelay = relays.get(updated);
+              RelayWindows controlRelay = relays.get(control);
+              if (updatedRelay != null && controlRelay != null) {
+                // Both histories end now, but may differ in length: they are read backwards.
+                Iterator<Window> controlWindows = controlRelay.history.descendingIterator();
+                for (Iterator<Window> updatedWindows = updatedRelay.history.descendingIterator();
+                    updatedWindows.hasNext() && controlWindows.hasNext(); ) {
+                  pairWindows.recordBefore(updatedWindows.next(), controlWindows.next());
                 }
               }
-              pairs.put(moved, new Pair(moved, control, pairWindows));
+              pairs.put(updated, new Pair(updated, control, pairWindows));
             });
   }
 
@@ -186,17 +196,17 @@
           || !runsVersion(pair.control, activeDeployment.fromVersion)) {
         continue;
       }
-      Window moved = relays.get(pair.updated).window;
+      Window updated = relays.get(pair.updated).window;
       Window control = relays.get(pair.control).window;
-      if (moved != null && control != null) {
-        pair.windows.recordAfter(moved, control);
+      if (updated != null && control != null) {
+        pair.windows.recordAfter(updated, control);
       }
     }
-    boolean looks =
+    boolean comparing =
         activeDeployment != null
             && (activeDeployment.state() == Deployment.State.MOVING
                 || activeDeployment.state() == Deployment.State.WATCHED);
-    if (!looks) {
+    if (!comparing) {
       return;
     }
     Verdict now =
@@ -221,49 +231,50 @@
   }
 
   /**
-   * Compares the relays that were not updated with themselves before the stage, and reckons what
-   * the fleet can spare.
+   * Compares the relays that were not updated with their own baseline before the stage, and
+   * estimates how many relays the fleet can spare.
    */
   private void updateCapacity(double ms) {
-    Window all = Window.NONE;
-    for (Map.Entry<Integer, RelayWindows> one : relays.entrySet()) {
-      boolean changed =
+    Window unaffected = Window.NONE;
+    for (Map.Entry<Integer, RelayWindows> entry : relays.entrySet()) {
+      boolean affected =
           activeDeployment != null
-              && (activeDeployment.updated().contains(one.getKey())
-                  || activeDeployment.controls().containsValue(one.getKey()));
-      RelayWindows windows = one.getValue();
+              && (activeDeployment.updated().contains(entry.getKey())
+                  || activeDeployment.controls().containsValue(entry.getKey()));
+      RelayWindows windows = entry.getValue();
       if (windows.window == null) {
         continue;
       }
-      if (!changed) {
-        all = all.plus(windows.window);
+      if (!affected) {
+        unaffected = unaffected.plus(windows.window);
       }
       capacity.record(
-          deployments.relay(one.getKey()).zone(),
+          deployments.relay(entry.getKey()).zone(),
           windows.window.workMs() / ms / windows.cores,
           windows.window.rpcs());
     }
-    baseline.record(all);
+    baseline.record(unaffected);
     Map<Integer, Integer> byZone = capacity.closeWindow();
-    String why =
+    String newBlockedReason =
         activeDeployment != null && baseline.windowsBelowBaseline() > 0
             ? baseline.explanation()
             : capacity.blockedReason();
     boolean open = activeDeployment != null || deployments.pending() != null;
+    // The wording of the reason may differ in each window; only whether there is one counts.
     boolean same =
-        byZone.equals(reportTotals)
-            && why.isEmpty()
-                == blockedReason
-                    .isEmpty(); // why may be told anew with each window; that it is, once
+        byZone.equals(restartBudgetByZone) && newBlockedReason.isEmpty() == blockedReason.isEmpty();
     if (!open || same) {
       return;
     }
-    reportTotals = byZone;
-    blockedReason = why;
-    listener.restartBudgetChanged(byZone, why);
+    restartBudgetByZone = byZone;
+    blockedReason = newBlockedReason;
+    listener.restartBudgetChanged(byZone, newBlockedReason);
   }
 
-  /** Busy relays are those well over the median; a gap keeps chance from changing sides. */
+  /**
+   * Updates which relays are busy, that is well over the median. The gap between the two thresholds
+   * keeps noise from switching a relay back and forth.
+   */
   private void updateBusy() {
     double[] rates = new double[relays.size()];
     int count = 0;
@@ -275,13 +286,13 @@
     }
     Arrays.sort(rates);
     double median = count == 0 ? 0 : rates[count / 2];
-    for (Map.Entry<Integer, RelayWindows> one : relays.entrySet()) {
-      boolean busy = deployments.relay(one.getKey()).busy();
-      double rate = one.getValue().smoothedRpcs;
+    for (Map.Entry<Integer, RelayWindows> entry : relays.entrySet()) {
+      boolean busy = deployments.relay(entry.getKey()).busy();
+      double rate = entry.getValue().smoothedRpcs;
       if (!busy && rate > 1.3 * median) {
-        listener.busyChanged(one.getKey(), true);
+        listener.busyChanged(entry.getKey(), true);
       } else if (busy && rate < 1.1 * median) {
-        listener.busyChanged(one.getKey(), false);
+        listener.busyChanged(entry.getKey(), false);
       }
     }
   }
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -6,28 +6,30 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Leadership by a lease file in the store's folder, which the leader rewrites again and again. Who
- * sees it unchanged for the lease's duration by its own steady clock takes it, under a higher term.
+ * Leadership by a lease file in the storage folder, which the leader rewrites at each heartbeat. A
+ * controller that sees the file unchanged for the lease's duration, by its own steady clock, takes
+ * the lease under a higher term.
  *
  * <p>Of two controllers that read and write the same folder only one acts, as long as no clock runs
- * at half another's speed: one that was stalled finds, before it stores anything, that its lease
- * has expired. What this can't prevent is that such a one has a frame on its way: endpoint lists
- * therefore have an epoch, and relays reject older ones. Each term begins files of its own, so that
+ * at half the speed of another: a stalled leader finds that its lease has expired before it stores
+ * anything. This can't prevent that a stalled leader has a frame in flight; endpoint lists
+ * therefore have an epoch, and relays reject older ones. Each term begins new log files, so that
  * nothing a former leader still writes is ever read.
  *
- * <p>The file's text is {@code TERM HOLDER HEARTBEAT}, or {@code TERM free} once it was released.
+ * <p>The file's text is {@code TERM HOLDER HEARTBEAT}, or {@code TERM free} after a release.
  */
 public final class FileLeadership implements Leadership {
   private static final String LEASE_FILE = "lease";
   private static final String FREE = " free";
 
   /**
-   * Holds the fencing token once leadership was granted by a quorum ({@link LeadershipMark}); from
-   * then on nobody takes it by the lease file, which that leader would not see.
+   * The file that holds the fencing token once leadership was granted by a quorum ({@link
+   * LeadershipMark}). While it exists nobody takes leadership by the lease file, as a leader that
+   * was granted by a quorum does not read the lease file.
    */
   static final String TOKEN_FILE = "seat";
 
-  /** Twice as long as between two looks of whoever holds it. */
+  /** Longer than twice {@link Leadership#RENEW_INTERVAL}, so that the old holder sees the claim. */
   private static final TimeSpan CLAIM_DELAY = TimeSpan.ofMs(500);
 
   private final Storage storage;
@@ -36,9 +38,15 @@
   private final String holder;
   private String lastSeen = "";
   private long lastChangedMs;
-  private String claim; // null: none was written, or another controller's replaced it
+
+  /** Null if no claim was written, or another controller replaced it. */
+  private String claim;
+
   private long claimedMs;
-  private String ownLease; // null: not held
+
+  /** The text of the lease file as this controller wrote it last; null if it holds no lease. */
+  private String ownLease;
+
   private long renewedMs;
   private long heartbeats;
 
@@ -51,10 +59,10 @@
   }
 
   /**
-   * One in a folder of the machine's.
+   * Creates a leadership over a lease file in a folder of the file system.
    *
-   * @param duration after which a lease that is not renewed may be taken over
-   * @param holder names this process among all that may lead; without spaces
+   * @param duration the time after which a lease that is not renewed may be taken over
+   * @param holder a name without spaces, unique among the controllers that may lead
    * @throws IOException if the folder can't be opened
    */
   public static FileLeadership in(Path folder, Engine.Clock clock, TimeSpan duration, String holder)
@@ -76,7 +84,8 @@
     try {
       return lease.isEmpty() ? 0 : Long.parseLong(lease.substring(0, lease.indexOf(' ')));
     } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
-      return 0; // not ours to judge: whoever wrote it renews it, or it is taken over
+      // An unreadable lease is treated like any other: its holder renews it, or it is taken over.
+      return 0;
     }
   }
 
@@ -84,10 +93,9 @@
   public synchronized boolean tryAcquire() throws IOException {
     if (storage.list().contains(TOKEN_FILE)) {
       throw new IOException(
-          "the seat of this folder is granted by a majority: leases are to be configured, "
-              + "or the file "
-              + TOKEN_FILE
-              + " taken away");
+          "leadership of this folder is granted by a quorum of grantors, but no leases are"
+              + " configured: configure them, or delete the file "
+              + TOKEN_FILE);
     }
     String current = read();
     long nowMs = clock.steadyMs();
@@ -108,9 +116,13 @@
     return false;
   }
 
-  /** A claim that stands after the delay wins: whoever claimed at the same moment has written. */
+  /**
+   * Takes the lease if the claim is unchanged after the delay: by then every controller that
+   * claimed at the same moment has written its claim.
+   */
   private boolean confirmClaim(String current, long nowMs) throws IOException {
-    if (!current.equals(claim)) { // another controller was quicker
+    // Another controller wrote its claim later.
+    if (!current.equals(claim)) {
       claim = null;
       recordChange(current, nowMs);
       return false;
@@ -146,7 +158,8 @@
     }
     String next = term(ownLease) + " " + holder + " " + ++heartbeats;
     if (nowMs - renewedMs >= duration.ms()) {
-      ownLease = null; // stalled for longer: nobody took it, but somebody may just now
+      // This process stalled for too long. Nobody took the lease yet, but somebody may be doing so.
+      ownLease = null;
       return false;
     }
     write(next);
--- a/src/main/java/sprucerock/controller/FileStorage.java
+++ b/src/main/java/sprucerock/controller/FileStorage.java
@@ -20,8 +20,8 @@
 
   @Override
   public List<String> list() throws IOException {
-    try (Stream<Path> all = Files.list(folder)) {
-      return all.map(path -> path.getFileName().toString()).sorted().toList();
+    try (Stream<Path> files = Files.list(folder)) {
+      return files.map(path -> path.getFileName().toString()).sorted().toList();
     }
   }
 
@@ -31,28 +31,29 @@
   }
 
   private static void write(FileChannel channel, byte[] bytes) throws IOException {
-    ByteBuffer all = ByteBuffer.wrap(bytes);
-    while (all.hasRemaining()) {
-      channel.write(all);
+    ByteBuffer remaining = ByteBuffer.wrap(bytes);
+    while (remaining.hasRemaining()) {
+      channel.write(remaining);
     }
   }
 
   private void fsyncFolder() throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
-      channel.force(true); // the names in it
+      // Syncs the folder's entries, so that a new name or a rename is durable.
+      channel.force(true);
     }
   }
 
   @Override
   public AppendFile openForAppend(String name) throws IOException {
-    boolean made = !Files.exists(folder.resolve(name));
+    boolean created = !Files.exists(folder.resolve(name));
     FileChannel channel =
         FileChannel.open(
             folder.resolve(name),
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.APPEND);
-    if (made) {
+    if (created) {
       fsyncFolder();
     }
     return new AppendFile() {
--- a/src/main/java/sprucerock/controller/Leadership.java
+++ b/src/main/java/sprucerock/controller/Leadership.java
@@ -3,29 +3,30 @@
 import java.io.IOException;
 import sprucerock.time.TimeSpan;
 
-/** Which of several controllers of one store acts: at most one of them, the leader. */
+/** Elects at most one leader among the controllers that share a storage; only the leader acts. */
 public interface Leadership {
-  /** How often it is to be renewed at least. */
+  /** The longest time between two renewals. */
   TimeSpan RENEW_INTERVAL = TimeSpan.ofMs(200);
 
   /**
-   * Tries to acquire it; true once it is held. To be called again and again, each 50 ms or so.
+   * Tries to acquire leadership, and returns true once it is held. To be called repeatedly, about
+   * every 50 ms.
    *
-   * @throws IOException if what it is kept by can't be read or written; may be tried again
+   * @throws IOException if the lease can't be read or written; the call may be tried again
    */
   boolean tryAcquire() throws IOException;
 
-  /** Whether it is held for certain, now. */
+  /** Whether this controller certainly holds leadership now. */
   boolean isHeld();
 
   /**
-   * Renews it; false once it is lost, for good.
+   * Renews leadership, and returns false once it is lost for good.
    *
-   * @throws IOException if what it is kept by can't be read or written; it is held as long as
-   *     {@link #isHeld} says
+   * @throws IOException if the lease can't be read or written; {@link #isHeld} says whether
+   *     leadership is still held
    */
   boolean renew() throws IOException;
 
-  /** Gives it back, so that another controller need not wait for its term to end. */
+  /** Releases leadership, so that another controller need not wait for the lease to expire. */
   void release() throws IOException;
 }
--- a/src/main/java/sprucerock/controller/LeadershipMark.java
+++ b/src/main/java/sprucerock/controller/LeadershipMark.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * The highest fencing token under which a controller took this store's folder, in a file there: who
- * comes with a lower one was stalled for too long.
+ * A file in the storage folder with the highest fencing token under which a controller claimed the
+ * folder. A controller with a lower token was stalled for too long, and is rejected.
  */
 public final class LeadershipMark {
   private final Storage storage;
@@ -15,15 +15,15 @@
     this.storage = storage;
   }
 
-  /** Of a folder of the machine's. */
+  /** Creates a mark in a folder of the file system. */
   public static LeadershipMark in(Path folder) throws IOException {
     return new LeadershipMark(new FileStorage(folder));
   }
 
   /**
-   * The highest token that took it; 0: none did.
+   * Returns the highest token that claimed the folder, or 0 if none did.
    *
-   * @throws IOException if the file can't be read, or holds something else
+   * @throws IOException if the file can't be read, or does not contain a number
    */
   public long highestToken() throws IOException {
     if (!storage.list().contains(FileLeadership.TOKEN_FILE)) {
@@ -34,14 +34,16 @@
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
-      throw new IOException("the file " + FileLeadership.TOKEN_FILE + " holds no number", e);
+      throw new IOException(
+          "the file " + FileLeadership.TOKEN_FILE + " must contain a fencing token, a whole number",
+          e);
     }
   }
 
   /**
-   * Takes the folder under a token, on disk for good.
+   * Claims the folder under a token, durably.
    *
-   * @return false if a higher one took it
+   * @return false if a higher token claimed the folder before
    * @throws IOException if the file can't be read or written
    */
   public boolean claim(long token) throws IOException {
--- a/src/main/java/sprucerock/controller/RestartCapacity.java
+++ b/src/main/java/sprucerock/controller/RestartCapacity.java
@@ -7,16 +7,24 @@
 import java.util.TreeMap;
 
 /**
- * How many relays of each zone the rest can do without, by the work that the fleet has now; and
- * whether more has come than usual, in which case nobody is to be restarted. A relay out means its
- * work for others of its zone, whose processors are then used more.
+ * Estimates from the fleet's current load how many relays of each zone may restart at once, and
+ * detects traffic surges, during which no relay is to be restarted. The work of a restarting relay
+ * moves to the other relays of its zone, whose processors are then used more.
  */
 final class RestartCapacity {
-  private static final double MAX_UTILISATION =
-      0.7; // of the processors: above that queues grow quickly (at 0.7, M/M/1 waits twice its work)
-  private static final double SURGE_FACTOR =
-      1.5; // times the usual: less than a relay out in three would be
-  private static final int HISTORY_WINDOWS = 30; // windows
+  /**
+   * The share of processor time above which queues grow quickly: at 0.7 an M/M/1 queue waits for
+   * twice its work.
+   */
+  private static final double MAX_UTILISATION = 0.7;
+
+  /**
+   * A multiple of the usual RPCs. A smaller increase is less than the other relays get when one
+   * relay in three is out.
+   */
+  private static final double SURGE_FACTOR = 1.5;
+
+  private static final int HISTORY_WINDOWS = 30;
   private static final int MIN_HISTORY_WINDOWS = 5;
 
   private final TreeMap<Integer, double[]> loadByZone = new TreeMap<>();
@@ -26,20 +34,20 @@
   private double usualRpcs;
   private double lastWindowRpcs;
 
-  /** A relay's window: the share of its processors' time that it used, and what came. */
-  void record(int zone, double use, double rpcs) {
-    double[] sum = loadByZone.computeIfAbsent(zone, any -> new double[2]);
-    sum[0] += use;
+  /** Records a relay's window: the share of its processor time that it used, and its RPCs. */
+  void record(int zone, double utilisation, double rpcs) {
+    double[] sum = loadByZone.computeIfAbsent(zone, key -> new double[2]);
+    sum[0] += utilisation;
     sum[1]++;
     windowRpcs += rpcs;
   }
 
-  /** The window is over; returns by zone how many may be out. */
+  /** Closes the window, and returns how many relays of each zone may restart at once. */
   Map<Integer, Integer> closeWindow() {
-    TreeMap<Integer, Integer> found = new TreeMap<>();
+    TreeMap<Integer, Integer> restartable = new TreeMap<>();
     loadByZone.forEach(
         (zone, sum) ->
-            found.put(
+            restartable.put(
                 zone,
                 (int)
                     Math.max(
@@ -48,23 +56,23 @@
     Arrays.sort(sorted);
     usualRpcs = sorted.length == 0 ? windowRpcs : sorted[sorted.length / 2];
     surge = sorted.length >= MIN_HISTORY_WINDOWS && windowRpcs > SURGE_FACTOR * usualRpcs;
-    recentRpcs.addLast(
-        windowRpcs); // one that lasts is none any more once it makes up half of what is known
+    // A surge that lasts becomes the usual rate once it makes up half of the history.
+    recentRpcs.addLast(windowRpcs);
     if (recentRpcs.size() > HISTORY_WINDOWS) {
       recentRpcs.removeFirst();
     }
     loadByZone.clear();
     lastWindowRpcs = windowRpcs;
     windowRpcs = 0;
-    return found;
+    return restartable;
   }
 
-  /** Why nobody is to be restarted; empty where nothing speaks against it. */
+  /** Returns why no relay is to be restarted; empty if restarts may go on. */
   String blockedReason() {
     return surge
         ? String.format(
             java.util.Locale.ROOT,
-            "a surge: %.0f RPCs came in a window, usually %.0f",
+            "traffic surge: %.0f RPCs in a window, usually %.0f",
             lastWindowRpcs,
             usualRpcs)
         : "";
--- a/src/main/java/sprucerock/controller/Storage.java
+++ b/src/main/java/sprucerock/controller/Storage.java
@@ -4,36 +4,37 @@
 import java.util.List;
 
 /**
- * The files of a write-ahead log. What {@link AppendFile#fsync} has returned for outlives a crash.
+ * The files of a write-ahead log. Bytes appended before a completed {@link AppendFile#fsync}
+ * survive a crash.
  */
 interface Storage {
-  /** The names of all files, sorted. */
+  /** Returns the names of all files, sorted. */
   List<String> list() throws IOException;
 
-  /** The whole of a file. */
+  /** Reads a whole file. */
   byte[] read(String name) throws IOException;
 
-  /** Opens a file at its end; it is made if it is not there. */
+  /** Opens a file at its end, and creates it if it does not exist. */
   AppendFile openForAppend(String name) throws IOException;
 
-  /** Writes a whole file, and puts it in its place by one rename that outlives a crash. */
+  /** Writes a whole file, and puts it in place by one rename that survives a crash. */
   void replaceAtomically(String name, byte[] bytes) throws IOException;
 
-  /** Deletes a file, if it is there. */
+  /** Deletes a file if it exists. */
   void delete(String name) throws IOException;
 
-  /** Cuts a file off at a length in bytes. */
+  /** Truncates a file to a length in bytes. */
   void truncate(String name, long length) throws IOException;
 
-  /** A file that only grows. */
+  /** A file that is only appended to. */
   interface AppendFile {
-    /** Adds bytes at the end; a failure may leave some of them there. */
+    /** Appends bytes; after a failure some of them may be in the file. */
     void append(byte[] bytes) throws IOException;
 
-    /** All that was appended outlives a crash from now on. */
+    /** Makes all appended bytes survive a crash. */
     void fsync() throws IOException;
 
-    /** Closes the file, without a sync. */
+    /** Closes the file without a sync. */
     void close() throws IOException;
   }
 }
--- a/src/main/java/sprucerock/controller/WriteAheadLog.java
+++ b/src/main/java/sprucerock/controller/WriteAheadLog.java
@@ -11,14 +11,15 @@
 import sprucerock.controller.v1.State;
 
 /**
- * The controller's log entries in storage, each with its index and a checksum; now and then a
- * snapshot of the state that they led to, after which older files are deleted. What is appended is
- * durable once {@link #fsync} has returned. A record is: length and CRC-32C of what follows (4
- * bytes each), index (8 bytes), the entry. A torn tail is cut off, as it was never answered; damage
- * before the tail stops the start.
+ * The controller's log entries in storage, each with its index and a checksum, and snapshots of the
+ * state that the entries led to. After a snapshot older files are deleted. Appended entries are
+ * durable once {@link #fsync} has returned.
+ *
+ * <p>A record is: length and CRC-32C of what follows (4 bytes each), index (8 bytes), the entry. A
+ * torn tail is cut off, as its entry was never answered; damage before the tail stops the start.
  */
 final class WriteAheadLog {
-  /** The files can't be replayed; the message says which, why, and what to do. */
+  /** Thrown if a file can't be replayed; the message names the file, the damage and the remedy. */
   static final class DamagedException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -27,12 +28,12 @@
     }
   }
 
-  /** What a replay finds, in order: a snapshot, perhaps none, then entries. */
+  /** Receives what a replay reads, in order: at most one snapshot, then entries. */
   interface Reader {
-    /** The newest snapshot. */
+    /** Receives the newest snapshot. */
     void snapshot(State state);
 
-    /** The next entry after it. */
+    /** Receives the next entry. */
     void entry(Input entry);
   }
 
@@ -50,10 +51,15 @@
   private long lastIndex;
   private int entriesSinceSnapshot;
 
-  /** A snapshot is due each so many entries, which bounds the files and the time of a replay. */
-  WriteAheadLog(Storage storage, int snapshotEvery) {
+  /**
+   * Creates a log over a storage.
+   *
+   * @param snapshotEveryEntries the number of entries after which a snapshot is due; it bounds the
+   *     files and the time of a replay
+   */
+  WriteAheadLog(Storage storage, int snapshotEveryEntries) {
     this.storage = storage;
-    this.snapshotEveryEntries = snapshotEvery;
+    this.snapshotEveryEntries = snapshotEveryEntries;
   }
 
   private static String numberedName(String kind, long number) {
@@ -65,28 +71,29 @@
   }
 
   /**
-   * Reads all there is, and is ready for appending. {@code statusLine} is given a line on a tail
-   * that was cut off.
+   * Replays all files and opens the log for appending.
    *
+   * @param statusLine receives a line if a torn tail is cut off
    * @throws DamagedException if a record before the last one is damaged or missing
    */
   void replay(Reader reader, Consumer<String> statusLine) throws IOException, DamagedException {
     List<String> names = storage.list();
     for (String name : names) {
       if (name.endsWith(".new")) {
-        storage.delete(name); // a crash came before its rename
+        // A crash came before the file was renamed.
+        storage.delete(name);
       }
     }
     String snapshot =
         names.stream()
-            .filter(one -> one.startsWith(SNAPSHOT_PREFIX) && !one.endsWith(".new"))
-            .reduce((a, b) -> b)
+            .filter(name -> name.startsWith(SNAPSHOT_PREFIX) && !name.endsWith(".new"))
+            .reduce((older, newer) -> newer)
             .orElse(null);
     if (snapshot != null) {
       lastIndex = indexInName(snapshot);
       reader.snapshot(readSnapshot(snapshot));
     }
-    List<String> logs = names.stream().filter(one -> one.startsWith(LOG_PREFIX)).toList();
+    List<String> logs = names.stream().filter(name -> name.startsWith(LOG_PREFIX)).toList();
     for (int i = 0; i < logs.size(); i++) {
       boolean last = i == logs.size() - 1;
       boolean superseded =
@@ -104,33 +111,34 @@
     byte[] bytes = storage.read(name);
     ByteBuffer buffer = ByteBuffer.wrap(bytes);
     if (bytes.length < 8) {
-      throw damagedException(name, "is cut short");
+      throw damagedException(name, "is cut short: it has no whole header");
     }
-    int sum = buffer.getInt();
+    int checksum = buffer.getInt();
     int length = buffer.getInt();
-    if (length != buffer.remaining() || sum != checksum(bytes, 8, length)) {
-      throw damagedException(name, "has a wrong checksum");
+    if (length != buffer.remaining() || checksum != checksum(bytes, 8, length)) {
+      throw damagedException(name, "has a wrong length or checksum");
     }
     try {
       return State.parser().parseFrom(bytes, 8, length);
     } catch (InvalidProtocolBufferException e) {
-      throw damagedException(name, "can't be read");
+      throw damagedException(name, "is not a valid snapshot message");
     }
   }
 
-  private static DamagedException damagedException(String name, String what) {
+  private static DamagedException damagedException(String name, String damage) {
     return new DamagedException(
         name
             + " "
-            + what
-            + "; restore the folder from a copy, or from the other controller's, and start again: "
+            + damage
+            + "; restore the folder from a backup, or from the other controller's folder, and start"
+            + " again: "
             + "nothing was changed");
   }
 
   private static int checksum(byte[] bytes, int from, int length) {
-    CRC32C sum = new CRC32C();
-    sum.update(bytes, from, length);
-    return (int) sum.getValue();
+    CRC32C crc = new CRC32C();
+    crc.update(bytes, from, length);
+    return (int) crc.getValue();
   }
 
   private void replayEntries(String name, boolean last, Reader reader, Consumer<String> statusLine)
@@ -140,7 +148,7 @@
     while (offset < bytes.length) {
       int length = recordLength(bytes, offset);
       if (length < 0) {
-        // nothing that is whole may follow a torn tail: else it is a hole
+        // No valid record may follow a torn tail: otherwise the file has a hole.
         if (!last || validRecordAfter(bytes, offset)) {
           throw damagedException(name, "is damaged at byte " + offset + " of " + bytes.length);
         }
@@ -148,37 +156,38 @@
             name
                 + ": "
                 + (bytes.length - offset)
-                + " bytes of a record that was not finished are cut off; it was never told");
+                + " bytes of an unfinished record are cut off; its entry was never answered");
         storage.truncate(name, offset);
         return;
       }
-      long found = ByteBuffer.wrap(bytes, offset + 8, 8).getLong();
-      if (found > lastIndex + 1) {
-        throw damagedException(name, "goes on with input " + found + " after " + lastIndex);
+      long index = ByteBuffer.wrap(bytes, offset + 8, 8).getLong();
+      if (index > lastIndex + 1) {
+        throw damagedException(name, "continues with entry " + index + " after entry " + lastIndex);
       }
-      if (found == lastIndex + 1) {
-        lastIndex = found;
+      if (index == lastIndex + 1) {
+        lastIndex = index;
         entriesSinceSnapshot++;
         try {
           reader.entry(Input.parser().parseFrom(bytes, offset + HEADER_BYTES, length - 8));
         } catch (InvalidProtocolBufferException e) {
-          throw damagedException(name, "has an input at byte " + offset + " that can't be read");
+          throw damagedException(
+              name, "has an entry at byte " + offset + " that is not a valid message");
         }
       }
       offset += 8 + length;
     }
   }
 
-  /** The length after the checksum of a valid record that begins there; -1 where there is none. */
+  /** Returns the length field of a valid record that begins at an offset; -1 if there is none. */
   private static int recordLength(byte[] bytes, int offset) {
     if (bytes.length - offset < HEADER_BYTES) {
       return -1;
     }
     ByteBuffer head = ByteBuffer.wrap(bytes, offset, HEADER_BYTES);
     int length = head.getInt();
-    int sum = head.getInt();
+    int checksum = head.getInt();
     boolean fits = length >= 8 && length <= MAX_RECORD_BYTES && offset + 8 + length <= bytes.length;
-    return fits && sum == checksum(bytes, offset + 8, length) ? length : -1;
+    return fits && checksum == checksum(bytes, offset + 8, length) ? length : -1;
   }
 
   private static boolean validRecordAfter(byte[] bytes, int offset) {
@@ -193,7 +202,8 @@
   /**
    * Appends an entry, which is durable after the next {@link #fsync}.
    *
-   * @throws IOException if the storage does not take it; it can be tried again, and nothing stays
+   * @throws IOException if the storage does not accept the entry; a partial record is cut off
+   *     before the next attempt
    */
   void append(Input entry) throws IOException {
     if (tailTorn) {
@@ -202,13 +212,13 @@
     }
     byte[] body = entry.toByteArray();
     ByteArrayOutputStream record = new ByteArrayOutputStream(HEADER_BYTES + body.length);
-    ByteBuffer rest = ByteBuffer.allocate(8 + body.length).putLong(lastIndex + 1).put(body);
+    ByteBuffer indexAndBody = ByteBuffer.allocate(8 + body.length).putLong(lastIndex + 1).put(body);
     record.writeBytes(
         ByteBuffer.allocate(8)
-            .putInt(rest.capacity())
-            .putInt(checksum(rest.array(), 0, rest.capacity()))
+            .putInt(indexAndBody.capacity())
+            .putInt(checksum(indexAndBody.array(), 0, indexAndBody.capacity()))
             .array());
-    record.writeBytes(rest.array());
+    record.writeBytes(indexAndBody.array());
     tailTorn = true;
     file.append(record.toByteArray());
     tailTorn = false;
@@ -217,29 +227,29 @@
     entriesSinceSnapshot++;
   }
 
-  /** All that was appended is durable from now on. */
+  /** Makes all appended entries durable. */
   void fsync() throws IOException {
     file.fsync();
   }
 
-  /** Whether it is time for a snapshot. */
+  /** Whether a snapshot is due. */
   boolean snapshotDue() {
     return entriesSinceSnapshot >= snapshotEveryEntries;
   }
 
   /**
-   * Stores the state that all entries so far led to, and deletes the files before the last snapshot
-   * but one.
+   * Stores a snapshot of the state that all entries so far led to, and deletes the files before the
+   * last snapshot but one.
    */
   void snapshot(State state) throws IOException {
     file.fsync();
     byte[] body = state.toByteArray();
-    ByteBuffer all =
+    ByteBuffer snapshot =
         ByteBuffer.allocate(8 + body.length)
             .putInt(checksum(body, 0, body.length))
             .putInt(body.length)
             .put(body);
-    storage.replaceAtomically(numberedName(SNAPSHOT_PREFIX, lastIndex), all.array());
+    storage.replaceAtomically(numberedName(SNAPSHOT_PREFIX, lastIndex), snapshot.array());
     Storage.AppendFile next = storage.openForAppend(numberedName(LOG_PREFIX, lastIndex));
     file.close();
     file = next;
@@ -247,20 +257,20 @@
     fileLength = 0;
     entriesSinceSnapshot = 0;
     List<String> snapshots =
-        storage.list().stream().filter(one -> one.startsWith(SNAPSHOT_PREFIX)).toList();
+        storage.list().stream().filter(name -> name.startsWith(SNAPSHOT_PREFIX)).toList();
     if (snapshots.size() <= 2) {
       return;
     }
-    long keep = indexInName(snapshots.get(snapshots.size() - 2));
+    long oldestKept = indexInName(snapshots.get(snapshots.size() - 2));
     for (String name : storage.list()) {
       if ((name.startsWith(SNAPSHOT_PREFIX) || name.startsWith(LOG_PREFIX))
-          && indexInName(name) < keep) {
+          && indexInName(name) < oldestKept) {
         storage.delete(name);
       }
     }
   }
 
-  /** The index of the last entry, over all incarnations; 0 before the first. */
+  /** Returns the index of the last entry over all incarnations; 0 before the first. */
   long lastIndex() {
     return lastIndex;
   }
--- a/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
+++ b/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
@@ -3,15 +3,19 @@
 import java.util.Arrays;
 
 /**
- * Compares the relays that were not updated with themselves before a stage began: harm that the
- * updated ones do to others (connections, votes, messages, cold endpoints) is in no pair. What hits
- * everybody looks the same here, whatever its cause; so the answer is not who is to blame but
- * whether it is a time to go on. Only a loss that comes with the stage, and stays, counts.
+ * Compares the relays that were not updated with their own baseline before the deployment. Harm
+ * that updated relays do to other relays (by connections, votes, messages or cold endpoints) is not
+ * visible in any pair. A disturbance of the whole fleet looks the same here, whatever its cause; so
+ * the result does not say what caused a loss, but whether it is a time to continue. Only a loss
+ * that begins with the stage and lasts counts.
  */
 public final class BaselineLevel {
-  // what a burst or a bad build of the units takes off for a while; a stage may wait that long, and
-  // goes on once it is over
+  /**
+   * The least loss that counts. A burst of traffic or a bad build of the endpoints causes such a
+   * loss for a while; a stage may wait that long, and continues once the loss is over.
+   */
   private static final double MIN_LOSS = 0.03;
+
   private static final int MIN_LOW_WINDOWS = 5;
 
   private final double[] baselineSamples;
@@ -20,17 +24,21 @@
   private double latest = Double.NaN;
   private int windowsLow;
 
-  /** The baseline is the median of the last so many windows. */
+  /**
+   * Creates a level without a baseline.
+   *
+   * @param windows the number of last windows whose median is the baseline
+   */
   public BaselineLevel(int windows) {
     baselineSamples = new double[windows];
   }
 
-  /** A window of all relays that were not updated, together. */
-  public void record(Window all) {
-    if (all.weight() <= 0) {
+  /** Records the sum of the windows of all relays that were not updated. */
+  public void record(Window total) {
+    if (total.weight() <= 0) {
       return;
     }
-    latest = all.weightInTime() / all.weight();
+    latest = total.weightInTime() / total.weight();
     if (Double.isNaN(baseline)) {
       baselineSamples[windowsRecorded++ % baselineSamples.length] = latest;
     } else {
@@ -38,7 +46,10 @@
     }
   }
 
-  /** A stage begins: later windows are compared with the baseline before the first one. */
+  /**
+   * Begins a stage. Its windows are compared with the baseline from before the first stage, and the
+   * count of low windows starts again.
+   */
   public void stageStarted() {
     int size = Math.min(windowsRecorded, baselineSamples.length);
     if (size == 0) {
@@ -52,7 +63,7 @@
     windowsLow = 0;
   }
 
-  /** No deployment is active any more. */
+  /** Drops the baseline; to be called once no deployment is active. */
   public void reset() {
     baseline = Double.NaN;
     windowsRecorded = 0;
@@ -60,17 +71,18 @@
   }
 
   /**
-   * How many windows in a row lie well below the baseline; 0 while there are too few to wait for.
+   * Returns how many windows in a row lie well below the baseline, or 0 while there are too few to
+   * make a stage wait.
    */
   public int windowsBelowBaseline() {
     return windowsLow < MIN_LOW_WINDOWS ? 0 : windowsLow;
   }
 
-  /** The last window and the baseline in one line, for people. */
+  /** Describes the last window and the baseline in one line, for people. */
   public String explanation() {
     return String.format(
         java.util.Locale.ROOT,
-        "those that did not change serve %.3f of the worth in time, %.3f before",
+        "relays that were not updated serve %.3f of the weight in time, %.3f before the deployment",
         latest,
         baseline);
   }
--- a/src/main/java/sprucerock/controller/comparison/BettingTest.java
+++ b/src/main/java/sprucerock/controller/comparison/BettingTest.java
@@ -1,21 +1,22 @@
 package sprucerock.controller.comparison;
 
 /**
- * A sequential test by betting: the wealth of a bettor who bets, again and again, that values are
- * above zero in the mean. If each value's expectation, given all before it, is zero at most, the
- * wealth passes 1/a at any time with a chance of a at most, however often one looks (Ville 1939;
- * testing by betting: Waudby-Smith and Ramdas, "Estimating means of bounded random variables by
- * betting", 2024). The stakes need not be tuned: the wealth is shared out among a few of them and
- * the best one soon holds nearly all of it.
+ * A sequential test by betting that the mean of a series of values is above zero. If the
+ * expectation of each value, given all values before it, is at most zero, then the probability that
+ * the wealth ever exceeds 1/a is at most a, however often the result is read (Ville 1939; testing
+ * by betting: Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting",
+ * 2024). The stakes need no tuning: the wealth is divided among a few of them, and the best one
+ * soon holds nearly all of it.
  */
 final class BettingTest {
-  // halves from what loses nothing on noise to what a value of -1 just does not ruin
+  // Steps of about a factor of two, from a stake that loses next to nothing on noise to one that a
+  // value of -1 just does not ruin.
   private static final double[] STAKES = {0.01, 0.02, 0.04, 0.08, 0.16, 0.32, 0.64, 0.9};
 
   private final double[] logWealthByStake = new double[STAKES.length];
   private double maxLogWealth;
 
-  /** Bets on one more value, from -1 to 1; what lies beyond counts as these. */
+  /** Bets on one more value; values below -1 or above 1 count as -1 or 1. */
   void add(double value) {
     double bounded = Math.max(-1, Math.min(1, value));
     for (int i = 0; i < STAKES.length; i++) {
@@ -24,21 +25,21 @@
     maxLogWealth = Math.max(maxLogWealth, logWealth());
   }
 
-  /** The logarithm of the wealth now; it began at 0. */
+  /** Returns the logarithm of the current wealth, which begins at 0. */
   double logWealth() {
     double best = Double.NEGATIVE_INFINITY;
-    for (double one : logWealthByStake) {
-      best = Math.max(best, one);
+    for (double logWealth : logWealthByStake) {
+      best = Math.max(best, logWealth);
     }
     double sum = 0;
-    for (double one : logWealthByStake) {
-      sum += Math.exp(one - best);
+    for (double logWealth : logWealthByStake) {
+      sum += Math.exp(logWealth - best);
     }
     return best + Math.log(sum / logWealthByStake.length);
   }
 
-  /** Whether the wealth ever passed {@code 1 / chance}. */
-  boolean everExceeded(double chance) {
-    return maxLogWealth > -Math.log(chance);
+  /** Whether the wealth ever exceeded {@code 1 / probability}. */
+  boolean everExceeded(double probability) {
+    return maxLogWealth > -Math.log(probability);
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/Comparison.java
+++ b/src/main/java/sprucerock/controller/comparison/Comparison.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /**
- * Compares a new version with the old one as data come; its result may be read as often as one
- * likes. Each sample of a {@link MatchedWindows} is a bet a measure that the updated relay is worse
- * by more than the margin; beside it run bets that it is not worse by a stated harm. What it can't
- * see is harm that both sides suffer alike, which is the {@link BaselineLevel}'s to find.
+ * Compares a new version with the old one as windows arrive; the result may be read after any
+ * window. For each measure, each sample of a {@link MatchedWindows} is a bet that the updated relay
+ * is worse by more than the margin. Further bets say that it is not worse by a given loss. A
+ * comparison can't detect harm that both sides suffer alike; {@link BaselineLevel} does.
  */
 public final class Comparison {
-  /** What the evidence so far says of the new version. */
+  /** The evidence so far on the new version. */
   public enum Result {
     WORSE,
     NO_WORSE,
@@ -17,9 +17,14 @@
   }
 
   private static final Measure[] MEASURES = Measure.values();
-  private static final double MISSED_HARM_PROBABILITY = 0.05; // the chance to take harm for none
-  // of what pairs differ by anyhow, over all of them: else one unlike pair would look guilty in
-  // time
+
+  /** The probability of calling a harmful version no worse. */
+  private static final double MISSED_HARM_PROBABILITY = 0.05;
+
+  /**
+   * Widens the margin by the error of the pairs' usual differences. Without it one unlike pair
+   * would look worse in the long run.
+   */
   private static final double MARGIN_STANDARD_ERRORS = 2;
 
   private final double falseAlarmProbability;
@@ -32,23 +37,26 @@
   private int pairs;
 
   /**
-   * {@code falseAlarm}: the chance, over the whole life, to call worse what is none; it is shared
-   * among the measures. {@code harms}: losses of worth that {@link #answer} can be asked to rule
-   * out, each from 0 to 1.
+   * Creates a comparison without pairs.
+   *
+   * @param falseAlarmProbability the probability, over the whole comparison, of calling a harmless
+   *     version worse; it is divided among the measures
+   * @param maxLosses losses of weight, each from 0 to 1, that {@link #result} can rule out
    */
-  public Comparison(double falseAlarm, double... harms) {
-    if (!(falseAlarm > 0 && falseAlarm < 1)) {
+  public Comparison(double falseAlarmProbability, double... maxLosses) {
+    if (!(falseAlarmProbability > 0 && falseAlarmProbability < 1)) {
       throw new IllegalArgumentException(
-          "a chance of a false alarm lies between 0 and 1, not at " + falseAlarm);
+          "the probability of a false alarm must be above 0 and below 1, but is "
+              + falseAlarmProbability);
     }
-    this.falseAlarmProbability = falseAlarm;
-    this.maxLosses = harms.clone();
+    this.falseAlarmProbability = falseAlarmProbability;
+    this.maxLosses = maxLosses.clone();
     Arrays.setAll(worseTests, i -> new BettingTest());
-    noWorseTests = new BettingTest[harms.length];
+    noWorseTests = new BettingTest[maxLosses.length];
     Arrays.setAll(noWorseTests, i -> new BettingTest());
   }
 
-  /** Another pair of relays to be compared. */
+  /** Adds a pair of relays to be compared. */
   public MatchedWindows newPair() {
     return new MatchedWindows(this);
   }
@@ -57,11 +65,11 @@
     pairs++;
   }
 
-  void record(Measure measure, double difference, double stray) {
+  void record(Measure measure, double difference, double standardError) {
     int i = measure.ordinal();
     samples[i]++;
     differences[i] += difference;
-    squaredErrors[i] += stray * stray;
+    squaredErrors[i] += standardError * standardError;
     double margin =
         measure.margin
             + MARGIN_STANDARD_ERRORS
@@ -73,56 +81,56 @@
   }
 
   /**
-   * What can be said now.
+   * Returns the result on the evidence so far.
    *
-   * @param harm the index of the harm that is to be ruled out
+   * @param maxLoss the index of the loss that is to be ruled out
    */
-  public Result result(int harm) {
+  public Result result(int maxLoss) {
     if (worstMeasure() != null) {
       return Result.WORSE;
     }
-    return noWorseTests[harm].everExceeded(MISSED_HARM_PROBABILITY)
+    return noWorseTests[maxLoss].everExceeded(MISSED_HARM_PROBABILITY)
         ? Result.NO_WORSE
         : Result.NOT_SURE;
   }
 
   private Measure worstMeasure() {
-    Measure found = null;
-    for (Measure kind : MEASURES) {
+    Measure worst = null;
+    for (Measure measure : MEASURES) {
       boolean sure =
-          worseTests[kind.ordinal()].everExceeded(falseAlarmProbability / MEASURES.length);
+          worseTests[measure.ordinal()].everExceeded(falseAlarmProbability / MEASURES.length);
       if (sure
-          && (found == null
-              || worseTests[kind.ordinal()].logWealth()
-                  > worseTests[found.ordinal()].logWealth())) {
-        found = kind;
+          && (worst == null
+              || worseTests[measure.ordinal()].logWealth()
+                  > worseTests[worst.ordinal()].logWealth())) {
+        worst = measure;
       }
     }
-    return found;
+    return worst;
   }
 
-  /** The reason of the result in one line, for people. */
+  /** Returns the reason for the result in one line, for people. */
   public String explanation() {
     Measure worst = worstMeasure();
-    Measure told = worst == null ? Measure.UNSERVED : worst;
-    int i = told.ordinal();
+    Measure explained = worst == null ? Measure.UNSERVED : worst;
+    int i = explained.ordinal();
     if (samples[i] == 0) {
-      return "nothing was seen side by side yet";
+      return "no windows were compared yet";
     }
     double mean = differences[i] / samples[i];
-    boolean share = told.ordinal() <= Measure.LOST.ordinal();
-    String by =
+    boolean share = explained.ordinal() <= Measure.LOST.ordinal();
+    String amount =
         share
             ? String.format(java.util.Locale.ROOT, "%+.4f", mean)
             : String.format(java.util.Locale.ROOT, "%+.0f%%", 100 * Math.expm1(mean));
-    return told.name().toLowerCase(java.util.Locale.ROOT)
+    return explained.name().toLowerCase(java.util.Locale.ROOT)
         + " "
-        + by
-        + " beside "
+        + amount
+        + " compared with "
         + pairs
-        + " that did not change, in "
+        + " control relays, in "
         + samples[i]
-        + " looks"
-        + (worst == null ? "" : ": worse than a margin of " + told.margin);
+        + " samples"
+        + (worst == null ? "" : ": worse than the margin of " + explained.margin);
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
+++ b/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
@@ -1,15 +1,15 @@
 package sprucerock.controller.comparison;
 
 /**
- * Two relays alike in zone, load and age, of which one changes and the other, restarted with it,
- * does not. Their windows come together; those with little in them are put together until there is
- * enough, so that neither is seen more finely than the other: a relay with two RPCs in a window
- * would look perfect in most of them and terrible in a few.
+ * Matches the windows of an updated relay and of its control: two relays alike in zone, load and
+ * age, of which the control is restarted at the same time but not updated. Windows with few RPCs
+ * are summed until there are enough on both sides, so that both sides are sampled equally finely: a
+ * relay with two RPCs per window would look perfect in most windows and terrible in a few.
  */
 public final class MatchedWindows {
   /**
-   * RPCs on each side for one look. With 25, a share of 0.97 strays by 0.05 between two that are
-   * alike.
+   * The least RPCs on each side for one sample. With 25, a share of 0.97 differs by 0.05 between
+   * two relays that are alike.
    */
   static final int MIN_RPCS = 25;
 
@@ -18,7 +18,8 @@
   private final Comparison comparison;
 
   /**
-   * By how much the one that changes was worse already before it did: sums, their squares, looks.
+   * By how much the updated relay was worse already before its update: the sums of the differences,
+   * the sums of their squares and the numbers of samples, by measure.
    */
   private final double[] differencesBefore = new double[MEASURE_COUNT];
 
@@ -29,13 +30,16 @@
   private Window firstUpdated;
   private Window firstControl;
 
-  MatchedWindows(Comparison all) {
-    this.comparison = all;
+  MatchedWindows(Comparison comparison) {
+    this.comparison = comparison;
   }
 
-  /** A window before the update: what the two differ in by themselves is not blamed on it. */
-  public void recordBefore(Window changes, Window stays) {
-    if (!accumulate(changes, stays)) {
+  /**
+   * Records a window before the update. Differences that the two relays have before the update are
+   * not attributed to it.
+   */
+  public void recordBefore(Window updated, Window control) {
+    if (!accumulate(updated, control)) {
       return;
     }
     for (Measure measure : Measure.values()) {
@@ -51,50 +55,54 @@
     controlSum = Window.NONE;
   }
 
-  /** A window after the update. */
-  public void recordAfter(Window changed, Window stayed) {
+  /** Records a window after the update. */
+  public void recordAfter(Window updated, Window control) {
     if (firstUpdated == null) {
       startComparing();
     }
-    if (!accumulate(changed, stayed)) {
+    if (!accumulate(updated, control)) {
       return;
     }
     if (firstUpdated == Window.NONE) {
-      firstUpdated = changed;
+      firstUpdated = updated;
       firstControl = controlSum;
     }
     for (Measure measure : Measure.values()) {
-      double worse = changed.value(measure, firstUpdated) - controlSum.value(measure, firstControl);
+      double worse = updated.value(measure, firstUpdated) - controlSum.value(measure, firstControl);
       if (Double.isFinite(worse)) {
         comparison.record(measure, worse - usualDifference(measure), standardError(measure));
       }
     }
-    changed = Window.NONE;
+    updated = Window.NONE;
     controlSum = Window.NONE;
   }
 
-  private void startComparing() { // nothing of before counts as after
+  /** Starts the comparison; windows from before the update don't count after it. */
+  private void startComparing() {
     updatedSum = Window.NONE;
     controlSum = Window.NONE;
     firstUpdated = Window.NONE;
     comparison.pairStarted();
   }
 
-  private boolean accumulate(Window one, Window other) {
-    updatedSum = updatedSum.plus(one);
-    controlSum = controlSum.plus(other);
+  private boolean accumulate(Window updated, Window control) {
+    updatedSum = updatedSum.plus(updated);
+    controlSum = controlSum.plus(control);
     return updatedSum.rpcs() >= MIN_RPCS && controlSum.rpcs() >= MIN_RPCS;
   }
 
-  /** Drawn towards no difference by four looks: what few looks show is mostly chance. */
+  /**
+   * Returns the mean difference before the update, shrunk towards zero by four samples without a
+   * difference: what few samples show is mostly chance.
+   */
   private double usualDifference(Measure measure) {
     int i = measure.ordinal();
     return differencesBefore[i] / (samplesBefore[i] + 4);
   }
 
   /**
-   * A standard error of the usual difference; that of a difference nobody looked at is the reach's
-   * eighth.
+   * Returns the standard error of the usual difference. Without samples it is an eighth of the
+   * measure's maximal difference.
    */
   private double standardError(Measure measure) {
     int i = measure.ordinal();
--- a/src/main/java/sprucerock/controller/comparison/Measure.java
+++ b/src/main/java/sprucerock/controller/comparison/Measure.java
@@ -1,42 +1,43 @@
 package sprucerock.controller.comparison;
 
 /**
- * What is compared, so that more is always worse. The names stand in causes, which are stored.
- * Shares are of RPCs or of their worth; all else counts by the logarithm of how many times as much
- * it is.
+ * The measures that are compared; a higher value is always worse. The names appear in causes, which
+ * are stored. Shares are of RPCs or of their weight; all other measures are logarithms, so that
+ * their differences are logarithms of ratios.
  *
- * <p>The margin is what nobody would stop a change for; the reach is the largest difference that is
- * told from a larger one, some four standard deviations of a pair of windows of {@link
- * MatchedWindows#MIN_RPCS} RPCs each, so that what is cut off is as rare above as below.
+ * <p>The margin is a difference for which nobody would stop a deployment. The maximal difference is
+ * the bound at which differences are cut off. It is about four standard deviations of a pair of
+ * windows of {@link MatchedWindows#MIN_RPCS} RPCs each, so that values are cut off as rarely above
+ * as below.
  */
 enum Measure {
-  /** Weight that was not served in time, of the weight asked for. */
+  /** The share of the requested weight that was not served in time. */
   UNSERVED(0.002, 0.25),
   REFUSED(0.005, 0.25),
   ABORTED(0.002, 0.2),
   /**
-   * RPCs that had no answer. One would be a broken rule: counted all the same, as the judge may not
-   * see it.
+   * The share of RPCs that got no answer. A single one would already break an invariant; they are
+   * counted all the same, as the check of the invariants may miss one.
    */
   LOST(0.0005, 0.1),
   LATENCY(0.10, 1.0),
-  /** Processor time an RPC. */
+  /** Processor time per RPC. */
   WORK(0.25, 1.0),
   MEMORY(0.25, 1.0),
   /**
-   * By how many times memory has grown since the window after the start: what leaks is seen long
-   * before it is much.
+   * The growth of memory since the first window after the start, which shows a leak long before it
+   * is large.
    */
   GROWTH(0.10, 0.5),
   CONNECTIONS(0.35, 1.5),
-  /** Messages to peers and votes, an RPC. */
+  /** Messages to peers, and votes, per RPC. */
   MESSAGES(0.5, 1.5);
 
   final double margin;
   final double maxDifference;
 
-  Measure(double margin, double reach) {
+  Measure(double margin, double maxDifference) {
     this.margin = margin;
-    this.maxDifference = reach;
+    this.maxDifference = maxDifference;
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/Window.java
+++ b/src/main/java/sprucerock/controller/comparison/Window.java
@@ -1,15 +1,20 @@
 package sprucerock.controller.comparison;
 
 /**
- * What one relay did in one stretch of time, which is the same for all that are compared.
+ * What one relay did in one period of time, which is the same for all relays that are compared.
  *
- * @param rpcs that came
- * @param weight of these; {@code weightInTime}: of it, served within the latency objective
- * @param rejected RPCs; {@code aborted}, {@code lost} alike
- * @param answeredMs the sum of the answered ones' latencies; {@code answered}: how many
+ * @param rpcs the RPCs that arrived
+ * @param weight the priority weight of these RPCs
+ * @param weightInTime the weight of the RPCs served within the latency objective
+ * @param rejected the number of rejected RPCs
+ * @param aborted the number of aborted RPCs
+ * @param lost the number of RPCs that got no answer
+ * @param answered the number of answered RPCs
+ * @param answeredMs the sum of the latencies of the answered RPCs
  * @param workMs processor time
- * @param memoryMb held at its end; {@code connections} alike
- * @param messages sent to peers and to the controller
+ * @param memoryMb memory in use at the end of the period
+ * @param connections connections open at the end of the period
+ * @param messages messages sent to peers and to the controller
  */
 public record Window(
     double rpcs,
@@ -24,10 +29,10 @@
     double memoryMb,
     double connections,
     double messages) {
-  /** A window in which nothing came. */
+  /** A window without RPCs. */
   public static final Window NONE = new Window(0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
 
-  /** Both together; what is held is what the later one holds. */
+  /** Adds a later window; memory and connections are those of the later window. */
   public Window plus(Window later) {
     return new Window(
         rpcs + later.rpcs,
@@ -45,8 +50,8 @@
   }
 
   /**
-   * What came between an earlier reading of the same sums and this one; what is held is as it is
-   * now.
+   * Returns the difference between these totals and an earlier reading of them; memory and
+   * connections are those of this reading.
    */
   public Window minus(Window earlier) {
     return new Window(
@@ -64,7 +69,11 @@
         messages - earlier.messages);
   }
 
-  /** A measure's value; NaN where there is none. {@code first}: the window after the start. */
+  /**
+   * Returns the value of a measure; not finite if the window has no data for it.
+   *
+   * @param first the first window after the start, for growth
+   */
   double value(Measure measure, Window first) {
     return switch (measure) {
       case UNSERVED -> 1 - weightInTime / weight;
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -545,7 +545,7 @@
     assertTrue(
         statusLines
             .get(0)
-            .contains("bytes of a record that was not finished are cut off; it was never told"),
+            .contains("bytes of an unfinished record are cut off; its entry was never answered"),
         statusLines.get(0));
     assertEquals(cut.rollouts().current().build, 10);
     byte[] hole = good.clone();
--- a/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
+++ b/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
@@ -100,7 +100,7 @@
         .newPair()
         .recordAfter(window(20, 0, 60), window(400, 0, 60)); // one of them too quiet for a look
     assertEquals(comparison.result(0), Result.NOT_SURE);
-    assertEquals(comparison.explanation(), "nothing was seen side by side yet");
+    assertEquals(comparison.explanation(), "no windows were compared yet");
   }
 
   @Test
