--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -31,13 +31,15 @@
 import sprucerock.controller.v1.Word;
 import sprucerock.time.TimeSpan;
 
-/** The controller's memory through crashes at every write, full disks and damage of every kind. */
+/**
+ * Tests that the controller's state survives crashes at every write, full disks and damaged files.
+ */
 public class EngineTest {
   private static final class SimulatedCrash extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
 
-  /** A disk that crashes at its n-th step; of what was not forced a part stays, drawn. */
+  /** Storage that crashes at its n-th step and keeps a random part of the bytes not yet synced. */
   private static final class SimulatedStorage implements Storage {
     private final TreeMap<String, byte[]> durableFiles = new TreeMap<>();
     private final TreeMap<String, ByteArrayOutputStream> currentFiles = new TreeMap<>();
@@ -46,14 +48,18 @@
     private boolean full;
     private final SplittableRandom random = new SplittableRandom(5);
 
-    /** After a crash: what was forced, and a part of what was added since. */
-    void restart(long mostSteps) {
+    /**
+     * Restarts after a crash with the synced bytes and a random part of the bytes appended since.
+     */
+    void restart(long nextCrashAtStep) {
       for (String name : List.copyOf(currentFiles.keySet())) {
-        byte[] was = durableFiles.getOrDefault(name, new byte[0]);
-        byte[] is = currentFiles.get(name).toByteArray();
-        if (is.length > was.length) {
+        byte[] durable = durableFiles.getOrDefault(name, new byte[0]);
+        byte[] current = currentFiles.get(name).toByteArray();
+        if (current.length > durable.length) {
           durableFiles.put(
-              name, Arrays.copyOf(is, was.length + random.nextInt(is.length - was.length + 1)));
+              name,
+              Arrays.copyOf(
+                  current, durable.length + random.nextInt(current.length - durable.length + 1)));
         }
       }
       currentFiles.clear();
@@ -63,7 +69,7 @@
                   .computeIfAbsent(name, key -> new ByteArrayOutputStream())
                   .writeBytes(bytes));
       steps = 0;
-      crashAtStep = mostSteps;
+      crashAtStep = nextCrashAtStep;
     }
 
     private void step() {
@@ -129,10 +135,10 @@
     @Override
     public void truncate(String name, long length) {
       step();
-      byte[] cut = Arrays.copyOf(read(name), (int) length);
+      byte[] truncated = Arrays.copyOf(read(name), (int) length);
       currentFiles.get(name).reset();
-      currentFiles.get(name).writeBytes(cut);
-      durableFiles.put(name, cut);
+      currentFiles.get(name).writeBytes(truncated);
+      durableFiles.put(name, truncated);
     }
   }
 
@@ -167,54 +173,60 @@
   };
 
   /**
-   * What each relay was told to run, by its turn, in all lives; and a word that contradicts an
-   * earlier one.
+   * The desired version of each relay by generation, over all incarnations, and notifications that
+   * contradict an earlier one of the same generation.
    */
   private final TreeMap<Integer, TreeMap<Integer, Version>> desiredVersions = new TreeMap<>();
 
   private final List<String> contradictions = new ArrayList<>();
 
-  private Engine engine(Storage disk, int snapshotEvery) {
+  private Engine engine(Storage storage, int snapshotEvery) {
     return new Engine(
-        disk,
+        storage,
         snapshotEvery,
         RolloutManagerProperties.RULES,
         10,
         1,
         PLAN,
         clock,
-        (release, step) ->
+        (rollout, transition) ->
             notified.add(
-                step.sequence() + ": " + release.build + " " + step.state() + " " + step.stage()),
+                transition.sequence()
+                    + ": "
+                    + rollout.build
+                    + " "
+                    + transition.state()
+                    + " "
+                    + transition.stage()),
         new DeploymentManager.Listener() {
           @Override
-          public void transitioned(Deployment deployment, Deployment.Transition step) {
+          public void transitioned(Deployment deployment, Deployment.Transition transition) {
             notified.add(
                 "change "
-                    + step.sequence()
+                    + transition.sequence()
                     + ": "
                     + deployment.number
                     + " "
-                    + step.state()
+                    + transition.state()
                     + " "
-                    + step.stage());
+                    + transition.stage());
           }
 
           @Override
           public void desiredStateChanged(ManagedRelay relay) {
             Version before =
                 desiredVersions
-                    .computeIfAbsent(relay.number, any -> new TreeMap<>())
+                    .computeIfAbsent(relay.number, key -> new TreeMap<>())
                     .putIfAbsent(relay.generation(), relay.desiredVersion());
             if (before != null && !before.equals(relay.desiredVersion())) {
               contradictions.add(
                   "relay "
                       + relay.number
-                      + ", turn "
+                      + ", generation "
                       + relay.generation()
                       + ": "
                       + before
-                      + ", then "
+                      + ", but then "
                       + relay.desiredVersion());
             }
           }
@@ -233,18 +245,18 @@
                 .setDone(done));
   }
 
-  /** Something befalls what relays run. */
+  /** Returns a random log entry about deployments. */
   private static Input.Builder randomDeploymentEntry(Engine engine, SplittableRandom random) {
     DeploymentManager deployments = engine.deployments();
     int number = random.nextInt(6);
     ManagedRelay relay = deployments.relay(number);
-    Deployment any = deployments.active() != null ? deployments.active() : deployments.pending();
-    boolean begun = relay != null && relay.desiredVersion() != null;
+    Deployment open = deployments.active() != null ? deployments.active() : deployments.pending();
+    boolean hasDesiredVersion = relay != null && relay.desiredVersion() != null;
     return switch (random.nextInt(8)) {
       case 0 ->
-          any != null
+          open != null
               ? Input.newBuilder()
-                  .setChecked(Checked.newBuilder().setRelay(number).setChange(any.number))
+                  .setChecked(Checked.newBuilder().setRelay(number).setChange(open.number))
               : Input.newBuilder()
                   .setProposed(
                       Proposed.newBuilder()
@@ -252,33 +264,33 @@
                           .setWhy("why")
                           .setVersion(DeploymentCodec.version(VERSIONS[random.nextInt(2)])));
       case 1 ->
-          any == null
+          open == null
               ? statusReport(number, VERSIONS[0], true, 0)
               : Input.newBuilder()
                   .setJudged(
                       Judged.newBuilder()
-                          .setChange(any.number)
-                          .setStage(any.stage())
+                          .setChange(open.number)
+                          .setStage(open.stage())
                           .setVerdict(random.nextInt(8) == 0 ? "WORSE" : "NO_WORSE"));
       case 2 ->
-          any == null || random.nextInt(6) > 0
+          open == null || random.nextInt(6) > 0
               ? statusReport(
                   number,
-                  begun ? relay.desiredVersion() : VERSIONS[0],
+                  hasDesiredVersion ? relay.desiredVersion() : VERSIONS[0],
                   true,
-                  begun ? relay.generation() : 0)
+                  hasDesiredVersion ? relay.generation() : 0)
               : Input.newBuilder()
                   .setFailed(
                       Failed.newBuilder()
                           .setRelay(number)
-                          .setVersion(DeploymentCodec.version(any.toVersion))
+                          .setVersion(DeploymentCodec.version(open.toVersion))
                           .setHow("ended"));
       default ->
           statusReport(
               number,
-              begun ? relay.desiredVersion() : VERSIONS[0],
+              hasDesiredVersion ? relay.desiredVersion() : VERSIONS[0],
               random.nextInt(5) > 0,
-              begun ? relay.generation() : 0);
+              hasDesiredVersion ? relay.generation() : 0);
     };
   }
 
@@ -297,35 +309,38 @@
                 .setSource("ci"));
   }
 
-  private static Input.Builder vote(int relay, int build, int stage, String say) {
+  private static Input.Builder vote(int relay, int build, int stage, String vote) {
     return Input.newBuilder()
-        .setCast(Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(say));
+        .setCast(Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(vote));
   }
 
   private static Input.Builder endpointsReady(int build, int endpoints) {
     return Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints));
   }
 
-  /** Some inputs as a day brings them, and what each was answered. */
+  /**
+   * Appends random log entries, flushes after each loop iteration, and collects the builds whose
+   * announcement was answered as taken.
+   */
   private void appendRandomEntries(
-      Engine engine, SplittableRandom random, List<Integer> taken, int turns) {
-    for (int i = 0; i < turns; i++) {
+      Engine engine, SplittableRandom random, List<Integer> taken, int iterations) {
+    for (int i = 0; i < iterations; i++) {
       advanceTime(random.nextInt(400));
       int build = engine.rollouts().current().build;
       int stage = engine.rollouts().current().stage();
       for (int j = random.nextInt(3); j >= 0; j--) {
         int next = build + 1 + random.nextInt(2);
         switch (random.nextInt(10)) {
-          case 6, 7, 8, 9 -> engine.append(randomDeploymentEntry(engine, random), outcome -> {});
+          case 6, 7, 8, 9 -> engine.append(randomDeploymentEntry(engine, random), result -> {});
           case 0 ->
               engine.append(
                   announce("d" + next, next),
-                  outcome -> {
-                    if (isTaken(outcome)) {
+                  result -> {
+                    if (isTaken(result)) {
                       taken.add(next);
                     }
                   });
-          case 1 -> engine.append(endpointsReady(build, 10), outcome -> {});
+          case 1 -> engine.append(endpointsReady(build, 10), result -> {});
           case 2 ->
               engine.append(
                   Input.newBuilder()
@@ -335,11 +350,11 @@
                               .setBuild(build)
                               .setWho("ann")
                               .setReason("why")),
-                  outcome -> {});
+                  result -> {});
           default ->
               engine.append(
                   vote(random.nextInt(4), build, stage, random.nextInt(9) == 0 ? "BACK" : "ON"),
-                  outcome -> {});
+                  result -> {});
         }
       }
       engine.flush();
@@ -349,44 +364,44 @@
   @Test
   public void aCrashAtAnyStepLosesNothingThatWasAnswered() throws Exception {
     int crashes = 0;
-    for (int every : new int[] {7, 1000}) {
-      for (long most = 0; ; most++) {
-        SimulatedStorage disk = new SimulatedStorage();
-        disk.crashAtStep = most;
+    for (int snapshotEvery : new int[] {7, 1000}) {
+      for (long crashAtStep = 0; ; crashAtStep++) {
+        SimulatedStorage storage = new SimulatedStorage();
+        storage.crashAtStep = crashAtStep;
         notified.clear();
         desiredVersions.clear();
         List<Integer> taken = new ArrayList<>();
-        Engine engine = engine(disk, every);
+        Engine engine = engine(storage, snapshotEvery);
         boolean crashed = false;
         try {
           engine.start();
-          appendRandomEntries(engine, new SplittableRandom(most % 11), taken, 60);
+          appendRandomEntries(engine, new SplittableRandom(crashAtStep % 11), taken, 60);
         } catch (SimulatedCrash e) {
           crashed = true;
         }
         List<String> before = List.copyOf(notified);
-        disk.restart(Long.MAX_VALUE);
+        storage.restart(Long.MAX_VALUE);
         notified.clear();
         advanceTime(100);
-        Engine next = engine(disk, every);
+        Engine next = engine(storage, snapshotEvery);
         next.start();
-        List<String> steps = new ArrayList<>();
+        List<String> transitions = new ArrayList<>();
         next.rollouts()
             .rollouts()
             .forEach(
-                release ->
-                    release
+                rollout ->
+                    rollout
                         .transitions()
                         .forEach(
-                            step ->
-                                steps.add(
-                                    step.sequence()
+                            transition ->
+                                transitions.add(
+                                    transition.sequence()
                                         + ": "
-                                        + release.build
+                                        + rollout.build
                                         + " "
-                                        + step.state()
+                                        + transition.state()
                                         + " "
-                                        + step.stage())));
+                                        + transition.stage())));
         next.deployments()
             .deployments()
             .forEach(
@@ -394,36 +409,45 @@
                     deployment
                         .transitions()
                         .forEach(
-                            step ->
-                                steps.add(
+                            transition ->
+                                transitions.add(
                                     "change "
-                                        + step.sequence()
+                                        + transition.sequence()
                                         + ": "
                                         + deployment.number
                                         + " "
-                                        + step.state()
+                                        + transition.state()
                                         + " "
-                                        + step.stage())));
+                                        + transition.stage())));
         for (ManagedRelay relay : next.deployments().relays()) {
           if (desiredVersions.get(relay.number) == null) {
             continue;
           }
           assertTrue(
               relay.generation() >= desiredVersions.get(relay.number).lastKey(),
-              "a turn that was told is forgotten, crash at " + most);
+              "a generation that the relay was notified of was lost by the crash at step "
+                  + crashAtStep);
         }
         assertTrue(
             next.deployments().relays().size() >= desiredVersions.size(),
-            "a relay that was told something is forgotten");
+            "a relay that was notified was lost");
         assertTrue(
-            steps.containsAll(before),
-            "told and forgotten, crash at " + most + ": " + before + " / " + steps);
+            transitions.containsAll(before),
+            "transitions notified before the crash at step "
+                + crashAtStep
+                + " were lost: "
+                + before
+                + " / "
+                + transitions);
         for (int build : taken) {
-          assertTrue(next.rollouts().rollout(build) != null, "answered and forgotten: " + build);
+          assertTrue(
+              next.rollouts().rollout(build) != null,
+              "an answered announcement was lost: build " + build);
         }
         assertTrue(
-            next.rollouts().epoch() > engine.rollouts().epoch(), "what it tells now is not newer");
-        appendRandomEntries(next, new SplittableRandom(1), taken, 5); // and it goes on
+            next.rollouts().epoch() > engine.rollouts().epoch(), "the epoch did not increase");
+        // The restarted engine continues to accept entries.
+        appendRandomEntries(next, new SplittableRandom(1), taken, 5);
         assertEquals(contradictions, List.of());
         if (!crashed) {
           break;
@@ -436,14 +460,15 @@
 
   @Test
   public void replayRestoresTheState() throws Exception {
-    for (int every : new int[] {5, 100_000}) {
-      SimulatedStorage disk = new SimulatedStorage();
-      Engine engine = engine(disk, every);
+    for (int snapshotEvery : new int[] {5, 100_000}) {
+      SimulatedStorage storage = new SimulatedStorage();
+      Engine engine = engine(storage, snapshotEvery);
       engine.start();
       appendRandomEntries(engine, new SplittableRandom(3), new ArrayList<>(), 300);
       while (engine.rollouts().transitionDue(engine.now())
           || engine.deployments().transitionDue(engine.now())) {
-        engine.flush(); // what a restart would do at once
+        // A restart would make these transitions at once.
+        engine.flush();
       }
       var before =
           SnapshotCodec.writeSnapshot(
@@ -451,8 +476,8 @@
               .toBuilder()
               .clearEpoch()
               .build();
-      disk.restart(Long.MAX_VALUE);
-      Engine next = engine(disk, every);
+      storage.restart(Long.MAX_VALUE);
+      Engine next = engine(storage, snapshotEvery);
       next.start();
       assertEquals(
           SnapshotCodec.writeSnapshot(
@@ -461,7 +486,7 @@
               .clearEpoch()
               .build(),
           before);
-      assertTrue(every > 5 || disk.list().size() <= 6, disk.list().toString());
+      assertTrue(snapshotEvery > 5 || storage.list().size() <= 6, storage.list().toString());
     }
   }
 
@@ -477,15 +502,15 @@
 
   @Test
   public void aRepeatedDeliveryAfterARestartHasOneEffect() throws Exception {
-    SimulatedStorage disk = new SimulatedStorage();
+    SimulatedStorage storage = new SimulatedStorage();
     List<Object> answers = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      Engine engine = engine(disk, 2);
+      Engine engine = engine(storage, 2);
       engine.start();
-      engine.append(announce("d", 2), outcome -> answers.add(announcementResult(outcome)));
-      engine.append(announce("d", 2), outcome -> answers.add(announcementResult(outcome)));
+      engine.append(announce("d", 2), result -> answers.add(announcementResult(result)));
+      engine.append(announce("d", 2), result -> answers.add(announcementResult(result)));
       engine.flush();
-      disk.restart(Long.MAX_VALUE);
+      storage.restart(Long.MAX_VALUE);
     }
     assertEquals(
         answers.subList(0, 2),
@@ -498,29 +523,29 @@
   public void fullStorageRejectsEntriesUntilThereIsSpace() throws Exception {
     statusLines.clear();
     notified.clear();
-    SimulatedStorage disk = new SimulatedStorage();
-    Engine engine = engine(disk, 1000);
+    SimulatedStorage storage = new SimulatedStorage();
+    Engine engine = engine(storage, 1000);
     engine.start();
-    engine.append(announce("d", 2), outcome -> {});
+    engine.append(announce("d", 2), result -> {});
     engine.flush();
-    disk.full = true;
+    storage.full = true;
     int before = notified.size();
-    List<String> refused = new ArrayList<>();
+    List<String> rejections = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       engine.append(
-          announce("e", 3), outcome -> refused.add(((AppendResult.Rejected) outcome).message()));
+          announce("e", 3), result -> rejections.add(((AppendResult.Rejected) result).message()));
       engine.flush();
     }
     assertEquals(notified.size(), before);
     assertEquals(statusLines, List.of("storage: write failed: No space left on device"));
     assertEquals(
-        refused, java.util.Collections.nCopies(3, "write failed: No space left on device"));
-    disk.full = false;
-    engine.append(announce("e", 3), outcome -> assertTrue(isTaken(outcome)));
+        rejections, java.util.Collections.nCopies(3, "write failed: No space left on device"));
+    storage.full = false;
+    engine.append(announce("e", 3), result -> assertTrue(isTaken(result)));
     engine.flush();
     assertEquals(engine.storageFailure(), null);
-    disk.restart(Long.MAX_VALUE);
-    Engine next = engine(disk, 1000);
+    storage.restart(Long.MAX_VALUE);
+    Engine next = engine(storage, 1000);
     next.start();
     assertEquals(next.rollouts().current().build, 3);
   }
@@ -531,7 +556,7 @@
     Engine engine = engine(new FileStorage(folder), 1000);
     engine.start();
     for (int i = 2; i < 12; i++) {
-      engine.append(announce("d" + i, i), outcome -> {});
+      engine.append(announce("d" + i, i), result -> {});
       engine.flush();
     }
     engine.close();
@@ -569,7 +594,7 @@
         WriteAheadLog.DamagedException.class, () -> engine(new FileStorage(gapped), 1000).start());
   }
 
-  /** A folder with one log in it. */
+  /** Creates a folder that contains one log file. */
   private static Path folderWithLog(byte[] log) throws Exception {
     Path folder = Files.createTempDirectory("store");
     Files.write(folder.resolve("inputs-0000000000000000"), log);
@@ -581,48 +606,53 @@
     Path folder = Files.createTempDirectory("store");
     Engine old = engine(new FileStorage(folder), 1000);
     old.start();
-    old.append(announce("a", 2), outcome -> {});
+    old.append(announce("a", 2), result -> {});
     old.flush();
     Engine next = engine(new FileStorage(folder), 1000);
     next.start();
-    old.append(announce("b", 9), outcome -> {}); // it was held up, and does not know
+    // The old leader was stalled and does not know that it was replaced.
+    old.append(announce("b", 9), result -> {});
     old.flush();
-    next.append(announce("c", 3), outcome -> {});
+    next.append(announce("c", 3), result -> {});
     next.flush();
     Engine third = engine(new FileStorage(folder), 1000);
     third.start();
     assertEquals(third.rollouts().current().build, 3);
     assertEquals(third.rollouts().rollout(9), null);
-    old.setLeadershipCheck(() -> false); // once it has looked at its lease
-    List<String> refused = new ArrayList<>();
+    // The old leader finds that its lease has expired.
+    old.setLeadershipCheck(() -> false);
+    List<String> rejections = new ArrayList<>();
     old.append(
-        announce("d", 10), outcome -> refused.add(((AppendResult.Rejected) outcome).message()));
+        announce("d", 10), result -> rejections.add(((AppendResult.Rejected) result).message()));
     old.flush();
     assertEquals(
-        refused,
+        rejections,
         List.of("this controller may not be the leader any more; send the request to the leader"));
   }
 
   @Test
   public void timeNeverGoesBackThroughRestarts() throws Exception {
-    SimulatedStorage disk = new SimulatedStorage();
-    Engine engine = engine(disk, 1000);
+    SimulatedStorage storage = new SimulatedStorage();
+    Engine engine = engine(storage, 1000);
     engine.start();
     advanceTime(5000);
-    engine.append(announce("d", 2), outcome -> {});
+    engine.append(announce("d", 2), result -> {});
     engine.flush();
     double last = engine.now().ms();
-    wallMs -= 3_600_000; // set back
-    steadyMs = 7; // another process
-    disk.restart(Long.MAX_VALUE);
-    Engine back = engine(disk, 1000);
+    // The wall clock is set back.
+    wallMs -= 3_600_000;
+    // Another process has another steady clock.
+    steadyMs = 7;
+    storage.restart(Long.MAX_VALUE);
+    Engine back = engine(storage, 1000);
     back.start();
     assertTrue(back.now().ms() >= last);
-    double then = back.now().ms();
-    wallMs += 100L * 24 * 3_600_000; // set forward by months
-    disk.restart(Long.MAX_VALUE);
-    Engine forward = engine(disk, 1000);
+    double beforeJump = back.now().ms();
+    // The wall clock is set forward by months.
+    wallMs += 100L * 24 * 3_600_000;
+    storage.restart(Long.MAX_VALUE);
+    Engine forward = engine(storage, 1000);
     forward.start();
-    assertTrue(forward.now().ms() - then <= 24 * 3_600_000.0);
+    assertTrue(forward.now().ms() - beforeJump <= 24 * 3_600_000.0);
   }
 }
--- a/src/test/java/sprucerock/controller/FileLeadershipTest.java
+++ b/src/test/java/sprucerock/controller/FileLeadershipTest.java
@@ -12,11 +12,11 @@
 import org.testng.annotations.Test;
 import sprucerock.time.TimeSpan;
 
-/** Two controllers over one folder: never do both act. */
+/** Tests that of several controllers that share a folder at most one holds leadership. */
 public class FileLeadershipTest {
   private static final TimeSpan LEASE_DURATION = TimeSpan.ofMs(1000);
 
-  /** A folder in memory, of which leadership needs little. */
+  /** Storage in memory with the operations that leadership needs. */
   private static final class InMemoryStorage implements Storage {
     private final TreeMap<String, byte[]> files = new TreeMap<>();
 
@@ -77,14 +77,14 @@
   }
 
   private long acquireWithin(FileLeadership leadership, long timeoutMs) throws Exception {
-    long from = nowMs;
+    long startMs = nowMs;
     while (!leadership.tryAcquire()) {
       nowMs += 100;
-      if (nowMs - from > timeoutMs) {
+      if (nowMs - startMs > timeoutMs) {
         return -1;
       }
     }
-    return nowMs - from;
+    return nowMs - startMs;
   }
 
   @Test
@@ -105,8 +105,9 @@
     acquireWithin(a, 5000);
     FileLeadership b = leadership("b");
     b.tryAcquire();
-    long after = acquireWithin(b, 10_000);
-    assertTrue(after >= LEASE_DURATION.ms() && after <= 2 * LEASE_DURATION.ms(), after + " ms");
+    long delayMs = acquireWithin(b, 10_000);
+    assertTrue(
+        delayMs >= LEASE_DURATION.ms() && delayMs <= 2 * LEASE_DURATION.ms(), delayMs + " ms");
     assertFalse(a.isHeld());
     b.release();
     FileLeadership c = leadership("c");
@@ -119,11 +120,13 @@
     FileLeadership a = leadership("a");
     acquireWithin(a, 5000);
     FileLeadership b = leadership("b");
-    acquireWithin(b, 10_000); // while a stands still
+    // Controller a is stalled meanwhile.
+    acquireWithin(b, 10_000);
     assertFalse(a.isHeld());
     assertFalse(a.renew());
     assertTrue(b.renew());
-    assertFalse(a.tryAcquire()); // and stands in line like any other
+    // The former leader has to wait like any other controller.
+    assertFalse(a.tryAcquire());
   }
 
   @Test
@@ -131,29 +134,32 @@
     for (int seed = 0; seed < 60; seed++) {
       storage = new InMemoryStorage();
       SplittableRandom random = new SplittableRandom(seed);
-      List<FileLeadership> all = new ArrayList<>();
+      List<FileLeadership> candidates = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        all.add(leadership("h" + i));
+        candidates.add(leadership("h" + i));
       }
-      boolean[] has = new boolean[4];
+      boolean[] acquired = new boolean[4];
       int maxHolders = 0;
       for (int step = 0; step < 400; step++) {
         nowMs += random.nextInt(120);
-        int who = random.nextInt(4);
-        boolean stalls = random.nextInt(25) == 0; // one stands still for longer than the time
+        int controller = random.nextInt(4);
+        // A stalled controller does nothing for longer than the lease duration.
+        boolean stalls = random.nextInt(25) == 0;
         if (stalls) {
           nowMs += 1500;
         }
-        FileLeadership leadership = all.get(who);
-        has[who] = has[who] ? leadership.renew() : leadership.tryAcquire();
+        FileLeadership leadership = candidates.get(controller);
+        acquired[controller] = acquired[controller] ? leadership.renew() : leadership.tryAcquire();
         int holders = 0;
-        for (FileLeadership one : all) {
-          holders += one.isHeld() ? 1 : 0;
+        for (FileLeadership candidate : candidates) {
+          holders += candidate.isHeld() ? 1 : 0;
         }
         maxHolders = Math.max(maxHolders, holders);
-        assertTrue(holders <= 1, holders + " hold it, seed " + seed + ", step " + step);
+        assertTrue(
+            holders <= 1,
+            holders + " controllers hold leadership, seed " + seed + ", step " + step);
       }
-      assertEquals(maxHolders, 1, "nobody ever had it, seed " + seed);
+      assertEquals(maxHolders, 1, "no controller ever held leadership, seed " + seed);
     }
   }
 }
--- a/src/test/java/sprucerock/controller/ReferenceRolloutManager.java
+++ b/src/test/java/sprucerock/controller/ReferenceRolloutManager.java
@@ -10,9 +10,9 @@
 import sprucerock.controller.RolloutManager.Vote;
 
 /**
- * The same rules once more, as plain as can be: everything that ever happened is kept in lists, and
- * each question is answered by going through all of them. For a count of relays, no clock. Times in
- * milliseconds.
+ * A reference model of {@link RolloutManager}, written as simply as possible: it keeps all events
+ * in lists and answers each query by scanning them. It models {@link RolloutRules.Control#SINGLE}
+ * only, without a clock. Times are in milliseconds.
  */
 final class ReferenceRolloutManager {
   record CastVote(double atMs, int relay, int build, int stage, Vote vote) {}
@@ -34,23 +34,24 @@
   private int currentBuild;
   private int previousBuild;
 
-  ReferenceRolloutManager(RolloutRules rules, int places, int first) {
+  ReferenceRolloutManager(RolloutRules rules, int fleetSize, int firstBuild) {
     this.rules = rules;
-    this.fleetSize = places;
-    currentBuild = first;
-    previousBuild = first;
-    artifacts.put(first, "");
-    transitions.add(new RecordedTransition(0, first, rules.stages().size() - 1, State.RELEASED));
+    this.fleetSize = fleetSize;
+    currentBuild = firstBuild;
+    previousBuild = firstBuild;
+    artifacts.put(firstBuild, "");
+    transitions.add(
+        new RecordedTransition(0, firstBuild, rules.stages().size() - 1, State.RELEASED));
   }
 
   RecordedTransition lastTransition(int build) {
-    RecordedTransition found = null;
-    for (RecordedTransition one : transitions) {
-      if (one.build == build) {
-        found = one;
+    RecordedTransition last = null;
+    for (RecordedTransition transition : transitions) {
+      if (transition.build == build) {
+        last = transition;
       }
     }
-    return found;
+    return last;
   }
 
   int currentBuild() {
@@ -61,29 +62,32 @@
     return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
 
-  private boolean currentStateIs(State standing) {
-    return lastTransition(currentBuild).state == standing;
+  private boolean currentStateIs(State state) {
+    return lastTransition(currentBuild).state == state;
   }
 
-  /** Relays whose last fitting vote since the last change is that one, and not too old. */
-  private int count(Vote say, double now) {
+  /**
+   * Counts the relays whose newest counting vote since the last transition is of a kind and has not
+   * expired.
+   */
+  private int count(Vote vote, double nowMs) {
     Map<Integer, CastVote> newest = new HashMap<>();
-    for (CastVote one : votes) {
-      if (one.atMs >= lastTransition(currentBuild).atMs && one.build == currentBuild) {
-        newest.put(one.relay, one);
+    for (CastVote cast : votes) {
+      if (cast.atMs >= lastTransition(currentBuild).atMs && cast.build == currentBuild) {
+        newest.put(cast.relay, cast);
       }
     }
     int count = 0;
-    for (CastVote one : newest.values()) {
-      if (one.vote == say && now < one.atMs + rules.voteValidity().ms()) {
+    for (CastVote cast : newest.values()) {
+      if (cast.vote == vote && nowMs < cast.atMs + rules.voteValidity().ms()) {
         count++;
       }
     }
     return count;
   }
 
-  private void transition(double now, int build, int stage, State to) {
-    transitions.add(new RecordedTransition(now, build, stage, to));
+  private void transition(double nowMs, int build, int stage, State state) {
+    transitions.add(new RecordedTransition(nowMs, build, stage, state));
     if (build != currentBuild) {
       return;
     }
@@ -93,7 +97,7 @@
   }
 
   RolloutManager.AnnouncementResult announce(
-      String delivery, int build, String artifact, double now) {
+      String delivery, int build, String artifact, double nowMs) {
     String content = build + " " + artifact;
     if (deliveries.containsKey(delivery)) {
       return deliveries.get(delivery).equals(content)
@@ -106,25 +110,27 @@
           ? RolloutManager.AnnouncementResult.KNOWN
           : RolloutManager.AnnouncementResult.CONTRADICTS;
     }
-    if (artifacts.keySet().stream().anyMatch(one -> one > build)) {
+    if (artifacts.keySet().stream().anyMatch(announced -> announced > build)) {
       return RolloutManager.AnnouncementResult.TOO_OLD;
     }
     artifacts.put(build, artifact);
-    transitions.add(new RecordedTransition(now, build, 0, State.ANNOUNCED));
-    for (int other : new java.util.TreeSet<>(artifacts.keySet())) {
-      if (other == build) {
+    transitions.add(new RecordedTransition(nowMs, build, 0, State.ANNOUNCED));
+    for (int earlierBuild : new java.util.TreeSet<>(artifacts.keySet())) {
+      if (earlierBuild == build) {
         continue;
       }
-      RecordedTransition at = lastTransition(other);
-      if (at.state == State.ON_TRIAL || at.state == State.STARTING || at.state == State.ANNOUNCED) {
-        transition(now, other, at.stage, State.SUPERSEDED);
+      RecordedTransition current = lastTransition(earlierBuild);
+      if (current.state == State.ON_TRIAL
+          || current.state == State.STARTING
+          || current.state == State.ANNOUNCED) {
+        transition(nowMs, earlierBuild, current.stage, State.SUPERSEDED);
       }
     }
-    startNext(now);
+    startNext(nowMs);
     return RolloutManager.AnnouncementResult.TAKEN;
   }
 
-  private void startNext(double now) {
+  private void startNext(double nowMs) {
     if (currentStateIs(State.GOING_BACK)) {
       return;
     }
@@ -136,108 +142,121 @@
         previousBuild = currentBuild;
       }
       currentBuild = build;
-      transition(now, build, 0, State.STARTING);
+      transition(nowMs, build, 0, State.STARTING);
       return;
     }
   }
 
-  boolean castVote(int relay, int build, int stage, Vote say, double now) {
-    boolean trial = currentStateIs(State.ON_TRIAL);
-    boolean fits =
+  boolean castVote(int relay, int build, int stage, Vote vote, double nowMs) {
+    boolean onTrial = currentStateIs(State.ON_TRIAL);
+    boolean counts =
         build == currentBuild
-            && (say == Vote.NOTHING
-                || say == Vote.ON && trial && stage == lastTransition(currentBuild).stage
-                || say == Vote.BACK && (trial || underObservation(now)));
-    if (!fits) {
+            && (vote == Vote.NOTHING
+                || vote == Vote.ON && onTrial && stage == lastTransition(currentBuild).stage
+                || vote == Vote.BACK && (onTrial || underObservation(nowMs)));
+    if (!counts) {
       return false;
     }
-    votes.add(new CastVote(now, relay, build, stage, say));
-    reconcile(now);
+    votes.add(new CastVote(nowMs, relay, build, stage, vote));
+    reconcile(nowMs);
     return true;
   }
 
-  private boolean underObservation(double now) {
+  private boolean underObservation(double nowMs) {
     return currentStateIs(State.RELEASED)
         && previousBuild != currentBuild
-        && now - lastTransition(currentBuild).atMs <= rules.observationTime().ms();
+        && nowMs - lastTransition(currentBuild).atMs <= rules.observationTime().ms();
   }
 
-  void hold(int build, boolean on, double now) {
-    RecordedTransition at = lastTransition(build);
-    if (at == null) {
+  void hold(int build, boolean hold, double nowMs) {
+    RecordedTransition current = lastTransition(build);
+    if (current == null) {
       return;
     }
-    boolean running =
-        at.state == State.STARTING || at.state == State.ON_TRIAL || at.state == State.ANNOUNCED;
-    if (on && running && heldBuilds.add(build)) {
-      heldSinceMs = now;
-    } else if (!on && heldBuilds.remove(build)) {
+    boolean inProgress =
+        current.state == State.STARTING
+            || current.state == State.ON_TRIAL
+            || current.state == State.ANNOUNCED;
+    if (hold && inProgress && heldBuilds.add(build)) {
+      heldSinceMs = nowMs;
+    } else if (!hold && heldBuilds.remove(build)) {
       if (build == currentBuild && clockStartMs >= 0) {
-        heldMs += now - Math.max(heldSinceMs, clockStartMs);
+        heldMs += nowMs - Math.max(heldSinceMs, clockStartMs);
       }
-      reconcile(now);
+      reconcile(nowMs);
     }
   }
 
-  void withdraw(int build, double now) {
-    RecordedTransition at = lastTransition(build);
-    if (at == null) {
+  void withdraw(int build, double nowMs) {
+    RecordedTransition current = lastTransition(build);
+    if (current == null) {
       return;
     }
-    boolean running =
-        at.state == State.STARTING || at.state == State.ON_TRIAL || at.state == State.ANNOUNCED;
-    boolean last = build == currentBuild && at.state == State.RELEASED && previousBuild != build;
-    if (!running && !last) {
+    boolean inProgress =
+        current.state == State.STARTING
+            || current.state == State.ON_TRIAL
+            || current.state == State.ANNOUNCED;
+    boolean lastReleased =
+        build == currentBuild && current.state == State.RELEASED && previousBuild != build;
+    if (!inProgress && !lastReleased) {
       return;
     }
     heldBuilds.remove(build);
     transition(
-        now, build, at.stage, at.state == State.ANNOUNCED ? State.WITHDRAWN : State.GOING_BACK);
+        nowMs,
+        build,
+        current.stage,
+        current.state == State.ANNOUNCED ? State.WITHDRAWN : State.GOING_BACK);
   }
 
-  void reportEndpoints(int build, int many, double now) {
+  void reportEndpoints(int build, int ready, double nowMs) {
     if (!artifacts.containsKey(build)) {
       return;
     }
-    readyEndpoints.put(build, many);
-    reconcile(now);
+    readyEndpoints.put(build, ready);
+    reconcile(nowMs);
   }
 
-  void reconcile(double now) {
+  void reconcile(double nowMs) {
     boolean isHeld = heldBuilds.contains(currentBuild);
-    int there = readyEndpoints.getOrDefault(currentBuild, 0);
-    if (currentStateIs(State.STARTING) && !isHeld && there >= desiredEndpoints(0)) {
-      transition(now, currentBuild, 0, State.ON_TRIAL);
-      clockStartMs = now;
+    int ready = readyEndpoints.getOrDefault(currentBuild, 0);
+    if (currentStateIs(State.STARTING) && !isHeld && ready >= desiredEndpoints(0)) {
+      transition(nowMs, currentBuild, 0, State.ON_TRIAL);
+      clockStartMs = nowMs;
     }
     if (currentStateIs(State.ON_TRIAL)
         && clockStartMs < 0
-        && there >= desiredEndpoints(lastTransition(currentBuild).stage)) {
-      clockStartMs = now;
+        && ready >= desiredEndpoints(lastTransition(currentBuild).stage)) {
+      clockStartMs = nowMs;
     }
-    boolean trial = currentStateIs(State.ON_TRIAL);
-    boolean late =
+    boolean onTrial = currentStateIs(State.ON_TRIAL);
+    boolean startTimedOut =
         clockStartMs < 0
             && !isHeld
-            && now - lastTransition(currentBuild).atMs > rules.startTimeout().ms();
-    if ((trial || currentStateIs(State.STARTING)) && late
-        || (trial || underObservation(now)) && count(Vote.BACK, now) >= rules.votesToRollBack()) {
-      transition(now, currentBuild, lastTransition(currentBuild).stage, State.GOING_BACK);
-    } else if (trial
+            && nowMs - lastTransition(currentBuild).atMs > rules.startTimeout().ms();
+    if ((onTrial || currentStateIs(State.STARTING)) && startTimedOut
+        || (onTrial || underObservation(nowMs))
+            && count(Vote.BACK, nowMs) >= rules.votesToRollBack()) {
+      transition(nowMs, currentBuild, lastTransition(currentBuild).stage, State.GOING_BACK);
+    } else if (onTrial
         && clockStartMs >= 0
         && !isHeld
-        && now - clockStartMs - heldMs > rules.minStageTime().ms()
-        && count(Vote.ON, now) >= rules.votesToAdvance()) {
+        && nowMs - clockStartMs - heldMs > rules.minStageTime().ms()
+        && count(Vote.ON, nowMs) >= rules.votesToAdvance()) {
       int stage = lastTransition(currentBuild).stage;
-      boolean end = stage + 1 >= rules.stages().size();
-      transition(now, currentBuild, end ? stage : stage + 1, end ? State.RELEASED : State.ON_TRIAL);
-      if (!end && there >= desiredEndpoints(stage + 1)) {
-        clockStartMs = now;
+      boolean lastStage = stage + 1 >= rules.stages().size();
+      transition(
+          nowMs,
+          currentBuild,
+          lastStage ? stage : stage + 1,
+          lastStage ? State.RELEASED : State.ON_TRIAL);
+      if (!lastStage && ready >= desiredEndpoints(stage + 1)) {
+        clockStartMs = nowMs;
       }
     } else if (currentStateIs(State.GOING_BACK)
-        && now - lastTransition(currentBuild).atMs > rules.rollbackTime().ms()) {
-      transition(now, currentBuild, lastTransition(currentBuild).stage, State.WITHDRAWN);
-      startNext(now);
+        && nowMs - lastTransition(currentBuild).atMs > rules.rollbackTime().ms()) {
+      transition(nowMs, currentBuild, lastTransition(currentBuild).stage, State.WITHDRAWN);
+      startNext(nowMs);
     }
   }
 }
--- a/src/test/java/sprucerock/controller/RolloutManagerProperties.java
+++ b/src/test/java/sprucerock/controller/RolloutManagerProperties.java
@@ -18,8 +18,8 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The core beside the plain model under any inputs, lost, doubled and out of order; and what may
- * never be.
+ * Compares the manager with the reference model under random inputs, some of them lost, duplicated
+ * or out of order, and checks the manager's invariants.
  */
 class RolloutManagerProperties {
   static final RolloutRules RULES =
@@ -56,126 +56,136 @@
   }
 
   @Property(seed = "20261206", tries = 600, shrinking = ShrinkingMode.BOUNDED)
-  void theManagerAgreesWithTheReferenceModel(@ForAll("eventSequences") List<Event> day) {
-    List<ReferenceRolloutManager.RecordedTransition> told = new ArrayList<>();
-    RolloutManager core =
+  void theManagerAgreesWithTheReferenceModel(@ForAll("eventSequences") List<Event> events) {
+    List<ReferenceRolloutManager.RecordedTransition> notified = new ArrayList<>();
+    RolloutManager manager =
         new RolloutManager(
             RULES,
             10,
             1,
             Timestamp.ofMs(0),
-            (release, step) -> {
-              boolean moved =
-                  told.isEmpty()
-                      || told.stream()
-                          .filter(one -> one.build() == release.build)
-                          .reduce((a, b) -> b)
-                          .map(one -> one.state() != step.state() || one.stage() != step.stage())
+            (rollout, transition) -> {
+              boolean changed =
+                  notified.isEmpty()
+                      || notified.stream()
+                          .filter(last -> last.build() == rollout.build)
+                          .reduce((earlier, later) -> later)
+                          .map(
+                              last ->
+                                  last.state() != transition.state()
+                                      || last.stage() != transition.stage())
                           .orElse(true);
-              if (moved) {
-                told.add(
+              if (changed) {
+                notified.add(
                     new ReferenceRolloutManager.RecordedTransition(
-                        step.time().ms(), release.build, step.stage(), step.state()));
+                        transition.time().ms(),
+                        rollout.build,
+                        transition.stage(),
+                        transition.state()));
               }
             });
-    ReferenceRolloutManager plain = new ReferenceRolloutManager(RULES, 10, 1);
-    double at = 0;
-    int newest = 1;
-    int steps = 0;
-    for (Event event : day) {
-      at += event.delayMs;
-      Timestamp now = Timestamp.ofMs(at);
-      int build = Math.max(1, core.current().build - 1 + event.secondDraw % 3);
-      int stage = event.secondDraw % 7 == 0 ? event.secondDraw % 3 : core.current().stage();
+    ReferenceRolloutManager model = new ReferenceRolloutManager(RULES, 10, 1);
+    double nowMs = 0;
+    int newestBuild = 1;
+    int lastSequence = 0;
+    for (Event event : events) {
+      nowMs += event.delayMs;
+      Timestamp now = Timestamp.ofMs(nowMs);
+      int build = Math.max(1, manager.current().build - 1 + event.secondDraw % 3);
+      int stage = event.secondDraw % 7 == 0 ? event.secondDraw % 3 : manager.current().stage();
       switch (event.kind) {
         case 0, 1 -> {
-          int offered = event.firstDraw % 4 == 0 ? 1 + event.firstDraw % newest : ++newest;
-          String delivery = "d" + (event.firstDraw % 5 == 0 ? event.secondDraw % 6 : 1000 + newest);
+          int announcedBuild =
+              event.firstDraw % 4 == 0 ? 1 + event.firstDraw % newestBuild : ++newestBuild;
+          String delivery =
+              "d" + (event.firstDraw % 5 == 0 ? event.secondDraw % 6 : 1000 + newestBuild);
           String artifact = "a" + event.secondDraw % 2;
           assertEquals(
-              core.announceDelivery(delivery, offered, artifact, "ci", now, 0),
-              plain.announce(delivery, offered, artifact, at));
+              manager.announceDelivery(delivery, announcedBuild, artifact, "ci", now, 0),
+              model.announce(delivery, announcedBuild, artifact, nowMs));
         }
         case 2 -> {
-          boolean on = event.firstDraw % 2 == 0;
-          core.command(
-              on ? RolloutManager.OperatorCommand.HOLD : RolloutManager.OperatorCommand.RESUME,
+          boolean hold = event.firstDraw % 2 == 0;
+          manager.command(
+              hold ? RolloutManager.OperatorCommand.HOLD : RolloutManager.OperatorCommand.RESUME,
               build,
               "ann",
               "why",
               now,
               0);
-          plain.hold(build, on, at);
+          model.hold(build, hold, nowMs);
         }
         case 3 -> {
           if (event.firstDraw % 4 > 0) {
             break;
           }
-          core.command(RolloutManager.OperatorCommand.WITHDRAW, build, "ann", "why", now, 0);
-          plain.withdraw(build, at);
+          manager.command(RolloutManager.OperatorCommand.WITHDRAW, build, "ann", "why", now, 0);
+          model.withdraw(build, nowMs);
         }
         case 4, 5, 6, 7, 8 -> {
           int endpoints = event.firstDraw % 12;
-          core.reportEndpoints(core.current().build, endpoints, now, 0);
-          plain.reportEndpoints(plain.currentBuild(), endpoints, at);
+          manager.reportEndpoints(manager.current().build, endpoints, now, 0);
+          model.reportEndpoints(model.currentBuild(), endpoints, nowMs);
         }
         case 9, 10, 11 -> {
-          if (core.transitionDue(now)) {
-            core.tick(now, 0);
+          if (manager.transitionDue(now)) {
+            manager.tick(now, 0);
           }
-          plain.reconcile(at);
+          model.reconcile(nowMs);
         }
         default -> {
-          Vote say =
+          Vote vote =
               event.kind == 12 && event.firstDraw % 3 == 0
                   ? Vote.BACK
                   : event.kind == 13 ? Vote.NOTHING : Vote.ON;
           int relay = event.firstDraw % 5;
           boolean counts =
-              core.castVote(
+              manager.castVote(
                       relay,
-                      core.current().build - (event.secondDraw % 9 == 0 ? 1 : 0),
+                      manager.current().build - (event.secondDraw % 9 == 0 ? 1 : 0),
                       stage,
-                      say,
+                      vote,
                       now,
                       0)
                   == RolloutManager.VoteResult.COUNTS;
           assertEquals(
               counts,
-              plain.castVote(
+              model.castVote(
                   relay,
-                  plain.currentBuild() - (event.secondDraw % 9 == 0 ? 1 : 0),
+                  model.currentBuild() - (event.secondDraw % 9 == 0 ? 1 : 0),
                   stage,
-                  say,
-                  at));
+                  vote,
+                  nowMs));
         }
       }
-      assertEquals(core.current().build, plain.currentBuild());
-      assertEquals(core.current().state(), plain.lastTransition(plain.currentBuild()).state());
-      assertEquals(told, plain.transitions.subList(1, plain.transitions.size()));
-      assertInvariants(core);
-      assertTrue(core.sequence() >= steps);
-      steps = (int) core.sequence();
+      assertEquals(manager.current().build, model.currentBuild());
+      assertEquals(manager.current().state(), model.lastTransition(model.currentBuild()).state());
+      assertEquals(notified, model.transitions.subList(1, model.transitions.size()));
+      assertInvariants(manager);
+      assertTrue(manager.sequence() >= lastSequence);
+      lastSequence = (int) manager.sequence();
     }
   }
 
-  private static void assertInvariants(RolloutManager core) {
+  private static void assertInvariants(RolloutManager manager) {
     assertTrue(
-        core.rollouts().stream()
-                .filter(one -> one.state() == State.ON_TRIAL || one.state() == State.STARTING)
+        manager.rollouts().stream()
+                .filter(
+                    rollout ->
+                        rollout.state() == State.ON_TRIAL || rollout.state() == State.STARTING)
                 .count()
             <= 1,
-        "two at a time");
-    RolloutManager.RolloutStatus news = core.currentStatus();
-    double most =
-        news.state() == State.ON_TRIAL
-            ? RULES.stages().get(news.stage()).exposureCap()
-            : news.state() == State.RELEASED ? 1 : 0;
-    assertTrue(news.exposureCap() <= most, news.toString());
+        "two rollouts are starting or on trial");
+    RolloutManager.RolloutStatus status = manager.currentStatus();
+    double maxExposure =
+        status.state() == State.ON_TRIAL
+            ? RULES.stages().get(status.stage()).exposureCap()
+            : status.state() == State.RELEASED ? 1 : 0;
+    assertTrue(status.exposureCap() <= maxExposure, status.toString());
     assertTrue(
-        news.state() != State.STARTING
-            && news.state() != State.ANNOUNCED
-            && news.state() != State.SUPERSEDED,
-        news.toString());
+        status.state() != State.STARTING
+            && status.state() != State.ANNOUNCED
+            && status.state() != State.SUPERSEDED,
+        status.toString());
   }
 }
--- a/src/test/java/sprucerock/controller/RolloutManagerTest.java
+++ b/src/test/java/sprucerock/controller/RolloutManagerTest.java
@@ -16,7 +16,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Stories of releases, from the announcement to the end. */
+/** Tests rollouts from the announcement to the end. */
 public class RolloutManagerTest {
   private final List<String> transitions = new ArrayList<>();
   private RolloutManager manager;
@@ -36,14 +36,20 @@
             10,
             1,
             now,
-            (release, step) ->
+            (rollout, transition) ->
                 transitions.add(
-                    release.build + " " + step.state() + " " + step.stage() + ": " + step.cause()));
+                    rollout.build
+                        + " "
+                        + transition.state()
+                        + " "
+                        + transition.stage()
+                        + ": "
+                        + transition.cause()));
   }
 
   private void advanceTime(double ms) {
-    for (double until = now.ms() + ms; now.ms() < until; ) {
-      now = now.plus(TimeSpan.ofMs(Math.min(50, until - now.ms())));
+    for (double endMs = now.ms() + ms; now.ms() < endMs; ) {
+      now = now.plus(TimeSpan.ofMs(Math.min(50, endMs - now.ms())));
       if (manager.transitionDue(now)) {
         manager.tick(now, 0);
       }
@@ -54,8 +60,8 @@
     return manager.announceDelivery(delivery, build, "a" + build, "ci", now, 0);
   }
 
-  private VoteResult castVote(int relay, int build, int stage, Vote say) {
-    return manager.castVote(relay, build, stage, say, now, 0);
+  private VoteResult castVote(int relay, int build, int stage, Vote vote) {
+    return manager.castVote(relay, build, stage, vote, now, 0);
   }
 
   private void putOnTrial(int build) {
@@ -75,8 +81,8 @@
   @Test
   public void votesAdvanceABuildThroughItsStages() {
     announce("d", 2);
-    assertEquals(
-        manager.currentStatus().build(), 1); // nothing of it is told before its units are there
+    // Relays are not notified of a build before its endpoints are ready.
+    assertEquals(manager.currentStatus().build(), 1);
     manager.reportEndpoints(2, 1, now, 0);
     assertEquals(
         manager.currentStatus(),
@@ -119,7 +125,7 @@
     assertEquals(announce("g", 5), AnnouncementResult.TAKEN);
     assertEquals(announce("h", 4), AnnouncementResult.TOO_OLD);
     assertEquals(
-        transitions.stream().filter(step -> step.contains("STARTING")).toList(),
+        transitions.stream().filter(transition -> transition.contains("STARTING")).toList(),
         List.of("2 STARTING 0: nothing is in its way", "5 STARTING 0: nothing is in its way"));
   }
 
@@ -128,9 +134,8 @@
     putOnTrial(2);
     announce("x", 3);
     assertEquals(manager.rollout(2).state(), Rollout.State.SUPERSEDED);
-    assertEquals(
-        manager.currentStatus().state(),
-        Rollout.State.WITHDRAWN); // of build 2, until the units of 3 are there
+    // The status is that of build 2 until the endpoints of build 3 are ready.
+    assertEquals(manager.currentStatus().state(), Rollout.State.WITHDRAWN);
     manager.reportEndpoints(3, 10, now, 0);
     castVote(0, 3, 0, Vote.BACK);
     announce("y", 4);
@@ -146,16 +151,20 @@
     putOnTrial(2);
     assertEquals(castVote(0, 1, 0, Vote.ON), VoteResult.MOOT);
     assertEquals(castVote(0, 2, 1, Vote.ON), VoteResult.MOOT);
-    assertEquals(castVote(0, 2, 0, Vote.HOLD), VoteResult.MOOT); // there is no clock to hold
+    // Without a clock there is nothing to hold.
+    assertEquals(castVote(0, 2, 0, Vote.HOLD), VoteResult.MOOT);
     castVote(0, 2, 0, Vote.ON);
     advanceTime(4100);
-    castVote(1, 2, 0, Vote.ON); // the first one's life is over
+    // The vote of relay 0 has expired.
+    castVote(1, 2, 0, Vote.ON);
     assertEquals(manager.current().stage(), 0);
     castVote(0, 2, 0, Vote.ON);
     assertEquals(manager.current().stage(), 1);
-    assertEquals(castVote(2, 2, 0, Vote.ON), VoteResult.MOOT); // late for its stage
+    // The vote comes too late for its stage.
+    assertEquals(castVote(2, 2, 0, Vote.ON), VoteResult.MOOT);
     castVote(2, 2, 1, Vote.ON);
-    castVote(2, 2, 1, Vote.NOTHING); // taken back
+    // The relay withdraws its vote.
+    castVote(2, 2, 1, Vote.NOTHING);
     assertEquals(manager.relaysVoting(Vote.ON, now), List.of());
   }
 
@@ -167,26 +176,27 @@
       castVote(0, 2, 0, Vote.ON);
     }
     assertEquals(manager.current().stage(), 0);
-    castVote(0, 2, 0, Vote.BACK); // the last word of that number
+    // The last vote of a relay number counts.
+    castVote(0, 2, 0, Vote.BACK);
     assertEquals(manager.current().state(), Rollout.State.GOING_BACK);
   }
 
   @Test
   public void votesOverTheRateLimitAreRejected() {
-    RolloutRules r = RolloutManagerProperties.RULES;
+    RolloutRules rules = RolloutManagerProperties.RULES;
     manager(
         new RolloutRules(
-            r.stages(),
-            r.control(),
+            rules.stages(),
+            rules.control(),
             2,
             1,
             1,
-            r.voteValidity(),
-            r.minStageTime(),
-            r.clockedStageTime(),
-            r.startTimeout(),
-            r.rollbackTime(),
-            r.observationTime(),
+            rules.voteValidity(),
+            rules.minStageTime(),
+            rules.clockedStageTime(),
+            rules.startTimeout(),
+            rules.rollbackTime(),
+            rules.observationTime(),
             3));
     putOnTrial(2);
     for (int i = 0; i < 3; i++) {
@@ -207,7 +217,8 @@
     advanceTime(1000);
     assertEquals(manager.currentStatus().state(), Rollout.State.WITHDRAWN);
     release(3);
-    advanceTime(3100); // the watch is over
+    // The observation time is over.
+    advanceTime(3100);
     assertEquals(castVote(3, 3, 2, Vote.BACK), VoteResult.MOOT);
   }
 
@@ -228,7 +239,8 @@
     castVote(1, 3, 0, Vote.ON);
     assertEquals(manager.current().stage(), 1);
     advanceTime(5100);
-    assertEquals(manager.current().state(), Rollout.State.GOING_BACK); // 1 of 4
+    // Only 1 of 4 endpoints is ready.
+    assertEquals(manager.current().state(), Rollout.State.GOING_BACK);
   }
 
   @Test
@@ -245,7 +257,8 @@
     assertEquals(manager.current().stage(), 0);
     assertTrue(manager.blockers(now).contains("an operator holds it"));
     assertNull(manager.command(OperatorCommand.RESUME, 2, "ann", "it is well", now, 0));
-    assertEquals(manager.current().stage(), 0); // held time does not count
+    // The time under hold does not count.
+    assertEquals(manager.current().stage(), 0);
     advanceTime(600);
     assertEquals(manager.current().stage(), 1);
     assertNull(manager.command(OperatorCommand.WITHDRAW, 2, "ann", "not today", now, 0));
@@ -259,27 +272,28 @@
 
   @Test
   public void votesToHoldPauseTheStageClock() {
-    RolloutRules r = RolloutManagerProperties.RULES;
+    RolloutRules rules = RolloutManagerProperties.RULES;
     manager(
         new RolloutRules(
-            r.stages(),
+            rules.stages(),
             RolloutRules.Control.CLOCKED,
             1,
             1,
             2,
-            r.voteValidity(),
-            r.minStageTime(),
-            r.clockedStageTime(),
-            r.startTimeout(),
-            r.rollbackTime(),
-            r.observationTime(),
+            rules.voteValidity(),
+            rules.minStageTime(),
+            rules.clockedStageTime(),
+            rules.startTimeout(),
+            rules.rollbackTime(),
+            rules.observationTime(),
             100));
     putOnTrial(2);
     advanceTime(900);
     assertEquals(castVote(0, 2, 0, Vote.HOLD), VoteResult.COUNTS);
     advanceTime(3000);
     assertEquals(manager.current().stage(), 0);
-    advanceTime(1200); // its life is over, and the clock went on from where it stood
+    // The vote has expired, and the clock has continued from where it was paused.
+    advanceTime(1200);
     assertEquals(manager.current().stage(), 1);
     assertEquals(castVote(0, 2, 1, Vote.ON), VoteResult.MOOT);
     castVote(0, 2, 1, Vote.BACK);
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -19,8 +19,8 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * What the disk is asked to do for messages that come in one turn, and how large what is kept grows
- * with relays: counted, not timed.
+ * Counts the storage operations for messages that arrive in one loop iteration, and the growth of
+ * the stored bytes with the number of relays. Nothing is timed.
  */
 public class StoreScaleTest {
   private static final DeploymentPlan PLAN =
@@ -38,7 +38,7 @@
           .setSettings("0".repeat(64))
           .build();
 
-  /** Counts what it is asked. */
+  /** Storage in memory that counts its operations. */
   private static final class CountingStorage implements Storage {
     private final TreeMap<String, ByteArrayOutputStream> files = new TreeMap<>();
     private long appends;
@@ -59,13 +59,13 @@
 
     @Override
     public AppendFile openForAppend(String name) {
-      ByteArrayOutputStream file = files.computeIfAbsent(name, any -> new ByteArrayOutputStream());
+      ByteArrayOutputStream file = files.computeIfAbsent(name, key -> new ByteArrayOutputStream());
       return new AppendFile() {
         @Override
-        public void append(byte[] more) {
+        public void append(byte[] chunk) {
           appends++;
-          appendedBytes += more.length;
-          file.writeBytes(more);
+          appendedBytes += chunk.length;
+          file.writeBytes(chunk);
         }
 
         @Override
@@ -75,17 +75,17 @@
 
         @Override
         public void close() {
-          // nothing is held
+          // There is nothing to close.
         }
       };
     }
 
     @Override
-    public void replaceAtomically(String name, byte[] all) {
+    public void replaceAtomically(String name, byte[] content) {
       snapshots++;
-      snapshotBytes = all.length;
+      snapshotBytes = content.length;
       ByteArrayOutputStream file = new ByteArrayOutputStream();
-      file.writeBytes(all);
+      file.writeBytes(content);
       files.put(name, file);
     }
 
@@ -96,7 +96,7 @@
 
     @Override
     public void truncate(String name, long length) {
-      throw new IllegalStateException("nothing is torn here");
+      throw new IllegalStateException("truncate was called, but no record is torn");
     }
   }
 
@@ -142,20 +142,20 @@
                 return nowMs;
               }
             },
-            (release, step) -> {},
+            (rollout, transition) -> {},
             new DeploymentManager.Listener() {
               @Override
-              public void transitioned(Deployment deployment, Deployment.Transition step) {
-                // not counted
+              public void transitioned(Deployment deployment, Deployment.Transition transition) {
+                // Transitions and desired states are not counted.
               }
 
               @Override
               public void desiredStateChanged(ManagedRelay relay) {
-                // not counted
+                // Transitions and desired states are not counted.
               }
             },
-            what -> {
-              throw new IllegalStateException(what);
+            failure -> {
+              throw new IllegalStateException(failure);
             });
   }
 
@@ -169,69 +169,76 @@
                     .setRuns(OBSERVED_VERSION)
                     .setReady(true)
                     .setDone(done)),
-        outcome -> assertTrue(outcome instanceof AppendResult.Accepted));
+        result -> assertTrue(result instanceof AppendResult.Accepted));
   }
 
   private void castVote(int relay) {
     engine.append(
         Input.newBuilder()
             .setCast(Cast.newBuilder().setRelay(relay).setBuild(1).setStage(1).setSay("NOTHING")),
-        outcome -> assertTrue(outcome instanceof AppendResult.Accepted));
+        result -> assertTrue(result instanceof AppendResult.Accepted));
   }
 
   private static void print(String what, int size, double cost) {
     System.out.printf(Locale.ROOT, "counted: %s: at %d %.2f%n", what, size, cost);
   }
 
-  /** A burst is one force of the disk, whatever its size; each message is a record of its own. */
+  /** A burst of any size needs one fsync; each message is a record of its own. */
   @Test
   public void entriesOfOneLoopIterationShareOneFsync() throws Exception {
     for (int burst : new int[] {10, 100, 1000}) {
-      StoreScaleTest one = new StoreScaleTest();
-      one.engine.start();
-      long forces = one.storage.fsyncs;
-      long adds = one.storage.appends;
-      long bytes = one.storage.appendedBytes;
+      StoreScaleTest fixture = new StoreScaleTest();
+      fixture.engine.start();
+      long fsyncsBefore = fixture.storage.fsyncs;
+      long appendsBefore = fixture.storage.appends;
+      long bytesBefore = fixture.storage.appendedBytes;
       for (int i = 0; i < burst; i++) {
-        one.castVote(i);
+        fixture.castVote(i);
       }
-      one.engine.flush();
-      print("records for the votes of one turn", burst, one.storage.appends - adds);
-      print("bytes of a vote on disk", burst, (one.storage.appendedBytes - bytes) / (double) burst);
-      assertEquals(one.storage.fsyncs - forces, 1, "forces for " + burst + " votes");
-      assertEquals(one.engine.entryCount(), burst + 1, "each is there");
+      fixture.engine.flush();
+      print("records for the votes of one turn", burst, fixture.storage.appends - appendsBefore);
+      print(
+          "bytes of a vote on disk",
+          burst,
+          (fixture.storage.appendedBytes - bytesBefore) / (double) burst);
+      assertEquals(fixture.storage.fsyncs - fsyncsBefore, 1, "fsyncs for " + burst + " votes");
+      assertEquals(fixture.engine.entryCount(), burst + 1, "number of log entries");
       assertEquals(
-          one.storage.appends - adds, burst, "records for " + burst + " votes of one turn");
+          fixture.storage.appends - appendsBefore,
+          burst,
+          "records for " + burst + " votes of one loop iteration");
     }
   }
 
   /**
-   * A controller that starts again finds each relay as it was: what an agent says again is no
-   * record. The door compares; here is what a first word costs.
+   * Measures what the first status report of a relay costs. After a restart of the controller a
+   * repeated report adds no record, as the controller's server compares it with the known status.
    */
   @Test
   public void storedBytesGrowWithTheRelays() throws Exception {
-    double[] each = new double[2];
+    double[] bytesPerRelay = new double[2];
     int[] sizes = {100, 400};
     for (int i = 0; i < 2; i++) {
-      StoreScaleTest one = new StoreScaleTest(2 * sizes[i]);
-      one.engine.start();
+      StoreScaleTest fixture = new StoreScaleTest(2 * sizes[i]);
+      fixture.engine.start();
       for (int relay = 0; relay < sizes[i]; relay++) {
-        one.reportStatus(relay, 0);
+        fixture.reportStatus(relay, 0);
       }
       for (int relay = 0; relay < sizes[i]; relay++) {
-        one.castVote(relay);
+        fixture.castVote(relay);
       }
-      long bytes = one.storage.appendedBytes;
-      one.engine.flush();
+      long bytesBefore = fixture.storage.appendedBytes;
+      fixture.engine.flush();
       print(
           "bytes of an agent's word and a vote on disk",
           sizes[i],
-          (one.storage.appendedBytes - bytes) / (double) sizes[i]);
-      assertEquals(one.storage.snapshots, 1);
-      each[i] = one.storage.snapshotBytes / (double) sizes[i];
-      print("bytes of a relay in a snapshot", sizes[i], each[i]);
+          (fixture.storage.appendedBytes - bytesBefore) / (double) sizes[i]);
+      assertEquals(fixture.storage.snapshots, 1);
+      bytesPerRelay[i] = fixture.storage.snapshotBytes / (double) sizes[i];
+      print("bytes of a relay in a snapshot", sizes[i], bytesPerRelay[i]);
     }
-    assertTrue(each[1] <= 1.1 * each[0], each[1] + " after " + each[0]);
+    assertTrue(
+        bytesPerRelay[1] <= 1.1 * bytesPerRelay[0],
+        bytesPerRelay[1] + " after " + bytesPerRelay[0]);
   }
 }
--- a/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
+++ b/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
@@ -8,49 +8,53 @@
 import sprucerock.controller.comparison.Comparison.Result;
 
 /**
- * What is told of old and new side by side; chance from seeds, so each verdict is the same every
- * time.
+ * Tests the comparison of an old and a new version. The random numbers are seeded, so each result
+ * is the same in every run.
  */
 public class ComparisonTest {
   private final SplittableRandom random = new SplittableRandom(7);
 
-  /** A relay's window: so many RPCs, of which a share is not served in time, as chance has it. */
-  private Window window(int rpcs, double unserved, double ms) {
-    int missed = 0;
+  /** Creates a random window in which each RPC is not served in time with a given probability. */
+  private Window window(int rpcs, double unservedProbability, double latencyMs) {
+    int unserved = 0;
     for (int i = 0; i < rpcs; i++) {
-      if (random.nextDouble() < unserved) {
-        missed++;
+      if (random.nextDouble() < unservedProbability) {
+        unserved++;
       }
     }
     double noise = 1 + 0.1 * (random.nextDouble() - 0.5);
     return new Window(
         rpcs,
         rpcs,
-        rpcs - missed,
-        missed,
+        rpcs - unserved,
+        unserved,
         0,
         0,
-        rpcs - missed,
-        (rpcs - missed) * ms * noise,
+        rpcs - unserved,
+        (rpcs - unserved) * latencyMs * noise,
         rpcs * noise,
         50,
         100,
         rpcs);
   }
 
-  private Comparison compare(int couples, int windows, double old, double fresh, double freshMs) {
+  /** Compares pairs of relays; now and then a disturbance makes both sides worse. */
+  private Comparison compare(
+      int pairCount, int windows, double oldUnserved, double newUnserved, double newLatencyMs) {
     Comparison comparison = new Comparison(0.02, 0.1, 0.05, 0.02, 0.01);
-    MatchedWindows[] all = new MatchedWindows[couples];
-    for (int i = 0; i < couples; i++) {
-      all[i] = comparison.newPair();
+    MatchedWindows[] pairs = new MatchedWindows[pairCount];
+    for (int i = 0; i < pairCount; i++) {
+      pairs[i] = comparison.newPair();
       for (int w = 0; w < 30; w++) {
-        all[i].recordBefore(window(40, old, 60), window(40, old, 60));
+        pairs[i].recordBefore(window(40, oldUnserved, 60), window(40, oldUnserved, 60));
       }
     }
     for (int w = 0; w < windows; w++) {
-      double shared = w % 20 < 5 ? 0.2 : 0; // now and then everybody is worse
-      for (MatchedWindows one : all) {
-        one.recordAfter(window(40, fresh + shared, freshMs), window(40, old + shared, 60));
+      double disturbance = w % 20 < 5 ? 0.2 : 0;
+      for (MatchedWindows pair : pairs) {
+        pair.recordAfter(
+            window(40, newUnserved + disturbance, newLatencyMs),
+            window(40, oldUnserved + disturbance, 60));
       }
     }
     return comparison;
@@ -59,18 +63,20 @@
   @Test
   public void aGoodVersionIsFoundNoWorse() {
     int stopped = 0;
-    int known = 0;
+    int noWorse = 0;
     for (int i = 0; i < 200; i++) {
-      Result answer = compare(5, 60, 0.02, 0.02, 60).result(1);
-      if (answer == Result.WORSE) {
+      Result result = compare(5, 60, 0.02, 0.02, 60).result(1);
+      if (result == Result.WORSE) {
         stopped++;
       }
-      if (answer == Result.NO_WORSE) {
-        known++;
+      if (result == Result.NO_WORSE) {
+        noWorse++;
       }
     }
-    assertTrue(stopped <= 4, "stopped " + stopped + " of 200, where 2% are allowed");
-    assertTrue(known >= 190, "no worse than 5% was known for " + known + " of 200");
+    assertTrue(
+        stopped <= 4, stopped + " of 200 good versions were found worse, but at most 2% may be");
+    assertTrue(
+        noWorse >= 190, "only " + noWorse + " of 200 good versions were found no worse by 5%");
   }
 
   @Test
@@ -81,7 +87,7 @@
         found++;
       }
     }
-    assertTrue(found >= 48, "found " + found + " of 50");
+    assertTrue(found >= 48, "only " + found + " of 50 harmful versions were found worse");
   }
 
   @Test
@@ -96,9 +102,8 @@
   public void withoutDataTheResultIsNotSure() {
     Comparison comparison = new Comparison(0.02, 0.1);
     assertEquals(comparison.result(0), Result.NOT_SURE);
-    comparison
-        .newPair()
-        .recordAfter(window(20, 0, 60), window(400, 0, 60)); // one of them too quiet for a look
+    // One of the relays has too few RPCs for a sample.
+    comparison.newPair().recordAfter(window(20, 0, 60), window(400, 0, 60));
     assertEquals(comparison.result(0), Result.NOT_SURE);
     assertEquals(comparison.explanation(), "no windows were compared yet");
   }
@@ -106,12 +111,12 @@
   @Test
   public void aDifferenceBeforeTheUpdateIsNotBlamedOnIt() {
     Comparison comparison = new Comparison(0.02, 0.1);
-    MatchedWindows couple = comparison.newPair();
+    MatchedWindows pair = comparison.newPair();
     for (int w = 0; w < 30; w++) {
-      couple.recordBefore(window(40, 0.10, 90), window(40, 0.02, 60));
+      pair.recordBefore(window(40, 0.10, 90), window(40, 0.02, 60));
     }
     for (int w = 0; w < 300; w++) {
-      couple.recordAfter(window(40, 0.10, 90), window(40, 0.02, 60));
+      pair.recordAfter(window(40, 0.10, 90), window(40, 0.02, 60));
     }
     assertTrue(comparison.result(0) != Result.WORSE, comparison.explanation());
   }
@@ -133,17 +138,17 @@
 
   @Test
   public void aBettingTestOnNoiseKeepsItsFalseAlarmRate() {
-    int rich = 0;
+    int exceeded = 0;
     for (int i = 0; i < 1000; i++) {
-      BettingTest wager = new BettingTest();
+      BettingTest test = new BettingTest();
       for (int n = 0; n < 500; n++) {
-        wager.add(random.nextBoolean() ? 0.5 : -0.5);
+        test.add(random.nextBoolean() ? 0.5 : -0.5);
       }
-      if (wager.everExceeded(0.05)) {
-        rich++;
+      if (test.everExceeded(0.05)) {
+        exceeded++;
       }
     }
-    assertTrue(rich <= 50, rich + " of 1000 passed 1/0.05 by chance");
-    assertTrue(rich > 0, "a bound that is never met is none");
+    assertTrue(exceeded <= 50, exceeded + " of 1000 tests exceeded 1/0.05 by chance");
+    assertTrue(exceeded > 0, "no test ever exceeded the bound, so the bound is too loose to test");
   }
 }
