--- a/src/test/java/sprucerock/controller/ControllerCompatTest.java
+++ b/src/test/java/sprucerock/controller/ControllerCompatTest.java
@@ -47,9 +47,9 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The controller's folder as the program that was recorded left it: its log of inputs with every
- * kind of them, and its snapshots. A restart on it leads to the same state, told and written as the
- * same bytes.
+ * Tests that a storage folder recorded by an earlier version of the controller stays readable. The
+ * folder has a log with every kind of entry, and snapshots. A restart on the folder must restore
+ * the same state and write the same bytes.
  */
 public class ControllerCompatTest {
   private static final String FOLDER = "controller/";
@@ -58,8 +58,8 @@
   private static final String UNDER_DEPLOYMENT = "under-change";
 
   /**
-   * A folder that has the log alone, one with snapshots too, and one of a life that ended while a
-   * change was carried out.
+   * A folder with a log only, one with snapshots, and one of an incarnation that ended while a
+   * deployment was in progress.
    */
   private static final List<String> FOLDERS = List.of(LOG, SNAPSHOTS, UNDER_DEPLOYMENT);
 
@@ -102,7 +102,7 @@
           0.3,
           TimeSpan.ofMs(60_000));
 
-  /** Clocks that a scenario moves. */
+  /** Clocks that a scenario advances. */
   private static final class ManualClock implements Engine.Clock {
     private long passedMs;
 
@@ -118,22 +118,22 @@
   }
 
   private static MaintenanceWindows maintenanceWindows() {
-    double[] needs = new double[24];
-    Arrays.fill(needs, 10);
+    double[] needByHour = new double[24];
+    Arrays.fill(needByHour, 10);
     List<Rack> racks =
         List.of(
             new Rack("a1", 1, 1, Map.of(2, 10.0), 5 * MINUTE_MS),
             new Rack("a2", 1, 2, Map.of(2, 10.0), 5 * MINUTE_MS),
             new Rack("a3", 1, 3, Map.of(3, 8.0), 5 * MINUTE_MS),
             new Rack("b1", 2, 1, Map.of(2, 10.0), 5 * MINUTE_MS));
-    CapacityCheck room =
-        new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needs)), 0.2);
+    CapacityCheck capacityCheck =
+        new CapacityCheck(racks, Map.of(1, new CapacityCheck.Forecast(2, 0, needByHour)), 0.2);
     return new MaintenanceWindows(
         new MaintenanceWindows.Rules(MINUTE_MS, 15 * MINUTE_MS, 0.95),
-        room,
+        capacityCheck,
         new MaintenanceWindows.Listener() {
           @Override
-          public void changed(MaintenanceWindow freeze, MaintenanceWindow.Step step) {}
+          public void changed(MaintenanceWindow window, MaintenanceWindow.Step step) {}
 
           @Override
           public void grantsChanged() {}
@@ -142,10 +142,10 @@
 
   private static Engine engine(Path folder, int snapshotEvery, Engine.Clock clock)
       throws IOException {
-    DeploymentManager.Listener nobody =
+    DeploymentManager.Listener ignoringListener =
         new DeploymentManager.Listener() {
           @Override
-          public void transitioned(Deployment deployment, Deployment.Transition step) {}
+          public void transitioned(Deployment deployment, Deployment.Transition transition) {}
 
           @Override
           public void desiredStateChanged(ManagedRelay relay) {}
@@ -158,15 +158,15 @@
         1,
         PLAN,
         clock,
-        (release, step) -> {},
-        nobody,
+        (rollout, transition) -> {},
+        ignoringListener,
         maintenanceWindows(),
-        said -> {
-          throw new AssertionError(said);
+        line -> {
+          throw new AssertionError(line);
         });
   }
 
-  /** What happens to a controller in a short life, with inputs of every kind. */
+  /** Runs a controller through a short scenario with entries of every kind. */
   private static final class Scenario {
     private final ManualClock clock;
     private final Engine engine;
@@ -201,9 +201,9 @@
       engine.flush();
     }
 
-    private void append(Input.Builder input) {
+    private void append(Input.Builder entry) {
       clock.passedMs += 10;
-      engine.append(input, outcome -> {});
+      engine.append(entry, result -> {});
       engine.flush();
     }
 
@@ -222,11 +222,11 @@
       append(Input.newBuilder().setReady(Ready.newBuilder().setBuild(build).setUnits(endpoints)));
     }
 
-    private void castVote(int relay, int build, int stage, String say) {
+    private void castVote(int relay, int build, int stage, String vote) {
       append(
           Input.newBuilder()
               .setCast(
-                  Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(say)));
+                  Cast.newBuilder().setRelay(relay).setBuild(build).setStage(stage).setSay(vote)));
     }
 
     private void commandRollout(String action, int build) {
@@ -240,7 +240,7 @@
                       .setReason("why " + action)));
     }
 
-    /** A build goes through both stages, held for a while, and is released. */
+    /** A build passes through both stages, is held for a while, and is released. */
     private void firstRollout() {
       announce("delivery-2", 2);
       announce("delivery-2", 2);
@@ -260,7 +260,8 @@
       append(Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(2)));
     }
 
-    private void reportAgentStatus(int relay, Version runs, boolean ready, int done) {
+    private void reportAgentStatus(
+        int relay, Version observedVersion, boolean ready, int observedGeneration) {
       append(
           Input.newBuilder()
               .setAgent(
@@ -268,12 +269,12 @@
                       .setRelay(relay)
                       .setZone(relay == RELAYS ? 2 : 1)
                       .setBusy(relay == 1)
-                      .setRuns(DeploymentCodec.version(runs))
+                      .setRuns(DeploymentCodec.version(observedVersion))
                       .setReady(ready)
-                      .setDone(done)));
+                      .setDone(observedGeneration)));
     }
 
-    /** Each agent says that its relay runs what it was told. */
+    /** Each agent reports that its relay runs the desired version. */
     private void reportDesiredVersions() {
       for (ManagedRelay relay : List.copyOf(engine.deployments().relays())) {
         reportAgentStatus(
@@ -284,7 +285,7 @@
       }
     }
 
-    private void propose(Version version, boolean live) {
+    private void propose(Version version, boolean hotReload) {
       append(
           Input.newBuilder()
               .setProposed(
@@ -292,47 +293,47 @@
                       .setWho("ben")
                       .setWhy("newer")
                       .setVersion(DeploymentCodec.version(version))
-                      .setLive(live)));
+                      .setLive(hotReload)));
     }
 
-    private void reportValidation(int relay, long change, String refusal) {
+    private void reportValidation(int relay, long deployment, String refusal) {
       append(
           Input.newBuilder()
               .setChecked(
-                  Checked.newBuilder().setRelay(relay).setChange(change).setRefusal(refusal)));
+                  Checked.newBuilder().setRelay(relay).setChange(deployment).setRefusal(refusal)));
     }
 
-    private void commandDeployment(String word, long change) {
+    private void commandDeployment(String command, long deployment) {
       append(
           Input.newBuilder()
               .setChangeWord(
                   ChangeWord.newBuilder()
-                      .setWord(word)
-                      .setChange(change)
+                      .setWord(command)
+                      .setChange(deployment)
                       .setWho("ann")
-                      .setReason("why " + word)));
+                      .setReason("why " + command)));
     }
 
     /**
-     * Of one zone alone: a snapshot has several in the order of a hash, which differs from one
-     * process to the next.
+     * Sets the restart budget of a single zone: a snapshot stores several zones in hash order,
+     * which differs from one process to the next.
      */
     private void setRestartBudget(int relays, String why) {
       append(Input.newBuilder().setRoom(Room.newBuilder().putByZone(1, relays).setWhy(why)));
     }
 
-    private void reportVerdict(long change, int stage, String verdict) {
+    private void reportVerdict(long deployment, int stage, String verdict) {
       append(
           Input.newBuilder()
               .setJudged(
                   Judged.newBuilder()
-                      .setChange(change)
+                      .setChange(deployment)
                       .setStage(stage)
                       .setVerdict(verdict)
                       .setReason("compared")));
     }
 
-    /** The first relay of a change is told, and one beside it waits to be restarted too. */
+    /** The first relay of a deployment is notified, and its control waits to be restarted too. */
     private void beginDeployment() {
       for (int relay = 1; relay <= RELAYS; relay++) {
         reportAgentStatus(relay, OLD, true, 0);
@@ -348,7 +349,7 @@
       commandDeployment("RESUME", 1);
     }
 
-    /** The change reaches its second stage, whose relays are compared. */
+    /** The deployment reaches its second stage, whose relays are compared. */
     private void secondDeploymentStage() {
       for (int i = 0; i < 4; i++) {
         advanceTime(300);
@@ -360,10 +361,10 @@
       reportVerdict(1, 1, "NOT_SURE");
     }
 
-    /** A relay fails under the change, which goes back. */
+    /** A relay fails on the new version, and the deployment is rolled back. */
     private void relayFailure() {
       append(Input.newBuilder().setSilent(Silent.newBuilder().setRelay(4)));
-      int moved =
+      int updatedRelay =
           engine.deployments().relays().stream()
               .filter(relay -> NEW.equals(relay.desiredVersion()))
               .findFirst()
@@ -373,7 +374,7 @@
           Input.newBuilder()
               .setFailed(
                   Failed.newBuilder()
-                      .setRelay(moved)
+                      .setRelay(updatedRelay)
                       .setVersion(DeploymentCodec.version(NEW))
                       .setHow("ended with code 1")
                       .setTurn(1)));
@@ -389,16 +390,16 @@
           .setReason("new switch");
     }
 
-    private void commandWindow(String word, long freeze, String who, long toMs) {
+    private void commandWindow(String command, long window, String who, long toMs) {
       append(
           Input.newBuilder()
               .setFreezeWord(
                   FreezeWord.newBuilder()
-                      .setWord(word)
-                      .setFreeze(freeze)
+                      .setWord(command)
+                      .setFreeze(window)
                       .setToMs(toMs)
                       .setWho(who)
-                      .setReason("why " + word)));
+                      .setReason("why " + command)));
     }
 
     private void reportRack(String rack, boolean down) {
@@ -422,8 +423,8 @@
     }
 
     /**
-     * Freezes once, again and again, at once; one is extended, one called off, one cleared by all
-     * relays.
+     * Opens a single, a recurring and an emergency maintenance window; one window is extended, one
+     * cancelled, and one cleared by all relays.
      */
     private void openWindows() {
       reportHardwareModel(3);
@@ -451,7 +452,7 @@
       append(Input.newBuilder().setFreezeCleared(FreezeCleared.newBuilder().setFreeze(4)));
     }
 
-    /** A build that a relay votes back. */
+    /** A build is rolled back by the vote of a relay. */
     private void secondRollout() {
       announce("delivery-3", 3);
       reportEndpoints(3, 1);
@@ -462,7 +463,7 @@
     }
 
     /**
-     * A change without restarts that waits for some to read it through, and one that takes its
+     * A deployment without restarts waits until relays have validated it, and another one takes its
      * place.
      */
     private void secondDeployment() {
@@ -481,14 +482,14 @@
       commandDeployment("HOLD", 3);
     }
 
-    /** Racks die, so that a freeze is held; one operator of two forces it. */
+    /** Racks go down, so that a window is held; one of the two needed operators forces it. */
     private void forceHeldWindow() {
       reportRack("a3", true);
       reportRack("a2", true);
       commandWindow("FORCE", 2, "ann", 0);
     }
 
-    /** The life ends with a build on trial that is held, and votes about it. */
+    /** The incarnation ends with a build on trial that is held and has votes. */
     private void thirdRollout() {
       announce("delivery-4", 4);
       reportEndpoints(4, 1);
@@ -502,7 +503,7 @@
     }
   }
 
-  /** A controller starts on a folder, and ends at once; returns what it knows then. */
+  /** Starts a controller on a folder, stops it at once, and returns a listing of its state. */
   private static String restart(Path folder) throws Exception {
     ManualClock clock = new ManualClock();
     clock.passedMs = lastWallMs(folder) - START_WALL_MS + DOWNTIME_MS;
@@ -519,11 +520,11 @@
     return last[0];
   }
 
-  /** Reads a folder's snapshot and the inputs after it. */
-  private static void read(Path folder, List<State> states, List<Input> inputs, long[] lastWallMs)
+  /** Reads a folder's snapshot and the entries after it. */
+  private static void read(Path folder, List<State> states, List<Input> entries, long[] lastWallMs)
       throws Exception {
-    WriteAheadLog store = new WriteAheadLog(new FileStorage(folder), NO_SNAPSHOT);
-    store.replay(
+    WriteAheadLog log = new WriteAheadLog(new FileStorage(folder), NO_SNAPSHOT);
+    log.replay(
         new WriteAheadLog.Reader() {
           @Override
           public void snapshot(State state) {
@@ -532,18 +533,18 @@
           }
 
           @Override
-          public void entry(Input input) {
-            inputs.add(input);
-            lastWallMs[0] = input.getWallMs();
+          public void entry(Input entry) {
+            entries.add(entry);
+            lastWallMs[0] = entry.getWallMs();
           }
         },
-        said -> {
-          throw new AssertionError(said);
+        line -> {
+          throw new AssertionError(line);
         });
-    store.close();
+    log.close();
   }
 
-  /** What a controller knows, in words of its own, from which a field taken for another shows. */
+  /** Lists a controller's state as text that shows if one field was read as another. */
   private static String listing(Engine engine) {
     StringBuilder text =
         new StringBuilder(
@@ -554,9 +555,9 @@
                 + ", inputs "
                 + engine.entryCount()
                 + "\n");
-    for (Rollout release : engine.rollouts().rollouts()) {
-      text.append("build ").append(release.build).append(' ').append(release.artifact).append('\n');
-      release
+    for (Rollout rollout : engine.rollouts().rollouts()) {
+      text.append("build ").append(rollout.build).append(' ').append(rollout.artifact).append('\n');
+      rollout
           .transitions()
           .forEach(
               step ->
@@ -611,17 +612,17 @@
           .append(relay.desiredVersion())
           .append('\n');
     }
-    for (MaintenanceWindow freeze : engine.maintenanceWindows().all()) {
+    for (MaintenanceWindow window : engine.maintenanceWindows().all()) {
       text.append("freeze ")
-          .append(freeze.number)
+          .append(window.number)
           .append(" of ")
-          .append(freeze.racks)
+          .append(window.racks)
           .append(" by ")
-          .append(freeze.operator)
+          .append(window.operator)
           .append(": ")
-          .append(freeze.reason)
+          .append(window.reason)
           .append('\n');
-      freeze
+      window
           .steps()
           .forEach(
               step ->
@@ -638,24 +639,24 @@
     return text.toString();
   }
 
-  /** Writes the recorded files below a folder. */
+  /** Writes the recorded files into a corpus folder. */
   public static void record(Path corpus) throws Exception {
-    Path all = corpus.resolve(FOLDER);
-    if (Files.exists(all)) {
-      CorpusFiles.remove(all);
+    Path root = corpus.resolve(FOLDER);
+    if (Files.exists(root)) {
+      CorpusFiles.remove(root);
     }
     for (String name : FOLDERS) {
-      Path folder = Files.createDirectories(all.resolve(name));
+      Path folder = Files.createDirectories(root.resolve(name));
       new Scenario(folder, snapshotEvery(name)).play(name);
-      Path restarted = Files.createDirectories(all.resolve(name + RESTARTED));
+      Path restarted = Files.createDirectories(root.resolve(name + RESTARTED));
       for (String file : CorpusFiles.contents(folder).keySet()) {
         Files.copy(folder.resolve(file), restarted.resolve(file));
       }
-      Files.writeString(all.resolve(name + LISTING), restart(restarted));
+      Files.writeString(root.resolve(name + LISTING), restart(restarted));
     }
     List<Path> folders = new ArrayList<>();
     for (String name : FOLDERS) {
-      folders.addAll(List.of(all.resolve(name), all.resolve(name + RESTARTED)));
+      folders.addAll(List.of(root.resolve(name), root.resolve(name + RESTARTED)));
     }
     Files.writeString(corpus.resolve(NEVER_SET), String.join("\n", neverSet(folders)) + "\n");
     Files.writeString(
@@ -666,36 +667,36 @@
     return name.equals(SNAPSHOTS) ? SNAPSHOT_EVERY_ENTRIES : NO_SNAPSHOT;
   }
 
-  /** Fields of inputs and of the state that no recorded file has a value in. */
+  /** Lists the fields of entries and of the state that are set in no recorded file. */
   private static List<String> neverSet(List<Path> folders) throws Exception {
     List<State> states = new ArrayList<>();
-    List<Input> inputs = new ArrayList<>();
+    List<Input> entries = new ArrayList<>();
     for (Path folder : folders) {
-      read(folder, states, inputs, new long[1]);
+      read(folder, states, entries, new long[1]);
     }
     List<String> lines = new ArrayList<>();
-    FilledMessages.neverSet(Input.getDescriptor(), inputs)
+    FilledMessages.neverSet(Input.getDescriptor(), entries)
         .forEach(path -> lines.add("input " + path));
     FilledMessages.neverSet(State.getDescriptor(), states)
         .forEach(path -> lines.add("state " + path));
     return lines;
   }
 
-  /** The files by which two controllers tell who acts. */
+  /** Returns the contents of the lease and token files after each step of a leadership. */
   private static List<String> leadershipFiles() throws Exception {
     Path folder = Files.createTempDirectory("compat");
     try {
       ManualClock clock = new ManualClock();
       List<String> lines = new ArrayList<>();
-      FileLeadership seat =
+      FileLeadership leadership =
           new FileLeadership(
               new FileStorage(folder), clock, TimeSpan.ofMs(2000), "controller-1@host");
-      seat.tryAcquire();
+      leadership.tryAcquire();
       lines.add(files(folder));
       clock.passedMs += 600;
-      seat.tryAcquire();
+      leadership.tryAcquire();
       lines.add(files(folder));
-      seat.release();
+      leadership.release();
       lines.add(files(folder));
       new LeadershipMark(new FileStorage(folder)).claim(1_700_000_000_123L);
       lines.add(files(folder));
@@ -749,22 +750,22 @@
 
   @Test
   public void everyKindOfLogEntryIsRecorded() throws Exception {
-    List<Input> inputs = new ArrayList<>();
+    List<Input> entries = new ArrayList<>();
     Path folder = CorpusFiles.copy(FOLDER + LOG);
     try {
-      read(folder, new ArrayList<>(), inputs, new long[1]);
+      read(folder, new ArrayList<>(), entries, new long[1]);
     } finally {
       CorpusFiles.remove(folder);
     }
-    TreeSet<Integer> found = new TreeSet<>();
-    inputs.forEach(input -> found.add(input.getWhatCase().getNumber()));
+    TreeSet<Integer> recordedKinds = new TreeSet<>();
+    entries.forEach(entry -> recordedKinds.add(entry.getWhatCase().getNumber()));
     TreeSet<Integer> kinds = new TreeSet<>();
     Input.getDescriptor()
         .getOneofs()
         .get(0)
         .getFields()
         .forEach(field -> kinds.add(field.getNumber()));
-    assertEquals(found, kinds);
+    assertEquals(recordedKinds, kinds);
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/DeploymentStudy.java
+++ b/src/test/java/sprucerock/controller/DeploymentStudy.java
@@ -18,11 +18,11 @@
 import sprucerock.time.Timestamp;
 
 /**
- * How often good changes are stopped and bad ones missed, at several sizes of a fleet: changes and
- * watcher as they are, in simulated time, over relays whose traffic, paces, zones, cold starts and
- * troubles are drawn. Beside them three simpler ways on the same fleets. Not a test: {@code main}
- * prints the table of docs/change.md; arguments are how many good and how many bad changes, and the
- * most and the fewest relays.
+ * Measures how often good deployments are stopped and bad ones are missed, at several fleet sizes.
+ * It runs the real deployment manager and monitor in simulated time, over relays with random
+ * traffic, latencies, zones, cold starts and disturbances, and three simpler strategies on the same
+ * fleets. This is not a test: {@code main} prints the table of docs/change.md. Its arguments are
+ * the numbers of good and of bad deployments, and the largest and the smallest number of relays.
  */
 final class DeploymentStudy {
   private static final Version OLD = new Version("a".repeat(64), "0".repeat(64));
@@ -43,19 +43,19 @@
           0.05,
           TimeSpan.ofMs(5000));
 
-  /** What became of one change. */
+  /** The outcome of one simulated deployment. */
   private record SimulationResult(
       boolean stopped, boolean done, double seconds, double lostSeconds) {}
 
-  /** How relays are moved and judged. */
+  /** A way to update relays and to judge the result. */
   private interface Strategy {
-    /** A window is over; returns true once the change is over. */
+    /** Processes a closed window, and returns true once the deployment is over. */
     boolean tick(Fleet fleet, double nowMs);
 
     boolean stopped();
   }
 
-  /** Relays as they are drawn; each tick makes their windows. */
+  /** A fleet of random relays; each tick creates their windows. */
   private static final class Fleet {
     final SplittableRandom random;
     final int size;
@@ -71,7 +71,10 @@
     final Window[] total;
     final Window[] lastWindow;
     double lostSeconds;
-    private final double[] zoneDisturbance = new double[4]; // the fourth is everybody's
+
+    /** The size of the disturbance of each zone; the fourth one affects the whole fleet. */
+    private final double[] zoneDisturbance = new double[4];
+
     private final int[] zoneDisturbanceTicks = new int[4];
 
     Fleet(long seed, int size, double harm) {
@@ -136,9 +139,9 @@
           zoneDisturbance[z] = 0.2 * random.nextDouble();
         }
       }
-      double worth = 0;
+      double totalRpcsPerSecond = 0;
       for (int i = 0; i < size; i++) {
-        worth += rpcsPerSecond[i];
+        totalRpcsPerSecond += rpcsPerSecond[i];
       }
       for (int i = 0; i < size; i++) {
         lastWindow[i] = null;
@@ -149,43 +152,45 @@
           }
           continue;
         }
-        double cold = Math.exp(-ageMs[i] / 6000);
-        double trouble =
+        double coldness = Math.exp(-ageMs[i] / 6000);
+        double disturbance =
             (zoneDisturbanceTicks[i % 3] > 0 ? zoneDisturbance[i % 3] : 0)
                 + (zoneDisturbanceTicks[3] > 0 ? zoneDisturbance[3] : 0);
-        double p = Math.min(0.9, unserved[i] + 0.1 * cold + trouble + (onNewVersion[i] ? harm : 0));
-        double n = count(rpcsPerSecond[i] * TICK_MS / 1000);
-        double missed = Math.min(n, count(n * p));
-        double answered = n - missed;
-        double ms =
+        double unservedShare =
+            Math.min(
+                0.9, unserved[i] + 0.1 * coldness + disturbance + (onNewVersion[i] ? harm : 0));
+        double rpcs = count(rpcsPerSecond[i] * TICK_MS / 1000);
+        double notInTime = Math.min(rpcs, count(rpcs * unservedShare));
+        double answered = rpcs - notInTime;
+        double answeredMs =
             answered
                 * latencyMs[i]
-                * (1 + 4 * trouble + cold)
+                * (1 + 4 * disturbance + coldness)
                 * (1 + 0.8 / Math.sqrt(Math.max(answered, 1)) * normal());
         lastWindow[i] =
             new Window(
-                n,
-                n,
+                rpcs,
+                rpcs,
                 answered,
-                missed,
+                notInTime,
                 0,
                 0,
                 answered,
-                Math.max(answered, ms),
-                n * workMs[i] * (1 + cold) * (1 + 0.02 * normal()) + 10,
-                memoryMb[i] * (0.8 + 0.2 * (1 - cold)) * (1 + 0.01 * normal()),
+                Math.max(answered, answeredMs),
+                rpcs * workMs[i] * (1 + coldness) * (1 + 0.02 * normal()) + 10,
+                memoryMb[i] * (0.8 + 0.2 * (1 - coldness)) * (1 + 0.01 * normal()),
                 20 + Math.sqrt(rpcsPerSecond[i]) * 5,
-                n * 0.3 + 2);
+                rpcs * 0.3 + 2);
         total[i] = total[i].plus(lastWindow[i]);
         ageMs[i] += TICK_MS;
         if (onNewVersion[i]) {
-          lostSeconds += harm * rpcsPerSecond[i] / worth * TICK_MS / 1000;
+          lostSeconds += harm * rpcsPerSecond[i] / totalRpcsPerSecond * TICK_MS / 1000;
         }
       }
     }
   }
 
-  /** Changes and watcher as they are. */
+  /** The real deployment manager and monitor. */
   private static final class PairedComparison
       implements Strategy, DeploymentManager.Listener, DeploymentMonitor.Listener {
     private final DeploymentManager deployments = new DeploymentManager(PLAN, this);
@@ -225,19 +230,19 @@
         }
       }
       deployments.tick(timestamp(), 0);
-      for (ManagedRelay one : restartRequests) {
-        if (one.generation() == 0) {
+      for (ManagedRelay relay : restartRequests) {
+        if (relay.generation() == 0) {
           continue;
         }
-        fleet.restart(one.number, one.desiredVersion().equals(NEW));
-        incarnations.merge(one.number, 1, Integer::sum);
+        fleet.restart(relay.number, relay.desiredVersion().equals(NEW));
+        incarnations.merge(relay.number, 1, Integer::sum);
         deployments.reportStatus(
-            one.number,
-            one.zone(),
-            one.busy(),
-            one.desiredVersion(),
+            relay.number,
+            relay.zone(),
+            relay.busy(),
+            relay.desiredVersion(),
             false,
-            one.generation(),
+            relay.generation(),
             timestamp(),
             0);
       }
@@ -256,7 +261,7 @@
     }
 
     @Override
-    public void transitioned(Deployment deployment, Deployment.Transition step) {}
+    public void transitioned(Deployment deployment, Deployment.Transition transition) {}
 
     @Override
     public void desiredStateChanged(ManagedRelay relay) {
@@ -270,17 +275,17 @@
     }
 
     @Override
-    public void restartBudgetChanged(Map<Integer, Integer> byZone, String why) {
-      deployments.setRestartBudget(byZone, why, timestamp(), 0);
+    public void restartBudgetChanged(Map<Integer, Integer> byZone, String blockedReason) {
+      deployments.setRestartBudget(byZone, blockedReason, timestamp(), 0);
     }
 
     @Override
-    public void busyChanged(int number, boolean is) {
+    public void busyChanged(int number, boolean busy) {
       ManagedRelay relay = deployments.relay(number);
       deployments.reportStatus(
           number,
           relay.zone(),
-          is,
+          busy,
           relay.observedVersion(),
           relay.ready(),
           relay.observedGeneration(),
@@ -290,8 +295,8 @@
   }
 
   /**
-   * Stages of a fixed length; {@code shares} of one: all at once. Judged by averages against a
-   * threshold, or not at all.
+   * Stages of a fixed length, judged by comparing averages with a threshold. A single share of one
+   * updates all relays at once; a threshold of {@link Double#MAX_VALUE} never stops a deployment.
    */
   private static final class FixedStages implements Strategy {
     private static final int STAGE_TICKS = 30;
@@ -343,20 +348,23 @@
     }
   }
 
-  private static SimulationResult simulate(long seed, int size, double harm, Strategy way) {
+  private static SimulationResult simulate(long seed, int size, double harm, Strategy strategy) {
     Fleet fleet = new Fleet(seed, size, harm);
     for (int tick = 1; tick < 20_000; tick++) {
       fleet.tick();
-      if (way.tick(fleet, tick * TICK_MS)) {
+      if (strategy.tick(fleet, tick * TICK_MS)) {
         return new SimulationResult(
-            way.stopped(), !way.stopped(), (tick - 40) * TICK_MS / 1000, fleet.lostSeconds);
+            strategy.stopped(),
+            !strategy.stopped(),
+            (tick - 40) * TICK_MS / 1000,
+            fleet.lostSeconds);
       }
     }
     return new SimulationResult(false, false, 40_000, fleet.lostSeconds);
   }
 
-  private static Strategy newStrategy(int which) {
-    return switch (which) {
+  private static Strategy newStrategy(int strategy) {
+    return switch (strategy) {
       case 0 -> new PairedComparison();
       case 1 -> new FixedStages(Double.MAX_VALUE, 1);
       case 2 -> new FixedStages(Double.MAX_VALUE, 0.02, 0.15, 0.5, 1);
@@ -367,8 +375,8 @@
   public static void main(String[] args) {
     int good = args.length > 0 ? Integer.parseInt(args[0]) : 200;
     int bad = args.length > 1 ? Integer.parseInt(args[1]) : 50;
-    int most = args.length > 2 ? Integer.parseInt(args[2]) : 1000;
-    int least = args.length > 3 ? Integer.parseInt(args[3]) : 10;
+    int maxRelays = args.length > 2 ? Integer.parseInt(args[2]) : 1000;
+    int minRelays = args.length > 3 ? Integer.parseInt(args[3]) : 10;
     String[] names = {
       "side by side", "all at once", "fixed time a stage", "thresholds on averages"
     };
@@ -376,30 +384,30 @@
         "%-24s %6s %6s %8s %8s %10s %12s%n",
         "way", "relays", "harm", "stopped", "done", "median s", "worth lost s");
     for (int size : new int[] {10, 100, 300, 1000}) {
-      if (size > most || size < least) {
+      if (size > maxRelays || size < minRelays) {
         continue;
       }
       for (double harm : new double[] {0, 0.01, 0.02, 0.05, 0.1}) {
-        int plays = harm == 0 ? good : bad;
-        for (int which = 0; which < names.length; which++) {
-          int of = which;
-          List<SimulationResult> fates =
-              IntStream.range(0, plays)
+        int deployments = harm == 0 ? good : bad;
+        for (int strategy = 0; strategy < names.length; strategy++) {
+          int number = strategy;
+          List<SimulationResult> results =
+              IntStream.range(0, deployments)
                   .parallel()
-                  .mapToObj(seed -> simulate(1000L * size + seed, size, harm, newStrategy(of)))
+                  .mapToObj(seed -> simulate(1000L * size + seed, size, harm, newStrategy(number)))
                   .toList();
           double[] seconds =
-              fates.stream().mapToDouble(SimulationResult::seconds).sorted().toArray();
+              results.stream().mapToDouble(SimulationResult::seconds).sorted().toArray();
           System.out.printf(
               Locale.ROOT,
               "%-24s %6d %6.2f %7.1f%% %7.1f%% %10.0f %12.2f%n",
-              names[which],
+              names[strategy],
               size,
               harm,
-              100.0 * fates.stream().filter(SimulationResult::stopped).count() / plays,
-              100.0 * fates.stream().filter(SimulationResult::done).count() / plays,
-              seconds[plays / 2],
-              fates.stream().mapToDouble(SimulationResult::lostSeconds).average().orElse(0));
+              100.0 * results.stream().filter(SimulationResult::stopped).count() / deployments,
+              100.0 * results.stream().filter(SimulationResult::done).count() / deployments,
+              seconds[deployments / 2],
+              results.stream().mapToDouble(SimulationResult::lostSeconds).average().orElse(0));
         }
       }
     }
