--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -42,7 +42,7 @@
   /** The fraction of the elapsed time by which the smoothed wall clock may be corrected. */
   private static final double MAX_SLEW = 0.005;
 
-  /** A longer downtime is taken for a jump of the wall clock. */
+  /** Downtime beyond this does not count, as the wall clock may have jumped. */
   private static final long MAX_DOWNTIME_MS = 24 * 3_600_000L;
 
   private final WriteAheadLog log;
--- a/src/main/java/sprucerock/controller/WriteAheadLog.java
+++ b/src/main/java/sprucerock/controller/WriteAheadLog.java
@@ -96,8 +96,8 @@
     List<String> logs = names.stream().filter(name -> name.startsWith(LOG_PREFIX)).toList();
     for (int i = 0; i < logs.size(); i++) {
       boolean last = i == logs.size() - 1;
-      boolean superseded =
-          !last && indexInName(logs.get(i + 1)) <= lastIndex; // all of it is in the snapshot
+      // The snapshot contains all entries of a superseded file.
+      boolean superseded = !last && indexInName(logs.get(i + 1)) <= lastIndex;
       if (!superseded) {
         replayEntries(logs.get(i), last, reader, statusLine);
       }
--- a/src/main/java/sprucerock/controller/comparison/BettingTest.java
+++ b/src/main/java/sprucerock/controller/comparison/BettingTest.java
@@ -1,12 +1,12 @@
 package sprucerock.controller.comparison;
 
 /**
- * A sequential test by betting that the mean of a series of values is above zero. If the
- * expectation of each value, given all values before it, is at most zero, then the probability that
- * the wealth ever exceeds 1/a is at most a, however often the result is read (Ville 1939; testing
- * by betting: Waudby-Smith and Ramdas, "Estimating means of bounded random variables by betting",
- * 2024). The stakes need no tuning: the wealth is divided among a few of them, and the best one
- * soon holds nearly all of it.
+ * A sequential test by betting: its evidence is the wealth of a bettor who bets repeatedly that the
+ * mean of a series of values is above zero. If the expectation of each value, given all values
+ * before it, is at most zero, then the probability that the wealth ever exceeds 1/a is at most a,
+ * however often the result is read (Ville 1939; testing by betting: Waudby-Smith and Ramdas,
+ * "Estimating means of bounded random variables by betting", 2024). The stakes need no tuning: the
+ * wealth is divided among a few of them, and the best one soon holds nearly all of it.
  */
 final class BettingTest {
   // Steps of about a factor of two, from a stake that loses next to nothing on noise to one that a
