--- a/src/main/java/sprucerock/controller/AppendResult.java
+++ b/src/main/java/sprucerock/controller/AppendResult.java
@@ -60,7 +60,10 @@
   record Done() implements Value {
     static final Done INSTANCE = new Done();
 
-    /** Returns {@link NoEffect} for a reason why a command had no effect; null if it had one. */
+    /**
+     * Converts the reason why a command had no effect to a value; a null reason means that the
+     * command had an effect.
+     */
     static Value unless(String reason) {
       return reason == null ? INSTANCE : new NoEffect(reason);
     }
