--- a/src/main/java/sprucerock/hardware/CapacityTranslator.java
+++ b/src/main/java/sprucerock/hardware/CapacityTranslator.java
@@ -5,12 +5,12 @@
 import java.util.TreeMap;
 
 /**
- * Translates capacity of one family into another's. Capacity that is granted is reckoned at the
- * upper bound of what is needed, capacity that is counted at the lower bound of what is there; so
- * there and back never yields more than was asked. Immutable.
+ * Translates capacity of one hardware family into capacity of another. Required capacity is the
+ * upper bound of the estimate and guaranteed capacity the lower bound, so translation there and
+ * back never yields more than the original capacity. Immutable.
  */
 public final class CapacityTranslator {
-  /** What an amount is limited by. */
+  /** The resource that determines a translated capacity, or why there is none. */
   public enum Limit {
     NOTHING,
     CORES,
@@ -21,18 +21,21 @@
   }
 
   /**
-   * Endpoints of another family, in parts of one; and by what they are limited.
+   * A translated capacity.
    *
-   * @param endpoints NaN where the limit is TIME (no number of them helps) or NOT_KNOWN
+   * @param endpoints the number of endpoints of the other family, with fractions; NaN if the limit
+   *     is TIME (no number of endpoints helps) or NOT_KNOWN
+   * @param limit the resource that determines the number
+   * @param reason why there is no number; empty if there is one
    */
   public record Answer(double endpoints, Limit limit, String reason) {
-    /** Whether there is a number. */
+    /** Returns whether there is a number of endpoints. */
     public boolean isKnown() {
       return !Double.isNaN(endpoints);
     }
   }
 
-  /** What is granted needs the most of all, what is counted is worth the least of all. */
+  /** The bound of the estimate: UPPER for required, LOWER for guaranteed endpoints. */
   private enum Bound {
     UPPER(1),
     LOWER(-1);
@@ -43,15 +46,19 @@
       this.sign = sign;
     }
 
-    /** Whether what both declare makes a bound that is beyond the factor; 0: not declared. */
+    /**
+     * Returns whether the ratio of two declared amounts is a stricter bound than the factor. An
+     * amount of 0 is not declared.
+     */
     private boolean isExceeded(double from, double to, double factor) {
       return from > 0 && to > 0 && sign * (from / to - factor) > 0;
     }
   }
 
-  // Beyond this a bound at 95% lies a factor of about two off: to grant by it would idle half of
-  // a rack, and to count by it would be worth nothing. Then it is said that it is not known.
-  private static final double MAX_ERROR = 0.4;
+  // With a larger error a bound at 95% is off by a factor of about two: a required capacity would
+  // leave half of a rack idle, and a guaranteed capacity would be useless. Such capacities are
+  // reported as not known.
+  private static final double MAX_LOG_ERROR = 0.4;
 
   private final HardwareModel model;
   private final Map<Integer, Family> families = new TreeMap<>();
@@ -59,14 +66,15 @@
   private final double confidence;
 
   /**
-   * From a model and what families are declared to have.
+   * Creates a translator from a model and the declared families.
    *
-   * @param confidence with which each single bound holds, over 0.5 and under 1
+   * @param confidence the confidence of each single bound, over 0.5 and under 1
    * @throws IllegalArgumentException if the confidence is out of bounds
    */
   public CapacityTranslator(HardwareModel model, Iterable<Family> declared, double confidence) {
     if (!(confidence > 0.5 && confidence < 1)) {
-      throw new IllegalArgumentException("a confidence is over 0.5 and under 1, not " + confidence);
+      throw new IllegalArgumentException(
+          "confidence must be over 0.5 and under 1, not " + confidence);
     }
     this.model = model;
     this.confidence = confidence;
@@ -77,39 +85,44 @@
   }
 
   /**
-   * How many endpoints of {@code to} serve for certain what so many of {@code from} serve, with
-   * {@code method} in most of the work.
+   * Returns how many endpoints of family {@code to} are required to replace endpoints of family
+   * {@code from}, if most of the work is of one method.
    */
   public Answer requiredEndpoints(int method, double endpoints, int from, int to) {
     return translate(method, endpoints, from, to, Bound.UPPER);
   }
 
   /**
-   * The same as {@link #needed}, for work that has to be done within a time: slower endpoints may
-   * be of no use in any number.
+   * Returns how many endpoints of family {@code to} are required for work with a time limit. If
+   * they are too slow for it, no number of them suffices.
+   *
+   * @param ms the duration of the work on family {@code from}
+   * @param withinMs the longest duration allowed on family {@code to}
    */
   public Answer requiredEndpoints(
       int method, double endpoints, int from, int to, double ms, double withinMs) {
-    double longest = maxTimeMs(method, ms, from, to);
-    if (Double.isNaN(longest)) {
-      return unknown(to, "is not known well enough beside " + from);
+    double maxMs = maxTimeMs(method, ms, from, to);
+    if (Double.isNaN(maxMs)) {
+      return unknown(to, "cannot be compared with family " + from + " precisely enough");
     }
-    if (longest > withinMs) {
+    if (maxMs > withinMs) {
       return new Answer(
           Double.NaN,
           Limit.TIME,
           String.format(
               Locale.ROOT,
-              "work of %.0f ms may take %.0f on family %d, %.0f are allowed",
+              "work of %.0f ms may take %.0f ms on family %d, but only %.0f ms are allowed",
               ms,
-              longest,
+              maxMs,
               to,
               withinMs));
     }
     return requiredEndpoints(method, endpoints, from, to);
   }
 
-  /** How many endpoints of {@code to} so many of {@code from} surely stand for. */
+  /**
+   * Returns how many endpoints of family {@code to} those of family {@code from} surely replace.
+   */
   public Answer guaranteedEndpoints(int method, double endpoints, int from, int to) {
     return translate(method, endpoints, from, to, Bound.LOWER);
   }
@@ -120,14 +133,14 @@
     }
     HardwareModel.Estimate ratio = model.capacityRatio(method, from, to);
     if (ratio == null) {
-      return unknown(model.families().contains(from) ? to : from, "was not seen");
+      return unknown(model.families().contains(from) ? to : from, "has not been observed");
     }
-    if (ratio.standardError() > MAX_ERROR) {
+    if (ratio.standardError() > MAX_LOG_ERROR) {
       return unknown(
           to,
           String.format(
               Locale.ROOT,
-              "beside %d is known to a factor of %.1f only",
+              "compared with family %d is known only to a factor of %.1f",
               from,
               Math.exp(standardErrors * ratio.standardError())));
     }
@@ -154,20 +167,22 @@
   }
 
   /**
-   * Work of so many milliseconds on {@code from}: how long it takes on {@code to} at most, with the
-   * stated confidence; NaN: not known.
+   * Returns how long work takes at most on family {@code to}, at the translator's confidence; NaN:
+   * not known.
+   *
+   * @param ms the duration of the work on family {@code from}
    */
   public double maxTimeMs(int method, double ms, int from, int to) {
     if (from == to) {
       return ms;
     }
     HardwareModel.Estimate time = model.timeRatio(method, to, from);
-    return time == null || time.standardError() > MAX_ERROR
+    return time == null || time.standardError() > MAX_LOG_ERROR
         ? Double.NaN
         : ms * Math.exp(time.logValue() + standardErrors * time.standardError());
   }
 
-  /** With which each single bound holds. */
+  /** Returns the confidence of each single bound. */
   public double confidence() {
     return confidence;
   }
--- a/src/main/java/sprucerock/hardware/Cell.java
+++ b/src/main/java/sprucerock/hardware/Cell.java
@@ -3,10 +3,12 @@
 import java.util.Comparator;
 
 /**
- * Attempts that are alike: of one method and build, on endpoints of one family that had about as
- * many others in flight.
+ * A class of similar attempts: of one method and build, on endpoints of one hardware family that
+ * had about the same number of other attempts in flight.
  *
- * @param depth 0: the endpoint had none; else 1 + the binary logarithm of how many, 8 at most
+ * @param family the number of the hardware family
+ * @param depth 0: the endpoint had no other attempt in flight; otherwise 1 + the binary logarithm
+ *     of their number, rounded down, and 8 at most
  */
 public record Cell(int method, int family, int build, int depth) implements Comparable<Cell> {
   private static final int MAX_DEPTH = 8;
@@ -16,13 +18,17 @@
           .thenComparingInt(Cell::build)
           .thenComparingInt(Cell::depth);
 
-  /** Of an attempt that was sent to an endpoint that had so many others in flight. */
+  /**
+   * Returns the cell of an attempt.
+   *
+   * @param others the number of other attempts that the endpoint had in flight
+   */
   public static Cell of(int method, int family, int build, int others) {
     int depth = others <= 0 ? 0 : 32 - Integer.numberOfLeadingZeros(others);
     return new Cell(method, family, build, Math.min(depth, MAX_DEPTH));
   }
 
-  /** About how many others the endpoint had: the middle of what falls into this depth. */
+  /** Returns the middle of the range of attempts in flight that this depth stands for. */
   static double estimatedInFlight(int depth) {
     return depth == 0 ? 0 : 1.5 * (1 << (depth - 1)) - 0.5;
   }
--- a/src/main/java/sprucerock/hardware/Family.java
+++ b/src/main/java/sprucerock/hardware/Family.java
@@ -1,10 +1,10 @@
 package sprucerock.hardware;
 
 /**
- * Endpoints of one kind of hardware, as their operators declare them.
+ * A hardware family, as operators declare it.
  *
- * @param kind discovery's number for it
- * @param slots attempts that an endpoint takes at a time; 0: not declared
- * @param memoryMb of an endpoint, in MiB or MB as they declare it; 0: not declared
+ * @param kind the family's number in discovery
+ * @param slots the number of attempts that an endpoint takes at a time; 0: not declared
+ * @param memoryMb the memory of an endpoint, in MiB or MB as operators declare it; 0: not declared
  */
 public record Family(int kind, double slots, double memoryMb) {}
--- a/src/main/java/sprucerock/hardware/FitData.java
+++ b/src/main/java/sprucerock/hardware/FitData.java
@@ -10,28 +10,29 @@
 import java.util.function.IntPredicate;
 
 /**
- * The observations of some windows as a fit needs them: cells with enough samples, of settled
- * builds, with their errors. Families and methods are told by their places in {@link #families} and
- * {@link #methods}.
+ * The observations of some windows in the form that a fit needs: cells of settled builds with
+ * enough samples, and their errors. Families and methods are identified by their indexes in {@link
+ * #families} and {@link #methods}.
  */
 final class FitData {
-  /** A cell of one or two samples says more about chance than about its family. */
+  /** The mean of one or two samples depends more on chance than on the hardware family. */
   private static final double MIN_SAMPLES = 3;
 
   /**
-   * The mean logarithm of a cell at no depth.
+   * The mean logarithm of the times of a cell at depth 0.
    *
-   * @param group cells of one window, method and build, which are compared with each other
-   * @param variance of the mean
+   * @param group the number of the group, which has the cells of one window, method and build; only
+   *     cells of one group are compared with each other
+   * @param variance the variance of the mean
    */
   record Point(int group, int methodIndex, int familyIndex, double mean, double variance) {}
 
   /**
-   * A cell at some depth, beside the one at no depth.
+   * A cell at a depth over 0, compared with the same cell at depth 0.
    *
-   * @param depth how many attempts the endpoint served, with the cell's own
-   * @param slower by how much, as a logarithm
-   * @param variance of {@code slower}
+   * @param concurrentAttempts how many attempts the endpoint served, including the cell's own
+   * @param logSlowdown the logarithm of the factor by which the times are longer
+   * @param variance the variance of {@code logSlowdown}
    */
   record DepthPoint(
       int familyIndex, double concurrentAttempts, double logSlowdown, double variance) {}
@@ -41,10 +42,20 @@
   private final List<Integer> methods;
   private final List<Point> points = new ArrayList<>();
   private final List<DepthPoint> depthPoints = new ArrayList<>();
-  private final Map<Integer, RunningMoments> pooledByMethod = new TreeMap<>(); // see pool()
+
+  /**
+   * By method: the squared deviations of all samples, and their degrees of freedom as the count.
+   */
+  private final Map<Integer, RunningMoments> pooledByMethod = new TreeMap<>();
+
   private int groupCount;
 
-  /** Of each window's cells; {@code settled} says which builds count. */
+  /**
+   * Collects the data of some windows.
+   *
+   * @param windows the cells of each window
+   * @param settled returns whether a build counts
+   */
   FitData(Collection<Map<Cell, RunningMoments>> windows, IntPredicate settled) {
     this.settled = settled;
     TreeSet<Integer> knownFamilies = new TreeSet<>();
@@ -73,7 +84,10 @@
         && settled.test(cell.build());
   }
 
-  /** By method: squared distances of all samples from their cells' means, and their freedom. */
+  /**
+   * Adds a window's samples to the pooled squared deviations from the means of their cells, and
+   * their degrees of freedom, by method.
+   */
   private void pool(Map<Cell, RunningMoments> window) {
     window.forEach(
         (cell, samples) -> {
@@ -90,21 +104,22 @@
         });
   }
 
-  /** Of one sample of a method. */
+  /** Returns the variance of one sample of a method. */
   private double variance(int method) {
-    RunningMoments all = pooledByMethod.get(method);
-    return all.squaredDeviations() / all.count();
+    RunningMoments pooled = pooledByMethod.get(method);
+    return pooled.squaredDeviations() / pooled.count();
   }
 
   private void addPoints(Map<Cell, RunningMoments> window) {
-    Map<List<Integer>, Integer> groupOf = new HashMap<>();
+    Map<List<Integer>, Integer> groupNumbers = new HashMap<>();
     window.forEach(
         (cell, samples) -> {
           if (!isIncluded(cell, samples) || cell.depth() != 0) {
             return;
           }
           int group =
-              groupOf.computeIfAbsent(List.of(cell.method(), cell.build()), any -> groupCount++);
+              groupNumbers.computeIfAbsent(
+                  List.of(cell.method(), cell.build()), absent -> groupCount++);
           points.add(
               new Point(
                   group,
@@ -115,7 +130,7 @@
         });
   }
 
-  /** Beside the time at no depth of the same window, method, family and build. */
+  /** Compares cells with those at depth 0 of the same window, method, family and build. */
   private void addDepthPoints(Map<Cell, RunningMoments> window) {
     window.forEach(
         (cell, samples) -> {
@@ -135,12 +150,12 @@
         });
   }
 
-  /** Families that were seen, at most {@link LeastSquaresFit#MAX_FAMILIES}. */
+  /** Returns the observed families, {@link LeastSquaresFit#MAX_FAMILIES} at most. */
   List<Integer> families() {
     return families;
   }
 
-  /** Methods that were seen, at most {@link LeastSquaresFit#MAX_METHODS}. */
+  /** Returns the observed methods, {@link LeastSquaresFit#MAX_METHODS} at most. */
   List<Integer> methods() {
     return methods;
   }
@@ -153,7 +168,7 @@
     return depthPoints;
   }
 
-  /** Groups of points, numbered from 0. */
+  /** Returns the number of groups of points, which are numbered from 0. */
   int groupCount() {
     return groupCount;
   }
--- a/src/main/java/sprucerock/hardware/HardwareModel.java
+++ b/src/main/java/sprucerock/hardware/HardwareModel.java
@@ -5,11 +5,11 @@
 import org.hipparchus.distribution.continuous.TDistribution;
 
 /**
- * What families are worth beside each other, with how well that is known. Never changed; a later
- * one takes its place by {@link #isNewerThan}.
+ * The relative speed and capacity of hardware families, with the errors of the estimates.
+ * Immutable; a newer model, by {@link #isNewerThan}, replaces it.
  */
 public final class HardwareModel {
-  /** The logarithm of a factor, and its standard error. */
+  /** The logarithm of a factor or number, and its standard error. */
   public record Estimate(double logValue, double standardError) {
     Estimate minus(Estimate other) {
       return new Estimate(
@@ -26,108 +26,136 @@
   private final int degreesOfFreedom;
 
   /**
-   * Takes a fit as it was made; the arrays are not copied.
+   * Creates a model from a fit. The arrays are not copied.
    *
-   * @param number of the lease under which it was fitted
-   * @param window the newest that it was fitted to
-   * @param times by method (last: for all), family and other family: how many times as long, at low
-   *     load
-   * @param cores by family: how many attempts side by side
-   * @param free degrees of freedom behind the errors, 1 at least
+   * @param fencingToken the token of the lease under which the model was fitted
+   * @param newestWindow the newest window that the model was fitted to
+   * @param timeRatios by method (last: all methods), family and other family: the ratio of times at
+   *     low load
+   * @param concurrency by family: how many concurrent attempts an endpoint serves before they slow
+   *     each other down
+   * @param degreesOfFreedom the degrees of freedom of the errors, at least 1
    */
   public HardwareModel(
-      long number,
-      long window,
+      long fencingToken,
+      long newestWindow,
       List<Integer> families,
       List<Integer> methods,
-      Estimate[][][] times,
-      Estimate[] cores,
-      int free) {
-    if (times.length != methods.size() + 1 || cores.length != families.size() || free < 1) {
-      throw new IllegalArgumentException("a model of other size than its families and methods");
+      Estimate[][][] timeRatios,
+      Estimate[] concurrency,
+      int degreesOfFreedom) {
+    if (timeRatios.length != methods.size() + 1
+        || concurrency.length != families.size()
+        || degreesOfFreedom < 1) {
+      throw new IllegalArgumentException(
+          "hardware model of "
+              + families.size()
+              + " families and "
+              + methods.size()
+              + " methods has "
+              + timeRatios.length
+              + " tables of time ratios (must be one for each method and one for all), "
+              + concurrency.length
+              + " concurrency values (must be one for each family) and "
+              + degreesOfFreedom
+              + " degrees of freedom (must be at least 1)");
     }
-    this.fencingToken = number;
-    this.newestWindow = window;
+    this.fencingToken = fencingToken;
+    this.newestWindow = newestWindow;
     this.families = List.copyOf(families);
     this.methods = List.copyOf(methods);
-    this.timeRatios = times;
-    this.concurrency = cores;
-    this.degreesOfFreedom = free;
+    this.timeRatios = timeRatios;
+    this.concurrency = concurrency;
+    this.degreesOfFreedom = degreesOfFreedom;
   }
 
-  /** From its numbers in a row: times by method (last: for all), family, other family. */
+  /**
+   * Creates a model from flat lists.
+   *
+   * @param logs the logarithms of the time ratios, ordered by method (last: all methods), family
+   *     and other family
+   * @param errors the standard errors of {@code logs}, in the same order
+   * @param cores the logarithms of the concurrency, by family
+   * @param coresErrors the standard errors of {@code cores}
+   */
   public static HardwareModel of(
-      long number,
-      long window,
+      long fencingToken,
+      long newestWindow,
       List<Integer> families,
       List<Integer> methods,
       List<Double> logs,
       List<Double> errors,
       List<Double> cores,
       List<Double> coresErrors,
-      int free) {
-    Estimate[][][] times = new Estimate[methods.size() + 1][families.size()][families.size()];
-    int at = 0;
-    for (Estimate[][] method : times) {
+      int degreesOfFreedom) {
+    Estimate[][][] timeRatios = new Estimate[methods.size() + 1][families.size()][families.size()];
+    int index = 0;
+    for (Estimate[][] method : timeRatios) {
       for (Estimate[] family : method) {
-        for (int b = 0; b < family.length; b++, at++) {
-          family[b] = new Estimate(logs.get(at), errors.get(at));
+        for (int other = 0; other < family.length; other++, index++) {
+          family[other] = new Estimate(logs.get(index), errors.get(index));
         }
       }
     }
-    Estimate[] all = new Estimate[families.size()];
-    for (int a = 0; a < all.length; a++) {
-      all[a] = new Estimate(cores.get(a), coresErrors.get(a));
+    Estimate[] concurrency = new Estimate[families.size()];
+    for (int family = 0; family < concurrency.length; family++) {
+      concurrency[family] = new Estimate(cores.get(family), coresErrors.get(family));
     }
-    return new HardwareModel(number, window, families, methods, times, all, free);
+    return new HardwareModel(
+        fencingToken, newestWindow, families, methods, timeRatios, concurrency, degreesOfFreedom);
   }
 
-  /** All times, in the order of {@link #of}. */
-  public void forEachTimeRatio(Consumer<Estimate> each) {
+  /** Passes all time ratios to a consumer, in the order of {@link #of}. */
+  public void forEachTimeRatio(Consumer<Estimate> consumer) {
     for (Estimate[][] method : timeRatios) {
       for (Estimate[] family : method) {
-        for (Estimate one : family) {
-          each.accept(one);
+        for (Estimate ratio : family) {
+          consumer.accept(ratio);
         }
       }
     }
   }
 
-  /** Of the lease under which it was fitted. */
+  /** Returns the token of the lease under which the model was fitted. */
   public long fencingToken() {
     return fencingToken;
   }
 
-  /** The newest window that it was fitted to. */
+  /** Returns the newest window that the model was fitted to. */
   public long newestWindow() {
     return newestWindow;
   }
 
-  /** Of a later holder, or of the same one and later windows. */
+  /**
+   * Returns whether the model is of a later lease holder, or of the same one and a later window.
+   */
   public boolean isNewerThan(HardwareModel other) {
     return other == null
         || fencingToken > other.fencingToken
         || (fencingToken == other.fencingToken && newestWindow > other.newestWindow);
   }
 
-  /** Families that were seen, in the order of {@link #of}. */
+  /** Returns the observed families, in the order of {@link #of}. */
   public List<Integer> families() {
     return families;
   }
 
-  /** Methods that were seen, in the order of {@link #of}. */
+  /** Returns the observed methods, in the order of {@link #of}. */
   public List<Integer> methods() {
     return methods;
   }
 
-  /** Degrees of freedom behind the errors, 1 at least. */
+  /** Returns the degrees of freedom of the errors, at least 1. */
   public int degreesOfFreedom() {
     return degreesOfFreedom;
   }
 
   /**
-   * How many times as long a method takes on one family as on another at low load, or all methods
-   * where it was not seen; null: a family was never seen.
+   * Returns the ratio of a method's time on one family to its time on another at low load; the
+   * ratio for all methods if the method was not observed; null if a family was not observed.
+   *
+   * @param on the family of the numerator
+   * @param than the family of the denominator
    */
   public Estimate timeRatio(int method, int on, int than) {
     int a = families.indexOf(on);
@@ -137,8 +165,11 @@
   }
 
   /**
-   * How many times as many attempts of a method a second an endpoint of one family serves as one of
-   * another; null as above.
+   * Returns the ratio of the attempts of a method that an endpoint of one family serves each second
+   * to those that an endpoint of another family serves; null if a family was not observed.
+   *
+   * @param of the family of the numerator
+   * @param than the family of the denominator
    */
   public Estimate capacityRatio(int method, int of, int than) {
     Estimate time = timeRatio(method, of, than);
@@ -152,8 +183,8 @@
   }
 
   /**
-   * How many attempts side by side an endpoint of a family serves before they slow each other;
-   * null: it was never seen.
+   * Returns how many concurrent attempts an endpoint of a family serves before they slow each other
+   * down; null if the family was not observed.
    */
   public Estimate concurrency(int family) {
     int f = families.indexOf(family);
@@ -161,8 +192,9 @@
   }
 
   /**
-   * How many standard errors lie between an estimate and a bound that holds with that confidence,
-   * over 0.5 and under 1.
+   * Returns how many standard errors lie between an estimate and its one-sided bound.
+   *
+   * @param confidence the confidence of the bound, over 0.5 and under 1
    */
   public double standardErrors(double confidence) {
     return new TDistribution(degreesOfFreedom).inverseCumulativeProbability(confidence);
--- a/src/main/java/sprucerock/hardware/LeastSquaresFit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -11,26 +11,28 @@
 import org.hipparchus.linear.RealMatrix;
 
 /**
- * What families of hardware are worth, by weighted least squares over attempts of the same method
- * and build in the same window on endpoints of unlike families.
+ * Estimates the relative speed of hardware families, by weighted least squares over attempts of the
+ * same method and build in the same window on endpoints of different families.
  *
- * <p>The logarithm of a time is that of its group (window, method, build), plus that of its family
- * for this method, plus a residual. A group's own level is taken out, so that only families seen
- * side by side are compared; others are linked through those. A family's value for one method
- * strays around its value for all by {@code tau}, which is estimated too (shrinkage as by Efron and
- * Morris, 1975); what cells stray beyond their own errors, by {@code omega} (DerSimonian and Laird,
- * 1986), so that many attempts in one odd window are not taken for many windows. Cells far off
- * count less (Huber 1964).
+ * <p>The logarithm of a time is the sum of the level of its group (window, method, build), the
+ * effect of the family for this method, and a residual. The level of each group is eliminated, so
+ * that only families observed in the same group are compared; other families are linked through
+ * those. A family's effects for single methods vary around its effect for all methods with standard
+ * deviation {@code tau}, which is estimated too (shrinkage as by Efron and Morris, 1975). Cells
+ * vary beyond their own errors with standard deviation {@code omega} (DerSimonian and Laird, 1986),
+ * so that many attempts in one unusual window do not count as many windows. Outlying cells have
+ * less weight (Huber, 1964).
  */
 public final class LeastSquaresFit {
-  /** Methods that are told apart; what comes beyond is left out. */
+  /** The largest number of methods. Further methods are ignored. */
   public static final int MAX_METHODS = 64;
 
-  /** Families that are told apart; what comes beyond is left out. */
+  /** The largest number of families. Further families are ignored. */
   public static final int MAX_FAMILIES = 16;
 
-  // Before anything is seen: a family may be twenty times as fast as another or as slow (three
-  // sigma of 1), for one method up to half as much beside the others.
+  // Standard deviations of the prior. A family may be twenty times as fast or as slow as another
+  // (three sigma of 1). For one method it may differ from its effect for all methods by up to half
+  // (MAX_TAU).
   private static final double PRIOR_SIGMA = 1;
   private static final double MIN_TAU = 0.01;
   private static final double MAX_TAU = 0.5;
@@ -38,13 +40,13 @@
   private static final double INITIAL_OMEGA = 0.05;
   private static final double MIN_OMEGA_SQUARED = 1e-6;
 
-  /** Errors, weights and values settle within three in all that was tried. */
+  /** Errors, weights and effects converge within three iterations. */
   private static final int ITERATIONS = 4;
 
-  /** In standard errors. */
+  /** The residual, in standard errors, beyond which a cell has less weight. */
   private static final double HUBER_STANDARD_ERRORS = 2;
 
-  /** Squared residuals count as at most so many squared standard errors in omega. */
+  /** The limit of a squared residual in the estimate of omega, in squared standard errors. */
   private static final double MAX_SQUARED_ERRORS = 9;
 
   private static final int MIN_DEGREES_OF_FREEDOM = 3;
@@ -55,10 +57,18 @@
   private final List<FitData.Point> points;
   private final int familyCount;
   private final int methodCount;
-  private final Map<Integer, List<Integer>> groups = new TreeMap<>(); // indexes of points
+
+  /** The indexes of the points of each group, by group number. */
+  private final Map<Integer, List<Integer>> groups = new TreeMap<>();
+
   private final double[] weights;
-  private double[] effects; // families, then families by method
-  private double[] groupLevels; // by group
+
+  /** The families' effects for all methods, then those for single methods. */
+  private double[] effects;
+
+  /** The level of each group, by group number. */
+  private double[] groupLevels;
+
   private RealMatrix covariance;
   private double omegaSquared = INITIAL_OMEGA * INITIAL_OMEGA;
   private double tauSquared = INITIAL_TAU * INITIAL_TAU;
@@ -69,35 +79,38 @@
     familyCount = data.families().size();
     methodCount = data.methods().size();
     for (int i = 0; i < points.size(); i++) {
-      groups.computeIfAbsent(points.get(i).group(), any -> new ArrayList<>()).add(i);
+      groups.computeIfAbsent(points.get(i).group(), absent -> new ArrayList<>()).add(i);
     }
     weights = new double[points.size()];
     Arrays.fill(weights, 1);
   }
 
   /**
-   * A model of what was observed from one window on, by builds that are settled: what a canary does
-   * is its own, and no family's.
+   * Fits a model to the observations of settled builds. The times of a canary are a property of the
+   * build, not of a hardware family.
    *
-   * @param number of the lease under which it is fitted
-   * @return null where nothing was observed of any
+   * @param observation the observed samples
+   * @param firstWindow the first window that counts
+   * @param settled returns whether a build counts
+   * @param fencingToken the token of the lease under which the model is fitted
+   * @return null if no settled build was observed
    */
   public static HardwareModel fit(
-      Observation seen, long firstWindow, IntPredicate settled, long number) {
-    FitData data = new FitData(seen.since(firstWindow).values(), settled);
+      Observation observation, long firstWindow, IntPredicate settled, long fencingToken) {
+    FitData data = new FitData(observation.since(firstWindow).values(), settled);
     if (data.points().isEmpty()) {
       return null;
     }
     LeastSquaresFit fit = new LeastSquaresFit(data);
-    for (int round = 0; round < ITERATIONS; round++) {
+    for (int iteration = 0; iteration < ITERATIONS; iteration++) {
       fit.solve();
       fit.updateOmegaAndWeights();
       fit.updateTau();
     }
-    return fit.model(number, seen.newestWindow());
+    return fit.model(fencingToken, observation.newestWindow());
   }
 
-  /** The place of a family's value for one method. */
+  /** Returns the index of a family's effect for one method. */
   private int effectIndex(int family, int method) {
     return familyCount + family * methodCount + method;
   }
@@ -110,21 +123,21 @@
     return weights[i] / (points.get(i).variance() + omegaSquared);
   }
 
-  /** Values, their covariance and the groups' levels at the present weights. */
+  /** Computes the effects, their covariance and the groups' levels for the present weights. */
   private void solve() {
     double[][] precision = priorPrecision();
-    double[] right = new double[precision.length];
+    double[] rightSide = new double[precision.length];
     for (List<Integer> group : groups.values()) {
-      addGroup(group, precision, right);
+      addGroup(group, precision, rightSide);
     }
     covariance =
         new CholeskyDecomposition(
                 MatrixUtils.createRealMatrix(precision), SYMMETRY_THRESHOLD, POSITIVITY_THRESHOLD)
             .getSolver()
             .getInverse();
-    effects = covariance.operate(right);
+    effects = covariance.operate(rightSide);
     groupLevels = new double[groups.size()];
-    groups.forEach((number, group) -> groupLevels[number] = groupLevel(group));
+    groups.forEach((groupNumber, group) -> groupLevels[groupNumber] = groupLevel(group));
   }
 
   private double[][] priorPrecision() {
@@ -139,89 +152,91 @@
     return precision;
   }
 
-  /** Two values are alike, with that precision. */
-  private static void connect(double[][] precision, int a, int b, double by) {
-    precision[a][a] += by;
-    precision[b][b] += by;
-    precision[a][b] -= by;
-    precision[b][a] -= by;
+  /** Adds the prior that the difference of two effects is zero, with a precision. */
+  private static void connect(double[][] precision, int a, int b, double added) {
+    precision[a][a] += added;
+    precision[b][b] += added;
+    precision[a][b] -= added;
+    precision[b][a] -= added;
   }
 
-  /** Adds a group's points with the group's own level taken out. */
-  private void addGroup(List<Integer> group, double[][] precision, double[] right) {
-    double all = 0;
+  /** Adds the points of a group, with the level of the group eliminated. */
+  private void addGroup(List<Integer> group, double[][] precision, double[] rightSide) {
+    double totalWeight = 0;
     double mean = 0;
     for (int i : group) {
-      all += weight(i);
+      totalWeight += weight(i);
       mean += weight(i) * points.get(i).mean();
     }
-    mean /= all;
+    mean /= totalWeight;
     for (int i : group) {
-      int at = effectIndex(points.get(i));
-      double own = weight(i);
-      right[at] += own * (points.get(i).mean() - mean);
-      precision[at][at] += own;
+      int effect = effectIndex(points.get(i));
+      double weight = weight(i);
+      rightSide[effect] += weight * (points.get(i).mean() - mean);
+      precision[effect][effect] += weight;
       for (int j : group) {
-        precision[at][effectIndex(points.get(j))] -= own * weight(j) / all;
+        precision[effect][effectIndex(points.get(j))] -= weight * weight(j) / totalWeight;
       }
     }
   }
 
   private double groupLevel(List<Integer> group) {
-    double all = 0;
+    double totalWeight = 0;
     double sum = 0;
     for (int i : group) {
-      all += weight(i);
+      totalWeight += weight(i);
       sum += weight(i) * (points.get(i).mean() - effects[effectIndex(points.get(i))]);
     }
-    return sum / all;
+    return sum / totalWeight;
   }
 
-  /** Observations beyond one in each group. */
+  /** Returns the number of points beyond one in each group. */
   private int degreesOfFreedom() {
     return points.size() - groups.size();
   }
 
-  /** What strays beyond each cell's own error; and cells far off count less from now on. */
+  /** Updates omega, the variation beyond the cells' own errors, and the weights of the cells. */
   private void updateOmegaAndWeights() {
-    double beyond = 0;
-    double share = 0;
+    double scaledResiduals = 0;
+    double totalPrecision = 0;
     for (int i = 0; i < points.size(); i++) {
-      FitData.Point one = points.get(i);
-      double residual = one.mean() - groupLevels[one.group()] - effects[effectIndex(one)];
-      double error = Math.sqrt(one.variance() + omegaSquared);
+      FitData.Point point = points.get(i);
+      double residual = point.mean() - groupLevels[point.group()] - effects[effectIndex(point)];
+      double error = Math.sqrt(point.variance() + omegaSquared);
       weights[i] = Math.min(1, HUBER_STANDARD_ERRORS * error / Math.max(Math.abs(residual), 1e-9));
       double clipped = Math.min(residual * residual, MAX_SQUARED_ERRORS * error * error);
-      beyond += clipped / one.variance();
-      share += 1 / one.variance();
+      scaledResiduals += clipped / point.variance();
+      totalPrecision += 1 / point.variance();
     }
     int freedom = degreesOfFreedom();
     if (freedom > 0) {
       omegaSquared =
-          Math.max(MIN_OMEGA_SQUARED, (beyond * points.size() / freedom - points.size()) / share);
+          Math.max(
+              MIN_OMEGA_SQUARED,
+              (scaledResiduals * points.size() / freedom - points.size()) / totalPrecision);
     }
   }
 
-  /** How far methods stray around their families. */
+  /** Updates tau, the variation of the methods' effects around the effects of their families. */
   private void updateTau() {
     double sum = 0;
     int count = 0;
     for (int f = 0; f < familyCount; f++) {
       for (int m = 0; m < methodCount; m++) {
-        int at = effectIndex(f, m);
-        double off = effects[at] - effects[f];
+        int effect = effectIndex(f, m);
+        double deviation = effects[effect] - effects[f];
         sum +=
-            off * off
-                + covariance.getEntry(at, at)
+            deviation * deviation
+                + covariance.getEntry(effect, effect)
                 + covariance.getEntry(f, f)
-                - 2 * covariance.getEntry(at, f);
+                - 2 * covariance.getEntry(effect, f);
         count++;
       }
     }
     tauSquared = Math.max(MIN_TAU * MIN_TAU, Math.min(MAX_TAU * MAX_TAU, sum / count));
   }
 
-  private HardwareModel model(long number, long newestWindow) {
+  private HardwareModel model(long fencingToken, long newestWindow) {
     HardwareModel.Estimate[][][] times =
         new HardwareModel.Estimate[methodCount + 1][familyCount][familyCount];
     for (int m = 0; m <= methodCount; m++) {
@@ -238,7 +253,7 @@
     HardwareModel.Estimate[] cores = new HardwareModel.Estimate[familyCount];
     Arrays.setAll(cores, concurrency::estimate);
     return new HardwareModel(
-        number,
+        fencingToken,
         newestWindow,
         data.families(),
         data.methods(),
@@ -247,12 +262,12 @@
         Math.max(MIN_DEGREES_OF_FREEDOM, degreesOfFreedom() - familyCount));
   }
 
-  private HardwareModel.Estimate difference(int one, int other) {
+  private HardwareModel.Estimate difference(int effect, int other) {
     double variance =
-        covariance.getEntry(one, one)
+        covariance.getEntry(effect, effect)
             + covariance.getEntry(other, other)
-            - 2 * covariance.getEntry(one, other);
+            - 2 * covariance.getEntry(effect, other);
     return new HardwareModel.Estimate(
-        effects[one] - effects[other], Math.sqrt(Math.max(0, variance)));
+        effects[effect] - effects[other], Math.sqrt(Math.max(0, variance)));
   }
 }
--- a/src/main/java/sprucerock/hardware/Observation.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -4,26 +4,26 @@
 import java.util.TreeMap;
 
 /**
- * The samples of the last windows of all relays, as the process that fits received them. Bounded by
- * windows, relays and cells. Not thread-safe; {@link #copy} may go to another thread.
+ * The samples of the last windows of all relays, as received by the process that fits the model.
+ * Bounded in windows, relays and cells. Not thread-safe; another thread may use a {@link #copy}.
  */
 public final class Observation {
   /**
-   * Windows that are kept: ten minutes at ten seconds each, in which hardware does not change but
-   * for what is to be noticed.
+   * The largest number of windows: ten minutes in windows of ten seconds. Within that time the only
+   * changes of hardware are those that should be detected.
    */
   public static final int MAX_WINDOWS = 60;
 
-  /** Relays that are kept of a window. */
+  /** The largest number of relays in a window. */
   public static final int MAX_RELAYS = 2000;
 
   private final TreeMap<Long, TreeMap<Integer, SampleSums>> windows = new TreeMap<>();
 
   /**
-   * Adds a relay's sums.
+   * Adds a relay's sums for one window.
    *
-   * @return true where they say something new; sums that hold less than what is known of their
-   *     relay and window came late or twice
+   * @return true if the sums are new; sums with no more samples than the known ones of the same
+   *     relay and window arrived late or twice and are ignored
    */
   public boolean add(SampleSums sample) {
     if (!windows.isEmpty() && sample.window() <= windows.lastKey() - MAX_WINDOWS) {
@@ -42,14 +42,14 @@
     return true;
   }
 
-  /** The same at this moment; sums that were received are never changed. */
+  /** Returns a copy. It shares the received sums, which are never changed. */
   public Observation copy() {
-    Observation made = new Observation();
-    windows.forEach((window, relays) -> made.windows.put(window, new TreeMap<>(relays)));
-    return made;
+    Observation copy = new Observation();
+    windows.forEach((window, relays) -> copy.windows.put(window, new TreeMap<>(relays)));
+    return copy;
   }
 
-  /** All relays' cells of each window from one on, added up. */
+  /** Returns the cells of each window from {@code first} on, summed over all relays. */
   Map<Long, Map<Cell, RunningMoments>> since(long first) {
     Map<Long, Map<Cell, RunningMoments>> all = new TreeMap<>();
     windows
@@ -58,14 +58,16 @@
             (window, relays) -> {
               Map<Cell, RunningMoments> sums = new TreeMap<>();
               for (SampleSums sample : relays.values()) {
-                sample.cells().forEach((cell, one) -> sums.merge(cell, one, RunningMoments::plus));
+                sample
+                    .cells()
+                    .forEach((cell, moments) -> sums.merge(cell, moments, RunningMoments::plus));
               }
               all.put(window, sums);
             });
     return all;
   }
 
-  /** The newest window; 0: there is none. */
+  /** Returns the newest window; 0: there is none. */
   public long newestWindow() {
     return windows.isEmpty() ? 0 : windows.lastKey();
   }
--- a/src/main/java/sprucerock/hardware/OutlierScore.java
+++ b/src/main/java/sprucerock/hardware/OutlierScore.java
@@ -8,27 +8,29 @@
 import java.util.function.IntPredicate;
 
 /**
- * Scores which family or build is an outlier where times change on one family: the family's, if
- * settled builds have changed there too; the build's, if only it is slow there beside the settled
- * ones of the same windows. Told apart before a model is fitted, and from the same sums.
+ * Finds out whether a hardware family or a build is the outlier where times change on one family.
+ * It is the family if settled builds became slower there too. It is the build if only this build is
+ * slow there, compared with the settled builds of the same windows. Uses the same sums as a model,
+ * before the model is fitted.
  */
 public final class OutlierScore {
   /**
-   * A family that is slow.
+   * A slow family, or a build that is slow on one family.
    *
-   * @param build that is slow there; 0: the family itself
-   * @param slower by how much, as a logarithm
-   * @param errors the same in standard errors
+   * @param build the build that is slow on this family; 0: the family itself is slow
+   * @param logSlowdown the logarithm of the factor by which times are longer
+   * @param standardErrors the same in standard errors
    */
   public record Finding(int family, int build, double logSlowdown, double standardErrors) {}
 
-  // One check a window, some families and builds each: at 4 standard errors one false alarm in
-  // 15,000 checks of one of them. What is under a tenth is of no use to anybody.
+  // There is one check in each window, of some families and builds. At 4 standard errors there is
+  // one false alarm in 15,000 checks of one of them. A slowdown below a tenth is not useful to
+  // know.
   private static final double MIN_STANDARD_ERRORS = 4;
-  private static final double MIN_SLOWDOWN = 0.1;
+  private static final double MIN_LOG_SLOWDOWN = 0.1;
   private static final double MIN_SAMPLES = 3;
 
-  /** What two means differ by in any case, as a logarithm. */
+  /** The logarithm of the factor by which two means differ without any cause. */
   private static final double MIN_LOG_ERROR = 0.02;
 
   private OutlierScore() {}
@@ -52,50 +54,52 @@
   }
 
   /**
-   * Families on which a build runs slower beside the settled ones than it does on other families.
+   * Returns the families on which a build is slower, compared with the settled builds, than on
+   * other families.
    */
   public static List<Finding> slowBuilds(
-      Observation seen, long firstWindow, int build, IntPredicate settled) {
+      Observation observation, long firstWindow, int build, IntPredicate settled) {
     Map<Integer, WeightedMean> byFamily = new TreeMap<>();
-    for (Map<Cell, RunningMoments> window : seen.since(firstWindow).values()) {
+    for (Map<Cell, RunningMoments> window : observation.since(firstWindow).values()) {
       window.forEach(
           (cell, own) -> {
             if (cell.build() != build || cell.depth() > 0 || own.count() < MIN_SAMPLES) {
               return;
             }
-            RunningMoments usual = baseline(window, cell, settled);
-            if (usual.count() >= MIN_SAMPLES) {
-              addDifference(byFamily, cell.family(), own, usual);
+            RunningMoments baseline = baseline(window, cell, settled);
+            if (baseline.count() >= MIN_SAMPLES) {
+              addDifference(byFamily, cell.family(), own, baseline);
             }
           });
     }
     return outliersAmong(byFamily, build);
   }
 
-  /** What settled builds take in the same window for the same method on the same family. */
+  /** Returns the times of settled builds in the same window, for the same method and family. */
   private static RunningMoments baseline(
       Map<Cell, RunningMoments> window, Cell cell, IntPredicate settled) {
-    RunningMoments usual = RunningMoments.EMPTY;
-    for (Map.Entry<Cell, RunningMoments> other : window.entrySet()) {
-      Cell beside = other.getKey();
-      boolean alike =
-          beside.method() == cell.method()
-              && beside.family() == cell.family()
-              && beside.depth() == 0;
-      if (alike && beside.build() != cell.build() && settled.test(beside.build())) {
-        usual = usual.plus(other.getValue());
+    RunningMoments baseline = RunningMoments.EMPTY;
+    for (Map.Entry<Cell, RunningMoments> entry : window.entrySet()) {
+      Cell other = entry.getKey();
+      boolean comparable =
+          other.method() == cell.method() && other.family() == cell.family() && other.depth() == 0;
+      if (comparable && other.build() != cell.build() && settled.test(other.build())) {
+        baseline = baseline.plus(entry.getValue());
       }
     }
-    return usual;
+    return baseline;
   }
 
   private static void addDifference(
-      Map<Integer, WeightedMean> byFamily, int family, RunningMoments own, RunningMoments usual) {
+      Map<Integer, WeightedMean> byFamily,
+      int family,
+      RunningMoments own,
+      RunningMoments baseline) {
     byFamily
-        .computeIfAbsent(family, any -> new WeightedMean())
+        .computeIfAbsent(family, absent -> new WeightedMean())
         .add(
-            own.mean() - usual.mean(),
-            varianceOfMean(own) + varianceOfMean(usual) + MIN_LOG_ERROR * MIN_LOG_ERROR);
+            own.mean() - baseline.mean(),
+            varianceOfMean(own) + varianceOfMean(baseline) + MIN_LOG_ERROR * MIN_LOG_ERROR);
   }
 
   private static double varianceOfMean(RunningMoments samples) {
@@ -103,15 +107,18 @@
   }
 
   /**
-   * Families on which settled builds run slower in the windows from one on than before it, beside
-   * other families.
+   * Returns the families on which settled builds became slower, compared with other families.
+   *
+   * @param firstWindow the first window that counts
+   * @param from the window from which times are compared with those before it
    */
   public static List<Finding> slowFamilies(
-      Observation seen, long firstWindow, long from, IntPredicate settled) {
+      Observation observation, long firstWindow, long from, IntPredicate settled) {
     Map<Integer, WeightedMean> byFamily = new TreeMap<>();
     Map<Cell, RunningMoments> before = new TreeMap<>();
     Map<Cell, RunningMoments> since = new TreeMap<>();
-    seen.since(firstWindow)
+    observation
+        .since(firstWindow)
         .forEach(
             (window, cells) ->
                 cells.forEach(
@@ -120,25 +127,25 @@
                         (window < from ? before : since).merge(cell, sums, RunningMoments::plus);
                       }
                     }));
-    TreeSet<Cell> both = new TreeSet<>(before.keySet());
-    both.retainAll(since.keySet());
-    for (Cell cell : both) {
-      RunningMoments old = before.get(cell);
-      RunningMoments now = since.get(cell);
-      if (old.count() < MIN_SAMPLES || now.count() < MIN_SAMPLES) {
+    TreeSet<Cell> commonCells = new TreeSet<>(before.keySet());
+    commonCells.retainAll(since.keySet());
+    for (Cell cell : commonCells) {
+      RunningMoments oldTimes = before.get(cell);
+      RunningMoments newTimes = since.get(cell);
+      if (oldTimes.count() < MIN_SAMPLES || newTimes.count() < MIN_SAMPLES) {
         continue;
       }
-      addDifference(byFamily, cell.family(), now, old);
+      addDifference(byFamily, cell.family(), newTimes, oldTimes);
     }
     return outliersAmong(byFamily, 0);
   }
 
   /**
-   * What all families have in common is a load, a method or a build that is slow everywhere, and no
-   * family's.
+   * Returns the families that are slow compared with the other families. A slowdown on all families
+   * is caused by load, a method or a build, not by a family.
    */
   private static List<Finding> outliersAmong(Map<Integer, WeightedMean> byFamily, int build) {
-    List<Finding> found = new ArrayList<>();
+    List<Finding> findings = new ArrayList<>();
     byFamily.forEach(
         (family, own) -> {
           List<WeightedMean> others = new ArrayList<>(byFamily.values());
@@ -147,14 +154,14 @@
             return;
           }
           others.sort((a, b) -> Double.compare(a.mean(), b.mean()));
-          // the middle one: another family may be slow too
-          WeightedMean usual = others.get((others.size() - 1) / 2);
-          double slower = own.mean() - usual.mean();
-          double errors = slower / Math.sqrt(own.variance() + usual.variance());
-          if (slower > MIN_SLOWDOWN && errors > MIN_STANDARD_ERRORS) {
-            found.add(new Finding(family, build, slower, errors));
+          // The median is robust if another family is slow too.
+          WeightedMean median = others.get((others.size() - 1) / 2);
+          double logSlowdown = own.mean() - median.mean();
+          double standardErrors = logSlowdown / Math.sqrt(own.variance() + median.variance());
+          if (logSlowdown > MIN_LOG_SLOWDOWN && standardErrors > MIN_STANDARD_ERRORS) {
+            findings.add(new Finding(family, build, logSlowdown, standardErrors));
           }
         });
-    return found;
+    return findings;
   }
 }
--- a/src/main/java/sprucerock/hardware/RunningMoments.java
+++ b/src/main/java/sprucerock/hardware/RunningMoments.java
@@ -1,21 +1,25 @@
 package sprucerock.hardware;
 
 /**
- * Logarithms of times: how many, their mean, and the sum of their squared distances from it.
- * (Welford 1962; merged as by Chan and others, 1979.) Never changed, only replaced.
+ * Moments of logarithms of times, computed as by Welford (1962) and merged as by Chan and others
+ * (1979). Immutable.
+ *
+ * @param count the number of times
+ * @param mean the mean of their logarithms
+ * @param squaredDeviations the sum of the squared deviations from the mean
  */
 public record RunningMoments(double count, double mean, double squaredDeviations) {
   static final RunningMoments EMPTY = new RunningMoments(0, 0, 0);
 
-  /** With one more time, in milliseconds; what is under a microsecond counts as that. */
+  /** Returns the moments with one more time. A time under a microsecond counts as a microsecond. */
   public RunningMoments plus(double ms) {
     double log = Math.log(Math.max(ms, 0.001));
-    double off = log - mean;
-    double now = mean + off / (count + 1);
-    return new RunningMoments(count + 1, now, squaredDeviations + off * (log - now));
+    double deviation = log - mean;
+    double newMean = mean + deviation / (count + 1);
+    return new RunningMoments(count + 1, newMean, squaredDeviations + deviation * (log - newMean));
   }
 
-  /** With all of another one. */
+  /** Returns the moments of both sets of times. */
   public RunningMoments plus(RunningMoments other) {
     if (count == 0) {
       return other;
@@ -23,11 +27,13 @@
     if (other.count == 0) {
       return this;
     }
-    double all = count + other.count;
-    double off = other.mean - mean;
+    double totalCount = count + other.count;
+    double difference = other.mean - mean;
     return new RunningMoments(
-        all,
-        mean + off * other.count / all,
-        squaredDeviations + other.squaredDeviations + off * off * count * other.count / all);
+        totalCount,
+        mean + difference * other.count / totalCount,
+        squaredDeviations
+            + other.squaredDeviations
+            + difference * difference * count * other.count / totalCount);
   }
 }
--- a/src/main/java/sprucerock/hardware/SampleSums.java
+++ b/src/main/java/sprucerock/hardware/SampleSums.java
@@ -4,14 +4,14 @@
 import java.util.TreeMap;
 
 /**
- * What one relay observed in one window, as it goes to the process that fits: bounded, and safe to
- * be received twice, as a later one of the same relay and window holds all of an earlier one and
- * takes its place. Not thread-safe.
+ * The times that one relay observed in one window, in the form that it sends to the process that
+ * fits the model. Bounded. Safe to receive twice: later sums of the same relay and window contain
+ * the earlier ones and replace them. Not thread-safe.
  */
 public final class SampleSums {
   /**
-   * Cells of a window at most; a relay with more methods, families and builds than that leaves out
-   * the ones it met last.
+   * The largest number of cells in a window. A relay with more methods, families and builds leaves
+   * out the cells that it observed last.
    */
   public static final int MAX_CELLS = 256;
 
@@ -20,15 +20,22 @@
   private final TreeMap<Cell, RunningMoments> cells = new TreeMap<>();
   private long droppedSamples;
 
-  /** An empty one; {@code window}: the same number for the same stretch of time at all relays. */
+  /**
+   * Creates empty sums.
+   *
+   * @param window the number of the window, which is the same at all relays for the same time
+   */
   public SampleSums(int relay, long window) {
     this.relay = relay;
     this.window = window;
   }
 
   /**
-   * An attempt succeeded after so many milliseconds, on an endpoint that had so many others in
-   * flight when it was sent.
+   * Adds a successful attempt.
+   *
+   * @param others the number of other attempts that the endpoint had in flight when this attempt
+   *     was sent
+   * @param ms the duration of the attempt
    */
   public void add(int method, int family, int build, int others, double ms) {
     Cell cell = Cell.of(method, family, build, others);
@@ -39,34 +46,34 @@
     }
   }
 
-  /** A cell as it was received; dropped where there are {@link #MAX_CELLS} already. */
+  /** Adds a received cell, or drops it if there are {@link #MAX_CELLS} cells. */
   public void put(Cell cell, RunningMoments sums) {
     if (cells.size() < MAX_CELLS) {
       cells.put(cell, sums);
     }
   }
 
-  /** The relay's number. */
+  /** Returns the relay's number. */
   public int relay() {
     return relay;
   }
 
-  /** The window's number. */
+  /** Returns the window's number. */
   public long window() {
     return window;
   }
 
-  /** By cell, in their order. */
+  /** Returns the sums by cell, in the order of the cells. */
   public Map<Cell, RunningMoments> cells() {
     return cells;
   }
 
-  /** Attempts in it. */
+  /** Returns the number of attempts in all cells. */
   double count() {
     return cells.values().stream().mapToDouble(RunningMoments::count).sum();
   }
 
-  /** Attempts that were left out, as there were {@link #MAX_CELLS} cells already. */
+  /** Returns the number of attempts left out because there were {@link #MAX_CELLS} cells. */
   public long droppedSamples() {
     return droppedSamples;
   }
