--- a/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
+++ b/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
@@ -9,42 +9,45 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Which endpoint the one relay that checks for the whole fleet checks next, and what changed by it.
- * A check asks an endpoint's process for a sign of life and runs no work, so that it costs an
- * endpoint that is warming up nothing. The health of an endpoint that gets requests its callers
- * know better; it is checked seldom. The schedule is lost with its holder: the next one begins
- * anew, at random places. Not thread-safe.
+ * The schedule of the one relay that checks the health of endpoints for the whole fleet: which
+ * endpoint is checked next, and whether the result changed. A health check only asks whether an
+ * endpoint's process responds and runs no work, so it costs an endpoint that is warming up nothing.
+ * Endpoints that get requests are checked seldom, because their callers know their health better.
+ * The schedule is lost with the lease holder; the next holder starts a new one with random due
+ * times. Not thread-safe.
  */
 public final class HealthCheckScheduler {
-  /** Called within this: those who call see for themselves. */
+  /** An endpoint that was called within this time span is busy: its callers observe its health. */
   private static final TimeSpan BUSY_IF_CALLED_WITHIN = TimeSpan.ofMs(2000);
 
   private static final TimeSpan BUSY_INTERVAL = TimeSpan.ofMs(10_000);
 
-  /** About as long as the silence of a connection takes to be noticed. */
+  /** The interval is about as long as it takes to detect a silent connection. */
   private static final TimeSpan IDLE_INTERVAL = TimeSpan.ofMs(2000);
 
-  /** The routing policy gives a failing endpoint one check a second by itself. */
+  /** The routing policy itself also gives a failing endpoint one check a second. */
   private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(1000);
 
-  /** Intervals are drawn from 0.75 to under 1.25 of themselves. */
+  /** An interval is multiplied by a random factor from 0.75 to under 1.25. */
   private static final double JITTER_FLOOR = 0.75;
 
   private static final double JITTER_WIDTH = 0.5;
 
   private static final class Entry {
     private final long endpoint;
-    private Timestamp due; // changed by schedule(...) alone, as the order depends on it
-    private Boolean answered; // null: not checked yet
+
+    /** When the next check is due. Changed only by schedule(...), as the order depends on it. */
+    private Timestamp due;
+
+    /** Whether the endpoint answered its last check; null: it has not been checked. */
+    private Boolean answered;
 
     Entry(long endpoint) {
       this.endpoint = endpoint;
     }
   }
 
-  /**
-   * The earliest first; of those due at one time the highest number, so that the order is total.
-   */
+  /** Orders by due time, and endpoints due at the same time by descending id: a total order. */
   private static final Comparator<Entry> BY_DUE_TIME =
       Comparator.<Entry, Timestamp>comparing(entry -> entry.due)
           .thenComparing(entry -> entry.endpoint, Comparator.reverseOrder());
@@ -52,15 +55,19 @@
   private final DoubleSupplier random;
   private final Map<Long, Entry> entries = new HashMap<>();
 
-  /** The same entries: a check asks for the first one, and walks none. */
+  /** The same entries by due time, so that finding the next endpoint needs no scan. */
   private final TreeSet<Entry> byDueTime = new TreeSet<>(BY_DUE_TIME);
 
-  /** An empty one; {@code random} gives numbers from 0 to under 1. */
+  /**
+   * Creates an empty schedule.
+   *
+   * @param random returns numbers from 0 to under 1
+   */
   public HealthCheckScheduler(DoubleSupplier random) {
     this.random = random;
   }
 
-  /** The endpoint is listed, and may get requests; without effect if it is known. */
+  /** Adds an endpoint of the endpoint list. Without effect if it is known. */
   public void add(long endpoint, Timestamp now) {
     if (entries.containsKey(endpoint)) {
       return;
@@ -82,7 +89,7 @@
     return interval.times(JITTER_FLOOR + JITTER_WIDTH * random.getAsDouble());
   }
 
-  /** The endpoint is listed no more; without effect if it isn't known. */
+  /** Removes an endpoint that left the endpoint list. Without effect if it is not known. */
   public void remove(long endpoint) {
     Entry entry = entries.remove(endpoint);
     if (entry != null) {
@@ -90,7 +97,7 @@
     }
   }
 
-  /** The endpoint to check now; -1: none is due. It counts as checked from now on. */
+  /** Returns the endpoint to check now, and counts it as checked; -1: none is due. */
   public long takeNext(Timestamp now) {
     if (byDueTime.isEmpty() || byDueTime.first().due.after(now)) {
       return -1;
@@ -101,10 +108,10 @@
   }
 
   /**
-   * An endpoint answered its check.
+   * Records that an endpoint answered its health check.
    *
-   * @param idle for how long nobody has called it, as it says
-   * @return true where others should be notified: it had not answered the last one
+   * @param idle the time span since the last call of the endpoint, as the endpoint reports it
+   * @return whether to notify the other relays: the endpoint had not answered its previous check
    */
   public boolean recordAnswer(long endpoint, TimeSpan idle, Timestamp now) {
     Entry entry = entries.get(endpoint);
@@ -118,7 +125,11 @@
     return recovered;
   }
 
-  /** An endpoint didn't answer its check in time; true where others should be notified. */
+  /**
+   * Records that an endpoint did not answer its health check in time.
+   *
+   * @return whether to notify the other relays: the endpoint is known
+   */
   public boolean recordTimeout(long endpoint, Timestamp now) {
     Entry entry = entries.get(endpoint);
     if (entry == null) {
@@ -129,7 +140,7 @@
     return true;
   }
 
-  /** Endpoints that are known. */
+  /** Returns the number of known endpoints. */
   public int size() {
     return entries.size();
   }
--- a/src/main/java/sprucerock/relay/healthcheck/package-info.java
+++ b/src/main/java/sprucerock/relay/healthcheck/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Which endpoint is to be health-checked next, by the one relay of the fleet that holds the lease
- * for it.
+ * The schedule of health checks, which the one relay that holds the lease for them does for the
+ * whole fleet.
  *
- * <p>{@link sprucerock.relay.healthcheck.HealthCheckScheduler} owns the schedule; it is lost with
- * its holder, and the next one begins anew. It decides alone: whoever uses it sends the checks and
- * tells others of the results.
+ * <p>{@link sprucerock.relay.healthcheck.HealthCheckScheduler} owns the schedule. The schedule is
+ * lost with the lease holder, and the next holder starts a new one. The scheduler only decides; its
+ * caller sends the health checks and notifies other relays of the results.
  *
  * <p>Must not: read a clock, do input or output, start a thread, or judge an endpoint beyond
  * whether it answered.
--- a/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
@@ -5,23 +5,28 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Until when work may be placed on each rack, for every thread that places some: immutable, read
- * without a lock and without allocating. A rack that is not in it never has a maintenance window.
- * Times are of this process's steady clock, reckoned from durations; no wall clock has a part in
- * it.
+ * The times until which work may be placed on each rack, shared by all threads that place work.
+ * Immutable; reading needs no lock and no allocation. A rack that is not in the snapshot never has
+ * a maintenance window. Times are of this process's monotonic clock, computed from durations; no
+ * wall clock is involved.
  */
 public final class RackSnapshot {
-  /** Of a process that was granted nothing: no rack can have a maintenance window. */
+  /** The snapshot of a process without rack permits: no rack can have a maintenance window. */
   public static final RackSnapshot EMPTY = new RackSnapshot(0, Map.of());
 
   private final long sequence;
-  // Open addressing in one array of keys, at most half full: a miss ends at the first empty slot.
+  // An open addressing hash table, at most half full: a miss ends at the first empty slot.
   private final int[] keys;
   private final double[] untilMs;
   private final int mask;
   private final int size;
 
-  /** One of a sequence; {@code until} has the racks' times by {@link #key}. */
+  /**
+   * Creates a snapshot.
+   *
+   * @param sequence the controller's sequence number
+   * @param until the times until which work may be placed on a rack, by {@link #key}
+   */
   public RackSnapshot(long sequence, Map<Integer, Timestamp> until) {
     this.sequence = sequence;
     size = until.size();
@@ -32,16 +37,16 @@
     untilMs = new double[slots];
     until.forEach(
         (key, time) -> {
-          int at = slot(key);
-          while (keys[at] != -1) {
-            at = (at + 1) & mask;
+          int slot = slot(key);
+          while (keys[slot] != -1) {
+            slot = (slot + 1) & mask;
           }
-          keys[at] = key;
-          untilMs[at] = time.ms();
+          keys[slot] = key;
+          untilMs[slot] = time.ms();
         });
   }
 
-  /** A rack's key: its zone, 0 to 32,767, and its cell, 0 to 65,535. */
+  /** Returns the key of a rack from its zone, 0 to 32,767, and its cell, 0 to 65,535. */
   public static int key(int zone, int cell) {
     return ((zone & 0x7fff) << 16) | (cell & 0xffff);
   }
@@ -52,34 +57,36 @@
   }
 
   /**
-   * Whether work that begins now and takes that long at most may be placed on a rack; all in
-   * milliseconds of the steady clock.
+   * Returns whether work may be placed on a rack.
+   *
+   * @param nowMs the start of the work, in milliseconds of the monotonic clock
+   * @param takesMs how long the work takes at most
    */
   public boolean mayPlace(int key, double nowMs, double takesMs) {
-    for (int at = slot(key); keys[at] != -1; at = (at + 1) & mask) {
-      if (keys[at] == key) {
-        return nowMs + takesMs <= untilMs[at];
+    for (int slot = slot(key); keys[slot] != -1; slot = (slot + 1) & mask) {
+      if (keys[slot] == key) {
+        return nowMs + takesMs <= untilMs[slot];
       }
     }
     return true;
   }
 
-  /** Until when a rack is free for certain; null: it never has a maintenance window. */
+  /** Returns until when work may be placed on a rack; null: it never has a maintenance window. */
   public Timestamp freeUntil(int key) {
-    for (int at = slot(key); keys[at] != -1; at = (at + 1) & mask) {
-      if (keys[at] == key) {
-        return Timestamp.ofMs(untilMs[at]);
+    for (int slot = slot(key); keys[slot] != -1; slot = (slot + 1) & mask) {
+      if (keys[slot] == key) {
+        return Timestamp.ofMs(untilMs[slot]);
       }
     }
     return null;
   }
 
-  /** The controller's sequence that it was made from. */
+  /** Returns the controller's sequence number. */
   public long sequence() {
     return sequence;
   }
 
-  /** Racks that are in it. */
+  /** Returns the number of racks in the snapshot. */
   public int size() {
     return size;
   }
--- a/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
@@ -3,21 +3,25 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The snapshot that all threads of this process go by (read-copy-update): published by one loop
- * alone, read by any thread. A reader takes it once for a decision, and whatever it then asks is of
- * one state.
+ * The current rack snapshot of this process (read-copy-update). Only one loop publishes it; any
+ * thread reads it. A reader reads the reference once for each decision, so that all its lookups see
+ * one consistent state.
  */
 public final class SharedSnapshot {
   private final AtomicReference<RackSnapshot> current = new AtomicReference<>(RackSnapshot.EMPTY);
 
-  /** The latest snapshot; consistent in itself, however old the reader's other knowledge is. */
+  /**
+   * Returns the latest snapshot, which is consistent in itself but may be newer than other state.
+   */
   public RackSnapshot current() {
     return current.getAcquire();
   }
 
   /**
-   * Publishes a snapshot. An older sequence never takes a newer one's place: false if that was
-   * tried. On the one publishing thread.
+   * Publishes a snapshot, unless the current one has a higher sequence number. Called only on the
+   * publishing thread.
+   *
+   * @return whether the snapshot was published
    */
   public boolean publish(RackSnapshot next) {
     if (next.sequence() < current.getPlain().sequence()) {
