--- a/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
@@ -10,9 +10,7 @@
 public final class SharedSnapshot {
   private final AtomicReference<RackSnapshot> current = new AtomicReference<>(RackSnapshot.EMPTY);
 
-  /**
-   * Returns the latest snapshot, which is consistent in itself but may be newer than other state.
-   */
+  /** Returns the latest snapshot. It is consistent, even if the reader's other state is older. */
   public RackSnapshot current() {
     return current.getAcquire();
   }
--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -49,7 +49,7 @@
         for (int a = 0; a < 4; a++) {
           for (int b = 0; b < 4; b++) {
             for (int m = 0; m < 3 && a != b; m++) {
-              double time = Math.log(hardware.time(a, m) / hardware.time(b, m));
+              double time = Math.log(hardware.timeFactor(a, m) / hardware.timeFactor(b, m));
               double capacity = Math.log(hardware.capacity(a, m) / hardware.capacity(b, m));
               HardwareModel.Estimate ofTime = model.timeRatio(m, a, b);
               HardwareModel.Estimate ofCapacity = model.capacityRatio(m, a, b);
--- a/src/test/java/sprucerock/hardware/LeastSquaresFitTest.java
+++ b/src/test/java/sprucerock/hardware/LeastSquaresFitTest.java
@@ -38,7 +38,7 @@
           for (int m = 0; m < 3; m++) {
             bounds++;
             HardwareModel.Estimate time = model.timeRatio(m, a, b);
-            if (Math.log(hardware.time(a, m) / hardware.time(b, m))
+            if (Math.log(hardware.timeFactor(a, m) / hardware.timeFactor(b, m))
                 < time.logValue() + errors * time.standardError()) {
               timeBoundsHeld++;
             }
@@ -68,8 +68,8 @@
       SampleSums sums = new SampleSums(0, w);
       int[] pair = pairs[w % 3];
       for (int i = 0; i < 400; i++) {
-        int family = pair[hardware.draw(2)];
-        sums.add(0, family, 1, 0, hardware.ms(family, 0, 0, 1));
+        int family = pair[hardware.randomInt(2)];
+        sums.add(0, family, 1, 0, hardware.attemptMs(family, 0, 0, 1));
       }
       observation.add(sums);
     }
@@ -77,7 +77,7 @@
     HardwareModel.Estimate connected = model.timeRatio(0, 0, 2);
     assertEquals(
         connected.logValue(),
-        Math.log(hardware.time(0, 0) / hardware.time(2, 0)),
+        Math.log(hardware.timeFactor(0, 0) / hardware.timeFactor(2, 0)),
         4 * connected.standardError());
     assertTrue(
         connected.standardError() > model.timeRatio(0, 0, 1).standardError()
@@ -168,11 +168,11 @@
       hardware.beginWindow();
       SampleSums sums = new SampleSums(0, w);
       for (int i = 0; i < 4000; i++) {
-        int family = hardware.draw(5);
-        int method = hardware.draw(3);
-        int build = w > 10 && hardware.draw(4) == 0 ? 2 : 1;
+        int family = hardware.randomInt(5);
+        int method = hardware.randomInt(3);
+        int build = w > 10 && hardware.randomInt(4) == 0 ? 2 : 1;
         boolean slow = w > 10 && family == slowFamily && (!byBuild || build == 2);
-        sums.add(method, family, build, 0, hardware.ms(family, method, 0, slow ? 1.4 : 1));
+        sums.add(method, family, build, 0, hardware.attemptMs(family, method, 0, slow ? 1.4 : 1));
       }
       observation.add(sums);
     }
@@ -219,8 +219,8 @@
         LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1).logValue();
     SampleSums odd = new SampleSums(0, 21);
     for (int i = 0; i < 300; i++) {
-      odd.add(0, 0, 1, 0, hardware.ms(0, 0, 0, 20));
-      odd.add(0, 1, 1, 0, hardware.ms(1, 0, 0, 1));
+      odd.add(0, 0, 1, 0, hardware.attemptMs(0, 0, 0, 20));
+      odd.add(0, 1, 1, 0, hardware.attemptMs(1, 0, 0, 1));
     }
     observation.add(odd);
     assertEquals(
--- a/src/test/java/sprucerock/hardware/SimulatedHardware.java
+++ b/src/test/java/sprucerock/hardware/SimulatedHardware.java
@@ -16,7 +16,7 @@
   final double[][] methodFactors;
 
   private final SplittableRandom random;
-  private final double[] methodLevels = new double[WORK_MS.length];
+  private final double[] methodLogLevels = new double[WORK_MS.length];
 
   SimulatedHardware(long seed, int families) {
     random = new SplittableRandom(seed);
@@ -37,33 +37,33 @@
         * Math.cos(2 * Math.PI * random.nextDouble());
   }
 
-  double time(int family, int method) {
+  double timeFactor(int family, int method) {
     return methodFactors[family][method] / speed[family];
   }
 
   double capacity(int family, int method) {
-    return cores[family] / time(family, method);
+    return cores[family] / timeFactor(family, method);
   }
 
   /** A window begins: each method's requests are of another mix now. */
   void beginWindow() {
-    for (int m = 0; m < methodLevels.length; m++) {
-      methodLevels[m] = 0.3 * gaussian();
+    for (int m = 0; m < methodLogLevels.length; m++) {
+      methodLogLevels[m] = 0.3 * gaussian();
     }
   }
 
   /** The time of one attempt of a method on a family that had so many others in flight. */
-  double ms(int family, int method, int others, double slower) {
+  double attemptMs(int family, int method, int others, double slower) {
     double work =
-        -Math.log(1 - random.nextDouble()) * WORK_MS[method] * Math.exp(methodLevels[method]);
+        -Math.log(1 - random.nextDouble()) * WORK_MS[method] * Math.exp(methodLogLevels[method]);
     return Math.max(work, 0.01)
-        * time(family, method)
+        * timeFactor(family, method)
         * Math.max(1, (others + 1) / cores[family])
         * slower
         * Math.exp(0.03 * gaussian());
   }
 
-  int draw(int bound) {
+  int randomInt(int bound) {
     return random.nextInt(bound);
   }
 
@@ -77,10 +77,11 @@
         sums[r] = new SampleSums(r, w);
       }
       for (int i = 0; i < attempts; i++) {
-        int family = draw(speed.length);
-        int method = draw(WORK_MS.length);
-        int others = random.nextInt(3) == 0 ? draw(64) : 0;
-        sums[draw(relays)].add(method, family, 1, others, ms(family, method, others, 1));
+        int family = randomInt(speed.length);
+        int method = randomInt(WORK_MS.length);
+        int others = random.nextInt(3) == 0 ? randomInt(64) : 0;
+        sums[randomInt(relays)].add(
+            method, family, 1, others, attemptMs(family, method, others, 1));
       }
       for (SampleSums one : sums) {
         observation.add(one);
--- a/src/test/java/sprucerock/lease/FaultyParties.java
+++ b/src/test/java/sprucerock/lease/FaultyParties.java
@@ -5,119 +5,157 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Factories of parties that each lack one safety rule. */
+/** Factories of lease clients and grantors that each lack one safety rule. */
 final class FaultyParties {
   private FaultyParties() {}
 
-  private static LeaseSimulation.PartyFactory clients(ClientFactory made) {
+  private static LeaseSimulation.PartyFactory clients(ClientFactory factory) {
     return new LeaseSimulation.PartyFactory() {
       @Override
       public LeaseClient client(
-          LeaseTerms terms, LeaseClient.Transport host, int me, long incarnation, double chance) {
-        return made.of(terms, host, chance, me, incarnation);
+          LeaseTerms terms,
+          LeaseClient.Transport transport,
+          int clientNumber,
+          long incarnation,
+          double chance) {
+        return factory.create(terms, transport, chance, clientNumber, incarnation);
       }
     };
   }
 
   private interface ClientFactory {
-    LeaseClient of(
-        LeaseTerms terms, LeaseClient.Transport host, double chance, int me, long incarnation);
+    LeaseClient create(
+        LeaseTerms terms,
+        LeaseClient.Transport transport,
+        double chance,
+        int clientNumber,
+        long incarnation);
   }
 
-  private static LeaseSimulation.PartyFactory grantors(GrantorFactory made) {
+  private static LeaseSimulation.PartyFactory grantors(GrantorFactory factory) {
     return new LeaseSimulation.PartyFactory() {
       @Override
       public LeaseGrantor grantor(
-          LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants) {
-        return made.of(terms, host, opens, grants);
+          LeaseTerms terms,
+          LeaseGrantor.Replies replies,
+          Timestamp grantsFrom,
+          Map<String, Grant> grants) {
+        return factory.create(terms, replies, grantsFrom, grants);
       }
     };
   }
 
   private interface GrantorFactory {
-    LeaseGrantor of(
-        LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants);
+    LeaseGrantor create(
+        LeaseTerms terms,
+        LeaseGrantor.Replies replies,
+        Timestamp grantsFrom,
+        Map<String, Grant> grants);
   }
 
-  /** Each by what it lacks. */
-  static Map<String, LeaseSimulation.PartyFactory> all() {
-    Map<String, LeaseSimulation.PartyFactory> all = new TreeMap<>();
-    all.put(
-        "a granter minds what is out",
+  /** Returns the factories by the rule that their clients or grantors lack. */
+  static Map<String, LeaseSimulation.PartyFactory> byMissingRule() {
+    Map<String, LeaseSimulation.PartyFactory> factories = new TreeMap<>();
+    factories.put(
+        "a grantor grants nothing while a grant runs",
         grantors(
-            (terms, host, opens, grants) ->
-                new LeaseGrantor(terms, host, opens, grants) {
+            (terms, replies, grantsFrom, grants) ->
+                new LeaseGrantor(terms, replies, grantsFrom, grants) {
                   @Override
                   boolean isRunning(Grant grant, Timestamp now) {
                     return false;
                   }
                 }));
-    all.put(
-        "a number exceeds all before",
+    factories.put(
+        "a token exceeds all earlier ones",
         grantors(
-            (terms, host, opens, grants) ->
-                new LeaseGrantor(terms, host, opens, grants) {
+            (terms, replies, grantsFrom, grants) ->
+                new LeaseGrantor(terms, replies, grantsFrom, grants) {
                   @Override
                   boolean exceedsToken(long token, Grant grant) {
                     return true;
                   }
                 }));
-    all.put(
-        "a granter sits out after its start",
+    factories.put(
+        "a grantor grants nothing for the longest term after its start",
         new LeaseSimulation.PartyFactory() {
           @Override
           public TimeSpan startupDelay(LeaseTerms terms) {
             return TimeSpan.ZERO;
           }
         });
-    all.put(
-        "a majority grants",
+    factories.put(
+        "a quorum grants",
         clients(
-            (terms, host, chance, me, incarnation) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
+            (terms, transport, chance, clientNumber, incarnation) ->
+                new LeaseClient(
+                    LeaseSimulation.NAME,
+                    terms,
+                    transport,
+                    () -> chance,
+                    clientNumber,
+                    incarnation) {
                   @Override
                   int requiredGrants() {
                     return 1;
                   }
                 }));
-    all.put(
-        "time counts from before it asked",
+    factories.put(
+        "the term counts from before the request",
         clients(
-            (terms, host, chance, me, incarnation) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
+            (terms, transport, chance, clientNumber, incarnation) ->
+                new LeaseClient(
+                    LeaseSimulation.NAME,
+                    terms,
+                    transport,
+                    () -> chance,
+                    clientNumber,
+                    incarnation) {
                   @Override
                   Timestamp termStart(Timestamp now) {
                     return now;
                   }
                 }));
-    all.put(
-        "time is shortened by the drift",
+    factories.put(
+        "the term is shortened by the drift",
         clients(
-            (terms, host, chance, me, incarnation) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
+            (terms, transport, chance, clientNumber, incarnation) ->
+                new LeaseClient(
+                    LeaseSimulation.NAME,
+                    terms,
+                    transport,
+                    () -> chance,
+                    clientNumber,
+                    incarnation) {
                   @Override
                   TimeSpan usableTerm() {
                     return terms.term();
                   }
                 }));
-    all.put(
-        "an answer counts for its own round",
+    factories.put(
+        "an answer counts only for its own round",
         clients(
-            (terms, host, chance, me, incarnation) ->
-                new LeaseClient(LeaseSimulation.NAME, terms, host, () -> chance, me, incarnation) {
+            (terms, transport, chance, clientNumber, incarnation) ->
+                new LeaseClient(
+                    LeaseSimulation.NAME,
+                    terms,
+                    transport,
+                    () -> chance,
+                    clientNumber,
+                    incarnation) {
                   @Override
-                  boolean isCurrentRound(long ofRound) {
+                  boolean isCurrentRound(long answeredRound) {
                     return true;
                   }
                 }));
-    all.put(
-        "a place refuses lower numbers",
+    factories.put(
+        "the receiver of acts rejects lower tokens",
         new LeaseSimulation.PartyFactory() {
           @Override
           public boolean rejectsLowerTokens() {
             return false;
           }
         });
-    return all;
+    return factories;
   }
 }
--- a/src/test/java/sprucerock/lease/FencingTokenRegistryTest.java
+++ b/src/test/java/sprucerock/lease/FencingTokenRegistryTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** The place where acts land. */
+/** The registry rejects acts under tokens lower than the highest one of their lease. */
 public class FencingTokenRegistryTest {
   @Test
   public void admitsNoTokenLowerThanOneItSaw() {
--- a/src/test/java/sprucerock/lease/LeaseClientTest.java
+++ b/src/test/java/sprucerock/lease/LeaseClientTest.java
@@ -11,7 +11,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One client, number 7, and the check of its acts; what it sends and notifies is recorded. */
+/** A lease client, number 7, and its lease check. The client's messages and events are recorded. */
 public class LeaseClientTest {
   private static final LeaseTerms TERMS =
       new LeaseTerms(3, TimeSpan.ofMs(1000), TimeSpan.ofMs(2000), 0.01);
@@ -42,8 +42,8 @@
         }
 
         @Override
-        public void lost(String name, long token, String why) {
-          events.add("lost: " + why);
+        public void lost(String name, long token, String reason) {
+          events.add("lost: " + reason);
         }
       };
 
@@ -63,31 +63,34 @@
   }
 
   @Test
-  public void quorumInOneRoundHoldsItFromBeforeTheRequest() {
+  public void quorumInOneRoundHoldsTheLeaseFromBeforeTheRequest() {
     client.acquire(at(0), 40);
     client.handleGrant(0, TOKEN, 1, at(100));
     assertFalse(client.isHeldAt(at(100)));
-    client.handleGrant(0, TOKEN, 1, at(100)); // twice is once
-    client.handleGrant(2, TOKEN, 9, at(100)); // of no round of ours
+    // A duplicate counts once.
+    client.handleGrant(0, TOKEN, 1, at(100));
+    // The client has not begun this round.
+    client.handleGrant(2, TOKEN, 9, at(100));
     assertFalse(client.isHeldAt(at(100)));
     client.handleGrant(2, TOKEN, 1, at(100));
     assertEvents("request 40 round 1", "acquired");
-    double until = 1000 * 0.99 / 1.01;
-    assertTrue(client.isHeldAt(at(until - 1)));
-    assertFalse(client.isHeldAt(at(until)));
+    double heldUntilMs = 1000 * 0.99 / 1.01;
+    assertTrue(client.isHeldAt(at(heldUntilMs - 1)));
+    assertFalse(client.isHeldAt(at(heldUntilMs)));
   }
 
   @Test
-  public void renewsInTimeAndHoldsItUntilTheTermRunsOut() {
+  public void renewsInTimeAndHoldsTheLeaseUntilTheTermEnds() {
     client.acquire(at(0), 40);
     for (int grantor = 0; grantor < 3; grantor++) {
       client.handleGrant(grantor, TOKEN, 1, at(1));
     }
-    double renewal = client.nextTick().ms();
-    assertTrue(renewal > 320 && renewal < 500, "" + renewal);
-    client.tick(at(renewal), 40);
-    client.handleGrant(0, TOKEN, 2, at(renewal + 1));
-    client.handleGrant(1, TOKEN, 1, at(renewal + 1)); // from the first round, late
+    double renewalMs = client.nextTick().ms();
+    assertTrue(renewalMs > 320 && renewalMs < 500, "renewal at " + renewalMs + " ms");
+    client.tick(at(renewalMs), 40);
+    client.handleGrant(0, TOKEN, 2, at(renewalMs + 1));
+    // This answer to the first round arrives late.
+    client.handleGrant(1, TOKEN, 1, at(renewalMs + 1));
     client.tick(at(985), 40);
     assertEvents(
         "request 40 round 1",
@@ -101,21 +104,24 @@
   }
 
   @Test
-  public void withoutAQuorumItReleasesAndBacksOff() {
+  public void releasesAndBacksOffWithoutAQuorum() {
     client.acquire(at(0), 40);
     client.handleGrant(0, TOKEN, 1, at(1));
     client.handleRejection(1, TOKEN, 1, 90L << 16, TimeSpan.ZERO, false, at(1));
     client.handleRejection(2, TOKEN, 1, 0, TimeSpan.ZERO, false, at(1));
     assertEvents("request 40 round 1", "release to 0");
-    double first = client.nextTick().ms();
-    client.tick(at(first), 40);
-    client.tick(client.nextTick(), 40); // nobody answered
+    double firstRetryMs = client.nextTick().ms();
+    client.tick(at(firstRetryMs), 40);
+    // No grantor answered.
+    client.tick(client.nextTick(), 40);
     assertEvents("request 91 round 2", "release to 0", "release to 1", "release to 2");
-    assertTrue(client.nextTick().ms() - first > 2 * first, "it should wait longer");
+    assertTrue(
+        client.nextTick().ms() - firstRetryMs > 2 * firstRetryMs,
+        "the second backoff must be longer than the first, but ends at " + client.nextTick());
   }
 
   @Test
-  public void releasesWhatIsGrantedForATokenThatWasGivenUp() {
+  public void releasesGrantsForAnAbandonedToken() {
     client.acquire(at(0), 40);
     client.release(-1);
     events.clear();
--- a/src/test/java/sprucerock/lease/LeaseGrantorTest.java
+++ b/src/test/java/sprucerock/lease/LeaseGrantorTest.java
@@ -9,7 +9,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** One grantor, whose answers are recorded as "1 granted 5" and so on: the client, then what. */
+/** A grantor whose answers are recorded as client and answer, for example "1 granted 5". */
 public class LeaseGrantorTest {
   private static final LeaseTerms TERMS =
       new LeaseTerms(3, TimeSpan.ofMs(1000), TimeSpan.ofMs(2000), 0.01);
@@ -31,9 +31,9 @@
             long token,
             long round,
             long highest,
-            TimeSpan left,
-            LeaseGrantor.Rejection why) {
-          answers.add(client + " rejected " + why + " " + Math.round(left.ms()));
+            TimeSpan minWait,
+            LeaseGrantor.Rejection reason) {
+          answers.add(client + " rejected " + reason + " " + Math.round(minWait.ms()));
         }
 
         @Override
@@ -73,9 +73,11 @@
     request(1, 5, 3000);
     request(2, 6, 3100);
     request(1, 5, 3800);
-    request(2, 6, 4100); // it runs from 3800 by now
+    // The renewed grant runs from 3800 ms.
+    request(2, 6, 4100);
     request(2, 6, 4800);
-    request(1, 5, 4900); // too late: another has it
+    // Another client has been granted the lease.
+    request(1, 5, 4900);
     assertAnswers(
         "1 granted 5",
         "2 rejected HELD 900",
@@ -90,21 +92,23 @@
     request(1, 5, 3000);
     request(2, 5, 9000);
     request(2, 4, 9000);
-    request(1, 5, 9000); // nobody took it since: it is still the same grant
+    // No other client was granted the lease since, so this renews the same grant.
+    request(1, 5, 9000);
     assertAnswers("1 granted 5", "2 rejected LOWER 0", "2 rejected LOWER 0", "1 granted 5");
   }
 
   @Test
-  public void tellsTwoIncarnationsOfOneClientApart() {
+  public void distinguishesTwoIncarnationsOfOneClient() {
     grantor.request(1, 11, LEASE, 5, 1, at(3000));
     grantor.request(1, 12, LEASE, 5, 1, at(3000));
-    grantor.release(1, 12, LEASE, 5, -1, at(3000)); // not its own to give back
+    // An incarnation can't release the grant of another one.
+    grantor.release(1, 12, LEASE, 5, -1, at(3000));
     grantor.request(1, 12, LEASE, 6, 1, at(3000));
     assertAnswers("1 granted 5", "1 rejected HELD 1000", "1 rejected HELD 1000");
   }
 
   @Test
-  public void notifiesTheLongestWaiterAndAnOldRequestRevivesNothing() {
+  public void notifiesTheLongestWaiterAndRejectsADelayedRenewal() {
     request(1, 5, 3000);
     request(2, 6, 3000);
     request(3, 7, 3000);
@@ -117,7 +121,7 @@
   }
 
   @Test
-  public void keepsItForANamedSuccessorForHalfATerm() {
+  public void keepsTheLeaseForASuccessorForHalfATerm() {
     request(1, 5, 3000);
     request(2, 6, 3000);
     answers.clear();
@@ -125,13 +129,14 @@
     request(2, 6, 3101);
     request(3, 7, 3102);
     assertAnswers("3 available", "2 rejected KEPT 499", "3 granted 7");
-    grantor.release(3, 3, LEASE, 7, 9, at(3200)); // which is dead
+    // The successor, client 9, is dead.
+    grantor.release(3, 3, LEASE, 7, 9, at(3200));
     request(2, 8, 3701);
     assertAnswers("9 available", "2 granted 8");
   }
 
   @Test
-  public void waitersBeyondTheQueueAskLater() {
+  public void clientsBeyondTheQueueWaitLonger() {
     request(1, 5, 3000);
     for (int client = 2; client < 2 + LeaseGrantor.MAX_WAITERS; client++) {
       request(client, 5 + client, 3000);
@@ -145,7 +150,7 @@
   }
 
   @Test
-  public void newLeasesReplaceThoseThatEndedLongAgo() {
+  public void newLeasesReplaceGrantsThatEndedLongAgo() {
     for (int i = 0; i < LeaseGrantor.MAX_LEASES; i++) {
       grantor.request(1, 1, "name" + i, 5, 1, at(3000));
     }
--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -26,60 +26,71 @@
 import sprucerock.transport.wire.v1.Told;
 
 /**
- * One process of {@link LeaseProcessesTest}: a client for many leases, perhaps a grantor too. While
- * it holds one it acts on the test's own place again and again; sometimes it stands still between
- * the look at its check and the act. Each act is noted before it is sent, with the machine's clock.
+ * One process of {@link LeaseProcessesTest}: a client for many leases, and in some processes a
+ * grantor. While it holds a lease it repeatedly sends acts to the test's receiver. Sometimes it
+ * stalls between the lease check and the act. It logs each act, with the machine's clock, before it
+ * sends it.
  */
 public final class LeaseProcess {
   private final NioLoop loop;
-  private final FileChannel notes;
-  private final ReconnectingConnection place;
+  private final FileChannel actLog;
+  private final ReconnectingConnection actReceiver;
   private final LeaseManager leases;
   private final SplittableRandom random;
   private final TimeSpan term;
-  private final boolean checked;
+  private final boolean checksLease;
 
   private LeaseProcess(String[] args) throws Exception {
-    int me = Integer.parseInt(args[0]);
+    int memberNumber = Integer.parseInt(args[0]);
     int grantor = Integer.parseInt(args[1]);
-    int own = Integer.parseInt(args[2]);
-    int names = Integer.parseInt(args[5]);
+    int ownPort = Integer.parseInt(args[2]);
+    int leaseCount = Integer.parseInt(args[5]);
     term = TimeSpan.ofMs(Integer.parseInt(args[6]));
-    checked = !args[7].equals("unguarded");
-    notes =
+    checksLease = !args[7].equals("unguarded");
+    actLog =
         FileChannel.open(Path.of(args[4]), StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     List<InetSocketAddress> grantors = new ArrayList<>();
     for (int i = 8; i < args.length; i++) {
-      grantors.add(at(Integer.parseInt(args[i])));
+      grantors.add(loopbackAddress(Integer.parseInt(args[i])));
     }
     LeaseConfig config =
-        new LeaseConfig(me, grantor, at(own), grantors, term, term, 0.01, 100, null, null);
-    loop = new NioLoop("lease-" + me, Throwable::printStackTrace);
+        new LeaseConfig(
+            memberNumber,
+            grantor,
+            loopbackAddress(ownPort),
+            grantors,
+            term,
+            term,
+            0.01,
+            100,
+            null,
+            null);
+    loop = new NioLoop("lease-" + memberNumber, Throwable::printStackTrace);
     long incarnation = System.nanoTime() ^ ProcessHandle.current().pid() << 32;
     random = new SplittableRandom(incarnation);
     LeaseManager.Log log =
         new LeaseManager.Log() {
           @Override
-          public void info(String what) {
-            // thousands of take-overs
+          public void info(String message) {
+            // The thousands of acquired leases are not logged.
           }
 
           @Override
-          public void warn(String what) {
-            System.out.println(what);
+          public void warn(String message) {
+            System.out.println(message);
           }
         };
     Hello hello =
         Hello.newBuilder()
             .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
-            .setNumber(me)
+            .setNumber(memberNumber)
             .setName("process")
             .build();
-    place =
+    actReceiver =
         new ReconnectingConnection(
             loop,
-            at(Integer.parseInt(args[3])),
+            loopbackAddress(Integer.parseInt(args[3])),
             hello,
             new FrameLimits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
             FrameTap.NONE,
@@ -87,7 +98,7 @@
             new FrameListener() {
               @Override
               public void helloReceived(FrameConnection connection, Hello other) {
-                // it only listens
+                // The receiver's hello needs no answer.
               }
 
               @Override
@@ -96,15 +107,15 @@
               }
 
               @Override
-              public void closed(String why) {
-                // dialled again
+              public void closed(String reason) {
+                // The connection is opened again.
               }
             });
     leases =
         new LeaseManager(
             loop,
             config,
-            "process-" + me,
+            "process-" + memberNumber,
             incarnation,
             FrameTap.NONE,
             System::currentTimeMillis,
@@ -113,22 +124,23 @@
         () -> {
           try {
             if (grantor >= 0) {
-              new GrantorListener(loop, config, "process-" + me, FrameTap.NONE, log).start();
+              new GrantorListener(loop, config, "process-" + memberNumber, FrameTap.NONE, log)
+                  .start();
             }
           } catch (java.io.IOException e) {
             e.printStackTrace();
             System.exit(3);
           }
-          place.connect();
+          actReceiver.connect();
           leases.start();
-          for (int i = 0; i < names; i++) {
+          for (int i = 0; i < leaseCount; i++) {
             campaign("name-" + i);
           }
           System.out.println("UP");
         });
   }
 
-  private static InetSocketAddress at(int port) {
+  private static InetSocketAddress loopbackAddress(int port) {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
@@ -152,19 +164,19 @@
               }
 
               @Override
-              public void lost(String why) {
-                if (checked) {
+              public void lost(String reason) {
+                if (checksLease) {
                   held[0] = false;
                 } else {
+                  // Without lease checks the process acts on after the loss of the lease.
                   loop.at(loop.now().plus(term.times(2)), () -> held[0] = false);
-                  // goes on as if nothing were
                 }
               }
             });
     checks.put(name, check);
   }
 
-  /** Gives it back, often to one by name, and stands for it again a little later. */
+  /** Releases a lease, often for a successor, and campaigns for it again a little later. */
   private void withdraw(String name, boolean[] held) {
     if (!held[0]) {
       return;
@@ -179,34 +191,34 @@
     if (!held[0] || checks.get(name) != check) {
       return;
     }
-    if (checked) {
-      check.runIfHeld(number -> sendAct(name, number));
+    if (checksLease) {
+      check.runIfHeld(token -> sendAct(name, token));
     } else {
       if (check.isHeld()) {
-        check.runIfHeld(number -> lastToken = number);
+        check.runIfHeld(token -> lastToken = token);
       }
       sendAct(name, lastToken);
     }
     loop.at(loop.now().plus(TimeSpan.ofMs(5 + random.nextInt(20))), () -> act(name, check, held));
   }
 
-  private void sendAct(String name, long number) {
+  private void sendAct(String name, long token) {
     try {
-      notes.write(
+      actLog.write(
           ByteBuffer.wrap(
-              (name + " " + number + " " + NioLoop.monotonicMicros() + "\n")
+              (name + " " + token + " " + NioLoop.monotonicMicros() + "\n")
                   .getBytes(StandardCharsets.UTF_8)));
       if (random.nextInt(400) == 0) {
+        // The process stalls between the lease check and the act.
         Thread.sleep((long) (term.ms() * 1.5));
-        // between the look and the act
       }
     } catch (java.io.IOException | InterruptedException e) {
       throw new IllegalStateException(e);
     }
-    place.send(
+    actReceiver.send(
         FrameKind.TOLD,
         Told.getDefaultInstance(),
-        (name + " " + number).getBytes(StandardCharsets.UTF_8));
+        (name + " " + token).getBytes(StandardCharsets.UTF_8));
   }
 
   private void tokenRejected(String text) {
@@ -217,12 +229,13 @@
   }
 
   /**
-   * Number, grantor or -1, its port, the place's port, notes, names, term in ms, checked or
-   * unguarded, ports of all grantors.
+   * Arguments: member number, grantor number or -1, the grantor's port, the receiver's port, the
+   * file of the act log, the number of leases, the term in ms, "guarded" or "unguarded", and the
+   * ports of all grantors.
    */
   public static void main(String[] args) throws Exception {
     new LeaseProcess(args);
+    // The loop's thread does not keep the process alive.
     Thread.currentThread().join();
-    // the loop's thread keeps no process up
   }
 }
--- a/src/test/java/sprucerock/lease/LeaseProcessCluster.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessCluster.java
@@ -29,16 +29,24 @@
 import sprucerock.transport.wire.v1.Told;
 
 /**
- * Five real processes, three of them grantors, that campaign for the same leases through proxies
- * that cut, delay, lose and reset; the processes are killed and stopped. The place where acts land
- * is here, and so is the checker, which reads that and the processes' notes.
+ * Five real processes, three of them grantors, that campaign for the same leases. Their connections
+ * go through fault proxies that cut, delay, lose and reset. Processes are also killed and stopped.
+ * This class receives the acts, and checks them together with the processes' act logs.
  */
 final class LeaseProcessCluster implements AutoCloseable {
-  private record Landed(String name, long token, boolean admitted) {}
+  private record ReceivedAct(String name, long token, boolean admitted) {}
 
-  /** What came of it. */
+  /**
+   * The result of a run.
+   *
+   * @param acquisitions the number of leases taken over, by the act logs
+   * @param acts the number of received acts
+   * @param rejectedByToken the number of acts rejected for a lower token
+   * @param worstGapMs the longest time from the last act of a holder to the first of the next one
+   * @param violation the last violation found; null: none
+   */
   record Result(
-      int taken,
+      int acquisitions,
       long acts,
       long rejectedByToken,
       int kills,
@@ -51,65 +59,70 @@
   private static final int PROCESSES = 5;
 
   private final Path folder;
-  private final int names;
+  private final int leaseCount;
   private final TimeSpan term;
-  private final boolean checked;
-  private final boolean fenced;
+  private final boolean checksLease;
+  private final boolean checksToken;
   private final Random random;
   private final NioLoop loop;
   private final FencingTokenRegistry registry = new FencingTokenRegistry();
-  private final List<Landed> landed = Collections.synchronizedList(new ArrayList<>());
-  private final Map<String, Long> highest = new HashMap<>();
-  private volatile int taken;
-  private final int[] grantorPorts = {free(), free(), free()};
+  private final List<ReceivedAct> receivedActs = Collections.synchronizedList(new ArrayList<>());
+  private final Map<String, Long> highestTokens = new HashMap<>();
+  private volatile int acquisitions;
+  private final int[] grantorPorts = {findFreePort(), findFreePort(), findFreePort()};
   private final List<List<FaultProxy>> proxies = new ArrayList<>();
   private final int[][] proxyPorts = new int[PROCESSES][3];
   private final Process[] processes = new Process[PROCESSES];
-  private int placePort;
+  private int actReceiverPort;
   private int kills;
   private int stops;
   private int cuts;
 
   LeaseProcessCluster(
-      Path folder, int names, TimeSpan term, boolean checked, boolean fenced, long seed)
+      Path folder,
+      int leaseCount,
+      TimeSpan term,
+      boolean checksLease,
+      boolean checksToken,
+      long seed)
       throws Exception {
     this.folder = folder;
-    this.names = names;
+    this.leaseCount = leaseCount;
     this.term = term;
-    this.checked = checked;
-    this.fenced = fenced;
+    this.checksLease = checksLease;
+    this.checksToken = checksToken;
     random = new Random(seed);
     loop = new NioLoop("place", Throwable::printStackTrace);
-    CountDownLatch up = new CountDownLatch(1);
+    CountDownLatch started = new CountDownLatch(1);
     loop.post(
         () -> {
           try {
-            Hello mine =
+            Hello hello =
                 Hello.newBuilder()
                     .setVersion(FrameConnection.VERSION)
                     .setRole(Role.UNIT)
                     .setName("place")
                     .build();
-            placePort =
+            actReceiverPort =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         1000,
                         1 << 20,
                         () -> {
-                          Place place = new Place();
-                          place.connection =
+                          ActReceiver receiver = new ActReceiver();
+                          receiver.connection =
                               new FrameConnection(
                                   loop,
-                                  mine,
+                                  hello,
                                   new FrameLimits(64 * 1024, 1 << 20, TimeSpan.ofMs(2000)),
                                   FrameTap.NONE,
-                                  place);
-                          return place.connection;
+                                  receiver);
+                          return receiver.connection;
                         })
                     .address()
                     .getPort();
             for (int i = 0; i < PROCESSES; i++) {
-              List<FaultProxy> own = new ArrayList<>();
+              List<FaultProxy> proxiesOfProcess = new ArrayList<>();
               for (int g = 0; g < 3; g++) {
                 FaultProxy proxy =
                     new FaultProxy(
@@ -117,23 +130,23 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), grantorPorts[g]),
                         seed + i * 3L + g);
                 proxyPorts[i][g] = proxy.start();
-                own.add(proxy);
+                proxiesOfProcess.add(proxy);
               }
-              proxies.add(own);
+              proxies.add(proxiesOfProcess);
             }
           } catch (IOException e) {
             throw new IllegalStateException(e);
           } finally {
-            up.countDown();
+            started.countDown();
           }
         });
-    up.await();
+    started.await();
     for (int i = 0; i < PROCESSES; i++) {
       start(i);
     }
   }
 
-  private static int free() throws IOException {
+  private static int findFreePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
@@ -153,11 +166,11 @@
                 "" + i,
                 "" + (i < 3 ? i : -1),
                 "" + (i < 3 ? grantorPorts[i] : 0),
-                "" + placePort,
+                "" + actReceiverPort,
                 folder.resolve("notes-" + i).toString(),
-                "" + names,
+                "" + leaseCount,
                 "" + (int) term.ms(),
-                checked ? "guarded" : "unguarded"));
+                checksLease ? "guarded" : "unguarded"));
     for (int g = 0; g < 3; g++) {
       command.add("" + proxyPorts[i][g]);
     }
@@ -168,36 +181,36 @@
             .start();
   }
 
-  private final class Place implements FrameListener {
+  private final class ActReceiver implements FrameListener {
     private FrameConnection connection;
 
     @Override
-    public void helloReceived(FrameConnection made, Hello other) {
-      // whoever comes may act, by its token
+    public void helloReceived(FrameConnection helloConnection, Hello other) {
+      // Every process may act. Only its tokens are checked.
     }
 
     @Override
     public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
       String[] words = new String(body, StandardCharsets.UTF_8).split(" ");
       long token = Long.parseLong(words[1]);
-      boolean admitted = !fenced || registry.admits(words[0], token);
-      landed.add(new Landed(words[0], token, admitted));
+      boolean admitted = !checksToken || registry.admits(words[0], token);
+      receivedActs.add(new ReceivedAct(words[0], token, admitted));
       if (!admitted) {
         connection.send(
             FrameKind.TOLD,
             Told.getDefaultInstance(),
             (words[0] + " " + registry.highestToken(words[0])).getBytes(StandardCharsets.UTF_8));
       }
-      Long before = highest.get(words[0]);
+      Long before = highestTokens.get(words[0]);
       if (before == null || token > before) {
-        highest.put(words[0], token);
-        taken++;
+        highestTokens.put(words[0], token);
+        acquisitions++;
       }
     }
 
     @Override
-    public void closed(String why) {
-      // it comes again
+    public void closed(String reason) {
+      // The process connects again.
     }
   }
 
@@ -206,48 +219,51 @@
   }
 
   /**
-   * Faults follow one another until so many leases were taken over and so many faults came, or the
-   * time is over.
+   * Applies faults until the numbers of acquisitions and faults are reached, or the time is over.
    */
-  void run(int wanted, int faults, int maxSeconds) throws Exception {
-    long until = System.nanoTime() + maxSeconds * 1_000_000_000L;
-    for (int round = 0; (taken < wanted || round < faults) && System.nanoTime() < until; round++) {
+  void run(int requiredAcquisitions, int faults, int maxSeconds) throws Exception {
+    long deadlineNanos = System.nanoTime() + maxSeconds * 1_000_000_000L;
+    for (int round = 0;
+        (acquisitions < requiredAcquisitions || round < faults)
+            && System.nanoTime() < deadlineNanos;
+        round++) {
       Thread.sleep((long) (term.ms() * (0.5 + random.nextDouble())));
       if (round < 4) {
+        // The processes start.
         continue;
-        // the first come up
       }
-      int who = random.nextInt(PROCESSES);
+      int process = random.nextInt(PROCESSES);
       switch (random.nextInt(7)) {
         case 0 -> {
-          processes[who].destroyForcibly().waitFor();
+          processes[process].destroyForcibly().waitFor();
           kills++;
-          start(who);
+          start(process);
         }
         case 1, 2 -> {
           stops++;
-          signal(who, "STOP");
+          signal(process, "STOP");
           Thread.sleep((long) (term.ms() * (0.3 + 1.5 * random.nextDouble())));
-          signal(who, "CONT");
+          signal(process, "CONT");
         }
         case 3 -> {
-          boolean there = random.nextBoolean();
-          boolean back = !there || random.nextBoolean();
+          boolean cutRequests = random.nextBoolean();
+          boolean cutAnswers = !cutRequests || random.nextBoolean();
           cuts++;
-          all(who, proxy -> proxy.cut(there, back));
+          applyToProxies(process, proxy -> proxy.cut(cutRequests, cutAnswers));
           Thread.sleep((long) (term.ms() * (0.5 + 2 * random.nextDouble())));
-          all(who, proxy -> proxy.cut(false, false));
+          applyToProxies(process, proxy -> proxy.cut(false, false));
         }
         case 4 ->
-            all(who, proxy -> proxy.late(TimeSpan.ofMs(term.ms() * random.nextDouble() * 0.5)));
+            applyToProxies(
+                process, proxy -> proxy.late(TimeSpan.ofMs(term.ms() * random.nextDouble() * 0.5)));
         case 5 -> {
-          all(who, proxy -> proxy.reset(true));
+          applyToProxies(process, proxy -> proxy.reset(true));
           Thread.sleep((long) (term.ms() * 0.2));
-          all(who, proxy -> proxy.reset(false));
+          applyToProxies(process, proxy -> proxy.reset(false));
         }
         default ->
-            all(
-                who,
+            applyToProxies(
+                process,
                 proxy -> {
                   proxy.late(TimeSpan.ZERO);
                   proxy.lose(random.nextDouble() * 0.1);
@@ -256,44 +272,48 @@
     }
   }
 
-  private interface Fault {
-    void disturb(FaultProxy proxy);
+  private interface ProxyFault {
+    void apply(FaultProxy proxy);
   }
 
-  private void all(int who, Fault fault) throws InterruptedException {
+  private void applyToProxies(int process, ProxyFault fault) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
-          for (FaultProxy proxy : proxies.get(who)) {
-            fault.disturb(proxy);
+          for (FaultProxy proxy : proxies.get(process)) {
+            fault.apply(proxy);
           }
           done.countDown();
         });
     done.await();
   }
 
-  /** Ends all processes, then reads where acts landed, and what each process claimed. */
+  /** Ends all processes, then checks the received acts and the act logs of all processes. */
   Result end() throws Exception {
-    for (Process one : processes) {
-      one.destroyForcibly().waitFor();
+    for (Process process : processes) {
+      process.destroyForcibly().waitFor();
     }
     Thread.sleep(100);
     String violation = null;
-    Map<String, Long> last = new HashMap<>();
+    Map<String, Long> highestAdmitted = new HashMap<>();
     long acts = 0;
     long rejected = 0;
-    for (Landed one : List.copyOf(landed)) {
+    for (ReceivedAct act : List.copyOf(receivedActs)) {
       acts++;
-      if (!one.admitted) {
+      if (!act.admitted) {
         rejected++;
         continue;
       }
-      long before = last.getOrDefault(one.name, 0L);
-      if (one.token < before) {
+      long before = highestAdmitted.getOrDefault(act.name, 0L);
+      if (act.token < before) {
         violation =
-            one.name + ": an act under " + one.token + " was taken after one under " + before;
+            act.name
+                + ": an act under token "
+                + act.token
+                + " was admitted after one under "
+                + before;
       }
-      last.put(one.name, Math.max(before, one.token));
+      highestAdmitted.put(act.name, Math.max(before, act.token));
     }
     Map<String, TreeMap<Long, long[]>> claims = new TreeMap<>();
     for (int i = 0; i < PROCESSES; i++) {
@@ -303,66 +323,66 @@
       for (String line : Files.readAllLines(folder.resolve("notes-" + i))) {
         String[] words = line.split(" ");
         if (words.length < 3) {
+          // A kill has truncated the line.
           continue;
-          // cut off by a kill
         }
-        long at = Long.parseLong(words[2]);
+        long micros = Long.parseLong(words[2]);
         long[] span =
             claims
-                .computeIfAbsent(words[0], any -> new TreeMap<>())
-                .computeIfAbsent(Long.parseLong(words[1]), any -> new long[] {at, at});
-        span[0] = Math.min(span[0], at);
-        span[1] = Math.max(span[1], at);
+                .computeIfAbsent(words[0], absent -> new TreeMap<>())
+                .computeIfAbsent(Long.parseLong(words[1]), absent -> new long[] {micros, micros});
+        span[0] = Math.min(span[0], micros);
+        span[1] = Math.max(span[1], micros);
       }
     }
-    int takeOvers = 0;
-    List<Double> gaps = new ArrayList<>();
-    for (Map.Entry<String, TreeMap<Long, long[]>> one : claims.entrySet()) {
-      long until = 0;
-      for (Map.Entry<Long, long[]> claim : one.getValue().entrySet()) {
-        takeOvers++;
-        if (claim.getValue()[0] <= until) {
+    int logAcquisitions = 0;
+    List<Double> gapsMs = new ArrayList<>();
+    for (Map.Entry<String, TreeMap<Long, long[]>> lease : claims.entrySet()) {
+      long lastActMicros = 0;
+      for (Map.Entry<Long, long[]> claim : lease.getValue().entrySet()) {
+        logAcquisitions++;
+        if (claim.getValue()[0] <= lastActMicros) {
           violation =
-              one.getKey()
-                  + " under "
+              lease.getKey()
+                  + " under token "
                   + claim.getKey()
                   + " was acted on "
-                  + (until - claim.getValue()[0])
-                  + " us before the former one's last act";
+                  + (lastActMicros - claim.getValue()[0])
+                  + " us before the last act of the former holder";
         }
-        if (until > 0) {
-          gaps.add((claim.getValue()[0] - until) / 1000.0);
+        if (lastActMicros > 0) {
+          gapsMs.add((claim.getValue()[0] - lastActMicros) / 1000.0);
         }
-        until = Math.max(until, claim.getValue()[1]);
+        lastActMicros = Math.max(lastActMicros, claim.getValue()[1]);
       }
     }
-    Collections.sort(gaps);
-    double median = gaps.isEmpty() ? 0 : gaps.get(gaps.size() / 2);
+    Collections.sort(gapsMs);
+    double medianMs = gapsMs.isEmpty() ? 0 : gapsMs.get(gapsMs.size() / 2);
     return new Result(
-        takeOvers,
+        logAcquisitions,
         acts,
         rejected,
         kills,
         stops,
         cuts,
-        gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1),
-        median,
+        gapsMs.isEmpty() ? 0 : gapsMs.get(gapsMs.size() - 1),
+        medianMs,
         violation);
   }
 
   @Override
   public void close() {
-    for (Process one : processes) {
-      if (one != null) {
-        one.destroyForcibly();
+    for (Process process : processes) {
+      if (process != null) {
+        process.destroyForcibly();
       }
     }
     loop.close();
   }
 
   /**
-   * {@code LeaseProcessCluster FOLDER TAKE-OVERS TROUBLES SECONDS [SEED]}: the same for as long as
-   * one wants.
+   * Runs a cluster for a chosen time: {@code LeaseProcessCluster FOLDER ACQUISITIONS FAULTS SECONDS
+   * [SEED]}.
    */
   public static void main(String[] args) throws Exception {
     Path folder = Files.createDirectories(Path.of(args[0]));
--- a/src/test/java/sprucerock/lease/LeaseProcessesTest.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessesTest.java
@@ -14,44 +14,44 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Real processes under faults; the verdicts depend on the order of what landed and on one clock,
- * not on how fast anything went.
+ * Real processes under faults. The result depends on the order of the received acts and on the
+ * machine's clock, not on speed.
  */
 public class LeaseProcessesTest {
   private Path folder;
 
   @BeforeMethod
-  public void folder() throws Exception {
+  public void createFolder() throws Exception {
     folder = Files.createTempDirectory("leases");
   }
 
   @AfterMethod
   public void deleteFolder() throws Exception {
-    try (Stream<Path> all = Files.walk(folder)) {
-      for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-        Files.delete(one);
+    try (Stream<Path> paths = Files.walk(folder)) {
+      for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+        Files.delete(path);
       }
     }
   }
 
-  private LeaseProcessCluster.Result run(boolean checked, boolean fenced, int taken, int faults)
-      throws Exception {
+  private LeaseProcessCluster.Result run(
+      boolean checksLease, boolean checksToken, int acquisitions, int faults) throws Exception {
     try (LeaseProcessCluster cluster =
-        new LeaseProcessCluster(folder, 30, TimeSpan.ofMs(400), checked, fenced, 7)) {
-      cluster.run(taken, faults, 120);
+        new LeaseProcessCluster(folder, 30, TimeSpan.ofMs(400), checksLease, checksToken, 7)) {
+      cluster.run(acquisitions, faults, 120);
       return cluster.end();
     }
   }
 
   @Test
-  public void neverTwoHoldersNorALowerTokenAfterAHigher() throws Exception {
+  public void neverHasTwoHoldersOrALowerTokenAfterAHigher() throws Exception {
     LeaseProcessCluster.Result result = run(true, true, 300, 12);
     assertNull(result.violation(), result.toString());
-    assertTrue(result.taken() >= 300, result.toString());
+    assertTrue(result.acquisitions() >= 300, result.toString());
   }
 
   @Test
-  public void checkerFindsActsWithoutALeaseCheck() throws Exception {
+  public void findsActsWithoutALeaseCheck() throws Exception {
     assertNotNull(run(false, true, 300, 25).violation());
   }
 }
--- a/src/test/java/sprucerock/lease/LeaseSafetyTest.java
+++ b/src/test/java/sprucerock/lease/LeaseSafetyTest.java
@@ -12,69 +12,73 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Never do two clients act at once: searched in every order of events up to stated bounds, and in
- * long random ones; and the checker notices each safety rule that is taken out.
+ * Two clients never hold the lease or act at the same time. The test searches every order of events
+ * up to bounds, and long random orders. It also shows that the checker detects each missing safety
+ * rule.
  */
 public class LeaseSafetyTest {
   private static final double DRIFT = 0.19;
-  private static final double SLOW = 1 - DRIFT;
-  private static final double FAST = 1 + DRIFT;
+  private static final double SLOW_CLOCK_RATE = 1 - DRIFT;
+  private static final double FAST_CLOCK_RATE = 1 + DRIFT;
 
-  /** Two clients, three grantors. */
-  static final double[][] PACES = {
-    {SLOW, FAST, FAST, FAST, FAST}, {FAST, SLOW, SLOW, FAST, FAST}, {1, 1, 1, 1, 1}
+  /** The clock rates of two clients and three grantors. */
+  static final double[][] CLOCK_RATES = {
+    {SLOW_CLOCK_RATE, FAST_CLOCK_RATE, FAST_CLOCK_RATE, FAST_CLOCK_RATE, FAST_CLOCK_RATE},
+    {FAST_CLOCK_RATE, SLOW_CLOCK_RATE, SLOW_CLOCK_RATE, FAST_CLOCK_RATE, FAST_CLOCK_RATE},
+    {1, 1, 1, 1, 1}
   };
 
   static LeaseSimulation simulation(
-      LeaseSimulation.PartyFactory factory, double chance, double[] paces) {
+      LeaseSimulation.PartyFactory factory, double chance, double[] rates) {
     LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(2), TimeSpan.ofMs(2), DRIFT);
     LeaseSimulation simulation =
         new LeaseSimulation(
             factory,
             terms,
             chance,
-            new double[] {paces[0], paces[1]},
-            new double[] {paces[2], paces[3], paces[4]});
+            new double[] {rates[0], rates[1]},
+            new double[] {rates[2], rates[3], rates[4]});
     simulation.withoutRejections = true;
     return simulation;
   }
 
   @Test
-  public void holdsInEveryOrderOfEvents() {
-    // StateSpaceSearchMain goes further, in minutes; docs/lease.md has how far
-    for (double[] paces : PACES) {
+  public void hasOneHolderInEveryOrderOfEvents() {
+    // StateSpaceSearchMain searches further, in minutes. docs/lease.md states its bounds.
+    for (double[] rates : CLOCK_RATES) {
       StateSpaceSearch.Bounds bounds =
-          new StateSpaceSearch.Bounds(paces == PACES[0] ? 3 : 2, 3, 0, 0, 0, 400_000);
+          new StateSpaceSearch.Bounds(rates == CLOCK_RATES[0] ? 3 : 2, 3, 0, 0, 0, 400_000);
       StateSpaceSearch.Result result =
           StateSpaceSearch.explore(
-              () -> simulation(new LeaseSimulation.PartyFactory() {}, 0, paces), bounds);
+              () -> simulation(new LeaseSimulation.PartyFactory() {}, 0, rates), bounds);
       assertNull(result.violation());
-      assertTrue(result.complete(), result.states() + " worlds and more");
-      assertTrue(result.statesWithHolder() > 100, "hardly anybody ever held it: " + result);
+      assertTrue(result.complete(), "not all states were explored, only " + result.states());
+      assertTrue(
+          result.statesWithHolder() > 100, "a client held the lease in too few states: " + result);
     }
   }
 
   @Test
-  public void holdsInLongRandomOrders() {
-    int taken = 0;
+  public void hasOneHolderInLongRandomOrders() {
+    int acquisitions = 0;
     for (int seed = 0; seed < 60; seed++) {
-      LeaseSimulation simulation = random(new LeaseSimulation.PartyFactory() {}, seed);
+      LeaseSimulation simulation = randomSimulation(new LeaseSimulation.PartyFactory() {}, seed);
       assertNull(simulation.violation, "seed " + seed);
-      taken += simulation.takeovers;
+      acquisitions += simulation.acquisitions;
     }
-    assertTrue(taken > 300, "taken over " + taken + " times only");
+    assertTrue(acquisitions > 300, "the lease was acquired only " + acquisitions + " times");
   }
 
-  /** Each guard is there for something that the checker sees once it is not. */
+  /** The checker must find a violation if any one of the safety rules is missing. */
   @Test
   public void checkerFindsEachMissingRule() {
-    Map<String, LeaseSimulation.PartyFactory> all = FaultyParties.all();
-    assertEquals(all.size(), 8);
-    all.forEach(
-        (lacks, factory) -> {
+    Map<String, LeaseSimulation.PartyFactory> factories = FaultyParties.byMissingRule();
+    assertEquals(factories.size(), 8);
+    factories.forEach(
+        (missingRule, factory) -> {
           String violation = null;
           for (int seed = 0; seed < 200 && violation == null; seed++) {
-            violation = random(factory, seed).violation;
+            violation = randomSimulation(factory, seed).violation;
           }
           if (violation == null) {
             violation = stallWhileAnotherHolds(factory).violation;
@@ -82,80 +86,83 @@
           if (violation == null) {
             violation = replayOldAnswers(factory).violation;
           }
-          assertNotNull(violation, "not found without: " + lacks);
+          assertNotNull(violation, "no violation found without the rule: " + missingRule);
         });
   }
 
   @Test
-  public void delayedRequestTakesNothingUnderALowerToken() {
+  public void delayedRequestAcquiresNothingUnderALowerToken() {
     assertNull(stallWhileAnotherHolds(new LeaseSimulation.PartyFactory() {}).violation);
     assertNull(replayOldAnswers(new LeaseSimulation.PartyFactory() {}).violation);
   }
 
   /**
-   * Too rare for chance: a holder requests again, one grantor hears it, and another one's old
-   * answer comes a second time.
+   * Plays an order that is too rare for random search: a holder begins a renewal, one grantor
+   * receives it, and an old answer of another grantor is delivered again.
    */
   private static LeaseSimulation replayOldAnswers(LeaseSimulation.PartyFactory factory) {
     LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     LeaseSimulation simulation =
         new LeaseSimulation(factory, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
-    simulation.disturb(1, 3);
-    simulation.arrive(LeaseSimulation.Kind.ASK, 0);
-    simulation.arrive(LeaseSimulation.Kind.GRANTED, 0);
-    simulation.pass(3); // both asked once, and the holder again
-    simulation.arrive(LeaseSimulation.Kind.ASK, 0, 0, 2);
-    simulation.arrive(LeaseSimulation.Kind.GRANTED, 0, 0, 2);
-    simulation.arrive(LeaseSimulation.Kind.GRANTED, 0, 1, 1);
+    simulation.applyClientEvent(1, 3);
+    simulation.deliverAll(LeaseSimulation.Kind.REQUEST, 0);
+    simulation.deliverAll(LeaseSimulation.Kind.GRANTED, 0);
+    // Both clients requested once, and the holder again.
+    simulation.runUntilRequests(3);
+    simulation.deliverAll(LeaseSimulation.Kind.REQUEST, 0, 0, 2);
+    simulation.deliverAll(LeaseSimulation.Kind.GRANTED, 0, 0, 2);
+    simulation.deliverAll(LeaseSimulation.Kind.GRANTED, 0, 1, 1);
     while (simulation.tick < 9) {
-      simulation.happen(0, Integer.MAX_VALUE, 0, 0, 0);
+      simulation.apply(0, Integer.MAX_VALUE, 0, 0, 0);
     }
-    simulation.disturb(1, 3);
+    simulation.applyClientEvent(1, 3);
     while (simulation.tick < 12) {
-      simulation.happen(0, Integer.MAX_VALUE, 0, 0, 0);
+      simulation.apply(0, Integer.MAX_VALUE, 0, 0, 0);
     }
-    deliverAll(simulation, 1);
+    deliverAllOfClient(simulation, 1);
     return simulation;
   }
 
   /**
-   * All that is on its way of a client; what was granted to a token that it gave up is given back,
-   * and then the newest counts.
+   * Delivers all messages of a client, twice: grants of a token that it gave up are released in the
+   * first pass, and the newest request is granted in the second.
    */
-  private static void deliverAll(LeaseSimulation simulation, int client) {
+  private static void deliverAllOfClient(LeaseSimulation simulation, int client) {
     for (int i = 0; i < 2; i++) {
-      simulation.arrive(LeaseSimulation.Kind.ASK, client);
-      simulation.arrive(LeaseSimulation.Kind.GRANTED, client);
-      simulation.arrive(LeaseSimulation.Kind.RETURN, client);
+      simulation.deliverAll(LeaseSimulation.Kind.REQUEST, client);
+      simulation.deliverAll(LeaseSimulation.Kind.GRANTED, client);
+      simulation.deliverAll(LeaseSimulation.Kind.RELEASE, client);
     }
   }
 
   /**
-   * Too rare for chance: one requests and stands still; the other one takes it under a higher token
-   * and gives it back; then the ask arrives.
+   * Plays an order that is too rare for random search: one client requests and stalls, the other
+   * one acquires the lease under a higher token and releases it, and then the first request
+   * arrives.
    */
   private static LeaseSimulation stallWhileAnotherHolds(LeaseSimulation.PartyFactory factory) {
     LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     LeaseSimulation simulation =
         new LeaseSimulation(factory, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
-    simulation.disturb(1, 3);
-    simulation.pass(3); // both asked once, and the first one again
-    deliverAll(simulation, 0);
-    simulation.disturb(0, 2);
-    simulation.arrive(LeaseSimulation.Kind.RETURN, 0);
-    simulation.disturb(1, 3);
-    simulation.arrive(LeaseSimulation.Kind.ASK, 1);
-    simulation.arrive(LeaseSimulation.Kind.GRANTED, 1);
+    simulation.applyClientEvent(1, 3);
+    // Both clients requested once, and the first one again.
+    simulation.runUntilRequests(3);
+    deliverAllOfClient(simulation, 0);
+    simulation.applyClientEvent(0, 2);
+    simulation.deliverAll(LeaseSimulation.Kind.RELEASE, 0);
+    simulation.applyClientEvent(1, 3);
+    simulation.deliverAll(LeaseSimulation.Kind.REQUEST, 1);
+    simulation.deliverAll(LeaseSimulation.Kind.GRANTED, 1);
     return simulation;
   }
 
   /**
-   * Clocks that are worse than stated: two may hold it at once, and still no act is taken below a
-   * later one's token.
+   * With clocks that drift more than allowed two clients may hold the lease at the same time, but
+   * no act is admitted after one under a higher token.
    */
   @Test
-  public void fencingTokensHoldWhereClocksDriftMoreThanAllowed() {
-    boolean two = false;
+  public void fencingTokensProtectWhereClocksDriftMoreThanAllowed() {
+    boolean sawTwoHolders = false;
     for (int seed = 0; seed < 60; seed++) {
       LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), 0);
       LeaseSimulation simulation =
@@ -165,57 +172,58 @@
               0.5,
               new double[] {0.5, 1.6},
               new double[] {1.5, 1.5, 1.5});
-      run(simulation, seed);
-      two |= simulation.violation != null && simulation.violation.startsWith("two hold");
+      runRandomOrder(simulation, seed);
+      sawTwoHolders |=
+          simulation.violation != null && simulation.violation.startsWith("two clients hold");
       assertTrue(
-          simulation.violation == null || simulation.violation.startsWith("two hold"),
+          simulation.violation == null || simulation.violation.startsWith("two clients hold"),
           simulation.violation);
     }
-    assertTrue(two, "the clocks were not bad enough to show anything");
+    assertTrue(sawTwoHolders, "the clocks never gave two holders, so the test shows nothing");
   }
 
-  private static LeaseSimulation random(LeaseSimulation.PartyFactory factory, int seed) {
+  private static LeaseSimulation randomSimulation(LeaseSimulation.PartyFactory factory, int seed) {
     Random random = new Random(seed);
-    double[][] paces = PACES;
-    double[] some = paces[random.nextInt(paces.length)];
+    double[][] allRates = CLOCK_RATES;
+    double[] rates = allRates[random.nextInt(allRates.length)];
     LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     LeaseSimulation simulation =
         new LeaseSimulation(
             factory,
             terms,
             random.nextDouble(),
-            new double[] {some[0], some[1], 1},
-            new double[] {some[2], some[3], some[4]});
-    run(simulation, seed);
+            new double[] {rates[0], rates[1], 1},
+            new double[] {rates[2], rates[3], rates[4]});
+    runRandomOrder(simulation, seed);
     return simulation;
   }
 
-  /** Long orders: messages are mostly taken soon, some late or more than once. */
-  private static void run(LeaseSimulation simulation, int seed) {
+  /** Plays a long random order. Most messages are delivered soon, some late or more than once. */
+  private static void runRandomOrder(LeaseSimulation simulation, int seed) {
     Random random = new Random(seed);
-    Supplier<Integer> attempt =
+    Supplier<Integer> nextChoice =
         () -> {
-          int messages = simulation.choices() - 1 - simulation.others();
+          int messages = simulation.choiceCount() - 1 - simulation.clientAndGrantorEventCount();
           if (random.nextInt(6) == 0) {
             return 0;
           }
           if (random.nextInt(10) == 0) {
-            return 1 + messages + random.nextInt(simulation.others());
+            return 1 + messages + random.nextInt(simulation.clientAndGrantorEventCount());
           }
           return messages == 0
               ? 0
               : 1
                   + (random.nextInt(4) == 0
                       ? random.nextInt(messages)
-                      : Math.max(0, simulation.recent(random)));
+                      : Math.max(0, simulation.recentMessageIndex(random)));
         };
     for (int i = 0; i < 3000 && simulation.violation == null; i++) {
-      int choice = attempt.get();
-      if (simulation.isLeave(choice) && seed % 2 > 0 && random.nextInt(8) > 0) {
-        continue; // in explore other order maxStates claims run out
+      int choice = nextChoice.get();
+      if (simulation.isRelease(choice) && seed % 2 > 0 && random.nextInt(8) > 0) {
+        // In every other order most leases end by their term, not by a release.
+        continue;
       }
-      simulation.happen(
-          choice, Integer.MAX_VALUE, i / (seed % 4 < 2 ? 100 : 400), i / 300, i / 100);
+      simulation.apply(choice, Integer.MAX_VALUE, i / (seed % 4 < 2 ? 100 : 400), i / 300, i / 100);
     }
   }
 }
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -11,8 +11,8 @@
 import sprucerock.transport.wire.v1.LeaseSaid;
 
 /**
- * What one grantor is asked in a minute by so many clients for one name, of which one holds it:
- * counted in simulated time. A hundred seconds runUntil before, so that whoever came first has been
+ * Counts, in simulated time, the requests that one grantor receives in a minute from many clients
+ * of one lease, one of which holds it. A hundred seconds pass before, so that all clients have been
  * told how long to wait.
  */
 public class LeaseScaleTest {
@@ -23,8 +23,8 @@
   private record ScheduledTick(double ms, int client) {}
 
   /**
-   * All of a fleet of clients and three grantors without loss or delay; requests of the first
-   * grantor are counted.
+   * A fleet of clients and three grantors, without loss or delay. Counts the requests to the first
+   * grantor.
    */
   private static final class Fleet {
     private final LeaseGrantor[] grantors = new LeaseGrantor[3];
@@ -42,10 +42,10 @@
     Fleet(int size) {
       clients = new LeaseClient[size];
       for (int i = 0; i < 3; i++) {
-        grantors[i] = grantor(i);
+        grantors[i] = createGrantor(i);
       }
       for (int i = 0; i < size; i++) {
-        int self = i;
+        int clientNumber = i;
         clients[i] =
             new LeaseClient(
                 NAME,
@@ -58,39 +58,42 @@
                           if (grantor == 0) {
                             requests++;
                           }
-                          grantors[grantor].request(self, 1, name, token, round, now);
+                          grantors[grantor].request(clientNumber, 1, name, token, round, now);
                         });
                   }
 
                   @Override
                   public void release(int grantor, String name, long token, int successor) {
                     messages.add(
-                        () -> grantors[grantor].release(self, 1, name, token, successor, now));
+                        () ->
+                            grantors[grantor].release(
+                                clientNumber, 1, name, token, successor, now));
                   }
 
                   @Override
                   public void acquired(String name, long token) {
-                    // one does
+                    // One client acquires the lease.
                   }
 
                   @Override
-                  public void lost(String name, long token, String why) {
-                    throw new IllegalStateException(self + " lost it: " + why);
+                  public void lost(String name, long token, String reason) {
+                    throw new IllegalStateException(
+                        "client " + clientNumber + " lost the lease: " + reason);
                   }
                 },
                 random::nextDouble,
-                self,
+                clientNumber,
                 1);
       }
     }
 
-    private LeaseGrantor grantor(int which) {
+    private LeaseGrantor createGrantor(int grantor) {
       return new LeaseGrantor(
           TERMS,
           new LeaseGrantor.Replies() {
             @Override
             public void sendGranted(int client, String name, long token, long round) {
-              messages.add(() -> clients[client].handleGrant(which, token, round, now));
+              messages.add(() -> clients[client].handleGrant(grantor, token, round, now));
             }
 
             @Override
@@ -100,17 +103,17 @@
                 long token,
                 long round,
                 long highest,
-                TimeSpan left,
-                LeaseGrantor.Rejection why) {
+                TimeSpan minWait,
+                LeaseGrantor.Rejection reason) {
               messages.add(
                   () ->
                       clients[client].handleRejection(
-                          which,
+                          grantor,
                           token,
                           round,
                           highest,
-                          left,
-                          why == LeaseGrantor.Rejection.HELD,
+                          minWait,
+                          reason == LeaseGrantor.Rejection.HELD,
                           now));
             }
 
@@ -126,19 +129,19 @@
       for (int i = 0; i < clients.length; i++) {
         if (!clients[i].campaigning()) {
           clients[i].acquire(now, 1);
-          deliverAll();
+          deliverMessages();
           schedule(i);
         }
       }
       while (!ticks.isEmpty() && ticks.peek().ms <= untilMs) {
         ScheduledTick next = ticks.poll();
-        Timestamp at = clients[next.client].nextTick();
-        if (at == null || Math.abs(at.ms() - next.ms) > 1e-9) {
+        Timestamp due = clients[next.client].nextTick();
+        if (due == null || Math.abs(due.ms() - next.ms) > 1e-9) {
           continue;
         }
         now = Timestamp.ofMs(next.ms);
         clients[next.client].tick(now, 1);
-        deliverAll();
+        deliverMessages();
         schedule(next.client);
       }
       now = Timestamp.ofMs(untilMs);
@@ -151,7 +154,7 @@
       }
     }
 
-    private void deliverAll() {
+    private void deliverMessages() {
       while (!messages.isEmpty()) {
         messages.poll().run();
       }
@@ -159,37 +162,41 @@
   }
 
   /**
-   * A line of sixteen requests each term; all others one time in eight terms: so much of a slope a
-   * fleet's leases have.
+   * The queue of sixteen clients requests once in each term, all other clients once in eight terms.
+   * That is the slope of a fleet's lease requests.
    */
   @Test
   public void waitingClientsRequestSeldom() {
-    double[] each = new double[3];
+    double[] requestsPerSecond = new double[3];
     int[] sizes = {100, 400, 1600};
     for (int i = 0; i < 3; i++) {
       Fleet fleet = new Fleet(sizes[i]);
       fleet.runUntil(105_000);
-      long before = fleet.requests;
+      long requestsBefore = fleet.requests;
       fleet.runUntil(165_000);
-      each[i] = (fleet.requests - before) / 60.0;
+      requestsPerSecond[i] = (fleet.requests - requestsBefore) / 60.0;
       System.out.printf(
           Locale.ROOT,
           "counted: asks of a granter a second for one name: at %d %.2f; each %.4f%n",
           sizes[i],
-          each[i],
-          each[i] / sizes[i]);
+          requestsPerSecond[i],
+          requestsPerSecond[i] / sizes[i]);
     }
     for (int i = 0; i < 3; i++) {
       double allowed =
           16 * 1.5 / TERMS.term().ms() * 1000 + sizes[i] / (7.5 * TERMS.term().ms() / 1000);
       assertTrue(
-          each[i] <= allowed,
-          each[i] + " asks a second of " + sizes[i] + " candidates, over " + allowed);
+          requestsPerSecond[i] <= allowed,
+          requestsPerSecond[i]
+              + " requests a second of "
+              + sizes[i]
+              + " clients, over the limit of "
+              + allowed);
     }
-    double slope = (each[2] - each[1]) / (sizes[2] - sizes[1]);
+    double slope = (requestsPerSecond[2] - requestsPerSecond[1]) / (sizes[2] - sizes[1]);
     assertTrue(
         slope <= 1.2 / (8 * TERMS.term().ms() / 1000),
-        "each more candidate asks " + slope + " times a second");
+        "each further client requests " + slope + " times a second");
     System.out.printf(
         Locale.ROOT,
         "counted: bytes of a lease's ask and its refusal: %d %d%n",
--- a/src/test/java/sprucerock/lease/LeaseSimulation.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -10,31 +10,39 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Clients and grantors of one lease as they may stand to each other, with every message that was
- * ever sent still on its way: not taking it is its loss, taking it again its double, taking it
- * later or before another its delay. A simulation is branched by {@link #copy}. The checker reads
- * only claims against the one true time, and what was done where acts land.
+ * A state of the clients and grantors of one lease, with every message that was ever sent. A
+ * message that is never delivered is lost, one that is delivered again is a duplicate, and one that
+ * is delivered later or before another is delayed. {@link #copy} branches a simulation. The checker
+ * reads only which clients hold the lease at one true time, and the acts that their receiver
+ * admitted.
  */
 final class LeaseSimulation {
   static final String NAME = "seat";
 
-  /** Makes the parties: the real ones, or such as lack a safety rule. */
+  /** Creates the clients and grantors: the real ones, or ones that lack a safety rule. */
   interface PartyFactory {
-    default LeaseTerms terms(LeaseTerms right) {
-      return right;
+    default LeaseTerms terms(LeaseTerms terms) {
+      return terms;
     }
 
     default LeaseClient client(
-        LeaseTerms terms, LeaseClient.Transport host, int me, long incarnation, double chance) {
-      return new LeaseClient(NAME, terms, host, () -> chance, me, incarnation);
+        LeaseTerms terms,
+        LeaseClient.Transport transport,
+        int clientNumber,
+        long incarnation,
+        double chance) {
+      return new LeaseClient(NAME, terms, transport, () -> chance, clientNumber, incarnation);
     }
 
     default LeaseGrantor grantor(
-        LeaseTerms terms, LeaseGrantor.Replies host, Timestamp opens, Map<String, Grant> grants) {
-      return new LeaseGrantor(terms, host, opens, grants);
+        LeaseTerms terms,
+        LeaseGrantor.Replies replies,
+        Timestamp grantsFrom,
+        Map<String, Grant> grants) {
+      return new LeaseGrantor(terms, replies, grantsFrom, grants);
     }
 
-    /** Whether an act may be sent. */
+    /** Returns whether a client may send an act. */
     default boolean mayAct(LeaseClient client, Timestamp now) {
       return client.isHeldAt(now);
     }
@@ -43,17 +51,17 @@
       return true;
     }
 
-    /** How long a grantor that begins anew grants nothing. */
+    /** Returns how long a grantor grants nothing after a restart. */
     default TimeSpan startupDelay(LeaseTerms terms) {
       return terms.maxTerm();
     }
   }
 
   enum Kind {
-    ASK,
+    REQUEST,
     GRANTED,
-    REFUSED,
-    RETURN,
+    REJECTED,
+    RELEASE,
     ACT
   }
 
@@ -65,81 +73,91 @@
       long token,
       long round,
       long highest,
-      TimeSpan left,
+      TimeSpan minWait,
       boolean held)
       implements Comparable<Message> {
     @Override
     public int compareTo(Message other) {
-      int so =
+      int order =
           Integer.compare(
               kind.ordinal() * 100 + client * 10 + grantor,
               other.kind.ordinal() * 100 + other.client * 10 + other.grantor);
-      if (so == 0) {
-        so = Long.compare(token, other.token);
+      if (order == 0) {
+        order = Long.compare(token, other.token);
       }
-      if (so == 0) {
-        so = Long.compare(round, other.round);
+      if (order == 0) {
+        order = Long.compare(round, other.round);
       }
-      if (so == 0) {
-        so = Long.compare(incarnation, other.incarnation);
+      if (order == 0) {
+        order = Long.compare(incarnation, other.incarnation);
       }
-      if (so == 0) {
-        so = Long.compare(highest, other.highest);
+      if (order == 0) {
+        order = Long.compare(highest, other.highest);
       }
-      return so != 0 || left == null ? so : Double.compare(left.ms(), other.left.ms());
+      return order != 0 || minWait == null
+          ? order
+          : Double.compare(minWait.ms(), other.minWait.ms());
     }
   }
 
   private final PartyFactory factory;
   private final LeaseTerms terms;
   private final double chance;
-  private final double[] paceOfClients;
-  private final double[] paceOfGrantors;
+  private final double[] clientClockRates;
+  private final double[] grantorClockRates;
   int tick;
   private final LeaseClient[] clients;
   private final boolean[] stalled;
   private final long[] incarnations;
-  private final Timestamp[] opens;
+  private final Timestamp[] grantsFrom;
   private final List<Map<String, Grant>> grants = new ArrayList<>();
   private TreeSet<Message> sent = new TreeSet<>();
-  private final List<Message> order = new ArrayList<>(); // as they were sent; not kept in copies
+
+  /** The messages in the order in which they were sent. Copies do not keep it. */
+  private final List<Message> sentInOrder = new ArrayList<>();
+
   private int requests;
   int grantorCrashes;
   int clientCrashes;
   int stalls;
   private FencingTokenRegistry registry = new FencingTokenRegistry();
-  private long landed; // the checker's own
-  private long lastTaken;
+
+  /** The highest token of an admitted act, recorded by the checker. */
+  private long highestAdmittedToken;
+
+  private long lastAcquiredToken;
   String violation;
-  int takeovers;
+  int acquisitions;
 
-  /** Rejections and acts are left out: what they lead to, a timeout leads to as well. */
+  /**
+   * Whether rejections and acts are left out. A timeout leads to the same states as a rejection.
+   */
   boolean withoutRejections;
 
   LeaseSimulation(
       PartyFactory factory,
-      LeaseTerms right,
+      LeaseTerms unmodifiedTerms,
       double chance,
       double[] paceOfClients,
       double[] paceOfGrantors) {
     this.factory = factory;
     this.chance = chance;
-    terms = factory.terms(right);
-    this.paceOfClients = paceOfClients;
-    this.paceOfGrantors = paceOfGrantors;
+    terms = factory.terms(unmodifiedTerms);
+    this.clientClockRates = paceOfClients;
+    this.grantorClockRates = paceOfGrantors;
     clients = new LeaseClient[paceOfClients.length];
     stalled = new boolean[clients.length];
     incarnations = new long[clients.length];
-    opens = new Timestamp[paceOfGrantors.length];
-    for (int i = 0; i < opens.length; i++) {
-      opens[i] = Timestamp.ofMs(0);
+    grantsFrom = new Timestamp[paceOfGrantors.length];
+    for (int i = 0; i < grantsFrom.length; i++) {
+      grantsFrom[i] = Timestamp.ofMs(0);
       grants.add(Map.of());
     }
     for (int i = 0; i < clients.length; i++) {
-      clients[i] = made(i);
+      clients[i] = createClient(i);
     }
-    for (LeaseClient one : clients) {
-      one.acquire(Timestamp.ofMs(0), 1);
+    for (LeaseClient client : clients) {
+      client.acquire(Timestamp.ofMs(0), 1);
     }
   }
 
@@ -147,27 +165,28 @@
     factory = other.factory;
     terms = other.terms;
     chance = other.chance;
-    paceOfClients = other.paceOfClients;
-    paceOfGrantors = other.paceOfGrantors;
+    clientClockRates = other.clientClockRates;
+    grantorClockRates = other.grantorClockRates;
     tick = other.tick;
     clients = new LeaseClient[other.clients.length];
     stalled = other.stalled.clone();
     incarnations = other.incarnations.clone();
-    opens = other.opens.clone();
-    grants.addAll(other.grants); // maps are replaced, never changed
+    grantsFrom = other.grantsFrom.clone();
+    // The maps are replaced and never changed, so copies can share them.
+    grants.addAll(other.grants);
     sent = new TreeSet<>(other.sent);
     requests = other.requests;
     grantorCrashes = other.grantorCrashes;
     clientCrashes = other.clientCrashes;
     stalls = other.stalls;
-    landed = other.landed;
+    highestAdmittedToken = other.highestAdmittedToken;
     withoutRejections = other.withoutRejections;
-    lastTaken = other.lastTaken;
+    lastAcquiredToken = other.lastAcquiredToken;
     if (other.registry.highestToken(NAME) > 0) {
       registry.admits(NAME, other.registry.highestToken(NAME));
     }
     for (int i = 0; i < clients.length; i++) {
-      clients[i] = made(i);
+      clients[i] = createClient(i);
       clients[i].copyStateFrom(other.clients[i]);
     }
   }
@@ -176,7 +195,7 @@
     return new LeaseSimulation(this);
   }
 
-  private LeaseClient made(int index) {
+  private LeaseClient createClient(int client) {
     return factory.client(
         terms,
         new LeaseClient.Transport() {
@@ -187,10 +206,10 @@
             }
             send(
                 new Message(
-                    Kind.ASK,
-                    index,
+                    Kind.REQUEST,
+                    client,
                     grantor,
-                    incarnations[index],
+                    incarnations[client],
                     token,
                     round,
                     0,
@@ -202,10 +221,10 @@
           public void release(int grantor, String name, long token, int successor) {
             send(
                 new Message(
-                    Kind.RETURN,
-                    index,
+                    Kind.RELEASE,
+                    client,
                     grantor,
-                    incarnations[index],
+                    incarnations[client],
                     token,
                     0,
                     0,
@@ -215,93 +234,93 @@
 
           @Override
           public void acquired(String name, long token) {
-            takeovers++;
-            if (token <= lastTaken) {
-              violation = "taken under " + token + " after " + lastTaken;
+            acquisitions++;
+            if (token <= lastAcquiredToken) {
+              violation = "lease acquired under token " + token + " after " + lastAcquiredToken;
             }
-            lastTaken = Math.max(lastTaken, token);
+            lastAcquiredToken = Math.max(lastAcquiredToken, token);
           }
 
           @Override
           public void lost(String name, long token, String why) {
-            // claims are read from the client itself
+            // The checker reads the clients' state instead.
           }
         },
-        index,
-        incarnations[index],
+        client,
+        incarnations[client],
         chance);
   }
 
   private boolean send(Message message) {
     boolean isNew = sent.add(message);
     if (isNew) {
-      order.add(message);
+      sentInOrder.add(message);
     }
     return isNew;
   }
 
   private Timestamp clock(int client) {
-    return Timestamp.ofMs(tick * paceOfClients[client]);
+    return Timestamp.ofMs(tick * clientClockRates[client]);
   }
 
-  /** What can happen next, by token: each leads to another simulation. */
-  int choices() {
-    return 1 + sent.size() + clients.length * 4 + opens.length;
+  /** Returns the number of possible next events. Each leads to another state. */
+  int choiceCount() {
+    return 1 + sent.size() + clients.length * 4 + grantsFrom.length;
   }
 
-  /** All that is on its way of a kind, from or to one client, arrives. */
-  void arrive(Kind kind, int client) {
-    for (Message one : List.copyOf(sent)) {
-      if (one.kind == kind && one.client == client) {
-        take(one);
+  /** Delivers all messages of a kind from or to one client. */
+  void deliverAll(Kind kind, int client) {
+    for (Message message : List.copyOf(sent)) {
+      if (message.kind == kind && message.client == client) {
+        deliver(message);
       }
     }
   }
 
-  /** The same of one grantor, and of one round. */
-  void arrive(Kind kind, int client, int grantor, long round) {
-    for (Message one : List.copyOf(sent)) {
-      if (one.kind == kind
-          && one.client == client
-          && one.grantor == grantor
-          && one.round == round) {
-        take(one);
+  /** Delivers all messages of a kind, client, grantor and round. */
+  void deliverAll(Kind kind, int client, int grantor, long round) {
+    for (Message message : List.copyOf(sent)) {
+      if (message.kind == kind
+          && message.client == client
+          && message.grantor == grantor
+          && message.round == round) {
+        deliver(message);
       }
     }
   }
 
-  /** Time passes, until a client has asked so often in all. */
-  void pass(int upToRequests) {
+  /** Advances the time until the clients have begun a number of rounds of requests. */
+  void runUntilRequests(int upToRequests) {
     while (requests < upToRequests) {
-      happen(0, Integer.MAX_VALUE, 0, 0, 0);
+      apply(0, Integer.MAX_VALUE, 0, 0, 0);
     }
   }
 
-  /** Something befalls a client: 2, it gives back; 3, it stands still or goes on. */
-  void disturb(int who, int what) {
-    disturb(who, what, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
+  /** Applies an event to a client: 2 releases the lease, 3 stalls or resumes the client. */
+  void applyClientEvent(int client, int event) {
+    applyClientEvent(client, event, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
   }
 
-  /** How many of these are no message. */
-  int others() {
-    return clients.length * 4 + opens.length;
+  /** Returns the number of possible next events that are neither a tick nor a message. */
+  int clientAndGrantorEventCount() {
+    return clients.length * 4 + grantsFrom.length;
   }
 
-  /** Whether a holder would give it back. */
-  boolean isLeave(int choice) {
-    int other = choice - 1 - sent.size();
-    return other >= 0 && other < clients.length * 4 && other % 4 == 2;
+  /** Returns whether an event is the release of the lease by its holder. */
+  boolean isRelease(int choice) {
+    int event = choice - 1 - sent.size();
+    return event >= 0 && event < clients.length * 4 && event % 4 == 2;
   }
 
-  /** The place of a message that was sent lately, or some other one's. */
-  int recent(java.util.Random random) {
-    int from = Math.max(0, order.size() - 6);
-    Message one = order.get(from + random.nextInt(order.size() - from));
-    return sent.headSet(one).size();
+  /** Returns the index of one of the six messages that were sent last. */
+  int recentMessageIndex(java.util.Random random) {
+    int from = Math.max(0, sentInOrder.size() - 6);
+    Message message = sentInOrder.get(from + random.nextInt(sentInOrder.size() - from));
+    return sent.headSet(message).size();
   }
 
-  /** Does one of them; false where it can't happen. */
-  boolean happen(
+  /** Applies one of the possible events. Returns false if it can't happen in this state. */
+  boolean apply(
       int choice, int maxRequests, int maxGrantorCrashes, int maxClientCrashes, int maxStalls) {
     if (choice == 0) {
       tick++;
@@ -310,22 +329,22 @@
           clients[i].tick(clock(i), 1 + tick);
         }
       }
-      return check();
+      return checkHolders();
     }
     choice--;
     if (choice < sent.size()) {
       Message message = null;
-      for (Message one : sent) {
+      for (Message candidate : sent) {
         if (choice-- == 0) {
-          message = one;
+          message = candidate;
         }
       }
-      return take(message);
+      return deliver(message);
     }
     choice -= sent.size();
-    int who = choice / 4;
-    if (who < clients.length) {
-      return disturb(who, choice % 4, maxRequests, maxClientCrashes, maxStalls);
+    int client = choice / 4;
+    if (client < clients.length) {
+      return applyClientEvent(client, choice % 4, maxRequests, maxClientCrashes, maxStalls);
     }
     if (grantorCrashes >= maxGrantorCrashes) {
       return false;
@@ -333,24 +352,28 @@
     int grantor = choice - 4 * clients.length;
     grantorCrashes++;
     grants.set(grantor, Map.of());
-    opens[grantor] =
-        Timestamp.ofMs(tick * paceOfGrantors[grantor]).plus(factory.startupDelay(terms));
-    return check();
+    grantsFrom[grantor] =
+        Timestamp.ofMs(tick * grantorClockRates[grantor]).plus(factory.startupDelay(terms));
+    return checkHolders();
   }
 
-  private boolean disturb(int who, int what, int maxRequests, int maxClientCrashes, int maxStalls) {
-    switch (what) {
-      case 0 -> { // looks whether it may, and acts; when that lands is open
-        if (withoutRejections || stalled[who] || !factory.mayAct(clients[who], clock(who))) {
+  private boolean applyClientEvent(
+      int client, int event, int maxRequests, int maxClientCrashes, int maxStalls) {
+    switch (event) {
+      case 0 -> {
+        // The client checks its lease and sends an act, which may be delivered at any time.
+        if (withoutRejections
+            || stalled[client]
+            || !factory.mayAct(clients[client], clock(client))) {
           return false;
         }
         return send(
             new Message(
                 Kind.ACT,
-                who,
+                client,
                 0,
-                incarnations[who],
-                clients[who].token(),
+                incarnations[client],
+                clients[client].token(),
                 0,
                 0,
                 TimeSpan.ZERO,
@@ -361,62 +384,70 @@
           return false;
         }
         clientCrashes++;
-        incarnations[who]++;
-        stalled[who] = false;
-        clients[who] = made(who);
-        clients[who].acquire(clock(who), 1 + tick); // the wall's clock does not go back
+        incarnations[client]++;
+        stalled[client] = false;
+        clients[client] = createClient(client);
+        // The wall clock does not go back with the restart.
+        clients[client].acquire(clock(client), 1 + tick);
       }
-      case 2 -> { // gives it back, and wants it again
-        if (stalled[who] || requests >= maxRequests || !clients[who].isHeldAt(clock(who))) {
+      case 2 -> {
+        // The client releases the lease and campaigns for it again.
+        if (stalled[client]
+            || requests >= maxRequests
+            || !clients[client].isHeldAt(clock(client))) {
           return false;
         }
-        clients[who].release(-1);
-        clients[who].acquire(clock(who), 1 + tick);
+        clients[client].release(-1);
+        clients[client].acquire(clock(client), 1 + tick);
       }
       default -> {
-        if (!stalled[who] && stalls >= maxStalls) {
+        if (!stalled[client] && stalls >= maxStalls) {
           return false;
         }
-        if (!stalled[who]) {
+        if (!stalled[client]) {
           stalls++;
         }
-        stalled[who] = !stalled[who];
+        stalled[client] = !stalled[client];
       }
     }
-    return check();
+    return checkHolders();
   }
 
-  private boolean take(Message message) {
-    int who = message.client;
+  private boolean deliver(Message message) {
+    int client = message.client;
     if (message.kind == Kind.ACT) {
       boolean admitted = registry.admits(NAME, message.token) || !factory.rejectsLowerTokens();
-      if (admitted && message.token < landed) {
-        violation = "an act under " + message.token + " was taken after one under " + landed;
+      if (admitted && message.token < highestAdmittedToken) {
+        violation =
+            "an act under token "
+                + message.token
+                + " was admitted after one under "
+                + highestAdmittedToken;
       }
       if (admitted) {
-        landed = Math.max(landed, message.token);
+        highestAdmittedToken = Math.max(highestAdmittedToken, message.token);
       }
-      return check();
+      return checkHolders();
     }
-    if (message.kind == Kind.GRANTED || message.kind == Kind.REFUSED) {
-      if (message.incarnation != incarnations[who] || stalled[who]) {
+    if (message.kind == Kind.GRANTED || message.kind == Kind.REJECTED) {
+      if (message.incarnation != incarnations[client] || stalled[client]) {
         return false;
       }
       if (message.kind == Kind.GRANTED) {
-        clients[who].handleGrant(message.grantor, message.token, message.round, clock(who));
+        clients[client].handleGrant(message.grantor, message.token, message.round, clock(client));
       } else {
-        clients[who].handleRejection(
+        clients[client].handleRejection(
             message.grantor,
             message.token,
             message.round,
             message.highest,
-            message.left,
+            message.minWait,
             message.held,
-            clock(who));
+            clock(client));
       }
-      return check();
+      return checkHolders();
     }
-    int at = message.grantor;
+    int grantorNumber = message.grantor;
     LeaseGrantor grantor =
         factory.grantor(
             terms,
@@ -427,7 +458,7 @@
                     new Message(
                         Kind.GRANTED,
                         client,
-                        at,
+                        grantorNumber,
                         message.incarnation,
                         token,
                         round,
@@ -443,42 +474,42 @@
                   long token,
                   long round,
                   long highest,
-                  TimeSpan left,
-                  LeaseGrantor.Rejection why) {
+                  TimeSpan minWait,
+                  LeaseGrantor.Rejection reason) {
                 if (!withoutRejections) {
                   send(
                       new Message(
-                          Kind.REFUSED,
+                          Kind.REJECTED,
                           client,
-                          at,
+                          grantorNumber,
                           message.incarnation,
                           token,
                           round,
                           highest,
-                          left,
-                          why == LeaseGrantor.Rejection.HELD));
+                          minWait,
+                          reason == LeaseGrantor.Rejection.HELD));
                 }
               }
 
               @Override
               public void sendAvailable(int client, String name) {
-                // only makes it quicker
+                // A notification only shortens the wait.
               }
             },
-            opens[at],
-            grants.get(at));
-    Timestamp now = Timestamp.ofMs(tick * paceOfGrantors[at]);
-    if (message.kind == Kind.ASK) {
-      grantor.request(who, message.incarnation, NAME, message.token, message.round, now);
+            grantsFrom[grantorNumber],
+            grants.get(grantorNumber));
+    Timestamp now = Timestamp.ofMs(tick * grantorClockRates[grantorNumber]);
+    if (message.kind == Kind.REQUEST) {
+      grantor.request(client, message.incarnation, NAME, message.token, message.round, now);
     } else {
-      grantor.release(who, message.incarnation, NAME, message.token, -1, now);
+      grantor.release(client, message.incarnation, NAME, message.token, -1, now);
     }
-    grants.set(at, new TreeMap<>(grantor.grants()));
-    return check();
+    grants.set(grantorNumber, new TreeMap<>(grantor.grants()));
+    return checkHolders();
   }
 
-  /** No two claims at one true time. */
-  private boolean check() {
+  /** Checks that no two clients hold the lease at one true time. */
+  private boolean checkHolders() {
     int holders = 0;
     for (int i = 0; i < clients.length; i++) {
       if (clients[i].isHeldAt(clock(i))) {
@@ -486,20 +517,20 @@
       }
     }
     if (holders > 1) {
-      violation = "two hold it at tick " + tick;
+      violation = "two clients hold the lease at tick " + tick;
     }
     return true;
   }
 
-  /** How many say now that they hold it. */
+  /** Returns the number of clients that hold the lease now by their own clocks. */
   int holders() {
-    int found = 0;
+    int holders = 0;
     for (int i = 0; i < clients.length; i++) {
       if (clients[i].isHeldAt(clock(i))) {
-        found++;
+        holders++;
       }
     }
-    return found;
+    return holders;
   }
 
   int requests() {
@@ -507,20 +538,21 @@
   }
 
   /**
-   * Two states of one text go on alike: grantors that differ by their tokens alone are told in one
-   * order.
+   * Returns the state as text. States with equal texts have equal successors. Grantors are sorted,
+   * so that states that differ only in the numbers of grantors have equal texts.
    */
-  String text() {
-    List<String> each = new ArrayList<>();
-    for (int at = 0; at < opens.length; at++) {
-      StringBuilder one =
+  String stateText() {
+    List<String> grantorTexts = new ArrayList<>();
+    for (int grantorNumber = 0; grantorNumber < grantsFrom.length; grantorNumber++) {
+      StringBuilder grantorText =
           new StringBuilder()
-              .append(paceOfGrantors[at])
-              .append(opens[at].ms())
-              .append(grants.get(at).get(NAME));
+              .append(grantorClockRates[grantorNumber])
+              .append(grantsFrom[grantorNumber].ms())
+              .append(grants.get(grantorNumber).get(NAME));
       for (Message message : sent) {
-        if (message.kind != Kind.ACT && message.grantor == at) {
-          one.append(message.kind.ordinal())
+        if (message.kind != Kind.ACT && message.grantor == grantorNumber) {
+          grantorText
+              .append(message.kind.ordinal())
               .append(message.client)
               .append(',')
               .append(message.incarnation)
@@ -531,27 +563,27 @@
               .append(',')
               .append(message.highest)
               .append(',')
-              .append(message.left.ms())
+              .append(message.minWait.ms())
               .append(';');
         }
       }
       for (LeaseClient client : clients) {
-        one.append(client.voteOf(at));
+        grantorText.append(client.voteOf(grantorNumber));
       }
-      each.add(one.toString());
+      grantorTexts.add(grantorText.toString());
     }
-    Collections.sort(each);
+    Collections.sort(grantorTexts);
     StringBuilder text =
         new StringBuilder()
             .append(tick)
-            .append(each)
+            .append(grantorTexts)
             .append(requests)
             .append(grantorCrashes)
             .append(clientCrashes)
             .append(stalls)
-            .append(landed)
+            .append(highestAdmittedToken)
             .append(' ')
-            .append(lastTaken);
+            .append(lastAcquiredToken);
     for (int i = 0; i < clients.length; i++) {
       text.append(clients[i].stateWithoutVotes()).append(stalled[i]).append(incarnations[i]);
     }
--- a/src/test/java/sprucerock/lease/LeaseStudy.java
+++ b/src/test/java/sprucerock/lease/LeaseStudy.java
@@ -10,18 +10,18 @@
 import sprucerock.time.Timestamp;
 
 /**
- * In simulated time: how long a lease has no holder after the holder crashes, stands still or is
- * cut off, and what it costs in messages, at 10 to 1,000 relays. {@code LeaseStudy [events a
- * size]}.
+ * Measures, in simulated time, how long a lease has no holder after the holder crashes, stalls, is
+ * cut off or releases it, and the cost in messages, with 10 to 1,000 relays. {@code LeaseStudy
+ * [faults per fleet size]}.
  */
 public final class LeaseStudy {
   private static final double TERM_MS = 3000;
   private static final int GRANTORS = 5;
 
-  /** What a message weighs on the wire: 8 bytes before the head, and the head. */
+  /** The size of a message on the wire: 8 bytes before the head, and the head. */
   private static final int MESSAGE_BYTES = 48;
 
-  private record Event(double at, long order, Runnable what) {}
+  private record Event(double timeMs, long order, Runnable action) {}
 
   private enum Fault {
     CRASH,
@@ -33,77 +33,85 @@
   private final SplittableRandom random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.timeMs != b.timeMs
+                  ? Double.compare(a.timeMs, b.timeMs)
+                  : Long.compare(a.order, b.order));
   private final LeaseTerms terms =
       new LeaseTerms(GRANTORS, TimeSpan.ofMs(TERM_MS), TimeSpan.ofMs(TERM_MS), 0.01);
   private final List<LeaseGrantor> grantors = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
-  private double now;
-  private long made;
-  private long fromWaiting;
-  private long fromHolder;
-  private long toGrantors;
+  private double nowMs;
+  private long scheduledCount;
+  private long messagesFromWaiting;
+  private long messagesFromHolder;
+  private long messagesToGrantors;
   private int holder = -1;
-  private double lostAt = -1;
-  private final List<Double> gaps = new ArrayList<>();
+  private double lostAtMs = -1;
+  private final List<Double> gapsMs = new ArrayList<>();
 
   private LeaseStudy(int relays, long seed) {
     random = new SplittableRandom(seed);
     for (int g = 0; g < GRANTORS; g++) {
-      int at = g;
+      int grantor = g;
       grantors.add(
           new LeaseGrantor(
               terms,
               new LeaseGrantor.Replies() {
                 @Override
-                public void sendGranted(int who, String name, long number, long round) {
+                public void sendGranted(int client, String name, long token, long round) {
                   deliver(
                       () ->
                           members
-                              .get(who)
-                              .heard(
+                              .get(client)
+                              .receive(
                                   () ->
                                       members
-                                          .get(who)
+                                          .get(client)
                                           .client
-                                          .handleGrant(at, number, round, time())));
+                                          .handleGrant(grantor, token, round, nowTimestamp())));
                 }
 
                 @Override
                 public void sendRejected(
-                    int who,
+                    int client,
                     String name,
-                    long number,
+                    long token,
                     long round,
                     long highest,
-                    TimeSpan left,
-                    LeaseGrantor.Rejection why) {
+                    TimeSpan minWait,
+                    LeaseGrantor.Rejection reason) {
                   deliver(
                       () ->
                           members
-                              .get(who)
-                              .heard(
+                              .get(client)
+                              .receive(
                                   () ->
                                       members
-                                          .get(who)
+                                          .get(client)
                                           .client
                                           .handleRejection(
-                                              at,
-                                              number,
+                                              grantor,
+                                              token,
                                               round,
                                               highest,
-                                              left,
-                                              why == LeaseGrantor.Rejection.HELD,
-                                              time())));
+                                              minWait,
+                                              reason == LeaseGrantor.Rejection.HELD,
+                                              nowTimestamp())));
                 }
 
                 @Override
-                public void sendAvailable(int who, String name) {
+                public void sendAvailable(int client, String name) {
                   deliver(
                       () ->
                           members
-                              .get(who)
-                              .heard(() -> members.get(who).client.handleAvailable(time(), 0)));
+                              .get(client)
+                              .receive(
+                                  () ->
+                                      members
+                                          .get(client)
+                                          .client
+                                          .handleAvailable(nowTimestamp(), 0)));
                 }
               },
               Timestamp.ofMs(-1),
@@ -112,40 +120,42 @@
     for (int i = 0; i < relays; i++) {
       members.add(new Member(i, seed));
     }
-    for (Member one : members) {
-      at(random.nextDouble() * 100, () -> one.heard(() -> one.client.acquire(time(), 0)));
+    for (Member member : members) {
+      schedule(
+          random.nextDouble() * 100,
+          () -> member.receive(() -> member.client.acquire(nowTimestamp(), 0)));
     }
   }
 
-  private Timestamp time() {
-    return Timestamp.ofMs(now);
+  private Timestamp nowTimestamp() {
+    return Timestamp.ofMs(nowMs);
   }
 
-  private void at(double when, Runnable what) {
-    events.add(new Event(when, made++, what));
+  private void schedule(double timeMs, Runnable action) {
+    events.add(new Event(timeMs, scheduledCount++, action));
   }
 
-  /** Half a millisecond, and now and then ten. */
-  private void deliver(Runnable what) {
-    double ms = 0.3 + 0.4 * random.nextDouble();
-    at(now + (random.nextInt(100) == 0 ? 10 : ms), what);
+  /** Delivers a message after about half a millisecond, and one in a hundred after ten. */
+  private void deliver(Runnable action) {
+    double delayMs = 0.3 + 0.4 * random.nextDouble();
+    schedule(nowMs + (random.nextInt(100) == 0 ? 10 : delayMs), action);
   }
 
-  private void run(double until) {
-    while (!events.isEmpty() && events.peek().at <= until) {
+  private void runUntil(double untilMs) {
+    while (!events.isEmpty() && events.peek().timeMs <= untilMs) {
       Event next = events.poll();
-      now = next.at;
-      next.what.run();
+      nowMs = next.timeMs;
+      next.action.run();
     }
-    now = until;
+    nowMs = untilMs;
   }
 
-  /** A relay: stands still, is cut off or is dead, each until a moment. */
+  /** A relay, which may be stalled, cut off or dead until a certain time. */
   private final class Member implements LeaseClient.Transport {
     private final int number;
     private LeaseClient client;
-    private double stillUntil;
-    private double cutUntil;
+    private double stalledUntilMs;
+    private double cutUntilMs;
     private long incarnation;
     private Event timer;
 
@@ -161,83 +171,91 @@
               incarnation);
     }
 
-    void heard(Runnable what) {
-      if (cutUntil > now) {
+    void receive(Runnable action) {
+      if (cutUntilMs > nowMs) {
         return;
       }
-      if (stillUntil > now) {
-        at(stillUntil, () -> heard(what));
+      if (stalledUntilMs > nowMs) {
+        schedule(stalledUntilMs, () -> receive(action));
         return;
       }
-      what.run();
-      arm();
+      action.run();
+      scheduleTick();
     }
 
-    private void arm() {
+    private void scheduleTick() {
       if (client.nextTick() == null) {
         return;
       }
-      Event[] mine = new Event[1];
-      mine[0] =
+      Event[] ownEvent = new Event[1];
+      ownEvent[0] =
           new Event(
-              Math.max(now, client.nextTick().ms()),
-              made++,
+              Math.max(nowMs, client.nextTick().ms()),
+              scheduledCount++,
               () -> {
-                if (timer != mine[0]) {
+                if (timer != ownEvent[0]) {
                   return;
                 }
-                if (stillUntil > now) {
-                  at(stillUntil, mine[0].what);
+                if (stalledUntilMs > nowMs) {
+                  schedule(stalledUntilMs, ownEvent[0].action);
                 } else {
-                  client.tick(time(), 0);
-                  arm();
+                  client.tick(nowTimestamp(), 0);
+                  scheduleTick();
                 }
               });
-      timer = mine[0];
-      events.add(mine[0]);
+      timer = ownEvent[0];
+      events.add(ownEvent[0]);
     }
 
     @Override
-    public void request(int grantor, String name, long asked, long round) {
+    public void request(int grantor, String name, long token, long round) {
       if (holder == number) {
-        fromHolder++;
+        messagesFromHolder++;
       } else {
-        fromWaiting++;
+        messagesFromWaiting++;
       }
-      toGrantors++;
-      if (cutUntil > now) {
+      messagesToGrantors++;
+      if (cutUntilMs > nowMs) {
         return;
       }
-      long own = incarnation;
-      deliver(() -> grantors.get(grantor).request(number, own, name, asked, round, time()));
+      long requestIncarnation = incarnation;
+      deliver(
+          () ->
+              grantors
+                  .get(grantor)
+                  .request(number, requestIncarnation, name, token, round, nowTimestamp()));
     }
 
     @Override
-    public void release(int grantor, String name, long given, int successor) {
-      toGrantors++;
-      if (cutUntil > now) {
+    public void release(int grantor, String name, long token, int successor) {
+      messagesToGrantors++;
+      if (cutUntilMs > nowMs) {
         return;
       }
-      long own = incarnation;
-      deliver(() -> grantors.get(grantor).release(number, own, name, given, successor, time()));
+      long requestIncarnation = incarnation;
+      deliver(
+          () ->
+              grantors
+                  .get(grantor)
+                  .release(number, requestIncarnation, name, token, successor, nowTimestamp()));
     }
 
     @Override
-    public void acquired(String name, long given) {
-      if (lostAt >= 0) {
-        gaps.add(now - lostAt);
+    public void acquired(String name, long token) {
+      if (lostAtMs >= 0) {
+        gapsMs.add(nowMs - lostAtMs);
       }
-      lostAt = -1;
+      lostAtMs = -1;
       holder = number;
     }
 
     @Override
-    public void lost(String name, long given, String why) {
-      // measured from what befell it
+    public void lost(String name, long token, String reason) {
+      // The gap counts from the fault.
     }
 
-    void disturb(Fault fault) {
-      lostAt = now;
+    void apply(Fault fault) {
+      lostAtMs = nowMs;
       holder = -1;
       switch (fault) {
         case CRASH -> {
@@ -248,68 +266,68 @@
                   "task",
                   terms,
                   this,
-                  new DeterministicRandom(now == 0 ? 1 : (long) now * 31 + number)::next,
+                  new DeterministicRandom(nowMs == 0 ? 1 : (long) nowMs * 31 + number)::next,
                   number,
                   incarnation);
-          at(now + 1500, () -> heard(() -> client.acquire(time(), 0)));
+          schedule(nowMs + 1500, () -> receive(() -> client.acquire(nowTimestamp(), 0)));
         }
-        case STALL -> stillUntil = now + 2 * TERM_MS;
-        case CUT -> cutUntil = now + 2 * TERM_MS;
+        case STALL -> stalledUntilMs = nowMs + 2 * TERM_MS;
+        case CUT -> cutUntilMs = nowMs + 2 * TERM_MS;
         default ->
-            heard(
+            receive(
                 () -> {
                   client.release(-1);
-                  at(now + 1000, () -> heard(() -> client.acquire(time(), 0)));
+                  schedule(nowMs + 1000, () -> receive(() -> client.acquire(nowTimestamp(), 0)));
                 });
       }
     }
   }
 
   public static void main(String[] args) {
-    int times = args.length > 0 ? Integer.parseInt(args[0]) : 100;
+    int faultsPerSize = args.length > 0 ? Integer.parseInt(args[0]) : 100;
     System.out.println(
-        "term 3 s, 5 granters, ways of half a millisecond; time without a holder in ms, messages a second of a waiting relay, of the holder, at a granter");
+        "term 3 s, 5 grantors, one-way delay of half a millisecond; time without a holder in ms, messages a second of a waiting relay, of the holder, at a grantor");
     for (int relays : new int[] {10, 100, 300, 1000}) {
       StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%5d relays:", relays));
       double seconds = 0;
-      long waiting = 0;
-      long holding = 0;
-      long granting = 0;
+      long messagesFromWaiting = 0;
+      long messagesFromHolder = 0;
+      long messagesToGrantors = 0;
       for (Fault fault : Fault.values()) {
         LeaseStudy study = new LeaseStudy(relays, 1 + fault.ordinal());
-        study.run(20_000);
-        study.fromWaiting = 0;
-        study.fromHolder = 0;
-        study.toGrantors = 0;
-        double from = study.now;
-        for (int i = 0; i < times; i++) {
+        study.runUntil(20_000);
+        study.messagesFromWaiting = 0;
+        study.messagesFromHolder = 0;
+        study.messagesToGrantors = 0;
+        double startMs = study.nowMs;
+        for (int i = 0; i < faultsPerSize; i++) {
           if (study.holder >= 0) {
-            study.members.get(study.holder).disturb(fault);
+            study.members.get(study.holder).apply(fault);
           }
-          study.run(study.now + 12_000 + 3000 * study.random.nextDouble());
+          study.runUntil(study.nowMs + 12_000 + 3000 * study.random.nextDouble());
         }
-        study.gaps.sort(null);
+        study.gapsMs.sort(null);
         line.append(
             String.format(
                 Locale.ROOT,
                 "  %s %.0f, worst %.0f (%d)",
                 fault.name().toLowerCase(Locale.ROOT),
-                study.gaps.get(study.gaps.size() / 2),
-                study.gaps.get(study.gaps.size() - 1),
-                study.gaps.size()));
-        seconds += (study.now - from) / 1000;
-        waiting += study.fromWaiting;
-        holding += study.fromHolder;
-        granting += study.toGrantors;
+                study.gapsMs.get(study.gapsMs.size() / 2),
+                study.gapsMs.get(study.gapsMs.size() - 1),
+                study.gapsMs.size()));
+        seconds += (study.nowMs - startMs) / 1000;
+        messagesFromWaiting += study.messagesFromWaiting;
+        messagesFromHolder += study.messagesFromHolder;
+        messagesToGrantors += study.messagesToGrantors;
       }
       line.append(
           String.format(
               Locale.ROOT,
               "; messages %.2f, %.2f, %.1f (%.0f bytes a second at a relay)",
-              waiting / seconds / (relays - 1),
-              holding / seconds,
-              granting / seconds / GRANTORS,
-              MESSAGE_BYTES * waiting / seconds / (relays - 1)));
+              messagesFromWaiting / seconds / (relays - 1),
+              messagesFromHolder / seconds,
+              messagesToGrantors / seconds / GRANTORS,
+              MESSAGE_BYTES * messagesFromWaiting / seconds / (relays - 1)));
       System.out.println(line);
     }
   }
--- a/src/test/java/sprucerock/lease/LeaseTermsTest.java
+++ b/src/test/java/sprucerock/lease/LeaseTermsTest.java
@@ -6,14 +6,14 @@
 import org.testng.annotations.Test;
 import sprucerock.time.TimeSpan;
 
-/** Terms that make no sense together are rejected with a message. */
+/** Invalid lease parameters are rejected with a message. */
 public class LeaseTermsTest {
   @Test
-  public void rejectsWrongNumbersOfGrantorsAndTooMuchDrift() {
-    for (Map.Entry<Integer, Double> bad : Map.of(4, 0.0, 3, 0.3).entrySet()) {
+  public void rejectsWrongGrantorCountsAndTooMuchDrift() {
+    for (Map.Entry<Integer, Double> invalid : Map.of(4, 0.0, 3, 0.3).entrySet()) {
       try {
-        new LeaseTerms(bad.getKey(), TimeSpan.ofMs(1), TimeSpan.ofMs(1), bad.getValue());
-        throw new AssertionError("accepted: " + bad);
+        new LeaseTerms(invalid.getKey(), TimeSpan.ofMs(1), TimeSpan.ofMs(1), invalid.getValue());
+        throw new AssertionError("accepted: " + invalid);
       } catch (IllegalArgumentException e) {
         assertFalse(e.getMessage().isEmpty());
       }
--- a/src/test/java/sprucerock/lease/StateSpaceSearch.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearch.java
@@ -8,32 +8,39 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Every simulation that can come from one, up to stated bounds; ends at the first violation. */
+/** Explores every state reachable from a simulation, up to bounds. Ends at the first violation. */
 final class StateSpaceSearch {
-  /** How far it goes: ticks, rounds of requests, and how often each trouble comes. */
+  /** The bounds of the search: ticks, rounds of requests, the number of each fault, and states. */
   record Bounds(
       int ticks, int requests, int grantorCrashes, int clientCrashes, int stalls, int maxStates) {}
 
-  /** How many states there are; whether all were seen; what was violation, or null. */
+  /**
+   * The result of a search.
+   *
+   * @param states the number of explored states
+   * @param complete whether all states within the bounds were explored
+   * @param violation the first violation; null: none was found
+   * @param statesWithHolder the number of states in which a client holds the lease
+   */
   record Result(int states, boolean complete, String violation, int statesWithHolder) {}
 
   static Result explore(Supplier<LeaseSimulation> start, Bounds bounds) {
-    Set<Long> seen = ConcurrentHashMap.newKeySet();
-    List<LeaseSimulation> edge = List.of(start.get());
-    int holders = 0;
-    while (!edge.isEmpty() && seen.size() < bounds.maxStates()) {
+    Set<Long> seenHashes = ConcurrentHashMap.newKeySet();
+    List<LeaseSimulation> frontier = List.of(start.get());
+    int statesWithHolder = 0;
+    while (!frontier.isEmpty() && seenHashes.size() < bounds.maxStates()) {
       List<LeaseSimulation> next =
-          edge.parallelStream()
+          frontier.parallelStream()
               .flatMap(
                   simulation ->
-                      IntStream.range(0, simulation.choices())
+                      IntStream.range(0, simulation.choiceCount())
                           .mapToObj(
                               choice -> {
                                 if (choice == 0 && simulation.tick >= bounds.ticks()) {
                                   return null;
                                 }
-                                LeaseSimulation then = simulation.copy();
-                                if (!then.happen(
+                                LeaseSimulation successor = simulation.copy();
+                                if (!successor.apply(
                                     choice,
                                     bounds.requests(),
                                     bounds.grantorCrashes(),
@@ -41,29 +48,31 @@
                                     bounds.stalls())) {
                                   return null;
                                 }
-                                return seen.add(hash(then.text())) ? then : null;
+                                return seenHashes.add(hash(successor.stateText()))
+                                    ? successor
+                                    : null;
                               })
-                          .filter(one -> one != null))
+                          .filter(successor -> successor != null))
               .collect(Collectors.toList());
-      for (LeaseSimulation one : next) {
-        if (one.violation != null) {
-          return new Result(seen.size(), false, one.violation, holders);
+      for (LeaseSimulation simulation : next) {
+        if (simulation.violation != null) {
+          return new Result(seenHashes.size(), false, simulation.violation, statesWithHolder);
         }
-        holders += one.holders();
+        statesWithHolder += simulation.holders();
       }
-      edge = next;
+      frontier = next;
     }
-    return new Result(seen.size(), edge.isEmpty(), null, holders);
+    return new Result(seenHashes.size(), frontier.isEmpty(), null, statesWithHolder);
   }
 
   /**
-   * Over 64 bits: among ten million states two differing ones are taken for one with a chance of
-   * one in 300,000.
+   * Returns a hash of 64 bits. Among ten million states the probability that two different ones
+   * have the same hash is 1 in 300,000.
    */
   private static long hash(String text) {
     long hash = 0xcbf29ce484222325L;
-    for (byte one : text.getBytes(StandardCharsets.ISO_8859_1)) {
-      hash = (hash ^ one) * 0x100000001b3L;
+    for (byte value : text.getBytes(StandardCharsets.ISO_8859_1)) {
+      hash = (hash ^ value) * 0x100000001b3L;
     }
     hash ^= hash >>> 33;
     hash *= 0xff51afd7ed558ccdL;
--- a/src/test/java/sprucerock/lease/StateSpaceSearchMain.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearchMain.java
@@ -3,38 +3,39 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The search at sizes that take minutes: {@code StateSpaceSearchMain [ticks requests
- * grantor-crashes client-crashes stalls maxStates]}.
+ * Runs the state-space search with bounds that take minutes: {@code StateSpaceSearchMain [ticks
+ * requests grantor-crashes client-crashes stalls maxStates]}.
  */
 public final class StateSpaceSearchMain {
   private StateSpaceSearchMain() {}
 
   public static void main(String[] args) {
-    int[] n = new int[] {5, 3, 1, 0, 1, 20_000_000};
+    int[] bounds = new int[] {5, 3, 1, 0, 1, 20_000_000};
     for (int i = 0; i < args.length; i++) {
-      n[i] = Integer.parseInt(args[i]);
+      bounds[i] = Integer.parseInt(args[i]);
     }
-    StateSpaceSearch.Bounds bounds =
-        new StateSpaceSearch.Bounds(n[0], n[1], n[2], n[3], n[4], n[5]);
+    StateSpaceSearch.Bounds searchBounds =
+        new StateSpaceSearch.Bounds(
+            bounds[0], bounds[1], bounds[2], bounds[3], bounds[4], bounds[5]);
     for (double chance : new double[] {0, 0.99}) {
-      for (double[] paces : LeaseSafetyTest.PACES) {
-        long began = System.nanoTime();
+      for (double[] clockRates : LeaseSafetyTest.CLOCK_RATES) {
+        long startNanos = System.nanoTime();
         StateSpaceSearch.Result result =
             StateSpaceSearch.explore(
                 () ->
                     LeaseSafetyTest.simulation(
-                        new LeaseSimulation.PartyFactory() {}, chance, paces),
-                bounds);
+                        new LeaseSimulation.PartyFactory() {}, chance, clockRates),
+                searchBounds);
         System.out.println(
-            bounds
+            searchBounds
                 + " chance "
                 + chance
                 + " paces "
-                + java.util.Arrays.toString(paces)
+                + java.util.Arrays.toString(clockRates)
                 + ": "
                 + result
                 + ", "
-                + (System.nanoTime() - began) / 1_000_000
+                + (System.nanoTime() - startNanos) / 1_000_000
                 + " ms");
       }
     }
--- a/src/test/java/sprucerock/relay/snapshot/RackSnapshotBenchmark.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotBenchmark.java
@@ -32,7 +32,7 @@
 
   private final SharedSnapshot shared = new SharedSnapshot();
   private volatile boolean stopped;
-  private int at;
+  private int lookupCount;
 
   private static RackSnapshot snapshot(long number) {
     Map<Integer, Timestamp> until = new HashMap<>();
@@ -68,8 +68,10 @@
 
   @Benchmark
   public boolean mayPlace() {
-    at = at + 7 & 0xff;
-    return shared.current().mayPlace(RackSnapshot.key(at >> 4, at & 15), 1e9, 100);
+    lookupCount = lookupCount + 7 & 0xff;
+    return shared
+        .current()
+        .mayPlace(RackSnapshot.key(lookupCount >> 4, lookupCount & 15), 1e9, 100);
   }
 
   public static void main(String[] args) throws Exception {
