--- a/src/test/java/sprucerock/hardware/HardwareStudy.java
+++ b/src/test/java/sprucerock/hardware/HardwareStudy.java
@@ -7,16 +7,16 @@
 import java.util.TreeMap;
 
 /**
- * By amount of traffic: how far translated time and capacity lie from the truth, and how often a
- * bound of 95% holds, beside three ways without a model: none, one factor for all methods, and
- * plain ratios of means. {@code HardwareStudy [fleets]}.
+ * Measures, by amount of traffic, the errors of translated time and capacity and how often a bound
+ * at 95% holds. Compares them with three methods without a model: no translation, one factor for
+ * all methods, and plain ratios of means. {@code HardwareStudy [fleets]}.
  */
 public final class HardwareStudy {
   private HardwareStudy() {}
 
-  private static double median(List<Double> all) {
-    all.sort(null);
-    return all.get(all.size() / 2);
+  private static double median(List<Double> values) {
+    values.sort(null);
+    return values.get(values.size() / 2);
   }
 
   public static void main(String[] args) {
@@ -25,15 +25,15 @@
         "four families, three methods, 12 windows; median error of a factor in percent; share of bounds of 95% that hold");
     for (int attempts : new int[] {100, 300, 1000, 3000, 10_000}) {
       Map<String, List<Double>> errorsByName = new TreeMap<>();
-      int all = 0;
+      int bounds = 0;
       int timeBoundsHeld = 0;
       int capacityBoundsHeld = 0;
-      int known = 0;
+      int knownCapacities = 0;
       for (int seed = 0; seed < fleets; seed++) {
         SimulatedHardware hardware = new SimulatedHardware(1000 + seed, 4);
         Observation observation = hardware.observe(12, attempts, 3);
         HardwareModel model = LeastSquaresFit.fit(observation, 0, build -> true, 1);
-        double errors = model.standardErrors(0.95);
+        double standardErrors = model.standardErrors(0.95);
         double[][] sums = new double[4][3];
         double[][] counts = new double[4][3];
         observation
@@ -42,9 +42,10 @@
             .forEach(
                 window ->
                     window.forEach(
-                        (cell, one) -> {
-                          sums[cell.family()][cell.method()] += one.count() * Math.exp(one.mean());
-                          counts[cell.family()][cell.method()] += one.count();
+                        (cell, moments) -> {
+                          sums[cell.family()][cell.method()] +=
+                              moments.count() * Math.exp(moments.mean());
+                          counts[cell.family()][cell.method()] += moments.count();
                         }));
         for (int a = 0; a < 4; a++) {
           for (int b = 0; b < 4; b++) {
@@ -56,15 +57,15 @@
               if (ofTime == null) {
                 continue;
               }
-              all++;
-              if (time < ofTime.logValue() + errors * ofTime.standardError()) {
+              bounds++;
+              if (time < ofTime.logValue() + standardErrors * ofTime.standardError()) {
                 timeBoundsHeld++;
               }
-              if (capacity < ofCapacity.logValue() + errors * ofCapacity.standardError()) {
+              if (capacity < ofCapacity.logValue() + standardErrors * ofCapacity.standardError()) {
                 capacityBoundsHeld++;
               }
               if (ofCapacity.standardError() < 0.4) {
-                known++;
+                knownCapacities++;
               }
               double raw = Math.log(sums[a][m] / counts[a][m] / (sums[b][m] / counts[b][m]));
               double global = 0;
@@ -85,25 +86,25 @@
       StringBuilder line =
           new StringBuilder(String.format(Locale.ROOT, "%6d picks a window:", attempts));
       errorsByName.forEach(
-          (name, one) ->
+          (name, errorsOfName) ->
               line.append(
                   String.format(
                       Locale.ROOT,
                       "  %s %.1f%%",
                       name.substring(2),
-                      100 * (Math.exp(median(one)) - 1))));
+                      100 * (Math.exp(median(errorsOfName)) - 1))));
       line.append(
           String.format(
               Locale.ROOT,
               "; bounds hold: time %.3f, capacity %.3f; capacity known %.2f",
-              (double) timeBoundsHeld / all,
-              (double) capacityBoundsHeld / all,
-              (double) known / all));
+              (double) timeBoundsHeld / bounds,
+              (double) capacityBoundsHeld / bounds,
+              (double) knownCapacities / bounds));
       System.out.println(line);
     }
   }
 
-  private static void add(Map<String, List<Double>> errorsByName, String name, double by) {
-    errorsByName.computeIfAbsent(name, any -> new ArrayList<>()).add(Math.abs(by));
+  private static void add(Map<String, List<Double>> errorsByName, String name, double error) {
+    errorsByName.computeIfAbsent(name, absent -> new ArrayList<>()).add(Math.abs(error));
   }
 }
--- a/src/test/java/sprucerock/hardware/LeastSquaresFitTest.java
+++ b/src/test/java/sprucerock/hardware/LeastSquaresFitTest.java
@@ -9,16 +9,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Families whose cores and speeds are known, observed by relays: what is made of them, and how well
- * that is known.
+ * The model fitted to observations of hardware families with known cores and speeds, the errors of
+ * its estimates, and translation by it.
  */
 public class LeastSquaresFitTest {
   private static final IntPredicate ALL_BUILDS = build -> true;
   private static final IntPredicate SETTLED = build -> build < 2;
 
   /**
-   * A bound that is to hold in 95 of 100 holds in 93 at least; and it isn't bought by bounds that
-   * say nothing.
+   * A bound with a confidence of 95% must hold in at least 93% of cases, and the errors must be
+   * small enough to be useful.
    */
   @Test
   public void boundsHoldAtTheirConfidence() {
@@ -55,7 +55,7 @@
     assertTrue(timeBoundsHeld >= 0.93 * bounds, "times: " + timeBoundsHeld + " of " + bounds);
     assertTrue(
         capacityBoundsHeld >= 0.93 * bounds, "capacities: " + capacityBoundsHeld + " of " + bounds);
-    assertTrue(widestError < 0.15, "so wide that they say nothing: " + widestError);
+    assertTrue(widestError < 0.15, "errors too wide to be useful: " + widestError);
   }
 
   @Test
@@ -74,19 +74,19 @@
       observation.add(sums);
     }
     HardwareModel model = LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1);
-    HardwareModel.Estimate connected = model.timeRatio(0, 0, 2);
+    HardwareModel.Estimate linked = model.timeRatio(0, 0, 2);
     assertEquals(
-        connected.logValue(),
+        linked.logValue(),
         Math.log(hardware.timeFactor(0, 0) / hardware.timeFactor(2, 0)),
-        4 * connected.standardError());
+        4 * linked.standardError());
     assertTrue(
-        connected.standardError() > model.timeRatio(0, 0, 1).standardError()
-            && connected.standardError() < 0.2,
-        "" + connected);
+        linked.standardError() > model.timeRatio(0, 0, 1).standardError()
+            && linked.standardError() < 0.2,
+        "" + linked);
     CapacityTranslator translator = new CapacityTranslator(model, List.of(), 0.95);
     assertTrue(
         translator.requiredEndpoints(0, 10, 0, 1).limit() == CapacityTranslator.Limit.NOT_KNOWN,
-        "no attempt ever met a busy unit, so cores are not known");
+        "no attempt was sent to a busy endpoint, so the concurrency must not be known");
     assertTrue(translator.maxTimeMs(0, 100, 0, 2) > 0);
     assertTrue(Double.isNaN(translator.maxTimeMs(0, 100, 0, 3)));
     assertEquals(
@@ -96,14 +96,16 @@
   @Test
   public void duplicateAndLateSumsCountOnce() {
     SimulatedHardware hardware = new SimulatedHardware(6, 3);
-    Observation once = hardware.observe(10, 600, 2);
-    HardwareModel model = LeastSquaresFit.fit(once, 0, ALL_BUILDS, 1);
-    SampleSums part = new SampleSums(0, 10); // an earlier state of that relay's last window
-    part.add(0, 0, 1, 0, 5);
-    assertFalse(once.add(part));
-    assertFalse(once.add(new SampleSums(7, 10 - Observation.MAX_WINDOWS)));
+    Observation observation = hardware.observe(10, 600, 2);
+    HardwareModel model = LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1);
+    // An earlier state of the same relay's last window.
+    SampleSums earlier = new SampleSums(0, 10);
+    earlier.add(0, 0, 1, 0, 5);
+    assertFalse(observation.add(earlier));
+    assertFalse(observation.add(new SampleSums(7, 10 - Observation.MAX_WINDOWS)));
     assertEquals(
-        LeastSquaresFit.fit(once, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1), model.timeRatio(0, 0, 1));
+        LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1),
+        model.timeRatio(0, 0, 1));
   }
 
   @Test
@@ -121,17 +123,17 @@
               LeastSquaresFit.fit(hardware.observe(10, 2000, 2), 0, ALL_BUILDS, 1), declared, 0.9);
       for (int a = 0; a < 4; a++) {
         for (int b = 0; b < 4; b++) {
-          CapacityTranslator.Answer there = translator.requiredEndpoints(1, 40, a, b);
-          if (!there.isKnown()) {
+          CapacityTranslator.Answer forward = translator.requiredEndpoints(1, 40, a, b);
+          if (!forward.isKnown()) {
             continue;
           }
           CapacityTranslator.Answer back =
-              translator.guaranteedEndpoints(1, there.endpoints(), b, a);
+              translator.guaranteedEndpoints(1, forward.endpoints(), b, a);
           assertTrue(back.endpoints() <= 40 * (1 + 1e-9), a + " to " + b + " and back: " + back);
           assertEquals(
               translator.requiredEndpoints(1, 15, a, b).endpoints()
                   + translator.requiredEndpoints(1, 25, a, b).endpoints(),
-              there.endpoints(),
+              forward.endpoints(),
               1e-9);
         }
       }
@@ -160,7 +162,10 @@
     assertEquals(translator.requiredEndpoints(0, 10, 1, 0).limit(), CapacityTranslator.Limit.CORES);
   }
 
-  /** Five families; from window 11 on one is slower, or a new build is on that one. */
+  /**
+   * Returns observations of five families. From window 11 on one of them, or a new build on it, is
+   * slower.
+   */
   private static Observation observeSlowdown(int slowFamily, boolean byBuild) {
     SimulatedHardware hardware = new SimulatedHardware(11, 5);
     Observation observation = new Observation();
@@ -180,14 +185,14 @@
   }
 
   @Test
-  public void tellsASlowFamilyFromASlowBuild() {
-    Observation slow = observeSlowdown(3, false);
+  public void distinguishesASlowFamilyFromASlowBuild() {
+    Observation slowFamily = observeSlowdown(3, false);
     assertEquals(
-        OutlierScore.slowFamilies(slow, 0, 11, SETTLED).stream()
+        OutlierScore.slowFamilies(slowFamily, 0, 11, SETTLED).stream()
             .map(OutlierScore.Finding::family)
             .toList(),
         List.of(3));
-    assertEquals(OutlierScore.slowBuilds(slow, 0, 2, SETTLED), List.of());
+    assertEquals(OutlierScore.slowBuilds(slowFamily, 0, 2, SETTLED), List.of());
     Observation slowBuild = observeSlowdown(3, true);
     assertEquals(OutlierScore.slowFamilies(slowBuild, 0, 11, SETTLED), List.of());
     assertEquals(
@@ -202,30 +207,30 @@
 
   @Test
   public void canaryDoesNotChangeAFamilysTimes() {
-    double with =
+    double logRatioWithCanary =
         LeastSquaresFit.fit(observeSlowdown(3, true), 0, SETTLED, 1).timeRatio(0, 3, 1).logValue();
-    double without =
+    double logRatioWithoutCanary =
         LeastSquaresFit.fit(observeSlowdown(-1, false), 0, SETTLED, 1)
             .timeRatio(0, 3, 1)
             .logValue();
-    assertEquals(with, without, 0.08);
+    assertEquals(logRatioWithCanary, logRatioWithoutCanary, 0.08);
   }
 
   @Test
-  public void oneOddWindowChangesLittle() {
+  public void oneUnusualWindowChangesLittle() {
     SimulatedHardware hardware = new SimulatedHardware(12, 3);
     Observation observation = hardware.observe(20, 1500, 1);
-    double before =
+    double logRatioBefore =
         LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1).logValue();
-    SampleSums odd = new SampleSums(0, 21);
+    SampleSums unusual = new SampleSums(0, 21);
     for (int i = 0; i < 300; i++) {
-      odd.add(0, 0, 1, 0, hardware.attemptMs(0, 0, 0, 20));
-      odd.add(0, 1, 1, 0, hardware.attemptMs(1, 0, 0, 1));
+      unusual.add(0, 0, 1, 0, hardware.attemptMs(0, 0, 0, 20));
+      unusual.add(0, 1, 1, 0, hardware.attemptMs(1, 0, 0, 1));
     }
-    observation.add(odd);
+    observation.add(unusual);
     assertEquals(
         LeastSquaresFit.fit(observation, 0, ALL_BUILDS, 1).timeRatio(0, 0, 1).logValue(),
-        before,
+        logRatioBefore,
         0.15);
   }
 
--- a/src/test/java/sprucerock/hardware/SimulatedHardware.java
+++ b/src/test/java/sprucerock/hardware/SimulatedHardware.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Families whose true speed and cores are known, and what relays observe of them: work of
- * exponential length, cores that it shares, endpoints that differ a little.
+ * Hardware families with known speed and cores, and the observations of relays. The work of an
+ * attempt has an exponential distribution, attempts share the cores, and endpoints differ a little.
  */
 final class SimulatedHardware {
   static final double[] WORK_MS = {8, 20, 3};
@@ -12,7 +12,7 @@
   final double[] speed;
   final double[] cores;
 
-  /** By family and method: what a method makes of a family beyond its speed. */
+  /** By family and method: the factor of a method's times beyond the family's speed. */
   final double[][] methodFactors;
 
   private final SplittableRandom random;
@@ -45,21 +45,26 @@
     return cores[family] / timeFactor(family, method);
   }
 
-  /** A window begins: each method's requests are of another mix now. */
+  /** Begins a window, in which each method has another mix of requests. */
   void beginWindow() {
     for (int m = 0; m < methodLogLevels.length; m++) {
       methodLogLevels[m] = 0.3 * gaussian();
     }
   }
 
-  /** The time of one attempt of a method on a family that had so many others in flight. */
-  double attemptMs(int family, int method, int others, double slower) {
+  /**
+   * Returns the duration of one attempt.
+   *
+   * @param others the number of other attempts that the endpoint has in flight
+   * @param slowdown a factor of the duration
+   */
+  double attemptMs(int family, int method, int others, double slowdown) {
     double work =
         -Math.log(1 - random.nextDouble()) * WORK_MS[method] * Math.exp(methodLogLevels[method]);
     return Math.max(work, 0.01)
         * timeFactor(family, method)
         * Math.max(1, (others + 1) / cores[family])
-        * slower
+        * slowdown
         * Math.exp(0.03 * gaussian());
   }
 
@@ -67,7 +72,11 @@
     return random.nextInt(bound);
   }
 
-  /** So many windows of so many attempts each, over all families and methods, by some relays. */
+  /**
+   * Returns observations of attempts over all families and methods.
+   *
+   * @param attempts the number of attempts in each window
+   */
   Observation observe(int windows, int attempts, int relays) {
     Observation observation = new Observation();
     for (int w = 1; w <= windows; w++) {
@@ -83,8 +92,8 @@
         sums[randomInt(relays)].add(
             method, family, 1, others, attemptMs(family, method, others, 1));
       }
-      for (SampleSums one : sums) {
-        observation.add(one);
+      for (SampleSums sumsOfRelay : sums) {
+        observation.add(sumsOfRelay);
       }
     }
     return observation;
--- a/src/test/java/sprucerock/relay/snapshot/RackSnapshotBenchmark.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotBenchmark.java
@@ -18,7 +18,8 @@
 import sprucerock.time.Timestamp;
 
 /**
- * What one lookup costs at 300 racks, by itself and while 1,000 snapshots a second are published.
+ * Measures the cost of one lookup among 300 racks, without publishing and while 1,000 snapshots are
+ * published each second.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
@@ -34,12 +35,12 @@
   private volatile boolean stopped;
   private int lookupCount;
 
-  private static RackSnapshot snapshot(long number) {
+  private static RackSnapshot snapshot(long sequence) {
     Map<Integer, Timestamp> until = new HashMap<>();
     for (int rack = 0; rack < 300; rack++) {
-      until.put(RackSnapshot.key(rack / 20, rack % 20), Timestamp.ofMs(1e12 + number));
+      until.put(RackSnapshot.key(rack / 20, rack % 20), Timestamp.ofMs(1e12 + sequence));
     }
-    return new RackSnapshot(number, until);
+    return new RackSnapshot(sequence, until);
   }
 
   @Setup
@@ -48,17 +49,17 @@
     if (publishesPerSecond == 0) {
       return;
     }
-    Thread writer =
+    Thread publisher =
         new Thread(
             () -> {
-              for (long n = 2; !stopped; n++) {
-                shared.publish(snapshot(n));
+              for (long sequence = 2; !stopped; sequence++) {
+                shared.publish(snapshot(sequence));
                 java.util.concurrent.locks.LockSupport.parkNanos(
                     1_000_000_000L / publishesPerSecond);
               }
             });
-    writer.setDaemon(true);
-    writer.start();
+    publisher.setDaemon(true);
+    publisher.start();
   }
 
   @TearDown
--- a/src/test/java/sprucerock/relay/snapshot/RackSnapshotTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 import sprucerock.time.Timestamp;
 
-/** A snapshot of the racks, and the shared reference to the latest one. */
+/** Rack snapshots and the shared reference to the latest one. */
 public class RackSnapshotTest {
   @Test
   public void placesWorkThatEndsInTime() {
@@ -53,8 +53,8 @@
   }
 
   /**
-   * In every snapshot all racks have the same time, that of its number: a reader that saw parts of
-   * two would see two.
+   * In each snapshot the times of all racks equal its sequence number, so a reader that saw parts
+   * of two snapshots would see different times.
    */
   @Test
   public void readersSeeConsistentSnapshotsWhilePublishing() throws Exception {
@@ -69,28 +69,32 @@
                 while (before < 20_000 && violation.get() == null) {
                   RackSnapshot snapshot = shared.current();
                   if (snapshot.sequence() < before) {
-                    violation.set("went back from " + before + " to " + snapshot.sequence());
+                    violation.set(
+                        "the sequence number went back from "
+                            + before
+                            + " to "
+                            + snapshot.sequence());
                   }
                   before = snapshot.sequence();
                   for (int cell = 0; cell < 50 && before > 0; cell++) {
                     Timestamp until = snapshot.freeUntil(RackSnapshot.key(1, cell));
                     if (until == null || until.ms() != before) {
-                      violation.set("in " + before + " a rack has " + until);
+                      violation.set("a rack of snapshot " + before + " has the time " + until);
                     }
                   }
                 }
               });
       readers[i].start();
     }
-    for (long n = 1; n <= 20_000; n++) {
+    for (long sequence = 1; sequence <= 20_000; sequence++) {
       Map<Integer, Timestamp> until = new HashMap<>();
       for (int cell = 0; cell < 50; cell++) {
-        until.put(RackSnapshot.key(1, cell), Timestamp.ofMs(n));
+        until.put(RackSnapshot.key(1, cell), Timestamp.ofMs(sequence));
       }
-      shared.publish(new RackSnapshot(n, until));
+      shared.publish(new RackSnapshot(sequence, until));
     }
-    for (Thread one : readers) {
-      one.join(60_000);
+    for (Thread reader : readers) {
+      reader.join(60_000);
     }
     assertNull(violation.get());
   }
