--- a/src/main/java/sprucerock/hardware/Observation.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -30,7 +30,7 @@
       return false;
     }
     Map<Integer, SampleSums> window =
-        windows.computeIfAbsent(sample.window(), any -> new TreeMap<>());
+        windows.computeIfAbsent(sample.window(), absent -> new TreeMap<>());
     SampleSums before = window.get(sample.relay());
     if (before != null ? before.count() >= sample.count() : window.size() >= MAX_RELAYS) {
       return false;
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -51,11 +51,17 @@
 
   /** The reason for a rejection. The names are sent to clients. */
   enum Rejection {
+    /** The lease has a running grant to another client or incarnation. */
     HELD,
+    /** The token is not higher than that of the latest grant. */
     LOWER,
+    /** The client has released the grant under this token. */
     RETURNED,
+    /** The grantor has started recently, and grants of its previous incarnation may still run. */
     STARTING,
+    /** The lease is kept for a successor. */
     KEPT,
+    /** The grantor has no room for another lease name. */
     TOO_MANY
   }
 
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -13,7 +13,7 @@
 /**
  * Counts, in simulated time, the requests that one grantor receives in a minute from many clients
  * of one lease, one of which holds it. A hundred seconds pass before, so that all clients have been
- * told how long to wait.
+ * informed how long to wait.
  */
 public class LeaseScaleTest {
   private static final LeaseTerms TERMS =
--- a/src/test/java/sprucerock/lease/LeaseSimulation.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -138,17 +138,17 @@
       PartyFactory factory,
       LeaseTerms unmodifiedTerms,
       double chance,
-      double[] paceOfClients,
-      double[] paceOfGrantors) {
+      double[] clientClockRates,
+      double[] grantorClockRates) {
     this.factory = factory;
     this.chance = chance;
     terms = factory.terms(unmodifiedTerms);
-    this.clientClockRates = paceOfClients;
-    this.grantorClockRates = paceOfGrantors;
-    clients = new LeaseClient[paceOfClients.length];
+    this.clientClockRates = clientClockRates;
+    this.grantorClockRates = grantorClockRates;
+    clients = new LeaseClient[clientClockRates.length];
     stalled = new boolean[clients.length];
     incarnations = new long[clients.length];
-    grantsFrom = new Timestamp[paceOfGrantors.length];
+    grantsFrom = new Timestamp[grantorClockRates.length];
     for (int i = 0; i < grantsFrom.length; i++) {
       grantsFrom[i] = Timestamp.ofMs(0);
       grants.add(Map.of());
@@ -242,7 +242,7 @@
           }
 
           @Override
-          public void lost(String name, long token, String why) {
+          public void lost(String name, long token, String reason) {
             // The checker reads the clients' state instead.
           }
         },
