--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -51,7 +51,7 @@
 
   /** The reason for a rejection. The names are sent to clients. */
   enum Rejection {
-    /** The lease has a running grant to another client or incarnation. */
+    /** A grant to another client or incarnation, or under another token, is running. */
     HELD,
     /** The token is not higher than that of the latest grant. */
     LOWER,
