--- a/src/main/java/sprucerock/accounting/EndpointRegistry.java
+++ b/src/main/java/sprucerock/accounting/EndpointRegistry.java
@@ -18,7 +18,7 @@
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
   private final MethodAccounts accounts;
   private RelayEvents listener;
-  private int newestRolloutBuild;
+  private int minTrialBuild;
 
   EndpointRegistry(MethodAccounts accounts) {
     this.accounts = accounts;
@@ -115,11 +115,11 @@
 
   /** Records an announced build; a released build is not on trial any more. */
   void recordRollout(int build, boolean released) {
-    newestRolloutBuild = released ? build + 1 : build;
+    minTrialBuild = released ? build + 1 : build;
   }
 
-  int newestRolloutBuild() {
-    return newestRolloutBuild;
+  int minTrialBuild() {
+    return minTrialBuild;
   }
 
   /** Forgets builds below a number that no ready endpoint runs. */
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -272,8 +272,8 @@
    * Returns a build number below which no build is on trial: the build announced last, or the
    * number after it if it was released. 0 if no build was announced.
    */
-  public int newestRolloutBuild() {
-    return endpoints.newestRolloutBuild();
+  public int minTrialBuild() {
+    return endpoints.minTrialBuild();
   }
 
   /** Passes on whether an endpoint answered a health check; dropped if it is not ready. */
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -96,7 +96,7 @@
    * Returns false if the method needs an idempotency key that {@code endpoint} does not share with
    * {@code previous}, an endpoint that may have run the RPC: {@code endpoint} would run it again.
    */
-  public boolean dropsRepeats(Endpoint previous, Endpoint endpoint) {
+  public boolean keyScopeAllowsRepeat(Endpoint previous, Endpoint endpoint) {
     return idempotency != Idempotency.KEYED
         || switch (keyScope) {
           case ALL -> true;
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -135,7 +135,7 @@
   }
 
   private boolean mayTake(Rpc rpc, Attempt first, Endpoint endpoint, Timestamp now) {
-    if (first != null && !rpc.method.dropsRepeats(first.endpoint, endpoint)) {
+    if (first != null && !rpc.method.keyScopeAllowsRepeat(first.endpoint, endpoint)) {
       return false;
     }
     return !rpc.hasAttemptAt(endpoint) && slowStart.hasCapacity(endpoint, now);
--- a/src/main/java/sprucerock/relay/frames/FleetTasks.java
+++ b/src/main/java/sprucerock/relay/frames/FleetTasks.java
@@ -80,7 +80,7 @@
                 config.settings.relayIndex,
                 config.leases.hardwareFitInterval(),
                 System::currentTimeMillis,
-                build -> build < requestTracker.newestRolloutBuild(),
+                build -> build < requestTracker.minTrialBuild(),
                 eventLog,
                 this);
     if (config.leases != null && config.leases.grantorNumber() >= 0) {
