--- a/src/main/java/sprucerock/accounting/CounterValues.java
+++ b/src/main/java/sprucerock/accounting/CounterValues.java
@@ -38,12 +38,14 @@
     markChanged(index);
   }
 
-  /** Changes a value without telling the store, so that a test can show that the audit finds it. */
+  /**
+   * Changes a value but never writes it to the store; for a test that the audit finds the error.
+   */
   void corrupt(int index, long by) {
     values[index] += by;
   }
 
-  /** Writes all non-zero values to the store, and from now on every change. */
+  /** Writes all non-zero values to a store, and from now on each change at {@link #commit}. */
   void persistTo(MetricsStore newStore, Runnable onFirstChangeOfIteration) {
     onFirstChange = onFirstChangeOfIteration;
     store = newStore;
--- a/src/main/java/sprucerock/accounting/EndpointRegistry.java
+++ b/src/main/java/sprucerock/accounting/EndpointRegistry.java
@@ -113,7 +113,7 @@
     return builds.get(number);
   }
 
-  /** Records an announced build; a released build is not on trial any more. */
+  /** Records the build announced last, which is on trial unless it was released. */
   void recordRollout(int build, boolean released) {
     minTrialBuild = released ? build + 1 : build;
   }
@@ -122,7 +122,7 @@
     return minTrialBuild;
   }
 
-  /** Forgets builds below a number that no ready endpoint runs. */
+  /** Removes each build with a lower number that has no ready endpoint. */
   void forgetBuildsBefore(int number) {
     builds.values().removeIf(build -> build.endpoints.isEmpty() && build.number < number);
   }
--- a/src/main/java/sprucerock/accounting/HistogramBuckets.java
+++ b/src/main/java/sprucerock/accounting/HistogramBuckets.java
@@ -7,15 +7,16 @@
 
 /**
  * The buckets of latency histograms. They equal the buckets of HdrHistogram for one significant
- * digit: 16 us wide up to half a millisecond, and a sixteenth of their octave wide above, so that a
- * percentile is at most 6% off. Latencies above 67 s count in the last bucket. Buckets are accounts
- * like all others, so that a latency is counted by a posting and can't be lost on its own.
+ * digit: 16 us wide up to half a millisecond, and above that a sixteenth of the octave's lower
+ * bound wide, so that a percentile is at most 6% off. Latencies above 67 s count in the last
+ * bucket. Buckets are accounts like all others, so that a latency is counted by a posting and can't
+ * be lost on its own.
  */
 public final class HistogramBuckets {
   /** The number of buckets. */
   public static final int BUCKET_COUNT = 304;
 
-  // A loopback round trip takes 10 us.
+  // Narrow enough: a loopback round trip alone takes 10 us.
   private static final int MIN_BUCKET_WIDTH_US = 16;
   private static final int BUCKETS_PER_OCTAVE = 16;
   private static final long MAX_LATENCY_US = (long) MIN_BUCKET_WIDTH_US << 22;
@@ -28,13 +29,13 @@
     if (us >= MAX_LATENCY_US) {
       return BUCKET_COUNT - 1;
     }
-    long widths = (long) us / MIN_BUCKET_WIDTH_US;
-    if (widths < 2 * BUCKETS_PER_OCTAVE) {
-      return (int) widths;
+    long usInBucketWidths = (long) us / MIN_BUCKET_WIDTH_US;
+    if (usInBucketWidths < 2 * BUCKETS_PER_OCTAVE) {
+      return (int) usInBucketWidths;
     }
-    // The shift leaves five bits, of which the highest is set.
-    int shift = 59 - Long.numberOfLeadingZeros(widths);
-    return shift * BUCKETS_PER_OCTAVE + (int) (widths >> shift);
+    // Shifting leaves the five highest bits, from the highest set bit on: 16 to 31.
+    int shift = 59 - Long.numberOfLeadingZeros(usInBucketWidths);
+    return shift * BUCKETS_PER_OCTAVE + (int) (usInBucketWidths >> shift);
   }
 
   /** Returns the shortest latency of a bucket, in microseconds. */
@@ -42,6 +43,7 @@
     if (bucket < 2 * BUCKETS_PER_OCTAVE) {
       return (long) bucket * MIN_BUCKET_WIDTH_US;
     }
+    // The shift by 4 multiplies by MIN_BUCKET_WIDTH_US.
     return (long) (BUCKETS_PER_OCTAVE + bucket % BUCKETS_PER_OCTAVE)
         << bucket / BUCKETS_PER_OCTAVE - 1
         << 4;
--- a/src/main/java/sprucerock/accounting/MethodAccounts.java
+++ b/src/main/java/sprucerock/accounting/MethodAccounts.java
@@ -272,14 +272,15 @@
     return row;
   }
 
-  /** Names a row, for accounts that get the rows of a metrics file. */
+  /** Sets the name of a row, for example to that of the same row in a metrics file. */
   public void nameRow(MetricsSheet sheet, int row, String name) {
     int globalRow = rowNames.nameRow(sheet, row, name);
     store.nameRow(globalRow, name);
   }
 
   /**
-   * Writes all present names and values to a store, and from now on every change.
+   * Writes all present names and values to a store, and from now on every new name at once and
+   * every changed value at {@link #commit}.
    *
    * @param onFirstPostingOfIteration runs at the first posting of each loop iteration; the host
    *     must then call {@link #commit} at the end of the iteration
@@ -335,6 +336,10 @@
     post(sheet.index(row, from), -1, sheet.index(row, to));
   }
 
+  /**
+   * Adds {@code amount} to one account and 1 to another: 1 to the total for a new event, or -1 to
+   * the column that an event leaves.
+   */
   private void post(int from, long amount, int to) {
     if (postingsDisabled) {
       return;
@@ -395,7 +400,7 @@
    * Counts the end of an attempt.
    *
    * @param written whether the attempt was written to a connection
-   * @param column the outcome's column of {@link #attempts}; the first after the total is ok
+   * @param column the outcome's column of {@link #attempts}; the first column after the total is ok
    * @param sinceSent the time since the attempt was sent
    */
   public void attemptEnded(
--- a/src/main/java/sprucerock/accounting/MetricsStore.java
+++ b/src/main/java/sprucerock/accounting/MetricsStore.java
@@ -18,10 +18,10 @@
         public void commit() {}
       };
 
-  /** Sets the name of a row; rows are numbered through all sheets. */
+  /** Sets the name of a row; rows are numbered consecutively across all sheets. */
   void nameRow(int row, String label);
 
-  /** Writes the new value of an account; accounts are numbered through all sheets. */
+  /** Writes the new value of an account; accounts are numbered consecutively across all sheets. */
   void put(int account, long value);
 
   /** Makes all values written since the last commit take effect together. */
--- a/src/main/java/sprucerock/accounting/RequestTracker.java
+++ b/src/main/java/sprucerock/accounting/RequestTracker.java
@@ -20,11 +20,11 @@
 /**
  * Tracks the state of each RPC, attempt, endpoint and build of one relay, independent of the host
  * that runs the routing policy. It is the only writer of this state, counts each change in {@link
- * MethodAccounts}, and then notifies the policy. The host reports events from outside and the
- * actions that it took for the policy.
+ * MethodAccounts}, and then notifies the policy. The host reports to it what clients, endpoints and
+ * the controller did, and the actions that the host took for the policy.
  *
- * <p>Not thread-safe: a single thread makes all calls. A call about an RPC or attempt that has
- * already ended changes nothing.
+ * <p>Not thread-safe: a single thread makes all calls. Ending an RPC or attempt that has already
+ * ended changes nothing.
  */
 public final class RequestTracker {
   // Columns of the sheet of RPCs.
@@ -56,7 +56,7 @@
             MethodAccounts.Capacity.NONE));
   }
 
-  /** Creates a tracker that is the only one to post RPCs and attempts to the given accounts. */
+  /** Creates a tracker; no other tracker may post to the given accounts. */
   public RequestTracker(Settings settings, MethodAccounts accounts) {
     this.settings = settings;
     this.accounts = accounts;
@@ -100,7 +100,7 @@
     return rpcs.size();
   }
 
-  /** Returns the RPC with an id; null once it is over and no longer tracked. */
+  /** Returns the RPC with an id; null if there is none or it is no longer tracked. */
   public Rpc rpc(long id) {
     return rpcs.get(id);
   }
@@ -115,7 +115,7 @@
     return endpoints.copyOfEndpoints();
   }
 
-  // Events from outside.
+  // Events caused by clients, endpoints and the controller.
 
   /**
    * Records that an RPC arrived.
@@ -150,11 +150,12 @@
   /**
    * Records that an attempt ended. Only the first call for an attempt has an effect.
    *
-   * @param closes whether the RPC is over, because of this outcome or from before. If the RPC was
-   *     open, an attempt that ended ok and closes it is its answer.
+   * @param rpcOver whether the RPC is over for the client: this attempt ends it now, or it had
+   *     ended before. If this attempt ends it, {@link AttemptOutcome#OK} means that the client got
+   *     this attempt's answer, and any other outcome that a streamed answer broke off.
    */
   public void attemptEnded(
-      Attempt attempt, AttemptOutcome outcome, TimeSpan latency, boolean closes) {
+      Attempt attempt, AttemptOutcome outcome, TimeSpan latency, boolean rpcOver) {
     if (attempt.outcome() != null) {
       return;
     }
@@ -171,7 +172,7 @@
         attempt.written(),
         1 + outcome.ordinal(),
         latency);
-    boolean endsRpc = closes && !rpc.ended();
+    boolean endsRpc = rpcOver && !rpc.ended();
     if (endsRpc && outcome == AttemptOutcome.OK) {
       recordAnswer(rpc, attempt.sentAt.plus(latency));
     } else if (endsRpc) {
@@ -243,8 +244,8 @@
   }
 
   /**
-   * Passes on the counts of all relays' attempts at a build. Counts of a build that this relay does
-   * not know are dropped.
+   * Notifies the policy of the controller's counts of all relays' attempts at a build. Counts of a
+   * build that this relay does not know are dropped.
    */
   public void fleetCountsReceived(
       int build, int method, double attempts, double failed, TimeSpan mean) {
@@ -255,9 +256,9 @@
   }
 
   /**
-   * Passes on a client's report that an endpoint's answer was wrong. The report is dropped if the
-   * process now listed under the id started after the attempt was sent, because the report is about
-   * the process that answered.
+   * Notifies the policy of a client's report that an endpoint's answer was wrong. The report is
+   * dropped if the process now listed under the id started after the attempt was sent, because the
+   * report is about the process that answered.
    *
    * @param sentAgo how long ago the attempt was sent
    */
@@ -269,14 +270,14 @@
   }
 
   /**
-   * Returns a build number below which no build is on trial: the build announced last, or the
-   * number after it if it was released. 0 if no build was announced.
+   * Returns the lowest build number that may be on trial: the number of the build announced last,
+   * or one more if that build was released; 0 if no build was announced.
    */
   public int minTrialBuild() {
     return endpoints.minTrialBuild();
   }
 
-  /** Passes on whether an endpoint answered a health check; dropped if it is not ready. */
+  /** Notifies the policy whether an endpoint answered a health check, if that endpoint is ready. */
   public void healthChecked(long endpointId, boolean answered) {
     Endpoint known = endpoints.get(endpointId);
     if (known != null && known.ready()) {
--- a/src/main/java/sprucerock/accounting/RowNames.java
+++ b/src/main/java/sprucerock/accounting/RowNames.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The names of the rows of all sheets. Rows also have a number through all sheets, in the order of
- * the sheets.
+ * The names of the rows of all sheets. A row has a number within its sheet, and a global number
+ * across all sheets, in the order of the sheets.
  */
 final class RowNames {
   private final String[] names;
@@ -30,7 +30,7 @@
     return names.length;
   }
 
-  /** Returns a row's name by its number through all sheets; null if the row is not in use. */
+  /** Returns a row's name by its global number; null if the row is not in use. */
   String name(int globalRow) {
     return names[globalRow];
   }
@@ -40,7 +40,7 @@
     return names[firstRowOfSheet[sheet.sheetIndex] + row];
   }
 
-  /** Names a row and returns its number through all sheets. */
+  /** Names a row and returns its global number. */
   int nameRow(MetricsSheet sheet, int row, String name) {
     rowsByName.get(sheet.sheetIndex).put(name, row);
     int globalRow = firstRowOfSheet[sheet.sheetIndex] + row;
--- a/src/main/java/sprucerock/accounting/SheetColumns.java
+++ b/src/main/java/sprucerock/accounting/SheetColumns.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The columns of each sheet: first the total, then the columns that it is the sum of. Columns are
- * stored and exported under these names and in this order.
+ * The columns of each sheet: first the total, then the columns whose sum it is. Columns are stored
+ * and exported under these names and in this order.
  */
 final class SheetColumns {
   static final List<String> CALLS =
--- a/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
+++ b/src/main/java/sprucerock/metrics/BufferMetricsMemory.java
@@ -36,7 +36,7 @@
 
   @Override
   public void put(int offset, long value) {
-    // These writes are not ordered among themselves; putOrdered comes after all of them.
+    // These writes may become visible in any order, but all of them before a later putOrdered.
     longs.put(offset / Long.BYTES, value);
   }
 
@@ -45,7 +45,8 @@
     // No earlier write may move after this write.
     VarHandle.releaseFence();
     LONGS.setVolatile(buffer, offset, value);
-    // No later write may move before this write: a reader may still read the other copy.
+    // No later write may move before this write: the next commit overwrites the copy that readers
+    // use until they see this write.
     VarHandle.fullFence();
   }
 
--- a/src/main/java/sprucerock/metrics/MetricsExporter.java
+++ b/src/main/java/sprucerock/metrics/MetricsExporter.java
@@ -20,7 +20,7 @@
  * table to people. Scrapes run on separate threads and never block the relay.
  */
 public final class MetricsExporter implements AutoCloseable {
-  /** A scrape takes milliseconds, even over a slow network. */
+  /** When to cut off a stalled scrape; a scrape takes milliseconds, even over a slow network. */
   private static final String STALL_TIMEOUT_SECONDS = "2";
 
   /** The number of concurrent scrapes; each occupies a core while it reads. */
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Answers all paths that the monitor does not use: with the table, followed by the equations that
-   * do not hold. If there are any, the status is 500.
+   * Answers a request for any path that the monitor does not use with the table, followed by the
+   * equations that do not hold. The status is 500 if there are such equations.
    */
   private void handleTable(HttpExchange exchange) throws IOException {
     StringBuilder text = new StringBuilder();
--- a/src/main/java/sprucerock/metrics/MetricsFileWriter.java
+++ b/src/main/java/sprucerock/metrics/MetricsFileWriter.java
@@ -135,7 +135,7 @@
 
   /**
    * Writes a file, maps it and puts it in place. The file is written completely before it is
-   * mapped, because a mapped file that runs out of disk space later would end the process.
+   * mapped, because a later write to a mapped page without disk space would end the process.
    */
   private static ByteBuffer publish(Path file, ByteBuffer bytes) throws IOException {
     Path nextFile = file.resolveSibling(file.getFileName() + ".next");
--- a/src/main/java/sprucerock/metrics/MetricsSnapshot.java
+++ b/src/main/java/sprucerock/metrics/MetricsSnapshot.java
@@ -110,8 +110,9 @@
     if (memory.get(MappedMetricsFile.SEQUENCE_OFFSET) != sequence) {
       return false;
     }
-    // The relay was killed between two writes, so nobody writes any more. The other copy is intact,
-    // or this copy is intact but not yet active.
+    // The sequence number has not changed, so no running relay interfered: the relay was killed
+    // between two writes, or the file is damaged. The other copy may be intact, or this copy may be
+    // intact but not yet active.
     long newest = Math.max(copies.readCopy(0), copies.readCopy(1));
     if (newest >= 0 && copies.readCopy(newest) >= 0) {
       return true;
--- a/src/main/java/sprucerock/model/Attempt.java
+++ b/src/main/java/sprucerock/model/Attempt.java
@@ -24,7 +24,10 @@
   /** How long to wait for the answer; null to wait until the client's deadline. */
   public final TimeSpan timeout;
 
-  /** The latest time at which this attempt may be written to a connection; null for no limit. */
+  /**
+   * The latest time at which this attempt may be written to a connection; null for no limit. A
+   * repeat has such a limit if it is only safe while endpoints remember the idempotency key.
+   */
   public Timestamp writeBy;
 
   private AttemptOutcome outcome;
@@ -34,10 +37,14 @@
   /** Data of the relay's connection pool about this attempt; no other code reads it. */
   public Object attachment;
 
-  /** Whether no answer came within the usual time. */
+  /** Whether this attempt took longer than is usual for its RPC; stays set after it ended. */
   public boolean overdue;
 
-  /** Whether this attempt is a shadow request, whose answer reaches no client. */
+  /**
+   * Whether this attempt was sent to compare a canary with the baseline: as a shadow request next
+   * to an attempt at the baseline, or as an RPC's first attempt in place of one at the baseline. As
+   * with every attempt, its answer goes to the client if it is the RPC's first OK.
+   */
   public boolean shadow;
 
   /** The shadow pair that this attempt belongs to; null if none. */
--- a/src/main/java/sprucerock/model/AttemptOutcome.java
+++ b/src/main/java/sprucerock/model/AttemptOutcome.java
@@ -26,7 +26,7 @@
   /** The relay cancelled the attempt. */
   CANCELLED(false),
 
-  /** The RPC ended before the attempt could be sent. */
+  /** The relay gave up the attempt before it was written to a connection. */
   MOOT(true);
 
   /** Whether the endpoint certainly ran no part of the attempt. */
--- a/src/main/java/sprucerock/model/Build.java
+++ b/src/main/java/sprucerock/model/Build.java
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Returns the latest start time of all endpoint processes that have been ready so far; null if no
-   * start time is known because all processes started long ago.
+   * Returns the latest known start time of all endpoints that have been ready so far; null if there
+   * is none, because no endpoint was ready yet or all of them started long ago.
    */
   public Timestamp latestStart() {
     return latestStart;
@@ -44,8 +44,8 @@
   public double weight;
 
   /**
-   * The sum of the weights of endpoints that had run for longer than the minimum age at the last
-   * {@link #refreshWeights}.
+   * The sum of the weights of the endpoints whose process was older than {@code minWarmAge} at the
+   * last {@link #refreshWeights}.
    */
   public double warmWeight;
 
@@ -53,7 +53,7 @@
    * Recomputes {@link #weight} and {@link #warmWeight} if they are older than {@code maxAge} or an
    * endpoint was added or removed since.
    *
-   * @param minWarmAge endpoints that have run for longer count in {@link #warmWeight}
+   * @param minWarmAge the age above which a process counts in {@link #warmWeight}
    */
   public void refreshWeights(TimeSpan minWarmAge, TimeSpan maxAge, Timestamp now) {
     if (weightsComputedAt != null && !now.since(weightsComputedAt).over(maxAge)) {
@@ -102,9 +102,11 @@
   }
 
   /**
-   * Draws a random endpoint without replacement.
+   * Draws a random endpoint without replacement. The endpoints drawn in one series of calls move to
+   * the front of {@link #endpoints}, in the order in which they are drawn.
    *
-   * @param drawnBefore how many endpoints were drawn before; less than the number of endpoints
+   * @param drawnBefore how many endpoints this series has drawn, from 0; less than the number of
+   *     endpoints
    * @param random uniformly distributed, from 0 (inclusive) to 1 (exclusive)
    */
   public Endpoint draw(int drawnBefore, double random) {
--- a/src/main/java/sprucerock/model/Endpoint.java
+++ b/src/main/java/sprucerock/model/Endpoint.java
@@ -28,7 +28,7 @@
   /** The build that the endpoint runs. */
   public final Build build;
 
-  /** When the process started; null if that was long ago. */
+  /** When the process started; null if that was long ago, so that it is older than any age. */
   public final Timestamp startedAt;
 
   /** Data of the relay's connection pool about this endpoint; no other code reads it. */
@@ -45,12 +45,13 @@
   /** The last results as bits, the newest in the lowest bit; a set bit is a success. */
   private int recentResults;
 
+  /** How many results were recorded in all, including those that are no longer stored. */
   private int resultCount;
 
-  /** The earliest time of the next test attempt while the endpoint is ejected. */
+  /** While the endpoint is ejected as an outlier: when an RPC may next be sent to it as a test. */
   public Timestamp nextProbeAt;
 
-  /** When the endpoint last answered; null if never. */
+  /** When the endpoint last answered an attempt, ok or with an error; null if never. */
   public Timestamp lastAnsweredAt;
 
   /** The endpoint's latency as a multiple of each method's usual latency. */
@@ -65,16 +66,22 @@
   /** When {@link #warmUpTokens} was last refilled. */
   public Timestamp warmUpTokensRefilledAt;
 
-  /** Failures counted against this endpoint in the current canary trial. */
+  /**
+   * Failures of this endpoint of a canary in the current stage: shadow pairs in which only the
+   * canary answered with an error or, after the release, all attempts answered with an error.
+   */
   public int trialFailures;
 
-  /** Attempts of all relays in flight at this endpoint, if this relay adds up load reports. */
+  /**
+   * Attempts of all relays in flight at this endpoint; only kept up to date while this relay is the
+   * one that aggregates load reports. Null until the endpoint was ready for the first time.
+   */
   public DecayingSum fleetInFlight;
 
-  /** How many attempts in flight the endpoint last reported. */
+  /** Attempts of all relays in flight here, as last summed by the relay that aggregates reports. */
   public int reportedInFlight;
 
-  /** When the endpoint last reported {@link #reportedInFlight}; null if never. */
+  /** When another relay last sent {@link #reportedInFlight} to this one; null if never. */
   public Timestamp reportedAt;
 
   /** Creates an endpoint that is not ready yet. */
@@ -151,7 +158,7 @@
     resultCount++;
   }
 
-  /** Returns how many recent results are known, at most {@code max}, which is at most 31. */
+  /** Returns how many of the last {@code max} results there have been; {@code max} is up to 31. */
   public int knownResults(int max) {
     return Math.min(resultCount, max);
   }
--- a/src/main/java/sprucerock/model/Method.java
+++ b/src/main/java/sprucerock/model/Method.java
@@ -38,7 +38,7 @@
   /** Whether an RPC of this method may safely run more than once. */
   public final Idempotency idempotency;
 
-  /** Which endpoints drop a repeat of the same key; only used for {@link Idempotency#KEYED}. */
+  /** Which endpoints share idempotency keys; only used for {@link Idempotency#KEYED}. */
   public final KeyScope keyScope;
 
   /** The latency up to which an answer is on time. */
@@ -56,10 +56,16 @@
   /** The mean latency of recent attempts, in milliseconds. */
   public DecayingMean recentLatencyMs;
 
-  /** The mean of the logarithms of recent latencies. */
+  /**
+   * The mean of ln(latency / hinted work) of recent attempts at builds that are not on trial, both
+   * taken as at least 1 ms; an RPC without a hint counts as 1 ms of work.
+   */
   public DecayingMean recentLogLatency;
 
-  /** Tokens left for attempts of this method at a canary; one token is one attempt. */
+  /**
+   * Tokens left for attempts of this method at a canary; one token is one attempt. Only used with
+   * {@link Settings#capsPerMethod}.
+   */
   public double canaryTokens;
 
   /**
@@ -85,16 +91,18 @@
   }
 
   /**
-   * Returns whether an attempt must not be cut short in favor of another attempt. This holds for
-   * methods that must not run twice and for streams.
+   * Returns whether an attempt must not time out before the client's deadline to make way for a
+   * retry. This holds for methods that must not run twice and for streams.
    */
   public boolean mustNotBeCutShort() {
     return idempotency == Idempotency.NONE || stream;
   }
 
   /**
-   * Returns false if the method needs an idempotency key that {@code endpoint} does not share with
-   * {@code previous}, an endpoint that may have run the RPC: {@code endpoint} would run it again.
+   * Returns whether idempotency keys allow a repeat at {@code endpoint} after {@code previous} may
+   * have run the RPC. For a {@link Idempotency#KEYED} method, both endpoints must share their store
+   * of keys; otherwise {@code endpoint} would run the RPC again. Other methods use no keys, so the
+   * result is true; see {@link #idempotency} for whether they may be repeated at all.
    */
   public boolean keyScopeAllowsRepeat(Endpoint previous, Endpoint endpoint) {
     return idempotency != Idempotency.KEYED
--- a/src/main/java/sprucerock/model/Rpc.java
+++ b/src/main/java/sprucerock/model/Rpc.java
@@ -20,7 +20,7 @@
   /** The number of the tenant that the RPC belongs to. */
   public final int tenant;
 
-  /** The hash of the affinity key or idempotency key. */
+  /** The hash of the affinity key or idempotency key; 0 without a key. */
   public final long key;
 
   /** When the RPC arrived at this relay. */
--- a/src/main/java/sprucerock/model/Settings.java
+++ b/src/main/java/sprucerock/model/Settings.java
@@ -16,7 +16,7 @@
     SINGLE,
     /** A majority of the relays decides. */
     MAJORITY,
-    /** Time decides, unless votes oppose it. */
+    /** The canary advances by the clock, unless votes oppose it. */
     CLOCKED
   }
 
@@ -59,7 +59,7 @@
   /** The maximum number of attempts of an RPC. */
   public final int maxAttempts;
 
-  /** Whether hedged requests are allowed. */
+  /** Whether an RPC may have a second attempt in flight: a hedged or shadow request. */
   public final boolean hedgingAllowed;
 
   /** Whether attempts may be cancelled. */
@@ -83,7 +83,7 @@
   /** Whether exposure caps apply to each method separately. */
   public final boolean capsPerMethod;
 
-  /** How many attempts at a canary are exempt from the exposure cap. */
+  /** How many attempts at a canary may exceed the exposure cap: the size of its token bucket. */
   public final double uncappedCanaryAttempts;
 
   /** The number of first stages in which a canary gets only idempotent methods. */
--- a/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerProperties.java
@@ -161,7 +161,7 @@
   }
 
   @Property(seed = "20261201", tries = 400, shrinking = ShrinkingMode.BOUNDED)
-  void sumsHoldAfterEachStep(@ForAll("events200") List<Event> events) {
+  void sumsHoldAfterEachStep(@ForAll("eventLists") List<Event> events) {
     Incarnation incarnation = new Incarnation();
     for (Event event : events) {
       incarnation.apply(event);
@@ -170,7 +170,7 @@
   }
 
   @Provide
-  Arbitrary<List<Event>> events200() {
+  Arbitrary<List<Event>> eventLists() {
     return events().list().ofMinSize(1).ofMaxSize(200);
   }
 
@@ -180,7 +180,7 @@
    */
   @Property(seed = "20261202", tries = 60, shrinking = ShrinkingMode.BOUNDED)
   void sumsHoldThroughRepeatedCrashes(
-      @ForAll("events200") List<Event> events,
+      @ForAll("eventLists") List<Event> events,
       @ForAll @Size(max = 12) List<@DoubleRange(min = 0, max = 1) Double> crashes)
       throws Exception {
     Path file = Files.createTempDirectory("incarnations").resolve("r.figures");
--- a/src/test/java/sprucerock/accounting/RequestTrackerTest.java
+++ b/src/test/java/sprucerock/accounting/RequestTrackerTest.java
@@ -155,12 +155,12 @@
           }
           AttemptOutcome outcome =
               AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-          boolean closes = rpc.ended() || outcome == AttemptOutcome.OK;
+          boolean rpcOver = rpc.ended() || outcome == AttemptOutcome.OK;
           tracker.attemptEnded(
               rpc.attempts.get(random.nextInt(rpc.attempts.size())),
               outcome,
               TimeSpan.ofMs(1),
-              closes);
+              rpcOver);
         }
       }
       if (rpcs.size() > 30) {
--- a/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
+++ b/src/test/java/sprucerock/metrics/MappedMetricsFileTest.java
@@ -136,7 +136,8 @@
           killed = true;
         }
         if (states.size() > 1) {
-          // With fewer states, a relay would not have put the file in place yet.
+          // A relay puts a file in place only after its first commit, so kills before that don't
+          // count.
           MetricsSnapshot snapshot = MetricsSnapshot.read(memory, "f");
           long[] last = states.get(states.size() - 1);
           long[] secondLast = states.get(states.size() - 2);
@@ -175,7 +176,7 @@
   }
 
   @Test
-  public void nextGenerationCarriesValuesAndBooksPendingAsLost() throws Exception {
+  public void nextGenerationCarriesValuesAndCountsPendingAsLost() throws Exception {
     Path file = folder().resolve("r.figures");
     List<String> logged = new ArrayList<>();
     MethodAccounts first = runRelay(file, logged, false, 50);
@@ -226,7 +227,7 @@
     for (int length : new int[] {0, 1, 63, 64, 200, good.length / 2, good.length - 1}) {
       bad.add(Arrays.copyOf(good, length));
     }
-    bad.add("something else entirely, and long enough to be looked into".repeat(9).getBytes());
+    bad.add("a text that is not a metrics file but as long as a header".repeat(9).getBytes());
     byte[] newerVersion = good.clone();
     newerVersion[7]++;
     bad.add(newerVersion);
