--- a/src/main/java/sprucerock/accounting/EndpointRegistry.java
+++ b/src/main/java/sprucerock/accounting/EndpointRegistry.java
@@ -18,7 +18,7 @@
   private final TreeMap<Integer, Build> builds = new TreeMap<>();
   private final MethodAccounts accounts;
   private RelayEvents listener;
-  private int newestRolloutBuild;
+  private int minTrialBuild;
 
   EndpointRegistry(MethodAccounts accounts) {
     this.accounts = accounts;
@@ -113,16 +113,16 @@
     return builds.get(number);
   }
 
-  /** Records an announced build; a released build is not on trial any more. */
+  /** Records the build announced last, which is on trial unless it was released. */
   void recordRollout(int build, boolean released) {
-    newestRolloutBuild = released ? build + 1 : build;
+    minTrialBuild = released ? build + 1 : build;
   }
 
-  int newestRolloutBuild() {
-    return newestRolloutBuild;
+  int minTrialBuild() {
+    return minTrialBuild;
   }
 
-  /** Forgets builds below a number that no ready endpoint runs. */
+  /** Removes each build with a lower number that has no ready endpoint. */
   void forgetBuildsBefore(int number) {
     builds.values().removeIf(build -> build.endpoints.isEmpty() && build.number < number);
   }
--- a/src/main/java/sprucerock/policy/EndpointSelector.java
+++ b/src/main/java/sprucerock/policy/EndpointSelector.java
@@ -146,7 +146,7 @@
   }
 
   private boolean isEligible(Rpc rpc, Attempt mayHaveRun, Endpoint endpoint, Timestamp now) {
-    if (mayHaveRun != null && !rpc.method.dropsRepeats(mayHaveRun.endpoint, endpoint)) {
+    if (mayHaveRun != null && !rpc.method.keyScopeAllowsRepeat(mayHaveRun.endpoint, endpoint)) {
       return false;
     }
     return !rpc.hasAttemptAt(endpoint) && slowStart.hasCapacity(endpoint, now);
