--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -50,7 +50,10 @@
   public record Transition(
       long sequence, Timestamp timestamp, long wallMs, State state, int stage, String cause) {}
 
-  /** A deployment has about a dozen; the bound keeps an operator's script from filling the disk. */
+  /**
+   * The maximum number of retained transitions. A deployment has about a dozen; the bound keeps an
+   * operator's script from filling the disk with commands.
+   */
   static final int MAX_TRANSITIONS = 100;
 
   public final long number;
@@ -59,14 +62,17 @@
   public final Version fromVersion;
   public final Version toVersion;
 
-  /** Running relays load the version; neither they nor their controls are restarted. */
+  /** Whether running relays load the version, so that neither they nor their controls restart. */
   public final boolean hotReload;
 
   State state = State.PROPOSED;
   int stage;
   Timestamp stateSince;
 
-  /** When a stage or a relay last advanced. The progress deadline counts from this time. */
+  /**
+   * When the deployment last made a transition, updated a relay, or was held or resumed. The
+   * progress deadline counts from this time.
+   */
   Timestamp lastProgress;
 
   boolean held;
@@ -77,10 +83,16 @@
   /** Relays whose agents have rejected the version, with the reason. */
   final Map<Integer, String> rejections = new TreeMap<>();
 
-  /** Relays whose desired version is the new one, in the order in which they were updated. */
+  /**
+   * Relays that were updated to the new version, in the order of the updates. A rollback reverts
+   * them but keeps them here.
+   */
   final Set<Integer> updated = new LinkedHashSet<>();
 
-  /** The control of each updated relay: a relay restarted with it on the old version. */
+  /**
+   * By updated relay, its control: a relay that stays on the old version for comparison. The
+   * control is restarted too, unless the version is hot-reloaded.
+   */
   final Map<Integer, Integer> controls = new LinkedHashMap<>();
 
   /** The last verdict of the comparison in the current stage. */
@@ -115,7 +127,7 @@
     return stage;
   }
 
-  /** Returns when the current state and stage began. Resuming a held deployment restarts it. */
+  /** Returns when the current state and stage began, or the deployment was resumed. */
   public Timestamp stateSince() {
     return stateSince;
   }
@@ -125,13 +137,13 @@
     return held;
   }
 
-  /** Returns the relays that are to run the version, in the order in which they were updated. */
+  /** Returns the relays that were updated to the new version, in the order of the updates. */
   public Set<Integer> updated() {
     return Collections.unmodifiableSet(updated);
   }
 
   /**
-   * Returns the controls by updated relay. Relays updated in the last stage, or while no relay
+   * Returns the control of each updated relay. Relays updated in the last stage, or while no relay
    * could become a control, have none.
    */
   public Map<Integer, Integer> controls() {
@@ -144,8 +156,8 @@
   }
 
   /**
-   * Returns the transitions, the oldest first. Beyond {@link #MAX_TRANSITIONS}, only the first and
-   * the last ones are kept.
+   * Returns the transitions, the oldest first. Beyond {@link #MAX_TRANSITIONS}, transitions in the
+   * middle are dropped.
    */
   public List<Transition> transitions() {
     return Collections.unmodifiableList(transitions);
--- a/src/main/java/sprucerock/controller/deployment/DeploymentBlockers.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentBlockers.java
@@ -30,7 +30,7 @@
     }
     boolean restartsRelays = deployment.state == State.MOVING || deployment.state == State.CHECKED;
     if (restartsRelays && fleet.rolloutInProgress) {
-      blockers.add("a build of the units to be off trial");
+      blockers.add("the rollout of a build of the endpoints to end");
     }
     if (restartsRelays && !fleet.blockedReason.isEmpty()) {
       blockers.add(fleet.blockedReason);
@@ -50,7 +50,7 @@
                 + " of "
                 + seconds(fleet.plan.observationTime()));
         if (fleet.compared(deployment) && deployment.verdict != Verdict.NO_WORSE) {
-          blockers.add("the comparison to show that it is no worse");
+          blockers.add("the comparison to show that the new version is no worse");
         }
       }
       default ->
--- a/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentManager.java
@@ -12,7 +12,7 @@
 /**
  * Manages the deployments of a fleet of relays. A deployment is proposed, validated by every agent,
  * rolled out stage by stage and observed next to a control group that is restarted on the old
- * version. It is rolled back when the new version does worse, fails to start or ends by itself.
+ * version. It is rolled back when the new version does worse, fails to start or exits unexpectedly.
  *
  * <p>The manager does no I/O and reads no clock: the same calls with the same times give the same
  * state, so replaying the log restores the state after a crash. Agents receive a desired state (a
@@ -27,7 +27,10 @@
     WITHDRAW
   }
 
-  /** Notifies agents and operators of transitions. Called on the manager's thread. */
+  /**
+   * Receives transitions and new desired states, to notify operators and agents. Called within the
+   * call to the manager that caused them.
+   */
   public interface Listener {
     /** Receives each recorded transition, in the order of the sequence numbers. */
     void transitioned(Deployment deployment, Transition transition);
@@ -46,7 +49,7 @@
   private final OperatorCommands commands;
   private final DeploymentBlockers blockers;
 
-  /** Creates a manager without relays. {@code listener} is called on the caller's thread. */
+  /** Creates a manager without relays. */
   public DeploymentManager(DeploymentPlan plan, Listener listener) {
     fleet = new FleetState(plan);
     RestartBudget budget = new RestartBudget(fleet);
@@ -70,12 +73,12 @@
     return Collections.unmodifiableCollection(fleet.deployments.values());
   }
 
-  /** Returns the deployment with a number, or null if it is not retained. */
+  /** Returns the deployment with the given number, or null if it is not retained. */
   public Deployment deployment(long number) {
     return fleet.deployments.get(number);
   }
 
-  /** Returns the relay with a number, or null if no agent has reported it. */
+  /** Returns the relay with the given number, or null if no agent has reported it. */
   public ManagedRelay relay(int number) {
     return fleet.relays.get(number);
   }
@@ -86,8 +89,8 @@
   }
 
   /**
-   * Returns the version of the relays that no deployment updates; {@link Version#NONE} before the
-   * first deployment.
+   * Returns the version of the last completed deployment. Until a deployment completes, it is the
+   * baseline that the first proposal started from; {@link Version#NONE} before the first proposal.
    */
   public Version currentVersion() {
     return fleet.currentVersion;
@@ -103,7 +106,7 @@
         : fleet.currentVersion;
   }
 
-  /** Returns the deployment that is rolling out, observed or rolling back, or null. */
+  /** Returns the deployment that is rolling out, under observation or rolling back, or null. */
   public Deployment active() {
     return fleet.active();
   }
@@ -118,7 +121,7 @@
     return fleet.sequence;
   }
 
-  /** Counts the relays examined so far to find transitions, for the scale tests. */
+  /** Returns how many relays were examined so far to find transitions; for the scale tests. */
   public long entriesExamined() {
     return fleet.entriesExamined;
   }
@@ -140,7 +143,7 @@
     return blockers.of(deployment, now);
   }
 
-  /** Returns whether a tick would cause a transition now; other ticks need no log entry. */
+  /** Returns whether a tick would cause a transition now; if not, the tick need not be logged. */
   public boolean transitionDue(Timestamp now) {
     return planner.next(now) != null;
   }
@@ -153,19 +156,20 @@
     validation.rebuild();
   }
 
-  // Inputs. Each takes the controller's time, and the wall-clock time in milliseconds that is shown
-  // to operators.
+  // Inputs. `now` is the controller's time; `wallMs` is the wall-clock time in milliseconds, to be
+  // shown to operators.
 
   /**
    * Records the observed state of a relay. Agents report only changes.
    *
-   * @param number the relay's number; reports of more than {@link #MAX_RELAYS} relays are dropped
+   * @param relayNumber the relay's number; a report of a new relay is dropped if there are {@link
+   *     #MAX_RELAYS} already
    * @param busy whether the relay carries more load than the median of the fleet
    * @param observed the version that the relay runs
    * @param observedGeneration the last generation that the relay's agent has applied
    */
   public void reportStatus(
-      int number,
+      int relayNumber,
       int zone,
       boolean busy,
       Version observed,
@@ -174,13 +178,13 @@
       Timestamp now,
       long wallMs) {
     reconciler.setWallMs(wallMs);
-    ManagedRelay relay = fleet.relays.get(number);
+    ManagedRelay relay = fleet.relays.get(relayNumber);
     if (relay == null) {
       if (fleet.relays.size() >= MAX_RELAYS) {
         return;
       }
-      relay = new ManagedRelay(number);
-      fleet.relays.put(number, relay);
+      relay = new ManagedRelay(relayNumber);
+      fleet.relays.put(relayNumber, relay);
     } else {
       fleet.status.remove(relay);
     }
@@ -199,9 +203,9 @@
   }
 
   /** Marks a relay unreachable. It counts as unavailable until its agent's next report. */
-  public void reportUnreachable(int number, Timestamp now, long wallMs) {
+  public void reportUnreachable(int relayNumber, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
-    ManagedRelay relay = fleet.relays.get(number);
+    ManagedRelay relay = fleet.relays.get(relayNumber);
     if (relay == null || relay.unreachableSince != null) {
       return;
     }
@@ -213,7 +217,7 @@
   }
 
   /**
-   * Rolls the active deployment back because a relay ended by itself, did not become ready or
+   * Rolls the active deployment back because a relay exited unexpectedly, did not become ready or
    * exceeded a limit. Agents repeat their last failure to a controller that has just started, so a
    * failure from before this deployment does not count against it, even if the same version was
    * proposed again.
@@ -224,23 +228,29 @@
    * @param description a one-line description for operators
    */
   public void reportFailure(
-      int number, Version version, int generation, String description, Timestamp now, long wallMs) {
+      int relayNumber,
+      Version version,
+      int generation,
+      String description,
+      Timestamp now,
+      long wallMs) {
     reconciler.setWallMs(wallMs);
     Deployment active = fleet.active();
     boolean causedByActive =
         active != null
             && active.state != State.GOING_BACK
             && version.equals(active.toVersion)
-            && active.updated.contains(number)
-            && (generation == 0 || generation >= fleet.relays.get(number).generation);
+            && active.updated.contains(relayNumber)
+            && (generation == 0 || generation >= fleet.relays.get(relayNumber).generation);
     if (causedByActive) {
-      reconciler.rollBack(active, "relay " + number + " " + description, now);
+      reconciler.rollBack(active, "relay " + relayNumber + " " + description, now);
     }
     reconciler.reconcile(now);
   }
 
   /**
-   * Proposes a version for the whole fleet. The new proposal replaces one that has not begun yet.
+   * Proposes a version for the whole fleet. The proposal replaces an earlier one that has not begun
+   * to roll out.
    *
    * @param operator the operator who proposes the version
    * @param reason the operator's reason in one line
@@ -259,38 +269,45 @@
    * @param rejection why the agent's relay can't run the version; empty if it can
    */
   public void reportValidation(
-      int number, long deployment, String rejection, Timestamp now, long wallMs) {
+      int relayNumber, long deploymentNumber, String rejection, Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
-    Deployment proposed = fleet.deployments.get(deployment);
-    if (proposed == null || proposed.state != State.PROPOSED || !fleet.relays.containsKey(number)) {
+    Deployment proposed = fleet.deployments.get(deploymentNumber);
+    if (proposed == null
+        || proposed.state != State.PROPOSED
+        || !fleet.relays.containsKey(relayNumber)) {
       return;
     }
     if (rejection.isEmpty()) {
-      proposed.validated.add(number);
-      proposed.rejections.remove(number);
+      proposed.validated.add(relayNumber);
+      proposed.rejections.remove(relayNumber);
     } else {
-      proposed.rejections.put(number, rejection);
-      proposed.validated.remove(number);
+      proposed.rejections.put(relayNumber, rejection);
+      proposed.validated.remove(relayNumber);
     }
-    validation.update(fleet.relays.get(number));
+    validation.update(fleet.relays.get(relayNumber));
     reconciler.reconcile(now);
   }
 
   /** Records a new verdict on a deployment's stage. The verdict WORSE rolls the deployment back. */
   public void reportVerdict(
-      long deployment, int stage, Verdict verdict, String reason, Timestamp now, long wallMs) {
+      long deploymentNumber,
+      int stage,
+      Verdict verdict,
+      String reason,
+      Timestamp now,
+      long wallMs) {
     reconciler.setWallMs(wallMs);
-    Deployment active = fleet.deployments.get(deployment);
+    Deployment deployment = fleet.deployments.get(deploymentNumber);
     boolean concernsCurrentStage =
-        active != null
-            && active.stage == stage
-            && (active.state == State.MOVING || active.state == State.WATCHED);
+        deployment != null
+            && deployment.stage == stage
+            && (deployment.state == State.MOVING || deployment.state == State.WATCHED);
     if (!concernsCurrentStage) {
       return;
     }
-    active.verdict = verdict;
+    deployment.verdict = verdict;
     if (verdict == Verdict.WORSE) {
-      reconciler.rollBack(active, "worse: " + reason, now);
+      reconciler.rollBack(deployment, "worse: " + reason, now);
     }
     reconciler.reconcile(now);
   }
@@ -311,23 +328,23 @@
   }
 
   /**
-   * Applies an operator's command. It overrides all verdicts except WORSE.
+   * Applies an operator's command. A held deployment does not advance, whatever its verdict, but
+   * the verdict WORSE still rolls it back.
    *
-   * @param number the deployment's number
    * @return why the command has no effect, or null if it has one
    */
   public String command(
       OperatorCommand command,
-      long number,
+      long deploymentNumber,
       String operator,
       String reason,
       Timestamp now,
       long wallMs) {
     reconciler.setWallMs(wallMs);
-    return commands.execute(command, number, operator + ": " + reason, now);
+    return commands.execute(command, deploymentNumber, operator + ": " + reason, now);
   }
 
-  /** Applies all transitions that are due by time. */
+  /** Applies the transitions that have become due because time has passed. */
   public void tick(Timestamp now, long wallMs) {
     reconciler.setWallMs(wallMs);
     reconciler.reconcile(now);
--- a/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
+++ b/src/main/java/sprucerock/controller/deployment/DeploymentPlan.java
@@ -8,12 +8,14 @@
  *
  * @param stages the stages, whose shares of the relays grow to 1; the first stage updates one relay
  *     whatever its share
- * @param observationTime how long a stage is observed at least once its relays are ready
- * @param progressDeadline a stage that is not shown to be no worse within this time is rolled back;
- *     so is a stage that is held for this time
+ * @param observationTime the minimum time for which a stage is observed after its relays are ready
+ * @param progressDeadline a stage that makes no progress, or is not shown to be no worse, within
+ *     this time is rolled back. A deployment that is held for this time is rolled back too, or
+ *     given up if it has not begun. Validation ends after this time with the answers that have
+ *     arrived
  * @param readyWithin an updated relay that is not ready within this time has failed
- * @param maxUnavailableShare the share of a zone's relays that may be unavailable at once; the plan
- *     always allows one relay
+ * @param maxUnavailableShare the share of a zone's relays that may be unavailable at once; in each
+ *     zone the plan allows at least one relay
  * @param maxRejectedShare the share of relays that may reject a version before the deployment is
  *     given up; below it, only these relays are skipped
  * @param unreachableAfter an agent that has not reported for this time is unreachable
@@ -27,19 +29,19 @@
     double maxRejectedShare,
     TimeSpan unreachableAfter) {
   /**
-   * A stage.
+   * A stage of a deployment.
    *
    * @param share the share of the relays that run the new version, over 0 and up to 1
-   * @param maxLoss the loss of priority weight answered in time, between 0 and 1, that must be
-   *     ruled out before the next stage
+   * @param maxLoss the loss that the comparison must rule out before the next stage, as a share of
+   *     the priority weight that is answered in time; over 0 and under 1
    */
   public record Stage(double share, double maxLoss) {}
 
   /**
    * Checks the stages.
    *
-   * @throws IllegalArgumentException if the shares don't grow to 1, or a loss is not between 0 and
-   *     1
+   * @throws IllegalArgumentException if the shares don't grow to 1, or a loss is not over 0 and
+   *     under 1
    */
   public DeploymentPlan {
     double previousShare = 0;
--- a/src/main/java/sprucerock/controller/deployment/FleetState.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetState.java
@@ -10,8 +10,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * The state that {@link DeploymentManager} owns: the relays, the deployments, and the state of the
- * fleet as a whole. The parts of the manager read it; only the manager changes it.
+ * The state that the parts of {@link DeploymentManager} share: the relays, the deployments, and the
+ * state of the fleet as a whole. The parts that choose transitions, relays and restart budgets only
+ * read it, except for {@link #entriesExamined}.
  */
 final class FleetState {
   final DeploymentPlan plan;
@@ -22,39 +23,40 @@
   final List<Integer> pendingControlRestarts = new ArrayList<>();
 
   /**
-   * How many relays of a zone may be unavailable, by what the fleet's load allows. The plan alone
-   * limits zones without an entry.
+   * By zone, how many relays the fleet's load allows to be unavailable. A zone without an entry is
+   * limited by the plan alone.
    */
   final TreeMap<Integer, Integer> restartBudgetByZone = new TreeMap<>();
 
   /** Sums over the relays. A relay is removed before it changes and added again afterwards. */
   final FleetStatus status = new FleetStatus();
 
+  /** The fleet's version outside deployments; {@link Version#NONE} before the first proposal. */
   Version currentVersion = Version.NONE;
 
   /** The sequence number of the last transition of any deployment; 0 before the first. */
   long sequence;
 
-  /** 0 before the first deployment. */
+  /** The number of the last proposed deployment; 0 before the first. */
   long lastDeploymentNumber;
 
   /** Why no relay may be updated now, whatever the budget; empty if updates are allowed. */
   String blockedReason = "";
 
   /**
-   * A build of the endpoints is on trial or being rolled back. Relays don't restart meanwhile,
-   * because they judge the build.
+   * Whether a build of the endpoints is on trial or being rolled back. Relays don't restart
+   * meanwhile, because they judge the build.
    */
   boolean rolloutInProgress;
 
-  /** Relays examined so far to find transitions; bounded by the scale tests. */
+  /** How many relays were examined so far to find transitions; the scale tests limit it. */
   long entriesExamined;
 
   FleetState(DeploymentPlan plan) {
     this.plan = plan;
   }
 
-  /** Returns the deployment that is rolling out, observed or rolling back, or null. */
+  /** Returns the deployment that is rolling out, under observation or rolling back, or null. */
   Deployment active() {
     for (Deployment deployment : deployments.values()) {
       if (deployment.state.isActive()) {
@@ -85,7 +87,10 @@
     return rolloutInProgress || !blockedReason.isEmpty();
   }
 
-  /** Sets a relay's desired version under a new generation; the first one has generation 0. */
+  /**
+   * Sets a relay's desired version under a new generation. The relay's first desired version has
+   * generation 0.
+   */
   void setDesired(ManagedRelay relay, Version version, Timestamp now) {
     boolean first = relay.desiredVersion == null;
     status.remove(relay);
@@ -109,7 +114,10 @@
     return unreconciled;
   }
 
-  /** Returns whether the updated relays have a control group to be compared with. */
+  /**
+   * Returns whether the updated relays are compared with a control group. In the last stage they
+   * are not, because all relays are updated.
+   */
   boolean compared(Deployment deployment) {
     return deployment.stage < plan.stages().size() - 1 && !deployment.controls.isEmpty();
   }
--- a/src/main/java/sprucerock/controller/deployment/FleetStatus.java
+++ b/src/main/java/sprucerock/controller/deployment/FleetStatus.java
@@ -5,8 +5,8 @@
 
 /**
  * Sums over all relays, updated as relays change: how many are reachable, the size of each zone and
- * how many of its relays are unavailable, and which relays were reconciled without a recorded time.
- * A relay must be removed before any of its fields change, and added again afterwards.
+ * how many of its relays are unavailable, and which reconciled relays have no recorded ready time
+ * yet. A relay must be removed before any of its fields change, and added again afterwards.
  */
 final class FleetStatus {
   private static final class Zone {
@@ -67,8 +67,11 @@
     return zones.containsKey(zone) ? zones.get(zone).size : 0;
   }
 
-  /** Returns the first reconciled relay whose time is not recorded yet; -1 if there is none. */
-  int firstReconciled() {
+  /**
+   * Returns the lowest number of a reconciled relay without a recorded ready time; -1 if there is
+   * no such relay.
+   */
+  int firstNewlyReconciled() {
     return newlyReconciled.isEmpty() ? -1 : newlyReconciled.first();
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
+++ b/src/main/java/sprucerock/controller/deployment/ManagedRelay.java
@@ -19,7 +19,7 @@
   /** The version that the relay should run; null before the first proposal. */
   Version desiredVersion;
 
-  /** Counts the desired states after the first. A restart on the same version is a new one. */
+  /** How many desired states followed the first. A restart on the same version counts as one. */
   int generation;
 
   /** The last generation that the agent has applied. */
@@ -45,12 +45,12 @@
     return busy;
   }
 
-  /** Returns the version that the relay runs by its agent's last report. */
+  /** Returns the version that the relay runs according to its agent's last report. */
   public Version observedVersion() {
     return observedVersion;
   }
 
-  /** Returns whether the relay serves by its agent's last report. */
+  /** Returns whether the relay serves according to its agent's last report. */
   public boolean ready() {
     return ready;
   }
--- a/src/main/java/sprucerock/controller/deployment/NextTransition.java
+++ b/src/main/java/sprucerock/controller/deployment/NextTransition.java
@@ -3,9 +3,8 @@
 import sprucerock.controller.deployment.Deployment.State;
 
 /**
- * The transition that reconciling applies next. {@link TransitionPlanner} chooses it and {@link
- * Reconciler} applies it. Each transition removes the condition that made it due, so reconciling
- * terminates.
+ * The transition to apply next. {@link TransitionPlanner} chooses it and {@link Reconciler} applies
+ * it. Each transition removes the condition that made it due, so reconciling terminates.
  */
 sealed interface NextTransition {
   /** Records when a relay reached its desired state. */
@@ -21,7 +20,7 @@
   /** Restarts a relay of the control group on the version that it runs. */
   record RestartControl(ManagedRelay relay) implements NextTransition {}
 
-  /** Cancels the pending restart of a relay of the control group, as it is unreachable. */
+  /** Cancels the pending restart of a relay of the control group, because it is unreachable. */
   record SkipControl(int number) implements NextTransition {}
 
   /** Updates a relay to the new version. */
--- a/src/main/java/sprucerock/controller/deployment/OperatorCommands.java
+++ b/src/main/java/sprucerock/controller/deployment/OperatorCommands.java
@@ -4,7 +4,7 @@
 import sprucerock.controller.deployment.Deployment.State;
 import sprucerock.time.Timestamp;
 
-/** Executes proposals, and operators' commands about deployments. */
+/** Executes operators' proposals, and their commands about deployments. */
 final class OperatorCommands {
   /** The number of retained deployments; older ones are dropped once they have ended. */
   private static final int MAX_DEPLOYMENTS = 50;
@@ -27,7 +27,7 @@
     }
     Deployment active = fleet.active();
     if (to.equals(active == null ? from : active.toVersion)) {
-      return "that is what relays run"
+      return "there is nothing to change: the fleet runs this version"
           + (active == null ? "" : " once change " + active.number + " is done");
     }
     if (fleet.currentVersion.equals(Version.NONE)) {
@@ -53,7 +53,10 @@
     return null;
   }
 
-  /** Makes the version that each relay runs its desired version, from the first proposal on. */
+  /**
+   * Prepares the first deployment: the baseline becomes the current version, and the desired
+   * version of each relay becomes the version that the relay runs.
+   */
   private void adoptBaseline(Version baseline, Timestamp now) {
     fleet.currentVersion = baseline;
     for (ManagedRelay relay : fleet.relays.values()) {
@@ -114,7 +117,7 @@
     reconciler.transition(
         deployment, deployment.state, deployment.stage, "resumed by " + cause, now);
     deployment.lastProgress = now;
-    // Restarts the observation time.
+    // The observation time starts anew.
     deployment.stateSince = now;
     return null;
   }
--- a/src/main/java/sprucerock/controller/deployment/Reconciler.java
+++ b/src/main/java/sprucerock/controller/deployment/Reconciler.java
@@ -66,10 +66,12 @@
   private void update(Deployment deployment, ManagedRelay relay, Timestamp now) {
     deployment.updated.add(relay.number);
     deployment.lastProgress = now;
+    // A control that is updated is no longer a control of another relay.
     deployment.controls.values().remove(relay.number);
     fleet.pendingControlRestarts.remove(Integer.valueOf(relay.number));
     setDesired(relay, deployment.toVersion, now);
     if (deployment.stage == fleet.plan.stages().size() - 1) {
+      // The last stage updates all relays, so it has no control group.
       return;
     }
     ManagedRelay control = selector.chooseControl(deployment, relay);
--- a/src/main/java/sprucerock/controller/deployment/RelaySelector.java
+++ b/src/main/java/sprucerock/controller/deployment/RelaySelector.java
@@ -10,7 +10,9 @@
   /** Ranks controls after all other relays: exceeds any sum of the other rank terms. */
   private static final double CONTROL_PENALTY = 10;
 
-  /** Lets the shares of busy and quiet relays decide only between zones with equal shares. */
+  /**
+   * Makes the updated share of a load class decide only between zones with equal updated shares.
+   */
   private static final double LOAD_CLASS_WEIGHT = 0.01;
 
   /** Keeps floating-point errors from rounding a number of relays up. */
@@ -37,7 +39,7 @@
 
   /** Returns how many relays run the new version at the end of the current stage. */
   int targetSize(Deployment deployment) {
-    // Relays that don't serve are skipped and updated at the end.
+    // Relays that don't serve are skipped, and updated when the deployment completes.
     int updatable = 0;
     for (ManagedRelay relay : fleet.examineAll()) {
       if (deployment.updated.contains(relay.number)
@@ -62,7 +64,7 @@
       zones.computeIfAbsent(relay.zone, zone -> new Group()).add(updated);
       loadClasses.computeIfAbsent(loadClass(relay), loadClass -> new Group()).add(updated);
     }
-    Map<Integer, Boolean> budgetByZone = new HashMap<>();
+    Map<Integer, Boolean> hasBudgetByZone = new HashMap<>();
     Set<Integer> controls = new HashSet<>(deployment.controls.values());
     ManagedRelay best = null;
     double bestRank = 0;
@@ -71,7 +73,7 @@
           relay.serving()
               && !deployment.updated.contains(relay.number)
               && !deployment.rejections.containsKey(relay.number);
-      if (!eligible || !budgetByZone.computeIfAbsent(relay.zone, budget::available)) {
+      if (!eligible || !hasBudgetByZone.computeIfAbsent(relay.zone, budget::available)) {
         continue;
       }
       double rank =
@@ -89,10 +91,12 @@
     return best;
   }
 
+  /** Returns the group of the busy or the quiet relays of the relay's zone. */
   private static int loadClass(ManagedRelay relay) {
     return 2 * relay.zone + (relay.busy ? 1 : 0);
   }
 
+  /** Ranks a relay; the relay with the lowest rank is updated next. */
   private static double rank(
       ManagedRelay relay, boolean isControl, Group zone, Group loadClass, boolean isFirst) {
     // The first relay is a quiet one of the largest zone: a fault there does the least harm, and
@@ -124,7 +128,7 @@
     return best;
   }
 
-  private static int similarity(ManagedRelay one, ManagedRelay other) {
-    return (one.zone == other.zone ? 2 : 0) + (one.busy == other.busy ? 1 : 0);
+  private static int similarity(ManagedRelay candidate, ManagedRelay updated) {
+    return (candidate.zone == updated.zone ? 2 : 0) + (candidate.busy == updated.busy ? 1 : 0);
   }
 }
--- a/src/main/java/sprucerock/controller/deployment/RestartBudget.java
+++ b/src/main/java/sprucerock/controller/deployment/RestartBudget.java
@@ -22,8 +22,8 @@
     int byPlan = Math.max(1, (int) (fleet.plan.maxUnavailableShare() * fleet.status.size(zone)));
     Deployment active = fleet.active();
     boolean rollingBack = active != null && active.state == State.GOING_BACK;
-    // A rollback continues one relay at a time even if the load leaves no budget, because the new
-    // version does worse.
+    // Even if the load leaves no budget, a rollback continues with one relay of each zone at a
+    // time, because the new version does worse.
     int byLoad =
         Math.max(rollingBack ? 1 : 0, fleet.restartBudgetByZone.getOrDefault(zone, byPlan));
     return Math.min(byPlan, byLoad);
--- a/src/main/java/sprucerock/controller/deployment/TransitionPlanner.java
+++ b/src/main/java/sprucerock/controller/deployment/TransitionPlanner.java
@@ -12,8 +12,8 @@
 /** Chooses the next transition from the fleet's state and the time, without changing the state. */
 final class TransitionPlanner {
   /**
-   * A deployment fails if its updated relays are lost more than this many times as often as the
-   * other relays.
+   * A deployment fails if its updated relays become unreachable more than this many times as often
+   * as the other relays.
    */
   private static final double LOSS_FACTOR = 3;
 
@@ -37,9 +37,9 @@
 
   /** Returns the next transition that is due, or null if none is. */
   NextTransition next(Timestamp now) {
-    int reconciled = fleet.status.firstReconciled();
-    if (reconciled >= 0) {
-      return new NextTransition.MarkReady(fleet.relays.get(reconciled));
+    int newlyReconciled = fleet.status.firstNewlyReconciled();
+    if (newlyReconciled >= 0) {
+      return new NextTransition.MarkReady(fleet.relays.get(newlyReconciled));
     }
     Deployment active = fleet.active();
     Deployment pending = fleet.pending();
@@ -65,7 +65,7 @@
     int rejections = deployment.rejections.size();
     if (rejections > maxRejections) {
       Map.Entry<Integer, String> first = deployment.rejections.entrySet().iterator().next();
-      return changeState(
+      return pendingTransition(
           deployment,
           State.GIVEN_UP,
           rejections
@@ -79,22 +79,28 @@
     int awaiting = validation.awaiting();
     String validated = deployment.validated.size() + " of " + reachable + " can run it";
     if (awaiting == 0 && reachable > 0) {
-      return changeState(deployment, State.CHECKED, validated);
+      return pendingTransition(deployment, State.CHECKED, validated);
     }
     if (!now.since(deployment.stateSince).over(plan.progressDeadline())) {
       return null;
     }
     if (deployment.validated.isEmpty() || awaiting + rejections > maxRejections) {
-      return changeState(
+      return pendingTransition(
           deployment,
           State.GIVEN_UP,
           awaiting + " of " + reachable + " agents did not validate it in time");
     }
-    return changeState(deployment, State.CHECKED, validated + "; the others are left out");
+    return pendingTransition(
+        deployment,
+        State.CHECKED,
+        validated + "; the other agents rejected it or did not answer in time");
   }
 
-  /** Changes the state in stage 0: a pending deployment is in stage 0 until it is rolling out. */
-  private static NextTransition changeState(Deployment deployment, State state, String cause) {
+  /**
+   * Returns the transition of a pending deployment to a state. A pending deployment is in stage 0.
+   */
+  private static NextTransition pendingTransition(
+      Deployment deployment, State state, String cause) {
     return new NextTransition.ChangeState(deployment, state, 0, cause);
   }
 
@@ -104,7 +110,7 @@
     }
     return active != null || fleet.blocked()
         ? null
-        : changeState(deployment, State.MOVING, "nothing is in its way");
+        : pendingTransition(deployment, State.MOVING, "nothing is in its way");
   }
 
   /**
@@ -187,7 +193,10 @@
     return ready;
   }
 
-  /** Returns why the state of the updated relays ends a deployment; null if it does not. */
+  /**
+   * Returns how a deployment has failed: an updated relay was not ready in time, or too many of
+   * them are unreachable. Returns null if it has not failed.
+   */
   private String failure(Deployment deployment, Timestamp now) {
     int lost = 0;
     fleet.entriesExamined += deployment.updated.size();
@@ -210,8 +219,9 @@
             .filter(relay -> relay.unreachable() && !deployment.updated.contains(relay.number))
             .count();
     double usualLossRate = othersLost / (double) Math.max(1, fleet.relays.size() - updated);
-    // A single machine may die on its own. If updated relays are lost more often than the others,
-    // the deployment is the cause.
+    // A single machine may fail whatever the deployment does. If updated relays are lost more often
+    // than the others, the deployment is the cause. In stage 0 only one relay is updated, and its
+    // loss is a failure.
     if (deployment.stage == 0 || lost > 1 && lost > LOSS_FACTOR * usualLossRate * updated) {
       return lost + " of the updated relays are unreachable";
     }
@@ -244,8 +254,8 @@
   }
 
   /**
-   * Reverts the updated relays, the newest first. A relay that does not serve anyway needs no
-   * restart budget.
+   * Reverts the updated relays in the reverse order of their updates. Restart budget is needed only
+   * for relays that are available.
    */
   private NextTransition rollingBack(Deployment deployment, Timestamp now) {
     boolean allReverted = true;
@@ -254,15 +264,15 @@
     Collections.reverse(newestFirst);
     for (int number : newestFirst) {
       ManagedRelay relay = fleet.relays.get(number);
-      boolean notified = relay.desiredVersion.equals(deployment.fromVersion);
+      boolean reverted = relay.desiredVersion.equals(deployment.fromVersion);
       // A relay that is not reconciled already counts as unavailable, even if it serves because its
       // agent has fallen back to the previous version.
-      if (!notified && (!relay.reconciled() || budget.available(relay.zone))) {
+      if (!reverted && (!relay.reconciled() || budget.available(relay.zone))) {
         return new NextTransition.Revert(deployment, relay);
       }
-      boolean lost =
-          relay.unreachable() || notified && now.since(relay.notifiedAt).over(plan.readyWithin());
-      allReverted &= notified && (relay.reconciled() || lost);
+      boolean unreachableOrOverdue =
+          relay.unreachable() || reverted && now.since(relay.notifiedAt).over(plan.readyWithin());
+      allReverted &= reverted && (relay.reconciled() || unreachableOrOverdue);
     }
     if (!allReverted) {
       return null;
@@ -271,7 +281,7 @@
     String exceptions =
         unreconciled.isEmpty()
             ? ""
-            : " but relays " + unreconciled + ", which are not ready or unreachable";
+            : " except relays " + unreconciled + ", which are unreachable or not ready";
     return new NextTransition.ChangeState(
         deployment, State.GIVEN_UP, deployment.stage, "all are back" + exceptions);
   }
--- a/src/main/java/sprucerock/controller/deployment/ValidationTracker.java
+++ b/src/main/java/sprucerock/controller/deployment/ValidationTracker.java
@@ -13,7 +13,7 @@
     this.fleet = fleet;
   }
 
-  /** Recomputes the set after the proposed version or the whole fleet has changed. */
+  /** Recomputes the set after a new proposal, or after the state was restored. */
   void rebuild() {
     awaiting.clear();
     for (ManagedRelay relay : fleet.examineAll()) {
--- a/src/main/java/sprucerock/controller/deployment/Version.java
+++ b/src/main/java/sprucerock/controller/deployment/Version.java
@@ -11,13 +11,14 @@
   /**
    * Checks the digests.
    *
-   * @throws IllegalArgumentException if either is not such a digest, except for {@link #NONE}
+   * @throws IllegalArgumentException if one of them is not a digest, unless both are empty as in
+   *     {@link #NONE}
    */
   public Version {
     boolean isNone = program.isEmpty() && settings.isEmpty();
     if (!isNone && !(isDigest(program) && isDigest(settings))) {
       throw new IllegalArgumentException(
-          "a version is two SHA-256 digests of 64 hexadecimal digits, not \""
+          "a version needs two SHA-256 digests of 64 lower-case hexadecimal digits, but has \""
               + program
               + "\" and \""
               + settings
--- a/src/main/java/sprucerock/controller/deployment/package-info.java
+++ b/src/main/java/sprucerock/controller/deployment/package-info.java
@@ -5,7 +5,7 @@
  * the observed state of their relays, the comparison reports verdicts, and operators give commands.
  * The manager keeps a desired state (a version and a generation) for each relay until the observed
  * state equals it. {@code TransitionPlanner} chooses the next transition as a pure function of
- * {@code FleetState}; only the manager applies it.
+ * {@code FleetState} and the time; {@code Reconciler} applies it.
  *
  * <p>The package owns the relays' desired state and the deployments with their history. It does no
  * I/O, reads no clock and starts no thread: the same calls with the same times give the same state,
--- a/src/test/java/sprucerock/controller/deployment/DeploymentManagerProperties.java
+++ b/src/test/java/sprucerock/controller/deployment/DeploymentManagerProperties.java
@@ -77,7 +77,7 @@
           Math.min(
               Math.max(1, (int) (0.2 * size)),
               reverting ? Math.max(1, restartBudget) : restartBudget);
-      // The relay was notified just now, so it counts as unavailable from now on at the latest.
+      // The relay's desired state has just changed, so the count already includes the relay.
       if (relay.ready() && !relay.unreachable() && !reverting) {
         assertTrue(
             countUnavailable(relay.zone()) <= maxUnavailable,
--- a/src/test/java/sprucerock/controller/deployment/DeploymentManagerTest.java
+++ b/src/test/java/sprucerock/controller/deployment/DeploymentManagerTest.java
@@ -30,7 +30,10 @@
           0.1,
           TimeSpan.ofMs(5000));
 
-  /** Relays in two zones, every third one busy, whose agents apply desired states at once. */
+  /**
+   * Relays in two zones; every third relay is busy. Agents apply desired states only in {@link
+   * #applyDesiredStates}.
+   */
   static final class Fleet implements DeploymentManager.Listener {
     final DeploymentManager deployments;
     final List<Deployment.Transition> transitions = new ArrayList<>();
@@ -318,7 +321,7 @@
         fleet
             .deployments
             .blockers(deployment, fleet.now())
-            .contains("a build of the units to be off trial"));
+            .contains("the rollout of a build of the endpoints to end"));
     fleet.deployments.setRolloutInProgress(false, fleet.now(), 0);
     fleet.applyDesiredStates();
     fleet.deployments.setRestartBudget(
@@ -393,7 +396,7 @@
     assertEquals(first.state(), State.MOVING);
     assertEquals(
         fleet.deployments.propose("bob", "again", NEW, false, fleet.now(), 0),
-        "that is what relays run once change 1 is done");
+        "there is nothing to change: the fleet runs this version once change 1 is done");
     assertFalse(fleet.deployments.pending().state().isActive());
   }
 
