--- a/src/main/java/sprucerock/controller/maintenance/AnnounceResult.java
+++ b/src/main/java/sprucerock/controller/maintenance/AnnounceResult.java
@@ -4,7 +4,10 @@
 
 /** The result of a {@link MaintenanceRequest}. */
 public sealed interface AnnounceResult {
-  /** The request was accepted under these numbers. A window's state shows whether it fits. */
+  /**
+   * Windows were created under these numbers. The state of each shows whether it was accepted or
+   * refused.
+   */
   record Announced(List<Long> windowNumbers) implements AnnounceResult {
     /** Copies the numbers. */
     public Announced {
@@ -13,7 +16,9 @@
   }
 
   /**
-   * The request is invalid or there are too many windows; nothing changed. Has a one-line reason.
+   * The request is invalid or there are too many windows; nothing changed.
+   *
+   * @param reason the reason in one line
    */
   record Rejected(String reason) implements AnnounceResult {}
 }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -20,7 +20,8 @@
    * The endpoints that a zone needs.
    *
    * @param family the hardware family in whose endpoints the need is stated
-   * @param method the method that makes up most of the load; families are compared by its work
+   * @param method the method that makes up most of the load; hardware families are compared by how
+   *     they serve it
    * @param requiredByHour the needed endpoints for each of the 24 hours of the day in UTC
    */
   public record Forecast(int family, int method, double[] requiredByHour) {}
@@ -70,8 +71,8 @@
   }
 
   /**
-   * Sets the share of all endpoints that serve a canary or are being updated by a deployment. This
-   * share does not count as available.
+   * Sets the share of all endpoints that serve the build of a rollout in progress. This share does
+   * not count as available.
    */
   void setCanaryShare(double share) {
     canaryShare = share;
@@ -85,15 +86,16 @@
    * Describes in one line the first hour between two times in which a zone lacks capacity. Returns
    * null if there is none.
    *
-   * @param racksAway the racks that are in maintenance meanwhile
+   * @param racksInMaintenance the racks that are in maintenance meanwhile
    * @param startMs the start in milliseconds of the wall clock
    * @param endMs the end in milliseconds of the wall clock
    */
-  String shortage(Set<String> racksAway, long startMs, long endMs) {
+  String shortage(Set<String> racksInMaintenance, long startMs, long endMs) {
     for (Map.Entry<Integer, Forecast> zoneForecast : forecastByZone.entrySet()) {
       Forecast forecast = zoneForecast.getValue();
       List<String> uncountedRacks = new ArrayList<>();
-      double available = available(zoneForecast.getKey(), forecast, racksAway, uncountedRacks);
+      double available =
+          available(zoneForecast.getKey(), forecast, racksInMaintenance, uncountedRacks);
       for (long hourMs = startMs - Math.floorMod(startMs, HOUR_MS);
           hourMs < endMs;
           hourMs += HOUR_MS) {
@@ -111,7 +113,7 @@
               available,
               uncountedRacks.isEmpty()
                   ? ""
-                  : "; not counted, because the capacity of their hardware is not known well enough: "
+                  : "; racks not counted, because the capacity of their hardware is not known well enough: "
                       + uncountedRacks);
         }
         // Stops once each hour of the day has been checked.
@@ -131,11 +133,11 @@
    *     well enough to be counted
    */
   private double available(
-      int zone, Forecast forecast, Set<String> racksAway, List<String> uncountedRacks) {
+      int zone, Forecast forecast, Set<String> racksInMaintenance, List<String> uncountedRacks) {
     double available = 0;
     for (Rack rack : racks.values()) {
       if (rack.zone() != zone
-          || racksAway.contains(rack.name())
+          || racksInMaintenance.contains(rack.name())
           || downRacks.contains(rack.name())) {
         continue;
       }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityPlanner.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityPlanner.java
@@ -7,8 +7,8 @@
 
 /**
  * Finds the times at which a window fits: the remaining racks must carry the load while the racks
- * of this window and of all other binding or ending windows are away. Endpoints count again only
- * once they are warm.
+ * of this window and of all other binding or ending windows are unavailable. After a window,
+ * endpoints count as available again only once they are warm.
  */
 final class CapacityPlanner {
   private final WindowIndex index;
@@ -24,7 +24,7 @@
   }
 
   /**
-   * The start that a window may get.
+   * The result of the search for a window's start.
    *
    * @param delayMs the delay after the requested start; negative if there is no start within the
    *     slack
@@ -51,13 +51,18 @@
     return new Slot(-1, firstShortage);
   }
 
-  /** Describes in one line what a window between two times lacks; null if it fits. */
+  /**
+   * Describes in one line the capacity that is missing if a window lasts between two times; null if
+   * no capacity is missing.
+   */
   String shortage(MaintenanceWindow window, long fromMs, long toMs) {
-    long warmMs = toMs + warmUpMs;
+    long warmFromMs = toMs + warmUpMs;
     TreeSet<Long> starts = new TreeSet<>(List.of(fromMs));
     List<MaintenanceWindow> others = new ArrayList<>();
     for (MaintenanceWindow other : index.all()) {
-      if (other == window || !isAway(other) || !overlaps(other, fromMs, warmMs)) {
+      if (other == window
+          || !makesRacksUnavailable(other)
+          || !overlaps(other, fromMs, warmFromMs)) {
         continue;
       }
       others.add(other);
@@ -67,13 +72,13 @@
     }
     // Only the starts of windows are checked, because capacity is lowest where a window begins.
     for (long startMs : starts) {
-      Set<String> racksAway = new TreeSet<>(window.racks);
+      Set<String> racksInMaintenance = new TreeSet<>(window.racks);
       for (MaintenanceWindow other : others) {
         if (other.startMs() <= startMs && startMs < other.endMs() + warmUpMs) {
-          racksAway.addAll(other.racks);
+          racksInMaintenance.addAll(other.racks);
         }
       }
-      String shortage = capacityCheck.shortage(racksAway, startMs, warmMs);
+      String shortage = capacityCheck.shortage(racksInMaintenance, startMs, warmFromMs);
       if (shortage != null) {
         return shortage;
       }
@@ -81,12 +86,12 @@
     return null;
   }
 
-  /** Returns whether the racks of a window are unavailable during it. */
-  private static boolean isAway(MaintenanceWindow window) {
+  /** Returns whether the racks of a window are unavailable during the window, by its state. */
+  private static boolean makesRacksUnavailable(MaintenanceWindow window) {
     return window.state().isBinding() || window.state() == MaintenanceWindow.State.ENDING;
   }
 
-  private boolean overlaps(MaintenanceWindow window, long fromMs, long warmMs) {
-    return window.startMs() < warmMs && fromMs < window.endMs() + warmUpMs;
+  private boolean overlaps(MaintenanceWindow window, long fromMs, long warmFromMs) {
+    return window.startMs() < warmFromMs && fromMs < window.endMs() + warmUpMs;
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceState.java
@@ -9,7 +9,7 @@
  * @param sequence the sequence number of the last step
  * @param lastWindowNumber the number of the last window
  * @param downRacks the racks that are down
- * @param canaryShare the share of endpoints that serve a canary
+ * @param canaryShare the share of endpoints that serve the build of a rollout in progress
  * @param nowMs the latest known time, in milliseconds of the wall clock
  */
 public record MaintenanceState(
@@ -57,7 +57,7 @@
     return windows.capture();
   }
 
-  /** Restores the state. Racks that the configuration no longer has stay in their windows. */
+  /** Restores the state. Racks that are no longer configured stay in their windows. */
   public void restore(MaintenanceWindows windows) {
     windows.restore(this);
   }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -9,35 +9,38 @@
 /**
  * A period in which no relay may place work on some racks, with its transitions and their causes.
  * Times are wall-clock times in milliseconds. Only {@link MaintenanceWindows} changes a window, and
- * removes it from the {@link WindowIndex} meanwhile.
+ * updates the {@link WindowIndex} with each change.
  */
 public final class MaintenanceWindow {
   /** The state of a window. The names are stored and shown. */
   public enum State {
     ANNOUNCED,
-    /** There is capacity without its racks. Relays learn of it with their next rack permits. */
+    /**
+     * The other racks have enough capacity. Relays learn of the window with their next rack
+     * permits.
+     */
     ACCEPTED,
     /**
-     * Accepted, but there is no longer capacity. It does not begin until there is, or until two
-     * operators force it.
+     * The window was accepted, but the other racks no longer have enough capacity. It does not
+     * begin until they have, or until two operators force it.
      */
     HELD,
-    /** Its start has passed, but some relay may still hold a permit for its racks. */
+    /** The start has passed, but some relay may still hold a permit for a rack of the window. */
     DRAINING,
-    /** No relay may place work on its racks. */
+    /** No relay may place work on the window's racks. */
     IN_FORCE,
-    /** It is over, and the endpoints of its racks are still cold. */
+    /** The end has passed, but the endpoints of the window's racks are still cold. */
     ENDING,
     ENDED,
     REFUSED,
     CALLED_OFF;
 
-    /** Returns whether the window is still to come or has not ended yet. */
+    /** Returns whether the window may still begin or has begun and not ended. */
     public boolean isOpen() {
       return this != ENDED && this != REFUSED && this != CALLED_OFF;
     }
 
-    /** Returns whether no permit may reach beyond the window's start. */
+    /** Returns whether new permits must not reach into the window. */
     public boolean isBinding() {
       return this == ACCEPTED || this == DRAINING || this == IN_FORCE;
     }
@@ -194,7 +197,7 @@
     return endMs;
   }
 
-  /** Returns the last steps, the oldest first. The very first step is always among them. */
+  /** Returns the first step and the latest ones, the oldest first. */
   public List<Step> steps() {
     return Collections.unmodifiableList(steps);
   }
@@ -204,12 +207,15 @@
     return Collections.unmodifiableSet(forcedBy);
   }
 
-  /** Returns the time since which no new permit reaches into the window; older ones expire. */
+  /** Returns the time since which no new permit reaches into the window; older permits may. */
   long bindingSinceMs() {
     return bindingSinceMs;
   }
 
-  /** Returns the time from which no permit ever granted can reach into the window. */
+  /**
+   * Returns the time from which all permits that reached into the window have expired; not before
+   * the window's start.
+   */
   long permitExpiryMs() {
     return Math.max(startMs, bindingSinceMs + noticeMs);
   }
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindows.java
@@ -14,15 +14,15 @@
 
 /**
  * Owns all maintenance windows and makes their transitions. A deterministic state machine: events
- * and the wall-clock time are passed in, it reads no clock, writes nothing and notifies only its
+ * and the wall-clock time are passed in. It reads no clock, does no I/O and notifies only its
  * {@link Listener}. Not thread-safe.
  *
- * <p>A rack permit tells a relay until when it may place work on a rack. It lasts at most for the
- * rack's notice and never reaches into a known window. So a window that was accepted at least its
- * racks' notice before its start is in force at its start, even if relays are disconnected
- * meanwhile. A window that starts sooner is in force once each relay has confirmed a permit that
- * excludes it, or at the latest one notice after it was accepted, when all older permits have
- * expired. No list of relays has to survive a crash for that.
+ * <p>A rack permit tells a relay until when it may place work on a rack. A permit lasts at most for
+ * the rack's notice ({@link Rack#noticeMs}) and never reaches into a known window. So a window that
+ * was accepted at least its racks' notice before its start is in force at its start, even if relays
+ * are disconnected meanwhile. A window that starts sooner is in force once each relay has confirmed
+ * permits that exclude the window, or at the latest one notice after its acceptance, when all older
+ * permits have expired. Neither case needs a list of relays that survives a crash.
  */
 public final class MaintenanceWindows {
   /** Receives changes, within the call that made them. */
@@ -30,7 +30,7 @@
     /** Receives each transition once the window has its new state. */
     void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step);
 
-    /** Asks to send relays new rack permits now. */
+    /** Called when rack permits have changed, so that relays are sent new ones at once. */
     void permitsChanged();
   }
 
@@ -38,7 +38,8 @@
    * The rules for accepting and ending windows; the same at all controllers of a fleet.
    *
    * @param warmUpMs how long endpoints count as cold after a window, at least 0
-   * @param delayStepMs the step by which a window is delayed until there is capacity, over 0
+   * @param delayStepMs the step in which later starts of a window are tried until there is
+   *     capacity, over 0
    * @param confidence the confidence with which hardware families are compared, over 0.5 and under
    *     1
    */
@@ -46,7 +47,7 @@
     /**
      * Checks the bounds.
      *
-     * @throws IllegalArgumentException if a value is out of bounds; the message names it
+     * @throws IllegalArgumentException if a value is out of bounds
      */
     public Rules {
       if (warmUpMs < 0 || delayStepMs <= 0) {
@@ -78,7 +79,7 @@
   private long nowMs;
   private HardwareModel model;
 
-  /** Creates an instance without windows, over the racks of {@code capacityCheck}. */
+  /** Creates an instance without windows, for the racks of {@code capacityCheck}. */
   public MaintenanceWindows(Rules rules, CapacityCheck capacityCheck, Listener listener) {
     this.rules = rules;
     this.capacityCheck = capacityCheck;
@@ -107,8 +108,8 @@
   }
 
   /**
-   * Advances the clock to the wall-clock time and returns it. If the wall clock was set back, the
-   * clock stands still until the wall clock has passed it.
+   * Advances the windows' clock to the wall-clock time and returns its time. If the wall clock was
+   * set back, the windows' clock stands still until the wall clock has caught up.
    */
   public long advanceClock(long wallMs) {
     nowMs = Math.max(nowMs, wallMs);
@@ -120,17 +121,20 @@
     return index.all();
   }
 
-  /** Returns the window with a number, or null if it is unknown or was dropped after its end. */
+  /** Returns the window with the given number, or null if it is unknown or no longer retained. */
   public MaintenanceWindow find(long number) {
     return index.find(number);
   }
 
-  /** Returns the sequence number, which grows with each transition that relays need to know of. */
+  /**
+   * Returns the sequence number of the last step of any window. Rack permits carry it, so that a
+   * relay's request shows which steps the permits of the relay take into account.
+   */
   public long sequence() {
     return sequence;
   }
 
-  /** Returns the capacity check, which also knows the racks. */
+  /** Returns the capacity check, which also holds the configured racks. */
   public CapacityCheck capacityCheck() {
     return capacityCheck;
   }
@@ -180,7 +184,7 @@
       return "no rack is called " + unknown + "; there are " + capacityCheck.racks().keySet();
     }
     if (request.durationMs() <= 0) {
-      return "a window lasts longer than no time";
+      return "the duration of a freeze must be over 0";
     }
     if (request.emergency() && !request.recurrenceRule().isEmpty()) {
       return "an emergency begins at once and can't recur; leave out the rule";
@@ -215,8 +219,8 @@
   }
 
   /**
-   * Accepts a window at the first start within its slack at which there is capacity. Refuses it,
-   * with the shortage as the cause, if there is none.
+   * Accepts a window at the first start within its slack at which there is capacity. If there is no
+   * such start, refuses the window with the shortage as the cause.
    */
   private void acceptOrRefuse(MaintenanceWindow window, long nowMs) {
     CapacityPlanner.Slot slot = planner.firstSlot(window);
@@ -266,7 +270,7 @@
   }
 
   /**
-   * Extends a window to a later end. The end stays as it is if there is no capacity for that.
+   * Extends a window to a later end. If there is no capacity until then, the end stays as it is.
    *
    * @return why the command has no effect, or null if it has one
    */
@@ -279,7 +283,7 @@
       return "freeze " + number + " can't be extended in state " + window.state();
     }
     if (toMs <= window.endMs()) {
-      return "it already lasts until that time or longer";
+      return "the new end of a freeze must be later than its current end";
     }
     String shortage =
         window.emergency ? null : planner.shortage(window, Math.max(window.endMs(), nowMs), toMs);
@@ -330,7 +334,10 @@
     }
   }
 
-  /** Sets the share of endpoints that serve a canary, and reviews accepted windows. */
+  /**
+   * Sets the share of endpoints that serve the build of a rollout in progress, and reviews accepted
+   * windows.
+   */
   public void setCanaryShare(double share, long nowMs) {
     if (share == capacityCheck.canaryShare()) {
       return;
@@ -396,7 +403,7 @@
     applyDueTransitions(nowMs);
   }
 
-  /** Makes all transitions that are due by time. */
+  /** Makes the transitions that have become due because time has passed. */
   public void tick(long nowMs) {
     applyDueTransitions(nowMs);
   }
@@ -427,13 +434,14 @@
   }
 
   /**
-   * Returns the wall-clock time in ms from which no permit ever granted can reach into a window.
+   * Returns the time, in milliseconds of the wall clock, from which all permits that reached into a
+   * window have expired; not before the window's start.
    */
   public long permitExpiryMs(MaintenanceWindow window) {
     return window.permitExpiryMs();
   }
 
-  /** Counts the entries examined so far to answer relays and to find due transitions. */
+  /** Returns how many entries were examined so far to answer relays and to find due transitions. */
   public long entriesExamined() {
     return index.entriesExamined();
   }
@@ -454,8 +462,8 @@
   }
 
   /**
-   * Restores the state into an instance without windows. A rack that the configuration no longer
-   * has restricts no relay.
+   * Restores the state into an instance without windows. Racks that are no longer configured stay
+   * in their windows but have no effect.
    */
   void restore(MaintenanceState stored) {
     sequence = stored.sequence();
--- a/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
+++ b/src/main/java/sprucerock/controller/maintenance/PlacementGrants.java
@@ -16,23 +16,31 @@
  * earlier incarnation expire within one notice, and until then no window counts as free of permits.
  * Not thread-safe.
  *
- * <p>Requests are the most frequent call, so a request examines no other relay. Grants are kept in
- * the order of their requests, and expired ones are removed from the front. They are also grouped
- * by sequence number, and each group is examined from the latest request on. There are as many
- * groups as there were transitions within one notice.
+ * <p>Relays' requests are the most frequent calls, so recording a request does not iterate over the
+ * relays. Grants are kept in the order of their requests, and expired grants are removed from the
+ * front. Grants are also grouped by sequence number, and a group is examined from the latest
+ * request backwards. There are about as many groups as there were transitions within one notice.
  */
 public final class PlacementGrants {
+  /**
+   * A relay's last request.
+   *
+   * @param sequence the highest sequence number of permits that the relay has reported as held
+   */
   private record Grant(int relay, long sequence, long grantedMs) {}
 
   private static final Comparator<Grant> BY_TIME =
       Comparator.comparingLong(Grant::grantedMs).thenComparingInt(Grant::relay);
 
   /**
-   * By relay, in the order of the requests. A relay is removed once all its permits have expired.
+   * Grants by relay, in the order of the requests. A relay is removed once all its permits have
+   * expired.
    */
   private final LinkedHashMap<Integer, Grant> grants = new LinkedHashMap<>();
 
+  /** The same grants by sequence number. */
   private final TreeMap<Long, TreeSet<Grant>> bySequence = new TreeMap<>();
+
   private final MaintenanceWindows windows;
   private final long startedMs;
   private long entriesExamined;
@@ -46,8 +54,8 @@
   /**
    * Records that a relay requests, and is granted, new permits.
    *
-   * @param heldSequence the sequence number of the permits that the relay holds, 0 if it holds
-   *     none; it holds no older ones
+   * @param heldSequence the sequence number of the permits that the relay holds; 0 if it holds
+   *     none. The relay no longer uses permits with lower sequence numbers
    * @param nowMs the wall-clock time in milliseconds; it never goes back
    */
   public void recordRequest(int relay, long heldSequence, long nowMs) {
@@ -55,8 +63,8 @@
     if (previous != null) {
       removeFromSequence(previous);
     }
-    // A delayed request does not lower the sequence number of a later one. The sequence number of
-    // the answer is not recorded, because the answer may be lost.
+    // A request that arrives late must not lower the recorded sequence number. The sequence number
+    // of the answer is not recorded, because the answer may be lost.
     Grant current =
         new Grant(
             relay,
@@ -85,7 +93,7 @@
 
   /**
    * Returns for how many milliseconds from now a relay may place work on a rack; 0 if the rack is
-   * in a window or draining for one.
+   * in a window that is draining or in force.
    */
   public long permitDurationMs(String rack, long nowMs) {
     return windows.index().freeForMs(rack, nowMs);
@@ -159,7 +167,7 @@
     return numbers;
   }
 
-  /** Counts the entries examined so far, for the scale tests. */
+  /** Returns how many entries were examined so far; for the scale tests. */
   public long entriesExamined() {
     return entriesExamined;
   }
--- a/src/main/java/sprucerock/controller/maintenance/Rack.java
+++ b/src/main/java/sprucerock/controller/maintenance/Rack.java
@@ -6,7 +6,7 @@
  * A named set of endpoints that are maintained together.
  *
  * @param zone the zone of the rack
- * @param cell discovery's number for the rack within its zone
+ * @param cell the number that discovery uses for the rack within its zone
  * @param endpointsByFamily the number of endpoints of each hardware family
  * @param noticeMs how far ahead rack permits reach; a relay without a new permit for this time
  *     stops placing work on the rack
--- a/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
+++ b/src/main/java/sprucerock/controller/maintenance/RecurrenceExpander.java
@@ -64,7 +64,7 @@
           "\"" + rule + "\" is no rule such as FREQ=WEEKLY;BYDAY=TU: " + e.getMessage());
     } catch (DateTimeException e) {
       throw new IllegalArgumentException(
-          "\"" + timeZone + "\" is no time zone such as Africa/Johannesburg");
+          "\"" + timeZone + "\" is not a time zone; expected a name such as Africa/Johannesburg");
     }
   }
 }
--- a/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowIndex.java
@@ -10,11 +10,12 @@
 
 /**
  * Finds windows by number, by rack, by the time of their next transition and by state. The indexes
- * are updated as windows change, so that a relay's request and the check every 50 ms iterate over
- * neither racks nor windows.
+ * are updated as windows change, so that a relay's request and the controller's check for due
+ * transitions every 50 ms iterate over neither racks nor windows.
  *
- * <p>A window must be removed by {@link #leave} before its state or times change, and added again
- * by {@link #enter}.
+ * <p>A window must be removed by {@link #leave} before its state or start changes, and added again
+ * by {@link #enter}. A window whose end has changed must also be removed and added again, because
+ * {@link #enter} computes the time of the next transition.
  */
 final class WindowIndex {
   private static final Comparator<MaintenanceWindow> BY_START =
@@ -55,7 +56,7 @@
     enter(window);
   }
 
-  /** Drops the oldest windows beyond a number, up to the first one that is still open. */
+  /** Drops the oldest windows until {@code maxRetained} are left, but stops at an open window. */
   void dropOldest(int maxRetained) {
     while (byNumber.size() > maxRetained && !byNumber.firstEntry().getValue().state().isOpen()) {
       byNumber.pollFirstEntry();
@@ -66,7 +67,7 @@
     return Collections.unmodifiableCollection(byNumber.values());
   }
 
-  /** Returns the window with a number, or null. */
+  /** Returns the window with the given number, or null. */
   MaintenanceWindow find(long number) {
     return byNumber.get(number);
   }
@@ -87,7 +88,10 @@
     return !byTransition.isEmpty() && byTransition.first().nextTransitionMs() <= nowMs;
   }
 
-  /** Returns the windows with a transition due, ordered by number, as their steps are numbered. */
+  /**
+   * Returns the windows with a transition due, ordered by number: steps get their sequence numbers
+   * in this order.
+   */
   Collection<MaintenanceWindow> due(long nowMs) {
     TreeMap<Long, MaintenanceWindow> due = new TreeMap<>();
     for (MaintenanceWindow window : byTransition) {
@@ -141,12 +145,12 @@
     return freeByRack;
   }
 
-  /** Counts the entries examined so far, for the scale tests. */
+  /** Returns how many entries were examined so far; for the scale tests. */
   long entriesExamined() {
     return entriesExamined;
   }
 
-  /** Removes a window from the indexes. Required before its state or times change. */
+  /** Removes a window from the indexes. Required before its state or start changes. */
   void leave(MaintenanceWindow window) {
     byTransition.remove(window);
     draining.remove(window.number);
--- a/src/main/java/sprucerock/controller/maintenance/WindowLifecycle.java
+++ b/src/main/java/sprucerock/controller/maintenance/WindowLifecycle.java
@@ -3,11 +3,12 @@
 import sprucerock.controller.maintenance.MaintenanceWindow.State;
 
 /**
- * Determines which transition a window makes by time alone, and when. Pure functions of the window
- * and the wall-clock time in milliseconds.
+ * Determines which transition a window makes because time has passed, and when it is due.
+ * Operators' commands, returned permits and capacity cause the other transitions. All methods are
+ * pure functions of the window and the wall-clock time in milliseconds.
  */
 final class WindowLifecycle {
-  /** Stands for no transition by time; only an operator, a relay or the capacity causes one. */
+  /** The due time of a window without a transition by time. */
   static final long NEVER_MS = Long.MAX_VALUE;
 
   private final long warmUpMs;
--- a/src/main/java/sprucerock/controller/maintenance/package-info.java
+++ b/src/main/java/sprucerock/controller/maintenance/package-info.java
@@ -11,7 +11,7 @@
  * for one incarnation of the controller. The controller's log stores windows as {@link
  * sprucerock.controller.maintenance.MaintenanceState}.
  *
- * <p>The package must not read a clock, do I/O, start a thread or use more of {@code hardware} than
- * its models.
+ * <p>The package must not read a clock, do I/O, start a thread or depend on more of package {@code
+ * hardware} than its models.
  */
 package sprucerock.controller.maintenance;
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceStudy.java
@@ -10,10 +10,10 @@
 
 /**
  * Simulates maintenance windows while relays are disconnected from the controller for seconds to
- * many minutes and the controller restarts. Compares rack permits with strategies without permits
- * or without looking ahead. Each relay places one job per second on each of ten racks. Usage:
- * {@code MaintenanceStudy [WINDOWS]}, where WINDOWS (40 by default) is the number of windows for
- * 100 relays or fewer; larger fleets get fewer windows.
+ * many minutes and the controller restarts. Compares rack permits with other strategies (see {@link
+ * Strategy}). Each relay places one job per second on each of ten racks. Usage: {@code
+ * MaintenanceStudy [WINDOWS]}, where WINDOWS (40 by default) is the number of windows for 100
+ * relays or fewer; larger fleets get fewer windows.
  */
 public final class MaintenanceStudy {
   private static final long SECOND_MS = 1000;
@@ -23,9 +23,13 @@
   private static final int RACK_COUNT = 10;
 
   private enum Strategy {
+    /** A relay places a job only if its rack permit outlasts the longest job. */
     PROMISES,
+    /** A relay places jobs until its rack permit ends, whatever their duration. */
     NO_LOOK_AHEAD,
+    /** Without permits, a relay places jobs unless it was notified that the rack is in a window. */
     BROADCAST,
+    /** Like BROADCAST, but a relay without an answer for 3 s places no jobs. */
     STOP_AT_DOUBT
   }
 
--- a/src/test/java/sprucerock/controller/maintenance/MaintenanceWindowsTest.java
+++ b/src/test/java/sprucerock/controller/maintenance/MaintenanceWindowsTest.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Requests permits for a relay that holds those of a sequence number. Then reports the windows
-   * whose permits are all returned, as the controller's server does.
+   * Requests permits for a relay that holds the permits with a sequence number. Then reports the
+   * windows whose permits are all returned, as the controller's server does.
    */
   private void requestPermits(int relay, long heldSequence, long now) {
     grants.recordRequest(relay, heldSequence, now);
@@ -168,9 +168,8 @@
     announce("a1", HOUR_MS, HOUR_MS, 0, 0);
     MaintenanceWindow second = announce("a2", HOUR_MS + 30 * MINUTE_MS, HOUR_MS, 0, 0);
     assertEquals(second.state(), MaintenanceWindow.State.REFUSED);
-    assertEquals(
-        announce("b1", HOUR_MS, HOUR_MS, 0, 0).state(),
-        MaintenanceWindow.State.ACCEPTED); // of another zone
+    // Rack b1 is in another zone.
+    assertEquals(announce("b1", HOUR_MS, HOUR_MS, 0, 0).state(), MaintenanceWindow.State.ACCEPTED);
     // The endpoints of the first window's rack are cold until five minutes after two. The second
     // window fits in the first step of 15 minutes after that.
     assertEquals(
@@ -225,7 +224,7 @@
     assertEquals(grants.permitDurationMs("a1", 2 * HOUR_MS), NOTICE_MS);
   }
 
-  /** A disconnected relay keeps using its permit for a rack until the rack's longer notice ends. */
+  /** Rack b1 has a notice of a day, so permits into a window on it may be held for a day. */
   @Test
   public void usesTheLongerNoticeOfARack() {
     assertEquals(grants.permitDurationMs("b1", 0), 24 * HOUR_MS);
@@ -287,13 +286,13 @@
                         "ann",
                         "x"),
                     0))
-            .startsWith("\"Mars/North\" is no time zone"));
+            .startsWith("\"Mars/North\" is not a time zone"));
     assertEquals(
         rejection(
             windows.announce(
                 new MaintenanceRequest(Set.of("a1"), HOUR_MS, 0, 0, "", "UTC", false, "ann", "x"),
                 0)),
-        "a window lasts longer than no time");
+        "the duration of a freeze must be over 0");
     assertEquals(windows.cancel(9, "ann", "x", 0), "no freeze 9 is known");
   }
 
@@ -345,7 +344,7 @@
           }
           requestPermits(relay, heldSequences.getOrDefault(relay, 0L), now);
           long permitMs = grants.permitDurationMs("a1", now);
-          // The answer is lost.
+          // In this case the answer is lost.
           if (random.nextInt(5) == 0) {
             continue;
           }
