--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -119,7 +119,7 @@
   /** Those not heard for too long; after a start also those that have not connected since. */
   private void reportAbsentAgents() {
     for (int number :
-        disconnected.unheardLongerThan(config.deploymentPlan.unreachableAfter(), net.now())) {
+        disconnected.silentLongerThan(config.deploymentPlan.unreachableAfter(), net.now())) {
       ManagedRelay relay = deployments().relay(number);
       if (relay == null || relay.unreachable()) {
         disconnected.remove(number);
@@ -198,7 +198,7 @@
             tap,
             this);
     private int number;
-    private Timestamp lastHeard;
+    private Timestamp lastMessageTime;
     private AgentSays lastStatus;
 
     @Override
@@ -214,7 +214,7 @@
       if (before != null) {
         before.connection.cut("another agent came under number " + number);
       }
-      lastHeard = net.now();
+      lastMessageTime = net.now();
       disconnected.remove(number);
     }
 
@@ -227,7 +227,7 @@
 
     @Override
     public void frameReceived(FrameKind kind, MessageLite head, byte[] body) {
-      lastHeard = net.now();
+      lastMessageTime = net.now();
       if (kind == FrameKind.AGENT) {
         statusReceived((AgentSays) head);
       } else if (kind == FrameKind.FETCH) {
@@ -265,7 +265,7 @@
 
     private void submitStatus(AgentSays status) {
       ManagedRelay known = deployments().relay(number);
-      if (AgentMessages.isNews(status, known)) {
+      if (AgentMessages.differsFromRecorded(status, known)) {
         recordStatus(known != null && known.busy());
       }
       for (Failure failure : status.getFailuresList()) {
@@ -284,7 +284,7 @@
     @Override
     public void closed(String why) {
       if (sessions.remove(number, this)) {
-        disconnected.disconnected(number, lastHeard);
+        disconnected.disconnected(number, lastMessageTime);
       }
     }
   }
--- a/src/main/java/sprucerock/controller/server/AgentMessages.java
+++ b/src/main/java/sprucerock/controller/server/AgentMessages.java
@@ -45,7 +45,7 @@
   /**
    * Whether a status differs from what is recorded of its relay; {@code known}: null if nothing.
    */
-  static boolean isNews(AgentSays status, ManagedRelay known) {
+  static boolean differsFromRecorded(AgentSays status, ManagedRelay known) {
     return known == null
         || known.unreachable()
         || known.zone() != status.getZone()
--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -56,7 +56,7 @@
   public final long maxUnsentBytes;
 
   /** How often all relays get the rollout's status though nothing has changed. */
-  public final TimeSpan newsInterval;
+  public final TimeSpan statusInterval;
 
   /** Where webhooks are taken. */
   public final InetSocketAddress webhookAddress;
@@ -147,7 +147,7 @@
     relayAddress = address(relayNode);
     maxRelays = relayNode.count("most");
     maxUnsentBytes = relayNode.bytes("unsent");
-    newsInterval = relayNode.span("tell-every");
+    statusInterval = relayNode.span("tell-every");
     XmlElement hookNode = root.child("hooks");
     webhookAddress = address(hookNode);
     maxWebhookBodyBytes = (int) Math.min(hookNode.bytes("body"), MAX_WEBHOOK_BODY_BYTES);
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -81,8 +81,8 @@
         config.capacityCheck == null
             ? MaintenanceWindows.withoutRacks()
             : new MaintenanceWindows(
-                config.maintenanceRules, config.capacityCheck, maintenanceHost());
-    outboxes = new WebhookOutboxes(loop, this::stepsDelivered);
+                config.maintenanceRules, config.capacityCheck, maintenanceListener());
+    outboxes = new WebhookOutboxes(loop, this::recordDeliveredSteps);
     engine = openEngine(clock, windows);
     outboxes.addTargets(config);
     engine.setLeadershipCheck(leadership::isHeld);
@@ -227,7 +227,7 @@
     };
   }
 
-  private MaintenanceWindows.Listener maintenanceHost() {
+  private MaintenanceWindows.Listener maintenanceListener() {
     return new MaintenanceWindows.Listener() {
       @Override
       public void transitioned(MaintenanceWindow window, MaintenanceWindow.Step step) {
@@ -317,11 +317,11 @@
     long before = engine.rollouts().sequence();
     engine.flush();
     if (engine.rollouts().sequence() != before) {
-      relayListener.sendNewsToAll();
+      relayListener.sendStatusToAll();
     }
   }
 
-  private void stepsDelivered(long sequence) {
+  private void recordDeliveredSteps(long sequence) {
     if (sequence > engine.rollouts().webhooksDeliveredUpTo()) {
       submit(
           Input.newBuilder().setDelivered(Delivered.newBuilder().setSequence(sequence)),
--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -15,12 +15,12 @@
  * connected, each of which is known to the engine. On the loop only.
  */
 final class DisconnectedAgents {
-  private record Absence(int relay, Timestamp lastHeard) {}
+  private record Absence(int relay, Timestamp lastMessageTime) {}
 
   private final Map<Integer, Absence> byRelay = new HashMap<>();
-  private final TreeSet<Absence> byLastHeard =
+  private final TreeSet<Absence> byLastMessageTime =
       new TreeSet<>(
-          Comparator.<Absence>comparingDouble(absence -> absence.lastHeard.ms())
+          Comparator.<Absence>comparingDouble(absence -> absence.lastMessageTime.ms())
               .thenComparingInt(Absence::relay));
   private long entriesExamined;
 
@@ -29,14 +29,14 @@
     remove(relay);
     Absence absence = new Absence(relay, lastHeard);
     byRelay.put(relay, absence);
-    byLastHeard.add(absence);
+    byLastMessageTime.add(absence);
   }
 
   /** An agent is connected again, or its absence is recorded. */
   void remove(int relay) {
     Absence before = byRelay.remove(relay);
     if (before != null) {
-      byLastHeard.remove(before);
+      byLastMessageTime.remove(before);
     }
   }
 
@@ -44,11 +44,11 @@
    * Relays whose agents were not heard for longer than a time, the longest first; they stay until
    * {@link #remove}.
    */
-  List<Integer> unheardLongerThan(TimeSpan timeout, Timestamp now) {
+  List<Integer> silentLongerThan(TimeSpan timeout, Timestamp now) {
     List<Integer> overdue = new ArrayList<>();
-    for (Absence absence : byLastHeard) {
+    for (Absence absence : byLastMessageTime) {
       entriesExamined++;
-      if (!now.since(absence.lastHeard).over(timeout)) {
+      if (!now.since(absence.lastMessageTime).over(timeout)) {
         break;
       }
       overdue.add(absence.relay);
--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -18,7 +18,7 @@
   private static final int MAX_CONCURRENT_API_REQUESTS = 50;
   private static final int MAX_HEADER_BYTES = 16 * 1024;
   private static final int IDLE_TIMEOUT_MS = 30_000;
-  private static final int THREADS = 2;
+  private static final int THREADS_PER_POOL = 2;
 
   private final Undertow webhooks;
   private final Undertow api;
@@ -57,8 +57,8 @@
     return Undertow.builder()
         .addHttpListener(address.getPort(), address.getAddress().getHostAddress())
         .setHandler(handler)
-        .setIoThreads(THREADS)
-        .setWorkerThreads(THREADS)
+        .setIoThreads(THREADS_PER_POOL)
+        .setWorkerThreads(THREADS_PER_POOL)
         .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
         .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, timeoutMs)
--- a/src/main/java/sprucerock/controller/server/LeaseLeadership.java
+++ b/src/main/java/sprucerock/controller/server/LeaseLeadership.java
@@ -59,7 +59,7 @@
             });
   }
 
-  private <T> T onLoop(LoopTask<T> task) throws IOException {
+  private <T> T callOnLoop(LoopTask<T> task) throws IOException {
     CompletableFuture<T> answer = new CompletableFuture<>();
     loop.post(
         () -> {
@@ -83,7 +83,7 @@
 
   @Override
   public boolean tryAcquire() throws IOException {
-    return onLoop(this::claimFolder);
+    return callOnLoop(this::claimFolder);
   }
 
   private boolean claimFolder() throws IOException {
@@ -141,7 +141,7 @@
 
   @Override
   public void release() throws IOException {
-    onLoop(
+    callOnLoop(
         () -> {
           acquired = false;
           leases.stop();
--- a/src/main/java/sprucerock/controller/server/RackConfig.java
+++ b/src/main/java/sprucerock/controller/server/RackConfig.java
@@ -17,7 +17,7 @@
   private static final int MAX_RACKS = 10_000;
 
   private static final int MAX_ZONE = 32_767;
-  private static final int HOURS_A_DAY = 24;
+  private static final int HOURS_PER_DAY = 24;
 
   private RackConfig() {}
 
@@ -70,12 +70,12 @@
     Map<Integer, CapacityCheck.Forecast> forecasts = new TreeMap<>();
     for (XmlElement forecast : node.children("forecast")) {
       String[] words = forecast.text("by-hour").trim().split("\\s+");
-      if (words.length != HOURS_A_DAY) {
+      if (words.length != HOURS_PER_DAY) {
         throw forecast.invalid(
             "by-hour has a number for each of the 24 hours of the day in UTC, not " + words.length);
       }
-      double[] byHour = new double[HOURS_A_DAY];
-      for (int i = 0; i < HOURS_A_DAY; i++) {
+      double[] byHour = new double[HOURS_PER_DAY];
+      for (int i = 0; i < HOURS_PER_DAY; i++) {
         byHour[i] = Double.parseDouble(words[i]);
       }
       if (forecasts.put(
--- a/src/main/java/sprucerock/controller/server/RackList.java
+++ b/src/main/java/sprucerock/controller/server/RackList.java
@@ -20,7 +20,7 @@
  */
 final class RackList {
   /** The id in a request of a relay that has no list yet, but can keep one. */
-  private static final long NO_LIST_YET = 1;
+  private static final long LIST_SUPPORTED_BUT_UNKNOWN = 1;
 
   private static final int BYTES_PER_RACK = 16;
 
@@ -44,7 +44,9 @@
     try {
       long hash =
           ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(bytes.array())).getLong();
-      return hash == 0 || hash == NO_LIST_YET ? NO_LIST_YET + 1 : hash;
+      return hash == 0 || hash == LIST_SUPPORTED_BUT_UNKNOWN
+          ? LIST_SUPPORTED_BUT_UNKNOWN + 1
+          : hash;
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java platform has SHA-256", e);
     }
--- a/src/main/java/sprucerock/controller/server/RateLimiter.java
+++ b/src/main/java/sprucerock/controller/server/RateLimiter.java
@@ -4,13 +4,13 @@
 final class RateLimiter {
   private static final int MS_PER_SECOND = 1000;
 
-  private final double perSecond;
+  private final double requestsPerSecond;
   private double tokens;
   private long lastRefillMs;
 
   /** Starts full; {@code nowMs}: on the clock of {@link #tryAcquire}. */
   RateLimiter(int perSecond, long nowMs) {
-    this.perSecond = perSecond;
+    this.requestsPerSecond = perSecond;
     tokens = perSecond;
     lastRefillMs = nowMs;
   }
@@ -18,7 +18,9 @@
   /** Whether one more request is within the rate; it counts if it is. */
   synchronized boolean tryAcquire(long nowMs) {
     tokens =
-        Math.min(perSecond, tokens + perSecond * Math.max(0, nowMs - lastRefillMs) / MS_PER_SECOND);
+        Math.min(
+            requestsPerSecond,
+            tokens + requestsPerSecond * Math.max(0, nowMs - lastRefillMs) / MS_PER_SECOND);
     lastRefillMs = Math.max(lastRefillMs, nowMs);
     if (tokens < 1) {
       return false;
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -97,14 +97,14 @@
   }
 
   private void sendPeriodically() {
-    sendNewsToAll();
-    net.at(net.now().plus(config.newsInterval), this::sendPeriodically);
+    sendStatusToAll();
+    net.at(net.now().plus(config.statusInterval), this::sendPeriodically);
   }
 
   /** Sends the rollout's status to all relays. */
-  void sendNewsToAll() {
+  void sendStatusToAll() {
     for (Session session : sessions) {
-      session.sendNews();
+      session.sendStatus();
     }
   }
 
@@ -118,7 +118,7 @@
     }
   }
 
-  private News news() {
+  private News statusMessage() {
     RolloutManager rollouts = controller.engine().rollouts();
     RolloutManager.RolloutStatus status = rollouts.currentStatus();
     double lastedMs = controller.engine().now().since(status.since()).ms();
@@ -160,11 +160,11 @@
         return;
       }
       sessions.add(this);
-      sendNews();
+      sendStatus();
     }
 
     /** Sends the status, or tries again later where the relay does not read. */
-    void sendNews() {
+    void sendStatus() {
       if (retryTimer != null) {
         return;
       }
@@ -175,12 +175,12 @@
                 () -> {
                   retryTimer = null;
                   if (sessions.contains(this)) {
-                    sendNews();
+                    sendStatus();
                   }
                 });
         return;
       }
-      connection.send(FrameKind.NEWS, news(), NO_BODY);
+      connection.send(FrameKind.NEWS, statusMessage(), NO_BODY);
     }
 
     @Override
@@ -214,10 +214,10 @@
                       .setBuild(message.getBuild())
                       .setStage(message.getStage())
                       .setSay(vote.name())),
-          result -> answerVote(message, answerTo(result)));
+          result -> answerVote(message, voteAnswer(result)));
     }
 
-    private static Taken answerTo(AppendResult result) {
+    private static Taken voteAnswer(AppendResult result) {
       return result instanceof AppendResult.Accepted accepted
               && accepted.value() instanceof AppendResult.Voted voted
           ? switch (voted.result()) {
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -26,7 +26,7 @@
   }
 
   /** A request's headers; null where one was not sent. */
-  public record Headers(String id, String time, String signature) {}
+  public record Headers(String id, String timestamp, String signature) {}
 
   /**
    * The outcome of a verification.
@@ -34,7 +34,7 @@
    * @param id the delivery's; null: the signature is not right
    * @param refused why it is not, in words that may be sent to anybody; null: it is right
    */
-  public record Verdict(String id, String refused) {}
+  public record Verdict(String id, String rejection) {}
 
   private static final int MAX_SIGNATURES = 10;
   private static final int MAX_ID_LENGTH = 200;
@@ -92,7 +92,7 @@
     if (scheme == SignatureScheme.STANDARD) {
       long time;
       try {
-        time = Long.parseLong(String.valueOf(headers.time));
+        time = Long.parseLong(String.valueOf(headers.timestamp));
       } catch (NumberFormatException e) {
         return new Verdict(null, "its time is no number of seconds");
       }
@@ -100,7 +100,7 @@
         return new Verdict(
             null, "its time is more than " + Math.round(tolerance.ms() / 1000) + " s from ours");
       }
-      signed = standardContent(headers.id, time, body);
+      signed = standardSignedContent(headers.id, time, body);
     }
     return matches(scheme, headers.signature, signed, secrets)
         ? new Verdict(headers.id, null)
@@ -112,7 +112,7 @@
       SignatureScheme scheme, String signatures, byte[] signed, List<byte[]> secrets) {
     boolean matches = false;
     for (byte[] secret : secrets) {
-      byte[] expected = hmac(secret, signed);
+      byte[] expected = hmacSha256(secret, signed);
       String[] given = signatures.split(" ", MAX_SIGNATURES + 1);
       for (int i = 0; i < Math.min(given.length, MAX_SIGNATURES); i++) {
         matches |= MessageDigest.isEqual(expected, decode(scheme, given[i]));
@@ -136,7 +136,7 @@
     }
   }
 
-  private static byte[] hmac(byte[] secret, byte[] signed) {
+  private static byte[] hmacSha256(byte[] secret, byte[] signed) {
     try {
       Mac mac = Mac.getInstance("HmacSHA256");
       mac.init(new SecretKeySpec(secret, "HmacSHA256"));
@@ -152,14 +152,15 @@
   public static String sign(
       SignatureScheme scheme, String id, long time, byte[] body, byte[] secret) {
     if (scheme == SignatureScheme.GITHUB) {
-      return "sha256=" + HexFormat.of().formatHex(hmac(secret, body));
+      return "sha256=" + HexFormat.of().formatHex(hmacSha256(secret, body));
     }
     return "v1,"
-        + Base64.getEncoder().encodeToString(hmac(secret, standardContent(id, time, body)));
+        + Base64.getEncoder()
+            .encodeToString(hmacSha256(secret, standardSignedContent(id, time, body)));
   }
 
   /** What Standard Webhooks sign. */
-  private static byte[] standardContent(String id, long time, byte[] body) {
+  private static byte[] standardSignedContent(String id, long time, byte[] body) {
     byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
     byte[] content = Arrays.copyOf(head, head.length + body.length);
     System.arraycopy(body, 0, content, head.length, body.length);
--- a/src/main/java/sprucerock/controller/server/WebhookHandler.java
+++ b/src/main/java/sprucerock/controller/server/WebhookHandler.java
@@ -72,8 +72,8 @@
             source.secrets(),
             System.currentTimeMillis() / 1000,
             config.signatureTimeTolerance);
-    if (verdict.refused() != null) {
-      respond(exchange, 401, "not_signed", verdict.refused());
+    if (verdict.rejection() != null) {
+      respond(exchange, 401, "not_signed", verdict.rejection());
       return;
     }
     announce(exchange, source.name(), verdict.id(), body);
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -34,7 +34,7 @@
 
   private record Message(long sequence, String body) {}
 
-  private static final int MAX_QUEUED = 10_000;
+  private static final int MAX_QUEUED_STEPS = 10_000;
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
   private static final long INITIAL_BACKOFF_MS = 200;
   private static final long MAX_BACKOFF_MS = 60_000;
@@ -90,7 +90,7 @@
             .put("at", Instant.ofEpochMilli(step.wallMs()).toString());
     Message dropped = null;
     synchronized (queue) {
-      if (queue.size() >= MAX_QUEUED) {
+      if (queue.size() >= MAX_QUEUED_STEPS) {
         dropped = queue.poll();
       }
       queue.add(new Message(step.sequence(), body.toString()));
--- a/src/test/java/sprucerock/controller/server/AgentListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentListenerTest.java
@@ -56,7 +56,7 @@
   }
 
   /** On the controller's own loop. */
-  private boolean isKnown(int number, boolean silent) {
+  private boolean isRecorded(int number, boolean silent) {
     CompletableFuture<Boolean> is = new CompletableFuture<>();
     controller.runOnLoop(
         () -> {
@@ -71,12 +71,13 @@
     start();
     RecordingPeer stays = connectAgent(1);
     RecordingPeer goes = connectAgent(2);
-    waitUntil("both are heard", () -> isKnown(1, false) && isKnown(2, false));
+    waitUntil("both are heard", () -> isRecorded(1, false) && isRecorded(2, false));
     loop.post(() -> goes.connection.cut("it goes"));
-    waitUntil("it is silent", () -> isKnown(2, true));
-    assertTrue(isKnown(1, false), "one that is connected is not silent, though it sends nothing");
+    waitUntil("it is silent", () -> isRecorded(2, true));
+    assertTrue(
+        isRecorded(1, false), "one that is connected is not silent, though it sends nothing");
     connectAgent(2);
-    waitUntil("it is heard again", () -> isKnown(2, false));
+    waitUntil("it is heard again", () -> isRecorded(2, false));
     assertTrue(getOnLoop(stays.connection::isReady));
   }
 
@@ -85,14 +86,14 @@
   public void replacedConnectionDoesNotMakeAgentSilent() throws Exception {
     start();
     RecordingPeer first = connectAgent(2);
-    waitUntil("it is heard", () -> isKnown(2, false));
+    waitUntil("it is heard", () -> isRecorded(2, false));
     connectAgent(2);
     waitUntil("the old connection is cut", () -> getOnLoop(() -> first.closeReason != null));
     RecordingPeer other = connectAgent(3); // whose silence shows that time enough has passed
-    waitUntil("the other is heard", () -> isKnown(3, false));
+    waitUntil("the other is heard", () -> isRecorded(3, false));
     loop.post(() -> other.connection.cut("it goes"));
-    waitUntil("the other is silent", () -> isKnown(3, true));
-    assertTrue(isKnown(2, false));
+    waitUntil("the other is silent", () -> isRecorded(3, true));
+    assertTrue(isRecorded(2, false));
   }
 
   /**
@@ -102,11 +103,11 @@
   public void agentMissingAfterRestartBecomesSilent() throws Exception {
     start();
     connectAgent(2);
-    waitUntil("it is heard", () -> isKnown(2, false));
+    waitUntil("it is heard", () -> isRecorded(2, false));
     controller.close();
     start();
-    waitUntil("it is silent", () -> isKnown(2, true));
+    waitUntil("it is silent", () -> isRecorded(2, true));
     connectAgent(2);
-    waitUntil("it is heard again", () -> isKnown(2, false));
+    waitUntil("it is heard again", () -> isRecorded(2, false));
   }
 }
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -28,7 +28,7 @@
   private Path folder;
 
   @BeforeMethod
-  public void begin() throws Exception {
+  public void createFolder() throws Exception {
     folder = Files.createTempDirectory("controller");
     Corpus.secret(
         folder.resolve("ci.secret"),
@@ -44,7 +44,7 @@
   }
 
   @AfterMethod
-  public void end() throws Exception {
+  public void deleteFolder() throws Exception {
     try (var files = Files.list(folder)) {
       for (Path file : files.toList()) {
         Files.delete(file);
@@ -53,7 +53,7 @@
     Files.delete(folder);
   }
 
-  private Path written(String text) throws Exception {
+  private Path writeConfig(String text) throws Exception {
     return Files.writeString(
         folder.resolve("controller.xml"), text.replace(FOLDER, folder.toString()));
   }
@@ -64,13 +64,13 @@
   }
 
   @Test(dataProvider = "documents")
-  public void aControllersSettingsAreReadAsBefore(String name) throws Exception {
+  public void settingsAreReadAsRecorded(String name) throws Exception {
     ControllerConfig config =
-        ControllerConfig.read(written(Corpus.input(SETTINGS + name + ".xml")));
-    Corpus.holds(SETTINGS + name + ".txt", rendered(config));
+        ControllerConfig.read(writeConfig(Corpus.input(SETTINGS + name + ".xml")));
+    Corpus.holds(SETTINGS + name + ".txt", render(config));
   }
 
-  private static String rendered(ControllerConfig config) {
+  private static String render(ControllerConfig config) {
     Rendering text = new Rendering();
     text.put("name", config.name)
         .put("folder", config.storeFolder)
@@ -80,8 +80,8 @@
     text.put("relays.at", config.relayAddress)
         .put("relays.most", config.maxRelays)
         .put("relays.unsent", config.maxUnsentBytes)
-        .put("relays.tell-every", config.newsInterval);
-    hooks(text, config);
+        .put("relays.tell-every", config.statusInterval);
+    renderWebhooks(text, config);
     text.put("api.at", config.apiAddress)
         .put("api.token", config.apiToken)
         .putLeases("leases", config.leaseConfig);
@@ -91,9 +91,9 @@
           .put("tell." + tell.name() + ".secret", hex(tell.secret()));
       text.put("tell." + tell.name() + ".give-up", tell.retryTimeout().toMillis());
     }
-    agents(text, config);
-    rules(text, config.rolloutRules);
-    racks(text, config);
+    renderAgents(text, config);
+    renderRules(text, config.rolloutRules);
+    renderRacks(text, config);
     return text.toString();
   }
 
@@ -101,7 +101,7 @@
     return HexFormat.of().formatHex(bytes);
   }
 
-  private static void hooks(Rendering text, ControllerConfig config) {
+  private static void renderWebhooks(Rendering text, ControllerConfig config) {
     text.put("hooks.at", config.webhookAddress)
         .put("hooks.body", config.maxWebhookBodyBytes)
         .put("hooks.window", config.signatureTimeTolerance)
@@ -110,7 +110,7 @@
     config.webhookSources.forEach(
         (name, source) -> {
           text.put("source." + name + ".name", source.name())
-              .put("source." + name + ".form", form(source.scheme()))
+              .put("source." + name + ".form", schemeName(source.scheme()))
               .put("source." + name + ".a-second", source.maxPerSecond());
           text.put(
               "source." + name + ".secrets",
@@ -118,14 +118,14 @@
         });
   }
 
-  private static String form(Signatures.SignatureScheme form) {
+  private static String schemeName(Signatures.SignatureScheme form) {
     return switch (form) {
       case STANDARD -> "standard";
       case GITHUB -> "github";
     };
   }
 
-  private static void agents(Rendering text, ControllerConfig config) {
+  private static void renderAgents(Rendering text, ControllerConfig config) {
     text.put("agents.at", config.agentAddress)
         .put("agents.most", config.maxAgents)
         .put("agents.pieces-a-second", config.maxPiecesPerSecond);
@@ -143,12 +143,12 @@
         .put("agents.silent", config.deploymentPlan.unreachableAfter());
   }
 
-  private static void rules(Rendering text, RolloutRules rules) {
+  private static void renderRules(Rendering text, RolloutRules rules) {
     for (int i = 0; i < rules.stages().size(); i++) {
       text.put("stage." + i + ".share", rules.stages().get(i).share())
           .put("stage." + i + ".cap", rules.stages().get(i).exposureCap());
     }
-    text.put("votes.control", control(rules.control()))
+    text.put("votes.control", controlName(rules.control()))
         .put("votes.on", rules.votesToAdvance())
         .put("votes.hold", rules.votesToPause())
         .put("votes.back", rules.votesToRollBack());
@@ -161,7 +161,7 @@
         .put("votes.a-second", rules.maxVotesPerSecond());
   }
 
-  private static String control(RolloutRules.Control control) {
+  private static String controlName(RolloutRules.Control control) {
     return switch (control) {
       case SINGLE -> "single";
       case MAJORITY -> "majority";
@@ -169,7 +169,7 @@
     };
   }
 
-  private static void racks(Rendering text, ControllerConfig config) {
+  private static void renderRacks(Rendering text, ControllerConfig config) {
     if (config.capacityCheck == null) {
       text.put("racks", (Object) null);
       return;
@@ -190,12 +190,12 @@
   }
 
   @Test
-  public void wrongSettingsOfAControllerHaveTheSameErrors() throws Exception {
+  public void invalidSettingsGiveRecordedErrors() throws Exception {
     StringBuilder text = new StringBuilder();
     String good = Corpus.input(SETTINGS + "controller-every.xml");
     for (String line : Corpus.inputLines(SETTINGS + "controller-wrong.txt")) {
       List<String> parts = Arrays.asList(line.split(" => ", 2));
-      Path file = written(Corpus.replaced(good, parts.get(0), parts.get(1)));
+      Path file = writeConfig(Corpus.replaced(good, parts.get(0), parts.get(1)));
       String message =
           expectThrows(ConfigException.class, () -> ControllerConfig.read(file)).getMessage();
       text.append(message.replace(folder.toString(), FOLDER)).append('\n');
--- a/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
+++ b/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
@@ -22,13 +22,13 @@
     agents.disconnected(1, at(2000));
     agents.disconnected(2, at(1000)); // disconnected later, but heard last before the first
     agents.disconnected(3, at(3000));
-    assertEquals(agents.unheardLongerThan(TIMEOUT, at(6000)), List.of());
-    assertEquals(agents.unheardLongerThan(TIMEOUT, at(7001)), List.of(2, 1));
-    assertEquals(agents.unheardLongerThan(TIMEOUT, at(7002)), List.of(2, 1)); // nobody removed them
+    assertEquals(agents.silentLongerThan(TIMEOUT, at(6000)), List.of());
+    assertEquals(agents.silentLongerThan(TIMEOUT, at(7001)), List.of(2, 1));
+    assertEquals(agents.silentLongerThan(TIMEOUT, at(7002)), List.of(2, 1)); // nobody removed them
     agents.remove(2);
-    assertEquals(agents.unheardLongerThan(TIMEOUT, at(9000)), List.of(1, 3));
+    assertEquals(agents.silentLongerThan(TIMEOUT, at(9000)), List.of(1, 3));
     agents.disconnected(1, at(9000)); // was connected again
-    assertEquals(agents.unheardLongerThan(TIMEOUT, at(9001)), List.of(3));
+    assertEquals(agents.silentLongerThan(TIMEOUT, at(9001)), List.of(3));
     agents.remove(7);
   }
 
@@ -45,7 +45,7 @@
         }
       }
       long before = agents.entriesExamined();
-      assertEquals(agents.unheardLongerThan(TIMEOUT, at(5500)).size(), 3);
+      assertEquals(agents.silentLongerThan(TIMEOUT, at(5500)).size(), 3);
       System.out.println(
           "counted: a look for silent agents, 3 of them: at "
               + count
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -48,25 +48,25 @@
   private static final long HOUR_MS = 3_600_000;
 
   /** No machine takes so long for a stretch, and no time in one is as near to its beginning. */
-  private static final long SLOWEST_MS = HOUR_MS / 2;
+  private static final long MAX_SEQUENCE_MS = HOUR_MS / 2;
 
   private static final Pattern TIME = Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z");
 
   private final HttpClient http = HttpClient.newHttpClient();
-  private static final int AGENTS = 3;
+  private static final int AGENT_COUNT = 3;
 
   private Path folder;
   private ControllerServer controller;
   private NioLoop loop;
 
   @BeforeMethod
-  public void begin() throws Exception {
+  public void createFolder() throws Exception {
     folder = Files.createTempDirectory("http-api");
     loop = new NioLoop("agents", Throwable::printStackTrace);
   }
 
   @AfterMethod
-  public void end() throws Exception {
+  public void closeController() throws Exception {
     controller.close();
     loop.close();
     try (var files = Files.walk(folder)) {
@@ -108,7 +108,7 @@
   }
 
   @DataProvider
-  public Object[][] stretches() {
+  public Object[][] requestSequences() {
     return new Object[][] {
       {"releases", "plain"},
       {"webhooks", "plain"},
@@ -124,11 +124,11 @@
    * one.
    */
   @Test(dataProvider = "stretches")
-  public void requestsAreAnsweredAsBefore(String stretch, String configuration) throws Exception {
+  public void requestsAreAnsweredAsRecorded(String stretch, String configuration) throws Exception {
     start(configuration);
     if (configuration.equals("agents")) {
-      for (int number = 1; number <= AGENTS; number++) {
-        agent(number);
+      for (int number = 1; number <= AGENT_COUNT; number++) {
+        connectAgent(number);
       }
     }
     StringBuilder text = new StringBuilder();
@@ -138,14 +138,14 @@
           .append(line)
           .append('\n')
           .append("< ")
-          .append(sends(parts[0], parts[1], parts[2], parts.length < 4 ? "" : parts[3]))
+          .append(send(parts[0], parts[1], parts[2], parts.length < 4 ? "" : parts[3]))
           .append('\n');
     }
     Corpus.holds(HTTP + stretch + "-answers.txt", text.toString());
   }
 
   /** One that runs something, and takes no part in more. */
-  private void agent(int number) throws Exception {
+  private void connectAgent(int number) throws Exception {
     CompletableFuture<RecordingPeer> made = new CompletableFuture<>();
     loop.post(
         () -> {
@@ -158,7 +158,7 @@
           made.complete(person);
         });
     RecordingPeer agent = made.join();
-    until(() -> on(agent.connection::isReady));
+    waitUntil(() -> getOnLoop(agent.connection::isReady));
     loop.post(
         () ->
             agent.send(
@@ -168,10 +168,10 @@
                     .setSettings("b".repeat(64))
                     .setReady(true)
                     .build()));
-    until(
+    waitUntil(
         () -> {
           try {
-            return sends("api", "GET", "/agents", "")
+            return send("api", "GET", "/agents", "")
                 .matches("(?s).*\"relay\":" + number + ",[^}]*\"ready\":true.*");
           } catch (Exception e) {
             throw new IllegalStateException(e);
@@ -179,20 +179,20 @@
         });
   }
 
-  private <T> T on(Supplier<T> what) {
+  private <T> T getOnLoop(Supplier<T> what) {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.post(() -> result.complete(what.get()));
     return result.join();
   }
 
-  private static void until(BooleanSupplier holds) throws InterruptedException {
+  private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
     for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
     assertTrue(holds.getAsBoolean());
   }
 
-  private String sends(String how, String method, String path, String body) throws Exception {
+  private String send(String how, String method, String path, String body) throws Exception {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port(how) + path))
             .method(method, HttpRequest.BodyPublishers.ofString(body));
@@ -203,23 +203,23 @@
       request.header("Authorization", "Bearer of bad news");
     }
     if (how.startsWith("standard:")) {
-      standard(request, how.substring(9), body);
+      signStandard(request, how.substring(9), body);
     }
     if (how.startsWith("github:")) {
-      github(request, how.substring(7), body);
+      signGitHub(request, how.substring(7), body);
     }
     HttpResponse<String> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
     String type = answer.headers().firstValue("Content-Type").orElse("none");
     String again =
         answer.headers().firstValue("Retry-After").map(after -> " retry-after " + after).orElse("");
-    return answer.statusCode() + " " + type + again + " " + normalised(answer.body().strip());
+    return answer.statusCode() + " " + type + again + " " + normalize(answer.body().strip());
   }
 
   /**
    * The folder; times of the test's own minutes, by when they were due; how much of a least time is
    * over, and how much of a longest one is left.
    */
-  private String normalised(String body) {
+  private String normalize(String body) {
     String text =
         body.replace(folder.toString(), "FOLDER")
             .replaceAll("least time: [0-9]+ of", "least time: SOME of")
@@ -228,10 +228,10 @@
         .replaceAll(
             found -> {
               long since = Instant.parse(found.group()).toEpochMilli() - WALL_MS;
-              if (since >= 0 && since < SLOWEST_MS) {
+              if (since >= 0 && since < MAX_SEQUENCE_MS) {
                 return "NOW";
               }
-              return since >= HOUR_MS && since < HOUR_MS + SLOWEST_MS
+              return since >= HOUR_MS && since < HOUR_MS + MAX_SEQUENCE_MS
                   ? "AN-HOUR-FROM-NOW"
                   : found.group();
             });
@@ -242,7 +242,7 @@
     return (operators ? controller.apiAddress() : controller.webhookAddress()).getPort();
   }
 
-  private static void standard(HttpRequest.Builder request, String id, String body) {
+  private static void signStandard(HttpRequest.Builder request, String id, String body) {
     long now = System.currentTimeMillis() / 1000;
     request
         .header("webhook-id", id)
@@ -257,7 +257,7 @@
                 SECRET));
   }
 
-  private static void github(HttpRequest.Builder request, String id, String body) {
+  private static void signGitHub(HttpRequest.Builder request, String id, String body) {
     request
         .header("X-GitHub-Delivery", id)
         .header(
@@ -272,10 +272,10 @@
 
   /** So that each kind of thing that can be asked for is in a stretch. */
   @Test
-  public void eachPathIsAskedFor() throws Exception {
+  public void recordedRequestsCoverEachPath() throws Exception {
     start("plain");
     StringBuilder all = new StringBuilder();
-    for (Object[] stretch : stretches()) {
+    for (Object[] stretch : requestSequences()) {
       all.append(Corpus.input(HTTP + stretch[0] + ".txt"));
     }
     for (String path :
--- a/src/test/java/sprucerock/controller/server/SignaturesTest.java
+++ b/src/test/java/sprucerock/controller/server/SignaturesTest.java
@@ -12,10 +12,10 @@
 
 /** Signatures of both forms, right and wrong. */
 public class SignaturesTest {
-  private static final byte[] OLD = "the secret before".getBytes(StandardCharsets.UTF_8);
-  private static final byte[] NEW = "the secret now".getBytes(StandardCharsets.UTF_8);
+  private static final byte[] OLD_SECRET = "the secret before".getBytes(StandardCharsets.UTF_8);
+  private static final byte[] NEW_SECRET = "the secret now".getBytes(StandardCharsets.UTF_8);
   private static final byte[] BODY = "{\"a\":1}".getBytes(StandardCharsets.UTF_8);
-  private static final TimeSpan WINDOW = TimeSpan.ofMs(300_000);
+  private static final TimeSpan TOLERANCE = TimeSpan.ofMs(300_000);
 
   private static Signatures.Verdict verifyStandard(
       String id, String time, String signature, byte[] body) {
@@ -23,9 +23,9 @@
         Signatures.SignatureScheme.STANDARD,
         new Signatures.Headers(id, time, signature),
         body,
-        List.of(NEW, OLD),
+        List.of(NEW_SECRET, OLD_SECRET),
         1000,
-        WINDOW);
+        TOLERANCE);
   }
 
   private static String sign(byte[] secret) {
@@ -34,34 +34,36 @@
 
   @Test
   public void eitherSecretIsAcceptedDuringRotation() {
-    assertEquals(verifyStandard("m1", "1000", sign(OLD), BODY).id(), "m1");
+    assertEquals(verifyStandard("m1", "1000", sign(OLD_SECRET), BODY).id(), "m1");
     assertEquals(
-        verifyStandard("m1", "1000", "v1,bm90IGl0 " + sign(NEW) + " v1a,else", BODY).id(), "m1");
-    assertNotNull(verifyStandard("m1", "1000", sign("another".getBytes()), BODY).refused());
+        verifyStandard("m1", "1000", "v1,bm90IGl0 " + sign(NEW_SECRET) + " v1a,else", BODY).id(),
+        "m1");
+    assertNotNull(verifyStandard("m1", "1000", sign("another".getBytes()), BODY).rejection());
   }
 
   @Test
   public void alteredOrExpiredDeliveriesAreRejected() {
-    assertNotNull(verifyStandard("m2", "1000", sign(NEW), BODY).refused());
-    assertNotNull(verifyStandard("m1", "1001", sign(NEW), BODY).refused());
-    assertNotNull(verifyStandard("m1", "1000", sign(NEW), "{\"a\":2}".getBytes()).refused());
+    assertNotNull(verifyStandard("m2", "1000", sign(NEW_SECRET), BODY).rejection());
+    assertNotNull(verifyStandard("m1", "1001", sign(NEW_SECRET), BODY).rejection());
+    assertNotNull(
+        verifyStandard("m1", "1000", sign(NEW_SECRET), "{\"a\":2}".getBytes()).rejection());
     assertEquals(
-        verifyStandard("m1", "1301", sign(NEW), BODY).refused(),
+        verifyStandard("m1", "1301", sign(NEW_SECRET), BODY).rejection(),
         "its time is more than 300 s from ours");
     assertEquals(
-        verifyStandard("m1", "699", sign(NEW), BODY).refused(),
+        verifyStandard("m1", "699", sign(NEW_SECRET), BODY).rejection(),
         "its time is more than 300 s from ours");
     assertEquals(
-        verifyStandard("m1", "soon", sign(NEW), BODY).refused(),
+        verifyStandard("m1", "soon", sign(NEW_SECRET), BODY).rejection(),
         "its time is no number of seconds");
-    assertNotNull(verifyStandard("m1", null, sign(NEW), BODY).refused());
-    assertNotNull(verifyStandard(null, "1000", sign(NEW), BODY).refused());
-    assertNotNull(verifyStandard("m1", "1000", null, BODY).refused());
-    assertNotNull(verifyStandard("m1", "1000", "v1,%%%", BODY).refused());
-    assertNotNull(verifyStandard("m 1", "1000", sign(NEW), BODY).refused());
+    assertNotNull(verifyStandard("m1", null, sign(NEW_SECRET), BODY).rejection());
+    assertNotNull(verifyStandard(null, "1000", sign(NEW_SECRET), BODY).rejection());
+    assertNotNull(verifyStandard("m1", "1000", null, BODY).rejection());
+    assertNotNull(verifyStandard("m1", "1000", "v1,%%%", BODY).rejection());
+    assertNotNull(verifyStandard("m 1", "1000", sign(NEW_SECRET), BODY).rejection());
     assertNotNull(
-        verifyStandard("m1", "1000", "v1,AA== ".repeat(20) + sign(NEW), BODY)
-            .refused()); // beyond as many as are looked at
+        verifyStandard("m1", "1000", "v1,AA== ".repeat(20) + sign(NEW_SECRET), BODY)
+            .rejection()); // beyond as many as are looked at
   }
 
   /** The example of GitHub's own page. */
@@ -78,8 +80,8 @@
                 "Hello, World!".getBytes(),
                 List.of(secret),
                 0,
-                WINDOW)
-            .refused());
+                TOLERANCE)
+            .rejection());
     assertNotNull(
         Signatures.verify(
                 Signatures.SignatureScheme.GITHUB,
@@ -87,8 +89,8 @@
                 "Hello, world!".getBytes(),
                 List.of(secret),
                 0,
-                WINDOW)
-            .refused());
+                TOLERANCE)
+            .rejection());
   }
 
   @Test
@@ -96,13 +98,13 @@
     List<byte[]> read =
         Signatures.parseSecrets(
             "# now\nwhsec_"
-                + Base64.getEncoder().encodeToString(NEW)
+                + Base64.getEncoder().encodeToString(NEW_SECRET)
                 + "\n\n"
-                + Base64.getEncoder().encodeToString(OLD)
+                + Base64.getEncoder().encodeToString(OLD_SECRET)
                 + "\n",
             Signatures.SignatureScheme.STANDARD);
     assertEquals(read.size(), 2);
-    assertEquals(read.get(0), NEW);
-    assertEquals(read.get(1), OLD);
+    assertEquals(read.get(0), NEW_SECRET);
+    assertEquals(read.get(1), OLD_SECRET);
   }
 }
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -37,17 +37,17 @@
  */
 public class WebhooksCompatTest {
   private static final String ANNOUNCEMENT = "webhooks/announcement.json";
-  private static final String READ = "webhooks/announcements-read.txt";
+  private static final String PARSED_ANNOUNCEMENTS = "webhooks/announcements-read.txt";
   private static final String BODIES = "webhooks/release-changed.jsonl";
   private static final String HEADERS = "webhooks/headers.txt";
   private static final String SECRETS = "webhooks/secrets.txt";
   private static final String SIGNATURES = "webhooks/signatures.txt";
-  private static final String DELIVERY = "delivery-7";
-  private static final long SECONDS = 1_700_000_000;
-  private static final TimeSpan WINDOW = TimeSpan.ofMs(300_000);
-  private static final int TAKEN = 200;
-  private static final int REFUSED = 500;
-  private static final int WAIT_SECONDS = 20;
+  private static final String DELIVERY_ID = "delivery-7";
+  private static final long TIMESTAMP_S = 1_700_000_000;
+  private static final TimeSpan TOLERANCE = TimeSpan.ofMs(300_000);
+  private static final int OK_STATUS = 200;
+  private static final int ERROR_STATUS = 500;
+  private static final int TIMEOUT_S = 20;
   private static final List<String> HEADER_NAMES =
       List.of("Content-Type", "webhook-id", "webhook-timestamp", "webhook-signature");
   private static final RolloutRules RULES =
@@ -75,10 +75,10 @@
           TimeSpan.ofMs(1000));
 
   /** A webhook as its receiver got it. */
-  private record Received(List<String> headers, byte[] body) {}
+  private record ReceivedWebhook(List<String> headers, byte[] body) {}
 
   /** A step of a release, as the controller tells it. */
-  private record Told(Rollout release, Rollout.Transition step) {}
+  private record RolloutStep(Rollout rollout, Rollout.Transition step) {}
 
   public static void record(Path corpus) throws Exception {
     Files.createDirectories(corpus.resolve("webhooks"));
@@ -92,20 +92,22 @@
             + "dGhlIHNlY3JldCBiZWZvcmU=\n");
     byte[] announcement = Files.readAllBytes(corpus.resolve(ANNOUNCEMENT));
     String secrets = Files.readString(corpus.resolve(SECRETS));
-    Files.writeString(corpus.resolve(READ), String.join("\n", read(announcement)) + "\n");
+    Files.writeString(
+        corpus.resolve(PARSED_ANNOUNCEMENTS), String.join("\n", parseAll(announcement)) + "\n");
     Files.writeString(
         corpus.resolve(SIGNATURES), String.join("\n", signatures(announcement, secrets)) + "\n");
-    List<Received> received = deliver(secrets);
+    List<ReceivedWebhook> received = deliver(secrets);
     StringBuilder bodies = new StringBuilder();
-    for (Received one : received) {
+    for (ReceivedWebhook one : received) {
       bodies.append(new String(one.body, StandardCharsets.UTF_8)).append('\n');
     }
     Files.writeString(corpus.resolve(BODIES), bodies.toString());
-    Files.writeString(corpus.resolve(HEADERS), String.join("\n", fixedHeaders(received)) + "\n");
+    Files.writeString(
+        corpus.resolve(HEADERS), String.join("\n", timeIndependentHeaders(received)) + "\n");
   }
 
   /** What is announced by a body, and why two that are damaged are refused. */
-  private static List<String> read(byte[] body) throws Exception {
+  private static List<String> parseAll(byte[] body) throws Exception {
     AnnouncementParser parser = new AnnouncementParser();
     AnnouncementParser.BuildAnnouncement read = parser.parse(body);
     List<String> lines =
@@ -129,26 +131,26 @@
     for (Signatures.SignatureScheme form :
         List.of(Signatures.SignatureScheme.STANDARD, Signatures.SignatureScheme.GITHUB)) {
       lines.add(String.join(" ", Signatures.headerNames(form)));
-      List<byte[]> known = secrets(secrets, form);
+      List<byte[]> known = parseSecrets(secrets, form);
       for (byte[] secret : known) {
-        lines.add(Signatures.sign(form, DELIVERY, SECONDS, body, secret));
+        lines.add(Signatures.sign(form, DELIVERY_ID, TIMESTAMP_S, body, secret));
       }
     }
     return lines;
   }
 
-  private static List<byte[]> secrets(String text, Signatures.SignatureScheme form) {
+  private static List<byte[]> parseSecrets(String text, Signatures.SignatureScheme form) {
     return Signatures.parseSecrets(text, form);
   }
 
   /** The steps that an announced build takes at once. */
-  private static List<Told> steps(Path folder) throws Exception {
-    List<Told> told = new ArrayList<>();
+  private static List<RolloutStep> recordSteps(Path folder) throws Exception {
+    List<RolloutStep> told = new ArrayList<>();
     Engine.Clock clock =
         new Engine.Clock() {
           @Override
           public long wallMs() {
-            return SECONDS * 1000 + 123;
+            return TIMESTAMP_S * 1000 + 123;
           }
 
           @Override
@@ -172,7 +174,7 @@
             1,
             PLAN,
             clock,
-            (release, step) -> told.add(new Told(release, step)),
+            (release, step) -> told.add(new RolloutStep(release, step)),
             nobody,
             MaintenanceWindows.withoutRacks(),
             said -> {});
@@ -181,7 +183,7 @@
         Input.newBuilder()
             .setAnnounced(
                 Announced.newBuilder()
-                    .setDelivery(DELIVERY)
+                    .setDelivery(DELIVERY_ID)
                     .setBuild(4711)
                     .setArtifact("registry/app:4711")
                     .setSource("ci \"1\"")),
@@ -192,23 +194,23 @@
   }
 
   /** Delivers the steps to a receiver that takes all. */
-  private static List<Received> deliver(String secrets) throws Exception {
+  private static List<ReceivedWebhook> deliver(String secrets) throws Exception {
     Path folder = Files.createTempDirectory("compat");
-    BlockingQueue<Received> received = new LinkedBlockingQueue<>();
-    HttpServer server = receiver(TAKEN, received);
+    BlockingQueue<ReceivedWebhook> received = new LinkedBlockingQueue<>();
+    HttpServer server = startReceiver(OK_STATUS, received);
     try (WebhookOutbox outbox =
-        outbox(
+        createOutbox(
             server,
             secrets,
             folder.resolve("dead-letters"),
             Duration.ofMinutes(1),
             new LinkedBlockingQueue<>())) {
-      List<Told> steps = steps(Files.createDirectories(folder.resolve("store")));
+      List<RolloutStep> steps = recordSteps(Files.createDirectories(folder.resolve("store")));
       outbox.start();
-      List<Received> all = new ArrayList<>();
-      for (Told one : steps) {
-        outbox.add(one.release, one.step);
-        all.add(received.poll(WAIT_SECONDS, TimeUnit.SECONDS));
+      List<ReceivedWebhook> all = new ArrayList<>();
+      for (RolloutStep one : steps) {
+        outbox.add(one.rollout, one.step);
+        all.add(received.poll(TIMEOUT_S, TimeUnit.SECONDS));
       }
       return all;
     } finally {
@@ -217,7 +219,7 @@
     }
   }
 
-  private static WebhookOutbox outbox(
+  private static WebhookOutbox createOutbox(
       HttpServer server,
       String secrets,
       Path deadLetters,
@@ -226,13 +228,16 @@
     URI url = URI.create("http://127.0.0.1:" + server.getAddress().getPort() + "/hook");
     return new WebhookOutbox(
         new WebhookOutbox.Target(
-            "listener", url, secrets(secrets, Signatures.SignatureScheme.STANDARD).get(0), giveUp),
+            "listener",
+            url,
+            parseSecrets(secrets, Signatures.SignatureScheme.STANDARD).get(0),
+            giveUp),
         deadLetters,
         done::add,
         said -> {});
   }
 
-  private static HttpServer receiver(int status, BlockingQueue<Received> received)
+  private static HttpServer startReceiver(int status, BlockingQueue<ReceivedWebhook> received)
       throws IOException {
     HttpServer server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
@@ -241,7 +246,7 @@
         (HttpExchange exchange) -> {
           List<String> headers =
               HEADER_NAMES.stream().map(exchange.getRequestHeaders()::getFirst).toList();
-          received.add(new Received(headers, exchange.getRequestBody().readAllBytes()));
+          received.add(new ReceivedWebhook(headers, exchange.getRequestBody().readAllBytes()));
           exchange.sendResponseHeaders(status, -1);
           exchange.close();
         });
@@ -250,51 +255,53 @@
   }
 
   /** The headers that do not depend on the time of delivery. */
-  private static List<String> fixedHeaders(List<Received> received) {
+  private static List<String> timeIndependentHeaders(List<ReceivedWebhook> received) {
     return received.stream().map(one -> one.headers.get(0) + " " + one.headers.get(1)).toList();
   }
 
   @Test
-  public void aRecordedAnnouncementIsReadTheSame() throws Exception {
-    assertEquals(read(Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT))), CorpusFiles.lines(READ));
+  public void announcementIsParsedAsRecorded() throws Exception {
+    assertEquals(
+        parseAll(Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT))),
+        CorpusFiles.lines(PARSED_ANNOUNCEMENTS));
   }
 
   @Test
-  public void aBodyIsSignedTheSame() throws Exception {
+  public void bodyIsSignedAsRecorded() throws Exception {
     assertEquals(
         signatures(Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT)), CorpusFiles.text(SECRETS)),
         CorpusFiles.lines(SIGNATURES));
   }
 
   @Test
-  public void recordedSignaturesAreRight() throws Exception {
+  public void recordedSignaturesVerify() throws Exception {
     byte[] body = Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT));
     List<String> signatures = CorpusFiles.lines(SIGNATURES);
     int line = 0;
     for (Signatures.SignatureScheme form :
         List.of(Signatures.SignatureScheme.STANDARD, Signatures.SignatureScheme.GITHUB)) {
-      List<byte[]> secrets = secrets(CorpusFiles.text(SECRETS), form);
+      List<byte[]> secrets = parseSecrets(CorpusFiles.text(SECRETS), form);
       line++; // the names of the headers
       for (int i = 0; i < secrets.size(); i++) {
         Signatures.Headers headers =
-            new Signatures.Headers(DELIVERY, Long.toString(SECONDS), signatures.get(line++));
+            new Signatures.Headers(DELIVERY_ID, Long.toString(TIMESTAMP_S), signatures.get(line++));
         assertEquals(
-            Signatures.verify(form, headers, body, secrets, SECONDS, WINDOW),
-            new Signatures.Verdict(DELIVERY, null));
+            Signatures.verify(form, headers, body, secrets, TIMESTAMP_S, TOLERANCE),
+            new Signatures.Verdict(DELIVERY_ID, null));
       }
     }
     assertEquals(line, signatures.size());
   }
 
   @Test
-  public void aStepIsToldInTheSameBodyRightlySigned() throws Exception {
+  public void stepIsDeliveredWithRecordedBodyAndValidSignature() throws Exception {
     String secrets = CorpusFiles.text(SECRETS);
-    List<Received> received = deliver(secrets);
+    List<ReceivedWebhook> received = deliver(secrets);
     assertEquals(
         received.stream().map(one -> new String(one.body, StandardCharsets.UTF_8)).toList(),
         CorpusFiles.lines(BODIES));
-    assertEquals(fixedHeaders(received), CorpusFiles.lines(HEADERS));
-    for (Received one : received) {
+    assertEquals(timeIndependentHeaders(received), CorpusFiles.lines(HEADERS));
+    for (ReceivedWebhook one : received) {
       Signatures.Headers headers =
           new Signatures.Headers(one.headers.get(1), one.headers.get(2), one.headers.get(3));
       Signatures.Verdict verdict =
@@ -302,25 +309,25 @@
               Signatures.SignatureScheme.STANDARD,
               headers,
               one.body,
-              secrets(secrets, Signatures.SignatureScheme.STANDARD),
+              parseSecrets(secrets, Signatures.SignatureScheme.STANDARD),
               Long.parseLong(one.headers.get(2)),
-              WINDOW);
+              TOLERANCE);
       assertEquals(verdict, new Signatures.Verdict(one.headers.get(1), null));
     }
   }
 
   @Test
-  public void aDeadLetterIsKeptAsTheSameLine() throws Exception {
+  public void deadLetterIsWrittenAsRecorded() throws Exception {
     Path folder = Files.createTempDirectory("compat");
     BlockingQueue<Long> done = new LinkedBlockingQueue<>();
-    HttpServer server = receiver(REFUSED, new LinkedBlockingQueue<>());
+    HttpServer server = startReceiver(ERROR_STATUS, new LinkedBlockingQueue<>());
     Path letters = folder.resolve("dead-letters");
     try (WebhookOutbox outbox =
-        outbox(server, CorpusFiles.text(SECRETS), letters, Duration.ofMillis(1), done)) {
+        createOutbox(server, CorpusFiles.text(SECRETS), letters, Duration.ofMillis(1), done)) {
       outbox.start();
-      for (Told one : steps(Files.createDirectories(folder.resolve("store")))) {
-        outbox.add(one.release, one.step);
-        done.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+      for (RolloutStep one : recordSteps(Files.createDirectories(folder.resolve("store")))) {
+        outbox.add(one.rollout, one.step);
+        done.poll(TIMEOUT_S, TimeUnit.SECONDS);
       }
       assertEquals(Files.readAllLines(letters), CorpusFiles.lines(BODIES));
     } finally {
