--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -35,8 +35,8 @@
 import sprucerock.transport.wire.v1.Wants;
 
 /**
- * The agents' listener. An agent's status is recorded where it differs from what is known; the
- * desired state is sent when an agent connects, and at each change. On the loop only.
+ * Listens for agents. An agent's status is recorded where it differs from the recorded one. The
+ * desired state is sent when an agent connects and after each change. On the loop only.
  */
 final class AgentListener implements DeploymentMonitor.Listener {
   private static final byte[] NO_BODY = {};
@@ -45,7 +45,7 @@
   private static final long MAX_UNSENT_BYTES = 4L << 20;
   private static final TimeSpan KEEPALIVE = TimeSpan.ofMs(1000);
 
-  /** Of the comparison; at least two statuses of each agent fall into one. */
+  /** Length of a comparison window; each agent sends at least two statuses within it. */
   private static final TimeSpan WINDOW_LENGTH = TimeSpan.ofMs(2000);
 
   private static final TimeSpan ABSENCE_CHECK_INTERVAL = TimeSpan.ofMs(500);
@@ -76,7 +76,7 @@
     limits = new FrameLimits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, KEEPALIVE);
     monitor = new DeploymentMonitor(deployments(), this);
     for (ManagedRelay relay : deployments().relays()) {
-      // they have as long to connect as if they had just been heard
+      // agents known from the log get the full timeout to connect, from now on
       disconnected.disconnected(relay.number, net.now());
     }
   }
@@ -88,7 +88,7 @@
   /**
    * Opens the listener.
    *
-   * @throws IOException if the address can't be had
+   * @throws IOException if the address can't be bound
    */
   InetSocketAddress start() throws IOException {
     listener =
@@ -103,7 +103,7 @@
     return listener.address();
   }
 
-  /** Closes the listener, and all connections once what is unsent is sent. */
+  /** Closes the listener, and each connection once its unsent bytes are sent. */
   void stop() {
     listener.close();
     for (Session session : List.copyOf(sessions.values())) {
@@ -116,7 +116,10 @@
     net.at(net.now().plus(WINDOW_LENGTH), this::closeWindow);
   }
 
-  /** Those not heard for too long; after a start also those that have not connected since. */
+  /**
+   * Records as unreachable the relays whose agents have been silent for too long; after a start
+   * also those that have not connected since.
+   */
   private void reportAbsentAgents() {
     for (int number :
         disconnected.silentLongerThan(config.deploymentPlan.unreachableAfter(), net.now())) {
@@ -126,13 +129,14 @@
       } else {
         controller.submit(
             Input.newBuilder().setSilent(Silent.newBuilder().setRelay(number)),
-            result -> {}); // if rejected: again with the next check
+            // a rejected input is submitted again by the next check
+            result -> {});
       }
     }
     net.at(net.now().plus(ABSENCE_CHECK_INTERVAL), this::reportAbsentAgents);
   }
 
-  /** A relay's desired state has changed. */
+  /** Sends a relay's changed desired state to its agent. */
   void desiredStateChanged(ManagedRelay relay) {
     Session session = sessions.get(relay.number);
     if (session != null) {
@@ -141,7 +145,8 @@
   }
 
   /**
-   * A deployment made a transition: one that was just proposed is to be validated by all agents.
+   * Called after a deployment's transition. A deployment that was just proposed is sent to all
+   * agents, which validate it.
    */
   void deploymentChanged(Deployment deployment) {
     if (deployment.state() == Deployment.State.PROPOSED) {
@@ -202,17 +207,17 @@
     private AgentSays lastStatus;
 
     @Override
-    public void helloReceived(FrameConnection made, Hello other) {
-      if (other.getRole() != Role.AGENT
-          || other.getNumber() < 0
-          || other.getNumber() > MAX_AGENT_NUMBER) {
-        made.cut("only agents are taken here");
+    public void helloReceived(FrameConnection established, Hello remoteHello) {
+      if (remoteHello.getRole() != Role.AGENT
+          || remoteHello.getNumber() < 0
+          || remoteHello.getNumber() > MAX_AGENT_NUMBER) {
+        established.cut("only agents numbered 0 to 65534 may connect to this address");
         return;
       }
-      number = other.getNumber();
-      Session before = sessions.put(number, this);
-      if (before != null) {
-        before.connection.cut("another agent came under number " + number);
+      number = remoteHello.getNumber();
+      Session replaced = sessions.put(number, this);
+      if (replaced != null) {
+        replaced.connection.cut("another agent connected with number " + number);
       }
       lastMessageTime = net.now();
       disconnected.remove(number);
@@ -233,7 +238,7 @@
       } else if (kind == FrameKind.FETCH) {
         artifactSender.add(connection, (Fetch) head);
       } else {
-        connection.cut("a controller takes no " + kind + " of an agent");
+        connection.cut("a controller accepts no " + kind + " from an agent");
       }
     }
 
@@ -249,7 +254,8 @@
       long epoch = controller.engine().rollouts().epoch();
       if (status.getEpoch() > epoch) {
         log.error(
-            "BEHIND relay {}'s agent was told by epoch {}, this is {}: the store may be an old one",
+            "BEHIND relay {}'s agent knows epoch {}, this controller has epoch {}: its store may be an"
+                + " old copy",
             number,
             status.getEpoch(),
             epoch);
@@ -264,9 +270,9 @@
     }
 
     private void submitStatus(AgentSays status) {
-      ManagedRelay known = deployments().relay(number);
-      if (AgentMessages.differsFromRecorded(status, known)) {
-        recordStatus(known != null && known.busy());
+      ManagedRelay recorded = deployments().relay(number);
+      if (AgentMessages.differsFromRecorded(status, recorded)) {
+        recordStatus(recorded != null && recorded.busy());
       }
       for (Failure failure : status.getFailuresList()) {
         log.warn("FAILED relay {} {}", number, failure.getHow());
--- a/src/main/java/sprucerock/controller/server/AgentMessages.java
+++ b/src/main/java/sprucerock/controller/server/AgentMessages.java
@@ -18,10 +18,10 @@
   private AgentMessages() {}
 
   /**
-   * The desired state of a relay, with the deployment that its agent is to validate.
+   * Builds the desired state of a relay, with the deployment that its agent is to validate.
    *
-   * @param relay null: it is not known yet
-   * @param pending null: none
+   * @param relay null if the relay is not known yet
+   * @param pending null if no deployment is pending
    */
   static Wants desiredState(long epoch, ManagedRelay relay, Deployment pending) {
     Wants.Builder wants = Wants.newBuilder().setEpoch(epoch);
@@ -43,18 +43,20 @@
   }
 
   /**
-   * Whether a status differs from what is recorded of its relay; {@code known}: null if nothing.
+   * Whether a status differs from the recorded state of its relay.
+   *
+   * @param recorded null if nothing is recorded
    */
-  static boolean differsFromRecorded(AgentSays status, ManagedRelay known) {
-    return known == null
-        || known.unreachable()
-        || known.zone() != status.getZone()
-        || !known.observedVersion().equals(version(status))
-        || known.ready() != status.getReady()
-        || known.observedGeneration() != status.getDone();
+  static boolean differsFromRecorded(AgentSays status, ManagedRelay recorded) {
+    return recorded == null
+        || recorded.unreachable()
+        || recorded.zone() != status.getZone()
+        || !recorded.observedVersion().equals(version(status))
+        || recorded.ready() != status.getReady()
+        || recorded.observedGeneration() != status.getDone();
   }
 
-  /** The version that a relay runs by its agent's status. */
+  /** The version that a relay runs, according to its agent's status. */
   static Version version(AgentSays status) {
     return new Version(status.getProgram(), status.getSettings());
   }
@@ -101,7 +103,7 @@
         .build();
   }
 
-  /** A relay's totals since its start, as the comparison takes them. */
+  /** Converts a relay's totals since its start to the comparison's form. */
   static Window totals(RelaySums sums) {
     return new Window(
         sums.getRpcs(),
--- a/src/main/java/sprucerock/controller/server/AnnouncementParser.java
+++ b/src/main/java/sprucerock/controller/server/AnnouncementParser.java
@@ -10,17 +10,17 @@
 import java.io.InputStream;
 import java.util.List;
 
-/** AnnouncementParser as their JSON schema has them. */
+/** Parses build announcements and validates them against their JSON schema. */
 final class AnnouncementParser {
   /**
-   * A build that a pipeline offers.
+   * A build that a pipeline announces.
    *
-   * @param build its number, 1 to 65535
-   * @param artifact what is to be run
+   * @param build the build's number, 1 to 65535
+   * @param artifact the name of the artifact to run
    */
   record BuildAnnouncement(int build, String artifact) {}
 
-  /** A body is no valid announcement; the message says why, and may be sent to its sender. */
+  /** Thrown for an invalid announcement; the message says why and may be sent to the sender. */
   static final class MalformedAnnouncementException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -34,7 +34,7 @@
   /**
    * Loads the schema.
    *
-   * @throws IOException if the schema can't be read from the program
+   * @throws IOException if the schema can't be read from the program's resources
    */
   AnnouncementParser() throws IOException {
     try (InputStream in =
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Parses a whole body.
+   * Parses the complete body of an announcement.
    *
-   * @throws MalformedAnnouncementException if it is no JSON, or not as the schema has it
+   * @throws MalformedAnnouncementException if it is not JSON or violates the schema
    */
   BuildAnnouncement parse(byte[] body) throws MalformedAnnouncementException {
     JsonNode node;
@@ -60,9 +60,9 @@
     if (node == null || node.isMissingNode()) {
       throw new MalformedAnnouncementException("it is empty");
     }
-    List<Error> wrong = schema.validate(node);
-    if (!wrong.isEmpty()) {
-      throw new MalformedAnnouncementException(wrong.get(0).toString());
+    List<Error> errors = schema.validate(node);
+    if (!errors.isEmpty()) {
+      throw new MalformedAnnouncementException(errors.get(0).toString());
     }
     return new BuildAnnouncement(node.get("build").intValue(), node.get("artifact").textValue());
   }
--- a/src/main/java/sprucerock/controller/server/ArtifactSender.java
+++ b/src/main/java/sprucerock/controller/server/ArtifactSender.java
@@ -15,13 +15,16 @@
 import sprucerock.transport.wire.v1.Piece;
 
 /**
- * Sends pieces of artifacts at a bounded rate, to one agent after another, so that a thousand that
- * fetch at once neither fill memory nor delay other messages. On the loop only.
+ * Sends pieces of artifacts at a bounded rate, to one agent after another, so that a thousand
+ * agents that fetch at once neither fill the memory nor delay other messages. On the loop only.
  */
 final class ArtifactSender {
   private static final byte[] NO_BODY = {};
   private static final int PIECE_BYTES = 128 * 1024;
-  private static final int MAX_PENDING_FETCHES = 20_000; // an agent has one or two
+
+  /** An agent has one or two fetches pending. */
+  private static final int MAX_PENDING_FETCHES = 20_000;
+
   private static final TimeSpan INTERVAL = TimeSpan.ofMs(10);
 
   private record PendingFetch(FrameConnection connection, Fetch fetch) {}
@@ -32,26 +35,30 @@
   private final int maxPerInterval;
   private final Deque<PendingFetch> pending = new ArrayDeque<>();
 
-  /** {@code maxPiecesPerSecond}: to all agents together. */
+  /**
+   * Creates a sender; {@link #start} begins to send.
+   *
+   * @param maxPiecesPerSecond limit for all agents together
+   */
   ArtifactSender(Net net, ArtifactStore artifacts, int maxPiecesPerSecond) {
     this.net = net;
     this.artifacts = artifacts;
     maxPerInterval = (int) Math.max(1, maxPiecesPerSecond * INTERVAL.ms() / 1000);
   }
 
-  /** Begins to send, and goes on as long as the loop runs. */
+  /** Begins to send, and continues as long as the loop runs. */
   void start() {
     sendPieces();
   }
 
-  /** Queues a fetch; it is dropped where too many are queued, and the agent asks again. */
+  /** Queues a fetch. It is dropped if too many are queued; the agent then requests it again. */
   void add(FrameConnection connection, Fetch fetch) {
     if (pending.size() < MAX_PENDING_FETCHES) {
       pending.addLast(new PendingFetch(connection, fetch));
     }
   }
 
-  /** Looks at each queued fetch once at most, and sends no more pieces than the rate allows. */
+  /** Processes each queued fetch at most once, and sends no more pieces than the rate allows. */
   private void sendPieces() {
     int allowed = maxPerInterval;
     for (int i = pending.size(); i > 0 && allowed > 0; i--) {
@@ -60,7 +67,8 @@
         continue;
       }
       if (next.connection.unsentBytes() > PIECE_BYTES) {
-        pending.addLast(next); // it has not read the last one
+        // the agent has not read the previous piece yet
+        pending.addLast(next);
         continue;
       }
       sendPiece(next);
@@ -79,7 +87,7 @@
         body = artifacts.readChunk(digest, next.fetch.getFrom(), PIECE_BYTES);
       }
     } catch (IOException e) {
-      log.error("VERSIONS {} can't be read: {}", digest, e.getMessage());
+      log.error("VERSIONS artifact {} cannot be read: {}", digest, e.getMessage());
     }
     next.connection.send(FrameKind.PIECE, piece.setMissing(body.length == 0).build(), body);
   }
--- a/src/main/java/sprucerock/controller/server/CommandOrigin.java
+++ b/src/main/java/sprucerock/controller/server/CommandOrigin.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Which operator gave a command, and why; both are recorded with the command. */
+/** The operator who gave a command, and the reason; both are recorded with the command. */
 record CommandOrigin(String who, String reason) {
-  /** Longest name of an operator, in characters. */
+  /** Maximum length of an operator's name, in characters. */
   static final int MAX_WHO_LENGTH = 100;
 
   private static final int MAX_REASON_LENGTH = 500;
 
-  /** As a request's body states it; what is missing is empty. */
+  /** Reads the origin from a request's body; a missing value becomes empty. */
   static CommandOrigin of(JsonNode body) {
     return new CommandOrigin(body.path("who").asText(""), body.path("reason").asText(""));
   }
 
-  /** Whether both are stated, within their lengths. */
+  /** Whether the name and the reason are present and within their maximum lengths. */
   boolean isComplete() {
     return !who.isBlank()
         && !reason.isBlank()
--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -20,16 +20,16 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The configuration of a controller, validated. controller.xsd states the units of what is written
- * there, and the values used where one is left out. Immutable.
+ * The validated configuration of a controller. controller.xsd states the units of the values, and
+ * the defaults for those that are left out. Immutable.
  */
 public final class ControllerConfig {
   /**
    * A build pipeline that may announce builds.
    *
-   * @param scheme how it signs
-   * @param secrets any of which counts, so that they can be rotated
-   * @param maxPerSecond deliveries that are taken, with bursts of as many
+   * @param scheme the scheme of its signatures
+   * @param secrets any of which is valid, so that they can be rotated
+   * @param maxPerSecond accepted deliveries per second, with bursts of as many
    */
   public record WebhookSource(
       String name, Signatures.SignatureScheme scheme, List<byte[]> secrets, int maxPerSecond) {}
@@ -37,88 +37,91 @@
   /** The controller's name, in logs and in greetings to relays and agents. */
   public final String name;
 
-  /** Where the engine's log and snapshots are kept. */
+  /** The folder of the engine's log and snapshots. */
   public final Path storeFolder;
 
   /** The build that a new fleet runs, 1 to 65535. */
   public final int firstBuild;
 
-  /** Endpoints that the fleet has. */
+  /** Number of endpoints in the fleet. */
   public final int endpointCount;
 
-  /** Where relays connect. */
+  /** The address where relays connect. */
   public final InetSocketAddress relayAddress;
 
-  /** Connections of relays at a time. */
+  /** Maximum number of connected relays. */
   public final int maxRelays;
 
-  /** Bytes that may wait for one relay to read them. */
+  /** Maximum number of unsent bytes per relay. */
   public final long maxUnsentBytes;
 
-  /** How often all relays get the rollout's status though nothing has changed. */
+  /** How often all relays get the rollout's status even if nothing has changed. */
   public final TimeSpan statusInterval;
 
-  /** Where webhooks are taken. */
+  /** The address that receives webhooks. */
   public final InetSocketAddress webhookAddress;
 
-  /** Bytes of a webhook's body, 16 MiB at most. */
+  /** Maximum size of a webhook's body in bytes, 16 MiB at most. */
   public final int maxWebhookBodyBytes;
 
-  /** By how much a sender's clock may differ from this one's. */
+  /** The allowed difference between a sender's clock and this one. */
   public final TimeSpan signatureTimeTolerance;
 
-  /** Webhooks that are read at a time; others wait in as long a queue. */
+  /** Maximum number of concurrent webhooks; as many more wait in a queue. */
   public final int maxConcurrentWebhooks;
 
   /** How long a sender may take between two reads. */
   public final TimeSpan webhookReadTimeout;
 
-  /** Pipelines by their names. */
+  /** Build pipelines by their names. */
   public final Map<String, WebhookSource> webhookSources;
 
-  /** Where operators are answered. */
+  /** The address of the operators' API. */
   public final InetSocketAddress apiAddress;
 
   /** The bearer token that operators need, 16 characters at least. */
   public final String apiToken;
 
-  /** Who is notified of each step of a rollout. */
+  /** The targets that are notified of each step of a rollout. */
   public final List<WebhookOutbox.Target> outboxTargets;
 
-  /** How long a leader may go without renewing before another controller takes its place. */
+  /** How long leadership lasts without renewal before another controller may acquire it. */
   public final TimeSpan leaseDuration;
 
-  /** By which rules a build is rolled out. */
+  /** The rules by which a build is rolled out. */
   public final RolloutRules rolloutRules;
 
-  /** Racks that can be put under maintenance, and the capacity that has to be left; null: none. */
+  /**
+   * The racks that can be under maintenance, and the capacity that must remain; null if no racks
+   * are configured.
+   */
   public final CapacityCheck capacityCheck;
 
-  /** By which rules maintenance windows are accepted; null: there are no racks. */
+  /** The rules by which maintenance windows are accepted; null if no racks are configured. */
   public final MaintenanceWindows.Rules maintenanceRules;
 
-  /** Grantors of leases, by which leadership is had; null: the store's folder gives it. */
+  /** The grantors of the leadership lease; null if a file in the store's folder decides. */
   public final LeaseConfig leaseConfig;
 
-  /** Where agents connect; null: this controller doesn't change what relays run. */
+  /** The address where agents connect; null if this controller runs no deployments. */
   public final InetSocketAddress agentAddress;
 
-  /** Connections of agents at a time. */
+  /** Maximum number of connected agents. */
   public final int maxAgents;
 
-  /** Pieces of artifacts that are sent to all agents together, each second. */
+  /** Maximum number of artifact pieces per second, for all agents together. */
   public final int maxPiecesPerSecond;
 
-  /** Where operators put files of new versions; null as above. */
+  /** The folder where operators put files of new versions; null if there are no agents. */
   public final Path incomingFolder;
 
-  /** Bytes of one artifact. */
+  /** Maximum size of an artifact in bytes. */
   public final long maxArtifactBytes;
 
-  /** By which stages and limits deployments are rolled out. */
+  /** The stages and limits of deployments. */
   public final DeploymentPlan deploymentPlan;
 
-  /** The controller's number among the candidates for leases; far above those of relays. */
+  /** The controller's number among the candidates for leases, far above the numbers of relays. */
   private static final int LEASE_CANDIDATE = 65_000;
 
   private static final int MAX_BUILD = 65_535;
@@ -129,7 +132,7 @@
   /**
    * Reads and validates a file.
    *
-   * @throws ConfigException with the first error, its element and its place in the file
+   * @throws ConfigException with the first error, its element and its position in the file
    */
   public static ControllerConfig read(Path file) throws ConfigException {
     return new ControllerConfig(XmlElement.read(file, "/sprucerock/controller.xsd"));
@@ -141,7 +144,7 @@
     firstBuild = root.count("first-build");
     endpointCount = root.count("places");
     if (firstBuild > MAX_BUILD) {
-      throw root.invalid("first-build is 65535 at most");
+      throw root.invalid("first-build must be at most 65535");
     }
     XmlElement relayNode = root.child("relays");
     relayAddress = address(relayNode);
@@ -164,7 +167,7 @@
     outboxTargets = outboxTargets(root);
     leaseDuration = root.span("lease");
     if (MIN_LEASE.over(leaseDuration)) {
-      throw root.invalid("lease is 500ms at least");
+      throw root.invalid("lease must be at least 500ms");
     }
     leaseConfig = LeaseConfig.of(root.child("leases"), LEASE_CANDIDATE);
     XmlElement racks = root.child("racks");
@@ -190,16 +193,16 @@
       try {
         secrets = Signatures.parseSecrets(SecretFile.read(node, "secrets"), scheme);
       } catch (IllegalArgumentException e) {
-        throw node.invalid("secrets: a line of " + node.text("secrets") + " is no base64");
+        throw node.invalid("secrets: a line of " + node.text("secrets") + " is not valid base64");
       }
       if (secrets.isEmpty()) {
-        throw node.invalid("secrets: " + node.text("secrets") + " holds none");
+        throw node.invalid("secrets: " + node.text("secrets") + " contains no secret");
       }
       if (sources.put(
               node.text("name"),
               new WebhookSource(node.text("name"), scheme, secrets, node.count("a-second")))
           != null) {
-        throw node.invalid("named twice");
+        throw node.invalid("two sources have the same name");
       }
     }
     return sources;
@@ -212,10 +215,10 @@
       try {
         url = URI.create(node.text("url"));
       } catch (IllegalArgumentException e) {
-        throw node.invalid("url is none: " + e.getMessage());
+        throw node.invalid("url is not a valid URL: " + e.getMessage());
       }
       if (!"http".equals(url.getScheme()) && !"https".equals(url.getScheme())) {
-        throw node.invalid("url begins with http:// or https://");
+        throw node.invalid("url must begin with http:// or https://");
       }
       try {
         targets.add(
@@ -227,7 +230,7 @@
                     .get(0),
                 Duration.ofMillis((long) node.span("give-up").ms())));
       } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
-        throw node.invalid("secret: " + node.text("secret") + " holds no base64");
+        throw node.invalid("secret: " + node.text("secret") + " contains no valid base64 secret");
       }
     }
     return List.copyOf(targets);
@@ -254,7 +257,7 @@
         votes.count("a-second"));
   }
 
-  /** Without agents the engine needs a plan too, which is never used. */
+  /** Reads the plan of deployments. Without agents the engine needs a plan that is never used. */
   private static DeploymentPlan deploymentPlan(XmlElement node) throws ConfigException {
     if (node == null) {
       return new DeploymentPlan(
@@ -288,7 +291,7 @@
     InetSocketAddress address = Address.of(node.text("host"), node.count("port"));
     if (address == null) {
       throw node.invalid(
-          "host \"" + node.text("host") + "\" is no IPv4 or IPv6 address in numbers");
+          "host \"" + node.text("host") + "\" is not a numeric IPv4 or IPv6 address");
     }
     return address;
   }
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -27,14 +27,15 @@
 import sprucerock.transport.wire.FrameTap;
 
 /**
- * A controller as a process has it: the engine between relays, agents, pipelines and operators. The
- * engine and all connections belong to one loop, whose thread also waits for the disk.
+ * Runs the release controller's engine and connects it to relays, agents, build pipelines and
+ * operators. The engine and all connections belong to one loop, whose thread also waits for the
+ * disk.
  */
 public final class ControllerServer implements AutoCloseable {
-  /** How often is looked whether time alone has changed anything. */
+  /** How often the engine is checked for transitions that are due by time alone. */
   private static final TimeSpan TIMER_INTERVAL = TimeSpan.ofMs(50);
 
-  /** How long connections stay open at the end, so that the last messages go out. */
+  /** How long connections stay open during shutdown, so that the last messages are sent. */
   private static final TimeSpan LINGER = TimeSpan.ofMs(100);
 
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
@@ -54,7 +55,10 @@
   private AgentListener agentListener;
   private InetSocketAddress agentAddress;
 
-  /** False: a notification of relays is due. Also set by the thread that starts the controller. */
+  /**
+   * False while a notification of the relays about changed grants is scheduled. Also accessed by
+   * the thread that starts the controller.
+   */
   private final AtomicBoolean grantsAnnounced = new AtomicBoolean(true);
 
   private boolean commitScheduled;
@@ -62,10 +66,10 @@
   private volatile boolean leadershipLost;
 
   /**
-   * Waits until this controller is the leader, replays the store and opens all listeners.
+   * Waits until this controller is the leader, replays the log and opens all listeners.
    *
-   * @param onLeadershipLost is run on the loop once another controller acts
-   * @throws Exception if a file is damaged or an address can't be had; the message says which
+   * @param onLeadershipLost runs on the loop once this controller has lost leadership
+   * @throws Exception if a file is damaged or an address can't be bound; the message says which
    */
   public ControllerServer(
       ControllerConfig config, Engine.Clock clock, FrameTap tap, Runnable onLeadershipLost)
@@ -76,7 +80,8 @@
     loop = new NioLoop("controller", this::reportFault);
     leadershipProvider = new LeadershipProvider(loop, config, tap, clock);
     leadership = leadershipProvider.acquire();
-    loop.post(this::renewLeadership); // from now on: the replay may take longer than the lease
+    // renewal starts before the replay, which may take longer than the lease
+    loop.post(this::renewLeadership);
     MaintenanceWindows windows =
         config.capacityCheck == null
             ? MaintenanceWindows.withoutRacks()
@@ -152,45 +157,49 @@
   }
 
   private static IOException cannotListen(Object address, Exception cause) {
-    return new IOException(address + " can't be listened at: " + cause.getMessage(), cause);
+    return new IOException(
+        address + ": cannot listen on this address: " + cause.getMessage(), cause);
   }
 
-  /** What the grantors of leases know; null: none are configured. */
+  /** The lease client; null if no grantors of leases are configured. */
   LeaseManager leases() {
     return leadershipProvider.leases();
   }
 
-  /** Whether another controller has become the leader, so that this one has ended. */
+  /** Whether this controller has lost leadership to another one and has ended. */
   public boolean isReplaced() {
     return leadershipLost;
   }
 
-  /** Where relays connect, with the port that was given. */
+  /** The address where relays connect, with the port that is bound. */
   public InetSocketAddress relayAddress() {
     return relayAddress;
   }
 
-  /** Where agents connect, with the port that was given; null: there are none. */
+  /** The address where agents connect, with the port that is bound; null if there are none. */
   public InetSocketAddress agentAddress() {
     return agentAddress;
   }
 
-  /** Where webhooks are taken, with the port that was given. */
+  /** The address that receives webhooks, with the port that is bound. */
   public InetSocketAddress webhookAddress() {
     return http.webhookAddress();
   }
 
-  /** Where operators are answered, with the port that was given. */
+  /** The address of the operators' API, with the port that is bound. */
   public InetSocketAddress apiAddress() {
     return http.apiAddress();
   }
 
-  /** Programs and settings that relays can be told to run; null: there are no agents. */
+  /** The store of programs and settings that relays can run; null if there are no agents. */
   ArtifactStore artifacts() {
     return artifacts;
   }
 
-  /** Relays are notified at the turn's end, after all its steps. */
+  /**
+   * Logs a transition of a rollout and queues its webhooks. Relays are notified at the end of the
+   * loop iteration, after all its transitions.
+   */
   private void rolloutTransitioned(Rollout rollout, Rollout.Transition step) {
     log.info(
         "STEP {} build {} {} stage {}: {}",
@@ -244,7 +253,8 @@
 
       @Override
       public void permitsChanged() {
-        // a start happens on another thread; a turn that moves many windows is announced once
+        // The engine starts on another thread than the loop's. A loop iteration that changes many
+        // windows notifies the relays once.
         if (!engine().replaying() && grantsAnnounced.getAndSet(false)) {
           loop.post(ControllerServer.this::announceGrants);
         }
@@ -254,22 +264,23 @@
 
   private void announceGrants() {
     grantsAnnounced.set(true);
-    if (relayListener != null) { // else no relay is connected yet
+    // null while the controller starts: no relay is connected yet
+    if (relayListener != null) {
       relayListener.notifyGrantsChanged();
     }
   }
 
-  /** Until when relays may place work on racks. On the loop only. */
+  /** The permits to place work on racks that relays hold. On the loop only. */
   PlacementGrants grants() {
     return grants;
   }
 
-  /** Whether this controller is the leader: to be asked at the last instant before it grants. */
+  /** Whether this controller is the leader. To be checked immediately before a grant is sent. */
   boolean isLeader() {
     return leadership.isHeld();
   }
 
-  /** Records the windows whose racks no relay may place work on any more. On the loop only. */
+  /** Records the windows on whose racks no relay may place work any more. On the loop only. */
   void submitClearedWindows() {
     for (long number :
         grants.windowsWithPermitsReturned(
@@ -280,7 +291,7 @@
     }
   }
 
-  /** To be used on the loop only. */
+  /** The engine. On the loop only. */
   Engine engine() {
     return engine;
   }
@@ -290,19 +301,19 @@
     return relayListener.connectedRelays();
   }
 
-  /** Logs what should not happen; the controller goes on. */
+  /** Logs an unexpected fault; the controller keeps running. */
   void reportFault(Throwable fault) {
     log.error("BROKEN {}", fault.toString(), fault);
   }
 
-  /** Runs a task on the loop; from any thread. */
+  /** Runs a task on the loop. May be called from any thread. */
   void runOnLoop(Runnable task) {
     loop.post(task);
   }
 
   /**
-   * Appends an input, which is made durable with all others of the turn and then applied. On the
-   * loop only.
+   * Appends an input, which is made durable together with all others of the loop iteration and then
+   * applied. On the loop only.
    */
   void submit(Input.Builder input, Consumer<AppendResult> onResult) {
     engine.append(input, onResult);
@@ -337,11 +348,12 @@
     try {
       holds = leadership.renew();
     } catch (IOException e) {
-      log.error("LEASE can't be renewed: {}", e.getMessage());
-      holds = leadership.isHeld(); // as long as its time is not over
+      log.error("LEASE cannot be renewed: {}", e.getMessage());
+      // the lease stays valid until it expires
+      holds = leadership.isHeld();
     }
     if (!holds) {
-      log.error("LEASE lost: another controller acts, this one ends");
+      log.error("LEASE lost: another controller is the leader; this one ends");
       stopped = true;
       leadershipLost = true;
       onLeadershipLost.run();
@@ -363,7 +375,7 @@
     loop.at(loop.now().plus(TIMER_INTERVAL), this::checkTimers);
   }
 
-  /** Finishes the requests in progress, gives leadership back and ends. */
+  /** Finishes the requests in progress, releases leadership and ends. */
   @Override
   public void close() throws IOException {
     http.stop();
--- a/src/main/java/sprucerock/controller/server/DeploymentHandler.java
+++ b/src/main/java/sprucerock/controller/server/DeploymentHandler.java
@@ -21,7 +21,7 @@
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.Proposed;
 
-/** {@code /changes} and {@code /agents}: what relays run, and deployments that change it. */
+/** Handles {@code /changes} and {@code /agents}: deployments, and the versions that relays run. */
 final class DeploymentHandler {
   private static final String FILE_NAME = "[A-Za-z0-9_.+-]{1,200}";
 
@@ -37,8 +37,9 @@
   }
 
   /**
-   * Proposes a deployment of a program, settings or both, from files of the incoming folder; what
-   * is left out stays as it is. The files are read on a worker thread, since that may wait.
+   * Proposes a deployment of a program, of settings or of both, from files in the incoming folder;
+   * a part that is left out stays unchanged. The files are read on a worker thread, since reading
+   * may block.
    */
   void propose(HttpServerExchange exchange, JsonNode body) {
     CommandOrigin origin = CommandOrigin.of(body);
@@ -68,7 +69,10 @@
         });
   }
 
-  /** Copies a file of the incoming folder, and of no other, to the artifacts; its digest. */
+  /**
+   * Copies a file from the incoming folder to the artifact store and returns its digest. Files of
+   * other folders are rejected.
+   */
   private String store(String name) throws IOException {
     Path file = config.incomingFolder.resolve(name);
     boolean inside = name.matches(FILE_NAME) && !name.startsWith(".") && Files.isRegularFile(file);
@@ -79,7 +83,12 @@
     return artifacts().store(file);
   }
 
-  /** On the loop; {@code program}, {@code settings}: digests, null where they stay. */
+  /**
+   * Submits the proposal. On the loop only.
+   *
+   * @param program digest of the new program; null if it stays unchanged
+   * @param settings digest of the new settings; null if they stay unchanged
+   */
   private void submitProposal(
       HttpServerExchange exchange, CommandOrigin origin, String program, String settings) {
     Version base =
@@ -113,8 +122,8 @@
   }
 
   /**
-   * Whether a running relay can take new settings without a restart. False where this cannot be
-   * told here: agents validate the files themselves and report what is wrong with them.
+   * Whether a running relay can apply new settings without a restart. Returns false where the files
+   * can't be compared: agents validate the files themselves and report their errors.
    */
   private boolean needsNoRestart(String from, String to) {
     try {
@@ -145,7 +154,7 @@
                     .setReason(origin.reason())));
   }
 
-  /** All deployments that are known, and the version that most relays run. */
+  /** Responds with all known deployments, and with the version that most relays run. */
   void list(HttpServerExchange exchange) {
     dispatcher.dispatch(exchange, () -> respond(exchange, 200, describeAll()));
   }
@@ -160,7 +169,7 @@
         .put("runs", deployments().baselineVersion().toString());
   }
 
-  /** One deployment with its steps, control group, refusals and what it waits for. */
+  /** Responds with a deployment: its steps, control group, rejections and blocked reasons. */
   void show(HttpServerExchange exchange, int number) {
     dispatcher.dispatch(
         exchange,
@@ -190,7 +199,9 @@
         .controls()
         .forEach((moved, control) -> controls.put(Integer.toString(moved), control));
     ObjectNode refused = node.putObject("refused");
-    deployment.rejections().forEach((relay, why) -> refused.put(Integer.toString(relay), why));
+    deployment
+        .rejections()
+        .forEach((relay, reason) -> refused.put(Integer.toString(relay), reason));
     return node;
   }
 
@@ -209,7 +220,7 @@
         .put("settings", deployment.toVersion.settings());
   }
 
-  /** All relays with an agent: what each runs, and what it is to run. */
+  /** Responds with all relays that have an agent: their observed and desired state. */
   void listAgents(HttpServerExchange exchange) {
     dispatcher.dispatch(exchange, () -> respond(exchange, 200, describeAgents()));
   }
--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -10,9 +10,9 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Agents without a connection, ordered by when they were last heard, so that those overdue are
- * found at the front, whatever the number of agents. Bounded by the number of agents that were ever
- * connected, each of which is known to the engine. On the loop only.
+ * Agents without a connection, ordered by the time of their last message, so that overdue agents
+ * are found at the front, whatever the number of agents. Bounded by the number of agents that were
+ * ever connected, each of which the engine has recorded. On the loop only.
  */
 final class DisconnectedAgents {
   private record Absence(int relay, Timestamp lastMessageTime) {}
@@ -24,25 +24,25 @@
               .thenComparingInt(Absence::relay));
   private long entriesExamined;
 
-  /** An agent's connection is gone; {@code lastHeard}: when its last message came. */
-  void disconnected(int relay, Timestamp lastHeard) {
+  /** Records that an agent has lost its connection, and when its last message arrived. */
+  void disconnected(int relay, Timestamp lastMessageTime) {
     remove(relay);
-    Absence absence = new Absence(relay, lastHeard);
+    Absence absence = new Absence(relay, lastMessageTime);
     byRelay.put(relay, absence);
     byLastMessageTime.add(absence);
   }
 
-  /** An agent is connected again, or its absence is recorded. */
+  /** Removes an agent that is connected again, or whose absence the engine has recorded. */
   void remove(int relay) {
-    Absence before = byRelay.remove(relay);
-    if (before != null) {
-      byLastMessageTime.remove(before);
+    Absence removed = byRelay.remove(relay);
+    if (removed != null) {
+      byLastMessageTime.remove(removed);
     }
   }
 
   /**
-   * Relays whose agents were not heard for longer than a time, the longest first; they stay until
-   * {@link #remove}.
+   * Relays whose agents have sent nothing for longer than a timeout, the longest silence first.
+   * They stay listed until {@link #remove}.
    */
   List<Integer> silentLongerThan(TimeSpan timeout, Timestamp now) {
     List<Integer> overdue = new ArrayList<>();
@@ -56,7 +56,7 @@
     return overdue;
   }
 
-  /** Entries examined so far, by which tests count the cost. */
+  /** Number of entries examined so far; tests measure the cost of queries by it. */
   long entriesExamined() {
     return entriesExamined;
   }
--- a/src/main/java/sprucerock/controller/server/HttpExchanges.java
+++ b/src/main/java/sprucerock/controller/server/HttpExchanges.java
@@ -9,13 +9,13 @@
 import io.undertow.util.HttpString;
 import java.util.function.Consumer;
 
-/** Reads bounded requests and writes JSON responses; the same for webhooks and operators. */
+/** Reads bounded request bodies and writes JSON responses, for webhooks and the operators' API. */
 final class HttpExchanges {
   private static final String RETRY_AFTER_SECONDS = "5";
 
   private HttpExchanges() {}
 
-  /** Ends the exchange with a JSON body; 429 and 503 ask the client to retry later. */
+  /** Ends the exchange with a JSON body. Responses 429 and 503 carry a Retry-After header. */
   static void respond(HttpServerExchange exchange, int status, JsonNode body) {
     exchange.setStatusCode(status);
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
@@ -28,7 +28,7 @@
   /**
    * Ends the exchange with an answer code.
    *
-   * @param detail a sentence for a person; null: none
+   * @param detail an explanation for people; null if there is none
    */
   static void respond(HttpServerExchange exchange, int status, String answer, String detail) {
     ObjectNode body = Json.object().put("answer", answer);
@@ -38,24 +38,25 @@
     respond(exchange, status, body);
   }
 
-  /** Ends the exchange where its path names nothing. */
+  /** Ends the exchange with 404: its path is unknown. */
   static void respondNotFound(HttpServerExchange exchange) {
     respond(exchange, 404, "no_such_thing", null);
   }
 
-  /** The first value of a header; null: it was not sent. */
+  /** The first value of a header; null if the header was not sent. */
   static String header(HttpServerExchange exchange, String name) {
     return exchange.getRequestHeaders().getFirst(new HttpString(name));
   }
 
-  /** Reads a whole body of at most {@code maxBytes}, then goes on; a longer one gets 413. */
+  /** Reads a complete body of at most {@code maxBytes} and passes it on; a longer one gets 413. */
   static void readBody(HttpServerExchange exchange, int maxBytes, Consumer<byte[]> onBody) {
     if (exchange.getRequestContentLength() > maxBytes) {
       exchange.setPersistent(false);
       respond(exchange, 413, "too_large", "more than " + maxBytes + " bytes");
       return;
     }
-    exchange.setMaxEntitySize(maxBytes); // for bodies that do not state their length
+    // limits bodies without a Content-Length
+    exchange.setMaxEntitySize(maxBytes);
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -10,8 +10,8 @@
 
 /**
  * The controller's two HTTP listeners: webhooks from build pipelines, and the operators' API. Sizes
- * of bodies, slowness of senders, rates and concurrent requests are bounded; a request that changes
- * anything is answered once it is on disk. Docs: operators/webhooks.md.
+ * of bodies, read times, rates and concurrent requests are bounded. A request that changes state is
+ * answered once the change is durable. Docs: operators/webhooks.md.
  */
 final class HttpServer {
   private static final int API_READ_TIMEOUT_MS = 5000;
@@ -26,7 +26,7 @@
   /**
    * Builds both listeners; {@link #start} opens them.
    *
-   * @throws IOException if the schema of announcements can't be read from the program
+   * @throws IOException if the schema of announcements can't be read from the program's resources
    */
   HttpServer(ControllerConfig config, ControllerServer controller) throws IOException {
     LoopDispatcher dispatcher = new LoopDispatcher(controller);
@@ -70,19 +70,19 @@
   /**
    * Opens both listeners.
    *
-   * @throws RuntimeException if an address can't be had
+   * @throws RuntimeException if an address can't be bound
    */
   void start() {
     webhooks.start();
     api.start();
   }
 
-  /** Where webhooks are taken, with the port that was given. */
+  /** The address that receives webhooks, with the port that is bound. */
   InetSocketAddress webhookAddress() {
     return address(webhooks);
   }
 
-  /** Where operators are answered, with the port that was given. */
+  /** The address of the operators' API, with the port that is bound. */
   InetSocketAddress apiAddress() {
     return address(api);
   }
--- a/src/main/java/sprucerock/controller/server/Json.java
+++ b/src/main/java/sprucerock/controller/server/Json.java
@@ -8,11 +8,11 @@
 import java.time.Instant;
 import java.util.Locale;
 
-/** JSON as the HTTP interfaces read and write it. */
+/** Helpers to read and write the JSON of the HTTP interfaces. */
 final class Json {
   /**
-   * Rejects duplicate keys and trailing text, so that a signed body cannot be read in two ways.
-   * Safe for use by all threads.
+   * Rejects duplicate keys and trailing text, so that a signed body has only one interpretation.
+   * Thread-safe.
    */
   static final JsonMapper MAPPER =
       JsonMapper.builder()
@@ -22,22 +22,24 @@
 
   private Json() {}
 
-  /** A new empty object. */
   static ObjectNode object() {
     return MAPPER.createObjectNode();
   }
 
-  /** A constant's name as responses write it. */
+  /** An enumeration constant's name in lower case, as responses have it. */
   static String lowerCaseName(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
 
-  /** A wall-clock time in milliseconds since the epoch, as ISO 8601 in UTC. */
+  /** Formats a wall-clock time in milliseconds since the Unix epoch as ISO 8601 in UTC. */
   static String time(long wallMs) {
     return Instant.ofEpochMilli(wallMs).toString();
   }
 
-  /** Appends a recorded step with its sequence number and time; the caller adds what it changed. */
+  /**
+   * Appends a recorded step with its sequence number and time. Returns the node, to which the
+   * caller adds the step's other fields.
+   */
   static ObjectNode addStep(ArrayNode steps, long sequence, long wallMs) {
     return steps.addObject().put("sequence", sequence).put("at", time(wallMs));
   }
--- a/src/main/java/sprucerock/controller/server/LeadershipProvider.java
+++ b/src/main/java/sprucerock/controller/server/LeadershipProvider.java
@@ -13,9 +13,9 @@
 import sprucerock.transport.wire.FrameTap;
 
 /**
- * Chooses how this controller becomes the leader: by a file in the store's folder, or by a lease
- * where grantors are configured. Owns the client of the leases and, where this process is one of
- * the grantors, its listener.
+ * Chooses how this controller becomes the leader: by a lease if grantors are configured, else by a
+ * file in the store's folder. Owns the lease client and, if this process is one of the grantors,
+ * the grantor's listener.
  */
 final class LeadershipProvider {
   private static final String LEASE_NAME = "controller";
@@ -44,16 +44,17 @@
   }
 
   /**
-   * Returns once this controller is the leader; until then it is a standby.
+   * Waits until this controller is the leader; until then it is a standby.
    *
-   * @throws IOException if the store's folder can't be used, or the grantor's address can't be had
+   * @throws IOException if the store's folder can't be used, or the grantor's address can't be
+   *     bound
    */
   Leadership acquire() throws Exception {
     Leadership leadership = create();
     boolean logged = false;
     while (!leadership.tryAcquire()) {
       if (!logged) {
-        log.info("STANDBY {} waits for the seat at {}", holder, config.storeFolder);
+        log.info("STANDBY {} waits for leadership of the store {}", holder, config.storeFolder);
       }
       logged = true;
       Thread.sleep(RETRY_INTERVAL_MS);
@@ -89,7 +90,7 @@
       }
       leases.start();
     } catch (IOException e) {
-      throw new IOException("granter " + number + " can't listen: " + e.getMessage());
+      throw new IOException("grantor " + number + " cannot listen: " + e.getMessage());
     }
   }
 
@@ -107,12 +108,12 @@
     };
   }
 
-  /** What the grantors know; null: none are configured. */
+  /** The lease client; null if no grantors are configured. */
   LeaseManager leases() {
     return leases;
   }
 
-  /** Ends this process's grantor, if it is one. On the loop. */
+  /** Stops the grantor of this process, if there is one. On the loop only. */
   void stopGrantor() {
     if (grantor != null) {
       grantor.stop();
--- a/src/main/java/sprucerock/controller/server/LeaseHandler.java
+++ b/src/main/java/sprucerock/controller/server/LeaseHandler.java
@@ -10,7 +10,7 @@
 import sprucerock.transport.wire.v1.LeaseEntry;
 import sprucerock.transport.wire.v1.LeaseListed;
 
-/** {@code /leases}: what the grantors of leases know. Reads only. */
+/** Handles {@code /leases}: the state of the leases and of their grantors. Read-only. */
 final class LeaseHandler {
   private static final int US_PER_MS = 1000;
 
@@ -24,7 +24,10 @@
     this.dispatcher = dispatcher;
   }
 
-  /** Asks all grantors and responds once they have answered, or had the time to; 409: none. */
+  /**
+   * Queries all grantors and responds once they have answered or their time is over. Responds with
+   * 409 if no grantors are configured.
+   */
   void list(HttpServerExchange exchange) {
     if (controller.leases() == null) {
       respond(exchange, 409, "no_leases", "this controller's configuration has no leases");
@@ -38,7 +41,10 @@
                 .queryGrantors(answers -> respond(exchange, 200, describe(answers))));
   }
 
-  /** Each grantor's status, and of each lease the highest number with those who granted it. */
+  /**
+   * Describes each grantor's status, and for each lease the highest fencing token with the grantors
+   * that granted it.
+   */
   private ObjectNode describe(Map<Integer, LeaseListed> answers) {
     ObjectNode all = Json.object();
     ArrayNode grantors = all.putArray("granters");
@@ -78,7 +84,8 @@
       byName.put(entry.getName(), node);
     }
     if (node.get("number").asLong() > entry.getNumber()) {
-      return; // granted before; another grantor knows a newer one
+      // an outdated grant: another grantor reports a newer one
+      return;
     }
     if (entry.getLeftUs() > 0) {
       ((ArrayNode) node.get("granted_by")).add(grantor);
--- a/src/main/java/sprucerock/controller/server/LeaseLeadership.java
+++ b/src/main/java/sprucerock/controller/server/LeaseLeadership.java
@@ -11,14 +11,14 @@
 import sprucerock.transport.net.nio.NioLoop;
 
 /**
- * The controller's leadership by a lease that a quorum of grantors grants: no clock of a file
- * server has a part in it. Each leader leaves its fencing token in the store's folder, and who
- * comes with a lower one gives up; each start writes files of its own, so that what a former leader
- * still writes is never read. Calls but for {@link #tryAcquire} and {@link #release} come on the
- * loop's thread; those two block until the loop has answered.
+ * The controller's leadership by a lease that a quorum of grantors grants; it does not depend on
+ * the clock of a file server. Each leader writes its fencing token to the store's folder, and a
+ * controller with a lower token gives up. Each start writes new files, so that whatever a former
+ * leader still writes is never read. {@link #tryAcquire} and {@link #release} block until the loop
+ * has run them; all other methods must be called on the loop's thread.
  */
 final class LeaseLeadership implements Leadership {
-  /** Work for the loop's thread. */
+  /** A task that runs on the loop's thread and returns a result. */
   private interface LoopTask<T> {
     T run() throws IOException;
   }
@@ -32,7 +32,7 @@
   private boolean acquired;
   private boolean lost;
 
-  /** Campaigns for the lease of that name from now on. */
+  /** Starts to campaign for the lease {@code name}. */
   LeaseLeadership(NioLoop loop, LeaseManager leases, LeadershipMark mark, String name) {
     this.loop = loop;
     this.leases = leases;
@@ -52,7 +52,7 @@
               }
 
               @Override
-              public void lost(String why) {
+              public void lost(String reason) {
                 leaseHeld = false;
                 lost |= acquired;
               }
@@ -60,22 +60,23 @@
   }
 
   private <T> T callOnLoop(LoopTask<T> task) throws IOException {
-    CompletableFuture<T> answer = new CompletableFuture<>();
+    CompletableFuture<T> result = new CompletableFuture<>();
     loop.post(
         () -> {
           try {
-            answer.complete(task.run());
+            result.complete(task.run());
           } catch (IOException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
           } catch (RuntimeException e) {
-            answer.completeExceptionally(e);
-            throw e; // the loop's to report
+            result.completeExceptionally(e);
+            // the loop reports it
+            throw e;
           }
         });
     try {
-      return answer.get();
+      return result.get();
     } catch (InterruptedException e) {
-      throw new IOException("interrupted while it waited for the seat", e);
+      throw new IOException("interrupted while waiting for leadership", e);
     } catch (ExecutionException e) {
       throw new IOException(e.getCause().getMessage(), e.getCause());
     }
@@ -93,7 +94,7 @@
     boolean[] highest = {false};
     try {
       boolean held = check.runIfHeld(token -> highest[0] = claim(token));
-      // the disk may take long: the lease is checked again behind it
+      // the lease is checked again, since the disk may take longer than the lease lasts
       acquired = held && highest[0] && check.isHeld();
     } catch (UncheckedIOException e) {
       throw e.getCause();
@@ -110,7 +111,8 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    leases.withdraw(name, -1); // grantors forgot their tokens: it is requested under a higher one
+    // The grantors have lost their tokens: the lease is requested again with a higher token.
+    leases.withdraw(name, -1);
     campaign();
     return false;
   }
@@ -135,7 +137,9 @@
     try {
       return mark.highestToken() == token;
     } catch (IOException e) {
-      return true; // not known: time still guards, and the store says by itself what it can't write
+      // Unknown: the lease's expiry still protects the store, which reports its failed writes
+      // itself.
+      return true;
     }
   }
 
--- a/src/main/java/sprucerock/controller/server/LoopDispatcher.java
+++ b/src/main/java/sprucerock/controller/server/LoopDispatcher.java
@@ -8,8 +8,8 @@
 import sprucerock.controller.v1.Input;
 
 /**
- * Takes HTTP exchanges from the server's I/O threads to the controller's loop, the only thread that
- * may read or change the engine, and turns the engine's outcomes into responses.
+ * Moves HTTP exchanges from the server's I/O threads to the controller's loop, the only thread that
+ * may read or change the engine, and turns the engine's results into responses.
  */
 final class LoopDispatcher {
   private final ControllerServer controller;
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Runs a task on the controller's loop. The exchange stays open until something responds; a task
-   * that throws is logged and gets 500.
+   * Runs a task on the controller's loop. The exchange stays open until a response is sent. If the
+   * task throws, the exception is logged and the client gets 500.
    */
   void dispatch(HttpServerExchange exchange, Runnable task) {
     exchange.dispatch(
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Submits an input and goes on with its result once the input is on disk; one that was not kept
-   * gets 503. On the loop only.
+   * Submits an input and calls {@code onApplied} with its result once the input is durable.
+   * Responds with 503 if it could not be stored. On the loop only.
    */
   void submit(
       HttpServerExchange exchange, Input.Builder input, Consumer<AppendResult.Value> onApplied) {
@@ -53,17 +53,17 @@
         });
   }
 
-  /** Takes an operator's command to the loop and submits it; one without effect gets 409. */
+  /** Submits an operator's command on the loop; a command without effect gets 409. */
   void submitCommand(HttpServerExchange exchange, Input.Builder input) {
     dispatch(exchange, () -> submitCommandOnLoop(exchange, input));
   }
 
-  /** As {@link #submitCommand}, for a caller that is on the loop already. */
+  /** Like {@link #submitCommand}, for a caller that is already on the loop. */
   void submitCommandOnLoop(HttpServerExchange exchange, Input.Builder input) {
     submit(exchange, input, value -> respondToCommand(exchange, value));
   }
 
-  /** Responds by what a command came to: 409 if it had no effect, with the reason. */
+  /** Responds with the result of a command: 409 and the reason if it had no effect, else 200. */
   static void respondToCommand(HttpServerExchange exchange, AppendResult.Value value) {
     if (value instanceof AppendResult.NoEffect noEffect) {
       HttpExchanges.respond(exchange, 409, "no_effect", noEffect.reason());
@@ -72,7 +72,7 @@
     }
   }
 
-  /** The engine; to be used on the loop only. */
+  /** The engine. On the loop only. */
   Engine engine() {
     return controller.engine();
   }
--- a/src/main/java/sprucerock/controller/server/LoopTasks.java
+++ b/src/main/java/sprucerock/controller/server/LoopTasks.java
@@ -5,9 +5,9 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.transport.net.nio.NioLoop;
 
-/** Runs tasks on a loop and waits for them. To be called from other threads than the loop's. */
+/** Runs tasks on a loop and waits for them. Must not be called on the loop's own thread. */
 final class LoopTasks {
-  /** A task that may fail by its I/O. */
+  /** A task that may fail with an I/O error. */
   interface IoTask {
     void run() throws IOException;
   }
@@ -15,9 +15,9 @@
   private LoopTasks() {}
 
   /**
-   * Returns once the task has run.
+   * Runs a task and returns once it has ended.
    *
-   * @throws IOException as the task does
+   * @throws IOException if the task throws it
    */
   static void runAndWait(NioLoop loop, IoTask task) throws IOException, InterruptedException {
     IOException[] failure = new IOException[1];
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Runs a task and returns {@code linger} later, so that what it sent can go out. Where the thread
-   * is interrupted it returns at once and stays interrupted.
+   * Runs a task and returns {@code linger} after it, so that the messages it sent can leave. If the
+   * calling thread is interrupted, returns at once and leaves the thread's interrupt flag set.
    */
   static void runAndLinger(NioLoop loop, Runnable task, TimeSpan linger) {
     CountDownLatch done = new CountDownLatch(1);
--- a/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
+++ b/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
@@ -17,7 +17,7 @@
 import sprucerock.controller.v1.Input;
 import sprucerock.controller.v1.RackSays;
 
-/** {@code /freezes} and {@code /racks}: maintenance windows, and racks that are down. */
+/** Handles {@code /freezes} and {@code /racks}: maintenance windows, and racks that are down. */
 final class MaintenanceHandler {
   private final ControllerConfig config;
   private final ControllerServer controller;
@@ -30,7 +30,7 @@
     this.dispatcher = dispatcher;
   }
 
-  /** Announces a window, or a series of them by a recurrence rule. */
+  /** Announces a maintenance window, or a series of windows by a recurrence rule. */
   void announce(HttpServerExchange exchange, JsonNode body) {
     CommandOrigin origin = CommandOrigin.of(body);
     if (config.capacityCheck == null) {
@@ -52,7 +52,7 @@
               + " are needed; slack_ms, rule, zone and emergency may be");
       return;
     }
-    FreezeWanted.Builder wanted =
+    FreezeWanted.Builder window =
         FreezeWanted.newBuilder()
             .addAllRacks(racks)
             .setFromMs(body.path("from_ms").asLong(0))
@@ -68,7 +68,7 @@
         () ->
             dispatcher.submit(
                 exchange,
-                Input.newBuilder().setFreeze(wanted),
+                Input.newBuilder().setFreeze(window),
                 value -> respondToAnnouncement(exchange, value)));
   }
 
@@ -109,11 +109,11 @@
                     .setReason(origin.reason())));
   }
 
-  /** Notes that a rack is down, or up again. */
+  /** Records that a rack is down, or up again. */
   void setRackDown(HttpServerExchange exchange, String rack, JsonNode body) {
-    boolean known =
+    boolean valid =
         windows().capacityCheck().racks().containsKey(rack) && body.path("down").isBoolean();
-    if (!known) {
+    if (!valid) {
       respond(
           exchange,
           400,
@@ -127,7 +127,7 @@
             .setRack(RackSays.newBuilder().setRack(rack).setDown(body.get("down").asBoolean())));
   }
 
-  /** All windows that are known. */
+  /** Responds with all known windows. */
   void list(HttpServerExchange exchange) {
     dispatcher.dispatch(exchange, () -> respond(exchange, 200, describeAll()));
   }
@@ -141,7 +141,10 @@
     return all;
   }
 
-  /** One window with its steps, and who may still place work there, until when at most. */
+  /**
+   * Responds with a window: its steps, the relays that may still place work on its racks, and when
+   * their permits expire at the latest.
+   */
   void show(HttpServerExchange exchange, int number) {
     dispatcher.dispatch(
         exchange,
--- a/src/main/java/sprucerock/controller/server/OperatorApiHandler.java
+++ b/src/main/java/sprucerock/controller/server/OperatorApiHandler.java
@@ -16,7 +16,7 @@
 
 /**
  * The operators' API: checks the bearer token, reads the body and passes the request to the handler
- * of its collection. Every method but GET is taken for a command.
+ * of its collection. Every HTTP method except GET is treated as a command.
  */
 final class OperatorApiHandler implements HttpHandler {
   private static final int MAX_BODY_BYTES = 16 * 1024;
@@ -65,7 +65,7 @@
         && MessageDigest.isEqual(given.getBytes(StandardCharsets.UTF_8), authorization);
   }
 
-  /** The number of a build, deployment or window in a path; -1, which none has: it is no number. */
+  /** Parses the number of a build, deployment or window; -1, which none has, if it is invalid. */
   private static int parseNumber(String text) {
     return text.matches("[0-9]{1,5}") ? Integer.parseInt(text) : -1;
   }
--- a/src/main/java/sprucerock/controller/server/RackConfig.java
+++ b/src/main/java/sprucerock/controller/server/RackConfig.java
@@ -10,10 +10,10 @@
 import sprucerock.controller.maintenance.MaintenanceWindows;
 import sprucerock.controller.maintenance.Rack;
 
-/** Reads a controller's {@code racks}: what can be put under maintenance, and the forecasts. */
+/** Reads the element {@code racks}: the racks that can be under maintenance, and the forecasts. */
 final class RackConfig {
-  // The list that a relay gets once takes 14 bytes a rack; so many fit the default limits of frames
-  // and unsent bytes. A fleet of 120,000 endpoints has some 3,000.
+  // The rack list, which a relay gets once, takes 14 bytes per rack; a list of this size fits the
+  // default limits of frames and unsent bytes. A fleet of 120,000 endpoints has about 3,000 racks.
   private static final int MAX_RACKS = 10_000;
 
   private static final int MAX_ZONE = 32_767;
@@ -21,7 +21,7 @@
 
   private RackConfig() {}
 
-  /** The racks with their endpoints, the zones' forecasts and the reserve. */
+  /** Reads the racks with their endpoints, the zones' forecasts and the reserve. */
   static CapacityCheck capacityCheck(XmlElement node) throws ConfigException {
     return new CapacityCheck(racks(node).values(), forecasts(node), node.number("reserve"));
   }
@@ -32,19 +32,19 @@
     for (XmlElement rackNode : node.children("rack")) {
       Rack rack = rack(rackNode, node);
       if (racks.put(rack.name(), rack) != null) {
-        throw rackNode.invalid("two racks have one name");
+        throw rackNode.invalid("two racks have the same name");
       }
       if (rack.noticeMs() <= 0) {
-        throw rackNode.invalid("notice is over 0");
+        throw rackNode.invalid("notice must be over 0");
       }
       if (rack.zone() > MAX_ZONE) {
-        throw rackNode.invalid("a zone is 0 to 32767");
+        throw rackNode.invalid("zone must be 0 to 32767");
       }
       if (!locations.add(rack.zone() << 16 | rack.cell())) {
-        throw rackNode.invalid("two racks have one zone and cell");
+        throw rackNode.invalid("two racks have the same zone and cell");
       }
       if (racks.size() > MAX_RACKS) {
-        throw rackNode.invalid("more than " + MAX_RACKS + " racks");
+        throw rackNode.invalid("more than " + MAX_RACKS + " racks are configured");
       }
     }
     return racks;
@@ -54,7 +54,7 @@
     Map<Integer, Double> endpoints = new TreeMap<>();
     for (XmlElement group : node.children("units")) {
       if (endpoints.put(group.count("kind"), (double) group.count("count")) != null) {
-        throw group.invalid("kind " + group.text("kind") + " is named twice");
+        throw group.invalid("kind " + group.text("kind") + " is listed twice");
       }
     }
     return new Rack(
@@ -69,26 +69,27 @@
       throws ConfigException {
     Map<Integer, CapacityCheck.Forecast> forecasts = new TreeMap<>();
     for (XmlElement forecast : node.children("forecast")) {
-      String[] words = forecast.text("by-hour").trim().split("\\s+");
-      if (words.length != HOURS_PER_DAY) {
+      String[] values = forecast.text("by-hour").trim().split("\\s+");
+      if (values.length != HOURS_PER_DAY) {
         throw forecast.invalid(
-            "by-hour has a number for each of the 24 hours of the day in UTC, not " + words.length);
+            "by-hour must have 24 numbers, one for each hour of the day in UTC, not "
+                + values.length);
       }
       double[] byHour = new double[HOURS_PER_DAY];
       for (int i = 0; i < HOURS_PER_DAY; i++) {
-        byHour[i] = Double.parseDouble(words[i]);
+        byHour[i] = Double.parseDouble(values[i]);
       }
       if (forecasts.put(
               forecast.count("zone"),
               new CapacityCheck.Forecast(forecast.count("kind"), forecast.count("method"), byHour))
           != null) {
-        throw forecast.invalid("a zone has two forecasts");
+        throw forecast.invalid("two forecasts have the same zone");
       }
     }
     return forecasts;
   }
 
-  /** The rules by which windows are accepted. */
+  /** Reads the rules by which windows are accepted. */
   static MaintenanceWindows.Rules maintenanceRules(XmlElement node) throws ConfigException {
     try {
       return new MaintenanceWindows.Rules(
--- a/src/main/java/sprucerock/controller/server/RackList.java
+++ b/src/main/java/sprucerock/controller/server/RackList.java
@@ -12,14 +12,14 @@
 import sprucerock.transport.wire.v1.RackFree;
 
 /**
- * The list of all racks, sent to each relay once and referred to by its id from then on: answers
- * that name every rack would take relays times racks in bytes, each second. The id is a hash of the
- * list, so that another controller of the same configuration, or this one after a restart, goes on
- * with it, and one whose racks differ sends the whole list. A relay of a program without lists gets
- * all racks each time.
+ * The list of all racks, which is sent to each relay once and referred to by its id from then on.
+ * If each answer named every rack, the bytes per second would grow with relays times racks. The id
+ * is a hash of the list: a controller with the same configuration, or this one after a restart,
+ * continues to use it, and a controller whose racks differ sends the complete list. A relay whose
+ * program does not support lists gets all racks in each answer.
  */
 final class RackList {
-  /** The id in a request of a relay that has no list yet, but can keep one. */
+  /** The id in a request of a relay that supports lists but has none yet. */
   private static final long LIST_SUPPORTED_BUT_UNKNOWN = 1;
 
   private static final int BYTES_PER_RACK = 16;
@@ -28,10 +28,10 @@
   private final List<Rack> racks;
   private final long listId;
 
-  /** {@code all}: the racks of the configuration, by their names. */
-  RackList(Map<String, Rack> all) {
-    byName = all;
-    racks = new ArrayList<>(all.values());
+  /** Creates the list of the configured racks, which are given by their names. */
+  RackList(Map<String, Rack> racksByName) {
+    byName = racksByName;
+    racks = new ArrayList<>(racksByName.values());
     racks.sort(Comparator.comparingInt(Rack::zone).thenComparingInt(Rack::cell));
     listId = listId(racks);
   }
@@ -53,25 +53,26 @@
   }
 
   /**
-   * Writes the racks into an answer: all of them, or only the shortened ones to a relay that has
-   * this list.
+   * Writes the racks into an answer: only the shortened ones for a relay that has this list, else
+   * all of them.
    *
-   * @param known the id of the list that the relay has; 0: its program has no lists
-   * @param shortened racks that are free for less than their notice, in milliseconds
+   * @param relayListId the id of the list that the relay has; 0 if its program does not support
+   *     lists
+   * @param shortened the milliseconds for which racks stay free, for those below their notice
    */
-  void writeTo(Promised.Builder promised, long known, Map<String, Long> shortened) {
-    if (known == listId) {
+  void writeTo(Promised.Builder promised, long relayListId, Map<String, Long> shortened) {
+    if (relayListId == listId) {
       promised.setList(listId).setRest(true);
       shortened.forEach(
-          (name, left) ->
+          (name, leftMs) ->
               promised.addRacks(
                   RackFree.newBuilder()
                       .setZone(byName.get(name).zone())
                       .setCell(byName.get(name).cell())
-                      .setLeftMs(left)));
+                      .setLeftMs(leftMs)));
       return;
     }
-    if (known != 0) {
+    if (relayListId != 0) {
       promised.setList(listId);
     }
     for (Rack rack : racks) {
@@ -80,7 +81,7 @@
               .setZone(rack.zone())
               .setCell(rack.cell())
               .setLeftMs(shortened.getOrDefault(rack.name(), rack.noticeMs()));
-      if (known != 0) {
+      if (relayListId != 0) {
         entry.setNoticeMs(rack.noticeMs());
       }
       promised.addRacks(entry);
--- a/src/main/java/sprucerock/controller/server/RateLimiter.java
+++ b/src/main/java/sprucerock/controller/server/RateLimiter.java
@@ -1,6 +1,6 @@
 package sprucerock.controller.server;
 
-/** A token bucket: so many requests a second, with bursts of a second's worth. Thread-safe. */
+/** A token bucket that allows bursts of as many requests as one second allows. Thread-safe. */
 final class RateLimiter {
   private static final int MS_PER_SECOND = 1000;
 
@@ -8,14 +8,14 @@
   private double tokens;
   private long lastRefillMs;
 
-  /** Starts full; {@code nowMs}: on the clock of {@link #tryAcquire}. */
+  /** Creates a full bucket; {@code nowMs} is read from the same clock as in {@link #tryAcquire}. */
   RateLimiter(int perSecond, long nowMs) {
     this.requestsPerSecond = perSecond;
     tokens = perSecond;
     lastRefillMs = nowMs;
   }
 
-  /** Whether one more request is within the rate; it counts if it is. */
+  /** Takes a token for a request; returns false if the request exceeds the rate. */
   synchronized boolean tryAcquire(long nowMs) {
     tokens =
         Math.min(
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -32,9 +32,9 @@
 import sprucerock.transport.wire.v1.Worth;
 
 /**
- * The relays' listener. Each relay gets the rollout's status when it connects, at each change and
- * periodically; for one that does not read nothing is queued, and it gets the newest status once it
- * reads. Votes are recorded before they are answered. On the loop only.
+ * Listens for relays. Each relay gets the rollout's status when it connects, after each change and
+ * periodically. Nothing is queued for a relay that does not read; it gets the newest status once it
+ * reads again. Votes are recorded before they are answered. On the loop only.
  */
 final class RelayListener {
   private static final byte[] NO_BODY = {};
@@ -66,7 +66,7 @@
   /**
    * Opens the listener.
    *
-   * @throws IOException if the address can't be had
+   * @throws IOException if the address can't be bound
    */
   InetSocketAddress start() throws IOException {
     listener =
@@ -79,7 +79,7 @@
     return listener.address();
   }
 
-  /** Closes the listener, and all connections once what is unsent is sent. */
+  /** Closes the listener, and each connection once its unsent bytes are sent. */
   void stop() {
     listener.close();
     for (Session session : Set.copyOf(sessions)) {
@@ -109,8 +109,8 @@
   }
 
   /**
-   * A maintenance window was accepted, called off or has begun: an empty answer makes each relay
-   * ask anew, after a random delay of its own.
+   * Notifies all relays that a maintenance window was accepted, called off or has begun. An empty
+   * answer makes each relay send a new request, each after a random delay.
    */
   void notifyGrantsChanged() {
     for (Session session : sessions) {
@@ -154,16 +154,16 @@
     private Timers.Timer retryTimer;
 
     @Override
-    public void helloReceived(FrameConnection made, Hello other) {
-      if (other.getRole() != Role.RELAY) {
-        made.cut("only relays are taken here");
+    public void helloReceived(FrameConnection established, Hello remoteHello) {
+      if (remoteHello.getRole() != Role.RELAY) {
+        established.cut("only relays may connect to this address");
         return;
       }
       sessions.add(this);
       sendStatus();
     }
 
-    /** Sends the status, or tries again later where the relay does not read. */
+    /** Sends the status, or retries later while the relay does not read. */
     void sendStatus() {
       if (retryTimer != null) {
         return;
@@ -189,7 +189,7 @@
         case VOTE -> recordVote((Vote) head);
         case PROMISE_ASK -> answerGrantRequest((PromiseAsk) head);
         case WORTH -> recordHardwareValue((Worth) head);
-        default -> connection.cut("a controller takes no " + kind);
+        default -> connection.cut("a controller accepts no " + kind + " from a relay");
       }
     }
 
@@ -229,8 +229,8 @@
     }
 
     /**
-     * Records how much each hardware family is worth, field by field; the engine rejects what comes
-     * from a relay that was replaced, by its number.
+     * Records the measured value of each hardware family, field by field. The engine rejects
+     * reports of a relay that was replaced, by the report's number.
      */
     private void recordHardwareValue(Worth message) {
       try {
@@ -238,13 +238,13 @@
             Input.newBuilder().setWorth(FamiliesWorth.parseFrom(message.toByteArray())),
             result -> {});
       } catch (InvalidProtocolBufferException e) {
-        connection.cut("what hardware is worth can't be read");
+        connection.cut("the values of the hardware families can't be parsed");
       }
     }
 
     /**
-     * Nobody waits for the grants of a former leader to expire: so leadership is checked last, and
-     * without it there is no answer.
+     * Answers a request for placement grants. Leadership is checked last, and without it no answer
+     * is sent, because nobody waits for the grants of a former leader to expire.
      */
     private void answerGrantRequest(PromiseAsk request) {
       long now =
--- a/src/main/java/sprucerock/controller/server/ReleaseHandler.java
+++ b/src/main/java/sprucerock/controller/server/ReleaseHandler.java
@@ -18,7 +18,7 @@
 import sprucerock.controller.v1.Word;
 import sprucerock.time.Timestamp;
 
-/** {@code /releases} and {@code /fleet}: builds, their rollouts and the endpoints that run them. */
+/** Handles {@code /releases} and {@code /fleet}: builds, their rollouts and their endpoints. */
 final class ReleaseHandler {
   private static final int MAX_BUILD = 65_535;
   private static final int MAX_ARTIFACT_LENGTH = 200;
@@ -32,10 +32,10 @@
   }
 
   /**
-   * Submits an announcement and responds by what became of it. On the loop only.
+   * Submits an announcement and responds with its result. On the loop only.
    *
-   * @param deliveryId by which repeated deliveries are recognized
-   * @param source who announces: a pipeline, or an operator's name
+   * @param deliveryId identifies repeated deliveries
+   * @param source the name of the pipeline or operator that announces the build
    */
   void submitAnnouncement(
       HttpServerExchange exchange,
@@ -64,7 +64,7 @@
         });
   }
 
-  /** An operator announces a build in a pipeline's place. */
+  /** Announces a build on behalf of an operator, without a pipeline. */
   void announce(HttpServerExchange exchange, JsonNode body) {
     int build = body.path("build").asInt(-1);
     String artifact = body.path("artifact").asText("");
@@ -89,7 +89,7 @@
                 who));
   }
 
-  /** How many endpoints run a build by now. */
+  /** Records how many endpoints run a build. */
   void reportReady(HttpServerExchange exchange, int build, JsonNode body) {
     int endpoints = body.path("units").asInt(-1);
     if (endpoints < 0 || build < 1) {
@@ -119,7 +119,7 @@
                     .setReason(origin.reason())));
   }
 
-  /** All builds that are known, with the state of the controller's store. */
+  /** Responds with all known builds, and with the state of the controller's store. */
   void list(HttpServerExchange exchange) {
     dispatcher.dispatch(exchange, () -> respond(exchange, 200, describeAll()));
   }
@@ -137,7 +137,9 @@
     return all;
   }
 
-  /** One build with its steps; for the one in rollout also its votes and what it waits for. */
+  /**
+   * Responds with a build and its steps; for the current one also its votes and blocked reasons.
+   */
   void show(HttpServerExchange exchange, int build) {
     dispatcher.dispatch(
         exchange,
--- a/src/main/java/sprucerock/controller/server/SecretFile.java
+++ b/src/main/java/sprucerock/controller/server/SecretFile.java
@@ -8,25 +8,26 @@
 import sprucerock.config.ConfigException;
 import sprucerock.config.XmlElement;
 
-/** Reads files of secrets; one that others can read is rejected. */
+/** Reads files that hold secrets; rejects a file that users other than its owner can access. */
 final class SecretFile {
   private SecretFile() {}
 
   /**
-   * The text of the file that an attribute of a node names.
+   * Reads the file that an attribute of a node names.
    *
-   * @throws ConfigException if it can't be read, or others than its owner have any right to it
+   * @throws ConfigException if the file can't be read, or grants any permission to users other than
+   *     its owner
    */
   static String read(XmlElement node, String key) throws ConfigException {
     Path file = Path.of(node.text(key));
     try {
-      Set<PosixFilePermission> open = Files.getPosixFilePermissions(file);
-      open.removeAll(
+      Set<PosixFilePermission> permissionsOfOthers = Files.getPosixFilePermissions(file);
+      permissionsOfOthers.removeAll(
           Set.of(
               PosixFilePermission.OWNER_READ,
               PosixFilePermission.OWNER_WRITE,
               PosixFilePermission.OWNER_EXECUTE));
-      if (!open.isEmpty()) {
+      if (!permissionsOfOthers.isEmpty()) {
         throw node.invalid(key + ": " + file + " is open to others than its owner; chmod 600 it");
       }
       return Files.readString(file);
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -13,25 +13,25 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Signs webhooks and verifies their signatures, by the scheme of Standard Webhooks
- * (standardwebhooks.com: id, time and body under HMAC-SHA256, several signatures while secrets
- * rotate) or GitHub's (the body under HMAC-SHA256; no time, so the delivery's id alone guards
- * against replay). No I/O, no state.
+ * Signs webhooks and verifies their signatures. The scheme of Standard Webhooks
+ * (standardwebhooks.com) signs id, timestamp and body with HMAC-SHA256 and allows several
+ * signatures while secrets are rotated. GitHub's scheme signs the body with HMAC-SHA256; it has no
+ * timestamp, so the delivery's id alone protects against replays. No I/O, no state.
  */
 public final class Signatures {
-  /** What is signed, and which headers carry it. */
+  /** Defines which content is signed, and which headers carry the signature. */
   public enum SignatureScheme {
     STANDARD,
     GITHUB
   }
 
-  /** A request's headers; null where one was not sent. */
+  /** A request's signature headers; null for a header that was not sent. */
   public record Headers(String id, String timestamp, String signature) {}
 
   /**
    * The outcome of a verification.
    *
-   * @param id the delivery's; null: the signature is not right
+   * @param id the delivery's id; null if the signature is invalid
    * @param refused why it is not, in words that may be sent to anybody; null: it is right
    */
   public record Verdict(String id, String rejection) {}
@@ -41,7 +41,7 @@
 
   private Signatures() {}
 
-  /** The names of a scheme's headers, in the order of {@link Headers}. */
+  /** The names of a scheme's headers, in the order of the components of {@link Headers}. */
   public static List<String> headerNames(SignatureScheme scheme) {
     return scheme == SignatureScheme.STANDARD
         ? List.of("webhook-id", "webhook-timestamp", "webhook-signature")
@@ -49,10 +49,10 @@
   }
 
   /**
-   * The secrets in a file's text, one a line; whsec_ and base64, or for GitHub as they are. Empty
-   * lines and those that begin with # are left out.
+   * Parses the text of a file with one secret per line: base64 after an optional prefix whsec_, or
+   * plain text for GitHub. Skips empty lines and lines that begin with #.
    *
-   * @throws IllegalArgumentException if a line is no base64
+   * @throws IllegalArgumentException if a line is not valid base64
    */
   public static List<byte[]> parseSecrets(String text, SignatureScheme scheme) {
     return text.lines()
@@ -68,10 +68,10 @@
   }
 
   /**
-   * Whether one of the signatures of a delivery is right by one of the secrets, in constant time.
+   * Verifies that one of a delivery's signatures matches one of the secrets, in constant time.
    *
-   * @param nowSeconds since the epoch
-   * @param tolerance by how much a sender's clock may differ
+   * @param nowSeconds seconds since the Unix epoch
+   * @param tolerance the allowed difference between the sender's clock and this one
    */
   public static Verdict verify(
       SignatureScheme scheme,
@@ -107,7 +107,7 @@
         : new Verdict(null, "no signature of it is right");
   }
 
-  /** Tries all pairs of a signature and a secret, so that the time taken tells nothing. */
+  /** Compares all pairs of a signature and a secret, so that the time taken reveals nothing. */
   private static boolean matches(
       SignatureScheme scheme, String signatures, byte[] signed, List<byte[]> secrets) {
     boolean matches = false;
@@ -132,7 +132,8 @@
           ? HexFormat.of().parseHex(signature.substring(7).toLowerCase(Locale.ROOT))
           : new byte[0];
     } catch (IllegalArgumentException e) {
-      return new byte[0]; // equal to nothing
+      // an empty array equals no signature
+      return new byte[0];
     }
   }
 
@@ -147,7 +148,9 @@
   }
 
   /**
-   * Signs a delivery: the text of the signature's header. {@code time}: seconds since the epoch.
+   * Signs a delivery and returns the value of the signature header.
+   *
+   * @param time seconds since the Unix epoch
    */
   public static String sign(
       SignatureScheme scheme, String id, long time, byte[] body, byte[] secret) {
@@ -159,7 +162,7 @@
             .encodeToString(hmacSha256(secret, standardSignedContent(id, time, body)));
   }
 
-  /** What Standard Webhooks sign. */
+  /** The content that a Standard Webhooks signature covers. */
   private static byte[] standardSignedContent(String id, long time, byte[] body) {
     byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
     byte[] content = Arrays.copyOf(head, head.length + body.length);
--- a/src/main/java/sprucerock/controller/server/WebhookHandler.java
+++ b/src/main/java/sprucerock/controller/server/WebhookHandler.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * {@code POST /hooks/SOURCE}: a build pipeline announces a build. The source's rate is checked
- * before the body is read, and the signature before the body is parsed.
+ * Handles {@code POST /hooks/SOURCE}, by which a build pipeline announces a build. The source's
+ * rate is checked before the body is read, and the signature before the body is parsed.
  */
 final class WebhookHandler implements HttpHandler {
   private static final String PATH = "/hooks/";
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -19,16 +19,16 @@
 import sprucerock.controller.Rollout;
 
 /**
- * Sends each step to one target by a signed webhook, in order and at least once: the next one goes
- * out once the one before was taken, or was given up and written to a file of dead letters. Has a
- * thread and a bounded queue of its own and never delays the controller.
+ * Sends the steps of rollouts to one target by signed webhooks, in order and at least once. A step
+ * is sent after the previous one was accepted, or was given up and written to the dead-letter file.
+ * Has its own thread and bounded queue, and never delays the controller.
  */
 final class WebhookOutbox implements AutoCloseable {
   /**
-   * Where steps are sent.
+   * The receiver of the webhooks.
    *
-   * @param secret by which they are signed
-   * @param retryTimeout how long one is retried before it is given up
+   * @param secret the secret that signs the webhooks
+   * @param retryTimeout how long a step is retried before it becomes a dead letter
    */
   record Target(String name, URI url, byte[] secret, Duration retryTimeout) {}
 
@@ -53,11 +53,11 @@
   private volatile boolean closed;
 
   /**
-   * Begins with {@link #start}.
+   * Creates an outbox; {@link #start} begins to send.
    *
-   * @param onDelivered gets, on the outbox's thread, the sequence number of each step that need not
-   *     be sent again
-   * @param onError gets, for the log, each step that was given up
+   * @param onDelivered receives, on the outbox's thread, the sequence number of each step that need
+   *     not be sent again
+   * @param onError receives a message for the log for each step that was given up
    */
   WebhookOutbox(
       Target target, Path deadLetters, LongConsumer onDelivered, Consumer<String> onError) {
@@ -75,7 +75,8 @@
   }
 
   /**
-   * Queues a step; from any thread. Where too many are queued, the oldest becomes a dead letter.
+   * Queues a step. If the queue is full, its oldest step becomes a dead letter. May be called from
+   * any thread.
    */
   void add(Rollout rollout, Rollout.Transition step) {
     ObjectNode body =
@@ -97,11 +98,11 @@
       queue.notifyAll();
     }
     if (dropped != null) {
-      writeDeadLetter(dropped, "too many wait");
+      writeDeadLetter(dropped, "the queue is full");
     }
   }
 
-  /** How many steps are queued. */
+  /** The number of queued steps. */
   int size() {
     synchronized (queue) {
       return queue.size();
@@ -125,7 +126,7 @@
         onDelivered.accept(next.sequence);
       }
     } catch (InterruptedException e) {
-      // the controller ends: what waits is told after the next start
+      // the controller ends: queued steps are sent after the next start
     }
   }
 
@@ -142,7 +143,9 @@
     }
   }
 
-  /** Sends a message once; null if it was taken, else why it was not. */
+  /**
+   * Sends a message once. Returns null if the target accepted it, else the reason of the failure.
+   */
   private String send(Message message) throws InterruptedException {
     String id = "step-" + message.sequence;
     long now = System.currentTimeMillis() / 1000;
@@ -167,19 +170,25 @@
   }
 
   private void writeDeadLetter(Message message, String reason) {
-    String what =
-        "step " + message.sequence + " was not taken by " + target.name + " (" + reason + ")";
+    String description =
+        "step " + message.sequence + " was not accepted by " + target.name + " (" + reason + ")";
     try {
       Files.writeString(
           deadLetters, message.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-      onError.accept(what + "; it is in " + deadLetters);
+      onError.accept(description + "; it is written to " + deadLetters);
     } catch (IOException e) {
       onError.accept(
-          what + ", nor by " + deadLetters + " (" + e.getMessage() + "): " + message.body);
+          description
+              + ", and cannot be written to "
+              + deadLetters
+              + " ("
+              + e.getMessage()
+              + "): "
+              + message.body);
     }
   }
 
-  /** Ends the thread; what is queued is sent after the next start. */
+  /** Ends the thread; queued steps are sent after the next start. */
   @Override
   public void close() {
     closed = true;
--- a/src/main/java/sprucerock/controller/server/WebhookOutboxes.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutboxes.java
@@ -13,26 +13,31 @@
 import sprucerock.transport.net.nio.NioLoop;
 
 /**
- * The outboxes of all webhook targets. Owns how far each target has got; the engine records how far
- * all of them have, so that steps that some target lacks are sent again after a restart.
+ * The outboxes of all webhook targets. Tracks the last step delivered to each target. The engine
+ * records the last step delivered to all of them, so that steps that some target lacks are sent
+ * again after a restart.
  */
 final class WebhookOutboxes implements AutoCloseable {
   private final Logger log = LoggerFactory.getLogger("sprucerock.controller");
   private final NioLoop loop;
   private final LongConsumer onDeliveredToAll;
   private final List<WebhookOutbox> outboxes = new ArrayList<>();
-  private final Map<String, Long> deliveredByTarget = new TreeMap<>(); // on the loop only
+
+  /** Sequence number of the last step delivered to each target. On the loop only. */
+  private final Map<String, Long> deliveredByTarget = new TreeMap<>();
 
   /**
-   * Without targets; {@code onDeliveredToAll} is told, on the loop, of the last step that every
-   * target has taken, or that was given up.
+   * Creates outboxes without targets.
+   *
+   * @param onDeliveredToAll receives, on the loop, the sequence number of the last step that every
+   *     target has accepted or that was given up
    */
   WebhookOutboxes(NioLoop loop, LongConsumer onDeliveredToAll) {
     this.loop = loop;
     this.onDeliveredToAll = onDeliveredToAll;
   }
 
-  /** Adds the configured targets: to be called once the engine has replayed its log. */
+  /** Adds the configured targets. To be called once the engine has replayed its log. */
   void addTargets(ControllerConfig config) {
     for (WebhookOutbox.Target target : config.outboxTargets) {
       outboxes.add(
@@ -55,7 +60,7 @@
     outboxes.forEach(outbox -> outbox.add(rollout, step));
   }
 
-  /** Queues, in their order, the steps before a restart that some target has not taken. */
+  /** Queues, in order, the steps from before a restart that some target has not accepted. */
   void requeueUndelivered(RolloutManager rollouts) {
     List<Map.Entry<Rollout, Rollout.Transition>> undelivered = new ArrayList<>();
     for (Rollout rollout : rollouts.rollouts()) {
@@ -77,7 +82,7 @@
     }
   }
 
-  /** Ends all threads; what was not taken is sent after the next start. */
+  /** Ends all threads; undelivered steps are sent after the next start. */
   @Override
   public void close() {
     outboxes.forEach(WebhookOutbox::close);
--- a/src/main/java/sprucerock/controller/server/package-info.java
+++ b/src/main/java/sprucerock/controller/server/package-info.java
@@ -1,12 +1,12 @@
 /**
- * A controller as a process: its listeners, its HTTP interfaces and its settings around the engine.
+ * The controller's process around the engine: its listeners, HTTP interfaces and configuration.
  *
- * <p>{@link sprucerock.controller.server.ControllerServer} owns the loop, on whose thread the
- * engine and all connections of relays and agents live, the leadership and the outboxes of
- * webhooks. Nothing here decides about rollouts, deployments or maintenance: whatever changes
- * anything is submitted to the engine as an input, and answered once the input is durable.
+ * <p>{@link sprucerock.controller.server.ControllerServer} owns the loop, the leadership and the
+ * webhook outboxes. The engine and all connections of relays and agents are used on the loop's
+ * thread only. This package decides nothing about rollouts, deployments or maintenance: every
+ * change is submitted to the engine as an input, and answered once the input is durable.
  *
- * <p>HTTP requests come on threads of their own; {@code LoopDispatcher} alone takes them to the
+ * <p>HTTP requests arrive on their own threads; {@code LoopDispatcher} alone moves them to the
  * loop. Each outbox has a thread and a bounded queue. No other thread may use the engine.
  *
  * <p>May depend on the engine, on leases, on the transport and on the agents' artifact store; only
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -123,7 +123,7 @@
    * Each line of a stretch: how it is authorised, the method, the path, and the body if there is
    * one.
    */
-  @Test(dataProvider = "stretches")
+  @Test(dataProvider = "requestSequences")
   public void requestsAreAnsweredAsRecorded(String stretch, String configuration) throws Exception {
     start(configuration);
     if (configuration.equals("agents")) {
