--- a/src/test/java/sprucerock/controller/server/AgentListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentListenerTest.java
@@ -12,7 +12,7 @@
 import sprucerock.transport.wire.v1.AgentSays;
 import sprucerock.transport.wire.v1.Role;
 
-/** Agents that connect, disconnect and stay away; no assertion depends on speed. */
+/** Tests agents that connect, disconnect and stay absent; no assertion depends on speed. */
 public class AgentListenerTest extends ControllerTestSupport {
 
   private void start() throws Exception {
@@ -42,7 +42,7 @@
 
   private RecordingPeer connectAgent(int number) throws Exception {
     RecordingPeer agent = connect(Role.AGENT, number, controller.agentAddress());
-    waitUntil("it is connected", () -> getOnLoop(agent.connection::isReady));
+    waitUntil("the agent is connected", () -> getOnLoop(agent.connection::isReady));
     loop.post(
         () ->
             agent.send(
@@ -55,59 +55,60 @@
     return agent;
   }
 
-  /** On the controller's own loop. */
+  /** Whether a relay is recorded as silent, or as not silent; read on the controller's loop. */
   private boolean isRecorded(int number, boolean silent) {
-    CompletableFuture<Boolean> is = new CompletableFuture<>();
+    CompletableFuture<Boolean> recorded = new CompletableFuture<>();
     controller.runOnLoop(
         () -> {
           ManagedRelay relay = controller.engine().deployments().relay(number);
-          is.complete(relay != null && relay.unreachable() == silent);
+          recorded.complete(relay != null && relay.unreachable() == silent);
         });
-    return is.join();
+    return recorded.join();
   }
 
   @Test
   public void disconnectedAgentBecomesSilentUntilItReconnects() throws Exception {
     start();
-    RecordingPeer stays = connectAgent(1);
-    RecordingPeer goes = connectAgent(2);
-    waitUntil("both are heard", () -> isRecorded(1, false) && isRecorded(2, false));
-    loop.post(() -> goes.connection.cut("it goes"));
-    waitUntil("it is silent", () -> isRecorded(2, true));
-    assertTrue(
-        isRecorded(1, false), "one that is connected is not silent, though it sends nothing");
+    RecordingPeer connected = connectAgent(1);
+    RecordingPeer disconnecting = connectAgent(2);
+    waitUntil("both agents are recorded", () -> isRecorded(1, false) && isRecorded(2, false));
+    loop.post(() -> disconnecting.connection.cut("disconnected by the test"));
+    waitUntil("the agent is silent", () -> isRecorded(2, true));
+    assertTrue(isRecorded(1, false), "a connected agent is not silent, even if it sends nothing");
     connectAgent(2);
-    waitUntil("it is heard again", () -> isRecorded(2, false));
-    assertTrue(getOnLoop(stays.connection::isReady));
+    waitUntil("the agent is no longer silent", () -> isRecorded(2, false));
+    assertTrue(getOnLoop(connected.connection::isReady));
   }
 
-  /** A connection that replaces another one is no absence when the old one closes. */
+  /** Guards against recording an absence when a connection that was replaced closes. */
   @Test
   public void replacedConnectionDoesNotMakeAgentSilent() throws Exception {
     start();
     RecordingPeer first = connectAgent(2);
-    waitUntil("it is heard", () -> isRecorded(2, false));
+    waitUntil("the agent is recorded", () -> isRecorded(2, false));
     connectAgent(2);
     waitUntil("the old connection is cut", () -> getOnLoop(() -> first.closeReason != null));
-    RecordingPeer other = connectAgent(3); // whose silence shows that time enough has passed
-    waitUntil("the other is heard", () -> isRecorded(3, false));
-    loop.post(() -> other.connection.cut("it goes"));
-    waitUntil("the other is silent", () -> isRecorded(3, true));
+    // the silence of agent 3 shows that enough time has passed
+    RecordingPeer other = connectAgent(3);
+    waitUntil("the other agent is recorded", () -> isRecorded(3, false));
+    loop.post(() -> other.connection.cut("disconnected by the test"));
+    waitUntil("the other agent is silent", () -> isRecorded(3, true));
     assertTrue(isRecorded(2, false));
   }
 
   /**
-   * An agent known from before a restart has as long to connect as one that has just disconnected.
+   * Tests that after a restart a known agent gets the same time to connect as an agent that has
+   * just disconnected.
    */
   @Test
   public void agentMissingAfterRestartBecomesSilent() throws Exception {
     start();
     connectAgent(2);
-    waitUntil("it is heard", () -> isRecorded(2, false));
+    waitUntil("the agent is recorded", () -> isRecorded(2, false));
     controller.close();
     start();
-    waitUntil("it is silent", () -> isRecorded(2, true));
+    waitUntil("the agent is silent", () -> isRecorded(2, true));
     connectAgent(2);
-    waitUntil("it is heard again", () -> isRecorded(2, false));
+    waitUntil("the agent is no longer silent", () -> isRecorded(2, false));
   }
 }
--- a/src/test/java/sprucerock/controller/server/ControllerServerTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerServerTest.java
@@ -34,7 +34,7 @@
 import sprucerock.transport.wire.v1.Voted;
 
 /**
- * The controller between a pipeline, an operator and relays, over sockets on loopback; no assertion
+ * Tests a controller with a pipeline, an operator and relays over loopback sockets; no assertion
  * depends on speed.
  */
 public class ControllerServerTest extends ControllerTestSupport {
@@ -42,7 +42,10 @@
   private static final String TOKEN = "0123456789abcdef0123";
 
   private String outboxElements = "";
-  private final String lease = "30s"; // no machine is that slow
+
+  /** Longer than any pause of a slow machine. */
+  private final String lease = "30s";
+
   private final HttpClient http = HttpClient.newHttpClient();
 
   private Path writeConfig(String rate) throws IOException {
@@ -105,9 +108,9 @@
     return answer.statusCode() + " " + answer.body().strip();
   }
 
-  private void assertResponseStartsWith(HttpRequest request, String begins) throws Exception {
+  private void assertResponseStartsWith(HttpRequest request, String prefix) throws Exception {
     String answer = send(request);
-    assertTrue(answer.startsWith(begins), answer);
+    assertTrue(answer.startsWith(prefix), answer);
   }
 
   private String api(String method, String path, String body) throws Exception {
@@ -140,11 +143,11 @@
             getOnLoop(
                 () ->
                     relay.<Voted>heads(FrameKind.VOTED).stream()
-                        .anyMatch(one -> one.getId() == id)));
+                        .anyMatch(voted -> voted.getId() == id)));
     return getOnLoop(
         () ->
             relay.<Voted>heads(FrameKind.VOTED).stream()
-                .filter(one -> one.getId() == id)
+                .filter(voted -> voted.getId() == id)
                 .findFirst()
                 .get()
                 .getTaken());
@@ -153,21 +156,25 @@
   @Test
   public void signedAnnouncementIsRolledOutStageByStage() throws Exception {
     RecordingPeer relay = connectRelay(0);
-    waitUntil("it gets the status at once", () -> lastNews(relay).getStanding() == Stand.RELEASED);
+    waitUntil(
+        "the relay gets the status on connecting",
+        () -> lastNews(relay).getStanding() == Stand.RELEASED);
     assertEquals(send(webhook("m1", announcement(2))), "202 {\"answer\":\"taken\"}");
     assertEquals(send(webhook("m1", announcement(2))), "200 {\"answer\":\"again\"}");
     assertEquals(lastNews(relay).getBuild(), 1);
     assertEquals(api("PUT", "/fleet/2", "{\"units\":10}"), "200 {\"answer\":\"done\"}");
-    waitUntil("it gets the trial", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
+    waitUntil(
+        "the relay gets the canary trial", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
     assertEquals(lastNews(relay).getCap(), 0.12);
-    Thread.sleep(5); // its least time
+    // longer than the minimum time of a stage, 1 ms
+    Thread.sleep(5);
     assertEquals(vote(relay, 1, 2, 1, Say.ON), Taken.MOOT);
     assertEquals(vote(relay, 2, 2, 0, Say.ON), Taken.COUNTS);
-    waitUntil("it gets the next stage", () -> lastNews(relay).getStage() == 1);
+    waitUntil("the relay gets the next stage", () -> lastNews(relay).getStage() == 1);
     Thread.sleep(5);
     assertEquals(vote(relay, 3, 2, 1, Say.ON), Taken.COUNTS);
     waitUntil(
-        "it gets the release",
+        "the relay gets the release",
         () -> lastNews(relay).getStanding() == Stand.RELEASED && lastNews(relay).getBuild() == 2);
     String shown = api("GET", "/releases/2", "");
     assertTrue(
@@ -181,13 +188,14 @@
     RecordingPeer relay = connectRelay(0);
     send(webhook("m1", announcement(2)));
     api("PUT", "/fleet/2", "{\"units\":1}");
-    waitUntil("it gets the trial", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
+    waitUntil(
+        "the relay gets the canary trial", () -> lastNews(relay).getStanding() == Stand.ON_TRIAL);
     News before = lastNews(relay);
     controller.close();
     start("1000");
-    RecordingPeer again = connectRelay(0);
-    waitUntil("it gets the status", () -> lastNews(again).getBuild() == 2);
-    News after = lastNews(again);
+    RecordingPeer reconnected = connectRelay(0);
+    waitUntil("the relay gets the status", () -> lastNews(reconnected).getBuild() == 2);
+    News after = lastNews(reconnected);
     assertEquals(after.getStanding(), Stand.ON_TRIAL);
     assertTrue(
         after.getEpoch() > before.getEpoch() && after.getSequence() == before.getSequence(),
@@ -201,9 +209,11 @@
     for (int i = 0; i < 30; i++) {
       all.add(http.sendAsync(webhook("m1", announcement(2)), HttpResponse.BodyHandlers.ofString()));
     }
-    List<Integer> statuses = all.stream().map(one -> one.join().statusCode()).sorted().toList();
-    assertEquals(statuses.stream().filter(one -> one == 202).count(), 1, statuses.toString());
-    assertEquals(statuses.stream().filter(one -> one == 200).count(), 29, statuses.toString());
+    List<Integer> statuses =
+        all.stream().map(response -> response.join().statusCode()).sorted().toList();
+    assertEquals(statuses.stream().filter(status -> status == 202).count(), 1, statuses.toString());
+    assertEquals(
+        statuses.stream().filter(status -> status == 200).count(), 29, statuses.toString());
   }
 
   @Test
@@ -274,7 +284,8 @@
   @Test
   public void senderOverItsRateLimitGets429() throws Exception {
     controller.close();
-    start("1"); // a dozen in a dozen seconds would be slow beyond any machine
+    // no machine is so slow that twelve requests take twelve seconds
+    start("1");
     List<String> answers = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       answers.add(send(webhook("m1", announcement(2))).substring(0, 3));
@@ -296,7 +307,8 @@
     for (Socket socket : slow) {
       socket.setSoTimeout(20_000);
       while (socket.getInputStream().read() >= 0) {
-        continue; // until it is closed from there
+        // reads until the controller closes the connection
+        continue;
       }
       socket.close();
     }
@@ -328,7 +340,7 @@
     assertTrue(api("GET", "/releases/9", "").startsWith("404 "));
   }
 
-  /** A second controller waits, takes over once the first is gone, and goes on where that was. */
+  /** A standby waits, takes over once the leader has closed, and continues with its state. */
   @Test
   public void standbyTakesOverAfterLeaderCloses() throws Exception {
     send(webhook("m1", announcement(2)));
@@ -343,8 +355,9 @@
                 throw new IllegalStateException(e);
               }
             });
-    Thread.sleep(1500); // thrice the time that a free lease takes to get
-    assertTrue(!second.isDone(), "two at a time");
+    // three times what it takes to acquire a free lease
+    Thread.sleep(1500);
+    assertTrue(!second.isDone(), "two controllers are leaders at the same time");
     first.close();
     controller = second.join();
     assertEquals(send(webhook("m1", announcement(2))), "200 {\"answer\":\"again\"}");
@@ -352,20 +365,21 @@
   }
 
   /**
-   * A target that fails at first gets each step once, in order, and those from before a restart.
+   * A target that fails every other request gets each step once and in order, including the steps
+   * from before a restart.
    */
   @Test
   public void outboxRetriesStepsInOrderAcrossRestart() throws Exception {
-    List<String> heard = java.util.Collections.synchronizedList(new ArrayList<>());
-    java.util.concurrent.atomic.AtomicInteger asked =
+    List<String> delivered = java.util.Collections.synchronizedList(new ArrayList<>());
+    java.util.concurrent.atomic.AtomicInteger requestCount =
         new java.util.concurrent.atomic.AtomicInteger();
     com.sun.net.httpserver.HttpServer listener =
         com.sun.net.httpserver.HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 10);
     listener.createContext(
         "/",
         exchange -> {
-          byte[] got = exchange.getRequestBody().readAllBytes();
-          boolean fails = asked.incrementAndGet() % 2 == 1;
+          byte[] body = exchange.getRequestBody().readAllBytes();
+          boolean fails = requestCount.incrementAndGet() % 2 == 1;
           var headers =
               new Signatures.Headers(
                   exchange.getRequestHeaders().getFirst("webhook-id"),
@@ -375,16 +389,16 @@
               Signatures.verify(
                           Signatures.SignatureScheme.STANDARD,
                           headers,
-                          got,
+                          body,
                           List.of(SECRET),
                           System.currentTimeMillis() / 1000,
                           TimeSpan.ofMs(60_000))
                       .id()
                   != null;
           if (!fails) {
-            heard.add(
+            delivered.add(
                 (signed ? "" : "NOT SIGNED ")
-                    + new String(got, StandardCharsets.UTF_8)
+                    + new String(body, StandardCharsets.UTF_8)
                         .replaceAll(".*sequence\":([0-9]+).*standing\":\"([a-z]+)\".*", "$1 $2"));
           }
           exchange.sendResponseHeaders(fails ? 500 : 204, -1);
@@ -399,9 +413,9 @@
       controller.close();
       start("1000");
       send(webhook("m1", announcement(2)));
-      waitUntil("both steps are delivered", () -> heard.size() >= 2);
+      waitUntil("both steps are delivered", () -> delivered.size() >= 2);
       waitUntil(
-          "and noted",
+          "the delivery is recorded",
           () -> {
             try {
               return api("GET", "/releases", "").matches("(?s).*\"inputs\":[5-9].*");
@@ -412,9 +426,10 @@
       controller.close();
       start("1000");
       send(webhook("m2", announcement(3)));
-      waitUntil("the next ones, too", () -> heard.size() >= 5);
+      waitUntil("the steps after the restart are delivered", () -> delivered.size() >= 5);
       assertEquals(
-          heard, List.of("1 announced", "2 starting", "3 announced", "4 superseded", "5 starting"));
+          delivered,
+          List.of("1 announced", "2 starting", "3 announced", "4 superseded", "5 starting"));
     } finally {
       listener.stop(0);
       outboxElements = "";
--- a/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerSettingsCompatTest.java
@@ -18,8 +18,8 @@
 import sprucerock.controller.RolloutRules;
 
 /**
- * Configurations of controllers: the values that are read, and the errors, are those that were
- * recorded.
+ * Tests that the values read from controller configurations, and the errors, equal the recorded
+ * ones.
  */
 public class ControllerSettingsCompatTest {
   private static final String SETTINGS = "settings/";
@@ -86,10 +86,10 @@
         .put("api.token", config.apiToken)
         .putLeases("leases", config.leaseConfig);
     for (int i = 0; i < config.outboxTargets.size(); i++) {
-      WebhookOutbox.Target tell = config.outboxTargets.get(i);
-      text.put("tell." + tell.name() + ".url", tell.url())
-          .put("tell." + tell.name() + ".secret", hex(tell.secret()));
-      text.put("tell." + tell.name() + ".give-up", tell.retryTimeout().toMillis());
+      WebhookOutbox.Target target = config.outboxTargets.get(i);
+      text.put("tell." + target.name() + ".url", target.url())
+          .put("tell." + target.name() + ".secret", hex(target.secret()));
+      text.put("tell." + target.name() + ".give-up", target.retryTimeout().toMillis());
     }
     renderAgents(text, config);
     renderRules(text, config.rolloutRules);
@@ -118,8 +118,8 @@
         });
   }
 
-  private static String schemeName(Signatures.SignatureScheme form) {
-    return switch (form) {
+  private static String schemeName(Signatures.SignatureScheme scheme) {
+    return switch (scheme) {
       case STANDARD -> "standard";
       case GITHUB -> "github";
     };
@@ -192,10 +192,10 @@
   @Test
   public void invalidSettingsGiveRecordedErrors() throws Exception {
     StringBuilder text = new StringBuilder();
-    String good = Corpus.input(SETTINGS + "controller-every.xml");
+    String valid = Corpus.input(SETTINGS + "controller-every.xml");
     for (String line : Corpus.inputLines(SETTINGS + "controller-wrong.txt")) {
       List<String> parts = Arrays.asList(line.split(" => ", 2));
-      Path file = writeConfig(Corpus.replaced(good, parts.get(0), parts.get(1)));
+      Path file = writeConfig(Corpus.replaced(valid, parts.get(0), parts.get(1)));
       String message =
           expectThrows(ConfigException.class, () -> ControllerConfig.read(file)).getMessage();
       text.append(message.replace(folder.toString(), FOLDER)).append('\n');
--- a/src/test/java/sprucerock/controller/server/ControllerTestSupport.java
+++ b/src/test/java/sprucerock/controller/server/ControllerTestSupport.java
@@ -19,9 +19,9 @@
 import sprucerock.transport.wire.RecordingPeer;
 import sprucerock.transport.wire.v1.Role;
 
-/** What tests of a whole controller share: its folder, the peers' loop, and how they wait. */
+/** Base of tests that run a complete controller: its folder, the peers' loop and helpers. */
 abstract class ControllerTestSupport {
-  /** By the clocks of this machine. */
+  /** Reads the clocks of this machine. */
   static final Engine.Clock CLOCK =
       new Engine.Clock() {
         @Override
@@ -51,7 +51,7 @@
     loop.close();
   }
 
-  /** Writes a file that its owner alone can read. */
+  /** Writes a file that only its owner can read. */
   Path writeSecret(String name, String text) throws IOException {
     Path file = folder.resolve(name);
     Files.writeString(file, text);
@@ -59,27 +59,27 @@
     return file;
   }
 
-  /** Starts the controller of a configuration file. */
+  /** Starts a controller with a configuration file. */
   void start(Path file) throws Exception {
     controller = new ControllerServer(ControllerConfig.read(file), CLOCK, FrameTap.NONE, () -> {});
   }
 
-  /** Waits for a condition, by far longer than any machine needs. */
-  static void waitUntil(String what, BooleanSupplier holds) throws InterruptedException {
-    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
+  /** Waits for a condition, for at least 20 s, which is far longer than any machine needs. */
+  static void waitUntil(String description, BooleanSupplier condition) throws InterruptedException {
+    for (int i = 0; i < 2000 && !condition.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
-    assertTrue(holds.getAsBoolean(), what);
+    assertTrue(condition.getAsBoolean(), description);
   }
 
-  /** A value that belongs to the peers' loop. */
+  /** Reads a value on the peers' loop. */
   <T> T getOnLoop(Supplier<T> value) {
     CompletableFuture<T> result = new CompletableFuture<>();
     loop.post(() -> result.complete(value.get()));
     return result.join();
   }
 
-  /** A relay or an agent that connects to the controller. */
+  /** Connects a fake relay or agent to the controller. */
   RecordingPeer connect(Role role, int number, InetSocketAddress address) {
     return getOnLoop(
         () -> {
--- a/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
+++ b/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
@@ -8,7 +8,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Which agents are overdue, and that finding them costs no more than their number. */
+/** Tests which agents are overdue, and that a query examines only those. */
 public class DisconnectedAgentsTest {
   private static final TimeSpan TIMEOUT = TimeSpan.ofMs(5000);
 
@@ -20,14 +20,17 @@
   public void longestUnheardAgentComesFirstUntilRemoved() {
     DisconnectedAgents agents = new DisconnectedAgents();
     agents.disconnected(1, at(2000));
-    agents.disconnected(2, at(1000)); // disconnected later, but heard last before the first
+    // agent 2 disconnects after agent 1, but its last message is older
+    agents.disconnected(2, at(1000));
     agents.disconnected(3, at(3000));
     assertEquals(agents.silentLongerThan(TIMEOUT, at(6000)), List.of());
     assertEquals(agents.silentLongerThan(TIMEOUT, at(7001)), List.of(2, 1));
-    assertEquals(agents.silentLongerThan(TIMEOUT, at(7002)), List.of(2, 1)); // nobody removed them
+    // overdue agents stay listed until they are removed
+    assertEquals(agents.silentLongerThan(TIMEOUT, at(7002)), List.of(2, 1));
     agents.remove(2);
     assertEquals(agents.silentLongerThan(TIMEOUT, at(9000)), List.of(1, 3));
-    agents.disconnected(1, at(9000)); // was connected again
+    // agent 1 had connected again in between
+    agents.disconnected(1, at(9000));
     assertEquals(agents.silentLongerThan(TIMEOUT, at(9001)), List.of(3));
     agents.remove(7);
   }
--- a/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/HttpApiCompatTest.java
@@ -33,9 +33,9 @@
 import sprucerock.transport.wire.v1.Role;
 
 /**
- * The controller's HTTP API: stretches of requests, with the status and body that each was answered
- * by when it was recorded. The day begins at one instant; ids are numbers in their order. What
- * varies is normalised by {@link #normalised} alone.
+ * Tests that sequences of requests to the controller's HTTP API get the recorded statuses and
+ * bodies. The wall clock stands still at one instant; ids are numbered in order. Values that vary
+ * between runs are normalized by {@link #normalize} alone.
  */
 public class HttpApiCompatTest {
   private static final String HTTP = "http/";
@@ -47,7 +47,10 @@
 
   private static final long HOUR_MS = 3_600_000;
 
-  /** No machine takes so long for a stretch, and no time in one is as near to its beginning. */
+  /**
+   * Longer than any machine takes for a sequence. The times that requests schedule lie further than
+   * this from the sequence's start.
+   */
   private static final long MAX_SEQUENCE_MS = HOUR_MS / 2;
 
   private static final Pattern TIME = Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z");
@@ -120,11 +123,12 @@
   }
 
   /**
-   * Each line of a stretch: how it is authorised, the method, the path, and the body if there is
-   * one.
+   * Each line of a sequence holds the kind of authorization, the method, the path and optionally a
+   * body.
    */
   @Test(dataProvider = "requestSequences")
-  public void requestsAreAnsweredAsRecorded(String stretch, String configuration) throws Exception {
+  public void requestsAreAnsweredAsRecorded(String sequence, String configuration)
+      throws Exception {
     start(configuration);
     if (configuration.equals("agents")) {
       for (int number = 1; number <= AGENT_COUNT; number++) {
@@ -132,7 +136,7 @@
       }
     }
     StringBuilder text = new StringBuilder();
-    for (String line : Corpus.inputLines(HTTP + stretch + ".txt")) {
+    for (String line : Corpus.inputLines(HTTP + sequence + ".txt")) {
       String[] parts = line.split(" ", 4);
       text.append("> ")
           .append(line)
@@ -141,23 +145,23 @@
           .append(send(parts[0], parts[1], parts[2], parts.length < 4 ? "" : parts[3]))
           .append('\n');
     }
-    Corpus.holds(HTTP + stretch + "-answers.txt", text.toString());
+    Corpus.holds(HTTP + sequence + "-answers.txt", text.toString());
   }
 
-  /** One that runs something, and takes no part in more. */
+  /** Connects an agent that reports a running version and does nothing else. */
   private void connectAgent(int number) throws Exception {
-    CompletableFuture<RecordingPeer> made = new CompletableFuture<>();
+    CompletableFuture<RecordingPeer> created = new CompletableFuture<>();
     loop.post(
         () -> {
-          RecordingPeer person = new RecordingPeer(loop, Role.AGENT, number);
+          RecordingPeer peer = new RecordingPeer(loop, Role.AGENT, number);
           loop.connect(
               new InetSocketAddress("127.0.0.1", controller.agentAddress().getPort()),
               TimeSpan.ofMs(5000),
               1 << 20,
-              person.connection);
-          made.complete(person);
+              peer.connection);
+          created.complete(peer);
         });
-    RecordingPeer agent = made.join();
+    RecordingPeer agent = created.join();
     waitUntil(() -> getOnLoop(agent.connection::isReady));
     loop.post(
         () ->
@@ -179,45 +183,46 @@
         });
   }
 
-  private <T> T getOnLoop(Supplier<T> what) {
+  private <T> T getOnLoop(Supplier<T> value) {
     CompletableFuture<T> result = new CompletableFuture<>();
-    loop.post(() -> result.complete(what.get()));
+    loop.post(() -> result.complete(value.get()));
     return result.join();
   }
 
-  private static void waitUntil(BooleanSupplier holds) throws InterruptedException {
-    for (int i = 0; i < 2000 && !holds.getAsBoolean(); i++) {
+  private static void waitUntil(BooleanSupplier condition) throws InterruptedException {
+    for (int i = 0; i < 2000 && !condition.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
-    assertTrue(holds.getAsBoolean());
+    assertTrue(condition.getAsBoolean());
   }
 
-  private String send(String how, String method, String path, String body) throws Exception {
+  private String send(String authorization, String method, String path, String body)
+      throws Exception {
     HttpRequest.Builder request =
-        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port(how) + path))
+        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port(authorization) + path))
             .method(method, HttpRequest.BodyPublishers.ofString(body));
-    if (how.equals("api")) {
+    if (authorization.equals("api")) {
       request.header("Authorization", "Bearer " + TOKEN);
     }
-    if (how.equals("stranger")) {
+    if (authorization.equals("stranger")) {
       request.header("Authorization", "Bearer of bad news");
     }
-    if (how.startsWith("standard:")) {
-      signStandard(request, how.substring(9), body);
+    if (authorization.startsWith("standard:")) {
+      signStandard(request, authorization.substring(9), body);
     }
-    if (how.startsWith("github:")) {
-      signGitHub(request, how.substring(7), body);
+    if (authorization.startsWith("github:")) {
+      signGitHub(request, authorization.substring(7), body);
     }
     HttpResponse<String> answer = http.send(request.build(), HttpResponse.BodyHandlers.ofString());
     String type = answer.headers().firstValue("Content-Type").orElse("none");
-    String again =
+    String retryAfter =
         answer.headers().firstValue("Retry-After").map(after -> " retry-after " + after).orElse("");
-    return answer.statusCode() + " " + type + again + " " + normalize(answer.body().strip());
+    return answer.statusCode() + " " + type + retryAfter + " " + normalize(answer.body().strip());
   }
 
   /**
-   * The folder; times of the test's own minutes, by when they were due; how much of a least time is
-   * over, and how much of a longest one is left.
+   * Normalizes the folder, times close to the start and to an hour after it, the elapsed part of a
+   * minimum time, and the remaining part of a maximum time.
    */
   private String normalize(String body) {
     String text =
@@ -226,20 +231,20 @@
             .replaceAll("for [0-9]+ s at most", "for SOME s at most");
     return TIME.matcher(text)
         .replaceAll(
-            found -> {
-              long since = Instant.parse(found.group()).toEpochMilli() - WALL_MS;
-              if (since >= 0 && since < MAX_SEQUENCE_MS) {
+            match -> {
+              long sinceStartMs = Instant.parse(match.group()).toEpochMilli() - WALL_MS;
+              if (sinceStartMs >= 0 && sinceStartMs < MAX_SEQUENCE_MS) {
                 return "NOW";
               }
-              return since >= HOUR_MS && since < HOUR_MS + MAX_SEQUENCE_MS
+              return sinceStartMs >= HOUR_MS && sinceStartMs < HOUR_MS + MAX_SEQUENCE_MS
                   ? "AN-HOUR-FROM-NOW"
-                  : found.group();
+                  : match.group();
             });
   }
 
-  private int port(String how) {
-    boolean operators = List.of("api", "stranger", "nobody").contains(how);
-    return (operators ? controller.apiAddress() : controller.webhookAddress()).getPort();
+  private int port(String authorization) {
+    boolean isApi = List.of("api", "stranger", "nobody").contains(authorization);
+    return (isApi ? controller.apiAddress() : controller.webhookAddress()).getPort();
   }
 
   private static void signStandard(HttpRequest.Builder request, String id, String body) {
@@ -270,13 +275,13 @@
                 SECRET));
   }
 
-  /** So that each kind of thing that can be asked for is in a stretch. */
+  /** Checks that the recorded sequences use every path of the API. */
   @Test
   public void recordedRequestsCoverEachPath() throws Exception {
     start("plain");
     StringBuilder all = new StringBuilder();
-    for (Object[] stretch : requestSequences()) {
-      all.append(Corpus.input(HTTP + stretch[0] + ".txt"));
+    for (Object[] sequence : requestSequences()) {
+      all.append(Corpus.input(HTTP + sequence[0] + ".txt"));
     }
     for (String path :
         List.of(
--- a/src/test/java/sprucerock/controller/server/RelayListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/RelayListenerTest.java
@@ -21,18 +21,18 @@
 import sprucerock.transport.wire.v1.Role;
 
 /**
- * Placement grants that relays of older and newer programs get, and their bytes against the number
- * of racks; no assertion depends on speed.
+ * Tests the placement grants that relays with older and newer programs get, and their size for
+ * different numbers of racks; no assertion depends on speed.
  */
 public class RelayListenerTest extends ControllerTestSupport {
   private static final long MINUTE_MS = 60_000;
   private long lastRequestId;
 
-  /** Starts with so many racks, of which the first has a notice of a day. */
-  private void start(int racks) throws Exception {
-    StringBuilder all = new StringBuilder();
-    for (int i = 0; i < racks; i++) {
-      all.append(
+  /** Starts a controller with a number of racks, of which the first has a notice of a day. */
+  private void start(int rackCount) throws Exception {
+    StringBuilder rackElements = new StringBuilder();
+    for (int i = 0; i < rackCount; i++) {
+      rackElements.append(
           "<rack name=\"r%d\" zone=\"%d\" cell=\"%d\"%s><units kind=\"1\" count=\"40\"/></rack>"
               .formatted(i, 1 + i % 3, i / 3, i == 0 ? " notice=\"1440min\"" : ""));
     }
@@ -56,7 +56,7 @@
                 folder.resolve("store"),
                 writeSecret("ci", "whsec_MDEyMzQ1Njc4OWFiY2RlZjAxMjM="),
                 writeSecret("token", "0123456789abcdef0123"),
-                all));
+                rackElements));
     start(file);
   }
 
@@ -65,38 +65,38 @@
   }
 
   private Promised requestGrants(RecordingPeer relay, long list) throws Exception {
-    waitUntil("it is connected", () -> getOnLoop(relay.connection::isReady));
+    waitUntil("the relay is connected", () -> getOnLoop(relay.connection::isReady));
     long id = ++lastRequestId;
     loop.post(
         () ->
             relay.send(
                 FrameKind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
     waitUntil(
-        "ask " + id + " is answered",
+        "request " + id + " is answered",
         () ->
             getOnLoop(
                 () ->
                     relay.<Promised>heads(FrameKind.PROMISED).stream()
-                        .anyMatch(one -> one.getId() == id)));
+                        .anyMatch(promised -> promised.getId() == id)));
     return getOnLoop(
         () ->
             relay.<Promised>heads(FrameKind.PROMISED).stream()
-                .filter(one -> one.getId() == id)
+                .filter(promised -> promised.getId() == id)
                 .findFirst()
                 .get());
   }
 
-  private void announceWindows(String rack, long fromNow, int times) throws Exception {
+  private void announceWindows(String rack, long fromNowMs, int count) throws Exception {
     CompletableFuture<Object> done = new CompletableFuture<>();
     controller.runOnLoop(
         () -> {
-          for (int i = 0; i < times; i++) {
+          for (int i = 0; i < count; i++) {
             controller.submit(
                 Input.newBuilder()
                     .setFreeze(
                         FreezeWanted.newBuilder()
                             .addRacks(rack)
-                            .setFromMs(System.currentTimeMillis() + fromNow + i * MINUTE_MS)
+                            .setFromMs(System.currentTimeMillis() + fromNowMs + i * MINUTE_MS)
                             .setLastsMs(MINUTE_MS)
                             .setZone("UTC")
                             .setWho("ann")
@@ -107,7 +107,7 @@
     assertTrue(done.get() instanceof AppendResult.WindowsOpened, "" + done.get());
   }
 
-  /** All racks, and no field that an older program does not know. */
+  /** The answer has all racks, and no field that an older program does not know. */
   @Test
   public void relayWithoutListSupportGetsAllRacksEachTime() throws Exception {
     start(5);
@@ -118,7 +118,7 @@
       assertTrue(
           all.getList() == 0
               && !all.getRest()
-              && all.getRacksList().stream().allMatch(one -> one.getNoticeMs() == 0));
+              && all.getRacksList().stream().allMatch(rack -> rack.getNoticeMs() == 0));
     }
   }
 
@@ -133,8 +133,9 @@
         List.of(
             10 * MINUTE_MS, 10 * MINUTE_MS, 10 * MINUTE_MS, 10 * MINUTE_MS, 24 * 60 * MINUTE_MS));
     assertEquals(requestGrants(relay, all.getList()).getRacksCount(), 0);
-    announceWindows("r0", 20 * 60 * MINUTE_MS, 1); // within its own notice
-    announceWindows("r1", 20 * 60 * MINUTE_MS, 1); // long before its notice
+    // r0: within its notice of 24 h; r1: long before its notice of 10 min
+    announceWindows("r0", 20 * 60 * MINUTE_MS, 1);
+    announceWindows("r1", 20 * 60 * MINUTE_MS, 1);
     announceWindows("r4", 5 * MINUTE_MS, 1);
     Promised some = requestGrants(relay, all.getList());
     assertTrue(
@@ -142,29 +143,30 @@
             && some.getList() == all.getList()
             && some.getSequence() > all.getSequence());
     List<String> named = new ArrayList<>();
-    for (RackFree one : some.getRacksList()) {
+    for (RackFree rack : some.getRacksList()) {
       named.add(
-          one.getZone()
+          rack.getZone()
               + "/"
-              + one.getCell()
-              + (one.getLeftMs() <= 5 * MINUTE_MS
+              + rack.getCell()
+              + (rack.getLeftMs() <= 5 * MINUTE_MS
                   ? " within 5 min"
-                  : one.getLeftMs() <= 20 * 60 * MINUTE_MS ? " within 20 h" : ""));
+                  : rack.getLeftMs() <= 20 * 60 * MINUTE_MS ? " within 20 h" : ""));
     }
     assertEquals(named, List.of("1/0 within 20 h", "2/1 within 5 min"));
     // a relay with a list that this controller never sent gets all racks, with the same grants
     Promised again = requestGrants(connectRelay(1), all.getList() + 1);
     assertTrue(!again.getRest() && again.getList() == all.getList());
     assertEquals(
-        again.getRacksList().stream().filter(one -> one.getLeftMs() < one.getNoticeMs()).count(),
+        again.getRacksList().stream().filter(rack -> rack.getLeftMs() < rack.getNoticeMs()).count(),
         2);
     Promised old = requestGrants(connectRelay(2), 0);
     assertEquals(
-        old.getRacksList().stream().filter(one -> one.getLeftMs() <= 5 * MINUTE_MS).count(), 1);
+        old.getRacksList().stream().filter(rack -> rack.getLeftMs() <= 5 * MINUTE_MS).count(), 1);
   }
 
   /**
-   * The id is a hash of the racks: a controller that starts again, or its standby, goes on with it.
+   * The id is a hash of the racks, so that a restarted controller or its standby continues to use
+   * it.
    */
   @Test
   public void rackListIdSurvivesRestartAndChangesWithRacks() throws Exception {
@@ -181,21 +183,22 @@
 
   @Test
   public void answerSizeIsIndependentOfRackCount() throws Exception {
-    int[] sizes = {50, 3000}; // the second is a fleet of 120,000 units
+    // 3000 racks hold 120,000 endpoints
+    int[] sizes = {50, 3000};
     int[] bytes = new int[2];
     for (int i = 0; i < 2; i++) {
       start(sizes[i]);
       RecordingPeer relay = connectRelay(0);
-      Promised whole = requestGrants(relay, 1);
+      Promised complete = requestGrants(relay, 1);
       announceWindows("r4", MINUTE_MS, 1);
-      bytes[i] = requestGrants(relay, whole.getList()).getSerializedSize();
+      bytes[i] = requestGrants(relay, complete.getList()).getSerializedSize();
       System.out.printf(
           Locale.ROOT,
           "counted: bytes of an answer about racks, one of them frozen soon: at %d %d; told whole"
               + " %d; to an older relay %d%n",
           sizes[i],
           bytes[i],
-          whole.getSerializedSize(),
+          complete.getSerializedSize(),
           requestGrants(relay, 0).getSerializedSize());
       if (i > 0) {
         continue;
@@ -203,11 +206,11 @@
       controller.close();
       folder = Files.createTempDirectory("promises");
     }
-    assertTrue(
-        bytes[1] <= bytes[0] + 8, bytes[1] + " after " + bytes[0]); // but for what a number takes
+    // 8 bytes allow for longer encodings of numbers
+    assertTrue(bytes[1] <= bytes[0] + 8, bytes[1] + " after " + bytes[0]);
   }
 
-  /** Each relay is notified once that something has changed, however many windows moved. */
+  /** Each relay is notified once per commit, however many windows have changed. */
   @Test
   public void windowsOfOneCommitAreNotifiedOnce() throws Exception {
     start(5);
@@ -219,7 +222,7 @@
         getOnLoop(
             () ->
                 relay.<Promised>heads(FrameKind.PROMISED).stream()
-                    .filter(one -> one.getId() == 0)
+                    .filter(promised -> promised.getId() == 0)
                     .count());
     System.out.println("counted: nudges for 20 freezes of one turn: " + notifications);
     assertEquals(notifications, 1);
--- a/src/test/java/sprucerock/controller/server/SignaturesTest.java
+++ b/src/test/java/sprucerock/controller/server/SignaturesTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import sprucerock.time.TimeSpan;
 
-/** Signatures of both forms, right and wrong. */
+/** Tests valid and invalid signatures of both schemes. */
 public class SignaturesTest {
   private static final byte[] OLD_SECRET = "the secret before".getBytes(StandardCharsets.UTF_8);
   private static final byte[] NEW_SECRET = "the secret now".getBytes(StandardCharsets.UTF_8);
@@ -61,12 +61,12 @@
     assertNotNull(verifyStandard("m1", "1000", null, BODY).rejection());
     assertNotNull(verifyStandard("m1", "1000", "v1,%%%", BODY).rejection());
     assertNotNull(verifyStandard("m 1", "1000", sign(NEW_SECRET), BODY).rejection());
+    // the valid signature is the 21st, and only the first ten are checked
     assertNotNull(
-        verifyStandard("m1", "1000", "v1,AA== ".repeat(20) + sign(NEW_SECRET), BODY)
-            .rejection()); // beyond as many as are looked at
+        verifyStandard("m1", "1000", "v1,AA== ".repeat(20) + sign(NEW_SECRET), BODY).rejection());
   }
 
-  /** The example of GitHub's own page. */
+  /** Uses the example of GitHub's documentation. */
   @Test
   public void gitHubsPublishedExampleVerifies() {
     Signatures.Headers headers =
@@ -95,7 +95,7 @@
 
   @Test
   public void secretsAreParsedOnePerLine() {
-    List<byte[]> read =
+    List<byte[]> secrets =
         Signatures.parseSecrets(
             "# now\nwhsec_"
                 + Base64.getEncoder().encodeToString(NEW_SECRET)
@@ -103,8 +103,8 @@
                 + Base64.getEncoder().encodeToString(OLD_SECRET)
                 + "\n",
             Signatures.SignatureScheme.STANDARD);
-    assertEquals(read.size(), 2);
-    assertEquals(read.get(0), NEW_SECRET);
-    assertEquals(read.get(1), OLD_SECRET);
+    assertEquals(secrets.size(), 2);
+    assertEquals(secrets.get(0), NEW_SECRET);
+    assertEquals(secrets.get(1), OLD_SECRET);
   }
 }
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -32,8 +32,8 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Webhooks, those that come in and those that go out: recorded bodies with their signatures, and
- * the file of dead letters.
+ * Tests incoming and outgoing webhooks against recorded bodies and signatures, and the dead-letter
+ * file.
  */
 public class WebhooksCompatTest {
   private static final String ANNOUNCEMENT = "webhooks/announcement.json";
@@ -74,10 +74,10 @@
           0.3,
           TimeSpan.ofMs(1000));
 
-  /** A webhook as its receiver got it. */
+  /** A webhook as received by its target. */
   private record ReceivedWebhook(List<String> headers, byte[] body) {}
 
-  /** A step of a release, as the controller tells it. */
+  /** A step of a rollout that the controller sends by webhook. */
   private record RolloutStep(Rollout rollout, Rollout.Transition step) {}
 
   public static void record(Path corpus) throws Exception {
@@ -98,20 +98,21 @@
         corpus.resolve(SIGNATURES), String.join("\n", signatures(announcement, secrets)) + "\n");
     List<ReceivedWebhook> received = deliver(secrets);
     StringBuilder bodies = new StringBuilder();
-    for (ReceivedWebhook one : received) {
-      bodies.append(new String(one.body, StandardCharsets.UTF_8)).append('\n');
+    for (ReceivedWebhook webhook : received) {
+      bodies.append(new String(webhook.body, StandardCharsets.UTF_8)).append('\n');
     }
     Files.writeString(corpus.resolve(BODIES), bodies.toString());
     Files.writeString(
         corpus.resolve(HEADERS), String.join("\n", timeIndependentHeaders(received)) + "\n");
   }
 
-  /** What is announced by a body, and why two that are damaged are refused. */
+  /** Describes the announcement in a body, and the errors of two damaged copies of it. */
   private static List<String> parseAll(byte[] body) throws Exception {
     AnnouncementParser parser = new AnnouncementParser();
-    AnnouncementParser.BuildAnnouncement read = parser.parse(body);
+    AnnouncementParser.BuildAnnouncement announcement = parser.parse(body);
     List<String> lines =
-        new ArrayList<>(List.of("build " + read.build() + ", artifact " + read.artifact()));
+        new ArrayList<>(
+            List.of("build " + announcement.build() + ", artifact " + announcement.artifact()));
     String text = new String(body, StandardCharsets.UTF_8);
     for (String damaged :
         List.of(text.replace("4711,", "0,"), text.replace("artifact", "artefact"))) {
@@ -125,27 +126,27 @@
     return lines;
   }
 
-  /** A body signed with each secret in both forms. */
+  /** Signs a body with each secret by both schemes. */
   private static List<String> signatures(byte[] body, String secrets) {
     List<String> lines = new ArrayList<>();
-    for (Signatures.SignatureScheme form :
+    for (Signatures.SignatureScheme scheme :
         List.of(Signatures.SignatureScheme.STANDARD, Signatures.SignatureScheme.GITHUB)) {
-      lines.add(String.join(" ", Signatures.headerNames(form)));
-      List<byte[]> known = parseSecrets(secrets, form);
-      for (byte[] secret : known) {
-        lines.add(Signatures.sign(form, DELIVERY_ID, TIMESTAMP_S, body, secret));
+      lines.add(String.join(" ", Signatures.headerNames(scheme)));
+      List<byte[]> parsed = parseSecrets(secrets, scheme);
+      for (byte[] secret : parsed) {
+        lines.add(Signatures.sign(scheme, DELIVERY_ID, TIMESTAMP_S, body, secret));
       }
     }
     return lines;
   }
 
-  private static List<byte[]> parseSecrets(String text, Signatures.SignatureScheme form) {
-    return Signatures.parseSecrets(text, form);
+  private static List<byte[]> parseSecrets(String text, Signatures.SignatureScheme scheme) {
+    return Signatures.parseSecrets(text, scheme);
   }
 
-  /** The steps that an announced build takes at once. */
+  /** Runs an engine and returns the steps that an announced build makes immediately. */
   private static List<RolloutStep> recordSteps(Path folder) throws Exception {
-    List<RolloutStep> told = new ArrayList<>();
+    List<RolloutStep> recorded = new ArrayList<>();
     Engine.Clock clock =
         new Engine.Clock() {
           @Override
@@ -158,10 +159,10 @@
             return 0;
           }
         };
-    DeploymentManager.Listener nobody =
+    DeploymentManager.Listener noOpListener =
         new DeploymentManager.Listener() {
           @Override
-          public void transitioned(Deployment change, Deployment.Transition step) {}
+          public void transitioned(Deployment deployment, Deployment.Transition step) {}
 
           @Override
           public void desiredStateChanged(ManagedRelay relay) {}
@@ -174,10 +175,10 @@
             1,
             PLAN,
             clock,
-            (release, step) -> told.add(new RolloutStep(release, step)),
-            nobody,
+            (rollout, step) -> recorded.add(new RolloutStep(rollout, step)),
+            noOpListener,
             MaintenanceWindows.withoutRacks(),
-            said -> {});
+            failure -> {});
     engine.start();
     engine.append(
         Input.newBuilder()
@@ -187,13 +188,13 @@
                     .setBuild(4711)
                     .setArtifact("registry/app:4711")
                     .setSource("ci \"1\"")),
-        any -> {});
+        result -> {});
     engine.flush();
     engine.close();
-    return told;
+    return recorded;
   }
 
-  /** Delivers the steps to a receiver that takes all. */
+  /** Delivers the steps to a receiver that accepts all of them. */
   private static List<ReceivedWebhook> deliver(String secrets) throws Exception {
     Path folder = Files.createTempDirectory("compat");
     BlockingQueue<ReceivedWebhook> received = new LinkedBlockingQueue<>();
@@ -208,8 +209,8 @@
       List<RolloutStep> steps = recordSteps(Files.createDirectories(folder.resolve("store")));
       outbox.start();
       List<ReceivedWebhook> all = new ArrayList<>();
-      for (RolloutStep one : steps) {
-        outbox.add(one.rollout, one.step);
+      for (RolloutStep rolloutStep : steps) {
+        outbox.add(rolloutStep.rollout, rolloutStep.step);
         all.add(received.poll(TIMEOUT_S, TimeUnit.SECONDS));
       }
       return all;
@@ -223,18 +224,18 @@
       HttpServer server,
       String secrets,
       Path deadLetters,
-      Duration giveUp,
-      BlockingQueue<Long> done) {
+      Duration retryTimeout,
+      BlockingQueue<Long> delivered) {
     URI url = URI.create("http://127.0.0.1:" + server.getAddress().getPort() + "/hook");
     return new WebhookOutbox(
         new WebhookOutbox.Target(
             "listener",
             url,
             parseSecrets(secrets, Signatures.SignatureScheme.STANDARD).get(0),
-            giveUp),
+            retryTimeout),
         deadLetters,
-        done::add,
-        said -> {});
+        delivered::add,
+        error -> {});
   }
 
   private static HttpServer startReceiver(int status, BlockingQueue<ReceivedWebhook> received)
@@ -254,9 +255,11 @@
     return server;
   }
 
-  /** The headers that do not depend on the time of delivery. */
+  /** Returns the headers that do not depend on the time of delivery. */
   private static List<String> timeIndependentHeaders(List<ReceivedWebhook> received) {
-    return received.stream().map(one -> one.headers.get(0) + " " + one.headers.get(1)).toList();
+    return received.stream()
+        .map(webhook -> webhook.headers.get(0) + " " + webhook.headers.get(1))
+        .toList();
   }
 
   @Test
@@ -278,15 +281,16 @@
     byte[] body = Files.readAllBytes(CorpusFiles.path(ANNOUNCEMENT));
     List<String> signatures = CorpusFiles.lines(SIGNATURES);
     int line = 0;
-    for (Signatures.SignatureScheme form :
+    for (Signatures.SignatureScheme scheme :
         List.of(Signatures.SignatureScheme.STANDARD, Signatures.SignatureScheme.GITHUB)) {
-      List<byte[]> secrets = parseSecrets(CorpusFiles.text(SECRETS), form);
-      line++; // the names of the headers
+      List<byte[]> secrets = parseSecrets(CorpusFiles.text(SECRETS), scheme);
+      // skips the line with the names of the headers
+      line++;
       for (int i = 0; i < secrets.size(); i++) {
         Signatures.Headers headers =
             new Signatures.Headers(DELIVERY_ID, Long.toString(TIMESTAMP_S), signatures.get(line++));
         assertEquals(
-            Signatures.verify(form, headers, body, secrets, TIMESTAMP_S, TOLERANCE),
+            Signatures.verify(scheme, headers, body, secrets, TIMESTAMP_S, TOLERANCE),
             new Signatures.Verdict(DELIVERY_ID, null));
       }
     }
@@ -298,38 +302,41 @@
     String secrets = CorpusFiles.text(SECRETS);
     List<ReceivedWebhook> received = deliver(secrets);
     assertEquals(
-        received.stream().map(one -> new String(one.body, StandardCharsets.UTF_8)).toList(),
+        received.stream().map(webhook -> new String(webhook.body, StandardCharsets.UTF_8)).toList(),
         CorpusFiles.lines(BODIES));
     assertEquals(timeIndependentHeaders(received), CorpusFiles.lines(HEADERS));
-    for (ReceivedWebhook one : received) {
+    for (ReceivedWebhook webhook : received) {
       Signatures.Headers headers =
-          new Signatures.Headers(one.headers.get(1), one.headers.get(2), one.headers.get(3));
+          new Signatures.Headers(
+              webhook.headers.get(1), webhook.headers.get(2), webhook.headers.get(3));
       Signatures.Verdict verdict =
           Signatures.verify(
               Signatures.SignatureScheme.STANDARD,
               headers,
-              one.body,
+              webhook.body,
               parseSecrets(secrets, Signatures.SignatureScheme.STANDARD),
-              Long.parseLong(one.headers.get(2)),
+              Long.parseLong(webhook.headers.get(2)),
               TOLERANCE);
-      assertEquals(verdict, new Signatures.Verdict(one.headers.get(1), null));
+      assertEquals(verdict, new Signatures.Verdict(webhook.headers.get(1), null));
     }
   }
 
   @Test
   public void deadLetterIsWrittenAsRecorded() throws Exception {
     Path folder = Files.createTempDirectory("compat");
-    BlockingQueue<Long> done = new LinkedBlockingQueue<>();
+    BlockingQueue<Long> delivered = new LinkedBlockingQueue<>();
     HttpServer server = startReceiver(ERROR_STATUS, new LinkedBlockingQueue<>());
-    Path letters = folder.resolve("dead-letters");
+    Path deadLetters = folder.resolve("dead-letters");
     try (WebhookOutbox outbox =
-        createOutbox(server, CorpusFiles.text(SECRETS), letters, Duration.ofMillis(1), done)) {
+        createOutbox(
+            server, CorpusFiles.text(SECRETS), deadLetters, Duration.ofMillis(1), delivered)) {
       outbox.start();
-      for (RolloutStep one : recordSteps(Files.createDirectories(folder.resolve("store")))) {
-        outbox.add(one.rollout, one.step);
-        done.poll(TIMEOUT_S, TimeUnit.SECONDS);
+      for (RolloutStep rolloutStep :
+          recordSteps(Files.createDirectories(folder.resolve("store")))) {
+        outbox.add(rolloutStep.rollout, rolloutStep.step);
+        delivered.poll(TIMEOUT_S, TimeUnit.SECONDS);
       }
-      assertEquals(Files.readAllLines(letters), CorpusFiles.lines(BODIES));
+      assertEquals(Files.readAllLines(deadLetters), CorpusFiles.lines(BODIES));
     } finally {
       server.stop(0);
       CorpusFiles.remove(folder);
