--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -229,7 +229,7 @@
     }
 
     /**
-     * Records the measured value of each hardware family, field by field. The engine rejects
+     * Records the reported value of each hardware family, field by field. The engine rejects
      * reports of a relay that was replaced, by the report's number.
      */
     private void recordHardwareValue(Worth message) {
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -32,7 +32,8 @@
    * The outcome of a verification.
    *
    * @param id the delivery's id; null if the signature is invalid
-   * @param refused why it is not, in words that may be sent to anybody; null: it is right
+   * @param rejection why the signature is invalid, in words that may be sent to any client; null if
+   *     it is valid
    */
   public record Verdict(String id, String rejection) {}
 
