--- a/src/main/java/sprucerock/controller/server/HttpServer.java
+++ b/src/main/java/sprucerock/controller/server/HttpServer.java
@@ -10,15 +10,15 @@
 
 /**
  * The controller's two HTTP listeners: webhooks from build pipelines, and the operators' API. Sizes
- * of bodies, slowness of senders, rates and concurrent requests are bounded; a request that changes
- * anything is answered once it is on disk. Docs: operators/webhooks.md.
+ * of bodies, read times, rates and concurrent requests are bounded. A request that changes state is
+ * answered once the change is durable. Docs: operators/webhooks.md.
  */
 final class HttpServer {
   private static final int API_READ_TIMEOUT_MS = 5000;
   private static final int MAX_CONCURRENT_API_REQUESTS = 50;
   private static final int MAX_HEADER_BYTES = 16 * 1024;
   private static final int IDLE_TIMEOUT_MS = 30_000;
-  private static final int THREADS = 2;
+  private static final int THREADS_PER_POOL = 2;
 
   private final Undertow webhooks;
   private final Undertow api;
@@ -26,7 +26,7 @@
   /**
    * Builds both listeners; {@link #start} opens them.
    *
-   * @throws IOException if the schema of announcements can't be read from the program
+   * @throws IOException if the schema of announcements can't be read from the program's resources
    */
   HttpServer(ControllerConfig config, ControllerServer controller) throws IOException {
     LoopDispatcher dispatcher = new LoopDispatcher(controller);
@@ -57,8 +57,8 @@
     return Undertow.builder()
         .addHttpListener(address.getPort(), address.getAddress().getHostAddress())
         .setHandler(handler)
-        .setIoThreads(THREADS)
-        .setWorkerThreads(THREADS)
+        .setIoThreads(THREADS_PER_POOL)
+        .setWorkerThreads(THREADS_PER_POOL)
         .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
         .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MS)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, timeoutMs)
@@ -70,19 +70,19 @@
   /**
    * Opens both listeners.
    *
-   * @throws RuntimeException if an address can't be had
+   * @throws RuntimeException if an address can't be bound
    */
   void start() {
     webhooks.start();
     api.start();
   }
 
-  /** Where webhooks are taken, with the port that was given. */
+  /** The address that receives webhooks, with the port that is bound. */
   InetSocketAddress webhookAddress() {
     return address(webhooks);
   }
 
-  /** Where operators are answered, with the port that was given. */
+  /** The address of the operators' API, with the port that is bound. */
   InetSocketAddress apiAddress() {
     return address(api);
   }
--- a/src/main/java/sprucerock/controller/server/WebhookHandler.java
+++ b/src/main/java/sprucerock/controller/server/WebhookHandler.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * {@code POST /hooks/SOURCE}: a build pipeline announces a build. The source's rate is checked
- * before the body is read, and the signature before the body is parsed.
+ * Handles {@code POST /hooks/SOURCE}, by which a build pipeline announces a build. The source's
+ * rate is checked before the body is read, and the signature before the body is parsed.
  */
 final class WebhookHandler implements HttpHandler {
   private static final String PATH = "/hooks/";
@@ -72,8 +72,8 @@
             source.secrets(),
             System.currentTimeMillis() / 1000,
             config.signatureTimeTolerance);
-    if (verdict.refused() != null) {
-      respond(exchange, 401, "not_signed", verdict.refused());
+    if (verdict.rejection() != null) {
+      respond(exchange, 401, "not_signed", verdict.rejection());
       return;
     }
     announce(exchange, source.name(), verdict.id(), body);
