--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -10,45 +10,45 @@
 import sprucerock.time.Timestamp;
 
 /**
- * Agents without a connection, ordered by when they were last heard, so that those overdue are
- * found at the front, whatever the number of agents. Bounded by the number of agents that were ever
- * connected, each of which is known to the engine. On the loop only.
+ * Agents without a connection, ordered by the time of their last message, so that overdue agents
+ * are found at the front, whatever the number of agents. Bounded by the number of agents that were
+ * ever connected, each of which the engine has recorded. On the loop only.
  */
 final class DisconnectedAgents {
-  private record Absence(int relay, Timestamp lastHeard) {}
+  private record Absence(int relay, Timestamp lastMessageTime) {}
 
   private final Map<Integer, Absence> byRelay = new HashMap<>();
-  private final TreeSet<Absence> byLastHeard =
+  private final TreeSet<Absence> byLastMessageTime =
       new TreeSet<>(
-          Comparator.<Absence>comparingDouble(absence -> absence.lastHeard.ms())
+          Comparator.<Absence>comparingDouble(absence -> absence.lastMessageTime.ms())
               .thenComparingInt(Absence::relay));
   private long entriesExamined;
 
-  /** An agent's connection is gone; {@code lastHeard}: when its last message came. */
-  void disconnected(int relay, Timestamp lastHeard) {
+  /** Records that an agent has lost its connection, and when its last message arrived. */
+  void disconnected(int relay, Timestamp lastMessageTime) {
     remove(relay);
-    Absence absence = new Absence(relay, lastHeard);
+    Absence absence = new Absence(relay, lastMessageTime);
     byRelay.put(relay, absence);
-    byLastHeard.add(absence);
+    byLastMessageTime.add(absence);
   }
 
-  /** An agent is connected again, or its absence is recorded. */
+  /** Removes an agent that is connected again, or whose absence the engine has recorded. */
   void remove(int relay) {
-    Absence before = byRelay.remove(relay);
-    if (before != null) {
-      byLastHeard.remove(before);
+    Absence removed = byRelay.remove(relay);
+    if (removed != null) {
+      byLastMessageTime.remove(removed);
     }
   }
 
   /**
-   * Relays whose agents were not heard for longer than a time, the longest first; they stay until
-   * {@link #remove}.
+   * Relays whose agents have sent nothing for longer than a timeout, the longest silence first.
+   * They stay listed until {@link #remove}.
    */
-  List<Integer> unheardLongerThan(TimeSpan timeout, Timestamp now) {
+  List<Integer> silentLongerThan(TimeSpan timeout, Timestamp now) {
     List<Integer> overdue = new ArrayList<>();
-    for (Absence absence : byLastHeard) {
+    for (Absence absence : byLastMessageTime) {
       entriesExamined++;
-      if (!now.since(absence.lastHeard).over(timeout)) {
+      if (!now.since(absence.lastMessageTime).over(timeout)) {
         break;
       }
       overdue.add(absence.relay);
@@ -56,7 +56,7 @@
     return overdue;
   }
 
-  /** Entries examined so far, by which tests count the cost. */
+  /** Number of entries examined so far; tests measure the cost of queries by it. */
   long entriesExamined() {
     return entriesExamined;
   }
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -13,35 +13,36 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Signs webhooks and verifies their signatures, by the scheme of Standard Webhooks
- * (standardwebhooks.com: id, time and body under HMAC-SHA256, several signatures while secrets
- * rotate) or GitHub's (the body under HMAC-SHA256; no time, so the delivery's id alone guards
- * against replay). No I/O, no state.
+ * Signs webhooks and verifies their signatures. The scheme of Standard Webhooks
+ * (standardwebhooks.com) signs id, timestamp and body with HMAC-SHA256 and allows several
+ * signatures while secrets are rotated. GitHub's scheme signs the body with HMAC-SHA256; it has no
+ * timestamp, so the delivery's id alone protects against replays. No I/O, no state.
  */
 public final class Signatures {
-  /** What is signed, and which headers carry it. */
+  /** Defines which content is signed, and which headers carry the signature. */
   public enum SignatureScheme {
     STANDARD,
     GITHUB
   }
 
-  /** A request's headers; null where one was not sent. */
-  public record Headers(String id, String time, String signature) {}
+  /** A request's signature headers; null for a header that was not sent. */
+  public record Headers(String id, String timestamp, String signature) {}
 
   /**
    * The outcome of a verification.
    *
-   * @param id the delivery's; null: the signature is not right
-   * @param refused why it is not, in words that may be sent to anybody; null: it is right
+   * @param id the delivery's id; null if the signature is invalid
+   * @param rejection why the signature is invalid, in words that may be sent to any client; null if
+   *     it is valid
    */
-  public record Verdict(String id, String refused) {}
+  public record Verdict(String id, String rejection) {}
 
   private static final int MAX_SIGNATURES = 10;
   private static final int MAX_ID_LENGTH = 200;
 
   private Signatures() {}
 
-  /** The names of a scheme's headers, in the order of {@link Headers}. */
+  /** The names of a scheme's headers, in the order of the components of {@link Headers}. */
   public static List<String> headerNames(SignatureScheme scheme) {
     return scheme == SignatureScheme.STANDARD
         ? List.of("webhook-id", "webhook-timestamp", "webhook-signature")
@@ -49,10 +50,10 @@
   }
 
   /**
-   * The secrets in a file's text, one a line; whsec_ and base64, or for GitHub as they are. Empty
-   * lines and those that begin with # are left out.
+   * Parses the text of a file with one secret per line: base64 after an optional prefix whsec_, or
+   * plain text for GitHub. Skips empty lines and lines that begin with #.
    *
-   * @throws IllegalArgumentException if a line is no base64
+   * @throws IllegalArgumentException if a line is not valid base64
    */
   public static List<byte[]> parseSecrets(String text, SignatureScheme scheme) {
     return text.lines()
@@ -68,10 +69,10 @@
   }
 
   /**
-   * Whether one of the signatures of a delivery is right by one of the secrets, in constant time.
+   * Verifies that one of a delivery's signatures matches one of the secrets, in constant time.
    *
-   * @param nowSeconds since the epoch
-   * @param tolerance by how much a sender's clock may differ
+   * @param nowSeconds seconds since the Unix epoch
+   * @param tolerance the allowed difference between the sender's clock and this one
    */
   public static Verdict verify(
       SignatureScheme scheme,
@@ -92,7 +93,7 @@
     if (scheme == SignatureScheme.STANDARD) {
       long time;
       try {
-        time = Long.parseLong(String.valueOf(headers.time));
+        time = Long.parseLong(String.valueOf(headers.timestamp));
       } catch (NumberFormatException e) {
         return new Verdict(null, "its time is no number of seconds");
       }
@@ -100,19 +101,19 @@
         return new Verdict(
             null, "its time is more than " + Math.round(tolerance.ms() / 1000) + " s from ours");
       }
-      signed = standardContent(headers.id, time, body);
+      signed = standardSignedContent(headers.id, time, body);
     }
     return matches(scheme, headers.signature, signed, secrets)
         ? new Verdict(headers.id, null)
         : new Verdict(null, "no signature of it is right");
   }
 
-  /** Tries all pairs of a signature and a secret, so that the time taken tells nothing. */
+  /** Compares all pairs of a signature and a secret, so that the time taken reveals nothing. */
   private static boolean matches(
       SignatureScheme scheme, String signatures, byte[] signed, List<byte[]> secrets) {
     boolean matches = false;
     for (byte[] secret : secrets) {
-      byte[] expected = hmac(secret, signed);
+      byte[] expected = hmacSha256(secret, signed);
       String[] given = signatures.split(" ", MAX_SIGNATURES + 1);
       for (int i = 0; i < Math.min(given.length, MAX_SIGNATURES); i++) {
         matches |= MessageDigest.isEqual(expected, decode(scheme, given[i]));
@@ -132,11 +133,12 @@
           ? HexFormat.of().parseHex(signature.substring(7).toLowerCase(Locale.ROOT))
           : new byte[0];
     } catch (IllegalArgumentException e) {
-      return new byte[0]; // equal to nothing
+      // an empty array equals no signature
+      return new byte[0];
     }
   }
 
-  private static byte[] hmac(byte[] secret, byte[] signed) {
+  private static byte[] hmacSha256(byte[] secret, byte[] signed) {
     try {
       Mac mac = Mac.getInstance("HmacSHA256");
       mac.init(new SecretKeySpec(secret, "HmacSHA256"));
@@ -147,19 +149,22 @@
   }
 
   /**
-   * Signs a delivery: the text of the signature's header. {@code time}: seconds since the epoch.
+   * Signs a delivery and returns the value of the signature header.
+   *
+   * @param time seconds since the Unix epoch
    */
   public static String sign(
       SignatureScheme scheme, String id, long time, byte[] body, byte[] secret) {
     if (scheme == SignatureScheme.GITHUB) {
-      return "sha256=" + HexFormat.of().formatHex(hmac(secret, body));
+      return "sha256=" + HexFormat.of().formatHex(hmacSha256(secret, body));
     }
     return "v1,"
-        + Base64.getEncoder().encodeToString(hmac(secret, standardContent(id, time, body)));
+        + Base64.getEncoder()
+            .encodeToString(hmacSha256(secret, standardSignedContent(id, time, body)));
   }
 
-  /** What Standard Webhooks sign. */
-  private static byte[] standardContent(String id, long time, byte[] body) {
+  /** The content that a Standard Webhooks signature covers. */
+  private static byte[] standardSignedContent(String id, long time, byte[] body) {
     byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
     byte[] content = Arrays.copyOf(head, head.length + body.length);
     System.arraycopy(body, 0, content, head.length, body.length);
