--- a/src/main/java/sprucerock/controller/AppendResult.java
+++ b/src/main/java/sprucerock/controller/AppendResult.java
@@ -22,7 +22,8 @@
   record Accepted(Value value) implements AppendResult {}
 
   /**
-   * The entry was neither stored nor applied.
+   * The entry was not applied. After a failed sync or lost leadership it may still be in the log,
+   * and a later incarnation then applies it.
    *
    * @param message the reason in one line, for people
    */
--- a/src/main/java/sprucerock/controller/BallotBox.java
+++ b/src/main/java/sprucerock/controller/BallotBox.java
@@ -41,8 +41,8 @@
   final TreeMap<Integer, Ballot> ballots = new TreeMap<>();
 
   // Votes that count for the current build and stage, the first to expire first. A vote is removed
-  // when its relay votes again, when the rollout advances and when it expires. So neither casting a
-  // vote nor counting the votes, each 50 ms, has to visit votes that don't count.
+  // when its relay votes again, when the rollout advances and when it expires. Casting a vote and
+  // counting the votes, which happens every 50 ms, therefore visit no votes that don't count.
   private final Map<Vote, TreeSet<Ballot>> countedVotes = new EnumMap<>(Vote.class);
   private long votesExamined;
 
@@ -91,12 +91,12 @@
     }
   }
 
-  /** Counts the relays whose votes of a kind count. */
+  /** Returns the number of relays with a counted vote of a kind. */
   int count(Vote vote, Timestamp now) {
     return unexpired(vote, now).size();
   }
 
-  /** Returns the relays whose votes of a kind count, in the order of their numbers. */
+  /** Returns the numbers of the relays with a counted vote of a kind, in ascending order. */
   List<Integer> relays(Vote vote, Timestamp now) {
     TreeSet<Integer> relays = new TreeSet<>();
     for (Ballot ballot : unexpired(vote, now)) {
@@ -135,13 +135,16 @@
     }
   }
 
-  /** Drops all votes, as another build or stage has become current. */
+  /**
+   * Drops all votes, for a new build or stage, or after the clock was set back. The relays' vote
+   * rates are kept.
+   */
   void clear() {
     ballots.values().forEach(ballot -> ballot.vote = Vote.NOTHING);
     countedVotes.values().forEach(TreeSet::clear);
   }
 
-  /** Returns how many votes were examined for counting so far, which the scale tests bound. */
+  /** Returns how many votes have been examined to count votes; the scale tests limit the number. */
   long votesExamined() {
     return votesExamined;
   }
--- a/src/main/java/sprucerock/controller/DeploymentCodec.java
+++ b/src/main/java/sprucerock/controller/DeploymentCodec.java
@@ -84,7 +84,7 @@
       case TICK -> manager.tick(now, wallMs);
       default ->
           throw new IllegalArgumentException(
-              "log entry of an unknown kind, written by a newer controller: start that version");
+              "unknown kind of log entry; start the newer controller version that wrote it");
     }
     return null;
   }
@@ -240,7 +240,10 @@
     return new java.util.TreeMap<>(map);
   }
 
-  /** Orders controls as their relays were updated; a protobuf map has no order. */
+  /**
+   * Orders pairs of updated relay and control by the time of the update; a protobuf map has no
+   * order.
+   */
   private static Map<Integer, Integer> inUpdateOrder(
       Map<Integer, Integer> controls, List<Integer> updated) {
     Map<Integer, Integer> ordered = new LinkedHashMap<>();
--- a/src/main/java/sprucerock/controller/DeploymentMonitor.java
+++ b/src/main/java/sprucerock/controller/DeploymentMonitor.java
@@ -36,7 +36,9 @@
      */
     void restartBudgetChanged(Map<Integer, Integer> byZone, String blockedReason);
 
-    /** Called when a relay starts or stops carrying well more traffic than the median relay. */
+    /**
+     * Called when a relay becomes busy, with clearly more RPCs than the median, or stops being so.
+     */
     void busyChanged(int relay, boolean busy);
   }
 
@@ -50,18 +52,27 @@
 
   private static final class RelayWindows {
     private long incarnation;
+
+    /** The totals reported last. */
     private Window total;
+
+    /** The totals reported last when the previous window was closed. */
     private Window totalAtClose;
+
     private long incarnationAtClose;
 
-    /** The window just closed; null if the relay was away or restarted during it. */
+    /** The window closed last; null if the relay reported no totals in it or restarted. */
     private Window window;
 
     private double cores = 1;
+
+    /** The moving average of RPCs per window, updated only while no deployment is active. */
     private double smoothedRpcs;
+
     private final ArrayDeque<Window> history = new ArrayDeque<>();
   }
 
+  /** The numbers of an updated relay and of its control, and their windows. */
   private record Pair(int updated, int control, MatchedWindows windows) {}
 
   private final DeploymentManager deployments;
@@ -102,8 +113,12 @@
     windows.total = total;
   }
 
-  /** Closes a window that lasted so many milliseconds; to be called about every two seconds. */
-  public void closeWindow(double ms) {
+  /**
+   * Closes a window; to be called about every two seconds.
+   *
+   * @param windowMs the length of the window
+   */
+  public void closeWindow(double windowMs) {
     for (RelayWindows windows : relays.values()) {
       boolean complete =
           windows.totalAtClose != null
@@ -121,7 +136,7 @@
       matchPairs(current);
     }
     compare();
-    updateCapacity(ms);
+    updateCapacity(windowMs);
     if (current == null) {
       updateBusy();
     }
@@ -159,7 +174,10 @@
     lastVerdict = Verdict.NOT_SURE;
   }
 
-  /** Starts new pairs with their history, and removes pairs that the deployment no longer has. */
+  /**
+   * Removes pairs that the deployment no longer has. Adds a pair for each newly updated relay, and
+   * records the windows of both relays from before the update.
+   */
   private void matchPairs(Deployment current) {
     for (Iterator<Pair> iterator = pairs.values().iterator(); iterator.hasNext(); ) {
       Pair pair = iterator.next();
@@ -179,7 +197,7 @@
               RelayWindows updatedRelay = relays.get(updated);
               RelayWindows controlRelay = relays.get(control);
               if (updatedRelay != null && controlRelay != null) {
-                // Both histories end now, but may differ in length: they are read backwards.
+                // The histories may differ in length, so their windows are matched from the latest.
                 Iterator<Window> controlWindows = controlRelay.history.descendingIterator();
                 for (Iterator<Window> updatedWindows = updatedRelay.history.descendingIterator();
                     updatedWindows.hasNext() && controlWindows.hasNext(); ) {
@@ -209,17 +227,17 @@
     if (!comparing) {
       return;
     }
-    Verdict now =
+    Verdict verdict =
         switch (comparison.result(stage)) {
           case WORSE -> Verdict.WORSE;
           case NO_WORSE -> Verdict.NO_WORSE;
           case NOT_SURE -> Verdict.NOT_SURE;
         };
-    if (now == lastVerdict) {
+    if (verdict == lastVerdict) {
       return;
     }
-    lastVerdict = now;
-    listener.verdictChanged(activeDeployment, now, comparison.explanation());
+    lastVerdict = verdict;
+    listener.verdictChanged(activeDeployment, verdict, comparison.explanation());
   }
 
   private boolean runsVersion(int number, sprucerock.controller.deployment.Version version) {
@@ -234,7 +252,7 @@
    * Compares the relays that were not updated with their own baseline before the stage, and
    * estimates how many relays the fleet can spare.
    */
-  private void updateCapacity(double ms) {
+  private void updateCapacity(double windowMs) {
     Window unaffected = Window.NONE;
     for (Map.Entry<Integer, RelayWindows> entry : relays.entrySet()) {
       boolean affected =
@@ -250,7 +268,7 @@
       }
       capacity.record(
           deployments.relay(entry.getKey()).zone(),
-          windows.window.workMs() / ms / windows.cores,
+          windows.window.workMs() / windowMs / windows.cores,
           windows.window.rpcs());
     }
     baseline.record(unaffected);
@@ -259,11 +277,11 @@
         activeDeployment != null && baseline.windowsBelowBaseline() > 0
             ? baseline.explanation()
             : capacity.blockedReason();
-    boolean open = activeDeployment != null || deployments.pending() != null;
-    // The wording of the reason may differ in each window; only whether there is one counts.
-    boolean same =
+    boolean deploymentOpen = activeDeployment != null || deployments.pending() != null;
+    // The figures in the reason differ in each window, so a new text alone is not a change.
+    boolean unchanged =
         byZone.equals(restartBudgetByZone) && newBlockedReason.isEmpty() == blockedReason.isEmpty();
-    if (!open || same) {
+    if (!deploymentOpen || unchanged) {
       return;
     }
     restartBudgetByZone = byZone;
@@ -272,8 +290,8 @@
   }
 
   /**
-   * Updates which relays are busy, that is well over the median. The gap between the two thresholds
-   * keeps noise from switching a relay back and forth.
+   * Updates which relays are busy: a relay becomes busy above 1.3 times the median of RPCs, and
+   * stops being busy below 1.1 times. The gap keeps noise from switching a relay back and forth.
    */
   private void updateBusy() {
     double[] rates = new double[relays.size()];
--- a/src/main/java/sprucerock/controller/Engine.java
+++ b/src/main/java/sprucerock/controller/Engine.java
@@ -34,7 +34,7 @@
 
   private record PendingEntry(Input.Builder entry, Consumer<AppendResult> onResult) {}
 
-  /** So many entries take some hundred milliseconds to replay. */
+  /** Replaying this many entries takes a few hundred milliseconds. */
   private static final int SNAPSHOT_EVERY_ENTRIES = 10_000;
 
   private static final int MAX_PENDING_ENTRIES = 20_000;
@@ -56,13 +56,23 @@
   private boolean replaying = true;
   private long lastTimeMs;
   private long lastWallMs;
-  private long steadyAtStart;
-  private long timeAtStart;
+  private long steadyAtStartMs;
+  private long timeAtStartMs;
   private BooleanSupplier leadershipCheck = () -> true;
+
+  /**
+   * The last failed write, sync or snapshot, or the loss of leadership; null once a whole batch was
+   * accepted after it.
+   */
   private AppendResult.Rejected failure;
-  private boolean storageLost;
+
+  /** Set for the rest of the incarnation once a sync failed or leadership was lost. */
+  private boolean closedToEntries;
+
   private double smoothedWallMs;
-  private long smoothingSteadyMs = -1;
+
+  /** The steady time at which {@link #smoothedWallMs} was computed; -1 before the first time. */
+  private long smoothedAtSteadyMs = -1;
 
   /** Creates an engine for a fleet without racks, and so without maintenance windows. */
   Engine(
@@ -95,8 +105,9 @@
    *
    * @param snapshotEveryEntries the number of log entries between two snapshots
    * @param firstBuild the build that serves before the first rollout
-   * @param maintenanceWindows maintenance windows without any entries applied
-   * @param statusLine receives one line for each new failure of the storage
+   * @param maintenanceWindows maintenance windows to which no entry has been applied yet
+   * @param statusLine receives a line if a torn tail of the log is truncated, and a line for each
+   *     new failure of the storage and for lost leadership
    */
   Engine(
       Storage storage,
@@ -220,8 +231,8 @@
     }
     long wallMs = clock.wallMs();
     long downMs = stateFound[0] ? wallMs - lastWallMs : 0;
-    timeAtStart = lastTimeMs + Math.max(0, Math.min(downMs, MAX_DOWNTIME_MS));
-    steadyAtStart = clock.steadyMs();
+    timeAtStartMs = lastTimeMs + Math.max(0, Math.min(downMs, MAX_DOWNTIME_MS));
+    steadyAtStartMs = clock.steadyMs();
     Input.Builder restarted =
         Input.newBuilder().setRestarted(Restarted.newBuilder().setDownMs(downMs));
     Input entry = timestamped(restarted);
@@ -250,16 +261,16 @@
    */
   public long wallMs() {
     long steadyNowMs = clock.steadyMs();
-    if (smoothingSteadyMs < 0) {
+    if (smoothedAtSteadyMs < 0) {
       smoothedWallMs = clock.wallMs();
     } else {
-      double passedMs = steadyNowMs - smoothingSteadyMs;
+      double passedMs = steadyNowMs - smoothedAtSteadyMs;
       smoothedWallMs += passedMs;
       smoothedWallMs +=
           Math.max(
               -MAX_SLEW * passedMs, Math.min(MAX_SLEW * passedMs, clock.wallMs() - smoothedWallMs));
     }
-    smoothingSteadyMs = steadyNowMs;
+    smoothedAtSteadyMs = steadyNowMs;
     return Math.round(smoothedWallMs);
   }
 
@@ -279,7 +290,7 @@
   }
 
   private long timeMs() {
-    return Math.max(lastTimeMs, timeAtStart + clock.steadyMs() - steadyAtStart);
+    return Math.max(lastTimeMs, timeAtStartMs + clock.steadyMs() - steadyAtStartMs);
   }
 
   private Input timestamped(Input.Builder entry) {
@@ -288,7 +299,10 @@
     return entry.setAtMs(lastTimeMs).setWallMs(lastWallMs).build();
   }
 
-  /** Describes the current failure of the storage in one line; null while there is none. */
+  /**
+   * Describes the last failure of the storage, or the loss of leadership, in one line; null once
+   * entries were accepted after it.
+   */
   public String storageFailure() {
     return failure == null ? null : failure.message();
   }
@@ -302,9 +316,9 @@
       onResult.accept(
           new AppendResult.Rejected(
               AppendResult.Reason.QUEUE_FULL,
-              "too many entries wait to be written: at most "
+              "too many entries wait to be written (at most "
                   + MAX_PENDING_ENTRIES
-                  + " may; try again later"));
+                  + "); try again later"));
     } else {
       pending.add(new PendingEntry(entry, onResult));
     }
@@ -357,12 +371,15 @@
       entry.onResult.accept(
           new AppendResult.Rejected(
               AppendResult.Reason.NOT_LEADER,
-              "this controller may not be the leader any more; send the request to the leader"));
+              "this controller may have lost leadership; send the request to the leader"));
     }
     pending.clear();
   }
 
-  /** Returns how many entries from the beginning of a batch are durable and may be applied. */
+  /**
+   * Writes and syncs a batch, and returns how many of its first entries are durable and may be
+   * applied.
+   */
   private int makeDurable(List<PendingEntry> batch) {
     int written = 0;
     try {
@@ -377,13 +394,13 @@
       written = 0;
     }
     if (!leadershipCheck.getAsBoolean()) {
-      // Leadership was lost during a long sync. The entries are in files that the new leader does
-      // not read.
+      // Leadership may have been lost during a long sync. A new leader does
+      // not read what is written to these files after its replay.
       reportFailure(
           AppendResult.Reason.NOT_LEADER,
-          "this controller may not be the leader any more; send the request to the leader");
+          "this controller may have lost leadership; send the request to the leader");
       written = 0;
-      storageLost = true;
+      closedToEntries = true;
     }
     return written;
   }
@@ -393,14 +410,14 @@
    * further entry is accepted in this incarnation.
    */
   private boolean fsync() {
-    if (storageLost) {
+    if (closedToEntries) {
       return false;
     }
     try {
       log.fsync();
       return true;
     } catch (IOException e) {
-      storageLost = true;
+      closedToEntries = true;
       reportFailure(
           AppendResult.Reason.STORAGE_FAILED,
           "sync failed, written entries may be lost: "
--- a/src/main/java/sprucerock/controller/FileLeadership.java
+++ b/src/main/java/sprucerock/controller/FileLeadership.java
@@ -12,7 +12,7 @@
  *
  * <p>Of two controllers that read and write the same folder only one acts, as long as no clock runs
  * at half the speed of another: a stalled leader finds that its lease has expired before it stores
- * anything. This can't prevent that a stalled leader has a frame in flight; endpoint lists
+ * anything. A frame of a stalled leader that is in flight may still arrive; endpoint lists
  * therefore have an epoch, and relays reject older ones. Each term begins new log files, so that
  * nothing a former leader still writes is ever read.
  *
@@ -36,10 +36,16 @@
   private final Engine.Clock clock;
   private final TimeSpan duration;
   private final String holder;
-  private String lastSeen = "";
+
+  /** The text of the lease file when it was last found changed. */
+  private String lastSeenLease = "";
+
+  /** When the lease file was last found changed. */
   private long lastChangedMs;
 
-  /** Null if no claim was written, or another controller replaced it. */
+  /**
+   * The text of the lease file with which this controller claims the lease; null without a claim.
+   */
   private String claim;
 
   private long claimedMs;
@@ -102,7 +108,7 @@
     if (claim != null) {
       return confirmClaim(current, nowMs);
     }
-    if (!current.equals(lastSeen)) {
+    if (!current.equals(lastSeenLease)) {
       recordChange(current, nowMs);
       return false;
     }
@@ -137,7 +143,7 @@
   }
 
   private void recordChange(String current, long nowMs) {
-    lastSeen = current;
+    lastSeenLease = current;
     lastChangedMs = nowMs;
   }
 
--- a/src/main/java/sprucerock/controller/LeadershipMark.java
+++ b/src/main/java/sprucerock/controller/LeadershipMark.java
@@ -6,7 +6,7 @@
 
 /**
  * A file in the storage folder with the highest fencing token under which a controller claimed the
- * folder. A controller with a lower token was stalled for too long, and is rejected.
+ * folder. A claim with a lower token comes from a former leader that stalled, and is rejected.
  */
 public final class LeadershipMark {
   private final Storage storage;
--- a/src/main/java/sprucerock/controller/MaintenanceCodec.java
+++ b/src/main/java/sprucerock/controller/MaintenanceCodec.java
@@ -46,8 +46,8 @@
               windows.force(command.getFreeze(), command.getWho(), command.getReason(), now);
           default ->
               throw new IllegalArgumentException(
-                  "unknown command on maintenance windows, written by a newer controller:"
-                      + " start that version");
+                  "unknown command on maintenance windows;"
+                      + " start the newer controller version that wrote it");
         };
       }
       case FREEZE_CLEARED -> windows.grantsReturned(input.getFreezeCleared().getFreeze(), now);
--- a/src/main/java/sprucerock/controller/RestartCapacity.java
+++ b/src/main/java/sprucerock/controller/RestartCapacity.java
@@ -13,21 +13,23 @@
  */
 final class RestartCapacity {
   /**
-   * The share of processor time above which queues grow quickly: at 0.7 an M/M/1 queue waits for
-   * twice its work.
+   * The share of processor time above which queues grow quickly: at 0.7 a request in an M/M/1 queue
+   * waits for about twice its processing time.
    */
   private static final double MAX_UTILISATION = 0.7;
 
   /**
-   * A multiple of the usual RPCs. A smaller increase is less than the other relays get when one
-   * relay in three is out.
+   * The multiple of the usual RPCs above which there is a surge. It is the load that the other
+   * relays get when one relay in three is out; a smaller increase blocks no restart.
    */
   private static final double SURGE_FACTOR = 1.5;
 
   private static final int HISTORY_WINDOWS = 30;
   private static final int MIN_HISTORY_WINDOWS = 5;
 
+  /** The sum of the utilisations of a zone's relays in this window, and their number. */
   private final TreeMap<Integer, double[]> loadByZone = new TreeMap<>();
+
   private final Deque<Double> recentRpcs = new ArrayDeque<>();
   private double windowRpcs;
   private boolean surge;
@@ -42,7 +44,10 @@
     windowRpcs += rpcs;
   }
 
-  /** Closes the window, and returns how many relays of each zone may restart at once. */
+  /**
+   * Closes the window, and returns how many relays of each zone may restart at once: as many as
+   * leave the mean utilisation of the others at or below {@link #MAX_UTILISATION}.
+   */
   Map<Integer, Integer> closeWindow() {
     TreeMap<Integer, Integer> restartable = new TreeMap<>();
     loadByZone.forEach(
--- a/src/main/java/sprucerock/controller/Rollout.java
+++ b/src/main/java/sprucerock/controller/Rollout.java
@@ -21,7 +21,10 @@
     /** The trial ended because a later build was announced. */
     SUPERSEDED;
 
-    /** Whether the state may still change without a new command or announcement. */
+    /**
+     * Whether the rollout has not ended. A released one has, although votes may still roll it back
+     * during the observation time.
+     */
     public boolean open() {
       return this == ANNOUNCED || this == STARTING || this == ON_TRIAL || this == GOING_BACK;
     }
@@ -37,7 +40,7 @@
   public record Transition(
       long sequence, Timestamp time, long wallMs, State state, int stage, String cause) {}
 
-  /** A rollout has some ten transitions; repeated hold and resume must not fill the disk. */
+  /** A rollout has about ten transitions; repeated hold and resume must not fill the disk. */
   private static final int MAX_TRANSITIONS = 200;
 
   public final int build;
@@ -50,7 +53,8 @@
   Timestamp clockStart;
 
   /**
-   * Time that does not count for the stage: paused by relays under the clock, or by an operator.
+   * Time that does not count for the stage: while relays paused its clock, while an operator held
+   * the rollout, and while the controller was down.
    */
   TimeSpan pausedTime = TimeSpan.ZERO;
 
@@ -59,7 +63,7 @@
   /** When the operator's hold began; null before the first hold. */
   Timestamp heldSince;
 
-  /** Under {@link RolloutRules.Control#CLOCKED}: whether the clock ran at the last update. */
+  /** Under {@link RolloutRules.Control#CLOCKED}: whether the stage clock ran at the last update. */
   boolean clockRunning = true;
 
   /** When {@link #clockRunning} was last updated. */
@@ -99,7 +103,7 @@
     return readyEndpoints;
   }
 
-  /** Returns the transitions so far; beyond a limit only the first and the last ones. */
+  /** Returns the transitions so far; if there were more than 200, the middle ones are missing. */
   public List<Transition> transitions() {
     return Collections.unmodifiableList(transitions);
   }
--- a/src/main/java/sprucerock/controller/RolloutBlockers.java
+++ b/src/main/java/sprucerock/controller/RolloutBlockers.java
@@ -19,7 +19,7 @@
     this.ballots = ballots;
   }
 
-  /** Returns a line for each thing that is waited for; empty if no rollout is open. */
+  /** Returns a line for each condition that holds the rollout up; empty if no rollout is open. */
   List<String> lines(Timestamp now) {
     List<String> lines = new ArrayList<>();
     Rollout open = manager.openRollout();
--- a/src/main/java/sprucerock/controller/RolloutManager.java
+++ b/src/main/java/sprucerock/controller/RolloutManager.java
@@ -20,7 +20,7 @@
   public enum AnnouncementResult {
     /** The build is new, and its rollout was announced. */
     TAKEN,
-    /** The same delivery was processed before, with whatever result. */
+    /** The same delivery was processed before, whatever its result was. */
     AGAIN,
     /** The build was announced before with the same artifact. */
     KNOWN,
@@ -62,7 +62,10 @@
     WITHDRAW
   }
 
-  /** Reacts to transitions: notifies relays and webhooks, and has endpoints started and stopped. */
+  /**
+   * Reacts to transitions: notifies relays and webhooks, and requests the start and stop of
+   * endpoints.
+   */
   public interface Listener {
     /** Called for each transition, in the order of sequence numbers, once per incarnation. */
     void transitioned(Rollout rollout, Transition transition);
@@ -86,6 +89,8 @@
   long epoch;
   Rollout current;
   int previousBuild;
+
+  /** The wall clock of the current input, recorded in its transitions. */
   private long wallMs;
 
   /**
@@ -110,14 +115,17 @@
   // Queries.
 
   /**
-   * Returns the rollout that is starting, on trial or going back, or else the one that was released
-   * or withdrawn last.
+   * Returns the rollout that is starting, on trial or rolling back; if there is none, the rollout
+   * that was released or withdrawn last.
    */
   public Rollout current() {
     return current;
   }
 
-  /** Returns the baseline: the build that serves next to the canary, or alone. */
+  /**
+   * Returns the build that was released before the current rollout; it is the baseline of the trial
+   * and serves after a rollback. Before the first rollout it is the first build.
+   */
   public int previousBuild() {
     return previousBuild;
   }
@@ -138,8 +146,8 @@
   }
 
   /**
-   * Returns how often a controller started on this state. Relays accept what a later start sends as
-   * newer.
+   * Returns the number of incarnations of this state. Relays treat the status from a higher epoch
+   * as newer.
    */
   public long epoch() {
     return epoch;
@@ -155,13 +163,13 @@
     webhooksDeliveredUpTo = Math.max(webhooksDeliveredUpTo, Math.min(upTo, sequence));
   }
 
-  /** What relays are notified of: a build, the state of its rollout, and the exposure cap. */
+  /** The status that relays are notified of: a build, its rollout's state and exposure cap. */
   public record RolloutStatus(
       int build, int stage, State state, double exposureCap, Timestamp since) {}
 
   /**
-   * Returns what relays are to be notified of now. A build whose endpoints are still starting is
-   * not announced to relays yet; the status of the build before it is returned instead.
+   * Returns the status that relays are to be notified of now. A build whose endpoints are still
+   * starting is not announced to relays yet; the status of the build before it is returned instead.
    */
   public RolloutStatus currentStatus() {
     return switch (current.state) {
@@ -189,7 +197,7 @@
     };
   }
 
-  /** Returns how many endpoints of a build there should be now. */
+  /** Returns the desired number of endpoints of a rollout's build in its current state. */
   public int desiredEndpoints(Rollout rollout) {
     return switch (rollout.state) {
       case STARTING, ON_TRIAL -> desiredEndpoints(rollout.stage);
@@ -201,7 +209,10 @@
     };
   }
 
-  /** Returns how many endpoints of a build a stage has. */
+  /**
+   * Returns the desired number of endpoints of a build in a stage: its share of the fleet, rounded
+   * up, and at least 1. The subtraction keeps rounding errors from adding an endpoint.
+   */
   int desiredEndpoints(int stage) {
     return (int) Math.max(1, Math.ceil(rules.stages().get(stage).share() * fleetSize - 1e-9));
   }
@@ -211,7 +222,7 @@
     return rules.stages().get(rollout.stage).share();
   }
 
-  /** Returns the relays whose votes of a kind count for the current build and stage. */
+  /** Returns the relays with a counted vote of a kind on the current build and stage. */
   public List<Integer> relaysVoting(Vote vote, Timestamp now) {
     return ballots.relays(vote, now);
   }
@@ -221,7 +232,7 @@
     ballots.rebuildCountedVotes(current.build, current.stage);
   }
 
-  /** Returns how many votes were examined for counting so far, which the scale tests bound. */
+  /** Returns how many votes have been examined to count votes; the scale tests limit the number. */
   public long votesExamined() {
     return ballots.votesExamined();
   }
@@ -241,7 +252,8 @@
     return null;
   }
 
-  // Inputs. Each has the controller's time, and the wall clock in milliseconds for people.
+  // Inputs. In each method `now` is the controller's time, and `wallMs` is the wall clock, which is
+  // only recorded in transitions, for people.
 
   /** Announces a build. A delivery that was processed before has no second effect. */
   public AnnouncementResult announceDelivery(
@@ -290,7 +302,10 @@
     return AnnouncementResult.TAKEN;
   }
 
-  /** Starts the waiting rollout unless another one is rolling back: two are never on trial. */
+  /**
+   * Starts the waiting rollout unless the current one is rolling back, so that one trial runs at a
+   * time.
+   */
   private void startNext(Timestamp now) {
     if (current.state == State.GOING_BACK) {
       return;
@@ -385,7 +400,7 @@
     reconcile(now);
   }
 
-  /** Whether a tick now would change the state; other ticks need no log entry. */
+  /** Whether a tick now would change the state; a tick that would not is not logged. */
   public boolean transitionDue(Timestamp now) {
     return switch (current.state) {
       case STARTING ->
@@ -466,7 +481,10 @@
     transition(rollout, State.GOING_BACK, rollout.stage, cause, now);
   }
 
-  /** Moves a rollout to a state and a stage, or records that it was held or resumed in place. */
+  /**
+   * Moves a rollout to a state and a stage. With an unchanged state and stage only the transition
+   * is recorded, as for an operator's hold or resume.
+   */
   void transition(Rollout rollout, State newState, int stage, String cause, Timestamp now) {
     boolean moved = rollout.state != newState || rollout.stage != stage;
     rollout.state = newState;
--- a/src/main/java/sprucerock/controller/RolloutRules.java
+++ b/src/main/java/sprucerock/controller/RolloutRules.java
@@ -7,11 +7,11 @@
  * The configured rules of rollouts.
  *
  * @param votesToAdvance the number of relays whose votes advance a stage
- * @param votesToPause the number of relays whose votes pause the clock
+ * @param votesToPause the number of relays whose votes pause the stage clock
  * @param votesToRollBack the number of relays whose votes roll a build back
  * @param voteValidity how long a vote counts
- * @param minStageTime the least time of a stage once its endpoints are ready
- * @param clockedStageTime the time of a stage under the clock
+ * @param minStageTime the minimum duration of a stage once its endpoints are ready
+ * @param clockedStageTime the duration of a stage under {@link Control#CLOCKED}
  * @param startTimeout the time after which a build whose endpoints are not ready is rolled back
  * @param rollbackTime how long relays are notified of a rollback before the build is withdrawn
  * @param observationTime how long votes can still roll back a released build
@@ -30,16 +30,21 @@
     TimeSpan rollbackTime,
     TimeSpan observationTime,
     int maxVotesPerSecond) {
-  /** The share of the fleet's endpoints that run the build, and the exposure cap. */
-  public record Stage(double share, double exposureCap) {}
-
   /**
-   * What lets a build advance: the votes of a configured number of relays, the votes of more than
-   * half of the relays, or the clock.
+   * A stage of a rollout.
+   *
+   * @param share the share of the fleet's endpoints that run the build
+   * @param exposureCap the largest share of attempts that relays may send to the build
    */
+  public record Stage(double share, double exposureCap) {}
+
+  /** What lets a build advance. */
   public enum Control {
+    /** The votes of {@code votesToAdvance} relays. */
     SINGLE,
+    /** The same here; {@code votesToAdvance} is meant to be more than half of the relays. */
     MAJORITY,
+    /** The stage clock; relays may pause it. */
     CLOCKED
   }
 }
--- a/src/main/java/sprucerock/controller/StageClock.java
+++ b/src/main/java/sprucerock/controller/StageClock.java
@@ -22,14 +22,17 @@
         && now.since(rollout.since).over(rules.startTimeout());
   }
 
-  /** Under the clock: whether too few relays vote to hold for the clock to pause. */
+  /**
+   * Whether the stage clock runs, which it does unless enough relays vote to hold. It matters only
+   * under {@link RolloutRules.Control#CLOCKED}.
+   */
   boolean running(Timestamp now) {
     return ballots.count(Vote.HOLD, now) < rules.votesToPause();
   }
 
   /**
-   * Under the clock: adds the time since the last update to the paused time if the clock was
-   * paused.
+   * Adds the time since the last update to the paused time if the stage clock was paused. Used only
+   * under {@link RolloutRules.Control#CLOCKED}.
    */
   void addPausedTime(Rollout rollout, Timestamp now) {
     if (!rollout.clockRunning && rollout.clockUpdatedAt != null && rollout.clockStart != null) {
@@ -57,8 +60,8 @@
   }
 
   /**
-   * Whether a released build can still be rolled back: for a time, and if there is a previous
-   * build.
+   * Whether a released build can still be rolled back: it can during the observation time, if there
+   * is a previous build.
    */
   boolean underObservation(Rollout rollout, int previousBuild, Timestamp now) {
     return rollout.state == State.RELEASED
--- a/src/main/java/sprucerock/controller/StateMachine.java
+++ b/src/main/java/sprucerock/controller/StateMachine.java
@@ -106,7 +106,7 @@
     return Done.INSTANCE;
   }
 
-  /** Tells deployments and maintenance windows whether a rollout is in progress. */
+  /** Informs deployments and maintenance windows whether a rollout is in progress. */
   private void shareRolloutState(Timestamp now, long wallMs) {
     Rollout.State state = rollouts.current.state;
     boolean inProgress =
@@ -124,13 +124,13 @@
   }
 
   /**
-   * Converts the answer of the maintenance codec: numbers of new windows, the reason why a command
-   * had no effect, or null.
+   * Converts the result of the maintenance codec: the numbers of new windows, the reason why a
+   * command had no effect, or null.
    */
-  private static Value valueOf(Object answer) {
-    if (answer instanceof List<?> numbers) {
+  private static Value valueOf(Object result) {
+    if (result instanceof List<?> numbers) {
       return new WindowsOpened(numbers.stream().map(Long.class::cast).toList());
     }
-    return answer == null ? Done.INSTANCE : new NoEffect((String) answer);
+    return result == null ? Done.INSTANCE : new NoEffect((String) result);
   }
 }
--- a/src/main/java/sprucerock/controller/WriteAheadLog.java
+++ b/src/main/java/sprucerock/controller/WriteAheadLog.java
@@ -12,11 +12,12 @@
 
 /**
  * The controller's log entries in storage, each with its index and a checksum, and snapshots of the
- * state that the entries led to. After a snapshot older files are deleted. Appended entries are
- * durable once {@link #fsync} has returned.
+ * state that the entries led to. A new snapshot deletes the files from before the second newest
+ * one. Appended entries are durable once {@link #fsync} has returned.
  *
- * <p>A record is: length and CRC-32C of what follows (4 bytes each), index (8 bytes), the entry. A
- * torn tail is cut off, as its entry was never answered; damage before the tail stops the start.
+ * <p>A record consists of the length and the CRC-32C of its remaining bytes (4 bytes each), the
+ * entry's index (8 bytes), and the entry. A torn tail is cut off, as its entry was never answered;
+ * damage before the tail stops the start.
  */
 final class WriteAheadLog {
   /** Thrown if a file can't be replayed; the message names the file, the damage and the remedy. */
@@ -62,8 +63,8 @@
     this.snapshotEveryEntries = snapshotEveryEntries;
   }
 
-  private static String numberedName(String kind, long number) {
-    return String.format("%s%016d", kind, number);
+  private static String numberedName(String prefix, long number) {
+    return String.format("%s%016d", prefix, number);
   }
 
   private static long indexInName(String name) {
@@ -111,7 +112,7 @@
     byte[] bytes = storage.read(name);
     ByteBuffer buffer = ByteBuffer.wrap(bytes);
     if (bytes.length < 8) {
-      throw damagedException(name, "is cut short: it has no whole header");
+      throw damagedException(name, "is truncated: its header is incomplete");
     }
     int checksum = buffer.getInt();
     int length = buffer.getInt();
@@ -203,7 +204,7 @@
    * Appends an entry, which is durable after the next {@link #fsync}.
    *
    * @throws IOException if the storage does not accept the entry; a partial record is cut off
-   *     before the next attempt
+   *     before the next entry is appended
    */
   void append(Input entry) throws IOException {
     if (tailTorn) {
@@ -238,8 +239,8 @@
   }
 
   /**
-   * Stores a snapshot of the state that all entries so far led to, and deletes the files before the
-   * last snapshot but one.
+   * Stores a snapshot of the state that all entries so far led to, and deletes the files from
+   * before the second newest snapshot.
    */
   void snapshot(State state) throws IOException {
     file.fsync();
--- a/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
+++ b/src/main/java/sprucerock/controller/comparison/BaselineLevel.java
@@ -5,14 +5,14 @@
 /**
  * Compares the relays that were not updated with their own baseline before the deployment. Harm
  * that updated relays do to other relays (by connections, votes, messages or cold endpoints) is not
- * visible in any pair. A disturbance of the whole fleet looks the same here, whatever its cause; so
- * the result does not say what caused a loss, but whether it is a time to continue. Only a loss
- * that begins with the stage and lasts counts.
+ * visible in any pair. A loss of the whole fleet looks the same here whatever its cause, so the
+ * result only says whether the deployment should wait. A loss counts once it has lasted for several
+ * windows of the stage.
  */
 public final class BaselineLevel {
   /**
-   * The least loss that counts. A burst of traffic or a bad build of the endpoints causes such a
-   * loss for a while; a stage may wait that long, and continues once the loss is over.
+   * The smallest loss that counts. A burst of traffic or a bad build of the endpoints may cause
+   * such a loss too; the stage then waits, and continues once the loss is over.
    */
   private static final double MIN_LOSS = 0.03;
 
--- a/src/main/java/sprucerock/controller/comparison/BettingTest.java
+++ b/src/main/java/sprucerock/controller/comparison/BettingTest.java
@@ -9,8 +9,8 @@
  * wealth is divided among a few of them, and the best one soon holds nearly all of it.
  */
 final class BettingTest {
-  // Steps of about a factor of two, from a stake that loses next to nothing on noise to one that a
-  // value of -1 just does not ruin.
+  // Steps of about a factor of two, from a stake that loses next to nothing on noise to one
+  // of which a value of -1 leaves a tenth.
   private static final double[] STAKES = {0.01, 0.02, 0.04, 0.08, 0.16, 0.32, 0.64, 0.9};
 
   private final double[] logWealthByStake = new double[STAKES.length];
@@ -25,7 +25,7 @@
     maxLogWealth = Math.max(maxLogWealth, logWealth());
   }
 
-  /** Returns the logarithm of the current wealth, which begins at 0. */
+  /** Returns the logarithm of the current wealth; the wealth begins at 1. */
   double logWealth() {
     double best = Double.NEGATIVE_INFINITY;
     for (double logWealth : logWealthByStake) {
--- a/src/main/java/sprucerock/controller/comparison/Comparison.java
+++ b/src/main/java/sprucerock/controller/comparison/Comparison.java
@@ -4,9 +4,10 @@
 
 /**
  * Compares a new version with the old one as windows arrive; the result may be read after any
- * window. For each measure, each sample of a {@link MatchedWindows} is a bet that the updated relay
- * is worse by more than the margin. Further bets say that it is not worse by a given loss. A
- * comparison can't detect harm that both sides suffer alike; {@link BaselineLevel} does.
+ * window. For each measure a {@link BettingTest} over the samples of all {@link MatchedWindows}
+ * bets that the updated relays are worse by more than the margin. Further tests bet that the
+ * updated relays' loss of weight served in time is below a given limit. A comparison can't detect
+ * harm that both sides suffer alike; {@link BaselineLevel} does.
  */
 public final class Comparison {
   /** The evidence so far on the new version. */
@@ -22,8 +23,8 @@
   private static final double MISSED_HARM_PROBABILITY = 0.05;
 
   /**
-   * Widens the margin by the error of the pairs' usual differences. Without it one unlike pair
-   * would look worse in the long run.
+   * The number of standard errors of the pairs' usual differences by which the margin is widened.
+   * Otherwise a single pair of unlike relays would look worse in the long run.
    */
   private static final double MARGIN_STANDARD_ERRORS = 2;
 
@@ -31,10 +32,11 @@
   private final double[] maxLosses;
   private final BettingTest[] worseTests = new BettingTest[MEASURES.length];
   private final BettingTest[] noWorseTests;
-  private final double[] differences = new double[MEASURES.length];
-  private final double[] squaredErrors = new double[MEASURES.length];
-  private final int[] samples = new int[MEASURES.length];
-  private int pairs;
+  // Sums over all samples, and their counts, by measure.
+  private final double[] differenceSums = new double[MEASURES.length];
+  private final double[] squaredErrorSums = new double[MEASURES.length];
+  private final int[] sampleCounts = new int[MEASURES.length];
+  private int pairCount;
 
   /**
    * Creates a comparison without pairs.
@@ -62,34 +64,34 @@
   }
 
   void pairStarted() {
-    pairs++;
+    pairCount++;
   }
 
   void record(Measure measure, double difference, double standardError) {
     int i = measure.ordinal();
-    samples[i]++;
-    differences[i] += difference;
-    squaredErrors[i] += standardError * standardError;
+    sampleCounts[i]++;
+    differenceSums[i] += difference;
+    squaredErrorSums[i] += standardError * standardError;
     double margin =
         measure.margin
             + MARGIN_STANDARD_ERRORS
-                * Math.sqrt(squaredErrors[i] / samples[i] / Math.max(pairs, 1));
+                * Math.sqrt(squaredErrorSums[i] / sampleCounts[i] / Math.max(pairCount, 1));
     worseTests[i].add((difference - margin) / measure.maxDifference);
-    for (int h = 0; measure == Measure.UNSERVED && h < maxLosses.length; h++) {
-      noWorseTests[h].add((maxLosses[h] - difference) / measure.maxDifference);
+    for (int loss = 0; measure == Measure.UNSERVED && loss < maxLosses.length; loss++) {
+      noWorseTests[loss].add((maxLosses[loss] - difference) / measure.maxDifference);
     }
   }
 
   /**
    * Returns the result on the evidence so far.
    *
-   * @param maxLoss the index of the loss that is to be ruled out
+   * @param lossIndex the index in {@code maxLosses} of the loss that is to be ruled out
    */
-  public Result result(int maxLoss) {
+  public Result result(int lossIndex) {
     if (worstMeasure() != null) {
       return Result.WORSE;
     }
-    return noWorseTests[maxLoss].everExceeded(MISSED_HARM_PROBABILITY)
+    return noWorseTests[lossIndex].everExceeded(MISSED_HARM_PROBABILITY)
         ? Result.NO_WORSE
         : Result.NOT_SURE;
   }
@@ -114,22 +116,22 @@
     Measure worst = worstMeasure();
     Measure explained = worst == null ? Measure.UNSERVED : worst;
     int i = explained.ordinal();
-    if (samples[i] == 0) {
+    if (sampleCounts[i] == 0) {
       return "no windows were compared yet";
     }
-    double mean = differences[i] / samples[i];
-    boolean share = explained.ordinal() <= Measure.LOST.ordinal();
+    double mean = differenceSums[i] / sampleCounts[i];
+    boolean isShare = explained.ordinal() <= Measure.LOST.ordinal();
     String amount =
-        share
+        isShare
             ? String.format(java.util.Locale.ROOT, "%+.4f", mean)
             : String.format(java.util.Locale.ROOT, "%+.0f%%", 100 * Math.expm1(mean));
     return explained.name().toLowerCase(java.util.Locale.ROOT)
         + " "
         + amount
         + " compared with "
-        + pairs
+        + pairCount
         + " control relays, in "
-        + samples[i]
+        + sampleCounts[i]
         + " samples"
         + (worst == null ? "" : ": worse than the margin of " + explained.margin);
   }
--- a/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
+++ b/src/main/java/sprucerock/controller/comparison/MatchedWindows.java
@@ -3,13 +3,14 @@
 /**
  * Matches the windows of an updated relay and of its control: two relays alike in zone, load and
  * age, of which the control is restarted at the same time but not updated. Windows with few RPCs
- * are summed until there are enough on both sides, so that both sides are sampled equally finely: a
- * relay with two RPCs per window would look perfect in most windows and terrible in a few.
+ * are summed until there are enough on both sides: a relay with two RPCs per window would look
+ * perfect in most windows and terrible in a few. Before the update a sample consists of the sums of
+ * both sides, which are thus sampled equally finely; after the update, see {@link #recordAfter}.
  */
 public final class MatchedWindows {
   /**
-   * The least RPCs on each side for one sample. With 25, a share of 0.97 differs by 0.05 between
-   * two relays that are alike.
+   * The minimum of RPCs on each side for one sample. With 25, the difference of a share of 0.97
+   * between two relays that are alike has a standard deviation of 0.05.
    */
   static final int MIN_RPCS = 25;
 
@@ -18,16 +19,23 @@
   private final Comparison comparison;
 
   /**
-   * By how much the updated relay was worse already before its update: the sums of the differences,
-   * the sums of their squares and the numbers of samples, by measure.
+   * By how much the updated relay was worse than its control already before the update: the sum of
+   * the differences by measure. The next two fields have the sums of their squares and their
+   * number.
    */
-  private final double[] differencesBefore = new double[MEASURE_COUNT];
+  private final double[] differenceSumsBefore = new double[MEASURE_COUNT];
 
-  private final double[] squaresBefore = new double[MEASURE_COUNT];
-  private final int[] samplesBefore = new int[MEASURE_COUNT];
+  private final double[] squareSumsBefore = new double[MEASURE_COUNT];
+  private final int[] sampleCountsBefore = new int[MEASURE_COUNT];
   private Window updatedSum = Window.NONE;
   private Window controlSum = Window.NONE;
+
+  /**
+   * The updated relay's window in the first sample after the update; null before the update, and
+   * {@link Window#NONE} until that sample.
+   */
   private Window firstUpdated;
+
   private Window firstControl;
 
   MatchedWindows(Comparison comparison) {
@@ -43,19 +51,24 @@
       return;
     }
     for (Measure measure : Measure.values()) {
-      double worse = updatedSum.value(measure, updatedSum) - controlSum.value(measure, controlSum);
-      if (!Double.isFinite(worse) || measure == Measure.GROWTH) {
+      double difference =
+          updatedSum.value(measure, updatedSum) - controlSum.value(measure, controlSum);
+      if (!Double.isFinite(difference) || measure == Measure.GROWTH) {
         continue;
       }
-      differencesBefore[measure.ordinal()] += worse;
-      squaresBefore[measure.ordinal()] += worse * worse;
-      samplesBefore[measure.ordinal()]++;
+      differenceSumsBefore[measure.ordinal()] += difference;
+      squareSumsBefore[measure.ordinal()] += difference * difference;
+      sampleCountsBefore[measure.ordinal()]++;
     }
     updatedSum = Window.NONE;
     controlSum = Window.NONE;
   }
 
-  /** Records a window after the update. */
+  /**
+   * Records a window after the update. A sample compares the updated relay's latest window with the
+   * sum of the control's windows since the previous sample. The updated relay's sum, which only
+   * decides whether there are enough RPCs, is not reset between these samples.
+   */
   public void recordAfter(Window updated, Window control) {
     if (firstUpdated == null) {
       startComparing();
@@ -68,9 +81,10 @@
       firstControl = controlSum;
     }
     for (Measure measure : Measure.values()) {
-      double worse = updated.value(measure, firstUpdated) - controlSum.value(measure, firstControl);
-      if (Double.isFinite(worse)) {
-        comparison.record(measure, worse - usualDifference(measure), standardError(measure));
+      double difference =
+          updated.value(measure, firstUpdated) - controlSum.value(measure, firstControl);
+      if (Double.isFinite(difference)) {
+        comparison.record(measure, difference - usualDifference(measure), standardError(measure));
       }
     }
     updated = Window.NONE;
@@ -92,12 +106,12 @@
   }
 
   /**
-   * Returns the mean difference before the update, shrunk towards zero by four samples without a
-   * difference: what few samples show is mostly chance.
+   * Returns the mean difference before the update, with four samples of difference zero added: the
+   * mean of few samples is mostly chance.
    */
   private double usualDifference(Measure measure) {
     int i = measure.ordinal();
-    return differencesBefore[i] / (samplesBefore[i] + 4);
+    return differenceSumsBefore[i] / (sampleCountsBefore[i] + 4);
   }
 
   /**
@@ -106,11 +120,12 @@
    */
   private double standardError(Measure measure) {
     int i = measure.ordinal();
-    double unknown = measure.maxDifference / 8;
-    double mean = differencesBefore[i] / Math.max(samplesBefore[i], 1);
+    double priorError = measure.maxDifference / 8;
+    double mean = differenceSumsBefore[i] / Math.max(sampleCountsBefore[i], 1);
     double variance =
-        (Math.max(0, squaresBefore[i] - samplesBefore[i] * mean * mean) + unknown * unknown)
-            / (samplesBefore[i] + 1);
-    return Math.sqrt(variance / (samplesBefore[i] + 1));
+        (Math.max(0, squareSumsBefore[i] - sampleCountsBefore[i] * mean * mean)
+                + priorError * priorError)
+            / (sampleCountsBefore[i] + 1);
+    return Math.sqrt(variance / (sampleCountsBefore[i] + 1));
   }
 }
--- a/src/main/java/sprucerock/controller/comparison/Measure.java
+++ b/src/main/java/sprucerock/controller/comparison/Measure.java
@@ -5,10 +5,10 @@
  * are stored. Shares are of RPCs or of their weight; all other measures are logarithms, so that
  * their differences are logarithms of ratios.
  *
- * <p>The margin is a difference for which nobody would stop a deployment. The maximal difference is
- * the bound at which differences are cut off. It is about four standard deviations of a pair of
- * windows of {@link MatchedWindows#MIN_RPCS} RPCs each, so that values are cut off as rarely above
- * as below.
+ * <p>The margin is a difference for which nobody would stop a deployment. Differences are cut off
+ * at the maximal difference on both sides. It is about four standard deviations for a pair of
+ * windows of {@link MatchedWindows#MIN_RPCS} RPCs each, so that cutting off is rare on either side
+ * and hardly shifts the mean.
  */
 enum Measure {
   /** The share of the requested weight that was not served in time. */
@@ -16,8 +16,8 @@
   REFUSED(0.005, 0.25),
   ABORTED(0.002, 0.2),
   /**
-   * The share of RPCs that got no answer. A single one would already break an invariant; they are
-   * counted all the same, as the check of the invariants may miss one.
+   * The share of RPCs that got no answer. Even one such RPC breaks an invariant; the share is
+   * compared as well, as the check of the invariants may miss an RPC.
    */
   LOST(0.0005, 0.1),
   LATENCY(0.10, 1.0),
@@ -25,7 +25,7 @@
   WORK(0.25, 1.0),
   MEMORY(0.25, 1.0),
   /**
-   * The growth of memory since the first window after the start, which shows a leak long before it
+   * The growth of memory since the first window after the update, which shows a leak long before it
    * is large.
    */
   GROWTH(0.10, 0.5),
--- a/src/main/java/sprucerock/controller/comparison/Window.java
+++ b/src/main/java/sprucerock/controller/comparison/Window.java
@@ -11,10 +11,10 @@
  * @param lost the number of RPCs that got no answer
  * @param answered the number of answered RPCs
  * @param answeredMs the sum of the latencies of the answered RPCs
- * @param workMs processor time
- * @param memoryMb memory in use at the end of the period
- * @param connections connections open at the end of the period
- * @param messages messages sent to peers and to the controller
+ * @param workMs the processor time used
+ * @param memoryMb the memory in use at the end of the period
+ * @param connections the connections open at the end of the period
+ * @param messages the number of messages sent to peers and to the controller
  */
 public record Window(
     double rpcs,
@@ -72,7 +72,7 @@
   /**
    * Returns the value of a measure; not finite if the window has no data for it.
    *
-   * @param first the first window after the start, for growth
+   * @param first the relay's first compared window, from which growth is measured
    */
   double value(Measure measure, Window first) {
     return switch (measure) {
--- a/src/test/java/sprucerock/controller/DeploymentStudy.java
+++ b/src/test/java/sprucerock/controller/DeploymentStudy.java
@@ -72,7 +72,9 @@
     final Window[] lastWindow;
     double lostSeconds;
 
-    /** The size of the disturbance of each zone; the fourth one affects the whole fleet. */
+    /**
+     * The size of each zone's disturbance, as a share of RPCs; the last entry affects all zones.
+     */
     private final double[] zoneDisturbance = new double[4];
 
     private final int[] zoneDisturbanceTicks = new int[4];
@@ -107,6 +109,7 @@
           * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
+    /** Draws from a Poisson distribution, which is approximated by a normal one above 30. */
     private double count(double mean) {
       if (mean > 30) {
         return Math.max(0, Math.round(mean + Math.sqrt(mean) * normal()));
@@ -295,14 +298,18 @@
   }
 
   /**
-   * Stages of a fixed length, judged by comparing averages with a threshold. A single share of one
-   * updates all relays at once; a threshold of {@link Double#MAX_VALUE} never stops a deployment.
+   * Stages of a fixed length, judged by comparing averages with a threshold. With 1 as the only
+   * share, all relays are updated at once; a threshold of {@link Double#MAX_VALUE} never stops a
+   * deployment.
    */
   private static final class FixedStages implements Strategy {
     private static final int STAGE_TICKS = 30;
     private final double[] shares;
     private final double threshold;
+
+    /** Weight and weight in time on the new version, then on the old version. */
     private final double[] sums = new double[4];
+
     private int stage = -1;
     private int ticks = STAGE_TICKS + 40;
     private boolean stopped;
@@ -325,9 +332,9 @@
         return false;
       }
       ticks = STAGE_TICKS;
-      double worse = sums[0] > 0 && sums[2] > 0 ? sums[3] / sums[2] - sums[1] / sums[0] : 0;
+      double loss = sums[0] > 0 && sums[2] > 0 ? sums[3] / sums[2] - sums[1] / sums[0] : 0;
       java.util.Arrays.fill(sums, 0);
-      if (worse > threshold) {
+      if (loss > threshold) {
         stopped = true;
         return true;
       }
--- a/src/test/java/sprucerock/controller/EngineTest.java
+++ b/src/test/java/sprucerock/controller/EngineTest.java
@@ -39,7 +39,10 @@
     private static final long serialVersionUID = 1L;
   }
 
-  /** Storage that crashes at its n-th step and keeps a random part of the bytes not yet synced. */
+  /**
+   * Storage that crashes at its n-th write operation, and keeps a random part of the bytes not yet
+   * synced.
+   */
   private static final class SimulatedStorage implements Storage {
     private final TreeMap<String, byte[]> durableFiles = new TreeMap<>();
     private final TreeMap<String, ByteArrayOutputStream> currentFiles = new TreeMap<>();
@@ -180,10 +183,10 @@
 
   private final List<String> contradictions = new ArrayList<>();
 
-  private Engine engine(Storage storage, int snapshotEvery) {
+  private Engine engine(Storage storage, int snapshotEveryEntries) {
     return new Engine(
         storage,
-        snapshotEvery,
+        snapshotEveryEntries,
         RolloutManagerProperties.RULES,
         10,
         1,
@@ -364,14 +367,14 @@
   @Test
   public void aCrashAtAnyStepLosesNothingThatWasAnswered() throws Exception {
     int crashes = 0;
-    for (int snapshotEvery : new int[] {7, 1000}) {
+    for (int snapshotEveryEntries : new int[] {7, 1000}) {
       for (long crashAtStep = 0; ; crashAtStep++) {
         SimulatedStorage storage = new SimulatedStorage();
         storage.crashAtStep = crashAtStep;
         notified.clear();
         desiredVersions.clear();
         List<Integer> taken = new ArrayList<>();
-        Engine engine = engine(storage, snapshotEvery);
+        Engine engine = engine(storage, snapshotEveryEntries);
         boolean crashed = false;
         try {
           engine.start();
@@ -383,7 +386,7 @@
         storage.restart(Long.MAX_VALUE);
         notified.clear();
         advanceTime(100);
-        Engine next = engine(storage, snapshotEvery);
+        Engine next = engine(storage, snapshotEveryEntries);
         next.start();
         List<String> transitions = new ArrayList<>();
         next.rollouts()
@@ -460,9 +463,9 @@
 
   @Test
   public void replayRestoresTheState() throws Exception {
-    for (int snapshotEvery : new int[] {5, 100_000}) {
+    for (int snapshotEveryEntries : new int[] {5, 100_000}) {
       SimulatedStorage storage = new SimulatedStorage();
-      Engine engine = engine(storage, snapshotEvery);
+      Engine engine = engine(storage, snapshotEveryEntries);
       engine.start();
       appendRandomEntries(engine, new SplittableRandom(3), new ArrayList<>(), 300);
       while (engine.rollouts().transitionDue(engine.now())
@@ -477,7 +480,7 @@
               .clearEpoch()
               .build();
       storage.restart(Long.MAX_VALUE);
-      Engine next = engine(storage, snapshotEvery);
+      Engine next = engine(storage, snapshotEveryEntries);
       next.start();
       assertEquals(
           SnapshotCodec.writeSnapshot(
@@ -486,7 +489,7 @@
               .clearEpoch()
               .build(),
           before);
-      assertTrue(snapshotEvery > 5 || storage.list().size() <= 6, storage.list().toString());
+      assertTrue(snapshotEveryEntries > 5 || storage.list().size() <= 6, storage.list().toString());
     }
   }
 
@@ -627,7 +630,7 @@
     old.flush();
     assertEquals(
         rejections,
-        List.of("this controller may not be the leader any more; send the request to the leader"));
+        List.of("this controller may have lost leadership; send the request to the leader"));
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/RolloutManagerTest.java
+++ b/src/test/java/sprucerock/controller/RolloutManagerTest.java
@@ -151,7 +151,7 @@
     putOnTrial(2);
     assertEquals(castVote(0, 1, 0, Vote.ON), VoteResult.MOOT);
     assertEquals(castVote(0, 2, 1, Vote.ON), VoteResult.MOOT);
-    // Without a clock there is nothing to hold.
+    // Votes to hold count only under the control CLOCKED.
     assertEquals(castVote(0, 2, 0, Vote.HOLD), VoteResult.MOOT);
     castVote(0, 2, 0, Vote.ON);
     advanceTime(4100);
--- a/src/test/java/sprucerock/controller/StoreScaleTest.java
+++ b/src/test/java/sprucerock/controller/StoreScaleTest.java
@@ -108,7 +108,7 @@
     this(1 << 30);
   }
 
-  private StoreScaleTest(int snapshotEvery) {
+  private StoreScaleTest(int snapshotEveryEntries) {
     RolloutRules rules =
         new RolloutRules(
             List.of(new RolloutRules.Stage(0.1, 0.12), new RolloutRules.Stage(1, 1)),
@@ -126,7 +126,7 @@
     engine =
         new Engine(
             storage,
-            snapshotEvery,
+            snapshotEveryEntries,
             rules,
             10,
             1,
--- a/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
+++ b/src/test/java/sprucerock/controller/comparison/ComparisonTest.java
@@ -38,7 +38,7 @@
         rpcs);
   }
 
-  /** Compares pairs of relays; now and then a disturbance makes both sides worse. */
+  /** Compares pairs of relays; in 5 of every 20 windows a disturbance makes both sides worse. */
   private Comparison compare(
       int pairCount, int windows, double oldUnserved, double newUnserved, double newLatencyMs) {
     Comparison comparison = new Comparison(0.02, 0.1, 0.05, 0.02, 0.01);
