--- a/src/main/java/sprucerock/hardware/CapacityTranslator.java
+++ b/src/main/java/sprucerock/hardware/CapacityTranslator.java
@@ -12,19 +12,25 @@
 public final class CapacityTranslator {
   /** The resource that determines a translated capacity, or why there is none. */
   public enum Limit {
+    /** The families are the same, so nothing was translated. */
     NOTHING,
+    /** The estimated capacity, which depends on cores and speed. */
     CORES,
+    /** The declared memory. */
     MEMORY,
+    /** The declared slots. */
     SLOTS,
+    /** The endpoints of the other family are too slow, so no number of them is enough. */
     TIME,
+    /** A family was not observed, or the estimate is not precise enough. */
     NOT_KNOWN
   }
 
   /**
    * A translated capacity.
    *
-   * @param endpoints the number of endpoints of the other family, with fractions; NaN if the limit
-   *     is TIME (no number of endpoints helps) or NOT_KNOWN
+   * @param endpoints the number of endpoints of the other family, not rounded; NaN if the limit is
+   *     TIME or NOT_KNOWN
    * @param limit the resource that determines the number
    * @param reason why there is no number; empty if there is one
    */
@@ -47,10 +53,10 @@
     }
 
     /**
-     * Returns whether the ratio of two declared amounts is a stricter bound than the factor. An
-     * amount of 0 is not declared.
+     * Returns whether the ratio of two declared amounts is a stricter bound than the factor. 0
+     * means that an amount is not declared, which gives no bound.
      */
-    private boolean isExceeded(double from, double to, double factor) {
+    private boolean isStricter(double from, double to, double factor) {
       return from > 0 && to > 0 && sign * (from / to - factor) > 0;
     }
   }
@@ -93,8 +99,9 @@
   }
 
   /**
-   * Returns how many endpoints of family {@code to} are required for work with a time limit. If
-   * they are too slow for it, no number of them suffices.
+   * Returns how many endpoints of family {@code to} are required to replace endpoints of family
+   * {@code from}, if the work has a time limit. The answer is {@link Limit#TIME}, without a number,
+   * if the work may take longer than that on family {@code to}.
    *
    * @param ms the duration of the work on family {@code from}
    * @param withinMs the longest duration allowed on family {@code to}
@@ -121,7 +128,8 @@
   }
 
   /**
-   * Returns how many endpoints of family {@code to} those of family {@code from} surely replace.
+   * Returns how many endpoints of family {@code to} a number of endpoints of family {@code from}
+   * can replace, at the translator's confidence.
    */
   public Answer guaranteedEndpoints(int method, double endpoints, int from, int to) {
     return translate(method, endpoints, from, to, Bound.LOWER);
@@ -140,7 +148,7 @@
           to,
           String.format(
               Locale.ROOT,
-              "compared with family %d is known only to a factor of %.1f",
+              "has a capacity, relative to family %d, that is known only to a factor of %.1f",
               from,
               Math.exp(standardErrors * ratio.standardError())));
     }
@@ -150,11 +158,11 @@
     Family fromFamily = families.get(from);
     Family toFamily = families.get(to);
     if (fromFamily != null && toFamily != null) {
-      if (bound.isExceeded(fromFamily.memoryMb(), toFamily.memoryMb(), factor)) {
+      if (bound.isStricter(fromFamily.memoryMb(), toFamily.memoryMb(), factor)) {
         factor = fromFamily.memoryMb() / toFamily.memoryMb();
         limit = Limit.MEMORY;
       }
-      if (bound.isExceeded(fromFamily.slots(), toFamily.slots(), factor)) {
+      if (bound.isStricter(fromFamily.slots(), toFamily.slots(), factor)) {
         factor = fromFamily.slots() / toFamily.slots();
         limit = Limit.SLOTS;
       }
@@ -162,8 +170,8 @@
     return new Answer(endpoints * factor, limit, "");
   }
 
-  private static Answer unknown(int family, String why) {
-    return new Answer(Double.NaN, Limit.NOT_KNOWN, "family " + family + " " + why);
+  private static Answer unknown(int family, String reason) {
+    return new Answer(Double.NaN, Limit.NOT_KNOWN, "family " + family + " " + reason);
   }
 
   /**
--- a/src/main/java/sprucerock/hardware/Cell.java
+++ b/src/main/java/sprucerock/hardware/Cell.java
@@ -28,8 +28,8 @@
     return new Cell(method, family, build, Math.min(depth, MAX_DEPTH));
   }
 
-  /** Returns the middle of the range of attempts in flight that this depth stands for. */
-  static double estimatedInFlight(int depth) {
+  /** Returns the middle of the range of numbers of other attempts in flight at a depth. */
+  static double estimatedOthersInFlight(int depth) {
     return depth == 0 ? 0 : 1.5 * (1 << (depth - 1)) - 0.5;
   }
 
--- a/src/main/java/sprucerock/hardware/ConcurrencyEstimator.java
+++ b/src/main/java/sprucerock/hardware/ConcurrencyEstimator.java
@@ -5,7 +5,8 @@
 /**
  * Estimates how many concurrent attempts an endpoint of a hardware family serves before they slow
  * each other down. Times do not grow with the attempts in flight while cores are free, and grow
- * proportionally after that. The estimate is a posterior over a grid of numbers of cores.
+ * proportionally after that. The estimate is the mean of a posterior distribution over a grid of
+ * numbers of cores.
  */
 final class ConcurrencyEstimator {
   /** Logarithms of 0.5 to 128 cores, in steps of a twentieth of a doubling. */
--- a/src/main/java/sprucerock/hardware/FitData.java
+++ b/src/main/java/sprucerock/hardware/FitData.java
@@ -144,7 +144,7 @@
           depthPoints.add(
               new DepthPoint(
                   families.indexOf(cell.family()),
-                  Cell.estimatedInFlight(cell.depth()) + 1,
+                  Cell.estimatedOthersInFlight(cell.depth()) + 1,
                   samples.mean() - idle.mean(),
                   variance(cell.method()) * (1 / idle.count() + 1 / samples.count())));
         });
--- a/src/main/java/sprucerock/hardware/HardwareModel.java
+++ b/src/main/java/sprucerock/hardware/HardwareModel.java
@@ -30,8 +30,8 @@
    *
    * @param fencingToken the token of the lease under which the model was fitted
    * @param newestWindow the newest window that the model was fitted to
-   * @param timeRatios by method (last: all methods), family and other family: the ratio of times at
-   *     low load
+   * @param timeRatios by method (last: all methods), family and other family: the method's time at
+   *     low load on the family, divided by its time on the other family
    * @param concurrency by family: how many concurrent attempts an endpoint serves before they slow
    *     each other down
    * @param degreesOfFreedom the degrees of freedom of the errors, at least 1
@@ -154,12 +154,12 @@
    * Returns the ratio of a method's time on one family to its time on another at low load; the
    * ratio for all methods if the method was not observed; null if a family was not observed.
    *
-   * @param on the family of the numerator
-   * @param than the family of the denominator
+   * @param numerator the family of the numerator
+   * @param denominator the family of the denominator
    */
-  public Estimate timeRatio(int method, int on, int than) {
-    int a = families.indexOf(on);
-    int b = families.indexOf(than);
+  public Estimate timeRatio(int method, int numerator, int denominator) {
+    int a = families.indexOf(numerator);
+    int b = families.indexOf(denominator);
     int m = methods.indexOf(method);
     return a < 0 || b < 0 ? null : timeRatios[m < 0 ? methods.size() : m][a][b];
   }
@@ -168,18 +168,18 @@
    * Returns the ratio of the attempts of a method that an endpoint of one family serves each second
    * to those that an endpoint of another family serves; null if a family was not observed.
    *
-   * @param of the family of the numerator
-   * @param than the family of the denominator
+   * @param numerator the family of the numerator
+   * @param denominator the family of the denominator
    */
-  public Estimate capacityRatio(int method, int of, int than) {
-    Estimate time = timeRatio(method, of, than);
+  public Estimate capacityRatio(int method, int numerator, int denominator) {
+    Estimate time = timeRatio(method, numerator, denominator);
     if (time == null) {
       return null;
     }
-    if (of == than) {
+    if (numerator == denominator) {
       return new Estimate(0, 0);
     }
-    return concurrency(of).minus(concurrency(than)).minus(time);
+    return concurrency(numerator).minus(concurrency(denominator)).minus(time);
   }
 
   /**
--- a/src/main/java/sprucerock/hardware/LeastSquaresFit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -16,12 +16,12 @@
  *
  * <p>The logarithm of a time is the sum of the level of its group (window, method, build), the
  * effect of the family for this method, and a residual. The level of each group is eliminated, so
- * that only families observed in the same group are compared; other families are linked through
- * those. A family's effects for single methods vary around its effect for all methods with standard
- * deviation {@code tau}, which is estimated too (shrinkage as by Efron and Morris, 1975). Cells
- * vary beyond their own errors with standard deviation {@code omega} (DerSimonian and Laird, 1986),
- * so that many attempts in one unusual window do not count as many windows. Outlying cells have
- * less weight (Huber, 1964).
+ * that only families observed in the same group are compared directly; other families are compared
+ * through families that share a group with each of them. A family's effects for single methods vary
+ * around its effect for all methods with standard deviation {@code tau}, which is estimated too
+ * (shrinkage as by Efron and Morris, 1975). Cells vary beyond their own errors with standard
+ * deviation {@code omega} (DerSimonian and Laird, 1986), so that many attempts in one unusual
+ * window do not count as many windows. Outlying cells have less weight (Huber, 1964).
  */
 public final class LeastSquaresFit {
   /** The largest number of methods. Further methods are ignored. */
@@ -30,9 +30,11 @@
   /** The largest number of families. Further families are ignored. */
   public static final int MAX_FAMILIES = 16;
 
-  // Standard deviations of the prior. A family may be twenty times as fast or as slow as another
-  // (three sigma of 1). For one method it may differ from its effect for all methods by up to half
-  // (MAX_TAU).
+  // Standard deviations of the prior, in logarithms. A family may be twenty times as fast or as
+  // slow
+  // as another (three sigma of 1). The effects of a family for single methods vary around its
+  // effect
+  // for all methods with a standard deviation of up to a half (MAX_TAU).
   private static final double PRIOR_SIGMA = 1;
   private static final double MIN_TAU = 0.01;
   private static final double MAX_TAU = 0.5;
@@ -61,6 +63,7 @@
   /** The indexes of the points of each group, by group number. */
   private final Map<Integer, List<Integer>> groups = new TreeMap<>();
 
+  /** By point: 1, or less if the point is an outlier. */
   private final double[] weights;
 
   /** The families' effects for all methods, then those for single methods. */
@@ -91,7 +94,7 @@
    *
    * @param observation the observed samples
    * @param firstWindow the first window that counts
-   * @param settled returns whether a build counts
+   * @param settled returns whether a build counts: a settled build is not a canary
    * @param fencingToken the token of the lease under which the model is fitted
    * @return null if no settled build was observed
    */
@@ -190,7 +193,7 @@
     return sum / totalWeight;
   }
 
-  /** Returns the number of points beyond one in each group. */
+  /** Returns the number of points less one for each group, whose level is estimated. */
   private int degreesOfFreedom() {
     return points.size() - groups.size();
   }
--- a/src/main/java/sprucerock/hardware/Observation.java
+++ b/src/main/java/sprucerock/hardware/Observation.java
@@ -9,8 +9,8 @@
  */
 public final class Observation {
   /**
-   * The largest number of windows: ten minutes in windows of ten seconds. Within that time the only
-   * changes of hardware are those that should be detected.
+   * The largest number of windows: ten minutes in windows of ten seconds. The hardware of a family
+   * seldom changes within that time, and such a change should be detected.
    */
   public static final int MAX_WINDOWS = 60;
 
@@ -25,17 +25,17 @@
    * @return true if the sums are new; sums with no more samples than the known ones of the same
    *     relay and window arrived late or twice and are ignored
    */
-  public boolean add(SampleSums sample) {
-    if (!windows.isEmpty() && sample.window() <= windows.lastKey() - MAX_WINDOWS) {
+  public boolean add(SampleSums sums) {
+    if (!windows.isEmpty() && sums.window() <= windows.lastKey() - MAX_WINDOWS) {
       return false;
     }
     Map<Integer, SampleSums> window =
-        windows.computeIfAbsent(sample.window(), absent -> new TreeMap<>());
-    SampleSums before = window.get(sample.relay());
-    if (before != null ? before.count() >= sample.count() : window.size() >= MAX_RELAYS) {
+        windows.computeIfAbsent(sums.window(), absent -> new TreeMap<>());
+    SampleSums before = window.get(sums.relay());
+    if (before != null ? before.count() >= sums.count() : window.size() >= MAX_RELAYS) {
       return false;
     }
-    window.put(sample.relay(), sample);
+    window.put(sums.relay(), sums);
     while (windows.firstKey() <= windows.lastKey() - MAX_WINDOWS) {
       windows.pollFirstEntry();
     }
@@ -57,8 +57,8 @@
         .forEach(
             (window, relays) -> {
               Map<Cell, RunningMoments> sums = new TreeMap<>();
-              for (SampleSums sample : relays.values()) {
-                sample
+              for (SampleSums relaySums : relays.values()) {
+                relaySums
                     .cells()
                     .forEach((cell, moments) -> sums.merge(cell, moments, RunningMoments::plus));
               }
--- a/src/main/java/sprucerock/hardware/OutlierScore.java
+++ b/src/main/java/sprucerock/hardware/OutlierScore.java
@@ -8,10 +8,10 @@
 import java.util.function.IntPredicate;
 
 /**
- * Finds out whether a hardware family or a build is the outlier where times change on one family.
- * It is the family if settled builds became slower there too. It is the build if only this build is
- * slow there, compared with the settled builds of the same windows. Uses the same sums as a model,
- * before the model is fitted.
+ * Distinguishes a slow hardware family from a slow build when times on one family become longer.
+ * The family is slow if settled builds became slower on it. A build is slow if only this build is
+ * slow on the family, compared with the settled builds in the same windows. Uses the same sums as a
+ * fit, but needs no fitted model.
  */
 public final class OutlierScore {
   /**
@@ -19,18 +19,22 @@
    *
    * @param build the build that is slow on this family; 0: the family itself is slow
    * @param logSlowdown the logarithm of the factor by which times are longer
-   * @param standardErrors the same in standard errors
+   * @param standardErrors {@code logSlowdown} divided by its standard error
    */
   public record Finding(int family, int build, double logSlowdown, double standardErrors) {}
 
-  // There is one check in each window, of some families and builds. At 4 standard errors there is
-  // one false alarm in 15,000 checks of one of them. A slowdown below a tenth is not useful to
-  // know.
+  // Some families and builds are checked in each window. At 4 standard errors there is one false
+  // alarm in 15,000 checks of a family or build. A slowdown by less than a tenth is too small to
+  // act
+  // on.
   private static final double MIN_STANDARD_ERRORS = 4;
   private static final double MIN_LOG_SLOWDOWN = 0.1;
   private static final double MIN_SAMPLES = 3;
 
-  /** The logarithm of the factor by which two means differ without any cause. */
+  /**
+   * The standard deviation of the logarithm of the factor by which two means of many samples differ
+   * without any cause.
+   */
   private static final double MIN_LOG_ERROR = 0.02;
 
   private OutlierScore() {}
@@ -110,10 +114,10 @@
    * Returns the families on which settled builds became slower, compared with other families.
    *
    * @param firstWindow the first window that counts
-   * @param from the window from which times are compared with those before it
+   * @param firstNewWindow the window from which times are compared with those before it
    */
   public static List<Finding> slowFamilies(
-      Observation observation, long firstWindow, long from, IntPredicate settled) {
+      Observation observation, long firstWindow, long firstNewWindow, IntPredicate settled) {
     Map<Integer, WeightedMean> byFamily = new TreeMap<>();
     Map<Cell, RunningMoments> before = new TreeMap<>();
     Map<Cell, RunningMoments> since = new TreeMap<>();
@@ -124,7 +128,8 @@
                 cells.forEach(
                     (cell, sums) -> {
                       if (cell.depth() == 0 && settled.test(cell.build())) {
-                        (window < from ? before : since).merge(cell, sums, RunningMoments::plus);
+                        (window < firstNewWindow ? before : since)
+                            .merge(cell, sums, RunningMoments::plus);
                       }
                     }));
     TreeSet<Cell> commonCells = new TreeSet<>(before.keySet());
--- a/src/main/java/sprucerock/hardware/RunningMoments.java
+++ b/src/main/java/sprucerock/hardware/RunningMoments.java
@@ -11,7 +11,10 @@
 public record RunningMoments(double count, double mean, double squaredDeviations) {
   static final RunningMoments EMPTY = new RunningMoments(0, 0, 0);
 
-  /** Returns the moments with one more time. A time under a microsecond counts as a microsecond. */
+  /**
+   * Returns the moments with another time added. A time under a microsecond counts as a
+   * microsecond.
+   */
   public RunningMoments plus(double ms) {
     double log = Math.log(Math.max(ms, 0.001));
     double deviation = log - mean;
--- a/src/main/java/sprucerock/lease/FencingTokenRegistry.java
+++ b/src/main/java/sprucerock/lease/FencingTokenRegistry.java
@@ -6,9 +6,9 @@
 
 /**
  * The highest fencing token of each lease, kept by a process that receives acts of lease holders.
- * It rejects acts under lower tokens, whatever clocks do, and never asks the grantors. It is lost
- * with its process; for one term after that only the holders' clocks prevent acts of former
- * holders. Not thread-safe.
+ * It rejects acts under lower tokens without relying on clocks or grantors. The tokens are kept in
+ * memory only: for one term after the process restarts, only the holders' clocks prevent acts of
+ * former holders. Not thread-safe.
  */
 public final class FencingTokenRegistry {
   /** The largest number of leases. Beyond it the least recently used lease is forgotten. */
@@ -17,7 +17,10 @@
   private final Map<String, Long> highestTokens = new LinkedHashMap<>(16, 0.75f, true);
   private long rejectedCount;
 
-  /** Returns whether an act under a token may be done, and then records the token as highest. */
+  /**
+   * Returns whether an act under a token may be done. If so, records the token as the lease's
+   * highest.
+   */
   public boolean admits(String name, long token) {
     Long highestSeen = highestTokens.get(name);
     if (highestSeen != null && token < highestSeen) {
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -9,9 +9,9 @@
  * @param holder the holder's client number
  * @param incarnation the incarnation of the holder's process; it differs with each start, so it
  *     distinguishes two processes that have one client number
- * @param expiresAt the end of the grant, or of the time for which it is kept for the successor, by
- *     the grantor's clock
- * @param outstanding whether the holder has not released the lease
+ * @param expiresAt when the grant expires, or until when a released lease is kept for the
+ *     successor, by the grantor's clock
+ * @param outstanding true until the holder releases the grant, even if the grant has expired
  * @param successor the client that the lease is kept for until {@code expiresAt}; -1: none
  */
 record Grant(
@@ -21,6 +21,7 @@
     Timestamp expiresAt,
     boolean outstanding,
     int successor) {
+  /** Stands for the latest grant of a lease that was never granted. */
   static final Grant NONE =
       new Grant(0, -1, 0, Timestamp.ofMs(Double.NEGATIVE_INFINITY), false, -1);
 }
--- a/src/main/java/sprucerock/lease/GrantorConnections.java
+++ b/src/main/java/sprucerock/lease/GrantorConnections.java
@@ -60,7 +60,7 @@
   GrantorConnections(
       Net net,
       LeaseConfig config,
-      String name,
+      String processName,
       long incarnation,
       FrameTap tap,
       LeaseManager.Log log,
@@ -76,7 +76,7 @@
             .setVersion(FrameConnection.VERSION)
             .setRole(Role.RELAY)
             .setNumber(config.memberNumber())
-            .setName(name)
+            .setName(processName)
             .build();
   }
 
@@ -88,7 +88,7 @@
               net,
               config.grantors().get(grantor),
               hello,
-              LeaseManager.LIMITS,
+              LeaseManager.FRAME_LIMITS,
               tap,
               random,
               new Session(grantor));
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Stops the logging of lost connections. */
+  /** Prepares to stop: closed connections are no longer logged, and no first connects are begun. */
   void expectClose() {
     stopping = true;
   }
@@ -160,6 +160,7 @@
     }
   }
 
+  /** Receives the frames of one grantor, over all successive connections to it. */
   private final class Session implements FrameListener {
     private final int grantor;
     private boolean established;
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -33,7 +33,8 @@
   private static final byte[] NO_BODY = {};
   private static final int MAX_NAME_LENGTH = 64;
   // The limit of one connection. A client with 64 leases that renews each as fast as it can sends a
-  // tenth of that. Requests beyond the limit get no answer, and the client's rounds time out.
+  // tenth of this number. Requests beyond the limit get no answer, and the client's rounds time
+  // out.
   private static final int MAX_REQUESTS_PER_SECOND = 2000;
 
   private final Net net;
@@ -43,7 +44,10 @@
   private final Hello hello;
   private final Map<Integer, Session> sessions = new TreeMap<>();
   private final LeaseGrantor grantor;
+
+  /** The connection whose request the grantor handles now, or handled last. */
   private Session requester;
+
   private Net.Listener listener;
   private long droppedRequests;
 
@@ -67,8 +71,8 @@
   /**
    * Listens for lease clients.
    *
-   * @return the address that it listens at
-   * @throws IOException if it can't listen at its address
+   * @return the address of the listener
+   * @throws IOException if the address is not available
    */
   public InetSocketAddress start() throws IOException {
     InetSocketAddress ownAddress = config.grantors().get(config.grantorNumber());
@@ -76,11 +80,11 @@
         net.listen(
             config.listen() == null ? ownAddress : config.listen(),
             config.maxConnections(),
-            LeaseManager.LIMITS.maxUnsentBytes(),
+            LeaseManager.FRAME_LIMITS.maxUnsentBytes(),
             () -> {
               Session session = new Session();
               session.connection =
-                  new FrameConnection(net, hello, LeaseManager.LIMITS, tap, session);
+                  new FrameConnection(net, hello, LeaseManager.FRAME_LIMITS, tap, session);
               return session.connection;
             });
     log.info(
@@ -110,7 +114,7 @@
     return droppedRequests;
   }
 
-  /** Sends answers to the latest requester, and notifications to the client that waits. */
+  /** Sends answers to the requester, and notifications over the client's latest connection. */
   private final class Answers implements LeaseGrantor.Replies {
     @Override
     public void sendGranted(int client, String name, long token, long round) {
@@ -156,6 +160,7 @@
     return (long) Math.max(0, span.ms() * 1000);
   }
 
+  /** One connection of a lease client. */
   private final class Session implements FrameListener {
     private FrameConnection connection;
 
@@ -232,6 +237,7 @@
       }
     }
 
+    /** Counts a request. Returns whether the connection has exceeded its limit in this second. */
     private boolean isOverRate(Timestamp now) {
       if (secondStartedAt == null || now.since(secondStartedAt).ms() >= 1000) {
         secondStartedAt = now;
--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -59,7 +59,10 @@
     return isHeldFor(TimeSpan.ZERO);
   }
 
-  /** Records the higher token by which the receiver of an act rejected it. */
+  /**
+   * Records that the receiver of an act rejected it, because it has seen a higher token of this
+   * lease.
+   */
   public void tokenRejected(long higherToken) {
     client.observeToken(higherToken);
   }
--- a/src/main/java/sprucerock/lease/LeaseClient.java
+++ b/src/main/java/sprucerock/lease/LeaseClient.java
@@ -8,8 +8,8 @@
  * One process's side of one lease. It requests the lease from all grantors, holds it once a quorum
  * has granted it in one round, renews it in time, and releases it. The term counts from before the
  * request was sent, by this process's own clock, and is shortened by the allowed clock drift. So
- * the client stops before any grantor can grant the lease to another client. Callers ask through
- * {@link LeaseCheck}, immediately before they act, whether the lease is held.
+ * the lease ends at the client before any grantor can grant it to another client. Callers ask
+ * through {@link LeaseCheck}, immediately before they act, whether the lease is held.
  *
  * <p>A pure state machine: it reads no clock, starts no timer and sends only through its {@link
  * Transport}. Not thread-safe.
@@ -31,7 +31,10 @@
     void lost(String name, long token, String reason);
   }
 
-  /** The number of low bits of a token that name the client that chose it. The rest counts up. */
+  /**
+   * The number of low bits of a token, which are the number of the client that chose it. The high
+   * bits increase with each new token.
+   */
   private static final int CLIENT_BITS = 16;
 
   // Shares of the usable term. A lease is renewed after a third, with up to a sixth of jitter, so
@@ -40,7 +43,9 @@
   private static final double RENEW_SHARE = 1.0 / 3;
   private static final double JITTER_SHARE = 1.0 / 6;
   private static final double ROUND_TIMEOUT_SHARE = 1.0 / 6;
-  private static final int MAX_BACKOFF_DOUBLINGS = 4;
+
+  /** Further failed rounds do not lengthen the backoff, which is then eight times the first one. */
+  private static final int MAX_COUNTED_FAILURES = 4;
 
   private final String name;
   private final LeaseTerms terms;
@@ -52,7 +57,7 @@
   private final LeaseRound round = new LeaseRound();
   private boolean campaigning;
 
-  /** The token of the present request or lease; 0: none. */
+  /** The token of the current request or lease; 0: none. */
   private long token;
 
   /** The end of the usable term; null: the lease is not held. */
@@ -61,8 +66,10 @@
   /** The time of the next action; null: no action is due by time. */
   private Timestamp nextTick;
 
-  private long highestSeen;
-  private int failures;
+  private long highestSeenToken;
+
+  /** Rounds that failed since a quorum last granted the lease, up to MAX_COUNTED_FAILURES. */
+  private int failedRounds;
 
   /**
    * Creates a client that does not campaign yet.
@@ -97,8 +104,8 @@
     token = other.token;
     heldUntil = other.heldUntil;
     nextTick = other.nextTick;
-    highestSeen = other.highestSeen;
-    failures = other.failures;
+    highestSeenToken = other.highestSeenToken;
+    failedRounds = other.failedRounds;
   }
 
   /** Returns the whole state as text, except the grantors' votes: see {@link #voteOf}. */
@@ -116,9 +123,9 @@
         + ", next "
         + nextTick
         + ", seen "
-        + highestSeen
+        + highestSeenToken
         + ", failures "
-        + failures;
+        + failedRounds;
   }
 
   /** Returns a grantor's answers in this round; bit 0: it granted, bit 1: it rejected. */
@@ -137,14 +144,14 @@
   /**
    * Starts to campaign for the lease. Without effect while this client campaigns.
    *
-   * @param floorMs see {@link #nextToken}
+   * @param wallMs the wall clock in milliseconds, a lower bound of new tokens
    */
-  void acquire(Timestamp now, long floorMs) {
+  void acquire(Timestamp now, long wallMs) {
     if (campaigning) {
       return;
     }
     campaigning = true;
-    requestWithNewToken(now, floorMs);
+    requestWithNewToken(now, wallMs);
   }
 
   /**
@@ -165,18 +172,18 @@
   /**
    * Returns a token that is higher than all tokens seen. Its low bits are the client's number, so
    * that no two clients request under one token. Grantors forget tokens when they restart, so the
-   * token is also not below the wall clock. A wrong wall clock only skips tokens: safety does not
-   * depend on it while one grantor of a quorum remembers the highest token.
+   * high bits are also not below the wall clock. A wrong wall clock only skips tokens: safety does
+   * not depend on it while at least one grantor of each quorum remembers the highest token.
    *
-   * @param floorMs the wall clock in milliseconds
+   * @param wallMs the wall clock in milliseconds
    */
-  private long nextToken(long floorMs) {
-    return Math.max((highestSeen >>> CLIENT_BITS) + 1, floorMs) << CLIENT_BITS | client;
+  private long nextToken(long wallMs) {
+    return Math.max((highestSeenToken >>> CLIENT_BITS) + 1, wallMs) << CLIENT_BITS | client;
   }
 
-  private void requestWithNewToken(Timestamp now, long floorMs) {
-    token = nextToken(floorMs);
-    highestSeen = token;
+  private void requestWithNewToken(Timestamp now, long wallMs) {
+    token = nextToken(wallMs);
+    highestSeenToken = token;
     beginRound(now);
   }
 
@@ -191,7 +198,7 @@
   /** Counts a grant. A quorum of grants in the current round acquires or renews the lease. */
   void handleGrant(int grantor, long answeredToken, long answeredRound, Timestamp now) {
     if (answeredToken != token) {
-      // The token was given up, and the release that said so may have been lost.
+      // This client has given up that token, and its release may have been lost.
       transport.release(grantor, name, answeredToken, -1);
       return;
     }
@@ -209,7 +216,7 @@
     }
     final boolean newlyAcquired = heldUntil == null;
     heldUntil = end;
-    failures = 0;
+    failedRounds = 0;
     double renewAfter = RENEW_SHARE + JITTER_SHARE * random.getAsDouble();
     nextTick = round.requestedAt().plus(terms.usableTerm().times(renewAfter)).later(now);
     if (newlyAcquired) {
@@ -218,21 +225,22 @@
   }
 
   /**
-   * Counts a rejection. The round fails if too few grantors are left for a quorum.
+   * Counts a rejection. If the lease is not held and too few grantors are left for a quorum, the
+   * round fails. A lease that is held is never ended by rejections, only by the end of its term.
    *
-   * @param highest the token that the next request has to exceed
-   * @param minWait a request before this time span has passed is rejected too
+   * @param highestToken the token that the next request has to exceed
+   * @param minWait how long the grantor wants the client to wait before it requests again
    * @param held whether another client holds the lease
    */
   void handleRejection(
       int grantor,
       long answeredToken,
       long answeredRound,
-      long highest,
+      long highestToken,
       TimeSpan minWait,
       boolean held,
       Timestamp now) {
-    observeToken(highest);
+    observeToken(highestToken);
     if (answeredToken != token || answeredRound != round.number()) {
       return;
     }
@@ -246,8 +254,9 @@
   // tests can remove it and show that their checker finds it missing.
 
   /**
-   * Returns whether an answer belongs to the current round. The term counts from the start of the
-   * round, and a grantor that answered an earlier round may have begun its grant before that.
+   * Returns whether an answer belongs to the current round. This client counts the term from the
+   * start of the current round. A grant of an earlier round began before that, and may expire while
+   * the client's term still runs.
    */
   boolean isCurrentRound(long answeredRound) {
     return answeredRound == round.number();
@@ -258,8 +267,8 @@
   }
 
   /**
-   * Returns the time from which the term counts. It is not known when a grantor began to count, but
-   * it was not before the request.
+   * Returns the time from which the term counts. This client does not know when a grantor began its
+   * grant, only that the grantor did so after the request was sent.
    */
   Timestamp termStart(Timestamp now) {
     return round.requestedAt();
@@ -270,9 +279,9 @@
   }
 
   /** Requests the lease, which a grantor has reported as available. */
-  void handleAvailable(Timestamp now, long floorMs) {
+  void handleAvailable(Timestamp now, long wallMs) {
     if (campaigning && heldUntil == null && token == 0) {
-      requestWithNewToken(now, floorMs);
+      requestWithNewToken(now, wallMs);
     }
   }
 
@@ -288,24 +297,25 @@
         transport.release(grantor, name, releasedToken, -1);
       }
     }
-    failures = Math.min(failures + 1, MAX_BACKOFF_DOUBLINGS);
+    failedRounds = Math.min(failedRounds + 1, MAX_COUNTED_FAILURES);
     nextTick = now.plus(backoff());
   }
 
   /**
-   * Returns the time span until the next request. While another client holds the lease, it lasts
-   * until that client's term may have ended. Otherwise clients requested at the same time or
-   * grantors are unreachable, and the backoff doubles with each failure. Both have jitter, so that
-   * clients that requested together do not request together again.
+   * Returns the time span until the next request. If another client holds the lease, that is the
+   * shortest wait that a grantor stated: the other client's term may have ended then. Otherwise
+   * clients requested at the same time or grantors are unreachable, and the backoff doubles with
+   * each failed round. Both have jitter, so that clients that requested together do not request
+   * together again.
    */
   private TimeSpan backoff() {
-    TimeSpan heldFor = round.heldByOtherFor();
-    if (heldFor != null) {
-      return heldFor.plus(terms.usableTerm().times(ROUND_TIMEOUT_SHARE * random.getAsDouble()));
+    TimeSpan wait = round.waitIfHeldByOther();
+    if (wait != null) {
+      return wait.plus(terms.usableTerm().times(ROUND_TIMEOUT_SHARE * random.getAsDouble()));
     }
     return terms
         .usableTerm()
-        .times(ROUND_TIMEOUT_SHARE * (1 << (failures - 1)) * (0.5 + random.getAsDouble()));
+        .times(ROUND_TIMEOUT_SHARE * (1 << (failedRounds - 1)) * (0.5 + random.getAsDouble()));
   }
 
   /** Returns when to call {@link #tick} next; null: only after another event. */
@@ -314,11 +324,11 @@
   }
 
   /** Renews the lease, requests it again or gives up an expired lease, whichever is due. */
-  void tick(Timestamp now, long floorMs) {
+  void tick(Timestamp now, long wallMs) {
     if (heldUntil != null && !isHeldAt(now)) {
       relinquish("the term ended before a quorum renewed it", -1);
       if (campaigning) {
-        requestWithNewToken(now, floorMs);
+        requestWithNewToken(now, wallMs);
       }
       return;
     }
@@ -326,12 +336,12 @@
       return;
     }
     if (heldUntil != null) {
-      // This renews the lease, which is held as before until then.
+      // This round renews the lease. Until a quorum grants it, the old term continues.
       beginRound(now);
     } else if (token != 0) {
       failRound(now);
     } else if (campaigning) {
-      requestWithNewToken(now, floorMs);
+      requestWithNewToken(now, wallMs);
     } else {
       nextTick = null;
     }
@@ -357,12 +367,12 @@
     }
   }
 
-  /** Returns whether the lease is certainly held at a time of this process's clock. */
+  /** Returns whether the lease is certainly held at a time by this process's clock. */
   boolean isHeldAt(Timestamp at) {
     return heldUntil != null && heldUntil.after(at);
   }
 
-  /** Returns how long the lease is certainly held from that time on; zero if it is not held. */
+  /** Returns how long the lease is certainly held after a time; zero: it is not held then. */
   TimeSpan remaining(Timestamp at) {
     return isHeldAt(at) ? heldUntil.since(at) : TimeSpan.ZERO;
   }
@@ -372,8 +382,8 @@
     return heldUntil == null ? 0 : token;
   }
 
-  /** Records a token that a client acted or requested under. The next own token is higher. */
+  /** Records a token of any client, so that the next token of this client is higher. */
   void observeToken(long seen) {
-    highestSeen = Math.max(highestSeen, seen);
+    highestSeenToken = Math.max(highestSeenToken, seen);
   }
 }
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -14,15 +14,15 @@
 
 /**
  * One grantor, an acceptor in the terms of Paxos. It has at most one running grant for each lease,
- * and grants each under a higher token than any before. It needs no disk: after its start it grants
- * nothing for the longest term that its previous incarnation may have granted, and it learns the
- * tokens that it forgot from clients, which request with higher ones. Messages may arrive late,
- * twice, never and in any order. A pure state machine: it reads no clock and opens no connection.
- * Not thread-safe.
+ * and grants a lease to another client only under a higher token than all its earlier grants of
+ * this lease. It needs no disk: after its start it grants nothing for the longest term that its
+ * previous incarnation may have granted. A restart loses the tokens of earlier grants, but clients
+ * remember them and request under higher ones. Messages may arrive late, twice, never and in any
+ * order. A pure state machine: it reads no clock and opens no connection. Not thread-safe.
  *
  * <p>The design follows Gray and Cheriton's lease (1989), a grant that expires by itself. A quorum
- * grants it, as in PaxosLease (Trencseni and others, 2009). The two rounds of PaxosLease are one
- * here, because each client brings a token that no other client can choose.
+ * grants it, as in PaxosLease (Trencseni and others, 2009). PaxosLease needs two rounds. Here one
+ * round is enough, because each client brings a token that no other client can choose.
  */
 class LeaseGrantor {
   /** Sends answers and notifications to clients. They may get lost. */
@@ -32,16 +32,16 @@
     /**
      * Rejects a request.
      *
-     * @param highest the token that the next request has to exceed
-     * @param minWait a request before this time span has passed is rejected too; zero: the client
-     *     may request again at once
+     * @param highestToken the token that the next request has to exceed
+     * @param minWait how long the client should wait before it requests again, unless it is
+     *     notified earlier; zero: it may request again at once
      */
     void sendRejected(
         int client,
         String name,
         long token,
         long round,
-        long highest,
+        long highestToken,
         TimeSpan minWait,
         Rejection reason);
 
@@ -59,32 +59,42 @@
     RETURNED,
     /** The grantor has started recently, and grants of its previous incarnation may still run. */
     STARTING,
-    /** The lease is kept for a successor. */
+    /** The former holder released the lease for another client, and it is kept for that client. */
     KEPT,
     /** The grantor has no room for another lease name. */
     TOO_MANY
   }
 
-  /** The largest number of leases. A new name replaces a grant that ended long ago. */
+  /**
+   * The largest number of leases. Beyond it a new lease replaces one whose latest grant expired
+   * more than the longest term ago.
+   */
   static final int MAX_LEASES = 1024;
 
   /**
-   * The largest length of a lease's queue of clients that are notified when it becomes available.
-   * Other clients request again without a notification.
+   * The largest length of a lease's queue. Each time the lease becomes available, the first client
+   * in the queue is notified. Other clients request again without a notification.
    */
   static final int MAX_WAITERS = 16;
 
-  // A client that finds the queue full requests again after this many terms. With a thousand
-  // clients and terms of three seconds a grantor rejects some forty requests a second, few enough
-  // that the holder's renewals are always received.
+  // A client that finds the queue full waits for the end of the running grant and this many terms
+  // more. With a thousand clients and terms of three seconds a grantor rejects some forty requests
+  // a
+  // second, few enough that the holder's renewals are always received.
   private static final double QUEUE_FULL_TERMS = 8;
 
-  /** How long the lease is kept for a successor. One that is alive requests within a round trip. */
+  /**
+   * How long a released lease is kept for the successor. A successor that runs requests it within a
+   * round trip.
+   */
   private static final double SUCCESSOR_TERMS = 0.5;
 
   private final LeaseTerms terms;
   private final Replies replies;
+
+  /** The time before which this grantor grants nothing. */
   private final Timestamp grantsFrom;
+
   private final Map<String, Grant> grants = new TreeMap<>();
   private final Map<String, Set<Integer>> waiters = new TreeMap<>();
   private long rejectedCount;
@@ -138,7 +148,7 @@
     if (isStarting(now)) {
       return Rejection.STARTING;
     }
-    if (isHolder(grant, client, incarnation, token)) {
+    if (isGrantedTo(grant, client, incarnation, token)) {
       return isOutstanding(grant) ? null : Rejection.RETURNED;
     }
     if (isRunning(grant, now)) {
@@ -150,7 +160,7 @@
     if (!exceedsToken(token, grant)) {
       return Rejection.LOWER;
     }
-    return grants.containsKey(name) || hasCapacity(now) ? null : Rejection.TOO_MANY;
+    return grants.containsKey(name) || ensureCapacity(now) ? null : Rejection.TOO_MANY;
   }
 
   // Each rule that keeps two clients from holding a lease at once is a method of its own, so that
@@ -161,14 +171,17 @@
     return grantsFrom.after(now);
   }
 
-  /** Returns whether this incarnation of the client holds the grant under this token. */
-  boolean isHolder(Grant grant, int client, long incarnation, long token) {
+  /**
+   * Returns whether a grant was given to this incarnation of the client under this token. The grant
+   * may have expired or have been released.
+   */
+  boolean isGrantedTo(Grant grant, int client, long incarnation, long token) {
     return grant.token() == token && grant.holder() == client && grant.incarnation() == incarnation;
   }
 
   /**
-   * Returns whether the grant was not released. A delayed request of the former holder must not
-   * renew a released grant: that would block the lease for a term.
+   * Returns whether the holder has yet to release the grant. A delayed request of the former holder
+   * must not renew a released grant: that would block the lease for a term.
    */
   boolean isOutstanding(Grant grant) {
     return grant.outstanding();
@@ -182,12 +195,16 @@
     return token > grant.token();
   }
 
-  private boolean hasCapacity(Timestamp now) {
+  /**
+   * Returns whether another lease can be granted. If there are {@link #MAX_LEASES} leases, forgets
+   * one whose latest grant expired more than the longest term ago.
+   */
+  private boolean ensureCapacity(Timestamp now) {
     if (grants.size() < MAX_LEASES) {
       return true;
     }
     Iterator<Map.Entry<String, Grant>> entries = grants.entrySet().iterator();
-    // The map is full only if clients use an unbounded number of names. Only then this scan runs.
+    // The scan runs only if the map is full, which happens only if clients use ever new names.
     while (entries.hasNext()) {
       Grant grant = entries.next().getValue();
       if (!now.since(grant.expiresAt()).over(terms.maxTerm())) {
@@ -199,6 +216,7 @@
     return false;
   }
 
+  /** Returns whether the client is in the lease's queue now; false: the queue is full. */
   private boolean enqueue(int client, String name) {
     if (waiters.size() >= MAX_LEASES && !waiters.containsKey(name)) {
       return false;
@@ -212,15 +230,15 @@
   }
 
   /**
-   * Releases a grant. The holder releases its lease, and a client without a quorum the grants that
-   * it got.
+   * Releases a grant. A holder does so to give up its lease. A client that got grants without a
+   * quorum does so to let other clients get the lease.
    *
-   * @param successor the client that gets the lease next; -1: any client
+   * @param successor the client that the lease is kept for; -1: none
    */
   void release(
       int client, long incarnation, String name, long token, int successor, Timestamp now) {
     Grant grant = grants.get(name);
-    if (grant == null || !isHolder(grant, client, incarnation, token) || !grant.outstanding()) {
+    if (grant == null || !isGrantedTo(grant, client, incarnation, token) || !grant.outstanding()) {
       return;
     }
     Timestamp keptUntil = successor >= 0 ? now.plus(terms.term().times(SUCCESSOR_TERMS)) : now;
@@ -233,8 +251,8 @@
   }
 
   /**
-   * Notifies the client that has waited longest. If it is gone, another client requests the lease
-   * without a notification.
+   * Notifies the client that has waited longest. If that client has ended, the others request the
+   * lease without a notification when their wait is over.
    */
   private void notifyNext(String name) {
     Set<Integer> queue = waiters.get(name);
@@ -268,7 +286,7 @@
     return new LinkedHashMap<>(grants);
   }
 
-  /** Returns the time from which this grantor grants leases. */
+  /** Returns the time before which this grantor grants nothing. */
   Timestamp grantsFrom() {
     return grantsFrom;
   }
@@ -278,7 +296,7 @@
     return rejectedCount;
   }
 
-  /** Returns the clients that wait for a lease, the longest first. */
+  /** Returns the clients in a lease's queue, first the one that has waited longest. */
   List<Integer> waiters(String name) {
     return new ArrayList<>(waiters.getOrDefault(name, new TreeSet<>()));
   }
--- a/src/main/java/sprucerock/lease/LeaseManager.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -23,9 +23,9 @@
  * called from any thread.
  */
 public final class LeaseManager {
-  /** A task that only the lease holder does. Notified on the loop's thread. */
+  /** Is notified, on the loop's thread, when a lease is acquired and when it is lost. */
   public interface Listener {
-    /** The lease is held from now on. Work of former holders may be half done. */
+    /** The lease is held from now on. Former holders may have left work incomplete. */
     void acquired(LeaseCheck check);
 
     /** The lease is lost. Nothing may be done under it any more. */
@@ -37,7 +37,7 @@
     /** Logs an event of normal operation. */
     void info(String message);
 
-    /** Logs an event that operators should look into. */
+    /** Logs an event that operators should investigate. */
     void warn(String message);
   }
 
@@ -47,7 +47,9 @@
   /** The largest number of leases that a process campaigns for. */
   public static final int MAX_LEASES = 64;
 
-  static final FrameLimits LIMITS = new FrameLimits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
+  /** The limits of all connections between lease clients and grantors. */
+  static final FrameLimits FRAME_LIMITS =
+      new FrameLimits(64 * 1024, 256 * 1024, TimeSpan.ofMs(1000));
 
   private static final TimeSpan QUERY_TIMEOUT = TimeSpan.ofMs(1000);
 
@@ -62,7 +64,7 @@
   private final Map<String, Campaign> campaigns = new TreeMap<>();
   private final Map<Integer, LeaseListed> queryAnswers = new TreeMap<>();
 
-  /** Ends the present query of the grantors; null: no query is in flight. */
+  /** Ends the current query of the grantors; null: no query is in flight. */
   private Runnable finishQuery;
 
   private volatile Counts counts = new Counts(0, 0, 0);
@@ -70,6 +72,7 @@
   /**
    * Creates a manager that does not campaign yet.
    *
+   * @param processName this process's name, which the grantors receive
    * @param incarnation a number that differs with each start of the process: {@link
    *     #newIncarnation}
    * @param wallMs the wall clock in milliseconds, a lower bound of new tokens
@@ -77,7 +80,7 @@
   public LeaseManager(
       Net net,
       LeaseConfig config,
-      String name,
+      String processName,
       long incarnation,
       FrameTap tap,
       LongSupplier wallMs,
@@ -90,7 +93,8 @@
     terms = terms(config);
     random = new DeterministicRandom(incarnation ^ config.memberNumber());
     grantors =
-        new GrantorConnections(net, config, name, incarnation, tap, log, new GrantorAnswers());
+        new GrantorConnections(
+            net, config, processName, incarnation, tap, log, new GrantorAnswers());
   }
 
   static LeaseTerms terms(LeaseConfig config) {
@@ -162,7 +166,7 @@
    * Queries all grantors for their grants.
    *
    * @param done receives the answers by grantor once all have answered, after a second at the
-   *     latest, or at once if another query begins before
+   *     latest; if another query begins before, it receives no answers
    */
   public void queryGrantors(Consumer<Map<Integer, LeaseListed>> done) {
     queryAnswers.clear();
@@ -178,14 +182,14 @@
           done.accept(Map.copyOf(queryAnswers));
         };
     if (finishQuery != null) {
-      // The previous query gets the answers that have arrived.
+      // The previous query ends without answers, which were cleared above.
       finishQuery.run();
     }
     finishQuery = finish[0];
     grantors.query();
   }
 
-  /** One lease and this process's side of it. */
+  /** One lease that this process campaigns for. */
   private final class Campaign implements LeaseClient.Transport {
     private final LeaseClient client;
     private final LeaseCheck check;
--- a/src/main/java/sprucerock/lease/LeaseRound.java
+++ b/src/main/java/sprucerock/lease/LeaseRound.java
@@ -15,7 +15,7 @@
   private long grantBits;
   private long rejectionBits;
 
-  /** The shortest wait that a grantor stated; null: none rejected the request in this round. */
+  /** The shortest wait that a grantor stated; null: no grantor rejected this round's request. */
   private TimeSpan shortestWait;
 
   private boolean heldByOther;
@@ -46,7 +46,7 @@
   /**
    * Counts a rejection.
    *
-   * @param minWait the time span in which the grantor would reject another request too
+   * @param minWait how long the grantor wants the client to wait before it requests again
    * @param held whether the grantor has granted the lease to another client
    */
   void addRejection(int grantor, TimeSpan minWait, boolean held) {
@@ -80,8 +80,11 @@
     return (int) (((grantBits >> grantor) & 1) | (((rejectionBits >> grantor) & 1) << 1));
   }
 
-  /** Returns how long another client holds the lease at least; null: none is known to hold it. */
-  TimeSpan heldByOtherFor() {
+  /**
+   * Returns the shortest wait that a grantor stated, if any grantor answered that another client
+   * holds the lease; null otherwise.
+   */
+  TimeSpan waitIfHeldByOther() {
     return heldByOther ? shortestWait : null;
   }
 
--- a/src/main/java/sprucerock/lease/LeaseTerms.java
+++ b/src/main/java/sprucerock/lease/LeaseTerms.java
@@ -7,8 +7,8 @@
  *
  * @param grantorCount the number of grantors, 3 or 5; a quorum (majority) of them grants a lease
  * @param term how long a grant lasts by the grantor's clock
- * @param maxTerm the longest term that was ever configured while any of the processes that run now,
- *     or their previous incarnations, ran
+ * @param maxTerm the longest {@code term} that any process that runs now, or its previous
+ *     incarnation, was ever configured with
  * @param drift the largest relative error of the rate of any clock, from 0 to under 0.2
  */
 public record LeaseTerms(int grantorCount, TimeSpan term, TimeSpan maxTerm, double drift) {
--- a/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
+++ b/src/main/java/sprucerock/relay/healthcheck/HealthCheckScheduler.java
@@ -10,11 +10,11 @@
 
 /**
  * The schedule of the one relay that checks the health of endpoints for the whole fleet: which
- * endpoint is checked next, and whether the result changed. A health check only asks whether an
- * endpoint's process responds and runs no work, so it costs an endpoint that is warming up nothing.
- * Endpoints that get requests are checked seldom, because their callers know their health better.
- * The schedule is lost with the lease holder; the next holder starts a new one with random due
- * times. Not thread-safe.
+ * endpoint is checked next, and which results the other relays have to know. A health check only
+ * asks whether an endpoint's process responds and runs no work, so it does not load an endpoint
+ * that is warming up. Endpoints that get requests are checked seldom, because their callers know
+ * their health better. The schedule is lost with the lease holder; the next holder starts a new one
+ * with random due times. Not thread-safe.
  */
 public final class HealthCheckScheduler {
   /** An endpoint that was called within this time span is busy: its callers observe its health. */
@@ -22,10 +22,10 @@
 
   private static final TimeSpan BUSY_INTERVAL = TimeSpan.ofMs(10_000);
 
-  /** The interval is about as long as it takes to detect a silent connection. */
+  /** About as long as it takes to detect a silent connection. */
   private static final TimeSpan IDLE_INTERVAL = TimeSpan.ofMs(2000);
 
-  /** The routing policy itself also gives a failing endpoint one check a second. */
+  /** The routing policy also sends a failing endpoint one check a second. */
   private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(1000);
 
   /** An interval is multiplied by a random factor from 0.75 to under 1.25. */
@@ -97,7 +97,10 @@
     }
   }
 
-  /** Returns the endpoint to check now, and counts it as checked; -1: none is due. */
+  /**
+   * Returns the endpoint to check now; -1: none is due. Its next check is due after {@link
+   * #BUSY_INTERVAL}, until an answer or a timeout is recorded.
+   */
   public long takeNext(Timestamp now) {
     if (byDueTime.isEmpty() || byDueTime.first().due.after(now)) {
       return -1;
@@ -111,7 +114,8 @@
    * Records that an endpoint answered its health check.
    *
    * @param idle the time span since the last call of the endpoint, as the endpoint reports it
-   * @return whether to notify the other relays: the endpoint had not answered its previous check
+   * @return whether to notify the other relays: true if the endpoint is known and did not answer
+   *     its previous check
    */
   public boolean recordAnswer(long endpoint, TimeSpan idle, Timestamp now) {
     Entry entry = entries.get(endpoint);
@@ -128,7 +132,7 @@
   /**
    * Records that an endpoint did not answer its health check in time.
    *
-   * @return whether to notify the other relays: the endpoint is known
+   * @return whether to notify the other relays: true if the endpoint is known
    */
   public boolean recordTimeout(long endpoint, Timestamp now) {
     Entry entry = entries.get(endpoint);
--- a/src/main/java/sprucerock/relay/healthcheck/package-info.java
+++ b/src/main/java/sprucerock/relay/healthcheck/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The schedule of health checks, which the one relay that holds the lease for them does for the
- * whole fleet.
+ * The schedule of health checks. One relay, which holds the lease for this task, checks the
+ * endpoints for the whole fleet.
  *
  * <p>{@link sprucerock.relay.healthcheck.HealthCheckScheduler} owns the schedule. The schedule is
  * lost with the lease holder, and the next holder starts a new one. The scheduler only decides; its
--- a/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/RackSnapshot.java
@@ -15,7 +15,8 @@
   public static final RackSnapshot EMPTY = new RackSnapshot(0, Map.of());
 
   private final long sequence;
-  // An open addressing hash table, at most half full: a miss ends at the first empty slot.
+  // An open addressing hash table, at most half full: a miss ends at the first empty slot. An empty
+  // slot has the key -1.
   private final int[] keys;
   private final double[] untilMs;
   private final int mask;
@@ -24,7 +25,7 @@
   /**
    * Creates a snapshot.
    *
-   * @param sequence the controller's sequence number
+   * @param sequence the controller's sequence number of these times; later ones are higher
    * @param until the times until which work may be placed on a rack, by {@link #key}
    */
   public RackSnapshot(long sequence, Map<Integer, Timestamp> until) {
@@ -51,6 +52,7 @@
     return ((zone & 0x7fff) << 16) | (cell & 0xffff);
   }
 
+  /** Returns the slot at which the search for a key begins, by Fibonacci hashing. */
   private int slot(int key) {
     int mixed = key * 0x9E3779B1;
     return (mixed ^ (mixed >>> 15)) & mask;
@@ -60,19 +62,19 @@
    * Returns whether work may be placed on a rack.
    *
    * @param nowMs the start of the work, in milliseconds of the monotonic clock
-   * @param takesMs how long the work takes at most
+   * @param maxDurationMs how long the work takes at most
    */
-  public boolean mayPlace(int key, double nowMs, double takesMs) {
+  public boolean mayPlace(int key, double nowMs, double maxDurationMs) {
     for (int slot = slot(key); keys[slot] != -1; slot = (slot + 1) & mask) {
       if (keys[slot] == key) {
-        return nowMs + takesMs <= untilMs[slot];
+        return nowMs + maxDurationMs <= untilMs[slot];
       }
     }
     return true;
   }
 
   /** Returns until when work may be placed on a rack; null: it never has a maintenance window. */
-  public Timestamp freeUntil(int key) {
+  public Timestamp mayPlaceUntil(int key) {
     for (int slot = slot(key); keys[slot] != -1; slot = (slot + 1) & mask) {
       if (keys[slot] == key) {
         return Timestamp.ofMs(untilMs[slot]);
@@ -81,7 +83,7 @@
     return null;
   }
 
-  /** Returns the controller's sequence number. */
+  /** Returns the controller's sequence number of this snapshot. */
   public long sequence() {
     return sequence;
   }
--- a/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
+++ b/src/main/java/sprucerock/relay/snapshot/SharedSnapshot.java
@@ -10,7 +10,10 @@
 public final class SharedSnapshot {
   private final AtomicReference<RackSnapshot> current = new AtomicReference<>(RackSnapshot.EMPTY);
 
-  /** Returns the latest snapshot. It is consistent, even if the reader's other state is older. */
+  /**
+   * Returns the latest snapshot. The snapshot is consistent in itself, but may be newer than other
+   * state of the reader.
+   */
   public RackSnapshot current() {
     return current.getAcquire();
   }
--- a/src/test/java/sprucerock/lease/FaultyParties.java
+++ b/src/test/java/sprucerock/lease/FaultyParties.java
@@ -17,8 +17,8 @@
           LeaseClient.Transport transport,
           int clientNumber,
           long incarnation,
-          double chance) {
-        return factory.create(terms, transport, chance, clientNumber, incarnation);
+          double randomValue) {
+        return factory.create(terms, transport, randomValue, clientNumber, incarnation);
       }
     };
   }
@@ -27,7 +27,7 @@
     LeaseClient create(
         LeaseTerms terms,
         LeaseClient.Transport transport,
-        double chance,
+        double randomValue,
         int clientNumber,
         long incarnation);
   }
@@ -87,12 +87,12 @@
     factories.put(
         "a quorum grants",
         clients(
-            (terms, transport, chance, clientNumber, incarnation) ->
+            (terms, transport, randomValue, clientNumber, incarnation) ->
                 new LeaseClient(
                     LeaseSimulation.NAME,
                     terms,
                     transport,
-                    () -> chance,
+                    () -> randomValue,
                     clientNumber,
                     incarnation) {
                   @Override
@@ -103,12 +103,12 @@
     factories.put(
         "the term counts from before the request",
         clients(
-            (terms, transport, chance, clientNumber, incarnation) ->
+            (terms, transport, randomValue, clientNumber, incarnation) ->
                 new LeaseClient(
                     LeaseSimulation.NAME,
                     terms,
                     transport,
-                    () -> chance,
+                    () -> randomValue,
                     clientNumber,
                     incarnation) {
                   @Override
@@ -119,12 +119,12 @@
     factories.put(
         "the term is shortened by the drift",
         clients(
-            (terms, transport, chance, clientNumber, incarnation) ->
+            (terms, transport, randomValue, clientNumber, incarnation) ->
                 new LeaseClient(
                     LeaseSimulation.NAME,
                     terms,
                     transport,
-                    () -> chance,
+                    () -> randomValue,
                     clientNumber,
                     incarnation) {
                   @Override
@@ -135,12 +135,12 @@
     factories.put(
         "an answer counts only for its own round",
         clients(
-            (terms, transport, chance, clientNumber, incarnation) ->
+            (terms, transport, randomValue, clientNumber, incarnation) ->
                 new LeaseClient(
                     LeaseSimulation.NAME,
                     terms,
                     transport,
-                    () -> chance,
+                    () -> randomValue,
                     clientNumber,
                     incarnation) {
                   @Override
--- a/src/test/java/sprucerock/lease/LeaseSafetyTest.java
+++ b/src/test/java/sprucerock/lease/LeaseSafetyTest.java
@@ -29,16 +29,16 @@
   };
 
   static LeaseSimulation simulation(
-      LeaseSimulation.PartyFactory factory, double chance, double[] rates) {
+      LeaseSimulation.PartyFactory factory, double randomValue, double[] rates) {
     LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(2), TimeSpan.ofMs(2), DRIFT);
     LeaseSimulation simulation =
         new LeaseSimulation(
             factory,
             terms,
-            chance,
+            randomValue,
             new double[] {rates[0], rates[1]},
             new double[] {rates[2], rates[3], rates[4]});
-    simulation.withoutRejections = true;
+    simulation.withoutRejectionsAndActs = true;
     return simulation;
   }
 
--- a/src/test/java/sprucerock/lease/LeaseSimulation.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -30,8 +30,8 @@
         LeaseClient.Transport transport,
         int clientNumber,
         long incarnation,
-        double chance) {
-      return new LeaseClient(NAME, terms, transport, () -> chance, clientNumber, incarnation);
+        double randomValue) {
+      return new LeaseClient(NAME, terms, transport, () -> randomValue, clientNumber, incarnation);
     }
 
     default LeaseGrantor grantor(
@@ -102,7 +102,7 @@
 
   private final PartyFactory factory;
   private final LeaseTerms terms;
-  private final double chance;
+  private final double randomValue;
   private final double[] clientClockRates;
   private final double[] grantorClockRates;
   int tick;
@@ -125,23 +125,23 @@
   /** The highest token of an admitted act, recorded by the checker. */
   private long highestAdmittedToken;
 
-  private long lastAcquiredToken;
+  private long highestAcquiredToken;
   String violation;
   int acquisitions;
 
   /**
    * Whether rejections and acts are left out. A timeout leads to the same states as a rejection.
    */
-  boolean withoutRejections;
+  boolean withoutRejectionsAndActs;
 
   LeaseSimulation(
       PartyFactory factory,
       LeaseTerms unmodifiedTerms,
-      double chance,
+      double randomValue,
       double[] clientClockRates,
       double[] grantorClockRates) {
     this.factory = factory;
-    this.chance = chance;
+    this.randomValue = randomValue;
     terms = factory.terms(unmodifiedTerms);
     this.clientClockRates = clientClockRates;
     this.grantorClockRates = grantorClockRates;
@@ -164,7 +164,7 @@
   private LeaseSimulation(LeaseSimulation other) {
     factory = other.factory;
     terms = other.terms;
-    chance = other.chance;
+    randomValue = other.randomValue;
     clientClockRates = other.clientClockRates;
     grantorClockRates = other.grantorClockRates;
     tick = other.tick;
@@ -180,8 +180,8 @@
     clientCrashes = other.clientCrashes;
     stalls = other.stalls;
     highestAdmittedToken = other.highestAdmittedToken;
-    withoutRejections = other.withoutRejections;
-    lastAcquiredToken = other.lastAcquiredToken;
+    withoutRejectionsAndActs = other.withoutRejectionsAndActs;
+    highestAcquiredToken = other.highestAcquiredToken;
     if (other.registry.highestToken(NAME) > 0) {
       registry.admits(NAME, other.registry.highestToken(NAME));
     }
@@ -235,10 +235,10 @@
           @Override
           public void acquired(String name, long token) {
             acquisitions++;
-            if (token <= lastAcquiredToken) {
-              violation = "lease acquired under token " + token + " after " + lastAcquiredToken;
+            if (token <= highestAcquiredToken) {
+              violation = "lease acquired under token " + token + " after " + highestAcquiredToken;
             }
-            lastAcquiredToken = Math.max(lastAcquiredToken, token);
+            highestAcquiredToken = Math.max(highestAcquiredToken, token);
           }
 
           @Override
@@ -248,7 +248,7 @@
         },
         client,
         incarnations[client],
-        chance);
+        randomValue);
   }
 
   private boolean send(Message message) {
@@ -362,7 +362,7 @@
     switch (event) {
       case 0 -> {
         // The client checks its lease and sends an act, which may be delivered at any time.
-        if (withoutRejections
+        if (withoutRejectionsAndActs
             || stalled[client]
             || !factory.mayAct(clients[client], clock(client))) {
           return false;
@@ -476,7 +476,7 @@
                   long highest,
                   TimeSpan minWait,
                   LeaseGrantor.Rejection reason) {
-                if (!withoutRejections) {
+                if (!withoutRejectionsAndActs) {
                   send(
                       new Message(
                           Kind.REJECTED,
@@ -523,7 +523,7 @@
   }
 
   /** Returns the number of clients that hold the lease now by their own clocks. */
-  int holders() {
+  int holderCount() {
     int holders = 0;
     for (int i = 0; i < clients.length; i++) {
       if (clients[i].isHeldAt(clock(i))) {
@@ -583,7 +583,7 @@
             .append(stalls)
             .append(highestAdmittedToken)
             .append(' ')
-            .append(lastAcquiredToken);
+            .append(highestAcquiredToken);
     for (int i = 0; i < clients.length; i++) {
       text.append(clients[i].stateWithoutVotes()).append(stalled[i]).append(incarnations[i]);
     }
--- a/src/test/java/sprucerock/lease/StateSpaceSearch.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearch.java
@@ -58,7 +58,7 @@
         if (simulation.violation != null) {
           return new Result(seenHashes.size(), false, simulation.violation, statesWithHolder);
         }
-        statesWithHolder += simulation.holders();
+        statesWithHolder += simulation.holderCount();
       }
       frontier = next;
     }
--- a/src/test/java/sprucerock/lease/StateSpaceSearchMain.java
+++ b/src/test/java/sprucerock/lease/StateSpaceSearchMain.java
@@ -17,19 +17,19 @@
     StateSpaceSearch.Bounds searchBounds =
         new StateSpaceSearch.Bounds(
             bounds[0], bounds[1], bounds[2], bounds[3], bounds[4], bounds[5]);
-    for (double chance : new double[] {0, 0.99}) {
+    for (double randomValue : new double[] {0, 0.99}) {
       for (double[] clockRates : LeaseSafetyTest.CLOCK_RATES) {
         long startNanos = System.nanoTime();
         StateSpaceSearch.Result result =
             StateSpaceSearch.explore(
                 () ->
                     LeaseSafetyTest.simulation(
-                        new LeaseSimulation.PartyFactory() {}, chance, clockRates),
+                        new LeaseSimulation.PartyFactory() {}, randomValue, clockRates),
                 searchBounds);
         System.out.println(
             searchBounds
                 + " chance "
-                + chance
+                + randomValue
                 + " paces "
                 + java.util.Arrays.toString(clockRates)
                 + ": "
--- a/src/test/java/sprucerock/relay/snapshot/RackSnapshotTest.java
+++ b/src/test/java/sprucerock/relay/snapshot/RackSnapshotTest.java
@@ -27,8 +27,8 @@
     assertFalse(snapshot.mayPlace(RackSnapshot.key(1, 7), 900, 101));
     assertFalse(snapshot.mayPlace(RackSnapshot.key(2, 7), 0, 0));
     assertTrue(snapshot.mayPlace(RackSnapshot.key(3, 7), 1e9, 1e9));
-    assertNull(snapshot.freeUntil(RackSnapshot.key(1, 8)));
-    assertEquals(snapshot.freeUntil(RackSnapshot.key(1, 7)), Timestamp.ofMs(1000));
+    assertNull(snapshot.mayPlaceUntil(RackSnapshot.key(1, 8)));
+    assertEquals(snapshot.mayPlaceUntil(RackSnapshot.key(1, 7)), Timestamp.ofMs(1000));
   }
 
   @Test
@@ -40,7 +40,7 @@
       }
     }
     RackSnapshot snapshot = new RackSnapshot(1, until);
-    until.forEach((key, time) -> assertEquals(snapshot.freeUntil(key), time));
+    until.forEach((key, time) -> assertEquals(snapshot.mayPlaceUntil(key), time));
     assertEquals(snapshot.size(), 1200);
   }
 
@@ -77,7 +77,7 @@
                   }
                   before = snapshot.sequence();
                   for (int cell = 0; cell < 50 && before > 0; cell++) {
-                    Timestamp until = snapshot.freeUntil(RackSnapshot.key(1, cell));
+                    Timestamp until = snapshot.mayPlaceUntil(RackSnapshot.key(1, cell));
                     if (until == null || until.ms() != before) {
                       violation.set("a rack of snapshot " + before + " has the time " + until);
                     }
