--- a/src/test/java/sprucerock/lease/LeaseProcess.java
+++ b/src/test/java/sprucerock/lease/LeaseProcess.java
@@ -168,7 +168,7 @@
                 if (checksLease) {
                   held[0] = false;
                 } else {
-                  // Without lease checks the process acts on after the loss of the lease.
+                  // Without lease checks the process continues to act after it lost the lease.
                   loop.at(loop.now().plus(term.times(2)), () -> held[0] = false);
                 }
               }
--- a/src/test/java/sprucerock/lease/LeaseProcessCluster.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessCluster.java
@@ -30,8 +30,9 @@
 
 /**
  * Five real processes, three of them grantors, that campaign for the same leases. Their connections
- * go through fault proxies that cut, delay, lose and reset. Processes are also killed and stopped.
- * This class receives the acts, and checks them together with the processes' act logs.
+ * to the grantors go through fault proxies that cut or reset connections and delay or lose data.
+ * Processes are also killed and stopped. This class receives the acts, and checks them together
+ * with the processes' act logs.
  */
 final class LeaseProcessCluster implements AutoCloseable {
   private record ReceivedAct(String name, long token, boolean admitted) {}
@@ -229,7 +230,7 @@
         round++) {
       Thread.sleep((long) (term.ms() * (0.5 + random.nextDouble())));
       if (round < 4) {
-        // The processes start.
+        // The processes are still starting.
         continue;
       }
       int process = random.nextInt(PROCESSES);
@@ -293,6 +294,7 @@
     for (Process process : processes) {
       process.destroyForcibly().waitFor();
     }
+    // The loop receives the acts that are still in flight.
     Thread.sleep(100);
     String violation = null;
     Map<String, Long> highestAdmitted = new HashMap<>();
@@ -315,7 +317,7 @@
       }
       highestAdmitted.put(act.name, Math.max(before, act.token));
     }
-    Map<String, TreeMap<Long, long[]>> claims = new TreeMap<>();
+    Map<String, TreeMap<Long, long[]>> actTimesByLease = new TreeMap<>();
     for (int i = 0; i < PROCESSES; i++) {
       if (!Files.exists(folder.resolve("notes-" + i))) {
         continue;
@@ -328,7 +330,7 @@
         }
         long micros = Long.parseLong(words[2]);
         long[] span =
-            claims
+            actTimesByLease
                 .computeIfAbsent(words[0], absent -> new TreeMap<>())
                 .computeIfAbsent(Long.parseLong(words[1]), absent -> new long[] {micros, micros});
         span[0] = Math.min(span[0], micros);
@@ -337,23 +339,23 @@
     }
     int logAcquisitions = 0;
     List<Double> gapsMs = new ArrayList<>();
-    for (Map.Entry<String, TreeMap<Long, long[]>> lease : claims.entrySet()) {
+    for (Map.Entry<String, TreeMap<Long, long[]>> lease : actTimesByLease.entrySet()) {
       long lastActMicros = 0;
-      for (Map.Entry<Long, long[]> claim : lease.getValue().entrySet()) {
+      for (Map.Entry<Long, long[]> actTimes : lease.getValue().entrySet()) {
         logAcquisitions++;
-        if (claim.getValue()[0] <= lastActMicros) {
+        if (actTimes.getValue()[0] <= lastActMicros) {
           violation =
               lease.getKey()
                   + " under token "
-                  + claim.getKey()
+                  + actTimes.getKey()
                   + " was acted on "
-                  + (lastActMicros - claim.getValue()[0])
+                  + (lastActMicros - actTimes.getValue()[0])
                   + " us before the last act of the former holder";
         }
         if (lastActMicros > 0) {
-          gapsMs.add((claim.getValue()[0] - lastActMicros) / 1000.0);
+          gapsMs.add((actTimes.getValue()[0] - lastActMicros) / 1000.0);
         }
-        lastActMicros = Math.max(lastActMicros, claim.getValue()[1]);
+        lastActMicros = Math.max(lastActMicros, actTimes.getValue()[1]);
       }
     }
     Collections.sort(gapsMs);
--- a/src/test/java/sprucerock/lease/LeaseProcessesTest.java
+++ b/src/test/java/sprucerock/lease/LeaseProcessesTest.java
@@ -14,8 +14,8 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * Real processes under faults. The result depends on the order of the received acts and on the
- * machine's clock, not on speed.
+ * Real processes under faults. The checks compare the order of received acts, and times of one
+ * clock that all processes read. They do not depend on the speed of the machine.
  */
 public class LeaseProcessesTest {
   private Path folder;
--- a/src/test/java/sprucerock/lease/LeaseSafetyTest.java
+++ b/src/test/java/sprucerock/lease/LeaseSafetyTest.java
@@ -44,7 +44,7 @@
 
   @Test
   public void hasOneHolderInEveryOrderOfEvents() {
-    // StateSpaceSearchMain searches further, in minutes. docs/lease.md states its bounds.
+    // StateSpaceSearchMain searches larger bounds, which takes minutes. docs/lease.md states them.
     for (double[] rates : CLOCK_RATES) {
       StateSpaceSearch.Bounds bounds =
           new StateSpaceSearch.Bounds(rates == CLOCK_RATES[0] ? 3 : 2, 3, 0, 0, 0, 400_000);
@@ -97,17 +97,20 @@
   }
 
   /**
-   * Plays an order that is too rare for random search: a holder begins a renewal, one grantor
-   * receives it, and an old answer of another grantor is delivered again.
+   * Plays an order that is too rare for random search: client 1 stalls, client 0 acquires the lease
+   * and begins a renewal, one grantor receives the renewal, and an old answer of another grantor is
+   * delivered again. Client 1 requests the lease when the first grants of the other grantors
+   * expire.
    */
   private static LeaseSimulation replayOldAnswers(LeaseSimulation.PartyFactory factory) {
     LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     LeaseSimulation simulation =
         new LeaseSimulation(factory, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
+    // Client 1 stalls.
     simulation.applyClientEvent(1, 3);
     simulation.deliverAll(LeaseSimulation.Kind.REQUEST, 0);
     simulation.deliverAll(LeaseSimulation.Kind.GRANTED, 0);
-    // Both clients requested once, and the holder again.
+    // Both clients requested once, and client 0, the holder, again.
     simulation.runUntilRequests(3);
     simulation.deliverAll(LeaseSimulation.Kind.REQUEST, 0, 0, 2);
     simulation.deliverAll(LeaseSimulation.Kind.GRANTED, 0, 0, 2);
@@ -115,6 +118,7 @@
     while (simulation.tick < 9) {
       simulation.apply(0, Integer.MAX_VALUE, 0, 0, 0);
     }
+    // Client 1 resumes.
     simulation.applyClientEvent(1, 3);
     while (simulation.tick < 12) {
       simulation.apply(0, Integer.MAX_VALUE, 0, 0, 0);
@@ -124,8 +128,8 @@
   }
 
   /**
-   * Delivers all messages of a client, twice: grants of a token that it gave up are released in the
-   * first pass, and the newest request is granted in the second.
+   * Delivers all messages of a client, twice: grants under a token that the client gave up are
+   * released in the first pass, and the newest request is granted in the second.
    */
   private static void deliverAllOfClient(LeaseSimulation simulation, int client) {
     for (int i = 0; i < 2; i++) {
@@ -136,20 +140,23 @@
   }
 
   /**
-   * Plays an order that is too rare for random search: one client requests and stalls, the other
-   * one acquires the lease under a higher token and releases it, and then the first request
-   * arrives.
+   * Plays an order that is too rare for random search: client 1 requests and stalls, client 0
+   * acquires the lease under a higher token and releases it, and then the delayed request of client
+   * 1 arrives.
    */
   private static LeaseSimulation stallWhileAnotherHolds(LeaseSimulation.PartyFactory factory) {
     LeaseTerms terms = new LeaseTerms(3, TimeSpan.ofMs(12), TimeSpan.ofMs(12), DRIFT);
     LeaseSimulation simulation =
         new LeaseSimulation(factory, terms, 0.5, new double[] {1, 1}, new double[] {1, 1, 1});
+    // Client 1 stalls.
     simulation.applyClientEvent(1, 3);
-    // Both clients requested once, and the first one again.
+    // Both clients requested once, and client 0 again.
     simulation.runUntilRequests(3);
     deliverAllOfClient(simulation, 0);
+    // Client 0 releases the lease.
     simulation.applyClientEvent(0, 2);
     simulation.deliverAll(LeaseSimulation.Kind.RELEASE, 0);
+    // Client 1 resumes.
     simulation.applyClientEvent(1, 3);
     simulation.deliverAll(LeaseSimulation.Kind.REQUEST, 1);
     simulation.deliverAll(LeaseSimulation.Kind.GRANTED, 1);
@@ -220,7 +227,7 @@
     for (int i = 0; i < 3000 && simulation.violation == null; i++) {
       int choice = nextChoice.get();
       if (simulation.isRelease(choice) && seed % 2 > 0 && random.nextInt(8) > 0) {
-        // In every other order most leases end by their term, not by a release.
+        // With odd seeds most leases end by their term, not by a release.
         continue;
       }
       simulation.apply(choice, Integer.MAX_VALUE, i / (seed % 4 < 2 ? 100 : 400), i / 300, i / 100);
--- a/src/test/java/sprucerock/lease/LeaseScaleTest.java
+++ b/src/test/java/sprucerock/lease/LeaseScaleTest.java
@@ -12,8 +12,8 @@
 
 /**
  * Counts, in simulated time, the requests that one grantor receives in a minute from many clients
- * of one lease, one of which holds it. A hundred seconds pass before, so that all clients have been
- * informed how long to wait.
+ * of one lease, one of which holds it. Counting begins after a hundred seconds, when each client
+ * has received an answer that says how long to wait.
  */
 public class LeaseScaleTest {
   private static final LeaseTerms TERMS =
@@ -162,8 +162,8 @@
   }
 
   /**
-   * The queue of sixteen clients requests once in each term, all other clients once in eight terms.
-   * That is the slope of a fleet's lease requests.
+   * The sixteen clients in the queue request once in each term, all other clients once in eight
+   * terms. The latter is the slope of the requests by the size of the fleet.
    */
   @Test
   public void waitingClientsRequestSeldom() {
--- a/src/test/java/sprucerock/lease/LeaseSimulation.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -13,8 +13,8 @@
  * A state of the clients and grantors of one lease, with every message that was ever sent. A
  * message that is never delivered is lost, one that is delivered again is a duplicate, and one that
  * is delivered later or before another is delayed. {@link #copy} branches a simulation. The checker
- * reads only which clients hold the lease at one true time, and the acts that their receiver
- * admitted.
+ * reads only which clients hold the lease at the same true time, and which acts the receiver of
+ * acts admitted.
  */
 final class LeaseSimulation {
   static final String NAME = "seat";
@@ -102,7 +102,10 @@
 
   private final PartyFactory factory;
   private final LeaseTerms terms;
+
+  /** The value that the clients' source of random numbers always returns, from 0 to under 1. */
   private final double randomValue;
+
   private final double[] clientClockRates;
   private final double[] grantorClockRates;
   int tick;
@@ -116,7 +119,9 @@
   /** The messages in the order in which they were sent. Copies do not keep it. */
   private final List<Message> sentInOrder = new ArrayList<>();
 
+  /** The number of rounds of requests that the clients have begun. */
   private int requests;
+
   int grantorCrashes;
   int clientCrashes;
   int stalls;
@@ -263,7 +268,10 @@
     return Timestamp.ofMs(tick * clientClockRates[client]);
   }
 
-  /** Returns the number of possible next events. Each leads to another state. */
+  /**
+   * Returns the number of events to choose from: a tick, the delivery of each message, and client
+   * and grantor events. Not all of them can happen in every state.
+   */
   int choiceCount() {
     return 1 + sent.size() + clients.length * 4 + grantsFrom.length;
   }
@@ -296,7 +304,10 @@
     }
   }
 
-  /** Applies an event to a client: 2 releases the lease, 3 stalls or resumes the client. */
+  /**
+   * Applies an event to a client. 0 sends an act, 1 restarts the client, 2 releases the lease, 3
+   * stalls or resumes the client.
+   */
   void applyClientEvent(int client, int event) {
     applyClientEvent(client, event, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
   }
@@ -508,7 +519,10 @@
     return checkHolders();
   }
 
-  /** Checks that no two clients hold the lease at one true time. */
+  /**
+   * Records a violation if two clients hold the lease at the same true time. Returns true, the
+   * result of an event that happened.
+   */
   private boolean checkHolders() {
     int holders = 0;
     for (int i = 0; i < clients.length; i++) {
