--- a/src/main/java/sprucerock/hardware/LeastSquaresFit.java
+++ b/src/main/java/sprucerock/hardware/LeastSquaresFit.java
@@ -31,10 +31,8 @@
   public static final int MAX_FAMILIES = 16;
 
   // Standard deviations of the prior, in logarithms. A family may be twenty times as fast or as
-  // slow
-  // as another (three sigma of 1). The effects of a family for single methods vary around its
-  // effect
-  // for all methods with a standard deviation of up to a half (MAX_TAU).
+  // slow as another (three sigma of 1). The effects of a family for single methods vary around its
+  // effect for all methods with a standard deviation of up to a half (MAX_TAU).
   private static final double PRIOR_SIGMA = 1;
   private static final double MIN_TAU = 0.01;
   private static final double MAX_TAU = 0.5;
@@ -94,7 +92,7 @@
    *
    * @param observation the observed samples
    * @param firstWindow the first window that counts
-   * @param settled returns whether a build counts: a settled build is not a canary
+   * @param settled returns whether a build counts: a settled build is in no canary trial
    * @param fencingToken the token of the lease under which the model is fitted
    * @return null if no settled build was observed
    */
--- a/src/main/java/sprucerock/hardware/OutlierScore.java
+++ b/src/main/java/sprucerock/hardware/OutlierScore.java
@@ -25,8 +25,7 @@
 
   // Some families and builds are checked in each window. At 4 standard errors there is one false
   // alarm in 15,000 checks of a family or build. A slowdown by less than a tenth is too small to
-  // act
-  // on.
+  // act on.
   private static final double MIN_STANDARD_ERRORS = 4;
   private static final double MIN_LOG_SLOWDOWN = 0.1;
   private static final double MIN_SAMPLES = 3;
--- a/src/main/java/sprucerock/lease/Grant.java
+++ b/src/main/java/sprucerock/lease/Grant.java
@@ -21,7 +21,7 @@
     Timestamp expiresAt,
     boolean outstanding,
     int successor) {
-  /** Stands for the latest grant of a lease that was never granted. */
+  /** Stands for the latest grant of a lease that was never granted or is forgotten. */
   static final Grant NONE =
       new Grant(0, -1, 0, Timestamp.ofMs(Double.NEGATIVE_INFINITY), false, -1);
 }
--- a/src/main/java/sprucerock/lease/GrantorConnections.java
+++ b/src/main/java/sprucerock/lease/GrantorConnections.java
@@ -103,7 +103,10 @@
     }
   }
 
-  /** Prepares to stop: closed connections are no longer logged, and no first connects are begun. */
+  /**
+   * Prepares to stop: closed connections are no longer logged, and connections that are not open
+   * yet after {@link #start} are not opened.
+   */
   void expectClose() {
     stopping = true;
   }
--- a/src/main/java/sprucerock/lease/GrantorListener.java
+++ b/src/main/java/sprucerock/lease/GrantorListener.java
@@ -33,8 +33,7 @@
   private static final byte[] NO_BODY = {};
   private static final int MAX_NAME_LENGTH = 64;
   // The limit of one connection. A client with 64 leases that renews each as fast as it can sends a
-  // tenth of this number. Requests beyond the limit get no answer, and the client's rounds time
-  // out.
+  // tenth of this number. Requests beyond the limit get no answer: the client's rounds time out.
   private static final int MAX_REQUESTS_PER_SECOND = 2000;
 
   private final Net net;
--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -59,10 +59,7 @@
     return isHeldFor(TimeSpan.ZERO);
   }
 
-  /**
-   * Records that the receiver of an act rejected it, because it has seen a higher token of this
-   * lease.
-   */
+  /** Records a higher token of this lease, for which the receiver of an act rejected the act. */
   public void tokenRejected(long higherToken) {
     client.observeToken(higherToken);
   }
--- a/src/main/java/sprucerock/lease/LeaseGrantor.java
+++ b/src/main/java/sprucerock/lease/LeaseGrantor.java
@@ -79,8 +79,7 @@
 
   // A client that finds the queue full waits for the end of the running grant and this many terms
   // more. With a thousand clients and terms of three seconds a grantor rejects some forty requests
-  // a
-  // second, few enough that the holder's renewals are always received.
+  // a second, few enough that the holder's renewals are always received.
   private static final double QUEUE_FULL_TERMS = 8;
 
   /**
--- a/src/main/java/sprucerock/lease/LeaseManager.java
+++ b/src/main/java/sprucerock/lease/LeaseManager.java
@@ -166,7 +166,7 @@
    * Queries all grantors for their grants.
    *
    * @param done receives the answers by grantor once all have answered, after a second at the
-   *     latest; if another query begins before, it receives no answers
+   *     latest; if another query begins before, it receives no answers, and at once
    */
   public void queryGrantors(Consumer<Map<Integer, LeaseListed>> done) {
     queryAnswers.clear();
