--- a/src/main/java/sprucerock/lease/LeaseCheck.java
+++ b/src/main/java/sprucerock/lease/LeaseCheck.java
@@ -59,7 +59,7 @@
     return isHeldFor(TimeSpan.ZERO);
   }
 
-  /** Records the higher token by which the receiver of an act rejected it. */
+  /** Records a higher token of this lease, for which the receiver of an act rejected the act. */
   public void tokenRejected(long higherToken) {
     client.observeToken(higherToken);
   }
