--- a/src/test/java/sprucerock/lease/LeaseSimulation.java
+++ b/src/test/java/sprucerock/lease/LeaseSimulation.java
@@ -13,8 +13,8 @@
  * A state of the clients and grantors of one lease, with every message that was ever sent. A
  * message that is never delivered is lost, one that is delivered again is a duplicate, and one that
  * is delivered later or before another is delayed. {@link #copy} branches a simulation. The checker
- * reads only which clients hold the lease at one true time, and the acts that their receiver
- * admitted.
+ * reads only which clients hold the lease at the same true time, and which acts the receiver of
+ * acts admitted.
  */
 final class LeaseSimulation {
   static final String NAME = "seat";
@@ -30,8 +30,8 @@
         LeaseClient.Transport transport,
         int clientNumber,
         long incarnation,
-        double chance) {
-      return new LeaseClient(NAME, terms, transport, () -> chance, clientNumber, incarnation);
+        double randomValue) {
+      return new LeaseClient(NAME, terms, transport, () -> randomValue, clientNumber, incarnation);
     }
 
     default LeaseGrantor grantor(
@@ -102,7 +102,10 @@
 
   private final PartyFactory factory;
   private final LeaseTerms terms;
-  private final double chance;
+
+  /** The value that the clients' source of random numbers always returns, from 0 to under 1. */
+  private final double randomValue;
+
   private final double[] clientClockRates;
   private final double[] grantorClockRates;
   int tick;
@@ -116,7 +119,9 @@
   /** The messages in the order in which they were sent. Copies do not keep it. */
   private final List<Message> sentInOrder = new ArrayList<>();
 
+  /** The number of rounds of requests that the clients have begun. */
   private int requests;
+
   int grantorCrashes;
   int clientCrashes;
   int stalls;
@@ -125,23 +130,23 @@
   /** The highest token of an admitted act, recorded by the checker. */
   private long highestAdmittedToken;
 
-  private long lastAcquiredToken;
+  private long highestAcquiredToken;
   String violation;
   int acquisitions;
 
   /**
    * Whether rejections and acts are left out. A timeout leads to the same states as a rejection.
    */
-  boolean withoutRejections;
+  boolean withoutRejectionsAndActs;
 
   LeaseSimulation(
       PartyFactory factory,
       LeaseTerms unmodifiedTerms,
-      double chance,
+      double randomValue,
       double[] clientClockRates,
       double[] grantorClockRates) {
     this.factory = factory;
-    this.chance = chance;
+    this.randomValue = randomValue;
     terms = factory.terms(unmodifiedTerms);
     this.clientClockRates = clientClockRates;
     this.grantorClockRates = grantorClockRates;
@@ -164,7 +169,7 @@
   private LeaseSimulation(LeaseSimulation other) {
     factory = other.factory;
     terms = other.terms;
-    chance = other.chance;
+    randomValue = other.randomValue;
     clientClockRates = other.clientClockRates;
     grantorClockRates = other.grantorClockRates;
     tick = other.tick;
@@ -180,8 +185,8 @@
     clientCrashes = other.clientCrashes;
     stalls = other.stalls;
     highestAdmittedToken = other.highestAdmittedToken;
-    withoutRejections = other.withoutRejections;
-    lastAcquiredToken = other.lastAcquiredToken;
+    withoutRejectionsAndActs = other.withoutRejectionsAndActs;
+    highestAcquiredToken = other.highestAcquiredToken;
     if (other.registry.highestToken(NAME) > 0) {
       registry.admits(NAME, other.registry.highestToken(NAME));
     }
@@ -235,10 +240,10 @@
           @Override
           public void acquired(String name, long token) {
             acquisitions++;
-            if (token <= lastAcquiredToken) {
-              violation = "lease acquired under token " + token + " after " + lastAcquiredToken;
+            if (token <= highestAcquiredToken) {
+              violation = "lease acquired under token " + token + " after " + highestAcquiredToken;
             }
-            lastAcquiredToken = Math.max(lastAcquiredToken, token);
+            highestAcquiredToken = Math.max(highestAcquiredToken, token);
           }
 
           @Override
@@ -248,7 +253,7 @@
         },
         client,
         incarnations[client],
-        chance);
+        randomValue);
   }
 
   private boolean send(Message message) {
@@ -263,7 +268,10 @@
     return Timestamp.ofMs(tick * clientClockRates[client]);
   }
 
-  /** Returns the number of possible next events. Each leads to another state. */
+  /**
+   * Returns the number of events to choose from: a tick, the delivery of each message, and client
+   * and grantor events. Not all of them can happen in every state.
+   */
   int choiceCount() {
     return 1 + sent.size() + clients.length * 4 + grantsFrom.length;
   }
@@ -296,7 +304,10 @@
     }
   }
 
-  /** Applies an event to a client: 2 releases the lease, 3 stalls or resumes the client. */
+  /**
+   * Applies an event to a client. 0 sends an act, 1 restarts the client, 2 releases the lease, 3
+   * stalls or resumes the client.
+   */
   void applyClientEvent(int client, int event) {
     applyClientEvent(client, event, Integer.MAX_VALUE, 0, Integer.MAX_VALUE);
   }
@@ -362,7 +373,7 @@
     switch (event) {
       case 0 -> {
         // The client checks its lease and sends an act, which may be delivered at any time.
-        if (withoutRejections
+        if (withoutRejectionsAndActs
             || stalled[client]
             || !factory.mayAct(clients[client], clock(client))) {
           return false;
@@ -476,7 +487,7 @@
                   long highest,
                   TimeSpan minWait,
                   LeaseGrantor.Rejection reason) {
-                if (!withoutRejections) {
+                if (!withoutRejectionsAndActs) {
                   send(
                       new Message(
                           Kind.REJECTED,
@@ -508,7 +519,10 @@
     return checkHolders();
   }
 
-  /** Checks that no two clients hold the lease at one true time. */
+  /**
+   * Records a violation if two clients hold the lease at the same true time. Returns true, the
+   * result of an event that happened.
+   */
   private boolean checkHolders() {
     int holders = 0;
     for (int i = 0; i < clients.length; i++) {
@@ -523,7 +537,7 @@
   }
 
   /** Returns the number of clients that hold the lease now by their own clocks. */
-  int holders() {
+  int holderCount() {
     int holders = 0;
     for (int i = 0; i < clients.length; i++) {
       if (clients[i].isHeldAt(clock(i))) {
@@ -583,7 +597,7 @@
             .append(stalls)
             .append(highestAdmittedToken)
             .append(' ')
-            .append(lastAcquiredToken);
+            .append(highestAcquiredToken);
     for (int i = 0; i < clients.length; i++) {
       text.append(clients[i].stateWithoutVotes()).append(stalled[i]).append(incarnations[i]);
     }
