--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -35,8 +35,9 @@
 import sprucerock.transport.wire.v1.Wants;
 
 /**
- * Listens for agents. An agent's status is recorded where it differs from the recorded one. The
- * desired state is sent when an agent connects and after each change. On the loop only.
+ * Listens for agents. An agent's status is recorded if it differs from the recorded state of its
+ * relay. The desired state is sent when an agent connects and whenever the desired state changes.
+ * On the loop only.
  */
 final class AgentListener implements DeploymentMonitor.Listener {
   private static final byte[] NO_BODY = {};
@@ -77,7 +78,7 @@
     monitor = new DeploymentMonitor(deployments(), this);
     for (ManagedRelay relay : deployments().relays()) {
       // agents known from the log get the full timeout to connect, from now on
-      disconnected.disconnected(relay.number, net.now());
+      disconnected.add(relay.number, net.now());
     }
   }
 
@@ -117,8 +118,8 @@
   }
 
   /**
-   * Records as unreachable the relays whose agents have been silent for too long; after a start
-   * also those that have not connected since.
+   * Records as unreachable the relays whose agents have been silent for too long. Agents that have
+   * not connected since the controller's start count as silent from that start on.
    */
   private void reportAbsentAgents() {
     for (int number :
@@ -243,7 +244,7 @@
     }
 
     private void statusReceived(AgentSays status) {
-      final boolean first = lastStatus == null;
+      final boolean firstStatus = lastStatus == null;
       lastStatus = status;
       try {
         submitStatus(status);
@@ -264,7 +265,7 @@
         monitor.reportTotals(
             number, status.getLife(), status.getCores(), AgentMessages.totals(status.getSums()));
       }
-      if (first) {
+      if (firstStatus) {
         sendDesiredState(deployments().relay(number));
       }
     }
@@ -290,7 +291,7 @@
     @Override
     public void closed(String why) {
       if (sessions.remove(number, this)) {
-        disconnected.disconnected(number, lastMessageTime);
+        disconnected.add(number, lastMessageTime);
       }
     }
   }
--- a/src/main/java/sprucerock/controller/server/AgentMessages.java
+++ b/src/main/java/sprucerock/controller/server/AgentMessages.java
@@ -103,7 +103,7 @@
         .build();
   }
 
-  /** Converts a relay's totals since its start to the comparison's form. */
+  /** Converts a relay's totals since its start to the values that deployments are compared by. */
   static Window totals(RelaySums sums) {
     return new Window(
         sums.getRpcs(),
--- a/src/main/java/sprucerock/controller/server/ArtifactSender.java
+++ b/src/main/java/sprucerock/controller/server/ArtifactSender.java
@@ -22,10 +22,10 @@
   private static final byte[] NO_BODY = {};
   private static final int PIECE_BYTES = 128 * 1024;
 
-  /** An agent has one or two fetches pending. */
+  /** Enough for 10,000 agents, since an agent has one or two fetches pending. */
   private static final int MAX_PENDING_FETCHES = 20_000;
 
-  private static final TimeSpan INTERVAL = TimeSpan.ofMs(10);
+  private static final TimeSpan SEND_INTERVAL = TimeSpan.ofMs(10);
 
   private record PendingFetch(FrameConnection connection, Fetch fetch) {}
 
@@ -43,7 +43,7 @@
   ArtifactSender(Net net, ArtifactStore artifacts, int maxPiecesPerSecond) {
     this.net = net;
     this.artifacts = artifacts;
-    maxPerInterval = (int) Math.max(1, maxPiecesPerSecond * INTERVAL.ms() / 1000);
+    maxPerInterval = (int) Math.max(1, maxPiecesPerSecond * SEND_INTERVAL.ms() / 1000);
   }
 
   /** Begins to send, and continues as long as the loop runs. */
@@ -58,7 +58,10 @@
     }
   }
 
-  /** Processes each queued fetch at most once, and sends no more pieces than the rate allows. */
+  /**
+   * Processes each queued fetch at most once, and sends no more pieces than the rate allows. Drops
+   * the fetches of closed connections.
+   */
   private void sendPieces() {
     int allowed = maxPerInterval;
     for (int i = pending.size(); i > 0 && allowed > 0; i--) {
@@ -74,7 +77,7 @@
       sendPiece(next);
       allowed--;
     }
-    net.at(net.now().plus(INTERVAL), this::sendPieces);
+    net.at(net.now().plus(SEND_INTERVAL), this::sendPieces);
   }
 
   private void sendPiece(PendingFetch next) {
--- a/src/main/java/sprucerock/controller/server/ControllerConfig.java
+++ b/src/main/java/sprucerock/controller/server/ControllerConfig.java
@@ -20,16 +20,16 @@
 import sprucerock.time.TimeSpan;
 
 /**
- * The validated configuration of a controller. controller.xsd states the units of the values, and
- * the defaults for those that are left out. Immutable.
+ * The validated configuration of a controller. controller.xsd states the units and the defaults of
+ * the values. Immutable.
  */
 public final class ControllerConfig {
   /**
    * A build pipeline that may announce builds.
    *
    * @param scheme the scheme of its signatures
-   * @param secrets any of which is valid, so that they can be rotated
-   * @param maxPerSecond accepted deliveries per second, with bursts of as many
+   * @param secrets all valid secrets; several while a secret is rotated
+   * @param maxPerSecond maximum number of deliveries per second; also the maximum size of a burst
    */
   public record WebhookSource(
       String name, Signatures.SignatureScheme scheme, List<byte[]> secrets, int maxPerSecond) {}
@@ -64,10 +64,10 @@
   /** Maximum size of a webhook's body in bytes, 16 MiB at most. */
   public final int maxWebhookBodyBytes;
 
-  /** The allowed difference between a sender's clock and this one. */
+  /** The allowed difference between a sender's clock and this controller's clock. */
   public final TimeSpan signatureTimeTolerance;
 
-  /** Maximum number of concurrent webhooks; as many more wait in a queue. */
+  /** Maximum number of concurrent webhooks, and of further webhooks that wait in a queue. */
   public final int maxConcurrentWebhooks;
 
   /** How long a sender may take between two reads. */
@@ -100,7 +100,7 @@
   /** The rules by which maintenance windows are accepted; null if no racks are configured. */
   public final MaintenanceWindows.Rules maintenanceRules;
 
-  /** The grantors of the leadership lease; null if a file in the store's folder decides. */
+  /** The grantors of the leadership lease; null if a lease file in the store's folder is used. */
   public final LeaseConfig leaseConfig;
 
   /** The address where agents connect; null if this controller runs no deployments. */
@@ -127,10 +127,10 @@
   private static final int MAX_BUILD = 65_535;
   private static final int MAX_WEBHOOK_BODY_BYTES = 16 << 20;
   private static final int MIN_TOKEN_LENGTH = 16;
-  private static final TimeSpan MIN_LEASE = TimeSpan.ofMs(500);
+  private static final TimeSpan MIN_LEASE_DURATION = TimeSpan.ofMs(500);
 
   /**
-   * Reads and validates a file.
+   * Reads and validates a configuration file.
    *
    * @throws ConfigException with the first error, its element and its position in the file
    */
@@ -166,7 +166,7 @@
     }
     outboxTargets = outboxTargets(root);
     leaseDuration = root.span("lease");
-    if (MIN_LEASE.over(leaseDuration)) {
+    if (MIN_LEASE_DURATION.over(leaseDuration)) {
       throw root.invalid("lease must be at least 500ms");
     }
     leaseConfig = LeaseConfig.of(root.child("leases"), LEASE_CANDIDATE);
@@ -257,7 +257,10 @@
         votes.count("a-second"));
   }
 
-  /** Reads the plan of deployments. Without agents the engine needs a plan that is never used. */
+  /**
+   * Reads the plan of deployments. If no agents are configured, returns a placeholder, because the
+   * engine requires a plan.
+   */
   private static DeploymentPlan deploymentPlan(XmlElement node) throws ConfigException {
     if (node == null) {
       return new DeploymentPlan(
--- a/src/main/java/sprucerock/controller/server/ControllerServer.java
+++ b/src/main/java/sprucerock/controller/server/ControllerServer.java
@@ -28,8 +28,8 @@
 
 /**
  * Runs the release controller's engine and connects it to relays, agents, build pipelines and
- * operators. The engine and all connections belong to one loop, whose thread also waits for the
- * disk.
+ * operators. The engine and the connections of relays and agents run on one loop; the loop's thread
+ * also blocks while log entries are flushed to disk.
  */
 public final class ControllerServer implements AutoCloseable {
   /** How often the engine is checked for transitions that are due by time alone. */
@@ -56,10 +56,10 @@
   private InetSocketAddress agentAddress;
 
   /**
-   * False while a notification of the relays about changed grants is scheduled. Also accessed by
-   * the thread that starts the controller.
+   * False while a notification of the relays about changed grants is scheduled. Atomic, because the
+   * thread that starts the controller accesses it too.
    */
-  private final AtomicBoolean grantsAnnounced = new AtomicBoolean(true);
+  private final AtomicBoolean relaysNotifiedOfGrants = new AtomicBoolean(true);
 
   private boolean commitScheduled;
   private volatile boolean stopped;
@@ -69,7 +69,8 @@
    * Waits until this controller is the leader, replays the log and opens all listeners.
    *
    * @param onLeadershipLost runs on the loop once this controller has lost leadership
-   * @throws Exception if a file is damaged or an address can't be bound; the message says which
+   * @throws Exception if a file is damaged or an address can't be bound; the message names the file
+   *     or the address
    */
   public ControllerServer(
       ControllerConfig config, Engine.Clock clock, FrameTap tap, Runnable onLeadershipLost)
@@ -166,7 +167,7 @@
     return leadershipProvider.leases();
   }
 
-  /** Whether this controller has lost leadership to another one and has ended. */
+  /** Whether this controller has lost leadership, which it never acquires again. */
   public boolean isReplaced() {
     return leadershipLost;
   }
@@ -253,17 +254,17 @@
 
       @Override
       public void permitsChanged() {
-        // The engine starts on another thread than the loop's. A loop iteration that changes many
-        // windows notifies the relays once.
-        if (!engine().replaying() && grantsAnnounced.getAndSet(false)) {
-          loop.post(ControllerServer.this::announceGrants);
+        // No relay is connected during replay, which runs on the constructor's thread. Relays are
+        // notified once, however many windows change in a loop iteration.
+        if (!engine().replaying() && relaysNotifiedOfGrants.getAndSet(false)) {
+          loop.post(ControllerServer.this::notifyRelaysOfGrants);
         }
       }
     };
   }
 
-  private void announceGrants() {
-    grantsAnnounced.set(true);
+  private void notifyRelaysOfGrants() {
+    relaysNotifiedOfGrants.set(true);
     // null while the controller starts: no relay is connected yet
     if (relayListener != null) {
       relayListener.notifyGrantsChanged();
@@ -280,7 +281,10 @@
     return leadership.isHeld();
   }
 
-  /** Records the windows on whose racks no relay may place work any more. On the loop only. */
+  /**
+   * Submits an input for each window on whose racks no relay may place work any more. On the loop
+   * only.
+   */
   void submitClearedWindows() {
     for (long number :
         grants.windowsWithPermitsReturned(
@@ -325,9 +329,9 @@
 
   private void commit() {
     commitScheduled = false;
-    long before = engine.rollouts().sequence();
+    long sequenceBefore = engine.rollouts().sequence();
     engine.flush();
-    if (engine.rollouts().sequence() != before) {
+    if (engine.rollouts().sequence() != sequenceBefore) {
       relayListener.sendStatusToAll();
     }
   }
--- a/src/main/java/sprucerock/controller/server/DeploymentHandler.java
+++ b/src/main/java/sprucerock/controller/server/DeploymentHandler.java
@@ -122,14 +122,18 @@
   }
 
   /**
-   * Whether a running relay can apply new settings without a restart. Returns false where the files
+   * Whether a running relay can apply new settings without a restart. Returns false if the files
    * can't be compared: agents validate the files themselves and report their errors.
+   *
+   * @param baseDigest digest of the settings that the new settings replace
+   * @param newDigest digest of the new settings
    */
-  private boolean needsNoRestart(String from, String to) {
+  private boolean needsNoRestart(String baseDigest, String newDigest) {
     try {
-      return artifacts().has(from)
+      return artifacts().has(baseDigest)
           && LiveSettings.pathsThatNeedRestart(
-                  Files.readString(artifacts().path(from)), Files.readString(artifacts().path(to)))
+                  Files.readString(artifacts().path(baseDigest)),
+                  Files.readString(artifacts().path(newDigest)))
               .isEmpty();
     } catch (IOException | ConfigException e) {
       return false;
@@ -192,16 +196,18 @@
           .put("stage", step.stage())
           .put("cause", step.cause());
     }
-    ArrayNode waits = node.putArray("waits_for");
-    deployments().blockers(deployment, dispatcher.engine().now()).forEach(waits::add);
+    ArrayNode blockedReasons = node.putArray("waits_for");
+    deployments().blockers(deployment, dispatcher.engine().now()).forEach(blockedReasons::add);
     ObjectNode controls = node.putObject("beside");
     deployment
         .controls()
-        .forEach((moved, control) -> controls.put(Integer.toString(moved), control));
-    ObjectNode refused = node.putObject("refused");
+        .forEach(
+            (updatedRelay, controlRelay) ->
+                controls.put(Integer.toString(updatedRelay), controlRelay));
+    ObjectNode rejections = node.putObject("refused");
     deployment
         .rejections()
-        .forEach((relay, reason) -> refused.put(Integer.toString(relay), reason));
+        .forEach((relay, reason) -> rejections.put(Integer.toString(relay), reason));
     return node;
   }
 
--- a/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
+++ b/src/main/java/sprucerock/controller/server/DisconnectedAgents.java
@@ -25,7 +25,7 @@
   private long entriesExamined;
 
   /** Records that an agent has lost its connection, and when its last message arrived. */
-  void disconnected(int relay, Timestamp lastMessageTime) {
+  void add(int relay, Timestamp lastMessageTime) {
     remove(relay);
     Absence absence = new Absence(relay, lastMessageTime);
     byRelay.put(relay, absence);
--- a/src/main/java/sprucerock/controller/server/HttpExchanges.java
+++ b/src/main/java/sprucerock/controller/server/HttpExchanges.java
@@ -26,8 +26,9 @@
   }
 
   /**
-   * Ends the exchange with an answer code.
+   * Ends the exchange with a JSON body that holds an answer code.
    *
+   * @param answer the answer code, for programs
    * @param detail an explanation for people; null if there is none
    */
   static void respond(HttpServerExchange exchange, int status, String answer, String detail) {
@@ -48,7 +49,10 @@
     return exchange.getRequestHeaders().getFirst(new HttpString(name));
   }
 
-  /** Reads a complete body of at most {@code maxBytes} and passes it on; a longer one gets 413. */
+  /**
+   * Reads a complete body and passes it to {@code onBody}. Responds with 413 to a body of more than
+   * {@code maxBytes}.
+   */
   static void readBody(HttpServerExchange exchange, int maxBytes, Consumer<byte[]> onBody) {
     if (exchange.getRequestContentLength() > maxBytes) {
       exchange.setPersistent(false);
--- a/src/main/java/sprucerock/controller/server/Json.java
+++ b/src/main/java/sprucerock/controller/server/Json.java
@@ -26,7 +26,7 @@
     return MAPPER.createObjectNode();
   }
 
-  /** An enumeration constant's name in lower case, as responses have it. */
+  /** An enumeration constant's name in lower case, as used in responses. */
   static String lowerCaseName(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/sprucerock/controller/server/LeadershipProvider.java
+++ b/src/main/java/sprucerock/controller/server/LeadershipProvider.java
@@ -51,12 +51,12 @@
    */
   Leadership acquire() throws Exception {
     Leadership leadership = create();
-    boolean logged = false;
+    boolean standbyLogged = false;
     while (!leadership.tryAcquire()) {
-      if (!logged) {
+      if (!standbyLogged) {
         log.info("STANDBY {} waits for leadership of the store {}", holder, config.storeFolder);
       }
-      logged = true;
+      standbyLogged = true;
       Thread.sleep(RETRY_INTERVAL_MS);
     }
     return leadership;
--- a/src/main/java/sprucerock/controller/server/LeaseHandler.java
+++ b/src/main/java/sprucerock/controller/server/LeaseHandler.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Queries all grantors and responds once they have answered or their time is over. Responds with
-   * 409 if no grantors are configured.
+   * Queries all grantors and responds once they have answered or the query has timed out. Responds
+   * with 409 if no grantors are configured.
    */
   void list(HttpServerExchange exchange) {
     if (controller.leases() == null) {
--- a/src/main/java/sprucerock/controller/server/LeaseLeadership.java
+++ b/src/main/java/sprucerock/controller/server/LeaseLeadership.java
@@ -11,11 +11,12 @@
 import sprucerock.transport.net.nio.NioLoop;
 
 /**
- * The controller's leadership by a lease that a quorum of grantors grants; it does not depend on
+ * The controller's leadership by a lease that a quorum of grantors grants. It does not depend on
  * the clock of a file server. Each leader writes its fencing token to the store's folder, and a
- * controller with a lower token gives up. Each start writes new files, so that whatever a former
- * leader still writes is never read. {@link #tryAcquire} and {@link #release} block until the loop
- * has run them; all other methods must be called on the loop's thread.
+ * controller with a lower token gives up leadership. The engine begins new files at each start, so
+ * that a leader never reads what a former leader still writes. {@link #tryAcquire} and {@link
+ * #release} block until the loop has run them; all other methods must be called on the loop's
+ * thread.
  */
 final class LeaseLeadership implements Leadership {
   /** A task that runs on the loop's thread and returns a result. */
@@ -69,7 +70,7 @@
             result.completeExceptionally(e);
           } catch (RuntimeException e) {
             result.completeExceptionally(e);
-            // the loop reports it
+            // the loop reports the exception
             throw e;
           }
         });
@@ -91,11 +92,11 @@
     if (!leaseHeld || !check.isHeld()) {
       return false;
     }
-    boolean[] highest = {false};
+    boolean[] tokenIsHighest = {false};
     try {
-      boolean held = check.runIfHeld(token -> highest[0] = claim(token));
+      boolean held = check.runIfHeld(token -> tokenIsHighest[0] = claim(token));
       // the lease is checked again, since the disk may take longer than the lease lasts
-      acquired = held && highest[0] && check.isHeld();
+      acquired = held && tokenIsHighest[0] && check.isHeld();
     } catch (UncheckedIOException e) {
       throw e.getCause();
     }
@@ -111,7 +112,8 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    // The grantors have lost their tokens: the lease is requested again with a higher token.
+    // The folder has a higher token, so the grantors have lost theirs. Requests the lease again,
+    // with a token above the folder's.
     leases.withdraw(name, -1);
     campaign();
     return false;
@@ -127,9 +129,9 @@
     if (!isHeld()) {
       return false;
     }
-    boolean[] highest = {false};
-    boolean held = check.runIfHeld(token -> highest[0] = isHighest(token));
-    lost |= !held || !highest[0];
+    boolean[] tokenIsHighest = {false};
+    boolean held = check.runIfHeld(token -> tokenIsHighest[0] = isHighest(token));
+    lost |= !held || !tokenIsHighest[0];
     return !lost;
   }
 
@@ -137,8 +139,8 @@
     try {
       return mark.highestToken() == token;
     } catch (IOException e) {
-      // Unknown: the lease's expiry still protects the store, which reports its failed writes
-      // itself.
+      // The highest token can't be read. The lease's expiry still protects the store, and the store
+      // reports its failed writes itself.
       return true;
     }
   }
--- a/src/main/java/sprucerock/controller/server/LoopDispatcher.java
+++ b/src/main/java/sprucerock/controller/server/LoopDispatcher.java
@@ -58,7 +58,7 @@
     dispatch(exchange, () -> submitCommandOnLoop(exchange, input));
   }
 
-  /** Like {@link #submitCommand}, for a caller that is already on the loop. */
+  /** Submits an operator's command; a command without effect gets 409. On the loop only. */
   void submitCommandOnLoop(HttpServerExchange exchange, Input.Builder input) {
     submit(exchange, input, value -> respondToCommand(exchange, value));
   }
--- a/src/main/java/sprucerock/controller/server/LoopTasks.java
+++ b/src/main/java/sprucerock/controller/server/LoopTasks.java
@@ -39,7 +39,7 @@
   }
 
   /**
-   * Runs a task and returns {@code linger} after it, so that the messages it sent can leave. If the
+   * Runs a task, then waits for {@code linger}, so that the task's messages are sent. If the
    * calling thread is interrupted, returns at once and leaves the thread's interrupt flag set.
    */
   static void runAndLinger(NioLoop loop, Runnable task, TimeSpan linger) {
--- a/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
+++ b/src/main/java/sprucerock/controller/server/MaintenanceHandler.java
@@ -85,11 +85,14 @@
     respond(exchange, 200, all);
   }
 
-  /** Calls a window off, extends it or forces it. */
+  /**
+   * Calls a window off, extends it, or approves that a held window is accepted without capacity for
+   * it.
+   */
   void command(HttpServerExchange exchange, int number, String command, JsonNode body) {
     CommandOrigin origin = CommandOrigin.of(body);
-    long toMs = body.path("to_ms").asLong(0);
-    if (!origin.isComplete() || command.equals("extend") && toMs <= 0) {
+    long newEndMs = body.path("to_ms").asLong(0);
+    if (!origin.isComplete() || command.equals("extend") && newEndMs <= 0) {
       respond(
           exchange,
           400,
@@ -104,7 +107,7 @@
                 FreezeWord.newBuilder()
                     .setWord(command.toUpperCase(Locale.ROOT).replace('-', '_'))
                     .setFreeze(number)
-                    .setToMs(toMs)
+                    .setToMs(newEndMs)
                     .setWho(origin.who())
                     .setReason(origin.reason())));
   }
--- a/src/main/java/sprucerock/controller/server/OperatorApiHandler.java
+++ b/src/main/java/sprucerock/controller/server/OperatorApiHandler.java
@@ -65,7 +65,9 @@
         && MessageDigest.isEqual(given.getBytes(StandardCharsets.UTF_8), authorization);
   }
 
-  /** Parses the number of a build, deployment or window; -1, which none has, if it is invalid. */
+  /**
+   * Parses the number of a build, deployment or window; returns -1 if the text is no valid number.
+   */
   private static int parseNumber(String text) {
     return text.matches("[0-9]{1,5}") ? Integer.parseInt(text) : -1;
   }
@@ -128,12 +130,12 @@
 
   private void command(
       HttpServerExchange exchange, String collection, int number, String command, JsonNode body) {
-    boolean rolloutCommand = command.matches("hold|resume|withdraw");
+    boolean isHoldResumeOrWithdraw = command.matches("hold|resume|withdraw");
     if (collection.equals("freezes") && command.matches("call-off|extend|force")) {
       maintenance.command(exchange, number, command, body);
-    } else if (collection.equals("releases") && rolloutCommand) {
+    } else if (collection.equals("releases") && isHoldResumeOrWithdraw) {
       releases.command(exchange, number, command, body);
-    } else if (collection.equals("changes") && rolloutCommand) {
+    } else if (collection.equals("changes") && isHoldResumeOrWithdraw) {
       deployments.command(exchange, number, command, body);
     } else {
       respondNotFound(exchange);
--- a/src/main/java/sprucerock/controller/server/RackConfig.java
+++ b/src/main/java/sprucerock/controller/server/RackConfig.java
@@ -16,7 +16,9 @@
   // default limits of frames and unsent bytes. A fleet of 120,000 endpoints has about 3,000 racks.
   private static final int MAX_RACKS = 10_000;
 
+  /** A zone and a 16-bit cell are packed into one int. */
   private static final int MAX_ZONE = 32_767;
+
   private static final int HOURS_PER_DAY = 24;
 
   private RackConfig() {}
--- a/src/main/java/sprucerock/controller/server/RackList.java
+++ b/src/main/java/sprucerock/controller/server/RackList.java
@@ -14,15 +14,15 @@
 /**
  * The list of all racks, which is sent to each relay once and referred to by its id from then on.
  * If each answer named every rack, the bytes per second would grow with relays times racks. The id
- * is a hash of the list: a controller with the same configuration, or this one after a restart,
- * continues to use it, and a controller whose racks differ sends the complete list. A relay whose
- * program does not support lists gets all racks in each answer.
+ * is a hash of the list, so that it stays valid after a restart and with another controller that
+ * has the same configuration. A controller whose racks differ sends the complete list. A relay
+ * whose program does not support lists gets all racks in each answer.
  */
 final class RackList {
   /** The id in a request of a relay that supports lists but has none yet. */
   private static final long LIST_SUPPORTED_BUT_UNKNOWN = 1;
 
-  private static final int BYTES_PER_RACK = 16;
+  private static final int HASHED_BYTES_PER_RACK = 16;
 
   private final Map<String, Rack> byName;
   private final List<Rack> racks;
@@ -37,7 +37,7 @@
   }
 
   private static long listId(List<Rack> racks) {
-    ByteBuffer bytes = ByteBuffer.allocate(racks.size() * BYTES_PER_RACK);
+    ByteBuffer bytes = ByteBuffer.allocate(racks.size() * HASHED_BYTES_PER_RACK);
     for (Rack rack : racks) {
       bytes.putInt(rack.zone()).putInt(rack.cell()).putLong(rack.noticeMs());
     }
@@ -53,12 +53,12 @@
   }
 
   /**
-   * Writes the racks into an answer: only the shortened ones for a relay that has this list, else
-   * all of them.
+   * Writes the racks into an answer: all racks, or only those in {@code shortened} if the relay has
+   * this list.
    *
    * @param relayListId the id of the list that the relay has; 0 if its program does not support
    *     lists
-   * @param shortened the milliseconds for which racks stay free, for those below their notice
+   * @param shortened the racks that stay free for less than their notice: milliseconds by rack name
    */
   void writeTo(Promised.Builder promised, long relayListId, Map<String, Long> shortened) {
     if (relayListId == listId) {
--- a/src/main/java/sprucerock/controller/server/RateLimiter.java
+++ b/src/main/java/sprucerock/controller/server/RateLimiter.java
@@ -1,6 +1,6 @@
 package sprucerock.controller.server;
 
-/** A token bucket that allows bursts of as many requests as one second allows. Thread-safe. */
+/** A token bucket whose capacity, the largest burst, is the rate of one second. Thread-safe. */
 final class RateLimiter {
   private static final int MS_PER_SECOND = 1000;
 
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -32,9 +32,9 @@
 import sprucerock.transport.wire.v1.Worth;
 
 /**
- * Listens for relays. Each relay gets the rollout's status when it connects, after each change and
- * periodically. Nothing is queued for a relay that does not read; it gets the newest status once it
- * reads again. Votes are recorded before they are answered. On the loop only.
+ * Listens for relays. Each relay gets the rollout's status when it connects, after each transition
+ * and periodically. Nothing is queued for a relay that does not read; it gets the newest status
+ * once it reads again. Votes are recorded before they are answered. On the loop only.
  */
 final class RelayListener {
   private static final byte[] NO_BODY = {};
@@ -75,7 +75,7 @@
             config.maxRelays,
             limits.maxUnsentBytes(),
             () -> new Session().connection);
-    sendPeriodically();
+    sendStatusPeriodically();
     return listener.address();
   }
 
@@ -96,9 +96,9 @@
     return found;
   }
 
-  private void sendPeriodically() {
+  private void sendStatusPeriodically() {
     sendStatusToAll();
-    net.at(net.now().plus(config.statusInterval), this::sendPeriodically);
+    net.at(net.now().plus(config.statusInterval), this::sendStatusPeriodically);
   }
 
   /** Sends the rollout's status to all relays. */
@@ -109,8 +109,9 @@
   }
 
   /**
-   * Notifies all relays that a maintenance window was accepted, called off or has begun. An empty
-   * answer makes each relay send a new request, each after a random delay.
+   * Notifies all relays that placement grants have changed, because a maintenance window was
+   * accepted, called off or has begun. The message has no id and no grants; each relay then
+   * requests its grants after a random delay.
    */
   void notifyGrantsChanged() {
     for (Session session : sessions) {
@@ -121,7 +122,7 @@
   private News statusMessage() {
     RolloutManager rollouts = controller.engine().rollouts();
     RolloutManager.RolloutStatus status = rollouts.currentStatus();
-    double lastedMs = controller.engine().now().since(status.since()).ms();
+    double statusAgeMs = controller.engine().now().since(status.since()).ms();
     return News.newBuilder()
         .setBuild(status.build())
         .setStage(status.stage())
@@ -133,7 +134,7 @@
               default -> Stand.WITHDRAWN;
             })
         .setCap(status.exposureCap())
-        .setLastedUs(Math.max(0, (long) (lastedMs * US_PER_MS)))
+        .setLastedUs(Math.max(0, (long) (statusAgeMs * US_PER_MS)))
         .setEpoch(rollouts.epoch())
         .setSequence(rollouts.sequence())
         .build();
@@ -229,8 +230,9 @@
     }
 
     /**
-     * Records the reported value of each hardware family, field by field. The engine rejects
-     * reports of a relay that was replaced, by the report's number.
+     * Records the reported values of the hardware families. {@code Worth} and {@code FamiliesWorth}
+     * have the same fields, so the bytes are only reparsed. The engine rejects a report that is not
+     * newer than the recorded one; a relay that was replaced as reporter has a lower fencing token.
      */
     private void recordHardwareValue(Worth message) {
       try {
@@ -244,7 +246,7 @@
 
     /**
      * Answers a request for placement grants. Leadership is checked last, and without it no answer
-     * is sent, because nobody waits for the grants of a former leader to expire.
+     * is sent, because a new leader does not wait for grants that a former leader still sends.
      */
     private void answerGrantRequest(PromiseAsk request) {
       long now =
--- a/src/main/java/sprucerock/controller/server/ReleaseHandler.java
+++ b/src/main/java/sprucerock/controller/server/ReleaseHandler.java
@@ -163,14 +163,14 @@
           .put("cause", step.cause());
     }
     if (rollout == rollouts().current()) {
-      addVotes(node, dispatcher.engine().now());
+      addVotesAndBlockedReasons(node, dispatcher.engine().now());
     }
     return node;
   }
 
-  private void addVotes(ObjectNode node, Timestamp now) {
-    ArrayNode waits = node.putArray("waits_for");
-    rollouts().blockers(now).forEach(waits::add);
+  private void addVotesAndBlockedReasons(ObjectNode node, Timestamp now) {
+    ArrayNode blockedReasons = node.putArray("waits_for");
+    rollouts().blockers(now).forEach(blockedReasons::add);
     ObjectNode votes = node.putObject("votes");
     for (RolloutManager.Vote vote : RolloutManager.Vote.values()) {
       if (vote != RolloutManager.Vote.NOTHING) {
@@ -178,10 +178,10 @@
         rollouts().relaysVoting(vote, now).forEach(relays::add);
       }
     }
-    ArrayNode silent = node.putArray("silent");
+    ArrayNode relaysWithoutVote = node.putArray("silent");
     for (int relay : connectedRelays.get()) {
       if (!hasVoted(relay, now)) {
-        silent.add(relay);
+        relaysWithoutVote.add(relay);
       }
     }
   }
--- a/src/main/java/sprucerock/controller/server/SecretFile.java
+++ b/src/main/java/sprucerock/controller/server/SecretFile.java
@@ -13,7 +13,7 @@
   private SecretFile() {}
 
   /**
-   * Reads the file that an attribute of a node names.
+   * Reads the file whose path is an attribute of a node.
    *
    * @throws ConfigException if the file can't be read, or grants any permission to users other than
    *     its owner
--- a/src/main/java/sprucerock/controller/server/Signatures.java
+++ b/src/main/java/sprucerock/controller/server/Signatures.java
@@ -42,7 +42,10 @@
 
   private Signatures() {}
 
-  /** The names of a scheme's headers, in the order of the components of {@link Headers}. */
+  /**
+   * The names of a scheme's headers, in the order of the components of {@link Headers}. GitHub's
+   * scheme has no timestamp; the header Date takes its place and is ignored.
+   */
   public static List<String> headerNames(SignatureScheme scheme) {
     return scheme == SignatureScheme.STANDARD
         ? List.of("webhook-id", "webhook-timestamp", "webhook-signature")
@@ -91,24 +94,27 @@
     }
     byte[] signed = body;
     if (scheme == SignatureScheme.STANDARD) {
-      long time;
+      long timeSeconds;
       try {
-        time = Long.parseLong(String.valueOf(headers.timestamp));
+        timeSeconds = Long.parseLong(String.valueOf(headers.timestamp));
       } catch (NumberFormatException e) {
         return new Verdict(null, "its time is no number of seconds");
       }
-      if (Math.abs(nowSeconds - time) * 1000.0 > tolerance.ms()) {
+      if (Math.abs(nowSeconds - timeSeconds) * 1000.0 > tolerance.ms()) {
         return new Verdict(
             null, "its time is more than " + Math.round(tolerance.ms() / 1000) + " s from ours");
       }
-      signed = standardSignedContent(headers.id, time, body);
+      signed = standardSignedContent(headers.id, timeSeconds, body);
     }
     return matches(scheme, headers.signature, signed, secrets)
         ? new Verdict(headers.id, null)
         : new Verdict(null, "no signature of it is right");
   }
 
-  /** Compares all pairs of a signature and a secret, so that the time taken reveals nothing. */
+  /**
+   * Compares all pairs of a signature and a secret, so that the time taken reveals nothing about
+   * the secrets.
+   */
   private static boolean matches(
       SignatureScheme scheme, String signatures, byte[] signed, List<byte[]> secrets) {
     boolean matches = false;
@@ -151,21 +157,21 @@
   /**
    * Signs a delivery and returns the value of the signature header.
    *
-   * @param time seconds since the Unix epoch
+   * @param timeSeconds seconds since the Unix epoch
    */
   public static String sign(
-      SignatureScheme scheme, String id, long time, byte[] body, byte[] secret) {
+      SignatureScheme scheme, String id, long timeSeconds, byte[] body, byte[] secret) {
     if (scheme == SignatureScheme.GITHUB) {
       return "sha256=" + HexFormat.of().formatHex(hmacSha256(secret, body));
     }
     return "v1,"
         + Base64.getEncoder()
-            .encodeToString(hmacSha256(secret, standardSignedContent(id, time, body)));
+            .encodeToString(hmacSha256(secret, standardSignedContent(id, timeSeconds, body)));
   }
 
   /** The content that a Standard Webhooks signature covers. */
-  private static byte[] standardSignedContent(String id, long time, byte[] body) {
-    byte[] head = (id + "." + time + ".").getBytes(StandardCharsets.UTF_8);
+  private static byte[] standardSignedContent(String id, long timeSeconds, byte[] body) {
+    byte[] head = (id + "." + timeSeconds + ".").getBytes(StandardCharsets.UTF_8);
     byte[] content = Arrays.copyOf(head, head.length + body.length);
     System.arraycopy(body, 0, content, head.length, body.length);
     return content;
--- a/src/main/java/sprucerock/controller/server/WebhookOutbox.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutbox.java
@@ -175,11 +175,11 @@
     try {
       Files.writeString(
           deadLetters, message.body + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-      onError.accept(description + "; it is written to " + deadLetters);
+      onError.accept(description + "; written to the dead-letter file " + deadLetters);
     } catch (IOException e) {
       onError.accept(
           description
-              + ", and cannot be written to "
+              + " and cannot be written to the dead-letter file "
               + deadLetters
               + " ("
               + e.getMessage()
--- a/src/main/java/sprucerock/controller/server/WebhookOutboxes.java
+++ b/src/main/java/sprucerock/controller/server/WebhookOutboxes.java
@@ -29,8 +29,8 @@
   /**
    * Creates outboxes without targets.
    *
-   * @param onDeliveredToAll receives, on the loop, the sequence number of the last step that every
-   *     target has accepted or that was given up
+   * @param onDeliveredToAll receives, on the loop, the sequence number of the last step that each
+   *     outbox has delivered or given up
    */
   WebhookOutboxes(NioLoop loop, LongConsumer onDeliveredToAll) {
     this.loop = loop;
--- a/src/test/java/sprucerock/controller/server/AgentListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/AgentListenerTest.java
@@ -55,8 +55,8 @@
     return agent;
   }
 
-  /** Whether a relay is recorded as silent, or as not silent; read on the controller's loop. */
-  private boolean isRecorded(int number, boolean silent) {
+  /** Whether a relay is recorded, and with this state of being silent. */
+  private boolean isRecordedAs(int number, boolean silent) {
     CompletableFuture<Boolean> recorded = new CompletableFuture<>();
     controller.runOnLoop(
         () -> {
@@ -71,12 +71,12 @@
     start();
     RecordingPeer connected = connectAgent(1);
     RecordingPeer disconnecting = connectAgent(2);
-    waitUntil("both agents are recorded", () -> isRecorded(1, false) && isRecorded(2, false));
+    waitUntil("both agents are recorded", () -> isRecordedAs(1, false) && isRecordedAs(2, false));
     loop.post(() -> disconnecting.connection.cut("disconnected by the test"));
-    waitUntil("the agent is silent", () -> isRecorded(2, true));
-    assertTrue(isRecorded(1, false), "a connected agent is not silent, even if it sends nothing");
+    waitUntil("the agent is silent", () -> isRecordedAs(2, true));
+    assertTrue(isRecordedAs(1, false), "a connected agent is not silent, even if it sends nothing");
     connectAgent(2);
-    waitUntil("the agent is no longer silent", () -> isRecorded(2, false));
+    waitUntil("the agent is no longer silent", () -> isRecordedAs(2, false));
     assertTrue(getOnLoop(connected.connection::isReady));
   }
 
@@ -85,15 +85,15 @@
   public void replacedConnectionDoesNotMakeAgentSilent() throws Exception {
     start();
     RecordingPeer first = connectAgent(2);
-    waitUntil("the agent is recorded", () -> isRecorded(2, false));
+    waitUntil("the agent is recorded", () -> isRecordedAs(2, false));
     connectAgent(2);
     waitUntil("the old connection is cut", () -> getOnLoop(() -> first.closeReason != null));
     // the silence of agent 3 shows that enough time has passed
     RecordingPeer other = connectAgent(3);
-    waitUntil("the other agent is recorded", () -> isRecorded(3, false));
+    waitUntil("the other agent is recorded", () -> isRecordedAs(3, false));
     loop.post(() -> other.connection.cut("disconnected by the test"));
-    waitUntil("the other agent is silent", () -> isRecorded(3, true));
-    assertTrue(isRecorded(2, false));
+    waitUntil("the other agent is silent", () -> isRecordedAs(3, true));
+    assertTrue(isRecordedAs(2, false));
   }
 
   /**
@@ -104,11 +104,11 @@
   public void agentMissingAfterRestartBecomesSilent() throws Exception {
     start();
     connectAgent(2);
-    waitUntil("the agent is recorded", () -> isRecorded(2, false));
+    waitUntil("the agent is recorded", () -> isRecordedAs(2, false));
     controller.close();
     start();
-    waitUntil("the agent is silent", () -> isRecorded(2, true));
+    waitUntil("the agent is silent", () -> isRecordedAs(2, true));
     connectAgent(2);
-    waitUntil("the agent is no longer silent", () -> isRecorded(2, false));
+    waitUntil("the agent is no longer silent", () -> isRecordedAs(2, false));
   }
 }
--- a/src/test/java/sprucerock/controller/server/ControllerServerTest.java
+++ b/src/test/java/sprucerock/controller/server/ControllerServerTest.java
@@ -355,7 +355,7 @@
                 throw new IllegalStateException(e);
               }
             });
-    // three times what it takes to acquire a free lease
+    // three times as long as it takes to acquire a free lease
     Thread.sleep(1500);
     assertTrue(!second.isDone(), "two controllers are leaders at the same time");
     first.close();
--- a/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
+++ b/src/test/java/sprucerock/controller/server/DisconnectedAgentsTest.java
@@ -8,7 +8,7 @@
 import sprucerock.time.TimeSpan;
 import sprucerock.time.Timestamp;
 
-/** Tests which agents are overdue, and that a query examines only those. */
+/** Tests which agents are overdue, and that a query examines only the overdue agents. */
 public class DisconnectedAgentsTest {
   private static final TimeSpan TIMEOUT = TimeSpan.ofMs(5000);
 
@@ -17,12 +17,12 @@
   }
 
   @Test
-  public void longestUnheardAgentComesFirstUntilRemoved() {
+  public void longestSilentAgentComesFirstUntilRemoved() {
     DisconnectedAgents agents = new DisconnectedAgents();
-    agents.disconnected(1, at(2000));
+    agents.add(1, at(2000));
     // agent 2 disconnects after agent 1, but its last message is older
-    agents.disconnected(2, at(1000));
-    agents.disconnected(3, at(3000));
+    agents.add(2, at(1000));
+    agents.add(3, at(3000));
     assertEquals(agents.silentLongerThan(TIMEOUT, at(6000)), List.of());
     assertEquals(agents.silentLongerThan(TIMEOUT, at(7001)), List.of(2, 1));
     // overdue agents stay listed until they are removed
@@ -30,7 +30,7 @@
     agents.remove(2);
     assertEquals(agents.silentLongerThan(TIMEOUT, at(9000)), List.of(1, 3));
     // agent 1 had connected again in between
-    agents.disconnected(1, at(9000));
+    agents.add(1, at(9000));
     assertEquals(agents.silentLongerThan(TIMEOUT, at(9001)), List.of(3));
     agents.remove(7);
   }
@@ -40,7 +40,7 @@
     for (int count : new int[] {100, 400, 1600}) {
       DisconnectedAgents agents = new DisconnectedAgents();
       for (int i = 0; i < count; i++) {
-        agents.disconnected(i, at(i < 3 ? 0 : 4000));
+        agents.add(i, at(i < 3 ? 0 : 4000));
       }
       for (int i = 0; i < count; i++) {
         if (i % 2 == 1 && i > 3) {
--- a/src/test/java/sprucerock/controller/server/RelayListenerTest.java
+++ b/src/test/java/sprucerock/controller/server/RelayListenerTest.java
@@ -64,13 +64,14 @@
     return connect(Role.RELAY, number, controller.relayAddress());
   }
 
-  private Promised requestGrants(RecordingPeer relay, long list) throws Exception {
+  private Promised requestGrants(RecordingPeer relay, long relayListId) throws Exception {
     waitUntil("the relay is connected", () -> getOnLoop(relay.connection::isReady));
     long id = ++lastRequestId;
     loop.post(
         () ->
             relay.send(
-                FrameKind.PROMISE_ASK, PromiseAsk.newBuilder().setId(id).setList(list).build()));
+                FrameKind.PROMISE_ASK,
+                PromiseAsk.newBuilder().setId(id).setList(relayListId).build()));
     waitUntil(
         "request " + id + " is answered",
         () ->
@@ -137,14 +138,14 @@
     announceWindows("r0", 20 * 60 * MINUTE_MS, 1);
     announceWindows("r1", 20 * 60 * MINUTE_MS, 1);
     announceWindows("r4", 5 * MINUTE_MS, 1);
-    Promised some = requestGrants(relay, all.getList());
+    Promised shortened = requestGrants(relay, all.getList());
     assertTrue(
-        some.getRest()
-            && some.getList() == all.getList()
-            && some.getSequence() > all.getSequence());
-    List<String> named = new ArrayList<>();
-    for (RackFree rack : some.getRacksList()) {
-      named.add(
+        shortened.getRest()
+            && shortened.getList() == all.getList()
+            && shortened.getSequence() > all.getSequence());
+    List<String> shortenedRacks = new ArrayList<>();
+    for (RackFree rack : shortened.getRacksList()) {
+      shortenedRacks.add(
           rack.getZone()
               + "/"
               + rack.getCell()
@@ -152,33 +153,41 @@
                   ? " within 5 min"
                   : rack.getLeftMs() <= 20 * 60 * MINUTE_MS ? " within 20 h" : ""));
     }
-    assertEquals(named, List.of("1/0 within 20 h", "2/1 within 5 min"));
+    assertEquals(shortenedRacks, List.of("1/0 within 20 h", "2/1 within 5 min"));
     // a relay with a list that this controller never sent gets all racks, with the same grants
-    Promised again = requestGrants(connectRelay(1), all.getList() + 1);
-    assertTrue(!again.getRest() && again.getList() == all.getList());
+    Promised answerToUnknownList = requestGrants(connectRelay(1), all.getList() + 1);
+    assertTrue(!answerToUnknownList.getRest() && answerToUnknownList.getList() == all.getList());
     assertEquals(
-        again.getRacksList().stream().filter(rack -> rack.getLeftMs() < rack.getNoticeMs()).count(),
+        answerToUnknownList.getRacksList().stream()
+            .filter(rack -> rack.getLeftMs() < rack.getNoticeMs())
+            .count(),
         2);
-    Promised old = requestGrants(connectRelay(2), 0);
+    Promised answerWithoutList = requestGrants(connectRelay(2), 0);
     assertEquals(
-        old.getRacksList().stream().filter(rack -> rack.getLeftMs() <= 5 * MINUTE_MS).count(), 1);
+        answerWithoutList.getRacksList().stream()
+            .filter(rack -> rack.getLeftMs() <= 5 * MINUTE_MS)
+            .count(),
+        1);
   }
 
   /**
-   * The id is a hash of the racks, so that a restarted controller or its standby continues to use
-   * it.
+   * The id is a hash of the racks, so that it stays valid after a restart or a takeover by a
+   * standby.
    */
   @Test
   public void rackListIdSurvivesRestartAndChangesWithRacks() throws Exception {
     start(5);
-    long list = requestGrants(connectRelay(0), 1).getList();
+    long listId = requestGrants(connectRelay(0), 1).getList();
     controller.close();
     start(5);
-    assertTrue(requestGrants(connectRelay(0), list).getRest());
+    assertTrue(requestGrants(connectRelay(0), listId).getRest());
     controller.close();
     start(6);
-    Promised other = requestGrants(connectRelay(0), list);
-    assertTrue(!other.getRest() && other.getList() != list && other.getRacksCount() == 6);
+    Promised answerWithOtherRacks = requestGrants(connectRelay(0), listId);
+    assertTrue(
+        !answerWithOtherRacks.getRest()
+            && answerWithOtherRacks.getList() != listId
+            && answerWithOtherRacks.getRacksCount() == 6);
   }
 
   @Test
--- a/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
+++ b/src/test/java/sprucerock/controller/server/WebhooksCompatTest.java
@@ -80,6 +80,7 @@
   /** A step of a rollout that the controller sends by webhook. */
   private record RolloutStep(Rollout rollout, Rollout.Transition step) {}
 
+  /** Writes the recorded files that the tests compare with. */
   public static void record(Path corpus) throws Exception {
     Files.createDirectories(corpus.resolve("webhooks"));
     Files.writeString(
