--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -44,7 +44,7 @@
   private static final int MAX_AGENT_NUMBER = 65_534;
   private static final int MAX_FRAME_BYTES = 1 << 20;
   private static final long MAX_UNSENT_BYTES = 4L << 20;
-  private static final TimeSpan KEEPALIVE = TimeSpan.ofMs(1000);
+  private static final TimeSpan HEARTBEAT_INTERVAL = TimeSpan.ofMs(1000);
 
   /** Length of a comparison window; each agent sends at least two statuses within it. */
   private static final TimeSpan WINDOW_LENGTH = TimeSpan.ofMs(2000);
@@ -74,7 +74,7 @@
     this.tap = tap;
     this.controller = controller;
     artifactSender = new ArtifactSender(net, artifacts, config.maxPiecesPerSecond);
-    limits = new FrameLimits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, KEEPALIVE);
+    limits = new FrameLimits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, HEARTBEAT_INTERVAL);
     monitor = new DeploymentMonitor(deployments(), this);
     for (ManagedRelay relay : deployments().relays()) {
       // agents known from the log get the full timeout to connect, from now on
--- a/src/main/java/sprucerock/controller/server/RelayListener.java
+++ b/src/main/java/sprucerock/controller/server/RelayListener.java
@@ -39,8 +39,8 @@
 final class RelayListener {
   private static final byte[] NO_BODY = {};
   private static final int MAX_FRAME_BYTES = 64 * 1024;
-  private static final TimeSpan KEEPALIVE = TimeSpan.ofMs(2000);
-  private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMs(100);
+  private static final TimeSpan HEARTBEAT_INTERVAL = TimeSpan.ofMs(2000);
+  private static final TimeSpan STATUS_RETRY_INTERVAL = TimeSpan.ofMs(100);
   private static final int US_PER_MS = 1000;
 
   private final Net net;
@@ -60,7 +60,7 @@
     rackList = new RackList(controller.engine().maintenanceWindows().capacityCheck().racks());
     limits =
         new FrameLimits(
-            MAX_FRAME_BYTES, Math.max(config.maxUnsentBytes, MAX_FRAME_BYTES), KEEPALIVE);
+            MAX_FRAME_BYTES, Math.max(config.maxUnsentBytes, MAX_FRAME_BYTES), HEARTBEAT_INTERVAL);
   }
 
   /**
@@ -172,7 +172,7 @@
       if (connection.unsentBytes() > config.maxUnsentBytes / 2) {
         retryTimer =
             net.at(
-                net.now().plus(RETRY_INTERVAL),
+                net.now().plus(STATUS_RETRY_INTERVAL),
                 () -> {
                   retryTimer = null;
                   if (sessions.contains(this)) {
