--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -35,15 +35,16 @@
 import sprucerock.transport.wire.v1.Wants;
 
 /**
- * Listens for agents. An agent's status is recorded where it differs from the recorded one. The
- * desired state is sent when an agent connects and after each change. On the loop only.
+ * Listens for agents. An agent's status is recorded if it differs from the recorded state of its
+ * relay. The desired state is sent when an agent connects and whenever the desired state changes.
+ * On the loop only.
  */
 final class AgentListener implements DeploymentMonitor.Listener {
   private static final byte[] NO_BODY = {};
   private static final int MAX_AGENT_NUMBER = 65_534;
   private static final int MAX_FRAME_BYTES = 1 << 20;
   private static final long MAX_UNSENT_BYTES = 4L << 20;
-  private static final TimeSpan KEEPALIVE = TimeSpan.ofMs(1000);
+  private static final TimeSpan HEARTBEAT_INTERVAL = TimeSpan.ofMs(1000);
 
   /** Length of a comparison window; each agent sends at least two statuses within it. */
   private static final TimeSpan WINDOW_LENGTH = TimeSpan.ofMs(2000);
@@ -73,11 +74,11 @@
     this.tap = tap;
     this.controller = controller;
     artifactSender = new ArtifactSender(net, artifacts, config.maxPiecesPerSecond);
-    limits = new FrameLimits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, KEEPALIVE);
+    limits = new FrameLimits(MAX_FRAME_BYTES, MAX_UNSENT_BYTES, HEARTBEAT_INTERVAL);
     monitor = new DeploymentMonitor(deployments(), this);
     for (ManagedRelay relay : deployments().relays()) {
       // agents known from the log get the full timeout to connect, from now on
-      disconnected.disconnected(relay.number, net.now());
+      disconnected.add(relay.number, net.now());
     }
   }
 
@@ -117,8 +118,8 @@
   }
 
   /**
-   * Records as unreachable the relays whose agents have been silent for too long; after a start
-   * also those that have not connected since.
+   * Records as unreachable the relays whose agents have been silent for too long. Agents that have
+   * not connected since the controller's start count as silent from that start on.
    */
   private void reportAbsentAgents() {
     for (int number :
@@ -243,7 +244,7 @@
     }
 
     private void statusReceived(AgentSays status) {
-      final boolean first = lastStatus == null;
+      final boolean firstStatus = lastStatus == null;
       lastStatus = status;
       try {
         submitStatus(status);
@@ -264,7 +265,7 @@
         monitor.reportTotals(
             number, status.getLife(), status.getCores(), AgentMessages.totals(status.getSums()));
       }
-      if (first) {
+      if (firstStatus) {
         sendDesiredState(deployments().relay(number));
       }
     }
@@ -290,7 +291,7 @@
     @Override
     public void closed(String why) {
       if (sessions.remove(number, this)) {
-        disconnected.disconnected(number, lastMessageTime);
+        disconnected.add(number, lastMessageTime);
       }
     }
   }
