--- a/src/main/java/sprucerock/controller/deployment/Deployment.java
+++ b/src/main/java/sprucerock/controller/deployment/Deployment.java
@@ -118,6 +118,7 @@
     lastProgress = now;
   }
 
+  /** Returns the state of the deployment. */
   public State state() {
     return state;
   }
--- a/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
+++ b/src/main/java/sprucerock/controller/maintenance/CapacityCheck.java
@@ -113,7 +113,8 @@
               available,
               uncountedRacks.isEmpty()
                   ? ""
-                  : "; racks not counted, because the capacity of their hardware is not known well enough: "
+                  : "; racks not counted, because the capacity of their hardware is not known "
+                      + "well enough: "
                       + uncountedRacks);
         }
         // Stops once each hour of the day has been checked.
--- a/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
+++ b/src/main/java/sprucerock/controller/maintenance/MaintenanceWindow.java
@@ -139,6 +139,7 @@
     state = next;
   }
 
+  /** Returns the state of the window's lifecycle. */
   public State state() {
     return state;
   }
--- a/src/main/java/sprucerock/controller/server/AgentListener.java
+++ b/src/main/java/sprucerock/controller/server/AgentListener.java
@@ -255,8 +255,8 @@
       long epoch = controller.engine().rollouts().epoch();
       if (status.getEpoch() > epoch) {
         log.error(
-            "BEHIND relay {}'s agent knows epoch {}, this controller has epoch {}: its store may be an"
-                + " old copy",
+            "BEHIND relay {}'s agent knows epoch {}, this controller has epoch {}: "
+                + "its store may be an old copy",
             number,
             status.getEpoch(),
             epoch);
--- a/src/main/java/sprucerock/simulation/SimulationHost.java
+++ b/src/main/java/sprucerock/simulation/SimulationHost.java
@@ -170,9 +170,8 @@
     if (listNumber >= lists.length) {
       throw new FrameException(recordName + ": list number " + listNumber + " is out of range");
     }
-    ListedEndpoint[] entries =
-        new ListedEndpoint
-            [checkedCount(fields, Integer.toUnsignedLong(fields.getInt()), ENTRY_BYTES)];
+    int entryCount = checkedCount(fields, Integer.toUnsignedLong(fields.getInt()), ENTRY_BYTES);
+    ListedEndpoint[] entries = new ListedEndpoint[entryCount];
     for (int i = 0; i < entries.length; i++) {
       long endpoint = Integer.toUnsignedLong(fields.getInt());
       int zone = fields.getShort() & 0xffff;
